--- a/admit.go
+++ b/admit.go
@@ -7,11 +7,11 @@
 	"time"
 
 	"topazhollow/internal/admission"
-	"topazhollow/internal/fleet"
-	"topazhollow/internal/ledger"
+	"topazhollow/internal/autoscaler"
+	"topazhollow/internal/jobstate"
+	"topazhollow/internal/leadership"
+	"topazhollow/internal/protocol"
 	"topazhollow/internal/settings"
-	"topazhollow/internal/tenure"
-	"topazhollow/internal/wire"
 )
 
 // What connects internal/admission, which decides, to the controller: docs/admission.md
@@ -33,7 +33,7 @@
 		weights: &admission.Weights{Team: o.TeamWeights, Class: o.ClassWeights, Floor: o.ClassFloor, After: settings.Seconds(o.FloorAfter)}}
 }
 
-func keyOf(s *wire.Submission) admission.Key { return admission.Key{Team: s.Team, Class: s.Class} }
+func keyOf(s *protocol.Submission) admission.Key { return admission.Key{Team: s.Team, Class: s.Class} }
 
 // floorsOf is what the plan in force leaves to a team's classes.
 func (n *Node) floorsOf(it *item) map[string]float64 {
@@ -57,7 +57,7 @@
 
 // goFirst tells for each of a team's demands how many of its tasks go before what is more
 // urgent: as many as its class has less than the plan leaves it, and the first one of an array that has waited long.
-func (n *Node) goFirst(it *item, list []ledger.Demand, now time.Time) []int {
+func (n *Node) goFirst(it *item, list []jobstate.Demand, now time.Time) []int {
 	first := make([]int, len(list))
 	for i, d := range list {
 		if d.Begins {
@@ -86,7 +86,7 @@
 
 // floorFilling shares out what a team's classes have less than the plan leaves them.
 type floorFilling struct {
-	list  []ledger.Demand
+	list  []jobstate.Demand
 	first []int              // of each demand, how many tasks go first
 	lacks map[string]float64 // by class, the CPUs that it still lacks
 	order []int              // of the demands that get any
@@ -122,7 +122,7 @@
 	for _, i := range f.order {
 		d := &f.list[i]
 		count := min(d.Count-f.first[i], int(most[d.Spec.Class]/d.Spec.CPUs+1e-9))
-		if d.Spec.Kind == wire.Gang && count < d.Count || count <= 0 {
+		if d.Spec.Kind == protocol.Gang && count < d.Count || count <= 0 {
 			continue // a gang is placed whole or not at all
 		}
 		f.first[i] += count
@@ -134,7 +134,7 @@
 
 // keepsFloor says whether a task of a job may not be stopped for others, since its class
 // would have less than the plan leaves it.
-func (n *Node) keepsFloor(s *wire.Submission) bool {
+func (n *Node) keepsFloor(s *protocol.Submission) bool {
 	floor := n.admit.known.Acts().Floor(keyOf(s))
 	return floor > 0 && n.admit.runs[keyOf(s)]-s.CPUs < floor
 }
@@ -142,7 +142,7 @@
 // planWord is what this controller tells of plans.
 func (n *Node) planWord() admission.Word {
 	w := admission.Word{Seen: n.admit.known.Seen()}
-	if n.admit.maker != nil && n.items[tenure.Fleet] != nil {
+	if n.admit.maker != nil && n.items[leadership.Fleet] != nil {
 		w.Force, w.Next = n.admit.maker.Word()
 	}
 	return w
@@ -154,7 +154,7 @@
 	if n.record == nil {
 		return
 	}
-	if it := n.record.Items[tenure.Fleet]; it.Owner == node && n.record.Nodes[node] == incarnation {
+	if it := n.record.Items[leadership.Fleet]; it.Owner == node && n.record.Nodes[node] == incarnation {
 		before := n.admit.known.Acts()
 		n.admit.known.Hear(it.Since, *w)
 		n.tellPlan(before)
@@ -186,8 +186,8 @@
 
 // makePlan has the fleet's owner make the plans, from every machine's view and from what
 // all owners say waits.
-func (n *Node) makePlan(machines []fleet.Machine, demands []fleet.Demand, now time.Time) {
-	it := n.record.Items[tenure.Fleet]
+func (n *Node) makePlan(machines []autoscaler.Machine, demands []autoscaler.Demand, now time.Time) {
+	it := n.record.Items[leadership.Fleet]
 	if n.admit.maker == nil || n.admit.maker.Since() != it.Since {
 		n.admit.maker = admission.NewMaker(it.Since, &n.admit.known)
 	}
@@ -214,7 +214,7 @@
 }
 
 // planInputs is what a plan is made from.
-func (n *Node) planInputs(machines []fleet.Machine, demands []fleet.Demand, now time.Time) *admission.Inputs {
+func (n *Node) planInputs(machines []autoscaler.Machine, demands []autoscaler.Demand, now time.Time) *admission.Inputs {
 	in := &admission.Inputs{Teams: n.guarantees(), Weights: n.admit.weights}
 	needs := needsByKey{}
 	needs.addWaiting(demands)
@@ -252,7 +252,7 @@
 type needsByKey map[admission.Key]*admission.Need
 
 // of finds or makes the need of a job's team and class.
-func (needs needsByKey) of(s *wire.Submission) *admission.Need {
+func (needs needsByKey) of(s *protocol.Submission) *admission.Need {
 	k := keyOf(s)
 	if needs[k] == nil {
 		needs[k] = &admission.Need{Key: k}
@@ -261,31 +261,31 @@
 }
 
 // addWaiting adds what waits.
-func (needs needsByKey) addWaiting(demands []fleet.Demand) {
+func (needs needsByKey) addWaiting(demands []autoscaler.Demand) {
 	for i := range demands {
 		d := &demands[i]
 		need := needs.of(d.Spec)
 		need.Waiting += waitingCPUs(d)
-		need.Rank = wire.Rank(d.Spec.Priority)
+		need.Rank = protocol.Rank(d.Spec.Priority)
 		need.Each = max(need.Each, d.Spec.CPUs)
 		need.Memory = max(need.Memory, d.Spec.Memory)
 	}
 }
 
 // waitingCPUs is how many CPUs a demand asks for, with those beyond its team's quota.
-func waitingCPUs(d *fleet.Demand) float64 { return float64(d.Count)*d.Spec.CPUs + d.Beyond }
+func waitingCPUs(d *autoscaler.Demand) float64 { return float64(d.Count)*d.Spec.CPUs + d.Beyond }
 
 // addHeld adds what the tasks on a machine hold.
 func (n *Node) addHeld(needs needsByKey, m *machine) {
 	for _, t := range m.view.Tasks {
-		if j := n.jobs[t.Job]; j != nil && t.State != wire.Exited {
+		if j := n.jobs[t.Job]; j != nil && t.State != protocol.Exited {
 			needs.of(j.spec).Held += j.spec.CPUs
 		}
 	}
 }
 
 // plannedMachine describes a machine for a plan, if the plan may count on it.
-func (n *Node) plannedMachine(m *fleet.Machine, known *machine, now time.Time) (planned admission.Machine, ok bool) {
+func (n *Node) plannedMachine(m *autoscaler.Machine, known *machine, now time.Time) (planned admission.Machine, ok bool) {
 	cpus, _, memory, ok := n.capacity(m.Type)
 	if !ok || m.SpotNotice || m.Faulty || n.drain[m.Name] || now.Sub(known.lastHeard()) > n.vainFor() {
 		return planned, false
@@ -299,7 +299,7 @@
 
 // setRates sets what keeps each need up: as it came of late. What waits counts little, or a
 // class that floods would have its floor raised by all that nobody could serve.
-func (n *Node) setRates(needs needsByKey, demands []fleet.Demand, now time.Time) {
+func (n *Node) setRates(needs needsByKey, demands []autoscaler.Demand, now time.Time) {
 	backlog, oldest := map[admission.Key]float64{}, map[*admission.Need]time.Duration{}
 	for i := range demands {
 		d := &demands[i]
@@ -307,7 +307,7 @@
 	}
 	for _, j := range n.jobs {
 		need, age := needs[keyOf(j.spec)], now.Sub(j.at)
-		if need != nil && j.spec.Kind != wire.Service && age < inflowOver {
+		if need != nil && j.spec.Kind != protocol.Service && age < inflowOver {
 			need.Rate += float64(j.spec.Tasks) * j.spec.CPUs * j.spec.Estimate
 			oldest[need] = max(oldest[need], age)
 		}
@@ -319,18 +319,18 @@
 }
 
 // book counts something for a job's team and class, if this controller owns the team.
-func (n *Node) book(s *wire.Submission, now time.Time, what func(*admission.Count)) {
+func (n *Node) book(s *protocol.Submission, now time.Time, what func(*admission.Count)) {
 	if n.items[teamItem(s.Team)] != nil {
 		n.admit.served.Book(keyOf(s), now, what)
 	}
 }
 
-func (n *Node) started(s *wire.Submission, now time.Time) {
+func (n *Node) started(s *protocol.Submission, now time.Time) {
 	n.book(s, now, func(c *admission.Count) { c.Started++ })
 }
 
 // ranOut counts a job that is done.
-func (n *Node) ranOut(s *wire.Submission, now time.Time) {
+func (n *Node) ranOut(s *protocol.Submission, now time.Time) {
 	j := n.jobs[s.UID]
 	n.book(s, now, func(c *admission.Count) {
 		if c.Done++; j != nil && !j.late && !n.missed(j, now) {
@@ -355,10 +355,10 @@
 	}
 	n.admit.looked = now
 	for name, it := range n.items {
-		if name == tenure.Fleet {
+		if name == leadership.Fleet {
 			continue
 		}
-		it.team.Jobs(func(tj *ledger.Job) {
+		it.team.Jobs(func(tj *jobstate.Job) {
 			if j := n.jobs[tj.Spec.UID]; j != nil && j.active && !j.late && n.missed(j, now) {
 				j.late = true
 				n.book(j.spec, now, func(c *admission.Count) { c.Late++ })
@@ -377,7 +377,7 @@
 }
 
 // Admit says whether a new job can be taken now by what the state service has room for.
-func (b *userBackend) Admit(s *wire.Submission) (taken bool, back int) {
+func (b *userBackend) Admit(s *protocol.Submission) (taken bool, back int) {
 	n := (*Node)(b)
 	wait, rate := n.state.Pressure()
 	now := time.Now()
--- a/barrierprobe.go
+++ b/barrierprobe.go
@@ -6,7 +6,7 @@
 	"time"
 
 	"topazhollow/internal/httpx"
-	"topazhollow/internal/wire"
+	"topazhollow/internal/protocol"
 )
 
 // After an end of all controllers the full barrier waits for every registered machine, and
@@ -45,10 +45,10 @@
 }
 
 // probeAwaited has the homes of all machines that a barrier waits for probe them.
-func (n *Node) probeAwaited(list map[string]wire.Host, awaited map[string]bool) {
+func (n *Node) probeAwaited(list map[string]protocol.Host, awaited map[string]bool) {
 	addrs := map[string]string{}
 	for name := range awaited {
-		if h, ok := list[name]; ok && h.State == wire.HostRunning && h.Addr != "" {
+		if h, ok := list[name]; ok && h.State == protocol.HostRunning && h.Addr != "" {
 			addrs[name] = h.Addr
 		}
 	}
@@ -103,9 +103,9 @@
 		if !n.probeNeeded(probes, name) {
 			return
 		}
-		body := wire.Encode(wire.Direct{Token: probes.term, Session: session, Commands: []wire.Command{}})
-		resp, _, err := link.Do(n.ctx, "POST", wire.PathDo, body, probeTimeout)
-		var report wire.Report
+		body := protocol.Encode(protocol.Direct{Token: probes.term, Session: session, Commands: []protocol.Command{}})
+		resp, _, err := link.Do(n.ctx, "POST", protocol.PathDo, body, probeTimeout)
+		var report protocol.Report
 		answered := err == nil && readProbeAnswer(resp, name, &report)
 		n.takeProbeAnswer(probes, name, &report, answered)
 		if !answered || resp.Status == 200 || report.Token > probes.term {
@@ -125,15 +125,15 @@
 }
 
 // readProbeAnswer reads the report that a machine of that name answered with.
-func readProbeAnswer(resp *httpx.Response, name string, report *wire.Report) bool {
+func readProbeAnswer(resp *httpx.Response, name string, report *protocol.Report) bool {
 	if resp.Status != 200 && resp.Status != 409 {
 		return false
 	}
-	return wire.Decode(resp.Body, report) == nil && wire.CheckReport(report) == nil && report.Machine == name
+	return protocol.Decode(resp.Body, report) == nil && protocol.CheckReport(report) == nil && report.Machine == name
 }
 
 // takeProbeAnswer takes in the report that a machine answered with, or that it did not answer.
-func (n *Node) takeProbeAnswer(probes barrierProbes, name string, report *wire.Report, answered bool) {
+func (n *Node) takeProbeAnswer(probes barrierProbes, name string, report *protocol.Report, answered bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if n.probed.term != probes.term || n.record.Term != probes.term {
--- a/barrierprobe_test.go
+++ b/barrierprobe_test.go
@@ -10,9 +10,9 @@
 
 	"golang.org/x/sync/errgroup"
 
-	"topazhollow/internal/rehearse"
+	"topazhollow/internal/protocol"
 	"topazhollow/internal/settings"
-	"topazhollow/internal/wire"
+	"topazhollow/internal/simulation"
 )
 
 // TestBarrierProbe: after an end of all controllers the barrier waited for each machine's
@@ -21,13 +21,13 @@
 // second one; one that does not answer must be told of. Nothing goes to machines of
 // other homes, nor without being entitled.
 func TestBarrierProbe(t *testing.T) {
-	check := rehearse.NewChecker(map[string]float64{"red": 8})
-	per := rehearse.Periods{Report: time.Hour, Lease: time.Hour, Run: func(string) time.Duration { return time.Hour }}
+	check := simulation.NewChecker(map[string]float64{"red": 8})
+	per := simulation.Periods{Report: time.Hour, Lease: time.Hour, Run: func(string) time.Duration { return time.Hour }}
 	addrs := map[string]string{}
-	workers := map[string]*rehearse.Worker{}
+	workers := map[string]*simulation.Worker{}
 	for i := range 12 {
 		name := fmt.Sprintf("n-%06d", i)
-		w, err := rehearse.NewWorker(name, "m8", "east", false, map[string]string{"a": "127.0.0.1:1"}, []string{"a"}, per, check)
+		w, err := simulation.NewWorker(name, "m8", "east", false, map[string]string{"a": "127.0.0.1:1"}, []string{"a"}, per, check)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -93,7 +93,7 @@
 	if len(seq) < 2 || len(check.Rules()) > 0 || check.Started > 0 {
 		t.Errorf("%d machines heard, rules %v, %d starts", len(seq), check.Rules(), check.Started)
 	}
-	n.hear(&wire.Report{Machine: "n-000099", Session: 1, Seq: 1, Token: 5, Tasks: []wire.TaskStatus{}}, time.Now())
+	n.hear(&protocol.Report{Machine: "n-000099", Session: 1, Seq: 1, Token: 5, Tasks: []protocol.TaskStatus{}}, time.Now())
 	if got := n.unanswered(); slices.Contains(got, "n-000099") {
 		t.Errorf("mute though it reported since: %v", got)
 	}
--- a/capacity_bench_test.go
+++ b/capacity_bench_test.go
@@ -6,14 +6,14 @@
 	"testing"
 	"time"
 
-	"topazhollow/internal/fleet"
-	"topazhollow/internal/ledger"
+	"topazhollow/internal/agents"
+	"topazhollow/internal/autoscaler"
+	"topazhollow/internal/jobstate"
+	"topazhollow/internal/leadership"
 	"topazhollow/internal/peer"
 	"topazhollow/internal/placement"
+	"topazhollow/internal/protocol"
 	"topazhollow/internal/provisioning"
-	"topazhollow/internal/tenure"
-	"topazhollow/internal/wire"
-	"topazhollow/internal/workers"
 )
 
 // The benchmarks of this file give the processor time of single roles at sizes that a whole run on one
@@ -40,9 +40,9 @@
 }
 
 // busyTasks lists so many running tasks of a team's job on a machine.
-func busyTasks(count int) (tasks []ledger.TaskView) {
+func busyTasks(count int) (tasks []jobstate.TaskView) {
 	for i := range count {
-		tasks = append(tasks, ledger.TaskView{Key: ledger.Key{Job: "job-000001", Index: i}, Attempt: 1 << 24, State: wire.Running})
+		tasks = append(tasks, jobstate.TaskView{Key: jobstate.Key{Job: "job-000001", Index: i}, Attempt: 1 << 24, State: protocol.Running})
 	}
 	return tasks
 }
@@ -51,22 +51,22 @@
 func BenchmarkCapacityReport(b *testing.B) {
 	for _, tasks := range []int{1, 4, 8, 16, 26} {
 		b.Run(fmt.Sprintf("tasks=%d", tasks), func(b *testing.B) {
-			h := workers.New(func(string) (float64, float64, float64, bool) { return 32, 0, 256, true },
+			h := agents.New(func(string) (float64, float64, float64, bool) { return 32, 0, 256, true },
 				func(string) (float64, float64, float64) { return 1, 0, 1 })
 			h.SetTerm(1, func(string) bool { return true })
-			r := wire.Report{Machine: "n-000001", Addr: "127.0.0.1:9000", Type: "m32", Zone: "east", Session: 1, Token: 1}
+			r := protocol.Report{Machine: "n-000001", Addr: "127.0.0.1:9000", Type: "m32", Zone: "east", Session: 1, Token: 1}
 			for i := range tasks {
-				r.Tasks = append(r.Tasks, wire.TaskStatus{Task: wire.TaskName("job-000001", i), Attempt: 1 << 24, State: wire.Running})
+				r.Tasks = append(r.Tasks, protocol.TaskStatus{Task: protocol.TaskName("job-000001", i), Attempt: 1 << 24, State: protocol.Running})
 			}
 			processorTime(b, func() {
 				r.Seq++
 				r.Tasks[0].Attempt++
-				var got wire.Report
-				if err := wire.Decode(wire.Encode(&r), &got); err != nil {
+				var got protocol.Report
+				if err := protocol.Decode(protocol.Encode(&r), &got); err != nil {
 					b.Fatal(err)
 				}
 				h.Heard(&got, time.Unix(0, 0))
-				peer.Line("views", []*ledger.View{h.View(r.Machine)})
+				peer.Line("views", []*jobstate.View{h.View(r.Machine)})
 			})
 		})
 	}
@@ -84,12 +84,12 @@
 			g := newGrown(c.machines, c.teams)
 			view := *g.views[g.names[0]]
 			view.Tasks = busyTasks(c.tasks)
-			body := wire.Encode([]*ledger.View{&view})
+			body := protocol.Encode([]*jobstate.View{&view})
 			g.n.mu.Lock()
 			defer g.n.mu.Unlock()
 			processorTime(b, func() {
-				var views []*ledger.View
-				if err := wire.Decode(body, &views); err != nil {
+				var views []*jobstate.View
+				if err := protocol.Decode(body, &views); err != nil {
 					b.Fatal(err)
 				}
 				view.Seq++
@@ -166,7 +166,7 @@
 			}
 			g.second(10)
 			account := provisioning.New(provisioning.Options{}, g.now)
-			f := fleet.New("b", fleet.Options{IdleReturn: 24 * time.Hour, SpotShare: 1, Silent: 30 * time.Second, Haste: 2})
+			f := autoscaler.New("b", autoscaler.Options{IdleReturn: 24 * time.Hour, SpotShare: 1, Silent: 30 * time.Second, Haste: 2})
 			g.n.mu.Lock()
 			defer g.n.mu.Unlock()
 			processorTime(b, func() {
@@ -180,30 +180,30 @@
 // it should change it (proposal), and with each new term it finds the home of every machine (homes).
 func BenchmarkCapacityRecord(b *testing.B) {
 	for _, c := range []struct{ controllers, teams int }{{3, 8}, {3, 100}, {3, 317}, {3, 950}, {9, 950}, {17, 950}, {46, 8}, {46, 950}} {
-		record := (&tenure.Record{Term: 1}).Clone()
-		live := map[string]tenure.Presence{}
+		record := (&leadership.Record{Term: 1}).Clone()
+		live := map[string]leadership.Presence{}
 		var items []string
 		for i := range c.controllers {
 			name := fmt.Sprintf("controller-%02d", i)
-			record.Nodes[name], live[name] = 1, tenure.Presence{Incarnation: 1, Version: 1}
+			record.Nodes[name], live[name] = 1, leadership.Presence{Incarnation: 1, Version: 1}
 		}
 		for i := range c.teams {
 			items = append(items, fmt.Sprintf("team/team-%03d", i))
 		}
-		for item, owner := range tenure.Placement(items, record.Members()) {
-			record.Items[item] = tenure.Item{Owner: owner, Since: 1, InSync: record.Members()}
+		for item, owner := range leadership.Placement(items, record.Members()) {
+			record.Items[item] = leadership.Item{Owner: owner, Since: 1, InSync: record.Members()}
 		}
 		name := fmt.Sprintf("controllers=%d/teams=%d", c.controllers, c.teams)
 		b.Run("proposal/"+name, func(b *testing.B) {
 			processorTime(b, func() {
-				tenure.Repair(record, items, live)
-				tenure.Upkeep(record, "controller-00", nil, true)
+				leadership.Repair(record, items, live)
+				leadership.Upkeep(record, "controller-00", nil, true)
 			})
-			b.ReportMetric(float64(len(wire.Encode(record))), "bytes")
+			b.ReportMetric(float64(len(protocol.Encode(record))), "bytes")
 		})
 	}
 	for _, controllers := range []int{3, 9, 17, 46} {
-		record := (&tenure.Record{Term: 1}).Clone()
+		record := (&leadership.Record{Term: 1}).Clone()
 		for i := range controllers {
 			record.Nodes[fmt.Sprintf("controller-%02d", i)] = 1
 		}
@@ -223,7 +223,7 @@
 	for _, homed := range []int{326, 1000, 2500, 5000} {
 		g := newGrown(homed, 3)
 		for _, name := range g.names {
-			g.n.home.Heard(&wire.Report{Machine: name, Addr: "127.0.0.1:9000", Type: "m32", Zone: "east", Session: 1, Seq: 1, Token: 1}, g.now)
+			g.n.home.Heard(&protocol.Report{Machine: name, Addr: "127.0.0.1:9000", Type: "m32", Zone: "east", Session: 1, Seq: 1, Token: 1}, g.now)
 		}
 		g.n.mu.Lock()
 		s := g.n.status(g.now)
@@ -234,7 +234,7 @@
 			})
 			b.ReportMetric(float64(len(line)), "bytes")
 		})
-		body := wire.Encode(s)
+		body := protocol.Encode(s)
 		p := g.n.peers["node-b"]
 		if p == nil {
 			p = &peerState{}
@@ -242,7 +242,7 @@
 		b.Run(fmt.Sprintf("take/homed=%d", homed), func(b *testing.B) {
 			processorTime(b, func() {
 				var got statusMsg
-				if err := wire.Decode(body, &got); err != nil {
+				if err := protocol.Decode(body, &got); err != nil {
 					b.Fatal(err)
 				}
 				g.n.onStatus(p, &got, g.now)
@@ -256,7 +256,7 @@
 // taken in.
 func BenchmarkCapacityRecordLine(b *testing.B) {
 	for _, c := range []struct{ controllers, teams int }{{3, 8}, {3, 950}, {46, 950}} {
-		record := (&tenure.Record{Term: 1}).Clone()
+		record := (&leadership.Record{Term: 1}).Clone()
 		var items []string
 		for i := range c.controllers {
 			record.Nodes[fmt.Sprintf("controller-%02d", i)] = 1
@@ -264,19 +264,19 @@
 		for i := range c.teams {
 			items = append(items, fmt.Sprintf("team/team-%03d", i))
 		}
-		for item, owner := range tenure.Placement(items, record.Members()) {
-			record.Items[item] = tenure.Item{Owner: owner, Since: 1, InSync: record.BackupsOf(item, owner, func(string) bool { return true })}
+		for item, owner := range leadership.Placement(items, record.Members()) {
+			record.Items[item] = leadership.Item{Owner: owner, Since: 1, InSync: record.BackupsOf(item, owner, func(string) bool { return true })}
 		}
-		line := wire.Encode(recordMsg{1, wire.Encode(record)})
+		line := protocol.Encode(recordMsg{1, protocol.Encode(record)})
 		name := fmt.Sprintf("controllers=%d/teams=%d", c.controllers, c.teams)
 		b.Run("made/"+name, func(b *testing.B) {
-			processorTime(b, func() { wire.Encode(recordMsg{1, wire.Encode(record)}) })
+			processorTime(b, func() { protocol.Encode(recordMsg{1, protocol.Encode(record)}) })
 			b.ReportMetric(float64(len(line)), "bytes")
 		})
 		b.Run("taken/"+name, func(b *testing.B) {
 			processorTime(b, func() {
 				var m recordMsg
-				if err := wire.Decode(line, &m); err != nil {
+				if err := protocol.Decode(line, &m); err != nil {
 					b.Fatal(err)
 				}
 			})
--- a/catalog.go
+++ b/catalog.go
@@ -5,7 +5,7 @@
 	"maps"
 	"time"
 
-	"topazhollow/internal/tenure"
+	"topazhollow/internal/leadership"
 )
 
 // How long the machine types of the last read are used: by the fleet's owner, which needs
@@ -30,7 +30,7 @@
 			n.log.Info("catalog not read", "err", err)
 			wait = catalogRetry
 		}
-		if n.items[tenure.Fleet] != nil {
+		if n.items[leadership.Fleet] != nil {
 			wait = min(wait, ownerCatalogLife)
 		}
 		n.mu.Unlock()
--- a/cmd/topaz/main.go
+++ b/cmd/topaz/main.go
@@ -7,12 +7,12 @@
 	"os/signal"
 	"syscall"
 
-	"topazhollow/internal/topaz"
+	"topazhollow/internal/cli"
 )
 
 func main() {
 	ctx, cancel := signal.NotifyContext(context.Background(), syscall.SIGINT, syscall.SIGTERM)
-	code := topaz.Main(ctx, os.Args[1:], os.Stdout, os.Stderr)
+	code := cli.Main(ctx, os.Args[1:], os.Stdout, os.Stderr)
 	cancel()
 	os.Exit(code)
 }
--- a/config_bench_test.go
+++ b/config_bench_test.go
@@ -16,12 +16,12 @@
 	"testing"
 	"time"
 
-	"topazhollow/internal/rehearse"
+	"topazhollow/internal/kvstore"
+	"topazhollow/internal/protocol"
 	"topazhollow/internal/settings"
-	"topazhollow/internal/state"
+	"topazhollow/internal/simulation"
 	"topazhollow/internal/teamconfig"
 	"topazhollow/internal/teamstore"
-	"topazhollow/internal/wire"
 )
 
 // counted is a way to the state service that counts what passes.
@@ -68,16 +68,16 @@
 
 func newBench(b *testing.B, controllers, teams int) *bench {
 	x := &bench{b: b}
-	store, err := rehearse.NewState(64, 1<<10)
+	store, err := simulation.NewState(64, 1<<10)
 	if err != nil {
 		b.Fatal(err)
 	}
-	cloud, err := rehearse.NewCloud([]wire.MachineType{{Name: "m8", CPUs: 8, Memory: 64, Price: 2, SpotPrice: 1, Boot: 1, Zones: []string{"east"}}}, 0,
-		func(string, string, string, bool) (*rehearse.Worker, error) { return nil, io.EOF })
+	cloud, err := simulation.NewCloud([]protocol.MachineType{{Name: "m8", CPUs: 8, Memory: 64, Price: 2, SpotPrice: 1, Boot: 1, Zones: []string{"east"}}}, 0,
+		func(string, string, string, bool) (*simulation.Worker, error) { return nil, io.EOF })
 	if err != nil {
 		b.Fatal(err)
 	}
-	host, listen, peers := rehearse.NewHost(), make([]string, controllers), make([]string, controllers)
+	host, listen, peers := simulation.NewHost(), make([]string, controllers), make([]string, controllers)
 	for i := range controllers {
 		for _, m := range [][]string{listen, peers} {
 			if m[i], err = host.Listen(); err != nil {
@@ -106,7 +106,7 @@
 		o.ConfigBound = 6
 		group.Go(func() { _ = Run(ctx, s, o, slog.New(slog.DiscardHandler)) })
 	}
-	client := state.New(store.Addr(), limits, 1)
+	client := kvstore.New(store.Addr(), limits, 1)
 	group.Go(func() { _ = client.Run(ctx) })
 	x.operator = teamstore.New(client, d.Teams)
 	b.Cleanup(func() {
--- a/config_follow.go
+++ b/config_follow.go
@@ -6,13 +6,13 @@
 	"strings"
 	"time"
 
-	"topazhollow/internal/frontend"
+	"topazhollow/internal/kvstore"
+	"topazhollow/internal/leadership"
+	"topazhollow/internal/protocol"
 	"topazhollow/internal/settings"
-	"topazhollow/internal/state"
 	"topazhollow/internal/teamconfig"
 	"topazhollow/internal/teamstore"
-	"topazhollow/internal/tenure"
-	"topazhollow/internal/wire"
+	"topazhollow/internal/userapi"
 )
 
 // What connects internal/teamconfig, which decides, to the controller: docs/configuration.md tells what it promises.
@@ -48,7 +48,7 @@
 
 // itemNames lists all items: the teams and the fleet.
 func (n *Node) itemNames() []string {
-	names := []string{tenure.Fleet}
+	names := []string{leadership.Fleet}
 	listed := map[string]bool{}
 	for _, t := range n.teams() {
 		names = append(names, teamItem(t.Name))
@@ -56,7 +56,7 @@
 	}
 	if n.config != nil && n.record != nil { // a team that another controller knew of first
 		for name := range n.record.Items {
-			if name != tenure.Fleet && !listed[name] {
+			if name != leadership.Fleet && !listed[name] {
 				names = append(names, name)
 			}
 		}
@@ -65,7 +65,7 @@
 }
 
 // learnConfig takes in a change of a team's key.
-func (n *Node) learnConfig(e wire.Change) {
+func (n *Node) learnConfig(e protocol.Change) {
 	if n.config == nil {
 		return
 	}
@@ -299,7 +299,7 @@
 
 // writeBackConfig has the fleet's owner give the state service the entries that it lost.
 func (n *Node) writeBackConfig() {
-	if n.config == nil || n.items[tenure.Fleet] == nil {
+	if n.config == nil || n.items[leadership.Fleet] == nil {
 		return
 	}
 	for _, x := range n.config.teams.Unwritten() {
@@ -315,9 +315,9 @@
 }
 
 func (n *Node) writeConfig(x teamconfig.Change) {
-	key, value := teamstore.Prefix+x.Team, wire.Encode(x.Entry)
-	version, err := n.state.Commit(n.ctx, state.Update{Guards: []wire.Guard{{Key: key, Version: x.Version}}, Ops: []wire.Op{{Set: key, Value: value}}})
-	if err != nil && !errors.Is(err, state.ErrConflict) { // on a conflict the watch tells what is there
+	key, value := teamstore.Prefix+x.Team, protocol.Encode(x.Entry)
+	version, err := n.state.Commit(n.ctx, kvstore.Update{Guards: []protocol.Guard{{Key: key, Version: x.Version}}, Ops: []protocol.Op{{Set: key, Value: value}}})
+	if err != nil && !errors.Is(err, kvstore.ErrConflict) { // on a conflict the watch tells what is there
 		pause(n.ctx, 200*time.Millisecond)
 	}
 	n.mu.Lock()
@@ -325,7 +325,7 @@
 	delete(n.config.writing, x.Team)
 	if err == nil {
 		n.log.Info("team's configuration written back", "team", x.Team, "number", x.Entry.Number, "version", version)
-		n.learnConfig(wire.Change{Set: key, Value: value, Version: version})
+		n.learnConfig(protocol.Change{Set: key, Value: value, Version: version})
 	}
 }
 
@@ -340,16 +340,16 @@
 }
 
 // Rests names what an acceptance for a team rests on: its configuration as known here.
-func (b *configTenants) Rests(name string) []wire.Guard {
+func (b *configTenants) Rests(name string) []protocol.Guard {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if !teamconfig.ValidTeam(name) {
 		return nil
 	}
-	return []wire.Guard{{Key: teamstore.Prefix + name, Version: b.config.teams.Version(name)}}
+	return []protocol.Guard{{Key: teamstore.Prefix + name, Version: b.config.teams.Version(name)}}
 }
 
-var _ frontend.Tenants = (*configTenants)(nil)
+var _ userapi.Tenants = (*configTenants)(nil)
 
 // configOverview is what operators see of the configuration.
 type configOverview struct {
--- a/config_test.go
+++ b/config_test.go
@@ -7,11 +7,11 @@
 	"testing"
 	"time"
 
+	"topazhollow/internal/kvstore"
+	"topazhollow/internal/protocol"
 	"topazhollow/internal/settings"
-	"topazhollow/internal/state"
 	"topazhollow/internal/teamconfig"
 	"topazhollow/internal/teamstore"
-	"topazhollow/internal/wire"
 )
 
 // configured is a region whose teams' configuration changes, and an operator who changes it.
@@ -32,7 +32,7 @@
 func (c *configured) writer() *teamstore.Writer {
 	ctx, cancel := context.WithCancel(context.Background())
 	c.t.Cleanup(cancel)
-	client := state.New(c.state.Addr(), c.sets[0].Deployment.State, 4)
+	client := kvstore.New(c.state.Addr(), c.sets[0].Deployment.State, 4)
 	go client.Run(ctx)
 	w := teamstore.New(client, c.sets[0].Deployment.Teams)
 	c.until("the operator's command knows the store", func() bool { return w.Open(ctx, controlKey) == nil })
@@ -69,7 +69,7 @@
 // in force is never exceeded, and a raised quota is used.
 func TestQuotaChangesUnderLoad(t *testing.T) {
 	c := newConfigured(t, 500*time.Millisecond)
-	jobs := []*wire.Submission{array(700, 60, "red"), array(701, 60, "red")}
+	jobs := []*protocol.Submission{array(700, 60, "red"), array(701, 60, "red")}
 	for _, j := range jobs {
 		c.submit(j)
 	}
@@ -84,7 +84,7 @@
 		c.check.SetLimit("red", cpus) // from here on no start goes beyond it
 		most = cpus
 		if i%2 == 1 {
-			c.until("the raised quota is used", func() bool { return c.check.UsedBy("red") > cpus/2 || c.poll(jobs[1].UID) == wire.Done })
+			c.until("the raised quota is used", func() bool { return c.check.UsedBy("red") > cpus/2 || c.poll(jobs[1].UID) == protocol.Done })
 		}
 	}
 	c.allDone(jobs)
@@ -97,13 +97,13 @@
 	c.check.SetLimit("green", 6)
 	first := array(710, 8, "green")
 	for i := range c.sets {
-		c.until("an unknown team is refused", func() bool { status, _ := c.askAt(i, "POST", wire.PathSubmit, first); return status == 422 })
+		c.until("an unknown team is refused", func() bool { status, _ := c.askAt(i, "POST", protocol.PathSubmit, first); return status == 422 })
 	}
 	number := c.set("green", func(e *teamconfig.Entry) { e.CPUs, e.CPUsMax = 4, 6 })
 	for i := range c.sets { // at once: who does not know it yet reads before it refuses
 		job := array(712+i, 1, "green")
 		c.check.Submitting(job)
-		status, st := c.askAt(i, "POST", wire.PathSubmit, job)
+		status, st := c.askAt(i, "POST", protocol.PathSubmit, job)
 		c.check.Told(job.UID, status, st.State, false)
 		if status == 422 {
 			t.Errorf("controller %d refuses a team that was there when it was asked", i)
@@ -116,23 +116,23 @@
 	late := array(719, 1, "green")
 	c.check.Submitting(late)
 	for i := range c.sets {
-		if status, _ := c.askAt(i, "POST", wire.PathSubmit, late); status == 200 || status == 201 {
+		if status, _ := c.askAt(i, "POST", protocol.PathSubmit, late); status == 200 || status == 201 {
 			t.Errorf("controller %d takes a job of a removed team", i)
 		}
 	}
 	c.inForce("green", number)
 	for i := range c.sets {
-		if status, _ := c.askAt(i, "POST", wire.PathSubmit, late); status != 422 {
+		if status, _ := c.askAt(i, "POST", protocol.PathSubmit, late); status != 422 {
 			t.Errorf("controller %d answers a job of a removed team by %d", i, status)
 		}
-		if status, _ := c.askAt(i, "POST", wire.PathSubmit, first); status != 200 {
+		if status, _ := c.askAt(i, "POST", protocol.PathSubmit, first); status != 200 {
 			t.Errorf("controller %d answers a repeated submission by %d", i, status)
 		}
 	}
-	c.allDone([]*wire.Submission{first})
+	c.allDone([]*protocol.Submission{first})
 	c.inForce("green", c.set("green", func(e *teamconfig.Entry) { e.Removed = false }))
 	c.submit(late)
-	c.allDone([]*wire.Submission{late})
+	c.allDone([]*protocol.Submission{late})
 }
 
 // linked waits until all controllers hear each other. One that dials another in the moment in which that one ends in this process may
@@ -202,9 +202,9 @@
 				return len(all) == 3 && len(all[1].Members) == 3 && all[1].Config != nil && slices.Contains(all[1].Config.Strangers, c.sets[0].Name)
 			})
 			large := array(739, 8, "red")
-			large.Kind = wire.Gang
+			large.Kind = protocol.Gang
 			c.until("a job that needs more than the changed limit is refused", func() bool {
-				status, _ := c.askAt(0, "POST", wire.PathSubmit, large)
+				status, _ := c.askAt(0, "POST", protocol.PathSubmit, large)
 				return status == 422
 			})
 			return number
@@ -255,7 +255,7 @@
 			number = c.set("red", limit(24))
 			c.check.SetLimit("red", 24)
 			c.inForce("red", number)
-			c.allDone([]*wire.Submission{job, more})
+			c.allDone([]*protocol.Submission{job, more})
 		})
 	}
 }
@@ -270,7 +270,7 @@
 	}
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
-	client := state.New(door.Addr(), c.sets[0].Deployment.State, 4)
+	client := kvstore.New(door.Addr(), c.sets[0].Deployment.State, 4)
 	go client.Run(ctx)
 	held := teamstore.New(client, nil)
 	c.until("it knows the store", func() bool { return held.Open(ctx, controlKey) == nil })
@@ -298,7 +298,7 @@
 	for _, txn := range c.state.Carried() {
 		for _, o := range txn.Then {
 			if len(o.Set) > len(teamstore.Prefix) && o.Set[:len(teamstore.Prefix)] == teamstore.Prefix && c.state.Again(txn) {
-				t.Errorf("carried out again: %s", wire.Encode(txn))
+				t.Errorf("carried out again: %s", protocol.Encode(txn))
 			}
 		}
 	}
@@ -318,7 +318,7 @@
 	n := newGrown(2, 1).n
 	now := time.Now()
 	n.listed = true
-	n.changed(wire.Change{Set: teamstore.Prefix + "team-0", Value: []byte(`{"number":1,"change":"x","cpus_max":1}`), Version: 9})
+	n.changed(protocol.Change{Set: teamstore.Prefix + "team-0", Value: []byte(`{"number":1,"change":"x","cpus_max":1}`), Version: 9})
 	n.configure(now)
 	if s := n.status(now); n.config != nil || s.Config != nil || n.configMemory() != nil {
 		t.Error("the configuration is followed")
--- a/control.go
+++ b/control.go
@@ -9,19 +9,19 @@
 	"strings"
 	"time"
 
-	"topazhollow/internal/frontend"
-	"topazhollow/internal/rebuild"
-	"topazhollow/internal/state"
+	"topazhollow/internal/datarecovery"
+	"topazhollow/internal/kvstore"
+	"topazhollow/internal/leadership"
+	"topazhollow/internal/protocol"
 	"topazhollow/internal/teamstore"
-	"topazhollow/internal/tenure"
-	"topazhollow/internal/wire"
+	"topazhollow/internal/userapi"
 )
 
 // Keys of the state service beside those of the frontend.
 const (
-	controlKey = frontend.Watched + "c"
-	nodeKey    = frontend.Watched + "n/"
-	machineKey = frontend.Watched + "m/"
+	controlKey = userapi.Watched + "c"
+	nodeKey    = userapi.Watched + "n/"
+	machineKey = userapi.Watched + "m/"
 )
 
 // present is a controller's key, held by its lease.
@@ -62,7 +62,7 @@
 		case err == nil:
 			n.lease.Renewed(sent)
 			n.renewed = sent
-		case errors.Is(err, state.ErrNoLease):
+		case errors.Is(err, kvstore.ErrNoLease):
 			n.log.Info("lease ended at the state service", "lease", grant)
 			if sent.Sub(n.renewed) < n.lease.Life*9/10 && n.lease.Valid(sent) {
 				n.doubt("a lease is gone that cannot have ended")
@@ -94,13 +94,13 @@
 	if err != nil {
 		return err
 	}
-	guard := wire.Guard{Key: nodeKey + n.name}
+	guard := protocol.Guard{Key: nodeKey + n.name}
 	if e != nil {
 		guard.Version = e.Version
 	}
-	_, _, err = n.state.TxnControl(ctx, wire.Txn{
-		Guards: []wire.Guard{guard},
-		Then:   []wire.Op{{Set: nodeKey + n.name, Value: wire.Encode(present{n.inc}), Lease: grant}},
+	_, _, err = n.state.TxnControl(ctx, protocol.Txn{
+		Guards: []protocol.Guard{guard},
+		Then:   []protocol.Op{{Set: nodeKey + n.name, Value: protocol.Encode(present{n.inc}), Lease: grant}},
 	})
 	return err
 }
@@ -112,9 +112,9 @@
 		var err error
 		began := time.Now()
 		if !listed {
-			var entries []wire.Entry
+			var entries []protocol.Entry
 			var revision uint64
-			if entries, revision, err = n.state.List(ctx, frontend.Watched); err == nil {
+			if entries, revision, err = n.state.List(ctx, userapi.Watched); err == nil {
 				n.mu.Lock()
 				if listed = n.takeList(entries, revision); listed {
 					n.knows(began)
@@ -130,8 +130,8 @@
 			watch, cancel := context.WithCancel(ctx)
 			n.store.rewatch = cancel // what is watched ends with the generation
 			n.mu.Unlock()
-			var ch *wire.Changes
-			ch, err = n.state.Watch(watch, frontend.Watched, after)
+			var ch *protocol.Changes
+			ch, err = n.state.Watch(watch, userapi.Watched, after)
 			cancel()
 			if err == nil {
 				n.mu.Lock()
@@ -140,7 +140,7 @@
 				n.wake()
 			}
 		}
-		if errors.Is(err, state.ErrGone) {
+		if errors.Is(err, kvstore.ErrGone) {
 			listed = false
 		} else if err != nil {
 			n.log.Debug("watch failed", "err", err)
@@ -151,11 +151,11 @@
 }
 
 // reset takes in a full list of the watched keys.
-func (n *Node) reset(entries []wire.Entry, revision uint64) {
+func (n *Node) reset(entries []protocol.Entry, revision uint64) {
 	seen := map[string]bool{}
 	for _, e := range entries {
 		seen[e.Key] = true
-		n.changed(wire.Change{Set: e.Key, Value: e.Value, Version: e.Version})
+		n.changed(protocol.Change{Set: e.Key, Value: e.Value, Version: e.Version})
 	}
 	for name := range n.live {
 		if !seen[nodeKey+name] {
@@ -164,7 +164,7 @@
 	}
 	for uid, j := range n.jobs {
 		// One that was accepted after the list began may not be in it.
-		if j.active && j.version > 0 && j.version <= revision && !seen[frontend.JobKey+uid] {
+		if j.active && j.version > 0 && j.version <= revision && !seen[userapi.JobKey+uid] {
 			n.endJob(uid)
 			n.confirmEnd(uid, j)
 		}
@@ -180,23 +180,23 @@
 }
 
 // changed takes in one change of a watched key.
-func (n *Node) changed(e wire.Change) {
+func (n *Node) changed(e protocol.Change) {
 	key := e.Set + e.Delete
 	bad := func(err error) { n.log.Error("unreadable key in the state service", "key", key, "err", err) }
 	switch {
 	case key == controlKey:
-		var r tenure.Record
+		var r leadership.Record
 		if err := json.Unmarshal(e.Value, &r); err != nil {
 			bad(err)
 			return
 		}
 		n.learnRecord(&r, e.Version)
-	case strings.HasPrefix(key, rebuild.StoreKey):
+	case strings.HasPrefix(key, datarecovery.StoreKey):
 		delete(n.store.markers, key)
 		if e.Delete == "" {
 			n.store.markers[key] = e.Version
 			n.refence()
-		} else if n.record != nil && key == rebuild.StoreKey+n.record.Store {
+		} else if n.record != nil && key == datarecovery.StoreKey+n.record.Store {
 			n.doubt("the generation's key was deleted")
 		}
 	case strings.HasPrefix(key, nodeKey):
@@ -213,21 +213,21 @@
 			return
 		}
 		if n.live[name].Version < e.Version {
-			n.live[name] = tenure.Presence{Incarnation: p.Incarnation, Version: e.Version}
+			n.live[name] = leadership.Presence{Incarnation: p.Incarnation, Version: e.Version}
 		}
-	case strings.HasPrefix(key, frontend.JobKey):
+	case strings.HasPrefix(key, userapi.JobKey):
 		if e.Delete != "" {
-			delete(n.store.bury, key[len(frontend.JobKey):])
-			n.endJob(key[len(frontend.JobKey):])
+			delete(n.store.bury, key[len(userapi.JobKey):])
+			n.endJob(key[len(userapi.JobKey):])
 			return
 		}
-		var s frontend.Stored
+		var s userapi.Stored
 		if err := json.Unmarshal(e.Value, &s); err != nil || s.Spec == nil {
 			bad(err)
 			return
 		}
 		n.learnJob(s, e.Version)
-	case strings.HasPrefix(key, rebuild.EndsKey), strings.HasPrefix(key, rebuild.DoneKey):
+	case strings.HasPrefix(key, datarecovery.EndsKey), strings.HasPrefix(key, datarecovery.DoneKey):
 		if e.Delete == "" {
 			if err := n.learnPage(key, e.Value); err != nil {
 				bad(err)
@@ -241,7 +241,7 @@
 }
 
 // learnRecord takes in a control record as the state service has it under a version.
-func (n *Node) learnRecord(r *tenure.Record, version uint64) {
+func (n *Node) learnRecord(r *leadership.Record, version uint64) {
 	if n.record != nil && r.Generation > n.record.Generation {
 		n.store.watch.Newer(r.Generation) // all is read anew before anything rests on it
 		return
@@ -267,7 +267,7 @@
 }
 
 // adopt takes up a control record.
-func (n *Node) adopt(r *tenure.Record, version uint64) {
+func (n *Node) adopt(r *leadership.Record, version uint64) {
 	if version <= n.version {
 		return
 	}
@@ -343,7 +343,7 @@
 	}
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.changed(wire.Change{Set: e.Key, Value: e.Value, Version: e.Version})
+	n.changed(protocol.Change{Set: e.Key, Value: e.Value, Version: e.Version})
 	return nil
 }
 
--- a/demand_test.go
+++ b/demand_test.go
@@ -4,8 +4,8 @@
 	"testing"
 	"time"
 
-	"topazhollow/internal/frontend"
-	"topazhollow/internal/wire"
+	"topazhollow/internal/protocol"
+	"topazhollow/internal/userapi"
 )
 
 // TestMissingTasksAreAskedForWhereTheOthersAre: what is missing of an array whose tasks share a zone is asked of the
@@ -16,16 +16,16 @@
 		oneZone bool
 		bound   bool
 	}{
-		"array that shares a zone": {wire.Batch, true, true},
-		"service that does":        {wire.Service, true, true},
-		"array anywhere":           {wire.Batch, false, false},
+		"array that shares a zone": {protocol.Batch, true, true},
+		"service that does":        {protocol.Service, true, true},
+		"array anywhere":           {protocol.Batch, false, false},
 	} {
 		g := newGrown(2, 1) // of 32 CPUs, in a zone each
 		n := g.n
-		spec := &wire.Submission{UID: "job-000001", Team: "team-0", Kind: c.kind, Priority: "high", Tasks: 20, CPUs: 4, Memory: 1, Image: "img", Estimate: 10,
+		spec := &protocol.Submission{UID: "job-000001", Team: "team-0", Kind: c.kind, Priority: "high", Tasks: 20, CPUs: 4, Memory: 1, Image: "img", Estimate: 10,
 			Spot: true, OneZone: c.oneZone}
 		n.mu.Lock()
-		n.learnJob(frontend.Stored{At: g.now.UnixMilli(), Spec: spec}, 1)
+		n.learnJob(userapi.Stored{At: g.now.UnixMilli(), Spec: spec}, 1)
 		n.place(g.now.Add(100 * time.Millisecond))
 		team, demands := n.items[teamItem("team-0")].team, n.demands(g.now)
 		n.mu.Unlock()
--- a/figures.sh
+++ b/figures.sh
@@ -10,10 +10,10 @@
 echo "log, beside a plain file with an fsync each"
 bench ./internal/wal 'Append' 200000x | ratio 'fsync_each'
 echo "keepers, beside the same"
-bench ./internal/keepers 'Append' 20000x | ratio 'fsync=true'
+bench ./internal/artifactreplication 'Append' 20000x | ratio 'fsync=true'
 echo "reading a file, beside a plain copy with sha256"
-bench ./internal/keepers 'Fetch' 3x | ratio 'plain_copy'
+bench ./internal/artifactreplication 'Fetch' 3x | ratio 'plain_copy'
 echo "start with and without an index, by number of blobs"
 bench ./internal/blob 'Open$' 1x
 echo "refilling a lost keeper; memory of open streams"
-bench ./internal/keepers 'Refill|OpenStreams' 1x
+bench ./internal/artifactreplication 'Refill|OpenStreams' 1x
--- a/fleetview.go
+++ b/fleetview.go
@@ -6,10 +6,10 @@
 	"slices"
 	"time"
 
-	"topazhollow/internal/fleet"
-	"topazhollow/internal/ledger"
+	"topazhollow/internal/autoscaler"
+	"topazhollow/internal/jobstate"
+	"topazhollow/internal/protocol"
 	"topazhollow/internal/provisioning"
-	"topazhollow/internal/wire"
 )
 
 // What the fleet's owner knows, as inputs of its decisions.
@@ -23,7 +23,7 @@
 
 // fleetMachines describes every machine that is listed, registered, reporting or rented
 // lately.
-func (n *Node) fleetMachines(account *provisioning.Account, now time.Time) []fleet.Machine {
+func (n *Node) fleetMachines(account *provisioning.Account, now time.Time) []autoscaler.Machine {
 	n.recountMoved()
 	known := func(yield func(string) bool) {
 		for name, m := range n.machines {
@@ -49,7 +49,7 @@
 
 // observeMachine is what the controllers know of a machine.
 func (n *Node) observeMachine(m *machine, name string, now time.Time) provisioning.Observation {
-	observed := provisioning.Observation{Reported: m.view != nil, Machine: fleet.Machine{
+	observed := provisioning.Observation{Reported: m.view != nil, Machine: autoscaler.Machine{
 		Name:       name,
 		Heard:      m.lastHeard(),
 		Idle:       m.idle,
@@ -66,7 +66,7 @@
 		x.CPUs, x.GPUs, x.Mem = m.host.CPUs, m.host.GPUs, m.host.Memory
 	}
 	for _, task := range m.view.Tasks {
-		if j := n.jobs[task.Job]; j != nil && task.State != wire.Exited {
+		if j := n.jobs[task.Job]; j != nil && task.State != protocol.Exited {
 			x.Slots = append(x.Slots, slotOf(m, j.spec, task.Ref(), now))
 		}
 	}
@@ -74,14 +74,14 @@
 }
 
 // slotOf is the room that a task on a machine takes, and for how long it probably does.
-func slotOf(m *machine, spec *wire.Submission, ref ledger.Ref, now time.Time) fleet.Slot {
+func slotOf(m *machine, spec *protocol.Submission, ref jobstate.Ref, now time.Time) autoscaler.Slot {
 	left := max(spec.Estimate, 1)
-	if spec.Kind == wire.Service {
-		left = fleet.EndlessRun
+	if spec.Kind == protocol.Service {
+		left = autoscaler.EndlessRun
 	} else if since, running := m.running[ref]; running {
 		left = max(left-now.Sub(since).Seconds(), left/8)
 	}
-	return fleet.Slot{CPUs: spec.CPUs, GPUs: spec.GPUs, Mem: spec.Memory, Left: left, Pinned: !spec.Spot}
+	return autoscaler.Slot{CPUs: spec.CPUs, GPUs: spec.GPUs, Mem: spec.Memory, Left: left, Pinned: !spec.Spot}
 }
 
 // lastHeard is when any controller last heard a machine, as far as known here. One that
@@ -124,15 +124,15 @@
 }
 
 // fleetDemands lists the room that waiting tasks of all teams ask for, most urgent first.
-func (n *Node) fleetDemands(now time.Time) []fleet.Demand {
+func (n *Node) fleetDemands(now time.Time) []autoscaler.Demand {
 	list := n.appendFleetDemands(nil, n.demands(now), now)
 	for _, name := range slices.Sorted(maps.Keys(n.peers)) {
 		if p := n.peers[name]; now.Sub(p.heard) < peerWordLife && p.entitled {
 			list = n.appendFleetDemands(list, p.demands, now)
 		}
 	}
-	slices.SortStableFunc(list, func(a, b fleet.Demand) int {
-		if d := wire.Rank(b.Spec.Priority) - wire.Rank(a.Spec.Priority); d != 0 {
+	slices.SortStableFunc(list, func(a, b autoscaler.Demand) int {
+		if d := protocol.Rank(b.Spec.Priority) - protocol.Rank(a.Spec.Priority); d != 0 {
 			return d
 		}
 		return a.Due.Compare(b.Due)
@@ -141,19 +141,19 @@
 }
 
 // appendFleetDemands adds one controller's demands of active jobs.
-func (n *Node) appendFleetDemands(list []fleet.Demand, demands []demand, now time.Time) []fleet.Demand {
+func (n *Node) appendFleetDemands(list []autoscaler.Demand, demands []demand, now time.Time) []autoscaler.Demand {
 	for _, d := range demands {
 		j := n.jobs[d.Job]
 		if j == nil || !j.active {
 			continue
 		}
 		behind := time.Duration(d.Behind) * time.Millisecond
-		list = append(list, fleet.Demand{
+		list = append(list, autoscaler.Demand{
 			Spec:       specIn(j.spec, d.Zone),
 			Count:      d.Count,
 			Beyond:     d.Beyond,
 			Due:        n.due(j, now).Add(-behind),
-			PreferSpot: wire.Rank(j.spec.Priority) == 0 && len(n.goals(j)) == 0,
+			PreferSpot: protocol.Rank(j.spec.Priority) == 0 && len(n.goals(j)) == 0,
 		})
 	}
 	return list
@@ -163,11 +163,11 @@
 const inflowOver = time.Minute
 
 // inflow is how many CPUs the jobs that came of late keep busy.
-func (n *Node) inflow(now time.Time) fleet.Inflow {
-	in := fleet.Inflow{}
+func (n *Node) inflow(now time.Time) autoscaler.Inflow {
+	in := autoscaler.Inflow{}
 	for _, j := range n.jobs {
-		if j.spec.Kind != wire.Service && !j.at.IsZero() && now.Sub(j.at) < inflowOver {
-			in[wire.Rank(j.spec.Priority)] += float64(j.spec.Tasks) * j.spec.CPUs * j.spec.Estimate / inflowOver.Seconds()
+		if j.spec.Kind != protocol.Service && !j.at.IsZero() && now.Sub(j.at) < inflowOver {
+			in[protocol.Rank(j.spec.Priority)] += float64(j.spec.Tasks) * j.spec.CPUs * j.spec.Estimate / inflowOver.Seconds()
 		}
 	}
 	return in
@@ -196,7 +196,7 @@
 
 // logFleet logs what the fleet looks like, so that an incident can be followed from the log
 // alone.
-func (n *Node) logFleet(p *provisioner, machines []fleet.Machine, demands []fleet.Demand, retired int, now time.Time) {
+func (n *Node) logFleet(p *provisioner, machines []autoscaler.Machine, demands []autoscaler.Demand, retired int, now time.Time) {
 	if now.Sub(p.logged) < fleetLogEvery {
 		return
 	}
@@ -208,7 +208,7 @@
 }
 
 // summarise sums up machines and waiting tasks.
-func (n *Node) summarise(machines []fleet.Machine, demands []fleet.Demand, now time.Time) (s fleetSummary) {
+func (n *Node) summarise(machines []autoscaler.Machine, demands []autoscaler.Demand, now time.Time) (s fleetSummary) {
 	for i := range machines {
 		m := n.machines[machines[i].Name]
 		if m.view == nil {
@@ -226,9 +226,9 @@
 		s.allCPUs += cpus
 		for _, task := range m.view.Tasks {
 			switch task.State {
-			case wire.Pulling:
+			case protocol.Pulling:
 				s.pulling++
-			case wire.Running:
+			case protocol.Running:
 				s.running++
 			}
 		}
@@ -240,7 +240,7 @@
 }
 
 // specIn is a job's description with its tasks bound to a zone; "" binds nothing.
-func specIn(spec *wire.Submission, zone string) *wire.Submission {
+func specIn(spec *protocol.Submission, zone string) *protocol.Submission {
 	if zone == "" {
 		return spec
 	}
--- a/gangpreemption.go
+++ b/gangpreemption.go
@@ -2,23 +2,23 @@
 
 import (
 	"topazhollow/internal/admission"
-	"topazhollow/internal/gangroom"
-	"topazhollow/internal/ledger"
+	"topazhollow/internal/gangpreemption"
+	"topazhollow/internal/jobstate"
+	"topazhollow/internal/leadership"
 	"topazhollow/internal/placement"
-	"topazhollow/internal/tenure"
-	"topazhollow/internal/wire"
+	"topazhollow/internal/protocol"
 )
 
-// What connects internal/gangroom, which decides which tasks to stop for a gang, to the controller.
+// What connects internal/gangpreemption, which decides which tasks to stop for a gang, to the controller.
 
 // preemptForGangs has tasks of lower priority stopped for the most urgent waiting gang of each own team, one gang at a time. A
 // gang beyond its team's guarantee stops tasks of its own team only.
 func (n *Node) preemptForGangs(p *placing) {
 	for _, it := range n.items {
-		if it.phase != ready || it.frozen || it.name == tenure.Fleet || !it.team.HoldsRoom() || !it.team.HoldsQuota() {
+		if it.phase != ready || it.frozen || it.name == leadership.Fleet || !it.team.HoldsRoom() || !it.team.HoldsQuota() {
 			continue
 		}
-		if w := p.firstGang(it); w != nil && p.now.Sub(w.submitted) > preemptionDelay && wire.Rank(w.spec.Priority) > 0 && !w.spec.Spread {
+		if w := p.firstGang(it); w != nil && p.now.Sub(w.submitted) > preemptionDelay && protocol.Rank(w.spec.Priority) > 0 && !w.spec.Spread {
 			n.makeGangRoom(p, w)
 		}
 	}
@@ -28,13 +28,13 @@
 // One that can reach no goal any more stops nobody: what is stopped for it might still have reached its own.
 func (p *placing) firstGang(it *item) *waitingTasks {
 	for i := range p.short {
-		if w := &p.short[i]; w.it == it && w.spec.Kind == wire.Gang && !w.probe && !p.missed(w.spec.UID) {
+		if w := &p.short[i]; w.it == it && w.spec.Kind == protocol.Gang && !w.probe && !p.missed(w.spec.UID) {
 			return w
 		}
 	}
 	var first *waitingTasks
-	it.team.Jobs(func(job *ledger.Job) {
-		if first != nil || job.Spec.Kind != wire.Gang || !it.team.Waits(job, p.now) {
+	it.team.Jobs(func(job *jobstate.Job) {
+		if first != nil || job.Spec.Kind != protocol.Gang || !it.team.Waits(job, p.now) {
 			return
 		}
 		if j := p.n.jobs[job.Spec.UID]; j != nil && j.active && !p.missed(job.Spec.UID) {
@@ -63,9 +63,9 @@
 	ownOnly := w.borrowed || w.count < len(missing)
 	look := p.gangLook(w, ownOnly)
 	cpus, gpus := w.it.team.QuotaLeft()
-	each := gangroom.Amount{CPUs: w.spec.CPUs, GPUs: w.spec.GPUs, Memory: w.spec.Memory}
-	stops, ok := gangroom.Make(gangroom.Gang{Tasks: len(missing), Each: each, OneZone: w.spec.OneZone,
-		Quota: gangroom.Amount{CPUs: cpus, GPUs: gpus}}, look.machines)
+	each := gangpreemption.Amount{CPUs: w.spec.CPUs, GPUs: w.spec.GPUs, Memory: w.spec.Memory}
+	stops, ok := gangpreemption.Make(gangpreemption.Gang{Tasks: len(missing), Each: each, OneZone: w.spec.OneZone,
+		Quota: gangpreemption.Amount{CPUs: cpus, GPUs: gpus}}, look.machines)
 	if !ok {
 		return
 	}
@@ -80,7 +80,7 @@
 
 // gangLook is what a gang may use and stop.
 type gangLook struct {
-	machines []gangroom.Machine
+	machines []gangpreemption.Machine
 	hosts    []*placement.Host // of the machines
 	tasks    []victim          // by the victims' ids
 }
@@ -96,14 +96,14 @@
 		if !ask.Allows(h) || w.own.Avoids(h.Name, p.now) || !rule.allows(h) {
 			continue
 		}
-		m := gangroom.Machine{Zone: h.Zone, Free: p.freeFor(w, h, ask)}
+		m := gangpreemption.Machine{Zone: h.Zone, Free: p.freeFor(w, h, ask)}
 		for _, v := range search.on(h) {
 			own := v.spec.Team == w.spec.Team
-			if wire.Rank(v.spec.Priority) >= wire.Rank(w.spec.Priority) || ownOnly && !own || !n.spares(v.spec, counted) {
+			if protocol.Rank(v.spec.Priority) >= protocol.Rank(w.spec.Priority) || ownOnly && !own || !n.spares(v.spec, counted) {
 				continue
 			}
-			m.Victims = append(m.Victims, gangroom.Victim{ID: len(look.tasks), Loss: v.lost, Own: own,
-				Size: gangroom.Amount{CPUs: v.spec.CPUs, GPUs: v.spec.GPUs, Memory: v.spec.Memory}})
+			m.Victims = append(m.Victims, gangpreemption.Victim{ID: len(look.tasks), Loss: v.lost, Own: own,
+				Size: gangpreemption.Amount{CPUs: v.spec.CPUs, GPUs: v.spec.GPUs, Memory: v.spec.Memory}})
 			look.tasks = append(look.tasks, v)
 		}
 		look.machines, look.hosts = append(look.machines, m), append(look.hosts, h)
@@ -112,13 +112,13 @@
 }
 
 // freeFor is the free room on a host, with what this step keeps for the gang itself.
-func (p *placing) freeFor(w *waitingTasks, h *placement.Host, ask *placement.Ask) gangroom.Amount {
+func (p *placing) freeFor(w *waitingTasks, h *placement.Host, ask *placement.Ask) gangpreemption.Amount {
 	kept := float64(p.kept[keptRoom{w.spec.UID, h.Name}])
-	return gangroom.Amount{CPUs: h.CPUs + kept*ask.CPUs, GPUs: h.GPUs + kept*ask.GPUs, Memory: h.Memory + kept*ask.Memory}
+	return gangpreemption.Amount{CPUs: h.CPUs + kept*ask.CPUs, GPUs: h.GPUs + kept*ask.GPUs, Memory: h.Memory + kept*ask.Memory}
 }
 
 // spares counts a task as stopped and says whether its class keeps its floor without it and without those that were counted before.
-func (n *Node) spares(s *wire.Submission, counted map[admission.Key]float64) bool {
+func (n *Node) spares(s *protocol.Submission, counted map[admission.Key]float64) bool {
 	floor := n.admit.known.Acts().Floor(keyOf(s))
 	if floor <= 0 {
 		return true
--- a/gangs.go
+++ b/gangs.go
@@ -4,7 +4,7 @@
 	"maps"
 	"slices"
 
-	"topazhollow/internal/ledger"
+	"topazhollow/internal/jobstate"
 	"topazhollow/internal/placement"
 )
 
@@ -41,7 +41,7 @@
 func (p *placing) placeGangIn(zone int, w *waitingTasks, ask *placement.Ask, missing []int, attempt uint64) bool {
 	taken := p.roomForGang(zone, w, ask, missing)
 	if len(taken) == len(missing) {
-		spots := map[int]ledger.Spot{}
+		spots := map[int]jobstate.Spot{}
 		for index, h := range taken {
 			spots[index] = p.n.spot(h)
 			h.Images[ask.Image] = true
--- a/goals.go
+++ b/goals.go
@@ -4,17 +4,17 @@
 	"slices"
 	"time"
 
-	"topazhollow/internal/ledger"
+	"topazhollow/internal/jobstate"
 	"topazhollow/internal/settings"
 )
 
 // goals lists when a job should be complete, by its deadline and the objectives
 // for its class, in order of time; none if nobody said.
-func (n *Node) goals(j *job) ledger.Goals {
+func (n *Node) goals(j *job) jobstate.Goals {
 	if j.goals != nil {
 		return j.goals
 	}
-	j.goals = ledger.Goals{}
+	j.goals = jobstate.Goals{}
 	add := func(seconds float64) { j.goals = append(j.goals, j.at.Add(settings.Seconds(seconds))) }
 	if j.spec.Deadline != nil {
 		add(*j.spec.Deadline)
--- a/grown_test.go
+++ b/grown_test.go
@@ -10,15 +10,15 @@
 
 	"golang.org/x/sync/errgroup"
 
-	"topazhollow/internal/fleet"
-	"topazhollow/internal/frontend"
-	"topazhollow/internal/horizon"
-	"topazhollow/internal/ledger"
+	"topazhollow/internal/agents"
+	"topazhollow/internal/autoscaler"
+	"topazhollow/internal/cancelwatermark"
+	"topazhollow/internal/jobstate"
+	"topazhollow/internal/leadership"
+	"topazhollow/internal/protocol"
 	"topazhollow/internal/provisioning"
 	"topazhollow/internal/settings"
-	"topazhollow/internal/tenure"
-	"topazhollow/internal/wire"
-	"topazhollow/internal/workers"
+	"topazhollow/internal/userapi"
 )
 
 // grown is one controller's own account of a deployment of many machines, with
@@ -29,8 +29,8 @@
 	rng     *rand.Rand
 	now     time.Time
 	names   []string
-	views   map[string]*ledger.View
-	ends    map[ledger.Ref]time.Time
+	views   map[string]*jobstate.View
+	ends    map[jobstate.Ref]time.Time
 	jobs    int
 	started int
 }
@@ -39,7 +39,7 @@
 	s := &settings.Settings{Name: "node-a", Deployment: settings.Deployment{Size: 3, Zones: []string{"east", "west"},
 		Workers: settings.Workers{Report: 4, Lease: 26, Cancel: 56}, State: settings.State{RPS: 150, WriteRPS: 30, ValueKB: 8, TxnOps: 24},
 		Cloud: settings.Cloud{RPS: 6, ListLag: 3}, Limits: settings.Limits{MemoryMB: 200, MaxSockets: 2500}}}
-	record := (&tenure.Record{Term: 1}).Clone()
+	record := (&leadership.Record{Term: 1}).Clone()
 	for _, name := range []string{"node-a", "node-b", "node-c"} {
 		record.Nodes[name] = 1
 	}
@@ -48,32 +48,32 @@
 		s.Deployment.Teams = append(s.Deployment.Teams, t)
 	}
 	g := &grown{n: New(s, settings.DefaultOptions(), slog.New(slog.DiscardHandler)), rng: rand.New(rand.NewPCG(3, 4)), now: time.Now(),
-		views: map[string]*ledger.View{}, ends: map[ledger.Ref]time.Time{}}
+		views: map[string]*jobstate.View{}, ends: map[jobstate.Ref]time.Time{}}
 	n := g.n
-	n.types = []wire.MachineType{{Name: "m32", CPUs: 32, Memory: 256, Price: 2, SpotPrice: 0.5, Boot: 35, FetchRate: 0.25, Zones: s.Deployment.Zones}}
+	n.types = []protocol.MachineType{{Name: "m32", CPUs: 32, Memory: 256, Price: 2, SpotPrice: 0.5, Boot: 35, FetchRate: 0.25, Zones: s.Deployment.Zones}}
 	record.Nodes["node-a"] = n.inc
 	record.Deaf = []string{"node-b", "node-c"} // this controller is the home of all
 	for _, t := range s.Deployment.Teams {
 		name := teamItem(t.Name)
-		record.Items[name] = tenure.Item{Owner: "node-a", Since: 1}
-		n.items[name] = &item{name: name, since: 1, phase: ready, acks: map[string]*ack{}, book: ledger.NewBook(8 << 10),
-			team: n.newTeam(name, ledger.NewReplica(), 1)}
+		record.Items[name] = leadership.Item{Owner: "node-a", Since: 1}
+		n.items[name] = &item{name: name, since: 1, phase: ready, acks: map[string]*ack{}, book: jobstate.NewBook(8 << 10),
+			team: n.newTeam(name, jobstate.NewReplica(), 1)}
 	}
 	n.record = record
 	ended, cancel := context.WithCancel(context.Background())
 	cancel() // nothing goes out
 	n.group, n.ctx = &errgroup.Group{}, ended
 	n.lease.Renewed(g.now)
-	n.horizon = horizon.New([]string{"node-b", "node-c"}, settings.Seconds(s.Deployment.Workers.Cancel), settings.Seconds(s.Deployment.Workers.Lease))
+	n.horizon = cancelwatermark.New([]string{"node-b", "node-c"}, settings.Seconds(s.Deployment.Workers.Cancel), settings.Seconds(s.Deployment.Workers.Lease))
 	n.horizon.Read(g.now)
 	for i := range machines {
 		g.names = append(g.names, fmt.Sprintf("n-%06d", i))
 	}
 	for i := 0; i < machines; i += 200 {
-		n.roster.Learn(fmt.Sprint(i), 1, workers.RosterValue{Names: g.names[i:min(i+200, machines)]})
+		n.roster.Learn(fmt.Sprint(i), 1, agents.RosterValue{Names: g.names[i:min(i+200, machines)]})
 	}
 	for i, name := range g.names {
-		g.views[name] = &ledger.View{Machine: name, Type: "m32", Zone: s.Deployment.Zones[i%2], Spot: i%4 > 0, Session: 1, Seq: 1, Token: 1, Term: 1}
+		g.views[name] = &jobstate.View{Machine: name, Type: "m32", Zone: s.Deployment.Zones[i%2], Spot: i%4 > 0, Session: 1, Seq: 1, Token: 1, Term: 1}
 		n.see(g.views[name], g.now)
 	}
 	return g
@@ -84,17 +84,17 @@
 	g.n.mu.Lock()
 	defer g.n.mu.Unlock()
 	g.jobs++
-	spec := &wire.Submission{UID: fmt.Sprintf("job-%06d", g.jobs), Team: fmt.Sprintf("team-%d", g.jobs%len(g.n.set.Deployment.Teams)), Kind: wire.Batch,
+	spec := &protocol.Submission{UID: fmt.Sprintf("job-%06d", g.jobs), Team: fmt.Sprintf("team-%d", g.jobs%len(g.n.set.Deployment.Teams)), Kind: protocol.Batch,
 		Priority: []string{"standard", "high"}[g.jobs%2], Tasks: tasks, CPUs: cpus, Memory: 20, Image: fmt.Sprint("img-", g.jobs%10), Estimate: 40, Spot: true}
-	g.n.learnJob(frontend.Stored{Spec: spec, At: g.now.UnixMilli()}, 1)
+	g.n.learnJob(userapi.Stored{Spec: spec, At: g.now.UnixMilli()}, 1)
 }
 
 // tell has a machine report what changed on it.
-func (g *grown) tell(name string, change func(v *ledger.View)) {
+func (g *grown) tell(name string, change func(v *jobstate.View)) {
 	old := g.views[name]
 	v := *old
 	v.Seq++
-	v.Tasks = append([]ledger.TaskView(nil), old.Tasks...)
+	v.Tasks = append([]jobstate.TaskView(nil), old.Tasks...)
 	change(&v)
 	g.views[name] = &v
 	g.n.see(&v, g.now)
@@ -111,31 +111,31 @@
 		g.n.step(g.now)
 		for _, name := range g.names {
 			g.n.machines[name].heard = g.now
-			var fresh []ledger.TaskView
+			var fresh []jobstate.TaskView
 			for _, it := range g.n.items {
-				it.team.On(name, func(h ledger.Hold) {
+				it.team.On(name, func(h jobstate.Hold) {
 					if g.ends[h.Ref()].IsZero() {
 						g.ends[h.Ref()] = g.now.Add(20*time.Second + time.Duration(g.rng.IntN(40000))*time.Millisecond)
-						fresh = append(fresh, ledger.TaskView{Key: h.Key, Attempt: h.Attempt, State: wire.Running})
+						fresh = append(fresh, jobstate.TaskView{Key: h.Key, Attempt: h.Attempt, State: protocol.Running})
 					}
 				})
 			}
 			g.started += len(fresh)
 			over := false
 			for _, t := range g.views[name].Tasks {
-				over = over || t.State == wire.Exited || !g.now.Before(g.ends[t.Ref()])
+				over = over || t.State == protocol.Exited || !g.now.Before(g.ends[t.Ref()])
 			}
 			if len(fresh) == 0 && !over {
 				continue
 			}
-			g.tell(name, func(v *ledger.View) {
-				var kept []ledger.TaskView
+			g.tell(name, func(v *jobstate.View) {
+				var kept []jobstate.TaskView
 				for _, t := range v.Tasks {
-					if t.State == wire.Exited {
+					if t.State == protocol.Exited {
 						continue
 					}
 					if !g.now.Before(g.ends[t.Ref()]) {
-						t.State, t.Why = wire.Exited, wire.WhyDone
+						t.State, t.Why = protocol.Exited, protocol.WhyDone
 					}
 					kept = append(kept, t)
 				}
@@ -173,7 +173,7 @@
 			next := n.record.Clone()
 			next.Term++
 			name := teamItem("team-1")
-			next.Items[name] = tenure.Item{Owner: "node-b", Since: next.Term}
+			next.Items[name] = leadership.Item{Owner: "node-b", Since: next.Term}
 			n.adopt(next, n.version+1)
 			for uid, j := range n.jobs { // its jobs are no more this one's to run
 				if j.spec.Team == "team-1" {
@@ -236,13 +236,13 @@
 			}
 			g.second(10)
 			account := provisioning.New(provisioning.Options{}, g.now)
-			f := fleet.New("b", fleet.Options{IdleReturn: 10 * time.Second, SpotShare: 1, Silent: 30 * time.Second, Haste: 2})
+			f := autoscaler.New("b", autoscaler.Options{IdleReturn: 10 * time.Second, SpotShare: 1, Silent: 30 * time.Second, Haste: 2})
 			for b.Loop() {
 				machines := g.n.fleetMachines(account, g.now)
-				var demands []fleet.Demand
+				var demands []autoscaler.Demand
 				for _, d := range g.n.demands(g.now) {
 					j := g.n.jobs[d.Job]
-					demands = append(demands, fleet.Demand{Spec: j.spec, Count: d.Count, Due: g.n.due(j, g.now)})
+					demands = append(demands, autoscaler.Demand{Spec: j.spec, Count: d.Count, Due: g.n.due(j, g.now)})
 				}
 				f.Forget()
 				f.Decide(g.n.types, machines, demands, nil, g.now, g.now)
@@ -281,7 +281,7 @@
 		submit := func(uid, team, priority string, tasks int, cpus, estimate float64) {
 			n.mu.Lock()
 			defer n.mu.Unlock()
-			n.learnJob(frontend.Stored{At: g.now.UnixMilli(), Spec: &wire.Submission{UID: uid, Team: team, Kind: wire.Batch,
+			n.learnJob(userapi.Stored{At: g.now.UnixMilli(), Spec: &protocol.Submission{UID: uid, Team: team, Kind: protocol.Batch,
 				Priority: priority, Tasks: tasks, CPUs: cpus, Memory: 1, Estimate: estimate, Spot: true}}, 1)
 		}
 		submit("job-000001", "team-1", "low", 64, 4, 600)
--- a/held_test.go
+++ b/held_test.go
@@ -6,8 +6,8 @@
 	"time"
 
 	"topazhollow/internal/admission"
-	"topazhollow/internal/frontend"
-	"topazhollow/internal/wire"
+	"topazhollow/internal/protocol"
+	"topazhollow/internal/userapi"
 )
 
 // TestLeftoverRoomOfHeldMachines: a small job waited for minutes beside room on machines that were held for a class whose
@@ -29,7 +29,7 @@
 			n.mu.Lock()
 			defer n.mu.Unlock()
 			learn := func(uid, class string, tasks int, cpus float64, age time.Duration) {
-				n.learnJob(frontend.Stored{At: g.now.Add(-age).UnixMilli(), Spec: &wire.Submission{UID: uid, Team: "team-0", Class: class, Kind: wire.Batch,
+				n.learnJob(userapi.Stored{At: g.now.Add(-age).UnixMilli(), Spec: &protocol.Submission{UID: uid, Team: "team-0", Class: class, Kind: protocol.Batch,
 					Priority: "standard", Tasks: tasks, CPUs: cpus, Memory: 1, Image: "img", Estimate: 40, Spot: true}}, 1)
 			}
 			team := n.items[teamItem("team-0")].team
@@ -72,7 +72,7 @@
 			team.SetLimits(0, c.limit, 0, math.Inf(1))
 			deadline := 500.0
 			learn := func(uid, class string, tasks int, cpus float64, deadline *float64) {
-				n.learnJob(frontend.Stored{At: g.now.UnixMilli(), Spec: &wire.Submission{UID: uid, Team: "team-0", Class: class, Kind: wire.Batch,
+				n.learnJob(userapi.Stored{At: g.now.UnixMilli(), Spec: &protocol.Submission{UID: uid, Team: "team-0", Class: class, Kind: protocol.Batch,
 					Priority: "standard", Tasks: tasks, CPUs: cpus, Memory: 1, Image: "img", Estimate: 40, Spot: true, Deadline: deadline}}, 1)
 			}
 			learn("job-000001", "other", 15, 2, nil)
--- a/home.go
+++ b/home.go
@@ -7,9 +7,9 @@
 	"time"
 
 	"topazhollow/internal/httpx"
-	"topazhollow/internal/ledger"
+	"topazhollow/internal/jobstate"
+	"topazhollow/internal/protocol"
 	"topazhollow/internal/settings"
-	"topazhollow/internal/wire"
 )
 
 // doer carries commands to one machine over one ordered connection.
@@ -23,7 +23,7 @@
 func (n *Node) machine(name string) *machine {
 	m := n.machines[name]
 	if m == nil {
-		m = &machine{images: map[string]bool{}, running: map[ledger.Ref]time.Time{}}
+		m = &machine{images: map[string]bool{}, running: map[jobstate.Ref]time.Time{}}
 		n.machines[name] = m
 	}
 	return m
@@ -57,11 +57,11 @@
 
 // report answers a worker.
 func (n *Node) report(body []byte) httpx.Answer {
-	var r wire.Report
-	if err := wire.Decode(body, &r); err != nil {
+	var r protocol.Report
+	if err := protocol.Decode(body, &r); err != nil {
 		return httpx.Refuse(400, "body is not a report")
 	}
-	if err := wire.CheckReport(&r); err != nil {
+	if err := protocol.CheckReport(&r); err != nil {
 		return httpx.Refuse(400, err.Error())
 	}
 	n.mu.Lock()
@@ -70,7 +70,7 @@
 }
 
 // answerReport answers a worker's report that came at a time.
-func (n *Node) answerReport(r *wire.Report, now time.Time) httpx.Answer {
+func (n *Node) answerReport(r *protocol.Report, now time.Time) httpx.Answer {
 	n.heardToken(r.Token)
 	if !n.entitled(now) {
 		return n.elsewhere(r, now)
@@ -88,7 +88,7 @@
 			}
 			return busy()
 		}
-		return httpx.Answer{Status: 421, Body: wire.Encode(wire.Moved{ReportTo: home})}
+		return httpx.Answer{Status: 421, Body: protocol.Encode(protocol.Moved{ReportTo: home})}
 	}
 	if m := n.machine(r.Machine); m.gone {
 		return busy()
@@ -100,14 +100,14 @@
 		n.tellViews()
 		return busy()
 	}
-	answer := wire.ReportAnswer{Token: n.record.Term, Commands: stops}
+	answer := protocol.ReportAnswer{Token: n.record.Term, Commands: stops}
 	if m := n.home.Get(r.Machine); m.Report.Seq == r.Seq && m.Report.Session == r.Session {
 		n.readyToSend(m, now)
 		answer.Commands = append(answer.Commands, m.Answer()...)
 		n.noteView(r.Machine)
 	}
 	n.tellViews()
-	return httpx.Answer{Status: 200, Body: wire.Encode(answer)}
+	return httpx.Answer{Status: 200, Body: protocol.Encode(answer)}
 }
 
 // strayed handles a report that should have gone to another home. It says whether
@@ -210,7 +210,7 @@
 			continue
 		}
 		link := httpx.NewLink(addr, 1<<20)
-		resp, _, err := link.Do(ctx, "GET", wire.PathInspect, nil, time.Second)
+		resp, _, err := link.Do(ctx, "GET", protocol.PathInspect, nil, time.Second)
 		link.Close()
 		if err != nil || resp.Status != 200 {
 			good = 0
@@ -240,21 +240,21 @@
 
 // alive is an answer that renews a worker's lease and commands no more than to stop what is
 // over for good.
-func (n *Node) alive(stops []wire.Command) httpx.Answer {
-	return httpx.Answer{Status: 200, Body: wire.Encode(wire.ReportAnswer{Token: n.record.Term, Commands: stops})}
+func (n *Node) alive(stops []protocol.Command) httpx.Answer {
+	return httpx.Answer{Status: 200, Body: protocol.Encode(protocol.ReportAnswer{Token: n.record.Term, Commands: stops})}
 }
 
 // elsewhere answers a worker while this controller may not act: it sends it to
 // one that is entitled, if such is heard, and else keeps it alive for as long as
 // that can do no harm.
-func (n *Node) elsewhere(r *wire.Report, now time.Time) httpx.Answer {
+func (n *Node) elsewhere(r *protocol.Report, now time.Time) httpx.Answer {
 	for _, name := range slices.Sorted(maps.Keys(n.peers)) {
 		if p := n.peers[name]; p.entitled && p.near(now) {
-			return httpx.Answer{Status: 421, Body: wire.Encode(wire.Moved{ReportTo: name})}
+			return httpx.Answer{Status: 421, Body: protocol.Encode(protocol.Moved{ReportTo: name})}
 		}
 	}
 	if n.sustains(r, now) {
-		return n.alive([]wire.Command{}) // what it lists is all active
+		return n.alive([]protocol.Command{}) // what it lists is all active
 	}
 	return busy()
 }
@@ -263,13 +263,13 @@
 // a zone that is cut off. Such an answer changes nothing that an owner relies on:
 // silence is no proof, and nothing is commanded, so every task that the machine lists must belong
 // to a job that is active as far as known here.
-func (n *Node) sustains(r *wire.Report, now time.Time) bool {
+func (n *Node) sustains(r *protocol.Report, now time.Time) bool {
 	if n.record == nil || r.Token > n.record.Term || n.machine(r.Machine).gone {
 		return false
 	}
 	for _, t := range r.Tasks {
-		uid, _, _ := wire.SplitTask(t.Task)
-		if j := n.jobs[uid]; t.State != wire.Exited && (j == nil || !j.active) {
+		uid, _, _ := protocol.SplitTask(t.Task)
+		if j := n.jobs[uid]; t.State != protocol.Exited && (j == nil || !j.active) {
 			return false
 		}
 	}
@@ -278,21 +278,21 @@
 }
 
 // hear takes in a report that a worker sent.
-func (n *Node) hear(r *wire.Report, now time.Time) {
+func (n *Node) hear(r *protocol.Report, now time.Time) {
 	if newer, changed := n.home.Heard(r, now); newer {
 		n.heard(r, changed, now)
 	}
 }
 
 // hearAnswer takes in the report in a worker's answer to a direct command.
-func (n *Node) hearAnswer(r *wire.Report, now time.Time) {
+func (n *Node) hearAnswer(r *protocol.Report, now time.Time) {
 	if newer, changed := n.home.HeardAnswer(r, now); newer {
 		n.heard(r, changed, now)
 	}
 }
 
 // heard books what a machine's newest report says.
-func (n *Node) heard(r *wire.Report, changed bool, now time.Time) {
+func (n *Node) heard(r *protocol.Report, changed bool, now time.Time) {
 	x := n.machine(r.Machine)
 	x.heard, x.homed, x.homeKnew = now, now, now
 	if !n.roster.Has(r.Machine) {
@@ -305,7 +305,7 @@
 }
 
 // index keeps which machines list tasks of a job.
-func (n *Node) index(v *ledger.View, listed bool) {
+func (n *Node) index(v *jobstate.View, listed bool) {
 	for _, t := range v.Tasks {
 		on := n.lists[t.Job]
 		switch {
@@ -348,7 +348,7 @@
 }
 
 // see takes in a view, of a machine here or told by a peer.
-func (n *Node) see(v *ledger.View, now time.Time) {
+func (n *Node) see(v *jobstate.View, now time.Time) {
 	m := n.machine(v.Machine)
 	if m.gone || (m.view != nil && !v.Newer(m.view)) {
 		return
@@ -362,10 +362,10 @@
 	m.view, m.counted = v, false
 	m.heard = now
 	busy := false
-	running := make(map[ledger.Ref]time.Time, len(v.Tasks))
+	running := make(map[jobstate.Ref]time.Time, len(v.Tasks))
 	for _, t := range v.Tasks {
 		ref := t.Ref()
-		if t.State == wire.Running {
+		if t.State == protocol.Running {
 			if since, ok := m.running[ref]; ok {
 				running[ref] = since
 			} else {
@@ -376,7 +376,7 @@
 					_ = n.waits.RecordValue(min(max(now.Sub(j.at).Milliseconds(), 1), time.Hour.Milliseconds()))
 				}
 			}
-		} else if since, ok := m.running[ref]; ok && t.Why == wire.WhyDone {
+		} else if since, ok := m.running[ref]; ok && t.Why == protocol.WhyDone {
 			if j := n.jobs[t.Job]; j != nil {
 				j.longest = max(j.longest, now.Sub(since))
 				j.runs++
@@ -390,7 +390,7 @@
 	}
 	for _, t := range v.Tasks {
 		j := n.jobs[t.Job]
-		if t.State != wire.Exited {
+		if t.State != protocol.Exited {
 			busy = true
 		} else {
 			n.judge(t, v.Machine, now)
@@ -422,7 +422,7 @@
 }
 
 // teamsOn lists the teams of the jobs whose tasks a view lists.
-func (n *Node) teamsOn(v *ledger.View) (teams []string) {
+func (n *Node) teamsOn(v *jobstate.View) (teams []string) {
 	for _, t := range v.Tasks {
 		if j := n.jobs[t.Job]; j != nil && !slices.Contains(teams, j.spec.Team) {
 			teams = append(teams, j.spec.Team)
@@ -433,12 +433,12 @@
 
 // judge takes in a task's end as a machine lists it. Every controller sees every
 // view, so that whoever takes a team over knows its faulty jobs.
-func (n *Node) judge(t ledger.TaskView, machine string, now time.Time) {
+func (n *Node) judge(t jobstate.TaskView, machine string, now time.Time) {
 	j := n.jobs[t.Job]
-	if j == nil || !j.active || (t.Why != wire.WhyError && t.Why != wire.WhyDone) {
+	if j == nil || !j.active || (t.Why != protocol.WhyError && t.Why != protocol.WhyDone) {
 		return
 	}
-	faulty := t.Why == wire.WhyError
+	faulty := t.Why == protocol.WhyError
 	if faulty && n.blame.Failed(t.Job, machine, now) {
 		n.log.Info("job held to be faulty: it failed on several machines and succeeded on none", "job", t.Job, "team", j.spec.Team, "last", machine)
 	} else if !faulty && n.blame.Done(t.Job, machine) {
@@ -453,23 +453,23 @@
 
 // endStrays lets the home end what machines list of jobs that are over: that is
 // true for good, whoever owns the team.
-func (n *Node) endStrays(v *ledger.View) {
+func (n *Node) endStrays(v *jobstate.View) {
 	if n.home.Get(v.Machine) == nil || n.record == nil || n.homeOf(v.Machine) != n.name {
 		return
 	}
-	var orders []ledger.Order
+	var orders []jobstate.Order
 	for _, t := range v.Tasks {
 		j := n.jobs[t.Job]
-		if t.State == ledger.Ordered || (j != nil && j.active) {
+		if t.State == jobstate.Ordered || (j != nil && j.active) {
 			continue
 		}
 		if j == nil {
 			n.lookUp(t.Job, t.Attempt)
 			continue
 		}
-		o := ledger.Order{Op: wire.Stop, Key: t.Key, Attempt: t.Attempt, Session: v.Session}
-		if t.State == wire.Exited {
-			o.Op = wire.Forget
+		o := jobstate.Order{Op: protocol.Stop, Key: t.Key, Attempt: t.Attempt, Session: v.Session}
+		if t.State == protocol.Exited {
+			o.Op = protocol.Forget
 		}
 		orders = append(orders, o)
 	}
@@ -483,7 +483,7 @@
 	if len(n.fresh) == 0 {
 		return
 	}
-	var views []*ledger.View
+	var views []*jobstate.View
 	tasks := 0
 	for _, name := range slices.Sorted(maps.Keys(n.fresh)) {
 		v := n.home.View(name)
@@ -558,7 +558,7 @@
 		return false
 	}
 	cmds := m.Send()
-	body := wire.Encode(wire.Direct{Token: n.record.Term, Session: m.Report.Session, Commands: cmds})
+	body := protocol.Encode(protocol.Direct{Token: n.record.Term, Session: m.Report.Session, Commands: cmds})
 	addr := m.Report.Addr
 	n.mu.Unlock()
 	if *link == nil || (*link).Addr() != addr {
@@ -567,12 +567,12 @@
 		}
 		*link = httpx.NewLink(addr, 1<<20)
 	}
-	resp, left, err := (*link).Do(ctx, "POST", wire.PathDo, body, doTimeout)
+	resp, left, err := (*link).Do(ctx, "POST", protocol.PathDo, body, doTimeout)
 	now = time.Now()
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	var r wire.Report
-	answered := err == nil && (resp.Status == 200 || resp.Status == 409) && wire.Decode(resp.Body, &r) == nil && r.Machine == name
+	var r protocol.Report
+	answered := err == nil && (resp.Status == 200 || resp.Status == 409) && protocol.Decode(resp.Body, &r) == nil && r.Machine == name
 	if answered && n.home.Get(name) == m {
 		n.hearAnswer(&r, now)
 	}
--- a/hosts.go
+++ b/hosts.go
@@ -6,16 +6,16 @@
 	"slices"
 	"time"
 
-	"topazhollow/internal/ledger"
+	"topazhollow/internal/jobstate"
 	"topazhollow/internal/placement"
-	"topazhollow/internal/wire"
+	"topazhollow/internal/protocol"
 )
 
 // Machines as placement sees them: the room that each has as far as known here.
 
-func (n *Node) ask(s *wire.Submission) *placement.Ask {
+func (n *Node) ask(s *protocol.Submission) *placement.Ask {
 	a := &placement.Ask{CPUs: s.CPUs, GPUs: s.GPUs, Memory: s.Memory, Zone: -1, Spot: s.Spot, Image: s.Image, ImageGB: s.ImageGB, Run: s.Estimate, Class: s.Class}
-	if s.Kind == wire.Service {
+	if s.Kind == protocol.Service {
 		a.Run = 1e6
 	}
 	if s.Zone != nil {
@@ -101,7 +101,7 @@
 		return true
 	}
 	v := m.view
-	t := slices.IndexFunc(n.types, func(t wire.MachineType) bool { return t.Name == v.Type })
+	t := slices.IndexFunc(n.types, func(t protocol.MachineType) bool { return t.Name == v.Type })
 	if t < 0 {
 		return false
 	}
@@ -112,7 +112,7 @@
 	h.CPUs, h.GPUs, h.Memory = n.free(m)
 	pulls := map[string]bool{}
 	for _, t := range v.Tasks {
-		if j := n.jobs[t.Job]; j != nil && t.State == wire.Pulling {
+		if j := n.jobs[t.Job]; j != nil && t.State == protocol.Pulling {
 			pulls[j.spec.Image] = true
 		}
 	}
@@ -129,16 +129,16 @@
 // free is a machine's room beside what it lists and what own teams hold there.
 func (n *Node) free(m *machine) (cpus, gpus, memory float64) {
 	cpus, gpus, memory, _ = n.capacity(m.view.Type)
-	listed := map[ledger.Ref]bool{}
+	listed := map[jobstate.Ref]bool{}
 	for _, t := range m.view.Tasks {
 		listed[t.Ref()] = true
-		if t.State != wire.Exited {
+		if t.State != protocol.Exited {
 			c, g, r := n.size(t.Job)
 			cpus, gpus, memory = cpus-c, gpus-g, memory-r
 		}
 	}
 	for _, it := range n.items {
-		it.team.On(m.view.Machine, func(h ledger.Hold) {
+		it.team.On(m.view.Machine, func(h jobstate.Hold) {
 			if !listed[h.Ref()] {
 				cpus, gpus, memory = cpus-h.CPUs, gpus-h.GPUs, memory-h.Memory
 			}
--- a/inflight_test.go
+++ b/inflight_test.go
@@ -4,9 +4,9 @@
 	"testing"
 	"time"
 
-	"topazhollow/internal/ledger"
+	"topazhollow/internal/jobstate"
+	"topazhollow/internal/protocol"
 	"topazhollow/internal/settings"
-	"topazhollow/internal/wire"
 )
 
 // ordering is a home that gets orders for one machine and hears its reports.
@@ -25,19 +25,19 @@
 }
 
 // report answers a report of the machine, which lists nothing.
-func (o *ordering) report(at time.Time) (status int, commands []wire.Command) {
+func (o *ordering) report(at time.Time) (status int, commands []protocol.Command) {
 	o.seq++
-	r := wire.Report{Machine: o.name, Addr: "127.0.0.1:1", Type: "m32", Zone: "east", Session: 1, Seq: o.seq, Token: 1, Tasks: []wire.TaskStatus{}}
+	r := protocol.Report{Machine: o.name, Addr: "127.0.0.1:1", Type: "m32", Zone: "east", Session: 1, Seq: o.seq, Token: 1, Tasks: []protocol.TaskStatus{}}
 	a := o.n.answerReport(&r, at)
-	var answer wire.ReportAnswer
-	if err := wire.Decode(a.Body, &answer); err != nil && a.Status == 200 {
+	var answer protocol.ReportAnswer
+	if err := protocol.Decode(a.Body, &answer); err != nil && a.Status == 200 {
 		panic(err)
 	}
 	return a.Status, answer.Commands
 }
 
 func (o *ordering) order(op string) {
-	o.n.home.Take(1, o.name, []ledger.Order{{Op: op, Key: ledger.Key{Job: "job-000001"}, Attempt: 1, Session: 1, CPUs: 1, Memory: 1}})
+	o.n.home.Take(1, o.name, []jobstate.Order{{Op: op, Key: jobstate.Key{Job: "job-000001"}, Attempt: 1, Session: 1, CPUs: 1, Memory: 1}})
 }
 
 // TestNoStartOfWhatIsOver: an owner that the state service refuses may order starts of a job that its machine's home
@@ -48,12 +48,12 @@
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	o.report(o.now)
-	o.order(wire.Start)
+	o.order(protocol.Start)
 	n.endJob("job-000001")
 	if _, commands := o.report(o.now); len(commands) > 0 {
 		t.Errorf("the answer commands %+v", commands)
 	}
-	o.order(wire.Start)
+	o.order(protocol.Start)
 	if n.home.Get(o.name).Starts() {
 		t.Error("it is queued again")
 	}
@@ -71,7 +71,7 @@
 	defer n.mu.Unlock()
 	reach := settings.Seconds(n.set.Deployment.Workers.Cancel-n.set.Deployment.Workers.Lease) - 2*time.Second
 	o.report(o.now)
-	o.order(wire.Start)
+	o.order(protocol.Start)
 	m := n.home.Get(o.name)
 	n.readyToSend(m, o.now)
 	m.Sent(m.Send(), false, true)
@@ -143,14 +143,14 @@
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	o.report(o.now)
-	n.home.Take(1, o.name, []ledger.Order{{Op: wire.Start, Key: ledger.Key{Job: "job-000950"}, Attempt: 1, Session: 1, CPUs: 1, Memory: 1}})
+	n.home.Take(1, o.name, []jobstate.Order{{Op: protocol.Start, Key: jobstate.Key{Job: "job-000950"}, Attempt: 1, Session: 1, CPUs: 1, Memory: 1}})
 	if _, commands := o.report(o.now); len(commands) != 1 {
 		t.Fatalf("the start does not go out: %+v", commands)
 	}
 	renews := func(at time.Time) bool {
 		o.seq++
-		r := wire.Report{Machine: o.name, Addr: "127.0.0.1:1", Type: "m32", Zone: "east", Session: 1, Seq: o.seq, Token: 1,
-			Tasks: []wire.TaskStatus{{Task: "job-000950/0", Attempt: 1, State: wire.Running}}}
+		r := protocol.Report{Machine: o.name, Addr: "127.0.0.1:1", Type: "m32", Zone: "east", Session: 1, Seq: o.seq, Token: 1,
+			Tasks: []protocol.TaskStatus{{Task: "job-000950/0", Attempt: 1, State: protocol.Running}}}
 		_, ok := n.renewal(&r, at)
 		return ok
 	}
--- a/internal/workers/home.go
+++ b/internal/agents/home.go
@@ -1,14 +1,14 @@
-// Package workers is a controller's part as home of machines: it takes their
+// Package agents is a controller's part as home of machines: it takes their
 // reports, relays owners' orders to them and tells what it knows of them. It
 // does no I/O and reads no clock.
-package workers
+package agents
 
 import (
 	"slices"
 	"time"
 
-	"topazhollow/internal/ledger"
-	"topazhollow/internal/wire"
+	"topazhollow/internal/jobstate"
+	"topazhollow/internal/protocol"
 )
 
 // maxQueued bounds the commands that wait for one machine.
@@ -16,7 +16,7 @@
 
 // start is what became of a start command in this term.
 type start struct {
-	order  ledger.Order
+	order  jobstate.Order
 	queued bool   // waits here
 	open   bool   // a /do with it is under way
 	stray  bool   // a /do with it was never answered: it may still arrive in this term
@@ -32,19 +32,19 @@
 
 // Machine is a machine at its home.
 type Machine struct {
-	Report wire.Report // the newest, from the worker itself or from its answer to a command
-	Heard  time.Time   // when a report last came
-	Busy   bool        // a /do is under way
-	Deaf   bool        // the last /do failed: only report answers until it is heard again
-	Now    time.Time   // set before commands are sent, as is Known
-	Known  time.Time   // every withdrawal confirmed before it is known here
+	Report protocol.Report // the newest, from the worker itself or from its answer to a command
+	Heard  time.Time       // when a report last came
+	Busy   bool            // a /do is under way
+	Deaf   bool            // the last /do failed: only report answers until it is heard again
+	Now    time.Time       // set before commands are sent, as is Known
+	Known  time.Time       // every withdrawal confirmed before it is known here
 
 	reported uint64 // the greatest sequence number of this session that the worker itself sent
-	starts   map[ledger.Ref]*start
-	queue    []wire.Command
+	starts   map[jobstate.Ref]*start
+	queue    []protocol.Command
 	urgent   bool
 	rev      uint64
-	view     *ledger.View
+	view     *jobstate.View
 }
 
 // Size tells what a task of a job takes.
@@ -75,7 +75,7 @@
 			delete(h.machines, name)
 			continue
 		}
-		m.starts = map[ledger.Ref]*start{}
+		m.starts = map[jobstate.Ref]*start{}
 		m.queue, m.urgent = nil, false
 		m.changed()
 	}
@@ -98,7 +98,7 @@
 // Heard takes in a report that the worker itself sent. It says whether it was newer than what was known and
 // whether anything in it changed. A worker keeps one report in flight at a time, so it executed the commands in the
 // answer to the report before, or never will.
-func (h *Home) Heard(r *wire.Report, now time.Time) (newer, changed bool) {
+func (h *Home) Heard(r *protocol.Report, now time.Time) (newer, changed bool) {
 	newer, changed = h.HeardAnswer(r, now)
 	if m := h.machines[r.Machine]; m.Report.Session == r.Session {
 		m.reported = max(m.reported, r.Seq)
@@ -108,10 +108,10 @@
 
 // HeardAnswer takes in the report in the answer to a direct command. The answer to the worker's own last report may
 // still be on its way to it.
-func (h *Home) HeardAnswer(r *wire.Report, now time.Time) (newer, changed bool) {
+func (h *Home) HeardAnswer(r *protocol.Report, now time.Time) (newer, changed bool) {
 	m := h.machines[r.Machine]
 	if m == nil {
-		m = &Machine{starts: map[ledger.Ref]*start{}}
+		m = &Machine{starts: map[jobstate.Ref]*start{}}
 		h.machines[r.Machine] = m
 	} else if r.Session < m.Report.Session || (r.Session == m.Report.Session && r.Seq <= m.Report.Seq) {
 		return false, false
@@ -119,7 +119,7 @@
 	changed = r.Session != m.Report.Session || r.Token != m.Report.Token || (r.Notice == nil) != (m.Report.Notice == nil) ||
 		!slices.Equal(r.Tasks, m.Report.Tasks)
 	if r.Session != m.Report.Session {
-		m.starts = map[ledger.Ref]*start{}
+		m.starts = map[jobstate.Ref]*start{}
 		m.queue, m.urgent, m.reported = nil, false, 0
 	}
 	m.Report = *r
@@ -146,7 +146,7 @@
 
 // Take accepts an owner's orders for a machine under a term. It reports whether
 // commands should go out at once.
-func (h *Home) Take(term uint64, machine string, orders []ledger.Order) bool {
+func (h *Home) Take(term uint64, machine string, orders []jobstate.Order) bool {
 	m := h.machines[machine]
 	if m == nil || term != h.term {
 		return false
@@ -156,9 +156,9 @@
 			continue
 		}
 		s := m.starts[o.Ref()]
-		cmd := wire.Command{Op: o.Op, Task: wire.TaskName(o.Job, o.Index), Attempt: o.Attempt}
+		cmd := protocol.Command{Op: o.Op, Task: protocol.TaskName(o.Job, o.Index), Attempt: o.Attempt}
 		switch o.Op {
-		case wire.Start:
+		case protocol.Start:
 			switch {
 			case s == nil:
 				s = &start{order: o}
@@ -175,13 +175,13 @@
 				m.urgent = true
 			}
 			m.changed()
-		case wire.Stop:
+		case protocol.Stop:
 			if !m.lists(o.Ref()) {
-				if s == nil && ledger.TermOf(o.Attempt) != h.term {
+				if s == nil && jobstate.TermOf(o.Attempt) != h.term {
 					continue // a home of its term may have sent its start: only a report under a later one proves it off
 				}
 				if s == nil || (!s.barred && !s.listed && m.settled(s)) {
-					m.unqueue(wire.Start, o.Ref())
+					m.unqueue(protocol.Start, o.Ref())
 					m.starts[o.Ref()] = &start{order: o, barred: true}
 					m.changed()
 				}
@@ -189,11 +189,11 @@
 			}
 			grace := o.Grace
 			cmd.Grace = &grace
-			if !m.queued(wire.Stop, o.Ref()) {
+			if !m.queued(protocol.Stop, o.Ref()) {
 				m.queue = append(m.queue, cmd)
 				m.urgent = true
 			}
-		case wire.Forget:
+		case protocol.Forget:
 			if s != nil && !m.settled(s) {
 				continue // an unanswered start would run the task again
 			}
@@ -202,7 +202,7 @@
 				m.starts[o.Ref()] = s
 			}
 			s.forgot = true
-			if m.lists(o.Ref()) && !m.queued(wire.Forget, o.Ref()) {
+			if m.lists(o.Ref()) && !m.queued(protocol.Forget, o.Ref()) {
 				m.queue = append(m.queue, cmd)
 			}
 		}
@@ -211,20 +211,20 @@
 }
 
 // fits says whether a start has room beside what is listed and ordered.
-func (h *Home) fits(m *Machine, o ledger.Order) bool {
+func (h *Home) fits(m *Machine, o jobstate.Order) bool {
 	cpus, gpus, memory, ok := h.capacity(m.Report.Type)
 	if !ok {
 		return false
 	}
 	use := func(c, g, r float64) { cpus, gpus, memory = cpus-c, gpus-g, memory-r }
 	for _, t := range m.Report.Tasks {
-		if t.State != wire.Exited {
-			job, _, _ := wire.SplitTask(t.Task)
+		if t.State != protocol.Exited {
+			job, _, _ := protocol.SplitTask(t.Task)
 			use(h.size(job))
 		}
 	}
 	for _, s := range m.starts {
-		if !s.listed && !s.barred && !s.forgot && s.order.Op == wire.Start {
+		if !s.listed && !s.barred && !s.forgot && s.order.Op == protocol.Start {
 			use(s.order.CPUs, s.order.GPUs, s.order.Memory)
 		}
 	}
@@ -237,22 +237,22 @@
 
 // refOf reads an attempt's name from a worker's words; a malformed one matches
 // nothing that was ever ordered.
-func refOf(task string, attempt uint64) ledger.Ref {
-	job, index, ok := wire.SplitTask(task)
+func refOf(task string, attempt uint64) jobstate.Ref {
+	job, index, ok := protocol.SplitTask(task)
 	if !ok {
-		return ledger.Ref{}
+		return jobstate.Ref{}
 	}
-	return ledger.Ref{Key: ledger.Key{Job: job, Index: index}, Attempt: attempt}
+	return jobstate.Ref{Key: jobstate.Key{Job: job, Index: index}, Attempt: attempt}
 }
 
-func (m *Machine) lists(ref ledger.Ref) bool {
-	return slices.ContainsFunc(m.Report.Tasks, func(t wire.TaskStatus) bool { return refOf(t.Task, t.Attempt) == ref })
+func (m *Machine) lists(ref jobstate.Ref) bool {
+	return slices.ContainsFunc(m.Report.Tasks, func(t protocol.TaskStatus) bool { return refOf(t.Task, t.Attempt) == ref })
 }
 
 // Ordered says whether an owner ordered a start here in this term, and when it was first sent; zero: not yet.
-func (m *Machine) Ordered(ref ledger.Ref) (sent time.Time, ok bool) {
+func (m *Machine) Ordered(ref jobstate.Ref) (sent time.Time, ok bool) {
 	s := m.starts[ref]
-	if s == nil || s.order.Op != wire.Start {
+	if s == nil || s.order.Op != protocol.Start {
 		return time.Time{}, false
 	}
 	return s.at, true
@@ -260,26 +260,26 @@
 
 // Starts says whether a start waits to be sent.
 func (m *Machine) Starts() bool {
-	return slices.ContainsFunc(m.queue, func(c wire.Command) bool { return c.Op == wire.Start })
+	return slices.ContainsFunc(m.queue, func(c protocol.Command) bool { return c.Op == protocol.Start })
 }
 
-func (m *Machine) queued(op string, ref ledger.Ref) bool {
-	return slices.ContainsFunc(m.queue, func(c wire.Command) bool { return c.Op == op && refOf(c.Task, c.Attempt) == ref })
+func (m *Machine) queued(op string, ref jobstate.Ref) bool {
+	return slices.ContainsFunc(m.queue, func(c protocol.Command) bool { return c.Op == op && refOf(c.Task, c.Attempt) == ref })
 }
 
-func (m *Machine) unqueue(op string, ref ledger.Ref) {
-	m.queue = slices.DeleteFunc(m.queue, func(c wire.Command) bool { return c.Op == op && refOf(c.Task, c.Attempt) == ref })
+func (m *Machine) unqueue(op string, ref jobstate.Ref) {
+	m.queue = slices.DeleteFunc(m.queue, func(c protocol.Command) bool { return c.Op == op && refOf(c.Task, c.Attempt) == ref })
 }
 
 // Urgent says whether commands wait that should go out by /do now.
 func (m *Machine) Urgent() bool { return m.urgent && !m.Busy && !m.Deaf && len(m.queue) > 0 }
 
 // Send takes the queued commands for a /do.
-func (m *Machine) Send() []wire.Command {
+func (m *Machine) Send() []protocol.Command {
 	cmds := m.queue
 	m.queue, m.urgent, m.Busy = nil, false, true
 	for _, c := range cmds {
-		if s := m.starts[refOf(c.Task, c.Attempt)]; c.Op == wire.Start && s != nil {
+		if s := m.starts[refOf(c.Task, c.Attempt)]; c.Op == protocol.Start && s != nil {
 			s.queued, s.open = false, true
 			m.stamp(s)
 		}
@@ -289,11 +289,11 @@
 
 // Sent books the outcome of a /do: answered (then its report is to be given to
 // Heard first), or not, when its commands may still be executed if left is true.
-func (m *Machine) Sent(cmds []wire.Command, answered, left bool) {
+func (m *Machine) Sent(cmds []protocol.Command, answered, left bool) {
 	m.Busy = false
 	m.Deaf = !answered
 	for _, c := range cmds {
-		if s := m.starts[refOf(c.Task, c.Attempt)]; c.Op == wire.Start && s != nil {
+		if s := m.starts[refOf(c.Task, c.Attempt)]; c.Op == protocol.Start && s != nil {
 			s.open = false
 			s.stray = s.stray || (left && !answered)
 		}
@@ -303,14 +303,14 @@
 
 // Answer takes the queued commands for the answer to the newest report. Commands
 // in an answer are executed before the worker's next report or never.
-func (m *Machine) Answer() []wire.Command {
+func (m *Machine) Answer() []protocol.Command {
 	if m.Busy {
 		return nil
 	}
 	cmds := m.queue
 	m.queue, m.urgent = nil, false
 	for _, c := range cmds {
-		if s := m.starts[refOf(c.Task, c.Attempt)]; c.Op == wire.Start && s != nil {
+		if s := m.starts[refOf(c.Task, c.Attempt)]; c.Op == protocol.Start && s != nil {
 			s.queued, s.answer, s.after = false, true, m.Report.Seq
 			m.stamp(s)
 		}
@@ -327,9 +327,9 @@
 
 // DropStarts takes the queued starts of jobs that are over back: their owner may not know yet.
 func (m *Machine) DropStarts(over func(job string) bool) {
-	m.queue = slices.DeleteFunc(m.queue, func(c wire.Command) bool {
+	m.queue = slices.DeleteFunc(m.queue, func(c protocol.Command) bool {
 		ref := refOf(c.Task, c.Attempt)
-		if c.Op != wire.Start || !over(ref.Job) {
+		if c.Op != protocol.Start || !over(ref.Job) {
 			return false
 		}
 		if s := m.starts[ref]; s != nil {
@@ -356,7 +356,7 @@
 }
 
 // View is what owners are told of a machine.
-func (h *Home) View(name string) *ledger.View {
+func (h *Home) View(name string) *jobstate.View {
 	m := h.machines[name]
 	if m == nil {
 		return nil
@@ -365,20 +365,20 @@
 		return m.view
 	}
 	r := &m.Report
-	v := &ledger.View{Machine: name, Addr: r.Addr, Type: r.Type, Zone: r.Zone, Spot: r.Spot, Session: r.Session, Seq: r.Seq,
+	v := &jobstate.View{Machine: name, Addr: r.Addr, Type: r.Type, Zone: r.Zone, Spot: r.Spot, Session: r.Session, Seq: r.Seq,
 		Rev: m.rev, Token: r.Token, Term: h.term, Notice: r.Notice != nil}
 	for _, t := range r.Tasks {
-		job, index, ok := wire.SplitTask(t.Task)
+		job, index, ok := protocol.SplitTask(t.Task)
 		if ok {
-			v.Tasks = append(v.Tasks, ledger.TaskView{Key: ledger.Key{Job: job, Index: index}, Attempt: t.Attempt, State: t.State, Why: t.Why, Saved: t.Saved})
+			v.Tasks = append(v.Tasks, jobstate.TaskView{Key: jobstate.Key{Job: job, Index: index}, Attempt: t.Attempt, State: t.State, Why: t.Why, Saved: t.Saved})
 		}
 	}
 	for ref, s := range m.starts {
 		switch {
 		case s.barred:
 			v.Barred = append(v.Barred, ref)
-		case !s.listed && !s.forgot && s.order.Op == wire.Start:
-			v.Tasks = append(v.Tasks, ledger.TaskView{Key: s.order.Key, Attempt: ref.Attempt, State: ledger.Ordered})
+		case !s.listed && !s.forgot && s.order.Op == protocol.Start:
+			v.Tasks = append(v.Tasks, jobstate.TaskView{Key: s.order.Key, Attempt: ref.Attempt, State: jobstate.Ordered})
 		}
 	}
 	m.view = v
--- a/internal/workers/home_test.go
+++ b/internal/agents/home_test.go
@@ -1,26 +1,26 @@
-package workers
+package agents
 
 import (
 	"testing"
 	"time"
 
-	"topazhollow/internal/ledger"
-	"topazhollow/internal/wire"
+	"topazhollow/internal/jobstate"
+	"topazhollow/internal/protocol"
 )
 
 func home(t *testing.T) (*Home, *Machine) {
 	h := New(func(string) (float64, float64, float64, bool) { return 8, 0, 64, true }, func(string) (float64, float64, float64) { return 2, 0, 4 })
 	h.SetTerm(1, func(string) bool { return true })
-	h.Heard(&wire.Report{Machine: "m", Addr: "a", Type: "t", Zone: "z", Session: 1, Seq: 1, Token: 1}, time.Unix(1, 0))
+	h.Heard(&protocol.Report{Machine: "m", Addr: "a", Type: "t", Zone: "z", Session: 1, Seq: 1, Token: 1}, time.Unix(1, 0))
 	return h, h.Get("m")
 }
 
-func startOf(job string) ledger.Order {
-	return ledger.Order{Op: wire.Start, Key: ledger.Key{Job: job}, Attempt: 5, Session: 1, CPUs: 2, Memory: 4}
+func startOf(job string) jobstate.Order {
+	return jobstate.Order{Op: protocol.Start, Key: jobstate.Key{Job: job}, Attempt: 5, Session: 1, CPUs: 2, Memory: 4}
 }
 
-func report(seq uint64, tasks ...wire.TaskStatus) *wire.Report {
-	return &wire.Report{Machine: "m", Addr: "a", Type: "t", Zone: "z", Session: 1, Seq: seq, Token: 1, Tasks: tasks}
+func report(seq uint64, tasks ...protocol.TaskStatus) *protocol.Report {
+	return &protocol.Report{Machine: "m", Addr: "a", Type: "t", Zone: "z", Session: 1, Seq: seq, Token: 1, Tasks: tasks}
 }
 
 // TestSameNumberOfTwoOwners: attempt numbers are unique only for a task. Two
@@ -28,8 +28,8 @@
 // never sent.
 func TestSameNumberOfTwoOwners(t *testing.T) {
 	h, m := home(t)
-	h.Take(1, "m", []ledger.Order{startOf("job-1")})
-	h.Take(1, "m", []ledger.Order{startOf("job-2")})
+	h.Take(1, "m", []jobstate.Order{startOf("job-1")})
+	h.Take(1, "m", []jobstate.Order{startOf("job-2")})
 	if cmds := m.Send(); len(cmds) != 2 {
 		t.Fatalf("sends %v", cmds)
 	}
@@ -40,18 +40,18 @@
 func TestUnansweredStartIsNotForgotten(t *testing.T) {
 	h, m := home(t)
 	o := startOf("job-1")
-	h.Take(1, "m", []ledger.Order{o})
+	h.Take(1, "m", []jobstate.Order{o})
 	m.Sent(m.Send(), false, true)
-	h.Heard(report(2, wire.TaskStatus{Task: "job-1/0", Attempt: 5, State: wire.Exited, Why: wire.WhyDone}), time.Unix(2, 0))
-	o.Op = wire.Forget
-	h.Take(1, "m", []ledger.Order{o})
+	h.Heard(report(2, protocol.TaskStatus{Task: "job-1/0", Attempt: 5, State: protocol.Exited, Why: protocol.WhyDone}), time.Unix(2, 0))
+	o.Op = protocol.Forget
+	h.Take(1, "m", []jobstate.Order{o})
 	if cmds := m.Answer(); len(cmds) != 0 {
 		t.Fatalf("forgets beside a start in flight: %v", cmds)
 	}
 	// Under a later term the worker refuses the old start, so it may be forgotten.
 	h.SetTerm(2, func(string) bool { return true })
-	h.Take(2, "m", []ledger.Order{o})
-	if cmds := m.Answer(); len(cmds) != 1 || cmds[0].Op != wire.Forget {
+	h.Take(2, "m", []jobstate.Order{o})
+	if cmds := m.Answer(); len(cmds) != 1 || cmds[0].Op != protocol.Forget {
 		t.Fatalf("answers %v under the later term", cmds)
 	}
 }
@@ -61,11 +61,11 @@
 func TestBarredIsNeverSent(t *testing.T) {
 	h, m := home(t)
 	o := startOf("job-1")
-	h.Take(1, "m", []ledger.Order{o})
-	o.Op = wire.Stop
-	h.Take(1, "m", []ledger.Order{o})
-	o.Op = wire.Start
-	h.Take(1, "m", []ledger.Order{o})
+	h.Take(1, "m", []jobstate.Order{o})
+	o.Op = protocol.Stop
+	h.Take(1, "m", []jobstate.Order{o})
+	o.Op = protocol.Start
+	h.Take(1, "m", []jobstate.Order{o})
 	if cmds := m.Send(); len(cmds) != 0 {
 		t.Fatalf("sends %v after the owner was told never", cmds)
 	}
@@ -78,12 +78,12 @@
 func TestSentIsNotBarred(t *testing.T) {
 	h, m := home(t)
 	o := startOf("job-1")
-	h.Take(1, "m", []ledger.Order{o})
+	h.Take(1, "m", []jobstate.Order{o})
 	m.Sent(m.Send(), false, true)
-	o.Op = wire.Stop
-	h.Take(1, "m", []ledger.Order{o})
+	o.Op = protocol.Stop
+	h.Take(1, "m", []jobstate.Order{o})
 	h.Heard(report(2), time.Unix(2, 0))
-	h.Take(1, "m", []ledger.Order{o})
+	h.Take(1, "m", []jobstate.Order{o})
 	if v := h.View("m"); len(v.Barred) != 0 {
 		t.Fatalf("view bars %v, which may still arrive", v.Barred)
 	}
@@ -94,18 +94,18 @@
 func TestStartOfAnEarlierTermIsNotBarred(t *testing.T) {
 	h, m := home(t)
 	o := startOf("job-1")
-	o.Attempt = ledger.AttemptID(1, 5)
-	h.Take(1, "m", []ledger.Order{o})
+	o.Attempt = jobstate.AttemptID(1, 5)
+	h.Take(1, "m", []jobstate.Order{o})
 	m.Sent(m.Send(), false, true)
 	h.SetTerm(2, func(string) bool { return true })
-	o.Op = wire.Stop
-	h.Take(2, "m", []ledger.Order{o})
+	o.Op = protocol.Stop
+	h.Take(2, "m", []jobstate.Order{o})
 	if v := h.View("m"); len(v.Barred) != 0 {
 		t.Fatalf("view bars %v, which the home of an earlier term sent", v.Barred)
 	}
 	// The same stop for an attempt of the home's own term, of which no start came, is proof.
-	o.Attempt = ledger.AttemptID(2, 1)
-	h.Take(2, "m", []ledger.Order{o})
+	o.Attempt = jobstate.AttemptID(2, 1)
+	h.Take(2, "m", []jobstate.Order{o})
 	if v := h.View("m"); len(v.Barred) != 1 {
 		t.Fatalf("view bars %v, want the attempt that this home never sent", v.Barred)
 	}
@@ -116,20 +116,20 @@
 func TestStartInAnAnswerIsSettledByTheNextReport(t *testing.T) {
 	h, m := home(t)
 	o := startOf("job-1")
-	h.Take(1, "m", []ledger.Order{o})
+	h.Take(1, "m", []jobstate.Order{o})
 	if cmds := m.Answer(); len(cmds) != 1 {
 		t.Fatalf("answers %v", cmds)
 	}
 	h.HeardAnswer(report(2), time.Unix(2, 0))
-	o.Op = wire.Stop
-	h.Take(1, "m", []ledger.Order{o})
+	o.Op = protocol.Stop
+	h.Take(1, "m", []jobstate.Order{o})
 	if v := h.View("m"); len(v.Barred) != 0 {
 		t.Fatalf("view bars %v, which may still arrive", v.Barred)
 	}
 	forget := o
-	forget.Op = wire.Forget
-	h.HeardAnswer(report(3, wire.TaskStatus{Task: "job-1/0", Attempt: 5, State: wire.Exited, Why: wire.WhyError}), time.Unix(3, 0))
-	h.Take(1, "m", []ledger.Order{forget})
+	forget.Op = protocol.Forget
+	h.HeardAnswer(report(3, protocol.TaskStatus{Task: "job-1/0", Attempt: 5, State: protocol.Exited, Why: protocol.WhyError}), time.Unix(3, 0))
+	h.Take(1, "m", []jobstate.Order{forget})
 	if cmds := m.Answer(); len(cmds) != 0 {
 		t.Fatalf("answers %v beside a start in flight", cmds)
 	}
@@ -140,11 +140,11 @@
 func TestLostAnswerIsBarred(t *testing.T) {
 	h, m := home(t)
 	o := startOf("job-1")
-	h.Take(1, "m", []ledger.Order{o})
+	h.Take(1, "m", []jobstate.Order{o})
 	m.Answer()
 	h.Heard(report(2), time.Unix(2, 0))
-	o.Op = wire.Stop
-	h.Take(1, "m", []ledger.Order{o})
+	o.Op = protocol.Stop
+	h.Take(1, "m", []jobstate.Order{o})
 	if v := h.View("m"); len(v.Barred) != 1 {
 		t.Fatalf("view bars %v, want the lost start", v.Barred)
 	}
@@ -155,7 +155,7 @@
 func TestOtherTermIsRefused(t *testing.T) {
 	h, m := home(t)
 	h.SetTerm(2, func(string) bool { return true })
-	h.Take(1, "m", []ledger.Order{startOf("job-1")})
+	h.Take(1, "m", []jobstate.Order{startOf("job-1")})
 	if cmds := m.Send(); len(cmds) != 0 {
 		t.Fatalf("sends %v", cmds)
 	}
@@ -165,7 +165,7 @@
 func TestNoRoomIsBarred(t *testing.T) {
 	h, _ := home(t)
 	for i, job := range []string{"job-1", "job-2", "job-3", "job-4", "job-5"} {
-		h.Take(1, "m", []ledger.Order{startOf(job)})
+		h.Take(1, "m", []jobstate.Order{startOf(job)})
 		if barred := len(h.View("m").Barred); (i < 4 && barred != 0) || (i == 4 && barred != 1) {
 			t.Fatalf("after %d starts %d are barred", i+1, barred)
 		}
@@ -176,13 +176,13 @@
 // changes nothing: not what the machine lists, nor when it was heard.
 func TestOlderReportIsIgnored(t *testing.T) {
 	h, m := home(t)
-	h.Take(1, "m", []ledger.Order{startOf("job-1")})
+	h.Take(1, "m", []jobstate.Order{startOf("job-1")})
 	m.Sent(m.Send(), true, true)
-	running := wire.TaskStatus{Task: "job-1/0", Attempt: 5, State: wire.Running}
+	running := protocol.TaskStatus{Task: "job-1/0", Attempt: 5, State: protocol.Running}
 	h.Heard(report(4, running), time.Unix(4, 0))
 	next := report(1, running)
 	next.Session = 2
-	for what, r := range map[string]*wire.Report{"an earlier report": report(3), "the same one": report(4), "one that listed nothing": report(1)} {
+	for what, r := range map[string]*protocol.Report{"an earlier report": report(3), "the same one": report(4), "one that listed nothing": report(1)} {
 		if newer, changed := h.Heard(r, time.Unix(9, 0)); newer || changed || len(m.Report.Tasks) != 1 || m.Heard != time.Unix(4, 0) {
 			t.Errorf("%s is taken for the newest", what)
 		}
--- a/internal/workers/roster.go
+++ b/internal/agents/roster.go
@@ -1,4 +1,4 @@
-package workers
+package agents
 
 import (
 	"encoding/json"
--- a/internal/arch/arch_test.go
+++ b/internal/arch/arch_test.go
@@ -89,17 +89,17 @@
 
 // TestViolationsAreFound shows that the check above sees imports that run up or across.
 func TestViolationsAreFound(t *testing.T) {
-	height := map[string]int{Module + "/internal/wire": 0, Module + "/internal/fleet": 1, Module: 2}
+	height := map[string]int{Module + "/internal/protocol": 0, Module + "/internal/autoscaler": 1, Module: 2}
 	found := map[string][]string{
-		Module:                     {"fmt", Module + "/internal/fleet"},
-		Module + "/internal/fleet": {Module + "/internal/wire", Module},
-		Module + "/internal/wire":  {Module + "/internal/wire"},
-		Module + "/internal/new":   nil,
+		Module:                          {"fmt", Module + "/internal/autoscaler"},
+		Module + "/internal/autoscaler": {Module + "/internal/protocol", Module},
+		Module + "/internal/protocol":   {Module + "/internal/protocol"},
+		Module + "/internal/new":        nil,
 	}
 	want := []string{
-		"topazhollow/internal/fleet imports topazhollow, which does not stand below it",
+		"topazhollow/internal/autoscaler imports topazhollow, which does not stand below it",
 		"topazhollow/internal/new is in no layer",
-		"topazhollow/internal/wire imports topazhollow/internal/wire, which does not stand below it",
+		"topazhollow/internal/protocol imports topazhollow/internal/protocol, which does not stand below it",
 	}
 	if got := violations(height, found); !slices.Equal(got, want) {
 		t.Errorf("got %q, want %q", got, want)
--- a/internal/keepers/bench_test.go
+++ b/internal/artifactreplication/bench_test.go
@@ -1,4 +1,4 @@
-package keepers
+package artifactreplication
 
 import (
 	"crypto/sha256"
@@ -13,8 +13,8 @@
 	"testing"
 	"time"
 
+	"topazhollow/internal/artifactstore"
 	"topazhollow/internal/blob"
-	"topazhollow/internal/keeper"
 )
 
 // benchGroup lets benchmarks use the tests' group of keepers.
@@ -52,7 +52,7 @@
 						b.Fatal(err)
 					}
 				}
-				rec := []keeper.Record{{At: time.Now(), Data: make([]byte, 120)}}
+				rec := []artifactstore.Record{{At: time.Now(), Data: make([]byte, 120)}}
 				took := make([][]time.Duration, streams)
 				var wg sync.WaitGroup
 				b.ResetTimer()
@@ -121,12 +121,12 @@
 		err = n.Attach(ctx, c, "big", d)
 	}
 	if err == nil {
-		_, _, err = n.Seal(ctx, c, keeper.End{Exit: keeper.Exit{Completed: true}, Files: map[string]string{"big": d.String()}})
+		_, _, err = n.Seal(ctx, c, artifactstore.End{Exit: artifactstore.Exit{Completed: true}, Files: map[string]string{"big": d.String()}})
 	}
 	if err != nil {
 		b.Fatal(err)
 	}
-	r := &keeper.Reader{URL: g.keepers["a"].srv.URL, Token: keeper.Grant{Right: keeper.Read, Job: c.Job, Until: time.Now().Add(time.Hour)}.Token(key)}
+	r := &artifactstore.Reader{URL: g.keepers["a"].srv.URL, Token: artifactstore.Grant{Right: artifactstore.Read, Job: c.Job, Until: time.Now().Add(time.Hour)}.Token(key)}
 	dir := b.TempDir()
 	b.Run("keeper", func(b *testing.B) {
 		b.SetBytes(size)
@@ -207,7 +207,7 @@
 				default:
 				}
 				began := time.Now()
-				if _, _, err := g.keepers["a"].Read(ctx, claim(1, i%attempts, 1).Attempt, "stdout", 0, false, func(uint64, keeper.Record) error { return nil }); err != nil {
+				if _, _, err := g.keepers["a"].Read(ctx, claim(1, i%attempts, 1).Attempt, "stdout", 0, false, func(uint64, artifactstore.Record) error { return nil }); err != nil {
 					b.Error(err)
 				}
 				took = append(took, time.Since(began))
@@ -236,7 +236,7 @@
 		if err != nil {
 			b.Fatal(err)
 		}
-		k, err := keeper.Open(keeper.Options{Dir: filepath.Join(dir, "log"), Blobs: bl, Key: key})
+		k, err := artifactstore.Open(artifactstore.Options{Dir: filepath.Join(dir, "log"), Blobs: bl, Key: key})
 		if err != nil {
 			b.Fatal(err)
 		}
--- a/internal/keepers/config.go
+++ b/internal/artifactreplication/config.go
@@ -1,4 +1,4 @@
-package keepers
+package artifactreplication
 
 import (
 	"crypto/tls"
--- a/internal/keepers/decide.go
+++ b/internal/artifactreplication/decide.go
@@ -1,4 +1,4 @@
-package keepers
+package artifactreplication
 
 import (
 	"context"
@@ -10,10 +10,10 @@
 	"slices"
 	"time"
 
+	"topazhollow/internal/artifactstore"
 	"topazhollow/internal/blob"
-	"topazhollow/internal/keeper"
+	"topazhollow/internal/protocol"
 	"topazhollow/internal/wait"
-	"topazhollow/internal/wire"
 )
 
 // Seal closes an attempt with what its worker says of its end; if that is not all here,
@@ -21,23 +21,23 @@
 // returns without an error the manifest is decided and durable, and final says whether
 // the attempt is the task's result: the first of the completed ones, unless a later
 // attempt had begun by then.
-func (n *Node) Seal(ctx context.Context, c keeper.Claim, end keeper.End) (m *keeper.Manifest, final bool, err error) {
+func (n *Node) Seal(ctx context.Context, c artifactstore.Claim, end artifactstore.End) (m *artifactstore.Manifest, final bool, err error) {
 	value, err := n.decide(ctx, c.Attempt, true, func(promises []reply) ([]byte, error) {
 		return n.gather(ctx, c, &end, promises)
 	})
 	if err != nil {
 		return nil, false, err
 	}
-	if m, err = keeper.Verify(n.opt.Key, value); err != nil {
+	if m, err = artifactstore.Verify(n.opt.Key, value); err != nil {
 		return nil, false, err
 	}
 	switch {
 	case m.Claim != c:
-		return nil, false, keeper.ErrClaim
+		return nil, false, artifactstore.ErrClaim
 	case m.Partial:
-		return nil, false, keeper.ErrSealed
+		return nil, false, artifactstore.ErrSealed
 	case m.Exit.Completed:
-		var r *keeper.Result
+		var r *artifactstore.Result
 		r, err = n.settle(ctx, c, blob.Of(value).String())
 		final = r != nil && r.Number == c.Number
 	}
@@ -50,9 +50,9 @@
 // settle makes an attempt, sealed as completed, its task's result if there is none and no
 // later attempt has begun. It gives the task's result, nil if there is none: then the
 // attempt won't become it any more either.
-func (n *Node) settle(ctx context.Context, c keeper.Claim, manifest string) (*keeper.Result, error) {
-	want := wire.Encode(&keeper.Result{Tenant: c.Tenant, Number: c.Number, Manifest: manifest})
-	value, err := n.decide(ctx, keeper.Attempt{Job: c.Job, Task: c.Task}, false, func(promises []reply) ([]byte, error) {
+func (n *Node) settle(ctx context.Context, c artifactstore.Claim, manifest string) (*artifactstore.Result, error) {
+	want := protocol.Encode(&artifactstore.Result{Tenant: c.Tenant, Number: c.Number, Manifest: manifest})
+	value, err := n.decide(ctx, artifactstore.Attempt{Job: c.Job, Task: c.Task}, false, func(promises []reply) ([]byte, error) {
 		for _, p := range promises {
 			if p.Promise.Latest > c.Number {
 				return nil, errOvertaken
@@ -66,7 +66,7 @@
 	if err != nil {
 		return nil, err
 	}
-	r := &keeper.Result{}
+	r := &artifactstore.Result{}
 	return r, json.Unmarshal(value, r)
 }
 
@@ -75,7 +75,7 @@
 
 // resolve sees through what somebody began to decide, or undoes it: then there is no
 // value, and an attempt that was about to end is not frozen any more.
-func (n *Node) resolve(ctx context.Context, at keeper.Attempt) (value []byte, err error) {
+func (n *Node) resolve(ctx context.Context, at artifactstore.Attempt) (value []byte, err error) {
 	value, err = n.decide(ctx, at, false, func([]reply) ([]byte, error) { return nil, errNothing })
 	if errors.Is(err, errNothing) {
 		return nil, nil
@@ -85,7 +85,7 @@
 
 // decide has a register's value decided, if it is not yet, and gives it. propose is
 // asked for one only while no majority could have decided another.
-func (n *Node) decide(ctx context.Context, at keeper.Attempt, freeze bool, propose func(promises []reply) ([]byte, error)) ([]byte, error) {
+func (n *Node) decide(ctx context.Context, at artifactstore.Attempt, freeze bool, propose func(promises []reply) ([]byte, error)) ([]byte, error) {
 	names := n.opt.Members.Place(at.Job, at.Task)
 	need := majority(len(names))
 	learn := func(value []byte) {
@@ -100,7 +100,7 @@
 				return nil, ctx.Err()
 			}
 		}
-		b := keeper.Ballot{Round: n.round.Add(1), By: n.start}
+		b := artifactstore.Ballot{Round: n.round.Add(1), By: n.start}
 		got, failed := n.ask(ctx, names, need, func(ctx context.Context, _ string, r replica) (*answer, error) {
 			a, err := r.do(ctx, &call{Op: "prepare", Attempt: at, Ballot: b, Freeze: freeze, Count: true})
 			if err == nil && a.Promise.Decided == nil && a.Promise.Promised != b {
@@ -109,7 +109,7 @@
 			}
 			return a, err
 		})
-		var best *keeper.Promise
+		var best *artifactstore.Promise
 		for _, r := range got {
 			p := r.Promise
 			if p.Decided != nil {
@@ -185,8 +185,8 @@
 // gather makes a manifest of what a majority of keepers has of an attempt, and has its
 // streams' content at hand. end is what its worker says of it, or nil if it is to be
 // shelved.
-func (n *Node) gather(ctx context.Context, c keeper.Claim, end *keeper.End, promises []reply) ([]byte, error) {
-	most := map[string]keeper.Extent{}
+func (n *Node) gather(ctx context.Context, c artifactstore.Claim, end *artifactstore.End, promises []reply) ([]byte, error) {
+	most := map[string]artifactstore.Extent{}
 	at := map[string]string{} // keeper that has so much of a stream
 	files := map[string]map[string]bool{}
 	known := false
@@ -196,7 +196,7 @@
 			continue
 		}
 		if v.Claim != c {
-			return nil, keeper.ErrClaim
+			return nil, artifactstore.ErrClaim
 		}
 		known = true
 		for name, x := range v.Streams {
@@ -212,47 +212,47 @@
 		}
 	}
 	if !known {
-		return nil, keeper.ErrUnknown
+		return nil, artifactstore.ErrUnknown
 	}
-	m := &keeper.Manifest{Claim: c, Sealed: n.opt.Now().UTC(), Streams: []keeper.StreamInfo{}, Files: []keeper.FileInfo{}}
+	m := &artifactstore.Manifest{Claim: c, Sealed: n.opt.Now().UTC(), Streams: []artifactstore.StreamInfo{}, Files: []artifactstore.FileInfo{}}
 	if end == nil {
-		m.Partial, m.Exit = true, keeper.Exit{Reason: "never sealed"}
+		m.Partial, m.Exit = true, artifactstore.Exit{Reason: "never sealed"}
 		for _, path := range slices.Sorted(maps.Keys(files)) {
-			m.Files = append(m.Files, keeper.FileInfo{Path: path, Digest: slices.Min(slices.Collect(maps.Keys(files[path])))})
+			m.Files = append(m.Files, artifactstore.FileInfo{Path: path, Digest: slices.Min(slices.Collect(maps.Keys(files[path])))})
 		}
 	} else {
 		m.Exit = end.Exit
 		for stream, want := range end.Records {
 			if have := most[stream].Next; have != want {
-				return nil, fmt.Errorf("%w: %w", keeper.ErrNotWhole, &keeper.GapError{Stream: stream, Want: have, Have: want})
+				return nil, fmt.Errorf("%w: %w", artifactstore.ErrNotWhole, &artifactstore.GapError{Stream: stream, Want: have, Have: want})
 			}
 		}
 		for stream := range most {
 			if _, said := end.Records[stream]; !said {
-				return nil, fmt.Errorf("%w: nothing was said of stream %s", keeper.ErrNotWhole, stream)
+				return nil, fmt.Errorf("%w: nothing was said of stream %s", artifactstore.ErrNotWhole, stream)
 			}
 		}
 		for path := range files {
 			if _, said := end.Files[path]; !said {
-				return nil, fmt.Errorf("%w: nothing was said of file %s", keeper.ErrNotWhole, path)
+				return nil, fmt.Errorf("%w: nothing was said of file %s", artifactstore.ErrNotWhole, path)
 			}
 		}
 		for _, path := range slices.Sorted(maps.Keys(end.Files)) {
 			if !files[path][end.Files[path]] {
-				return nil, fmt.Errorf("%w: file %s is not here", keeper.ErrNotWhole, path)
+				return nil, fmt.Errorf("%w: file %s is not here", artifactstore.ErrNotWhole, path)
 			}
-			m.Files = append(m.Files, keeper.FileInfo{Path: path, Digest: end.Files[path]})
+			m.Files = append(m.Files, artifactstore.FileInfo{Path: path, Digest: end.Files[path]})
 		}
 	}
 	for _, stream := range slices.Sorted(maps.Keys(most)) {
 		var content []byte
 		x := most[stream]
-		next, _, err := n.peers[at[stream]].read(ctx, c.Attempt, stream, 0, false, func(r keeper.Record) error {
-			content = keeper.AppendRecord(content, r)
+		next, _, err := n.peers[at[stream]].read(ctx, c.Attempt, stream, 0, false, func(r artifactstore.Record) error {
+			content = artifactstore.AppendRecord(content, r)
 			return nil
 		})
 		if err == nil && next != x.Next {
-			err = fmt.Errorf("%w: stream %s", keeper.ErrNotWhole, stream)
+			err = fmt.Errorf("%w: stream %s", artifactstore.ErrNotWhole, stream)
 		}
 		if err != nil {
 			return nil, err
@@ -261,7 +261,7 @@
 		if err != nil {
 			return nil, err
 		}
-		m.Streams = append(m.Streams, keeper.StreamInfo{Name: stream, Records: x.Next, Bytes: x.Bytes, Lost: x.Lost, Blob: d, Digest: d.String()})
+		m.Streams = append(m.Streams, artifactstore.StreamInfo{Name: stream, Records: x.Next, Bytes: x.Bytes, Lost: x.Lost, Blob: d, Digest: d.String()})
 	}
 	return m.Sign(n.opt.Key), nil
 }
--- a/internal/keepers/front.go
+++ b/internal/artifactreplication/front.go
@@ -1,4 +1,4 @@
-package keepers
+package artifactreplication
 
 import (
 	"encoding/hex"
@@ -13,8 +13,8 @@
 
 	"golang.org/x/time/rate"
 
+	"topazhollow/internal/artifactstore"
 	"topazhollow/internal/blob"
-	"topazhollow/internal/keeper"
 )
 
 // Options are a node's choices.
@@ -22,7 +22,7 @@
 	Name     string // the own one among Members
 	Dir      string // for what it must know of itself across starts
 	Members  Members
-	Keeper   *keeper.Keeper
+	Keeper   *artifactstore.Keeper
 	Blobs    *blob.Store
 	Key      []byte
 	Patience time.Duration // for another keeper's answer; 5 s if 0
@@ -37,7 +37,7 @@
 // Node is one keeper among several. Whichever is asked answers for all of them.
 type Node struct {
 	opt    Options
-	keeper *keeper.Keeper
+	keeper *artifactstore.Keeper
 	blobs  *blob.Store
 	peers  map[string]replica // all that are not gone, the own one too
 	start  string             // names this process in ballots
--- a/internal/keepers/group_test.go
+++ b/internal/artifactreplication/group_test.go
@@ -1,4 +1,4 @@
-package keepers
+package artifactreplication
 
 import (
 	"bytes"
@@ -18,8 +18,8 @@
 	"testing"
 	"time"
 
+	"topazhollow/internal/artifactstore"
 	"topazhollow/internal/blob"
-	"topazhollow/internal/keeper"
 )
 
 // group is several keepers on loopback, of which each can be away, come back with its
@@ -34,7 +34,7 @@
 // one is a keeper of a group. Its address outlives it.
 type one struct {
 	*Node
-	k    *keeper.Keeper
+	k    *artifactstore.Keeper
 	b    *blob.Store
 	srv  *httptest.Server
 	h    atomic.Pointer[http.Handler] // nil: away
@@ -86,7 +86,7 @@
 	if err != nil {
 		g.t.Fatal(err)
 	}
-	if o.k, err = keeper.Open(keeper.Options{Dir: filepath.Join(dir, "log"), Blobs: o.b, Key: key}); err != nil {
+	if o.k, err = artifactstore.Open(artifactstore.Options{Dir: filepath.Join(dir, "log"), Blobs: o.b, Key: key}); err != nil {
 		g.t.Fatal(err)
 	}
 	m := g.members
@@ -152,7 +152,7 @@
 }
 
 // run plays an attempt of a task to its seal, at one front.
-func run(t *testing.T, n *Node, c keeper.Claim, records int, completed bool) (final bool) {
+func run(t *testing.T, n *Node, c artifactstore.Claim, records int, completed bool) (final bool) {
 	t.Helper()
 	if err := n.Begin(ctx, c); err != nil {
 		t.Fatal(err)
@@ -176,10 +176,10 @@
 }
 
 // whole checks that a front shows an attempt's output and file as run made them.
-func whole(t *testing.T, n *Node, c keeper.Claim, records int, state string) {
+func whole(t *testing.T, n *Node, c artifactstore.Claim, records int, state string) {
 	t.Helper()
 	got, i := 0, uint64(0)
-	next, st, err := n.Read(ctx, c.Attempt, "stdout", 0, false, func(k uint64, r keeper.Record) error {
+	next, st, err := n.Read(ctx, c.Attempt, "stdout", 0, false, func(k uint64, r artifactstore.Record) error {
 		if k != i || string(r.Data) != fmt.Sprintf("attempt %d %d", c.Number, k) {
 			return fmt.Errorf("record %d is %d: %q", i, k, r.Data)
 		}
@@ -224,7 +224,7 @@
 		for _, name := range g.names() {
 			if o := g.keepers[name]; o.k != nil && o.h.Load() != nil {
 				for i, records := range all {
-					whole(t, o.Node, claim(1, i, 1), records, keeper.StateFinal)
+					whole(t, o.Node, claim(1, i, 1), records, artifactstore.StateFinal)
 				}
 			}
 		}
@@ -278,8 +278,8 @@
 	if err := n.Begin(ctx, claim(1, 999, 1)); !errors.Is(err, ErrTooFew) {
 		t.Errorf("alone: %v", err)
 	}
-	whole(t, n, claim(1, 0, 1), 5, keeper.StateFinal) // what was decided stays so
-	g.back("a")                                       // two gone and back
+	whole(t, n, claim(1, 0, 1), 5, artifactstore.StateFinal) // what was decided stays so
+	g.back("a")                                              // two gone and back
 	g.back("b")
 	one(n)
 	check()
@@ -305,7 +305,7 @@
 		t.Fatal(err)
 	}
 	defer b.Close()
-	k, err := keeper.Open(keeper.Options{Dir: filepath.Join(dir, "log"), Blobs: b, Key: key})
+	k, err := artifactstore.Open(artifactstore.Options{Dir: filepath.Join(dir, "log"), Blobs: b, Key: key})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -318,13 +318,13 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	fill := func(c keeper.Claim) (records uint64) {
+	fill := func(c artifactstore.Claim) (records uint64) {
 		t.Helper()
 		if err := n.Begin(ctx, c); err != nil {
 			t.Fatal(err)
 		}
 		for {
-			_, err := n.Append(ctx, c, "stdout", records, []keeper.Record{{Data: bytes.Repeat([]byte{byte(records)}, 1000)}})
+			_, err := n.Append(ctx, c, "stdout", records, []artifactstore.Record{{Data: bytes.Repeat([]byte{byte(records)}, 1000)}})
 			var full *blob.FullError
 			if errors.As(err, &full) && full.Retry > 0 {
 				return records
@@ -377,7 +377,7 @@
 		days      int
 		over      bool
 	}{{"", true, 2, false}, {"", true, 4, true}, {"", false, 2, true}, {"grades", false, 1000, false}} {
-		m := &keeper.Manifest{Claim: keeper.Claim{Class: x.class}, Exit: keeper.Exit{Completed: x.completed}, Sealed: now.AddDate(0, 0, -x.days)}
+		m := &artifactstore.Manifest{Claim: artifactstore.Claim{Class: x.class}, Exit: artifactstore.Exit{Completed: x.completed}, Sealed: now.AddDate(0, 0, -x.days)}
 		if got := r.Over(now)(m); got != x.over {
 			t.Errorf("%+v: over %v", x, got)
 		}
@@ -406,7 +406,7 @@
 				defer wg.Done()
 				var err error
 				for range 20 { // as a worker does
-					if _, finals[i], err = n.Seal(ctx, c, keeper.End{Exit: keeper.Exit{Completed: true}}); err == nil {
+					if _, finals[i], err = n.Seal(ctx, c, artifactstore.End{Exit: artifactstore.Exit{Completed: true}}); err == nil {
 						return
 					}
 				}
@@ -463,7 +463,7 @@
 		t.Fatal(err)
 	}
 	for _, name := range g.names() {
-		if _, err := g.keepers[name].Append(ctx, c, "stdout", 12, lines(12, 1, "late")); !errors.Is(err, keeper.ErrSealed) {
+		if _, err := g.keepers[name].Append(ctx, c, "stdout", 12, lines(12, 1, "late")); !errors.Is(err, artifactstore.ErrSealed) {
 			t.Errorf("late at %s: %v", name, err)
 		}
 		if got := text(t, g.keepers[name].Node, c.Attempt, "stdout"); len(got) != 12 || got[11] != "attempt 1 11" {
@@ -478,7 +478,9 @@
 func TestLeftHalfway(t *testing.T) {
 	g := newGroup(t, "a", "b", "c")
 	n := g.keepers["a"].Node
-	ballot := func() keeper.Ballot { return keeper.Ballot{Round: n.round.Add(1), By: "a front that ended"} }
+	ballot := func() artifactstore.Ballot {
+		return artifactstore.Ballot{Round: n.round.Add(1), By: "a front that ended"}
+	}
 	for task, step := range []string{"prepared", "accepted by one", "accepted by two"} {
 		c := claim(1, task, 1)
 		if err := n.Begin(ctx, c); err != nil {
@@ -496,7 +498,7 @@
 			}
 			promises = append(promises, reply{name, a, nil})
 		}
-		value, err := n.gather(ctx, c, &keeper.End{Exit: keeper.Exit{Completed: true}, Records: map[string]uint64{"stdout": 3}}, promises)
+		value, err := n.gather(ctx, c, &artifactstore.End{Exit: artifactstore.Exit{Completed: true}, Records: map[string]uint64{"stdout": 3}}, promises)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -520,7 +522,7 @@
 		default:
 			// What a majority may have decided is decided by whoever asks.
 			_, state, err := g.keepers["c"].Manifest(ctx, c.Job, c.Task, 1)
-			if step == "accepted by two" && (err != nil || state != keeper.StateFinal) { // never "sealed" first
+			if step == "accepted by two" && (err != nil || state != artifactstore.StateFinal) { // never "sealed" first
 				t.Fatalf("%s: %s, %v", step, state, err)
 			}
 			if step == "accepted by one" {
@@ -530,7 +532,7 @@
 			}
 			g.repair()
 			g.repair()
-			if _, state, err = n.Manifest(ctx, c.Job, c.Task, 0); err != nil || state != keeper.StateFinal {
+			if _, state, err = n.Manifest(ctx, c.Job, c.Task, 0); err != nil || state != artifactstore.StateFinal {
 				t.Fatalf("%s: %s, %v", step, state, err)
 			}
 		}
@@ -595,7 +597,7 @@
 			t.Errorf("%s: %+v", name, n.Status())
 		}
 		for task := range 12 {
-			whole(t, n, claim(1, task, 1), 4, keeper.StateFinal)
+			whole(t, n, claim(1, task, 1), 4, artifactstore.StateFinal)
 		}
 		if got := text(t, n, open.Attempt, "stdout"); len(got) != 4 {
 			t.Errorf("%s has %q of the open attempt", name, got)
@@ -641,7 +643,7 @@
 	if err != nil || found.Bad != 1 || found.Repaired != 1 {
 		t.Fatalf("%+v %v", found, err)
 	}
-	whole(t, g.keepers["a"].Node, c, 2, keeper.StateFinal)
+	whole(t, g.keepers["a"].Node, c, 2, artifactstore.StateFinal)
 }
 
 // TestPlan: what the fewest others have comes first, of those what was noticed first.
--- a/internal/keepers/handover.go
+++ b/internal/artifactreplication/handover.go
@@ -1,25 +1,25 @@
-package keepers
+package artifactreplication
 
 import (
 	"context"
 	"errors"
 	"slices"
 
+	"topazhollow/internal/artifactstore"
 	"topazhollow/internal/blob"
-	"topazhollow/internal/keeper"
-	"topazhollow/internal/wire"
+	"topazhollow/internal/protocol"
 )
 
 // handOver lets go of what does not belong here once all of its keepers have it.
 func (n *Node) handOver(ctx context.Context) error {
-	tasks := map[keeper.Attempt]bool{}
+	tasks := map[artifactstore.Attempt]bool{}
 	for _, m := range n.opt.Members.List {
 		if m.State != Serving || m.Name == n.opt.Name {
 			continue
 		}
-		if err := n.each(m.Name, func(_ string, at keeper.Attempt, stray bool) {
+		if err := n.each(m.Name, func(_ string, at artifactstore.Attempt, stray bool) {
 			if stray {
-				tasks[keeper.Attempt{Job: at.Job, Task: at.Task}] = true
+				tasks[artifactstore.Attempt{Job: at.Job, Task: at.Task}] = true
 			}
 		}); err != nil {
 			return err
@@ -66,12 +66,12 @@
 }
 
 // covers says whether a keeper has all that another has of a task.
-func covers(theirs, mine *keeper.TaskView) bool {
+func covers(theirs, mine *artifactstore.TaskView) bool {
 	if mine.Result != nil && (theirs.Result == nil || *theirs.Result != *mine.Result) {
 		return false
 	}
 	for _, v := range mine.Attempts {
-		i := slices.IndexFunc(theirs.Attempts, func(t keeper.View) bool { return t.Number == v.Number })
+		i := slices.IndexFunc(theirs.Attempts, func(t artifactstore.View) bool { return t.Number == v.Number })
 		if i < 0 {
 			return false
 		}
@@ -101,7 +101,7 @@
 // result.
 func (n *Node) seeThrough(ctx context.Context) error {
 	var errs []error
-	seen := map[keeper.Attempt]bool{}
+	seen := map[artifactstore.Attempt]bool{}
 	for at, v := range n.keeper.Votes() {
 		if v.Value == nil {
 			continue
@@ -115,7 +115,7 @@
 	for _, at := range n.keeper.Unsettled() {
 		m, err := n.keeper.Ended(at)
 		if err == nil && n.opt.Members.Here(n.opt.Name, at.Job, at.Task) {
-			_, err = n.settle(ctx, m.Claim, blob.Of(wire.Encode(m)).String())
+			_, err = n.settle(ctx, m.Claim, blob.Of(protocol.Encode(m)).String())
 		}
 		if err == nil {
 			err = n.keeper.Settled(ctx, at)
--- a/internal/keepers/known.go
+++ b/internal/artifactreplication/known.go
@@ -1,4 +1,4 @@
-package keepers
+package artifactreplication
 
 import (
 	"context"
@@ -7,20 +7,20 @@
 	"maps"
 	"slices"
 
+	"topazhollow/internal/artifactstore"
 	"topazhollow/internal/blob"
-	"topazhollow/internal/keeper"
 )
 
 // view is what all keepers together know of a task.
 type view struct {
 	attempts []merged
-	result   *keeper.Result
+	result   *artifactstore.Result
 	sure     bool // a majority answered
 }
 
 // merged is an attempt as several keepers have it.
 type merged struct {
-	keeper.View
+	artifactstore.View
 	next  map[string]map[string]uint64 // of open ones: by stream and keeper
 	voted bool
 }
@@ -28,7 +28,7 @@
 // task asks a task's keepers what they have. What one of them accepted and nobody knows
 // to be decided is resolved first, so that what is told of stays true.
 func (n *Node) task(ctx context.Context, job string, task int) (_ *view, err error) {
-	at := keeper.Attempt{Job: job, Task: task}
+	at := artifactstore.Attempt{Job: job, Task: task}
 	names := n.opt.Members.Place(job, task)
 	for try := 0; ; try++ {
 		got, failed := n.ask(ctx, names, majority(len(names)), func(ctx context.Context, _ string, r replica) (*answer, error) {
@@ -69,7 +69,7 @@
 
 // merge puts together what keepers have, and lists the registers that may be decided
 // without one of them knowing.
-func (v *view) merge(got []reply) (voted []keeper.Attempt) {
+func (v *view) merge(got []reply) (voted []artifactstore.Attempt) {
 	by := map[uint64]*merged{}
 	resultVoted := false
 	for _, r := range got {
@@ -80,7 +80,7 @@
 		for _, a := range r.Task.Attempts {
 			m := by[a.Number]
 			if m == nil {
-				m = &merged{View: keeper.View{Claim: keeper.Claim{Attempt: a.Attempt}, Idle: a.Idle}, next: map[string]map[string]uint64{}}
+				m = &merged{View: artifactstore.View{Claim: artifactstore.Claim{Attempt: a.Attempt}, Idle: a.Idle}, next: map[string]map[string]uint64{}}
 				by[a.Number] = m
 			}
 			if m.Machine == "" && a.Machine != "" {
@@ -107,7 +107,7 @@
 		v.attempts = append(v.attempts, *m)
 	}
 	if v.result == nil && resultVoted {
-		voted = append(voted, keeper.Attempt{})
+		voted = append(voted, artifactstore.Attempt{})
 	}
 	return voted
 }
@@ -131,31 +131,31 @@
 	return nil
 }
 
-// state is what an attempt is, as keeper.Line has it.
+// state is what an attempt is, as artifactstore.Line has it.
 func (v *view) state(m *merged) string {
 	switch {
 	case v.result != nil && v.result.Number == m.Number:
-		return keeper.StateFinal
+		return artifactstore.StateFinal
 	case m.Ended != "" && m.Partial:
-		return keeper.StatePartial
+		return artifactstore.StatePartial
 	case !v.sure:
-		return keeper.StateUnsure
+		return artifactstore.StateUnsure
 	case m.Ended != "":
-		return keeper.StateSealed
+		return artifactstore.StateSealed
 	}
-	return keeper.StateGoesOn
+	return artifactstore.StateGoesOn
 }
 
 // Attempts lists a task's attempts in their order. sure says whether enough keepers
 // answered for all that was ever acknowledged to be in it.
-func (n *Node) Attempts(ctx context.Context, job string, task int) (list []keeper.Known, sure bool, err error) {
+func (n *Node) Attempts(ctx context.Context, job string, task int) (list []artifactstore.Known, sure bool, err error) {
 	v, err := n.task(ctx, job, task)
 	if err != nil {
 		return nil, false, err
 	}
 	for i := range v.attempts {
 		m := &v.attempts[i]
-		list = append(list, keeper.Known{Attempt: m.Attempt, Machine: m.Machine, State: v.state(m), Exit: m.Exit})
+		list = append(list, artifactstore.Known{Attempt: m.Attempt, Machine: m.Machine, State: v.state(m), Exit: m.Exit})
 	}
 	return list, v.sure, nil
 }
@@ -181,24 +181,24 @@
 	case !v.sure:
 		return nil, nil, ErrTooFew
 	}
-	return nil, nil, keeper.ErrUnknown
+	return nil, nil, artifactstore.ErrUnknown
 }
 
 // Manifest gives the manifest of an attempt that has ended, and its state; for number 0
 // the final one's, else the latest's.
-func (n *Node) Manifest(ctx context.Context, job string, task int, number uint64) (*keeper.Manifest, string, error) {
+func (n *Node) Manifest(ctx context.Context, job string, task int, number uint64) (*artifactstore.Manifest, string, error) {
 	v, m, err := n.choose(ctx, job, task, number)
 	if err != nil {
 		return nil, "", err
 	}
 	if m.Ended == "" {
-		return nil, "", fmt.Errorf("%w: attempt %d has not ended", keeper.ErrUnknown, m.Number)
+		return nil, "", fmt.Errorf("%w: attempt %d has not ended", artifactstore.ErrUnknown, m.Number)
 	}
 	man, err := n.manifest(ctx, m)
 	return man, v.state(m), err
 }
 
-func (n *Node) manifest(ctx context.Context, m *merged) (*keeper.Manifest, error) {
+func (n *Node) manifest(ctx context.Context, m *merged) (*artifactstore.Manifest, error) {
 	d, err := blob.Parse(m.Ended)
 	if err != nil {
 		return nil, err
@@ -207,7 +207,7 @@
 	if err != nil {
 		return nil, err
 	}
-	return keeper.Verify(n.opt.Key, b)
+	return artifactstore.Verify(n.opt.Key, b)
 }
 
 // whole reads a blob of a task from whoever has it.
@@ -229,7 +229,7 @@
 func (n *Node) Tasks(ctx context.Context, job string) (list []int, sure bool, err error) {
 	names := slices.Sorted(maps.Keys(n.peers))
 	got, failed := n.ask(ctx, names, len(names), func(ctx context.Context, _ string, r replica) (*answer, error) {
-		return r.do(ctx, &call{Op: "tasks", Attempt: keeper.Attempt{Job: job}})
+		return r.do(ctx, &call{Op: "tasks", Attempt: artifactstore.Attempt{Job: job}})
 	})
 	if len(got) == 0 {
 		return nil, false, reason(failed)
--- a/internal/keepers/members.go
+++ b/internal/artifactreplication/members.go
@@ -1,7 +1,7 @@
-// Package keepers makes several keepers one: it places tasks on them, has what
+// Package artifactreplication makes several keepers one: it places tasks on them, has what
 // workers put out acknowledged by enough of them, decides what must be decided once, and
 // repairs what one of them lacks. docs/keeper.md says what is promised.
-package keepers
+package artifactreplication
 
 import (
 	"cmp"
@@ -18,8 +18,8 @@
 
 	"github.com/cespare/xxhash/v2"
 
+	"topazhollow/internal/protocol"
 	"topazhollow/internal/wal"
-	"topazhollow/internal/wire"
 )
 
 // State is what the settings say of a keeper.
@@ -128,7 +128,7 @@
 
 // digest tells lists of the same epoch apart.
 func (m *Members) digest() string {
-	return fmt.Sprintf("%d.%016x", m.Epoch, xxhash.Sum64(wire.Encode(m)))
+	return fmt.Sprintf("%d.%016x", m.Epoch, xxhash.Sum64(protocol.Encode(m)))
 }
 
 // identity is what a keeper knows of itself across starts. A keeper whose directory
@@ -202,7 +202,7 @@
 	if err != nil {
 		return err
 	}
-	_, err = f.Write(wire.Encode(id))
+	_, err = f.Write(protocol.Encode(id))
 	if err = errors.Join(err, f.Sync(), f.Close()); err != nil {
 		return err
 	}
--- a/internal/keepers/one_test.go
+++ b/internal/artifactreplication/one_test.go
@@ -1,4 +1,4 @@
-package keepers
+package artifactreplication
 
 import (
 	"bytes"
@@ -17,8 +17,8 @@
 	"testing"
 	"time"
 
+	"topazhollow/internal/artifactstore"
 	"topazhollow/internal/blob"
-	"topazhollow/internal/keeper"
 )
 
 var (
@@ -27,17 +27,17 @@
 )
 
 // alone opens a keeper that is the only one.
-func alone(t *testing.T, dir string, step func(string), tune ...func(*keeper.Options)) (*Node, *blob.Store) {
+func alone(t *testing.T, dir string, step func(string), tune ...func(*artifactstore.Options)) (*Node, *blob.Store) {
 	t.Helper()
 	b, err := blob.Open(blob.Options{Dir: filepath.Join(dir, "blobs"), Step: step, Inline: 500})
 	if err != nil {
 		t.Fatal(err)
 	}
-	opt := keeper.Options{Dir: filepath.Join(dir, "log"), Blobs: b, Key: key, Step: step}
+	opt := artifactstore.Options{Dir: filepath.Join(dir, "log"), Blobs: b, Key: key, Step: step}
 	for _, f := range tune {
 		f(&opt)
 	}
-	k, err := keeper.Open(opt)
+	k, err := artifactstore.Open(opt)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -54,26 +54,26 @@
 }
 
 // end is what a worker says when it seals.
-func end(completed bool, stdout uint64, files map[string]string) keeper.End {
-	return keeper.End{Exit: keeper.Exit{Completed: completed}, Records: map[string]uint64{"stdout": stdout}, Files: files}
+func end(completed bool, stdout uint64, files map[string]string) artifactstore.End {
+	return artifactstore.End{Exit: artifactstore.Exit{Completed: completed}, Records: map[string]uint64{"stdout": stdout}, Files: files}
 }
 
-func claim(job, task int, number uint64) keeper.Claim {
-	return keeper.Claim{Attempt: keeper.Attempt{Job: fmt.Sprintf("job-%06d", job), Task: task, Number: number}, Tenant: "red", Machine: fmt.Sprint("m", number), Session: 1}
+func claim(job, task int, number uint64) artifactstore.Claim {
+	return artifactstore.Claim{Attempt: artifactstore.Attempt{Job: fmt.Sprintf("job-%06d", job), Task: task, Number: number}, Tenant: "red", Machine: fmt.Sprint("m", number), Session: 1}
 }
 
-func lines(from, n int, text string) (list []keeper.Record) {
+func lines(from, n int, text string) (list []artifactstore.Record) {
 	for i := range n {
-		list = append(list, keeper.Record{At: time.UnixMilli(int64(from + i)), Data: fmt.Appendf(nil, "%s %d", text, from+i)})
+		list = append(list, artifactstore.Record{At: time.UnixMilli(int64(from + i)), Data: fmt.Appendf(nil, "%s %d", text, from+i)})
 	}
 	return list
 }
 
 // text reads a whole stream.
-func text(t *testing.T, k *Node, at keeper.Attempt, stream string) []string {
+func text(t *testing.T, k *Node, at artifactstore.Attempt, stream string) []string {
 	t.Helper()
 	var list []string
-	if _, _, err := k.Read(ctx, at, stream, 0, false, func(_ uint64, r keeper.Record) error {
+	if _, _, err := k.Read(ctx, at, stream, 0, false, func(_ uint64, r artifactstore.Record) error {
 		if r.Hole != nil {
 			list = append(list, fmt.Sprint("hole ", r.Hole.Bytes))
 		} else {
@@ -101,22 +101,22 @@
 		gap   bool
 	}{{0, 3, 3, false}, {0, 3, 3, false}, {1, 4, 5, false}, {7, 1, 5, true}, {5, 1, 6, false}} {
 		next, err := k.Append(ctx, c, "stdout", x.first, lines(int(x.first), x.n, "line"))
-		var gap *keeper.GapError
+		var gap *artifactstore.GapError
 		if next != x.next || errors.As(err, &gap) != x.gap || (gap != nil && gap.Want != 5) || (gap == nil && err != nil) {
 			t.Fatalf("%+v: next %d, %v", x, next, err)
 		}
 	}
-	if _, err := k.Append(ctx, c, "stdout", 6, []keeper.Record{{Hole: &keeper.Hole{Bytes: 77}}}); err != nil {
+	if _, err := k.Append(ctx, c, "stdout", 6, []artifactstore.Record{{Hole: &artifactstore.Hole{Bytes: 77}}}); err != nil {
 		t.Fatal(err)
 	}
 	want := []string{"line 0", "line 1", "line 2", "line 3", "line 4", "line 5", "hole 77"}
 	if got := text(t, k, c.Attempt, "stdout"); !equal(got, want) {
 		t.Fatalf("%q", got)
 	}
-	if _, _, err := k.Seal(ctx, c, end(true, 8, nil)); !errors.Is(err, keeper.ErrNotWhole) {
+	if _, _, err := k.Seal(ctx, c, end(true, 8, nil)); !errors.Is(err, artifactstore.ErrNotWhole) {
 		t.Fatalf("sealed without the last record: %v", err)
 	}
-	if _, _, err := k.Seal(ctx, c, keeper.End{Exit: keeper.Exit{Completed: true}}); !errors.Is(err, keeper.ErrNotWhole) {
+	if _, _, err := k.Seal(ctx, c, artifactstore.End{Exit: artifactstore.Exit{Completed: true}}); !errors.Is(err, artifactstore.ErrNotWhole) {
 		t.Fatalf("sealed without a word of a stream: %v", err)
 	}
 	m, final, err := k.Seal(ctx, c, end(true, 7, nil))
@@ -126,10 +126,10 @@
 	if got := text(t, k, c.Attempt, "stdout"); !equal(got, want) {
 		t.Fatalf("sealed: %q", got)
 	}
-	if _, err := k.Append(ctx, c, "stdout", 7, lines(7, 1, "late")); !errors.Is(err, keeper.ErrSealed) {
+	if _, err := k.Append(ctx, c, "stdout", 7, lines(7, 1, "late")); !errors.Is(err, artifactstore.ErrSealed) {
 		t.Fatalf("an append minutes late: %v", err)
 	}
-	if again, final, err := k.Seal(ctx, c, keeper.End{}); err != nil || !final || again.Code != m.Code {
+	if again, final, err := k.Seal(ctx, c, artifactstore.End{}); err != nil || !final || again.Code != m.Code {
 		t.Fatalf("sealed again: %v", err)
 	}
 }
@@ -142,13 +142,13 @@
 func TestOneFinal(t *testing.T) {
 	dir := t.TempDir()
 	k, b := alone(t, dir, nil)
-	seal := func(c keeper.Claim, completed, want bool) {
+	seal := func(c artifactstore.Claim, completed, want bool) {
 		t.Helper()
 		if _, final, err := k.Seal(ctx, c, end(completed, 1, map[string]string{"out/grades.bin": blob.Of([]byte(fmt.Sprint("file of ", c.Number))).String()})); err != nil || final != want {
 			t.Fatalf("attempt %d: final %v, %v", c.Number, final, err)
 		}
 	}
-	begin := func(c keeper.Claim) {
+	begin := func(c artifactstore.Claim) {
 		t.Helper()
 		if err := k.Begin(ctx, c); err != nil {
 			t.Fatal(err)
@@ -178,7 +178,7 @@
 	b.Close()
 	k, b = alone(t, dir, nil)
 	m, state, err := k.Manifest(ctx, "job-000001", 0, 0)
-	if err != nil || state != keeper.StateFinal || m.Number != 60 || m.Files[0].Path != "out/grades.bin" {
+	if err != nil || state != artifactstore.StateFinal || m.Number != 60 || m.Files[0].Path != "out/grades.bin" {
 		t.Fatalf("%+v %v", m, err)
 	}
 	list, _, err := k.Attempts(ctx, "job-000001", 0)
@@ -188,11 +188,11 @@
 	for i, a := range list {
 		n := uint64(i+1) * 10
 		sealed := n != 30 && n != 40
-		want := keeper.StateSealed
+		want := artifactstore.StateSealed
 		if n == 60 {
-			want = keeper.StateFinal
+			want = artifactstore.StateFinal
 		} else if !sealed {
-			want = keeper.StateGoesOn
+			want = artifactstore.StateGoesOn
 		}
 		if a.Number != n || a.State != want {
 			t.Errorf("%+v", a)
@@ -225,13 +225,13 @@
 	if n, err := k.Shelve(ctx, -time.Hour); err != nil || n != 2 {
 		t.Fatalf("%d shelved, %v", n, err)
 	}
-	if _, _, err := k.Seal(ctx, claim(1, 0, 30), end(true, 1, nil)); !errors.Is(err, keeper.ErrSealed) {
+	if _, _, err := k.Seal(ctx, claim(1, 0, 30), end(true, 1, nil)); !errors.Is(err, artifactstore.ErrSealed) {
 		t.Error("a shelved attempt was sealed")
 	}
 	if got := text(t, k, claim(1, 0, 30).Attempt, "stdout"); !equal(got, []string{"attempt 30 0"}) {
 		t.Errorf("shelved: %q", got)
 	}
-	if list, _, err := k.Attempts(ctx, "job-000001", 0); err != nil || len(list) != 7 || list[2].State != keeper.StatePartial {
+	if list, _, err := k.Attempts(ctx, "job-000001", 0); err != nil || len(list) != 7 || list[2].State != artifactstore.StatePartial {
 		t.Errorf("%+v %v", list, err)
 	}
 }
@@ -249,31 +249,31 @@
 		t.Fatal(err)
 	}
 	for _, path := range []string{"", "/etc/passwd", "../up", "a/../../b", "a//b", "./a", "a/.", `a\b`, "a\x00b", "a\nb", strings.Repeat("a", 10000), "\xff"} {
-		if err := k.Attach(ctx, c, path, d); !errors.Is(err, keeper.ErrName) {
+		if err := k.Attach(ctx, c, path, d); !errors.Is(err, artifactstore.ErrName) {
 			t.Errorf("path %.20q: %v", path, err)
 		}
 	}
 	for _, name := range []string{"", "a/b", "..", ".x", strings.Repeat("a", 65), "ä"} {
-		if _, err := k.Append(ctx, c, name, 0, lines(0, 1, "x")); !errors.Is(err, keeper.ErrName) {
+		if _, err := k.Append(ctx, c, name, 0, lines(0, 1, "x")); !errors.Is(err, artifactstore.ErrName) {
 			t.Errorf("stream %.20q: %v", name, err)
 		}
 	}
 	old, foreign := c, c
 	old.Session, foreign.Machine = 0, "other"
-	for _, x := range []keeper.Claim{old, foreign} {
-		if _, err := k.Append(ctx, x, "stdout", 0, lines(0, 1, "x")); !errors.Is(err, keeper.ErrClaim) {
+	for _, x := range []artifactstore.Claim{old, foreign} {
+		if _, err := k.Append(ctx, x, "stdout", 0, lines(0, 1, "x")); !errors.Is(err, artifactstore.ErrClaim) {
 			t.Errorf("%+v: %v", x, err)
 		}
-		if err := k.Begin(ctx, x); !errors.Is(err, keeper.ErrClaim) {
+		if err := k.Begin(ctx, x); !errors.Is(err, artifactstore.ErrClaim) {
 			t.Errorf("%+v: %v", x, err)
 		}
 	}
-	for _, x := range []keeper.Attempt{{Job: "nobody", Number: 1}, {Job: "job-000001", Task: -1, Number: 1}, {Job: "job-000001"}} {
-		if err := k.Begin(ctx, keeper.Claim{Attempt: x, Tenant: "red", Machine: "m"}); !errors.Is(err, keeper.ErrName) {
+	for _, x := range []artifactstore.Attempt{{Job: "nobody", Number: 1}, {Job: "job-000001", Task: -1, Number: 1}, {Job: "job-000001"}} {
+		if err := k.Begin(ctx, artifactstore.Claim{Attempt: x, Tenant: "red", Machine: "m"}); !errors.Is(err, artifactstore.ErrName) {
 			t.Errorf("%+v: %v", x, err)
 		}
 	}
-	if _, err := k.Append(ctx, c, "stdout", 0, []keeper.Record{{Data: make([]byte, 1<<20)}}); !errors.Is(err, keeper.ErrTooMuch) {
+	if _, err := k.Append(ctx, c, "stdout", 0, []artifactstore.Record{{Data: make([]byte, 1<<20)}}); !errors.Is(err, artifactstore.ErrTooMuch) {
 		t.Errorf("a record of a megabyte: %v", err)
 	}
 	if err := k.Attach(ctx, c, "a", blob.Of([]byte("not here"))); !errors.Is(err, blob.ErrNotFound) {
@@ -284,20 +284,20 @@
 			t.Fatal(err)
 		}
 	}
-	if _, err := k.Append(ctx, c, "one-more", 0, lines(0, 1, "x")); !errors.Is(err, keeper.ErrTooMuch) {
+	if _, err := k.Append(ctx, c, "one-more", 0, lines(0, 1, "x")); !errors.Is(err, artifactstore.ErrTooMuch) {
 		t.Errorf("a seventeenth stream: %v", err)
 	}
-	m := &keeper.Manifest{Claim: c, Exit: keeper.Exit{Completed: true}}
+	m := &artifactstore.Manifest{Claim: c, Exit: artifactstore.Exit{Completed: true}}
 	data := m.Sign(key)
-	if _, err := keeper.Verify(key, data); err != nil {
+	if _, err := artifactstore.Verify(key, data); err != nil {
 		t.Fatal(err)
 	}
 	for _, bad := range [][]byte{bytes.Replace(data, []byte(`"m1"`), []byte(`"m2"`), 1), data[:len(data)-1], []byte("{}")} {
-		if _, err := keeper.Verify(key, bad); !errors.Is(err, keeper.ErrForged) {
+		if _, err := artifactstore.Verify(key, bad); !errors.Is(err, artifactstore.ErrForged) {
 			t.Errorf("%.60q: %v", bad, err)
 		}
 	}
-	if _, err := keeper.Verify([]byte("another key 0000"), data); !errors.Is(err, keeper.ErrForged) {
+	if _, err := artifactstore.Verify([]byte("another key 0000"), data); !errors.Is(err, artifactstore.ErrForged) {
 		t.Errorf("with another key: %v", err)
 	}
 }
@@ -306,7 +306,7 @@
 // find what was moved.
 func TestTrim(t *testing.T) {
 	dir := t.TempDir()
-	short := func(o *keeper.Options) { o.Segment = 4000 }
+	short := func(o *artifactstore.Options) { o.Segment = 4000 }
 	n, b := alone(t, dir, nil, short)
 	long := claim(9, 0, 1)
 	if err := n.Begin(ctx, long); err != nil {
@@ -360,7 +360,7 @@
 	got := make(chan []string)
 	go func() {
 		var list []string
-		if _, state, err := k.Read(ctx, c.Attempt, "stdout", 0, true, func(_ uint64, r keeper.Record) error { list = append(list, string(r.Data)); return nil }); err != nil || state != keeper.StateSealed {
+		if _, state, err := k.Read(ctx, c.Attempt, "stdout", 0, true, func(_ uint64, r artifactstore.Record) error { list = append(list, string(r.Data)); return nil }); err != nil || state != artifactstore.StateSealed {
 			t.Errorf("%s, %v", state, err)
 		}
 		got <- list
@@ -398,7 +398,7 @@
 				select {}
 			}
 		})
-		play(k, b, func(what string, c keeper.Claim, n uint64) { fmt.Println(what, c.Task, c.Number, n) })
+		play(k, b, func(what string, c artifactstore.Claim, n uint64) { fmt.Println(what, c.Task, c.Number, n) })
 		os.Exit(0)
 	}
 	var done atomic.Bool
@@ -431,14 +431,14 @@
 	}
 	k, b := alone(t, dir, nil)
 	finals := check(t, at, k, string(out))
-	play(k, b, func(string, keeper.Claim, uint64) {}) // the workers try again
+	play(k, b, func(string, artifactstore.Claim, uint64) {}) // the workers try again
 	for task, number := range finals {
-		if m, state, err := k.Manifest(ctx, "job-000001", task, 0); err != nil || state != keeper.StateFinal || m.Number != number {
+		if m, state, err := k.Manifest(ctx, "job-000001", task, 0); err != nil || state != artifactstore.StateFinal || m.Number != number {
 			t.Fatalf("step %d: the result of task %d was attempt %d and is %+v, %v", at, task, number, m, err)
 		}
 	}
 	for task := range 3 {
-		if m, state, err := k.Manifest(ctx, "job-000001", task, 0); err != nil || state != keeper.StateFinal || m.Exit.Code != 0 || len(m.Files) != 1 {
+		if m, state, err := k.Manifest(ctx, "job-000001", task, 0); err != nil || state != artifactstore.StateFinal || m.Exit.Code != 0 || len(m.Files) != 1 {
 			t.Fatalf("step %d: no result of task %d in the end: %s, %v", at, task, state, err)
 		}
 		for n := uint64(1); n <= 2; n++ {
@@ -462,7 +462,7 @@
 		if err := syscall.Setrlimit(syscall.RLIMIT_FSIZE, &syscall.Rlimit{Cur: limit, Max: limit}); err != nil {
 			t.Fatal(err)
 		}
-		play(k, b, func(what string, c keeper.Claim, n uint64) { fmt.Println(what, c.Task, c.Number, n) })
+		play(k, b, func(what string, c artifactstore.Claim, n uint64) { fmt.Println(what, c.Task, c.Number, n) })
 		os.Exit(0)
 	}
 	var refused atomic.Int32
@@ -482,9 +482,9 @@
 				}
 				k, b := alone(t, dir, nil)
 				check(t, limit, k, string(out))
-				play(k, b, func(string, keeper.Claim, uint64) {})
+				play(k, b, func(string, artifactstore.Claim, uint64) {})
 				for task := range 3 {
-					if m, state, err := k.Manifest(ctx, "job-000001", task, 0); err != nil || state != keeper.StateFinal || len(m.Files) != 1 {
+					if m, state, err := k.Manifest(ctx, "job-000001", task, 0); err != nil || state != artifactstore.StateFinal || len(m.Files) != 1 {
 						t.Fatalf("no result of task %d in the end: %s, %v", task, state, err)
 					}
 				}
@@ -498,11 +498,11 @@
 
 // play is what workers do: of each of three tasks a first attempt that fails, or in
 // task 2 is never sealed, and a second that completes.
-func play(k *Node, b *blob.Store, acked func(what string, c keeper.Claim, n uint64)) {
+func play(k *Node, b *blob.Store, acked func(what string, c artifactstore.Claim, n uint64)) {
 	for task := range 3 {
 		for n := uint64(1); n <= 2; n++ {
 			c := claim(1, task, n)
-			if err := k.Begin(ctx, c); err != nil && !errors.Is(err, keeper.ErrSealed) {
+			if err := k.Begin(ctx, c); err != nil && !errors.Is(err, artifactstore.ErrSealed) {
 				continue
 			}
 			for i := 0; i < 6; i += 2 {
@@ -550,7 +550,7 @@
 			}
 		}
 		_, state, err := k.Manifest(ctx, c.Job, c.Task, c.Number)
-		if what == "seal" && err != nil || what == "final" && state != keeper.StateFinal {
+		if what == "seal" && err != nil || what == "final" && state != artifactstore.StateFinal {
 			t.Fatalf("step %d: %s of attempt %d of task %d was acknowledged: %s, %v", at, what, number, task, state, err)
 		}
 		if what == "final" {
@@ -565,7 +565,7 @@
 func TestHistoryCatches(t *testing.T) {
 	if os.Getenv("HISTORY") != "" {
 		k, b := alone(t, t.TempDir(), nil)
-		play(k, b, func(string, keeper.Claim, uint64) {})
+		play(k, b, func(string, artifactstore.Claim, uint64) {})
 		check(t, 0, k, os.Getenv("HISTORY"))
 		return
 	}
--- a/internal/keepers/pace.go
+++ b/internal/artifactreplication/pace.go
@@ -1,4 +1,4 @@
-package keepers
+package artifactreplication
 
 import (
 	"context"
@@ -7,12 +7,12 @@
 
 	"golang.org/x/time/rate"
 
+	"topazhollow/internal/artifactstore"
 	"topazhollow/internal/blob"
-	"topazhollow/internal/keeper"
 )
 
 // paced makes a fetch keep to the rate that repair may take, so that it starves nobody.
-func (n *Node) paced(f keeper.Fetch) keeper.Fetch {
+func (n *Node) paced(f artifactstore.Fetch) artifactstore.Fetch {
 	return func(ctx context.Context, tenant string, d blob.Digest) (io.ReadCloser, error) {
 		r, err := f(ctx, tenant, d)
 		if err != nil {
@@ -57,8 +57,8 @@
 	n *Node
 }
 
-func (p pacedSource) read(ctx context.Context, at keeper.Attempt, stream string, from uint64, follow bool, each func(keeper.Record) error) (uint64, bool, error) {
-	return p.replica.read(ctx, at, stream, from, follow, func(r keeper.Record) error {
+func (p pacedSource) read(ctx context.Context, at artifactstore.Attempt, stream string, from uint64, follow bool, each func(artifactstore.Record) error) (uint64, bool, error) {
+	return p.replica.read(ctx, at, stream, from, follow, func(r artifactstore.Record) error {
 		if err := p.n.pace(ctx, len(r.Data)); err != nil {
 			return err
 		}
--- a/internal/keepers/quorum.go
+++ b/internal/artifactreplication/quorum.go
@@ -1,12 +1,12 @@
-package keepers
+package artifactreplication
 
 import (
 	"context"
 	"errors"
 	"fmt"
 
+	"topazhollow/internal/artifactstore"
 	"topazhollow/internal/blob"
-	"topazhollow/internal/keeper"
 )
 
 // callsAtOnce bounds the calls that one keeper has open to another. Beyond it that one
@@ -68,7 +68,7 @@
 	for _, f := range failed {
 		errs = append(errs, f.err)
 	}
-	for _, e := range []error{keeper.ErrSealed, keeper.ErrClaim, keeper.ErrFrozen, keeper.ErrTooMuch, keeper.ErrName, keeper.ErrUnknown, blob.ErrNotFound, blob.ErrTenant} {
+	for _, e := range []error{artifactstore.ErrSealed, artifactstore.ErrClaim, artifactstore.ErrFrozen, artifactstore.ErrTooMuch, artifactstore.ErrName, artifactstore.ErrUnknown, blob.ErrNotFound, blob.ErrTenant} {
 		for _, err := range errs {
 			if errors.Is(err, e) {
 				return err
@@ -76,7 +76,7 @@
 		}
 	}
 	for _, err := range errs {
-		var gap *keeper.GapError
+		var gap *artifactstore.GapError
 		var full *blob.FullError
 		if errors.As(err, &gap) || errors.As(err, &full) {
 			return err
@@ -87,7 +87,7 @@
 
 // write has a call carried out by as many of a task's keepers as must have it. An end
 // that somebody began and left open is seen through or undone first.
-func (n *Node) write(ctx context.Context, at keeper.Attempt, do func(ctx context.Context, name string, r replica) (*answer, error)) ([]reply, error) {
+func (n *Node) write(ctx context.Context, at artifactstore.Attempt, do func(ctx context.Context, name string, r replica) (*answer, error)) ([]reply, error) {
 	names := n.opt.Members.Place(at.Job, at.Task)
 	need := n.opt.Members.acks(len(names))
 	for try := 0; ; try++ {
@@ -96,7 +96,7 @@
 			return got, nil
 		}
 		err := reason(failed)
-		if !errors.Is(err, keeper.ErrFrozen) || try > 2 {
+		if !errors.Is(err, artifactstore.ErrFrozen) || try > 2 {
 			return nil, err
 		}
 		if _, rerr := n.resolve(ctx, at); rerr != nil {
--- a/internal/keepers/repair.go
+++ b/internal/artifactreplication/repair.go
@@ -1,4 +1,4 @@
-package keepers
+package artifactreplication
 
 import (
 	"cmp"
@@ -13,9 +13,9 @@
 
 	"golang.org/x/sync/errgroup"
 
+	"topazhollow/internal/artifactstore"
 	"topazhollow/internal/blob"
-	"topazhollow/internal/keeper"
-	"topazhollow/internal/wire"
+	"topazhollow/internal/protocol"
 )
 
 // Two keepers find out what one of them lacks by names: of ended attempts, of results,
@@ -28,9 +28,9 @@
 
 // lack is a task of which something is missing here.
 type lack struct {
-	at      keeper.Attempt // its task
-	peers   []string       // who has something of it that is missing here
-	copies  int            // fewest keepers that have the same missing thing
+	at      artifactstore.Attempt // its task
+	peers   []string              // who has something of it that is missing here
+	copies  int                   // fewest keepers that have the same missing thing
 	noticed time.Time
 }
 
@@ -73,7 +73,7 @@
 	short   int                  // names that another lacks
 	strays  int                  // tasks that are to be handed over
 	away    map[string]string    // keepers that could not be asked, and why
-	voted   map[keeper.Attempt]bool
+	voted   map[artifactstore.Attempt]bool
 	mended  int
 	bytes   int64
 }
@@ -199,7 +199,7 @@
 		}
 	}
 	here := map[string]bool{} // whether both are to have it, by name
-	if err := n.each(name, func(x string, at keeper.Attempt, stray bool) {
+	if err := n.each(name, func(x string, at artifactstore.Attempt, stray bool) {
 		if b := bucketOf(at); stray || mine[b] != a.Sums[b] {
 			here[x] = !stray
 		}
@@ -237,7 +237,7 @@
 		return false
 	}
 	i := strings.LastIndexByte(rest, '/')
-	at, err := keeper.ParseName("open/" + rest[:max(i, 0)])
+	at, err := artifactstore.ParseName("open/" + rest[:max(i, 0)])
 	if err != nil {
 		return true
 	}
@@ -262,7 +262,7 @@
 }
 
 // take brings what another keeper's view of a task shows and this one lacks.
-func (n *Node) take(ctx context.Context, task keeper.Attempt, name string, t *keeper.TaskView) error {
+func (n *Node) take(ctx context.Context, task artifactstore.Attempt, name string, t *artifactstore.TaskView) error {
 	over := n.opt.Retain.Over(n.opt.Now())
 	src := pacedSource{n.peers[name], n}
 	expired := map[uint64]bool{}
@@ -285,7 +285,7 @@
 		if err != nil {
 			return err
 		}
-		m, err := keeper.Verify(n.opt.Key, value)
+		m, err := artifactstore.Verify(n.opt.Key, value)
 		if err != nil {
 			return err
 		}
@@ -300,18 +300,18 @@
 	if t.Result == nil || expired[t.Result.Number] {
 		return nil
 	}
-	return n.keeper.Learn(ctx, task, wire.Encode(t.Result), n.paced(n.fetch(task, name)))
+	return n.keeper.Learn(ctx, task, protocol.Encode(t.Result), n.paced(n.fetch(task, name)))
 }
 
-func (n *Node) takeOpen(ctx context.Context, src replica, v keeper.View, fetch keeper.Fetch) error {
+func (n *Node) takeOpen(ctx context.Context, src replica, v artifactstore.View, fetch artifactstore.Fetch) error {
 	err := n.keeper.Begin(ctx, v.Claim)
-	if errors.Is(err, keeper.ErrSealed) {
+	if errors.Is(err, artifactstore.ErrSealed) {
 		return nil
 	}
 	if err != nil {
 		return err
 	}
-	mine := map[string]keeper.Extent{}
+	mine := map[string]artifactstore.Extent{}
 	files := map[string]string{}
 	for _, o := range n.keeper.Open() {
 		if o.Attempt == v.Attempt {
@@ -347,9 +347,9 @@
 		}
 	}
 	switch {
-	case errors.Is(err, keeper.ErrSealed): // meanwhile
+	case errors.Is(err, artifactstore.ErrSealed): // meanwhile
 		return nil
-	case errors.Is(err, keeper.ErrFrozen): // somebody began to end it
+	case errors.Is(err, artifactstore.ErrFrozen): // somebody began to end it
 		_, rerr := n.resolve(ctx, v.Attempt)
 		return errors.Join(err, rerr)
 	}
--- a/internal/keepers/replica.go
+++ b/internal/artifactreplication/replica.go
@@ -1,4 +1,4 @@
-package keepers
+package artifactreplication
 
 import (
 	"bytes"
@@ -14,9 +14,9 @@
 	"sync"
 	"time"
 
+	"topazhollow/internal/artifactstore"
 	"topazhollow/internal/blob"
-	"topazhollow/internal/keeper"
-	"topazhollow/internal/wire"
+	"topazhollow/internal/protocol"
 )
 
 // Errors between keepers.
@@ -33,37 +33,37 @@
 // call is what one keeper asks another; answer what it gets. Each operation uses a few
 // of the fields.
 type call struct {
-	Op       string          `json:"op"`
-	Claim    keeper.Claim    `json:"claim"`
-	Attempt  keeper.Attempt  `json:"at"`
-	Stream   string          `json:"stream,omitempty"`
-	First    uint64          `json:"first,omitempty"`
-	Records  []keeper.Record `json:"records,omitempty"`
-	Path     string          `json:"path,omitempty"`
-	Digest   string          `json:"digest,omitempty"`
-	Ballot   keeper.Ballot   `json:"ballot"`
-	Freeze   bool            `json:"freeze,omitempty"`
-	Value    []byte          `json:"value,omitempty"`
-	Buckets  []int           `json:"buckets,omitempty"`
-	Count    bool            `json:"count,omitempty"` // the answer counts, so it must come from a keeper that has all
-	From     string          `json:"from"`
-	Identity string          `json:"identity"` // list in force
+	Op       string                 `json:"op"`
+	Claim    artifactstore.Claim    `json:"claim"`
+	Attempt  artifactstore.Attempt  `json:"at"`
+	Stream   string                 `json:"stream,omitempty"`
+	First    uint64                 `json:"first,omitempty"`
+	Records  []artifactstore.Record `json:"records,omitempty"`
+	Path     string                 `json:"path,omitempty"`
+	Digest   string                 `json:"digest,omitempty"`
+	Ballot   artifactstore.Ballot   `json:"ballot"`
+	Freeze   bool                   `json:"freeze,omitempty"`
+	Value    []byte                 `json:"value,omitempty"`
+	Buckets  []int                  `json:"buckets,omitempty"`
+	Count    bool                   `json:"count,omitempty"` // the answer counts, so it must come from a keeper that has all
+	From     string                 `json:"from"`
+	Identity string                 `json:"identity"` // list in force
 }
 
 type answer struct {
-	Next    uint64           `json:"next,omitempty"`
-	Promise *keeper.Promise  `json:"promise,omitempty"`
-	Task    *keeper.TaskView `json:"task,omitempty"`
-	Tasks   []int            `json:"tasks,omitempty"`
-	Sums    []string         `json:"sums,omitempty"`
-	Names   []string         `json:"names,omitempty"`
-	Votes   []boundTo        `json:"votes,omitempty"`
-	Status  *Status          `json:"status,omitempty"`
+	Next    uint64                  `json:"next,omitempty"`
+	Promise *artifactstore.Promise  `json:"promise,omitempty"`
+	Task    *artifactstore.TaskView `json:"task,omitempty"`
+	Tasks   []int                   `json:"tasks,omitempty"`
+	Sums    []string                `json:"sums,omitempty"`
+	Names   []string                `json:"names,omitempty"`
+	Votes   []boundTo               `json:"votes,omitempty"`
+	Status  *Status                 `json:"status,omitempty"`
 }
 
 type boundTo struct {
-	At   keeper.Attempt `json:"at"`
-	Vote keeper.Vote    `json:"vote"`
+	At   artifactstore.Attempt `json:"at"`
+	Vote artifactstore.Vote    `json:"vote"`
 }
 
 // replica is a keeper as another sees it; the own one is called like the others.
@@ -71,7 +71,7 @@
 	do(ctx context.Context, c *call) (*answer, error)
 	// read hands over records from a number on, for as long as the context allows if it
 	// follows. ended says that no more can come.
-	read(ctx context.Context, at keeper.Attempt, stream string, from uint64, follow bool, each func(keeper.Record) error) (next uint64, ended bool, err error)
+	read(ctx context.Context, at artifactstore.Attempt, stream string, from uint64, follow bool, each func(artifactstore.Record) error) (next uint64, ended bool, err error)
 	blob(ctx context.Context, tenant string, d blob.Digest, offset int64) (io.ReadCloser, error)
 	put(ctx context.Context, tenant string, d blob.Digest, content io.Reader) error
 }
@@ -84,22 +84,22 @@
 	status int
 	retry  time.Duration
 }{
-	{"token", keeper.ErrToken, http.StatusUnauthorized, 0},
-	{"claim", keeper.ErrClaim, http.StatusForbidden, 0},
+	{"token", artifactstore.ErrToken, http.StatusUnauthorized, 0},
+	{"claim", artifactstore.ErrClaim, http.StatusForbidden, 0},
 	{"tenant", blob.ErrTenant, http.StatusForbidden, 0},
-	{"sealed", keeper.ErrSealed, http.StatusConflict, 0},
-	{"not whole", keeper.ErrNotWhole, http.StatusConflict, 0},
-	{"unknown", keeper.ErrUnknown, http.StatusNotFound, 0},
+	{"sealed", artifactstore.ErrSealed, http.StatusConflict, 0},
+	{"not whole", artifactstore.ErrNotWhole, http.StatusConflict, 0},
+	{"unknown", artifactstore.ErrUnknown, http.StatusNotFound, 0},
 	{"no blob", blob.ErrNotFound, http.StatusNotFound, 0},
 	{"no upload", blob.ErrUpload, http.StatusNotFound, 0},
 	{"offset", blob.ErrGap, http.StatusConflict, 0},
-	{"too much", keeper.ErrTooMuch, http.StatusRequestEntityTooLarge, 0},
-	{"name", keeper.ErrName, http.StatusBadRequest, 0},
+	{"too much", artifactstore.ErrTooMuch, http.StatusRequestEntityTooLarge, 0},
+	{"name", artifactstore.ErrName, http.StatusBadRequest, 0},
 	{"digest", blob.ErrDigest, http.StatusBadRequest, 0},
 	{"mismatch", blob.ErrMismatch, http.StatusBadRequest, 0},
 	{"body", errBody, http.StatusBadRequest, 0},
-	{"forged", keeper.ErrForged, http.StatusBadRequest, 0},
-	{"frozen", keeper.ErrFrozen, http.StatusServiceUnavailable, time.Second},
+	{"forged", artifactstore.ErrForged, http.StatusBadRequest, 0},
+	{"frozen", artifactstore.ErrFrozen, http.StatusServiceUnavailable, time.Second},
 	{"joining", ErrJoining, http.StatusServiceUnavailable, time.Second},
 	{"epoch", ErrEpoch, http.StatusServiceUnavailable, time.Second},
 	{"too few", ErrTooFew, http.StatusServiceUnavailable, time.Second},
@@ -133,7 +133,7 @@
 	r.mu.Lock()
 	if !now.Before(r.until.Add(-time.Minute)) {
 		r.until = now.Add(10 * time.Minute)
-		r.token = keeper.Grant{Right: keeper.Peer, Machine: r.n.opt.Name, Until: r.until}.Token(r.n.opt.Key)
+		r.token = artifactstore.Grant{Right: artifactstore.Peer, Machine: r.n.opt.Name, Until: r.until}.Token(r.n.opt.Key)
 	}
 	req.Header.Set("Authorization", "Bearer "+r.token)
 	r.mu.Unlock()
@@ -145,7 +145,7 @@
 		return resp, nil
 	}
 	defer resp.Body.Close()
-	var a keeper.Answer
+	var a artifactstore.Answer
 	if err := json.NewDecoder(io.LimitReader(resp.Body, 64<<10)).Decode(&a); err != nil {
 		return nil, fmt.Errorf("keeper %s: %s", r.name, resp.Status)
 	}
@@ -153,9 +153,9 @@
 }
 
 // errorOf is the error that an answer stands for.
-func errorOf(a *keeper.Answer, resp *http.Response) error {
+func errorOf(a *artifactstore.Answer, resp *http.Response) error {
 	if a.Code == "gap" && a.Next != nil {
-		return &keeper.GapError{Want: *a.Next}
+		return &artifactstore.GapError{Want: *a.Next}
 	}
 	if a.Code == "full" {
 		seconds, _ := strconv.Atoi(resp.Header.Get("Retry-After"))
@@ -172,7 +172,7 @@
 func (r *remote) do(ctx context.Context, c *call) (*answer, error) {
 	cc := *c
 	cc.From, cc.Identity = r.n.opt.Name, r.n.opt.Members.digest()
-	resp, err := r.request(ctx, "POST", "/peer/call", bytes.NewReader(wire.Encode(&cc)))
+	resp, err := r.request(ctx, "POST", "/peer/call", bytes.NewReader(protocol.Encode(&cc)))
 	if err != nil {
 		return nil, err
 	}
@@ -181,7 +181,7 @@
 	return a, json.NewDecoder(resp.Body).Decode(a)
 }
 
-func (r *remote) read(ctx context.Context, at keeper.Attempt, stream string, from uint64, follow bool, each func(keeper.Record) error) (uint64, bool, error) {
+func (r *remote) read(ctx context.Context, at artifactstore.Attempt, stream string, from uint64, follow bool, each func(artifactstore.Record) error) (uint64, bool, error) {
 	q := url.Values{"job": {at.Job}, "task": {strconv.Itoa(at.Task)}, "attempt": {strconv.FormatUint(at.Number, 10)}, "stream": {stream}, "from": {strconv.FormatUint(from, 10)}}
 	if follow {
 		q.Set("follow", "1")
@@ -193,7 +193,7 @@
 	defer resp.Body.Close()
 	d := json.NewDecoder(resp.Body)
 	for next := from; ; {
-		var l keeper.Line
+		var l artifactstore.Line
 		if err := d.Decode(&l); err != nil {
 			return next, false, fmt.Errorf("keeper %s: records broke off: %w", r.name, err)
 		}
@@ -236,7 +236,7 @@
 
 func (l local) do(ctx context.Context, c *call) (*answer, error) { return l.n.serve(ctx, c) }
 
-func (l local) read(ctx context.Context, at keeper.Attempt, stream string, from uint64, follow bool, each func(keeper.Record) error) (next uint64, over bool, err error) {
+func (l local) read(ctx context.Context, at artifactstore.Attempt, stream string, from uint64, follow bool, each func(artifactstore.Record) error) (next uint64, over bool, err error) {
 	for next = from; ; {
 		if next, over, err = l.n.keeper.Read(at, stream, next, each); err != nil || over || !follow {
 			return next, over, err
@@ -267,7 +267,7 @@
 		err = k.Begin(ctx, c.Claim)
 	case "append":
 		a.Next, err = k.Append(ctx, c.Claim, c.Stream, c.First, c.Records)
-		if errors.Is(err, keeper.ErrUnknown) { // it was not there when the attempt began
+		if errors.Is(err, artifactstore.ErrUnknown) { // it was not there when the attempt began
 			if err = k.Begin(ctx, c.Claim); err == nil {
 				a.Next, err = k.Append(ctx, c.Claim, c.Stream, c.First, c.Records)
 			}
@@ -278,7 +278,7 @@
 			return nil, err
 		}
 		err = k.Attach(ctx, c.Claim, c.Path, d)
-		if errors.Is(err, keeper.ErrUnknown) {
+		if errors.Is(err, artifactstore.ErrUnknown) {
 			if err = k.Begin(ctx, c.Claim); err == nil {
 				err = k.Attach(ctx, c.Claim, c.Path, d)
 			}
@@ -289,7 +289,7 @@
 		a.Promise, err = k.Accept(ctx, c.Attempt, c.Ballot, c.Value, n.fetch(c.Attempt, c.From))
 	case "learn":
 		err = k.Learn(ctx, c.Attempt, c.Value, n.fetch(c.Attempt, c.From))
-		if errors.Is(err, keeper.ErrSplit) {
+		if errors.Is(err, artifactstore.ErrSplit) {
 			n.opt.Log.Error("a register has two values", "job", c.Attempt.Job, "task", c.Attempt.Task, "attempt", c.Attempt.Number, "keeper", c.From)
 		}
 	case "task":
@@ -319,7 +319,7 @@
 
 // fetch gets a blob of an attempt from another keeper, the one first that asks for it
 // to be there.
-func (n *Node) fetch(at keeper.Attempt, first string) keeper.Fetch {
+func (n *Node) fetch(at artifactstore.Attempt, first string) artifactstore.Fetch {
 	return func(ctx context.Context, tenant string, d blob.Digest) (io.ReadCloser, error) {
 		return n.open(ctx, append([]string{first}, n.sources(at.Job, at.Task)...), tenant, d, 0)
 	}
--- a/internal/keepers/retain.go
+++ b/internal/artifactreplication/retain.go
@@ -1,4 +1,4 @@
-package keepers
+package artifactreplication
 
 import (
 	"fmt"
@@ -9,7 +9,7 @@
 	"go.starlark.net/starlark"
 	"go.starlark.net/syntax"
 
-	"topazhollow/internal/keeper"
+	"topazhollow/internal/artifactstore"
 )
 
 // Retention says how long attempts are kept after their end: so many days, or what an
@@ -56,7 +56,7 @@
 		return nil, fmt.Errorf("%s: a function keep_days(cls, team, completed, partial, mb) is expected", path)
 	}
 	r.ask = ask
-	for _, m := range []*keeper.Manifest{{}, {Exit: keeper.Exit{Completed: true}}, {Partial: true}} {
+	for _, m := range []*artifactstore.Manifest{{}, {Exit: artifactstore.Exit{Completed: true}}, {Partial: true}} {
 		if _, err := r.days(m); err != nil {
 			return nil, err
 		}
@@ -65,7 +65,7 @@
 }
 
 // days asks the script.
-func (r *Retention) days(m *keeper.Manifest) (float64, error) {
+func (r *Retention) days(m *artifactstore.Manifest) (float64, error) {
 	if r.ask == nil {
 		return r.Days, nil
 	}
@@ -91,8 +91,8 @@
 
 // Over says of an attempt that has ended whether it need not be kept any more. A script
 // that fails on one leaves it to Days.
-func (r *Retention) Over(now time.Time) func(*keeper.Manifest) bool {
-	return func(m *keeper.Manifest) bool {
+func (r *Retention) Over(now time.Time) func(*artifactstore.Manifest) bool {
+	return func(m *artifactstore.Manifest) bool {
 		if r == nil {
 			return false
 		}
--- a/internal/keepers/revoked.go
+++ b/internal/artifactreplication/revoked.go
@@ -1,4 +1,4 @@
-package keepers
+package artifactreplication
 
 import (
 	"bufio"
@@ -10,7 +10,7 @@
 	"sync"
 	"time"
 
-	"topazhollow/internal/keeper"
+	"topazhollow/internal/artifactstore"
 )
 
 // Revoked is the list of tokens that are refused before their time is over, in a file
@@ -78,8 +78,8 @@
 
 // has says whether what a token stands for was revoked. A file that can't be read any
 // more leaves the last list in force.
-func (r *Revoked) has(g *keeper.Grant) bool {
-	if r == nil || (g.Right != keeper.Write && g.Right != keeper.Read) {
+func (r *Revoked) has(g *artifactstore.Grant) bool {
+	if r == nil || (g.Right != artifactstore.Write && g.Right != artifactstore.Read) {
 		return false
 	}
 	r.mu.Lock()
@@ -91,7 +91,7 @@
 		}
 	}
 	name := string(g.Right) + " " + g.Job
-	if r.lines[name] || g.Right == keeper.Read || g.Task == nil {
+	if r.lines[name] || g.Right == artifactstore.Read || g.Task == nil {
 		return r.lines[name]
 	}
 	name += "/" + strconv.Itoa(*g.Task)
--- a/internal/keepers/serve.go
+++ b/internal/artifactreplication/serve.go
@@ -1,4 +1,4 @@
-package keepers
+package artifactreplication
 
 import (
 	"context"
@@ -11,10 +11,10 @@
 	"strings"
 	"time"
 
+	"topazhollow/internal/artifactstore"
 	"topazhollow/internal/blob"
-	"topazhollow/internal/keeper"
+	"topazhollow/internal/protocol"
 	"topazhollow/internal/wal"
-	"topazhollow/internal/wire"
 )
 
 // Server answers for a node over HTTP. Everything but /healthz needs a token in the
@@ -34,12 +34,12 @@
 
 // status maps errors to HTTP.
 func status(err error) (code string, status int, retry time.Duration) {
-	var gap *keeper.GapError
+	var gap *artifactstore.GapError
 	var full *blob.FullError
 	switch {
 	case errors.As(err, &full):
 		return "full", http.StatusInsufficientStorage, full.Retry
-	case errors.Is(err, keeper.ErrNotWhole):
+	case errors.Is(err, artifactstore.ErrNotWhole):
 		return "not whole", http.StatusConflict, 0
 	case errors.As(err, &gap):
 		return "gap", http.StatusConflict, 0
@@ -62,7 +62,7 @@
 		s.Follow = time.Hour
 	}
 	mux := http.NewServeMux()
-	mux.HandleFunc("GET /healthz", func(w http.ResponseWriter, _ *http.Request) { send(w, 200, keeper.Answer{}) })
+	mux.HandleFunc("GET /healthz", func(w http.ResponseWriter, _ *http.Request) { send(w, 200, artifactstore.Answer{}) })
 	s.routeWorkers(mux)
 	s.routeReaders(mux)
 	s.routePeers(mux)
@@ -72,8 +72,8 @@
 
 // routeWorkers adds what workers send of their attempts.
 func (s *Server) routeWorkers(mux *http.ServeMux) {
-	route := func(pattern string, f func(w http.ResponseWriter, r *http.Request, c keeper.Claim) error) {
-		s.handle(mux, pattern, maxBody, func(w http.ResponseWriter, r *http.Request, g *keeper.Grant) error {
+	route := func(pattern string, f func(w http.ResponseWriter, r *http.Request, c artifactstore.Claim) error) {
+		s.handle(mux, pattern, maxBody, func(w http.ResponseWriter, r *http.Request, g *artifactstore.Grant) error {
 			c, err := g.Claim()
 			if err != nil {
 				return err
@@ -92,7 +92,7 @@
 // routeReaders adds what may be read of a job or one of its tasks.
 func (s *Server) routeReaders(mux *http.ServeMux) {
 	route := func(pattern string, f func(w http.ResponseWriter, r *http.Request, job string, task int) error) {
-		s.handle(mux, pattern, 0, func(w http.ResponseWriter, r *http.Request, g *keeper.Grant) error {
+		s.handle(mux, pattern, 0, func(w http.ResponseWriter, r *http.Request, g *artifactstore.Grant) error {
 			job, task, err := whatToRead(r, g)
 			if err != nil {
 				return err
@@ -109,26 +109,26 @@
 
 // routePeers adds what keepers send each other.
 func (s *Server) routePeers(mux *http.ServeMux) {
-	s.handleRight(mux, "POST /peer/call", maxPeer, keeper.Peer, s.peerCall)
-	s.handleRight(mux, "GET /peer/records", 0, keeper.Peer, s.peerRecords)
-	s.handleRight(mux, "GET /peer/blob", 0, keeper.Peer, s.peerBlob)
-	s.handleRight(mux, "PUT /peer/blob", maxPeerBlob, keeper.Peer, s.takePeerBlob)
+	s.handleRight(mux, "POST /peer/call", maxPeer, artifactstore.Peer, s.peerCall)
+	s.handleRight(mux, "GET /peer/records", 0, artifactstore.Peer, s.peerRecords)
+	s.handleRight(mux, "GET /peer/blob", 0, artifactstore.Peer, s.peerBlob)
+	s.handleRight(mux, "PUT /peer/blob", maxPeerBlob, artifactstore.Peer, s.takePeerBlob)
 }
 
 // routeOperators adds what operators ask.
 func (s *Server) routeOperators(mux *http.ServeMux) {
-	s.handleRight(mux, "GET /status", 0, keeper.Operate, func(w http.ResponseWriter, _ *http.Request) error {
+	s.handleRight(mux, "GET /status", 0, artifactstore.Operate, func(w http.ResponseWriter, _ *http.Request) error {
 		send(w, 200, s.Node.Status())
 		return nil
 	})
-	s.handleRight(mux, "GET /metrics", 0, keeper.Operate, func(w http.ResponseWriter, r *http.Request) error {
+	s.handleRight(mux, "GET /metrics", 0, artifactstore.Operate, func(w http.ResponseWriter, r *http.Request) error {
 		s.Node.meters.handler.ServeHTTP(w, r)
 		return nil
 	})
 }
 
 // handle adds a route for requests with a token and a body of at most so many bytes.
-func (s *Server) handle(mux *http.ServeMux, pattern string, most int64, f func(w http.ResponseWriter, r *http.Request, g *keeper.Grant) error) {
+func (s *Server) handle(mux *http.ServeMux, pattern string, most int64, f func(w http.ResponseWriter, r *http.Request, g *artifactstore.Grant) error) {
 	mux.HandleFunc(pattern, func(w http.ResponseWriter, r *http.Request) {
 		r.Body = http.MaxBytesReader(w, r.Body, most)
 		g, err := s.grant(r)
@@ -140,10 +140,10 @@
 }
 
 // handleRight adds a route for requests whose token has a right.
-func (s *Server) handleRight(mux *http.ServeMux, pattern string, most int64, right keeper.Right, f func(w http.ResponseWriter, r *http.Request) error) {
-	s.handle(mux, pattern, most, func(w http.ResponseWriter, r *http.Request, g *keeper.Grant) error {
+func (s *Server) handleRight(mux *http.ServeMux, pattern string, most int64, right artifactstore.Right, f func(w http.ResponseWriter, r *http.Request) error) {
+	s.handle(mux, pattern, most, func(w http.ResponseWriter, r *http.Request, g *artifactstore.Grant) error {
 		if g.Right != right {
-			return fmt.Errorf("%w: not for that", keeper.ErrToken)
+			return fmt.Errorf("%w: not for that", artifactstore.ErrToken)
 		}
 		return f(w, r)
 	})
@@ -151,33 +151,33 @@
 
 // whatToRead is the job and the task that a request names, -1 for all its tasks, if the token
 // is for it.
-func whatToRead(r *http.Request, g *keeper.Grant) (job string, task int, err error) {
+func whatToRead(r *http.Request, g *artifactstore.Grant) (job string, task int, err error) {
 	job, task = r.PathValue("job"), -1
 	if text := r.PathValue("task"); text != "" {
 		if task, err = strconv.Atoi(text); err != nil || task < 0 {
-			return "", 0, fmt.Errorf("%w: task %.20q", keeper.ErrName, text)
+			return "", 0, fmt.Errorf("%w: task %.20q", artifactstore.ErrName, text)
 		}
 	}
-	if !wire.ValidUID(job) {
-		return "", 0, fmt.Errorf("%w: job %.40q", keeper.ErrName, job)
+	if !protocol.ValidUID(job) {
+		return "", 0, fmt.Errorf("%w: job %.40q", artifactstore.ErrName, job)
 	}
 	if !g.Allows(job, task) {
-		return "", 0, fmt.Errorf("%w: not for task %d of %.40q", keeper.ErrToken, task, job)
+		return "", 0, fmt.Errorf("%w: not for task %d of %.40q", artifactstore.ErrToken, task, job)
 	}
 	return job, task, nil
 }
 
 // beginAttempt opens a worker's attempt.
-func (s *Server) beginAttempt(w http.ResponseWriter, r *http.Request, c keeper.Claim) error {
+func (s *Server) beginAttempt(w http.ResponseWriter, r *http.Request, c artifactstore.Claim) error {
 	if err := s.Node.Begin(r.Context(), c); err != nil {
 		return err
 	}
-	send(w, 200, keeper.Answer{})
+	send(w, 200, artifactstore.Answer{})
 	return nil
 }
 
 // attach names a blob as a file of an attempt.
-func (s *Server) attach(w http.ResponseWriter, r *http.Request, c keeper.Claim) error {
+func (s *Server) attach(w http.ResponseWriter, r *http.Request, c artifactstore.Claim) error {
 	d, err := blob.Parse(r.URL.Query().Get("blob"))
 	if err != nil {
 		return err
@@ -185,13 +185,13 @@
 	if err := s.Node.Attach(r.Context(), c, r.PathValue("path"), d); err != nil {
 		return err
 	}
-	send(w, 200, keeper.Answer{})
+	send(w, 200, artifactstore.Answer{})
 	return nil
 }
 
 // seal ends an attempt.
-func (s *Server) seal(w http.ResponseWriter, r *http.Request, c keeper.Claim) error {
-	var end keeper.End
+func (s *Server) seal(w http.ResponseWriter, r *http.Request, c artifactstore.Claim) error {
+	var end artifactstore.End
 	if err := decode(r, &end); err != nil {
 		return err
 	}
@@ -201,7 +201,7 @@
 	}
 	s.Node.opt.Log.Info("attempt sealed", "job", c.Job, "task", c.Task, "attempt", c.Number, "machine", c.Machine, "completed", m.Exit.Completed, "final", final)
 	s.Node.meters.seals.Inc()
-	send(w, 200, keeper.Answer{Sealed: m, Final: final})
+	send(w, 200, artifactstore.Answer{Sealed: m, Final: final})
 	return nil
 }
 
@@ -211,7 +211,7 @@
 	if err != nil {
 		return err
 	}
-	send(w, 200, keeper.Answer{List: list, Unsure: !sure})
+	send(w, 200, artifactstore.Answer{List: list, Unsure: !sure})
 	return nil
 }
 
@@ -221,13 +221,13 @@
 	if err != nil {
 		return err
 	}
-	send(w, 200, keeper.TaskList{Tasks: list, Unsure: !sure})
+	send(w, 200, artifactstore.TaskList{Tasks: list, Unsure: !sure})
 	return nil
 }
 
 // endOf finds the end of the attempt that a request asks for, the latest if it names none, and
 // its state.
-func (s *Server) endOf(r *http.Request, job string, task int) (*keeper.Manifest, string, error) {
+func (s *Server) endOf(r *http.Request, job string, task int) (*artifactstore.Manifest, string, error) {
 	attempt, err := number(r, "attempt")
 	if err != nil {
 		return nil, "", err
@@ -241,7 +241,7 @@
 	if err != nil {
 		return err
 	}
-	send(w, 200, keeper.Answer{Sealed: m, Final: state == keeper.StateFinal})
+	send(w, 200, artifactstore.Answer{Sealed: m, Final: state == artifactstore.StateFinal})
 	return nil
 }
 
@@ -279,7 +279,7 @@
 	if err := s.Node.blobs.Take(r.Context(), r.URL.Query().Get("tenant"), d, r.Body); err != nil {
 		return err
 	}
-	send(w, 200, keeper.Answer{Done: true})
+	send(w, 200, artifactstore.Answer{Done: true})
 	return nil
 }
 
@@ -316,13 +316,13 @@
 	if err != nil {
 		return err
 	}
-	at := keeper.Attempt{Job: q.Get("job"), Task: task, Number: attempt}
+	at := artifactstore.Attempt{Job: q.Get("job"), Task: task, Number: attempt}
 	enc, flush := json.NewEncoder(w), http.NewResponseController(w)
 	for sent := false; ; {
 		n := next
 		var over bool
-		next, over, err = s.Node.keeper.Read(at, q.Get("stream"), next, func(rec keeper.Record) error {
-			line := keeper.Line{Number: n, Record: &rec}
+		next, over, err = s.Node.keeper.Read(at, q.Get("stream"), next, func(rec artifactstore.Record) error {
+			line := artifactstore.Line{Number: n, Record: &rec}
 			n++
 			sent = true
 			return enc.Encode(&line)
@@ -338,7 +338,7 @@
 			if over {
 				state = ended
 			}
-			_ = enc.Encode(&keeper.Line{Number: next, State: state})
+			_ = enc.Encode(&artifactstore.Line{Number: next, State: state})
 			return nil
 		}
 		if flush.Flush() != nil || s.Node.keeper.Wait(r.Context(), at, q.Get("stream"), next) != nil {
@@ -347,14 +347,14 @@
 	}
 }
 
-func (s *Server) grant(r *http.Request) (*keeper.Grant, error) {
+func (s *Server) grant(r *http.Request) (*artifactstore.Grant, error) {
 	token, ok := strings.CutPrefix(r.Header.Get("Authorization"), "Bearer ")
 	if !ok {
-		return nil, fmt.Errorf("%w: none was given", keeper.ErrToken)
+		return nil, fmt.Errorf("%w: none was given", artifactstore.ErrToken)
 	}
-	g, err := keeper.ParseToken(s.Node.opt.Key, token, s.Node.opt.Now())
+	g, err := artifactstore.ParseToken(s.Node.opt.Key, token, s.Node.opt.Now())
 	if err == nil && s.Node.opt.Revoked.has(g) {
-		return nil, fmt.Errorf("%w: it was revoked", keeper.ErrToken)
+		return nil, fmt.Errorf("%w: it was revoked", artifactstore.ErrToken)
 	}
 	return g, err
 }
@@ -377,8 +377,8 @@
 	if retry > 0 {
 		w.Header().Set("Retry-After", strconv.Itoa(int(retry.Seconds())))
 	}
-	a := keeper.Answer{Error: err.Error(), Code: code}
-	var gap *keeper.GapError
+	a := artifactstore.Answer{Error: err.Error(), Code: code}
+	var gap *artifactstore.GapError
 	if errors.As(err, &gap) {
 		a.Next = &gap.Want
 	}
@@ -406,12 +406,12 @@
 	return n, nil
 }
 
-func (s *Server) append(w http.ResponseWriter, r *http.Request, c keeper.Claim) error {
+func (s *Server) append(w http.ResponseWriter, r *http.Request, c artifactstore.Claim) error {
 	first, err := number(r, "first")
 	if err != nil {
 		return err
 	}
-	var records []keeper.Record
+	var records []artifactstore.Record
 	if err := decode(r, &records); err != nil {
 		return err
 	}
@@ -419,11 +419,11 @@
 	if err != nil {
 		return err
 	}
-	send(w, 200, keeper.Answer{Next: &next})
+	send(w, 200, artifactstore.Answer{Next: &next})
 	return nil
 }
 
-func (s *Server) begin(w http.ResponseWriter, r *http.Request, c keeper.Claim) error {
+func (s *Server) begin(w http.ResponseWriter, r *http.Request, c artifactstore.Claim) error {
 	d, err := blob.Parse(r.URL.Query().Get("blob"))
 	if err != nil {
 		return err
@@ -433,15 +433,15 @@
 		return err
 	}
 	if done {
-		send(w, 200, keeper.Answer{Done: true})
+		send(w, 200, artifactstore.Answer{Done: true})
 		return nil
 	}
 	offset := u.Offset()
-	send(w, 200, keeper.Answer{Upload: u.ID(), Offset: &offset})
+	send(w, 200, artifactstore.Answer{Upload: u.ID(), Offset: &offset})
 	return nil
 }
 
-func (s *Server) piece(w http.ResponseWriter, r *http.Request, c keeper.Claim) error {
+func (s *Server) piece(w http.ResponseWriter, r *http.Request, c artifactstore.Claim) error {
 	u, err := s.Node.blobs.Resume(c.Tenant, r.PathValue("id"))
 	if err != nil {
 		return err
@@ -458,7 +458,7 @@
 	if len(body) > 0 {
 		if err := u.Write(int64(at), body); err != nil {
 			if errors.Is(err, blob.ErrGap) {
-				send(w, http.StatusConflict, keeper.Answer{Error: err.Error(), Offset: &offset})
+				send(w, http.StatusConflict, artifactstore.Answer{Error: err.Error(), Offset: &offset})
 				return nil
 			}
 			return err
@@ -466,14 +466,14 @@
 		offset = u.Offset()
 	}
 	if offset < u.Digest().Size {
-		send(w, 200, keeper.Answer{Upload: u.ID(), Offset: &offset})
+		send(w, 200, artifactstore.Answer{Upload: u.ID(), Offset: &offset})
 		return nil
 	}
 	if err := u.Commit(r.Context()); err != nil {
 		return err
 	}
 	s.Node.meters.uploaded(u.Digest().Size)
-	send(w, 200, keeper.Answer{Done: true})
+	send(w, 200, artifactstore.Answer{Done: true})
 	return nil
 }
 
@@ -497,7 +497,7 @@
 	if name == "" {
 		name = "stdout"
 	}
-	if err := keeper.CheckStream(name); err != nil {
+	if err := artifactstore.CheckStream(name); err != nil {
 		return err
 	}
 	_, m, err := s.Node.choose(r.Context(), job, task, attempt)
@@ -509,11 +509,11 @@
 	w.Header().Set("Content-Type", "application/x-ndjson")
 	enc, flush := json.NewEncoder(w), http.NewResponseController(w)
 	var told time.Time
-	next, state, err := s.Node.Read(ctx, m.Attempt, name, from, r.URL.Query().Get("follow") == "1", func(n uint64, rec keeper.Record) error {
+	next, state, err := s.Node.Read(ctx, m.Attempt, name, from, r.URL.Query().Get("follow") == "1", func(n uint64, rec artifactstore.Record) error {
 		if rec.At.Before(since) {
 			return nil
 		}
-		if err := enc.Encode(&keeper.Line{Number: n, Record: &rec}); err != nil {
+		if err := enc.Encode(&artifactstore.Line{Number: n, Record: &rec}); err != nil {
 			return err
 		}
 		if now := time.Now(); now.Sub(told) > 50*time.Millisecond { // a follower sees it soon, a long log is not sent line by line
@@ -527,7 +527,7 @@
 		s.Node.opt.Log.Warn("log not read", "job", job, "task", task, "attempt", m.Number, "err", err)
 		return nil
 	}
-	_ = enc.Encode(&keeper.Line{Number: next, State: state, Attempt: m.Number})
+	_ = enc.Encode(&artifactstore.Line{Number: next, State: state, Attempt: m.Number})
 	return nil
 }
 
@@ -563,5 +563,5 @@
 		_, _ = io.Copy(w, content) // the length tells a reader that it was cut short
 		return nil
 	}
-	return fmt.Errorf("%w: no file %.100q", keeper.ErrUnknown, r.PathValue("path"))
+	return fmt.Errorf("%w: no file %.100q", artifactstore.ErrUnknown, r.PathValue("path"))
 }
--- a/internal/keepers/serve_test.go
+++ b/internal/artifactreplication/serve_test.go
@@ -1,4 +1,4 @@
-package keepers
+package artifactreplication
 
 import (
 	"bytes"
@@ -12,8 +12,8 @@
 	"testing"
 	"time"
 
+	"topazhollow/internal/artifactstore"
 	"topazhollow/internal/blob"
-	"topazhollow/internal/keeper"
 )
 
 // site is a keeper behind HTTP, and a caller.
@@ -34,15 +34,15 @@
 	return x
 }
 
-func (x *site) writer(c keeper.Claim) string {
-	return keeper.Grant{Right: keeper.Write, Tenant: c.Tenant, Job: c.Job, Task: &c.Task, Number: c.Number, Machine: c.Machine, Session: c.Session, Until: x.now.Add(time.Hour)}.Token(key)
+func (x *site) writer(c artifactstore.Claim) string {
+	return artifactstore.Grant{Right: artifactstore.Write, Tenant: c.Tenant, Job: c.Job, Task: &c.Task, Number: c.Number, Machine: c.Machine, Session: c.Session, Until: x.now.Add(time.Hour)}.Token(key)
 }
 
 func (x *site) reader(job string) string {
-	return keeper.Grant{Right: keeper.Read, Job: job, Until: x.now.Add(time.Hour)}.Token(key)
+	return artifactstore.Grant{Right: artifactstore.Read, Job: job, Until: x.now.Add(time.Hour)}.Token(key)
 }
 
-func (x *site) call(token, method, path string, body []byte) (int, keeper.Answer, string) {
+func (x *site) call(token, method, path string, body []byte) (int, artifactstore.Answer, string) {
 	x.t.Helper()
 	req, err := http.NewRequest(method, x.url+path, bytes.NewReader(body))
 	if err != nil {
@@ -58,7 +58,7 @@
 	if err != nil {
 		x.t.Fatal(err)
 	}
-	var a keeper.Answer
+	var a artifactstore.Answer
 	_ = json.Unmarshal(text, &a) // not all answers are of this kind
 	return resp.StatusCode, a, string(text)
 }
@@ -69,7 +69,7 @@
 	x := newSite(t)
 	c := claim(1, 3, 7)
 	w, r := x.writer(c), x.reader(c.Job)
-	must := func(code int, a keeper.Answer, text string) keeper.Answer {
+	must := func(code int, a artifactstore.Answer, text string) artifactstore.Answer {
 		t.Helper()
 		if code != 200 {
 			t.Fatalf("%d %s", code, text)
@@ -110,7 +110,7 @@
 	if _, _, text := x.call(r, "GET", "/files/job-000001/3/out/grades.bin?offset=3500", nil); text != string(content[3500:]) {
 		t.Fatalf("%d bytes of the file", len(text))
 	}
-	if a := must(x.call(r, "GET", "/attempts/job-000001/3", nil)); len(a.List) != 1 || a.List[0].State != keeper.StateFinal {
+	if a := must(x.call(r, "GET", "/attempts/job-000001/3", nil)); len(a.List) != 1 || a.List[0].State != artifactstore.StateFinal {
 		t.Fatalf("%+v", a.List)
 	}
 	if a := must(x.call(r, "GET", "/manifest/job-000001/3", nil)); a.Sealed.Files[0].Digest != d.String() {
@@ -128,8 +128,8 @@
 		t.Fatal(text)
 	}
 	task := 1
-	other := keeper.Grant{Right: keeper.Read, Job: c.Job, Task: &task, Until: x.now.Add(time.Hour)}.Token(key)
-	forged := keeper.Grant{Right: keeper.Read, Job: c.Job, Until: x.now.Add(time.Hour)}.Token([]byte("another key 0000"))
+	other := artifactstore.Grant{Right: artifactstore.Read, Job: c.Job, Task: &task, Until: x.now.Add(time.Hour)}.Token(key)
+	forged := artifactstore.Grant{Right: artifactstore.Read, Job: c.Job, Until: x.now.Add(time.Hour)}.Token([]byte("another key 0000"))
 	body, _, _ := strings.Cut(r, ".")
 	for what, token := range map[string]string{"none": "", "a writer's": w, "another task's": other, "another job's": x.reader("job-000002"), "forged": forged,
 		"without a code": body, "with a short code": r[:len(r)-2], "of a wrong code": body + "." + strings.Repeat("A", 43), "long": strings.Repeat("A", 5000) + ".A"} {
@@ -182,7 +182,7 @@
 	x := newSite(t)
 	x.node.opt.Revoked = r
 	for _, c := range []struct {
-		claim keeper.Claim
+		claim artifactstore.Claim
 		code  int
 	}{{claim(1, 0, 1), 401}, {claim(1, 0, 2), 200}, {claim(2, 0, 1), 200}} {
 		if code, _, text := x.call(x.writer(c.claim), "POST", "/attempt", nil); code != c.code {
@@ -211,11 +211,11 @@
 // FuzzToken: no text that was not given out is taken for a token.
 func FuzzToken(f *testing.F) {
 	now := time.Unix(1e9, 0)
-	good := keeper.Grant{Right: keeper.Read, Job: "job-000001", Until: now.Add(time.Hour)}.Token(key)
+	good := artifactstore.Grant{Right: artifactstore.Read, Job: "job-000001", Until: now.Add(time.Hour)}.Token(key)
 	f.Add(good)
 	f.Add("e30.AAAA")
 	f.Fuzz(func(t *testing.T, text string) {
-		if g, err := keeper.ParseToken(key, text, now); err == nil && text != good && g.Token(key) != text {
+		if g, err := artifactstore.ParseToken(key, text, now); err == nil && text != good && g.Token(key) != text {
 			t.Fatalf("%q is %+v", text, g)
 		}
 	})
--- a/internal/keepers/status.go
+++ b/internal/artifactreplication/status.go
@@ -1,4 +1,4 @@
-package keepers
+package artifactreplication
 
 import (
 	"context"
@@ -13,7 +13,7 @@
 	"github.com/prometheus/client_golang/prometheus"
 	"github.com/prometheus/client_golang/prometheus/promhttp"
 
-	"topazhollow/internal/keeper"
+	"topazhollow/internal/artifactstore"
 )
 
 // Status is what a keeper says of itself.
@@ -69,7 +69,7 @@
 	if err != nil {
 		return nil, err
 	}
-	req.Header.Set("Authorization", "Bearer "+keeper.Grant{Right: keeper.Operate, Until: time.Now().Add(time.Minute)}.Token(key))
+	req.Header.Set("Authorization", "Bearer "+artifactstore.Grant{Right: artifactstore.Operate, Until: time.Now().Add(time.Minute)}.Token(key))
 	resp, err := client.Do(req)
 	if err != nil {
 		return nil, err
@@ -128,7 +128,7 @@
 	return m
 }
 
-func (m *meters) appended(records []keeper.Record, took time.Duration) {
+func (m *meters) appended(records []artifactstore.Record, took time.Duration) {
 	m.records.Add(float64(len(records)))
 	for _, r := range records {
 		m.bytes.Add(float64(len(r.Data)))
--- a/internal/keepers/streams.go
+++ b/internal/artifactreplication/streams.go
@@ -1,4 +1,4 @@
-package keepers
+package artifactreplication
 
 import (
 	"cmp"
@@ -9,14 +9,14 @@
 	"slices"
 	"time"
 
+	"topazhollow/internal/artifactstore"
 	"topazhollow/internal/blob"
-	"topazhollow/internal/keeper"
 	"topazhollow/internal/wait"
 )
 
 // Begin opens an attempt for its machine and session. Repeated by the same it has no
 // effect.
-func (n *Node) Begin(ctx context.Context, c keeper.Claim) error {
+func (n *Node) Begin(ctx context.Context, c artifactstore.Claim) error {
 	_, err := n.write(ctx, c.Attempt, func(ctx context.Context, _ string, r replica) (*answer, error) {
 		return r.do(ctx, &call{Op: "begin", Claim: c})
 	})
@@ -25,18 +25,18 @@
 
 // Append adds records to a stream, the first of them under a number. next is the number
 // of the record wanted next; all before it are durable on enough keepers.
-func (n *Node) Append(ctx context.Context, c keeper.Claim, stream string, first uint64, records []keeper.Record) (next uint64, err error) {
+func (n *Node) Append(ctx context.Context, c artifactstore.Claim, stream string, first uint64, records []artifactstore.Record) (next uint64, err error) {
 	begun := n.opt.Now()
 	got, err := n.write(ctx, c.Attempt, func(ctx context.Context, name string, r replica) (*answer, error) {
 		a, err := r.do(ctx, &call{Op: "append", Claim: c, Stream: stream, First: first, Records: records})
-		var gap *keeper.GapError
+		var gap *artifactstore.GapError
 		if errors.As(err, &gap) && n.fill(ctx, c, stream, gap.Want, first, name, r) {
 			a, err = r.do(ctx, &call{Op: "append", Claim: c, Stream: stream, First: first, Records: records})
 		}
 		return a, err
 	})
 	if err != nil {
-		var gap *keeper.GapError
+		var gap *artifactstore.GapError
 		if errors.As(err, &gap) {
 			next = gap.Want
 		}
@@ -52,7 +52,7 @@
 
 // fill brings a keeper the records of a stream that it missed, from another that has
 // them.
-func (n *Node) fill(ctx context.Context, c keeper.Claim, stream string, from, to uint64, name string, r replica) bool {
+func (n *Node) fill(ctx context.Context, c artifactstore.Claim, stream string, from, to uint64, name string, r replica) bool {
 	for _, other := range n.opt.Members.Place(c.Job, c.Task) {
 		p := n.peers[other]
 		if other == name || p == nil || from >= to {
@@ -73,8 +73,8 @@
 
 // copyRecords brings records from one keeper to another, up to a number, or all if it
 // is 0, and gives the number of the next.
-func (n *Node) copyRecords(ctx context.Context, c keeper.Claim, stream string, from, to uint64, src, dst replica) (uint64, error) {
-	var batch []keeper.Record
+func (n *Node) copyRecords(ctx context.Context, c artifactstore.Claim, stream string, from, to uint64, src, dst replica) (uint64, error) {
+	var batch []artifactstore.Record
 	size := 0
 	send := func() error {
 		if len(batch) == 0 {
@@ -87,7 +87,7 @@
 		}
 		return err
 	}
-	_, _, err := src.read(ctx, c.Attempt, stream, from, false, func(rec keeper.Record) error {
+	_, _, err := src.read(ctx, c.Attempt, stream, from, false, func(rec artifactstore.Record) error {
 		if to > 0 && from+uint64(len(batch)) >= to {
 			return nil
 		}
@@ -102,7 +102,7 @@
 
 // Attach adds a file, whose content one of the keepers has from the same tenant. A path
 // that was attached before gets the new content.
-func (n *Node) Attach(ctx context.Context, c keeper.Claim, path string, d blob.Digest) error {
+func (n *Node) Attach(ctx context.Context, c artifactstore.Claim, path string, d blob.Digest) error {
 	_, err := n.write(ctx, c.Attempt, func(ctx context.Context, name string, r replica) (*answer, error) {
 		ask := &call{Op: "attach", Claim: c, Path: path, Digest: d.String()}
 		a, err := r.do(ctx, ask)
@@ -130,10 +130,10 @@
 // number of the next and the attempt's state. A follower is served for as long as the
 // attempt goes on and the context allows. A keeper that fails meanwhile is replaced by
 // another.
-func (n *Node) Read(ctx context.Context, at keeper.Attempt, stream string, from uint64, follow bool, each func(uint64, keeper.Record) error) (next uint64, state string, err error) {
+func (n *Node) Read(ctx context.Context, at artifactstore.Attempt, stream string, from uint64, follow bool, each func(uint64, artifactstore.Record) error) (next uint64, state string, err error) {
 	next = from
 	var broken error // each's own
-	pass := func(r keeper.Record) error {
+	pass := func(r artifactstore.Record) error {
 		if broken = each(next, r); broken == nil {
 			next++
 		}
@@ -191,7 +191,7 @@
 		case last == nil && !following && next >= want:
 			return next, state, nil
 		case last == nil && !following:
-			last = fmt.Errorf("%w: %d of %d records", keeper.ErrNotWhole, next, want)
+			last = fmt.Errorf("%w: %d of %d records", artifactstore.ErrNotWhole, next, want)
 		}
 		if last != nil {
 			if failures++; failures > 3 {
--- a/internal/keepers/sums.go
+++ b/internal/artifactreplication/sums.go
@@ -1,4 +1,4 @@
-package keepers
+package artifactreplication
 
 import (
 	"encoding/binary"
@@ -9,8 +9,8 @@
 
 	"github.com/zeebo/blake3"
 
-	"topazhollow/internal/keeper"
-	"topazhollow/internal/wire"
+	"topazhollow/internal/artifactstore"
+	"topazhollow/internal/protocol"
 )
 
 const buckets = 1024
@@ -22,16 +22,16 @@
 const strays = -1
 
 // bucketOf is the bucket of a task's names.
-func bucketOf(at keeper.Attempt) int {
+func bucketOf(at artifactstore.Attempt) int {
 	h := blake3.Sum256(fmt.Appendf(nil, "%s/%d", at.Job, at.Task))
 	return int(binary.LittleEndian.Uint32(h[:])) % buckets
 }
 
 // each walks over the names of what is here of tasks that another keeper is to have too.
-func (n *Node) each(other string, f func(name string, at keeper.Attempt, stray bool)) error {
-	var last keeper.Attempt
+func (n *Node) each(other string, f func(name string, at artifactstore.Attempt, stray bool)) error {
+	var last artifactstore.Attempt
 	var theirs, mine bool
-	visit := func(name string, at keeper.Attempt) {
+	visit := func(name string, at artifactstore.Attempt) {
 		if last.Job != at.Job || last.Task != at.Task {
 			place := n.opt.Members.Place(at.Job, at.Task)
 			theirs, mine, last = slices.Contains(place, other), slices.Contains(place, n.opt.Name), at
@@ -46,7 +46,7 @@
 			return err
 		}
 		for _, name := range names {
-			at, err := keeper.ParseName(name)
+			at, err := artifactstore.ParseName(name)
 			if err != nil {
 				return err
 			}
@@ -59,8 +59,8 @@
 	}
 	for _, v := range n.keeper.Open() {
 		v.Idle = 0
-		h := blake3.Sum256(wire.Encode(&struct {
-			S map[string]keeper.Extent
+		h := blake3.Sum256(protocol.Encode(&struct {
+			S map[string]artifactstore.Extent
 			F map[string]string
 		}{v.Streams, v.Files}))
 		visit(fmt.Sprintf("open/%s/%x", v.Attempt, h[:8]), v.Attempt)
@@ -71,7 +71,7 @@
 // sums gives each bucket's sum of hashes, of what another keeper is to have too.
 func (n *Node) sums(other string) ([]string, error) {
 	var sums [buckets][2]uint64
-	err := n.each(other, func(name string, at keeper.Attempt, stray bool) {
+	err := n.each(other, func(name string, at artifactstore.Attempt, stray bool) {
 		if stray {
 			return
 		}
@@ -90,7 +90,7 @@
 
 // names lists some buckets, in one walk.
 func (n *Node) names(other string, of []int) (list []string, err error) {
-	err = n.each(other, func(name string, at keeper.Attempt, stray bool) {
+	err = n.each(other, func(name string, at artifactstore.Attempt, stray bool) {
 		b := strays
 		if !stray {
 			b = bucketOf(at)
@@ -103,13 +103,13 @@
 }
 
 // taskOf is the task that a name belongs to.
-func taskOf(name string) (keeper.Attempt, error) {
+func taskOf(name string) (artifactstore.Attempt, error) {
 	if rest, ok := strings.CutPrefix(name, "open/"); ok {
 		if i := strings.LastIndexByte(rest, '/'); i >= 0 {
 			name = "open/" + rest[:i]
 		}
 	}
-	at, err := keeper.ParseName(name)
+	at, err := artifactstore.ParseName(name)
 	at.Number = 0
 	return at, err
 }
--- a/internal/keeper/answer.go
+++ b/internal/artifactstore/answer.go
@@ -1,4 +1,4 @@
-package keeper
+package artifactstore
 
 // Answer is the JSON of everything that is not output itself.
 type Answer struct {
--- a/internal/keeper/keeper.go
+++ b/internal/artifactstore/artifactstore.go
@@ -1,4 +1,4 @@
-package keeper
+package artifactstore
 
 import (
 	"cmp"
@@ -11,8 +11,8 @@
 	"time"
 
 	"topazhollow/internal/blob"
+	"topazhollow/internal/protocol"
 	"topazhollow/internal/wal"
-	"topazhollow/internal/wire"
 )
 
 // Options are a keeper's choices.
@@ -289,7 +289,7 @@
 
 // write makes an entry durable and carries it over.
 func (k *Keeper) write(ctx context.Context, e *entry) error {
-	at, err := k.log.Append(context.WithoutCancel(ctx), wire.Encode(e))
+	at, err := k.log.Append(context.WithoutCancel(ctx), protocol.Encode(e))
 	if err != nil {
 		return err
 	}
--- a/internal/keeper/decision.go
+++ b/internal/artifactstore/decision.go
@@ -1,4 +1,4 @@
-package keeper
+package artifactstore
 
 import (
 	"bytes"
@@ -7,7 +7,7 @@
 	"fmt"
 
 	"topazhollow/internal/blob"
-	"topazhollow/internal/wire"
+	"topazhollow/internal/protocol"
 )
 
 // decided gives a register's value, if it is known here.
@@ -26,7 +26,7 @@
 	if err == nil && at.Number == 0 {
 		var m *Manifest
 		if m, err = Verify(k.opt.Key, value); err == nil {
-			value = wire.Encode(&Result{tenant, m.Number, ds[0].String()})
+			value = protocol.Encode(&Result{tenant, m.Number, ds[0].String()})
 		}
 	}
 	return value, true, err
--- a/internal/keeper/inventory.go
+++ b/internal/artifactstore/inventory.go
@@ -1,4 +1,4 @@
-package keeper
+package artifactstore
 
 import (
 	"cmp"
