--- a/internal/keeper/manifest.go
+++ b/internal/artifactstore/manifest.go
@@ -1,7 +1,7 @@
-// Package keeper keeps what tasks put out: their streams record by record while they
+// Package artifactstore keeps what tasks put out: their streams record by record while they
 // run, and, once an attempt is sealed, a manifest of its streams and files. Of each
 // task one sealed attempt at most becomes the final result.
-package keeper
+package artifactstore
 
 import (
 	"crypto/hmac"
@@ -17,7 +17,7 @@
 	"unicode/utf8"
 
 	"topazhollow/internal/blob"
-	"topazhollow/internal/wire"
+	"topazhollow/internal/protocol"
 )
 
 // Errors that callers decide by.
@@ -57,7 +57,7 @@
 func (a Attempt) task() string { return fmt.Sprintf("%s/%06d/", a.Job, a.Task) }
 
 func (a Attempt) check() error {
-	if !wire.ValidUID(a.Job) || a.Task < 0 || a.Task >= 1_000_000 || a.Number == 0 {
+	if !protocol.ValidUID(a.Job) || a.Task < 0 || a.Task >= 1_000_000 || a.Number == 0 {
 		return fmt.Errorf("%w: attempt %.100q of task %d", ErrName, a.Job, a.Task)
 	}
 	return nil
@@ -129,8 +129,8 @@
 // Sign gives a manifest its code: HMAC-SHA256 (RFC 2104) over its JSON without one.
 func (m *Manifest) Sign(key []byte) []byte {
 	m.Code = ""
-	m.Code = hex.EncodeToString(mac(key, wire.Encode(m)))
-	return wire.Encode(m)
+	m.Code = hex.EncodeToString(mac(key, protocol.Encode(m)))
+	return protocol.Encode(m)
 }
 
 func mac(key, data []byte) []byte {
@@ -151,7 +151,7 @@
 	}
 	bare := m
 	bare.Code = ""
-	if !hmac.Equal(code, mac(key, wire.Encode(&bare))) {
+	if !hmac.Equal(code, mac(key, protocol.Encode(&bare))) {
 		return nil, fmt.Errorf("%w: %s", ErrForged, m.Attempt)
 	}
 	for i := range m.Streams {
--- a/internal/keeper/read.go
+++ b/internal/artifactstore/read.go
@@ -1,4 +1,4 @@
-package keeper
+package artifactstore
 
 import (
 	"context"
@@ -10,7 +10,7 @@
 	"slices"
 
 	"topazhollow/internal/blob"
-	"topazhollow/internal/wire"
+	"topazhollow/internal/protocol"
 )
 
 func (k *Keeper) manifest(tenant string, d blob.Digest) (*Manifest, error) {
@@ -49,7 +49,7 @@
 
 // AppendRecord adds a record to a stream's content: its JSON behind its length.
 func AppendRecord(content []byte, r Record) []byte {
-	b := wire.Encode(&r)
+	b := protocol.Encode(&r)
 	return append(binary.AppendUvarint(content, uint64(len(b))), b...)
 }
 
--- a/internal/keeper/token.go
+++ b/internal/artifactstore/token.go
@@ -1,4 +1,4 @@
-package keeper
+package artifactstore
 
 import (
 	"crypto/hmac"
@@ -9,7 +9,7 @@
 	"strings"
 	"time"
 
-	"topazhollow/internal/wire"
+	"topazhollow/internal/protocol"
 )
 
 // ErrToken says that a token is forged, too old or not for this.
@@ -52,7 +52,7 @@
 // Token is a grant as text: its JSON and an HMAC-SHA256 over that, both in base64url
 // without padding, with a dot between them.
 func (g Grant) Token(key []byte) string {
-	body := wire.Encode(&g)
+	body := protocol.Encode(&g)
 	enc := base64.RawURLEncoding
 	return enc.EncodeToString(body) + "." + enc.EncodeToString(mac(tokenKey(key), body))
 }
--- a/internal/fleet/fleet.go
+++ b/internal/autoscaler/autoscaler.go
@@ -1,12 +1,12 @@
-// Package fleet decides which machines to rent and to return. It does no I/O and
+// Package autoscaler decides which machines to rent and to return. It does no I/O and
 // reads no clock.
-package fleet
+package autoscaler
 
 import (
 	"slices"
 	"time"
 
-	"topazhollow/internal/wire"
+	"topazhollow/internal/protocol"
 )
 
 // Machine is what is known of a machine.
@@ -41,7 +41,7 @@
 
 // Demand is room asked for by tasks that wait.
 type Demand struct {
-	Spec       *wire.Submission
+	Spec       *protocol.Submission
 	Count      int
 	Due        time.Time // when the job should be complete
 	Beyond     float64   // CPUs that its class asks for beyond its team's quota; then Count is 0
@@ -87,7 +87,7 @@
 
 // Plan is what to do now.
 type Plan struct {
-	Rent   []wire.Rent
+	Rent   []protocol.Rent
 	Return []string
 	Retire []string // get no more tasks, and go back once they are idle
 	Late   []string // types and zones, as "type in zone", where no machine comes up in time
@@ -123,7 +123,7 @@
 func (f *Fleet) Forget() { clear(f.pending) }
 
 // Answered books the outcome of a rental request.
-func (f *Fleet) Answered(r wire.Rent, got int, now time.Time, refused bool) {
+func (f *Fleet) Answered(r protocol.Rent, got int, now time.Time, refused bool) {
 	p := pool{r.Type, r.Zone, r.Spot}
 	f.pending[p] -= r.Count
 	if f.pending[p] <= 0 {
@@ -141,14 +141,14 @@
 }
 
 // Moot says whether a request that waits for its turn has become pointless: the place refused another one meanwhile.
-func (f *Fleet) Moot(r wire.Rent, now time.Time) bool {
+func (f *Fleet) Moot(r protocol.Rent, now time.Time) bool {
 	return f.shutNow(pool{r.Type, r.Zone, r.Spot}, now)
 }
 
 // shutNow says whether a place is left alone, since it refused.
 func (f *Fleet) shutNow(p pool, now time.Time) bool { return now.Before(f.shut[p]) }
 
-func allowed(s *wire.Submission, typ, zone string, spot bool) bool {
+func allowed(s *protocol.Submission, typ, zone string, spot bool) bool {
 	return (!spot || s.Spot) && (s.Zone == nil || *s.Zone == zone) && (s.Types == nil || slices.Contains(s.Types, typ))
 }
 
@@ -164,17 +164,17 @@
 
 // decision is what one call of Decide works with.
 type decision struct {
-	types   map[string]*wire.MachineType // by name
-	hurry   time.Duration                // patience with machines that barriers wait for
-	cut     map[string]bool              // zones that are cut off
+	types   map[string]*protocol.MachineType // by name
+	hurry   time.Duration                    // patience with machines that barriers wait for
+	cut     map[string]bool                  // zones that are cut off
 	now     time.Time
 	settled time.Time
 }
 
 // Decide plans with what is known. settled is when the members last changed:
 // silence counts only from then.
-func (f *Fleet) Decide(types []wire.MachineType, machines []Machine, demands []Demand, inflow Inflow, now, settled time.Time) Plan {
-	d := &decision{types: map[string]*wire.MachineType{}, now: now, settled: settled}
+func (f *Fleet) Decide(types []protocol.MachineType, machines []Machine, demands []Demand, inflow Inflow, now, settled time.Time) Plan {
+	d := &decision{types: map[string]*protocol.MachineType{}, now: now, settled: settled}
 	for i := range types {
 		d.types[types[i].Name] = &types[i]
 	}
@@ -213,7 +213,7 @@
 	quiet := d.now.Sub(later(m.Heard, d.settled))
 	unheard := m.Heard.IsZero()
 	switch {
-	case m.State == wire.HostFailed, m.Faulty:
+	case m.State == protocol.HostFailed, m.Faulty:
 		return toReturn
 	case m.HomeUnheard && m.State != "":
 		return leftAlone
@@ -254,7 +254,7 @@
 }
 
 // liveBins is the room of machines in operation that are not retired.
-func (f *Fleet) liveBins(live []*Machine, types map[string]*wire.MachineType) (bins []*bin) {
+func (f *Fleet) liveBins(live []*Machine, types map[string]*protocol.MachineType) (bins []*bin) {
 	for _, m := range live {
 		if f.retired[m.Name] {
 			continue
@@ -269,7 +269,7 @@
 }
 
 // pendingBins is the room of machines that were asked for and not yet promised.
-func (f *Fleet) pendingBins(types map[string]*wire.MachineType) (bins []*bin) {
+func (f *Fleet) pendingBins(types map[string]*protocol.MachineType) (bins []*bin) {
 	for p, count := range f.pending {
 		t := types[p.Type]
 		if t == nil {
@@ -291,7 +291,7 @@
 
 // FetchTime is how many seconds a machine takes to get the job's image, by the
 // slowest type: it may have to share the rate.
-func FetchTime(types []wire.MachineType, s *wire.Submission) float64 {
+func FetchTime(types []protocol.MachineType, s *protocol.Submission) float64 {
 	longest := 0.0
 	for i := range types {
 		if r := types[i].FetchRate; r > 0 {
--- a/internal/fleet/fleet_test.go
+++ b/internal/autoscaler/autoscaler_test.go
@@ -1,4 +1,4 @@
-package fleet
+package autoscaler
 
 import (
 	"fmt"
@@ -8,7 +8,7 @@
 	"testing"
 	"time"
 
-	"topazhollow/internal/wire"
+	"topazhollow/internal/protocol"
 )
 
 // TestEarliestModel compares a bin's answer with a plain walk over time.
@@ -19,7 +19,7 @@
 		for range rng.IntN(6) {
 			b.add(room{at: float64(1 + rng.IntN(10)), cpus: float64(rng.IntN(4))})
 		}
-		s := &wire.Submission{CPUs: float64(1 + rng.IntN(8))}
+		s := &protocol.Submission{CPUs: float64(1 + rng.IntN(8))}
 		for range rng.IntN(3) {
 			if at := b.earliest(s, math.Inf(1)); !math.IsInf(at, 1) {
 				b.take(s, at, float64(1+rng.IntN(5)), 1)
@@ -52,16 +52,16 @@
 	}
 }
 
-func setup() (*Fleet, []wire.MachineType, time.Time) {
+func setup() (*Fleet, []protocol.MachineType, time.Time) {
 	f := New("x", Options{IdleReturn: 20 * time.Second, SpotShare: 1, Silent: 10 * time.Second, Hurry: 4 * time.Second, Overdue: 2 * time.Second, Unlisted: 3 * time.Second, Haste: 1.5})
-	return f, []wire.MachineType{{Name: "m8", CPUs: 8, Memory: 64, Price: 2, SpotPrice: 1, Boot: 10, Zones: []string{"a", "b"}}}, time.Unix(10000, 0)
+	return f, []protocol.MachineType{{Name: "m8", CPUs: 8, Memory: 64, Price: 2, SpotPrice: 1, Boot: 10, Zones: []string{"a", "b"}}}, time.Unix(10000, 0)
 }
 
 // TestRentsOnceAndElsewhereWhenRefused: machines on their way count, names are
 // never reused, and a pool without capacity is left alone for a while.
 func TestRentsOnceAndElsewhereWhenRefused(t *testing.T) {
 	f, types, now := setup()
-	spec := &wire.Submission{CPUs: 8, Estimate: 10, Spot: true}
+	spec := &protocol.Submission{CPUs: 8, Estimate: 10, Spot: true}
 	demand := []Demand{{Spec: spec, Count: 3, Due: now.Add(5 * time.Second)}}
 	p := f.Decide(types, nil, demand, nil, now, now)
 	total := 0
@@ -99,15 +99,15 @@
 	f, types, now := setup()
 	old := now.Add(-5 * time.Minute)
 	ms := []Machine{
-		{Name: "failed", Type: "m8", Zone: "a", State: wire.HostFailed, Since: old},
+		{Name: "failed", Type: "m8", Zone: "a", State: protocol.HostFailed, Since: old},
 		{Name: "silent", Type: "m8", Zone: "a", Heard: now.Add(-time.Minute), Since: old, Registered: true},
-		{Name: "stuck", Type: "m8", Zone: "a", State: wire.HostBooting, Since: old},
+		{Name: "stuck", Type: "m8", Zone: "a", State: protocol.HostBooting, Since: old},
 		{Name: "idle", Type: "m8", Zone: "a", Heard: now, Idle: now.Add(-time.Minute), Since: old, CPUs: 8, Mem: 64},
 		{Name: "busy", Type: "m8", Zone: "a", Heard: now, Since: old},
-		{Name: "new", Type: "m8", Zone: "a", State: wire.HostBooting, Since: now},
-		{Name: "quiet", Type: "m8", Zone: "a", State: wire.HostRunning, Heard: now.Add(-5 * time.Second), Since: old, Registered: true},
+		{Name: "new", Type: "m8", Zone: "a", State: protocol.HostBooting, Since: now},
+		{Name: "quiet", Type: "m8", Zone: "a", State: protocol.HostRunning, Heard: now.Add(-5 * time.Second), Since: old, Registered: true},
 		{Name: "taken", Type: "m8", Zone: "a", Heard: now.Add(-3500 * time.Millisecond), Since: old, Registered: true},
-		{Name: "awaited", Type: "m8", Zone: "a", State: wire.HostRunning, Heard: now.Add(-5 * time.Second), Since: old, Registered: true, Awaited: true},
+		{Name: "awaited", Type: "m8", Zone: "a", State: protocol.HostRunning, Heard: now.Add(-5 * time.Second), Since: old, Registered: true, Awaited: true},
 	}
 	got := f.Decide(types, ms, nil, nil, now, now.Add(-2*time.Minute)).Return
 	if want := []string{"failed", "silent", "stuck", "taken", "awaited", "idle"}; !slices.Equal(got, want) {
@@ -123,7 +123,7 @@
 	// One machine of many held up its owner for as long as a tenth of them would.
 	many := make([]Machine, 100)
 	for i := range many {
-		many[i] = Machine{Name: fmt.Sprintf("n-%03d", i), Type: "m8", Zone: "a", State: wire.HostRunning, Heard: now, Since: old, Registered: true, Awaited: true}
+		many[i] = Machine{Name: fmt.Sprintf("n-%03d", i), Type: "m8", Zone: "a", State: protocol.HostRunning, Heard: now, Since: old, Registered: true, Awaited: true}
 	}
 	for late := 1; late <= 3; late++ {
 		many[late].Heard = now.Add(-3 * time.Second)
@@ -136,7 +136,7 @@
 		}
 	}
 	for i := range ms { // a cut of many machines must not cost all of them
-		ms[i].Awaited, ms[i].Heard, ms[i].State, ms[i].Idle = true, now.Add(-5*time.Second), wire.HostRunning, time.Time{}
+		ms[i].Awaited, ms[i].Heard, ms[i].State, ms[i].Idle = true, now.Add(-5*time.Second), protocol.HostRunning, time.Time{}
 	}
 	if got := f.Decide(types, ms, nil, nil, now, now.Add(-2*time.Minute)).Return; len(got) != 0 {
 		t.Fatalf("returns %v though most are silent", got)
@@ -163,7 +163,7 @@
 		}
 		all := layout{bins: bins, lines: map[shape]*line{}}
 		for range 6 {
-			s := &wire.Submission{CPUs: float64(1 + rng.IntN(4)), Spot: true}
+			s := &protocol.Submission{CPUs: float64(1 + rng.IntN(4)), Spot: true}
 			run := float64(1 + rng.IntN(5))
 			if rng.IntN(3) == 0 {
 				b := &bin{free: []room{{float64(rng.IntN(4)), float64(rng.IntN(9)), 0, 100}}}
@@ -246,7 +246,7 @@
 		if c.machines {
 			machines = busy(now)
 		}
-		demand := []Demand{{Spec: &wire.Submission{CPUs: 8, Estimate: 10, Spot: true}, Count: 1, Due: now, PreferSpot: c.cheap}}
+		demand := []Demand{{Spec: &protocol.Submission{CPUs: 8, Estimate: 10, Spot: true}, Count: 1, Due: now, PreferSpot: c.cheap}}
 		rented := 0
 		for _, r := range f.Decide(types, machines, demand, nil, now, now).Rent {
 			rented += r.Count
@@ -262,13 +262,13 @@
 // nothing was ever rented. What did not start as laid out must get machines.
 func TestNotPutOffForEver(t *testing.T) {
 	f, types, now := setup()
-	low := &wire.Submission{UID: "low", CPUs: 8, Estimate: 10, Spot: true}
+	low := &protocol.Submission{UID: "low", CPUs: 8, Estimate: 10, Spot: true}
 	began, rented := now, 0
 	for ; now.Sub(began) < 3*time.Minute; now = now.Add(500 * time.Millisecond) {
 		// The two machines are always taken by newcomers for the next 5 s.
 		var ms []Machine
 		for i := range 2 {
-			ms = append(ms, Machine{Name: fmt.Sprintf("n-%02d", i), Type: "m8", Zone: "a", State: wire.HostRunning, Heard: now, Since: began, Slots: []Slot{{CPUs: 8, Left: 5}}})
+			ms = append(ms, Machine{Name: fmt.Sprintf("n-%02d", i), Type: "m8", Zone: "a", State: protocol.HostRunning, Heard: now, Since: began, Slots: []Slot{{CPUs: 8, Left: 5}}})
 		}
 		p := f.Decide(types, ms, []Demand{{Spec: low, Count: 1, Due: now.Add(time.Minute)}}, nil, now, began)
 		for _, r := range p.Rent {
@@ -292,10 +292,10 @@
 		f, types, now := setup()
 		var ms []Machine
 		for i := range 2 {
-			ms = append(ms, Machine{Name: fmt.Sprintf("n-%02d", i), Type: "m8", Zone: "a", State: wire.HostRunning, Heard: now, Since: now, Slots: []Slot{{CPUs: 8, Left: 20}}})
+			ms = append(ms, Machine{Name: fmt.Sprintf("n-%02d", i), Type: "m8", Zone: "a", State: protocol.HostRunning, Heard: now, Since: now, Slots: []Slot{{CPUs: 8, Left: 20}}})
 		}
-		low := &wire.Submission{UID: "low", Priority: "standard", CPUs: 8, Estimate: 10, Spot: true}
-		p := f.Decide(types, ms, []Demand{{Spec: low, Count: 1, Due: now.Add(40 * time.Second)}}, Inflow{wire.Rank("high"): cpus, wire.Rank("low"): 100}, now, now)
+		low := &protocol.Submission{UID: "low", Priority: "standard", CPUs: 8, Estimate: 10, Spot: true}
+		p := f.Decide(types, ms, []Demand{{Spec: low, Count: 1, Due: now.Add(40 * time.Second)}}, Inflow{protocol.Rank("high"): cpus, protocol.Rank("low"): 100}, now, now)
 		got := 0
 		for _, r := range p.Rent {
 			got += r.Count
@@ -323,11 +323,11 @@
 		}
 		var machines []Machine
 		for i := range 4 { // whose tasks end soon
-			machines = append(machines, Machine{Name: fmt.Sprint("n-", i), Type: "m8", Zone: "a", Heard: now, Since: now.Add(-time.Minute), State: wire.HostRunning, Registered: true,
+			machines = append(machines, Machine{Name: fmt.Sprint("n-", i), Type: "m8", Zone: "a", Heard: now, Since: now.Add(-time.Minute), State: protocol.HostRunning, Registered: true,
 				Slots: []Slot{{CPUs: 8, Mem: 64, Left: 15, Pinned: true}}})
 		}
-		gang := Demand{Spec: &wire.Submission{UID: "gang", Kind: wire.Gang, Priority: c.priority, CPUs: 7, Estimate: 10, OneZone: true}, Count: 2, Due: now.Add(40 * time.Second)}
-		array := Demand{Spec: &wire.Submission{UID: "array", Kind: wire.Batch, Priority: "standard", CPUs: 1, Estimate: 10, Spot: true}, Count: 16, Due: now.Add(40 * time.Second)}
+		gang := Demand{Spec: &protocol.Submission{UID: "gang", Kind: protocol.Gang, Priority: c.priority, CPUs: 7, Estimate: 10, OneZone: true}, Count: 2, Due: now.Add(40 * time.Second)}
+		array := Demand{Spec: &protocol.Submission{UID: "array", Kind: protocol.Batch, Priority: "standard", CPUs: 1, Estimate: 10, Spot: true}, Count: 16, Due: now.Add(40 * time.Second)}
 		demands := []Demand{gang, array}
 		if c.priority == "low" {
 			demands = []Demand{array, gang}
@@ -373,11 +373,11 @@
 				n = 2
 			}
 			for k := range n {
-				machines = append(machines, Machine{Name: fmt.Sprint("n-", zone, k), Type: "m8", Zone: zone, Heard: now, Since: now.Add(-time.Minute), State: wire.HostRunning, Registered: true,
+				machines = append(machines, Machine{Name: fmt.Sprint("n-", zone, k), Type: "m8", Zone: zone, Heard: now, Since: now.Add(-time.Minute), State: protocol.HostRunning, Registered: true,
 					Slots: []Slot{{CPUs: 8, Mem: 64, Left: c.left[i], Pinned: true}}})
 			}
 		}
-		spec := &wire.Submission{UID: "gang", Kind: wire.Gang, Priority: "high", CPUs: 7, Estimate: 10, OneZone: true}
+		spec := &protocol.Submission{UID: "gang", Kind: protocol.Gang, Priority: "high", CPUs: 7, Estimate: 10, OneZone: true}
 		got := map[string]int{}
 		for _, r := range f.Decide(types, machines, []Demand{{Spec: spec, Count: c.tasks, Due: now.Add(time.Duration(c.late) * time.Second)}}, nil, now, now).Rent {
 			got[r.Zone] += r.Count
@@ -401,7 +401,7 @@
 			l.bins = append(l.bins, b)
 		}
 		zone, count := "a", 1+rng.IntN(5)
-		s := &wire.Submission{CPUs: float64(1 + rng.IntN(4))}
+		s := &protocol.Submission{CPUs: float64(1 + rng.IntN(4))}
 		want := math.Inf(1)
 		for at := 0.0; at <= 20 && math.IsInf(want, 1); at++ {
 			room := 0
@@ -420,7 +420,7 @@
 				want = at
 			}
 		}
-		if got := l.gangPlaces([]wire.MachineType{{Zones: []string{zone}}}, s, count)[0].at; got != want {
+		if got := l.gangPlaces([]protocol.MachineType{{Zones: []string{zone}}}, s, count)[0].at; got != want {
 			t.Fatalf("seed %d: %d tasks of %g CPUs after %g, plainly %g", seed, count, s.CPUs, got, want)
 		}
 	}
@@ -431,11 +431,11 @@
 func TestRequestsGoByUrgency(t *testing.T) {
 	for range 20 { // the order was that of a map
 		f, types, now := setup()
-		types = append(types, wire.MachineType{Name: "g8", CPUs: 8, GPUs: 2, Memory: 64, Price: 9, SpotPrice: 5, Boot: 10, Zones: []string{"a"}})
+		types = append(types, protocol.MachineType{Name: "g8", CPUs: 8, GPUs: 2, Memory: 64, Price: 9, SpotPrice: 5, Boot: 10, Zones: []string{"a"}})
 		zone := "b"
-		first := Demand{Spec: &wire.Submission{UID: "1", Priority: "high", CPUs: 8, GPUs: 1, Estimate: 10}, Count: 1, Due: now}
-		then := Demand{Spec: &wire.Submission{UID: "2", Priority: "high", CPUs: 8, Estimate: 10, Zone: &zone}, Count: 1, Due: now}
-		last := Demand{Spec: &wire.Submission{UID: "3", Priority: "low", CPUs: 8, Estimate: 10, Spot: true}, Count: 80, Due: now}
+		first := Demand{Spec: &protocol.Submission{UID: "1", Priority: "high", CPUs: 8, GPUs: 1, Estimate: 10}, Count: 1, Due: now}
+		then := Demand{Spec: &protocol.Submission{UID: "2", Priority: "high", CPUs: 8, Estimate: 10, Zone: &zone}, Count: 1, Due: now}
+		last := Demand{Spec: &protocol.Submission{UID: "3", Priority: "low", CPUs: 8, Estimate: 10, Spot: true}, Count: 80, Due: now}
 		rents := f.Decide(types, nil, []Demand{first, then, last}, nil, now, now).Rent
 		if len(rents) < 4 || rents[0].Type != "g8" || rents[1].Zone != "b" || rents[1].Spot || !rents[2].Spot || !rents[3].Spot {
 			t.Fatalf("requests %+v", rents)
--- a/internal/fleet/bin.go
+++ b/internal/autoscaler/bin.go
@@ -1,4 +1,4 @@
-package fleet
+package autoscaler
 
 import (
 	"cmp"
@@ -7,7 +7,7 @@
 	"slices"
 	"strings"
 
-	"topazhollow/internal/wire"
+	"topazhollow/internal/protocol"
 )
 
 // room is a change of a machine's free room at a time, in seconds from now.
@@ -25,7 +25,7 @@
 	taken int // how often tasks were booked
 }
 
-func newBin(p pool, t *wire.MachineType, at float64) *bin {
+func newBin(p pool, t *protocol.MachineType, at float64) *bin {
 	return &bin{pool: p, all: t.CPUs, free: []room{{at, t.CPUs, t.GPUs, t.Memory}}}
 }
 
@@ -43,7 +43,7 @@
 
 // earliest is when the bin has room for a task from then on, or infinity; it
 // stops looking at limit.
-func (b *bin) earliest(s *wire.Submission, limit float64) float64 {
+func (b *bin) earliest(s *protocol.Submission, limit float64) float64 {
 	cpus, gpus, mem := 0.0, 0.0, 0.0
 	start := math.Inf(1)
 	for _, r := range b.free {
@@ -63,8 +63,8 @@
 }
 
 // fits is how many tasks there is room for from a time on, for good.
-func (b *bin) fits(s *wire.Submission, from float64) int {
-	count := wire.MaxTasks
+func (b *bin) fits(s *protocol.Submission, from float64) int {
+	count := protocol.MaxTasks
 	cpus, gpus, mem := 0.0, 0.0, 0.0
 	for i, r := range b.free {
 		cpus, gpus, mem = cpus+r.cpus, gpus+r.gpus, mem+r.mem
@@ -81,7 +81,7 @@
 
 // take books tasks from start on, as many as there is room for from then on, one at
 // least and most at most, and says how many.
-func (b *bin) take(s *wire.Submission, start, run float64, most int) int {
+func (b *bin) take(s *protocol.Submission, start, run float64, most int) int {
 	count := max(min(b.fits(s, start), most), 1)
 	x := float64(count)
 	b.taken++
@@ -98,7 +98,7 @@
 	cheap           bool // on spot machines alone
 }
 
-func shapeOf(s *wire.Submission, cheap bool) shape {
+func shapeOf(s *protocol.Submission, cheap bool) shape {
 	x := shape{cpus: s.CPUs, gpus: s.GPUs, mem: s.Memory, spot: s.Spot, cheap: cheap}
 	if s.Zone != nil {
 		x.zone = "=" + *s.Zone
@@ -117,7 +117,7 @@
 }
 
 // line finds the bins that may take tasks of a job's shape, or the spot ones of these.
-func (l *layout) line(s *wire.Submission, cheap bool) *line {
+func (l *layout) line(s *protocol.Submission, cheap bool) *line {
 	x := shapeOf(s, cheap)
 	q := l.lines[x]
 	if q == nil {
@@ -145,7 +145,7 @@
 // from a bin, so that the start that was found before is the least that it can be: only the
 // bin in front has to be looked at again, if it changed.
 type line struct {
-	spec  *wire.Submission // any of the shape
+	spec  *protocol.Submission // any of the shape
 	cheap bool
 	bins  []candidate
 	known int // bins of the layout that were looked at
--- a/internal/fleet/boot.go
+++ b/internal/autoscaler/boot.go
@@ -1,10 +1,10 @@
-package fleet
+package autoscaler
 
 import (
 	"slices"
 	"time"
 
-	"topazhollow/internal/wire"
+	"topazhollow/internal/protocol"
 )
 
 // boots is how long machines of a type in a zone, spot or not, took of late until
@@ -35,12 +35,12 @@
 
 // boot is how many seconds a new machine of a pool probably takes until it
 // reports: what nearly all took of late, or what the catalog says.
-func (f *Fleet) boot(p pool, t *wire.MachineType) float64 {
+func (f *Fleet) boot(p pool, t *protocol.MachineType) float64 {
 	b := f.bootsOf(p)
 	return max(b.usual(t), b.slow, 1)
 }
 
-func (b *boots) usual(t *wire.MachineType) float64 {
+func (b *boots) usual(t *protocol.MachineType) float64 {
 	if len(b.seen) > 0 {
 		return b.most
 	}
@@ -50,7 +50,7 @@
 // watchBoots learns from machines that came up since the last look, and from those
 // that should have. While machines rented earlier are late and none rented since is
 // up, all are slow; a machine that others overtook is a straggler.
-func (f *Fleet) watchBoots(machines []Machine, types map[string]*wire.MachineType, now time.Time) {
+func (f *Fleet) watchBoots(machines []Machine, types map[string]*protocol.MachineType, now time.Time) {
 	booting := map[string]bool{}
 	for i := range machines {
 		m := &machines[i]
@@ -101,7 +101,7 @@
 
 // untilUp is in how many seconds a machine that was rented is probably up. One
 // that is late may well take as long again as it took already.
-func (f *Fleet) untilUp(m *Machine, t *wire.MachineType, now time.Time) float64 {
+func (f *Fleet) untilUp(m *Machine, t *protocol.MachineType, now time.Time) float64 {
 	expected, age := f.boot(m.pool(), t), now.Sub(m.Since).Seconds()
 	if age > lateAt*expected {
 		return age
@@ -110,7 +110,7 @@
 }
 
 // stuck says whether a machine takes so long to boot that it will hardly come.
-func (f *Fleet) stuck(m *Machine, t *wire.MachineType, now time.Time) bool {
+func (f *Fleet) stuck(m *Machine, t *protocol.MachineType, now time.Time) bool {
 	usual := 60.0
 	if t != nil {
 		usual = max(t.Boot, f.bootsOf(m.pool()).usual(t))
--- a/internal/fleet/boot_test.go
+++ b/internal/autoscaler/boot_test.go
@@ -1,18 +1,18 @@
-package fleet
+package autoscaler
 
 import (
 	"fmt"
 	"testing"
 	"time"
 
-	"topazhollow/internal/wire"
+	"topazhollow/internal/protocol"
 )
 
 // delivery is a plain cloud that rents out what is asked for; boots says after how
 // many seconds a machine is up, 0 for never.
 type delivery struct {
 	f        *Fleet
-	types    []wire.MachineType
+	types    []protocol.MachineType
 	now      time.Time
 	machines []Machine
 	up       map[string]time.Time
@@ -26,7 +26,7 @@
 		for i := range d.machines {
 			m := &d.machines[i]
 			if at := d.up[m.Name]; !at.IsZero() && !d.now.Before(at) {
-				m.Heard, m.State = d.now, wire.HostRunning
+				m.Heard, m.State = d.now, protocol.HostRunning
 				m.Slots = []Slot{{CPUs: 8, Left: 1000}}
 			}
 		}
@@ -45,7 +45,7 @@
 			for range r.Count {
 				d.rented++
 				name := fmt.Sprintf("n-%03d", d.rented)
-				d.machines = append(d.machines, Machine{Name: name, Type: r.Type, Zone: r.Zone, Spot: r.Spot, Since: d.now, State: wire.HostBooting})
+				d.machines = append(d.machines, Machine{Name: name, Type: r.Type, Zone: r.Zone, Spot: r.Spot, Since: d.now, State: protocol.HostBooting})
 				if s := boots(d.rented, r.Zone); s > 0 {
 					d.up[name] = d.now.Add(time.Duration(s * float64(time.Second)))
 				}
@@ -87,7 +87,7 @@
 	} {
 		f, types, now := setup()
 		d := &delivery{f: f, types: types, now: now, up: map[string]time.Time{}}
-		spec := &wire.Submission{CPUs: 8, Estimate: 10, Spot: true}
+		spec := &protocol.Submission{CPUs: 8, Estimate: 10, Spot: true}
 		served := time.Duration(0)
 		d.play(now.Add(2*time.Minute), c.boots, func(at time.Time) []Demand {
 			left := 8 - d.running()
--- a/internal/fleet/gang.go
+++ b/internal/autoscaler/gang.go
@@ -1,10 +1,10 @@
-package fleet
+package autoscaler
 
 import (
 	"math"
 	"slices"
 
-	"topazhollow/internal/wire"
+	"topazhollow/internal/protocol"
 )
 
 // A gang of one zone starts once all its tasks have room there at the same time. Laid out task by task, on whatever
@@ -12,7 +12,7 @@
 // zones.
 
 // zonesOf lists the zones that any type has machines in, in the order of the catalog.
-func zonesOf(types []wire.MachineType) (zones []string) {
+func zonesOf(types []protocol.MachineType) (zones []string) {
 	for i := range types {
 		for _, z := range types[i].Zones {
 			if !slices.Contains(zones, z) {
@@ -25,13 +25,13 @@
 
 // gangPlace is a gang in one of the zones that it could run in.
 type gangPlace struct {
-	spec *wire.Submission // as one that has to run there
-	bins []*bin           // that it may use there
-	at   float64          // when all of it first has room there, or infinity
+	spec *protocol.Submission // as one that has to run there
+	bins []*bin               // that it may use there
+	at   float64              // when all of it first has room there, or infinity
 }
 
 // gangPlaces lists the zones for so many tasks of a gang.
-func (l *layout) gangPlaces(types []wire.MachineType, s *wire.Submission, count int) (places []gangPlace) {
+func (l *layout) gangPlaces(types []protocol.MachineType, s *protocol.Submission, count int) (places []gangPlace) {
 	for _, zone := range zonesOf(types) {
 		there := *s
 		there.Zone = &zone
@@ -83,7 +83,7 @@
 type gangOffer struct {
 	place       *gangPlace
 	pool        pool
-	machineType *wire.MachineType
+	machineType *protocol.MachineType
 	count       int
 }
 
--- a/internal/fleet/rent.go
+++ b/internal/autoscaler/rent.go
@@ -1,4 +1,4 @@
-package fleet
+package autoscaler
 
 import (
 	"fmt"
@@ -6,7 +6,7 @@
 	"slices"
 	"time"
 
-	"topazhollow/internal/wire"
+	"topazhollow/internal/protocol"
 )
 
 // maxRents is how many requests go out for one pool at a time.
@@ -18,7 +18,7 @@
 // rental is one layout of all waiting tasks, by which it is found what to rent.
 type rental struct {
 	f      *Fleet
-	types  []wire.MachineType
+	types  []protocol.MachineType
 	inflow Inflow
 	now    time.Time
 	all    layout
@@ -32,7 +32,7 @@
 // end, and rents for what would come too late so but in better time on a new
 // machine. What comes meanwhile with a higher rank is expected as it came of late; what
 // did not start as it was laid out before counts as late by that.
-func (f *Fleet) rent(plan *Plan, types []wire.MachineType, bins []*bin, demands []Demand, inflow Inflow, now time.Time) {
+func (f *Fleet) rent(plan *Plan, types []protocol.MachineType, bins []*bin, demands []Demand, inflow Inflow, now time.Time) {
 	if !f.open(types, now) {
 		return // nothing can be had: who waits keeps the place that was laid out
 	}
@@ -64,14 +64,14 @@
 // expect makes of a start by the layout, in seconds from now, one that is to be expected: work
 // that comes meanwhile with a higher rank goes first.
 func (r *rental) expect(t *task, at float64) float64 {
-	rank := wire.Rank(t.demand.Spec.Priority)
+	rank := protocol.Rank(t.demand.Spec.Priority)
 	return at*r.inflow.slower(rank, r.room) + t.behind
 }
 
 // taskOf derives from a demand what a layout goes by.
 func (r *rental) taskOf(d *Demand) *task {
 	t := &task{demand: d, run: max(d.Spec.Estimate, 1)}
-	if d.Spec.Kind == wire.Service {
+	if d.Spec.Kind == protocol.Service {
 		t.run = EndlessRun
 	}
 	t.allowance = max(0, d.Due.Sub(r.now).Seconds()-r.f.opt.Haste*t.run-FetchTime(r.types, d.Spec))
@@ -84,11 +84,11 @@
 // layOut lays out a demand's tasks, and books what is to be rented for them.
 func (r *rental) layOut(d *Demand) {
 	s := d.Spec
-	if s.Kind == wire.Gang && !s.Spot {
-		r.gang = max(r.gang, wire.Rank(s.Priority))
+	if s.Kind == protocol.Gang && !s.Spot {
+		r.gang = max(r.gang, protocol.Rank(s.Priority))
 	}
 	t := r.taskOf(d)
-	if s.Kind == wire.Gang && s.OneZone && s.Zone == nil {
+	if s.Kind == protocol.Gang && s.OneZone && s.Zone == nil {
 		at, rented := r.layGang(t)
 		if rented {
 			delete(r.f.plans, s.UID) // a new one, with what is rented
@@ -116,7 +116,7 @@
 	// What comes free on ordinary machines is kept for waiting gangs that need these, however
 	// long they wait: less urgent work would be laid out there, nothing would be rented for it,
 	// and it would wait until it is late.
-	cheap := s.Spot && f.opt.SpotShare > 0 && wire.Rank(s.Priority) < r.gang
+	cheap := s.Spot && f.opt.SpotShare > 0 && protocol.Rank(s.Priority) < r.gang
 	line := r.all.line(s, cheap)
 	for left := t.demand.Count; left > 0; {
 		start := r.expect(t, line.soonest())
@@ -149,7 +149,7 @@
 }
 
 // add books a machine to be rented, which is up in so many seconds.
-func (r *rental) add(place pool, machineType *wire.MachineType, boot float64) *bin {
+func (r *rental) add(place pool, machineType *protocol.MachineType, boot float64) *bin {
 	b := newBin(place, machineType, boot)
 	r.want[place]++
 	r.all.bins = append(r.all.bins, b)
@@ -159,14 +159,14 @@
 
 // requests makes the requests for the wanted machines. A wave of machines goes out at once;
 // what is beyond that waits for answers.
-func (f *Fleet) requests(places []pool, want map[pool]int) (list []wire.Rent) {
+func (f *Fleet) requests(places []pool, want map[pool]int) (list []protocol.Rent) {
 	for _, p := range places {
 		for i, left := 0, want[p]; i < maxRents && left > 0; i++ {
-			count := min(left, wire.MaxRent)
+			count := min(left, protocol.MaxRent)
 			left -= count
 			f.counter++
 			f.pending[p] += count
-			list = append(list, wire.Rent{
+			list = append(list, protocol.Rent{
 				Request: fmt.Sprintf("%s-%d", f.prefix, f.counter),
 				Type:    p.Type, Zone: p.Zone, Spot: p.Spot, Count: count,
 			})
@@ -187,7 +187,7 @@
 }
 
 // open says whether any place may have machines to give.
-func (f *Fleet) open(types []wire.MachineType, now time.Time) bool {
+func (f *Fleet) open(types []protocol.MachineType, now time.Time) bool {
 	for i := range types {
 		for _, zone := range types[i].Zones {
 			if !f.shutNow(pool{types[i].Name, zone, false}, now) || f.opt.SpotShare > 0 && !f.shutNow(pool{types[i].Name, zone, true}, now) {
@@ -218,7 +218,7 @@
 // cheapest is the pool with the lowest price for a task of those that are open and
 // deliver a machine sooner than the task would start without; among equal ones that
 // with the least already wanted.
-func (f *Fleet) cheapest(types []wire.MachineType, d *Demand, want map[pool]int, start float64, now time.Time) (best pool, found *wire.MachineType) {
+func (f *Fleet) cheapest(types []protocol.MachineType, d *Demand, want map[pool]int, start float64, now time.Time) (best pool, found *protocol.MachineType) {
 	lowest := math.Inf(1)
 	for i := range types {
 		t := &types[i]
@@ -248,7 +248,7 @@
 
 // mayRent says whether a machine of a pool may be rented for a task that would start in so
 // many seconds without it.
-func (f *Fleet) mayRent(p pool, t *wire.MachineType, d *Demand, start float64, now time.Time) bool {
+func (f *Fleet) mayRent(p pool, t *protocol.MachineType, d *Demand, start float64, now time.Time) bool {
 	if !allowed(d.Spec, p.Type, p.Zone, p.Spot) || f.shutNow(p, now) || f.boot(p, t) >= start {
 		return false
 	}
@@ -259,12 +259,12 @@
 }
 
 // takes says whether an empty machine of a type has room for a task.
-func takes(t *wire.MachineType, s *wire.Submission) bool {
+func takes(t *protocol.MachineType, s *protocol.Submission) bool {
 	return t.CPUs+slack >= s.CPUs && t.GPUs+slack >= s.GPUs && t.Memory+slack >= s.Memory
 }
 
 // tasksOn is how many tasks an empty machine of a type takes by CPUs and memory.
-func tasksOn(t *wire.MachineType, s *wire.Submission) float64 {
+func tasksOn(t *protocol.MachineType, s *protocol.Submission) float64 {
 	count := math.Floor(t.CPUs / max(s.CPUs, 1e-6))
 	if s.Memory > 0 {
 		count = min(count, math.Floor(t.Memory/s.Memory))
--- a/internal/fleet/retire.go
+++ b/internal/autoscaler/retire.go
@@ -1,4 +1,4 @@
-package fleet
+package autoscaler
 
 import (
 	"cmp"
@@ -6,7 +6,7 @@
 	"slices"
 	"time"
 
-	"topazhollow/internal/wire"
+	"topazhollow/internal/protocol"
 )
 
 // reserve is the part of the kept machines' room that stays free when dear
@@ -18,7 +18,7 @@
 const calm = time.Minute
 
 // share is what part of a machine of a type an amount takes: its scarcest kind.
-func share(t *wire.MachineType, cpus, gpus, mem float64) float64 {
+func share(t *protocol.MachineType, cpus, gpus, mem float64) float64 {
 	most := 0.0
 	for _, x := range [][2]float64{{cpus, t.CPUs}, {gpus, t.GPUs}, {mem, t.Memory}} {
 		if x[1] > 0 {
@@ -29,7 +29,7 @@
 }
 
 // free is what part of a machine is free: of its scarcest kind.
-func (m *Machine) free(t *wire.MachineType) float64 {
+func (m *Machine) free(t *protocol.MachineType) float64 {
 	least := 1.0
 	for _, x := range [][2]float64{{m.CPUs, t.CPUs}, {m.GPUs, t.GPUs}, {m.Mem, t.Memory}} {
 		if x[1] > 0 {
@@ -41,7 +41,7 @@
 
 // dear says whether a machine costs more than another kind of its type does, so
 // that work should leave it where there is room.
-func (f *Fleet) dear(m *Machine, t *wire.MachineType) bool {
+func (f *Fleet) dear(m *Machine, t *protocol.MachineType) bool {
 	return !m.Spot && f.opt.SpotShare > 0 && t.SpotPrice < t.Price
 }
 
@@ -50,7 +50,7 @@
 // over all there are. A machine is retired once the others have room for its work
 // and the reserve, and taken back into use as soon as that is no longer so. What a
 // retired machine still runs is counted as work that the others are about to get.
-func (f *Fleet) retire(live []*Machine, types map[string]*wire.MachineType, demands []Demand, now time.Time) {
+func (f *Fleet) retire(live []*Machine, types map[string]*protocol.MachineType, demands []Demand, now time.Time) {
 	// If some work may not use cheap machines, it is not known which of the dear ones it needs.
 	pinned := slices.ContainsFunc(demands, func(d Demand) bool { return !d.Spec.Spot })
 	byType := map[string][]*Machine{}
@@ -74,7 +74,7 @@
 }
 
 // waitingByType is how many machines' room the waiting tasks take that may run on a type.
-func waitingByType(types map[string]*wire.MachineType, demands []Demand) map[string]float64 {
+func waitingByType(types map[string]*protocol.MachineType, demands []Demand) map[string]float64 {
 	waiting := map[string]float64{}
 	for _, d := range demands {
 		for name, t := range types {
@@ -88,7 +88,7 @@
 
 // retireOfType retires machines of one type or takes them back. Waiting is the machines' room
 // that waiting tasks take.
-func (f *Fleet) retireOfType(t *wire.MachineType, machines []*Machine, waiting float64, now time.Time) {
+func (f *Fleet) retireOfType(t *protocol.MachineType, machines []*Machine, waiting float64, now time.Time) {
 	slices.SortFunc(machines, func(a, b *Machine) int {
 		return cmp.Or(cmp.Compare(b.free(t), a.free(t)), cmp.Compare(a.Name, b.Name))
 	})
--- a/internal/fleet/retire_test.go
+++ b/internal/autoscaler/retire_test.go
@@ -1,4 +1,4 @@
-package fleet
+package autoscaler
 
 import (
 	"fmt"
@@ -7,7 +7,7 @@
 	"testing"
 	"time"
 
-	"topazhollow/internal/wire"
+	"topazhollow/internal/protocol"
 )
 
 // TestRetireModel lets machines fill and empty at random. Whatever is retired, the
@@ -19,7 +19,7 @@
 	for seed := range uint64(60) {
 		rng := rand.New(rand.NewPCG(seed, 7))
 		f, types, now := setup()
-		byType := map[string]*wire.MachineType{"m8": &types[0]}
+		byType := map[string]*protocol.MachineType{"m8": &types[0]}
 		ms := make([]*Machine, 40)
 		for i := range ms {
 			ms[i] = &Machine{Name: fmt.Sprintf("n-%02d", i), Type: "m8", Zone: "a", Spot: i%2 == 0, Heard: now, Since: now.Add(-time.Hour)}
@@ -39,7 +39,7 @@
 			wait := 0.0
 			if rng.IntN(3) == 0 {
 				wait = float64(rng.IntN(60))
-				demands = []Demand{{Spec: &wire.Submission{CPUs: 2, Spot: true}, Count: int(wait), Due: now}}
+				demands = []Demand{{Spec: &protocol.Submission{CPUs: 2, Spot: true}, Count: int(wait), Due: now}}
 			}
 			before := len(f.retired)
 			f.retire(ms, byType, demands, now)
@@ -82,10 +82,10 @@
 	f, types, now := setup()
 	var ms []Machine
 	for i := range 10 {
-		ms = append(ms, Machine{Name: fmt.Sprintf("n-%02d", i), Type: "m8", Zone: "a", Spot: i > 0, State: wire.HostRunning, Heard: now,
+		ms = append(ms, Machine{Name: fmt.Sprintf("n-%02d", i), Type: "m8", Zone: "a", Spot: i > 0, State: protocol.HostRunning, Heard: now,
 			Since: now.Add(-time.Hour), CPUs: 4, Mem: 32, Slots: []Slot{{CPUs: 4, Mem: 32, Left: 30}}})
 	}
-	pinned := []Demand{{Spec: &wire.Submission{CPUs: 1, Estimate: 5}, Count: 1, Due: now.Add(time.Hour)}}
+	pinned := []Demand{{Spec: &protocol.Submission{CPUs: 1, Estimate: 5}, Count: 1, Due: now.Add(time.Hour)}}
 	if p := f.Decide(types, ms, pinned, nil, now, now); len(p.Retire) != 0 {
 		t.Fatalf("retires %v while work waits that may use nothing else", p.Retire)
 	}
@@ -116,7 +116,7 @@
 	silent := func(zone string, count int, quiet time.Duration) int {
 		var ms []Machine
 		for i := range 20 {
-			m := Machine{Name: fmt.Sprintf("n-%02d", i), Type: "m8", Zone: []string{"a", "b"}[i%2], State: wire.HostRunning, Heard: now, Since: now.Add(-time.Hour)}
+			m := Machine{Name: fmt.Sprintf("n-%02d", i), Type: "m8", Zone: []string{"a", "b"}[i%2], State: protocol.HostRunning, Heard: now, Since: now.Add(-time.Hour)}
 			if m.Zone == zone && count > 0 {
 				m.Heard, count = now.Add(-quiet), count-1
 			}
--- a/internal/fleet/return.go
+++ b/internal/autoscaler/return.go
@@ -1,17 +1,17 @@
-package fleet
+package autoscaler
 
 import (
 	"cmp"
 	"slices"
 	"time"
 
-	"topazhollow/internal/wire"
+	"topazhollow/internal/protocol"
 )
 
 // minStay is for how long after its rental an idle machine is not returned.
 const minStay = 50 * time.Second
 
-func (m *Machine) price(types map[string]*wire.MachineType) float64 {
+func (m *Machine) price(types map[string]*protocol.MachineType) float64 {
 	if m.Spot {
 		return types[m.Type].SpotPrice
 	}
@@ -21,7 +21,7 @@
 // giveBack returns machines that have been idle for long, dear ones first, but
 // keeps a few warm. Cheap ones, which may not be had again, stay for longer, as far
 // as they are no more than a tenth of all: more than that idle is no lull.
-func (f *Fleet) giveBack(plan *Plan, types map[string]*wire.MachineType, idle []*Machine, total int, now time.Time) {
+func (f *Fleet) giveBack(plan *Plan, types map[string]*protocol.MachineType, idle []*Machine, total int, now time.Time) {
 	slices.SortFunc(idle, func(a, b *Machine) int {
 		if d := cmp.Compare(b.price(types), a.price(types)); d != 0 {
 			return d
--- a/internal/fleet/silence.go
+++ b/internal/autoscaler/silence.go
@@ -1,4 +1,4 @@
-package fleet
+package autoscaler
 
 import "time"
 
--- a/internal/horizon/horizon.go
+++ b/internal/cancelwatermark/cancelwatermark.go
@@ -1,9 +1,9 @@
-// Package horizon decides until when a controller may keep workers alive. A controller that
+// Package cancelwatermark decides until when a controller may keep workers alive. A controller that
 // has not heard of a withdrawal must not renew the lease of a machine that runs the job's tasks past
 // the time in which they have to be gone. So it keeps a horizon: the moment up to which all withdrawals that any
 // controller confirmed to a user are surely known here. A read of the state service moves it; without
 // that, the peers move it, which number what they confirm and say how far they are. It does no I/O and reads no clock.
-package horizon
+package cancelwatermark
 
 import (
 	"slices"
--- a/internal/horizon/horizon_test.go
+++ b/internal/cancelwatermark/cancelwatermark_test.go
@@ -1,4 +1,4 @@
-package horizon
+package cancelwatermark
 
 import (
 	"fmt"
--- a/internal/topaz/admission.go
+++ b/internal/cli/admission.go
@@ -1,4 +1,4 @@
-package topaz
+package cli
 
 import (
 	"fmt"
@@ -8,7 +8,7 @@
 	"time"
 
 	"topazhollow/internal/admission"
-	"topazhollow/internal/drill"
+	"topazhollow/internal/faultinjection"
 )
 
 type admissionCmd struct {
@@ -105,8 +105,8 @@
 		return err
 	}
 	defer cancel()
-	trials, err := drill.Overloads(ctx, drill.OverloadOptions{Floor: c.Floor,
-		Draw: drill.Draw{Program: program, Dir: dir, Seed: c.Seed, Trials: c.Trials, AtOnce: c.AtOnce, Out: r.err}})
+	trials, err := faultinjection.Overloads(ctx, faultinjection.OverloadOptions{Floor: c.Floor,
+		Draw: faultinjection.Draw{Program: program, Dir: dir, Seed: c.Seed, Trials: c.Trials, AtOnce: c.AtOnce, Out: r.err}})
 	if err != nil {
 		return err
 	}
@@ -115,12 +115,12 @@
 		if err != nil {
 			return err
 		}
-		if err := drill.OverloadReport(f, trials); err != nil {
+		if err := faultinjection.OverloadReport(f, trials); err != nil {
 			return err
 		}
 		if err := f.Close(); err != nil {
 			return err
 		}
 	}
-	return verdict(r, "crowds", dir, trials, func(t drill.OverloadTrial) bool { return t.Broken != "" })
+	return verdict(r, "crowds", dir, trials, func(t faultinjection.OverloadTrial) bool { return t.Broken != "" })
 }
--- a/internal/topaz/build.go
+++ b/internal/cli/build.go
@@ -1,4 +1,4 @@
-package topaz
+package cli
 
 import (
 	"topazhollow/internal/reapi"
--- a/internal/topaz/topaz.go
+++ b/internal/cli/cli.go
@@ -1,5 +1,5 @@
-// Package topaz is what the command topaz does.
-package topaz
+// Package cli is what the command topaz does.
+package cli
 
 import (
 	"context"
@@ -16,8 +16,8 @@
 	"github.com/alecthomas/kong"
 	"github.com/schollz/progressbar/v3"
 
-	"topazhollow/internal/keeper"
-	"topazhollow/internal/keepers"
+	"topazhollow/internal/artifactreplication"
+	"topazhollow/internal/artifactstore"
 	"topazhollow/internal/snapshot"
 )
 
@@ -101,13 +101,13 @@
 	switch {
 	case errors.Is(err, errUsage):
 		return ExitUsage
-	case errors.Is(err, keeper.ErrPartial):
+	case errors.Is(err, artifactstore.ErrPartial):
 		return ExitPartial
-	case errors.Is(err, keeper.ErrUnknown), errors.Is(err, snapshot.ErrNone):
+	case errors.Is(err, artifactstore.ErrUnknown), errors.Is(err, snapshot.ErrNone):
 		return ExitUnknown
-	case errors.Is(err, keeper.ErrToken):
+	case errors.Is(err, artifactstore.ErrToken):
 		return ExitRefused
-	case errors.Is(err, keeper.ErrUnsure):
+	case errors.Is(err, artifactstore.ErrUnsure):
 		return ExitUnsure
 	}
 	return ExitFailed
@@ -131,7 +131,7 @@
 		fmt.Fprint(r.out, set)
 		return nil, nil
 	}
-	key, err := keepers.KeyFromEnvironment()
+	key, err := artifactreplication.KeyFromEnvironment()
 	if err != nil {
 		return nil, fmt.Errorf("%w: %w", errUsage, err)
 	}
@@ -191,7 +191,9 @@
 	Token  string `env:"TOPAZ_TOKEN" required:"" help:"Token to read with (${env})."`
 }
 
-func (f from) reader() *keeper.Reader { return &keeper.Reader{URL: f.Keeper, Token: f.Token} }
+func (f from) reader() *artifactstore.Reader {
+	return &artifactstore.Reader{URL: f.Keeper, Token: f.Token}
+}
 
 type tokenCmd struct {
 	Job   string        `arg:"" help:"Job, as job-000412; with --build an instance."`
@@ -201,13 +203,13 @@
 }
 
 func (c *tokenCmd) Run(r *run) error {
-	key, err := keepers.KeyFromEnvironment()
+	key, err := artifactreplication.KeyFromEnvironment()
 	if err != nil {
 		return fmt.Errorf("%w: %w", errUsage, err)
 	}
-	g := keeper.Grant{Right: keeper.Read, Job: c.Job, Task: c.Task, Until: time.Now().Add(c.For).UTC()}
+	g := artifactstore.Grant{Right: artifactstore.Read, Job: c.Job, Task: c.Task, Until: time.Now().Add(c.For).UTC()}
 	if c.Build {
-		g.Right, g.Task = keeper.Build, nil
+		g.Right, g.Task = artifactstore.Build, nil
 	}
 	token := g.Token(key)
 	r.print(map[string]any{"token": token, "job": c.Job, "until": g.Until}, "%s", token)
@@ -221,7 +223,7 @@
 
 func (c *triesCmd) Run(r *run) error {
 	list, err := c.reader().Attempts(r.ctx, c.Of.Job, c.Of.Task)
-	if err != nil && !errors.Is(err, keeper.ErrUnsure) {
+	if err != nil && !errors.Is(err, artifactstore.ErrUnsure) {
 		return err
 	}
 	for _, a := range list {
@@ -256,10 +258,10 @@
 	switch {
 	case err != nil:
 		return err
-	case end.State == keeper.StatePartial || end.State == keeper.StateGoesOn:
-		return fmt.Errorf("%w: attempt %d of %s/%d", keeper.ErrPartial, end.Attempt, c.Of.Job, c.Of.Task)
-	case end.State == keeper.StateUnsure:
-		return fmt.Errorf("%w: attempt %d of %s/%d", keeper.ErrUnsure, end.Attempt, c.Of.Job, c.Of.Task)
+	case end.State == artifactstore.StatePartial || end.State == artifactstore.StateGoesOn:
+		return fmt.Errorf("%w: attempt %d of %s/%d", artifactstore.ErrPartial, end.Attempt, c.Of.Job, c.Of.Task)
+	case end.State == artifactstore.StateUnsure:
+		return fmt.Errorf("%w: attempt %d of %s/%d", artifactstore.ErrUnsure, end.Attempt, c.Of.Job, c.Of.Task)
 	}
 	return nil
 }
@@ -267,23 +269,23 @@
 // failed prints why a job's tasks have no result.
 func (c *logsCmd) failed(r *run) error {
 	tasks, unsure := c.reader().Tasks(r.ctx, c.Of.Job)
-	if unsure != nil && !errors.Is(unsure, keeper.ErrUnsure) {
+	if unsure != nil && !errors.Is(unsure, artifactstore.ErrUnsure) {
 		return unsure
 	}
 	for _, task := range tasks {
 		list, err := c.reader().Attempts(r.ctx, c.Of.Job, task)
-		if errors.Is(err, keeper.ErrUnsure) {
+		if errors.Is(err, artifactstore.ErrUnsure) {
 			unsure = err
 		} else if err != nil {
 			return err
 		}
-		var last *keeper.Known
+		var last *artifactstore.Known
 		for i, a := range list {
-			if a.State == keeper.StateFinal {
+			if a.State == artifactstore.StateFinal {
 				last = nil
 				break
 			}
-			if a.State == keeper.StateSealed || a.State == keeper.StatePartial {
+			if a.State == artifactstore.StateSealed || a.State == artifactstore.StatePartial {
 				last = &list[i]
 			}
 		}
@@ -299,12 +301,12 @@
 }
 
 // one prints an attempt's stream.
-func (c *logsCmd) one(r *run, task int, attempt uint64, indent string) (keeper.Line, error) {
-	q := keeper.Query{Attempt: attempt, Stream: c.Stream, Follow: c.Follow}
+func (c *logsCmd) one(r *run, task int, attempt uint64, indent string) (artifactstore.Line, error) {
+	q := artifactstore.Query{Attempt: attempt, Stream: c.Stream, Follow: c.Follow}
 	if c.Since > 0 {
 		q.Since = time.Now().Add(-c.Since)
 	}
-	end, err := c.reader().Logs(r.ctx, c.Of.Job, task, q, func(l keeper.Line) error {
+	end, err := c.reader().Logs(r.ctx, c.Of.Job, task, q, func(l artifactstore.Line) error {
 		switch {
 		case r.json:
 			return json.NewEncoder(r.out).Encode(&l)
--- a/internal/topaz/topaz_test.go
+++ b/internal/cli/cli_test.go
@@ -1,4 +1,4 @@
-package topaz
+package cli
 
 import (
 	"bytes"
@@ -13,8 +13,8 @@
 	"testing"
 	"time"
 
-	"topazhollow/internal/keeper"
-	"topazhollow/internal/keepers"
+	"topazhollow/internal/artifactreplication"
+	"topazhollow/internal/artifactstore"
 )
 
 // TestMain lets the tests' program be the command topaz for the processes that demo
@@ -55,20 +55,20 @@
 func TestExitCodes(t *testing.T) {
 	dir := t.TempDir()
 	key := bytes.Repeat([]byte{7}, 16)
-	set := keepers.DefaultConfig()
+	set := artifactreplication.DefaultConfig()
 	set.Listen, set.Dir = "127.0.0.1:0", filepath.Join(dir, "keep")
 	ctx, cancel := context.WithCancel(context.Background())
 	ended, ready := make(chan error, 1), make(chan string, 1)
 	go func() { ended <- Keep(ctx, set, key, &bytes.Buffer{}, func(addr string) { ready <- addr }) }()
 	t.Setenv("TOPAZ_KEEPER", "http://"+<-ready)
-	t.Setenv(keepers.KeyVariable, strings.Repeat("07", 16))
+	t.Setenv(artifactreplication.KeyVariable, strings.Repeat("07", 16))
 	code, token, errs := topaz("token", "job-000001")
 	if code != 0 {
 		t.Fatal(errs)
 	}
 	t.Setenv("TOPAZ_TOKEN", strings.TrimSpace(token))
 	task := 0
-	write := keeper.Grant{Right: keeper.Write, Tenant: "red", Job: "job-000001", Task: &task, Number: 4, Machine: "m", Session: 1, Until: time.Now().Add(time.Hour)}.Token(key)
+	write := artifactstore.Grant{Right: artifactstore.Write, Tenant: "red", Job: "job-000001", Task: &task, Number: 4, Machine: "m", Session: 1, Until: time.Now().Add(time.Hour)}.Token(key)
 	post := func(path, body string) {
 		t.Helper()
 		if err := postTo(os.Getenv("TOPAZ_KEEPER")+path, write, body); err != nil {
@@ -102,7 +102,7 @@
 	}
 	post("/seal", `{"exit":{"completed":true},"records":{"stdout":1}}`)
 	task = 1
-	write = keeper.Grant{Right: keeper.Write, Tenant: "red", Job: "job-000001", Task: &task, Number: 2, Machine: "m", Session: 1, Until: time.Now().Add(time.Hour)}.Token(key)
+	write = artifactstore.Grant{Right: artifactstore.Write, Tenant: "red", Job: "job-000001", Task: &task, Number: 2, Machine: "m", Session: 1, Until: time.Now().Add(time.Hour)}.Token(key)
 	post("/attempt", "")
 	post("/streams/stdout?first=0", `[{"at":"2026-01-01T00:00:00Z","data":"bm8="}]`)
 	post("/seal", `{"exit":{"completed":false,"code":3,"reason":"no terrain"},"records":{"stdout":1}}`)
@@ -132,10 +132,10 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if !strings.Contains(string(out), "topazhollow/internal/tenure\n") {
+	if !strings.Contains(string(out), "topazhollow/internal/leadership\n") {
 		t.Fatal("the list of what the controller links is not to be trusted")
 	}
-	for _, no := range []string{"bbolt", "klauspost", "BurntSushi", "grpc", "prometheus", "topazhollow/internal/keeper", "topazhollow/internal/blob", "topazhollow/internal/snapshot", "fxamacker", "topazhollow/internal/rehearse", "topazhollow/internal/scale", "gonum"} {
+	for _, no := range []string{"bbolt", "klauspost", "BurntSushi", "grpc", "prometheus", "topazhollow/internal/artifactstore", "topazhollow/internal/blob", "topazhollow/internal/snapshot", "fxamacker", "topazhollow/internal/simulation", "topazhollow/internal/loadtest", "gonum"} {
 		if strings.Contains(string(out), no) {
 			t.Errorf("the controller links %s", no)
 		}
--- a/internal/topaz/config.go
+++ b/internal/cli/config.go
@@ -1,4 +1,4 @@
-package topaz
+package cli
 
 import (
 	"context"
@@ -10,8 +10,8 @@
 	"sync"
 	"time"
 
+	"topazhollow/internal/kvstore"
 	"topazhollow/internal/settings"
-	"topazhollow/internal/state"
 	"topazhollow/internal/teamconfig"
 	"topazhollow/internal/teamstore"
 	"topazhollow/internal/tomlfile"
@@ -41,7 +41,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("%w: %w", errUsage, err)
 	}
-	client := state.New(s.Outside.State, s.Deployment.State, len(s.Peers)+2)
+	client := kvstore.New(s.Outside.State, s.Deployment.State, len(s.Peers)+2)
 	go client.Run(ctx)
 	w := teamstore.New(client, s.Deployment.Teams)
 	return w, w.Open(ctx, controlRecord)
--- a/internal/topaz/config_test.go
+++ b/internal/cli/config_test.go
@@ -1,4 +1,4 @@
-package topaz
+package cli
 
 import (
 	"bytes"
@@ -11,14 +11,14 @@
 	"strings"
 	"testing"
 
-	"topazhollow/internal/rehearse"
 	"topazhollow/internal/settings"
+	"topazhollow/internal/simulation"
 )
 
 // TestConfigCommands: changes are committed on top of the settings file and of each other, wrong ones are refused with
 // a name, and nothing is written where no controller keeps its record.
 func TestConfigCommands(t *testing.T) {
-	store, err := rehearse.NewState(16, 16)
+	store, err := simulation.NewState(16, 16)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/topaz/demo.go
+++ b/internal/cli/demo.go
@@ -1,4 +1,4 @@
-package topaz
+package cli
 
 import (
 	"bytes"
@@ -19,14 +19,14 @@
 	"time"
 
 	"topazhollow"
-	"topazhollow/internal/keeper"
-	"topazhollow/internal/keepers"
-	"topazhollow/internal/rehearse"
-	"topazhollow/internal/runner"
+	"topazhollow/internal/artifactreplication"
+	"topazhollow/internal/artifactstore"
+	"topazhollow/internal/protocol"
 	"topazhollow/internal/settings"
+	"topazhollow/internal/simulation"
+	"topazhollow/internal/taskrunner"
 	"topazhollow/internal/tomlfile"
 	"topazhollow/internal/wait"
-	"topazhollow/internal/wire"
 )
 
 // controllerCmd runs a controller as the platform's program does, so that demo needs no
@@ -87,9 +87,9 @@
 	log       *slog.Logger
 	keeper    string // its address
 	listen    []string
-	check     *rehearse.Checker
-	state     *rehearse.State
-	cloud     *rehearse.Cloud
+	check     *simulation.Checker
+	state     *simulation.State
+	cloud     *simulation.Cloud
 	processes []*exec.Cmd
 	example   *example
 	stop      context.CancelFunc
@@ -110,24 +110,24 @@
 	}
 	defer func() { err = errors.Join(err, g.close()) }()
 	fmt.Fprintf(r.out, "three controllers at %s, a keeper at %s\n", strings.Join(g.listen, ", "), g.keeper)
-	spec := &wire.Submission{UID: "job-000001", Class: e.Name, Team: "red", Kind: wire.Batch, Priority: "standard", Tasks: e.Tasks, CPUs: e.CPUs,
+	spec := &protocol.Submission{UID: "job-000001", Class: e.Name, Team: "red", Kind: protocol.Batch, Priority: "standard", Tasks: e.Tasks, CPUs: e.CPUs,
 		Memory: e.Memory, Image: e.Name, Estimate: e.Estimate, Spot: true}
 	g.check.Submitting(spec)
 	if err := g.until(ctx, "the job to be accepted", func() bool {
-		status, _ := g.ask(ctx, "POST", wire.PathSubmit, spec)
+		status, _ := g.ask(ctx, "POST", protocol.PathSubmit, spec)
 		return status == 200 || status == 201
 	}); err != nil {
 		return err
 	}
 	fmt.Fprintf(r.out, "%s accepted: %d tasks of %s\n", spec.UID, spec.Tasks, e.Name)
-	reader := &keeper.Reader{URL: g.keeper, Token: keeper.Grant{Right: keeper.Read, Job: spec.UID, Until: time.Now().Add(24 * time.Hour)}.Token(g.key)}
+	reader := &artifactstore.Reader{URL: g.keeper, Token: artifactstore.Grant{Right: artifactstore.Read, Job: spec.UID, Until: time.Now().Add(24 * time.Hour)}.Token(g.key)}
 	if err := g.until(ctx, "output of its first task", func() bool {
 		list, err := reader.Attempts(ctx, spec.UID, 0)
 		return err == nil && len(list) > 0
 	}); err != nil {
 		return err
 	}
-	end, err := reader.Logs(ctx, spec.UID, 0, keeper.Query{Follow: true}, func(l keeper.Line) error {
+	end, err := reader.Logs(ctx, spec.UID, 0, artifactstore.Query{Follow: true}, func(l artifactstore.Line) error {
 		_, err := fmt.Fprintf(r.out, "  %s/0 | %s\n", spec.UID, l.Record.Data)
 		return err
 	})
@@ -136,8 +136,8 @@
 	}
 	fmt.Fprintf(r.out, "its log ends: attempt %d is %s\n", end.Attempt, end.State)
 	if err := g.until(ctx, "the job to be done", func() bool {
-		status, st := g.ask(ctx, "GET", wire.PathSubmit+"/"+spec.UID, nil)
-		return status == 200 && st.State == wire.Done
+		status, st := g.ask(ctx, "GET", protocol.PathSubmit+"/"+spec.UID, nil)
+		return status == 200 && st.State == protocol.Done
 	}); err != nil {
 		return err
 	}
@@ -184,7 +184,7 @@
 }
 
 func newRegion(ctx context.Context, e *example) (g *region, err error) {
-	g = &region{example: e, key: make([]byte, 32), log: slog.New(slog.DiscardHandler), ended: make(chan error, 1), check: rehearse.NewChecker(map[string]float64{"red": 64})}
+	g = &region{example: e, key: make([]byte, 32), log: slog.New(slog.DiscardHandler), ended: make(chan error, 1), check: simulation.NewChecker(map[string]float64{"red": 64})}
 	_, _ = rand.Read(g.key) // never fails
 	if g.dir, err = os.MkdirTemp("", "topaz-demo-"); err != nil {
 		return nil, err
@@ -194,7 +194,7 @@
 			err = errors.Join(err, g.close())
 		}
 	}()
-	set := keepers.DefaultConfig()
+	set := artifactreplication.DefaultConfig()
 	set.Listen, set.Dir = "127.0.0.1:0", filepath.Join(g.dir, "keep")
 	keeping, stop := context.WithCancel(context.WithoutCancel(ctx))
 	g.stop = stop
@@ -207,7 +207,7 @@
 		g.ended <- nil
 		return g, err
 	}
-	if g.state, err = rehearse.NewState(24, 16); err != nil {
+	if g.state, err = simulation.NewState(24, 16); err != nil {
 		return g, err
 	}
 	names := []string{"estacion-0", "estacion-1", "estacion-2"}
@@ -221,10 +221,10 @@
 		}
 		g.listen = append(g.listen, listen[n])
 	}
-	per := rehearse.Periods{Report: 300 * time.Millisecond, Lease: 20 * time.Second, Exec: g.execute}
-	types := []wire.MachineType{{Name: "m8", CPUs: 8, Memory: 64, Price: 2, SpotPrice: 1, Boot: 1, Zones: []string{"east", "west"}}}
-	g.cloud, err = rehearse.NewCloud(types, 4, func(name, typ, zone string, spot bool) (*rehearse.Worker, error) {
-		return rehearse.NewWorker(name, typ, zone, spot, listen, names, per, g.check)
+	per := simulation.Periods{Report: 300 * time.Millisecond, Lease: 20 * time.Second, Exec: g.execute}
+	types := []protocol.MachineType{{Name: "m8", CPUs: 8, Memory: 64, Price: 2, SpotPrice: 1, Boot: 1, Zones: []string{"east", "west"}}}
+	g.cloud, err = simulation.NewCloud(types, 4, func(name, typ, zone string, spot bool) (*simulation.Worker, error) {
+		return simulation.NewWorker(name, typ, zone, spot, listen, names, per, g.check)
 	})
 	if err != nil {
 		return g, err
@@ -246,7 +246,7 @@
 			}
 		}
 		path := filepath.Join(g.dir, n+".json")
-		if err := os.WriteFile(path, wire.Encode(s), 0o600); err != nil {
+		if err := os.WriteFile(path, protocol.Encode(s), 0o600); err != nil {
 			return g, err
 		}
 		log, err := os.Create(filepath.Join(g.dir, n+".log"))
@@ -270,28 +270,28 @@
 func (g *region) execute(ctx context.Context, machine string, session uint64, name string, attempt uint64) bool {
 	g.tasks.Add(1)
 	defer g.tasks.Done()
-	job, index, ok := wire.SplitTask(name)
+	job, index, ok := protocol.SplitTask(name)
 	if !ok {
 		return false
 	}
-	c := keeper.Claim{Attempt: keeper.Attempt{Job: job, Task: index, Number: attempt}, Tenant: "red", Machine: machine, Session: session, Class: g.example.Name}
-	token := keeper.Grant{Right: keeper.Write, Tenant: c.Tenant, Job: job, Task: &index, Number: attempt, Machine: machine, Session: session, Class: c.Class,
+	c := artifactstore.Claim{Attempt: artifactstore.Attempt{Job: job, Task: index, Number: attempt}, Tenant: "red", Machine: machine, Session: session, Class: g.example.Name}
+	token := artifactstore.Grant{Right: artifactstore.Write, Tenant: c.Tenant, Job: job, Task: &index, Number: attempt, Machine: machine, Session: session, Class: c.Class,
 		Until: time.Now().Add(time.Hour)}.Token(g.key)
 	dir := filepath.Join(g.dir, "work", fmt.Sprintf("%s-%d-%d", job, index, attempt))
 	if err := os.MkdirAll(dir, 0o700); err != nil {
 		return false
 	}
-	got, err := runner.Run(ctx, runner.Options{Spool: filepath.Join(g.dir, "spool", machine), Keepers: []string{g.keeper}, Log: g.log},
-		runner.Task{Claim: c, Token: token, Command: g.example.Command, Env: []string{"PATH=" + os.Getenv("PATH"), fmt.Sprint("TASK=", index)}, Dir: dir, Files: g.example.Files}, 2*time.Second)
+	got, err := taskrunner.Run(ctx, taskrunner.Options{Spool: filepath.Join(g.dir, "spool", machine), Keepers: []string{g.keeper}, Log: g.log},
+		taskrunner.Task{Claim: c, Token: token, Command: g.example.Command, Env: []string{"PATH=" + os.Getenv("PATH"), fmt.Sprint("TASK=", index)}, Dir: dir, Files: g.example.Files}, 2*time.Second)
 	return err == nil && got.Exit.Completed
 }
 
 // ask sends a request to the first controller that answers.
-func (g *region) ask(ctx context.Context, method, path string, body any) (int, wire.Status) {
-	var st wire.Status
+func (g *region) ask(ctx context.Context, method, path string, body any) (int, protocol.Status) {
+	var st protocol.Status
 	var data []byte
 	if body != nil {
-		data = wire.Encode(body)
+		data = protocol.Encode(body)
 	}
 	for _, addr := range g.listen {
 		req, err := http.NewRequestWithContext(ctx, method, "http://"+addr+path, bytes.NewReader(data))
--- a/internal/topaz/keep.go
+++ b/internal/cli/keep.go
@@ -1,4 +1,4 @@
-package topaz
+package cli
 
 import (
 	"cmp"
@@ -15,10 +15,10 @@
 
 	"golang.org/x/sync/errgroup"
 
+	"topazhollow/internal/artifactreplication"
+	"topazhollow/internal/artifactstore"
 	"topazhollow/internal/blob"
 	"topazhollow/internal/certs"
-	"topazhollow/internal/keeper"
-	"topazhollow/internal/keepers"
 )
 
 type keepCmd struct {
@@ -32,7 +32,7 @@
 }
 
 func (c *keepRunCmd) Run(r *run) error {
-	set, err := keepers.LoadConfig(c.Config)
+	set, err := artifactreplication.LoadConfig(c.Config)
 	key, err := c.key(r, set, err)
 	if key == nil {
 		return err
@@ -42,7 +42,7 @@
 
 // Keep runs a keeper until the context ends. ready is told the address once it
 // answers.
-func Keep(ctx context.Context, set keepers.Config, key []byte, log io.Writer, ready func(addr string)) error {
+func Keep(ctx context.Context, set artifactreplication.Config, key []byte, log io.Writer, ready func(addr string)) error {
 	l := logger(log)
 	gb := func(x float64) int64 { return int64(x * 1e9) }
 	listener, err := net.Listen("tcp", set.Listen)
@@ -54,7 +54,7 @@
 		set.Listen = listener.Addr().String()
 		set.Fill()
 	}
-	var node *keepers.Node
+	var node *artifactreplication.Node
 	blobs, err := blob.Open(blob.Options{Dir: filepath.Join(set.Dir, "blobs"), Quota: gb(set.QuotaGB), Reserve: gb(set.ReserveGB),
 		Tenant: func(string) int64 { return gb(set.TenantGB) },
 		Repair: func(ctx context.Context, d blob.Digest) (io.ReadCloser, error) { return node.Good(ctx, d) }})
@@ -62,16 +62,16 @@
 		return err
 	}
 	defer blobs.Close()
-	k, err := keeper.Open(keeper.Options{Dir: filepath.Join(set.Dir, "attempts"), Blobs: blobs, Key: key})
+	k, err := artifactstore.Open(artifactstore.Options{Dir: filepath.Join(set.Dir, "attempts"), Blobs: blobs, Key: key})
 	if err != nil {
 		return err
 	}
 	defer k.Close()
-	retain, err := keepers.LoadRetention(set.Policy, set.KeepDays)
+	retain, err := artifactreplication.LoadRetention(set.Policy, set.KeepDays)
 	if err != nil {
 		return err
 	}
-	revoked, err := keepers.LoadRevoked(set.Revoked)
+	revoked, err := artifactreplication.LoadRevoked(set.Revoked)
 	if err != nil {
 		return err
 	}
@@ -79,12 +79,12 @@
 	if err != nil {
 		return err
 	}
-	node, err = keepers.New(keepers.Options{Name: set.Name, Dir: set.Dir, Members: set.Members, Keeper: k, Blobs: blobs, Key: key,
+	node, err = artifactreplication.New(artifactreplication.Options{Name: set.Name, Dir: set.Dir, Members: set.Members, Keeper: k, Blobs: blobs, Key: key,
 		Patience: time.Duration(set.PatienceSec * float64(time.Second)), Repair: set.RepairMB * 1e6, Retain: retain, Revoked: revoked, HTTP: client, Log: l})
 	if err != nil {
 		return err
 	}
-	srv := &http.Server{Handler: (&keepers.Server{Node: node}).Handler(), ReadHeaderTimeout: 10 * time.Second, IdleTimeout: 2 * time.Minute, MaxHeaderBytes: 16 << 10}
+	srv := &http.Server{Handler: (&artifactreplication.Server{Node: node}).Handler(), ReadHeaderTimeout: 10 * time.Second, IdleTimeout: 2 * time.Minute, MaxHeaderBytes: 16 << 10}
 	st := node.Status()
 	l.Info("keeping", "keeper", st.Name, "listen", listener.Addr().String(), "dir", set.Dir, "epoch", st.Epoch, "disk", st.Disk, "incarnation", st.Incarnation,
 		"state", st.State, "open_attempts", st.Open, "bytes", st.Bytes)
@@ -126,11 +126,11 @@
 // Run asks every keeper of the settings' list. One that does not answer is told of, and
 // makes the exit code 1.
 func (c *keepStatusCmd) Run(r *run) error {
-	set, err := keepers.LoadConfig(c.Config)
+	set, err := artifactreplication.LoadConfig(c.Config)
 	if err != nil {
 		return fmt.Errorf("%w: %w", errUsage, err)
 	}
-	key, err := keepers.KeyFromEnvironment()
+	key, err := artifactreplication.KeyFromEnvironment()
 	if err != nil {
 		return fmt.Errorf("%w: %w", errUsage, err)
 	}
@@ -145,10 +145,10 @@
 	}
 	var silent []string
 	for _, m := range set.Members.List {
-		if m.State == keepers.Gone {
+		if m.State == artifactreplication.Gone {
 			continue
 		}
-		st, err := keepers.AskStatus(r.ctx, client, m.URL, key)
+		st, err := artifactreplication.AskStatus(r.ctx, client, m.URL, key)
 		if err != nil {
 			silent = append(silent, m.Name)
 			r.row(table, map[string]any{"name": m.Name, "zone": m.Zone, "state": "no answer", "error": err.Error()}, "%s\t%s\tno answer: %v", m.Name, m.Zone, err)
--- a/internal/topaz/rehearse.go
+++ b/internal/cli/rehearse.go
@@ -1,4 +1,4 @@
-package topaz
+package cli
 
 import (
 	"context"
@@ -8,7 +8,7 @@
 	"os"
 	"time"
 
-	"topazhollow/internal/drill"
+	"topazhollow/internal/faultinjection"
 )
 
 type rehearseCmd struct {
@@ -43,13 +43,13 @@
 }
 
 // playDrawn plays drawn trials; what they are goes by its plural.
-func playDrawn[T any](r *run, c *drawnCmd, name, what string, play func(context.Context, drill.Draw) ([]T, error), broke func(T) bool) error {
+func playDrawn[T any](r *run, c *drawnCmd, name, what string, play func(context.Context, faultinjection.Draw) ([]T, error), broke func(T) bool) error {
 	ctx, cancel, program, dir, err := r.rehearsal(name, c.Most)
 	if err != nil {
 		return err
 	}
 	defer cancel()
-	trials, err := play(ctx, drill.Draw{Program: program, Dir: dir, Seed: c.Seed, Trials: c.Trials, AtOnce: c.AtOnce, Out: r.err})
+	trials, err := play(ctx, faultinjection.Draw{Program: program, Dir: dir, Seed: c.Seed, Trials: c.Trials, AtOnce: c.AtOnce, Out: r.err})
 	if err != nil {
 		return err
 	}
@@ -60,14 +60,14 @@
 
 // Run rehearses losses; a broken rule or a job that never ends makes the exit code 1.
 func (c *rehearseLossCmd) Run(r *run) error {
-	return playDrawn(r, &c.drawnCmd, "loss", "losses", drill.Losses, func(t drill.LossTrial) bool { return t.Broken != "" })
+	return playDrawn(r, &c.drawnCmd, "loss", "losses", faultinjection.Losses, func(t faultinjection.LossTrial) bool { return t.Broken != "" })
 }
 
 type rehearseMeetingsCmd struct{ drawnCmd }
 
 // Run rehearses meetings; a broken rule or a job that never ends makes the exit code 1.
 func (c *rehearseMeetingsCmd) Run(r *run) error {
-	return playDrawn(r, &c.drawnCmd, "meetings", "meetings", drill.Meetings, func(t drill.MeetingTrial) bool { return t.Broken != "" })
+	return playDrawn(r, &c.drawnCmd, "meetings", "meetings", faultinjection.Meetings, func(t faultinjection.MeetingTrial) bool { return t.Broken != "" })
 }
 
 // verdict prints what came of a rehearsal's trials. If any broke something that is the error,
@@ -104,7 +104,7 @@
 		return err
 	}
 	defer cancel()
-	m, err := drill.MeasureLoss(ctx, drill.MeasureOptions{Program: program, Dir: dir, Machines: c.Machines, Jobs: c.Jobs, Ends: c.Ends, Gone: c.Gone, Copy: c.Copy, Out: r.err})
+	m, err := faultinjection.MeasureLoss(ctx, faultinjection.MeasureOptions{Program: program, Dir: dir, Machines: c.Machines, Jobs: c.Jobs, Ends: c.Ends, Gone: c.Gone, Copy: c.Copy, Out: r.err})
 	if err != nil {
 		return fmt.Errorf("%w; so far %+v, the logs are in %s", err, m, dir)
 	}
@@ -133,7 +133,7 @@
 	defer cancel()
 	key := make([]byte, 32)
 	_, _ = rand.Read(key) // never fails
-	rep, err := drill.Run(ctx, drill.Options{Program: program, Dir: dir, Seed: c.Seed, Kills: c.Kills, Key: key, Out: r.err})
+	rep, err := faultinjection.Run(ctx, faultinjection.Options{Program: program, Dir: dir, Seed: c.Seed, Kills: c.Kills, Key: key, Out: r.err})
 	if err != nil {
 		return fmt.Errorf("%w (all of it is in %s)", err, dir)
 	}
@@ -168,4 +168,4 @@
 	Job string `arg:""`
 }
 
-func (c *drillWorkerCmd) Run(r *run) error { return drill.Work(r.ctx, c.Job) }
+func (c *drillWorkerCmd) Run(r *run) error { return faultinjection.Work(r.ctx, c.Job) }
--- a/internal/topaz/scale.go
+++ b/internal/cli/scale.go
@@ -1,4 +1,4 @@
-package topaz
+package cli
 
 import (
 	"fmt"
@@ -6,7 +6,7 @@
 	"os/exec"
 	"time"
 
-	"topazhollow/internal/scale"
+	"topazhollow/internal/loadtest"
 )
 
 type rehearseScaleCmd struct {
@@ -20,7 +20,7 @@
 
 // Run plays one experiment; a broken rule, or an end before its time, makes the exit code 1.
 func (c *rehearseScaleCmd) Run(r *run) error {
-	set, err := scale.Load(c.Config)
+	set, err := loadtest.Load(c.Config)
 	if err != nil {
 		return fmt.Errorf("%w: %w", errUsage, err)
 	}
@@ -33,7 +33,7 @@
 		return err
 	}
 	defer cancel()
-	o := scale.Options{Program: program, Controller: []string{program, "controller"}, Dir: dir, Out: r.err}
+	o := loadtest.Options{Program: program, Controller: []string{program, "controller"}, Dir: dir, Out: r.err}
 	if c.Controller != "" {
 		path, err := exec.LookPath(c.Controller)
 		if err != nil {
@@ -41,7 +41,7 @@
 		}
 		o.Controller = []string{path}
 	}
-	result, err := scale.Run(ctx, set, o)
+	result, err := loadtest.Run(ctx, set, o)
 	if result == nil {
 		return err
 	}
@@ -62,7 +62,7 @@
 	return os.RemoveAll(dir)
 }
 
-func (c *rehearseScaleCmd) write(result *scale.Result) error {
+func (c *rehearseScaleCmd) write(result *loadtest.Result) error {
 	if c.Result != "" {
 		if err := result.Write(c.Result); err != nil {
 			return err
@@ -71,16 +71,16 @@
 	if c.Report == "" {
 		return nil
 	}
-	return writePage(c.Report, []*scale.Result{result}, scale.Workers)
+	return writePage(c.Report, []*loadtest.Result{result}, loadtest.Workers)
 }
 
 // writePage writes a page about results to a file.
-func writePage(path string, results []*scale.Result, over scale.Axis) error {
+func writePage(path string, results []*loadtest.Result, over loadtest.Axis) error {
 	f, err := os.Create(path)
 	if err != nil {
 		return err
 	}
-	if err := scale.WritePage(f, results, over); err != nil {
+	if err := loadtest.WritePage(f, results, over); err != nil {
 		_ = f.Close() // the first error says more
 		return err
 	}
@@ -95,23 +95,23 @@
 
 // Run fits lines through the figures of several results and prints them.
 func (c *rehearseSlopesCmd) Run(r *run) error {
-	var results []*scale.Result
+	var results []*loadtest.Result
 	for _, path := range c.Results {
-		x, err := scale.ReadResult(path)
+		x, err := loadtest.ReadResult(path)
 		if err != nil {
 			return fmt.Errorf("%w: %w", errUsage, err)
 		}
 		results = append(results, x)
 	}
-	slopes := scale.Slopes(results, scale.Axis(c.Over))
-	r.print(slopes, "%s", scale.SlopesText(slopes, scale.Axis(c.Over)))
+	slopes := loadtest.Slopes(results, loadtest.Axis(c.Over))
+	r.print(slopes, "%s", loadtest.SlopesText(slopes, loadtest.Axis(c.Over)))
 	if c.Report == "" {
 		return nil
 	}
-	return writePage(c.Report, results, scale.Axis(c.Over))
+	return writePage(c.Report, results, loadtest.Axis(c.Over))
 }
 
 type hollowWorkersCmd struct{}
 
 // Run is a process of hollow workers, for rehearse scale.
-func (c *hollowWorkersCmd) Run(r *run) error { return scale.Work(r.ctx, os.Stdin, r.out) }
+func (c *hollowWorkersCmd) Run(r *run) error { return loadtest.Work(r.ctx, os.Stdin, r.out) }
--- a/internal/topaz/snapshot.go
+++ b/internal/cli/snapshot.go
@@ -1,4 +1,4 @@
-package topaz
+package cli
 
 import (
 	"context"
@@ -10,7 +10,7 @@
 	"strings"
 	"time"
 
-	"topazhollow/internal/rebuild"
+	"topazhollow/internal/datarecovery"
 	"topazhollow/internal/snapshot"
 )
 
@@ -178,10 +178,10 @@
 
 // storeStatus is the part of a controller's overview that tells of the store.
 type storeStatus struct {
-	Node     string         `json:"node"`
-	Entitled bool           `json:"entitled"`
-	Term     uint64         `json:"term"`
-	Store    rebuild.Status `json:"store"`
+	Node     string              `json:"node"`
+	Entitled bool                `json:"entitled"`
+	Term     uint64              `json:"term"`
+	Store    datarecovery.Status `json:"store"`
 }
 
 func (c *rebuildStatusCmd) Run(r *run) error {
--- a/internal/cloud/cloud.go
+++ b/internal/cloud/cloud.go
@@ -12,8 +12,8 @@
 	"golang.org/x/time/rate"
 
 	"topazhollow/internal/httpx"
+	"topazhollow/internal/protocol"
 	"topazhollow/internal/settings"
-	"topazhollow/internal/wire"
 )
 
 // Errors that callers tell apart.
@@ -49,15 +49,15 @@
 	}
 	var data []byte
 	if body != nil {
-		data = wire.Encode(body)
+		data = protocol.Encode(body)
 	}
 	resp, _, err := c.pool.Do(ctx, method, target, data, timeout)
 	if err != nil {
 		return err
 	}
 	if resp.Status != 200 {
-		var e wire.Error
-		_ = wire.Decode(resp.Body, &e)
+		var e protocol.Error
+		_ = protocol.Decode(resp.Body, &e)
 		if resp.Status == 503 && e.Error == "no capacity" {
 			return ErrNoCapacity
 		}
@@ -66,12 +66,12 @@
 	if into == nil {
 		return nil
 	}
-	return wire.Decode(resp.Body, into)
+	return protocol.Decode(resp.Body, into)
 }
 
 // Catalog reads the machine types with their present prices.
-func (c *Client) Catalog(ctx context.Context) ([]wire.MachineType, error) {
-	var cat wire.Catalog
+func (c *Client) Catalog(ctx context.Context) ([]protocol.MachineType, error) {
+	var cat protocol.Catalog
 	if err := c.do(ctx, "GET", "/catalog", nil, &cat); err != nil {
 		return nil, err
 	}
@@ -86,9 +86,9 @@
 }
 
 // Rent asks for machines and gives the names of those rented.
-func (c *Client) Rent(ctx context.Context, r wire.Rent) ([]string, error) {
-	r.Count = min(r.Count, wire.MaxRent)
-	var names wire.Names
+func (c *Client) Rent(ctx context.Context, r protocol.Rent) ([]string, error) {
+	r.Count = min(r.Count, protocol.MaxRent)
+	var names protocol.Names
 	err := c.do(ctx, "POST", "/hosts", r, &names)
 	return names.Machines, err
 }
@@ -98,15 +98,15 @@
 	if len(machines) > maxReturn {
 		return fmt.Errorf("cloud: %d machines in one return", len(machines))
 	}
-	return c.do(ctx, "POST", "/hosts/return", wire.Names{Machines: machines}, nil)
+	return c.do(ctx, "POST", "/hosts/return", protocol.Names{Machines: machines}, nil)
 }
 
 // List reads the cloud's lagging list of machines.
-func (c *Client) List(ctx context.Context) ([]wire.Host, error) {
-	var all []wire.Host
+func (c *Client) List(ctx context.Context) ([]protocol.Host, error) {
+	var all []protocol.Host
 	after := ""
 	for {
-		var page wire.HostList
+		var page protocol.HostList
 		if err := c.do(ctx, "GET", "/hosts?limit=500&after="+url.QueryEscape(after), nil, &page); err != nil {
 			return nil, err
 		}
--- a/internal/rebuild/rebuild.go
+++ b/internal/datarecovery/datarecovery.go
@@ -1,8 +1,8 @@
-// Package rebuild decides what the controllers do when the state service no longer has
+// Package datarecovery decides what the controllers do when the state service no longer has
 // what it acknowledged: how that is noticed and agreed on, what the next generation of the
 // control record is, what evidence is waited for, and what is written back in which order.
 // It does no I/O and reads no clock.
-package rebuild
+package datarecovery
 
 import (
 	"maps"
--- a/internal/rebuild/ends.go
+++ b/internal/datarecovery/ends.go
@@ -1,4 +1,4 @@
-package rebuild
+package datarecovery
 
 import (
 	"encoding/base64"
--- a/internal/rebuild/gather.go
+++ b/internal/datarecovery/gather.go
@@ -1,11 +1,11 @@
-package rebuild
+package datarecovery
 
 import (
 	"cmp"
 	"maps"
 	"slices"
 
-	"topazhollow/internal/wire"
+	"topazhollow/internal/protocol"
 )
 
 // Gather is what a controller still waits for after it entered a generation that follows
@@ -65,7 +65,7 @@
 
 // Unwritten is a job that the store does not have.
 type Unwritten struct {
-	Spec *wire.Submission
+	Spec *protocol.Submission
 	At   int64 // of its submission, ms
 }
 
@@ -73,6 +73,6 @@
 // longest by priority, then the oldest.
 func Order(jobs []Unwritten) {
 	slices.SortFunc(jobs, func(a, b Unwritten) int {
-		return cmp.Or(wire.Rank(b.Spec.Priority)-wire.Rank(a.Spec.Priority), cmp.Compare(a.At, b.At), cmp.Compare(a.Spec.UID, b.Spec.UID))
+		return cmp.Or(protocol.Rank(b.Spec.Priority)-protocol.Rank(a.Spec.Priority), cmp.Compare(a.At, b.At), cmp.Compare(a.Spec.UID, b.Spec.UID))
 	})
 }
--- a/internal/rebuild/model_test.go
+++ b/internal/datarecovery/model_test.go
@@ -1,4 +1,4 @@
-package rebuild
+package datarecovery
 
 import (
 	"encoding/json"
@@ -10,7 +10,7 @@
 	"testing"
 	"time"
 
-	"topazhollow/internal/tenure"
+	"topazhollow/internal/leadership"
 )
 
 // The model: a plain store that loses data, two controllers around the real decisions,
@@ -78,12 +78,12 @@
 	inc     uint64
 	up      bool
 	w       *Watch
-	rec     *tenure.Record
+	rec     *leadership.Record
 	version uint64 // of the record
 	marker  uint64
 	seen    uint64
 	listed  bool
-	live    map[string]tenure.Presence
+	live    map[string]leadership.Presence
 	jobs    map[string]uint64 // active, with versions; 0: not in the store
 	ends    *Ends
 	gather  *Gather
@@ -123,7 +123,7 @@
 
 func (w *world) boot(n *node) {
 	n.inc++
-	*n = node{name: n.name, inc: n.inc, up: true, live: map[string]tenure.Presence{}, jobs: map[string]uint64{}, ends: NewEnds(), born: w.now}
+	*n = node{name: n.name, inc: n.inc, up: true, live: map[string]leadership.Presence{}, jobs: map[string]uint64{}, ends: NewEnds(), born: w.now}
 	n.w = NewWatch(n.name, []string{w.other(n).name}, 5*time.Second)
 }
 
@@ -184,12 +184,12 @@
 	return x
 }
 
-func (w *world) stored() (r *tenure.Record, version uint64) {
+func (w *world) stored() (r *leadership.Record, version uint64) {
 	c, ok := w.s.keys["w/c"]
 	if !ok {
 		return nil, 0
 	}
-	r = &tenure.Record{}
+	r = &leadership.Record{}
 	if err := json.Unmarshal([]byte(c.value), r); err != nil {
 		panic(err)
 	}
@@ -198,7 +198,7 @@
 
 func sorted[V any](m map[string]V) []string { return slices.Sorted(maps.Keys(m)) }
 
-func encode(r *tenure.Record) string {
+func encode(r *leadership.Record) string {
 	b, err := json.Marshal(r)
 	if err != nil {
 		panic(err)
@@ -206,20 +206,20 @@
 	return string(b)
 }
 
-func (w *world) alive() map[string]tenure.Presence {
-	live := map[string]tenure.Presence{}
+func (w *world) alive() map[string]leadership.Presence {
+	live := map[string]leadership.Presence{}
 	for _, n := range w.nodes {
 		if c, ok := w.s.keys["w/n/"+n.name]; ok {
 			var inc uint64
 			fmt.Sscan(c.value, &inc)
-			live[n.name] = tenure.Presence{Incarnation: inc, Version: c.version}
+			live[n.name] = leadership.Presence{Incarnation: inc, Version: c.version}
 		}
 	}
 	return live
 }
 
 // adopt takes up a record, and the item if it names this node.
-func (w *world) adopt(n *node, r *tenure.Record, version uint64) {
+func (w *world) adopt(n *node, r *leadership.Record, version uint64) {
 	next := n.rec == nil || n.rec.Generation != r.Generation
 	n.rec, n.version = r, version
 	n.marker = w.s.keys[StoreKey+r.Store].version
@@ -487,9 +487,9 @@
 	base, version := n.rec, n.version
 	first := base == nil
 	if first {
-		base = (&tenure.Record{Term: 1000 + w.rng.Uint64N(1000)}).Clone()
+		base = (&leadership.Record{Term: 1000 + w.rng.Uint64N(1000)}).Clone()
 	}
-	next, conds := tenure.Repair(base, []string{theTeam}, n.live)
+	next, conds := leadership.Repair(base, []string{theTeam}, n.live)
 	if next == nil {
 		return
 	}
--- a/internal/rebuild/next.go
+++ b/internal/datarecovery/next.go
@@ -1,27 +1,27 @@
-package rebuild
+package datarecovery
 
 import (
 	"slices"
 	"time"
 
-	"topazhollow/internal/tenure"
+	"topazhollow/internal/leadership"
 )
 
 // Next is the control record of the next generation.
 type Next struct {
-	Record *tenure.Record
+	Record *leadership.Record
 	Kept   bool // owners keep their accounts: no barrier
 }
 
 // Evidence is what the maker of a generation knows.
 type Evidence struct {
 	Self   string
-	Nodes  []string                   // all controllers of the deployment
-	Items  []string                   // all items
-	Record *tenure.Record             // the latest known; nil if none
-	Stored *tenure.Record             // as the store has it now; nil if it has none
-	Live   map[string]tenure.Presence // controllers' keys as the store has them now
-	Words  map[string]Word            // of the peers that are heard
+	Nodes  []string                       // all controllers of the deployment
+	Items  []string                       // all items
+	Record *leadership.Record             // the latest known; nil if none
+	Stored *leadership.Record             // as the store has it now; nil if it has none
+	Live   map[string]leadership.Presence // controllers' keys as the store has them now
+	Words  map[string]Word                // of the peers that are heard
 	Own    Word
 	Token  uint64 // highest that any worker was heard with
 	Unsure bool   // a change of the record had no answer
@@ -34,7 +34,7 @@
 // one: then nobody can have acted under a record that is not known here. If no memory goes back
 // before the loss, as when all of them ended with it, it was acted under one that nobody knows.
 func (e *Evidence) Generation() Next {
-	base := (&tenure.Record{}).Clone()
+	base := (&leadership.Record{}).Clone()
 	if e.Record != nil {
 		base = e.Record.Clone()
 	}
@@ -57,7 +57,7 @@
 		}
 		kept = kept && base.Nodes[name] == inc && e.Live[name].Incarnation == inc
 	}
-	r := (&tenure.Record{Term: top + 1, First: top + 1, Generation: generation + 1, Store: e.Store, Census: true}).Clone()
+	r := (&leadership.Record{Term: top + 1, First: top + 1, Generation: generation + 1, Store: e.Store, Census: true}).Clone()
 	r.Lost = base.Lost || !whole
 	if e.Stored != nil {
 		r.Lost = r.Lost || e.Stored.Lost
@@ -69,10 +69,10 @@
 		}
 	}
 	slices.Sort(r.Deaf)
-	wish := tenure.Placement(e.Items, r.Members())
+	wish := leadership.Placement(e.Items, r.Members())
 	for _, name := range e.Items {
 		old := base.Items[name]
-		it := tenure.Item{Owner: old.Owner, Since: r.Term, Blind: !kept || old.Blind}
+		it := leadership.Item{Owner: old.Owner, Since: r.Term, Blind: !kept || old.Blind}
 		if _, there := r.Nodes[it.Owner]; !there {
 			it.Owner, it.Blind = wish[name], true
 		}
@@ -84,7 +84,7 @@
 // GiveUp is the control record with which the search for what nobody remembers ends, once
 // a copy was waited for as long as the operators said; nil if it goes on. 0 is no bound:
 // then only their word ends it.
-func GiveUp(r *tenure.Record, waited, most time.Duration) *tenure.Record {
+func GiveUp(r *leadership.Record, waited, most time.Duration) *leadership.Record {
 	if !r.Lost || most <= 0 || waited < most {
 		return nil
 	}
--- a/internal/rebuild/status.go
+++ b/internal/datarecovery/status.go
@@ -1,4 +1,4 @@
-package rebuild
+package datarecovery
 
 // Status is what a controller tells operators of its store, in its overview.
 type Status struct {
--- a/internal/drill/drill.go
+++ b/internal/faultinjection/faultinjection.go
@@ -1,7 +1,7 @@
-// Package drill rehearses what keepers and workers promise: processes are killed at
+// Package faultinjection rehearses what keepers and workers promise: processes are killed at
 // drawn moments, hundreds of times, and everything that is read afterwards is held
 // against what was acknowledged to whom.
-package drill
+package faultinjection
 
 import (
 	"bufio"
@@ -20,11 +20,11 @@
 
 	"golang.org/x/sync/errgroup"
 
-	"topazhollow/internal/keeper"
-	"topazhollow/internal/keepers"
-	"topazhollow/internal/rehearse"
+	"topazhollow/internal/artifactreplication"
+	"topazhollow/internal/artifactstore"
+	"topazhollow/internal/protocol"
+	"topazhollow/internal/simulation"
 	"topazhollow/internal/wait"
-	"topazhollow/internal/wire"
 )
 
 // Options are a drill's choices.
@@ -38,12 +38,12 @@
 	Out     io.Writer // is told how it goes
 	// Spoil may change what a reader got before it is checked, to show that the check
 	// sees that.
-	Spoil func(a *keeper.Known, lines []string, file string) ([]string, string)
+	Spoil func(a *artifactstore.Known, lines []string, file string) ([]string, string)
 }
 
 // Killed is one kill of a worker and what was left of its attempt.
 type Killed struct {
-	Attempt keeper.Attempt
+	Attempt artifactstore.Attempt
 	After   time.Duration // of the process's start
 	Back    bool          // its spool was taken up by another process
 	Acked   uint64        // records that were acknowledged to it
@@ -154,7 +154,7 @@
 // configure writes the keepers' settings.
 func (d *drill) configure() error {
 	var list strings.Builder
-	listen, host := map[string]string{}, rehearse.NewHost()
+	listen, host := map[string]string{}, simulation.NewHost()
 	for i, name := range names {
 		var err error
 		if listen[name], err = host.Listen(); err != nil {
@@ -183,7 +183,7 @@
 	}
 	defer log.Close()
 	cmd := exec.Command(d.opt.Program, "keep", "--config", d.configs[name])
-	cmd.Env = append(os.Environ(), fmt.Sprintf("%s=%x", keepers.KeyVariable, d.opt.Key))
+	cmd.Env = append(os.Environ(), fmt.Sprintf("%s=%x", artifactreplication.KeyVariable, d.opt.Key))
 	cmd.Stderr = log
 	if err := cmd.Start(); err != nil {
 		return err
@@ -240,7 +240,9 @@
 		}
 		if lost {
 			// A second disk lost before the first is filled again is beyond what is promised.
-			if err := d.until(context.WithoutCancel(ctx), func(st *keepers.Status) bool { return st.Name != name || st.State == string(keepers.Serving) }); err != nil {
+			if err := d.until(context.WithoutCancel(ctx), func(st *artifactreplication.Status) bool {
+				return st.Name != name || st.State == string(artifactreplication.Serving)
+			}); err != nil {
 				return err
 			}
 		}
@@ -250,20 +252,20 @@
 
 // settled waits until each keeper says that it serves and lacks nothing.
 func (d *drill) settled(ctx context.Context) error {
-	return d.until(ctx, func(st *keepers.Status) bool {
-		return st.State == string(keepers.Serving) && st.Left == 0 && len(st.Away) == 0
+	return d.until(ctx, func(st *artifactreplication.Status) bool {
+		return st.State == string(artifactreplication.Serving) && st.Left == 0 && len(st.Away) == 0
 	})
 }
 
 // until waits until something holds for what each keeper says of itself.
-func (d *drill) until(ctx context.Context, holds func(*keepers.Status) bool) error {
+func (d *drill) until(ctx context.Context, holds func(*artifactreplication.Status) bool) error {
 	ctx, cancel := context.WithTimeout(ctx, 2*time.Minute)
 	defer cancel()
 	client := &http.Client{Timeout: 5 * time.Second}
 	for {
 		all := true
 		for _, url := range d.urls {
-			st, err := keepers.AskStatus(ctx, client, url, d.opt.Key)
+			st, err := artifactreplication.AskStatus(ctx, client, url, d.opt.Key)
 			all = all && err == nil && holds(st)
 		}
 		if all {
@@ -281,7 +283,7 @@
 	Keepers []string `json:"keepers"`
 	History string   `json:"history"` // file that gets what is acknowledged
 	Recover bool     `json:"recover"` // take up the spool only
-	Claim   keeper.Claim
+	Claim   artifactstore.Claim
 	Token   string   `json:"token"`
 	Command []string `json:"command"`
 	Env     []string `json:"env"`
@@ -293,11 +295,11 @@
 // proven off, until one was not killed.
 func (d *drill) task(ctx context.Context, task int, r *rand.Rand) error {
 	for number := uint64(1); ; number++ {
-		at := keeper.Attempt{Job: "job-000001", Task: task, Number: number}
+		at := artifactstore.Attempt{Job: "job-000001", Task: task, Number: number}
 		name := fmt.Sprintf("%s-%d-%d", at.Job, task, number)
-		c := keeper.Claim{Attempt: at, Tenant: "red", Machine: "machine-" + name, Session: 1}
+		c := artifactstore.Claim{Attempt: at, Tenant: "red", Machine: "machine-" + name, Session: 1}
 		job := Job{Spool: filepath.Join(d.opt.Dir, "spool", name), History: filepath.Join(d.opt.Dir, "history", name), Claim: c,
-			Token: keeper.Grant{Right: keeper.Write, Tenant: c.Tenant, Job: c.Job, Task: &c.Task, Number: number, Machine: c.Machine, Session: 1,
+			Token: artifactstore.Grant{Right: artifactstore.Write, Tenant: c.Tenant, Job: c.Job, Task: &c.Task, Number: number, Machine: c.Machine, Session: 1,
 				Until: time.Now().Add(time.Hour)}.Token(d.opt.Key),
 			Command: []string{"/bin/sh", "-c", script}, Env: []string{"PATH=" + os.Getenv("PATH"), "ATTEMPT=" + at.String()}, Dir: filepath.Join(d.opt.Dir, "work", name), Files: []string{"out"}}
 		for i := range d.urls {
@@ -345,7 +347,7 @@
 // some of those killed have left something behind.
 func (d *drill) worker(ctx context.Context, job *Job, after time.Duration, heard bool) (killed bool, err error) {
 	path := filepath.Join(d.opt.Dir, "history", filepath.Base(job.History)+".json")
-	if err := os.WriteFile(path, wire.Encode(job), 0o600); err != nil {
+	if err := os.WriteFile(path, protocol.Encode(job), 0o600); err != nil {
 		return false, err
 	}
 	ctx, cancel := context.WithTimeout(ctx, 2*time.Minute)
@@ -383,7 +385,7 @@
 }
 
 // history reads what was acknowledged to an attempt's worker.
-func (d *drill) history(at keeper.Attempt) (acked uint64, sealed, final bool, err error) {
+func (d *drill) history(at artifactstore.Attempt) (acked uint64, sealed, final bool, err error) {
 	f, err := os.Open(filepath.Join(d.opt.Dir, "history", fmt.Sprintf("%s-%d-%d", at.Job, at.Task, at.Number)))
 	if errors.Is(err, os.ErrNotExist) {
 		return 0, false, false, nil
@@ -419,9 +421,9 @@
 // check reads everything at each keeper and holds it against the history.
 func (d *drill) check(ctx context.Context) error {
 	for task := range d.report.Tasks {
-		var first []keeper.Known
+		var first []artifactstore.Known
 		for i, url := range d.urls {
-			r := &keeper.Reader{URL: url, Token: keeper.Grant{Right: keeper.Read, Job: "job-000001", Until: time.Now().Add(time.Hour)}.Token(d.opt.Key)}
+			r := &artifactstore.Reader{URL: url, Token: artifactstore.Grant{Right: artifactstore.Read, Job: "job-000001", Until: time.Now().Add(time.Hour)}.Token(d.opt.Key)}
 			list, err := r.Attempts(ctx, "job-000001", task)
 			if err != nil {
 				return fmt.Errorf("task %d at %s: %w", task, names[i], err)
@@ -431,7 +433,7 @@
 				if err := d.attempt(ctx, r, names[i], &list[k]); err != nil {
 					return err
 				}
-				if list[k].State == keeper.StateFinal {
+				if list[k].State == artifactstore.StateFinal {
 					results++
 				}
 			}
@@ -465,7 +467,7 @@
 	return nil
 }
 
-func states(list []keeper.Known) (s []string) {
+func states(list []artifactstore.Known) (s []string) {
 	for _, a := range list {
 		s = append(s, fmt.Sprintf("%d %s", a.Number, a.State))
 	}
@@ -473,13 +475,13 @@
 }
 
 // attempt reads one attempt at one keeper.
-func (d *drill) attempt(ctx context.Context, r *keeper.Reader, at string, a *keeper.Known) error {
+func (d *drill) attempt(ctx context.Context, r *artifactstore.Reader, at string, a *artifactstore.Known) error {
 	acked, sealed, final, err := d.history(a.Attempt)
 	if err != nil {
 		return err
 	}
 	var got []string
-	end, err := r.Logs(ctx, a.Job, a.Task, keeper.Query{Attempt: a.Number}, func(l keeper.Line) error {
+	end, err := r.Logs(ctx, a.Job, a.Task, artifactstore.Query{Attempt: a.Number}, func(l artifactstore.Line) error {
 		if l.Number != uint64(len(got)) {
 			d.broken("%s at %s: record %d comes as number %d", a.Attempt, at, len(got), l.Number)
 		}
@@ -489,7 +491,7 @@
 	if err != nil {
 		return fmt.Errorf("%s at %s: %w", a.Attempt, at, err)
 	}
-	over := a.State == keeper.StateFinal || a.State == keeper.StateSealed
+	over := a.State == artifactstore.StateFinal || a.State == artifactstore.StateSealed
 	var file string
 	if over {
 		if file, err = d.file(ctx, r, at, a); err != nil {
@@ -500,7 +502,7 @@
 	if d.opt.Spoil != nil {
 		got, file = d.opt.Spoil(a, got, file)
 	}
-	over = a.State == keeper.StateFinal || a.State == keeper.StateSealed
+	over = a.State == artifactstore.StateFinal || a.State == artifactstore.StateSealed
 	switch {
 	case end.State != shown:
 		d.broken("%s at %s is %q in the list and %q in its log", a.Attempt, at, shown, end.State)
@@ -508,7 +510,7 @@
 		d.broken("%s at %s: %d records were acknowledged, %d are there", a.Attempt, at, acked, len(got))
 	case sealed && !over:
 		d.broken("%s at %s: its seal was acknowledged, it is %q", a.Attempt, at, a.State)
-	case final && a.State != keeper.StateFinal:
+	case final && a.State != artifactstore.StateFinal:
 		d.broken("%s at %s was told to be the result, it is %q", a.Attempt, at, a.State)
 	case over && len(got) != lines:
 		d.broken("%s at %s: sealed with %d of %d lines", a.Attempt, at, len(got), lines)
@@ -536,7 +538,7 @@
 }
 
 // file reads the file of an attempt that was sealed.
-func (d *drill) file(ctx context.Context, r *keeper.Reader, at string, a *keeper.Known) (string, error) {
+func (d *drill) file(ctx context.Context, r *artifactstore.Reader, at string, a *artifactstore.Known) (string, error) {
 	m, _, err := r.Manifest(ctx, a.Job, a.Task, a.Number)
 	if err != nil {
 		return "", err
--- a/internal/drill/drill_test.go
+++ b/internal/faultinjection/faultinjection_test.go
@@ -1,4 +1,4 @@
-package drill_test
+package faultinjection_test
 
 import (
 	"bytes"
@@ -8,23 +8,23 @@
 	"strings"
 	"testing"
 
-	"topazhollow/internal/drill"
-	"topazhollow/internal/keeper"
-	"topazhollow/internal/topaz"
+	"topazhollow/internal/artifactstore"
+	"topazhollow/internal/cli"
+	"topazhollow/internal/faultinjection"
 )
 
 // TestMain lets the tests' program be the command topaz for the processes that a drill
 // starts.
 func TestMain(m *testing.M) {
 	if len(os.Args) > 1 && slices.Contains([]string{"keep", "drill-worker", "controller"}, os.Args[1]) {
-		os.Exit(topaz.Main(context.Background(), os.Args[1:], os.Stdout, os.Stderr))
+		os.Exit(cli.Main(context.Background(), os.Args[1:], os.Stdout, os.Stderr))
 	}
 	os.Exit(m.Run())
 }
 
-func run(t *testing.T, kills int, spoil func(a *keeper.Known, lines []string, file string) ([]string, string)) *drill.Report {
+func run(t *testing.T, kills int, spoil func(a *artifactstore.Known, lines []string, file string) ([]string, string)) *faultinjection.Report {
 	t.Helper()
-	r, err := drill.Run(context.Background(), drill.Options{Program: os.Args[0], Dir: t.TempDir(), Seed: 3, Kills: kills, Key: []byte("0123456789abcdef"), Spoil: spoil})
+	r, err := faultinjection.Run(context.Background(), faultinjection.Options{Program: os.Args[0], Dir: t.TempDir(), Seed: 3, Kills: kills, Key: []byte("0123456789abcdef"), Spoil: spoil})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -47,21 +47,21 @@
 // TestCheckCatches: the check sees a build that loses, doubles or mixes up a line, gives
 // an attempt another's file, takes a result back or has two.
 func TestCheckCatches(t *testing.T) {
-	for what, spoil := range map[string]func(a *keeper.Known, lines []string, file string) ([]string, string){
-		"loses the last line": func(_ *keeper.Known, l []string, f string) ([]string, string) { return l[:max(0, len(l)-1)], f },
-		"doubles a line": func(_ *keeper.Known, l []string, f string) ([]string, string) {
+	for what, spoil := range map[string]func(a *artifactstore.Known, lines []string, file string) ([]string, string){
+		"loses the last line": func(_ *artifactstore.Known, l []string, f string) ([]string, string) { return l[:max(0, len(l)-1)], f },
+		"doubles a line": func(_ *artifactstore.Known, l []string, f string) ([]string, string) {
 			return append(slices.Clone(l[:min(1, len(l))]), l...), f
 		},
-		"mixes up lines": func(_ *keeper.Known, l []string, f string) ([]string, string) { slices.Reverse(l); return l, f },
-		"gives another's file": func(_ *keeper.Known, l []string, f string) ([]string, string) {
+		"mixes up lines": func(_ *artifactstore.Known, l []string, f string) ([]string, string) { slices.Reverse(l); return l, f },
+		"gives another's file": func(_ *artifactstore.Known, l []string, f string) ([]string, string) {
 			return l, strings.Replace(f, "/", "/9", 1)
 		},
-		"takes a result back": func(a *keeper.Known, l []string, f string) ([]string, string) {
-			a.State = keeper.StateSealed
+		"takes a result back": func(a *artifactstore.Known, l []string, f string) ([]string, string) {
+			a.State = artifactstore.StateSealed
 			return l, f
 		},
-		"has more than a result": func(a *keeper.Known, l []string, f string) ([]string, string) {
-			a.State = keeper.StateFinal
+		"has more than a result": func(a *artifactstore.Known, l []string, f string) ([]string, string) {
+			a.State = artifactstore.StateFinal
 			return l, f
 		},
 	} {
--- a/internal/drill/loss.go
+++ b/internal/faultinjection/loss.go
@@ -1,4 +1,4 @@
-package drill
+package faultinjection
 
 import (
 	"bytes"
@@ -19,10 +19,10 @@
 
 	"golang.org/x/sync/errgroup"
 
-	"topazhollow/internal/rehearse"
+	"topazhollow/internal/protocol"
 	"topazhollow/internal/settings"
+	"topazhollow/internal/simulation"
 	"topazhollow/internal/wait"
-	"topazhollow/internal/wire"
 )
 
 // Draw is the choices of a rehearsal of drawn trials.
@@ -73,8 +73,8 @@
 }
 
 // array is a job of small tasks, of the one team and the other in turn.
-func array(number, tasks int) *wire.Submission {
-	return &wire.Submission{UID: fmt.Sprintf("job-%06d", number), Class: "c", Team: []string{"red", "blue"}[number%2], Kind: wire.Batch, Priority: "standard",
+func array(number, tasks int) *protocol.Submission {
+	return &protocol.Submission{UID: fmt.Sprintf("job-%06d", number), Class: "c", Team: []string{"red", "blue"}[number%2], Kind: protocol.Batch, Priority: "standard",
 		Tasks: tasks, CPUs: 2, Memory: 4, Image: "img", Estimate: 1, Spot: true}
 }
 
@@ -112,11 +112,11 @@
 	dir, program string
 	script       string                          // the controllers' options, a file's text
 	run          func(task string) time.Duration // how long tasks run, if not all alike
-	state        *rehearse.State
-	doors        []*rehearse.Door // each controller's way to the state service
-	pipes        rehearse.Paths   // from one controller to another
-	cloud        *rehearse.Cloud
-	check        *rehearse.Checker
+	state        *simulation.State
+	doors        []*simulation.Door // each controller's way to the state service
+	pipes        simulation.Paths   // from one controller to another
+	cloud        *simulation.Cloud
+	check        *simulation.Checker
 	listen       []string
 	turns        *sync.Mutex // of who ends or starts a controller
 	nodes        []*process
@@ -135,7 +135,7 @@
 }
 
 func lossTrial(ctx context.Context, program, dir string, rng *rand.Rand, t *LossTrial) (err error) {
-	g := &lossRegion{dir: dir, program: program, rng: rng, size: smallRegion, client: &http.Client{Timeout: 4 * time.Second}, check: rehearse.NewChecker(map[string]float64{"red": 24, "blue": 16})}
+	g := &lossRegion{dir: dir, program: program, rng: rng, size: smallRegion, client: &http.Client{Timeout: 4 * time.Second}, check: simulation.NewChecker(map[string]float64{"red": 24, "blue": 16})}
 	t.Broken, err = g.trial(ctx, func() error { return g.play(ctx, t) })
 	return err
 }
@@ -185,11 +185,11 @@
 	var err error
 	g.turns = &sync.Mutex{}
 	if g.state == nil {
-		if g.state, err = rehearse.NewState(g.size.state.TxnOps, int(g.size.state.ValueKB)); err != nil {
+		if g.state, err = simulation.NewState(g.size.state.TxnOps, int(g.size.state.ValueKB)); err != nil {
 			return err
 		}
 	}
-	host, names := rehearse.NewHost(), regionNames
+	host, names := simulation.NewHost(), regionNames
 	listen, peers := map[string]string{}, map[string]string{}
 	for _, name := range names {
 		for _, m := range []map[string]string{listen, peers} {
@@ -205,14 +205,14 @@
 	if err := os.WriteFile(filepath.Join(g.dir, "options.star"), []byte(g.script), 0o600); err != nil {
 		return err
 	}
-	per := rehearse.Periods{Report: settings.Seconds(g.size.report), Lease: settings.Seconds(g.size.lease), Run: g.run}
-	types := []wire.MachineType{{Name: "m8", CPUs: g.size.cpus, Memory: 8 * g.size.cpus, Price: 2, SpotPrice: 1, Boot: 1, Zones: []string{"east", "west"}}}
-	if g.cloud, err = rehearse.NewCloud(types, g.size.machines, func(name, typ, zone string, spot bool) (*rehearse.Worker, error) {
-		return rehearse.NewWorker(name, typ, zone, spot, listen, names, per, g.check)
+	per := simulation.Periods{Report: settings.Seconds(g.size.report), Lease: settings.Seconds(g.size.lease), Run: g.run}
+	types := []protocol.MachineType{{Name: "m8", CPUs: g.size.cpus, Memory: 8 * g.size.cpus, Price: 2, SpotPrice: 1, Boot: 1, Zones: []string{"east", "west"}}}
+	if g.cloud, err = simulation.NewCloud(types, g.size.machines, func(name, typ, zone string, spot bool) (*simulation.Worker, error) {
+		return simulation.NewWorker(name, typ, zone, spot, listen, names, per, g.check)
 	}); err != nil {
 		return err
 	}
-	g.pipes = rehearse.Paths{}
+	g.pipes = simulation.Paths{}
 	for i, name := range names {
 		door, err := g.state.Door()
 		if err != nil {
@@ -227,7 +227,7 @@
 				State:   g.size.state, Cloud: g.size.cloud, Limits: settings.Limits{Cores: 1, MemoryMB: g.size.memory, MaxSockets: 4000}}}
 		for k, p := range names {
 			if p != name {
-				pipe, err := rehearse.NewPipe(peers[p])
+				pipe, err := simulation.NewPipe(peers[p])
 				if err != nil {
 					return err
 				}
@@ -235,7 +235,7 @@
 				s.Peers = append(s.Peers, settings.Peer{Name: p, Zone: "east", Endpoint: pipe.Addr()})
 			}
 		}
-		if err := os.WriteFile(g.config(i), wire.Encode(s), 0o600); err != nil {
+		if err := os.WriteFile(g.config(i), protocol.Encode(s), 0o600); err != nil {
 			return err
 		}
 		g.nodes = append(g.nodes, nil)
@@ -358,16 +358,16 @@
 	}
 }
 
-func (g *lossRegion) ask(method, path string, body any) (int, wire.Status) {
+func (g *lossRegion) ask(method, path string, body any) (int, protocol.Status) {
 	return g.askOf(g.rng, method, path, body)
 }
 
 // askOf asks one of the controllers, drawn from a sequence of the caller's own.
-func (g *lossRegion) askOf(rng *rand.Rand, method, path string, body any) (int, wire.Status) {
-	var st wire.Status
+func (g *lossRegion) askOf(rng *rand.Rand, method, path string, body any) (int, protocol.Status) {
+	var st protocol.Status
 	var data []byte
 	if body != nil {
-		data = wire.Encode(body)
+		data = protocol.Encode(body)
 	}
 	req, err := http.NewRequest(method, "http://"+g.listen[rng.IntN(len(g.listen))]+path, bytes.NewReader(data))
 	if err != nil {
@@ -396,10 +396,10 @@
 	return nil
 }
 
-func (g *lossRegion) submit(ctx context.Context, s *wire.Submission) error {
+func (g *lossRegion) submit(ctx context.Context, s *protocol.Submission) error {
 	g.check.Submitting(s)
 	return g.until(ctx, s.UID+" accepted", func() bool {
-		status, st := g.ask("POST", wire.PathSubmit, s)
+		status, st := g.ask("POST", protocol.PathSubmit, s)
 		g.check.Told(s.UID, status, st.State, false)
 		return status == 200 || status == 201
 	})
@@ -407,7 +407,7 @@
 
 func (g *lossRegion) reaches(ctx context.Context, uid, state string) error {
 	return g.until(ctx, uid+" "+state, func() bool {
-		status, st := g.ask("GET", wire.PathSubmit+"/"+uid, nil)
+		status, st := g.ask("GET", protocol.PathSubmit+"/"+uid, nil)
 		g.check.Told(uid, status, st.State, false)
 		return status == 200 && st.State == state
 	})
@@ -416,13 +416,13 @@
 // play has jobs accepted, one withdrawn and some done, takes data away with a trouble
 // beside it, and sees that everything comes to its end.
 func (g *lossRegion) play(ctx context.Context, t *LossTrial) error {
-	job := func(i int) *wire.Submission {
+	job := func(i int) *protocol.Submission {
 		s := array(i, 4+g.rng.IntN(8))
 		s.Spot = i%2 == 0
 		return s
 	}
-	var jobs []*wire.Submission
-	var saved rehearse.Saved
+	var jobs []*protocol.Submission
+	var saved simulation.Saved
 	for i := range 8 {
 		j := job(i)
 		if err := g.submit(ctx, j); err != nil {
@@ -438,7 +438,7 @@
 	}
 	g.check.Withdrawing(gone.UID)
 	if err := g.until(ctx, "withdrawn", func() bool {
-		status, st := g.ask("POST", wire.PathSubmit+"/"+gone.UID+"/withdraw", struct{}{})
+		status, st := g.ask("POST", protocol.PathSubmit+"/"+gone.UID+"/withdraw", struct{}{})
 		g.check.Told(gone.UID, status, st.State, false)
 		return status == 200
 	}); err != nil {
@@ -457,20 +457,20 @@
 		return err
 	}
 	for _, j := range append(jobs, late) {
-		if err := g.reaches(ctx, j.UID, wire.Done); err != nil {
+		if err := g.reaches(ctx, j.UID, protocol.Done); err != nil {
 			return err
 		}
 	}
 	t.Settled = time.Since(began)
 	for _, j := range append(jobs, late) { // and stays so
-		if err := g.reaches(ctx, j.UID, wire.Done); err != nil {
+		if err := g.reaches(ctx, j.UID, protocol.Done); err != nil {
 			return err
 		}
 	}
-	return g.reaches(ctx, gone.UID, wire.Withdrawn)
+	return g.reaches(ctx, gone.UID, protocol.Withdrawn)
 }
 
-func (g *lossRegion) lose(ctx context.Context, t *LossTrial, saved rehearse.Saved) error {
+func (g *lossRegion) lose(ctx context.Context, t *LossTrial, saved simulation.Saved) error {
 	drop := func() {
 		switch t.Loss {
 		case "all":
--- a/internal/drill/measure.go
+++ b/internal/faultinjection/measure.go
@@ -1,4 +1,4 @@
-package drill
+package faultinjection
 
 import (
 	"context"
@@ -12,12 +12,12 @@
 	"path/filepath"
 	"time"
 
-	"topazhollow/internal/rebuild"
-	"topazhollow/internal/rehearse"
+	"topazhollow/internal/datarecovery"
+	"topazhollow/internal/protocol"
 	"topazhollow/internal/settings"
+	"topazhollow/internal/simulation"
 	"topazhollow/internal/snapshot"
 	"topazhollow/internal/wait"
-	"topazhollow/internal/wire"
 )
 
 // MeasureOptions are the choices of a measurement of one loss at size.
@@ -55,12 +55,12 @@
 func MeasureLoss(ctx context.Context, o MeasureOptions) (m *Measured, err error) {
 	quota := float64(o.Machines) * 16
 	g := &lossRegion{dir: o.Dir, program: o.Program, rng: rand.New(rand.NewPCG(1, 2)), client: &http.Client{Timeout: 4 * time.Second},
-		check: rehearse.NewChecker(map[string]float64{"red": quota, "blue": quota}),
+		check: simulation.NewChecker(map[string]float64{"red": quota, "blue": quota}),
 		size: regionSize{machines: o.Machines, cpus: 16, run: 10 * time.Minute, report: 5, lease: 26.5, cancel: 46.5, memory: 356,
 			teams: []settings.Team{{Name: "red", CPUs: quota / 2, CPUsMax: quota}, {Name: "blue", CPUs: quota / 2, CPUsMax: quota}},
 			state: settings.State{RPS: 600, WriteRPS: 120, ValueKB: 16, TxnOps: 12}, cloud: settings.Cloud{RPS: 15, ListLag: 4}}}
 	defer g.close()
-	if g.state, err = rehearse.NewState(g.size.state.TxnOps, int(g.size.state.ValueKB)); err != nil {
+	if g.state, err = simulation.NewState(g.size.state.TxnOps, int(g.size.state.ValueKB)); err != nil {
 		return nil, err
 	}
 	g.state.Limit(g.size.state.RPS, g.size.state.WriteRPS)
@@ -72,7 +72,7 @@
 	}
 	// Half of the CPUs are kept busy, so that there is room for a first start.
 	tasks := max(1, int(quota/2/4)/o.Jobs)
-	job := func(i int) *wire.Submission {
+	job := func(i int) *protocol.Submission {
 		s := array(i, tasks)
 		s.CPUs, s.Memory, s.Estimate = 4, 8, 600
 		return s
@@ -164,11 +164,14 @@
 		first(&m.Noticed, func() bool { return noticed })
 		first(&m.Entered, func() bool { return entered })
 		first(&m.Polled, func() bool {
-			a, s := g.ask("GET", wire.PathSubmit+"/job-000001", nil)
-			b, e := g.ask("GET", wire.PathSubmit+"/job-500001", nil)
-			return o.Ends == 0 || a == 200 && s.State != wire.Done && b == 200 && e.State == wire.Done
+			a, s := g.ask("GET", protocol.PathSubmit+"/job-000001", nil)
+			b, e := g.ask("GET", protocol.PathSubmit+"/job-500001", nil)
+			return o.Ends == 0 || a == 200 && s.State != protocol.Done && b == 200 && e.State == protocol.Done
+		})
+		first(&m.Taken, func() bool {
+			status, _ := g.ask("POST", protocol.PathSubmit, late)
+			return status == 201 || status == 200
 		})
-		first(&m.Taken, func() bool { status, _ := g.ask("POST", wire.PathSubmit, late); return status == 201 || status == 200 })
 		first(&m.Started, func() bool { return g.check.Starts() > started })
 		first(&m.Written, func() bool { return written && (g.state.Keys("w/e/") > 0 || o.Ends == 0 || forgotten) })
 		return m.Noticed > 0 && m.Entered > 0 && (m.Polled > 0 || forgotten) && m.Taken > 0 && m.Started > 0 && m.Written > 0
@@ -250,7 +253,7 @@
 
 // storeView is what a controller's overview says of the store.
 type storeView struct {
-	Store rebuild.Status `json:"store"`
+	Store datarecovery.Status `json:"store"`
 }
 
 // steady looks at the controllers' overviews until something holds.
--- a/internal/drill/meetings.go
+++ b/internal/faultinjection/meetings.go
@@ -1,4 +1,4 @@
-package drill
+package faultinjection
 
 import (
 	"context"
@@ -13,9 +13,9 @@
 	"golang.org/x/sync/errgroup"
 
 	"topazhollow/internal/history"
-	"topazhollow/internal/rehearse"
+	"topazhollow/internal/protocol"
+	"topazhollow/internal/simulation"
 	"topazhollow/internal/wait"
-	"topazhollow/internal/wire"
 )
 
 // MeetingTrial is two or three troubles around one moment and what came of them.
@@ -46,7 +46,7 @@
 		dir := filepath.Join(o.Dir, fmt.Sprint(t.Seed))
 		rng := rand.New(rand.NewPCG(t.Seed, 29))
 		g := &lossRegion{dir: dir, program: o.Program, rng: rng, size: meetingRegion(), client: &http.Client{Timeout: 3 * time.Second},
-			check: rehearse.NewChecker(map[string]float64{"red": 24, "blue": 16}), run: meetingRun}
+			check: simulation.NewChecker(map[string]float64{"red": 24, "blue": 16}), run: meetingRun}
 		g.check.Cancel = time.Duration(g.size.cancel*float64(time.Second)) + checkSlack
 		var err error
 		if t.Broken, err = g.trial(ctx, func() error { return g.meet(ctx, t) }); err != nil {
@@ -66,7 +66,7 @@
 
 // meetingRun has the tasks of a job end far apart.
 func meetingRun(task string) time.Duration {
-	uid, index, _ := wire.SplitTask(task)
+	uid, index, _ := protocol.SplitTask(task)
 	var number int
 	if _, err := fmt.Sscanf(uid, "job-%d", &number); err == nil && number >= firstLong {
 		return time.Hour
@@ -77,7 +77,7 @@
 // meet has jobs accepted, troubles around one moment, cancellations and close looks in between, and sees that all
 // comes to its end.
 func (g *lossRegion) meet(ctx context.Context, t *MeetingTrial) error {
-	m := &meeting{lossRegion: g, users: rehearse.NewUsers(g.listen, g.check), seed: t.Seed}
+	m := &meeting{lossRegion: g, users: simulation.NewUsers(g.listen, g.check), seed: t.Seed}
 	defer m.users.Close()
 	for i := range 4 {
 		m.short, m.long = append(m.short, array(i, 2+i%2)), append(m.long, array(firstLong+i, 2))
@@ -108,9 +108,9 @@
 // meeting is one drawn meeting while it is played.
 type meeting struct {
 	*lossRegion
-	users       *rehearse.Users
+	users       *simulation.Users
 	seed        uint64
-	short, long []*wire.Submission // jobs that end by themselves, and jobs that are cancelled
+	short, long []*protocol.Submission // jobs that end by themselves, and jobs that are cancelled
 }
 
 // patience bounds what a user repeats.
@@ -129,7 +129,7 @@
 	return nil
 }
 
-func (m *meeting) accept(ctx context.Context, job *wire.Submission) error {
+func (m *meeting) accept(ctx context.Context, job *protocol.Submission) error {
 	return m.repeat(ctx, job.UID+" accepted", func(ctx context.Context) bool { return m.users.SubmitUntil(ctx, m.rng, job) })
 }
 
@@ -167,7 +167,7 @@
 const closeLooks = 3
 
 // cancelAndLook has a job cancelled, and all controllers asked for it and another job at once.
-func (m *meeting) cancelAndLook(ctx context.Context, user uint64, job *wire.Submission) error {
+func (m *meeting) cancelAndLook(ctx context.Context, user uint64, job *protocol.Submission) error {
 	if err := m.repeat(ctx, job.UID+" cancelled", func(ctx context.Context) bool { return m.users.CancelUntil(ctx, m.draws(user), job.UID) }); err != nil {
 		return err
 	}
--- a/internal/drill/overload.go
+++ b/internal/faultinjection/overload.go
@@ -1,4 +1,4 @@
-package drill
+package faultinjection
 
 import (
 	"context"
@@ -17,10 +17,10 @@
 	"gonum.org/v1/plot/vg"
 
 	"topazhollow/internal/admission"
-	"topazhollow/internal/rehearse"
+	"topazhollow/internal/protocol"
 	"topazhollow/internal/settings"
+	"topazhollow/internal/simulation"
 	"topazhollow/internal/wait"
-	"topazhollow/internal/wire"
 )
 
 // OverloadOptions are the choices of a rehearsal of overload.
@@ -89,10 +89,10 @@
 	size := smallRegion
 	size.machines = 12
 	size.teams = []settings.Team{{Name: "red", CPUs: 48, CPUsMax: 96}, {Name: "blue", CPUs: 48, CPUsMax: 96}}
-	g := &lossRegion{dir: dir, program: o.Program, rng: rng, size: size, client: &http.Client{Timeout: 4 * time.Second}, check: rehearse.NewChecker(map[string]float64{"red": 96, "blue": 96}),
+	g := &lossRegion{dir: dir, program: o.Program, rng: rng, size: size, client: &http.Client{Timeout: 4 * time.Second}, check: simulation.NewChecker(map[string]float64{"red": 96, "blue": 96}),
 		script: fmt.Sprintf("class_floor = %g\nfloor_after_s = %g\n", o.Floor, floorAfter.Seconds())}
 	g.run = func(task string) time.Duration {
-		if uid, _, _ := wire.SplitTask(task); g.check.Spec(uid) != nil && g.check.Spec(uid).Class == large {
+		if uid, _, _ := protocol.SplitTask(task); g.check.Spec(uid) != nil && g.check.Spec(uid).Class == large {
 			return 3 * time.Second
 		}
 		return 2 * time.Second
@@ -109,11 +109,11 @@
 	rate := t.Crowd * cpus / 24 // jobs of 12 tasks of a CPU and two seconds
 	t.Wanted = map[string]float64{small: t.Crowd * cpus, large: 6 * 6 * 3 / 2}
 	saved := g.state.Save()
-	var jobs []*wire.Submission
+	var jobs []*protocol.Submission
 	var mu sync.Mutex
 	users, failed := sync.WaitGroup{}, make(chan error, 1)
 	hand := func(class string) {
-		s := &wire.Submission{UID: fmt.Sprintf("job-%06d", len(jobs)+1), Class: class, Team: []string{"red", "blue"}[len(jobs)%2], Kind: wire.Batch, Priority: "high",
+		s := &protocol.Submission{UID: fmt.Sprintf("job-%06d", len(jobs)+1), Class: class, Team: []string{"red", "blue"}[len(jobs)%2], Kind: protocol.Batch, Priority: "high",
 			Tasks: 12, CPUs: 1, Memory: 1, Image: "img", Estimate: 2, Spot: true}
 		if class == large {
 			s.Priority, s.Tasks, s.CPUs, s.Estimate = "standard", 6, 6, 3
@@ -126,7 +126,7 @@
 			defer users.Done()
 			g.check.Submitting(s)
 			for end := time.Now().Add(60 * time.Second); ; {
-				status, st := own.ask("POST", wire.PathSubmit, s)
+				status, st := own.ask("POST", protocol.PathSubmit, s)
 				g.check.Told(s.UID, status, st.State, false)
 				if status == 200 || status == 201 {
 					return
@@ -179,7 +179,7 @@
 		if i > len(jobs)/4 {
 			break // the rest of the crowd would take minutes, and shows nothing more
 		}
-		if err := g.reaches(ctx, j.UID, wire.Done); err != nil {
+		if err := g.reaches(ctx, j.UID, protocol.Done); err != nil {
 			return err
 		}
 	}
@@ -189,7 +189,7 @@
 	return nil
 }
 
-func (g *lossRegion) strike(ctx context.Context, rng *rand.Rand, trouble string, saved rehearse.Saved) error {
+func (g *lossRegion) strike(ctx context.Context, rng *rand.Rand, trouble string, saved simulation.Saved) error {
 	switch trouble {
 	case "one ends":
 		i := rng.IntN(len(g.nodes))
--- a/internal/drill/overload_test.go
+++ b/internal/faultinjection/overload_test.go
@@ -1,4 +1,4 @@
-package drill_test
+package faultinjection_test
 
 import (
 	"bytes"
@@ -8,7 +8,7 @@
 	"strings"
 	"testing"
 
-	"topazhollow/internal/drill"
+	"topazhollow/internal/faultinjection"
 )
 
 // TestOverloads: a crowd of small urgent tasks over large ones, alone and while controllers
@@ -22,7 +22,7 @@
 	}{"alone": {0, 0.5}, "all end": {2, 0.5}, "no floors": {0, 0}} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			trials, err := drill.Overloads(context.Background(), drill.OverloadOptions{Draw: drill.Draw{Program: os.Args[0], Dir: t.TempDir(), Seed: x.seed, Trials: 1, Out: io.Discard}, Floor: x.floor})
+			trials, err := faultinjection.Overloads(context.Background(), faultinjection.OverloadOptions{Draw: faultinjection.Draw{Program: os.Args[0], Dir: t.TempDir(), Seed: x.seed, Trials: 1, Out: io.Discard}, Floor: x.floor})
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -31,7 +31,7 @@
 				t.Errorf("%+v: %s", trials[0].Got, broken)
 			}
 			var page bytes.Buffer
-			if err := drill.OverloadReport(&page, trials); err != nil || strings.Count(page.String(), "<svg") != 1 {
+			if err := faultinjection.OverloadReport(&page, trials); err != nil || strings.Count(page.String(), "<svg") != 1 {
 				t.Errorf("%v\n%.1000s", err, page.String())
 			}
 		})
--- a/internal/drill/report.go
+++ b/internal/faultinjection/report.go
@@ -1,4 +1,4 @@
-package drill
+package faultinjection
 
 import (
 	"bytes"
@@ -13,7 +13,7 @@
 	"gonum.org/v1/plot/vg/draw"
 	"gonum.org/v1/plot/vg/vgsvg"
 
-	"topazhollow/internal/keeper"
+	"topazhollow/internal/artifactstore"
 )
 
 var page = template.Must(template.New("report").Parse(`<!doctype html>
@@ -51,7 +51,7 @@
 
 // States sums up the killed attempts by their states.
 func (r *Report) States() []stateSum {
-	list := []stateSum{{State: keeper.StateFinal}, {State: keeper.StateSealed}, {State: keeper.StatePartial}, {State: keeper.StateGoesOn}, {State: "not begun"}}
+	list := []stateSum{{State: artifactstore.StateFinal}, {State: artifactstore.StateSealed}, {State: artifactstore.StatePartial}, {State: artifactstore.StateGoesOn}, {State: "not begun"}}
 	for _, k := range r.Kills {
 		state := k.State
 		if state == "" {
--- a/internal/drill/trials_test.go
+++ b/internal/faultinjection/trials_test.go
@@ -1,4 +1,4 @@
-package drill_test
+package faultinjection_test
 
 import (
 	"fmt"
--- a/internal/drill/troubles.go
+++ b/internal/faultinjection/troubles.go
@@ -1,4 +1,4 @@
-package drill
+package faultinjection
 
 import (
 	"context"
@@ -7,9 +7,9 @@
 	"syscall"
 	"time"
 
-	"topazhollow/internal/rehearse"
+	"topazhollow/internal/protocol"
+	"topazhollow/internal/simulation"
 	"topazhollow/internal/wait"
-	"topazhollow/internal/wire"
 )
 
 // meetingTroubles are what is drawn: each begins, lasts for a time, and ends.
@@ -77,7 +77,7 @@
 	{"lost answers", func(ctx context.Context, g *lossRegion, rng *rand.Rand, _ int, lasts time.Duration) error {
 		drawn := oneInTurn(rng, 4)
 		for _, d := range g.doors {
-			d.Unanswered(func(*wire.Txn) bool { return drawn() })
+			d.Unanswered(func(*protocol.Txn) bool { return drawn() })
 			defer d.Unanswered(nil)
 		}
 		wait.For(ctx, lasts)
@@ -86,7 +86,7 @@
 	{"late commands", func(ctx context.Context, g *lossRegion, rng *rand.Rand, _ int, lasts time.Duration) error {
 		drawn, held := oneInTurn(rng, 2), time.Duration(500+rng.IntN(5000))*time.Millisecond
 		for _, w := range g.cloud.Workers() {
-			w.SlowCommands(func(*wire.Direct) time.Duration {
+			w.SlowCommands(func(*protocol.Direct) time.Duration {
 				if drawn() {
 					return held
 				}
@@ -113,17 +113,17 @@
 		}
 		return g.start(one)
 	}},
-	{"mute machine", onMachine(func(w *rehearse.Worker, _ int, on bool) { w.Mute(on) })},
-	{"machine hangs", onMachine(func(w *rehearse.Worker, _ int, on bool) { w.Hang(on) })},
+	{"mute machine", onMachine(func(w *simulation.Worker, _ int, on bool) { w.Mute(on) })},
+	{"machine hangs", onMachine(func(w *simulation.Worker, _ int, on bool) { w.Hang(on) })},
 	{"machine gone", func(_ context.Context, g *lossRegion, rng *rand.Rand, _ int, _ time.Duration) error {
 		if ws := g.cloud.Workers(); len(ws) > 0 {
 			g.cloud.Take(ws[rng.IntN(len(ws))].Name())
 		}
 		return nil
 	}},
-	{"deaf machine", onMachine(func(w *rehearse.Worker, _ int, on bool) { w.Deaf(on) })},
-	{"machine cut", onMachine(func(w *rehearse.Worker, _ int, on bool) { w.Cut(on) })},
-	{"machine heard by one only", onMachine(func(w *rehearse.Worker, one int, on bool) {
+	{"deaf machine", onMachine(func(w *simulation.Worker, _ int, on bool) { w.Deaf(on) })},
+	{"machine cut", onMachine(func(w *simulation.Worker, _ int, on bool) { w.Cut(on) })},
+	{"machine heard by one only", onMachine(func(w *simulation.Worker, one int, on bool) {
 		if on {
 			w.Reach(regionNames[one])
 		} else {
@@ -170,7 +170,7 @@
 }
 
 // onMachine is a trouble of one drawn machine, if there is any.
-func onMachine(set func(w *rehearse.Worker, one int, on bool)) func(context.Context, *lossRegion, *rand.Rand, int, time.Duration) error {
+func onMachine(set func(w *simulation.Worker, one int, on bool)) func(context.Context, *lossRegion, *rand.Rand, int, time.Duration) error {
 	return func(ctx context.Context, g *lossRegion, rng *rand.Rand, one int, lasts time.Duration) error {
 		if ws := g.cloud.Workers(); len(ws) > 0 {
 			w := ws[rng.IntN(len(ws))]
--- a/internal/drill/worker.go
+++ b/internal/faultinjection/worker.go
@@ -1,4 +1,4 @@
-package drill
+package faultinjection
 
 import (
 	"context"
@@ -7,7 +7,7 @@
 	"os"
 	"time"
 
-	"topazhollow/internal/runner"
+	"topazhollow/internal/taskrunner"
 )
 
 // Work is a worker's process: it takes up the spool that an earlier one left, or runs
@@ -31,12 +31,12 @@
 			panic(fmt.Sprintf("history not written: %v", err)) // the drill would be worth nothing
 		}
 	}
-	opt := runner.Options{Spool: job.Spool, Keepers: job.Keepers, Pause: 50 * time.Millisecond, Acked: note}
+	opt := taskrunner.Options{Spool: job.Spool, Keepers: job.Keepers, Pause: 50 * time.Millisecond, Acked: note}
 	if job.Recover {
-		_, err := runner.Recover(ctx, opt)
+		_, err := taskrunner.Recover(ctx, opt)
 		return err
 	}
-	got, err := runner.Run(ctx, opt, runner.Task{Claim: job.Claim, Token: job.Token, Command: job.Command, Env: job.Env, Dir: job.Dir, Files: job.Files}, time.Minute)
+	got, err := taskrunner.Run(ctx, opt, taskrunner.Task{Claim: job.Claim, Token: job.Token, Command: job.Command, Env: job.Env, Dir: job.Dir, Files: job.Files}, time.Minute)
 	if err != nil {
 		return err
 	}
--- a/internal/gangroom/gangroom.go
+++ b/internal/gangpreemption/gangpreemption.go
@@ -1,6 +1,6 @@
-// Package gangroom decides which tasks to stop so that all tasks of a gang have room at the same time. It does no I/O and
+// Package gangpreemption decides which tasks to stop so that all tasks of a gang have room at the same time. It does no I/O and
 // reads no clock.
-package gangroom
+package gangpreemption
 
 import (
 	"cmp"
--- a/internal/gangroom/gangroom_test.go
+++ b/internal/gangpreemption/gangpreemption_test.go
@@ -1,4 +1,4 @@
-package gangroom
+package gangpreemption
 
 import (
 	"math"
--- a/internal/history/history_test.go
+++ b/internal/history/history_test.go
@@ -6,7 +6,7 @@
 	"slices"
 	"testing"
 
-	"topazhollow/internal/wire"
+	"topazhollow/internal/protocol"
 )
 
 // slowCheck is the plain model: it compares every answer with every other one.
@@ -23,8 +23,10 @@
 	return broken
 }
 
-func isKnown(c Call) bool  { return c.Returned > 0 && (c.Status == 200 || c.Status == 201) }
-func isFinal(c Call) bool  { return isKnown(c) && (c.State == wire.Done || c.State == wire.Withdrawn) }
+func isKnown(c Call) bool { return c.Returned > 0 && (c.Status == 200 || c.Status == 201) }
+func isFinal(c Call) bool {
+	return isKnown(c) && (c.State == protocol.Done || c.State == protocol.Withdrawn)
+}
 func isActive(c Call) bool { return isKnown(c) && !isFinal(c) }
 func isUnknown(c Call) bool {
 	return c.Returned > 0 && (c.Status == 404 || c.Kind == Submit && (c.Status == 400 || c.Status == 422))
@@ -46,7 +48,7 @@
 		return WentBack
 	case isFinal(c) && slowFirstFinal(c, calls) != c.State:
 		return WentBack
-	case isFinal(c) && c.State == wire.Withdrawn && !some(func(o Call) bool { return o.Kind == Cancel && o.Invoked < c.Returned }):
+	case isFinal(c) && c.State == protocol.Withdrawn && !some(func(o Call) bool { return o.Kind == Cancel && o.Invoked < c.Returned }):
 		return WentBack
 	case isActive(c) && c.Kind == Cancel:
 		return Unsettled
@@ -72,7 +74,7 @@
 	var log Log
 	var open []int
 	statuses := []int{200, 200, 200, 201, 404, 422, 503}
-	states := []string{wire.Pending, wire.Running, wire.Done, wire.Withdrawn}
+	states := []string{protocol.Pending, protocol.Running, protocol.Done, protocol.Withdrawn}
 	for range 2 + rng.IntN(24) {
 		if len(open) > 0 && rng.IntN(2) == 0 {
 			k := rng.IntN(len(open))
@@ -125,7 +127,7 @@
 	var log Log
 	submit := log.Invoke(0, Submit, "job-1")
 	early := log.Invoke(1, Ask, "job-1")
-	log.Return(submit, 201, wire.Pending)
+	log.Return(submit, 201, protocol.Pending)
 	log.Return(early, 404, "")
 	if found := Check(log.Calls()); len(found) > 0 {
 		t.Errorf("a question sent before the acceptance arrived is bound by it: %v", found)
@@ -138,15 +140,15 @@
 
 // TestOlderAnswersOfOtherNodes: each kind of older answer is found, whichever controller gives it.
 func TestOlderAnswersOfOtherNodes(t *testing.T) {
-	accepted := Call{Node: 0, Kind: Submit, Status: 201, State: wire.Pending}
-	cancelled := Call{Node: 1, Kind: Cancel, Status: 200, State: wire.Withdrawn}
+	accepted := Call{Node: 0, Kind: Submit, Status: 201, State: protocol.Pending}
+	cancelled := Call{Node: 1, Kind: Cancel, Status: 200, State: protocol.Withdrawn}
 	for rule, calls := range map[string][]Call{
 		Forgotten:     record(accepted, Call{Node: 1, Kind: Ask, Status: 404}),
-		WentBack:      record(accepted, cancelled, Call{Node: 2, Kind: Ask, Status: 200, State: wire.Running}),
-		AcceptedTwice: record(accepted, Call{Node: 1, Kind: Submit, Status: 201, State: wire.Pending}),
-		Invented:      record(Call{Node: 1, Kind: Ask, Status: 200, State: wire.Pending}),
-		Unsettled:     record(accepted, Call{Node: 1, Kind: Cancel, Status: 200, State: wire.Running}),
-		"":            record(accepted, Call{Node: 1, Kind: Ask, Status: 503}, cancelled, Call{Node: 2, Kind: Submit, Status: 200, State: wire.Withdrawn}),
+		WentBack:      record(accepted, cancelled, Call{Node: 2, Kind: Ask, Status: 200, State: protocol.Running}),
+		AcceptedTwice: record(accepted, Call{Node: 1, Kind: Submit, Status: 201, State: protocol.Pending}),
+		Invented:      record(Call{Node: 1, Kind: Ask, Status: 200, State: protocol.Pending}),
+		Unsettled:     record(accepted, Call{Node: 1, Kind: Cancel, Status: 200, State: protocol.Running}),
+		"":            record(accepted, Call{Node: 1, Kind: Ask, Status: 503}, cancelled, Call{Node: 2, Kind: Submit, Status: 200, State: protocol.Withdrawn}),
 	} {
 		found := Check(calls)
 		if rule == "" && len(found) > 0 || rule != "" && (len(found) != 1 || found[0].Rule != rule) {
--- a/internal/httpx/serve.go
+++ b/internal/httpx/serve.go
@@ -6,7 +6,7 @@
 	"errors"
 	"time"
 
-	"topazhollow/internal/wire"
+	"topazhollow/internal/protocol"
 )
 
 // Patience bounds slow and idle clients.
@@ -20,12 +20,12 @@
 
 // Refuse is an answer with an error text.
 func Refuse(status int, reason string) Answer {
-	return Answer{Status: status, Body: wire.Encode(wire.Error{Error: reason})}
+	return Answer{Status: status, Body: protocol.Encode(protocol.Error{Error: reason})}
 }
 
 // Serve answers HTTP requests at an address until the context ends.
 func Serve(ctx context.Context, addr string, max int, p Patience, handle Handler) error {
-	return Listen(ctx, addr, max, 2*wire.MaxBody, func(c *Conn) { serveConn(ctx, c, p, handle) })
+	return Listen(ctx, addr, max, 2*protocol.MaxBody, func(c *Conn) { serveConn(ctx, c, p, handle) })
 }
 
 func serveConn(ctx context.Context, c *Conn, p Patience, handle Handler) {
@@ -37,7 +37,7 @@
 			return
 		}
 		c.SetReadDeadline(time.Now().Add(p.Slow))
-		req, err := ReadRequest(r, wire.MaxBody)
+		req, err := ReadRequest(r, protocol.MaxBody)
 		if err != nil {
 			var bad *BadRequest
 			if errors.As(err, &bad) {
--- a/internal/ledger/book.go
+++ b/internal/jobstate/book.go
@@ -1,4 +1,4 @@
-package ledger
+package jobstate
 
 import (
 	"encoding/base64"
@@ -9,7 +9,7 @@
 
 	"github.com/bits-and-blooms/bitset"
 
-	"topazhollow/internal/wire"
+	"topazhollow/internal/protocol"
 )
 
 // Book lays out the finished tasks of a team's jobs on pages, each the value of
@@ -72,17 +72,17 @@
 func ReadParts(parts map[string]string, tasks func(job string) int, into map[string]*bitset.BitSet) error {
 	first := map[string]string{}
 	for name, text := range parts {
-		if _, n, ok := wire.SplitTask(name); ok && n > 0 {
+		if _, n, ok := protocol.SplitTask(name); ok && n > 0 {
 			continue
 		}
 		first[name] = text
 	}
-	return readParts(first, wire.MaxTasks, tasks, into, func(part, int) {})
+	return readParts(first, protocol.MaxTasks, tasks, into, func(part, int) {})
 }
 
 func readParts(parts map[string]string, bits int, tasks func(job string) int, into map[string]*bitset.BitSet, found func(p part, count int)) error {
 	for name, text := range parts {
-		job, n, ok := wire.SplitTask(name)
+		job, n, ok := protocol.SplitTask(name)
 		if !ok {
 			return fmt.Errorf("ledger: malformed part %.80q", name)
 		}
--- a/internal/ledger/book_test.go
+++ b/internal/jobstate/book_test.go
@@ -1,4 +1,4 @@
-package ledger
+package jobstate
 
 import (
 	"encoding/json"
@@ -8,7 +8,7 @@
 
 	"github.com/bits-and-blooms/bitset"
 
-	"topazhollow/internal/wire"
+	"topazhollow/internal/protocol"
 )
 
 // TestBookModel: jobs come, finish tasks and end; their pages go to a plain
@@ -35,7 +35,7 @@
 			switch rng.IntN(6) {
 			case 0:
 				uid := fmt.Sprintf("job-%06d", step)
-				jobs[uid] = &Job{Spec: &wire.Submission{UID: uid, Tasks: 1 + rng.IntN(4000)}}
+				jobs[uid] = &Job{Spec: &protocol.Submission{UID: uid, Tasks: 1 + rng.IntN(4000)}}
 				done[uid], saved[uid] = bitset.New(0), bitset.New(0)
 			case 1:
 				for uid := range jobs {
--- a/internal/ledger/demand.go
+++ b/internal/jobstate/demand.go
@@ -1,10 +1,10 @@
-package ledger
+package jobstate
 
 import (
 	"math"
 	"time"
 
-	"topazhollow/internal/wire"
+	"topazhollow/internal/protocol"
 )
 
 // What an account would place if there were room, within its quota.
@@ -29,7 +29,7 @@
 
 // Demand is the room that pending tasks of a job ask for now, within the quota.
 type Demand struct {
-	Spec     *wire.Submission
+	Spec     *protocol.Submission
 	Count    int
 	Borrowed bool          // beyond the team's guarantee
 	Probe    bool          // to see whether a faulty job still fails
@@ -85,7 +85,7 @@
 	switch {
 	case len(j.holds) > 0:
 		return 0
-	case j.Spec.Kind == wire.Gang:
+	case j.Spec.Kind == protocol.Gang:
 		return left
 	default:
 		return min(left, 1)
@@ -96,14 +96,14 @@
 type quota struct{ cpus, gpus float64 }
 
 // add takes what so many tasks of a job need.
-func (q *quota) add(s *wire.Submission, tasks int) {
+func (q *quota) add(s *protocol.Submission, tasks int) {
 	q.cpus += float64(tasks) * s.CPUs
 	q.gpus += float64(tasks) * s.GPUs
 }
 
 // reserve takes what so many tasks of a job need, or as much of it as the limits leave. Else less urgent jobs with smaller
 // tasks would take each piece that comes free, and the job would never have enough at once.
-func (q *quota) reserve(s *wire.Submission, tasks int, mostCPUs, mostGPUs float64) {
+func (q *quota) reserve(s *protocol.Submission, tasks int, mostCPUs, mostGPUs float64) {
 	q.cpus = min(q.cpus+float64(tasks)*s.CPUs, max(q.cpus, mostCPUs))
 	q.gpus = min(q.gpus+float64(tasks)*s.GPUs, max(q.gpus, mostGPUs))
 }
@@ -145,7 +145,7 @@
 	}
 	for _, waiting := range list {
 		j, left := waiting.Job, waiting.left
-		if blocked != nil && !reserved && wire.Rank(j.Spec.Priority) < wire.Rank(blocked.Spec.Priority) {
+		if blocked != nil && !reserved && protocol.Rank(j.Spec.Priority) < protocol.Rank(blocked.Spec.Priority) {
 			reserved = true
 			taken.reserve(blocked.Spec, 1, t.MaxCPUs-(kept-lacks[blocked.Spec.Class]), t.MaxGPUs)
 		}
@@ -163,7 +163,7 @@
 		cpus += float64(fit) * j.Spec.CPUs
 		gpus += float64(fit) * j.Spec.GPUs
 		switch atOnce := j.startsAtOnce(left); {
-		case atOnce > 0 && j.Spec.Kind == wire.Gang:
+		case atOnce > 0 && j.Spec.Kind == protocol.Gang:
 			if !reserved {
 				reserved = true
 				if !t.HoldsQuota() {
--- a/internal/ledger/floors_test.go
+++ b/internal/jobstate/floors_test.go
@@ -1,4 +1,4 @@
-package ledger
+package jobstate
 
 import (
 	"fmt"
@@ -7,7 +7,7 @@
 	"testing"
 	"time"
 
-	"topazhollow/internal/wire"
+	"topazhollow/internal/protocol"
 )
 
 // TestFloorsBeyondQuotaBlockNobody: of several classes under their floors each one's quota was kept from the others, and
@@ -22,7 +22,7 @@
 		floors, largest := map[string]float64{}, 0.0
 		for i := range 1 + rng.IntN(5) {
 			class := fmt.Sprint("c", i)
-			spec := &wire.Submission{UID: fmt.Sprint("job-", i), Class: class, Kind: wire.Batch, Priority: "standard", Tasks: 50, CPUs: float64(1 + rng.IntN(4)), Estimate: 30}
+			spec := &protocol.Submission{UID: fmt.Sprint("job-", i), Class: class, Kind: protocol.Batch, Priority: "standard", Tasks: 50, CPUs: float64(1 + rng.IntN(4)), Estimate: 30}
 			team.AddJob(spec, 1, now, nil)
 			floors[class] = spec.CPUs * float64(1+rng.IntN(10))
 			largest = max(largest, spec.CPUs)
--- a/internal/ledger/gang.go
+++ b/internal/jobstate/gang.go
@@ -1,7 +1,7 @@
-package ledger
+package jobstate
 
 import (
-	"topazhollow/internal/wire"
+	"topazhollow/internal/protocol"
 )
 
 // Gang says what a gang needs now: the missing tasks, all of them for a new
@@ -43,7 +43,7 @@
 // The next attempt begins when all its tasks are proven off.
 func (t *Team) breakGangs() {
 	for _, j := range t.jobs {
-		if j.Spec.Kind != wire.Gang || len(j.holds) == 0 {
+		if j.Spec.Kind != protocol.Gang || len(j.holds) == 0 {
 			continue
 		}
 		if old := t.incomplete(j); j.broken || old {
@@ -65,7 +65,7 @@
 	for _, a := range t.heldOf(j) {
 		t.Stop(a.Ref(), grace)
 	}
-	if j.Spec.Kind == wire.Gang {
+	if j.Spec.Kind == protocol.Gang {
 		j.broken = true
 	}
 }
@@ -73,13 +73,13 @@
 // lost books that a gang lost a task. Before it started, a replacement with the
 // same attempt may complete it.
 func (j *Job) lost(a *attempt, why string) {
-	if j.Spec.Kind != wire.Gang {
+	if j.Spec.Kind != protocol.Gang {
 		return
 	}
 	switch {
-	case j.running > 0 || a.state == wire.Running || a.state == wire.Saving:
+	case j.running > 0 || a.state == protocol.Running || a.state == protocol.Saving:
 		j.broken = true
-	case why == wire.WhyIncomplete || why == wire.WhyPeers || why == wire.WhyStopped:
+	case why == protocol.WhyIncomplete || why == protocol.WhyPeers || why == protocol.WhyStopped:
 		j.broken = true
 	}
 }
--- a/internal/ledger/gang_test.go
+++ b/internal/jobstate/gang_test.go
@@ -1,15 +1,15 @@
-package ledger
+package jobstate
 
 import (
 	"fmt"
 	"testing"
 
-	"topazhollow/internal/wire"
+	"topazhollow/internal/protocol"
 )
 
 func gang(t *testing.T) (*model, *Job, map[int]Spot) {
 	m := newModel(t, 3)
-	s := &wire.Submission{UID: "job-9", Team: "team", Kind: wire.Gang, Priority: "standard", Tasks: 3, CPUs: 2, Save: 2, Checkpoint: 5}
+	s := &protocol.Submission{UID: "job-9", Team: "team", Kind: protocol.Gang, Priority: "standard", Tasks: 3, CPUs: 2, Save: 2, Checkpoint: 5}
 	m.specs[s.UID], m.active[s.UID] = s, true
 	m.team.AddJob(s, 1, m.now, nil)
 	spots := map[int]Spot{}
@@ -42,8 +42,8 @@
 		t.Fatal("not placed")
 	}
 	id := AttemptID(1, 1)
-	listed(m, j, id, 0, wire.Waiting, "")
-	listed(m, j, id, 1, wire.Exited, wire.WhyFull)
+	listed(m, j, id, 0, protocol.Waiting, "")
+	listed(m, j, id, 1, protocol.Exited, protocol.WhyFull)
 	if missing, same := m.team.Gang(j); len(missing) != 1 || missing[0] != 1 || same != id {
 		t.Fatalf("missing %v of attempt %d", missing, same)
 	}
@@ -57,16 +57,16 @@
 	m.team.PlaceGang(j, 0, spots)
 	id := AttemptID(1, 1)
 	for i := range 3 {
-		listed(m, j, id, i, wire.Running, "")
+		listed(m, j, id, i, protocol.Running, "")
 	}
-	listed(m, j, id, 1, wire.Exited, wire.WhyError)
+	listed(m, j, id, 1, protocol.Exited, protocol.WhyError)
 	if missing, _ := m.team.Gang(j); len(missing) != 0 {
 		t.Fatalf("would start %v beside a running gang", missing)
 	}
 	stops := 0
 	for _, orders := range m.team.Due(99, m.now, func(string, uint64) bool { return true }) {
 		for _, o := range orders {
-			if o.Op != wire.Stop || o.Grace != j.Spec.Save {
+			if o.Op != protocol.Stop || o.Grace != j.Spec.Save {
 				t.Fatalf("orders %+v", o)
 			}
 			stops++
@@ -75,11 +75,11 @@
 	if stops != 2 {
 		t.Fatalf("%d stops for two tasks left", stops)
 	}
-	listed(m, j, id, 0, wire.Exited, wire.WhyStopped)
+	listed(m, j, id, 0, protocol.Exited, protocol.WhyStopped)
 	if missing, _ := m.team.Gang(j); len(missing) != 0 {
 		t.Fatal("a new attempt while one old task is not off")
 	}
-	listed(m, j, id, 2, wire.Exited, wire.WhyPeers)
+	listed(m, j, id, 2, protocol.Exited, protocol.WhyPeers)
 	if missing, fresh := m.team.Gang(j); len(missing) != 3 || fresh != 0 {
 		t.Fatalf("missing %v of attempt %d", missing, fresh)
 	}
@@ -89,7 +89,7 @@
 func TestGangDoneTogether(t *testing.T) {
 	m, j, spots := gang(t)
 	m.team.PlaceGang(j, 0, spots)
-	listed(m, j, AttemptID(1, 1), 2, wire.Exited, wire.WhyDone)
+	listed(m, j, AttemptID(1, 1), 2, protocol.Exited, protocol.WhyDone)
 	if !m.team.Complete(j) {
 		t.Fatal("one task done, the gang not")
 	}
--- a/internal/ledger/holdback.go
+++ b/internal/jobstate/holdback.go
@@ -1,9 +1,9 @@
-package ledger
+package jobstate
 
 import (
 	"time"
 
-	"topazhollow/internal/wire"
+	"topazhollow/internal/protocol"
 )
 
 // A gang starts whole or not at all. What comes free of its team's quota, and of the machines, is therefore held back for
@@ -54,7 +54,7 @@
 func (t *Team) TurnHoldback(now time.Time) {
 	waits := false
 	for _, j := range t.order {
-		if j.Spec.Kind == wire.Gang && t.Waits(j, now) {
+		if j.Spec.Kind == protocol.Gang && t.Waits(j, now) {
 			waits = true
 			break
 		}
@@ -80,7 +80,7 @@
 	}
 	classes := map[string]bool{}
 	for _, j := range t.order {
-		if j.Spec.Kind == wire.Gang {
+		if j.Spec.Kind == protocol.Gang {
 			classes[j.Spec.Class] = true
 		}
 	}
--- a/internal/ledger/ledger_test.go
+++ b/internal/jobstate/jobstate_test.go
@@ -1,4 +1,4 @@
-package ledger
+package jobstate
 
 import (
 	"fmt"
@@ -11,7 +11,7 @@
 
 	"github.com/bits-and-blooms/bitset"
 
-	"topazhollow/internal/wire"
+	"topazhollow/internal/protocol"
 )
 
 // plainWorker is a plain model of a machine's worker by the protocol.
@@ -31,7 +31,7 @@
 // used sums up what runs on a machine, of all teams or of the model's own.
 func (m *model) used(w *plainWorker, own bool) (cpus float64) {
 	for k, x := range w.tasks {
-		if !w.dead && x.State != wire.Exited && (!own || m.specs[k.Job].Team == "team") {
+		if !w.dead && x.State != protocol.Exited && (!own || m.specs[k.Job].Team == "team") {
 			cpus += m.specs[k.Job].CPUs
 		}
 	}
@@ -56,7 +56,7 @@
 	backup   *Replica
 	workers  []*plainWorker
 	flying   []message
-	specs    map[string]*wire.Submission
+	specs    map[string]*protocol.Submission
 	active   map[string]bool
 	done     map[Key]bool
 	careless bool                    // a broken owner that believes silence
@@ -84,7 +84,7 @@
 	case spec == nil || m.memory[uid] == nothing:
 		return JobInfo{}
 	case m.memory[uid] == unsized:
-		spec = &wire.Submission{UID: uid, Team: spec.Team, Tasks: spec.Tasks}
+		spec = &protocol.Submission{UID: uid, Team: spec.Team, Tasks: spec.Tasks}
 	}
 	return JobInfo{Known: true, Mine: spec.Team == "team", Active: m.active[uid], Spec: spec}
 }
@@ -93,7 +93,7 @@
 func (m *model) Unsized(v *View) (cpus, gpus float64) {
 	cpus = plainCapacity
 	for _, x := range v.Tasks {
-		if job := m.Job(x.Job); job.Known && x.State != wire.Exited && m.memory[x.Job] == whole {
+		if job := m.Job(x.Job); job.Known && x.State != protocol.Exited && m.memory[x.Job] == whole {
 			cpus -= m.specs[x.Job].CPUs
 		}
 	}
@@ -117,26 +117,26 @@
 	if w.dead || x.term < w.token || x.order.Session != w.session {
 		return ""
 	}
-	if x.order.Op == wire.Start && m.used(w, false)+m.specs[x.order.Job].CPUs > plainCapacity {
+	if x.order.Op == protocol.Start && m.used(w, false)+m.specs[x.order.Job].CPUs > plainCapacity {
 		if _, there := w.tasks[x.order.Key]; !there {
 			w.token = x.term
-			w.tasks[x.order.Key] = TaskView{Key: x.order.Key, Attempt: x.order.Attempt, State: wire.Exited, Why: wire.WhyFull}
+			w.tasks[x.order.Key] = TaskView{Key: x.order.Key, Attempt: x.order.Attempt, State: protocol.Exited, Why: protocol.WhyFull}
 		}
 		return ""
 	}
 	w.token = x.term
 	have, there := w.tasks[x.order.Key]
 	switch x.order.Op {
-	case wire.Start:
+	case protocol.Start:
 		if there {
 			return ""
 		}
 		for _, o := range m.workers {
-			if t, ok := o.tasks[x.order.Key]; ok && !o.dead && t.State != wire.Exited {
+			if t, ok := o.tasks[x.order.Key]; ok && !o.dead && t.State != protocol.Exited {
 				broken = fmt.Sprintf("%v on %s and %s", x.order.Key, o.name, w.name)
 			}
 		}
-		w.tasks[x.order.Key] = TaskView{Key: x.order.Key, Attempt: x.order.Attempt, State: wire.Running}
+		w.tasks[x.order.Key] = TaskView{Key: x.order.Key, Attempt: x.order.Attempt, State: protocol.Running}
 		used := 0.0
 		for _, o := range m.workers {
 			used += m.used(o, true)
@@ -144,13 +144,13 @@
 		if used > m.team.MaxCPUs+slack {
 			broken = fmt.Sprintf("quota: %g", used)
 		}
-	case wire.Stop:
-		if there && have.Attempt == x.order.Attempt && have.State != wire.Exited {
-			have.State, have.Why = wire.Exited, wire.WhyStopped
+	case protocol.Stop:
+		if there && have.Attempt == x.order.Attempt && have.State != protocol.Exited {
+			have.State, have.Why = protocol.Exited, protocol.WhyStopped
 			w.tasks[x.order.Key] = have
 		}
-	case wire.Forget:
-		if there && have.Attempt == x.order.Attempt && have.State == wire.Exited {
+	case protocol.Forget:
+		if there && have.Attempt == x.order.Attempt && have.State == protocol.Exited {
 			delete(w.tasks, x.order.Key)
 		}
 	}
@@ -173,7 +173,7 @@
 	for _, o := range orders {
 		x := message{w, m.term, o}
 		// A home withholds forgets while starts are open, and repeats a command only once the last one is decided.
-		if o.Op != wire.Forget && !slices.Contains(m.flying, x) {
+		if o.Op != protocol.Forget && !slices.Contains(m.flying, x) {
 			m.flying = append(m.flying, x)
 		}
 	}
@@ -339,8 +339,8 @@
 
 func (m *model) complete(w *plainWorker) {
 	for k, x := range w.tasks {
-		if x.State == wire.Running && !w.dead && !w.hung && m.specs[k.Job].Team == "team" {
-			x.State, x.Why = wire.Exited, wire.WhyDone
+		if x.State == protocol.Running && !w.dead && !w.hung && m.specs[k.Job].Team == "team" {
+			x.State, x.Why = protocol.Exited, protocol.WhyDone
 			w.tasks[k] = x
 			m.done[k] = true
 			break
@@ -385,7 +385,7 @@
 
 func (m *model) submit() {
 	n := len(m.specs)
-	s := &wire.Submission{UID: fmt.Sprintf("job-%d", n), Team: "team", Kind: wire.Batch, Priority: "standard", Tasks: 6, CPUs: float64(2 + n%2)}
+	s := &protocol.Submission{UID: fmt.Sprintf("job-%d", n), Team: "team", Kind: protocol.Batch, Priority: "standard", Tasks: 6, CPUs: float64(2 + n%2)}
 	m.specs[s.UID], m.active[s.UID] = s, true
 	m.team.AddJob(s, 1, time.Unix(0, 0), nil)
 }
@@ -414,7 +414,7 @@
 	if _, there := w.tasks[k]; there {
 		delete(w.tasks, k)
 	} else if m.used(w, false)+m.specs[k.Job].CPUs <= plainCapacity {
-		w.tasks[k] = TaskView{Key: k, Attempt: AttemptID(m.term, 1<<20), State: wire.Running}
+		w.tasks[k] = TaskView{Key: k, Attempt: AttemptID(m.term, 1<<20), State: protocol.Running}
 	}
 }
 
@@ -501,16 +501,16 @@
 
 func newModel(t *testing.T, seed uint64) *model {
 	m := &model{t: t, rng: rand.New(rand.NewPCG(seed, 7)), seed: seed, now: time.Unix(1000, 0), term: 1, backup: NewReplica(),
-		specs: map[string]*wire.Submission{}, active: map[string]bool{}, done: map[Key]bool{}}
+		specs: map[string]*protocol.Submission{}, active: map[string]bool{}, done: map[Key]bool{}}
 	for i := range 4 {
 		m.workers = append(m.workers, &plainWorker{name: fmt.Sprintf("m%d", i), session: 1, tasks: map[Key]TaskView{}})
 	}
 	m.memory, m.last, m.met = map[string]recollection{}, map[string]*View{}, map[string]bool{}
 	for i := range 3 {
-		s := &wire.Submission{UID: fmt.Sprintf("job-%d", i), Team: "team", Kind: wire.Batch, Priority: "standard", Tasks: 6, CPUs: float64(2 + i%2)}
+		s := &protocol.Submission{UID: fmt.Sprintf("job-%d", i), Team: "team", Kind: protocol.Batch, Priority: "standard", Tasks: 6, CPUs: float64(2 + i%2)}
 		m.specs[s.UID], m.active[s.UID] = s, true
 	}
-	m.specs["foreign"] = &wire.Submission{UID: "foreign", Team: "other", Kind: wire.Batch, Priority: "standard", Tasks: 3, CPUs: 2}
+	m.specs["foreign"] = &protocol.Submission{UID: "foreign", Team: "other", Kind: protocol.Batch, Priority: "standard", Tasks: 3, CPUs: 2}
 	m.takeOver(false)
 	return m
 }
@@ -594,12 +594,12 @@
 	if !m.team.Place(j, 0, Spot{"m0", "z", 1}) {
 		t.Fatal("not placed")
 	}
-	v := &View{Machine: "m0", Session: 1, Seq: 1, Token: 1, Tasks: []TaskView{{Key: Key{spec.UID, 0}, Attempt: AttemptID(1, 1), State: wire.Exited, Why: wire.WhyDone}}}
+	v := &View{Machine: "m0", Session: 1, Seq: 1, Token: 1, Tasks: []TaskView{{Key: Key{spec.UID, 0}, Attempt: AttemptID(1, 1), State: protocol.Exited, Why: protocol.WhyDone}}}
 	if orders := m.team.Observe(v, m.now, m); len(orders) != 0 {
 		t.Fatalf("ordered %v before the bitmap was written", orders)
 	}
 	m.team.Saved(spec.UID, bitset.New(1).Set(0))
-	if orders := m.team.Observe(v, m.now, m); len(orders) != 1 || orders[0].Op != wire.Forget {
+	if orders := m.team.Observe(v, m.now, m); len(orders) != 1 || orders[0].Op != protocol.Forget {
 		t.Fatalf("ordered %v after the bitmap was written", orders)
 	}
 }
@@ -620,7 +620,7 @@
 func TestQuotaBacklogIsUrgent(t *testing.T) {
 	team := NewTeam("t", 0, 8, 0, 0, NewReplica(), 1, func(string, ...any) {})
 	team.MaxGPUs = math.Inf(1)
-	spec := &wire.Submission{UID: "job-000001", Kind: wire.Batch, Priority: "standard", Tasks: 20, CPUs: 2, Estimate: 30}
+	spec := &protocol.Submission{UID: "job-000001", Kind: protocol.Batch, Priority: "standard", Tasks: 20, CPUs: 2, Estimate: 30}
 	team.AddJob(spec, 1, time.Unix(1000, 0), nil)
 	list := team.Demands(time.Unix(1000, 0))
 	// 4 tasks fit the quota; the other 16 take it four times over, 30 s each.
@@ -628,7 +628,7 @@
 		t.Fatalf("demands %+v, want 4 tasks with 2 minutes behind them, and 32 CPUs beyond the quota", list)
 	}
 	// A class that is kept room for is asked for within the quota, whatever is more urgent.
-	urgent := &wire.Submission{UID: "job-000002", Class: "urgent", Kind: wire.Batch, Priority: "high", Tasks: 20, CPUs: 2, Estimate: 30}
+	urgent := &protocol.Submission{UID: "job-000002", Class: "urgent", Kind: protocol.Batch, Priority: "high", Tasks: 20, CPUs: 2, Estimate: 30}
 	team.AddJob(urgent, 1, time.Unix(1000, 0), nil)
 	team.Keep(map[string]float64{"": 4})
 	counts := map[string]int{}
--- a/internal/ledger/limits.go
+++ b/internal/jobstate/limits.go
@@ -1,9 +1,9 @@
-package ledger
+package jobstate
 
 import (
 	"slices"
 
-	"topazhollow/internal/wire"
+	"topazhollow/internal/protocol"
 )
 
 // Limits that change while the team runs.
@@ -21,7 +21,7 @@
 }
 
 // comes says whether an attempt may yet get onto its machine: it has not been listed, or waits for its image.
-func (a *attempt) comes() bool { return a.state == "" || a.state == wire.Pulling }
+func (a *attempt) comes() bool { return a.state == "" || a.state == protocol.Pulling }
 
 // Settled says whether nothing can get onto a machine any more beyond the limits.
 func (t *Team) Settled() bool {
@@ -54,7 +54,7 @@
 			if a.stop || !running && !a.comes() {
 				continue
 			}
-			if j.Spec.Kind == wire.Gang {
+			if j.Spec.Kind == protocol.Gang {
 				t.StopJob(j, j.Spec.Save)
 				cpus, gpus = t.stopping()
 				break
--- a/internal/ledger/limits_test.go
+++ b/internal/jobstate/limits_test.go
@@ -1,9 +1,9 @@
-package ledger
+package jobstate
 
 import (
 	"testing"
 
-	"topazhollow/internal/wire"
+	"topazhollow/internal/protocol"
 )
 
 // TestLoweredLimits: beyond a lowered quota nothing more is placed, what has not got onto its machine is taken back, a gang as
@@ -16,15 +16,15 @@
 		stops   int
 		settled bool
 	}{
-		"within":                       {[]string{wire.Running, wire.Pulling, ""}, 6, false, 0, true},
+		"within":                       {[]string{protocol.Running, protocol.Pulling, ""}, 6, false, 0, true},
 		"none has come":                {[]string{"", "", ""}, 4, false, 1, false},
-		"one waits for its image":      {[]string{wire.Running, wire.Running, wire.Pulling}, 4, false, 1, false},
-		"all run":                      {[]string{wire.Running, wire.Running, wire.Running}, 2, false, 0, true},
-		"all run and are to stop":      {[]string{wire.Running, wire.Running, wire.Running}, 2, true, 2, true},
-		"one comes, two run, all stop": {[]string{wire.Running, "", wire.Running}, 1, true, 3, false},
+		"one waits for its image":      {[]string{protocol.Running, protocol.Running, protocol.Pulling}, 4, false, 1, false},
+		"all run":                      {[]string{protocol.Running, protocol.Running, protocol.Running}, 2, false, 0, true},
+		"all run and are to stop":      {[]string{protocol.Running, protocol.Running, protocol.Running}, 2, true, 2, true},
+		"one comes, two run, all stop": {[]string{protocol.Running, "", protocol.Running}, 1, true, 3, false},
 	} {
 		m := newModel(t, 3)
-		s := &wire.Submission{UID: "job-9", Team: "team", Kind: wire.Batch, Priority: "standard", Tasks: 4, CPUs: 2}
+		s := &protocol.Submission{UID: "job-9", Team: "team", Kind: protocol.Batch, Priority: "standard", Tasks: 4, CPUs: 2}
 		m.specs[s.UID], m.active[s.UID] = s, true
 		m.team.SetLimits(0, 6, 0, 1)
 		m.team.AddJob(s, 1, m.now, nil)
@@ -56,7 +56,7 @@
 func TestGangBeyondLoweredLimits(t *testing.T) {
 	m, j, spots := gang(t)
 	m.team.PlaceGang(j, 0, spots)
-	listed(m, j, AttemptID(1, 1), 0, wire.Waiting, "")
+	listed(m, j, AttemptID(1, 1), 0, protocol.Waiting, "")
 	m.team.SetLimits(0, 5, 0, 0)
 	m.team.StopExcess(false)
 	for k, a := range m.team.held {
--- a/internal/ledger/observe.go
+++ b/internal/jobstate/observe.go
@@ -1,10 +1,10 @@
-package ledger
+package jobstate
 
 import (
 	"slices"
 	"time"
 
-	"topazhollow/internal/wire"
+	"topazhollow/internal/protocol"
 )
 
 // What an account learns from machines: views, ends, and which attempts are proven off.
@@ -42,11 +42,11 @@
 
 func (t *Team) setState(a *attempt, state string) {
 	j := t.jobs[a.Job]
-	if j != nil && a.state == wire.Running {
+	if j != nil && a.state == protocol.Running {
 		j.running--
 	}
 	a.state = state
-	if j != nil && a.state == wire.Running {
+	if j != nil && a.state == protocol.Running {
 		j.running++
 	}
 }
@@ -61,7 +61,7 @@
 		x := &v.Tasks[i]
 		if t.listed(v, x, now) {
 			seen[x.Key] = true
-			if x.State != wire.Exited {
+			if x.State != protocol.Exited {
 				continue
 			}
 		}
@@ -78,14 +78,14 @@
 		}
 		order := Order{Key: x.Key, Attempt: x.Attempt, Session: v.Session}
 		switch {
-		case x.State == wire.Exited:
-			if x.Why == wire.WhyDone && job.Active && x.Index < job.Spec.Tasks {
+		case x.State == protocol.Exited:
+			if x.Why == protocol.WhyDone && job.Active && x.Index < job.Spec.Tasks {
 				t.done(x.Key)
 				if j := t.jobs[x.Job]; j == nil || !j.saved.Test(uint(x.Index)) {
 					continue // forgotten only once the state service knows
 				}
 			}
-			order.Op = wire.Forget
+			order.Op = protocol.Forget
 			orders = append(orders, order)
 		case job.Active && t.held[x.Key] == nil && !t.isDone(x.Key) && x.Index < job.Spec.Tasks:
 			t.adopt(v, x, job.Spec, now)
@@ -94,7 +94,7 @@
 			if t.holdOrphan(&left, v, x, job.Spec, now) {
 				seen[x.Key] = true
 			}
-			order.Op = wire.Stop
+			order.Op = protocol.Stop
 			orders = append(orders, order)
 		}
 	}
@@ -111,7 +111,7 @@
 	}
 	switch x.State {
 	case Ordered:
-	case wire.Exited:
+	case protocol.Exited:
 		t.exited(a, x, now)
 	default:
 		if a.listed.IsZero() {
@@ -152,7 +152,7 @@
 
 // adopt takes up an attempt found on a machine that the account did not hold,
 // as after a full barrier.
-func (t *Team) adopt(v *View, x *TaskView, spec *wire.Submission, now time.Time) *attempt {
+func (t *Team) adopt(v *View, x *TaskView, spec *protocol.Submission, now time.Time) *attempt {
 	a := &attempt{Hold: Hold{Key: x.Key, Attempt: x.Attempt, Machine: v.Machine, Zone: v.Zone, Session: v.Session,
 		CPUs: spec.CPUs, GPUs: spec.GPUs, Memory: spec.Memory}, listed: now}
 	t.hold(a)
@@ -165,7 +165,7 @@
 
 // exited books the end of an attempt.
 func (t *Team) exited(a *attempt, x *TaskView, now time.Time) {
-	if x.Why == wire.WhyDone {
+	if x.Why == protocol.WhyDone {
 		t.done(a.Key)
 	}
 	j := t.jobs[a.Job]
@@ -174,7 +174,7 @@
 		return
 	}
 	switch x.Why {
-	case wire.WhyError:
+	case protocol.WhyError:
 		if !j.faulty {
 			j.avoid[a.Machine] = now.Add(10 * time.Minute)
 		} else if !now.Before(j.notUntil) {
@@ -182,11 +182,11 @@
 			j.notUntil = now.Add(min(time.Minute, time.Second<<min(j.probes, 6)))
 		}
 		t.log("task failed", "task", a.Job, "index", a.Index, "machine", a.Machine)
-	case wire.WhyFull:
+	case protocol.WhyFull:
 		j.avoid[a.Machine] = now.Add(1500 * time.Millisecond)
-	case wire.WhyIncomplete:
+	case protocol.WhyIncomplete:
 		j.notUntil = now.Add(2 * time.Second)
-	case wire.WhyInUse, wire.WhyNoSuch:
+	case protocol.WhyInUse, protocol.WhyNoSuch:
 		j.retry[a.Index] = now.Add(3 * time.Second)
 	}
 }
--- a/internal/ledger/orders.go
+++ b/internal/jobstate/orders.go
@@ -1,11 +1,11 @@
-package ledger
+package jobstate
 
 import (
 	"cmp"
 	"slices"
 	"time"
 
-	"topazhollow/internal/wire"
+	"topazhollow/internal/protocol"
 )
 
 // Which starts and stops an account has given, and which are to be given now.
@@ -28,7 +28,7 @@
 		j := t.jobs[a.Job]
 		switch {
 		case j == nil || a.stop:
-			order.Op, order.Grace = wire.Stop, a.grace
+			order.Op, order.Grace = protocol.Stop, a.grace
 			if a.asked.IsZero() {
 				a.asked = now
 			}
@@ -36,7 +36,7 @@
 			delete(t.todo, a)
 			continue
 		case a.seq <= acked && TermOf(a.Attempt) == t.term && ready(a.Machine, a.Session):
-			order.Op = wire.Start
+			order.Op = protocol.Start
 			a.starts++
 		default:
 			continue
@@ -56,7 +56,7 @@
 func (t *Team) Unsent(orders []Order) {
 	for _, o := range orders {
 		a := t.held[o.Key]
-		if a == nil || a.Attempt != o.Attempt || o.Op != wire.Start {
+		if a == nil || a.Attempt != o.Attempt || o.Op != protocol.Start {
 			continue
 		}
 		if a.starts--; a.starts == 0 && a.state == "" {
--- a/internal/ledger/orphan.go
+++ b/internal/jobstate/orphan.go
@@ -1,9 +1,9 @@
-package ledger
+package jobstate
 
 import (
 	"time"
 
-	"topazhollow/internal/wire"
+	"topazhollow/internal/protocol"
 )
 
 // An orphaned task is on a machine though this account did not place it and its job does not call for it: its job
@@ -17,7 +17,7 @@
 	Known  bool // false: neither team nor size can be told
 	Mine   bool // it belongs to the account's team
 	Active bool
-	Spec   *wire.Submission // of the account's own jobs; without amounts if only the job's end is known
+	Spec   *protocol.Submission // of the account's own jobs; without amounts if only the job's end is known
 }
 
 // Knowledge is what an owner's controller knows beside the account.
@@ -111,14 +111,14 @@
 // countUnknown counts a task of a job that nobody here can describe. All attempts of this team that were made since
 // this account began are its own, so that only an earlier one may be the team's.
 func (t *Team) countUnknown(left *orphanCount, x *TaskView) {
-	if x.State != wire.Exited && TermOf(x.Attempt) < t.since {
+	if x.State != protocol.Exited && TermOf(x.Attempt) < t.since {
 		left.unsized = append(left.unsized, x.Ref())
 	}
 }
 
 // holdOrphan counts a task of a job of this team that is to be stopped. It is held like any other attempt, so
 // that backups know it too; false if that can't be and it is counted beside the held ones.
-func (t *Team) holdOrphan(left *orphanCount, v *View, x *TaskView, spec *wire.Submission, now time.Time) bool {
+func (t *Team) holdOrphan(left *orphanCount, v *View, x *TaskView, spec *protocol.Submission, now time.Time) bool {
 	sized := spec.CPUs > 0 || spec.GPUs > 0
 	switch {
 	case !sized:
--- a/internal/ledger/orphan_test.go
+++ b/internal/jobstate/orphan_test.go
@@ -1,16 +1,16 @@
-package ledger
+package jobstate
 
 import (
 	"testing"
 
-	"topazhollow/internal/wire"
+	"topazhollow/internal/protocol"
 )
 
 // orphans is a machine's view with tasks of a job, by attempt number.
 func orphans(job string, seq uint64, attempts ...uint64) *View {
 	v := &View{Machine: "m0", Session: 1, Seq: seq, Token: 2, Term: 2}
 	for i, attempt := range attempts {
-		v.Tasks = append(v.Tasks, TaskView{Key: Key{job, i}, Attempt: attempt, State: wire.Running})
+		v.Tasks = append(v.Tasks, TaskView{Key: Key{job, i}, Attempt: attempt, State: protocol.Running})
 	}
 	return v
 }
@@ -35,7 +35,7 @@
 // then by their size once that is found, and no longer once the machine's newer report lists them no more.
 func TestUnknownTasksCountByTheirMachine(t *testing.T) {
 	m := secondTerm(t)
-	m.specs["job-7"] = &wire.Submission{UID: "job-7", Team: "team", Tasks: 2, CPUs: 1}
+	m.specs["job-7"] = &protocol.Submission{UID: "job-7", Team: "team", Tasks: 2, CPUs: 1}
 	view := orphans("job-7", 5, AttemptID(1, 1), AttemptID(1, 2))
 	m.memory["job-7"] = nothing
 	if orders := m.team.Observe(view, m.now, m); len(orders) != 0 {
@@ -43,7 +43,7 @@
 	}
 	charged(t, m, plainCapacity, "unknown")
 	m.memory["job-7"] = unsized
-	if orders := m.team.Observe(view, m.now, m); len(orders) != 2 || orders[0].Op != wire.Stop {
+	if orders := m.team.Observe(view, m.now, m); len(orders) != 2 || orders[0].Op != protocol.Stop {
 		t.Errorf("tasks of a job that is over get %v", orders)
 	}
 	charged(t, m, plainCapacity, "of unknown size")
@@ -61,7 +61,7 @@
 // a newer one listed.
 func TestOlderReportReleasesNothing(t *testing.T) {
 	m := secondTerm(t)
-	m.specs["job-7"] = &wire.Submission{UID: "job-7", Team: "team", Tasks: 1, CPUs: 1}
+	m.specs["job-7"] = &protocol.Submission{UID: "job-7", Team: "team", Tasks: 1, CPUs: 1}
 	m.memory["job-7"] = nothing
 	m.team.Observe(orphans("job-7", 5, AttemptID(1, 1)), m.now, m)
 	m.team.Observe(orphans("job-7", 4), m.now, m)
@@ -89,7 +89,7 @@
 		t.Fatal("not placed")
 	}
 	orders := m.team.Observe(orphans("job-0", 5, AttemptID(1, 9)), m.now, m)
-	if len(orders) != 1 || orders[0].Op != wire.Stop {
+	if len(orders) != 1 || orders[0].Op != protocol.Stop {
 		t.Errorf("the second attempt gets %v", orders)
 	}
 	charged(t, m, 2*j.Spec.CPUs, "two attempts of a task")
--- a/internal/ledger/quota_test.go
+++ b/internal/jobstate/quota_test.go
@@ -1,18 +1,18 @@
-package ledger
+package jobstate
 
 import (
 	"math"
 	"testing"
 	"time"
 
-	"topazhollow/internal/wire"
+	"topazhollow/internal/protocol"
 )
 
 // placeDemanded places what the team demands, each task on a machine of its own, as far as the quota has room.
 func placeDemanded(team *Team, now time.Time) {
 	for _, demand := range team.Demands(now) {
 		job := team.Job(demand.Spec.UID)
-		if demand.Spec.Kind == wire.Gang {
+		if demand.Spec.Kind == protocol.Gang {
 			missing, attempt := team.Gang(job)
 			spots := map[int]Spot{}
 			for _, index := range missing {
@@ -33,7 +33,7 @@
 func endOne(team *Team, uid string) {
 	job := team.Job(uid)
 	held := team.heldOf(job)[0]
-	team.exited(held, &TaskView{Key: held.Key, Attempt: held.Attempt, State: wire.Exited, Why: wire.WhyDone}, time.Unix(1000, 0))
+	team.exited(held, &TaskView{Key: held.Key, Attempt: held.Attempt, State: protocol.Exited, Why: protocol.WhyDone}, time.Unix(1000, 0))
 }
 
 // TestQuotaIsReservedForTheMostUrgent: tasks of a less urgent job end one by one at the team's limit. What they free is
@@ -42,17 +42,17 @@
 	const quota = 8
 	tests := []struct {
 		name   string
-		urgent wire.Submission
+		urgent protocol.Submission
 	}{
-		{"array", wire.Submission{Kind: wire.Batch, Tasks: 1, CPUs: 4}},
-		{"gang", wire.Submission{Kind: wire.Gang, Tasks: 2, CPUs: 3}},
-		{"gang larger than half the quota", wire.Submission{Kind: wire.Gang, Tasks: 2, CPUs: 4}},
+		{"array", protocol.Submission{Kind: protocol.Batch, Tasks: 1, CPUs: 4}},
+		{"gang", protocol.Submission{Kind: protocol.Gang, Tasks: 2, CPUs: 3}},
+		{"gang larger than half the quota", protocol.Submission{Kind: protocol.Gang, Tasks: 2, CPUs: 4}},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
 			now := time.Unix(1000, 0)
 			team := NewTeam("team", 0, quota, 0, math.Inf(1), NewReplica(), 1, func(string, ...any) {})
-			small := &wire.Submission{UID: "job-000001", Kind: wire.Batch, Priority: "standard", Tasks: 100, CPUs: 1}
+			small := &protocol.Submission{UID: "job-000001", Kind: protocol.Batch, Priority: "standard", Tasks: 100, CPUs: 1}
 			team.AddJob(small, 1, now, nil)
 			placeDemanded(team, now)
 			urgent := test.urgent
@@ -75,8 +75,8 @@
 func TestQuotaOfABegunJobIsNotReserved(t *testing.T) {
 	now := time.Unix(1000, 0)
 	team := NewTeam("team", 0, 10, 0, math.Inf(1), NewReplica(), 1, func(string, ...any) {})
-	large := &wire.Submission{UID: "job-000001", Kind: wire.Batch, Priority: "high", Tasks: 10, CPUs: 4}
-	small := &wire.Submission{UID: "job-000002", Kind: wire.Batch, Priority: "standard", Tasks: 10, CPUs: 1}
+	large := &protocol.Submission{UID: "job-000001", Kind: protocol.Batch, Priority: "high", Tasks: 10, CPUs: 4}
+	small := &protocol.Submission{UID: "job-000002", Kind: protocol.Batch, Priority: "standard", Tasks: 10, CPUs: 1}
 	team.AddJob(large, 1, now, nil)
 	team.AddJob(small, 2, now, nil)
 	placeDemanded(team, now)
@@ -90,9 +90,9 @@
 	now := time.Unix(1000, 0)
 	team := NewTeam("team", 0, 8, 0, math.Inf(1), NewReplica(), 1, func(string, ...any) {})
 	for i, uid := range []string{"job-000001", "job-000002"} {
-		team.AddJob(&wire.Submission{UID: uid, Kind: wire.Gang, Priority: "high", Tasks: 2, CPUs: 2}, uint64(i), now, nil)
+		team.AddJob(&protocol.Submission{UID: uid, Kind: protocol.Gang, Priority: "high", Tasks: 2, CPUs: 2}, uint64(i), now, nil)
 	}
-	small := &wire.Submission{UID: "job-000003", Kind: wire.Batch, Priority: "standard", Tasks: 100, CPUs: 1}
+	small := &protocol.Submission{UID: "job-000003", Kind: protocol.Batch, Priority: "standard", Tasks: 100, CPUs: 1}
 	team.AddJob(small, 3, now, nil)
 	asked := map[string]int{}
 	for _, demand := range team.Demands(now) {
@@ -107,8 +107,8 @@
 func TestSmallTasksPassALargeOneOfTheirPriority(t *testing.T) {
 	now := time.Unix(1000, 0)
 	team := NewTeam("team", 0, 3, 0, math.Inf(1), NewReplica(), 1, func(string, ...any) {})
-	large := &wire.Submission{UID: "job-000001", Kind: wire.Batch, Priority: "standard", Tasks: 1, CPUs: 4}
-	small := &wire.Submission{UID: "job-000002", Kind: wire.Batch, Priority: "standard", Tasks: 5, CPUs: 1}
+	large := &protocol.Submission{UID: "job-000001", Kind: protocol.Batch, Priority: "standard", Tasks: 1, CPUs: 4}
+	small := &protocol.Submission{UID: "job-000002", Kind: protocol.Batch, Priority: "standard", Tasks: 5, CPUs: 1}
 	team.AddJob(large, 1, now, nil)
 	team.AddJob(small, 2, now, nil)
 	placeDemanded(team, now)
--- a/internal/ledger/quotaorder.go
+++ b/internal/jobstate/quotaorder.go
@@ -1,11 +1,11 @@
-package ledger
+package jobstate
 
 import (
 	"cmp"
 	"slices"
 	"time"
 
-	"topazhollow/internal/wire"
+	"topazhollow/internal/protocol"
 )
 
 // Which of a team's jobs get its quota first while it does not suffice for all that wait.
@@ -74,7 +74,7 @@
 		w.standing = aimless
 		return
 	}
-	if w.Spec.Kind == wire.Gang {
+	if w.Spec.Kind == protocol.Gang {
 		w.standing, w.latest = reaching, w.goals[len(w.goals)-1].Add(-estimate)
 		return
 	}
@@ -108,7 +108,7 @@
 
 // begins says whether the job's first task should go before others.
 func (w *waitingJob) begins(now time.Time) bool {
-	if w.Spec.Kind != wire.Batch || w.faulty || w.Spec.Tasks < beginTasks || w.left < w.Spec.Tasks || now.Sub(w.Submitted) <= beginAfter {
+	if w.Spec.Kind != protocol.Batch || w.faulty || w.Spec.Tasks < beginTasks || w.left < w.Spec.Tasks || now.Sub(w.Submitted) <= beginAfter {
 		return false
 	}
 	_, missed := w.goals.Next(now, w.Spec.RunTime())
@@ -117,5 +117,5 @@
 
 // compareForQuota orders ranked jobs. Those that compare equal stay in order of urgency.
 func compareForQuota(a, b waitingJob) int {
-	return cmp.Or(cmp.Compare(wire.Rank(b.Spec.Priority), wire.Rank(a.Spec.Priority)), cmp.Compare(a.standing, b.standing), a.latest.Compare(b.latest))
+	return cmp.Or(cmp.Compare(protocol.Rank(b.Spec.Priority), protocol.Rank(a.Spec.Priority)), cmp.Compare(a.standing, b.standing), a.latest.Compare(b.latest))
 }
--- a/internal/ledger/replica.go
+++ b/internal/jobstate/replica.go
@@ -1,7 +1,7 @@
-// Package ledger is an owner's account of one team: its jobs, their tasks, the
+// Package jobstate is an owner's account of one team: its jobs, their tasks, the
 // attempts that may be on machines and the quota these hold; and the replica of
 // it that backups keep. It does no I/O and reads no clock.
-package ledger
+package jobstate
 
 import (
 	"cmp"
--- a/internal/ledger/spare.go
+++ b/internal/jobstate/spare.go
@@ -1,9 +1,9 @@
-package ledger
+package jobstate
 
 import (
 	"time"
 
-	"topazhollow/internal/wire"
+	"topazhollow/internal/protocol"
 )
 
 // A team that asks for far more than its limit lists what the limit leaves, most urgent first. While machines are full most of
@@ -29,7 +29,7 @@
 	offered := map[string]*quota{}
 	var spare []Demand
 	for _, w := range list {
-		if w.faulty || w.Spec.Kind == wire.Gang {
+		if w.faulty || w.Spec.Kind == protocol.Gang {
 			continue
 		}
 		taken := offered[w.Spec.Class]
--- a/internal/ledger/spare_test.go
+++ b/internal/jobstate/spare_test.go
@@ -1,11 +1,11 @@
-package ledger
+package jobstate
 
 import (
 	"math"
 	"testing"
 	"time"
 
-	"topazhollow/internal/wire"
+	"topazhollow/internal/protocol"
 )
 
 // TestSpareWork: beside demands that may find no room, every class is offered what the limit has room for now; nothing of a team that
@@ -15,20 +15,20 @@
 	spare := func(t *testing.T, limit float64, gang bool) map[string]int {
 		team := NewTeam("team", 0, limit, 0, math.Inf(1), NewReplica(), 1, func(string, ...any) {})
 		add := func(uid, class, kind string, tasks int, cpus float64) *Job {
-			team.AddJob(&wire.Submission{UID: uid, Class: class, Kind: kind, Priority: "standard", Tasks: tasks, CPUs: cpus, Estimate: 10}, 1, now, nil)
+			team.AddJob(&protocol.Submission{UID: uid, Class: class, Kind: kind, Priority: "standard", Tasks: tasks, CPUs: cpus, Estimate: 10}, 1, now, nil)
 			return team.Job(uid)
 		}
-		running := add("job-running", "other", wire.Batch, 20, 1)
+		running := add("job-running", "other", protocol.Batch, 20, 1)
 		for i := range 20 {
 			if !team.Place(running, i, Spot{Machine: "m", Zone: "z", Session: 1}) {
 				t.Fatal("not placed")
 			}
 		}
-		add("job-large", "large", wire.Batch, 30, 4)
+		add("job-large", "large", protocol.Batch, 30, 4)
 		team.SetGoals("job-large", Goals{now.Add(time.Minute)})
-		add("job-small", "small", wire.Batch, 3, 2)
+		add("job-small", "small", protocol.Batch, 3, 2)
 		if gang {
-			add("job-gang", "gang", wire.Gang, 2, 4)
+			add("job-gang", "gang", protocol.Gang, 2, 4)
 		}
 		team.TurnHoldback(now)
 		got := map[string]int{}
--- a/internal/ledger/team.go
+++ b/internal/jobstate/team.go
@@ -1,4 +1,4 @@
-package ledger
+package jobstate
 
 import (
 	"cmp"
@@ -8,12 +8,12 @@
 
 	"github.com/bits-and-blooms/bitset"
 
-	"topazhollow/internal/wire"
+	"topazhollow/internal/protocol"
 )
 
 // Job is an active job.
 type Job struct {
-	Spec      *wire.Submission
+	Spec      *protocol.Submission
 	Version   uint64 // of its key in the state service
 	Submitted time.Time
 	Over      bool // withdrawn or done: nothing may start
@@ -133,7 +133,7 @@
 
 // Urgency orders jobs: priority, then due time, then age, then id.
 func Urgency(a, b *Job) int {
-	if d := wire.Rank(b.Spec.Priority) - wire.Rank(a.Spec.Priority); d != 0 {
+	if d := protocol.Rank(b.Spec.Priority) - protocol.Rank(a.Spec.Priority); d != 0 {
 		return d
 	}
 	if d := a.Due().Compare(b.Due()); d != 0 {
@@ -150,7 +150,7 @@
 
 // AddJob takes up an active job; done holds the finished tasks that the state
 // service knows.
-func (t *Team) AddJob(spec *wire.Submission, version uint64, submitted time.Time, done *bitset.BitSet) {
+func (t *Team) AddJob(spec *protocol.Submission, version uint64, submitted time.Time, done *bitset.BitSet) {
 	j := t.jobs[spec.UID]
 	if j == nil {
 		j = &Job{Spec: spec, Version: version, Submitted: submitted, saved: bitset.New(0),
@@ -161,7 +161,7 @@
 		for k, a := range t.held {
 			if k.Job == spec.UID {
 				j.holds[k.Index] = a
-				if a.state == wire.Running {
+				if a.state == protocol.Running {
 					j.running++
 				}
 			}
@@ -197,7 +197,7 @@
 
 // Merge takes in finished tasks of an active job that were remembered elsewhere.
 func (t *Team) Merge(uid string, done *bitset.BitSet) {
-	if j := t.jobs[uid]; j != nil && j.Spec.Kind == wire.Service {
+	if j := t.jobs[uid]; j != nil && j.Spec.Kind == protocol.Service {
 		return
 	}
 	for i, ok := done.NextSet(0); ok; i, ok = done.NextSet(i + 1) {
@@ -216,10 +216,10 @@
 
 func (t *Team) done(k Key) {
 	j := t.jobs[k.Job]
-	if j != nil && j.Spec.Kind == wire.Service {
+	if j != nil && j.Spec.Kind == protocol.Service {
 		return // a replica is never done
 	}
-	if j != nil && j.Spec.Kind == wire.Gang { // its tasks complete together
+	if j != nil && j.Spec.Kind == protocol.Gang { // its tasks complete together
 		for i := range j.Spec.Tasks {
 			t.markDone(Key{k.Job, i})
 		}
@@ -383,7 +383,7 @@
 		return
 	}
 	for _, a := range t.heldOf(j) {
-		if a.state == wire.Running {
+		if a.state == protocol.Running {
 			f(a.Hold)
 		}
 	}
--- a/internal/ledger/transfer_test.go
+++ b/internal/jobstate/transfer_test.go
@@ -1,4 +1,4 @@
-package ledger
+package jobstate
 
 import (
 	"encoding/json"
--- a/internal/ledger/view.go
+++ b/internal/jobstate/view.go
@@ -1,4 +1,4 @@
-package ledger
+package jobstate
 
 // What machines' homes tell owners, and the orders that go back.
 
--- a/internal/state/batch.go
+++ b/internal/kvstore/batch.go
@@ -1,4 +1,4 @@
-package state
+package kvstore
 
 import (
 	"context"
@@ -8,8 +8,8 @@
 	"sync"
 	"time"
 
+	"topazhollow/internal/protocol"
 	"topazhollow/internal/settings"
-	"topazhollow/internal/wire"
 )
 
 // maxQueue bounds the updates that wait; past it they are refused at once.
@@ -232,7 +232,7 @@
 }
 
 func (b *batcher) send(ctx context.Context, batch []*pending) {
-	var t wire.Txn
+	var t protocol.Txn
 	fence, open := b.c.fence.guarded()
 	if !open {
 		for _, p := range batch {
--- a/internal/state/state.go
+++ b/internal/kvstore/kvstore.go
@@ -1,7 +1,7 @@
-// Package state is the client of the region's state service: paced by the share
+// Package kvstore is the client of the region's state service: paced by the share
 // of its rates that one controller has, with group commits of independent
 // updates.
-package state
+package kvstore
 
 import (
 	"context"
@@ -16,8 +16,8 @@
 	"golang.org/x/time/rate"
 
 	"topazhollow/internal/httpx"
+	"topazhollow/internal/protocol"
 	"topazhollow/internal/settings"
-	"topazhollow/internal/wire"
 )
 
 // Errors that callers tell apart.
@@ -133,14 +133,14 @@
 	if resp.Status != 200 {
 		return fmt.Errorf("%w: status %d %.200s", ErrInvalid, resp.Status, resp.Body)
 	}
-	if err := wire.Decode(resp.Body, v); err != nil {
+	if err := protocol.Decode(resp.Body, v); err != nil {
 		return fmt.Errorf("%w: %v", ErrInvalid, err)
 	}
 	return nil
 }
 
 // Get reads a key; nil means that it does not exist.
-func (c *Client) Get(ctx context.Context, key string) (*wire.Entry, error) {
+func (c *Client) Get(ctx context.Context, key string) (*protocol.Entry, error) {
 	if err := c.requests.Wait(ctx); err != nil {
 		return nil, ErrRefused
 	}
@@ -148,29 +148,29 @@
 }
 
 // GetControl reads a key without pacing, for leases and the control record.
-func (c *Client) GetControl(ctx context.Context, key string) (*wire.Entry, error) {
+func (c *Client) GetControl(ctx context.Context, key string) (*protocol.Entry, error) {
 	return c.get(ctx, c.control, key)
 }
 
-func (c *Client) get(ctx context.Context, pool *httpx.Pool, key string) (*wire.Entry, error) {
+func (c *Client) get(ctx context.Context, pool *httpx.Pool, key string) (*protocol.Entry, error) {
 	at := c.fence.mark()
 	resp, err := c.do(ctx, pool, "GET", "/store/"+key, nil, timeout)
 	if err != nil {
 		return nil, err
 	}
 	if resp.Status == 404 {
-		var none wire.TxnResult
-		if err := wire.Decode(resp.Body, &none); err != nil {
+		var none protocol.TxnResult
+		if err := protocol.Decode(resp.Body, &none); err != nil {
 			return nil, fmt.Errorf("%w: %v", ErrInvalid, err)
 		}
 		return nil, c.fence.observe(at, none.Revision)
 	}
-	var e wire.Entry
+	var e protocol.Entry
 	return &e, decode(resp, &e)
 }
 
 // List reads all keys below a prefix and the revision of its first page.
-func (c *Client) List(ctx context.Context, prefix string) (entries []wire.Entry, revision uint64, err error) {
+func (c *Client) List(ctx context.Context, prefix string) (entries []protocol.Entry, revision uint64, err error) {
 	after := ""
 	for {
 		page, err := c.page(ctx, prefix, after)
@@ -189,7 +189,7 @@
 }
 
 // Page reads up to 500 keys below a prefix, after one; more says whether there are others.
-func (c *Client) Page(ctx context.Context, prefix, after string) (entries []wire.Entry, more bool, err error) {
+func (c *Client) Page(ctx context.Context, prefix, after string) (entries []protocol.Entry, more bool, err error) {
 	page, err := c.page(ctx, prefix, after)
 	if err != nil {
 		return nil, false, err
@@ -197,7 +197,7 @@
 	return page.Items, page.More, nil
 }
 
-func (c *Client) page(ctx context.Context, prefix, after string) (*wire.EntryList, error) {
+func (c *Client) page(ctx context.Context, prefix, after string) (*protocol.EntryList, error) {
 	if err := c.requests.Wait(ctx); err != nil {
 		return nil, ErrRefused
 	}
@@ -210,7 +210,7 @@
 	if err != nil {
 		return nil, err
 	}
-	var page wire.EntryList
+	var page protocol.EntryList
 	if err := decode(resp, &page); err != nil {
 		return nil, err
 	}
@@ -218,16 +218,16 @@
 }
 
 // Watch waits for changes below a prefix after a revision.
-func (c *Client) Watch(ctx context.Context, prefix string, after uint64) (*wire.Changes, error) {
+func (c *Client) Watch(ctx context.Context, prefix string, after uint64) (*protocol.Changes, error) {
 	return c.changes(ctx, c.watch, prefix, after, LongPoll)
 }
 
 // Changes reads the changes below a prefix from a revision until now.
-func (c *Client) Changes(ctx context.Context, prefix string, after uint64) (*wire.Changes, error) {
+func (c *Client) Changes(ctx context.Context, prefix string, after uint64) (*protocol.Changes, error) {
 	return c.changes(ctx, c.calls, prefix, after, 0)
 }
 
-func (c *Client) changes(ctx context.Context, pool *httpx.Pool, prefix string, after uint64, wait time.Duration) (*wire.Changes, error) {
+func (c *Client) changes(ctx context.Context, pool *httpx.Pool, prefix string, after uint64, wait time.Duration) (*protocol.Changes, error) {
 	if err := c.requests.Wait(ctx); err != nil {
 		return nil, ErrRefused
 	}
@@ -241,7 +241,7 @@
 	if resp.Status == 410 {
 		return nil, ErrGone
 	}
-	var ch wire.Changes
+	var ch protocol.Changes
 	if err := decode(resp, &ch); err != nil {
 		return nil, err
 	}
@@ -250,20 +250,20 @@
 
 // TxnControl commits a transaction without pacing, for leases and the control
 // record. The result is the new revision.
-func (c *Client) TxnControl(ctx context.Context, t wire.Txn) (uint64, []string, error) {
+func (c *Client) TxnControl(ctx context.Context, t protocol.Txn) (uint64, []string, error) {
 	return c.txn(ctx, c.control, t)
 }
 
-func (c *Client) txn(ctx context.Context, pool *httpx.Pool, t wire.Txn) (uint64, []string, error) {
+func (c *Client) txn(ctx context.Context, pool *httpx.Pool, t protocol.Txn) (uint64, []string, error) {
 	if t.Guards == nil {
-		t.Guards = []wire.Guard{}
+		t.Guards = []protocol.Guard{}
 	}
 	at := c.fence.mark()
-	resp, err := c.do(ctx, pool, "POST", "/txn", wire.Encode(t), timeout)
+	resp, err := c.do(ctx, pool, "POST", "/txn", protocol.Encode(t), timeout)
 	if err != nil {
 		return 0, nil, err
 	}
-	var r wire.TxnResult
+	var r protocol.TxnResult
 	switch resp.Status {
 	case 200:
 		if err := decode(resp, &r); err != nil {
@@ -279,8 +279,8 @@
 		}
 		return r.Revision, r.Failed, ErrConflict
 	case 400:
-		var e wire.Error
-		if wire.Decode(resp.Body, &e) == nil && e.Error == "no such lease" {
+		var e protocol.Error
+		if protocol.Decode(resp.Body, &e) == nil && e.Error == "no such lease" {
 			return 0, nil, ErrNoLease
 		}
 	}
@@ -289,11 +289,11 @@
 
 // Grant takes a lease.
 func (c *Client) Grant(ctx context.Context, life time.Duration) (uint64, error) {
-	resp, err := c.do(ctx, c.control, "POST", "/grants", wire.Encode(wire.GrantRequest{TTL: life.Milliseconds()}), timeout)
+	resp, err := c.do(ctx, c.control, "POST", "/grants", protocol.Encode(protocol.GrantRequest{TTL: life.Milliseconds()}), timeout)
 	if err != nil {
 		return 0, err
 	}
-	var g wire.Grant
+	var g protocol.Grant
 	return g.Lease, decode(resp, &g)
 }
 
@@ -315,8 +315,8 @@
 // Update is one independent change: it is committed whole or not at all, in a
 // transaction that others may share.
 type Update struct {
-	Guards []wire.Guard
-	Ops    []wire.Op
+	Guards []protocol.Guard
+	Ops    []protocol.Op
 	Soon   bool // a user waits for it: goes before others
 	Later  bool // may wait for others: it takes only changes that nobody else needs
 }
--- a/internal/state/state_test.go
+++ b/internal/kvstore/kvstore_test.go
@@ -1,4 +1,4 @@
-package state_test
+package kvstore_test
 
 import (
 	"context"
@@ -8,26 +8,26 @@
 	"sync"
 	"testing"
 
-	"topazhollow/internal/rehearse"
+	"topazhollow/internal/kvstore"
+	"topazhollow/internal/protocol"
 	"topazhollow/internal/settings"
-	"topazhollow/internal/state"
-	"topazhollow/internal/wire"
+	"topazhollow/internal/simulation"
 )
 
 // TestSharedCommits: updates that share a transaction succeed or fail alone. A
 // conflict of one must not fail or repeat another, and no update is lost.
 func TestSharedCommits(t *testing.T) {
-	srv, err := rehearse.NewState(8, 16)
+	srv, err := simulation.NewState(8, 16)
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer srv.Close()
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	c := state.New(srv.Addr(), settings.State{RPS: 1000, WriteRPS: 1000, TxnOps: 8, ValueKB: 16}, 1)
+	c := kvstore.New(srv.Addr(), settings.State{RPS: 1000, WriteRPS: 1000, TxnOps: 8, ValueKB: 16}, 1)
 	go c.Run(ctx)
-	set := func(key string) state.Update {
-		return state.Update{Guards: []wire.Guard{{Key: key}}, Ops: []wire.Op{{Set: key, Value: []byte("1")}}}
+	set := func(key string) kvstore.Update {
+		return kvstore.Update{Guards: []protocol.Guard{{Key: key}}, Ops: []protocol.Op{{Set: key, Value: []byte("1")}}}
 	}
 	if _, err := c.Commit(ctx, set("k/3")); err != nil {
 		t.Fatal(err)
@@ -43,7 +43,7 @@
 	}
 	wg.Wait()
 	for i, err := range errs {
-		if (i == 3) != errors.Is(err, state.ErrConflict) || (i != 3 && err != nil) {
+		if (i == 3) != errors.Is(err, kvstore.ErrConflict) || (i != 3 && err != nil) {
 			t.Errorf("update %d: %v", i, err)
 		}
 	}
@@ -52,7 +52,7 @@
 		t.Fatalf("%d keys, %v", len(entries), err)
 	}
 	srv.Outage(true)
-	if _, err := c.Commit(ctx, set("k/new")); !errors.Is(err, state.ErrRefused) {
+	if _, err := c.Commit(ctx, set("k/new")); !errors.Is(err, kvstore.ErrRefused) {
 		t.Fatalf("in an outage: %v", err)
 	}
 }
@@ -61,7 +61,7 @@
 // another one that the update rests on. Taking a changed control record for a lost job once
 // stopped a whole deployment for as long as jobs ended.
 func TestConflictNamesItsKeys(t *testing.T) {
-	s, err := rehearse.NewState(16, 16)
+	s, err := simulation.NewState(16, 16)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -69,17 +69,17 @@
 	s.Put("w/c", "1")
 	s.Put("w/a/job", "1")
 	s.Put("w/c", "2") // changed meanwhile
-	c := state.New(s.Addr(), settings.State{RPS: 100, WriteRPS: 100, ValueKB: 16, TxnOps: 16}, 1)
+	c := kvstore.New(s.Addr(), settings.State{RPS: 100, WriteRPS: 100, ValueKB: 16, TxnOps: 16}, 1)
 	ctx, stop := context.WithCancel(t.Context())
 	ended := make(chan error, 1)
 	go func() { ended <- c.Run(ctx) }()
 	defer func() { stop(); <-ended }()
-	_, err = c.Commit(ctx, state.Update{Guards: []wire.Guard{{Key: "w/a/job", Version: 2}, {Key: "w/c", Version: 1}}, Ops: []wire.Op{{Delete: "w/a/job"}}})
-	var conflict *state.Conflict
-	if !errors.Is(err, state.ErrConflict) || !errors.As(err, &conflict) || !slices.Equal(conflict.Keys, []string{"w/c"}) {
+	_, err = c.Commit(ctx, kvstore.Update{Guards: []protocol.Guard{{Key: "w/a/job", Version: 2}, {Key: "w/c", Version: 1}}, Ops: []protocol.Op{{Delete: "w/a/job"}}})
+	var conflict *kvstore.Conflict
+	if !errors.Is(err, kvstore.ErrConflict) || !errors.As(err, &conflict) || !slices.Equal(conflict.Keys, []string{"w/c"}) {
 		t.Fatalf("%v", err)
 	}
-	if _, err := c.Commit(ctx, state.Update{Guards: []wire.Guard{{Key: "w/a/job", Version: 2}, {Key: "w/c", Version: 3}}, Ops: []wire.Op{{Delete: "w/a/job"}}}); err != nil {
+	if _, err := c.Commit(ctx, kvstore.Update{Guards: []protocol.Guard{{Key: "w/a/job", Version: 2}, {Key: "w/c", Version: 3}}, Ops: []protocol.Op{{Delete: "w/a/job"}}}); err != nil {
 		t.Fatal(err)
 	}
 }
--- a/internal/state/share_test.go
+++ b/internal/kvstore/share_test.go
@@ -1,4 +1,4 @@
-package state
+package kvstore
 
 import (
 	"math/rand/v2"
--- a/internal/tenure/backoff_test.go
+++ b/internal/leadership/backoff_test.go
@@ -1,4 +1,4 @@
-package tenure
+package leadership
 
 import (
 	"math/rand/v2"
--- a/internal/tenure/tenure.go
+++ b/internal/leadership/leadership.go
@@ -1,6 +1,6 @@
-// Package tenure decides who may act for what: the control record, its changes
+// Package leadership decides who may act for what: the control record, its changes
 // and a controller's own lease. It does no I/O and reads no clock.
-package tenure
+package leadership
 
 import (
 	"maps"
--- a/internal/leasegrant/leasegrant.go
+++ b/internal/leasegrant/leasegrant.go
@@ -6,8 +6,8 @@
 import (
 	"time"
 
-	"topazhollow/internal/ledger"
-	"topazhollow/internal/wire"
+	"topazhollow/internal/jobstate"
+	"topazhollow/internal/protocol"
 )
 
 // JobState is what the answering controller knows of a job.
@@ -36,7 +36,7 @@
 	Job(uid string) JobState
 	// Ordered says whether the job's owner ordered the start of an attempt here in this term, and the state service was
 	// not read since.
-	Ordered(attempt ledger.Ref) bool
+	Ordered(attempt jobstate.Ref) bool
 	// Lost says whether the job of an attempt may have been lost with data of the state service.
 	Lost(attempt uint64) bool
 	// Renews says whether a lease may begin now if nothing later than since counts as known; since zero: no such bound.
@@ -46,26 +46,26 @@
 // Grant is the decision about one report.
 type Grant struct {
 	Renew   bool
-	Stops   []wire.Command // not nil if the lease is renewed
-	Unknown *ledger.Ref    // the first task of an unknown job, because of which the lease is not renewed
+	Stops   []protocol.Command // not nil if the lease is renewed
+	Unknown *jobstate.Ref      // the first task of an unknown job, because of which the lease is not renewed
 }
 
 // Decide answers a report that came now.
-func Decide(report *wire.Report, now time.Time, position Position, known Knowledge) Grant {
+func Decide(report *protocol.Report, now time.Time, position Position, known Knowledge) Grant {
 	if !mayBegin(now, position, known) {
 		return Grant{}
 	}
-	grant := Grant{Renew: true, Stops: []wire.Command{}}
+	grant := Grant{Renew: true, Stops: []protocol.Command{}}
 	for _, task := range report.Tasks {
-		if task.State == wire.Exited {
+		if task.State == protocol.Exited {
 			continue
 		}
-		uid, index, _ := wire.SplitTask(task.Task)
-		attempt := ledger.Ref{Key: ledger.Key{Job: uid, Index: index}, Attempt: task.Attempt}
+		uid, index, _ := protocol.SplitTask(task.Task)
+		attempt := jobstate.Ref{Key: jobstate.Key{Job: uid, Index: index}, Attempt: task.Attempt}
 		switch known.Job(uid) {
 		case Active:
 		case Over:
-			grant.Stops = append(grant.Stops, wire.Command{Op: wire.Stop, Task: task.Task, Attempt: task.Attempt, Grace: new(float64)})
+			grant.Stops = append(grant.Stops, protocol.Command{Op: protocol.Stop, Task: task.Task, Attempt: task.Attempt, Grace: new(float64)})
 		default:
 			if !known.Lost(task.Attempt) && !known.Ordered(attempt) {
 				return Grant{Unknown: &attempt}
--- a/internal/leasegrant/leasegrant_test.go
+++ b/internal/leasegrant/leasegrant_test.go
@@ -4,20 +4,20 @@
 	"testing"
 	"time"
 
-	"topazhollow/internal/ledger"
-	"topazhollow/internal/wire"
+	"topazhollow/internal/jobstate"
+	"topazhollow/internal/protocol"
 )
 
 type known struct {
 	until   time.Time
 	jobs    map[string]JobState
-	ordered map[ledger.Ref]bool
+	ordered map[jobstate.Ref]bool
 	lost    uint64
 }
 
-func (k *known) Job(uid string) JobState   { return k.jobs[uid] }
-func (k *known) Ordered(a ledger.Ref) bool { return k.ordered[a] }
-func (k *known) Lost(attempt uint64) bool  { return attempt < k.lost }
+func (k *known) Job(uid string) JobState     { return k.jobs[uid] }
+func (k *known) Ordered(a jobstate.Ref) bool { return k.ordered[a] }
+func (k *known) Lost(attempt uint64) bool    { return attempt < k.lost }
 func (k *known) Renews(now, s time.Time) bool {
 	return !now.After(k.until) && (s.IsZero() || !now.After(s))
 }
@@ -26,30 +26,30 @@
 func TestDecide(t *testing.T) {
 	now := time.Unix(1000, 0)
 	k := &known{until: now, jobs: map[string]JobState{"job-000001": Active, "job-000002": Over}, lost: 5,
-		ordered: map[ledger.Ref]bool{{Key: ledger.Key{Job: "job-000003", Index: 1}, Attempt: 7}: true}}
+		ordered: map[jobstate.Ref]bool{{Key: jobstate.Key{Job: "job-000003", Index: 1}, Attempt: 7}: true}}
 	home, stranger := Position{Home: true}, Position{HomeWord: now}
 	for what, c := range map[string]struct {
 		position Position
 		at       time.Time
-		task     wire.TaskStatus
+		task     protocol.TaskStatus
 		renew    bool
 		stops    int
 		unknown  bool
 	}{
-		"an active job":                          {home, now, wire.TaskStatus{Task: "job-000001/0", Attempt: 9}, true, 0, false},
-		"one that is over":                       {home, now, wire.TaskStatus{Task: "job-000002/0", Attempt: 9}, true, 1, false},
-		"what has ended of one that is over":     {home, now, wire.TaskStatus{Task: "job-000002/0", Attempt: 9, State: wire.Exited}, true, 0, false},
-		"an unknown one":                         {home, now, wire.TaskStatus{Task: "job-000009/0", Attempt: 9}, false, 0, true},
-		"an unknown one, lost with data":         {home, now, wire.TaskStatus{Task: "job-000009/0", Attempt: 4}, true, 0, false},
-		"an unknown one whose owner ordered it":  {home, now, wire.TaskStatus{Task: "job-000003/1", Attempt: 7}, true, 0, false},
-		"another attempt than was ordered":       {home, now, wire.TaskStatus{Task: "job-000003/1", Attempt: 8}, false, 0, true},
-		"an active job after the horizon's time": {home, now.Add(1), wire.TaskStatus{Task: "job-000001/0", Attempt: 9}, false, 0, false},
-		"a stranger's in time":                   {stranger, now, wire.TaskStatus{Task: "job-000001/0", Attempt: 9}, true, 0, false},
-		"a stranger's after the home's word":     {Position{HomeWord: now.Add(-1)}, now, wire.TaskStatus{Task: "job-000001/0", Attempt: 9}, false, 0, false},
-		"a stranger's without a word":            {Position{}, now, wire.TaskStatus{Task: "job-000001/0", Attempt: 9}, false, 0, false},
-		"a leased stranger's without a word":     {Position{Leased: true}, now, wire.TaskStatus{Task: "job-000001/0", Attempt: 9}, true, 0, false},
+		"an active job":                          {home, now, protocol.TaskStatus{Task: "job-000001/0", Attempt: 9}, true, 0, false},
+		"one that is over":                       {home, now, protocol.TaskStatus{Task: "job-000002/0", Attempt: 9}, true, 1, false},
+		"what has ended of one that is over":     {home, now, protocol.TaskStatus{Task: "job-000002/0", Attempt: 9, State: protocol.Exited}, true, 0, false},
+		"an unknown one":                         {home, now, protocol.TaskStatus{Task: "job-000009/0", Attempt: 9}, false, 0, true},
+		"an unknown one, lost with data":         {home, now, protocol.TaskStatus{Task: "job-000009/0", Attempt: 4}, true, 0, false},
+		"an unknown one whose owner ordered it":  {home, now, protocol.TaskStatus{Task: "job-000003/1", Attempt: 7}, true, 0, false},
+		"another attempt than was ordered":       {home, now, protocol.TaskStatus{Task: "job-000003/1", Attempt: 8}, false, 0, true},
+		"an active job after the horizon's time": {home, now.Add(1), protocol.TaskStatus{Task: "job-000001/0", Attempt: 9}, false, 0, false},
+		"a stranger's in time":                   {stranger, now, protocol.TaskStatus{Task: "job-000001/0", Attempt: 9}, true, 0, false},
+		"a stranger's after the home's word":     {Position{HomeWord: now.Add(-1)}, now, protocol.TaskStatus{Task: "job-000001/0", Attempt: 9}, false, 0, false},
+		"a stranger's without a word":            {Position{}, now, protocol.TaskStatus{Task: "job-000001/0", Attempt: 9}, false, 0, false},
+		"a leased stranger's without a word":     {Position{Leased: true}, now, protocol.TaskStatus{Task: "job-000001/0", Attempt: 9}, true, 0, false},
 	} {
-		got := Decide(&wire.Report{Tasks: []wire.TaskStatus{c.task}}, c.at, c.position, k)
+		got := Decide(&protocol.Report{Tasks: []protocol.TaskStatus{c.task}}, c.at, c.position, k)
 		if got.Renew != c.renew || len(got.Stops) != c.stops || (got.Unknown != nil) != c.unknown {
 			t.Errorf("%s: %+v", what, got)
 		}
--- a/internal/leasegrant/meet_test.go
+++ b/internal/leasegrant/meet_test.go
@@ -8,8 +8,8 @@
 	"testing"
 	"time"
 
-	"topazhollow/internal/ledger"
-	"topazhollow/internal/tenure"
+	"topazhollow/internal/jobstate"
+	"topazhollow/internal/leadership"
 )
 
 // event is one thing that may go wrong, or end, between two steps of time; each happens once at most.
@@ -78,7 +78,7 @@
 	{"machine hangs", func(w *world) bool { return true }, func(w *world) { w.machines[0].hung = true }},
 	{"machine deaf", func(w *world) bool { return true }, func(w *world) { w.machines[0].deaf = true }},
 	{"b moves the task", func(w *world) bool { return w.controllers[1].account != nil }, func(w *world) {
-		w.controllers[1].account.On(machineName(0), func(h ledger.Hold) { w.controllers[1].account.Move(h, 0, w.now) })
+		w.controllers[1].account.On(machineName(0), func(h jobstate.Hold) { w.controllers[1].account.Move(h, 0, w.now) })
 	}},
 	{"next start is late", func(w *world) bool { return len(w.machines[0].tasks) == 0 }, func(w *world) { w.late = true }},
 	{"late start arrives", func(w *world) bool { return len(w.held) > 0 && w.held[0].late }, func(w *world) {
@@ -124,7 +124,7 @@
 
 func (w *world) crash(i int) {
 	c := w.controllers[i]
-	w.controllers[i] = &controller{index: i, process: c.process, returns: w.now.Add(step), lease: tenure.Lease{}}
+	w.controllers[i] = &controller{index: i, process: c.process, returns: w.now.Add(step), lease: leadership.Lease{}}
 }
 
 // outcome is what an exploration found.
