--- a/internal/leasegrant/model_test.go
+++ b/internal/leasegrant/model_test.go
@@ -4,12 +4,12 @@
 	"slices"
 	"time"
 
-	"topazhollow/internal/horizon"
+	"topazhollow/internal/agents"
+	"topazhollow/internal/cancelwatermark"
+	"topazhollow/internal/jobstate"
+	"topazhollow/internal/leadership"
 	"topazhollow/internal/leasegrant"
-	"topazhollow/internal/ledger"
-	"topazhollow/internal/tenure"
-	"topazhollow/internal/wire"
-	"topazhollow/internal/workers"
+	"topazhollow/internal/protocol"
 )
 
 // The model: three controllers, the state service, two machines and one job of one task. Real are the horizon, the
@@ -45,10 +45,10 @@
 	store       store
 	controllers [3]*controller
 	machines    [2]*machine
-	replica     *ledger.Replica // as the backups in sync hold it
-	cut         [2][3]bool      // packets between a machine and a controller are held
-	apart       [3]bool         // a controller's links to its peers are gone
-	late        bool            // the next start is held up on its way
+	replica     *jobstate.Replica // as the backups in sync hold it
+	cut         [2][3]bool        // packets between a machine and a controller are held
+	apart       [3]bool           // a controller's links to its peers are gone
+	late        bool              // the next start is held up on its way
 	held        []direct
 	committed   bool      // the withdrawal
 	confirmed   time.Time // to the user; zero: not yet
@@ -63,9 +63,9 @@
 type store struct {
 	revision uint64
 	changes  []change
-	record   *tenure.Record
+	record   *leadership.Record
 	version  uint64
-	live     map[string]tenure.Presence
+	live     map[string]leadership.Presence
 	expires  map[string]time.Time
 	down     bool
 	refused  [3]bool
@@ -81,7 +81,7 @@
 type direct struct {
 	machine, from  int
 	token, session uint64
-	commands       []wire.Command
+	commands       []protocol.Command
 	late           bool // alone, not by its path or machine
 }
 
@@ -89,15 +89,15 @@
 	index    int
 	up       bool
 	process  uint64
-	horizon  *horizon.Horizon
-	home     *workers.Home
-	lease    tenure.Lease
+	horizon  *cancelwatermark.Horizon
+	home     *agents.Home
+	lease    leadership.Lease
 	renewed  time.Time
 	promised time.Time
 	returns  time.Time
-	record   *tenure.Record
+	record   *leadership.Record
 	version  uint64
-	live     map[string]tenure.Presence
+	live     map[string]leadership.Presence
 	revision uint64
 	stash    []change // read, but the answer is held up
 	active   bool     // the job, as far as known
@@ -105,8 +105,8 @@
 	ended    bool // remembered to have ended
 	peers    [3]peer
 	homeWord [2]time.Time
-	views    [2]*ledger.View
-	account  *ledger.Team
+	views    [2]*jobstate.View
+	account  *jobstate.Team
 	since    uint64
 	await    [2]bool
 }
@@ -124,7 +124,7 @@
 	session, seq uint64
 	token        uint64
 	alive        time.Time
-	tasks        []wire.TaskStatus
+	tasks        []protocol.TaskStatus
 	hung         bool
 	deaf         bool // its reports arrive, what is sent to it is lost
 	reports      int  // to this controller
@@ -132,8 +132,8 @@
 
 func machineName(i int) string { return [2]string{"n-000000", "n-000004"}[i] }
 
-func spec() *wire.Submission {
-	return &wire.Submission{UID: jobUID, Team: "red", Kind: wire.Batch, Priority: "high", Tasks: 1, CPUs: 1, Estimate: 600}
+func spec() *protocol.Submission {
+	return &protocol.Submission{UID: jobUID, Team: "red", Kind: protocol.Batch, Priority: "high", Tasks: 1, CPUs: 1, Estimate: 600}
 }
 
 func capacity(string) (float64, float64, float64, bool) { return 8, 0, 64, true }
@@ -142,18 +142,18 @@
 
 // newWorld is a deployment that runs, with the job accepted; running: its task runs already.
 func newWorld(m mutant, running bool, lease time.Duration) *world {
-	w := &world{mutant: m, lease: lease, now: time.Unix(10000, 0).UTC(), replica: ledger.NewReplica()}
-	w.store = store{live: map[string]tenure.Presence{}, expires: map[string]time.Time{}}
+	w := &world{mutant: m, lease: lease, now: time.Unix(10000, 0).UTC(), replica: jobstate.NewReplica()}
+	w.store = store{live: map[string]leadership.Presence{}, expires: map[string]time.Time{}}
 	for i := range names {
 		w.begin(i)
 		w.store.revision++
-		w.store.live[names[i]] = tenure.Presence{Incarnation: w.controllers[i].process, Version: w.store.revision}
+		w.store.live[names[i]] = leadership.Presence{Incarnation: w.controllers[i].process, Version: w.store.revision}
 	}
-	record := (&tenure.Record{Term: 10, Generation: 1, First: 10}).Clone()
+	record := (&leadership.Record{Term: 10, Generation: 1, First: 10}).Clone()
 	for i, name := range names {
 		record.Nodes[name] = w.controllers[i].process
 	}
-	record.Items[team] = tenure.Item{Owner: "b", Since: 10, InSync: []string{"a", "c"}}
+	record.Items[team] = leadership.Item{Owner: "b", Since: 10, InSync: []string{"a", "c"}}
 	w.write(record)
 	for i := range w.machines {
 		w.machines[i] = &machine{index: i, session: 1, alive: w.now, reports: i}
@@ -180,7 +180,7 @@
 	w.store.changes = append(w.store.changes, change{revision: w.store.revision})
 }
 
-func (w *world) write(record *tenure.Record) {
+func (w *world) write(record *leadership.Record) {
 	w.store.revision++
 	w.store.record, w.store.version = record, w.store.revision
 }
@@ -191,15 +191,15 @@
 	if old := w.controllers[i]; old != nil {
 		process = old.process + 1
 	}
-	c := &controller{index: i, up: true, process: process, lease: tenure.Lease{Life: controllerLease, Margin: controllerLease / 20},
-		renewed: w.now, promised: w.now.Add(promiseLife), home: workers.New(capacity, size), live: map[string]tenure.Presence{}}
+	c := &controller{index: i, up: true, process: process, lease: leadership.Lease{Life: controllerLease, Margin: controllerLease / 20},
+		renewed: w.now, promised: w.now.Add(promiseLife), home: agents.New(capacity, size), live: map[string]leadership.Presence{}}
 	var others []string
 	for k, name := range names {
 		if k != i {
 			others = append(others, name)
 		}
 	}
-	c.horizon = horizon.New(others, cancelWithin, w.lease)
+	c.horizon = cancelwatermark.New(others, cancelWithin, w.lease)
 	w.controllers[i] = c
 }
 
@@ -345,7 +345,7 @@
 	name := names[c.index]
 	if p, ok := w.store.live[name]; !ok || p.Incarnation != c.process {
 		w.store.revision++
-		w.store.live[name] = tenure.Presence{Incarnation: c.process, Version: w.store.revision}
+		w.store.live[name] = leadership.Presence{Incarnation: c.process, Version: w.store.revision}
 	}
 	w.store.expires[name] = w.now.Add(controllerLease)
 	c.lease.Renewed(w.now)
@@ -356,7 +356,7 @@
 		}
 	}
 	c.revision = w.store.revision
-	c.live = map[string]tenure.Presence{}
+	c.live = map[string]leadership.Presence{}
 	for k, p := range w.store.live {
 		c.live[k] = p
 	}
@@ -365,7 +365,7 @@
 }
 
 // adopt takes up a control record.
-func (w *world) adopt(c *controller, r *tenure.Record, version uint64) {
+func (w *world) adopt(c *controller, r *leadership.Record, version uint64) {
 	if version <= c.version {
 		return
 	}
@@ -380,14 +380,14 @@
 		c.account.SetTerm(r.Term)
 		return
 	}
-	replica := ledger.NewReplica()
+	replica := jobstate.NewReplica()
 	c.since, c.await = item.Since, [2]bool{}
 	if item.Blind {
 		c.await = [2]bool{true, true}
 	} else {
-		replica = ledger.FromCopy(w.replica.Copy())
+		replica = jobstate.FromCopy(w.replica.Copy())
 	}
-	c.account = ledger.NewTeam(team, 8, 8, 0, 0, replica, r.Term, quiet)
+	c.account = jobstate.NewTeam(team, 8, 8, 0, 0, replica, r.Term, quiet)
 	if c.active {
 		c.account.AddJob(spec(), 1, w.now, nil)
 	}
@@ -478,9 +478,9 @@
 		if w.now.Before(c.promised) && mayHold(c) {
 			continue
 		}
-		next, _ := tenure.Repair(c.record, []string{team}, c.live)
+		next, _ := leadership.Repair(c.record, []string{team}, c.live)
 		if next == nil && w.entitled(c) && c.account != nil {
-			next, _ = tenure.Upkeep(c.record, names[c.index], map[string]tenure.Sync{team: w.sync(c)}, false)
+			next, _ = leadership.Upkeep(c.record, names[c.index], map[string]leadership.Sync{team: w.sync(c)}, false)
 			if next == nil && c.account.Unproven(w.now, unprovenAfter) > 0 {
 				next = c.record.Clone()
 				next.Term++
@@ -503,8 +503,8 @@
 	return false
 }
 
-func (w *world) sync(c *controller) tenure.Sync {
-	s := tenure.Sync{Ready: c.await == [2]bool{}, Whole: map[string]bool{}, Lagging: map[string]bool{}}
+func (w *world) sync(c *controller) leadership.Sync {
+	s := leadership.Sync{Ready: c.await == [2]bool{}, Whole: map[string]bool{}, Lagging: map[string]bool{}}
 	for k, name := range names {
 		if k == c.index {
 			continue
@@ -535,7 +535,7 @@
 		c.account.Pending(j, w.now, func(index int) bool {
 			for k, v := range c.views {
 				if v != nil && v.Token >= c.record.Term && !j.Avoids(machineName(k), w.now) && !w.machines[k].hung {
-					return c.account.Place(j, index, ledger.Spot{Machine: machineName(k), Session: v.Session})
+					return c.account.Place(j, index, jobstate.Spot{Machine: machineName(k), Session: v.Session})
 				}
 			}
 			return false
@@ -545,7 +545,7 @@
 	c.account.TakeDeltas()
 	if w.replicates(c) {
 		acked = c.account.Replica().Seq
-		w.replica = ledger.FromCopy(c.account.Replica().Copy())
+		w.replica = jobstate.FromCopy(c.account.Replica().Copy())
 	}
 	due := c.account.Due(acked, w.now, func(name string, session uint64) bool {
 		v := c.views[slices.Index([]string{machineName(0), machineName(1)}, name)]
@@ -599,13 +599,13 @@
 // jobKnowledge is what a controller can tell its account of the job.
 type jobKnowledge struct{ c *controller }
 
-func (k jobKnowledge) Job(string) ledger.JobInfo {
-	return ledger.JobInfo{Known: k.c.known, Mine: true, Active: k.c.active, Spec: spec()}
+func (k jobKnowledge) Job(string) jobstate.JobInfo {
+	return jobstate.JobInfo{Known: k.c.known, Mine: true, Active: k.c.active, Spec: spec()}
 }
 
-func (k jobKnowledge) Unsized(*ledger.View) (cpus, gpus float64) { return spec().CPUs, spec().GPUs }
+func (k jobKnowledge) Unsized(*jobstate.View) (cpus, gpus float64) { return spec().CPUs, spec().GPUs }
 
-func (w *world) order(c *controller, k int, orders []ledger.Order) {
+func (w *world) order(c *controller, k int, orders []jobstate.Order) {
 	h := w.homeOf(c, k)
 	if h == nil {
 		c.account.Unsent(orders)
@@ -626,11 +626,11 @@
 		if m == nil || c.record.Home(machineName(k)) != names[c.index] || !c.known || c.active {
 			continue
 		}
-		var orders []ledger.Order
+		var orders []jobstate.Order
 		for _, t := range m.Report.Tasks {
-			o := ledger.Order{Op: wire.Stop, Key: ledger.Key{Job: jobUID}, Attempt: t.Attempt, Session: m.Report.Session}
-			if t.State == wire.Exited {
-				o.Op = wire.Forget
+			o := jobstate.Order{Op: protocol.Stop, Key: jobstate.Key{Job: jobUID}, Attempt: t.Attempt, Session: m.Report.Session}
+			if t.State == protocol.Exited {
+				o.Op = protocol.Forget
 			}
 			orders = append(orders, o)
 		}
@@ -672,7 +672,7 @@
 }
 
 // readyToSend is Node.readyToSend.
-func (w *world) readyToSend(c *controller, m *workers.Machine) {
+func (w *world) readyToSend(c *controller, m *agents.Machine) {
 	if w.mutant != "starts of what is over" {
 		m.DropStarts(w.over(c))
 	}
@@ -702,30 +702,30 @@
 	}
 }
 
-func (w *world) execute(m *machine, commands []wire.Command) {
+func (w *world) execute(m *machine, commands []protocol.Command) {
 	for _, x := range commands {
-		at := slices.IndexFunc(m.tasks, func(t wire.TaskStatus) bool { return t.Task == x.Task && t.Attempt == x.Attempt })
+		at := slices.IndexFunc(m.tasks, func(t protocol.TaskStatus) bool { return t.Task == x.Task && t.Attempt == x.Attempt })
 		switch {
-		case x.Op == wire.Start && at < 0:
-			t := wire.TaskStatus{Task: x.Task, Attempt: x.Attempt, State: wire.Running}
-			if slices.ContainsFunc(m.tasks, func(o wire.TaskStatus) bool { return o.State != wire.Exited }) {
-				t.State, t.Why = wire.Exited, wire.WhyInUse
+		case x.Op == protocol.Start && at < 0:
+			t := protocol.TaskStatus{Task: x.Task, Attempt: x.Attempt, State: protocol.Running}
+			if slices.ContainsFunc(m.tasks, func(o protocol.TaskStatus) bool { return o.State != protocol.Exited }) {
+				t.State, t.Why = protocol.Exited, protocol.WhyInUse
 			} else if w.overdue() {
 				w.broken = "a task starts after its job's time"
 			}
 			m.tasks = append(m.tasks, t)
-		case x.Op == wire.Stop && at >= 0 && m.tasks[at].State != wire.Exited:
-			m.tasks[at].State, m.tasks[at].Why = wire.Exited, wire.WhyStopped
-		case x.Op == wire.Forget && at >= 0 && m.tasks[at].State == wire.Exited:
+		case x.Op == protocol.Stop && at >= 0 && m.tasks[at].State != protocol.Exited:
+			m.tasks[at].State, m.tasks[at].Why = protocol.Exited, protocol.WhyStopped
+		case x.Op == protocol.Forget && at >= 0 && m.tasks[at].State == protocol.Exited:
 			m.tasks = slices.Delete(m.tasks, at, at+1)
 		}
 	}
 	w.check()
 }
 
-func (m *machine) report() wire.Report {
+func (m *machine) report() protocol.Report {
 	m.seq++
-	return wire.Report{Machine: machineName(m.index), Type: "m", Session: m.session, Seq: m.seq, Token: m.token, Tasks: slices.Clone(m.tasks)}
+	return protocol.Report{Machine: machineName(m.index), Type: "m", Session: m.session, Seq: m.seq, Token: m.token, Tasks: slices.Clone(m.tasks)}
 }
 
 // report has a worker report until one controller answers it.
@@ -761,11 +761,11 @@
 	status   int
 	to       int
 	token    uint64
-	commands []wire.Command
+	commands []protocol.Command
 }
 
 // answer is Node.answerReport.
-func (w *world) answer(c *controller, r *wire.Report, vain *[3]bool) answer {
+func (w *world) answer(c *controller, r *protocol.Report, vain *[3]bool) answer {
 	if !w.entitled(c) {
 		for k := range names {
 			if p := &c.peers[k]; k != c.index && p.entitled && p.at.Equal(w.now) {
@@ -804,7 +804,7 @@
 }
 
 // renewal is Node.renewal.
-func (w *world) renewal(c *controller, r *wire.Report) leasegrant.Grant {
+func (w *world) renewal(c *controller, r *protocol.Report) leasegrant.Grant {
 	k := slices.Index([]string{machineName(0), machineName(1)}, r.Machine)
 	position := leasegrant.Position{Home: c.record.Home(r.Machine) == names[c.index] && c.record.Nodes[names[c.index]] == c.process,
 		Leased: c.lease.Valid(w.now) && w.entitled(c) || w.mutant == "strangers without a bound", HomeWord: c.homeWord[k]}
@@ -836,7 +836,7 @@
 	return leasegrant.Unknown
 }
 
-func (k *knowledge) Ordered(attempt ledger.Ref) bool {
+func (k *knowledge) Ordered(attempt jobstate.Ref) bool {
 	for i := range k.w.machines {
 		if m := k.c.home.Get(machineName(i)); m != nil {
 			if sent, ok := m.Ordered(attempt); ok && (sent.IsZero() || !k.c.horizon.LastRead().After(sent)) {
@@ -862,7 +862,7 @@
 	on := 0
 	for _, m := range w.machines {
 		for _, t := range m.tasks {
-			if t.State != wire.Exited {
+			if t.State != protocol.Exited {
 				on++
 			}
 		}
--- a/internal/scale/cloud.go
+++ b/internal/loadtest/cloud.go
@@ -1,4 +1,4 @@
-package scale
+package loadtest
 
 import (
 	"encoding/json"
@@ -9,7 +9,7 @@
 	"sync"
 	"time"
 
-	"topazhollow/internal/wire"
+	"topazhollow/internal/protocol"
 )
 
 // maxListed is the most machines in one page of the cloud's list.
@@ -18,24 +18,26 @@
 // cloud is a stand-in for the cloud whose machines are all up from the beginning. It
 // rents no more and takes back what is returned.
 type cloud struct {
-	types  []wire.MachineType
+	types  []protocol.MachineType
 	remove func(names []string) // takes machines away and waits until they are
 	server *http.Server
 	addr   string
 
 	mu       sync.Mutex
-	hosts    []wire.Host // by name
+	hosts    []protocol.Host // by name
 	began    time.Time
 	listed   int // pages
 	returned int // machines
 	refused  int // requests to rent
 }
 
-func newCloud(types []wire.MachineType, hosts []wire.Host, remove func([]string)) (*cloud, error) {
+func newCloud(types []protocol.MachineType, hosts []protocol.Host, remove func([]string)) (*cloud, error) {
 	c := &cloud{types: types, hosts: hosts, remove: remove, began: time.Now()}
-	slices.SortFunc(c.hosts, func(a, b wire.Host) int { return strings.Compare(a.UID, b.UID) })
+	slices.SortFunc(c.hosts, func(a, b protocol.Host) int { return strings.Compare(a.UID, b.UID) })
 	mux := http.NewServeMux()
-	mux.HandleFunc("GET /catalog", func(w http.ResponseWriter, _ *http.Request) { answer(w, http.StatusOK, wire.Catalog{Types: c.types}) })
+	mux.HandleFunc("GET /catalog", func(w http.ResponseWriter, _ *http.Request) {
+		answer(w, http.StatusOK, protocol.Catalog{Types: c.types})
+	})
 	mux.HandleFunc("POST /hosts", c.rent)
 	mux.HandleFunc("POST /hosts/return", c.giveBack)
 	mux.HandleFunc("GET /hosts", c.list)
@@ -53,25 +55,25 @@
 func answer(w http.ResponseWriter, status int, body any) {
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(status)
-	_, _ = w.Write(wire.Encode(body)) // the other side counts it as unanswered if it fails
+	_, _ = w.Write(protocol.Encode(body)) // the other side counts it as unanswered if it fails
 }
 
 func (c *cloud) rent(w http.ResponseWriter, _ *http.Request) {
 	c.mu.Lock()
 	c.refused++
 	c.mu.Unlock()
-	answer(w, http.StatusServiceUnavailable, wire.Error{Error: "no capacity"})
+	answer(w, http.StatusServiceUnavailable, protocol.Error{Error: "no capacity"})
 }
 
 func (c *cloud) giveBack(w http.ResponseWriter, r *http.Request) {
-	var names wire.Names
+	var names protocol.Names
 	if json.NewDecoder(r.Body).Decode(&names) != nil || len(names.Machines) > 100 {
-		answer(w, http.StatusBadRequest, wire.Error{Error: "malformed"})
+		answer(w, http.StatusBadRequest, protocol.Error{Error: "malformed"})
 		return
 	}
 	c.mu.Lock()
 	before := len(c.hosts)
-	c.hosts = slices.DeleteFunc(c.hosts, func(h wire.Host) bool { return slices.Contains(names.Machines, h.UID) })
+	c.hosts = slices.DeleteFunc(c.hosts, func(h protocol.Host) bool { return slices.Contains(names.Machines, h.UID) })
 	c.returned += before - len(c.hosts)
 	c.mu.Unlock()
 	c.remove(names.Machines)
@@ -83,12 +85,12 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.listed++
-	from, found := slices.BinarySearchFunc(c.hosts, after, func(h wire.Host, name string) int { return strings.Compare(h.UID, name) })
+	from, found := slices.BinarySearchFunc(c.hosts, after, func(h protocol.Host, name string) int { return strings.Compare(h.UID, name) })
 	if found {
 		from++
 	}
 	to := min(from+maxListed, len(c.hosts))
-	page := wire.HostList{Hosts: slices.Clone(c.hosts[from:to]), More: to < len(c.hosts)}
+	page := protocol.HostList{Hosts: slices.Clone(c.hosts[from:to]), More: to < len(c.hosts)}
 	for i := range page.Hosts {
 		page.Hosts[i].Age = time.Since(c.began).Seconds()
 	}
--- a/internal/scale/config.go
+++ b/internal/loadtest/config.go
@@ -1,9 +1,9 @@
-// Package scale measures how the controllers' cost grows with the fleet: it runs real
+// Package loadtest measures how the controllers' cost grows with the fleet: it runs real
 // controller processes on this machine against thousands of hollow workers, which speak
 // the workers' protocol and run nothing, and against stand-ins for the state service, the
 // cloud and the users. One run plays one experiment and gives one Result; several results
 // give slopes.
-package scale
+package loadtest
 
 import (
 	"fmt"
--- a/internal/scale/fit.go
+++ b/internal/loadtest/fit.go
@@ -1,4 +1,4 @@
-package scale
+package loadtest
 
 import (
 	"fmt"
--- a/internal/scale/hollow.go
+++ b/internal/loadtest/hollow.go
@@ -1,4 +1,4 @@
-package scale
+package loadtest
 
 import (
 	"context"
@@ -11,7 +11,7 @@
 	"time"
 
 	"topazhollow/internal/httpx"
-	"topazhollow/internal/wire"
+	"topazhollow/internal/protocol"
 )
 
 // Times of the workers' protocol.
@@ -38,7 +38,7 @@
 	session uint64
 	seq     uint64
 	token   uint64
-	tasks   []wire.TaskStatus // in the order of their starts
+	tasks   []protocol.TaskStatus // in the order of their starts
 	timers  map[string]*time.Timer
 	alive   time.Time // when the last answered report was sent
 	sent    time.Time // when the last report was made
@@ -46,10 +46,10 @@
 	gone    bool
 }
 
-func (h *hollow) report() wire.Report {
+func (h *hollow) report() protocol.Report {
 	h.seq++
-	return wire.Report{Machine: h.name, Addr: h.addr, Type: machineType, Zone: h.zone, Session: h.session, Seq: h.seq, Token: h.token,
-		Tasks: append([]wire.TaskStatus{}, h.tasks...)}
+	return protocol.Report{Machine: h.name, Addr: h.addr, Type: machineType, Zone: h.zone, Session: h.session, Seq: h.seq, Token: h.token,
+		Tasks: append([]protocol.TaskStatus{}, h.tasks...)}
 }
 
 func (h *hollow) changed() {
@@ -69,19 +69,19 @@
 }
 
 func (h *hollow) find(task string) int {
-	return slices.IndexFunc(h.tasks, func(t wire.TaskStatus) bool { return t.Task == task })
+	return slices.IndexFunc(h.tasks, func(t protocol.TaskStatus) bool { return t.Task == task })
 }
 
-func (h *hollow) execute(commands []wire.Command) {
+func (h *hollow) execute(commands []protocol.Command) {
 	for _, c := range commands {
 		at := h.find(c.Task)
 		known := at >= 0 && h.tasks[at].Attempt == c.Attempt
 		switch {
-		case c.Op == wire.Start && !known:
+		case c.Op == protocol.Start && !known:
 			h.start(c, at)
-		case c.Op == wire.Stop && known && h.tasks[at].State != wire.Exited:
-			h.exit(at, wire.WhyStopped)
-		case c.Op == wire.Forget && known && h.tasks[at].State == wire.Exited:
+		case c.Op == protocol.Stop && known && h.tasks[at].State != protocol.Exited:
+			h.exit(at, protocol.WhyStopped)
+		case c.Op == protocol.Forget && known && h.tasks[at].State == protocol.Exited:
 			h.tasks = slices.Delete(h.tasks, at, at+1)
 			h.changed()
 		}
@@ -89,21 +89,21 @@
 }
 
 // start begins a task, in place of an exited attempt if there is one at that index.
-func (h *hollow) start(c wire.Command, at int) {
-	if at >= 0 && h.tasks[at].State != wire.Exited {
+func (h *hollow) start(c protocol.Command, at int) {
+	if at >= 0 && h.tasks[at].State != protocol.Exited {
 		return // another attempt of it is here
 	}
 	if at >= 0 {
 		h.tasks = slices.Delete(h.tasks, at, at+1)
 	}
-	uid, _, _ := wire.SplitTask(c.Task)
+	uid, _, _ := protocol.SplitTask(c.Task)
 	name, ok := parseJobName(uid)
 	if !ok {
-		h.tasks = append(h.tasks, wire.TaskStatus{Task: c.Task, Attempt: c.Attempt, State: wire.Exited, Why: wire.WhyNoSuch})
+		h.tasks = append(h.tasks, protocol.TaskStatus{Task: c.Task, Attempt: c.Attempt, State: protocol.Exited, Why: protocol.WhyNoSuch})
 		h.changed()
 		return
 	}
-	h.tasks = append(h.tasks, wire.TaskStatus{Task: c.Task, Attempt: c.Attempt, State: wire.Running})
+	h.tasks = append(h.tasks, protocol.TaskStatus{Task: c.Task, Attempt: c.Attempt, State: protocol.Running})
 	h.pool.rec.event(true, c.Task, h.name, false)
 	h.changed()
 	if name.Run > 0 {
@@ -114,15 +114,15 @@
 func (h *hollow) complete(task string, attempt uint64) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if at := h.find(task); at >= 0 && h.tasks[at].Attempt == attempt && h.tasks[at].State == wire.Running {
-		h.exit(at, wire.WhyDone)
+	if at := h.find(task); at >= 0 && h.tasks[at].Attempt == attempt && h.tasks[at].State == protocol.Running {
+		h.exit(at, protocol.WhyDone)
 	}
 }
 
 func (h *hollow) exit(at int, why string) {
 	t := &h.tasks[at]
-	t.State, t.Why = wire.Exited, why
-	h.pool.rec.event(false, t.Task, h.name, why == wire.WhyDone)
+	t.State, t.Why = protocol.Exited, why
+	h.pool.rec.event(false, t.Task, h.name, why == protocol.WhyDone)
 	if timer := h.timers[t.Task]; timer != nil {
 		timer.Stop()
 		delete(h.timers, t.Task)
@@ -133,8 +133,8 @@
 // killAll ends everything without a result.
 func (h *hollow) killAll() {
 	for i := range h.tasks {
-		if h.tasks[i].State != wire.Exited {
-			h.exit(i, wire.WhyStopped)
+		if h.tasks[i].State != protocol.Exited {
+			h.exit(i, protocol.WhyStopped)
 		}
 	}
 	h.tasks = nil
@@ -171,11 +171,11 @@
 	default:
 	}
 	h.sent = time.Now()
-	return wire.Encode(h.report()), h.session, true
+	return protocol.Encode(h.report()), h.session, true
 }
 
 // answered takes in the answer to a report sent at a time in a session.
-func (h *hollow) answered(a *wire.ReportAnswer, sent time.Time, session uint64) {
+func (h *hollow) answered(a *protocol.ReportAnswer, sent time.Time, session uint64) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if a.Token == 0 || a.Token < h.token || session != h.session || h.gone {
@@ -245,7 +245,7 @@
 // send sends a report and takes in its answer; to is the controller that was named
 // instead, or -1.
 func (h *hollow) send(ctx context.Context, link *httpx.Link, body []byte, session uint64, sent time.Time) (to int, good bool) {
-	resp, _, err := link.Do(ctx, http.MethodPost, wire.PathReport, body, answerTimeout)
+	resp, _, err := link.Do(ctx, http.MethodPost, protocol.PathReport, body, answerTimeout)
 	c := Counts{Reports: 1, ReportBytes: int64(len(body))}
 	defer func() { h.pool.rec.count(c) }()
 	if err != nil {
@@ -255,8 +255,8 @@
 	c.AnswerBytes = int64(len(resp.Body))
 	switch resp.Status {
 	case http.StatusOK:
-		var a wire.ReportAnswer
-		if wire.Decode(resp.Body, &a) != nil {
+		var a protocol.ReportAnswer
+		if protocol.Decode(resp.Body, &a) != nil {
 			c.Failed = 1
 			return -1, false
 		}
@@ -265,9 +265,9 @@
 		h.answered(&a, sent, session)
 		return -1, true
 	case http.StatusMisdirectedRequest:
-		var m wire.Moved
+		var m protocol.Moved
 		c.Moved = 1
-		if wire.Decode(resp.Body, &m) == nil {
+		if protocol.Decode(resp.Body, &m) == nil {
 			return slices.Index(h.pool.names, m.ReportTo), false
 		}
 	default:
@@ -278,8 +278,8 @@
 
 // do carries out direct commands.
 func (h *hollow) do(w http.ResponseWriter, r *http.Request) {
-	var d wire.Direct
-	body := http.MaxBytesReader(w, r.Body, wire.MaxBody)
+	var d protocol.Direct
+	body := http.MaxBytesReader(w, r.Body, protocol.MaxBody)
 	if json.NewDecoder(body).Decode(&d) != nil || d.Token == 0 || d.Session == 0 {
 		http.Error(w, `{"error":"malformed"}`, http.StatusBadRequest)
 		return
@@ -292,7 +292,7 @@
 		h.sees(d.Token)
 		h.execute(d.Commands)
 	}
-	answer := wire.Encode(h.report())
+	answer := protocol.Encode(h.report())
 	h.mu.Unlock()
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(status)
@@ -303,7 +303,7 @@
 // inspect answers with a report.
 func (h *hollow) inspect(w http.ResponseWriter) {
 	h.mu.Lock()
-	answer := wire.Encode(h.report())
+	answer := protocol.Encode(h.report())
 	h.mu.Unlock()
 	_, _ = w.Write(answer) // as above
 }
--- a/internal/scale/scale_test.go
+++ b/internal/loadtest/loadtest_test.go
@@ -1,4 +1,4 @@
-package scale_test
+package loadtest_test
 
 import (
 	"bytes"
@@ -10,29 +10,29 @@
 	"strings"
 	"testing"
 
-	"topazhollow/internal/scale"
-	"topazhollow/internal/topaz"
+	"topazhollow/internal/cli"
+	"topazhollow/internal/loadtest"
 )
 
 // TestMain lets the tests' program be the command topaz for the processes that a run starts.
 func TestMain(m *testing.M) {
-	if len(os.Args) > 1 && slices.Contains([]string{"controller", scale.PoolCommand}, os.Args[1]) {
-		os.Exit(topaz.Main(context.Background(), os.Args[1:], os.Stdout, os.Stderr))
+	if len(os.Args) > 1 && slices.Contains([]string{"controller", loadtest.PoolCommand}, os.Args[1]) {
+		os.Exit(cli.Main(context.Background(), os.Args[1:], os.Stdout, os.Stderr))
 	}
 	os.Exit(m.Run())
 }
 
-func small() *scale.Config {
-	c := scale.Default()
+func small() *loadtest.Config {
+	c := loadtest.Default()
 	c.Workers, c.WorkersPerProcess, c.Teams, c.Zones = 30, 20, 3, 5
 	c.Report, c.StartsPerSecond, c.TasksPerJob, c.TaskRun = 0.5, 20, 5, 0.5
 	c.Duration, c.Settle = 6, 60
 	return c
 }
 
-func play(t *testing.T, c *scale.Config) *scale.Result {
+func play(t *testing.T, c *loadtest.Config) *loadtest.Result {
 	t.Helper()
-	r, err := scale.Run(t.Context(), c, scale.Options{Program: os.Args[0], Controller: []string{os.Args[0], "controller"}, Dir: t.TempDir(), Out: io.Discard})
+	r, err := loadtest.Run(t.Context(), c, loadtest.Options{Program: os.Args[0], Controller: []string{os.Args[0], "controller"}, Dir: t.TempDir(), Out: io.Discard})
 	if err != nil {
 		t.Fatalf("%v; so far %+v", err, r)
 	}
@@ -49,7 +49,7 @@
 		t.Fatalf("%+v", r)
 	}
 	for _, kind := range []string{"report", "command", "status", "views", "write", "watch", "lease"} {
-		if !slices.ContainsFunc(r.Traffic, func(x scale.Traffic) bool { return x.Kind == kind && x.Messages > 0 }) {
+		if !slices.ContainsFunc(r.Traffic, func(x loadtest.Traffic) bool { return x.Kind == kind && x.Messages > 0 }) {
 			t.Errorf("no message of kind %q was counted: %+v", kind, r.Traffic)
 		}
 	}
@@ -57,12 +57,12 @@
 	if err := r.Write(path); err != nil {
 		t.Fatal(err)
 	}
-	again, err := scale.ReadResult(path)
+	again, err := loadtest.ReadResult(path)
 	if err != nil || again.Starts != r.Starts {
 		t.Fatalf("%v: %+v", err, again)
 	}
 	var page bytes.Buffer
-	if err := scale.WritePage(&page, []*scale.Result{r, again}, scale.Workers); err != nil || !strings.Contains(page.String(), "<svg") {
+	if err := loadtest.WritePage(&page, []*loadtest.Result{r, again}, loadtest.Workers); err != nil || !strings.Contains(page.String(), "<svg") {
 		t.Errorf("%v\n%.1000s", err, page.String())
 	}
 }
@@ -71,7 +71,7 @@
 func TestLimit(t *testing.T) {
 	c := small()
 	c.Limits.MemoryMB, c.Duration = 64, 60
-	r, err := scale.Run(t.Context(), c, scale.Options{Program: os.Args[0], Controller: []string{os.Args[0], "controller"}, Dir: t.TempDir(), Out: io.Discard})
+	r, err := loadtest.Run(t.Context(), c, loadtest.Options{Program: os.Args[0], Controller: []string{os.Args[0], "controller"}, Dir: t.TempDir(), Out: io.Discard})
 	if err == nil || r == nil || !strings.Contains(r.Stopped, "memory_mb") {
 		t.Fatalf("%v: %+v", err, r)
 	}
@@ -92,8 +92,8 @@
 			t.Fatal(err)
 		}
 		var out, errs bytes.Buffer
-		code := topaz.Main(t.Context(), []string{"rehearse", "scale", "--config", path}, &out, &errs)
-		if code != topaz.ExitUsage || !strings.Contains(errs.String(), wanted) || !strings.Contains(errs.String(), path) {
+		code := cli.Main(t.Context(), []string{"rehearse", "scale", "--config", path}, &out, &errs)
+		if code != cli.ExitUsage || !strings.Contains(errs.String(), wanted) || !strings.Contains(errs.String(), path) {
 			t.Errorf("%q: exit code %d, %s", text, code, errs.String())
 		}
 	}
@@ -102,14 +102,14 @@
 // TestPrintConfig: what --print-config prints is an experiment's file with every default.
 func TestPrintConfig(t *testing.T) {
 	var out, errs bytes.Buffer
-	if code := topaz.Main(t.Context(), []string{"rehearse", "scale", "--print-config"}, &out, &errs); code != 0 {
+	if code := cli.Main(t.Context(), []string{"rehearse", "scale", "--print-config"}, &out, &errs); code != 0 {
 		t.Fatal(code, errs.String())
 	}
 	path := filepath.Join(t.TempDir(), "experiment.toml")
 	if err := os.WriteFile(path, out.Bytes(), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	if c, err := scale.Load(path); err != nil || *c != *scale.Default() {
+	if c, err := loadtest.Load(path); err != nil || *c != *loadtest.Default() {
 		t.Errorf("%v: %+v", err, c)
 	}
 }
--- a/internal/scale/pool.go
+++ b/internal/loadtest/pool.go
@@ -1,4 +1,4 @@
-package scale
+package loadtest
 
 import (
 	"bufio"
@@ -12,8 +12,8 @@
 	"net/http"
 	"time"
 
+	"topazhollow/internal/protocol"
 	"topazhollow/internal/settings"
-	"topazhollow/internal/wire"
 )
 
 // PoolConfig is the first line that a process of workers reads.
@@ -31,7 +31,7 @@
 
 // PoolReady is the first line that a process of workers writes: its machines are up.
 type PoolReady struct {
-	Machines []wire.Host `json:"machines"`
+	Machines []protocol.Host `json:"machines"`
 }
 
 // PoolOrder is each further line that it reads. The end of its input ends the process.
@@ -93,7 +93,7 @@
 		h := &hollow{pool: p, name: machineName(i), zone: zoneName(i % c.Zones), addr: l.Addr().String(), listener: l,
 			rng: rand.New(rand.NewPCG(c.Seed, uint64(i))), wake: make(chan struct{}, 1), session: 1, alive: time.Now(), timers: map[string]*time.Timer{}}
 		p.byAddr[h.addr], p.byName[h.name] = h, h
-		ready.Machines = append(ready.Machines, wire.Host{UID: h.name, Addr: h.addr, Type: machineType, Zone: h.zone, State: wire.HostRunning})
+		ready.Machines = append(ready.Machines, protocol.Host{UID: h.name, Addr: h.addr, Type: machineType, Zone: h.zone, State: protocol.HostRunning})
 		go func() { _ = server.Serve(l) }() // ends with the machine or the server
 	}
 	return ready, nil
@@ -126,9 +126,9 @@
 	switch {
 	case h == nil:
 		http.NotFound(w, r)
-	case r.URL.Path == wire.PathDo && r.Method == http.MethodPost:
+	case r.URL.Path == protocol.PathDo && r.Method == http.MethodPost:
 		h.do(w, r)
-	case r.URL.Path == wire.PathInspect:
+	case r.URL.Path == protocol.PathInspect:
 		h.inspect(w)
 	default:
 		http.NotFound(w, r)
--- a/internal/scale/region.go
+++ b/internal/loadtest/region.go
@@ -1,4 +1,4 @@
-package scale
+package loadtest
 
 import (
 	"bufio"
@@ -18,10 +18,10 @@
 
 	"github.com/HdrHistogram/hdrhistogram-go"
 
-	"topazhollow/internal/rehearse"
+	"topazhollow/internal/protocol"
 	"topazhollow/internal/settings"
+	"topazhollow/internal/simulation"
 	"topazhollow/internal/wait"
-	"topazhollow/internal/wire"
 )
 
 // Options are what a run needs beside its experiment.
@@ -65,7 +65,7 @@
 type region struct {
 	c           *Config
 	o           Options
-	state       *rehearse.State
+	state       *simulation.State
 	cloud       *cloud
 	traffic     *traffic
 	lines       []*lineCounter
@@ -101,11 +101,11 @@
 // open starts everything.
 func (g *region) open(ctx context.Context) error {
 	var err error
-	if g.state, err = rehearse.NewState(g.c.Store.TxnOps, int(g.c.Store.ValueKB)); err != nil {
+	if g.state, err = simulation.NewState(g.c.Store.TxnOps, int(g.c.Store.ValueKB)); err != nil {
 		return err
 	}
 	g.state.Limit(g.c.Store.RPS, g.c.Store.WriteRPS)
-	host := rehearse.NewHost()
+	host := simulation.NewHost()
 	for i := range g.c.Controllers {
 		x := &controller{name: fmt.Sprintf("controller-%02d", i), config: filepath.Join(g.o.Dir, fmt.Sprintf("controller-%02d.json", i)),
 			log: filepath.Join(g.o.Dir, fmt.Sprintf("controller-%02d.log", i))}
@@ -120,7 +120,7 @@
 	if err != nil {
 		return err
 	}
-	types := []wire.MachineType{{Name: machineType, CPUs: g.c.machineCores(), Memory: g.c.machineCores(), Price: 1, SpotPrice: 1, Boot: 1, Zones: g.zones()}}
+	types := []protocol.MachineType{{Name: machineType, CPUs: g.c.machineCores(), Memory: g.c.machineCores(), Price: 1, SpotPrice: 1, Boot: 1, Zones: g.zones()}}
 	if g.cloud, err = newCloud(types, hosts, g.remove); err != nil {
 		return err
 	}
@@ -185,7 +185,7 @@
 		}
 		s.Peers = append(s.Peers, settings.Peer{Name: p.name, Zone: zoneName(k % g.c.Zones), Endpoint: endpoint})
 	}
-	return os.WriteFile(x.config, wire.Encode(s), 0o600)
+	return os.WriteFile(x.config, protocol.Encode(s), 0o600)
 }
 
 // child is a command whose process the system kills if this one is killed before it could.
@@ -251,7 +251,7 @@
 }
 
 // startPools starts the processes of workers and lists their machines.
-func (g *region) startPools() (hosts []wire.Host, err error) {
+func (g *region) startPools() (hosts []protocol.Host, err error) {
 	var names, addrs []string
 	for _, x := range g.controllers {
 		names, addrs = append(names, x.name), append(addrs, x.listen)
--- a/internal/scale/rules.go
+++ b/internal/loadtest/rules.go
@@ -1,4 +1,4 @@
-package scale
+package loadtest
 
 import (
 	"fmt"
@@ -7,7 +7,7 @@
 
 	"github.com/HdrHistogram/hdrhistogram-go"
 
-	"topazhollow/internal/wire"
+	"topazhollow/internal/protocol"
 )
 
 // maxBroken bounds how many broken rules are kept word for word.
@@ -64,7 +64,7 @@
 
 // event takes in the next start or end.
 func (r *rules) event(e *Event) {
-	uid, index, _ := wire.SplitTask(e.Task)
+	uid, index, _ := protocol.SplitTask(e.Task)
 	j := r.jobs[uid]
 	if j == nil {
 		r.fault("invented", "%s on %s", e.Task, e.Machine)
@@ -123,13 +123,13 @@
 		return
 	case j.final != "" && state != j.final:
 		r.fault("went_back", "%s: %s after %s", uid, state, j.final)
-	case state == wire.Withdrawn:
+	case state == protocol.Withdrawn:
 		r.fault("went_back", "%s withdrawn, but not by its user", uid)
-	case state == wire.Done && j.final == "":
+	case state == protocol.Done && j.final == "":
 		r.told = append(r.told, toldDone{uid, now.UnixNano()})
 	}
 	j.accepted = true
-	if state == wire.Done {
+	if state == protocol.Done {
 		j.final = state
 	}
 }
--- a/internal/scale/rules_test.go
+++ b/internal/loadtest/rules_test.go
@@ -1,4 +1,4 @@
-package scale
+package loadtest
 
 import (
 	"math"
@@ -6,14 +6,14 @@
 	"testing"
 	"time"
 
-	"topazhollow/internal/wire"
+	"topazhollow/internal/protocol"
 )
 
 // TestRulesCatch: each broken rule is noted, so that a run without findings means something.
 func TestRulesCatch(t *testing.T) {
 	name := jobName{Number: 1, Team: 0, Run: time.Second}
 	uid := name.String()
-	task := func(i int) string { return wire.TaskName(uid, i) }
+	task := func(i int) string { return protocol.TaskName(uid, i) }
 	start := func(r *rules, i int, machine string) {
 		r.event(&Event{At: 1, Start: true, Task: task(i), Machine: machine})
 	}
@@ -22,9 +22,9 @@
 		"ran_twice": func(r *rules) { start(r, 0, "a"); start(r, 0, "b") },
 		"quota":     func(r *rules) { start(r, 0, "a"); start(r, 1, "a"); start(r, 2, "a") },
 		"invented":  func(r *rules) { r.event(&Event{Start: true, Task: "job-9/0", Machine: "a"}) },
-		"forgotten": func(r *rules) { r.answer(uid, 201, wire.Pending, now); r.answer(uid, 404, "", now) },
-		"not_done":  func(r *rules) { r.answer(uid, 200, wire.Done, now); r.known(11) },
-		"went_back": func(r *rules) { r.answer(uid, 200, wire.Done, now); r.answer(uid, 200, wire.Running, now) },
+		"forgotten": func(r *rules) { r.answer(uid, 201, protocol.Pending, now); r.answer(uid, 404, "", now) },
+		"not_done":  func(r *rules) { r.answer(uid, 200, protocol.Done, now); r.known(11) },
+		"went_back": func(r *rules) { r.answer(uid, 200, protocol.Done, now); r.answer(uid, 200, protocol.Running, now) },
 	} {
 		r := newRules(1, 2)
 		r.jobs[uid] = &job{name: name, tasks: 3, done: map[int]bool{}}
@@ -35,7 +35,7 @@
 	r := newRules(1, 2)
 	r.jobs[uid] = &job{name: name, tasks: 1, done: map[int]bool{}}
 	start(r, 0, "a")
-	r.answer(uid, 200, wire.Done, now) // its end is told a little later
+	r.answer(uid, 200, protocol.Done, now) // its end is told a little later
 	r.event(&Event{At: 5, Task: task(0), Machine: "a", Done: true})
 	if r.known(11); r.breaks != 0 || r.used[0] != 0 {
 		t.Errorf("%v, %g used", r.broken, r.used[0])
@@ -45,7 +45,7 @@
 // TestJobName: what a job's id tells is read back.
 func TestJobName(t *testing.T) {
 	n := jobName{Number: 1234567, Team: 949, Run: 1500 * time.Millisecond}
-	if got, ok := parseJobName(n.String()); !ok || got != n || !wire.ValidUID(n.String()) {
+	if got, ok := parseJobName(n.String()); !ok || got != n || !protocol.ValidUID(n.String()) {
 		t.Errorf("%v: %+v %v", n, got, ok)
 	}
 	if _, ok := parseJobName("job-000412"); ok {
--- a/internal/scale/users.go
+++ b/internal/loadtest/users.go
@@ -1,4 +1,4 @@
-package scale
+package loadtest
 
 import (
 	"bytes"
@@ -10,8 +10,8 @@
 	"sync/atomic"
 	"time"
 
+	"topazhollow/internal/protocol"
 	"topazhollow/internal/wait"
-	"topazhollow/internal/wire"
 )
 
 // Times of the users' protocol.
@@ -56,14 +56,14 @@
 }
 
 // submission is a job as its user describes it.
-func (j *job) submission() *wire.Submission {
-	s := &wire.Submission{UID: j.name.String(), Class: usualClass, Team: teamName(j.name.Team), Kind: wire.Batch, Priority: "standard",
+func (j *job) submission() *protocol.Submission {
+	s := &protocol.Submission{UID: j.name.String(), Class: usualClass, Team: teamName(j.name.Team), Kind: protocol.Batch, Priority: "standard",
 		Tasks: j.tasks, CPUs: 1, Memory: 1, Image: "image", Spot: true, Estimate: j.name.Run.Seconds()}
 	if j.urgent {
 		s.Class, s.Priority = urgentClass, "prod"
 	}
 	if j.name.Run == 0 {
-		s.Kind = wire.Service
+		s.Kind = protocol.Service
 	}
 	return s
 }
@@ -122,7 +122,7 @@
 	}
 	for wait.For(ctx, pollEvery) {
 		u.polls.Add(1)
-		if _, state := u.ask(ctx, rng, http.MethodGet, wire.PathSubmit+"/"+j.name.String(), nil, pollTimeout); state == wire.Done {
+		if _, state := u.ask(ctx, rng, http.MethodGet, protocol.PathSubmit+"/"+j.name.String(), nil, pollTimeout); state == protocol.Done {
 			return
 		}
 	}
@@ -134,9 +134,9 @@
 	u.g.mu.Lock()
 	u.g.rules.jobs[j.name.String()] = j
 	u.g.mu.Unlock()
-	body := wire.Encode(j.submission())
+	body := protocol.Encode(j.submission())
 	for {
-		status, _ := u.ask(ctx, rng, http.MethodPost, wire.PathSubmit, body, sendTimeout)
+		status, _ := u.ask(ctx, rng, http.MethodPost, protocol.PathSubmit, body, sendTimeout)
 		if status == http.StatusOK || status == http.StatusCreated {
 			return true
 		}
@@ -161,7 +161,7 @@
 		return 0, ""
 	}
 	defer resp.Body.Close()
-	var s wire.Status
+	var s protocol.Status
 	if json.NewDecoder(resp.Body).Decode(&s) != nil {
 		return resp.StatusCode, ""
 	}
--- a/internal/peer/peer.go
+++ b/internal/peer/peer.go
@@ -16,7 +16,7 @@
 	"time"
 
 	"topazhollow/internal/httpx"
-	"topazhollow/internal/wire"
+	"topazhollow/internal/protocol"
 )
 
 // Limits of links, in bytes and connections.
@@ -98,7 +98,7 @@
 
 // Line is a message as SendLine takes it, to be encoded once for several peers.
 func Line(kind string, body any) []byte {
-	return append(wire.Encode(Envelope{Kind: kind, Body: wire.Encode(body)}), '\n')
+	return append(protocol.Encode(Envelope{Kind: kind, Body: protocol.Encode(body)}), '\n')
 }
 
 // SendLine is Send for a line made before.
@@ -163,7 +163,7 @@
 	defer stop()
 	hello := l.self
 	hello.Conn = number
-	if _, err := conn.Write(append(wire.Encode(hello), '\n')); err != nil {
+	if _, err := conn.Write(append(protocol.Encode(hello), '\n')); err != nil {
 		return err
 	}
 	s.mu.Lock()
@@ -246,7 +246,7 @@
 		return scan.Err()
 	}
 	var hello Hello
-	if err := wire.Decode(scan.Bytes(), &hello); err != nil || l.out[hello.Node] == nil {
+	if err := protocol.Decode(scan.Bytes(), &hello); err != nil || l.out[hello.Node] == nil {
 		return fmt.Errorf("no peer's hello: %.80q", scan.Bytes())
 	}
 	if !l.begin(hello) {
@@ -261,7 +261,7 @@
 			return errOlder
 		}
 		var e Envelope
-		if err := wire.Decode(scan.Bytes(), &e); err != nil {
+		if err := protocol.Decode(scan.Bytes(), &e); err != nil {
 			return fmt.Errorf("line is not JSON: %.80q", scan.Bytes())
 		}
 		l.handler.PeerMessage(hello.Node, hello.Incarnation, e.Kind, e.Body)
--- a/internal/wire/wire.go
+++ b/internal/protocol/protocol.go
@@ -1,6 +1,6 @@
-// Package wire holds the messages of the protocol. The deployment's own words
+// Package protocol holds the messages of the protocol. The deployment's own words
 // appear only here, in JSON tags and in the constants below.
-package wire
+package protocol
 
 import (
 	"bytes"
--- a/internal/wire/wire_test.go
+++ b/internal/protocol/protocol_test.go
@@ -1,4 +1,4 @@
-package wire
+package protocol
 
 import (
 	"errors"
--- a/internal/provisioning/decide.go
+++ b/internal/provisioning/decide.go
@@ -3,8 +3,8 @@
 import (
 	"time"
 
-	"topazhollow/internal/fleet"
-	"topazhollow/internal/wire"
+	"topazhollow/internal/autoscaler"
+	"topazhollow/internal/protocol"
 )
 
 // maxReturns is how many machines one request returns at most.
@@ -12,10 +12,10 @@
 
 // Inputs are what a decision rests on.
 type Inputs struct {
-	Types    []wire.MachineType
-	Machines []fleet.Machine
-	Demands  []fleet.Demand // most urgent first
-	Inflow   fleet.Inflow
+	Types    []protocol.MachineType
+	Machines []autoscaler.Machine
+	Demands  []autoscaler.Demand // most urgent first
+	Inflow   autoscaler.Inflow
 	// Settled is when the members last changed: silence of machines counts only from then.
 	Settled time.Time
 	// TakenOver says that there was an owner before, whose last machines the cloud's list may
@@ -27,7 +27,7 @@
 
 // Actions are what is to be done now.
 type Actions struct {
-	Rent    []wire.Rent     // requests to send, most urgent first
+	Rent    []protocol.Rent // requests to send, most urgent first
 	Return  []string        // machines to return; ReturnConfirmed or ReturnFailed follows
 	Drain   map[string]bool // machines that get no tasks from now on
 	Late    []string        // places where no machine comes up in time
--- a/internal/provisioning/machines.go
+++ b/internal/provisioning/machines.go
@@ -6,7 +6,7 @@
 	"slices"
 	"time"
 
-	"topazhollow/internal/fleet"
+	"topazhollow/internal/autoscaler"
 	"topazhollow/internal/settings"
 )
 
@@ -14,7 +14,7 @@
 type Observation struct {
 	// Machine holds all that reports and the state service tell. Type, zone and kind count
 	// only if Reported is set.
-	Machine  fleet.Machine
+	Machine  autoscaler.Machine
 	Reported bool // the machine's home has a report of it
 }
 
@@ -39,9 +39,9 @@
 }
 
 // Describe joins what the controllers know of machines with what the cloud says.
-func (a *Account) Describe(observations []Observation, now time.Time) []fleet.Machine {
+func (a *Account) Describe(observations []Observation, now time.Time) []autoscaler.Machine {
 	newest := a.newestListed()
-	machines := make([]fleet.Machine, 0, len(observations))
+	machines := make([]autoscaler.Machine, 0, len(observations))
 	for i := range observations {
 		machines = append(machines, a.describe(&observations[i], newest, now))
 	}
@@ -49,7 +49,7 @@
 }
 
 // describe joins what is known of one machine.
-func (a *Account) describe(observed *Observation, newestListed string, now time.Time) fleet.Machine {
+func (a *Account) describe(observed *Observation, newestListed string, now time.Time) autoscaler.Machine {
 	machine := observed.Machine
 	machine.Since = a.since(machine.Name, now)
 	host, listed := a.listed[machine.Name]
--- a/internal/provisioning/provisioning.go
+++ b/internal/provisioning/provisioning.go
@@ -8,8 +8,8 @@
 import (
 	"time"
 
-	"topazhollow/internal/fleet"
-	"topazhollow/internal/wire"
+	"topazhollow/internal/autoscaler"
+	"topazhollow/internal/protocol"
 )
 
 // minListInterval is the least time between two reads of the cloud's list.
@@ -20,32 +20,32 @@
 	Since   uint64        // term in which the controller became the fleet's owner
 	Prefix  string        // of the names of rental requests; no other owner uses it
 	ListLag time.Duration // how old the cloud's list may be
-	Fleet   fleet.Options
+	Fleet   autoscaler.Options
 }
 
 // Account is what the fleet's owner knows of the cloud's machines, from when it became the
 // owner.
 type Account struct {
 	options   Options
-	fleet     *fleet.Fleet
+	fleet     *autoscaler.Fleet
 	began     time.Time
-	listed    map[string]wire.Host // the cloud's list as last read
-	firstSeen map[string]time.Time // when a machine was rented, or became known
-	rented    map[string]wire.Rent // by machine, the request that it was rented by
-	returning map[string]bool      // machines whose return is under way
-	listRead  time.Time            // when the list was last read; zero before the first time
-	reading   bool                 // a read of the list is under way
+	listed    map[string]protocol.Host // the cloud's list as last read
+	firstSeen map[string]time.Time     // when a machine was rented, or became known
+	rented    map[string]protocol.Rent // by machine, the request that it was rented by
+	returning map[string]bool          // machines whose return is under way
+	listRead  time.Time                // when the list was last read; zero before the first time
+	reading   bool                     // a read of the list is under way
 }
 
 // New begins the account of an owner that starts now.
 func New(options Options, now time.Time) *Account {
 	return &Account{
 		options:   options,
-		fleet:     fleet.New(options.Prefix, options.Fleet),
+		fleet:     autoscaler.New(options.Prefix, options.Fleet),
 		began:     now,
-		listed:    map[string]wire.Host{},
+		listed:    map[string]protocol.Host{},
 		firstSeen: map[string]time.Time{},
-		rented:    map[string]wire.Rent{},
+		rented:    map[string]protocol.Rent{},
 		returning: map[string]bool{},
 	}
 }
@@ -57,7 +57,7 @@
 func (a *Account) Ready() bool { return !a.listRead.IsZero() }
 
 // Hosts is the cloud's list as last read, by machine. The caller does not change it.
-func (a *Account) Hosts() map[string]wire.Host { return a.listed }
+func (a *Account) Hosts() map[string]protocol.Host { return a.listed }
 
 // BeginListing says whether the cloud's list is to be read now, about twice in its lag, and
 // books that the read has begun. ListingRead or ListingFailed ends it.
@@ -72,10 +72,10 @@
 
 // ListingRead takes in the cloud's list, without machines that are known to be gone: an old
 // list may still name them.
-func (a *Account) ListingRead(hosts []wire.Host, gone func(machine string) bool, now time.Time) {
+func (a *Account) ListingRead(hosts []protocol.Host, gone func(machine string) bool, now time.Time) {
 	a.reading = false
 	a.listRead = now
-	a.listed = map[string]wire.Host{}
+	a.listed = map[string]protocol.Host{}
 	for _, host := range hosts {
 		if !gone(host.UID) {
 			a.listed[host.UID] = host
@@ -88,7 +88,7 @@
 
 // Dropped says whether a rental request that waits for its turn is pointless, as its place
 // refused another one meanwhile. Such a request is booked as answered with no machine.
-func (a *Account) Dropped(request wire.Rent, now time.Time) bool {
+func (a *Account) Dropped(request protocol.Rent, now time.Time) bool {
 	if !a.fleet.Moot(request, now) {
 		return false
 	}
@@ -98,7 +98,7 @@
 
 // RentAnswered books the machines that a rental request brought. Certain says that the cloud
 // gave no more because it has no more, not that the request failed.
-func (a *Account) RentAnswered(request wire.Rent, machines []string, certain bool, now time.Time) {
+func (a *Account) RentAnswered(request protocol.Rent, machines []string, certain bool, now time.Time) {
 	for _, machine := range machines {
 		a.rented[machine] = request
 		a.firstSeen[machine] = now
--- a/internal/provisioning/provisioning_test.go
+++ b/internal/provisioning/provisioning_test.go
@@ -6,21 +6,21 @@
 	"testing"
 	"time"
 
-	"topazhollow/internal/fleet"
-	"topazhollow/internal/wire"
+	"topazhollow/internal/autoscaler"
+	"topazhollow/internal/protocol"
 )
 
-var types = []wire.MachineType{{Name: "m", CPUs: 16, Memory: 64, Price: 1, SpotPrice: 0.5, Zones: []string{"a"}, Boot: 10}}
+var types = []protocol.MachineType{{Name: "m", CPUs: 16, Memory: 64, Price: 1, SpotPrice: 0.5, Zones: []string{"a"}, Boot: 10}}
 
 func newAccount(now time.Time) *Account {
-	return New(Options{Since: 3, Prefix: "p", ListLag: 8 * time.Second, Fleet: fleet.Options{SpotShare: 1, Silent: time.Minute, Haste: 2}}, now)
+	return New(Options{Since: 3, Prefix: "p", ListLag: 8 * time.Second, Fleet: autoscaler.Options{SpotShare: 1, Silent: time.Minute, Haste: 2}}, now)
 }
 
 func nobodyGone(string) bool { return false }
 
-func demand(now time.Time) []fleet.Demand {
-	spec := &wire.Submission{UID: "job-000001", Kind: wire.Batch, Tasks: 4, CPUs: 16, Memory: 4, Estimate: 60, Spot: true}
-	return []fleet.Demand{{Spec: spec, Count: 4, Due: now}}
+func demand(now time.Time) []autoscaler.Demand {
+	spec := &protocol.Submission{UID: "job-000001", Kind: protocol.Batch, Tasks: 4, CPUs: 16, Memory: 4, Estimate: 60, Spot: true}
+	return []autoscaler.Demand{{Spec: spec, Count: 4, Due: now}}
 }
 
 // TestListIsPaced: one read at a time, half a lag after the one before, and at once after one
@@ -35,7 +35,7 @@
 	if a.Ready() || !a.BeginListing(now) {
 		t.Fatal("no read after one that failed")
 	}
-	a.ListingRead([]wire.Host{{UID: "m-1"}, {UID: "m-2"}}, func(name string) bool { return name == "m-1" }, now)
+	a.ListingRead([]protocol.Host{{UID: "m-1"}, {UID: "m-2"}}, func(name string) bool { return name == "m-1" }, now)
 	if _, gone := a.Hosts()["m-1"]; gone || len(a.Hosts()) != 1 || !a.Ready() {
 		t.Fatalf("listed: %v", a.Hosts())
 	}
@@ -50,12 +50,12 @@
 	now := time.Unix(1000, 0)
 	a := newAccount(now)
 	a.BeginListing(now)
-	a.ListingRead([]wire.Host{{UID: "m-1", Type: "m", Zone: "a", State: wire.HostFailed}}, nobodyGone, now)
+	a.ListingRead([]protocol.Host{{UID: "m-1", Type: "m", Zone: "a", State: protocol.HostFailed}}, nobodyGone, now)
 	var draining map[string]bool
 	decide := func() []string {
 		var observations []Observation
 		for _, name := range a.Candidates(maps.Keys(map[string]bool{})) {
-			observations = append(observations, Observation{Machine: fleet.Machine{Name: name}})
+			observations = append(observations, Observation{Machine: autoscaler.Machine{Name: name}})
 		}
 		actions := a.Decide(&Inputs{Types: types, Machines: a.Describe(observations, now), Draining: draining}, now)
 		draining = actions.Drain
@@ -95,7 +95,7 @@
 		t.Fatalf("rents %v", requests)
 	}
 	a.RentAnswered(requests[0], []string{"m-1", "m-2"}, true, later)
-	machines := a.Describe([]Observation{{Machine: fleet.Machine{Name: "m-1"}}}, later.Add(time.Minute))
+	machines := a.Describe([]Observation{{Machine: autoscaler.Machine{Name: "m-1"}}}, later.Add(time.Minute))
 	if m := machines[0]; m.Type != "m" || m.Zone != "a" || !m.Spot || !m.Since.Equal(later) {
 		t.Errorf("rented: %+v", m)
 	}
--- a/internal/blame/blame.go
+++ b/internal/quarantine/quarantine.go
@@ -1,8 +1,8 @@
-// Package blame judges failed tasks: whether the job or the machine is at fault.
+// Package quarantine judges failed tasks: whether the job or the machine is at fault.
 // Each speaks against the other only so far: a job that fails on several machines
 // and succeeds on none is held to be faulty, and a machine where several jobs fail
 // that succeed elsewhere is held to be bad. It does no I/O and reads no clock.
-package blame
+package quarantine
 
 import (
 	"maps"
--- a/internal/blame/blame_test.go
+++ b/internal/quarantine/quarantine_test.go
@@ -1,4 +1,4 @@
-package blame
+package quarantine
 
 import (
 	"fmt"
--- a/internal/reapi/reapi.go
+++ b/internal/reapi/reapi.go
@@ -21,8 +21,8 @@
 	"google.golang.org/grpc/status"
 	"google.golang.org/protobuf/types/known/durationpb"
 
+	"topazhollow/internal/artifactstore"
 	"topazhollow/internal/blob"
-	"topazhollow/internal/keeper"
 	"topazhollow/internal/wal"
 )
 
@@ -81,11 +81,11 @@
 	if v := md.Get("authorization"); len(v) == 1 {
 		token, _ = strings.CutPrefix(v[0], "Bearer ")
 	}
-	g, err := keeper.ParseToken(s.Key, token, s.Now())
+	g, err := artifactstore.ParseToken(s.Key, token, s.Now())
 	if err != nil {
 		return nil, status.Error(codes.Unauthenticated, err.Error())
 	}
-	if g.Right != keeper.Build || g.Job != name {
+	if g.Right != artifactstore.Build || g.Job != name {
 		return nil, status.Errorf(codes.PermissionDenied, "the token is not for instance %.64q", name)
 	}
 	for i := range s.Instances {
--- a/internal/reapi/reapi_test.go
+++ b/internal/reapi/reapi_test.go
@@ -24,8 +24,8 @@
 	"google.golang.org/grpc/status"
 	"google.golang.org/protobuf/proto"
 
+	"topazhollow/internal/artifactstore"
 	"topazhollow/internal/blob"
-	"topazhollow/internal/keeper"
 )
 
 var key = []byte("0123456789abcdef")
@@ -44,7 +44,7 @@
 }
 
 func as(instance string) context.Context {
-	g := keeper.Grant{Right: keeper.Build, Job: instance, Until: time.Now().Add(time.Hour)}
+	g := artifactstore.Grant{Right: artifactstore.Build, Job: instance, Until: time.Now().Add(time.Hour)}
 	return metadata.AppendToOutgoingContext(context.Background(), "authorization", "Bearer "+g.Token(key))
 }
 
@@ -242,7 +242,7 @@
 	wants(t, "no such instance", err, codes.NotFound)
 	_, err = x.cas.FindMissingBlobs(context.Background(), &re.FindMissingBlobsRequest{InstanceName: "main"})
 	wants(t, "no token", err, codes.Unauthenticated)
-	read := keeper.Grant{Right: keeper.Read, Job: "main", Until: time.Now().Add(time.Hour)}.Token(key)
+	read := artifactstore.Grant{Right: artifactstore.Read, Job: "main", Until: time.Now().Add(time.Hour)}.Token(key)
 	_, err = x.caps.GetCapabilities(metadata.AppendToOutgoingContext(context.Background(), "authorization", "Bearer "+read), &re.GetCapabilitiesRequest{InstanceName: "main"})
 	wants(t, "a token for something else", err, codes.PermissionDenied)
 	c, err := x.caps.GetCapabilities(x.ctx, &re.GetCapabilitiesRequest{InstanceName: "main"})
--- a/internal/rehearse/check.go
+++ b/internal/simulation/check.go
@@ -1,11 +1,11 @@
-package rehearse
+package simulation
 
 import (
 	"fmt"
 	"sync"
 	"time"
 
-	"topazhollow/internal/wire"
+	"topazhollow/internal/protocol"
 )
 
 // Checker follows what happens and notes every broken rule of the protocol.
@@ -28,7 +28,7 @@
 }
 
 type truth struct {
-	spec      *wire.Submission
+	spec      *protocol.Submission
 	accepted  bool
 	final     string // as a user was told
 	told      time.Time
@@ -51,7 +51,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for task, at := range c.on {
-		uid, _, _ := wire.SplitTask(task)
+		uid, _, _ := protocol.SplitTask(task)
 		if t := c.jobs[uid]; t != nil && c.late(t) && !t.overdue {
 			t.overdue = true
 			c.fault("ran_cancelled", "%s is on %s", task, at.machine)
@@ -62,11 +62,11 @@
 
 // late says whether a job was withdrawn so long ago that no task of it may be on a machine.
 func (c *Checker) late(t *truth) bool {
-	return c.Cancel > 0 && t.final == wire.Withdrawn && time.Since(t.told) > c.Cancel
+	return c.Cancel > 0 && t.final == protocol.Withdrawn && time.Since(t.told) > c.Cancel
 }
 
 // Submitting notes that a user is about to submit a job.
-func (c *Checker) Submitting(spec *wire.Submission) {
+func (c *Checker) Submitting(spec *protocol.Submission) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.jobs[spec.UID] == nil {
@@ -75,7 +75,7 @@
 }
 
 // Spec finds a submitted job, as workers do.
-func (c *Checker) Spec(uid string) *wire.Submission {
+func (c *Checker) Spec(uid string) *protocol.Submission {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if t := c.jobs[uid]; t != nil {
@@ -121,7 +121,7 @@
 }
 
 func (c *Checker) answered(uid string, before Known, status int, state string, repeat bool) {
-	final := state == wire.Done || state == wire.Withdrawn
+	final := state == protocol.Done || state == protocol.Withdrawn
 	t := c.jobs[uid]
 	switch {
 	case t == nil && status == 200:
@@ -136,7 +136,7 @@
 		if before.final != "" && state != before.final || final && t.final != "" && state != t.final {
 			c.fault("went_back", "%s: %s after %s", uid, state, t.final)
 		}
-		if state == wire.Withdrawn && !t.withdrawn {
+		if state == protocol.Withdrawn && !t.withdrawn {
 			c.fault("went_back", "%s withdrawn, but not by its user", uid)
 		}
 		if final {
@@ -145,7 +145,7 @@
 			}
 			t.final = state
 		}
-		if state == wire.Done && len(t.done) < t.spec.Tasks {
+		if state == protocol.Done && len(t.done) < t.spec.Tasks {
 			c.fault("not_done", "%s: %d of %d tasks", uid, len(t.done), t.spec.Tasks)
 		}
 	}
@@ -165,7 +165,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.Started++
-	uid, _, _ := wire.SplitTask(task)
+	uid, _, _ := protocol.SplitTask(task)
 	t := c.jobs[uid]
 	if other, there := c.on[task]; there {
 		c.fault("ran_twice", "%s on %s and %s", task, other.machine, machine)
@@ -184,7 +184,7 @@
 	c.checkZones(t.spec, zone)
 	used := 0.0
 	for other := range c.on {
-		u, _, _ := wire.SplitTask(other)
+		u, _, _ := protocol.SplitTask(other)
 		if o := c.jobs[u]; o != nil && o.spec.Team == t.spec.Team {
 			used += o.spec.CPUs
 		}
@@ -195,10 +195,10 @@
 }
 
 // checkZones checks a job's tasks on machines against its wishes for zones, after one started in a zone.
-func (c *Checker) checkZones(spec *wire.Submission, zone string) {
+func (c *Checker) checkZones(spec *protocol.Submission, zone string) {
 	zones := map[string]int{}
 	for task, at := range c.on {
-		if uid, _, _ := wire.SplitTask(task); uid == spec.UID {
+		if uid, _, _ := protocol.SplitTask(task); uid == spec.UID {
 			zones[at.zone]++
 		}
 	}
@@ -224,7 +224,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	delete(c.on, task)
-	uid, index, _ := wire.SplitTask(task)
+	uid, index, _ := protocol.SplitTask(task)
 	if t := c.jobs[uid]; t != nil && done {
 		t.done[index] = true
 	}
@@ -242,7 +242,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for task := range c.on {
-		if job, _, _ := wire.SplitTask(task); job == uid {
+		if job, _, _ := protocol.SplitTask(task); job == uid {
 			count++
 		}
 	}
@@ -262,7 +262,7 @@
 	defer c.mu.Unlock()
 	sum := map[string]float64{}
 	for task := range c.on {
-		uid, _, _ := wire.SplitTask(task)
+		uid, _, _ := protocol.SplitTask(task)
 		if t := c.jobs[uid]; t != nil {
 			sum[t.spec.Class] += t.spec.CPUs
 		}
--- a/internal/rehearse/check_test.go
+++ b/internal/simulation/check_test.go
@@ -1,22 +1,22 @@
-package rehearse
+package simulation
 
 import (
 	"strings"
 	"testing"
 	"time"
 
-	"topazhollow/internal/wire"
+	"topazhollow/internal/protocol"
 )
 
 // TestCheckerCatches shows that the checker fails on a break of each rule, so
 // that a run without findings means something.
 func TestCheckerCatches(t *testing.T) {
 	zone := "east"
-	spec := &wire.Submission{UID: "job-1", Team: "red", Tasks: 3, CPUs: 4, Zone: &zone}
+	spec := &protocol.Submission{UID: "job-1", Team: "red", Tasks: 3, CPUs: 4, Zone: &zone}
 	withdrawn := func(c *Checker) {
 		c.Cancel = time.Nanosecond
 		c.Withdrawing("job-1")
-		c.Told("job-1", 200, wire.Withdrawn, false)
+		c.Told("job-1", 200, protocol.Withdrawn, false)
 		time.Sleep(time.Microsecond)
 	}
 	for rule, breaks := range map[string]func(c *Checker){
@@ -31,33 +31,33 @@
 		},
 		"wrong_place": func(c *Checker) { c.Start("job-1/0", "m1", "t", "west", false) },
 		"wrong_place: two zones": func(c *Checker) {
-			together := &wire.Submission{UID: "job-2", Team: "red", Tasks: 3, CPUs: 1, OneZone: true}
+			together := &protocol.Submission{UID: "job-2", Team: "red", Tasks: 3, CPUs: 1, OneZone: true}
 			c.Submitting(together)
 			c.Start("job-2/0", "m1", "t", "east", false)
 			c.Start("job-2/1", "m2", "t", "west", false)
 		},
 		"wrong_place: not apart": func(c *Checker) {
-			apart := &wire.Submission{UID: "job-2", Team: "red", Tasks: 3, CPUs: 1, Spread: true}
+			apart := &protocol.Submission{UID: "job-2", Team: "red", Tasks: 3, CPUs: 1, Spread: true}
 			c.Submitting(apart)
 			for i, machine := range []string{"m1", "m1", "m2"} {
-				c.Start(wire.TaskName("job-2", i), machine, "t", "east", false)
+				c.Start(protocol.TaskName("job-2", i), machine, "t", "east", false)
 			}
 		},
 		"went_back: both final": func(c *Checker) {
 			c.Withdrawing("job-1")
 			before := c.Asking("job-1")
 			for i := range 3 {
-				c.End(wire.TaskName("job-1", i), true)
+				c.End(protocol.TaskName("job-1", i), true)
 			}
-			c.Answered("job-1", before, 200, wire.Withdrawn, false)
-			c.Answered("job-1", before, 200, wire.Done, false)
+			c.Answered("job-1", before, 200, protocol.Withdrawn, false)
+			c.Answered("job-1", before, 200, protocol.Done, false)
 		},
 		"ran_cancelled":        func(c *Checker) { withdrawn(c); c.Start("job-1/0", "m1", "t", "east", false) },
 		"ran_cancelled: stays": func(c *Checker) { c.Start("job-1/0", "m1", "t", "east", false); withdrawn(c) },
-		"forgotten":            func(c *Checker) { c.Told("job-1", 201, wire.Pending, false); c.Told("job-1", 404, "", false) },
-		"invented":             func(c *Checker) { c.Told("job-2", 200, wire.Pending, false) },
-		"not_done":             func(c *Checker) { c.Told("job-1", 200, wire.Done, false) },
-		"went_back":            func(c *Checker) { c.Told("job-1", 200, wire.Withdrawn, false) },
+		"forgotten":            func(c *Checker) { c.Told("job-1", 201, protocol.Pending, false); c.Told("job-1", 404, "", false) },
+		"invented":             func(c *Checker) { c.Told("job-2", 200, protocol.Pending, false) },
+		"not_done":             func(c *Checker) { c.Told("job-1", 200, protocol.Done, false) },
+		"went_back":            func(c *Checker) { c.Told("job-1", 200, protocol.Withdrawn, false) },
 	} {
 		c := NewChecker(map[string]float64{"red": 8})
 		c.Submitting(spec)
--- a/internal/rehearse/cloud.go
+++ b/internal/simulation/cloud.go
@@ -1,4 +1,4 @@
-package rehearse
+package simulation
 
 import (
 	"fmt"
@@ -8,13 +8,13 @@
 	"sync"
 	"time"
 
-	"topazhollow/internal/wire"
+	"topazhollow/internal/protocol"
 )
 
 // Cloud is a stand-in for the cloud; its machines run stand-in workers.
 type Cloud struct {
 	mu       sync.Mutex
-	types    []wire.MachineType
+	types    []protocol.MachineType
 	hosts    map[string]*rented
 	asked    map[string][]string
 	next     int
@@ -26,16 +26,16 @@
 }
 
 type rented struct {
-	host   wire.Host
+	host   protocol.Host
 	since  time.Time
 	worker *Worker
 }
 
 // NewCloud starts the stand-in with some types and room for so many machines.
-func NewCloud(types []wire.MachineType, capacity int, boot func(name, typ, zone string, spot bool) (*Worker, error)) (*Cloud, error) {
+func NewCloud(types []protocol.MachineType, capacity int, boot func(name, typ, zone string, spot bool) (*Worker, error)) (*Cloud, error) {
 	c := &Cloud{types: types, capacity: capacity, boot: boot, hosts: map[string]*rented{}, asked: map[string][]string{}}
 	mux := http.NewServeMux()
-	mux.HandleFunc("GET /catalog", func(w http.ResponseWriter, _ *http.Request) { reply(w, 200, wire.Catalog{Types: c.types}) })
+	mux.HandleFunc("GET /catalog", func(w http.ResponseWriter, _ *http.Request) { reply(w, 200, protocol.Catalog{Types: c.types}) })
 	mux.HandleFunc("POST /hosts", c.rent)
 	mux.HandleFunc("POST /hosts/return", c.giveBack)
 	mux.HandleFunc("GET /hosts", c.list)
@@ -96,9 +96,9 @@
 }
 
 func (c *Cloud) rent(w http.ResponseWriter, r *http.Request) {
-	var req wire.Rent
+	var req protocol.Rent
 	if !read(r, &req) || req.Count < 1 || req.Count > 50 || req.Request == "" {
-		reply(w, 400, wire.Error{Error: "malformed"})
+		reply(w, 400, protocol.Error{Error: "malformed"})
 		return
 	}
 	c.mu.Lock()
@@ -107,17 +107,17 @@
 	for !again && len(names) < req.Count && len(c.hosts) < c.capacity {
 		c.next++
 		name := fmt.Sprintf("n-%06d", c.next)
-		h := &rented{host: wire.Host{UID: name, Type: req.Type, Zone: req.Zone, Spot: req.Spot, State: wire.HostBooting}, since: time.Now()}
+		h := &rented{host: protocol.Host{UID: name, Type: req.Type, Zone: req.Zone, Spot: req.Spot, State: protocol.HostBooting}, since: time.Now()}
 		c.hosts[name] = h
 		names = append(names, name)
 		time.AfterFunc(100*time.Millisecond, func() { c.up(name) })
 	}
 	if len(names) == 0 {
-		reply(w, 503, wire.Error{Error: "no capacity"})
+		reply(w, 503, protocol.Error{Error: "no capacity"})
 		return
 	}
 	c.asked[req.Request] = names
-	reply(w, 200, wire.Names{Machines: names})
+	reply(w, 200, protocol.Names{Machines: names})
 }
 
 func (c *Cloud) up(name string) {
@@ -129,16 +129,16 @@
 	}
 	worker, err := c.boot(name, h.host.Type, h.host.Zone, h.host.Spot)
 	if err != nil {
-		h.host.State = wire.HostFailed
+		h.host.State = protocol.HostFailed
 		return
 	}
-	h.worker, h.host.State, h.host.Addr = worker, wire.HostRunning, worker.Addr()
+	h.worker, h.host.State, h.host.Addr = worker, protocol.HostRunning, worker.Addr()
 }
 
 func (c *Cloud) giveBack(w http.ResponseWriter, r *http.Request) {
-	var names wire.Names
+	var names protocol.Names
 	if !read(r, &names) || len(names.Machines) > 100 {
-		reply(w, 400, wire.Error{Error: "malformed"})
+		reply(w, 400, protocol.Error{Error: "malformed"})
 		return
 	}
 	c.mu.Lock()
@@ -158,7 +158,7 @@
 	after := r.URL.Query().Get("after")
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	page := wire.HostList{Hosts: []wire.Host{}}
+	page := protocol.HostList{Hosts: []protocol.Host{}}
 	for name, h := range c.hosts {
 		if name > after {
 			x := h.host
--- a/internal/rehearse/door.go
+++ b/internal/simulation/door.go
@@ -1,4 +1,4 @@
-package rehearse
+package simulation
 
 import (
 	"bytes"
@@ -9,7 +9,7 @@
 	"slices"
 	"time"
 
-	"topazhollow/internal/wire"
+	"topazhollow/internal/protocol"
 )
 
 // Door is an address of the stand-in of its own, as for one controller that the service
@@ -22,9 +22,9 @@
 	applied int                  // transactions that were carried out late
 	met     int                  // late ones whose guards did not hold any more
 
-	slow       time.Duration          // that answers take longer
-	unanswered func(t *wire.Txn) bool // picks transactions whose answer is lost
-	lost       []wire.Txn             // that changed something, and whose answer was lost
+	slow       time.Duration              // that answers take longer
+	unanswered func(t *protocol.Txn) bool // picks transactions whose answer is lost
+	lost       []protocol.Txn             // that changed something, and whose answer was lost
 }
 
 type doorKey struct{}
@@ -52,10 +52,10 @@
 		s.mu.Unlock()
 		switch {
 		case out:
-			reply(w, 503, wire.Error{Error: "trouble"})
+			reply(w, 503, protocol.Error{Error: "trouble"})
 			return
 		case over:
-			reply(w, 429, wire.Error{Error: "too many requests"})
+			reply(w, 429, protocol.Error{Error: "too many requests"})
 			return
 		}
 		d.serve(w, r.WithContext(context.WithValue(r.Context(), doorKey{}, d)))
@@ -124,14 +124,14 @@
 }
 
 // Unanswered has the transactions that a function picks carried out at once, but their answers lost; nil: none.
-func (d *Door) Unanswered(pick func(t *wire.Txn) bool) {
+func (d *Door) Unanswered(pick func(t *protocol.Txn) bool) {
 	d.s.mu.Lock()
 	defer d.s.mu.Unlock()
 	d.unanswered = pick
 }
 
 // Lost lists the transactions that changed something, and whose answer was lost.
-func (d *Door) Lost() []wire.Txn {
+func (d *Door) Lost() []protocol.Txn {
 	d.s.mu.Lock()
 	defer d.s.mu.Unlock()
 	return slices.Clone(d.lost)
@@ -148,7 +148,7 @@
 }
 
 // carryLate carries a transaction out that was held up.
-func (d *Door) carryLate(t *wire.Txn) {
+func (d *Door) carryLate(t *protocol.Txn) {
 	d.s.mu.Lock()
 	defer d.s.mu.Unlock()
 	switch status, _ := d.s.apply(t); {
@@ -160,7 +160,7 @@
 }
 
 // carry carries a transaction out and says whether its answer is lost.
-func (d *Door) carry(t *wire.Txn) (status int, answer any, lost bool) {
+func (d *Door) carry(t *protocol.Txn) (status int, answer any, lost bool) {
 	d.s.mu.Lock()
 	defer d.s.mu.Unlock()
 	lost = d.unanswered != nil && d.unanswered(t)
--- a/internal/rehearse/faults_test.go
+++ b/internal/simulation/faults_test.go
@@ -1,4 +1,4 @@
-package rehearse
+package simulation
 
 import (
 	"bytes"
@@ -8,7 +8,7 @@
 	"testing"
 	"time"
 
-	"topazhollow/internal/wire"
+	"topazhollow/internal/protocol"
 )
 
 // bench is one stand-in worker below a controller that only answers with a token.
@@ -16,16 +16,16 @@
 	t       *testing.T
 	w       *Worker
 	check   *Checker
-	reports chan wire.Report
+	reports chan protocol.Report
 }
 
 func newBench(t *testing.T, lease time.Duration) *bench {
-	b := &bench{t: t, check: NewChecker(map[string]float64{"red": 4}), reports: make(chan wire.Report, 1000)}
+	b := &bench{t: t, check: NewChecker(map[string]float64{"red": 4}), reports: make(chan protocol.Report, 1000)}
 	controller := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		var report wire.Report
+		var report protocol.Report
 		read(r, &report)
 		b.reports <- report
-		reply(w, 200, wire.ReportAnswer{Token: 1})
+		reply(w, 200, protocol.ReportAnswer{Token: 1})
 	}))
 	per := Periods{Report: 20 * time.Millisecond, Lease: lease, Run: func(string) time.Duration { return time.Hour }}
 	addr := controller.Listener.Addr().String()
@@ -35,7 +35,7 @@
 	}
 	b.w = w
 	t.Cleanup(func() { w.End(); controller.Close() })
-	b.check.Submitting(&wire.Submission{UID: "job-1", Team: "red", Kind: wire.Batch, Tasks: 2, CPUs: 4, Checkpoint: 1, Save: 0.2})
+	b.check.Submitting(&protocol.Submission{UID: "job-1", Team: "red", Kind: protocol.Batch, Tasks: 2, CPUs: 4, Checkpoint: 1, Save: 0.2})
 	return b
 }
 
@@ -44,10 +44,10 @@
 	b.w.mu.Lock()
 	session := b.w.session
 	b.w.mu.Unlock()
-	d := wire.Direct{Token: 1, Session: session, Commands: []wire.Command{{Op: op, Task: wire.TaskName("job-1", index), Attempt: 1, Grace: &grace}}}
+	d := protocol.Direct{Token: 1, Session: session, Commands: []protocol.Command{{Op: op, Task: protocol.TaskName("job-1", index), Attempt: 1, Grace: &grace}}}
 	ctx, cancel := context.WithTimeout(b.t.Context(), 50*time.Millisecond)
 	defer cancel()
-	req, err := http.NewRequestWithContext(ctx, "POST", "http://"+b.w.Addr()+wire.PathDo, bytes.NewReader(wire.Encode(d)))
+	req, err := http.NewRequestWithContext(ctx, "POST", "http://"+b.w.Addr()+protocol.PathDo, bytes.NewReader(protocol.Encode(d)))
 	if err != nil {
 		b.t.Fatal(err)
 	}
@@ -71,8 +71,8 @@
 // TestSlowCommandsAreExecutedOnce: a command that is held up gets no answer and is executed later.
 func TestSlowCommandsAreExecutedOnce(t *testing.T) {
 	b := newBench(t, time.Hour)
-	b.w.SlowCommands(func(*wire.Direct) time.Duration { return 200 * time.Millisecond })
-	if b.command(wire.Start, 0, 0) || b.check.On() != 0 {
+	b.w.SlowCommands(func(*protocol.Direct) time.Duration { return 200 * time.Millisecond })
+	if b.command(protocol.Start, 0, 0) || b.check.On() != 0 {
 		t.Fatal("a command that is held up was answered or executed at once")
 	}
 	b.until("executed", func() bool { return b.check.On() == 1 })
@@ -89,7 +89,7 @@
 			b := newBench(t, lease)
 			b.until("reported", func() bool { return len(b.reports) > 2 })
 			b.w.Hang(true)
-			if b.command(wire.Start, 0, 0) {
+			if b.command(protocol.Start, 0, 0) {
 				t.Fatal("a machine that hangs answers")
 			}
 			if lease < time.Hour {
@@ -109,24 +109,24 @@
 	b := newBench(t, 300*time.Millisecond)
 	b.until("reported", func() bool { return len(b.reports) > 2 })
 	b.w.Mute(true)
-	b.until("it obeys", func() bool { return b.command(wire.Start, 0, 0) && b.check.Starts() > 0 })
+	b.until("it obeys", func() bool { return b.command(protocol.Start, 0, 0) && b.check.Starts() > 0 })
 	b.until("its lease ends", func() bool { return b.check.On() == 0 })
 }
 
 // TestSavingTaskCounts: a task that saves is on its machine and counts for its team until it has saved.
 func TestSavingTaskCounts(t *testing.T) {
 	b := newBench(t, time.Hour)
-	b.command(wire.Start, 0, 0)
-	b.command(wire.Stop, 0, 5)
+	b.command(protocol.Start, 0, 0)
+	b.command(protocol.Stop, 0, 5)
 	if b.check.On() != 1 {
 		t.Fatal("a task that can save and may is gone at once")
 	}
-	b.command(wire.Start, 1, 0)
+	b.command(protocol.Start, 1, 0)
 	if rules := b.check.Rules(); len(rules) != 1 {
 		t.Errorf("a start beside a task that saves is beyond the limit: %v", rules)
 	}
 	b.until("saved", func() bool { return b.check.On() == 1 })
-	b.command(wire.Stop, 1, 0)
+	b.command(protocol.Stop, 1, 0)
 	if b.check.On() != 0 {
 		t.Error("a stop without grace does not end a task at once")
 	}
@@ -156,12 +156,12 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	d.Unanswered(func(txn *wire.Txn) bool { return txn.Then[0].Set == "a" })
+	d.Unanswered(func(txn *protocol.Txn) bool { return txn.Then[0].Set == "a" })
 	send := func(key string) bool {
 		ctx, cancel := context.WithTimeout(t.Context(), 100*time.Millisecond)
 		defer cancel()
-		txn := wire.Txn{Then: []wire.Op{{Set: key, Value: []byte("1")}}}
-		req, _ := http.NewRequestWithContext(ctx, "POST", "http://"+d.Addr()+"/txn", bytes.NewReader(wire.Encode(txn)))
+		txn := protocol.Txn{Then: []protocol.Op{{Set: key, Value: []byte("1")}}}
+		req, _ := http.NewRequestWithContext(ctx, "POST", "http://"+d.Addr()+"/txn", bytes.NewReader(protocol.Encode(txn)))
 		resp, err := http.DefaultClient.Do(req)
 		if err == nil {
 			resp.Body.Close()
--- a/internal/rehearse/host.go
+++ b/internal/simulation/host.go
@@ -1,4 +1,4 @@
-package rehearse
+package simulation
 
 import (
 	"errors"
--- a/internal/rehearse/limits.go
+++ b/internal/simulation/limits.go
@@ -1,6 +1,6 @@
-package rehearse
+package simulation
 
-import "topazhollow/internal/wire"
+import "topazhollow/internal/protocol"
 
 // SetLimit has the checker hold a team to other CPUs from now on.
 func (c *Checker) SetLimit(team string, cpus float64) {
@@ -14,7 +14,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for task := range c.on {
-		uid, _, _ := wire.SplitTask(task)
+		uid, _, _ := protocol.SplitTask(task)
 		if t := c.jobs[uid]; t != nil && t.spec.Team == team {
 			cpus += t.spec.CPUs
 		}
--- a/internal/rehearse/state.go
+++ b/internal/simulation/state.go
@@ -1,8 +1,8 @@
-// Package rehearse holds stand-ins for everything around the controllers,
+// Package simulation holds stand-ins for everything around the controllers,
 // written from the protocol: the state service, the cloud, workers and users,
 // with faults and a checker of the protocol's rules. It is the ground of the
 // project's own rehearsals and tests.
-package rehearse
+package simulation
 
 import (
 	"encoding/json"
@@ -17,7 +17,7 @@
 
 	"golang.org/x/time/rate"
 
-	"topazhollow/internal/wire"
+	"topazhollow/internal/protocol"
 )
 
 // State is a stand-in for the state service.
@@ -37,8 +37,8 @@
 	addr     string
 	requests *rate.Limiter // nil: no bound
 	writes   *rate.Limiter
-	refused  int        // beyond a rate
-	carried  []wire.Txn // that changed something
+	refused  int            // beyond a rate
+	carried  []protocol.Txn // that changed something
 }
 
 type entry struct {
@@ -252,11 +252,11 @@
 func reply(w http.ResponseWriter, status int, v any) {
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(status)
-	_, _ = w.Write(wire.Encode(v))
+	_, _ = w.Write(protocol.Encode(v))
 }
 
 func read(r *http.Request, v any) bool {
-	return json.NewDecoder(http.MaxBytesReader(nil, r.Body, wire.MaxBody)).Decode(v) == nil
+	return json.NewDecoder(http.MaxBytesReader(nil, r.Body, protocol.MaxBody)).Decode(v) == nil
 }
 
 func (s *State) get(w http.ResponseWriter, r *http.Request) {
@@ -265,10 +265,10 @@
 	defer s.mu.Unlock()
 	e, ok := s.keys[key]
 	if !ok {
-		reply(w, 404, wire.TxnResult{Revision: s.revision})
+		reply(w, 404, protocol.TxnResult{Revision: s.revision})
 		return
 	}
-	reply(w, 200, wire.Entry{Key: key, Value: e.value, Version: e.version, Lease: e.lease})
+	reply(w, 200, protocol.Entry{Key: key, Value: e.value, Version: e.version, Lease: e.lease})
 }
 
 func (s *State) list(w http.ResponseWriter, r *http.Request) {
@@ -283,22 +283,22 @@
 		}
 	}
 	sort.Strings(names)
-	page := wire.EntryList{Revision: s.revision, Items: []wire.Entry{}}
+	page := protocol.EntryList{Revision: s.revision, Items: []protocol.Entry{}}
 	for _, key := range names {
 		if len(page.Items) == limit {
 			page.More = true
 			break
 		}
 		e := s.keys[key]
-		page.Items = append(page.Items, wire.Entry{Key: key, Value: e.value, Version: e.version, Lease: e.lease})
+		page.Items = append(page.Items, protocol.Entry{Key: key, Value: e.value, Version: e.version, Lease: e.lease})
 	}
 	reply(w, 200, page)
 }
 
 func (s *State) txn(w http.ResponseWriter, r *http.Request) {
-	var t wire.Txn
+	var t protocol.Txn
 	if !read(r, &t) || len(t.Then) > s.ops || len(t.Guards) > 4*s.ops {
-		reply(w, 400, wire.Error{Error: "malformed"})
+		reply(w, 400, protocol.Error{Error: "malformed"})
 		return
 	}
 	door, _ := r.Context().Value(doorKey{}).(*Door)
@@ -320,7 +320,7 @@
 }
 
 // Carried lists the transactions that changed something, in their order.
-func (s *State) Carried() []wire.Txn {
+func (s *State) Carried() []protocol.Txn {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return slices.Clone(s.carried)
@@ -328,7 +328,7 @@
 
 // Again carries a transaction out once more, as one that was held up on its way, and says whether it
 // changed anything.
-func (s *State) Again(t wire.Txn) bool {
+func (s *State) Again(t protocol.Txn) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	status, _ := s.apply(&t)
@@ -336,17 +336,17 @@
 }
 
 // apply carries a transaction out.
-func (s *State) apply(t *wire.Txn) (status int, answer any) {
+func (s *State) apply(t *protocol.Txn) (status int, answer any) {
 	if s.writes != nil && len(t.Then) > 0 && !s.writes.AllowN(time.Now(), len(t.Then)) {
 		s.refused++
-		return 429, wire.Error{Error: "too many changes"}
+		return 429, protocol.Error{Error: "too many changes"}
 	}
 	for _, o := range t.Then {
 		if o.Lease != 0 && s.leases[o.Lease] == nil {
-			return 400, wire.Error{Error: "no such lease"}
+			return 400, protocol.Error{Error: "no such lease"}
 		}
 		if len(o.Value) > s.valueMax || (o.Set == "") == (o.Delete == "") {
-			return 400, wire.Error{Error: "malformed"}
+			return 400, protocol.Error{Error: "malformed"}
 		}
 	}
 	var failed []string
@@ -356,7 +356,7 @@
 		}
 	}
 	if failed != nil {
-		return 409, wire.TxnResult{Revision: s.revision, Failed: failed}
+		return 409, protocol.TxnResult{Revision: s.revision, Failed: failed}
 	}
 	if len(t.Then) > 0 {
 		s.revision++
@@ -374,13 +374,13 @@
 		s.log = append(s.log, event{key: o.Set, value: o.Value, version: s.revision})
 	}
 	s.changed.Broadcast()
-	return 200, wire.TxnResult{Revision: s.revision}
+	return 200, protocol.TxnResult{Revision: s.revision}
 }
 
 func (s *State) grant(w http.ResponseWriter, r *http.Request) {
-	var g wire.GrantRequest
+	var g protocol.GrantRequest
 	if !read(r, &g) || g.TTL < 100 || g.TTL > 600000 {
-		reply(w, 400, wire.Error{Error: "malformed"})
+		reply(w, 400, protocol.Error{Error: "malformed"})
 		return
 	}
 	s.mu.Lock()
@@ -388,7 +388,7 @@
 	s.next++
 	life := time.Duration(g.TTL) * time.Millisecond
 	s.leases[s.next] = &lease{life, time.Now().Add(life)}
-	reply(w, 200, wire.Grant{Lease: s.next})
+	reply(w, 200, protocol.Grant{Lease: s.next})
 }
 
 func (s *State) extend(w http.ResponseWriter, r *http.Request) {
@@ -397,11 +397,11 @@
 	defer s.mu.Unlock()
 	l := s.leases[id]
 	if l == nil {
-		reply(w, 404, wire.Error{Error: "no such lease"})
+		reply(w, 404, protocol.Error{Error: "no such lease"})
 		return
 	}
 	l.ends = time.Now().Add(l.life)
-	reply(w, 200, wire.Grant{Lease: id})
+	reply(w, 200, protocol.Grant{Lease: id})
 }
 
 func (s *State) watch(w http.ResponseWriter, r *http.Request) {
@@ -424,15 +424,15 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for {
-		ch := wire.Changes{Revision: s.revision, Events: []wire.Change{}}
+		ch := protocol.Changes{Revision: s.revision, Events: []protocol.Change{}}
 		first := sort.Search(len(s.log), func(i int) bool { return s.log[i].version > after })
 		for _, e := range s.log[first:] {
 			if !strings.HasPrefix(e.key, q.Get("under")) {
 				continue
 			}
-			c := wire.Change{Set: e.key, Value: e.value, Version: e.version}
+			c := protocol.Change{Set: e.key, Value: e.value, Version: e.version}
 			if e.deleted {
-				c = wire.Change{Delete: e.key, Version: e.version}
+				c = protocol.Change{Delete: e.key, Version: e.version}
 			}
 			ch.Events = append(ch.Events, c)
 		}
--- a/internal/rehearse/users.go
+++ b/internal/simulation/users.go
@@ -1,4 +1,4 @@
-package rehearse
+package simulation
 
 import (
 	"bytes"
@@ -10,8 +10,8 @@
 	"time"
 
 	"topazhollow/internal/history"
+	"topazhollow/internal/protocol"
 	"topazhollow/internal/wait"
-	"topazhollow/internal/wire"
 )
 
 // userTimeout is how long a user waits for an answer.
@@ -39,20 +39,20 @@
 func (u *Users) Log() *history.Log { return u.log }
 
 // Submit sends a submission, or repeats it.
-func (u *Users) Submit(node int, spec *wire.Submission) (status int, state string) {
+func (u *Users) Submit(node int, spec *protocol.Submission) (status int, state string) {
 	u.check.Submitting(spec)
-	return u.call(node, history.Submit, spec.UID, "POST", wire.PathSubmit, wire.Encode(spec))
+	return u.call(node, history.Submit, spec.UID, "POST", protocol.PathSubmit, protocol.Encode(spec))
 }
 
 // Ask asks for a job's state.
 func (u *Users) Ask(node int, uid string) (status int, state string) {
-	return u.call(node, history.Ask, uid, "GET", wire.PathSubmit+"/"+uid, nil)
+	return u.call(node, history.Ask, uid, "GET", protocol.PathSubmit+"/"+uid, nil)
 }
 
 // Cancel asks to cancel a job.
 func (u *Users) Cancel(node int, uid string) (status int, state string) {
 	u.check.Withdrawing(uid)
-	return u.call(node, history.Cancel, uid, "POST", wire.PathSubmit+"/"+uid+"/withdraw", []byte("{}"))
+	return u.call(node, history.Cancel, uid, "POST", protocol.PathSubmit+"/"+uid+"/withdraw", []byte("{}"))
 }
 
 // call sends one request; status 0: no answer.
@@ -68,7 +68,7 @@
 		return 0, ""
 	}
 	defer resp.Body.Close()
-	var st wire.Status
+	var st protocol.Status
 	if json.NewDecoder(resp.Body).Decode(&st) != nil && resp.StatusCode == http.StatusOK {
 		return 0, "" // broken off in its answer
 	}
@@ -81,7 +81,7 @@
 func settled(status int) bool { return status == http.StatusOK || status == http.StatusCreated }
 
 // SubmitUntil repeats a submission at drawn controllers until it is accepted; false if the context ended.
-func (u *Users) SubmitUntil(ctx context.Context, rng *rand.Rand, spec *wire.Submission) bool {
+func (u *Users) SubmitUntil(ctx context.Context, rng *rand.Rand, spec *protocol.Submission) bool {
 	return u.repeat(ctx, func() bool { status, _ := u.Submit(rng.IntN(len(u.nodes)), spec); return settled(status) })
 }
 
@@ -94,7 +94,7 @@
 func (u *Users) EndUntil(ctx context.Context, rng *rand.Rand, uid string) bool {
 	return u.repeat(ctx, func() bool {
 		status, state := u.Ask(rng.IntN(len(u.nodes)), uid)
-		return status == http.StatusOK && (state == wire.Done || state == wire.Withdrawn)
+		return status == http.StatusOK && (state == protocol.Done || state == protocol.Withdrawn)
 	})
 }
 
@@ -109,7 +109,7 @@
 
 // LookClosely asks for a job and repeats its submission at all controllers at the same time, so many times within
 // milliseconds, and waits for all answers.
-func (u *Users) LookClosely(spec *wire.Submission, times int) {
+func (u *Users) LookClosely(spec *protocol.Submission, times int) {
 	var group sync.WaitGroup
 	for node := range u.nodes {
 		group.Go(func() {
--- a/internal/rehearse/worker.go
+++ b/internal/simulation/worker.go
@@ -1,4 +1,4 @@
-package rehearse
+package simulation
 
 import (
 	"bytes"
@@ -10,8 +10,8 @@
 	"sync"
 	"time"
 
+	"topazhollow/internal/protocol"
 	"topazhollow/internal/settings"
-	"topazhollow/internal/wire"
 )
 
 // Periods are a worker's times.
@@ -41,9 +41,9 @@
 	session uint64
 	seq     uint64
 	token   uint64
-	tasks   map[string]*wire.TaskStatus // by task, the newest attempt first known
-	ended   map[string]bool             // results that are kept
-	alive   time.Time                   // when the last answered report was sent
+	tasks   map[string]*protocol.TaskStatus // by task, the newest attempt first known
+	ended   map[string]bool                 // results that are kept
+	alive   time.Time                       // when the last answered report was sent
 	timers  map[string]*time.Timer
 	stops   map[string]context.CancelFunc // of what runs for real
 }
@@ -51,7 +51,7 @@
 // NewWorker starts a worker that reports to one of the controllers.
 func NewWorker(name, typ, zone string, spot bool, nodes map[string]string, order []string, per Periods, check *Checker) (*Worker, error) {
 	w := &Worker{name: name, typ: typ, zone: zone, spot: spot, nodes: nodes, order: order, per: per, check: check,
-		session: 1, tasks: map[string]*wire.TaskStatus{}, ended: map[string]bool{}, alive: time.Now(),
+		session: 1, tasks: map[string]*protocol.TaskStatus{}, ended: map[string]bool{}, alive: time.Now(),
 		timers: map[string]*time.Timer{}, stops: map[string]context.CancelFunc{}, wake: make(chan struct{}, 1)}
 	l, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
@@ -60,7 +60,7 @@
 	w.addr = l.Addr().String()
 	mux := http.NewServeMux()
 	mux.HandleFunc("POST /do", w.do)
-	mux.HandleFunc("GET "+wire.PathInspect, w.inspect)
+	mux.HandleFunc("GET "+protocol.PathInspect, w.inspect)
 	w.server = &http.Server{Handler: mux}
 	go w.server.Serve(l)
 	ctx, cancel := context.WithCancel(context.Background())
@@ -92,7 +92,7 @@
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	for task, t := range w.tasks {
-		if t.State != wire.Exited {
+		if t.State != protocol.Exited {
 			tasks = append(tasks, task)
 		}
 	}
@@ -111,7 +111,7 @@
 
 func (w *Worker) killAll() {
 	for task, t := range w.tasks {
-		if t.State != wire.Exited {
+		if t.State != protocol.Exited {
 			w.check.End(task, false)
 		}
 		if timer := w.timers[task]; timer != nil {
@@ -121,12 +121,12 @@
 			stop()
 		}
 	}
-	w.tasks = map[string]*wire.TaskStatus{}
+	w.tasks = map[string]*protocol.TaskStatus{}
 }
 
-func (w *Worker) report() wire.Report {
+func (w *Worker) report() protocol.Report {
 	w.seq++
-	r := wire.Report{Machine: w.name, Addr: w.addr, Type: w.typ, Zone: w.zone, Spot: w.spot, Session: w.session, Seq: w.seq, Token: w.token, Tasks: []wire.TaskStatus{}}
+	r := protocol.Report{Machine: w.name, Addr: w.addr, Type: w.typ, Zone: w.zone, Spot: w.spot, Session: w.session, Seq: w.seq, Token: w.token, Tasks: []protocol.TaskStatus{}}
 	if w.faults.taken > 0 {
 		r.Notice = new(w.faults.taken)
 	}
@@ -137,9 +137,9 @@
 }
 
 func (w *Worker) do(rw http.ResponseWriter, r *http.Request) {
-	var d wire.Direct
+	var d protocol.Direct
 	if !read(r, &d) || d.Token == 0 {
-		reply(rw, 400, wire.Error{Error: "malformed"})
+		reply(rw, 400, protocol.Error{Error: "malformed"})
 		return
 	}
 	if !w.passes(&d) {
@@ -158,7 +158,7 @@
 }
 
 // obey executes direct commands if their token and session match.
-func (w *Worker) obey(d *wire.Direct) bool {
+func (w *Worker) obey(d *protocol.Direct) bool {
 	if d.Token < w.token || d.Session != w.session {
 		return false
 	}
@@ -179,29 +179,29 @@
 	reply(rw, 200, w.report())
 }
 
-func (w *Worker) execute(cmds []wire.Command) {
+func (w *Worker) execute(cmds []protocol.Command) {
 	for _, c := range cmds {
 		t := w.tasks[c.Task]
 		switch c.Op {
-		case wire.Start:
-			uid, _, _ := wire.SplitTask(c.Task)
+		case protocol.Start:
+			uid, _, _ := protocol.SplitTask(c.Task)
 			switch {
 			case t != nil && t.Attempt == c.Attempt:
-			case t != nil && t.State != wire.Exited:
+			case t != nil && t.State != protocol.Exited:
 				continue // refused as in_use; the listed attempt stays
 			case w.check.Spec(uid) == nil:
-				w.tasks[c.Task] = &wire.TaskStatus{Task: c.Task, Attempt: c.Attempt, State: wire.Exited, Why: wire.WhyNoSuch}
+				w.tasks[c.Task] = &protocol.TaskStatus{Task: c.Task, Attempt: c.Attempt, State: protocol.Exited, Why: protocol.WhyNoSuch}
 			default:
-				w.tasks[c.Task] = &wire.TaskStatus{Task: c.Task, Attempt: c.Attempt, State: wire.Running}
+				w.tasks[c.Task] = &protocol.TaskStatus{Task: c.Task, Attempt: c.Attempt, State: protocol.Running}
 				w.check.Start(c.Task, w.name, w.typ, w.zone, w.spot)
 				w.finishLater(c.Task, c.Attempt)
 			}
-		case wire.Stop:
-			if t != nil && t.Attempt == c.Attempt && t.State != wire.Exited {
+		case protocol.Stop:
+			if t != nil && t.Attempt == c.Attempt && t.State != protocol.Exited {
 				w.stopTask(t, c.Grace)
 			}
-		case wire.Forget:
-			if t != nil && t.Attempt == c.Attempt && t.State == wire.Exited {
+		case protocol.Forget:
+			if t != nil && t.Attempt == c.Attempt && t.State == protocol.Exited {
 				delete(w.tasks, c.Task)
 			}
 		}
@@ -210,40 +210,40 @@
 
 // stopTask ends a task, or has it save first if it can and is given the time. A task that saves ends at once by a
 // second stop without grace.
-func (w *Worker) stopTask(t *wire.TaskStatus, grace *float64) {
+func (w *Worker) stopTask(t *protocol.TaskStatus, grace *float64) {
 	given := 0.0
 	if grace != nil {
 		given = *grace
 	}
-	uid, _, _ := wire.SplitTask(t.Task)
+	uid, _, _ := protocol.SplitTask(t.Task)
 	spec := w.check.Spec(uid)
-	saves := spec != nil && spec.Kind != wire.Gang && spec.Checkpoint > 0 && spec.Save > 0
+	saves := spec != nil && spec.Kind != protocol.Gang && spec.Checkpoint > 0 && spec.Save > 0
 	switch {
-	case t.State == wire.Saving && given > 0:
-	case t.State == wire.Running && saves && given >= spec.Save:
+	case t.State == protocol.Saving && given > 0:
+	case t.State == protocol.Running && saves && given >= spec.Save:
 		w.save(t, settings.Seconds(spec.Save))
 	default:
-		w.exit(t, wire.WhyStopped)
+		w.exit(t, protocol.WhyStopped)
 	}
 }
 
 // save has a task save its progress, after which it exits.
-func (w *Worker) save(t *wire.TaskStatus, takes time.Duration) {
-	t.State = wire.Saving
+func (w *Worker) save(t *protocol.TaskStatus, takes time.Duration) {
+	t.State = protocol.Saving
 	if timer := w.timers[t.Task]; timer != nil {
 		timer.Stop()
 	}
-	w.after(t.Task, t.Attempt, takes, func(t *wire.TaskStatus) {
-		if t.State == wire.Saving {
+	w.after(t.Task, t.Attempt, takes, func(t *protocol.TaskStatus) {
+		if t.State == protocol.Saving {
 			t.Saved = true
-			w.exit(t, wire.WhyStopped)
+			w.exit(t, protocol.WhyStopped)
 		}
 	})
 }
 
 // after does something with an attempt after a time, unless it is gone by then. A machine that hangs does it once
 // it goes on.
-func (w *Worker) after(task string, attempt uint64, passes time.Duration, do func(t *wire.TaskStatus)) {
+func (w *Worker) after(task string, attempt uint64, passes time.Duration, do func(t *protocol.TaskStatus)) {
 	w.timers[task] = time.AfterFunc(passes, func() {
 		w.mu.Lock()
 		defer w.mu.Unlock()
@@ -258,9 +258,9 @@
 	})
 }
 
-func (w *Worker) exit(t *wire.TaskStatus, why string) {
-	t.State, t.Why = wire.Exited, why
-	w.check.End(t.Task, why == wire.WhyDone)
+func (w *Worker) exit(t *protocol.TaskStatus, why string) {
+	t.State, t.Why = protocol.Exited, why
+	w.check.End(t.Task, why == protocol.WhyDone)
 	if timer := w.timers[t.Task]; timer != nil {
 		timer.Stop()
 	}
@@ -283,11 +283,11 @@
 			done := w.per.Exec(ctx, w.name, session, task, attempt)
 			w.mu.Lock()
 			defer w.mu.Unlock()
-			if t := w.tasks[task]; t != nil && t.Attempt == attempt && t.State == wire.Running && w.session == session {
+			if t := w.tasks[task]; t != nil && t.Attempt == attempt && t.State == protocol.Running && w.session == session {
 				if w.ended[task] = done; done {
-					w.exit(t, wire.WhyDone)
+					w.exit(t, protocol.WhyDone)
 				} else {
-					w.exit(t, wire.WhyError)
+					w.exit(t, protocol.WhyError)
 				}
 			}
 		}()
@@ -297,10 +297,10 @@
 	if w.ended[task] {
 		run = 0
 	}
-	w.after(task, attempt, run, func(t *wire.TaskStatus) {
-		if t.State == wire.Running {
+	w.after(task, attempt, run, func(t *protocol.TaskStatus) {
+		if t.State == protocol.Running {
 			w.ended[task] = true
-			w.exit(t, wire.WhyDone)
+			w.exit(t, protocol.WhyDone)
 		}
 	})
 }
@@ -333,7 +333,7 @@
 	if !arrives {
 		return to, next
 	}
-	resp, err := client.Post("http://"+w.nodes[node]+wire.PathReport, "application/json", bytes.NewReader(body))
+	resp, err := client.Post("http://"+w.nodes[node]+protocol.PathReport, "application/json", bytes.NewReader(body))
 	if err != nil {
 		return to, next
 	}
@@ -341,12 +341,12 @@
 	switch {
 	case !w.hears():
 	case resp.StatusCode == http.StatusOK:
-		var a wire.ReportAnswer
+		var a protocol.ReportAnswer
 		_ = json.NewDecoder(resp.Body).Decode(&a) // without a token it is dropped
 		w.takeAnswer(&a, session, sent)
 		return at, next
 	case resp.StatusCode == http.StatusMisdirectedRequest:
-		var m wire.Moved
+		var m protocol.Moved
 		_ = json.NewDecoder(resp.Body).Decode(&m) // without a name the next one is tried
 		if i := slices.Index(w.order, m.ReportTo); i >= 0 {
 			return i, 10 * time.Millisecond
@@ -356,7 +356,7 @@
 }
 
 // takeAnswer renews the lease and executes commands, unless the answer is to be dropped.
-func (w *Worker) takeAnswer(a *wire.ReportAnswer, session uint64, sent time.Time) {
+func (w *Worker) takeAnswer(a *protocol.ReportAnswer, session uint64, sent time.Time) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if a.Token >= w.token && a.Token > 0 && w.session == session && !w.faults.cut {
--- a/internal/snapshot/archive.go
+++ b/internal/snapshot/archive.go
@@ -22,8 +22,8 @@
 	"github.com/fxamacker/cbor/v2"
 	"github.com/klauspost/compress/zstd"
 
+	"topazhollow/internal/protocol"
 	"topazhollow/internal/wal"
-	"topazhollow/internal/wire"
 )
 
 // Errors that callers decide by.
@@ -451,6 +451,6 @@
 }
 
 // entryOf is a listed key as it is kept.
-func entryOf(e wire.Entry) Entry {
+func entryOf(e protocol.Entry) Entry {
 	return Entry{Key: e.Key, Value: e.Value, Version: e.Version, Held: e.Lease != 0}
 }
--- a/internal/snapshot/follow.go
+++ b/internal/snapshot/follow.go
@@ -9,13 +9,13 @@
 	"strings"
 	"time"
 
-	"topazhollow/internal/rebuild"
+	"topazhollow/internal/datarecovery"
+	"topazhollow/internal/kvstore"
+	"topazhollow/internal/leadership"
+	"topazhollow/internal/protocol"
 	"topazhollow/internal/settings"
-	"topazhollow/internal/state"
-	"topazhollow/internal/tenure"
 	"topazhollow/internal/tomlfile"
 	"topazhollow/internal/wait"
-	"topazhollow/internal/wire"
 )
 
 // Config is the settings file of topaz snapshot.
@@ -66,16 +66,16 @@
 func (c *Config) String() string { return tomlfile.String(c) }
 
 // client is one with all of the stated rate.
-func (c *Config) client() *state.Client {
-	const held = 0.85 // of the rates is what state.New gives a single controller
-	return state.New(c.State, settings.State{RPS: c.RPS / held, WriteRPS: c.WriteRPS / held, ValueKB: c.ValueKB, TxnOps: c.TxnOps}, 1)
+func (c *Config) client() *kvstore.Client {
+	const held = 0.85 // of the rates is what kvstore.New gives a single controller
+	return kvstore.New(c.State, settings.State{RPS: c.RPS / held, WriteRPS: c.WriteRPS / held, ValueKB: c.ValueKB, TxnOps: c.TxnOps}, 1)
 }
 
 // Follower copies the state service into an archive for as long as it runs.
 type Follower struct {
 	set *Config
 	a   *Archive
-	c   *state.Client
+	c   *kvstore.Client
 	log *slog.Logger
 
 	keys     map[string]Entry // the service as followed; nil before the first copy
@@ -101,11 +101,11 @@
 			return nil
 		case errors.Is(err, errArchive):
 			return err
-		case errors.Is(err, state.ErrBack):
+		case errors.Is(err, kvstore.ErrBack):
 			if err := f.lost(ctx, "its revision went back"); err != nil {
 				return err
 			}
-		case errors.Is(err, state.ErrGone):
+		case errors.Is(err, kvstore.ErrGone):
 			f.log.Info("fell behind the service's changes: all is read again")
 			f.id = 0
 		default:
@@ -138,7 +138,7 @@
 	return f.take(ctx, ch)
 }
 
-func (f *Follower) take(ctx context.Context, ch *wire.Changes) error {
+func (f *Follower) take(ctx context.Context, ch *protocol.Changes) error {
 	var entries []Entry
 	for _, e := range ch.Events {
 		x := Entry{Key: e.Set + e.Delete, Value: e.Value, Version: e.Version, Gone: e.Delete != ""}
@@ -274,12 +274,12 @@
 	return r.Store
 }
 
-func recordOf(keys map[string]Entry, control string) (*tenure.Record, error) {
+func recordOf(keys map[string]Entry, control string) (*leadership.Record, error) {
 	e, ok := keys[control]
 	if !ok {
 		return nil, nil
 	}
-	var r tenure.Record
+	var r leadership.Record
 	if err := json.Unmarshal(e.Value, &r); err != nil {
 		return nil, fmt.Errorf("snapshot: control record: %w", err)
 	}
@@ -287,4 +287,4 @@
 }
 
 // marker is the generation's own key, which every change of a restore rests on.
-func marker(r *tenure.Record) string { return rebuild.StoreKey + r.Store }
+func marker(r *leadership.Record) string { return datarecovery.StoreKey + r.Store }
--- a/internal/snapshot/restore.go
+++ b/internal/snapshot/restore.go
@@ -13,12 +13,12 @@
 
 	"github.com/bits-and-blooms/bitset"
 
-	"topazhollow/internal/frontend"
-	"topazhollow/internal/ledger"
-	"topazhollow/internal/rebuild"
-	"topazhollow/internal/state"
-	"topazhollow/internal/tenure"
-	"topazhollow/internal/wire"
+	"topazhollow/internal/datarecovery"
+	"topazhollow/internal/jobstate"
+	"topazhollow/internal/kvstore"
+	"topazhollow/internal/leadership"
+	"topazhollow/internal/protocol"
+	"topazhollow/internal/userapi"
 )
 
 // Errors of a restore that callers decide by.
@@ -39,42 +39,42 @@
 	Newer      int    `json:"newer_there"`    // jobs of the copy of which the service knows more
 	Changes    int    `json:"changes"`        // of the service
 
-	record *tenure.Record
-	fence  wire.Guard
-	jobs   []frontend.Stored
-	ends   []rebuild.Page
+	record *leadership.Record
+	fence  protocol.Guard
+	jobs   []userapi.Stored
+	ends   []datarecovery.Page
 	done   map[string]*bitset.BitSet
 	pages  int
-	teams  []state.Update
+	teams  []kvstore.Update
 }
 
 // contents are a copy's jobs as the controllers' keys hold them.
 type contents struct {
-	active map[string]frontend.Stored
-	ends   *rebuild.Ends
+	active map[string]userapi.Stored
+	ends   *datarecovery.Ends
 	done   map[string]*bitset.BitSet
 }
 
 // read takes the controllers' keys apart.
 func read(keys map[string]Entry) (*contents, error) {
-	c := &contents{active: map[string]frontend.Stored{}, ends: rebuild.NewEnds(), done: map[string]*bitset.BitSet{}}
+	c := &contents{active: map[string]userapi.Stored{}, ends: datarecovery.NewEnds(), done: map[string]*bitset.BitSet{}}
 	pages := map[string]map[string]string{}
 	for name, e := range keys {
 		bad := func(err error) error { return fmt.Errorf("snapshot: key %s: %w", name, err) }
 		if uid, ok := strings.CutPrefix(name, JobKey); ok {
-			var s frontend.Stored
+			var s userapi.Stored
 			if err := json.Unmarshal(e.Value, &s); err != nil || s.Spec == nil || s.Spec.UID != uid {
 				return nil, bad(errors.Join(errors.New("no job"), err))
 			}
 			c.active[uid] = s
 		} else if uid, ok := strings.CutPrefix(name, FinalKey); ok {
-			var final frontend.Final
+			var final userapi.Final
 			if err := json.Unmarshal(e.Value, &final); err != nil {
 				return nil, bad(err)
 			}
-			c.ends.Learn(rebuild.End{UID: uid, Withdrawn: final.State == wire.Withdrawn, Tasks: final.Tasks, Team: final.Team})
-		} else if strings.HasPrefix(name, rebuild.EndsKey) {
-			ends, err := rebuild.ReadPage(e.Value)
+			c.ends.Learn(datarecovery.End{UID: uid, Withdrawn: final.State == protocol.Withdrawn, Tasks: final.Tasks, Team: final.Team})
+		} else if strings.HasPrefix(name, datarecovery.EndsKey) {
+			ends, err := datarecovery.ReadPage(e.Value)
 			if err != nil {
 				return nil, bad(err)
 			}
@@ -101,7 +101,7 @@
 		return 0
 	}
 	for name, parts := range pages {
-		if err := ledger.ReadParts(parts, tasks, c.done); err != nil {
+		if err := jobstate.ReadParts(parts, tasks, c.done); err != nil {
 			return fmt.Errorf("snapshot: key %s: %w", name, err)
 		}
 	}
@@ -111,7 +111,7 @@
 // Restorer puts a copy back into the state service.
 type Restorer struct {
 	set *Config
-	c   *state.Client
+	c   *kvstore.Client
 }
 
 // NewRestorer is a restorer with the rates of the settings.
@@ -151,8 +151,8 @@
 		return nil, err
 	}
 	p := &Plan{Copy: id, Revision: revision, Generation: record.Generation, record: record,
-		fence: wire.Guard{Key: marker(record), Version: now[marker(record)].Version}, done: map[string]*bitset.BitSet{}}
-	var lacking []rebuild.End
+		fence: protocol.Guard{Key: marker(record), Version: now[marker(record)].Version}, done: map[string]*bitset.BitSet{}}
+	var lacking []datarecovery.End
 	for _, x := range old.ends.All() {
 		if _, ended := have.ends.Get(x.UID); !ended {
 			lacking = append(lacking, x) // an end beats whatever the service has of the job
@@ -172,12 +172,12 @@
 		}
 	}
 	for name := range now {
-		if number, err := strconv.Atoi(strings.TrimPrefix(name, rebuild.EndsKey)); err == nil && strings.HasPrefix(name, rebuild.EndsKey) {
+		if number, err := strconv.Atoi(strings.TrimPrefix(name, datarecovery.EndsKey)); err == nil && strings.HasPrefix(name, datarecovery.EndsKey) {
 			p.pages = max(p.pages, number+1)
 		}
 	}
 	room := int(r.set.ValueKB*1024) - 64
-	p.ends = rebuild.Pages(lacking, room)
+	p.ends = datarecovery.Pages(lacking, room)
 	if p.teams, err = teamsLacking(keys, now); err != nil {
 		return nil, err
 	}
@@ -190,7 +190,7 @@
 func donePages(done map[string]*bitset.BitSet, room int) (pages []map[string]*bitset.BitSet) {
 	size := room + 1
 	for _, uid := range slices.Sorted(maps.Keys(done)) {
-		n := len(wire.Encode(map[string]*bitset.BitSet{uid: done[uid]}))
+		n := len(protocol.Encode(map[string]*bitset.BitSet{uid: done[uid]}))
 		if size+n > room {
 			pages = append(pages, map[string]*bitset.BitSet{})
 			size = 2
@@ -215,20 +215,20 @@
 	defer func() { cancel(); <-ran }()
 	r.c.Fence(p.fence)
 	count := 0
-	put := func(u state.Update) error {
+	put := func(u kvstore.Update) error {
 		for {
 			_, err := r.c.Commit(ctx, u)
 			switch {
-			case errors.Is(err, state.ErrHeld), errors.Is(err, state.ErrBack):
+			case errors.Is(err, kvstore.ErrHeld), errors.Is(err, kvstore.ErrBack):
 				return fmt.Errorf("%w: the state service lost data again", ErrNoGeneration)
-			case err == nil || errors.Is(err, state.ErrConflict):
+			case err == nil || errors.Is(err, kvstore.ErrConflict):
 				if count++; tell != nil {
 					tell(count, p.Changes)
 				}
 				return nil
 			case ctx.Err() != nil:
 				return ctx.Err()
-			case errors.Is(err, state.ErrInvalid):
+			case errors.Is(err, kvstore.ErrInvalid):
 				return err
 			}
 			select { // an outage, or too much at a time
@@ -244,28 +244,28 @@
 		}
 	}
 	for i, page := range p.ends {
-		key := rebuild.EndsKey + strconv.Itoa(p.pages+i)
-		if err := put(state.Update{Guards: []wire.Guard{{Key: key}}, Ops: []wire.Op{{Set: key, Value: wire.Encode(page)}}}); err != nil {
+		key := datarecovery.EndsKey + strconv.Itoa(p.pages+i)
+		if err := put(kvstore.Update{Guards: []protocol.Guard{{Key: key}}, Ops: []protocol.Op{{Set: key, Value: protocol.Encode(page)}}}); err != nil {
 			return err
 		}
 	}
 	var done []string
 	for i, page := range donePages(p.done, int(r.set.ValueKB*1024)-64) {
-		key := fmt.Sprintf("%s%d-%d", rebuild.DoneKey, p.Copy, i)
-		if err := put(state.Update{Ops: []wire.Op{{Set: key, Value: wire.Encode(page)}}}); err != nil {
+		key := fmt.Sprintf("%s%d-%d", datarecovery.DoneKey, p.Copy, i)
+		if err := put(kvstore.Update{Ops: []protocol.Op{{Set: key, Value: protocol.Encode(page)}}}); err != nil {
 			return err
 		}
 		done = append(done, key)
 	}
 	for _, s := range p.jobs {
 		uid := s.Spec.UID
-		if err := put(state.Update{Guards: []wire.Guard{{Key: JobKey + uid}, {Key: FinalKey + uid}},
-			Ops: []wire.Op{{Set: JobKey + uid, Value: wire.Encode(s)}}}); err != nil {
+		if err := put(kvstore.Update{Guards: []protocol.Guard{{Key: JobKey + uid}, {Key: FinalKey + uid}},
+			Ops: []protocol.Op{{Set: JobKey + uid, Value: protocol.Encode(s)}}}); err != nil {
 			return err
 		}
 	}
 	for _, key := range done { // every controller that lives has read it, and the owners write it to their pages
-		if err := put(state.Update{Ops: []wire.Op{{Delete: key}}}); err != nil {
+		if err := put(kvstore.Update{Ops: []protocol.Op{{Delete: key}}}); err != nil {
 			return err
 		}
 	}
@@ -298,13 +298,13 @@
 		if m == nil {
 			return false, ErrNoGeneration
 		}
-		_, _, err = r.c.TxnControl(ctx, wire.Txn{Guards: []wire.Guard{{Key: r.set.Control, Version: e.Version}, {Key: m.Key, Version: m.Version}},
-			Then: []wire.Op{{Set: r.set.Control, Value: wire.Encode(record)}}})
+		_, _, err = r.c.TxnControl(ctx, protocol.Txn{Guards: []protocol.Guard{{Key: r.set.Control, Version: e.Version}, {Key: m.Key, Version: m.Version}},
+			Then: []protocol.Op{{Set: r.set.Control, Value: protocol.Encode(record)}}})
 		if err == nil {
 			return true, nil
-		} else if !errors.Is(err, state.ErrConflict) {
+		} else if !errors.Is(err, kvstore.ErrConflict) {
 			return false, err
 		}
 	}
-	return false, fmt.Errorf("snapshot: the control record changes too often: %w", state.ErrConflict)
+	return false, fmt.Errorf("snapshot: the control record changes too often: %w", kvstore.ErrConflict)
 }
--- a/internal/snapshot/snapshot_test.go
+++ b/internal/snapshot/snapshot_test.go
@@ -13,7 +13,7 @@
 	"testing"
 	"time"
 
-	"topazhollow/internal/rehearse"
+	"topazhollow/internal/simulation"
 	"topazhollow/internal/wal"
 )
 
@@ -164,15 +164,15 @@
 // silence, while it is followed or between two followers. What was there before is kept
 // and can be read, and an empty copy never takes its place.
 func TestFollowerKeepsWhatWasLost(t *testing.T) {
-	for name, lose := range map[string]func(*rehearse.State, rehearse.Saved){
-		"back": func(s *rehearse.State, old rehearse.Saved) { s.Back(old) },
-		"all":  func(s *rehearse.State, _ rehearse.Saved) { s.LoseAll() },
-		"keys": func(s *rehearse.State, _ rehearse.Saved) { s.LosePrefix("f/job-00000") },
+	for name, lose := range map[string]func(*simulation.State, simulation.Saved){
+		"back": func(s *simulation.State, old simulation.Saved) { s.Back(old) },
+		"all":  func(s *simulation.State, _ simulation.Saved) { s.LoseAll() },
+		"keys": func(s *simulation.State, _ simulation.Saved) { s.LosePrefix("f/job-00000") },
 	} {
 		for _, restarted := range []bool{false, true} {
 			t.Run(fmt.Sprintf("%s/restarted=%t", name, restarted), func(t *testing.T) {
 				t.Parallel()
-				s, err := rehearse.NewState(16, 16)
+				s, err := simulation.NewState(16, 16)
 				if err != nil {
 					t.Fatal(err)
 				}
@@ -260,7 +260,7 @@
 func TestFollowerOnAFullDisk(t *testing.T) {
 	stopped := 0
 	for _, room := range []int64{100, 900, 1500, 2500, 4000} {
-		s, err := rehearse.NewState(16, 16)
+		s, err := simulation.NewState(16, 16)
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/snapshot/teams.go
+++ b/internal/snapshot/teams.go
@@ -7,15 +7,15 @@
 	"slices"
 	"strings"
 
-	"topazhollow/internal/state"
+	"topazhollow/internal/kvstore"
+	"topazhollow/internal/protocol"
 	"topazhollow/internal/teamconfig"
 	"topazhollow/internal/teamstore"
-	"topazhollow/internal/wire"
 )
 
 // teamsLacking gives the changes that put back the entries of teams' configuration of a copy of which the service has none
 // or an earlier one.
-func teamsLacking(old, now map[string]Entry) (updates []state.Update, err error) {
+func teamsLacking(old, now map[string]Entry) (updates []kvstore.Update, err error) {
 	for _, key := range slices.Sorted(maps.Keys(old)) {
 		if !strings.HasPrefix(key, teamstore.Prefix) {
 			continue
@@ -30,8 +30,8 @@
 			}
 		}
 		if has.Number < had.Number {
-			updates = append(updates, state.Update{Guards: []wire.Guard{{Key: key, Version: now[key].Version}},
-				Ops: []wire.Op{{Set: key, Value: old[key].Value}}})
+			updates = append(updates, kvstore.Update{Guards: []protocol.Guard{{Key: key, Version: now[key].Version}},
+				Ops: []protocol.Op{{Set: key, Value: old[key].Value}}})
 		}
 	}
 	return updates, nil
--- a/internal/runner/bring.go
+++ b/internal/taskrunner/bring.go
@@ -1,4 +1,4 @@
-package runner
+package taskrunner
 
 import (
 	"bytes"
@@ -16,8 +16,8 @@
 	"strings"
 	"time"
 
+	"topazhollow/internal/artifactstore"
 	"topazhollow/internal/blob"
-	"topazhollow/internal/keeper"
 	"topazhollow/internal/wait"
 )
 
@@ -34,7 +34,7 @@
 
 // call makes a request until it is answered, of one keeper after another, with jittered
 // pauses that grow, for as long as the context allows.
-func (s *spool) call(ctx context.Context, path string, body []byte) (*keeper.Answer, error) {
+func (s *spool) call(ctx context.Context, path string, body []byte) (*artifactstore.Answer, error) {
 	for pause := s.opt.Pause; ; pause = min(2*pause, 30*time.Second) {
 		a, after, err := s.once(ctx, s.opt.Keepers[s.at], path, body)
 		var no *refusal
@@ -48,7 +48,7 @@
 	}
 }
 
-func (s *spool) once(ctx context.Context, at, path string, body []byte) (a *keeper.Answer, after time.Duration, err error) {
+func (s *spool) once(ctx context.Context, at, path string, body []byte) (a *artifactstore.Answer, after time.Duration, err error) {
 	ctx, cancel := context.WithTimeout(ctx, time.Minute)
 	defer cancel()
 	req, err := http.NewRequestWithContext(ctx, "POST", strings.TrimSuffix(at, "/")+path, bytes.NewReader(body))
@@ -61,7 +61,7 @@
 		return nil, 0, err
 	}
 	defer resp.Body.Close()
-	a = &keeper.Answer{}
+	a = &artifactstore.Answer{}
 	if err := json.NewDecoder(io.LimitReader(resp.Body, 1<<20)).Decode(a); err != nil {
 		return nil, 0, err
 	}
@@ -127,7 +127,7 @@
 		}
 	}
 	if s.exit != nil {
-		end := keeper.End{Exit: *s.exit, Records: maps.Clone(s.next), Files: map[string]string{}}
+		end := artifactstore.End{Exit: *s.exit, Records: maps.Clone(s.next), Files: map[string]string{}}
 		for _, path := range s.files {
 			d, err := s.bringFile(ctx, path)
 			var no *refusal
@@ -156,7 +156,7 @@
 
 // send brings records of one stream.
 func (s *spool) send(ctx context.Context, batch []waiting) error {
-	var records []keeper.Record
+	var records []artifactstore.Record
 	for _, w := range batch {
 		b, err := s.log.Read(w.at)
 		if err != nil {
@@ -237,6 +237,6 @@
 			return d, err
 		}
 	}
-	_, err = s.call(ctx, "/files/"+keeper.EscapePath(path)+"?blob="+d.String(), nil)
+	_, err = s.call(ctx, "/files/"+artifactstore.EscapePath(path)+"?blob="+d.String(), nil)
 	return d, err
 }
--- a/internal/runner/runner.go
+++ b/internal/taskrunner/taskrunner.go
@@ -1,9 +1,9 @@
-// Package runner is a worker's side of keeping output: it runs a task's command, takes
+// Package taskrunner is a worker's side of keeping output: it runs a task's command, takes
 // in what it puts out and the files that it leaves, and brings all of it to a keeper.
 // Between the two lies a spool on the worker's disk, so that neither a keeper that
 // can't be reached nor the end of the worker's own process loses what was put out. What
 // the spool has no room for is dropped and marked; the seal never is.
-package runner
+package taskrunner
 
 import (
 	"bufio"
@@ -23,19 +23,19 @@
 	"syscall"
 	"time"
 
-	"topazhollow/internal/keeper"
+	"topazhollow/internal/artifactstore"
+	"topazhollow/internal/protocol"
 	"topazhollow/internal/wal"
-	"topazhollow/internal/wire"
 )
 
 // Task is one attempt to run.
 type Task struct {
-	Claim   keeper.Claim `json:"claim"`
-	Token   string       `json:"token"` // to write for the claim
-	Command []string     `json:"command"`
-	Env     []string     `json:"env"`
-	Dir     string       `json:"dir"`   // where it runs; its files are below it
-	Files   []string     `json:"files"` // paths that it should leave; a directory stands for all below it
+	Claim   artifactstore.Claim `json:"claim"`
+	Token   string              `json:"token"` // to write for the claim
+	Command []string            `json:"command"`
+	Env     []string            `json:"env"`
+	Dir     string              `json:"dir"`   // where it runs; its files are below it
+	Files   []string            `json:"files"` // paths that it should leave; a directory stands for all below it
 }
 
 // Options are a runner's choices.
@@ -53,11 +53,11 @@
 
 // entry is a record of an attempt's spool.
 type entry struct {
-	Task   *Task          `json:"task,omitempty"`
-	Stream string         `json:"s,omitempty"`
-	Record *keeper.Record `json:"r,omitempty"`
-	Files  []string       `json:"f,omitempty"` // to be brought, relative to the task's directory
-	Exit   *keeper.Exit   `json:"x,omitempty"`
+	Task   *Task                 `json:"task,omitempty"`
+	Stream string                `json:"s,omitempty"`
+	Record *artifactstore.Record `json:"r,omitempty"`
+	Files  []string              `json:"f,omitempty"` // to be brought, relative to the task's directory
+	Exit   *artifactstore.Exit   `json:"x,omitempty"`
 }
 
 // spool is an attempt's way to the keeper.
@@ -72,9 +72,9 @@
 	waits   []waiting // not brought yet
 	next    map[string]uint64
 	bytes   int64
-	holes   map[string]*keeper.Hole // by stream, open
+	holes   map[string]*artifactstore.Hole // by stream, open
 	files   []string
-	exit    *keeper.Exit
+	exit    *artifactstore.Exit
 	whole   bool // nothing more comes
 	dropped int64
 	at      int // keeper in use
@@ -90,7 +90,7 @@
 
 // Result is how an attempt ended.
 type Result struct {
-	Exit  keeper.Exit
+	Exit  artifactstore.Exit
 	Final bool  // it is its task's result
 	Lost  int64 // bytes of output that the spool had no room for
 }
@@ -116,13 +116,13 @@
 	}
 }
 
-func spoolDir(root string, at keeper.Attempt) string {
+func spoolDir(root string, at artifactstore.Attempt) string {
 	return filepath.Join(root, fmt.Sprintf("%s-%d-%d", at.Job, at.Task, at.Number))
 }
 
 // open opens an attempt's spool and takes up what it holds.
 func open(opt Options, dir string) (*spool, error) {
-	s := &spool{opt: opt, dir: dir, next: map[string]uint64{}, holes: map[string]*keeper.Hole{}}
+	s := &spool{opt: opt, dir: dir, next: map[string]uint64{}, holes: map[string]*artifactstore.Hole{}}
 	s.more.L = &s.mu
 	log, err := wal.Open(dir, wal.Options{Step: opt.Step}, wal.Pos{}, func(at wal.Pos, b []byte) error {
 		var e entry
@@ -151,7 +151,7 @@
 
 // write makes an entry durable in the spool.
 func (s *spool) write(ctx context.Context, e *entry) error {
-	at, err := s.log.Append(context.WithoutCancel(ctx), wire.Encode(e))
+	at, err := s.log.Append(context.WithoutCancel(ctx), protocol.Encode(e))
 	if err != nil {
 		return err
 	}
@@ -172,7 +172,7 @@
 	s.mu.Unlock()
 	if !full && h != nil {
 		// There is room again: the hole takes its place first.
-		if s.write(ctx, &entry{Stream: stream, Record: &keeper.Record{At: now, Hole: h}}) != nil {
+		if s.write(ctx, &entry{Stream: stream, Record: &artifactstore.Record{At: now, Hole: h}}) != nil {
 			full = true
 		} else {
 			s.mu.Lock()
@@ -180,14 +180,14 @@
 			s.mu.Unlock()
 		}
 	}
-	if !full && s.write(ctx, &entry{Stream: stream, Record: &keeper.Record{At: now, Data: data}}) == nil {
+	if !full && s.write(ctx, &entry{Stream: stream, Record: &artifactstore.Record{At: now, Data: data}}) == nil {
 		return
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.dropped += int64(len(data))
 	if h = s.holes[stream]; h == nil {
-		h = &keeper.Hole{From: now}
+		h = &artifactstore.Hole{From: now}
 		s.holes[stream] = h
 	}
 	h.Bytes, h.To = h.Bytes+int64(len(data)), now
@@ -230,7 +230,7 @@
 		exit.Completed, exit.Reason = false, err.Error()
 	}
 	for stream, h := range s.holes { // what was dropped last has its mark before the end
-		if err := s.write(late, &entry{Stream: stream, Record: &keeper.Record{At: h.To, Hole: h}}); err != nil {
+		if err := s.write(late, &entry{Stream: stream, Record: &artifactstore.Record{At: h.To, Hole: h}}); err != nil {
 			return Result{}, err
 		}
 	}
@@ -243,7 +243,7 @@
 }
 
 // execute runs the command.
-func (s *spool) execute(ctx context.Context, t Task) keeper.Exit {
+func (s *spool) execute(ctx context.Context, t Task) artifactstore.Exit {
 	cmd := exec.Command(t.Command[0], t.Command[1:]...)
 	cmd.Dir, cmd.Env = t.Dir, t.Env
 	cmd.SysProcAttr = &syscall.SysProcAttr{Setpgid: true}
@@ -253,7 +253,7 @@
 		err = cmd.Start()
 	}
 	if err != nil {
-		return keeper.Exit{Code: -1, Reason: err.Error()}
+		return artifactstore.Exit{Code: -1, Reason: err.Error()}
 	}
 	kill := context.AfterFunc(ctx, func() { _ = syscall.Kill(-cmd.Process.Pid, syscall.SIGKILL) }) // it may have ended just now
 	defer kill()
@@ -267,7 +267,7 @@
 	}
 	wg.Wait()
 	err = cmd.Wait()
-	exit := keeper.Exit{Completed: err == nil, Code: cmd.ProcessState.ExitCode()}
+	exit := artifactstore.Exit{Completed: err == nil, Code: cmd.ProcessState.ExitCode()}
 	switch {
 	case ctx.Err() != nil:
 		exit.Completed, exit.Reason = false, "stopped"
@@ -300,7 +300,7 @@
 	}
 	defer root.Close()
 	for _, want := range t.Files {
-		if err := keeper.CheckPath(want); err != nil {
+		if err := artifactstore.CheckPath(want); err != nil {
 			return nil, err
 		}
 		if st, err := root.Lstat(want); err != nil {
@@ -318,7 +318,7 @@
 				return fmt.Errorf("runner: %s is no plain file", path)
 			}
 			files = append(files, path)
-			return keeper.CheckPath(path)
+			return artifactstore.CheckPath(path)
 		})
 		if err != nil {
 			return nil, err
--- a/internal/runner/runner_test.go
+++ b/internal/taskrunner/taskrunner_test.go
@@ -1,4 +1,4 @@
-package runner
+package taskrunner
 
 import (
 	"context"
@@ -17,9 +17,9 @@
 	"testing"
 	"time"
 
+	"topazhollow/internal/artifactreplication"
+	"topazhollow/internal/artifactstore"
 	"topazhollow/internal/blob"
-	"topazhollow/internal/keeper"
-	"topazhollow/internal/keepers"
 )
 
 var (
@@ -30,7 +30,7 @@
 // site is a keeper that can be away.
 type site struct {
 	t    *testing.T
-	n    *keepers.Node
+	n    *artifactreplication.Node
 	b    *blob.Store
 	url  string
 	away atomic.Bool
@@ -43,18 +43,18 @@
 	if x.b, err = blob.Open(blob.Options{Dir: filepath.Join(dir, "blobs")}); err != nil {
 		t.Fatal(err)
 	}
-	k, err := keeper.Open(keeper.Options{Dir: filepath.Join(dir, "log"), Blobs: x.b, Key: key})
+	k, err := artifactstore.Open(artifactstore.Options{Dir: filepath.Join(dir, "log"), Blobs: x.b, Key: key})
 	if err != nil {
 		t.Fatal(err)
 	}
-	m := keepers.Members{Epoch: 1, Copies: 1, Acks: 1, List: []keepers.Member{{Name: "a", URL: "http://127.0.0.1:1", State: keepers.Serving}}}
-	if x.n, err = keepers.New(keepers.Options{Name: "a", Dir: dir, Members: m, Keeper: k, Blobs: x.b, Key: key}); err == nil {
+	m := artifactreplication.Members{Epoch: 1, Copies: 1, Acks: 1, List: []artifactreplication.Member{{Name: "a", URL: "http://127.0.0.1:1", State: artifactreplication.Serving}}}
+	if x.n, err = artifactreplication.New(artifactreplication.Options{Name: "a", Dir: dir, Members: m, Keeper: k, Blobs: x.b, Key: key}); err == nil {
 		err = x.n.Repair(ctx)
 	}
 	if err != nil {
 		t.Fatal(err)
 	}
-	h := (&keepers.Server{Node: x.n}).Handler()
+	h := (&artifactreplication.Server{Node: x.n}).Handler()
 	srv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if x.away.Load() {
 			panic(http.ErrAbortHandler)
@@ -71,17 +71,19 @@
 }
 
 // done says whether an attempt was sealed.
-func done(a keeper.Known) bool { return a.State == keeper.StateFinal || a.State == keeper.StateSealed }
+func done(a artifactstore.Known) bool {
+	return a.State == artifactstore.StateFinal || a.State == artifactstore.StateSealed
+}
 
 func task(dir string, number uint64, command string, files ...string) Task {
-	c := keeper.Claim{Attempt: keeper.Attempt{Job: "job-000001", Task: 0, Number: number}, Tenant: "red", Machine: "m1", Session: 1}
-	g := keeper.Grant{Right: keeper.Write, Tenant: c.Tenant, Job: c.Job, Task: &c.Task, Number: number, Machine: c.Machine, Session: 1, Until: time.Now().Add(time.Hour)}
+	c := artifactstore.Claim{Attempt: artifactstore.Attempt{Job: "job-000001", Task: 0, Number: number}, Tenant: "red", Machine: "m1", Session: 1}
+	g := artifactstore.Grant{Right: artifactstore.Write, Tenant: c.Tenant, Job: c.Job, Task: &c.Task, Number: number, Machine: c.Machine, Session: 1, Until: time.Now().Add(time.Hour)}
 	return Task{Claim: c, Token: g.Token(key), Command: []string{"/bin/sh", "-c", command}, Env: []string{"PATH=/usr/bin:/bin"}, Dir: dir, Files: files}
 }
 
-func (x *site) text(at keeper.Attempt, stream string) (list []string, lost int64) {
+func (x *site) text(at artifactstore.Attempt, stream string) (list []string, lost int64) {
 	x.t.Helper()
-	if _, _, err := x.n.Read(ctx, at, stream, 0, false, func(_ uint64, r keeper.Record) error {
+	if _, _, err := x.n.Read(ctx, at, stream, 0, false, func(_ uint64, r artifactstore.Record) error {
 		if r.Hole != nil {
 			lost += r.Hole.Bytes
 			list = append(list, "[hole]")
@@ -135,7 +137,7 @@
 			t.Errorf("%q put out %d records", c.command, len(list))
 		}
 	}
-	if m, state, err := x.n.Manifest(ctx, "job-000001", 0, 0); err != nil || state != keeper.StateFinal || m.Number != 1 {
+	if m, state, err := x.n.Manifest(ctx, "job-000001", 0, 0); err != nil || state != artifactstore.StateFinal || m.Number != 1 {
 		t.Errorf("the result is %+v, %v", m, err)
 	}
 	stopped, stop := context.WithCancel(ctx)
@@ -187,7 +189,7 @@
 		time.Sleep(time.Millisecond)
 	}
 	s.put(ctx, "stdout", []byte("last"))
-	if err := s.write(ctx, &entry{Exit: &keeper.Exit{Completed: true}}); err != nil {
+	if err := s.write(ctx, &entry{Exit: &artifactstore.Exit{Completed: true}}); err != nil {
 		t.Fatal(err)
 	}
 	if err := <-brought; err != nil || !got.Final {
@@ -216,13 +218,13 @@
 	for number := uint64(1); number <= 2; number++ {
 		tk := task(t.TempDir(), number, "true")
 		if number == 1 {
-			tk.Token = keeper.Grant{Right: keeper.Write, Job: tk.Claim.Job, Until: time.Unix(0, 0)}.Token(key)
+			tk.Token = artifactstore.Grant{Right: artifactstore.Write, Job: tk.Claim.Job, Until: time.Unix(0, 0)}.Token(key)
 		}
 		s, err := open(opt, spoolDir(opt.Spool, tk.Claim.Attempt))
 		if err != nil {
 			t.Fatal(err)
 		}
-		for _, e := range []*entry{{Task: &tk}, {Stream: "stdout", Record: &keeper.Record{Data: []byte("x")}}, {Exit: &keeper.Exit{Completed: true}}} {
+		for _, e := range []*entry{{Task: &tk}, {Stream: "stdout", Record: &artifactstore.Record{Data: []byte("x")}}, {Exit: &artifactstore.Exit{Completed: true}}} {
 			if err := s.write(ctx, e); err != nil {
 				t.Fatal(err)
 			}
@@ -235,7 +237,7 @@
 	if left, err := os.ReadDir(opt.Spool); err != nil || len(left) != 1 {
 		t.Errorf("left: %v %v", left, err)
 	}
-	if m, state, err := x.n.Manifest(ctx, "job-000001", 0, 0); err != nil || state != keeper.StateFinal || m.Number != 2 {
+	if m, state, err := x.n.Manifest(ctx, "job-000001", 0, 0); err != nil || state != artifactstore.StateFinal || m.Number != 2 {
 		t.Errorf("%+v %s %v", m, state, err)
 	}
 }
@@ -283,7 +285,7 @@
 		if left, err := os.ReadDir(spool); err != nil || len(left) != 0 {
 			t.Fatalf("step %d: spools left: %v %v", at, left, err)
 		}
-		first := keeper.Attempt{Job: "job-000001", Task: 0, Number: 1}
+		first := artifactstore.Attempt{Job: "job-000001", Task: 0, Number: 1}
 		list, _, err := x.n.Attempts(ctx, "job-000001", 0)
 		if err != nil {
 			t.Fatal(err)
@@ -303,7 +305,7 @@
 			t.Fatalf("step %d: first sealed %v, second %+v, %v", at, sealed, got, err)
 		}
 		m, state, err := x.n.Manifest(ctx, "job-000001", 0, 0)
-		if err != nil || state != keeper.StateFinal || (m.Number == 1) != sealed {
+		if err != nil || state != artifactstore.StateFinal || (m.Number == 1) != sealed {
 			t.Fatalf("step %d: the result is %+v, %v", at, m, err)
 		}
 		d, err := blob.Parse(m.Files[0].Digest)
--- a/internal/teamconfig/entry.go
+++ b/internal/teamconfig/entry.go
@@ -14,8 +14,8 @@
 
 	"github.com/cespare/xxhash/v2"
 
+	"topazhollow/internal/protocol"
 	"topazhollow/internal/settings"
-	"topazhollow/internal/wire"
 )
 
 // Entry is a team's configuration as the state service has it.
@@ -59,7 +59,7 @@
 // Check names the first field that is out of range.
 func (e *Entry) Check() error {
 	if e.Number == 0 || e.Change == "" {
-		return &wire.FieldError{Field: "number", Reason: "missing"}
+		return &protocol.FieldError{Field: "number", Reason: "missing"}
 	}
 	for _, x := range []struct {
 		field string
@@ -67,7 +67,7 @@
 		least float64
 	}{{"cpus", e.CPUs, 0}, {"cpus_max", e.CPUsMax, minLimit}, {"gpus", e.GPUs, 0}, {"gpus_max", e.GPUsMax, minLimit}} {
 		if math.IsNaN(x.value) || x.value < 0 || x.value > maxAmount || x.value > 0 && x.value < x.least {
-			return &wire.FieldError{Field: x.field, Reason: fmt.Sprintf("%g is not 0 or between %g and %g", x.value, max(x.least, 0), float64(maxAmount))}
+			return &protocol.FieldError{Field: x.field, Reason: fmt.Sprintf("%g is not 0 or between %g and %g", x.value, max(x.least, 0), float64(maxAmount))}
 		}
 	}
 	return nil
--- a/internal/teamstore/teamstore.go
+++ b/internal/teamstore/teamstore.go
@@ -10,17 +10,17 @@
 	"fmt"
 	"time"
 
-	"topazhollow/internal/frontend"
-	"topazhollow/internal/rebuild"
+	"topazhollow/internal/datarecovery"
+	"topazhollow/internal/kvstore"
+	"topazhollow/internal/leadership"
+	"topazhollow/internal/protocol"
 	"topazhollow/internal/settings"
-	"topazhollow/internal/state"
 	"topazhollow/internal/teamconfig"
-	"topazhollow/internal/tenure"
-	"topazhollow/internal/wire"
+	"topazhollow/internal/userapi"
 )
 
 // Prefix is that of the teams' keys, which every controller watches.
-const Prefix = frontend.Watched + "t/"
+const Prefix = userapi.Watched + "t/"
 
 // Errors that callers tell apart.
 var (
@@ -33,13 +33,13 @@
 
 // Writer commits changes. Its methods may be called at once by many; changes of different teams share transactions.
 type Writer struct {
-	client *state.Client
+	client *kvstore.Client
 	base   []settings.Team
 }
 
 // New is a writer to a deployment's state service, with an equal share of the rates beside the controllers. The client's
 // Run must be running.
-func New(client *state.Client, base []settings.Team) *Writer { return &Writer{client, base} }
+func New(client *kvstore.Client, base []settings.Team) *Writer { return &Writer{client, base} }
 
 // Open reads which generation of the state service's data the changes are for. They fail in any other.
 func (w *Writer) Open(ctx context.Context, controlKey string) error {
@@ -47,18 +47,18 @@
 	if err != nil {
 		return err
 	}
-	var record tenure.Record
+	var record leadership.Record
 	if e == nil || json.Unmarshal(e.Value, &record) != nil || record.Store == "" {
 		return ErrNoRecord
 	}
-	marker, err := w.client.Get(ctx, rebuild.StoreKey+record.Store)
+	marker, err := w.client.Get(ctx, datarecovery.StoreKey+record.Store)
 	if err != nil {
 		return err
 	}
 	if marker == nil {
 		return ErrNoRecord
 	}
-	w.client.Fence(wire.Guard{Key: marker.Key, Version: marker.Version})
+	w.client.Fence(protocol.Guard{Key: marker.Key, Version: marker.Version})
 	return nil
 }
 
@@ -91,13 +91,13 @@
 				return Committed{}, err
 			}
 			key := Prefix + team
-			version, err = w.client.Commit(ctx, state.Update{Guards: []wire.Guard{{Key: key, Version: version}},
-				Ops: []wire.Op{{Set: key, Value: wire.Encode(e)}}})
+			version, err = w.client.Commit(ctx, kvstore.Update{Guards: []protocol.Guard{{Key: key, Version: version}},
+				Ops: []protocol.Op{{Set: key, Value: protocol.Encode(e)}}})
 			if err == nil {
 				return Committed{team, e, version}, nil
 			}
 		}
-		if errors.Is(err, state.ErrHeld) || errors.Is(err, state.ErrBack) || errors.Is(err, state.ErrInvalid) {
+		if errors.Is(err, kvstore.ErrHeld) || errors.Is(err, kvstore.ErrBack) || errors.Is(err, kvstore.ErrInvalid) {
 			return Committed{}, err
 		}
 		select {
--- a/internal/frontend/tenants_test.go
+++ b/internal/userapi/tenants_test.go
@@ -1,4 +1,4 @@
-package frontend
+package userapi
 
 import (
 	"context"
@@ -6,10 +6,10 @@
 	"time"
 
 	"topazhollow/internal/httpx"
-	"topazhollow/internal/rehearse"
+	"topazhollow/internal/kvstore"
+	"topazhollow/internal/protocol"
 	"topazhollow/internal/settings"
-	"topazhollow/internal/state"
-	"topazhollow/internal/wire"
+	"topazhollow/internal/simulation"
 )
 
 // behind is a controller that does not know the last change of a team.
@@ -20,21 +20,21 @@
 }
 
 func (b *behind) Team(name string) (settings.Team, bool) { t, ok := b.teams[name]; return t, ok }
-func (b *behind) Rests(name string) []wire.Guard         { return []wire.Guard{{Key: "w/t/" + name}} }
-func (b *behind) Types() []wire.MachineType {
-	return []wire.MachineType{{Name: "m8", CPUs: 8, Memory: 64, Zones: []string{"east"}}}
+func (b *behind) Rests(name string) []protocol.Guard     { return []protocol.Guard{{Key: "w/t/" + name}} }
+func (b *behind) Types() []protocol.MachineType {
+	return []protocol.MachineType{{Name: "m8", CPUs: 8, Memory: 64, Zones: []string{"east"}}}
 }
 func (b *behind) Trusted() bool                                { return true }
 func (b *behind) Remembers(string) (Stored, uint64, bool)      { return Stored{}, 0, false }
 func (b *behind) Certain(context.Context) bool                 { b.caughtUp(); return true }
-func (b *behind) Admit(*wire.Submission) (bool, int)           { return true, 0 }
+func (b *behind) Admit(*protocol.Submission) (bool, int)       { return true, 0 }
 func (b *behind) Hold(context.Context, *Stored, string, Final) {}
 func (b *behind) Accepted(Stored, uint64)                      {}
 
 // TestTeamsKnownLate: a controller that does not know yet that a team came refuses no job of it for good, and one that does not know that
 // a team was removed takes none.
 func TestTeamsKnownLate(t *testing.T) {
-	store, err := rehearse.NewState(16, 16)
+	store, err := simulation.NewState(16, 16)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -42,16 +42,16 @@
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
 	limits := settings.State{RPS: 1000, WriteRPS: 1000, ValueKB: 16, TxnOps: 16}
-	client := state.New(store.Addr(), limits, 1)
+	client := kvstore.New(store.Addr(), limits, 1)
 	go client.Run(ctx)
 	b := &behind{teams: map[string]settings.Team{"known": {Name: "known", CPUsMax: 8}}, caughtUp: func() {}}
 	f := New(&settings.Settings{}, client, b)
 	f.Follow(b)
 	submit := func(uid, team string) int {
-		job := &wire.Submission{UID: uid, Class: "c", Team: team, Kind: wire.Batch, Priority: "standard", Tasks: 1, CPUs: 2, Memory: 4, Image: "img"}
+		job := &protocol.Submission{UID: uid, Class: "c", Team: team, Kind: protocol.Batch, Priority: "standard", Tasks: 1, CPUs: 2, Memory: 4, Image: "img"}
 		within, done := context.WithTimeout(ctx, 10*time.Second)
 		defer done()
-		a, _ := f.Handle(within, &httpx.Request{Method: "POST", Path: wire.PathSubmit, Body: wire.Encode(job)})
+		a, _ := f.Handle(within, &httpx.Request{Method: "POST", Path: protocol.PathSubmit, Body: protocol.Encode(job)})
 		return a.Status
 	}
 	if got := submit("job-000001", "known"); got != 201 {
--- a/internal/frontend/frontend.go
+++ b/internal/userapi/userapi.go
@@ -1,6 +1,6 @@
-// Package frontend answers users: any controller can, because what it says
+// Package userapi answers users: any controller can, because what it says
 // about a job rests on the state service.
-package frontend
+package userapi
 
 import (
 	"context"
@@ -10,11 +10,11 @@
 	"sync"
 	"time"
 
+	"topazhollow/internal/datarecovery"
 	"topazhollow/internal/httpx"
-	"topazhollow/internal/rebuild"
+	"topazhollow/internal/kvstore"
+	"topazhollow/internal/protocol"
 	"topazhollow/internal/settings"
-	"topazhollow/internal/state"
-	"topazhollow/internal/wire"
 )
 
 // Keys of the state service. Those below Watched are followed by every
@@ -27,8 +27,8 @@
 
 // Stored is an active job in the state service.
 type Stored struct {
-	Spec *wire.Submission `json:"spec"`
-	At   int64            `json:"at"` // time of day of the submission, in ms
+	Spec *protocol.Submission `json:"spec"`
+	At   int64                `json:"at"` // time of day of the submission, in ms
 }
 
 // Final is the end of a job in the state service. What a task takes is kept with it, since tasks that are still on
@@ -42,20 +42,20 @@
 	Memory float64 `json:"memory,omitempty"` // GB
 }
 
-// EndOf is the end of a job in a state, wire.Done or wire.Withdrawn.
-func EndOf(spec *wire.Submission, state string) Final {
+// EndOf is the end of a job in a state, protocol.Done or protocol.Withdrawn.
+func EndOf(spec *protocol.Submission, state string) Final {
 	return Final{State: state, Tasks: spec.Tasks, Team: spec.Team, CPUs: spec.CPUs, GPUs: spec.GPUs, Memory: spec.Memory}
 }
 
 // Backend is what the frontend needs of its controller.
 type Backend interface {
-	Types() []wire.MachineType                   // nil while unknown
+	Types() []protocol.MachineType               // nil while unknown
 	Active(ctx context.Context, uid string) bool // that the state service has it as active, by a read begun after the call; false if unsure
 	Progress(uid string) (done, running int)     // for display
 	Accepted(s Stored, version uint64)           // a job was accepted here
 	Ended(uid string, final Final)               // a job ended, as this node just learned
 	Healthy() bool
-	Admit(spec *wire.Submission) (taken bool, back int) // whether a new job can be taken now; if not, when to come back, in seconds
+	Admit(spec *protocol.Submission) (taken bool, back int) // whether a new job can be taken now; if not, when to come back, in seconds
 
 	Trusted() bool                                                // whether the state service has what it acknowledged, as far as known
 	Remembers(uid string) (job Stored, version uint64, ok bool)   // an active job; version 0: the state service does not have it yet
@@ -66,10 +66,10 @@
 }
 
 // FinalOf is an end as the state service holds it.
-func FinalOf(x rebuild.End) Final {
-	f := Final{State: wire.Done, Tasks: x.Tasks, Team: x.Team}
+func FinalOf(x datarecovery.End) Final {
+	f := Final{State: protocol.Done, Tasks: x.Tasks, Team: x.Team}
 	if x.Withdrawn {
-		f.State = wire.Withdrawn
+		f.State = protocol.Withdrawn
 	}
 	return f
 }
@@ -77,7 +77,7 @@
 // Tenants tells of the teams.
 type Tenants interface {
 	Team(name string) (t settings.Team, known bool) // that takes new jobs
-	Rests(name string) []wire.Guard                 // what an acceptance for a team rests on
+	Rests(name string) []protocol.Guard             // what an acceptance for a team rests on
 }
 
 // fixedTenants are those of the settings.
@@ -90,25 +90,25 @@
 }
 
 // Rests is nothing: the settings do not change.
-func (fixedTenants) Rests(string) []wire.Guard { return nil }
+func (fixedTenants) Rests(string) []protocol.Guard { return nil }
 
 // Frontend serves the users' part of the protocol.
 type Frontend struct {
-	state *state.Client
+	state *kvstore.Client
 	teams Tenants
 	back  Backend
 
 	mu   sync.Mutex
-	ends *rebuild.Ends
+	ends *datarecovery.Ends
 }
 
 // New is a frontend for a deployment.
-func New(s *settings.Settings, st *state.Client, back Backend) *Frontend {
+func New(s *settings.Settings, st *kvstore.Client, back Backend) *Frontend {
 	teams := fixedTenants{}
 	for _, t := range s.Deployment.Teams {
 		teams[t.Name] = t
 	}
-	return &Frontend{state: st, teams: teams, back: back, ends: rebuild.NewEnds()}
+	return &Frontend{state: st, teams: teams, back: back, ends: datarecovery.NewEnds()}
 }
 
 // Follow has the teams looked up elsewhere than in the settings.
@@ -123,7 +123,7 @@
 // Handle answers a user's request; ok is false if the path is none of theirs.
 func (f *Frontend) Handle(ctx context.Context, r *httpx.Request) (a httpx.Answer, ok bool) {
 	switch {
-	case r.Path == wire.PathHealth:
+	case r.Path == protocol.PathHealth:
 		if r.Method != "GET" {
 			return notAllowed("GET"), true
 		}
@@ -131,13 +131,13 @@
 			return busy(1), true
 		}
 		return httpx.Answer{Status: 200, Body: []byte("{}")}, true
-	case r.Path == wire.PathSubmit:
+	case r.Path == protocol.PathSubmit:
 		if r.Method != "POST" {
 			return notAllowed("POST"), true
 		}
 		return f.submit(ctx, r.Body), true
 	}
-	rest, found := strings.CutPrefix(r.Path, wire.PathSubmit+"/")
+	rest, found := strings.CutPrefix(r.Path, protocol.PathSubmit+"/")
 	if !found {
 		return httpx.Answer{}, false
 	}
@@ -166,7 +166,7 @@
 func (f *Frontend) Learn(uid string, final Final) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.ends.Learn(rebuild.End{UID: uid, Withdrawn: final.State == wire.Withdrawn, Tasks: final.Tasks, Team: final.Team})
+	f.ends.Learn(datarecovery.End{UID: uid, Withdrawn: final.State == protocol.Withdrawn, Tasks: final.Tasks, Team: final.Team})
 }
 
 // Final is the end of a job, if it is remembered.
@@ -188,14 +188,14 @@
 }
 
 // Digest names the ends that are remembered.
-func (f *Frontend) Digest() rebuild.Digest {
+func (f *Frontend) Digest() datarecovery.Digest {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.ends.Digest()
 }
 
 // Lacking lists the ends that a digest does not name.
-func (f *Frontend) Lacking(d rebuild.Digest) ([]rebuild.End, error) {
+func (f *Frontend) Lacking(d datarecovery.Digest) ([]datarecovery.End, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.ends.Lacking(d)
@@ -204,7 +204,7 @@
 // find reads what the state service holds of a job: its active entry, or its
 // end, or neither. The order matters: a job moves from active to ended at once
 // and never back.
-func (f *Frontend) find(ctx context.Context, uid string) (*wire.Entry, *Final, error) {
+func (f *Frontend) find(ctx context.Context, uid string) (*protocol.Entry, *Final, error) {
 	if final, ok := f.Final(uid); ok {
 		return nil, &final, nil
 	}
@@ -292,32 +292,32 @@
 // any user was told of, whoever wrote it.
 func (f *Frontend) over(uid string, final Final) httpx.Answer {
 	f.telling(uid, final)
-	return httpx.Answer{Status: 200, Body: wire.Encode(wire.Brief{UID: uid, State: final.State})}
+	return httpx.Answer{Status: 200, Body: protocol.Encode(protocol.Brief{UID: uid, State: final.State})}
 }
 
 func (f *Frontend) telling(uid string, final Final) {
-	if final.State == wire.Withdrawn {
+	if final.State == protocol.Withdrawn {
 		f.back.Confirming(uid, final)
 	}
 }
 
 // describe answers about a job that has ended, or is active if final is nil.
 func (f *Frontend) describe(status int, uid string, final *Final) httpx.Answer {
-	s := wire.Status{UID: uid, State: wire.Pending}
+	s := protocol.Status{UID: uid, State: protocol.Pending}
 	if final != nil {
 		f.telling(uid, *final)
 		s.State = final.State
-		if final.State == wire.Done {
+		if final.State == protocol.Done {
 			s.Done = final.Tasks
 		}
 	} else if s.Done, s.Running = f.back.Progress(uid); s.Running > 0 || s.Done > 0 {
-		s.State = wire.Running
+		s.State = protocol.Running
 	}
-	return httpx.Answer{Status: status, Body: wire.Encode(s)}
+	return httpx.Answer{Status: status, Body: protocol.Encode(s)}
 }
 
 func (f *Frontend) status(ctx context.Context, uid string) httpx.Answer {
-	if !wire.ValidUID(uid) {
+	if !protocol.ValidUID(uid) {
 		return httpx.Refuse(404, "no such job")
 	}
 	ctx, cancel := context.WithTimeout(ctx, 1800*time.Millisecond)
@@ -346,16 +346,16 @@
 func (f *Frontend) submit(ctx context.Context, body []byte) httpx.Answer {
 	ctx, cancel := context.WithTimeout(ctx, 4*time.Second)
 	defer cancel()
-	spec, err := wire.ParseSubmission(body)
+	spec, err := protocol.ParseSubmission(body)
 	refusal := httpx.Answer{}
 	uid := ""
-	var rests []wire.Guard
+	var rests []protocol.Guard
 	if err == nil {
 		rests = f.teams.Rests(spec.Team) // looked up before what is decided by it
 	}
 	if err != nil {
 		refusal = httpx.Refuse(400, err.Error())
-		uid = wire.PeekUID(body)
+		uid = protocol.PeekUID(body)
 	} else {
 		uid = spec.UID
 		if reason := f.impossible(spec); reason != "" {
@@ -415,16 +415,16 @@
 		defer close(held)
 		f.back.Hold(ctx, &stored, "", Final{})
 	}()
-	version, err := f.state.Commit(ctx, state.Update{Soon: true,
-		Guards: append([]wire.Guard{{Key: JobKey + uid}, {Key: FinalKey + uid}}, rests...),
-		Ops:    []wire.Op{{Set: JobKey + uid, Value: wire.Encode(stored)}},
+	version, err := f.state.Commit(ctx, kvstore.Update{Soon: true,
+		Guards: append([]protocol.Guard{{Key: JobKey + uid}, {Key: FinalKey + uid}}, rests...),
+		Ops:    []protocol.Op{{Set: JobKey + uid, Value: protocol.Encode(stored)}},
 	})
 	if err == nil {
 		<-held
 		f.back.Accepted(stored, version)
-		return httpx.Answer{Status: 201, Body: wire.Encode(wire.Brief{UID: uid, State: wire.Pending})}
+		return httpx.Answer{Status: 201, Body: protocol.Encode(protocol.Brief{UID: uid, State: protocol.Pending})}
 	}
-	if errors.Is(err, state.ErrConflict) {
+	if errors.Is(err, kvstore.ErrConflict) {
 		e, final, err := f.find(ctx, uid)
 		if err == nil && (e != nil || final != nil) {
 			return f.describe(200, uid, final)
@@ -434,13 +434,13 @@
 }
 
 // impossible says why a job can never run, or "".
-func (f *Frontend) impossible(s *wire.Submission) string {
+func (f *Frontend) impossible(s *protocol.Submission) string {
 	team, ok := f.teams.Team(s.Team)
 	if !ok {
 		return "field equipo: unknown team"
 	}
 	n := 1.0
-	if s.Kind != wire.Batch {
+	if s.Kind != protocol.Batch {
 		n = float64(s.Tasks)
 	}
 	if n*s.CPUs > team.CPUsMax+1e-6 || n*s.GPUs > team.GPUsMax+1e-6 {
@@ -470,7 +470,7 @@
 }
 
 func (f *Frontend) withdraw(ctx context.Context, uid string) httpx.Answer {
-	if !wire.ValidUID(uid) {
+	if !protocol.ValidUID(uid) {
 		return httpx.Refuse(404, "no such job")
 	}
 	ctx, cancel := context.WithTimeout(ctx, 4*time.Second)
@@ -499,17 +499,17 @@
 		if err := json.Unmarshal(e.Value, &stored); err != nil || stored.Spec == nil {
 			return busy(5)
 		}
-		end := EndOf(stored.Spec, wire.Withdrawn)
-		_, err = f.state.Commit(ctx, state.Update{Soon: true,
-			Guards: []wire.Guard{{Key: JobKey + uid, Version: e.Version}},
-			Ops:    []wire.Op{{Delete: JobKey + uid}, {Set: FinalKey + uid, Value: wire.Encode(end)}}})
+		end := EndOf(stored.Spec, protocol.Withdrawn)
+		_, err = f.state.Commit(ctx, kvstore.Update{Soon: true,
+			Guards: []protocol.Guard{{Key: JobKey + uid, Version: e.Version}},
+			Ops:    []protocol.Op{{Delete: JobKey + uid}, {Set: FinalKey + uid, Value: protocol.Encode(end)}}})
 		if err == nil {
 			f.Learn(uid, end)
 			f.back.Ended(uid, end)
 			f.back.Hold(ctx, nil, uid, end)
 			return f.over(uid, end)
 		}
-		if !errors.Is(err, state.ErrConflict) {
+		if !errors.Is(err, kvstore.ErrConflict) {
 			return busy(1)
 		}
 	}
--- a/loss_test.go
+++ b/loss_test.go
@@ -12,21 +12,21 @@
 	"testing"
 	"time"
 
-	"topazhollow/internal/frontend"
-	"topazhollow/internal/rebuild"
-	"topazhollow/internal/rehearse"
+	"topazhollow/internal/datarecovery"
+	"topazhollow/internal/protocol"
+	"topazhollow/internal/simulation"
 	"topazhollow/internal/snapshot"
-	"topazhollow/internal/wire"
+	"topazhollow/internal/userapi"
 )
 
 // loss is a region in which jobs run, one is withdrawn and some are done, when its
 // state service loses data.
 type loss struct {
 	*region
-	jobs      []*wire.Submission
+	jobs      []*protocol.Submission
 	early     int // jobs that were accepted before the state was saved
-	withdrawn *wire.Submission
-	saved     rehearse.Saved
+	withdrawn *protocol.Submission
+	saved     simulation.Saved
 	loses     bool // a new generation is due
 }
 
@@ -45,7 +45,7 @@
 	l.withdraw(l.withdrawn.UID)
 	l.until("a job is done", func() bool {
 		for _, j := range l.jobs {
-			if l.poll(j.UID) == wire.Done {
+			if l.poll(j.UID) == protocol.Done {
 				return true
 			}
 		}
@@ -58,7 +58,7 @@
 func (r *region) withdraw(uid string) {
 	r.check.Withdrawing(uid)
 	r.until(uid+" withdrawn", func() bool {
-		status, st := r.ask("POST", wire.PathSubmit+"/"+uid+"/withdraw", struct{}{})
+		status, st := r.ask("POST", protocol.PathSubmit+"/"+uid+"/withdraw", struct{}{})
 		r.check.Told(uid, status, st.State, false)
 		return status == 200
 	})
@@ -102,10 +102,10 @@
 	late := array(350, 6, "red")
 	l.submit(late)
 	l.allDone(append(l.jobs, late))
-	l.until("withdrawn still", func() bool { return l.poll(l.withdrawn.UID) == wire.Withdrawn })
+	l.until("withdrawn still", func() bool { return l.poll(l.withdrawn.UID) == protocol.Withdrawn })
 	l.until("all is written back", func() bool { return l.rebuilt(l.loses) && (!l.loses || !l.overviews()[0].Store.Lost) })
 	l.until("an unknown job is unknown", func() bool {
-		status, _ := l.ask("GET", wire.PathSubmit+"/job-999999", nil)
+		status, _ := l.ask("GET", protocol.PathSubmit+"/job-999999", nil)
 		return status == http.StatusNotFound
 	})
 }
@@ -163,11 +163,11 @@
 				l.check.Withdrawing(extra.UID)
 				for end := time.Now().Add(30 * time.Second); time.Now().Before(end); time.Sleep(30 * time.Millisecond) {
 					s := l.sets[time.Now().UnixNano()%3]
-					resp, err := l.httpc.Post("http://"+s.Listen+wire.PathSubmit+"/"+extra.UID+"/withdraw", "application/json", strings.NewReader("{}"))
+					resp, err := l.httpc.Post("http://"+s.Listen+protocol.PathSubmit+"/"+extra.UID+"/withdraw", "application/json", strings.NewReader("{}"))
 					if err != nil {
 						continue
 					}
-					var st wire.Status
+					var st protocol.Status
 					_ = json.NewDecoder(resp.Body).Decode(&st)
 					resp.Body.Close()
 					l.check.Told(extra.UID, resp.StatusCode, st.State, false)
@@ -188,19 +188,19 @@
 			l.submit(extra)
 			l.check.Withdrawing(extra.UID)
 			l.state.Back(l.saved)
-			l.state.Put(frontend.FinalKey+extra.UID, string(wire.Encode(frontend.Final{State: wire.Withdrawn, Tasks: 10, Team: "red"})))
+			l.state.Put(userapi.FinalKey+extra.UID, string(protocol.Encode(userapi.Final{State: protocol.Withdrawn, Tasks: 10, Team: "red"})))
 			told := 0 // each controller is asked, one after the other, until all tell the end
 			l.until("all tell the end", func() bool {
 				for _, s := range l.sets {
-					resp, err := l.httpc.Get("http://" + s.Listen + wire.PathSubmit + "/" + extra.UID)
+					resp, err := l.httpc.Get("http://" + s.Listen + protocol.PathSubmit + "/" + extra.UID)
 					if err != nil {
 						continue
 					}
-					var st wire.Status
+					var st protocol.Status
 					_ = json.NewDecoder(resp.Body).Decode(&st) // the status says the most of it
 					resp.Body.Close()
 					l.check.Told(extra.UID, resp.StatusCode, st.State, false)
-					if st.State == wire.Withdrawn {
+					if st.State == protocol.Withdrawn {
 						told++
 					}
 				}
@@ -243,15 +243,15 @@
 // past the revision that the others had seen, so that every version they compare is there
 // again or was changed. That the record does not follow the one known is the sign.
 func TestRecordWrittenPastALoss(t *testing.T) {
-	for after, want := range map[uint64]rebuild.Phase{12: rebuild.Doubted, 17: rebuild.Known, 18: rebuild.Known} {
+	for after, want := range map[uint64]datarecovery.Phase{12: datarecovery.Doubted, 17: datarecovery.Known, 18: datarecovery.Known} {
 		n := newGrown(2, 1).n
 		n.record.Generation, n.version = 1, 17
-		n.store.watch = rebuild.NewWatch("node-a", nil, time.Second)
+		n.store.watch = datarecovery.NewWatch("node-a", nil, time.Second)
 		n.store.watch.Entered(1, time.Now())
 		next := n.record.Clone()
 		next.Term, next.After = next.Term+1, after
-		n.changed(wire.Change{Set: controlKey, Value: wire.Encode(next), Version: 19})
-		if phase, _, _ := n.store.watch.Phase(); phase != want || (n.version == 19) != (want == rebuild.Known) {
+		n.changed(protocol.Change{Set: controlKey, Value: protocol.Encode(next), Version: 19})
+		if phase, _, _ := n.store.watch.Phase(); phase != want || (n.version == 19) != (want == datarecovery.Known) {
 			t.Errorf("after %d: %s, version %d", after, phase, n.version)
 		}
 	}
@@ -284,8 +284,8 @@
 func TestLateTransactions(t *testing.T) {
 	l := newLoss(t)
 	l.loses = true
-	var marker wire.Entry
-	for _, e := range l.keys(rebuild.StoreKey) {
+	var marker protocol.Entry
+	for _, e := range l.keys(datarecovery.StoreKey) {
 		marker = e
 	}
 	if marker.Version == 0 {
@@ -294,9 +294,9 @@
 	l.state.Back(l.saved)
 	l.until("a generation begins", func() bool { return l.rebuilt(true) })
 	ghost := array(398, 1, "red")
-	late := wire.Txn{Guards: []wire.Guard{{Key: marker.Key, Version: marker.Version}, {Key: snapshot.JobKey + ghost.UID}},
-		Then: []wire.Op{{Set: snapshot.JobKey + ghost.UID, Value: wire.Encode(frontend.Stored{Spec: ghost})}}}
-	resp, err := l.httpc.Post("http://"+l.state.Addr()+"/txn", "application/json", bytes.NewReader(wire.Encode(late)))
+	late := protocol.Txn{Guards: []protocol.Guard{{Key: marker.Key, Version: marker.Version}, {Key: snapshot.JobKey + ghost.UID}},
+		Then: []protocol.Op{{Set: snapshot.JobKey + ghost.UID, Value: protocol.Encode(userapi.Stored{Spec: ghost})}}}
+	resp, err := l.httpc.Post("http://"+l.state.Addr()+"/txn", "application/json", bytes.NewReader(protocol.Encode(late)))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -308,13 +308,13 @@
 }
 
 // keys lists keys of the stand-in by its protocol.
-func (r *region) keys(prefix string) []wire.Entry {
+func (r *region) keys(prefix string) []protocol.Entry {
 	resp, err := r.httpc.Get("http://" + r.state.Addr() + "/store?limit=1000&under=" + prefix)
 	if err != nil {
 		r.t.Fatal(err)
 	}
 	defer resp.Body.Close()
-	var list wire.EntryList
+	var list protocol.EntryList
 	if err := json.NewDecoder(resp.Body).Decode(&list); err != nil {
 		r.t.Fatal(err)
 	}
@@ -342,13 +342,13 @@
 			}
 			late := array(350, 6, "red")
 			l.submit(late)
-			known := []*wire.Submission{late}
+			known := []*protocol.Submission{late}
 			if name == "back" {
 				known = append(known, l.jobs[:l.early]...)
 			}
 			l.allDone(known)
 			for _, j := range append(l.jobs, l.withdrawn, array(999, 1, "red")) {
-				status, st := l.ask("GET", wire.PathSubmit+"/"+j.UID, nil)
+				status, st := l.ask("GET", protocol.PathSubmit+"/"+j.UID, nil)
 				l.check.Told(j.UID, status, st.State, false)
 				if status != http.StatusOK && status != http.StatusServiceUnavailable {
 					t.Errorf("%s: status %d", j.UID, status)
@@ -379,7 +379,7 @@
 	for i := range l.nodes {
 		l.start(i)
 	}
-	told := func() int { status, _ := l.ask("GET", wire.PathSubmit+"/"+l.jobs[0].UID, nil); return status }
+	told := func() int { status, _ := l.ask("GET", protocol.PathSubmit+"/"+l.jobs[0].UID, nil); return status }
 	l.until("controllers serve", func() bool { return len(l.overviews()) == 3 })
 	lost := false
 	l.until("given up", func() bool {
@@ -406,7 +406,7 @@
 	l.submit(job)
 	l.state.LoseAll()
 	l.until("rebuilt", func() bool { return l.rebuilt(true) && !l.overviews()[0].Store.Lost })
-	l.allDone([]*wire.Submission{job})
+	l.allDone([]*protocol.Submission{job})
 }
 
 // TestRestoreFromSnapshot: the store loses everything at the moment in which all
--- a/meeting_answer_test.go
+++ b/meeting_answer_test.go
@@ -6,13 +6,13 @@
 	"testing"
 	"time"
 
-	"topazhollow/internal/frontend"
-	"topazhollow/internal/rehearse"
-	"topazhollow/internal/wire"
+	"topazhollow/internal/protocol"
+	"topazhollow/internal/simulation"
+	"topazhollow/internal/userapi"
 )
 
 // sets says whether a transaction sets a key below a prefix to a value that holds a text.
-func sets(txn *wire.Txn, prefix, text string) bool {
+func sets(txn *protocol.Txn, prefix, text string) bool {
 	for _, o := range txn.Then {
 		if strings.HasPrefix(o.Set, prefix) && strings.Contains(string(o.Value), text) {
 			return true
@@ -22,21 +22,21 @@
 }
 
 // writeKinds are all that controllers write to the state service.
-var writeKinds = map[string]func(txn *wire.Txn) bool{
-	"acceptance":     func(txn *wire.Txn) bool { return sets(txn, frontend.JobKey, "") },
-	"end":            func(txn *wire.Txn) bool { return sets(txn, frontend.FinalKey, wire.Done) },
-	"cancellation":   func(txn *wire.Txn) bool { return sets(txn, frontend.FinalKey, wire.Withdrawn) },
-	"page":           func(txn *wire.Txn) bool { return writes(txn, "b/") },
-	"roster":         func(txn *wire.Txn) bool { return writes(txn, machineKey) },
-	"control record": func(txn *wire.Txn) bool { return writes(txn, controlKey) },
-	"lease key":      func(txn *wire.Txn) bool { return writes(txn, nodeKey) },
+var writeKinds = map[string]func(txn *protocol.Txn) bool{
+	"acceptance":     func(txn *protocol.Txn) bool { return sets(txn, userapi.JobKey, "") },
+	"end":            func(txn *protocol.Txn) bool { return sets(txn, userapi.FinalKey, protocol.Done) },
+	"cancellation":   func(txn *protocol.Txn) bool { return sets(txn, userapi.FinalKey, protocol.Withdrawn) },
+	"page":           func(txn *protocol.Txn) bool { return writes(txn, "b/") },
+	"roster":         func(txn *protocol.Txn) bool { return writes(txn, machineKey) },
+	"control record": func(txn *protocol.Txn) bool { return writes(txn, controlKey) },
+	"lease key":      func(txn *protocol.Txn) bool { return writes(txn, nodeKey) },
 }
 
 // loseAnswers has the answers to so many transactions of a kind lost, at whatever controller sends them.
-func (s *scene) loseAnswers(kind func(*wire.Txn) bool, count int) {
+func (s *scene) loseAnswers(kind func(*protocol.Txn) bool, count int) {
 	var mu sync.Mutex
 	for _, d := range s.doors {
-		d.Unanswered(func(txn *wire.Txn) bool {
+		d.Unanswered(func(txn *protocol.Txn) bool {
 			mu.Lock()
 			defer mu.Unlock()
 			if count == 0 || !kind(txn) {
@@ -49,7 +49,7 @@
 }
 
 // lost counts the transactions of a kind that were carried out and not answered.
-func (s *scene) lost(kind func(*wire.Txn) bool) (count int) {
+func (s *scene) lost(kind func(*protocol.Txn) bool) (count int) {
 	for _, d := range s.doors {
 		for _, txn := range d.Lost() {
 			if kind(&txn) {
@@ -130,7 +130,7 @@
 			machines := s.cloud.Workers()
 			for i, w := range machines {
 				rng := draws(uint64(i))
-				w.SlowCommands(func(*wire.Direct) time.Duration { return time.Duration(4000+rng.IntN(3000)) * time.Millisecond })
+				w.SlowCommands(func(*protocol.Direct) time.Duration { return time.Duration(4000+rng.IntN(3000)) * time.Millisecond })
 			}
 			for i := range 4 {
 				s.beside(func() { s.enter(array(10+i, 2, []string{"red", "blue"}[i%2])) })
@@ -152,7 +152,7 @@
 }
 
 // lateCommands counts the requests with commands to some machines that were held up, and those that arrived since.
-func lateCommands(machines []*rehearse.Worker) (held, arrived int) {
+func lateCommands(machines []*simulation.Worker) (held, arrived int) {
 	for _, w := range machines {
 		h, obeyed, outdated := w.LateCommands()
 		held, arrived = held+h, arrived+obeyed+outdated
--- a/meeting_leader_test.go
+++ b/meeting_leader_test.go
@@ -5,7 +5,7 @@
 	"testing"
 	"time"
 
-	"topazhollow/internal/wire"
+	"topazhollow/internal/protocol"
 )
 
 // TestCancelledWhileWorkChangesHands: jobs are cancelled in the seconds in which a controller's teams go to another one
@@ -170,7 +170,7 @@
 			ends[c.State]++
 		}
 	}
-	if ends[wire.Withdrawn] == 0 || ends[wire.Done] == 0 {
+	if ends[protocol.Withdrawn] == 0 || ends[protocol.Done] == 0 {
 		t.Errorf("cancellations met jobs in one state only: %v", ends)
 	}
 }
@@ -185,7 +185,7 @@
 			s := openScene(t, sceneRun)
 			s.members(3)
 			west := "west"
-			var jobs []*wire.Submission
+			var jobs []*protocol.Submission
 			for i := range 4 {
 				job := endless(i, 3, []string{"red", "blue"}[i%2])
 				job.Spot = true
--- a/meeting_look_test.go
+++ b/meeting_look_test.go
@@ -6,14 +6,14 @@
 	"time"
 
 	"topazhollow/internal/history"
-	"topazhollow/internal/wire"
+	"topazhollow/internal/protocol"
 )
 
 // looks is how many times each controller is asked after each event.
 const looks = 4
 
 // lives has a job accepted, looked at, ended or cancelled at once, and looked at again.
-func (s *scene) lives(spec *wire.Submission, cancels bool) {
+func (s *scene) lives(spec *protocol.Submission, cancels bool) {
 	s.enter(spec)
 	s.users.LookClosely(spec, looks)
 	if cancels {
@@ -54,7 +54,7 @@
 		"answers of the service are lost": func(s *scene) {
 			for i, d := range s.doors {
 				rng := draws(uint64(i))
-				d.Unanswered(func(*wire.Txn) bool { return rng.IntN(6) == 0 })
+				d.Unanswered(func(*protocol.Txn) bool { return rng.IntN(6) == 0 })
 			}
 		},
 		"the service answers slowly": func(s *scene) {
@@ -114,8 +114,8 @@
 			calls := s.users.Log().Calls()
 			for event, happened := range map[string]func(c history.Call) bool{
 				"accepted":  func(c history.Call) bool { return c.Status == 201 },
-				"done":      func(c history.Call) bool { return c.Status == 200 && c.State == wire.Done },
-				"cancelled": func(c history.Call) bool { return c.Kind == history.Cancel && c.State == wire.Withdrawn },
+				"done":      func(c history.Call) bool { return c.Status == 200 && c.State == protocol.Done },
+				"cancelled": func(c history.Call) bool { return c.Kind == history.Cancel && c.State == protocol.Withdrawn },
 			} {
 				if n := looked(calls, happened); n < len(s.sets) {
 					t.Errorf("after a job was %s only %d controllers told of it", event, n)
@@ -148,7 +148,7 @@
 			ends = append(ends, c.State)
 		}
 	}
-	if !slices.Contains(ends, wire.Done) && !slices.Contains(ends, wire.Withdrawn) {
+	if !slices.Contains(ends, protocol.Done) && !slices.Contains(ends, protocol.Withdrawn) {
 		t.Error("no cancellation met an end")
 	}
 }
@@ -162,7 +162,7 @@
 	running, over := endless(1, 2, "red"), array(2, 1, "blue")
 	s.enter(running)
 	s.enter(over)
-	s.until("one is over", func() bool { _, state := s.users.Ask(0, over.UID); return state == wire.Done })
+	s.until("one is over", func() bool { _, state := s.users.Ask(0, over.UID); return state == protocol.Done })
 	check := func() {
 		for node := range s.sets {
 			s.refuses(node)
@@ -170,11 +170,11 @@
 				repeated := *running
 				repeated.Team, repeated.CPUs = "nobody", 900
 				status, state := s.users.Submit(node, &repeated)
-				return status == 200 && state != wire.Withdrawn
+				return status == 200 && state != protocol.Withdrawn
 			})
 			s.until("a job that is done can't be cancelled", func() bool {
 				status, state := s.users.Cancel(node, over.UID)
-				return status == 200 && state == wire.Done
+				return status == 200 && state == protocol.Done
 			})
 		}
 	}
@@ -191,17 +191,17 @@
 func (s *scene) refuses(node int) {
 	far := "nowhere"
 	for what, c := range map[string]struct {
-		spoil func(*wire.Submission)
+		spoil func(*protocol.Submission)
 		want  int
 	}{
-		"unknown team":          {func(j *wire.Submission) { j.Team = "nobody" }, 422},
-		"too large a task":      {func(j *wire.Submission) { j.CPUs = 9 }, 422},
-		"no such zone":          {func(j *wire.Submission) { j.Zone = &far }, 422},
-		"no such type":          {func(j *wire.Submission) { j.Types = []string{"m9"} }, 422},
-		"gang beyond the limit": {func(j *wire.Submission) { j.Kind, j.Tasks = wire.Gang, 13 }, 422},
-		"no image":              {func(j *wire.Submission) { j.Image = "" }, 400},
-		"unknown kind":          {func(j *wire.Submission) { j.Kind = "other" }, 400},
-		"no tasks":              {func(j *wire.Submission) { j.Tasks = 0 }, 400},
+		"unknown team":          {func(j *protocol.Submission) { j.Team = "nobody" }, 422},
+		"too large a task":      {func(j *protocol.Submission) { j.CPUs = 9 }, 422},
+		"no such zone":          {func(j *protocol.Submission) { j.Zone = &far }, 422},
+		"no such type":          {func(j *protocol.Submission) { j.Types = []string{"m9"} }, 422},
+		"gang beyond the limit": {func(j *protocol.Submission) { j.Kind, j.Tasks = protocol.Gang, 13 }, 422},
+		"no image":              {func(j *protocol.Submission) { j.Image = "" }, 400},
+		"unknown kind":          {func(j *protocol.Submission) { j.Kind = "other" }, 400},
+		"no tasks":              {func(j *protocol.Submission) { j.Tasks = 0 }, 400},
 	} {
 		job := array(900+node, 2, "red")
 		c.spoil(job)
@@ -222,7 +222,7 @@
 // lacksFields sends submissions that each lack one field.
 func (s *scene) lacksFields(node int) {
 	var whole map[string]any
-	if err := wire.Decode(wire.Encode(array(910+node, 2, "red")), &whole); err != nil {
+	if err := protocol.Decode(protocol.Encode(array(910+node, 2, "red")), &whole); err != nil {
 		s.t.Fatal(err)
 	}
 	for field := range whole {
@@ -232,6 +232,6 @@
 				part[name] = value
 			}
 		}
-		s.until("without "+field+" it is refused", func() bool { return s.post(node, wire.PathSubmit, wire.Encode(part)) == 400 })
+		s.until("without "+field+" it is refused", func() bool { return s.post(node, protocol.PathSubmit, protocol.Encode(part)) == 400 })
 	}
 }
--- a/meeting_quota_test.go
+++ b/meeting_quota_test.go
@@ -6,8 +6,8 @@
 	"testing"
 	"time"
 
-	"topazhollow/internal/rehearse"
-	"topazhollow/internal/wire"
+	"topazhollow/internal/protocol"
+	"topazhollow/internal/simulation"
 )
 
 // The limits of a scene's teams, in CPUs; a task takes two of them.
@@ -15,7 +15,7 @@
 
 // crowd enters endless jobs of one and two tasks, half as many again as each team's limit takes, and waits until both
 // teams are at their limits.
-func crowd(s *scene) (jobs []*wire.Submission) {
+func crowd(s *scene) (jobs []*protocol.Submission) {
 	s.t.Helper()
 	number := 0
 	for _, team := range []string{"red", "blue"} {
@@ -65,7 +65,7 @@
 }
 
 // withhold keeps a machine from what goes on around it, in a drawn way, and gives what ends that.
-func withhold(w *rehearse.Worker, rng *rand.Rand) (how string, undo func()) {
+func withhold(w *simulation.Worker, rng *rand.Rand) (how string, undo func()) {
 	switch rng.IntN(5) {
 	case 0:
 		w.Hang(true)
@@ -81,7 +81,7 @@
 		return "mute", func() { w.Mute(false) }
 	}
 	held := time.Duration(500+rng.IntN(4000)) * time.Millisecond
-	w.SlowCommands(func(*wire.Direct) time.Duration { return held })
+	w.SlowCommands(func(*protocol.Direct) time.Duration { return held })
 	return "slow commands", func() { w.SlowCommands(nil) }
 }
 
@@ -99,7 +99,7 @@
 			rng := draws(seed)
 			machines := s.cloud.Workers()
 			var undo []func()
-			var withheld []*rehearse.Worker
+			var withheld []*simulation.Worker
 			for _, k := range rng.Perm(len(machines))[:2+rng.IntN(2)] {
 				how, back := withhold(machines[k], rng)
 				t.Log(machines[k].Name(), how)
--- a/meeting_report_test.go
+++ b/meeting_report_test.go
@@ -5,8 +5,8 @@
 	"testing"
 	"time"
 
-	"topazhollow/internal/rehearse"
-	"topazhollow/internal/wire"
+	"topazhollow/internal/protocol"
+	"topazhollow/internal/simulation"
 )
 
 // busyScene is a scene in which both teams run endless and short work.
@@ -25,7 +25,7 @@
 
 // deliverAt delivers what machines kept of their reports to all controllers as soon as another controller than the
 // former one owns an item, and gives how many arrived.
-func (s *scene) deliverAt(machines []*rehearse.Worker, item string, former int) (arrived int) {
+func (s *scene) deliverAt(machines []*simulation.Worker, item string, former int) (arrived int) {
 	s.t.Helper()
 	s.until("a new owner of "+item, func() bool {
 		owner := s.owner(item)
@@ -55,9 +55,9 @@
 // twice, nothing that ended comes back, and no report is taken for a loss of data.
 func TestOldReportsAtANewLeader(t *testing.T) {
 	t.Parallel()
-	for name, keep := range map[string]func(w *rehearse.Worker){
-		"copies": func(w *rehearse.Worker) { w.KeepCopies(true) },
-		"held":   func(w *rehearse.Worker) { w.HoldReports(3) },
+	for name, keep := range map[string]func(w *simulation.Worker){
+		"copies": func(w *simulation.Worker) { w.KeepCopies(true) },
+		"held":   func(w *simulation.Worker) { w.HoldReports(3) },
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -128,11 +128,11 @@
 }
 
 // runningOn lists the endless jobs that run on some machines.
-func (s *scene) runningOn(machines []*rehearse.Worker) (jobs []string) {
+func (s *scene) runningOn(machines []*simulation.Worker) (jobs []string) {
 	seen := map[string]bool{}
 	for _, w := range machines {
 		for _, task := range w.Running() {
-			if uid, _, _ := wire.SplitTask(task); jobNumber(uid) >= firstEndless && !seen[uid] {
+			if uid, _, _ := protocol.SplitTask(task); jobNumber(uid) >= firstEndless && !seen[uid] {
 				seen[uid] = true
 				jobs = append(jobs, uid)
 			}
--- a/meeting_start_test.go
+++ b/meeting_start_test.go
@@ -5,18 +5,18 @@
 	"testing"
 	"time"
 
-	"topazhollow/internal/rehearse"
+	"topazhollow/internal/protocol"
 	"topazhollow/internal/settings"
-	"topazhollow/internal/wire"
+	"topazhollow/internal/simulation"
 )
 
 // startUnderway waits until a start of a task of a team is held up on its way to a machine.
-func (s *scene) startUnderway(team string) (to *rehearse.Worker, job string) {
+func (s *scene) startUnderway(team string) (to *simulation.Worker, job string) {
 	s.t.Helper()
 	s.until("a start is on its way", func() bool {
 		for _, w := range s.cloud.Workers() {
 			for _, task := range w.StartsUnderway() {
-				if uid, _, _ := wire.SplitTask(task); s.teamOf(uid) == team {
+				if uid, _, _ := protocol.SplitTask(task); s.teamOf(uid) == team {
 					to, job = w, uid
 					return true
 				}
@@ -35,8 +35,8 @@
 }
 
 // slowStarts holds commands up that start something.
-func slowStarts(d *wire.Direct) time.Duration {
-	if slices.ContainsFunc(d.Commands, func(c wire.Command) bool { return c.Op == wire.Start }) {
+func slowStarts(d *protocol.Direct) time.Duration {
+	if slices.ContainsFunc(d.Commands, func(c protocol.Command) bool { return c.Op == protocol.Start }) {
 		return 7 * time.Second
 	}
 	return 0
@@ -58,7 +58,7 @@
 			for _, w := range machines {
 				w.SlowCommands(slowStarts)
 			}
-			first := slices.IndexFunc(jobs, func(j *wire.Submission) bool { return j.Team == "red" && s.check.OnOf(j.UID) > 0 })
+			first := slices.IndexFunc(jobs, func(j *protocol.Submission) bool { return j.Team == "red" && s.check.OnOf(j.UID) > 0 })
 			s.cancel(jobs[first].UID) // its room goes to one that waits
 			deaf, job := s.startUnderway("red")
 			deaf.Deaf(true)
@@ -66,7 +66,7 @@
 			for _, w := range machines {
 				w.SlowCommands(nil)
 			}
-			_, arrived := lateCommands([]*rehearse.Worker{deaf})
+			_, arrived := lateCommands([]*simulation.Worker{deaf})
 			leader, before := s.leader(teamItem("red")), s.term()
 			s.crash(leader)
 			s.until("another term", func() bool { return s.term() > before })
@@ -74,7 +74,7 @@
 				s.beside(func() { s.cancel(job) })
 			}
 			s.until("the start arrived", func() bool {
-				_, now := lateCommands([]*rehearse.Worker{deaf})
+				_, now := lateCommands([]*simulation.Worker{deaf})
 				return now > arrived && len(deaf.StartsUnderway()) == 0
 			})
 			if _, obeyed, _ := deaf.LateCommands(); obeyed == 0 {
--- a/meeting_test.go
+++ b/meeting_test.go
@@ -12,15 +12,15 @@
 	"testing"
 	"time"
 
-	"topazhollow/internal/frontend"
-	"topazhollow/internal/horizon"
+	"topazhollow/internal/cancelwatermark"
+	"topazhollow/internal/datarecovery"
 	"topazhollow/internal/httpx"
-	"topazhollow/internal/ledger"
-	"topazhollow/internal/rebuild"
-	"topazhollow/internal/rehearse"
+	"topazhollow/internal/jobstate"
+	"topazhollow/internal/leadership"
+	"topazhollow/internal/protocol"
 	"topazhollow/internal/settings"
-	"topazhollow/internal/tenure"
-	"topazhollow/internal/wire"
+	"topazhollow/internal/simulation"
+	"topazhollow/internal/userapi"
 )
 
 // met is a region with short times in which tasks run far longer than a cancellation may take.
@@ -31,7 +31,7 @@
 }
 
 // askAt sends a request to one controller.
-func (r *region) askAt(i int, method, path string, body any) (int, wire.Status) {
+func (r *region) askAt(i int, method, path string, body any) (int, protocol.Status) {
 	all := r.sets
 	r.sets = all[i : i+1]
 	defer func() { r.sets = all }()
@@ -42,27 +42,27 @@
 func (r *region) withdrawAt(i int, uid string) time.Time {
 	r.check.Withdrawing(uid)
 	r.until("withdrawn", func() bool {
-		status, st := r.askAt(i, "POST", wire.PathSubmit+"/"+uid+"/withdraw", struct{}{})
+		status, st := r.askAt(i, "POST", protocol.PathSubmit+"/"+uid+"/withdraw", struct{}{})
 		r.check.Told(uid, status, st.State, false)
-		return status == 200 && st.State == wire.Withdrawn
+		return status == 200 && st.State == protocol.Withdrawn
 	})
 	return time.Now()
 }
 
 // runs waits until a machine runs a task of each job whose teams another controller owns than the machine's home, and
 // gives its worker and which controller is its home.
-func (r *region) runs(jobs ...*wire.Submission) (w *rehearse.Worker, home int) {
-	record := &tenure.Record{Nodes: map[string]uint64{}}
+func (r *region) runs(jobs ...*protocol.Submission) (w *simulation.Worker, home int) {
+	record := &leadership.Record{Nodes: map[string]uint64{}}
 	for _, s := range r.sets {
 		record.Nodes[s.Name] = 1
 	}
 	r.until("a machine of another home runs the jobs", func() bool {
 		for _, o := range r.overviews() {
 			for _, x := range r.cloud.Workers() {
-				elsewhere := func(j *wire.Submission) bool {
+				elsewhere := func(j *protocol.Submission) bool {
 					return has(x, j.UID) && o.Owners[teamItem(j.Team)] != record.Home(x.Name())
 				}
-				if len(o.Members) == 3 && !slices.ContainsFunc(jobs, func(j *wire.Submission) bool { return !elsewhere(j) }) {
+				if len(o.Members) == 3 && !slices.ContainsFunc(jobs, func(j *protocol.Submission) bool { return !elsewhere(j) }) {
 					w = x
 					return true
 				}
@@ -75,17 +75,17 @@
 }
 
 // has says whether a machine runs a task of a job.
-func has(w *rehearse.Worker, job string) bool {
-	return slices.ContainsFunc(w.Running(), func(task string) bool { uid, _, _ := wire.SplitTask(task); return uid == job })
+func has(w *simulation.Worker, job string) bool {
+	return slices.ContainsFunc(w.Running(), func(task string) bool { uid, _, _ := protocol.SplitTask(task); return uid == job })
 }
 
 // endBehind writes a job's withdrawal to the state service, as a controller does that ends before it tells anybody.
-func (r *region) endBehind(job *wire.Submission) {
+func (r *region) endBehind(job *protocol.Submission) {
 	r.check.Withdrawing(job.UID)
-	end := frontend.Final{State: wire.Withdrawn, Tasks: job.Tasks, Team: job.Team}
-	txn := wire.Txn{Guards: []wire.Guard{{Key: frontend.FinalKey + job.UID}},
-		Then: []wire.Op{{Delete: frontend.JobKey + job.UID}, {Set: frontend.FinalKey + job.UID, Value: wire.Encode(end)}}}
-	resp, err := r.httpc.Post("http://"+r.state.Addr()+"/txn", "application/json", bytes.NewReader(wire.Encode(txn)))
+	end := userapi.Final{State: protocol.Withdrawn, Tasks: job.Tasks, Team: job.Team}
+	txn := protocol.Txn{Guards: []protocol.Guard{{Key: userapi.FinalKey + job.UID}},
+		Then: []protocol.Op{{Delete: userapi.JobKey + job.UID}, {Set: userapi.FinalKey + job.UID, Value: protocol.Encode(end)}}}
+	resp, err := r.httpc.Post("http://"+r.state.Addr()+"/txn", "application/json", bytes.NewReader(protocol.Encode(txn)))
 	if err != nil {
 		r.t.Fatal(err)
 	}
@@ -153,7 +153,7 @@
 	}
 	r.state.Outage(false)
 	r.doors[a].Refuse(false)
-	if st := r.poll(job.UID); st != wire.Withdrawn && st != "" {
+	if st := r.poll(job.UID); st != protocol.Withdrawn && st != "" {
 		t.Errorf("withdrawn job is %s", st)
 	}
 }
@@ -162,7 +162,7 @@
 func TestPromisesOfALaterRecord(t *testing.T) {
 	g := newGrown(1, 1)
 	n := g.n
-	n.lease = tenure.Lease{Life: 5 * time.Second}
+	n.lease = leadership.Lease{Life: 5 * time.Second}
 	n.version, n.began = 7, n.began.Add(-time.Minute)
 	now := time.Now()
 	promise := func(version *uint64) bool {
@@ -208,12 +208,12 @@
 	r.state.Outage(true) // nobody leads any more who could return the machine to the cloud
 	answers, healthy := 0, true
 	r.until("its tasks gone and users sent away", func() bool {
-		status, st := r.askAt(a, "GET", wire.PathSubmit+"/"+job.UID, nil)
+		status, st := r.askAt(a, "GET", protocol.PathSubmit+"/"+job.UID, nil)
 		r.check.Told(job.UID, status, st.State, false)
 		if status == 503 {
 			answers++
 		}
-		status, _ = r.askAt(a, "GET", wire.PathHealth, nil)
+		status, _ = r.askAt(a, "GET", protocol.PathHealth, nil)
 		healthy = status == 200
 		return !has(w, job.UID) && !healthy
 	})
@@ -221,7 +221,7 @@
 		t.Errorf("gone %v after the confirmation, asked %d times in vain", time.Since(told), answers)
 	}
 	for i := range r.sets {
-		if status, _ := r.askAt(i, "GET", wire.PathHealth, nil); i != a && status != 200 {
+		if status, _ := r.askAt(i, "GET", protocol.PathHealth, nil); i != a && status != 200 {
 			t.Errorf("controller %d, which serves, sends its users away too", i)
 		}
 	}
@@ -231,8 +231,8 @@
 	w.Reach()
 	r.until("all three are members again", func() bool { o := r.overviews(); return len(o) > 0 && len(o[0].Members) == 3 })
 	r.until("it tells the withdrawal", func() bool {
-		_, st := r.askAt(a, "GET", wire.PathSubmit+"/"+job.UID, nil)
-		return st.State == wire.Withdrawn
+		_, st := r.askAt(a, "GET", protocol.PathSubmit+"/"+job.UID, nil)
+		return st.State == protocol.Withdrawn
 	})
 }
 
@@ -250,14 +250,14 @@
 			return []time.Duration{300 * time.Millisecond, 5 * time.Second}[count/4%2]
 		})
 	}
-	var jobs []*wire.Submission
+	var jobs []*protocol.Submission
 	for i := range 6 {
 		j := array(630+i, 1+i%3, []string{"red", "blue"}[i%2])
 		r.submit(j)
 		if i == 2 {
 			r.check.Withdrawing(j.UID)
 			r.until("withdrawn or done", func() bool {
-				status, st := r.ask("POST", wire.PathSubmit+"/"+j.UID+"/withdraw", struct{}{})
+				status, st := r.ask("POST", protocol.PathSubmit+"/"+j.UID+"/withdraw", struct{}{})
 				r.check.Told(j.UID, status, st.State, false)
 				return status == 200
 			})
@@ -284,14 +284,14 @@
 		}
 		j := array(670+i, 1, "blue")
 		r.submit(j)
-		r.allDone([]*wire.Submission{j})
+		r.allDone([]*protocol.Submission{j})
 	}
 	for _, d := range r.doors {
 		d.Late(nil)
 	}
 	last := array(640, 4, "red")
 	r.submit(last)
-	r.allDone([]*wire.Submission{last})
+	r.allDone([]*protocol.Submission{last})
 	for _, o := range r.overviews() {
 		if o.Store.Generation != 1 {
 			t.Errorf("late transactions were taken for a loss: generation %d", o.Store.Generation)
@@ -301,8 +301,8 @@
 
 // wrote says whether a key with a prefix was written.
 func (r *region) wrote(prefix string) bool {
-	return slices.ContainsFunc(r.state.Carried(), func(txn wire.Txn) bool {
-		return slices.ContainsFunc(txn.Then, func(o wire.Op) bool { return strings.HasPrefix(o.Set, prefix) })
+	return slices.ContainsFunc(r.state.Carried(), func(txn protocol.Txn) bool {
+		return slices.ContainsFunc(txn.Then, func(o protocol.Op) bool { return strings.HasPrefix(o.Set, prefix) })
 	})
 }
 
@@ -311,7 +311,7 @@
 // that its first carrying out, or what came after, has left behind.
 func TestNoWriteAppliesTwice(t *testing.T) {
 	r := openRegion(t, 600*time.Millisecond, settings.Workers{Report: 0.2, Lease: 20, GangWait: 10, GangPeer: 4, Cancel: 60})
-	jobs := []*wire.Submission{array(680, 9, "red"), array(681, 3, "blue")}
+	jobs := []*protocol.Submission{array(680, 9, "red"), array(681, 3, "blue")}
 	for _, j := range jobs {
 		r.submit(j)
 	}
@@ -326,24 +326,24 @@
 		}
 		more := array(684+2*i, 40, "red") // more than the limit lets run at once
 		r.submit(more)
-		r.allDone([]*wire.Submission{more})
+		r.allDone([]*protocol.Submission{more})
 	}
 	for _, txn := range r.state.Carried() { // while the record is still the same
 		if r.state.Again(txn) {
-			t.Errorf("carried out again under the same record: %s", wire.Encode(txn))
+			t.Errorf("carried out again under the same record: %s", protocol.Encode(txn))
 		}
 	}
 	r.crash(1)
 	r.start(1)
 	late := array(683, 2, "blue")
 	r.submit(late)
-	r.allDone([]*wire.Submission{late})
+	r.allDone([]*protocol.Submission{late})
 	r.until("all three are members again", func() bool { o := r.overviews(); return len(o) == 3 && len(o[0].Members) == 3 })
 	for i := range r.nodes { // what is written from here on would hide what applies again
 		r.crash(i)
 	}
 	carried := r.state.Carried()
-	kinds := map[string]int{controlKey: 0, nodeKey: 0, machineKey: 0, frontend.JobKey: 0, frontend.FinalKey: 0, "b/": 0, rebuild.StoreKey: 0}
+	kinds := map[string]int{controlKey: 0, nodeKey: 0, machineKey: 0, userapi.JobKey: 0, userapi.FinalKey: 0, "b/": 0, datarecovery.StoreKey: 0}
 	for _, txn := range carried {
 		for _, o := range txn.Then {
 			for prefix := range kinds {
@@ -361,7 +361,7 @@
 	for range 2 {
 		for _, txn := range carried {
 			if r.state.Again(txn) {
-				t.Errorf("carried out again: %s", wire.Encode(txn))
+				t.Errorf("carried out again: %s", protocol.Encode(txn))
 			}
 		}
 		slices.Reverse(carried)
@@ -389,7 +389,7 @@
 		}
 		return sum
 	}
-	var jobs []*wire.Submission
+	var jobs []*protocol.Submission
 	for i := range 3 {
 		j := array(650+2*i, 8, []string{"red", "blue"}[i%2])
 		jobs = append(jobs, j)
@@ -428,9 +428,9 @@
 	r.withdrawAt((a+1)%3, gone.UID)
 	r.start(a)
 	r.until("nothing withdrawn runs", func() bool { return !has(w, gone.UID) })
-	r.allDone([]*wire.Submission{stays})
+	r.allDone([]*protocol.Submission{stays})
 	w.Deaf(false)
-	r.until("withdrawn still", func() bool { return r.poll(gone.UID) == wire.Withdrawn })
+	r.until("withdrawn still", func() bool { return r.poll(gone.UID) == protocol.Withdrawn })
 }
 
 // TestOldReportsProveNothing: two late copies of what a machine sent that is gone by now come to a controller that never knew it, and
@@ -449,8 +449,8 @@
 	at := g.now
 	for seq := range uint64(6) {
 		n.mu.Lock()
-		r := wire.Report{Machine: "n-000900", Addr: addr, Type: "m32", Zone: "east", Session: 1, Seq: seq + 1, Token: 1,
-			Tasks: []wire.TaskStatus{{Task: "job-000001/0", Attempt: 1, State: wire.Running}}}
+		r := protocol.Report{Machine: "n-000900", Addr: addr, Type: "m32", Zone: "east", Session: 1, Seq: seq + 1, Token: 1,
+			Tasks: []protocol.TaskStatus{{Task: "job-000001/0", Attempt: 1, State: protocol.Running}}}
 		n.hear(&r, at)
 		at = at.Add(settings.Seconds(n.set.Deployment.Workers.Report))
 		n.horizon.Read(at)
@@ -476,24 +476,24 @@
 	g.submit(4, 4) // job-000001
 	g.submit(4, 4)
 	n.endJob("job-000002")
-	n.front.Learn("job-000003", frontend.Final{State: wire.Withdrawn, Tasks: 1, Team: "team-0"})
+	n.front.Learn("job-000003", userapi.Final{State: protocol.Withdrawn, Tasks: 1, Team: "team-0"})
 	n.mu.Lock() // what is looked up beside it takes it too
 	reach := settings.Seconds(n.set.Deployment.Workers.Cancel - n.set.Deployment.Workers.Lease)
 	seq := uint64(10)
 	ask := func(at time.Time, state string, tasks ...string) (status int, stopped []string) {
 		seq++
-		r := wire.Report{Machine: g.names[0], Addr: "127.0.0.1:1", Type: "m32", Zone: "east", Session: 1, Seq: seq, Token: 1, Tasks: []wire.TaskStatus{}}
+		r := protocol.Report{Machine: g.names[0], Addr: "127.0.0.1:1", Type: "m32", Zone: "east", Session: 1, Seq: seq, Token: 1, Tasks: []protocol.TaskStatus{}}
 		for _, task := range tasks {
-			r.Tasks = append(r.Tasks, wire.TaskStatus{Task: task, Attempt: 1, State: state, Why: wire.WhyDone})
+			r.Tasks = append(r.Tasks, protocol.TaskStatus{Task: task, Attempt: 1, State: state, Why: protocol.WhyDone})
 		}
 		n.lease.Renewed(at)
 		a := n.answerReport(&r, at)
-		var answer wire.ReportAnswer
-		if err := wire.Decode(a.Body, &answer); err != nil {
+		var answer protocol.ReportAnswer
+		if err := protocol.Decode(a.Body, &answer); err != nil {
 			t.Fatal(err)
 		}
 		for _, c := range answer.Commands {
-			if c.Op == wire.Stop {
+			if c.Op == protocol.Stop {
 				stopped = append(stopped, c.Task)
 			}
 		}
@@ -506,14 +506,14 @@
 		status int
 		stop   bool
 	}{
-		"an active job":                  {time.Second, wire.Running, "job-000001/0", 200, false},
-		"a job that was withdrawn":       {time.Second, wire.Running, "job-000002/0", 200, true},
-		"one known only by its end":      {time.Second, wire.Running, "job-000003/0", 200, true},
-		"one that nobody knows":          {time.Second, wire.Running, "job-000009/0", 503, false},
-		"what is over of one":            {time.Second, wire.Exited, "job-000009/0", 200, false},
-		"shortly before the bound":       {reach - 3*time.Second, wire.Running, "job-000001/0", 200, false},
-		"after it":                       {reach, wire.Running, "job-000001/0", 503, false},
-		"after it, with nothing running": {reach, wire.Exited, "job-000001/0", 503, false},
+		"an active job":                  {time.Second, protocol.Running, "job-000001/0", 200, false},
+		"a job that was withdrawn":       {time.Second, protocol.Running, "job-000002/0", 200, true},
+		"one known only by its end":      {time.Second, protocol.Running, "job-000003/0", 200, true},
+		"one that nobody knows":          {time.Second, protocol.Running, "job-000009/0", 503, false},
+		"what is over of one":            {time.Second, protocol.Exited, "job-000009/0", 200, false},
+		"shortly before the bound":       {reach - 3*time.Second, protocol.Running, "job-000001/0", 200, false},
+		"after it":                       {reach, protocol.Running, "job-000001/0", 503, false},
+		"after it, with nothing running": {reach, protocol.Exited, "job-000001/0", 503, false},
 	} {
 		status, stopped := ask(g.now.Add(c.after), c.state, c.task)
 		if status != c.status || slices.Contains(stopped, c.task) != c.stop {
@@ -522,23 +522,23 @@
 	}
 	// An owner's order tells that the job is there before the watch does.
 	n.home.SetTerm(1, func(string) bool { return true })
-	o := ledger.Order{Op: wire.Start, Key: ledger.Key{Job: "job-000008"}, Attempt: 1, Session: 1, CPUs: 1, Memory: 1}
-	n.home.Take(1, g.names[0], []ledger.Order{o})
-	if status, _ := ask(g.now.Add(time.Second), wire.Running, "job-000008/0"); status != 200 {
+	o := jobstate.Order{Op: protocol.Start, Key: jobstate.Key{Job: "job-000008"}, Attempt: 1, Session: 1, CPUs: 1, Memory: 1}
+	n.home.Take(1, g.names[0], []jobstate.Order{o})
+	if status, _ := ask(g.now.Add(time.Second), protocol.Running, "job-000008/0"); status != 200 {
 		t.Errorf("a task that its owner ordered here is answered by %d", status)
 	}
 	// A start is held back as long as the answer that would renew the machine's lease.
 	n.peers["node-b"] = &peerState{}
 	n.lease.Renewed(time.Now())
 	o.Key.Job = "job-000007"
-	n.home.Take(1, g.names[0], []ledger.Order{o})
+	n.home.Take(1, g.names[0], []jobstate.Order{o})
 	if m := n.home.Get(g.names[0]); !m.Starts() {
 		t.Fatal("no start waits")
 	}
 	n.mu.Unlock()
 	var link *httpx.Link
 	n.mu.Lock()
-	n.horizon = horizon.New([]string{"node-b"}, 0, 0)
+	n.horizon = cancelwatermark.New([]string{"node-b"}, 0, 0)
 	n.horizon.Read(time.Now().Add(-time.Minute))
 	n.mu.Unlock()
 	if n.carryOnce(n.ctx, g.names[0], &link) || link != nil {
--- a/node.go
+++ b/node.go
@@ -18,20 +18,20 @@
 	"golang.org/x/sync/errgroup"
 
 	"topazhollow/internal/admission"
-	"topazhollow/internal/blame"
+	"topazhollow/internal/agents"
+	"topazhollow/internal/cancelwatermark"
 	"topazhollow/internal/cloud"
-	"topazhollow/internal/frontend"
-	"topazhollow/internal/horizon"
 	"topazhollow/internal/httpx"
-	"topazhollow/internal/ledger"
+	"topazhollow/internal/jobstate"
+	"topazhollow/internal/kvstore"
+	"topazhollow/internal/leadership"
 	"topazhollow/internal/peer"
 	"topazhollow/internal/placement"
+	"topazhollow/internal/protocol"
+	"topazhollow/internal/quarantine"
 	"topazhollow/internal/settings"
-	"topazhollow/internal/state"
-	"topazhollow/internal/tenure"
+	"topazhollow/internal/userapi"
 	"topazhollow/internal/wait"
-	"topazhollow/internal/wire"
-	"topazhollow/internal/workers"
 )
 
 // Version is the version of the program.
@@ -48,10 +48,10 @@
 	name string
 	inc  uint64 // incarnation: later processes of a controller have greater ones
 
-	state *state.Client
+	state *kvstore.Client
 	cloud *cloud.Client
 	links *peer.Links
-	front *frontend.Frontend
+	front *userapi.Frontend
 	kick  chan struct{}
 	renew chan struct{} // wakes the watch's reader after a hint of a newer record
 
@@ -65,16 +65,16 @@
 	looked     time.Time // when running tasks were last looked over
 	preempted  time.Time // when it was last looked whom to stop for others
 	progressed time.Time // when jobs' progress was last told
-	lease      tenure.Lease
+	lease      leadership.Lease
 	grant      uint64
-	record     *tenure.Record
+	record     *leadership.Record
 	version    uint64 // of the record's key
 	settled    time.Time
-	live       map[string]tenure.Presence
-	listed     bool             // the watched keys were read
-	revision   uint64           // of the state service, up to which the watched keys are known
-	horizon    *horizon.Horizon // up to when all confirmed withdrawals are known here
-	unsynced   []chan error     // those who wait for a read of the changes
+	live       map[string]leadership.Presence
+	listed     bool                     // the watched keys were read
+	revision   uint64                   // of the state service, up to which the watched keys are known
+	horizon    *cancelwatermark.Horizon // up to when all confirmed withdrawals are known here
+	unsynced   []chan error             // those who wait for a read of the changes
 	syncNow    chan struct{}
 	missing    time.Time
 	items      map[string]*item
@@ -83,25 +83,25 @@
 	jobs       map[string]*job
 	machines   map[string]*machine
 	lists      map[string]map[string]bool // by job, the machines that list any task of it
-	roster     *workers.Roster
+	roster     *agents.Roster
 	enrolling  map[string]bool // machines to be registered
 	striking   bool            // gone machines are being taken off the roster
-	home       *workers.Home
+	home       *agents.Home
 	doers      map[string]*doer
-	types      []wire.MachineType
+	types      []protocol.MachineType
 	fresh      map[string]bool // machines whose view is to be told to peers
 	bumped     time.Time
 	renewed    time.Time // last renewal of the lease that worked
 	promised   time.Time // this controller raises no term before
 	raising    bool      // a change of the record is on its way
 	unsure     uint64    // version under which a change had no answer
-	evicting   map[ledger.Ref]eviction
+	evicting   map[jobstate.Ref]eviction
 	told       bool          // peers know of tasks that wait
 	news       chan struct{} // wakes the duty that tells peers
 	lookups    map[string]bool
 	drain      map[string]bool
 	deaf       map[string]map[string]vain // homes that machines tried in vain
-	blame      *blame.Judge
+	blame      *quarantine.Judge
 	late       []string                // places where machines come up late, as the fleet's owner sees it
 	still      time.Duration           // how long this controller stood still last
 	waits      *hdrhistogram.Histogram // ms from submission to a task seen running
@@ -127,27 +127,27 @@
 
 // job is what every controller knows of a job that is or was active.
 type job struct {
-	spec    *wire.Submission
+	spec    *protocol.Submission
 	at      time.Time
 	version uint64
 	active  bool
 	ended   time.Time
-	late    bool          // counted as not served in time
-	goals   ledger.Goals  // cached
-	longest time.Duration // of its tasks that ran to completion as far as seen here
+	late    bool           // counted as not served in time
+	goals   jobstate.Goals // cached
+	longest time.Duration  // of its tasks that ran to completion as far as seen here
 	runs    int
 }
 
 // machine is what every controller knows of a machine.
 type machine struct {
-	view      *ledger.View
+	view      *jobstate.View
 	host      placement.Host // its entry for placement, if counted
 	counted   bool
 	heard     time.Time
 	homed     time.Time // when its home last heard it, as far as told
 	homeKnew  time.Time // a start that its home sent and that may still arrive was sent knowing all withdrawals before
 	home      string    // by the record homeBy
-	homeBy    *tenure.Record
+	homeBy    *leadership.Record
 	spared    time.Time // when it was last kept alive here as its home was silent
 	came      time.Time // when it last reported to a controller that is not its home
 	unlisted  time.Time // since when it reports tasks though it is on no list of machines
@@ -155,8 +155,8 @@
 	images    map[string]bool
 	gone      bool
 	idle      time.Time
-	slow      time.Time                // when a task here was last found far slower than its kin
-	running   map[ledger.Ref]time.Time // since when a listed task was seen running
+	slow      time.Time                  // when a task here was last found far slower than its kin
+	running   map[jobstate.Ref]time.Time // since when a listed task was seen running
 }
 
 // peerState is what a controller knows of another one.
@@ -201,30 +201,30 @@
 	n := &Node{
 		set: s, opt: o, log: log.With("node", s.Name), name: s.Name,
 		inc:   uint64(now.UnixMicro()),
-		state: state.New(s.Outside.State, s.Deployment.State, count),
+		state: kvstore.New(s.Outside.State, s.Deployment.State, count),
 		cloud: cloud.New(s.Outside.Cloud, s.Deployment.Cloud, count),
 		kick:  make(chan struct{}, 1), renew: make(chan struct{}, 1), syncNow: make(chan struct{}, 1),
 		rng:  rand.New(rand.NewPCG(uint64(now.UnixNano()), rand.Uint64())),
-		live: map[string]tenure.Presence{}, items: map[string]*item{}, backups: map[string]*backup{},
+		live: map[string]leadership.Presence{}, items: map[string]*item{}, backups: map[string]*backup{},
 		peers: map[string]*peerState{}, jobs: map[string]*job{}, machines: map[string]*machine{}, lists: map[string]map[string]bool{}, enrolling: map[string]bool{}, roster: newRoster(s),
 		doers: map[string]*doer{}, fresh: map[string]bool{}, settled: now, began: now, renewed: now, promised: now.Add(promiseLife),
-		lookups: map[string]bool{}, evicting: map[ledger.Ref]eviction{}, news: make(chan struct{}, 1), drain: map[string]bool{}, deaf: map[string]map[string]vain{}, blame: blame.New(),
+		lookups: map[string]bool{}, evicting: map[jobstate.Ref]eviction{}, news: make(chan struct{}, 1), drain: map[string]bool{}, deaf: map[string]map[string]vain{}, blame: quarantine.New(),
 		stray: map[string]bool{}, firsts: map[string]bool{}, waits: hdrhistogram.New(1, time.Hour.Milliseconds(), 2),
 	}
 	life := settings.Seconds(o.NodeLease)
-	n.lease = tenure.Lease{Life: life, Margin: life / 20}
+	n.lease = leadership.Lease{Life: life, Margin: life / 20}
 	n.store = newKeeping(s, life)
 	n.admit = newAdmit(o)
 	n.state.OnSign(n.sign)
-	n.home = workers.New(n.capacity, n.size)
+	n.home = agents.New(n.capacity, n.size)
 	addrs := map[string]string{}
 	for _, p := range s.Peers {
 		addrs[p.Name] = p.Endpoint
 		n.peers[p.Name] = &peerState{}
 	}
-	n.horizon = horizon.New(slices.Collect(maps.Keys(n.peers)), settings.Seconds(s.Deployment.Workers.Cancel), settings.Seconds(s.Deployment.Workers.Lease))
+	n.horizon = cancelwatermark.New(slices.Collect(maps.Keys(n.peers)), settings.Seconds(s.Deployment.Workers.Cancel), settings.Seconds(s.Deployment.Workers.Lease))
 	n.links = peer.New(s.Name, n.inc, addrs, (*peerHandler)(n), n.log)
-	n.front = frontend.New(s, n.state, (*userBackend)(n))
+	n.front = userapi.New(s, n.state, (*userBackend)(n))
 	if n.config = newConfigFollow(s, o); n.config != nil {
 		n.front.Follow((*configTenants)(n))
 	}
@@ -319,7 +319,7 @@
 	return now.Sub(n.renewed) > n.lease.Life*2/5 && !n.raising && n.unsure == 0 && n.trusted()
 }
 
-func (n *Node) typeOf(name string) *wire.MachineType {
+func (n *Node) typeOf(name string) *protocol.MachineType {
 	for i := range n.types {
 		if n.types[i].Name == name {
 			return &n.types[i]
@@ -345,7 +345,7 @@
 
 // handle answers what comes to the public address.
 func (n *Node) handle(ctx context.Context, c *httpx.Conn, r *httpx.Request) httpx.Answer {
-	if r.Path == wire.PathReport {
+	if r.Path == protocol.PathReport {
 		if r.Method != "POST" {
 			a := httpx.Refuse(405, "method not allowed")
 			a.Allow = "POST"
@@ -360,7 +360,7 @@
 			a.Allow = "GET"
 			return a
 		}
-		return httpx.Answer{Status: 200, Body: wire.Encode(n.overview(time.Now()))}
+		return httpx.Answer{Status: 200, Body: protocol.Encode(n.overview(time.Now()))}
 	}
 	if a, ok := n.front.Handle(ctx, r); ok {
 		return a
@@ -371,7 +371,7 @@
 // userBackend is the controller as the users' frontend sees it.
 type userBackend Node
 
-func (b *userBackend) Types() []wire.MachineType {
+func (b *userBackend) Types() []protocol.MachineType {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.types
@@ -421,14 +421,14 @@
 	return n.listed && n.record != nil && n.trusted() && n.gathered(time.Now())
 }
 
-func (b *userBackend) Remembers(uid string) (frontend.Stored, uint64, bool) {
+func (b *userBackend) Remembers(uid string) (userapi.Stored, uint64, bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	j := b.jobs[uid]
 	if j == nil || !j.active {
-		return frontend.Stored{}, 0, false
+		return userapi.Stored{}, 0, false
 	}
-	return frontend.Stored{Spec: j.spec, At: j.at.UnixMilli()}, j.version, true
+	return userapi.Stored{Spec: j.spec, At: j.at.UnixMilli()}, j.version, true
 }
 
 // Certain says whether a job that neither the store nor anybody here knows was never
@@ -453,11 +453,11 @@
 	defer b.mu.Unlock()
 	n := (*Node)(b)
 	if j := n.jobs[uid]; j != nil && j.active && j.version > 0 && n.trusted() {
-		n.store.suspect[frontend.JobKey+uid] = j.version
+		n.store.suspect[userapi.JobKey+uid] = j.version
 	}
 }
 
-func (b *userBackend) Hold(ctx context.Context, job *frontend.Stored, uid string, end frontend.Final) {
+func (b *userBackend) Hold(ctx context.Context, job *userapi.Stored, uid string, end userapi.Final) {
 	m := holdMsg{Job: job}
 	if job == nil {
 		m.Ends = []frontendEnd{{uid, end}}
@@ -465,20 +465,20 @@
 	(*Node)(b).hold(ctx, m)
 }
 
-func (b *userBackend) Confirming(uid string, end frontend.Final) {
+func (b *userBackend) Confirming(uid string, end userapi.Final) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	(*Node)(b).confirming(uid, end)
 }
 
-func (b *userBackend) Accepted(s frontend.Stored, version uint64) {
+func (b *userBackend) Accepted(s userapi.Stored, version uint64) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	(*Node)(b).first("first submission accepted", time.Now())
 	(*Node)(b).learnJob(s, version)
 }
 
-func (b *userBackend) Ended(uid string, final frontend.Final) {
+func (b *userBackend) Ended(uid string, final userapi.Final) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	(*Node)(b).endJob(uid)
@@ -514,7 +514,7 @@
 
 // learnJob takes up an active job, unless it is known to be over: its end may have come first, from a
 // peer or by a later read of the state service. Owners place it at the next tick.
-func (n *Node) learnJob(s frontend.Stored, version uint64) {
+func (n *Node) learnJob(s userapi.Stored, version uint64) {
 	uid := s.Spec.UID
 	j := n.jobs[uid]
 	delete(n.store.tentative, uid)
