--- a/node_test.go
+++ b/node_test.go
@@ -13,23 +13,23 @@
 	"testing"
 	"time"
 
-	"topazhollow/internal/frontend"
-	"topazhollow/internal/ledger"
-	"topazhollow/internal/rehearse"
+	"topazhollow/internal/jobstate"
+	"topazhollow/internal/protocol"
 	"topazhollow/internal/settings"
-	"topazhollow/internal/wire"
+	"topazhollow/internal/simulation"
+	"topazhollow/internal/userapi"
 )
 
 // region is three controllers with stand-ins for everything around them.
 type region struct {
 	t     *testing.T
-	state *rehearse.State
-	cloud *rehearse.Cloud
-	check *rehearse.Checker
+	state *simulation.State
+	cloud *simulation.Cloud
+	check *simulation.Checker
 	sets  []*settings.Settings
 	nodes []*process
-	doors []*rehearse.Door // each controller's way to the state service
-	pipes rehearse.Paths   // from one controller to another
+	doors []*simulation.Door // each controller's way to the state service
+	pipes simulation.Paths   // from one controller to another
 	rng   *rand.Rand
 	httpc *http.Client
 
@@ -52,18 +52,18 @@
 
 // openRegionRunning opens a region whose tasks run for times of their own.
 func openRegionRunning(t *testing.T, run func(task string) time.Duration, workers settings.Workers, prepare ...func(*region)) *region {
-	r := &region{t: t, pipes: rehearse.Paths{}, rng: rand.New(rand.NewPCG(1, 2)), httpc: &http.Client{Timeout: 4 * time.Second}}
-	r.check = rehearse.NewChecker(map[string]float64{"red": 24, "blue": 16})
+	r := &region{t: t, pipes: simulation.Paths{}, rng: rand.New(rand.NewPCG(1, 2)), httpc: &http.Client{Timeout: 4 * time.Second}}
+	r.check = simulation.NewChecker(map[string]float64{"red": 24, "blue": 16})
 	for _, p := range prepare {
 		p(r)
 	}
 	var err error
-	if r.state, err = rehearse.NewState(16, 16); err != nil {
+	if r.state, err = simulation.NewState(16, 16); err != nil {
 		t.Fatal(err)
 	}
 	names := []string{"node-a", "node-b", "node-c"}
 	listen, peers := map[string]string{}, map[string]string{}
-	host := rehearse.NewHost()
+	host := simulation.NewHost()
 	for _, n := range names {
 		for _, m := range []map[string]string{listen, peers} {
 			if m[n], err = host.Listen(); err != nil {
@@ -71,10 +71,10 @@
 			}
 		}
 	}
-	per := rehearse.Periods{Report: settings.Seconds(workers.Report), Lease: settings.Seconds(workers.Lease), Run: run}
-	types := []wire.MachineType{{Name: "m8", CPUs: 8, Memory: 64, Price: 2, SpotPrice: 1, Boot: 1, Zones: []string{"east", "west"}}}
-	r.cloud, err = rehearse.NewCloud(types, 6, func(name, typ, zone string, spot bool) (*rehearse.Worker, error) {
-		return rehearse.NewWorker(name, typ, zone, spot, listen, names, per, r.check)
+	per := simulation.Periods{Report: settings.Seconds(workers.Report), Lease: settings.Seconds(workers.Lease), Run: run}
+	types := []protocol.MachineType{{Name: "m8", CPUs: 8, Memory: 64, Price: 2, SpotPrice: 1, Boot: 1, Zones: []string{"east", "west"}}}
+	r.cloud, err = simulation.NewCloud(types, 6, func(name, typ, zone string, spot bool) (*simulation.Worker, error) {
+		return simulation.NewWorker(name, typ, zone, spot, listen, names, per, r.check)
 	})
 	if err != nil {
 		t.Fatal(err)
@@ -94,7 +94,7 @@
 				Cloud:   settings.Cloud{RPS: 20, ListLag: 0.2}, Limits: settings.Limits{Cores: 1, MemoryMB: 256, MaxSockets: 512}}}
 		for k, p := range names {
 			if p != n {
-				pipe, err := rehearse.NewPipe(peers[p])
+				pipe, err := simulation.NewPipe(peers[p])
 				if err != nil {
 					t.Fatal(err)
 				}
@@ -145,10 +145,10 @@
 }
 
 // ask sends a request to one of the controllers, as the load balancer would.
-func (r *region) ask(method, path string, body any) (int, wire.Status) {
+func (r *region) ask(method, path string, body any) (int, protocol.Status) {
 	var data []byte
 	if body != nil {
-		data = wire.Encode(body)
+		data = protocol.Encode(body)
 	}
 	s := r.sets[r.rng.IntN(len(r.sets))]
 	req, err := http.NewRequest(method, "http://"+s.Listen+path, bytes.NewReader(data))
@@ -157,26 +157,26 @@
 	}
 	resp, err := r.httpc.Do(req)
 	if err != nil {
-		return 0, wire.Status{}
+		return 0, protocol.Status{}
 	}
 	defer resp.Body.Close()
 	if os.Getenv("TEST_LOG") != "" {
 		fmt.Fprintln(os.Stderr, method, path, resp.StatusCode)
 	}
-	var st wire.Status
+	var st protocol.Status
 	_ = json.NewDecoder(resp.Body).Decode(&st)
 	return resp.StatusCode, st
 }
 
-func array(i, tasks int, team string) *wire.Submission {
-	return &wire.Submission{UID: fmt.Sprintf("job-%06d", i), Class: "c", Team: team, Kind: wire.Batch, Priority: "standard",
+func array(i, tasks int, team string) *protocol.Submission {
+	return &protocol.Submission{UID: fmt.Sprintf("job-%06d", i), Class: "c", Team: team, Kind: protocol.Batch, Priority: "standard",
 		Tasks: tasks, CPUs: 2, Memory: 4, Image: "img", Estimate: 1, Spot: i%2 == 0}
 }
 
-func (r *region) submit(spec *wire.Submission) {
+func (r *region) submit(spec *protocol.Submission) {
 	r.check.Submitting(spec)
 	r.until("accepting "+spec.UID, func() bool {
-		status, st := r.ask("POST", wire.PathSubmit, spec)
+		status, st := r.ask("POST", protocol.PathSubmit, spec)
 		if status == 200 || status == 201 {
 			r.check.Told(spec.UID, status, st.State, true)
 			return true
@@ -186,7 +186,7 @@
 }
 
 func (r *region) poll(uid string) string {
-	status, st := r.ask("GET", wire.PathSubmit+"/"+uid, nil)
+	status, st := r.ask("GET", protocol.PathSubmit+"/"+uid, nil)
 	r.check.Told(uid, status, st.State, false)
 	return st.State
 }
@@ -206,12 +206,12 @@
 	r.t.Fatalf("never came true: %s", what)
 }
 
-func (r *region) allDone(jobs []*wire.Submission) {
+func (r *region) allDone(jobs []*protocol.Submission) {
 	for _, j := range jobs {
-		r.until(j.UID+" done", func() bool { return r.poll(j.UID) == wire.Done })
+		r.until(j.UID+" done", func() bool { return r.poll(j.UID) == protocol.Done })
 	}
 	for _, j := range jobs { // final states stay
-		r.until(j.UID+" still done", func() bool { return r.poll(j.UID) == wire.Done })
+		r.until(j.UID+" still done", func() bool { return r.poll(j.UID) == protocol.Done })
 	}
 }
 
@@ -224,10 +224,10 @@
 	n := New(s, settings.DefaultOptions(), slog.New(slog.DiscardHandler))
 	name := teamItem("red")
 	for phase, taken := range map[int]bool{loading: false, barrier: true, ready: true} {
-		it := &item{name: name, phase: phase, team: n.newTeam(name, ledger.NewReplica(), 1)}
+		it := &item{name: name, phase: phase, team: n.newTeam(name, jobstate.NewReplica(), 1)}
 		n.items[name] = it
 		spec := array(phase, 1, "red")
-		n.learnJob(frontend.Stored{Spec: spec}, 1)
+		n.learnJob(userapi.Stored{Spec: spec}, 1)
 		if (it.team.Job(spec.UID) != nil) != taken || n.jobs[spec.UID] == nil {
 			t.Fatalf("phase %s: job in the account: %v", phases[phase], !taken)
 		}
@@ -238,22 +238,22 @@
 // unknown job gets 404 and a repeated submission is known however late.
 func TestQuietDay(t *testing.T) {
 	r := newRegion(t, 300*time.Millisecond)
-	var jobs []*wire.Submission
+	var jobs []*protocol.Submission
 	for i := range 6 {
 		jobs = append(jobs, array(i, 5+i, []string{"red", "blue"}[i%2]))
 		r.submit(jobs[i])
 	}
 	r.allDone(jobs)
 	r.until("404 for a job that nobody submitted", func() bool {
-		status, _ := r.ask("GET", wire.PathSubmit+"/job-999999", nil)
+		status, _ := r.ask("GET", protocol.PathSubmit+"/job-999999", nil)
 		return status == 404
 	})
 	r.until("a late repeat with another body is known", func() bool {
 		changed := *jobs[0]
 		changed.Team = "nobody"
-		status, st := r.ask("POST", wire.PathSubmit, &changed)
+		status, st := r.ask("POST", protocol.PathSubmit, &changed)
 		r.check.Told(changed.UID, status, st.State, true)
-		return status == 200 && st.State == wire.Done
+		return status == 200 && st.State == protocol.Done
 	})
 	if r.check.Started == 0 {
 		t.Fatal("nothing ran")
@@ -274,7 +274,7 @@
 // without memory has to pass the full barrier. Either way no task runs twice.
 func TestControllersCrash(t *testing.T) {
 	r := newRegion(t, 3*time.Second)
-	var jobs []*wire.Submission
+	var jobs []*protocol.Submission
 	for i := range 4 {
 		jobs = append(jobs, array(100+i, 10, []string{"red", "blue"}[i%2]))
 		r.submit(jobs[i])
@@ -300,7 +300,7 @@
 // tasks end.
 func TestOutageAndCut(t *testing.T) {
 	r := newRegion(t, 2*time.Second)
-	jobs := []*wire.Submission{array(200, 16, "red"), array(201, 8, "blue")}
+	jobs := []*protocol.Submission{array(200, 16, "red"), array(201, 8, "blue")}
 	for _, j := range jobs {
 		r.submit(j)
 	}
@@ -315,13 +315,13 @@
 	r.submit(long)
 	r.check.Withdrawing(long.UID)
 	r.until("withdrawn", func() bool {
-		status, st := r.ask("POST", wire.PathSubmit+"/"+long.UID+"/withdraw", struct{}{})
+		status, st := r.ask("POST", protocol.PathSubmit+"/"+long.UID+"/withdraw", struct{}{})
 		r.check.Told(long.UID, status, st.State, false)
-		return status == 200 && st.State == wire.Withdrawn
+		return status == 200 && st.State == protocol.Withdrawn
 	})
 	r.allDone(jobs)
 	r.until("nothing is left on machines", func() bool { return r.check.On() == 0 })
-	if st := r.poll(long.UID); st != wire.Withdrawn && st != "" {
+	if st := r.poll(long.UID); st != protocol.Withdrawn && st != "" {
 		t.Fatalf("withdrawn job is %s", st)
 	}
 }
--- a/order_test.go
+++ b/order_test.go
@@ -4,8 +4,8 @@
 	"testing"
 	"time"
 
+	"topazhollow/internal/protocol"
 	"topazhollow/internal/settings"
-	"topazhollow/internal/wire"
 )
 
 // TestOrderOfWaitingWork: the guarantee goes before priority, priority before
@@ -34,7 +34,7 @@
 		{"other", 0, 1000, int(far / time.Second), false},
 		{"other", 50, 0, 50, false},
 	} {
-		spec := &wire.Submission{Class: x.class, Estimate: 10}
+		spec := &protocol.Submission{Class: x.class, Estimate: 10}
 		if x.deadline > 0 {
 			spec.Deadline = &x.deadline
 		}
@@ -50,13 +50,13 @@
 		}
 	}
 	for age, want := range map[int]bool{26: true, 60: true, 61: false} {
-		j := &job{spec: &wire.Submission{Class: "d", Estimate: 10}, at: now.Add(-time.Duration(age) * time.Second)}
+		j := &job{spec: &protocol.Submission{Class: "d", Estimate: 10}, at: now.Add(-time.Duration(age) * time.Second)}
 		if by, ok := n.startBy(j, now); ok != want || (ok && by.Sub(j.at) != time.Minute) {
 			t.Errorf("after %d s tasks should start by %v, %v", age, by, ok)
 		}
 	}
 	waits := func(uid, priority string, borrowed, late bool, latest int) waitingTasks {
-		return waitingTasks{spec: &wire.Submission{UID: uid, Priority: priority}, borrowed: borrowed, late: late,
+		return waitingTasks{spec: &protocol.Submission{UID: uid, Priority: priority}, borrowed: borrowed, late: late,
 			latest: now.Add(time.Duration(latest) * time.Second), submitted: now}
 	}
 	lost := waits("g", "standard", false, true, 1)
--- a/orphan.go
+++ b/orphan.go
@@ -4,13 +4,13 @@
 	"math"
 	"time"
 
-	"topazhollow/internal/frontend"
-	"topazhollow/internal/ledger"
-	"topazhollow/internal/wire"
+	"topazhollow/internal/jobstate"
+	"topazhollow/internal/protocol"
+	"topazhollow/internal/userapi"
 )
 
 // What this controller knows of orphaned tasks: those that machines list though no account placed them or their job
-// is over. The accounts count them against the quota (internal/ledger); here is how a job's end is looked up.
+// is over. The accounts count them against the quota (internal/jobstate); here is how a job's end is looked up.
 
 // teamKnowledge is what this controller can tell the account of a team.
 type teamKnowledge struct {
@@ -19,24 +19,24 @@
 }
 
 // Job describes a job by what is followed here, or else by its remembered end.
-func (k teamKnowledge) Job(uid string) ledger.JobInfo {
+func (k teamKnowledge) Job(uid string) jobstate.JobInfo {
 	if j := k.n.jobs[uid]; j != nil {
-		return ledger.JobInfo{Known: true, Mine: j.spec.Team == k.team, Active: j.active, Spec: j.spec}
+		return jobstate.JobInfo{Known: true, Mine: j.spec.Team == k.team, Active: j.active, Spec: j.spec}
 	}
 	if end, ended := k.n.front.Final(uid); ended {
-		return ledger.JobInfo{Known: true, Mine: end.Team == k.team, Spec: endedSpec(uid, end)}
+		return jobstate.JobInfo{Known: true, Mine: end.Team == k.team, Spec: endedSpec(uid, end)}
 	}
-	return ledger.JobInfo{}
+	return jobstate.JobInfo{}
 }
 
 // Unsized is what a machine has beside the listed tasks of known size.
-func (k teamKnowledge) Unsized(v *ledger.View) (cpus, gpus float64) {
+func (k teamKnowledge) Unsized(v *jobstate.View) (cpus, gpus float64) {
 	cpus, gpus, _, ok := k.n.capacity(v.Type)
 	if !ok {
 		return math.Inf(1), math.Inf(1)
 	}
 	for _, t := range v.Tasks {
-		if t.State != wire.Exited {
+		if t.State != protocol.Exited {
 			c, g, _ := k.n.size(t.Job)
 			cpus, gpus = cpus-c, gpus-g
 		}
@@ -45,20 +45,20 @@
 }
 
 // endedSpec is what is left of a job's description after its end.
-func endedSpec(uid string, end frontend.Final) *wire.Submission {
-	return &wire.Submission{UID: uid, Team: end.Team, Tasks: end.Tasks, CPUs: end.CPUs, GPUs: end.GPUs, Memory: end.Memory}
+func endedSpec(uid string, end userapi.Final) *protocol.Submission {
+	return &protocol.Submission{UID: uid, Team: end.Team, Tasks: end.Tasks, CPUs: end.CPUs, GPUs: end.GPUs, Memory: end.Memory}
 }
 
 // sized says whether it is known what a job's tasks take.
-func sized(spec *wire.Submission) bool { return spec.CPUs > 0 || spec.GPUs > 0 }
+func sized(spec *protocol.Submission) bool { return spec.CPUs > 0 || spec.GPUs > 0 }
 
 // oldestUnknown is the earliest term of the listed attempts whose jobs nobody here can describe; the greatest
 // number if there are none.
-func (n *Node) oldestUnknown(v *ledger.View) uint64 {
+func (n *Node) oldestUnknown(v *jobstate.View) uint64 {
 	oldest := uint64(math.MaxUint64)
 	for _, t := range v.Tasks {
-		if t.State != wire.Exited && n.jobs[t.Job] == nil {
-			oldest = min(oldest, ledger.TermOf(t.Attempt))
+		if t.State != protocol.Exited && n.jobs[t.Job] == nil {
+			oldest = min(oldest, jobstate.TermOf(t.Attempt))
 		}
 	}
 	return oldest
@@ -112,7 +112,7 @@
 }
 
 // learnEnd takes in the end of a job that was looked up.
-func (n *Node) learnEnd(uid string, end frontend.Final) {
+func (n *Node) learnEnd(uid string, end userapi.Final) {
 	spec := endedSpec(uid, end)
 	j := n.jobs[uid]
 	switch {
@@ -133,7 +133,7 @@
 		return
 	}
 	n.store.unknown[uid] = time.Now()
-	if absent && n.record != nil && (n.record.Generation == 1 || ledger.TermOf(attempt) >= n.record.First) {
+	if absent && n.record != nil && (n.record.Generation == 1 || jobstate.TermOf(attempt) >= n.record.First) {
 		// A task is started only for a job that was accepted, and an accepted job has one key or the other for ever.
 		n.prove("a worker has a task of a job that the store does not know")
 	}
--- a/over_test.go
+++ b/over_test.go
@@ -4,20 +4,20 @@
 	"testing"
 	"time"
 
-	"topazhollow/internal/frontend"
-	"topazhollow/internal/wire"
+	"topazhollow/internal/protocol"
+	"topazhollow/internal/userapi"
 )
 
 // stored is a job's key in the state service, as the changes tell it.
-func stored(uid string, version uint64) wire.Change {
-	spec := &wire.Submission{UID: uid, Team: "team-0", Kind: wire.Batch, Priority: "high", Tasks: 1, CPUs: 1, Memory: 1, Image: "img-1", Estimate: 40}
-	return wire.Change{Set: frontend.JobKey + uid, Value: wire.Encode(frontend.Stored{Spec: spec, At: time.Now().UnixMilli()}), Version: version}
+func stored(uid string, version uint64) protocol.Change {
+	spec := &protocol.Submission{UID: uid, Team: "team-0", Kind: protocol.Batch, Priority: "high", Tasks: 1, CPUs: 1, Memory: 1, Image: "img-1", Estimate: 40}
+	return protocol.Change{Set: userapi.JobKey + uid, Value: protocol.Encode(userapi.Stored{Spec: spec, At: time.Now().UnixMilli()}), Version: version}
 }
 
 // TestEndBeforeAcceptance: a job's end may be known before its acceptance is read. Taken up as active then, its
 // tasks were started and kept alive through an outage of any length after the withdrawal had been confirmed.
 func TestEndBeforeAcceptance(t *testing.T) {
-	end := frontend.Final{State: wire.Withdrawn, Tasks: 1, Team: "team-0"}
+	end := userapi.Final{State: protocol.Withdrawn, Tasks: 1, Team: "team-0"}
 	const uid = "job-000900"
 	for what, learn := range map[string]func(n *Node){
 		"a peer tells of the withdrawal, then an earlier read comes": func(n *Node) {
@@ -25,20 +25,20 @@
 			n.changed(stored(uid, 7))
 		},
 		"a later read comes before an earlier one": func(n *Node) {
-			n.changed(wire.Change{Delete: frontend.JobKey + uid, Version: 9})
+			n.changed(protocol.Change{Delete: userapi.JobKey + uid, Version: 9})
 			n.changed(stored(uid, 7))
 		},
 		"the answer to its acceptance comes last": func(n *Node) {
-			n.changed(wire.Change{Delete: frontend.JobKey + uid, Version: 9})
-			var s frontend.Stored
-			if err := wire.Decode(stored(uid, 7).Value, &s); err != nil {
+			n.changed(protocol.Change{Delete: userapi.JobKey + uid, Version: 9})
+			var s userapi.Stored
+			if err := protocol.Decode(stored(uid, 7).Value, &s); err != nil {
 				t.Fatal(err)
 			}
 			n.learnJob(s, 7)
 		},
 		"in order": func(n *Node) {
 			n.changed(stored(uid, 7))
-			n.changed(wire.Change{Delete: frontend.JobKey + uid, Version: 9})
+			n.changed(protocol.Change{Delete: userapi.JobKey + uid, Version: 9})
 			n.changed(stored(uid, 7))
 		},
 	} {
@@ -49,8 +49,8 @@
 		if j := n.jobs[uid]; j == nil || j.active || n.items[teamItem("team-0")].team.Job(uid) != nil {
 			t.Errorf("%s: the job is active", what)
 		}
-		r := wire.Report{Machine: g.names[0], Addr: "127.0.0.1:1", Type: "m32", Zone: "east", Session: 1, Seq: 10, Token: 1,
-			Tasks: []wire.TaskStatus{{Task: uid + "/0", Attempt: 1, State: wire.Running}}}
+		r := protocol.Report{Machine: g.names[0], Addr: "127.0.0.1:1", Type: "m32", Zone: "east", Session: 1, Seq: 10, Token: 1,
+			Tasks: []protocol.TaskStatus{{Task: uid + "/0", Attempt: 1, State: protocol.Running}}}
 		if stops, ok := n.renewal(&r, g.now.Add(time.Second)); !ok || len(stops) != 1 {
 			t.Errorf("%s: its machine is renewed %v with %d stops", what, ok, len(stops))
 		}
--- a/overview.go
+++ b/overview.go
@@ -6,9 +6,9 @@
 	"time"
 
 	"topazhollow/internal/admission"
-	"topazhollow/internal/ledger"
-	"topazhollow/internal/rebuild"
-	"topazhollow/internal/tenure"
+	"topazhollow/internal/datarecovery"
+	"topazhollow/internal/jobstate"
+	"topazhollow/internal/leadership"
 )
 
 // overview is an operator's view of one controller.
@@ -31,7 +31,7 @@
 	Jobs     int                     `json:"active_jobs"`
 	Waits    map[string]int64        `json:"start_wait_ms"`
 	Served   admission.Status        `json:"admission"`
-	Store    rebuild.Status          `json:"store"`
+	Store    datarecovery.Status     `json:"store"`
 	Config   *configOverview         `json:"configuration,omitempty"`
 }
 
@@ -107,10 +107,10 @@
 // itemOverview describes an item that this controller owns.
 func (n *Node) itemOverview(name string, it *item) itemOverview {
 	x := itemOverview{Phase: phases[it.phase], Since: it.since, Awaited: len(it.await), InSync: n.record.Items[name].InSync}
-	if name == tenure.Fleet {
+	if name == leadership.Fleet {
 		return x
 	}
-	it.team.Jobs(func(j *ledger.Job) {
+	it.team.Jobs(func(j *jobstate.Job) {
 		x.Jobs++
 		x.Waiting += it.team.Unstarted(j)
 	})
--- a/owner.go
+++ b/owner.go
@@ -10,11 +10,11 @@
 
 	"github.com/bits-and-blooms/bitset"
 
-	"topazhollow/internal/frontend"
-	"topazhollow/internal/ledger"
-	"topazhollow/internal/state"
-	"topazhollow/internal/tenure"
-	"topazhollow/internal/wire"
+	"topazhollow/internal/jobstate"
+	"topazhollow/internal/kvstore"
+	"topazhollow/internal/leadership"
+	"topazhollow/internal/protocol"
+	"topazhollow/internal/userapi"
 )
 
 // Phases of an item that this controller owns.
@@ -30,14 +30,14 @@
 	since    uint64
 	phase    int
 	blind    bool
-	team     *ledger.Team
+	team     *jobstate.Team
 	frozen   bool     // being handed over
 	adding   []string // backups that a pending change of the record puts in sync
 	took     time.Time
 	taken    time.Time // or became ready, or the controller woke: backups get their time from then
 	acks     map[string]*ack
 	await    map[string]bool // machines that the barrier waits for
-	book     *ledger.Book
+	book     *jobstate.Book
 	loads    int  // the load under way; an earlier one's outcome no longer counts
 	readable bool // the book holds what the state service has
 	saving   bool
@@ -49,13 +49,13 @@
 func teamOf(name string) (string, bool) { return strings.CutPrefix(name, "team/") }
 
 // takeUp begins to own an item.
-func (n *Node) takeUp(name string, r tenure.Item) {
+func (n *Node) takeUp(name string, r leadership.Item) {
 	now := time.Now()
 	it := &item{name: name, since: r.Since, blind: r.Blind, taken: now, took: now,
-		acks: map[string]*ack{}, book: ledger.NewBook(valueRoom(n.set.Deployment.State))}
+		acks: map[string]*ack{}, book: jobstate.NewBook(valueRoom(n.set.Deployment.State))}
 	n.items[name] = it
 	n.tookTeam()
-	rep := ledger.NewReplica()
+	rep := jobstate.NewReplica()
 	if kept := n.replica(name); kept != nil && !it.blind {
 		rep = kept
 	} else if r.Since > n.record.First || n.record.Generation > 1 {
@@ -64,7 +64,7 @@
 	delete(n.backups, name)
 	n.log.Info("item taken", "item", name, "term", r.Since, "barrier", it.blind, "held", len(rep.Holds))
 	if _, ok := teamOf(name); !ok {
-		rep = ledger.NewReplica()
+		rep = jobstate.NewReplica()
 	}
 	it.team = n.newTeam(name, rep, n.record.Term)
 	if team, ok := teamOf(name); ok {
@@ -104,15 +104,15 @@
 	}
 }
 
-func (n *Node) newTeam(name string, rep *ledger.Replica, term uint64) *ledger.Team {
+func (n *Node) newTeam(name string, rep *jobstate.Replica, term uint64) *jobstate.Team {
 	log := func(event string, args ...any) { n.log.Debug(event, append(args, "item", name)...) }
 	team, _ := teamOf(name)
 	for _, t := range n.teams() {
 		if t.Name == team {
-			return ledger.NewTeam(name, t.CPUs, t.CPUsMax, t.GPUs, t.GPUsMax, rep, term, log)
+			return jobstate.NewTeam(name, t.CPUs, t.CPUsMax, t.GPUs, t.GPUsMax, rep, term, log)
 		}
 	}
-	return ledger.NewTeam(name, 0, 0, 0, 0, rep, term, log)
+	return jobstate.NewTeam(name, 0, 0, 0, 0, rep, term, log)
 }
 
 // load learns from the state service what a new owner needs. One in sync knows
@@ -123,16 +123,16 @@
 	for ctx.Err() == nil {
 		n.mu.Lock()
 		current := n.items[it.name] == it && it.loads == load
-		if current && it.phase == loading && (!it.blind || it.name == tenure.Fleet) {
+		if current && it.phase == loading && (!it.blind || it.name == leadership.Fleet) {
 			n.loaded(it, nil)
 		}
 		n.mu.Unlock()
-		if !current || it.name == tenure.Fleet {
+		if !current || it.name == leadership.Fleet {
 			return
 		}
 		err := n.synced(ctx)
 		if err == nil {
-			var pages []wire.Entry
+			var pages []protocol.Entry
 			if pages, _, err = n.state.List(ctx, pagesPath(it.name)); err == nil {
 				n.mu.Lock()
 				if it.loads == load {
@@ -150,7 +150,7 @@
 // loaded begins an item with the jobs and machines known by now, and the finished
 // tasks that the state service has.
 func (n *Node) loaded(it *item, done map[string]*bitset.BitSet) {
-	if it.name == tenure.Fleet {
+	if it.name == leadership.Fleet {
 		it.phase = ready
 		return
 	}
@@ -183,7 +183,7 @@
 }
 
 // booked takes in the pages of finished tasks, after which they can be written.
-func (n *Node) booked(it *item, pages []wire.Entry) {
+func (n *Node) booked(it *item, pages []protocol.Entry) {
 	if n.items[it.name] != it {
 		return
 	}
@@ -229,7 +229,7 @@
 
 // settleAwaited takes a machine that was heard off those that a barrier waits for. The others are looked at once a
 // step: to walk them for each machine costs the square of their number.
-func (n *Node) settleAwaited(it *item, v *ledger.View) {
+func (n *Node) settleAwaited(it *item, v *jobstate.View) {
 	if v.Token < it.since {
 		return
 	}
@@ -255,8 +255,8 @@
 }
 
 // observe lets an item's account see a machine and sends the orders that follow.
-func (n *Node) observe(it *item, v *ledger.View) {
-	if it.phase != ready || it.name == tenure.Fleet {
+func (n *Node) observe(it *item, v *jobstate.View) {
+	if it.phase != ready || it.name == leadership.Fleet {
 		return
 	}
 	team, _ := teamOf(it.name)
@@ -278,7 +278,7 @@
 
 // order hands commands for a machine to its home; false if they surely went
 // nowhere.
-func (n *Node) order(name string, orders []ledger.Order) bool {
+func (n *Node) order(name string, orders []jobstate.Order) bool {
 	home := n.homeOf(name)
 	if home == n.name {
 		n.take(name, n.record.Term, orders)
@@ -288,7 +288,7 @@
 }
 
 // take is the home's side of order.
-func (n *Node) take(name string, term uint64, orders []ledger.Order) {
+func (n *Node) take(name string, term uint64, orders []jobstate.Order) {
 	if n.home.Take(term, name, orders) {
 		n.stir(name)
 	}
@@ -376,7 +376,7 @@
 			continue
 		}
 		n.replicate(it, now)
-		if name == tenure.Fleet || it.frozen {
+		if name == leadership.Fleet || it.frozen {
 			continue
 		}
 		due := it.team.Due(n.acked(it), now, func(m string, session uint64) bool {
@@ -386,7 +386,7 @@
 		for m, orders := range due {
 			if !n.order(m, orders) {
 				it.team.Unsent(orders)
-			} else if !it.started && orders[0].Op == wire.Start {
+			} else if !it.started && orders[0].Op == protocol.Start {
 				it.started = true
 				n.log.Info("item's first start", "item", name, "after", now.Sub(it.took))
 			}
@@ -407,14 +407,14 @@
 // moveSlow stops tasks that take far longer than their kin took, to start them
 // anew elsewhere once they are proven off: as when a machine is faulty.
 func (n *Node) moveSlow(it *item, now time.Time) {
-	it.team.Jobs(func(tj *ledger.Job) {
+	it.team.Jobs(func(tj *jobstate.Job) {
 		uid := tj.Spec.UID
 		j := n.jobs[uid]
-		if j == nil || j.runs < max(3, tj.Spec.Tasks/3) || tj.Spec.Kind != wire.Batch {
+		if j == nil || j.runs < max(3, tj.Spec.Tasks/3) || tj.Spec.Kind != protocol.Batch {
 			return
 		}
 		limit := max(j.longest, tj.Spec.RunTime()) * 5 / 2
-		it.team.Running(tj, func(h ledger.Hold) {
+		it.team.Running(tj, func(h jobstate.Hold) {
 			m := n.machines[h.Machine]
 			if m == nil || tj.Avoids(h.Machine, now) {
 				return
@@ -436,13 +436,13 @@
 		if m == nil || m.view == nil || !m.view.Notice {
 			continue
 		}
-		it.team.On(name, func(h ledger.Hold) {
+		it.team.On(name, func(h jobstate.Hold) {
 			j := it.team.Job(h.Job)
 			switch {
 			case j == nil:
-			case j.Spec.Kind == wire.Gang:
+			case j.Spec.Kind == protocol.Gang:
 				it.team.StopJob(j, j.Spec.Save)
-			case j.Spec.Kind == wire.Service || j.Spec.Checkpoint > 0:
+			case j.Spec.Kind == protocol.Service || j.Spec.Checkpoint > 0:
 				it.team.Stop(h.Ref(), j.Spec.Save)
 			}
 		})
@@ -451,8 +451,8 @@
 
 // finish commits the end of jobs whose tasks are all done.
 func (n *Node) finish(it *item) {
-	it.team.Jobs(func(j *ledger.Job) {
-		if j.Spec.Kind == wire.Service || j.Finishing || !it.team.Complete(j) {
+	it.team.Jobs(func(j *jobstate.Job) {
+		if j.Spec.Kind == protocol.Service || j.Finishing || !it.team.Complete(j) {
 			return
 		}
 		if j.Version == 0 {
@@ -467,14 +467,14 @@
 	})
 }
 
-func (n *Node) commitDone(ctx context.Context, it *item, j *ledger.Job, version, written uint64) {
+func (n *Node) commitDone(ctx context.Context, it *item, j *jobstate.Job, version, written uint64) {
 	uid := j.Spec.UID
 	team, _ := teamOf(it.name)
-	end := frontend.EndOf(j.Spec, wire.Done)
-	_, err := n.state.Commit(ctx, state.Update{
-		Guards: []wire.Guard{{Key: frontend.JobKey + uid, Version: written}, {Key: controlKey, Version: version}},
-		Ops:    []wire.Op{{Delete: frontend.JobKey + uid}, {Set: frontend.FinalKey + uid, Value: wire.Encode(end)}}})
-	if c := (*state.Conflict)(nil); errors.As(err, &c) && slices.Contains(c.Keys, frontend.JobKey+uid) {
+	end := userapi.EndOf(j.Spec, protocol.Done)
+	_, err := n.state.Commit(ctx, kvstore.Update{
+		Guards: []protocol.Guard{{Key: userapi.JobKey + uid, Version: written}, {Key: controlKey, Version: version}},
+		Ops:    []protocol.Op{{Delete: userapi.JobKey + uid}, {Set: userapi.FinalKey + uid, Value: protocol.Encode(end)}}})
+	if c := (*kvstore.Conflict)(nil); errors.As(err, &c) && slices.Contains(c.Keys, userapi.JobKey+uid) {
 		(*userBackend)(n).Missing(uid) // or just withdrawn; the record may have changed as well, which says nothing
 	}
 	if err == nil {
--- a/placing.go
+++ b/placing.go
@@ -5,11 +5,11 @@
 	"slices"
 	"time"
 
-	"topazhollow/internal/fleet"
-	"topazhollow/internal/ledger"
+	"topazhollow/internal/autoscaler"
+	"topazhollow/internal/jobstate"
 	"topazhollow/internal/placement"
+	"topazhollow/internal/protocol"
 	"topazhollow/internal/settings"
-	"topazhollow/internal/wire"
 )
 
 // placing is one step's search for machines.
@@ -91,10 +91,10 @@
 // urgent says whether tasks have no time to spare: they would not be complete in time if they
 // ran three times as long as estimated after fetching their image.
 func (n *Node) urgent(w *waitingTasks, now time.Time) bool {
-	if w.spec.Kind != wire.Batch || w.late || w.borrowed {
+	if w.spec.Kind != protocol.Batch || w.late || w.borrowed {
 		return false
 	}
-	fetch := settings.Seconds(fleet.FetchTime(n.types, w.spec))
+	fetch := settings.Seconds(autoscaler.FetchTime(n.types, w.spec))
 	return w.latest.Sub(now) <= 2*w.spec.RunTime()+fetch+preemptionDelay
 }
 
@@ -123,7 +123,7 @@
 	switch {
 	case w.own == nil:
 		p.leaveRoom(w, ask)
-	case w.own.Spec.Kind == wire.Gang:
+	case w.own.Spec.Kind == protocol.Gang:
 		if p.placeGang(w, ask) {
 			w.count = 0
 		} else {
@@ -166,8 +166,8 @@
 }
 
 // spot is a host as the ledger names it.
-func (n *Node) spot(h *placement.Host) ledger.Spot {
-	return ledger.Spot{Machine: h.Name, Zone: n.machines[h.Name].view.Zone, Session: h.Session}
+func (n *Node) spot(h *placement.Host) jobstate.Spot {
+	return jobstate.Spot{Machine: h.Name, Zone: n.machines[h.Name].view.Zone, Session: h.Session}
 }
 
 // zoneRule holds a job's tasks, of which some may be on machines already, to one zone or to
--- a/placing_test.go
+++ b/placing_test.go
@@ -4,10 +4,10 @@
 	"testing"
 	"time"
 
-	"topazhollow/internal/frontend"
+	"topazhollow/internal/agents"
+	"topazhollow/internal/protocol"
 	"topazhollow/internal/settings"
-	"topazhollow/internal/wire"
-	"topazhollow/internal/workers"
+	"topazhollow/internal/userapi"
 )
 
 // TestHurriedTakeTheSoonest: a task with hardly any time left went to a cheap
@@ -18,7 +18,7 @@
 		g := newGrown(8, 1)
 		n := g.n
 		n.mu.Lock()
-		n.learnJob(frontend.Stored{At: g.now.UnixMilli(), Spec: &wire.Submission{UID: "job-000001", Team: "team-0", Kind: wire.Batch, Priority: "high",
+		n.learnJob(userapi.Stored{At: g.now.UnixMilli(), Spec: &protocol.Submission{UID: "job-000001", Team: "team-0", Kind: protocol.Batch, Priority: "high",
 			Tasks: 2, CPUs: 4, Memory: 1, Image: "img", ImageGB: 4, Estimate: 10, Spot: true, Deadline: &deadline}}, 1)
 		for _, m := range n.machines {
 			m.images["img"], m.counted = !m.view.Spot, false
@@ -42,9 +42,9 @@
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.home.SetTerm(1, func(string) bool { return true })
-	n.roster.Learn("x", 1, workers.RosterValue{Names: []string{"n-1", "n-2"}})
+	n.roster.Learn("x", 1, agents.RosterValue{Names: []string{"n-1", "n-2"}})
 	for _, name := range []string{"n-1", "n-2"} {
-		n.hear(&wire.Report{Machine: name, Addr: "127.0.0.1:1", Type: "m32", Zone: "east", Session: 1, Seq: 1, Token: 1, Tasks: []wire.TaskStatus{}}, g.now)
+		n.hear(&protocol.Report{Machine: name, Addr: "127.0.0.1:1", Type: "m32", Zone: "east", Session: 1, Seq: 1, Token: 1, Tasks: []protocol.TaskStatus{}}, g.now)
 	}
 	if got := len(n.hosts(g.now, nil)); got != 2 {
 		t.Fatalf("%d of 2 machines take tasks", got)
@@ -73,9 +73,9 @@
 		g := newGrown(8, 2) // two of them ordinary, in one zone
 		n := g.n
 		n.mu.Lock()
-		submit := func(spec wire.Submission) {
-			spec.Memory, spec.Image, spec.Estimate, spec.OneZone = 1, "img", 40, spec.Kind == wire.Gang
-			n.learnJob(frontend.Stored{At: g.now.UnixMilli(), Spec: &spec}, 1)
+		submit := func(spec protocol.Submission) {
+			spec.Memory, spec.Image, spec.Estimate, spec.OneZone = 1, "img", 40, spec.Kind == protocol.Gang
+			n.learnJob(userapi.Stored{At: g.now.UnixMilli(), Spec: &spec}, 1)
 		}
 		held := func(uid string) (count int) {
 			for _, it := range n.items {
@@ -88,10 +88,10 @@
 			return count
 		}
 		n.items[teamItem("team-0")].team.MaxCPUs = c.quota
-		submit(wire.Submission{UID: "job-000001", Team: "team-0", Kind: wire.Batch, Priority: "high", Tasks: 1, CPUs: 8})
+		submit(protocol.Submission{UID: "job-000001", Team: "team-0", Kind: protocol.Batch, Priority: "high", Tasks: 1, CPUs: 8})
 		n.place(g.now)
-		submit(wire.Submission{UID: "job-000002", Team: "team-0", Kind: wire.Gang, Priority: c.priority, Tasks: c.tasks, CPUs: 8})
-		submit(wire.Submission{UID: "job-000003", Team: "team-1", Kind: wire.Batch, Priority: "standard", Tasks: 40, CPUs: 1})
+		submit(protocol.Submission{UID: "job-000002", Team: "team-0", Kind: protocol.Gang, Priority: c.priority, Tasks: c.tasks, CPUs: 8})
+		submit(protocol.Submission{UID: "job-000003", Team: "team-1", Kind: protocol.Batch, Priority: "standard", Tasks: 40, CPUs: 1})
 		n.place(g.now)
 		if held("job-000001") != 1 || held("job-000002") != 0 {
 			t.Fatalf("%+v: the gang has %d tasks placed beside what runs", c, held("job-000002"))
@@ -119,8 +119,8 @@
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	submit := func(uid, team, priority string, kind string, tasks int, cpus float64) {
-		n.learnJob(frontend.Stored{At: g.now.UnixMilli(), Spec: &wire.Submission{UID: uid, Team: team, Kind: kind, Priority: priority, Tasks: tasks, CPUs: cpus,
-			Memory: 1, Image: "img", Estimate: 40, OneZone: kind == wire.Gang}}, 1)
+		n.learnJob(userapi.Stored{At: g.now.UnixMilli(), Spec: &protocol.Submission{UID: uid, Team: team, Kind: kind, Priority: priority, Tasks: tasks, CPUs: cpus,
+			Memory: 1, Image: "img", Estimate: 40, OneZone: kind == protocol.Gang}}, 1)
 	}
 	gangs, arrays := n.items[teamItem("team-0")].team, n.items[teamItem("team-1")].team
 	placeAt := func(after time.Duration) int {
@@ -132,10 +132,10 @@
 		n.place(now)
 		return len(arrays.Replica().Holds)
 	}
-	submit("job-000001", "team-0", "high", wire.Service, 1, 8)
+	submit("job-000001", "team-0", "high", protocol.Service, 1, 8)
 	placeAt(0)
-	submit("job-000002", "team-0", "high", wire.Gang, 8, 8)
-	submit("job-000003", "team-1", "standard", wire.Batch, 40, 1)
+	submit("job-000002", "team-0", "high", protocol.Gang, 8, 8)
+	submit("job-000003", "team-1", "standard", protocol.Batch, 40, 1)
 	if got := placeAt(0); got != 0 {
 		t.Fatalf("%d of 40 tasks of the array were placed at once", got)
 	}
@@ -163,15 +163,15 @@
 		submit := func(uid, team, priority, kind string, tasks int, cpus float64) {
 			n.mu.Lock()
 			defer n.mu.Unlock()
-			n.learnJob(frontend.Stored{At: g.now.UnixMilli(), Spec: &wire.Submission{UID: uid, Team: team, Kind: kind, Priority: priority, Tasks: tasks, CPUs: cpus,
-				Memory: 1, Image: "img", Estimate: 600, OneZone: kind == wire.Gang, Deadline: &c.deadline}}, 1)
+			n.learnJob(userapi.Stored{At: g.now.UnixMilli(), Spec: &protocol.Submission{UID: uid, Team: team, Kind: kind, Priority: priority, Tasks: tasks, CPUs: cpus,
+				Memory: 1, Image: "img", Estimate: 600, OneZone: kind == protocol.Gang, Deadline: &c.deadline}}, 1)
 		}
-		submit("job-000001", "team-1", "standard", wire.Batch, 16, 1)
-		submit("job-000002", "team-0", "standard", wire.Batch, 60, 1)
+		submit("job-000001", "team-1", "standard", protocol.Batch, 16, 1)
+		submit("job-000002", "team-0", "standard", protocol.Batch, 60, 1)
 		for range 3 {
 			g.second(2)
 		}
-		submit("job-000003", "team-0", priority, wire.Gang, 5, 8)
+		submit("job-000003", "team-0", priority, protocol.Gang, 5, 8)
 		for range 6 {
 			g.second(2)
 		}
@@ -200,7 +200,7 @@
 	defer n.mu.Unlock()
 	n.set.Deployment.Objectives = []settings.Objective{{Kind: "finished", Class: "c", Within: 300}, {Kind: "wait", Class: "c", Within: 20}}
 	for uid, age := range map[string]time.Duration{"job-000001": 100 * time.Second, "job-000002": 5 * time.Second} {
-		n.learnJob(frontend.Stored{At: g.now.Add(-age).UnixMilli(), Spec: &wire.Submission{UID: uid, Class: "c", Team: "team-0", Kind: wire.Gang, Priority: "high",
+		n.learnJob(userapi.Stored{At: g.now.Add(-age).UnixMilli(), Spec: &protocol.Submission{UID: uid, Class: "c", Team: "team-0", Kind: protocol.Gang, Priority: "high",
 			Tasks: 8, CPUs: 8, Memory: 1, Image: "img", Estimate: 40, OneZone: true}}, 1)
 	}
 	n.place(g.now)
--- a/preemption.go
+++ b/preemption.go
@@ -7,9 +7,9 @@
 	"slices"
 	"time"
 
-	"topazhollow/internal/ledger"
+	"topazhollow/internal/jobstate"
 	"topazhollow/internal/placement"
-	"topazhollow/internal/wire"
+	"topazhollow/internal/protocol"
 )
 
 // Periods of preemption.
@@ -70,7 +70,7 @@
 
 // mayPreempt says whether others may be stopped for waiting tasks.
 func mayPreempt(w *waitingTasks) bool {
-	return !w.borrowed && !w.probe && w.own.Spec.Kind != wire.Gang && wire.Rank(w.own.Spec.Priority) != 0
+	return !w.borrowed && !w.probe && w.own.Spec.Kind != protocol.Gang && protocol.Rank(w.own.Spec.Priority) != 0
 }
 
 // expireEvictions forgets evictions that took too long, and counts by job the tasks that the
@@ -112,7 +112,7 @@
 // freedInTime says how many of a job's tasks find room within preemptionDelay by what ends by
 // itself, and books that room. It goes to the most urgent anyway, if it leaves room enough:
 // the room of smaller tasks is taken by others like them.
-func (p *preemption) freedInTime(spec *wire.Submission, need int) (count int) {
+func (p *preemption) freedInTime(spec *protocol.Submission, need int) (count int) {
 	if p.freeing == nil {
 		p.freeing = p.n.ending(p.now)
 	}
@@ -203,7 +203,7 @@
 // onEvict stops a task of an own team for a job of higher priority.
 func (n *Node) onEvict(e *evictMsg) {
 	victim, job := n.jobs[e.Ref.Job], n.jobs[e.For]
-	if victim == nil || job == nil || wire.Rank(job.spec.Priority) <= wire.Rank(victim.spec.Priority) {
+	if victim == nil || job == nil || protocol.Rank(job.spec.Priority) <= protocol.Rank(victim.spec.Priority) {
 		return
 	}
 	it := n.items[teamItem(victim.spec.Team)]
@@ -217,15 +217,15 @@
 }
 
 // freed forgets evictions that are over, as a view shows.
-func (n *Node) freed(v *ledger.View) {
+func (n *Node) freed(v *jobstate.View) {
 	if len(n.evicting) == 0 {
 		return
 	}
-	there := map[ledger.Ref]bool{}
+	there := map[jobstate.Ref]bool{}
 	for _, t := range v.Tasks {
-		there[t.Ref()] = t.State != wire.Exited
+		there[t.Ref()] = t.State != protocol.Exited
 	}
-	maps.DeleteFunc(n.evicting, func(ref ledger.Ref, _ eviction) bool {
+	maps.DeleteFunc(n.evicting, func(ref jobstate.Ref, _ eviction) bool {
 		on, listed := there[ref]
 		return listed && !on
 	})
@@ -233,8 +233,8 @@
 
 // victim is a task that may be stopped for others.
 type victim struct {
-	ref  ledger.Ref
-	spec *wire.Submission
+	ref  jobstate.Ref
+	spec *protocol.Submission
 	lost float64 // CPU seconds of progress thrown away
 }
 
@@ -271,9 +271,9 @@
 }
 
 // victim says whether a task on a machine may be stopped, and what is lost by that.
-func (s *victimSearch) victim(m *machine, t *ledger.TaskView) (v victim, ok bool) {
+func (s *victimSearch) victim(m *machine, t *jobstate.TaskView) (v victim, ok bool) {
 	j := s.n.jobs[t.Job]
-	if j == nil || !j.active || t.State == wire.Exited || t.State == wire.Saving || j.spec.Kind == wire.Gang {
+	if j == nil || !j.active || t.State == protocol.Exited || t.State == protocol.Saving || j.spec.Kind == protocol.Gang {
 		return v, false
 	}
 	ref := t.Ref()
@@ -299,9 +299,9 @@
 }
 
 // cheapestRoom finds the machine where stopping tasks of lower priority loses least.
-func (s *victimSearch) cheapestRoom(ask *placement.Ask, job *ledger.Job, rule *zoneRule) (best *placement.Host, stop []victim) {
+func (s *victimSearch) cheapestRoom(ask *placement.Ask, job *jobstate.Job, rule *zoneRule) (best *placement.Host, stop []victim) {
 	lowest := math.Inf(1)
-	rank := wire.Rank(job.Spec.Priority)
+	rank := protocol.Rank(job.Spec.Priority)
 	for _, h := range s.hosts {
 		if !ask.Allows(h) || job.Avoids(h.Name, s.now) || !rule.allows(h) {
 			continue
@@ -322,7 +322,7 @@
 func (s *victimSearch) roomOn(h *placement.Host, ask *placement.Ask, rank int, lowest float64) (stop []victim, lost float64, found bool) {
 	room := *h
 	for _, v := range s.on(h) {
-		if wire.Rank(v.spec.Priority) >= rank {
+		if protocol.Rank(v.spec.Priority) >= rank {
 			continue
 		}
 		room.Release(v.spec.CPUs, v.spec.GPUs, v.spec.Memory)
--- a/provisioning.go
+++ b/provisioning.go
@@ -7,12 +7,12 @@
 	"slices"
 	"time"
 
+	"topazhollow/internal/autoscaler"
 	"topazhollow/internal/cloud"
-	"topazhollow/internal/fleet"
+	"topazhollow/internal/leadership"
+	"topazhollow/internal/protocol"
 	"topazhollow/internal/provisioning"
 	"topazhollow/internal/settings"
-	"topazhollow/internal/tenure"
-	"topazhollow/internal/wire"
 )
 
 // provisionEvery is how often the fleet's owner decides what to rent and to return.
@@ -49,7 +49,7 @@
 // provision decides once and begins what was decided. It returns the provisioner to go on
 // with, nil while this controller does not own the fleet.
 func (n *Node) provision(p *provisioner, now time.Time) *provisioner {
-	it := n.items[tenure.Fleet]
+	it := n.items[leadership.Fleet]
 	if it == nil {
 		n.drain, n.late = map[string]bool{}, nil
 		return nil
@@ -105,11 +105,11 @@
 }
 
 // fleetOptions derives from the settings what the fleet's decisions go by.
-func (n *Node) fleetOptions() fleet.Options {
+func (n *Node) fleetOptions() autoscaler.Options {
 	deployment := &n.set.Deployment
 	lease := settings.Seconds(deployment.Workers.Lease)
 	cancel := settings.Seconds(deployment.Workers.Cancel)
-	return fleet.Options{
+	return autoscaler.Options{
 		IdleReturn: settings.Seconds(n.opt.IdleReturn),
 		Warm:       n.opt.WarmMachines,
 		Haste:      n.opt.Haste,
@@ -157,7 +157,7 @@
 }
 
 // rent sends one rental request when its turn comes.
-func (n *Node) rent(ctx context.Context, p *provisioner, request wire.Rent) {
+func (n *Node) rent(ctx context.Context, p *provisioner, request protocol.Rent) {
 	select {
 	case p.turns <- struct{}{}:
 		defer func() { <-p.turns }()
--- a/quota_test.go
+++ b/quota_test.go
@@ -4,15 +4,15 @@
 	"testing"
 	"time"
 
-	"topazhollow/internal/rehearse"
+	"topazhollow/internal/protocol"
 	"topazhollow/internal/settings"
-	"topazhollow/internal/wire"
+	"topazhollow/internal/simulation"
 )
 
 // onMachine counts the tasks of a job that a machine runs.
-func onMachine(w *rehearse.Worker, job string) (count int) {
+func onMachine(w *simulation.Worker, job string) (count int) {
 	for _, task := range w.Running() {
-		if uid, _, _ := wire.SplitTask(task); uid == job {
+		if uid, _, _ := protocol.SplitTask(task); uid == job {
 			count++
 		}
 	}
@@ -21,10 +21,10 @@
 
 // answerOnce has a machine execute one direct command and hold up all later ones for good, with no report getting
 // through: it then hangs within its lease, with its tasks on it.
-func answerOnce(w *rehearse.Worker) {
+func answerOnce(w *simulation.Worker) {
 	w.Mute(true)
 	answered := false
-	w.SlowCommands(func(*wire.Direct) time.Duration {
+	w.SlowCommands(func(*protocol.Direct) time.Duration {
 		if answered {
 			return time.Hour
 		}
@@ -45,7 +45,7 @@
 	r.submit(other) // its machines have room for what should not start yet
 	r.until("another team's job runs", func() bool { return r.check.OnOf(other.UID) == 5 })
 	r.submit(next)
-	var hung *rehearse.Worker
+	var hung *simulation.Worker
 	for _, w := range r.cloud.Workers() {
 		if onMachine(w, first.UID) > 0 {
 			hung = w
--- a/rebuild.go
+++ b/rebuild.go
@@ -13,27 +13,27 @@
 
 	"github.com/bits-and-blooms/bitset"
 
-	"topazhollow/internal/frontend"
+	"topazhollow/internal/datarecovery"
 	"topazhollow/internal/httpx"
-	"topazhollow/internal/ledger"
-	"topazhollow/internal/rebuild"
+	"topazhollow/internal/jobstate"
+	"topazhollow/internal/kvstore"
+	"topazhollow/internal/leadership"
+	"topazhollow/internal/protocol"
 	"topazhollow/internal/settings"
-	"topazhollow/internal/state"
 	"topazhollow/internal/teamstore"
-	"topazhollow/internal/tenure"
-	"topazhollow/internal/wire"
+	"topazhollow/internal/userapi"
 )
 
 // What the state service acknowledged may be gone: its data lost, or set back to what
 // they were. docs/rebuild.md tells how that is noticed, agreed on and mended; here is what
-// connects internal/rebuild, which decides, to the controller.
+// connects internal/datarecovery, which decides, to the controller.
 
 // keeping is what a controller knows of its store, and of what must survive it.
 type keeping struct {
-	watch     *rebuild.Watch
-	gather    *rebuild.Gather // waited for after a loss; nil: nothing
-	whole     bool            // the ends known go back to the deployment's beginning
-	read      bool            // all single ends that the store has were read
+	watch     *datarecovery.Watch
+	gather    *datarecovery.Gather // waited for after a loss; nil: nothing
+	whole     bool                 // the ends known go back to the deployment's beginning
+	read      bool                 // all single ends that the store has were read
 	markers   map[string]uint64
 	unchained bool   // a record was seen that does not follow the one known
 	saw       bool   // what is known here shows the loss, not only what others know
@@ -69,9 +69,9 @@
 
 // foundStore is what a lost store was found to hold.
 type foundStore struct {
-	record  *tenure.Record
+	record  *leadership.Record
 	version uint64
-	live    map[string]tenure.Presence
+	live    map[string]leadership.Presence
 	markers map[string]uint64
 	at      time.Time
 }
@@ -81,7 +81,7 @@
 	for _, p := range s.Peers {
 		peers = append(peers, p.Name)
 	}
-	return &keeping{watch: rebuild.NewWatch(s.Name, peers, life), markers: map[string]uint64{}, suspect: map[string]uint64{},
+	return &keeping{watch: datarecovery.NewWatch(s.Name, peers, life), markers: map[string]uint64{}, suspect: map[string]uint64{},
 		again: make(chan struct{}, 1), names: map[string]bool{}, bury: map[string]burial{}, writing: map[string]bool{},
 		unknown: map[string]time.Time{}, tentative: map[string]tentativeJob{}, met: map[string]bool{}, holds: map[uint64]chan struct{}{}}
 }
@@ -90,7 +90,7 @@
 // anything since it was read.
 func (n *Node) trusted() bool {
 	phase, _, _ := n.store.watch.Phase()
-	return phase == rebuild.Known || phase == rebuild.Starting
+	return phase == datarecovery.Known || phase == datarecovery.Starting
 }
 
 func (n *Node) generation() uint64 {
@@ -100,11 +100,11 @@
 	return n.record.Generation
 }
 
-func (n *Node) word() rebuild.Word {
-	w := rebuild.Word{Generation: n.generation(), Seen: n.state.Seen(), Incarnation: n.inc, Whole: n.store.whole && n.store.saw}
+func (n *Node) word() datarecovery.Word {
+	w := datarecovery.Word{Generation: n.generation(), Seen: n.state.Seen(), Incarnation: n.inc, Whole: n.store.whole && n.store.saw}
 	phase, _, _ := n.store.watch.Phase()
-	w.Lost = phase == rebuild.Lost
-	w.Doubt = phase == rebuild.Doubted || w.Lost
+	w.Lost = phase == datarecovery.Lost
+	w.Doubt = phase == datarecovery.Doubted || w.Lost
 	if n.record != nil {
 		w.Term = n.record.Term
 	}
@@ -161,7 +161,7 @@
 		defer n.mu.Unlock()
 		if absent && n.jobs[uid] == j && !j.active {
 			j.active, j.ended = true, time.Time{}
-			n.learnJob(frontend.Stored{Spec: j.spec, At: j.at.UnixMilli()}, 0)
+			n.learnJob(userapi.Stored{Spec: j.spec, At: j.at.UnixMilli()}, 0)
 			n.prove("an accepted job is gone without an end")
 		}
 		return nil
@@ -172,7 +172,7 @@
 // it has tasks, since a machine is registered before the first start. One report may have
 // been held up on its way from a machine that is gone by now; one that reports again is
 // there, and a read that began after its first report must know it.
-func (n *Node) unlisted(r *wire.Report, m *machine, now time.Time) {
+func (n *Node) unlisted(r *protocol.Report, m *machine, now time.Time) {
 	switch {
 	case !n.ours(r):
 		m.unlisted = time.Time{}
@@ -193,9 +193,9 @@
 	n.group.Go(func() error {
 		link := httpx.NewLink(addr, 1<<20)
 		defer link.Close()
-		resp, _, err := link.Do(n.ctx, "GET", wire.PathInspect, nil, probeTimeout)
-		var r wire.Report
-		there := err == nil && resp.Status == 200 && wire.Decode(resp.Body, &r) == nil && r.Machine == name
+		resp, _, err := link.Do(n.ctx, "GET", protocol.PathInspect, nil, probeTimeout)
+		var r protocol.Report
+		there := err == nil && resp.Status == 200 && protocol.Decode(resp.Body, &r) == nil && r.Machine == name
 		n.mu.Lock()
 		defer n.mu.Unlock()
 		if there && n.ours(&r) && n.machines[name] == m && !m.gone && !n.roster.Has(name) && !m.unlisted.IsZero() {
@@ -206,9 +206,9 @@
 }
 
 // ours says whether a machine has tasks that were started since this store began.
-func (n *Node) ours(r *wire.Report) bool {
-	return slices.ContainsFunc(r.Tasks, func(t wire.TaskStatus) bool {
-		return t.State != wire.Exited && ledger.TermOf(t.Attempt) >= n.record.First
+func (n *Node) ours(r *protocol.Report) bool {
+	return slices.ContainsFunc(r.Tasks, func(t protocol.TaskStatus) bool {
+		return t.State != protocol.Exited && jobstate.TermOf(t.Attempt) >= n.record.First
 	})
 }
 
@@ -229,23 +229,23 @@
 		})
 		phase, since, _ := n.store.watch.Phase()
 		suspects := len(n.store.suspect) > 0
-		if phase == rebuild.Lost && since.After(n.store.lostAt) {
+		if phase == datarecovery.Lost && since.After(n.store.lostAt) {
 			n.store.lostAt = since
 			n.lost()
 		}
-		if action == rebuild.Nothing && phase == rebuild.Lost && now.Sub(n.store.found.at) > 250*time.Millisecond {
-			action = rebuild.Relist
+		if action == datarecovery.Nothing && phase == datarecovery.Lost && now.Sub(n.store.found.at) > 250*time.Millisecond {
+			action = datarecovery.Relist
 		}
-		if action == rebuild.Propose && !n.word().Whole && now.Sub(since) < witnessFor {
-			action = rebuild.Nothing // a peer may yet find that it remembers more
+		if action == datarecovery.Propose && !n.word().Whole && now.Sub(since) < witnessFor {
+			action = datarecovery.Nothing // a peer may yet find that it remembers more
 		}
 		n.restore(now)
 		n.mu.Unlock()
-		if every = storeEvery; phase == rebuild.Known {
+		if every = storeEvery; phase == datarecovery.Known {
 			every *= 4
 		}
 		switch {
-		case action == rebuild.Check:
+		case action == datarecovery.Check:
 			r := n.look(ctx)
 			n.mu.Lock()
 			n.store.watch.Checked(r, time.Now())
@@ -254,11 +254,11 @@
 				n.log.Info("state service has what it acknowledged")
 			}
 			n.mu.Unlock()
-		case action == rebuild.Relist:
+		case action == datarecovery.Relist:
 			n.relist(ctx)
-		case action == rebuild.Propose:
+		case action == datarecovery.Propose:
 			n.begin(ctx)
-		case ahead > term && (phase == rebuild.Known || phase == rebuild.Meeting):
+		case ahead > term && (phase == datarecovery.Known || phase == datarecovery.Meeting):
 			// The record may only be late here: a read that begins now settles it.
 			if n.refresh(ctx) == nil {
 				n.mu.Lock()
@@ -268,12 +268,12 @@
 				n.store.ahead = 0
 				n.mu.Unlock()
 			}
-		case phase == rebuild.Known && (now.Sub(pulsed) > n.lease.Life/4 || suspects):
+		case phase == datarecovery.Known && (now.Sub(pulsed) > n.lease.Life/4 || suspects):
 			pulsed = now
 			switch n.look(ctx) {
-			case rebuild.Bad:
+			case datarecovery.Bad:
 				n.sign("something acknowledged is gone")
-			case rebuild.Good:
+			case datarecovery.Good:
 				n.mu.Lock()
 				clear(n.store.suspect)
 				n.mu.Unlock()
@@ -309,7 +309,7 @@
 			break
 		}
 		if j.active && j.version > 0 {
-			w[frontend.JobKey+uid] = j.version
+			w[userapi.JobKey+uid] = j.version
 			some--
 		}
 	}
@@ -321,10 +321,10 @@
 	switch {
 	case key == controlKey:
 		return n.version
-	case strings.HasPrefix(key, rebuild.StoreKey):
+	case strings.HasPrefix(key, datarecovery.StoreKey):
 		return n.store.markers[key]
-	case strings.HasPrefix(key, frontend.JobKey):
-		if j := n.jobs[key[len(frontend.JobKey):]]; j != nil && j.active {
+	case strings.HasPrefix(key, userapi.JobKey):
+		if j := n.jobs[key[len(userapi.JobKey):]]; j != nil && j.active {
 			return j.version
 		}
 		return 0
@@ -338,49 +338,49 @@
 
 // look asks the store whether it has what it acknowledged. What it does not have must
 // have been changed, as a read of the changes tells.
-func (n *Node) look(ctx context.Context) rebuild.Result {
+func (n *Node) look(ctx context.Context) datarecovery.Result {
 	n.mu.Lock()
 	proof, listed, known, unchained := n.store.proof, n.listed, n.witnesses(), n.store.unchained
 	own, seen := n.live[n.name].Version, n.store.watch.Seen()
 	n.mu.Unlock()
 	if proof != "" || unchained {
-		return rebuild.Bad
+		return datarecovery.Bad
 	}
 	if !listed {
-		return rebuild.Unanswered
+		return datarecovery.Unanswered
 	}
-	var guards []wire.Guard
+	var guards []protocol.Guard
 	for key, version := range known {
 		if len(guards) < 4*n.set.Deployment.State.TxnOps-1 {
-			guards = append(guards, wire.Guard{Key: key, Version: version})
+			guards = append(guards, protocol.Guard{Key: key, Version: version})
 		}
 	}
 	if own > 0 {
-		guards = append(guards, wire.Guard{Key: nodeKey + n.name, Version: own})
+		guards = append(guards, protocol.Guard{Key: nodeKey + n.name, Version: own})
 	}
 	revision, failed, err := n.state.Compare(ctx, guards)
 	switch {
-	case errors.Is(err, state.ErrBack):
+	case errors.Is(err, kvstore.ErrBack):
 		n.witness()
-		return rebuild.Bad
-	case (err == nil || errors.Is(err, state.ErrConflict)) && revision < seen:
+		return datarecovery.Bad
+	case (err == nil || errors.Is(err, kvstore.ErrConflict)) && revision < seen:
 		n.log.Info("a peer has seen a later revision", "seen", seen, "revision", revision)
-		return rebuild.Bad
+		return datarecovery.Bad
 	case err == nil:
-		return rebuild.Good
-	case !errors.Is(err, state.ErrConflict):
-		return rebuild.Unanswered
+		return datarecovery.Good
+	case !errors.Is(err, kvstore.ErrConflict):
+		return datarecovery.Unanswered
 	}
 	n.mu.Lock()
 	after := n.revision
 	n.mu.Unlock()
 	began := time.Now()
-	ch, err := n.state.Changes(ctx, frontend.Watched, after)
-	if errors.Is(err, state.ErrBack) {
+	ch, err := n.state.Changes(ctx, userapi.Watched, after)
+	if errors.Is(err, kvstore.ErrBack) {
 		n.witness()
-		return rebuild.Bad
+		return datarecovery.Bad
 	} else if err != nil {
-		return rebuild.Unanswered
+		return datarecovery.Unanswered
 	}
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -393,10 +393,10 @@
 		} else if version, asked := known[key]; asked && n.versionOf(key) == version {
 			n.log.Info("acknowledged key is not there", "key", key, "version", version)
 			n.store.saw = true
-			return rebuild.Bad
+			return datarecovery.Bad
 		}
 	}
-	return rebuild.Good
+	return datarecovery.Good
 }
 
 // witness books that what this process itself had seen shows the loss. Only then does its
@@ -437,8 +437,8 @@
 // what a lost store holds.
 func (n *Node) relist(ctx context.Context) {
 	began := time.Now()
-	entries, revision, err := n.state.List(ctx, frontend.Watched)
-	if errors.Is(err, state.ErrBack) {
+	entries, revision, err := n.state.List(ctx, userapi.Watched)
+	if errors.Is(err, kvstore.ErrBack) {
 		n.state.Anew()
 	}
 	if err != nil {
@@ -453,21 +453,21 @@
 }
 
 // scan finds the store's own keys in a list.
-func scan(entries []wire.Entry) foundStore {
-	f := foundStore{live: map[string]tenure.Presence{}, markers: map[string]uint64{}}
+func scan(entries []protocol.Entry) foundStore {
+	f := foundStore{live: map[string]leadership.Presence{}, markers: map[string]uint64{}}
 	for _, e := range entries {
 		switch {
 		case e.Key == controlKey:
-			var r tenure.Record
+			var r leadership.Record
 			if json.Unmarshal(e.Value, &r) == nil {
 				f.record, f.version = &r, e.Version
 			}
-		case strings.HasPrefix(e.Key, rebuild.StoreKey):
+		case strings.HasPrefix(e.Key, datarecovery.StoreKey):
 			f.markers[e.Key] = e.Version
 		case strings.HasPrefix(e.Key, nodeKey):
 			var p present
 			if json.Unmarshal(e.Value, &p) == nil {
-				f.live[e.Key[len(nodeKey):]] = tenure.Presence{Incarnation: p.Incarnation, Version: e.Version}
+				f.live[e.Key[len(nodeKey):]] = leadership.Presence{Incarnation: p.Incarnation, Version: e.Version}
 			}
 		}
 	}
@@ -476,20 +476,20 @@
 
 // takeList takes in a full list of the followed keys, if it is of a store that can be
 // relied on.
-func (n *Node) takeList(entries []wire.Entry, revision uint64) bool {
+func (n *Node) takeList(entries []protocol.Entry, revision uint64) bool {
 	f := scan(entries)
 	f.at = time.Now()
 	phase, _, _ := n.store.watch.Phase()
 	newer := f.record != nil && f.record.Generation > n.generation()
 	switch {
-	case newer && f.markers[rebuild.StoreKey+f.record.Store] == 0:
+	case newer && f.markers[datarecovery.StoreKey+f.record.Store] == 0:
 		// Its own key is gone: this store has lost data already, and what it holds is only evidence.
 		n.prove("the store's generation has no key of its own")
 	case n.record == nil || newer:
 		n.enter(entries, revision)
 		return true
-	case phase == rebuild.Lost:
-	case f.record == nil || f.record.Term < n.record.Term || f.version < n.version || f.markers[rebuild.StoreKey+n.record.Store] == 0:
+	case phase == datarecovery.Lost:
+	case f.record == nil || f.record.Term < n.record.Term || f.version < n.version || f.markers[datarecovery.StoreKey+n.record.Store] == 0:
 		n.doubt("the list of keys lacks what was acknowledged")
 	default:
 		for _, w := range n.store.watch.Words(time.Now()) {
@@ -509,7 +509,7 @@
 
 // enter begins to rely on the store as it was listed: at the process's start, and after a
 // loss. What is remembered stays, and is written back where the store lacks it.
-func (n *Node) enter(entries []wire.Entry, revision uint64) {
+func (n *Node) enter(entries []protocol.Entry, revision uint64) {
 	now := time.Now()
 	if n.record != nil {
 		for _, name := range n.roster.All() {
@@ -531,7 +531,7 @@
 		}
 		n.roster = newRoster(n.set)
 		n.configEntered()
-		n.version, n.unsure, n.live, n.missing = 0, 0, map[string]tenure.Presence{}, time.Time{}
+		n.version, n.unsure, n.live, n.missing = 0, 0, map[string]leadership.Presence{}, time.Time{}
 		n.store.markers, n.store.suspect = map[string]uint64{}, map[string]uint64{}
 	}
 	n.store.saw, n.store.unchained = false, false
@@ -546,7 +546,7 @@
 		n.adopt(f.record, f.version)
 	}
 	for _, e := range entries {
-		n.changed(wire.Change{Set: e.Key, Value: e.Value, Version: e.Version})
+		n.changed(protocol.Change{Set: e.Key, Value: e.Value, Version: e.Version})
 	}
 	n.listed = true
 	n.store.watch.Entered(n.generation(), now)
@@ -558,7 +558,7 @@
 }
 
 // generationBegan is called when a record of another generation was adopted.
-func (n *Node) generationBegan(r *tenure.Record) {
+func (n *Node) generationBegan(r *leadership.Record) {
 	n.refence()
 	if r.Generation <= 1 {
 		return
@@ -570,7 +570,7 @@
 			members = append(members, name)
 		}
 	}
-	n.store.gather = rebuild.NewGather(r.Generation, members)
+	n.store.gather = datarecovery.NewGather(r.Generation, members)
 	n.settled = time.Now() // machines tried their homes in vain while nobody was entitled
 	clear(n.deaf)
 	n.store.told = time.Time{}
@@ -586,9 +586,9 @@
 	if n.record == nil || n.record.Store == "" {
 		return
 	}
-	key := rebuild.StoreKey + n.record.Store
+	key := datarecovery.StoreKey + n.record.Store
 	if v := n.store.markers[key]; v > 0 {
-		n.state.Fence(wire.Guard{Key: key, Version: v})
+		n.state.Fence(protocol.Guard{Key: key, Version: v})
 	}
 }
 
@@ -598,26 +598,26 @@
 	n.mu.Lock()
 	phase, _, _ := n.store.watch.Phase()
 	f := n.store.found
-	if phase != rebuild.Lost || f.live[n.name].Incarnation != n.inc {
+	if phase != datarecovery.Lost || f.live[n.name].Incarnation != n.inc {
 		n.mu.Unlock()
 		return
 	}
 	now := time.Now()
-	e := rebuild.Evidence{Self: n.name, Nodes: n.set.Nodes(), Items: n.itemNames(), Record: n.record, Stored: f.record, Live: f.live,
+	e := datarecovery.Evidence{Self: n.name, Nodes: n.set.Nodes(), Items: n.itemNames(), Record: n.record, Stored: f.record, Live: f.live,
 		Words: n.store.watch.Words(now), Own: n.word(), Token: n.store.token, Unsure: n.unsure != 0 || n.raising, Store: drawn()}
 	n.mu.Unlock()
 	next := e.Generation()
 	next.Record.After = f.version
-	txn := wire.Txn{Guards: []wire.Guard{{Key: controlKey, Version: f.version}},
-		Then: []wire.Op{{Set: controlKey, Value: wire.Encode(next.Record)}, {Set: rebuild.StoreKey + next.Record.Store, Value: []byte("{}")}}}
+	txn := protocol.Txn{Guards: []protocol.Guard{{Key: controlKey, Version: f.version}},
+		Then: []protocol.Op{{Set: controlKey, Value: protocol.Encode(next.Record)}, {Set: datarecovery.StoreKey + next.Record.Store, Value: []byte("{}")}}}
 	for _, key := range slices.Sorted(maps.Keys(f.markers)) {
 		if len(txn.Then) < n.set.Deployment.State.TxnOps {
-			txn.Guards = append(txn.Guards, wire.Guard{Key: key, Version: f.markers[key]})
-			txn.Then = append(txn.Then, wire.Op{Delete: key})
+			txn.Guards = append(txn.Guards, protocol.Guard{Key: key, Version: f.markers[key]})
+			txn.Then = append(txn.Then, protocol.Op{Delete: key})
 		}
 	}
 	for name, p := range f.live {
-		txn.Guards = append(txn.Guards, wire.Guard{Key: nodeKey + name, Version: p.Version})
+		txn.Guards = append(txn.Guards, protocol.Guard{Key: nodeKey + name, Version: p.Version})
 	}
 	_, failed, err := n.state.TxnControl(ctx, txn)
 	n.log.Info("generation proposed", "generation", next.Record.Generation, "term", next.Record.Term, "accounts_kept", next.Kept, "lost_for_good", next.Record.Lost,
--- a/recall.go
+++ b/recall.go
@@ -8,18 +8,18 @@
 
 	"github.com/bits-and-blooms/bitset"
 
-	"topazhollow/internal/frontend"
+	"topazhollow/internal/datarecovery"
 	"topazhollow/internal/peer"
-	"topazhollow/internal/rebuild"
+	"topazhollow/internal/protocol"
 	"topazhollow/internal/teamconfig"
-	"topazhollow/internal/wire"
+	"topazhollow/internal/userapi"
 )
 
 // What controllers remember for each other, and tell each other after a loss.
 
 // tentativeJob is a job that a peer was about to accept.
 type tentativeJob struct {
-	frontend.Stored
+	userapi.Stored
 	at time.Time
 }
 
@@ -32,30 +32,30 @@
 	// recallMsg tells what the sender remembers and the store may not have.
 	recallMsg struct {
 		Generation uint64                    `json:"generation"`
-		Jobs       []frontend.Stored         `json:"jobs,omitempty"`
+		Jobs       []userapi.Stored          `json:"jobs,omitempty"`
 		Active     []string                  `json:"active,omitempty"` // jobs that the store had, as the sender knows
 		Done       map[string]*bitset.BitSet `json:"done,omitempty"`
-		Ends       rebuild.Digest            `json:"ends"`
+		Ends       datarecovery.Digest       `json:"ends"`
 		Last       bool                      `json:"last"`
 		Ask        bool                      `json:"ask,omitempty"` // the sender waits for the same from those who get it
 		Config     []teamconfig.Change       `json:"config,omitempty"`
 	}
 	// recalledMsg answers it: ends that the sender of the recall lacks.
 	recalledMsg struct {
-		Generation uint64        `json:"generation"`
-		Ends       *rebuild.Page `json:"ends,omitempty"`
-		Last       bool          `json:"last"`
+		Generation uint64             `json:"generation"`
+		Ends       *datarecovery.Page `json:"ends,omitempty"`
+		Last       bool               `json:"last"`
 	}
 	// holdMsg asks a peer to hold a fact before it is said to a user.
 	holdMsg struct {
-		ID   uint64           `json:"id,omitempty"`
-		From uint64           `json:"from,omitempty"` // number of the first of Ends among the withdrawals that the sender confirmed
-		Job  *frontend.Stored `json:"job,omitempty"`
-		Ends []frontendEnd    `json:"ends,omitempty"`
+		ID   uint64          `json:"id,omitempty"`
+		From uint64          `json:"from,omitempty"` // number of the first of Ends among the withdrawals that the sender confirmed
+		Job  *userapi.Stored `json:"job,omitempty"`
+		Ends []frontendEnd   `json:"ends,omitempty"`
 	}
 	frontendEnd struct {
 		UID string `json:"uid"`
-		frontend.Final
+		userapi.Final
 	}
 	heldMsg struct {
 		ID uint64 `json:"id"`
@@ -86,11 +86,11 @@
 // recall tells peers what is remembered here and the store may lack, and asks for theirs.
 func (n *Node) recall(ask bool, to ...string) {
 	const part = 400 // jobs of a line
-	var jobs []frontend.Stored
+	var jobs []userapi.Stored
 	var active []string
 	for _, uid := range slices.Sorted(maps.Keys(n.jobs)) {
 		if j := n.jobs[uid]; j.active && j.version == 0 {
-			jobs = append(jobs, frontend.Stored{Spec: j.spec, At: j.at.UnixMilli()})
+			jobs = append(jobs, userapi.Stored{Spec: j.spec, At: j.at.UnixMilli()})
 		} else if j.active {
 			active = append(active, uid)
 		}
@@ -153,7 +153,7 @@
 		return // it is told again
 	}
 	for _, s := range m.Jobs {
-		if s.Spec == nil || !wire.ValidUID(s.Spec.UID) {
+		if s.Spec == nil || !protocol.ValidUID(s.Spec.UID) {
 			continue
 		}
 		if !n.ended(s.Spec.UID) {
@@ -177,7 +177,7 @@
 		n.log.Error("unreadable line", "peer", node, "kind", "recall", "err", err)
 		return
 	}
-	for _, p := range rebuild.Pages(lacking, 256<<10) {
+	for _, p := range datarecovery.Pages(lacking, 256<<10) {
 		n.links.Send(node, "recalled", recalledMsg{Generation: m.Generation, Ends: &p})
 	}
 	n.links.Send(node, "recalled", recalledMsg{Generation: m.Generation, Last: true})
@@ -207,9 +207,9 @@
 }
 
 // learnEnds takes in ends from peers and pages.
-func (n *Node) learnEnds(ends []rebuild.End) {
+func (n *Node) learnEnds(ends []datarecovery.End) {
 	for _, x := range ends {
-		n.front.Learn(x.UID, frontend.FinalOf(x))
+		n.front.Learn(x.UID, userapi.FinalOf(x))
 		n.endRemembered(x.UID)
 	}
 }
@@ -263,7 +263,7 @@
 }
 
 // tellEnd tells the peers of an end that was found in the store.
-func (n *Node) tellEnd(uid string, end frontend.Final) {
+func (n *Node) tellEnd(uid string, end userapi.Final) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.tellAll("hold", holdMsg{Ends: []frontendEnd{{uid, end}}})
@@ -273,11 +273,11 @@
 const holdFor = 100 * time.Millisecond
 
 func (n *Node) onHold(node string, m *holdMsg) {
-	if m.Job != nil && m.Job.Spec != nil && wire.ValidUID(m.Job.Spec.UID) {
+	if m.Job != nil && m.Job.Spec != nil && protocol.ValidUID(m.Job.Spec.UID) {
 		n.tentative(*m.Job)
 	}
 	for _, x := range m.Ends {
-		if !wire.ValidUID(x.UID) || x.State != wire.Withdrawn && x.State != wire.Done {
+		if !protocol.ValidUID(x.UID) || x.State != protocol.Withdrawn && x.State != protocol.Done {
 			n.log.Error("unreadable line", "peer", node, "kind", "hold", "err", "an end of no job or of no kind")
 			return
 		}
@@ -303,7 +303,7 @@
 
 // tentative takes down a job that a peer is about to accept. If the store accepts it, the
 // watch tells; if not, it is forgotten.
-func (n *Node) tentative(s frontend.Stored) {
+func (n *Node) tentative(s userapi.Stored) {
 	if n.jobs[s.Spec.UID] == nil {
 		n.store.tentative[s.Spec.UID] = tentativeJob{s, time.Now()}
 	}
--- a/recordchange.go
+++ b/recordchange.go
@@ -7,11 +7,11 @@
 	"slices"
 	"time"
 
-	"topazhollow/internal/rebuild"
+	"topazhollow/internal/datarecovery"
+	"topazhollow/internal/kvstore"
+	"topazhollow/internal/leadership"
+	"topazhollow/internal/protocol"
 	"topazhollow/internal/settings"
-	"topazhollow/internal/state"
-	"topazhollow/internal/tenure"
-	"topazhollow/internal/wire"
 )
 
 // How the control record changes: each controller looks many times a second whether it should, writes the next record under
@@ -25,8 +25,8 @@
 
 // recordChange is a next control record on its way to the state service.
 type recordChange struct {
-	record     *tenure.Record
-	conditions []tenure.Condition
+	record     *leadership.Record
+	conditions []leadership.Condition
 	reason     string
 	version    uint64 // of the record that it replaces; 0: there is none
 	marker     uint64 // version of the store's marker, 0 if it is not known
@@ -38,7 +38,7 @@
 	started := time.Now()
 	ticker := time.NewTicker(recordLookEvery)
 	defer ticker.Stop()
-	var backoff tenure.Backoff
+	var backoff leadership.Backoff
 	for {
 		select {
 		case <-ctx.Done():
@@ -62,7 +62,7 @@
 		if err := n.refresh(ctx); err != nil {
 			pause(ctx, refreshRetryAfter)
 		}
-		if errors.Is(err, state.ErrConflict) && change.reason == upkeepReason {
+		if errors.Is(err, kvstore.ErrConflict) && change.reason == upkeepReason {
 			n.mu.Lock()
 			wait := backoff.Refused(n.rng, len(change.record.Nodes))
 			n.mu.Unlock()
@@ -82,7 +82,7 @@
 	}
 	change := &recordChange{record: next, conditions: conditions, reason: reason, version: n.version}
 	if n.record != nil {
-		change.marker = n.store.markers[rebuild.StoreKey+n.record.Store]
+		change.marker = n.store.markers[datarecovery.StoreKey+n.record.Store]
 	}
 	if change.version == 0 { // the first record: the generation begins with it
 		next.Generation, next.First, next.Store = 1, next.Term, drawn()
@@ -92,17 +92,17 @@
 }
 
 // transaction writes the record if nothing that it rests on has changed.
-func (c *recordChange) transaction() wire.Txn {
-	next, marker := c.record, rebuild.StoreKey+c.record.Store
-	txn := wire.Txn{Guards: []wire.Guard{{Key: controlKey, Version: c.version}}, Then: []wire.Op{{Set: controlKey, Value: wire.Encode(next)}}}
+func (c *recordChange) transaction() protocol.Txn {
+	next, marker := c.record, datarecovery.StoreKey+c.record.Store
+	txn := protocol.Txn{Guards: []protocol.Guard{{Key: controlKey, Version: c.version}}, Then: []protocol.Op{{Set: controlKey, Value: protocol.Encode(next)}}}
 	for _, condition := range c.conditions {
-		txn.Guards = append(txn.Guards, wire.Guard{Key: nodeKey + condition.Node, Version: condition.Version})
+		txn.Guards = append(txn.Guards, protocol.Guard{Key: nodeKey + condition.Node, Version: condition.Version})
 	}
 	if c.version == 0 {
-		txn.Then = append(txn.Then, wire.Op{Set: marker, Value: []byte("{}")})
-		txn.Guards = append(txn.Guards, wire.Guard{Key: marker})
+		txn.Then = append(txn.Then, protocol.Op{Set: marker, Value: []byte("{}")})
+		txn.Guards = append(txn.Guards, protocol.Guard{Key: marker})
 	} else if c.marker > 0 {
-		txn.Guards = append(txn.Guards, wire.Guard{Key: marker, Version: c.marker})
+		txn.Guards = append(txn.Guards, protocol.Guard{Key: marker, Version: c.marker})
 	}
 	return txn
 }
@@ -117,11 +117,11 @@
 	switch {
 	case err == nil:
 		n.adopt(c.record, revision)
-	case errors.Is(err, state.ErrRefused): // it was not executed and will not be
+	case errors.Is(err, kvstore.ErrRefused): // it was not executed and will not be
 		for _, it := range n.items {
 			it.frozen, it.adding = false, nil
 		}
-	case !errors.Is(err, state.ErrConflict):
+	case !errors.Is(err, kvstore.ErrConflict):
 		n.unsure = max(1, c.version)
 	}
 	return err
@@ -146,7 +146,7 @@
 }
 
 // proposal is the change of the record that this controller should try now.
-func (n *Node) proposal(now, started time.Time) (*tenure.Record, []tenure.Condition, string) {
+func (n *Node) proposal(now, started time.Time) (*leadership.Record, []leadership.Condition, string) {
 	if !n.listed || !n.trusted() || !n.lease.Valid(now) || (now.Before(n.promised) && n.mayHold()) || n.live[n.name].Incarnation != n.inc {
 		return nil, nil, ""
 	}
@@ -156,9 +156,9 @@
 			return nil, nil, ""
 		}
 		// Drawn, so that workers' tokens tell an earlier store's terms from this one's.
-		record = (&tenure.Record{Term: 1<<10 + n.rng.Uint64N(1<<20)}).Clone()
+		record = (&leadership.Record{Term: 1<<10 + n.rng.Uint64N(1<<20)}).Clone()
 	}
-	if next, conds := tenure.Repair(record, n.itemNames(), n.live); next != nil {
+	if next, conds := leadership.Repair(record, n.itemNames(), n.live); next != nil {
 		if n.missing.IsZero() {
 			n.missing = now
 		}
@@ -179,7 +179,7 @@
 	}
 	syncs := n.syncs(now)
 	rebalance := now.Sub(n.settled) > 3*time.Second
-	if next, handed := tenure.Upkeep(record, n.name, syncs, rebalance); next != nil {
+	if next, handed := leadership.Upkeep(record, n.name, syncs, rebalance); next != nil {
 		for _, name := range handed {
 			n.items[name].frozen = true
 		}
@@ -193,23 +193,23 @@
 	if slices.Contains(record.Deaf, n.name) {
 		if n.hears {
 			n.hears = false
-			return tenure.Hearing(record, n.name, false), nil, "workers can be reached again"
+			return leadership.Hearing(record, n.name, false), nil, "workers can be reached again"
 		}
 	} else {
 		n.hears = false
 	}
 	if home := n.unheard(now); home != "" && now.Sub(n.bumped) > 3*time.Second {
-		if next := tenure.Hearing(record, home, true); next != nil {
+		if next := leadership.Hearing(record, home, true); next != nil {
 			return next, nil, "workers cannot reach " + home
 		}
 	}
-	if record.Census && n.items[tenure.Fleet] != nil && n.rosterWhole() {
+	if record.Census && n.items[leadership.Fleet] != nil && n.rosterWhole() {
 		next := record.Clone()
 		next.Census = false
 		return next, nil, "every machine is on the roster"
 	}
-	if n.items[tenure.Fleet] != nil {
-		if next := rebuild.GiveUp(record, now.Sub(n.store.entered), settings.Seconds(n.opt.CopyWait)); next != nil {
+	if n.items[leadership.Fleet] != nil {
+		if next := datarecovery.GiveUp(record, now.Sub(n.store.entered), settings.Seconds(n.opt.CopyWait)); next != nil {
 			return next, nil, "no copy was put back in time: what nobody knows is lost for good"
 		}
 	}
--- a/renewal.go
+++ b/renewal.go
@@ -4,19 +4,19 @@
 	"encoding/json"
 	"time"
 
-	"topazhollow/internal/frontend"
+	"topazhollow/internal/agents"
+	"topazhollow/internal/jobstate"
+	"topazhollow/internal/leadership"
 	"topazhollow/internal/leasegrant"
-	"topazhollow/internal/ledger"
-	"topazhollow/internal/tenure"
-	"topazhollow/internal/wire"
-	"topazhollow/internal/workers"
+	"topazhollow/internal/protocol"
+	"topazhollow/internal/userapi"
 )
 
 // Every answer that renews a worker's lease passes here, entitled or not; internal/leasegrant decides.
 
 // renewal decides about the answer to a report: whether it may renew the machine's lease, and
 // what it must stop with it.
-func (n *Node) renewal(r *wire.Report, now time.Time) (stops []wire.Command, ok bool) {
+func (n *Node) renewal(r *protocol.Report, now time.Time) (stops []protocol.Command, ok bool) {
 	home := n.home.Get(r.Machine)
 	position := leasegrant.Position{
 		Home:     n.homeOf(r.Machine) == n.name && n.record.Nodes[n.name] == n.inc,
@@ -36,7 +36,7 @@
 // leaseKnowledge is the controller as leasegrant sees it.
 type leaseKnowledge struct {
 	n    *Node
-	home *workers.Machine // as its home knows the machine; nil: it never reported here
+	home *agents.Machine // as its home knows the machine; nil: it never reported here
 }
 
 func (k *leaseKnowledge) Job(uid string) leasegrant.JobState {
@@ -51,7 +51,7 @@
 
 // Ordered trusts an owner's order until the state service was read after it: a job that is not known then is over,
 // since it was accepted before.
-func (k *leaseKnowledge) Ordered(attempt ledger.Ref) bool {
+func (k *leaseKnowledge) Ordered(attempt jobstate.Ref) bool {
 	if k.home == nil {
 		return false
 	}
@@ -60,7 +60,7 @@
 }
 
 func (k *leaseKnowledge) Lost(attempt uint64) bool {
-	return k.n.generation() > 1 && ledger.TermOf(attempt) < k.n.record.First
+	return k.n.generation() > 1 && jobstate.TermOf(attempt) < k.n.record.First
 }
 
 func (k *leaseKnowledge) Renews(now, since time.Time) bool { return k.n.horizon.Renews(now, since) }
@@ -73,13 +73,13 @@
 
 // readyToSend prepares a home's commands for a machine: no start of a job that is over goes out, whose owner may not
 // know it yet, and what is known by now is noted with the others.
-func (n *Node) readyToSend(m *workers.Machine, now time.Time) {
+func (n *Node) readyToSend(m *agents.Machine, now time.Time) {
 	m.DropStarts(n.over)
 	m.Now, m.Known = now, n.horizon.Until(now)
 }
 
 // confirming tells the peers of a withdrawal before a user is told of it for the first time here.
-func (n *Node) confirming(uid string, end frontend.Final) {
+func (n *Node) confirming(uid string, end userapi.Final) {
 	m := holdMsg{Ends: []frontendEnd{{uid, end}}}
 	if n.number(&m); m.From == 0 {
 		return
@@ -89,7 +89,7 @@
 
 // number gives the withdrawal that a line tells of its number.
 func (n *Node) number(m *holdMsg) {
-	if len(m.Ends) == 1 && m.Ends[0].State == wire.Withdrawn {
+	if len(m.Ends) == 1 && m.Ends[0].State == protocol.Withdrawn {
 		m.From = n.horizon.Confirm(m.Ends[0].UID)
 	}
 }
@@ -168,7 +168,7 @@
 // recordMsg tells a peer the control record as the state service has it.
 type recordMsg struct {
 	Version uint64          `json:"version"`
-	Record  json.RawMessage `json:"record"` // a tenure.Record, read only if it is newer than the one that is known
+	Record  json.RawMessage `json:"record"` // a leadership.Record, read only if it is newer than the one that is known
 }
 
 // Times of telling peers the control record.
@@ -199,7 +199,7 @@
 		return
 	}
 	p.taught = now
-	n.links.Send(name, "record", recordMsg{n.version, wire.Encode(n.record)})
+	n.links.Send(name, "record", recordMsg{n.version, protocol.Encode(n.record)})
 }
 
 // onRecord takes up a control record that a peer tells, if it is newer than the one known here and of the same generation.
@@ -207,7 +207,7 @@
 	if m.Version <= n.version || n.record == nil || !n.trusted() {
 		return
 	}
-	var record tenure.Record
+	var record leadership.Record
 	if err := json.Unmarshal(m.Record, &record); err != nil || record.Generation != n.generation() {
 		return
 	}
--- a/replication.go
+++ b/replication.go
@@ -4,9 +4,9 @@
 	"slices"
 	"time"
 
-	"topazhollow/internal/ledger"
+	"topazhollow/internal/jobstate"
+	"topazhollow/internal/leadership"
 	"topazhollow/internal/peer"
-	"topazhollow/internal/tenure"
 )
 
 // An item's replicas: who holds them, what was sent and acknowledged, and what the record should say of that.
@@ -15,21 +15,21 @@
 type (
 	// copyMsg gives a backup the whole replica.
 	copyMsg struct {
-		Item  string      `json:"item"`
-		Since uint64      `json:"since"`
-		Copy  ledger.Copy `json:"copy"`
+		Item  string        `json:"item"`
+		Since uint64        `json:"since"`
+		Copy  jobstate.Copy `json:"copy"`
 	}
 	// copyPartMsg gives it a part of a replica that is too large for one message.
 	copyPartMsg struct {
-		Item  string      `json:"item"`
-		Since uint64      `json:"since"`
-		Part  ledger.Part `json:"part"`
+		Item  string        `json:"item"`
+		Since uint64        `json:"since"`
+		Part  jobstate.Part `json:"part"`
 	}
 	// deltasMsg gives it changes of a replica that it has, or is being given.
 	deltasMsg struct {
-		Item   string         `json:"item"`
-		Since  uint64         `json:"since"`
-		Deltas []ledger.Delta `json:"deltas"`
+		Item   string           `json:"item"`
+		Since  uint64           `json:"since"`
+		Deltas []jobstate.Delta `json:"deltas"`
 	}
 	// ackMsg acknowledges an item up to Seq, or so many parts of it, or asks for a copy.
 	ackMsg struct {
@@ -47,11 +47,11 @@
 // ack is what a backup acknowledged.
 type ack struct {
 	inc      uint64
-	copied   bool             // a copy was sent on the present connection, or is being sent
-	transfer *ledger.Transfer // the sending of the copy in parts; nil: none is under way
-	parts    int              // of it, acknowledged
-	seq      uint64           // acknowledged
-	known    bool             // acknowledged anything at all
+	copied   bool               // a copy was sent on the present connection, or is being sent
+	transfer *jobstate.Transfer // the sending of the copy in parts; nil: none is under way
+	parts    int                // of it, acknowledged
+	seq      uint64             // acknowledged
+	known    bool               // acknowledged anything at all
 	since    time.Time
 	sent     uint64
 	retry    time.Time
@@ -66,13 +66,13 @@
 // backup is a team's progress kept for its owner.
 type backup struct {
 	since         uint64
-	rep           *ledger.Replica  // nil: none is whole yet
-	incoming      *ledger.Incoming // one that is being received; nil: none is
+	rep           *jobstate.Replica  // nil: none is whole yet
+	incoming      *jobstate.Incoming // one that is being received; nil: none is
 	incomingSince uint64
 }
 
 // replica is the replica that a controller keeps of an item as a backup; nil if it keeps none that is whole.
-func (n *Node) replica(item string) *ledger.Replica {
+func (n *Node) replica(item string) *jobstate.Replica {
 	if b := n.backups[item]; b != nil {
 		return b.rep
 	}
@@ -116,10 +116,10 @@
 const lateAfter = 1500 * time.Millisecond
 
 // syncs sums up the backups of each owned item.
-func (n *Node) syncs(now time.Time) map[string]tenure.Sync {
-	out := map[string]tenure.Sync{}
+func (n *Node) syncs(now time.Time) map[string]leadership.Sync {
+	out := map[string]leadership.Sync{}
 	for name, it := range n.items {
-		s := tenure.Sync{Ready: it.phase == ready && !it.frozen, Whole: map[string]bool{}, Lagging: map[string]bool{}}
+		s := leadership.Sync{Ready: it.phase == ready && !it.frozen, Whole: map[string]bool{}, Lagging: map[string]bool{}}
 		s.Backups = n.backupsOf(it)
 		seq := it.team.Replica().Seq
 		for p, ps := range n.peers {
@@ -185,7 +185,7 @@
 		return
 	}
 	a.copied, a.parts = true, 0
-	a.transfer = ledger.NewTransfer(replica)
+	a.transfer = jobstate.NewTransfer(replica)
 	n.sendPart(it, to, a)
 }
 
@@ -207,7 +207,7 @@
 		n.askForCopy(node, c.Item, c.Since)
 		return
 	}
-	n.backups[c.Item] = &backup{since: c.Since, rep: ledger.FromCopy(c.Copy)}
+	n.backups[c.Item] = &backup{since: c.Since, rep: jobstate.FromCopy(c.Copy)}
 	n.links.Send(node, "ack", ackMsg{Item: c.Item, Since: c.Since, Seq: c.Copy.Seq})
 }
 
@@ -223,7 +223,7 @@
 		n.backups[m.Item] = b
 	}
 	if m.Part.Number == 0 {
-		b.incoming, b.incomingSince = ledger.NewIncoming(), m.Since
+		b.incoming, b.incomingSince = jobstate.NewIncoming(), m.Since
 	}
 	if !b.receives(m.Since) {
 		n.askForCopy(node, m.Item, m.Since)
@@ -272,7 +272,7 @@
 func (b *backup) receives(since uint64) bool { return b.incoming != nil && b.incomingSince == since }
 
 // applyAll carries out deltas up to the first that fails.
-func applyAll(deltas []ledger.Delta, apply func(ledger.Delta) error) error {
+func applyAll(deltas []jobstate.Delta, apply func(jobstate.Delta) error) error {
 	for _, d := range deltas {
 		if err := apply(d); err != nil {
 			return err
--- a/replication_test.go
+++ b/replication_test.go
@@ -11,31 +11,31 @@
 	"github.com/bits-and-blooms/bitset"
 	"golang.org/x/sync/errgroup"
 
-	"topazhollow/internal/ledger"
+	"topazhollow/internal/jobstate"
+	"topazhollow/internal/leadership"
 	"topazhollow/internal/peer"
-	"topazhollow/internal/rehearse"
-	"topazhollow/internal/tenure"
+	"topazhollow/internal/simulation"
 )
 
 // linkedPair is an item's owner, node-a, and a controller that is its backup, node-b, with real connections.
 type linkedPair struct {
 	owner, backup *Node
 	it            *item
-	paths         rehearse.Paths
+	paths         simulation.Paths
 }
 
 // newLinkedPair opens the connections of an owner of one team. Nobody steps the controllers but the test.
 func newLinkedPair(t *testing.T) *linkedPair {
-	p := &linkedPair{owner: newGrown(1, 1).n, backup: newGrown(1, 1).n, paths: rehearse.Paths{}}
+	p := &linkedPair{owner: newGrown(1, 1).n, backup: newGrown(1, 1).n, paths: simulation.Paths{}}
 	p.backup.name, p.backup.inc = "node-b", p.owner.inc+1
 	record := p.owner.record.Clone()
 	name := teamItem("team-0")
 	record.Nodes = map[string]uint64{"node-a": p.owner.inc, "node-b": p.backup.inc}
-	record.Items[name] = tenure.Item{Owner: "node-a", Since: 1}
+	record.Items[name] = leadership.Item{Owner: "node-a", Since: 1}
 	p.owner.record, p.backup.record = record, record
 	p.it = p.owner.items[name]
 	delete(p.backup.items, name)
-	host := rehearse.NewHost()
+	host := simulation.NewHost()
 	addrs := map[string]string{}
 	for _, n := range []*Node{p.owner, p.backup} {
 		addr, err := host.Listen()
@@ -48,7 +48,7 @@
 	var group errgroup.Group
 	for i, n := range []*Node{p.owner, p.backup} {
 		other := []string{"node-b", "node-a"}[i]
-		pipe, err := rehearse.NewPipe(addrs[other])
+		pipe, err := simulation.NewPipe(addrs[other])
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -69,10 +69,10 @@
 // hold has the owner hold so many tasks more, as if it had placed them.
 func (p *linkedPair) hold(from, count int) {
 	replica := p.it.team.Replica()
-	d := ledger.Delta{Seq: replica.Seq + 1}
+	d := jobstate.Delta{Seq: replica.Seq + 1}
 	for i := range count {
-		k := ledger.Key{Job: "job-000001", Index: from + i}
-		d.Place = append(d.Place, ledger.Hold{Key: k, Attempt: 1, Machine: fmt.Sprintf("n-%06d", i%1000), CPUs: 1})
+		k := jobstate.Key{Job: "job-000001", Index: from + i}
+		d.Place = append(d.Place, jobstate.Hold{Key: k, Attempt: 1, Machine: fmt.Sprintf("n-%06d", i%1000), CPUs: 1})
 	}
 	if replica.Apply(d) != nil {
 		panic("the owner's delta does not follow")
--- a/roster.go
+++ b/roster.go
@@ -7,23 +7,23 @@
 	"slices"
 	"time"
 
+	"topazhollow/internal/agents"
+	"topazhollow/internal/kvstore"
+	"topazhollow/internal/protocol"
 	"topazhollow/internal/settings"
-	"topazhollow/internal/state"
-	"topazhollow/internal/wire"
-	"topazhollow/internal/workers"
 )
 
 // enrolEvery is the least time between two writes of new machines: those that
 // report meanwhile share one.
 const enrolEvery = 250 * time.Millisecond
 
-func newRoster(s *settings.Settings) *workers.Roster {
-	return workers.NewRoster(valueRoom(s.Deployment.State))
+func newRoster(s *settings.Settings) *agents.Roster {
+	return agents.NewRoster(valueRoom(s.Deployment.State))
 }
 
 // learnRoster takes in a key that lists registered machines.
 func (n *Node) learnRoster(key string, value json.RawMessage, version uint64) {
-	list, err := workers.ReadRoster(value)
+	list, err := agents.ReadRoster(value)
 	if err != nil {
 		n.log.Error("unreadable key in the state service", "key", key, "err", err)
 		return
@@ -61,7 +61,7 @@
 				names = append(names, name)
 			}
 		}
-		var w workers.RosterWrite
+		var w agents.RosterWrite
 		if len(names) > 0 {
 			slices.Sort(names)
 			w = n.roster.Enter(machineKey+n.name+"/", names)
@@ -76,7 +76,7 @@
 
 // strike takes machines that are gone off the roster, which tells every
 // controller. The fleet's owner does it.
-func (n *Node) strike(ctx context.Context, writes []workers.RosterWrite) {
+func (n *Node) strike(ctx context.Context, writes []agents.RosterWrite) {
 	for _, w := range writes {
 		n.writeRoster(ctx, w)
 	}
@@ -86,7 +86,7 @@
 }
 
 // unstruck plans the writes that take gone machines off the roster.
-func (n *Node) unstruck() []workers.RosterWrite {
+func (n *Node) unstruck() []agents.RosterWrite {
 	gone := map[string]bool{}
 	for _, name := range n.roster.All() {
 		if m := n.machines[name]; m != nil && m.gone {
@@ -99,13 +99,13 @@
 	return n.roster.Strike(gone)
 }
 
-func (n *Node) writeRoster(ctx context.Context, w workers.RosterWrite) {
-	value := wire.Encode(w.Value())
-	revision, err := n.state.Commit(ctx, state.Update{
-		Guards: []wire.Guard{{Key: w.Key, Version: w.Version}}, Ops: []wire.Op{{Set: w.Key, Value: value}}})
+func (n *Node) writeRoster(ctx context.Context, w agents.RosterWrite) {
+	value := protocol.Encode(w.Value())
+	revision, err := n.state.Commit(ctx, kvstore.Update{
+		Guards: []protocol.Guard{{Key: w.Key, Version: w.Version}}, Ops: []protocol.Op{{Set: w.Key, Value: value}}})
 	if err != nil {
 		n.log.Debug("roster not written yet", "key", w.Key, "err", err)
-		if errors.Is(err, state.ErrRefused) {
+		if errors.Is(err, kvstore.ErrRefused) {
 			return
 		}
 		// Another controller wrote it, or the outcome is open: read it.
--- a/save.go
+++ b/save.go
@@ -12,10 +12,10 @@
 	"github.com/bits-and-blooms/bitset"
 	"github.com/cespare/xxhash/v2"
 
-	"topazhollow/internal/ledger"
+	"topazhollow/internal/jobstate"
+	"topazhollow/internal/kvstore"
+	"topazhollow/internal/protocol"
 	"topazhollow/internal/settings"
-	"topazhollow/internal/state"
-	"topazhollow/internal/wire"
 )
 
 // valueRoom is what one value of the state service may take.
@@ -27,7 +27,7 @@
 
 // readPages takes a team's pages into its book and gives the finished tasks of
 // its active jobs.
-func (n *Node) readPages(it *item, entries []wire.Entry) map[string]*bitset.BitSet {
+func (n *Node) readPages(it *item, entries []protocol.Entry) map[string]*bitset.BitSet {
 	team, _ := teamOf(it.name)
 	done := map[string]*bitset.BitSet{}
 	tasks := func(uid string) int {
@@ -74,7 +74,7 @@
 		return
 	}
 	pages := it.book.Plan(unsaved, it.team.Finished)
-	control := wire.Guard{Key: controlKey, Version: n.version}
+	control := protocol.Guard{Key: controlKey, Version: n.version}
 	it.saving = true
 	n.group.Go(func() error {
 		for _, p := range pages {
@@ -87,14 +87,14 @@
 	})
 }
 
-func (n *Node) savePage(it *item, p ledger.Page, control wire.Guard) {
+func (n *Node) savePage(it *item, p jobstate.Page, control protocol.Guard) {
 	key := pagesPath(it.name) + strconv.Itoa(p.Number)
-	revision, err := n.state.Commit(n.ctx, state.Update{Later: true,
-		Guards: []wire.Guard{control, {Key: key, Version: p.Version}},
-		Ops:    []wire.Op{{Set: key, Value: wire.Encode(p.Parts)}}})
+	revision, err := n.state.Commit(n.ctx, kvstore.Update{Later: true,
+		Guards: []protocol.Guard{control, {Key: key, Version: p.Version}},
+		Ops:    []protocol.Op{{Set: key, Value: protocol.Encode(p.Parts)}}})
 	if err != nil {
 		n.log.Debug("finished tasks not written yet", "key", key, "err", err)
-		if errors.Is(err, state.ErrRefused) {
+		if errors.Is(err, kvstore.ErrRefused) {
 			return
 		}
 		// A write whose outcome is open, or that met another version.
--- a/scene_test.go
+++ b/scene_test.go
@@ -12,20 +12,20 @@
 	"time"
 
 	"topazhollow/internal/history"
-	"topazhollow/internal/rehearse"
+	"topazhollow/internal/protocol"
 	"topazhollow/internal/settings"
-	"topazhollow/internal/wire"
+	"topazhollow/internal/simulation"
 )
 
 // scene is a region with short times in which a test has troubles meet while users ask at all controllers. Its close
 // checks what all of them were answered.
 type scene struct {
 	*region
-	users *rehearse.Users
+	users *simulation.Users
 	names []string // the controllers'
 
 	mu        sync.Mutex
-	accepted  []*wire.Submission
+	accepted  []*protocol.Submission
 	cancelled map[string]bool // by job, once its user asked for it
 	behind    sync.WaitGroup  // users that go on beside the script
 }
@@ -45,7 +45,7 @@
 // sceneRun has tasks run for a moment or endlessly, by their job's number.
 func sceneRun(task string) time.Duration {
 	const brief = 300 * time.Millisecond
-	_, index, _ := wire.SplitTask(task)
+	_, index, _ := protocol.SplitTask(task)
 	switch number := jobNumber(task); {
 	case number >= firstEndless:
 		return time.Hour
@@ -69,7 +69,7 @@
 	for _, set := range r.sets {
 		listen, s.names = append(listen, set.Listen), append(s.names, set.Name)
 	}
-	s.users = rehearse.NewUsers(listen, r.check)
+	s.users = simulation.NewUsers(listen, r.check)
 	t.Cleanup(s.users.Close)
 	t.Cleanup(s.tellIfFailed)
 	return s
@@ -84,7 +84,7 @@
 }
 
 // enter has a job accepted by any controller.
-func (s *scene) enter(spec *wire.Submission) {
+func (s *scene) enter(spec *protocol.Submission) {
 	ctx, cancel := userPatience(s.t)
 	defer cancel()
 	if !s.users.SubmitUntil(ctx, draws(uint64(jobNumber(spec.UID))), spec) {
@@ -130,7 +130,7 @@
 		for node := range s.sets {
 			s.until(fmt.Sprintf("%s is over at %s", job.UID, s.names[node]), func() bool {
 				status, state := s.users.Ask(node, job.UID)
-				return status == 200 && (state == wire.Done || state == wire.Withdrawn && s.cancelled[job.UID])
+				return status == 200 && (state == protocol.Done || state == protocol.Withdrawn && s.cancelled[job.UID])
 			})
 		}
 	}
@@ -201,13 +201,15 @@
 }
 
 // endless is a job whose tasks run until they are stopped.
-func endless(i, tasks int, team string) *wire.Submission { return array(firstEndless+i, tasks, team) }
+func endless(i, tasks int, team string) *protocol.Submission {
+	return array(firstEndless+i, tasks, team)
+}
 
 // uneven is a job whose tasks end far apart.
-func uneven(i, tasks int, team string) *wire.Submission { return array(firstUneven+i, tasks, team) }
+func uneven(i, tasks int, team string) *protocol.Submission { return array(firstUneven+i, tasks, team) }
 
 // machinesOf lists the machines that run a task of a job.
-func (s *scene) machinesOf(uid string) (on []*rehearse.Worker) {
+func (s *scene) machinesOf(uid string) (on []*simulation.Worker) {
 	for _, w := range s.cloud.Workers() {
 		if has(w, uid) {
 			on = append(on, w)
@@ -217,8 +219,8 @@
 }
 
 // writes says whether a transaction sets or deletes a key below a prefix.
-func writes(txn *wire.Txn, prefix string) bool {
-	return slices.ContainsFunc(txn.Then, func(o wire.Op) bool { return strings.HasPrefix(o.Set+o.Delete, prefix) })
+func writes(txn *protocol.Txn, prefix string) bool {
+	return slices.ContainsFunc(txn.Then, func(o protocol.Op) bool { return strings.HasPrefix(o.Set+o.Delete, prefix) })
 }
 
 // post sends one controller a body that is not noted as any user's request, and gives the status code; 0: no answer.
--- a/stray_test.go
+++ b/stray_test.go
@@ -7,12 +7,12 @@
 	"testing"
 	"time"
 
-	"topazhollow/internal/frontend"
-	"topazhollow/internal/ledger"
+	"topazhollow/internal/agents"
+	"topazhollow/internal/jobstate"
+	"topazhollow/internal/leadership"
+	"topazhollow/internal/protocol"
 	"topazhollow/internal/settings"
-	"topazhollow/internal/tenure"
-	"topazhollow/internal/wire"
-	"topazhollow/internal/workers"
+	"topazhollow/internal/userapi"
 )
 
 // roamer is a plain worker: it reports to its home, waits for an answer, and goes
@@ -129,15 +129,15 @@
 	n, it := g.n, g.n.items[teamItem("team-0")]
 	end := func(why string) {
 		for _, name := range g.names {
-			var held []ledger.Hold
-			it.team.On(name, func(h ledger.Hold) { held = append(held, h) })
-			g.tell(name, func(v *ledger.View) {
+			var held []jobstate.Hold
+			it.team.On(name, func(h jobstate.Hold) { held = append(held, h) })
+			g.tell(name, func(v *jobstate.View) {
 				v.Tasks = nil
 				for _, h := range held {
-					v.Tasks = append(v.Tasks, ledger.TaskView{Key: h.Key, Attempt: h.Attempt, State: wire.Exited, Why: why})
+					v.Tasks = append(v.Tasks, jobstate.TaskView{Key: h.Key, Attempt: h.Attempt, State: protocol.Exited, Why: why})
 				}
 			})
-			g.tell(name, func(v *ledger.View) { v.Tasks = nil })
+			g.tell(name, func(v *jobstate.View) { v.Tasks = nil })
 		}
 	}
 	held := func() int { h, _ := it.team.Held(); return h }
@@ -153,7 +153,7 @@
 	if held() != 40 {
 		t.Fatalf("%d of 40 placed at first", held())
 	}
-	end(wire.WhyError)
+	end(protocol.WhyError)
 	for i := range 4 {
 		step(2 * time.Minute)
 		if held() > 1 {
@@ -163,7 +163,7 @@
 			t.Fatalf("a faulty job asks peers and fleet for room: %v", list)
 		}
 		if i < 3 {
-			end(wire.WhyError)
+			end(protocol.WhyError)
 		}
 	}
 	if held() != 1 {
@@ -172,7 +172,7 @@
 	if got := len(n.hosts(g.now, nil)); got != 12 {
 		t.Fatalf("%d of 12 machines in use after a faulty job", got)
 	}
-	end(wire.WhyDone)
+	end(protocol.WhyDone)
 	step(time.Second)
 	if held() != 39 {
 		t.Fatalf("%d of 39 placed after a success", held())
@@ -186,7 +186,7 @@
 	g := newGrown(4, 1)
 	n, it := g.n, g.n.items[teamItem("team-0")]
 	record := n.record.Clone()
-	record.Items[it.name] = tenure.Item{Owner: n.name, Since: 1, InSync: []string{"node-b"}}
+	record.Items[it.name] = leadership.Item{Owner: n.name, Since: 1, InSync: []string{"node-b"}}
 	n.record, n.settled, it.taken = record, g.now, g.now
 	n.peers["node-b"] = &peerState{up: true, heard: g.now}
 	it.acks["node-b"] = &ack{inc: 1, copied: true, known: true, since: g.now, sent: 1}
@@ -223,8 +223,8 @@
 	at := g.now.Add(20 * time.Second)
 	n.lease.Renewed(at)
 	name := g.names[slices.IndexFunc(g.names, func(name string) bool { return n.record.Home(name) != n.name })]
-	r := wire.Report{Machine: name, Addr: "127.0.0.1:1", Type: "m32", Zone: "east", Session: 1, Seq: 9, Token: 1, Tasks: []wire.TaskStatus{}}
-	n.report(wire.Encode(r))
+	r := protocol.Report{Machine: name, Addr: "127.0.0.1:1", Type: "m32", Zone: "east", Session: 1, Seq: 9, Token: 1, Tasks: []protocol.TaskStatus{}}
+	n.report(protocol.Encode(r))
 	s := n.status(at)
 	if !slices.Equal(s.Stray, []string{name}) || len(n.status(at).Stray) != 0 {
 		t.Fatalf("tells of %v, then of more", s.Stray)
@@ -246,12 +246,12 @@
 	g := newGrown(0, 1)
 	n := g.n
 	n.home.SetTerm(1, func(string) bool { return true })
-	n.roster.Learn("x", 1, workers.RosterValue{Names: []string{"n-1"}})
+	n.roster.Learn("x", 1, agents.RosterValue{Names: []string{"n-1"}})
 	spec := array(1, 3, "team-0")
-	n.learnJob(frontend.Stored{Spec: spec, At: g.now.UnixMilli()}, 1)
+	n.learnJob(userapi.Stored{Spec: spec, At: g.now.UnixMilli()}, 1)
 	team := n.items[teamItem("team-0")].team
-	good := wire.Report{Machine: "n-1", Addr: "127.0.0.1:1", Type: "m32", Zone: "east", Session: 1, Seq: 1, Token: 1, Tasks: []wire.TaskStatus{}}
-	if a := n.report(wire.Encode(good)); a.Status != 200 {
+	good := protocol.Report{Machine: "n-1", Addr: "127.0.0.1:1", Type: "m32", Zone: "east", Session: 1, Seq: 1, Token: 1, Tasks: []protocol.TaskStatus{}}
+	if a := n.report(protocol.Encode(good)); a.Status != 200 {
 		t.Fatalf("a good report got %d %s", a.Status, a.Body)
 	}
 	n.place(g.now)
@@ -263,15 +263,15 @@
 	if held, _ := team.Held(); held == 0 {
 		t.Fatal("nothing was placed that a report could undo")
 	}
-	for field, spoil := range map[string]func(*wire.Report){
-		"estacion": func(r *wire.Report) { r.Machine = "n 1" },
-		"address":  func(r *wire.Report) { r.Addr = "" },
-		"jornada":  func(r *wire.Report) { r.Session = 0 },
-		"modelo":   func(r *wire.Report) { r.Type = "" },
+	for field, spoil := range map[string]func(*protocol.Report){
+		"estacion": func(r *protocol.Report) { r.Machine = "n 1" },
+		"address":  func(r *protocol.Report) { r.Addr = "" },
+		"jornada":  func(r *protocol.Report) { r.Session = 0 },
+		"modelo":   func(r *protocol.Report) { r.Type = "" },
 	} {
 		r := good
 		spoil(&r)
-		if a := n.report(wire.Encode(r)); a.Status != 400 || !strings.Contains(string(a.Body), field) {
+		if a := n.report(protocol.Encode(r)); a.Status != 400 || !strings.Contains(string(a.Body), field) {
 			t.Errorf("%s spoiled: %d %s", field, a.Status, a.Body)
 		}
 	}
@@ -281,23 +281,23 @@
 		}
 	}
 	seq := good.Seq
-	for _, x := range []wire.TaskStatus{
-		{Task: "", Attempt: 1, State: wire.Running}, {Task: "/0", Attempt: 1, State: wire.Exited, Why: wire.WhyDone},
-		{Task: spec.UID + "/-1", Attempt: 1, State: wire.Exited, Why: wire.WhyDone}, {Task: spec.UID + "/007", Attempt: 1, State: wire.Exited, Why: wire.WhyDone},
-		{Task: spec.UID + "/3", Attempt: 1, State: wire.Exited, Why: wire.WhyDone}, {Task: spec.UID + "/999999999999", Attempt: 1, State: wire.Exited, Why: wire.WhyDone},
-		{Task: spec.UID, Attempt: 1, State: wire.Exited, Why: wire.WhyDone},
+	for _, x := range []protocol.TaskStatus{
+		{Task: "", Attempt: 1, State: protocol.Running}, {Task: "/0", Attempt: 1, State: protocol.Exited, Why: protocol.WhyDone},
+		{Task: spec.UID + "/-1", Attempt: 1, State: protocol.Exited, Why: protocol.WhyDone}, {Task: spec.UID + "/007", Attempt: 1, State: protocol.Exited, Why: protocol.WhyDone},
+		{Task: spec.UID + "/3", Attempt: 1, State: protocol.Exited, Why: protocol.WhyDone}, {Task: spec.UID + "/999999999999", Attempt: 1, State: protocol.Exited, Why: protocol.WhyDone},
+		{Task: spec.UID, Attempt: 1, State: protocol.Exited, Why: protocol.WhyDone},
 	} {
 		r := good
 		seq++
-		r.Seq, r.Tasks = seq, []wire.TaskStatus{x}
-		n.report(wire.Encode(r))
+		r.Seq, r.Tasks = seq, []protocol.TaskStatus{x}
+		n.report(protocol.Encode(r))
 		if got := state(); got != before {
 			t.Errorf("%+v: %s, before %s", x, got, before)
 		}
 	}
 	r := good
 	r.Seq, r.Token = seq+1, 1<<60
-	if a := n.report(wire.Encode(r)); a.Status != 503 || state() != before {
+	if a := n.report(protocol.Encode(r)); a.Status != 503 || state() != before {
 		t.Errorf("a token that nobody gave out: %d, %s, before %s", a.Status, state(), before)
 	}
 }
--- a/sustain_test.go
+++ b/sustain_test.go
@@ -4,11 +4,11 @@
 	"testing"
 	"time"
 
-	"topazhollow/internal/ledger"
+	"topazhollow/internal/jobstate"
+	"topazhollow/internal/leadership"
+	"topazhollow/internal/protocol"
 	"topazhollow/internal/provisioning"
 	"topazhollow/internal/settings"
-	"topazhollow/internal/tenure"
-	"topazhollow/internal/wire"
 )
 
 // TestCutZoneLivesOn: a controller that is cut off with its zone loses its lease,
@@ -18,18 +18,18 @@
 func TestCutZoneLivesOn(t *testing.T) {
 	g := newGrown(8, 1)
 	n := g.n
-	n.lease = tenure.Lease{Life: 5 * time.Second} // lapsed, and nobody promises anything
+	n.lease = leadership.Lease{Life: 5 * time.Second} // lapsed, and nobody promises anything
 	n.peers["node-b"] = &peerState{heard: g.now.Add(-time.Minute)}
 	w := n.set.Deployment.Workers
 	g.submit(1, 4)
 	n.horizon.Read(g.now)
 	report := func(name string, token uint64, state, task string) []byte {
-		return wire.Encode(wire.Report{Machine: name, Addr: "127.0.0.1:1", Type: "m32", Zone: "east", Session: 1, Seq: 9, Token: token,
-			Tasks: []wire.TaskStatus{{Task: task, Attempt: 1, State: state, Why: wire.WhyDone}}})
+		return protocol.Encode(protocol.Report{Machine: name, Addr: "127.0.0.1:1", Type: "m32", Zone: "east", Session: 1, Seq: 9, Token: token,
+			Tasks: []protocol.TaskStatus{{Task: task, Attempt: 1, State: state, Why: protocol.WhyDone}}})
 	}
 	answer := func(at time.Time, name string, token uint64, state, task string) int {
-		var r wire.Report
-		if err := wire.Decode(report(name, token, state, task), &r); err != nil {
+		var r protocol.Report
+		if err := protocol.Decode(report(name, token, state, task), &r); err != nil {
 			t.Fatal(err)
 		}
 		return n.elsewhere(&r, at).Status
@@ -39,10 +39,10 @@
 		t.Fatal("entitled without lease and promises")
 	}
 	for what, got := range map[string][2]int{
-		"a machine with an active job's task": {answer(later, name, 1, wire.Running, "job-000001/0"), 200},
-		"one whose task has exited":           {answer(later, name, 1, wire.Exited, "job-000009/0"), 200},
-		"one that runs a job not known here":  {answer(later, name, 1, wire.Running, "job-000009/0"), 503},
-		"one that saw a later term":           {answer(later, name, 2, wire.Running, "job-000001/0"), 503},
+		"a machine with an active job's task": {answer(later, name, 1, protocol.Running, "job-000001/0"), 200},
+		"one whose task has exited":           {answer(later, name, 1, protocol.Exited, "job-000009/0"), 200},
+		"one that runs a job not known here":  {answer(later, name, 1, protocol.Running, "job-000009/0"), 503},
+		"one that saw a later term":           {answer(later, name, 2, protocol.Running, "job-000001/0"), 503},
 	} {
 		if got[0] != got[1] {
 			t.Errorf("%s is answered by %d, not %d", what, got[0], got[1])
@@ -52,7 +52,7 @@
 	// which a job that was withdrawn right after the last read must be gone.
 	last := g.now
 	for at := g.now; at.Before(g.now.Add(3 * time.Minute)); at = at.Add(time.Second) {
-		if answer(at, name, 1, wire.Running, "job-000001/0") == 200 {
+		if answer(at, name, 1, protocol.Running, "job-000001/0") == 200 {
 			last = at
 		}
 	}
@@ -61,24 +61,24 @@
 		t.Errorf("kept alive until %v after the last read, a withdrawal has %v", gone, cancel)
 	}
 	n.endJob("job-000001")
-	if got := answer(later, name, 1, wire.Running, "job-000001/0"); got != 503 {
+	if got := answer(later, name, 1, protocol.Running, "job-000001/0"); got != 503 {
 		t.Errorf("a machine that runs a withdrawn job is answered by %d", got)
 	}
 	n.record = n.record.Clone()
 	n.record.Deaf = nil
 	for _, name := range g.names {
 		if n.record.Home(name) != n.name {
-			if got := answer(later, name, 1, wire.Exited, "job-000001/0"); got != 503 {
+			if got := answer(later, name, 1, protocol.Exited, "job-000001/0"); got != 503 {
 				t.Errorf("a machine is kept alive though nothing is known of its home's last word: %d", got)
 			}
 			n.machine(name).homed, n.machine(name).homeKnew = g.now, g.now
-			if got := answer(later, name, 1, wire.Exited, "job-000001/0"); got != 200 {
+			if got := answer(later, name, 1, protocol.Exited, "job-000001/0"); got != 200 {
 				t.Errorf("a machine of another home is answered by %d", got)
 			}
 		}
 	}
 	n.peers["node-b"].heard, n.peers["node-b"].entitled = later, true
-	if got := answer(later, name, 1, wire.Exited, "job-000001/0"); got != 421 {
+	if got := answer(later, name, 1, protocol.Exited, "job-000001/0"); got != 421 {
 		t.Errorf("with an entitled peer in hearing the answer is %d", got)
 	}
 }
@@ -97,7 +97,7 @@
 	}
 	for _, p := range []string{"node-b", "node-c"} {
 		n.peers[p] = &peerState{up: true, heard: g.now}
-		n.live[p] = tenure.Presence{Incarnation: 1, Version: 1}
+		n.live[p] = leadership.Presence{Incarnation: 1, Version: 1}
 	}
 	if hosts := n.hosts(g.now, nil); len(hosts) != 40 {
 		t.Fatalf("%d of 40 machines may take tasks", len(hosts))
@@ -130,9 +130,9 @@
 	it := n.items[teamItem("team-0")]
 	g.submit(1, 4)
 	spec := n.jobs["job-000001"].spec
-	place := func() []ledger.Order {
+	place := func() []jobstate.Order {
 		tj := it.team.Job(spec.UID)
-		if !it.team.Place(tj, 0, ledger.Spot{Machine: g.names[0], Session: 1}) {
+		if !it.team.Place(tj, 0, jobstate.Spot{Machine: g.names[0], Session: 1}) {
 			t.Fatal("no place")
 		}
 		return it.team.Due(it.team.Replica().Seq, now, func(string, uint64) bool { return true })[g.names[0]]
--- a/sync.go
+++ b/sync.go
@@ -5,8 +5,8 @@
 	"errors"
 	"time"
 
-	"topazhollow/internal/frontend"
-	"topazhollow/internal/wire"
+	"topazhollow/internal/protocol"
+	"topazhollow/internal/userapi"
 )
 
 // What users ask about active jobs is answered from what this controller
@@ -63,8 +63,8 @@
 		n.group.Go(func() error {
 			err, began := errUnsynced, time.Now()
 			if listed {
-				var ch *wire.Changes
-				if ch, err = n.state.Changes(ctx, frontend.Watched, after); err == nil {
+				var ch *protocol.Changes
+				if ch, err = n.state.Changes(ctx, userapi.Watched, after); err == nil {
 					n.mu.Lock()
 					n.caughtUp(ch, began)
 					n.mu.Unlock()
@@ -84,7 +84,7 @@
 
 // caughtUp takes in all changes since a revision that was known before, by a read
 // that began at a time.
-func (n *Node) caughtUp(ch *wire.Changes, began time.Time) {
+func (n *Node) caughtUp(ch *protocol.Changes, began time.Time) {
 	for _, e := range ch.Events {
 		n.changed(e)
 	}
--- a/sync_test.go
+++ b/sync_test.go
@@ -10,15 +10,15 @@
 
 	"golang.org/x/sync/errgroup"
 
-	"topazhollow/internal/frontend"
-	"topazhollow/internal/ledger"
-	"topazhollow/internal/rebuild"
-	"topazhollow/internal/rehearse"
+	"topazhollow/internal/agents"
+	"topazhollow/internal/datarecovery"
+	"topazhollow/internal/jobstate"
+	"topazhollow/internal/kvstore"
+	"topazhollow/internal/leadership"
+	"topazhollow/internal/protocol"
 	"topazhollow/internal/settings"
-	"topazhollow/internal/state"
-	"topazhollow/internal/tenure"
-	"topazhollow/internal/wire"
-	"topazhollow/internal/workers"
+	"topazhollow/internal/simulation"
+	"topazhollow/internal/userapi"
 )
 
 // bare is a controller of team red that runs none of its duties.
@@ -27,7 +27,7 @@
 		Deployment: settings.Deployment{Teams: []settings.Team{{Name: "red", CPUsMax: 8}},
 			State: settings.State{RPS: 2000, WriteRPS: 2000, TxnOps: 8, ValueKB: 8}, Cloud: settings.Cloud{RPS: 1}}}
 	n := New(s, settings.DefaultOptions(), slog.New(slog.DiscardHandler))
-	n.record = (&tenure.Record{Term: 5}).Clone()
+	n.record = (&leadership.Record{Term: 5}).Clone()
 	return n
 }
 
@@ -35,7 +35,7 @@
 // must know when it answers a request that came later, even if its watch lags.
 // Many ask at once; each must see at least what was written before it asked.
 func TestSyncedSeesEarlierChanges(t *testing.T) {
-	srv, err := rehearse.NewState(8, 16)
+	srv, err := simulation.NewState(8, 16)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -49,7 +49,7 @@
 	}()
 	n.group, n.ctx = group, ctx
 	n.listed = true // of an empty store; nothing follows the watch
-	other := state.New(srv.Addr(), settings.State{RPS: 2000, WriteRPS: 2000, TxnOps: 8, ValueKB: 8}, 1)
+	other := kvstore.New(srv.Addr(), settings.State{RPS: 2000, WriteRPS: 2000, TxnOps: 8, ValueKB: 8}, 1)
 	group.Go(func() error { return other.Run(ctx) })
 	group.Go(func() error { return n.keepSynced(ctx) })
 	var wg sync.WaitGroup
@@ -58,7 +58,7 @@
 		go func() {
 			defer wg.Done()
 			spec := array(i, 1, "red")
-			key := frontend.JobKey + spec.UID
+			key := userapi.JobKey + spec.UID
 			know := func(want bool) {
 				if err := n.synced(ctx); err != nil {
 					t.Error(err)
@@ -70,11 +70,11 @@
 				}
 			}
 			know(false)
-			if _, err := other.Commit(ctx, state.Update{Ops: []wire.Op{{Set: key, Value: wire.Encode(frontend.Stored{Spec: spec})}}}); err != nil {
+			if _, err := other.Commit(ctx, kvstore.Update{Ops: []protocol.Op{{Set: key, Value: protocol.Encode(userapi.Stored{Spec: spec})}}}); err != nil {
 				t.Error(err)
 			}
 			know(true)
-			if _, err := other.Commit(ctx, state.Update{Ops: []wire.Op{{Delete: key}}}); err != nil {
+			if _, err := other.Commit(ctx, kvstore.Update{Ops: []protocol.Op{{Delete: key}}}); err != nil {
 				t.Error(err)
 			}
 			know(false)
@@ -93,12 +93,12 @@
 		n := bare("127.0.0.1:1") // nobody answers
 		ctx, cancel := context.WithCancel(context.Background())
 		name := teamItem("red")
-		rep := ledger.NewReplica()
-		hold := ledger.Hold{Key: ledger.Key{Job: "job-1", Index: 0}, Attempt: ledger.AttemptID(4, 1), Machine: "n-1", Session: 1, CPUs: 2}
+		rep := jobstate.NewReplica()
+		hold := jobstate.Hold{Key: jobstate.Key{Job: "job-1", Index: 0}, Attempt: jobstate.AttemptID(4, 1), Machine: "n-1", Session: 1, CPUs: 2}
 		rep.Holds[hold.Key] = hold
-		it := &item{name: name, since: 5, blind: blind, acks: map[string]*ack{}, book: ledger.NewBook(8 << 10), team: n.newTeam(name, rep, 5)}
+		it := &item{name: name, since: 5, blind: blind, acks: map[string]*ack{}, book: jobstate.NewBook(8 << 10), team: n.newTeam(name, rep, 5)}
 		n.items[name] = it
-		n.learnJob(frontend.Stored{Spec: array(1, 3, "red")}, 1)
+		n.learnJob(userapi.Stored{Spec: array(1, 3, "red")}, 1)
 		ended := make(chan struct{})
 		go func() {
 			defer close(ended)
@@ -131,19 +131,19 @@
 		ctx, cancel := context.WithCancel(context.Background())
 		n.ctx, n.group = ctx, &errgroup.Group{}
 		name := teamItem("red")
-		r := (&tenure.Record{Term: 5, First: 5, Generation: 2, Census: true}).Clone()
+		r := (&leadership.Record{Term: 5, First: 5, Generation: 2, Census: true}).Clone()
 		r.Nodes["node-a"], r.Nodes["node-b"] = n.inc, 1
-		r.Items[name] = tenure.Item{Owner: "node-a", Since: 5, Blind: blind}
+		r.Items[name] = leadership.Item{Owner: "node-a", Since: 5, Blind: blind}
 		n.record, n.version = r, 7
-		rep, want := ledger.NewReplica(), 0
-		hold := ledger.Hold{Key: ledger.Key{Job: "job-000001", Index: 0}, Attempt: ledger.AttemptID(4, 1), Machine: "n-1", Session: 1, CPUs: 2}
+		rep, want := jobstate.NewReplica(), 0
+		hold := jobstate.Hold{Key: jobstate.Key{Job: "job-000001", Index: 0}, Attempt: jobstate.AttemptID(4, 1), Machine: "n-1", Session: 1, CPUs: 2}
 		if !blind {
 			rep.Holds[hold.Key], want = hold, 1
 		}
-		n.learnJob(frontend.Stored{Spec: array(1, 3, "red")}, 1)
+		n.learnJob(userapi.Stored{Spec: array(1, 3, "red")}, 1)
 		n.peers["node-b"] = &peerState{up: true, heard: time.Now()}
-		n.store.gather = rebuild.NewGather(2, []string{"node-b"}) // it is yet to tell what it remembers
-		it := &item{name: name, since: 5, blind: blind, acks: map[string]*ack{}, book: ledger.NewBook(8 << 10), team: n.newTeam(name, rep, 5)}
+		n.store.gather = datarecovery.NewGather(2, []string{"node-b"}) // it is yet to tell what it remembers
+		it := &item{name: name, since: 5, blind: blind, acks: map[string]*ack{}, book: jobstate.NewBook(8 << 10), team: n.newTeam(name, rep, 5)}
 		n.items[name] = it
 		n.mu.Lock()
 		n.booked(it, nil)
@@ -160,7 +160,7 @@
 		if held, _ := it.team.Held(); held != want || blind && it.phase == ready {
 			t.Errorf("blind %t: %d holds left, phase %s before the lists of machines came", blind, held, phases[it.phase])
 		}
-		n.roster.Learn(machineKey+"node-b/0", 8, workers.RosterValue{Names: []string{"n-1"}})
+		n.roster.Learn(machineKey+"node-b/0", 8, agents.RosterValue{Names: []string{"n-1"}})
 		n.booked(it, nil) // the answer to a read that began after the record came
 		if held, _ := it.team.Held(); held != want {
 			t.Errorf("blind %t: a hold ended on a machine that is on the roster", blind)
@@ -179,11 +179,11 @@
 func TestSharedPageSurvivesTakeOver(t *testing.T) {
 	n := bare("127.0.0.1:1")
 	name := teamItem("red")
-	store := map[string]wire.Entry{}
+	store := map[string]protocol.Entry{}
 	for round := range 4 {
-		it := &item{name: name, phase: ready, book: ledger.NewBook(8 << 10), team: n.newTeam(name, ledger.NewReplica(), uint64(round+1))}
+		it := &item{name: name, phase: ready, book: jobstate.NewBook(8 << 10), team: n.newTeam(name, jobstate.NewReplica(), uint64(round+1))}
 		n.items[name] = it
-		var entries []wire.Entry
+		var entries []protocol.Entry
 		for _, e := range store {
 			entries = append(entries, e)
 		}
@@ -200,11 +200,11 @@
 		}
 		for i := range 2 { // one more task of each completes, job 1 is written first
 			uid := fmt.Sprintf("job-%06d", 1-i)
-			v := &ledger.View{Machine: "m", Session: 1, Tasks: []ledger.TaskView{{Key: ledger.Key{Job: uid, Index: round}, Attempt: 1, State: wire.Exited, Why: wire.WhyDone}}}
+			v := &jobstate.View{Machine: "m", Session: 1, Tasks: []jobstate.TaskView{{Key: jobstate.Key{Job: uid, Index: round}, Attempt: 1, State: protocol.Exited, Why: protocol.WhyDone}}}
 			it.team.Observe(v, n.began, teamKnowledge{n, "red"})
 			for _, p := range it.book.Plan(it.team.Unsaved(), it.team.Finished) {
 				key := fmt.Sprint(pagesPath(name), p.Number)
-				store[key] = wire.Entry{Key: key, Value: wire.Encode(p.Parts), Version: p.Version + 1}
+				store[key] = protocol.Entry{Key: key, Value: protocol.Encode(p.Parts), Version: p.Version + 1}
 				it.book.Written(p.Number, p.Version+1)
 				for uid, done := range p.Done {
 					it.team.Saved(uid, done)
--- a/talk.go
+++ b/talk.go
@@ -7,20 +7,20 @@
 	"time"
 
 	"topazhollow/internal/admission"
-	"topazhollow/internal/ledger"
+	"topazhollow/internal/datarecovery"
+	"topazhollow/internal/jobstate"
+	"topazhollow/internal/leadership"
 	"topazhollow/internal/peer"
-	"topazhollow/internal/rebuild"
+	"topazhollow/internal/protocol"
 	"topazhollow/internal/teamconfig"
-	"topazhollow/internal/tenure"
-	"topazhollow/internal/wire"
 )
 
 // The lines between controllers. Unknown kinds and fields are ignored.
 type (
 	ordersMsg struct {
-		Term    uint64         `json:"term"`
-		Machine string         `json:"machine"`
-		Orders  []ledger.Order `json:"orders"`
+		Term    uint64           `json:"term"`
+		Machine string           `json:"machine"`
+		Orders  []jobstate.Order `json:"orders"`
 	}
 	// statusMsg is told twice a second.
 	statusMsg struct {
@@ -39,7 +39,7 @@
 		Awaits   []string          `json:"awaits,omitempty"` // machines that a barrier waits for
 		Mute     []string          `json:"mute,omitempty"`   // machines that did not answer a probe
 		Writes   *float64          `json:"writes,omitempty"` // changes of the state service wanted a second
-		Store    rebuild.Word      `json:"store"`            // what the sender holds of the state service
+		Store    datarecovery.Word `json:"store"`            // what the sender holds of the state service
 		Version  *uint64           `json:"version"`          // of the control record that it knows; a promise counts for that one and later ones
 		Told     *uint64           `json:"told"`             // withdrawals that this process confirmed to users so far
 		Plan     admission.Word    `json:"plan"`             // what it knows of plans of who gets how much
@@ -68,8 +68,8 @@
 // evictMsg asks the owner of a task to stop it, to give its room to a job that
 // goes before it.
 type evictMsg struct {
-	Ref ledger.Ref `json:"ref"`
-	For string     `json:"for"` // the job that needs the room
+	Ref jobstate.Ref `json:"ref"`
+	For string       `json:"for"` // the job that needs the room
 }
 
 // peerHandler is the controller as its links see it.
@@ -119,7 +119,7 @@
 	switch kind {
 	case "status":
 		var s statusMsg
-		if err = wire.Decode(body, &s); err == nil {
+		if err = protocol.Decode(body, &s); err == nil {
 			n.onStatus(p, &s, now)
 			n.resetIfHalfOpen(node, &s, now)
 			n.onHorizon(node, &s, now)
@@ -133,8 +133,8 @@
 			}
 		}
 	case "views":
-		var views []*ledger.View
-		if err = wire.Decode(body, &views); err == nil {
+		var views []*jobstate.View
+		if err = protocol.Decode(body, &views); err == nil {
 			for _, v := range views {
 				if v != nil && v.Machine != "" {
 					n.see(v, now)
@@ -143,67 +143,67 @@
 		}
 	case "orders":
 		var o ordersMsg
-		if err = wire.Decode(body, &o); err == nil {
+		if err = protocol.Decode(body, &o); err == nil {
 			n.onOrders(&o, now)
 		}
 	case probeKind:
 		var m probeMsg
-		if err = wire.Decode(body, &m); err == nil {
+		if err = protocol.Decode(body, &m); err == nil {
 			n.onProbe(m.Addrs, now)
 		}
 	case "record":
 		var m recordMsg
-		if err = wire.Decode(body, &m); err == nil {
+		if err = protocol.Decode(body, &m); err == nil {
 			n.onRecord(&m)
 		}
 	case "config":
 		var m configMsg
-		if err = wire.Decode(body, &m); err == nil {
+		if err = protocol.Decode(body, &m); err == nil {
 			n.onConfig(&m)
 		}
 	case "evict":
 		var e evictMsg
-		if err = wire.Decode(body, &e); err == nil {
+		if err = protocol.Decode(body, &e); err == nil {
 			n.onEvict(&e)
 		}
 	case "copy":
 		var c copyMsg
-		if err = wire.Decode(body, &c); err == nil {
+		if err = protocol.Decode(body, &c); err == nil {
 			n.onCopy(node, incarnation, &c)
 		}
 	case copyPartKind:
 		var m copyPartMsg
-		if err = wire.Decode(body, &m); err == nil {
+		if err = protocol.Decode(body, &m); err == nil {
 			n.onCopyPart(node, incarnation, &m)
 		}
 	case "deltas":
 		var d deltasMsg
-		if err = wire.Decode(body, &d); err == nil {
+		if err = protocol.Decode(body, &d); err == nil {
 			n.onDeltas(node, incarnation, &d)
 		}
 	case "recall":
 		var m recallMsg
-		if err = wire.Decode(body, &m); err == nil {
+		if err = protocol.Decode(body, &m); err == nil {
 			n.onRecall(node, &m)
 		}
 	case "recalled":
 		var m recalledMsg
-		if err = wire.Decode(body, &m); err == nil {
+		if err = protocol.Decode(body, &m); err == nil {
 			n.onRecalled(node, &m)
 		}
 	case "hold":
 		var m holdMsg
-		if err = wire.Decode(body, &m); err == nil {
+		if err = protocol.Decode(body, &m); err == nil {
 			n.onHold(node, &m)
 		}
 	case "held":
 		var m heldMsg
-		if err = wire.Decode(body, &m); err == nil {
+		if err = protocol.Decode(body, &m); err == nil {
 			n.onHeld(&m)
 		}
 	case "ack":
 		var a ackMsg
-		if err = wire.Decode(body, &a); err == nil {
+		if err = protocol.Decode(body, &a); err == nil {
 			n.onAck(node, incarnation, &a)
 		}
 	}
@@ -382,7 +382,7 @@
 	s.Demands = n.demands(now)
 	s.Progress, s.Plan, s.Config = n.progress(now), n.planWord(), n.configWord(now)
 	s.Awaits, s.Mute = n.awaits(), n.unanswered()
-	if n.items[tenure.Fleet] != nil {
+	if n.items[leadership.Fleet] != nil {
 		s.Drain = slices.Sorted(maps.Keys(n.drain))
 	}
 	return s
@@ -403,7 +403,7 @@
 	n.progressed = now
 	progress := map[string][2]int{}
 	for _, it := range n.items {
-		it.team.Jobs(func(j *ledger.Job) {
+		it.team.Jobs(func(j *jobstate.Job) {
 			done, running := it.team.Progress(j.Spec.UID)
 			if done+running > 0 {
 				progress[j.Spec.UID] = [2]int{done, running}
@@ -455,9 +455,9 @@
 
 // boundZone is the zone that tasks of an array or service have to be in because others of the job are; "" if none.
 // A gang's missing tasks are asked for as a whole.
-func boundZone(team *ledger.Team, spec *wire.Submission) string {
+func boundZone(team *jobstate.Team, spec *protocol.Submission) string {
 	job := team.Job(spec.UID)
-	if job == nil || !spec.OneZone || spec.Kind == wire.Gang {
+	if job == nil || !spec.OneZone || spec.Kind == protocol.Gang {
 		return ""
 	}
 	for zone := range team.Zones(job) {
@@ -468,11 +468,11 @@
 
 // draining is the machines that no task should go to.
 func (n *Node) draining() map[string]bool {
-	if n.items[tenure.Fleet] != nil {
+	if n.items[leadership.Fleet] != nil {
 		return n.drain
 	}
 	if n.record != nil {
-		if p := n.peers[n.record.Items[tenure.Fleet].Owner]; p != nil {
+		if p := n.peers[n.record.Items[leadership.Fleet].Owner]; p != nil {
 			return p.drain
 		}
 	}
--- a/views_test.go
+++ b/views_test.go
@@ -3,8 +3,8 @@
 import (
 	"testing"
 
-	"topazhollow/internal/ledger"
-	"topazhollow/internal/wire"
+	"topazhollow/internal/jobstate"
+	"topazhollow/internal/protocol"
 )
 
 // TestBarrierSettlesTheMachineThatWasHeard: a machine heard under the item's term is waited for no longer, one heard
@@ -44,13 +44,13 @@
 
 // TestViewsAreToldInBoundedLines: however many machines a home tells of at once, no line comes near what a link takes.
 func TestViewsAreToldInBoundedLines(t *testing.T) {
-	view := &ledger.View{Machine: "n-000001", Addr: "10.1.0.232:9000", Type: "mtatsminda-32", Zone: "batumi-coast", Session: 1 << 20, Seq: 1 << 40, Rev: 1 << 30, Token: 1 << 40, Term: 1 << 40}
+	view := &jobstate.View{Machine: "n-000001", Addr: "10.1.0.232:9000", Type: "mtatsminda-32", Zone: "batumi-coast", Session: 1 << 20, Seq: 1 << 40, Rev: 1 << 30, Token: 1 << 40, Term: 1 << 40}
 	const tasks = 30
 	for i := range tasks {
-		view.Tasks = append(view.Tasks, ledger.TaskView{Key: ledger.Key{Job: "job-000001", Index: 1<<16 + i}, Attempt: ledger.AttemptID(1<<28, 1<<20), State: wire.Running})
+		view.Tasks = append(view.Tasks, jobstate.TaskView{Key: jobstate.Key{Job: "job-000001", Index: 1<<16 + i}, Attempt: jobstate.AttemptID(1<<28, 1<<20), State: protocol.Running})
 	}
 	machines := viewsPerLine/(1+tasks) + 1
-	line := wire.Encode(view)
+	line := protocol.Encode(view)
 	const linkTakes = 4 << 20
 	if size := machines * (len(line) + 1); size > linkTakes/4 {
 		t.Errorf("%d machines of %d tasks take %d bytes in one line", machines, tasks, size)
--- a/waiting.go
+++ b/waiting.go
@@ -6,22 +6,22 @@
 	"strings"
 	"time"
 
-	"topazhollow/internal/ledger"
-	"topazhollow/internal/tenure"
-	"topazhollow/internal/wire"
+	"topazhollow/internal/jobstate"
+	"topazhollow/internal/leadership"
+	"topazhollow/internal/protocol"
 )
 
 // claim says whose tasks wait: an own team's, or a peer's, for which room is only kept. Both
 // fields are nil for a peer's.
 type claim struct {
 	it  *item
-	own *ledger.Job
+	own *jobstate.Job
 }
 
 // waitingTasks are tasks of one job that wait for room, as all owners order them.
 type waitingTasks struct {
 	claim
-	spec      *wire.Submission
+	spec      *protocol.Submission
 	count     int
 	borrowed  bool      // beyond the team's guarantee
 	probe     bool      // of a job that fails everywhere
@@ -38,7 +38,7 @@
 func (n *Node) allWaiting(now time.Time) []waitingTasks {
 	var list []waitingTasks
 	for _, it := range n.items {
-		if it.phase == ready && !it.frozen && it.name != tenure.Fleet {
+		if it.phase == ready && !it.frozen && it.name != leadership.Fleet {
 			list = n.appendOwnWaiting(list, it, now)
 		}
 	}
@@ -116,7 +116,7 @@
 	if by, ok := n.promptly(j.at, now); ok && !w.borrowed && by.Before(w.latest) {
 		w.latest, w.late = by, false
 	}
-	if canStart && j.spec.Kind == wire.Gang && startBy.Before(w.latest) {
+	if canStart && j.spec.Kind == protocol.Gang && startBy.Before(w.latest) {
 		w.latest = startBy // all of it starts at once, so that it can still be in time as a whole
 	}
 }
@@ -144,7 +144,7 @@
 	if w.borrowed != o.borrowed {
 		return falseFirst(w.borrowed)
 	}
-	return wire.Rank(o.spec.Priority) - wire.Rank(w.spec.Priority)
+	return protocol.Rank(o.spec.Priority) - protocol.Rank(w.spec.Priority)
 }
 
 // compare compares by urgency. Within a class those go first that must start soonest to reach
--- a/writeback.go
+++ b/writeback.go
@@ -12,13 +12,13 @@
 
 	"github.com/bits-and-blooms/bitset"
 
-	"topazhollow/internal/frontend"
-	"topazhollow/internal/ledger"
-	"topazhollow/internal/rebuild"
+	"topazhollow/internal/datarecovery"
+	"topazhollow/internal/jobstate"
+	"topazhollow/internal/kvstore"
+	"topazhollow/internal/leadership"
+	"topazhollow/internal/protocol"
 	"topazhollow/internal/settings"
-	"topazhollow/internal/state"
-	"topazhollow/internal/tenure"
-	"topazhollow/internal/wire"
+	"topazhollow/internal/userapi"
 )
 
 // What is done in a generation that followed a loss: jobs, ends and machines return to the
@@ -72,7 +72,7 @@
 	n.store.wrote = now
 	n.writeBack(now)
 	n.writeBackConfig()
-	if n.items[tenure.Fleet] != nil && !n.store.sealed && !n.store.sealing {
+	if n.items[leadership.Fleet] != nil && !n.store.sealed && !n.store.sealing {
 		n.store.sealing = true
 		generation := n.generation()
 		n.group.Go(func() error {
@@ -89,13 +89,13 @@
 // writeBack gives the store the jobs of own teams that it lacks, and buries those that it
 // has as active. Few at a time: acceptances and the roster are not to wait for them.
 func (n *Node) writeBack(now time.Time) {
-	var jobs []rebuild.Unwritten
+	var jobs []datarecovery.Unwritten
 	for uid, j := range n.jobs {
 		if it := n.items[teamItem(j.spec.Team)]; j.active && j.version == 0 && it != nil && it.phase == ready && !n.store.writing[uid] {
-			jobs = append(jobs, rebuild.Unwritten{Spec: j.spec, At: j.at.UnixMilli()})
+			jobs = append(jobs, datarecovery.Unwritten{Spec: j.spec, At: j.at.UnixMilli()})
 		}
 	}
-	rebuild.Order(jobs)
+	datarecovery.Order(jobs)
 	most := 2 * n.set.Deployment.State.TxnOps
 	for _, u := range jobs {
 		if len(n.store.writing) >= most {
@@ -104,7 +104,7 @@
 		uid := u.Spec.UID
 		n.store.writing[uid] = true
 		n.group.Go(func() error {
-			n.writeJob(n.ctx, frontend.Stored{Spec: u.Spec, At: u.At})
+			n.writeJob(n.ctx, userapi.Stored{Spec: u.Spec, At: u.At})
 			return nil
 		})
 	}
@@ -120,12 +120,12 @@
 		}
 		n.store.writing[uid] = true
 		n.group.Go(func() error {
-			_, err := n.state.Commit(n.ctx, state.Update{Guards: []wire.Guard{{Key: frontend.JobKey + uid, Version: b.version}},
-				Ops: []wire.Op{{Delete: frontend.JobKey + uid}, {Set: frontend.FinalKey + uid, Value: wire.Encode(final)}}})
+			_, err := n.state.Commit(n.ctx, kvstore.Update{Guards: []protocol.Guard{{Key: userapi.JobKey + uid, Version: b.version}},
+				Ops: []protocol.Op{{Delete: userapi.JobKey + uid}, {Set: userapi.FinalKey + uid, Value: protocol.Encode(final)}}})
 			n.mu.Lock()
 			defer n.mu.Unlock()
 			delete(n.store.writing, uid)
-			if err == nil || errors.Is(err, state.ErrConflict) {
+			if err == nil || errors.Is(err, kvstore.ErrConflict) {
 				delete(n.store.bury, uid)
 			}
 			return nil
@@ -133,12 +133,12 @@
 	}
 }
 
-func (n *Node) writeJob(ctx context.Context, s frontend.Stored) {
+func (n *Node) writeJob(ctx context.Context, s userapi.Stored) {
 	uid := s.Spec.UID
-	version, err := n.state.Commit(ctx, state.Update{
-		Guards: []wire.Guard{{Key: frontend.JobKey + uid}, {Key: frontend.FinalKey + uid}},
-		Ops:    []wire.Op{{Set: frontend.JobKey + uid, Value: wire.Encode(s)}}})
-	if errors.Is(err, state.ErrConflict) {
+	version, err := n.state.Commit(ctx, kvstore.Update{
+		Guards: []protocol.Guard{{Key: userapi.JobKey + uid}, {Key: userapi.FinalKey + uid}},
+		Ops:    []protocol.Op{{Set: userapi.JobKey + uid, Value: protocol.Encode(s)}}})
+	if errors.Is(err, kvstore.ErrConflict) {
 		// Its end, if that is why; else the watch tells its version. No watch tells the
 		// others of that end, since for them the store never had the job.
 		if end, ended := n.front.Ended(ctx, uid); ended {
@@ -157,16 +157,16 @@
 
 // seal writes the ends that are remembered to pages, as far as they are not on any.
 func (n *Node) seal(ctx context.Context) bool {
-	entries, _, err := n.state.List(ctx, rebuild.EndsKey)
+	entries, _, err := n.state.List(ctx, datarecovery.EndsKey)
 	if err != nil {
 		return false
 	}
-	on, next := rebuild.NewEnds(), 0
+	on, next := datarecovery.NewEnds(), 0
 	for _, e := range entries {
-		if number, err := strconv.Atoi(e.Key[len(rebuild.EndsKey):]); err == nil {
+		if number, err := strconv.Atoi(e.Key[len(datarecovery.EndsKey):]); err == nil {
 			next = max(next, number+1)
 		}
-		ends, err := rebuild.ReadPage(e.Value)
+		ends, err := datarecovery.ReadPage(e.Value)
 		if err != nil {
 			n.log.Error("unreadable key in the state service", "key", e.Key, "err", err)
 			continue
@@ -179,10 +179,10 @@
 	if err != nil {
 		return false
 	}
-	pages := rebuild.Pages(left, valueRoom(n.set.Deployment.State)-64)
+	pages := datarecovery.Pages(left, valueRoom(n.set.Deployment.State)-64)
 	for _, p := range pages {
-		key := rebuild.EndsKey + strconv.Itoa(next)
-		if _, err := n.state.Commit(ctx, state.Update{Later: true, Guards: []wire.Guard{{Key: key}}, Ops: []wire.Op{{Set: key, Value: wire.Encode(p)}}}); err != nil {
+		key := datarecovery.EndsKey + strconv.Itoa(next)
+		if _, err := n.state.Commit(ctx, kvstore.Update{Later: true, Guards: []protocol.Guard{{Key: key}}, Ops: []protocol.Op{{Set: key, Value: protocol.Encode(p)}}}); err != nil {
 			return false // looked at again from the start
 		}
 		next++
@@ -200,10 +200,10 @@
 		// read is: processes that were quicker than the first record counted their memory as in part for good.
 		ready := n.listed && n.trusted() && n.record != nil
 		n.mu.Unlock()
-		var entries []wire.Entry
+		var entries []protocol.Entry
 		err := error(nil)
 		if ready {
-			entries, more, err = n.state.Page(ctx, frontend.FinalKey, after)
+			entries, more, err = n.state.Page(ctx, userapi.FinalKey, after)
 		}
 		if !ready || err != nil {
 			more = true
@@ -215,9 +215,9 @@
 		n.mu.Lock()
 		for _, e := range entries {
 			after = e.Key
-			var final frontend.Final
+			var final userapi.Final
 			if json.Unmarshal(e.Value, &final) == nil && final.State != "" {
-				uid := e.Key[len(frontend.FinalKey):]
+				uid := e.Key[len(userapi.FinalKey):]
 				n.front.Learn(uid, final)
 				n.endRemembered(uid)
 			}
@@ -237,8 +237,8 @@
 
 // learnPage takes in a page of ends, or of finished tasks, from the store.
 func (n *Node) learnPage(key string, value []byte) error {
-	if strings.HasPrefix(key, rebuild.EndsKey) {
-		ends, err := rebuild.ReadPage(value)
+	if strings.HasPrefix(key, datarecovery.EndsKey) {
+		ends, err := datarecovery.ReadPage(value)
 		if err != nil {
 			return err
 		}
@@ -261,7 +261,7 @@
 	}
 	for uid, d := range done {
 		j := n.jobs[uid]
-		if d == nil || n.ended(uid) || j != nil && (!j.active || j.spec.Kind == wire.Service) {
+		if d == nil || n.ended(uid) || j != nil && (!j.active || j.spec.Kind == protocol.Service) {
 			continue
 		}
 		if n.store.done[uid] == nil {
@@ -306,16 +306,16 @@
 
 // counted takes in the census. A machine that is still booting in a list that old has run
 // nothing before the loss.
-func (n *Node) counted(hosts []wire.Host) {
+func (n *Node) counted(hosts []protocol.Host) {
 	n.store.census = map[string]bool{}
-	addrs := map[string]wire.Host{}
+	addrs := map[string]protocol.Host{}
 	for _, h := range hosts {
-		if h.State == wire.HostBooting || n.machine(h.UID).gone {
+		if h.State == protocol.HostBooting || n.machine(h.UID).gone {
 			continue
 		}
 		n.store.census[h.UID] = true
 		addrs[h.UID] = h
-		if n.items[tenure.Fleet] != nil && !n.roster.Has(h.UID) {
+		if n.items[leadership.Fleet] != nil && !n.roster.Has(h.UID) {
 			n.enrolling[h.UID] = true
 		}
 	}
@@ -352,19 +352,19 @@
 // undescribed says whether a machine runs a task from before a loss of a job that nobody can
 // describe. Nothing is placed beside it, since nobody knows what it takes; that stays so
 // when the search for what was lost has been given up.
-func (n *Node) undescribed(v *ledger.View) bool {
+func (n *Node) undescribed(v *jobstate.View) bool {
 	if n.generation() <= 1 {
 		return false
 	}
-	return slices.ContainsFunc(v.Tasks, func(t ledger.TaskView) bool {
-		return t.State != wire.Exited && n.jobs[t.Job] == nil && ledger.TermOf(t.Attempt) < n.record.First
+	return slices.ContainsFunc(v.Tasks, func(t jobstate.TaskView) bool {
+		return t.State != protocol.Exited && n.jobs[t.Job] == nil && jobstate.TermOf(t.Attempt) < n.record.First
 	})
 }
 
-func (n *Node) storeStatus() rebuild.Status {
+func (n *Node) storeStatus() datarecovery.Status {
 	phase, _, sign := n.store.watch.Phase()
 	signs, losses := n.store.watch.Counts()
-	o := rebuild.Status{Phase: phase.String(), Sign: sign, Generation: n.generation(), Unburied: len(n.store.bury), Ends: n.front.Ends(),
+	o := datarecovery.Status{Phase: phase.String(), Sign: sign, Generation: n.generation(), Unburied: len(n.store.bury), Ends: n.front.Ends(),
 		Whole: n.store.whole, Alone: n.store.alone, Signs: signs, Losses: losses}
 	if n.record != nil {
 		o.Lost, o.Census = n.record.Lost, n.record.Census
@@ -380,7 +380,7 @@
 			continue
 		}
 		for _, t := range m.view.Tasks {
-			if n.jobs[t.Job] == nil && t.State != wire.Exited && !slices.Contains(o.Undescribed, t.Job) {
+			if n.jobs[t.Job] == nil && t.State != protocol.Exited && !slices.Contains(o.Undescribed, t.Job) {
 				o.Undescribed = append(o.Undescribed, t.Job)
 			}
 		}
