--- a/internal/arch/arch.go
+++ b/internal/arch/arch.go
@@ -45,6 +45,7 @@
 		"internal/userapi",
 		"internal/teamstore",
 	}},
+	{"controller", []string{"internal/controller"}},
 	{"library", []string{""}},
 	{"tools", []string{
 		"internal/arch",
--- a/home.go
+++ b/internal/controller/home.go
@@ -1,4 +1,4 @@
-package topazhollow
+package controller
 
 import (
 	"context"
--- a/node.go
+++ b/internal/controller/node.go
@@ -1,7 +1,6 @@
-// Package topazhollow is a cluster scheduler's controller as a library: several
-// of them run one deployment together by replicated continuation passing, as
-// docs/design.md tells.
-package topazhollow
+// Package controller composes one controller from its parts. It alone holds the
+// lock, reads the clock, runs goroutines and does I/O; the packages below it decide.
+package controller
 
 import (
 	"context"
