--- a/internal/agents/home.go
+++ b/internal/agents/home.go
@@ -31,41 +31,41 @@
 }
 
 // Machine is a machine at its home.
-type Machine struct {
-	Report protocol.Report // the newest, from the worker itself or from its answer to a command
-	Heard  time.Time       // when a report last came
-	Busy   bool            // a /do is under way
-	Deaf   bool            // the last /do failed: only report answers until it is heard again
-	Now    time.Time       // set before commands are sent, as is Known
-	Known  time.Time       // every withdrawal confirmed before it is known here
+type Agent struct {
+	Report protocol.Heartbeat // the newest, from the worker itself or from its answer to a command
+	Heard  time.Time          // when a report last came
+	Busy   bool               // a /do is under way
+	Deaf   bool               // the last /do failed: only report answers until it is heard again
+	Now    time.Time          // set before commands are sent, as is Known
+	Known  time.Time          // every withdrawal confirmed before it is known here
 
 	reported uint64 // the greatest sequence number of this session that the worker itself sent
-	starts   map[jobstate.Ref]*start
+	starts   map[jobstate.AttemptRef]*start
 	queue    []protocol.Command
 	urgent   bool
 	rev      uint64
-	view     *jobstate.View
+	view     *jobstate.MachineStatus
 }
 
 // Size tells what a task of a job takes.
 type Size func(job string) (cpus, gpus, memory float64)
 
 // Home holds the machines that report here.
-type Home struct {
+type Registry struct {
 	term     uint64
-	machines map[string]*Machine
+	machines map[string]*Agent
 	capacity func(machineType string) (cpus, gpus, memory float64, ok bool)
 	size     Size
 }
 
 // New is a home without machines.
-func New(capacity func(string) (float64, float64, float64, bool), size Size) *Home {
-	return &Home{machines: map[string]*Machine{}, capacity: capacity, size: size}
+func New(capacity func(string) (float64, float64, float64, bool), size Size) *Registry {
+	return &Registry{machines: map[string]*Agent{}, capacity: capacity, size: size}
 }
 
 // SetTerm begins a later term: what was ordered under the earlier one is
 // dropped, and no start of it will be sent any more.
-func (h *Home) SetTerm(term uint64, mine func(machine string) bool) {
+func (h *Registry) SetTerm(term uint64, mine func(machine string) bool) {
 	if term <= h.term {
 		return
 	}
@@ -75,32 +75,32 @@
 			delete(h.machines, name)
 			continue
 		}
-		m.starts = map[jobstate.Ref]*start{}
+		m.starts = map[jobstate.AttemptRef]*start{}
 		m.queue, m.urgent = nil, false
 		m.changed()
 	}
 }
 
-func (m *Machine) changed() {
+func (m *Agent) changed() {
 	m.rev++
 	m.view = nil
 }
 
 // Get finds a machine that reports here.
-func (h *Home) Get(name string) *Machine { return h.machines[name] }
+func (h *Registry) Get(name string) *Agent { return h.machines[name] }
 
 // All lists the machines that report here.
-func (h *Home) All() map[string]*Machine { return h.machines }
+func (h *Registry) All() map[string]*Agent { return h.machines }
 
 // Drop forgets a machine that is gone or reports elsewhere.
-func (h *Home) Drop(name string) { delete(h.machines, name) }
+func (h *Registry) Drop(name string) { delete(h.machines, name) }
 
 // Heard takes in a report that the worker itself sent. It says whether it was newer than what was known and
 // whether anything in it changed. A worker keeps one report in flight at a time, so it executed the commands in the
 // answer to the report before, or never will.
-func (h *Home) Heard(r *protocol.Report, now time.Time) (newer, changed bool) {
+func (h *Registry) Heard(r *protocol.Heartbeat, now time.Time) (newer, changed bool) {
 	newer, changed = h.HeardAnswer(r, now)
-	if m := h.machines[r.Machine]; m.Report.Session == r.Session {
+	if m := h.machines[r.Machine]; m.Report.Incarnation == r.Incarnation {
 		m.reported = max(m.reported, r.Seq)
 	}
 	return newer, changed
@@ -108,18 +108,18 @@
 
 // HeardAnswer takes in the report in the answer to a direct command. The answer to the worker's own last report may
 // still be on its way to it.
-func (h *Home) HeardAnswer(r *protocol.Report, now time.Time) (newer, changed bool) {
+func (h *Registry) HeardAnswer(r *protocol.Heartbeat, now time.Time) (newer, changed bool) {
 	m := h.machines[r.Machine]
 	if m == nil {
-		m = &Machine{starts: map[jobstate.Ref]*start{}}
+		m = &Agent{starts: map[jobstate.AttemptRef]*start{}}
 		h.machines[r.Machine] = m
-	} else if r.Session < m.Report.Session || (r.Session == m.Report.Session && r.Seq <= m.Report.Seq) {
+	} else if r.Incarnation < m.Report.Incarnation || (r.Incarnation == m.Report.Incarnation && r.Seq <= m.Report.Seq) {
 		return false, false
 	}
-	changed = r.Session != m.Report.Session || r.Token != m.Report.Token || (r.Notice == nil) != (m.Report.Notice == nil) ||
+	changed = r.Incarnation != m.Report.Incarnation || r.FencingToken != m.Report.FencingToken || (r.Notice == nil) != (m.Report.Notice == nil) ||
 		!slices.Equal(r.Tasks, m.Report.Tasks)
-	if r.Session != m.Report.Session {
-		m.starts = map[jobstate.Ref]*start{}
+	if r.Incarnation != m.Report.Incarnation {
+		m.starts = map[jobstate.AttemptRef]*start{}
 		m.queue, m.urgent, m.reported = nil, false, 0
 	}
 	m.Report = *r
@@ -137,22 +137,22 @@
 }
 
 // settled says that no start command for the attempt can still arrive.
-func (m *Machine) settled(s *start) bool {
+func (m *Agent) settled(s *start) bool {
 	return !s.open && !s.stray && !m.inAnswer(s)
 }
 
 // inAnswer says that the answer with the start may still be on its way to the worker.
-func (m *Machine) inAnswer(s *start) bool { return s.answer && m.reported <= s.after }
+func (m *Agent) inAnswer(s *start) bool { return s.answer && m.reported <= s.after }
 
 // Take accepts an owner's orders for a machine under a term. It reports whether
 // commands should go out at once.
-func (h *Home) Take(term uint64, machine string, orders []jobstate.Order) bool {
+func (h *Registry) Take(term uint64, machine string, orders []jobstate.Order) bool {
 	m := h.machines[machine]
 	if m == nil || term != h.term {
 		return false
 	}
 	for _, o := range orders {
-		if o.Session != m.Report.Session || len(m.queue) >= maxQueued {
+		if o.Incarnation != m.Report.Incarnation || len(m.queue) >= maxQueued {
 			continue
 		}
 		s := m.starts[o.Ref()]
@@ -211,7 +211,7 @@
 }
 
 // fits says whether a start has room beside what is listed and ordered.
-func (h *Home) fits(m *Machine, o jobstate.Order) bool {
+func (h *Registry) fits(m *Agent, o jobstate.Order) bool {
 	cpus, gpus, memory, ok := h.capacity(m.Report.Type)
 	if !ok {
 		return false
@@ -237,20 +237,20 @@
 
 // refOf reads an attempt's name from a worker's words; a malformed one matches
 // nothing that was ever ordered.
-func refOf(task string, attempt uint64) jobstate.Ref {
+func refOf(task string, attempt uint64) jobstate.AttemptRef {
 	job, index, ok := protocol.SplitTask(task)
 	if !ok {
-		return jobstate.Ref{}
+		return jobstate.AttemptRef{}
 	}
-	return jobstate.Ref{Key: jobstate.Key{Job: job, Index: index}, Attempt: attempt}
+	return jobstate.AttemptRef{TaskID: jobstate.TaskID{Job: job, Index: index}, Attempt: attempt}
 }
 
-func (m *Machine) lists(ref jobstate.Ref) bool {
+func (m *Agent) lists(ref jobstate.AttemptRef) bool {
 	return slices.ContainsFunc(m.Report.Tasks, func(t protocol.TaskStatus) bool { return refOf(t.Task, t.Attempt) == ref })
 }
 
 // Ordered says whether an owner ordered a start here in this term, and when it was first sent; zero: not yet.
-func (m *Machine) Ordered(ref jobstate.Ref) (sent time.Time, ok bool) {
+func (m *Agent) Ordered(ref jobstate.AttemptRef) (sent time.Time, ok bool) {
 	s := m.starts[ref]
 	if s == nil || s.order.Op != protocol.Start {
 		return time.Time{}, false
@@ -259,23 +259,23 @@
 }
 
 // Starts says whether a start waits to be sent.
-func (m *Machine) Starts() bool {
+func (m *Agent) Starts() bool {
 	return slices.ContainsFunc(m.queue, func(c protocol.Command) bool { return c.Op == protocol.Start })
 }
 
-func (m *Machine) queued(op string, ref jobstate.Ref) bool {
+func (m *Agent) queued(op string, ref jobstate.AttemptRef) bool {
 	return slices.ContainsFunc(m.queue, func(c protocol.Command) bool { return c.Op == op && refOf(c.Task, c.Attempt) == ref })
 }
 
-func (m *Machine) unqueue(op string, ref jobstate.Ref) {
+func (m *Agent) unqueue(op string, ref jobstate.AttemptRef) {
 	m.queue = slices.DeleteFunc(m.queue, func(c protocol.Command) bool { return c.Op == op && refOf(c.Task, c.Attempt) == ref })
 }
 
 // Urgent says whether commands wait that should go out by /do now.
-func (m *Machine) Urgent() bool { return m.urgent && !m.Busy && !m.Deaf && len(m.queue) > 0 }
+func (m *Agent) Urgent() bool { return m.urgent && !m.Busy && !m.Deaf && len(m.queue) > 0 }
 
 // Send takes the queued commands for a /do.
-func (m *Machine) Send() []protocol.Command {
+func (m *Agent) Send() []protocol.Command {
 	cmds := m.queue
 	m.queue, m.urgent, m.Busy = nil, false, true
 	for _, c := range cmds {
@@ -289,7 +289,7 @@
 
 // Sent books the outcome of a /do: answered (then its report is to be given to
 // Heard first), or not, when its commands may still be executed if left is true.
-func (m *Machine) Sent(cmds []protocol.Command, answered, left bool) {
+func (m *Agent) Sent(cmds []protocol.Command, answered, left bool) {
 	m.Busy = false
 	m.Deaf = !answered
 	for _, c := range cmds {
@@ -303,7 +303,7 @@
 
 // Answer takes the queued commands for the answer to the newest report. Commands
 // in an answer are executed before the worker's next report or never.
-func (m *Machine) Answer() []protocol.Command {
+func (m *Agent) Answer() []protocol.Command {
 	if m.Busy {
 		return nil
 	}
@@ -319,14 +319,14 @@
 }
 
 // stamp notes what was known when a start was first sent.
-func (m *Machine) stamp(s *start) {
+func (m *Agent) stamp(s *start) {
 	if s.at.IsZero() {
 		s.at, s.known = m.Now, m.Known
 	}
 }
 
 // DropStarts takes the queued starts of jobs that are over back: their owner may not know yet.
-func (m *Machine) DropStarts(over func(job string) bool) {
+func (m *Agent) DropStarts(over func(job string) bool) {
 	m.queue = slices.DeleteFunc(m.queue, func(c protocol.Command) bool {
 		ref := refOf(c.Task, c.Attempt)
 		if c.Op != protocol.Start || !over(ref.Job) {
@@ -343,7 +343,7 @@
 
 // InFlight tells since when a start may be on its way whose job is over: the earliest moment up to which all
 // withdrawals were known when such a start was sent. It is zero if there is none.
-func (m *Machine) InFlight(over func(job string) bool) (known time.Time) {
+func (m *Agent) InFlight(over func(job string) bool) (known time.Time) {
 	for ref, s := range m.starts {
 		if s.listed || s.barred || s.at.IsZero() || m.settled(s) || !over(ref.Job) {
 			continue
@@ -356,7 +356,7 @@
 }
 
 // View is what owners are told of a machine.
-func (h *Home) View(name string) *jobstate.View {
+func (h *Registry) View(name string) *jobstate.MachineStatus {
 	m := h.machines[name]
 	if m == nil {
 		return nil
@@ -365,12 +365,12 @@
 		return m.view
 	}
 	r := &m.Report
-	v := &jobstate.View{Machine: name, Addr: r.Addr, Type: r.Type, Zone: r.Zone, Spot: r.Spot, Session: r.Session, Seq: r.Seq,
-		Rev: m.rev, Token: r.Token, Term: h.term, Notice: r.Notice != nil}
+	v := &jobstate.MachineStatus{Machine: name, Addr: r.Addr, Type: r.Type, Zone: r.Zone, Spot: r.Spot, Incarnation: r.Incarnation, Seq: r.Seq,
+		Revision: m.rev, FencingToken: r.FencingToken, Term: h.term, Notice: r.Notice != nil}
 	for _, t := range r.Tasks {
 		job, index, ok := protocol.SplitTask(t.Task)
 		if ok {
-			v.Tasks = append(v.Tasks, jobstate.TaskView{Key: jobstate.Key{Job: job, Index: index}, Attempt: t.Attempt, State: t.State, Why: t.Why, Saved: t.Saved})
+			v.Tasks = append(v.Tasks, jobstate.TaskStatus{TaskID: jobstate.TaskID{Job: job, Index: index}, Attempt: t.Attempt, State: t.State, Why: t.Why, Saved: t.Saved})
 		}
 	}
 	for ref, s := range m.starts {
@@ -378,7 +378,7 @@
 		case s.barred:
 			v.Barred = append(v.Barred, ref)
 		case !s.listed && !s.forgot && s.order.Op == protocol.Start:
-			v.Tasks = append(v.Tasks, jobstate.TaskView{Key: s.order.Key, Attempt: ref.Attempt, State: jobstate.Ordered})
+			v.Tasks = append(v.Tasks, jobstate.TaskStatus{TaskID: s.order.TaskID, Attempt: ref.Attempt, State: jobstate.Ordered})
 		}
 	}
 	m.view = v
--- a/internal/agents/home_test.go
+++ b/internal/agents/home_test.go
@@ -8,19 +8,19 @@
 	"topazhollow/internal/protocol"
 )
 
-func home(t *testing.T) (*Home, *Machine) {
+func home(t *testing.T) (*Registry, *Agent) {
 	h := New(func(string) (float64, float64, float64, bool) { return 8, 0, 64, true }, func(string) (float64, float64, float64) { return 2, 0, 4 })
 	h.SetTerm(1, func(string) bool { return true })
-	h.Heard(&protocol.Report{Machine: "m", Addr: "a", Type: "t", Zone: "z", Session: 1, Seq: 1, Token: 1}, time.Unix(1, 0))
+	h.Heard(&protocol.Heartbeat{Machine: "m", Addr: "a", Type: "t", Zone: "z", Incarnation: 1, Seq: 1, FencingToken: 1}, time.Unix(1, 0))
 	return h, h.Get("m")
 }
 
 func startOf(job string) jobstate.Order {
-	return jobstate.Order{Op: protocol.Start, Key: jobstate.Key{Job: job}, Attempt: 5, Session: 1, CPUs: 2, Memory: 4}
+	return jobstate.Order{Op: protocol.Start, TaskID: jobstate.TaskID{Job: job}, Attempt: 5, Incarnation: 1, CPUs: 2, Memory: 4}
 }
 
-func report(seq uint64, tasks ...protocol.TaskStatus) *protocol.Report {
-	return &protocol.Report{Machine: "m", Addr: "a", Type: "t", Zone: "z", Session: 1, Seq: seq, Token: 1, Tasks: tasks}
+func report(seq uint64, tasks ...protocol.TaskStatus) *protocol.Heartbeat {
+	return &protocol.Heartbeat{Machine: "m", Addr: "a", Type: "t", Zone: "z", Incarnation: 1, Seq: seq, FencingToken: 1, Tasks: tasks}
 }
 
 // TestSameNumberOfTwoOwners: attempt numbers are unique only for a task. Two
@@ -181,8 +181,8 @@
 	running := protocol.TaskStatus{Task: "job-1/0", Attempt: 5, State: protocol.Running}
 	h.Heard(report(4, running), time.Unix(4, 0))
 	next := report(1, running)
-	next.Session = 2
-	for what, r := range map[string]*protocol.Report{"an earlier report": report(3), "the same one": report(4), "one that listed nothing": report(1)} {
+	next.Incarnation = 2
+	for what, r := range map[string]*protocol.Heartbeat{"an earlier report": report(3), "the same one": report(4), "one that listed nothing": report(1)} {
 		if newer, changed := h.Heard(r, time.Unix(9, 0)); newer || changed || len(m.Report.Tasks) != 1 || m.Heard != time.Unix(4, 0) {
 			t.Errorf("%s is taken for the newest", what)
 		}
@@ -190,7 +190,7 @@
 	if newer, _ := h.Heard(next, time.Unix(5, 0)); !newer {
 		t.Fatal("the first report of the next session is not taken")
 	}
-	if newer, _ := h.Heard(report(90), time.Unix(9, 0)); newer || m.Report.Session != 2 {
+	if newer, _ := h.Heard(report(90), time.Unix(9, 0)); newer || m.Report.Incarnation != 2 {
 		t.Error("a report of an earlier session is taken for the newest")
 	}
 }
--- a/internal/autoscaler/autoscaler.go
+++ b/internal/autoscaler/autoscaler.go
@@ -87,7 +87,7 @@
 
 // Plan is what to do now.
 type Plan struct {
-	Rent   []protocol.Rent
+	Rent   []protocol.ScaleOutRequest
 	Return []string
 	Retire []string // get no more tasks, and go back once they are idle
 	Late   []string // types and zones, as "type in zone", where no machine comes up in time
@@ -123,7 +123,7 @@
 func (f *Fleet) Forget() { clear(f.pending) }
 
 // Answered books the outcome of a rental request.
-func (f *Fleet) Answered(r protocol.Rent, got int, now time.Time, refused bool) {
+func (f *Fleet) Answered(r protocol.ScaleOutRequest, got int, now time.Time, refused bool) {
 	p := pool{r.Type, r.Zone, r.Spot}
 	f.pending[p] -= r.Count
 	if f.pending[p] <= 0 {
@@ -141,7 +141,7 @@
 }
 
 // Moot says whether a request that waits for its turn has become pointless: the place refused another one meanwhile.
-func (f *Fleet) Moot(r protocol.Rent, now time.Time) bool {
+func (f *Fleet) Moot(r protocol.ScaleOutRequest, now time.Time) bool {
 	return f.shutNow(pool{r.Type, r.Zone, r.Spot}, now)
 }
 
--- a/internal/autoscaler/autoscaler_test.go
+++ b/internal/autoscaler/autoscaler_test.go
@@ -327,7 +327,7 @@
 				Slots: []Slot{{CPUs: 8, Mem: 64, Left: 15, Pinned: true}}})
 		}
 		gang := Demand{Spec: &protocol.Submission{UID: "gang", Kind: protocol.Gang, Priority: c.priority, CPUs: 7, Estimate: 10, OneZone: true}, Count: 2, Due: now.Add(40 * time.Second)}
-		array := Demand{Spec: &protocol.Submission{UID: "array", Kind: protocol.Batch, Priority: "standard", CPUs: 1, Estimate: 10, Spot: true}, Count: 16, Due: now.Add(40 * time.Second)}
+		array := Demand{Spec: &protocol.Submission{UID: "array", Kind: protocol.JobArray, Priority: "standard", CPUs: 1, Estimate: 10, Spot: true}, Count: 16, Due: now.Add(40 * time.Second)}
 		demands := []Demand{gang, array}
 		if c.priority == "low" {
 			demands = []Demand{array, gang}
--- a/internal/autoscaler/rent.go
+++ b/internal/autoscaler/rent.go
@@ -159,14 +159,14 @@
 
 // requests makes the requests for the wanted machines. A wave of machines goes out at once;
 // what is beyond that waits for answers.
-func (f *Fleet) requests(places []pool, want map[pool]int) (list []protocol.Rent) {
+func (f *Fleet) requests(places []pool, want map[pool]int) (list []protocol.ScaleOutRequest) {
 	for _, p := range places {
 		for i, left := 0, want[p]; i < maxRents && left > 0; i++ {
-			count := min(left, protocol.MaxRent)
+			count := min(left, protocol.MaxScaleOut)
 			left -= count
 			f.counter++
 			f.pending[p] += count
-			list = append(list, protocol.Rent{
+			list = append(list, protocol.ScaleOutRequest{
 				Request: fmt.Sprintf("%s-%d", f.prefix, f.counter),
 				Type:    p.Type, Zone: p.Zone, Spot: p.Spot, Count: count,
 			})
--- a/internal/cancelwatermark/cancelwatermark.go
+++ b/internal/cancelwatermark/cancelwatermark.go
@@ -11,7 +11,7 @@
 )
 
 // Horizon is what one controller's process knows of the withdrawals that were confirmed.
-type Horizon struct {
+type Watermark struct {
 	reach time.Duration
 	read  time.Time
 	told  []string // confirmed here, in order
@@ -45,8 +45,8 @@
 
 // New is the horizon of a process that knows nothing yet. Tasks of a withdrawn job must be gone after cancel,
 // and a worker ends what it runs after lease without an answer.
-func New(peers []string, cancel, lease time.Duration) *Horizon {
-	h := &Horizon{reach: max(least, cancel-time.Duration(2*drift*float64(cancel))-lease-Margin), first: map[string]bool{}, peers: map[string]*peer{}}
+func New(peers []string, cancel, lease time.Duration) *Watermark {
+	h := &Watermark{reach: max(least, cancel-time.Duration(2*drift*float64(cancel))-lease-Margin), first: map[string]bool{}, peers: map[string]*peer{}}
 	for _, name := range peers {
 		h.peers[name] = &peer{}
 	}
@@ -54,18 +54,18 @@
 }
 
 // Read books that everything was taken in that the state service had when a read began.
-func (h *Horizon) Read(began time.Time) {
+func (h *Watermark) Read(began time.Time) {
 	if began.After(h.read) {
 		h.read = began
 	}
 }
 
 // LastRead is when the latest such read began.
-func (h *Horizon) LastRead() time.Time { return h.read }
+func (h *Watermark) LastRead() time.Time { return h.read }
 
 // Confirm numbers a withdrawal that is about to be confirmed to a user here, from 1 on. It is to
 // be told to the peers before the user gets the answer; number is 0 if that was done before.
-func (h *Horizon) Confirm(uid string) (number uint64) {
+func (h *Watermark) Confirm(uid string) (number uint64) {
 	if h.first[uid] {
 		return 0
 	}
@@ -75,11 +75,11 @@
 }
 
 // Told counts the withdrawals confirmed here.
-func (h *Horizon) Told() uint64 { return uint64(len(h.told)) }
+func (h *Watermark) Told() uint64 { return uint64(len(h.told)) }
 
 // Met books that a line of a peer's process came. What an earlier process of it confirmed
 // last may be unknown here until the state service is read again.
-func (h *Horizon) Met(name string, process uint64, now time.Time) {
+func (h *Watermark) Met(name string, process uint64, now time.Time) {
 	if p := h.peers[name]; p != nil && p.process != process {
 		*p = peer{process: process, since: now}
 	}
@@ -87,14 +87,14 @@
 
 // Take books that a peer's withdrawals from a number on were taken in. After a gap they are known, but do not
 // count until what is missing came.
-func (h *Horizon) Take(name string, from uint64, count int) {
+func (h *Watermark) Take(name string, from uint64, count int) {
 	if p := h.peers[name]; p != nil && from > 0 && from <= p.got+1 {
 		p.got = max(p.got, from+uint64(count)-1)
 	}
 }
 
 // Got counts the withdrawals of a peer's present process that were taken in without a gap.
-func (h *Horizon) Got(name string) uint64 {
+func (h *Watermark) Got(name string) uint64 {
 	if p := h.peers[name]; p != nil {
 		return p.got
 	}
@@ -103,14 +103,14 @@
 
 // Heard takes in that a peer had confirmed told withdrawals when it said so, which was after it had heard what
 // was sent from here at a time.
-func (h *Horizon) Heard(name string, told uint64, sent time.Time) {
+func (h *Watermark) Heard(name string, told uint64, sent time.Time) {
 	if p := h.peers[name]; p != nil && p.got >= told && sent.After(p.upTo) {
 		p.upTo = sent
 	}
 }
 
 // Has takes in how many of this process's withdrawals a peer says it has.
-func (h *Horizon) Has(name string, count uint64) {
+func (h *Watermark) Has(name string, count uint64) {
 	if p := h.peers[name]; p != nil && count <= h.Told() {
 		p.has = max(p.has, count)
 	}
@@ -118,7 +118,7 @@
 
 // Lacking lists up to most withdrawals that a peer may not have, and the number of the first. It lists none if that was
 // done a moment ago.
-func (h *Horizon) Lacking(name string, now time.Time, most int) (from uint64, uids []string) {
+func (h *Watermark) Lacking(name string, now time.Time, most int) (from uint64, uids []string) {
 	p := h.peers[name]
 	if p == nil || p.has >= h.Told() || now.Sub(p.retold) < retellAfter {
 		return 0, nil
@@ -129,7 +129,7 @@
 
 // Until is the horizon: every withdrawal that any controller confirmed before is known here. It is zero before
 // the first read.
-func (h *Horizon) Until(now time.Time) time.Time {
+func (h *Watermark) Until(now time.Time) time.Time {
 	if h.read.IsZero() {
 		return time.Time{}
 	}
@@ -150,7 +150,7 @@
 // Renews says whether the lease of a machine may be renewed now, of which nothing is known
 // that is older than since, if that is not zero: a job that was withdrawn right after the horizon
 // has no task there any more, by that lease, once its time is over.
-func (h *Horizon) Renews(now, since time.Time) bool {
+func (h *Watermark) Renews(now, since time.Time) bool {
 	until := h.Until(now)
 	if until.IsZero() {
 		return false
--- a/internal/cancelwatermark/cancelwatermark_test.go
+++ b/internal/cancelwatermark/cancelwatermark_test.go
@@ -26,7 +26,7 @@
 
 type process struct {
 	id    uint64
-	h     *Horizon
+	h     *Watermark
 	knows map[string]bool
 	links [3]int // connections to the others, by number
 	heard [3]uint64
--- a/internal/cli/demo.go
+++ b/internal/cli/demo.go
@@ -110,7 +110,7 @@
 	}
 	defer func() { err = errors.Join(err, g.close()) }()
 	fmt.Fprintf(r.out, "three controllers at %s, a keeper at %s\n", strings.Join(g.listen, ", "), g.keeper)
-	spec := &protocol.Submission{UID: "job-000001", Class: e.Name, Team: "red", Kind: protocol.Batch, Priority: "standard", Tasks: e.Tasks, CPUs: e.CPUs,
+	spec := &protocol.Submission{UID: "job-000001", Class: e.Name, Team: "red", Kind: protocol.JobArray, Priority: "standard", Tasks: e.Tasks, CPUs: e.CPUs,
 		Memory: e.Memory, Image: e.Name, Estimate: e.Estimate, Spot: true}
 	g.check.Submitting(spec)
 	if err := g.until(ctx, "the job to be accepted", func() bool {
--- a/internal/cloud/cloud.go
+++ b/internal/cloud/cloud.go
@@ -86,9 +86,9 @@
 }
 
 // Rent asks for machines and gives the names of those rented.
-func (c *Client) Rent(ctx context.Context, r protocol.Rent) ([]string, error) {
-	r.Count = min(r.Count, protocol.MaxRent)
-	var names protocol.Names
+func (c *Client) Rent(ctx context.Context, r protocol.ScaleOutRequest) ([]string, error) {
+	r.Count = min(r.Count, protocol.MaxScaleOut)
+	var names protocol.MachineNames
 	err := c.do(ctx, "POST", "/hosts", r, &names)
 	return names.Machines, err
 }
@@ -98,7 +98,7 @@
 	if len(machines) > maxReturn {
 		return fmt.Errorf("cloud: %d machines in one return", len(machines))
 	}
-	return c.do(ctx, "POST", "/hosts/return", protocol.Names{Machines: machines}, nil)
+	return c.do(ctx, "POST", "/hosts/return", protocol.MachineNames{Machines: machines}, nil)
 }
 
 // List reads the cloud's lagging list of machines.
--- a/internal/controller/admit.go
+++ b/internal/controller/admit.go
@@ -18,7 +18,7 @@
 // tells what it promises.
 
 // admit is what a controller knows of who gets how much of what is short.
-type admit struct {
+type admissionState struct {
 	known   admission.Agreed
 	maker   *admission.Maker // while this controller owns the fleet
 	served  *admission.Served
@@ -28,16 +28,16 @@
 	looked  time.Time                 // when late jobs were last counted
 }
 
-func newAdmit(o *settings.Options) *admit {
-	return &admit{served: admission.NewServed(), door: admission.NewDoor(admission.DefaultLimits), runs: map[admission.Key]float64{},
+func newAdmissionState(o *settings.Options) *admissionState {
+	return &admissionState{served: admission.NewServed(), door: admission.NewDoor(admission.DefaultLimits), runs: map[admission.Key]float64{},
 		weights: &admission.Weights{Team: o.TeamWeights, Class: o.ClassWeights, Floor: o.ClassFloor, After: settings.Seconds(o.FloorAfter)}}
 }
 
 func keyOf(s *protocol.Submission) admission.Key { return admission.Key{Team: s.Team, Class: s.Class} }
 
 // floorsOf is what the plan in force leaves to a team's classes.
-func (n *Node) floorsOf(it *item) map[string]float64 {
-	plan := n.admit.known.Acts()
+func (n *Node) floorsOf(it *shard) map[string]float64 {
+	plan := n.admission.known.Acts()
 	team, ok := teamOf(it.name)
 	if plan == nil || len(plan.Floors) == 0 || !ok {
 		return nil
@@ -57,14 +57,14 @@
 
 // goFirst tells for each of a team's demands how many of its tasks go before what is more
 // urgent: as many as its class has less than the plan leaves it, and the first one of an array that has waited long.
-func (n *Node) goFirst(it *item, list []jobstate.Demand, now time.Time) []int {
+func (n *Node) goFirst(it *shard, list []jobstate.Demand, now time.Time) []int {
 	first := make([]int, len(list))
 	for i, d := range list {
 		if d.Begins {
 			first[i] = d.Count
 		}
 	}
-	plan := n.admit.known.Acts()
+	plan := n.admission.known.Acts()
 	if plan == nil || len(plan.Floors) == 0 {
 		return first
 	}
@@ -79,7 +79,9 @@
 	}
 	f.orderByReach(n, now)
 	f.give(inTime)
-	slices.SortStableFunc(f.order, func(a, b int) int { return n.jobs[list[a].Spec.UID].at.Compare(n.jobs[list[b].Spec.UID].at) })
+	slices.SortStableFunc(f.order, func(a, b int) int {
+		return n.jobs[list[a].Spec.UID].submittedAt.Compare(n.jobs[list[b].Spec.UID].submittedAt)
+	})
 	f.give(1)
 	return f.first
 }
@@ -135,15 +137,15 @@
 // keepsFloor says whether a task of a job may not be stopped for others, since its class
 // would have less than the plan leaves it.
 func (n *Node) keepsFloor(s *protocol.Submission) bool {
-	floor := n.admit.known.Acts().Floor(keyOf(s))
-	return floor > 0 && n.admit.runs[keyOf(s)]-s.CPUs < floor
+	floor := n.admission.known.Acts().Floor(keyOf(s))
+	return floor > 0 && n.admission.runs[keyOf(s)]-s.CPUs < floor
 }
 
 // planWord is what this controller tells of plans.
 func (n *Node) planWord() admission.Word {
-	w := admission.Word{Seen: n.admit.known.Seen()}
-	if n.admit.maker != nil && n.items[leadership.Fleet] != nil {
-		w.Force, w.Next = n.admit.maker.Word()
+	w := admission.Word{Seen: n.admission.known.Seen()}
+	if n.admission.maker != nil && n.shards[leadership.FleetShard] != nil {
+		w.Force, w.Next = n.admission.maker.Word()
 	}
 	return w
 }
@@ -154,16 +156,16 @@
 	if n.record == nil {
 		return
 	}
-	if it := n.record.Items[leadership.Fleet]; it.Owner == node && n.record.Nodes[node] == incarnation {
-		before := n.admit.known.Acts()
-		n.admit.known.Hear(it.Since, *w)
+	if it := n.record.Shards[leadership.FleetShard]; it.Owner == node && n.record.Nodes[node] == incarnation {
+		before := n.admission.known.Acts()
+		n.admission.known.Hear(it.SinceTerm, *w)
 		n.tellPlan(before)
 	}
 }
 
 // tellPlan logs a plan that came into force here.
 func (n *Node) tellPlan(before *admission.Plan) {
-	now := n.admit.known.Acts()
+	now := n.admission.known.Acts()
 	if now == before || before != nil && now.Same(before) || before == nil && now.Same(&admission.Plan{}) {
 		return
 	}
@@ -187,15 +189,15 @@
 // makePlan has the fleet's owner make the plans, from every machine's view and from what
 // all owners say waits.
 func (n *Node) makePlan(machines []autoscaler.Machine, demands []autoscaler.Demand, now time.Time) {
-	it := n.record.Items[leadership.Fleet]
-	if n.admit.maker == nil || n.admit.maker.Since() != it.Since {
-		n.admit.maker = admission.NewMaker(it.Since, &n.admit.known)
+	it := n.record.Shards[leadership.FleetShard]
+	if n.admission.maker == nil || n.admission.maker.Since() != it.SinceTerm {
+		n.admission.maker = admission.NewMaker(it.SinceTerm, &n.admission.known)
 	}
 	inputs := n.planInputs(machines, demands, now)
-	before := n.admit.known.Acts()
-	n.admit.maker.Step(now, inputs, n.plansHeard())
-	force, next := n.admit.maker.Word()
-	n.admit.known.Hear(it.Since, admission.Word{Force: force, Next: next})
+	before := n.admission.known.Acts()
+	n.admission.maker.Step(now, inputs, n.plansHeard())
+	force, next := n.admission.maker.Word()
+	n.admission.known.Hear(it.SinceTerm, admission.Word{Force: force, Next: next})
 	n.tellPlan(before)
 	if next != nil {
 		n.tellNow()
@@ -215,12 +217,12 @@
 
 // planInputs is what a plan is made from.
 func (n *Node) planInputs(machines []autoscaler.Machine, demands []autoscaler.Demand, now time.Time) *admission.Inputs {
-	in := &admission.Inputs{Teams: n.guarantees(), Weights: n.admit.weights}
+	in := &admission.Inputs{Teams: n.guarantees(), Weights: n.admission.weights}
 	needs := needsByKey{}
 	needs.addWaiting(demands)
 	for i := range machines {
 		m := n.machines[machines[i].Name]
-		if m == nil || m.view == nil || m.gone {
+		if m == nil || m.status == nil || m.gone {
 			continue
 		}
 		n.addHeld(needs, m)
@@ -277,7 +279,7 @@
 
 // addHeld adds what the tasks on a machine hold.
 func (n *Node) addHeld(needs needsByKey, m *machine) {
-	for _, t := range m.view.Tasks {
+	for _, t := range m.status.Tasks {
 		if j := n.jobs[t.Job]; j != nil && t.State != protocol.Exited {
 			needs.of(j.spec).Held += j.spec.CPUs
 		}
@@ -287,7 +289,7 @@
 // plannedMachine describes a machine for a plan, if the plan may count on it.
 func (n *Node) plannedMachine(m *autoscaler.Machine, known *machine, now time.Time) (planned admission.Machine, ok bool) {
 	cpus, _, memory, ok := n.capacity(m.Type)
-	if !ok || m.SpotNotice || m.Faulty || n.drain[m.Name] || now.Sub(known.lastHeard()) > n.vainFor() {
+	if !ok || m.SpotNotice || m.Faulty || n.drainingMachines[m.Name] || now.Sub(known.lastHeard()) > n.vainFor() {
 		return planned, false
 	}
 	left := 0.0
@@ -306,7 +308,7 @@
 		backlog[keyOf(d.Spec)] += waitingCPUs(d) * d.Spec.Estimate
 	}
 	for _, j := range n.jobs {
-		need, age := needs[keyOf(j.spec)], now.Sub(j.at)
+		need, age := needs[keyOf(j.spec)], now.Sub(j.submittedAt)
 		if need != nil && j.spec.Kind != protocol.Service && age < inflowOver {
 			need.Rate += float64(j.spec.Tasks) * j.spec.CPUs * j.spec.Estimate
 			oldest[need] = max(oldest[need], age)
@@ -320,8 +322,8 @@
 
 // book counts something for a job's team and class, if this controller owns the team.
 func (n *Node) book(s *protocol.Submission, now time.Time, what func(*admission.Count)) {
-	if n.items[teamItem(s.Team)] != nil {
-		n.admit.served.Book(keyOf(s), now, what)
+	if n.shards[teamShard(s.Team)] != nil {
+		n.admission.served.Book(keyOf(s), now, what)
 	}
 }
 
@@ -333,9 +335,9 @@
 func (n *Node) ranOut(s *protocol.Submission, now time.Time) {
 	j := n.jobs[s.UID]
 	n.book(s, now, func(c *admission.Count) {
-		if c.Done++; j != nil && !j.late && !n.missed(j, now) {
+		if c.Done++; j != nil && !j.countedLate && !n.missed(j, now) {
 			c.InTime++
-		} else if j != nil && !j.late {
+		} else if j != nil && !j.countedLate {
 			c.Late++
 		}
 	})
@@ -350,41 +352,41 @@
 // countLate counts the own jobs that have missed their first goal, and logs who is served
 // badly.
 func (n *Node) countLate(now time.Time) {
-	if now.Sub(n.admit.looked) < 2*time.Second {
+	if now.Sub(n.admission.looked) < 2*time.Second {
 		return
 	}
-	n.admit.looked = now
-	for name, it := range n.items {
-		if name == leadership.Fleet {
+	n.admission.looked = now
+	for name, it := range n.shards {
+		if name == leadership.FleetShard {
 			continue
 		}
 		it.team.Jobs(func(tj *jobstate.Job) {
-			if j := n.jobs[tj.Spec.UID]; j != nil && j.active && !j.late && n.missed(j, now) {
-				j.late = true
+			if j := n.jobs[tj.Spec.UID]; j != nil && j.active && !j.countedLate && n.missed(j, now) {
+				j.countedLate = true
 				n.book(j.spec, now, func(c *admission.Count) { c.Late++ })
 			}
 		})
 	}
 	counts := map[admission.Key]admission.Count{}
-	for _, k := range n.admit.served.Short(now) {
+	for _, k := range n.admission.served.Short(now) {
 		if len(counts) == 0 {
-			counts = n.admit.served.Counts(now)
+			counts = n.admission.served.Counts(now)
 		}
 		c := counts[k]
 		n.log.Info("less than half is served in time", "team", k.Team, "class", k.Class, "in_time", c.InTime, "late", c.Late, "started", c.Started,
-			"floor", n.admit.known.Acts().Floor(k))
+			"floor", n.admission.known.Acts().Floor(k))
 	}
 }
 
 // Admit says whether a new job can be taken now by what the state service has room for.
 func (b *userBackend) Admit(s *protocol.Submission) (taken bool, back int) {
 	n := (*Node)(b)
-	wait, rate := n.state.Pressure()
+	wait, rate := n.kvStore.Pressure()
 	now := time.Now()
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	taken, after := n.admit.door.Ask(keyOf(s), s.UID, wait, rate, now)
-	n.admit.served.Book(keyOf(s), now, func(c *admission.Count) {
+	taken, after := n.admission.door.Ask(keyOf(s), s.UID, wait, rate, now)
+	n.admission.served.Book(keyOf(s), now, func(c *admission.Count) {
 		if c.Asked++; taken {
 			c.Accepted++
 		} else {
@@ -396,9 +398,9 @@
 
 // admissionStatus sums up admission for operators.
 func (n *Node) admissionStatus(now time.Time) admission.Status {
-	wait, _ := n.state.Pressure()
-	st := admission.Status{Refused: n.admit.door.Waiting(), Pressure: wait.Seconds()}
-	plan := n.admit.known.Acts()
+	wait, _ := n.kvStore.Pressure()
+	st := admission.Status{Refused: n.admission.door.Waiting(), Pressure: wait.Seconds()}
+	plan := n.admission.known.Acts()
 	if plan != nil {
 		st.Plan, st.Floors, st.Reserved = plan.ID, plan.Floors, held(plan)
 	}
@@ -409,13 +411,13 @@
 		}
 		return keys[k]
 	}
-	for k, c := range n.admit.served.Counts(now) {
+	for k, c := range n.admission.served.Counts(now) {
 		x := of(k)
 		x.Count, x.Share = c, c.Share()
 	}
-	for name, it := range n.items {
+	for name, it := range n.shards {
 		team, ok := teamOf(name)
-		if !ok || it.phase != ready {
+		if !ok || it.phase != shardReady {
 			continue
 		}
 		for class, cpus := range it.team.HeldBy() {
@@ -425,7 +427,7 @@
 			x := of(keyOf(d.Spec))
 			x.Waiting += d.Count + int(d.Beyond/max(d.Spec.CPUs, 1e-9)+0.5)
 			if j := n.jobs[d.Spec.UID]; j != nil {
-				x.Oldest = max(x.Oldest, now.Sub(j.at).Seconds())
+				x.Oldest = max(x.Oldest, now.Sub(j.submittedAt).Seconds())
 			}
 		}
 	}
--- a/internal/controller/barrierprobe.go
+++ b/internal/controller/barrierprobe.go
@@ -64,10 +64,10 @@
 	if !n.entitled(now) {
 		return
 	}
-	if n.probed.term != n.record.Term {
-		n.probed = barrierProbes{term: n.record.Term, asked: map[string]bool{}, unanswered: map[string]bool{}, turns: make(chan struct{}, maxOpenProbes)}
+	if n.probes.term != n.record.Term {
+		n.probes = barrierProbes{term: n.record.Term, asked: map[string]bool{}, unanswered: map[string]bool{}, turns: make(chan struct{}, maxOpenProbes)}
 	}
-	probes := n.probed
+	probes := n.probes
 	for _, name := range slices.Sorted(maps.Keys(addrs)) {
 		m := n.machine(name)
 		if probes.asked[name] || n.homeOf(name) != n.name || m.knowsTerm(probes.term) {
@@ -75,8 +75,8 @@
 		}
 		probes.asked[name] = true
 		session := uint64(1)
-		if m.view != nil {
-			session = m.view.Session
+		if m.status != nil {
+			session = m.status.Incarnation
 		}
 		n.group.Go(func() error {
 			select {
@@ -92,7 +92,7 @@
 
 // knowsTerm says whether a machine is gone, or was heard with a report that knows a term.
 func (m *machine) knowsTerm(term uint64) bool {
-	return m.gone || m.view != nil && m.view.Token >= term
+	return m.gone || m.status != nil && m.status.FencingToken >= term
 }
 
 // probeMachine asks one machine for its report.
@@ -103,15 +103,15 @@
 		if !n.probeNeeded(probes, name) {
 			return
 		}
-		body := protocol.Encode(protocol.Direct{Token: probes.term, Session: session, Commands: []protocol.Command{}})
+		body := protocol.Encode(protocol.DirectCommands{FencingToken: probes.term, Incarnation: session, Commands: []protocol.Command{}})
 		resp, _, err := link.Do(n.ctx, "POST", protocol.PathDo, body, probeTimeout)
-		var report protocol.Report
+		var report protocol.Heartbeat
 		answered := err == nil && readProbeAnswer(resp, name, &report)
 		n.takeProbeAnswer(probes, name, &report, answered)
-		if !answered || resp.Status == 200 || report.Token > probes.term {
+		if !answered || resp.Status == 200 || report.FencingToken > probes.term {
 			return
 		}
-		session = report.Session
+		session = report.Incarnation
 	}
 }
 
@@ -120,23 +120,23 @@
 func (n *Node) probeNeeded(probes barrierProbes, name string) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	current := n.probed.term == probes.term && n.entitled(time.Now()) && n.record.Term == probes.term
+	current := n.probes.term == probes.term && n.entitled(time.Now()) && n.record.Term == probes.term
 	return current && !n.machine(name).knowsTerm(probes.term)
 }
 
 // readProbeAnswer reads the report that a machine of that name answered with.
-func readProbeAnswer(resp *httpx.Response, name string, report *protocol.Report) bool {
+func readProbeAnswer(resp *httpx.Response, name string, report *protocol.Heartbeat) bool {
 	if resp.Status != 200 && resp.Status != 409 {
 		return false
 	}
-	return protocol.Decode(resp.Body, report) == nil && protocol.CheckReport(report) == nil && report.Machine == name
+	return protocol.Decode(resp.Body, report) == nil && protocol.CheckHeartbeat(report) == nil && report.Machine == name
 }
 
 // takeProbeAnswer takes in the report that a machine answered with, or that it did not answer.
-func (n *Node) takeProbeAnswer(probes barrierProbes, name string, report *protocol.Report, answered bool) {
+func (n *Node) takeProbeAnswer(probes barrierProbes, name string, report *protocol.Heartbeat, answered bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if n.probed.term != probes.term || n.record.Term != probes.term {
+	if n.probes.term != probes.term || n.record.Term != probes.term {
 		return
 	}
 	if !answered {
@@ -151,8 +151,8 @@
 // unanswered lists the machines homed here that did not answer a probe and were not heard
 // since.
 func (n *Node) unanswered() (names []string) {
-	for name := range n.probed.unanswered {
-		if !n.machine(name).knowsTerm(n.probed.term) {
+	for name := range n.probes.unanswered {
+		if !n.machine(name).knowsTerm(n.probes.term) {
 			names = append(names, name)
 		}
 	}
--- a/internal/controller/barrierprobe_test.go
+++ b/internal/controller/barrierprobe_test.go
@@ -45,8 +45,8 @@
 	defer cancel()
 	n.group, n.ctx = &errgroup.Group{}, ctx
 	n.record = bare("127.0.0.1:1").record
-	n.record.Nodes = map[string]uint64{"node-a": n.inc, "node-b": 1}
-	n.home.SetTerm(5, func(string) bool { return true })
+	n.record.Nodes = map[string]uint64{"node-a": n.incarnation, "node-b": 1}
+	n.agents.SetTerm(5, func(string) bool { return true })
 	probe := func() {
 		n.mu.Lock()
 		n.onProbe(addrs, time.Now())
@@ -57,7 +57,7 @@
 		n.group = &errgroup.Group{}
 	}
 	probe()
-	if len(n.board) != 0 {
+	if len(n.placeable) != 0 {
 		t.Fatal("probed without being entitled")
 	}
 	n.lease.Renewed(time.Now())
@@ -65,7 +65,7 @@
 	for name := range workers {
 		m := n.machines[name]
 		mine := n.record.Home(name) == n.name
-		if heard := m != nil && m.view != nil && m.view.Token == 5; heard != mine {
+		if heard := m != nil && m.status != nil && m.status.FencingToken == 5; heard != mine {
 			t.Errorf("%s: homed here %v, heard under the term %v", name, mine, heard)
 		}
 	}
@@ -80,20 +80,20 @@
 	}
 	seq := map[string]uint64{}
 	for name, m := range n.machines {
-		if m.view != nil {
-			seq[name] = m.view.Seq
+		if m.status != nil {
+			seq[name] = m.status.Seq
 		}
 	}
 	probe()
 	for name, m := range n.machines {
-		if m.view != nil && m.view.Seq != seq[name] {
+		if m.status != nil && m.status.Seq != seq[name] {
 			t.Errorf("%s was asked again", name)
 		}
 	}
 	if len(seq) < 2 || len(check.Rules()) > 0 || check.Started > 0 {
 		t.Errorf("%d machines heard, rules %v, %d starts", len(seq), check.Rules(), check.Started)
 	}
-	n.hear(&protocol.Report{Machine: "n-000099", Session: 1, Seq: 1, Token: 5, Tasks: []protocol.TaskStatus{}}, time.Now())
+	n.hear(&protocol.Heartbeat{Machine: "n-000099", Incarnation: 1, Seq: 1, FencingToken: 5, Tasks: []protocol.TaskStatus{}}, time.Now())
 	if got := n.unanswered(); slices.Contains(got, "n-000099") {
 		t.Errorf("mute though it reported since: %v", got)
 	}
--- a/internal/controller/capacity_bench_test.go
+++ b/internal/controller/capacity_bench_test.go
@@ -40,9 +40,9 @@
 }
 
 // busyTasks lists so many running tasks of a team's job on a machine.
-func busyTasks(count int) (tasks []jobstate.TaskView) {
+func busyTasks(count int) (tasks []jobstate.TaskStatus) {
 	for i := range count {
-		tasks = append(tasks, jobstate.TaskView{Key: jobstate.Key{Job: "job-000001", Index: i}, Attempt: 1 << 24, State: protocol.Running})
+		tasks = append(tasks, jobstate.TaskStatus{TaskID: jobstate.TaskID{Job: "job-000001", Index: i}, Attempt: 1 << 24, State: protocol.Running})
 	}
 	return tasks
 }
@@ -54,19 +54,19 @@
 			h := agents.New(func(string) (float64, float64, float64, bool) { return 32, 0, 256, true },
 				func(string) (float64, float64, float64) { return 1, 0, 1 })
 			h.SetTerm(1, func(string) bool { return true })
-			r := protocol.Report{Machine: "n-000001", Addr: "127.0.0.1:9000", Type: "m32", Zone: "east", Session: 1, Token: 1}
+			r := protocol.Heartbeat{Machine: "n-000001", Addr: "127.0.0.1:9000", Type: "m32", Zone: "east", Incarnation: 1, FencingToken: 1}
 			for i := range tasks {
 				r.Tasks = append(r.Tasks, protocol.TaskStatus{Task: protocol.TaskName("job-000001", i), Attempt: 1 << 24, State: protocol.Running})
 			}
 			processorTime(b, func() {
 				r.Seq++
 				r.Tasks[0].Attempt++
-				var got protocol.Report
+				var got protocol.Heartbeat
 				if err := protocol.Decode(protocol.Encode(&r), &got); err != nil {
 					b.Fatal(err)
 				}
 				h.Heard(&got, time.Unix(0, 0))
-				peer.Line("views", []*jobstate.View{h.View(r.Machine)})
+				peer.Line("views", []*jobstate.MachineStatus{h.View(r.Machine)})
 			})
 		})
 	}
@@ -84,11 +84,11 @@
 			g := newGrown(c.machines, c.teams)
 			view := *g.views[g.names[0]]
 			view.Tasks = busyTasks(c.tasks)
-			body := protocol.Encode([]*jobstate.View{&view})
+			body := protocol.Encode([]*jobstate.MachineStatus{&view})
 			g.n.mu.Lock()
 			defer g.n.mu.Unlock()
 			processorTime(b, func() {
-				var views []*jobstate.View
+				var views []*jobstate.MachineStatus
 				if err := protocol.Decode(body, &views); err != nil {
 					b.Fatal(err)
 				}
@@ -106,10 +106,10 @@
 	for _, machines := range fleetSizes {
 		b.Run(fmt.Sprintf("machines=%d", machines), func(b *testing.B) {
 			g := newGrown(machines, 17)
-			for _, it := range g.n.items {
-				it.phase, it.since, it.await = barrier, 2, map[string]bool{}
+			for _, it := range g.n.shards {
+				it.phase, it.sinceTerm, it.awaitedMachines = shardBarrier, 2, map[string]bool{}
 				for _, name := range g.names {
-					it.await[name] = true
+					it.awaitedMachines[name] = true
 				}
 			}
 			g.n.mu.Lock()
@@ -148,7 +148,7 @@
 			g.n.mu.Lock()
 			defer g.n.mu.Unlock()
 			processorTime(b, func() {
-				if placement.Choose(g.n.rng, g.n.hosts(g.now, ask), ask, g.n.opt.SampleSize, func(*placement.Host) bool { return false }) == nil {
+				if placement.Choose(g.n.rng, g.n.hosts(g.now, ask), ask, g.n.options.SampleSize, func(*placement.Host) bool { return false }) == nil {
 					b.Fatal("nothing was placed")
 				}
 			})
@@ -170,7 +170,7 @@
 			g.n.mu.Lock()
 			defer g.n.mu.Unlock()
 			processorTime(b, func() {
-				f.Decide(g.n.types, g.n.fleetMachines(account, g.now), nil, nil, g.now, g.now)
+				f.Decide(g.n.machineTypes, g.n.fleetMachines(account, g.now), nil, nil, g.now, g.now)
 			})
 		})
 	}
@@ -190,8 +190,8 @@
 		for i := range c.teams {
 			items = append(items, fmt.Sprintf("team/team-%03d", i))
 		}
-		for item, owner := range leadership.Placement(items, record.Members()) {
-			record.Items[item] = leadership.Item{Owner: owner, Since: 1, InSync: record.Members()}
+		for item, owner := range leadership.AssignOwners(items, record.Members()) {
+			record.Shards[item] = leadership.Shard{Owner: owner, SinceTerm: 1, InSync: record.Members()}
 		}
 		name := fmt.Sprintf("controllers=%d/teams=%d", c.controllers, c.teams)
 		b.Run("proposal/"+name, func(b *testing.B) {
@@ -223,7 +223,7 @@
 	for _, homed := range []int{326, 1000, 2500, 5000} {
 		g := newGrown(homed, 3)
 		for _, name := range g.names {
-			g.n.home.Heard(&protocol.Report{Machine: name, Addr: "127.0.0.1:9000", Type: "m32", Zone: "east", Session: 1, Seq: 1, Token: 1}, g.now)
+			g.n.agents.Heard(&protocol.Heartbeat{Machine: name, Addr: "127.0.0.1:9000", Type: "m32", Zone: "east", Incarnation: 1, Seq: 1, FencingToken: 1}, g.now)
 		}
 		g.n.mu.Lock()
 		s := g.n.status(g.now)
@@ -264,8 +264,8 @@
 		for i := range c.teams {
 			items = append(items, fmt.Sprintf("team/team-%03d", i))
 		}
-		for item, owner := range leadership.Placement(items, record.Members()) {
-			record.Items[item] = leadership.Item{Owner: owner, Since: 1, InSync: record.BackupsOf(item, owner, func(string) bool { return true })}
+		for item, owner := range leadership.AssignOwners(items, record.Members()) {
+			record.Shards[item] = leadership.Shard{Owner: owner, SinceTerm: 1, InSync: record.BackupsOf(item, owner, func(string) bool { return true })}
 		}
 		line := protocol.Encode(recordMsg{1, protocol.Encode(record)})
 		name := fmt.Sprintf("controllers=%d/teams=%d", c.controllers, c.teams)
--- a/internal/controller/catalog.go
+++ b/internal/controller/catalog.go
@@ -23,14 +23,14 @@
 		n.mu.Lock()
 		wait := catalogLife
 		if err == nil && len(types) > 0 {
-			n.types = types
+			n.machineTypes = types
 			n.recount(maps.Keys(n.machines))
 			n.wake()
 		} else {
 			n.log.Info("catalog not read", "err", err)
 			wait = catalogRetry
 		}
-		if n.items[leadership.Fleet] != nil {
+		if n.shards[leadership.FleetShard] != nil {
 			wait = min(wait, ownerCatalogLife)
 		}
 		n.mu.Unlock()
--- a/internal/controller/config_follow.go
+++ b/internal/controller/config_follow.go
@@ -40,23 +40,23 @@
 
 // teams lists the teams as far as known here.
 func (n *Node) teams() []settings.Team {
-	if n.config == nil {
-		return n.set.Deployment.Teams
+	if n.teamConfig == nil {
+		return n.settings.Deployment.Teams
 	}
-	return n.config.teams.Teams()
+	return n.teamConfig.teams.Teams()
 }
 
 // itemNames lists all items: the teams and the fleet.
 func (n *Node) itemNames() []string {
-	names := []string{leadership.Fleet}
+	names := []string{leadership.FleetShard}
 	listed := map[string]bool{}
 	for _, t := range n.teams() {
-		names = append(names, teamItem(t.Name))
-		listed[teamItem(t.Name)] = true
+		names = append(names, teamShard(t.Name))
+		listed[teamShard(t.Name)] = true
 	}
-	if n.config != nil && n.record != nil { // a team that another controller knew of first
-		for name := range n.record.Items {
-			if name != leadership.Fleet && !listed[name] {
+	if n.teamConfig != nil && n.record != nil { // a team that another controller knew of first
+		for name := range n.record.Shards {
+			if name != leadership.FleetShard && !listed[name] {
 				names = append(names, name)
 			}
 		}
@@ -66,7 +66,7 @@
 
 // learnConfig takes in a change of a team's key.
 func (n *Node) learnConfig(e protocol.Change) {
-	if n.config == nil {
+	if n.teamConfig == nil {
 		return
 	}
 	name := strings.TrimPrefix(e.Set+e.Delete, teamstore.Prefix)
@@ -83,8 +83,8 @@
 		n.log.Error("unreadable key in the state service", "key", e.Set, "err", err)
 		return
 	}
-	overruled := len(n.config.teams.Overruled())
-	if n.config.teams.Learn(name, entry, e.Version) {
+	overruled := len(n.teamConfig.teams.Overruled())
+	if n.teamConfig.teams.Learn(name, entry, e.Version) {
 		n.log.Info("team's configuration", "team", name, "number", entry.Number, "version", e.Version, "cpus_max", entry.CPUsMax, "removed", entry.Removed)
 		n.wake()
 		n.tellNow()
@@ -94,24 +94,24 @@
 
 // logOverruled tells of the acknowledged changes after the first so many that lost against others.
 func (n *Node) logOverruled(known int) {
-	for _, x := range n.config.teams.Overruled()[known:] {
+	for _, x := range n.teamConfig.teams.Overruled()[known:] {
 		n.log.Error("acknowledged change of a team's configuration overruled", "team", x.Team, "number", x.Entry.Number, "change", x.Entry.Change)
 	}
 }
 
 // configCurrent books that all watched keys are known up to n.revision, by a read that began at a time.
 func (n *Node) configCurrent(began time.Time) {
-	if n.config != nil && n.trusted() && n.listed {
-		n.config.teams.CaughtUp(n.revision, began)
+	if n.teamConfig != nil && n.trusted() && n.watchedKeysRead {
+		n.teamConfig.teams.CaughtUp(n.followedRevision, began)
 	}
 }
 
 // configListed sees that a full list names every entry known: they are never deleted.
 func (n *Node) configListed(seen map[string]bool) {
-	if n.config == nil {
+	if n.teamConfig == nil {
 		return
 	}
-	for name, version := range n.config.teams.Versions() {
+	for name, version := range n.teamConfig.teams.Versions() {
 		if version > 0 && !seen[teamstore.Prefix+name] {
 			n.doubt("a team's configuration is not there")
 		}
@@ -120,19 +120,19 @@
 
 // configEntered begins to rely on the state service's data anew.
 func (n *Node) configEntered() {
-	if n.config != nil {
-		n.config.teams.Entered()
+	if n.teamConfig != nil {
+		n.teamConfig.teams.Entered()
 	}
 }
 
 // configWitnesses adds the versions of entries to those that a look at the state service compares.
 func (n *Node) configWitnesses(witnesses map[string]uint64) {
-	if n.config == nil {
+	if n.teamConfig == nil {
 		return
 	}
 	const some = 8
-	latest, added := n.config.teams.Latest(), 0
-	for name, version := range n.config.teams.Versions() {
+	latest, added := n.teamConfig.teams.Latest(), 0
+	for name, version := range n.teamConfig.teams.Versions() {
 		if version > 0 && (version == latest || added < some) {
 			witnesses[teamstore.Prefix+name] = version
 			added++
@@ -142,39 +142,39 @@
 
 // configVersion is the version of an entry's key as far as known.
 func (n *Node) configVersion(key string) uint64 {
-	if n.config == nil {
+	if n.teamConfig == nil {
 		return 0
 	}
-	return n.config.teams.Version(strings.TrimPrefix(key, teamstore.Prefix))
+	return n.teamConfig.teams.Version(strings.TrimPrefix(key, teamstore.Prefix))
 }
 
 // tookTeam books that a team was taken over under the control record known here.
 func (n *Node) tookTeam() {
-	if n.config != nil {
-		n.config.teams.Take(n.version)
+	if n.teamConfig != nil {
+		n.teamConfig.teams.Take(n.recordVersion)
 	}
 }
 
 // configReady says whether enough of the configuration is known to start what was taken over.
-func (n *Node) configReady() bool { return n.config == nil || n.config.teams.Ready() }
+func (n *Node) configReady() bool { return n.teamConfig == nil || n.teamConfig.teams.Ready() }
 
 // configure has the own teams' accounts keep to the limits that hold now.
 func (n *Node) configure(now time.Time) {
-	if n.config == nil {
+	if n.teamConfig == nil {
 		return
 	}
-	for name, it := range n.items {
+	for name, it := range n.shards {
 		team, ok := teamOf(name)
 		if !ok || it.team == nil {
 			continue
 		}
-		entry, changed := n.config.teams.Entry(team)
+		entry, changed := n.teamConfig.teams.Entry(team)
 		if !changed {
 			continue
 		}
-		limits, _ := n.config.teams.Limits(team, now)
+		limits, _ := n.teamConfig.teams.Limits(team, now)
 		it.team.SetLimits(limits.CPUs, limits.CPUsMax, limits.GPUs, limits.GPUsMax)
-		if it.phase == ready {
+		if it.phase == shardReady {
 			it.team.StopExcess(entry.StopExcess)
 		}
 	}
@@ -185,27 +185,27 @@
 	if n.record == nil {
 		return &teamconfig.Record{Owner: func(string) string { return "" }}
 	}
-	return &teamconfig.Record{Generation: n.record.Generation, Version: n.version, Members: n.record.Nodes,
-		Owner: func(team string) string { return n.record.Items[teamItem(team)].Owner }}
+	return &teamconfig.Record{Generation: n.record.Epoch, Version: n.recordVersion, Members: n.record.Nodes,
+		Owner: func(team string) string { return n.record.Shards[teamShard(team)].Owner }}
 }
 
 // configWord is what this controller tells its peers, nil if it has nothing to say. It keeps to it from here on.
 func (n *Node) configWord(now time.Time) *teamconfig.Word {
-	if n.config == nil || n.record == nil || !n.trusted() {
+	if n.teamConfig == nil || n.record == nil || !n.trusted() {
 		return nil
 	}
 	n.configure(now)
-	n.config.serial++
-	w := teamconfig.Word{Serial: n.config.serial, Generation: n.generation(), Record: n.version, Known: n.config.teams.Known(), Base: n.config.base}
-	for _, x := range n.config.teams.Open() {
-		if n.record.Items[teamItem(x.Team)].Owner != n.name {
+	n.teamConfig.serial++
+	w := teamconfig.Word{Serial: n.teamConfig.serial, Generation: n.generation(), Record: n.recordVersion, Known: n.teamConfig.teams.Known(), Base: n.teamConfig.base}
+	for _, x := range n.teamConfig.teams.Open() {
+		if n.record.Shards[teamShard(x.Team)].Owner != n.name {
 			continue
 		}
-		if it := n.items[teamItem(x.Team)]; it == nil || it.phase != ready || !it.team.Settled() {
+		if it := n.shards[teamShard(x.Team)]; it == nil || it.phase != shardReady || !it.team.Settled() {
 			w.Unsettled = append(w.Unsettled, x.Team)
 		}
 	}
-	n.config.force.Heard(n.name, n.inc, w)
+	n.teamConfig.force.Heard(n.name, n.incarnation, w)
 	n.configForced(now)
 	return &w
 }
@@ -213,16 +213,16 @@
 // configForced books which changes are in force everywhere, and logs who holds the others up.
 func (n *Node) configForced(now time.Time) {
 	r := n.configRecord()
-	for _, x := range n.config.force.Reach(r, n.config.teams.Open()) {
-		n.config.teams.Forced(x.Team, x.Version)
+	for _, x := range n.teamConfig.force.Reach(r, n.teamConfig.teams.Open()) {
+		n.teamConfig.teams.Forced(x.Team, x.Version)
 		n.log.Info("team's configuration in force everywhere", "team", x.Team, "number", x.Entry.Number, "version", x.Version)
 	}
-	lagging := n.config.force.Lagging(r, n.config.teams.Latest(), now)
-	if len(lagging) > 0 && now.Sub(n.config.logged) > configLogEvery {
+	lagging := n.teamConfig.force.Lagging(r, n.teamConfig.teams.Latest(), now)
+	if len(lagging) > 0 && now.Sub(n.teamConfig.logged) > configLogEvery {
 		for _, b := range lagging {
 			if b.For > configLogEvery.Seconds() {
-				n.config.logged = now
-				n.log.Info("controller behind with the configuration", "controller", b.Node, "known", b.Known, "latest", n.config.teams.Latest(), "for_s", b.For)
+				n.teamConfig.logged = now
+				n.log.Info("controller behind with the configuration", "controller", b.Node, "known", b.Known, "latest", n.teamConfig.teams.Latest(), "for_s", b.For)
 			}
 		}
 	}
@@ -243,20 +243,20 @@
 // onConfigWord takes in a peer's word, and tells the peer what it lacks if it stays behind, as one that
 // the state service refuses.
 func (n *Node) onConfigWord(node string, incarnation uint64, w *teamconfig.Word, now time.Time) {
-	if n.config == nil || w == nil {
+	if n.teamConfig == nil || w == nil {
 		return
 	}
-	n.config.force.Heard(node, incarnation, *w)
+	n.teamConfig.force.Heard(node, incarnation, *w)
 	n.configForced(now)
-	if !n.trusted() || w.Generation != n.generation() || w.Known >= n.config.teams.Latest() {
-		delete(n.config.lagging, node)
+	if !n.trusted() || w.Generation != n.generation() || w.Known >= n.teamConfig.teams.Latest() {
+		delete(n.teamConfig.lagging, node)
 		return
 	}
-	if since := n.config.lagging[node]; since.IsZero() {
-		n.config.lagging[node] = now
+	if since := n.teamConfig.lagging[node]; since.IsZero() {
+		n.teamConfig.lagging[node] = now
 	} else if now.Sub(since) > configTeachAfter {
-		n.config.lagging[node] = now
-		n.links.Send(node, "config", configMsg{w.Generation, n.version, w.Known, n.config.teams.Known(), n.config.teams.Lesson(w.Known)})
+		n.teamConfig.lagging[node] = now
+		n.links.Send(node, "config", configMsg{w.Generation, n.recordVersion, w.Known, n.teamConfig.teams.Known(), n.teamConfig.teams.Lesson(w.Known)})
 	}
 }
 
@@ -264,31 +264,31 @@
 const configTeachAfter = time.Second
 
 func (n *Node) onConfig(m *configMsg) {
-	if n.config == nil || !n.trusted() || n.record == nil || m.Generation != n.generation() {
+	if n.teamConfig == nil || !n.trusted() || n.record == nil || m.Generation != n.generation() {
 		return
 	}
-	n.config.teams.Taught(m.Changes, m.After, m.Known, m.Record, n.version)
+	n.teamConfig.teams.Taught(m.Changes, m.After, m.Known, m.Record, n.recordVersion)
 	n.configure(time.Now())
 	n.wake()
 }
 
 // configMemory is what a peer must know of the configuration after a loss: the entries that the state service may lack.
 func (n *Node) configMemory() []teamconfig.Change {
-	if n.config == nil {
+	if n.teamConfig == nil {
 		return nil
 	}
-	return n.config.teams.Unwritten()
+	return n.teamConfig.teams.Unwritten()
 }
 
 // recallConfig takes in what a peer remembers of the configuration.
 func (n *Node) recallConfig(changes []teamconfig.Change) {
-	if n.config == nil {
+	if n.teamConfig == nil {
 		return
 	}
-	overruled := len(n.config.teams.Overruled())
+	overruled := len(n.teamConfig.teams.Overruled())
 	for _, x := range changes {
 		if teamconfig.ValidTeam(x.Team) && x.Entry.Check() == nil {
-			n.config.teams.Hear(x.Team, x.Entry)
+			n.teamConfig.teams.Hear(x.Team, x.Entry)
 		}
 	}
 	n.logOverruled(overruled)
@@ -299,14 +299,14 @@
 
 // writeBackConfig has the fleet's owner give the state service the entries that it lost.
 func (n *Node) writeBackConfig() {
-	if n.config == nil || n.items[leadership.Fleet] == nil {
+	if n.teamConfig == nil || n.shards[leadership.FleetShard] == nil {
 		return
 	}
-	for _, x := range n.config.teams.Unwritten() {
-		if n.config.writing[x.Team] || len(n.config.writing) >= configWritesOpen {
+	for _, x := range n.teamConfig.teams.Unwritten() {
+		if n.teamConfig.writing[x.Team] || len(n.teamConfig.writing) >= configWritesOpen {
 			continue
 		}
-		n.config.writing[x.Team] = true
+		n.teamConfig.writing[x.Team] = true
 		n.group.Go(func() error {
 			n.writeConfig(x)
 			return nil
@@ -316,13 +316,13 @@
 
 func (n *Node) writeConfig(x teamconfig.Change) {
 	key, value := teamstore.Prefix+x.Team, protocol.Encode(x.Entry)
-	version, err := n.state.Commit(n.ctx, kvstore.Update{Guards: []protocol.Guard{{Key: key, Version: x.Version}}, Ops: []protocol.Op{{Set: key, Value: value}}})
+	version, err := n.kvStore.Commit(n.ctx, kvstore.Update{Guards: []protocol.Condition{{Key: key, Version: x.Version}}, Ops: []protocol.Op{{Set: key, Value: value}}})
 	if err != nil && !errors.Is(err, kvstore.ErrConflict) { // on a conflict the watch tells what is there
 		pause(n.ctx, 200*time.Millisecond)
 	}
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	delete(n.config.writing, x.Team)
+	delete(n.teamConfig.writing, x.Team)
 	if err == nil {
 		n.log.Info("team's configuration written back", "team", x.Team, "number", x.Entry.Number, "version", version)
 		n.learnConfig(protocol.Change{Set: key, Value: value, Version: version})
@@ -336,17 +336,17 @@
 func (b *configTenants) Team(name string) (settings.Team, bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return b.config.teams.Takes(name)
+	return b.teamConfig.teams.Takes(name)
 }
 
 // Rests names what an acceptance for a team rests on: its configuration as known here.
-func (b *configTenants) Rests(name string) []protocol.Guard {
+func (b *configTenants) Rests(name string) []protocol.Condition {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if !teamconfig.ValidTeam(name) {
 		return nil
 	}
-	return []protocol.Guard{{Key: teamstore.Prefix + name, Version: b.config.teams.Version(name)}}
+	return []protocol.Condition{{Key: teamstore.Prefix + name, Version: b.teamConfig.teams.Version(name)}}
 }
 
 var _ userapi.Tenants = (*configTenants)(nil)
@@ -376,15 +376,15 @@
 }
 
 func (n *Node) configStatus(now time.Time) *configOverview {
-	if n.config == nil {
+	if n.teamConfig == nil {
 		return nil
 	}
 	n.configWord(now) // its own word is heard, so that alone it is up to date too
-	r, c := n.configRecord(), n.config.teams
-	lost := n.record != nil && n.record.Lost
-	o := &configOverview{Known: c.Known(), Fresh: c.Fresh(now), Latest: c.Latest(), Reached: n.config.force.Reached(r), Record: r.Version,
-		Behind: n.config.force.Lagging(r, c.Latest(), now), Unwritten: len(c.Unwritten()), Lacks: lost, Overruled: c.Overruled(),
-		Strangers: n.config.force.Strangers(n.config.base), Changes: c.InForce(), Open: []openChange{}}
+	r, c := n.configRecord(), n.teamConfig.teams
+	lost := n.record != nil && n.record.DataLost
+	o := &configOverview{Known: c.Known(), Fresh: c.Fresh(now), Latest: c.Latest(), Reached: n.teamConfig.force.Reached(r), Record: r.Version,
+		Behind: n.teamConfig.force.Lagging(r, c.Latest(), now), Unwritten: len(c.Unwritten()), Lacks: lost, Overruled: c.Overruled(),
+		Strangers: n.teamConfig.force.Strangers(n.teamConfig.base), Changes: c.InForce(), Open: []openChange{}}
 	if age, known := c.Age(now); known {
 		seconds := age.Seconds()
 		o.Age = &seconds
--- a/internal/controller/config_test.go
+++ b/internal/controller/config_test.go
@@ -317,13 +317,13 @@
 func TestNothingFollowedByDefault(t *testing.T) {
 	n := newGrown(2, 1).n
 	now := time.Now()
-	n.listed = true
+	n.watchedKeysRead = true
 	n.changed(protocol.Change{Set: teamstore.Prefix + "team-0", Value: []byte(`{"number":1,"change":"x","cpus_max":1}`), Version: 9})
 	n.configure(now)
-	if s := n.status(now); n.config != nil || s.Config != nil || n.configMemory() != nil {
+	if s := n.status(now); n.teamConfig != nil || s.Config != nil || n.configMemory() != nil {
 		t.Error("the configuration is followed")
 	}
-	if len(n.witnesses()) != len(n.roster.Versions()) || len(n.itemNames()) != 2 || n.items[teamItem("team-0")].team.MaxCPUs != 10000 {
+	if len(n.witnesses()) != len(n.roster.Versions()) || len(n.itemNames()) != 2 || n.shards[teamShard("team-0")].team.MaxCPUs != 10000 {
 		t.Errorf("witnesses %v, items %v", n.witnesses(), n.itemNames())
 	}
 }
--- a/internal/controller/control.go
+++ b/internal/controller/control.go
@@ -35,20 +35,20 @@
 	for {
 		wait := every
 		n.mu.Lock()
-		grant, shown := n.grant, n.store.shown
-		n.store.shown = true // unless something says meanwhile that it is not
+		grant, shown := n.leaseID, n.recovery.shown
+		n.recovery.shown = true // unless something says meanwhile that it is not
 		n.mu.Unlock()
 		sent := time.Now()
 		var err error
 		if grant == 0 {
 			shown = false
-			if grant, err = n.state.Grant(ctx, n.lease.Life); err == nil {
+			if grant, err = n.kvStore.Grant(ctx, n.lease.Life); err == nil {
 				n.mu.Lock()
-				n.grant = grant
+				n.leaseID = grant
 				n.mu.Unlock()
 			}
 		} else if shown {
-			err = n.state.Extend(ctx, grant)
+			err = n.kvStore.Extend(ctx, grant)
 		}
 		if err == nil && !shown {
 			if err = n.show(ctx, grant); err == nil {
@@ -57,17 +57,17 @@
 			}
 		}
 		n.mu.Lock()
-		n.store.shown = n.store.shown && shown
+		n.recovery.shown = n.recovery.shown && shown
 		switch {
 		case err == nil:
 			n.lease.Renewed(sent)
-			n.renewed = sent
+			n.leaseRenewedAt = sent
 		case errors.Is(err, kvstore.ErrNoLease):
 			n.log.Info("lease ended at the state service", "lease", grant)
-			if sent.Sub(n.renewed) < n.lease.Life*9/10 && n.lease.Valid(sent) {
+			if sent.Sub(n.leaseRenewedAt) < n.lease.Life*9/10 && n.lease.Valid(sent) {
 				n.doubt("a lease is gone that cannot have ended")
 			}
-			n.grant = 0
+			n.leaseID = 0
 			n.lease.Lost()
 			wait = 20 * time.Millisecond
 		default:
@@ -78,7 +78,7 @@
 		t := time.NewTimer(wait)
 		select {
 		case <-t.C:
-		case <-n.store.again:
+		case <-n.recovery.again:
 		case <-ctx.Done():
 		}
 		if t.Stop(); ctx.Err() != nil {
@@ -90,17 +90,17 @@
 // show writes this process's key. The write is guarded by the key's version, so
 // that a late one of an earlier process changes nothing.
 func (n *Node) show(ctx context.Context, grant uint64) error {
-	e, err := n.state.GetControl(ctx, nodeKey+n.name)
+	e, err := n.kvStore.GetControl(ctx, nodeKey+n.name)
 	if err != nil {
 		return err
 	}
-	guard := protocol.Guard{Key: nodeKey + n.name}
+	guard := protocol.Condition{Key: nodeKey + n.name}
 	if e != nil {
 		guard.Version = e.Version
 	}
-	_, _, err = n.state.TxnControl(ctx, protocol.Txn{
-		Guards: []protocol.Guard{guard},
-		Then:   []protocol.Op{{Set: nodeKey + n.name, Value: protocol.Encode(present{n.inc}), Lease: grant}},
+	_, _, err = n.kvStore.TxnControl(ctx, protocol.Txn{
+		Conditions: []protocol.Condition{guard},
+		Then:       []protocol.Op{{Set: nodeKey + n.name, Value: protocol.Encode(present{n.incarnation}), Lease: grant}},
 	})
 	return err
 }
@@ -114,7 +114,7 @@
 		if !listed {
 			var entries []protocol.Entry
 			var revision uint64
-			if entries, revision, err = n.state.List(ctx, userapi.Watched); err == nil {
+			if entries, revision, err = n.kvStore.List(ctx, userapi.Watched); err == nil {
 				n.mu.Lock()
 				if listed = n.takeList(entries, revision); listed {
 					n.knows(began)
@@ -126,12 +126,12 @@
 			}
 		} else {
 			n.mu.Lock()
-			after := n.revision
+			after := n.followedRevision
 			watch, cancel := context.WithCancel(ctx)
-			n.store.rewatch = cancel // what is watched ends with the generation
+			n.recovery.rewatch = cancel // what is watched ends with the generation
 			n.mu.Unlock()
 			var ch *protocol.Changes
-			ch, err = n.state.Watch(watch, userapi.Watched, after)
+			ch, err = n.kvStore.Watch(watch, userapi.Watched, after)
 			cancel()
 			if err == nil {
 				n.mu.Lock()
@@ -157,9 +157,9 @@
 		seen[e.Key] = true
 		n.changed(protocol.Change{Set: e.Key, Value: e.Value, Version: e.Version})
 	}
-	for name := range n.live {
+	for name := range n.presences {
 		if !seen[nodeKey+name] {
-			delete(n.live, name)
+			delete(n.presences, name)
 		}
 	}
 	for uid, j := range n.jobs {
@@ -175,7 +175,7 @@
 		}
 	}
 	n.configListed(seen)
-	n.listed, n.revision = true, revision
+	n.watchedKeysRead, n.followedRevision = true, revision
 	n.recount(maps.Keys(n.machines)) // jobs may be known now that machines listed before
 }
 
@@ -192,18 +192,18 @@
 		}
 		n.learnRecord(&r, e.Version)
 	case strings.HasPrefix(key, datarecovery.StoreKey):
-		delete(n.store.markers, key)
+		delete(n.recovery.markers, key)
 		if e.Delete == "" {
-			n.store.markers[key] = e.Version
+			n.recovery.markers[key] = e.Version
 			n.refence()
-		} else if n.record != nil && key == datarecovery.StoreKey+n.record.Store {
+		} else if n.record != nil && key == datarecovery.StoreKey+n.record.StoreID {
 			n.doubt("the generation's key was deleted")
 		}
 	case strings.HasPrefix(key, nodeKey):
 		name := key[len(nodeKey):]
 		if e.Delete != "" {
-			if n.live[name].Version <= e.Version {
-				delete(n.live, name)
+			if n.presences[name].Version <= e.Version {
+				delete(n.presences, name)
 			}
 			return
 		}
@@ -212,12 +212,12 @@
 			bad(err)
 			return
 		}
-		if n.live[name].Version < e.Version {
-			n.live[name] = leadership.Presence{Incarnation: p.Incarnation, Version: e.Version}
+		if n.presences[name].Version < e.Version {
+			n.presences[name] = leadership.Presence{Incarnation: p.Incarnation, Version: e.Version}
 		}
 	case strings.HasPrefix(key, userapi.JobKey):
 		if e.Delete != "" {
-			delete(n.store.bury, key[len(userapi.JobKey):])
+			delete(n.recovery.bury, key[len(userapi.JobKey):])
 			n.endJob(key[len(userapi.JobKey):])
 			return
 		}
@@ -242,24 +242,24 @@
 
 // learnRecord takes in a control record as the state service has it under a version.
 func (n *Node) learnRecord(r *leadership.Record, version uint64) {
-	if n.record != nil && r.Generation > n.record.Generation {
-		n.store.watch.Newer(r.Generation) // all is read anew before anything rests on it
+	if n.record != nil && r.Epoch > n.record.Epoch {
+		n.recovery.watch.Newer(r.Epoch) // all is read anew before anything rests on it
 		return
 	}
-	if n.record != nil && version <= n.version {
+	if n.record != nil && version <= n.recordVersion {
 		return // read before the one known was written
 	}
-	if n.record != nil && (r.Generation < n.record.Generation || r.Term < n.record.Term || r.Generation == n.record.Generation && r.Store != n.record.Store) {
+	if n.record != nil && (r.Epoch < n.record.Epoch || r.Term < n.record.Term || r.Epoch == n.record.Epoch && r.StoreID != n.record.StoreID) {
 		// A store that went back and on again, past the revision that was seen, or one that
 		// was begun anew by a process that found none.
 		n.doubt("the control record is older than the one known")
 		return
 	}
-	if n.record != nil && r.After != 0 && r.After < n.version {
+	if n.record != nil && r.PreviousVersion != 0 && r.PreviousVersion < n.recordVersion {
 		// Written past the revision that was seen, over a store that had gone back: the versions
 		// that were given in between are given again, and no comparison shows the loss any more.
-		n.store.unchained = true
-		n.store.saw = true
+		n.recovery.unchained = true
+		n.recovery.saw = true
 		n.doubt("the control record does not follow the one known")
 		return
 	}
@@ -268,76 +268,76 @@
 
 // adopt takes up a control record.
 func (n *Node) adopt(r *leadership.Record, version uint64) {
-	if version <= n.version {
+	if version <= n.recordVersion {
 		return
 	}
-	if version > n.unsure {
-		n.unsure = 0 // a change that is still on its way will meet another version
+	if version > n.unansweredVersion {
+		n.unansweredVersion = 0 // a change that is still on its way will meet another version
 	}
 	old := n.record
-	n.record, n.version = r, version
+	n.record, n.recordVersion = r, version
 	now := time.Now()
 	if old == nil || old.Term != r.Term {
-		if old == nil || !maps.Equal(old.Nodes, r.Nodes) || !slices.Equal(old.Deaf, r.Deaf) {
-			n.settled = now
+		if old == nil || !maps.Equal(old.Nodes, r.Nodes) || !slices.Equal(old.Unreachable, r.Unreachable) {
+			n.membershipSettledAt = now
 		}
-		n.bumped = now
-		n.log.Info("control record", "term", r.Term, "members", r.Members(), "items", r.Items)
-		n.home.SetTerm(r.Term, func(m string) bool { return r.Home(m) == n.name })
+		n.termChangedAt = now
+		n.log.Info("control record", "term", r.Term, "members", r.Members(), "items", r.Shards)
+		n.agents.SetTerm(r.Term, func(m string) bool { return r.Home(m) == n.name })
 		defer func() { // once the items are those of this record
-			for _, name := range slices.Sorted(maps.Keys(n.home.All())) {
+			for _, name := range slices.Sorted(maps.Keys(n.agents.All())) {
 				n.noteView(name)
 			}
 		}()
-		for name, d := range n.doers {
-			if n.home.Get(name) == nil {
-				delete(n.doers, name)
+		for name, d := range n.commandSenders {
+			if n.agents.Get(name) == nil {
+				delete(n.commandSenders, name)
 				close(d.signal)
 			}
 		}
 	}
-	if old != nil && old.Lost && !r.Lost && n.store.read {
-		n.store.whole = true // what is known is all that there will be
+	if old != nil && old.DataLost && !r.DataLost && n.recovery.read {
+		n.recovery.whole = true // what is known is all that there will be
 	}
-	if r.Generation > 0 && (old == nil || old.Generation != r.Generation) {
-		n.store.watch.Entered(r.Generation, now)
+	if r.Epoch > 0 && (old == nil || old.Epoch != r.Epoch) {
+		n.recovery.watch.Entered(r.Epoch, now)
 		n.generationBegan(r)
 	}
-	if old != nil && old.Census && !r.Census {
+	if old != nil && old.RosterIncomplete && !r.RosterIncomplete {
 		n.loadAnew()
 	}
-	mine := r.Nodes[n.name] == n.inc
-	for name, it := range r.Items {
-		have := n.items[name]
+	mine := r.Nodes[n.name] == n.incarnation
+	for name, it := range r.Shards {
+		have := n.shards[name]
 		own := mine && it.Owner == n.name
-		if have != nil && (!own || have.since != it.Since) {
-			if have.phase == ready && mine {
-				n.backups[name] = &backup{since: it.Since, rep: have.team.Replica()}
+		if have != nil && (!own || have.sinceTerm != it.SinceTerm) {
+			if have.phase == shardReady && mine {
+				n.replicas[name] = &heldReplica{since: it.SinceTerm, rep: have.team.Replica()}
 			}
 			n.log.Info("item given up", "item", name, "owner", it.Owner, "term", r.Term)
-			delete(n.items, name)
+			delete(n.shards, name)
 			n.recount(slices.Values(have.team.Machines()))
 			have = nil
 		}
 		if own && have == nil {
 			n.takeUp(name, it)
 		} else if own {
-			have.frozen = false
-			have.adding = nil
+			have.handingOver = false
+			have.addingReplicas = nil
 			if have.team != nil {
 				have.team.SetTerm(r.Term)
 			}
 		}
 	}
 	if !mine {
-		n.backups = map[string]*backup{}
+		n.replicas = map[string]*heldReplica{}
 	}
 	n.wake()
 }
 
 // refresh reads the control record now, after a hint that it has changed.
 func (n *Node) refresh(ctx context.Context) error {
-	e, err := n.state.GetControl(ctx, controlKey)
+	e, err := n.kvStore.GetControl(ctx, controlKey)
 	if err != nil || e == nil {
 		return err
 	}
@@ -350,7 +350,7 @@
 // hint asks for a fresh read of the control record.
 func (n *Node) hint() {
 	select {
-	case n.renew <- struct{}{}:
+	case n.recordHints <- struct{}{}:
 	default:
 	}
 }
--- a/internal/controller/demand_test.go
+++ b/internal/controller/demand_test.go
@@ -16,9 +16,9 @@
 		oneZone bool
 		bound   bool
 	}{
-		"array that shares a zone": {protocol.Batch, true, true},
+		"array that shares a zone": {protocol.JobArray, true, true},
 		"service that does":        {protocol.Service, true, true},
-		"array anywhere":           {protocol.Batch, false, false},
+		"array anywhere":           {protocol.JobArray, false, false},
 	} {
 		g := newGrown(2, 1) // of 32 CPUs, in a zone each
 		n := g.n
@@ -27,7 +27,7 @@
 		n.mu.Lock()
 		n.learnJob(userapi.Stored{At: g.now.UnixMilli(), Spec: spec}, 1)
 		n.place(g.now.Add(100 * time.Millisecond))
-		team, demands := n.items[teamItem("team-0")].team, n.demands(g.now)
+		team, demands := n.shards[teamShard("team-0")].team, n.demands(g.now)
 		n.mu.Unlock()
 		if len(demands) != 1 || demands[0].Count == 0 {
 			t.Fatalf("%s: demands %+v", what, demands)
--- a/internal/controller/fleetview.go
+++ b/internal/controller/fleetview.go
@@ -27,7 +27,7 @@
 	n.recountMoved()
 	known := func(yield func(string) bool) {
 		for name, m := range n.machines {
-			if !m.gone && (m.view != nil || n.roster.Has(name)) && !yield(name) {
+			if !m.gone && (m.status != nil || n.roster.Has(name)) && !yield(name) {
 				return
 			}
 		}
@@ -49,23 +49,23 @@
 
 // observeMachine is what the controllers know of a machine.
 func (n *Node) observeMachine(m *machine, name string, now time.Time) provisioning.Observation {
-	observed := provisioning.Observation{Reported: m.view != nil, Machine: autoscaler.Machine{
+	observed := provisioning.Observation{Reported: m.status != nil, Machine: autoscaler.Machine{
 		Name:       name,
 		Heard:      m.lastHeard(),
-		Idle:       m.idle,
+		Idle:       m.idleSince,
 		Registered: n.roster.Has(name),
-		Faulty:     n.blame.Bad(name, now),
+		Faulty:     n.quarantine.Bad(name, now),
 	}}
-	if m.view == nil {
+	if m.status == nil {
 		return observed
 	}
 	x := &observed.Machine
 	x.HomeUnheard = n.homeUnheard(name, now)
-	x.Type, x.Zone, x.Spot, x.SpotNotice = m.view.Type, m.view.Zone, m.view.Spot, m.view.Notice
+	x.Type, x.Zone, x.Spot, x.SpotNotice = m.status.Type, m.status.Zone, m.status.Spot, m.status.Notice
 	if n.count(m) {
 		x.CPUs, x.GPUs, x.Mem = m.host.CPUs, m.host.GPUs, m.host.Memory
 	}
-	for _, task := range m.view.Tasks {
+	for _, task := range m.status.Tasks {
 		if j := n.jobs[task.Job]; j != nil && task.State != protocol.Exited {
 			x.Slots = append(x.Slots, slotOf(m, j.spec, task.Ref(), now))
 		}
@@ -74,11 +74,11 @@
 }
 
 // slotOf is the room that a task on a machine takes, and for how long it probably does.
-func slotOf(m *machine, spec *protocol.Submission, ref jobstate.Ref, now time.Time) autoscaler.Slot {
+func slotOf(m *machine, spec *protocol.Submission, ref jobstate.AttemptRef, now time.Time) autoscaler.Slot {
 	left := max(spec.Estimate, 1)
 	if spec.Kind == protocol.Service {
 		left = autoscaler.EndlessRun
-	} else if since, running := m.running[ref]; running {
+	} else if since, running := m.runningSince[ref]; running {
 		left = max(left-now.Sub(since).Seconds(), left/8)
 	}
 	return autoscaler.Slot{CPUs: spec.CPUs, GPUs: spec.GPUs, Mem: spec.Memory, Left: left, Pinned: !spec.Spot}
@@ -88,10 +88,10 @@
 // reports in vain to other controllers is alive, whatever its home says; a machine that never
 // reported to its home counts from there.
 func (m *machine) lastHeard() time.Time {
-	if m.heard.IsZero() {
-		return m.heard
+	if m.heardAt.IsZero() {
+		return m.heardAt
 	}
-	return later(m.heard, m.came)
+	return later(m.heardAt, m.misdirectedAt)
 }
 
 // homeUnheard says whether a machine's home is another member that holds its lease but is not
@@ -100,7 +100,7 @@
 func (n *Node) homeUnheard(name string, now time.Time) bool {
 	home := n.homeOf(name)
 	p := n.peers[home]
-	return p != nil && n.live[home].Incarnation == n.record.Nodes[home] && !p.near(now)
+	return p != nil && n.presences[home].Incarnation == n.record.Nodes[home] && !p.isHeard(now)
 }
 
 // awaited is the machines that any owner's barrier waits for, and those that did not answer
@@ -115,9 +115,9 @@
 	add(awaited, n.awaits())
 	add(mute, n.unanswered())
 	for _, p := range n.peers {
-		if now.Sub(p.heard) < peerWordLife {
-			add(awaited, p.awaits)
-			add(mute, p.mute)
+		if now.Sub(p.heardAt) < peerWordLife {
+			add(awaited, p.awaitedMachines)
+			add(mute, p.unansweredMachines)
 		}
 	}
 	return awaited, mute
@@ -127,7 +127,7 @@
 func (n *Node) fleetDemands(now time.Time) []autoscaler.Demand {
 	list := n.appendFleetDemands(nil, n.demands(now), now)
 	for _, name := range slices.Sorted(maps.Keys(n.peers)) {
-		if p := n.peers[name]; now.Sub(p.heard) < peerWordLife && p.entitled {
+		if p := n.peers[name]; now.Sub(p.heardAt) < peerWordLife && p.entitled {
 			list = n.appendFleetDemands(list, p.demands, now)
 		}
 	}
@@ -166,7 +166,7 @@
 func (n *Node) inflow(now time.Time) autoscaler.Inflow {
 	in := autoscaler.Inflow{}
 	for _, j := range n.jobs {
-		if j.spec.Kind != protocol.Service && !j.at.IsZero() && now.Sub(j.at) < inflowOver {
+		if j.spec.Kind != protocol.Service && !j.submittedAt.IsZero() && now.Sub(j.submittedAt) < inflowOver {
 			in[protocol.Rank(j.spec.Priority)] += float64(j.spec.Tasks) * j.spec.CPUs * j.spec.Estimate / inflowOver.Seconds()
 		}
 	}
@@ -177,12 +177,12 @@
 // worth more machines at once than a new one takes to come up.
 func (n *Node) due(j *job, now time.Time) time.Time {
 	goal, late := n.goal(j, now)
-	haste := time.Duration(n.opt.Haste * float64(j.spec.RunTime()))
+	haste := time.Duration(n.options.Haste * float64(j.spec.RunTime()))
 	switch {
 	case late:
 		return now.Add(haste + time.Minute)
 	case len(n.goals(j)) == 0:
-		return j.at.Add(haste + 5*time.Second)
+		return j.submittedAt.Add(haste + 5*time.Second)
 	}
 	return goal
 }
@@ -211,20 +211,20 @@
 func (n *Node) summarise(machines []autoscaler.Machine, demands []autoscaler.Demand, now time.Time) (s fleetSummary) {
 	for i := range machines {
 		m := n.machines[machines[i].Name]
-		if m.view == nil {
+		if m.status == nil {
 			continue
 		}
 		s.up++
 		if machines[i].Spot {
 			s.spot++
 		}
-		if now.Sub(m.heard) > n.vainFor() {
+		if now.Sub(m.heardAt) > n.vainFor() {
 			s.silent++
 		}
-		cpus, _, _, _ := n.capacity(m.view.Type)
+		cpus, _, _, _ := n.capacity(m.status.Type)
 		s.freeCPUs += machines[i].CPUs
 		s.allCPUs += cpus
-		for _, task := range m.view.Tasks {
+		for _, task := range m.status.Tasks {
 			switch task.State {
 			case protocol.Pulling:
 				s.pulling++
--- a/internal/controller/gangpreemption.go
+++ b/internal/controller/gangpreemption.go
@@ -14,8 +14,8 @@
 // preemptForGangs has tasks of lower priority stopped for the most urgent waiting gang of each own team, one gang at a time. A
 // gang beyond its team's guarantee stops tasks of its own team only.
 func (n *Node) preemptForGangs(p *placing) {
-	for _, it := range n.items {
-		if it.phase != ready || it.frozen || it.name == leadership.Fleet || !it.team.HoldsRoom() || !it.team.HoldsQuota() {
+	for _, it := range n.shards {
+		if it.phase != shardReady || it.handingOver || it.name == leadership.FleetShard || !it.team.HoldsRoom() || !it.team.HoldsQuota() {
 			continue
 		}
 		if w := p.firstGang(it); w != nil && p.now.Sub(w.submitted) > preemptionDelay && protocol.Rank(w.spec.Priority) > 0 && !w.spec.Spread {
@@ -26,7 +26,7 @@
 
 // firstGang is the most urgent gang of a team that found no room, or else the first that waits for quota; nil if there is none.
 // One that can reach no goal any more stops nobody: what is stopped for it might still have reached its own.
-func (p *placing) firstGang(it *item) *waitingTasks {
+func (p *placing) firstGang(it *shard) *waitingTasks {
 	for i := range p.short {
 		if w := &p.short[i]; w.it == it && w.spec.Kind == protocol.Gang && !w.probe && !p.missed(w.spec.UID) {
 			return w
@@ -38,7 +38,7 @@
 			return
 		}
 		if j := p.n.jobs[job.Spec.UID]; j != nil && j.active && !p.missed(job.Spec.UID) {
-			first = &waitingTasks{claim: claim{it, job}, spec: job.Spec, borrowed: true, submitted: j.at}
+			first = &waitingTasks{claim: claim{it, job}, spec: job.Spec, borrowed: true, submitted: j.submittedAt}
 		}
 	})
 	return first
@@ -72,7 +72,7 @@
 	for _, stop := range stops {
 		for _, v := range stop.Victims {
 			ref := look.tasks[v.ID].ref
-			n.evicting[ref] = eviction{job: w.spec.UID, at: p.now, machine: look.hosts[stop.Machine].Name, slots: stop.Slots}
+			n.evictions[ref] = eviction{job: w.spec.UID, at: p.now, machine: look.hosts[stop.Machine].Name, slots: stop.Slots}
 			n.evict(evictMsg{Ref: ref, For: w.spec.UID})
 		}
 	}
@@ -119,12 +119,12 @@
 
 // spares counts a task as stopped and says whether its class keeps its floor without it and without those that were counted before.
 func (n *Node) spares(s *protocol.Submission, counted map[admission.Key]float64) bool {
-	floor := n.admit.known.Acts().Floor(keyOf(s))
+	floor := n.admission.known.Acts().Floor(keyOf(s))
 	if floor <= 0 {
 		return true
 	}
 	key := keyOf(s)
-	if n.admit.runs[key]-counted[key]-s.CPUs < floor {
+	if n.admission.runs[key]-counted[key]-s.CPUs < floor {
 		return false
 	}
 	counted[key] += s.CPUs
@@ -134,7 +134,7 @@
 // gangSlots is where tasks are being stopped for a gang, and how many of its tasks are to run there.
 func (n *Node) gangSlots(uid string) map[string]int {
 	slots := map[string]int{}
-	for _, e := range n.evicting {
+	for _, e := range n.evictions {
 		if e.job == uid && e.machine != "" {
 			slots[e.machine] = e.slots
 		}
--- a/internal/controller/gangs.go
+++ b/internal/controller/gangs.go
@@ -31,7 +31,7 @@
 		return []int{anyZone}
 	}
 	var zones []int
-	for zone := range n.set.Deployment.Zones {
+	for zone := range n.settings.Deployment.Zones {
 		zones = append(zones, zone)
 	}
 	return zones
@@ -41,7 +41,7 @@
 func (p *placing) placeGangIn(zone int, w *waitingTasks, ask *placement.Ask, missing []int, attempt uint64) bool {
 	taken := p.roomForGang(zone, w, ask, missing)
 	if len(taken) == len(missing) {
-		spots := map[int]jobstate.Spot{}
+		spots := map[int]jobstate.Location{}
 		for index, h := range taken {
 			spots[index] = p.n.spot(h)
 			h.Images[ask.Image] = true
@@ -61,7 +61,7 @@
 	rule := p.n.zoneRule(w)
 	taken := map[int]*placement.Host{}
 	for _, index := range missing {
-		h := placement.Choose(p.n.rng, p.hosts, ask, p.n.opt.SampleSize, func(h *placement.Host) bool {
+		h := placement.Choose(p.n.rng, p.hosts, ask, p.n.options.SampleSize, func(h *placement.Host) bool {
 			return (zone != anyZone && h.Zone != zone) || w.own.Avoids(h.Name, p.now) || !rule.allows(h)
 		})
 		if h == nil {
@@ -135,8 +135,8 @@
 func (r *gangReservation) bestZone(missing int) (best int, found bool) {
 	n, spec := r.p.n, r.w.spec
 	empty, free := map[int]int{}, map[int]int{} // how many tasks fit, by zone
-	for _, m := range n.board {
-		if cpus, gpus, memory, ok := n.capacity(m.view.Type); ok && !m.gone && r.accepts(&m.host) {
+	for _, m := range n.placeable {
+		if cpus, gpus, memory, ok := n.capacity(m.status.Type); ok && !m.gone && r.accepts(&m.host) {
 			empty[r.zoneOf(&m.host)] += spec.Times(cpus, gpus, memory)
 		}
 	}
--- a/internal/controller/goals.go
+++ b/internal/controller/goals.go
@@ -15,11 +15,11 @@
 		return j.goals
 	}
 	j.goals = jobstate.Goals{}
-	add := func(seconds float64) { j.goals = append(j.goals, j.at.Add(settings.Seconds(seconds))) }
+	add := func(seconds float64) { j.goals = append(j.goals, j.submittedAt.Add(settings.Seconds(seconds))) }
 	if j.spec.Deadline != nil {
 		add(*j.spec.Deadline)
 	}
-	for _, o := range n.set.Deployment.Objectives {
+	for _, o := range n.settings.Deployment.Objectives {
 		switch {
 		case o.Class != j.spec.Class:
 		case o.Kind == "finished" && o.Within > 0:
@@ -39,7 +39,7 @@
 func (n *Node) goal(j *job, now time.Time) (goal time.Time, late bool) {
 	goals := n.goals(j)
 	if len(goals) == 0 {
-		return j.at.Add(far), false
+		return j.submittedAt.Add(far), false
 	}
 	return goals.Next(now, j.spec.RunTime())
 }
@@ -47,8 +47,8 @@
 // startBy is when tasks of a job's class should have started; false if nobody said,
 // or if it is too late for that.
 func (n *Node) startBy(j *job, now time.Time) (time.Time, bool) {
-	for _, o := range n.set.Deployment.Objectives {
-		if by := j.at.Add(settings.Seconds(o.Within)); o.Kind == "wait" && o.Class == j.spec.Class && o.Within > 0 && !now.After(by) {
+	for _, o := range n.settings.Deployment.Objectives {
+		if by := j.submittedAt.Add(settings.Seconds(o.Within)); o.Kind == "wait" && o.Class == j.spec.Class && o.Within > 0 && !now.After(by) {
 			return by, true
 		}
 	}
@@ -58,7 +58,7 @@
 // promptly is when work within a guarantee should have started, of a job that
 // came at a time; false if nobody said.
 func (n *Node) promptly(came, now time.Time) (time.Time, bool) {
-	for _, o := range n.set.Deployment.Objectives {
+	for _, o := range n.settings.Deployment.Objectives {
 		if by := came.Add(settings.Seconds(o.Within)); o.Kind == "guarantee" && o.Within > 0 && !now.After(by) {
 			return by, true
 		}
--- a/internal/controller/grown_test.go
+++ b/internal/controller/grown_test.go
@@ -29,8 +29,8 @@
 	rng     *rand.Rand
 	now     time.Time
 	names   []string
-	views   map[string]*jobstate.View
-	ends    map[jobstate.Ref]time.Time
+	views   map[string]*jobstate.MachineStatus
+	ends    map[jobstate.AttemptRef]time.Time
 	jobs    int
 	started int
 }
@@ -48,15 +48,15 @@
 		s.Deployment.Teams = append(s.Deployment.Teams, t)
 	}
 	g := &grown{n: New(s, settings.DefaultOptions(), slog.New(slog.DiscardHandler)), rng: rand.New(rand.NewPCG(3, 4)), now: time.Now(),
-		views: map[string]*jobstate.View{}, ends: map[jobstate.Ref]time.Time{}}
+		views: map[string]*jobstate.MachineStatus{}, ends: map[jobstate.AttemptRef]time.Time{}}
 	n := g.n
-	n.types = []protocol.MachineType{{Name: "m32", CPUs: 32, Memory: 256, Price: 2, SpotPrice: 0.5, Boot: 35, FetchRate: 0.25, Zones: s.Deployment.Zones}}
-	record.Nodes["node-a"] = n.inc
-	record.Deaf = []string{"node-b", "node-c"} // this controller is the home of all
+	n.machineTypes = []protocol.MachineType{{Name: "m32", CPUs: 32, Memory: 256, Price: 2, SpotPrice: 0.5, Boot: 35, FetchRate: 0.25, Zones: s.Deployment.Zones}}
+	record.Nodes["node-a"] = n.incarnation
+	record.Unreachable = []string{"node-b", "node-c"} // this controller is the home of all
 	for _, t := range s.Deployment.Teams {
-		name := teamItem(t.Name)
-		record.Items[name] = leadership.Item{Owner: "node-a", Since: 1}
-		n.items[name] = &item{name: name, since: 1, phase: ready, acks: map[string]*ack{}, book: jobstate.NewBook(8 << 10),
+		name := teamShard(t.Name)
+		record.Shards[name] = leadership.Shard{Owner: "node-a", SinceTerm: 1}
+		n.shards[name] = &shard{name: name, sinceTerm: 1, phase: shardReady, acknowledgements: map[string]*replicaAck{}, pages: jobstate.NewPageSet(8 << 10),
 			team: n.newTeam(name, jobstate.NewReplica(), 1)}
 	}
 	n.record = record
@@ -64,8 +64,8 @@
 	cancel() // nothing goes out
 	n.group, n.ctx = &errgroup.Group{}, ended
 	n.lease.Renewed(g.now)
-	n.horizon = cancelwatermark.New([]string{"node-b", "node-c"}, settings.Seconds(s.Deployment.Workers.Cancel), settings.Seconds(s.Deployment.Workers.Lease))
-	n.horizon.Read(g.now)
+	n.cancelWatermark = cancelwatermark.New([]string{"node-b", "node-c"}, settings.Seconds(s.Deployment.Workers.Cancel), settings.Seconds(s.Deployment.Workers.Lease))
+	n.cancelWatermark.Read(g.now)
 	for i := range machines {
 		g.names = append(g.names, fmt.Sprintf("n-%06d", i))
 	}
@@ -73,7 +73,7 @@
 		n.roster.Learn(fmt.Sprint(i), 1, agents.RosterValue{Names: g.names[i:min(i+200, machines)]})
 	}
 	for i, name := range g.names {
-		g.views[name] = &jobstate.View{Machine: name, Type: "m32", Zone: s.Deployment.Zones[i%2], Spot: i%4 > 0, Session: 1, Seq: 1, Token: 1, Term: 1}
+		g.views[name] = &jobstate.MachineStatus{Machine: name, Type: "m32", Zone: s.Deployment.Zones[i%2], Spot: i%4 > 0, Incarnation: 1, Seq: 1, FencingToken: 1, Term: 1}
 		n.see(g.views[name], g.now)
 	}
 	return g
@@ -84,17 +84,17 @@
 	g.n.mu.Lock()
 	defer g.n.mu.Unlock()
 	g.jobs++
-	spec := &protocol.Submission{UID: fmt.Sprintf("job-%06d", g.jobs), Team: fmt.Sprintf("team-%d", g.jobs%len(g.n.set.Deployment.Teams)), Kind: protocol.Batch,
+	spec := &protocol.Submission{UID: fmt.Sprintf("job-%06d", g.jobs), Team: fmt.Sprintf("team-%d", g.jobs%len(g.n.settings.Deployment.Teams)), Kind: protocol.JobArray,
 		Priority: []string{"standard", "high"}[g.jobs%2], Tasks: tasks, CPUs: cpus, Memory: 20, Image: fmt.Sprint("img-", g.jobs%10), Estimate: 40, Spot: true}
 	g.n.learnJob(userapi.Stored{Spec: spec, At: g.now.UnixMilli()}, 1)
 }
 
 // tell has a machine report what changed on it.
-func (g *grown) tell(name string, change func(v *jobstate.View)) {
+func (g *grown) tell(name string, change func(v *jobstate.MachineStatus)) {
 	old := g.views[name]
 	v := *old
 	v.Seq++
-	v.Tasks = append([]jobstate.TaskView(nil), old.Tasks...)
+	v.Tasks = append([]jobstate.TaskStatus(nil), old.Tasks...)
 	change(&v)
 	g.views[name] = &v
 	g.n.see(&v, g.now)
@@ -110,13 +110,13 @@
 		g.n.lease.Renewed(g.now)
 		g.n.step(g.now)
 		for _, name := range g.names {
-			g.n.machines[name].heard = g.now
-			var fresh []jobstate.TaskView
-			for _, it := range g.n.items {
-				it.team.On(name, func(h jobstate.Hold) {
+			g.n.machines[name].heardAt = g.now
+			var fresh []jobstate.TaskStatus
+			for _, it := range g.n.shards {
+				it.team.On(name, func(h jobstate.Assignment) {
 					if g.ends[h.Ref()].IsZero() {
 						g.ends[h.Ref()] = g.now.Add(20*time.Second + time.Duration(g.rng.IntN(40000))*time.Millisecond)
-						fresh = append(fresh, jobstate.TaskView{Key: h.Key, Attempt: h.Attempt, State: protocol.Running})
+						fresh = append(fresh, jobstate.TaskStatus{TaskID: h.TaskID, Attempt: h.Attempt, State: protocol.Running})
 					}
 				})
 			}
@@ -128,8 +128,8 @@
 			if len(fresh) == 0 && !over {
 				continue
 			}
-			g.tell(name, func(v *jobstate.View) {
-				var kept []jobstate.TaskView
+			g.tell(name, func(v *jobstate.MachineStatus) {
+				var kept []jobstate.TaskStatus
 				for _, t := range v.Tasks {
 					if t.State == protocol.Exited {
 						continue
@@ -144,7 +144,7 @@
 		}
 	}
 	for _, j := range g.n.jobs { // ended jobs leave the account
-		if it := g.n.items[teamItem(j.spec.Team)]; j.active && it != nil {
+		if it := g.n.shards[teamShard(j.spec.Team)]; j.active && it != nil {
 			if tj := it.team.Job(j.spec.UID); tj != nil && it.team.Complete(tj) {
 				g.n.endJob(j.spec.UID)
 			}
@@ -172,9 +172,9 @@
 		case 60: // another controller takes a team over
 			next := n.record.Clone()
 			next.Term++
-			name := teamItem("team-1")
-			next.Items[name] = leadership.Item{Owner: "node-b", Since: next.Term}
-			n.adopt(next, n.version+1)
+			name := teamShard("team-1")
+			next.Shards[name] = leadership.Shard{Owner: "node-b", SinceTerm: next.Term}
+			n.adopt(next, n.recordVersion+1)
 			for uid, j := range n.jobs { // its jobs are no more this one's to run
 				if j.spec.Team == "team-1" {
 					n.endJob(uid)
@@ -245,7 +245,7 @@
 					demands = append(demands, autoscaler.Demand{Spec: j.spec, Count: d.Count, Due: g.n.due(j, g.now)})
 				}
 				f.Forget()
-				f.Decide(g.n.types, machines, demands, nil, g.now, g.now)
+				f.Decide(g.n.machineTypes, machines, demands, nil, g.now, g.now)
 			}
 		})
 	}
@@ -277,18 +277,18 @@
 	for _, borrowed := range []bool{false, true} {
 		g := newGrown(8, 2)
 		n := g.n
-		n.items[teamItem("team-1")].team.CPUs = 0
+		n.shards[teamShard("team-1")].team.CPUs = 0
 		submit := func(uid, team, priority string, tasks int, cpus, estimate float64) {
 			n.mu.Lock()
 			defer n.mu.Unlock()
-			n.learnJob(userapi.Stored{At: g.now.UnixMilli(), Spec: &protocol.Submission{UID: uid, Team: team, Kind: protocol.Batch,
+			n.learnJob(userapi.Stored{At: g.now.UnixMilli(), Spec: &protocol.Submission{UID: uid, Team: team, Kind: protocol.JobArray,
 				Priority: priority, Tasks: tasks, CPUs: cpus, Memory: 1, Estimate: estimate, Spot: true}}, 1)
 		}
 		submit("job-000001", "team-1", "low", 64, 4, 600)
 		for range 12 {
 			g.second(2)
 		}
-		if held, _ := n.items[teamItem("team-1")].team.Held(); held != 64 {
+		if held, _ := n.shards[teamShard("team-1")].team.Held(); held != 64 {
 			t.Fatalf("%d of 64 idle-time tasks run", held)
 		}
 		team := "team-0"
@@ -299,7 +299,7 @@
 		submit("job-000002", team, "standard", 4, 16, 40)
 		g.second(2)
 		n.mu.Lock()
-		if stopped := len(n.evicting); (stopped > 0) == borrowed {
+		if stopped := len(n.evictions); (stopped > 0) == borrowed {
 			t.Errorf("borrowed %v: %d tasks asked to make room", borrowed, stopped)
 		}
 		n.mu.Unlock()
--- a/internal/controller/held_test.go
+++ b/internal/controller/held_test.go
@@ -29,14 +29,14 @@
 			n.mu.Lock()
 			defer n.mu.Unlock()
 			learn := func(uid, class string, tasks int, cpus float64, age time.Duration) {
-				n.learnJob(userapi.Stored{At: g.now.Add(-age).UnixMilli(), Spec: &protocol.Submission{UID: uid, Team: "team-0", Class: class, Kind: protocol.Batch,
+				n.learnJob(userapi.Stored{At: g.now.Add(-age).UnixMilli(), Spec: &protocol.Submission{UID: uid, Team: "team-0", Class: class, Kind: protocol.JobArray,
 					Priority: "standard", Tasks: tasks, CPUs: cpus, Memory: 1, Image: "img", Estimate: 40, Spot: true}}, 1)
 			}
-			team := n.items[teamItem("team-0")].team
+			team := n.shards[teamShard("team-0")].team
 			learn("job-000001", "small", c.begun, 2, 0)
 			n.place(g.now)
 			plan := &admission.Plan{ID: admission.ID{Since: 1, Number: 1}, Reserved: map[string]string{g.names[0]: "large"}}
-			n.admit.known.Hear(1, admission.Word{Force: plan})
+			n.admission.known.Hear(1, admission.Word{Force: plan})
 			team.Job("job-000001").Finishing = true // it asks for nothing more
 			learn("job-000002", "small", 1, 2, c.age)
 			learn("job-000003", "large", 1, 4, 0)
@@ -68,11 +68,11 @@
 			n := g.n
 			n.mu.Lock()
 			defer n.mu.Unlock()
-			team := n.items[teamItem("team-0")].team
+			team := n.shards[teamShard("team-0")].team
 			team.SetLimits(0, c.limit, 0, math.Inf(1))
 			deadline := 500.0
 			learn := func(uid, class string, tasks int, cpus float64, deadline *float64) {
-				n.learnJob(userapi.Stored{At: g.now.UnixMilli(), Spec: &protocol.Submission{UID: uid, Team: "team-0", Class: class, Kind: protocol.Batch,
+				n.learnJob(userapi.Stored{At: g.now.UnixMilli(), Spec: &protocol.Submission{UID: uid, Team: "team-0", Class: class, Kind: protocol.JobArray,
 					Priority: "standard", Tasks: tasks, CPUs: cpus, Memory: 1, Image: "img", Estimate: 40, Spot: true, Deadline: deadline}}, 1)
 			}
 			learn("job-000001", "other", 15, 2, nil)
--- a/internal/controller/home.go
+++ b/internal/controller/home.go
@@ -13,7 +13,7 @@
 )
 
 // doer carries commands to one machine over one ordered connection.
-type doer struct {
+type commandSender struct {
 	signal chan struct{}
 }
 
@@ -23,7 +23,7 @@
 func (n *Node) machine(name string) *machine {
 	m := n.machines[name]
 	if m == nil {
-		m = &machine{images: map[string]bool{}, running: map[jobstate.Ref]time.Time{}}
+		m = &machine{images: map[string]bool{}, runningSince: map[jobstate.AttemptRef]time.Time{}}
 		n.machines[name] = m
 	}
 	return m
@@ -35,21 +35,21 @@
 	if m.gone {
 		return
 	}
-	if m.view != nil {
-		n.board = slices.DeleteFunc(n.board, func(x *machine) bool { return x == m })
-		n.index(m.view, false)
+	if m.status != nil {
+		n.placeable = slices.DeleteFunc(n.placeable, func(x *machine) bool { return x == m })
+		n.index(m.status, false)
 	}
-	*m = machine{gone: true, heard: time.Now()}
-	n.blame.ForgetMachine(name)
-	n.home.Drop(name)
+	*m = machine{gone: true, heardAt: time.Now()}
+	n.quarantine.ForgetMachine(name)
+	n.agents.Drop(name)
 	n.log.Info("machine gone", "machine", name)
-	for _, it := range n.items {
-		if it.phase == ready {
+	for _, it := range n.shards {
+		if it.phase == shardReady {
 			it.team.Gone(name)
 		}
 	}
-	if d := n.doers[name]; d != nil {
-		delete(n.doers, name)
+	if d := n.commandSenders[name]; d != nil {
+		delete(n.commandSenders, name)
 		close(d.signal)
 	}
 	n.wake()
@@ -57,11 +57,11 @@
 
 // report answers a worker.
 func (n *Node) report(body []byte) httpx.Answer {
-	var r protocol.Report
+	var r protocol.Heartbeat
 	if err := protocol.Decode(body, &r); err != nil {
 		return httpx.Refuse(400, "body is not a report")
 	}
-	if err := protocol.CheckReport(&r); err != nil {
+	if err := protocol.CheckHeartbeat(&r); err != nil {
 		return httpx.Refuse(400, err.Error())
 	}
 	n.mu.Lock()
@@ -70,38 +70,38 @@
 }
 
 // answerReport answers a worker's report that came at a time.
-func (n *Node) answerReport(r *protocol.Report, now time.Time) httpx.Answer {
-	n.heardToken(r.Token)
+func (n *Node) answerReport(r *protocol.Heartbeat, now time.Time) httpx.Answer {
+	n.heardToken(r.FencingToken)
 	if !n.entitled(now) {
 		return n.elsewhere(r, now)
 	}
-	if r.Token > n.record.Term {
+	if r.FencingToken > n.record.Term {
 		n.hint()
 		return busy()
 	}
 	if home := n.homeOf(r.Machine); home != n.name {
-		n.machine(r.Machine).came = now
-		n.stray[r.Machine] = true
+		n.machine(r.Machine).misdirectedAt = now
+		n.misdirectedAgents[r.Machine] = true
 		if n.strayed(home, r.Machine, now) {
 			if stops, ok := n.renewal(r, now); ok {
 				return n.alive(stops)
 			}
 			return busy()
 		}
-		return httpx.Answer{Status: 421, Body: protocol.Encode(protocol.Moved{ReportTo: home})}
+		return httpx.Answer{Status: 421, Body: protocol.Encode(protocol.Redirect{Controller: home})}
 	}
 	if m := n.machine(r.Machine); m.gone {
 		return busy()
 	}
-	n.first("first report answered", now)
+	n.logFirst("first report answered", now)
 	n.hear(r, now)
 	stops, ok := n.renewal(r, now)
 	if !ok {
 		n.tellViews()
 		return busy()
 	}
-	answer := protocol.ReportAnswer{Token: n.record.Term, Commands: stops}
-	if m := n.home.Get(r.Machine); m.Report.Seq == r.Seq && m.Report.Session == r.Session {
+	answer := protocol.HeartbeatAnswer{FencingToken: n.record.Term, Commands: stops}
+	if m := n.agents.Get(r.Machine); m.Report.Seq == r.Seq && m.Report.Incarnation == r.Incarnation {
 		n.readyToSend(m, now)
 		answer.Commands = append(answer.Commands, m.Answer()...)
 		n.noteView(r.Machine)
@@ -119,42 +119,42 @@
 	if p == nil {
 		return false
 	}
-	if n.deaf[home] == nil {
-		n.deaf[home] = map[string]vain{}
+	if n.unreachableHomes[home] == nil {
+		n.unreachableHomes[home] = map[string]misdirection{}
 	}
-	if !p.near(now) {
+	if !p.isHeard(now) {
 		// Nobody hears the home. Once it is heard again the machine goes there.
-		delete(n.deaf[home], name)
-		m.spared = now
+		delete(n.unreachableHomes[home], name)
+		m.keptAliveAt = now
 		return true
 	}
-	heard := later(m.homed, n.settled)
-	v := n.deaf[home][name]
+	heard := later(m.homeHeardAt, n.membershipSettledAt)
+	v := n.unreachableHomes[home][name]
 	again := !v.first.Before(heard) && now.Sub(v.last) <= n.vainFor()
 	if !again {
-		v = vain{first: now}
-		keep = !m.homed.IsZero() && now.Sub(heard) > n.overdue() && now.Sub(m.spared) > n.vainFor()
+		v = misdirection{first: now}
+		keep = !m.homeHeardAt.IsZero() && now.Sub(heard) > n.overdue() && now.Sub(m.keptAliveAt) > n.vainFor()
 	} else {
-		keep = now.Sub(v.sent) < settings.Seconds(n.set.Deployment.Workers.Lease)
+		keep = now.Sub(v.sent) < settings.Seconds(n.settings.Deployment.Workers.Lease)
 	}
 	v.last = now
 	if !again || !keep {
 		v.sent = now
 	}
-	n.deaf[home][name] = v
+	n.unreachableHomes[home][name] = v
 	return keep
 }
 
 // vain is a machine's reports that came here though its home should have them:
 // the first since the home last heard it, the last, and when it was last sent
 // there, or came from there.
-type vain struct {
+type misdirection struct {
 	first, last, sent time.Time
 }
 
 // overdue is after what time a machine's report is missing at its home.
 func (n *Node) overdue() time.Duration {
-	return settings.Seconds(n.set.Deployment.Workers.Report)*5/4 + time.Second
+	return settings.Seconds(n.settings.Deployment.Workers.Report)*5/4 + time.Second
 }
 
 // vainFor is how long a machine may take from one report here to the next, with a
@@ -164,11 +164,11 @@
 // unheard names a member that machines lately tried in vain to reach, or "". A
 // tenth of its machines must have, so that one with a broken path moves nobody.
 func (n *Node) unheard(now time.Time) string {
-	for _, home := range slices.Sorted(maps.Keys(n.deaf)) {
+	for _, home := range slices.Sorted(maps.Keys(n.unreachableHomes)) {
 		tried := 0
-		for name, v := range n.deaf[home] {
-			if now.Sub(v.last) > n.vainFor() || n.homeOf(name) != home || v.first.Before(later(n.machine(name).homed, n.settled)) {
-				delete(n.deaf[home], name)
+		for name, v := range n.unreachableHomes[home] {
+			if now.Sub(v.last) > n.vainFor() || n.homeOf(name) != home || v.first.Before(later(n.machine(name).homeHeardAt, n.membershipSettledAt)) {
+				delete(n.unreachableHomes[home], name)
 			} else if v.last.Sub(v.first) > n.overdue()/2 {
 				tried++
 			}
@@ -178,7 +178,7 @@
 		}
 		homed := 0
 		for name, m := range n.machines {
-			if !m.gone && m.view != nil && n.homeOf(name) == home {
+			if !m.gone && m.status != nil && n.homeOf(name) == home {
 				homed++
 			}
 		}
@@ -196,10 +196,10 @@
 	for pause(ctx, time.Second) {
 		n.mu.Lock()
 		addr := ""
-		if n.record != nil && slices.Contains(n.record.Deaf, n.name) {
+		if n.record != nil && slices.Contains(n.record.Unreachable, n.name) {
 			for _, m := range n.machines {
-				if m.view != nil && !m.gone && time.Since(m.heard) < 5*time.Second {
-					addr = m.view.Addr
+				if m.status != nil && !m.gone && time.Since(m.heardAt) < 5*time.Second {
+					addr = m.status.Addr
 					break
 				}
 			}
@@ -218,7 +218,7 @@
 		}
 		if good++; good >= 3 {
 			n.mu.Lock()
-			n.hears = true
+			n.agentsReachable = true
 			n.mu.Unlock()
 		}
 	}
@@ -241,16 +241,16 @@
 // alive is an answer that renews a worker's lease and commands no more than to stop what is
 // over for good.
 func (n *Node) alive(stops []protocol.Command) httpx.Answer {
-	return httpx.Answer{Status: 200, Body: protocol.Encode(protocol.ReportAnswer{Token: n.record.Term, Commands: stops})}
+	return httpx.Answer{Status: 200, Body: protocol.Encode(protocol.HeartbeatAnswer{FencingToken: n.record.Term, Commands: stops})}
 }
 
 // elsewhere answers a worker while this controller may not act: it sends it to
 // one that is entitled, if such is heard, and else keeps it alive for as long as
 // that can do no harm.
-func (n *Node) elsewhere(r *protocol.Report, now time.Time) httpx.Answer {
+func (n *Node) elsewhere(r *protocol.Heartbeat, now time.Time) httpx.Answer {
 	for _, name := range slices.Sorted(maps.Keys(n.peers)) {
-		if p := n.peers[name]; p.entitled && p.near(now) {
-			return httpx.Answer{Status: 421, Body: protocol.Encode(protocol.Moved{ReportTo: name})}
+		if p := n.peers[name]; p.entitled && p.isHeard(now) {
+			return httpx.Answer{Status: 421, Body: protocol.Encode(protocol.Redirect{Controller: name})}
 		}
 	}
 	if n.sustains(r, now) {
@@ -263,8 +263,8 @@
 // a zone that is cut off. Such an answer changes nothing that an owner relies on:
 // silence is no proof, and nothing is commanded, so every task that the machine lists must belong
 // to a job that is active as far as known here.
-func (n *Node) sustains(r *protocol.Report, now time.Time) bool {
-	if n.record == nil || r.Token > n.record.Term || n.machine(r.Machine).gone {
+func (n *Node) sustains(r *protocol.Heartbeat, now time.Time) bool {
+	if n.record == nil || r.FencingToken > n.record.Term || n.machine(r.Machine).gone {
 		return false
 	}
 	for _, t := range r.Tasks {
@@ -278,44 +278,44 @@
 }
 
 // hear takes in a report that a worker sent.
-func (n *Node) hear(r *protocol.Report, now time.Time) {
-	if newer, changed := n.home.Heard(r, now); newer {
+func (n *Node) hear(r *protocol.Heartbeat, now time.Time) {
+	if newer, changed := n.agents.Heard(r, now); newer {
 		n.heard(r, changed, now)
 	}
 }
 
 // hearAnswer takes in the report in a worker's answer to a direct command.
-func (n *Node) hearAnswer(r *protocol.Report, now time.Time) {
-	if newer, changed := n.home.HeardAnswer(r, now); newer {
+func (n *Node) hearAnswer(r *protocol.Heartbeat, now time.Time) {
+	if newer, changed := n.agents.HeardAnswer(r, now); newer {
 		n.heard(r, changed, now)
 	}
 }
 
 // heard books what a machine's newest report says.
-func (n *Node) heard(r *protocol.Report, changed bool, now time.Time) {
+func (n *Node) heard(r *protocol.Heartbeat, changed bool, now time.Time) {
 	x := n.machine(r.Machine)
-	x.heard, x.homed, x.homeKnew = now, now, now
+	x.heardAt, x.homeHeardAt, x.homeWatermark = now, now, now
 	if !n.roster.Has(r.Machine) {
-		n.enrolling[r.Machine] = true
+		n.unregistered[r.Machine] = true
 		n.unlisted(r, x, now)
 	}
-	if changed || x.view == nil {
+	if changed || x.status == nil {
 		n.noteView(r.Machine)
 	}
 }
 
 // index keeps which machines list tasks of a job.
-func (n *Node) index(v *jobstate.View, listed bool) {
+func (n *Node) index(v *jobstate.MachineStatus, listed bool) {
 	for _, t := range v.Tasks {
-		on := n.lists[t.Job]
+		on := n.machinesByJob[t.Job]
 		switch {
 		case listed && on == nil:
-			n.lists[t.Job] = map[string]bool{v.Machine: true}
+			n.machinesByJob[t.Job] = map[string]bool{v.Machine: true}
 		case listed:
 			on[v.Machine] = true
 		case on != nil:
 			if delete(on, v.Machine); len(on) == 0 {
-				delete(n.lists, t.Job)
+				delete(n.machinesByJob, t.Job)
 			}
 		}
 	}
@@ -330,8 +330,8 @@
 }
 
 func (n *Node) homeFor(m *machine, name string) string {
-	if m.homeBy != n.record {
-		m.home, m.homeBy = n.record.Home(name), n.record
+	if m.homeRecord != n.record {
+		m.home, m.homeRecord = n.record.Home(name), n.record
 	}
 	return m.home
 }
@@ -339,51 +339,51 @@
 // noteView takes a homed machine's view into this controller's own knowledge and
 // marks it to be told to the peers.
 func (n *Node) noteView(name string) {
-	v := n.home.View(name)
-	if v == nil || n.machine(name).view == v {
+	v := n.agents.View(name)
+	if v == nil || n.machine(name).status == v {
 		return // nothing changed
 	}
-	n.fresh[name] = true
+	n.changedMachines[name] = true
 	n.see(v, time.Now())
 }
 
 // see takes in a view, of a machine here or told by a peer.
-func (n *Node) see(v *jobstate.View, now time.Time) {
+func (n *Node) see(v *jobstate.MachineStatus, now time.Time) {
 	m := n.machine(v.Machine)
-	if m.gone || (m.view != nil && !v.Newer(m.view)) {
+	if m.gone || (m.status != nil && !v.Newer(m.status)) {
 		return
 	}
-	if m.view == nil {
-		n.board = append(n.board, m)
+	if m.status == nil {
+		n.placeable = append(n.placeable, m)
 	} else {
-		n.index(m.view, false)
+		n.index(m.status, false)
 	}
 	n.index(v, true)
-	m.view, m.counted = v, false
-	m.heard = now
+	m.status, m.counted = v, false
+	m.heardAt = now
 	busy := false
-	running := make(map[jobstate.Ref]time.Time, len(v.Tasks))
+	running := make(map[jobstate.AttemptRef]time.Time, len(v.Tasks))
 	for _, t := range v.Tasks {
 		ref := t.Ref()
 		if t.State == protocol.Running {
-			if since, ok := m.running[ref]; ok {
+			if since, ok := m.runningSince[ref]; ok {
 				running[ref] = since
 			} else {
 				running[ref] = now
-				if j := n.jobs[t.Job]; j != nil && !j.at.IsZero() {
+				if j := n.jobs[t.Job]; j != nil && !j.submittedAt.IsZero() {
 					// Past an hour the histogram only says "longer".
 					n.started(j.spec, now)
-					_ = n.waits.RecordValue(min(max(now.Sub(j.at).Milliseconds(), 1), time.Hour.Milliseconds()))
+					_ = n.startLatency.RecordValue(min(max(now.Sub(j.submittedAt).Milliseconds(), 1), time.Hour.Milliseconds()))
 				}
 			}
-		} else if since, ok := m.running[ref]; ok && t.Why == protocol.WhyDone {
+		} else if since, ok := m.runningSince[ref]; ok && t.Why == protocol.WhyDone {
 			if j := n.jobs[t.Job]; j != nil {
-				j.longest = max(j.longest, now.Sub(since))
-				j.runs++
+				j.longestRun = max(j.longestRun, now.Sub(since))
+				j.completedRuns++
 			}
 		}
 	}
-	m.running = running
+	m.runningSince = running
 	n.freed(v)
 	if len(m.images) > 64 {
 		clear(m.images)
@@ -401,19 +401,19 @@
 	}
 	switch {
 	case busy:
-		m.idle = time.Time{}
-	case m.idle.IsZero():
-		m.idle = now
+		m.idleSince = time.Time{}
+	case m.idleSince.IsZero():
+		m.idleSince = now
 	}
 	teams := n.teamsOn(v)
 	unknown := n.oldestUnknown(v)
-	for _, name := range slices.Sorted(maps.Keys(n.items)) {
-		it := n.items[name]
-		if it.phase == ready {
+	for _, name := range slices.Sorted(maps.Keys(n.shards)) {
+		it := n.shards[name]
+		if it.phase == shardReady {
 			if team, _ := teamOf(name); slices.Contains(teams, team) || it.team.Holds(v.Machine) || it.team.Reserves(v.Machine) || unknown < it.team.Since() {
 				n.observe(it, v)
 			}
-		} else if it.phase == barrier && it.await[v.Machine] {
+		} else if it.phase == shardBarrier && it.awaitedMachines[v.Machine] {
 			n.settleAwaited(it, v)
 		}
 	}
@@ -422,7 +422,7 @@
 }
 
 // teamsOn lists the teams of the jobs whose tasks a view lists.
-func (n *Node) teamsOn(v *jobstate.View) (teams []string) {
+func (n *Node) teamsOn(v *jobstate.MachineStatus) (teams []string) {
 	for _, t := range v.Tasks {
 		if j := n.jobs[t.Job]; j != nil && !slices.Contains(teams, j.spec.Team) {
 			teams = append(teams, j.spec.Team)
@@ -433,28 +433,28 @@
 
 // judge takes in a task's end as a machine lists it. Every controller sees every
 // view, so that whoever takes a team over knows its faulty jobs.
-func (n *Node) judge(t jobstate.TaskView, machine string, now time.Time) {
+func (n *Node) judge(t jobstate.TaskStatus, machine string, now time.Time) {
 	j := n.jobs[t.Job]
 	if j == nil || !j.active || (t.Why != protocol.WhyError && t.Why != protocol.WhyDone) {
 		return
 	}
 	faulty := t.Why == protocol.WhyError
-	if faulty && n.blame.Failed(t.Job, machine, now) {
+	if faulty && n.quarantine.Failed(t.Job, machine, now) {
 		n.log.Info("job held to be faulty: it failed on several machines and succeeded on none", "job", t.Job, "team", j.spec.Team, "last", machine)
-	} else if !faulty && n.blame.Done(t.Job, machine) {
+	} else if !faulty && n.quarantine.Done(t.Job, machine) {
 		n.log.Info("job no longer held to be faulty", "job", t.Job, "team", j.spec.Team)
 	} else {
 		return
 	}
-	if it := n.items[teamItem(j.spec.Team)]; it != nil && it.phase != loading {
-		it.team.Doubt(t.Job, faulty)
+	if it := n.shards[teamShard(j.spec.Team)]; it != nil && it.phase != shardLoading {
+		it.team.SetFaulty(t.Job, faulty)
 	}
 }
 
 // endStrays lets the home end what machines list of jobs that are over: that is
 // true for good, whoever owns the team.
-func (n *Node) endStrays(v *jobstate.View) {
-	if n.home.Get(v.Machine) == nil || n.record == nil || n.homeOf(v.Machine) != n.name {
+func (n *Node) endStrays(v *jobstate.MachineStatus) {
+	if n.agents.Get(v.Machine) == nil || n.record == nil || n.homeOf(v.Machine) != n.name {
 		return
 	}
 	var orders []jobstate.Order
@@ -467,26 +467,26 @@
 			n.lookUp(t.Job, t.Attempt)
 			continue
 		}
-		o := jobstate.Order{Op: protocol.Stop, Key: t.Key, Attempt: t.Attempt, Session: v.Session}
+		o := jobstate.Order{Op: protocol.Stop, TaskID: t.TaskID, Attempt: t.Attempt, Incarnation: v.Incarnation}
 		if t.State == protocol.Exited {
 			o.Op = protocol.Forget
 		}
 		orders = append(orders, o)
 	}
-	if len(orders) > 0 && n.home.Take(n.record.Term, v.Machine, orders) {
+	if len(orders) > 0 && n.agents.Take(n.record.Term, v.Machine, orders) {
 		n.stir(v.Machine)
 	}
 }
 
 // tellViews sends the views that changed to all peers.
 func (n *Node) tellViews() {
-	if len(n.fresh) == 0 {
+	if len(n.changedMachines) == 0 {
 		return
 	}
-	var views []*jobstate.View
+	var views []*jobstate.MachineStatus
 	tasks := 0
-	for _, name := range slices.Sorted(maps.Keys(n.fresh)) {
-		v := n.home.View(name)
+	for _, name := range slices.Sorted(maps.Keys(n.changedMachines)) {
+		v := n.agents.View(name)
 		if v == nil {
 			continue
 		}
@@ -496,7 +496,7 @@
 			views, tasks = nil, 0
 		}
 	}
-	n.fresh = map[string]bool{}
+	n.changedMachines = map[string]bool{}
 	if len(views) > 0 {
 		n.tellAll("views", views)
 	}
@@ -508,10 +508,10 @@
 
 // stir wakes the machine's doer, making one if need be.
 func (n *Node) stir(name string) {
-	d := n.doers[name]
+	d := n.commandSenders[name]
 	if d == nil {
-		d = &doer{signal: make(chan struct{}, 1)}
-		n.doers[name] = d
+		d = &commandSender{signal: make(chan struct{}, 1)}
+		n.commandSenders[name] = d
 		n.group.Go(func() error {
 			n.carry(n.ctx, name, d)
 			return nil
@@ -524,7 +524,7 @@
 }
 
 // carry sends a machine's urgent commands by /do, one request at a time.
-func (n *Node) carry(ctx context.Context, name string, d *doer) {
+func (n *Node) carry(ctx context.Context, name string, d *commandSender) {
 	var link *httpx.Link
 	defer func() {
 		if link != nil {
@@ -548,17 +548,17 @@
 // carryOnce sends what is urgent; it says whether to look again at once.
 func (n *Node) carryOnce(ctx context.Context, name string, link **httpx.Link) bool {
 	n.mu.Lock()
-	m := n.home.Get(name)
+	m := n.agents.Get(name)
 	now := time.Now()
 	if m != nil {
 		n.readyToSend(m, now)
 	}
-	if m == nil || !m.Urgent() || !n.entitled(now) || m.Starts() && !n.horizon.Renews(now, time.Time{}) {
+	if m == nil || !m.Urgent() || !n.entitled(now) || m.Starts() && !n.cancelWatermark.Renews(now, time.Time{}) {
 		n.mu.Unlock()
 		return false
 	}
 	cmds := m.Send()
-	body := protocol.Encode(protocol.Direct{Token: n.record.Term, Session: m.Report.Session, Commands: cmds})
+	body := protocol.Encode(protocol.DirectCommands{FencingToken: n.record.Term, Incarnation: m.Report.Incarnation, Commands: cmds})
 	addr := m.Report.Addr
 	n.mu.Unlock()
 	if *link == nil || (*link).Addr() != addr {
@@ -571,9 +571,9 @@
 	now = time.Now()
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	var r protocol.Report
+	var r protocol.Heartbeat
 	answered := err == nil && (resp.Status == 200 || resp.Status == 409) && protocol.Decode(resp.Body, &r) == nil && r.Machine == name
-	if answered && n.home.Get(name) == m {
+	if answered && n.agents.Get(name) == m {
 		n.hearAnswer(&r, now)
 	}
 	if !answered {
--- a/internal/controller/hosts.go
+++ b/internal/controller/hosts.go
@@ -23,8 +23,8 @@
 	}
 	if s.Types != nil {
 		a.Types = []int{}
-		for i := range n.types {
-			if slices.Contains(s.Types, n.types[i].Name) {
+		for i := range n.machineTypes {
+			if slices.Contains(s.Types, n.machineTypes[i].Name) {
 				a.Types = append(a.Types, i)
 			}
 		}
@@ -34,7 +34,7 @@
 
 // zoneIndex is a zone's dense index; an unknown one matches no machine.
 func (n *Node) zoneIndex(zone string) int {
-	if i := slices.Index(n.set.Deployment.Zones, zone); i >= 0 {
+	if i := slices.Index(n.settings.Deployment.Zones, zone); i >= 0 {
 		return i
 	}
 	return 1 << 20
@@ -47,24 +47,24 @@
 // orders yet.
 func (n *Node) hosts(now time.Time, least *placement.Ask) []*placement.Host {
 	n.recountMoved()
-	fresh := 2*time.Duration(n.set.Deployment.Workers.Report*float64(time.Second)) + 3*time.Second
+	fresh := 2*time.Duration(n.settings.Deployment.Workers.Report*float64(time.Second)) + 3*time.Second
 	drain := n.draining()
 	away := map[string]bool{} // homes that no order reaches
 	for name, p := range n.peers {
-		away[name] = !p.up || !p.near(now)
+		away[name] = !p.connected || !p.isHeard(now)
 	}
-	plan := n.admit.known.Acts()
-	scratch := &n.scratch
+	plan := n.admission.known.Acts()
+	scratch := &n.hostBuffer
 	if least == nil {
-		scratch = &n.scratchAll
+		scratch = &n.allHostsBuffer
 	}
 	*scratch = (*scratch)[:0]
-	for _, m := range n.board {
-		v := m.view
+	for _, m := range n.placeable {
+		v := m.status
 		if m.gone || v.Term != n.record.Term || !n.count(m) || least != nil && !least.Fits(&m.host) {
 			continue
 		}
-		if v.Notice || n.undescribed(v) || now.Sub(m.heard) > fresh || away[n.homeFor(m, v.Machine)] || n.blame.Bad(v.Machine, now) || n.slow(m, now) {
+		if v.Notice || n.undescribed(v) || now.Sub(m.heardAt) > fresh || away[n.homeFor(m, v.Machine)] || n.quarantine.Bad(v.Machine, now) || n.slow(m, now) {
 			continue
 		}
 		if !drain[v.Machine] && n.roster.Has(v.Machine) {
@@ -81,7 +81,7 @@
 
 // recountMoved marks the machines where own teams' attempts came or went.
 func (n *Node) recountMoved() {
-	for _, it := range n.items {
+	for _, it := range n.shards {
 		n.recount(maps.Keys(it.team.TakeMoved()))
 	}
 }
@@ -100,14 +100,14 @@
 	if m.counted {
 		return true
 	}
-	v := m.view
-	t := slices.IndexFunc(n.types, func(t protocol.MachineType) bool { return t.Name == v.Type })
+	v := m.status
+	t := slices.IndexFunc(n.machineTypes, func(t protocol.MachineType) bool { return t.Name == v.Type })
 	if t < 0 {
 		return false
 	}
-	h := placement.Host{Name: v.Machine, Type: t, Zone: n.zoneIndex(v.Zone), Spot: v.Spot, Session: v.Session, Fetch: n.types[t].FetchRate, Images: m.images}
-	if h.Price = n.types[t].Price; v.Spot {
-		h.Price = n.types[t].SpotPrice
+	h := placement.Host{Name: v.Machine, Type: t, Zone: n.zoneIndex(v.Zone), Spot: v.Spot, Session: v.Incarnation, Fetch: n.machineTypes[t].FetchRate, Images: m.images}
+	if h.Price = n.machineTypes[t].Price; v.Spot {
+		h.Price = n.machineTypes[t].SpotPrice
 	}
 	h.CPUs, h.GPUs, h.Memory = n.free(m)
 	pulls := map[string]bool{}
@@ -123,22 +123,22 @@
 
 // slow says whether a machine was found slow of late.
 func (n *Node) slow(m *machine, now time.Time) bool {
-	return !m.slow.IsZero() && now.Sub(m.slow) < time.Minute
+	return !m.slowAt.IsZero() && now.Sub(m.slowAt) < time.Minute
 }
 
 // free is a machine's room beside what it lists and what own teams hold there.
 func (n *Node) free(m *machine) (cpus, gpus, memory float64) {
-	cpus, gpus, memory, _ = n.capacity(m.view.Type)
-	listed := map[jobstate.Ref]bool{}
-	for _, t := range m.view.Tasks {
+	cpus, gpus, memory, _ = n.capacity(m.status.Type)
+	listed := map[jobstate.AttemptRef]bool{}
+	for _, t := range m.status.Tasks {
 		listed[t.Ref()] = true
 		if t.State != protocol.Exited {
 			c, g, r := n.size(t.Job)
 			cpus, gpus, memory = cpus-c, gpus-g, memory-r
 		}
 	}
-	for _, it := range n.items {
-		it.team.On(m.view.Machine, func(h jobstate.Hold) {
+	for _, it := range n.shards {
+		it.team.On(m.status.Machine, func(h jobstate.Assignment) {
 			if !listed[h.Ref()] {
 				cpus, gpus, memory = cpus-h.CPUs, gpus-h.GPUs, memory-h.Memory
 			}
--- a/internal/controller/inflight_test.go
+++ b/internal/controller/inflight_test.go
@@ -19,7 +19,7 @@
 func newOrdering() *ordering {
 	g := newGrown(1, 1)
 	o := &ordering{grown: g, name: g.names[0], seq: 10}
-	g.n.home.SetTerm(1, func(string) bool { return true })
+	g.n.agents.SetTerm(1, func(string) bool { return true })
 	g.submit(2, 1) // job-000001
 	return o
 }
@@ -27,9 +27,9 @@
 // report answers a report of the machine, which lists nothing.
 func (o *ordering) report(at time.Time) (status int, commands []protocol.Command) {
 	o.seq++
-	r := protocol.Report{Machine: o.name, Addr: "127.0.0.1:1", Type: "m32", Zone: "east", Session: 1, Seq: o.seq, Token: 1, Tasks: []protocol.TaskStatus{}}
+	r := protocol.Heartbeat{Machine: o.name, Addr: "127.0.0.1:1", Type: "m32", Zone: "east", Incarnation: 1, Seq: o.seq, FencingToken: 1, Tasks: []protocol.TaskStatus{}}
 	a := o.n.answerReport(&r, at)
-	var answer protocol.ReportAnswer
+	var answer protocol.HeartbeatAnswer
 	if err := protocol.Decode(a.Body, &answer); err != nil && a.Status == 200 {
 		panic(err)
 	}
@@ -37,7 +37,7 @@
 }
 
 func (o *ordering) order(op string) {
-	o.n.home.Take(1, o.name, []jobstate.Order{{Op: op, Key: jobstate.Key{Job: "job-000001"}, Attempt: 1, Session: 1, CPUs: 1, Memory: 1}})
+	o.n.agents.Take(1, o.name, []jobstate.Order{{Op: op, TaskID: jobstate.TaskID{Job: "job-000001"}, Attempt: 1, Incarnation: 1, CPUs: 1, Memory: 1}})
 }
 
 // TestNoStartOfWhatIsOver: an owner that the state service refuses may order starts of a job that its machine's home
@@ -54,10 +54,10 @@
 		t.Errorf("the answer commands %+v", commands)
 	}
 	o.order(protocol.Start)
-	if n.home.Get(o.name).Starts() {
+	if n.agents.Get(o.name).Starts() {
 		t.Error("it is queued again")
 	}
-	if v := n.home.View(o.name); len(v.Barred) != 1 {
+	if v := n.agents.View(o.name); len(v.Barred) != 1 {
 		t.Errorf("its owner is not told that it was never sent: %+v", v)
 	}
 }
@@ -69,16 +69,16 @@
 	n := o.n
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	reach := settings.Seconds(n.set.Deployment.Workers.Cancel-n.set.Deployment.Workers.Lease) - 2*time.Second
+	reach := settings.Seconds(n.settings.Deployment.Workers.Cancel-n.settings.Deployment.Workers.Lease) - 2*time.Second
 	o.report(o.now)
 	o.order(protocol.Start)
-	m := n.home.Get(o.name)
+	m := n.agents.Get(o.name)
 	n.readyToSend(m, o.now)
 	m.Sent(m.Send(), false, true)
 	renews := func(after time.Duration) bool {
 		at := o.now.Add(after)
 		n.lease.Renewed(at)
-		n.horizon.Read(at) // nothing else bounds it
+		n.cancelWatermark.Read(at) // nothing else bounds it
 		status, _ := o.report(at)
 		return status == 200
 	}
@@ -94,7 +94,7 @@
 	if age, ok := s.InFlight[o.name]; !ok || age < (reach+7*time.Second).Milliseconds() {
 		t.Errorf("the home tells of %v", s.InFlight)
 	}
-	n.home.SetTerm(2, func(string) bool { return true })
+	n.agents.SetTerm(2, func(string) bool { return true })
 	n.record = n.record.Clone()
 	n.record.Term = 2
 	if !renews(reach + 8*time.Second) {
@@ -102,7 +102,7 @@
 	}
 	n.record.Nodes[n.name]++ // an earlier process was its home
 	n.lease.Lost()
-	n.machine(o.name).homeKnew = time.Time{}
+	n.machine(o.name).homeWatermark = time.Time{}
 	if status, _ := o.report(at.Add(2 * time.Second)); status == 200 {
 		t.Error("a process that began anew takes itself for the home that it was")
 	}
@@ -115,14 +115,14 @@
 	n := g.n
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.began = g.now.Add(-time.Minute)
+	n.startedAt = g.now.Add(-time.Minute)
 	n.record = n.record.Clone()
-	n.record.Deaf = []string{n.name, "node-c"} // the home is node-b
+	n.record.Unreachable = []string{n.name, "node-c"} // the home is node-b
 	name := g.names[0]
 	said := func(from string, inFlight map[string]int64) time.Duration {
-		s := statusMsg{Alive: map[string]int64{name: 2000}, InFlight: inFlight, Heard: map[string]echo{n.name: {Incarnation: n.inc, At: 50000}}}
+		s := statusMsg{Alive: map[string]int64{name: 2000}, InFlight: inFlight, Heard: map[string]echo{n.name: {Incarnation: n.incarnation, At: 50000}}}
 		n.onHomeWord(from, &s, g.now)
-		return g.now.Sub(n.machine(name).homeKnew)
+		return g.now.Sub(n.machine(name).homeWatermark)
 	}
 	if got := said("node-b", nil); got != 12*time.Second {
 		t.Errorf("heard 2 s before a status that names one of 10 s ago: %v", got)
@@ -143,13 +143,13 @@
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	o.report(o.now)
-	n.home.Take(1, o.name, []jobstate.Order{{Op: protocol.Start, Key: jobstate.Key{Job: "job-000950"}, Attempt: 1, Session: 1, CPUs: 1, Memory: 1}})
+	n.agents.Take(1, o.name, []jobstate.Order{{Op: protocol.Start, TaskID: jobstate.TaskID{Job: "job-000950"}, Attempt: 1, Incarnation: 1, CPUs: 1, Memory: 1}})
 	if _, commands := o.report(o.now); len(commands) != 1 {
 		t.Fatalf("the start does not go out: %+v", commands)
 	}
 	renews := func(at time.Time) bool {
 		o.seq++
-		r := protocol.Report{Machine: o.name, Addr: "127.0.0.1:1", Type: "m32", Zone: "east", Session: 1, Seq: o.seq, Token: 1,
+		r := protocol.Heartbeat{Machine: o.name, Addr: "127.0.0.1:1", Type: "m32", Zone: "east", Incarnation: 1, Seq: o.seq, FencingToken: 1,
 			Tasks: []protocol.TaskStatus{{Task: "job-000950/0", Attempt: 1, State: protocol.Running}}}
 		_, ok := n.renewal(&r, at)
 		return ok
@@ -157,7 +157,7 @@
 	if !renews(o.now.Add(time.Second)) {
 		t.Error("a task that its owner ordered is not kept alive before anything was read")
 	}
-	n.horizon.Read(o.now.Add(2 * time.Second))
+	n.cancelWatermark.Read(o.now.Add(2 * time.Second))
 	if renews(o.now.Add(3 * time.Second)) {
 		t.Error("a task of a job that is not active is kept alive on an old order")
 	}
--- a/internal/controller/loss_test.go
+++ b/internal/controller/loss_test.go
@@ -102,7 +102,7 @@
 	late := array(350, 6, "red")
 	l.submit(late)
 	l.allDone(append(l.jobs, late))
-	l.until("withdrawn still", func() bool { return l.poll(l.withdrawn.UID) == protocol.Withdrawn })
+	l.until("withdrawn still", func() bool { return l.poll(l.withdrawn.UID) == protocol.Cancelled })
 	l.until("all is written back", func() bool { return l.rebuilt(l.loses) && (!l.loses || !l.overviews()[0].Store.Lost) })
 	l.until("an unknown job is unknown", func() bool {
 		status, _ := l.ask("GET", protocol.PathSubmit+"/job-999999", nil)
@@ -188,7 +188,7 @@
 			l.submit(extra)
 			l.check.Withdrawing(extra.UID)
 			l.state.Back(l.saved)
-			l.state.Put(userapi.FinalKey+extra.UID, string(protocol.Encode(userapi.Final{State: protocol.Withdrawn, Tasks: 10, Team: "red"})))
+			l.state.Put(userapi.FinalKey+extra.UID, string(protocol.Encode(userapi.Final{State: protocol.Cancelled, Tasks: 10, Team: "red"})))
 			told := 0 // each controller is asked, one after the other, until all tell the end
 			l.until("all tell the end", func() bool {
 				for _, s := range l.sets {
@@ -200,7 +200,7 @@
 					_ = json.NewDecoder(resp.Body).Decode(&st) // the status says the most of it
 					resp.Body.Close()
 					l.check.Told(extra.UID, resp.StatusCode, st.State, false)
-					if st.State == protocol.Withdrawn {
+					if st.State == protocol.Cancelled {
 						told++
 					}
 				}
@@ -229,7 +229,7 @@
 // record was made looks like a new one, and jobs accepted by then were forgotten.
 func TestNothingIsAcceptedBeforeTheFirstRecord(t *testing.T) {
 	n := newGrown(2, 1).n
-	n.listed = true
+	n.watchedKeysRead = true
 	if !(*userBackend)(n).Trusted() {
 		t.Fatal("a controller with a record takes nothing")
 	}
@@ -245,14 +245,14 @@
 func TestRecordWrittenPastALoss(t *testing.T) {
 	for after, want := range map[uint64]datarecovery.Phase{12: datarecovery.Doubted, 17: datarecovery.Known, 18: datarecovery.Known} {
 		n := newGrown(2, 1).n
-		n.record.Generation, n.version = 1, 17
-		n.store.watch = datarecovery.NewWatch("node-a", nil, time.Second)
-		n.store.watch.Entered(1, time.Now())
+		n.record.Epoch, n.recordVersion = 1, 17
+		n.recovery.watch = datarecovery.NewWatch("node-a", nil, time.Second)
+		n.recovery.watch.Entered(1, time.Now())
 		next := n.record.Clone()
-		next.Term, next.After = next.Term+1, after
+		next.Term, next.PreviousVersion = next.Term+1, after
 		n.changed(protocol.Change{Set: controlKey, Value: protocol.Encode(next), Version: 19})
-		if phase, _, _ := n.store.watch.Phase(); phase != want || (n.version == 19) != (want == datarecovery.Known) {
-			t.Errorf("after %d: %s, version %d", after, phase, n.version)
+		if phase, _, _ := n.recovery.watch.Phase(); phase != want || (n.recordVersion == 19) != (want == datarecovery.Known) {
+			t.Errorf("after %d: %s, version %d", after, phase, n.recordVersion)
 		}
 	}
 }
@@ -294,7 +294,7 @@
 	l.state.Back(l.saved)
 	l.until("a generation begins", func() bool { return l.rebuilt(true) })
 	ghost := array(398, 1, "red")
-	late := protocol.Txn{Guards: []protocol.Guard{{Key: marker.Key, Version: marker.Version}, {Key: snapshot.JobKey + ghost.UID}},
+	late := protocol.Txn{Conditions: []protocol.Condition{{Key: marker.Key, Version: marker.Version}, {Key: snapshot.JobKey + ghost.UID}},
 		Then: []protocol.Op{{Set: snapshot.JobKey + ghost.UID, Value: protocol.Encode(userapi.Stored{Spec: ghost})}}}
 	resp, err := l.httpc.Post("http://"+l.state.Addr()+"/txn", "application/json", bytes.NewReader(protocol.Encode(late)))
 	if err != nil {
--- a/internal/controller/meeting_answer_test.go
+++ b/internal/controller/meeting_answer_test.go
@@ -25,7 +25,7 @@
 var writeKinds = map[string]func(txn *protocol.Txn) bool{
 	"acceptance":     func(txn *protocol.Txn) bool { return sets(txn, userapi.JobKey, "") },
 	"end":            func(txn *protocol.Txn) bool { return sets(txn, userapi.FinalKey, protocol.Done) },
-	"cancellation":   func(txn *protocol.Txn) bool { return sets(txn, userapi.FinalKey, protocol.Withdrawn) },
+	"cancellation":   func(txn *protocol.Txn) bool { return sets(txn, userapi.FinalKey, protocol.Cancelled) },
 	"page":           func(txn *protocol.Txn) bool { return writes(txn, "b/") },
 	"roster":         func(txn *protocol.Txn) bool { return writes(txn, machineKey) },
 	"control record": func(txn *protocol.Txn) bool { return writes(txn, controlKey) },
@@ -83,7 +83,7 @@
 				submit(i)
 			}
 			s.until("machines work", func() bool { return s.check.Starts() > 0 })
-			leader := s.leader(teamItem("red"))
+			leader := s.leader(teamShard("red"))
 			s.crash(leader)
 			s.start(leader)
 			s.settle()
@@ -130,14 +130,16 @@
 			machines := s.cloud.Workers()
 			for i, w := range machines {
 				rng := draws(uint64(i))
-				w.SlowCommands(func(*protocol.Direct) time.Duration { return time.Duration(4000+rng.IntN(3000)) * time.Millisecond })
+				w.SlowCommands(func(*protocol.DirectCommands) time.Duration {
+					return time.Duration(4000+rng.IntN(3000)) * time.Millisecond
+				})
 			}
 			for i := range 4 {
 				s.beside(func() { s.enter(array(10+i, 2, []string{"red", "blue"}[i%2])) })
 			}
 			s.cancel(endless(1, 4, "red").UID)
 			s.until("commands are on their way", func() bool { held, _ := lateCommands(machines); return held > 0 })
-			leader, before := s.leader(teamItem("red")), s.term()
+			leader, before := s.leader(teamShard("red")), s.term()
 			undo := depose(s, leader)
 			for _, w := range machines {
 				w.SlowCommands(nil) // the next leader's are not held up
--- a/internal/controller/meeting_cut_test.go
+++ b/internal/controller/meeting_cut_test.go
@@ -14,7 +14,7 @@
 	s := openScene(t, sceneRun)
 	s.members(3)
 	crowd(s)
-	inside, cut := s.leader(teamItem("red")), s.cloud.Workers()[:2]
+	inside, cut := s.leader(teamShard("red")), s.cloud.Workers()[:2]
 	gone := s.runningOn(cut)[0]
 	for _, w := range cut {
 		w.Reach(s.names[inside])
@@ -57,7 +57,7 @@
 			}
 			s.until("commands wait at machines", func() bool { held, _ := lateCommands(machines); return held > 0 })
 			if ends {
-				leader := s.leader(teamItem("red"))
+				leader := s.leader(teamShard("red"))
 				s.crash(leader)
 				s.start(leader)
 			}
@@ -79,7 +79,7 @@
 	s := openScene(t, sceneRun)
 	s.members(3)
 	jobs := crowd(s)
-	leader := s.leader(teamItem("red"))
+	leader := s.leader(teamShard("red"))
 	s.doors[leader].Refuse(true)
 	for i, job := range jobs {
 		if i%2 == 0 {
--- a/internal/controller/meeting_look_test.go
+++ b/internal/controller/meeting_look_test.go
@@ -80,11 +80,11 @@
 			})
 		},
 		"a leader ends": func(s *scene) {
-			leader := s.leader(teamItem("red"))
+			leader := s.leader(teamShard("red"))
 			s.beside(func() { s.crash(leader); s.start(leader) })
 		},
 		"the service refuses the leader": func(s *scene) {
-			leader := s.leader(teamItem("red"))
+			leader := s.leader(teamShard("red"))
 			s.beside(func() {
 				s.doors[leader].Refuse(true)
 				time.Sleep(time.Second)
@@ -115,7 +115,7 @@
 			for event, happened := range map[string]func(c history.Call) bool{
 				"accepted":  func(c history.Call) bool { return c.Status == 201 },
 				"done":      func(c history.Call) bool { return c.Status == 200 && c.State == protocol.Done },
-				"cancelled": func(c history.Call) bool { return c.Kind == history.Cancel && c.State == protocol.Withdrawn },
+				"cancelled": func(c history.Call) bool { return c.Kind == history.Cancel && c.State == protocol.Cancelled },
 			} {
 				if n := looked(calls, happened); n < len(s.sets) {
 					t.Errorf("after a job was %s only %d controllers told of it", event, n)
@@ -148,7 +148,7 @@
 			ends = append(ends, c.State)
 		}
 	}
-	if !slices.Contains(ends, protocol.Done) && !slices.Contains(ends, protocol.Withdrawn) {
+	if !slices.Contains(ends, protocol.Done) && !slices.Contains(ends, protocol.Cancelled) {
 		t.Error("no cancellation met an end")
 	}
 }
@@ -170,7 +170,7 @@
 				repeated := *running
 				repeated.Team, repeated.CPUs = "nobody", 900
 				status, state := s.users.Submit(node, &repeated)
-				return status == 200 && state != protocol.Withdrawn
+				return status == 200 && state != protocol.Cancelled
 			})
 			s.until("a job that is done can't be cancelled", func() bool {
 				status, state := s.users.Cancel(node, over.UID)
@@ -179,7 +179,7 @@
 		}
 	}
 	check()
-	leader := s.leader(teamItem("red"))
+	leader := s.leader(teamShard("red"))
 	s.crash(leader)
 	s.start(leader)
 	check()
--- a/internal/controller/meeting_quota_test.go
+++ b/internal/controller/meeting_quota_test.go
@@ -81,7 +81,7 @@
 		return "mute", func() { w.Mute(false) }
 	}
 	held := time.Duration(500+rng.IntN(4000)) * time.Millisecond
-	w.SlowCommands(func(*protocol.Direct) time.Duration { return held })
+	w.SlowCommands(func(*protocol.DirectCommands) time.Duration { return held })
 	return "slow commands", func() { w.SlowCommands(nil) }
 }
 
@@ -131,7 +131,7 @@
 // depose changes who leads: one controller ends, or all, or the service refuses one for longer than its lease.
 func (s *scene) depose(rng *rand.Rand) {
 	s.t.Helper()
-	before, leader := s.term(), s.leader(teamItem("red"))
+	before, leader := s.term(), s.leader(teamShard("red"))
 	switch rng.IntN(3) {
 	case 0:
 		s.crash(leader)
--- a/internal/controller/meeting_start_test.go
+++ b/internal/controller/meeting_start_test.go
@@ -35,7 +35,7 @@
 }
 
 // slowStarts holds commands up that start something.
-func slowStarts(d *protocol.Direct) time.Duration {
+func slowStarts(d *protocol.DirectCommands) time.Duration {
 	if slices.ContainsFunc(d.Commands, func(c protocol.Command) bool { return c.Op == protocol.Start }) {
 		return 7 * time.Second
 	}
@@ -67,7 +67,7 @@
 				w.SlowCommands(nil)
 			}
 			_, arrived := lateCommands([]*simulation.Worker{deaf})
-			leader, before := s.leader(teamItem("red")), s.term()
+			leader, before := s.leader(teamShard("red")), s.term()
 			s.crash(leader)
 			s.until("another term", func() bool { return s.term() > before })
 			if cancels {
--- a/internal/controller/meeting_test.go
+++ b/internal/controller/meeting_test.go
@@ -44,7 +44,7 @@
 	r.until("withdrawn", func() bool {
 		status, st := r.askAt(i, "POST", protocol.PathSubmit+"/"+uid+"/withdraw", struct{}{})
 		r.check.Told(uid, status, st.State, false)
-		return status == 200 && st.State == protocol.Withdrawn
+		return status == 200 && st.State == protocol.Cancelled
 	})
 	return time.Now()
 }
@@ -60,7 +60,7 @@
 		for _, o := range r.overviews() {
 			for _, x := range r.cloud.Workers() {
 				elsewhere := func(j *protocol.Submission) bool {
-					return has(x, j.UID) && o.Owners[teamItem(j.Team)] != record.Home(x.Name())
+					return has(x, j.UID) && o.Owners[teamShard(j.Team)] != record.Home(x.Name())
 				}
 				if len(o.Members) == 3 && !slices.ContainsFunc(jobs, func(j *protocol.Submission) bool { return !elsewhere(j) }) {
 					w = x
@@ -82,8 +82,8 @@
 // endBehind writes a job's withdrawal to the state service, as a controller does that ends before it tells anybody.
 func (r *region) endBehind(job *protocol.Submission) {
 	r.check.Withdrawing(job.UID)
-	end := userapi.Final{State: protocol.Withdrawn, Tasks: job.Tasks, Team: job.Team}
-	txn := protocol.Txn{Guards: []protocol.Guard{{Key: userapi.FinalKey + job.UID}},
+	end := userapi.Final{State: protocol.Cancelled, Tasks: job.Tasks, Team: job.Team}
+	txn := protocol.Txn{Conditions: []protocol.Condition{{Key: userapi.FinalKey + job.UID}},
 		Then: []protocol.Op{{Delete: userapi.JobKey + job.UID}, {Set: userapi.FinalKey + job.UID, Value: protocol.Encode(end)}}}
 	resp, err := r.httpc.Post("http://"+r.state.Addr()+"/txn", "application/json", bytes.NewReader(protocol.Encode(txn)))
 	if err != nil {
@@ -153,7 +153,7 @@
 	}
 	r.state.Outage(false)
 	r.doors[a].Refuse(false)
-	if st := r.poll(job.UID); st != protocol.Withdrawn && st != "" {
+	if st := r.poll(job.UID); st != protocol.Cancelled && st != "" {
 		t.Errorf("withdrawn job is %s", st)
 	}
 }
@@ -163,12 +163,12 @@
 	g := newGrown(1, 1)
 	n := g.n
 	n.lease = leadership.Lease{Life: 5 * time.Second}
-	n.version, n.began = 7, n.began.Add(-time.Minute)
+	n.recordVersion, n.startedAt = 7, n.startedAt.Add(-time.Minute)
 	now := time.Now()
 	promise := func(version *uint64) bool {
-		p := &peerState{heard: now}
+		p := &peerState{heardAt: now}
 		n.peers = map[string]*peerState{"node-b": p}
-		s := statusMsg{Promise: true, Version: version, Heard: map[string]echo{n.name: {Incarnation: n.inc, At: now.Sub(n.began).Milliseconds()}}}
+		s := statusMsg{Promise: true, Version: version, Heard: map[string]echo{n.name: {Incarnation: n.incarnation, At: now.Sub(n.startedAt).Milliseconds()}}}
 		n.onStatus(p, &s, now)
 		return n.entitled(now)
 	}
@@ -182,9 +182,9 @@
 		}
 	}
 	// A status that names one of this process's own that it never sent promises nothing, or it would for ever.
-	p := &peerState{heard: now}
+	p := &peerState{heardAt: now}
 	n.peers = map[string]*peerState{"node-b": p}
-	n.onStatus(p, &statusMsg{Promise: true, Version: version(7), Heard: map[string]echo{n.name: {Incarnation: n.inc, At: 1 << 50}}}, now)
+	n.onStatus(p, &statusMsg{Promise: true, Version: version(7), Heard: map[string]echo{n.name: {Incarnation: n.incarnation, At: 1 << 50}}}, now)
 	if n.entitled(now) {
 		t.Error("a promise from the future entitles")
 	}
@@ -232,7 +232,7 @@
 	r.until("all three are members again", func() bool { o := r.overviews(); return len(o) > 0 && len(o[0].Members) == 3 })
 	r.until("it tells the withdrawal", func() bool {
 		_, st := r.askAt(a, "GET", protocol.PathSubmit+"/"+job.UID, nil)
-		return st.State == protocol.Withdrawn
+		return st.State == protocol.Cancelled
 	})
 }
 
@@ -430,7 +430,7 @@
 	r.until("nothing withdrawn runs", func() bool { return !has(w, gone.UID) })
 	r.allDone([]*protocol.Submission{stays})
 	w.Deaf(false)
-	r.until("withdrawn still", func() bool { return r.poll(gone.UID) == protocol.Withdrawn })
+	r.until("withdrawn still", func() bool { return r.poll(gone.UID) == protocol.Cancelled })
 }
 
 // TestOldReportsProveNothing: two late copies of what a machine sent that is gone by now come to a controller that never knew it, and
@@ -449,21 +449,21 @@
 	at := g.now
 	for seq := range uint64(6) {
 		n.mu.Lock()
-		r := protocol.Report{Machine: "n-000900", Addr: addr, Type: "m32", Zone: "east", Session: 1, Seq: seq + 1, Token: 1,
+		r := protocol.Heartbeat{Machine: "n-000900", Addr: addr, Type: "m32", Zone: "east", Incarnation: 1, Seq: seq + 1, FencingToken: 1,
 			Tasks: []protocol.TaskStatus{{Task: "job-000001/0", Attempt: 1, State: protocol.Running}}}
 		n.hear(&r, at)
-		at = at.Add(settings.Seconds(n.set.Deployment.Workers.Report))
-		n.horizon.Read(at)
+		at = at.Add(settings.Seconds(n.settings.Deployment.Workers.Report))
+		n.cancelWatermark.Read(at)
 		n.mu.Unlock()
 		_ = n.group.Wait() // what is asked of the machine
 	}
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if m := n.machine("n-000900"); m.unlisted.IsZero() || m.inspected.IsZero() {
+	if m := n.machine("n-000900"); m.unregisteredSince.IsZero() || m.inspectedAt.IsZero() {
 		t.Error("the machine was not asked")
 	}
-	if n.store.proof != "" {
-		t.Errorf("taken for a proof: %s", n.store.proof)
+	if n.recovery.proof != "" {
+		t.Errorf("taken for a proof: %s", n.recovery.proof)
 	}
 }
 
@@ -476,19 +476,19 @@
 	g.submit(4, 4) // job-000001
 	g.submit(4, 4)
 	n.endJob("job-000002")
-	n.front.Learn("job-000003", userapi.Final{State: protocol.Withdrawn, Tasks: 1, Team: "team-0"})
+	n.front.Learn("job-000003", userapi.Final{State: protocol.Cancelled, Tasks: 1, Team: "team-0"})
 	n.mu.Lock() // what is looked up beside it takes it too
-	reach := settings.Seconds(n.set.Deployment.Workers.Cancel - n.set.Deployment.Workers.Lease)
+	reach := settings.Seconds(n.settings.Deployment.Workers.Cancel - n.settings.Deployment.Workers.Lease)
 	seq := uint64(10)
 	ask := func(at time.Time, state string, tasks ...string) (status int, stopped []string) {
 		seq++
-		r := protocol.Report{Machine: g.names[0], Addr: "127.0.0.1:1", Type: "m32", Zone: "east", Session: 1, Seq: seq, Token: 1, Tasks: []protocol.TaskStatus{}}
+		r := protocol.Heartbeat{Machine: g.names[0], Addr: "127.0.0.1:1", Type: "m32", Zone: "east", Incarnation: 1, Seq: seq, FencingToken: 1, Tasks: []protocol.TaskStatus{}}
 		for _, task := range tasks {
 			r.Tasks = append(r.Tasks, protocol.TaskStatus{Task: task, Attempt: 1, State: state, Why: protocol.WhyDone})
 		}
 		n.lease.Renewed(at)
 		a := n.answerReport(&r, at)
-		var answer protocol.ReportAnswer
+		var answer protocol.HeartbeatAnswer
 		if err := protocol.Decode(a.Body, &answer); err != nil {
 			t.Fatal(err)
 		}
@@ -521,31 +521,31 @@
 		}
 	}
 	// An owner's order tells that the job is there before the watch does.
-	n.home.SetTerm(1, func(string) bool { return true })
-	o := jobstate.Order{Op: protocol.Start, Key: jobstate.Key{Job: "job-000008"}, Attempt: 1, Session: 1, CPUs: 1, Memory: 1}
-	n.home.Take(1, g.names[0], []jobstate.Order{o})
+	n.agents.SetTerm(1, func(string) bool { return true })
+	o := jobstate.Order{Op: protocol.Start, TaskID: jobstate.TaskID{Job: "job-000008"}, Attempt: 1, Incarnation: 1, CPUs: 1, Memory: 1}
+	n.agents.Take(1, g.names[0], []jobstate.Order{o})
 	if status, _ := ask(g.now.Add(time.Second), protocol.Running, "job-000008/0"); status != 200 {
 		t.Errorf("a task that its owner ordered here is answered by %d", status)
 	}
 	// A start is held back as long as the answer that would renew the machine's lease.
 	n.peers["node-b"] = &peerState{}
 	n.lease.Renewed(time.Now())
-	o.Key.Job = "job-000007"
-	n.home.Take(1, g.names[0], []jobstate.Order{o})
-	if m := n.home.Get(g.names[0]); !m.Starts() {
+	o.TaskID.Job = "job-000007"
+	n.agents.Take(1, g.names[0], []jobstate.Order{o})
+	if m := n.agents.Get(g.names[0]); !m.Starts() {
 		t.Fatal("no start waits")
 	}
 	n.mu.Unlock()
 	var link *httpx.Link
 	n.mu.Lock()
-	n.horizon = cancelwatermark.New([]string{"node-b"}, 0, 0)
-	n.horizon.Read(time.Now().Add(-time.Minute))
+	n.cancelWatermark = cancelwatermark.New([]string{"node-b"}, 0, 0)
+	n.cancelWatermark.Read(time.Now().Add(-time.Minute))
 	n.mu.Unlock()
 	if n.carryOnce(n.ctx, g.names[0], &link) || link != nil {
 		t.Error("a start goes out that may land after what is known has run out")
 	}
 	n.mu.Lock()
-	n.horizon.Read(time.Now())
+	n.cancelWatermark.Read(time.Now())
 	n.mu.Unlock()
 	if n.carryOnce(n.ctx, g.names[0], &link); link == nil {
 		t.Error("a start does not go out while what is known is current")
--- a/internal/controller/node.go
+++ b/internal/controller/node.go
@@ -41,143 +41,143 @@
 
 // Node is one controller.
 type Node struct {
-	set  *settings.Settings
-	opt  *settings.Options
-	log  *slog.Logger
-	name string
-	inc  uint64 // incarnation: later processes of a controller have greater ones
-
-	state *kvstore.Client
-	cloud *cloud.Client
-	links *peer.Links
-	front *userapi.Frontend
-	kick  chan struct{}
-	renew chan struct{} // wakes the watch's reader after a hint of a newer record
-
-	mu         sync.Mutex
-	rng        *rand.Rand
-	board      []*machine       // those with a view, for placement
-	scratch    []placement.Host // the present step's copy
-	scratchAll []placement.Host
-	ends       []ends // what running tasks give back, as of endsAt
-	endsAt     time.Time
-	looked     time.Time // when running tasks were last looked over
-	preempted  time.Time // when it was last looked whom to stop for others
-	progressed time.Time // when jobs' progress was last told
-	lease      leadership.Lease
-	grant      uint64
-	record     *leadership.Record
-	version    uint64 // of the record's key
-	settled    time.Time
-	live       map[string]leadership.Presence
-	listed     bool                     // the watched keys were read
-	revision   uint64                   // of the state service, up to which the watched keys are known
-	horizon    *cancelwatermark.Horizon // up to when all confirmed withdrawals are known here
-	unsynced   []chan error             // those who wait for a read of the changes
-	syncNow    chan struct{}
-	missing    time.Time
-	items      map[string]*item
-	backups    map[string]*backup
-	peers      map[string]*peerState
-	jobs       map[string]*job
-	machines   map[string]*machine
-	lists      map[string]map[string]bool // by job, the machines that list any task of it
-	roster     *agents.Roster
-	enrolling  map[string]bool // machines to be registered
-	striking   bool            // gone machines are being taken off the roster
-	home       *agents.Home
-	doers      map[string]*doer
-	types      []protocol.MachineType
-	fresh      map[string]bool // machines whose view is to be told to peers
-	bumped     time.Time
-	renewed    time.Time // last renewal of the lease that worked
-	promised   time.Time // this controller raises no term before
-	raising    bool      // a change of the record is on its way
-	unsure     uint64    // version under which a change had no answer
-	evicting   map[jobstate.Ref]eviction
-	told       bool          // peers know of tasks that wait
-	news       chan struct{} // wakes the duty that tells peers
-	lookups    map[string]bool
-	drain      map[string]bool
-	deaf       map[string]map[string]vain // homes that machines tried in vain
-	blame      *quarantine.Judge
-	late       []string                // places where machines come up late, as the fleet's owner sees it
-	still      time.Duration           // how long this controller stood still last
-	waits      *hdrhistogram.Histogram // ms from submission to a task seen running
-	hears      bool                    // workers can be reached again
-	group      *errgroup.Group
-	ctx        context.Context
-	began      time.Time
-	probed     barrierProbes
-	stray      map[string]bool // machines of other homes that reported here since the last status
-	firsts     map[string]bool // what was told of this process's first steps
-	admit      *admit          // who gets how much of what is short
-	store      *keeping        // what is known of the state service, and must outlive it
-	config     *configFollow   // the teams' configuration; nil: it does not change
+	settings    *settings.Settings
+	options     *settings.Options
+	log         *slog.Logger
+	name        string
+	incarnation uint64 // incarnation: later processes of a controller have greater ones
+
+	kvStore      *kvstore.Client
+	cloud        *cloud.Client
+	links        *peer.Links
+	front        *userapi.Frontend
+	wakeRequests chan struct{}
+	recordHints  chan struct{} // wakes the watch's reader after a hint of a newer record
+
+	mu                   sync.Mutex
+	rng                  *rand.Rand
+	placeable            []*machine       // those with a view, for placement
+	hostBuffer           []placement.Host // the present step's copy
+	allHostsBuffer       []placement.Host
+	freeing              []ends // what running tasks give back, as of endsAt
+	freeingAt            time.Time
+	runningReviewedAt    time.Time // when running tasks were last looked over
+	preemptionReviewedAt time.Time // when it was last looked whom to stop for others
+	progressSentAt       time.Time // when jobs' progress was last told
+	lease                leadership.Lease
+	leaseID              uint64
+	record               *leadership.Record
+	recordVersion        uint64 // of the record's key
+	membershipSettledAt  time.Time
+	presences            map[string]leadership.Presence
+	watchedKeysRead      bool                       // the watched keys were read
+	followedRevision     uint64                     // of the state service, up to which the watched keys are known
+	cancelWatermark      *cancelwatermark.Watermark // up to when all confirmed withdrawals are known here
+	syncWaiters          []chan error               // those who wait for a read of the changes
+	syncRequests         chan struct{}
+	memberMissingSince   time.Time
+	shards               map[string]*shard
+	replicas             map[string]*heldReplica
+	peers                map[string]*peerState
+	jobs                 map[string]*job
+	machines             map[string]*machine
+	machinesByJob        map[string]map[string]bool // by job, the machines that list any task of it
+	roster               *agents.Roster
+	unregistered         map[string]bool // machines to be registered
+	removingGone         bool            // gone machines are being taken off the roster
+	agents               *agents.Registry
+	commandSenders       map[string]*commandSender
+	machineTypes         []protocol.MachineType
+	changedMachines      map[string]bool // machines whose view is to be told to peers
+	termChangedAt        time.Time
+	leaseRenewedAt       time.Time // last renewal of the lease that worked
+	promisedUntil        time.Time // this controller raises no term before
+	recordChangePending  bool      // a change of the record is on its way
+	unansweredVersion    uint64    // version under which a change had no answer
+	evictions            map[jobstate.AttemptRef]eviction
+	waitingAnnounced     bool          // peers know of tasks that wait
+	statusRequests       chan struct{} // wakes the duty that tells peers
+	endLookups           map[string]bool
+	drainingMachines     map[string]bool
+	unreachableHomes     map[string]map[string]misdirection // homes that machines tried in vain
+	quarantine           *quarantine.Judge
+	latePlaces           []string                // places where machines come up late, as the fleet's owner sees it
+	lastStall            time.Duration           // how long this controller stood still last
+	startLatency         *hdrhistogram.Histogram // ms from submission to a task seen running
+	agentsReachable      bool                    // workers can be reached again
+	group                *errgroup.Group
+	ctx                  context.Context
+	startedAt            time.Time
+	probes               barrierProbes
+	misdirectedAgents    map[string]bool // machines of other homes that reported here since the last status
+	firstSteps           map[string]bool // what was told of this process's first steps
+	admission            *admissionState // who gets how much of what is short
+	recovery             *recoveryState  // what is known of the state service, and must outlive it
+	teamConfig           *configFollow   // the teams' configuration; nil: it does not change
 }
 
 // first logs once when this process came to a step, for how long after its start.
-func (n *Node) first(step string, now time.Time) {
-	if !n.firsts[step] {
-		n.firsts[step] = true
-		n.log.Info(step, "after", now.Sub(n.began))
+func (n *Node) logFirst(step string, now time.Time) {
+	if !n.firstSteps[step] {
+		n.firstSteps[step] = true
+		n.log.Info(step, "after", now.Sub(n.startedAt))
 	}
 }
 
 // job is what every controller knows of a job that is or was active.
 type job struct {
-	spec    *protocol.Submission
-	at      time.Time
-	version uint64
-	active  bool
-	ended   time.Time
-	late    bool           // counted as not served in time
-	goals   jobstate.Goals // cached
-	longest time.Duration  // of its tasks that ran to completion as far as seen here
-	runs    int
+	spec          *protocol.Submission
+	submittedAt   time.Time
+	version       uint64
+	active        bool
+	endedAt       time.Time
+	countedLate   bool           // counted as not served in time
+	goals         jobstate.Goals // cached
+	longestRun    time.Duration  // of its tasks that ran to completion as far as seen here
+	completedRuns int
 }
 
 // machine is what every controller knows of a machine.
 type machine struct {
-	view      *jobstate.View
-	host      placement.Host // its entry for placement, if counted
-	counted   bool
-	heard     time.Time
-	homed     time.Time // when its home last heard it, as far as told
-	homeKnew  time.Time // a start that its home sent and that may still arrive was sent knowing all withdrawals before
-	home      string    // by the record homeBy
-	homeBy    *leadership.Record
-	spared    time.Time // when it was last kept alive here as its home was silent
-	came      time.Time // when it last reported to a controller that is not its home
-	unlisted  time.Time // since when it reports tasks though it is on no list of machines
-	inspected time.Time // when it was last asked whether it is there
-	images    map[string]bool
-	gone      bool
-	idle      time.Time
-	slow      time.Time                  // when a task here was last found far slower than its kin
-	running   map[jobstate.Ref]time.Time // since when a listed task was seen running
+	status            *jobstate.MachineStatus
+	host              placement.Host // its entry for placement, if counted
+	counted           bool
+	heardAt           time.Time
+	homeHeardAt       time.Time // when its home last heard it, as far as told
+	homeWatermark     time.Time // a start that its home sent and that may still arrive was sent knowing all withdrawals before
+	home              string    // by the record homeBy
+	homeRecord        *leadership.Record
+	keptAliveAt       time.Time // when it was last kept alive here as its home was silent
+	misdirectedAt     time.Time // when it last reported to a controller that is not its home
+	unregisteredSince time.Time // since when it reports tasks though it is on no list of machines
+	inspectedAt       time.Time // when it was last asked whether it is there
+	images            map[string]bool
+	gone              bool
+	idleSince         time.Time
+	slowAt            time.Time                         // when a task here was last found far slower than its kin
+	runningSince      map[jobstate.AttemptRef]time.Time // since when a listed task was seen running
 }
 
 // peerState is what a controller knows of another one.
 type peerState struct {
-	up       bool
-	inc      uint64
-	heard    time.Time
-	entitled bool
-	leased   bool
-	at       int64     // the peer's clock in its last status
-	until    time.Time // the peer promised to raise no term before
-	version  uint64    // of the newest control record under which it promised so
-	behind   time.Time // since when it has known an earlier control record; zero: it does not
-	taught   time.Time // when it was last sent the control record
-	demands  []demand
-	progress map[string][2]int
-	drain    map[string]bool
-	awaits   []string
-	mute     []string
-	writes   float64      // changes of the state service that it wants a second; negative if unknown
-	plan     admission.ID // the latest plan that it has heard of
-	delivery peer.Delivery
+	connected          bool
+	incarnation        uint64
+	heardAt            time.Time
+	entitled           bool
+	leased             bool
+	statusClock        int64     // the peer's clock in its last status
+	promisedUntil      time.Time // the peer promised to raise no term before
+	promisedVersion    uint64    // of the newest control record under which it promised so
+	behindSince        time.Time // since when it has known an earlier control record; zero: it does not
+	recordSentAt       time.Time // when it was last sent the control record
+	demands            []demand
+	progress           map[string][2]int
+	drainingMachines   map[string]bool
+	awaitedMachines    []string
+	unansweredMachines []string
+	wantedWrites       float64      // changes of the state service that it wants a second; negative if unknown
+	plan               admission.ID // the latest plan that it has heard of
+	delivery           peer.Delivery
 }
 
 // unheardAfter is after what silence a peer counts as not heard: four of its
@@ -185,7 +185,7 @@
 const unheardAfter = 2 * time.Second
 
 // near says whether the peer is heard.
-func (p *peerState) near(now time.Time) bool { return now.Sub(p.heard) <= unheardAfter }
+func (p *peerState) isHeard(now time.Time) bool { return now.Sub(p.heardAt) <= unheardAfter }
 
 // Run serves until the context ends.
 func Run(ctx context.Context, s *settings.Settings, o *settings.Options, log *slog.Logger) error {
@@ -198,33 +198,33 @@
 	count := len(s.Peers) + 1
 	now := time.Now()
 	n := &Node{
-		set: s, opt: o, log: log.With("node", s.Name), name: s.Name,
-		inc:   uint64(now.UnixMicro()),
-		state: kvstore.New(s.Outside.State, s.Deployment.State, count),
-		cloud: cloud.New(s.Outside.Cloud, s.Deployment.Cloud, count),
-		kick:  make(chan struct{}, 1), renew: make(chan struct{}, 1), syncNow: make(chan struct{}, 1),
-		rng:  rand.New(rand.NewPCG(uint64(now.UnixNano()), rand.Uint64())),
-		live: map[string]leadership.Presence{}, items: map[string]*item{}, backups: map[string]*backup{},
-		peers: map[string]*peerState{}, jobs: map[string]*job{}, machines: map[string]*machine{}, lists: map[string]map[string]bool{}, enrolling: map[string]bool{}, roster: newRoster(s),
-		doers: map[string]*doer{}, fresh: map[string]bool{}, settled: now, began: now, renewed: now, promised: now.Add(promiseLife),
-		lookups: map[string]bool{}, evicting: map[jobstate.Ref]eviction{}, news: make(chan struct{}, 1), drain: map[string]bool{}, deaf: map[string]map[string]vain{}, blame: quarantine.New(),
-		stray: map[string]bool{}, firsts: map[string]bool{}, waits: hdrhistogram.New(1, time.Hour.Milliseconds(), 2),
+		settings: s, options: o, log: log.With("node", s.Name), name: s.Name,
+		incarnation:  uint64(now.UnixMicro()),
+		kvStore:      kvstore.New(s.Outside.State, s.Deployment.State, count),
+		cloud:        cloud.New(s.Outside.Cloud, s.Deployment.Cloud, count),
+		wakeRequests: make(chan struct{}, 1), recordHints: make(chan struct{}, 1), syncRequests: make(chan struct{}, 1),
+		rng:       rand.New(rand.NewPCG(uint64(now.UnixNano()), rand.Uint64())),
+		presences: map[string]leadership.Presence{}, shards: map[string]*shard{}, replicas: map[string]*heldReplica{},
+		peers: map[string]*peerState{}, jobs: map[string]*job{}, machines: map[string]*machine{}, machinesByJob: map[string]map[string]bool{}, unregistered: map[string]bool{}, roster: newRoster(s),
+		commandSenders: map[string]*commandSender{}, changedMachines: map[string]bool{}, membershipSettledAt: now, startedAt: now, leaseRenewedAt: now, promisedUntil: now.Add(promiseLife),
+		endLookups: map[string]bool{}, evictions: map[jobstate.AttemptRef]eviction{}, statusRequests: make(chan struct{}, 1), drainingMachines: map[string]bool{}, unreachableHomes: map[string]map[string]misdirection{}, quarantine: quarantine.New(),
+		misdirectedAgents: map[string]bool{}, firstSteps: map[string]bool{}, startLatency: hdrhistogram.New(1, time.Hour.Milliseconds(), 2),
 	}
 	life := settings.Seconds(o.NodeLease)
 	n.lease = leadership.Lease{Life: life, Margin: life / 20}
-	n.store = newKeeping(s, life)
-	n.admit = newAdmit(o)
-	n.state.OnSign(n.sign)
-	n.home = agents.New(n.capacity, n.size)
+	n.recovery = newRecoveryState(s, life)
+	n.admission = newAdmissionState(o)
+	n.kvStore.OnSign(n.sign)
+	n.agents = agents.New(n.capacity, n.size)
 	addrs := map[string]string{}
 	for _, p := range s.Peers {
 		addrs[p.Name] = p.Endpoint
 		n.peers[p.Name] = &peerState{}
 	}
-	n.horizon = cancelwatermark.New(slices.Collect(maps.Keys(n.peers)), settings.Seconds(s.Deployment.Workers.Cancel), settings.Seconds(s.Deployment.Workers.Lease))
-	n.links = peer.New(s.Name, n.inc, addrs, (*peerHandler)(n), n.log)
-	n.front = userapi.New(s, n.state, (*userBackend)(n))
-	if n.config = newConfigFollow(s, o); n.config != nil {
+	n.cancelWatermark = cancelwatermark.New(slices.Collect(maps.Keys(n.peers)), settings.Seconds(s.Deployment.Workers.Cancel), settings.Seconds(s.Deployment.Workers.Lease))
+	n.links = peer.New(s.Name, n.incarnation, addrs, (*peerHandler)(n), n.log)
+	n.front = userapi.New(s, n.kvStore, (*userBackend)(n))
+	if n.teamConfig = newConfigFollow(s, o); n.teamConfig != nil {
 		n.front.Follow((*configTenants)(n))
 	}
 	return n
@@ -235,22 +235,22 @@
 	// Most of the memory that is allowed stands empty: half as many collections, and more again
 	// only towards the limit.
 	debug.SetGCPercent(200)
-	debug.SetMemoryLimit(int64(n.set.Deployment.Limits.MemoryMB * 0.75 * (1 << 20)))
+	debug.SetMemoryLimit(int64(n.settings.Deployment.Limits.MemoryMB * 0.75 * (1 << 20)))
 	group, ctx := errgroup.WithContext(ctx)
 	n.mu.Lock()
 	n.group, n.ctx = group, ctx
 	n.mu.Unlock()
-	n.log.Info("starting", "version", Version, "incarnation", n.inc, "zone", n.set.Zone, "controllers", len(n.set.Peers)+1)
-	conns := n.set.Deployment.Limits.MaxSockets*7/10 - 100
+	n.log.Info("starting", "version", Version, "incarnation", n.incarnation, "zone", n.settings.Zone, "controllers", len(n.settings.Peers)+1)
+	conns := n.settings.Deployment.Limits.MaxSockets*7/10 - 100
 	if conns < 32 {
 		conns = 32
 	}
 	duties := map[string]func(context.Context) error{
 		"serve": func(ctx context.Context) error {
-			return httpx.Serve(ctx, n.set.Listen, conns, httpx.Patience{Idle: 90 * time.Second, Slow: 5 * time.Second}, n.handle)
+			return httpx.Serve(ctx, n.settings.Listen, conns, httpx.Patience{Idle: 90 * time.Second, Slow: 5 * time.Second}, n.handle)
 		},
-		"peers":   func(ctx context.Context) error { return n.links.Listen(ctx, n.set.PeerListen) },
-		"state":   n.state.Run,
+		"peers":   func(ctx context.Context) error { return n.links.Listen(ctx, n.settings.PeerListen) },
+		"state":   n.kvStore.Run,
 		"lease":   n.keepLease,
 		"watch":   n.follow,
 		"control": n.keepRecord,
@@ -274,7 +274,7 @@
 			return nil
 		})
 	}
-	for _, p := range n.set.Peers {
+	for _, p := range n.settings.Peers {
 		group.Go(func() error { return n.links.Dial(ctx, p.Name) })
 	}
 	return group.Wait()
@@ -282,7 +282,7 @@
 
 func (n *Node) wake() {
 	select {
-	case n.kick <- struct{}{}:
+	case n.wakeRequests <- struct{}{}:
 	default:
 	}
 }
@@ -297,14 +297,14 @@
 // acknowledged, as far as known, the record names this process, and either its lease lives or every other controller promised to raise no
 // term for now, under this record or an earlier one.
 func (n *Node) entitled(now time.Time) bool {
-	return n.record != nil && n.trusted() && n.record.Nodes[n.name] == n.inc && (n.lease.Valid(now) || n.holdsPromises(now))
+	return n.record != nil && n.trusted() && n.record.Nodes[n.name] == n.incarnation && (n.lease.Valid(now) || n.holdsPromises(now))
 }
 
 func (n *Node) holdsPromises(now time.Time) bool {
 	for _, p := range n.peers {
 		// One that knows a later record promises not to raise the term above that one: this
 		// controller may have no part in it.
-		if !now.Before(p.until) || p.version > n.version {
+		if !now.Before(p.promisedUntil) || p.promisedVersion > n.recordVersion {
 			return false
 		}
 	}
@@ -315,13 +315,13 @@
 // term: its own lease is not being renewed, as in an outage of the state
 // service, and no change of the record that it sent may still be applied.
 func (n *Node) promises(now time.Time) bool {
-	return now.Sub(n.renewed) > n.lease.Life*2/5 && !n.raising && n.unsure == 0 && n.trusted()
+	return now.Sub(n.leaseRenewedAt) > n.lease.Life*2/5 && !n.recordChangePending && n.unansweredVersion == 0 && n.trusted()
 }
 
 func (n *Node) typeOf(name string) *protocol.MachineType {
-	for i := range n.types {
-		if n.types[i].Name == name {
-			return &n.types[i]
+	for i := range n.machineTypes {
+		if n.machineTypes[i].Name == name {
+			return &n.machineTypes[i]
 		}
 	}
 	return nil
@@ -344,7 +344,7 @@
 
 // handle answers what comes to the public address.
 func (n *Node) handle(ctx context.Context, c *httpx.Conn, r *httpx.Request) httpx.Answer {
-	if r.Path == protocol.PathReport {
+	if r.Path == protocol.PathHeartbeat {
 		if r.Method != "POST" {
 			a := httpx.Refuse(405, "method not allowed")
 			a.Allow = "POST"
@@ -373,7 +373,7 @@
 func (b *userBackend) Types() []protocol.MachineType {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return b.types
+	return b.machineTypes
 }
 
 func (b *userBackend) Progress(uid string) (done, running int) {
@@ -384,7 +384,7 @@
 	if j == nil {
 		return 0, 0
 	}
-	if it := n.items[teamItem(j.spec.Team)]; it != nil && it.team != nil {
+	if it := n.shards[teamShard(j.spec.Team)]; it != nil && it.team != nil {
 		return it.team.Progress(uid)
 	}
 	for _, p := range n.peers {
@@ -417,7 +417,7 @@
 	n := (*Node)(b)
 	// Before the first control record no change rests on a generation, and a loss cannot be told
 	// from the deployment's beginning: nothing is accepted yet.
-	return n.listed && n.record != nil && n.trusted() && n.gathered(time.Now())
+	return n.watchedKeysRead && n.record != nil && n.trusted() && n.gathered(time.Now())
 }
 
 func (b *userBackend) Remembers(uid string) (userapi.Stored, uint64, bool) {
@@ -427,7 +427,7 @@
 	if j == nil || !j.active {
 		return userapi.Stored{}, 0, false
 	}
-	return userapi.Stored{Spec: j.spec, At: j.at.UnixMilli()}, j.version, true
+	return userapi.Stored{Spec: j.spec, At: j.submittedAt.UnixMilli()}, j.version, true
 }
 
 // Certain says whether a job that neither the store nor anybody here knows was never
@@ -441,8 +441,8 @@
 	}
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return n.trusted() && n.listed && n.record != nil && !n.record.Lost && n.gathered(time.Now()) && n.introduced(time.Now()) && len(n.lookups) == 0 &&
-		time.Since(n.began) > 2*settings.Seconds(n.set.Deployment.Workers.Report)+time.Second
+	return n.trusted() && n.watchedKeysRead && n.record != nil && !n.record.DataLost && n.gathered(time.Now()) && n.introduced(time.Now()) && len(n.endLookups) == 0 &&
+		time.Since(n.startedAt) > 2*settings.Seconds(n.settings.Deployment.Workers.Report)+time.Second
 }
 
 // Missing has the store looked at before it is doubted: what looks like a loss is far more
@@ -452,7 +452,7 @@
 	defer b.mu.Unlock()
 	n := (*Node)(b)
 	if j := n.jobs[uid]; j != nil && j.active && j.version > 0 && n.trusted() {
-		n.store.suspect[userapi.JobKey+uid] = j.version
+		n.recovery.suspect[userapi.JobKey+uid] = j.version
 	}
 }
 
@@ -473,7 +473,7 @@
 func (b *userBackend) Accepted(s userapi.Stored, version uint64) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	(*Node)(b).first("first submission accepted", time.Now())
+	(*Node)(b).logFirst("first submission accepted", time.Now())
 	(*Node)(b).learnJob(s, version)
 }
 
@@ -488,7 +488,7 @@
 	defer b.mu.Unlock()
 	n := (*Node)(b)
 	now := time.Now()
-	if n.types == nil {
+	if n.machineTypes == nil {
 		return false
 	}
 	if n.lease.Valid(now) {
@@ -500,12 +500,12 @@
 	// takes and get no answer, while the others serve.
 	alone := len(n.peers) > 0
 	for _, p := range n.peers {
-		if p.leased && p.near(now) {
+		if p.leased && p.isHeard(now) {
 			return false
 		}
-		alone = alone && now.Sub(p.heard) > aloneAfter
+		alone = alone && now.Sub(p.heardAt) > aloneAfter
 	}
-	return !alone && now.Sub(n.began) > 5*time.Second
+	return !alone && now.Sub(n.startedAt) > 5*time.Second
 }
 
 // aloneAfter is after what silence of all peers a controller without a lease sends its users away.
@@ -516,26 +516,26 @@
 func (n *Node) learnJob(s userapi.Stored, version uint64) {
 	uid := s.Spec.UID
 	j := n.jobs[uid]
-	delete(n.store.tentative, uid)
+	delete(n.recovery.tentative, uid)
 	if j == nil && n.ended(uid) {
-		j = &job{spec: s.Spec, at: time.UnixMilli(s.At), ended: time.Now()}
+		j = &job{spec: s.Spec, submittedAt: time.UnixMilli(s.At), endedAt: time.Now()}
 		n.jobs[uid] = j
 	}
 	if j != nil && !j.active {
 		if version > 0 && n.generation() > 1 && n.ended(uid) { // an end beats active
-			n.store.bury[uid] = burial{version, time.Now()}
+			n.recovery.bury[uid] = burial{version, time.Now()}
 		}
 		return
 	}
 	if j == nil {
-		j = &job{spec: s.Spec, at: time.UnixMilli(s.At), active: true}
+		j = &job{spec: s.Spec, submittedAt: time.UnixMilli(s.At), active: true}
 		n.jobs[s.Spec.UID] = j
 		n.reobserveReserved(s.Spec.UID)
 	}
 	j.version = max(j.version, version)
-	if it := n.items[teamItem(s.Spec.Team)]; it != nil && it.phase != loading && it.team.Job(s.Spec.UID) == nil {
+	if it := n.shards[teamShard(s.Spec.Team)]; it != nil && it.phase != shardLoading && it.team.Job(s.Spec.UID) == nil {
 		n.addJob(it, j, nil)
-		if d := n.store.done[s.Spec.UID]; d != nil {
+		if d := n.recovery.done[s.Spec.UID]; d != nil {
 			it.team.Merge(s.Spec.UID, d)
 		}
 		if n.generation() > 1 { // machines may run it already
@@ -559,15 +559,15 @@
 	j := n.jobs[uid]
 	if j == nil {
 		end, _ := n.front.Final(uid)
-		n.jobs[uid] = &job{spec: endedSpec(uid, end), ended: time.Now()}
+		n.jobs[uid] = &job{spec: endedSpec(uid, end), endedAt: time.Now()}
 		return
 	}
 	if !j.active {
 		return
 	}
-	j.active, j.ended = false, time.Now()
-	delete(n.store.done, uid)
-	if it := n.items[teamItem(j.spec.Team)]; it != nil && it.team != nil {
+	j.active, j.endedAt = false, time.Now()
+	delete(n.recovery.done, uid)
+	if it := n.shards[teamShard(j.spec.Team)]; it != nil && it.team != nil {
 		it.team.EndJob(uid)
 		n.reobserve(it, uid)
 	}
--- a/internal/controller/node_test.go
+++ b/internal/controller/node_test.go
@@ -169,7 +169,7 @@
 }
 
 func array(i, tasks int, team string) *protocol.Submission {
-	return &protocol.Submission{UID: fmt.Sprintf("job-%06d", i), Class: "c", Team: team, Kind: protocol.Batch, Priority: "standard",
+	return &protocol.Submission{UID: fmt.Sprintf("job-%06d", i), Class: "c", Team: team, Kind: protocol.JobArray, Priority: "standard",
 		Tasks: tasks, CPUs: 2, Memory: 4, Image: "img", Estimate: 1, Spot: i%2 == 0}
 }
 
@@ -222,10 +222,10 @@
 	s := &settings.Settings{Name: "node-a", Deployment: settings.Deployment{Teams: []settings.Team{{Name: "red", CPUsMax: 8}},
 		State: settings.State{RPS: 9, WriteRPS: 9, TxnOps: 4, ValueKB: 4}, Cloud: settings.Cloud{RPS: 1}}}
 	n := New(s, settings.DefaultOptions(), slog.New(slog.DiscardHandler))
-	name := teamItem("red")
-	for phase, taken := range map[int]bool{loading: false, barrier: true, ready: true} {
-		it := &item{name: name, phase: phase, team: n.newTeam(name, jobstate.NewReplica(), 1)}
-		n.items[name] = it
+	name := teamShard("red")
+	for phase, taken := range map[int]bool{shardLoading: false, shardBarrier: true, shardReady: true} {
+		it := &shard{name: name, phase: phase, team: n.newTeam(name, jobstate.NewReplica(), 1)}
+		n.shards[name] = it
 		spec := array(phase, 1, "red")
 		n.learnJob(userapi.Stored{Spec: spec}, 1)
 		if (it.team.Job(spec.UID) != nil) != taken || n.jobs[spec.UID] == nil {
@@ -317,11 +317,11 @@
 	r.until("withdrawn", func() bool {
 		status, st := r.ask("POST", protocol.PathSubmit+"/"+long.UID+"/withdraw", struct{}{})
 		r.check.Told(long.UID, status, st.State, false)
-		return status == 200 && st.State == protocol.Withdrawn
+		return status == 200 && st.State == protocol.Cancelled
 	})
 	r.allDone(jobs)
 	r.until("nothing is left on machines", func() bool { return r.check.On() == 0 })
-	if st := r.poll(long.UID); st != protocol.Withdrawn && st != "" {
+	if st := r.poll(long.UID); st != protocol.Cancelled && st != "" {
 		t.Fatalf("withdrawn job is %s", st)
 	}
 }
--- a/internal/controller/order_test.go
+++ b/internal/controller/order_test.go
@@ -13,7 +13,7 @@
 // its first must neither hold up those that can make theirs nor be given up.
 func TestOrderOfWaitingWork(t *testing.T) {
 	n := bare("127.0.0.1:1")
-	n.set.Deployment.Objectives = []settings.Objective{
+	n.settings.Deployment.Objectives = []settings.Objective{
 		{Kind: "deadline", Class: "c", Times: 1}, {Kind: "deadline", Class: "c", Times: 2}, {Kind: "finished", Class: "d", Within: 30},
 		{Kind: "wait", Class: "d", Within: 60}, {Kind: "guarantee", Within: 8}}
 	now := time.Unix(10000, 0)
@@ -38,10 +38,10 @@
 		if x.deadline > 0 {
 			spec.Deadline = &x.deadline
 		}
-		j := &job{spec: spec, at: now.Add(-time.Duration(x.age) * time.Second)}
+		j := &job{spec: spec, submittedAt: now.Add(-time.Duration(x.age) * time.Second)}
 		goal, late := n.goal(j, now)
-		if goal.Sub(j.at) != time.Duration(x.goal)*time.Second || late != x.late {
-			t.Errorf("%+v: goal after %v, late %v", x, goal.Sub(j.at), late)
+		if goal.Sub(j.submittedAt) != time.Duration(x.goal)*time.Second || late != x.late {
+			t.Errorf("%+v: goal after %v, late %v", x, goal.Sub(j.submittedAt), late)
 		}
 	}
 	for age, want := range map[int]bool{0: true, 8: true, 9: false} {
@@ -50,8 +50,8 @@
 		}
 	}
 	for age, want := range map[int]bool{26: true, 60: true, 61: false} {
-		j := &job{spec: &protocol.Submission{Class: "d", Estimate: 10}, at: now.Add(-time.Duration(age) * time.Second)}
-		if by, ok := n.startBy(j, now); ok != want || (ok && by.Sub(j.at) != time.Minute) {
+		j := &job{spec: &protocol.Submission{Class: "d", Estimate: 10}, submittedAt: now.Add(-time.Duration(age) * time.Second)}
+		if by, ok := n.startBy(j, now); ok != want || (ok && by.Sub(j.submittedAt) != time.Minute) {
 			t.Errorf("after %d s tasks should start by %v, %v", age, by, ok)
 		}
 	}
--- a/internal/controller/orphan.go
+++ b/internal/controller/orphan.go
@@ -30,7 +30,7 @@
 }
 
 // Unsized is what a machine has beside the listed tasks of known size.
-func (k teamKnowledge) Unsized(v *jobstate.View) (cpus, gpus float64) {
+func (k teamKnowledge) Unsized(v *jobstate.MachineStatus) (cpus, gpus float64) {
 	cpus, gpus, _, ok := k.n.capacity(v.Type)
 	if !ok {
 		return math.Inf(1), math.Inf(1)
@@ -54,7 +54,7 @@
 
 // oldestUnknown is the earliest term of the listed attempts whose jobs nobody here can describe; the greatest
 // number if there are none.
-func (n *Node) oldestUnknown(v *jobstate.View) uint64 {
+func (n *Node) oldestUnknown(v *jobstate.MachineStatus) uint64 {
 	oldest := uint64(math.MaxUint64)
 	for _, t := range v.Tasks {
 		if t.State != protocol.Exited && n.jobs[t.Job] == nil {
@@ -67,10 +67,10 @@
 // reobserveReserved has accounts that reserve quota for tasks of a job look again at their machines, once it
 // became known.
 func (n *Node) reobserveReserved(uid string) {
-	for name := range n.lists[uid] {
-		for _, it := range n.items {
-			if it.phase == ready && it.team.Reserves(name) {
-				n.observe(it, n.machines[name].view)
+	for name := range n.machinesByJob[uid] {
+		for _, it := range n.shards {
+			if it.phase == shardReady && it.team.Reserves(name) {
+				n.observe(it, n.machines[name].status)
 			}
 		}
 	}
@@ -88,10 +88,10 @@
 	if j := n.jobs[uid]; j != nil && (j.active || sized(j.spec)) {
 		return
 	}
-	if n.lookups[uid] || len(n.lookups) >= maxLookUps || time.Since(n.store.unknown[uid]) < lookUpAgain {
+	if n.endLookups[uid] || len(n.endLookups) >= maxLookUps || time.Since(n.recovery.unknown[uid]) < lookUpAgain {
 		return
 	}
-	n.lookups[uid] = true
+	n.endLookups[uid] = true
 	n.group.Go(func() error {
 		end, found, absent := n.front.LookUp(n.ctx, uid)
 		if found && end.CPUs == 0 && end.GPUs == 0 {
@@ -101,7 +101,7 @@
 		}
 		n.mu.Lock()
 		defer n.mu.Unlock()
-		delete(n.lookups, uid)
+		delete(n.endLookups, uid)
 		if found {
 			n.learnEnd(uid, end)
 		} else {
@@ -117,12 +117,12 @@
 	j := n.jobs[uid]
 	switch {
 	case j == nil:
-		n.jobs[uid] = &job{spec: spec, ended: time.Now()}
+		n.jobs[uid] = &job{spec: spec, endedAt: time.Now()}
 	case !j.active && !sized(j.spec):
 		j.spec = spec
 	}
 	if !sized(spec) {
-		n.store.unknown[uid] = time.Now()
+		n.recovery.unknown[uid] = time.Now()
 	}
 	n.reobserveReserved(uid)
 }
@@ -132,8 +132,8 @@
 	if n.jobs[uid] != nil {
 		return
 	}
-	n.store.unknown[uid] = time.Now()
-	if absent && n.record != nil && (n.record.Generation == 1 || jobstate.TermOf(attempt) >= n.record.First) {
+	n.recovery.unknown[uid] = time.Now()
+	if absent && n.record != nil && (n.record.Epoch == 1 || jobstate.TermOf(attempt) >= n.record.FirstTerm) {
 		// A task is started only for a job that was accepted, and an accepted job has one key or the other for ever.
 		n.prove("a worker has a task of a job that the store does not know")
 	}
--- a/internal/controller/over_test.go
+++ b/internal/controller/over_test.go
@@ -10,14 +10,14 @@
 
 // stored is a job's key in the state service, as the changes tell it.
 func stored(uid string, version uint64) protocol.Change {
-	spec := &protocol.Submission{UID: uid, Team: "team-0", Kind: protocol.Batch, Priority: "high", Tasks: 1, CPUs: 1, Memory: 1, Image: "img-1", Estimate: 40}
+	spec := &protocol.Submission{UID: uid, Team: "team-0", Kind: protocol.JobArray, Priority: "high", Tasks: 1, CPUs: 1, Memory: 1, Image: "img-1", Estimate: 40}
 	return protocol.Change{Set: userapi.JobKey + uid, Value: protocol.Encode(userapi.Stored{Spec: spec, At: time.Now().UnixMilli()}), Version: version}
 }
 
 // TestEndBeforeAcceptance: a job's end may be known before its acceptance is read. Taken up as active then, its
 // tasks were started and kept alive through an outage of any length after the withdrawal had been confirmed.
 func TestEndBeforeAcceptance(t *testing.T) {
-	end := userapi.Final{State: protocol.Withdrawn, Tasks: 1, Team: "team-0"}
+	end := userapi.Final{State: protocol.Cancelled, Tasks: 1, Team: "team-0"}
 	const uid = "job-000900"
 	for what, learn := range map[string]func(n *Node){
 		"a peer tells of the withdrawal, then an earlier read comes": func(n *Node) {
@@ -46,10 +46,10 @@
 		n := g.n
 		n.mu.Lock()
 		learn(n)
-		if j := n.jobs[uid]; j == nil || j.active || n.items[teamItem("team-0")].team.Job(uid) != nil {
+		if j := n.jobs[uid]; j == nil || j.active || n.shards[teamShard("team-0")].team.Job(uid) != nil {
 			t.Errorf("%s: the job is active", what)
 		}
-		r := protocol.Report{Machine: g.names[0], Addr: "127.0.0.1:1", Type: "m32", Zone: "east", Session: 1, Seq: 10, Token: 1,
+		r := protocol.Heartbeat{Machine: g.names[0], Addr: "127.0.0.1:1", Type: "m32", Zone: "east", Incarnation: 1, Seq: 10, FencingToken: 1,
 			Tasks: []protocol.TaskStatus{{Task: uid + "/0", Attempt: 1, State: protocol.Running}}}
 		if stops, ok := n.renewal(&r, g.now.Add(time.Second)); !ok || len(stops) != 1 {
 			t.Errorf("%s: its machine is renewed %v with %d stops", what, ok, len(stops))
--- a/internal/controller/overview.go
+++ b/internal/controller/overview.go
@@ -55,7 +55,7 @@
 	Idle   int `json:"idle"`
 }
 
-var phases = map[int]string{loading: "loading", barrier: "barrier", ready: "ready"}
+var phases = map[int]string{shardLoading: "loading", shardBarrier: "barrier", shardReady: "ready"}
 
 // quantiles are those of the times from submission to start that are shown, in percent.
 var quantiles = map[string]float64{"p50": 50, "p90": 90, "p99": 99, "max": 100}
@@ -71,25 +71,25 @@
 		Items:    map[string]itemOverview{},
 		Machines: n.machinesOverview(now),
 		Waits:    n.waitsOverview(),
-		Told:     n.horizon.Told(),
+		Told:     n.cancelWatermark.Told(),
 		Served:   n.admissionStatus(now),
 		Store:    n.storeStatus(),
 		Config:   n.configStatus(now),
 		Unheard:  n.unheardPeers(now),
-		Still:    n.still.Seconds(),
-		Late:     n.late,
+		Still:    n.lastStall.Seconds(),
+		Late:     n.latePlaces,
 	}
 	if n.record != nil {
-		o.Term, o.Members, o.Deaf = n.record.Term, n.record.Members(), n.record.Deaf
-		for name, it := range n.record.Items {
+		o.Term, o.Members, o.Deaf = n.record.Term, n.record.Members(), n.record.Unreachable
+		for name, it := range n.record.Shards {
 			o.Owners[name] = it.Owner
 		}
 	}
-	if until := n.horizon.Until(now); !until.IsZero() {
+	if until := n.cancelWatermark.Until(now); !until.IsZero() {
 		behind := now.Sub(until).Seconds()
 		o.Behind = &behind
 	}
-	for name, it := range n.items {
+	for name, it := range n.shards {
 		o.Items[name] = n.itemOverview(name, it)
 	}
 	for uid, j := range n.jobs {
@@ -97,7 +97,7 @@
 			continue
 		}
 		o.Jobs++
-		if n.blame.Faulty(uid) {
+		if n.quarantine.Faulty(uid) {
 			o.Faulty++
 		}
 	}
@@ -105,9 +105,9 @@
 }
 
 // itemOverview describes an item that this controller owns.
-func (n *Node) itemOverview(name string, it *item) itemOverview {
-	x := itemOverview{Phase: phases[it.phase], Since: it.since, Awaited: len(it.await), InSync: n.record.Items[name].InSync}
-	if name == leadership.Fleet {
+func (n *Node) itemOverview(name string, it *shard) itemOverview {
+	x := itemOverview{Phase: phases[it.phase], Since: it.sinceTerm, Awaited: len(it.awaitedMachines), InSync: n.record.Shards[name].InSync}
+	if name == leadership.FleetShard {
 		return x
 	}
 	it.team.Jobs(func(j *jobstate.Job) {
@@ -121,17 +121,17 @@
 
 // machinesOverview counts machines by state.
 func (n *Node) machinesOverview(now time.Time) machinesOverview {
-	x := machinesOverview{Homed: len(n.home.All())}
+	x := machinesOverview{Homed: len(n.agents.All())}
 	silent := 2 * n.vainFor()
 	for _, m := range n.machines {
-		if m.gone || m.view == nil {
+		if m.gone || m.status == nil {
 			continue
 		}
 		x.Known++
-		if now.Sub(m.heard) > silent {
+		if now.Sub(m.heardAt) > silent {
 			x.Silent++
 		}
-		if !m.idle.IsZero() {
+		if !m.idleSince.IsZero() {
 			x.Idle++
 		}
 	}
@@ -141,7 +141,7 @@
 // unheardPeers names the controllers that are not heard.
 func (n *Node) unheardPeers(now time.Time) (names []string) {
 	for _, name := range slices.Sorted(maps.Keys(n.peers)) {
-		if !n.peers[name].near(now) {
+		if !n.peers[name].isHeard(now) {
 			names = append(names, name)
 		}
 	}
@@ -150,9 +150,9 @@
 
 // waitsOverview is the distribution of times from submission to start, in milliseconds.
 func (n *Node) waitsOverview() map[string]int64 {
-	waits := map[string]int64{"count": n.waits.TotalCount()}
+	waits := map[string]int64{"count": n.startLatency.TotalCount()}
 	for name, q := range quantiles {
-		waits[name] = n.waits.ValueAtQuantile(q)
+		waits[name] = n.startLatency.ValueAtQuantile(q)
 	}
 	return waits
 }
