--- a/internal/controller/owner.go
+++ b/internal/controller/owner.go
@@ -19,56 +19,56 @@
 
 // Phases of an item that this controller owns.
 const (
-	loading = iota // reads jobs and bitmaps
-	barrier        // waits until every registered machine was heard or is gone
-	ready
+	shardLoading = iota // reads jobs and bitmaps
+	shardBarrier        // waits until every registered machine was heard or is gone
+	shardReady
 )
 
 // item is a team or the fleet while this controller owns it.
-type item struct {
-	name     string
-	since    uint64
-	phase    int
-	blind    bool
-	team     *jobstate.Team
-	frozen   bool     // being handed over
-	adding   []string // backups that a pending change of the record puts in sync
-	took     time.Time
-	taken    time.Time // or became ready, or the controller woke: backups get their time from then
-	acks     map[string]*ack
-	await    map[string]bool // machines that the barrier waits for
-	book     *jobstate.Book
-	loads    int  // the load under way; an earlier one's outcome no longer counts
-	readable bool // the book holds what the state service has
-	saving   bool
-	started  bool // a start was given to a home
+type shard struct {
+	name             string
+	sinceTerm        uint64
+	phase            int
+	needsBarrier     bool
+	team             *jobstate.Team
+	handingOver      bool     // being handed over
+	addingReplicas   []string // backups that a pending change of the record puts in sync
+	takenAt          time.Time
+	graceFrom        time.Time // or became ready, or the controller woke: backups get their time from then
+	acknowledgements map[string]*replicaAck
+	awaitedMachines  map[string]bool // machines that the barrier waits for
+	pages            *jobstate.PageSet
+	loadNumber       int  // the load under way; an earlier one's outcome no longer counts
+	pagesRead        bool // the book holds what the state service has
+	saving           bool
+	firstStartSent   bool // a start was given to a home
 }
 
-func teamItem(team string) string { return "team/" + team }
+func teamShard(team string) string { return "team/" + team }
 
 func teamOf(name string) (string, bool) { return strings.CutPrefix(name, "team/") }
 
 // takeUp begins to own an item.
-func (n *Node) takeUp(name string, r leadership.Item) {
+func (n *Node) takeUp(name string, r leadership.Shard) {
 	now := time.Now()
-	it := &item{name: name, since: r.Since, blind: r.Blind, taken: now, took: now,
-		acks: map[string]*ack{}, book: jobstate.NewBook(valueRoom(n.set.Deployment.State))}
-	n.items[name] = it
+	it := &shard{name: name, sinceTerm: r.SinceTerm, needsBarrier: r.NeedsBarrier, graceFrom: now, takenAt: now,
+		acknowledgements: map[string]*replicaAck{}, pages: jobstate.NewPageSet(valueRoom(n.settings.Deployment.State))}
+	n.shards[name] = it
 	n.tookTeam()
 	rep := jobstate.NewReplica()
-	if kept := n.replica(name); kept != nil && !it.blind {
+	if kept := n.replica(name); kept != nil && !it.needsBarrier {
 		rep = kept
-	} else if r.Since > n.record.First || n.record.Generation > 1 {
-		it.blind = true // the record thinks that we know everything, but we don't
+	} else if r.SinceTerm > n.record.FirstTerm || n.record.Epoch > 1 {
+		it.needsBarrier = true // the record thinks that we know everything, but we don't
 	}
-	delete(n.backups, name)
-	n.log.Info("item taken", "item", name, "term", r.Since, "barrier", it.blind, "held", len(rep.Holds))
+	delete(n.replicas, name)
+	n.log.Info("item taken", "item", name, "term", r.SinceTerm, "barrier", it.needsBarrier, "held", len(rep.Holds))
 	if _, ok := teamOf(name); !ok {
 		rep = jobstate.NewReplica()
 	}
 	it.team = n.newTeam(name, rep, n.record.Term)
 	if team, ok := teamOf(name); ok {
-		for uid, d := range n.store.done {
+		for uid, d := range n.recovery.done {
 			if j := n.jobs[uid]; j != nil && j.active && j.spec.Team == team {
 				it.team.Merge(uid, d)
 			}
@@ -78,9 +78,9 @@
 }
 
 // startLoad begins to load an item, in place of a load that is under way.
-func (n *Node) startLoad(it *item) {
-	it.loads++
-	load := it.loads
+func (n *Node) startLoad(it *shard) {
+	it.loadNumber++
+	load := it.loadNumber
 	n.group.Go(func() error {
 		n.load(n.ctx, it, load)
 		return nil
@@ -92,13 +92,13 @@
 // holes, and the record that calls it whole may be known here before the lists that fill them: an
 // owner that started after the loss once waited for nobody and started again what still ran.
 func (n *Node) loadAnew() {
-	for _, it := range n.items {
-		if it.phase == ready {
+	for _, it := range n.shards {
+		if it.phase == shardReady {
 			continue
 		}
-		it.readable = false
-		if it.blind {
-			it.phase = loading
+		it.pagesRead = false
+		if it.needsBarrier {
+			it.phase = shardLoading
 		}
 		n.startLoad(it)
 	}
@@ -119,23 +119,23 @@
 // the team's progress already and begins with the jobs that it followed, even if
 // the state service does not answer; one that is not must know every job and
 // machine that was there before it took over.
-func (n *Node) load(ctx context.Context, it *item, load int) {
+func (n *Node) load(ctx context.Context, it *shard, load int) {
 	for ctx.Err() == nil {
 		n.mu.Lock()
-		current := n.items[it.name] == it && it.loads == load
-		if current && it.phase == loading && (!it.blind || it.name == leadership.Fleet) {
+		current := n.shards[it.name] == it && it.loadNumber == load
+		if current && it.phase == shardLoading && (!it.needsBarrier || it.name == leadership.FleetShard) {
 			n.loaded(it, nil)
 		}
 		n.mu.Unlock()
-		if !current || it.name == leadership.Fleet {
+		if !current || it.name == leadership.FleetShard {
 			return
 		}
 		err := n.synced(ctx)
 		if err == nil {
 			var pages []protocol.Entry
-			if pages, _, err = n.state.List(ctx, pagesPath(it.name)); err == nil {
+			if pages, _, err = n.kvStore.List(ctx, pagesPath(it.name)); err == nil {
 				n.mu.Lock()
-				if it.loads == load {
+				if it.loadNumber == load {
 					n.booked(it, pages)
 				}
 				n.mu.Unlock()
@@ -149,9 +149,9 @@
 
 // loaded begins an item with the jobs and machines known by now, and the finished
 // tasks that the state service has.
-func (n *Node) loaded(it *item, done map[string]*bitset.BitSet) {
-	if it.name == leadership.Fleet {
-		it.phase = ready
+func (n *Node) loaded(it *shard, done map[string]*bitset.BitSet) {
+	if it.name == leadership.FleetShard {
+		it.phase = shardReady
 		return
 	}
 	team, _ := teamOf(it.name)
@@ -160,15 +160,15 @@
 			n.addJob(it, j, done[j.spec.UID])
 		}
 	}
-	it.phase = barrier
-	it.await = map[string]bool{}
-	if it.blind {
+	it.phase = shardBarrier
+	it.awaitedMachines = map[string]bool{}
+	if it.needsBarrier {
 		for _, name := range n.roster.All() {
-			it.await[name] = true
+			it.awaitedMachines[name] = true
 		}
-		if n.record.Census {
-			maps.Copy(it.await, n.store.names)
-			maps.Copy(it.await, n.store.census)
+		if n.record.RosterIncomplete {
+			maps.Copy(it.awaitedMachines, n.recovery.names)
+			maps.Copy(it.awaitedMachines, n.recovery.census)
 		}
 	}
 	n.passBarrier(it)
@@ -176,20 +176,20 @@
 }
 
 // addJob has an own team take up an active job; done are the finished tasks that the state service has.
-func (n *Node) addJob(it *item, j *job, done *bitset.BitSet) {
-	it.team.AddJob(j.spec, j.version, j.at, done)
+func (n *Node) addJob(it *shard, j *job, done *bitset.BitSet) {
+	it.team.AddJob(j.spec, j.version, j.submittedAt, done)
 	it.team.SetGoals(j.spec.UID, n.goals(j))
-	it.team.Doubt(j.spec.UID, n.blame.Faulty(j.spec.UID))
+	it.team.SetFaulty(j.spec.UID, n.quarantine.Faulty(j.spec.UID))
 }
 
 // booked takes in the pages of finished tasks, after which they can be written.
-func (n *Node) booked(it *item, pages []protocol.Entry) {
-	if n.items[it.name] != it {
+func (n *Node) booked(it *shard, pages []protocol.Entry) {
+	if n.shards[it.name] != it {
 		return
 	}
 	done := n.readPages(it, pages)
-	it.readable = true
-	if it.phase == loading {
+	it.pagesRead = true
+	if it.phase == shardLoading {
 		n.loaded(it, done)
 		return
 	}
@@ -205,36 +205,36 @@
 // passBarrier ends the barrier once every machine it waits for was heard under
 // the item's term, which rules out that an earlier start still arrives, or is
 // gone.
-func (n *Node) passBarrier(it *item) {
-	for name := range it.await {
+func (n *Node) passBarrier(it *shard) {
+	for name := range it.awaitedMachines {
 		m := n.machines[name]
-		if m != nil && (m.gone || (m.view != nil && m.view.Token >= it.since)) {
-			delete(it.await, name)
+		if m != nil && (m.gone || (m.status != nil && m.status.FencingToken >= it.sinceTerm)) {
+			delete(it.awaitedMachines, name)
 		}
 	}
-	if len(it.await) > 0 || !n.configReady() || !n.gathered(time.Now()) || (it.blind && n.record.Census && n.store.census == nil) {
+	if len(it.awaitedMachines) > 0 || !n.configReady() || !n.gathered(time.Now()) || (it.needsBarrier && n.record.RosterIncomplete && n.recovery.census == nil) {
 		return
 	}
-	it.phase, it.taken = ready, time.Now()
-	if it.readable {
+	it.phase, it.graceFrom = shardReady, time.Now()
+	if it.pagesRead {
 		n.dropUnregistered(it)
 	}
-	n.log.Info("item ready", "item", it.name, "term", it.since, "after", it.taken.Sub(it.took))
+	n.log.Info("item ready", "item", it.name, "term", it.sinceTerm, "after", it.graceFrom.Sub(it.takenAt))
 	for _, name := range slices.Sorted(maps.Keys(n.machines)) {
-		if m := n.machines[name]; m.view != nil {
-			n.observe(it, m.view)
+		if m := n.machines[name]; m.status != nil {
+			n.observe(it, m.status)
 		}
 	}
 }
 
 // settleAwaited takes a machine that was heard off those that a barrier waits for. The others are looked at once a
 // step: to walk them for each machine costs the square of their number.
-func (n *Node) settleAwaited(it *item, v *jobstate.View) {
-	if v.Token < it.since {
+func (n *Node) settleAwaited(it *shard, v *jobstate.MachineStatus) {
+	if v.FencingToken < it.sinceTerm {
 		return
 	}
-	delete(it.await, v.Machine)
-	if len(it.await) == 0 {
+	delete(it.awaitedMachines, v.Machine)
+	if len(it.awaitedMachines) == 0 {
 		n.passBarrier(it)
 	}
 }
@@ -243,8 +243,8 @@
 // this controller followed it. No start goes to a machine that is not registered,
 // and none is struck off before the cloud confirmed its end. The roster must be
 // known up to the item's taking.
-func (n *Node) dropUnregistered(it *item) {
-	if n.record.Census {
+func (n *Node) dropUnregistered(it *shard) {
+	if n.record.RosterIncomplete {
 		return // the roster itself was lost
 	}
 	for _, name := range it.team.Machines() {
@@ -255,8 +255,8 @@
 }
 
 // observe lets an item's account see a machine and sends the orders that follow.
-func (n *Node) observe(it *item, v *jobstate.View) {
-	if it.phase != ready || it.name == leadership.Fleet {
+func (n *Node) observe(it *shard, v *jobstate.MachineStatus) {
+	if it.phase != shardReady || it.name == leadership.FleetShard {
 		return
 	}
 	team, _ := teamOf(it.name)
@@ -270,9 +270,9 @@
 }
 
 // reobserve looks again at the machines that hold tasks of a job.
-func (n *Node) reobserve(it *item, uid string) {
-	for _, name := range slices.Sorted(maps.Keys(n.lists[uid])) {
-		n.observe(it, n.machines[name].view)
+func (n *Node) reobserve(it *shard, uid string) {
+	for _, name := range slices.Sorted(maps.Keys(n.machinesByJob[uid])) {
+		n.observe(it, n.machines[name].status)
 	}
 }
 
@@ -289,7 +289,7 @@
 
 // take is the home's side of order.
 func (n *Node) take(name string, term uint64, orders []jobstate.Order) {
-	if n.home.Take(term, name, orders) {
+	if n.agents.Take(term, name, orders) {
 		n.stir(name)
 	}
 	n.noteView(name)
@@ -297,8 +297,8 @@
 
 // needTerm says whether only a raised term can move something on.
 func (n *Node) needTerm(now time.Time) bool {
-	for _, it := range n.items {
-		if it.phase == ready && it.team.Unproven(now, 4*time.Second) > 0 {
+	for _, it := range n.shards {
+		if it.phase == shardReady && it.team.Unproven(now, 4*time.Second) > 0 {
 			return true
 		}
 	}
@@ -322,7 +322,7 @@
 		select {
 		case <-ctx.Done():
 			return nil
-		case <-n.kick:
+		case <-n.wakeRequests:
 		case <-ticker.C:
 		}
 		n.mu.Lock()
@@ -347,9 +347,9 @@
 // still may have spoken all the time.
 func (n *Node) woke(now time.Time, still time.Duration) {
 	n.log.Info("stood still while the clocks ran on", "for", still, "entitled", n.entitled(now))
-	n.settled, n.still = now, still
-	for _, it := range n.items {
-		it.taken = now
+	n.membershipSettledAt, n.lastStall = now, still
+	for _, it := range n.shards {
+		it.graceFrom = now
 	}
 }
 
@@ -358,37 +358,37 @@
 		return
 	}
 	n.configure(now)
-	for _, it := range n.items {
-		it.team.Keep(n.floorsOf(it))
+	for _, it := range n.shards {
+		it.team.SetFloors(n.floorsOf(it))
 		it.team.TurnHoldback(now)
 	}
 	n.place(now)
-	seldom := now.Sub(n.looked) > lookEvery
+	seldom := now.Sub(n.runningReviewedAt) > lookEvery
 	if seldom {
-		n.looked = now
+		n.runningReviewedAt = now
 	}
-	for _, name := range slices.Sorted(maps.Keys(n.items)) {
-		it := n.items[name]
-		if it.phase == barrier {
+	for _, name := range slices.Sorted(maps.Keys(n.shards)) {
+		it := n.shards[name]
+		if it.phase == shardBarrier {
 			n.passBarrier(it)
 		}
-		if it.phase != ready {
+		if it.phase != shardReady {
 			continue
 		}
 		n.replicate(it, now)
-		if name == leadership.Fleet || it.frozen {
+		if name == leadership.FleetShard || it.handingOver {
 			continue
 		}
 		due := it.team.Due(n.acked(it), now, func(m string, session uint64) bool {
 			x := n.machines[m]
-			return x != nil && !x.gone && n.roster.Has(m) && x.view != nil && x.view.Session == session
+			return x != nil && !x.gone && n.roster.Has(m) && x.status != nil && x.status.Incarnation == session
 		})
 		for m, orders := range due {
 			if !n.order(m, orders) {
 				it.team.Unsent(orders)
-			} else if !it.started && orders[0].Op == protocol.Start {
-				it.started = true
-				n.log.Info("item's first start", "item", name, "after", now.Sub(it.took))
+			} else if !it.firstStartSent && orders[0].Op == protocol.Start {
+				it.firstStartSent = true
+				n.log.Info("item's first start", "item", name, "after", now.Sub(it.takenAt))
 			}
 		}
 		n.finish(it)
@@ -406,23 +406,23 @@
 
 // moveSlow stops tasks that take far longer than their kin took, to start them
 // anew elsewhere once they are proven off: as when a machine is faulty.
-func (n *Node) moveSlow(it *item, now time.Time) {
+func (n *Node) moveSlow(it *shard, now time.Time) {
 	it.team.Jobs(func(tj *jobstate.Job) {
 		uid := tj.Spec.UID
 		j := n.jobs[uid]
-		if j == nil || j.runs < max(3, tj.Spec.Tasks/3) || tj.Spec.Kind != protocol.Batch {
+		if j == nil || j.completedRuns < max(3, tj.Spec.Tasks/3) || tj.Spec.Kind != protocol.JobArray {
 			return
 		}
-		limit := max(j.longest, tj.Spec.RunTime()) * 5 / 2
-		it.team.Running(tj, func(h jobstate.Hold) {
+		limit := max(j.longestRun, tj.Spec.RunTime()) * 5 / 2
+		it.team.Running(tj, func(h jobstate.Assignment) {
 			m := n.machines[h.Machine]
 			if m == nil || tj.Avoids(h.Machine, now) {
 				return
 			}
-			since, ok := m.running[h.Ref()]
+			since, ok := m.runningSince[h.Ref()]
 			if ok && now.Sub(since) > limit && it.team.Move(h, tj.Spec.Save, now) {
-				m.slow = now
-				n.log.Info("task slower than its kin", "task", uid, "index", h.Index, "machine", h.Machine, "ran", now.Sub(since), "kin", j.longest)
+				m.slowAt = now
+				n.log.Info("task slower than its kin", "task", uid, "index", h.Index, "machine", h.Machine, "ran", now.Sub(since), "kin", j.longestRun)
 			}
 		})
 	})
@@ -430,13 +430,13 @@
 
 // leaveNoticed moves work off machines that the cloud announced to take away:
 // what can save, gangs as a whole, and replicas. Other tasks may yet complete.
-func (n *Node) leaveNoticed(it *item) {
+func (n *Node) leaveNoticed(it *shard) {
 	for _, name := range it.team.Machines() {
 		m := n.machines[name]
-		if m == nil || m.view == nil || !m.view.Notice {
+		if m == nil || m.status == nil || !m.status.Notice {
 			continue
 		}
-		it.team.On(name, func(h jobstate.Hold) {
+		it.team.On(name, func(h jobstate.Assignment) {
 			j := it.team.Job(h.Job)
 			switch {
 			case j == nil:
@@ -450,7 +450,7 @@
 }
 
 // finish commits the end of jobs whose tasks are all done.
-func (n *Node) finish(it *item) {
+func (n *Node) finish(it *shard) {
 	it.team.Jobs(func(j *jobstate.Job) {
 		if j.Spec.Kind == protocol.Service || j.Finishing || !it.team.Complete(j) {
 			return
@@ -459,7 +459,7 @@
 			return // after a loss: the store gets it back first
 		}
 		j.Finishing = true
-		version, written := n.version, j.Version
+		version, written := n.recordVersion, j.Version
 		n.group.Go(func() error {
 			n.commitDone(n.ctx, it, j, version, written)
 			return nil
@@ -467,12 +467,12 @@
 	})
 }
 
-func (n *Node) commitDone(ctx context.Context, it *item, j *jobstate.Job, version, written uint64) {
+func (n *Node) commitDone(ctx context.Context, it *shard, j *jobstate.Job, version, written uint64) {
 	uid := j.Spec.UID
 	team, _ := teamOf(it.name)
 	end := userapi.EndOf(j.Spec, protocol.Done)
-	_, err := n.state.Commit(ctx, kvstore.Update{
-		Guards: []protocol.Guard{{Key: userapi.JobKey + uid, Version: written}, {Key: controlKey, Version: version}},
+	_, err := n.kvStore.Commit(ctx, kvstore.Update{
+		Guards: []protocol.Condition{{Key: userapi.JobKey + uid, Version: written}, {Key: controlKey, Version: version}},
 		Ops:    []protocol.Op{{Delete: userapi.JobKey + uid}, {Set: userapi.FinalKey + uid, Value: protocol.Encode(end)}}})
 	if c := (*kvstore.Conflict)(nil); errors.As(err, &c) && slices.Contains(c.Keys, userapi.JobKey+uid) {
 		(*userBackend)(n).Missing(uid) // or just withdrawn; the record may have changed as well, which says nothing
--- a/internal/controller/placing.go
+++ b/internal/controller/placing.go
@@ -31,7 +31,7 @@
 	if len(list) > 0 {
 		arrange(list)
 		p.hosts = n.hosts(now, smallest(list))
-		if plan := n.admit.known.Acts(); plan != nil && len(plan.Reserved) > 0 {
+		if plan := n.admission.known.Acts(); plan != nil && len(plan.Reserved) > 0 {
 			setHeldFor(p.hosts, list)
 		}
 	}
@@ -45,13 +45,13 @@
 			p.short = append(p.short, *w)
 		}
 	}
-	if now.Sub(n.preempted) >= preemptEvery {
-		n.preempted = now
+	if now.Sub(n.preemptionReviewedAt) >= preemptEvery {
+		n.preemptionReviewedAt = now
 		n.preemptForGangs(p)
 		n.preempt(p.short, p.hosts, now)
 	}
-	if len(list) > 0 && (len(p.short) > 0 || n.told) {
-		n.told = len(p.short) > 0
+	if len(list) > 0 && (len(p.short) > 0 || n.waitingAnnounced) {
+		n.waitingAnnounced = len(p.short) > 0
 		n.tellNow()
 	}
 }
@@ -91,10 +91,10 @@
 // urgent says whether tasks have no time to spare: they would not be complete in time if they
 // ran three times as long as estimated after fetching their image.
 func (n *Node) urgent(w *waitingTasks, now time.Time) bool {
-	if w.spec.Kind != protocol.Batch || w.late || w.borrowed {
+	if w.spec.Kind != protocol.JobArray || w.late || w.borrowed {
 		return false
 	}
-	fetch := settings.Seconds(autoscaler.FetchTime(n.types, w.spec))
+	fetch := settings.Seconds(autoscaler.FetchTime(n.machineTypes, w.spec))
 	return w.latest.Sub(now) <= 2*w.spec.RunTime()+fetch+preemptionDelay
 }
 
@@ -104,7 +104,7 @@
 		return nil
 	}
 	skipped := false
-	h := placement.Choose(p.n.rng, p.hosts, ask, p.n.opt.SampleSize, func(h *placement.Host) bool {
+	h := placement.Choose(p.n.rng, p.hosts, ask, p.n.options.SampleSize, func(h *placement.Host) bool {
 		skip := skip(h)
 		skipped = skipped || skip
 		return skip
@@ -166,8 +166,8 @@
 }
 
 // spot is a host as the ledger names it.
-func (n *Node) spot(h *placement.Host) jobstate.Spot {
-	return jobstate.Spot{Machine: h.Name, Zone: n.machines[h.Name].view.Zone, Session: h.Session}
+func (n *Node) spot(h *placement.Host) jobstate.Location {
+	return jobstate.Location{Machine: h.Name, Zone: n.machines[h.Name].status.Zone, Session: h.Session}
 }
 
 // zoneRule holds a job's tasks, of which some may be on machines already, to one zone or to
--- a/internal/controller/placing_test.go
+++ b/internal/controller/placing_test.go
@@ -18,14 +18,14 @@
 		g := newGrown(8, 1)
 		n := g.n
 		n.mu.Lock()
-		n.learnJob(userapi.Stored{At: g.now.UnixMilli(), Spec: &protocol.Submission{UID: "job-000001", Team: "team-0", Kind: protocol.Batch, Priority: "high",
+		n.learnJob(userapi.Stored{At: g.now.UnixMilli(), Spec: &protocol.Submission{UID: "job-000001", Team: "team-0", Kind: protocol.JobArray, Priority: "high",
 			Tasks: 2, CPUs: 4, Memory: 1, Image: "img", ImageGB: 4, Estimate: 10, Spot: true, Deadline: &deadline}}, 1)
 		for _, m := range n.machines {
-			m.images["img"], m.counted = !m.view.Spot, false
+			m.images["img"], m.counted = !m.status.Spot, false
 		}
 		n.place(g.now.Add(100 * time.Millisecond))
-		for _, h := range n.items[teamItem("team-0")].team.Replica().Holds {
-			if spot := n.machines[h.Machine].view.Spot; spot != (deadline == 300) {
+		for _, h := range n.shards[teamShard("team-0")].team.Replica().Holds {
+			if spot := n.machines[h.Machine].status.Spot; spot != (deadline == 300) {
 				t.Errorf("due in %g s: placed on a spot machine without the image: %v", deadline, spot)
 			}
 		}
@@ -41,22 +41,22 @@
 	n := g.n
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.home.SetTerm(1, func(string) bool { return true })
+	n.agents.SetTerm(1, func(string) bool { return true })
 	n.roster.Learn("x", 1, agents.RosterValue{Names: []string{"n-1", "n-2"}})
 	for _, name := range []string{"n-1", "n-2"} {
-		n.hear(&protocol.Report{Machine: name, Addr: "127.0.0.1:1", Type: "m32", Zone: "east", Session: 1, Seq: 1, Token: 1, Tasks: []protocol.TaskStatus{}}, g.now)
+		n.hear(&protocol.Heartbeat{Machine: name, Addr: "127.0.0.1:1", Type: "m32", Zone: "east", Incarnation: 1, Seq: 1, FencingToken: 1, Tasks: []protocol.TaskStatus{}}, g.now)
 	}
 	if got := len(n.hosts(g.now, nil)); got != 2 {
 		t.Fatalf("%d of 2 machines take tasks", got)
 	}
 	next := n.record.Clone()
 	next.Term++
-	n.adopt(next, n.version+1)
+	n.adopt(next, n.recordVersion+1)
 	if got := len(n.hosts(g.now, nil)); got != 2 {
 		t.Errorf("%d of 2 machines take tasks after the term was raised", got)
 	}
-	if len(n.fresh) != 2 {
-		t.Errorf("%d of 2 machines are to be told of", len(n.fresh))
+	if len(n.changedMachines) != 2 {
+		t.Errorf("%d of 2 machines are to be told of", len(n.changedMachines))
 	}
 }
 
@@ -78,7 +78,7 @@
 			n.learnJob(userapi.Stored{At: g.now.UnixMilli(), Spec: &spec}, 1)
 		}
 		held := func(uid string) (count int) {
-			for _, it := range n.items {
+			for _, it := range n.shards {
 				for key := range it.team.Replica().Holds {
 					if key.Job == uid {
 						count++
@@ -87,11 +87,11 @@
 			}
 			return count
 		}
-		n.items[teamItem("team-0")].team.MaxCPUs = c.quota
-		submit(protocol.Submission{UID: "job-000001", Team: "team-0", Kind: protocol.Batch, Priority: "high", Tasks: 1, CPUs: 8})
+		n.shards[teamShard("team-0")].team.MaxCPUs = c.quota
+		submit(protocol.Submission{UID: "job-000001", Team: "team-0", Kind: protocol.JobArray, Priority: "high", Tasks: 1, CPUs: 8})
 		n.place(g.now)
 		submit(protocol.Submission{UID: "job-000002", Team: "team-0", Kind: protocol.Gang, Priority: c.priority, Tasks: c.tasks, CPUs: 8})
-		submit(protocol.Submission{UID: "job-000003", Team: "team-1", Kind: protocol.Batch, Priority: "standard", Tasks: 40, CPUs: 1})
+		submit(protocol.Submission{UID: "job-000003", Team: "team-1", Kind: protocol.JobArray, Priority: "standard", Tasks: 40, CPUs: 1})
 		n.place(g.now)
 		if held("job-000001") != 1 || held("job-000002") != 0 {
 			t.Fatalf("%+v: the gang has %d tasks placed beside what runs", c, held("job-000002"))
@@ -104,7 +104,7 @@
 			g.second(1) // what ran ends
 		}
 		n.mu.Lock()
-		if done, _ := n.items[teamItem("team-0")].team.Progress("job-000002"); done == 0 && held("job-000002") == 0 && c.tasks == 8 && c.quota > 64 {
+		if done, _ := n.shards[teamShard("team-0")].team.Progress("job-000002"); done == 0 && held("job-000002") == 0 && c.tasks == 8 && c.quota > 64 {
 			t.Errorf("%+v: the gang did not start in the room that came free", c)
 		}
 		n.mu.Unlock()
@@ -122,11 +122,11 @@
 		n.learnJob(userapi.Stored{At: g.now.UnixMilli(), Spec: &protocol.Submission{UID: uid, Team: team, Kind: kind, Priority: priority, Tasks: tasks, CPUs: cpus,
 			Memory: 1, Image: "img", Estimate: 40, OneZone: kind == protocol.Gang}}, 1)
 	}
-	gangs, arrays := n.items[teamItem("team-0")].team, n.items[teamItem("team-1")].team
+	gangs, arrays := n.shards[teamShard("team-0")].team, n.shards[teamShard("team-1")].team
 	placeAt := func(after time.Duration) int {
 		now := g.now.Add(after)
 		for _, m := range n.machines {
-			m.heard = now
+			m.heardAt = now
 		}
 		gangs.TurnHoldback(now)
 		n.place(now)
@@ -135,7 +135,7 @@
 	submit("job-000001", "team-0", "high", protocol.Service, 1, 8)
 	placeAt(0)
 	submit("job-000002", "team-0", "high", protocol.Gang, 8, 8)
-	submit("job-000003", "team-1", "standard", protocol.Batch, 40, 1)
+	submit("job-000003", "team-1", "standard", protocol.JobArray, 40, 1)
 	if got := placeAt(0); got != 0 {
 		t.Fatalf("%d of 40 tasks of the array were placed at once", got)
 	}
@@ -159,15 +159,15 @@
 		priority := c.priority
 		g := newGrown(8, 2) // two of them ordinary, of 32 CPUs and in one zone
 		n := g.n
-		n.items[teamItem("team-0")].team.CPUs, n.items[teamItem("team-0")].team.MaxCPUs = 0, 44
+		n.shards[teamShard("team-0")].team.CPUs, n.shards[teamShard("team-0")].team.MaxCPUs = 0, 44
 		submit := func(uid, team, priority, kind string, tasks int, cpus float64) {
 			n.mu.Lock()
 			defer n.mu.Unlock()
 			n.learnJob(userapi.Stored{At: g.now.UnixMilli(), Spec: &protocol.Submission{UID: uid, Team: team, Kind: kind, Priority: priority, Tasks: tasks, CPUs: cpus,
 				Memory: 1, Image: "img", Estimate: 600, OneZone: kind == protocol.Gang, Deadline: &c.deadline}}, 1)
 		}
-		submit("job-000001", "team-1", "standard", protocol.Batch, 16, 1)
-		submit("job-000002", "team-0", "standard", protocol.Batch, 60, 1)
+		submit("job-000001", "team-1", "standard", protocol.JobArray, 16, 1)
+		submit("job-000002", "team-0", "standard", protocol.JobArray, 60, 1)
 		for range 3 {
 			g.second(2)
 		}
@@ -177,7 +177,7 @@
 		}
 		n.mu.Lock()
 		stopped := 0
-		for ref := range n.evicting {
+		for ref := range n.evictions {
 			if ref.Job != "job-000002" {
 				t.Errorf("%s: %v was asked to make room", priority, ref)
 			}
@@ -198,13 +198,13 @@
 	n := g.n
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.set.Deployment.Objectives = []settings.Objective{{Kind: "finished", Class: "c", Within: 300}, {Kind: "wait", Class: "c", Within: 20}}
+	n.settings.Deployment.Objectives = []settings.Objective{{Kind: "finished", Class: "c", Within: 300}, {Kind: "wait", Class: "c", Within: 20}}
 	for uid, age := range map[string]time.Duration{"job-000001": 100 * time.Second, "job-000002": 5 * time.Second} {
 		n.learnJob(userapi.Stored{At: g.now.Add(-age).UnixMilli(), Spec: &protocol.Submission{UID: uid, Class: "c", Team: "team-0", Kind: protocol.Gang, Priority: "high",
 			Tasks: 8, CPUs: 8, Memory: 1, Image: "img", Estimate: 40, OneZone: true}}, 1)
 	}
 	n.place(g.now)
-	holds := n.items[teamItem("team-0")].team.Replica().Holds
+	holds := n.shards[teamShard("team-0")].team.Replica().Holds
 	for key := range holds {
 		if key.Job != "job-000002" {
 			t.Errorf("%v was placed before the gang that can start in time", key)
--- a/internal/controller/preemption.go
+++ b/internal/controller/preemption.go
@@ -77,9 +77,9 @@
 // others make room for.
 func (n *Node) expireEvictions(now time.Time) (coming map[string]int) {
 	coming = map[string]int{}
-	for ref, e := range n.evicting {
+	for ref, e := range n.evictions {
 		if now.Sub(e.at) > evictionLife {
-			delete(n.evicting, ref)
+			delete(n.evictions, ref)
 		} else {
 			coming[e.job] += e.tasks
 		}
@@ -137,7 +137,7 @@
 		if i == 0 {
 			e.tasks = 1
 		}
-		p.n.evicting[v.ref] = e
+		p.n.evictions[v.ref] = e
 		host.Release(v.spec.CPUs, v.spec.GPUs, v.spec.Memory)
 		p.n.evict(evictMsg{Ref: v.ref, For: job})
 	}
@@ -164,35 +164,35 @@
 
 // ending estimates what running tasks give back, by job.
 func (n *Node) ending(now time.Time) []ends {
-	if n.ends != nil && now.Sub(n.endsAt) < freeingEvery {
-		return n.ends
+	if n.freeing != nil && now.Sub(n.freeingAt) < freeingEvery {
+		return n.freeing
 	}
 	running := map[string]int{}
 	for _, m := range n.machines {
-		for ref := range m.running {
+		for ref := range m.runningSince {
 			running[ref.Job]++
 		}
 	}
-	n.ends, n.endsAt = []ends{}, now
-	clear(n.admit.runs)
+	n.freeing, n.freeingAt = []ends{}, now
+	clear(n.admission.runs)
 	for uid, count := range running {
 		j := n.jobs[uid]
 		if j == nil {
 			continue
 		}
 		cpus := float64(count) * j.spec.CPUs
-		n.admit.runs[keyOf(j.spec)] += cpus
+		n.admission.runs[keyOf(j.spec)] += cpus
 		if j.spec.Estimate > 0 {
-			n.ends = append(n.ends, ends{j.spec.CPUs, cpus / j.spec.Estimate})
+			n.freeing = append(n.freeing, ends{j.spec.CPUs, cpus / j.spec.Estimate})
 		}
 	}
-	return n.ends
+	return n.freeing
 }
 
 // evict asks the owner of a task to stop it.
 func (n *Node) evict(e evictMsg) {
 	j := n.jobs[e.Ref.Job]
-	owner := n.record.Items[teamItem(j.spec.Team)].Owner
+	owner := n.record.Shards[teamShard(j.spec.Team)].Owner
 	if owner == n.name {
 		n.onEvict(&e)
 		return
@@ -206,8 +206,8 @@
 	if victim == nil || job == nil || protocol.Rank(job.spec.Priority) <= protocol.Rank(victim.spec.Priority) {
 		return
 	}
-	it := n.items[teamItem(victim.spec.Team)]
-	if it == nil || it.phase != ready {
+	it := n.shards[teamShard(victim.spec.Team)]
+	if it == nil || it.phase != shardReady {
 		return
 	}
 	if it.team.Stop(e.Ref, victim.spec.Save) {
@@ -217,15 +217,15 @@
 }
 
 // freed forgets evictions that are over, as a view shows.
-func (n *Node) freed(v *jobstate.View) {
-	if len(n.evicting) == 0 {
+func (n *Node) freed(v *jobstate.MachineStatus) {
+	if len(n.evictions) == 0 {
 		return
 	}
-	there := map[jobstate.Ref]bool{}
+	there := map[jobstate.AttemptRef]bool{}
 	for _, t := range v.Tasks {
 		there[t.Ref()] = t.State != protocol.Exited
 	}
-	maps.DeleteFunc(n.evicting, func(ref jobstate.Ref, _ eviction) bool {
+	maps.DeleteFunc(n.evictions, func(ref jobstate.AttemptRef, _ eviction) bool {
 		on, listed := there[ref]
 		return listed && !on
 	})
@@ -233,7 +233,7 @@
 
 // victim is a task that may be stopped for others.
 type victim struct {
-	ref  jobstate.Ref
+	ref  jobstate.AttemptRef
 	spec *protocol.Submission
 	lost float64 // CPU seconds of progress thrown away
 }
@@ -258,8 +258,8 @@
 	}
 	m := s.n.machines[h.Name]
 	var list []victim
-	for i := range m.view.Tasks {
-		if v, ok := s.victim(m, &m.view.Tasks[i]); ok {
+	for i := range m.status.Tasks {
+		if v, ok := s.victim(m, &m.status.Tasks[i]); ok {
 			list = append(list, v)
 		}
 	}
@@ -271,17 +271,17 @@
 }
 
 // victim says whether a task on a machine may be stopped, and what is lost by that.
-func (s *victimSearch) victim(m *machine, t *jobstate.TaskView) (v victim, ok bool) {
+func (s *victimSearch) victim(m *machine, t *jobstate.TaskStatus) (v victim, ok bool) {
 	j := s.n.jobs[t.Job]
 	if j == nil || !j.active || t.State == protocol.Exited || t.State == protocol.Saving || j.spec.Kind == protocol.Gang {
 		return v, false
 	}
 	ref := t.Ref()
-	if _, going := s.n.evicting[ref]; going || s.n.keepsFloor(j.spec) {
+	if _, going := s.n.evictions[ref]; going || s.n.keepsFloor(j.spec) {
 		return v, false
 	}
 	v = victim{ref: ref, spec: j.spec}
-	if since, running := m.running[ref]; running {
+	if since, running := m.runningSince[ref]; running {
 		ran := s.now.Sub(since).Seconds()
 		if left := j.spec.Estimate - ran; ran > left && left < soonOver {
 			return v, false // much would be lost
--- a/internal/controller/promise_test.go
+++ b/internal/controller/promise_test.go
@@ -37,7 +37,7 @@
 			}
 			n := New(s, settings.DefaultOptions(), slog.New(slog.DiscardHandler))
 			inc++
-			n.inc, n.began, n.renewed, n.promised = inc, now, now, now.Add(promiseLife)
+			n.incarnation, n.startedAt, n.leaseRenewedAt, n.promisedUntil = inc, now, now, now.Add(promiseLife)
 			nodes[i] = n
 		}
 		for i := range names {
@@ -50,10 +50,10 @@
 			switch rng.IntN(12) {
 			case 0:
 				if rng.IntN(10) == 0 {
-					nodes[i].renewed = now
+					nodes[i].leaseRenewedAt = now
 				}
 			case 1:
-				nodes[i].raising = rng.IntN(6) == 0
+				nodes[i].recordChangePending = rng.IntN(6) == 0
 			case 2:
 				if rng.IntN(20) == 0 {
 					start(i)
@@ -62,7 +62,7 @@
 				body := nodes[i].status(now)
 				for to := range nodes {
 					if to != i {
-						flying = append(flying, letter{i, to, nodes[i].inc, body, now.Add(time.Duration(rng.IntN(600)) * time.Millisecond)})
+						flying = append(flying, letter{i, to, nodes[i].incarnation, body, now.Add(time.Duration(rng.IntN(600)) * time.Millisecond)})
 					}
 				}
 			default:
@@ -71,13 +71,13 @@
 						flying = append(flying[:k:k], flying[k+1:]...)
 						n := nodes[l.to]
 						p := n.peers[names[l.from]]
-						if l.inc < p.inc {
+						if l.inc < p.incarnation {
 							break // links drop lines of older processes
 						}
-						if p.inc != l.inc {
-							p.inc, p.at = l.inc, 0
+						if p.incarnation != l.inc {
+							p.incarnation, p.statusClock = l.inc, 0
 						}
-						p.heard = now
+						p.heardAt = now
 						n.onStatus(p, &l.body, now)
 						break
 					}
@@ -89,7 +89,7 @@
 				}
 				held++
 				for b, o := range nodes {
-					if a != b && !now.Before(o.promised) {
+					if a != b && !now.Before(o.promisedUntil) {
 						t.Fatalf("seed %d: %s holds a promise that %s no longer keeps", seed, names[a], names[b])
 					}
 				}
--- a/internal/controller/provisioning.go
+++ b/internal/controller/provisioning.go
@@ -49,16 +49,16 @@
 // provision decides once and begins what was decided. It returns the provisioner to go on
 // with, nil while this controller does not own the fleet.
 func (n *Node) provision(p *provisioner, now time.Time) *provisioner {
-	it := n.items[leadership.Fleet]
+	it := n.shards[leadership.FleetShard]
 	if it == nil {
-		n.drain, n.late = map[string]bool{}, nil
+		n.drainingMachines, n.latePlaces = map[string]bool{}, nil
 		return nil
 	}
-	if !n.entitled(now) || n.types == nil {
+	if !n.entitled(now) || n.machineTypes == nil {
 		return p
 	}
-	if p == nil || p.account.Since() != it.since {
-		p = n.newProvisioner(it.since, now)
+	if p == nil || p.account.Since() != it.sinceTerm {
+		p = n.newProvisioner(it.sinceTerm, now)
 	}
 	n.readCloudList(p.account, now)
 	if !p.account.Ready() {
@@ -67,18 +67,18 @@
 	machines := n.fleetMachines(p.account, now)
 	demands := n.fleetDemands(now)
 	actions := p.account.Decide(&provisioning.Inputs{
-		Types:     n.types,
+		Types:     n.machineTypes,
 		Machines:  machines,
 		Demands:   demands,
 		Inflow:    n.inflow(now),
-		Settled:   n.settled,
-		TakenOver: it.since > n.record.First || n.record.Generation > 1,
-		Draining:  n.drain,
+		Settled:   n.membershipSettledAt,
+		TakenOver: it.sinceTerm > n.record.FirstTerm || n.record.Epoch > 1,
+		Draining:  n.drainingMachines,
 	}, now)
 	n.noteLatePlaces(actions.Late)
 	n.logFleet(p, machines, demands, actions.Retired, now)
 	n.makePlan(machines, demands, now)
-	n.drain = actions.Drain
+	n.drainingMachines = actions.Drain
 	n.returnMachines(p.account, actions.Return)
 	n.strikeGone()
 	for _, request := range actions.Rent {
@@ -94,8 +94,8 @@
 func (n *Node) newProvisioner(since uint64, now time.Time) *provisioner {
 	options := provisioning.Options{
 		Since:   since,
-		Prefix:  fmt.Sprintf("%s-%d-%d", n.name, n.inc, since),
-		ListLag: settings.Seconds(n.set.Deployment.Cloud.ListLag),
+		Prefix:  fmt.Sprintf("%s-%d-%d", n.name, n.incarnation, since),
+		ListLag: settings.Seconds(n.settings.Deployment.Cloud.ListLag),
 		Fleet:   n.fleetOptions(),
 	}
 	return &provisioner{
@@ -106,14 +106,14 @@
 
 // fleetOptions derives from the settings what the fleet's decisions go by.
 func (n *Node) fleetOptions() autoscaler.Options {
-	deployment := &n.set.Deployment
+	deployment := &n.settings.Deployment
 	lease := settings.Seconds(deployment.Workers.Lease)
 	cancel := settings.Seconds(deployment.Workers.Cancel)
 	return autoscaler.Options{
-		IdleReturn: settings.Seconds(n.opt.IdleReturn),
-		Warm:       n.opt.WarmMachines,
-		Haste:      n.opt.Haste,
-		SpotShare:  n.opt.SpotShare,
+		IdleReturn: settings.Seconds(n.options.IdleReturn),
+		Warm:       n.options.WarmMachines,
+		Haste:      n.options.Haste,
+		SpotShare:  n.options.SpotShare,
 		// Lists may be twice as old as their lag, and a report may be late.
 		Unlisted: settings.Seconds(2*deployment.Cloud.ListLag) + time.Second,
 		Hurry:    settings.Seconds(2*deployment.Workers.Report) + answerTime,
@@ -149,15 +149,15 @@
 
 // noteLatePlaces logs a change of the places where machines come up late.
 func (n *Node) noteLatePlaces(late []string) {
-	if slices.Equal(late, n.late) {
+	if slices.Equal(late, n.latePlaces) {
 		return
 	}
-	n.log.Info("places where machines come up late", "before", n.late, "now", late)
-	n.late = late
+	n.log.Info("places where machines come up late", "before", n.latePlaces, "now", late)
+	n.latePlaces = late
 }
 
 // rent sends one rental request when its turn comes.
-func (n *Node) rent(ctx context.Context, p *provisioner, request protocol.Rent) {
+func (n *Node) rent(ctx context.Context, p *provisioner, request protocol.ScaleOutRequest) {
 	select {
 	case p.turns <- struct{}{}:
 		defer func() { <-p.turns }()
@@ -203,14 +203,14 @@
 
 // strikeGone takes gone machines off the roster, one batch of writes at a time.
 func (n *Node) strikeGone() {
-	if n.striking {
+	if n.removingGone {
 		return
 	}
 	writes := n.unstruck()
 	if len(writes) == 0 {
 		return
 	}
-	n.striking = true
+	n.removingGone = true
 	n.group.Go(func() error {
 		n.strike(n.ctx, writes)
 		return nil
--- a/internal/controller/quota_test.go
+++ b/internal/controller/quota_test.go
@@ -24,7 +24,7 @@
 func answerOnce(w *simulation.Worker) {
 	w.Mute(true)
 	answered := false
-	w.SlowCommands(func(*protocol.Direct) time.Duration {
+	w.SlowCommands(func(*protocol.DirectCommands) time.Duration {
 		if answered {
 			return time.Hour
 		}
--- a/internal/controller/rebuild.go
+++ b/internal/controller/rebuild.go
@@ -29,7 +29,7 @@
 // connects internal/datarecovery, which decides, to the controller.
 
 // keeping is what a controller knows of its store, and of what must survive it.
-type keeping struct {
+type recoveryState struct {
 	watch     *datarecovery.Watch
 	gather    *datarecovery.Gather // waited for after a loss; nil: nothing
 	whole     bool                 // the ends known go back to the deployment's beginning
@@ -76,12 +76,12 @@
 	at      time.Time
 }
 
-func newKeeping(s *settings.Settings, life time.Duration) *keeping {
+func newRecoveryState(s *settings.Settings, life time.Duration) *recoveryState {
 	var peers []string
 	for _, p := range s.Peers {
 		peers = append(peers, p.Name)
 	}
-	return &keeping{watch: datarecovery.NewWatch(s.Name, peers, life), markers: map[string]uint64{}, suspect: map[string]uint64{},
+	return &recoveryState{watch: datarecovery.NewWatch(s.Name, peers, life), markers: map[string]uint64{}, suspect: map[string]uint64{},
 		again: make(chan struct{}, 1), names: map[string]bool{}, bury: map[string]burial{}, writing: map[string]bool{},
 		unknown: map[string]time.Time{}, tentative: map[string]tentativeJob{}, met: map[string]bool{}, holds: map[uint64]chan struct{}{}}
 }
@@ -89,7 +89,7 @@
 // trusted says whether what the store answers counts: nobody saw a sign that it lost
 // anything since it was read.
 func (n *Node) trusted() bool {
-	phase, _, _ := n.store.watch.Phase()
+	phase, _, _ := n.recovery.watch.Phase()
 	return phase == datarecovery.Known || phase == datarecovery.Starting
 }
 
@@ -97,12 +97,12 @@
 	if n.record == nil {
 		return 0
 	}
-	return n.record.Generation
+	return n.record.Epoch
 }
 
 func (n *Node) word() datarecovery.Word {
-	w := datarecovery.Word{Generation: n.generation(), Seen: n.state.Seen(), Incarnation: n.inc, Whole: n.store.whole && n.store.saw}
-	phase, _, _ := n.store.watch.Phase()
+	w := datarecovery.Word{Generation: n.generation(), Seen: n.kvStore.Seen(), Incarnation: n.incarnation, Whole: n.recovery.whole && n.recovery.saw}
+	phase, _, _ := n.recovery.watch.Phase()
 	w.Lost = phase == datarecovery.Lost
 	w.Doubt = phase == datarecovery.Doubted || w.Lost
 	if n.record != nil {
@@ -123,17 +123,17 @@
 
 func (n *Node) doubt(what string) {
 	if n.trusted() {
-		n.log.Info("state service doubted", "sign", what, "generation", n.generation(), "revision", n.revision)
-		n.store.watch.Sign(what, time.Now())
+		n.log.Info("state service doubted", "sign", what, "generation", n.generation(), "revision", n.followedRevision)
+		n.recovery.watch.Sign(what, time.Now())
 		n.tellNow()
 	}
 }
 
 // prove books evidence of a loss that no answer of the store shows.
 func (n *Node) prove(what string) {
-	if n.store.proof == "" {
-		n.store.proof = what
-		n.store.whole = false // it lacks what was there before this process read it
+	if n.recovery.proof == "" {
+		n.recovery.proof = what
+		n.recovery.whole = false // it lacks what was there before this process read it
 		n.doubt(what)
 	}
 }
@@ -143,11 +143,11 @@
 	if token >= 1<<29 || n.record == nil {
 		return // no term: attempts have no room for it
 	}
-	n.store.token = max(n.store.token, token)
+	n.recovery.token = max(n.recovery.token, token)
 	switch {
 	case token > n.record.Term:
-		n.store.ahead = max(n.store.ahead, token)
-	case token > 0 && token < n.record.First && n.record.Generation == 1:
+		n.recovery.ahead = max(n.recovery.ahead, token)
+	case token > 0 && token < n.record.FirstTerm && n.record.Epoch == 1:
 		n.prove("a worker knows a term from before the store's first")
 	}
 }
@@ -160,8 +160,8 @@
 		n.mu.Lock()
 		defer n.mu.Unlock()
 		if absent && n.jobs[uid] == j && !j.active {
-			j.active, j.ended = true, time.Time{}
-			n.learnJob(userapi.Stored{Spec: j.spec, At: j.at.UnixMilli()}, 0)
+			j.active, j.endedAt = true, time.Time{}
+			n.learnJob(userapi.Stored{Spec: j.spec, At: j.submittedAt.UnixMilli()}, 0)
 			n.prove("an accepted job is gone without an end")
 		}
 		return nil
@@ -172,13 +172,13 @@
 // it has tasks, since a machine is registered before the first start. One report may have
 // been held up on its way from a machine that is gone by now; one that reports again is
 // there, and a read that began after its first report must know it.
-func (n *Node) unlisted(r *protocol.Report, m *machine, now time.Time) {
+func (n *Node) unlisted(r *protocol.Heartbeat, m *machine, now time.Time) {
 	switch {
 	case !n.ours(r):
-		m.unlisted = time.Time{}
-	case m.unlisted.IsZero():
-		m.unlisted = now
-	case now.Sub(m.unlisted) > settings.Seconds(n.set.Deployment.Workers.Report/2) && n.horizon.LastRead().After(m.unlisted):
+		m.unregisteredSince = time.Time{}
+	case m.unregisteredSince.IsZero():
+		m.unregisteredSince = now
+	case now.Sub(m.unregisteredSince) > settings.Seconds(n.settings.Deployment.Workers.Report/2) && n.cancelWatermark.LastRead().After(m.unregisteredSince):
 		n.inspect(r.Machine, r.Addr, m)
 	}
 }
@@ -186,19 +186,19 @@
 // inspect asks a machine that is on no list whether it is there. Two reports are no proof: copies of
 // what a machine sent that was returned long ago may come one after the other to a process that never knew it.
 func (n *Node) inspect(name, addr string, m *machine) {
-	if m.inspected.After(m.unlisted) && time.Since(m.inspected) < probeTimeout {
+	if m.inspectedAt.After(m.unregisteredSince) && time.Since(m.inspectedAt) < probeTimeout {
 		return
 	}
-	m.inspected = time.Now()
+	m.inspectedAt = time.Now()
 	n.group.Go(func() error {
 		link := httpx.NewLink(addr, 1<<20)
 		defer link.Close()
 		resp, _, err := link.Do(n.ctx, "GET", protocol.PathInspect, nil, probeTimeout)
-		var r protocol.Report
+		var r protocol.Heartbeat
 		there := err == nil && resp.Status == 200 && protocol.Decode(resp.Body, &r) == nil && r.Machine == name
 		n.mu.Lock()
 		defer n.mu.Unlock()
-		if there && n.ours(&r) && n.machines[name] == m && !m.gone && !n.roster.Has(name) && !m.unlisted.IsZero() {
+		if there && n.ours(&r) && n.machines[name] == m && !m.gone && !n.roster.Has(name) && !m.unregisteredSince.IsZero() {
 			n.prove("a worker has tasks though its machine is on no list")
 		}
 		return nil
@@ -206,9 +206,9 @@
 }
 
 // ours says whether a machine has tasks that were started since this store began.
-func (n *Node) ours(r *protocol.Report) bool {
+func (n *Node) ours(r *protocol.Heartbeat) bool {
 	return slices.ContainsFunc(r.Tasks, func(t protocol.TaskStatus) bool {
-		return t.State != protocol.Exited && jobstate.TermOf(t.Attempt) >= n.record.First
+		return t.State != protocol.Exited && jobstate.TermOf(t.Attempt) >= n.record.FirstTerm
 	})
 }
 
@@ -219,21 +219,21 @@
 	for pause(ctx, every) {
 		now := time.Now()
 		n.mu.Lock()
-		term, ahead := uint64(0), n.store.ahead
+		term, ahead := uint64(0), n.recovery.ahead
 		if n.record != nil {
 			term = n.record.Term
 		}
-		action := n.store.watch.Step(now, term, func(name string) bool {
-			_, there := n.store.found.live[name]
-			return there && (name != n.name || n.store.found.live[name].Incarnation == n.inc)
+		action := n.recovery.watch.Step(now, term, func(name string) bool {
+			_, there := n.recovery.found.live[name]
+			return there && (name != n.name || n.recovery.found.live[name].Incarnation == n.incarnation)
 		})
-		phase, since, _ := n.store.watch.Phase()
-		suspects := len(n.store.suspect) > 0
-		if phase == datarecovery.Lost && since.After(n.store.lostAt) {
-			n.store.lostAt = since
+		phase, since, _ := n.recovery.watch.Phase()
+		suspects := len(n.recovery.suspect) > 0
+		if phase == datarecovery.Lost && since.After(n.recovery.lostAt) {
+			n.recovery.lostAt = since
 			n.lost()
 		}
-		if action == datarecovery.Nothing && phase == datarecovery.Lost && now.Sub(n.store.found.at) > 250*time.Millisecond {
+		if action == datarecovery.Nothing && phase == datarecovery.Lost && now.Sub(n.recovery.found.at) > 250*time.Millisecond {
 			action = datarecovery.Relist
 		}
 		if action == datarecovery.Propose && !n.word().Whole && now.Sub(since) < witnessFor {
@@ -248,9 +248,9 @@
 		case action == datarecovery.Check:
 			r := n.look(ctx)
 			n.mu.Lock()
-			n.store.watch.Checked(r, time.Now())
+			n.recovery.watch.Checked(r, time.Now())
 			if n.trusted() {
-				clear(n.store.suspect)
+				clear(n.recovery.suspect)
 				n.log.Info("state service has what it acknowledged")
 			}
 			n.mu.Unlock()
@@ -262,10 +262,10 @@
 			// The record may only be late here: a read that begins now settles it.
 			if n.refresh(ctx) == nil {
 				n.mu.Lock()
-				if n.record != nil && n.store.ahead > n.record.Term {
+				if n.record != nil && n.recovery.ahead > n.record.Term {
 					n.prove("a worker or controller knows a later term than the store")
 				}
-				n.store.ahead = 0
+				n.recovery.ahead = 0
 				n.mu.Unlock()
 			}
 		case phase == datarecovery.Known && (now.Sub(pulsed) > n.lease.Life/4 || suspects):
@@ -275,7 +275,7 @@
 				n.sign("something acknowledged is gone")
 			case datarecovery.Good:
 				n.mu.Lock()
-				clear(n.store.suspect)
+				clear(n.recovery.suspect)
 				n.mu.Unlock()
 			}
 		}
@@ -292,11 +292,11 @@
 
 // witnesses are keys that must have the versions known here, or have changed since.
 func (n *Node) witnesses() map[string]uint64 {
-	w := maps.Clone(n.store.suspect)
-	if n.version > 0 {
-		w[controlKey] = n.version
+	w := maps.Clone(n.recovery.suspect)
+	if n.recordVersion > 0 {
+		w[controlKey] = n.recordVersion
 	}
-	for key, version := range n.store.markers {
+	for key, version := range n.recovery.markers {
 		w[key] = version
 	}
 	for key, version := range n.roster.Versions() {
@@ -320,9 +320,9 @@
 func (n *Node) versionOf(key string) uint64 {
 	switch {
 	case key == controlKey:
-		return n.version
+		return n.recordVersion
 	case strings.HasPrefix(key, datarecovery.StoreKey):
-		return n.store.markers[key]
+		return n.recovery.markers[key]
 	case strings.HasPrefix(key, userapi.JobKey):
 		if j := n.jobs[key[len(userapi.JobKey):]]; j != nil && j.active {
 			return j.version
@@ -340,8 +340,8 @@
 // have been changed, as a read of the changes tells.
 func (n *Node) look(ctx context.Context) datarecovery.Result {
 	n.mu.Lock()
-	proof, listed, known, unchained := n.store.proof, n.listed, n.witnesses(), n.store.unchained
-	own, seen := n.live[n.name].Version, n.store.watch.Seen()
+	proof, listed, known, unchained := n.recovery.proof, n.watchedKeysRead, n.witnesses(), n.recovery.unchained
+	own, seen := n.presences[n.name].Version, n.recovery.watch.Seen()
 	n.mu.Unlock()
 	if proof != "" || unchained {
 		return datarecovery.Bad
@@ -349,16 +349,16 @@
 	if !listed {
 		return datarecovery.Unanswered
 	}
-	var guards []protocol.Guard
+	var guards []protocol.Condition
 	for key, version := range known {
-		if len(guards) < 4*n.set.Deployment.State.TxnOps-1 {
-			guards = append(guards, protocol.Guard{Key: key, Version: version})
+		if len(guards) < 4*n.settings.Deployment.State.TxnOps-1 {
+			guards = append(guards, protocol.Condition{Key: key, Version: version})
 		}
 	}
 	if own > 0 {
-		guards = append(guards, protocol.Guard{Key: nodeKey + n.name, Version: own})
+		guards = append(guards, protocol.Condition{Key: nodeKey + n.name, Version: own})
 	}
-	revision, failed, err := n.state.Compare(ctx, guards)
+	revision, failed, err := n.kvStore.Compare(ctx, guards)
 	switch {
 	case errors.Is(err, kvstore.ErrBack):
 		n.witness()
@@ -372,10 +372,10 @@
 		return datarecovery.Unanswered
 	}
 	n.mu.Lock()
-	after := n.revision
+	after := n.followedRevision
 	n.mu.Unlock()
 	began := time.Now()
-	ch, err := n.state.Changes(ctx, userapi.Watched, after)
+	ch, err := n.kvStore.Changes(ctx, userapi.Watched, after)
 	if errors.Is(err, kvstore.ErrBack) {
 		n.witness()
 		return datarecovery.Bad
@@ -387,12 +387,12 @@
 	n.caughtUp(ch, began)
 	for _, key := range failed {
 		if key == nodeKey+n.name {
-			if n.live[n.name].Version == own {
+			if n.presences[n.name].Version == own {
 				n.unshow() // its lease may have ended
 			}
 		} else if version, asked := known[key]; asked && n.versionOf(key) == version {
 			n.log.Info("acknowledged key is not there", "key", key, "version", version)
-			n.store.saw = true
+			n.recovery.saw = true
 			return datarecovery.Bad
 		}
 	}
@@ -405,31 +405,31 @@
 func (n *Node) witness() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.store.saw = true
+	n.recovery.saw = true
 }
 
 // unshow has the lease's duty write the own key again.
 func (n *Node) unshow() {
-	n.store.shown = false
+	n.recovery.shown = false
 	select {
-	case n.store.again <- struct{}{}:
+	case n.recovery.again <- struct{}{}:
 	default:
 	}
 }
 
 // lost begins what follows once the controllers agree that the store lost data.
 func (n *Node) lost() {
-	_, _, sign := n.store.watch.Phase()
+	_, _, sign := n.recovery.watch.Phase()
 	active := 0
 	for _, j := range n.jobs {
 		if j.active {
 			active++
 		}
 	}
-	n.log.Error("state service lost data", "sign", sign, "generation", n.generation(), "revision", n.revision, "jobs_remembered", active,
-		"ends_remembered", n.front.Ends(), "whole", n.store.whole, "machines_remembered", len(n.roster.All()))
-	n.state.Hold(true)
-	n.state.Anew()
+	n.log.Error("state service lost data", "sign", sign, "generation", n.generation(), "revision", n.followedRevision, "jobs_remembered", active,
+		"ends_remembered", n.front.Ends(), "whole", n.recovery.whole, "machines_remembered", len(n.roster.All()))
+	n.kvStore.Hold(true)
+	n.kvStore.Anew()
 	n.unshow()
 }
 
@@ -437,9 +437,9 @@
 // what a lost store holds.
 func (n *Node) relist(ctx context.Context) {
 	began := time.Now()
-	entries, revision, err := n.state.List(ctx, userapi.Watched)
+	entries, revision, err := n.kvStore.List(ctx, userapi.Watched)
 	if errors.Is(err, kvstore.ErrBack) {
-		n.state.Anew()
+		n.kvStore.Anew()
 	}
 	if err != nil {
 		pause(ctx, 100*time.Millisecond)
@@ -479,20 +479,20 @@
 func (n *Node) takeList(entries []protocol.Entry, revision uint64) bool {
 	f := scan(entries)
 	f.at = time.Now()
-	phase, _, _ := n.store.watch.Phase()
-	newer := f.record != nil && f.record.Generation > n.generation()
+	phase, _, _ := n.recovery.watch.Phase()
+	newer := f.record != nil && f.record.Epoch > n.generation()
 	switch {
-	case newer && f.markers[datarecovery.StoreKey+f.record.Store] == 0:
+	case newer && f.markers[datarecovery.StoreKey+f.record.StoreID] == 0:
 		// Its own key is gone: this store has lost data already, and what it holds is only evidence.
 		n.prove("the store's generation has no key of its own")
 	case n.record == nil || newer:
 		n.enter(entries, revision)
 		return true
 	case phase == datarecovery.Lost:
-	case f.record == nil || f.record.Term < n.record.Term || f.version < n.version || f.markers[datarecovery.StoreKey+n.record.Store] == 0:
+	case f.record == nil || f.record.Term < n.record.Term || f.version < n.recordVersion || f.markers[datarecovery.StoreKey+n.record.StoreID] == 0:
 		n.doubt("the list of keys lacks what was acknowledged")
 	default:
-		for _, w := range n.store.watch.Words(time.Now()) {
+		for _, w := range n.recovery.watch.Words(time.Now()) {
 			if w.Generation > n.generation() {
 				n.prove("a controller knows a later generation than the store")
 			}
@@ -500,8 +500,8 @@
 		n.reset(entries, revision)
 		return true
 	}
-	n.store.found = f
-	if f.live[n.name].Incarnation != n.inc {
+	n.recovery.found = f
+	if f.live[n.name].Incarnation != n.incarnation {
 		n.unshow()
 	}
 	return false
@@ -514,33 +514,33 @@
 	if n.record != nil {
 		for _, name := range n.roster.All() {
 			if m := n.machines[name]; m == nil || !m.gone {
-				n.store.names[name] = true
+				n.recovery.names[name] = true
 			}
 		}
 		n.remember()
-		for _, it := range n.items {
-			it.frozen, it.adding = false, nil
+		for _, it := range n.shards {
+			it.handingOver, it.addingReplicas = false, nil
 		}
 		for _, j := range n.jobs {
 			j.version = 0
 		}
-		for _, t := range n.store.tentative {
+		for _, t := range n.recovery.tentative {
 			if now.Sub(t.at) < tentativeFor {
 				n.learnJob(t.Stored, 0)
 			}
 		}
-		n.roster = newRoster(n.set)
+		n.roster = newRoster(n.settings)
 		n.configEntered()
-		n.version, n.unsure, n.live, n.missing = 0, 0, map[string]leadership.Presence{}, time.Time{}
-		n.store.markers, n.store.suspect = map[string]uint64{}, map[string]uint64{}
+		n.recordVersion, n.unansweredVersion, n.presences, n.memberMissingSince = 0, 0, map[string]leadership.Presence{}, time.Time{}
+		n.recovery.markers, n.recovery.suspect = map[string]uint64{}, map[string]uint64{}
 	}
-	n.store.saw, n.store.unchained = false, false
-	n.store.proof, n.store.ahead, n.store.census, n.store.entered, n.store.sealed = "", 0, nil, now, false
-	n.state.Anew()
-	n.state.Hold(false)
-	n.revision = revision
-	if n.store.rewatch != nil {
-		n.store.rewatch()
+	n.recovery.saw, n.recovery.unchained = false, false
+	n.recovery.proof, n.recovery.ahead, n.recovery.census, n.recovery.entered, n.recovery.sealed = "", 0, nil, now, false
+	n.kvStore.Anew()
+	n.kvStore.Hold(false)
+	n.followedRevision = revision
+	if n.recovery.rewatch != nil {
+		n.recovery.rewatch()
 	}
 	if f := scan(entries); f.record != nil {
 		n.adopt(f.record, f.version)
@@ -548,9 +548,9 @@
 	for _, e := range entries {
 		n.changed(protocol.Change{Set: e.Key, Value: e.Value, Version: e.Version})
 	}
-	n.listed = true
-	n.store.watch.Entered(n.generation(), now)
-	if n.live[n.name].Incarnation != n.inc {
+	n.watchedKeysRead = true
+	n.recovery.watch.Entered(n.generation(), now)
+	if n.presences[n.name].Incarnation != n.incarnation {
 		n.unshow()
 	}
 	n.recount(maps.Keys(n.machines))
@@ -560,35 +560,35 @@
 // generationBegan is called when a record of another generation was adopted.
 func (n *Node) generationBegan(r *leadership.Record) {
 	n.refence()
-	if r.Generation <= 1 {
+	if r.Epoch <= 1 {
 		return
 	}
-	n.log.Info("generation entered", "generation", r.Generation, "term", r.Term, "lost_for_good", r.Lost, "since_loss", time.Since(n.store.lostAt).Round(time.Millisecond))
+	n.log.Info("generation entered", "generation", r.Epoch, "term", r.Term, "lost_for_good", r.DataLost, "since_loss", time.Since(n.recovery.lostAt).Round(time.Millisecond))
 	var members []string
 	for name := range r.Nodes {
 		if name != n.name {
 			members = append(members, name)
 		}
 	}
-	n.store.gather = datarecovery.NewGather(r.Generation, members)
-	n.settled = time.Now() // machines tried their homes in vain while nobody was entitled
-	clear(n.deaf)
-	n.store.told = time.Time{}
-	for name := range n.store.names {
+	n.recovery.gather = datarecovery.NewGather(r.Epoch, members)
+	n.membershipSettledAt = time.Now() // machines tried their homes in vain while nobody was entitled
+	clear(n.unreachableHomes)
+	n.recovery.told = time.Time{}
+	for name := range n.recovery.names {
 		if r.Home(name) == n.name {
-			n.enrolling[name] = true
+			n.unregistered[name] = true
 		}
 	}
 }
 
 // refence has every update rest on the generation's own key.
 func (n *Node) refence() {
-	if n.record == nil || n.record.Store == "" {
+	if n.record == nil || n.record.StoreID == "" {
 		return
 	}
-	key := datarecovery.StoreKey + n.record.Store
-	if v := n.store.markers[key]; v > 0 {
-		n.state.Fence(protocol.Guard{Key: key, Version: v})
+	key := datarecovery.StoreKey + n.record.StoreID
+	if v := n.recovery.markers[key]; v > 0 {
+		n.kvStore.Fence(protocol.Condition{Key: key, Version: v})
 	}
 }
 
@@ -596,31 +596,31 @@
 func (n *Node) begin(ctx context.Context) {
 	n.relist(ctx)
 	n.mu.Lock()
-	phase, _, _ := n.store.watch.Phase()
-	f := n.store.found
-	if phase != datarecovery.Lost || f.live[n.name].Incarnation != n.inc {
+	phase, _, _ := n.recovery.watch.Phase()
+	f := n.recovery.found
+	if phase != datarecovery.Lost || f.live[n.name].Incarnation != n.incarnation {
 		n.mu.Unlock()
 		return
 	}
 	now := time.Now()
-	e := datarecovery.Evidence{Self: n.name, Nodes: n.set.Nodes(), Items: n.itemNames(), Record: n.record, Stored: f.record, Live: f.live,
-		Words: n.store.watch.Words(now), Own: n.word(), Token: n.store.token, Unsure: n.unsure != 0 || n.raising, Store: drawn()}
+	e := datarecovery.Evidence{Self: n.name, Nodes: n.settings.Nodes(), Items: n.itemNames(), Record: n.record, Stored: f.record, Live: f.live,
+		Words: n.recovery.watch.Words(now), Own: n.word(), Token: n.recovery.token, Unsure: n.unansweredVersion != 0 || n.recordChangePending, Store: drawn()}
 	n.mu.Unlock()
 	next := e.Generation()
-	next.Record.After = f.version
-	txn := protocol.Txn{Guards: []protocol.Guard{{Key: controlKey, Version: f.version}},
-		Then: []protocol.Op{{Set: controlKey, Value: protocol.Encode(next.Record)}, {Set: datarecovery.StoreKey + next.Record.Store, Value: []byte("{}")}}}
+	next.Record.PreviousVersion = f.version
+	txn := protocol.Txn{Conditions: []protocol.Condition{{Key: controlKey, Version: f.version}},
+		Then: []protocol.Op{{Set: controlKey, Value: protocol.Encode(next.Record)}, {Set: datarecovery.StoreKey + next.Record.StoreID, Value: []byte("{}")}}}
 	for _, key := range slices.Sorted(maps.Keys(f.markers)) {
-		if len(txn.Then) < n.set.Deployment.State.TxnOps {
-			txn.Guards = append(txn.Guards, protocol.Guard{Key: key, Version: f.markers[key]})
+		if len(txn.Then) < n.settings.Deployment.State.TxnOps {
+			txn.Conditions = append(txn.Conditions, protocol.Condition{Key: key, Version: f.markers[key]})
 			txn.Then = append(txn.Then, protocol.Op{Delete: key})
 		}
 	}
 	for name, p := range f.live {
-		txn.Guards = append(txn.Guards, protocol.Guard{Key: nodeKey + name, Version: p.Version})
+		txn.Conditions = append(txn.Conditions, protocol.Condition{Key: nodeKey + name, Version: p.Version})
 	}
-	_, failed, err := n.state.TxnControl(ctx, txn)
-	n.log.Info("generation proposed", "generation", next.Record.Generation, "term", next.Record.Term, "accounts_kept", next.Kept, "lost_for_good", next.Record.Lost,
+	_, failed, err := n.kvStore.TxnControl(ctx, txn)
+	n.log.Info("generation proposed", "generation", next.Record.Epoch, "term", next.Record.Term, "accounts_kept", next.Kept, "lost_for_good", next.Record.DataLost,
 		"members", next.Record.Members(), "failed", failed, "err", err)
 	n.relist(ctx)
 }
--- a/internal/controller/recall.go
+++ b/internal/controller/recall.go
@@ -65,20 +65,20 @@
 // gathered says whether every member that is heard told what it remembers, and gave its
 // word on what is remembered here.
 func (n *Node) gathered(now time.Time) bool {
-	if n.store.gather == nil {
+	if n.recovery.gather == nil {
 		return true
 	}
-	n.store.gather.Gone(func(name string) bool {
+	n.recovery.gather.Gone(func(name string) bool {
 		_, member := n.record.Nodes[name]
 		return member
 	})
-	left := n.store.gather.Left()
+	left := n.recovery.gather.Left()
 	if slices.ContainsFunc(left, func(name string) bool { return n.mayHear(name, now) }) {
 		return false
 	}
 	if len(left) == 0 {
-		n.log.Info("memories gathered", "generation", n.record.Generation, "since_loss", now.Sub(n.store.lostAt).Round(time.Millisecond))
-		n.store.gather = nil
+		n.log.Info("memories gathered", "generation", n.record.Epoch, "since_loss", now.Sub(n.recovery.lostAt).Round(time.Millisecond))
+		n.recovery.gather = nil
 	}
 	return true
 }
@@ -90,7 +90,7 @@
 	var active []string
 	for _, uid := range slices.Sorted(maps.Keys(n.jobs)) {
 		if j := n.jobs[uid]; j.active && j.version == 0 {
-			jobs = append(jobs, userapi.Stored{Spec: j.spec, At: j.at.UnixMilli()})
+			jobs = append(jobs, userapi.Stored{Spec: j.spec, At: j.submittedAt.UnixMilli()})
 		} else if j.active {
 			active = append(active, uid)
 		}
@@ -100,13 +100,13 @@
 		m := recallMsg{Generation: n.generation(), Jobs: jobs[:min(part, len(jobs))], Done: map[string]*bitset.BitSet{}, Ask: ask}
 		jobs = jobs[len(m.Jobs):]
 		for _, s := range m.Jobs {
-			if d := n.store.done[s.Spec.UID]; d != nil {
+			if d := n.recovery.done[s.Spec.UID]; d != nil {
 				m.Done[s.Spec.UID] = d
 			}
 		}
 		if m.Last = len(jobs) == 0; m.Last {
 			m.Ends, m.Active, m.Config = ends, active, n.configMemory()
-			for uid, d := range n.store.done { // of jobs that the store has
+			for uid, d := range n.recovery.done { // of jobs that the store has
 				if j := n.jobs[uid]; j != nil && j.active && j.version > 0 {
 					m.Done[uid] = d
 				}
@@ -127,7 +127,7 @@
 // can't tell a job that was never accepted from one that the store lost.
 func (n *Node) introduced(now time.Time) bool {
 	for name := range n.peers {
-		if n.mayHear(name, now) && !n.store.met[name] {
+		if n.mayHear(name, now) && !n.recovery.met[name] {
 			return false
 		}
 	}
@@ -141,7 +141,7 @@
 
 // mayHear says whether a peer is heard, or may be soon.
 func (n *Node) mayHear(name string, now time.Time) bool {
-	return n.peers[name].near(now) || now.Sub(n.began) < startFor
+	return n.peers[name].isHeard(now) || now.Sub(n.startedAt) < startFor
 }
 
 // recallEvery is after what time those who did not answer are told again, as when they
@@ -171,7 +171,7 @@
 			n.lookUp(uid, 1<<52)
 		}
 	}
-	n.store.met[node] = true
+	n.recovery.met[node] = true
 	lacking, err := n.front.Lacking(m.Ends)
 	if err != nil {
 		n.log.Error("unreadable line", "peer", node, "kind", "recall", "err", err)
@@ -181,8 +181,8 @@
 		n.links.Send(node, "recalled", recalledMsg{Generation: m.Generation, Ends: &p})
 	}
 	n.links.Send(node, "recalled", recalledMsg{Generation: m.Generation, Last: true})
-	if n.store.gather != nil {
-		n.store.gather.Told(node)
+	if n.recovery.gather != nil {
+		n.recovery.gather.Told(node)
 		n.wake()
 	}
 	if m.Ask { // one that entered the generation later missed what was told then
@@ -198,10 +198,10 @@
 			return
 		}
 		n.learnEnds(ends)
-		n.store.sealed = false
+		n.recovery.sealed = false
 	}
-	if m.Last && n.store.gather != nil && m.Generation == n.store.gather.Generation {
-		n.store.gather.Answered(node)
+	if m.Last && n.recovery.gather != nil && m.Generation == n.recovery.gather.Generation {
+		n.recovery.gather.Answered(node)
 		n.wake()
 	}
 }
@@ -219,7 +219,7 @@
 func (n *Node) endRemembered(uid string) {
 	if j := n.jobs[uid]; j != nil && j.active {
 		if j.version > 0 && n.generation() > 1 {
-			n.store.bury[uid] = burial{j.version, time.Now()}
+			n.recovery.bury[uid] = burial{j.version, time.Now()}
 		}
 		n.endJob(uid)
 	}
@@ -231,14 +231,14 @@
 	n.mu.Lock()
 	near := 0
 	now := time.Now()
-	n.store.holdID++
-	m.ID = n.store.holdID
+	n.recovery.holdID++
+	m.ID = n.recovery.holdID
 	n.number(&m)
 	got := make(chan struct{}, 1)
-	n.store.holds[m.ID] = got
+	n.recovery.holds[m.ID] = got
 	line := peer.Line("hold", m)
 	for name, p := range n.peers {
-		if n.links.SendLine(name, line) && p.near(now) {
+		if n.links.SendLine(name, line) && p.isHeard(now) {
 			near++
 		}
 	}
@@ -256,9 +256,9 @@
 	}
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	delete(n.store.holds, m.ID)
+	delete(n.recovery.holds, m.ID)
 	if !held {
-		n.store.alone++
+		n.recovery.alone++
 	}
 }
 
@@ -277,7 +277,7 @@
 		n.tentative(*m.Job)
 	}
 	for _, x := range m.Ends {
-		if !protocol.ValidUID(x.UID) || x.State != protocol.Withdrawn && x.State != protocol.Done {
+		if !protocol.ValidUID(x.UID) || x.State != protocol.Cancelled && x.State != protocol.Done {
 			n.log.Error("unreadable line", "peer", node, "kind", "hold", "err", "an end of no job or of no kind")
 			return
 		}
@@ -286,14 +286,14 @@
 		n.front.Learn(x.UID, x.Final)
 		n.endRemembered(x.UID)
 	}
-	n.horizon.Take(node, m.From, len(m.Ends))
+	n.cancelWatermark.Take(node, m.From, len(m.Ends))
 	if m.ID != 0 {
 		n.links.Send(node, "held", heldMsg{m.ID})
 	}
 }
 
 func (n *Node) onHeld(m *heldMsg) {
-	if got := n.store.holds[m.ID]; got != nil {
+	if got := n.recovery.holds[m.ID]; got != nil {
 		select {
 		case got <- struct{}{}:
 		default:
@@ -305,6 +305,6 @@
 // watch tells; if not, it is forgotten.
 func (n *Node) tentative(s userapi.Stored) {
 	if n.jobs[s.Spec.UID] == nil {
-		n.store.tentative[s.Spec.UID] = tentativeJob{s, time.Now()}
+		n.recovery.tentative[s.Spec.UID] = tentativeJob{s, time.Now()}
 	}
 }
--- a/internal/controller/recordchange.go
+++ b/internal/controller/recordchange.go
@@ -43,7 +43,7 @@
 		select {
 		case <-ctx.Done():
 			return nil
-		case <-n.renew:
+		case <-n.recordHints:
 			if err := n.refresh(ctx); err != nil {
 				pause(ctx, refreshRetryAfter)
 			}
@@ -76,53 +76,53 @@
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	next, conditions, reason := n.proposal(time.Now(), started)
-	n.raising = next != nil
+	n.recordChangePending = next != nil
 	if next == nil {
 		return nil
 	}
-	change := &recordChange{record: next, conditions: conditions, reason: reason, version: n.version}
+	change := &recordChange{record: next, conditions: conditions, reason: reason, version: n.recordVersion}
 	if n.record != nil {
-		change.marker = n.store.markers[datarecovery.StoreKey+n.record.Store]
+		change.marker = n.recovery.markers[datarecovery.StoreKey+n.record.StoreID]
 	}
 	if change.version == 0 { // the first record: the generation begins with it
-		next.Generation, next.First, next.Store = 1, next.Term, drawn()
+		next.Epoch, next.FirstTerm, next.StoreID = 1, next.Term, drawn()
 	}
-	next.After = change.version
+	next.PreviousVersion = change.version
 	return change
 }
 
 // transaction writes the record if nothing that it rests on has changed.
 func (c *recordChange) transaction() protocol.Txn {
-	next, marker := c.record, datarecovery.StoreKey+c.record.Store
-	txn := protocol.Txn{Guards: []protocol.Guard{{Key: controlKey, Version: c.version}}, Then: []protocol.Op{{Set: controlKey, Value: protocol.Encode(next)}}}
+	next, marker := c.record, datarecovery.StoreKey+c.record.StoreID
+	txn := protocol.Txn{Conditions: []protocol.Condition{{Key: controlKey, Version: c.version}}, Then: []protocol.Op{{Set: controlKey, Value: protocol.Encode(next)}}}
 	for _, condition := range c.conditions {
-		txn.Guards = append(txn.Guards, protocol.Guard{Key: nodeKey + condition.Node, Version: condition.Version})
+		txn.Conditions = append(txn.Conditions, protocol.Condition{Key: nodeKey + condition.Node, Version: condition.Version})
 	}
 	if c.version == 0 {
 		txn.Then = append(txn.Then, protocol.Op{Set: marker, Value: []byte("{}")})
-		txn.Guards = append(txn.Guards, protocol.Guard{Key: marker})
+		txn.Conditions = append(txn.Conditions, protocol.Condition{Key: marker})
 	} else if c.marker > 0 {
-		txn.Guards = append(txn.Guards, protocol.Guard{Key: marker, Version: c.marker})
+		txn.Conditions = append(txn.Conditions, protocol.Condition{Key: marker, Version: c.marker})
 	}
 	return txn
 }
 
 // propose tries to write a record, and takes it up if that worked.
 func (n *Node) propose(ctx context.Context, c *recordChange) error {
-	revision, failed, err := n.state.TxnControl(ctx, c.transaction())
+	revision, failed, err := n.kvStore.TxnControl(ctx, c.transaction())
 	n.log.Info("control record proposed", "term", c.record.Term, "reason", c.reason, "err", err, "failed", failed)
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.raising = false
+	n.recordChangePending = false
 	switch {
 	case err == nil:
 		n.adopt(c.record, revision)
 	case errors.Is(err, kvstore.ErrRefused): // it was not executed and will not be
-		for _, it := range n.items {
-			it.frozen, it.adding = false, nil
+		for _, it := range n.shards {
+			it.handingOver, it.addingReplicas = false, nil
 		}
 	case !errors.Is(err, kvstore.ErrConflict):
-		n.unsure = max(1, c.version)
+		n.unansweredVersion = max(1, c.version)
 	}
 	return err
 }
@@ -138,7 +138,7 @@
 		return false
 	}
 	for name := range n.record.Nodes {
-		if _, there := n.live[name]; !there {
+		if _, there := n.presences[name]; !there {
 			return true
 		}
 	}
@@ -147,73 +147,73 @@
 
 // proposal is the change of the record that this controller should try now.
 func (n *Node) proposal(now, started time.Time) (*leadership.Record, []leadership.Condition, string) {
-	if !n.listed || !n.trusted() || !n.lease.Valid(now) || (now.Before(n.promised) && n.mayHold()) || n.live[n.name].Incarnation != n.inc {
+	if !n.watchedKeysRead || !n.trusted() || !n.lease.Valid(now) || (now.Before(n.promisedUntil) && n.mayHold()) || n.presences[n.name].Incarnation != n.incarnation {
 		return nil, nil, ""
 	}
 	record := n.record
 	if record == nil {
-		if len(n.live) < len(n.set.Peers)+1 && now.Sub(started) < 2500*time.Millisecond {
+		if len(n.presences) < len(n.settings.Peers)+1 && now.Sub(started) < 2500*time.Millisecond {
 			return nil, nil, ""
 		}
 		// Drawn, so that workers' tokens tell an earlier store's terms from this one's.
 		record = (&leadership.Record{Term: 1<<10 + n.rng.Uint64N(1<<20)}).Clone()
 	}
-	if next, conds := leadership.Repair(record, n.itemNames(), n.live); next != nil {
-		if n.missing.IsZero() {
-			n.missing = now
+	if next, conds := leadership.Repair(record, n.itemNames(), n.presences); next != nil {
+		if n.memberMissingSince.IsZero() {
+			n.memberMissingSince = now
 		}
-		turn := slices.Index(slices.Sorted(maps.Keys(n.live)), n.name)
-		if now.Sub(n.missing) < time.Duration(turn)*350*time.Millisecond {
+		turn := slices.Index(slices.Sorted(maps.Keys(n.presences)), n.name)
+		if now.Sub(n.memberMissingSince) < time.Duration(turn)*350*time.Millisecond {
 			return nil, nil, ""
 		}
 		return next, conds, "members changed"
 	}
-	n.missing = time.Time{}
+	n.memberMissingSince = time.Time{}
 	if !n.entitled(now) {
 		return nil, nil, ""
 	}
-	if n.unsure != 0 && n.unsure >= n.version {
+	if n.unansweredVersion != 0 && n.unansweredVersion >= n.recordVersion {
 		// A change without an answer may yet be applied; any other change of the
 		// same version rules that out.
 		return record.Clone(), nil, "settle an unanswered change"
 	}
 	syncs := n.syncs(now)
-	rebalance := now.Sub(n.settled) > 3*time.Second
+	rebalance := now.Sub(n.membershipSettledAt) > 3*time.Second
 	if next, handed := leadership.Upkeep(record, n.name, syncs, rebalance); next != nil {
 		for _, name := range handed {
-			n.items[name].frozen = true
+			n.shards[name].handingOver = true
 		}
-		for name, it := range next.Items {
-			if have := n.items[name]; have != nil {
-				have.adding = it.InSync
+		for name, it := range next.Shards {
+			if have := n.shards[name]; have != nil {
+				have.addingReplicas = it.InSync
 			}
 		}
 		return next, nil, upkeepReason
 	}
-	if slices.Contains(record.Deaf, n.name) {
-		if n.hears {
-			n.hears = false
-			return leadership.Hearing(record, n.name, false), nil, "workers can be reached again"
+	if slices.Contains(record.Unreachable, n.name) {
+		if n.agentsReachable {
+			n.agentsReachable = false
+			return leadership.WithReachability(record, n.name, false), nil, "workers can be reached again"
 		}
 	} else {
-		n.hears = false
+		n.agentsReachable = false
 	}
-	if home := n.unheard(now); home != "" && now.Sub(n.bumped) > 3*time.Second {
-		if next := leadership.Hearing(record, home, true); next != nil {
+	if home := n.unheard(now); home != "" && now.Sub(n.termChangedAt) > 3*time.Second {
+		if next := leadership.WithReachability(record, home, true); next != nil {
 			return next, nil, "workers cannot reach " + home
 		}
 	}
-	if record.Census && n.items[leadership.Fleet] != nil && n.rosterWhole() {
+	if record.RosterIncomplete && n.shards[leadership.FleetShard] != nil && n.rosterWhole() {
 		next := record.Clone()
-		next.Census = false
+		next.RosterIncomplete = false
 		return next, nil, "every machine is on the roster"
 	}
-	if n.items[leadership.Fleet] != nil {
-		if next := datarecovery.GiveUp(record, now.Sub(n.store.entered), settings.Seconds(n.opt.CopyWait)); next != nil {
+	if n.shards[leadership.FleetShard] != nil {
+		if next := datarecovery.GiveUp(record, now.Sub(n.recovery.entered), settings.Seconds(n.options.CopyWait)); next != nil {
 			return next, nil, "no copy was put back in time: what nobody knows is lost for good"
 		}
 	}
-	if n.needTerm(now) && now.Sub(n.bumped) > 5*time.Second {
+	if n.needTerm(now) && now.Sub(n.termChangedAt) > 5*time.Second {
 		next := record.Clone()
 		next.Term++
 		return next, nil, "unproven attempts"
--- a/internal/controller/renewal.go
+++ b/internal/controller/renewal.go
@@ -16,12 +16,12 @@
 
 // renewal decides about the answer to a report: whether it may renew the machine's lease, and
 // what it must stop with it.
-func (n *Node) renewal(r *protocol.Report, now time.Time) (stops []protocol.Command, ok bool) {
-	home := n.home.Get(r.Machine)
+func (n *Node) renewal(r *protocol.Heartbeat, now time.Time) (stops []protocol.Command, ok bool) {
+	home := n.agents.Get(r.Machine)
 	position := leasegrant.Position{
-		Home:     n.homeOf(r.Machine) == n.name && n.record.Nodes[n.name] == n.inc,
+		Home:     n.homeOf(r.Machine) == n.name && n.record.Nodes[n.name] == n.incarnation,
 		Leased:   n.lease.Valid(now) && n.entitled(now),
-		HomeWord: n.machine(r.Machine).homeKnew,
+		HomeWord: n.machine(r.Machine).homeWatermark,
 	}
 	if home != nil {
 		position.InFlight = home.InFlight(n.over)
@@ -36,7 +36,7 @@
 // leaseKnowledge is the controller as leasegrant sees it.
 type leaseKnowledge struct {
 	n    *Node
-	home *agents.Machine // as its home knows the machine; nil: it never reported here
+	home *agents.Agent // as its home knows the machine; nil: it never reported here
 }
 
 func (k *leaseKnowledge) Job(uid string) leasegrant.JobState {
@@ -51,19 +51,21 @@
 
 // Ordered trusts an owner's order until the state service was read after it: a job that is not known then is over,
 // since it was accepted before.
-func (k *leaseKnowledge) Ordered(attempt jobstate.Ref) bool {
+func (k *leaseKnowledge) Ordered(attempt jobstate.AttemptRef) bool {
 	if k.home == nil {
 		return false
 	}
 	sent, ok := k.home.Ordered(attempt)
-	return ok && (sent.IsZero() || !k.n.horizon.LastRead().After(sent))
+	return ok && (sent.IsZero() || !k.n.cancelWatermark.LastRead().After(sent))
 }
 
 func (k *leaseKnowledge) Lost(attempt uint64) bool {
-	return k.n.generation() > 1 && jobstate.TermOf(attempt) < k.n.record.First
+	return k.n.generation() > 1 && jobstate.TermOf(attempt) < k.n.record.FirstTerm
 }
 
-func (k *leaseKnowledge) Renews(now, since time.Time) bool { return k.n.horizon.Renews(now, since) }
+func (k *leaseKnowledge) Renews(now, since time.Time) bool {
+	return k.n.cancelWatermark.Renews(now, since)
+}
 
 // over says whether a job is known to be withdrawn or done.
 func (n *Node) over(uid string) bool {
@@ -73,9 +75,9 @@
 
 // readyToSend prepares a home's commands for a machine: no start of a job that is over goes out, whose owner may not
 // know it yet, and what is known by now is noted with the others.
-func (n *Node) readyToSend(m *agents.Machine, now time.Time) {
+func (n *Node) readyToSend(m *agents.Agent, now time.Time) {
 	m.DropStarts(n.over)
-	m.Now, m.Known = now, n.horizon.Until(now)
+	m.Now, m.Known = now, n.cancelWatermark.Until(now)
 }
 
 // confirming tells the peers of a withdrawal before a user is told of it for the first time here.
@@ -89,8 +91,8 @@
 
 // number gives the withdrawal that a line tells of its number.
 func (n *Node) number(m *holdMsg) {
-	if len(m.Ends) == 1 && m.Ends[0].State == protocol.Withdrawn {
-		m.From = n.horizon.Confirm(m.Ends[0].UID)
+	if len(m.Ends) == 1 && m.Ends[0].State == protocol.Cancelled {
+		m.From = n.cancelWatermark.Confirm(m.Ends[0].UID)
 	}
 }
 
@@ -99,7 +101,7 @@
 
 // retell tells a peer again what it may not have of the withdrawals confirmed here, as after a lost connection.
 func (n *Node) retell(name string, now time.Time) {
-	from, uids := n.horizon.Lacking(name, now, retellMost)
+	from, uids := n.cancelWatermark.Lacking(name, now, retellMost)
 	if len(uids) == 0 {
 		return
 	}
@@ -114,12 +116,12 @@
 // onHorizon takes in what a status says of withdrawals.
 func (n *Node) onHorizon(name string, s *statusMsg, now time.Time) {
 	e, heard := s.Heard[n.name]
-	if !heard || e.Incarnation != n.inc || s.Told == nil || !n.sentBy(e.At, now) {
+	if !heard || e.Incarnation != n.incarnation || s.Told == nil || !n.sentBy(e.At, now) {
 		return
 	}
-	n.horizon.Heard(name, *s.Told, n.began.Add(time.Duration(e.At)*time.Millisecond))
+	n.cancelWatermark.Heard(name, *s.Told, n.startedAt.Add(time.Duration(e.At)*time.Millisecond))
 	if e.Got != nil {
-		n.horizon.Has(name, *e.Got)
+		n.cancelWatermark.Has(name, *e.Got)
 	}
 	n.retell(name, now)
 }
@@ -129,10 +131,10 @@
 // ages count from this process's own status that it names.
 func (n *Node) onHomeWord(name string, s *statusMsg, now time.Time) {
 	e, heard := s.Heard[n.name]
-	if !heard || e.Incarnation != n.inc || !n.sentBy(e.At, now) || n.record == nil {
+	if !heard || e.Incarnation != n.incarnation || !n.sentBy(e.At, now) || n.record == nil {
 		return
 	}
-	sent := n.began.Add(time.Duration(e.At) * time.Millisecond)
+	sent := n.startedAt.Add(time.Duration(e.At) * time.Millisecond)
 	for machine, age := range s.Alive {
 		m := n.machines[machine]
 		if m == nil || m.gone || n.homeOf(machine) != name {
@@ -141,13 +143,13 @@
 		if inFlight, ok := s.InFlight[machine]; ok {
 			age = max(age, inFlight)
 		}
-		m.homeKnew = sent.Add(-time.Duration(age) * time.Millisecond)
+		m.homeWatermark = sent.Add(-time.Duration(age) * time.Millisecond)
 	}
 }
 
 // sentBy says whether a status of this process that a peer names can have been sent by now.
 func (n *Node) sentBy(at int64, now time.Time) bool {
-	return at > 0 && at <= now.Sub(n.began).Milliseconds()
+	return at > 0 && at <= now.Sub(n.startedAt).Milliseconds()
 }
 
 // readAfter is how old the last read of the state service may be before another one is made, if nobody asks for one.
@@ -156,11 +158,11 @@
 // readOn keeps the horizon moving while the state service answers: a watch alone may wait for ten seconds, and
 // hangs where the service refuses this controller.
 func (n *Node) readOn(now time.Time) {
-	if now.Sub(n.horizon.LastRead()) < readAfter {
+	if now.Sub(n.cancelWatermark.LastRead()) < readAfter {
 		return
 	}
 	select {
-	case n.syncNow <- struct{}{}:
+	case n.syncRequests <- struct{}{}:
 	default:
 	}
 }
@@ -188,27 +190,27 @@
 // before it was down for all: it may act by promises only under the latest.
 func (n *Node) teach(name string, s *statusMsg, now time.Time) {
 	p := n.peers[name]
-	if n.record == nil || s.Version == nil || *s.Version >= n.version || s.Store.Generation != n.generation() || !n.trusted() {
-		p.behind = time.Time{}
+	if n.record == nil || s.Version == nil || *s.Version >= n.recordVersion || s.Store.Generation != n.generation() || !n.trusted() {
+		p.behindSince = time.Time{}
 		return
 	}
-	if p.behind.IsZero() {
-		p.behind = now
+	if p.behindSince.IsZero() {
+		p.behindSince = now
 	}
-	if now.Sub(p.behind) < teachAfter(len(n.record.Nodes)) || now.Sub(p.taught) < teachEvery {
+	if now.Sub(p.behindSince) < teachAfter(len(n.record.Nodes)) || now.Sub(p.recordSentAt) < teachEvery {
 		return
 	}
-	p.taught = now
-	n.links.Send(name, "record", recordMsg{n.version, protocol.Encode(n.record)})
+	p.recordSentAt = now
+	n.links.Send(name, "record", recordMsg{n.recordVersion, protocol.Encode(n.record)})
 }
 
 // onRecord takes up a control record that a peer tells, if it is newer than the one known here and of the same generation.
 func (n *Node) onRecord(m *recordMsg) {
-	if m.Version <= n.version || n.record == nil || !n.trusted() {
+	if m.Version <= n.recordVersion || n.record == nil || !n.trusted() {
 		return
 	}
 	var record leadership.Record
-	if err := json.Unmarshal(m.Record, &record); err != nil || record.Generation != n.generation() {
+	if err := json.Unmarshal(m.Record, &record); err != nil || record.Epoch != n.generation() {
 		return
 	}
 	n.learnRecord(&record, m.Version)
--- a/internal/controller/replication.go
+++ b/internal/controller/replication.go
@@ -45,7 +45,7 @@
 const copyPartKind = "copy_part"
 
 // ack is what a backup acknowledged.
-type ack struct {
+type replicaAck struct {
 	inc      uint64
 	copied   bool               // a copy was sent on the present connection, or is being sent
 	transfer *jobstate.Transfer // the sending of the copy in parts; nil: none is under way
@@ -58,13 +58,13 @@
 }
 
 // copyAnew has the whole replica sent again.
-func (a *ack) copyAnew() {
+func (a *replicaAck) copyAnew() {
 	a.copied, a.known = false, false
 	a.transfer, a.parts = nil, 0
 }
 
 // backup is a team's progress kept for its owner.
-type backup struct {
+type heldReplica struct {
 	since         uint64
 	rep           *jobstate.Replica  // nil: none is whole yet
 	incoming      *jobstate.Incoming // one that is being received; nil: none is
@@ -73,17 +73,17 @@
 
 // replica is the replica that a controller keeps of an item as a backup; nil if it keeps none that is whole.
 func (n *Node) replica(item string) *jobstate.Replica {
-	if b := n.backups[item]; b != nil {
+	if b := n.replicas[item]; b != nil {
 		return b.rep
 	}
 	return nil
 }
 
 // acked is the sequence number that every backup in sync acknowledged.
-func (n *Node) acked(it *item) uint64 {
+func (n *Node) acked(it *shard) uint64 {
 	low := it.team.Replica().Seq
 	for _, b := range n.required(it) {
-		a := it.acks[b]
+		a := it.acknowledgements[b]
 		if a == nil || !a.known || a.inc != n.record.Nodes[b] {
 			return 0
 		}
@@ -93,9 +93,9 @@
 }
 
 // required lists the backups whose acknowledgement a start needs.
-func (n *Node) required(it *item) []string {
-	need := slices.Clone(n.record.Items[it.name].InSync)
-	for _, b := range it.adding {
+func (n *Node) required(it *shard) []string {
+	need := slices.Clone(n.record.Shards[it.name].InSync)
+	for _, b := range it.addingReplicas {
 		if !slices.Contains(need, b) {
 			need = append(need, b)
 		}
@@ -104,10 +104,10 @@
 }
 
 // backupsOf names who should hold an item's replica beside this controller.
-func (n *Node) backupsOf(it *item) []string {
+func (n *Node) backupsOf(it *shard) []string {
 	return n.record.BackupsOf(it.name, n.name, func(node string) bool {
 		p := n.peers[node]
-		return p != nil && p.up
+		return p != nil && p.connected
 	})
 }
 
@@ -118,18 +118,18 @@
 // syncs sums up the backups of each owned item.
 func (n *Node) syncs(now time.Time) map[string]leadership.Sync {
 	out := map[string]leadership.Sync{}
-	for name, it := range n.items {
-		s := leadership.Sync{Ready: it.phase == ready && !it.frozen, Whole: map[string]bool{}, Lagging: map[string]bool{}}
+	for name, it := range n.shards {
+		s := leadership.Sync{Ready: it.phase == shardReady && !it.handingOver, Whole: map[string]bool{}, Lagging: map[string]bool{}}
 		s.Backups = n.backupsOf(it)
 		seq := it.team.Replica().Seq
 		for p, ps := range n.peers {
-			a := it.acks[p]
+			a := it.acknowledgements[p]
 			switch {
-			case !slices.Contains(s.Backups, p) && !slices.Contains(n.record.Items[name].InSync, p):
-			case ps.up && a != nil && a.known && a.seq >= seq && a.inc == n.record.Nodes[p]:
+			case !slices.Contains(s.Backups, p) && !slices.Contains(n.record.Shards[name].InSync, p):
+			case ps.connected && a != nil && a.known && a.seq >= seq && a.inc == n.record.Nodes[p]:
 				s.Whole[p] = true
-			case now.Sub(it.taken) < lateAfter:
-			case !ps.up || a == nil || (!a.since.IsZero() && now.Sub(a.since) > lateAfter):
+			case now.Sub(it.graceFrom) < lateAfter:
+			case !ps.connected || a == nil || (!a.since.IsZero() && now.Sub(a.since) > lateAfter):
 				s.Lagging[p] = true
 			}
 		}
@@ -139,23 +139,23 @@
 }
 
 // replicate sends changes of an item to its backups.
-func (n *Node) replicate(it *item, now time.Time) {
+func (n *Node) replicate(it *shard, now time.Time) {
 	deltas := it.team.TakeDeltas()
 	seq := it.team.Replica().Seq
 	var line []byte
 	backups := append(n.backupsOf(it), n.required(it)...)
 	for p, ps := range n.peers {
 		if !slices.Contains(backups, p) {
-			delete(it.acks, p) // it gets a whole copy when it is a backup again
+			delete(it.acknowledgements, p) // it gets a whole copy when it is a backup again
 			continue
 		}
-		if _, member := n.record.Nodes[p]; !member || !ps.up {
+		if _, member := n.record.Nodes[p]; !member || !ps.connected {
 			continue
 		}
-		a := it.acks[p]
+		a := it.acknowledgements[p]
 		if a == nil {
-			a = &ack{}
-			it.acks[p] = a
+			a = &replicaAck{}
+			it.acknowledgements[p] = a
 		}
 		switch {
 		case !a.copied:
@@ -165,7 +165,7 @@
 			continue
 		default: // whole already, so the deltas are the next ones; older ones are ignored
 			if line == nil {
-				line = peer.Line("deltas", deltasMsg{Item: it.name, Since: it.since, Deltas: deltas})
+				line = peer.Line("deltas", deltasMsg{Item: it.name, Since: it.sinceTerm, Deltas: deltas})
 			}
 			n.links.SendLine(p, line)
 			n.sendPart(it, p, a)
@@ -178,10 +178,10 @@
 }
 
 // sendReplica gives a backup an item's replica, as a whole or its first part.
-func (n *Node) sendReplica(it *item, to string, a *ack) {
+func (n *Node) sendReplica(it *shard, to string, a *replicaAck) {
 	replica := it.team.Replica()
 	if replica.FitsOneMessage() {
-		a.copied = n.links.Send(to, "copy", copyMsg{Item: it.name, Since: it.since, Copy: replica.Copy()})
+		a.copied = n.links.Send(to, "copy", copyMsg{Item: it.name, Since: it.sinceTerm, Copy: replica.Copy()})
 		return
 	}
 	a.copied, a.parts = true, 0
@@ -191,12 +191,12 @@
 
 // sendPart gives a backup the next part of an item's replica, if one is being sent and the part before was acknowledged. All deltas
 // that the replica has were sent before.
-func (n *Node) sendPart(it *item, to string, a *ack) {
+func (n *Node) sendPart(it *shard, to string, a *replicaAck) {
 	if a.transfer == nil || a.transfer.Ended() || a.parts < a.transfer.Sent() {
 		return
 	}
 	part := a.transfer.Next(it.team.Replica())
-	if !n.links.Send(to, copyPartKind, copyPartMsg{Item: it.name, Since: it.since, Part: part}) {
+	if !n.links.Send(to, copyPartKind, copyPartMsg{Item: it.name, Since: it.sinceTerm, Part: part}) {
 		a.copyAnew()
 	}
 }
@@ -207,7 +207,7 @@
 		n.askForCopy(node, c.Item, c.Since)
 		return
 	}
-	n.backups[c.Item] = &backup{since: c.Since, rep: jobstate.FromCopy(c.Copy)}
+	n.replicas[c.Item] = &heldReplica{since: c.Since, rep: jobstate.FromCopy(c.Copy)}
 	n.links.Send(node, "ack", ackMsg{Item: c.Item, Since: c.Since, Seq: c.Copy.Seq})
 }
 
@@ -217,10 +217,10 @@
 		n.askForCopy(node, m.Item, m.Since)
 		return
 	}
-	b := n.backups[m.Item]
+	b := n.replicas[m.Item]
 	if b == nil {
-		b = &backup{}
-		n.backups[m.Item] = b
+		b = &heldReplica{}
+		n.replicas[m.Item] = b
 	}
 	if m.Part.Number == 0 {
 		b.incoming, b.incomingSince = jobstate.NewIncoming(), m.Since
@@ -235,7 +235,7 @@
 		b.incoming = nil
 		n.askForCopy(node, m.Item, m.Since)
 	case whole != nil:
-		n.backups[m.Item] = &backup{since: m.Since, rep: whole}
+		n.replicas[m.Item] = &heldReplica{since: m.Since, rep: whole}
 		n.links.Send(node, "ack", ackMsg{Item: m.Item, Since: m.Since, Seq: whole.Seq})
 	default:
 		n.links.Send(node, "ack", ackMsg{Item: m.Item, Since: m.Since, Parts: m.Part.Number + 1})
@@ -249,7 +249,7 @@
 
 // onDeltas takes changes of a peer's item.
 func (n *Node) onDeltas(node string, incarnation uint64, d *deltasMsg) {
-	b := n.backups[d.Item]
+	b := n.replicas[d.Item]
 	if b == nil || !n.owns(node, incarnation, d.Item, d.Since) {
 		n.askForCopy(node, d.Item, d.Since)
 		return
@@ -269,7 +269,9 @@
 }
 
 // receives says whether the replica of the item's owner since a term is being received in parts.
-func (b *backup) receives(since uint64) bool { return b.incoming != nil && b.incomingSince == since }
+func (b *heldReplica) receives(since uint64) bool {
+	return b.incoming != nil && b.incomingSince == since
+}
 
 // applyAll carries out deltas up to the first that fails.
 func applyAll(deltas []jobstate.Delta, apply func(jobstate.Delta) error) error {
@@ -286,11 +288,11 @@
 
 // onAck takes what a backup acknowledges of an own item.
 func (n *Node) onAck(node string, incarnation uint64, m *ackMsg) {
-	it := n.items[m.Item]
-	if it == nil || it.since != m.Since {
+	it := n.shards[m.Item]
+	if it == nil || it.sinceTerm != m.Since {
 		return
 	}
-	a := it.acks[node]
+	a := it.acknowledgements[node]
 	if a == nil {
 		return
 	}
@@ -312,7 +314,7 @@
 }
 
 // take books the sequence number that a backup acknowledged.
-func (a *ack) take(incarnation, seq uint64) {
+func (a *replicaAck) take(incarnation, seq uint64) {
 	a.inc, a.known, a.seq = incarnation, true, seq
 	if a.transfer != nil && a.transfer.Ended() {
 		a.transfer = nil
--- a/internal/controller/replication_test.go
+++ b/internal/controller/replication_test.go
@@ -20,21 +20,21 @@
 // linkedPair is an item's owner, node-a, and a controller that is its backup, node-b, with real connections.
 type linkedPair struct {
 	owner, backup *Node
-	it            *item
+	it            *shard
 	paths         simulation.Paths
 }
 
 // newLinkedPair opens the connections of an owner of one team. Nobody steps the controllers but the test.
 func newLinkedPair(t *testing.T) *linkedPair {
 	p := &linkedPair{owner: newGrown(1, 1).n, backup: newGrown(1, 1).n, paths: simulation.Paths{}}
-	p.backup.name, p.backup.inc = "node-b", p.owner.inc+1
+	p.backup.name, p.backup.incarnation = "node-b", p.owner.incarnation+1
 	record := p.owner.record.Clone()
-	name := teamItem("team-0")
-	record.Nodes = map[string]uint64{"node-a": p.owner.inc, "node-b": p.backup.inc}
-	record.Items[name] = leadership.Item{Owner: "node-a", Since: 1}
+	name := teamShard("team-0")
+	record.Nodes = map[string]uint64{"node-a": p.owner.incarnation, "node-b": p.backup.incarnation}
+	record.Shards[name] = leadership.Shard{Owner: "node-a", SinceTerm: 1}
 	p.owner.record, p.backup.record = record, record
-	p.it = p.owner.items[name]
-	delete(p.backup.items, name)
+	p.it = p.owner.shards[name]
+	delete(p.backup.shards, name)
 	host := simulation.NewHost()
 	addrs := map[string]string{}
 	for _, n := range []*Node{p.owner, p.backup} {
@@ -54,7 +54,7 @@
 		}
 		p.paths[[2]int{i, 1 - i}] = pipe
 		n.peers = map[string]*peerState{other: {}}
-		n.links = peer.New(n.name, n.inc, map[string]string{other: pipe.Addr()}, (*peerHandler)(n), slog.New(slog.DiscardHandler))
+		n.links = peer.New(n.name, n.incarnation, map[string]string{other: pipe.Addr()}, (*peerHandler)(n), slog.New(slog.DiscardHandler))
 		group.Go(func() error { return n.links.Listen(ctx, addrs[n.name]) })
 		group.Go(func() error { return n.links.Dial(ctx, other) })
 	}
@@ -71,8 +71,8 @@
 	replica := p.it.team.Replica()
 	d := jobstate.Delta{Seq: replica.Seq + 1}
 	for i := range count {
-		k := jobstate.Key{Job: "job-000001", Index: from + i}
-		d.Place = append(d.Place, jobstate.Hold{Key: k, Attempt: 1, Machine: fmt.Sprintf("n-%06d", i%1000), CPUs: 1})
+		k := jobstate.TaskID{Job: "job-000001", Index: from + i}
+		d.Place = append(d.Place, jobstate.Assignment{TaskID: k, Attempt: 1, Machine: fmt.Sprintf("n-%06d", i%1000), CPUs: 1})
 	}
 	if replica.Apply(d) != nil {
 		panic("the owner's delta does not follow")
@@ -92,7 +92,7 @@
 	for end := time.Now().Add(40 * time.Second); time.Now().Before(end); time.Sleep(time.Millisecond) {
 		p.owner.mu.Lock()
 		p.owner.replicate(p.it, time.Now())
-		a := p.it.acks["node-b"]
+		a := p.it.acknowledgements["node-b"]
 		whole := a != nil && a.known && a.seq == p.it.team.Replica().Seq
 		p.owner.mu.Unlock()
 		if whole {
@@ -111,9 +111,9 @@
 	p.replicated(t)
 	p.owner.mu.Lock()
 	p.hold(10, 60000)
-	p.it.acks["node-b"].copyAnew()
+	p.it.acknowledgements["node-b"].copyAnew()
 	p.owner.replicate(p.it, time.Now())
-	transfer := p.it.acks["node-b"].transfer
+	transfer := p.it.acknowledgements["node-b"].transfer
 	p.owner.mu.Unlock()
 	if transfer == nil || transfer.Ended() {
 		t.Fatal("60,000 tasks go in one part")
@@ -127,10 +127,10 @@
 	p.finish("job-000002", 7) // a delta between the parts
 	p.replicated(t)
 	p.owner.mu.Lock()
-	if !p.it.acks["node-b"].retry.IsZero() {
+	if !p.it.acknowledgements["node-b"].retry.IsZero() {
 		t.Error("the backup asked for another copy while it received one")
 	}
-	p.it.acks["node-b"].copyAnew()
+	p.it.acknowledgements["node-b"].copyAnew()
 	p.owner.replicate(p.it, time.Now())
 	p.owner.mu.Unlock()
 	p.paths.Apart(0, true)
@@ -139,7 +139,7 @@
 	p.replicated(t)
 	p.owner.mu.Lock()
 	p.hold(60010, 10)
-	p.it.acks["node-b"].copyAnew()
+	p.it.acknowledgements["node-b"].copyAnew()
 	p.owner.mu.Unlock()
 	p.replicated(t)
 	p.backup.mu.Lock()
--- a/internal/controller/roster.go
+++ b/internal/controller/roster.go
@@ -37,7 +37,7 @@
 	}
 	for _, name := range added {
 		n.machine(name)
-		delete(n.enrolling, name)
+		delete(n.unregistered, name)
 	}
 	for _, name := range removed {
 		n.machineGone(name)
@@ -54,9 +54,9 @@
 	for pause(ctx, enrolEvery) {
 		n.mu.Lock()
 		var names []string
-		for name := range n.enrolling {
+		for name := range n.unregistered {
 			if n.roster.Has(name) || n.machine(name).gone {
-				delete(n.enrolling, name)
+				delete(n.unregistered, name)
 			} else {
 				names = append(names, name)
 			}
@@ -82,7 +82,7 @@
 	}
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.striking = false
+	n.removingGone = false
 }
 
 // unstruck plans the writes that take gone machines off the roster.
@@ -101,15 +101,15 @@
 
 func (n *Node) writeRoster(ctx context.Context, w agents.RosterWrite) {
 	value := protocol.Encode(w.Value())
-	revision, err := n.state.Commit(ctx, kvstore.Update{
-		Guards: []protocol.Guard{{Key: w.Key, Version: w.Version}}, Ops: []protocol.Op{{Set: w.Key, Value: value}}})
+	revision, err := n.kvStore.Commit(ctx, kvstore.Update{
+		Guards: []protocol.Condition{{Key: w.Key, Version: w.Version}}, Ops: []protocol.Op{{Set: w.Key, Value: value}}})
 	if err != nil {
 		n.log.Debug("roster not written yet", "key", w.Key, "err", err)
 		if errors.Is(err, kvstore.ErrRefused) {
 			return
 		}
 		// Another controller wrote it, or the outcome is open: read it.
-		e, err := n.state.Get(ctx, w.Key)
+		e, err := n.kvStore.Get(ctx, w.Key)
 		if err != nil {
 			return
 		}
--- a/internal/controller/save.go
+++ b/internal/controller/save.go
@@ -27,7 +27,7 @@
 
 // readPages takes a team's pages into its book and gives the finished tasks of
 // its active jobs.
-func (n *Node) readPages(it *item, entries []protocol.Entry) map[string]*bitset.BitSet {
+func (n *Node) readPages(it *shard, entries []protocol.Entry) map[string]*bitset.BitSet {
 	team, _ := teamOf(it.name)
 	done := map[string]*bitset.BitSet{}
 	tasks := func(uid string) int {
@@ -43,7 +43,7 @@
 			err = json.Unmarshal(e.Value, &parts)
 		}
 		if err == nil {
-			err = it.book.Read(number, e.Version, parts, tasks, done)
+			err = it.pages.Read(number, e.Version, parts, tasks, done)
 		}
 		if err != nil {
 			n.log.Error("unreadable page of finished tasks", "key", e.Key, "err", err)
@@ -54,11 +54,11 @@
 
 // save writes pages of finished tasks, paced.
 func (n *Node) save(ctx context.Context) error {
-	for pause(ctx, settings.Seconds(n.opt.BitmapEvery)) {
+	for pause(ctx, settings.Seconds(n.options.BitmapEvery)) {
 		n.mu.Lock()
 		if n.entitled(time.Now()) {
-			for _, it := range n.items {
-				if it.phase == ready && it.readable && !it.saving {
+			for _, it := range n.shards {
+				if it.phase == shardReady && it.pagesRead && !it.saving {
 					n.saveItem(it)
 				}
 			}
@@ -68,13 +68,13 @@
 	return nil
 }
 
-func (n *Node) saveItem(it *item) {
+func (n *Node) saveItem(it *shard) {
 	unsaved := it.team.Unsaved()
 	if len(unsaved) == 0 {
 		return
 	}
-	pages := it.book.Plan(unsaved, it.team.Finished)
-	control := protocol.Guard{Key: controlKey, Version: n.version}
+	pages := it.pages.Plan(unsaved, it.team.Finished)
+	control := protocol.Condition{Key: controlKey, Version: n.recordVersion}
 	it.saving = true
 	n.group.Go(func() error {
 		for _, p := range pages {
@@ -87,10 +87,10 @@
 	})
 }
 
-func (n *Node) savePage(it *item, p jobstate.Page, control protocol.Guard) {
+func (n *Node) savePage(it *shard, p jobstate.Page, control protocol.Condition) {
 	key := pagesPath(it.name) + strconv.Itoa(p.Number)
-	revision, err := n.state.Commit(n.ctx, kvstore.Update{Later: true,
-		Guards: []protocol.Guard{control, {Key: key, Version: p.Version}},
+	revision, err := n.kvStore.Commit(n.ctx, kvstore.Update{Later: true,
+		Guards: []protocol.Condition{control, {Key: key, Version: p.Version}},
 		Ops:    []protocol.Op{{Set: key, Value: protocol.Encode(p.Parts)}}})
 	if err != nil {
 		n.log.Debug("finished tasks not written yet", "key", key, "err", err)
@@ -98,7 +98,7 @@
 			return
 		}
 		// A write whose outcome is open, or that met another version.
-		e, err := n.state.Get(n.ctx, key)
+		e, err := n.kvStore.Get(n.ctx, key)
 		if err != nil {
 			return
 		}
@@ -109,7 +109,7 @@
 	}
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	it.book.Written(p.Number, revision)
+	it.pages.Written(p.Number, revision)
 	if err != nil {
 		return
 	}
--- a/internal/controller/scene_test.go
+++ b/internal/controller/scene_test.go
@@ -130,7 +130,7 @@
 		for node := range s.sets {
 			s.until(fmt.Sprintf("%s is over at %s", job.UID, s.names[node]), func() bool {
 				status, state := s.users.Ask(node, job.UID)
-				return status == 200 && (state == protocol.Done || state == protocol.Withdrawn && s.cancelled[job.UID])
+				return status == 200 && (state == protocol.Done || state == protocol.Cancelled && s.cancelled[job.UID])
 			})
 		}
 	}
@@ -179,7 +179,7 @@
 // leads says whether a controller owns an item, is entitled and past its barrier.
 func (s *scene) leads(name, item string) bool {
 	return slices.ContainsFunc(s.overviews(), func(o overview) bool {
-		return o.Node == name && o.Entitled && o.Owners[item] == name && o.Items[item].Phase == phases[ready]
+		return o.Node == name && o.Entitled && o.Owners[item] == name && o.Items[item].Phase == phases[shardReady]
 	})
 }
 
--- a/internal/controller/stray_test.go
+++ b/internal/controller/stray_test.go
@@ -33,7 +33,7 @@
 		alive(now)
 		switch {
 		case !w.here && homeAnswers(now):
-			n.machine(w.name).homed = now // as the home tells in its status
+			n.machine(w.name).homeHeardAt = now // as the home tells in its status
 			w.answer(now)
 		case !w.here: // 4 s for an answer, 1 s to the next controller
 			w.here, w.next = true, now.Add(5*time.Second)
@@ -55,18 +55,18 @@
 func TestStrayedMachinesLive(t *testing.T) {
 	for _, silent := range []bool{true, false} { // do the peers hear the home?
 		n := newGrown(4, 1).n
-		n.set.Deployment.Workers = settings.Workers{Report: 2, Lease: 12, Cancel: 32}
-		lease := settings.Seconds(n.set.Deployment.Workers.Lease)
+		n.settings.Deployment.Workers = settings.Workers{Report: 2, Lease: 12, Cancel: 32}
+		lease := settings.Seconds(n.settings.Deployment.Workers.Lease)
 		start := time.Now()
-		n.settled = start.Add(-time.Minute)
-		n.peers["node-b"] = &peerState{heard: start}
+		n.membershipSettledAt = start.Add(-time.Minute)
+		n.peers["node-b"] = &peerState{heardAt: start}
 		cut, mended := start.Add(20*time.Second), start.Add(60*time.Second)
 		w := &roamer{name: "n-000001", next: start, answered: start}
 		down := func(now time.Time) bool { return !now.Before(cut) && now.Before(mended) }
 		play := func(until time.Time) {
 			w.play(n, "node-b", until, func(now time.Time) bool { return !down(now) }, func(now time.Time) {
 				if !silent || !down(now) {
-					n.peers["node-b"].heard = now
+					n.peers["node-b"].heardAt = now
 				}
 			})
 		}
@@ -88,11 +88,11 @@
 // out of the homes, as that moves all machines under a new term; many must.
 func TestUnheardHome(t *testing.T) {
 	n := newGrown(120, 1).n
-	n.record.Deaf = nil
+	n.record.Unreachable = nil
 	now := time.Now()
-	n.settled = now.Add(-time.Minute)
+	n.membershipSettledAt = now.Add(-time.Minute)
 	home := "node-b"
-	n.peers[home] = &peerState{heard: now}
+	n.peers[home] = &peerState{heardAt: now}
 	var homed []string
 	for i := range 120 {
 		if name := fmt.Sprintf("n-%06d", i); n.record.Home(name) == home {
@@ -100,10 +100,10 @@
 		}
 	}
 	come := func(names []string) string {
-		n.deaf = map[string]map[string]vain{}
+		n.unreachableHomes = map[string]map[string]misdirection{}
 		for i := range 6 {
 			at := now.Add(time.Duration(i) * time.Second)
-			n.peers[home].heard = at
+			n.peers[home].heardAt = at
 			for _, name := range names {
 				n.strayed(home, name, at)
 			}
@@ -126,18 +126,18 @@
 	g.submit(40, 4)
 	g.n.mu.Lock()
 	defer g.n.mu.Unlock()
-	n, it := g.n, g.n.items[teamItem("team-0")]
+	n, it := g.n, g.n.shards[teamShard("team-0")]
 	end := func(why string) {
 		for _, name := range g.names {
-			var held []jobstate.Hold
-			it.team.On(name, func(h jobstate.Hold) { held = append(held, h) })
-			g.tell(name, func(v *jobstate.View) {
+			var held []jobstate.Assignment
+			it.team.On(name, func(h jobstate.Assignment) { held = append(held, h) })
+			g.tell(name, func(v *jobstate.MachineStatus) {
 				v.Tasks = nil
 				for _, h := range held {
-					v.Tasks = append(v.Tasks, jobstate.TaskView{Key: h.Key, Attempt: h.Attempt, State: protocol.Exited, Why: why})
+					v.Tasks = append(v.Tasks, jobstate.TaskStatus{TaskID: h.TaskID, Attempt: h.Attempt, State: protocol.Exited, Why: why})
 				}
 			})
-			g.tell(name, func(v *jobstate.View) { v.Tasks = nil })
+			g.tell(name, func(v *jobstate.MachineStatus) { v.Tasks = nil })
 		}
 	}
 	held := func() int { h, _ := it.team.Held(); return h }
@@ -145,7 +145,7 @@
 		g.now = g.now.Add(after)
 		n.lease.Renewed(g.now)
 		for _, name := range g.names {
-			n.machines[name].heard = g.now
+			n.machines[name].heardAt = g.now
 		}
 		n.step(g.now)
 	}
@@ -184,15 +184,15 @@
 // nor take its machines for silent.
 func TestWakingCountsNoSilence(t *testing.T) {
 	g := newGrown(4, 1)
-	n, it := g.n, g.n.items[teamItem("team-0")]
+	n, it := g.n, g.n.shards[teamShard("team-0")]
 	record := n.record.Clone()
-	record.Items[it.name] = leadership.Item{Owner: n.name, Since: 1, InSync: []string{"node-b"}}
-	n.record, n.settled, it.taken = record, g.now, g.now
-	n.peers["node-b"] = &peerState{up: true, heard: g.now}
-	it.acks["node-b"] = &ack{inc: 1, copied: true, known: true, since: g.now, sent: 1}
+	record.Shards[it.name] = leadership.Shard{Owner: n.name, SinceTerm: 1, InSync: []string{"node-b"}}
+	n.record, n.membershipSettledAt, it.graceFrom = record, g.now, g.now
+	n.peers["node-b"] = &peerState{connected: true, heardAt: g.now}
+	it.acknowledgements["node-b"] = &replicaAck{inc: 1, copied: true, known: true, since: g.now, sent: 1}
 	it.team.Replica().Seq = 1
 	for _, name := range g.names {
-		n.machines[name].heard = g.now
+		n.machines[name].heardAt = g.now
 	}
 	now := g.now.Add(4 * time.Second)
 	if !n.syncs(now)[it.name].Lagging["node-b"] {
@@ -202,7 +202,7 @@
 	if n.syncs(now)[it.name].Lagging["node-b"] {
 		t.Error("a backup is put out of sync for the silence of one who stood still")
 	}
-	if n.settled != now {
+	if n.membershipSettledAt != now {
 		t.Error("silence is counted from before the waking")
 	}
 	if o := n.overview(now); o.Still != 4 || len(o.Unheard) != 1 {
@@ -219,11 +219,11 @@
 func TestStrayIsNotSilent(t *testing.T) {
 	g := newGrown(6, 1)
 	fleetOwner, n := newGrown(6, 1).n, g.n
-	n.record.Deaf = nil
+	n.record.Unreachable = nil
 	at := g.now.Add(20 * time.Second)
 	n.lease.Renewed(at)
 	name := g.names[slices.IndexFunc(g.names, func(name string) bool { return n.record.Home(name) != n.name })]
-	r := protocol.Report{Machine: name, Addr: "127.0.0.1:1", Type: "m32", Zone: "east", Session: 1, Seq: 9, Token: 1, Tasks: []protocol.TaskStatus{}}
+	r := protocol.Heartbeat{Machine: name, Addr: "127.0.0.1:1", Type: "m32", Zone: "east", Incarnation: 1, Seq: 9, FencingToken: 1, Tasks: []protocol.TaskStatus{}}
 	n.report(protocol.Encode(r))
 	s := n.status(at)
 	if !slices.Equal(s.Stray, []string{name}) || len(n.status(at).Stray) != 0 {
@@ -235,7 +235,7 @@
 	if got := m.lastHeard(); got != at || before == at {
 		t.Errorf("the fleet's owner last heard the machine at %v, not %v", got, at)
 	}
-	if m.homed == at {
+	if m.homeHeardAt == at {
 		t.Error("a home that heard nothing counts as having heard")
 	}
 }
@@ -245,29 +245,29 @@
 func TestAbsurdReports(t *testing.T) {
 	g := newGrown(0, 1)
 	n := g.n
-	n.home.SetTerm(1, func(string) bool { return true })
+	n.agents.SetTerm(1, func(string) bool { return true })
 	n.roster.Learn("x", 1, agents.RosterValue{Names: []string{"n-1"}})
 	spec := array(1, 3, "team-0")
 	n.learnJob(userapi.Stored{Spec: spec, At: g.now.UnixMilli()}, 1)
-	team := n.items[teamItem("team-0")].team
-	good := protocol.Report{Machine: "n-1", Addr: "127.0.0.1:1", Type: "m32", Zone: "east", Session: 1, Seq: 1, Token: 1, Tasks: []protocol.TaskStatus{}}
+	team := n.shards[teamShard("team-0")].team
+	good := protocol.Heartbeat{Machine: "n-1", Addr: "127.0.0.1:1", Type: "m32", Zone: "east", Incarnation: 1, Seq: 1, FencingToken: 1, Tasks: []protocol.TaskStatus{}}
 	if a := n.report(protocol.Encode(good)); a.Status != 200 {
 		t.Fatalf("a good report got %d %s", a.Status, a.Body)
 	}
 	n.place(g.now)
 	state := func() string {
 		done, _ := team.Progress(spec.UID)
-		return fmt.Sprint(len(n.jobs), len(n.machines), len(n.roster.All()), done, len(team.Replica().Holds), n.store.proof, n.store.unchained, n.trusted())
+		return fmt.Sprint(len(n.jobs), len(n.machines), len(n.roster.All()), done, len(team.Replica().Holds), n.recovery.proof, n.recovery.unchained, n.trusted())
 	}
 	before := state()
 	if held, _ := team.Held(); held == 0 {
 		t.Fatal("nothing was placed that a report could undo")
 	}
-	for field, spoil := range map[string]func(*protocol.Report){
-		"estacion": func(r *protocol.Report) { r.Machine = "n 1" },
-		"address":  func(r *protocol.Report) { r.Addr = "" },
-		"jornada":  func(r *protocol.Report) { r.Session = 0 },
-		"modelo":   func(r *protocol.Report) { r.Type = "" },
+	for field, spoil := range map[string]func(*protocol.Heartbeat){
+		"estacion": func(r *protocol.Heartbeat) { r.Machine = "n 1" },
+		"address":  func(r *protocol.Heartbeat) { r.Addr = "" },
+		"jornada":  func(r *protocol.Heartbeat) { r.Incarnation = 0 },
+		"modelo":   func(r *protocol.Heartbeat) { r.Type = "" },
 	} {
 		r := good
 		spoil(&r)
@@ -296,7 +296,7 @@
 		}
 	}
 	r := good
-	r.Seq, r.Token = seq+1, 1<<60
+	r.Seq, r.FencingToken = seq+1, 1<<60
 	if a := n.report(protocol.Encode(r)); a.Status != 503 || state() != before {
 		t.Errorf("a token that nobody gave out: %d, %s, before %s", a.Status, state(), before)
 	}
--- a/internal/controller/sustain_test.go
+++ b/internal/controller/sustain_test.go
@@ -19,16 +19,16 @@
 	g := newGrown(8, 1)
 	n := g.n
 	n.lease = leadership.Lease{Life: 5 * time.Second} // lapsed, and nobody promises anything
-	n.peers["node-b"] = &peerState{heard: g.now.Add(-time.Minute)}
-	w := n.set.Deployment.Workers
+	n.peers["node-b"] = &peerState{heardAt: g.now.Add(-time.Minute)}
+	w := n.settings.Deployment.Workers
 	g.submit(1, 4)
-	n.horizon.Read(g.now)
+	n.cancelWatermark.Read(g.now)
 	report := func(name string, token uint64, state, task string) []byte {
-		return protocol.Encode(protocol.Report{Machine: name, Addr: "127.0.0.1:1", Type: "m32", Zone: "east", Session: 1, Seq: 9, Token: token,
+		return protocol.Encode(protocol.Heartbeat{Machine: name, Addr: "127.0.0.1:1", Type: "m32", Zone: "east", Incarnation: 1, Seq: 9, FencingToken: token,
 			Tasks: []protocol.TaskStatus{{Task: task, Attempt: 1, State: state, Why: protocol.WhyDone}}})
 	}
 	answer := func(at time.Time, name string, token uint64, state, task string) int {
-		var r protocol.Report
+		var r protocol.Heartbeat
 		if err := protocol.Decode(report(name, token, state, task), &r); err != nil {
 			t.Fatal(err)
 		}
@@ -65,19 +65,19 @@
 		t.Errorf("a machine that runs a withdrawn job is answered by %d", got)
 	}
 	n.record = n.record.Clone()
-	n.record.Deaf = nil
+	n.record.Unreachable = nil
 	for _, name := range g.names {
 		if n.record.Home(name) != n.name {
 			if got := answer(later, name, 1, protocol.Exited, "job-000001/0"); got != 503 {
 				t.Errorf("a machine is kept alive though nothing is known of its home's last word: %d", got)
 			}
-			n.machine(name).homed, n.machine(name).homeKnew = g.now, g.now
+			n.machine(name).homeHeardAt, n.machine(name).homeWatermark = g.now, g.now
 			if got := answer(later, name, 1, protocol.Exited, "job-000001/0"); got != 200 {
 				t.Errorf("a machine of another home is answered by %d", got)
 			}
 		}
 	}
-	n.peers["node-b"].heard, n.peers["node-b"].entitled = later, true
+	n.peers["node-b"].heardAt, n.peers["node-b"].entitled = later, true
 	if got := answer(later, name, 1, protocol.Exited, "job-000001/0"); got != 421 {
 		t.Errorf("with an entitled peer in hearing the answer is %d", got)
 	}
@@ -90,21 +90,21 @@
 func TestRefusedLinks(t *testing.T) {
 	g := newGrown(40, 1)
 	n := g.n
-	n.record.Deaf = nil
+	n.record.Unreachable = nil
 	homed := map[string]bool{}
 	for _, name := range g.names {
 		homed[name] = n.record.Home(name) == n.name
 	}
 	for _, p := range []string{"node-b", "node-c"} {
-		n.peers[p] = &peerState{up: true, heard: g.now}
-		n.live[p] = leadership.Presence{Incarnation: 1, Version: 1}
+		n.peers[p] = &peerState{connected: true, heardAt: g.now}
+		n.presences[p] = leadership.Presence{Incarnation: 1, Version: 1}
 	}
 	if hosts := n.hosts(g.now, nil); len(hosts) != 40 {
 		t.Fatalf("%d of 40 machines may take tasks", len(hosts))
 	}
 	n.lease.Renewed(g.now)
 	for p := range n.peers {
-		n.peers[p].up = false
+		n.peers[p].connected = false
 	}
 	now := g.now.Add(4 * time.Second)
 	n.lease.Renewed(now)
@@ -119,7 +119,7 @@
 			t.Errorf("%s, homed here: %v, is of an unheard home: %v", m.Name, homed[m.Name], m.HomeUnheard)
 		}
 	}
-	delete(n.live, "node-b") // it lost its lease: that is silence for good
+	delete(n.presences, "node-b") // it lost its lease: that is silence for good
 	for _, m := range n.fleetMachines(account, now) {
 		if m.HomeUnheard && n.record.Home(m.Name) == "node-b" {
 			t.Errorf("%s counts as heard elsewhere, by a controller that is gone", m.Name)
@@ -127,12 +127,12 @@
 	}
 	// A start that went nowhere is free to be placed elsewhere; one that may have
 	// left stays held.
-	it := n.items[teamItem("team-0")]
+	it := n.shards[teamShard("team-0")]
 	g.submit(1, 4)
 	spec := n.jobs["job-000001"].spec
 	place := func() []jobstate.Order {
 		tj := it.team.Job(spec.UID)
-		if !it.team.Place(tj, 0, jobstate.Spot{Machine: g.names[0], Session: 1}) {
+		if !it.team.Place(tj, 0, jobstate.Location{Machine: g.names[0], Session: 1}) {
 			t.Fatal("no place")
 		}
 		return it.team.Due(it.team.Replica().Seq, now, func(string, uint64) bool { return true })[g.names[0]]
--- a/internal/controller/sync.go
+++ b/internal/controller/sync.go
@@ -27,10 +27,10 @@
 func (n *Node) synced(ctx context.Context) error {
 	done := make(chan error, 1)
 	n.mu.Lock()
-	n.unsynced = append(n.unsynced, done)
+	n.syncWaiters = append(n.syncWaiters, done)
 	n.mu.Unlock()
 	select {
-	case n.syncNow <- struct{}{}:
+	case n.syncRequests <- struct{}{}:
 	default:
 	}
 	select {
@@ -46,7 +46,7 @@
 	open := make(chan struct{}, syncsOpen)
 	for {
 		select {
-		case <-n.syncNow:
+		case <-n.syncRequests:
 		case <-ctx.Done():
 			return nil
 		}
@@ -56,15 +56,15 @@
 			return nil
 		}
 		n.mu.Lock()
-		waiting := n.unsynced
-		n.unsynced = nil
-		after, listed := n.revision, n.listed
+		waiting := n.syncWaiters
+		n.syncWaiters = nil
+		after, listed := n.followedRevision, n.watchedKeysRead
 		n.mu.Unlock()
 		n.group.Go(func() error {
 			err, began := errUnsynced, time.Now()
 			if listed {
 				var ch *protocol.Changes
-				if ch, err = n.state.Changes(ctx, userapi.Watched, after); err == nil {
+				if ch, err = n.kvStore.Changes(ctx, userapi.Watched, after); err == nil {
 					n.mu.Lock()
 					n.caughtUp(ch, began)
 					n.mu.Unlock()
@@ -88,7 +88,7 @@
 	for _, e := range ch.Events {
 		n.changed(e)
 	}
-	n.revision = max(n.revision, ch.Revision)
+	n.followedRevision = max(n.followedRevision, ch.Revision)
 	n.knows(began)
 }
 
@@ -97,6 +97,6 @@
 func (n *Node) knows(began time.Time) {
 	n.configCurrent(began)
 	if n.trusted() && n.gathered(time.Now()) {
-		n.horizon.Read(began)
+		n.cancelWatermark.Read(began)
 	}
 }
--- a/internal/controller/sync_test.go
+++ b/internal/controller/sync_test.go
@@ -48,7 +48,7 @@
 		_ = group.Wait()
 	}()
 	n.group, n.ctx = group, ctx
-	n.listed = true // of an empty store; nothing follows the watch
+	n.watchedKeysRead = true // of an empty store; nothing follows the watch
 	other := kvstore.New(srv.Addr(), settings.State{RPS: 2000, WriteRPS: 2000, TxnOps: 8, ValueKB: 8}, 1)
 	group.Go(func() error { return other.Run(ctx) })
 	group.Go(func() error { return n.keepSynced(ctx) })
@@ -92,28 +92,28 @@
 	for _, blind := range []bool{false, true} {
 		n := bare("127.0.0.1:1") // nobody answers
 		ctx, cancel := context.WithCancel(context.Background())
-		name := teamItem("red")
+		name := teamShard("red")
 		rep := jobstate.NewReplica()
-		hold := jobstate.Hold{Key: jobstate.Key{Job: "job-1", Index: 0}, Attempt: jobstate.AttemptID(4, 1), Machine: "n-1", Session: 1, CPUs: 2}
-		rep.Holds[hold.Key] = hold
-		it := &item{name: name, since: 5, blind: blind, acks: map[string]*ack{}, book: jobstate.NewBook(8 << 10), team: n.newTeam(name, rep, 5)}
-		n.items[name] = it
+		hold := jobstate.Assignment{TaskID: jobstate.TaskID{Job: "job-1", Index: 0}, Attempt: jobstate.AttemptID(4, 1), Machine: "n-1", Session: 1, CPUs: 2}
+		rep.Holds[hold.TaskID] = hold
+		it := &shard{name: name, sinceTerm: 5, needsBarrier: blind, acknowledgements: map[string]*replicaAck{}, pages: jobstate.NewPageSet(8 << 10), team: n.newTeam(name, rep, 5)}
+		n.shards[name] = it
 		n.learnJob(userapi.Stored{Spec: array(1, 3, "red")}, 1)
 		ended := make(chan struct{})
 		go func() {
 			defer close(ended)
 			n.load(ctx, it, 0)
 		}()
-		<-n.syncNow // it asks the state service, in vain
+		<-n.syncRequests // it asks the state service, in vain
 		n.mu.Lock()
-		if (it.phase == ready) == blind {
+		if (it.phase == shardReady) == blind {
 			t.Errorf("in sync: %v, phase %s", !blind, phases[it.phase])
 		}
 		if held, _ := it.team.Held(); held != 1 {
 			t.Errorf("in sync: %v, a hold ended though the roster may be old", !blind)
 		}
 		n.booked(it, nil) // the answer, that there are no pages and no machines
-		if held, _ := it.team.Held(); held != 0 || it.phase != ready {
+		if held, _ := it.team.Held(); held != 0 || it.phase != shardReady {
 			t.Errorf("in sync: %v, %d holds on machines struck off, phase %s", !blind, held, phases[it.phase])
 		}
 		n.mu.Unlock()
@@ -130,34 +130,34 @@
 		n := bare("127.0.0.1:1") // nobody answers
 		ctx, cancel := context.WithCancel(context.Background())
 		n.ctx, n.group = ctx, &errgroup.Group{}
-		name := teamItem("red")
-		r := (&leadership.Record{Term: 5, First: 5, Generation: 2, Census: true}).Clone()
-		r.Nodes["node-a"], r.Nodes["node-b"] = n.inc, 1
-		r.Items[name] = leadership.Item{Owner: "node-a", Since: 5, Blind: blind}
-		n.record, n.version = r, 7
+		name := teamShard("red")
+		r := (&leadership.Record{Term: 5, FirstTerm: 5, Epoch: 2, RosterIncomplete: true}).Clone()
+		r.Nodes["node-a"], r.Nodes["node-b"] = n.incarnation, 1
+		r.Shards[name] = leadership.Shard{Owner: "node-a", SinceTerm: 5, NeedsBarrier: blind}
+		n.record, n.recordVersion = r, 7
 		rep, want := jobstate.NewReplica(), 0
-		hold := jobstate.Hold{Key: jobstate.Key{Job: "job-000001", Index: 0}, Attempt: jobstate.AttemptID(4, 1), Machine: "n-1", Session: 1, CPUs: 2}
+		hold := jobstate.Assignment{TaskID: jobstate.TaskID{Job: "job-000001", Index: 0}, Attempt: jobstate.AttemptID(4, 1), Machine: "n-1", Session: 1, CPUs: 2}
 		if !blind {
-			rep.Holds[hold.Key], want = hold, 1
+			rep.Holds[hold.TaskID], want = hold, 1
 		}
 		n.learnJob(userapi.Stored{Spec: array(1, 3, "red")}, 1)
-		n.peers["node-b"] = &peerState{up: true, heard: time.Now()}
-		n.store.gather = datarecovery.NewGather(2, []string{"node-b"}) // it is yet to tell what it remembers
-		it := &item{name: name, since: 5, blind: blind, acks: map[string]*ack{}, book: jobstate.NewBook(8 << 10), team: n.newTeam(name, rep, 5)}
-		n.items[name] = it
+		n.peers["node-b"] = &peerState{connected: true, heardAt: time.Now()}
+		n.recovery.gather = datarecovery.NewGather(2, []string{"node-b"}) // it is yet to tell what it remembers
+		it := &shard{name: name, sinceTerm: 5, needsBarrier: blind, acknowledgements: map[string]*replicaAck{}, pages: jobstate.NewPageSet(8 << 10), team: n.newTeam(name, rep, 5)}
+		n.shards[name] = it
 		n.mu.Lock()
 		n.booked(it, nil)
-		if it.phase != barrier || len(it.await) != 0 {
-			t.Fatalf("blind %t: phase %s, waits for %v", blind, phases[it.phase], it.await)
+		if it.phase != shardBarrier || len(it.awaitedMachines) != 0 {
+			t.Fatalf("blind %t: phase %s, waits for %v", blind, phases[it.phase], it.awaitedMachines)
 		}
 		whole := r.Clone()
-		whole.Census = false
+		whole.RosterIncomplete = false
 		n.adopt(whole, 9)
-		n.store.gather = nil
-		if it.phase == barrier { // as by a report
+		n.recovery.gather = nil
+		if it.phase == shardBarrier { // as by a report
 			n.passBarrier(it)
 		}
-		if held, _ := it.team.Held(); held != want || blind && it.phase == ready {
+		if held, _ := it.team.Held(); held != want || blind && it.phase == shardReady {
 			t.Errorf("blind %t: %d holds left, phase %s before the lists of machines came", blind, held, phases[it.phase])
 		}
 		n.roster.Learn(machineKey+"node-b/0", 8, agents.RosterValue{Names: []string{"n-1"}})
@@ -165,8 +165,8 @@
 		if held, _ := it.team.Held(); held != want {
 			t.Errorf("blind %t: a hold ended on a machine that is on the roster", blind)
 		}
-		if blind && (it.phase != barrier || !it.await["n-1"]) {
-			t.Errorf("phase %s, waits for %v, not for the machine that is on the roster", phases[it.phase], it.await)
+		if blind && (it.phase != shardBarrier || !it.awaitedMachines["n-1"]) {
+			t.Errorf("phase %s, waits for %v, not for the machine that is on the roster", phases[it.phase], it.awaitedMachines)
 		}
 		n.mu.Unlock()
 		cancel()
@@ -178,11 +178,11 @@
 // that takes over must find both, and its own writes must keep them.
 func TestSharedPageSurvivesTakeOver(t *testing.T) {
 	n := bare("127.0.0.1:1")
-	name := teamItem("red")
+	name := teamShard("red")
 	store := map[string]protocol.Entry{}
 	for round := range 4 {
-		it := &item{name: name, phase: ready, book: jobstate.NewBook(8 << 10), team: n.newTeam(name, jobstate.NewReplica(), uint64(round+1))}
-		n.items[name] = it
+		it := &shard{name: name, phase: shardReady, pages: jobstate.NewPageSet(8 << 10), team: n.newTeam(name, jobstate.NewReplica(), uint64(round+1))}
+		n.shards[name] = it
 		var entries []protocol.Entry
 		for _, e := range store {
 			entries = append(entries, e)
@@ -190,7 +190,7 @@
 		for i := range 2 {
 			spec := array(i, 10, "red")
 			n.jobs[spec.UID] = &job{spec: spec, active: true}
-			it.team.AddJob(spec, 1, n.began, nil)
+			it.team.AddJob(spec, 1, n.startedAt, nil)
 		}
 		n.booked(it, entries)
 		for i := range 2 {
@@ -200,12 +200,12 @@
 		}
 		for i := range 2 { // one more task of each completes, job 1 is written first
 			uid := fmt.Sprintf("job-%06d", 1-i)
-			v := &jobstate.View{Machine: "m", Session: 1, Tasks: []jobstate.TaskView{{Key: jobstate.Key{Job: uid, Index: round}, Attempt: 1, State: protocol.Exited, Why: protocol.WhyDone}}}
-			it.team.Observe(v, n.began, teamKnowledge{n, "red"})
-			for _, p := range it.book.Plan(it.team.Unsaved(), it.team.Finished) {
+			v := &jobstate.MachineStatus{Machine: "m", Incarnation: 1, Tasks: []jobstate.TaskStatus{{TaskID: jobstate.TaskID{Job: uid, Index: round}, Attempt: 1, State: protocol.Exited, Why: protocol.WhyDone}}}
+			it.team.Observe(v, n.startedAt, teamKnowledge{n, "red"})
+			for _, p := range it.pages.Plan(it.team.Unsaved(), it.team.Finished) {
 				key := fmt.Sprint(pagesPath(name), p.Number)
 				store[key] = protocol.Entry{Key: key, Value: protocol.Encode(p.Parts), Version: p.Version + 1}
-				it.book.Written(p.Number, p.Version+1)
+				it.pages.Written(p.Number, p.Version+1)
 				for uid, done := range p.Done {
 					it.team.Saved(uid, done)
 				}
--- a/internal/controller/talk.go
+++ b/internal/controller/talk.go
@@ -68,8 +68,8 @@
 // evictMsg asks the owner of a task to stop it, to give its room to a job that
 // goes before it.
 type evictMsg struct {
-	Ref jobstate.Ref `json:"ref"`
-	For string       `json:"for"` // the job that needs the room
+	Ref jobstate.AttemptRef `json:"ref"`
+	For string              `json:"for"` // the job that needs the room
 }
 
 // peerHandler is the controller as its links see it.
@@ -79,13 +79,13 @@
 	n := (*Node)(h)
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.peers[node].up = true
+	n.peers[node].connected = true
 	n.peers[node].delivery.Up(time.Now())
-	for _, it := range n.items {
-		delete(it.acks, node)
+	for _, it := range n.shards {
+		delete(it.acknowledgements, node)
 	}
-	for name := range n.home.All() {
-		n.fresh[name] = true
+	for name := range n.agents.All() {
+		n.changedMachines[name] = true
 	}
 	if n.record != nil {
 		n.recall(false, node)
@@ -98,9 +98,9 @@
 	n := (*Node)(h)
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.peers[node].up = false
-	for _, it := range n.items {
-		delete(it.acks, node)
+	n.peers[node].connected = false
+	for _, it := range n.shards {
+		delete(it.acknowledgements, node)
 	}
 }
 
@@ -110,11 +110,11 @@
 	defer n.mu.Unlock()
 	now := time.Now()
 	p := n.peers[node]
-	if p.inc != incarnation {
-		p.inc, p.at = incarnation, 0
+	if p.incarnation != incarnation {
+		p.incarnation, p.statusClock = incarnation, 0
 	}
-	n.horizon.Met(node, incarnation, now)
-	p.heard = now
+	n.cancelWatermark.Met(node, incarnation, now)
+	p.heardAt = now
 	var err error
 	switch kind {
 	case "status":
@@ -125,15 +125,15 @@
 			n.onHorizon(node, &s, now)
 			n.onHomeWord(node, &s, now)
 			n.teach(node, &s, now)
-			n.store.watch.Heard(node, s.Store, now)
+			n.recovery.watch.Heard(node, s.Store, now)
 			n.onPlan(node, incarnation, p, &s.Plan)
 			n.onConfigWord(node, incarnation, s.Config, now)
-			if n.record != nil && s.Store.Generation == n.record.Generation && s.Store.Term > n.record.Term {
-				n.store.ahead = max(n.store.ahead, s.Store.Term)
+			if n.record != nil && s.Store.Generation == n.record.Epoch && s.Store.Term > n.record.Term {
+				n.recovery.ahead = max(n.recovery.ahead, s.Store.Term)
 			}
 		}
 	case "views":
-		var views []*jobstate.View
+		var views []*jobstate.MachineStatus
 		if err = protocol.Decode(body, &views); err == nil {
 			for _, v := range views {
 				if v != nil && v.Machine != "" {
@@ -215,47 +215,47 @@
 // resetIfHalfOpen has the connection to a peer dialled anew if the peer, which is heard, does not get what is sent on it.
 func (n *Node) resetIfHalfOpen(node string, s *statusMsg, now time.Time) {
 	received := uint64(0)
-	if e := s.Heard[n.name]; e.Incarnation == n.inc && e.At > 0 {
+	if e := s.Heard[n.name]; e.Incarnation == n.incarnation && e.At > 0 {
 		received = uint64(e.At)
 	}
-	if p := n.peers[node]; p.up && p.delivery.Heard(now, received) {
+	if p := n.peers[node]; p.connected && p.delivery.Heard(now, received) {
 		n.log.Info("peer link is half-open", "peer", node)
 		n.links.Reset(node)
 	}
 }
 
 func (n *Node) onStatus(p *peerState, s *statusMsg, now time.Time) {
-	p.leased, p.at = s.Leased, s.At
-	if e, ok := s.Heard[n.name]; ok && s.Promise && s.Version != nil && e.Incarnation == n.inc && n.sentBy(e.At, now) {
+	p.leased, p.statusClock = s.Leased, s.At
+	if e, ok := s.Heard[n.name]; ok && s.Promise && s.Version != nil && e.Incarnation == n.incarnation && n.sentBy(e.At, now) {
 		// The promise runs from when the peer sent it, which was after our own
 		// status that it names: counted from then, and less the clocks' drift, it
 		// ends here first.
-		until := n.began.Add(time.Duration(e.At)*time.Millisecond + promiseLife - promiseLife/500)
-		if until.After(p.until) {
-			p.until, p.version = until, *s.Version
+		until := n.startedAt.Add(time.Duration(e.At)*time.Millisecond + promiseLife - promiseLife/500)
+		if until.After(p.promisedUntil) {
+			p.promisedUntil, p.promisedVersion = until, *s.Version
 		}
 	}
 	p.entitled, p.demands = s.Entitled, s.Demands
 	if s.Progress != nil {
 		p.progress = s.Progress
 	}
-	p.drain = map[string]bool{}
+	p.drainingMachines = map[string]bool{}
 	for _, m := range s.Drain {
-		p.drain[m] = true
+		p.drainingMachines[m] = true
 	}
-	p.awaits, p.mute, p.writes = s.Awaits, s.Mute, -1
+	p.awaitedMachines, p.unansweredMachines, p.wantedWrites = s.Awaits, s.Mute, -1
 	if s.Writes != nil {
-		p.writes = *s.Writes
+		p.wantedWrites = *s.Writes
 	}
 	for name, age := range s.Alive {
 		if m := n.machines[name]; m != nil && !m.gone {
 			t := now.Add(-time.Duration(age) * time.Millisecond)
-			m.heard, m.homed = later(m.heard, t), later(m.homed, t)
+			m.heardAt, m.homeHeardAt = later(m.heardAt, t), later(m.homeHeardAt, t)
 		}
 	}
 	for _, name := range s.Stray {
 		if m := n.machines[name]; m != nil && !m.gone {
-			m.came = now
+			m.misdirectedAt = now
 		}
 	}
 	if n.record == nil || s.Term > n.record.Term {
@@ -277,15 +277,15 @@
 // owns says whether the record names that process of a node as an item's owner
 // since that term.
 func (n *Node) owns(node string, incarnation uint64, item string, since uint64) bool {
-	if n.record == nil || n.record.Nodes[node] != incarnation || n.record.Nodes[n.name] != n.inc {
+	if n.record == nil || n.record.Nodes[node] != incarnation || n.record.Nodes[n.name] != n.incarnation {
 		n.hint()
 		return false
 	}
-	it := n.record.Items[item]
-	if it.Since < since {
+	it := n.record.Shards[item]
+	if it.SinceTerm < since {
 		n.hint()
 	}
-	return it.Owner == node && it.Since == since
+	return it.Owner == node && it.SinceTerm == since
 }
 
 // newsEvery is the least time between two statuses.
@@ -294,7 +294,7 @@
 // tellNow has the next status go out soon.
 func (n *Node) tellNow() {
 	select {
-	case n.news <- struct{}{}:
+	case n.statusRequests <- struct{}{}:
 	default:
 	}
 }
@@ -311,7 +311,7 @@
 			n.mu.Lock()
 			n.readOn(time.Now())
 			n.mu.Unlock()
-		case <-n.news:
+		case <-n.statusRequests:
 		}
 		now := time.Now()
 		n.mu.Lock()
@@ -341,34 +341,34 @@
 func (n *Node) shareWrites(now time.Time) float64 {
 	var others []float64
 	for _, p := range n.peers {
-		wanted := p.writes
-		if !p.near(now) {
+		wanted := p.wantedWrites
+		if !p.isHeard(now) {
 			wanted = -1
 		}
 		others = append(others, wanted)
 	}
-	n.state.Share(others)
-	return n.state.Wanted(now)
+	n.kvStore.Share(others)
+	return n.kvStore.Wanted(now)
 }
 
 // status sums up this controller for its peers, and makes the promise in it.
 func (n *Node) status(now time.Time) statusMsg {
-	told, version := n.horizon.Told(), n.version
-	s := statusMsg{Store: n.word(), Told: &told, Version: &version, Entitled: n.entitled(now), Leased: n.lease.Valid(now), At: now.Sub(n.began).Milliseconds(),
+	told, version := n.cancelWatermark.Told(), n.recordVersion
+	s := statusMsg{Store: n.word(), Told: &told, Version: &version, Entitled: n.entitled(now), Leased: n.lease.Valid(now), At: now.Sub(n.startedAt).Milliseconds(),
 		Heard: map[string]echo{}, Alive: map[string]int64{}}
 	for name, p := range n.peers {
-		if now.Sub(p.heard) < promiseLife && p.at > 0 {
-			got := n.horizon.Got(name)
-			s.Heard[name] = echo{p.inc, p.at, &got}
+		if now.Sub(p.heardAt) < promiseLife && p.statusClock > 0 {
+			got := n.cancelWatermark.Got(name)
+			s.Heard[name] = echo{p.incarnation, p.statusClock, &got}
 		}
 	}
 	if s.Promise = n.promises(now); s.Promise {
-		n.promised = now.Add(promiseLife)
+		n.promisedUntil = now.Add(promiseLife)
 	}
 	if n.record != nil {
 		s.Term = n.record.Term
 	}
-	for name, m := range n.home.All() {
+	for name, m := range n.agents.All() {
 		s.Alive[name] = now.Sub(m.Heard).Milliseconds()
 		if known := m.InFlight(anyJob); !known.IsZero() {
 			if s.InFlight == nil {
@@ -377,13 +377,13 @@
 			s.InFlight[name] = now.Sub(known).Milliseconds() + 1 // rounded up
 		}
 	}
-	s.Stray = slices.Sorted(maps.Keys(n.stray))
-	clear(n.stray)
+	s.Stray = slices.Sorted(maps.Keys(n.misdirectedAgents))
+	clear(n.misdirectedAgents)
 	s.Demands = n.demands(now)
 	s.Progress, s.Plan, s.Config = n.progress(now), n.planWord(), n.configWord(now)
 	s.Awaits, s.Mute = n.awaits(), n.unanswered()
-	if n.items[leadership.Fleet] != nil {
-		s.Drain = slices.Sorted(maps.Keys(n.drain))
+	if n.shards[leadership.FleetShard] != nil {
+		s.Drain = slices.Sorted(maps.Keys(n.drainingMachines))
 	}
 	return s
 }
@@ -397,12 +397,12 @@
 
 // progress is the progress of own teams' jobs when it is due to be told, nil otherwise.
 func (n *Node) progress(now time.Time) map[string][2]int {
-	if now.Sub(n.progressed) < progressEvery {
+	if now.Sub(n.progressSentAt) < progressEvery {
 		return nil
 	}
-	n.progressed = now
+	n.progressSentAt = now
 	progress := map[string][2]int{}
-	for _, it := range n.items {
+	for _, it := range n.shards {
 		it.team.Jobs(func(j *jobstate.Job) {
 			done, running := it.team.Progress(j.Spec.UID)
 			if done+running > 0 {
@@ -419,16 +419,16 @@
 	const many, long = 2000, 5 * time.Minute
 	if len(n.machines) > many {
 		maps.DeleteFunc(n.machines, func(name string, m *machine) bool {
-			return m.gone && now.Sub(m.heard) > long && !n.roster.Has(name)
+			return m.gone && now.Sub(m.heardAt) > long && !n.roster.Has(name)
 		})
 	}
 	if len(n.jobs) < many {
 		return
 	}
 	maps.DeleteFunc(n.jobs, func(uid string, j *job) bool {
-		old := !j.active && now.Sub(j.ended) > long
+		old := !j.active && now.Sub(j.endedAt) > long
 		if old {
-			n.blame.ForgetJob(uid)
+			n.quarantine.ForgetJob(uid)
 		}
 		return old
 	})
@@ -437,9 +437,9 @@
 // demands lists the room that own teams ask for.
 func (n *Node) demands(now time.Time) []demand {
 	var out []demand
-	for _, name := range slices.Sorted(maps.Keys(n.items)) {
-		it := n.items[name]
-		if it.phase != ready {
+	for _, name := range slices.Sorted(maps.Keys(n.shards)) {
+		it := n.shards[name]
+		if it.phase != shardReady {
 			continue
 		}
 		list := it.team.Demands(now)
@@ -468,12 +468,12 @@
 
 // draining is the machines that no task should go to.
 func (n *Node) draining() map[string]bool {
-	if n.items[leadership.Fleet] != nil {
-		return n.drain
+	if n.shards[leadership.FleetShard] != nil {
+		return n.drainingMachines
 	}
 	if n.record != nil {
-		if p := n.peers[n.record.Items[leadership.Fleet].Owner]; p != nil {
-			return p.drain
+		if p := n.peers[n.record.Shards[leadership.FleetShard].Owner]; p != nil {
+			return p.drainingMachines
 		}
 	}
 	return nil
@@ -482,9 +482,9 @@
 // awaits lists machines that the barriers of own items wait for.
 func (n *Node) awaits() []string {
 	names := map[string]bool{}
-	for _, it := range n.items {
-		if it.phase == barrier {
-			maps.Copy(names, it.await)
+	for _, it := range n.shards {
+		if it.phase == shardBarrier {
+			maps.Copy(names, it.awaitedMachines)
 		}
 	}
 	return slices.Sorted(maps.Keys(names))
--- a/internal/controller/views_test.go
+++ b/internal/controller/views_test.go
@@ -14,40 +14,40 @@
 	n := g.n
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	it := n.items[teamItem("team-0")]
-	it.phase, it.since, it.await = barrier, n.record.Term, map[string]bool{}
+	it := n.shards[teamShard("team-0")]
+	it.phase, it.sinceTerm, it.awaitedMachines = shardBarrier, n.record.Term, map[string]bool{}
 	var names []string
 	for name := range n.machines {
 		names = append(names, name)
-		it.await[name] = true
+		it.awaitedMachines[name] = true
 	}
 	hear := func(name string, token uint64) {
-		v := *n.machines[name].view
+		v := *n.machines[name].status
 		v.Seq++
-		v.Token = token
+		v.FencingToken = token
 		n.see(&v, g.now)
 	}
-	hear(names[0], it.since-1)
-	if len(it.await) != len(names) || it.phase != barrier {
-		t.Fatalf("%d of %d are waited for after a report of an earlier term", len(it.await), len(names))
+	hear(names[0], it.sinceTerm-1)
+	if len(it.awaitedMachines) != len(names) || it.phase != shardBarrier {
+		t.Fatalf("%d of %d are waited for after a report of an earlier term", len(it.awaitedMachines), len(names))
 	}
 	for i, name := range names {
-		if it.phase != barrier {
+		if it.phase != shardBarrier {
 			t.Fatalf("the barrier ended after %d of %d machines", i, len(names))
 		}
-		hear(name, it.since)
+		hear(name, it.sinceTerm)
 	}
-	if it.phase != ready {
-		t.Fatalf("the barrier waits for %v though all were heard", it.await)
+	if it.phase != shardReady {
+		t.Fatalf("the barrier waits for %v though all were heard", it.awaitedMachines)
 	}
 }
 
 // TestViewsAreToldInBoundedLines: however many machines a home tells of at once, no line comes near what a link takes.
 func TestViewsAreToldInBoundedLines(t *testing.T) {
-	view := &jobstate.View{Machine: "n-000001", Addr: "10.1.0.232:9000", Type: "mtatsminda-32", Zone: "batumi-coast", Session: 1 << 20, Seq: 1 << 40, Rev: 1 << 30, Token: 1 << 40, Term: 1 << 40}
+	view := &jobstate.MachineStatus{Machine: "n-000001", Addr: "10.1.0.232:9000", Type: "mtatsminda-32", Zone: "batumi-coast", Incarnation: 1 << 20, Seq: 1 << 40, Revision: 1 << 30, FencingToken: 1 << 40, Term: 1 << 40}
 	const tasks = 30
 	for i := range tasks {
-		view.Tasks = append(view.Tasks, jobstate.TaskView{Key: jobstate.Key{Job: "job-000001", Index: 1<<16 + i}, Attempt: jobstate.AttemptID(1<<28, 1<<20), State: protocol.Running})
+		view.Tasks = append(view.Tasks, jobstate.TaskStatus{TaskID: jobstate.TaskID{Job: "job-000001", Index: 1<<16 + i}, Attempt: jobstate.AttemptID(1<<28, 1<<20), State: protocol.Running})
 	}
 	machines := viewsPerLine/(1+tasks) + 1
 	line := protocol.Encode(view)
--- a/internal/controller/waiting.go
+++ b/internal/controller/waiting.go
@@ -14,7 +14,7 @@
 // claim says whose tasks wait: an own team's, or a peer's, for which room is only kept. Both
 // fields are nil for a peer's.
 type claim struct {
-	it  *item
+	it  *shard
 	own *jobstate.Job
 }
 
@@ -37,8 +37,8 @@
 // peers' teams.
 func (n *Node) allWaiting(now time.Time) []waitingTasks {
 	var list []waitingTasks
-	for _, it := range n.items {
-		if it.phase == ready && !it.frozen && it.name != leadership.Fleet {
+	for _, it := range n.shards {
+		if it.phase == shardReady && !it.handingOver && it.name != leadership.FleetShard {
 			list = n.appendOwnWaiting(list, it, now)
 		}
 	}
@@ -46,7 +46,7 @@
 		return nil
 	}
 	for _, p := range n.peers {
-		if !p.near(now) || !p.entitled {
+		if !p.isHeard(now) || !p.entitled {
 			continue // one that lost its lease tells of work that others have taken over
 		}
 		for i := range p.demands {
@@ -57,7 +57,7 @@
 }
 
 // appendOwnWaiting adds an own team's waiting tasks.
-func (n *Node) appendOwnWaiting(list []waitingTasks, it *item, now time.Time) []waitingTasks {
+func (n *Node) appendOwnWaiting(list []waitingTasks, it *shard, now time.Time) []waitingTasks {
 	demands := it.team.Demands(now)
 	first := n.goFirst(it, demands, now)
 	for i := range demands {
@@ -70,7 +70,7 @@
 }
 
 // appendSpare adds what an own team could place where its demands find no room.
-func (n *Node) appendSpare(list []waitingTasks, it *item, now time.Time) []waitingTasks {
+func (n *Node) appendSpare(list []waitingTasks, it *shard, now time.Time) []waitingTasks {
 	from := len(list)
 	for _, d := range it.team.Spare(now) {
 		own := claim{it, it.team.Job(d.Spec.UID)}
@@ -89,7 +89,7 @@
 	if j == nil || !j.active {
 		return list
 	}
-	w := waitingTasks{claim: whose, spec: j.spec, borrowed: d.Borrowed, probe: probe, submitted: j.at}
+	w := waitingTasks{claim: whose, spec: j.spec, borrowed: d.Borrowed, probe: probe, submitted: j.submittedAt}
 	n.setUrgency(&w, j, now)
 	first := max(0, min(d.First, d.Count))
 	if first > 0 {
@@ -113,7 +113,7 @@
 	} else if w.late {
 		w.lost = true
 	}
-	if by, ok := n.promptly(j.at, now); ok && !w.borrowed && by.Before(w.latest) {
+	if by, ok := n.promptly(j.submittedAt, now); ok && !w.borrowed && by.Before(w.latest) {
 		w.latest, w.late = by, false
 	}
 	if canStart && j.spec.Kind == protocol.Gang && startBy.Before(w.latest) {
--- a/internal/controller/writeback.go
+++ b/internal/controller/writeback.go
@@ -38,13 +38,13 @@
 
 // remember takes down the finished tasks that this controller knows as owner or backup.
 func (n *Node) remember() {
-	old := n.store.done
-	n.store.done = nil
+	old := n.recovery.done
+	n.recovery.done = nil
 	n.learnDone(old)
-	for _, it := range n.items {
+	for _, it := range n.shards {
 		n.learnDone(it.team.Replica().Done)
 	}
-	for _, b := range n.backups {
+	for _, b := range n.replicas {
 		if b.rep != nil {
 			n.learnDone(b.rep.Done)
 		}
@@ -56,31 +56,31 @@
 	if !n.trusted() || n.record == nil {
 		return
 	}
-	if len(n.store.unknown) > 1000 {
-		clear(n.store.unknown) // only spares looking the same job up again
+	if len(n.recovery.unknown) > 1000 {
+		clear(n.recovery.unknown) // only spares looking the same job up again
 	}
-	if len(n.store.tentative) > 0 {
-		maps.DeleteFunc(n.store.tentative, func(_ string, t tentativeJob) bool { return now.Sub(t.at) > tentativeFor })
+	if len(n.recovery.tentative) > 0 {
+		maps.DeleteFunc(n.recovery.tentative, func(_ string, t tentativeJob) bool { return now.Sub(t.at) > tentativeFor })
 	}
-	if now.Sub(n.store.told) > recallEvery && (n.store.gather != nil || !n.introduced(now)) {
-		n.store.told = now
+	if now.Sub(n.recovery.told) > recallEvery && (n.recovery.gather != nil || !n.introduced(now)) {
+		n.recovery.told = now
 		n.recall(true, slices.Sorted(maps.Keys(n.peers))...)
 	}
-	if n.generation() <= 1 || !n.entitled(now) || !n.gathered(now) || now.Sub(n.store.wrote) < writeEvery {
+	if n.generation() <= 1 || !n.entitled(now) || !n.gathered(now) || now.Sub(n.recovery.wrote) < writeEvery {
 		return
 	}
-	n.store.wrote = now
+	n.recovery.wrote = now
 	n.writeBack(now)
 	n.writeBackConfig()
-	if n.items[leadership.Fleet] != nil && !n.store.sealed && !n.store.sealing {
-		n.store.sealing = true
+	if n.shards[leadership.FleetShard] != nil && !n.recovery.sealed && !n.recovery.sealing {
+		n.recovery.sealing = true
 		generation := n.generation()
 		n.group.Go(func() error {
 			ok := n.seal(n.ctx)
 			n.mu.Lock()
 			defer n.mu.Unlock()
-			n.store.sealing = false
-			n.store.sealed = ok && generation == n.generation()
+			n.recovery.sealing = false
+			n.recovery.sealed = ok && generation == n.generation()
 			return nil
 		})
 	}
@@ -91,42 +91,42 @@
 func (n *Node) writeBack(now time.Time) {
 	var jobs []datarecovery.Unwritten
 	for uid, j := range n.jobs {
-		if it := n.items[teamItem(j.spec.Team)]; j.active && j.version == 0 && it != nil && it.phase == ready && !n.store.writing[uid] {
-			jobs = append(jobs, datarecovery.Unwritten{Spec: j.spec, At: j.at.UnixMilli()})
+		if it := n.shards[teamShard(j.spec.Team)]; j.active && j.version == 0 && it != nil && it.phase == shardReady && !n.recovery.writing[uid] {
+			jobs = append(jobs, datarecovery.Unwritten{Spec: j.spec, At: j.submittedAt.UnixMilli()})
 		}
 	}
 	datarecovery.Order(jobs)
-	most := 2 * n.set.Deployment.State.TxnOps
+	most := 2 * n.settings.Deployment.State.TxnOps
 	for _, u := range jobs {
-		if len(n.store.writing) >= most {
+		if len(n.recovery.writing) >= most {
 			return
 		}
 		uid := u.Spec.UID
-		n.store.writing[uid] = true
+		n.recovery.writing[uid] = true
 		n.group.Go(func() error {
 			n.writeJob(n.ctx, userapi.Stored{Spec: u.Spec, At: u.At})
 			return nil
 		})
 	}
-	for uid, b := range n.store.bury {
+	for uid, b := range n.recovery.bury {
 		j := n.jobs[uid]
-		if j == nil || now.Sub(b.seen) < buryAfter || n.items[teamItem(j.spec.Team)] == nil || n.store.writing[uid] || len(n.store.writing) >= most {
+		if j == nil || now.Sub(b.seen) < buryAfter || n.shards[teamShard(j.spec.Team)] == nil || n.recovery.writing[uid] || len(n.recovery.writing) >= most {
 			continue
 		}
 		final, ended := n.front.Final(uid)
 		if !ended {
-			delete(n.store.bury, uid)
+			delete(n.recovery.bury, uid)
 			continue
 		}
-		n.store.writing[uid] = true
+		n.recovery.writing[uid] = true
 		n.group.Go(func() error {
-			_, err := n.state.Commit(n.ctx, kvstore.Update{Guards: []protocol.Guard{{Key: userapi.JobKey + uid, Version: b.version}},
+			_, err := n.kvStore.Commit(n.ctx, kvstore.Update{Guards: []protocol.Condition{{Key: userapi.JobKey + uid, Version: b.version}},
 				Ops: []protocol.Op{{Delete: userapi.JobKey + uid}, {Set: userapi.FinalKey + uid, Value: protocol.Encode(final)}}})
 			n.mu.Lock()
 			defer n.mu.Unlock()
-			delete(n.store.writing, uid)
+			delete(n.recovery.writing, uid)
 			if err == nil || errors.Is(err, kvstore.ErrConflict) {
-				delete(n.store.bury, uid)
+				delete(n.recovery.bury, uid)
 			}
 			return nil
 		})
@@ -135,8 +135,8 @@
 
 func (n *Node) writeJob(ctx context.Context, s userapi.Stored) {
 	uid := s.Spec.UID
-	version, err := n.state.Commit(ctx, kvstore.Update{
-		Guards: []protocol.Guard{{Key: userapi.JobKey + uid}, {Key: userapi.FinalKey + uid}},
+	version, err := n.kvStore.Commit(ctx, kvstore.Update{
+		Guards: []protocol.Condition{{Key: userapi.JobKey + uid}, {Key: userapi.FinalKey + uid}},
 		Ops:    []protocol.Op{{Set: userapi.JobKey + uid, Value: protocol.Encode(s)}}})
 	if errors.Is(err, kvstore.ErrConflict) {
 		// Its end, if that is why; else the watch tells its version. No watch tells the
@@ -149,7 +149,7 @@
 	}
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	delete(n.store.writing, uid)
+	delete(n.recovery.writing, uid)
 	if err == nil {
 		n.learnJob(s, version)
 	}
@@ -157,7 +157,7 @@
 
 // seal writes the ends that are remembered to pages, as far as they are not on any.
 func (n *Node) seal(ctx context.Context) bool {
-	entries, _, err := n.state.List(ctx, datarecovery.EndsKey)
+	entries, _, err := n.kvStore.List(ctx, datarecovery.EndsKey)
 	if err != nil {
 		return false
 	}
@@ -179,10 +179,10 @@
 	if err != nil {
 		return false
 	}
-	pages := datarecovery.Pages(left, valueRoom(n.set.Deployment.State)-64)
+	pages := datarecovery.Pages(left, valueRoom(n.settings.Deployment.State)-64)
 	for _, p := range pages {
 		key := datarecovery.EndsKey + strconv.Itoa(next)
-		if _, err := n.state.Commit(ctx, kvstore.Update{Later: true, Guards: []protocol.Guard{{Key: key}}, Ops: []protocol.Op{{Set: key, Value: protocol.Encode(p)}}}); err != nil {
+		if _, err := n.kvStore.Commit(ctx, kvstore.Update{Later: true, Guards: []protocol.Condition{{Key: key}}, Ops: []protocol.Op{{Set: key, Value: protocol.Encode(p)}}}); err != nil {
 			return false // looked at again from the start
 		}
 		next++
@@ -198,12 +198,12 @@
 		n.mu.Lock()
 		// Before the first record nothing ever ended, but it can't be said yet of which generation what is
 		// read is: processes that were quicker than the first record counted their memory as in part for good.
-		ready := n.listed && n.trusted() && n.record != nil
+		ready := n.watchedKeysRead && n.trusted() && n.record != nil
 		n.mu.Unlock()
 		var entries []protocol.Entry
 		err := error(nil)
 		if ready {
-			entries, more, err = n.state.Page(ctx, userapi.FinalKey, after)
+			entries, more, err = n.kvStore.Page(ctx, userapi.FinalKey, after)
 		}
 		if !ready || err != nil {
 			more = true
@@ -228,8 +228,8 @@
 		}
 	}
 	n.mu.Lock()
-	n.store.read = true
-	n.store.whole = n.store.proof == "" && n.record != nil && !n.record.Lost
+	n.recovery.read = true
+	n.recovery.whole = n.recovery.proof == "" && n.record != nil && !n.record.DataLost
 	n.mu.Unlock()
 	<-ctx.Done()
 	return nil
@@ -256,22 +256,22 @@
 // learnDone takes in finished tasks that were remembered elsewhere, of jobs that may be
 // known only later.
 func (n *Node) learnDone(done map[string]*bitset.BitSet) {
-	if n.store.done == nil {
-		n.store.done = map[string]*bitset.BitSet{}
+	if n.recovery.done == nil {
+		n.recovery.done = map[string]*bitset.BitSet{}
 	}
 	for uid, d := range done {
 		j := n.jobs[uid]
 		if d == nil || n.ended(uid) || j != nil && (!j.active || j.spec.Kind == protocol.Service) {
 			continue
 		}
-		if n.store.done[uid] == nil {
-			n.store.done[uid] = bitset.New(0)
+		if n.recovery.done[uid] == nil {
+			n.recovery.done[uid] = bitset.New(0)
 		}
-		n.store.done[uid].InPlaceUnion(d)
+		n.recovery.done[uid].InPlaceUnion(d)
 		if j == nil {
 			continue
 		}
-		if it := n.items[teamItem(j.spec.Team)]; it != nil && it.phase != loading {
+		if it := n.shards[teamShard(j.spec.Team)]; it != nil && it.phase != shardLoading {
 			it.team.Merge(uid, d)
 		}
 	}
@@ -283,9 +283,9 @@
 func (n *Node) takeCensus(ctx context.Context) error {
 	for pause(ctx, 200*time.Millisecond) {
 		n.mu.Lock()
-		entered := n.store.entered
-		due := n.record != nil && n.record.Census && n.store.census == nil && n.trusted() &&
-			time.Since(entered) > settings.Seconds(2*n.set.Deployment.Cloud.ListLag)
+		entered := n.recovery.entered
+		due := n.record != nil && n.record.RosterIncomplete && n.recovery.census == nil && n.trusted() &&
+			time.Since(entered) > settings.Seconds(2*n.settings.Deployment.Cloud.ListLag)
 		n.mu.Unlock()
 		if !due {
 			continue
@@ -296,7 +296,7 @@
 			continue
 		}
 		n.mu.Lock()
-		if n.store.entered.Equal(entered) {
+		if n.recovery.entered.Equal(entered) {
 			n.counted(hosts)
 		}
 		n.mu.Unlock()
@@ -307,27 +307,27 @@
 // counted takes in the census. A machine that is still booting in a list that old has run
 // nothing before the loss.
 func (n *Node) counted(hosts []protocol.Host) {
-	n.store.census = map[string]bool{}
+	n.recovery.census = map[string]bool{}
 	addrs := map[string]protocol.Host{}
 	for _, h := range hosts {
 		if h.State == protocol.HostBooting || n.machine(h.UID).gone {
 			continue
 		}
-		n.store.census[h.UID] = true
+		n.recovery.census[h.UID] = true
 		addrs[h.UID] = h
-		if n.items[leadership.Fleet] != nil && !n.roster.Has(h.UID) {
-			n.enrolling[h.UID] = true
+		if n.shards[leadership.FleetShard] != nil && !n.roster.Has(h.UID) {
+			n.unregistered[h.UID] = true
 		}
 	}
 	awaited := map[string]bool{}
-	for _, it := range n.items {
-		if it.phase == barrier && it.blind {
-			maps.Copy(it.await, n.store.census)
+	for _, it := range n.shards {
+		if it.phase == shardBarrier && it.needsBarrier {
+			maps.Copy(it.awaitedMachines, n.recovery.census)
 			n.passBarrier(it)
-			maps.Copy(awaited, it.await)
+			maps.Copy(awaited, it.awaitedMachines)
 		}
 	}
-	n.log.Info("machines counted", "listed", len(n.store.census), "remembered", len(n.store.names), "awaited", len(awaited))
+	n.log.Info("machines counted", "listed", len(n.recovery.census), "remembered", len(n.recovery.names), "awaited", len(awaited))
 	n.probeAwaited(addrs, awaited)
 	n.wake()
 }
@@ -335,13 +335,13 @@
 // rosterWhole says whether every machine that may run something from before the loss is
 // on the roster again.
 func (n *Node) rosterWhole() bool {
-	if n.store.census == nil {
+	if n.recovery.census == nil {
 		return false
 	}
-	for _, names := range []map[string]bool{n.store.census, n.store.names} {
+	for _, names := range []map[string]bool{n.recovery.census, n.recovery.names} {
 		for name := range names {
 			if m := n.machines[name]; !n.roster.Has(name) && (m == nil || !m.gone) {
-				n.enrolling[name] = true
+				n.unregistered[name] = true
 				return false
 			}
 		}
@@ -352,23 +352,23 @@
 // undescribed says whether a machine runs a task from before a loss of a job that nobody can
 // describe. Nothing is placed beside it, since nobody knows what it takes; that stays so
 // when the search for what was lost has been given up.
-func (n *Node) undescribed(v *jobstate.View) bool {
+func (n *Node) undescribed(v *jobstate.MachineStatus) bool {
 	if n.generation() <= 1 {
 		return false
 	}
-	return slices.ContainsFunc(v.Tasks, func(t jobstate.TaskView) bool {
-		return t.State != protocol.Exited && n.jobs[t.Job] == nil && jobstate.TermOf(t.Attempt) < n.record.First
+	return slices.ContainsFunc(v.Tasks, func(t jobstate.TaskStatus) bool {
+		return t.State != protocol.Exited && n.jobs[t.Job] == nil && jobstate.TermOf(t.Attempt) < n.record.FirstTerm
 	})
 }
 
 func (n *Node) storeStatus() datarecovery.Status {
-	phase, _, sign := n.store.watch.Phase()
-	signs, losses := n.store.watch.Counts()
-	o := datarecovery.Status{Phase: phase.String(), Sign: sign, Generation: n.generation(), Unburied: len(n.store.bury), Ends: n.front.Ends(),
-		Whole: n.store.whole, Alone: n.store.alone, Signs: signs, Losses: losses}
+	phase, _, sign := n.recovery.watch.Phase()
+	signs, losses := n.recovery.watch.Counts()
+	o := datarecovery.Status{Phase: phase.String(), Sign: sign, Generation: n.generation(), Unburied: len(n.recovery.bury), Ends: n.front.Ends(),
+		Whole: n.recovery.whole, Alone: n.recovery.alone, Signs: signs, Losses: losses}
 	if n.record != nil {
-		o.Lost, o.Census = n.record.Lost, n.record.Census
-		o.Gathering = n.store.gather.Left()
+		o.Lost, o.Census = n.record.DataLost, n.record.RosterIncomplete
+		o.Gathering = n.recovery.gather.Left()
 	}
 	for _, j := range n.jobs {
 		if j.active && j.version == 0 {
@@ -376,10 +376,10 @@
 		}
 	}
 	for _, m := range n.machines {
-		if m.gone || m.view == nil || !n.undescribed(m.view) || len(o.Undescribed) >= 100 {
+		if m.gone || m.status == nil || !n.undescribed(m.status) || len(o.Undescribed) >= 100 {
 			continue
 		}
-		for _, t := range m.view.Tasks {
+		for _, t := range m.status.Tasks {
 			if n.jobs[t.Job] == nil && t.State != protocol.Exited && !slices.Contains(o.Undescribed, t.Job) {
 				o.Undescribed = append(o.Undescribed, t.Job)
 			}
--- a/internal/datarecovery/model_test.go
+++ b/internal/datarecovery/model_test.go
@@ -156,13 +156,13 @@
 		all[k] = v
 	}
 	if w.g.fence && n.rec != nil {
-		all[StoreKey+n.rec.Store] = n.marker
+		all[StoreKey+n.rec.StoreID] = n.marker
 	}
 	failed := w.s.txn(all, sets)
 	if w.seenBack(n) {
 		return false
 	}
-	if n.rec != nil && slices.Contains(failed, StoreKey+n.rec.Store) {
+	if n.rec != nil && slices.Contains(failed, StoreKey+n.rec.StoreID) {
 		n.w.Sign("fence", w.now)
 	}
 	return failed == nil
@@ -172,7 +172,7 @@
 	if n.rec == nil {
 		return 0
 	}
-	return n.rec.Generation
+	return n.rec.Epoch
 }
 
 func (n *node) word() Word {
@@ -220,42 +220,42 @@
 
 // adopt takes up a record, and the item if it names this node.
 func (w *world) adopt(n *node, r *leadership.Record, version uint64) {
-	next := n.rec == nil || n.rec.Generation != r.Generation
+	next := n.rec == nil || n.rec.Epoch != r.Epoch
 	n.rec, n.version = r, version
-	n.marker = w.s.keys[StoreKey+r.Store].version
+	n.marker = w.s.keys[StoreKey+r.StoreID].version
 	if next {
-		n.w.Entered(r.Generation, w.now)
-		if r.Generation > 1 && w.g.gather {
+		n.w.Entered(r.Epoch, w.now)
+		if r.Epoch > 1 && w.g.gather {
 			var members []string
 			for m := range r.Nodes {
 				if m != n.name {
 					members = append(members, m)
 				}
 			}
-			n.gather = NewGather(r.Generation, members)
+			n.gather = NewGather(r.Epoch, members)
 		}
 	}
-	it := r.Items[theTeam]
+	it := r.Shards[theTeam]
 	if it.Owner != n.name || r.Nodes[n.name] != n.inc {
 		n.held, n.ready, n.since = nil, false, 0
-	} else if n.since != it.Since {
-		if it.Blind || n.held == nil {
+	} else if n.since != it.SinceTerm {
+		if it.NeedsBarrier || n.held == nil {
 			n.held = map[string]int{}
 			n.heard, n.views = map[int]bool{}, map[int][]string{}
 		} else {
 			n.heard = nil // nothing to wait for
 		}
-		n.since, n.ready = it.Since, false
+		n.since, n.ready = it.SinceTerm, false
 	}
 }
 
 // list reads all that is followed, and enters a generation if it is a later one.
 func (w *world) list(n *node) {
 	r, version := w.stored()
-	if r != nil && r.Generation > n.generation() && w.s.keys[StoreKey+r.Store].version == 0 {
+	if r != nil && r.Epoch > n.generation() && w.s.keys[StoreKey+r.StoreID].version == 0 {
 		return
 	}
-	if n.rec == nil || r != nil && r.Generation > n.generation() {
+	if n.rec == nil || r != nil && r.Epoch > n.generation() {
 		n.proof = false
 		n.seen, n.listed, n.live = w.s.revision, true, w.alive()
 		for _, uid := range sorted(n.jobs) {
@@ -279,7 +279,7 @@
 				w.learn(n, uid, c.version)
 			}
 		}
-		n.whole = r == nil || !r.Lost
+		n.whole = r == nil || !r.DataLost
 		return
 	}
 	for _, x := range n.w.Words(w.now) {
@@ -323,10 +323,10 @@
 	if !n.known() || w.seenBack(n) {
 		return
 	}
-	if r, version := w.stored(); r != nil && r.Generation > n.generation() && n.rec != nil {
-		n.w.Newer(r.Generation)
+	if r, version := w.stored(); r != nil && r.Epoch > n.generation() && n.rec != nil {
+		n.w.Newer(r.Epoch)
 		return
-	} else if r != nil && n.rec != nil && (r.Generation < n.rec.Generation || r.Term < n.rec.Term) {
+	} else if r != nil && n.rec != nil && (r.Epoch < n.rec.Epoch || r.Term < n.rec.Term) {
 		n.w.Sign("the record is older than the one known", w.now)
 		return
 	} else if r != nil && version > n.version {
@@ -353,7 +353,7 @@
 		return Bad
 	}
 	r, _ := w.stored()
-	if n.rec != nil && (r == nil || r.Term < n.rec.Term || w.s.keys[StoreKey+n.rec.Store].version != n.marker) {
+	if n.rec != nil && (r == nil || r.Term < n.rec.Term || w.s.keys[StoreKey+n.rec.StoreID].version != n.marker) {
 		return Bad
 	}
 	for _, uid := range sorted(n.jobs) {
@@ -457,17 +457,17 @@
 		Words: n.w.Words(w.now), Own: n.word(), Store: fmt.Sprint("s", w.rng.Uint64())}
 	next := e.Generation()
 	if !w.g.above {
-		next.Record.Term, next.Record.First = 1, 1
-		it := next.Record.Items[theTeam]
-		it.Since = 1
-		next.Record.Items[theTeam] = it
+		next.Record.Term, next.Record.FirstTerm = 1, 1
+		it := next.Record.Shards[theTeam]
+		it.SinceTerm = 1
+		next.Record.Shards[theTeam] = it
 	}
 	if !w.g.kept {
-		it := next.Record.Items[theTeam]
-		it.Blind = false
-		next.Record.Items[theTeam] = it
+		it := next.Record.Shards[theTeam]
+		it.NeedsBarrier = false
+		next.Record.Shards[theTeam] = it
 	}
-	sets := map[string]string{"w/c": encode(next.Record), StoreKey + next.Record.Store: "{}"}
+	sets := map[string]string{"w/c": encode(next.Record), StoreKey + next.Record.StoreID: "{}"}
 	gs := map[string]uint64{"w/c": version}
 	for _, k := range sorted(w.s.keys) {
 		c := w.s.keys[k]
@@ -493,18 +493,18 @@
 	if next == nil {
 		return
 	}
-	it := next.Items[theTeam]
-	if it.Since == next.Term && !first {
-		it.Blind = true // the model has no backups in sync
-		next.Items[theTeam] = it
+	it := next.Shards[theTeam]
+	if it.SinceTerm == next.Term && !first {
+		it.NeedsBarrier = true // the model has no backups in sync
+		next.Shards[theTeam] = it
 	}
 	gs, sets := map[string]uint64{"w/c": version}, map[string]string{}
 	for _, c := range conds {
 		gs["w/n/"+c.Node] = c.Version
 	}
 	if first {
-		next.Generation, next.First, next.Store = 1, next.Term, fmt.Sprint("s", w.rng.Uint64())
-		sets[StoreKey+next.Store] = "{}"
+		next.Epoch, next.FirstTerm, next.StoreID = 1, next.Term, fmt.Sprint("s", w.rng.Uint64())
+		sets[StoreKey+next.StoreID] = "{}"
 	}
 	sets["w/c"] = encode(next)
 	if w.commit(n, gs, sets) {
@@ -514,7 +514,7 @@
 
 // own is the owner's work: the barrier, starts, ends, and writing back.
 func (w *world) own(n *node) {
-	if n.rec == nil || n.rec.Items[theTeam].Owner != n.name || n.rec.Nodes[n.name] != n.inc || n.held == nil {
+	if n.rec == nil || n.rec.Shards[theTeam].Owner != n.name || n.rec.Nodes[n.name] != n.inc || n.held == nil {
 		return
 	}
 	m := w.rng.IntN(len(w.machines))
@@ -651,7 +651,7 @@
 			w.say(uid, c.value)
 		case active || slices.Contains(sorted(n.jobs), uid):
 			w.say(uid, "active")
-		case !active && n.gather == nil && n.rec != nil && !n.rec.Lost && w.now.Sub(n.born) > 10*time.Second:
+		case !active && n.gather == nil && n.rec != nil && !n.rec.DataLost && w.now.Sub(n.born) > 10*time.Second:
 			w.fail("%s, which was told to be %s, is unknown to %s", uid, w.acked[uid], n.name)
 		}
 	}
--- a/internal/datarecovery/next.go
+++ b/internal/datarecovery/next.go
@@ -38,45 +38,45 @@
 	if e.Record != nil {
 		base = e.Record.Clone()
 	}
-	top, generation := max(base.Term, e.Token), base.Generation
+	top, generation := max(base.Term, e.Token), base.Epoch
 	whole := e.Own.Whole
 	if e.Stored != nil {
-		top, generation = max(top, e.Stored.Term), max(generation, e.Stored.Generation)
+		top, generation = max(top, e.Stored.Term), max(generation, e.Stored.Epoch)
 	}
 	for _, w := range e.Words {
 		top, generation = max(top, w.Term), max(generation, w.Generation)
-		whole = whole || (w.Whole && w.Doubt && w.Generation == base.Generation)
+		whole = whole || (w.Whole && w.Doubt && w.Generation == base.Epoch)
 	}
 	kept := whole && e.Record != nil && !e.Unsure && (e.Stored == nil || e.Stored.Term <= base.Term)
 	for _, name := range e.Nodes {
 		inc := e.Own.Incarnation
 		if name != e.Self {
 			w, heard := e.Words[name]
-			kept = kept && heard && w.Generation == base.Generation && w.Term == base.Term
+			kept = kept && heard && w.Generation == base.Epoch && w.Term == base.Term
 			inc = w.Incarnation
 		}
 		kept = kept && base.Nodes[name] == inc && e.Live[name].Incarnation == inc
 	}
-	r := (&leadership.Record{Term: top + 1, First: top + 1, Generation: generation + 1, Store: e.Store, Census: true}).Clone()
-	r.Lost = base.Lost || !whole
+	r := (&leadership.Record{Term: top + 1, FirstTerm: top + 1, Epoch: generation + 1, StoreID: e.Store, RosterIncomplete: true}).Clone()
+	r.DataLost = base.DataLost || !whole
 	if e.Stored != nil {
-		r.Lost = r.Lost || e.Stored.Lost
+		r.DataLost = r.DataLost || e.Stored.DataLost
 	}
 	for name, p := range e.Live {
 		r.Nodes[name] = p.Incarnation
-		if slices.Contains(base.Deaf, name) {
-			r.Deaf = append(r.Deaf, name)
+		if slices.Contains(base.Unreachable, name) {
+			r.Unreachable = append(r.Unreachable, name)
 		}
 	}
-	slices.Sort(r.Deaf)
-	wish := leadership.Placement(e.Items, r.Members())
+	slices.Sort(r.Unreachable)
+	wish := leadership.AssignOwners(e.Items, r.Members())
 	for _, name := range e.Items {
-		old := base.Items[name]
-		it := leadership.Item{Owner: old.Owner, Since: r.Term, Blind: !kept || old.Blind}
+		old := base.Shards[name]
+		it := leadership.Shard{Owner: old.Owner, SinceTerm: r.Term, NeedsBarrier: !kept || old.NeedsBarrier}
 		if _, there := r.Nodes[it.Owner]; !there {
-			it.Owner, it.Blind = wish[name], true
+			it.Owner, it.NeedsBarrier = wish[name], true
 		}
-		r.Items[name] = it
+		r.Shards[name] = it
 	}
 	return Next{Record: r, Kept: kept}
 }
@@ -85,10 +85,10 @@
 // a copy was waited for as long as the operators said; nil if it goes on. 0 is no bound:
 // then only their word ends it.
 func GiveUp(r *leadership.Record, waited, most time.Duration) *leadership.Record {
-	if !r.Lost || most <= 0 || waited < most {
+	if !r.DataLost || most <= 0 || waited < most {
 		return nil
 	}
 	next := r.Clone()
-	next.Lost = false
+	next.DataLost = false
 	return next
 }
--- a/internal/faultinjection/loss.go
+++ b/internal/faultinjection/loss.go
@@ -74,7 +74,7 @@
 
 // array is a job of small tasks, of the one team and the other in turn.
 func array(number, tasks int) *protocol.Submission {
-	return &protocol.Submission{UID: fmt.Sprintf("job-%06d", number), Class: "c", Team: []string{"red", "blue"}[number%2], Kind: protocol.Batch, Priority: "standard",
+	return &protocol.Submission{UID: fmt.Sprintf("job-%06d", number), Class: "c", Team: []string{"red", "blue"}[number%2], Kind: protocol.JobArray, Priority: "standard",
 		Tasks: tasks, CPUs: 2, Memory: 4, Image: "img", Estimate: 1, Spot: true}
 }
 
@@ -467,7 +467,7 @@
 			return err
 		}
 	}
-	return g.reaches(ctx, gone.UID, protocol.Withdrawn)
+	return g.reaches(ctx, gone.UID, protocol.Cancelled)
 }
 
 func (g *lossRegion) lose(ctx context.Context, t *LossTrial, saved simulation.Saved) error {
--- a/internal/faultinjection/overload.go
+++ b/internal/faultinjection/overload.go
@@ -113,7 +113,7 @@
 	var mu sync.Mutex
 	users, failed := sync.WaitGroup{}, make(chan error, 1)
 	hand := func(class string) {
-		s := &protocol.Submission{UID: fmt.Sprintf("job-%06d", len(jobs)+1), Class: class, Team: []string{"red", "blue"}[len(jobs)%2], Kind: protocol.Batch, Priority: "high",
+		s := &protocol.Submission{UID: fmt.Sprintf("job-%06d", len(jobs)+1), Class: class, Team: []string{"red", "blue"}[len(jobs)%2], Kind: protocol.JobArray, Priority: "high",
 			Tasks: 12, CPUs: 1, Memory: 1, Image: "img", Estimate: 2, Spot: true}
 		if class == large {
 			s.Priority, s.Tasks, s.CPUs, s.Estimate = "standard", 6, 6, 3
--- a/internal/faultinjection/troubles.go
+++ b/internal/faultinjection/troubles.go
@@ -86,7 +86,7 @@
 	{"late commands", func(ctx context.Context, g *lossRegion, rng *rand.Rand, _ int, lasts time.Duration) error {
 		drawn, held := oneInTurn(rng, 2), time.Duration(500+rng.IntN(5000))*time.Millisecond
 		for _, w := range g.cloud.Workers() {
-			w.SlowCommands(func(*protocol.Direct) time.Duration {
+			w.SlowCommands(func(*protocol.DirectCommands) time.Duration {
 				if drawn() {
 					return held
 				}
--- a/internal/history/check.go
+++ b/internal/history/check.go
@@ -60,7 +60,7 @@
 		return silent
 	case refused:
 		return unknown
-	case success && (c.State == protocol.Done || c.State == protocol.Withdrawn):
+	case success && (c.State == protocol.Done || c.State == protocol.Cancelled):
 		return final
 	case success:
 		return active
@@ -163,7 +163,7 @@
 		return broken(WentBack, before)
 	case l == final && ended.Invoked > 0 && ended.State != c.State:
 		return broken(WentBack, ended)
-	case l == final && c.State == protocol.Withdrawn && !now.cancelled:
+	case l == final && c.State == protocol.Cancelled && !now.cancelled:
 		return broken(WentBack, Call{})
 	case l == active && c.Kind == Cancel:
 		return broken(Unsettled, Call{})
--- a/internal/history/history_test.go
+++ b/internal/history/history_test.go
@@ -25,7 +25,7 @@
 
 func isKnown(c Call) bool { return c.Returned > 0 && (c.Status == 200 || c.Status == 201) }
 func isFinal(c Call) bool {
-	return isKnown(c) && (c.State == protocol.Done || c.State == protocol.Withdrawn)
+	return isKnown(c) && (c.State == protocol.Done || c.State == protocol.Cancelled)
 }
 func isActive(c Call) bool { return isKnown(c) && !isFinal(c) }
 func isUnknown(c Call) bool {
@@ -48,7 +48,7 @@
 		return WentBack
 	case isFinal(c) && slowFirstFinal(c, calls) != c.State:
 		return WentBack
-	case isFinal(c) && c.State == protocol.Withdrawn && !some(func(o Call) bool { return o.Kind == Cancel && o.Invoked < c.Returned }):
+	case isFinal(c) && c.State == protocol.Cancelled && !some(func(o Call) bool { return o.Kind == Cancel && o.Invoked < c.Returned }):
 		return WentBack
 	case isActive(c) && c.Kind == Cancel:
 		return Unsettled
@@ -74,7 +74,7 @@
 	var log Log
 	var open []int
 	statuses := []int{200, 200, 200, 201, 404, 422, 503}
-	states := []string{protocol.Pending, protocol.Running, protocol.Done, protocol.Withdrawn}
+	states := []string{protocol.Pending, protocol.Running, protocol.Done, protocol.Cancelled}
 	for range 2 + rng.IntN(24) {
 		if len(open) > 0 && rng.IntN(2) == 0 {
 			k := rng.IntN(len(open))
@@ -141,14 +141,14 @@
 // TestOlderAnswersOfOtherNodes: each kind of older answer is found, whichever controller gives it.
 func TestOlderAnswersOfOtherNodes(t *testing.T) {
 	accepted := Call{Node: 0, Kind: Submit, Status: 201, State: protocol.Pending}
-	cancelled := Call{Node: 1, Kind: Cancel, Status: 200, State: protocol.Withdrawn}
+	cancelled := Call{Node: 1, Kind: Cancel, Status: 200, State: protocol.Cancelled}
 	for rule, calls := range map[string][]Call{
 		Forgotten:     record(accepted, Call{Node: 1, Kind: Ask, Status: 404}),
 		WentBack:      record(accepted, cancelled, Call{Node: 2, Kind: Ask, Status: 200, State: protocol.Running}),
 		AcceptedTwice: record(accepted, Call{Node: 1, Kind: Submit, Status: 201, State: protocol.Pending}),
 		Invented:      record(Call{Node: 1, Kind: Ask, Status: 200, State: protocol.Pending}),
 		Unsettled:     record(accepted, Call{Node: 1, Kind: Cancel, Status: 200, State: protocol.Running}),
-		"":            record(accepted, Call{Node: 1, Kind: Ask, Status: 503}, cancelled, Call{Node: 2, Kind: Submit, Status: 200, State: protocol.Withdrawn}),
+		"":            record(accepted, Call{Node: 1, Kind: Ask, Status: 503}, cancelled, Call{Node: 2, Kind: Submit, Status: 200, State: protocol.Cancelled}),
 	} {
 		found := Check(calls)
 		if rule == "" && len(found) > 0 || rule != "" && (len(found) != 1 || found[0].Rule != rule) {
--- a/internal/jobstate/book.go
+++ b/internal/jobstate/book.go
@@ -16,7 +16,7 @@
 // one key in the state service, so that many jobs share one change. A page is
 // always written whole: with what is known of every active job that has a part
 // on it.
-type Book struct {
+type PageSet struct {
 	room  int // bytes of a page
 	bits  int // tasks of one part
 	pages map[int]*page
@@ -43,21 +43,21 @@
 }
 
 // NewBook is an empty book whose pages may take so many bytes.
-func NewBook(room int) *Book {
+func NewPageSet(room int) *PageSet {
 	// Half a page in binary is two thirds of one in base64.
-	return &Book{room: room, bits: room / 2 * 8 / 64 * 64, pages: map[int]*page{}, at: map[part]int{}}
+	return &PageSet{room: room, bits: room / 2 * 8 / 64 * 64, pages: map[int]*page{}, at: map[part]int{}}
 }
 
 // size bounds what a part takes on its page: name, length and words in base64,
 // quotes and punctuation.
-func (b *Book) size(p part, tasks int) int {
+func (b *PageSet) size(p part, tasks int) int {
 	bits := min(b.bits, tasks-p.number*b.bits)
 	return len(p.job) + 14 + base64.StdEncoding.EncodedLen(8+(bits+63)/64*8)
 }
 
 // Read takes in a page as found in the state service and adds its finished tasks
 // to those given by job. tasks tells the size of an active job, 0 for others.
-func (b *Book) Read(number int, version uint64, parts map[string]string, tasks func(job string) int, into map[string]*bitset.BitSet) error {
+func (b *PageSet) Read(number int, version uint64, parts map[string]string, tasks func(job string) int, into map[string]*bitset.BitSet) error {
 	pg := &page{version: version, used: 2}
 	b.pages[number] = pg
 	return readParts(parts, b.bits, tasks, into, func(p part, count int) {
@@ -116,7 +116,7 @@
 // Plan gives the pages to write for jobs whose finished tasks the state service
 // does not know yet. find gives the size of an active job and its finished
 // tasks; parts of others leave the book.
-func (b *Book) Plan(unsaved []*Job, find func(job string) (tasks int, done *bitset.BitSet)) []Page {
+func (b *PageSet) Plan(unsaved []*Job, find func(job string) (tasks int, done *bitset.BitSet)) []Page {
 	dirty := map[int]bool{}
 	b.sweep(find)
 	for _, j := range unsaved {
@@ -161,7 +161,7 @@
 
 // sweep takes the parts of jobs that are over off the book. They vanish from
 // the state service when their page is written next.
-func (b *Book) sweep(find func(job string) (int, *bitset.BitSet)) {
+func (b *PageSet) sweep(find func(job string) (int, *bitset.BitSet)) {
 	for _, pg := range b.pages {
 		pg.used = 2
 	}
@@ -175,7 +175,7 @@
 }
 
 // place finds the page of a part, or gives it one with room.
-func (b *Book) place(p part, tasks int) int {
+func (b *PageSet) place(p part, tasks int) int {
 	if number, ok := b.at[p]; ok {
 		return number
 	}
@@ -195,7 +195,7 @@
 }
 
 // Written books the version that a page has in the state service now.
-func (b *Book) Written(number int, version uint64) {
+func (b *PageSet) Written(number int, version uint64) {
 	if pg := b.pages[number]; pg != nil {
 		pg.version = version
 	}
--- a/internal/jobstate/book_test.go
+++ b/internal/jobstate/book_test.go
@@ -23,7 +23,7 @@
 	for seed := range uint64(200) {
 		rng := rand.New(rand.NewPCG(seed, 11))
 		store, revision := map[int]value{}, uint64(0)
-		book := NewBook(room)
+		book := NewPageSet(room)
 		jobs, done, saved := map[string]*Job{}, map[string]*bitset.BitSet{}, map[string]*bitset.BitSet{}
 		find := func(uid string) (int, *bitset.BitSet) {
 			if j := jobs[uid]; j != nil {
@@ -44,7 +44,7 @@
 					}
 				}
 			case 2: // a new owner reads what there is
-				book = NewBook(room)
+				book = NewPageSet(room)
 				found := map[string]*bitset.BitSet{}
 				for number, v := range store {
 					if err := book.Read(number, v.version, v.parts, func(uid string) int { n, _ := find(uid); return n }, found); err != nil {
--- a/internal/jobstate/demand.go
+++ b/internal/jobstate/demand.go
@@ -50,7 +50,7 @@
 }
 
 // Keep has the quota leave room to classes that have less than their floors, in CPUs.
-func (t *Team) Keep(floors map[string]float64) { t.floors = floors }
+func (t *Team) SetFloors(floors map[string]float64) { t.floors = floors }
 
 // lacking is how many CPUs classes have less than their floors. If less than all of that is left of the quota, each
 // class lacks the same part of it, so that none waits for quota that another one lacks. Classes whose gangs made no use of what was
--- a/internal/jobstate/floors_test.go
+++ b/internal/jobstate/floors_test.go
@@ -22,12 +22,12 @@
 		floors, largest := map[string]float64{}, 0.0
 		for i := range 1 + rng.IntN(5) {
 			class := fmt.Sprint("c", i)
-			spec := &protocol.Submission{UID: fmt.Sprint("job-", i), Class: class, Kind: protocol.Batch, Priority: "standard", Tasks: 50, CPUs: float64(1 + rng.IntN(4)), Estimate: 30}
+			spec := &protocol.Submission{UID: fmt.Sprint("job-", i), Class: class, Kind: protocol.JobArray, Priority: "standard", Tasks: 50, CPUs: float64(1 + rng.IntN(4)), Estimate: 30}
 			team.AddJob(spec, 1, now, nil)
 			floors[class] = spec.CPUs * float64(1+rng.IntN(10))
 			largest = max(largest, spec.CPUs)
 		}
-		team.Keep(floors)
+		team.SetFloors(floors)
 		asked := 0.0
 		for _, d := range team.Demands(now) {
 			asked += float64(d.Count) * d.Spec.CPUs
--- a/internal/jobstate/gang.go
+++ b/internal/jobstate/gang.go
@@ -25,7 +25,7 @@
 }
 
 // PlaceGang makes the attempts of a gang's missing tasks, all or none.
-func (t *Team) PlaceGang(j *Job, id uint64, spots map[int]Spot) bool {
+func (t *Team) PlaceGang(j *Job, id uint64, spots map[int]Location) bool {
 	if !t.Fits(j, len(spots)) || t.counter >= 1<<termShift-1 {
 		return false
 	}
--- a/internal/jobstate/gang_test.go
+++ b/internal/jobstate/gang_test.go
@@ -7,21 +7,21 @@
 	"topazhollow/internal/protocol"
 )
 
-func gang(t *testing.T) (*model, *Job, map[int]Spot) {
+func gang(t *testing.T) (*model, *Job, map[int]Location) {
 	m := newModel(t, 3)
 	s := &protocol.Submission{UID: "job-9", Team: "team", Kind: protocol.Gang, Priority: "standard", Tasks: 3, CPUs: 2, Save: 2, Checkpoint: 5}
 	m.specs[s.UID], m.active[s.UID] = s, true
 	m.team.AddJob(s, 1, m.now, nil)
-	spots := map[int]Spot{}
+	spots := map[int]Location{}
 	for i := range s.Tasks {
-		spots[i] = Spot{fmt.Sprintf("m%d", i), "z", 1}
+		spots[i] = Location{fmt.Sprintf("m%d", i), "z", 1}
 	}
 	return m, m.team.Job(s.UID), spots
 }
 
 func listed(m *model, j *Job, id uint64, index int, state, why string) {
-	v := &View{Machine: fmt.Sprintf("m%d", index), Zone: "z", Session: 1, Token: 1}
-	v.Tasks = []TaskView{{Key: Key{j.Spec.UID, index}, Attempt: id, State: state, Why: why}}
+	v := &MachineStatus{Machine: fmt.Sprintf("m%d", index), Zone: "z", Incarnation: 1, FencingToken: 1}
+	v.Tasks = []TaskStatus{{TaskID: TaskID{j.Spec.UID, index}, Attempt: id, State: state, Why: why}}
 	m.team.Observe(v, m.now, m)
 }
 
--- a/internal/jobstate/holdback_test.go
+++ b/internal/jobstate/holdback_test.go
@@ -12,7 +12,7 @@
 func crowdedTeam(now time.Time) (team *Team, gang *Job, array *protocol.Submission) {
 	team = NewTeam("t", 0, 10, 0, math.Inf(1), NewReplica(), 1, func(string, ...any) {})
 	spec := &protocol.Submission{UID: "job-000001", Class: "gangs", Kind: protocol.Gang, Priority: "high", Tasks: 3, CPUs: 2, Estimate: 30}
-	array = &protocol.Submission{UID: "job-000002", Class: "arrays", Kind: protocol.Batch, Priority: "standard", Tasks: 50, CPUs: 1, Estimate: 30}
+	array = &protocol.Submission{UID: "job-000002", Class: "arrays", Kind: protocol.JobArray, Priority: "standard", Tasks: 50, CPUs: 1, Estimate: 30}
 	team.AddJob(spec, 1, now, nil)
 	team.AddJob(array, 1, now, nil)
 	return team, team.Job(spec.UID), array
@@ -33,7 +33,7 @@
 func TestUnusedHoldbackIsReleased(t *testing.T) {
 	now := time.Unix(1000, 0)
 	team, gang, array := crowdedTeam(now)
-	team.Keep(map[string]float64{"gangs": 8})
+	team.SetFloors(map[string]float64{"gangs": 8})
 	team.TurnHoldback(now)
 	if got := asked(team, now); !team.HoldsQuota() || got[gang.Spec.UID] != 3 || got[array.UID] > 4 {
 		t.Fatalf("at first %v tasks are asked for", got)
@@ -56,7 +56,7 @@
 	now := time.Unix(1000, 0)
 	team, _, array := crowdedTeam(now)
 	for i := range 5 {
-		if !team.Place(team.Job(array.UID), i, Spot{"m", "z", 1}) {
+		if !team.Place(team.Job(array.UID), i, Location{"m", "z", 1}) {
 			t.Fatal("the array does not start")
 		}
 	}
@@ -78,7 +78,7 @@
 	team, gang, array := crowdedTeam(now)
 	team.TurnHoldback(now)
 	now = now.Add(quotaTurn.hold - time.Second)
-	if !team.PlaceGang(gang, 0, map[int]Spot{0: {"m", "z", 1}, 1: {"m", "z", 1}, 2: {"m", "z", 1}}) {
+	if !team.PlaceGang(gang, 0, map[int]Location{0: {"m", "z", 1}, 1: {"m", "z", 1}, 2: {"m", "z", 1}}) {
 		t.Fatal("not placed")
 	}
 	next := *gang.Spec
--- a/internal/jobstate/jobstate_test.go
+++ b/internal/jobstate/jobstate_test.go
@@ -20,7 +20,7 @@
 	session uint64
 	seq     uint64
 	token   uint64
-	tasks   map[Key]TaskView
+	tasks   map[TaskID]TaskStatus
 	dead    bool
 	hung    bool // executes nothing and says nothing until it goes on
 }
@@ -58,14 +58,14 @@
 	flying   []message
 	specs    map[string]*protocol.Submission
 	active   map[string]bool
-	done     map[Key]bool
-	careless bool                    // a broken owner that believes silence
-	memory   map[string]recollection // what is known of a job that is over; zero: all
-	last     map[string]*View        // the newest view of each machine, as the owner has it
-	late     []*View                 // copies of reports that are still on their way
-	await    map[string]bool         // machines that a take-over without memory waits for; nil: none
-	since    uint64                  // the term of that take-over
-	met      map[string]bool         // what really happened in this run
+	done     map[TaskID]bool
+	careless bool                      // a broken owner that believes silence
+	memory   map[string]recollection   // what is known of a job that is over; zero: all
+	last     map[string]*MachineStatus // the newest view of each machine, as the owner has it
+	late     []*MachineStatus          // copies of reports that are still on their way
+	await    map[string]bool           // machines that a take-over without memory waits for; nil: none
+	since    uint64                    // the term of that take-over
+	met      map[string]bool           // what really happened in this run
 }
 
 // recollection is how much an owner's controller knows of a job that is over.
@@ -90,7 +90,7 @@
 }
 
 // Unsized is what a machine has beside the listed tasks of known size.
-func (m *model) Unsized(v *View) (cpus, gpus float64) {
+func (m *model) Unsized(v *MachineStatus) (cpus, gpus float64) {
 	cpus = plainCapacity
 	for _, x := range v.Tasks {
 		if job := m.Job(x.Job); job.Known && x.State != protocol.Exited && m.memory[x.Job] == whole {
@@ -100,13 +100,13 @@
 	return cpus, 0
 }
 
-func (m *model) view(w *plainWorker) *View {
+func (m *model) view(w *plainWorker) *MachineStatus {
 	w.seq++
-	v := &View{Machine: w.name, Session: w.session, Seq: w.seq, Token: w.token, Term: m.term}
+	v := &MachineStatus{Machine: w.name, Incarnation: w.session, Seq: w.seq, FencingToken: w.token, Term: m.term}
 	for _, x := range w.tasks {
 		v.Tasks = append(v.Tasks, x)
 	}
-	slices.SortFunc(v.Tasks, func(a, b TaskView) int { return int(a.Attempt) - int(b.Attempt) })
+	slices.SortFunc(v.Tasks, func(a, b TaskStatus) int { return int(a.Attempt) - int(b.Attempt) })
 	return v
 }
 
@@ -114,29 +114,29 @@
 // answers for at every start.
 func (m *model) deliver(x message) (broken string) {
 	w := x.to
-	if w.dead || x.term < w.token || x.order.Session != w.session {
+	if w.dead || x.term < w.token || x.order.Incarnation != w.session {
 		return ""
 	}
 	if x.order.Op == protocol.Start && m.used(w, false)+m.specs[x.order.Job].CPUs > plainCapacity {
-		if _, there := w.tasks[x.order.Key]; !there {
+		if _, there := w.tasks[x.order.TaskID]; !there {
 			w.token = x.term
-			w.tasks[x.order.Key] = TaskView{Key: x.order.Key, Attempt: x.order.Attempt, State: protocol.Exited, Why: protocol.WhyFull}
+			w.tasks[x.order.TaskID] = TaskStatus{TaskID: x.order.TaskID, Attempt: x.order.Attempt, State: protocol.Exited, Why: protocol.WhyFull}
 		}
 		return ""
 	}
 	w.token = x.term
-	have, there := w.tasks[x.order.Key]
+	have, there := w.tasks[x.order.TaskID]
 	switch x.order.Op {
 	case protocol.Start:
 		if there {
 			return ""
 		}
 		for _, o := range m.workers {
-			if t, ok := o.tasks[x.order.Key]; ok && !o.dead && t.State != protocol.Exited {
-				broken = fmt.Sprintf("%v on %s and %s", x.order.Key, o.name, w.name)
+			if t, ok := o.tasks[x.order.TaskID]; ok && !o.dead && t.State != protocol.Exited {
+				broken = fmt.Sprintf("%v on %s and %s", x.order.TaskID, o.name, w.name)
 			}
 		}
-		w.tasks[x.order.Key] = TaskView{Key: x.order.Key, Attempt: x.order.Attempt, State: protocol.Running}
+		w.tasks[x.order.TaskID] = TaskStatus{TaskID: x.order.TaskID, Attempt: x.order.Attempt, State: protocol.Running}
 		used := 0.0
 		for _, o := range m.workers {
 			used += m.used(o, true)
@@ -147,11 +147,11 @@
 	case protocol.Stop:
 		if there && have.Attempt == x.order.Attempt && have.State != protocol.Exited {
 			have.State, have.Why = protocol.Exited, protocol.WhyStopped
-			w.tasks[x.order.Key] = have
+			w.tasks[x.order.TaskID] = have
 		}
 	case protocol.Forget:
 		if there && have.Attempt == x.order.Attempt && have.State == protocol.Exited {
-			delete(w.tasks, x.order.Key)
+			delete(w.tasks, x.order.TaskID)
 		}
 	}
 	return broken
@@ -206,13 +206,13 @@
 	case 15: // the worker's lease runs out
 		if m.rng.IntN(8) == 0 {
 			w.session++
-			w.tasks, w.hung = map[Key]TaskView{}, false
+			w.tasks, w.hung = map[TaskID]TaskStatus{}, false
 		}
 	case 16: // a machine dies; the cloud confirms its return
 		if m.rng.IntN(12) == 0 {
 			w.dead = true
 			m.gone(w.name)
-			m.workers[at] = &plainWorker{name: w.name + "+", session: 1, tasks: map[Key]TaskView{}}
+			m.workers[at] = &plainWorker{name: w.name + "+", session: 1, tasks: map[TaskID]TaskStatus{}}
 		} else if m.careless {
 			m.team.Gone(w.name) // believes that a silent machine is gone
 		}
@@ -242,7 +242,7 @@
 	m.team.Jobs(func(j *Job) {
 		m.team.Pending(j, m.now, func(i int) bool {
 			x := m.roomiest(j.Spec.CPUs)
-			return x != nil && m.team.Fits(j, 1) && m.team.Place(j, i, Spot{x.name, "z", x.session})
+			return x != nil && m.team.Fits(j, 1) && m.team.Place(j, i, Location{x.name, "z", x.session})
 		})
 	})
 }
@@ -294,7 +294,7 @@
 }
 
 // see has the owner take in a view if it is newer than the one it has, as a controller does.
-func (m *model) see(w *plainWorker, v *View) {
+func (m *model) see(w *plainWorker, v *MachineStatus) {
 	if last := m.last[v.Machine]; last != nil && !v.Newer(last) {
 		return
 	}
@@ -306,7 +306,7 @@
 	m.observe(w, v)
 }
 
-func (m *model) observe(w *plainWorker, v *View) {
+func (m *model) observe(w *plainWorker, v *MachineStatus) {
 	orders := m.team.Observe(v, m.now, m)
 	if m.team.Reserves(v.Machine) {
 		m.met["quota is reserved for orphaned tasks"] = true
@@ -317,7 +317,7 @@
 // passBarrier ends a take-over without memory once each machine was heard under its term.
 func (m *model) passBarrier() {
 	for name := range m.await {
-		if v := m.last[name]; v != nil && v.Token >= m.since {
+		if v := m.last[name]; v != nil && v.FencingToken >= m.since {
 			delete(m.await, name)
 		}
 	}
@@ -385,7 +385,7 @@
 
 func (m *model) submit() {
 	n := len(m.specs)
-	s := &protocol.Submission{UID: fmt.Sprintf("job-%d", n), Team: "team", Kind: protocol.Batch, Priority: "standard", Tasks: 6, CPUs: float64(2 + n%2)}
+	s := &protocol.Submission{UID: fmt.Sprintf("job-%d", n), Team: "team", Kind: protocol.JobArray, Priority: "standard", Tasks: 6, CPUs: float64(2 + n%2)}
 	m.specs[s.UID], m.active[s.UID] = s, true
 	m.team.AddJob(s, 1, time.Unix(0, 0), nil)
 }
@@ -410,11 +410,11 @@
 	if w.dead || w.hung {
 		return
 	}
-	k := Key{"foreign", m.rng.IntN(3)}
+	k := TaskID{"foreign", m.rng.IntN(3)}
 	if _, there := w.tasks[k]; there {
 		delete(w.tasks, k)
 	} else if m.used(w, false)+m.specs[k.Job].CPUs <= plainCapacity {
-		w.tasks[k] = TaskView{Key: k, Attempt: AttemptID(m.term, 1<<20), State: protocol.Running}
+		w.tasks[k] = TaskStatus{TaskID: k, Attempt: AttemptID(m.term, 1<<20), State: protocol.Running}
 	}
 }
 
@@ -452,7 +452,7 @@
 		}
 	}
 	for a := range m.team.todo {
-		if m.team.held[a.Key] != a {
+		if m.team.held[a.TaskID] != a {
 			return fmt.Sprintf("attempt %v is off and still looked at", a.Ref())
 		}
 	}
@@ -487,7 +487,7 @@
 		for _, w := range m.workers {
 			m.await[w.name] = true
 		}
-		m.last = map[string]*View{}
+		m.last = map[string]*MachineStatus{}
 	}
 	rep := FromCopy(m.backup.Copy())
 	m.team = NewTeam("team", 8, 12, 0, 0, rep, m.term, func(string, ...any) {})
@@ -501,16 +501,16 @@
 
 func newModel(t *testing.T, seed uint64) *model {
 	m := &model{t: t, rng: rand.New(rand.NewPCG(seed, 7)), seed: seed, now: time.Unix(1000, 0), term: 1, backup: NewReplica(),
-		specs: map[string]*protocol.Submission{}, active: map[string]bool{}, done: map[Key]bool{}}
+		specs: map[string]*protocol.Submission{}, active: map[string]bool{}, done: map[TaskID]bool{}}
 	for i := range 4 {
-		m.workers = append(m.workers, &plainWorker{name: fmt.Sprintf("m%d", i), session: 1, tasks: map[Key]TaskView{}})
+		m.workers = append(m.workers, &plainWorker{name: fmt.Sprintf("m%d", i), session: 1, tasks: map[TaskID]TaskStatus{}})
 	}
-	m.memory, m.last, m.met = map[string]recollection{}, map[string]*View{}, map[string]bool{}
+	m.memory, m.last, m.met = map[string]recollection{}, map[string]*MachineStatus{}, map[string]bool{}
 	for i := range 3 {
-		s := &protocol.Submission{UID: fmt.Sprintf("job-%d", i), Team: "team", Kind: protocol.Batch, Priority: "standard", Tasks: 6, CPUs: float64(2 + i%2)}
+		s := &protocol.Submission{UID: fmt.Sprintf("job-%d", i), Team: "team", Kind: protocol.JobArray, Priority: "standard", Tasks: 6, CPUs: float64(2 + i%2)}
 		m.specs[s.UID], m.active[s.UID] = s, true
 	}
-	m.specs["foreign"] = &protocol.Submission{UID: "foreign", Team: "other", Kind: protocol.Batch, Priority: "standard", Tasks: 3, CPUs: 2}
+	m.specs["foreign"] = &protocol.Submission{UID: "foreign", Team: "other", Kind: protocol.JobArray, Priority: "standard", Tasks: 3, CPUs: 2}
 	m.takeOver(false)
 	return m
 }
@@ -536,7 +536,7 @@
 		}
 		for uid, b := range m.team.Replica().Done {
 			for i, ok := b.NextSet(0); ok; i, ok = b.NextSet(i + 1) {
-				if !m.done[Key{uid, int(i)}] {
+				if !m.done[TaskID{uid, int(i)}] {
 					t.Fatalf("seed %d: %s/%d called done", seed, uid, i)
 				}
 				starts++
@@ -573,11 +573,11 @@
 // full copy.
 func TestReplicaIgnoresOldAndRefusesGaps(t *testing.T) {
 	r := NewReplica()
-	hold := Hold{Key: Key{"job-1", 0}, Attempt: 1, Machine: "m"}
-	if err := r.Apply(Delta{Seq: 1, Place: []Hold{hold}}); err != nil {
+	hold := Assignment{TaskID: TaskID{"job-1", 0}, Attempt: 1, Machine: "m"}
+	if err := r.Apply(Delta{Seq: 1, Place: []Assignment{hold}}); err != nil {
 		t.Fatal(err)
 	}
-	if err := r.Apply(Delta{Seq: 1, Off: []Key{hold.Key}}); err != nil || len(r.Holds) != 1 {
+	if err := r.Apply(Delta{Seq: 1, Off: []TaskID{hold.TaskID}}); err != nil || len(r.Holds) != 1 {
 		t.Fatal("an older delta was applied")
 	}
 	if err := r.Apply(Delta{Seq: 3}); err == nil {
@@ -591,10 +591,10 @@
 	m := newModel(t, 1)
 	spec := m.specs["job-0"]
 	j := m.team.Job(spec.UID)
-	if !m.team.Place(j, 0, Spot{"m0", "z", 1}) {
+	if !m.team.Place(j, 0, Location{"m0", "z", 1}) {
 		t.Fatal("not placed")
 	}
-	v := &View{Machine: "m0", Session: 1, Seq: 1, Token: 1, Tasks: []TaskView{{Key: Key{spec.UID, 0}, Attempt: AttemptID(1, 1), State: protocol.Exited, Why: protocol.WhyDone}}}
+	v := &MachineStatus{Machine: "m0", Incarnation: 1, Seq: 1, FencingToken: 1, Tasks: []TaskStatus{{TaskID: TaskID{spec.UID, 0}, Attempt: AttemptID(1, 1), State: protocol.Exited, Why: protocol.WhyDone}}}
 	if orders := m.team.Observe(v, m.now, m); len(orders) != 0 {
 		t.Fatalf("ordered %v before the bitmap was written", orders)
 	}
@@ -620,7 +620,7 @@
 func TestQuotaBacklogIsUrgent(t *testing.T) {
 	team := NewTeam("t", 0, 8, 0, 0, NewReplica(), 1, func(string, ...any) {})
 	team.MaxGPUs = math.Inf(1)
-	spec := &protocol.Submission{UID: "job-000001", Kind: protocol.Batch, Priority: "standard", Tasks: 20, CPUs: 2, Estimate: 30}
+	spec := &protocol.Submission{UID: "job-000001", Kind: protocol.JobArray, Priority: "standard", Tasks: 20, CPUs: 2, Estimate: 30}
 	team.AddJob(spec, 1, time.Unix(1000, 0), nil)
 	list := team.Demands(time.Unix(1000, 0))
 	// 4 tasks fit the quota; the other 16 take it four times over, 30 s each.
@@ -628,9 +628,9 @@
 		t.Fatalf("demands %+v, want 4 tasks with 2 minutes behind them, and 32 CPUs beyond the quota", list)
 	}
 	// A class that is kept room for is asked for within the quota, whatever is more urgent.
-	urgent := &protocol.Submission{UID: "job-000002", Class: "urgent", Kind: protocol.Batch, Priority: "high", Tasks: 20, CPUs: 2, Estimate: 30}
+	urgent := &protocol.Submission{UID: "job-000002", Class: "urgent", Kind: protocol.JobArray, Priority: "high", Tasks: 20, CPUs: 2, Estimate: 30}
 	team.AddJob(urgent, 1, time.Unix(1000, 0), nil)
-	team.Keep(map[string]float64{"": 4})
+	team.SetFloors(map[string]float64{"": 4})
 	counts := map[string]int{}
 	for _, d := range team.Demands(time.Unix(1000, 0)) {
 		counts[d.Spec.UID] += d.Count
@@ -638,7 +638,7 @@
 	if counts[spec.UID] != 2 || counts[urgent.UID] != 2 {
 		t.Fatalf("%v tasks asked for, want two of each", counts)
 	}
-	team.Keep(nil)
+	team.SetFloors(nil)
 	team.EndJob(urgent.UID)
 	team.MaxCPUs = math.Inf(1)
 	if list = team.Demands(time.Unix(1000, 0)); list[0].Count != 20 || list[0].Behind != 0 {
--- a/internal/jobstate/limits_test.go
+++ b/internal/jobstate/limits_test.go
@@ -24,14 +24,14 @@
 		"one comes, two run, all stop": {[]string{protocol.Running, "", protocol.Running}, 1, true, 3, false},
 	} {
 		m := newModel(t, 3)
-		s := &protocol.Submission{UID: "job-9", Team: "team", Kind: protocol.Batch, Priority: "standard", Tasks: 4, CPUs: 2}
+		s := &protocol.Submission{UID: "job-9", Team: "team", Kind: protocol.JobArray, Priority: "standard", Tasks: 4, CPUs: 2}
 		m.specs[s.UID], m.active[s.UID] = s, true
 		m.team.SetLimits(0, 6, 0, 1)
 		m.team.AddJob(s, 1, m.now, nil)
 		j := m.team.Job(s.UID)
 		for i, state := range c.states {
-			m.team.Place(j, i, Spot{string(rune('a' + i)), "z", 1})
-			m.team.setState(m.team.held[Key{s.UID, i}], state)
+			m.team.Place(j, i, Location{string(rune('a' + i)), "z", 1})
+			m.team.setState(m.team.held[TaskID{s.UID, i}], state)
 		}
 		m.team.SetLimits(0, c.max, 0, 1)
 		m.team.StopExcess(c.running)
@@ -42,11 +42,11 @@
 				stops++
 			}
 		}
-		if stops != c.stops || m.team.Settled() != c.settled || m.team.Place(j, 3, Spot{"d", "z", 1}) {
+		if stops != c.stops || m.team.Settled() != c.settled || m.team.Place(j, 3, Location{"d", "z", 1}) {
 			t.Errorf("%s: %d stops, settled %v", name, stops, m.team.Settled())
 		}
 		m.team.SetLimits(0, 8, 0, 1)
-		if !m.team.Settled() || !m.team.Place(j, 3, Spot{"d", "z", 1}) {
+		if !m.team.Settled() || !m.team.Place(j, 3, Location{"d", "z", 1}) {
 			t.Errorf("%s: a raised quota is not used", name)
 		}
 	}
--- a/internal/jobstate/observe.go
+++ b/internal/jobstate/observe.go
@@ -11,7 +11,7 @@
 
 // off releases an attempt that is proven to be on no machine.
 func (t *Team) off(a *attempt, why string) {
-	if t.held[a.Key] != a {
+	if t.held[a.TaskID] != a {
 		return
 	}
 	j := t.jobs[a.Job]
@@ -19,8 +19,8 @@
 		j.lost(a, why)
 	}
 	t.setState(a, "")
-	delete(t.held, a.Key)
-	delete(t.on[a.Machine], a.Key)
+	delete(t.held, a.TaskID)
+	delete(t.on[a.Machine], a.TaskID)
 	if len(t.on[a.Machine]) == 0 {
 		delete(t.on, a.Machine)
 	}
@@ -31,8 +31,8 @@
 	if len(t.held) == 0 {
 		t.usedCPU, t.usedGPU = 0, 0
 	}
-	delete(t.rep.Holds, a.Key)
-	t.emit(Delta{Off: []Key{a.Key}})
+	delete(t.rep.Holds, a.TaskID)
+	t.emit(Delta{Off: []TaskID{a.TaskID}})
 	if j != nil {
 		delete(j.holds, a.Index)
 		j.next = min(j.next, a.Index)
@@ -53,14 +53,14 @@
 
 // Observe takes in a machine's view and gives the orders that follow from it. Whatever the view lists and this
 // account may have to answer for counts against the team's limit from then on, until it is proven off.
-func (t *Team) Observe(v *View, now time.Time, known Knowledge) []Order {
+func (t *Team) Observe(v *MachineStatus, now time.Time, known Knowledge) []Order {
 	var orders []Order
-	seen := map[Key]bool{}
+	seen := map[TaskID]bool{}
 	var left orphanCount
 	for i := range v.Tasks {
 		x := &v.Tasks[i]
 		if t.listed(v, x, now) {
-			seen[x.Key] = true
+			seen[x.TaskID] = true
 			if x.State != protocol.Exited {
 				continue
 			}
@@ -76,23 +76,23 @@
 			t.countUnknown(&left, x)
 			continue
 		}
-		order := Order{Key: x.Key, Attempt: x.Attempt, Session: v.Session}
+		order := Order{TaskID: x.TaskID, Attempt: x.Attempt, Incarnation: v.Incarnation}
 		switch {
 		case x.State == protocol.Exited:
 			if x.Why == protocol.WhyDone && job.Active && x.Index < job.Spec.Tasks {
-				t.done(x.Key)
+				t.done(x.TaskID)
 				if j := t.jobs[x.Job]; j == nil || !j.saved.Test(uint(x.Index)) {
 					continue // forgotten only once the state service knows
 				}
 			}
 			order.Op = protocol.Forget
 			orders = append(orders, order)
-		case job.Active && t.held[x.Key] == nil && !t.isDone(x.Key) && x.Index < job.Spec.Tasks:
+		case job.Active && t.held[x.TaskID] == nil && !t.isDone(x.TaskID) && x.Index < job.Spec.Tasks:
 			t.adopt(v, x, job.Spec, now)
-			seen[x.Key] = true
+			seen[x.TaskID] = true
 		default:
 			if t.holdOrphan(&left, v, x, job.Spec, now) {
-				seen[x.Key] = true
+				seen[x.TaskID] = true
 			}
 			order.Op = protocol.Stop
 			orders = append(orders, order)
@@ -104,9 +104,9 @@
 }
 
 // listed takes in what a view says of an attempt that this account holds there; false if it holds none.
-func (t *Team) listed(v *View, x *TaskView, now time.Time) bool {
-	a := t.held[x.Key]
-	if a == nil || a.Machine != v.Machine || a.Attempt != x.Attempt || a.Session != v.Session {
+func (t *Team) listed(v *MachineStatus, x *TaskStatus, now time.Time) bool {
+	a := t.held[x.TaskID]
+	if a == nil || a.Machine != v.Machine || a.Attempt != x.Attempt || a.Session != v.Incarnation {
 		return false
 	}
 	switch x.State {
@@ -123,15 +123,15 @@
 }
 
 // releaseProven ends the holds on a machine that its view proves to be off.
-func (t *Team) releaseProven(v *View, seen map[Key]bool) {
+func (t *Team) releaseProven(v *MachineStatus, seen map[TaskID]bool) {
 	for _, a := range t.sortedOn(v.Machine) {
 		switch {
-		case v.Session < a.Session || seen[a.Key]:
-		case v.Session > a.Session:
+		case v.Incarnation < a.Session || seen[a.TaskID]:
+		case v.Incarnation > a.Session:
 			t.off(a, "newer session")
 		case slices.Contains(v.Barred, a.Ref()):
 			t.off(a, "never sent")
-		case v.Token > TermOf(a.Attempt):
+		case v.FencingToken > TermOf(a.Attempt):
 			// The worker knows a later term and does not list the attempt: its start
 			// can no longer arrive.
 			t.off(a, "later term")
@@ -145,28 +145,28 @@
 		list = append(list, a)
 	}
 	slices.SortFunc(list, func(a, b *attempt) int {
-		return a.compare(b.Key)
+		return a.compare(b.TaskID)
 	})
 	return list
 }
 
 // adopt takes up an attempt found on a machine that the account did not hold,
 // as after a full barrier.
-func (t *Team) adopt(v *View, x *TaskView, spec *protocol.Submission, now time.Time) *attempt {
-	a := &attempt{Hold: Hold{Key: x.Key, Attempt: x.Attempt, Machine: v.Machine, Zone: v.Zone, Session: v.Session,
+func (t *Team) adopt(v *MachineStatus, x *TaskStatus, spec *protocol.Submission, now time.Time) *attempt {
+	a := &attempt{Assignment: Assignment{TaskID: x.TaskID, Attempt: x.Attempt, Machine: v.Machine, Zone: v.Zone, Session: v.Incarnation,
 		CPUs: spec.CPUs, GPUs: spec.GPUs, Memory: spec.Memory}, listed: now}
 	t.hold(a)
-	t.rep.Holds[a.Key] = a.Hold
-	a.seq = t.emit(Delta{Place: []Hold{a.Hold}})
+	t.rep.Holds[a.TaskID] = a.Assignment
+	a.seq = t.emit(Delta{Place: []Assignment{a.Assignment}})
 	t.setState(a, x.State)
 	t.log("attempt adopted", "task", a.Job, "index", a.Index, "attempt", a.Attempt, "machine", a.Machine)
 	return a
 }
 
 // exited books the end of an attempt.
-func (t *Team) exited(a *attempt, x *TaskView, now time.Time) {
+func (t *Team) exited(a *attempt, x *TaskStatus, now time.Time) {
 	if x.Why == protocol.WhyDone {
-		t.done(a.Key)
+		t.done(a.TaskID)
 	}
 	j := t.jobs[a.Job]
 	t.off(a, x.Why)
--- a/internal/jobstate/orders.go
+++ b/internal/jobstate/orders.go
@@ -24,7 +24,7 @@
 		if now.Sub(a.ordered) < resend {
 			continue
 		}
-		order := Order{Key: a.Key, Attempt: a.Attempt, Session: a.Session, CPUs: a.CPUs, GPUs: a.GPUs, Memory: a.Memory}
+		order := Order{TaskID: a.TaskID, Attempt: a.Attempt, Incarnation: a.Session, CPUs: a.CPUs, GPUs: a.GPUs, Memory: a.Memory}
 		j := t.jobs[a.Job]
 		switch {
 		case j == nil || a.stop:
@@ -55,7 +55,7 @@
 // its task is free to be placed elsewhere.
 func (t *Team) Unsent(orders []Order) {
 	for _, o := range orders {
-		a := t.held[o.Key]
+		a := t.held[o.TaskID]
 		if a == nil || a.Attempt != o.Attempt || o.Op != protocol.Start {
 			continue
 		}
--- a/internal/jobstate/orphan.go
+++ b/internal/jobstate/orphan.go
@@ -25,12 +25,12 @@
 	// Job describes a job that a machine lists.
 	Job(uid string) JobInfo
 	// Unsized is the most that the tasks of unknown size can take of a machine together, in CPUs and GPUs.
-	Unsized(v *View) (cpus, gpus float64)
+	Unsized(v *MachineStatus) (cpus, gpus float64)
 }
 
 // orphanCount is what one view lists of tasks that the account can't hold as attempts.
 type orphanCount struct {
-	unsized []Ref // of unknown size
+	unsized []AttemptRef // of unknown size
 	cpus    float64
 	gpus    float64
 }
@@ -39,7 +39,7 @@
 type reservation struct {
 	session uint64
 	seq     uint64 // of the report that listed them
-	unsized []Ref
+	unsized []AttemptRef
 	cpus    float64
 	gpus    float64
 }
@@ -55,9 +55,9 @@
 
 // observe replaces what is reserved for a machine by what its view lists. An older report proves nothing about
 // tasks that a newer one listed.
-func (o *orphanAccount) observe(v *View, left orphanCount, known Knowledge) {
+func (o *orphanAccount) observe(v *MachineStatus, left orphanCount, known Knowledge) {
 	before, reserved := o.machines[v.Machine]
-	if reserved && (v.Session < before.session || v.Session == before.session && v.Seq < before.seq) {
+	if reserved && (v.Incarnation < before.session || v.Incarnation == before.session && v.Seq < before.seq) {
 		return
 	}
 	if len(left.unsized) > 0 {
@@ -69,7 +69,7 @@
 		delete(o.machines, v.Machine)
 		return
 	}
-	o.machines[v.Machine] = reservation{session: v.Session, seq: v.Seq, unsized: left.unsized, cpus: left.cpus, gpus: left.gpus}
+	o.machines[v.Machine] = reservation{session: v.Incarnation, seq: v.Seq, unsized: left.unsized, cpus: left.cpus, gpus: left.gpus}
 }
 
 // gone releases what was reserved for a machine that the cloud confirmed to be gone.
@@ -102,7 +102,7 @@
 }
 
 // Unsized lists the tasks of a machine whose size the account would have to know.
-func (t *Team) Unsized(machine string) []Ref { return t.orphans.machines[machine].unsized }
+func (t *Team) Unsized(machine string) []AttemptRef { return t.orphans.machines[machine].unsized }
 
 // Reserved is the part of the quota that orphaned tasks of unknown size, or beside another attempt of theirs,
 // may use.
@@ -110,7 +110,7 @@
 
 // countUnknown counts a task of a job that nobody here can describe. All attempts of this team that were made since
 // this account began are its own, so that only an earlier one may be the team's.
-func (t *Team) countUnknown(left *orphanCount, x *TaskView) {
+func (t *Team) countUnknown(left *orphanCount, x *TaskStatus) {
 	if x.State != protocol.Exited && TermOf(x.Attempt) < t.since {
 		left.unsized = append(left.unsized, x.Ref())
 	}
@@ -118,13 +118,13 @@
 
 // holdOrphan counts a task of a job of this team that is to be stopped. It is held like any other attempt, so
 // that backups know it too; false if that can't be and it is counted beside the held ones.
-func (t *Team) holdOrphan(left *orphanCount, v *View, x *TaskView, spec *protocol.Submission, now time.Time) bool {
+func (t *Team) holdOrphan(left *orphanCount, v *MachineStatus, x *TaskStatus, spec *protocol.Submission, now time.Time) bool {
 	sized := spec.CPUs > 0 || spec.GPUs > 0
 	switch {
 	case !sized:
 		left.unsized = append(left.unsized, x.Ref())
 		return false
-	case t.held[x.Key] != nil:
+	case t.held[x.TaskID] != nil:
 		left.cpus += spec.CPUs
 		left.gpus += spec.GPUs
 		return false
