--- a/internal/jobstate/orphan_test.go
+++ b/internal/jobstate/orphan_test.go
@@ -7,10 +7,10 @@
 )
 
 // orphans is a machine's view with tasks of a job, by attempt number.
-func orphans(job string, seq uint64, attempts ...uint64) *View {
-	v := &View{Machine: "m0", Session: 1, Seq: seq, Token: 2, Term: 2}
+func orphans(job string, seq uint64, attempts ...uint64) *MachineStatus {
+	v := &MachineStatus{Machine: "m0", Incarnation: 1, Seq: seq, FencingToken: 2, Term: 2}
 	for i, attempt := range attempts {
-		v.Tasks = append(v.Tasks, TaskView{Key: Key{job, i}, Attempt: attempt, State: protocol.Running})
+		v.Tasks = append(v.Tasks, TaskStatus{TaskID: TaskID{job, i}, Attempt: attempt, State: protocol.Running})
 	}
 	return v
 }
@@ -85,7 +85,7 @@
 func TestSecondAttemptCountsBesideTheHeldOne(t *testing.T) {
 	m := secondTerm(t)
 	j := m.team.Job("job-0")
-	if !m.team.Place(j, 0, Spot{"m1", "z", 1}) {
+	if !m.team.Place(j, 0, Location{"m1", "z", 1}) {
 		t.Fatal("not placed")
 	}
 	orders := m.team.Observe(orphans("job-0", 5, AttemptID(1, 9)), m.now, m)
--- a/internal/jobstate/quota_test.go
+++ b/internal/jobstate/quota_test.go
@@ -14,9 +14,9 @@
 		job := team.Job(demand.Spec.UID)
 		if demand.Spec.Kind == protocol.Gang {
 			missing, attempt := team.Gang(job)
-			spots := map[int]Spot{}
+			spots := map[int]Location{}
 			for _, index := range missing {
-				spots[index] = Spot{Machine: "m", Zone: "z", Session: 1}
+				spots[index] = Location{Machine: "m", Zone: "z", Session: 1}
 			}
 			team.PlaceGang(job, attempt, spots)
 			continue
@@ -24,7 +24,7 @@
 		left := demand.Count
 		team.Pending(job, now, func(index int) bool {
 			left--
-			return left >= 0 && team.Place(job, index, Spot{Machine: "m", Zone: "z", Session: 1})
+			return left >= 0 && team.Place(job, index, Location{Machine: "m", Zone: "z", Session: 1})
 		})
 	}
 }
@@ -33,7 +33,7 @@
 func endOne(team *Team, uid string) {
 	job := team.Job(uid)
 	held := team.heldOf(job)[0]
-	team.exited(held, &TaskView{Key: held.Key, Attempt: held.Attempt, State: protocol.Exited, Why: protocol.WhyDone}, time.Unix(1000, 0))
+	team.exited(held, &TaskStatus{TaskID: held.TaskID, Attempt: held.Attempt, State: protocol.Exited, Why: protocol.WhyDone}, time.Unix(1000, 0))
 }
 
 // TestQuotaIsReservedForTheMostUrgent: tasks of a less urgent job end one by one at the team's limit. What they free is
@@ -44,7 +44,7 @@
 		name   string
 		urgent protocol.Submission
 	}{
-		{"array", protocol.Submission{Kind: protocol.Batch, Tasks: 1, CPUs: 4}},
+		{"array", protocol.Submission{Kind: protocol.JobArray, Tasks: 1, CPUs: 4}},
 		{"gang", protocol.Submission{Kind: protocol.Gang, Tasks: 2, CPUs: 3}},
 		{"gang larger than half the quota", protocol.Submission{Kind: protocol.Gang, Tasks: 2, CPUs: 4}},
 	}
@@ -52,7 +52,7 @@
 		t.Run(test.name, func(t *testing.T) {
 			now := time.Unix(1000, 0)
 			team := NewTeam("team", 0, quota, 0, math.Inf(1), NewReplica(), 1, func(string, ...any) {})
-			small := &protocol.Submission{UID: "job-000001", Kind: protocol.Batch, Priority: "standard", Tasks: 100, CPUs: 1}
+			small := &protocol.Submission{UID: "job-000001", Kind: protocol.JobArray, Priority: "standard", Tasks: 100, CPUs: 1}
 			team.AddJob(small, 1, now, nil)
 			placeDemanded(team, now)
 			urgent := test.urgent
@@ -75,8 +75,8 @@
 func TestQuotaOfABegunJobIsNotReserved(t *testing.T) {
 	now := time.Unix(1000, 0)
 	team := NewTeam("team", 0, 10, 0, math.Inf(1), NewReplica(), 1, func(string, ...any) {})
-	large := &protocol.Submission{UID: "job-000001", Kind: protocol.Batch, Priority: "high", Tasks: 10, CPUs: 4}
-	small := &protocol.Submission{UID: "job-000002", Kind: protocol.Batch, Priority: "standard", Tasks: 10, CPUs: 1}
+	large := &protocol.Submission{UID: "job-000001", Kind: protocol.JobArray, Priority: "high", Tasks: 10, CPUs: 4}
+	small := &protocol.Submission{UID: "job-000002", Kind: protocol.JobArray, Priority: "standard", Tasks: 10, CPUs: 1}
 	team.AddJob(large, 1, now, nil)
 	team.AddJob(small, 2, now, nil)
 	placeDemanded(team, now)
@@ -92,7 +92,7 @@
 	for i, uid := range []string{"job-000001", "job-000002"} {
 		team.AddJob(&protocol.Submission{UID: uid, Kind: protocol.Gang, Priority: "high", Tasks: 2, CPUs: 2}, uint64(i), now, nil)
 	}
-	small := &protocol.Submission{UID: "job-000003", Kind: protocol.Batch, Priority: "standard", Tasks: 100, CPUs: 1}
+	small := &protocol.Submission{UID: "job-000003", Kind: protocol.JobArray, Priority: "standard", Tasks: 100, CPUs: 1}
 	team.AddJob(small, 3, now, nil)
 	asked := map[string]int{}
 	for _, demand := range team.Demands(now) {
@@ -107,8 +107,8 @@
 func TestSmallTasksPassALargeOneOfTheirPriority(t *testing.T) {
 	now := time.Unix(1000, 0)
 	team := NewTeam("team", 0, 3, 0, math.Inf(1), NewReplica(), 1, func(string, ...any) {})
-	large := &protocol.Submission{UID: "job-000001", Kind: protocol.Batch, Priority: "standard", Tasks: 1, CPUs: 4}
-	small := &protocol.Submission{UID: "job-000002", Kind: protocol.Batch, Priority: "standard", Tasks: 5, CPUs: 1}
+	large := &protocol.Submission{UID: "job-000001", Kind: protocol.JobArray, Priority: "standard", Tasks: 1, CPUs: 4}
+	small := &protocol.Submission{UID: "job-000002", Kind: protocol.JobArray, Priority: "standard", Tasks: 5, CPUs: 1}
 	team.AddJob(large, 1, now, nil)
 	team.AddJob(small, 2, now, nil)
 	placeDemanded(team, now)
--- a/internal/jobstate/quotaorder.go
+++ b/internal/jobstate/quotaorder.go
@@ -108,7 +108,7 @@
 
 // begins says whether the job's first task should go before others.
 func (w *waitingJob) begins(now time.Time) bool {
-	if w.Spec.Kind != protocol.Batch || w.faulty || w.Spec.Tasks < beginTasks || w.left < w.Spec.Tasks || now.Sub(w.Submitted) <= beginAfter {
+	if w.Spec.Kind != protocol.JobArray || w.faulty || w.Spec.Tasks < beginTasks || w.left < w.Spec.Tasks || now.Sub(w.Submitted) <= beginAfter {
 		return false
 	}
 	_, missed := w.goals.Next(now, w.Spec.RunTime())
--- a/internal/jobstate/quotaorder_test.go
+++ b/internal/jobstate/quotaorder_test.go
@@ -28,7 +28,7 @@
 	now := time.Unix(1000, 0)
 	team := NewTeam("team", 0, 5, 0, math.Inf(1), NewReplica(), 1, func(string, ...any) {})
 	add := func(uid, priority string, due time.Duration, estimate float64) {
-		team.AddJob(&protocol.Submission{UID: uid, Kind: protocol.Batch, Priority: priority, Tasks: 2, CPUs: 1, Estimate: estimate}, 1, now, nil)
+		team.AddJob(&protocol.Submission{UID: uid, Kind: protocol.JobArray, Priority: priority, Tasks: 2, CPUs: 1, Estimate: estimate}, 1, now, nil)
 		if due != 0 {
 			team.SetGoals(uid, Goals{now.Add(due)})
 		}
@@ -37,7 +37,7 @@
 	add("job-late", "standard", -time.Minute, 10)
 	add("job-begun", "standard", -time.Hour, 10)
 	placeOne := team.Job("job-begun")
-	if !team.Place(placeOne, 0, Spot{Machine: "m", Zone: "z", Session: 1}) {
+	if !team.Place(placeOne, 0, Location{Machine: "m", Zone: "z", Session: 1}) {
 		t.Fatal("not placed")
 	}
 	add("job-long", "standard", 5*time.Minute, 270) // due later, but it must start sooner
@@ -61,11 +61,11 @@
 	now := time.Unix(1000, 0)
 	team := NewTeam("team", 0, 8, 0, math.Inf(1), NewReplica(), 1, func(string, ...any) {})
 	add := func(uid string, tasks int, due time.Duration) {
-		team.AddJob(&protocol.Submission{UID: uid, Kind: protocol.Batch, Priority: "standard", Tasks: tasks, CPUs: 1, Estimate: 10}, 1, now, nil)
+		team.AddJob(&protocol.Submission{UID: uid, Kind: protocol.JobArray, Priority: "standard", Tasks: tasks, CPUs: 1, Estimate: 10}, 1, now, nil)
 		team.SetGoals(uid, Goals{now.Add(due)})
 	}
 	add("job-giant", 20, -time.Minute)
-	if !team.Place(team.Job("job-giant"), 0, Spot{Machine: "m", Zone: "z", Session: 1}) {
+	if !team.Place(team.Job("job-giant"), 0, Location{Machine: "m", Zone: "z", Session: 1}) {
 		t.Fatal("not placed")
 	}
 	add("job-late", 20, -time.Minute)
@@ -95,17 +95,17 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			team := NewTeam("team", 0, 10, 0, math.Inf(1), NewReplica(), 1, func(string, ...any) {})
-			team.AddJob(&protocol.Submission{UID: "job-large", Kind: protocol.Batch, Priority: "low", Tasks: c.tasks, CPUs: 1, Estimate: 10}, 1, now.Add(-c.age), nil)
+			team.AddJob(&protocol.Submission{UID: "job-large", Kind: protocol.JobArray, Priority: "low", Tasks: c.tasks, CPUs: 1, Estimate: 10}, 1, now.Add(-c.age), nil)
 			switch c.name {
 			case "late":
 				team.SetGoals("job-large", Goals{now.Add(-time.Minute)})
 			case "can be in time":
 				team.SetGoals("job-large", Goals{now.Add(-time.Minute), now.Add(time.Minute)})
 			}
-			if c.begun && !team.Place(team.Job("job-large"), 0, Spot{Machine: "m", Zone: "z", Session: 1}) {
+			if c.begun && !team.Place(team.Job("job-large"), 0, Location{Machine: "m", Zone: "z", Session: 1}) {
 				t.Fatal("not placed")
 			}
-			team.AddJob(&protocol.Submission{UID: "job-urgent", Kind: protocol.Batch, Priority: "high", Tasks: 100, CPUs: 1, Estimate: 10}, 1, now, nil)
+			team.AddJob(&protocol.Submission{UID: "job-urgent", Kind: protocol.JobArray, Priority: "high", Tasks: 100, CPUs: 1, Estimate: 10}, 1, now, nil)
 			begins, asked := 0, 0
 			for _, d := range team.Demands(now) {
 				asked += d.Count
@@ -163,7 +163,7 @@
 		due := run*5/2 + 10*time.Second
 		estimate := run.Seconds() * (0.7 + 0.6*rng.Float64())
 		deadline := due.Seconds()
-		spec := &protocol.Submission{UID: fmt.Sprintf("job-%06d", i), Kind: protocol.Batch, Priority: "standard", Tasks: 10 + rng.IntN(30), CPUs: 1, Estimate: estimate, Deadline: &deadline}
+		spec := &protocol.Submission{UID: fmt.Sprintf("job-%06d", i), Kind: protocol.JobArray, Priority: "standard", Tasks: 10 + rng.IntN(30), CPUs: 1, Estimate: estimate, Deadline: &deadline}
 		at := time.Duration(rng.IntN(600)) * time.Second
 		arrays = append(arrays, &array{spec: spec, at: at, due: at + due, run: run, all: end, done: end})
 	}
@@ -178,9 +178,9 @@
 			}
 		}
 		for _, held := range running[now] {
-			team.exited(held, &TaskView{Key: held.Key, Attempt: held.Attempt, State: protocol.Exited, Why: protocol.WhyDone}, start.Add(now))
+			team.exited(held, &TaskStatus{TaskID: held.TaskID, Attempt: held.Attempt, State: protocol.Exited, Why: protocol.WhyDone}, start.Add(now))
 		}
-		before := map[Key]bool{}
+		before := map[TaskID]bool{}
 		for k := range team.held {
 			before[k] = true
 		}
@@ -191,7 +191,7 @@
 				continue
 			}
 			for _, held := range job.holds {
-				if !before[held.Key] {
+				if !before[held.TaskID] {
 					a.started++
 					running[now+a.run] = append(running[now+a.run], held)
 				}
--- a/internal/jobstate/replica.go
+++ b/internal/jobstate/replica.go
@@ -13,25 +13,25 @@
 )
 
 // Key names a task.
-type Key struct {
+type TaskID struct {
 	Job   string `json:"j"`
 	Index int    `json:"i"`
 }
 
-func (k Key) compare(o Key) int {
+func (k TaskID) compare(o TaskID) int {
 	return cmp.Or(strings.Compare(k.Job, o.Job), k.Index-o.Index)
 }
 
 // Ref names an attempt: its number alone is unique only for its task.
-type Ref struct {
-	Key
+type AttemptRef struct {
+	TaskID
 	Attempt uint64 `json:"a"`
 }
 
 // Hold is an attempt that may be on a machine: from before its start is sent
 // until it is proven off.
-type Hold struct {
-	Key
+type Assignment struct {
+	TaskID
 	Attempt uint64  `json:"a"`
 	Machine string  `json:"m"`
 	Session uint64  `json:"s"`
@@ -43,11 +43,11 @@
 
 // Delta is one sequenced change of a team's progress.
 type Delta struct {
-	Seq   uint64 `json:"seq"`
-	Place []Hold `json:"place,omitempty"`
-	Off   []Key  `json:"off,omitempty"`
-	Done  []Key  `json:"done,omitempty"`
-	Drop  string `json:"drop,omitempty"` // a job that is over
+	Seq   uint64       `json:"seq"`
+	Place []Assignment `json:"place,omitempty"`
+	Off   []TaskID     `json:"off,omitempty"`
+	Done  []TaskID     `json:"done,omitempty"`
+	Drop  string       `json:"drop,omitempty"` // a job that is over
 }
 
 // DoneTasks are finished tasks by job.
@@ -55,21 +55,21 @@
 
 // Copy is a whole replica on the wire.
 type Copy struct {
-	Seq   uint64    `json:"seq"`
-	Holds []Hold    `json:"holds"`
-	Done  DoneTasks `json:"done"`
+	Seq   uint64       `json:"seq"`
+	Holds []Assignment `json:"holds"`
+	Done  DoneTasks    `json:"done"`
 }
 
 // Replica is a team's progress as owner and backups hold it.
 type Replica struct {
 	Seq   uint64
-	Holds map[Key]Hold
+	Holds map[TaskID]Assignment
 	Done  DoneTasks
 }
 
 // NewReplica is an empty replica.
 func NewReplica() *Replica {
-	return &Replica{Holds: map[Key]Hold{}, Done: DoneTasks{}}
+	return &Replica{Holds: map[TaskID]Assignment{}, Done: DoneTasks{}}
 }
 
 // FromCopy makes a replica of a received copy.
@@ -83,7 +83,7 @@
 // add takes in what a copy holds.
 func (r *Replica) add(c Copy) {
 	for _, h := range c.Holds {
-		r.Holds[h.Key] = h
+		r.Holds[h.TaskID] = h
 	}
 	for job, done := range c.Done {
 		if done != nil {
@@ -94,12 +94,12 @@
 
 // Copy is the replica as sent to a backup.
 func (r *Replica) Copy() Copy {
-	c := Copy{Seq: r.Seq, Done: r.Done, Holds: make([]Hold, 0, len(r.Holds))}
+	c := Copy{Seq: r.Seq, Done: r.Done, Holds: make([]Assignment, 0, len(r.Holds))}
 	for _, h := range r.Holds {
 		c.Holds = append(c.Holds, h)
 	}
-	slices.SortFunc(c.Holds, func(a, b Hold) int {
-		return a.compare(b.Key)
+	slices.SortFunc(c.Holds, func(a, b Assignment) int {
+		return a.compare(b.TaskID)
 	})
 	return c
 }
@@ -115,7 +115,7 @@
 	}
 	r.Seq = d.Seq
 	for _, h := range d.Place {
-		r.Holds[h.Key] = h
+		r.Holds[h.TaskID] = h
 	}
 	for _, k := range d.Off {
 		delete(r.Holds, k)
@@ -129,7 +129,7 @@
 	return nil
 }
 
-func (r *Replica) markDone(k Key) bool {
+func (r *Replica) markDone(k TaskID) bool {
 	b := r.Done[k.Job]
 	if b == nil {
 		b = bitset.New(0)
--- a/internal/jobstate/spare_test.go
+++ b/internal/jobstate/spare_test.go
@@ -18,15 +18,15 @@
 			team.AddJob(&protocol.Submission{UID: uid, Class: class, Kind: kind, Priority: "standard", Tasks: tasks, CPUs: cpus, Estimate: 10}, 1, now, nil)
 			return team.Job(uid)
 		}
-		running := add("job-running", "other", protocol.Batch, 20, 1)
+		running := add("job-running", "other", protocol.JobArray, 20, 1)
 		for i := range 20 {
-			if !team.Place(running, i, Spot{Machine: "m", Zone: "z", Session: 1}) {
+			if !team.Place(running, i, Location{Machine: "m", Zone: "z", Session: 1}) {
 				t.Fatal("not placed")
 			}
 		}
-		add("job-large", "large", protocol.Batch, 30, 4)
+		add("job-large", "large", protocol.JobArray, 30, 4)
 		team.SetGoals("job-large", Goals{now.Add(time.Minute)})
-		add("job-small", "small", protocol.Batch, 3, 2)
+		add("job-small", "small", protocol.JobArray, 3, 2)
 		if gang {
 			add("job-gang", "gang", protocol.Gang, 2, 4)
 		}
--- a/internal/jobstate/team.go
+++ b/internal/jobstate/team.go
@@ -43,7 +43,7 @@
 
 // attempt is a hold with what the owner knows of it beyond the replica.
 type attempt struct {
-	Hold
+	Assignment
 	seq     uint64 // delta that made it; 0 after a take-over: backups have it
 	state   string // as last listed, "" before
 	stop    bool
@@ -65,10 +65,10 @@
 	rep      *Replica
 	jobs     map[string]*Job
 	order    []*Job // the same, most urgent first
-	held     map[Key]*attempt
-	on       map[string]map[Key]*attempt // by machine
-	todo     map[*attempt]bool           // those that may need an order: not listed yet, or to be stopped
-	moved    map[string]bool             // machines whose attempts changed since they were last asked for
+	held     map[TaskID]*attempt
+	on       map[string]map[TaskID]*attempt // by machine
+	todo     map[*attempt]bool              // those that may need an order: not listed yet, or to be stopped
+	moved    map[string]bool                // machines whose attempts changed since they were last asked for
 	usedCPU  float64
 	usedGPU  float64
 	orphans  orphanAccount
@@ -89,10 +89,10 @@
 // stay held until they are seen or proven off.
 func NewTeam(name string, cpus, maxCPUs, gpus, maxGPUs float64, rep *Replica, term uint64, log func(string, ...any)) *Team {
 	t := &Team{Name: name, CPUs: cpus, MaxCPUs: maxCPUs, GPUs: gpus, MaxGPUs: maxGPUs, rep: rep, term: term, since: term, orphans: newOrphanAccount(),
-		jobs: map[string]*Job{}, held: map[Key]*attempt{}, on: map[string]map[Key]*attempt{},
+		jobs: map[string]*Job{}, held: map[TaskID]*attempt{}, on: map[string]map[TaskID]*attempt{},
 		todo: map[*attempt]bool{}, moved: map[string]bool{}, log: log}
 	for _, h := range rep.Holds {
-		t.hold(&attempt{Hold: h})
+		t.hold(&attempt{Assignment: h})
 	}
 	return t
 }
@@ -171,7 +171,7 @@
 	if done != nil {
 		j.saved.InPlaceUnion(done)
 		for i, ok := done.NextSet(0); ok; i, ok = done.NextSet(i + 1) {
-			t.done(Key{spec.UID, int(i)})
+			t.done(TaskID{spec.UID, int(i)})
 		}
 	}
 	if mine := t.rep.Done[spec.UID]; mine != nil && mine.Count() > j.saved.Count() {
@@ -202,7 +202,7 @@
 	}
 	for i, ok := done.NextSet(0); ok; i, ok = done.NextSet(i + 1) {
 		if j := t.jobs[uid]; j == nil || int(i) < j.Spec.Tasks {
-			t.markDone(Key{uid, int(i)})
+			t.markDone(TaskID{uid, int(i)})
 		}
 	}
 }
@@ -214,39 +214,39 @@
 	}
 }
 
-func (t *Team) done(k Key) {
+func (t *Team) done(k TaskID) {
 	j := t.jobs[k.Job]
 	if j != nil && j.Spec.Kind == protocol.Service {
 		return // a replica is never done
 	}
 	if j != nil && j.Spec.Kind == protocol.Gang { // its tasks complete together
 		for i := range j.Spec.Tasks {
-			t.markDone(Key{k.Job, i})
+			t.markDone(TaskID{k.Job, i})
 		}
 	}
 	t.markDone(k)
 }
 
-func (t *Team) markDone(k Key) {
+func (t *Team) markDone(k TaskID) {
 	if t.rep.markDone(k) {
-		t.emit(Delta{Done: []Key{k}})
+		t.emit(Delta{Done: []TaskID{k}})
 		if j := t.jobs[k.Job]; j != nil {
 			j.dirty = true
 		}
 	}
 }
 
-func (t *Team) isDone(k Key) bool {
+func (t *Team) isDone(k TaskID) bool {
 	b := t.rep.Done[k.Job]
 	return b != nil && b.Test(uint(k.Index))
 }
 
 func (t *Team) hold(a *attempt) {
-	t.held[a.Key] = a
+	t.held[a.TaskID] = a
 	if t.on[a.Machine] == nil {
-		t.on[a.Machine] = map[Key]*attempt{}
+		t.on[a.Machine] = map[TaskID]*attempt{}
 	}
-	t.on[a.Machine][a.Key] = a
+	t.on[a.Machine][a.TaskID] = a
 	t.todo[a], t.moved[a.Machine] = true, true
 	t.usedCPU += a.CPUs
 	t.usedGPU += a.GPUs
@@ -311,7 +311,7 @@
 // Doubt books whether a job is held to fail on every machine. Such a job asks for
 // no more room than one task takes, so that it neither fills the machines nor has
 // more of them rented, and is tried until its user cancels it or it succeeds.
-func (t *Team) Doubt(uid string, faulty bool) {
+func (t *Team) SetFaulty(uid string, faulty bool) {
 	j := t.jobs[uid]
 	if j == nil || j.faulty == faulty {
 		return
@@ -332,33 +332,33 @@
 
 // Place makes an attempt on a machine and holds task and quota for it. Its
 // start may be sent once every backup in sync acknowledged the delta.
-func (t *Team) Place(j *Job, index int, at Spot) bool {
-	k := Key{j.Spec.UID, index}
+func (t *Team) Place(j *Job, index int, at Location) bool {
+	k := TaskID{j.Spec.UID, index}
 	if t.counter >= 1<<termShift-1 || t.held[k] != nil || t.isDone(k) || j.Over || !t.Fits(j, 1) {
 		return false
 	}
 	t.counter++
-	t.start(j, AttemptID(t.term, t.counter), map[int]Spot{index: at})
+	t.start(j, AttemptID(t.term, t.counter), map[int]Location{index: at})
 	return true
 }
 
 // Spot is a place on a machine that an attempt is made for.
-type Spot struct {
+type Location struct {
 	Machine string
 	Zone    string
 	Session uint64
 }
 
-func (t *Team) start(j *Job, id uint64, spots map[int]Spot) {
+func (t *Team) start(j *Job, id uint64, spots map[int]Location) {
 	var made []*attempt
-	var holds []Hold
+	var holds []Assignment
 	for _, index := range slices.Sorted(maps.Keys(spots)) {
 		at := spots[index]
-		a := &attempt{Hold: Hold{Key: Key{j.Spec.UID, index}, Attempt: id, Machine: at.Machine, Zone: at.Zone, Session: at.Session,
+		a := &attempt{Assignment: Assignment{TaskID: TaskID{j.Spec.UID, index}, Attempt: id, Machine: at.Machine, Zone: at.Zone, Session: at.Session,
 			CPUs: j.Spec.CPUs, GPUs: j.Spec.GPUs, Memory: j.Spec.Memory}}
 		t.hold(a)
-		t.rep.Holds[a.Key] = a.Hold
-		made, holds = append(made, a), append(holds, a.Hold)
+		t.rep.Holds[a.TaskID] = a.Assignment
+		made, holds = append(made, a), append(holds, a.Assignment)
 	}
 	seq := t.emit(Delta{Place: holds})
 	for _, a := range made {
@@ -367,8 +367,8 @@
 }
 
 // Stop marks an attempt to be stopped, with the grace to save.
-func (t *Team) Stop(ref Ref, grace float64) bool {
-	a := t.held[ref.Key]
+func (t *Team) Stop(ref AttemptRef, grace float64) bool {
+	a := t.held[ref.TaskID]
 	if a == nil || a.Attempt != ref.Attempt || a.stop {
 		return false
 	}
@@ -378,13 +378,13 @@
 }
 
 // Running calls f for each attempt of a job that was last listed as running.
-func (t *Team) Running(j *Job, f func(Hold)) {
+func (t *Team) Running(j *Job, f func(Assignment)) {
 	if j.running == 0 {
 		return
 	}
 	for _, a := range t.heldOf(j) {
 		if a.state == protocol.Running {
-			f(a.Hold)
+			f(a.Assignment)
 		}
 	}
 }
@@ -398,7 +398,7 @@
 }
 
 // Move stops an attempt to start its task on another machine.
-func (t *Team) Move(h Hold, grace float64, now time.Time) bool {
+func (t *Team) Move(h Assignment, grace float64, now time.Time) bool {
 	j := t.jobs[h.Job]
 	if j == nil || !t.Stop(h.Ref(), grace) {
 		return false
@@ -408,9 +408,9 @@
 }
 
 // On calls f for each attempt held on a machine.
-func (t *Team) On(machine string, f func(Hold)) {
+func (t *Team) On(machine string, f func(Assignment)) {
 	for _, a := range t.on[machine] {
-		f(a.Hold)
+		f(a.Assignment)
 	}
 }
 
--- a/internal/jobstate/transfer.go
+++ b/internal/jobstate/transfer.go
@@ -30,7 +30,7 @@
 }
 
 // size is about how long a hold is as encoded.
-func (h *Hold) size() int { return holdBytes + len(h.Job) + len(h.Machine) + len(h.Zone) }
+func (h *Assignment) size() int { return holdBytes + len(h.Job) + len(h.Machine) + len(h.Zone) }
 
 // setSize is about how long a job's set of finished tasks is as encoded.
 func (r *Replica) setSize(job string) int {
@@ -51,7 +51,7 @@
 
 // Transfer is the sending of a replica in parts.
 type Transfer struct {
-	keys []Key    // of what was held at the beginning and is not sent yet
+	keys []TaskID // of what was held at the beginning and is not sent yet
 	jobs []string // with finished tasks then, not sent yet
 	sent int      // parts
 	most int      // bytes of a part
@@ -59,7 +59,7 @@
 
 // NewTransfer begins to send a replica. The first part is to be made before any delta that the replica does not have yet.
 func NewTransfer(r *Replica) *Transfer {
-	return &Transfer{keys: slices.SortedFunc(maps.Keys(r.Holds), Key.compare), jobs: slices.Sorted(maps.Keys(r.Done)), most: partBytes}
+	return &Transfer{keys: slices.SortedFunc(maps.Keys(r.Holds), TaskID.compare), jobs: slices.Sorted(maps.Keys(r.Done)), most: partBytes}
 }
 
 // Sent is how many parts were made.
--- a/internal/jobstate/transfer_test.go
+++ b/internal/jobstate/transfer_test.go
@@ -24,15 +24,15 @@
 
 // change draws a change of the owner's replica.
 func (m *transferModel) change() {
-	key := Key{fmt.Sprint("job-", m.rng.IntN(5)), m.rng.IntN(12)}
+	key := TaskID{fmt.Sprint("job-", m.rng.IntN(5)), m.rng.IntN(12)}
 	d := Delta{Seq: m.owner.Seq + 1}
 	switch m.rng.IntN(5) {
 	case 0, 1:
-		d.Place = []Hold{{Key: key, Attempt: m.rng.Uint64N(1000), Machine: fmt.Sprint("m-", m.rng.IntN(9)), CPUs: 1}}
+		d.Place = []Assignment{{TaskID: key, Attempt: m.rng.Uint64N(1000), Machine: fmt.Sprint("m-", m.rng.IntN(9)), CPUs: 1}}
 	case 2:
-		d.Off = []Key{key}
+		d.Off = []TaskID{key}
 	case 3:
-		d.Done, d.Off = []Key{key}, []Key{key}
+		d.Done, d.Off = []TaskID{key}, []TaskID{key}
 	default:
 		if m.rng.IntN(4) == 0 {
 			d.Drop = key.Job
@@ -159,7 +159,7 @@
 func TestPartsOutOfOrder(t *testing.T) {
 	owner := NewReplica()
 	place := func(index int) Delta {
-		return Delta{Seq: owner.Seq + 1, Place: []Hold{{Key: Key{"job-1", index}, Attempt: 1, Machine: "m"}}}
+		return Delta{Seq: owner.Seq + 1, Place: []Assignment{{TaskID: TaskID{"job-1", index}, Attempt: 1, Machine: "m"}}}
 	}
 	for i := range 30 {
 		if err := owner.Apply(place(i)); err != nil {
@@ -197,13 +197,13 @@
 	const line = 4 << 20
 	r := NewReplica()
 	for i := range 40000 {
-		k := Key{"job-000001", i}
-		r.Holds[k] = Hold{Key: k, Attempt: AttemptID(1<<28, uint64(i)), Machine: "n-000001", Zone: "santiago-centro", CPUs: 1.5, GPUs: 0.5, Memory: 12.25, Session: 1 << 40}
+		k := TaskID{"job-000001", i}
+		r.Holds[k] = Assignment{TaskID: k, Attempt: AttemptID(1<<28, uint64(i)), Machine: "n-000001", Zone: "santiago-centro", CPUs: 1.5, GPUs: 0.5, Memory: 12.25, Session: 1 << 40}
 	}
 	for i := range 100 {
 		done := NewReplica()
 		for task := range 100000 {
-			done.markDone(Key{"job", task})
+			done.markDone(TaskID{"job", task})
 		}
 		r.Done[fmt.Sprint("job-", i)] = done.Done["job"]
 	}
@@ -217,7 +217,7 @@
 	}
 	small := NewReplica()
 	for i := range 15000 {
-		k := Key{"job-000001", i}
+		k := TaskID{"job-000001", i}
 		small.Holds[k] = r.Holds[k]
 	}
 	if !small.FitsOneMessage() {
--- a/internal/jobstate/view.go
+++ b/internal/jobstate/view.go
@@ -17,8 +17,8 @@
 const Ordered = "ordered"
 
 // TaskView is a task as a machine's home sees it.
-type TaskView struct {
-	Key
+type TaskStatus struct {
+	TaskID
 	Attempt uint64 `json:"a"`
 	State   string `json:"e"`
 	Why     string `json:"w,omitempty"`
@@ -26,26 +26,26 @@
 }
 
 // View is what a machine's home knows of it; later (Session, Seq, Rev) is newer.
-type View struct {
-	Machine string     `json:"m"`
-	Addr    string     `json:"addr"`
-	Type    string     `json:"type"`
-	Zone    string     `json:"zone"`
-	Spot    bool       `json:"spot,omitempty"`
-	Session uint64     `json:"s"`
-	Seq     uint64     `json:"q"`
-	Rev     uint64     `json:"v"` // the home's own count of changes
-	Token   uint64     `json:"t"` // highest term the worker has seen
-	Term    uint64     `json:"h"` // the home's term
-	Notice  bool       `json:"n,omitempty"`
-	Tasks   []TaskView `json:"x,omitempty"`
-	Barred  []Ref      `json:"b,omitempty"` // attempts that the home will never send
+type MachineStatus struct {
+	Machine      string       `json:"m"`
+	Addr         string       `json:"addr"`
+	Type         string       `json:"type"`
+	Zone         string       `json:"zone"`
+	Spot         bool         `json:"spot,omitempty"`
+	Incarnation  uint64       `json:"s"`
+	Seq          uint64       `json:"q"`
+	Revision     uint64       `json:"v"` // the home's own count of changes
+	FencingToken uint64       `json:"t"` // highest term the worker has seen
+	Term         uint64       `json:"h"` // the home's term
+	Notice       bool         `json:"n,omitempty"`
+	Tasks        []TaskStatus `json:"x,omitempty"`
+	Barred       []AttemptRef `json:"b,omitempty"` // attempts that the home will never send
 }
 
 // Newer says whether v replaces old.
-func (v *View) Newer(old *View) bool {
-	if v.Session != old.Session {
-		return v.Session > old.Session
+func (v *MachineStatus) Newer(old *MachineStatus) bool {
+	if v.Incarnation != old.Incarnation {
+		return v.Incarnation > old.Incarnation
 	}
 	if v.Term != old.Term {
 		return v.Term > old.Term
@@ -53,26 +53,26 @@
 	if v.Seq != old.Seq {
 		return v.Seq > old.Seq
 	}
-	return v.Rev > old.Rev
+	return v.Revision > old.Revision
 }
 
 // Order is a command for a machine, given by an owner and carried by its home.
 type Order struct {
 	Op string `json:"o"`
-	Key
-	Attempt uint64  `json:"a"`
-	Session uint64  `json:"s"`
-	CPUs    float64 `json:"c,omitempty"`
-	GPUs    float64 `json:"g,omitempty"`
-	Memory  float64 `json:"r,omitempty"`
-	Grace   float64 `json:"z,omitempty"`
+	TaskID
+	Attempt     uint64  `json:"a"`
+	Incarnation uint64  `json:"s"`
+	CPUs        float64 `json:"c,omitempty"`
+	GPUs        float64 `json:"g,omitempty"`
+	Memory      float64 `json:"r,omitempty"`
+	Grace       float64 `json:"z,omitempty"`
 }
 
 // Ref is the attempt that the hold is for.
-func (h Hold) Ref() Ref { return Ref{h.Key, h.Attempt} }
+func (h Assignment) Ref() AttemptRef { return AttemptRef{h.TaskID, h.Attempt} }
 
 // Ref is the attempt that the task is listed with.
-func (x TaskView) Ref() Ref { return Ref{x.Key, x.Attempt} }
+func (x TaskStatus) Ref() AttemptRef { return AttemptRef{x.TaskID, x.Attempt} }
 
 // Ref is the attempt that the order is for.
-func (o *Order) Ref() Ref { return Ref{o.Key, o.Attempt} }
+func (o *Order) Ref() AttemptRef { return AttemptRef{o.TaskID, o.Attempt} }
--- a/internal/kvstore/batch.go
+++ b/internal/kvstore/batch.go
@@ -241,14 +241,14 @@
 		return
 	}
 	if fence.Key != "" {
-		t.Guards = append(t.Guards, fence)
+		t.Conditions = append(t.Conditions, fence)
 	}
 	seen := map[string]bool{fence.Key: true}
 	for _, p := range batch {
 		for _, g := range p.Guards {
 			if !seen[g.Key] {
 				seen[g.Key] = true
-				t.Guards = append(t.Guards, g)
+				t.Conditions = append(t.Conditions, g)
 			}
 		}
 		t.Then = append(t.Then, p.Ops...)
--- a/internal/kvstore/fence.go
+++ b/internal/kvstore/fence.go
@@ -17,7 +17,7 @@
 	epoch uint64 // of what is seen: each begins when all is read anew
 	seen  uint64
 	held  bool
-	guard protocol.Guard
+	guard protocol.Condition
 	sign  func(string)
 }
 
@@ -57,7 +57,7 @@
 }
 
 // guarded gives the guard that every update carries, or false while all are held back.
-func (f *fence) guarded() (g protocol.Guard, open bool) {
+func (f *fence) guarded() (g protocol.Condition, open bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.guard, !f.held
@@ -90,7 +90,7 @@
 func (c *Client) Seen() uint64 { return c.fence.mark().seen }
 
 // Fence has every update carry a guard, and lets updates go.
-func (c *Client) Fence(g protocol.Guard) {
+func (c *Client) Fence(g protocol.Condition) {
 	c.fence.mu.Lock()
 	defer c.fence.mu.Unlock()
 	c.fence.guard, c.fence.held = g, false
@@ -98,6 +98,6 @@
 
 // Compare asks whether keys have these versions, and for the revision. It names those that
 // don't, and is not paced.
-func (c *Client) Compare(ctx context.Context, guards []protocol.Guard) (revision uint64, failed []string, err error) {
-	return c.TxnControl(ctx, protocol.Txn{Guards: guards})
+func (c *Client) Compare(ctx context.Context, guards []protocol.Condition) (revision uint64, failed []string, err error) {
+	return c.TxnControl(ctx, protocol.Txn{Conditions: guards})
 }
--- a/internal/kvstore/kvstore.go
+++ b/internal/kvstore/kvstore.go
@@ -255,8 +255,8 @@
 }
 
 func (c *Client) txn(ctx context.Context, pool *httpx.Pool, t protocol.Txn) (uint64, []string, error) {
-	if t.Guards == nil {
-		t.Guards = []protocol.Guard{}
+	if t.Conditions == nil {
+		t.Conditions = []protocol.Condition{}
 	}
 	at := c.fence.mark()
 	resp, err := c.do(ctx, pool, "POST", "/txn", protocol.Encode(t), timeout)
@@ -315,7 +315,7 @@
 // Update is one independent change: it is committed whole or not at all, in a
 // transaction that others may share.
 type Update struct {
-	Guards []protocol.Guard
+	Guards []protocol.Condition
 	Ops    []protocol.Op
 	Soon   bool // a user waits for it: goes before others
 	Later  bool // may wait for others: it takes only changes that nobody else needs
--- a/internal/kvstore/kvstore_test.go
+++ b/internal/kvstore/kvstore_test.go
@@ -27,7 +27,7 @@
 	c := kvstore.New(srv.Addr(), settings.State{RPS: 1000, WriteRPS: 1000, TxnOps: 8, ValueKB: 16}, 1)
 	go c.Run(ctx)
 	set := func(key string) kvstore.Update {
-		return kvstore.Update{Guards: []protocol.Guard{{Key: key}}, Ops: []protocol.Op{{Set: key, Value: []byte("1")}}}
+		return kvstore.Update{Guards: []protocol.Condition{{Key: key}}, Ops: []protocol.Op{{Set: key, Value: []byte("1")}}}
 	}
 	if _, err := c.Commit(ctx, set("k/3")); err != nil {
 		t.Fatal(err)
@@ -74,12 +74,12 @@
 	ended := make(chan error, 1)
 	go func() { ended <- c.Run(ctx) }()
 	defer func() { stop(); <-ended }()
-	_, err = c.Commit(ctx, kvstore.Update{Guards: []protocol.Guard{{Key: "w/a/job", Version: 2}, {Key: "w/c", Version: 1}}, Ops: []protocol.Op{{Delete: "w/a/job"}}})
+	_, err = c.Commit(ctx, kvstore.Update{Guards: []protocol.Condition{{Key: "w/a/job", Version: 2}, {Key: "w/c", Version: 1}}, Ops: []protocol.Op{{Delete: "w/a/job"}}})
 	var conflict *kvstore.Conflict
 	if !errors.Is(err, kvstore.ErrConflict) || !errors.As(err, &conflict) || !slices.Equal(conflict.Keys, []string{"w/c"}) {
 		t.Fatalf("%v", err)
 	}
-	if _, err := c.Commit(ctx, kvstore.Update{Guards: []protocol.Guard{{Key: "w/a/job", Version: 2}, {Key: "w/c", Version: 3}}, Ops: []protocol.Op{{Delete: "w/a/job"}}}); err != nil {
+	if _, err := c.Commit(ctx, kvstore.Update{Guards: []protocol.Condition{{Key: "w/a/job", Version: 2}, {Key: "w/c", Version: 3}}, Ops: []protocol.Op{{Delete: "w/a/job"}}}); err != nil {
 		t.Fatal(err)
 	}
 }
--- a/internal/leadership/backups.go
+++ b/internal/leadership/backups.go
@@ -11,11 +11,11 @@
 
 // Wished is the owner that the ranking wishes for each item of the record. The caller does not change it, and the
 // record does not change after the first call.
-func (r *Record) Wished() map[string]string {
-	if r.wished == nil {
-		r.wished = Placement(slices.Collect(maps.Keys(r.Items)), r.Members())
+func (r *Record) PreferredOwners() map[string]string {
+	if r.preferredOwners == nil {
+		r.preferredOwners = AssignOwners(slices.Collect(maps.Keys(r.Shards)), r.Members())
 	}
-	return r.wished
+	return r.preferredOwners
 }
 
 // BackupsOf names the members that should hold an item's replica beside its owner: the owner that the ranking wishes, so that
@@ -31,7 +31,7 @@
 		return others
 	}
 	others = Ranked(name, others)
-	if at := slices.Index(others, r.Wished()[name]); at >= BackupsPerItem {
+	if at := slices.Index(others, r.PreferredOwners()[name]); at >= BackupsPerItem {
 		others[0], others[at] = others[at], others[0]
 	}
 	return others[:BackupsPerItem]
--- a/internal/leadership/leadership.go
+++ b/internal/leadership/leadership.go
@@ -12,50 +12,50 @@
 
 // Fleet is the item that stands for renting and returning machines; every other
 // item is a team.
-const Fleet = "fleet"
+const FleetShard = "fleet"
 
 // Item is one thing that a controller owns.
-type Item struct {
-	Owner  string   `json:"owner"`
-	Since  uint64   `json:"since"`             // term at which the owner took it
-	InSync []string `json:"in_sync"`           // backups that know every started task
-	Blind  bool     `json:"barrier,omitempty"` // the owner was not in sync: full barrier first
+type Shard struct {
+	Owner        string   `json:"owner"`
+	SinceTerm    uint64   `json:"since"`             // term at which the owner took it
+	InSync       []string `json:"in_sync"`           // backups that know every started task
+	NeedsBarrier bool     `json:"barrier,omitempty"` // the owner was not in sync: full barrier first
 }
 
 // Record is the control record: the only source of who owns what.
 type Record struct {
-	Term  uint64            `json:"term"`
-	Nodes map[string]uint64 `json:"nodes"` // members with their incarnations
-	Items map[string]Item   `json:"items"`
-	Deaf  []string          `json:"deaf,omitempty"` // members that workers cannot reach
+	Term        uint64            `json:"term"`
+	Nodes       map[string]uint64 `json:"nodes"` // members with their incarnations
+	Shards      map[string]Shard  `json:"items"`
+	Unreachable []string          `json:"deaf,omitempty"` // members that workers cannot reach
 
 	// What the state service's data are: after it lost some, the next generation begins,
 	// with the term First. Store is a drawn name that no other generation has.
-	Generation uint64 `json:"generation,omitempty"`
-	First      uint64 `json:"first,omitempty"`
-	Store      string `json:"store,omitempty"`
-	After      uint64 `json:"after,omitempty"`  // version of the record that this one replaced
-	Census     bool   `json:"census,omitempty"` // the roster may lack machines
-	Lost       bool   `json:"lost,omitempty"`   // jobs may be lost that nobody remembers
+	Epoch            uint64 `json:"generation,omitempty"`
+	FirstTerm        uint64 `json:"first,omitempty"`
+	StoreID          string `json:"store,omitempty"`
+	PreviousVersion  uint64 `json:"after,omitempty"`  // version of the record that this one replaced
+	RosterIncomplete bool   `json:"census,omitempty"` // the roster may lack machines
+	DataLost         bool   `json:"lost,omitempty"`   // jobs may be lost that nobody remembers
 
-	wished map[string]string // Wished, once it was asked for
+	preferredOwners map[string]string // Wished, once it was asked for
 }
 
 // Clone is a deep copy.
 func (r *Record) Clone() *Record {
 	c := new(Record)
 	*c = *r
-	c.wished = nil
-	c.Nodes, c.Items, c.Deaf = maps.Clone(r.Nodes), maps.Clone(r.Items), slices.Clone(r.Deaf)
-	for name, it := range c.Items {
+	c.preferredOwners = nil
+	c.Nodes, c.Shards, c.Unreachable = maps.Clone(r.Nodes), maps.Clone(r.Shards), slices.Clone(r.Unreachable)
+	for name, it := range c.Shards {
 		it.InSync = slices.Clone(it.InSync)
-		c.Items[name] = it
+		c.Shards[name] = it
 	}
 	if c.Nodes == nil {
 		c.Nodes = map[string]uint64{}
 	}
-	if c.Items == nil {
-		c.Items = map[string]Item{}
+	if c.Shards == nil {
+		c.Shards = map[string]Shard{}
 	}
 	return c
 }
@@ -90,7 +90,7 @@
 
 // Placement gives each item a wished-for owner: the rendezvous rank, with no
 // node taking more than its even share.
-func Placement(items, nodes []string) map[string]string {
+func AssignOwners(items, nodes []string) map[string]string {
 	items = slices.Sorted(slices.Values(items))
 	share := (len(items) + len(nodes) - 1) / max(1, len(nodes))
 	load, wish := map[string]int{}, map[string]string{}
@@ -112,7 +112,7 @@
 // Home is the controller that a machine reports to. Those that workers cannot
 // reach are homes only when nobody else is.
 func (r *Record) Home(machine string) string {
-	if best := r.home(machine, r.Deaf); best != "" {
+	if best := r.home(machine, r.Unreachable); best != "" {
 		return best
 	}
 	return r.home(machine, nil)
@@ -160,11 +160,11 @@
 		return nil, nil
 	}
 	members := next.Members()
-	wish := Placement(items, members)
+	wish := AssignOwners(items, members)
 	next.Term = r.Term + 1
 	moved := false
 	for _, name := range items {
-		if next.failover(name, stays, wish[name], members, len(r.Items) > 0) {
+		if next.failover(name, stays, wish[name], members, len(r.Shards) > 0) {
 			moved = true
 		}
 	}
@@ -186,7 +186,7 @@
 		}
 	}
 	for _, name := range items {
-		it, known := r.Items[name]
+		it, known := r.Shards[name]
 		if _, member := r.Nodes[it.Owner]; !known || !member {
 			return false
 		}
@@ -202,7 +202,7 @@
 			continue
 		}
 		delete(r.Nodes, n)
-		r.Deaf = slices.DeleteFunc(r.Deaf, func(d string) bool { return d == n })
+		r.Unreachable = slices.DeleteFunc(r.Unreachable, func(d string) bool { return d == n })
 		conditions = append(conditions, Condition{n, p.Version})
 	}
 	return conditions
@@ -228,23 +228,23 @@
 // whether it did. First is the highest-ranked member; recorded says that there were items
 // before, so that a task of a new one may be on a machine.
 func (r *Record) failover(name string, stays map[string]uint64, first string, members []string, recorded bool) bool {
-	it, known := r.Items[name]
+	it, known := r.Shards[name]
 	it.InSync = slices.DeleteFunc(it.InSync, func(n string) bool { _, ok := stays[n]; return !ok })
 	_, ownerStays := stays[it.Owner]
 	if known && ownerStays {
-		r.Items[name] = it
+		r.Shards[name] = it
 		return false
 	}
-	blind := it.Blind
-	it.Since, it.Owner, it.Blind = r.Term, first, known || recorded
+	blind := it.NeedsBarrier
+	it.SinceTerm, it.Owner, it.NeedsBarrier = r.Term, first, known || recorded
 	for _, n := range Ranked(name, members) {
 		if slices.Contains(it.InSync, n) {
-			it.Owner, it.Blind = n, blind
+			it.Owner, it.NeedsBarrier = n, blind
 			break
 		}
 	}
-	it.InSync = slices.DeleteFunc(it.InSync, func(n string) bool { return n == it.Owner || it.Blind })
-	r.Items[name] = it
+	it.InSync = slices.DeleteFunc(it.InSync, func(n string) bool { return n == it.Owner || it.NeedsBarrier })
+	r.Shards[name] = it
 	return true
 }
 
@@ -261,10 +261,10 @@
 // wishes once that one is in sync. handed lists items given away. Nil when
 // nothing is to change.
 func Upkeep(r *Record, self string, syncs map[string]Sync, rebalance bool) (next *Record, handed []string) {
-	wish := r.Wished()
-	changed := map[string]Item{}
+	wish := r.PreferredOwners()
+	changed := map[string]Shard{}
 	for _, name := range slices.Sorted(maps.Keys(syncs)) {
-		it, known := r.Items[name]
+		it, known := r.Shards[name]
 		s := syncs[name]
 		if !known || it.Owner != self || !s.Ready {
 			continue
@@ -282,7 +282,7 @@
 		return nil, nil
 	}
 	next = r.Clone()
-	maps.Copy(next.Items, changed)
+	maps.Copy(next.Shards, changed)
 	if len(handed) > 0 {
 		next.Term = r.Term + 1
 	}
@@ -291,9 +291,9 @@
 
 // keepInSync gives the item as its owner would have it: the barrier passed, and in sync those backups that are whole and not
 // behind. It says whether that differs.
-func (it Item) keepInSync(r *Record, self string, s *Sync) (kept Item, differs bool) {
-	kept, differs = it, it.Blind
-	kept.Blind, kept.InSync = false, slices.Clone(it.InSync)
+func (it Shard) keepInSync(r *Record, self string, s *Sync) (kept Shard, differs bool) {
+	kept, differs = it, it.NeedsBarrier
+	kept.NeedsBarrier, kept.InSync = false, slices.Clone(it.InSync)
 	for n := range s.Whole {
 		if _, member := r.Nodes[n]; member && n != self && !slices.Contains(kept.InSync, n) {
 			kept.InSync = append(kept.InSync, n)
@@ -308,8 +308,8 @@
 }
 
 // handTo gives the item to another owner since a term; this controller becomes a backup.
-func (it Item) handTo(to, self string, term uint64, s *Sync) Item {
-	it.Owner, it.Since = to, term
+func (it Shard) handTo(to, self string, term uint64, s *Sync) Shard {
+	it.Owner, it.SinceTerm = to, term
 	it.InSync = slices.DeleteFunc(it.InSync, func(n string) bool { return n == to || !s.Whole[n] })
 	it.InSync = append(it.InSync, self)
 	slices.Sort(it.InSync)
@@ -318,17 +318,17 @@
 
 // Hearing is the next record with a member taken out of the machines' homes, or
 // back among them; nil when that changes nothing. Homes move with the term only.
-func Hearing(r *Record, node string, deaf bool) *Record {
-	if _, member := r.Nodes[node]; !member || slices.Contains(r.Deaf, node) == deaf {
+func WithReachability(r *Record, node string, deaf bool) *Record {
+	if _, member := r.Nodes[node]; !member || slices.Contains(r.Unreachable, node) == deaf {
 		return nil
 	}
 	next := r.Clone()
 	next.Term++
 	if deaf {
-		next.Deaf = append(next.Deaf, node)
-		slices.Sort(next.Deaf)
+		next.Unreachable = append(next.Unreachable, node)
+		slices.Sort(next.Unreachable)
 	} else {
-		next.Deaf = slices.DeleteFunc(next.Deaf, func(n string) bool { return n == node })
+		next.Unreachable = slices.DeleteFunc(next.Unreachable, func(n string) bool { return n == node })
 	}
 	return next
 }
--- a/internal/leadership/leadership_test.go
+++ b/internal/leadership/leadership_test.go
@@ -42,7 +42,7 @@
 // the term, that a successor not marked for the barrier is a process that was in
 // sync, and that no live member loses an item without its own doing.
 func TestRecordModel(t *testing.T) {
-	items := []string{Fleet, "team/a", "team/b", "team/c"}
+	items := []string{FleetShard, "team/a", "team/b", "team/c"}
 	nodes := []string{"n0", "n1", "n2"}
 	for seed := range uint64(300) {
 		rng := rand.New(rand.NewPCG(seed, 1))
@@ -86,7 +86,7 @@
 				next, conds := Repair(v.record, items, v.keys)
 				if next == nil {
 					syncs := map[string]Sync{}
-					for name := range v.record.Items {
+					for name := range v.record.Shards {
 						s := Sync{Ready: rng.IntN(4) > 0, Whole: map[string]bool{}, Lagging: map[string]bool{}}
 						for _, p := range nodes {
 							if p != n && v.record.Nodes[p] != 0 {
@@ -116,20 +116,20 @@
 				w.late = w.late[1:]
 			}
 			after := w.record
-			for name, it := range after.Items {
-				old, had := before.Items[name]
+			for name, it := range after.Shards {
+				old, had := before.Shards[name]
 				if !had || before == after {
 					continue
 				}
-				if it.Owner != old.Owner || it.Since != old.Since {
-					if after.Term <= before.Term || it.Since != after.Term {
+				if it.Owner != old.Owner || it.SinceTerm != old.SinceTerm {
+					if after.Term <= before.Term || it.SinceTerm != after.Term {
 						t.Fatalf("seed %d: %s changed hands without a raised term", seed, name)
 					}
 					oldAlive := after.Nodes[old.Owner] == before.Nodes[old.Owner] && before.Nodes[old.Owner] != 0
-					if !it.Blind && (!slices.Contains(old.InSync, it.Owner) && !oldAlive) {
+					if !it.NeedsBarrier && (!slices.Contains(old.InSync, it.Owner) && !oldAlive) {
 						t.Fatalf("seed %d: %s went to %s, who was not in sync, without a barrier", seed, name, it.Owner)
 					}
-					if !it.Blind && after.Nodes[it.Owner] != before.Nodes[it.Owner] {
+					if !it.NeedsBarrier && after.Nodes[it.Owner] != before.Nodes[it.Owner] {
 						t.Fatalf("seed %d: %s went to a new process without a barrier", seed, name)
 					}
 				}
@@ -149,12 +149,12 @@
 // TestRepairPicksHighestRanked guards take-over by rank among those in sync.
 func TestRepairPicksHighestRanked(t *testing.T) {
 	all := []string{"n0", "n1", "n2"}
-	r := &Record{Term: 4, Nodes: map[string]uint64{"n0": 1, "n1": 1, "n2": 1}, Items: map[string]Item{}}
-	r.Items["team/a"] = Item{Owner: "n0", Since: 2, InSync: []string{"n1", "n2"}}
+	r := &Record{Term: 4, Nodes: map[string]uint64{"n0": 1, "n1": 1, "n2": 1}, Shards: map[string]Shard{}}
+	r.Shards["team/a"] = Shard{Owner: "n0", SinceTerm: 2, InSync: []string{"n1", "n2"}}
 	next, conds := Repair(r, []string{"team/a"}, map[string]Presence{"n1": {1, 8}, "n2": {1, 9}})
 	want := Ranked("team/a", slices.DeleteFunc(slices.Clone(all), func(n string) bool { return n == "n0" }))[0]
-	it := next.Items["team/a"]
-	if it.Owner != want || it.Blind || next.Term != 5 || it.Since != 5 {
+	it := next.Shards["team/a"]
+	if it.Owner != want || it.NeedsBarrier || next.Term != 5 || it.SinceTerm != 5 {
 		t.Fatalf("took over: %+v in term %d, want owner %s", it, next.Term, want)
 	}
 	if !slices.Contains(conds, Condition{"n0", 0}) {
@@ -184,7 +184,7 @@
 
 // TestRepairOfEachChange: whatever changed about the members or the items is repaired, and nothing else is touched.
 func TestRepairOfEachChange(t *testing.T) {
-	items := []string{Fleet, "team/a", "team/b"}
+	items := []string{FleetShard, "team/a", "team/b"}
 	live := func(nodes ...string) map[string]Presence {
 		m := map[string]Presence{}
 		for _, n := range nodes {
@@ -196,7 +196,7 @@
 	restarted := live("n0", "n1", "n2")
 	restarted["n1"] = Presence{Incarnation: 2, Version: 2}
 	unowned := whole.Clone()
-	unowned.Items[Fleet] = Item{Owner: "n9", Since: 1}
+	unowned.Shards[FleetShard] = Shard{Owner: "n9", SinceTerm: 1}
 	for _, c := range []struct {
 		name   string
 		record *Record
--- a/internal/leadership/packed.go
+++ b/internal/leadership/packed.go
@@ -22,7 +22,7 @@
 // storedRecord is the record as it is written: with Items, or with Packed in their place.
 type storedRecord struct {
 	*plainRecord
-	Items  map[string]Item       `json:"items,omitempty"`
+	Items  map[string]Shard      `json:"items,omitempty"`
 	Packed map[string]packedItem `json:"packed,omitempty"`
 }
 
@@ -39,8 +39,8 @@
 
 // MarshalJSON gives the plain form, or the packed one if there are many items.
 func (r *Record) MarshalJSON() ([]byte, error) {
-	stored := storedRecord{plainRecord: (*plainRecord)(r), Items: r.Items}
-	if len(r.Items) >= packedFrom {
+	stored := storedRecord{plainRecord: (*plainRecord)(r), Items: r.Shards}
+	if len(r.Shards) >= packedFrom {
 		packed, ok := r.pack()
 		if ok {
 			stored.Items, stored.Packed = nil, packed
@@ -55,7 +55,7 @@
 	if err := json.Unmarshal(data, &stored); err != nil {
 		return err
 	}
-	r.Items = stored.Items
+	r.Shards = stored.Items
 	if stored.Packed == nil {
 		return nil
 	}
@@ -65,12 +65,12 @@
 // pack gives the items in packed form; false if one of them can't be told so.
 func (r *Record) pack() (map[string]packedItem, bool) {
 	members := r.Members()
-	packed := make(map[string]packedItem, len(r.Items))
-	for name, item := range r.Items {
-		if item.Since > r.Term {
+	packed := make(map[string]packedItem, len(r.Shards))
+	for name, item := range r.Shards {
+		if item.SinceTerm > r.Term {
 			return nil, false
 		}
-		p := packedItem{owner: slices.Index(members, item.Owner), age: r.Term - item.Since, blind: item.Blind, inSync: []int{}}
+		p := packedItem{owner: slices.Index(members, item.Owner), age: r.Term - item.SinceTerm, blind: item.NeedsBarrier, inSync: []int{}}
 		if p.owner == nobody {
 			return nil, false
 		}
@@ -89,13 +89,13 @@
 // unpack takes items in from the packed form.
 func (r *Record) unpack(packed map[string]packedItem) error {
 	members := r.Members()
-	r.Items = make(map[string]Item, len(packed))
+	r.Shards = make(map[string]Shard, len(packed))
 	for _, name := range slices.Sorted(maps.Keys(packed)) {
 		p := packed[name]
 		if p.age > r.Term {
 			return fmt.Errorf("control record: item %q was taken before the first term", name)
 		}
-		item := Item{Since: r.Term - p.age, Blind: p.blind, InSync: []string{}}
+		item := Shard{SinceTerm: r.Term - p.age, NeedsBarrier: p.blind, InSync: []string{}}
 		for _, index := range append([]int{p.owner}, p.inSync...) {
 			if index < 0 || index >= len(members) {
 				return fmt.Errorf("control record: item %q names member %d of %d", name, index, len(members))
@@ -105,7 +105,7 @@
 		for _, index := range p.inSync {
 			item.InSync = append(item.InSync, members[index])
 		}
-		r.Items[name] = item
+		r.Shards[name] = item
 	}
 	return nil
 }
--- a/internal/leadership/packed_test.go
+++ b/internal/leadership/packed_test.go
@@ -12,18 +12,18 @@
 
 // drawnRecord is a record with so many members and items, whose owners and backups are drawn among the members.
 func drawnRecord(rng *rand.Rand, members, items int) *Record {
-	r := (&Record{Term: 1<<20 + rng.Uint64N(1000), Generation: 1, Store: "store"}).Clone()
+	r := (&Record{Term: 1<<20 + rng.Uint64N(1000), Epoch: 1, StoreID: "store"}).Clone()
 	for i := range members {
 		r.Nodes[fmt.Sprintf("controller-%02d", i)] = rng.Uint64()
 	}
 	names := r.Members()
 	for i := range items {
 		order := rng.Perm(members)
-		item := Item{Owner: names[order[0]], Since: r.Term - rng.Uint64N(r.Term), Blind: rng.IntN(4) == 0, InSync: []string{}}
+		item := Shard{Owner: names[order[0]], SinceTerm: r.Term - rng.Uint64N(r.Term), NeedsBarrier: rng.IntN(4) == 0, InSync: []string{}}
 		for _, at := range order[1:min(members, 1+rng.IntN(BackupsPerItem+1))] {
 			item.InSync = append(item.InSync, names[at])
 		}
-		r.Items[fmt.Sprintf("team/team-%04d", i)] = item
+		r.Shards[fmt.Sprintf("team/team-%04d", i)] = item
 	}
 	return r
 }
@@ -47,8 +47,8 @@
 		}
 		packed := strings.Contains(string(data), `"packed"`)
 		forms[packed]++
-		if packed != (len(r.Items) >= packedFrom) {
-			t.Errorf("%d items packed: %v", len(r.Items), packed)
+		if packed != (len(r.Shards) >= packedFrom) {
+			t.Errorf("%d items packed: %v", len(r.Shards), packed)
 		}
 	}
 	if forms[true] == 0 || forms[false] == 0 {
@@ -72,16 +72,16 @@
 // TestItemOfNoMemberStaysPlain: an item whose owner is no member can't be told by an index, so the record stays plain.
 func TestItemOfNoMemberStaysPlain(t *testing.T) {
 	r := drawnRecord(rand.New(rand.NewPCG(5, 6)), 3, packedFrom)
-	item := r.Items["team/team-0000"]
+	item := r.Shards["team/team-0000"]
 	item.Owner = "gone"
-	r.Items["team/team-0000"] = item
+	r.Shards["team/team-0000"] = item
 	data, err := json.Marshal(r)
 	if err != nil {
 		t.Fatal(err)
 	}
 	var got Record
-	if err := json.Unmarshal(data, &got); err != nil || got.Items["team/team-0000"].Owner != "gone" {
-		t.Fatalf("%v, read %+v", err, got.Items["team/team-0000"])
+	if err := json.Unmarshal(data, &got); err != nil || got.Shards["team/team-0000"].Owner != "gone" {
+		t.Fatalf("%v, read %+v", err, got.Shards["team/team-0000"])
 	}
 }
 
@@ -106,7 +106,7 @@
 	for _, item := range []string{"[]", "[0,0]", "[5,0,0]", "[0,0,0,7]", "[0,0,99]", "[18446744073709551615,0,0]", `"x"`, "[-1,0,0]"} {
 		var r Record
 		if err := json.Unmarshal([]byte(`{"term":9,"nodes":{"a":1,"b":2},"packed":{"team/x":`+item+`}}`), &r); err == nil {
-			t.Errorf("%s is read as %+v", item, r.Items["team/x"])
+			t.Errorf("%s is read as %+v", item, r.Shards["team/x"])
 		}
 	}
 }
@@ -123,7 +123,7 @@
 			down[node] = rng.IntN(5) == 0
 		}
 		reachable := func(node string) bool { return !down[node] }
-		for name, item := range r.Items {
+		for name, item := range r.Shards {
 			backups := r.BackupsOf(name, item.Owner, reachable)
 			can := 0
 			for _, node := range r.Members() {
@@ -134,7 +134,7 @@
 			if len(backups) != min(can, BackupsPerItem) || slices.Contains(backups, item.Owner) || slices.ContainsFunc(backups, func(b string) bool { return down[b] }) {
 				t.Fatalf("%s of %s: backups %v of %d reachable", name, item.Owner, backups, can)
 			}
-			if wished := r.Wished()[name]; wished != item.Owner && reachable(wished) && !slices.Contains(backups, wished) {
+			if wished := r.PreferredOwners()[name]; wished != item.Owner && reachable(wished) && !slices.Contains(backups, wished) {
 				t.Fatalf("%s: the wished-for owner %s is no backup: %v", name, wished, backups)
 			}
 			if again := r.Clone().BackupsOf(name, item.Owner, reachable); !slices.Equal(again, backups) {
@@ -150,15 +150,15 @@
 	for _, node := range []string{"a", "b", "c", "d"} {
 		r.Nodes[node] = 1
 	}
-	r.Items["team/x"] = Item{Owner: "a", Since: 5, InSync: []string{"d"}}
+	r.Shards["team/x"] = Shard{Owner: "a", SinceTerm: 5, InSync: []string{"d"}}
 	sync := Sync{Ready: true, Whole: map[string]bool{"b": true, "d": true}, Backups: []string{"b", "c"}}
 	next, _ := Upkeep(r, "a", map[string]Sync{"team/x": sync}, false)
-	if next == nil || !slices.Equal(next.Items["team/x"].InSync, []string{"b", "d"}) {
+	if next == nil || !slices.Equal(next.Shards["team/x"].InSync, []string{"b", "d"}) {
 		t.Fatalf("with one of two in sync: %+v", next)
 	}
 	sync.Whole["c"] = true
 	next, _ = Upkeep(next, "a", map[string]Sync{"team/x": sync}, false)
-	if next == nil || !slices.Equal(next.Items["team/x"].InSync, []string{"b", "c"}) {
+	if next == nil || !slices.Equal(next.Shards["team/x"].InSync, []string{"b", "c"}) {
 		t.Fatalf("with both in sync: %+v", next)
 	}
 }
--- a/internal/leasegrant/leasegrant.go
+++ b/internal/leasegrant/leasegrant.go
@@ -36,7 +36,7 @@
 	Job(uid string) JobState
 	// Ordered says whether the job's owner ordered the start of an attempt here in this term, and the state service was
 	// not read since.
-	Ordered(attempt jobstate.Ref) bool
+	Ordered(attempt jobstate.AttemptRef) bool
 	// Lost says whether the job of an attempt may have been lost with data of the state service.
 	Lost(attempt uint64) bool
 	// Renews says whether a lease may begin now if nothing later than since counts as known; since zero: no such bound.
@@ -46,12 +46,12 @@
 // Grant is the decision about one report.
 type Grant struct {
 	Renew   bool
-	Stops   []protocol.Command // not nil if the lease is renewed
-	Unknown *jobstate.Ref      // the first task of an unknown job, because of which the lease is not renewed
+	Stops   []protocol.Command   // not nil if the lease is renewed
+	Unknown *jobstate.AttemptRef // the first task of an unknown job, because of which the lease is not renewed
 }
 
 // Decide answers a report that came now.
-func Decide(report *protocol.Report, now time.Time, position Position, known Knowledge) Grant {
+func Decide(report *protocol.Heartbeat, now time.Time, position Position, known Knowledge) Grant {
 	if !mayBegin(now, position, known) {
 		return Grant{}
 	}
@@ -61,7 +61,7 @@
 			continue
 		}
 		uid, index, _ := protocol.SplitTask(task.Task)
-		attempt := jobstate.Ref{Key: jobstate.Key{Job: uid, Index: index}, Attempt: task.Attempt}
+		attempt := jobstate.AttemptRef{TaskID: jobstate.TaskID{Job: uid, Index: index}, Attempt: task.Attempt}
 		switch known.Job(uid) {
 		case Active:
 		case Over:
--- a/internal/leasegrant/leasegrant_test.go
+++ b/internal/leasegrant/leasegrant_test.go
@@ -11,13 +11,13 @@
 type known struct {
 	until   time.Time
 	jobs    map[string]JobState
-	ordered map[jobstate.Ref]bool
+	ordered map[jobstate.AttemptRef]bool
 	lost    uint64
 }
 
-func (k *known) Job(uid string) JobState     { return k.jobs[uid] }
-func (k *known) Ordered(a jobstate.Ref) bool { return k.ordered[a] }
-func (k *known) Lost(attempt uint64) bool    { return attempt < k.lost }
+func (k *known) Job(uid string) JobState            { return k.jobs[uid] }
+func (k *known) Ordered(a jobstate.AttemptRef) bool { return k.ordered[a] }
+func (k *known) Lost(attempt uint64) bool           { return attempt < k.lost }
 func (k *known) Renews(now, s time.Time) bool {
 	return !now.After(k.until) && (s.IsZero() || !now.After(s))
 }
@@ -26,7 +26,7 @@
 func TestDecide(t *testing.T) {
 	now := time.Unix(1000, 0)
 	k := &known{until: now, jobs: map[string]JobState{"job-000001": Active, "job-000002": Over}, lost: 5,
-		ordered: map[jobstate.Ref]bool{{Key: jobstate.Key{Job: "job-000003", Index: 1}, Attempt: 7}: true}}
+		ordered: map[jobstate.AttemptRef]bool{{TaskID: jobstate.TaskID{Job: "job-000003", Index: 1}, Attempt: 7}: true}}
 	home, stranger := Position{Home: true}, Position{HomeWord: now}
 	for what, c := range map[string]struct {
 		position Position
@@ -49,7 +49,7 @@
 		"a stranger's without a word":            {Position{}, now, protocol.TaskStatus{Task: "job-000001/0", Attempt: 9}, false, 0, false},
 		"a leased stranger's without a word":     {Position{Leased: true}, now, protocol.TaskStatus{Task: "job-000001/0", Attempt: 9}, true, 0, false},
 	} {
-		got := Decide(&protocol.Report{Tasks: []protocol.TaskStatus{c.task}}, c.at, c.position, k)
+		got := Decide(&protocol.Heartbeat{Tasks: []protocol.TaskStatus{c.task}}, c.at, c.position, k)
 		if got.Renew != c.renew || len(got.Stops) != c.stops || (got.Unknown != nil) != c.unknown {
 			t.Errorf("%s: %+v", what, got)
 		}
--- a/internal/leasegrant/model_test.go
+++ b/internal/leasegrant/model_test.go
@@ -89,8 +89,8 @@
 	index    int
 	up       bool
 	process  uint64
-	horizon  *cancelwatermark.Horizon
-	home     *agents.Home
+	horizon  *cancelwatermark.Watermark
+	home     *agents.Registry
 	lease    leadership.Lease
 	renewed  time.Time
 	promised time.Time
@@ -105,7 +105,7 @@
 	ended    bool // remembered to have ended
 	peers    [3]peer
 	homeWord [2]time.Time
-	views    [2]*jobstate.View
+	views    [2]*jobstate.MachineStatus
 	account  *jobstate.Team
 	since    uint64
 	await    [2]bool
@@ -133,7 +133,7 @@
 func machineName(i int) string { return [2]string{"n-000000", "n-000004"}[i] }
 
 func spec() *protocol.Submission {
-	return &protocol.Submission{UID: jobUID, Team: "red", Kind: protocol.Batch, Priority: "high", Tasks: 1, CPUs: 1, Estimate: 600}
+	return &protocol.Submission{UID: jobUID, Team: "red", Kind: protocol.JobArray, Priority: "high", Tasks: 1, CPUs: 1, Estimate: 600}
 }
 
 func capacity(string) (float64, float64, float64, bool) { return 8, 0, 64, true }
@@ -149,11 +149,11 @@
 		w.store.revision++
 		w.store.live[names[i]] = leadership.Presence{Incarnation: w.controllers[i].process, Version: w.store.revision}
 	}
-	record := (&leadership.Record{Term: 10, Generation: 1, First: 10}).Clone()
+	record := (&leadership.Record{Term: 10, Epoch: 1, FirstTerm: 10}).Clone()
 	for i, name := range names {
 		record.Nodes[name] = w.controllers[i].process
 	}
-	record.Items[team] = leadership.Item{Owner: "b", Since: 10, InSync: []string{"a", "c"}}
+	record.Shards[team] = leadership.Shard{Owner: "b", SinceTerm: 10, InSync: []string{"a", "c"}}
 	w.write(record)
 	for i := range w.machines {
 		w.machines[i] = &machine{index: i, session: 1, alive: w.now, reports: i}
@@ -371,18 +371,18 @@
 	}
 	c.record, c.version = r, version
 	c.home.SetTerm(r.Term, func(m string) bool { return r.Home(m) == names[c.index] })
-	item := r.Items[team]
+	item := r.Shards[team]
 	if item.Owner != names[c.index] || r.Nodes[names[c.index]] != c.process {
 		c.account = nil
 		return
 	}
-	if c.account != nil && c.since == item.Since {
+	if c.account != nil && c.since == item.SinceTerm {
 		c.account.SetTerm(r.Term)
 		return
 	}
 	replica := jobstate.NewReplica()
-	c.since, c.await = item.Since, [2]bool{}
-	if item.Blind {
+	c.since, c.await = item.SinceTerm, [2]bool{}
+	if item.NeedsBarrier {
 		c.await = [2]bool{true, true}
 	} else {
 		replica = jobstate.FromCopy(w.replica.Copy())
@@ -534,8 +534,8 @@
 	if j := c.account.Job(jobUID); j != nil {
 		c.account.Pending(j, w.now, func(index int) bool {
 			for k, v := range c.views {
-				if v != nil && v.Token >= c.record.Term && !j.Avoids(machineName(k), w.now) && !w.machines[k].hung {
-					return c.account.Place(j, index, jobstate.Spot{Machine: machineName(k), Session: v.Session})
+				if v != nil && v.FencingToken >= c.record.Term && !j.Avoids(machineName(k), w.now) && !w.machines[k].hung {
+					return c.account.Place(j, index, jobstate.Location{Machine: machineName(k), Session: v.Incarnation})
 				}
 			}
 			return false
@@ -549,7 +549,7 @@
 	}
 	due := c.account.Due(acked, w.now, func(name string, session uint64) bool {
 		v := c.views[slices.Index([]string{machineName(0), machineName(1)}, name)]
-		return v != nil && v.Session == session
+		return v != nil && v.Incarnation == session
 	})
 	for k := range w.machines {
 		if orders := due[machineName(k)]; len(orders) > 0 {
@@ -560,7 +560,7 @@
 
 // replicates says whether every backup in sync is heard.
 func (w *world) replicates(c *controller) bool {
-	for _, name := range c.record.Items[team].InSync {
+	for _, name := range c.record.Shards[team].InSync {
 		k := slices.Index(names[:], name)
 		if k != c.index && (!w.linked(c.index, k) || w.controllers[k].process != c.record.Nodes[name]) {
 			return false
@@ -584,7 +584,7 @@
 		return
 	}
 	c.views[k] = v
-	if v.Token >= c.since {
+	if v.FencingToken >= c.since {
 		c.await[k] = false
 	}
 	if c.await != [2]bool{} {
@@ -603,7 +603,9 @@
 	return jobstate.JobInfo{Known: k.c.known, Mine: true, Active: k.c.active, Spec: spec()}
 }
 
-func (k jobKnowledge) Unsized(*jobstate.View) (cpus, gpus float64) { return spec().CPUs, spec().GPUs }
+func (k jobKnowledge) Unsized(*jobstate.MachineStatus) (cpus, gpus float64) {
+	return spec().CPUs, spec().GPUs
+}
 
 func (w *world) order(c *controller, k int, orders []jobstate.Order) {
 	h := w.homeOf(c, k)
@@ -628,7 +630,7 @@
 		}
 		var orders []jobstate.Order
 		for _, t := range m.Report.Tasks {
-			o := jobstate.Order{Op: protocol.Stop, Key: jobstate.Key{Job: jobUID}, Attempt: t.Attempt, Session: m.Report.Session}
+			o := jobstate.Order{Op: protocol.Stop, TaskID: jobstate.TaskID{Job: jobUID}, Attempt: t.Attempt, Incarnation: m.Report.Incarnation}
 			if t.State == protocol.Exited {
 				o.Op = protocol.Forget
 			}
@@ -649,7 +651,7 @@
 			continue
 		}
 		late := w.late && at.Starts()
-		d := direct{machine: k, from: c.index, token: c.record.Term, session: at.Report.Session, commands: at.Send(), late: late}
+		d := direct{machine: k, from: c.index, token: c.record.Term, session: at.Report.Incarnation, commands: at.Send(), late: late}
 		if late || m.hung || m.deaf || w.cut[k][c.index] {
 			w.late = w.late && !late
 			if late || !m.deaf {
@@ -672,7 +674,7 @@
 }
 
 // readyToSend is Node.readyToSend.
-func (w *world) readyToSend(c *controller, m *agents.Machine) {
+func (w *world) readyToSend(c *controller, m *agents.Agent) {
 	if w.mutant != "starts of what is over" {
 		m.DropStarts(w.over(c))
 	}
@@ -723,9 +725,9 @@
 	w.check()
 }
 
-func (m *machine) report() protocol.Report {
+func (m *machine) report() protocol.Heartbeat {
 	m.seq++
-	return protocol.Report{Machine: machineName(m.index), Type: "m", Session: m.session, Seq: m.seq, Token: m.token, Tasks: slices.Clone(m.tasks)}
+	return protocol.Heartbeat{Machine: machineName(m.index), Type: "m", Incarnation: m.session, Seq: m.seq, FencingToken: m.token, Tasks: slices.Clone(m.tasks)}
 }
 
 // report has a worker report until one controller answers it.
@@ -765,14 +767,14 @@
 }
 
 // answer is Node.answerReport.
-func (w *world) answer(c *controller, r *protocol.Report, vain *[3]bool) answer {
+func (w *world) answer(c *controller, r *protocol.Heartbeat, vain *[3]bool) answer {
 	if !w.entitled(c) {
 		for k := range names {
 			if p := &c.peers[k]; k != c.index && p.entitled && p.at.Equal(w.now) {
 				return answer{status: 421, to: k}
 			}
 		}
-		if c.record == nil || r.Token > c.record.Term {
+		if c.record == nil || r.FencingToken > c.record.Term {
 			return answer{status: 503}
 		}
 		if grant := w.renewal(c, r); grant.Renew && len(grant.Stops) == 0 {
@@ -780,7 +782,7 @@
 		}
 		return answer{status: 503}
 	}
-	if r.Token > c.record.Term {
+	if r.FencingToken > c.record.Term {
 		return answer{status: 503}
 	}
 	home := slices.Index(names[:], c.record.Home(r.Machine))
@@ -804,7 +806,7 @@
 }
 
 // renewal is Node.renewal.
-func (w *world) renewal(c *controller, r *protocol.Report) leasegrant.Grant {
+func (w *world) renewal(c *controller, r *protocol.Heartbeat) leasegrant.Grant {
 	k := slices.Index([]string{machineName(0), machineName(1)}, r.Machine)
 	position := leasegrant.Position{Home: c.record.Home(r.Machine) == names[c.index] && c.record.Nodes[names[c.index]] == c.process,
 		Leased: c.lease.Valid(w.now) && w.entitled(c) || w.mutant == "strangers without a bound", HomeWord: c.homeWord[k]}
@@ -836,7 +838,7 @@
 	return leasegrant.Unknown
 }
 
-func (k *knowledge) Ordered(attempt jobstate.Ref) bool {
+func (k *knowledge) Ordered(attempt jobstate.AttemptRef) bool {
 	for i := range k.w.machines {
 		if m := k.c.home.Get(machineName(i)); m != nil {
 			if sent, ok := m.Ordered(attempt); ok && (sent.IsZero() || !k.c.horizon.LastRead().After(sent)) {
--- a/internal/loadtest/cloud.go
+++ b/internal/loadtest/cloud.go
@@ -66,7 +66,7 @@
 }
 
 func (c *cloud) giveBack(w http.ResponseWriter, r *http.Request) {
-	var names protocol.Names
+	var names protocol.MachineNames
 	if json.NewDecoder(r.Body).Decode(&names) != nil || len(names.Machines) > 100 {
 		answer(w, http.StatusBadRequest, protocol.Error{Error: "malformed"})
 		return
--- a/internal/loadtest/hollow.go
+++ b/internal/loadtest/hollow.go
@@ -46,9 +46,9 @@
 	gone    bool
 }
 
-func (h *hollow) report() protocol.Report {
+func (h *hollow) report() protocol.Heartbeat {
 	h.seq++
-	return protocol.Report{Machine: h.name, Addr: h.addr, Type: machineType, Zone: h.zone, Session: h.session, Seq: h.seq, Token: h.token,
+	return protocol.Heartbeat{Machine: h.name, Addr: h.addr, Type: machineType, Zone: h.zone, Incarnation: h.session, Seq: h.seq, FencingToken: h.token,
 		Tasks: append([]protocol.TaskStatus{}, h.tasks...)}
 }
 
@@ -175,14 +175,14 @@
 }
 
 // answered takes in the answer to a report sent at a time in a session.
-func (h *hollow) answered(a *protocol.ReportAnswer, sent time.Time, session uint64) {
+func (h *hollow) answered(a *protocol.HeartbeatAnswer, sent time.Time, session uint64) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if a.Token == 0 || a.Token < h.token || session != h.session || h.gone {
+	if a.FencingToken == 0 || a.FencingToken < h.token || session != h.session || h.gone {
 		return
 	}
 	h.alive = sent
-	h.sees(a.Token)
+	h.sees(a.FencingToken)
 	h.execute(a.Commands)
 }
 
@@ -245,7 +245,7 @@
 // send sends a report and takes in its answer; to is the controller that was named
 // instead, or -1.
 func (h *hollow) send(ctx context.Context, link *httpx.Link, body []byte, session uint64, sent time.Time) (to int, good bool) {
-	resp, _, err := link.Do(ctx, http.MethodPost, protocol.PathReport, body, answerTimeout)
+	resp, _, err := link.Do(ctx, http.MethodPost, protocol.PathHeartbeat, body, answerTimeout)
 	c := Counts{Reports: 1, ReportBytes: int64(len(body))}
 	defer func() { h.pool.rec.count(c) }()
 	if err != nil {
@@ -255,7 +255,7 @@
 	c.AnswerBytes = int64(len(resp.Body))
 	switch resp.Status {
 	case http.StatusOK:
-		var a protocol.ReportAnswer
+		var a protocol.HeartbeatAnswer
 		if protocol.Decode(resp.Body, &a) != nil {
 			c.Failed = 1
 			return -1, false
@@ -265,10 +265,10 @@
 		h.answered(&a, sent, session)
 		return -1, true
 	case http.StatusMisdirectedRequest:
-		var m protocol.Moved
+		var m protocol.Redirect
 		c.Moved = 1
 		if protocol.Decode(resp.Body, &m) == nil {
-			return slices.Index(h.pool.names, m.ReportTo), false
+			return slices.Index(h.pool.names, m.Controller), false
 		}
 	default:
 		c.Failed = 1
@@ -278,18 +278,18 @@
 
 // do carries out direct commands.
 func (h *hollow) do(w http.ResponseWriter, r *http.Request) {
-	var d protocol.Direct
+	var d protocol.DirectCommands
 	body := http.MaxBytesReader(w, r.Body, protocol.MaxBody)
-	if json.NewDecoder(body).Decode(&d) != nil || d.Token == 0 || d.Session == 0 {
+	if json.NewDecoder(body).Decode(&d) != nil || d.FencingToken == 0 || d.Incarnation == 0 {
 		http.Error(w, `{"error":"malformed"}`, http.StatusBadRequest)
 		return
 	}
 	status := http.StatusOK
 	h.mu.Lock()
-	if d.Token < h.token || d.Session != h.session || h.gone {
+	if d.FencingToken < h.token || d.Incarnation != h.session || h.gone {
 		status = http.StatusConflict
 	} else {
-		h.sees(d.Token)
+		h.sees(d.FencingToken)
 		h.execute(d.Commands)
 	}
 	answer := protocol.Encode(h.report())
--- a/internal/loadtest/rules.go
+++ b/internal/loadtest/rules.go
@@ -123,7 +123,7 @@
 		return
 	case j.final != "" && state != j.final:
 		r.fault("went_back", "%s: %s after %s", uid, state, j.final)
-	case state == protocol.Withdrawn:
+	case state == protocol.Cancelled:
 		r.fault("went_back", "%s withdrawn, but not by its user", uid)
 	case state == protocol.Done && j.final == "":
 		r.told = append(r.told, toldDone{uid, now.UnixNano()})
--- a/internal/protocol/protocol.go
+++ b/internal/protocol/protocol.go
@@ -17,14 +17,14 @@
 
 // Paths and values of the protocol.
 const (
-	Batch   = "batch"
-	Gang    = "ensemble"
-	Service = "service"
+	JobArray = "batch"
+	Gang     = "ensemble"
+	Service  = "service"
 
 	Pending   = "pending"
 	Running   = "running"
 	Done      = "done"
-	Withdrawn = "withdrawn"
+	Cancelled = "withdrawn"
 
 	Pulling = "pulling"
 	Waiting = "waiting"
@@ -48,18 +48,18 @@
 	HostRunning = "running"
 	HostFailed  = "failed"
 
-	PathSubmit  = "/submissions"
-	PathHealth  = "/healthz"
-	PathReport  = "/v1/report"
-	PathDo      = "/do"
-	PathInspect = "/inspect"
+	PathSubmit    = "/submissions"
+	PathHealth    = "/healthz"
+	PathHeartbeat = "/v1/report"
+	PathDo        = "/do"
+	PathInspect   = "/inspect"
 )
 
 // MaxBody is the protocol's bound of a request body.
 const MaxBody = 64 << 10
 
 // MaxRent is the protocol's bound of the machines that one request rents.
-const MaxRent = 50
+const MaxScaleOut = 50
 
 // MaxTasks is the protocol's bound of a job's tasks.
 const MaxTasks = 100000
@@ -111,7 +111,7 @@
 }
 
 // Brief is the answer to a submission or a withdrawal.
-type Brief struct {
+type JobSummary struct {
 	UID   string `json:"uid"`
 	State string `json:"estado"`
 }
@@ -122,22 +122,22 @@
 }
 
 // Moved tells a worker where to report.
-type Moved struct {
-	ReportTo string `json:"informar_a,omitempty"`
+type Redirect struct {
+	Controller string `json:"informar_a,omitempty"`
 }
 
 // Report is what a worker says of itself.
-type Report struct {
-	Machine string       `json:"estacion"`
-	Addr    string       `json:"address"`
-	Type    string       `json:"modelo"`
-	Zone    string       `json:"zona"`
-	Spot    bool         `json:"prestadas"`
-	Session uint64       `json:"jornada"`
-	Seq     uint64       `json:"correlativo"`
-	Token   uint64       `json:"mando"`
-	Notice  *float64     `json:"aviso_s"`
-	Tasks   []TaskStatus `json:"tramos"`
+type Heartbeat struct {
+	Machine      string       `json:"estacion"`
+	Addr         string       `json:"address"`
+	Type         string       `json:"modelo"`
+	Zone         string       `json:"zona"`
+	Spot         bool         `json:"prestadas"`
+	Incarnation  uint64       `json:"jornada"`
+	Seq          uint64       `json:"correlativo"`
+	FencingToken uint64       `json:"mando"`
+	Notice       *float64     `json:"aviso_s"`
+	Tasks        []TaskStatus `json:"tramos"`
 }
 
 // TaskStatus is one task in a report.
@@ -158,16 +158,16 @@
 }
 
 // ReportAnswer answers a report.
-type ReportAnswer struct {
-	Token    uint64    `json:"mando"`
-	Commands []Command `json:"ordenes"`
+type HeartbeatAnswer struct {
+	FencingToken uint64    `json:"mando"`
+	Commands     []Command `json:"ordenes"`
 }
 
 // Direct is the body of a command sent straight to a worker.
-type Direct struct {
-	Token    uint64    `json:"mando"`
-	Session  uint64    `json:"jornada"`
-	Commands []Command `json:"ordenes"`
+type DirectCommands struct {
+	FencingToken uint64    `json:"mando"`
+	Incarnation  uint64    `json:"jornada"`
+	Commands     []Command `json:"ordenes"`
 }
 
 // Catalog lists the machine types.
@@ -190,7 +190,7 @@
 }
 
 // Rent asks the cloud for machines.
-type Rent struct {
+type ScaleOutRequest struct {
 	Request string `json:"pedido"`
 	Type    string `json:"modelo"`
 	Zone    string `json:"zona"`
@@ -199,7 +199,7 @@
 }
 
 // Names lists machines.
-type Names struct {
+type MachineNames struct {
 	Machines []string `json:"estaciones"`
 }
 
@@ -236,7 +236,7 @@
 }
 
 // Guard is a condition of a transaction.
-type Guard struct {
+type Condition struct {
 	Key     string `json:"path"`
 	Version uint64 `json:"version"`
 }
@@ -251,8 +251,8 @@
 
 // Txn is a transaction of the state service.
 type Txn struct {
-	Guards []Guard `json:"guards"`
-	Then   []Op    `json:"then,omitempty"`
+	Conditions []Condition `json:"guards"`
+	Then       []Op        `json:"then,omitempty"`
 }
 
 // TxnResult is the state service's answer to a transaction.
@@ -402,7 +402,7 @@
 		return bad("clase", "empty or too long")
 	case s.Team == "" || len(s.Team) > 200:
 		return bad("equipo", "empty or too long")
-	case s.Kind != Batch && s.Kind != Gang && s.Kind != Service:
+	case s.Kind != JobArray && s.Kind != Gang && s.Kind != Service:
 		return bad("tipo_trabajo", "unknown kind")
 	case Rank(s.Priority) < 0:
 		return bad("prioridad", "unknown priority")
@@ -445,13 +445,13 @@
 }
 
 // CheckReport says what is wrong with a report.
-func CheckReport(r *Report) error {
+func CheckHeartbeat(r *Heartbeat) error {
 	switch {
 	case r.Machine == "" || len(r.Machine) > 100 || strings.ContainsAny(r.Machine, " /\n"):
 		return &FieldError{"estacion", "missing or malformed"}
 	case r.Addr == "":
 		return &FieldError{"address", "missing"}
-	case r.Session == 0:
+	case r.Incarnation == 0:
 		return &FieldError{"jornada", "missing"}
 	case r.Type == "" || r.Zone == "":
 		return &FieldError{"modelo", "type or zone missing"}
--- a/internal/provisioning/decide.go
+++ b/internal/provisioning/decide.go
@@ -27,11 +27,11 @@
 
 // Actions are what is to be done now.
 type Actions struct {
-	Rent    []protocol.Rent // requests to send, most urgent first
-	Return  []string        // machines to return; ReturnConfirmed or ReturnFailed follows
-	Drain   map[string]bool // machines that get no tasks from now on
-	Late    []string        // places where no machine comes up in time
-	Retired int             // how many machines go back once they are idle
+	Rent    []protocol.ScaleOutRequest // requests to send, most urgent first
+	Return  []string                   // machines to return; ReturnConfirmed or ReturnFailed follows
+	Drain   map[string]bool            // machines that get no tasks from now on
+	Late    []string                   // places where no machine comes up in time
+	Retired int                        // how many machines go back once they are idle
 }
 
 // Decide says what to rent, to return and to drain.
--- a/internal/provisioning/provisioning.go
+++ b/internal/provisioning/provisioning.go
@@ -29,12 +29,12 @@
 	options   Options
 	fleet     *autoscaler.Fleet
 	began     time.Time
-	listed    map[string]protocol.Host // the cloud's list as last read
-	firstSeen map[string]time.Time     // when a machine was rented, or became known
-	rented    map[string]protocol.Rent // by machine, the request that it was rented by
-	returning map[string]bool          // machines whose return is under way
-	listRead  time.Time                // when the list was last read; zero before the first time
-	reading   bool                     // a read of the list is under way
+	listed    map[string]protocol.Host            // the cloud's list as last read
+	firstSeen map[string]time.Time                // when a machine was rented, or became known
+	rented    map[string]protocol.ScaleOutRequest // by machine, the request that it was rented by
+	returning map[string]bool                     // machines whose return is under way
+	listRead  time.Time                           // when the list was last read; zero before the first time
+	reading   bool                                // a read of the list is under way
 }
 
 // New begins the account of an owner that starts now.
@@ -45,7 +45,7 @@
 		began:     now,
 		listed:    map[string]protocol.Host{},
 		firstSeen: map[string]time.Time{},
-		rented:    map[string]protocol.Rent{},
+		rented:    map[string]protocol.ScaleOutRequest{},
 		returning: map[string]bool{},
 	}
 }
@@ -88,7 +88,7 @@
 
 // Dropped says whether a rental request that waits for its turn is pointless, as its place
 // refused another one meanwhile. Such a request is booked as answered with no machine.
-func (a *Account) Dropped(request protocol.Rent, now time.Time) bool {
+func (a *Account) Dropped(request protocol.ScaleOutRequest, now time.Time) bool {
 	if !a.fleet.Moot(request, now) {
 		return false
 	}
@@ -98,7 +98,7 @@
 
 // RentAnswered books the machines that a rental request brought. Certain says that the cloud
 // gave no more because it has no more, not that the request failed.
-func (a *Account) RentAnswered(request protocol.Rent, machines []string, certain bool, now time.Time) {
+func (a *Account) RentAnswered(request protocol.ScaleOutRequest, machines []string, certain bool, now time.Time) {
 	for _, machine := range machines {
 		a.rented[machine] = request
 		a.firstSeen[machine] = now
--- a/internal/provisioning/provisioning_test.go
+++ b/internal/provisioning/provisioning_test.go
@@ -19,7 +19,7 @@
 func nobodyGone(string) bool { return false }
 
 func demand(now time.Time) []autoscaler.Demand {
-	spec := &protocol.Submission{UID: "job-000001", Kind: protocol.Batch, Tasks: 4, CPUs: 16, Memory: 4, Estimate: 60, Spot: true}
+	spec := &protocol.Submission{UID: "job-000001", Kind: protocol.JobArray, Tasks: 4, CPUs: 16, Memory: 4, Estimate: 60, Spot: true}
 	return []autoscaler.Demand{{Spec: spec, Count: 4, Due: now}}
 }
 
--- a/internal/simulation/check.go
+++ b/internal/simulation/check.go
@@ -62,7 +62,7 @@
 
 // late says whether a job was withdrawn so long ago that no task of it may be on a machine.
 func (c *Checker) late(t *truth) bool {
-	return c.Cancel > 0 && t.final == protocol.Withdrawn && time.Since(t.told) > c.Cancel
+	return c.Cancel > 0 && t.final == protocol.Cancelled && time.Since(t.told) > c.Cancel
 }
 
 // Submitting notes that a user is about to submit a job.
@@ -121,7 +121,7 @@
 }
 
 func (c *Checker) answered(uid string, before Known, status int, state string, repeat bool) {
-	final := state == protocol.Done || state == protocol.Withdrawn
+	final := state == protocol.Done || state == protocol.Cancelled
 	t := c.jobs[uid]
 	switch {
 	case t == nil && status == 200:
@@ -136,7 +136,7 @@
 		if before.final != "" && state != before.final || final && t.final != "" && state != t.final {
 			c.fault("went_back", "%s: %s after %s", uid, state, t.final)
 		}
-		if state == protocol.Withdrawn && !t.withdrawn {
+		if state == protocol.Cancelled && !t.withdrawn {
 			c.fault("went_back", "%s withdrawn, but not by its user", uid)
 		}
 		if final {
--- a/internal/simulation/check_test.go
+++ b/internal/simulation/check_test.go
@@ -16,7 +16,7 @@
 	withdrawn := func(c *Checker) {
 		c.Cancel = time.Nanosecond
 		c.Withdrawing("job-1")
-		c.Told("job-1", 200, protocol.Withdrawn, false)
+		c.Told("job-1", 200, protocol.Cancelled, false)
 		time.Sleep(time.Microsecond)
 	}
 	for rule, breaks := range map[string]func(c *Checker){
@@ -49,7 +49,7 @@
 			for i := range 3 {
 				c.End(protocol.TaskName("job-1", i), true)
 			}
-			c.Answered("job-1", before, 200, protocol.Withdrawn, false)
+			c.Answered("job-1", before, 200, protocol.Cancelled, false)
 			c.Answered("job-1", before, 200, protocol.Done, false)
 		},
 		"ran_cancelled":        func(c *Checker) { withdrawn(c); c.Start("job-1/0", "m1", "t", "east", false) },
@@ -57,7 +57,7 @@
 		"forgotten":            func(c *Checker) { c.Told("job-1", 201, protocol.Pending, false); c.Told("job-1", 404, "", false) },
 		"invented":             func(c *Checker) { c.Told("job-2", 200, protocol.Pending, false) },
 		"not_done":             func(c *Checker) { c.Told("job-1", 200, protocol.Done, false) },
-		"went_back":            func(c *Checker) { c.Told("job-1", 200, protocol.Withdrawn, false) },
+		"went_back":            func(c *Checker) { c.Told("job-1", 200, protocol.Cancelled, false) },
 	} {
 		c := NewChecker(map[string]float64{"red": 8})
 		c.Submitting(spec)
--- a/internal/simulation/cloud.go
+++ b/internal/simulation/cloud.go
@@ -96,7 +96,7 @@
 }
 
 func (c *Cloud) rent(w http.ResponseWriter, r *http.Request) {
-	var req protocol.Rent
+	var req protocol.ScaleOutRequest
 	if !read(r, &req) || req.Count < 1 || req.Count > 50 || req.Request == "" {
 		reply(w, 400, protocol.Error{Error: "malformed"})
 		return
@@ -117,7 +117,7 @@
 		return
 	}
 	c.asked[req.Request] = names
-	reply(w, 200, protocol.Names{Machines: names})
+	reply(w, 200, protocol.MachineNames{Machines: names})
 }
 
 func (c *Cloud) up(name string) {
@@ -136,7 +136,7 @@
 }
 
 func (c *Cloud) giveBack(w http.ResponseWriter, r *http.Request) {
-	var names protocol.Names
+	var names protocol.MachineNames
 	if !read(r, &names) || len(names.Machines) > 100 {
 		reply(w, 400, protocol.Error{Error: "malformed"})
 		return
--- a/internal/simulation/faults.go
+++ b/internal/simulation/faults.go
@@ -34,12 +34,12 @@
 	hold    int                  // the next so many reports are kept instead of being delivered
 	kept    [][]byte
 
-	slow     func(d *protocol.Direct) time.Duration // for how long direct commands are held up
-	underway []*protocol.Direct                     // commands that are held up now
-	waiting  []protocol.Direct                      // commands that came while the machine hung
-	held     int                                    // commands that were held up, by now or for good
-	obeyed   int                                    // commands that were held up and executed
-	outdated int                                    // those whose token or session did not match any more
+	slow     func(d *protocol.DirectCommands) time.Duration // for how long direct commands are held up
+	underway []*protocol.DirectCommands                     // commands that are held up now
+	waiting  []protocol.DirectCommands                      // commands that came while the machine hung
+	held     int                                            // commands that were held up, by now or for good
+	obeyed   int                                            // commands that were held up and executed
+	outdated int                                            // those whose token or session did not match any more
 }
 
 // unreached says whether no direct request comes through.
@@ -154,7 +154,7 @@
 	defer client.CloseIdleConnections()
 	for _, node := range nodes {
 		for _, body := range kept {
-			if w.repeat(client, "http://"+w.nodes[node]+protocol.PathReport, body) {
+			if w.repeat(client, "http://"+w.nodes[node]+protocol.PathHeartbeat, body) {
 				arrived++
 			}
 			time.Sleep(copyPause)
@@ -165,7 +165,7 @@
 
 // SlowCommands has direct commands held up for a time, unanswered, and then executed once if token and session
 // match; 0: not that one, nil: none.
-func (w *Worker) SlowCommands(hold func(d *protocol.Direct) time.Duration) {
+func (w *Worker) SlowCommands(hold func(d *protocol.DirectCommands) time.Duration) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.faults.slow = hold
@@ -207,7 +207,7 @@
 }
 
 // passes says whether direct commands come through now; otherwise they may be executed later.
-func (w *Worker) passes(d *protocol.Direct) bool {
+func (w *Worker) passes(d *protocol.DirectCommands) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if w.faults.unreached() {
@@ -231,10 +231,10 @@
 }
 
 // arrivesLate executes direct commands that were held up.
-func (w *Worker) arrivesLate(d *protocol.Direct) {
+func (w *Worker) arrivesLate(d *protocol.DirectCommands) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.faults.underway = slices.DeleteFunc(w.faults.underway, func(other *protocol.Direct) bool { return other == d })
+	w.faults.underway = slices.DeleteFunc(w.faults.underway, func(other *protocol.DirectCommands) bool { return other == d })
 	switch {
 	case w.faults.gone:
 	case w.faults.hung:
@@ -244,7 +244,7 @@
 	}
 }
 
-func (w *Worker) obeyLate(d *protocol.Direct) {
+func (w *Worker) obeyLate(d *protocol.DirectCommands) {
 	if w.obey(d) {
 		w.faults.obeyed++
 	} else {
@@ -275,7 +275,7 @@
 		return
 	}
 	if after := w.faults.again(); after > 0 {
-		url := "http://" + w.nodes[node] + protocol.PathReport
+		url := "http://" + w.nodes[node] + protocol.PathHeartbeat
 		time.AfterFunc(after, func() { w.repeat(client, url, body) })
 	}
 }
--- a/internal/simulation/faults_test.go
+++ b/internal/simulation/faults_test.go
@@ -16,16 +16,16 @@
 	t       *testing.T
 	w       *Worker
 	check   *Checker
-	reports chan protocol.Report
+	reports chan protocol.Heartbeat
 }
 
 func newBench(t *testing.T, lease time.Duration) *bench {
-	b := &bench{t: t, check: NewChecker(map[string]float64{"red": 4}), reports: make(chan protocol.Report, 1000)}
+	b := &bench{t: t, check: NewChecker(map[string]float64{"red": 4}), reports: make(chan protocol.Heartbeat, 1000)}
 	controller := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		var report protocol.Report
+		var report protocol.Heartbeat
 		read(r, &report)
 		b.reports <- report
-		reply(w, 200, protocol.ReportAnswer{Token: 1})
+		reply(w, 200, protocol.HeartbeatAnswer{FencingToken: 1})
 	}))
 	per := Periods{Report: 20 * time.Millisecond, Lease: lease, Run: func(string) time.Duration { return time.Hour }}
 	addr := controller.Listener.Addr().String()
@@ -35,7 +35,7 @@
 	}
 	b.w = w
 	t.Cleanup(func() { w.End(); controller.Close() })
-	b.check.Submitting(&protocol.Submission{UID: "job-1", Team: "red", Kind: protocol.Batch, Tasks: 2, CPUs: 4, Checkpoint: 1, Save: 0.2})
+	b.check.Submitting(&protocol.Submission{UID: "job-1", Team: "red", Kind: protocol.JobArray, Tasks: 2, CPUs: 4, Checkpoint: 1, Save: 0.2})
 	return b
 }
 
@@ -44,7 +44,7 @@
 	b.w.mu.Lock()
 	session := b.w.session
 	b.w.mu.Unlock()
-	d := protocol.Direct{Token: 1, Session: session, Commands: []protocol.Command{{Op: op, Task: protocol.TaskName("job-1", index), Attempt: 1, Grace: &grace}}}
+	d := protocol.DirectCommands{FencingToken: 1, Incarnation: session, Commands: []protocol.Command{{Op: op, Task: protocol.TaskName("job-1", index), Attempt: 1, Grace: &grace}}}
 	ctx, cancel := context.WithTimeout(b.t.Context(), 50*time.Millisecond)
 	defer cancel()
 	req, err := http.NewRequestWithContext(ctx, "POST", "http://"+b.w.Addr()+protocol.PathDo, bytes.NewReader(protocol.Encode(d)))
@@ -71,7 +71,7 @@
 // TestSlowCommandsAreExecutedOnce: a command that is held up gets no answer and is executed later.
 func TestSlowCommandsAreExecutedOnce(t *testing.T) {
 	b := newBench(t, time.Hour)
-	b.w.SlowCommands(func(*protocol.Direct) time.Duration { return 200 * time.Millisecond })
+	b.w.SlowCommands(func(*protocol.DirectCommands) time.Duration { return 200 * time.Millisecond })
 	if b.command(protocol.Start, 0, 0) || b.check.On() != 0 {
 		t.Fatal("a command that is held up was answered or executed at once")
 	}
--- a/internal/simulation/state.go
+++ b/internal/simulation/state.go
@@ -297,7 +297,7 @@
 
 func (s *State) txn(w http.ResponseWriter, r *http.Request) {
 	var t protocol.Txn
-	if !read(r, &t) || len(t.Then) > s.ops || len(t.Guards) > 4*s.ops {
+	if !read(r, &t) || len(t.Then) > s.ops || len(t.Conditions) > 4*s.ops {
 		reply(w, 400, protocol.Error{Error: "malformed"})
 		return
 	}
@@ -350,7 +350,7 @@
 		}
 	}
 	var failed []string
-	for _, g := range t.Guards {
+	for _, g := range t.Conditions {
 		if s.keys[g.Key].version != g.Version {
 			failed = append(failed, g.Key)
 		}
--- a/internal/simulation/users.go
+++ b/internal/simulation/users.go
@@ -94,7 +94,7 @@
 func (u *Users) EndUntil(ctx context.Context, rng *rand.Rand, uid string) bool {
 	return u.repeat(ctx, func() bool {
 		status, state := u.Ask(rng.IntN(len(u.nodes)), uid)
-		return status == http.StatusOK && (state == protocol.Done || state == protocol.Withdrawn)
+		return status == http.StatusOK && (state == protocol.Done || state == protocol.Cancelled)
 	})
 }
 
--- a/internal/simulation/worker.go
+++ b/internal/simulation/worker.go
@@ -124,9 +124,9 @@
 	w.tasks = map[string]*protocol.TaskStatus{}
 }
 
-func (w *Worker) report() protocol.Report {
+func (w *Worker) report() protocol.Heartbeat {
 	w.seq++
-	r := protocol.Report{Machine: w.name, Addr: w.addr, Type: w.typ, Zone: w.zone, Spot: w.spot, Session: w.session, Seq: w.seq, Token: w.token, Tasks: []protocol.TaskStatus{}}
+	r := protocol.Heartbeat{Machine: w.name, Addr: w.addr, Type: w.typ, Zone: w.zone, Spot: w.spot, Incarnation: w.session, Seq: w.seq, FencingToken: w.token, Tasks: []protocol.TaskStatus{}}
 	if w.faults.taken > 0 {
 		r.Notice = new(w.faults.taken)
 	}
@@ -137,8 +137,8 @@
 }
 
 func (w *Worker) do(rw http.ResponseWriter, r *http.Request) {
-	var d protocol.Direct
-	if !read(r, &d) || d.Token == 0 {
+	var d protocol.DirectCommands
+	if !read(r, &d) || d.FencingToken == 0 {
 		reply(rw, 400, protocol.Error{Error: "malformed"})
 		return
 	}
@@ -158,11 +158,11 @@
 }
 
 // obey executes direct commands if their token and session match.
-func (w *Worker) obey(d *protocol.Direct) bool {
-	if d.Token < w.token || d.Session != w.session {
+func (w *Worker) obey(d *protocol.DirectCommands) bool {
+	if d.FencingToken < w.token || d.Incarnation != w.session {
 		return false
 	}
-	w.token = d.Token
+	w.token = d.FencingToken
 	w.execute(d.Commands)
 	return true
 }
@@ -333,7 +333,7 @@
 	if !arrives {
 		return to, next
 	}
-	resp, err := client.Post("http://"+w.nodes[node]+protocol.PathReport, "application/json", bytes.NewReader(body))
+	resp, err := client.Post("http://"+w.nodes[node]+protocol.PathHeartbeat, "application/json", bytes.NewReader(body))
 	if err != nil {
 		return to, next
 	}
@@ -341,14 +341,14 @@
 	switch {
 	case !w.hears():
 	case resp.StatusCode == http.StatusOK:
-		var a protocol.ReportAnswer
+		var a protocol.HeartbeatAnswer
 		_ = json.NewDecoder(resp.Body).Decode(&a) // without a token it is dropped
 		w.takeAnswer(&a, session, sent)
 		return at, next
 	case resp.StatusCode == http.StatusMisdirectedRequest:
-		var m protocol.Moved
+		var m protocol.Redirect
 		_ = json.NewDecoder(resp.Body).Decode(&m) // without a name the next one is tried
-		if i := slices.Index(w.order, m.ReportTo); i >= 0 {
+		if i := slices.Index(w.order, m.Controller); i >= 0 {
 			return i, 10 * time.Millisecond
 		}
 	}
@@ -356,11 +356,11 @@
 }
 
 // takeAnswer renews the lease and executes commands, unless the answer is to be dropped.
-func (w *Worker) takeAnswer(a *protocol.ReportAnswer, session uint64, sent time.Time) {
+func (w *Worker) takeAnswer(a *protocol.HeartbeatAnswer, session uint64, sent time.Time) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if a.Token >= w.token && a.Token > 0 && w.session == session && !w.faults.cut {
-		w.token = a.Token
+	if a.FencingToken >= w.token && a.FencingToken > 0 && w.session == session && !w.faults.cut {
+		w.token = a.FencingToken
 		w.alive = sent
 		w.execute(a.Commands)
 	}
--- a/internal/snapshot/follow.go
+++ b/internal/snapshot/follow.go
@@ -271,7 +271,7 @@
 	if err != nil || r == nil {
 		return ""
 	}
-	return r.Store
+	return r.StoreID
 }
 
 func recordOf(keys map[string]Entry, control string) (*leadership.Record, error) {
@@ -287,4 +287,4 @@
 }
 
 // marker is the generation's own key, which every change of a restore rests on.
-func marker(r *leadership.Record) string { return datarecovery.StoreKey + r.Store }
+func marker(r *leadership.Record) string { return datarecovery.StoreKey + r.StoreID }
--- a/internal/snapshot/restore.go
+++ b/internal/snapshot/restore.go
@@ -40,7 +40,7 @@
 	Changes    int    `json:"changes"`        // of the service
 
 	record *leadership.Record
-	fence  protocol.Guard
+	fence  protocol.Condition
 	jobs   []userapi.Stored
 	ends   []datarecovery.Page
 	done   map[string]*bitset.BitSet
@@ -72,7 +72,7 @@
 			if err := json.Unmarshal(e.Value, &final); err != nil {
 				return nil, bad(err)
 			}
-			c.ends.Learn(datarecovery.End{UID: uid, Withdrawn: final.State == protocol.Withdrawn, Tasks: final.Tasks, Team: final.Team})
+			c.ends.Learn(datarecovery.End{UID: uid, Withdrawn: final.State == protocol.Cancelled, Tasks: final.Tasks, Team: final.Team})
 		} else if strings.HasPrefix(name, datarecovery.EndsKey) {
 			ends, err := datarecovery.ReadPage(e.Value)
 			if err != nil {
@@ -143,15 +143,15 @@
 	if record == nil || now[marker(record)].Version == 0 {
 		return nil, ErrNoGeneration
 	}
-	if !record.Lost && !force {
+	if !record.DataLost && !force {
 		return nil, ErrNotLost
 	}
 	have, err := read(now)
 	if err != nil {
 		return nil, err
 	}
-	p := &Plan{Copy: id, Revision: revision, Generation: record.Generation, record: record,
-		fence: protocol.Guard{Key: marker(record), Version: now[marker(record)].Version}, done: map[string]*bitset.BitSet{}}
+	p := &Plan{Copy: id, Revision: revision, Generation: record.Epoch, record: record,
+		fence: protocol.Condition{Key: marker(record), Version: now[marker(record)].Version}, done: map[string]*bitset.BitSet{}}
 	var lacking []datarecovery.End
 	for _, x := range old.ends.All() {
 		if _, ended := have.ends.Get(x.UID); !ended {
@@ -245,7 +245,7 @@
 	}
 	for i, page := range p.ends {
 		key := datarecovery.EndsKey + strconv.Itoa(p.pages+i)
-		if err := put(kvstore.Update{Guards: []protocol.Guard{{Key: key}}, Ops: []protocol.Op{{Set: key, Value: protocol.Encode(page)}}}); err != nil {
+		if err := put(kvstore.Update{Guards: []protocol.Condition{{Key: key}}, Ops: []protocol.Op{{Set: key, Value: protocol.Encode(page)}}}); err != nil {
 			return err
 		}
 	}
@@ -259,7 +259,7 @@
 	}
 	for _, s := range p.jobs {
 		uid := s.Spec.UID
-		if err := put(kvstore.Update{Guards: []protocol.Guard{{Key: JobKey + uid}, {Key: FinalKey + uid}},
+		if err := put(kvstore.Update{Guards: []protocol.Condition{{Key: JobKey + uid}, {Key: FinalKey + uid}},
 			Ops: []protocol.Op{{Set: JobKey + uid, Value: protocol.Encode(s)}}}); err != nil {
 			return err
 		}
@@ -287,10 +287,10 @@
 		if err != nil {
 			return false, err
 		}
-		if !record.Lost {
+		if !record.DataLost {
 			return false, nil
 		}
-		record.Lost, record.After = false, e.Version
+		record.DataLost, record.PreviousVersion = false, e.Version
 		m, err := r.c.GetControl(ctx, marker(record))
 		if err != nil {
 			return false, err
@@ -298,7 +298,7 @@
 		if m == nil {
 			return false, ErrNoGeneration
 		}
-		_, _, err = r.c.TxnControl(ctx, protocol.Txn{Guards: []protocol.Guard{{Key: r.set.Control, Version: e.Version}, {Key: m.Key, Version: m.Version}},
+		_, _, err = r.c.TxnControl(ctx, protocol.Txn{Conditions: []protocol.Condition{{Key: r.set.Control, Version: e.Version}, {Key: m.Key, Version: m.Version}},
 			Then: []protocol.Op{{Set: r.set.Control, Value: protocol.Encode(record)}}})
 		if err == nil {
 			return true, nil
--- a/internal/snapshot/teams.go
+++ b/internal/snapshot/teams.go
@@ -30,7 +30,7 @@
 			}
 		}
 		if has.Number < had.Number {
-			updates = append(updates, kvstore.Update{Guards: []protocol.Guard{{Key: key, Version: now[key].Version}},
+			updates = append(updates, kvstore.Update{Guards: []protocol.Condition{{Key: key, Version: now[key].Version}},
 				Ops: []protocol.Op{{Set: key, Value: old[key].Value}}})
 		}
 	}
--- a/internal/teamstore/teamstore.go
+++ b/internal/teamstore/teamstore.go
@@ -48,17 +48,17 @@
 		return err
 	}
 	var record leadership.Record
-	if e == nil || json.Unmarshal(e.Value, &record) != nil || record.Store == "" {
+	if e == nil || json.Unmarshal(e.Value, &record) != nil || record.StoreID == "" {
 		return ErrNoRecord
 	}
-	marker, err := w.client.Get(ctx, datarecovery.StoreKey+record.Store)
+	marker, err := w.client.Get(ctx, datarecovery.StoreKey+record.StoreID)
 	if err != nil {
 		return err
 	}
 	if marker == nil {
 		return ErrNoRecord
 	}
-	w.client.Fence(protocol.Guard{Key: marker.Key, Version: marker.Version})
+	w.client.Fence(protocol.Condition{Key: marker.Key, Version: marker.Version})
 	return nil
 }
 
@@ -91,7 +91,7 @@
 				return Committed{}, err
 			}
 			key := Prefix + team
-			version, err = w.client.Commit(ctx, kvstore.Update{Guards: []protocol.Guard{{Key: key, Version: version}},
+			version, err = w.client.Commit(ctx, kvstore.Update{Guards: []protocol.Condition{{Key: key, Version: version}},
 				Ops: []protocol.Op{{Set: key, Value: protocol.Encode(e)}}})
 			if err == nil {
 				return Committed{team, e, version}, nil
--- a/internal/userapi/tenants_test.go
+++ b/internal/userapi/tenants_test.go
@@ -20,7 +20,9 @@
 }
 
 func (b *behind) Team(name string) (settings.Team, bool) { t, ok := b.teams[name]; return t, ok }
-func (b *behind) Rests(name string) []protocol.Guard     { return []protocol.Guard{{Key: "w/t/" + name}} }
+func (b *behind) Rests(name string) []protocol.Condition {
+	return []protocol.Condition{{Key: "w/t/" + name}}
+}
 func (b *behind) Types() []protocol.MachineType {
 	return []protocol.MachineType{{Name: "m8", CPUs: 8, Memory: 64, Zones: []string{"east"}}}
 }
@@ -48,7 +50,7 @@
 	f := New(&settings.Settings{}, client, b)
 	f.Follow(b)
 	submit := func(uid, team string) int {
-		job := &protocol.Submission{UID: uid, Class: "c", Team: team, Kind: protocol.Batch, Priority: "standard", Tasks: 1, CPUs: 2, Memory: 4, Image: "img"}
+		job := &protocol.Submission{UID: uid, Class: "c", Team: team, Kind: protocol.JobArray, Priority: "standard", Tasks: 1, CPUs: 2, Memory: 4, Image: "img"}
 		within, done := context.WithTimeout(ctx, 10*time.Second)
 		defer done()
 		a, _ := f.Handle(within, &httpx.Request{Method: "POST", Path: protocol.PathSubmit, Body: protocol.Encode(job)})
--- a/internal/userapi/userapi.go
+++ b/internal/userapi/userapi.go
@@ -69,7 +69,7 @@
 func FinalOf(x datarecovery.End) Final {
 	f := Final{State: protocol.Done, Tasks: x.Tasks, Team: x.Team}
 	if x.Withdrawn {
-		f.State = protocol.Withdrawn
+		f.State = protocol.Cancelled
 	}
 	return f
 }
@@ -77,7 +77,7 @@
 // Tenants tells of the teams.
 type Tenants interface {
 	Team(name string) (t settings.Team, known bool) // that takes new jobs
-	Rests(name string) []protocol.Guard             // what an acceptance for a team rests on
+	Rests(name string) []protocol.Condition         // what an acceptance for a team rests on
 }
 
 // fixedTenants are those of the settings.
@@ -90,7 +90,7 @@
 }
 
 // Rests is nothing: the settings do not change.
-func (fixedTenants) Rests(string) []protocol.Guard { return nil }
+func (fixedTenants) Rests(string) []protocol.Condition { return nil }
 
 // Frontend serves the users' part of the protocol.
 type Frontend struct {
@@ -166,7 +166,7 @@
 func (f *Frontend) Learn(uid string, final Final) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.ends.Learn(datarecovery.End{UID: uid, Withdrawn: final.State == protocol.Withdrawn, Tasks: final.Tasks, Team: final.Team})
+	f.ends.Learn(datarecovery.End{UID: uid, Withdrawn: final.State == protocol.Cancelled, Tasks: final.Tasks, Team: final.Team})
 }
 
 // Final is the end of a job, if it is remembered.
@@ -292,11 +292,11 @@
 // any user was told of, whoever wrote it.
 func (f *Frontend) over(uid string, final Final) httpx.Answer {
 	f.telling(uid, final)
-	return httpx.Answer{Status: 200, Body: protocol.Encode(protocol.Brief{UID: uid, State: final.State})}
+	return httpx.Answer{Status: 200, Body: protocol.Encode(protocol.JobSummary{UID: uid, State: final.State})}
 }
 
 func (f *Frontend) telling(uid string, final Final) {
-	if final.State == protocol.Withdrawn {
+	if final.State == protocol.Cancelled {
 		f.back.Confirming(uid, final)
 	}
 }
@@ -349,7 +349,7 @@
 	spec, err := protocol.ParseSubmission(body)
 	refusal := httpx.Answer{}
 	uid := ""
-	var rests []protocol.Guard
+	var rests []protocol.Condition
 	if err == nil {
 		rests = f.teams.Rests(spec.Team) // looked up before what is decided by it
 	}
@@ -416,13 +416,13 @@
 		f.back.Hold(ctx, &stored, "", Final{})
 	}()
 	version, err := f.state.Commit(ctx, kvstore.Update{Soon: true,
-		Guards: append([]protocol.Guard{{Key: JobKey + uid}, {Key: FinalKey + uid}}, rests...),
+		Guards: append([]protocol.Condition{{Key: JobKey + uid}, {Key: FinalKey + uid}}, rests...),
 		Ops:    []protocol.Op{{Set: JobKey + uid, Value: protocol.Encode(stored)}},
 	})
 	if err == nil {
 		<-held
 		f.back.Accepted(stored, version)
-		return httpx.Answer{Status: 201, Body: protocol.Encode(protocol.Brief{UID: uid, State: protocol.Pending})}
+		return httpx.Answer{Status: 201, Body: protocol.Encode(protocol.JobSummary{UID: uid, State: protocol.Pending})}
 	}
 	if errors.Is(err, kvstore.ErrConflict) {
 		e, final, err := f.find(ctx, uid)
@@ -440,7 +440,7 @@
 		return "field equipo: unknown team"
 	}
 	n := 1.0
-	if s.Kind != protocol.Batch {
+	if s.Kind != protocol.JobArray {
 		n = float64(s.Tasks)
 	}
 	if n*s.CPUs > team.CPUsMax+1e-6 || n*s.GPUs > team.GPUsMax+1e-6 {
@@ -499,9 +499,9 @@
 		if err := json.Unmarshal(e.Value, &stored); err != nil || stored.Spec == nil {
 			return busy(5)
 		}
-		end := EndOf(stored.Spec, protocol.Withdrawn)
+		end := EndOf(stored.Spec, protocol.Cancelled)
 		_, err = f.state.Commit(ctx, kvstore.Update{Soon: true,
-			Guards: []protocol.Guard{{Key: JobKey + uid, Version: e.Version}},
+			Guards: []protocol.Condition{{Key: JobKey + uid, Version: e.Version}},
 			Ops:    []protocol.Op{{Delete: JobKey + uid}, {Set: FinalKey + uid, Value: protocol.Encode(end)}}})
 		if err == nil {
 			f.Learn(uid, end)
--- a/test.sh
+++ b/test.sh
@@ -6,6 +6,7 @@
 if [ -n "$unformatted" ]; then echo "not gofmt'ed: $unformatted" >&2; exit 1; fi
 go vet ./...
 go tool staticcheck ./...
+scripts/mutants --check
 sh -c "$(sed -n 's/^build = "\(.*\)"$/\1/p' deploy/service.toml)"
 target/topazhollow --version
 # The race detector makes the explored model of internal/leasegrant many times slower; its unit tests run under it.
