--- a/internal/cli/cli.go
+++ b/internal/cli/cli.go
@@ -41,8 +41,8 @@
 	Demo       demoCmd       `cmd:"" help:"Run a whole region on this machine, with a job, and show its output."`
 	Controller controllerCmd `cmd:"" hidden:"" help:"Run a controller, for demo."`
 
-	Snapshot snapshotCmd `cmd:"" help:"Keep copies of the state service, and put one back after it lost data (see docs/rebuild.md)."`
-	Rebuild  rebuildCmd  `cmd:"" help:"See how the controllers rebuild what the state service lost (see docs/rebuild.md)."`
+	Snapshot snapshotCmd `cmd:"" help:"Keep copies of the state service, and put one back after it lost data (see docs/data-recovery.md)."`
+	Rebuild  rebuildCmd  `cmd:"" help:"See how the controllers rebuild what the state service lost (see docs/data-recovery.md)."`
 
 	Admission admissionCmd `cmd:"" help:"See who gets how much of what is short (see docs/admission.md)."`
 
--- a/internal/controller/config_follow.go
+++ b/internal/controller/config_follow.go
@@ -71,7 +71,7 @@
 	}
 	name := strings.TrimPrefix(e.Set+e.Delete, teamstore.Prefix)
 	if e.Delete != "" {
-		n.doubt("a team's configuration was deleted")
+		n.suspectLoss("a team's configuration was deleted")
 		return
 	}
 	var entry teamconfig.Entry
@@ -113,7 +113,7 @@
 	}
 	for name, version := range n.teamConfig.teams.Versions() {
 		if version > 0 && !seen[teamstore.Prefix+name] {
-			n.doubt("a team's configuration is not there")
+			n.suspectLoss("a team's configuration is not there")
 		}
 	}
 }
@@ -126,7 +126,7 @@
 }
 
 // configWitnesses adds the versions of entries to those that a look at the state service compares.
-func (n *Node) configWitnesses(witnesses map[string]uint64) {
+func (n *Node) addAcknowledgedConfig(witnesses map[string]uint64) {
 	if n.teamConfig == nil {
 		return
 	}
@@ -196,7 +196,7 @@
 	}
 	n.configure(now)
 	n.teamConfig.serial++
-	w := teamconfig.Word{Serial: n.teamConfig.serial, Generation: n.generation(), Record: n.recordVersion, Known: n.teamConfig.teams.Known(), Base: n.teamConfig.base}
+	w := teamconfig.Word{Serial: n.teamConfig.serial, Generation: n.epoch(), Record: n.recordVersion, Known: n.teamConfig.teams.Known(), Base: n.teamConfig.base}
 	for _, x := range n.teamConfig.teams.Open() {
 		if n.record.Shards[teamShard(x.Team)].Owner != n.name {
 			continue
@@ -248,7 +248,7 @@
 	}
 	n.teamConfig.force.Heard(node, incarnation, *w)
 	n.configForced(now)
-	if !n.trusted() || w.Generation != n.generation() || w.Known >= n.teamConfig.teams.Latest() {
+	if !n.trusted() || w.Generation != n.epoch() || w.Known >= n.teamConfig.teams.Latest() {
 		delete(n.teamConfig.lagging, node)
 		return
 	}
@@ -264,7 +264,7 @@
 const configTeachAfter = time.Second
 
 func (n *Node) onConfig(m *configMsg) {
-	if n.teamConfig == nil || !n.trusted() || n.record == nil || m.Generation != n.generation() {
+	if n.teamConfig == nil || !n.trusted() || n.record == nil || m.Generation != n.epoch() {
 		return
 	}
 	n.teamConfig.teams.Taught(m.Changes, m.After, m.Known, m.Record, n.recordVersion)
@@ -273,7 +273,7 @@
 }
 
 // configMemory is what a peer must know of the configuration after a loss: the entries that the state service may lack.
-func (n *Node) configMemory() []teamconfig.Change {
+func (n *Node) rememberedConfig() []teamconfig.Change {
 	if n.teamConfig == nil {
 		return nil
 	}
@@ -281,7 +281,7 @@
 }
 
 // recallConfig takes in what a peer remembers of the configuration.
-func (n *Node) recallConfig(changes []teamconfig.Change) {
+func (n *Node) learnRememberedConfig(changes []teamconfig.Change) {
 	if n.teamConfig == nil {
 		return
 	}
--- a/internal/controller/config_test.go
+++ b/internal/controller/config_test.go
@@ -320,10 +320,10 @@
 	n.watchedKeysRead = true
 	n.changed(protocol.Change{Set: teamstore.Prefix + "team-0", Value: []byte(`{"number":1,"change":"x","cpus_max":1}`), Version: 9})
 	n.configure(now)
-	if s := n.status(now); n.teamConfig != nil || s.Config != nil || n.configMemory() != nil {
+	if s := n.status(now); n.teamConfig != nil || s.Config != nil || n.rememberedConfig() != nil {
 		t.Error("the configuration is followed")
 	}
-	if len(n.witnesses()) != len(n.roster.Versions()) || len(n.itemNames()) != 2 || n.shards[teamShard("team-0")].team.MaxCPUs != 10000 {
-		t.Errorf("witnesses %v, items %v", n.witnesses(), n.itemNames())
+	if len(n.acknowledgedKeys()) != len(n.roster.Versions()) || len(n.itemNames()) != 2 || n.shards[teamShard("team-0")].team.MaxCPUs != 10000 {
+		t.Errorf("witnesses %v, items %v", n.acknowledgedKeys(), n.itemNames())
 	}
 }
--- a/internal/controller/control.go
+++ b/internal/controller/control.go
@@ -51,7 +51,7 @@
 			err = n.kvStore.Extend(ctx, grant)
 		}
 		if err == nil && !shown {
-			if err = n.show(ctx, grant); err == nil {
+			if err = n.writeOwnKey(ctx, grant); err == nil {
 				shown = true
 				n.log.Info("lease taken", "lease", grant)
 			}
@@ -65,7 +65,7 @@
 		case errors.Is(err, kvstore.ErrNoLease):
 			n.log.Info("lease ended at the state service", "lease", grant)
 			if sent.Sub(n.leaseRenewedAt) < n.lease.Life*9/10 && n.lease.Valid(sent) {
-				n.doubt("a lease is gone that cannot have ended")
+				n.suspectLoss("a lease is gone that cannot have ended")
 			}
 			n.leaseID = 0
 			n.lease.Lost()
@@ -89,7 +89,7 @@
 
 // show writes this process's key. The write is guarded by the key's version, so
 // that a late one of an earlier process changes nothing.
-func (n *Node) show(ctx context.Context, grant uint64) error {
+func (n *Node) writeOwnKey(ctx context.Context, grant uint64) error {
 	e, err := n.kvStore.GetControl(ctx, nodeKey+n.name)
 	if err != nil {
 		return err
@@ -116,7 +116,7 @@
 			var revision uint64
 			if entries, revision, err = n.kvStore.List(ctx, userapi.Watched); err == nil {
 				n.mu.Lock()
-				if listed = n.takeList(entries, revision); listed {
+				if listed = n.applyFullList(entries, revision); listed {
 					n.knows(began)
 				}
 				n.mu.Unlock()
@@ -166,12 +166,12 @@
 		// One that was accepted after the list began may not be in it.
 		if j.active && j.version > 0 && j.version <= revision && !seen[userapi.JobKey+uid] {
 			n.endJob(uid)
-			n.confirmEnd(uid, j)
+			n.verifyUnlistedJob(uid, j)
 		}
 	}
 	for _, key := range n.roster.Keys() {
 		if !seen[key] {
-			n.doubt("a list of machines is not there") // they are never deleted
+			n.suspectLoss("a list of machines is not there") // they are never deleted
 		}
 	}
 	n.configListed(seen)
@@ -191,13 +191,13 @@
 			return
 		}
 		n.learnRecord(&r, e.Version)
-	case strings.HasPrefix(key, datarecovery.StoreKey):
+	case strings.HasPrefix(key, datarecovery.EpochKey):
 		delete(n.recovery.markers, key)
 		if e.Delete == "" {
 			n.recovery.markers[key] = e.Version
-			n.refence()
-		} else if n.record != nil && key == datarecovery.StoreKey+n.record.StoreID {
-			n.doubt("the generation's key was deleted")
+			n.fenceOnEpochKey()
+		} else if n.record != nil && key == datarecovery.EpochKey+n.record.StoreID {
+			n.suspectLoss("the generation's key was deleted")
 		}
 	case strings.HasPrefix(key, nodeKey):
 		name := key[len(nodeKey):]
@@ -227,9 +227,9 @@
 			return
 		}
 		n.learnJob(s, e.Version)
-	case strings.HasPrefix(key, datarecovery.EndsKey), strings.HasPrefix(key, datarecovery.DoneKey):
+	case strings.HasPrefix(key, datarecovery.EndsKey), strings.HasPrefix(key, datarecovery.FinishedKey):
 		if e.Delete == "" {
-			if err := n.learnPage(key, e.Value); err != nil {
+			if err := n.learnRecoveryPage(key, e.Value); err != nil {
 				bad(err)
 			}
 		}
@@ -243,7 +243,7 @@
 // learnRecord takes in a control record as the state service has it under a version.
 func (n *Node) learnRecord(r *leadership.Record, version uint64) {
 	if n.record != nil && r.Epoch > n.record.Epoch {
-		n.recovery.watch.Newer(r.Epoch) // all is read anew before anything rests on it
+		n.recovery.watch.NewerEpochSeen(r.Epoch) // all is read anew before anything rests on it
 		return
 	}
 	if n.record != nil && version <= n.recordVersion {
@@ -252,7 +252,7 @@
 	if n.record != nil && (r.Epoch < n.record.Epoch || r.Term < n.record.Term || r.Epoch == n.record.Epoch && r.StoreID != n.record.StoreID) {
 		// A store that went back and on again, past the revision that was seen, or one that
 		// was begun anew by a process that found none.
-		n.doubt("the control record is older than the one known")
+		n.suspectLoss("the control record is older than the one known")
 		return
 	}
 	if n.record != nil && r.PreviousVersion != 0 && r.PreviousVersion < n.recordVersion {
@@ -260,7 +260,7 @@
 		// that were given in between are given again, and no comparison shows the loss any more.
 		n.recovery.unchained = true
 		n.recovery.saw = true
-		n.doubt("the control record does not follow the one known")
+		n.suspectLoss("the control record does not follow the one known")
 		return
 	}
 	n.adopt(r, version)
@@ -301,7 +301,7 @@
 	}
 	if r.Epoch > 0 && (old == nil || old.Epoch != r.Epoch) {
 		n.recovery.watch.Entered(r.Epoch, now)
-		n.generationBegan(r)
+		n.epochEntered(r)
 	}
 	if old != nil && old.RosterIncomplete && !r.RosterIncomplete {
 		n.loadAnew()
--- a/internal/controller/home.go
+++ b/internal/controller/home.go
@@ -71,7 +71,7 @@
 
 // answerReport answers a worker's report that came at a time.
 func (n *Node) answerReport(r *protocol.Heartbeat, now time.Time) httpx.Answer {
-	n.heardToken(r.FencingToken)
+	n.observeFencingToken(r.FencingToken)
 	if !n.entitled(now) {
 		return n.elsewhere(r, now)
 	}
@@ -297,7 +297,7 @@
 	x.heardAt, x.homeHeardAt, x.homeWatermark = now, now, now
 	if !n.roster.Has(r.Machine) {
 		n.unregistered[r.Machine] = true
-		n.unlisted(r, x, now)
+		n.checkUnregistered(r, x, now)
 	}
 	if changed || x.status == nil {
 		n.noteView(r.Machine)
--- a/internal/controller/loss_test.go
+++ b/internal/controller/loss_test.go
@@ -89,7 +89,7 @@
 	all := r.overviews()
 	for _, o := range all {
 		s := o.Store
-		if s.Phase != "known" || s.Generation != all[0].Store.Generation || s.Generation > 1 != after || s.Unwritten+s.Unburied+len(s.Gathering) > 0 || s.Census {
+		if s.Phase != "known" || s.Epoch != all[0].Store.Epoch || s.Epoch > 1 != after || s.Unwritten+s.StaleActive+len(s.AwaitedMemories) > 0 || s.RosterIncomplete {
 			return false
 		}
 	}
@@ -103,7 +103,7 @@
 	l.submit(late)
 	l.allDone(append(l.jobs, late))
 	l.until("withdrawn still", func() bool { return l.poll(l.withdrawn.UID) == protocol.Cancelled })
-	l.until("all is written back", func() bool { return l.rebuilt(l.loses) && (!l.loses || !l.overviews()[0].Store.Lost) })
+	l.until("all is written back", func() bool { return l.rebuilt(l.loses) && (!l.loses || !l.overviews()[0].Store.DataLost) })
 	l.until("an unknown job is unknown", func() bool {
 		status, _ := l.ask("GET", protocol.PathSubmit+"/job-999999", nil)
 		return status == http.StatusNotFound
@@ -209,7 +209,7 @@
 		},
 		"ended_in_rebuilding": func(l *loss) {
 			l.state.LoseAll()
-			l.until("a generation begins", func() bool { all := l.overviews(); return len(all) > 0 && all[0].Store.Generation > 1 })
+			l.until("a generation begins", func() bool { all := l.overviews(); return len(all) > 0 && all[0].Store.Epoch > 1 })
 			l.crash(2) // while what it remembers is gathered and written back
 			l.start(2)
 		},
@@ -243,7 +243,7 @@
 // past the revision that the others had seen, so that every version they compare is there
 // again or was changed. That the record does not follow the one known is the sign.
 func TestRecordWrittenPastALoss(t *testing.T) {
-	for after, want := range map[uint64]datarecovery.Phase{12: datarecovery.Doubted, 17: datarecovery.Known, 18: datarecovery.Known} {
+	for after, want := range map[uint64]datarecovery.Phase{12: datarecovery.Suspected, 17: datarecovery.Trusted, 18: datarecovery.Trusted} {
 		n := newGrown(2, 1).n
 		n.record.Epoch, n.recordVersion = 1, 17
 		n.recovery.watch = datarecovery.NewWatch("node-a", nil, time.Second)
@@ -251,7 +251,7 @@
 		next := n.record.Clone()
 		next.Term, next.PreviousVersion = next.Term+1, after
 		n.changed(protocol.Change{Set: controlKey, Value: protocol.Encode(next), Version: 19})
-		if phase, _, _ := n.recovery.watch.Phase(); phase != want || (n.recordVersion == 19) != (want == datarecovery.Known) {
+		if phase, _, _ := n.recovery.watch.Phase(); phase != want || (n.recordVersion == 19) != (want == datarecovery.Trusted) {
 			t.Errorf("after %d: %s, version %d", after, phase, n.recordVersion)
 		}
 	}
@@ -271,7 +271,7 @@
 	l.start(2)
 	l.until("all remember all", func() bool {
 		all := l.overviews()
-		return len(all) == 3 && !slices.ContainsFunc(all, func(o overview) bool { return !o.Store.Whole })
+		return len(all) == 3 && !slices.ContainsFunc(all, func(o overview) bool { return !o.Store.MemoryComplete })
 	})
 	l.submit(l.withdrawn)
 	l.withdraw(l.withdrawn.UID)
@@ -285,7 +285,7 @@
 	l := newLoss(t)
 	l.loses = true
 	var marker protocol.Entry
-	for _, e := range l.keys(datarecovery.StoreKey) {
+	for _, e := range l.keys(datarecovery.EpochKey) {
 		marker = e
 	}
 	if marker.Version == 0 {
@@ -355,7 +355,7 @@
 				}
 			}
 			for _, o := range l.overviews() {
-				if s := o.Store; s.Generation < 2 || !s.Lost || s.Phase != "known" {
+				if s := o.Store; s.Epoch < 2 || !s.DataLost || s.Phase != "known" {
 					t.Errorf("%s: %+v", o.Node, s)
 				}
 			}
@@ -386,12 +386,12 @@
 		all := l.overviews()
 		given := len(all) == 3
 		for _, o := range all {
-			lost = lost || o.Store.Lost
-			given = given && o.Store.Generation > 1 && !o.Store.Lost && o.Store.Whole
+			lost = lost || o.Store.DataLost
+			given = given && o.Store.Epoch > 1 && !o.Store.DataLost && o.Store.MemoryComplete
 		}
 		if status := told(); !given && status == http.StatusNotFound {
 			for _, o := range l.overviews() { // unless that came between
-				if o.Store.Lost {
+				if o.Store.DataLost {
 					t.Error("unknown before it was given up")
 				}
 			}
@@ -405,7 +405,7 @@
 	job := array(360, 6, "red")
 	l.submit(job)
 	l.state.LoseAll()
-	l.until("rebuilt", func() bool { return l.rebuilt(true) && !l.overviews()[0].Store.Lost })
+	l.until("rebuilt", func() bool { return l.rebuilt(true) && !l.overviews()[0].Store.DataLost })
 	l.allDone([]*protocol.Submission{job})
 }
 
@@ -451,7 +451,7 @@
 	l.until("the controllers know what they lost", func() bool {
 		all := l.overviews()
 		for _, o := range all {
-			if s := o.Store; s.Generation < 2 || !s.Lost || s.Phase != "known" {
+			if s := o.Store; s.Epoch < 2 || !s.DataLost || s.Phase != "known" {
 				return false
 			}
 		}
--- a/internal/controller/meeting_answer_test.go
+++ b/internal/controller/meeting_answer_test.go
@@ -96,8 +96,8 @@
 			s.until("an answer of the kind was lost", func() bool { return s.lost(kind) > 0 })
 			s.members(3)
 			for _, o := range s.overviews() {
-				if o.Store.Generation != 1 {
-					t.Errorf("an unanswered write was taken for a loss: generation %d", o.Store.Generation)
+				if o.Store.Epoch != 1 {
+					t.Errorf("an unanswered write was taken for a loss: generation %d", o.Store.Epoch)
 				}
 			}
 		})
--- a/internal/controller/meeting_report_test.go
+++ b/internal/controller/meeting_report_test.go
@@ -85,8 +85,8 @@
 			}
 			s.settle()
 			for _, o := range s.overviews() {
-				if o.Store.Generation != 1 {
-					t.Errorf("old reports were taken for a loss: generation %d", o.Store.Generation)
+				if o.Store.Epoch != 1 {
+					t.Errorf("old reports were taken for a loss: generation %d", o.Store.Epoch)
 				}
 			}
 		})
--- a/internal/controller/meeting_test.go
+++ b/internal/controller/meeting_test.go
@@ -293,8 +293,8 @@
 	r.submit(last)
 	r.allDone([]*protocol.Submission{last})
 	for _, o := range r.overviews() {
-		if o.Store.Generation != 1 {
-			t.Errorf("late transactions were taken for a loss: generation %d", o.Store.Generation)
+		if o.Store.Epoch != 1 {
+			t.Errorf("late transactions were taken for a loss: generation %d", o.Store.Epoch)
 		}
 	}
 }
@@ -343,7 +343,7 @@
 		r.crash(i)
 	}
 	carried := r.state.Carried()
-	kinds := map[string]int{controlKey: 0, nodeKey: 0, machineKey: 0, userapi.JobKey: 0, userapi.FinalKey: 0, "b/": 0, datarecovery.StoreKey: 0}
+	kinds := map[string]int{controlKey: 0, nodeKey: 0, machineKey: 0, userapi.JobKey: 0, userapi.FinalKey: 0, "b/": 0, datarecovery.EpochKey: 0}
 	for _, txn := range carried {
 		for _, o := range txn.Then {
 			for prefix := range kinds {
@@ -407,8 +407,8 @@
 	}
 	r.allDone(jobs)
 	for _, o := range r.overviews() {
-		if o.Store.Generation != 1 {
-			t.Errorf("late reports were taken for a loss: generation %d", o.Store.Generation)
+		if o.Store.Epoch != 1 {
+			t.Errorf("late reports were taken for a loss: generation %d", o.Store.Epoch)
 		}
 	}
 }
--- a/internal/controller/node.go
+++ b/internal/controller/node.go
@@ -214,7 +214,7 @@
 	n.lease = leadership.Lease{Life: life, Margin: life / 20}
 	n.recovery = newRecoveryState(s, life)
 	n.admission = newAdmissionState(o)
-	n.kvStore.OnSign(n.sign)
+	n.kvStore.OnSign(n.suspectLossLater)
 	n.agents = agents.New(n.capacity, n.size)
 	addrs := map[string]string{}
 	for _, p := range s.Peers {
@@ -259,9 +259,9 @@
 		"save":    n.save,
 		"enrol":   n.enrol,
 		"sync":    n.keepSynced,
-		"store":   n.keepStore,
-		"ends":    n.readEnds,
-		"census":  n.takeCensus,
+		"store":   n.watchStore,
+		"ends":    n.loadStoredEnds,
+		"census":  n.countMachines,
 		"catalog": n.readCatalog,
 		"probe":   n.probe,
 		"fleet":   n.runFleet,
@@ -408,7 +408,7 @@
 	defer n.mu.Unlock()
 	// What the store lost is no key of it, so that what is followed cannot tell its end.
 	// Before memories are gathered a peer may know the end of one that the store has.
-	return j.active && j.version > 0 && n.trusted() && n.gathered(time.Now())
+	return j.active && j.version > 0 && n.trusted() && n.memoriesGathered(time.Now())
 }
 
 func (b *userBackend) Trusted() bool {
@@ -417,7 +417,7 @@
 	n := (*Node)(b)
 	// Before the first control record no change rests on a generation, and a loss cannot be told
 	// from the deployment's beginning: nothing is accepted yet.
-	return n.watchedKeysRead && n.record != nil && n.trusted() && n.gathered(time.Now())
+	return n.watchedKeysRead && n.record != nil && n.trusted() && n.memoriesGathered(time.Now())
 }
 
 func (b *userBackend) Remembers(uid string) (userapi.Stored, uint64, bool) {
@@ -441,7 +441,7 @@
 	}
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return n.trusted() && n.watchedKeysRead && n.record != nil && !n.record.DataLost && n.gathered(time.Now()) && n.introduced(time.Now()) && len(n.endLookups) == 0 &&
+	return n.trusted() && n.watchedKeysRead && n.record != nil && !n.record.DataLost && n.memoriesGathered(time.Now()) && n.allPeersExchanged(time.Now()) && len(n.endLookups) == 0 &&
 		time.Since(n.startedAt) > 2*settings.Seconds(n.settings.Deployment.Workers.Report)+time.Second
 }
 
@@ -457,11 +457,11 @@
 }
 
 func (b *userBackend) Hold(ctx context.Context, job *userapi.Stored, uid string, end userapi.Final) {
-	m := holdMsg{Job: job}
+	m := replicateFactMsg{Job: job}
 	if job == nil {
-		m.Ends = []frontendEnd{{uid, end}}
+		m.Ends = []jobEnd{{uid, end}}
 	}
-	(*Node)(b).hold(ctx, m)
+	(*Node)(b).replicateFact(ctx, m)
 }
 
 func (b *userBackend) Confirming(uid string, end userapi.Final) {
@@ -522,8 +522,8 @@
 		n.jobs[uid] = j
 	}
 	if j != nil && !j.active {
-		if version > 0 && n.generation() > 1 && n.ended(uid) { // an end beats active
-			n.recovery.bury[uid] = burial{version, time.Now()}
+		if version > 0 && n.epoch() > 1 && n.ended(uid) { // an end beats active
+			n.recovery.bury[uid] = staleActiveKey{version, time.Now()}
 		}
 		return
 	}
@@ -538,7 +538,7 @@
 		if d := n.recovery.done[s.Spec.UID]; d != nil {
 			it.team.Merge(s.Spec.UID, d)
 		}
-		if n.generation() > 1 { // machines may run it already
+		if n.epoch() > 1 { // machines may run it already
 			n.reobserve(it, s.Spec.UID)
 		}
 		n.wake()
--- a/internal/controller/orphan.go
+++ b/internal/controller/orphan.go
@@ -135,6 +135,6 @@
 	n.recovery.unknown[uid] = time.Now()
 	if absent && n.record != nil && (n.record.Epoch == 1 || jobstate.TermOf(attempt) >= n.record.FirstTerm) {
 		// A task is started only for a job that was accepted, and an accepted job has one key or the other for ever.
-		n.prove("a worker has a task of a job that the store does not know")
+		n.proveLoss("a worker has a task of a job that the store does not know")
 	}
 }
--- a/internal/controller/over_test.go
+++ b/internal/controller/over_test.go
@@ -21,7 +21,7 @@
 	const uid = "job-000900"
 	for what, learn := range map[string]func(n *Node){
 		"a peer tells of the withdrawal, then an earlier read comes": func(n *Node) {
-			n.onHold("node-b", &holdMsg{From: 1, Ends: []frontendEnd{{uid, end}}})
+			n.onReplicateFact("node-b", &replicateFactMsg{From: 1, Ends: []jobEnd{{uid, end}}})
 			n.changed(stored(uid, 7))
 		},
 		"a later read comes before an earlier one": func(n *Node) {
--- a/internal/controller/owner.go
+++ b/internal/controller/owner.go
@@ -212,7 +212,7 @@
 			delete(it.awaitedMachines, name)
 		}
 	}
-	if len(it.awaitedMachines) > 0 || !n.configReady() || !n.gathered(time.Now()) || (it.needsBarrier && n.record.RosterIncomplete && n.recovery.census == nil) {
+	if len(it.awaitedMachines) > 0 || !n.configReady() || !n.memoriesGathered(time.Now()) || (it.needsBarrier && n.record.RosterIncomplete && n.recovery.census == nil) {
 		return
 	}
 	it.phase, it.graceFrom = shardReady, time.Now()
@@ -478,7 +478,7 @@
 		(*userBackend)(n).Missing(uid) // or just withdrawn; the record may have changed as well, which says nothing
 	}
 	if err == nil {
-		n.hold(ctx, holdMsg{Ends: []frontendEnd{{uid, end}}})
+		n.replicateFact(ctx, replicateFactMsg{Ends: []jobEnd{{uid, end}}})
 		n.front.Learn(uid, end)
 	} else {
 		n.log.Debug("end of job not written yet", "job", uid, "err", err)
--- a/internal/controller/recordchange.go
+++ b/internal/controller/recordchange.go
@@ -82,10 +82,10 @@
 	}
 	change := &recordChange{record: next, conditions: conditions, reason: reason, version: n.recordVersion}
 	if n.record != nil {
-		change.marker = n.recovery.markers[datarecovery.StoreKey+n.record.StoreID]
+		change.marker = n.recovery.markers[datarecovery.EpochKey+n.record.StoreID]
 	}
 	if change.version == 0 { // the first record: the generation begins with it
-		next.Epoch, next.FirstTerm, next.StoreID = 1, next.Term, drawn()
+		next.Epoch, next.FirstTerm, next.StoreID = 1, next.Term, randomStoreID()
 	}
 	next.PreviousVersion = change.version
 	return change
@@ -93,7 +93,7 @@
 
 // transaction writes the record if nothing that it rests on has changed.
 func (c *recordChange) transaction() protocol.Txn {
-	next, marker := c.record, datarecovery.StoreKey+c.record.StoreID
+	next, marker := c.record, datarecovery.EpochKey+c.record.StoreID
 	txn := protocol.Txn{Conditions: []protocol.Condition{{Key: controlKey, Version: c.version}}, Then: []protocol.Op{{Set: controlKey, Value: protocol.Encode(next)}}}
 	for _, condition := range c.conditions {
 		txn.Conditions = append(txn.Conditions, protocol.Condition{Key: nodeKey + condition.Node, Version: condition.Version})
@@ -203,13 +203,13 @@
 			return next, nil, "workers cannot reach " + home
 		}
 	}
-	if record.RosterIncomplete && n.shards[leadership.FleetShard] != nil && n.rosterWhole() {
+	if record.RosterIncomplete && n.shards[leadership.FleetShard] != nil && n.rosterComplete() {
 		next := record.Clone()
 		next.RosterIncomplete = false
 		return next, nil, "every machine is on the roster"
 	}
 	if n.shards[leadership.FleetShard] != nil {
-		if next := datarecovery.GiveUp(record, now.Sub(n.recovery.entered), settings.Seconds(n.options.CopyWait)); next != nil {
+		if next := datarecovery.GiveUpSearch(record, now.Sub(n.recovery.entered), settings.Seconds(n.options.CopyWait)); next != nil {
 			return next, nil, "no copy was put back in time: what nobody knows is lost for good"
 		}
 	}
--- a/internal/controller/rebuild.go
+++ b/internal/controller/recovery_detect.go
@@ -25,15 +25,15 @@
 )
 
 // What the state service acknowledged may be gone: its data lost, or set back to what
-// they were. docs/rebuild.md tells how that is noticed, agreed on and mended; here is what
+// they were. docs/data-recovery.md tells how that is noticed, agreed on and mended; here is what
 // connects internal/datarecovery, which decides, to the controller.
 
 // keeping is what a controller knows of its store, and of what must survive it.
 type recoveryState struct {
 	watch     *datarecovery.Watch
-	gather    *datarecovery.Gather // waited for after a loss; nil: nothing
-	whole     bool                 // the ends known go back to the deployment's beginning
-	read      bool                 // all single ends that the store has were read
+	gather    *datarecovery.Exchange // waited for after a loss; nil: nothing
+	whole     bool                   // the ends known go back to the deployment's beginning
+	read      bool                   // all single ends that the store has were read
 	markers   map[string]uint64
 	unchained bool   // a record was seen that does not follow the one known
 	saw       bool   // what is known here shows the loss, not only what others know
@@ -50,7 +50,7 @@
 	names   map[string]bool           // machines on the roster before the loss
 	census  map[string]bool           // machines that the cloud listed after it; nil until read
 	done    map[string]*bitset.BitSet // finished tasks remembered at the loss
-	bury    map[string]burial         // ended jobs that the store has as active
+	bury    map[string]staleActiveKey // ended jobs that the store has as active
 	writing map[string]bool
 	found   foundStore
 	unknown map[string]time.Time // jobs that machines list and nobody can describe
@@ -59,8 +59,8 @@
 	sealed  bool                 // the ends of this generation are on pages
 	sealing bool
 
-	met       map[string]bool         // peers that told what they know
-	tentative map[string]tentativeJob // jobs that peers were about to accept
+	met       map[string]bool        // peers that told what they know
+	tentative map[string]proposedJob // jobs that peers were about to accept
 
 	holds  map[uint64]chan struct{} // facts that a peer is to hold
 	holdID uint64
@@ -82,29 +82,29 @@
 		peers = append(peers, p.Name)
 	}
 	return &recoveryState{watch: datarecovery.NewWatch(s.Name, peers, life), markers: map[string]uint64{}, suspect: map[string]uint64{},
-		again: make(chan struct{}, 1), names: map[string]bool{}, bury: map[string]burial{}, writing: map[string]bool{},
-		unknown: map[string]time.Time{}, tentative: map[string]tentativeJob{}, met: map[string]bool{}, holds: map[uint64]chan struct{}{}}
+		again: make(chan struct{}, 1), names: map[string]bool{}, bury: map[string]staleActiveKey{}, writing: map[string]bool{},
+		unknown: map[string]time.Time{}, tentative: map[string]proposedJob{}, met: map[string]bool{}, holds: map[uint64]chan struct{}{}}
 }
 
 // trusted says whether what the store answers counts: nobody saw a sign that it lost
 // anything since it was read.
 func (n *Node) trusted() bool {
 	phase, _, _ := n.recovery.watch.Phase()
-	return phase == datarecovery.Known || phase == datarecovery.Starting
+	return phase == datarecovery.Trusted || phase == datarecovery.Starting
 }
 
-func (n *Node) generation() uint64 {
+func (n *Node) epoch() uint64 {
 	if n.record == nil {
 		return 0
 	}
 	return n.record.Epoch
 }
 
-func (n *Node) word() datarecovery.Word {
-	w := datarecovery.Word{Generation: n.generation(), Seen: n.kvStore.Seen(), Incarnation: n.incarnation, Whole: n.recovery.whole && n.recovery.saw}
+func (n *Node) storeAssessment() datarecovery.Assessment {
+	w := datarecovery.Assessment{Epoch: n.epoch(), Revision: n.kvStore.Seen(), Incarnation: n.incarnation, MemoryComplete: n.recovery.whole && n.recovery.saw}
 	phase, _, _ := n.recovery.watch.Phase()
-	w.Lost = phase == datarecovery.Lost
-	w.Doubt = phase == datarecovery.Doubted || w.Lost
+	w.ConfirmedLoss = phase == datarecovery.Lost
+	w.SuspectsLoss = phase == datarecovery.Suspected || w.ConfirmedLoss
 	if n.record != nil {
 		w.Term = n.record.Term
 	}
@@ -112,34 +112,34 @@
 }
 
 // sign takes in a sign of loss. It may be called without the lock, by a client.
-func (n *Node) sign(what string) {
+func (n *Node) suspectLossLater(what string) {
 	n.group.Go(func() error {
 		n.mu.Lock()
 		defer n.mu.Unlock()
-		n.doubt(what)
+		n.suspectLoss(what)
 		return nil
 	})
 }
 
-func (n *Node) doubt(what string) {
+func (n *Node) suspectLoss(what string) {
 	if n.trusted() {
-		n.log.Info("state service doubted", "sign", what, "generation", n.generation(), "revision", n.followedRevision)
-		n.recovery.watch.Sign(what, time.Now())
+		n.log.Info("state service doubted", "sign", what, "generation", n.epoch(), "revision", n.followedRevision)
+		n.recovery.watch.Suspect(what, time.Now())
 		n.tellNow()
 	}
 }
 
 // prove books evidence of a loss that no answer of the store shows.
-func (n *Node) prove(what string) {
+func (n *Node) proveLoss(what string) {
 	if n.recovery.proof == "" {
 		n.recovery.proof = what
 		n.recovery.whole = false // it lacks what was there before this process read it
-		n.doubt(what)
+		n.suspectLoss(what)
 	}
 }
 
 // heardToken takes in a worker's token: proof of a loss if the store never gave it out.
-func (n *Node) heardToken(token uint64) {
+func (n *Node) observeFencingToken(token uint64) {
 	if token >= 1<<29 || n.record == nil {
 		return // no term: attempts have no room for it
 	}
@@ -148,13 +148,13 @@
 	case token > n.record.Term:
 		n.recovery.ahead = max(n.recovery.ahead, token)
 	case token > 0 && token < n.record.FirstTerm && n.record.Epoch == 1:
-		n.prove("a worker knows a term from before the store's first")
+		n.proveLoss("a worker knows a term from before the store's first")
 	}
 }
 
 // confirmEnd looks up the end of a job whose key is not in a full list. It has one, unless
 // the store lost the job.
-func (n *Node) confirmEnd(uid string, j *job) {
+func (n *Node) verifyUnlistedJob(uid string, j *job) {
 	n.group.Go(func() error {
 		_, _, absent := n.front.LookUp(n.ctx, uid)
 		n.mu.Lock()
@@ -162,7 +162,7 @@
 		if absent && n.jobs[uid] == j && !j.active {
 			j.active, j.endedAt = true, time.Time{}
 			n.learnJob(userapi.Stored{Spec: j.spec, At: j.submittedAt.UnixMilli()}, 0)
-			n.prove("an accepted job is gone without an end")
+			n.proveLoss("an accepted job is gone without an end")
 		}
 		return nil
 	})
@@ -172,20 +172,20 @@
 // it has tasks, since a machine is registered before the first start. One report may have
 // been held up on its way from a machine that is gone by now; one that reports again is
 // there, and a read that began after its first report must know it.
-func (n *Node) unlisted(r *protocol.Heartbeat, m *machine, now time.Time) {
+func (n *Node) checkUnregistered(r *protocol.Heartbeat, m *machine, now time.Time) {
 	switch {
-	case !n.ours(r):
+	case !n.runsTasksOfThisStore(r):
 		m.unregisteredSince = time.Time{}
 	case m.unregisteredSince.IsZero():
 		m.unregisteredSince = now
 	case now.Sub(m.unregisteredSince) > settings.Seconds(n.settings.Deployment.Workers.Report/2) && n.cancelWatermark.LastRead().After(m.unregisteredSince):
-		n.inspect(r.Machine, r.Addr, m)
+		n.probeUnregistered(r.Machine, r.Addr, m)
 	}
 }
 
 // inspect asks a machine that is on no list whether it is there. Two reports are no proof: copies of
 // what a machine sent that was returned long ago may come one after the other to a process that never knew it.
-func (n *Node) inspect(name, addr string, m *machine) {
+func (n *Node) probeUnregistered(name, addr string, m *machine) {
 	if m.inspectedAt.After(m.unregisteredSince) && time.Since(m.inspectedAt) < probeTimeout {
 		return
 	}
@@ -198,15 +198,15 @@
 		there := err == nil && resp.Status == 200 && protocol.Decode(resp.Body, &r) == nil && r.Machine == name
 		n.mu.Lock()
 		defer n.mu.Unlock()
-		if there && n.ours(&r) && n.machines[name] == m && !m.gone && !n.roster.Has(name) && !m.unregisteredSince.IsZero() {
-			n.prove("a worker has tasks though its machine is on no list")
+		if there && n.runsTasksOfThisStore(&r) && n.machines[name] == m && !m.gone && !n.roster.Has(name) && !m.unregisteredSince.IsZero() {
+			n.proveLoss("a worker has tasks though its machine is on no list")
 		}
 		return nil
 	})
 }
 
 // ours says whether a machine has tasks that were started since this store began.
-func (n *Node) ours(r *protocol.Heartbeat) bool {
+func (n *Node) runsTasksOfThisStore(r *protocol.Heartbeat) bool {
 	return slices.ContainsFunc(r.Tasks, func(t protocol.TaskStatus) bool {
 		return t.State != protocol.Exited && jobstate.TermOf(t.Attempt) >= n.record.FirstTerm
 	})
@@ -214,8 +214,8 @@
 
 // keepStore is the duty that looks whether the store has what it acknowledged, and mends
 // what it lost.
-func (n *Node) keepStore(ctx context.Context) error {
-	pulsed, every := time.Now(), storeEvery
+func (n *Node) watchStore(ctx context.Context) error {
+	pulsed, every := time.Now(), storeCheckInterval
 	for pause(ctx, every) {
 		now := time.Now()
 		n.mu.Lock()
@@ -231,49 +231,49 @@
 		suspects := len(n.recovery.suspect) > 0
 		if phase == datarecovery.Lost && since.After(n.recovery.lostAt) {
 			n.recovery.lostAt = since
-			n.lost()
+			n.lossConfirmed()
 		}
 		if action == datarecovery.Nothing && phase == datarecovery.Lost && now.Sub(n.recovery.found.at) > 250*time.Millisecond {
 			action = datarecovery.Relist
 		}
-		if action == datarecovery.Propose && !n.word().Whole && now.Sub(since) < witnessFor {
+		if action == datarecovery.Propose && !n.storeAssessment().MemoryComplete && now.Sub(since) < completeMemoryWait {
 			action = datarecovery.Nothing // a peer may yet find that it remembers more
 		}
-		n.restore(now)
+		n.continueRecovery(now)
 		n.mu.Unlock()
-		if every = storeEvery; phase == datarecovery.Known {
+		if every = storeCheckInterval; phase == datarecovery.Trusted {
 			every *= 4
 		}
 		switch {
-		case action == datarecovery.Check:
-			r := n.look(ctx)
+		case action == datarecovery.Compare:
+			r := n.compareAcknowledged(ctx)
 			n.mu.Lock()
-			n.recovery.watch.Checked(r, time.Now())
+			n.recovery.watch.Compared(r, time.Now())
 			if n.trusted() {
 				clear(n.recovery.suspect)
 				n.log.Info("state service has what it acknowledged")
 			}
 			n.mu.Unlock()
 		case action == datarecovery.Relist:
-			n.relist(ctx)
+			n.relistKeys(ctx)
 		case action == datarecovery.Propose:
-			n.begin(ctx)
-		case ahead > term && (phase == datarecovery.Known || phase == datarecovery.Meeting):
+			n.proposeEpoch(ctx)
+		case ahead > term && (phase == datarecovery.Trusted || phase == datarecovery.MeetingPeers):
 			// The record may only be late here: a read that begins now settles it.
 			if n.refresh(ctx) == nil {
 				n.mu.Lock()
 				if n.record != nil && n.recovery.ahead > n.record.Term {
-					n.prove("a worker or controller knows a later term than the store")
+					n.proveLoss("a worker or controller knows a later term than the store")
 				}
 				n.recovery.ahead = 0
 				n.mu.Unlock()
 			}
-		case phase == datarecovery.Known && (now.Sub(pulsed) > n.lease.Life/4 || suspects):
+		case phase == datarecovery.Trusted && (now.Sub(pulsed) > n.lease.Life/4 || suspects):
 			pulsed = now
-			switch n.look(ctx) {
-			case datarecovery.Bad:
-				n.sign("something acknowledged is gone")
-			case datarecovery.Good:
+			switch n.compareAcknowledged(ctx) {
+			case datarecovery.Missing:
+				n.suspectLossLater("something acknowledged is gone")
+			case datarecovery.Intact:
 				n.mu.Lock()
 				clear(n.recovery.suspect)
 				n.mu.Unlock()
@@ -284,14 +284,14 @@
 }
 
 // witnessFor is how long one that does not remember all waits for one that does.
-const witnessFor = 2 * time.Second
+const completeMemoryWait = 2 * time.Second
 
 // storeEvery is how often a controller that does not know its store looks what to do;
 // one that does looks a quarter as often.
-const storeEvery = 50 * time.Millisecond
+const storeCheckInterval = 50 * time.Millisecond
 
 // witnesses are keys that must have the versions known here, or have changed since.
-func (n *Node) witnesses() map[string]uint64 {
+func (n *Node) acknowledgedKeys() map[string]uint64 {
 	w := maps.Clone(n.recovery.suspect)
 	if n.recordVersion > 0 {
 		w[controlKey] = n.recordVersion
@@ -302,7 +302,7 @@
 	for key, version := range n.roster.Versions() {
 		w[key] = version
 	}
-	n.configWitnesses(w)
+	n.addAcknowledgedConfig(w)
 	some := 8
 	for uid, j := range n.jobs {
 		if some == 0 {
@@ -317,11 +317,11 @@
 }
 
 // versionOf is the version that a followed key has as far as known here, 0 for none.
-func (n *Node) versionOf(key string) uint64 {
+func (n *Node) knownVersion(key string) uint64 {
 	switch {
 	case key == controlKey:
 		return n.recordVersion
-	case strings.HasPrefix(key, datarecovery.StoreKey):
+	case strings.HasPrefix(key, datarecovery.EpochKey):
 		return n.recovery.markers[key]
 	case strings.HasPrefix(key, userapi.JobKey):
 		if j := n.jobs[key[len(userapi.JobKey):]]; j != nil && j.active {
@@ -338,13 +338,13 @@
 
 // look asks the store whether it has what it acknowledged. What it does not have must
 // have been changed, as a read of the changes tells.
-func (n *Node) look(ctx context.Context) datarecovery.Result {
+func (n *Node) compareAcknowledged(ctx context.Context) datarecovery.Comparison {
 	n.mu.Lock()
-	proof, listed, known, unchained := n.recovery.proof, n.watchedKeysRead, n.witnesses(), n.recovery.unchained
-	own, seen := n.presences[n.name].Version, n.recovery.watch.Seen()
+	proof, listed, known, unchained := n.recovery.proof, n.watchedKeysRead, n.acknowledgedKeys(), n.recovery.unchained
+	own, seen := n.presences[n.name].Version, n.recovery.watch.PeersRevision()
 	n.mu.Unlock()
 	if proof != "" || unchained {
-		return datarecovery.Bad
+		return datarecovery.Missing
 	}
 	if !listed {
 		return datarecovery.Unanswered
@@ -361,13 +361,13 @@
 	revision, failed, err := n.kvStore.Compare(ctx, guards)
 	switch {
 	case errors.Is(err, kvstore.ErrBack):
-		n.witness()
-		return datarecovery.Bad
+		n.lossSeenHere()
+		return datarecovery.Missing
 	case (err == nil || errors.Is(err, kvstore.ErrConflict)) && revision < seen:
 		n.log.Info("a peer has seen a later revision", "seen", seen, "revision", revision)
-		return datarecovery.Bad
+		return datarecovery.Missing
 	case err == nil:
-		return datarecovery.Good
+		return datarecovery.Intact
 	case !errors.Is(err, kvstore.ErrConflict):
 		return datarecovery.Unanswered
 	}
@@ -377,8 +377,8 @@
 	began := time.Now()
 	ch, err := n.kvStore.Changes(ctx, userapi.Watched, after)
 	if errors.Is(err, kvstore.ErrBack) {
-		n.witness()
-		return datarecovery.Bad
+		n.lossSeenHere()
+		return datarecovery.Missing
 	} else if err != nil {
 		return datarecovery.Unanswered
 	}
@@ -388,28 +388,28 @@
 	for _, key := range failed {
 		if key == nodeKey+n.name {
 			if n.presences[n.name].Version == own {
-				n.unshow() // its lease may have ended
+				n.rewriteOwnKey() // its lease may have ended
 			}
-		} else if version, asked := known[key]; asked && n.versionOf(key) == version {
+		} else if version, asked := known[key]; asked && n.knownVersion(key) == version {
 			n.log.Info("acknowledged key is not there", "key", key, "version", version)
 			n.recovery.saw = true
-			return datarecovery.Bad
+			return datarecovery.Missing
 		}
 	}
-	return datarecovery.Good
+	return datarecovery.Intact
 }
 
 // witness books that what this process itself had seen shows the loss. Only then does its
 // memory reach back before it: one that started afterwards read what was left, and would
 // take that for the whole.
-func (n *Node) witness() {
+func (n *Node) lossSeenHere() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.recovery.saw = true
 }
 
 // unshow has the lease's duty write the own key again.
-func (n *Node) unshow() {
+func (n *Node) rewriteOwnKey() {
 	n.recovery.shown = false
 	select {
 	case n.recovery.again <- struct{}{}:
@@ -418,7 +418,7 @@
 }
 
 // lost begins what follows once the controllers agree that the store lost data.
-func (n *Node) lost() {
+func (n *Node) lossConfirmed() {
 	_, _, sign := n.recovery.watch.Phase()
 	active := 0
 	for _, j := range n.jobs {
@@ -426,16 +426,16 @@
 			active++
 		}
 	}
-	n.log.Error("state service lost data", "sign", sign, "generation", n.generation(), "revision", n.followedRevision, "jobs_remembered", active,
+	n.log.Error("state service lost data", "sign", sign, "generation", n.epoch(), "revision", n.followedRevision, "jobs_remembered", active,
 		"ends_remembered", n.front.Ends(), "whole", n.recovery.whole, "machines_remembered", len(n.roster.All()))
 	n.kvStore.Hold(true)
 	n.kvStore.Anew()
-	n.unshow()
+	n.rewriteOwnKey()
 }
 
 // relist reads all that is followed, to enter the generation that is found or to know
 // what a lost store holds.
-func (n *Node) relist(ctx context.Context) {
+func (n *Node) relistKeys(ctx context.Context) {
 	began := time.Now()
 	entries, revision, err := n.kvStore.List(ctx, userapi.Watched)
 	if errors.Is(err, kvstore.ErrBack) {
@@ -447,13 +447,13 @@
 	}
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if n.takeList(entries, revision) {
+	if n.applyFullList(entries, revision) {
 		n.knows(began)
 	}
 }
 
 // scan finds the store's own keys in a list.
-func scan(entries []protocol.Entry) foundStore {
+func parseStoreContents(entries []protocol.Entry) foundStore {
 	f := foundStore{live: map[string]leadership.Presence{}, markers: map[string]uint64{}}
 	for _, e := range entries {
 		switch {
@@ -462,7 +462,7 @@
 			if json.Unmarshal(e.Value, &r) == nil {
 				f.record, f.version = &r, e.Version
 			}
-		case strings.HasPrefix(e.Key, datarecovery.StoreKey):
+		case strings.HasPrefix(e.Key, datarecovery.EpochKey):
 			f.markers[e.Key] = e.Version
 		case strings.HasPrefix(e.Key, nodeKey):
 			var p present
@@ -476,25 +476,25 @@
 
 // takeList takes in a full list of the followed keys, if it is of a store that can be
 // relied on.
-func (n *Node) takeList(entries []protocol.Entry, revision uint64) bool {
-	f := scan(entries)
+func (n *Node) applyFullList(entries []protocol.Entry, revision uint64) bool {
+	f := parseStoreContents(entries)
 	f.at = time.Now()
 	phase, _, _ := n.recovery.watch.Phase()
-	newer := f.record != nil && f.record.Epoch > n.generation()
+	newer := f.record != nil && f.record.Epoch > n.epoch()
 	switch {
-	case newer && f.markers[datarecovery.StoreKey+f.record.StoreID] == 0:
+	case newer && f.markers[datarecovery.EpochKey+f.record.StoreID] == 0:
 		// Its own key is gone: this store has lost data already, and what it holds is only evidence.
-		n.prove("the store's generation has no key of its own")
+		n.proveLoss("the store's generation has no key of its own")
 	case n.record == nil || newer:
-		n.enter(entries, revision)
+		n.enterEpoch(entries, revision)
 		return true
 	case phase == datarecovery.Lost:
-	case f.record == nil || f.record.Term < n.record.Term || f.version < n.recordVersion || f.markers[datarecovery.StoreKey+n.record.StoreID] == 0:
-		n.doubt("the list of keys lacks what was acknowledged")
+	case f.record == nil || f.record.Term < n.record.Term || f.version < n.recordVersion || f.markers[datarecovery.EpochKey+n.record.StoreID] == 0:
+		n.suspectLoss("the list of keys lacks what was acknowledged")
 	default:
-		for _, w := range n.recovery.watch.Words(time.Now()) {
-			if w.Generation > n.generation() {
-				n.prove("a controller knows a later generation than the store")
+		for _, w := range n.recovery.watch.Assessments(time.Now()) {
+			if w.Epoch > n.epoch() {
+				n.proveLoss("a controller knows a later generation than the store")
 			}
 		}
 		n.reset(entries, revision)
@@ -502,14 +502,14 @@
 	}
 	n.recovery.found = f
 	if f.live[n.name].Incarnation != n.incarnation {
-		n.unshow()
+		n.rewriteOwnKey()
 	}
 	return false
 }
 
 // enter begins to rely on the store as it was listed: at the process's start, and after a
 // loss. What is remembered stays, and is written back where the store lacks it.
-func (n *Node) enter(entries []protocol.Entry, revision uint64) {
+func (n *Node) enterEpoch(entries []protocol.Entry, revision uint64) {
 	now := time.Now()
 	if n.record != nil {
 		for _, name := range n.roster.All() {
@@ -517,7 +517,7 @@
 				n.recovery.names[name] = true
 			}
 		}
-		n.remember()
+		n.rememberFinishedTasks()
 		for _, it := range n.shards {
 			it.handingOver, it.addingReplicas = false, nil
 		}
@@ -525,7 +525,7 @@
 			j.version = 0
 		}
 		for _, t := range n.recovery.tentative {
-			if now.Sub(t.at) < tentativeFor {
+			if now.Sub(t.at) < proposedJobLife {
 				n.learnJob(t.Stored, 0)
 			}
 		}
@@ -542,24 +542,24 @@
 	if n.recovery.rewatch != nil {
 		n.recovery.rewatch()
 	}
-	if f := scan(entries); f.record != nil {
+	if f := parseStoreContents(entries); f.record != nil {
 		n.adopt(f.record, f.version)
 	}
 	for _, e := range entries {
 		n.changed(protocol.Change{Set: e.Key, Value: e.Value, Version: e.Version})
 	}
 	n.watchedKeysRead = true
-	n.recovery.watch.Entered(n.generation(), now)
+	n.recovery.watch.Entered(n.epoch(), now)
 	if n.presences[n.name].Incarnation != n.incarnation {
-		n.unshow()
+		n.rewriteOwnKey()
 	}
 	n.recount(maps.Keys(n.machines))
 	n.wake()
 }
 
 // generationBegan is called when a record of another generation was adopted.
-func (n *Node) generationBegan(r *leadership.Record) {
-	n.refence()
+func (n *Node) epochEntered(r *leadership.Record) {
+	n.fenceOnEpochKey()
 	if r.Epoch <= 1 {
 		return
 	}
@@ -570,7 +570,7 @@
 			members = append(members, name)
 		}
 	}
-	n.recovery.gather = datarecovery.NewGather(r.Epoch, members)
+	n.recovery.gather = datarecovery.NewExchange(r.Epoch, members)
 	n.membershipSettledAt = time.Now() // machines tried their homes in vain while nobody was entitled
 	clear(n.unreachableHomes)
 	n.recovery.told = time.Time{}
@@ -582,19 +582,19 @@
 }
 
 // refence has every update rest on the generation's own key.
-func (n *Node) refence() {
+func (n *Node) fenceOnEpochKey() {
 	if n.record == nil || n.record.StoreID == "" {
 		return
 	}
-	key := datarecovery.StoreKey + n.record.StoreID
+	key := datarecovery.EpochKey + n.record.StoreID
 	if v := n.recovery.markers[key]; v > 0 {
 		n.kvStore.Fence(protocol.Condition{Key: key, Version: v})
 	}
 }
 
 // begin makes the next generation.
-func (n *Node) begin(ctx context.Context) {
-	n.relist(ctx)
+func (n *Node) proposeEpoch(ctx context.Context) {
+	n.relistKeys(ctx)
 	n.mu.Lock()
 	phase, _, _ := n.recovery.watch.Phase()
 	f := n.recovery.found
@@ -603,13 +603,13 @@
 		return
 	}
 	now := time.Now()
-	e := datarecovery.Evidence{Self: n.name, Nodes: n.settings.Nodes(), Items: n.itemNames(), Record: n.record, Stored: f.record, Live: f.live,
-		Words: n.recovery.watch.Words(now), Own: n.word(), Token: n.recovery.token, Unsure: n.unansweredVersion != 0 || n.recordChangePending, Store: drawn()}
+	e := datarecovery.Evidence{Self: n.name, Controllers: n.settings.Nodes(), Shards: n.itemNames(), Record: n.record, Stored: f.record, Presences: f.live,
+		Assessments: n.recovery.watch.Assessments(now), Own: n.storeAssessment(), HighestToken: n.recovery.token, ChangeUnanswered: n.unansweredVersion != 0 || n.recordChangePending, StoreID: randomStoreID()}
 	n.mu.Unlock()
-	next := e.Generation()
+	next := e.NextEpoch()
 	next.Record.PreviousVersion = f.version
 	txn := protocol.Txn{Conditions: []protocol.Condition{{Key: controlKey, Version: f.version}},
-		Then: []protocol.Op{{Set: controlKey, Value: protocol.Encode(next.Record)}, {Set: datarecovery.StoreKey + next.Record.StoreID, Value: []byte("{}")}}}
+		Then: []protocol.Op{{Set: controlKey, Value: protocol.Encode(next.Record)}, {Set: datarecovery.EpochKey + next.Record.StoreID, Value: []byte("{}")}}}
 	for _, key := range slices.Sorted(maps.Keys(f.markers)) {
 		if len(txn.Then) < n.settings.Deployment.State.TxnOps {
 			txn.Conditions = append(txn.Conditions, protocol.Condition{Key: key, Version: f.markers[key]})
@@ -620,13 +620,13 @@
 		txn.Conditions = append(txn.Conditions, protocol.Condition{Key: nodeKey + name, Version: p.Version})
 	}
 	_, failed, err := n.kvStore.TxnControl(ctx, txn)
-	n.log.Info("generation proposed", "generation", next.Record.Epoch, "term", next.Record.Term, "accounts_kept", next.Kept, "lost_for_good", next.Record.DataLost,
+	n.log.Info("generation proposed", "generation", next.Record.Epoch, "term", next.Record.Term, "accounts_kept", next.WithoutBarrier, "lost_for_good", next.Record.DataLost,
 		"members", next.Record.Members(), "failed", failed, "err", err)
-	n.relist(ctx)
+	n.relistKeys(ctx)
 }
 
 // drawn is a name that nobody else draws.
-func drawn() string {
+func randomStoreID() string {
 	b := make([]byte, 8)
 	for i := range b {
 		b[i] = byte(rand.Uint32())
--- a/internal/controller/recall.go
+++ b/internal/controller/recovery_gather.go
@@ -18,62 +18,70 @@
 // What controllers remember for each other, and tell each other after a loss.
 
 // tentativeJob is a job that a peer was about to accept.
-type tentativeJob struct {
+type proposedJob struct {
 	userapi.Stored
 	at time.Time
 }
 
 // tentativeFor is for how long it counts as accepted if the store is lost meanwhile: no
 // longer than a user waits for the answer.
-const tentativeFor = 10 * time.Second
+const proposedJobLife = 10 * time.Second
 
-// The lines between controllers that serve rebuilding.
+// Kinds of the lines between controllers that serve the recovery of data. The words are part of the protocol.
+const (
+	kindMemories       = "recall"
+	kindMissingEnds    = "recalled"
+	kindReplicateFact  = "hold"
+	kindFactReplicated = "held"
+)
+
+// The lines between controllers that serve the recovery of data.
 type (
 	// recallMsg tells what the sender remembers and the store may not have.
-	recallMsg struct {
-		Generation uint64                    `json:"generation"`
-		Jobs       []userapi.Stored          `json:"jobs,omitempty"`
-		Active     []string                  `json:"active,omitempty"` // jobs that the store had, as the sender knows
-		Done       map[string]*bitset.BitSet `json:"done,omitempty"`
-		Ends       datarecovery.Digest       `json:"ends"`
-		Last       bool                      `json:"last"`
-		Ask        bool                      `json:"ask,omitempty"` // the sender waits for the same from those who get it
-		Config     []teamconfig.Change       `json:"config,omitempty"`
+	memoriesMsg struct {
+		Epoch  uint64                    `json:"generation"`
+		Jobs   []userapi.Stored          `json:"jobs,omitempty"`
+		Active []string                  `json:"active,omitempty"` // jobs that the store had, as the sender knows
+		Done   map[string]*bitset.BitSet `json:"done,omitempty"`
+		Ends   datarecovery.Digest       `json:"ends"`
+		Last   bool                      `json:"last"`
+		Ask    bool                      `json:"ask,omitempty"` // the sender waits for the same from those who get it
+		Config []teamconfig.Change       `json:"config,omitempty"`
 	}
 	// recalledMsg answers it: ends that the sender of the recall lacks.
-	recalledMsg struct {
-		Generation uint64             `json:"generation"`
-		Ends       *datarecovery.Page `json:"ends,omitempty"`
-		Last       bool               `json:"last"`
+	missingEndsMsg struct {
+		Epoch uint64             `json:"generation"`
+		Ends  *datarecovery.Page `json:"ends,omitempty"`
+		Last  bool               `json:"last"`
 	}
 	// holdMsg asks a peer to hold a fact before it is said to a user.
-	holdMsg struct {
+	replicateFactMsg struct {
 		ID   uint64          `json:"id,omitempty"`
 		From uint64          `json:"from,omitempty"` // number of the first of Ends among the withdrawals that the sender confirmed
 		Job  *userapi.Stored `json:"job,omitempty"`
-		Ends []frontendEnd   `json:"ends,omitempty"`
+		Ends []jobEnd        `json:"ends,omitempty"`
 	}
-	frontendEnd struct {
+	jobEnd struct {
 		UID string `json:"uid"`
 		userapi.Final
 	}
-	heldMsg struct {
+	factReplicatedMsg struct {
 		ID uint64 `json:"id"`
 	}
 )
 
 // gathered says whether every member that is heard told what it remembers, and gave its
 // word on what is remembered here.
-func (n *Node) gathered(now time.Time) bool {
+func (n *Node) memoriesGathered(now time.Time) bool {
 	if n.recovery.gather == nil {
 		return true
 	}
-	n.recovery.gather.Gone(func(name string) bool {
+	n.recovery.gather.DropFormerMembers(func(name string) bool {
 		_, member := n.record.Nodes[name]
 		return member
 	})
-	left := n.recovery.gather.Left()
-	if slices.ContainsFunc(left, func(name string) bool { return n.mayHear(name, now) }) {
+	left := n.recovery.gather.Awaited()
+	if slices.ContainsFunc(left, func(name string) bool { return n.mayBeHeard(name, now) }) {
 		return false
 	}
 	if len(left) == 0 {
@@ -84,7 +92,7 @@
 }
 
 // recall tells peers what is remembered here and the store may lack, and asks for theirs.
-func (n *Node) recall(ask bool, to ...string) {
+func (n *Node) sendMemories(ask bool, to ...string) {
 	const part = 400 // jobs of a line
 	var jobs []userapi.Stored
 	var active []string
@@ -97,7 +105,7 @@
 	}
 	ends := n.front.Digest()
 	for {
-		m := recallMsg{Generation: n.generation(), Jobs: jobs[:min(part, len(jobs))], Done: map[string]*bitset.BitSet{}, Ask: ask}
+		m := memoriesMsg{Epoch: n.epoch(), Jobs: jobs[:min(part, len(jobs))], Done: map[string]*bitset.BitSet{}, Ask: ask}
 		jobs = jobs[len(m.Jobs):]
 		for _, s := range m.Jobs {
 			if d := n.recovery.done[s.Spec.UID]; d != nil {
@@ -105,14 +113,14 @@
 			}
 		}
 		if m.Last = len(jobs) == 0; m.Last {
-			m.Ends, m.Active, m.Config = ends, active, n.configMemory()
+			m.Ends, m.Active, m.Config = ends, active, n.rememberedConfig()
 			for uid, d := range n.recovery.done { // of jobs that the store has
 				if j := n.jobs[uid]; j != nil && j.active && j.version > 0 {
 					m.Done[uid] = d
 				}
 			}
 		}
-		line := peer.Line("recall", m)
+		line := peer.Line(kindMemories, m)
 		for _, p := range to {
 			n.links.SendLine(p, line)
 		}
@@ -125,9 +133,9 @@
 // introduced says whether every peer that is heard told what it knows since this process
 // began to follow the store, and what it knows was looked up. Before that this process
 // can't tell a job that was never accepted from one that the store lost.
-func (n *Node) introduced(now time.Time) bool {
+func (n *Node) allPeersExchanged(now time.Time) bool {
 	for name := range n.peers {
-		if n.mayHear(name, now) && !n.recovery.met[name] {
+		if n.mayBeHeard(name, now) && !n.recovery.met[name] {
 			return false
 		}
 	}
@@ -137,19 +145,19 @@
 // startFor is how long a process that starts may take to hear its peers. Before that, one
 // that is not heard is not gone: it was once taken for that, and what it remembers was not
 // waited for.
-const startFor = unheardAfter + 500*time.Millisecond
+const startupGrace = unheardAfter + 500*time.Millisecond
 
 // mayHear says whether a peer is heard, or may be soon.
-func (n *Node) mayHear(name string, now time.Time) bool {
-	return n.peers[name].isHeard(now) || now.Sub(n.startedAt) < startFor
+func (n *Node) mayBeHeard(name string, now time.Time) bool {
+	return n.peers[name].isHeard(now) || now.Sub(n.startedAt) < startupGrace
 }
 
 // recallEvery is after what time those who did not answer are told again, as when they
 // have not entered the generation yet.
-const recallEvery = 300 * time.Millisecond
+const memoriesResendInterval = 300 * time.Millisecond
 
-func (n *Node) onRecall(node string, m *recallMsg) {
-	if m.Generation != n.generation() || !n.trusted() {
+func (n *Node) onMemories(node string, m *memoriesMsg) {
+	if m.Epoch != n.epoch() || !n.trusted() {
 		return // it is told again
 	}
 	for _, s := range m.Jobs {
@@ -160,8 +168,8 @@
 			n.learnJob(s, 0)
 		}
 	}
-	n.learnDone(m.Done)
-	n.recallConfig(m.Config)
+	n.mergeFinishedTasks(m.Done)
+	n.learnRememberedConfig(m.Config)
 	if !m.Last {
 		return
 	}
@@ -174,33 +182,33 @@
 	n.recovery.met[node] = true
 	lacking, err := n.front.Lacking(m.Ends)
 	if err != nil {
-		n.log.Error("unreadable line", "peer", node, "kind", "recall", "err", err)
+		n.log.Error("unreadable line", "peer", node, "kind", kindMemories, "err", err)
 		return
 	}
 	for _, p := range datarecovery.Pages(lacking, 256<<10) {
-		n.links.Send(node, "recalled", recalledMsg{Generation: m.Generation, Ends: &p})
+		n.links.Send(node, kindMissingEnds, missingEndsMsg{Epoch: m.Epoch, Ends: &p})
 	}
-	n.links.Send(node, "recalled", recalledMsg{Generation: m.Generation, Last: true})
+	n.links.Send(node, kindMissingEnds, missingEndsMsg{Epoch: m.Epoch, Last: true})
 	if n.recovery.gather != nil {
-		n.recovery.gather.Told(node)
+		n.recovery.gather.MemoriesReceived(node)
 		n.wake()
 	}
 	if m.Ask { // one that entered the generation later missed what was told then
-		n.recall(false, node)
+		n.sendMemories(false, node)
 	}
 }
 
-func (n *Node) onRecalled(node string, m *recalledMsg) {
+func (n *Node) onMissingEnds(node string, m *missingEndsMsg) {
 	if m.Ends != nil {
 		ends, err := m.Ends.Ends()
 		if err != nil {
-			n.log.Error("unreadable line", "peer", node, "kind", "recalled", "err", err)
+			n.log.Error("unreadable line", "peer", node, "kind", kindMissingEnds, "err", err)
 			return
 		}
 		n.learnEnds(ends)
 		n.recovery.sealed = false
 	}
-	if m.Last && n.recovery.gather != nil && m.Generation == n.recovery.gather.Generation {
+	if m.Last && n.recovery.gather != nil && m.Epoch == n.recovery.gather.Epoch {
 		n.recovery.gather.Answered(node)
 		n.wake()
 	}
@@ -210,16 +218,16 @@
 func (n *Node) learnEnds(ends []datarecovery.End) {
 	for _, x := range ends {
 		n.front.Learn(x.UID, userapi.FinalOf(x))
-		n.endRemembered(x.UID)
+		n.applyRememberedEnd(x.UID)
 	}
 }
 
 // endRemembered books the end of a job that memory tells of; if the store still has it as
 // active, its end is to be written there again.
-func (n *Node) endRemembered(uid string) {
+func (n *Node) applyRememberedEnd(uid string) {
 	if j := n.jobs[uid]; j != nil && j.active {
-		if j.version > 0 && n.generation() > 1 {
-			n.recovery.bury[uid] = burial{j.version, time.Now()}
+		if j.version > 0 && n.epoch() > 1 {
+			n.recovery.bury[uid] = staleActiveKey{j.version, time.Now()}
 		}
 		n.endJob(uid)
 	}
@@ -227,7 +235,7 @@
 
 // hold has a peer hold a fact before it is said. It gives up soon: what the store has is
 // acknowledged anyway, and a fact that nobody else held is counted.
-func (n *Node) hold(ctx context.Context, m holdMsg) {
+func (n *Node) replicateFact(ctx context.Context, m replicateFactMsg) {
 	n.mu.Lock()
 	near := 0
 	now := time.Now()
@@ -236,7 +244,7 @@
 	n.number(&m)
 	got := make(chan struct{}, 1)
 	n.recovery.holds[m.ID] = got
-	line := peer.Line("hold", m)
+	line := peer.Line(kindReplicateFact, m)
 	for name, p := range n.peers {
 		if n.links.SendLine(name, line) && p.isHeard(now) {
 			near++
@@ -245,7 +253,7 @@
 	n.mu.Unlock()
 	held := false
 	if near > 0 {
-		t := time.NewTimer(holdFor)
+		t := time.NewTimer(replicationTimeout)
 		defer t.Stop()
 		select {
 		case <-got:
@@ -263,36 +271,36 @@
 }
 
 // tellEnd tells the peers of an end that was found in the store.
-func (n *Node) tellEnd(uid string, end userapi.Final) {
+func (n *Node) broadcastEnd(uid string, end userapi.Final) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.tellAll("hold", holdMsg{Ends: []frontendEnd{{uid, end}}})
+	n.tellAll(kindReplicateFact, replicateFactMsg{Ends: []jobEnd{{uid, end}}})
 }
 
 // holdFor is how long a peer is waited for to hold a fact.
-const holdFor = 100 * time.Millisecond
+const replicationTimeout = 100 * time.Millisecond
 
-func (n *Node) onHold(node string, m *holdMsg) {
+func (n *Node) onReplicateFact(node string, m *replicateFactMsg) {
 	if m.Job != nil && m.Job.Spec != nil && protocol.ValidUID(m.Job.Spec.UID) {
-		n.tentative(*m.Job)
+		n.noteProposedJob(*m.Job)
 	}
 	for _, x := range m.Ends {
 		if !protocol.ValidUID(x.UID) || x.State != protocol.Cancelled && x.State != protocol.Done {
-			n.log.Error("unreadable line", "peer", node, "kind", "hold", "err", "an end of no job or of no kind")
+			n.log.Error("unreadable line", "peer", node, "kind", kindReplicateFact, "err", "an end of no job or of no kind")
 			return
 		}
 	}
 	for _, x := range m.Ends {
 		n.front.Learn(x.UID, x.Final)
-		n.endRemembered(x.UID)
+		n.applyRememberedEnd(x.UID)
 	}
 	n.cancelWatermark.Take(node, m.From, len(m.Ends))
 	if m.ID != 0 {
-		n.links.Send(node, "held", heldMsg{m.ID})
+		n.links.Send(node, kindFactReplicated, factReplicatedMsg{m.ID})
 	}
 }
 
-func (n *Node) onHeld(m *heldMsg) {
+func (n *Node) onFactReplicated(m *factReplicatedMsg) {
 	if got := n.recovery.holds[m.ID]; got != nil {
 		select {
 		case got <- struct{}{}:
@@ -303,8 +311,8 @@
 
 // tentative takes down a job that a peer is about to accept. If the store accepts it, the
 // watch tells; if not, it is forgotten.
-func (n *Node) tentative(s userapi.Stored) {
+func (n *Node) noteProposedJob(s userapi.Stored) {
 	if n.jobs[s.Spec.UID] == nil {
-		n.recovery.tentative[s.Spec.UID] = tentativeJob{s, time.Now()}
+		n.recovery.tentative[s.Spec.UID] = proposedJob{s, time.Now()}
 	}
 }
--- a/internal/controller/writeback.go
+++ b/internal/controller/recovery_writeback.go
@@ -25,34 +25,34 @@
 // state service.
 
 // writeEvery is how often it is looked what is to be written back.
-const writeEvery = 200 * time.Millisecond
+const writeBackInterval = 200 * time.Millisecond
 
 // burial is an ended job that the store has as active, by a version, as was seen at a time.
-type burial struct {
+type staleActiveKey struct {
 	version uint64
 	seen    time.Time
 }
 
 // buryAfter is what the change of the store that ended the job may take to be seen here.
-const buryAfter = 2 * time.Second
+const staleKeyDelay = 2 * time.Second
 
 // remember takes down the finished tasks that this controller knows as owner or backup.
-func (n *Node) remember() {
+func (n *Node) rememberFinishedTasks() {
 	old := n.recovery.done
 	n.recovery.done = nil
-	n.learnDone(old)
+	n.mergeFinishedTasks(old)
 	for _, it := range n.shards {
-		n.learnDone(it.team.Replica().Done)
+		n.mergeFinishedTasks(it.team.Replica().Done)
 	}
 	for _, b := range n.replicas {
 		if b.rep != nil {
-			n.learnDone(b.rep.Done)
+			n.mergeFinishedTasks(b.rep.Done)
 		}
 	}
 }
 
 // restore does what is left to do in a generation that followed a loss.
-func (n *Node) restore(now time.Time) {
+func (n *Node) continueRecovery(now time.Time) {
 	if !n.trusted() || n.record == nil {
 		return
 	}
@@ -60,27 +60,27 @@
 		clear(n.recovery.unknown) // only spares looking the same job up again
 	}
 	if len(n.recovery.tentative) > 0 {
-		maps.DeleteFunc(n.recovery.tentative, func(_ string, t tentativeJob) bool { return now.Sub(t.at) > tentativeFor })
+		maps.DeleteFunc(n.recovery.tentative, func(_ string, t proposedJob) bool { return now.Sub(t.at) > proposedJobLife })
 	}
-	if now.Sub(n.recovery.told) > recallEvery && (n.recovery.gather != nil || !n.introduced(now)) {
+	if now.Sub(n.recovery.told) > memoriesResendInterval && (n.recovery.gather != nil || !n.allPeersExchanged(now)) {
 		n.recovery.told = now
-		n.recall(true, slices.Sorted(maps.Keys(n.peers))...)
+		n.sendMemories(true, slices.Sorted(maps.Keys(n.peers))...)
 	}
-	if n.generation() <= 1 || !n.entitled(now) || !n.gathered(now) || now.Sub(n.recovery.wrote) < writeEvery {
+	if n.epoch() <= 1 || !n.entitled(now) || !n.memoriesGathered(now) || now.Sub(n.recovery.wrote) < writeBackInterval {
 		return
 	}
 	n.recovery.wrote = now
-	n.writeBack(now)
+	n.writeBackJobs(now)
 	n.writeBackConfig()
 	if n.shards[leadership.FleetShard] != nil && !n.recovery.sealed && !n.recovery.sealing {
 		n.recovery.sealing = true
-		generation := n.generation()
+		generation := n.epoch()
 		n.group.Go(func() error {
-			ok := n.seal(n.ctx)
+			ok := n.writeEndPages(n.ctx)
 			n.mu.Lock()
 			defer n.mu.Unlock()
 			n.recovery.sealing = false
-			n.recovery.sealed = ok && generation == n.generation()
+			n.recovery.sealed = ok && generation == n.epoch()
 			return nil
 		})
 	}
@@ -88,14 +88,14 @@
 
 // writeBack gives the store the jobs of own teams that it lacks, and buries those that it
 // has as active. Few at a time: acceptances and the roster are not to wait for them.
-func (n *Node) writeBack(now time.Time) {
+func (n *Node) writeBackJobs(now time.Time) {
 	var jobs []datarecovery.Unwritten
 	for uid, j := range n.jobs {
 		if it := n.shards[teamShard(j.spec.Team)]; j.active && j.version == 0 && it != nil && it.phase == shardReady && !n.recovery.writing[uid] {
 			jobs = append(jobs, datarecovery.Unwritten{Spec: j.spec, At: j.submittedAt.UnixMilli()})
 		}
 	}
-	datarecovery.Order(jobs)
+	datarecovery.SortForWriteBack(jobs)
 	most := 2 * n.settings.Deployment.State.TxnOps
 	for _, u := range jobs {
 		if len(n.recovery.writing) >= most {
@@ -104,13 +104,13 @@
 		uid := u.Spec.UID
 		n.recovery.writing[uid] = true
 		n.group.Go(func() error {
-			n.writeJob(n.ctx, userapi.Stored{Spec: u.Spec, At: u.At})
+			n.writeBackJob(n.ctx, userapi.Stored{Spec: u.Spec, At: u.At})
 			return nil
 		})
 	}
 	for uid, b := range n.recovery.bury {
 		j := n.jobs[uid]
-		if j == nil || now.Sub(b.seen) < buryAfter || n.shards[teamShard(j.spec.Team)] == nil || n.recovery.writing[uid] || len(n.recovery.writing) >= most {
+		if j == nil || now.Sub(b.seen) < staleKeyDelay || n.shards[teamShard(j.spec.Team)] == nil || n.recovery.writing[uid] || len(n.recovery.writing) >= most {
 			continue
 		}
 		final, ended := n.front.Final(uid)
@@ -133,7 +133,7 @@
 	}
 }
 
-func (n *Node) writeJob(ctx context.Context, s userapi.Stored) {
+func (n *Node) writeBackJob(ctx context.Context, s userapi.Stored) {
 	uid := s.Spec.UID
 	version, err := n.kvStore.Commit(ctx, kvstore.Update{
 		Guards: []protocol.Condition{{Key: userapi.JobKey + uid}, {Key: userapi.FinalKey + uid}},
@@ -142,7 +142,7 @@
 		// Its end, if that is why; else the watch tells its version. No watch tells the
 		// others of that end, since for them the store never had the job.
 		if end, ended := n.front.Ended(ctx, uid); ended {
-			n.tellEnd(uid, end)
+			n.broadcastEnd(uid, end)
 		}
 	} else if err != nil {
 		pause(ctx, 200*time.Millisecond)
@@ -156,7 +156,7 @@
 }
 
 // seal writes the ends that are remembered to pages, as far as they are not on any.
-func (n *Node) seal(ctx context.Context) bool {
+func (n *Node) writeEndPages(ctx context.Context) bool {
 	entries, _, err := n.kvStore.List(ctx, datarecovery.EndsKey)
 	if err != nil {
 		return false
@@ -193,7 +193,7 @@
 
 // readEnds loads all single ends that the store has, so that they outlive it. The pages
 // of ends are followed like all that is watched.
-func (n *Node) readEnds(ctx context.Context) error {
+func (n *Node) loadStoredEnds(ctx context.Context) error {
 	for after, more := "", true; more; {
 		n.mu.Lock()
 		// Before the first record nothing ever ended, but it can't be said yet of which generation what is
@@ -219,7 +219,7 @@
 			if json.Unmarshal(e.Value, &final) == nil && final.State != "" {
 				uid := e.Key[len(userapi.FinalKey):]
 				n.front.Learn(uid, final)
-				n.endRemembered(uid)
+				n.applyRememberedEnd(uid)
 			}
 		}
 		n.mu.Unlock()
@@ -236,7 +236,7 @@
 }
 
 // learnPage takes in a page of ends, or of finished tasks, from the store.
-func (n *Node) learnPage(key string, value []byte) error {
+func (n *Node) learnRecoveryPage(key string, value []byte) error {
 	if strings.HasPrefix(key, datarecovery.EndsKey) {
 		ends, err := datarecovery.ReadPage(value)
 		if err != nil {
@@ -249,13 +249,13 @@
 	if err := json.Unmarshal(value, &done); err != nil {
 		return err
 	}
-	n.learnDone(done)
+	n.mergeFinishedTasks(done)
 	return nil
 }
 
 // learnDone takes in finished tasks that were remembered elsewhere, of jobs that may be
 // known only later.
-func (n *Node) learnDone(done map[string]*bitset.BitSet) {
+func (n *Node) mergeFinishedTasks(done map[string]*bitset.BitSet) {
 	if n.recovery.done == nil {
 		n.recovery.done = map[string]*bitset.BitSet{}
 	}
@@ -280,7 +280,7 @@
 
 // takeCensus reads the cloud's list once it must name every machine that was rented
 // before the generation began. The roster may have lost some of them.
-func (n *Node) takeCensus(ctx context.Context) error {
+func (n *Node) countMachines(ctx context.Context) error {
 	for pause(ctx, 200*time.Millisecond) {
 		n.mu.Lock()
 		entered := n.recovery.entered
@@ -297,7 +297,7 @@
 		}
 		n.mu.Lock()
 		if n.recovery.entered.Equal(entered) {
-			n.counted(hosts)
+			n.applyCensus(hosts)
 		}
 		n.mu.Unlock()
 	}
@@ -306,7 +306,7 @@
 
 // counted takes in the census. A machine that is still booting in a list that old has run
 // nothing before the loss.
-func (n *Node) counted(hosts []protocol.Host) {
+func (n *Node) applyCensus(hosts []protocol.Host) {
 	n.recovery.census = map[string]bool{}
 	addrs := map[string]protocol.Host{}
 	for _, h := range hosts {
@@ -334,7 +334,7 @@
 
 // rosterWhole says whether every machine that may run something from before the loss is
 // on the roster again.
-func (n *Node) rosterWhole() bool {
+func (n *Node) rosterComplete() bool {
 	if n.recovery.census == nil {
 		return false
 	}
@@ -352,8 +352,8 @@
 // undescribed says whether a machine runs a task from before a loss of a job that nobody can
 // describe. Nothing is placed beside it, since nobody knows what it takes; that stays so
 // when the search for what was lost has been given up.
-func (n *Node) undescribed(v *jobstate.MachineStatus) bool {
-	if n.generation() <= 1 {
+func (n *Node) runsUndescribedJob(v *jobstate.MachineStatus) bool {
+	if n.epoch() <= 1 {
 		return false
 	}
 	return slices.ContainsFunc(v.Tasks, func(t jobstate.TaskStatus) bool {
@@ -364,11 +364,11 @@
 func (n *Node) storeStatus() datarecovery.Status {
 	phase, _, sign := n.recovery.watch.Phase()
 	signs, losses := n.recovery.watch.Counts()
-	o := datarecovery.Status{Phase: phase.String(), Sign: sign, Generation: n.generation(), Unburied: len(n.recovery.bury), Ends: n.front.Ends(),
-		Whole: n.recovery.whole, Alone: n.recovery.alone, Signs: signs, Losses: losses}
+	o := datarecovery.Status{Phase: phase.String(), Sign: sign, Epoch: n.epoch(), StaleActive: len(n.recovery.bury), Ends: n.front.Ends(),
+		MemoryComplete: n.recovery.whole, Unreplicated: n.recovery.alone, Suspicions: signs, Losses: losses}
 	if n.record != nil {
-		o.Lost, o.Census = n.record.DataLost, n.record.RosterIncomplete
-		o.Gathering = n.recovery.gather.Left()
+		o.DataLost, o.RosterIncomplete = n.record.DataLost, n.record.RosterIncomplete
+		o.AwaitedMemories = n.recovery.gather.Awaited()
 	}
 	for _, j := range n.jobs {
 		if j.active && j.version == 0 {
@@ -376,7 +376,7 @@
 		}
 	}
 	for _, m := range n.machines {
-		if m.gone || m.status == nil || !n.undescribed(m.status) || len(o.Undescribed) >= 100 {
+		if m.gone || m.status == nil || !n.runsUndescribedJob(m.status) || len(o.Undescribed) >= 100 {
 			continue
 		}
 		for _, t := range m.status.Tasks {
--- a/internal/controller/renewal.go
+++ b/internal/controller/renewal.go
@@ -60,7 +60,7 @@
 }
 
 func (k *leaseKnowledge) Lost(attempt uint64) bool {
-	return k.n.generation() > 1 && jobstate.TermOf(attempt) < k.n.record.FirstTerm
+	return k.n.epoch() > 1 && jobstate.TermOf(attempt) < k.n.record.FirstTerm
 }
 
 func (k *leaseKnowledge) Renews(now, since time.Time) bool {
@@ -82,15 +82,15 @@
 
 // confirming tells the peers of a withdrawal before a user is told of it for the first time here.
 func (n *Node) confirming(uid string, end userapi.Final) {
-	m := holdMsg{Ends: []frontendEnd{{uid, end}}}
+	m := replicateFactMsg{Ends: []jobEnd{{uid, end}}}
 	if n.number(&m); m.From == 0 {
 		return
 	}
-	n.tellAll("hold", m)
+	n.tellAll(kindReplicateFact, m)
 }
 
 // number gives the withdrawal that a line tells of its number.
-func (n *Node) number(m *holdMsg) {
+func (n *Node) number(m *replicateFactMsg) {
 	if len(m.Ends) == 1 && m.Ends[0].State == protocol.Cancelled {
 		m.From = n.cancelWatermark.Confirm(m.Ends[0].UID)
 	}
@@ -105,12 +105,12 @@
 	if len(uids) == 0 {
 		return
 	}
-	m := holdMsg{From: from}
+	m := replicateFactMsg{From: from}
 	for _, uid := range uids {
 		end, _ := n.front.Final(uid) // ends are never forgotten
-		m.Ends = append(m.Ends, frontendEnd{uid, end})
+		m.Ends = append(m.Ends, jobEnd{uid, end})
 	}
-	n.links.Send(name, "hold", m)
+	n.links.Send(name, kindReplicateFact, m)
 }
 
 // onHorizon takes in what a status says of withdrawals.
@@ -190,7 +190,7 @@
 // before it was down for all: it may act by promises only under the latest.
 func (n *Node) teach(name string, s *statusMsg, now time.Time) {
 	p := n.peers[name]
-	if n.record == nil || s.Version == nil || *s.Version >= n.recordVersion || s.Store.Generation != n.generation() || !n.trusted() {
+	if n.record == nil || s.Version == nil || *s.Version >= n.recordVersion || s.Store.Epoch != n.epoch() || !n.trusted() {
 		p.behindSince = time.Time{}
 		return
 	}
@@ -210,7 +210,7 @@
 		return
 	}
 	var record leadership.Record
-	if err := json.Unmarshal(m.Record, &record); err != nil || record.Epoch != n.generation() {
+	if err := json.Unmarshal(m.Record, &record); err != nil || record.Epoch != n.epoch() {
 		return
 	}
 	n.learnRecord(&record, m.Version)
--- a/internal/controller/roster.go
+++ b/internal/controller/roster.go
@@ -32,7 +32,7 @@
 	if err != nil {
 		// As by a process that started after the loss. That a machine is not named in such a
 		// list must never free what it runs.
-		n.doubt(err.Error())
+		n.suspectLoss(err.Error())
 		return
 	}
 	for _, name := range added {
@@ -117,7 +117,7 @@
 			n.mu.Lock()
 			defer n.mu.Unlock()
 			if v := n.roster.Versions()[w.Key]; v > 0 && v == w.Version {
-				n.doubt("a list of machines is not there")
+				n.suspectLoss("a list of machines is not there")
 			}
 			return
 		}
--- a/internal/controller/sync.go
+++ b/internal/controller/sync.go
@@ -96,7 +96,7 @@
 // that was confirmed, until everybody's memory is gathered.
 func (n *Node) knows(began time.Time) {
 	n.configCurrent(began)
-	if n.trusted() && n.gathered(time.Now()) {
+	if n.trusted() && n.memoriesGathered(time.Now()) {
 		n.cancelWatermark.Read(began)
 	}
 }
--- a/internal/controller/sync_test.go
+++ b/internal/controller/sync_test.go
@@ -142,7 +142,7 @@
 		}
 		n.learnJob(userapi.Stored{Spec: array(1, 3, "red")}, 1)
 		n.peers["node-b"] = &peerState{connected: true, heardAt: time.Now()}
-		n.recovery.gather = datarecovery.NewGather(2, []string{"node-b"}) // it is yet to tell what it remembers
+		n.recovery.gather = datarecovery.NewExchange(2, []string{"node-b"}) // it is yet to tell what it remembers
 		it := &shard{name: name, sinceTerm: 5, needsBarrier: blind, acknowledgements: map[string]*replicaAck{}, pages: jobstate.NewPageSet(8 << 10), team: n.newTeam(name, rep, 5)}
 		n.shards[name] = it
 		n.mu.Lock()
--- a/internal/controller/talk.go
+++ b/internal/controller/talk.go
@@ -24,26 +24,26 @@
 	}
 	// statusMsg is told twice a second.
 	statusMsg struct {
-		Term     uint64            `json:"term"`
-		Entitled bool              `json:"entitled"`
-		Leased   bool              `json:"leased,omitempty"`
-		At       int64             `json:"at"`                  // the sender's steady clock, ms
-		Heard    map[string]echo   `json:"heard,omitempty"`     // the last At of each peer
-		Promise  bool              `json:"promise,omitempty"`   // to raise no term for promiseLife
-		Alive    map[string]int64  `json:"alive,omitempty"`     // homed machines: ms since their last report
-		InFlight map[string]int64  `json:"in_flight,omitempty"` // of these, by starts that may still arrive: ms since all withdrawals known at the sending were confirmed
-		Stray    []string          `json:"stray,omitempty"`     // machines of other homes that reported here since the last status
-		Demands  []demand          `json:"demands,omitempty"`
-		Progress map[string][2]int `json:"progress,omitempty"` // of own teams' jobs, in one status a second; nil: as it was
-		Drain    []string          `json:"drain,omitempty"`
-		Awaits   []string          `json:"awaits,omitempty"` // machines that a barrier waits for
-		Mute     []string          `json:"mute,omitempty"`   // machines that did not answer a probe
-		Writes   *float64          `json:"writes,omitempty"` // changes of the state service wanted a second
-		Store    datarecovery.Word `json:"store"`            // what the sender holds of the state service
-		Version  *uint64           `json:"version"`          // of the control record that it knows; a promise counts for that one and later ones
-		Told     *uint64           `json:"told"`             // withdrawals that this process confirmed to users so far
-		Plan     admission.Word    `json:"plan"`             // what it knows of plans of who gets how much
-		Config   *teamconfig.Word  `json:"config,omitempty"` // what it knows of the teams' configuration
+		Term     uint64                  `json:"term"`
+		Entitled bool                    `json:"entitled"`
+		Leased   bool                    `json:"leased,omitempty"`
+		At       int64                   `json:"at"`                  // the sender's steady clock, ms
+		Heard    map[string]echo         `json:"heard,omitempty"`     // the last At of each peer
+		Promise  bool                    `json:"promise,omitempty"`   // to raise no term for promiseLife
+		Alive    map[string]int64        `json:"alive,omitempty"`     // homed machines: ms since their last report
+		InFlight map[string]int64        `json:"in_flight,omitempty"` // of these, by starts that may still arrive: ms since all withdrawals known at the sending were confirmed
+		Stray    []string                `json:"stray,omitempty"`     // machines of other homes that reported here since the last status
+		Demands  []demand                `json:"demands,omitempty"`
+		Progress map[string][2]int       `json:"progress,omitempty"` // of own teams' jobs, in one status a second; nil: as it was
+		Drain    []string                `json:"drain,omitempty"`
+		Awaits   []string                `json:"awaits,omitempty"` // machines that a barrier waits for
+		Mute     []string                `json:"mute,omitempty"`   // machines that did not answer a probe
+		Writes   *float64                `json:"writes,omitempty"` // changes of the state service wanted a second
+		Store    datarecovery.Assessment `json:"store"`            // what the sender holds of the state service
+		Version  *uint64                 `json:"version"`          // of the control record that it knows; a promise counts for that one and later ones
+		Told     *uint64                 `json:"told"`             // withdrawals that this process confirmed to users so far
+		Plan     admission.Word          `json:"plan"`             // what it knows of plans of who gets how much
+		Config   *teamconfig.Word        `json:"config,omitempty"` // what it knows of the teams' configuration
 	}
 )
 
@@ -88,7 +88,7 @@
 		n.changedMachines[name] = true
 	}
 	if n.record != nil {
-		n.recall(false, node)
+		n.sendMemories(false, node)
 	}
 	n.tellNow() // one that starts waits for this one's word
 	n.wake()
@@ -128,7 +128,7 @@
 			n.recovery.watch.Heard(node, s.Store, now)
 			n.onPlan(node, incarnation, p, &s.Plan)
 			n.onConfigWord(node, incarnation, s.Config, now)
-			if n.record != nil && s.Store.Generation == n.record.Epoch && s.Store.Term > n.record.Term {
+			if n.record != nil && s.Store.Epoch == n.record.Epoch && s.Store.Term > n.record.Term {
 				n.recovery.ahead = max(n.recovery.ahead, s.Store.Term)
 			}
 		}
@@ -181,25 +181,25 @@
 		if err = protocol.Decode(body, &d); err == nil {
 			n.onDeltas(node, incarnation, &d)
 		}
-	case "recall":
-		var m recallMsg
+	case kindMemories:
+		var m memoriesMsg
 		if err = protocol.Decode(body, &m); err == nil {
-			n.onRecall(node, &m)
+			n.onMemories(node, &m)
 		}
-	case "recalled":
-		var m recalledMsg
+	case kindMissingEnds:
+		var m missingEndsMsg
 		if err = protocol.Decode(body, &m); err == nil {
-			n.onRecalled(node, &m)
+			n.onMissingEnds(node, &m)
 		}
-	case "hold":
-		var m holdMsg
+	case kindReplicateFact:
+		var m replicateFactMsg
 		if err = protocol.Decode(body, &m); err == nil {
-			n.onHold(node, &m)
+			n.onReplicateFact(node, &m)
 		}
-	case "held":
-		var m heldMsg
+	case kindFactReplicated:
+		var m factReplicatedMsg
 		if err = protocol.Decode(body, &m); err == nil {
-			n.onHeld(&m)
+			n.onFactReplicated(&m)
 		}
 	case "ack":
 		var a ackMsg
@@ -354,7 +354,7 @@
 // status sums up this controller for its peers, and makes the promise in it.
 func (n *Node) status(now time.Time) statusMsg {
 	told, version := n.cancelWatermark.Told(), n.recordVersion
-	s := statusMsg{Store: n.word(), Told: &told, Version: &version, Entitled: n.entitled(now), Leased: n.lease.Valid(now), At: now.Sub(n.startedAt).Milliseconds(),
+	s := statusMsg{Store: n.storeAssessment(), Told: &told, Version: &version, Entitled: n.entitled(now), Leased: n.lease.Valid(now), At: now.Sub(n.startedAt).Milliseconds(),
 		Heard: map[string]echo{}, Alive: map[string]int64{}}
 	for name, p := range n.peers {
 		if now.Sub(p.heardAt) < promiseLife && p.statusClock > 0 {
--- a/internal/datarecovery/ends.go
+++ b/internal/datarecovery/ends.go
@@ -15,25 +15,25 @@
 
 // End is how a job ended.
 type End struct {
-	UID       string
-	Withdrawn bool
-	Tasks     int
-	Team      string
+	UID       string `json:"UID"`
+	Cancelled bool   `json:"Withdrawn"`
+	Tasks     int    `json:"Tasks"`
+	Team      string `json:"Team"`
 }
 
 // Ends is every job's end that a controller knows. It only grows: an end is for ever.
 // Job ids of the usual form, a number of six digits or more, take some ten bytes.
 type Ends struct {
-	ids    *roaring.Bitmap
-	packed map[uint32]uint32
-	others map[string]End
-	teams  []string
-	team   map[string]uint32
+	ids       *roaring.Bitmap
+	packed    map[uint32]uint32
+	others    map[string]End
+	teams     []string
+	teamIndex map[string]uint32
 }
 
 // NewEnds knows none.
 func NewEnds() *Ends {
-	return &Ends{ids: roaring.New(), packed: map[uint32]uint32{}, others: map[string]End{}, team: map[string]uint32{}}
+	return &Ends{ids: roaring.New(), packed: map[uint32]uint32{}, others: map[string]End{}, teamIndex: map[string]uint32{}}
 }
 
 // A packed end: tasks in 17 bits, the team's index in 14, and whether it was withdrawn.
@@ -43,29 +43,29 @@
 )
 
 // prefix and digits are the usual form of a job's id.
-const prefix = "job-"
+const idPrefix = "job-"
 
-func number(uid string) (uint32, bool) {
-	digits, ok := strings.CutPrefix(uid, prefix)
+func parseUsualID(uid string) (uint32, bool) {
+	digits, ok := strings.CutPrefix(uid, idPrefix)
 	if !ok {
 		return 0, false
 	}
 	n, err := strconv.ParseUint(digits, 10, 32)
-	if err != nil || name(uint32(n)) != uid {
+	if err != nil || usualID(uint32(n)) != uid {
 		return 0, false
 	}
 	return uint32(n), true
 }
 
-func name(n uint32) string { return fmt.Sprintf("%s%06d", prefix, n) }
+func usualID(n uint32) string { return fmt.Sprintf("%s%06d", idPrefix, n) }
 
 // Learn takes in an end and says whether it was new. The first that was learned stays.
 func (e *Ends) Learn(x End) bool {
 	if _, known := e.Get(x.UID); known {
 		return false
 	}
-	n, usual := number(x.UID)
-	team, named := e.team[x.Team]
+	n, usual := parseUsualID(x.UID)
+	team, named := e.teamIndex[x.Team]
 	if !named {
 		team = uint32(len(e.teams))
 	}
@@ -74,11 +74,11 @@
 		return true
 	}
 	if !named {
-		e.team[x.Team] = team
+		e.teamIndex[x.Team] = team
 		e.teams = append(e.teams, x.Team)
 	}
 	v := uint32(x.Tasks) | team<<taskBits
-	if x.Withdrawn {
+	if x.Cancelled {
 		v |= 1 << 31
 	}
 	e.packed[n] = v
@@ -88,7 +88,7 @@
 
 // Get finds a job's end.
 func (e *Ends) Get(uid string) (End, bool) {
-	if n, ok := number(uid); ok {
+	if n, ok := parseUsualID(uid); ok {
 		if v, ok := e.packed[n]; ok {
 			return e.unpack(n, v), true
 		}
@@ -98,7 +98,7 @@
 }
 
 func (e *Ends) unpack(n, v uint32) End {
-	return End{UID: name(n), Withdrawn: v>>31 == 1, Tasks: int(v & (1<<taskBits - 1)), Team: e.teams[v>>taskBits&(1<<teamBits-1)]}
+	return End{UID: usualID(n), Cancelled: v>>31 == 1, Tasks: int(v & (1<<taskBits - 1)), Team: e.teams[v>>taskBits&(1<<teamBits-1)]}
 }
 
 // Len counts the ends.
@@ -116,7 +116,7 @@
 	e.ids.RunOptimize()
 	data, err := e.ids.ToBytes()
 	if err != nil {
-		panic(fmt.Sprintf("rebuild: bitmap without binary form: %v", err)) // only a failing writer makes one
+		panic(fmt.Sprintf("datarecovery: bitmap without binary form: %v", err)) // only a failing writer makes one
 	}
 	return Digest{IDs: base64.StdEncoding.EncodeToString(data), Others: slices.Sorted(maps.Keys(e.others))}
 }
@@ -125,11 +125,11 @@
 func (e *Ends) Lacking(d Digest) ([]End, error) {
 	data, err := base64.StdEncoding.DecodeString(d.IDs)
 	if err != nil {
-		return nil, fmt.Errorf("rebuild: digest: %w", err)
+		return nil, fmt.Errorf("datarecovery: digest: %w", err)
 	}
 	theirs := roaring.New()
 	if err := theirs.UnmarshalBinary(data); err != nil {
-		return nil, fmt.Errorf("rebuild: digest: %w", err)
+		return nil, fmt.Errorf("datarecovery: digest: %w", err)
 	}
 	var out []End
 	for it := roaring.AndNot(e.ids, theirs).Iterator(); it.HasNext(); {
@@ -169,7 +169,7 @@
 	}
 	flush()
 	for _, x := range ends {
-		n, usual := number(x.UID)
+		n, usual := parseUsualID(x.UID)
 		usual = usual && x.Tasks >= 0 && x.Tasks < 1<<taskBits
 		more := 20
 		if !usual {
@@ -193,7 +193,7 @@
 			teams = append(teams, x.Team)
 		}
 		v := uint64(x.Tasks)<<1 | uint64(at)<<(taskBits+1)
-		if x.Withdrawn {
+		if x.Cancelled {
 			v |= 1
 		}
 		before := len(data)
@@ -210,7 +210,7 @@
 func ReadPage(value []byte) ([]End, error) {
 	var p Page
 	if err := json.Unmarshal(value, &p); err != nil {
-		return nil, fmt.Errorf("rebuild: page of ends: %w", err)
+		return nil, fmt.Errorf("datarecovery: page of ends: %w", err)
 	}
 	return p.Ends()
 }
@@ -219,14 +219,14 @@
 func (p *Page) Ends() ([]End, error) {
 	data, err := base64.StdEncoding.DecodeString(p.Data)
 	if err != nil {
-		return nil, fmt.Errorf("rebuild: page of ends: %w", err)
+		return nil, fmt.Errorf("datarecovery: page of ends: %w", err)
 	}
 	out := slices.Clone(p.Others)
 	at := uint64(0)
 	next := func() (uint64, error) {
 		v, size := binary.Uvarint(data)
 		if size <= 0 {
-			return 0, fmt.Errorf("rebuild: page of ends: cut short")
+			return 0, fmt.Errorf("datarecovery: page of ends: cut short")
 		}
 		data = data[size:]
 		return v, nil
@@ -243,9 +243,9 @@
 		at += step
 		team := v >> (taskBits + 1)
 		if at > 1<<32-1 || team >= uint64(len(p.Teams)) {
-			return nil, fmt.Errorf("rebuild: page of ends: out of range")
+			return nil, fmt.Errorf("datarecovery: page of ends: out of range")
 		}
-		out = append(out, End{UID: name(uint32(at)), Withdrawn: v&1 == 1, Tasks: int(v >> 1 & (1<<taskBits - 1)), Team: p.Teams[team]})
+		out = append(out, End{UID: usualID(uint32(at)), Cancelled: v&1 == 1, Tasks: int(v >> 1 & (1<<taskBits - 1)), Team: p.Teams[team]})
 	}
 	return out, nil
 }
--- a/internal/datarecovery/next.go
+++ b/internal/datarecovery/epoch.go
@@ -8,24 +8,24 @@
 )
 
 // Next is the control record of the next generation.
-type Next struct {
-	Record *leadership.Record
-	Kept   bool // owners keep their accounts: no barrier
+type NextEpoch struct {
+	Record         *leadership.Record
+	WithoutBarrier bool // owners keep their accounts: no barrier
 }
 
 // Evidence is what the maker of a generation knows.
 type Evidence struct {
-	Self   string
-	Nodes  []string                       // all controllers of the deployment
-	Items  []string                       // all items
-	Record *leadership.Record             // the latest known; nil if none
-	Stored *leadership.Record             // as the store has it now; nil if it has none
-	Live   map[string]leadership.Presence // controllers' keys as the store has them now
-	Words  map[string]Word                // of the peers that are heard
-	Own    Word
-	Token  uint64 // highest that any worker was heard with
-	Unsure bool   // a change of the record had no answer
-	Store  string // drawn name of the generation's store
+	Self             string
+	Controllers      []string                       // all controllers of the deployment
+	Shards           []string                       // all items
+	Record           *leadership.Record             // the latest known; nil if none
+	Stored           *leadership.Record             // as the store has it now; nil if it has none
+	Presences        map[string]leadership.Presence // controllers' keys as the store has them now
+	Assessments      map[string]Assessment          // of the peers that are heard
+	Own              Assessment
+	HighestToken     uint64 // highest that any worker was heard with
+	ChangeUnanswered bool   // a change of the record had no answer
+	StoreID          string // drawn name of the generation's store
 }
 
 // Generation makes the next one. Terms go above every token that any worker may have
@@ -33,44 +33,44 @@
 // deployment is heard, is the process that the latest record names, and knows no later
 // one: then nobody can have acted under a record that is not known here. If no memory goes back
 // before the loss, as when all of them ended with it, it was acted under one that nobody knows.
-func (e *Evidence) Generation() Next {
+func (e *Evidence) NextEpoch() NextEpoch {
 	base := (&leadership.Record{}).Clone()
 	if e.Record != nil {
 		base = e.Record.Clone()
 	}
-	top, generation := max(base.Term, e.Token), base.Epoch
-	whole := e.Own.Whole
+	top, generation := max(base.Term, e.HighestToken), base.Epoch
+	whole := e.Own.MemoryComplete
 	if e.Stored != nil {
 		top, generation = max(top, e.Stored.Term), max(generation, e.Stored.Epoch)
 	}
-	for _, w := range e.Words {
-		top, generation = max(top, w.Term), max(generation, w.Generation)
-		whole = whole || (w.Whole && w.Doubt && w.Generation == base.Epoch)
+	for _, w := range e.Assessments {
+		top, generation = max(top, w.Term), max(generation, w.Epoch)
+		whole = whole || (w.MemoryComplete && w.SuspectsLoss && w.Epoch == base.Epoch)
 	}
-	kept := whole && e.Record != nil && !e.Unsure && (e.Stored == nil || e.Stored.Term <= base.Term)
-	for _, name := range e.Nodes {
+	kept := whole && e.Record != nil && !e.ChangeUnanswered && (e.Stored == nil || e.Stored.Term <= base.Term)
+	for _, name := range e.Controllers {
 		inc := e.Own.Incarnation
 		if name != e.Self {
-			w, heard := e.Words[name]
-			kept = kept && heard && w.Generation == base.Epoch && w.Term == base.Term
+			w, heard := e.Assessments[name]
+			kept = kept && heard && w.Epoch == base.Epoch && w.Term == base.Term
 			inc = w.Incarnation
 		}
-		kept = kept && base.Nodes[name] == inc && e.Live[name].Incarnation == inc
+		kept = kept && base.Nodes[name] == inc && e.Presences[name].Incarnation == inc
 	}
-	r := (&leadership.Record{Term: top + 1, FirstTerm: top + 1, Epoch: generation + 1, StoreID: e.Store, RosterIncomplete: true}).Clone()
+	r := (&leadership.Record{Term: top + 1, FirstTerm: top + 1, Epoch: generation + 1, StoreID: e.StoreID, RosterIncomplete: true}).Clone()
 	r.DataLost = base.DataLost || !whole
 	if e.Stored != nil {
 		r.DataLost = r.DataLost || e.Stored.DataLost
 	}
-	for name, p := range e.Live {
+	for name, p := range e.Presences {
 		r.Nodes[name] = p.Incarnation
 		if slices.Contains(base.Unreachable, name) {
 			r.Unreachable = append(r.Unreachable, name)
 		}
 	}
 	slices.Sort(r.Unreachable)
-	wish := leadership.AssignOwners(e.Items, r.Members())
-	for _, name := range e.Items {
+	wish := leadership.AssignOwners(e.Shards, r.Members())
+	for _, name := range e.Shards {
 		old := base.Shards[name]
 		it := leadership.Shard{Owner: old.Owner, SinceTerm: r.Term, NeedsBarrier: !kept || old.NeedsBarrier}
 		if _, there := r.Nodes[it.Owner]; !there {
@@ -78,13 +78,13 @@
 		}
 		r.Shards[name] = it
 	}
-	return Next{Record: r, Kept: kept}
+	return NextEpoch{Record: r, WithoutBarrier: kept}
 }
 
 // GiveUp is the control record with which the search for what nobody remembers ends, once
 // a copy was waited for as long as the operators said; nil if it goes on. 0 is no bound:
 // then only their word ends it.
-func GiveUp(r *leadership.Record, waited, most time.Duration) *leadership.Record {
+func GiveUpSearch(r *leadership.Record, waited, most time.Duration) *leadership.Record {
 	if !r.DataLost || most <= 0 || waited < most {
 		return nil
 	}
--- /dev/null
+++ b/internal/datarecovery/epoch_test.go
@@ -0,0 +1,30 @@
+package datarecovery
+
+import (
+	"testing"
+
+	"topazhollow/internal/leadership"
+)
+
+// TestAccountsAreKeptOnlyByWholeMemory: all controllers ended with the loss and began anew in an
+// empty store, under a record of their own, before a worker showed that there had been
+// another one. All are heard and agree; but what runs on the machines is in nobody's
+// account, and without a barrier it was started a second time.
+func TestAccountsAreKeptOnlyByWholeMemory(t *testing.T) {
+	r := (&leadership.Record{Term: 5000, FirstTerm: 5000, Epoch: 1, StoreID: "s"}).Clone()
+	e := &Evidence{Self: "a", Controllers: []string{"a", "b"}, Shards: []string{"team/x"}, Record: r, Stored: r, Presences: map[string]leadership.Presence{}, Assessments: map[string]Assessment{}, HighestToken: 70000, StoreID: "t"}
+	for i, n := range e.Controllers {
+		r.Nodes[n] = uint64(i + 1)
+		e.Presences[n] = leadership.Presence{Incarnation: uint64(i + 1), Version: 1}
+	}
+	r.Shards["team/x"] = leadership.Shard{Owner: "a", SinceTerm: 5000}
+	e.Own = Assessment{Epoch: 1, Term: 5000, Incarnation: 1, SuspectsLoss: true, ConfirmedLoss: true, MemoryComplete: true}
+	e.Assessments["b"] = Assessment{Epoch: 1, Term: 5000, Incarnation: 2, SuspectsLoss: true, ConfirmedLoss: true}
+	if next := e.NextEpoch(); !next.WithoutBarrier || next.Record.Shards["team/x"].NeedsBarrier || next.Record.DataLost || next.Record.Term <= e.HighestToken {
+		t.Errorf("one remembers all: %+v", next.Record)
+	}
+	e.Own.MemoryComplete = false
+	if next := e.NextEpoch(); next.WithoutBarrier || !next.Record.Shards["team/x"].NeedsBarrier || !next.Record.DataLost {
+		t.Errorf("nobody remembers: %+v", next.Record)
+	}
+}
--- a/internal/datarecovery/model_test.go
+++ b/internal/datarecovery/model_test.go
@@ -86,7 +86,7 @@
 	live    map[string]leadership.Presence
 	jobs    map[string]uint64 // active, with versions; 0: not in the store
 	ends    *Ends
-	gather  *Gather
+	gather  *Exchange
 	whole   bool
 	proof   bool             // of a loss, from what others know
 	held    map[string]int   // the owner's account: job -> machine
@@ -136,13 +136,13 @@
 
 func (n *node) known() bool {
 	p, _, _ := n.w.Phase()
-	return n.up && n.listed && p == Known
+	return n.up && n.listed && p == Trusted
 }
 
 // seenBack checks an answer's revision.
 func (w *world) seenBack(n *node) bool {
 	if w.g.revision && w.s.revision < n.seen {
-		n.w.Sign("revision", w.now)
+		n.w.Suspect("revision", w.now)
 		return true
 	}
 	n.seen = max(n.seen, w.s.revision)
@@ -156,14 +156,14 @@
 		all[k] = v
 	}
 	if w.g.fence && n.rec != nil {
-		all[StoreKey+n.rec.StoreID] = n.marker
+		all[EpochKey+n.rec.StoreID] = n.marker
 	}
 	failed := w.s.txn(all, sets)
 	if w.seenBack(n) {
 		return false
 	}
-	if n.rec != nil && slices.Contains(failed, StoreKey+n.rec.StoreID) {
-		n.w.Sign("fence", w.now)
+	if n.rec != nil && slices.Contains(failed, EpochKey+n.rec.StoreID) {
+		n.w.Suspect("fence", w.now)
 	}
 	return failed == nil
 }
@@ -175,9 +175,9 @@
 	return n.rec.Epoch
 }
 
-func (n *node) word() Word {
+func (n *node) word() Assessment {
 	p, _, _ := n.w.Phase()
-	x := Word{Generation: n.generation(), Seen: n.seen, Incarnation: n.inc, Whole: n.whole, Doubt: p == Doubted || p == Lost, Lost: p == Lost}
+	x := Assessment{Epoch: n.generation(), Revision: n.seen, Incarnation: n.inc, MemoryComplete: n.whole, SuspectsLoss: p == Suspected || p == Lost, ConfirmedLoss: p == Lost}
 	if n.rec != nil {
 		x.Term = n.rec.Term
 	}
@@ -222,7 +222,7 @@
 func (w *world) adopt(n *node, r *leadership.Record, version uint64) {
 	next := n.rec == nil || n.rec.Epoch != r.Epoch
 	n.rec, n.version = r, version
-	n.marker = w.s.keys[StoreKey+r.StoreID].version
+	n.marker = w.s.keys[EpochKey+r.StoreID].version
 	if next {
 		n.w.Entered(r.Epoch, w.now)
 		if r.Epoch > 1 && w.g.gather {
@@ -232,7 +232,7 @@
 					members = append(members, m)
 				}
 			}
-			n.gather = NewGather(r.Epoch, members)
+			n.gather = NewExchange(r.Epoch, members)
 		}
 	}
 	it := r.Shards[theTeam]
@@ -252,7 +252,7 @@
 // list reads all that is followed, and enters a generation if it is a later one.
 func (w *world) list(n *node) {
 	r, version := w.stored()
-	if r != nil && r.Epoch > n.generation() && w.s.keys[StoreKey+r.StoreID].version == 0 {
+	if r != nil && r.Epoch > n.generation() && w.s.keys[EpochKey+r.StoreID].version == 0 {
 		return
 	}
 	if n.rec == nil || r != nil && r.Epoch > n.generation() {
@@ -269,7 +269,7 @@
 		for _, k := range sorted(w.s.keys) {
 			c := w.s.keys[k]
 			if uid, ok := strings.CutPrefix(k, "f/"); ok {
-				n.ends.Learn(End{UID: uid, Withdrawn: c.value == "withdrawn", Tasks: 1})
+				n.ends.Learn(End{UID: uid, Cancelled: c.value == "withdrawn", Tasks: 1})
 				delete(n.jobs, uid)
 			}
 		}
@@ -282,10 +282,10 @@
 		n.whole = r == nil || !r.DataLost
 		return
 	}
-	for _, x := range n.w.Words(w.now) {
-		if p, _, _ := n.w.Phase(); x.Generation > n.generation() && p != Lost {
+	for _, x := range n.w.Assessments(w.now) {
+		if p, _, _ := n.w.Phase(); x.Epoch > n.generation() && p != Lost {
 			n.proof, n.whole = true, false
-			n.w.Sign("a controller knows a later generation", w.now)
+			n.w.Suspect("a controller knows a later generation", w.now)
 		}
 	}
 	n.live = w.alive()
@@ -304,14 +304,14 @@
 }
 
 func (w *world) final(n *node, uid string) string {
-	if x, _ := n.ends.Get(uid); x.Withdrawn {
+	if x, _ := n.ends.Get(uid); x.Cancelled {
 		return "withdrawn"
 	}
 	return "done"
 }
 
 func (w *world) end(n *node, uid string, withdrawn bool) {
-	n.ends.Learn(End{UID: uid, Withdrawn: withdrawn, Tasks: 1})
+	n.ends.Learn(End{UID: uid, Cancelled: withdrawn, Tasks: 1})
 	delete(n.jobs, uid)
 }
 
@@ -324,10 +324,10 @@
 		return
 	}
 	if r, version := w.stored(); r != nil && r.Epoch > n.generation() && n.rec != nil {
-		n.w.Newer(r.Epoch)
+		n.w.NewerEpochSeen(r.Epoch)
 		return
 	} else if r != nil && n.rec != nil && (r.Epoch < n.rec.Epoch || r.Term < n.rec.Term) {
-		n.w.Sign("the record is older than the one known", w.now)
+		n.w.Suspect("the record is older than the one known", w.now)
 		return
 	} else if r != nil && version > n.version {
 		w.adopt(n, r, version)
@@ -348,22 +348,22 @@
 }
 
 // look is the check of a doubt.
-func (w *world) look(n *node) Result {
-	if n.proof || w.s.revision < max(n.seen, n.w.Seen()) && w.g.revision {
-		return Bad
+func (w *world) look(n *node) Comparison {
+	if n.proof || w.s.revision < max(n.seen, n.w.PeersRevision()) && w.g.revision {
+		return Missing
 	}
 	r, _ := w.stored()
-	if n.rec != nil && (r == nil || r.Term < n.rec.Term || w.s.keys[StoreKey+n.rec.StoreID].version != n.marker) {
-		return Bad
+	if n.rec != nil && (r == nil || r.Term < n.rec.Term || w.s.keys[EpochKey+n.rec.StoreID].version != n.marker) {
+		return Missing
 	}
 	for _, uid := range sorted(n.jobs) {
 		version := n.jobs[uid]
 		_, ended := w.s.keys["f/"+uid]
 		if version > 0 && !ended && w.s.keys["w/a/"+uid].version != version {
-			return Bad
+			return Missing
 		}
 	}
-	return Good
+	return Intact
 }
 
 func (w *world) act(n *node) {
@@ -389,8 +389,8 @@
 		p, ok := w.alive()[name]
 		return ok && (name != n.name || p.Incarnation == n.inc)
 	}) {
-	case Check:
-		n.w.Checked(w.look(n), w.now)
+	case Compare:
+		n.w.Compared(w.look(n), w.now)
 	case Relist:
 		n.seen = 0
 		w.list(n)
@@ -400,17 +400,17 @@
 	if p, _, _ := n.w.Phase(); p == Lost {
 		w.list(n)
 	}
-	for _, x := range n.w.Words(w.now) { // a read that begins now must have a term that a peer knows
-		if r, _ := w.stored(); n.rec != nil && x.Generation == n.generation() && x.Term > n.rec.Term && (r == nil || r.Term < x.Term) {
+	for _, x := range n.w.Assessments(w.now) { // a read that begins now must have a term that a peer knows
+		if r, _ := w.stored(); n.rec != nil && x.Epoch == n.generation() && x.Term > n.rec.Term && (r == nil || r.Term < x.Term) {
 			n.proof, n.whole = true, false
-			n.w.Sign("a controller knows a later term", w.now)
+			n.w.Suspect("a controller knows a later term", w.now)
 		}
 	}
 	if !n.known() {
 		return
 	}
-	if w.g.look && w.rng.IntN(20) == 0 && w.look(n) == Bad {
-		n.w.Sign("look", w.now)
+	if w.g.look && w.rng.IntN(20) == 0 && w.look(n) == Missing {
+		n.w.Suspect("look", w.now)
 		return
 	}
 	if w.rng.IntN(2) == 0 {
@@ -427,11 +427,11 @@
 			}
 			lacking, _ := o.ends.Lacking(n.ends.Digest())
 			for _, x := range lacking {
-				w.end(n, x.UID, x.Withdrawn)
+				w.end(n, x.UID, x.Cancelled)
 			}
 			n.gather.Answered(o.name)
 			if o.gather != nil {
-				o.gather.Told(n.name)
+				o.gather.MemoriesReceived(n.name)
 			}
 			if w.rng.IntN(2) == 0 { // asked for
 				for _, uid := range sorted(o.jobs) {
@@ -440,11 +440,11 @@
 						w.learn(n, uid, 0)
 					}
 				}
-				n.gather.Told(o.name)
+				n.gather.MemoriesReceived(o.name)
 			}
 		}
-		n.gather.Gone(func(m string) bool { return n.rec.Nodes[m] != 0 })
-		if len(n.gather.Left()) == 0 {
+		n.gather.DropFormerMembers(func(m string) bool { return n.rec.Nodes[m] != 0 })
+		if len(n.gather.Awaited()) == 0 {
 			n.gather = nil
 		}
 	}
@@ -453,9 +453,9 @@
 
 func (w *world) propose(n *node) {
 	r, version := w.stored()
-	e := Evidence{Self: n.name, Nodes: []string{"n0", "n1"}, Items: []string{theTeam}, Record: n.rec, Stored: r, Live: w.alive(),
-		Words: n.w.Words(w.now), Own: n.word(), Store: fmt.Sprint("s", w.rng.Uint64())}
-	next := e.Generation()
+	e := Evidence{Self: n.name, Controllers: []string{"n0", "n1"}, Shards: []string{theTeam}, Record: n.rec, Stored: r, Presences: w.alive(),
+		Assessments: n.w.Assessments(w.now), Own: n.word(), StoreID: fmt.Sprint("s", w.rng.Uint64())}
+	next := e.NextEpoch()
 	if !w.g.above {
 		next.Record.Term, next.Record.FirstTerm = 1, 1
 		it := next.Record.Shards[theTeam]
@@ -467,11 +467,11 @@
 		it.NeedsBarrier = false
 		next.Record.Shards[theTeam] = it
 	}
-	sets := map[string]string{"w/c": encode(next.Record), StoreKey + next.Record.StoreID: "{}"}
+	sets := map[string]string{"w/c": encode(next.Record), EpochKey + next.Record.StoreID: "{}"}
 	gs := map[string]uint64{"w/c": version}
 	for _, k := range sorted(w.s.keys) {
 		c := w.s.keys[k]
-		if strings.HasPrefix(k, StoreKey) {
+		if strings.HasPrefix(k, EpochKey) {
 			gs[k], sets[k] = c.version, ""
 		}
 	}
@@ -504,7 +504,7 @@
 	}
 	if first {
 		next.Epoch, next.FirstTerm, next.StoreID = 1, next.Term, fmt.Sprint("s", w.rng.Uint64())
-		sets[StoreKey+next.StoreID] = "{}"
+		sets[EpochKey+next.StoreID] = "{}"
 	}
 	sets["w/c"] = encode(next)
 	if w.commit(n, gs, sets) {
@@ -627,7 +627,7 @@
 			return
 		}
 		if x, ended := n.ends.Get(uid); ended {
-			w.say(uid, map[bool]string{true: "withdrawn", false: "done"}[x.Withdrawn])
+			w.say(uid, map[bool]string{true: "withdrawn", false: "done"}[x.Cancelled])
 			return
 		}
 		if n.jobs[uid] > 0 { // by a read of what is followed, as far as that tells
@@ -765,7 +765,7 @@
 		c, ended := w.s.keys["f/"+uid]
 		for _, n := range w.nodes {
 			if x, ok := n.ends.Get(uid); ok {
-				ended, c.value = true, map[bool]string{true: "withdrawn", false: "done"}[x.Withdrawn]
+				ended, c.value = true, map[bool]string{true: "withdrawn", false: "done"}[x.Cancelled]
 			}
 		}
 		if (said != "active" && !ended) || (!active && !ended) || (said != "active" && c.value != said) {
--- a/internal/faultinjection/measure.go
+++ b/internal/faultinjection/measure.go
@@ -100,7 +100,7 @@
 		before = v
 		whole := len(v) == 3
 		for _, x := range v {
-			whole = whole && x.Store.Whole
+			whole = whole && x.Store.MemoryComplete
 		}
 		return whole && g.check.On() >= o.Jobs*tasks*9/10
 	}); err != nil {
@@ -157,9 +157,9 @@
 	err = g.steady(ctx, func(v []storeView) bool {
 		noticed, entered, written := false, len(v) > 0, len(v) == 3
 		for _, x := range v {
-			noticed = noticed || x.Store.Phase == "doubted" || x.Store.Phase == "lost" || x.Store.Generation > 1
-			entered = entered && x.Store.Generation > 1 && x.Store.Phase == "known"
-			written = written && x.Store.Generation > 1 && x.Store.Unwritten == 0 && !x.Store.Census
+			noticed = noticed || x.Store.Phase == "doubted" || x.Store.Phase == "lost" || x.Store.Epoch > 1
+			entered = entered && x.Store.Epoch > 1 && x.Store.Phase == "known"
+			written = written && x.Store.Epoch > 1 && x.Store.Unwritten == 0 && !x.Store.RosterIncomplete
 		}
 		first(&m.Noticed, func() bool { return noticed })
 		first(&m.Entered, func() bool { return entered })
--- a/internal/snapshot/follow.go
+++ b/internal/snapshot/follow.go
@@ -258,7 +258,7 @@
 	return nil
 }
 
-// Prefixes of the controllers' keys, as docs/rebuild.md tells.
+// Prefixes of the controllers' keys, as docs/data-recovery.md tells.
 const (
 	JobKey   = "w/a/"
 	FinalKey = "f/"
@@ -287,4 +287,4 @@
 }
 
 // marker is the generation's own key, which every change of a restore rests on.
-func marker(r *leadership.Record) string { return datarecovery.StoreKey + r.StoreID }
+func marker(r *leadership.Record) string { return datarecovery.EpochKey + r.StoreID }
--- a/internal/snapshot/restore.go
+++ b/internal/snapshot/restore.go
@@ -72,7 +72,7 @@
 			if err := json.Unmarshal(e.Value, &final); err != nil {
 				return nil, bad(err)
 			}
-			c.ends.Learn(datarecovery.End{UID: uid, Withdrawn: final.State == protocol.Cancelled, Tasks: final.Tasks, Team: final.Team})
+			c.ends.Learn(datarecovery.End{UID: uid, Cancelled: final.State == protocol.Cancelled, Tasks: final.Tasks, Team: final.Team})
 		} else if strings.HasPrefix(name, datarecovery.EndsKey) {
 			ends, err := datarecovery.ReadPage(e.Value)
 			if err != nil {
@@ -251,7 +251,7 @@
 	}
 	var done []string
 	for i, page := range donePages(p.done, int(r.set.ValueKB*1024)-64) {
-		key := fmt.Sprintf("%s%d-%d", datarecovery.DoneKey, p.Copy, i)
+		key := fmt.Sprintf("%s%d-%d", datarecovery.FinishedKey, p.Copy, i)
 		if err := put(kvstore.Update{Ops: []protocol.Op{{Set: key, Value: protocol.Encode(page)}}}); err != nil {
 			return err
 		}
--- a/internal/teamstore/teamstore.go
+++ b/internal/teamstore/teamstore.go
@@ -51,7 +51,7 @@
 	if e == nil || json.Unmarshal(e.Value, &record) != nil || record.StoreID == "" {
 		return ErrNoRecord
 	}
-	marker, err := w.client.Get(ctx, datarecovery.StoreKey+record.StoreID)
+	marker, err := w.client.Get(ctx, datarecovery.EpochKey+record.StoreID)
 	if err != nil {
 		return err
 	}
--- a/internal/userapi/userapi.go
+++ b/internal/userapi/userapi.go
@@ -68,7 +68,7 @@
 // FinalOf is an end as the state service holds it.
 func FinalOf(x datarecovery.End) Final {
 	f := Final{State: protocol.Done, Tasks: x.Tasks, Team: x.Team}
-	if x.Withdrawn {
+	if x.Cancelled {
 		f.State = protocol.Cancelled
 	}
 	return f
@@ -166,7 +166,7 @@
 func (f *Frontend) Learn(uid string, final Final) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.ends.Learn(datarecovery.End{UID: uid, Withdrawn: final.State == protocol.Cancelled, Tasks: final.Tasks, Team: final.Team})
+	f.ends.Learn(datarecovery.End{UID: uid, Cancelled: final.State == protocol.Cancelled, Tasks: final.Tasks, Team: final.Team})
 }
 
 // Final is the end of a job, if it is remembered.
