--- a/internal/controller/gangpreemption.go
+++ b/internal/controller/gangpreemption.go
@@ -64,7 +64,7 @@
 	look := p.gangLook(w, ownOnly)
 	cpus, gpus := w.it.team.QuotaLeft()
 	each := gangpreemption.Amount{CPUs: w.spec.CPUs, GPUs: w.spec.GPUs, Memory: w.spec.Memory}
-	stops, ok := gangpreemption.Make(gangpreemption.Gang{Tasks: len(missing), Each: each, OneZone: w.spec.OneZone,
+	stops, ok := gangpreemption.Plan(gangpreemption.Gang{Tasks: len(missing), Each: each, OneZone: w.spec.OneZone,
 		Quota: gangpreemption.Amount{CPUs: cpus, GPUs: gpus}}, look.machines)
 	if !ok {
 		return
--- a/internal/controller/hosts.go
+++ b/internal/controller/hosts.go
@@ -69,7 +69,7 @@
 		}
 		if !drain[v.Machine] && n.roster.Has(v.Machine) {
 			*scratch = append(*scratch, m.host)
-			(*scratch)[len(*scratch)-1].Held = plan.For(v.Machine)
+			(*scratch)[len(*scratch)-1].ReservedClass = plan.For(v.Machine)
 		}
 	}
 	hosts := make([]*placement.Host, len(*scratch))
--- a/internal/controller/placing.go
+++ b/internal/controller/placing.go
@@ -80,7 +80,7 @@
 		least[s.Class] = placement.Room{CPUs: min(room.CPUs, s.CPUs), Memory: min(room.Memory, s.Memory)}
 	}
 	for _, h := range hosts {
-		h.HeldFor = least[h.Held]
+		h.SmallestReserved = least[h.ReservedClass]
 	}
 }
 
@@ -118,8 +118,8 @@
 // placeTasks places what it can of waiting tasks and takes that off their count.
 func (p *placing) placeTasks(w *waitingTasks) {
 	ask := p.n.ask(w.spec)
-	ask.Hurry = p.n.urgent(w, p.now)
-	ask.Waited = p.now.Sub(w.submitted) > leftoverAfter
+	ask.MinimizeTime = p.n.urgent(w, p.now)
+	ask.MayUseLeftover = p.now.Sub(w.submitted) > leftoverAfter
 	switch {
 	case w.own == nil:
 		p.leaveRoom(w, ask)
--- a/internal/gangpreemption/gangpreemption.go
+++ b/internal/gangpreemption/gangpreemption.go
@@ -1,5 +1,5 @@
-// Package gangpreemption decides which tasks to stop so that all tasks of a gang have room at the same time. It does no I/O and
-// reads no clock.
+// Package gangpreemption decides which tasks to stop so that all tasks of a gang have room at the same time. It keeps no
+// state, does no I/O and reads no clock.
 package gangpreemption
 
 import (
@@ -21,7 +21,7 @@
 // slack absorbs rounding in sums of amounts.
 const slack = 1e-6
 
-func (a Amount) holds(b Amount) bool {
+func (a Amount) covers(b Amount) bool {
 	return a.CPUs+slack >= b.CPUs && a.GPUs+slack >= b.GPUs && a.Memory+slack >= b.Memory
 }
 
@@ -55,12 +55,12 @@
 	Victims []Victim
 }
 
-// Make gives the stops with the least loss, one for each machine that the gang would use and for each where tasks are stopped
-// for the quota alone. ok is false if there is no room for the whole gang whatever is stopped.
-func Make(g Gang, machines []Machine) (stops []Stop, ok bool) {
+// Plan gives the stops with the least loss, one for each machine that the gang would use and for each where tasks are
+// stopped for the quota alone. ok is false if there is no room for the whole gang whatever is stopped.
+func Plan(g Gang, machines []Machine) (stops []Stop, ok bool) {
 	lowest := 0.0
 	for _, zone := range zones(g, machines) {
-		list, loss, enough := makeIn(g, machines, zone)
+		list, loss, enough := planIn(g, machines, zone)
 		if enough && (!ok || loss < lowest) {
 			stops, lowest, ok = list, loss, true
 		}
@@ -84,44 +84,68 @@
 	return list
 }
 
-// makeIn makes room for a gang on the machines of one zone.
-func makeIn(g Gang, machines []Machine, zone int) (stops []Stop, loss float64, ok bool) {
-	stops = make([]Stop, len(machines))
-	left := make([]Amount, len(machines))
+// planning is the search for a gang's stops on the machines of one zone.
+type planning struct {
+	gang     Gang
+	machines []Machine
+	zone     int
+	stops    []Stop   // by machine
+	free     []Amount // by machine, what the chosen stops and slots leave
+}
+
+// planIn makes room for a gang on the machines of one zone.
+func planIn(g Gang, machines []Machine, zone int) (stops []Stop, loss float64, ok bool) {
+	p := &planning{
+		gang:     g,
+		machines: machines,
+		zone:     zone,
+		stops:    make([]Stop, len(machines)),
+		free:     make([]Amount, len(machines)),
+	}
 	for i := range machines {
-		stops[i].Machine, left[i] = i, machines[i].Free
+		p.stops[i].Machine, p.free[i] = i, machines[i].Free
 	}
 	for range g.Tasks {
-		best, count, low := -1, 0, 0.0
-		for i := range machines {
-			if zone != anyZone && machines[i].Zone != zone {
-				continue
-			}
-			n, lost, fits := nextSlot(g.Each, left[i], machines[i].Victims[len(stops[i].Victims):])
-			if fits && (best < 0 || lost < low) {
-				best, count, low = i, n, lost
-			}
-		}
-		if best < 0 {
+		lost, found := p.addSlot()
+		if !found {
 			return nil, 0, false
 		}
-		from := len(stops[best].Victims)
-		for _, v := range machines[best].Victims[from : from+count] {
-			left[best] = left[best].plus(v.Size)
-		}
-		stops[best].Victims = machines[best].Victims[:from+count]
-		stops[best].Slots++
-		left[best] = left[best].minus(g.Each)
-		loss += low
+		loss += lost
 	}
-	more, ok := freeQuota(g, machines, stops)
-	stops = slices.DeleteFunc(stops, func(s Stop) bool { return s.Slots == 0 && len(s.Victims) == 0 })
+	more, ok := freeQuota(g, machines, p.stops)
+	stops = slices.DeleteFunc(p.stops, func(s Stop) bool { return s.Slots == 0 && len(s.Victims) == 0 })
 	return stops, loss + more, ok
 }
 
+// addSlot makes room for one more task where that loses least.
+func (p *planning) addSlot() (loss float64, ok bool) {
+	best, count := -1, 0
+	for i := range p.machines {
+		if p.zone != anyZone && p.machines[i].Zone != p.zone {
+			continue
+		}
+		n, lost, fits := nextSlot(p.gang.Each, p.free[i], p.machines[i].Victims[len(p.stops[i].Victims):])
+		if fits && (best < 0 || lost < loss) {
+			best, count, loss = i, n, lost
+		}
+	}
+	if best < 0 {
+		return 0, false
+	}
+	stop := &p.stops[best]
+	from := len(stop.Victims)
+	for _, v := range p.machines[best].Victims[from : from+count] {
+		p.free[best] = p.free[best].plus(v.Size)
+	}
+	stop.Victims = p.machines[best].Victims[:from+count]
+	stop.Slots++
+	p.free[best] = p.free[best].minus(p.gang.Each)
+	return loss, true
+}
+
 // nextSlot is how many of the victims, in their order, have to be stopped so that one more task fits.
 func nextSlot(each, free Amount, victims []Victim) (count int, loss float64, ok bool) {
-	for ; !free.holds(each); count++ {
+	for ; !free.covers(each); count++ {
 		if count == len(victims) {
 			return 0, 0, false
 		}
@@ -152,12 +176,12 @@
 	}
 	slices.SortStableFunc(others, func(a, b candidate) int { return cmp.Compare(a.Loss, b.Loss) })
 	for _, c := range others {
-		if quota.holds(need) {
+		if quota.covers(need) {
 			break
 		}
 		quota.CPUs, quota.GPUs = quota.CPUs+c.Size.CPUs, quota.GPUs+c.Size.GPUs
 		stops[c.machine].Victims = append(slices.Clip(stops[c.machine].Victims), c.Victim)
 		loss += c.Loss
 	}
-	return loss, quota.holds(need)
+	return loss, quota.covers(need)
 }
--- a/internal/gangpreemption/gangpreemption_test.go
+++ b/internal/gangpreemption/gangpreemption_test.go
@@ -22,7 +22,7 @@
 				machines[i].Victims = append(machines[i].Victims, Victim{ID: id, Size: Amount{CPUs: 1, Memory: 1}, Loss: float64(rng.IntN(50)), Own: rng.IntN(3) > 0})
 			}
 		}
-		stops, ok := Make(g, machines)
+		stops, ok := Plan(g, machines)
 		all := make([]Stop, len(machines))
 		for i := range machines {
 			all[i] = Stop{Machine: i, Victims: machines[i].Victims}
@@ -94,7 +94,7 @@
 		{Zone: 1, Victims: []Victim{{ID: 2, Size: size, Loss: 20, Own: true}}},
 		{Zone: 1, Free: size},
 	}
-	stops, ok := Make(Gang{Tasks: 2, Each: size, OneZone: true, Quota: Amount{CPUs: 4}}, machines)
+	stops, ok := Plan(Gang{Tasks: 2, Each: size, OneZone: true, Quota: Amount{CPUs: 4}}, machines)
 	if !ok || len(stops) != 2 || len(stops[0].Victims) != 1 || stops[0].Victims[0].ID != 2 || stops[1].Slots != 1 {
 		t.Fatalf("%+v, %v", stops, ok)
 	}
--- a/internal/placement/placement.go
+++ b/internal/placement/placement.go
@@ -1,4 +1,5 @@
-// Package placement picks machines by best fit among a sample.
+// Package placement packs tasks into machines: it picks the best fit among a random sample of those with room. It keeps
+// no state; the caller's hosts are changed by Take and Release alone.
 package placement
 
 import (
@@ -8,64 +9,60 @@
 
 // Host is a machine that may take tasks.
 type Host struct {
-	Name    string
-	Type    int
-	Zone    int
-	Spot    bool
-	Session uint64
-	CPUs    float64 // free
-	GPUs    float64
-	Memory  float64
-	Price   float64
-	Fetch   float64 // GB per second
-	Images  map[string]bool
-	Pulls   int    // images that it fetches now
-	Held    string // the only class of jobs that may start there now; "" for any
-	HeldFor Room   // the least that a task of that class which waits needs; zero if none is known to wait
+	Name             string
+	Type             int // index of its machine type
+	Zone             int // index of its zone
+	Spot             bool
+	Session          uint64  // incarnation of its agent
+	CPUs             float64 // free
+	GPUs             float64 // free
+	Memory           float64 // free, in GB
+	Price            float64 // per unit of time
+	Fetch            float64 // GB per second
+	Images           map[string]bool
+	Pulls            int    // images that it fetches now
+	ReservedClass    string // the only class of jobs that may start there now; "" for any
+	SmallestReserved Room   // the least that a waiting task of that class needs; zero if none is known to wait
 }
 
-// Room is an amount of a machine.
+// Room is an amount of a machine: CPUs, and memory in GB.
 type Room struct{ CPUs, Memory float64 }
 
 // Ask is what a task needs.
 type Ask struct {
 	CPUs, GPUs, Memory float64
-	Types              []int // nil: any
-	Zone               int   // -1: any
+	Types              []int // indices of the allowed machine types; nil: any
+	Zone               int   // index of the zone; -1: any
 	Spot               bool  // may use spot machines
 	Image              string
 	ImageGB            float64
 	Run                float64 // seconds that the task probably takes
-	Hurry              bool    // time counts, not money
+	MinimizeTime       bool    // time counts, not money
 	Class              string  // of the job
-	Waited             bool    // for so long that it may have what a machine's free room is too small for, though it is held for others
+	MayUseLeftover     bool    // may use room of reserved machines that is too little for what it is reserved for
 }
 
+// slack absorbs rounding in sums of amounts.
 const slack = 1e-6
 
 // Allows says whether a host's type, zone and kind are allowed.
 func (a *Ask) Allows(h *Host) bool {
-	if (h.Spot && !a.Spot) || (a.Zone >= 0 && h.Zone != a.Zone) || !a.allowsHeld(h) {
+	if (h.Spot && !a.Spot) || (a.Zone >= 0 && h.Zone != a.Zone) || !a.allowsReserved(h) {
 		return false
 	}
 	if a.Types == nil {
 		return true
 	}
-	for _, t := range a.Types {
-		if t == h.Type {
-			return true
-		}
-	}
-	return false
+	return slices.Contains(a.Types, h.Type)
 }
 
 // allowsHeld says whether the task may go to a host although that may be held for a class: it is of that class, or it has waited
 // for long and what is free there is too little for any task that the host is held for.
-func (a *Ask) allowsHeld(h *Host) bool {
-	if h.Held == "" || h.Held == a.Class {
+func (a *Ask) allowsReserved(h *Host) bool {
+	if h.ReservedClass == "" || h.ReservedClass == a.Class {
 		return true
 	}
-	return a.Waited && (h.CPUs+slack < h.HeldFor.CPUs || h.Memory+slack < h.HeldFor.Memory)
+	return a.MayUseLeftover && (h.CPUs+slack < h.SmallestReserved.CPUs || h.Memory+slack < h.SmallestReserved.Memory)
 }
 
 // Fits says whether a host has the room.
@@ -75,26 +72,27 @@
 
 // Exceeds says that whatever takes this task would take the other as well.
 func (a *Ask) Exceeds(o *Ask) bool {
-	return a.Class == o.Class && (a.Waited || !o.Waited) && a.CPUs >= o.CPUs && a.GPUs >= o.GPUs && a.Memory >= o.Memory && (o.Spot || !a.Spot) &&
+	return a.Class == o.Class && (a.MayUseLeftover || !o.MayUseLeftover) &&
+		a.CPUs >= o.CPUs && a.GPUs >= o.GPUs && a.Memory >= o.Memory && (o.Spot || !a.Spot) &&
 		(o.Zone < 0 || o.Zone == a.Zone) && (o.Types == nil || slices.Equal(o.Types, a.Types))
 }
 
 // cost is what the machine costs while it fetches the image and runs the task:
 // an image that is there already counts as much as the time that it saves. Images
-// fetched at the same time may share the rate. In a hurry the time alone counts.
+// fetched at the same time may share the rate. With MinimizeTime the time alone counts.
 func (a *Ask) cost(h *Host) float64 {
 	seconds := max(a.Run, 1)
 	if !h.Images[a.Image] && h.Fetch > 0 {
 		seconds += a.ImageGB / h.Fetch * float64(1+h.Pulls)
 	}
-	if a.Hurry {
+	if a.MinimizeTime {
 		return seconds + h.Price*1e-6
 	}
 	return h.Price * seconds
 }
 
-// better says whether x, at its cost, suits a task better than y: it is cheaper,
-// so that dear ones fall idle, or it is left with less.
+// better says whether x, at its cost, suits a task better than y: it is cheaper, so that expensive ones fall idle, or
+// it is left with less room.
 func better(x, y *Host, xCost, yCost float64) bool {
 	if xCost != yCost {
 		return xCost < yCost
@@ -115,16 +113,16 @@
 		return nil
 	}
 	var best *Host
-	low := 0.0
-	at, seen := rng.IntN(len(hosts)), 0
+	lowest := 0.0
+	first, seen := rng.IntN(len(hosts)), 0
 	for i := 0; i < len(hosts) && seen < sample; i++ {
-		h := hosts[(at+i)%len(hosts)]
+		h := hosts[(first+i)%len(hosts)]
 		if !a.Fits(h) || !a.Allows(h) || skip(h) {
 			continue
 		}
 		seen++
-		if cost := a.cost(h); best == nil || better(h, best, cost, low) {
-			best, low = h, cost
+		if cost := a.cost(h); best == nil || better(h, best, cost, lowest) {
+			best, lowest = h, cost
 		}
 	}
 	return best
--- a/internal/placement/placement_test.go
+++ b/internal/placement/placement_test.go
@@ -49,9 +49,9 @@
 	}
 }
 
-// TestHeldHosts: a host that is held for a class takes others only after they have waited, and only what no task of that class
+// TestReservedHosts: a host that is held for a class takes others only after they have waited, and only what no task of that class
 // could use.
-func TestHeldHosts(t *testing.T) {
+func TestReservedHosts(t *testing.T) {
 	for _, c := range []struct {
 		name string
 		host Host
@@ -59,18 +59,18 @@
 		want bool
 	}{
 		{"not held", Host{}, Ask{Class: "b"}, true},
-		{"its class", Host{Held: "a"}, Ask{Class: "a"}, true},
-		{"another class", Host{Held: "a", CPUs: 2, HeldFor: Room{CPUs: 4}}, Ask{Class: "b"}, false},
-		{"one that waited", Host{Held: "a", CPUs: 2, HeldFor: Room{CPUs: 4}}, Ask{Class: "b", Waited: true}, true},
-		{"too little memory for the class", Host{Held: "a", CPUs: 8, Memory: 1, HeldFor: Room{CPUs: 4, Memory: 2}}, Ask{Class: "b", Waited: true}, true},
-		{"room that the class could use", Host{Held: "a", CPUs: 4, Memory: 2, HeldFor: Room{CPUs: 4, Memory: 2}}, Ask{Class: "b", Waited: true}, false},
-		{"nobody knows what the class needs", Host{Held: "a", CPUs: 2}, Ask{Class: "b", Waited: true}, false},
+		{"its class", Host{ReservedClass: "a"}, Ask{Class: "a"}, true},
+		{"another class", Host{ReservedClass: "a", CPUs: 2, SmallestReserved: Room{CPUs: 4}}, Ask{Class: "b"}, false},
+		{"one that waited", Host{ReservedClass: "a", CPUs: 2, SmallestReserved: Room{CPUs: 4}}, Ask{Class: "b", MayUseLeftover: true}, true},
+		{"too little memory for the class", Host{ReservedClass: "a", CPUs: 8, Memory: 1, SmallestReserved: Room{CPUs: 4, Memory: 2}}, Ask{Class: "b", MayUseLeftover: true}, true},
+		{"room that the class could use", Host{ReservedClass: "a", CPUs: 4, Memory: 2, SmallestReserved: Room{CPUs: 4, Memory: 2}}, Ask{Class: "b", MayUseLeftover: true}, false},
+		{"nobody knows what the class needs", Host{ReservedClass: "a", CPUs: 2}, Ask{Class: "b", MayUseLeftover: true}, false},
 	} {
 		if got := c.ask.Allows(&c.host); got != c.want {
 			t.Errorf("%s: allowed %v, want %v", c.name, got, c.want)
 		}
 	}
-	waited, fresh := &Ask{Class: "b", Waited: true}, &Ask{Class: "b"}
+	waited, fresh := &Ask{Class: "b", MayUseLeftover: true}, &Ask{Class: "b"}
 	if fresh.Exceeds(waited) || !waited.Exceeds(fresh) {
 		t.Error("what a task that waited finds is taken for what a fresh one finds")
 	}
