--- a/internal/agents/home.go
+++ b/internal/agents/home.go
@@ -30,7 +30,7 @@
 	known time.Time // every withdrawal confirmed before this was known here then
 }
 
-// Machine is a machine at its home.
+// Agent is a machine at its home.
 type Agent struct {
 	Report protocol.Heartbeat // the newest, from the worker itself or from its answer to a command
 	Heard  time.Time          // when a report last came
@@ -50,7 +50,7 @@
 // Size tells what a task of a job takes.
 type Size func(job string) (cpus, gpus, memory float64)
 
-// Home holds the machines that report here.
+// Registry holds the machines that report here.
 type Registry struct {
 	term     uint64
 	machines map[string]*Agent
--- a/internal/cancelwatermark/cancelwatermark.go
+++ b/internal/cancelwatermark/cancelwatermark.go
@@ -10,7 +10,7 @@
 	"time"
 )
 
-// Horizon is what one controller's process knows of the withdrawals that were confirmed.
+// Watermark is what one controller's process knows of the withdrawals that were confirmed.
 type Watermark struct {
 	reach time.Duration
 	read  time.Time
--- a/internal/jobstate/book.go
+++ b/internal/jobstate/book.go
@@ -12,7 +12,7 @@
 	"topazhollow/internal/protocol"
 )
 
-// Book lays out the finished tasks of a team's jobs on pages, each the value of
+// PageSet lays out the finished tasks of a team's jobs on pages, each the value of
 // one key in the state service, so that many jobs share one change. A page is
 // always written whole: with what is known of every active job that has a part
 // on it.
@@ -42,7 +42,7 @@
 	Done    map[string]*bitset.BitSet // the same by job, to be booked once written
 }
 
-// NewBook is an empty book whose pages may take so many bytes.
+// NewPageSet is an empty book whose pages may take so many bytes.
 func NewPageSet(room int) *PageSet {
 	// Half a page in binary is two thirds of one in base64.
 	return &PageSet{room: room, bits: room / 2 * 8 / 64 * 64, pages: map[int]*page{}, at: map[part]int{}}
--- a/internal/jobstate/demand.go
+++ b/internal/jobstate/demand.go
@@ -49,7 +49,7 @@
 	return max(0, int(math.Floor((room+slack)/each)))
 }
 
-// Keep has the quota leave room to classes that have less than their floors, in CPUs.
+// SetFloors has the quota leave room to classes that have less than their floors, in CPUs.
 func (t *Team) SetFloors(floors map[string]float64) { t.floors = floors }
 
 // lacking is how many CPUs classes have less than their floors. If less than all of that is left of the quota, each
--- a/internal/jobstate/replica.go
+++ b/internal/jobstate/replica.go
@@ -12,7 +12,7 @@
 	"github.com/bits-and-blooms/bitset"
 )
 
-// Key names a task.
+// TaskID names a task.
 type TaskID struct {
 	Job   string `json:"j"`
 	Index int    `json:"i"`
@@ -22,13 +22,13 @@
 	return cmp.Or(strings.Compare(k.Job, o.Job), k.Index-o.Index)
 }
 
-// Ref names an attempt: its number alone is unique only for its task.
+// AttemptRef names an attempt: its number alone is unique only for its task.
 type AttemptRef struct {
 	TaskID
 	Attempt uint64 `json:"a"`
 }
 
-// Hold is an attempt that may be on a machine: from before its start is sent
+// Assignment is an attempt that may be on a machine: from before its start is sent
 // until it is proven off.
 type Assignment struct {
 	TaskID
--- a/internal/jobstate/team.go
+++ b/internal/jobstate/team.go
@@ -308,7 +308,7 @@
 	return max(0, j.Spec.Tasks-done-len(j.holds))
 }
 
-// Doubt books whether a job is held to fail on every machine. Such a job asks for
+// SetFaulty books whether a job is held to fail on every machine. Such a job asks for
 // no more room than one task takes, so that it neither fills the machines nor has
 // more of them rented, and is tried until its user cancels it or it succeeds.
 func (t *Team) SetFaulty(uid string, faulty bool) {
@@ -342,7 +342,7 @@
 	return true
 }
 
-// Spot is a place on a machine that an attempt is made for.
+// Location is a place on a machine that an attempt is made for.
 type Location struct {
 	Machine string
 	Zone    string
--- a/internal/jobstate/view.go
+++ b/internal/jobstate/view.go
@@ -16,7 +16,7 @@
 // worker has not listed yet.
 const Ordered = "ordered"
 
-// TaskView is a task as a machine's home sees it.
+// TaskStatus is a task as a machine's home sees it.
 type TaskStatus struct {
 	TaskID
 	Attempt uint64 `json:"a"`
@@ -25,7 +25,7 @@
 	Saved   bool   `json:"k,omitempty"`
 }
 
-// View is what a machine's home knows of it; later (Session, Seq, Rev) is newer.
+// MachineStatus is what a machine's home knows of it; later (Session, Seq, Rev) is newer.
 type MachineStatus struct {
 	Machine      string       `json:"m"`
 	Addr         string       `json:"addr"`
--- a/internal/leadership/backups.go
+++ b/internal/leadership/backups.go
@@ -9,7 +9,7 @@
 // only if the owner and all of them fail within one lease.
 const BackupsPerItem = 2
 
-// Wished is the owner that the ranking wishes for each item of the record. The caller does not change it, and the
+// PreferredOwners is the owner that the ranking wishes for each item of the record. The caller does not change it, and the
 // record does not change after the first call.
 func (r *Record) PreferredOwners() map[string]string {
 	if r.preferredOwners == nil {
--- a/internal/leadership/leadership.go
+++ b/internal/leadership/leadership.go
@@ -10,11 +10,11 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Fleet is the item that stands for renting and returning machines; every other
+// FleetShard is the item that stands for renting and returning machines; every other
 // item is a team.
 const FleetShard = "fleet"
 
-// Item is one thing that a controller owns.
+// Shard is one thing that a controller owns.
 type Shard struct {
 	Owner        string   `json:"owner"`
 	SinceTerm    uint64   `json:"since"`             // term at which the owner took it
@@ -88,7 +88,7 @@
 	return out
 }
 
-// Placement gives each item a wished-for owner: the rendezvous rank, with no
+// AssignOwners gives each item a wished-for owner: the rendezvous rank, with no
 // node taking more than its even share.
 func AssignOwners(items, nodes []string) map[string]string {
 	items = slices.Sorted(slices.Values(items))
@@ -316,7 +316,7 @@
 	return it
 }
 
-// Hearing is the next record with a member taken out of the machines' homes, or
+// WithReachability is the next record with a member taken out of the machines' homes, or
 // back among them; nil when that changes nothing. Homes move with the term only.
 func WithReachability(r *Record, node string, deaf bool) *Record {
 	if _, member := r.Nodes[node]; !member || slices.Contains(r.Unreachable, node) == deaf {
--- a/internal/protocol/protocol.go
+++ b/internal/protocol/protocol.go
@@ -58,7 +58,7 @@
 // MaxBody is the protocol's bound of a request body.
 const MaxBody = 64 << 10
 
-// MaxRent is the protocol's bound of the machines that one request rents.
+// MaxScaleOut is the protocol's bound of the machines that one request rents.
 const MaxScaleOut = 50
 
 // MaxTasks is the protocol's bound of a job's tasks.
@@ -110,7 +110,7 @@
 	Running int    `json:"running"`
 }
 
-// Brief is the answer to a submission or a withdrawal.
+// JobSummary is the answer to a submission or a withdrawal.
 type JobSummary struct {
 	UID   string `json:"uid"`
 	State string `json:"estado"`
@@ -121,12 +121,12 @@
 	Error string `json:"error"`
 }
 
-// Moved tells a worker where to report.
+// Redirect tells a worker where to report.
 type Redirect struct {
 	Controller string `json:"informar_a,omitempty"`
 }
 
-// Report is what a worker says of itself.
+// Heartbeat is what a worker says of itself.
 type Heartbeat struct {
 	Machine      string       `json:"estacion"`
 	Addr         string       `json:"address"`
@@ -157,13 +157,13 @@
 	Grace   *float64 `json:"gracia_s,omitempty"`
 }
 
-// ReportAnswer answers a report.
+// HeartbeatAnswer answers a report.
 type HeartbeatAnswer struct {
 	FencingToken uint64    `json:"mando"`
 	Commands     []Command `json:"ordenes"`
 }
 
-// Direct is the body of a command sent straight to a worker.
+// DirectCommands is the body of a command sent straight to a worker.
 type DirectCommands struct {
 	FencingToken uint64    `json:"mando"`
 	Incarnation  uint64    `json:"jornada"`
@@ -189,7 +189,7 @@
 	Zones     []string `json:"zonas"`
 }
 
-// Rent asks the cloud for machines.
+// ScaleOutRequest asks the cloud for machines.
 type ScaleOutRequest struct {
 	Request string `json:"pedido"`
 	Type    string `json:"modelo"`
@@ -198,7 +198,7 @@
 	Count   int    `json:"how_many"`
 }
 
-// Names lists machines.
+// MachineNames lists machines.
 type MachineNames struct {
 	Machines []string `json:"estaciones"`
 }
@@ -235,7 +235,7 @@
 	Revision uint64  `json:"revision"`
 }
 
-// Guard is a condition of a transaction.
+// Condition is a condition of a transaction.
 type Condition struct {
 	Key     string `json:"path"`
 	Version uint64 `json:"version"`
@@ -444,7 +444,7 @@
 	return nil
 }
 
-// CheckReport says what is wrong with a report.
+// CheckHeartbeat says what is wrong with a report.
 func CheckHeartbeat(r *Heartbeat) error {
 	switch {
 	case r.Machine == "" || len(r.Machine) > 100 || strings.ContainsAny(r.Machine, " /\n"):
--- a/internal/reapi/reapi.go
+++ b/internal/reapi/reapi.go
@@ -43,11 +43,6 @@
 	Tree    int   // directories of one tree
 }
 
-// DefaultLimits hold where nothing else is said.
-func DefaultLimits() Limits {
-	return Limits{Batch: 4 << 20, Digests: 20_000, Blob: 16 << 30, Tree: 100_000}
-}
-
 // Server answers build tools.
 type Server struct {
 	re.UnimplementedContentAddressableStorageServer
--- a/test.sh
+++ b/test.sh
@@ -1,11 +1,14 @@
 #!/usr/bin/env bash
-# The whole check: formatting, vet, staticcheck, the deploy file's build, tests.
+# The whole check: formatting, vet, staticcheck, dead code, the deploy file's build, tests.
 set -eu
 cd "$(dirname "$0")"
 unformatted=$(gofmt -l .)
 if [ -n "$unformatted" ]; then echo "not gofmt'ed: $unformatted" >&2; exit 1; fi
 go vet ./...
 go tool staticcheck ./...
+# Functions that nothing reaches; internal/simulation is a library of stand-ins that tests use.
+unreached=$(go tool deadcode -test ./...; go tool deadcode ./... | grep -v '^internal/simulation/' || true)
+if [ -n "$unreached" ]; then echo "not reached: $unreached" >&2; exit 1; fi
 scripts/mutants --check
 sh -c "$(sed -n 's/^build = "\(.*\)"$/\1/p' deploy/service.toml)"
 target/topazhollow --version
--- a/topazhollow.go
+++ b/topazhollow.go
@@ -18,5 +18,5 @@
 // Run serves as one controller until the context ends. It returns nil then, and
 // an error if a duty that it depends on failed for good.
 func Run(ctx context.Context, s *settings.Settings, o *settings.Options, log *slog.Logger) error {
-	return controller.New(s, o, log).Run(ctx)
+	return controller.Run(ctx, s, o, log)
 }
