--- a/internal/agents/home_test.go
+++ b/internal/agents/home_test.go
@@ -11,7 +11,7 @@
 func home(t *testing.T) (*Registry, *Agent) {
 	h := New(func(string) (float64, float64, float64, bool) { return 8, 0, 64, true }, func(string) (float64, float64, float64) { return 2, 0, 4 })
 	h.SetTerm(1, func(string) bool { return true })
-	h.Heard(&protocol.Heartbeat{Machine: "m", Addr: "a", Type: "t", Zone: "z", Incarnation: 1, Seq: 1, FencingToken: 1}, time.Unix(1, 0))
+	h.ApplyHeartbeat(&protocol.Heartbeat{Machine: "m", Addr: "a", Type: "t", Zone: "z", Incarnation: 1, Seq: 1, FencingToken: 1}, time.Unix(1, 0))
 	return h, h.Get("m")
 }
 
@@ -26,11 +26,11 @@
 // TestSameNumberOfTwoOwners: attempt numbers are unique only for a task. Two
 // owners' attempts of one term once met in one entry, and the second start was
 // never sent.
-func TestSameNumberOfTwoOwners(t *testing.T) {
+func TestAttemptsOfTwoOwnersWithOneNumber(t *testing.T) {
 	h, m := home(t)
-	h.Take(1, "m", []jobstate.Order{startOf("job-1")})
-	h.Take(1, "m", []jobstate.Order{startOf("job-2")})
-	if cmds := m.Send(); len(cmds) != 2 {
+	h.QueueOrders(1, "m", []jobstate.Order{startOf("job-1")})
+	h.QueueOrders(1, "m", []jobstate.Order{startOf("job-2")})
+	if cmds := m.TakeForRequest(); len(cmds) != 2 {
 		t.Fatalf("sends %v", cmds)
 	}
 }
@@ -40,133 +40,133 @@
 func TestUnansweredStartIsNotForgotten(t *testing.T) {
 	h, m := home(t)
 	o := startOf("job-1")
-	h.Take(1, "m", []jobstate.Order{o})
-	m.Sent(m.Send(), false, true)
-	h.Heard(report(2, protocol.TaskStatus{Task: "job-1/0", Attempt: 5, State: protocol.Exited, Why: protocol.WhyDone}), time.Unix(2, 0))
+	h.QueueOrders(1, "m", []jobstate.Order{o})
+	m.FinishRequest(m.TakeForRequest(), false, true)
+	h.ApplyHeartbeat(report(2, protocol.TaskStatus{Task: "job-1/0", Attempt: 5, State: protocol.Exited, Why: protocol.WhyDone}), time.Unix(2, 0))
 	o.Op = protocol.Forget
-	h.Take(1, "m", []jobstate.Order{o})
-	if cmds := m.Answer(); len(cmds) != 0 {
+	h.QueueOrders(1, "m", []jobstate.Order{o})
+	if cmds := m.TakeForAnswer(); len(cmds) != 0 {
 		t.Fatalf("forgets beside a start in flight: %v", cmds)
 	}
 	// Under a later term the worker refuses the old start, so it may be forgotten.
 	h.SetTerm(2, func(string) bool { return true })
-	h.Take(2, "m", []jobstate.Order{o})
-	if cmds := m.Answer(); len(cmds) != 1 || cmds[0].Op != protocol.Forget {
+	h.QueueOrders(2, "m", []jobstate.Order{o})
+	if cmds := m.TakeForAnswer(); len(cmds) != 1 || cmds[0].Op != protocol.Forget {
 		t.Fatalf("answers %v under the later term", cmds)
 	}
 }
 
 // TestBarredIsNeverSent: a stop for a start that was not sent bars it, and the
 // owner may count on it.
-func TestBarredIsNeverSent(t *testing.T) {
+func TestRefusedStartIsNeverSent(t *testing.T) {
 	h, m := home(t)
 	o := startOf("job-1")
-	h.Take(1, "m", []jobstate.Order{o})
+	h.QueueOrders(1, "m", []jobstate.Order{o})
 	o.Op = protocol.Stop
-	h.Take(1, "m", []jobstate.Order{o})
+	h.QueueOrders(1, "m", []jobstate.Order{o})
 	o.Op = protocol.Start
-	h.Take(1, "m", []jobstate.Order{o})
-	if cmds := m.Send(); len(cmds) != 0 {
+	h.QueueOrders(1, "m", []jobstate.Order{o})
+	if cmds := m.TakeForRequest(); len(cmds) != 0 {
 		t.Fatalf("sends %v after the owner was told never", cmds)
 	}
-	if v := h.View("m"); len(v.Barred) != 1 || v.Barred[0] != o.Ref() {
+	if v := h.Status("m"); len(v.Barred) != 1 || v.Barred[0] != o.Ref() {
 		t.Fatalf("view bars %v", v.Barred)
 	}
 }
 
 // TestSentIsNotBarred: what was sent without an answer is never called unsent.
-func TestSentIsNotBarred(t *testing.T) {
+func TestSentStartIsNotReportedAsNeverSent(t *testing.T) {
 	h, m := home(t)
 	o := startOf("job-1")
-	h.Take(1, "m", []jobstate.Order{o})
-	m.Sent(m.Send(), false, true)
+	h.QueueOrders(1, "m", []jobstate.Order{o})
+	m.FinishRequest(m.TakeForRequest(), false, true)
 	o.Op = protocol.Stop
-	h.Take(1, "m", []jobstate.Order{o})
-	h.Heard(report(2), time.Unix(2, 0))
-	h.Take(1, "m", []jobstate.Order{o})
-	if v := h.View("m"); len(v.Barred) != 0 {
+	h.QueueOrders(1, "m", []jobstate.Order{o})
+	h.ApplyHeartbeat(report(2), time.Unix(2, 0))
+	h.QueueOrders(1, "m", []jobstate.Order{o})
+	if v := h.Status("m"); len(v.Barred) != 0 {
 		t.Fatalf("view bars %v, which may still arrive", v.Barred)
 	}
 }
 
 // TestStartOfAnEarlierTermIsNotBarred: a stop for an attempt of an earlier term that the machine does not list is no
 // proof that its start was never sent: the home of that term may have sent it, and it may still arrive.
-func TestStartOfAnEarlierTermIsNotBarred(t *testing.T) {
+func TestStartOfAnEarlierTermIsNotReportedAsNeverSent(t *testing.T) {
 	h, m := home(t)
 	o := startOf("job-1")
 	o.Attempt = jobstate.AttemptID(1, 5)
-	h.Take(1, "m", []jobstate.Order{o})
-	m.Sent(m.Send(), false, true)
+	h.QueueOrders(1, "m", []jobstate.Order{o})
+	m.FinishRequest(m.TakeForRequest(), false, true)
 	h.SetTerm(2, func(string) bool { return true })
 	o.Op = protocol.Stop
-	h.Take(2, "m", []jobstate.Order{o})
-	if v := h.View("m"); len(v.Barred) != 0 {
+	h.QueueOrders(2, "m", []jobstate.Order{o})
+	if v := h.Status("m"); len(v.Barred) != 0 {
 		t.Fatalf("view bars %v, which the home of an earlier term sent", v.Barred)
 	}
 	// The same stop for an attempt of the home's own term, of which no start came, is proof.
 	o.Attempt = jobstate.AttemptID(2, 1)
-	h.Take(2, "m", []jobstate.Order{o})
-	if v := h.View("m"); len(v.Barred) != 1 {
+	h.QueueOrders(2, "m", []jobstate.Order{o})
+	if v := h.Status("m"); len(v.Barred) != 1 {
 		t.Fatalf("view bars %v, want the attempt that this home never sent", v.Barred)
 	}
 }
 
 // TestStartInAnAnswerIsSettledByTheNextReport: a start that went out with the answer to a report may be on its way while
 // a direct command overtakes it. Only the worker's own next report tells what became of the answer.
-func TestStartInAnAnswerIsSettledByTheNextReport(t *testing.T) {
+func TestStartInAnAnswerIsSettledByTheNextHeartbeat(t *testing.T) {
 	h, m := home(t)
 	o := startOf("job-1")
-	h.Take(1, "m", []jobstate.Order{o})
-	if cmds := m.Answer(); len(cmds) != 1 {
+	h.QueueOrders(1, "m", []jobstate.Order{o})
+	if cmds := m.TakeForAnswer(); len(cmds) != 1 {
 		t.Fatalf("answers %v", cmds)
 	}
-	h.HeardAnswer(report(2), time.Unix(2, 0))
+	h.ApplyResponse(report(2), time.Unix(2, 0))
 	o.Op = protocol.Stop
-	h.Take(1, "m", []jobstate.Order{o})
-	if v := h.View("m"); len(v.Barred) != 0 {
+	h.QueueOrders(1, "m", []jobstate.Order{o})
+	if v := h.Status("m"); len(v.Barred) != 0 {
 		t.Fatalf("view bars %v, which may still arrive", v.Barred)
 	}
 	forget := o
 	forget.Op = protocol.Forget
-	h.HeardAnswer(report(3, protocol.TaskStatus{Task: "job-1/0", Attempt: 5, State: protocol.Exited, Why: protocol.WhyError}), time.Unix(3, 0))
-	h.Take(1, "m", []jobstate.Order{forget})
-	if cmds := m.Answer(); len(cmds) != 0 {
+	h.ApplyResponse(report(3, protocol.TaskStatus{Task: "job-1/0", Attempt: 5, State: protocol.Exited, Why: protocol.WhyError}), time.Unix(3, 0))
+	h.QueueOrders(1, "m", []jobstate.Order{forget})
+	if cmds := m.TakeForAnswer(); len(cmds) != 0 {
 		t.Fatalf("answers %v beside a start in flight", cmds)
 	}
 }
 
 // TestLostAnswerIsBarred: once the worker itself reported again without the task, the answer with its start was lost,
 // and the home can say that it will never be sent.
-func TestLostAnswerIsBarred(t *testing.T) {
+func TestStartInALostAnswerIsNeverSent(t *testing.T) {
 	h, m := home(t)
 	o := startOf("job-1")
-	h.Take(1, "m", []jobstate.Order{o})
-	m.Answer()
-	h.Heard(report(2), time.Unix(2, 0))
+	h.QueueOrders(1, "m", []jobstate.Order{o})
+	m.TakeForAnswer()
+	h.ApplyHeartbeat(report(2), time.Unix(2, 0))
 	o.Op = protocol.Stop
-	h.Take(1, "m", []jobstate.Order{o})
-	if v := h.View("m"); len(v.Barred) != 1 {
+	h.QueueOrders(1, "m", []jobstate.Order{o})
+	if v := h.Status("m"); len(v.Barred) != 1 {
 		t.Fatalf("view bars %v, want the lost start", v.Barred)
 	}
 }
 
 // TestOtherTermIsRefused: a home carries no order of another term, so that a
 // replaced owner's starts end with their term.
-func TestOtherTermIsRefused(t *testing.T) {
+func TestOrdersOfAnotherTermAreIgnored(t *testing.T) {
 	h, m := home(t)
 	h.SetTerm(2, func(string) bool { return true })
-	h.Take(1, "m", []jobstate.Order{startOf("job-1")})
-	if cmds := m.Send(); len(cmds) != 0 {
+	h.QueueOrders(1, "m", []jobstate.Order{startOf("job-1")})
+	if cmds := m.TakeForRequest(); len(cmds) != 0 {
 		t.Fatalf("sends %v", cmds)
 	}
 }
 
 // TestNoRoomIsBarred: two owners that guessed the same room get one yes.
-func TestNoRoomIsBarred(t *testing.T) {
+func TestStartWithoutRoomIsRefused(t *testing.T) {
 	h, _ := home(t)
 	for i, job := range []string{"job-1", "job-2", "job-3", "job-4", "job-5"} {
-		h.Take(1, "m", []jobstate.Order{startOf(job)})
-		if barred := len(h.View("m").Barred); (i < 4 && barred != 0) || (i == 4 && barred != 1) {
+		h.QueueOrders(1, "m", []jobstate.Order{startOf(job)})
+		if barred := len(h.Status("m").Barred); (i < 4 && barred != 0) || (i == 4 && barred != 1) {
 			t.Fatalf("after %d starts %d are barred", i+1, barred)
 		}
 	}
@@ -174,23 +174,23 @@
 
 // TestOlderReportIsIgnored: a copy of an earlier report, also of an earlier session, that comes after newer ones
 // changes nothing: not what the machine lists, nor when it was heard.
-func TestOlderReportIsIgnored(t *testing.T) {
+func TestOlderHeartbeatIsIgnored(t *testing.T) {
 	h, m := home(t)
-	h.Take(1, "m", []jobstate.Order{startOf("job-1")})
-	m.Sent(m.Send(), true, true)
+	h.QueueOrders(1, "m", []jobstate.Order{startOf("job-1")})
+	m.FinishRequest(m.TakeForRequest(), true, true)
 	running := protocol.TaskStatus{Task: "job-1/0", Attempt: 5, State: protocol.Running}
-	h.Heard(report(4, running), time.Unix(4, 0))
+	h.ApplyHeartbeat(report(4, running), time.Unix(4, 0))
 	next := report(1, running)
 	next.Incarnation = 2
 	for what, r := range map[string]*protocol.Heartbeat{"an earlier report": report(3), "the same one": report(4), "one that listed nothing": report(1)} {
-		if newer, changed := h.Heard(r, time.Unix(9, 0)); newer || changed || len(m.Report.Tasks) != 1 || m.Heard != time.Unix(4, 0) {
+		if newer, changed := h.ApplyHeartbeat(r, time.Unix(9, 0)); newer || changed || len(m.Heartbeat.Tasks) != 1 || m.HeartbeatAt != time.Unix(4, 0) {
 			t.Errorf("%s is taken for the newest", what)
 		}
 	}
-	if newer, _ := h.Heard(next, time.Unix(5, 0)); !newer {
+	if newer, _ := h.ApplyHeartbeat(next, time.Unix(5, 0)); !newer {
 		t.Fatal("the first report of the next session is not taken")
 	}
-	if newer, _ := h.Heard(report(90), time.Unix(9, 0)); newer || m.Report.Incarnation != 2 {
+	if newer, _ := h.ApplyHeartbeat(report(90), time.Unix(9, 0)); newer || m.Heartbeat.Incarnation != 2 {
 		t.Error("a report of an earlier session is taken for the newest")
 	}
 }
--- a/internal/agents/roster.go
+++ b/internal/agents/roster.go
@@ -14,9 +14,9 @@
 // machines takes few changes. A controller adds machines to keys of its own;
 // anybody may strike out those that the cloud confirmed to be gone.
 type Roster struct {
-	room  int // bytes of a key's value
-	lists map[string]*list
-	on    map[string]int // in how many lists a machine stands
+	maxValueSize int // bytes of a key's value
+	lists        map[string]*list
+	listCount    map[string]int // in how many lists a machine stands
 }
 
 type list struct {
@@ -44,7 +44,7 @@
 }
 
 // ReadRoster reads a value; earlier versions wrote the names alone.
-func ReadRoster(value json.RawMessage) (v RosterValue, err error) {
+func DecodeRosterValue(value json.RawMessage) (v RosterValue, err error) {
 	if len(value) > 0 && value[0] == '[' {
 		v.After = math.MaxUint64
 		return v, json.Unmarshal(value, &v.Names)
@@ -57,18 +57,18 @@
 
 // ErrLostRoster says that a list of machines was written over a store that had lost the one
 // known here.
-var ErrLostRoster = errors.New("workers: a list of machines does not follow the one known")
+var ErrRosterDataLost = errors.New("workers: a list of machines does not follow the one known")
 
 // NewRoster is an empty roster whose values may take so many bytes.
 func NewRoster(room int) *Roster {
-	return &Roster{room: room, lists: map[string]*list{}, on: map[string]int{}}
+	return &Roster{maxValueSize: room, lists: map[string]*list{}, listCount: map[string]int{}}
 }
 
 // Has says whether a machine is registered.
-func (r *Roster) Has(machine string) bool { return r.on[machine] > 0 }
+func (r *Roster) Has(machine string) bool { return r.listCount[machine] > 0 }
 
 // All lists the registered machines.
-func (r *Roster) All() []string { return slices.Collect(maps.Keys(r.on)) }
+func (r *Roster) All() []string { return slices.Collect(maps.Keys(r.listCount)) }
 
 // Versions gives the version of each key known.
 func (r *Roster) Versions() map[string]uint64 {
@@ -94,7 +94,7 @@
 
 // Learn takes in a key's value as of a version; an older one than known is
 // ignored. It tells which machines came on the roster and which left it.
-func (r *Roster) Learn(key string, version uint64, value RosterValue) (added, removed []string, err error) {
+func (r *Roster) ApplyList(key string, version uint64, value RosterValue) (added, removed []string, err error) {
 	l := r.lists[key]
 	if l == nil {
 		l = &list{names: map[string]bool{}}
@@ -104,7 +104,7 @@
 		return nil, nil, nil
 	}
 	if value.After < l.version {
-		return nil, nil, ErrLostRoster
+		return nil, nil, ErrRosterDataLost
 	}
 	old := l.names
 	l.version, l.names, l.size = version, map[string]bool{}, valueSize
@@ -115,7 +115,7 @@
 		l.names[name] = true
 		l.size += entrySize(name)
 		if !old[name] {
-			if r.on[name]++; r.on[name] == 1 {
+			if r.listCount[name]++; r.listCount[name] == 1 {
 				added = append(added, name)
 			}
 		}
@@ -124,8 +124,8 @@
 		if l.names[name] {
 			continue
 		}
-		if r.on[name]--; r.on[name] <= 0 {
-			delete(r.on, name)
+		if r.listCount[name]--; r.listCount[name] <= 0 {
+			delete(r.listCount, name)
 			removed = append(removed, name)
 		}
 	}
@@ -138,7 +138,7 @@
 
 // Enter plans the write that registers machines, as many as fit, in a key under
 // a prefix that only this controller adds to.
-func (r *Roster) Enter(prefix string, machines []string) RosterWrite {
+func (r *Roster) PlanRegistration(prefix string, machines []string) RosterWrite {
 	for i := 0; ; i++ {
 		key := prefix + strconv.Itoa(i)
 		l := r.lists[key]
@@ -148,7 +148,7 @@
 		w := RosterWrite{Key: key, Version: l.version, Names: slices.Collect(maps.Keys(l.names))}
 		size := l.size
 		for _, name := range machines {
-			if size += entrySize(name); size > r.room {
+			if size += entrySize(name); size > r.maxValueSize {
 				break
 			}
 			w.Names = append(w.Names, name)
@@ -161,7 +161,7 @@
 }
 
 // Strike plans the writes that take machines off the roster.
-func (r *Roster) Strike(gone map[string]bool) []RosterWrite {
+func (r *Roster) PlanDeregistration(gone map[string]bool) []RosterWrite {
 	var writes []RosterWrite
 	for _, key := range slices.Sorted(maps.Keys(r.lists)) {
 		l := r.lists[key]
--- a/internal/agents/roster_test.go
+++ b/internal/agents/roster_test.go
@@ -24,7 +24,7 @@
 		rosters := []*Roster{NewRoster(room), NewRoster(room), NewRoster(room)}
 		known := []map[string]bool{{}, {}, {}}
 		learn := func(who int, key string) {
-			added, removed, err := rosters[who].Learn(key, store[key].version, RosterValue{After: store[key].after, Names: store[key].names})
+			added, removed, err := rosters[who].ApplyList(key, store[key].version, RosterValue{After: store[key].after, Names: store[key].names})
 			if err != nil {
 				t.Fatalf("seed %d: %v though nothing was lost", seed, err)
 			}
@@ -66,7 +66,7 @@
 					machines++
 					fresh = append(fresh, fmt.Sprintf("n-%06d", machines))
 				}
-				writes = []RosterWrite{rosters[who].Enter(fmt.Sprintf("m/%d/", who), fresh)}
+				writes = []RosterWrite{rosters[who].PlanRegistration(fmt.Sprintf("m/%d/", who), fresh)}
 			} else {
 				gone := map[string]bool{}
 				for name := range known[who] {
@@ -74,7 +74,7 @@
 						gone[name] = true
 					}
 				}
-				writes = rosters[who].Strike(gone)
+				writes = rosters[who].PlanDeregistration(gone)
 			}
 			for _, w := range writes {
 				if rng.IntN(5) == 0 {
@@ -114,22 +114,22 @@
 
 // TestLostListStrikesNobodyOff: a store lost a list, and a process that started afterwards
 // wrote it anew. Whom that does not name was struck off by nobody.
-func TestLostListStrikesNobodyOff(t *testing.T) {
+func TestLostListDeregistersNobody(t *testing.T) {
 	r := NewRoster(200)
-	if _, _, err := r.Learn("m/a/0", 5, RosterValue{Names: []string{"n-1", "n-2"}}); err != nil {
+	if _, _, err := r.ApplyList("m/a/0", 5, RosterValue{Names: []string{"n-1", "n-2"}}); err != nil {
 		t.Fatal(err)
 	}
-	if _, _, err := r.Learn("m/a/0", 9, RosterValue{Names: []string{"n-3"}}); !errors.Is(err, ErrLostRoster) || !r.Has("n-1") || r.Has("n-3") {
+	if _, _, err := r.ApplyList("m/a/0", 9, RosterValue{Names: []string{"n-3"}}); !errors.Is(err, ErrRosterDataLost) || !r.Has("n-1") || r.Has("n-3") {
 		t.Fatalf("%v, %v", err, r.All())
 	}
-	if _, removed, err := r.Learn("m/a/0", 9, RosterValue{After: 5, Names: []string{"n-2"}}); err != nil || len(removed) != 1 {
+	if _, removed, err := r.ApplyList("m/a/0", 9, RosterValue{After: 5, Names: []string{"n-2"}}); err != nil || len(removed) != 1 {
 		t.Fatalf("%v, %v", err, removed)
 	}
-	old, err := ReadRoster([]byte(`["n-2","n-4"]`)) // as earlier versions wrote it
+	old, err := DecodeRosterValue([]byte(`["n-2","n-4"]`)) // as earlier versions wrote it
 	if err != nil {
 		t.Fatal(err)
 	}
-	if added, _, err := r.Learn("m/a/0", 12, old); err != nil || len(added) != 1 {
+	if added, _, err := r.ApplyList("m/a/0", 12, old); err != nil || len(added) != 1 {
 		t.Fatalf("%v, %v", err, added)
 	}
 }
--- a/internal/cancelwatermark/cancelwatermark.go
+++ b/internal/cancelwatermark/cancelwatermark.go
@@ -1,8 +1,15 @@
-// Package cancelwatermark decides until when a controller may keep workers alive. A controller that
-// has not heard of a withdrawal must not renew the lease of a machine that runs the job's tasks past
-// the time in which they have to be gone. So it keeps a horizon: the moment up to which all withdrawals that any
-// controller confirmed to a user are surely known here. A read of the state service moves it; without
-// that, the peers move it, which number what they confirm and say how far they are. It does no I/O and reads no clock.
+// Package cancelwatermark decides until when a controller may renew agents' leases on what it knows of cancellations.
+//
+// A controller that has not learned of a cancellation must not renew the lease of an agent that runs the job's tasks
+// past the time in which they have to be gone. So it keeps a watermark: the moment before which every cancellation
+// that any controller confirmed to a user is known here. Two sources advance it:
+//
+//   - a read of the key-value store, up to the moment at which the read began;
+//   - without the store, the peers: each numbers the cancellations that it confirms, sends them, and says in its status
+//     how many it has confirmed. Whoever received them all knows everything that this peer confirmed until then.
+//
+// The package trusts no heartbeat of an agent for this, does no I/O and reads no clock. A Watermark is not safe for
+// concurrent use; the controller's lock guards it.
 package cancelwatermark
 
 import (
@@ -10,153 +17,165 @@
 	"time"
 )
 
-// Watermark is what one controller's process knows of the withdrawals that were confirmed.
+// Watermark is what one controller's process knows of the cancellations that were confirmed anywhere.
 type Watermark struct {
-	reach time.Duration
-	read  time.Time
-	told  []string // confirmed here, in order
-	first map[string]bool
-	peers map[string]*peer
+	renewalWindow time.Duration // for how long after the watermark a lease may be renewed
+	lastRead      time.Time     // when the newest complete read of the store began
+	confirmed     []string      // jobs whose cancellation was confirmed here; number N is at index N-1
+	isConfirmed   map[string]bool
+	peers         map[string]*peer
 }
 
-// peer is the process of another controller that was heard last.
+// peer is the newest process of another controller that sent anything.
 type peer struct {
-	process uint64
-	since   time.Time // when it was first heard: its earlier processes had ended by then
-	got     uint64    // of its withdrawals, taken in here without a gap
-	upTo    time.Time // all that it confirmed before are known here
-	has     uint64    // of this process's withdrawals, as it says
-	retold  time.Time
+	incarnation   uint64    // 0: none yet
+	startedBefore time.Time // its first message came then: its earlier processes had confirmed their last
+	received      uint64    // number up to which its cancellations were received here without a gap
+	knownUntil    time.Time // every cancellation that it confirmed before is known here
+	acknowledged  uint64    // number up to which it says it has this process's cancellations
+	resentAt      time.Time
 }
 
-// Margin covers what a message and its handling take, between a user's answer and the moment in which the
-// others may have it, and between an answer to a worker and the lease that it renews.
-const Margin = 1500 * time.Millisecond
+// DeliveryMargin covers what a message and its handling take: between a user's answer and the moment at which the
+// peers may have the cancellation, and between an answer to an agent and the lease that it renews.
+const DeliveryMargin = 1500 * time.Millisecond
 
-// least is what a horizon may be behind in a deployment whose cancellations have no more time than a lease
-// and the margin: there no bound could be kept, and one that never renews serves nobody.
-const least = 3 * time.Second
+// minRenewalWindow applies in a deployment whose cancellations have no more time than a lease and the margin: no bound
+// could be kept there, and a controller that never renews serves nobody.
+const minRenewalWindow = 3 * time.Second
 
-// drift is by how much two steady clocks may differ, as a part of the time.
-const drift = 0.001
+// clockDrift is by how much two steady clocks may differ, as a part of the time.
+const clockDrift = 0.001
 
-// retellAfter is how long a peer may take to say that it has what it was told.
-const retellAfter = time.Second
+// acknowledgeTimeout is how long a peer may take to acknowledge a cancellation before it is sent again.
+const acknowledgeTimeout = time.Second
 
-// New is the horizon of a process that knows nothing yet. Tasks of a withdrawn job must be gone after cancel,
-// and a worker ends what it runs after lease without an answer.
+// New returns the watermark of a process that knows nothing yet. The tasks of a cancelled job must be gone within
+// cancel, and an agent ends what it runs after lease without an answer.
 func New(peers []string, cancel, lease time.Duration) *Watermark {
-	h := &Watermark{reach: max(least, cancel-time.Duration(2*drift*float64(cancel))-lease-Margin), first: map[string]bool{}, peers: map[string]*peer{}}
+	drift := time.Duration(2 * clockDrift * float64(cancel))
+	w := &Watermark{
+		renewalWindow: max(minRenewalWindow, cancel-drift-lease-DeliveryMargin),
+		isConfirmed:   map[string]bool{},
+		peers:         map[string]*peer{},
+	}
 	for _, name := range peers {
-		h.peers[name] = &peer{}
+		w.peers[name] = &peer{}
 	}
-	return h
+	return w
 }
 
-// Read books that everything was taken in that the state service had when a read began.
-func (h *Watermark) Read(began time.Time) {
-	if began.After(h.read) {
-		h.read = began
+// RecordRead notes that everything the key-value store had when a read began is known here.
+func (w *Watermark) RecordRead(began time.Time) {
+	if began.After(w.lastRead) {
+		w.lastRead = began
 	}
 }
 
-// LastRead is when the latest such read began.
-func (h *Watermark) LastRead() time.Time { return h.read }
+// LastRead returns when the newest such read began, or zero.
+func (w *Watermark) LastRead() time.Time { return w.lastRead }
 
-// Confirm numbers a withdrawal that is about to be confirmed to a user here, from 1 on. It is to
-// be told to the peers before the user gets the answer; number is 0 if that was done before.
-func (h *Watermark) Confirm(uid string) (number uint64) {
-	if h.first[uid] {
+// RecordCancellation numbers a cancellation that is about to be confirmed to a user here, from 1 on. The caller sends
+// it to the peers under that number before the user gets the answer. The number is 0 if the job has one already.
+func (w *Watermark) RecordCancellation(uid string) (number uint64) {
+	if w.isConfirmed[uid] {
 		return 0
 	}
-	h.first[uid] = true
-	h.told = append(h.told, uid)
-	return uint64(len(h.told))
+	w.isConfirmed[uid] = true
+	w.confirmed = append(w.confirmed, uid)
+	return uint64(len(w.confirmed))
 }
 
-// Told counts the withdrawals confirmed here.
-func (h *Watermark) Told() uint64 { return uint64(len(h.told)) }
+// Confirmed counts the cancellations confirmed here, which is also the last number given.
+func (w *Watermark) Confirmed() uint64 { return uint64(len(w.confirmed)) }
 
-// Met books that a line of a peer's process came. What an earlier process of it confirmed
-// last may be unknown here until the state service is read again.
-func (h *Watermark) Met(name string, process uint64, now time.Time) {
-	if p := h.peers[name]; p != nil && p.process != process {
-		*p = peer{process: process, since: now}
+// RecordIncarnation notes that a message of a peer's process came. If the process is a new one, what an earlier one
+// confirmed last may be unknown here until the store is read again.
+func (w *Watermark) RecordIncarnation(name string, incarnation uint64, now time.Time) {
+	if p := w.peers[name]; p != nil && p.incarnation != incarnation {
+		*p = peer{incarnation: incarnation, startedBefore: now}
 	}
 }
 
-// Take books that a peer's withdrawals from a number on were taken in. After a gap they are known, but do not
-// count until what is missing came.
-func (h *Watermark) Take(name string, from uint64, count int) {
-	if p := h.peers[name]; p != nil && from > 0 && from <= p.got+1 {
-		p.got = max(p.got, from+uint64(count)-1)
+// RecordReceived notes that count of a peer's cancellations were received, the first of them under the number from.
+// After a gap they don't count until the missing ones came too.
+func (w *Watermark) RecordReceived(name string, from uint64, count int) {
+	if p := w.peers[name]; p != nil && from > 0 && from <= p.received+1 {
+		p.received = max(p.received, from+uint64(count)-1)
 	}
 }
 
-// Got counts the withdrawals of a peer's present process that were taken in without a gap.
-func (h *Watermark) Got(name string) uint64 {
-	if p := h.peers[name]; p != nil {
-		return p.got
+// ReceivedFrom returns the number up to which the cancellations of a peer's present process were received without a
+// gap. The peer is told it as an acknowledgement.
+func (w *Watermark) ReceivedFrom(name string) uint64 {
+	if p := w.peers[name]; p != nil {
+		return p.received
 	}
 	return 0
 }
 
-// Heard takes in that a peer had confirmed told withdrawals when it said so, which was after it had heard what
-// was sent from here at a time.
-func (h *Watermark) Heard(name string, told uint64, sent time.Time) {
-	if p := h.peers[name]; p != nil && p.got >= told && sent.After(p.upTo) {
-		p.upTo = sent
+// RecordConfirmedBy notes that a peer had confirmed so many cancellations at a moment after sent, when something was
+// sent from here that the peer had received by then.
+func (w *Watermark) RecordConfirmedBy(name string, confirmed uint64, sent time.Time) {
+	if p := w.peers[name]; p != nil && p.received >= confirmed && sent.After(p.knownUntil) {
+		p.knownUntil = sent
 	}
 }
 
-// Has takes in how many of this process's withdrawals a peer says it has.
-func (h *Watermark) Has(name string, count uint64) {
-	if p := h.peers[name]; p != nil && count <= h.Told() {
-		p.has = max(p.has, count)
+// RecordAcknowledgedBy notes up to which number a peer says it has this process's cancellations. A number that was
+// never given is ignored.
+func (w *Watermark) RecordAcknowledgedBy(name string, number uint64) {
+	if p := w.peers[name]; p != nil && number <= w.Confirmed() {
+		p.acknowledged = max(p.acknowledged, number)
 	}
 }
 
-// Lacking lists up to most withdrawals that a peer may not have, and the number of the first. It lists none if that was
-// done a moment ago.
-func (h *Watermark) Lacking(name string, now time.Time, most int) (from uint64, uids []string) {
-	p := h.peers[name]
-	if p == nil || p.has >= h.Told() || now.Sub(p.retold) < retellAfter {
+// TakeUnacknowledged returns up to most cancellations that are to be sent to a peer again, and the number of the
+// first. It returns none within acknowledgeTimeout of the last time.
+func (w *Watermark) TakeUnacknowledged(name string, now time.Time, most int) (from uint64, uids []string) {
+	p := w.peers[name]
+	if p == nil || p.acknowledged >= w.Confirmed() || now.Sub(p.resentAt) < acknowledgeTimeout {
 		return 0, nil
 	}
-	p.retold = now
-	return p.has + 1, slices.Clone(h.told[p.has:min(h.Told(), p.has+uint64(most))])
+	p.resentAt = now
+	end := min(w.Confirmed(), p.acknowledged+uint64(most))
+	return p.acknowledged + 1, slices.Clone(w.confirmed[p.acknowledged:end])
 }
 
-// Until is the horizon: every withdrawal that any controller confirmed before is known here. It is zero before
-// the first read.
-func (h *Watermark) Until(now time.Time) time.Time {
-	if h.read.IsZero() {
+// KnownUntil returns the watermark: every cancellation that any controller confirmed before is known here. It is zero
+// before the first read of the store.
+func (w *Watermark) KnownUntil(now time.Time) time.Time {
+	if w.lastRead.IsZero() {
 		return time.Time{}
 	}
-	until := now // what is confirmed here is known here
-	for _, p := range h.peers {
-		known := h.read
-		// An earlier process of the peer had confirmed its last before this one was heard.
-		if p.process != 0 && !h.read.Before(p.since) && p.upTo.After(known) {
-			known = p.upTo
-		}
-		if known.Before(until) {
-			until = known
+	watermark := now // what is confirmed here is known here
+	for _, p := range w.peers {
+		if known := w.peerKnownUntil(p); known.Before(watermark) {
+			watermark = known
 		}
 	}
-	return until
+	return watermark
+}
+
+// peerKnownUntil is the moment before which all that a peer's processes confirmed is known here.
+func (w *Watermark) peerKnownUntil(p *peer) time.Time {
+	// The peer's own words count only once a read covers its earlier processes.
+	if p.incarnation != 0 && !w.lastRead.Before(p.startedBefore) && p.knownUntil.After(w.lastRead) {
+		return p.knownUntil
+	}
+	return w.lastRead
 }
 
-// Renews says whether the lease of a machine may be renewed now, of which nothing is known
-// that is older than since, if that is not zero: a job that was withdrawn right after the horizon
-// has no task there any more, by that lease, once its time is over.
-func (h *Watermark) Renews(now, since time.Time) bool {
-	until := h.Until(now)
-	if until.IsZero() {
+// MayRenew says whether an agent's lease may be renewed now. The bound, unless zero, is a moment after which nothing
+// counts as known of this agent. A job that was cancelled right after the watermark or the bound has no task there any
+// more, by the lease given now, once the time of its cancellation is over.
+func (w *Watermark) MayRenew(now, bound time.Time) bool {
+	known := w.KnownUntil(now)
+	if known.IsZero() {
 		return false
 	}
-	if !since.IsZero() && since.Before(until) {
-		until = since
+	if !bound.IsZero() && bound.Before(known) {
+		known = bound
 	}
-	return !now.After(until.Add(h.reach))
+	return !now.After(known.Add(w.renewalWindow))
 }
--- a/internal/cancelwatermark/cancelwatermark_test.go
+++ b/internal/cancelwatermark/cancelwatermark_test.go
@@ -25,12 +25,12 @@
 }
 
 type process struct {
-	id    uint64
-	h     *Watermark
-	knows map[string]bool
-	links [3]int // connections to the others, by number
-	heard [3]uint64
-	at    [3]time.Time // the peer's clock in its last status
+	id        uint64
+	watermark *Watermark
+	knows     map[string]bool
+	links     [3]int // connections to the others, by number
+	heard     [3]uint64
+	at        [3]time.Time // the peer's clock in its last status
 }
 
 var names = [3]string{"a", "b", "c"}
@@ -48,7 +48,7 @@
 			peers = append(peers, n)
 		}
 	}
-	w.nodes[i] = &process{id: w.ended, h: New(peers, 30*time.Second, 10*time.Second), knows: map[string]bool{}}
+	w.nodes[i] = &process{id: w.ended, watermark: New(peers, 30*time.Second, 10*time.Second), knows: map[string]bool{}}
 	for k := range w.nodes {
 		if n := w.nodes[k]; n != nil {
 			n.links[i]++ // connections to it are gone, with what they carried
@@ -72,7 +72,7 @@
 		if w.mutant == "one process" {
 			id = 1
 		}
-		to.h.Met(names[i], id, w.now)
+		to.watermark.RecordIncarnation(names[i], id, w.now)
 		if to.heard[i] != from.id {
 			to.heard[i], to.at[i] = from.id, time.Time{}
 		}
@@ -87,7 +87,7 @@
 		w.note(uid)
 		return
 	}
-	if number := n.h.Confirm(uid); number > 0 {
+	if number := n.watermark.RecordCancellation(uid); number > 0 {
 		for k := range names {
 			if k != i {
 				w.tell(i, k, number, []string{uid})
@@ -108,13 +108,13 @@
 		for _, uid := range uids {
 			to.knows[uid] = true
 		}
-		if number > to.h.Got(names[i])+1 {
+		if number > to.watermark.ReceivedFrom(names[i])+1 {
 			w.gaps++
 			if w.mutant == "gap" {
-				to.h.peers[names[i]].got = number
+				to.watermark.peers[names[i]].received = number
 			}
 		}
-		to.h.Take(names[i], number, len(uids))
+		to.watermark.RecordReceived(names[i], number, len(uids))
 	})
 }
 
@@ -124,18 +124,18 @@
 		if k == i {
 			continue
 		}
-		told, echo, got, sent := n.h.Told(), n.at[k], n.h.Got(names[k]), w.now
+		told, echo, got, sent := n.watermark.Confirmed(), n.at[k], n.watermark.ReceivedFrom(names[k]), w.now
 		w.send(i, k, func(_, to *process) {
 			to.at[i] = sent
 			if !echo.IsZero() {
 				if w.mutant == "arrival" {
 					echo = w.now
 				}
-				to.h.Heard(names[i], told, echo)
-				to.h.Has(names[i], got)
+				to.watermark.RecordConfirmedBy(names[i], told, echo)
+				to.watermark.RecordAcknowledgedBy(names[i], got)
 			}
 		})
-		if from, uids := n.h.Lacking(names[k], w.now, 3); len(uids) > 0 && w.mutant != "once" {
+		if from, uids := n.watermark.TakeUnacknowledged(names[k], w.now, 3); len(uids) > 0 && w.mutant != "once" {
 			w.tell(i, k, from, uids)
 		}
 	}
@@ -161,7 +161,7 @@
 		if w.mutant == "read ended" {
 			began = w.now
 		}
-		n.h.Read(began)
+		n.watermark.RecordRead(began)
 	}
 	w.flying = append(w.flying, deliver)
 }
@@ -212,8 +212,8 @@
 			}
 		}
 		for k, n := range w.nodes {
-			until := n.h.Until(w.now)
-			if until.After(n.h.LastRead()) {
+			until := n.watermark.KnownUntil(w.now)
+			if until.After(n.watermark.LastRead()) {
 				w.beyond++
 			}
 			for uid, at := range w.confirmed {
@@ -233,7 +233,7 @@
 // TestHorizonModel: whatever gets lost, comes late, ends or is refused, everything that anybody confirmed before a
 // controller's horizon is known there. A renewal that rested on anything else kept tasks alive past their
 // time when the state service refused one controller and then all.
-func TestHorizonModel(t *testing.T) {
+func TestWatermarkModel(t *testing.T) {
 	var sum world
 	for seed := range uint64(60) {
 		w := newWorld(seed, "")
@@ -251,7 +251,7 @@
 }
 
 // TestHorizonModelCatches shows that the model fails one that takes less for knowledge.
-func TestHorizonModelCatches(t *testing.T) {
+func TestWatermarkModelCatchesMutants(t *testing.T) {
 	for _, mutant := range []string{"one process", "untold", "gap", "arrival", "read ended"} {
 		caught := false
 		for seed := range uint64(60) {
@@ -265,74 +265,74 @@
 
 // TestHorizonByPeers: through an outage the horizon moves with the peers' words, or machines
 // would lose what they run; it stops with the first peer that is not heard, or that began anew.
-func TestHorizonByPeers(t *testing.T) {
+func TestWatermarkAdvancesByPeers(t *testing.T) {
 	h := New([]string{"b", "c"}, 30*time.Second, 10*time.Second)
 	start := time.Unix(1000, 0)
 	at := func(s float64) time.Time { return start.Add(time.Duration(s * float64(time.Second))) }
-	if h.Renews(at(0), time.Time{}) {
+	if h.MayRenew(at(0), time.Time{}) {
 		t.Fatal("renews before anything was read")
 	}
 	hear := func(name string, process, told uint64, s float64) {
-		h.Met(name, process, at(s))
-		h.Heard(name, told, at(s-0.5))
+		h.RecordIncarnation(name, process, at(s))
+		h.RecordConfirmedBy(name, told, at(s-0.5))
 	}
 	hear("b", 1, 0, 0.5)
 	hear("c", 1, 0, 0.5)
-	h.Read(at(1))
+	h.RecordRead(at(1))
 	for s := 2.0; s < 100; s++ {
 		hear("b", 1, 0, s)
 		hear("c", 1, 0, s)
-		if !h.Renews(at(s), time.Time{}) {
+		if !h.MayRenew(at(s), time.Time{}) {
 			t.Fatalf("does not renew %g s into an outage in which all peers are heard", s)
 		}
 	}
-	if got, want := h.Until(at(100)), at(98.5); !got.Equal(want) {
+	if got, want := h.KnownUntil(at(100)), at(98.5); !got.Equal(want) {
 		t.Fatalf("horizon %v after the last words, want %v", got.Sub(start), want.Sub(start))
 	}
 	// A machine whose home may have sent it something before that word counts from there.
-	if h.Renews(at(100), at(80)) || !h.Renews(at(100), at(90)) {
+	if h.MayRenew(at(100), at(80)) || !h.MayRenew(at(100), at(90)) {
 		t.Error("an earlier word of a machine's home does not bound its renewal, or a later one does")
 	}
 	hear("b", 1, 1, 101) // one that did not come here
 	hear("c", 1, 0, 101)
-	if got := h.Until(at(101)); !got.Equal(at(98.5)) {
+	if got := h.KnownUntil(at(101)); !got.Equal(at(98.5)) {
 		t.Errorf("moves to %v past a withdrawal that did not come", got.Sub(start))
 	}
-	h.Take("b", 1, 1)
+	h.RecordReceived("b", 1, 1)
 	hear("b", 1, 1, 102)
 	hear("c", 2, 0, 102) // began anew: what it confirmed last before is not known here
-	if got := h.Until(at(102)); !got.Equal(at(1)) {
+	if got := h.KnownUntil(at(102)); !got.Equal(at(1)) {
 		t.Errorf("horizon %v with a peer that began anew, want that of the last read", got.Sub(start))
 	}
-	h.Read(at(103))
+	h.RecordRead(at(103))
 	hear("c", 2, 0, 104)
-	if got := h.Until(at(104)); !got.Equal(at(103)) {
+	if got := h.KnownUntil(at(104)); !got.Equal(at(103)) {
 		t.Errorf("horizon %v after a read, want 103 s", got.Sub(start))
 	}
 }
 
 // TestAbsurdWords: numbers that nobody can mean change nothing.
-func TestAbsurdWords(t *testing.T) {
+func TestImpossibleNumbersAreIgnored(t *testing.T) {
 	h := New([]string{"b"}, 30*time.Second, 10*time.Second)
 	now := time.Unix(1000, 0)
-	h.Read(now)
-	h.Met("b", 1, now)
-	if h.Confirm("job-000001") != 1 || h.Confirm("job-000001") != 0 || h.Confirm("job-000002") != 2 {
+	h.RecordRead(now)
+	h.RecordIncarnation("b", 1, now)
+	if h.RecordCancellation("job-000001") != 1 || h.RecordCancellation("job-000001") != 0 || h.RecordCancellation("job-000002") != 2 {
 		t.Fatal("confirmations are not numbered once each from 1 on")
 	}
-	h.Take("b", 0, 1<<40)
-	h.Take("b", 1<<63, 3)
-	h.Has("b", 1<<63)
-	h.Has("nobody", 1)
-	h.Heard("nobody", 0, now.Add(time.Hour))
-	if h.Got("b") != 0 {
-		t.Errorf("took %d withdrawals in from no number and after a gap", h.Got("b"))
+	h.RecordReceived("b", 0, 1<<40)
+	h.RecordReceived("b", 1<<63, 3)
+	h.RecordAcknowledgedBy("b", 1<<63)
+	h.RecordAcknowledgedBy("nobody", 1)
+	h.RecordConfirmedBy("nobody", 0, now.Add(time.Hour))
+	if h.ReceivedFrom("b") != 0 {
+		t.Errorf("took %d withdrawals in from no number and after a gap", h.ReceivedFrom("b"))
 	}
-	if from, uids := h.Lacking("b", now, 500); from != 1 || len(uids) != 2 {
+	if from, uids := h.TakeUnacknowledged("b", now, 500); from != 1 || len(uids) != 2 {
 		t.Errorf("tells %v from %d, the peer has nothing", uids, from)
 	}
-	h.Has("b", 1)
-	if from, uids := h.Lacking("b", now.Add(time.Minute), 500); from != 2 || len(uids) != 1 || uids[0] != "job-000002" {
+	h.RecordAcknowledgedBy("b", 1)
+	if from, uids := h.TakeUnacknowledged("b", now.Add(time.Minute), 500); from != 2 || len(uids) != 1 || uids[0] != "job-000002" {
 		t.Errorf("tells %v from %d, want the second", uids, from)
 	}
 }
--- a/internal/controller/admit.go
+++ b/internal/controller/admit.go
@@ -289,7 +289,7 @@
 // plannedMachine describes a machine for a plan, if the plan may count on it.
 func (n *Node) plannedMachine(m *autoscaler.Machine, known *machine, now time.Time) (planned admission.Machine, ok bool) {
 	cpus, _, memory, ok := n.capacity(m.Type)
-	if !ok || m.SpotNotice || m.Faulty || n.drainingMachines[m.Name] || now.Sub(known.lastHeard()) > n.vainFor() {
+	if !ok || m.SpotNotice || m.Faulty || n.drainingMachines[m.Name] || now.Sub(known.lastHeard()) > n.redirectTimeout() {
 		return planned, false
 	}
 	left := 0.0
--- a/internal/controller/barrierprobe.go
+++ b/internal/controller/barrierprobe.go
@@ -143,9 +143,9 @@
 		probes.unanswered[name] = true
 		return
 	}
-	n.hearAnswer(report, time.Now())
-	n.noteView(name)
-	n.tellViews()
+	n.applyResponse(report, time.Now())
+	n.publishStatus(name)
+	n.sendChangedStatuses()
 }
 
 // unanswered lists the machines homed here that did not answer a probe and were not heard
--- a/internal/controller/barrierprobe_test.go
+++ b/internal/controller/barrierprobe_test.go
@@ -93,7 +93,7 @@
 	if len(seq) < 2 || len(check.Rules()) > 0 || check.Started > 0 {
 		t.Errorf("%d machines heard, rules %v, %d starts", len(seq), check.Rules(), check.Started)
 	}
-	n.hear(&protocol.Heartbeat{Machine: "n-000099", Incarnation: 1, Seq: 1, FencingToken: 5, Tasks: []protocol.TaskStatus{}}, time.Now())
+	n.applyHeartbeat(&protocol.Heartbeat{Machine: "n-000099", Incarnation: 1, Seq: 1, FencingToken: 5, Tasks: []protocol.TaskStatus{}}, time.Now())
 	if got := n.unanswered(); slices.Contains(got, "n-000099") {
 		t.Errorf("mute though it reported since: %v", got)
 	}
--- a/internal/controller/capacity_bench_test.go
+++ b/internal/controller/capacity_bench_test.go
@@ -65,8 +65,8 @@
 				if err := protocol.Decode(protocol.Encode(&r), &got); err != nil {
 					b.Fatal(err)
 				}
-				h.Heard(&got, time.Unix(0, 0))
-				peer.Line("views", []*jobstate.MachineStatus{h.View(r.Machine)})
+				h.ApplyHeartbeat(&got, time.Unix(0, 0))
+				peer.Line("views", []*jobstate.MachineStatus{h.Status(r.Machine)})
 			})
 		})
 	}
@@ -94,7 +94,7 @@
 				}
 				view.Seq++
 				views[0].Seq = view.Seq
-				g.n.see(views[0], g.now)
+				g.n.applyStatus(views[0], g.now)
 			})
 		})
 	}
@@ -118,7 +118,7 @@
 			processorTime(b, func() {
 				view.Seq++
 				next := view
-				g.n.see(&next, g.now)
+				g.n.applyStatus(&next, g.now)
 			})
 		})
 	}
@@ -223,7 +223,7 @@
 	for _, homed := range []int{326, 1000, 2500, 5000} {
 		g := newGrown(homed, 3)
 		for _, name := range g.names {
-			g.n.agents.Heard(&protocol.Heartbeat{Machine: name, Addr: "127.0.0.1:9000", Type: "m32", Zone: "east", Incarnation: 1, Seq: 1, FencingToken: 1}, g.now)
+			g.n.agents.ApplyHeartbeat(&protocol.Heartbeat{Machine: name, Addr: "127.0.0.1:9000", Type: "m32", Zone: "east", Incarnation: 1, Seq: 1, FencingToken: 1}, g.now)
 		}
 		g.n.mu.Lock()
 		s := g.n.status(g.now)
--- a/internal/controller/control.go
+++ b/internal/controller/control.go
@@ -117,7 +117,7 @@
 			if entries, revision, err = n.kvStore.List(ctx, userapi.Watched); err == nil {
 				n.mu.Lock()
 				if listed = n.applyFullList(entries, revision); listed {
-					n.knows(began)
+					n.recordFullRead(began)
 				}
 				n.mu.Unlock()
 				if !listed {
@@ -135,7 +135,7 @@
 			cancel()
 			if err == nil {
 				n.mu.Lock()
-				n.caughtUp(ch, began)
+				n.applyChanges(ch, began)
 				n.mu.Unlock()
 				n.wake()
 			}
@@ -234,7 +234,7 @@
 			}
 		}
 	case strings.HasPrefix(key, machineKey):
-		n.learnRoster(key, e.Value, e.Version)
+		n.applyRosterList(key, e.Value, e.Version)
 	case strings.HasPrefix(key, teamstore.Prefix):
 		n.learnConfig(e)
 	}
@@ -286,7 +286,7 @@
 		n.agents.SetTerm(r.Term, func(m string) bool { return r.Home(m) == n.name })
 		defer func() { // once the items are those of this record
 			for _, name := range slices.Sorted(maps.Keys(n.agents.All())) {
-				n.noteView(name)
+				n.publishStatus(name)
 			}
 		}()
 		for name, d := range n.commandSenders {
--- a/internal/controller/fleetview.go
+++ b/internal/controller/fleetview.go
@@ -54,7 +54,7 @@
 		Heard:      m.lastHeard(),
 		Idle:       m.idleSince,
 		Registered: n.roster.Has(name),
-		Faulty:     n.quarantine.Bad(name, now),
+		Faulty:     n.quarantine.IsMachineBad(name, now),
 	}}
 	if m.status == nil {
 		return observed
@@ -218,7 +218,7 @@
 		if machines[i].Spot {
 			s.spot++
 		}
-		if now.Sub(m.heardAt) > n.vainFor() {
+		if now.Sub(m.heardAt) > n.redirectTimeout() {
 			s.silent++
 		}
 		cpus, _, _, _ := n.capacity(m.status.Type)
--- a/internal/controller/grown_test.go
+++ b/internal/controller/grown_test.go
@@ -65,16 +65,16 @@
 	n.group, n.ctx = &errgroup.Group{}, ended
 	n.lease.Renewed(g.now)
 	n.cancelWatermark = cancelwatermark.New([]string{"node-b", "node-c"}, settings.Seconds(s.Deployment.Workers.Cancel), settings.Seconds(s.Deployment.Workers.Lease))
-	n.cancelWatermark.Read(g.now)
+	n.cancelWatermark.RecordRead(g.now)
 	for i := range machines {
 		g.names = append(g.names, fmt.Sprintf("n-%06d", i))
 	}
 	for i := 0; i < machines; i += 200 {
-		n.roster.Learn(fmt.Sprint(i), 1, agents.RosterValue{Names: g.names[i:min(i+200, machines)]})
+		n.roster.ApplyList(fmt.Sprint(i), 1, agents.RosterValue{Names: g.names[i:min(i+200, machines)]})
 	}
 	for i, name := range g.names {
 		g.views[name] = &jobstate.MachineStatus{Machine: name, Type: "m32", Zone: s.Deployment.Zones[i%2], Spot: i%4 > 0, Incarnation: 1, Seq: 1, FencingToken: 1, Term: 1}
-		n.see(g.views[name], g.now)
+		n.applyStatus(g.views[name], g.now)
 	}
 	return g
 }
@@ -97,7 +97,7 @@
 	v.Tasks = append([]jobstate.TaskStatus(nil), old.Tasks...)
 	change(&v)
 	g.views[name] = &v
-	g.n.see(&v, g.now)
+	g.n.applyStatus(&v, g.now)
 }
 
 // second plays one second: tasks placed are listed as running, those that ran
--- a/internal/controller/home.go
+++ b/internal/controller/home.go
@@ -17,7 +17,7 @@
 	signal chan struct{}
 }
 
-const doTimeout = 3 * time.Second
+const commandTimeout = 3 * time.Second
 
 // machine finds or makes what is known of a machine.
 func (n *Node) machine(name string) *machine {
@@ -37,7 +37,7 @@
 	}
 	if m.status != nil {
 		n.placeable = slices.DeleteFunc(n.placeable, func(x *machine) bool { return x == m })
-		n.index(m.status, false)
+		n.indexTasks(m.status, false)
 	}
 	*m = machine{gone: true, heardAt: time.Now()}
 	n.quarantine.ForgetMachine(name)
@@ -56,7 +56,7 @@
 }
 
 // report answers a worker.
-func (n *Node) report(body []byte) httpx.Answer {
+func (n *Node) handleHeartbeat(body []byte) httpx.Answer {
 	var r protocol.Heartbeat
 	if err := protocol.Decode(body, &r); err != nil {
 		return httpx.Refuse(400, "body is not a report")
@@ -66,47 +66,47 @@
 	}
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return n.answerReport(&r, time.Now())
+	return n.answerHeartbeat(&r, time.Now())
 }
 
 // answerReport answers a worker's report that came at a time.
-func (n *Node) answerReport(r *protocol.Heartbeat, now time.Time) httpx.Answer {
+func (n *Node) answerHeartbeat(r *protocol.Heartbeat, now time.Time) httpx.Answer {
 	n.observeFencingToken(r.FencingToken)
 	if !n.entitled(now) {
-		return n.elsewhere(r, now)
+		return n.answerUnentitled(r, now)
 	}
 	if r.FencingToken > n.record.Term {
 		n.hint()
-		return busy()
+		return notEntitledAnswer()
 	}
 	if home := n.homeOf(r.Machine); home != n.name {
 		n.machine(r.Machine).misdirectedAt = now
 		n.misdirectedAgents[r.Machine] = true
-		if n.strayed(home, r.Machine, now) {
-			if stops, ok := n.renewal(r, now); ok {
-				return n.alive(stops)
+		if n.keepAliveForHome(home, r.Machine, now) {
+			if stops, ok := n.leaseGrant(r, now); ok {
+				return n.keepAliveAnswer(stops)
 			}
-			return busy()
+			return notEntitledAnswer()
 		}
 		return httpx.Answer{Status: 421, Body: protocol.Encode(protocol.Redirect{Controller: home})}
 	}
 	if m := n.machine(r.Machine); m.gone {
-		return busy()
+		return notEntitledAnswer()
 	}
 	n.logFirst("first report answered", now)
-	n.hear(r, now)
-	stops, ok := n.renewal(r, now)
+	n.applyHeartbeat(r, now)
+	stops, ok := n.leaseGrant(r, now)
 	if !ok {
-		n.tellViews()
-		return busy()
+		n.sendChangedStatuses()
+		return notEntitledAnswer()
 	}
 	answer := protocol.HeartbeatAnswer{FencingToken: n.record.Term, Commands: stops}
-	if m := n.agents.Get(r.Machine); m.Report.Seq == r.Seq && m.Report.Incarnation == r.Incarnation {
-		n.readyToSend(m, now)
-		answer.Commands = append(answer.Commands, m.Answer()...)
-		n.noteView(r.Machine)
+	if m := n.agents.Get(r.Machine); m.Heartbeat.Seq == r.Seq && m.Heartbeat.Incarnation == r.Incarnation {
+		n.prepareCommands(m, now)
+		answer.Commands = append(answer.Commands, m.TakeForAnswer()...)
+		n.publishStatus(r.Machine)
 	}
-	n.tellViews()
+	n.sendChangedStatuses()
 	return httpx.Answer{Status: 200, Body: protocol.Encode(answer)}
 }
 
@@ -114,7 +114,7 @@
 // the machine is to be kept alive here, by an answer without commands, because its
 // home does not answer it: sent there again and again it would wait for answers
 // until its lease ends.
-func (n *Node) strayed(home, name string, now time.Time) (keep bool) {
+func (n *Node) keepAliveForHome(home, name string, now time.Time) (keep bool) {
 	p, m := n.peers[home], n.machine(name)
 	if p == nil {
 		return false
@@ -130,10 +130,10 @@
 	}
 	heard := later(m.homeHeardAt, n.membershipSettledAt)
 	v := n.unreachableHomes[home][name]
-	again := !v.first.Before(heard) && now.Sub(v.last) <= n.vainFor()
+	again := !v.first.Before(heard) && now.Sub(v.last) <= n.redirectTimeout()
 	if !again {
 		v = misdirection{first: now}
-		keep = !m.homeHeardAt.IsZero() && now.Sub(heard) > n.overdue() && now.Sub(m.keptAliveAt) > n.vainFor()
+		keep = !m.homeHeardAt.IsZero() && now.Sub(heard) > n.heartbeatOverdue() && now.Sub(m.keptAliveAt) > n.redirectTimeout()
 	} else {
 		keep = now.Sub(v.sent) < settings.Seconds(n.settings.Deployment.Workers.Lease)
 	}
@@ -153,23 +153,23 @@
 }
 
 // overdue is after what time a machine's report is missing at its home.
-func (n *Node) overdue() time.Duration {
+func (n *Node) heartbeatOverdue() time.Duration {
 	return settings.Seconds(n.settings.Deployment.Workers.Report)*5/4 + time.Second
 }
 
 // vainFor is how long a machine may take from one report here to the next, with a
 // try of its home between them.
-func (n *Node) vainFor() time.Duration { return n.overdue() + answerTime }
+func (n *Node) redirectTimeout() time.Duration { return n.heartbeatOverdue() + answerTime }
 
 // unheard names a member that machines lately tried in vain to reach, or "". A
 // tenth of its machines must have, so that one with a broken path moves nobody.
-func (n *Node) unheard(now time.Time) string {
+func (n *Node) unreachableMember(now time.Time) string {
 	for _, home := range slices.Sorted(maps.Keys(n.unreachableHomes)) {
 		tried := 0
 		for name, v := range n.unreachableHomes[home] {
-			if now.Sub(v.last) > n.vainFor() || n.homeOf(name) != home || v.first.Before(later(n.machine(name).homeHeardAt, n.membershipSettledAt)) {
+			if now.Sub(v.last) > n.redirectTimeout() || n.homeOf(name) != home || v.first.Before(later(n.machine(name).homeHeardAt, n.membershipSettledAt)) {
 				delete(n.unreachableHomes[home], name)
-			} else if v.last.Sub(v.first) > n.overdue()/2 {
+			} else if v.last.Sub(v.first) > n.heartbeatOverdue()/2 {
 				tried++
 			}
 		}
@@ -191,7 +191,7 @@
 
 // probe asks a worker for its report while this controller is taken for
 // unreachable, to come back when it is not.
-func (n *Node) probe(ctx context.Context) error {
+func (n *Node) probeOwnReachability(ctx context.Context) error {
 	good := 0
 	for pause(ctx, time.Second) {
 		n.mu.Lock()
@@ -232,7 +232,7 @@
 	return b
 }
 
-func busy() httpx.Answer {
+func notEntitledAnswer() httpx.Answer {
 	a := httpx.Refuse(503, "not entitled now")
 	a.Retry = 1
 	return a
@@ -240,30 +240,30 @@
 
 // alive is an answer that renews a worker's lease and commands no more than to stop what is
 // over for good.
-func (n *Node) alive(stops []protocol.Command) httpx.Answer {
+func (n *Node) keepAliveAnswer(stops []protocol.Command) httpx.Answer {
 	return httpx.Answer{Status: 200, Body: protocol.Encode(protocol.HeartbeatAnswer{FencingToken: n.record.Term, Commands: stops})}
 }
 
 // elsewhere answers a worker while this controller may not act: it sends it to
 // one that is entitled, if such is heard, and else keeps it alive for as long as
 // that can do no harm.
-func (n *Node) elsewhere(r *protocol.Heartbeat, now time.Time) httpx.Answer {
+func (n *Node) answerUnentitled(r *protocol.Heartbeat, now time.Time) httpx.Answer {
 	for _, name := range slices.Sorted(maps.Keys(n.peers)) {
 		if p := n.peers[name]; p.entitled && p.isHeard(now) {
 			return httpx.Answer{Status: 421, Body: protocol.Encode(protocol.Redirect{Controller: name})}
 		}
 	}
-	if n.sustains(r, now) {
-		return n.alive([]protocol.Command{}) // what it lists is all active
+	if n.mayKeepAlive(r, now) {
+		return n.keepAliveAnswer([]protocol.Command{}) // what it lists is all active
 	}
-	return busy()
+	return notEntitledAnswer()
 }
 
 // sustains says whether a machine may be kept alive without being entitled, as in
 // a zone that is cut off. Such an answer changes nothing that an owner relies on:
 // silence is no proof, and nothing is commanded, so every task that the machine lists must belong
 // to a job that is active as far as known here.
-func (n *Node) sustains(r *protocol.Heartbeat, now time.Time) bool {
+func (n *Node) mayKeepAlive(r *protocol.Heartbeat, now time.Time) bool {
 	if n.record == nil || r.FencingToken > n.record.Term || n.machine(r.Machine).gone {
 		return false
 	}
@@ -273,26 +273,26 @@
 			return false
 		}
 	}
-	_, ok := n.renewal(r, now)
+	_, ok := n.leaseGrant(r, now)
 	return ok
 }
 
 // hear takes in a report that a worker sent.
-func (n *Node) hear(r *protocol.Heartbeat, now time.Time) {
-	if newer, changed := n.agents.Heard(r, now); newer {
-		n.heard(r, changed, now)
+func (n *Node) applyHeartbeat(r *protocol.Heartbeat, now time.Time) {
+	if newer, changed := n.agents.ApplyHeartbeat(r, now); newer {
+		n.recordHeartbeat(r, changed, now)
 	}
 }
 
 // hearAnswer takes in the report in a worker's answer to a direct command.
-func (n *Node) hearAnswer(r *protocol.Heartbeat, now time.Time) {
-	if newer, changed := n.agents.HeardAnswer(r, now); newer {
-		n.heard(r, changed, now)
+func (n *Node) applyResponse(r *protocol.Heartbeat, now time.Time) {
+	if newer, changed := n.agents.ApplyResponse(r, now); newer {
+		n.recordHeartbeat(r, changed, now)
 	}
 }
 
 // heard books what a machine's newest report says.
-func (n *Node) heard(r *protocol.Heartbeat, changed bool, now time.Time) {
+func (n *Node) recordHeartbeat(r *protocol.Heartbeat, changed bool, now time.Time) {
 	x := n.machine(r.Machine)
 	x.heardAt, x.homeHeardAt, x.homeWatermark = now, now, now
 	if !n.roster.Has(r.Machine) {
@@ -300,12 +300,12 @@
 		n.checkUnregistered(r, x, now)
 	}
 	if changed || x.status == nil {
-		n.noteView(r.Machine)
+		n.publishStatus(r.Machine)
 	}
 }
 
 // index keeps which machines list tasks of a job.
-func (n *Node) index(v *jobstate.MachineStatus, listed bool) {
+func (n *Node) indexTasks(v *jobstate.MachineStatus, listed bool) {
 	for _, t := range v.Tasks {
 		on := n.machinesByJob[t.Job]
 		switch {
@@ -338,17 +338,17 @@
 
 // noteView takes a homed machine's view into this controller's own knowledge and
 // marks it to be told to the peers.
-func (n *Node) noteView(name string) {
-	v := n.agents.View(name)
+func (n *Node) publishStatus(name string) {
+	v := n.agents.Status(name)
 	if v == nil || n.machine(name).status == v {
 		return // nothing changed
 	}
 	n.changedMachines[name] = true
-	n.see(v, time.Now())
+	n.applyStatus(v, time.Now())
 }
 
 // see takes in a view, of a machine here or told by a peer.
-func (n *Node) see(v *jobstate.MachineStatus, now time.Time) {
+func (n *Node) applyStatus(v *jobstate.MachineStatus, now time.Time) {
 	m := n.machine(v.Machine)
 	if m.gone || (m.status != nil && !v.Newer(m.status)) {
 		return
@@ -356,9 +356,9 @@
 	if m.status == nil {
 		n.placeable = append(n.placeable, m)
 	} else {
-		n.index(m.status, false)
+		n.indexTasks(m.status, false)
 	}
-	n.index(v, true)
+	n.indexTasks(v, true)
 	m.status, m.counted = v, false
 	m.heardAt = now
 	busy := false
@@ -393,7 +393,7 @@
 		if t.State != protocol.Exited {
 			busy = true
 		} else {
-			n.judge(t, v.Machine, now)
+			n.recordOutcome(t, v.Machine, now)
 		}
 		if j != nil {
 			m.images[j.spec.Image] = true
@@ -406,7 +406,7 @@
 		m.idleSince = now
 	}
 	teams := n.teamsOn(v)
-	unknown := n.oldestUnknown(v)
+	unknown := n.oldestUnknownTerm(v)
 	for _, name := range slices.Sorted(maps.Keys(n.shards)) {
 		it := n.shards[name]
 		if it.phase == shardReady {
@@ -417,7 +417,7 @@
 			n.settleAwaited(it, v)
 		}
 	}
-	n.endStrays(v)
+	n.stopOrphanedTasks(v)
 	n.wake()
 }
 
@@ -433,15 +433,15 @@
 
 // judge takes in a task's end as a machine lists it. Every controller sees every
 // view, so that whoever takes a team over knows its faulty jobs.
-func (n *Node) judge(t jobstate.TaskStatus, machine string, now time.Time) {
+func (n *Node) recordOutcome(t jobstate.TaskStatus, machine string, now time.Time) {
 	j := n.jobs[t.Job]
 	if j == nil || !j.active || (t.Why != protocol.WhyError && t.Why != protocol.WhyDone) {
 		return
 	}
 	faulty := t.Why == protocol.WhyError
-	if faulty && n.quarantine.Failed(t.Job, machine, now) {
+	if faulty && n.quarantine.RecordFailure(t.Job, machine, now) {
 		n.log.Info("job held to be faulty: it failed on several machines and succeeded on none", "job", t.Job, "team", j.spec.Team, "last", machine)
-	} else if !faulty && n.quarantine.Done(t.Job, machine) {
+	} else if !faulty && n.quarantine.RecordSuccess(t.Job, machine) {
 		n.log.Info("job no longer held to be faulty", "job", t.Job, "team", j.spec.Team)
 	} else {
 		return
@@ -453,7 +453,7 @@
 
 // endStrays lets the home end what machines list of jobs that are over: that is
 // true for good, whoever owns the team.
-func (n *Node) endStrays(v *jobstate.MachineStatus) {
+func (n *Node) stopOrphanedTasks(v *jobstate.MachineStatus) {
 	if n.agents.Get(v.Machine) == nil || n.record == nil || n.homeOf(v.Machine) != n.name {
 		return
 	}
@@ -464,7 +464,7 @@
 			continue
 		}
 		if j == nil {
-			n.lookUp(t.Job, t.Attempt)
+			n.lookUpEnd(t.Job, t.Attempt)
 			continue
 		}
 		o := jobstate.Order{Op: protocol.Stop, TaskID: t.TaskID, Attempt: t.Attempt, Incarnation: v.Incarnation}
@@ -473,25 +473,25 @@
 		}
 		orders = append(orders, o)
 	}
-	if len(orders) > 0 && n.agents.Take(n.record.Term, v.Machine, orders) {
-		n.stir(v.Machine)
+	if len(orders) > 0 && n.agents.QueueOrders(n.record.Term, v.Machine, orders) {
+		n.wakeCommandSender(v.Machine)
 	}
 }
 
 // tellViews sends the views that changed to all peers.
-func (n *Node) tellViews() {
+func (n *Node) sendChangedStatuses() {
 	if len(n.changedMachines) == 0 {
 		return
 	}
 	var views []*jobstate.MachineStatus
 	tasks := 0
 	for _, name := range slices.Sorted(maps.Keys(n.changedMachines)) {
-		v := n.agents.View(name)
+		v := n.agents.Status(name)
 		if v == nil {
 			continue
 		}
 		views = append(views, v)
-		if tasks += 1 + len(v.Tasks); tasks >= viewsPerLine {
+		if tasks += 1 + len(v.Tasks); tasks >= maxStatusesPerMessage {
 			n.tellAll("views", views)
 			views, tasks = nil, 0
 		}
@@ -504,16 +504,16 @@
 
 // viewsPerLine bounds the machines and tasks that one line tells of: about 300 KB. A link refuses lines of more than 4 MiB, which
 // all homed machines of a large fleet took when a peer came back: the link was dropped and sent the same line again.
-const viewsPerLine = 4000
+const maxStatusesPerMessage = 4000
 
 // stir wakes the machine's doer, making one if need be.
-func (n *Node) stir(name string) {
+func (n *Node) wakeCommandSender(name string) {
 	d := n.commandSenders[name]
 	if d == nil {
 		d = &commandSender{signal: make(chan struct{}, 1)}
 		n.commandSenders[name] = d
 		n.group.Go(func() error {
-			n.carry(n.ctx, name, d)
+			n.sendCommands(n.ctx, name, d)
 			return nil
 		})
 	}
@@ -524,7 +524,7 @@
 }
 
 // carry sends a machine's urgent commands by /do, one request at a time.
-func (n *Node) carry(ctx context.Context, name string, d *commandSender) {
+func (n *Node) sendCommands(ctx context.Context, name string, d *commandSender) {
 	var link *httpx.Link
 	defer func() {
 		if link != nil {
@@ -540,26 +540,26 @@
 				return
 			}
 		}
-		for n.carryOnce(ctx, name, &link) {
+		for n.sendCommandsOnce(ctx, name, &link) {
 		}
 	}
 }
 
 // carryOnce sends what is urgent; it says whether to look again at once.
-func (n *Node) carryOnce(ctx context.Context, name string, link **httpx.Link) bool {
+func (n *Node) sendCommandsOnce(ctx context.Context, name string, link **httpx.Link) bool {
 	n.mu.Lock()
 	m := n.agents.Get(name)
 	now := time.Now()
 	if m != nil {
-		n.readyToSend(m, now)
+		n.prepareCommands(m, now)
 	}
-	if m == nil || !m.Urgent() || !n.entitled(now) || m.Starts() && !n.cancelWatermark.Renews(now, time.Time{}) {
+	if m == nil || !m.ShouldSend() || !n.entitled(now) || m.HasQueuedStart() && !n.cancelWatermark.MayRenew(now, time.Time{}) {
 		n.mu.Unlock()
 		return false
 	}
-	cmds := m.Send()
-	body := protocol.Encode(protocol.DirectCommands{FencingToken: n.record.Term, Incarnation: m.Report.Incarnation, Commands: cmds})
-	addr := m.Report.Addr
+	cmds := m.TakeForRequest()
+	body := protocol.Encode(protocol.DirectCommands{FencingToken: n.record.Term, Incarnation: m.Heartbeat.Incarnation, Commands: cmds})
+	addr := m.Heartbeat.Addr
 	n.mu.Unlock()
 	if *link == nil || (*link).Addr() != addr {
 		if *link != nil {
@@ -567,20 +567,20 @@
 		}
 		*link = httpx.NewLink(addr, 1<<20)
 	}
-	resp, left, err := (*link).Do(ctx, "POST", protocol.PathDo, body, doTimeout)
+	resp, left, err := (*link).Do(ctx, "POST", protocol.PathDo, body, commandTimeout)
 	now = time.Now()
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	var r protocol.Heartbeat
 	answered := err == nil && (resp.Status == 200 || resp.Status == 409) && protocol.Decode(resp.Body, &r) == nil && r.Machine == name
 	if answered && n.agents.Get(name) == m {
-		n.hearAnswer(&r, now)
+		n.applyResponse(&r, now)
 	}
 	if !answered {
 		n.log.Info("commands not answered", "machine", name, "commands", len(cmds), "err", err)
 	}
-	m.Sent(cmds, answered, left && (err != nil || resp.Status == 200))
-	n.noteView(name)
-	n.tellViews()
+	m.FinishRequest(cmds, answered, left && (err != nil || resp.Status == 200))
+	n.publishStatus(name)
+	n.sendChangedStatuses()
 	return answered
 }
--- a/internal/controller/hosts.go
+++ b/internal/controller/hosts.go
@@ -64,7 +64,7 @@
 		if m.gone || v.Term != n.record.Term || !n.count(m) || least != nil && !least.Fits(&m.host) {
 			continue
 		}
-		if v.Notice || n.runsUndescribedJob(v) || now.Sub(m.heardAt) > fresh || away[n.homeFor(m, v.Machine)] || n.quarantine.Bad(v.Machine, now) || n.slow(m, now) {
+		if v.Notice || n.runsUndescribedJob(v) || now.Sub(m.heardAt) > fresh || away[n.homeFor(m, v.Machine)] || n.quarantine.IsMachineBad(v.Machine, now) || n.slow(m, now) {
 			continue
 		}
 		if !drain[v.Machine] && n.roster.Has(v.Machine) {
--- a/internal/controller/inflight_test.go
+++ b/internal/controller/inflight_test.go
@@ -28,7 +28,7 @@
 func (o *ordering) report(at time.Time) (status int, commands []protocol.Command) {
 	o.seq++
 	r := protocol.Heartbeat{Machine: o.name, Addr: "127.0.0.1:1", Type: "m32", Zone: "east", Incarnation: 1, Seq: o.seq, FencingToken: 1, Tasks: []protocol.TaskStatus{}}
-	a := o.n.answerReport(&r, at)
+	a := o.n.answerHeartbeat(&r, at)
 	var answer protocol.HeartbeatAnswer
 	if err := protocol.Decode(a.Body, &answer); err != nil && a.Status == 200 {
 		panic(err)
@@ -37,7 +37,7 @@
 }
 
 func (o *ordering) order(op string) {
-	o.n.agents.Take(1, o.name, []jobstate.Order{{Op: op, TaskID: jobstate.TaskID{Job: "job-000001"}, Attempt: 1, Incarnation: 1, CPUs: 1, Memory: 1}})
+	o.n.agents.QueueOrders(1, o.name, []jobstate.Order{{Op: op, TaskID: jobstate.TaskID{Job: "job-000001"}, Attempt: 1, Incarnation: 1, CPUs: 1, Memory: 1}})
 }
 
 // TestNoStartOfWhatIsOver: an owner that the state service refuses may order starts of a job that its machine's home
@@ -54,10 +54,10 @@
 		t.Errorf("the answer commands %+v", commands)
 	}
 	o.order(protocol.Start)
-	if n.agents.Get(o.name).Starts() {
+	if n.agents.Get(o.name).HasQueuedStart() {
 		t.Error("it is queued again")
 	}
-	if v := n.agents.View(o.name); len(v.Barred) != 1 {
+	if v := n.agents.Status(o.name); len(v.Barred) != 1 {
 		t.Errorf("its owner is not told that it was never sent: %+v", v)
 	}
 }
@@ -73,12 +73,12 @@
 	o.report(o.now)
 	o.order(protocol.Start)
 	m := n.agents.Get(o.name)
-	n.readyToSend(m, o.now)
-	m.Sent(m.Send(), false, true)
+	n.prepareCommands(m, o.now)
+	m.FinishRequest(m.TakeForRequest(), false, true)
 	renews := func(after time.Duration) bool {
 		at := o.now.Add(after)
 		n.lease.Renewed(at)
-		n.cancelWatermark.Read(at) // nothing else bounds it
+		n.cancelWatermark.RecordRead(at) // nothing else bounds it
 		status, _ := o.report(at)
 		return status == 200
 	}
@@ -121,7 +121,7 @@
 	name := g.names[0]
 	said := func(from string, inFlight map[string]int64) time.Duration {
 		s := statusMsg{Alive: map[string]int64{name: 2000}, InFlight: inFlight, Heard: map[string]echo{n.name: {Incarnation: n.incarnation, At: 50000}}}
-		n.onHomeWord(from, &s, g.now)
+		n.onHomeWatermarks(from, &s, g.now)
 		return g.now.Sub(n.machine(name).homeWatermark)
 	}
 	if got := said("node-b", nil); got != 12*time.Second {
@@ -143,7 +143,7 @@
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	o.report(o.now)
-	n.agents.Take(1, o.name, []jobstate.Order{{Op: protocol.Start, TaskID: jobstate.TaskID{Job: "job-000950"}, Attempt: 1, Incarnation: 1, CPUs: 1, Memory: 1}})
+	n.agents.QueueOrders(1, o.name, []jobstate.Order{{Op: protocol.Start, TaskID: jobstate.TaskID{Job: "job-000950"}, Attempt: 1, Incarnation: 1, CPUs: 1, Memory: 1}})
 	if _, commands := o.report(o.now); len(commands) != 1 {
 		t.Fatalf("the start does not go out: %+v", commands)
 	}
@@ -151,13 +151,13 @@
 		o.seq++
 		r := protocol.Heartbeat{Machine: o.name, Addr: "127.0.0.1:1", Type: "m32", Zone: "east", Incarnation: 1, Seq: o.seq, FencingToken: 1,
 			Tasks: []protocol.TaskStatus{{Task: "job-000950/0", Attempt: 1, State: protocol.Running}}}
-		_, ok := n.renewal(&r, at)
+		_, ok := n.leaseGrant(&r, at)
 		return ok
 	}
 	if !renews(o.now.Add(time.Second)) {
 		t.Error("a task that its owner ordered is not kept alive before anything was read")
 	}
-	n.cancelWatermark.Read(o.now.Add(2 * time.Second))
+	n.cancelWatermark.RecordRead(o.now.Add(2 * time.Second))
 	if renews(o.now.Add(3 * time.Second)) {
 		t.Error("a task of a job that is not active is kept alive on an old order")
 	}
--- a/internal/controller/meeting_test.go
+++ b/internal/controller/meeting_test.go
@@ -451,9 +451,9 @@
 		n.mu.Lock()
 		r := protocol.Heartbeat{Machine: "n-000900", Addr: addr, Type: "m32", Zone: "east", Incarnation: 1, Seq: seq + 1, FencingToken: 1,
 			Tasks: []protocol.TaskStatus{{Task: "job-000001/0", Attempt: 1, State: protocol.Running}}}
-		n.hear(&r, at)
+		n.applyHeartbeat(&r, at)
 		at = at.Add(settings.Seconds(n.settings.Deployment.Workers.Report))
-		n.cancelWatermark.Read(at)
+		n.cancelWatermark.RecordRead(at)
 		n.mu.Unlock()
 		_ = n.group.Wait() // what is asked of the machine
 	}
@@ -487,7 +487,7 @@
 			r.Tasks = append(r.Tasks, protocol.TaskStatus{Task: task, Attempt: 1, State: state, Why: protocol.WhyDone})
 		}
 		n.lease.Renewed(at)
-		a := n.answerReport(&r, at)
+		a := n.answerHeartbeat(&r, at)
 		var answer protocol.HeartbeatAnswer
 		if err := protocol.Decode(a.Body, &answer); err != nil {
 			t.Fatal(err)
@@ -523,7 +523,7 @@
 	// An owner's order tells that the job is there before the watch does.
 	n.agents.SetTerm(1, func(string) bool { return true })
 	o := jobstate.Order{Op: protocol.Start, TaskID: jobstate.TaskID{Job: "job-000008"}, Attempt: 1, Incarnation: 1, CPUs: 1, Memory: 1}
-	n.agents.Take(1, g.names[0], []jobstate.Order{o})
+	n.agents.QueueOrders(1, g.names[0], []jobstate.Order{o})
 	if status, _ := ask(g.now.Add(time.Second), protocol.Running, "job-000008/0"); status != 200 {
 		t.Errorf("a task that its owner ordered here is answered by %d", status)
 	}
@@ -531,23 +531,23 @@
 	n.peers["node-b"] = &peerState{}
 	n.lease.Renewed(time.Now())
 	o.TaskID.Job = "job-000007"
-	n.agents.Take(1, g.names[0], []jobstate.Order{o})
-	if m := n.agents.Get(g.names[0]); !m.Starts() {
+	n.agents.QueueOrders(1, g.names[0], []jobstate.Order{o})
+	if m := n.agents.Get(g.names[0]); !m.HasQueuedStart() {
 		t.Fatal("no start waits")
 	}
 	n.mu.Unlock()
 	var link *httpx.Link
 	n.mu.Lock()
 	n.cancelWatermark = cancelwatermark.New([]string{"node-b"}, 0, 0)
-	n.cancelWatermark.Read(time.Now().Add(-time.Minute))
+	n.cancelWatermark.RecordRead(time.Now().Add(-time.Minute))
 	n.mu.Unlock()
-	if n.carryOnce(n.ctx, g.names[0], &link) || link != nil {
+	if n.sendCommandsOnce(n.ctx, g.names[0], &link) || link != nil {
 		t.Error("a start goes out that may land after what is known has run out")
 	}
 	n.mu.Lock()
-	n.cancelWatermark.Read(time.Now())
+	n.cancelWatermark.RecordRead(time.Now())
 	n.mu.Unlock()
-	if n.carryOnce(n.ctx, g.names[0], &link); link == nil {
+	if n.sendCommandsOnce(n.ctx, g.names[0], &link); link == nil {
 		t.Error("a start does not go out while what is known is current")
 	}
 }
--- a/internal/controller/node.go
+++ b/internal/controller/node.go
@@ -100,7 +100,7 @@
 	endLookups           map[string]bool
 	drainingMachines     map[string]bool
 	unreachableHomes     map[string]map[string]misdirection // homes that machines tried in vain
-	quarantine           *quarantine.Judge
+	quarantine           *quarantine.Tracker
 	latePlaces           []string                // places where machines come up late, as the fleet's owner sees it
 	lastStall            time.Duration           // how long this controller stood still last
 	startLatency         *hdrhistogram.Histogram // ms from submission to a task seen running
@@ -257,13 +257,13 @@
 		"tick":    n.work,
 		"status":  n.tell,
 		"save":    n.save,
-		"enrol":   n.enrol,
-		"sync":    n.keepSynced,
+		"enrol":   n.registerMachines,
+		"sync":    n.readChangesOnRequest,
 		"store":   n.watchStore,
 		"ends":    n.loadStoredEnds,
 		"census":  n.countMachines,
 		"catalog": n.readCatalog,
-		"probe":   n.probe,
+		"probe":   n.probeOwnReachability,
 		"fleet":   n.runFleet,
 	}
 	for name, duty := range duties {
@@ -351,7 +351,7 @@
 			return a
 		}
 		c.Pin()
-		return n.report(r.Body)
+		return n.handleHeartbeat(r.Body)
 	}
 	if r.Path == "/overview" {
 		if r.Method != "GET" {
@@ -401,7 +401,7 @@
 	j := n.jobs[uid]
 	likely := j != nil && j.active && j.version > 0
 	n.mu.Unlock()
-	if !likely || n.synced(ctx) != nil {
+	if !likely || n.waitForChanges(ctx) != nil {
 		return false
 	}
 	n.mu.Lock()
@@ -436,7 +436,7 @@
 // All that is followed is read up to now first.
 func (b *userBackend) Certain(ctx context.Context) bool {
 	n := (*Node)(b)
-	if n.synced(ctx) != nil {
+	if n.waitForChanges(ctx) != nil {
 		return false
 	}
 	b.mu.Lock()
@@ -467,7 +467,7 @@
 func (b *userBackend) Confirming(uid string, end userapi.Final) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	(*Node)(b).confirming(uid, end)
+	(*Node)(b).announceCancellation(uid, end)
 }
 
 func (b *userBackend) Accepted(s userapi.Stored, version uint64) {
--- a/internal/controller/orphan.go
+++ b/internal/controller/orphan.go
@@ -50,11 +50,11 @@
 }
 
 // sized says whether it is known what a job's tasks take.
-func sized(spec *protocol.Submission) bool { return spec.CPUs > 0 || spec.GPUs > 0 }
+func hasSize(spec *protocol.Submission) bool { return spec.CPUs > 0 || spec.GPUs > 0 }
 
 // oldestUnknown is the earliest term of the listed attempts whose jobs nobody here can describe; the greatest
 // number if there are none.
-func (n *Node) oldestUnknown(v *jobstate.MachineStatus) uint64 {
+func (n *Node) oldestUnknownTerm(v *jobstate.MachineStatus) uint64 {
 	oldest := uint64(math.MaxUint64)
 	for _, t := range v.Tasks {
 		if t.State != protocol.Exited && n.jobs[t.Job] == nil {
@@ -78,17 +78,17 @@
 
 const (
 	// lookUpAgain is after what time a job that was not found, or not with its size, is looked up again.
-	lookUpAgain = 10 * time.Second
+	lookUpRetryAfter = 10 * time.Second
 	// maxLookUps bounds the look-ups under way.
 	maxLookUps = 64
 )
 
 // lookUp learns what became of a job that a machine lists and that this controller can't describe.
-func (n *Node) lookUp(uid string, attempt uint64) {
-	if j := n.jobs[uid]; j != nil && (j.active || sized(j.spec)) {
+func (n *Node) lookUpEnd(uid string, attempt uint64) {
+	if j := n.jobs[uid]; j != nil && (j.active || hasSize(j.spec)) {
 		return
 	}
-	if n.endLookups[uid] || len(n.endLookups) >= maxLookUps || time.Since(n.recovery.unknown[uid]) < lookUpAgain {
+	if n.endLookups[uid] || len(n.endLookups) >= maxLookUps || time.Since(n.recovery.unknown[uid]) < lookUpRetryAfter {
 		return
 	}
 	n.endLookups[uid] = true
@@ -103,32 +103,32 @@
 		defer n.mu.Unlock()
 		delete(n.endLookups, uid)
 		if found {
-			n.learnEnd(uid, end)
+			n.applyLookedUpEnd(uid, end)
 		} else {
-			n.notFound(uid, attempt, absent)
+			n.recordEndNotFound(uid, attempt, absent)
 		}
 		return nil
 	})
 }
 
 // learnEnd takes in the end of a job that was looked up.
-func (n *Node) learnEnd(uid string, end userapi.Final) {
+func (n *Node) applyLookedUpEnd(uid string, end userapi.Final) {
 	spec := endedSpec(uid, end)
 	j := n.jobs[uid]
 	switch {
 	case j == nil:
 		n.jobs[uid] = &job{spec: spec, endedAt: time.Now()}
-	case !j.active && !sized(j.spec):
+	case !j.active && !hasSize(j.spec):
 		j.spec = spec
 	}
-	if !sized(spec) {
+	if !hasSize(spec) {
 		n.recovery.unknown[uid] = time.Now()
 	}
 	n.reobserveReserved(uid)
 }
 
 // notFound books that a job has no end in the state service; absent: it is surely not there as active either.
-func (n *Node) notFound(uid string, attempt uint64, absent bool) {
+func (n *Node) recordEndNotFound(uid string, attempt uint64, absent bool) {
 	if n.jobs[uid] != nil {
 		return
 	}
--- a/internal/controller/over_test.go
+++ b/internal/controller/over_test.go
@@ -51,7 +51,7 @@
 		}
 		r := protocol.Heartbeat{Machine: g.names[0], Addr: "127.0.0.1:1", Type: "m32", Zone: "east", Incarnation: 1, Seq: 10, FencingToken: 1,
 			Tasks: []protocol.TaskStatus{{Task: uid + "/0", Attempt: 1, State: protocol.Running}}}
-		if stops, ok := n.renewal(&r, g.now.Add(time.Second)); !ok || len(stops) != 1 {
+		if stops, ok := n.leaseGrant(&r, g.now.Add(time.Second)); !ok || len(stops) != 1 {
 			t.Errorf("%s: its machine is renewed %v with %d stops", what, ok, len(stops))
 		}
 		n.mu.Unlock()
--- a/internal/controller/overview.go
+++ b/internal/controller/overview.go
@@ -71,7 +71,7 @@
 		Items:    map[string]itemOverview{},
 		Machines: n.machinesOverview(now),
 		Waits:    n.waitsOverview(),
-		Told:     n.cancelWatermark.Told(),
+		Told:     n.cancelWatermark.Confirmed(),
 		Served:   n.admissionStatus(now),
 		Store:    n.storeStatus(),
 		Config:   n.configStatus(now),
@@ -85,7 +85,7 @@
 			o.Owners[name] = it.Owner
 		}
 	}
-	if until := n.cancelWatermark.Until(now); !until.IsZero() {
+	if until := n.cancelWatermark.KnownUntil(now); !until.IsZero() {
 		behind := now.Sub(until).Seconds()
 		o.Behind = &behind
 	}
@@ -97,7 +97,7 @@
 			continue
 		}
 		o.Jobs++
-		if n.quarantine.Faulty(uid) {
+		if n.quarantine.IsJobFaulty(uid) {
 			o.Faulty++
 		}
 	}
@@ -122,7 +122,7 @@
 // machinesOverview counts machines by state.
 func (n *Node) machinesOverview(now time.Time) machinesOverview {
 	x := machinesOverview{Homed: len(n.agents.All())}
-	silent := 2 * n.vainFor()
+	silent := 2 * n.redirectTimeout()
 	for _, m := range n.machines {
 		if m.gone || m.status == nil {
 			continue
--- a/internal/controller/owner.go
+++ b/internal/controller/owner.go
@@ -130,7 +130,7 @@
 		if !current || it.name == leadership.FleetShard {
 			return
 		}
-		err := n.synced(ctx)
+		err := n.waitForChanges(ctx)
 		if err == nil {
 			var pages []protocol.Entry
 			if pages, _, err = n.kvStore.List(ctx, pagesPath(it.name)); err == nil {
@@ -179,7 +179,7 @@
 func (n *Node) addJob(it *shard, j *job, done *bitset.BitSet) {
 	it.team.AddJob(j.spec, j.version, j.submittedAt, done)
 	it.team.SetGoals(j.spec.UID, n.goals(j))
-	it.team.SetFaulty(j.spec.UID, n.quarantine.Faulty(j.spec.UID))
+	it.team.SetFaulty(j.spec.UID, n.quarantine.IsJobFaulty(j.spec.UID))
 }
 
 // booked takes in the pages of finished tasks, after which they can be written.
@@ -265,7 +265,7 @@
 		n.order(v.Machine, orders)
 	}
 	for _, ref := range it.team.Unsized(v.Machine) {
-		n.lookUp(ref.Job, ref.Attempt)
+		n.lookUpEnd(ref.Job, ref.Attempt)
 	}
 }
 
@@ -289,10 +289,10 @@
 
 // take is the home's side of order.
 func (n *Node) take(name string, term uint64, orders []jobstate.Order) {
-	if n.agents.Take(term, name, orders) {
-		n.stir(name)
+	if n.agents.QueueOrders(term, name, orders) {
+		n.wakeCommandSender(name)
 	}
-	n.noteView(name)
+	n.publishStatus(name)
 }
 
 // needTerm says whether only a raised term can move something on.
@@ -398,7 +398,7 @@
 		}
 	}
 	n.countLate(now)
-	n.tellViews()
+	n.sendChangedStatuses()
 }
 
 // lookEvery is how often running tasks are looked over for those to be moved.
--- a/internal/controller/placing_test.go
+++ b/internal/controller/placing_test.go
@@ -42,9 +42,9 @@
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.agents.SetTerm(1, func(string) bool { return true })
-	n.roster.Learn("x", 1, agents.RosterValue{Names: []string{"n-1", "n-2"}})
+	n.roster.ApplyList("x", 1, agents.RosterValue{Names: []string{"n-1", "n-2"}})
 	for _, name := range []string{"n-1", "n-2"} {
-		n.hear(&protocol.Heartbeat{Machine: name, Addr: "127.0.0.1:1", Type: "m32", Zone: "east", Incarnation: 1, Seq: 1, FencingToken: 1, Tasks: []protocol.TaskStatus{}}, g.now)
+		n.applyHeartbeat(&protocol.Heartbeat{Machine: name, Addr: "127.0.0.1:1", Type: "m32", Zone: "east", Incarnation: 1, Seq: 1, FencingToken: 1, Tasks: []protocol.TaskStatus{}}, g.now)
 	}
 	if got := len(n.hosts(g.now, nil)); got != 2 {
 		t.Fatalf("%d of 2 machines take tasks", got)
--- a/internal/controller/provisioning.go
+++ b/internal/controller/provisioning.go
@@ -117,7 +117,7 @@
 		// Lists may be twice as old as their lag, and a report may be late.
 		Unlisted: settings.Seconds(2*deployment.Cloud.ListLag) + time.Second,
 		Hurry:    settings.Seconds(2*deployment.Workers.Report) + answerTime,
-		Overdue:  n.overdue() + time.Second,
+		Overdue:  n.heartbeatOverdue() + time.Second,
 		Silent:   min(lease+4*time.Second, cancel/2),
 		// What runs in a zone that is cut off is kept alive there for no longer than this.
 		Cut: cancel,
@@ -206,13 +206,13 @@
 	if n.removingGone {
 		return
 	}
-	writes := n.unstruck()
+	writes := n.planDeregistration()
 	if len(writes) == 0 {
 		return
 	}
 	n.removingGone = true
 	n.group.Go(func() error {
-		n.strike(n.ctx, writes)
+		n.deregisterMachines(n.ctx, writes)
 		return nil
 	})
 }
--- a/internal/controller/recovery_detect.go
+++ b/internal/controller/recovery_detect.go
@@ -384,7 +384,7 @@
 	}
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.caughtUp(ch, began)
+	n.applyChanges(ch, began)
 	for _, key := range failed {
 		if key == nodeKey+n.name {
 			if n.presences[n.name].Version == own {
@@ -448,7 +448,7 @@
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if n.applyFullList(entries, revision) {
-		n.knows(began)
+		n.recordFullRead(began)
 	}
 }
 
--- a/internal/controller/recovery_gather.go
+++ b/internal/controller/recovery_gather.go
@@ -176,7 +176,7 @@
 	for _, uid := range m.Active {
 		if n.jobs[uid] == nil && !n.ended(uid) {
 			// Accepted and not ended, as the sender knows: the store must have it, or its end.
-			n.lookUp(uid, 1<<52)
+			n.lookUpEnd(uid, 1<<52)
 		}
 	}
 	n.recovery.met[node] = true
@@ -241,7 +241,7 @@
 	now := time.Now()
 	n.recovery.holdID++
 	m.ID = n.recovery.holdID
-	n.number(&m)
+	n.numberCancellation(&m)
 	got := make(chan struct{}, 1)
 	n.recovery.holds[m.ID] = got
 	line := peer.Line(kindReplicateFact, m)
@@ -294,7 +294,7 @@
 		n.front.Learn(x.UID, x.Final)
 		n.applyRememberedEnd(x.UID)
 	}
-	n.cancelWatermark.Take(node, m.From, len(m.Ends))
+	n.cancelWatermark.RecordReceived(node, m.From, len(m.Ends))
 	if m.ID != 0 {
 		n.links.Send(node, kindFactReplicated, factReplicatedMsg{m.ID})
 	}
--- a/internal/controller/renewal.go
+++ b/internal/controller/renewal.go
@@ -16,21 +16,21 @@
 
 // renewal decides about the answer to a report: whether it may renew the machine's lease, and
 // what it must stop with it.
-func (n *Node) renewal(r *protocol.Heartbeat, now time.Time) (stops []protocol.Command, ok bool) {
+func (n *Node) leaseGrant(r *protocol.Heartbeat, now time.Time) (stops []protocol.Command, ok bool) {
 	home := n.agents.Get(r.Machine)
-	position := leasegrant.Position{
-		Home:     n.homeOf(r.Machine) == n.name && n.record.Nodes[n.name] == n.incarnation,
-		Leased:   n.lease.Valid(now) && n.entitled(now),
-		HomeWord: n.machine(r.Machine).homeWatermark,
+	position := leasegrant.Standing{
+		IsHome:        n.homeOf(r.Machine) == n.name && n.record.Nodes[n.name] == n.incarnation,
+		LeaseValid:    n.lease.Valid(now) && n.entitled(now),
+		HomeWatermark: n.machine(r.Machine).homeWatermark,
 	}
 	if home != nil {
-		position.InFlight = home.InFlight(n.over)
+		position.InFlightWatermark = home.InFlightWatermark(n.jobEnded)
 	}
 	grant := leasegrant.Decide(r, now, position, &leaseKnowledge{n, home})
 	if grant.Unknown != nil {
-		n.lookUp(grant.Unknown.Job, grant.Unknown.Attempt)
+		n.lookUpEnd(grant.Unknown.Job, grant.Unknown.Attempt)
 	}
-	return grant.Stops, grant.Renew
+	return grant.Stops, grant.Renewed
 }
 
 // leaseKnowledge is the controller as leasegrant sees it.
@@ -39,10 +39,10 @@
 	home *agents.Agent // as its home knows the machine; nil: it never reported here
 }
 
-func (k *leaseKnowledge) Job(uid string) leasegrant.JobState {
+func (k *leaseKnowledge) JobState(uid string) leasegrant.JobState {
 	switch {
-	case k.n.over(uid):
-		return leasegrant.Over
+	case k.n.jobEnded(uid):
+		return leasegrant.Ended
 	case k.n.jobs[uid] != nil:
 		return leasegrant.Active
 	}
@@ -51,57 +51,57 @@
 
 // Ordered trusts an owner's order until the state service was read after it: a job that is not known then is over,
 // since it was accepted before.
-func (k *leaseKnowledge) Ordered(attempt jobstate.AttemptRef) bool {
+func (k *leaseKnowledge) StartOrdered(attempt jobstate.AttemptRef) bool {
 	if k.home == nil {
 		return false
 	}
-	sent, ok := k.home.Ordered(attempt)
+	sent, ok := k.home.StartOrdered(attempt)
 	return ok && (sent.IsZero() || !k.n.cancelWatermark.LastRead().After(sent))
 }
 
-func (k *leaseKnowledge) Lost(attempt uint64) bool {
+func (k *leaseKnowledge) MayBeLost(attempt uint64) bool {
 	return k.n.epoch() > 1 && jobstate.TermOf(attempt) < k.n.record.FirstTerm
 }
 
-func (k *leaseKnowledge) Renews(now, since time.Time) bool {
-	return k.n.cancelWatermark.Renews(now, since)
+func (k *leaseKnowledge) MayRenew(now, since time.Time) bool {
+	return k.n.cancelWatermark.MayRenew(now, since)
 }
 
 // over says whether a job is known to be withdrawn or done.
-func (n *Node) over(uid string) bool {
+func (n *Node) jobEnded(uid string) bool {
 	j := n.jobs[uid]
 	return j != nil && !j.active || n.ended(uid)
 }
 
 // readyToSend prepares a home's commands for a machine: no start of a job that is over goes out, whose owner may not
 // know it yet, and what is known by now is noted with the others.
-func (n *Node) readyToSend(m *agents.Agent, now time.Time) {
-	m.DropStarts(n.over)
-	m.Now, m.Known = now, n.cancelWatermark.Until(now)
+func (n *Node) prepareCommands(m *agents.Agent, now time.Time) {
+	m.DropStarts(n.jobEnded)
+	m.SetWatermark(now, n.cancelWatermark.KnownUntil(now))
 }
 
 // confirming tells the peers of a withdrawal before a user is told of it for the first time here.
-func (n *Node) confirming(uid string, end userapi.Final) {
+func (n *Node) announceCancellation(uid string, end userapi.Final) {
 	m := replicateFactMsg{Ends: []jobEnd{{uid, end}}}
-	if n.number(&m); m.From == 0 {
+	if n.numberCancellation(&m); m.From == 0 {
 		return
 	}
 	n.tellAll(kindReplicateFact, m)
 }
 
 // number gives the withdrawal that a line tells of its number.
-func (n *Node) number(m *replicateFactMsg) {
+func (n *Node) numberCancellation(m *replicateFactMsg) {
 	if len(m.Ends) == 1 && m.Ends[0].State == protocol.Cancelled {
-		m.From = n.cancelWatermark.Confirm(m.Ends[0].UID)
+		m.From = n.cancelWatermark.RecordCancellation(m.Ends[0].UID)
 	}
 }
 
 // retellMost is how many withdrawals one line tells again.
-const retellMost = 500
+const maxResentCancellations = 500
 
 // retell tells a peer again what it may not have of the withdrawals confirmed here, as after a lost connection.
-func (n *Node) retell(name string, now time.Time) {
-	from, uids := n.cancelWatermark.Lacking(name, now, retellMost)
+func (n *Node) resendCancellations(name string, now time.Time) {
+	from, uids := n.cancelWatermark.TakeUnacknowledged(name, now, maxResentCancellations)
 	if len(uids) == 0 {
 		return
 	}
@@ -114,22 +114,22 @@
 }
 
 // onHorizon takes in what a status says of withdrawals.
-func (n *Node) onHorizon(name string, s *statusMsg, now time.Time) {
+func (n *Node) onPeerCancellations(name string, s *statusMsg, now time.Time) {
 	e, heard := s.Heard[n.name]
 	if !heard || e.Incarnation != n.incarnation || s.Told == nil || !n.sentBy(e.At, now) {
 		return
 	}
-	n.cancelWatermark.Heard(name, *s.Told, n.startedAt.Add(time.Duration(e.At)*time.Millisecond))
+	n.cancelWatermark.RecordConfirmedBy(name, *s.Told, n.startedAt.Add(time.Duration(e.At)*time.Millisecond))
 	if e.Got != nil {
-		n.cancelWatermark.Has(name, *e.Got)
+		n.cancelWatermark.RecordAcknowledgedBy(name, *e.Got)
 	}
-	n.retell(name, now)
+	n.resendCancellations(name, now)
 }
 
 // onHomeWord takes in what a home says of its machines: a start that it sends from now on is sent after it last heard the
 // machine, and one that may still arrive was sent knowing what it says. The status may have been held up, so its
 // ages count from this process's own status that it names.
-func (n *Node) onHomeWord(name string, s *statusMsg, now time.Time) {
+func (n *Node) onHomeWatermarks(name string, s *statusMsg, now time.Time) {
 	e, heard := s.Heard[n.name]
 	if !heard || e.Incarnation != n.incarnation || !n.sentBy(e.At, now) || n.record == nil {
 		return
@@ -153,12 +153,12 @@
 }
 
 // readAfter is how old the last read of the state service may be before another one is made, if nobody asks for one.
-const readAfter = 3 * time.Second
+const maxReadAge = 3 * time.Second
 
 // readOn keeps the horizon moving while the state service answers: a watch alone may wait for ten seconds, and
 // hangs where the service refuses this controller.
-func (n *Node) readOn(now time.Time) {
-	if now.Sub(n.cancelWatermark.LastRead()) < readAfter {
+func (n *Node) requestStaleRead(now time.Time) {
+	if now.Sub(n.cancelWatermark.LastRead()) < maxReadAge {
 		return
 	}
 	select {
--- a/internal/controller/roster.go
+++ b/internal/controller/roster.go
@@ -15,20 +15,20 @@
 
 // enrolEvery is the least time between two writes of new machines: those that
 // report meanwhile share one.
-const enrolEvery = 250 * time.Millisecond
+const registerInterval = 250 * time.Millisecond
 
 func newRoster(s *settings.Settings) *agents.Roster {
 	return agents.NewRoster(valueRoom(s.Deployment.State))
 }
 
 // learnRoster takes in a key that lists registered machines.
-func (n *Node) learnRoster(key string, value json.RawMessage, version uint64) {
-	list, err := agents.ReadRoster(value)
+func (n *Node) applyRosterList(key string, value json.RawMessage, version uint64) {
+	list, err := agents.DecodeRosterValue(value)
 	if err != nil {
 		n.log.Error("unreadable key in the state service", "key", key, "err", err)
 		return
 	}
-	added, removed, err := n.roster.Learn(key, version, list)
+	added, removed, err := n.roster.ApplyList(key, version, list)
 	if err != nil {
 		// As by a process that started after the loss. That a machine is not named in such a
 		// list must never free what it runs.
@@ -50,8 +50,8 @@
 // enrol registers the machines that report here. Every machine that may get a
 // start is in the state service first, so that an owner without memory knows
 // whom to wait for.
-func (n *Node) enrol(ctx context.Context) error {
-	for pause(ctx, enrolEvery) {
+func (n *Node) registerMachines(ctx context.Context) error {
+	for pause(ctx, registerInterval) {
 		n.mu.Lock()
 		var names []string
 		for name := range n.unregistered {
@@ -64,7 +64,7 @@
 		var w agents.RosterWrite
 		if len(names) > 0 {
 			slices.Sort(names)
-			w = n.roster.Enter(machineKey+n.name+"/", names)
+			w = n.roster.PlanRegistration(machineKey+n.name+"/", names)
 		}
 		n.mu.Unlock()
 		if len(names) > 0 {
@@ -76,7 +76,7 @@
 
 // strike takes machines that are gone off the roster, which tells every
 // controller. The fleet's owner does it.
-func (n *Node) strike(ctx context.Context, writes []agents.RosterWrite) {
+func (n *Node) deregisterMachines(ctx context.Context, writes []agents.RosterWrite) {
 	for _, w := range writes {
 		n.writeRoster(ctx, w)
 	}
@@ -86,7 +86,7 @@
 }
 
 // unstruck plans the writes that take gone machines off the roster.
-func (n *Node) unstruck() []agents.RosterWrite {
+func (n *Node) planDeregistration() []agents.RosterWrite {
 	gone := map[string]bool{}
 	for _, name := range n.roster.All() {
 		if m := n.machines[name]; m != nil && m.gone {
@@ -96,7 +96,7 @@
 	if len(gone) == 0 {
 		return nil
 	}
-	return n.roster.Strike(gone)
+	return n.roster.PlanDeregistration(gone)
 }
 
 func (n *Node) writeRoster(ctx context.Context, w agents.RosterWrite) {
@@ -125,5 +125,5 @@
 	}
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.learnRoster(w.Key, value, revision)
+	n.applyRosterList(w.Key, value, revision)
 }
--- a/internal/controller/stray_test.go
+++ b/internal/controller/stray_test.go
@@ -37,7 +37,7 @@
 			w.answer(now)
 		case !w.here: // 4 s for an answer, 1 s to the next controller
 			w.here, w.next = true, now.Add(5*time.Second)
-		case n.strayed(home, w.name, now):
+		case n.keepAliveForHome(home, w.name, now):
 			w.answer(now)
 		default:
 			w.here, w.next = false, now.Add(500*time.Millisecond)
@@ -52,7 +52,7 @@
 // reach, leaves its machines without answers. Sent back to it time and again, each
 // waiting 4 s, they lost their lease of 12 s and 700 tasks with it in one incident.
 // They must be answered elsewhere, and be home again soon after it answers.
-func TestStrayedMachinesLive(t *testing.T) {
+func TestAgentsOfAnUnreachableHomeKeepTheirLeases(t *testing.T) {
 	for _, silent := range []bool{true, false} { // do the peers hear the home?
 		n := newGrown(4, 1).n
 		n.settings.Deployment.Workers = settings.Workers{Report: 2, Lease: 12, Cancel: 32}
@@ -86,7 +86,7 @@
 
 // TestUnheardHome: one machine with a broken path must not have a controller left
 // out of the homes, as that moves all machines under a new term; many must.
-func TestUnheardHome(t *testing.T) {
+func TestUnreachableHomeIsFound(t *testing.T) {
 	n := newGrown(120, 1).n
 	n.record.Unreachable = nil
 	now := time.Now()
@@ -105,10 +105,10 @@
 			at := now.Add(time.Duration(i) * time.Second)
 			n.peers[home].heardAt = at
 			for _, name := range names {
-				n.strayed(home, name, at)
+				n.keepAliveForHome(home, name, at)
 			}
 		}
-		return n.unheard(now.Add(6 * time.Second))
+		return n.unreachableMember(now.Add(6 * time.Second))
 	}
 	if got := come(homed[:1]); got != "" || len(homed) < 20 {
 		t.Errorf("one machine of %d leaves %q out", len(homed), got)
@@ -216,7 +216,7 @@
 // TestStrayIsNotSilent: machines that a home does not answer report to others, who
 // keep them alive. The fleet's owner must hear of that from whoever does, or it
 // returns them for their silence.
-func TestStrayIsNotSilent(t *testing.T) {
+func TestMisdirectedAgentIsNotSilent(t *testing.T) {
 	g := newGrown(6, 1)
 	fleetOwner, n := newGrown(6, 1).n, g.n
 	n.record.Unreachable = nil
@@ -224,7 +224,7 @@
 	n.lease.Renewed(at)
 	name := g.names[slices.IndexFunc(g.names, func(name string) bool { return n.record.Home(name) != n.name })]
 	r := protocol.Heartbeat{Machine: name, Addr: "127.0.0.1:1", Type: "m32", Zone: "east", Incarnation: 1, Seq: 9, FencingToken: 1, Tasks: []protocol.TaskStatus{}}
-	n.report(protocol.Encode(r))
+	n.handleHeartbeat(protocol.Encode(r))
 	s := n.status(at)
 	if !slices.Equal(s.Stray, []string{name}) || len(n.status(at).Stray) != 0 {
 		t.Fatalf("tells of %v, then of more", s.Stray)
@@ -242,16 +242,16 @@
 
 // TestAbsurdReports: what is no report is refused with the field named, and what a report says of tasks that can't be
 // changes nothing: no job, no task done, no hold, no machine, no doubt of the state service.
-func TestAbsurdReports(t *testing.T) {
+func TestImpossibleHeartbeats(t *testing.T) {
 	g := newGrown(0, 1)
 	n := g.n
 	n.agents.SetTerm(1, func(string) bool { return true })
-	n.roster.Learn("x", 1, agents.RosterValue{Names: []string{"n-1"}})
+	n.roster.ApplyList("x", 1, agents.RosterValue{Names: []string{"n-1"}})
 	spec := array(1, 3, "team-0")
 	n.learnJob(userapi.Stored{Spec: spec, At: g.now.UnixMilli()}, 1)
 	team := n.shards[teamShard("team-0")].team
 	good := protocol.Heartbeat{Machine: "n-1", Addr: "127.0.0.1:1", Type: "m32", Zone: "east", Incarnation: 1, Seq: 1, FencingToken: 1, Tasks: []protocol.TaskStatus{}}
-	if a := n.report(protocol.Encode(good)); a.Status != 200 {
+	if a := n.handleHeartbeat(protocol.Encode(good)); a.Status != 200 {
 		t.Fatalf("a good report got %d %s", a.Status, a.Body)
 	}
 	n.place(g.now)
@@ -271,12 +271,12 @@
 	} {
 		r := good
 		spoil(&r)
-		if a := n.report(protocol.Encode(r)); a.Status != 400 || !strings.Contains(string(a.Body), field) {
+		if a := n.handleHeartbeat(protocol.Encode(r)); a.Status != 400 || !strings.Contains(string(a.Body), field) {
 			t.Errorf("%s spoiled: %d %s", field, a.Status, a.Body)
 		}
 	}
 	for _, body := range []string{"", "{", "[]", `{"estacion":7}`, `{"tramos":{}}`} {
-		if a := n.report([]byte(body)); a.Status != 400 {
+		if a := n.handleHeartbeat([]byte(body)); a.Status != 400 {
 			t.Errorf("%q: %d %s", body, a.Status, a.Body)
 		}
 	}
@@ -290,14 +290,14 @@
 		r := good
 		seq++
 		r.Seq, r.Tasks = seq, []protocol.TaskStatus{x}
-		n.report(protocol.Encode(r))
+		n.handleHeartbeat(protocol.Encode(r))
 		if got := state(); got != before {
 			t.Errorf("%+v: %s, before %s", x, got, before)
 		}
 	}
 	r := good
 	r.Seq, r.FencingToken = seq+1, 1<<60
-	if a := n.report(protocol.Encode(r)); a.Status != 503 || state() != before {
+	if a := n.handleHeartbeat(protocol.Encode(r)); a.Status != 503 || state() != before {
 		t.Errorf("a token that nobody gave out: %d, %s, before %s", a.Status, state(), before)
 	}
 }
--- a/internal/controller/sustain_test.go
+++ b/internal/controller/sustain_test.go
@@ -22,7 +22,7 @@
 	n.peers["node-b"] = &peerState{heardAt: g.now.Add(-time.Minute)}
 	w := n.settings.Deployment.Workers
 	g.submit(1, 4)
-	n.cancelWatermark.Read(g.now)
+	n.cancelWatermark.RecordRead(g.now)
 	report := func(name string, token uint64, state, task string) []byte {
 		return protocol.Encode(protocol.Heartbeat{Machine: name, Addr: "127.0.0.1:1", Type: "m32", Zone: "east", Incarnation: 1, Seq: 9, FencingToken: token,
 			Tasks: []protocol.TaskStatus{{Task: task, Attempt: 1, State: state, Why: protocol.WhyDone}}})
@@ -32,7 +32,7 @@
 		if err := protocol.Decode(report(name, token, state, task), &r); err != nil {
 			t.Fatal(err)
 		}
-		return n.elsewhere(&r, at).Status
+		return n.answerUnentitled(&r, at).Status
 	}
 	name, later := g.names[0], g.now.Add(10*time.Second)
 	if n.entitled(later) {
--- a/internal/controller/sync.go
+++ b/internal/controller/sync.go
@@ -16,15 +16,15 @@
 // syncEvery is the least time between the beginnings of two such reads, and
 // syncsOpen how many may be under way.
 const (
-	syncEvery = 30 * time.Millisecond
-	syncsOpen = 4
+	changeReadInterval = 30 * time.Millisecond
+	maxChangeReads     = 4
 )
 
-var errUnsynced = errors.New("the state service did not answer")
+var errChangesNotRead = errors.New("the state service did not answer")
 
 // synced returns once this controller knows every change of the watched keys
 // that was made before the call.
-func (n *Node) synced(ctx context.Context) error {
+func (n *Node) waitForChanges(ctx context.Context) error {
 	done := make(chan error, 1)
 	n.mu.Lock()
 	n.syncWaiters = append(n.syncWaiters, done)
@@ -42,8 +42,8 @@
 }
 
 // keepSynced reads the changes for those who wait for them.
-func (n *Node) keepSynced(ctx context.Context) error {
-	open := make(chan struct{}, syncsOpen)
+func (n *Node) readChangesOnRequest(ctx context.Context) error {
+	open := make(chan struct{}, maxChangeReads)
 	for {
 		select {
 		case <-n.syncRequests:
@@ -61,12 +61,12 @@
 		after, listed := n.followedRevision, n.watchedKeysRead
 		n.mu.Unlock()
 		n.group.Go(func() error {
-			err, began := errUnsynced, time.Now()
+			err, began := errChangesNotRead, time.Now()
 			if listed {
 				var ch *protocol.Changes
 				if ch, err = n.kvStore.Changes(ctx, userapi.Watched, after); err == nil {
 					n.mu.Lock()
-					n.caughtUp(ch, began)
+					n.applyChanges(ch, began)
 					n.mu.Unlock()
 				}
 			}
@@ -76,7 +76,7 @@
 			<-open
 			return nil
 		})
-		if !pause(ctx, syncEvery) {
+		if !pause(ctx, changeReadInterval) {
 			return nil
 		}
 	}
@@ -84,19 +84,19 @@
 
 // caughtUp takes in all changes since a revision that was known before, by a read
 // that began at a time.
-func (n *Node) caughtUp(ch *protocol.Changes, began time.Time) {
+func (n *Node) applyChanges(ch *protocol.Changes, began time.Time) {
 	for _, e := range ch.Events {
 		n.changed(e)
 	}
 	n.followedRevision = max(n.followedRevision, ch.Revision)
-	n.knows(began)
+	n.recordFullRead(began)
 }
 
 // knows books that all that the state service had when a read began was taken in. After a loss that is not all
 // that was confirmed, until everybody's memory is gathered.
-func (n *Node) knows(began time.Time) {
+func (n *Node) recordFullRead(began time.Time) {
 	n.configCurrent(began)
 	if n.trusted() && n.memoriesGathered(time.Now()) {
-		n.cancelWatermark.Read(began)
+		n.cancelWatermark.RecordRead(began)
 	}
 }
--- a/internal/controller/sync_test.go
+++ b/internal/controller/sync_test.go
@@ -34,7 +34,7 @@
 // TestSyncedSeesEarlierChanges: what a user was told by one controller, another
 // must know when it answers a request that came later, even if its watch lags.
 // Many ask at once; each must see at least what was written before it asked.
-func TestSyncedSeesEarlierChanges(t *testing.T) {
+func TestWaitForChangesSeesEarlierChanges(t *testing.T) {
 	srv, err := simulation.NewState(8, 16)
 	if err != nil {
 		t.Fatal(err)
@@ -51,7 +51,7 @@
 	n.watchedKeysRead = true // of an empty store; nothing follows the watch
 	other := kvstore.New(srv.Addr(), settings.State{RPS: 2000, WriteRPS: 2000, TxnOps: 8, ValueKB: 8}, 1)
 	group.Go(func() error { return other.Run(ctx) })
-	group.Go(func() error { return n.keepSynced(ctx) })
+	group.Go(func() error { return n.readChangesOnRequest(ctx) })
 	var wg sync.WaitGroup
 	for i := range 40 {
 		wg.Add(1)
@@ -60,7 +60,7 @@
 			spec := array(i, 1, "red")
 			key := userapi.JobKey + spec.UID
 			know := func(want bool) {
-				if err := n.synced(ctx); err != nil {
+				if err := n.waitForChanges(ctx); err != nil {
 					t.Error(err)
 				}
 				n.mu.Lock()
@@ -160,7 +160,7 @@
 		if held, _ := it.team.Held(); held != want || blind && it.phase == shardReady {
 			t.Errorf("blind %t: %d holds left, phase %s before the lists of machines came", blind, held, phases[it.phase])
 		}
-		n.roster.Learn(machineKey+"node-b/0", 8, agents.RosterValue{Names: []string{"n-1"}})
+		n.roster.ApplyList(machineKey+"node-b/0", 8, agents.RosterValue{Names: []string{"n-1"}})
 		n.booked(it, nil) // the answer to a read that began after the record came
 		if held, _ := it.team.Held(); held != want {
 			t.Errorf("blind %t: a hold ended on a machine that is on the roster", blind)
--- a/internal/controller/talk.go
+++ b/internal/controller/talk.go
@@ -113,7 +113,7 @@
 	if p.incarnation != incarnation {
 		p.incarnation, p.statusClock = incarnation, 0
 	}
-	n.cancelWatermark.Met(node, incarnation, now)
+	n.cancelWatermark.RecordIncarnation(node, incarnation, now)
 	p.heardAt = now
 	var err error
 	switch kind {
@@ -122,8 +122,8 @@
 		if err = protocol.Decode(body, &s); err == nil {
 			n.onStatus(p, &s, now)
 			n.resetIfHalfOpen(node, &s, now)
-			n.onHorizon(node, &s, now)
-			n.onHomeWord(node, &s, now)
+			n.onPeerCancellations(node, &s, now)
+			n.onHomeWatermarks(node, &s, now)
 			n.teach(node, &s, now)
 			n.recovery.watch.Heard(node, s.Store, now)
 			n.onPlan(node, incarnation, p, &s.Plan)
@@ -137,7 +137,7 @@
 		if err = protocol.Decode(body, &views); err == nil {
 			for _, v := range views {
 				if v != nil && v.Machine != "" {
-					n.see(v, now)
+					n.applyStatus(v, now)
 				}
 			}
 		}
@@ -271,7 +271,7 @@
 		n.hint()
 	}
 	n.take(o.Machine, o.Term, o.Orders)
-	n.tellViews()
+	n.sendChangedStatuses()
 }
 
 // owns says whether the record names that process of a node as an item's owner
@@ -309,7 +309,7 @@
 			return nil
 		case <-ticker.C:
 			n.mu.Lock()
-			n.readOn(time.Now())
+			n.requestStaleRead(time.Now())
 			n.mu.Unlock()
 		case <-n.statusRequests:
 		}
@@ -353,12 +353,12 @@
 
 // status sums up this controller for its peers, and makes the promise in it.
 func (n *Node) status(now time.Time) statusMsg {
-	told, version := n.cancelWatermark.Told(), n.recordVersion
+	told, version := n.cancelWatermark.Confirmed(), n.recordVersion
 	s := statusMsg{Store: n.storeAssessment(), Told: &told, Version: &version, Entitled: n.entitled(now), Leased: n.lease.Valid(now), At: now.Sub(n.startedAt).Milliseconds(),
 		Heard: map[string]echo{}, Alive: map[string]int64{}}
 	for name, p := range n.peers {
 		if now.Sub(p.heardAt) < promiseLife && p.statusClock > 0 {
-			got := n.cancelWatermark.Got(name)
+			got := n.cancelWatermark.ReceivedFrom(name)
 			s.Heard[name] = echo{p.incarnation, p.statusClock, &got}
 		}
 	}
@@ -369,8 +369,8 @@
 		s.Term = n.record.Term
 	}
 	for name, m := range n.agents.All() {
-		s.Alive[name] = now.Sub(m.Heard).Milliseconds()
-		if known := m.InFlight(anyJob); !known.IsZero() {
+		s.Alive[name] = now.Sub(m.HeartbeatAt).Milliseconds()
+		if known := m.InFlightWatermark(anyJob); !known.IsZero() {
 			if s.InFlight == nil {
 				s.InFlight = map[string]int64{}
 			}
--- a/internal/leasegrant/leasegrant.go
+++ b/internal/leasegrant/leasegrant.go
@@ -1,6 +1,9 @@
-// Package leasegrant decides whether the answer to a worker's report may renew the worker's lease, and which tasks the
-// answer must stop. After each renewal a machine runs nothing of a job whose withdrawal was confirmed before the
-// controller's horizon, and the lease ends before a later withdrawal runs out of time. It does no I/O and reads no clock.
+// Package leasegrant decides whether the answer to an agent's heartbeat may renew the agent's lease, and which tasks
+// the answer must stop.
+//
+// It guards one invariant: after each renewal the agent runs nothing of a job whose cancellation was confirmed before
+// the controller's cancellation watermark, and the lease ends before a later cancellation runs out of time. The package
+// holds no state, does no I/O and reads no clock; TestModel explores the invariant over all histories of its events.
 package leasegrant
 
 import (
@@ -15,59 +18,63 @@
 
 // The states of a job.
 const (
-	Unknown JobState = iota // nobody told of it: it may have been withdrawn long ago
+	Unknown JobState = iota // never learned here: it may have been cancelled long ago
 	Active
-	Over // withdrawn or done, for good
+	Ended // cancelled or done, for good
 )
 
-// Position is the answering controller's part towards the machine.
-type Position struct {
-	Home     bool      // its present process is the machine's home by the control record
-	Leased   bool      // it is entitled and its own lease lives: a raised term voids the starts of others
-	HomeWord time.Time // every withdrawal confirmed before was known when the home sent what may still arrive; zero: it said nothing
-	// InFlight bounds what a start sent from here that may still arrive, of a job that is over, was sent with: every
-	// withdrawal confirmed before was known then. Zero: no such start.
-	InFlight time.Time
+// Standing is the answering controller's relation to the agent.
+type Standing struct {
+	// IsHome: the control record names this process as the controller that the agent reports to.
+	IsHome bool
+	// LeaseValid: the controller is entitled and its own lease is valid. A raised term voids the starts that others sent.
+	LeaseValid bool
+	// HomeWatermark is the cancellation watermark under which the agent's home sent what may still arrive; zero if the
+	// home said nothing.
+	HomeWatermark time.Time
+	// InFlightWatermark is the earliest cancellation watermark under which this controller sent a start that may still
+	// arrive though its job has ended; zero if there is no such start.
+	InFlightWatermark time.Time
 }
 
-// Knowledge is what the controller knows of jobs and of how old its knowledge may be.
+// Knowledge is what the controller knows of jobs, and how old that may be.
 type Knowledge interface {
-	// Job is a job's state.
-	Job(uid string) JobState
-	// Ordered says whether the job's owner ordered the start of an attempt here in this term, and the state service was
-	// not read since.
-	Ordered(attempt jobstate.AttemptRef) bool
-	// Lost says whether the job of an attempt may have been lost with data of the state service.
-	Lost(attempt uint64) bool
-	// Renews says whether a lease may begin now if nothing later than since counts as known; since zero: no such bound.
-	Renews(now, since time.Time) bool
+	// JobState returns what is known of a job.
+	JobState(uid string) JobState
+	// StartOrdered says whether the job's owner ordered the start of an attempt here in this term, and the key-value
+	// store was not read since.
+	StartOrdered(attempt jobstate.AttemptRef) bool
+	// MayBeLost says whether the job of an attempt may have been lost with data of the key-value store.
+	MayBeLost(attempt uint64) bool
+	// MayRenew says whether a lease may begin now if nothing later than bound counts as known; zero: no such bound.
+	MayRenew(now, bound time.Time) bool
 }
 
-// Grant is the decision about one report.
+// Grant is the decision about one heartbeat.
 type Grant struct {
-	Renew   bool
+	Renewed bool
 	Stops   []protocol.Command   // not nil if the lease is renewed
 	Unknown *jobstate.AttemptRef // the first task of an unknown job, because of which the lease is not renewed
 }
 
-// Decide answers a report that came now.
-func Decide(report *protocol.Heartbeat, now time.Time, position Position, known Knowledge) Grant {
-	if !mayBegin(now, position, known) {
+// Decide answers a heartbeat that came now.
+func Decide(heartbeat *protocol.Heartbeat, now time.Time, standing Standing, known Knowledge) Grant {
+	if !mayRenew(now, standing, known) {
 		return Grant{}
 	}
-	grant := Grant{Renew: true, Stops: []protocol.Command{}}
-	for _, task := range report.Tasks {
+	grant := Grant{Renewed: true, Stops: []protocol.Command{}}
+	for _, task := range heartbeat.Tasks {
 		if task.State == protocol.Exited {
 			continue
 		}
 		uid, index, _ := protocol.SplitTask(task.Task)
 		attempt := jobstate.AttemptRef{TaskID: jobstate.TaskID{Job: uid, Index: index}, Attempt: task.Attempt}
-		switch known.Job(uid) {
+		switch known.JobState(uid) {
 		case Active:
-		case Over:
-			grant.Stops = append(grant.Stops, protocol.Command{Op: protocol.Stop, Task: task.Task, Attempt: task.Attempt, Grace: new(float64)})
+		case Ended:
+			grant.Stops = append(grant.Stops, stopAtOnce(&task))
 		default:
-			if !known.Lost(task.Attempt) && !known.Ordered(attempt) {
+			if !known.MayBeLost(task.Attempt) && !known.StartOrdered(attempt) {
 				return Grant{Unknown: &attempt}
 			}
 		}
@@ -75,17 +82,22 @@
 	return grant
 }
 
-// mayBegin says whether a lease that begins now ends before a withdrawal not known here runs out of time.
-func mayBegin(now time.Time, position Position, known Knowledge) bool {
-	since := position.InFlight
-	if !position.Home && !position.Leased {
-		// A start may be held up on its way from the machine's home, and in an outage no raised term voids it.
-		if position.HomeWord.IsZero() {
+// stopAtOnce is the command that stops a task without a grace period.
+func stopAtOnce(task *protocol.TaskStatus) protocol.Command {
+	return protocol.Command{Op: protocol.Stop, Task: task.Task, Attempt: task.Attempt, Grace: new(float64)}
+}
+
+// mayRenew says whether a lease that begins now ends before a cancellation not known here runs out of time.
+func mayRenew(now time.Time, standing Standing, known Knowledge) bool {
+	bound := standing.InFlightWatermark
+	if !standing.IsHome && !standing.LeaseValid {
+		// A start may be held up on its way from the agent's home, and in an outage no raised term voids it.
+		if standing.HomeWatermark.IsZero() {
 			return false
 		}
-		if since.IsZero() || position.HomeWord.Before(since) {
-			since = position.HomeWord
+		if bound.IsZero() || standing.HomeWatermark.Before(bound) {
+			bound = standing.HomeWatermark
 		}
 	}
-	return known.Renews(now, since)
+	return known.MayRenew(now, bound)
 }
--- a/internal/leasegrant/leasegrant_test.go
+++ b/internal/leasegrant/leasegrant_test.go
@@ -15,42 +15,42 @@
 	lost    uint64
 }
 
-func (k *known) Job(uid string) JobState            { return k.jobs[uid] }
-func (k *known) Ordered(a jobstate.AttemptRef) bool { return k.ordered[a] }
-func (k *known) Lost(attempt uint64) bool           { return attempt < k.lost }
-func (k *known) Renews(now, s time.Time) bool {
+func (k *known) JobState(uid string) JobState            { return k.jobs[uid] }
+func (k *known) StartOrdered(a jobstate.AttemptRef) bool { return k.ordered[a] }
+func (k *known) MayBeLost(attempt uint64) bool           { return attempt < k.lost }
+func (k *known) MayRenew(now, s time.Time) bool {
 	return !now.After(k.until) && (s.IsZero() || !now.After(s))
 }
 
 // TestDecide: each reason to refuse a lease or to stop a task, alone.
 func TestDecide(t *testing.T) {
 	now := time.Unix(1000, 0)
-	k := &known{until: now, jobs: map[string]JobState{"job-000001": Active, "job-000002": Over}, lost: 5,
+	k := &known{until: now, jobs: map[string]JobState{"job-000001": Active, "job-000002": Ended}, lost: 5,
 		ordered: map[jobstate.AttemptRef]bool{{TaskID: jobstate.TaskID{Job: "job-000003", Index: 1}, Attempt: 7}: true}}
-	home, stranger := Position{Home: true}, Position{HomeWord: now}
+	home, stranger := Standing{IsHome: true}, Standing{HomeWatermark: now}
 	for what, c := range map[string]struct {
-		position Position
+		standing Standing
 		at       time.Time
 		task     protocol.TaskStatus
 		renew    bool
 		stops    int
 		unknown  bool
 	}{
-		"an active job":                          {home, now, protocol.TaskStatus{Task: "job-000001/0", Attempt: 9}, true, 0, false},
-		"one that is over":                       {home, now, protocol.TaskStatus{Task: "job-000002/0", Attempt: 9}, true, 1, false},
-		"what has ended of one that is over":     {home, now, protocol.TaskStatus{Task: "job-000002/0", Attempt: 9, State: protocol.Exited}, true, 0, false},
-		"an unknown one":                         {home, now, protocol.TaskStatus{Task: "job-000009/0", Attempt: 9}, false, 0, true},
-		"an unknown one, lost with data":         {home, now, protocol.TaskStatus{Task: "job-000009/0", Attempt: 4}, true, 0, false},
-		"an unknown one whose owner ordered it":  {home, now, protocol.TaskStatus{Task: "job-000003/1", Attempt: 7}, true, 0, false},
-		"another attempt than was ordered":       {home, now, protocol.TaskStatus{Task: "job-000003/1", Attempt: 8}, false, 0, true},
-		"an active job after the horizon's time": {home, now.Add(1), protocol.TaskStatus{Task: "job-000001/0", Attempt: 9}, false, 0, false},
-		"a stranger's in time":                   {stranger, now, protocol.TaskStatus{Task: "job-000001/0", Attempt: 9}, true, 0, false},
-		"a stranger's after the home's word":     {Position{HomeWord: now.Add(-1)}, now, protocol.TaskStatus{Task: "job-000001/0", Attempt: 9}, false, 0, false},
-		"a stranger's without a word":            {Position{}, now, protocol.TaskStatus{Task: "job-000001/0", Attempt: 9}, false, 0, false},
-		"a leased stranger's without a word":     {Position{Leased: true}, now, protocol.TaskStatus{Task: "job-000001/0", Attempt: 9}, true, 0, false},
+		"an active job":                           {home, now, protocol.TaskStatus{Task: "job-000001/0", Attempt: 9}, true, 0, false},
+		"one that has ended":                      {home, now, protocol.TaskStatus{Task: "job-000002/0", Attempt: 9}, true, 1, false},
+		"an exited task of one that has ended":    {home, now, protocol.TaskStatus{Task: "job-000002/0", Attempt: 9, State: protocol.Exited}, true, 0, false},
+		"an unknown one":                          {home, now, protocol.TaskStatus{Task: "job-000009/0", Attempt: 9}, false, 0, true},
+		"an unknown one, lost with data":          {home, now, protocol.TaskStatus{Task: "job-000009/0", Attempt: 4}, true, 0, false},
+		"an unknown one whose owner ordered it":   {home, now, protocol.TaskStatus{Task: "job-000003/1", Attempt: 7}, true, 0, false},
+		"another attempt than was ordered":        {home, now, protocol.TaskStatus{Task: "job-000003/1", Attempt: 8}, false, 0, true},
+		"an active job after the watermark":       {home, now.Add(1), protocol.TaskStatus{Task: "job-000001/0", Attempt: 9}, false, 0, false},
+		"a stranger's in time":                    {stranger, now, protocol.TaskStatus{Task: "job-000001/0", Attempt: 9}, true, 0, false},
+		"a stranger's after the home's watermark": {Standing{HomeWatermark: now.Add(-1)}, now, protocol.TaskStatus{Task: "job-000001/0", Attempt: 9}, false, 0, false},
+		"a stranger's without a watermark":        {Standing{}, now, protocol.TaskStatus{Task: "job-000001/0", Attempt: 9}, false, 0, false},
+		"a leased stranger's without a watermark": {Standing{LeaseValid: true}, now, protocol.TaskStatus{Task: "job-000001/0", Attempt: 9}, true, 0, false},
 	} {
-		got := Decide(&protocol.Heartbeat{Tasks: []protocol.TaskStatus{c.task}}, c.at, c.position, k)
-		if got.Renew != c.renew || len(got.Stops) != c.stops || (got.Unknown != nil) != c.unknown {
+		got := Decide(&protocol.Heartbeat{Tasks: []protocol.TaskStatus{c.task}}, c.at, c.standing, k)
+		if got.Renewed != c.renew || len(got.Stops) != c.stops || (got.Unknown != nil) != c.unknown {
 			t.Errorf("%s: %+v", what, got)
 		}
 	}
--- a/internal/leasegrant/meet_test.go
+++ b/internal/leasegrant/meet_test.go
@@ -243,7 +243,7 @@
 
 // TestMeetings: in no history of any family is a task of the job on a machine, or does one start, later than
 // cancelWithin after a user was told of its withdrawal, nor is a task on two machines.
-func TestMeetings(t *testing.T) {
+func TestModel(t *testing.T) {
 	for i := range families {
 		f := &families[i]
 		t.Run(f.name, func(t *testing.T) {
@@ -258,7 +258,7 @@
 }
 
 // TestMeetingsCatch shows that the model breaks a rule when a guard is left out.
-func TestMeetingsCatch(t *testing.T) {
+func TestModelCatchesMutants(t *testing.T) {
 	for i := range families {
 		for _, m := range families[i].mutants {
 			t.Run(string(m), func(t *testing.T) {
--- a/internal/leasegrant/model_test.go
+++ b/internal/leasegrant/model_test.go
@@ -254,12 +254,12 @@
 
 // hear has a controller learn of a confirmed withdrawal from a peer.
 func (w *world) hear(c *controller, from *controller, number uint64) {
-	c.horizon.Met(names[from.index], from.process, w.now)
+	c.horizon.RecordIncarnation(names[from.index], from.process, w.now)
 	c.ended = true
 	if c.known {
 		w.end(c)
 	}
-	c.horizon.Take(names[from.index], number, 1)
+	c.horizon.RecordReceived(names[from.index], number, 1)
 }
 
 // confirm has a controller tell the user that the job is withdrawn.
@@ -272,7 +272,7 @@
 	if w.mutant == "an unnumbered withdrawal" {
 		return
 	}
-	if number := c.horizon.Confirm(jobUID); number > 0 {
+	if number := c.horizon.RecordCancellation(jobUID); number > 0 {
 		for k := range names {
 			if k != c.index && w.linked(c.index, k) {
 				w.hear(w.controllers[k], c, number)
@@ -361,7 +361,7 @@
 		c.live[k] = p
 	}
 	w.adopt(c, w.store.record, w.store.version)
-	c.horizon.Read(w.now)
+	c.horizon.RecordRead(w.now)
 }
 
 // adopt takes up a control record.
@@ -410,17 +410,17 @@
 		if !c.up {
 			continue
 		}
-		s := status{from: c, peers: c.peers, told: c.horizon.Told(), entitled: w.entitled(c)}
+		s := status{from: c, peers: c.peers, told: c.horizon.Confirmed(), entitled: w.entitled(c)}
 		for k, name := range names {
-			s.got[k] = c.horizon.Got(name)
+			s.got[k] = c.horizon.ReceivedFrom(name)
 		}
 		if s.promise = w.now.Sub(c.renewed) > controllerLease*2/5; s.promise {
 			c.promised = w.now.Add(promiseLife)
 		}
 		for k := range w.machines {
 			if m := c.home.Get(machineName(k)); m != nil {
-				s.heard[k] = m.Heard
-				if known := m.InFlight(func(string) bool { return true }); !known.IsZero() && known.Before(m.Heard) && w.mutant != "a home's word leaves out its starts" {
+				s.heard[k] = m.HeartbeatAt
+				if known := m.InFlightWatermark(func(string) bool { return true }); !known.IsZero() && known.Before(m.HeartbeatAt) && w.mutant != "a home's word leaves out its starts" {
 					s.heard[k] = known
 				}
 			}
@@ -443,7 +443,7 @@
 	if w.mutant == "one process" {
 		process = 1
 	}
-	c.horizon.Met(name, process, w.now)
+	c.horizon.RecordIncarnation(name, process, w.now)
 	if p.process != s.from.process {
 		p.process = s.from.process
 		p.at = time.Time{}
@@ -452,9 +452,9 @@
 		if until := echo.at.Add(promiseLife - promiseLife/500); s.promise && until.After(p.until) {
 			p.until, p.version = until, s.from.version
 		}
-		c.horizon.Heard(name, s.told, echo.at)
-		c.horizon.Has(name, s.got[c.index])
-		if number, uids := c.horizon.Lacking(name, w.now, 9); len(uids) > 0 && w.linked(c.index, from) && w.mutant != "not told again" {
+		c.horizon.RecordConfirmedBy(name, s.told, echo.at)
+		c.horizon.RecordAcknowledgedBy(name, s.got[c.index])
+		if number, uids := c.horizon.TakeUnacknowledged(name, w.now, 9); len(uids) > 0 && w.linked(c.index, from) && w.mutant != "not told again" {
 			w.hear(s.from, c, number)
 		}
 	}
@@ -579,7 +579,7 @@
 }
 
 func (w *world) see(c, home *controller, k int) {
-	v := home.home.View(machineName(k))
+	v := home.home.Status(machineName(k))
 	if v == nil || c.views[k] != nil && !v.Newer(c.views[k]) {
 		return
 	}
@@ -614,7 +614,7 @@
 		return
 	}
 	if h == c || w.entitled(h) {
-		h.home.Take(c.record.Term, machineName(k), orders)
+		h.home.QueueOrders(c.record.Term, machineName(k), orders)
 	}
 }
 
@@ -629,14 +629,14 @@
 			continue
 		}
 		var orders []jobstate.Order
-		for _, t := range m.Report.Tasks {
-			o := jobstate.Order{Op: protocol.Stop, TaskID: jobstate.TaskID{Job: jobUID}, Attempt: t.Attempt, Incarnation: m.Report.Incarnation}
+		for _, t := range m.Heartbeat.Tasks {
+			o := jobstate.Order{Op: protocol.Stop, TaskID: jobstate.TaskID{Job: jobUID}, Attempt: t.Attempt, Incarnation: m.Heartbeat.Incarnation}
 			if t.State == protocol.Exited {
 				o.Op = protocol.Forget
 			}
 			orders = append(orders, o)
 		}
-		c.home.Take(c.record.Term, machineName(k), orders)
+		c.home.QueueOrders(c.record.Term, machineName(k), orders)
 	}
 }
 
@@ -647,23 +647,23 @@
 		if at != nil {
 			w.readyToSend(c, at)
 		}
-		if at == nil || !at.Urgent() || !w.entitled(c) || at.Starts() && !c.horizon.Renews(w.now, time.Time{}) && w.mutant != "starts after the horizon's time" {
+		if at == nil || !at.ShouldSend() || !w.entitled(c) || at.HasQueuedStart() && !c.horizon.MayRenew(w.now, time.Time{}) && w.mutant != "starts after the horizon's time" {
 			continue
 		}
-		late := w.late && at.Starts()
-		d := direct{machine: k, from: c.index, token: c.record.Term, session: at.Report.Incarnation, commands: at.Send(), late: late}
+		late := w.late && at.HasQueuedStart()
+		d := direct{machine: k, from: c.index, token: c.record.Term, session: at.Heartbeat.Incarnation, commands: at.TakeForRequest(), late: late}
 		if late || m.hung || m.deaf || w.cut[k][c.index] {
 			w.late = w.late && !late
 			if late || !m.deaf {
 				w.held = append(w.held, d)
 			}
-			at.Sent(d.commands, false, true)
+			at.FinishRequest(d.commands, false, true)
 			continue
 		}
 		w.do(d)
 		r := m.report()
-		c.home.Heard(&r, w.now)
-		at.Sent(d.commands, true, true)
+		c.home.ApplyHeartbeat(&r, w.now)
+		at.FinishRequest(d.commands, true, true)
 	}
 }
 
@@ -678,7 +678,7 @@
 	if w.mutant != "starts of what is over" {
 		m.DropStarts(w.over(c))
 	}
-	m.Now, m.Known = w.now, c.horizon.Until(w.now)
+	m.SetWatermark(w.now, c.horizon.KnownUntil(w.now))
 }
 
 // do carries out a direct command.
@@ -777,7 +777,7 @@
 		if c.record == nil || r.FencingToken > c.record.Term {
 			return answer{status: 503}
 		}
-		if grant := w.renewal(c, r); grant.Renew && len(grant.Stops) == 0 {
+		if grant := w.renewal(c, r); grant.Renewed && len(grant.Stops) == 0 {
 			return answer{status: 200, token: c.record.Term}
 		}
 		return answer{status: 503}
@@ -790,29 +790,29 @@
 		if c.peers[home].at.Equal(w.now) && !vain[home] {
 			return answer{status: 421, to: home}
 		}
-		if grant := w.renewal(c, r); grant.Renew {
+		if grant := w.renewal(c, r); grant.Renewed {
 			return answer{200, 0, c.record.Term, grant.Stops}
 		}
 		return answer{status: 503}
 	}
-	c.home.Heard(r, w.now)
+	c.home.ApplyHeartbeat(r, w.now)
 	c.homeWord[slices.Index([]string{machineName(0), machineName(1)}, r.Machine)] = w.now
 	grant := w.renewal(c, r)
-	if !grant.Renew {
+	if !grant.Renewed {
 		return answer{status: 503}
 	}
 	w.readyToSend(c, c.home.Get(r.Machine))
-	return answer{200, 0, c.record.Term, append(grant.Stops, c.home.Get(r.Machine).Answer()...)}
+	return answer{200, 0, c.record.Term, append(grant.Stops, c.home.Get(r.Machine).TakeForAnswer()...)}
 }
 
 // renewal is Node.renewal.
 func (w *world) renewal(c *controller, r *protocol.Heartbeat) leasegrant.Grant {
 	k := slices.Index([]string{machineName(0), machineName(1)}, r.Machine)
-	position := leasegrant.Position{Home: c.record.Home(r.Machine) == names[c.index] && c.record.Nodes[names[c.index]] == c.process,
-		Leased: c.lease.Valid(w.now) && w.entitled(c) || w.mutant == "strangers without a bound", HomeWord: c.homeWord[k]}
+	position := leasegrant.Standing{IsHome: c.record.Home(r.Machine) == names[c.index] && c.record.Nodes[names[c.index]] == c.process,
+		LeaseValid: c.lease.Valid(w.now) && w.entitled(c) || w.mutant == "strangers without a bound", HomeWatermark: c.homeWord[k]}
 	if m := c.home.Get(r.Machine); m != nil {
 		if w.mutant != "a start in flight does not bound renewals" {
-			position.InFlight = m.InFlight(w.over(c))
+			position.InFlightWatermark = m.InFlightWatermark(w.over(c))
 		}
 	}
 	return leasegrant.Decide(r, w.now, position, &knowledge{w, c})
@@ -824,24 +824,24 @@
 	c *controller
 }
 
-func (k *knowledge) Job(string) leasegrant.JobState {
+func (k *knowledge) JobState(string) leasegrant.JobState {
 	switch {
 	case k.w.mutant == "what is over is not stopped":
 		return leasegrant.Active
 	case k.c.active && k.c.known && k.w.mutant == "an acceptance after the end":
 		return leasegrant.Active
 	case k.c.ended, k.c.known && !k.c.active:
-		return leasegrant.Over
+		return leasegrant.Ended
 	case k.c.known, k.w.mutant == "what nobody knows is renewed":
 		return leasegrant.Active
 	}
 	return leasegrant.Unknown
 }
 
-func (k *knowledge) Ordered(attempt jobstate.AttemptRef) bool {
+func (k *knowledge) StartOrdered(attempt jobstate.AttemptRef) bool {
 	for i := range k.w.machines {
 		if m := k.c.home.Get(machineName(i)); m != nil {
-			if sent, ok := m.Ordered(attempt); ok && (sent.IsZero() || !k.c.horizon.LastRead().After(sent)) {
+			if sent, ok := m.StartOrdered(attempt); ok && (sent.IsZero() || !k.c.horizon.LastRead().After(sent)) {
 				return true
 			}
 		}
@@ -849,10 +849,10 @@
 	return false
 }
 
-func (k *knowledge) Lost(uint64) bool { return false }
+func (k *knowledge) MayBeLost(uint64) bool { return false }
 
-func (k *knowledge) Renews(now, since time.Time) bool {
-	return k.w.mutant == "renewals without a horizon" || k.c.horizon.Renews(now, since)
+func (k *knowledge) MayRenew(now, since time.Time) bool {
+	return k.w.mutant == "renewals without a horizon" || k.c.horizon.MayRenew(now, since)
 }
 
 func (w *world) overdue() bool {
--- a/internal/quarantine/quarantine.go
+++ b/internal/quarantine/quarantine.go
@@ -11,13 +11,13 @@
 
 const (
 	// enough is how many machines must fail a job, or jobs on a machine.
-	enough = 3
+	minFailures = 3
 	// fresh is how long a failure speaks against a machine.
-	fresh = 5 * time.Minute
+	failureLife = 5 * time.Minute
 )
 
 // Judge remembers what failed where.
-type Judge struct {
+type Tracker struct {
 	jobs     map[string]*job
 	machines map[string]map[string]time.Time // when a job last failed on a machine
 }
@@ -28,11 +28,11 @@
 }
 
 // New is a judge who has seen nothing.
-func New() *Judge {
-	return &Judge{jobs: map[string]*job{}, machines: map[string]map[string]time.Time{}}
+func New() *Tracker {
+	return &Tracker{jobs: map[string]*job{}, machines: map[string]map[string]time.Time{}}
 }
 
-func (g *Judge) job(uid string) *job {
+func (g *Tracker) job(uid string) *job {
 	j := g.jobs[uid]
 	if j == nil {
 		j = &job{failed: map[string]bool{}}
@@ -43,44 +43,44 @@
 
 // Failed books that a task of a job failed on a machine. It says whether that
 // makes the job faulty, when it was not before.
-func (g *Judge) Failed(uid, machine string, now time.Time) (turned bool) {
+func (g *Tracker) RecordFailure(uid, machine string, now time.Time) (turned bool) {
 	if g.machines[machine] == nil {
 		g.machines[machine] = map[string]time.Time{}
 	}
 	g.machines[machine][uid] = now
 	j := g.job(uid)
-	if j.succeeded || j.failed[machine] || len(j.failed) >= enough {
+	if j.succeeded || j.failed[machine] || len(j.failed) >= minFailures {
 		return false
 	}
 	j.failed[machine] = true
-	return len(j.failed) >= enough
+	return len(j.failed) >= minFailures
 }
 
 // Done books that a task of a job succeeded on a machine, which lifts any doubt
 // about the job for good. It says whether the job was held to be faulty.
-func (g *Judge) Done(uid, machine string) (lifted bool) {
+func (g *Tracker) RecordSuccess(uid, machine string) (lifted bool) {
 	delete(g.machines[machine], uid)
 	j := g.job(uid)
-	lifted = g.Faulty(uid)
+	lifted = g.IsJobFaulty(uid)
 	j.succeeded, j.failed = true, nil
 	return lifted
 }
 
 // Faulty says whether a job is held to be faulty.
-func (g *Judge) Faulty(uid string) bool {
+func (g *Tracker) IsJobFaulty(uid string) bool {
 	j := g.jobs[uid]
-	return j != nil && len(j.failed) >= enough
+	return j != nil && len(j.failed) >= minFailures
 }
 
 // Bad says whether a machine is held to be bad.
-func (g *Judge) Bad(machine string, now time.Time) bool {
-	if len(g.machines[machine]) < enough {
+func (g *Tracker) IsMachineBad(machine string, now time.Time) bool {
+	if len(g.machines[machine]) < minFailures {
 		return false
 	}
 	against := 0
 	maps.DeleteFunc(g.machines[machine], func(uid string, at time.Time) bool {
 		j := g.jobs[uid]
-		if j == nil || now.Sub(at) > fresh {
+		if j == nil || now.Sub(at) > failureLife {
 			return true
 		}
 		if j.succeeded {
@@ -88,11 +88,11 @@
 		}
 		return false
 	})
-	return against >= enough
+	return against >= minFailures
 }
 
 // ForgetJob drops what is known of a job.
-func (g *Judge) ForgetJob(uid string) { delete(g.jobs, uid) }
+func (g *Tracker) ForgetJob(uid string) { delete(g.jobs, uid) }
 
 // ForgetMachine drops what is known of a machine that is gone.
-func (g *Judge) ForgetMachine(machine string) { delete(g.machines, machine) }
+func (g *Tracker) ForgetMachine(machine string) { delete(g.machines, machine) }
--- a/internal/quarantine/quarantine_test.go
+++ b/internal/quarantine/quarantine_test.go
@@ -18,7 +18,7 @@
 // Three faulty jobs once condemned every machine that they were tried on, and the
 // fleet was returned in waves: a job that succeeds nowhere says nothing about a
 // machine.
-func TestJudgeModel(t *testing.T) {
+func TestTrackerModel(t *testing.T) {
 	condemned, doubted := 0, 0
 	for seed := range uint64(200) {
 		rng := rand.New(rand.NewPCG(seed, 7))
@@ -35,15 +35,15 @@
 			history = append(history, e)
 			after := plainFaulty(history, e.job)
 			if e.done {
-				if g.Done(e.job, e.machine) != (before && !after) {
+				if g.RecordSuccess(e.job, e.machine) != (before && !after) {
 					t.Fatalf("seed %d: lifted wrongly after %v", seed, history)
 				}
-			} else if g.Failed(e.job, e.machine, now) != (after && !before) {
+			} else if g.RecordFailure(e.job, e.machine, now) != (after && !before) {
 				t.Fatalf("seed %d: turned wrongly after %v", seed, history)
 			}
 			for j := range 8 {
 				want := plainFaulty(history, fmt.Sprint("job-", j))
-				if got := g.Faulty(fmt.Sprint("job-", j)); got != want {
+				if got := g.IsJobFaulty(fmt.Sprint("job-", j)); got != want {
 					t.Fatalf("seed %d: job-%d faulty %v, plainly %v", seed, j, got, want)
 				}
 				if want {
@@ -52,7 +52,7 @@
 			}
 			for m := range 6 {
 				want := plainBad(history, fmt.Sprint("m-", m), now)
-				if got := g.Bad(fmt.Sprint("m-", m), now); got != want {
+				if got := g.IsMachineBad(fmt.Sprint("m-", m), now); got != want {
 					t.Fatalf("seed %d: m-%d bad %v, plainly %v", seed, m, got, want)
 				}
 				if want {
