--- a/internal/controller/control.go
+++ b/internal/controller/control.go
@@ -304,7 +304,7 @@
 		n.epochEntered(r)
 	}
 	if old != nil && old.RosterIncomplete && !r.RosterIncomplete {
-		n.loadAnew()
+		n.reload()
 	}
 	mine := r.Nodes[n.name] == n.incarnation
 	for name, it := range r.Shards {
@@ -320,7 +320,7 @@
 			have = nil
 		}
 		if own && have == nil {
-			n.takeUp(name, it)
+			n.takeOwnership(name, it)
 		} else if own {
 			have.handingOver = false
 			have.addingReplicas = nil
--- a/internal/controller/home.go
+++ b/internal/controller/home.go
@@ -411,10 +411,10 @@
 		it := n.shards[name]
 		if it.phase == shardReady {
 			if team, _ := teamOf(name); slices.Contains(teams, team) || it.team.Holds(v.Machine) || it.team.Reserves(v.Machine) || unknown < it.team.Since() {
-				n.observe(it, v)
+				n.reconcileMachine(it, v)
 			}
 		} else if it.phase == shardBarrier && it.awaitedMachines[v.Machine] {
-			n.settleAwaited(it, v)
+			n.machineAnswered(it, v)
 		}
 	}
 	n.stopOrphanedTasks(v)
--- a/internal/controller/node.go
+++ b/internal/controller/node.go
@@ -254,9 +254,9 @@
 		"lease":   n.keepLease,
 		"watch":   n.follow,
 		"control": n.keepRecord,
-		"tick":    n.work,
+		"tick":    n.runSteps,
 		"status":  n.tell,
-		"save":    n.save,
+		"save":    n.savePages,
 		"enrol":   n.registerMachines,
 		"sync":    n.readChangesOnRequest,
 		"store":   n.watchStore,
@@ -539,7 +539,7 @@
 			it.team.Merge(s.Spec.UID, d)
 		}
 		if n.epoch() > 1 { // machines may run it already
-			n.reobserve(it, s.Spec.UID)
+			n.reconcileMachinesOf(it, s.Spec.UID)
 		}
 		n.wake()
 	} else if it != nil && it.team != nil {
@@ -569,7 +569,7 @@
 	delete(n.recovery.done, uid)
 	if it := n.shards[teamShard(j.spec.Team)]; it != nil && it.team != nil {
 		it.team.EndJob(uid)
-		n.reobserve(it, uid)
+		n.reconcileMachinesOf(it, uid)
 	}
 	n.wake()
 }
--- a/internal/controller/orphan.go
+++ b/internal/controller/orphan.go
@@ -70,7 +70,7 @@
 	for name := range n.machinesByJob[uid] {
 		for _, it := range n.shards {
 			if it.phase == shardReady && it.team.Reserves(name) {
-				n.observe(it, n.machines[name].status)
+				n.reconcileMachine(it, n.machines[name].status)
 			}
 		}
 	}
--- a/internal/controller/owner.go
+++ b/internal/controller/owner.go
@@ -49,10 +49,10 @@
 func teamOf(name string) (string, bool) { return strings.CutPrefix(name, "team/") }
 
 // takeUp begins to own an item.
-func (n *Node) takeUp(name string, r leadership.Shard) {
+func (n *Node) takeOwnership(name string, r leadership.Shard) {
 	now := time.Now()
 	it := &shard{name: name, sinceTerm: r.SinceTerm, needsBarrier: r.NeedsBarrier, graceFrom: now, takenAt: now,
-		acknowledgements: map[string]*replicaAck{}, pages: jobstate.NewPageSet(valueRoom(n.settings.Deployment.State))}
+		acknowledgements: map[string]*replicaAck{}, pages: jobstate.NewPageSet(maxValueBytes(n.settings.Deployment.State))}
 	n.shards[name] = it
 	n.tookTeam()
 	rep := jobstate.NewReplica()
@@ -91,7 +91,7 @@
 // may run something from before a loss. Whom such an item waited for until then came from a roster with
 // holes, and the record that calls it whole may be known here before the lists that fill them: an
 // owner that started after the loss once waited for nobody and started again what still ran.
-func (n *Node) loadAnew() {
+func (n *Node) reload() {
 	for _, it := range n.shards {
 		if it.phase == shardReady {
 			continue
@@ -124,7 +124,7 @@
 		n.mu.Lock()
 		current := n.shards[it.name] == it && it.loadNumber == load
 		if current && it.phase == shardLoading && (!it.needsBarrier || it.name == leadership.FleetShard) {
-			n.loaded(it, nil)
+			n.enterBarrier(it, nil)
 		}
 		n.mu.Unlock()
 		if !current || it.name == leadership.FleetShard {
@@ -133,10 +133,10 @@
 		err := n.waitForChanges(ctx)
 		if err == nil {
 			var pages []protocol.Entry
-			if pages, _, err = n.kvStore.List(ctx, pagesPath(it.name)); err == nil {
+			if pages, _, err = n.kvStore.List(ctx, pagesPrefix(it.name)); err == nil {
 				n.mu.Lock()
 				if it.loadNumber == load {
-					n.booked(it, pages)
+					n.pagesLoaded(it, pages)
 				}
 				n.mu.Unlock()
 				return
@@ -149,7 +149,7 @@
 
 // loaded begins an item with the jobs and machines known by now, and the finished
 // tasks that the state service has.
-func (n *Node) loaded(it *shard, done map[string]*bitset.BitSet) {
+func (n *Node) enterBarrier(it *shard, done map[string]*bitset.BitSet) {
 	if it.name == leadership.FleetShard {
 		it.phase = shardReady
 		return
@@ -183,17 +183,17 @@
 }
 
 // booked takes in the pages of finished tasks, after which they can be written.
-func (n *Node) booked(it *shard, pages []protocol.Entry) {
+func (n *Node) pagesLoaded(it *shard, pages []protocol.Entry) {
 	if n.shards[it.name] != it {
 		return
 	}
 	done := n.readPages(it, pages)
 	it.pagesRead = true
 	if it.phase == shardLoading {
-		n.loaded(it, done)
+		n.enterBarrier(it, done)
 		return
 	}
-	n.dropUnregistered(it)
+	n.releaseUnregistered(it)
 	for uid, done := range done {
 		if tj := it.team.Job(uid); tj != nil {
 			it.team.AddJob(tj.Spec, tj.Version, tj.Submitted, done)
@@ -217,19 +217,19 @@
 	}
 	it.phase, it.graceFrom = shardReady, time.Now()
 	if it.pagesRead {
-		n.dropUnregistered(it)
+		n.releaseUnregistered(it)
 	}
 	n.log.Info("item ready", "item", it.name, "term", it.sinceTerm, "after", it.graceFrom.Sub(it.takenAt))
 	for _, name := range slices.Sorted(maps.Keys(n.machines)) {
 		if m := n.machines[name]; m.status != nil {
-			n.observe(it, m.status)
+			n.reconcileMachine(it, m.status)
 		}
 	}
 }
 
 // settleAwaited takes a machine that was heard off those that a barrier waits for. The others are looked at once a
 // step: to walk them for each machine costs the square of their number.
-func (n *Node) settleAwaited(it *shard, v *jobstate.MachineStatus) {
+func (n *Node) machineAnswered(it *shard, v *jobstate.MachineStatus) {
 	if v.FencingToken < it.sinceTerm {
 		return
 	}
@@ -243,7 +243,7 @@
 // this controller followed it. No start goes to a machine that is not registered,
 // and none is struck off before the cloud confirmed its end. The roster must be
 // known up to the item's taking.
-func (n *Node) dropUnregistered(it *shard) {
+func (n *Node) releaseUnregistered(it *shard) {
 	if n.record.RosterIncomplete {
 		return // the roster itself was lost
 	}
@@ -255,14 +255,14 @@
 }
 
 // observe lets an item's account see a machine and sends the orders that follow.
-func (n *Node) observe(it *shard, v *jobstate.MachineStatus) {
+func (n *Node) reconcileMachine(it *shard, v *jobstate.MachineStatus) {
 	if it.phase != shardReady || it.name == leadership.FleetShard {
 		return
 	}
 	team, _ := teamOf(it.name)
 	orders := it.team.Observe(v, time.Now(), teamKnowledge{n, team})
 	if len(orders) > 0 {
-		n.order(v.Machine, orders)
+		n.sendOrders(v.Machine, orders)
 	}
 	for _, ref := range it.team.Unsized(v.Machine) {
 		n.lookUpEnd(ref.Job, ref.Attempt)
@@ -270,25 +270,25 @@
 }
 
 // reobserve looks again at the machines that hold tasks of a job.
-func (n *Node) reobserve(it *shard, uid string) {
+func (n *Node) reconcileMachinesOf(it *shard, uid string) {
 	for _, name := range slices.Sorted(maps.Keys(n.machinesByJob[uid])) {
-		n.observe(it, n.machines[name].status)
+		n.reconcileMachine(it, n.machines[name].status)
 	}
 }
 
 // order hands commands for a machine to its home; false if they surely went
 // nowhere.
-func (n *Node) order(name string, orders []jobstate.Order) bool {
+func (n *Node) sendOrders(name string, orders []jobstate.Order) bool {
 	home := n.homeOf(name)
 	if home == n.name {
-		n.take(name, n.record.Term, orders)
+		n.acceptOrders(name, n.record.Term, orders)
 		return true
 	}
 	return n.links.Send(home, "orders", ordersMsg{Term: n.record.Term, Machine: name, Orders: orders})
 }
 
 // take is the home's side of order.
-func (n *Node) take(name string, term uint64, orders []jobstate.Order) {
+func (n *Node) acceptOrders(name string, term uint64, orders []jobstate.Order) {
 	if n.agents.QueueOrders(term, name, orders) {
 		n.wakeCommandSender(name)
 	}
@@ -296,7 +296,7 @@
 }
 
 // needTerm says whether only a raised term can move something on.
-func (n *Node) needTerm(now time.Time) bool {
+func (n *Node) needsRaisedTerm(now time.Time) bool {
 	for _, it := range n.shards {
 		if it.phase == shardReady && it.team.Unproven(now, 4*time.Second) > 0 {
 			return true
@@ -308,13 +308,13 @@
 // minPause and maxShare bound how often and for how much of the time a step is
 // taken: what happens meanwhile is looked at together.
 const (
-	minPause = 20 * time.Millisecond
-	maxShare = 4
+	minStepPause    = 20 * time.Millisecond
+	stepPauseFactor = 4
 )
 
 // work is the main duty: it replicates, orders and places whenever something
 // happened, and at every tick.
-func (n *Node) work(ctx context.Context) error {
+func (n *Node) runSteps(ctx context.Context) error {
 	ticker := time.NewTicker(tick)
 	defer ticker.Stop()
 	for {
@@ -327,13 +327,13 @@
 		}
 		n.mu.Lock()
 		began := time.Now()
-		if still := began.Sub(due); still > stillFor {
-			n.woke(began, still)
+		if stalled := began.Sub(due); stalled > stallThreshold {
+			n.resumedAfterStall(began, stalled)
 		}
 		n.step(began)
 		took := time.Since(began)
 		n.mu.Unlock()
-		if !pause(ctx, max(minPause, maxShare*took)) {
+		if !pause(ctx, max(minStepPause, stepPauseFactor*took)) {
 			return nil
 		}
 	}
@@ -341,13 +341,13 @@
 
 // stillFor is by how much the main duty must be late to show that the process
 // stood still while the clocks ran on.
-const stillFor = time.Second
+const stallThreshold = time.Second
 
 // woke begins to count silence anew: who was not heard while this controller stood
 // still may have spoken all the time.
-func (n *Node) woke(now time.Time, still time.Duration) {
-	n.log.Info("stood still while the clocks ran on", "for", still, "entitled", n.entitled(now))
-	n.membershipSettledAt, n.lastStall = now, still
+func (n *Node) resumedAfterStall(now time.Time, stalled time.Duration) {
+	n.log.Info("stood still while the clocks ran on", "for", stalled, "entitled", n.entitled(now))
+	n.membershipSettledAt, n.lastStall = now, stalled
 	for _, it := range n.shards {
 		it.graceFrom = now
 	}
@@ -363,7 +363,7 @@
 		it.team.TurnHoldback(now)
 	}
 	n.place(now)
-	seldom := now.Sub(n.runningReviewedAt) > lookEvery
+	seldom := now.Sub(n.runningReviewedAt) > runningReviewInterval
 	if seldom {
 		n.runningReviewedAt = now
 	}
@@ -379,22 +379,22 @@
 		if name == leadership.FleetShard || it.handingOver {
 			continue
 		}
-		due := it.team.Due(n.acked(it), now, func(m string, session uint64) bool {
+		due := it.team.Due(n.acknowledgedByAll(it), now, func(m string, session uint64) bool {
 			x := n.machines[m]
 			return x != nil && !x.gone && n.roster.Has(m) && x.status != nil && x.status.Incarnation == session
 		})
 		for m, orders := range due {
-			if !n.order(m, orders) {
+			if !n.sendOrders(m, orders) {
 				it.team.Unsent(orders)
 			} else if !it.firstStartSent && orders[0].Op == protocol.Start {
 				it.firstStartSent = true
 				n.log.Info("item's first start", "item", name, "after", now.Sub(it.takenAt))
 			}
 		}
-		n.finish(it)
+		n.commitFinishedJobs(it)
 		if seldom {
-			n.moveSlow(it, now)
-			n.leaveNoticed(it)
+			n.moveSlowTasks(it, now)
+			n.evictFromNoticedMachines(it)
 		}
 	}
 	n.countLate(now)
@@ -402,11 +402,11 @@
 }
 
 // lookEvery is how often running tasks are looked over for those to be moved.
-const lookEvery = 500 * time.Millisecond
+const runningReviewInterval = 500 * time.Millisecond
 
 // moveSlow stops tasks that take far longer than their kin took, to start them
 // anew elsewhere once they are proven off: as when a machine is faulty.
-func (n *Node) moveSlow(it *shard, now time.Time) {
+func (n *Node) moveSlowTasks(it *shard, now time.Time) {
 	it.team.Jobs(func(tj *jobstate.Job) {
 		uid := tj.Spec.UID
 		j := n.jobs[uid]
@@ -430,7 +430,7 @@
 
 // leaveNoticed moves work off machines that the cloud announced to take away:
 // what can save, gangs as a whole, and replicas. Other tasks may yet complete.
-func (n *Node) leaveNoticed(it *shard) {
+func (n *Node) evictFromNoticedMachines(it *shard) {
 	for _, name := range it.team.Machines() {
 		m := n.machines[name]
 		if m == nil || m.status == nil || !m.status.Notice {
@@ -450,7 +450,7 @@
 }
 
 // finish commits the end of jobs whose tasks are all done.
-func (n *Node) finish(it *shard) {
+func (n *Node) commitFinishedJobs(it *shard) {
 	it.team.Jobs(func(j *jobstate.Job) {
 		if j.Spec.Kind == protocol.Service || j.Finishing || !it.team.Complete(j) {
 			return
@@ -461,13 +461,13 @@
 		j.Finishing = true
 		version, written := n.recordVersion, j.Version
 		n.group.Go(func() error {
-			n.commitDone(n.ctx, it, j, version, written)
+			n.commitJobEnd(n.ctx, it, j, version, written)
 			return nil
 		})
 	})
 }
 
-func (n *Node) commitDone(ctx context.Context, it *shard, j *jobstate.Job, version, written uint64) {
+func (n *Node) commitJobEnd(ctx context.Context, it *shard, j *jobstate.Job, version, written uint64) {
 	uid := j.Spec.UID
 	team, _ := teamOf(it.name)
 	end := userapi.EndOf(j.Spec, protocol.Done)
--- a/internal/controller/recordchange.go
+++ b/internal/controller/recordchange.go
@@ -177,7 +177,7 @@
 		// same version rules that out.
 		return record.Clone(), nil, "settle an unanswered change"
 	}
-	syncs := n.syncs(now)
+	syncs := n.syncStates(now)
 	rebalance := now.Sub(n.membershipSettledAt) > 3*time.Second
 	if next, handed := leadership.Upkeep(record, n.name, syncs, rebalance); next != nil {
 		for _, name := range handed {
@@ -213,7 +213,7 @@
 			return next, nil, "no copy was put back in time: what nobody knows is lost for good"
 		}
 	}
-	if n.needTerm(now) && now.Sub(n.termChangedAt) > 5*time.Second {
+	if n.needsRaisedTerm(now) && now.Sub(n.termChangedAt) > 5*time.Second {
 		next := record.Clone()
 		next.Term++
 		return next, nil, "unproven attempts"
--- a/internal/controller/recovery_writeback.go
+++ b/internal/controller/recovery_writeback.go
@@ -179,7 +179,7 @@
 	if err != nil {
 		return false
 	}
-	pages := datarecovery.Pages(left, valueRoom(n.settings.Deployment.State)-64)
+	pages := datarecovery.Pages(left, maxValueBytes(n.settings.Deployment.State)-64)
 	for _, p := range pages {
 		key := datarecovery.EndsKey + strconv.Itoa(next)
 		if _, err := n.kvStore.Commit(ctx, kvstore.Update{Later: true, Guards: []protocol.Condition{{Key: key}}, Ops: []protocol.Op{{Set: key, Value: protocol.Encode(p)}}}); err != nil {
--- a/internal/controller/replication.go
+++ b/internal/controller/replication.go
@@ -80,9 +80,9 @@
 }
 
 // acked is the sequence number that every backup in sync acknowledged.
-func (n *Node) acked(it *shard) uint64 {
+func (n *Node) acknowledgedByAll(it *shard) uint64 {
 	low := it.team.Replica().Seq
-	for _, b := range n.required(it) {
+	for _, b := range n.requiredReplicas(it) {
 		a := it.acknowledgements[b]
 		if a == nil || !a.known || a.inc != n.record.Nodes[b] {
 			return 0
@@ -93,7 +93,7 @@
 }
 
 // required lists the backups whose acknowledgement a start needs.
-func (n *Node) required(it *shard) []string {
+func (n *Node) requiredReplicas(it *shard) []string {
 	need := slices.Clone(n.record.Shards[it.name].InSync)
 	for _, b := range it.addingReplicas {
 		if !slices.Contains(need, b) {
@@ -104,7 +104,7 @@
 }
 
 // backupsOf names who should hold an item's replica beside this controller.
-func (n *Node) backupsOf(it *shard) []string {
+func (n *Node) replicaHolders(it *shard) []string {
 	return n.record.BackupsOf(it.name, n.name, func(node string) bool {
 		p := n.peers[node]
 		return p != nil && p.connected
@@ -113,14 +113,14 @@
 
 // lateAfter is how long a backup may take to acknowledge before it goes out of
 // sync.
-const lateAfter = 1500 * time.Millisecond
+const acknowledgementTimeout = 1500 * time.Millisecond
 
 // syncs sums up the backups of each owned item.
-func (n *Node) syncs(now time.Time) map[string]leadership.Sync {
+func (n *Node) syncStates(now time.Time) map[string]leadership.Sync {
 	out := map[string]leadership.Sync{}
 	for name, it := range n.shards {
 		s := leadership.Sync{Ready: it.phase == shardReady && !it.handingOver, Whole: map[string]bool{}, Lagging: map[string]bool{}}
-		s.Backups = n.backupsOf(it)
+		s.Backups = n.replicaHolders(it)
 		seq := it.team.Replica().Seq
 		for p, ps := range n.peers {
 			a := it.acknowledgements[p]
@@ -128,8 +128,8 @@
 			case !slices.Contains(s.Backups, p) && !slices.Contains(n.record.Shards[name].InSync, p):
 			case ps.connected && a != nil && a.known && a.seq >= seq && a.inc == n.record.Nodes[p]:
 				s.Whole[p] = true
-			case now.Sub(it.graceFrom) < lateAfter:
-			case !ps.connected || a == nil || (!a.since.IsZero() && now.Sub(a.since) > lateAfter):
+			case now.Sub(it.graceFrom) < acknowledgementTimeout:
+			case !ps.connected || a == nil || (!a.since.IsZero() && now.Sub(a.since) > acknowledgementTimeout):
 				s.Lagging[p] = true
 			}
 		}
@@ -143,7 +143,7 @@
 	deltas := it.team.TakeDeltas()
 	seq := it.team.Replica().Seq
 	var line []byte
-	backups := append(n.backupsOf(it), n.required(it)...)
+	backups := append(n.replicaHolders(it), n.requiredReplicas(it)...)
 	for p, ps := range n.peers {
 		if !slices.Contains(backups, p) {
 			delete(it.acknowledgements, p) // it gets a whole copy when it is a backup again
@@ -204,7 +204,7 @@
 // onCopy takes a whole replica of a peer's item.
 func (n *Node) onCopy(node string, incarnation uint64, c *copyMsg) {
 	if !n.owns(node, incarnation, c.Item, c.Since) {
-		n.askForCopy(node, c.Item, c.Since)
+		n.requestCopy(node, c.Item, c.Since)
 		return
 	}
 	n.replicas[c.Item] = &heldReplica{since: c.Since, rep: jobstate.FromCopy(c.Copy)}
@@ -214,7 +214,7 @@
 // onCopyPart takes a part of a replica of a peer's item. The replica from before is kept until the new one is whole.
 func (n *Node) onCopyPart(node string, incarnation uint64, m *copyPartMsg) {
 	if !n.owns(node, incarnation, m.Item, m.Since) {
-		n.askForCopy(node, m.Item, m.Since)
+		n.requestCopy(node, m.Item, m.Since)
 		return
 	}
 	b := n.replicas[m.Item]
@@ -226,14 +226,14 @@
 		b.incoming, b.incomingSince = jobstate.NewIncoming(), m.Since
 	}
 	if !b.receives(m.Since) {
-		n.askForCopy(node, m.Item, m.Since)
+		n.requestCopy(node, m.Item, m.Since)
 		return
 	}
 	whole, err := b.incoming.Take(m.Part)
 	switch {
 	case err != nil:
 		b.incoming = nil
-		n.askForCopy(node, m.Item, m.Since)
+		n.requestCopy(node, m.Item, m.Since)
 	case whole != nil:
 		n.replicas[m.Item] = &heldReplica{since: m.Since, rep: whole}
 		n.links.Send(node, "ack", ackMsg{Item: m.Item, Since: m.Since, Seq: whole.Seq})
@@ -243,7 +243,7 @@
 }
 
 // askForCopy asks an item's owner for its whole replica.
-func (n *Node) askForCopy(owner, item string, since uint64) {
+func (n *Node) requestCopy(owner, item string, since uint64) {
 	n.links.Send(owner, "ack", ackMsg{Item: item, Since: since, Again: true})
 }
 
@@ -251,18 +251,18 @@
 func (n *Node) onDeltas(node string, incarnation uint64, d *deltasMsg) {
 	b := n.replicas[d.Item]
 	if b == nil || !n.owns(node, incarnation, d.Item, d.Since) {
-		n.askForCopy(node, d.Item, d.Since)
+		n.requestCopy(node, d.Item, d.Since)
 		return
 	}
 	if b.receives(d.Since) {
 		if applyAll(d.Deltas, b.incoming.Apply) != nil {
 			b.incoming = nil
-			n.askForCopy(node, d.Item, d.Since)
+			n.requestCopy(node, d.Item, d.Since)
 		}
 		return // acknowledged once the replica is whole
 	}
 	if b.rep == nil || b.since != d.Since || applyAll(d.Deltas, b.rep.Apply) != nil {
-		n.askForCopy(node, d.Item, d.Since)
+		n.requestCopy(node, d.Item, d.Since)
 		return
 	}
 	n.links.Send(node, "ack", ackMsg{Item: d.Item, Since: d.Since, Seq: b.rep.Seq})
--- a/internal/controller/save.go
+++ b/internal/controller/save.go
@@ -19,11 +19,11 @@
 )
 
 // valueRoom is what one value of the state service may take.
-func valueRoom(s settings.State) int { return int(s.ValueKB * 1024) }
+func maxValueBytes(s settings.State) int { return int(s.ValueKB * 1024) }
 
 // pagesPath is the prefix of an item's pages of finished tasks. Items go by a
 // hash, since a key takes no spaces and 200 bytes at most.
-func pagesPath(item string) string { return fmt.Sprintf("b/%016x/", xxhash.Sum64String(item)) }
+func pagesPrefix(item string) string { return fmt.Sprintf("b/%016x/", xxhash.Sum64String(item)) }
 
 // readPages takes a team's pages into its book and gives the finished tasks of
 // its active jobs.
@@ -37,7 +37,7 @@
 		return 0
 	}
 	for _, e := range entries {
-		number, err := strconv.Atoi(strings.TrimPrefix(e.Key, pagesPath(it.name)))
+		number, err := strconv.Atoi(strings.TrimPrefix(e.Key, pagesPrefix(it.name)))
 		var parts map[string]string
 		if err == nil {
 			err = json.Unmarshal(e.Value, &parts)
@@ -53,13 +53,13 @@
 }
 
 // save writes pages of finished tasks, paced.
-func (n *Node) save(ctx context.Context) error {
+func (n *Node) savePages(ctx context.Context) error {
 	for pause(ctx, settings.Seconds(n.options.BitmapEvery)) {
 		n.mu.Lock()
 		if n.entitled(time.Now()) {
 			for _, it := range n.shards {
 				if it.phase == shardReady && it.pagesRead && !it.saving {
-					n.saveItem(it)
+					n.saveShard(it)
 				}
 			}
 		}
@@ -68,7 +68,7 @@
 	return nil
 }
 
-func (n *Node) saveItem(it *shard) {
+func (n *Node) saveShard(it *shard) {
 	unsaved := it.team.Unsaved()
 	if len(unsaved) == 0 {
 		return
@@ -88,7 +88,7 @@
 }
 
 func (n *Node) savePage(it *shard, p jobstate.Page, control protocol.Condition) {
-	key := pagesPath(it.name) + strconv.Itoa(p.Number)
+	key := pagesPrefix(it.name) + strconv.Itoa(p.Number)
 	revision, err := n.kvStore.Commit(n.ctx, kvstore.Update{Later: true,
 		Guards: []protocol.Condition{control, {Key: key, Version: p.Version}},
 		Ops:    []protocol.Op{{Set: key, Value: protocol.Encode(p.Parts)}}})
@@ -115,6 +115,6 @@
 	}
 	for uid, done := range p.Done {
 		it.team.Saved(uid, done)
-		n.reobserve(it, uid)
+		n.reconcileMachinesOf(it, uid)
 	}
 }
--- a/internal/controller/stray_test.go
+++ b/internal/controller/stray_test.go
@@ -195,11 +195,11 @@
 		n.machines[name].heardAt = g.now
 	}
 	now := g.now.Add(4 * time.Second)
-	if !n.syncs(now)[it.name].Lagging["node-b"] {
+	if !n.syncStates(now)[it.name].Lagging["node-b"] {
 		t.Fatal("a backup that acknowledges nothing for 4 s must go out of sync")
 	}
-	n.woke(now, 4*time.Second)
-	if n.syncs(now)[it.name].Lagging["node-b"] {
+	n.resumedAfterStall(now, 4*time.Second)
+	if n.syncStates(now)[it.name].Lagging["node-b"] {
 		t.Error("a backup is put out of sync for the silence of one who stood still")
 	}
 	if n.membershipSettledAt != now {
@@ -208,7 +208,7 @@
 	if o := n.overview(now); o.Still != 4 || len(o.Unheard) != 1 {
 		t.Errorf("the overview tells of %g s and of unheard peers %v", o.Still, o.Unheard)
 	}
-	if later := now.Add(2 * lateAfter); !n.syncs(later)[it.name].Lagging["node-b"] {
+	if later := now.Add(2 * acknowledgementTimeout); !n.syncStates(later)[it.name].Lagging["node-b"] {
 		t.Error("a backup that stays silent must go out of sync in the end")
 	}
 }
--- a/internal/controller/sync_test.go
+++ b/internal/controller/sync_test.go
@@ -112,7 +112,7 @@
 		if held, _ := it.team.Held(); held != 1 {
 			t.Errorf("in sync: %v, a hold ended though the roster may be old", !blind)
 		}
-		n.booked(it, nil) // the answer, that there are no pages and no machines
+		n.pagesLoaded(it, nil) // the answer, that there are no pages and no machines
 		if held, _ := it.team.Held(); held != 0 || it.phase != shardReady {
 			t.Errorf("in sync: %v, %d holds on machines struck off, phase %s", !blind, held, phases[it.phase])
 		}
@@ -146,7 +146,7 @@
 		it := &shard{name: name, sinceTerm: 5, needsBarrier: blind, acknowledgements: map[string]*replicaAck{}, pages: jobstate.NewPageSet(8 << 10), team: n.newTeam(name, rep, 5)}
 		n.shards[name] = it
 		n.mu.Lock()
-		n.booked(it, nil)
+		n.pagesLoaded(it, nil)
 		if it.phase != shardBarrier || len(it.awaitedMachines) != 0 {
 			t.Fatalf("blind %t: phase %s, waits for %v", blind, phases[it.phase], it.awaitedMachines)
 		}
@@ -161,7 +161,7 @@
 			t.Errorf("blind %t: %d holds left, phase %s before the lists of machines came", blind, held, phases[it.phase])
 		}
 		n.roster.ApplyList(machineKey+"node-b/0", 8, agents.RosterValue{Names: []string{"n-1"}})
-		n.booked(it, nil) // the answer to a read that began after the record came
+		n.pagesLoaded(it, nil) // the answer to a read that began after the record came
 		if held, _ := it.team.Held(); held != want {
 			t.Errorf("blind %t: a hold ended on a machine that is on the roster", blind)
 		}
@@ -192,7 +192,7 @@
 			n.jobs[spec.UID] = &job{spec: spec, active: true}
 			it.team.AddJob(spec, 1, n.startedAt, nil)
 		}
-		n.booked(it, entries)
+		n.pagesLoaded(it, entries)
 		for i := range 2 {
 			if done, _ := it.team.Progress(fmt.Sprintf("job-%06d", i)); done != round {
 				t.Fatalf("round %d: %d tasks of job %d are known to be done", round, done, i)
@@ -203,7 +203,7 @@
 			v := &jobstate.MachineStatus{Machine: "m", Incarnation: 1, Tasks: []jobstate.TaskStatus{{TaskID: jobstate.TaskID{Job: uid, Index: round}, Attempt: 1, State: protocol.Exited, Why: protocol.WhyDone}}}
 			it.team.Observe(v, n.startedAt, teamKnowledge{n, "red"})
 			for _, p := range it.pages.Plan(it.team.Unsaved(), it.team.Finished) {
-				key := fmt.Sprint(pagesPath(name), p.Number)
+				key := fmt.Sprint(pagesPrefix(name), p.Number)
 				store[key] = protocol.Entry{Key: key, Value: protocol.Encode(p.Parts), Version: p.Version + 1}
 				it.pages.Written(p.Number, p.Version+1)
 				for uid, done := range p.Done {
--- a/internal/controller/talk.go
+++ b/internal/controller/talk.go
@@ -270,7 +270,7 @@
 	if o.Term > n.record.Term {
 		n.hint()
 	}
-	n.take(o.Machine, o.Term, o.Orders)
+	n.acceptOrders(o.Machine, o.Term, o.Orders)
 	n.sendChangedStatuses()
 }
 
