--- a/internal/controller/control.go
+++ b/internal/controller/control.go
@@ -307,31 +307,7 @@
 		n.reload()
 	}
 	mine := r.Nodes[n.name] == n.incarnation
-	for name, it := range r.Shards {
-		have := n.shards[name]
-		own := mine && it.Owner == n.name
-		if have != nil && (!own || have.sinceTerm != it.SinceTerm) {
-			if have.phase == shardReady && mine {
-				n.replicas[name] = &heldReplica{since: it.SinceTerm, rep: have.team.Replica()}
-			}
-			n.log.Info("item given up", "item", name, "owner", it.Owner, "term", r.Term)
-			delete(n.shards, name)
-			n.recount(slices.Values(have.team.Machines()))
-			have = nil
-		}
-		if own && have == nil {
-			n.takeOwnership(name, it)
-		} else if own {
-			have.handingOver = false
-			have.addingReplicas = nil
-			if have.team != nil {
-				have.team.SetTerm(r.Term)
-			}
-		}
-	}
-	if !mine {
-		n.replicas = map[string]*heldReplica{}
-	}
+	n.followOwners(r, mine)
 	n.wake()
 }
 
--- /dev/null
+++ b/internal/controller/jobend.go
@@ -0,0 +1,59 @@
+package controller
+
+import (
+	"context"
+	"errors"
+	"slices"
+	"time"
+
+	"topazhollow/internal/jobstate"
+	"topazhollow/internal/kvstore"
+	"topazhollow/internal/protocol"
+	"topazhollow/internal/userapi"
+)
+
+// commitFinishedJobs commits the end of jobs whose tasks are all done.
+func (n *Node) commitFinishedJobs(it *shard) {
+	it.team.Jobs(func(j *jobstate.Job) {
+		if j.Spec.Kind == protocol.Service || j.Finishing || !it.team.Complete(j) {
+			return
+		}
+		if j.Version == 0 {
+			return // after a loss: the store gets it back first
+		}
+		j.Finishing = true
+		version, written := n.recordVersion, j.Version
+		n.group.Go(func() error {
+			n.commitJobEnd(n.ctx, it, j, version, written)
+			return nil
+		})
+	})
+}
+
+func (n *Node) commitJobEnd(ctx context.Context, it *shard, j *jobstate.Job, version, written uint64) {
+	uid := j.Spec.UID
+	team, _ := teamOf(it.name)
+	end := userapi.EndOf(j.Spec, protocol.Done)
+	_, err := n.kvStore.Commit(ctx, kvstore.Update{
+		Guards: []protocol.Condition{{Key: userapi.JobKey + uid, Version: written}, {Key: controlKey, Version: version}},
+		Ops:    []protocol.Op{{Delete: userapi.JobKey + uid}, {Set: userapi.FinalKey + uid, Value: protocol.Encode(end)}}})
+	if c := (*kvstore.Conflict)(nil); errors.As(err, &c) && slices.Contains(c.Keys, userapi.JobKey+uid) {
+		(*userBackend)(n).Missing(uid) // or just withdrawn; the record may have changed as well, which says nothing
+	}
+	if err == nil {
+		n.replicateFact(ctx, replicateFactMsg{Ends: []jobEnd{{uid, end}}})
+		n.front.Learn(uid, end)
+	} else {
+		n.log.Debug("end of job not written yet", "job", uid, "err", err)
+		pause(ctx, 200*time.Millisecond)
+	}
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	if err == nil {
+		n.log.Info("job done", "job", uid, "team", team)
+		n.ranOut(j.Spec, time.Now())
+		n.endJob(uid)
+	}
+	j.Finishing = false
+	n.wake()
+}
--- /dev/null
+++ b/internal/controller/orders.go
@@ -0,0 +1,51 @@
+package controller
+
+import (
+	"maps"
+	"slices"
+	"time"
+
+	"topazhollow/internal/jobstate"
+	"topazhollow/internal/leadership"
+)
+
+// reconcileMachine lets an item's account see a machine and sends the orders that follow.
+func (n *Node) reconcileMachine(it *shard, v *jobstate.MachineStatus) {
+	if it.phase != shardReady || it.name == leadership.FleetShard {
+		return
+	}
+	team, _ := teamOf(it.name)
+	orders := it.team.Observe(v, time.Now(), teamKnowledge{n, team})
+	if len(orders) > 0 {
+		n.sendOrders(v.Machine, orders)
+	}
+	for _, ref := range it.team.Unsized(v.Machine) {
+		n.lookUpEnd(ref.Job, ref.Attempt)
+	}
+}
+
+// reconcileMachinesOf looks again at the machines that hold tasks of a job.
+func (n *Node) reconcileMachinesOf(it *shard, uid string) {
+	for _, name := range slices.Sorted(maps.Keys(n.machinesByJob[uid])) {
+		n.reconcileMachine(it, n.machines[name].status)
+	}
+}
+
+// sendOrders hands commands for a machine to its home; false if they surely went
+// nowhere.
+func (n *Node) sendOrders(name string, orders []jobstate.Order) bool {
+	home := n.homeOf(name)
+	if home == n.name {
+		n.acceptOrders(name, n.record.Term, orders)
+		return true
+	}
+	return n.links.Send(home, "orders", ordersMsg{Term: n.record.Term, Machine: name, Orders: orders})
+}
+
+// acceptOrders is the home's side of order.
+func (n *Node) acceptOrders(name string, term uint64, orders []jobstate.Order) {
+	if n.agents.QueueOrders(term, name, orders) {
+		n.wakeCommandSender(name)
+	}
+	n.publishStatus(name)
+}
--- a/internal/controller/replication.go
+++ b/internal/controller/replication.go
@@ -44,7 +44,7 @@
 // copyPartKind is the kind of a line with a part of a replica. A controller that does not know it never acknowledges one.
 const copyPartKind = "copy_part"
 
-// ack is what a backup acknowledged.
+// replicaAck is what a backup acknowledged.
 type replicaAck struct {
 	inc      uint64
 	copied   bool               // a copy was sent on the present connection, or is being sent
@@ -63,7 +63,7 @@
 	a.transfer, a.parts = nil, 0
 }
 
-// backup is a team's progress kept for its owner.
+// heldReplica is a team's progress kept for its owner.
 type heldReplica struct {
 	since         uint64
 	rep           *jobstate.Replica  // nil: none is whole yet
@@ -79,7 +79,7 @@
 	return nil
 }
 
-// acked is the sequence number that every backup in sync acknowledged.
+// acknowledgedByAll is the sequence number that every backup in sync acknowledged.
 func (n *Node) acknowledgedByAll(it *shard) uint64 {
 	low := it.team.Replica().Seq
 	for _, b := range n.requiredReplicas(it) {
@@ -92,7 +92,7 @@
 	return low
 }
 
-// required lists the backups whose acknowledgement a start needs.
+// requiredReplicas lists the backups whose acknowledgement a start needs.
 func (n *Node) requiredReplicas(it *shard) []string {
 	need := slices.Clone(n.record.Shards[it.name].InSync)
 	for _, b := range it.addingReplicas {
@@ -103,7 +103,7 @@
 	return slices.DeleteFunc(need, func(b string) bool { return b == n.name })
 }
 
-// backupsOf names who should hold an item's replica beside this controller.
+// replicaHolders names who should hold an item's replica beside this controller.
 func (n *Node) replicaHolders(it *shard) []string {
 	return n.record.BackupsOf(it.name, n.name, func(node string) bool {
 		p := n.peers[node]
@@ -115,7 +115,7 @@
 // sync.
 const acknowledgementTimeout = 1500 * time.Millisecond
 
-// syncs sums up the backups of each owned item.
+// syncStates sums up the backups of each owned item.
 func (n *Node) syncStates(now time.Time) map[string]leadership.Sync {
 	out := map[string]leadership.Sync{}
 	for name, it := range n.shards {
@@ -242,7 +242,7 @@
 	}
 }
 
-// askForCopy asks an item's owner for its whole replica.
+// requestCopy asks an item's owner for its whole replica.
 func (n *Node) requestCopy(owner, item string, since uint64) {
 	n.links.Send(owner, "ack", ackMsg{Item: item, Since: since, Again: true})
 }
--- a/internal/controller/save.go
+++ b/internal/controller/save.go
@@ -18,10 +18,10 @@
 	"topazhollow/internal/settings"
 )
 
-// valueRoom is what one value of the state service may take.
+// maxValueBytes is what one value of the state service may take.
 func maxValueBytes(s settings.State) int { return int(s.ValueKB * 1024) }
 
-// pagesPath is the prefix of an item's pages of finished tasks. Items go by a
+// pagesPrefix is the prefix of an item's pages of finished tasks. Items go by a
 // hash, since a key takes no spaces and 200 bytes at most.
 func pagesPrefix(item string) string { return fmt.Sprintf("b/%016x/", xxhash.Sum64String(item)) }
 
@@ -52,7 +52,7 @@
 	return done
 }
 
-// save writes pages of finished tasks, paced.
+// savePages writes pages of finished tasks, paced.
 func (n *Node) savePages(ctx context.Context) error {
 	for pause(ctx, settings.Seconds(n.options.BitmapEvery)) {
 		n.mu.Lock()
