--- a/internal/arch/arch.go
+++ b/internal/arch/arch.go
@@ -36,6 +36,7 @@
 		"internal/autoscaler",
 		"internal/provisioning",
 		"internal/jobstate",
+		"internal/shards",
 		"internal/agents",
 		"internal/leasegrant",
 		"internal/cloud",
--- a/internal/controller/admit.go
+++ b/internal/controller/admit.go
@@ -12,6 +12,7 @@
 	"topazhollow/internal/leadership"
 	"topazhollow/internal/protocol"
 	"topazhollow/internal/settings"
+	"topazhollow/internal/shards"
 )
 
 // What connects internal/admission, which decides, to the controller: docs/admission.md
@@ -36,9 +37,9 @@
 func keyOf(s *protocol.Submission) admission.Key { return admission.Key{Team: s.Team, Class: s.Class} }
 
 // floorsOf is what the plan in force leaves to a team's classes.
-func (n *Node) floorsOf(it *shard) map[string]float64 {
+func (n *Node) floorsOf(it *shards.Owned) map[string]float64 {
 	plan := n.admission.known.Acts()
-	team, ok := teamOf(it.name)
+	team, ok := shards.TeamOf(it.Name())
 	if plan == nil || len(plan.Floors) == 0 || !ok {
 		return nil
 	}
@@ -57,7 +58,7 @@
 
 // goFirst tells for each of a team's demands how many of its tasks go before what is more
 // urgent: as many as its class has less than the plan leaves it, and the first one of an array that has waited long.
-func (n *Node) goFirst(it *shard, list []jobstate.Demand, now time.Time) []int {
+func (n *Node) goFirst(it *shards.Owned, list []jobstate.Demand, now time.Time) []int {
 	first := make([]int, len(list))
 	for i, d := range list {
 		if d.Begins {
@@ -69,7 +70,7 @@
 		return first
 	}
 	f := &floorFilling{list: list, first: first, lacks: map[string]float64{}}
-	held := it.team.HeldBy()
+	held := it.Team().HeldBy()
 	for i, d := range list {
 		lacks := plan.Floor(keyOf(d.Spec)) - held[d.Spec.Class]
 		if n.jobs[d.Spec.UID] != nil && !d.Probe && d.Spec.CPUs > 0 && lacks >= d.Spec.CPUs {
@@ -144,7 +145,7 @@
 // planWord is what this controller tells of plans.
 func (n *Node) planWord() admission.Word {
 	w := admission.Word{Seen: n.admission.known.Seen()}
-	if n.admission.maker != nil && n.shards[leadership.FleetShard] != nil {
+	if n.admission.maker != nil && n.shards.OwnsFleet() {
 		w.Force, w.Next = n.admission.maker.Word()
 	}
 	return w
@@ -322,7 +323,7 @@
 
 // book counts something for a job's team and class, if this controller owns the team.
 func (n *Node) book(s *protocol.Submission, now time.Time, what func(*admission.Count)) {
-	if n.shards[teamShard(s.Team)] != nil {
+	if n.shards.OfTeam(s.Team) != nil {
 		n.admission.served.Book(keyOf(s), now, what)
 	}
 }
@@ -356,11 +357,11 @@
 		return
 	}
 	n.admission.looked = now
-	for name, it := range n.shards {
-		if name == leadership.FleetShard {
+	for it := range n.shards.All() {
+		if it.IsFleet() {
 			continue
 		}
-		it.team.Jobs(func(tj *jobstate.Job) {
+		it.Team().Jobs(func(tj *jobstate.Job) {
 			if j := n.jobs[tj.Spec.UID]; j != nil && j.active && !j.countedLate && n.missed(j, now) {
 				j.countedLate = true
 				n.book(j.spec, now, func(c *admission.Count) { c.Late++ })
@@ -415,15 +416,15 @@
 		x := of(k)
 		x.Count, x.Share = c, c.Share()
 	}
-	for name, it := range n.shards {
-		team, ok := teamOf(name)
-		if !ok || it.phase != shardReady {
+	for it := range n.shards.All() {
+		team, ok := shards.TeamOf(it.Name())
+		if !ok || !it.IsReady() {
 			continue
 		}
-		for class, cpus := range it.team.HeldBy() {
+		for class, cpus := range it.Team().HeldBy() {
 			of(admission.Key{Team: team, Class: class}).Held = cpus
 		}
-		for _, d := range it.team.Demands(now) {
+		for _, d := range it.Team().Demands(now) {
 			x := of(keyOf(d.Spec))
 			x.Waiting += d.Count + int(d.Beyond/max(d.Spec.CPUs, 1e-9)+0.5)
 			if j := n.jobs[d.Spec.UID]; j != nil {
--- a/internal/controller/barrier.go
+++ b/internal/controller/barrier.go
@@ -6,26 +6,31 @@
 	"time"
 
 	"topazhollow/internal/jobstate"
+	"topazhollow/internal/shards"
 )
 
-// passBarrier ends the barrier once every machine it waits for was heard under
-// the item's term, which rules out that an earlier start still arrives, or is
-// gone.
-func (n *Node) passBarrier(it *shard) {
-	for name := range it.awaitedMachines {
-		m := n.machines[name]
-		if m != nil && (m.gone || (m.status != nil && m.status.FencingToken >= it.sinceTerm)) {
-			delete(it.awaitedMachines, name)
-		}
-	}
-	if len(it.awaitedMachines) > 0 || !n.configReady() || !n.memoriesGathered(time.Now()) || (it.needsBarrier && n.record.RosterIncomplete && n.recovery.census == nil) {
+// machineSettled says whether a machine is gone, or reported knowing a term.
+func (n *Node) machineSettled(name string, term uint64) bool {
+	m := n.machines[name]
+	return m != nil && m.knowsTerm(term)
+}
+
+// passBarrier ends the barrier once every machine that it waits for reported under the shard's term or is gone, and
+// everything else is known that a start rests on.
+func (n *Node) passBarrier(it *shards.Owned) {
+	it.SettleAwaited(n.machineSettled)
+	if it.AwaitedCount() > 0 || !n.configReady() || !n.memoriesGathered(time.Now()) {
 		return
 	}
-	it.phase, it.graceFrom = shardReady, time.Now()
-	if it.pagesRead {
+	if it.NeedsBarrier() && n.record.RosterIncomplete && n.recovery.census == nil {
+		return // machines may be missing among those waited for
+	}
+	now := time.Now()
+	it.PassBarrier(now)
+	if it.PagesRead() {
 		n.releaseUnregistered(it)
 	}
-	n.log.Info("item ready", "item", it.name, "term", it.sinceTerm, "after", it.graceFrom.Sub(it.takenAt))
+	n.log.Info("item ready", "item", it.Name(), "term", it.SinceTerm(), "after", now.Sub(it.TakenAt()))
 	for _, name := range slices.Sorted(maps.Keys(n.machines)) {
 		if m := n.machines[name]; m.status != nil {
 			n.reconcileMachine(it, m.status)
@@ -33,29 +38,24 @@
 	}
 }
 
-// machineAnswered takes a machine that was heard off those that a barrier waits for. The others are looked at once a
-// step: to walk them for each machine costs the square of their number.
-func (n *Node) machineAnswered(it *shard, v *jobstate.MachineStatus) {
-	if v.FencingToken < it.sinceTerm {
-		return
-	}
-	delete(it.awaitedMachines, v.Machine)
-	if len(it.awaitedMachines) == 0 {
+// machineAnswered takes a machine that reported off those that a barrier waits for.
+func (n *Node) machineAnswered(it *shards.Owned, v *jobstate.MachineStatus) {
+	if it.MachineAnswered(v.Machine, v.FencingToken) {
 		n.passBarrier(it)
 	}
 }
 
-// releaseUnregistered ends holds on machines that were struck off the roster before
+// releaseUnregistered ends assignments to machines that were struck off the roster before
 // this controller followed it. No start goes to a machine that is not registered,
 // and none is struck off before the cloud confirmed its end. The roster must be
-// known up to the item's taking.
-func (n *Node) releaseUnregistered(it *shard) {
+// known up to the shard's taking.
+func (n *Node) releaseUnregistered(it *shards.Owned) {
 	if n.record.RosterIncomplete {
 		return // the roster itself was lost
 	}
-	for _, name := range it.team.Machines() {
+	for _, name := range it.Team().Machines() {
 		if !n.roster.Has(name) {
-			it.team.Gone(name)
+			it.Team().Gone(name)
 		}
 	}
 }
--- a/internal/controller/barrierprobe.go
+++ b/internal/controller/barrierprobe.go
@@ -7,6 +7,7 @@
 
 	"topazhollow/internal/httpx"
 	"topazhollow/internal/protocol"
+	"topazhollow/internal/shards"
 )
 
 // After an end of all controllers the full barrier waits for every registered machine, and
@@ -16,15 +17,6 @@
 // without commands teaches a worker the term, and its answer is a report that knows it, which
 // is what the barrier waits for.
 
-// probeKind names probeMsg between controllers. The word is older than the type's name, and
-// stays as controllers of both versions may run beside each other.
-const probeKind = "knock"
-
-// probeMsg tells homes the addresses of machines that barriers wait for.
-type probeMsg struct {
-	Addrs map[string]string `json:"addrs"`
-}
-
 const (
 	// maxOpenProbes is how many machines a controller probes at a time.
 	maxOpenProbes = 24
@@ -36,12 +28,10 @@
 	probeAnswerSize = 1 << 20
 )
 
-// barrierProbes is what a controller knows of its probes in one term.
+// barrierProbes is the probes of one term.
 type barrierProbes struct {
-	term       uint64
-	asked      map[string]bool // probed, or to be probed
-	unanswered map[string]bool
-	turns      chan struct{} // holds one element for each probe under way
+	shards.Probes
+	turns chan struct{} // holds one element for each probe under way in the term
 }
 
 // probeAwaited has the homes of all machines that a barrier waits for probe them.
@@ -55,7 +45,7 @@
 	if len(addrs) == 0 {
 		return
 	}
-	n.tellAll(probeKind, probeMsg{addrs})
+	n.tellAll(shards.KindProbe, shards.ProbeRequest{Addrs: addrs})
 	n.onProbe(addrs, time.Now())
 }
 
@@ -64,25 +54,24 @@
 	if !n.entitled(now) {
 		return
 	}
-	if n.probes.term != n.record.Term {
-		n.probes = barrierProbes{term: n.record.Term, asked: map[string]bool{}, unanswered: map[string]bool{}, turns: make(chan struct{}, maxOpenProbes)}
+	if n.probes.Begin(n.record.Term) {
+		n.probes.turns = make(chan struct{}, maxOpenProbes)
 	}
-	probes := n.probes
+	term, turns := n.probes.Term(), n.probes.turns
 	for _, name := range slices.Sorted(maps.Keys(addrs)) {
 		m := n.machine(name)
-		if probes.asked[name] || n.homeOf(name) != n.name || m.knowsTerm(probes.term) {
+		if n.homeOf(name) != n.name || m.knowsTerm(term) || !n.probes.Ask(name) {
 			continue
 		}
-		probes.asked[name] = true
-		session := uint64(1)
+		incarnation := uint64(1)
 		if m.status != nil {
-			session = m.status.Incarnation
+			incarnation = m.status.Incarnation
 		}
 		n.group.Go(func() error {
 			select {
-			case probes.turns <- struct{}{}:
-				n.probeMachine(probes, name, addrs[name], session)
-				<-probes.turns
+			case turns <- struct{}{}:
+				n.probeMachine(term, name, addrs[name], incarnation)
+				<-turns
 			case <-n.ctx.Done():
 			}
 			return nil
@@ -96,32 +85,32 @@
 }
 
 // probeMachine asks one machine for its report.
-func (n *Node) probeMachine(probes barrierProbes, name, addr string, session uint64) {
+func (n *Node) probeMachine(term uint64, name, addr string, incarnation uint64) {
 	link := httpx.NewLink(addr, probeAnswerSize)
 	defer link.Close()
 	for range probeTries {
-		if !n.probeNeeded(probes, name) {
+		if !n.probeNeeded(term, name) {
 			return
 		}
-		body := protocol.Encode(protocol.DirectCommands{FencingToken: probes.term, Incarnation: session, Commands: []protocol.Command{}})
+		body := protocol.Encode(protocol.DirectCommands{FencingToken: term, Incarnation: incarnation, Commands: []protocol.Command{}})
 		resp, _, err := link.Do(n.ctx, "POST", protocol.PathDo, body, probeTimeout)
 		var report protocol.Heartbeat
 		answered := err == nil && readProbeAnswer(resp, name, &report)
-		n.takeProbeAnswer(probes, name, &report, answered)
-		if !answered || resp.Status == 200 || report.FencingToken > probes.term {
+		n.takeProbeAnswer(term, name, &report, answered)
+		if !answered || resp.Status == 200 || report.FencingToken > term {
 			return
 		}
-		session = report.Incarnation
+		incarnation = report.Incarnation
 	}
 }
 
 // probeNeeded says whether a machine has still to be asked: meanwhile it may have come by
 // itself, or the term may be another.
-func (n *Node) probeNeeded(probes barrierProbes, name string) bool {
+func (n *Node) probeNeeded(term uint64, name string) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	current := n.probes.term == probes.term && n.entitled(time.Now()) && n.record.Term == probes.term
-	return current && !n.machine(name).knowsTerm(probes.term)
+	current := n.probes.Term() == term && n.entitled(time.Now()) && n.record.Term == term
+	return current && !n.machine(name).knowsTerm(term)
 }
 
 // readProbeAnswer reads the report that a machine of that name answered with.
@@ -133,14 +122,14 @@
 }
 
 // takeProbeAnswer takes in the report that a machine answered with, or that it did not answer.
-func (n *Node) takeProbeAnswer(probes barrierProbes, name string, report *protocol.Heartbeat, answered bool) {
+func (n *Node) takeProbeAnswer(term uint64, name string, report *protocol.Heartbeat, answered bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if n.probes.term != probes.term || n.record.Term != probes.term {
+	if n.probes.Term() != term || n.record.Term != term {
 		return
 	}
 	if !answered {
-		probes.unanswered[name] = true
+		n.probes.NotAnswered(term, name)
 		return
 	}
 	n.applyResponse(report, time.Now())
@@ -148,14 +137,7 @@
 	n.sendChangedStatuses()
 }
 
-// unanswered lists the machines homed here that did not answer a probe and were not heard
-// since.
-func (n *Node) unanswered() (names []string) {
-	for name := range n.probes.unanswered {
-		if !n.machine(name).knowsTerm(n.probes.term) {
-			names = append(names, name)
-		}
-	}
-	slices.Sort(names)
-	return names
+// unanswered lists the machines homed here that did not answer a probe and have not reported since.
+func (n *Node) unanswered() []string {
+	return n.probes.Unanswered(func(name string, term uint64) bool { return n.machine(name).knowsTerm(term) })
 }
--- a/internal/controller/capacity_bench_test.go
+++ b/internal/controller/capacity_bench_test.go
@@ -106,11 +106,8 @@
 	for _, machines := range fleetSizes {
 		b.Run(fmt.Sprintf("machines=%d", machines), func(b *testing.B) {
 			g := newGrown(machines, 17)
-			for _, it := range g.n.shards {
-				it.phase, it.sinceTerm, it.awaitedMachines = shardBarrier, 2, map[string]bool{}
-				for _, name := range g.names {
-					it.awaitedMachines[name] = true
-				}
+			for it := range g.n.shards.InOrder() {
+				barrierShard(g.n, it, 2, g.names)
 			}
 			g.n.mu.Lock()
 			defer g.n.mu.Unlock()
--- a/internal/controller/catalog.go
+++ b/internal/controller/catalog.go
@@ -4,8 +4,6 @@
 	"context"
 	"maps"
 	"time"
-
-	"topazhollow/internal/leadership"
 )
 
 // How long the machine types of the last read are used: by the fleet's owner, which needs
@@ -30,7 +28,7 @@
 			n.log.Info("catalog not read", "err", err)
 			wait = catalogRetry
 		}
-		if n.shards[leadership.FleetShard] != nil {
+		if n.shards.OwnsFleet() {
 			wait = min(wait, ownerCatalogLife)
 		}
 		n.mu.Unlock()
--- a/internal/controller/config_follow.go
+++ b/internal/controller/config_follow.go
@@ -10,6 +10,7 @@
 	"topazhollow/internal/leadership"
 	"topazhollow/internal/protocol"
 	"topazhollow/internal/settings"
+	"topazhollow/internal/shards"
 	"topazhollow/internal/teamconfig"
 	"topazhollow/internal/teamstore"
 	"topazhollow/internal/userapi"
@@ -51,8 +52,8 @@
 	names := []string{leadership.FleetShard}
 	listed := map[string]bool{}
 	for _, t := range n.teams() {
-		names = append(names, teamShard(t.Name))
-		listed[teamShard(t.Name)] = true
+		names = append(names, shards.ForTeam(t.Name))
+		listed[shards.ForTeam(t.Name)] = true
 	}
 	if n.teamConfig != nil && n.record != nil { // a team that another controller knew of first
 		for name := range n.record.Shards {
@@ -163,9 +164,9 @@
 	if n.teamConfig == nil {
 		return
 	}
-	for name, it := range n.shards {
-		team, ok := teamOf(name)
-		if !ok || it.team == nil {
+	for it := range n.shards.All() {
+		team, ok := shards.TeamOf(it.Name())
+		if !ok {
 			continue
 		}
 		entry, changed := n.teamConfig.teams.Entry(team)
@@ -173,9 +174,9 @@
 			continue
 		}
 		limits, _ := n.teamConfig.teams.Limits(team, now)
-		it.team.SetLimits(limits.CPUs, limits.CPUsMax, limits.GPUs, limits.GPUsMax)
-		if it.phase == shardReady {
-			it.team.StopExcess(entry.StopExcess)
+		it.Team().SetLimits(limits.CPUs, limits.CPUsMax, limits.GPUs, limits.GPUsMax)
+		if it.IsReady() {
+			it.Team().StopExcess(entry.StopExcess)
 		}
 	}
 }
@@ -186,7 +187,7 @@
 		return &teamconfig.Record{Owner: func(string) string { return "" }}
 	}
 	return &teamconfig.Record{Generation: n.record.Epoch, Version: n.recordVersion, Members: n.record.Nodes,
-		Owner: func(team string) string { return n.record.Shards[teamShard(team)].Owner }}
+		Owner: func(team string) string { return n.record.Shards[shards.ForTeam(team)].Owner }}
 }
 
 // configWord is what this controller tells its peers, nil if it has nothing to say. It keeps to it from here on.
@@ -198,10 +199,10 @@
 	n.teamConfig.serial++
 	w := teamconfig.Word{Serial: n.teamConfig.serial, Generation: n.epoch(), Record: n.recordVersion, Known: n.teamConfig.teams.Known(), Base: n.teamConfig.base}
 	for _, x := range n.teamConfig.teams.Open() {
-		if n.record.Shards[teamShard(x.Team)].Owner != n.name {
+		if n.record.Shards[shards.ForTeam(x.Team)].Owner != n.name {
 			continue
 		}
-		if it := n.shards[teamShard(x.Team)]; it == nil || it.phase != shardReady || !it.team.Settled() {
+		if it := n.shards.OfTeam(x.Team); it == nil || !it.IsReady() || !it.Team().Settled() {
 			w.Unsettled = append(w.Unsettled, x.Team)
 		}
 	}
@@ -299,7 +300,7 @@
 
 // writeBackConfig has the fleet's owner give the state service the entries that it lost.
 func (n *Node) writeBackConfig() {
-	if n.teamConfig == nil || n.shards[leadership.FleetShard] == nil {
+	if n.teamConfig == nil || !n.shards.OwnsFleet() {
 		return
 	}
 	for _, x := range n.teamConfig.teams.Unwritten() {
--- a/internal/controller/demand_test.go
+++ b/internal/controller/demand_test.go
@@ -27,7 +27,7 @@
 		n.mu.Lock()
 		n.learnJob(userapi.Stored{At: g.now.UnixMilli(), Spec: spec}, 1)
 		n.place(g.now.Add(100 * time.Millisecond))
-		team, demands := n.shards[teamShard("team-0")].team, n.demands(g.now)
+		team, demands := n.shards.OfTeam("team-0").Team(), n.demands(g.now)
 		n.mu.Unlock()
 		if len(demands) != 1 || demands[0].Count == 0 {
 			t.Fatalf("%s: demands %+v", what, demands)
--- a/internal/controller/fleetview.go
+++ b/internal/controller/fleetview.go
@@ -112,7 +112,7 @@
 			to[name] = true
 		}
 	}
-	add(awaited, n.awaits())
+	add(awaited, n.shards.AwaitedMachines())
 	add(mute, n.unanswered())
 	for _, p := range n.peers {
 		if now.Sub(p.heardAt) < peerWordLife {
--- a/internal/controller/grown_test.go
+++ b/internal/controller/grown_test.go
@@ -18,6 +18,7 @@
 	"topazhollow/internal/protocol"
 	"topazhollow/internal/provisioning"
 	"topazhollow/internal/settings"
+	"topazhollow/internal/shards"
 	"topazhollow/internal/userapi"
 )
 
@@ -54,10 +55,9 @@
 	record.Nodes["node-a"] = n.incarnation
 	record.Unreachable = []string{"node-b", "node-c"} // this controller is the home of all
 	for _, t := range s.Deployment.Teams {
-		name := teamShard(t.Name)
+		name := shards.ForTeam(t.Name)
 		record.Shards[name] = leadership.Shard{Owner: "node-a", SinceTerm: 1}
-		n.shards[name] = &shard{name: name, sinceTerm: 1, phase: shardReady, acknowledgements: map[string]*replicaAck{}, pages: jobstate.NewPageSet(8 << 10),
-			team: n.newTeam(name, jobstate.NewReplica(), 1)}
+		readyShard(n, name, 1)
 	}
 	n.record = record
 	ended, cancel := context.WithCancel(context.Background())
@@ -112,8 +112,8 @@
 		for _, name := range g.names {
 			g.n.machines[name].heardAt = g.now
 			var fresh []jobstate.TaskStatus
-			for _, it := range g.n.shards {
-				it.team.On(name, func(h jobstate.Assignment) {
+			for it := range g.n.shards.All() {
+				it.Team().On(name, func(h jobstate.Assignment) {
 					if g.ends[h.Ref()].IsZero() {
 						g.ends[h.Ref()] = g.now.Add(20*time.Second + time.Duration(g.rng.IntN(40000))*time.Millisecond)
 						fresh = append(fresh, jobstate.TaskStatus{TaskID: h.TaskID, Attempt: h.Attempt, State: protocol.Running})
@@ -144,8 +144,8 @@
 		}
 	}
 	for _, j := range g.n.jobs { // ended jobs leave the account
-		if it := g.n.shards[teamShard(j.spec.Team)]; j.active && it != nil {
-			if tj := it.team.Job(j.spec.UID); tj != nil && it.team.Complete(tj) {
+		if it := g.n.shards.OfTeam(j.spec.Team); j.active && it != nil {
+			if tj := it.Team().Job(j.spec.UID); tj != nil && it.Team().Complete(tj) {
 				g.n.endJob(j.spec.UID)
 			}
 		}
@@ -172,7 +172,7 @@
 		case 60: // another controller takes a team over
 			next := n.record.Clone()
 			next.Term++
-			name := teamShard("team-1")
+			name := shards.ForTeam("team-1")
 			next.Shards[name] = leadership.Shard{Owner: "node-b", SinceTerm: next.Term}
 			n.adopt(next, n.recordVersion+1)
 			for uid, j := range n.jobs { // its jobs are no more this one's to run
@@ -277,7 +277,7 @@
 	for _, borrowed := range []bool{false, true} {
 		g := newGrown(8, 2)
 		n := g.n
-		n.shards[teamShard("team-1")].team.CPUs = 0
+		n.shards.OfTeam("team-1").Team().CPUs = 0
 		submit := func(uid, team, priority string, tasks int, cpus, estimate float64) {
 			n.mu.Lock()
 			defer n.mu.Unlock()
@@ -288,7 +288,7 @@
 		for range 12 {
 			g.second(2)
 		}
-		if held, _ := n.shards[teamShard("team-1")].team.Held(); held != 64 {
+		if held, _ := n.shards.OfTeam("team-1").Team().Held(); held != 64 {
 			t.Fatalf("%d of 64 idle-time tasks run", held)
 		}
 		team := "team-0"
--- a/internal/controller/held_test.go
+++ b/internal/controller/held_test.go
@@ -32,7 +32,7 @@
 				n.learnJob(userapi.Stored{At: g.now.Add(-age).UnixMilli(), Spec: &protocol.Submission{UID: uid, Team: "team-0", Class: class, Kind: protocol.JobArray,
 					Priority: "standard", Tasks: tasks, CPUs: cpus, Memory: 1, Image: "img", Estimate: 40, Spot: true}}, 1)
 			}
-			team := n.shards[teamShard("team-0")].team
+			team := n.shards.OfTeam("team-0").Team()
 			learn("job-000001", "small", c.begun, 2, 0)
 			n.place(g.now)
 			plan := &admission.Plan{ID: admission.ID{Since: 1, Number: 1}, Reserved: map[string]string{g.names[0]: "large"}}
@@ -68,7 +68,7 @@
 			n := g.n
 			n.mu.Lock()
 			defer n.mu.Unlock()
-			team := n.shards[teamShard("team-0")].team
+			team := n.shards.OfTeam("team-0").Team()
 			team.SetLimits(0, c.limit, 0, math.Inf(1))
 			deadline := 500.0
 			learn := func(uid, class string, tasks int, cpus float64, deadline *float64) {
--- a/internal/controller/home.go
+++ b/internal/controller/home.go
@@ -10,6 +10,7 @@
 	"topazhollow/internal/jobstate"
 	"topazhollow/internal/protocol"
 	"topazhollow/internal/settings"
+	"topazhollow/internal/shards"
 )
 
 // doer carries commands to one machine over one ordered connection.
@@ -43,9 +44,9 @@
 	n.quarantine.ForgetMachine(name)
 	n.agents.Drop(name)
 	n.log.Info("machine gone", "machine", name)
-	for _, it := range n.shards {
-		if it.phase == shardReady {
-			it.team.Gone(name)
+	for it := range n.shards.All() {
+		if it.IsReady() {
+			it.Team().Gone(name)
 		}
 	}
 	if d := n.commandSenders[name]; d != nil {
@@ -407,13 +408,12 @@
 	}
 	teams := n.teamsOn(v)
 	unknown := n.oldestUnknownTerm(v)
-	for _, name := range slices.Sorted(maps.Keys(n.shards)) {
-		it := n.shards[name]
-		if it.phase == shardReady {
-			if team, _ := teamOf(name); slices.Contains(teams, team) || it.team.Holds(v.Machine) || it.team.Reserves(v.Machine) || unknown < it.team.Since() {
+	for it := range n.shards.InOrder() {
+		if it.IsReady() {
+			if team, _ := shards.TeamOf(it.Name()); slices.Contains(teams, team) || it.Team().Holds(v.Machine) || it.Team().Reserves(v.Machine) || unknown < it.Team().Since() {
 				n.reconcileMachine(it, v)
 			}
-		} else if it.phase == shardBarrier && it.awaitedMachines[v.Machine] {
+		} else if it.Phase() == shards.Barrier && it.Awaits(v.Machine) {
 			n.machineAnswered(it, v)
 		}
 	}
@@ -446,8 +446,8 @@
 	} else {
 		return
 	}
-	if it := n.shards[teamShard(j.spec.Team)]; it != nil && it.phase != shardLoading {
-		it.team.SetFaulty(t.Job, faulty)
+	if it := n.shards.OfTeam(j.spec.Team); it != nil && it.Phase() != shards.Loading {
+		it.Team().SetFaulty(t.Job, faulty)
 	}
 }
 
--- a/internal/controller/jobend.go
+++ b/internal/controller/jobend.go
@@ -9,13 +9,14 @@
 	"topazhollow/internal/jobstate"
 	"topazhollow/internal/kvstore"
 	"topazhollow/internal/protocol"
+	"topazhollow/internal/shards"
 	"topazhollow/internal/userapi"
 )
 
 // commitFinishedJobs commits the end of jobs whose tasks are all done.
-func (n *Node) commitFinishedJobs(it *shard) {
-	it.team.Jobs(func(j *jobstate.Job) {
-		if j.Spec.Kind == protocol.Service || j.Finishing || !it.team.Complete(j) {
+func (n *Node) commitFinishedJobs(it *shards.Owned) {
+	it.Team().Jobs(func(j *jobstate.Job) {
+		if j.Spec.Kind == protocol.Service || j.Finishing || !it.Team().Complete(j) {
 			return
 		}
 		if j.Version == 0 {
@@ -30,9 +31,9 @@
 	})
 }
 
-func (n *Node) commitJobEnd(ctx context.Context, it *shard, j *jobstate.Job, version, written uint64) {
+func (n *Node) commitJobEnd(ctx context.Context, it *shards.Owned, j *jobstate.Job, version, written uint64) {
 	uid := j.Spec.UID
-	team, _ := teamOf(it.name)
+	team, _ := shards.TeamOf(it.Name())
 	end := userapi.EndOf(j.Spec, protocol.Done)
 	_, err := n.kvStore.Commit(ctx, kvstore.Update{
 		Guards: []protocol.Condition{{Key: userapi.JobKey + uid, Version: written}, {Key: controlKey, Version: version}},
--- a/internal/controller/meeting_answer_test.go
+++ b/internal/controller/meeting_answer_test.go
@@ -7,6 +7,7 @@
 	"time"
 
 	"topazhollow/internal/protocol"
+	"topazhollow/internal/shards"
 	"topazhollow/internal/simulation"
 	"topazhollow/internal/userapi"
 )
@@ -83,7 +84,7 @@
 				submit(i)
 			}
 			s.until("machines work", func() bool { return s.check.Starts() > 0 })
-			leader := s.leader(teamShard("red"))
+			leader := s.leader(shards.ForTeam("red"))
 			s.crash(leader)
 			s.start(leader)
 			s.settle()
@@ -139,7 +140,7 @@
 			}
 			s.cancel(endless(1, 4, "red").UID)
 			s.until("commands are on their way", func() bool { held, _ := lateCommands(machines); return held > 0 })
-			leader, before := s.leader(teamShard("red")), s.term()
+			leader, before := s.leader(shards.ForTeam("red")), s.term()
 			undo := depose(s, leader)
 			for _, w := range machines {
 				w.SlowCommands(nil) // the next leader's are not held up
--- a/internal/controller/meeting_cut_test.go
+++ b/internal/controller/meeting_cut_test.go
@@ -4,6 +4,7 @@
 	"slices"
 	"testing"
 	"time"
+	"topazhollow/internal/shards"
 )
 
 // TestCutZone: a controller is cut off with machines of its zone for longer than a worker's lease: from the state
@@ -14,7 +15,7 @@
 	s := openScene(t, sceneRun)
 	s.members(3)
 	crowd(s)
-	inside, cut := s.leader(teamShard("red")), s.cloud.Workers()[:2]
+	inside, cut := s.leader(shards.ForTeam("red")), s.cloud.Workers()[:2]
 	gone := s.runningOn(cut)[0]
 	for _, w := range cut {
 		w.Reach(s.names[inside])
@@ -57,7 +58,7 @@
 			}
 			s.until("commands wait at machines", func() bool { held, _ := lateCommands(machines); return held > 0 })
 			if ends {
-				leader := s.leader(teamShard("red"))
+				leader := s.leader(shards.ForTeam("red"))
 				s.crash(leader)
 				s.start(leader)
 			}
@@ -79,7 +80,7 @@
 	s := openScene(t, sceneRun)
 	s.members(3)
 	jobs := crowd(s)
-	leader := s.leader(teamShard("red"))
+	leader := s.leader(shards.ForTeam("red"))
 	s.doors[leader].Refuse(true)
 	for i, job := range jobs {
 		if i%2 == 0 {
--- a/internal/controller/meeting_leader_test.go
+++ b/internal/controller/meeting_leader_test.go
@@ -6,6 +6,7 @@
 	"time"
 
 	"topazhollow/internal/protocol"
+	"topazhollow/internal/shards"
 )
 
 // TestCancelledWhileWorkChangesHands: jobs are cancelled in the seconds in which a controller's teams go to another one
@@ -18,7 +19,7 @@
 			s := openScene(t, sceneRun)
 			s.members(3)
 			jobs := crowd(s)
-			leader := s.leader(teamShard("red"))
+			leader := s.leader(shards.ForTeam("red"))
 			var between atomic.Int64 // cancellations confirmed while another one owned the team, or nobody did
 			rng := draws(9)
 			for _, job := range jobs {
@@ -33,7 +34,7 @@
 			s.crash(leader)
 			time.Sleep(pause)
 			s.start(leader)
-			s.until("it leads again", func() bool { return s.leads(s.names[leader], teamShard("red")) })
+			s.until("it leads again", func() bool { return s.leads(s.names[leader], shards.ForTeam("red")) })
 			confirmed := between.Load() - begun
 			s.settle()
 			if confirmed == 0 {
@@ -58,7 +59,7 @@
 				job, gone := uneven(round, 3, []string{"red", "blue"}[round%2]), endless(round, 2, []string{"red", "blue"}[round%2])
 				s.beside(func() { s.enter(job) })
 				s.beside(func() { s.enter(gone); s.cancel(gone.UID) })
-				leader := s.leader(teamShard([]string{"red", "blue"}[round%2]))
+				leader := s.leader(shards.ForTeam([]string{"red", "blue"}[round%2]))
 				out := outage && round%2 == 1
 				s.state.Outage(out)
 				s.crash(leader)
@@ -108,11 +109,11 @@
 	s := openScene(t, sceneRun)
 	s.members(3)
 	jobs := crowd(s)
-	leader := s.leader(teamShard("blue"))
+	leader := s.leader(shards.ForTeam("blue"))
 	s.crash(leader)
 	s.start(leader)
 	s.beside(func() { s.cancel(jobs[0].UID) })
-	s.until("it leads again", func() bool { return s.leads(s.names[leader], teamShard("blue")) })
+	s.until("it leads again", func() bool { return s.leads(s.names[leader], shards.ForTeam("blue")) })
 	for i := range s.nodes {
 		s.crash(i)
 	}
@@ -120,7 +121,7 @@
 	for _, job := range jobs[1:4] {
 		s.beside(func() { s.cancel(job.UID) })
 	}
-	s.until("it leads alone", func() bool { return s.leads(s.names[leader], teamShard("red")) })
+	s.until("it leads alone", func() bool { return s.leads(s.names[leader], shards.ForTeam("red")) })
 	if got := len(s.overviews()); got != 1 {
 		t.Errorf("%d controllers answer", got)
 	}
@@ -155,7 +156,7 @@
 		})
 		switch i {
 		case jobs / 3:
-			leader := s.leader(teamShard("red"))
+			leader := s.leader(shards.ForTeam("red"))
 			s.crash(leader)
 			s.start(leader)
 		case jobs / 2:
@@ -211,7 +212,7 @@
 					s.cloud.Take(machines[0].Name())
 				}
 				if ends {
-					leader := s.leader(teamShard("red"))
+					leader := s.leader(shards.ForTeam("red"))
 					s.crash(leader)
 					s.start(leader)
 				}
@@ -249,7 +250,7 @@
 		})
 	}
 	s.until("more than there is room for", func() bool { return s.check.On() >= 16 })
-	leader := s.leader(teamShard("red"))
+	leader := s.leader(shards.ForTeam("red"))
 	s.crash(leader)
 	s.start(leader)
 	s.settle()
--- a/internal/controller/meeting_look_test.go
+++ b/internal/controller/meeting_look_test.go
@@ -7,6 +7,7 @@
 
 	"topazhollow/internal/history"
 	"topazhollow/internal/protocol"
+	"topazhollow/internal/shards"
 )
 
 // looks is how many times each controller is asked after each event.
@@ -80,11 +81,11 @@
 			})
 		},
 		"a leader ends": func(s *scene) {
-			leader := s.leader(teamShard("red"))
+			leader := s.leader(shards.ForTeam("red"))
 			s.beside(func() { s.crash(leader); s.start(leader) })
 		},
 		"the service refuses the leader": func(s *scene) {
-			leader := s.leader(teamShard("red"))
+			leader := s.leader(shards.ForTeam("red"))
 			s.beside(func() {
 				s.doors[leader].Refuse(true)
 				time.Sleep(time.Second)
@@ -179,7 +180,7 @@
 		}
 	}
 	check()
-	leader := s.leader(teamShard("red"))
+	leader := s.leader(shards.ForTeam("red"))
 	s.crash(leader)
 	s.start(leader)
 	check()
--- a/internal/controller/meeting_quota_test.go
+++ b/internal/controller/meeting_quota_test.go
@@ -7,6 +7,7 @@
 	"time"
 
 	"topazhollow/internal/protocol"
+	"topazhollow/internal/shards"
 	"topazhollow/internal/simulation"
 )
 
@@ -131,7 +132,7 @@
 // depose changes who leads: one controller ends, or all, or the service refuses one for longer than its lease.
 func (s *scene) depose(rng *rand.Rand) {
 	s.t.Helper()
-	before, leader := s.term(), s.leader(teamShard("red"))
+	before, leader := s.term(), s.leader(shards.ForTeam("red"))
 	switch rng.IntN(3) {
 	case 0:
 		s.crash(leader)
--- a/internal/controller/meeting_report_test.go
+++ b/internal/controller/meeting_report_test.go
@@ -6,6 +6,7 @@
 	"time"
 
 	"topazhollow/internal/protocol"
+	"topazhollow/internal/shards"
 	"topazhollow/internal/simulation"
 )
 
@@ -73,9 +74,9 @@
 			s.until("the machine is known to be gone", func() bool { return s.known() == len(s.cloud.Workers()) })
 			machines[0].Expire()
 			s.enter(array(20, 4, "red"))
-			leader := s.leader(teamShard("red"))
+			leader := s.leader(shards.ForTeam("red"))
 			s.crash(leader)
-			if s.deliverAt(machines[2:], teamShard("red"), leader)+machines[0].Deliver(s.names...) == 0 {
+			if s.deliverAt(machines[2:], shards.ForTeam("red"), leader)+machines[0].Deliver(s.names...) == 0 {
 				t.Error("no old report arrived at a new leader")
 			}
 			s.start(leader)
@@ -113,7 +114,7 @@
 			}
 			s.cancel(on[0])
 			if ends {
-				leader := s.leader(teamShard("red"))
+				leader := s.leader(shards.ForTeam("red"))
 				s.crash(leader)
 				s.start(leader)
 			}
@@ -161,7 +162,7 @@
 				s.beside(func() { s.enter(array(i, 3, []string{"red", "blue"}[i%2])) })
 			}
 			s.until("new machines work", func() bool { return s.check.Starts() > 0 })
-			leader := s.owner(teamShard("red"))
+			leader := s.owner(shards.ForTeam("red"))
 			for i := range s.nodes {
 				if all || i == leader {
 					s.crash(i)
--- a/internal/controller/meeting_start_test.go
+++ b/internal/controller/meeting_start_test.go
@@ -7,6 +7,7 @@
 
 	"topazhollow/internal/protocol"
 	"topazhollow/internal/settings"
+	"topazhollow/internal/shards"
 	"topazhollow/internal/simulation"
 )
 
@@ -67,7 +68,7 @@
 				w.SlowCommands(nil)
 			}
 			_, arrived := lateCommands([]*simulation.Worker{deaf})
-			leader, before := s.leader(teamShard("red")), s.term()
+			leader, before := s.leader(shards.ForTeam("red")), s.term()
 			s.crash(leader)
 			s.until("another term", func() bool { return s.term() > before })
 			if cancels {
--- a/internal/controller/meeting_test.go
+++ b/internal/controller/meeting_test.go
@@ -19,6 +19,7 @@
 	"topazhollow/internal/leadership"
 	"topazhollow/internal/protocol"
 	"topazhollow/internal/settings"
+	"topazhollow/internal/shards"
 	"topazhollow/internal/simulation"
 	"topazhollow/internal/userapi"
 )
@@ -60,7 +61,7 @@
 		for _, o := range r.overviews() {
 			for _, x := range r.cloud.Workers() {
 				elsewhere := func(j *protocol.Submission) bool {
-					return has(x, j.UID) && o.Owners[teamShard(j.Team)] != record.Home(x.Name())
+					return has(x, j.UID) && o.Owners[shards.ForTeam(j.Team)] != record.Home(x.Name())
 				}
 				if len(o.Members) == 3 && !slices.ContainsFunc(jobs, func(j *protocol.Submission) bool { return !elsewhere(j) }) {
 					w = x
--- a/internal/controller/node.go
+++ b/internal/controller/node.go
@@ -29,6 +29,7 @@
 	"topazhollow/internal/protocol"
 	"topazhollow/internal/quarantine"
 	"topazhollow/internal/settings"
+	"topazhollow/internal/shards"
 	"topazhollow/internal/userapi"
 	"topazhollow/internal/wait"
 )
@@ -76,8 +77,7 @@
 	syncWaiters          []chan error               // those who wait for a read of the changes
 	syncRequests         chan struct{}
 	memberMissingSince   time.Time
-	shards               map[string]*shard
-	replicas             map[string]*heldReplica
+	shards               *shards.Registry // what this controller owns, and holds for others
 	peers                map[string]*peerState
 	jobs                 map[string]*job
 	machines             map[string]*machine
@@ -204,7 +204,7 @@
 		cloud:        cloud.New(s.Outside.Cloud, s.Deployment.Cloud, count),
 		wakeRequests: make(chan struct{}, 1), recordHints: make(chan struct{}, 1), syncRequests: make(chan struct{}, 1),
 		rng:       rand.New(rand.NewPCG(uint64(now.UnixNano()), rand.Uint64())),
-		presences: map[string]leadership.Presence{}, shards: map[string]*shard{}, replicas: map[string]*heldReplica{},
+		presences: map[string]leadership.Presence{}, shards: shards.NewRegistry(),
 		peers: map[string]*peerState{}, jobs: map[string]*job{}, machines: map[string]*machine{}, machinesByJob: map[string]map[string]bool{}, unregistered: map[string]bool{}, roster: newRoster(s),
 		commandSenders: map[string]*commandSender{}, changedMachines: map[string]bool{}, membershipSettledAt: now, startedAt: now, leaseRenewedAt: now, promisedUntil: now.Add(promiseLife),
 		endLookups: map[string]bool{}, evictions: map[jobstate.AttemptRef]eviction{}, statusRequests: make(chan struct{}, 1), drainingMachines: map[string]bool{}, unreachableHomes: map[string]map[string]misdirection{}, quarantine: quarantine.New(),
@@ -384,8 +384,8 @@
 	if j == nil {
 		return 0, 0
 	}
-	if it := n.shards[teamShard(j.spec.Team)]; it != nil && it.team != nil {
-		return it.team.Progress(uid)
+	if it := n.shards.OfTeam(j.spec.Team); it != nil {
+		return it.Team().Progress(uid)
 	}
 	for _, p := range n.peers {
 		if v, ok := p.progress[uid]; ok {
@@ -533,17 +533,17 @@
 		n.reobserveReserved(s.Spec.UID)
 	}
 	j.version = max(j.version, version)
-	if it := n.shards[teamShard(s.Spec.Team)]; it != nil && it.phase != shardLoading && it.team.Job(s.Spec.UID) == nil {
+	if it := n.shards.OfTeam(s.Spec.Team); it != nil && it.Phase() != shards.Loading && it.Team().Job(s.Spec.UID) == nil {
 		n.addJob(it, j, nil)
 		if d := n.recovery.done[s.Spec.UID]; d != nil {
-			it.team.Merge(s.Spec.UID, d)
+			it.Team().Merge(s.Spec.UID, d)
 		}
 		if n.epoch() > 1 { // machines may run it already
 			n.reconcileMachinesOf(it, s.Spec.UID)
 		}
 		n.wake()
-	} else if it != nil && it.team != nil {
-		it.team.Written(s.Spec.UID, j.version)
+	} else if it != nil {
+		it.Team().Written(s.Spec.UID, j.version)
 	}
 }
 
@@ -567,8 +567,8 @@
 	}
 	j.active, j.endedAt = false, time.Now()
 	delete(n.recovery.done, uid)
-	if it := n.shards[teamShard(j.spec.Team)]; it != nil && it.team != nil {
-		it.team.EndJob(uid)
+	if it := n.shards.OfTeam(j.spec.Team); it != nil {
+		it.Team().EndJob(uid)
 		n.reconcileMachinesOf(it, uid)
 	}
 	n.wake()
--- a/internal/controller/node_test.go
+++ b/internal/controller/node_test.go
@@ -16,6 +16,7 @@
 	"topazhollow/internal/jobstate"
 	"topazhollow/internal/protocol"
 	"topazhollow/internal/settings"
+	"topazhollow/internal/shards"
 	"topazhollow/internal/simulation"
 	"topazhollow/internal/userapi"
 )
@@ -222,14 +223,19 @@
 	s := &settings.Settings{Name: "node-a", Deployment: settings.Deployment{Teams: []settings.Team{{Name: "red", CPUsMax: 8}},
 		State: settings.State{RPS: 9, WriteRPS: 9, TxnOps: 4, ValueKB: 4}, Cloud: settings.Cloud{RPS: 1}}}
 	n := New(s, settings.DefaultOptions(), slog.New(slog.DiscardHandler))
-	name := teamShard("red")
-	for phase, taken := range map[int]bool{shardLoading: false, shardBarrier: true, shardReady: true} {
-		it := &shard{name: name, phase: phase, team: n.newTeam(name, jobstate.NewReplica(), 1)}
-		n.shards[name] = it
-		spec := array(phase, 1, "red")
+	name := shards.ForTeam("red")
+	for phase, taken := range map[shards.Phase]bool{shards.Loading: false, shards.Barrier: true, shards.Ready: true} {
+		it := ownedShard(n, name, 1, false, jobstate.NewReplica())
+		if phase != shards.Loading {
+			it.EnterBarrier(nil)
+		}
+		if phase == shards.Ready {
+			it.PassBarrier(time.Time{})
+		}
+		spec := array(int(phase), 1, "red")
 		n.learnJob(userapi.Stored{Spec: spec}, 1)
-		if (it.team.Job(spec.UID) != nil) != taken || n.jobs[spec.UID] == nil {
-			t.Fatalf("phase %s: job in the account: %v", phases[phase], !taken)
+		if (it.Team().Job(spec.UID) != nil) != taken || n.jobs[spec.UID] == nil {
+			t.Fatalf("phase %s: job in the account: %v", phase, !taken)
 		}
 	}
 }
--- a/internal/controller/orders.go
+++ b/internal/controller/orders.go
@@ -6,26 +6,26 @@
 	"time"
 
 	"topazhollow/internal/jobstate"
-	"topazhollow/internal/leadership"
+	"topazhollow/internal/shards"
 )
 
 // reconcileMachine lets an item's account see a machine and sends the orders that follow.
-func (n *Node) reconcileMachine(it *shard, v *jobstate.MachineStatus) {
-	if it.phase != shardReady || it.name == leadership.FleetShard {
+func (n *Node) reconcileMachine(it *shards.Owned, v *jobstate.MachineStatus) {
+	if !it.IsReady() || it.IsFleet() {
 		return
 	}
-	team, _ := teamOf(it.name)
-	orders := it.team.Observe(v, time.Now(), teamKnowledge{n, team})
+	team, _ := shards.TeamOf(it.Name())
+	orders := it.Team().Observe(v, time.Now(), teamKnowledge{n, team})
 	if len(orders) > 0 {
 		n.sendOrders(v.Machine, orders)
 	}
-	for _, ref := range it.team.Unsized(v.Machine) {
+	for _, ref := range it.Team().Unsized(v.Machine) {
 		n.lookUpEnd(ref.Job, ref.Attempt)
 	}
 }
 
 // reconcileMachinesOf looks again at the machines that hold tasks of a job.
-func (n *Node) reconcileMachinesOf(it *shard, uid string) {
+func (n *Node) reconcileMachinesOf(it *shards.Owned, uid string) {
 	for _, name := range slices.Sorted(maps.Keys(n.machinesByJob[uid])) {
 		n.reconcileMachine(it, n.machines[name].status)
 	}
--- a/internal/controller/orphan.go
+++ b/internal/controller/orphan.go
@@ -68,8 +68,8 @@
 // became known.
 func (n *Node) reobserveReserved(uid string) {
 	for name := range n.machinesByJob[uid] {
-		for _, it := range n.shards {
-			if it.phase == shardReady && it.team.Reserves(name) {
+		for it := range n.shards.All() {
+			if it.IsReady() && it.Team().Reserves(name) {
 				n.reconcileMachine(it, n.machines[name].status)
 			}
 		}
--- a/internal/controller/over_test.go
+++ b/internal/controller/over_test.go
@@ -46,7 +46,7 @@
 		n := g.n
 		n.mu.Lock()
 		learn(n)
-		if j := n.jobs[uid]; j == nil || j.active || n.shards[teamShard("team-0")].team.Job(uid) != nil {
+		if j := n.jobs[uid]; j == nil || j.active || n.shards.OfTeam("team-0").Team().Job(uid) != nil {
 			t.Errorf("%s: the job is active", what)
 		}
 		r := protocol.Heartbeat{Machine: g.names[0], Addr: "127.0.0.1:1", Type: "m32", Zone: "east", Incarnation: 1, Seq: 10, FencingToken: 1,
--- a/internal/controller/overview.go
+++ b/internal/controller/overview.go
@@ -8,7 +8,7 @@
 	"topazhollow/internal/admission"
 	"topazhollow/internal/datarecovery"
 	"topazhollow/internal/jobstate"
-	"topazhollow/internal/leadership"
+	"topazhollow/internal/shards"
 )
 
 // overview is an operator's view of one controller.
@@ -55,8 +55,6 @@
 	Idle   int `json:"idle"`
 }
 
-var phases = map[int]string{shardLoading: "loading", shardBarrier: "barrier", shardReady: "ready"}
-
 // quantiles are those of the times from submission to start that are shown, in percent.
 var quantiles = map[string]float64{"p50": 50, "p90": 90, "p99": 99, "max": 100}
 
@@ -89,8 +87,8 @@
 		behind := now.Sub(until).Seconds()
 		o.Behind = &behind
 	}
-	for name, it := range n.shards {
-		o.Items[name] = n.itemOverview(name, it)
+	for it := range n.shards.All() {
+		o.Items[it.Name()] = n.itemOverview(it)
 	}
 	for uid, j := range n.jobs {
 		if !j.active {
@@ -105,17 +103,17 @@
 }
 
 // itemOverview describes an item that this controller owns.
-func (n *Node) itemOverview(name string, it *shard) itemOverview {
-	x := itemOverview{Phase: phases[it.phase], Since: it.sinceTerm, Awaited: len(it.awaitedMachines), InSync: n.record.Shards[name].InSync}
-	if name == leadership.FleetShard {
+func (n *Node) itemOverview(it *shards.Owned) itemOverview {
+	x := itemOverview{Phase: it.Phase().String(), Since: it.SinceTerm(), Awaited: it.AwaitedCount(), InSync: n.record.Shards[it.Name()].InSync}
+	if it.IsFleet() {
 		return x
 	}
-	it.team.Jobs(func(j *jobstate.Job) {
+	it.Team().Jobs(func(j *jobstate.Job) {
 		x.Jobs++
-		x.Waiting += it.team.Unstarted(j)
+		x.Waiting += it.Team().Unstarted(j)
 	})
-	x.Held, x.Unproven = it.team.Held()
-	x.CPUs, x.GPUs = it.team.Used()
+	x.Held, x.Unproven = it.Team().Held()
+	x.CPUs, x.GPUs = it.Team().Used()
 	return x
 }
 
--- a/internal/controller/placing_test.go
+++ b/internal/controller/placing_test.go
@@ -24,7 +24,7 @@
 			m.images["img"], m.counted = !m.status.Spot, false
 		}
 		n.place(g.now.Add(100 * time.Millisecond))
-		for _, h := range n.shards[teamShard("team-0")].team.Replica().Holds {
+		for _, h := range n.shards.OfTeam("team-0").Team().Replica().Holds {
 			if spot := n.machines[h.Machine].status.Spot; spot != (deadline == 300) {
 				t.Errorf("due in %g s: placed on a spot machine without the image: %v", deadline, spot)
 			}
@@ -78,8 +78,8 @@
 			n.learnJob(userapi.Stored{At: g.now.UnixMilli(), Spec: &spec}, 1)
 		}
 		held := func(uid string) (count int) {
-			for _, it := range n.shards {
-				for key := range it.team.Replica().Holds {
+			for it := range n.shards.All() {
+				for key := range it.Team().Replica().Holds {
 					if key.Job == uid {
 						count++
 					}
@@ -87,7 +87,7 @@
 			}
 			return count
 		}
-		n.shards[teamShard("team-0")].team.MaxCPUs = c.quota
+		n.shards.OfTeam("team-0").Team().MaxCPUs = c.quota
 		submit(protocol.Submission{UID: "job-000001", Team: "team-0", Kind: protocol.JobArray, Priority: "high", Tasks: 1, CPUs: 8})
 		n.place(g.now)
 		submit(protocol.Submission{UID: "job-000002", Team: "team-0", Kind: protocol.Gang, Priority: c.priority, Tasks: c.tasks, CPUs: 8})
@@ -104,7 +104,7 @@
 			g.second(1) // what ran ends
 		}
 		n.mu.Lock()
-		if done, _ := n.shards[teamShard("team-0")].team.Progress("job-000002"); done == 0 && held("job-000002") == 0 && c.tasks == 8 && c.quota > 64 {
+		if done, _ := n.shards.OfTeam("team-0").Team().Progress("job-000002"); done == 0 && held("job-000002") == 0 && c.tasks == 8 && c.quota > 64 {
 			t.Errorf("%+v: the gang did not start in the room that came free", c)
 		}
 		n.mu.Unlock()
@@ -122,7 +122,7 @@
 		n.learnJob(userapi.Stored{At: g.now.UnixMilli(), Spec: &protocol.Submission{UID: uid, Team: team, Kind: kind, Priority: priority, Tasks: tasks, CPUs: cpus,
 			Memory: 1, Image: "img", Estimate: 40, OneZone: kind == protocol.Gang}}, 1)
 	}
-	gangs, arrays := n.shards[teamShard("team-0")].team, n.shards[teamShard("team-1")].team
+	gangs, arrays := n.shards.OfTeam("team-0").Team(), n.shards.OfTeam("team-1").Team()
 	placeAt := func(after time.Duration) int {
 		now := g.now.Add(after)
 		for _, m := range n.machines {
@@ -159,7 +159,7 @@
 		priority := c.priority
 		g := newGrown(8, 2) // two of them ordinary, of 32 CPUs and in one zone
 		n := g.n
-		n.shards[teamShard("team-0")].team.CPUs, n.shards[teamShard("team-0")].team.MaxCPUs = 0, 44
+		n.shards.OfTeam("team-0").Team().CPUs, n.shards.OfTeam("team-0").Team().MaxCPUs = 0, 44
 		submit := func(uid, team, priority, kind string, tasks int, cpus float64) {
 			n.mu.Lock()
 			defer n.mu.Unlock()
@@ -204,7 +204,7 @@
 			Tasks: 8, CPUs: 8, Memory: 1, Image: "img", Estimate: 40, OneZone: true}}, 1)
 	}
 	n.place(g.now)
-	holds := n.shards[teamShard("team-0")].team.Replica().Holds
+	holds := n.shards.OfTeam("team-0").Team().Replica().Holds
 	for key := range holds {
 		if key.Job != "job-000002" {
 			t.Errorf("%v was placed before the gang that can start in time", key)
--- a/internal/controller/preemption.go
+++ b/internal/controller/preemption.go
@@ -10,6 +10,7 @@
 	"topazhollow/internal/jobstate"
 	"topazhollow/internal/placement"
 	"topazhollow/internal/protocol"
+	"topazhollow/internal/shards"
 )
 
 // Periods of preemption.
@@ -192,7 +193,7 @@
 // evict asks the owner of a task to stop it.
 func (n *Node) evict(e evictMsg) {
 	j := n.jobs[e.Ref.Job]
-	owner := n.record.Shards[teamShard(j.spec.Team)].Owner
+	owner := n.record.Shards[shards.ForTeam(j.spec.Team)].Owner
 	if owner == n.name {
 		n.onEvict(&e)
 		return
@@ -206,11 +207,11 @@
 	if victim == nil || job == nil || protocol.Rank(job.spec.Priority) <= protocol.Rank(victim.spec.Priority) {
 		return
 	}
-	it := n.shards[teamShard(victim.spec.Team)]
-	if it == nil || it.phase != shardReady {
+	it := n.shards.OfTeam(victim.spec.Team)
+	if it == nil || !it.IsReady() {
 		return
 	}
-	if it.team.Stop(e.Ref, victim.spec.Save) {
+	if it.Team().Stop(e.Ref, victim.spec.Save) {
 		n.log.Debug("task preempted", "task", e.Ref.Job, "index", e.Ref.Index, "for", e.For)
 		n.wake()
 	}
--- a/internal/controller/provisioning.go
+++ b/internal/controller/provisioning.go
@@ -49,7 +49,7 @@
 // provision decides once and begins what was decided. It returns the provisioner to go on
 // with, nil while this controller does not own the fleet.
 func (n *Node) provision(p *provisioner, now time.Time) *provisioner {
-	it := n.shards[leadership.FleetShard]
+	it := n.shards.Owned(leadership.FleetShard)
 	if it == nil {
 		n.drainingMachines, n.latePlaces = map[string]bool{}, nil
 		return nil
@@ -57,8 +57,8 @@
 	if !n.entitled(now) || n.machineTypes == nil {
 		return p
 	}
-	if p == nil || p.account.Since() != it.sinceTerm {
-		p = n.newProvisioner(it.sinceTerm, now)
+	if p == nil || p.account.Since() != it.SinceTerm() {
+		p = n.newProvisioner(it.SinceTerm(), now)
 	}
 	n.readCloudList(p.account, now)
 	if !p.account.Ready() {
@@ -72,7 +72,7 @@
 		Demands:   demands,
 		Inflow:    n.inflow(now),
 		Settled:   n.membershipSettledAt,
-		TakenOver: it.sinceTerm > n.record.FirstTerm || n.record.Epoch > 1,
+		TakenOver: it.SinceTerm() > n.record.FirstTerm || n.record.Epoch > 1,
 		Draining:  n.drainingMachines,
 	}, now)
 	n.noteLatePlaces(actions.Late)
--- a/internal/controller/recordchange.go
+++ b/internal/controller/recordchange.go
@@ -118,9 +118,7 @@
 	case err == nil:
 		n.adopt(c.record, revision)
 	case errors.Is(err, kvstore.ErrRefused): // it was not executed and will not be
-		for _, it := range n.shards {
-			it.handingOver, it.addingReplicas = false, nil
-		}
+		n.shards.RecordChangeSettled()
 	case !errors.Is(err, kvstore.ErrConflict):
 		n.unansweredVersion = max(1, c.version)
 	}
@@ -181,11 +179,11 @@
 	rebalance := now.Sub(n.membershipSettledAt) > 3*time.Second
 	if next, handed := leadership.Upkeep(record, n.name, syncs, rebalance); next != nil {
 		for _, name := range handed {
-			n.shards[name].handingOver = true
+			n.shards.Owned(name).BeginHandOver()
 		}
 		for name, it := range next.Shards {
-			if have := n.shards[name]; have != nil {
-				have.addingReplicas = it.InSync
+			if have := n.shards.Owned(name); have != nil {
+				have.AddReplicas(it.InSync)
 			}
 		}
 		return next, nil, upkeepReason
@@ -203,17 +201,17 @@
 			return next, nil, "workers cannot reach " + home
 		}
 	}
-	if record.RosterIncomplete && n.shards[leadership.FleetShard] != nil && n.rosterComplete() {
+	if record.RosterIncomplete && n.shards.OwnsFleet() && n.rosterComplete() {
 		next := record.Clone()
 		next.RosterIncomplete = false
 		return next, nil, "every machine is on the roster"
 	}
-	if n.shards[leadership.FleetShard] != nil {
+	if n.shards.OwnsFleet() {
 		if next := datarecovery.GiveUpSearch(record, now.Sub(n.recovery.entered), settings.Seconds(n.options.CopyWait)); next != nil {
 			return next, nil, "no copy was put back in time: what nobody knows is lost for good"
 		}
 	}
-	if n.needsRaisedTerm(now) && now.Sub(n.termChangedAt) > 5*time.Second {
+	if n.shards.NeedsRaisedTerm(now) && now.Sub(n.termChangedAt) > 5*time.Second {
 		next := record.Clone()
 		next.Term++
 		return next, nil, "unproven attempts"
--- a/internal/controller/recovery_detect.go
+++ b/internal/controller/recovery_detect.go
@@ -518,9 +518,7 @@
 			}
 		}
 		n.rememberFinishedTasks()
-		for _, it := range n.shards {
-			it.handingOver, it.addingReplicas = false, nil
-		}
+		n.shards.RecordChangeSettled()
 		for _, j := range n.jobs {
 			j.version = 0
 		}
--- a/internal/controller/recovery_writeback.go
+++ b/internal/controller/recovery_writeback.go
@@ -15,9 +15,9 @@
 	"topazhollow/internal/datarecovery"
 	"topazhollow/internal/jobstate"
 	"topazhollow/internal/kvstore"
-	"topazhollow/internal/leadership"
 	"topazhollow/internal/protocol"
 	"topazhollow/internal/settings"
+	"topazhollow/internal/shards"
 	"topazhollow/internal/userapi"
 )
 
@@ -41,13 +41,11 @@
 	old := n.recovery.done
 	n.recovery.done = nil
 	n.mergeFinishedTasks(old)
-	for _, it := range n.shards {
-		n.mergeFinishedTasks(it.team.Replica().Done)
+	for it := range n.shards.All() {
+		n.mergeFinishedTasks(it.Team().Replica().Done)
 	}
-	for _, b := range n.replicas {
-		if b.rep != nil {
-			n.mergeFinishedTasks(b.rep.Done)
-		}
+	for replica := range n.shards.Held().All() {
+		n.mergeFinishedTasks(replica.Done)
 	}
 }
 
@@ -72,7 +70,7 @@
 	n.recovery.wrote = now
 	n.writeBackJobs(now)
 	n.writeBackConfig()
-	if n.shards[leadership.FleetShard] != nil && !n.recovery.sealed && !n.recovery.sealing {
+	if n.shards.OwnsFleet() && !n.recovery.sealed && !n.recovery.sealing {
 		n.recovery.sealing = true
 		generation := n.epoch()
 		n.group.Go(func() error {
@@ -91,7 +89,7 @@
 func (n *Node) writeBackJobs(now time.Time) {
 	var jobs []datarecovery.Unwritten
 	for uid, j := range n.jobs {
-		if it := n.shards[teamShard(j.spec.Team)]; j.active && j.version == 0 && it != nil && it.phase == shardReady && !n.recovery.writing[uid] {
+		if it := n.shards.OfTeam(j.spec.Team); j.active && j.version == 0 && it != nil && it.IsReady() && !n.recovery.writing[uid] {
 			jobs = append(jobs, datarecovery.Unwritten{Spec: j.spec, At: j.submittedAt.UnixMilli()})
 		}
 	}
@@ -110,7 +108,7 @@
 	}
 	for uid, b := range n.recovery.bury {
 		j := n.jobs[uid]
-		if j == nil || now.Sub(b.seen) < staleKeyDelay || n.shards[teamShard(j.spec.Team)] == nil || n.recovery.writing[uid] || len(n.recovery.writing) >= most {
+		if j == nil || now.Sub(b.seen) < staleKeyDelay || n.shards.OfTeam(j.spec.Team) == nil || n.recovery.writing[uid] || len(n.recovery.writing) >= most {
 			continue
 		}
 		final, ended := n.front.Final(uid)
@@ -271,8 +269,8 @@
 		if j == nil {
 			continue
 		}
-		if it := n.shards[teamShard(j.spec.Team)]; it != nil && it.phase != shardLoading {
-			it.team.Merge(uid, d)
+		if it := n.shards.OfTeam(j.spec.Team); it != nil && it.Phase() != shards.Loading {
+			it.Team().Merge(uid, d)
 		}
 	}
 	n.wake()
@@ -315,16 +313,18 @@
 		}
 		n.recovery.census[h.UID] = true
 		addrs[h.UID] = h
-		if n.shards[leadership.FleetShard] != nil && !n.roster.Has(h.UID) {
+		if n.shards.OwnsFleet() && !n.roster.Has(h.UID) {
 			n.unregistered[h.UID] = true
 		}
 	}
 	awaited := map[string]bool{}
-	for _, it := range n.shards {
-		if it.phase == shardBarrier && it.needsBarrier {
-			maps.Copy(it.awaitedMachines, n.recovery.census)
+	for it := range n.shards.All() {
+		if it.Phase() == shards.Barrier && it.NeedsBarrier() {
+			it.AwaitMachines(maps.Keys(n.recovery.census))
 			n.passBarrier(it)
-			maps.Copy(awaited, it.awaitedMachines)
+			for name := range it.AwaitedMachines() {
+				awaited[name] = true
+			}
 		}
 	}
 	n.log.Info("machines counted", "listed", len(n.recovery.census), "remembered", len(n.recovery.names), "awaited", len(awaited))
--- a/internal/controller/replication_test.go
+++ b/internal/controller/replication_test.go
@@ -14,14 +14,16 @@
 	"topazhollow/internal/jobstate"
 	"topazhollow/internal/leadership"
 	"topazhollow/internal/peer"
+	"topazhollow/internal/shards"
 	"topazhollow/internal/simulation"
 )
 
 // linkedPair is an item's owner, node-a, and a controller that is its backup, node-b, with real connections.
 type linkedPair struct {
 	owner, backup *Node
-	it            *shard
+	it            *shards.Owned
 	paths         simulation.Paths
+	copies        int // copies in parts that the owner began to send
 }
 
 // newLinkedPair opens the connections of an owner of one team. Nobody steps the controllers but the test.
@@ -29,12 +31,12 @@
 	p := &linkedPair{owner: newGrown(1, 1).n, backup: newGrown(1, 1).n, paths: simulation.Paths{}}
 	p.backup.name, p.backup.incarnation = "node-b", p.owner.incarnation+1
 	record := p.owner.record.Clone()
-	name := teamShard("team-0")
+	name := shards.ForTeam("team-0")
 	record.Nodes = map[string]uint64{"node-a": p.owner.incarnation, "node-b": p.backup.incarnation}
 	record.Shards[name] = leadership.Shard{Owner: "node-a", SinceTerm: 1}
 	p.owner.record, p.backup.record = record, record
-	p.it = p.owner.shards[name]
-	delete(p.backup.shards, name)
+	p.it = p.owner.shards.Owned(name)
+	p.backup.shards.Remove(name)
 	host := simulation.NewHost()
 	addrs := map[string]string{}
 	for _, n := range []*Node{p.owner, p.backup} {
@@ -68,7 +70,7 @@
 
 // hold has the owner hold so many tasks more, as if it had placed them.
 func (p *linkedPair) hold(from, count int) {
-	replica := p.it.team.Replica()
+	replica := p.it.Team().Replica()
 	d := jobstate.Delta{Seq: replica.Seq + 1}
 	for i := range count {
 		k := jobstate.TaskID{Job: "job-000001", Index: from + i}
@@ -83,7 +85,22 @@
 func (p *linkedPair) finish(job string, task uint) {
 	p.owner.mu.Lock()
 	defer p.owner.mu.Unlock()
-	p.it.team.Merge(job, bitset.New(task+1).Set(task))
+	p.it.Team().Merge(job, bitset.New(task+1).Set(task))
+}
+
+// replicate sends what brings the backup up to date, and says whether that was a part that is not the last.
+func (p *linkedPair) replicate() (partial bool) {
+	messages := p.it.Replicate(p.owner.cluster(), time.Now())
+	for _, m := range messages {
+		if part, ok := m.Body.(shards.CopyPart); ok {
+			partial = !part.Part.Last
+			if part.Part.Number == 0 {
+				p.copies++
+			}
+		}
+	}
+	p.owner.sendReplication(p.it, messages)
+	return partial
 }
 
 // replicated steps the owner's replication until the backup has acknowledged all that the owner has, or the test ends.
@@ -91,9 +108,8 @@
 	t.Helper()
 	for end := time.Now().Add(40 * time.Second); time.Now().Before(end); time.Sleep(time.Millisecond) {
 		p.owner.mu.Lock()
-		p.owner.replicate(p.it, time.Now())
-		a := p.it.acknowledgements["node-b"]
-		whole := a != nil && a.known && a.seq == p.it.team.Replica().Seq
+		p.replicate()
+		whole := p.owner.syncStates(time.Now())[p.it.Name()].Whole["node-b"]
 		p.owner.mu.Unlock()
 		if whole {
 			return
@@ -111,15 +127,14 @@
 	p.replicated(t)
 	p.owner.mu.Lock()
 	p.hold(10, 60000)
-	p.it.acknowledgements["node-b"].copyAnew()
-	p.owner.replicate(p.it, time.Now())
-	transfer := p.it.acknowledgements["node-b"].transfer
+	p.it.ForgetReplica("node-b")
+	partial := p.replicate()
 	p.owner.mu.Unlock()
-	if transfer == nil || transfer.Ended() {
+	if !partial {
 		t.Fatal("60,000 tasks go in one part")
 	}
 	p.backup.mu.Lock()
-	kept := len(p.backup.replica(p.it.name).Holds)
+	kept := len(p.backup.shards.Held().Replica(p.it.Name()).Holds)
 	p.backup.mu.Unlock()
 	if kept != 10 {
 		t.Errorf("the backup keeps %d tasks between the parts, want the 10 that it had", kept)
@@ -127,11 +142,11 @@
 	p.finish("job-000002", 7) // a delta between the parts
 	p.replicated(t)
 	p.owner.mu.Lock()
-	if !p.it.acknowledgements["node-b"].retry.IsZero() {
-		t.Error("the backup asked for another copy while it received one")
+	if p.copies != 1 {
+		t.Errorf("%d copies went out: the backup asked for another one while it received one", p.copies)
 	}
-	p.it.acknowledgements["node-b"].copyAnew()
-	p.owner.replicate(p.it, time.Now())
+	p.it.ForgetReplica("node-b")
+	p.replicate()
 	p.owner.mu.Unlock()
 	p.paths.Apart(0, true)
 	p.paths.Apart(0, false)
@@ -139,14 +154,14 @@
 	p.replicated(t)
 	p.owner.mu.Lock()
 	p.hold(60010, 10)
-	p.it.acknowledgements["node-b"].copyAnew()
+	p.it.ForgetReplica("node-b")
 	p.owner.mu.Unlock()
 	p.replicated(t)
 	p.backup.mu.Lock()
 	defer p.backup.mu.Unlock()
-	have := p.backup.replica(p.it.name)
-	if !maps.Equal(have.Holds, p.it.team.Replica().Holds) {
-		t.Errorf("the backup has %d tasks of %d", len(have.Holds), len(p.it.team.Replica().Holds))
+	have := p.backup.shards.Held().Replica(p.it.Name())
+	if !maps.Equal(have.Holds, p.it.Team().Replica().Holds) {
+		t.Errorf("the backup has %d tasks of %d", len(have.Holds), len(p.it.Team().Replica().Holds))
 	}
 	if done := have.Done["job-000002"]; done == nil || !done.Test(7) || !done.Test(8) {
 		t.Errorf("the backup has finished tasks %v", done)
--- a/internal/controller/scene_test.go
+++ b/internal/controller/scene_test.go
@@ -14,6 +14,7 @@
 	"topazhollow/internal/history"
 	"topazhollow/internal/protocol"
 	"topazhollow/internal/settings"
+	"topazhollow/internal/shards"
 	"topazhollow/internal/simulation"
 )
 
@@ -179,7 +180,7 @@
 // leads says whether a controller owns an item, is entitled and past its barrier.
 func (s *scene) leads(name, item string) bool {
 	return slices.ContainsFunc(s.overviews(), func(o overview) bool {
-		return o.Node == name && o.Entitled && o.Owners[item] == name && o.Items[item].Phase == phases[shardReady]
+		return o.Node == name && o.Entitled && o.Owners[item] == name && o.Items[item].Phase == shards.Ready.String()
 	})
 }
 
--- a/internal/controller/step.go
+++ b/internal/controller/step.go
@@ -2,32 +2,27 @@
 
 import (
 	"context"
-	"maps"
-	"slices"
 	"time"
 
-	"topazhollow/internal/leadership"
 	"topazhollow/internal/protocol"
+	"topazhollow/internal/shards"
 )
 
-// needsRaisedTerm says whether only a raised term can move something on.
-func (n *Node) needsRaisedTerm(now time.Time) bool {
-	for _, it := range n.shards {
-		if it.phase == shardReady && it.team.Unproven(now, 4*time.Second) > 0 {
-			return true
-		}
-	}
-	return false
-}
-
-// minPause and maxShare bound how often and for how much of the time a step is
+// minStepPause and stepPauseFactor bound how often and for how much of the time a step is
 // taken: what happens meanwhile is looked at together.
 const (
 	minStepPause    = 20 * time.Millisecond
 	stepPauseFactor = 4
 )
 
-// runSteps is the main duty: it replicates, orders and places whenever something
+// stallThreshold is by how much the main loop must be late to show that the process
+// did not run while the clocks ran on.
+const stallThreshold = time.Second
+
+// runningReviewInterval is how often running tasks are looked over for those to be moved.
+const runningReviewInterval = 500 * time.Millisecond
+
+// runSteps is the main loop: it replicates, orders and places whenever something
 // happened, and at every tick.
 func (n *Node) runSteps(ctx context.Context) error {
 	ticker := time.NewTicker(tick)
@@ -54,64 +49,74 @@
 	}
 }
 
-// stillFor is by how much the main duty must be late to show that the process
-// stood still while the clocks ran on.
-const stallThreshold = time.Second
-
-// resumedAfterStall begins to count silence anew: who was not heard while this controller stood
+// resumedAfterStall begins to count silence anew: who did not get through while this controller stood
 // still may have spoken all the time.
 func (n *Node) resumedAfterStall(now time.Time, stalled time.Duration) {
 	n.log.Info("stood still while the clocks ran on", "for", stalled, "entitled", n.entitled(now))
 	n.membershipSettledAt, n.lastStall = now, stalled
-	for _, it := range n.shards {
-		it.graceFrom = now
-	}
+	n.shards.Resume(now)
 }
 
+// step does once what an owner has to do for its shards.
 func (n *Node) step(now time.Time) {
 	if !n.entitled(now) {
 		return
 	}
 	n.configure(now)
-	for _, it := range n.shards {
-		it.team.SetFloors(n.floorsOf(it))
-		it.team.TurnHoldback(now)
+	for it := range n.shards.All() {
+		it.Team().SetFloors(n.floorsOf(it))
+		it.Team().TurnHoldback(now)
 	}
 	n.place(now)
-	seldom := now.Sub(n.runningReviewedAt) > runningReviewInterval
-	if seldom {
+	reviewRunning := now.Sub(n.runningReviewedAt) > runningReviewInterval
+	if reviewRunning {
 		n.runningReviewedAt = now
 	}
-	for _, name := range slices.Sorted(maps.Keys(n.shards)) {
-		it := n.shards[name]
-		if it.phase == shardBarrier {
-			n.passBarrier(it)
-		}
-		if it.phase != shardReady {
-			continue
-		}
-		n.replicate(it, now)
-		if name == leadership.FleetShard || it.handingOver {
+	cluster := n.cluster()
+	for it := range n.shards.InOrder() {
+		n.stepShard(it, cluster, now, reviewRunning)
+	}
+	n.countLate(now)
+	n.sendChangedStatuses()
+}
+
+// stepShard does once what the owner of a shard has to do after placing: first its replicas get the changes, then what they
+// have acknowledged goes out.
+func (n *Node) stepShard(it *shards.Owned, cluster *shards.Cluster, now time.Time, reviewRunning bool) {
+	if it.Phase() == shards.Barrier {
+		n.passBarrier(it)
+	}
+	if !it.IsReady() {
+		return
+	}
+	n.sendReplication(it, it.Replicate(cluster, now))
+	if it.IsFleet() || !it.MayPlace() {
+		return
+	}
+	n.sendDueOrders(it, it.AcknowledgedByAll(cluster), now)
+	n.commitFinishedJobs(it)
+	if reviewRunning {
+		n.moveSlowTasks(it, now)
+		n.evictFromNoticedMachines(it)
+	}
+}
+
+// sendDueOrders sends the orders that rest on nothing beyond what every required replica acknowledged.
+func (n *Node) sendDueOrders(it *shards.Owned, acknowledged uint64, now time.Time) {
+	due := it.Team().Due(acknowledged, now, n.mayStartOn)
+	for machine, orders := range due {
+		if !n.sendOrders(machine, orders) {
+			it.Team().Unsent(orders)
 			continue
 		}
-		due := it.team.Due(n.acknowledgedByAll(it), now, func(m string, session uint64) bool {
-			x := n.machines[m]
-			return x != nil && !x.gone && n.roster.Has(m) && x.status != nil && x.status.Incarnation == session
-		})
-		for m, orders := range due {
-			if !n.sendOrders(m, orders) {
-				it.team.Unsent(orders)
-			} else if !it.firstStartSent && orders[0].Op == protocol.Start {
-				it.firstStartSent = true
-				n.log.Info("item's first start", "item", name, "after", now.Sub(it.takenAt))
-			}
-		}
-		n.commitFinishedJobs(it)
-		if seldom {
-			n.moveSlowTasks(it, now)
-			n.evictFromNoticedMachines(it)
+		if orders[0].Op == protocol.Start && it.FirstStart() {
+			n.log.Info("item's first start", "item", it.Name(), "after", now.Sub(it.TakenAt()))
 		}
 	}
-	n.countLate(now)
-	n.sendChangedStatuses()
+}
+
+// mayStartOn says whether a start may go to a machine: it is registered, and still in the given incarnation.
+func (n *Node) mayStartOn(machine string, incarnation uint64) bool {
+	m := n.machines[machine]
+	return m != nil && !m.gone && n.roster.Has(machine) && m.status != nil && m.status.Incarnation == incarnation
 }
--- a/internal/controller/stray_test.go
+++ b/internal/controller/stray_test.go
@@ -12,6 +12,7 @@
 	"topazhollow/internal/leadership"
 	"topazhollow/internal/protocol"
 	"topazhollow/internal/settings"
+	"topazhollow/internal/shards"
 	"topazhollow/internal/userapi"
 )
 
@@ -126,11 +127,11 @@
 	g.submit(40, 4)
 	g.n.mu.Lock()
 	defer g.n.mu.Unlock()
-	n, it := g.n, g.n.shards[teamShard("team-0")]
+	n, it := g.n, g.n.shards.OfTeam("team-0")
 	end := func(why string) {
 		for _, name := range g.names {
 			var held []jobstate.Assignment
-			it.team.On(name, func(h jobstate.Assignment) { held = append(held, h) })
+			it.Team().On(name, func(h jobstate.Assignment) { held = append(held, h) })
 			g.tell(name, func(v *jobstate.MachineStatus) {
 				v.Tasks = nil
 				for _, h := range held {
@@ -140,7 +141,7 @@
 			g.tell(name, func(v *jobstate.MachineStatus) { v.Tasks = nil })
 		}
 	}
-	held := func() int { h, _ := it.team.Held(); return h }
+	held := func() int { h, _ := it.Team().Held(); return h }
 	step := func(after time.Duration) {
 		g.now = g.now.Add(after)
 		n.lease.Renewed(g.now)
@@ -184,22 +185,24 @@
 // nor take its machines for silent.
 func TestWakingCountsNoSilence(t *testing.T) {
 	g := newGrown(4, 1)
-	n, it := g.n, g.n.shards[teamShard("team-0")]
+	n, it := g.n, g.n.shards.OfTeam("team-0")
 	record := n.record.Clone()
-	record.Shards[it.name] = leadership.Shard{Owner: n.name, SinceTerm: 1, InSync: []string{"node-b"}}
-	n.record, n.membershipSettledAt, it.graceFrom = record, g.now, g.now
+	record.Shards[it.Name()] = leadership.Shard{Owner: n.name, SinceTerm: 1, InSync: []string{"node-b"}}
+	n.record, n.membershipSettledAt = record, g.now
+	it.Resume(g.now)
 	n.peers["node-b"] = &peerState{connected: true, heardAt: g.now}
-	it.acknowledgements["node-b"] = &replicaAck{inc: 1, copied: true, known: true, since: g.now, sent: 1}
-	it.team.Replica().Seq = 1
+	it.Team().Replica().Seq = 1
+	it.Replicate(n.cluster(), g.now) // a copy goes out, of which nothing is acknowledged
+	it.Acknowledge("node-b", 1, &shards.Acknowledgement{Shard: it.Name(), SinceTerm: 1}, g.now)
 	for _, name := range g.names {
 		n.machines[name].heardAt = g.now
 	}
 	now := g.now.Add(4 * time.Second)
-	if !n.syncStates(now)[it.name].Lagging["node-b"] {
+	if !n.syncStates(now)[it.Name()].Lagging["node-b"] {
 		t.Fatal("a backup that acknowledges nothing for 4 s must go out of sync")
 	}
 	n.resumedAfterStall(now, 4*time.Second)
-	if n.syncStates(now)[it.name].Lagging["node-b"] {
+	if n.syncStates(now)[it.Name()].Lagging["node-b"] {
 		t.Error("a backup is put out of sync for the silence of one who stood still")
 	}
 	if n.membershipSettledAt != now {
@@ -208,7 +211,7 @@
 	if o := n.overview(now); o.Still != 4 || len(o.Unheard) != 1 {
 		t.Errorf("the overview tells of %g s and of unheard peers %v", o.Still, o.Unheard)
 	}
-	if later := now.Add(2 * acknowledgementTimeout); !n.syncStates(later)[it.name].Lagging["node-b"] {
+	if later := now.Add(2 * shards.AcknowledgementTimeout); !n.syncStates(later)[it.Name()].Lagging["node-b"] {
 		t.Error("a backup that stays silent must go out of sync in the end")
 	}
 }
@@ -249,7 +252,7 @@
 	n.roster.ApplyList("x", 1, agents.RosterValue{Names: []string{"n-1"}})
 	spec := array(1, 3, "team-0")
 	n.learnJob(userapi.Stored{Spec: spec, At: g.now.UnixMilli()}, 1)
-	team := n.shards[teamShard("team-0")].team
+	team := n.shards.OfTeam("team-0").Team()
 	good := protocol.Heartbeat{Machine: "n-1", Addr: "127.0.0.1:1", Type: "m32", Zone: "east", Incarnation: 1, Seq: 1, FencingToken: 1, Tasks: []protocol.TaskStatus{}}
 	if a := n.handleHeartbeat(protocol.Encode(good)); a.Status != 200 {
 		t.Fatalf("a good report got %d %s", a.Status, a.Body)
--- a/internal/controller/sync_test.go
+++ b/internal/controller/sync_test.go
@@ -17,6 +17,7 @@
 	"topazhollow/internal/leadership"
 	"topazhollow/internal/protocol"
 	"topazhollow/internal/settings"
+	"topazhollow/internal/shards"
 	"topazhollow/internal/simulation"
 	"topazhollow/internal/userapi"
 )
@@ -92,12 +93,11 @@
 	for _, blind := range []bool{false, true} {
 		n := bare("127.0.0.1:1") // nobody answers
 		ctx, cancel := context.WithCancel(context.Background())
-		name := teamShard("red")
+		name := shards.ForTeam("red")
 		rep := jobstate.NewReplica()
 		hold := jobstate.Assignment{TaskID: jobstate.TaskID{Job: "job-1", Index: 0}, Attempt: jobstate.AttemptID(4, 1), Machine: "n-1", Session: 1, CPUs: 2}
 		rep.Holds[hold.TaskID] = hold
-		it := &shard{name: name, sinceTerm: 5, needsBarrier: blind, acknowledgements: map[string]*replicaAck{}, pages: jobstate.NewPageSet(8 << 10), team: n.newTeam(name, rep, 5)}
-		n.shards[name] = it
+		it := ownedShard(n, name, 5, blind, rep)
 		n.learnJob(userapi.Stored{Spec: array(1, 3, "red")}, 1)
 		ended := make(chan struct{})
 		go func() {
@@ -106,15 +106,15 @@
 		}()
 		<-n.syncRequests // it asks the state service, in vain
 		n.mu.Lock()
-		if (it.phase == shardReady) == blind {
-			t.Errorf("in sync: %v, phase %s", !blind, phases[it.phase])
+		if (it.IsReady()) == blind {
+			t.Errorf("in sync: %v, phase %s", !blind, it.Phase())
 		}
-		if held, _ := it.team.Held(); held != 1 {
+		if held, _ := it.Team().Held(); held != 1 {
 			t.Errorf("in sync: %v, a hold ended though the roster may be old", !blind)
 		}
 		n.pagesLoaded(it, nil) // the answer, that there are no pages and no machines
-		if held, _ := it.team.Held(); held != 0 || it.phase != shardReady {
-			t.Errorf("in sync: %v, %d holds on machines struck off, phase %s", !blind, held, phases[it.phase])
+		if held, _ := it.Team().Held(); held != 0 || !it.IsReady() {
+			t.Errorf("in sync: %v, %d holds on machines struck off, phase %s", !blind, held, it.Phase())
 		}
 		n.mu.Unlock()
 		cancel()
@@ -130,7 +130,7 @@
 		n := bare("127.0.0.1:1") // nobody answers
 		ctx, cancel := context.WithCancel(context.Background())
 		n.ctx, n.group = ctx, &errgroup.Group{}
-		name := teamShard("red")
+		name := shards.ForTeam("red")
 		r := (&leadership.Record{Term: 5, FirstTerm: 5, Epoch: 2, RosterIncomplete: true}).Clone()
 		r.Nodes["node-a"], r.Nodes["node-b"] = n.incarnation, 1
 		r.Shards[name] = leadership.Shard{Owner: "node-a", SinceTerm: 5, NeedsBarrier: blind}
@@ -143,30 +143,29 @@
 		n.learnJob(userapi.Stored{Spec: array(1, 3, "red")}, 1)
 		n.peers["node-b"] = &peerState{connected: true, heardAt: time.Now()}
 		n.recovery.gather = datarecovery.NewExchange(2, []string{"node-b"}) // it is yet to tell what it remembers
-		it := &shard{name: name, sinceTerm: 5, needsBarrier: blind, acknowledgements: map[string]*replicaAck{}, pages: jobstate.NewPageSet(8 << 10), team: n.newTeam(name, rep, 5)}
-		n.shards[name] = it
+		it := ownedShard(n, name, 5, blind, rep)
 		n.mu.Lock()
 		n.pagesLoaded(it, nil)
-		if it.phase != shardBarrier || len(it.awaitedMachines) != 0 {
-			t.Fatalf("blind %t: phase %s, waits for %v", blind, phases[it.phase], it.awaitedMachines)
+		if it.Phase() != shards.Barrier || it.AwaitedCount() != 0 {
+			t.Fatalf("blind %t: phase %s, waits for %d machines", blind, it.Phase(), it.AwaitedCount())
 		}
 		whole := r.Clone()
 		whole.RosterIncomplete = false
 		n.adopt(whole, 9)
 		n.recovery.gather = nil
-		if it.phase == shardBarrier { // as by a report
+		if it.Phase() == shards.Barrier { // as by a report
 			n.passBarrier(it)
 		}
-		if held, _ := it.team.Held(); held != want || blind && it.phase == shardReady {
-			t.Errorf("blind %t: %d holds left, phase %s before the lists of machines came", blind, held, phases[it.phase])
+		if held, _ := it.Team().Held(); held != want || blind && it.IsReady() {
+			t.Errorf("blind %t: %d holds left, phase %s before the lists of machines came", blind, held, it.Phase())
 		}
 		n.roster.ApplyList(machineKey+"node-b/0", 8, agents.RosterValue{Names: []string{"n-1"}})
 		n.pagesLoaded(it, nil) // the answer to a read that began after the record came
-		if held, _ := it.team.Held(); held != want {
+		if held, _ := it.Team().Held(); held != want {
 			t.Errorf("blind %t: a hold ended on a machine that is on the roster", blind)
 		}
-		if blind && (it.phase != shardBarrier || !it.awaitedMachines["n-1"]) {
-			t.Errorf("phase %s, waits for %v, not for the machine that is on the roster", phases[it.phase], it.awaitedMachines)
+		if blind && (it.Phase() != shards.Barrier || !it.Awaits("n-1")) {
+			t.Errorf("phase %s, waits for %d machines, not for the machine that is on the roster", it.Phase(), it.AwaitedCount())
 		}
 		n.mu.Unlock()
 		cancel()
@@ -178,11 +177,10 @@
 // that takes over must find both, and its own writes must keep them.
 func TestSharedPageSurvivesTakeOver(t *testing.T) {
 	n := bare("127.0.0.1:1")
-	name := teamShard("red")
+	name := shards.ForTeam("red")
 	store := map[string]protocol.Entry{}
 	for round := range 4 {
-		it := &shard{name: name, phase: shardReady, pages: jobstate.NewPageSet(8 << 10), team: n.newTeam(name, jobstate.NewReplica(), uint64(round+1))}
-		n.shards[name] = it
+		it := readyShard(n, name, uint64(round+1))
 		var entries []protocol.Entry
 		for _, e := range store {
 			entries = append(entries, e)
@@ -190,26 +188,28 @@
 		for i := range 2 {
 			spec := array(i, 10, "red")
 			n.jobs[spec.UID] = &job{spec: spec, active: true}
-			it.team.AddJob(spec, 1, n.startedAt, nil)
+			it.Team().AddJob(spec, 1, n.startedAt, nil)
 		}
 		n.pagesLoaded(it, entries)
 		for i := range 2 {
-			if done, _ := it.team.Progress(fmt.Sprintf("job-%06d", i)); done != round {
+			if done, _ := it.Team().Progress(fmt.Sprintf("job-%06d", i)); done != round {
 				t.Fatalf("round %d: %d tasks of job %d are known to be done", round, done, i)
 			}
 		}
 		for i := range 2 { // one more task of each completes, job 1 is written first
 			uid := fmt.Sprintf("job-%06d", 1-i)
 			v := &jobstate.MachineStatus{Machine: "m", Incarnation: 1, Tasks: []jobstate.TaskStatus{{TaskID: jobstate.TaskID{Job: uid, Index: round}, Attempt: 1, State: protocol.Exited, Why: protocol.WhyDone}}}
-			it.team.Observe(v, n.startedAt, teamKnowledge{n, "red"})
-			for _, p := range it.pages.Plan(it.team.Unsaved(), it.team.Finished) {
-				key := fmt.Sprint(pagesPrefix(name), p.Number)
+			it.Team().Observe(v, n.startedAt, teamKnowledge{n, "red"})
+			pages, due := it.BeginSaving()
+			if !due {
+				t.Fatalf("round %d: nothing is to be written", round)
+			}
+			for _, p := range pages {
+				key := it.PageKey(p.Number)
 				store[key] = protocol.Entry{Key: key, Value: protocol.Encode(p.Parts), Version: p.Version + 1}
-				it.pages.Written(p.Number, p.Version+1)
-				for uid, done := range p.Done {
-					it.team.Saved(uid, done)
-				}
+				it.PageSaved(p, p.Version+1)
 			}
+			it.SavingEnded()
 		}
 	}
 }
--- a/internal/controller/talk.go
+++ b/internal/controller/talk.go
@@ -12,6 +12,7 @@
 	"topazhollow/internal/leadership"
 	"topazhollow/internal/peer"
 	"topazhollow/internal/protocol"
+	"topazhollow/internal/shards"
 	"topazhollow/internal/teamconfig"
 )
 
@@ -81,9 +82,7 @@
 	defer n.mu.Unlock()
 	n.peers[node].connected = true
 	n.peers[node].delivery.Up(time.Now())
-	for _, it := range n.shards {
-		delete(it.acknowledgements, node)
-	}
+	n.shards.ForgetReplica(node)
 	for name := range n.agents.All() {
 		n.changedMachines[name] = true
 	}
@@ -99,9 +98,7 @@
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.peers[node].connected = false
-	for _, it := range n.shards {
-		delete(it.acknowledgements, node)
-	}
+	n.shards.ForgetReplica(node)
 }
 
 func (h *peerHandler) PeerMessage(node string, incarnation uint64, kind string, body []byte) {
@@ -146,8 +143,8 @@
 		if err = protocol.Decode(body, &o); err == nil {
 			n.onOrders(&o, now)
 		}
-	case probeKind:
-		var m probeMsg
+	case shards.KindProbe:
+		var m shards.ProbeRequest
 		if err = protocol.Decode(body, &m); err == nil {
 			n.onProbe(m.Addrs, now)
 		}
@@ -166,18 +163,18 @@
 		if err = protocol.Decode(body, &e); err == nil {
 			n.onEvict(&e)
 		}
-	case "copy":
-		var c copyMsg
+	case shards.KindCopy:
+		var c shards.Copy
 		if err = protocol.Decode(body, &c); err == nil {
 			n.onCopy(node, incarnation, &c)
 		}
-	case copyPartKind:
-		var m copyPartMsg
+	case shards.KindCopyPart:
+		var m shards.CopyPart
 		if err = protocol.Decode(body, &m); err == nil {
 			n.onCopyPart(node, incarnation, &m)
 		}
-	case "deltas":
-		var d deltasMsg
+	case shards.KindDeltas:
+		var d shards.Deltas
 		if err = protocol.Decode(body, &d); err == nil {
 			n.onDeltas(node, incarnation, &d)
 		}
@@ -201,10 +198,10 @@
 		if err = protocol.Decode(body, &m); err == nil {
 			n.onFactReplicated(&m)
 		}
-	case "ack":
-		var a ackMsg
+	case shards.KindAcknowledgement:
+		var a shards.Acknowledgement
 		if err = protocol.Decode(body, &a); err == nil {
-			n.onAck(node, incarnation, &a)
+			n.onAcknowledgement(node, incarnation, &a)
 		}
 	}
 	if err != nil {
@@ -381,8 +378,8 @@
 	clear(n.misdirectedAgents)
 	s.Demands = n.demands(now)
 	s.Progress, s.Plan, s.Config = n.progress(now), n.planWord(), n.configWord(now)
-	s.Awaits, s.Mute = n.awaits(), n.unanswered()
-	if n.shards[leadership.FleetShard] != nil {
+	s.Awaits, s.Mute = n.shards.AwaitedMachines(), n.unanswered()
+	if n.shards.OwnsFleet() {
 		s.Drain = slices.Sorted(maps.Keys(n.drainingMachines))
 	}
 	return s
@@ -402,9 +399,9 @@
 	}
 	n.progressSentAt = now
 	progress := map[string][2]int{}
-	for _, it := range n.shards {
-		it.team.Jobs(func(j *jobstate.Job) {
-			done, running := it.team.Progress(j.Spec.UID)
+	for it := range n.shards.All() {
+		it.Team().Jobs(func(j *jobstate.Job) {
+			done, running := it.Team().Progress(j.Spec.UID)
 			if done+running > 0 {
 				progress[j.Spec.UID] = [2]int{done, running}
 			}
@@ -437,16 +434,15 @@
 // demands lists the room that own teams ask for.
 func (n *Node) demands(now time.Time) []demand {
 	var out []demand
-	for _, name := range slices.Sorted(maps.Keys(n.shards)) {
-		it := n.shards[name]
-		if it.phase != shardReady {
+	for it := range n.shards.InOrder() {
+		if !it.IsReady() {
 			continue
 		}
-		list := it.team.Demands(now)
+		list := it.Team().Demands(now)
 		first := n.goFirst(it, list, now)
 		for i, d := range list {
 			if !d.Probe {
-				out = append(out, demand{Job: d.Spec.UID, Count: d.Count, Borrowed: d.Borrowed, Behind: d.Behind.Milliseconds(), First: first[i], Beyond: d.Beyond, Zone: boundZone(it.team, d.Spec)})
+				out = append(out, demand{Job: d.Spec.UID, Count: d.Count, Borrowed: d.Borrowed, Behind: d.Behind.Milliseconds(), First: first[i], Beyond: d.Beyond, Zone: boundZone(it.Team(), d.Spec)})
 			}
 		}
 	}
@@ -468,7 +464,7 @@
 
 // draining is the machines that no task should go to.
 func (n *Node) draining() map[string]bool {
-	if n.shards[leadership.FleetShard] != nil {
+	if n.shards.OwnsFleet() {
 		return n.drainingMachines
 	}
 	if n.record != nil {
@@ -478,14 +474,3 @@
 	}
 	return nil
 }
-
-// awaits lists machines that the barriers of own items wait for.
-func (n *Node) awaits() []string {
-	names := map[string]bool{}
-	for _, it := range n.shards {
-		if it.phase == shardBarrier {
-			maps.Copy(names, it.awaitedMachines)
-		}
-	}
-	return slices.Sorted(maps.Keys(names))
-}
--- a/internal/controller/views_test.go
+++ b/internal/controller/views_test.go
@@ -5,6 +5,7 @@
 
 	"topazhollow/internal/jobstate"
 	"topazhollow/internal/protocol"
+	"topazhollow/internal/shards"
 )
 
 // TestBarrierSettlesTheMachineThatWasHeard: a machine heard under the item's term is waited for no longer, one heard
@@ -14,31 +15,29 @@
 	n := g.n
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	it := n.shards[teamShard("team-0")]
-	it.phase, it.sinceTerm, it.awaitedMachines = shardBarrier, n.record.Term, map[string]bool{}
 	var names []string
 	for name := range n.machines {
 		names = append(names, name)
-		it.awaitedMachines[name] = true
 	}
+	it := barrierShard(n, n.shards.OfTeam("team-0"), n.record.Term, names)
 	hear := func(name string, token uint64) {
 		v := *n.machines[name].status
 		v.Seq++
 		v.FencingToken = token
 		n.applyStatus(&v, g.now)
 	}
-	hear(names[0], it.sinceTerm-1)
-	if len(it.awaitedMachines) != len(names) || it.phase != shardBarrier {
-		t.Fatalf("%d of %d are waited for after a report of an earlier term", len(it.awaitedMachines), len(names))
+	hear(names[0], it.SinceTerm()-1)
+	if it.AwaitedCount() != len(names) || it.Phase() != shards.Barrier {
+		t.Fatalf("%d of %d are waited for after a report of an earlier term", it.AwaitedCount(), len(names))
 	}
 	for i, name := range names {
-		if it.phase != shardBarrier {
+		if it.Phase() != shards.Barrier {
 			t.Fatalf("the barrier ended after %d of %d machines", i, len(names))
 		}
-		hear(name, it.sinceTerm)
+		hear(name, it.SinceTerm())
 	}
-	if it.phase != shardReady {
-		t.Fatalf("the barrier waits for %v though all were heard", it.awaitedMachines)
+	if !it.IsReady() {
+		t.Fatalf("the barrier waits for %d machines though all were heard", it.AwaitedCount())
 	}
 }
 
--- a/internal/controller/waiting.go
+++ b/internal/controller/waiting.go
@@ -7,14 +7,14 @@
 	"time"
 
 	"topazhollow/internal/jobstate"
-	"topazhollow/internal/leadership"
 	"topazhollow/internal/protocol"
+	"topazhollow/internal/shards"
 )
 
 // claim says whose tasks wait: an own team's, or a peer's, for which room is only kept. Both
 // fields are nil for a peer's.
 type claim struct {
-	it  *shard
+	it  *shards.Owned
 	own *jobstate.Job
 }
 
@@ -37,8 +37,8 @@
 // peers' teams.
 func (n *Node) allWaiting(now time.Time) []waitingTasks {
 	var list []waitingTasks
-	for _, it := range n.shards {
-		if it.phase == shardReady && !it.handingOver && it.name != leadership.FleetShard {
+	for it := range n.shards.All() {
+		if it.MayPlace() && !it.IsFleet() {
 			list = n.appendOwnWaiting(list, it, now)
 		}
 	}
@@ -57,12 +57,12 @@
 }
 
 // appendOwnWaiting adds an own team's waiting tasks.
-func (n *Node) appendOwnWaiting(list []waitingTasks, it *shard, now time.Time) []waitingTasks {
-	demands := it.team.Demands(now)
+func (n *Node) appendOwnWaiting(list []waitingTasks, it *shards.Owned, now time.Time) []waitingTasks {
+	demands := it.Team().Demands(now)
 	first := n.goFirst(it, demands, now)
 	for i := range demands {
 		d := &demands[i]
-		own := claim{it, it.team.Job(d.Spec.UID)}
+		own := claim{it, it.Team().Job(d.Spec.UID)}
 		wanted := demand{Job: d.Spec.UID, Count: d.Count, First: first[i], Borrowed: d.Borrowed}
 		list = n.appendWaiting(list, own, &wanted, d.Probe, now)
 	}
@@ -70,10 +70,10 @@
 }
 
 // appendSpare adds what an own team could place where its demands find no room.
-func (n *Node) appendSpare(list []waitingTasks, it *shard, now time.Time) []waitingTasks {
+func (n *Node) appendSpare(list []waitingTasks, it *shards.Owned, now time.Time) []waitingTasks {
 	from := len(list)
-	for _, d := range it.team.Spare(now) {
-		own := claim{it, it.team.Job(d.Spec.UID)}
+	for _, d := range it.Team().Spare(now) {
+		own := claim{it, it.Team().Job(d.Spec.UID)}
 		list = n.appendWaiting(list, own, &demand{Job: d.Spec.UID, Count: d.Count, Borrowed: true}, false, now)
 	}
 	for i := range list[from:] {
--- /dev/null
+++ b/internal/shards/messages.go
@@ -0,0 +1,54 @@
+package shards
+
+import "topazhollow/internal/jobstate"
+
+// Kinds of the lines between a shard's owner and its replicas, and of the request to probe machines. They stay as
+// they are while controllers of several versions run beside each other. A controller that does not know
+// KindCopyPart never acknowledges a part.
+const (
+	KindCopy            = "copy"
+	KindCopyPart        = "copy_part"
+	KindDeltas          = "deltas"
+	KindAcknowledgement = "ack"
+	KindProbe           = "knock"
+)
+
+// Copy gives a controller the whole replica of a shard.
+type Copy struct {
+	Shard     string        `json:"item"`
+	SinceTerm uint64        `json:"since"` // term at which the sender took the shard
+	Copy      jobstate.Copy `json:"copy"`
+}
+
+// CopyPart gives it a part of a replica that is too large for one message.
+type CopyPart struct {
+	Shard     string        `json:"item"`
+	SinceTerm uint64        `json:"since"`
+	Part      jobstate.Part `json:"part"`
+}
+
+// Deltas gives it changes of a replica that it has, or is being given.
+type Deltas struct {
+	Shard     string           `json:"item"`
+	SinceTerm uint64           `json:"since"`
+	Deltas    []jobstate.Delta `json:"deltas"`
+}
+
+// Acknowledgement tells a shard's owner what a replica has.
+type Acknowledgement struct {
+	Shard     string `json:"item"`
+	SinceTerm uint64 `json:"since"`
+	Seq       uint64 `json:"seq"`             // everything up to this delta, if the fields below are empty
+	Parts     int    `json:"parts,omitempty"` // so many parts of a copy; the copy is not whole yet
+	Again     bool   `json:"again,omitempty"` // the replica needs a whole copy
+}
+
+// RequestCopy asks a shard's owner for its whole replica.
+func RequestCopy(shard string, sinceTerm uint64) Acknowledgement {
+	return Acknowledgement{Shard: shard, SinceTerm: sinceTerm, Again: true}
+}
+
+// ProbeRequest tells homes the addresses of machines that barriers wait for.
+type ProbeRequest struct {
+	Addrs map[string]string `json:"addrs"` // by machine
+}
