--- /dev/null
+++ b/internal/shards/registry_test.go
@@ -0,0 +1,226 @@
+package shards
+
+import (
+	"slices"
+	"testing"
+	"time"
+
+	"github.com/bits-and-blooms/bitset"
+
+	"topazhollow/internal/jobstate"
+	"topazhollow/internal/leadership"
+)
+
+// takeRecord is a control record by which node-a owns a shard.
+func takeRecord(firstTerm, epoch uint64, shard leadership.Shard) *leadership.Record {
+	record := (&leadership.Record{Term: 9, FirstTerm: firstTerm, Epoch: epoch}).Clone()
+	record.Nodes = map[string]uint64{"node-a": 1, "node-b": 1}
+	record.Shards[testShard] = shard
+	return record
+}
+
+// take has a controller take the test's shard over.
+func take(r *Registry, record *leadership.Record) *Owned {
+	return r.Take(Takeover{Name: testShard, Record: record, NewTeam: testTeam, PageBytes: 8 << 10, Now: time.Unix(1000, 0)})
+}
+
+// TestWhoPassesTheBarrier: an owner without the team's progress once started again what still ran. Only one that holds
+// the replica, or the deployment's first owner, begins at once.
+func TestWhoPassesTheBarrier(t *testing.T) {
+	for _, c := range []struct {
+		name             string
+		firstTerm, epoch uint64
+		shard            leadership.Shard
+		held             bool
+		wantBarrier      bool
+		wantHolds        int
+	}{
+		{"in sync with a replica", 3, 1, leadership.Shard{SinceTerm: 9}, true, false, 1},
+		{"in sync by the record, without a replica", 3, 1, leadership.Shard{SinceTerm: 9}, false, true, 0},
+		{"not in sync, with an old replica", 3, 1, leadership.Shard{SinceTerm: 9, NeedsBarrier: true}, true, true, 0},
+		{"the deployment's first owner", 9, 1, leadership.Shard{SinceTerm: 9}, false, false, 0},
+		{"the first owner after a loss of data", 9, 2, leadership.Shard{SinceTerm: 9}, false, true, 0},
+	} {
+		r := NewRegistry()
+		if c.held {
+			replica := jobstate.NewReplica()
+			task := jobstate.TaskID{Job: "job-1"}
+			replica.Holds[task] = jobstate.Assignment{TaskID: task, Attempt: 1, Machine: "m-1"}
+			r.Held().Keep(testShard, 8, replica)
+		}
+		o := take(r, takeRecord(c.firstTerm, c.epoch, c.shard))
+		if o.NeedsBarrier() != c.wantBarrier || len(o.Team().Replica().Holds) != c.wantHolds {
+			t.Errorf("%s: barrier %v with %d assignments, want %v and %d", c.name, o.NeedsBarrier(), len(o.Team().Replica().Holds), c.wantBarrier, c.wantHolds)
+		}
+		if r.Held().Has(testShard) || r.Owned(testShard) != o {
+			t.Errorf("%s: the replica is held still, or the shard is not owned", c.name)
+		}
+		if o.MayBeginUnread() == c.wantBarrier {
+			t.Errorf("%s: may begin before the state service answers: %v", c.name, o.MayBeginUnread())
+		}
+	}
+}
+
+// TestFollow: a controller gives up what a new record gives to another, and goes on to hold it as a replica if it was past
+// its barrier and is a member; what it owns since another term it takes over anew; what it keeps, it keeps as it is.
+func TestFollow(t *testing.T) {
+	now := time.Unix(1000, 0)
+	for _, c := range []struct {
+		name     string
+		ready    bool
+		member   bool
+		entry    leadership.Shard
+		wantHeld bool
+		wantGone bool
+		wantTake bool
+	}{
+		{"kept", true, true, leadership.Shard{Owner: "node-a", SinceTerm: 5}, false, false, false},
+		{"given to another", true, true, leadership.Shard{Owner: "node-b", SinceTerm: 9}, true, true, false},
+		{"given to another during the barrier", false, true, leadership.Shard{Owner: "node-b", SinceTerm: 9}, false, true, false},
+		{"owned since another term", true, true, leadership.Shard{Owner: "node-a", SinceTerm: 9}, true, true, true},
+		{"no member any more", true, false, leadership.Shard{Owner: "node-b", SinceTerm: 9}, false, true, false},
+		{"another process is the member", true, false, leadership.Shard{Owner: "node-a", SinceTerm: 5}, false, true, false},
+	} {
+		r := NewRegistry()
+		o := NewOwned(Options{Name: testShard, SinceTerm: 5, Team: testTeam(jobstate.NewReplica()), PageBytes: 8 << 10, TakenAt: now})
+		if c.ready {
+			o.EnterBarrier(nil)
+			o.PassBarrier(now)
+			o.BeginHandOver()
+		}
+		r.Add(o)
+		changes := r.Follow(takeRecord(3, 1, c.entry), "node-a", c.member)
+		if gone := slices.Contains(changes.GivenUp, o); gone != c.wantGone || r.Owns(o) == c.wantGone {
+			t.Errorf("%s: given up %v, owned %v", c.name, gone, r.Owns(o))
+		}
+		if taken := slices.Contains(changes.ToTake, testShard); taken != c.wantTake {
+			t.Errorf("%s: to be taken over %v, want %v", c.name, taken, c.wantTake)
+		}
+		if held := r.Held().Replica(testShard) != nil; held != c.wantHeld {
+			t.Errorf("%s: held as a replica %v, want %v", c.name, held, c.wantHeld)
+		}
+		if !c.wantGone && !o.MayPlace() {
+			t.Errorf("%s: the change of the record is in force, and no task may be placed", c.name)
+		}
+	}
+}
+
+// TestBarrierWaitsForMachines: the barrier of an owner that was not in sync waits for each machine until that reported under
+// the owner's term or is gone, an owner in sync waits for none.
+func TestBarrierWaitsForMachines(t *testing.T) {
+	machines := []string{"m-1", "m-2", "m-3"}
+	for _, needs := range []bool{false, true} {
+		r := NewRegistry()
+		o := NewOwned(Options{Name: testShard, SinceTerm: 5, NeedsBarrier: needs, Team: testTeam(jobstate.NewReplica()), PageBytes: 8 << 10})
+		r.Add(o)
+		o.EnterBarrier(slices.Values(machines))
+		if got := r.AwaitedMachines(); needs && !slices.Equal(got, machines) || !needs && len(got) > 0 {
+			t.Fatalf("not in sync %v: waits for %v", needs, got)
+		}
+		if !needs {
+			continue
+		}
+		if o.MachineAnswered("m-1", 4) || !o.Awaits("m-1") {
+			t.Error("a report under an earlier term settles a machine")
+		}
+		if o.MachineAnswered("m-1", 5) || o.Awaits("m-1") {
+			t.Error("a report under the term does not settle a machine, or all")
+		}
+		o.SettleAwaited(func(name string, term uint64) bool { return name == "m-2" && term == 5 })
+		if got := r.AwaitedMachines(); !slices.Equal(got, machines[2:]) {
+			t.Errorf("waits for %v, want the third machine", got)
+		}
+		o.AwaitMachines(slices.Values([]string{"m-4"}))
+		if o.MachineAnswered("m-3", 6) || !o.MachineAnswered("m-4", 5) {
+			t.Error("not the last machine ends the waiting")
+		}
+	}
+}
+
+// TestReload: a shard that is not ready is loaded anew when the roster turns out to have had holes, with its pages unread, and
+// the outcome of the earlier load does not count any more. One that is ready stays so.
+func TestReload(t *testing.T) {
+	for _, needs := range []bool{false, true} {
+		o := NewOwned(Options{Name: testShard, SinceTerm: 5, NeedsBarrier: needs, Team: testTeam(jobstate.NewReplica()), PageBytes: 8 << 10})
+		earlier := o.BeginLoad()
+		o.EnterBarrier(slices.Values([]string{"m-1"}))
+		o.MarkPagesRead()
+		if !o.Reload() || o.PagesRead() || (o.Phase() == Loading) != needs {
+			t.Errorf("not in sync %v: phase %s, pages read %v", needs, o.Phase(), o.PagesRead())
+		}
+		if later := o.BeginLoad(); o.LoadIsCurrent(earlier) || !o.LoadIsCurrent(later) {
+			t.Error("the earlier load counts still")
+		}
+		o.PassBarrier(time.Unix(1000, 0))
+		o.MarkPagesRead()
+		if o.Reload() || !o.PagesRead() || !o.IsReady() {
+			t.Error("a shard that is ready is loaded anew")
+		}
+	}
+}
+
+// TestPagesAreSavedOneAtATime: finished tasks are written only once the barrier is passed and the present pages are read, and
+// not while an earlier writing is under way; what a writing saved is not written again.
+func TestPagesAreSavedOneAtATime(t *testing.T) {
+	now := time.Unix(1000, 0)
+	o := NewOwned(Options{Name: testShard, SinceTerm: 5, Team: testTeam(jobstate.NewReplica()), PageBytes: 8 << 10, TakenAt: now})
+	o.Team().AddJob(testSpec("job-1", 10), 1, now, nil)
+	o.Team().Merge("job-1", bitset.New(1).Set(0))
+	due := func() bool { _, due := o.BeginSaving(); return due }
+	if due() {
+		t.Error("written before the barrier")
+	}
+	o.EnterBarrier(nil)
+	o.PassBarrier(now)
+	if due() {
+		t.Error("written before the pages were read")
+	}
+	o.MarkPagesRead()
+	pages, begun := o.BeginSaving()
+	if !begun || len(pages) != 1 {
+		t.Fatalf("%d pages to be written, begun %v", len(pages), begun)
+	}
+	if due() {
+		t.Error("written twice at a time")
+	}
+	o.PageVersionRead(pages[0].Number, 7) // the write met another version
+	o.SavingEnded()
+	pages, begun = o.BeginSaving()
+	if !begun || len(pages) != 1 || pages[0].Version != 7 {
+		t.Fatalf("written again: %v, %+v", begun, pages)
+	}
+	o.PageSaved(pages[0], 8)
+	o.SavingEnded()
+	if due() {
+		t.Error("what is saved is written again")
+	}
+}
+
+// TestProbesOncePerTerm: a machine is probed once in a term, and counts as unanswered until it is settled otherwise; the next
+// term begins anew, and an answer that comes late for an earlier one changes nothing.
+func TestProbesOncePerTerm(t *testing.T) {
+	var p Probes
+	settled := map[string]bool{}
+	unanswered := func() []string {
+		return p.Unanswered(func(name string, _ uint64) bool { return settled[name] })
+	}
+	if !p.Begin(5) || p.Begin(5) || !p.Ask("m-1") || p.Ask("m-1") || !p.Ask("m-2") {
+		t.Fatal("not one probe a machine in the first term")
+	}
+	p.NotAnswered(5, "m-2")
+	p.NotAnswered(5, "m-1")
+	if got := unanswered(); !slices.Equal(got, []string{"m-1", "m-2"}) {
+		t.Errorf("unanswered are %v", got)
+	}
+	settled["m-1"] = true
+	if got := unanswered(); !slices.Equal(got, []string{"m-2"}) {
+		t.Errorf("unanswered are %v after one reported by itself", got)
+	}
+	if !p.Begin(6) || !p.Ask("m-1") || len(unanswered()) != 0 {
+		t.Error("the next term does not begin anew")
+	}
+	p.NotAnswered(5, "m-2")
+	if got := unanswered(); len(got) != 0 {
+		t.Errorf("unanswered are %v by a probe of an earlier term", got)
+	}
+}
