--- a/internal/controller/jobend.go
+++ b/internal/controller/jobend.go
@@ -14,9 +14,9 @@
 )
 
 // commitFinishedJobs commits the end of jobs whose tasks are all done.
-func (n *Node) commitFinishedJobs(it *shards.Owned) {
-	it.Team().Jobs(func(j *jobstate.Job) {
-		if j.Spec.Kind == protocol.Service || j.Finishing || !it.Team().Complete(j) {
+func (n *Node) commitFinishedJobs(shard *shards.Owned) {
+	shard.Team().Jobs(func(j *jobstate.Job) {
+		if j.Spec.Kind == protocol.Service || j.Finishing || !shard.Team().Complete(j) {
 			return
 		}
 		if j.Version == 0 {
@@ -25,15 +25,15 @@
 		j.Finishing = true
 		version, written := n.recordVersion, j.Version
 		n.group.Go(func() error {
-			n.commitJobEnd(n.ctx, it, j, version, written)
+			n.commitJobEnd(n.ctx, shard, j, version, written)
 			return nil
 		})
 	})
 }
 
-func (n *Node) commitJobEnd(ctx context.Context, it *shards.Owned, j *jobstate.Job, version, written uint64) {
+func (n *Node) commitJobEnd(ctx context.Context, shard *shards.Owned, j *jobstate.Job, version, written uint64) {
 	uid := j.Spec.UID
-	team, _ := shards.TeamOf(it.Name())
+	team, _ := shards.TeamOf(shard.Name())
 	end := userapi.EndOf(j.Spec, protocol.Done)
 	_, err := n.kvStore.Commit(ctx, kvstore.Update{
 		Guards: []protocol.Condition{{Key: userapi.JobKey + uid, Version: written}, {Key: controlKey, Version: version}},
--- a/internal/controller/orders.go
+++ b/internal/controller/orders.go
@@ -10,24 +10,24 @@
 )
 
 // reconcileMachine lets an item's account see a machine and sends the orders that follow.
-func (n *Node) reconcileMachine(it *shards.Owned, v *jobstate.MachineStatus) {
-	if !it.IsReady() || it.IsFleet() {
+func (n *Node) reconcileMachine(shard *shards.Owned, v *jobstate.MachineStatus) {
+	if !shard.IsReady() || shard.IsFleet() {
 		return
 	}
-	team, _ := shards.TeamOf(it.Name())
-	orders := it.Team().Observe(v, time.Now(), teamKnowledge{n, team})
+	team, _ := shards.TeamOf(shard.Name())
+	orders := shard.Team().Observe(v, time.Now(), teamKnowledge{n, team})
 	if len(orders) > 0 {
 		n.sendOrders(v.Machine, orders)
 	}
-	for _, ref := range it.Team().Unsized(v.Machine) {
+	for _, ref := range shard.Team().Unsized(v.Machine) {
 		n.lookUpEnd(ref.Job, ref.Attempt)
 	}
 }
 
 // reconcileMachinesOf looks again at the machines that hold tasks of a job.
-func (n *Node) reconcileMachinesOf(it *shards.Owned, uid string) {
+func (n *Node) reconcileMachinesOf(shard *shards.Owned, uid string) {
 	for _, name := range slices.Sorted(maps.Keys(n.machinesByJob[uid])) {
-		n.reconcileMachine(it, n.machines[name].status)
+		n.reconcileMachine(shard, n.machines[name].status)
 	}
 }
 
--- a/internal/controller/owner.go
+++ b/internal/controller/owner.go
@@ -18,9 +18,9 @@
 // followOwners takes over and gives up shards as a new control record says; member: this process is in the record.
 func (n *Node) followOwners(r *leadership.Record, member bool) {
 	changes := n.shards.Follow(r, n.name, member)
-	for _, it := range changes.GivenUp {
-		n.log.Info("item given up", "item", it.Name(), "owner", r.Shards[it.Name()].Owner, "term", r.Term)
-		n.recount(slices.Values(it.Team().Machines()))
+	for _, shard := range changes.GivenUp {
+		n.log.Info("shard given up", "shard", shard.Name(), "owner", r.Shards[shard.Name()].Owner, "term", r.Term)
+		n.recount(slices.Values(shard.Team().Machines()))
 	}
 	for _, name := range changes.ToTake {
 		n.takeOwnership(name)
@@ -30,29 +30,29 @@
 // takeOwnership begins to own a shard that the control record gives to this controller.
 func (n *Node) takeOwnership(name string) {
 	n.tookTeam()
-	it := n.shards.Take(shards.Takeover{
+	shard := n.shards.Take(shards.Takeover{
 		Name:      name,
 		Record:    n.record,
 		NewTeam:   func(replica *jobstate.Replica) *jobstate.Team { return n.newTeam(name, replica, n.record.Term) },
 		PageBytes: maxValueBytes(n.settings.Deployment.State),
 		Now:       time.Now(),
 	})
-	n.log.Info("item taken", "item", name, "term", it.SinceTerm(), "barrier", it.NeedsBarrier(), "held", len(it.Team().Replica().Holds))
+	n.log.Info("shard taken over", "shard", name, "term", shard.SinceTerm(), "barrier", shard.NeedsBarrier(), "held", len(shard.Team().Replica().Holds))
 	if team, ok := shards.TeamOf(name); ok {
 		for uid, d := range n.recovery.done {
 			if j := n.jobs[uid]; j != nil && j.active && j.spec.Team == team {
-				it.Team().Merge(uid, d)
+				shard.Team().Merge(uid, d)
 			}
 		}
 	}
-	n.startLoad(it)
+	n.startLoad(shard)
 }
 
 // startLoad begins to load a shard, in place of a load that is under way.
-func (n *Node) startLoad(it *shards.Owned) {
-	load := it.BeginLoad()
+func (n *Node) startLoad(shard *shards.Owned) {
+	load := shard.BeginLoad()
 	n.group.Go(func() error {
-		n.load(n.ctx, it, load)
+		n.load(n.ctx, shard, load)
 		return nil
 	})
 }
@@ -62,16 +62,16 @@
 // holes, and the record that calls it whole may be known here before the lists that fill them: an
 // owner that started after the loss once waited for nobody and started again what still ran.
 func (n *Node) reload() {
-	for it := range n.shards.All() {
-		if it.Reload() {
-			n.startLoad(it)
+	for shard := range n.shards.All() {
+		if shard.Reload() {
+			n.startLoad(shard)
 		}
 	}
 }
 
 // newTeam is the account of a shard's jobs, with the limits that its team has now.
 func (n *Node) newTeam(name string, rep *jobstate.Replica, term uint64) *jobstate.Team {
-	log := func(event string, args ...any) { n.log.Debug(event, append(args, "item", name)...) }
+	log := func(event string, args ...any) { n.log.Debug(event, append(args, "shard", name)...) }
 	team, _ := shards.TeamOf(name)
 	for _, t := range n.teams() {
 		if t.Name == team {
@@ -85,65 +85,65 @@
 // the team's progress already and begins with the jobs that it followed, even if
 // the state service does not answer; one that is not must know every job and
 // machine that was there before it took over.
-func (n *Node) load(ctx context.Context, it *shards.Owned, load int) {
+func (n *Node) load(ctx context.Context, shard *shards.Owned, load int) {
 	for ctx.Err() == nil {
-		if !n.beginUnread(it, load) || it.IsFleet() {
+		if !n.beginUnread(shard, load) || shard.IsFleet() {
 			return
 		}
-		err := n.loadPages(ctx, it, load)
+		err := n.loadPages(ctx, shard, load)
 		if err == nil {
 			return
 		}
-		n.log.Info("item waits for the state service", "item", it.Name(), "err", err)
+		n.log.Info("shard waits for the state service", "shard", shard.Name(), "err", err)
 		pause(ctx, 300*time.Millisecond)
 	}
 }
 
 // beginUnread begins a shard that need not wait for the state service; false if the load does not count any more.
-func (n *Node) beginUnread(it *shards.Owned, load int) bool {
+func (n *Node) beginUnread(shard *shards.Owned, load int) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if !n.shards.Owns(it) || !it.LoadIsCurrent(load) {
+	if !n.shards.Owns(shard) || !shard.LoadIsCurrent(load) {
 		return false
 	}
-	if it.MayBeginUnread() {
-		n.enterBarrier(it, nil)
+	if shard.MayBeginUnread() {
+		n.enterBarrier(shard, nil)
 	}
 	return true
 }
 
 // loadPages reads the state service up to now, and the shard's pages of finished tasks.
-func (n *Node) loadPages(ctx context.Context, it *shards.Owned, load int) error {
+func (n *Node) loadPages(ctx context.Context, shard *shards.Owned, load int) error {
 	if err := n.waitForChanges(ctx); err != nil {
 		return err
 	}
-	pages, _, err := n.kvStore.List(ctx, shards.PagesPrefix(it.Name()))
+	pages, _, err := n.kvStore.List(ctx, shards.PagesPrefix(shard.Name()))
 	if err != nil {
 		return err
 	}
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if it.LoadIsCurrent(load) {
-		n.pagesLoaded(it, pages)
+	if shard.LoadIsCurrent(load) {
+		n.pagesLoaded(shard, pages)
 	}
 	return nil
 }
 
 // pagesLoaded takes in the pages of finished tasks, after which they can be written.
-func (n *Node) pagesLoaded(it *shards.Owned, pages []protocol.Entry) {
-	if !n.shards.Owns(it) {
+func (n *Node) pagesLoaded(shard *shards.Owned, pages []protocol.Entry) {
+	if !n.shards.Owns(shard) {
 		return
 	}
-	done := n.readPages(it, pages)
-	it.MarkPagesRead()
-	if it.Phase() == shards.Loading {
-		n.enterBarrier(it, done)
+	done := n.readPages(shard, pages)
+	shard.MarkPagesRead()
+	if shard.Phase() == shards.Loading {
+		n.enterBarrier(shard, done)
 		return
 	}
-	n.releaseUnregistered(it)
+	n.releaseUnregistered(shard)
 	for uid, done := range done {
-		if tj := it.Team().Job(uid); tj != nil {
-			it.Team().AddJob(tj.Spec, tj.Version, tj.Submitted, done)
+		if tj := shard.Team().Job(uid); tj != nil {
+			shard.Team().AddJob(tj.Spec, tj.Version, tj.Submitted, done)
 		}
 	}
 	n.wake()
@@ -151,19 +151,19 @@
 
 // enterBarrier begins a shard with the jobs and machines known by now, and the finished
 // tasks that the state service has.
-func (n *Node) enterBarrier(it *shards.Owned, done map[string]*bitset.BitSet) {
-	if it.IsFleet() {
-		it.StartFleet()
+func (n *Node) enterBarrier(shard *shards.Owned, done map[string]*bitset.BitSet) {
+	if shard.IsFleet() {
+		shard.StartFleet()
 		return
 	}
-	team, _ := shards.TeamOf(it.Name())
+	team, _ := shards.TeamOf(shard.Name())
 	for _, j := range n.jobs {
 		if j.active && j.spec.Team == team {
-			n.addJob(it, j, done[j.spec.UID])
+			n.addJob(shard, j, done[j.spec.UID])
 		}
 	}
-	it.EnterBarrier(n.knownMachines())
-	n.passBarrier(it)
+	shard.EnterBarrier(n.knownMachines())
+	n.passBarrier(shard)
 	n.wake()
 }
 
@@ -186,8 +186,8 @@
 }
 
 // addJob has an own team take up an active job; done are the finished tasks that the state service has.
-func (n *Node) addJob(it *shards.Owned, j *job, done *bitset.BitSet) {
-	it.Team().AddJob(j.spec, j.version, j.submittedAt, done)
-	it.Team().SetGoals(j.spec.UID, n.goals(j))
-	it.Team().SetFaulty(j.spec.UID, n.quarantine.IsJobFaulty(j.spec.UID))
+func (n *Node) addJob(shard *shards.Owned, j *job, done *bitset.BitSet) {
+	shard.Team().AddJob(j.spec, j.version, j.submittedAt, done)
+	shard.Team().SetGoals(j.spec.UID, n.goals(j))
+	shard.Team().SetFaulty(j.spec.UID, n.quarantine.IsJobFaulty(j.spec.UID))
 }
--- a/internal/controller/replication.go
+++ b/internal/controller/replication.go
@@ -23,12 +23,12 @@
 }
 
 // sendReplication sends what brings a shard's replicas up to date.
-func (n *Node) sendReplication(it *shards.Owned, messages []shards.Outgoing) {
+func (n *Node) sendReplication(shard *shards.Owned, messages []shards.Outgoing) {
 	for _, m := range messages {
 		line := peer.Line(m.Kind, m.Body)
 		for _, to := range m.To {
 			if !n.links.SendLine(to, line) {
-				it.NotSent(to, m.Kind)
+				shard.NotSent(to, m.Kind)
 			}
 		}
 	}
@@ -64,8 +64,8 @@
 }
 
 // requestCopy asks a shard's owner for its whole replica.
-func (n *Node) requestCopy(owner, shard string, sinceTerm uint64) {
-	n.acknowledge(owner, shards.RequestCopy(shard, sinceTerm))
+func (n *Node) requestCopy(owner, name string, sinceTerm uint64) {
+	n.acknowledge(owner, shards.RequestCopy(name, sinceTerm))
 }
 
 // acknowledge tells a shard's owner what the replica here has.
@@ -75,8 +75,8 @@
 
 // onAcknowledgement takes in what a replica of an own shard has.
 func (n *Node) onAcknowledgement(node string, incarnation uint64, m *shards.Acknowledgement) {
-	it := n.shards.Owned(m.Shard)
-	if it != nil && it.Acknowledge(node, incarnation, m, time.Now()) {
+	shard := n.shards.Owned(m.Shard)
+	if shard != nil && shard.Acknowledge(node, incarnation, m, time.Now()) {
 		n.wake()
 	}
 }
--- a/internal/controller/save.go
+++ b/internal/controller/save.go
@@ -18,9 +18,9 @@
 func maxValueBytes(s settings.State) int { return int(s.ValueKB * 1024) }
 
 // readPages takes in a team's pages and gives the finished tasks of its active jobs.
-func (n *Node) readPages(it *shards.Owned, entries []protocol.Entry) map[string]*bitset.BitSet {
-	team, _ := shards.TeamOf(it.Name())
-	done, unreadable := it.ReadPages(entries, func(uid string) int {
+func (n *Node) readPages(shard *shards.Owned, entries []protocol.Entry) map[string]*bitset.BitSet {
+	team, _ := shards.TeamOf(shard.Name())
+	done, unreadable := shard.ReadPages(entries, func(uid string) int {
 		if j := n.jobs[uid]; j != nil && j.active && j.spec.Team == team {
 			return j.spec.Tasks
 		}
@@ -37,8 +37,8 @@
 	for pause(ctx, settings.Seconds(n.options.BitmapEvery)) {
 		n.mu.Lock()
 		if n.entitled(time.Now()) {
-			for it := range n.shards.All() {
-				n.saveShard(it)
+			for shard := range n.shards.All() {
+				n.saveShard(shard)
 			}
 		}
 		n.mu.Unlock()
@@ -47,47 +47,47 @@
 }
 
 // saveShard begins to write a shard's pages that lack finished tasks.
-func (n *Node) saveShard(it *shards.Owned) {
-	pages, due := it.BeginSaving()
+func (n *Node) saveShard(shard *shards.Owned) {
+	pages, due := shard.BeginSaving()
 	if !due {
 		return
 	}
 	control := protocol.Condition{Key: controlKey, Version: n.recordVersion}
 	n.group.Go(func() error {
 		for _, p := range pages {
-			n.savePage(it, p, control)
+			n.savePage(shard, p, control)
 		}
 		n.mu.Lock()
 		defer n.mu.Unlock()
-		it.SavingEnded()
+		shard.SavingEnded()
 		return nil
 	})
 }
 
 // savePage writes one page if the control record is still the one that this controller knows.
-func (n *Node) savePage(it *shards.Owned, p jobstate.Page, control protocol.Condition) {
-	key := it.PageKey(p.Number)
+func (n *Node) savePage(shard *shards.Owned, p jobstate.Page, control protocol.Condition) {
+	key := shard.PageKey(p.Number)
 	revision, err := n.kvStore.Commit(n.ctx, kvstore.Update{Later: true,
 		Guards: []protocol.Condition{control, {Key: key, Version: p.Version}},
 		Ops:    []protocol.Op{{Set: key, Value: protocol.Encode(p.Parts)}}})
 	if err != nil {
 		n.log.Debug("finished tasks not written yet", "key", key, "err", err)
 		if !errors.Is(err, kvstore.ErrRefused) { // its outcome is open, or it met another version
-			n.readPageVersion(it, p.Number)
+			n.readPageVersion(shard, p.Number)
 		}
 		return
 	}
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	it.PageSaved(p, revision)
+	shard.PageSaved(p, revision)
 	for uid := range p.Done {
-		n.reconcileMachinesOf(it, uid)
+		n.reconcileMachinesOf(shard, uid)
 	}
 }
 
 // readPageVersion looks up which version of a page the state service has.
-func (n *Node) readPageVersion(it *shards.Owned, number int) {
-	e, err := n.kvStore.Get(n.ctx, it.PageKey(number))
+func (n *Node) readPageVersion(shard *shards.Owned, number int) {
+	e, err := n.kvStore.Get(n.ctx, shard.PageKey(number))
 	if err != nil {
 		return
 	}
@@ -97,5 +97,5 @@
 	}
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	it.PageVersionRead(number, version)
+	shard.PageVersionRead(number, version)
 }
--- a/internal/controller/slowtasks.go
+++ b/internal/controller/slowtasks.go
@@ -8,26 +8,35 @@
 	"topazhollow/internal/shards"
 )
 
-// moveSlowTasks stops tasks that take far longer than their kin took, to start them
+// minRunsToJudge is how many tasks of a job must have run to completion before others of it count as slow, beside a third of
+// all.
+const minRunsToJudge = 3
+
+// moveSlowTasks stops tasks that take far longer than others of their job took, to start them
 // anew elsewhere once they are proven off: as when a machine is faulty.
-func (n *Node) moveSlowTasks(it *shards.Owned, now time.Time) {
-	it.Team().Jobs(func(tj *jobstate.Job) {
-		uid := tj.Spec.UID
-		j := n.jobs[uid]
-		if j == nil || j.completedRuns < max(3, tj.Spec.Tasks/3) || tj.Spec.Kind != protocol.JobArray {
+func (n *Node) moveSlowTasks(shard *shards.Owned, now time.Time) {
+	shard.Team().Jobs(func(job *jobstate.Job) {
+		known := n.jobs[job.Spec.UID]
+		if known == nil || known.completedRuns < max(minRunsToJudge, job.Spec.Tasks/3) || job.Spec.Kind != protocol.JobArray {
 			return
 		}
-		limit := max(j.longestRun, tj.Spec.RunTime()) * 5 / 2
-		it.Team().Running(tj, func(h jobstate.Assignment) {
-			m := n.machines[h.Machine]
-			if m == nil || tj.Avoids(h.Machine, now) {
-				return
-			}
-			since, ok := m.runningSince[h.Ref()]
-			if ok && now.Sub(since) > limit && it.Team().Move(h, tj.Spec.Save, now) {
-				m.slowAt = now
-				n.log.Info("task slower than its kin", "task", uid, "index", h.Index, "machine", h.Machine, "ran", now.Sub(since), "kin", j.longestRun)
-			}
+		limit := max(known.longestRun, job.Spec.RunTime()) * 5 / 2
+		shard.Team().Running(job, func(assignment jobstate.Assignment) {
+			n.moveIfSlow(shard, job, assignment, limit, now)
 		})
 	})
 }
+
+// moveIfSlow stops a task that has run longer than a limit, unless its job avoids the machine already.
+func (n *Node) moveIfSlow(shard *shards.Owned, job *jobstate.Job, assignment jobstate.Assignment, limit time.Duration, now time.Time) {
+	m := n.machines[assignment.Machine]
+	if m == nil || job.Avoids(assignment.Machine, now) {
+		return
+	}
+	since, running := m.runningSince[assignment.Ref()]
+	if !running || now.Sub(since) <= limit || !shard.Team().Move(assignment, job.Spec.Save, now) {
+		return
+	}
+	m.slowAt = now
+	n.log.Info("task far slower than others of its job", "task", job.Spec.UID, "index", assignment.Index, "machine", assignment.Machine, "ran", now.Sub(since), "limit", limit)
+}
--- a/internal/controller/step.go
+++ b/internal/controller/step.go
@@ -49,10 +49,10 @@
 	}
 }
 
-// resumedAfterStall begins to count silence anew: who did not get through while this controller stood
-// still may have spoken all the time.
+// resumedAfterStall begins to count silence anew: who did not get through while this controller was
+// stalled may have sent all the time.
 func (n *Node) resumedAfterStall(now time.Time, stalled time.Duration) {
-	n.log.Info("stood still while the clocks ran on", "for", stalled, "entitled", n.entitled(now))
+	n.log.Info("stalled while the clocks ran on", "for", stalled, "entitled", n.entitled(now))
 	n.membershipSettledAt, n.lastStall = now, stalled
 	n.shards.Resume(now)
 }
@@ -63,9 +63,9 @@
 		return
 	}
 	n.configure(now)
-	for it := range n.shards.All() {
-		it.Team().SetFloors(n.floorsOf(it))
-		it.Team().TurnHoldback(now)
+	for shard := range n.shards.All() {
+		shard.Team().SetFloors(n.floorsOf(shard))
+		shard.Team().TurnHoldback(now)
 	}
 	n.place(now)
 	reviewRunning := now.Sub(n.runningReviewedAt) > runningReviewInterval
@@ -73,8 +73,8 @@
 		n.runningReviewedAt = now
 	}
 	cluster := n.cluster()
-	for it := range n.shards.InOrder() {
-		n.stepShard(it, cluster, now, reviewRunning)
+	for shard := range n.shards.InOrder() {
+		n.stepShard(shard, cluster, now, reviewRunning)
 	}
 	n.countLate(now)
 	n.sendChangedStatuses()
@@ -82,35 +82,35 @@
 
 // stepShard does once what the owner of a shard has to do after placing: first its replicas get the changes, then what they
 // have acknowledged goes out.
-func (n *Node) stepShard(it *shards.Owned, cluster *shards.Cluster, now time.Time, reviewRunning bool) {
-	if it.Phase() == shards.Barrier {
-		n.passBarrier(it)
+func (n *Node) stepShard(shard *shards.Owned, cluster *shards.Cluster, now time.Time, reviewRunning bool) {
+	if shard.Phase() == shards.Barrier {
+		n.passBarrier(shard)
 	}
-	if !it.IsReady() {
+	if !shard.IsReady() {
 		return
 	}
-	n.sendReplication(it, it.Replicate(cluster, now))
-	if it.IsFleet() || !it.MayPlace() {
+	n.sendReplication(shard, shard.Replicate(cluster, now))
+	if shard.IsFleet() || !shard.MayPlace() {
 		return
 	}
-	n.sendDueOrders(it, it.AcknowledgedByAll(cluster), now)
-	n.commitFinishedJobs(it)
+	n.sendDueOrders(shard, shard.AcknowledgedByAll(cluster), now)
+	n.commitFinishedJobs(shard)
 	if reviewRunning {
-		n.moveSlowTasks(it, now)
-		n.evictFromNoticedMachines(it)
+		n.moveSlowTasks(shard, now)
+		n.evictFromNoticedMachines(shard)
 	}
 }
 
 // sendDueOrders sends the orders that rest on nothing beyond what every required replica acknowledged.
-func (n *Node) sendDueOrders(it *shards.Owned, acknowledged uint64, now time.Time) {
-	due := it.Team().Due(acknowledged, now, n.mayStartOn)
+func (n *Node) sendDueOrders(shard *shards.Owned, acknowledged uint64, now time.Time) {
+	due := shard.Team().Due(acknowledged, now, n.mayStartOn)
 	for machine, orders := range due {
 		if !n.sendOrders(machine, orders) {
-			it.Team().Unsent(orders)
+			shard.Team().Unsent(orders)
 			continue
 		}
-		if orders[0].Op == protocol.Start && it.FirstStart() {
-			n.log.Info("item's first start", "item", it.Name(), "after", now.Sub(it.TakenAt()))
+		if orders[0].Op == protocol.Start && shard.FirstStart() {
+			n.log.Info("first start of the shard", "shard", shard.Name(), "after", now.Sub(shard.TakenAt()))
 		}
 	}
 }
