--- a/internal/controller/owner.go
+++ b/internal/controller/owner.go
@@ -37,7 +37,7 @@
 		PageBytes: maxValueBytes(n.settings.Deployment.State),
 		Now:       time.Now(),
 	})
-	n.log.Info("shard taken over", "shard", name, "term", shard.SinceTerm(), "barrier", shard.NeedsBarrier(), "held", len(shard.Team().Replica().Holds))
+	n.log.Info("shard taken over", "shard", name, "term", shard.SinceTerm(), "barrier", shard.NeedsBarrier(), "held", len(shard.Team().Replica().Assignments))
 	if team, ok := shards.TeamOf(name); ok {
 		for uid, d := range n.recovery.done {
 			if j := n.jobs[uid]; j != nil && j.active && j.spec.Team == team {
--- a/internal/controller/placing_test.go
+++ b/internal/controller/placing_test.go
@@ -24,7 +24,7 @@
 			m.images["img"], m.counted = !m.status.Spot, false
 		}
 		n.place(g.now.Add(100 * time.Millisecond))
-		for _, h := range n.shards.OfTeam("team-0").Team().Replica().Holds {
+		for _, h := range n.shards.OfTeam("team-0").Team().Replica().Assignments {
 			if spot := n.machines[h.Machine].status.Spot; spot != (deadline == 300) {
 				t.Errorf("due in %g s: placed on a spot machine without the image: %v", deadline, spot)
 			}
@@ -79,7 +79,7 @@
 		}
 		held := func(uid string) (count int) {
 			for it := range n.shards.All() {
-				for key := range it.Team().Replica().Holds {
+				for key := range it.Team().Replica().Assignments {
 					if key.Job == uid {
 						count++
 					}
@@ -130,7 +130,7 @@
 		}
 		gangs.TurnHoldback(now)
 		n.place(now)
-		return len(arrays.Replica().Holds)
+		return len(arrays.Replica().Assignments)
 	}
 	submit("job-000001", "team-0", "high", protocol.Service, 1, 8)
 	placeAt(0)
@@ -142,7 +142,7 @@
 	if got := placeAt(time.Minute); got != 40 {
 		t.Errorf("%d of 40 tasks of the array were placed after a minute", got)
 	}
-	if got := len(gangs.Replica().Holds); got != 1 {
+	if got := len(gangs.Replica().Assignments); got != 1 {
 		t.Errorf("%d tasks of the other team are held, want the service alone", got)
 	}
 }
@@ -204,7 +204,7 @@
 			Tasks: 8, CPUs: 8, Memory: 1, Image: "img", Estimate: 40, OneZone: true}}, 1)
 	}
 	n.place(g.now)
-	holds := n.shards.OfTeam("team-0").Team().Replica().Holds
+	holds := n.shards.OfTeam("team-0").Team().Replica().Assignments
 	for key := range holds {
 		if key.Job != "job-000002" {
 			t.Errorf("%v was placed before the gang that can start in time", key)
--- a/internal/controller/replication_test.go
+++ b/internal/controller/replication_test.go
@@ -20,7 +20,7 @@
 
 // linkedPair is an item's owner, node-a, and a controller that is its backup, node-b, with real connections.
 type linkedPair struct {
-	owner, backup *Node
+	owner, holder *Node
 	it            *shards.Owned
 	paths         simulation.Paths
 	copies        int // copies in parts that the owner began to send
@@ -28,18 +28,18 @@
 
 // newLinkedPair opens the connections of an owner of one team. Nobody steps the controllers but the test.
 func newLinkedPair(t *testing.T) *linkedPair {
-	p := &linkedPair{owner: newGrown(1, 1).n, backup: newGrown(1, 1).n, paths: simulation.Paths{}}
-	p.backup.name, p.backup.incarnation = "node-b", p.owner.incarnation+1
+	p := &linkedPair{owner: newGrown(1, 1).n, holder: newGrown(1, 1).n, paths: simulation.Paths{}}
+	p.holder.name, p.holder.incarnation = "node-b", p.owner.incarnation+1
 	record := p.owner.record.Clone()
 	name := shards.ForTeam("team-0")
-	record.Nodes = map[string]uint64{"node-a": p.owner.incarnation, "node-b": p.backup.incarnation}
+	record.Nodes = map[string]uint64{"node-a": p.owner.incarnation, "node-b": p.holder.incarnation}
 	record.Shards[name] = leadership.Shard{Owner: "node-a", SinceTerm: 1}
-	p.owner.record, p.backup.record = record, record
+	p.owner.record, p.holder.record = record, record
 	p.it = p.owner.shards.Owned(name)
-	p.backup.shards.Remove(name)
+	p.holder.shards.Remove(name)
 	host := simulation.NewHost()
 	addrs := map[string]string{}
-	for _, n := range []*Node{p.owner, p.backup} {
+	for _, n := range []*Node{p.owner, p.holder} {
 		addr, err := host.Listen()
 		if err != nil {
 			t.Fatal(err)
@@ -48,7 +48,7 @@
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	var group errgroup.Group
-	for i, n := range []*Node{p.owner, p.backup} {
+	for i, n := range []*Node{p.owner, p.holder} {
 		other := []string{"node-b", "node-a"}[i]
 		pipe, err := simulation.NewPipe(addrs[other])
 		if err != nil {
@@ -74,7 +74,7 @@
 	d := jobstate.Delta{Seq: replica.Seq + 1}
 	for i := range count {
 		k := jobstate.TaskID{Job: "job-000001", Index: from + i}
-		d.Place = append(d.Place, jobstate.Assignment{TaskID: k, Attempt: 1, Machine: fmt.Sprintf("n-%06d", i%1000), CPUs: 1})
+		d.Placed = append(d.Placed, jobstate.Assignment{TaskID: k, Attempt: 1, Machine: fmt.Sprintf("n-%06d", i%1000), CPUs: 1})
 	}
 	if replica.Apply(d) != nil {
 		panic("the owner's delta does not follow")
@@ -118,10 +118,10 @@
 	t.Fatal("the backup never acknowledged the whole replica")
 }
 
-// TestLargeReplicaReachesItsBackup: a replica of more than one line between controllers may have never reached a backup; the
+// TestLargeReplicaReachesItsHolder: a replica of more than one line between controllers may have never reached a backup; the
 // link was dropped and dialled anew for ever. It goes in parts now, also when the link is lost between them, and the backup keeps
 // what it had until all of it is there.
-func TestLargeReplicaReachesItsBackup(t *testing.T) {
+func TestLargeReplicaReachesItsHolder(t *testing.T) {
 	p := newLinkedPair(t)
 	p.hold(0, 10)
 	p.replicated(t)
@@ -133,9 +133,9 @@
 	if !partial {
 		t.Fatal("60,000 tasks go in one part")
 	}
-	p.backup.mu.Lock()
-	kept := len(p.backup.shards.Held().Replica(p.it.Name()).Holds)
-	p.backup.mu.Unlock()
+	p.holder.mu.Lock()
+	kept := len(p.holder.shards.Held().Replica(p.it.Name()).Assignments)
+	p.holder.mu.Unlock()
 	if kept != 10 {
 		t.Errorf("the backup keeps %d tasks between the parts, want the 10 that it had", kept)
 	}
@@ -157,11 +157,11 @@
 	p.it.ForgetReplica("node-b")
 	p.owner.mu.Unlock()
 	p.replicated(t)
-	p.backup.mu.Lock()
-	defer p.backup.mu.Unlock()
-	have := p.backup.shards.Held().Replica(p.it.Name())
-	if !maps.Equal(have.Holds, p.it.Team().Replica().Holds) {
-		t.Errorf("the backup has %d tasks of %d", len(have.Holds), len(p.it.Team().Replica().Holds))
+	p.holder.mu.Lock()
+	defer p.holder.mu.Unlock()
+	have := p.holder.shards.Held().Replica(p.it.Name())
+	if !maps.Equal(have.Assignments, p.it.Team().Replica().Assignments) {
+		t.Errorf("the backup has %d tasks of %d", len(have.Assignments), len(p.it.Team().Replica().Assignments))
 	}
 	if done := have.Done["job-000002"]; done == nil || !done.Test(7) || !done.Test(8) {
 		t.Errorf("the backup has finished tasks %v", done)
--- a/internal/controller/stray_test.go
+++ b/internal/controller/stray_test.go
@@ -260,7 +260,7 @@
 	n.place(g.now)
 	state := func() string {
 		done, _ := team.Progress(spec.UID)
-		return fmt.Sprint(len(n.jobs), len(n.machines), len(n.roster.All()), done, len(team.Replica().Holds), n.recovery.proof, n.recovery.unchained, n.trusted())
+		return fmt.Sprint(len(n.jobs), len(n.machines), len(n.roster.All()), done, len(team.Replica().Assignments), n.recovery.proof, n.recovery.unchained, n.trusted())
 	}
 	before := state()
 	if held, _ := team.Held(); held == 0 {
--- a/internal/controller/sync_test.go
+++ b/internal/controller/sync_test.go
@@ -96,7 +96,7 @@
 		name := shards.ForTeam("red")
 		rep := jobstate.NewReplica()
 		hold := jobstate.Assignment{TaskID: jobstate.TaskID{Job: "job-1", Index: 0}, Attempt: jobstate.AttemptID(4, 1), Machine: "n-1", Session: 1, CPUs: 2}
-		rep.Holds[hold.TaskID] = hold
+		rep.Assignments[hold.TaskID] = hold
 		it := ownedShard(n, name, 5, blind, rep)
 		n.learnJob(userapi.Stored{Spec: array(1, 3, "red")}, 1)
 		ended := make(chan struct{})
@@ -138,7 +138,7 @@
 		rep, want := jobstate.NewReplica(), 0
 		hold := jobstate.Assignment{TaskID: jobstate.TaskID{Job: "job-000001", Index: 0}, Attempt: jobstate.AttemptID(4, 1), Machine: "n-1", Session: 1, CPUs: 2}
 		if !blind {
-			rep.Holds[hold.TaskID], want = hold, 1
+			rep.Assignments[hold.TaskID], want = hold, 1
 		}
 		n.learnJob(userapi.Stored{Spec: array(1, 3, "red")}, 1)
 		n.peers["node-b"] = &peerState{connected: true, heardAt: time.Now()}
--- a/internal/jobstate/gang_test.go
+++ b/internal/jobstate/gang_test.go
@@ -29,7 +29,7 @@
 func TestGangAllOrNone(t *testing.T) {
 	m, j, spots := gang(t)
 	m.team.MaxCPUs = 5
-	if m.team.PlaceGang(j, 0, spots) || len(m.team.Replica().Holds) != 0 {
+	if m.team.PlaceGang(j, 0, spots) || len(m.team.Replica().Assignments) != 0 {
 		t.Fatal("half a gang was placed")
 	}
 }
--- a/internal/jobstate/jobstate_test.go
+++ b/internal/jobstate/jobstate_test.go
@@ -164,7 +164,7 @@
 			m.t.Fatalf("seed %d: %v", m.seed, err)
 		}
 	}
-	if !reflect.DeepEqual(m.backup.Holds, m.team.Replica().Holds) {
+	if !reflect.DeepEqual(m.backup.Assignments, m.team.Replica().Assignments) {
 		m.t.Fatalf("seed %d: backup holds differ", m.seed)
 	}
 }
@@ -574,10 +574,10 @@
 func TestReplicaIgnoresOldAndRefusesGaps(t *testing.T) {
 	r := NewReplica()
 	hold := Assignment{TaskID: TaskID{"job-1", 0}, Attempt: 1, Machine: "m"}
-	if err := r.Apply(Delta{Seq: 1, Place: []Assignment{hold}}); err != nil {
+	if err := r.Apply(Delta{Seq: 1, Placed: []Assignment{hold}}); err != nil {
 		t.Fatal(err)
 	}
-	if err := r.Apply(Delta{Seq: 1, Off: []TaskID{hold.TaskID}}); err != nil || len(r.Holds) != 1 {
+	if err := r.Apply(Delta{Seq: 1, Released: []TaskID{hold.TaskID}}); err != nil || len(r.Assignments) != 1 {
 		t.Fatal("an older delta was applied")
 	}
 	if err := r.Apply(Delta{Seq: 3}); err == nil {
--- a/internal/jobstate/observe.go
+++ b/internal/jobstate/observe.go
@@ -31,8 +31,8 @@
 	if len(t.held) == 0 {
 		t.usedCPU, t.usedGPU = 0, 0
 	}
-	delete(t.rep.Holds, a.TaskID)
-	t.emit(Delta{Off: []TaskID{a.TaskID}})
+	delete(t.rep.Assignments, a.TaskID)
+	t.emit(Delta{Released: []TaskID{a.TaskID}})
 	if j != nil {
 		delete(j.holds, a.Index)
 		j.next = min(j.next, a.Index)
@@ -156,8 +156,8 @@
 	a := &attempt{Assignment: Assignment{TaskID: x.TaskID, Attempt: x.Attempt, Machine: v.Machine, Zone: v.Zone, Session: v.Incarnation,
 		CPUs: spec.CPUs, GPUs: spec.GPUs, Memory: spec.Memory}, listed: now}
 	t.hold(a)
-	t.rep.Holds[a.TaskID] = a.Assignment
-	a.seq = t.emit(Delta{Place: []Assignment{a.Assignment}})
+	t.rep.Assignments[a.TaskID] = a.Assignment
+	a.seq = t.emit(Delta{Placed: []Assignment{a.Assignment}})
 	t.setState(a, x.State)
 	t.log("attempt adopted", "task", a.Job, "index", a.Index, "attempt", a.Attempt, "machine", a.Machine)
 	return a
--- a/internal/jobstate/orphan_test.go
+++ b/internal/jobstate/orphan_test.go
@@ -50,8 +50,8 @@
 	m.memory["job-7"] = whole
 	m.team.Observe(view, m.now, m)
 	charged(t, m, 2, "of known size")
-	if len(m.team.Replica().Holds) != 2 {
-		t.Errorf("backups know %d of the tasks", len(m.team.Replica().Holds))
+	if len(m.team.Replica().Assignments) != 2 {
+		t.Errorf("backups know %d of the tasks", len(m.team.Replica().Assignments))
 	}
 	m.team.Observe(orphans("job-7", 6), m.now, m)
 	charged(t, m, 0, "listed no more")
--- /dev/null
+++ b/internal/jobstate/pageset.go
@@ -0,0 +1,248 @@
+package jobstate
+
+import (
+	"encoding/base64"
+	"fmt"
+	"maps"
+	"slices"
+	"strconv"
+
+	"github.com/bits-and-blooms/bitset"
+
+	"topazhollow/internal/protocol"
+)
+
+// PageSet lays out the finished tasks of a team's jobs on pages, each the value of
+// one key in the state service, so that many jobs share one change. A page is
+// always written whole: with what is known of every active job that has a part
+// on it.
+type PageSet struct {
+	pageBytes    int
+	tasksPerPart int
+	pages        map[int]*page
+	pageOf       map[part]int // number of the page that a part is on
+}
+
+// part is a stretch of a job's tasks.
+type part struct {
+	job    string
+	number int // from 0
+}
+
+// name is the part's name on its page.
+func (p part) name() string { return p.job + "/" + strconv.Itoa(p.number) }
+
+// page is what is known of one page.
+type page struct {
+	version   uint64 // in the state service; 0: it is not there
+	usedBytes int
+}
+
+// Sizes of a page's encoding, in bytes.
+const (
+	emptyPageBytes  = 2  // its braces
+	partSyntaxBytes = 14 // a part's number, quotes and punctuation
+	bitsLengthBytes = 8  // the number of bits, before a bitmap's words
+	bitsPerWord     = 64
+	bytesPerWord    = bitsPerWord / 8
+)
+
+// Page is a page to be written under its present version.
+type Page struct {
+	Number  int
+	Version uint64
+	Parts   map[string]string // encoded bitmaps by the name of the part
+	Done    DoneTasks         // the same by job; they are saved once the page is written
+}
+
+// TaskCount is the number of tasks of an active job, 0 for others.
+type TaskCount func(job string) int
+
+// FinishedTasks is the number of tasks of an active job and those that are finished; 0 and nil for others.
+type FinishedTasks func(job string) (tasks int, done *bitset.BitSet)
+
+// NewPageSet is a set without pages, each of which may take so many bytes.
+func NewPageSet(pageBytes int) *PageSet {
+	// Half a page in binary is two thirds of one in base64.
+	words := pageBytes / 2 / bytesPerWord
+	return &PageSet{pageBytes: pageBytes, tasksPerPart: words * bitsPerWord, pages: map[int]*page{}, pageOf: map[part]int{}}
+}
+
+// partSize bounds what a part takes on its page.
+func (s *PageSet) partSize(p part, tasks int) int {
+	bits := min(s.tasksPerPart, tasks-p.number*s.tasksPerPart)
+	words := (bits + bitsPerWord - 1) / bitsPerWord
+	return len(p.job) + partSyntaxBytes + base64.StdEncoding.EncodedLen(bitsLengthBytes+words*bytesPerWord)
+}
+
+// Read takes in a page as found in the state service, and adds its finished tasks to done. Parts of jobs that are not
+// active are left out. An error says which part is malformed; the page then counts as there, and some of its parts may have
+// been read.
+func (s *PageSet) Read(number int, version uint64, parts map[string]string, tasks TaskCount, done map[string]*bitset.BitSet) error {
+	read := &page{version: version, usedBytes: emptyPageBytes}
+	s.pages[number] = read
+	return readParts(parts, s.tasksPerPart, tasks, done, func(p part, count int) {
+		s.pageOf[p] = number
+		read.usedBytes += s.partSize(p, count)
+	})
+}
+
+// ReadParts reads the parts of one page of any size, as found in the state service, and
+// adds the finished tasks to done. Parts after a job's first are left out,
+// since where they begin depends on the page's size.
+func ReadParts(parts map[string]string, tasks TaskCount, done map[string]*bitset.BitSet) error {
+	first := map[string]string{}
+	for name, text := range parts {
+		if _, number, ok := protocol.SplitTask(name); ok && number > 0 {
+			continue
+		}
+		first[name] = text
+	}
+	return readParts(first, protocol.MaxTasks, tasks, done, func(part, int) {})
+}
+
+// readParts adds the finished tasks of a page's parts to done, and calls found for each part of an active job.
+func readParts(parts map[string]string, tasksPerPart int, tasks TaskCount, done map[string]*bitset.BitSet, found func(p part, count int)) error {
+	for name, text := range parts {
+		job, number, ok := protocol.SplitTask(name)
+		if !ok {
+			return fmt.Errorf("jobstate: malformed part %.80q", name)
+		}
+		count, first := tasks(job), number*tasksPerPart
+		if count <= first {
+			continue // the job is over
+		}
+		bits, err := decodeBits(text)
+		if err != nil {
+			return err
+		}
+		if done[job] == nil {
+			done[job] = bitset.New(0)
+		}
+		for i, ok := bits.NextSet(0); ok && int(i) < tasksPerPart; i, ok = bits.NextSet(i + 1) {
+			if task := first + int(i); task < count {
+				done[job].Set(uint(task))
+			}
+		}
+		found(part{job, number}, count)
+	}
+	return nil
+}
+
+// decodeBits is a part's bitmap.
+func decodeBits(text string) (*bitset.BitSet, error) {
+	data, err := base64.StdEncoding.DecodeString(text)
+	if err != nil {
+		return nil, err
+	}
+	bits := bitset.New(0)
+	if err := bits.UnmarshalBinary(data); err != nil {
+		return nil, err
+	}
+	return bits, nil
+}
+
+// encodeBits is a bitmap as a part has it.
+func encodeBits(bits *bitset.BitSet) string {
+	data, err := bits.MarshalBinary()
+	if err != nil {
+		panic(fmt.Sprintf("jobstate: bitmap without binary form: %v", err))
+	}
+	return base64.StdEncoding.EncodeToString(data)
+}
+
+// Plan gives the pages to write for jobs whose finished tasks the state service
+// does not know yet. Parts of jobs that are not active leave the set.
+func (s *PageSet) Plan(unsaved []*Job, finished FinishedTasks) []Page {
+	s.dropEndedParts(finished)
+	changed := map[int]bool{}
+	for _, job := range unsaved {
+		for _, number := range s.pagesOf(job.Spec.UID, finished) {
+			changed[number] = true
+		}
+	}
+	var plan []Page
+	for _, number := range slices.Sorted(maps.Keys(changed)) {
+		plan = append(plan, Page{Number: number, Version: s.pages[number].version, Parts: map[string]string{}, Done: DoneTasks{}})
+	}
+	for p, number := range s.pageOf {
+		at, ok := slices.BinarySearchFunc(plan, number, func(x Page, n int) int { return x.Number - n })
+		if !ok {
+			continue
+		}
+		if _, done := finished(p.job); done != nil {
+			plan[at].add(p, done, s.tasksPerPart)
+		}
+	}
+	return plan
+}
+
+// pagesOf lists the pages with finished tasks of a job. Parts that are on no page yet are given one.
+func (s *PageSet) pagesOf(job string, finished FinishedTasks) (numbers []int) {
+	tasks, done := finished(job)
+	if done == nil {
+		return nil
+	}
+	for n := 0; n*s.tasksPerPart < tasks; n++ {
+		first, ok := done.NextSet(uint(n * s.tasksPerPart))
+		if ok && int(first) < (n+1)*s.tasksPerPart {
+			numbers = append(numbers, s.assignPage(part{job, n}, tasks))
+		}
+	}
+	return numbers
+}
+
+// add puts a part on the page, with those of its tasks that are finished.
+func (p *Page) add(which part, finished *bitset.BitSet, tasksPerPart int) {
+	if p.Done[which.job] == nil {
+		p.Done[which.job] = bitset.New(0)
+	}
+	bits, first := bitset.New(0), uint(which.number*tasksPerPart)
+	for i, ok := finished.NextSet(first); ok && i < first+uint(tasksPerPart); i, ok = finished.NextSet(i + 1) {
+		bits.Set(i - first)
+		p.Done[which.job].Set(i)
+	}
+	p.Parts[which.name()] = encodeBits(bits)
+}
+
+// dropEndedParts takes the parts of jobs that are over off their pages. They vanish from
+// the state service when their page is written next.
+func (s *PageSet) dropEndedParts(finished FinishedTasks) {
+	for _, pg := range s.pages {
+		pg.usedBytes = emptyPageBytes
+	}
+	for p, number := range s.pageOf {
+		if tasks, _ := finished(p.job); tasks == 0 {
+			delete(s.pageOf, p)
+		} else {
+			s.pages[number].usedBytes += s.partSize(p, tasks)
+		}
+	}
+}
+
+// assignPage is the number of a part's page; a part that is on none is put on the first with room.
+func (s *PageSet) assignPage(p part, tasks int) int {
+	if number, ok := s.pageOf[p]; ok {
+		return number
+	}
+	size := s.partSize(p, tasks)
+	for number := 0; ; number++ {
+		pg := s.pages[number]
+		if pg == nil {
+			pg = &page{usedBytes: emptyPageBytes}
+			s.pages[number] = pg
+		}
+		if pg.usedBytes == emptyPageBytes || pg.usedBytes+size <= s.pageBytes {
+			pg.usedBytes += size
+			s.pageOf[p] = number
+			return number
+		}
+	}
+}
+
+// Written notes the version that a page has in the state service now.
+func (s *PageSet) Written(number int, version uint64) {
+	if pg := s.pages[number]; pg != nil {
+		pg.version = version
+	}
+}
--- a/internal/jobstate/book_test.go
+++ b/internal/jobstate/pageset_test.go
@@ -11,10 +11,10 @@
 	"topazhollow/internal/protocol"
 )
 
-// TestBookModel: jobs come, finish tasks and end; their pages go to a plain
-// store, now and then under a new owner that read it. What was booked as saved
+// TestPageSetModel: jobs come, finish tasks and end; their pages go to a plain
+// store, now and then under a new owner that read it. What was marked as saved
 // must be found by the next reader, and no page outgrows its room.
-func TestBookModel(t *testing.T) {
+func TestPageSetModel(t *testing.T) {
 	const room = 400
 	type value struct {
 		version uint64
@@ -23,7 +23,7 @@
 	for seed := range uint64(200) {
 		rng := rand.New(rand.NewPCG(seed, 11))
 		store, revision := map[int]value{}, uint64(0)
-		book := NewPageSet(room)
+		pageSet := NewPageSet(room)
 		jobs, done, saved := map[string]*Job{}, map[string]*bitset.BitSet{}, map[string]*bitset.BitSet{}
 		find := func(uid string) (int, *bitset.BitSet) {
 			if j := jobs[uid]; j != nil {
@@ -44,10 +44,10 @@
 					}
 				}
 			case 2: // a new owner reads what there is
-				book = NewPageSet(room)
+				pageSet = NewPageSet(room)
 				found := map[string]*bitset.BitSet{}
 				for number, v := range store {
-					if err := book.Read(number, v.version, v.parts, func(uid string) int { n, _ := find(uid); return n }, found); err != nil {
+					if err := pageSet.Read(number, v.version, v.parts, func(uid string) int { n, _ := find(uid); return n }, found); err != nil {
 						t.Fatal(err)
 					}
 				}
@@ -66,7 +66,7 @@
 						unsaved = append(unsaved, j)
 					}
 				}
-				for _, p := range book.Plan(unsaved, find) {
+				for _, p := range pageSet.Plan(unsaved, find) {
 					text, err := json.Marshal(p.Parts)
 					if err != nil || len(text) > room {
 						t.Fatalf("seed %d: page of %d bytes, %v", seed, len(text), err)
@@ -76,7 +76,7 @@
 					}
 					revision++
 					store[p.Number] = value{revision, p.Parts}
-					book.Written(p.Number, revision)
+					pageSet.Written(p.Number, revision)
 					for uid, b := range p.Done {
 						saved[uid].InPlaceUnion(b)
 					}
--- a/internal/jobstate/replica.go
+++ b/internal/jobstate/replica.go
@@ -1,6 +1,6 @@
 // Package jobstate is an owner's account of one team: its jobs, their tasks, the
 // attempts that may be on machines and the quota these hold; and the replica of
-// it that backups keep. It does no I/O and reads no clock.
+// it that other controllers keep. It does no I/O and reads no clock.
 package jobstate
 
 import (
@@ -43,11 +43,11 @@
 
 // Delta is one sequenced change of a team's progress.
 type Delta struct {
-	Seq   uint64       `json:"seq"`
-	Place []Assignment `json:"place,omitempty"`
-	Off   []TaskID     `json:"off,omitempty"`
-	Done  []TaskID     `json:"done,omitempty"`
-	Drop  string       `json:"drop,omitempty"` // a job that is over
+	Seq        uint64       `json:"seq"`
+	Placed     []Assignment `json:"place,omitempty"`
+	Released   []TaskID     `json:"off,omitempty"`
+	Done       []TaskID     `json:"done,omitempty"`
+	DroppedJob string       `json:"drop,omitempty"` // a job that is over
 }
 
 // DoneTasks are finished tasks by job.
@@ -55,21 +55,21 @@
 
 // Copy is a whole replica on the wire.
 type Copy struct {
-	Seq   uint64       `json:"seq"`
-	Holds []Assignment `json:"holds"`
-	Done  DoneTasks    `json:"done"`
+	Seq         uint64       `json:"seq"`
+	Assignments []Assignment `json:"holds"`
+	Done        DoneTasks    `json:"done"`
 }
 
-// Replica is a team's progress as owner and backups hold it.
+// Replica is a team's progress, as its owner has it and other controllers keep it.
 type Replica struct {
-	Seq   uint64
-	Holds map[TaskID]Assignment
-	Done  DoneTasks
+	Seq         uint64
+	Assignments map[TaskID]Assignment
+	Done        DoneTasks
 }
 
 // NewReplica is an empty replica.
 func NewReplica() *Replica {
-	return &Replica{Holds: map[TaskID]Assignment{}, Done: DoneTasks{}}
+	return &Replica{Assignments: map[TaskID]Assignment{}, Done: DoneTasks{}}
 }
 
 // FromCopy makes a replica of a received copy.
@@ -82,8 +82,8 @@
 
 // add takes in what a copy holds.
 func (r *Replica) add(c Copy) {
-	for _, h := range c.Holds {
-		r.Holds[h.TaskID] = h
+	for _, a := range c.Assignments {
+		r.Assignments[a.TaskID] = a
 	}
 	for job, done := range c.Done {
 		if done != nil {
@@ -92,13 +92,13 @@
 	}
 }
 
-// Copy is the replica as sent to a backup.
+// Copy is the replica as sent to another controller.
 func (r *Replica) Copy() Copy {
-	c := Copy{Seq: r.Seq, Done: r.Done, Holds: make([]Assignment, 0, len(r.Holds))}
-	for _, h := range r.Holds {
-		c.Holds = append(c.Holds, h)
+	c := Copy{Seq: r.Seq, Done: r.Done, Assignments: make([]Assignment, 0, len(r.Assignments))}
+	for _, a := range r.Assignments {
+		c.Assignments = append(c.Assignments, a)
 	}
-	slices.SortFunc(c.Holds, func(a, b Assignment) int {
+	slices.SortFunc(c.Assignments, func(a, b Assignment) int {
 		return a.compare(b.TaskID)
 	})
 	return c
@@ -111,20 +111,20 @@
 		return nil
 	}
 	if d.Seq != r.Seq+1 {
-		return fmt.Errorf("ledger: delta %d after %d", d.Seq, r.Seq)
+		return fmt.Errorf("jobstate: delta %d after %d", d.Seq, r.Seq)
 	}
 	r.Seq = d.Seq
-	for _, h := range d.Place {
-		r.Holds[h.TaskID] = h
+	for _, a := range d.Placed {
+		r.Assignments[a.TaskID] = a
 	}
-	for _, k := range d.Off {
-		delete(r.Holds, k)
+	for _, k := range d.Released {
+		delete(r.Assignments, k)
 	}
 	for _, k := range d.Done {
 		r.markDone(k)
 	}
-	if d.Drop != "" {
-		delete(r.Done, d.Drop)
+	if d.DroppedJob != "" {
+		delete(r.Done, d.DroppedJob)
 	}
 	return nil
 }
--- a/internal/jobstate/team.go
+++ b/internal/jobstate/team.go
@@ -91,7 +91,7 @@
 	t := &Team{Name: name, CPUs: cpus, MaxCPUs: maxCPUs, GPUs: gpus, MaxGPUs: maxGPUs, rep: rep, term: term, since: term, orphans: newOrphanAccount(),
 		jobs: map[string]*Job{}, held: map[TaskID]*attempt{}, on: map[string]map[TaskID]*attempt{},
 		todo: map[*attempt]bool{}, moved: map[string]bool{}, log: log}
-	for _, h := range rep.Holds {
+	for _, h := range rep.Assignments {
 		t.hold(&attempt{Assignment: h})
 	}
 	return t
@@ -191,7 +191,7 @@
 	}
 	if t.rep.Done[uid] != nil {
 		delete(t.rep.Done, uid)
-		t.emit(Delta{Drop: uid})
+		t.emit(Delta{DroppedJob: uid})
 	}
 }
 
@@ -357,10 +357,10 @@
 		a := &attempt{Assignment: Assignment{TaskID: TaskID{j.Spec.UID, index}, Attempt: id, Machine: at.Machine, Zone: at.Zone, Session: at.Session,
 			CPUs: j.Spec.CPUs, GPUs: j.Spec.GPUs, Memory: j.Spec.Memory}}
 		t.hold(a)
-		t.rep.Holds[a.TaskID] = a.Assignment
+		t.rep.Assignments[a.TaskID] = a.Assignment
 		made, holds = append(made, a), append(holds, a.Assignment)
 	}
-	seq := t.emit(Delta{Place: holds})
+	seq := t.emit(Delta{Placed: holds})
 	for _, a := range made {
 		a.seq = seq
 	}
--- a/internal/jobstate/transfer_test.go
+++ b/internal/jobstate/transfer_test.go
@@ -28,14 +28,14 @@
 	d := Delta{Seq: m.owner.Seq + 1}
 	switch m.rng.IntN(5) {
 	case 0, 1:
-		d.Place = []Assignment{{TaskID: key, Attempt: m.rng.Uint64N(1000), Machine: fmt.Sprint("m-", m.rng.IntN(9)), CPUs: 1}}
+		d.Placed = []Assignment{{TaskID: key, Attempt: m.rng.Uint64N(1000), Machine: fmt.Sprint("m-", m.rng.IntN(9)), CPUs: 1}}
 	case 2:
-		d.Off = []TaskID{key}
+		d.Released = []TaskID{key}
 	case 3:
-		d.Done, d.Off = []TaskID{key}, []TaskID{key}
+		d.Done, d.Released = []TaskID{key}, []TaskID{key}
 	default:
 		if m.rng.IntN(4) == 0 {
-			d.Drop = key.Job
+			d.DroppedJob = key.Job
 		}
 	}
 	if err := m.owner.Apply(d); err != nil {
@@ -50,7 +50,7 @@
 func (m *transferModel) send() {
 	if m.transfer == nil {
 		m.transfer = NewTransfer(m.owner)
-		m.transfer.most = partBytesForTests
+		m.transfer.maxPartBytes = partBytesForTests
 	}
 	if !m.transfer.Ended() {
 		p := m.transfer.Next(m.owner)
@@ -100,11 +100,11 @@
 
 // sameReplica says whether two replicas hold the same.
 func sameReplica(a, b *Replica) bool {
-	if a.Seq != b.Seq || len(a.Holds) != len(b.Holds) || len(a.Done) != len(b.Done) {
+	if a.Seq != b.Seq || len(a.Assignments) != len(b.Assignments) || len(a.Done) != len(b.Done) {
 		return false
 	}
-	for k, h := range a.Holds {
-		if b.Holds[k] != h {
+	for k, h := range a.Assignments {
+		if b.Assignments[k] != h {
 			return false
 		}
 	}
@@ -142,7 +142,7 @@
 		for m.transfer == nil || !m.transfer.Ended() {
 			m.send()
 		}
-		parts = max(parts, m.transfer.Sent())
+		parts = max(parts, m.transfer.PartsMade())
 		for len(m.line) > 0 {
 			m.receive()
 		}
@@ -159,7 +159,7 @@
 func TestPartsOutOfOrder(t *testing.T) {
 	owner := NewReplica()
 	place := func(index int) Delta {
-		return Delta{Seq: owner.Seq + 1, Place: []Assignment{{TaskID: TaskID{"job-1", index}, Attempt: 1, Machine: "m"}}}
+		return Delta{Seq: owner.Seq + 1, Placed: []Assignment{{TaskID: TaskID{"job-1", index}, Attempt: 1, Machine: "m"}}}
 	}
 	for i := range 30 {
 		if err := owner.Apply(place(i)); err != nil {
@@ -167,7 +167,7 @@
 		}
 	}
 	transfer := NewTransfer(owner)
-	transfer.most = partBytesForTests
+	transfer.maxPartBytes = partBytesForTests
 	first, second, third := transfer.Next(owner), transfer.Next(owner), transfer.Next(owner)
 	begun := func() *Incoming {
 		in := NewIncoming()
@@ -198,7 +198,7 @@
 	r := NewReplica()
 	for i := range 40000 {
 		k := TaskID{"job-000001", i}
-		r.Holds[k] = Assignment{TaskID: k, Attempt: AttemptID(1<<28, uint64(i)), Machine: "n-000001", Zone: "santiago-centro", CPUs: 1.5, GPUs: 0.5, Memory: 12.25, Session: 1 << 40}
+		r.Assignments[k] = Assignment{TaskID: k, Attempt: AttemptID(1<<28, uint64(i)), Machine: "n-000001", Zone: "santiago-centro", CPUs: 1.5, GPUs: 0.5, Memory: 12.25, Session: 1 << 40}
 	}
 	for i := range 100 {
 		done := NewReplica()
@@ -218,7 +218,7 @@
 	small := NewReplica()
 	for i := range 15000 {
 		k := TaskID{"job-000001", i}
-		small.Holds[k] = r.Holds[k]
+		small.Assignments[k] = r.Assignments[k]
 	}
 	if !small.FitsOneMessage() {
 		t.Error("15,000 tasks go in parts")
--- a/internal/jobstate/view.go
+++ b/internal/jobstate/view.go
@@ -69,7 +69,7 @@
 }
 
 // Ref is the attempt that the hold is for.
-func (h Assignment) Ref() AttemptRef { return AttemptRef{h.TaskID, h.Attempt} }
+func (a Assignment) Ref() AttemptRef { return AttemptRef{a.TaskID, a.Attempt} }
 
 // Ref is the attempt that the task is listed with.
 func (x TaskStatus) Ref() AttemptRef { return AttemptRef{x.TaskID, x.Attempt} }
--- a/internal/shards/registry_test.go
+++ b/internal/shards/registry_test.go
@@ -45,12 +45,12 @@
 		if c.held {
 			replica := jobstate.NewReplica()
 			task := jobstate.TaskID{Job: "job-1"}
-			replica.Holds[task] = jobstate.Assignment{TaskID: task, Attempt: 1, Machine: "m-1"}
+			replica.Assignments[task] = jobstate.Assignment{TaskID: task, Attempt: 1, Machine: "m-1"}
 			r.Held().Keep(testShard, 8, replica)
 		}
 		o := take(r, takeRecord(c.firstTerm, c.epoch, c.shard))
-		if o.NeedsBarrier() != c.wantBarrier || len(o.Team().Replica().Holds) != c.wantHolds {
-			t.Errorf("%s: barrier %v with %d assignments, want %v and %d", c.name, o.NeedsBarrier(), len(o.Team().Replica().Holds), c.wantBarrier, c.wantHolds)
+		if o.NeedsBarrier() != c.wantBarrier || len(o.Team().Replica().Assignments) != c.wantHolds {
+			t.Errorf("%s: barrier %v with %d assignments, want %v and %d", c.name, o.NeedsBarrier(), len(o.Team().Replica().Assignments), c.wantBarrier, c.wantHolds)
 		}
 		if r.Held().Has(testShard) || r.Owned(testShard) != o {
 			t.Errorf("%s: the replica is held still, or the shard is not owned", c.name)
--- a/internal/shards/replication.go
+++ b/internal/shards/replication.go
@@ -62,7 +62,7 @@
 
 // nextPartDue says whether a part is to go out: a copy is being sent in parts, and the part before was acknowledged.
 func (a *acknowledgement) nextPartDue() bool {
-	return a.transfer != nil && !a.transfer.Ended() && a.parts >= a.transfer.Sent()
+	return a.transfer != nil && !a.transfer.Ended() && a.parts >= a.transfer.PartsMade()
 }
 
 // ForgetReplica drops what a controller acknowledged, as its connection is another one now: it gets a whole copy.
@@ -229,7 +229,7 @@
 		a.copyAskedAt = now
 		a.sendCopyAnew()
 	case m.Parts > 0:
-		if a.transfer != nil && m.Parts == a.transfer.Sent() { // else it is of an earlier transfer
+		if a.transfer != nil && m.Parts == a.transfer.PartsMade() { // else it is of an earlier transfer
 			a.parts = m.Parts
 		}
 	default:
--- a/internal/shards/replication_test.go
+++ b/internal/shards/replication_test.go
@@ -256,7 +256,7 @@
 		want := m.owner.Team().Replica()
 		for node, held := range m.held {
 			have := held.Replica(testShard)
-			if have.Seq != want.Seq || !maps.Equal(have.Holds, want.Holds) || !sameDone(have.Done, want.Done) {
+			if have.Seq != want.Seq || !maps.Equal(have.Assignments, want.Assignments) || !sameDone(have.Done, want.Done) {
 				t.Fatalf("seed %d: %s has another replica than the owner, at %d and %d", seed, node, have.Seq, want.Seq)
 			}
 		}
