--- a/internal/controller/admit.go
+++ b/internal/controller/admit.go
@@ -379,24 +379,6 @@
 	}
 }
 
-// Admit says whether a new job can be taken now by what the state service has room for.
-func (b *userBackend) Admit(s *protocol.Submission) (taken bool, back int) {
-	n := (*Node)(b)
-	wait, rate := n.kvStore.Pressure()
-	now := time.Now()
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	taken, after := n.admission.door.Ask(keyOf(s), s.UID, wait, rate, now)
-	n.admission.served.Book(keyOf(s), now, func(c *admission.Count) {
-		if c.Asked++; taken {
-			c.Accepted++
-		} else {
-			c.Refused++
-		}
-	})
-	return taken, int(after / time.Second)
-}
-
 // admissionStatus sums up admission for operators.
 func (n *Node) admissionStatus(now time.Time) admission.Status {
 	wait, _ := n.kvStore.Pressure()
--- /dev/null
+++ b/internal/controller/jobs.go
@@ -0,0 +1,108 @@
+package controller
+
+import (
+	"time"
+
+	"topazhollow/internal/jobstate"
+	"topazhollow/internal/protocol"
+	"topazhollow/internal/shards"
+	"topazhollow/internal/userapi"
+)
+
+// job is what every controller knows of a job that is or was active.
+type job struct {
+	spec          *protocol.Submission
+	submittedAt   time.Time
+	version       uint64
+	active        bool
+	endedAt       time.Time
+	countedLate   bool           // counted as not served in time
+	goals         jobstate.Goals // cached
+	longestRun    time.Duration  // of its tasks that ran to completion as far as seen here
+	completedRuns int
+}
+
+// learnJob takes up an active job, unless it is known to be over: its end may have come first, from a
+// peer or by a later read of the state service. Owners place it at the next tick.
+func (n *Node) learnJob(s userapi.Stored, version uint64) {
+	uid := s.Spec.UID
+	j := n.jobs[uid]
+	delete(n.recovery.tentative, uid)
+	if j == nil && n.ended(uid) {
+		j = &job{spec: s.Spec, submittedAt: time.UnixMilli(s.At), endedAt: time.Now()}
+		n.jobs[uid] = j
+	}
+	if j != nil && !j.active {
+		if version > 0 && n.epoch() > 1 && n.ended(uid) { // an end beats active
+			n.recovery.bury[uid] = staleActiveKey{version, time.Now()}
+		}
+		return
+	}
+	if j == nil {
+		j = &job{spec: s.Spec, submittedAt: time.UnixMilli(s.At), active: true}
+		n.jobs[s.Spec.UID] = j
+		n.reobserveReserved(s.Spec.UID)
+	}
+	j.version = max(j.version, version)
+	if it := n.shards.OfTeam(s.Spec.Team); it != nil && it.Phase() != shards.Loading && it.Team().Job(s.Spec.UID) == nil {
+		n.addJob(it, j, nil)
+		if d := n.recovery.done[s.Spec.UID]; d != nil {
+			it.Team().Merge(s.Spec.UID, d)
+		}
+		if n.epoch() > 1 { // machines may run it already
+			n.reconcileMachinesOf(it, s.Spec.UID)
+		}
+		n.wake()
+	} else if it != nil {
+		it.Team().Written(s.Spec.UID, j.version)
+	}
+}
+
+// ended says whether a job is remembered to have ended.
+func (n *Node) ended(uid string) bool {
+	_, ended := n.front.Final(uid)
+	return ended
+}
+
+// endJob books that a job is over: nothing of it may start any more. One that is not known yet
+// stays over when its acceptance is read.
+func (n *Node) endJob(uid string) {
+	j := n.jobs[uid]
+	if j == nil {
+		end, _ := n.front.Final(uid)
+		n.jobs[uid] = &job{spec: endedSpec(uid, end), endedAt: time.Now()}
+		return
+	}
+	if !j.active {
+		return
+	}
+	j.active, j.endedAt = false, time.Now()
+	delete(n.recovery.done, uid)
+	if it := n.shards.OfTeam(j.spec.Team); it != nil {
+		it.Team().EndJob(uid)
+		n.reconcileMachinesOf(it, uid)
+	}
+	n.wake()
+}
+
+// progressEvery is how often jobs' progress is told: users may be told of it a few seconds
+// late, and it is the longest part of a status.
+const progressEvery = 900 * time.Millisecond
+
+// progress is the progress of own teams' jobs when it is due to be told, nil otherwise.
+func (n *Node) progress(now time.Time) map[string][2]int {
+	if now.Sub(n.progressSentAt) < progressEvery {
+		return nil
+	}
+	n.progressSentAt = now
+	progress := map[string][2]int{}
+	for it := range n.shards.All() {
+		it.Team().Jobs(func(j *jobstate.Job) {
+			done, running := it.Team().Progress(j.Spec.UID)
+			if done+running > 0 {
+				progress[j.Spec.UID] = [2]int{done, running}
+			}
+		})
+	}
+	return progress
+}
--- a/internal/controller/meeting_cut_test.go
+++ b/internal/controller/meeting_cut_test.go
@@ -4,6 +4,7 @@
 	"slices"
 	"testing"
 	"time"
+
 	"topazhollow/internal/shards"
 )
 
--- a/internal/controller/renewal.go
+++ b/internal/controller/renewal.go
@@ -167,12 +167,6 @@
 	}
 }
 
-// recordMsg tells a peer the control record as the state service has it.
-type recordMsg struct {
-	Version uint64          `json:"version"`
-	Record  json.RawMessage `json:"record"` // a leadership.Record, read only if it is newer than the one that is known
-}
-
 // Times of telling peers the control record.
 const (
 	teachEvery    = time.Second
