--- a/internal/arch/shape.go
+++ b/internal/arch/shape.go
@@ -23,6 +23,7 @@
 	"internal/leasegrant",
 	"internal/placement",
 	"internal/quarantine",
+	"internal/shards",
 }
 
 // shapeProblems lists what exceeds the bounds in the files of one package.
--- a/internal/controller/barrier.go
+++ b/internal/controller/barrier.go
@@ -27,7 +27,7 @@
 	}
 	now := time.Now()
 	shard.PassBarrier(now)
-	if shard.PagesRead() {
+	if shard.Pages().AreRead() {
 		n.releaseUnregistered(shard)
 	}
 	n.log.Info("shard ready", "shard", shard.Name(), "term", shard.SinceTerm(), "after", now.Sub(shard.TakenAt()))
--- a/internal/controller/owner.go
+++ b/internal/controller/owner.go
@@ -135,7 +135,7 @@
 		return
 	}
 	done := n.readPages(shard, pages)
-	shard.MarkPagesRead()
+	shard.Pages().MarkRead()
 	if shard.Phase() == shards.Loading {
 		n.enterBarrier(shard, done)
 		return
--- a/internal/controller/recordchange.go
+++ b/internal/controller/recordchange.go
@@ -183,7 +183,7 @@
 		}
 		for name, it := range next.Shards {
 			if have := n.shards.Owned(name); have != nil {
-				have.AddReplicas(it.InSync)
+				have.Replicas().Add(it.InSync)
 			}
 		}
 		return next, nil, upkeepReason
--- a/internal/controller/replication.go
+++ b/internal/controller/replication.go
@@ -28,7 +28,7 @@
 		line := peer.Line(m.Kind, m.Body)
 		for _, to := range m.To {
 			if !n.links.SendLine(to, line) {
-				shard.NotSent(to, m.Kind)
+				shard.Replicas().NotSent(to, m.Kind)
 			}
 		}
 	}
@@ -76,7 +76,7 @@
 // onAcknowledgement takes in what a replica of an own shard has.
 func (n *Node) onAcknowledgement(node string, incarnation uint64, m *shards.Acknowledgement) {
 	shard := n.shards.Owned(m.Shard)
-	if shard != nil && shard.Acknowledge(node, incarnation, m, time.Now()) {
+	if shard != nil && shard.Replicas().Acknowledge(node, incarnation, m, time.Now()) {
 		n.wake()
 	}
 }
--- a/internal/controller/replication_test.go
+++ b/internal/controller/replication_test.go
@@ -90,7 +90,7 @@
 
 // replicate sends what brings the backup up to date, and says whether that was a part that is not the last.
 func (p *linkedPair) replicate() (partial bool) {
-	messages := p.it.Replicate(p.owner.cluster(), time.Now())
+	messages := p.it.Replicas().Replicate(p.owner.cluster(), time.Now())
 	for _, m := range messages {
 		if part, ok := m.Body.(shards.CopyPart); ok {
 			partial = !part.Part.Last
@@ -127,7 +127,7 @@
 	p.replicated(t)
 	p.owner.mu.Lock()
 	p.hold(10, 60000)
-	p.it.ForgetReplica("node-b")
+	p.it.Replicas().Forget("node-b")
 	partial := p.replicate()
 	p.owner.mu.Unlock()
 	if !partial {
@@ -145,7 +145,7 @@
 	if p.copies != 1 {
 		t.Errorf("%d copies went out: the backup asked for another one while it received one", p.copies)
 	}
-	p.it.ForgetReplica("node-b")
+	p.it.Replicas().Forget("node-b")
 	p.replicate()
 	p.owner.mu.Unlock()
 	p.paths.Apart(0, true)
@@ -154,7 +154,7 @@
 	p.replicated(t)
 	p.owner.mu.Lock()
 	p.hold(60010, 10)
-	p.it.ForgetReplica("node-b")
+	p.it.Replicas().Forget("node-b")
 	p.owner.mu.Unlock()
 	p.replicated(t)
 	p.holder.mu.Lock()
--- a/internal/controller/save.go
+++ b/internal/controller/save.go
@@ -20,7 +20,7 @@
 // readPages takes in a team's pages and gives the finished tasks of its active jobs.
 func (n *Node) readPages(shard *shards.Owned, entries []protocol.Entry) map[string]*bitset.BitSet {
 	team, _ := shards.TeamOf(shard.Name())
-	done, unreadable := shard.ReadPages(entries, func(uid string) int {
+	done, unreadable := shard.Pages().Read(entries, func(uid string) int {
 		if j := n.jobs[uid]; j != nil && j.active && j.spec.Team == team {
 			return j.spec.Tasks
 		}
@@ -59,14 +59,14 @@
 		}
 		n.mu.Lock()
 		defer n.mu.Unlock()
-		shard.SavingEnded()
+		shard.Pages().SavingEnded()
 		return nil
 	})
 }
 
 // savePage writes one page if the control record is still the one that this controller knows.
 func (n *Node) savePage(shard *shards.Owned, p jobstate.Page, control protocol.Condition) {
-	key := shard.PageKey(p.Number)
+	key := shard.Pages().Key(p.Number)
 	revision, err := n.kvStore.Commit(n.ctx, kvstore.Update{Later: true,
 		Guards: []protocol.Condition{control, {Key: key, Version: p.Version}},
 		Ops:    []protocol.Op{{Set: key, Value: protocol.Encode(p.Parts)}}})
@@ -79,7 +79,7 @@
 	}
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	shard.PageSaved(p, revision)
+	shard.Pages().Saved(p, revision)
 	for uid := range p.Done {
 		n.reconcileMachinesOf(shard, uid)
 	}
@@ -87,7 +87,7 @@
 
 // readPageVersion looks up which version of a page the state service has.
 func (n *Node) readPageVersion(shard *shards.Owned, number int) {
-	e, err := n.kvStore.Get(n.ctx, shard.PageKey(number))
+	e, err := n.kvStore.Get(n.ctx, shard.Pages().Key(number))
 	if err != nil {
 		return
 	}
@@ -97,5 +97,5 @@
 	}
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	shard.PageVersionRead(number, version)
+	shard.Pages().VersionRead(number, version)
 }
--- a/internal/controller/step.go
+++ b/internal/controller/step.go
@@ -89,11 +89,11 @@
 	if !shard.IsReady() {
 		return
 	}
-	n.sendReplication(shard, shard.Replicate(cluster, now))
+	n.sendReplication(shard, shard.Replicas().Replicate(cluster, now))
 	if shard.IsFleet() || !shard.MayPlace() {
 		return
 	}
-	n.sendDueOrders(shard, shard.AcknowledgedByAll(cluster), now)
+	n.sendDueOrders(shard, shard.Replicas().AcknowledgedByAll(cluster), now)
 	n.commitFinishedJobs(shard)
 	if reviewRunning {
 		n.moveSlowTasks(shard, now)
--- a/internal/controller/stray_test.go
+++ b/internal/controller/stray_test.go
@@ -192,8 +192,8 @@
 	it.Resume(g.now)
 	n.peers["node-b"] = &peerState{connected: true, heardAt: g.now}
 	it.Team().Replica().Seq = 1
-	it.Replicate(n.cluster(), g.now) // a copy goes out, of which nothing is acknowledged
-	it.Acknowledge("node-b", 1, &shards.Acknowledgement{Shard: it.Name(), SinceTerm: 1}, g.now)
+	it.Replicas().Replicate(n.cluster(), g.now) // a copy goes out, of which nothing is acknowledged
+	it.Replicas().Acknowledge("node-b", 1, &shards.Acknowledgement{Shard: it.Name(), SinceTerm: 1}, g.now)
 	for _, name := range g.names {
 		n.machines[name].heardAt = g.now
 	}
--- a/internal/controller/sync_test.go
+++ b/internal/controller/sync_test.go
@@ -205,11 +205,11 @@
 				t.Fatalf("round %d: nothing is to be written", round)
 			}
 			for _, p := range pages {
-				key := it.PageKey(p.Number)
+				key := it.Pages().Key(p.Number)
 				store[key] = protocol.Entry{Key: key, Value: protocol.Encode(p.Parts), Version: p.Version + 1}
-				it.PageSaved(p, p.Version+1)
+				it.Pages().Saved(p, p.Version+1)
 			}
-			it.SavingEnded()
+			it.Pages().SavingEnded()
 		}
 	}
 }
--- a/internal/shards/barrier.go
+++ b/internal/shards/barrier.go
@@ -21,7 +21,7 @@
 	if o.phase == Ready {
 		return false
 	}
-	o.pagesRead = false
+	o.pages.read = false
 	if o.needsBarrier {
 		o.phase = Loading
 	}
@@ -84,4 +84,4 @@
 }
 
 // PassBarrier makes the shard ready; nothing is awaited any more.
-func (o *Owned) PassBarrier(now time.Time) { o.phase, o.graceFrom = Ready, now }
+func (o *Owned) PassBarrier(now time.Time) { o.phase, o.replicas.graceFrom = Ready, now }
--- a/internal/shards/owned.go
+++ b/internal/shards/owned.go
@@ -38,18 +38,14 @@
 	needsBarrier    bool
 	team            *jobstate.Team
 	takenAt         time.Time
-	graceFrom       time.Time       // replicas get their time to acknowledge from then
 	awaitedMachines map[string]bool // machines that the barrier waits for
 	loadNumber      int             // the load under way; an earlier one's outcome no longer counts
 
-	pages     *jobstate.PageSet
-	pagesRead bool // pages has what the state service has
-	saving    bool
+	handingOver    bool // a pending change of the record gives the shard away
+	firstStartSent bool
 
-	acknowledgements map[string]*acknowledgement // by replica
-	addingReplicas   []string                    // replicas that a pending change of the record puts in sync
-	handingOver      bool                        // a pending change of the record gives the shard away
-	firstStartSent   bool
+	replicas *Replicas
+	pages    *Pages
 }
 
 // Options is what an owned shard begins with.
@@ -65,15 +61,20 @@
 // NewOwned is a shard that has still to be loaded.
 func NewOwned(o Options) *Owned {
 	return &Owned{
-		name:             o.Name,
-		sinceTerm:        o.SinceTerm,
-		needsBarrier:     o.NeedsBarrier,
-		team:             o.Team,
-		takenAt:          o.TakenAt,
-		graceFrom:        o.TakenAt,
-		awaitedMachines:  map[string]bool{},
-		pages:            jobstate.NewPageSet(o.PageBytes),
-		acknowledgements: map[string]*acknowledgement{},
+		name:            o.Name,
+		sinceTerm:       o.SinceTerm,
+		needsBarrier:    o.NeedsBarrier,
+		team:            o.Team,
+		takenAt:         o.TakenAt,
+		awaitedMachines: map[string]bool{},
+		replicas: &Replicas{
+			shard:            o.Name,
+			sinceTerm:        o.SinceTerm,
+			team:             o.Team,
+			graceFrom:        o.TakenAt,
+			acknowledgements: map[string]*acknowledgement{},
+		},
+		pages: &Pages{shard: o.Name, team: o.Team, set: jobstate.NewPageSet(o.PageBytes)},
 	}
 }
 
@@ -86,6 +87,28 @@
 // Team is the account of the team's jobs; the fleet has an empty one.
 func (o *Owned) Team() *jobstate.Team { return o.team }
 
+// Replicas is what is known of the shard's replicas.
+func (o *Owned) Replicas() *Replicas { return o.replicas }
+
+// Pages is the pages of the team's finished tasks.
+func (o *Owned) Pages() *Pages { return o.pages }
+
+// BeginSaving gives the pages of finished tasks that are to be written now. due is false if nothing is unsaved, or if the
+// pages cannot be written yet or are being written. The caller ends a saving that is due with Pages.SavingEnded.
+func (o *Owned) BeginSaving() (pages []jobstate.Page, due bool) {
+	if o.phase != Ready {
+		return nil, false
+	}
+	return o.pages.beginSaving()
+}
+
+// Sync says whether the shard is ready, which replicas have everything and which are late.
+func (o *Owned) Sync(c *Cluster, now time.Time) leadership.Sync {
+	s := o.replicas.sync(c, now)
+	s.Ready = o.MayPlace()
+	return s
+}
+
 // SinceTerm is the term at which this controller became the owner.
 func (o *Owned) SinceTerm() uint64 { return o.sinceTerm }
 
@@ -108,15 +131,11 @@
 // BeginHandOver notes that a pending change of the record gives the shard away.
 func (o *Owned) BeginHandOver() { o.handingOver = true }
 
-// AddReplicas notes which replicas a pending change of the record puts in sync: starts need their acknowledgement
-// from now on.
-func (o *Owned) AddReplicas(inSync []string) { o.addingReplicas = inSync }
-
 // RecordChangeSettled notes that no change of the record is pending any more: it is in force, or surely is not.
-func (o *Owned) RecordChangeSettled() { o.handingOver, o.addingReplicas = false, nil }
+func (o *Owned) RecordChangeSettled() { o.handingOver, o.replicas.adding = false, nil }
 
 // Resume counts the replicas' silence anew, after this controller could not hear them for a while.
-func (o *Owned) Resume(now time.Time) { o.graceFrom = now }
+func (o *Owned) Resume(now time.Time) { o.replicas.graceFrom = now }
 
 // FirstStart says whether a start that is sent now is the owner's first one.
 func (o *Owned) FirstStart() bool {
--- a/internal/shards/pages.go
+++ b/internal/shards/pages.go
@@ -17,8 +17,17 @@
 // spaces and 200 bytes at most.
 func PagesPrefix(shard string) string { return fmt.Sprintf("b/%016x/", xxhash.Sum64String(shard)) }
 
-// PageKey is the key of one page of the shard.
-func (o *Owned) PageKey(number int) string { return PagesPrefix(o.name) + strconv.Itoa(number) }
+// Pages is the pages on which the state service keeps a team's finished tasks.
+type Pages struct {
+	shard  string
+	team   *jobstate.Team
+	set    *jobstate.PageSet
+	read   bool // set has what the state service has
+	saving bool
+}
+
+// Key is the key of one page.
+func (p *Pages) Key(number int) string { return PagesPrefix(p.shard) + strconv.Itoa(number) }
 
 // UnreadablePage is a page of finished tasks that could not be read.
 type UnreadablePage struct {
@@ -26,12 +35,12 @@
 	Err error
 }
 
-// ReadPages takes in the shard's pages as the state service has them, and gives the finished tasks by job. taskCount is
+// Read takes in the pages as the state service has them, and gives the finished tasks by job. taskCount is
 // the number of tasks of an active job of the team, 0 for others.
-func (o *Owned) ReadPages(entries []protocol.Entry, taskCount func(uid string) int) (done map[string]*bitset.BitSet, unreadable []UnreadablePage) {
+func (p *Pages) Read(entries []protocol.Entry, taskCount func(uid string) int) (done map[string]*bitset.BitSet, unreadable []UnreadablePage) {
 	done = map[string]*bitset.BitSet{}
 	for _, e := range entries {
-		if err := o.readPage(e, taskCount, done); err != nil {
+		if err := p.readPage(e, taskCount, done); err != nil {
 			unreadable = append(unreadable, UnreadablePage{e.Key, err})
 		}
 	}
@@ -39,8 +48,8 @@
 }
 
 // readPage takes in one page and adds its finished tasks to those given by job.
-func (o *Owned) readPage(e protocol.Entry, taskCount func(uid string) int, done map[string]*bitset.BitSet) error {
-	number, err := strconv.Atoi(strings.TrimPrefix(e.Key, PagesPrefix(o.name)))
+func (p *Pages) readPage(e protocol.Entry, taskCount func(uid string) int, done map[string]*bitset.BitSet) error {
+	number, err := strconv.Atoi(strings.TrimPrefix(e.Key, PagesPrefix(p.shard)))
 	if err != nil {
 		return err
 	}
@@ -48,39 +57,39 @@
 	if err := json.Unmarshal(e.Value, &parts); err != nil {
 		return err
 	}
-	return o.pages.Read(number, e.Version, parts, taskCount, done)
+	return p.set.Read(number, e.Version, parts, taskCount, done)
 }
 
-// PagesRead says whether the pages hold what the state service has, and so may be written.
-func (o *Owned) PagesRead() bool { return o.pagesRead }
+// AreRead says whether the pages hold what the state service has, and so may be written.
+func (p *Pages) AreRead() bool { return p.read }
 
-// MarkPagesRead notes that all pages were read.
-func (o *Owned) MarkPagesRead() { o.pagesRead = true }
+// MarkRead notes that all pages were read.
+func (p *Pages) MarkRead() { p.read = true }
 
-// BeginSaving gives the pages that are to be written now. due is false if nothing is unsaved, or if the shard's pages
-// cannot be written yet or are being written. The caller ends a saving that is due with SavingEnded.
-func (o *Owned) BeginSaving() (pages []jobstate.Page, due bool) {
-	if o.phase != Ready || !o.pagesRead || o.saving {
+// beginSaving gives the pages that are to be written now; due is false if nothing is unsaved, or if the pages were not read yet
+// or are being written.
+func (p *Pages) beginSaving() (pages []jobstate.Page, due bool) {
+	if !p.read || p.saving {
 		return nil, false
 	}
-	unsaved := o.team.Unsaved()
+	unsaved := p.team.Unsaved()
 	if len(unsaved) == 0 {
 		return nil, false
 	}
-	o.saving = true
-	return o.pages.Plan(unsaved, o.team.Finished), true
+	p.saving = true
+	return p.set.Plan(unsaved, p.team.Finished), true
 }
 
-// PageVersionRead notes the version of a page in the state service whose write failed or may have.
-func (o *Owned) PageVersionRead(number int, version uint64) { o.pages.Written(number, version) }
+// VersionRead notes the version of a page in the state service whose write failed or may have.
+func (p *Pages) VersionRead(number int, version uint64) { p.set.Written(number, version) }
 
-// PageSaved notes that a page was written under a version.
-func (o *Owned) PageSaved(p jobstate.Page, version uint64) {
-	o.pages.Written(p.Number, version)
-	for uid, done := range p.Done {
-		o.team.Saved(uid, done)
+// Saved notes that a page was written under a version.
+func (p *Pages) Saved(page jobstate.Page, version uint64) {
+	p.set.Written(page.Number, version)
+	for uid, done := range page.Done {
+		p.team.Saved(uid, done)
 	}
 }
 
-// SavingEnded notes that no page of the shard is being written any more.
-func (o *Owned) SavingEnded() { o.saving = false }
+// SavingEnded notes that no page is being written any more.
+func (p *Pages) SavingEnded() { p.saving = false }
--- a/internal/shards/registry.go
+++ b/internal/shards/registry.go
@@ -158,7 +158,7 @@
 // ForgetReplica drops what a controller acknowledged of any owned shard.
 func (r *Registry) ForgetReplica(node string) {
 	for _, o := range r.owned {
-		o.ForgetReplica(node)
+		o.replicas.Forget(node)
 	}
 }
 
--- a/internal/shards/registry_test.go
+++ b/internal/shards/registry_test.go
@@ -144,16 +144,16 @@
 		o := NewOwned(Options{Name: testShard, SinceTerm: 5, NeedsBarrier: needs, Team: testTeam(jobstate.NewReplica()), PageBytes: 8 << 10})
 		earlier := o.BeginLoad()
 		o.EnterBarrier(slices.Values([]string{"m-1"}))
-		o.MarkPagesRead()
-		if !o.Reload() || o.PagesRead() || (o.Phase() == Loading) != needs {
-			t.Errorf("not in sync %v: phase %s, pages read %v", needs, o.Phase(), o.PagesRead())
+		o.Pages().MarkRead()
+		if !o.Reload() || o.Pages().AreRead() || (o.Phase() == Loading) != needs {
+			t.Errorf("not in sync %v: phase %s, pages read %v", needs, o.Phase(), o.Pages().AreRead())
 		}
 		if later := o.BeginLoad(); o.LoadIsCurrent(earlier) || !o.LoadIsCurrent(later) {
 			t.Error("the earlier load counts still")
 		}
 		o.PassBarrier(time.Unix(1000, 0))
-		o.MarkPagesRead()
-		if o.Reload() || !o.PagesRead() || !o.IsReady() {
+		o.Pages().MarkRead()
+		if o.Reload() || !o.Pages().AreRead() || !o.IsReady() {
 			t.Error("a shard that is ready is loaded anew")
 		}
 	}
@@ -167,15 +167,17 @@
 	o.Team().AddJob(testSpec("job-1", 10), 1, now, nil)
 	o.Team().Merge("job-1", bitset.New(1).Set(0))
 	due := func() bool { _, due := o.BeginSaving(); return due }
+	o.Pages().MarkRead()
 	if due() {
 		t.Error("written before the barrier")
 	}
+	o.Reload()
 	o.EnterBarrier(nil)
 	o.PassBarrier(now)
 	if due() {
 		t.Error("written before the pages were read")
 	}
-	o.MarkPagesRead()
+	o.Pages().MarkRead()
 	pages, begun := o.BeginSaving()
 	if !begun || len(pages) != 1 {
 		t.Fatalf("%d pages to be written, begun %v", len(pages), begun)
@@ -183,14 +185,14 @@
 	if due() {
 		t.Error("written twice at a time")
 	}
-	o.PageVersionRead(pages[0].Number, 7) // the write met another version
-	o.SavingEnded()
+	o.Pages().VersionRead(pages[0].Number, 7) // the write met another version
+	o.Pages().SavingEnded()
 	pages, begun = o.BeginSaving()
 	if !begun || len(pages) != 1 || pages[0].Version != 7 {
 		t.Fatalf("written again: %v, %+v", begun, pages)
 	}
-	o.PageSaved(pages[0], 8)
-	o.SavingEnded()
+	o.Pages().Saved(pages[0], 8)
+	o.Pages().SavingEnded()
 	if due() {
 		t.Error("what is saved is written again")
 	}
--- a/internal/shards/replication.go
+++ b/internal/shards/replication.go
@@ -28,6 +28,19 @@
 	Body any // Copy, CopyPart or Deltas
 }
 
+// Replicas is what the owner of a shard knows of its replicas, and decides which of them gets what next.
+type Replicas struct {
+	shard            string
+	sinceTerm        uint64
+	team             *jobstate.Team
+	adding           []string                    // replicas that a pending change of the record puts in sync
+	graceFrom        time.Time                   // replicas get their time to acknowledge from then
+	acknowledgements map[string]*acknowledgement // by controller
+}
+
+// Add notes which replicas a pending change of the record puts in sync: starts need their acknowledgement from now on.
+func (r *Replicas) Add(inSync []string) { r.adding = inSync }
+
 // acknowledgement is what one replica was sent and acknowledged on the present connection.
 type acknowledgement struct {
 	incarnation  uint64             // of the process that acknowledged
@@ -65,14 +78,14 @@
 	return a.transfer != nil && !a.transfer.Ended() && a.parts >= a.transfer.PartsMade()
 }
 
-// ForgetReplica drops what a controller acknowledged, as its connection is another one now: it gets a whole copy.
-func (o *Owned) ForgetReplica(replica string) { delete(o.acknowledgements, replica) }
+// Forget drops what a controller acknowledged, as its connection is another one now: it gets a whole copy.
+func (r *Replicas) Forget(replica string) { delete(r.acknowledgements, replica) }
 
-// RequiredReplicas lists the controllers whose acknowledgement a start needs: those in sync by the record, and those
+// Required lists the controllers whose acknowledgement a start needs: those in sync by the record, and those
 // that a pending change puts in sync.
-func (o *Owned) RequiredReplicas(c *Cluster) []string {
-	required := slices.Clone(c.Record.Shards[o.name].InSync)
-	for _, replica := range o.addingReplicas {
+func (r *Replicas) Required(c *Cluster) []string {
+	required := slices.Clone(c.Record.Shards[r.shard].InSync)
+	for _, replica := range r.adding {
 		if !slices.Contains(required, replica) {
 			required = append(required, replica)
 		}
@@ -80,16 +93,16 @@
 	return slices.DeleteFunc(required, func(replica string) bool { return replica == c.Self })
 }
 
-// ReplicaHolders names the connected controllers that should hold a replica beside the owner.
-func (o *Owned) ReplicaHolders(c *Cluster) []string {
-	return c.Record.BackupsOf(o.name, c.Self, func(node string) bool { return c.Connected[node] })
+// Holders names the connected controllers that should hold a replica beside the owner.
+func (r *Replicas) Holders(c *Cluster) []string {
+	return c.Record.BackupsOf(r.shard, c.Self, func(node string) bool { return c.Connected[node] })
 }
 
 // AcknowledgedByAll is the sequence number that every required replica acknowledged.
-func (o *Owned) AcknowledgedByAll(c *Cluster) uint64 {
-	lowest := o.team.Replica().Seq
-	for _, replica := range o.RequiredReplicas(c) {
-		a := o.acknowledgements[replica]
+func (r *Replicas) AcknowledgedByAll(c *Cluster) uint64 {
+	lowest := r.team.Replica().Seq
+	for _, replica := range r.Required(c) {
+		a := r.acknowledgements[replica]
 		if a == nil || !a.known || a.incarnation != c.Record.Nodes[replica] {
 			return 0
 		}
@@ -98,18 +111,18 @@
 	return lowest
 }
 
-// Sync says which replicas have everything and which are late.
-func (o *Owned) Sync(c *Cluster, now time.Time) leadership.Sync {
-	s := leadership.Sync{Ready: o.MayPlace(), Whole: map[string]bool{}, Lagging: map[string]bool{}, Backups: o.ReplicaHolders(c)}
-	inSync := c.Record.Shards[o.name].InSync
+// sync says which replicas have everything and which are late.
+func (r *Replicas) sync(c *Cluster, now time.Time) leadership.Sync {
+	s := leadership.Sync{Whole: map[string]bool{}, Lagging: map[string]bool{}, Backups: r.Holders(c)}
+	inSync := c.Record.Shards[r.shard].InSync
 	for node, connected := range c.Connected {
 		if !slices.Contains(s.Backups, node) && !slices.Contains(inSync, node) {
 			continue
 		}
-		switch a := o.acknowledgements[node]; {
-		case connected && o.isWhole(a, c.Record.Nodes[node]):
+		switch a := r.acknowledgements[node]; {
+		case connected && r.isWhole(a, c.Record.Nodes[node]):
 			s.Whole[node] = true
-		case now.Sub(o.graceFrom) < AcknowledgementTimeout:
+		case now.Sub(r.graceFrom) < AcknowledgementTimeout:
 		case !connected || a == nil || a.isLate(now):
 			s.Lagging[node] = true
 		}
@@ -118,8 +131,8 @@
 }
 
 // isWhole says whether a process acknowledged everything that the owner has.
-func (o *Owned) isWhole(a *acknowledgement, incarnation uint64) bool {
-	return a != nil && a.known && a.seq >= o.team.Replica().Seq && a.incarnation == incarnation
+func (r *Replicas) isWhole(a *acknowledgement, incarnation uint64) bool {
+	return a != nil && a.known && a.seq >= r.team.Replica().Seq && a.incarnation == incarnation
 }
 
 // isLate says whether what was sent has waited too long for its acknowledgement.
@@ -129,23 +142,23 @@
 
 // Replicate takes the team's changes and gives the messages that bring the replicas up to date. The caller sends them in
 // order, and calls NotSent for each that surely did not go out.
-func (o *Owned) Replicate(c *Cluster, now time.Time) []Outgoing {
-	deltas := o.team.TakeDeltas()
-	seq := o.team.Replica().Seq
-	replicas := append(o.ReplicaHolders(c), o.RequiredReplicas(c)...)
+func (r *Replicas) Replicate(c *Cluster, now time.Time) []Outgoing {
+	deltas := r.team.TakeDeltas()
+	seq := r.team.Replica().Seq
+	replicas := append(r.Holders(c), r.Required(c)...)
 	var changes Outgoing
 	var copies []Outgoing
 	for node, connected := range c.Connected {
 		if !slices.Contains(replicas, node) {
-			delete(o.acknowledgements, node) // it gets a whole copy when it is to hold a replica again
+			delete(r.acknowledgements, node) // it gets a whole copy when it is to hold a replica again
 			continue
 		}
 		if _, member := c.Record.Nodes[node]; !member || !connected {
 			continue
 		}
-		a := o.acknowledgementOf(node)
+		a := r.acknowledgementOf(node)
 		if !a.copySent {
-			copies = append(copies, o.beginCopy(node, a))
+			copies = append(copies, r.beginCopy(node, a))
 			a.sent(seq, now)
 			continue
 		}
@@ -154,23 +167,23 @@
 			a.sent(seq, now)
 		}
 		if a.nextPartDue() {
-			copies = append(copies, o.nextPart(node, a))
+			copies = append(copies, r.nextPart(node, a))
 		}
 	}
 	if len(changes.To) == 0 {
 		return copies
 	}
 	changes.Kind = KindDeltas
-	changes.Body = Deltas{Shard: o.name, SinceTerm: o.sinceTerm, Deltas: deltas}
+	changes.Body = Deltas{Shard: r.shard, SinceTerm: r.sinceTerm, Deltas: deltas}
 	return append([]Outgoing{changes}, copies...) // all deltas that a part's replica has go before the part
 }
 
 // acknowledgementOf is the record of a replica, a new one if there is none.
-func (o *Owned) acknowledgementOf(replica string) *acknowledgement {
-	a := o.acknowledgements[replica]
+func (r *Replicas) acknowledgementOf(replica string) *acknowledgement {
+	a := r.acknowledgements[replica]
 	if a == nil {
 		a = &acknowledgement{}
-		o.acknowledgements[replica] = a
+		r.acknowledgements[replica] = a
 	}
 	return a
 }
@@ -184,26 +197,26 @@
 }
 
 // beginCopy is the message that begins to give a controller the whole replica: all of it, or its first part.
-func (o *Owned) beginCopy(to string, a *acknowledgement) Outgoing {
+func (r *Replicas) beginCopy(to string, a *acknowledgement) Outgoing {
 	a.copySent = true
-	replica := o.team.Replica()
+	replica := r.team.Replica()
 	if replica.FitsOneMessage() {
-		return Outgoing{To: []string{to}, Kind: KindCopy, Body: Copy{Shard: o.name, SinceTerm: o.sinceTerm, Copy: replica.Copy()}}
+		return Outgoing{To: []string{to}, Kind: KindCopy, Body: Copy{Shard: r.shard, SinceTerm: r.sinceTerm, Copy: replica.Copy()}}
 	}
 	a.parts = 0
 	a.transfer = jobstate.NewTransfer(replica)
-	return o.nextPart(to, a)
+	return r.nextPart(to, a)
 }
 
 // nextPart is the message with the next part of a replica that is being sent in parts.
-func (o *Owned) nextPart(to string, a *acknowledgement) Outgoing {
-	part := a.transfer.Next(o.team.Replica())
-	return Outgoing{To: []string{to}, Kind: KindCopyPart, Body: CopyPart{Shard: o.name, SinceTerm: o.sinceTerm, Part: part}}
+func (r *Replicas) nextPart(to string, a *acknowledgement) Outgoing {
+	part := a.transfer.Next(r.team.Replica())
+	return Outgoing{To: []string{to}, Kind: KindCopyPart, Body: CopyPart{Shard: r.shard, SinceTerm: r.sinceTerm, Part: part}}
 }
 
 // NotSent notes that a message to a replica surely did not go out. Deltas are found missing by the replica itself.
-func (o *Owned) NotSent(replica, kind string) {
-	a := o.acknowledgements[replica]
+func (r *Replicas) NotSent(replica, kind string) {
+	a := r.acknowledgements[replica]
 	if a == nil {
 		return
 	}
@@ -216,9 +229,9 @@
 }
 
 // Acknowledge takes in what a process of a controller acknowledges; false if it changes nothing.
-func (o *Owned) Acknowledge(replica string, incarnation uint64, m *Acknowledgement, now time.Time) bool {
-	a := o.acknowledgements[replica]
-	if a == nil || m.SinceTerm != o.sinceTerm {
+func (r *Replicas) Acknowledge(replica string, incarnation uint64, m *Acknowledgement, now time.Time) bool {
+	a := r.acknowledgements[replica]
+	if a == nil || m.SinceTerm != r.sinceTerm {
 		return false
 	}
 	switch {
--- a/internal/shards/replication_test.go
+++ b/internal/shards/replication_test.go
@@ -87,14 +87,14 @@
 
 // replicate sends what the owner wants sent.
 func (m *replicaModel) replicate() {
-	for _, out := range m.owner.Replicate(m.cluster, m.now) {
+	for _, out := range m.owner.Replicas().Replicate(m.cluster, m.now) {
 		for _, to := range out.To {
 			if !m.cluster.Connected[to] {
 				m.t.Fatal("a message goes out without a connection")
 			}
 			if m.broken[to] {
 				m.refused++
-				m.owner.NotSent(to, out.Kind)
+				m.owner.Replicas().NotSent(to, out.Kind)
 				continue
 			}
 			m.toNode[to] = append(m.toNode[to], m.asDecoded(out))
@@ -149,13 +149,13 @@
 	}
 	answer := m.toOwner[node][0]
 	m.toOwner[node] = m.toOwner[node][1:]
-	m.owner.Acknowledge(node, m.cluster.Record.Nodes[node], &answer, m.now)
+	m.owner.Replicas().Acknowledge(node, m.cluster.Record.Nodes[node], &answer, m.now)
 }
 
 // lose ends a connection with all that is under way on it.
 func (m *replicaModel) lose(node string) {
 	m.toNode[node], m.toOwner[node] = nil, nil
-	m.owner.ForgetReplica(node)
+	m.owner.Replicas().Forget(node)
 	m.cluster.Connected[node], m.broken[node] = false, false
 }
 
@@ -206,7 +206,7 @@
 
 // check compares what the owner takes for acknowledged with what the replicas have.
 func (m *replicaModel) check() {
-	acknowledged := m.owner.AcknowledgedByAll(m.cluster)
+	acknowledged := m.owner.Replicas().AcknowledgedByAll(m.cluster)
 	for node, held := range m.held {
 		if acknowledged == 0 {
 			return
@@ -307,8 +307,8 @@
 	begin := time.Unix(1000, 0)
 	o, c := testOwned(jobstate.NewReplica(), begin), testCluster()
 	o.Team().Merge("job-1", bitset.New(1).Set(0))
-	o.Replicate(c, begin)
-	o.Acknowledge("node-b", 1, &Acknowledgement{Shard: testShard, SinceTerm: 5, Seq: o.Team().Replica().Seq}, begin)
+	o.Replicas().Replicate(c, begin)
+	o.Replicas().Acknowledge("node-b", 1, &Acknowledgement{Shard: testShard, SinceTerm: 5, Seq: o.Team().Replica().Seq}, begin)
 	if s := o.Sync(c, begin.Add(AcknowledgementTimeout)); !s.Ready || !s.Whole["node-b"] || s.Whole["node-c"] || len(s.Lagging) != 0 {
 		t.Errorf("just in time: %+v", s)
 	}
@@ -320,15 +320,15 @@
 	if s := o.Sync(c, late); len(s.Lagging) != 0 {
 		t.Errorf("late though the owner could hear nobody: %+v", s)
 	}
-	o.Acknowledge("node-c", 1, &Acknowledgement{Shard: testShard, SinceTerm: 5, Seq: o.Team().Replica().Seq}, late)
-	if got, want := o.AcknowledgedByAll(c), o.Team().Replica().Seq; got != want {
+	o.Replicas().Acknowledge("node-c", 1, &Acknowledgement{Shard: testShard, SinceTerm: 5, Seq: o.Team().Replica().Seq}, late)
+	if got, want := o.Replicas().AcknowledgedByAll(c), o.Team().Replica().Seq; got != want {
 		t.Errorf("acknowledged up to %d, want %d", got, want)
 	}
 	c.Record.Nodes["node-b"]++
 	if s := o.Sync(c, late); s.Whole["node-b"] {
 		t.Error("an earlier process's acknowledgement makes a replica whole")
 	}
-	if o.AcknowledgedByAll(c) != 0 {
+	if o.Replicas().AcknowledgedByAll(c) != 0 {
 		t.Error("an earlier process's acknowledgement counts for a start")
 	}
 	o.BeginHandOver()
@@ -346,18 +346,18 @@
 	entry.InSync = []string{"node-b"}
 	c.Record.Shards[testShard] = entry
 	o.Team().Merge("job-1", bitset.New(1).Set(0))
-	o.Replicate(c, now)
+	o.Replicas().Replicate(c, now)
 	seq := o.Team().Replica().Seq
-	o.Acknowledge("node-b", 1, &Acknowledgement{Shard: testShard, SinceTerm: 5, Seq: seq}, now)
-	if got := o.AcknowledgedByAll(c); got != seq {
+	o.Replicas().Acknowledge("node-b", 1, &Acknowledgement{Shard: testShard, SinceTerm: 5, Seq: seq}, now)
+	if got := o.Replicas().AcknowledgedByAll(c); got != seq {
 		t.Fatalf("acknowledged up to %d, want %d", got, seq)
 	}
-	o.AddReplicas([]string{"node-b", "node-c"})
-	if got := o.AcknowledgedByAll(c); got != 0 {
+	o.Replicas().Add([]string{"node-b", "node-c"})
+	if got := o.Replicas().AcknowledgedByAll(c); got != 0 {
 		t.Errorf("acknowledged up to %d without the replica that is being added", got)
 	}
 	o.RecordChangeSettled()
-	if got := o.AcknowledgedByAll(c); got != seq {
+	if got := o.Replicas().AcknowledgedByAll(c); got != seq {
 		t.Errorf("acknowledged up to %d after the change was settled, want %d", got, seq)
 	}
 }
@@ -367,7 +367,7 @@
 	now := time.Unix(1000, 0)
 	o, c := testOwned(jobstate.NewReplica(), now), testCluster()
 	copies := func() (n int) {
-		for _, m := range o.Replicate(c, now) {
+		for _, m := range o.Replicas().Replicate(c, now) {
 			if m.Kind == KindCopy && m.To[0] == "node-b" {
 				n++
 			}
@@ -379,7 +379,7 @@
 		t.Fatal("not one copy at first")
 	}
 	for i, want := range []int{1, 0, 0, 1} {
-		if taken := o.Acknowledge("node-b", 1, &request, now); taken != (want == 1) {
+		if taken := o.Replicas().Acknowledge("node-b", 1, &request, now); taken != (want == 1) {
 			t.Errorf("request %d taken: %v", i, taken)
 		}
 		if got := copies(); got != want {
@@ -387,16 +387,16 @@
 		}
 		now = now.Add(copyRetryInterval/2 - time.Millisecond*time.Duration(1-i%2))
 	}
-	o.ForgetReplica("node-b")
+	o.Replicas().Forget("node-b")
 	if copies() != 1 {
 		t.Error("no copy on a new connection")
 	}
-	o.NotSent("node-b", KindCopy)
+	o.Replicas().NotSent("node-b", KindCopy)
 	if copies() != 1 || copies() != 0 {
 		t.Error("a copy that did not go out is not sent again, or one that did is")
 	}
 	earlier := RequestCopy(testShard, 4)
-	if o.Acknowledge("node-b", 1, &earlier, now.Add(time.Minute)) {
+	if o.Replicas().Acknowledge("node-b", 1, &earlier, now.Add(time.Minute)) {
 		t.Error("a request for an earlier ownership is taken")
 	}
 }
