--- a/internal/controller/admit.go
+++ b/internal/controller/admit.go
@@ -153,7 +153,7 @@
 
 // onPlan takes in what a peer tells of plans.
 func (n *Node) onPlan(node string, incarnation uint64, p *peerState, w *admission.Word) {
-	p.plan = w.Seen
+	p.admissionPlan = w.Seen
 	if n.record == nil {
 		return
 	}
@@ -201,7 +201,7 @@
 	n.admission.known.Hear(it.SinceTerm, admission.Word{Force: force, Next: next})
 	n.tellPlan(before)
 	if next != nil {
-		n.tellNow()
+		n.requestStatus()
 	}
 }
 
@@ -210,7 +210,7 @@
 	members := map[string]admission.ID{}
 	for name := range n.record.Nodes {
 		if p := n.peers[name]; p != nil {
-			members[name] = p.plan
+			members[name] = p.admissionPlan
 		}
 	}
 	return members
--- a/internal/controller/barrierprobe.go
+++ b/internal/controller/barrierprobe.go
@@ -45,7 +45,7 @@
 	if len(addrs) == 0 {
 		return
 	}
-	n.tellAll(shards.KindProbe, shards.ProbeRequest{Addrs: addrs})
+	n.broadcast(shards.KindProbe, shards.ProbeRequest{Addrs: addrs})
 	n.onProbe(addrs, time.Now())
 }
 
--- a/internal/controller/catalog.go
+++ b/internal/controller/catalog.go
@@ -32,7 +32,7 @@
 			wait = min(wait, ownerCatalogLife)
 		}
 		n.mu.Unlock()
-		if !pause(ctx, wait) {
+		if !sleep(ctx, wait) {
 			return nil
 		}
 	}
--- a/internal/controller/config_follow.go
+++ b/internal/controller/config_follow.go
@@ -87,7 +87,7 @@
 	if n.teamConfig.teams.Learn(name, entry, e.Version) {
 		n.log.Info("team's configuration", "team", name, "number", entry.Number, "version", e.Version, "cpus_max", entry.CPUsMax, "removed", entry.Removed)
 		n.wake()
-		n.tellNow()
+		n.requestStatus()
 	}
 	n.logOverruled(overruled)
 }
@@ -255,10 +255,10 @@
 const configTeachAfter = time.Second
 
 func (n *Node) onConfig(m *configMsg) {
-	if n.teamConfig == nil || !n.trusted() || n.record == nil || m.Generation != n.epoch() {
+	if n.teamConfig == nil || !n.trusted() || n.record == nil || m.Epoch != n.epoch() {
 		return
 	}
-	n.teamConfig.teams.Taught(m.Changes, m.After, m.Known, m.Record, n.recordVersion)
+	n.teamConfig.teams.Taught(m.Changes, m.After, m.Known, m.RecordVersion, n.recordVersion)
 	n.configure(time.Now())
 	n.wake()
 }
@@ -309,7 +309,7 @@
 	key, value := teamstore.Prefix+x.Team, protocol.Encode(x.Entry)
 	version, err := n.kvStore.Commit(n.ctx, kvstore.Update{Guards: []protocol.Condition{{Key: key, Version: x.Version}}, Ops: []protocol.Op{{Set: key, Value: value}}})
 	if err != nil && !errors.Is(err, kvstore.ErrConflict) { // on a conflict the watch tells what is there
-		pause(n.ctx, 200*time.Millisecond)
+		sleep(n.ctx, 200*time.Millisecond)
 	}
 	n.mu.Lock()
 	defer n.mu.Unlock()
--- a/internal/controller/control.go
+++ b/internal/controller/control.go
@@ -121,7 +121,7 @@
 				}
 				n.mu.Unlock()
 				if !listed {
-					pause(ctx, 300*time.Millisecond)
+					sleep(ctx, 300*time.Millisecond)
 				}
 			}
 		} else {
@@ -144,7 +144,7 @@
 			listed = false
 		} else if err != nil {
 			n.log.Debug("watch failed", "err", err)
-			pause(ctx, 300*time.Millisecond)
+			sleep(ctx, 300*time.Millisecond)
 		}
 	}
 	return nil
--- a/internal/controller/demands.go
+++ b/internal/controller/demands.go
@@ -18,7 +18,7 @@
 		first := n.goFirst(it, list, now)
 		for i, d := range list {
 			if !d.Probe {
-				out = append(out, demand{Job: d.Spec.UID, Count: d.Count, Borrowed: d.Borrowed, Behind: d.Behind.Milliseconds(), First: first[i], Beyond: d.Beyond, Zone: boundZone(it.Team(), d.Spec)})
+				out = append(out, demand{Job: d.Spec.UID, Count: d.Count, Borrowed: d.Borrowed, QuotaDelay: d.Behind.Milliseconds(), Prioritized: first[i], CPUsBeyondQuota: d.Beyond, Zone: boundZone(it.Team(), d.Spec)})
 			}
 		}
 	}
--- a/internal/controller/fleetview.go
+++ b/internal/controller/fleetview.go
@@ -100,7 +100,7 @@
 func (n *Node) homeUnheard(name string, now time.Time) bool {
 	home := n.homeOf(name)
 	p := n.peers[home]
-	return p != nil && n.presences[home].Incarnation == n.record.Nodes[home] && !p.isHeard(now)
+	return p != nil && n.presences[home].Incarnation == n.record.Nodes[home] && !p.isReachable(now)
 }
 
 // awaited is the machines that any owner's barrier waits for, and those that did not answer
@@ -115,7 +115,7 @@
 	add(awaited, n.shards.AwaitedMachines())
 	add(mute, n.unanswered())
 	for _, p := range n.peers {
-		if now.Sub(p.heardAt) < peerWordLife {
+		if now.Sub(p.lastMessageAt) < peerWordLife {
 			add(awaited, p.awaitedMachines)
 			add(mute, p.unansweredMachines)
 		}
@@ -127,7 +127,7 @@
 func (n *Node) fleetDemands(now time.Time) []autoscaler.Demand {
 	list := n.appendFleetDemands(nil, n.demands(now), now)
 	for _, name := range slices.Sorted(maps.Keys(n.peers)) {
-		if p := n.peers[name]; now.Sub(p.heardAt) < peerWordLife && p.entitled {
+		if p := n.peers[name]; now.Sub(p.lastMessageAt) < peerWordLife && p.entitled {
 			list = n.appendFleetDemands(list, p.demands, now)
 		}
 	}
@@ -147,11 +147,11 @@
 		if j == nil || !j.active {
 			continue
 		}
-		behind := time.Duration(d.Behind) * time.Millisecond
+		behind := time.Duration(d.QuotaDelay) * time.Millisecond
 		list = append(list, autoscaler.Demand{
 			Spec:       specIn(j.spec, d.Zone),
 			Count:      d.Count,
-			Beyond:     d.Beyond,
+			Beyond:     d.CPUsBeyondQuota,
 			Due:        n.due(j, now).Add(-behind),
 			PreferSpot: protocol.Rank(j.spec.Priority) == 0 && len(n.goals(j)) == 0,
 		})
--- a/internal/controller/gangpreemption.go
+++ b/internal/controller/gangpreemption.go
@@ -73,7 +73,7 @@
 		for _, v := range stop.Victims {
 			ref := look.tasks[v.ID].ref
 			n.evictions[ref] = eviction{job: w.spec.UID, at: p.now, machine: look.hosts[stop.Machine].Name, slots: stop.Slots}
-			n.evict(evictMsg{Ref: ref, For: w.spec.UID})
+			n.evict(evictMsg{Attempt: ref, Beneficiary: w.spec.UID})
 		}
 	}
 }
--- a/internal/controller/home.go
+++ b/internal/controller/home.go
@@ -123,7 +123,7 @@
 	if n.unreachableHomes[home] == nil {
 		n.unreachableHomes[home] = map[string]misdirection{}
 	}
-	if !p.isHeard(now) {
+	if !p.isReachable(now) {
 		// Nobody hears the home. Once it is heard again the machine goes there.
 		delete(n.unreachableHomes[home], name)
 		m.keptAliveAt = now
@@ -194,7 +194,7 @@
 // unreachable, to come back when it is not.
 func (n *Node) probeOwnReachability(ctx context.Context) error {
 	good := 0
-	for pause(ctx, time.Second) {
+	for sleep(ctx, time.Second) {
 		n.mu.Lock()
 		addr := ""
 		if n.record != nil && slices.Contains(n.record.Unreachable, n.name) {
@@ -250,7 +250,7 @@
 // that can do no harm.
 func (n *Node) answerUnentitled(r *protocol.Heartbeat, now time.Time) httpx.Answer {
 	for _, name := range slices.Sorted(maps.Keys(n.peers)) {
-		if p := n.peers[name]; p.entitled && p.isHeard(now) {
+		if p := n.peers[name]; p.entitled && p.isReachable(now) {
 			return httpx.Answer{Status: 421, Body: protocol.Encode(protocol.Redirect{Controller: name})}
 		}
 	}
@@ -492,13 +492,13 @@
 		}
 		views = append(views, v)
 		if tasks += 1 + len(v.Tasks); tasks >= maxStatusesPerMessage {
-			n.tellAll("views", views)
+			n.broadcast("views", views)
 			views, tasks = nil, 0
 		}
 	}
 	n.changedMachines = map[string]bool{}
 	if len(views) > 0 {
-		n.tellAll("views", views)
+		n.broadcast("views", views)
 	}
 }
 
--- a/internal/controller/hosts.go
+++ b/internal/controller/hosts.go
@@ -51,7 +51,7 @@
 	drain := n.draining()
 	away := map[string]bool{} // homes that no order reaches
 	for name, p := range n.peers {
-		away[name] = !p.connected || !p.isHeard(now)
+		away[name] = !p.connected || !p.isReachable(now)
 	}
 	plan := n.admission.known.Acts()
 	scratch := &n.hostBuffer
@@ -133,7 +133,7 @@
 	for _, t := range m.status.Tasks {
 		listed[t.Ref()] = true
 		if t.State != protocol.Exited {
-			c, g, r := n.size(t.Job)
+			c, g, r := n.taskSize(t.Job)
 			cpus, gpus, memory = cpus-c, gpus-g, memory-r
 		}
 	}
--- a/internal/controller/inflight_test.go
+++ b/internal/controller/inflight_test.go
@@ -91,8 +91,8 @@
 	}
 	at := o.now.Add(reach + 7*time.Second)
 	s := n.status(at)
-	if age, ok := s.InFlight[o.name]; !ok || age < (reach+7*time.Second).Milliseconds() {
-		t.Errorf("the home tells of %v", s.InFlight)
+	if age, ok := s.InFlightAges[o.name]; !ok || age < (reach+7*time.Second).Milliseconds() {
+		t.Errorf("the home tells of %v", s.InFlightAges)
 	}
 	n.agents.SetTerm(2, func(string) bool { return true })
 	n.record = n.record.Clone()
@@ -120,7 +120,7 @@
 	n.record.Unreachable = []string{n.name, "node-c"} // the home is node-b
 	name := g.names[0]
 	said := func(from string, inFlight map[string]int64) time.Duration {
-		s := statusMsg{Alive: map[string]int64{name: 2000}, InFlight: inFlight, Heard: map[string]echo{n.name: {Incarnation: n.incarnation, At: 50000}}}
+		s := statusMsg{HeartbeatAges: map[string]int64{name: 2000}, InFlightAges: inFlight, Received: map[string]receivedStatus{n.name: {Incarnation: n.incarnation, SentAt: 50000}}}
 		n.onHomeWatermarks(from, &s, g.now)
 		return g.now.Sub(n.machine(name).homeWatermark)
 	}
--- a/internal/controller/jobend.go
+++ b/internal/controller/jobend.go
@@ -46,7 +46,7 @@
 		n.front.Learn(uid, end)
 	} else {
 		n.log.Debug("end of job not written yet", "job", uid, "err", err)
-		pause(ctx, 200*time.Millisecond)
+		sleep(ctx, 200*time.Millisecond)
 	}
 	n.mu.Lock()
 	defer n.mu.Unlock()
--- a/internal/controller/jobs.go
+++ b/internal/controller/jobs.go
@@ -28,12 +28,12 @@
 	uid := s.Spec.UID
 	j := n.jobs[uid]
 	delete(n.recovery.tentative, uid)
-	if j == nil && n.ended(uid) {
+	if j == nil && n.hasEnded(uid) {
 		j = &job{spec: s.Spec, submittedAt: time.UnixMilli(s.At), endedAt: time.Now()}
 		n.jobs[uid] = j
 	}
 	if j != nil && !j.active {
-		if version > 0 && n.epoch() > 1 && n.ended(uid) { // an end beats active
+		if version > 0 && n.epoch() > 1 && n.hasEnded(uid) { // an end beats active
 			n.recovery.bury[uid] = staleActiveKey{version, time.Now()}
 		}
 		return
@@ -59,7 +59,7 @@
 }
 
 // ended says whether a job is remembered to have ended.
-func (n *Node) ended(uid string) bool {
+func (n *Node) hasEnded(uid string) bool {
 	_, ended := n.front.Final(uid)
 	return ended
 }
@@ -87,11 +87,11 @@
 
 // progressEvery is how often jobs' progress is told: users may be told of it a few seconds
 // late, and it is the longest part of a status.
-const progressEvery = 900 * time.Millisecond
+const progressInterval = 900 * time.Millisecond
 
 // progress is the progress of own teams' jobs when it is due to be told, nil otherwise.
-func (n *Node) progress(now time.Time) map[string][2]int {
-	if now.Sub(n.progressSentAt) < progressEvery {
+func (n *Node) dueProgress(now time.Time) map[string][2]int {
+	if now.Sub(n.progressSentAt) < progressInterval {
 		return nil
 	}
 	n.progressSentAt = now
--- a/internal/controller/meeting_test.go
+++ b/internal/controller/meeting_test.go
@@ -167,9 +167,9 @@
 	n.recordVersion, n.startedAt = 7, n.startedAt.Add(-time.Minute)
 	now := time.Now()
 	promise := func(version *uint64) bool {
-		p := &peerState{heardAt: now}
+		p := &peerState{lastMessageAt: now}
 		n.peers = map[string]*peerState{"node-b": p}
-		s := statusMsg{Promise: true, Version: version, Heard: map[string]echo{n.name: {Incarnation: n.incarnation, At: now.Sub(n.startedAt).Milliseconds()}}}
+		s := statusMsg{Promise: true, RecordVersion: version, Received: map[string]receivedStatus{n.name: {Incarnation: n.incarnation, SentAt: now.Sub(n.startedAt).Milliseconds()}}}
 		n.onStatus(p, &s, now)
 		return n.entitled(now)
 	}
@@ -183,9 +183,9 @@
 		}
 	}
 	// A status that names one of this process's own that it never sent promises nothing, or it would for ever.
-	p := &peerState{heardAt: now}
+	p := &peerState{lastMessageAt: now}
 	n.peers = map[string]*peerState{"node-b": p}
-	n.onStatus(p, &statusMsg{Promise: true, Version: version(7), Heard: map[string]echo{n.name: {Incarnation: n.incarnation, At: 1 << 50}}}, now)
+	n.onStatus(p, &statusMsg{Promise: true, RecordVersion: version(7), Received: map[string]receivedStatus{n.name: {Incarnation: n.incarnation, SentAt: 1 << 50}}}, now)
 	if n.entitled(now) {
 		t.Error("a promise from the future entitles")
 	}
--- a/internal/controller/node.go
+++ b/internal/controller/node.go
@@ -172,7 +172,7 @@
 	n.recovery = newRecoveryState(s, life)
 	n.admission = newAdmissionState(o)
 	n.kvStore.OnSign(n.suspectLossLater)
-	n.agents = agents.New(n.capacity, n.size)
+	n.agents = agents.New(n.capacity, n.taskSize)
 	addrs := map[string]string{}
 	for _, p := range s.Peers {
 		addrs[p.Name] = p.Endpoint
@@ -204,7 +204,7 @@
 	}
 	duties := map[string]func(context.Context) error{
 		"serve": func(ctx context.Context) error {
-			return httpx.Serve(ctx, n.settings.Listen, conns, httpx.Patience{Idle: 90 * time.Second, Slow: 5 * time.Second}, n.handle)
+			return httpx.Serve(ctx, n.settings.Listen, conns, httpx.Patience{Idle: 90 * time.Second, Slow: 5 * time.Second}, n.serveHTTP)
 		},
 		"peers":   func(ctx context.Context) error { return n.links.Listen(ctx, n.settings.PeerListen) },
 		"state":   n.kvStore.Run,
@@ -212,7 +212,7 @@
 		"watch":   n.follow,
 		"control": n.keepRecord,
 		"tick":    n.runSteps,
-		"status":  n.tell,
+		"status":  n.sendStatuses,
 		"save":    n.savePages,
 		"enrol":   n.registerMachines,
 		"sync":    n.readChangesOnRequest,
@@ -245,7 +245,7 @@
 }
 
 // pause waits, and says false when the context ended.
-func pause(ctx context.Context, d time.Duration) bool { return wait.For(ctx, d) }
+func sleep(ctx context.Context, d time.Duration) bool { return wait.For(ctx, d) }
 
 // promiseLife is how long a promise not to raise the term holds.
 const promiseLife = 3 * time.Second
@@ -275,7 +275,7 @@
 	return now.Sub(n.leaseRenewedAt) > n.lease.Life*2/5 && !n.recordChangePending && n.unansweredVersion == 0 && n.trusted()
 }
 
-func (n *Node) typeOf(name string) *protocol.MachineType {
+func (n *Node) machineType(name string) *protocol.MachineType {
 	for i := range n.machineTypes {
 		if n.machineTypes[i].Name == name {
 			return &n.machineTypes[i]
@@ -285,14 +285,14 @@
 }
 
 func (n *Node) capacity(machineType string) (cpus, gpus, memory float64, ok bool) {
-	t := n.typeOf(machineType)
+	t := n.machineType(machineType)
 	if t == nil {
 		return 0, 0, 0, false
 	}
 	return t.CPUs, t.GPUs, t.Memory, true
 }
 
-func (n *Node) size(uid string) (cpus, gpus, memory float64) {
+func (n *Node) taskSize(uid string) (cpus, gpus, memory float64) {
 	if j := n.jobs[uid]; j != nil {
 		return j.spec.CPUs, j.spec.GPUs, j.spec.Memory
 	}
@@ -300,7 +300,7 @@
 }
 
 // handle answers what comes to the public address.
-func (n *Node) handle(ctx context.Context, c *httpx.Conn, r *httpx.Request) httpx.Answer {
+func (n *Node) serveHTTP(ctx context.Context, c *httpx.Conn, r *httpx.Request) httpx.Answer {
 	if r.Path == protocol.PathHeartbeat {
 		if r.Method != "POST" {
 			a := httpx.Refuse(405, "method not allowed")
--- a/internal/controller/orphan.go
+++ b/internal/controller/orphan.go
@@ -37,7 +37,7 @@
 	}
 	for _, t := range v.Tasks {
 		if t.State != protocol.Exited {
-			c, g, _ := k.n.size(t.Job)
+			c, g, _ := k.n.taskSize(t.Job)
 			cpus, gpus = cpus-c, gpus-g
 		}
 	}
--- a/internal/controller/overview.go
+++ b/internal/controller/overview.go
@@ -13,29 +13,29 @@
 
 // overview is an operator's view of one controller.
 type overview struct {
-	Node     string                  `json:"node"`
-	Version  string                  `json:"version"`
-	Term     uint64                  `json:"term"`
-	Entitled bool                    `json:"entitled"`
-	Behind   *float64                `json:"horizon_behind_s"` // how old what is known here of withdrawals may be; nil: nothing is known
-	Told     uint64                  `json:"withdrawals_told"` // withdrawals that users were told of here
-	Members  []string                `json:"members"`
-	Deaf     []string                `json:"deaf,omitempty"`
-	Unheard  []string                `json:"unheard_peers,omitempty"`
-	Still    float64                 `json:"last_stood_still_s,omitempty"`
-	Faulty   int                     `json:"faulty_jobs,omitempty"`
-	Late     []string                `json:"late_machines,omitempty"`
-	Owners   map[string]string       `json:"owners"`
-	Items    map[string]itemOverview `json:"items"`
-	Machines machinesOverview        `json:"machines"`
-	Jobs     int                     `json:"active_jobs"`
-	Waits    map[string]int64        `json:"start_wait_ms"`
-	Served   admission.Status        `json:"admission"`
-	Store    datarecovery.Status     `json:"store"`
-	Config   *configOverview         `json:"configuration,omitempty"`
+	Node     string                   `json:"node"`
+	Version  string                   `json:"version"`
+	Term     uint64                   `json:"term"`
+	Entitled bool                     `json:"entitled"`
+	Behind   *float64                 `json:"horizon_behind_s"` // how old what is known here of withdrawals may be; nil: nothing is known
+	Told     uint64                   `json:"withdrawals_told"` // withdrawals that users were told of here
+	Members  []string                 `json:"members"`
+	Deaf     []string                 `json:"deaf,omitempty"`
+	Unheard  []string                 `json:"unheard_peers,omitempty"`
+	Still    float64                  `json:"last_stood_still_s,omitempty"`
+	Faulty   int                      `json:"faulty_jobs,omitempty"`
+	Late     []string                 `json:"late_machines,omitempty"`
+	Owners   map[string]string        `json:"owners"`
+	Items    map[string]shardOverview `json:"items"`
+	Machines machinesOverview         `json:"machines"`
+	Jobs     int                      `json:"active_jobs"`
+	Waits    map[string]int64         `json:"start_wait_ms"`
+	Served   admission.Status         `json:"admission"`
+	Store    datarecovery.Status      `json:"store"`
+	Config   *configOverview          `json:"configuration,omitempty"`
 }
 
-type itemOverview struct {
+type shardOverview struct {
 	Phase    string   `json:"phase"`
 	Since    uint64   `json:"since_term"`
 	InSync   []string `json:"in_sync"`
@@ -56,7 +56,7 @@
 }
 
 // quantiles are those of the times from submission to start that are shown, in percent.
-var quantiles = map[string]float64{"p50": 50, "p90": 90, "p99": 99, "max": 100}
+var latencyQuantiles = map[string]float64{"p50": 50, "p90": 90, "p99": 99, "max": 100}
 
 func (n *Node) overview(now time.Time) overview {
 	n.mu.Lock()
@@ -66,14 +66,14 @@
 		Version:  Version,
 		Entitled: n.entitled(now),
 		Owners:   map[string]string{},
-		Items:    map[string]itemOverview{},
+		Items:    map[string]shardOverview{},
 		Machines: n.machinesOverview(now),
-		Waits:    n.waitsOverview(),
+		Waits:    n.startLatencies(),
 		Told:     n.cancelWatermark.Confirmed(),
 		Served:   n.admissionStatus(now),
 		Store:    n.storeStatus(),
 		Config:   n.configStatus(now),
-		Unheard:  n.unheardPeers(now),
+		Unheard:  n.unreachablePeers(now),
 		Still:    n.lastStall.Seconds(),
 		Late:     n.latePlaces,
 	}
@@ -88,7 +88,7 @@
 		o.Behind = &behind
 	}
 	for it := range n.shards.All() {
-		o.Items[it.Name()] = n.itemOverview(it)
+		o.Items[it.Name()] = n.shardOverview(it)
 	}
 	for uid, j := range n.jobs {
 		if !j.active {
@@ -103,8 +103,8 @@
 }
 
 // itemOverview describes an item that this controller owns.
-func (n *Node) itemOverview(it *shards.Owned) itemOverview {
-	x := itemOverview{Phase: it.Phase().String(), Since: it.SinceTerm(), Awaited: it.AwaitedCount(), InSync: n.record.Shards[it.Name()].InSync}
+func (n *Node) shardOverview(it *shards.Owned) shardOverview {
+	x := shardOverview{Phase: it.Phase().String(), Since: it.SinceTerm(), Awaited: it.AwaitedCount(), InSync: n.record.Shards[it.Name()].InSync}
 	if it.IsFleet() {
 		return x
 	}
@@ -137,9 +137,9 @@
 }
 
 // unheardPeers names the controllers that are not heard.
-func (n *Node) unheardPeers(now time.Time) (names []string) {
+func (n *Node) unreachablePeers(now time.Time) (names []string) {
 	for _, name := range slices.Sorted(maps.Keys(n.peers)) {
-		if !n.peers[name].isHeard(now) {
+		if !n.peers[name].isReachable(now) {
 			names = append(names, name)
 		}
 	}
@@ -147,9 +147,9 @@
 }
 
 // waitsOverview is the distribution of times from submission to start, in milliseconds.
-func (n *Node) waitsOverview() map[string]int64 {
+func (n *Node) startLatencies() map[string]int64 {
 	waits := map[string]int64{"count": n.startLatency.TotalCount()}
-	for name, q := range quantiles {
+	for name, q := range latencyQuantiles {
 		waits[name] = n.startLatency.ValueAtQuantile(q)
 	}
 	return waits
--- a/internal/controller/owner.go
+++ b/internal/controller/owner.go
@@ -95,7 +95,7 @@
 			return
 		}
 		n.log.Info("shard waits for the state service", "shard", shard.Name(), "err", err)
-		pause(ctx, 300*time.Millisecond)
+		sleep(ctx, 300*time.Millisecond)
 	}
 }
 
--- a/internal/controller/peerhandler.go
+++ b/internal/controller/peerhandler.go
@@ -24,7 +24,7 @@
 	if n.record != nil {
 		n.sendMemories(false, node)
 	}
-	n.tellNow() // one that starts waits for this one's word
+	n.requestStatus() // one that starts waits for this one's word
 	n.wake()
 }
 
@@ -43,10 +43,10 @@
 	now := time.Now()
 	p := n.peers[node]
 	if p.incarnation != incarnation {
-		p.incarnation, p.statusClock = incarnation, 0
+		p.incarnation, p.statusSentAt = incarnation, 0
 	}
 	n.cancelWatermark.RecordIncarnation(node, incarnation, now)
-	p.heardAt = now
+	p.lastMessageAt = now
 	var err error
 	switch kind {
 	case "status":
@@ -56,7 +56,7 @@
 			n.resetIfHalfOpen(node, &s, now)
 			n.onPeerCancellations(node, &s, now)
 			n.onHomeWatermarks(node, &s, now)
-			n.teach(node, &s, now)
+			n.sendNewerRecord(node, &s, now)
 			n.recovery.watch.Heard(node, s.Store, now)
 			n.onPlan(node, incarnation, p, &s.Plan)
 			n.onConfigWord(node, incarnation, s.Config, now)
@@ -147,8 +147,8 @@
 // resetIfHalfOpen has the connection to a peer dialled anew if the peer, which is heard, does not get what is sent on it.
 func (n *Node) resetIfHalfOpen(node string, s *statusMsg, now time.Time) {
 	received := uint64(0)
-	if e := s.Heard[n.name]; e.Incarnation == n.incarnation && e.At > 0 {
-		received = uint64(e.At)
+	if e := s.Received[n.name]; e.Incarnation == n.incarnation && e.SentAt > 0 {
+		received = uint64(e.SentAt)
 	}
 	if p := n.peers[node]; p.connected && p.delivery.Heard(now, received) {
 		n.log.Info("peer link is half-open", "peer", node)
@@ -157,14 +157,14 @@
 }
 
 func (n *Node) onStatus(p *peerState, s *statusMsg, now time.Time) {
-	p.leased, p.statusClock = s.Leased, s.At
-	if e, ok := s.Heard[n.name]; ok && s.Promise && s.Version != nil && e.Incarnation == n.incarnation && n.sentBy(e.At, now) {
+	p.holdsLease, p.statusSentAt = s.HoldsLease, s.SentAt
+	if e, ok := s.Received[n.name]; ok && s.Promise && s.RecordVersion != nil && e.Incarnation == n.incarnation && n.sentBy(e.SentAt, now) {
 		// The promise runs from when the peer sent it, which was after our own
 		// status that it names: counted from then, and less the clocks' drift, it
 		// ends here first.
-		until := n.startedAt.Add(time.Duration(e.At)*time.Millisecond + promiseLife - promiseLife/500)
+		until := n.startedAt.Add(time.Duration(e.SentAt)*time.Millisecond + promiseLife - promiseLife/500)
 		if until.After(p.promisedUntil) {
-			p.promisedUntil, p.promisedVersion = until, *s.Version
+			p.promisedUntil, p.promisedVersion = until, *s.RecordVersion
 		}
 	}
 	p.entitled, p.demands = s.Entitled, s.Demands
@@ -172,20 +172,20 @@
 		p.progress = s.Progress
 	}
 	p.drainingMachines = map[string]bool{}
-	for _, m := range s.Drain {
+	for _, m := range s.Draining {
 		p.drainingMachines[m] = true
 	}
-	p.awaitedMachines, p.unansweredMachines, p.wantedWrites = s.Awaits, s.Mute, -1
-	if s.Writes != nil {
-		p.wantedWrites = *s.Writes
+	p.awaitedMachines, p.unansweredMachines, p.wantedWrites = s.Awaited, s.Unanswered, -1
+	if s.WantedWrites != nil {
+		p.wantedWrites = *s.WantedWrites
 	}
-	for name, age := range s.Alive {
+	for name, age := range s.HeartbeatAges {
 		if m := n.machines[name]; m != nil && !m.gone {
 			t := now.Add(-time.Duration(age) * time.Millisecond)
 			m.heardAt, m.homeHeardAt = later(m.heardAt, t), later(m.homeHeardAt, t)
 		}
 	}
-	for _, name := range s.Stray {
+	for _, name := range s.Misdirected {
 		if m := n.machines[name]; m != nil && !m.gone {
 			m.misdirectedAt = now
 		}
@@ -208,7 +208,7 @@
 
 // owns says whether the record names that process of a node as an item's owner
 // since that term.
-func (n *Node) owns(node string, incarnation uint64, item string, since uint64) bool {
+func (n *Node) recordNamesOwner(node string, incarnation uint64, item string, since uint64) bool {
 	if n.record == nil || n.record.Nodes[node] != incarnation || n.record.Nodes[n.name] != n.incarnation {
 		n.hint()
 		return false
--- a/internal/controller/peerstate.go
+++ b/internal/controller/peerstate.go
@@ -11,10 +11,10 @@
 type peerState struct {
 	connected          bool
 	incarnation        uint64
-	heardAt            time.Time
+	lastMessageAt      time.Time
 	entitled           bool
-	leased             bool
-	statusClock        int64     // the peer's clock in its last status
+	holdsLease         bool
+	statusSentAt       int64     // the peer's clock in its last status
 	promisedUntil      time.Time // the peer promised to raise no term before
 	promisedVersion    uint64    // of the newest control record under which it promised so
 	behindSince        time.Time // since when it has known an earlier control record; zero: it does not
@@ -25,13 +25,15 @@
 	awaitedMachines    []string
 	unansweredMachines []string
 	wantedWrites       float64      // changes of the state service that it wants a second; negative if unknown
-	plan               admission.ID // the latest plan that it has heard of
+	admissionPlan      admission.ID // the latest plan that it has heard of
 	delivery           peer.Delivery
 }
 
 // unheardAfter is after what silence a peer counts as not heard: four of its
 // statuses.
-const unheardAfter = 2 * time.Second
+const unreachableAfter = 2 * time.Second
 
 // near says whether the peer is heard.
-func (p *peerState) isHeard(now time.Time) bool { return now.Sub(p.heardAt) <= unheardAfter }
+func (p *peerState) isReachable(now time.Time) bool {
+	return now.Sub(p.lastMessageAt) <= unreachableAfter
+}
--- a/internal/controller/placing.go
+++ b/internal/controller/placing.go
@@ -52,7 +52,7 @@
 	}
 	if len(list) > 0 && (len(p.short) > 0 || n.waitingAnnounced) {
 		n.waitingAnnounced = len(p.short) > 0
-		n.tellNow()
+		n.requestStatus()
 	}
 }
 
--- a/internal/controller/preemption.go
+++ b/internal/controller/preemption.go
@@ -140,7 +140,7 @@
 		}
 		p.n.evictions[v.ref] = e
 		host.Release(v.spec.CPUs, v.spec.GPUs, v.spec.Memory)
-		p.n.evict(evictMsg{Ref: v.ref, For: job})
+		p.n.evict(evictMsg{Attempt: v.ref, Beneficiary: job})
 	}
 	p.search.evicted(host, victims)
 }
@@ -192,7 +192,7 @@
 
 // evict asks the owner of a task to stop it.
 func (n *Node) evict(e evictMsg) {
-	j := n.jobs[e.Ref.Job]
+	j := n.jobs[e.Attempt.Job]
 	owner := n.record.Shards[shards.ForTeam(j.spec.Team)].Owner
 	if owner == n.name {
 		n.onEvict(&e)
@@ -203,7 +203,7 @@
 
 // onEvict stops a task of an own team for a job of higher priority.
 func (n *Node) onEvict(e *evictMsg) {
-	victim, job := n.jobs[e.Ref.Job], n.jobs[e.For]
+	victim, job := n.jobs[e.Attempt.Job], n.jobs[e.Beneficiary]
 	if victim == nil || job == nil || protocol.Rank(job.spec.Priority) <= protocol.Rank(victim.spec.Priority) {
 		return
 	}
@@ -211,8 +211,8 @@
 	if it == nil || !it.IsReady() {
 		return
 	}
-	if it.Team().Stop(e.Ref, victim.spec.Save) {
-		n.log.Debug("task preempted", "task", e.Ref.Job, "index", e.Ref.Index, "for", e.For)
+	if it.Team().Stop(e.Attempt, victim.spec.Save) {
+		n.log.Debug("task preempted", "task", e.Attempt.Job, "index", e.Attempt.Index, "for", e.Beneficiary)
 		n.wake()
 	}
 }
--- a/internal/controller/promise_test.go
+++ b/internal/controller/promise_test.go
@@ -75,9 +75,9 @@
 							break // links drop lines of older processes
 						}
 						if p.incarnation != l.inc {
-							p.incarnation, p.statusClock = l.inc, 0
+							p.incarnation, p.statusSentAt = l.inc, 0
 						}
-						p.heardAt = now
+						p.lastMessageAt = now
 						n.onStatus(p, &l.body, now)
 						break
 					}
--- a/internal/controller/provisioning.go
+++ b/internal/controller/provisioning.go
@@ -37,7 +37,7 @@
 // runFleet rents and returns machines while this controller owns the fleet.
 func (n *Node) runFleet(ctx context.Context) error {
 	var p *provisioner
-	for pause(ctx, provisionEvery) {
+	for sleep(ctx, provisionEvery) {
 		now := time.Now()
 		n.mu.Lock()
 		p = n.provision(p, now)
--- a/internal/controller/recordchange.go
+++ b/internal/controller/recordchange.go
@@ -45,7 +45,7 @@
 			return nil
 		case <-n.recordHints:
 			if err := n.refresh(ctx); err != nil {
-				pause(ctx, refreshRetryAfter)
+				sleep(ctx, refreshRetryAfter)
 			}
 			continue
 		case <-ticker.C:
@@ -60,13 +60,13 @@
 			continue
 		}
 		if err := n.refresh(ctx); err != nil {
-			pause(ctx, refreshRetryAfter)
+			sleep(ctx, refreshRetryAfter)
 		}
 		if errors.Is(err, kvstore.ErrConflict) && change.reason == upkeepReason {
 			n.mu.Lock()
 			wait := backoff.Refused(n.rng, len(change.record.Nodes))
 			n.mu.Unlock()
-			pause(ctx, wait)
+			sleep(ctx, wait)
 		}
 	}
 }
--- a/internal/controller/recovery_detect.go
+++ b/internal/controller/recovery_detect.go
@@ -125,7 +125,7 @@
 	if n.trusted() {
 		n.log.Info("state service doubted", "sign", what, "generation", n.epoch(), "revision", n.followedRevision)
 		n.recovery.watch.Suspect(what, time.Now())
-		n.tellNow()
+		n.requestStatus()
 	}
 }
 
@@ -216,7 +216,7 @@
 // what it lost.
 func (n *Node) watchStore(ctx context.Context) error {
 	pulsed, every := time.Now(), storeCheckInterval
-	for pause(ctx, every) {
+	for sleep(ctx, every) {
 		now := time.Now()
 		n.mu.Lock()
 		term, ahead := uint64(0), n.recovery.ahead
@@ -442,7 +442,7 @@
 		n.kvStore.Anew()
 	}
 	if err != nil {
-		pause(ctx, 100*time.Millisecond)
+		sleep(ctx, 100*time.Millisecond)
 		return
 	}
 	n.mu.Lock()
--- a/internal/controller/recovery_gather.go
+++ b/internal/controller/recovery_gather.go
@@ -145,11 +145,11 @@
 // startFor is how long a process that starts may take to hear its peers. Before that, one
 // that is not heard is not gone: it was once taken for that, and what it remembers was not
 // waited for.
-const startupGrace = unheardAfter + 500*time.Millisecond
+const startupGrace = unreachableAfter + 500*time.Millisecond
 
 // mayHear says whether a peer is heard, or may be soon.
 func (n *Node) mayBeHeard(name string, now time.Time) bool {
-	return n.peers[name].isHeard(now) || now.Sub(n.startedAt) < startupGrace
+	return n.peers[name].isReachable(now) || now.Sub(n.startedAt) < startupGrace
 }
 
 // recallEvery is after what time those who did not answer are told again, as when they
@@ -164,7 +164,7 @@
 		if s.Spec == nil || !protocol.ValidUID(s.Spec.UID) {
 			continue
 		}
-		if !n.ended(s.Spec.UID) {
+		if !n.hasEnded(s.Spec.UID) {
 			n.learnJob(s, 0)
 		}
 	}
@@ -174,7 +174,7 @@
 		return
 	}
 	for _, uid := range m.Active {
-		if n.jobs[uid] == nil && !n.ended(uid) {
+		if n.jobs[uid] == nil && !n.hasEnded(uid) {
 			// Accepted and not ended, as the sender knows: the store must have it, or its end.
 			n.lookUpEnd(uid, 1<<52)
 		}
@@ -246,7 +246,7 @@
 	n.recovery.holds[m.ID] = got
 	line := peer.Line(kindReplicateFact, m)
 	for name, p := range n.peers {
-		if n.links.SendLine(name, line) && p.isHeard(now) {
+		if n.links.SendLine(name, line) && p.isReachable(now) {
 			near++
 		}
 	}
@@ -274,7 +274,7 @@
 func (n *Node) broadcastEnd(uid string, end userapi.Final) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.tellAll(kindReplicateFact, replicateFactMsg{Ends: []jobEnd{{uid, end}}})
+	n.broadcast(kindReplicateFact, replicateFactMsg{Ends: []jobEnd{{uid, end}}})
 }
 
 // holdFor is how long a peer is waited for to hold a fact.
--- a/internal/controller/recovery_writeback.go
+++ b/internal/controller/recovery_writeback.go
@@ -143,7 +143,7 @@
 			n.broadcastEnd(uid, end)
 		}
 	} else if err != nil {
-		pause(ctx, 200*time.Millisecond)
+		sleep(ctx, 200*time.Millisecond)
 	}
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -205,7 +205,7 @@
 		}
 		if !ready || err != nil {
 			more = true
-			if !pause(ctx, 300*time.Millisecond) {
+			if !sleep(ctx, 300*time.Millisecond) {
 				return nil
 			}
 			continue
@@ -221,7 +221,7 @@
 			}
 		}
 		n.mu.Unlock()
-		if !pause(ctx, 100*time.Millisecond) {
+		if !sleep(ctx, 100*time.Millisecond) {
 			return nil
 		}
 	}
@@ -259,7 +259,7 @@
 	}
 	for uid, d := range done {
 		j := n.jobs[uid]
-		if d == nil || n.ended(uid) || j != nil && (!j.active || j.spec.Kind == protocol.Service) {
+		if d == nil || n.hasEnded(uid) || j != nil && (!j.active || j.spec.Kind == protocol.Service) {
 			continue
 		}
 		if n.recovery.done[uid] == nil {
@@ -279,7 +279,7 @@
 // takeCensus reads the cloud's list once it must name every machine that was rented
 // before the generation began. The roster may have lost some of them.
 func (n *Node) countMachines(ctx context.Context) error {
-	for pause(ctx, 200*time.Millisecond) {
+	for sleep(ctx, 200*time.Millisecond) {
 		n.mu.Lock()
 		entered := n.recovery.entered
 		due := n.record != nil && n.record.RosterIncomplete && n.recovery.census == nil && n.trusted() &&
--- a/internal/controller/renewal.go
+++ b/internal/controller/renewal.go
@@ -70,7 +70,7 @@
 // over says whether a job is known to be withdrawn or done.
 func (n *Node) jobEnded(uid string) bool {
 	j := n.jobs[uid]
-	return j != nil && !j.active || n.ended(uid)
+	return j != nil && !j.active || n.hasEnded(uid)
 }
 
 // readyToSend prepares a home's commands for a machine: no start of a job that is over goes out, whose owner may not
@@ -86,7 +86,7 @@
 	if n.numberCancellation(&m); m.From == 0 {
 		return
 	}
-	n.tellAll(kindReplicateFact, m)
+	n.broadcast(kindReplicateFact, m)
 }
 
 // number gives the withdrawal that a line tells of its number.
@@ -115,13 +115,13 @@
 
 // onHorizon takes in what a status says of withdrawals.
 func (n *Node) onPeerCancellations(name string, s *statusMsg, now time.Time) {
-	e, heard := s.Heard[n.name]
-	if !heard || e.Incarnation != n.incarnation || s.Told == nil || !n.sentBy(e.At, now) {
+	e, heard := s.Received[n.name]
+	if !heard || e.Incarnation != n.incarnation || s.Cancellations == nil || !n.sentBy(e.SentAt, now) {
 		return
 	}
-	n.cancelWatermark.RecordConfirmedBy(name, *s.Told, n.startedAt.Add(time.Duration(e.At)*time.Millisecond))
-	if e.Got != nil {
-		n.cancelWatermark.RecordAcknowledgedBy(name, *e.Got)
+	n.cancelWatermark.RecordConfirmedBy(name, *s.Cancellations, n.startedAt.Add(time.Duration(e.SentAt)*time.Millisecond))
+	if e.Cancellations != nil {
+		n.cancelWatermark.RecordAcknowledgedBy(name, *e.Cancellations)
 	}
 	n.resendCancellations(name, now)
 }
@@ -130,17 +130,17 @@
 // machine, and one that may still arrive was sent knowing what it says. The status may have been held up, so its
 // ages count from this process's own status that it names.
 func (n *Node) onHomeWatermarks(name string, s *statusMsg, now time.Time) {
-	e, heard := s.Heard[n.name]
-	if !heard || e.Incarnation != n.incarnation || !n.sentBy(e.At, now) || n.record == nil {
+	e, heard := s.Received[n.name]
+	if !heard || e.Incarnation != n.incarnation || !n.sentBy(e.SentAt, now) || n.record == nil {
 		return
 	}
-	sent := n.startedAt.Add(time.Duration(e.At) * time.Millisecond)
-	for machine, age := range s.Alive {
+	sent := n.startedAt.Add(time.Duration(e.SentAt) * time.Millisecond)
+	for machine, age := range s.HeartbeatAges {
 		m := n.machines[machine]
 		if m == nil || m.gone || n.homeOf(machine) != name {
 			continue
 		}
-		if inFlight, ok := s.InFlight[machine]; ok {
+		if inFlight, ok := s.InFlightAges[machine]; ok {
 			age = max(age, inFlight)
 		}
 		m.homeWatermark = sent.Add(-time.Duration(age) * time.Millisecond)
@@ -169,29 +169,29 @@
 
 // Times of telling peers the control record.
 const (
-	teachEvery    = time.Second
-	teachAMember  = 25 * time.Millisecond // for each further member that a peer may hear of it from
-	teachAtOnceBy = 3                     // members who tell it at once
+	recordSendInterval     = time.Second
+	recordDelayPerMember   = 25 * time.Millisecond // for each further member that a peer may hear of it from
+	immediateRecordSenders = 3                     // members who tell it at once
 )
 
 // teachAfter is for how long a peer must be behind before it is told the record: it mostly reads it by itself meanwhile, and in a
 // large group all others would tell it at the same time.
-func teachAfter(members int) time.Duration {
-	return min(teachEvery, time.Duration(max(0, members-teachAtOnceBy))*teachAMember)
+func recordSendDelay(members int) time.Duration {
+	return min(recordSendInterval, time.Duration(max(0, members-immediateRecordSenders))*recordDelayPerMember)
 }
 
 // teach gives the control record to a peer that knows an earlier one, as one that the state service refused
 // before it was down for all: it may act by promises only under the latest.
-func (n *Node) teach(name string, s *statusMsg, now time.Time) {
+func (n *Node) sendNewerRecord(name string, s *statusMsg, now time.Time) {
 	p := n.peers[name]
-	if n.record == nil || s.Version == nil || *s.Version >= n.recordVersion || s.Store.Epoch != n.epoch() || !n.trusted() {
+	if n.record == nil || s.RecordVersion == nil || *s.RecordVersion >= n.recordVersion || s.Store.Epoch != n.epoch() || !n.trusted() {
 		p.behindSince = time.Time{}
 		return
 	}
 	if p.behindSince.IsZero() {
 		p.behindSince = now
 	}
-	if now.Sub(p.behindSince) < teachAfter(len(n.record.Nodes)) || now.Sub(p.recordSentAt) < teachEvery {
+	if now.Sub(p.behindSince) < recordSendDelay(len(n.record.Nodes)) || now.Sub(p.recordSentAt) < recordSendInterval {
 		return
 	}
 	p.recordSentAt = now
--- a/internal/controller/replication.go
+++ b/internal/controller/replication.go
@@ -36,7 +36,7 @@
 
 // onCopy takes a whole replica of a peer's shard.
 func (n *Node) onCopy(node string, incarnation uint64, m *shards.Copy) {
-	if !n.owns(node, incarnation, m.Shard, m.SinceTerm) {
+	if !n.recordNamesOwner(node, incarnation, m.Shard, m.SinceTerm) {
 		n.requestCopy(node, m.Shard, m.SinceTerm)
 		return
 	}
@@ -45,7 +45,7 @@
 
 // onCopyPart takes a part of a replica of a peer's shard.
 func (n *Node) onCopyPart(node string, incarnation uint64, m *shards.CopyPart) {
-	if !n.owns(node, incarnation, m.Shard, m.SinceTerm) {
+	if !n.recordNamesOwner(node, incarnation, m.Shard, m.SinceTerm) {
 		n.requestCopy(node, m.Shard, m.SinceTerm)
 		return
 	}
@@ -54,7 +54,7 @@
 
 // onDeltas takes changes of a peer's shard.
 func (n *Node) onDeltas(node string, incarnation uint64, m *shards.Deltas) {
-	if !n.shards.Held().Has(m.Shard) || !n.owns(node, incarnation, m.Shard, m.SinceTerm) {
+	if !n.shards.Held().Has(m.Shard) || !n.recordNamesOwner(node, incarnation, m.Shard, m.SinceTerm) {
 		n.requestCopy(node, m.Shard, m.SinceTerm)
 		return
 	}
--- a/internal/controller/roster.go
+++ b/internal/controller/roster.go
@@ -51,7 +51,7 @@
 // start is in the state service first, so that an owner without memory knows
 // whom to wait for.
 func (n *Node) registerMachines(ctx context.Context) error {
-	for pause(ctx, registerInterval) {
+	for sleep(ctx, registerInterval) {
 		n.mu.Lock()
 		var names []string
 		for name := range n.unregistered {
--- a/internal/controller/save.go
+++ b/internal/controller/save.go
@@ -34,7 +34,7 @@
 
 // savePages writes pages of finished tasks, paced.
 func (n *Node) savePages(ctx context.Context) error {
-	for pause(ctx, settings.Seconds(n.options.BitmapEvery)) {
+	for sleep(ctx, settings.Seconds(n.options.BitmapEvery)) {
 		n.mu.Lock()
 		if n.entitled(time.Now()) {
 			for shard := range n.shards.All() {
--- a/internal/controller/status.go
+++ b/internal/controller/status.go
@@ -11,10 +11,10 @@
 )
 
 // newsEvery is the least time between two statuses.
-const newsEvery = 150 * time.Millisecond
+const minStatusInterval = 150 * time.Millisecond
 
 // tellNow has the next status go out soon.
-func (n *Node) tellNow() {
+func (n *Node) requestStatus() {
 	select {
 	case n.statusRequests <- struct{}{}:
 	default:
@@ -22,7 +22,7 @@
 }
 
 // tell sends this controller's status to its peers.
-func (n *Node) tell(ctx context.Context) error {
+func (n *Node) sendStatuses(ctx context.Context) error {
 	ticker := time.NewTicker(500 * time.Millisecond)
 	defer ticker.Stop()
 	for {
@@ -39,18 +39,18 @@
 		n.mu.Lock()
 		s := n.status(now)
 		writes := n.shareWrites(now)
-		s.Writes = &writes
-		n.tellAll("status", s)
-		n.prune(now)
+		s.WantedWrites = &writes
+		n.broadcast("status", s)
+		n.forgetOld(now)
 		n.mu.Unlock()
-		if !pause(ctx, newsEvery) {
+		if !sleep(ctx, minStatusInterval) {
 			return nil
 		}
 	}
 }
 
 // tellAll sends every peer the same line.
-func (n *Node) tellAll(kind string, body any) {
+func (n *Node) broadcast(kind string, body any) {
 	line := peer.Line(kind, body)
 	for name := range n.peers {
 		n.links.SendLine(name, line)
@@ -64,7 +64,7 @@
 	var others []float64
 	for _, p := range n.peers {
 		wanted := p.wantedWrites
-		if !p.isHeard(now) {
+		if !p.isReachable(now) {
 			wanted = -1
 		}
 		others = append(others, wanted)
@@ -76,12 +76,12 @@
 // status sums up this controller for its peers, and makes the promise in it.
 func (n *Node) status(now time.Time) statusMsg {
 	told, version := n.cancelWatermark.Confirmed(), n.recordVersion
-	s := statusMsg{Store: n.storeAssessment(), Told: &told, Version: &version, Entitled: n.entitled(now), Leased: n.lease.Valid(now), At: now.Sub(n.startedAt).Milliseconds(),
-		Heard: map[string]echo{}, Alive: map[string]int64{}}
+	s := statusMsg{Store: n.storeAssessment(), Cancellations: &told, RecordVersion: &version, Entitled: n.entitled(now), HoldsLease: n.lease.Valid(now), SentAt: now.Sub(n.startedAt).Milliseconds(),
+		Received: map[string]receivedStatus{}, HeartbeatAges: map[string]int64{}}
 	for name, p := range n.peers {
-		if now.Sub(p.heardAt) < promiseLife && p.statusClock > 0 {
+		if now.Sub(p.lastMessageAt) < promiseLife && p.statusSentAt > 0 {
 			got := n.cancelWatermark.ReceivedFrom(name)
-			s.Heard[name] = echo{p.incarnation, p.statusClock, &got}
+			s.Received[name] = receivedStatus{p.incarnation, p.statusSentAt, &got}
 		}
 	}
 	if s.Promise = n.promises(now); s.Promise {
@@ -91,21 +91,21 @@
 		s.Term = n.record.Term
 	}
 	for name, m := range n.agents.All() {
-		s.Alive[name] = now.Sub(m.HeartbeatAt).Milliseconds()
+		s.HeartbeatAges[name] = now.Sub(m.HeartbeatAt).Milliseconds()
 		if known := m.InFlightWatermark(anyJob); !known.IsZero() {
-			if s.InFlight == nil {
-				s.InFlight = map[string]int64{}
+			if s.InFlightAges == nil {
+				s.InFlightAges = map[string]int64{}
 			}
-			s.InFlight[name] = now.Sub(known).Milliseconds() + 1 // rounded up
+			s.InFlightAges[name] = now.Sub(known).Milliseconds() + 1 // rounded up
 		}
 	}
-	s.Stray = slices.Sorted(maps.Keys(n.misdirectedAgents))
+	s.Misdirected = slices.Sorted(maps.Keys(n.misdirectedAgents))
 	clear(n.misdirectedAgents)
 	s.Demands = n.demands(now)
-	s.Progress, s.Plan, s.Config = n.progress(now), n.planWord(), n.configWord(now)
-	s.Awaits, s.Mute = n.shards.AwaitedMachines(), n.unanswered()
+	s.Progress, s.Plan, s.Config = n.dueProgress(now), n.planWord(), n.configWord(now)
+	s.Awaited, s.Unanswered = n.shards.AwaitedMachines(), n.unanswered()
 	if n.shards.OwnsFleet() {
-		s.Drain = slices.Sorted(maps.Keys(n.drainingMachines))
+		s.Draining = slices.Sorted(maps.Keys(n.drainingMachines))
 	}
 	return s
 }
@@ -115,7 +115,7 @@
 
 // prune forgets jobs that ended and machines that were gone long ago when there
 // are many; a machine that still lists such a job makes its home look it up again.
-func (n *Node) prune(now time.Time) {
+func (n *Node) forgetOld(now time.Time) {
 	const many, long = 2000, 5 * time.Minute
 	if len(n.machines) > many {
 		maps.DeleteFunc(n.machines, func(name string, m *machine) bool {
--- a/internal/controller/step.go
+++ b/internal/controller/step.go
@@ -43,7 +43,7 @@
 		n.step(began)
 		took := time.Since(began)
 		n.mu.Unlock()
-		if !pause(ctx, max(minStepPause, stepPauseFactor*took)) {
+		if !sleep(ctx, max(minStepPause, stepPauseFactor*took)) {
 			return nil
 		}
 	}
--- a/internal/controller/stray_test.go
+++ b/internal/controller/stray_test.go
@@ -60,14 +60,14 @@
 		lease := settings.Seconds(n.settings.Deployment.Workers.Lease)
 		start := time.Now()
 		n.membershipSettledAt = start.Add(-time.Minute)
-		n.peers["node-b"] = &peerState{heardAt: start}
+		n.peers["node-b"] = &peerState{lastMessageAt: start}
 		cut, mended := start.Add(20*time.Second), start.Add(60*time.Second)
 		w := &roamer{name: "n-000001", next: start, answered: start}
 		down := func(now time.Time) bool { return !now.Before(cut) && now.Before(mended) }
 		play := func(until time.Time) {
 			w.play(n, "node-b", until, func(now time.Time) bool { return !down(now) }, func(now time.Time) {
 				if !silent || !down(now) {
-					n.peers["node-b"].heardAt = now
+					n.peers["node-b"].lastMessageAt = now
 				}
 			})
 		}
@@ -93,7 +93,7 @@
 	now := time.Now()
 	n.membershipSettledAt = now.Add(-time.Minute)
 	home := "node-b"
-	n.peers[home] = &peerState{heardAt: now}
+	n.peers[home] = &peerState{lastMessageAt: now}
 	var homed []string
 	for i := range 120 {
 		if name := fmt.Sprintf("n-%06d", i); n.record.Home(name) == home {
@@ -104,7 +104,7 @@
 		n.unreachableHomes = map[string]map[string]misdirection{}
 		for i := range 6 {
 			at := now.Add(time.Duration(i) * time.Second)
-			n.peers[home].heardAt = at
+			n.peers[home].lastMessageAt = at
 			for _, name := range names {
 				n.keepAliveForHome(home, name, at)
 			}
@@ -190,7 +190,7 @@
 	record.Shards[it.Name()] = leadership.Shard{Owner: n.name, SinceTerm: 1, InSync: []string{"node-b"}}
 	n.record, n.membershipSettledAt = record, g.now
 	it.Resume(g.now)
-	n.peers["node-b"] = &peerState{connected: true, heardAt: g.now}
+	n.peers["node-b"] = &peerState{connected: true, lastMessageAt: g.now}
 	it.Team().Replica().Seq = 1
 	it.Replicas().Replicate(n.cluster(), g.now) // a copy goes out, of which nothing is acknowledged
 	it.Replicas().Acknowledge("node-b", 1, &shards.Acknowledgement{Shard: it.Name(), SinceTerm: 1}, g.now)
@@ -229,8 +229,8 @@
 	r := protocol.Heartbeat{Machine: name, Addr: "127.0.0.1:1", Type: "m32", Zone: "east", Incarnation: 1, Seq: 9, FencingToken: 1, Tasks: []protocol.TaskStatus{}}
 	n.handleHeartbeat(protocol.Encode(r))
 	s := n.status(at)
-	if !slices.Equal(s.Stray, []string{name}) || len(n.status(at).Stray) != 0 {
-		t.Fatalf("tells of %v, then of more", s.Stray)
+	if !slices.Equal(s.Misdirected, []string{name}) || len(n.status(at).Misdirected) != 0 {
+		t.Fatalf("tells of %v, then of more", s.Misdirected)
 	}
 	m := fleetOwner.machine(name)
 	before := m.lastHeard()
--- a/internal/controller/sustain_test.go
+++ b/internal/controller/sustain_test.go
@@ -19,7 +19,7 @@
 	g := newGrown(8, 1)
 	n := g.n
 	n.lease = leadership.Lease{Life: 5 * time.Second} // lapsed, and nobody promises anything
-	n.peers["node-b"] = &peerState{heardAt: g.now.Add(-time.Minute)}
+	n.peers["node-b"] = &peerState{lastMessageAt: g.now.Add(-time.Minute)}
 	w := n.settings.Deployment.Workers
 	g.submit(1, 4)
 	n.cancelWatermark.RecordRead(g.now)
@@ -77,7 +77,7 @@
 			}
 		}
 	}
-	n.peers["node-b"].heardAt, n.peers["node-b"].entitled = later, true
+	n.peers["node-b"].lastMessageAt, n.peers["node-b"].entitled = later, true
 	if got := answer(later, name, 1, protocol.Exited, "job-000001/0"); got != 421 {
 		t.Errorf("with an entitled peer in hearing the answer is %d", got)
 	}
@@ -96,7 +96,7 @@
 		homed[name] = n.record.Home(name) == n.name
 	}
 	for _, p := range []string{"node-b", "node-c"} {
-		n.peers[p] = &peerState{connected: true, heardAt: g.now}
+		n.peers[p] = &peerState{connected: true, lastMessageAt: g.now}
 		n.presences[p] = leadership.Presence{Incarnation: 1, Version: 1}
 	}
 	if hosts := n.hosts(g.now, nil); len(hosts) != 40 {
--- a/internal/controller/sync.go
+++ b/internal/controller/sync.go
@@ -76,7 +76,7 @@
 			<-open
 			return nil
 		})
-		if !pause(ctx, changeReadInterval) {
+		if !sleep(ctx, changeReadInterval) {
 			return nil
 		}
 	}
--- a/internal/controller/sync_test.go
+++ b/internal/controller/sync_test.go
@@ -141,7 +141,7 @@
 			rep.Assignments[hold.TaskID], want = hold, 1
 		}
 		n.learnJob(userapi.Stored{Spec: array(1, 3, "red")}, 1)
-		n.peers["node-b"] = &peerState{connected: true, heardAt: time.Now()}
+		n.peers["node-b"] = &peerState{connected: true, lastMessageAt: time.Now()}
 		n.recovery.gather = datarecovery.NewExchange(2, []string{"node-b"}) // it is yet to tell what it remembers
 		it := ownedShard(n, name, 5, blind, rep)
 		n.mu.Lock()
--- a/internal/controller/userbackend.go
+++ b/internal/controller/userbackend.go
@@ -143,10 +143,10 @@
 	// takes and get no answer, while the others serve.
 	alone := len(n.peers) > 0
 	for _, p := range n.peers {
-		if p.leased && p.isHeard(now) {
+		if p.holdsLease && p.isReachable(now) {
 			return false
 		}
-		alone = alone && now.Sub(p.heardAt) > aloneAfter
+		alone = alone && now.Sub(p.lastMessageAt) > aloneAfter
 	}
 	return !alone && now.Sub(n.startedAt) > 5*time.Second
 }
--- a/internal/controller/waiting.go
+++ b/internal/controller/waiting.go
@@ -46,7 +46,7 @@
 		return nil
 	}
 	for _, p := range n.peers {
-		if !p.isHeard(now) || !p.entitled {
+		if !p.isReachable(now) || !p.entitled {
 			continue // one that lost its lease tells of work that others have taken over
 		}
 		for i := range p.demands {
@@ -63,7 +63,7 @@
 	for i := range demands {
 		d := &demands[i]
 		own := claim{it, it.Team().Job(d.Spec.UID)}
-		wanted := demand{Job: d.Spec.UID, Count: d.Count, First: first[i], Borrowed: d.Borrowed}
+		wanted := demand{Job: d.Spec.UID, Count: d.Count, Prioritized: first[i], Borrowed: d.Borrowed}
 		list = n.appendWaiting(list, own, &wanted, d.Probe, now)
 	}
 	return n.appendSpare(list, it, now)
@@ -91,7 +91,7 @@
 	}
 	w := waitingTasks{claim: whose, spec: j.spec, borrowed: d.Borrowed, probe: probe, submitted: j.submittedAt}
 	n.setUrgency(&w, j, now)
-	first := max(0, min(d.First, d.Count))
+	first := max(0, min(d.Prioritized, d.Count))
 	if first > 0 {
 		w.first, w.count = true, first
 		list = append(list, w)
