--- a/internal/controller/barrierprobe.go
+++ b/internal/controller/barrierprobe.go
@@ -10,19 +10,18 @@
 	"topazhollow/internal/shards"
 )
 
-// After an end of all controllers the full barrier waits for every registered machine, and
-// each comes only with its next report, by way of a connection that is gone and of a
-// controller that sends it home: six seconds for the last of a thousand. The cloud's list has
-// their addresses. So the fleet's owner tells the homes, and these probe the machines: a /do
-// without commands teaches a worker the term, and its answer is a report that knows it, which
-// is what the barrier waits for.
+// After an end of all controllers the full barrier waits for every registered machine. Each of them
+// sends its next report over a connection that is gone, and then to a controller that redirects it to its home:
+// the last of a thousand took six seconds. The cloud's list has their addresses. So the fleet's owner sends these
+// to the homes, which probe the machines: a /do without commands carries the term to an agent, and its
+// answer is a report under that term, which is what the barrier waits for.
 
 const (
 	// maxOpenProbes is how many machines a controller probes at a time.
 	maxOpenProbes = 24
 	// probeTimeout is how long a machine may take to answer a probe.
 	probeTimeout = 1500 * time.Millisecond
-	// probeTries is how often a machine is asked: a second time if it is in another session.
+	// probeTries is how often a machine is asked: a second time if it is in another incarnation.
 	probeTries = 2
 	// probeAnswerSize is how many bytes an answer has at most.
 	probeAnswerSize = 1 << 20
@@ -31,7 +30,7 @@
 // barrierProbes is the probes of one term.
 type barrierProbes struct {
 	shards.Probes
-	turns chan struct{} // holds one element for each probe under way in the term
+	slots chan struct{} // one element for each probe under way in the term
 }
 
 // probeAwaited has the homes of all machines that a barrier waits for probe them.
@@ -49,15 +48,15 @@
 	n.onProbe(addrs, time.Now())
 }
 
-// onProbe probes the machines homed here that were not heard in this term.
+// onProbe probes the machines homed here that have not reported under this term.
 func (n *Node) onProbe(addrs map[string]string, now time.Time) {
 	if !n.entitled(now) {
 		return
 	}
 	if n.probes.Begin(n.record.Term) {
-		n.probes.turns = make(chan struct{}, maxOpenProbes)
+		n.probes.slots = make(chan struct{}, maxOpenProbes)
 	}
-	term, turns := n.probes.Term(), n.probes.turns
+	term, slots := n.probes.Term(), n.probes.slots
 	for _, name := range slices.Sorted(maps.Keys(addrs)) {
 		m := n.machine(name)
 		if n.homeOf(name) != n.name || m.knowsTerm(term) || !n.probes.Ask(name) {
@@ -69,9 +68,9 @@
 		}
 		n.group.Go(func() error {
 			select {
-			case turns <- struct{}{}:
+			case slots <- struct{}{}:
 				n.probeMachine(term, name, addrs[name], incarnation)
-				<-turns
+				<-slots
 			case <-n.ctx.Done():
 			}
 			return nil
@@ -79,7 +78,7 @@
 	}
 }
 
-// knowsTerm says whether a machine is gone, or was heard with a report that knows a term.
+// knowsTerm says whether a machine is gone, or reported under a term or a later one.
 func (m *machine) knowsTerm(term uint64) bool {
 	return m.gone || m.status != nil && m.status.FencingToken >= term
 }
@@ -104,7 +103,7 @@
 	}
 }
 
-// probeNeeded says whether a machine has still to be asked: meanwhile it may have come by
+// probeNeeded says whether a machine has to be asked yet: meanwhile it may have reported by
 // itself, or the term may be another.
 func (n *Node) probeNeeded(term uint64, name string) bool {
 	n.mu.Lock()
--- a/internal/controller/barrierprobe_test.go
+++ b/internal/controller/barrierprobe_test.go
@@ -16,9 +16,9 @@
 )
 
 // TestBarrierProbe: after an end of all controllers the barrier waited for each machine's
-// next report, and for each dead one until silence told. A probe must make a machine
-// known under the term at once, whatever its session, without a command and without a
-// second one; one that does not answer must be told of. Nothing goes to machines of
+// next report, and for each dead one until its silence was noticed. A probe must have a machine
+// known under the term at once, whatever its incarnation, without a command and without a
+// second probe; one that does not answer must be listed. Nothing goes to machines of
 // other homes, nor without being entitled.
 func TestBarrierProbe(t *testing.T) {
 	check := simulation.NewChecker(map[string]float64{"red": 8})
@@ -65,8 +65,8 @@
 	for name := range workers {
 		m := n.machines[name]
 		mine := n.record.Home(name) == n.name
-		if heard := m != nil && m.status != nil && m.status.FencingToken == 5; heard != mine {
-			t.Errorf("%s: homed here %v, heard under the term %v", name, mine, heard)
+		if known := m != nil && m.status != nil && m.status.FencingToken == 5; known != mine {
+			t.Errorf("%s: homed here %v, known under the term %v", name, mine, known)
 		}
 	}
 	var mute []string
@@ -76,7 +76,7 @@
 		}
 	}
 	if got := n.unanswered(); !slices.Equal(got, mute) {
-		t.Errorf("mute are %v, not %v", got, mute)
+		t.Errorf("unanswered are %v, not %v", got, mute)
 	}
 	seq := map[string]uint64{}
 	for name, m := range n.machines {
@@ -91,10 +91,10 @@
 		}
 	}
 	if len(seq) < 2 || len(check.Rules()) > 0 || check.Started > 0 {
-		t.Errorf("%d machines heard, rules %v, %d starts", len(seq), check.Rules(), check.Started)
+		t.Errorf("%d machines known, rules %v, %d starts", len(seq), check.Rules(), check.Started)
 	}
 	n.applyHeartbeat(&protocol.Heartbeat{Machine: "n-000099", Incarnation: 1, Seq: 1, FencingToken: 5, Tasks: []protocol.TaskStatus{}}, time.Now())
 	if got := n.unanswered(); slices.Contains(got, "n-000099") {
-		t.Errorf("mute though it reported since: %v", got)
+		t.Errorf("unanswered though it reported since: %v", got)
 	}
 }
--- a/internal/controller/orders.go
+++ b/internal/controller/orders.go
@@ -9,7 +9,8 @@
 	"topazhollow/internal/shards"
 )
 
-// reconcileMachine lets an item's account see a machine and sends the orders that follow.
+// reconcileMachine compares a machine's report with what a shard's owner has assigned to it, and sends the orders that
+// follow.
 func (n *Node) reconcileMachine(shard *shards.Owned, v *jobstate.MachineStatus) {
 	if !shard.IsReady() || shard.IsFleet() {
 		return
@@ -24,15 +25,14 @@
 	}
 }
 
-// reconcileMachinesOf looks again at the machines that hold tasks of a job.
+// reconcileMachinesOf does so again for the machines that list tasks of a job.
 func (n *Node) reconcileMachinesOf(shard *shards.Owned, uid string) {
 	for _, name := range slices.Sorted(maps.Keys(n.machinesByJob[uid])) {
 		n.reconcileMachine(shard, n.machines[name].status)
 	}
 }
 
-// sendOrders hands commands for a machine to its home; false if they surely went
-// nowhere.
+// sendOrders hands orders for a machine to its home; false if they surely did not go out.
 func (n *Node) sendOrders(name string, orders []jobstate.Order) bool {
 	home := n.homeOf(name)
 	if home == n.name {
@@ -42,7 +42,7 @@
 	return n.links.Send(home, "orders", ordersMsg{Term: n.record.Term, Machine: name, Orders: orders})
 }
 
-// acceptOrders is the home's side of order.
+// acceptOrders queues orders of an owner at the machine's home.
 func (n *Node) acceptOrders(name string, term uint64, orders []jobstate.Order) {
 	if n.agents.QueueOrders(term, name, orders) {
 		n.wakeCommandSender(name)
--- a/internal/controller/owner.go
+++ b/internal/controller/owner.go
@@ -57,10 +57,10 @@
 	})
 }
 
-// reload has shards that are not ready yet look at the roster again, now that it names every machine that
-// may run something from before a loss. Whom such a shard waited for until then came from a roster with
-// holes, and the record that calls it whole may be known here before the lists that fill them: an
-// owner that started after the loss once waited for nobody and started again what still ran.
+// reload has shards that are not ready yet read the roster again, now that it names every machine that
+// may run something from before a loss of data. The machines that such a shard awaits were taken from a roster that
+// lacked some, and the record that calls it complete may be known here before the lists that complete it: an
+// owner that started after the loss once awaited no machine and started tasks again that were running.
 func (n *Node) reload() {
 	for shard := range n.shards.All() {
 		if shard.Reload() {
--- a/internal/controller/replication.go
+++ b/internal/controller/replication.go
@@ -68,7 +68,7 @@
 	n.acknowledge(owner, shards.RequestCopy(name, sinceTerm))
 }
 
-// acknowledge tells a shard's owner what the replica here has.
+// acknowledge sends a shard's owner what the replica here has.
 func (n *Node) acknowledge(owner string, a shards.Acknowledgement) {
 	n.links.Send(owner, shards.KindAcknowledgement, a)
 }
--- a/internal/controller/replication_test.go
+++ b/internal/controller/replication_test.go
@@ -18,10 +18,10 @@
 	"topazhollow/internal/simulation"
 )
 
-// linkedPair is an item's owner, node-a, and a controller that is its backup, node-b, with real connections.
+// linkedPair is a shard's owner, node-a, and a controller that holds its replica, node-b, with real connections.
 type linkedPair struct {
 	owner, holder *Node
-	it            *shards.Owned
+	shard         *shards.Owned
 	paths         simulation.Paths
 	copies        int // copies in parts that the owner began to send
 }
@@ -35,7 +35,7 @@
 	record.Nodes = map[string]uint64{"node-a": p.owner.incarnation, "node-b": p.holder.incarnation}
 	record.Shards[name] = leadership.Shard{Owner: "node-a", SinceTerm: 1}
 	p.owner.record, p.holder.record = record, record
-	p.it = p.owner.shards.Owned(name)
+	p.shard = p.owner.shards.Owned(name)
 	p.holder.shards.Remove(name)
 	host := simulation.NewHost()
 	addrs := map[string]string{}
@@ -68,9 +68,9 @@
 	return p
 }
 
-// hold has the owner hold so many tasks more, as if it had placed them.
-func (p *linkedPair) hold(from, count int) {
-	replica := p.it.Team().Replica()
+// assign has the owner's replica have so many assignments more, as if it had placed the tasks.
+func (p *linkedPair) assign(from, count int) {
+	replica := p.shard.Team().Replica()
 	d := jobstate.Delta{Seq: replica.Seq + 1}
 	for i := range count {
 		k := jobstate.TaskID{Job: "job-000001", Index: from + i}
@@ -85,12 +85,12 @@
 func (p *linkedPair) finish(job string, task uint) {
 	p.owner.mu.Lock()
 	defer p.owner.mu.Unlock()
-	p.it.Team().Merge(job, bitset.New(task+1).Set(task))
+	p.shard.Team().Merge(job, bitset.New(task+1).Set(task))
 }
 
-// replicate sends what brings the backup up to date, and says whether that was a part that is not the last.
+// replicate sends what brings the holder up to date, and says whether that was a part that is not the last.
 func (p *linkedPair) replicate() (partial bool) {
-	messages := p.it.Replicas().Replicate(p.owner.cluster(), time.Now())
+	messages := p.shard.Replicas().Replicate(p.owner.cluster(), time.Now())
 	for _, m := range messages {
 		if part, ok := m.Body.(shards.CopyPart); ok {
 			partial = !part.Part.Last
@@ -99,53 +99,53 @@
 			}
 		}
 	}
-	p.owner.sendReplication(p.it, messages)
+	p.owner.sendReplication(p.shard, messages)
 	return partial
 }
 
-// replicated steps the owner's replication until the backup has acknowledged all that the owner has, or the test ends.
+// replicated steps the owner's replication until the holder has acknowledged all that the owner has, or the test ends.
 func (p *linkedPair) replicated(t *testing.T) {
 	t.Helper()
 	for end := time.Now().Add(40 * time.Second); time.Now().Before(end); time.Sleep(time.Millisecond) {
 		p.owner.mu.Lock()
 		p.replicate()
-		whole := p.owner.syncStates(time.Now())[p.it.Name()].Whole["node-b"]
+		whole := p.owner.syncStates(time.Now())[p.shard.Name()].Whole["node-b"]
 		p.owner.mu.Unlock()
 		if whole {
 			return
 		}
 	}
-	t.Fatal("the backup never acknowledged the whole replica")
+	t.Fatal("the holder never acknowledged the whole replica")
 }
 
-// TestLargeReplicaReachesItsHolder: a replica of more than one line between controllers may have never reached a backup; the
-// link was dropped and dialled anew for ever. It goes in parts now, also when the link is lost between them, and the backup keeps
+// TestLargeReplicaReachesItsHolder: a replica of more than one line between controllers may have never reached its holder; the
+// link was dropped and dialled anew for ever. It goes in parts now, also when the link is lost between them, and the holder keeps
 // what it had until all of it is there.
 func TestLargeReplicaReachesItsHolder(t *testing.T) {
 	p := newLinkedPair(t)
-	p.hold(0, 10)
+	p.assign(0, 10)
 	p.replicated(t)
 	p.owner.mu.Lock()
-	p.hold(10, 60000)
-	p.it.Replicas().Forget("node-b")
+	p.assign(10, 60000)
+	p.shard.Replicas().Forget("node-b")
 	partial := p.replicate()
 	p.owner.mu.Unlock()
 	if !partial {
 		t.Fatal("60,000 tasks go in one part")
 	}
 	p.holder.mu.Lock()
-	kept := len(p.holder.shards.Held().Replica(p.it.Name()).Assignments)
+	kept := len(p.holder.shards.Held().Replica(p.shard.Name()).Assignments)
 	p.holder.mu.Unlock()
 	if kept != 10 {
-		t.Errorf("the backup keeps %d tasks between the parts, want the 10 that it had", kept)
+		t.Errorf("the holder keeps %d tasks between the parts, want the 10 that it had", kept)
 	}
 	p.finish("job-000002", 7) // a delta between the parts
 	p.replicated(t)
 	p.owner.mu.Lock()
 	if p.copies != 1 {
-		t.Errorf("%d copies went out: the backup asked for another one while it received one", p.copies)
+		t.Errorf("%d copies went out: the holder asked for another one while it received one", p.copies)
 	}
-	p.it.Replicas().Forget("node-b")
+	p.shard.Replicas().Forget("node-b")
 	p.replicate()
 	p.owner.mu.Unlock()
 	p.paths.Apart(0, true)
@@ -153,17 +153,17 @@
 	p.finish("job-000002", 8)
 	p.replicated(t)
 	p.owner.mu.Lock()
-	p.hold(60010, 10)
-	p.it.Replicas().Forget("node-b")
+	p.assign(60010, 10)
+	p.shard.Replicas().Forget("node-b")
 	p.owner.mu.Unlock()
 	p.replicated(t)
 	p.holder.mu.Lock()
 	defer p.holder.mu.Unlock()
-	have := p.holder.shards.Held().Replica(p.it.Name())
-	if !maps.Equal(have.Assignments, p.it.Team().Replica().Assignments) {
-		t.Errorf("the backup has %d tasks of %d", len(have.Assignments), len(p.it.Team().Replica().Assignments))
+	have := p.holder.shards.Held().Replica(p.shard.Name())
+	if !maps.Equal(have.Assignments, p.shard.Team().Replica().Assignments) {
+		t.Errorf("the holder has %d tasks of %d", len(have.Assignments), len(p.shard.Team().Replica().Assignments))
 	}
 	if done := have.Done["job-000002"]; done == nil || !done.Test(7) || !done.Test(8) {
-		t.Errorf("the backup has finished tasks %v", done)
+		t.Errorf("the holder has finished tasks %v", done)
 	}
 }
--- a/internal/controller/step.go
+++ b/internal/controller/step.go
@@ -115,7 +115,7 @@
 	}
 }
 
-// mayStartOn says whether a start may go to a machine: it is registered, and still in the given incarnation.
+// mayStartOn says whether a start may go to a machine: it is registered, and in the given incarnation.
 func (n *Node) mayStartOn(machine string, incarnation uint64) bool {
 	m := n.machines[machine]
 	return m != nil && !m.gone && n.roster.Has(machine) && m.status != nil && m.status.Incarnation == incarnation
--- a/internal/controller/sync_test.go
+++ b/internal/controller/sync_test.go
@@ -95,7 +95,7 @@
 		ctx, cancel := context.WithCancel(context.Background())
 		name := shards.ForTeam("red")
 		rep := jobstate.NewReplica()
-		hold := jobstate.Assignment{TaskID: jobstate.TaskID{Job: "job-1", Index: 0}, Attempt: jobstate.AttemptID(4, 1), Machine: "n-1", Session: 1, CPUs: 2}
+		hold := jobstate.Assignment{TaskID: jobstate.TaskID{Job: "job-1", Index: 0}, Attempt: jobstate.AttemptID(4, 1), Machine: "n-1", Incarnation: 1, CPUs: 2}
 		rep.Assignments[hold.TaskID] = hold
 		it := ownedShard(n, name, 5, blind, rep)
 		n.learnJob(userapi.Stored{Spec: array(1, 3, "red")}, 1)
@@ -136,7 +136,7 @@
 		r.Shards[name] = leadership.Shard{Owner: "node-a", SinceTerm: 5, NeedsBarrier: blind}
 		n.record, n.recordVersion = r, 7
 		rep, want := jobstate.NewReplica(), 0
-		hold := jobstate.Assignment{TaskID: jobstate.TaskID{Job: "job-000001", Index: 0}, Attempt: jobstate.AttemptID(4, 1), Machine: "n-1", Session: 1, CPUs: 2}
+		hold := jobstate.Assignment{TaskID: jobstate.TaskID{Job: "job-000001", Index: 0}, Attempt: jobstate.AttemptID(4, 1), Machine: "n-1", Incarnation: 1, CPUs: 2}
 		if !blind {
 			rep.Assignments[hold.TaskID], want = hold, 1
 		}
--- a/internal/jobstate/observe.go
+++ b/internal/jobstate/observe.go
@@ -106,7 +106,7 @@
 // listed takes in what a view says of an attempt that this account holds there; false if it holds none.
 func (t *Team) listed(v *MachineStatus, x *TaskStatus, now time.Time) bool {
 	a := t.held[x.TaskID]
-	if a == nil || a.Machine != v.Machine || a.Attempt != x.Attempt || a.Session != v.Incarnation {
+	if a == nil || a.Machine != v.Machine || a.Attempt != x.Attempt || a.Incarnation != v.Incarnation {
 		return false
 	}
 	switch x.State {
@@ -126,8 +126,8 @@
 func (t *Team) releaseProven(v *MachineStatus, seen map[TaskID]bool) {
 	for _, a := range t.sortedOn(v.Machine) {
 		switch {
-		case v.Incarnation < a.Session || seen[a.TaskID]:
-		case v.Incarnation > a.Session:
+		case v.Incarnation < a.Incarnation || seen[a.TaskID]:
+		case v.Incarnation > a.Incarnation:
 			t.off(a, "newer session")
 		case slices.Contains(v.Barred, a.Ref()):
 			t.off(a, "never sent")
@@ -153,7 +153,7 @@
 // adopt takes up an attempt found on a machine that the account did not hold,
 // as after a full barrier.
 func (t *Team) adopt(v *MachineStatus, x *TaskStatus, spec *protocol.Submission, now time.Time) *attempt {
-	a := &attempt{Assignment: Assignment{TaskID: x.TaskID, Attempt: x.Attempt, Machine: v.Machine, Zone: v.Zone, Session: v.Incarnation,
+	a := &attempt{Assignment: Assignment{TaskID: x.TaskID, Attempt: x.Attempt, Machine: v.Machine, Zone: v.Zone, Incarnation: v.Incarnation,
 		CPUs: spec.CPUs, GPUs: spec.GPUs, Memory: spec.Memory}, listed: now}
 	t.hold(a)
 	t.rep.Assignments[a.TaskID] = a.Assignment
--- a/internal/jobstate/orders.go
+++ b/internal/jobstate/orders.go
@@ -24,7 +24,7 @@
 		if now.Sub(a.ordered) < resend {
 			continue
 		}
-		order := Order{TaskID: a.TaskID, Attempt: a.Attempt, Incarnation: a.Session, CPUs: a.CPUs, GPUs: a.GPUs, Memory: a.Memory}
+		order := Order{TaskID: a.TaskID, Attempt: a.Attempt, Incarnation: a.Incarnation, CPUs: a.CPUs, GPUs: a.GPUs, Memory: a.Memory}
 		j := t.jobs[a.Job]
 		switch {
 		case j == nil || a.stop:
@@ -35,7 +35,7 @@
 		case a.state != "":
 			delete(t.todo, a)
 			continue
-		case a.seq <= acked && TermOf(a.Attempt) == t.term && ready(a.Machine, a.Session):
+		case a.seq <= acked && TermOf(a.Attempt) == t.term && ready(a.Machine, a.Incarnation):
 			order.Op = protocol.Start
 			a.starts++
 		default:
--- a/internal/jobstate/replica.go
+++ b/internal/jobstate/replica.go
@@ -32,13 +32,13 @@
 // until it is proven off.
 type Assignment struct {
 	TaskID
-	Attempt uint64  `json:"a"`
-	Machine string  `json:"m"`
-	Session uint64  `json:"s"`
-	Zone    string  `json:"z,omitempty"`
-	CPUs    float64 `json:"c"`
-	GPUs    float64 `json:"g,omitempty"`
-	Memory  float64 `json:"r,omitempty"`
+	Attempt     uint64  `json:"a"`
+	Machine     string  `json:"m"`
+	Incarnation uint64  `json:"s"`
+	Zone        string  `json:"z,omitempty"`
+	CPUs        float64 `json:"c"`
+	GPUs        float64 `json:"g,omitempty"`
+	Memory      float64 `json:"r,omitempty"`
 }
 
 // Delta is one sequenced change of a team's progress.
--- a/internal/jobstate/team.go
+++ b/internal/jobstate/team.go
@@ -354,7 +354,7 @@
 	var holds []Assignment
 	for _, index := range slices.Sorted(maps.Keys(spots)) {
 		at := spots[index]
-		a := &attempt{Assignment: Assignment{TaskID: TaskID{j.Spec.UID, index}, Attempt: id, Machine: at.Machine, Zone: at.Zone, Session: at.Session,
+		a := &attempt{Assignment: Assignment{TaskID: TaskID{j.Spec.UID, index}, Attempt: id, Machine: at.Machine, Zone: at.Zone, Incarnation: at.Session,
 			CPUs: j.Spec.CPUs, GPUs: j.Spec.GPUs, Memory: j.Spec.Memory}}
 		t.hold(a)
 		t.rep.Assignments[a.TaskID] = a.Assignment
--- a/internal/jobstate/transfer_test.go
+++ b/internal/jobstate/transfer_test.go
@@ -10,7 +10,7 @@
 // partBytesForTests has a replica of some dozen tasks go in several parts.
 const partBytesForTests = 600
 
-// transferModel is an owner and a backup with an ordered connection that may be lost.
+// transferModel is an owner and a replica's holder with an ordered connection that may be lost.
 type transferModel struct {
 	t        *testing.T
 	rng      *rand.Rand
@@ -116,7 +116,7 @@
 	return true
 }
 
-// TestTransferModel: whatever changes between the parts, and however often the connection is lost, a backup that has
+// TestTransferModel: whatever changes between the parts, and however often the connection is lost, a holder that has
 // received all parts and deltas has exactly the owner's replica.
 func TestTransferModel(t *testing.T) {
 	parts := 0
@@ -147,7 +147,7 @@
 			m.receive()
 		}
 		if m.whole == 0 || !sameReplica(m.owner, m.kept) {
-			t.Fatalf("seed %d: after %d whole replicas the backup has %+v, the owner %+v", seed, m.whole, m.kept, m.owner)
+			t.Fatalf("seed %d: after %d whole replicas the holder has %+v, the owner %+v", seed, m.whole, m.kept, m.owner)
 		}
 	}
 	if parts < 4 {
@@ -198,7 +198,7 @@
 	r := NewReplica()
 	for i := range 40000 {
 		k := TaskID{"job-000001", i}
-		r.Assignments[k] = Assignment{TaskID: k, Attempt: AttemptID(1<<28, uint64(i)), Machine: "n-000001", Zone: "santiago-centro", CPUs: 1.5, GPUs: 0.5, Memory: 12.25, Session: 1 << 40}
+		r.Assignments[k] = Assignment{TaskID: k, Attempt: AttemptID(1<<28, uint64(i)), Machine: "n-000001", Zone: "santiago-centro", CPUs: 1.5, GPUs: 0.5, Memory: 12.25, Incarnation: 1 << 40}
 	}
 	for i := range 100 {
 		done := NewReplica()
--- a/internal/shards/barrier.go
+++ b/internal/shards/barrier.go
@@ -12,7 +12,7 @@
 	return o.loadNumber
 }
 
-// LoadIsCurrent says whether the outcome of a load still counts.
+// LoadIsCurrent says whether the outcome of a load counts: no later one was begun.
 func (o *Owned) LoadIsCurrent(load int) bool { return o.loadNumber == load }
 
 // Reload has a shard that is not ready yet be loaded anew; false if it is ready. The pages count as read only after
--- a/internal/shards/messages.go
+++ b/internal/shards/messages.go
@@ -34,7 +34,7 @@
 	Deltas    []jobstate.Delta `json:"deltas"`
 }
 
-// Acknowledgement tells a shard's owner what a replica has.
+// Acknowledgement is what a replica reports to the shard's owner.
 type Acknowledgement struct {
 	Shard     string `json:"item"`
 	SinceTerm uint64 `json:"since"`
@@ -48,7 +48,7 @@
 	return Acknowledgement{Shard: shard, SinceTerm: sinceTerm, Again: true}
 }
 
-// ProbeRequest tells homes the addresses of machines that barriers wait for.
+// ProbeRequest gives homes the addresses of machines that barriers wait for.
 type ProbeRequest struct {
 	Addrs map[string]string `json:"addrs"` // by machine
 }
--- a/internal/shards/owned.go
+++ b/internal/shards/owned.go
@@ -58,7 +58,7 @@
 	TakenAt      time.Time
 }
 
-// NewOwned is a shard that has still to be loaded.
+// NewOwned is a shard that is to be loaded.
 func NewOwned(o Options) *Owned {
 	return &Owned{
 		name:            o.Name,
@@ -134,7 +134,7 @@
 // RecordChangeSettled notes that no change of the record is pending any more: it is in force, or surely is not.
 func (o *Owned) RecordChangeSettled() { o.handingOver, o.replicas.adding = false, nil }
 
-// Resume counts the replicas' silence anew, after this controller could not hear them for a while.
+// Resume counts the replicas' silence anew, after this controller could not receive anything for a while.
 func (o *Owned) Resume(now time.Time) { o.replicas.graceFrom = now }
 
 // FirstStart says whether a start that is sent now is the owner's first one.
--- a/internal/shards/registry.go
+++ b/internal/shards/registry.go
@@ -26,7 +26,7 @@
 // TeamOf is the team of a shard; false for the fleet.
 func TeamOf(shard string) (string, bool) { return strings.CutPrefix(shard, teamPrefix) }
 
-// Registry is the shards that one controller owns, and the replicas that it holds of the others'.
+// Registry is the shards that one controller owns, and the replicas that it holds of others.
 type Registry struct {
 	owned map[string]*Owned
 	held  *Held
@@ -67,7 +67,7 @@
 // Remove no longer owns a shard.
 func (r *Registry) Remove(name string) { delete(r.owned, name) }
 
-// Owns says whether a shard is owned here still, by the same taking.
+// Owns says whether a shard is owned here, since it was taken over last.
 func (r *Registry) Owns(o *Owned) bool { return r.owned[o.name] == o }
 
 // Takeover is what a controller takes a shard over with.
--- a/internal/shards/registry_test.go
+++ b/internal/shards/registry_test.go
@@ -24,7 +24,7 @@
 	return r.Take(Takeover{Name: testShard, Record: record, NewTeam: testTeam, PageBytes: 8 << 10, Now: time.Unix(1000, 0)})
 }
 
-// TestWhoPassesTheBarrier: an owner without the team's progress once started again what still ran. Only one that holds
+// TestWhoPassesTheBarrier: an owner without the team's progress once started again what was running. Only one that holds
 // the replica, or the deployment's first owner, begins at once.
 func TestWhoPassesTheBarrier(t *testing.T) {
 	for _, c := range []struct {
@@ -53,7 +53,7 @@
 			t.Errorf("%s: barrier %v with %d assignments, want %v and %d", c.name, o.NeedsBarrier(), len(o.Team().Replica().Assignments), c.wantBarrier, c.wantHolds)
 		}
 		if r.Held().Has(testShard) || r.Owned(testShard) != o {
-			t.Errorf("%s: the replica is held still, or the shard is not owned", c.name)
+			t.Errorf("%s: the replica is kept beside it, or the shard is not owned", c.name)
 		}
 		if o.MayBeginUnread() == c.wantBarrier {
 			t.Errorf("%s: may begin before the state service answers: %v", c.name, o.MayBeginUnread())
@@ -149,7 +149,7 @@
 			t.Errorf("not in sync %v: phase %s, pages read %v", needs, o.Phase(), o.Pages().AreRead())
 		}
 		if later := o.BeginLoad(); o.LoadIsCurrent(earlier) || !o.LoadIsCurrent(later) {
-			t.Error("the earlier load counts still")
+			t.Error("the earlier load counts")
 		}
 		o.PassBarrier(time.Unix(1000, 0))
 		o.Pages().MarkRead()
--- a/internal/shards/replication_test.go
+++ b/internal/shards/replication_test.go
@@ -302,7 +302,7 @@
 }
 
 // TestSyncStates: a replica that acknowledges nothing is late after its time, counted from the sending and from when the owner
-// could hear it; one that has everything is whole, and one under another process is neither at once.
+// could receive anything; one that has everything is whole, and one under another process is neither at once.
 func TestSyncStates(t *testing.T) {
 	begin := time.Unix(1000, 0)
 	o, c := testOwned(jobstate.NewReplica(), begin), testCluster()
@@ -318,7 +318,7 @@
 	}
 	o.Resume(late)
 	if s := o.Sync(c, late); len(s.Lagging) != 0 {
-		t.Errorf("late though the owner could hear nobody: %+v", s)
+		t.Errorf("late though the owner could receive nothing: %+v", s)
 	}
 	o.Replicas().Acknowledge("node-c", 1, &Acknowledgement{Shard: testShard, SinceTerm: 5, Seq: o.Team().Replica().Seq}, late)
 	if got, want := o.Replicas().AcknowledgedByAll(c), o.Team().Replica().Seq; got != want {
