--- a/internal/agents/home.go
+++ b/internal/agents/home.go
@@ -263,11 +263,11 @@
 	return slices.ContainsFunc(m.queue, func(c protocol.Command) bool { return c.Op == protocol.Start })
 }
 
-func (m *Agent) isQueued(op string, ref jobstate.AttemptRef) bool {
+func (m *Agent) isQueued(op protocol.CommandOp, ref jobstate.AttemptRef) bool {
 	return slices.ContainsFunc(m.queue, func(c protocol.Command) bool { return c.Op == op && parseAttempt(c.Task, c.Attempt) == ref })
 }
 
-func (m *Agent) removeQueued(op string, ref jobstate.AttemptRef) {
+func (m *Agent) removeQueued(op protocol.CommandOp, ref jobstate.AttemptRef) {
 	m.queue = slices.DeleteFunc(m.queue, func(c protocol.Command) bool { return c.Op == op && parseAttempt(c.Task, c.Attempt) == ref })
 }
 
--- a/internal/autoscaler/autoscaler.go
+++ b/internal/autoscaler/autoscaler.go
@@ -15,11 +15,11 @@
 	Type            string
 	Zone            string
 	Spot            bool
-	Heard           time.Time // last report anywhere; zero before the first
-	Since           time.Time // rented, or first seen
-	Idle            time.Time // idle since; zero while it has tasks
-	State           string    // in the cloud's list, "" if not listed
-	CPUs            float64   // free
+	Heard           time.Time          // last report anywhere; zero before the first
+	Since           time.Time          // rented, or first seen
+	Idle            time.Time          // idle since; zero while it has tasks
+	State           protocol.HostState // in the cloud's list, "" if not listed
+	CPUs            float64            // free
 	GPUs            float64
 	Mem             float64
 	SpotNotice      bool // the cloud said that it takes the machine back within seconds
--- a/internal/controller/demand_test.go
+++ b/internal/controller/demand_test.go
@@ -12,7 +12,7 @@
 // fleet for that zone. It was laid out on idle machines of any zone, nothing was rented, and it waited for ever.
 func TestMissingTasksAreAskedForWhereTheOthersAre(t *testing.T) {
 	for what, c := range map[string]struct {
-		kind    string
+		kind    protocol.JobKind
 		oneZone bool
 		bound   bool
 	}{
--- a/internal/controller/grown_test.go
+++ b/internal/controller/grown_test.go
@@ -135,7 +135,7 @@
 						continue
 					}
 					if !g.now.Before(g.ends[t.Ref()]) {
-						t.State, t.Why = protocol.Exited, protocol.WhyDone
+						t.State, t.Why = protocol.Exited, protocol.ReasonDone
 					}
 					kept = append(kept, t)
 				}
--- a/internal/controller/home.go
+++ b/internal/controller/home.go
@@ -377,7 +377,7 @@
 					_ = n.startLatency.RecordValue(min(max(now.Sub(j.submittedAt).Milliseconds(), 1), time.Hour.Milliseconds()))
 				}
 			}
-		} else if since, ok := m.runningSince[ref]; ok && t.Why == protocol.WhyDone {
+		} else if since, ok := m.runningSince[ref]; ok && t.Why == protocol.ReasonDone {
 			if j := n.jobs[t.Job]; j != nil {
 				j.longestRun = max(j.longestRun, now.Sub(since))
 				j.completedRuns++
@@ -435,10 +435,10 @@
 // view, so that whoever takes a team over knows its faulty jobs.
 func (n *Node) recordOutcome(t jobstate.TaskStatus, machine string, now time.Time) {
 	j := n.jobs[t.Job]
-	if j == nil || !j.active || (t.Why != protocol.WhyError && t.Why != protocol.WhyDone) {
+	if j == nil || !j.active || (t.Why != protocol.ReasonError && t.Why != protocol.ReasonDone) {
 		return
 	}
-	faulty := t.Why == protocol.WhyError
+	faulty := t.Why == protocol.ReasonError
 	if faulty && n.quarantine.RecordFailure(t.Job, machine, now) {
 		n.log.Info("job held to be faulty: it failed on several machines and succeeded on none", "job", t.Job, "team", j.spec.Team, "last", machine)
 	} else if !faulty && n.quarantine.RecordSuccess(t.Job, machine) {
--- a/internal/controller/inflight_test.go
+++ b/internal/controller/inflight_test.go
@@ -36,7 +36,7 @@
 	return a.Status, answer.Commands
 }
 
-func (o *ordering) order(op string) {
+func (o *ordering) order(op protocol.CommandOp) {
 	o.n.agents.QueueOrders(1, o.name, []jobstate.Order{{Op: op, TaskID: jobstate.TaskID{Job: "job-000001"}, Attempt: 1, Incarnation: 1, CPUs: 1, Memory: 1}})
 }
 
--- a/internal/controller/meeting_leader_test.go
+++ b/internal/controller/meeting_leader_test.go
@@ -165,7 +165,7 @@
 		time.Sleep(every)
 	}
 	s.settle()
-	ends := map[string]int{}
+	ends := map[protocol.JobState]int{}
 	for _, c := range s.users.Log().Calls() {
 		if c.Kind == "cancel" && c.Status == 200 {
 			ends[c.State]++
--- a/internal/controller/meeting_look_test.go
+++ b/internal/controller/meeting_look_test.go
@@ -143,7 +143,7 @@
 		})
 	}
 	s.settle()
-	ends := []string{}
+	ends := []protocol.JobState{}
 	for _, c := range s.users.Log().Calls() {
 		if c.Kind == history.Cancel && c.Status == 200 {
 			ends = append(ends, c.State)
--- a/internal/controller/meeting_test.go
+++ b/internal/controller/meeting_test.go
@@ -481,11 +481,11 @@
 	n.mu.Lock() // what is looked up beside it takes it too
 	reach := settings.Seconds(n.settings.Deployment.Workers.Cancel - n.settings.Deployment.Workers.Lease)
 	seq := uint64(10)
-	ask := func(at time.Time, state string, tasks ...string) (status int, stopped []string) {
+	ask := func(at time.Time, state protocol.TaskState, tasks ...string) (status int, stopped []string) {
 		seq++
 		r := protocol.Heartbeat{Machine: g.names[0], Addr: "127.0.0.1:1", Type: "m32", Zone: "east", Incarnation: 1, Seq: seq, FencingToken: 1, Tasks: []protocol.TaskStatus{}}
 		for _, task := range tasks {
-			r.Tasks = append(r.Tasks, protocol.TaskStatus{Task: task, Attempt: 1, State: state, Why: protocol.WhyDone})
+			r.Tasks = append(r.Tasks, protocol.TaskStatus{Task: task, Attempt: 1, State: state, Why: protocol.ReasonDone})
 		}
 		n.lease.Renewed(at)
 		a := n.answerHeartbeat(&r, at)
@@ -502,7 +502,7 @@
 	}
 	for what, c := range map[string]struct {
 		after  time.Duration
-		state  string
+		state  protocol.TaskState
 		task   string
 		status int
 		stop   bool
--- a/internal/controller/node_test.go
+++ b/internal/controller/node_test.go
@@ -186,7 +186,7 @@
 	})
 }
 
-func (r *region) poll(uid string) string {
+func (r *region) poll(uid string) protocol.JobState {
 	status, st := r.ask("GET", protocol.PathSubmit+"/"+uid, nil)
 	r.check.Told(uid, status, st.State, false)
 	return st.State
--- a/internal/controller/placing_test.go
+++ b/internal/controller/placing_test.go
@@ -118,7 +118,7 @@
 	n := g.n
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	submit := func(uid, team, priority string, kind string, tasks int, cpus float64) {
+	submit := func(uid, team, priority string, kind protocol.JobKind, tasks int, cpus float64) {
 		n.learnJob(userapi.Stored{At: g.now.UnixMilli(), Spec: &protocol.Submission{UID: uid, Team: team, Kind: kind, Priority: priority, Tasks: tasks, CPUs: cpus,
 			Memory: 1, Image: "img", Estimate: 40, OneZone: kind == protocol.Gang}}, 1)
 	}
@@ -160,7 +160,7 @@
 		g := newGrown(8, 2) // two of them ordinary, of 32 CPUs and in one zone
 		n := g.n
 		n.shards.OfTeam("team-0").Team().CPUs, n.shards.OfTeam("team-0").Team().MaxCPUs = 0, 44
-		submit := func(uid, team, priority, kind string, tasks int, cpus float64) {
+		submit := func(uid, team, priority string, kind protocol.JobKind, tasks int, cpus float64) {
 			n.mu.Lock()
 			defer n.mu.Unlock()
 			n.learnJob(userapi.Stored{At: g.now.UnixMilli(), Spec: &protocol.Submission{UID: uid, Team: team, Kind: kind, Priority: priority, Tasks: tasks, CPUs: cpus,
--- a/internal/controller/stray_test.go
+++ b/internal/controller/stray_test.go
@@ -128,7 +128,7 @@
 	g.n.mu.Lock()
 	defer g.n.mu.Unlock()
 	n, it := g.n, g.n.shards.OfTeam("team-0")
-	end := func(why string) {
+	end := func(why protocol.ExitReason) {
 		for _, name := range g.names {
 			var held []jobstate.Assignment
 			it.Team().On(name, func(h jobstate.Assignment) { held = append(held, h) })
@@ -154,7 +154,7 @@
 	if held() != 40 {
 		t.Fatalf("%d of 40 placed at first", held())
 	}
-	end(protocol.WhyError)
+	end(protocol.ReasonError)
 	for i := range 4 {
 		step(2 * time.Minute)
 		if held() > 1 {
@@ -164,7 +164,7 @@
 			t.Fatalf("a faulty job asks peers and fleet for room: %v", list)
 		}
 		if i < 3 {
-			end(protocol.WhyError)
+			end(protocol.ReasonError)
 		}
 	}
 	if held() != 1 {
@@ -173,7 +173,7 @@
 	if got := len(n.hosts(g.now, nil)); got != 12 {
 		t.Fatalf("%d of 12 machines in use after a faulty job", got)
 	}
-	end(protocol.WhyDone)
+	end(protocol.ReasonDone)
 	step(time.Second)
 	if held() != 39 {
 		t.Fatalf("%d of 39 placed after a success", held())
@@ -285,10 +285,10 @@
 	}
 	seq := good.Seq
 	for _, x := range []protocol.TaskStatus{
-		{Task: "", Attempt: 1, State: protocol.Running}, {Task: "/0", Attempt: 1, State: protocol.Exited, Why: protocol.WhyDone},
-		{Task: spec.UID + "/-1", Attempt: 1, State: protocol.Exited, Why: protocol.WhyDone}, {Task: spec.UID + "/007", Attempt: 1, State: protocol.Exited, Why: protocol.WhyDone},
-		{Task: spec.UID + "/3", Attempt: 1, State: protocol.Exited, Why: protocol.WhyDone}, {Task: spec.UID + "/999999999999", Attempt: 1, State: protocol.Exited, Why: protocol.WhyDone},
-		{Task: spec.UID, Attempt: 1, State: protocol.Exited, Why: protocol.WhyDone},
+		{Task: "", Attempt: 1, State: protocol.Running}, {Task: "/0", Attempt: 1, State: protocol.Exited, Why: protocol.ReasonDone},
+		{Task: spec.UID + "/-1", Attempt: 1, State: protocol.Exited, Why: protocol.ReasonDone}, {Task: spec.UID + "/007", Attempt: 1, State: protocol.Exited, Why: protocol.ReasonDone},
+		{Task: spec.UID + "/3", Attempt: 1, State: protocol.Exited, Why: protocol.ReasonDone}, {Task: spec.UID + "/999999999999", Attempt: 1, State: protocol.Exited, Why: protocol.ReasonDone},
+		{Task: spec.UID, Attempt: 1, State: protocol.Exited, Why: protocol.ReasonDone},
 	} {
 		r := good
 		seq++
--- a/internal/controller/sustain_test.go
+++ b/internal/controller/sustain_test.go
@@ -23,11 +23,11 @@
 	w := n.settings.Deployment.Workers
 	g.submit(1, 4)
 	n.cancelWatermark.RecordRead(g.now)
-	report := func(name string, token uint64, state, task string) []byte {
+	report := func(name string, token uint64, state protocol.TaskState, task string) []byte {
 		return protocol.Encode(protocol.Heartbeat{Machine: name, Addr: "127.0.0.1:1", Type: "m32", Zone: "east", Incarnation: 1, Seq: 9, FencingToken: token,
-			Tasks: []protocol.TaskStatus{{Task: task, Attempt: 1, State: state, Why: protocol.WhyDone}}})
+			Tasks: []protocol.TaskStatus{{Task: task, Attempt: 1, State: state, Why: protocol.ReasonDone}}})
 	}
-	answer := func(at time.Time, name string, token uint64, state, task string) int {
+	answer := func(at time.Time, name string, token uint64, state protocol.TaskState, task string) int {
 		var r protocol.Heartbeat
 		if err := protocol.Decode(report(name, token, state, task), &r); err != nil {
 			t.Fatal(err)
--- a/internal/faultinjection/loss.go
+++ b/internal/faultinjection/loss.go
@@ -405,8 +405,8 @@
 	})
 }
 
-func (g *lossRegion) reaches(ctx context.Context, uid, state string) error {
-	return g.until(ctx, uid+" "+state, func() bool {
+func (g *lossRegion) reaches(ctx context.Context, uid string, state protocol.JobState) error {
+	return g.until(ctx, uid+" "+string(state), func() bool {
 		status, st := g.ask("GET", protocol.PathSubmit+"/"+uid, nil)
 		g.check.Told(uid, status, st.State, false)
 		return status == 200 && st.State == state
--- a/internal/history/history.go
+++ b/internal/history/history.go
@@ -3,7 +3,11 @@
 // binds that request's answer. Order is by position in the record; no clock is read.
 package history
 
-import "sync"
+import (
+	"sync"
+
+	"topazhollow/internal/protocol"
+)
 
 // Kind is what a request asks for.
 type Kind string
@@ -20,10 +24,10 @@
 	Node     int // the controller that was asked
 	Kind     Kind
 	Job      string
-	Invoked  uint64 // position at which the request was sent; counts from 1
-	Returned uint64 // position at which its answer arrived; 0: no answer
-	Status   int    // HTTP status
-	State    string // the job's state, as the answer tells it
+	Invoked  uint64            // position at which the request was sent; counts from 1
+	Returned uint64            // position at which its answer arrived; 0: no answer
+	Status   int               // HTTP status
+	State    protocol.JobState // the job's state, as the answer tells it
 }
 
 // Log records calls in the order in which they are sent and answered. It is safe for concurrent use.
@@ -43,7 +47,7 @@
 }
 
 // Return records the answer to a request. A request that gets none is never returned.
-func (l *Log) Return(index, status int, state string) {
+func (l *Log) Return(index, status int, state protocol.JobState) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.position++
--- a/internal/history/history_test.go
+++ b/internal/history/history_test.go
@@ -59,7 +59,7 @@
 }
 
 // slowFirstFinal is the state of the job's first final answer.
-func slowFirstFinal(c Call, calls []Call) string {
+func slowFirstFinal(c Call, calls []Call) protocol.JobState {
 	first := c
 	for _, o := range calls {
 		if o.Job == c.Job && isFinal(o) && o.Returned < first.Returned {
@@ -74,7 +74,7 @@
 	var log Log
 	var open []int
 	statuses := []int{200, 200, 200, 201, 404, 422, 503}
-	states := []string{protocol.Pending, protocol.Running, protocol.Done, protocol.Cancelled}
+	states := []protocol.JobState{protocol.Pending, protocol.Running, protocol.Done, protocol.Cancelled}
 	for range 2 + rng.IntN(24) {
 		if len(open) > 0 && rng.IntN(2) == 0 {
 			k := rng.IntN(len(open))
--- a/internal/jobstate/gang.go
+++ b/internal/jobstate/gang.go
@@ -72,14 +72,14 @@
 
 // lost books that a gang lost a task. Before it started, a replacement with the
 // same attempt may complete it.
-func (j *Job) lost(a *attempt, why string) {
+func (j *Job) lost(a *attempt, why protocol.ExitReason) {
 	if j.Spec.Kind != protocol.Gang {
 		return
 	}
 	switch {
 	case j.running > 0 || a.state == protocol.Running || a.state == protocol.Saving:
 		j.broken = true
-	case why == protocol.WhyIncomplete || why == protocol.WhyPeers || why == protocol.WhyStopped:
+	case why == protocol.ReasonIncomplete || why == protocol.ReasonPeers || why == protocol.ReasonStopped:
 		j.broken = true
 	}
 }
--- a/internal/jobstate/jobstate_test.go
+++ b/internal/jobstate/jobstate_test.go
@@ -120,7 +120,7 @@
 	if x.order.Op == protocol.Start && m.used(w, false)+m.specs[x.order.Job].CPUs > plainCapacity {
 		if _, there := w.tasks[x.order.TaskID]; !there {
 			w.token = x.term
-			w.tasks[x.order.TaskID] = TaskStatus{TaskID: x.order.TaskID, Attempt: x.order.Attempt, State: protocol.Exited, Why: protocol.WhyFull}
+			w.tasks[x.order.TaskID] = TaskStatus{TaskID: x.order.TaskID, Attempt: x.order.Attempt, State: protocol.Exited, Why: protocol.ReasonFull}
 		}
 		return ""
 	}
@@ -146,7 +146,7 @@
 		}
 	case protocol.Stop:
 		if there && have.Attempt == x.order.Attempt && have.State != protocol.Exited {
-			have.State, have.Why = protocol.Exited, protocol.WhyStopped
+			have.State, have.Why = protocol.Exited, protocol.ReasonStopped
 			w.tasks[x.order.TaskID] = have
 		}
 	case protocol.Forget:
@@ -340,7 +340,7 @@
 func (m *model) complete(w *plainWorker) {
 	for k, x := range w.tasks {
 		if x.State == protocol.Running && !w.dead && !w.hung && m.specs[k.Job].Team == "team" {
-			x.State, x.Why = protocol.Exited, protocol.WhyDone
+			x.State, x.Why = protocol.Exited, protocol.ReasonDone
 			w.tasks[k] = x
 			m.done[k] = true
 			break
@@ -594,7 +594,7 @@
 	if !m.team.Place(j, 0, Location{"m0", "z", 1}) {
 		t.Fatal("not placed")
 	}
-	v := &MachineStatus{Machine: "m0", Incarnation: 1, Seq: 1, FencingToken: 1, Tasks: []TaskStatus{{TaskID: TaskID{spec.UID, 0}, Attempt: AttemptID(1, 1), State: protocol.Exited, Why: protocol.WhyDone}}}
+	v := &MachineStatus{Machine: "m0", Incarnation: 1, Seq: 1, FencingToken: 1, Tasks: []TaskStatus{{TaskID: TaskID{spec.UID, 0}, Attempt: AttemptID(1, 1), State: protocol.Exited, Why: protocol.ReasonDone}}}
 	if orders := m.team.Observe(v, m.now, m); len(orders) != 0 {
 		t.Fatalf("ordered %v before the bitmap was written", orders)
 	}
--- a/internal/jobstate/limits_test.go
+++ b/internal/jobstate/limits_test.go
@@ -10,18 +10,18 @@
 // a whole, and what runs is stopped on request only. It is settled once nothing can come any more.
 func TestLoweredLimits(t *testing.T) {
 	for name, c := range map[string]struct {
-		states  []string // of three tasks of 2 CPUs each
+		states  []protocol.TaskState // of three tasks of 2 CPUs each
 		max     float64
 		running bool
 		stops   int
 		settled bool
 	}{
-		"within":                       {[]string{protocol.Running, protocol.Pulling, ""}, 6, false, 0, true},
-		"none has come":                {[]string{"", "", ""}, 4, false, 1, false},
-		"one waits for its image":      {[]string{protocol.Running, protocol.Running, protocol.Pulling}, 4, false, 1, false},
-		"all run":                      {[]string{protocol.Running, protocol.Running, protocol.Running}, 2, false, 0, true},
-		"all run and are to stop":      {[]string{protocol.Running, protocol.Running, protocol.Running}, 2, true, 2, true},
-		"one comes, two run, all stop": {[]string{protocol.Running, "", protocol.Running}, 1, true, 3, false},
+		"within":                       {[]protocol.TaskState{protocol.Running, protocol.Pulling, ""}, 6, false, 0, true},
+		"none has come":                {[]protocol.TaskState{"", "", ""}, 4, false, 1, false},
+		"one waits for its image":      {[]protocol.TaskState{protocol.Running, protocol.Running, protocol.Pulling}, 4, false, 1, false},
+		"all run":                      {[]protocol.TaskState{protocol.Running, protocol.Running, protocol.Running}, 2, false, 0, true},
+		"all run and are to stop":      {[]protocol.TaskState{protocol.Running, protocol.Running, protocol.Running}, 2, true, 2, true},
+		"one comes, two run, all stop": {[]protocol.TaskState{protocol.Running, "", protocol.Running}, 1, true, 3, false},
 	} {
 		m := newModel(t, 3)
 		s := &protocol.Submission{UID: "job-9", Team: "team", Kind: protocol.JobArray, Priority: "standard", Tasks: 4, CPUs: 2}
--- a/internal/jobstate/observe.go
+++ b/internal/jobstate/observe.go
@@ -10,7 +10,7 @@
 // What an account learns from machines: views, ends, and which attempts are proven off.
 
 // off releases an attempt that is proven to be on no machine.
-func (t *Team) off(a *attempt, why string) {
+func (t *Team) off(a *attempt, why protocol.ExitReason) {
 	if t.held[a.TaskID] != a {
 		return
 	}
@@ -40,7 +40,7 @@
 	t.log("attempt off", "task", a.Job, "index", a.Index, "attempt", a.Attempt, "machine", a.Machine, "why", why)
 }
 
-func (t *Team) setState(a *attempt, state string) {
+func (t *Team) setState(a *attempt, state protocol.TaskState) {
 	j := t.jobs[a.Job]
 	if j != nil && a.state == protocol.Running {
 		j.running--
@@ -79,7 +79,7 @@
 		order := Order{TaskID: x.TaskID, Attempt: x.Attempt, Incarnation: v.Incarnation}
 		switch {
 		case x.State == protocol.Exited:
-			if x.Why == protocol.WhyDone && job.Active && x.Index < job.Spec.Tasks {
+			if x.Why == protocol.ReasonDone && job.Active && x.Index < job.Spec.Tasks {
 				t.done(x.TaskID)
 				if j := t.jobs[x.Job]; j == nil || !j.saved.Test(uint(x.Index)) {
 					continue // forgotten only once the state service knows
@@ -165,7 +165,7 @@
 
 // exited books the end of an attempt.
 func (t *Team) exited(a *attempt, x *TaskStatus, now time.Time) {
-	if x.Why == protocol.WhyDone {
+	if x.Why == protocol.ReasonDone {
 		t.done(a.TaskID)
 	}
 	j := t.jobs[a.Job]
@@ -174,7 +174,7 @@
 		return
 	}
 	switch x.Why {
-	case protocol.WhyError:
+	case protocol.ReasonError:
 		if !j.faulty {
 			j.avoid[a.Machine] = now.Add(10 * time.Minute)
 		} else if !now.Before(j.notUntil) {
@@ -182,11 +182,11 @@
 			j.notUntil = now.Add(min(time.Minute, time.Second<<min(j.probes, 6)))
 		}
 		t.log("task failed", "task", a.Job, "index", a.Index, "machine", a.Machine)
-	case protocol.WhyFull:
+	case protocol.ReasonFull:
 		j.avoid[a.Machine] = now.Add(1500 * time.Millisecond)
-	case protocol.WhyIncomplete:
+	case protocol.ReasonIncomplete:
 		j.notUntil = now.Add(2 * time.Second)
-	case protocol.WhyInUse, protocol.WhyNoSuch:
+	case protocol.ReasonInUse, protocol.ReasonNoSuch:
 		j.retry[a.Index] = now.Add(3 * time.Second)
 	}
 }
--- a/internal/jobstate/quota_test.go
+++ b/internal/jobstate/quota_test.go
@@ -33,7 +33,7 @@
 func endOne(team *Team, uid string) {
 	job := team.Job(uid)
 	held := team.heldOf(job)[0]
-	team.exited(held, &TaskStatus{TaskID: held.TaskID, Attempt: held.Attempt, State: protocol.Exited, Why: protocol.WhyDone}, time.Unix(1000, 0))
+	team.exited(held, &TaskStatus{TaskID: held.TaskID, Attempt: held.Attempt, State: protocol.Exited, Why: protocol.ReasonDone}, time.Unix(1000, 0))
 }
 
 // TestQuotaIsReservedForTheMostUrgent: tasks of a less urgent job end one by one at the team's limit. What they free is
--- a/internal/jobstate/quotaorder_test.go
+++ b/internal/jobstate/quotaorder_test.go
@@ -178,7 +178,7 @@
 			}
 		}
 		for _, held := range running[now] {
-			team.exited(held, &TaskStatus{TaskID: held.TaskID, Attempt: held.Attempt, State: protocol.Exited, Why: protocol.WhyDone}, start.Add(now))
+			team.exited(held, &TaskStatus{TaskID: held.TaskID, Attempt: held.Attempt, State: protocol.Exited, Why: protocol.ReasonDone}, start.Add(now))
 		}
 		before := map[TaskID]bool{}
 		for k := range team.held {
--- a/internal/jobstate/team.go
+++ b/internal/jobstate/team.go
@@ -44,8 +44,8 @@
 // attempt is a hold with what the owner knows of it beyond the replica.
 type attempt struct {
 	Assignment
-	seq     uint64 // delta that made it; 0 after a take-over: backups have it
-	state   string // as last listed, "" before
+	seq     uint64             // delta that made it; 0 after a take-over: backups have it
+	state   protocol.TaskState // as last listed, "" before
 	stop    bool
 	grace   float64
 	ordered time.Time
--- a/internal/jobstate/view.go
+++ b/internal/jobstate/view.go
@@ -1,5 +1,7 @@
 package jobstate
 
+import "topazhollow/internal/protocol"
+
 // What machines' homes tell owners, and the orders that go back.
 
 // termShift parts an attempt number into the term that made it and a counter.
@@ -19,10 +21,10 @@
 // TaskStatus is a task as a machine's home sees it.
 type TaskStatus struct {
 	TaskID
-	Attempt uint64 `json:"a"`
-	State   string `json:"e"`
-	Why     string `json:"w,omitempty"`
-	Saved   bool   `json:"k,omitempty"`
+	Attempt uint64              `json:"a"`
+	State   protocol.TaskState  `json:"e"`
+	Why     protocol.ExitReason `json:"w,omitempty"`
+	Saved   bool                `json:"k,omitempty"`
 }
 
 // MachineStatus is what a machine's home knows of it; later (Session, Seq, Rev) is newer.
@@ -58,7 +60,7 @@
 
 // Order is a command for a machine, given by an owner and carried by its home.
 type Order struct {
-	Op string `json:"o"`
+	Op protocol.CommandOp `json:"o"`
 	TaskID
 	Attempt     uint64  `json:"a"`
 	Incarnation uint64  `json:"s"`
--- a/internal/leasegrant/model_test.go
+++ b/internal/leasegrant/model_test.go
@@ -711,13 +711,13 @@
 		case x.Op == protocol.Start && at < 0:
 			t := protocol.TaskStatus{Task: x.Task, Attempt: x.Attempt, State: protocol.Running}
 			if slices.ContainsFunc(m.tasks, func(o protocol.TaskStatus) bool { return o.State != protocol.Exited }) {
-				t.State, t.Why = protocol.Exited, protocol.WhyInUse
+				t.State, t.Why = protocol.Exited, protocol.ReasonInUse
 			} else if w.overdue() {
 				w.broken = "a task starts after its job's time"
 			}
 			m.tasks = append(m.tasks, t)
 		case x.Op == protocol.Stop && at >= 0 && m.tasks[at].State != protocol.Exited:
-			m.tasks[at].State, m.tasks[at].Why = protocol.Exited, protocol.WhyStopped
+			m.tasks[at].State, m.tasks[at].Why = protocol.Exited, protocol.ReasonStopped
 		case x.Op == protocol.Forget && at >= 0 && m.tasks[at].State == protocol.Exited:
 			m.tasks = slices.Delete(m.tasks, at, at+1)
 		}
--- a/internal/loadtest/hollow.go
+++ b/internal/loadtest/hollow.go
@@ -80,7 +80,7 @@
 		case c.Op == protocol.Start && !known:
 			h.start(c, at)
 		case c.Op == protocol.Stop && known && h.tasks[at].State != protocol.Exited:
-			h.exit(at, protocol.WhyStopped)
+			h.exit(at, protocol.ReasonStopped)
 		case c.Op == protocol.Forget && known && h.tasks[at].State == protocol.Exited:
 			h.tasks = slices.Delete(h.tasks, at, at+1)
 			h.changed()
@@ -99,7 +99,7 @@
 	uid, _, _ := protocol.SplitTask(c.Task)
 	name, ok := parseJobName(uid)
 	if !ok {
-		h.tasks = append(h.tasks, protocol.TaskStatus{Task: c.Task, Attempt: c.Attempt, State: protocol.Exited, Why: protocol.WhyNoSuch})
+		h.tasks = append(h.tasks, protocol.TaskStatus{Task: c.Task, Attempt: c.Attempt, State: protocol.Exited, Why: protocol.ReasonNoSuch})
 		h.changed()
 		return
 	}
@@ -115,14 +115,14 @@
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if at := h.find(task); at >= 0 && h.tasks[at].Attempt == attempt && h.tasks[at].State == protocol.Running {
-		h.exit(at, protocol.WhyDone)
+		h.exit(at, protocol.ReasonDone)
 	}
 }
 
-func (h *hollow) exit(at int, why string) {
+func (h *hollow) exit(at int, why protocol.ExitReason) {
 	t := &h.tasks[at]
 	t.State, t.Why = protocol.Exited, why
-	h.pool.rec.event(false, t.Task, h.name, why == protocol.WhyDone)
+	h.pool.rec.event(false, t.Task, h.name, why == protocol.ReasonDone)
 	if timer := h.timers[t.Task]; timer != nil {
 		timer.Stop()
 		delete(h.timers, t.Task)
@@ -134,7 +134,7 @@
 func (h *hollow) killAll() {
 	for i := range h.tasks {
 		if h.tasks[i].State != protocol.Exited {
-			h.exit(i, protocol.WhyStopped)
+			h.exit(i, protocol.ReasonStopped)
 		}
 	}
 	h.tasks = nil
--- a/internal/loadtest/rules.go
+++ b/internal/loadtest/rules.go
@@ -20,8 +20,8 @@
 	urgent    bool
 	submitted time.Time // the first try
 	accepted  bool
-	done      map[int]bool // tasks that completed
-	final     string       // as a user was told
+	done      map[int]bool      // tasks that completed
+	final     protocol.JobState // as a user was told
 }
 
 // rules follows every start and end, in the order of their times, and notes each broken
@@ -114,7 +114,7 @@
 }
 
 // answer takes in what a user was told of a job.
-func (r *rules) answer(uid string, status int, state string, now time.Time) {
+func (r *rules) answer(uid string, status int, state protocol.JobState, now time.Time) {
 	j := r.jobs[uid]
 	switch {
 	case status == 404 && j.accepted:
--- a/internal/loadtest/users.go
+++ b/internal/loadtest/users.go
@@ -148,7 +148,7 @@
 }
 
 // ask sends a request to a drawn controller and has the rules see the answer.
-func (u *users) ask(ctx context.Context, rng *rand.Rand, method, path string, body []byte, within time.Duration) (int, string) {
+func (u *users) ask(ctx context.Context, rng *rand.Rand, method, path string, body []byte, within time.Duration) (int, protocol.JobState) {
 	ctx, cancel := context.WithTimeout(ctx, within)
 	defer cancel()
 	to := u.g.controllers[rng.IntN(len(u.g.controllers))].listen
--- /dev/null
+++ b/internal/protocol/check.go
@@ -0,0 +1,169 @@
+package protocol
+
+import (
+	"bytes"
+	stdjson "encoding/json"
+	"fmt"
+	"math"
+	"strings"
+)
+
+// FieldError names the field of a submission that is missing or invalid.
+type FieldError struct {
+	Field, Reason string
+}
+
+func (e *FieldError) Error() string { return fmt.Sprintf("field %s: %s", e.Field, e.Reason) }
+
+// PeekUID reads only the id of a submission, for requests whose rest may be bad.
+func PeekUID(body []byte) string {
+	var only struct {
+		UID string `json:"uid"`
+	}
+	if stdjson.Unmarshal(body, &only) != nil || !ValidUID(only.UID) {
+		return ""
+	}
+	return only.UID
+}
+
+// nullable are the fields that may be null or absent.
+var nullable = map[string]bool{"modelos": true, "zona": true, "vence_s": true}
+
+// ParseSubmission reads and checks a submission. The error is a *FieldError where one field is wrong; an absent field
+// is wrong too unless it may be null.
+func ParseSubmission(body []byte) (*Submission, error) {
+	trimmed := bytes.TrimSpace(body)
+	if len(trimmed) == 0 || trimmed[0] != '{' {
+		return nil, fmt.Errorf("body is not a JSON object")
+	}
+	var raw map[string]stdjson.RawMessage
+	if err := stdjson.Unmarshal(trimmed, &raw); err != nil {
+		return nil, fmt.Errorf("body is not JSON")
+	}
+	var s Submission
+	fields := []struct {
+		name string
+		into any
+	}{
+		{"uid", &s.UID}, {"clase", &s.Class}, {"equipo", &s.Team}, {"tipo_trabajo", &s.Kind},
+		{"prioridad", &s.Priority}, {"tramos", &s.Tasks}, {"cores", &s.CPUs}, {"cards", &s.GPUs},
+		{"ram_gb", &s.Memory}, {"imagen", &s.Image}, {"image_gb", &s.ImageGB}, {"modelos", &s.Types},
+		{"zona", &s.Zone}, {"together", &s.OneZone}, {"apart", &s.Spread}, {"prestadas", &s.Spot},
+		{"estimado_s", &s.Estimate}, {"guardado_cada_s", &s.Checkpoint}, {"guardar_s", &s.Save},
+		{"vence_s", &s.Deadline},
+	}
+	for _, f := range fields {
+		value, present := raw[f.name]
+		if !present || string(value) == "null" {
+			if nullable[f.name] {
+				continue
+			}
+			return nil, &FieldError{f.name, "missing"}
+		}
+		if err := stdjson.Unmarshal(value, f.into); err != nil {
+			return nil, &FieldError{f.name, "wrong type or out of range"}
+		}
+	}
+	return &s, s.check()
+}
+
+// Bounds of what a submission says of itself.
+const (
+	maxNameLength  = 200 // of the names of a class and a team, in bytes
+	maxImageLength = 500 // in bytes
+	maxTypes       = 1000
+	maxAmount      = 1e9 // of any amount, in its own unit
+)
+
+// check is nil, or a *FieldError for the first wrong field.
+func (s *Submission) check() error {
+	for _, check := range []func() *FieldError{s.checkNames, s.checkTypes, s.checkAmounts} {
+		if err := check(); err != nil {
+			return err
+		}
+	}
+	return nil
+}
+
+func (s *Submission) checkNames() *FieldError {
+	switch {
+	case !ValidUID(s.UID):
+		return &FieldError{"uid", "not of the form job-000412"}
+	case s.Class == "" || len(s.Class) > maxNameLength:
+		return &FieldError{"clase", "empty or too long"}
+	case s.Team == "" || len(s.Team) > maxNameLength:
+		return &FieldError{"equipo", "empty or too long"}
+	case s.Kind != JobArray && s.Kind != Gang && s.Kind != Service:
+		return &FieldError{"tipo_trabajo", "unknown kind"}
+	case Rank(s.Priority) < 0:
+		return &FieldError{"prioridad", "unknown priority"}
+	case s.Tasks < 1 || s.Tasks > MaxTasks:
+		return &FieldError{"tramos", "not between 1 and 100000"}
+	case s.Image == "" || len(s.Image) > maxImageLength:
+		return &FieldError{"imagen", "empty or too long"}
+	}
+	return nil
+}
+
+func (s *Submission) checkTypes() *FieldError {
+	switch {
+	case len(s.Types) > maxTypes:
+		return &FieldError{"modelos", "too many"}
+	case s.Types != nil && len(s.Types) == 0:
+		return &FieldError{"modelos", "empty"}
+	}
+	seen := map[string]bool{}
+	for _, t := range s.Types {
+		if t == "" || seen[t] {
+			return &FieldError{"modelos", "empty or duplicate name"}
+		}
+		seen[t] = true
+	}
+	if s.Zone != nil && *s.Zone == "" {
+		return &FieldError{"zona", "empty"}
+	}
+	return nil
+}
+
+func (s *Submission) checkAmounts() *FieldError {
+	for _, amount := range []struct {
+		field  string
+		value  float64
+		mayBe0 bool
+	}{
+		{"cores", s.CPUs, s.GPUs > 0 || s.Memory > 0},
+		{"cards", s.GPUs, true},
+		{"ram_gb", s.Memory, true},
+		{"image_gb", s.ImageGB, true},
+		{"estimado_s", s.Estimate, true},
+		{"guardado_cada_s", s.Checkpoint, true},
+		{"guardar_s", s.Save, true},
+	} {
+		isNumber := !math.IsNaN(amount.value)
+		if !isNumber || amount.value < 0 || amount.value > maxAmount || (amount.value == 0 && !amount.mayBe0) {
+			return &FieldError{amount.field, "out of range"}
+		}
+	}
+	if s.Deadline != nil && !(*s.Deadline >= 0 && *s.Deadline <= maxAmount) {
+		return &FieldError{"vence_s", "out of range"}
+	}
+	return nil
+}
+
+// maxMachineName is the longest name of a machine, in bytes.
+const maxMachineName = 100
+
+// CheckHeartbeat is nil, or a *FieldError for the first field of a heartbeat that is missing or malformed.
+func CheckHeartbeat(h *Heartbeat) error {
+	switch {
+	case h.Machine == "" || len(h.Machine) > maxMachineName || strings.ContainsAny(h.Machine, " /\n"):
+		return &FieldError{"estacion", "missing or malformed"}
+	case h.Addr == "":
+		return &FieldError{"address", "missing"}
+	case h.Incarnation == 0:
+		return &FieldError{"jornada", "missing"}
+	case h.Type == "" || h.Zone == "":
+		return &FieldError{"modelo", "type or zone missing"}
+	}
+	return nil
+}
--- /dev/null
+++ b/internal/protocol/users.go
@@ -0,0 +1,136 @@
+package protocol
+
+import (
+	"slices"
+	"strconv"
+	"strings"
+	"time"
+)
+
+// JobKind says how the tasks of a job run together.
+type JobKind string
+
+// The kinds of jobs.
+const (
+	JobArray JobKind = "batch"    // independent tasks, each runs as room comes free
+	Gang     JobKind = "ensemble" // all tasks run at the same time or none does
+	Service  JobKind = "service"  // tasks that run until the job is cancelled
+)
+
+// JobState is the state of a job as its user reads it.
+type JobState string
+
+// The states of a job. Running is an untyped constant, since tasks and machines have a state of that name too.
+const (
+	Pending   JobState = "pending"
+	Done      JobState = "done"      // final
+	Cancelled JobState = "withdrawn" // final
+
+	Running = "running"
+)
+
+// Paths of the users' interface. A job's own path is PathSubmit, a slash and its id.
+const (
+	PathSubmit = "/submissions"
+	PathHealth = "/healthz"
+)
+
+// MaxTasks is the largest number of tasks of one job.
+const MaxTasks = 100000
+
+// Submission is a job as its user describes it. CPUs, GPUs and memory are what one task takes. Types are the
+// machine types that the job may use, all if nil; Zone is the only zone that it may use, any if nil.
+type Submission struct {
+	UID        string   `json:"uid"`
+	Class      string   `json:"clase"`
+	Team       string   `json:"equipo"`
+	Kind       JobKind  `json:"tipo_trabajo"`
+	Priority   string   `json:"prioridad"`
+	Tasks      int      `json:"tramos"`
+	CPUs       float64  `json:"cores"`
+	GPUs       float64  `json:"cards"`
+	Memory     float64  `json:"ram_gb"`
+	Image      string   `json:"imagen"`
+	ImageGB    float64  `json:"image_gb"`
+	Types      []string `json:"modelos,omitempty"`
+	Zone       *string  `json:"zona,omitempty"`
+	OneZone    bool     `json:"together"`
+	Spread     bool     `json:"apart"`
+	Spot       bool     `json:"prestadas"`
+	Estimate   float64  `json:"estimado_s"`
+	Checkpoint float64  `json:"guardado_cada_s"`
+	Save       float64  `json:"guardar_s"`
+	Deadline   *float64 `json:"vence_s,omitempty"`
+}
+
+// Status is the answer about a job, with how many of its tasks are done and how many run.
+type Status struct {
+	UID     string   `json:"uid"`
+	State   JobState `json:"estado"`
+	Done    int      `json:"done"`
+	Running int      `json:"running"`
+}
+
+// JobSummary is the answer to an accepted submission and to a cancellation.
+type JobSummary struct {
+	UID   string   `json:"uid"`
+	State JobState `json:"estado"`
+}
+
+// Error is the body of a refusal, of every interface.
+type Error struct {
+	Error string `json:"error"`
+}
+
+// RunTime is how long one of the job's tasks runs, as its owner estimates.
+func (s *Submission) RunTime() time.Duration { return time.Duration(s.Estimate * float64(time.Second)) }
+
+// Times is how many of the job's tasks fit into so many CPUs, GPUs and GB of memory.
+func (s *Submission) Times(cpus, gpus, memory float64) int {
+	const slack = 1e-6 // absorbs rounding in sums of amounts
+	times := float64(MaxTasks)
+	for _, x := range [][2]float64{{cpus, s.CPUs}, {gpus, s.GPUs}, {memory, s.Memory}} {
+		if x[1] > 0 {
+			times = min(times, (x[0]+slack)/x[1])
+		}
+	}
+	return int(max(times, 0))
+}
+
+// priorities are the priorities of jobs, lowest first.
+var priorities = []string{"low", "standard", "high", "prod"}
+
+// Rank orders priorities: higher goes first. It is -1 for an unknown one.
+func Rank(priority string) int {
+	return slices.Index(priorities, priority)
+}
+
+// TaskName is the wire name of a task: the job's id, a slash and the index.
+func TaskName(job string, index int) string { return job + "/" + strconv.Itoa(index) }
+
+// SplitTask takes a task's wire name apart; ok is false if it is none.
+func SplitTask(name string) (job string, index int, ok bool) {
+	at := strings.LastIndexByte(name, '/')
+	if at <= 0 {
+		return "", 0, false
+	}
+	n, err := strconv.Atoi(name[at+1:])
+	if err != nil || n < 0 || n >= MaxTasks || strconv.Itoa(n) != name[at+1:] {
+		return "", 0, false
+	}
+	return name[:at], n, true
+}
+
+// ValidUID says whether a job id has the protocol's form: "job-" and up to 64 letters, digits, hyphens and underscores.
+func ValidUID(uid string) bool {
+	digits, ok := strings.CutPrefix(uid, "job-")
+	if !ok || digits == "" || len(digits) > 64 {
+		return false
+	}
+	for _, c := range digits {
+		if (c < '0' || c > '9') && (c < 'a' || c > 'z') && (c < 'A' || c > 'Z') && c != '-' && c != '_' {
+			return false
+		}
+	}
+	return true
+}
--- a/internal/simulation/check.go
+++ b/internal/simulation/check.go
@@ -30,7 +30,7 @@
 type truth struct {
 	spec      *protocol.Submission
 	accepted  bool
-	final     string // as a user was told
+	final     protocol.JobState // as a user was told
 	told      time.Time
 	overdue   bool // noted
 	withdrawn bool // its user asked
@@ -87,7 +87,7 @@
 // Known is what users had been told of a job when a request was sent; only that binds its answer.
 type Known struct {
 	accepted bool
-	final    string
+	final    protocol.JobState
 }
 
 // Asking gives what users were told of a job so far, for the answer to a request that is sent now.
@@ -107,20 +107,20 @@
 
 // Told notes what a user was told of a job by a status code and a state, in answer to a request that no other one
 // about the job overlapped.
-func (c *Checker) Told(uid string, status int, state string, repeat bool) {
+func (c *Checker) Told(uid string, status int, state protocol.JobState, repeat bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.answered(uid, c.known(uid), status, state, repeat)
 }
 
 // Answered is Told for requests that may overlap: before is what Asking gave when this one was sent.
-func (c *Checker) Answered(uid string, before Known, status int, state string, repeat bool) {
+func (c *Checker) Answered(uid string, before Known, status int, state protocol.JobState, repeat bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.answered(uid, before, status, state, repeat)
 }
 
-func (c *Checker) answered(uid string, before Known, status int, state string, repeat bool) {
+func (c *Checker) answered(uid string, before Known, status int, state protocol.JobState, repeat bool) {
 	final := state == protocol.Done || state == protocol.Cancelled
 	t := c.jobs[uid]
 	switch {
--- a/internal/simulation/faults_test.go
+++ b/internal/simulation/faults_test.go
@@ -40,7 +40,7 @@
 }
 
 // command sends one direct command; answered says whether it got an answer in time.
-func (b *bench) command(op string, index int, grace float64) (answered bool) {
+func (b *bench) command(op protocol.CommandOp, index int, grace float64) (answered bool) {
 	b.w.mu.Lock()
 	session := b.w.session
 	b.w.mu.Unlock()
--- a/internal/simulation/users.go
+++ b/internal/simulation/users.go
@@ -39,24 +39,24 @@
 func (u *Users) Log() *history.Log { return u.log }
 
 // Submit sends a submission, or repeats it.
-func (u *Users) Submit(node int, spec *protocol.Submission) (status int, state string) {
+func (u *Users) Submit(node int, spec *protocol.Submission) (status int, state protocol.JobState) {
 	u.check.Submitting(spec)
 	return u.call(node, history.Submit, spec.UID, "POST", protocol.PathSubmit, protocol.Encode(spec))
 }
 
 // Ask asks for a job's state.
-func (u *Users) Ask(node int, uid string) (status int, state string) {
+func (u *Users) Ask(node int, uid string) (status int, state protocol.JobState) {
 	return u.call(node, history.Ask, uid, "GET", protocol.PathSubmit+"/"+uid, nil)
 }
 
 // Cancel asks to cancel a job.
-func (u *Users) Cancel(node int, uid string) (status int, state string) {
+func (u *Users) Cancel(node int, uid string) (status int, state protocol.JobState) {
 	u.check.Withdrawing(uid)
 	return u.call(node, history.Cancel, uid, "POST", protocol.PathSubmit+"/"+uid+"/withdraw", []byte("{}"))
 }
 
 // call sends one request; status 0: no answer.
-func (u *Users) call(node int, kind history.Kind, uid, method, path string, body []byte) (status int, state string) {
+func (u *Users) call(node int, kind history.Kind, uid, method, path string, body []byte) (status int, state protocol.JobState) {
 	req, err := http.NewRequest(method, "http://"+u.nodes[node]+path, bytes.NewReader(body))
 	if err != nil {
 		panic("rehearse: request that cannot be: " + err.Error())
--- a/internal/simulation/worker.go
+++ b/internal/simulation/worker.go
@@ -190,7 +190,7 @@
 			case t != nil && t.State != protocol.Exited:
 				continue // refused as in_use; the listed attempt stays
 			case w.check.Spec(uid) == nil:
-				w.tasks[c.Task] = &protocol.TaskStatus{Task: c.Task, Attempt: c.Attempt, State: protocol.Exited, Why: protocol.WhyNoSuch}
+				w.tasks[c.Task] = &protocol.TaskStatus{Task: c.Task, Attempt: c.Attempt, State: protocol.Exited, Why: protocol.ReasonNoSuch}
 			default:
 				w.tasks[c.Task] = &protocol.TaskStatus{Task: c.Task, Attempt: c.Attempt, State: protocol.Running}
 				w.check.Start(c.Task, w.name, w.typ, w.zone, w.spot)
@@ -223,7 +223,7 @@
 	case t.State == protocol.Running && saves && given >= spec.Save:
 		w.save(t, settings.Seconds(spec.Save))
 	default:
-		w.exit(t, protocol.WhyStopped)
+		w.exit(t, protocol.ReasonStopped)
 	}
 }
 
@@ -236,7 +236,7 @@
 	w.after(t.Task, t.Attempt, takes, func(t *protocol.TaskStatus) {
 		if t.State == protocol.Saving {
 			t.Saved = true
-			w.exit(t, protocol.WhyStopped)
+			w.exit(t, protocol.ReasonStopped)
 		}
 	})
 }
@@ -258,9 +258,9 @@
 	})
 }
 
-func (w *Worker) exit(t *protocol.TaskStatus, why string) {
+func (w *Worker) exit(t *protocol.TaskStatus, why protocol.ExitReason) {
 	t.State, t.Why = protocol.Exited, why
-	w.check.End(t.Task, why == protocol.WhyDone)
+	w.check.End(t.Task, why == protocol.ReasonDone)
 	if timer := w.timers[t.Task]; timer != nil {
 		timer.Stop()
 	}
@@ -285,9 +285,9 @@
 			defer w.mu.Unlock()
 			if t := w.tasks[task]; t != nil && t.Attempt == attempt && t.State == protocol.Running && w.session == session {
 				if w.ended[task] = done; done {
-					w.exit(t, protocol.WhyDone)
+					w.exit(t, protocol.ReasonDone)
 				} else {
-					w.exit(t, protocol.WhyError)
+					w.exit(t, protocol.ReasonError)
 				}
 			}
 		}()
@@ -300,7 +300,7 @@
 	w.after(task, attempt, run, func(t *protocol.TaskStatus) {
 		if t.State == protocol.Running {
 			w.ended[task] = true
-			w.exit(t, protocol.WhyDone)
+			w.exit(t, protocol.ReasonDone)
 		}
 	})
 }
--- a/internal/userapi/userapi.go
+++ b/internal/userapi/userapi.go
@@ -34,16 +34,16 @@
 // Final is the end of a job in the state service. What a task takes is kept with it, since tasks that are still on
 // machines use their team's quota and the job's description is gone; it is 0 where only memory tells of the end.
 type Final struct {
-	State  string  `json:"state"`
-	Tasks  int     `json:"tasks"`
-	Team   string  `json:"team"`
-	CPUs   float64 `json:"cpus,omitempty"`
-	GPUs   float64 `json:"gpus,omitempty"`
-	Memory float64 `json:"memory,omitempty"` // GB
+	State  protocol.JobState `json:"state"`
+	Tasks  int               `json:"tasks"`
+	Team   string            `json:"team"`
+	CPUs   float64           `json:"cpus,omitempty"`
+	GPUs   float64           `json:"gpus,omitempty"`
+	Memory float64           `json:"memory,omitempty"` // GB
 }
 
 // EndOf is the end of a job in a state, protocol.Done or protocol.Withdrawn.
-func EndOf(spec *protocol.Submission, state string) Final {
+func EndOf(spec *protocol.Submission, state protocol.JobState) Final {
 	return Final{State: state, Tasks: spec.Tasks, Team: spec.Team, CPUs: spec.CPUs, GPUs: spec.GPUs, Memory: spec.Memory}
 }
 
