--- a/internal/controller/barrier.go
+++ b/internal/controller/barrier.go
@@ -22,7 +22,7 @@
 	if shard.AwaitedCount() > 0 || !n.configReady() || !n.memoriesGathered(time.Now()) {
 		return
 	}
-	if shard.NeedsBarrier() && n.record.RosterIncomplete && n.recovery.census == nil {
+	if shard.NeedsBarrier() && n.record.RosterIncomplete && !n.recovery.census.Taken() {
 		return // machines may be missing among those waited for
 	}
 	now := time.Now()
--- a/internal/controller/control.go
+++ b/internal/controller/control.go
@@ -35,8 +35,8 @@
 	for {
 		wait := every
 		n.mu.Lock()
-		grant, shown := n.leaseID, n.recovery.shown
-		n.recovery.shown = true // unless something says meanwhile that it is not
+		grant, shown := n.leaseID, n.recovery.ownKeyWritten
+		n.recovery.ownKeyWritten = true // unless something says meanwhile that it is not
 		n.mu.Unlock()
 		sent := time.Now()
 		var err error
@@ -57,7 +57,7 @@
 			}
 		}
 		n.mu.Lock()
-		n.recovery.shown = n.recovery.shown && shown
+		n.recovery.ownKeyWritten = n.recovery.ownKeyWritten && shown
 		switch {
 		case err == nil:
 			n.lease.Renewed(sent)
@@ -78,7 +78,7 @@
 		t := time.NewTimer(wait)
 		select {
 		case <-t.C:
-		case <-n.recovery.again:
+		case <-n.recovery.ownKeyOutdated:
 		case <-ctx.Done():
 		}
 		if t.Stop(); ctx.Err() != nil {
@@ -128,7 +128,7 @@
 			n.mu.Lock()
 			after := n.followedRevision
 			watch, cancel := context.WithCancel(ctx)
-			n.recovery.rewatch = cancel // what is watched ends with the generation
+			n.recovery.restartWatch = cancel // what is watched ends with the epoch
 			n.mu.Unlock()
 			var ch *protocol.Changes
 			ch, err = n.kvStore.Watch(watch, userapi.Watched, after)
@@ -192,11 +192,10 @@
 		}
 		n.learnRecord(&r, e.Version)
 	case strings.HasPrefix(key, datarecovery.EpochKey):
-		delete(n.recovery.markers, key)
 		if e.Delete == "" {
-			n.recovery.markers[key] = e.Version
+			n.recovery.detection.EpochKeyChanged(key, e.Version)
 			n.fenceOnEpochKey()
-		} else if n.record != nil && key == datarecovery.EpochKey+n.record.StoreID {
+		} else if n.recovery.detection.EpochKeyDeleted(key, n.record) {
 			n.suspectLoss("the generation's key was deleted")
 		}
 	case strings.HasPrefix(key, nodeKey):
@@ -217,7 +216,7 @@
 		}
 	case strings.HasPrefix(key, userapi.JobKey):
 		if e.Delete != "" {
-			delete(n.recovery.bury, key[len(userapi.JobKey):])
+			n.recovery.writeBack.ActiveKeyDeleted(key[len(userapi.JobKey):])
 			n.endJob(key[len(userapi.JobKey):])
 			return
 		}
@@ -243,7 +242,7 @@
 // learnRecord takes in a control record as the state service has it under a version.
 func (n *Node) learnRecord(r *leadership.Record, version uint64) {
 	if n.record != nil && r.Epoch > n.record.Epoch {
-		n.recovery.watch.NewerEpochSeen(r.Epoch) // all is read anew before anything rests on it
+		n.recovery.detection.NewerEpochSeen(r.Epoch) // all is read anew before anything rests on it
 		return
 	}
 	if n.record != nil && version <= n.recordVersion {
@@ -258,8 +257,7 @@
 	if n.record != nil && r.PreviousVersion != 0 && r.PreviousVersion < n.recordVersion {
 		// Written past the revision that was seen, over a store that had gone back: the versions
 		// that were given in between are given again, and no comparison shows the loss any more.
-		n.recovery.unchained = true
-		n.recovery.saw = true
+		n.recovery.detection.RecordOutOfChain()
 		n.suspectLoss("the control record does not follow the one known")
 		return
 	}
@@ -296,11 +294,11 @@
 			}
 		}
 	}
-	if old != nil && old.DataLost && !r.DataLost && n.recovery.read {
-		n.recovery.whole = true // what is known is all that there will be
+	if old != nil && old.DataLost && !r.DataLost {
+		n.recovery.detection.SearchGivenUp() // what is known is all that there will be
 	}
 	if r.Epoch > 0 && (old == nil || old.Epoch != r.Epoch) {
-		n.recovery.watch.Entered(r.Epoch, now)
+		n.recovery.detection.Entered(r.Epoch, now)
 		n.epochEntered(r)
 	}
 	if old != nil && old.RosterIncomplete && !r.RosterIncomplete {
--- a/internal/controller/jobs.go
+++ b/internal/controller/jobs.go
@@ -27,14 +27,14 @@
 func (n *Node) learnJob(s userapi.Stored, version uint64) {
 	uid := s.Spec.UID
 	j := n.jobs[uid]
-	delete(n.recovery.tentative, uid)
+	n.recovery.gathering.JobKnown(uid)
 	if j == nil && n.hasEnded(uid) {
 		j = &job{spec: s.Spec, submittedAt: time.UnixMilli(s.At), endedAt: time.Now()}
 		n.jobs[uid] = j
 	}
 	if j != nil && !j.active {
 		if version > 0 && n.epoch() > 1 && n.hasEnded(uid) { // an end beats active
-			n.recovery.bury[uid] = staleActiveKey{version, time.Now()}
+			n.recovery.writeBack.EndedKeyActive(uid, version, time.Now())
 		}
 		return
 	}
@@ -46,7 +46,7 @@
 	j.version = max(j.version, version)
 	if it := n.shards.OfTeam(s.Spec.Team); it != nil && it.Phase() != shards.Loading && it.Team().Job(s.Spec.UID) == nil {
 		n.addJob(it, j, nil)
-		if d := n.recovery.done[s.Spec.UID]; d != nil {
+		if d := n.recovery.gathering.Finished(s.Spec.UID); d != nil {
 			it.Team().Merge(s.Spec.UID, d)
 		}
 		if n.epoch() > 1 { // machines may run it already
@@ -77,7 +77,7 @@
 		return
 	}
 	j.active, j.endedAt = false, time.Now()
-	delete(n.recovery.done, uid)
+	n.recovery.gathering.ForgetFinished(uid)
 	if it := n.shards.OfTeam(j.spec.Team); it != nil {
 		it.Team().EndJob(uid)
 		n.reconcileMachinesOf(it, uid)
--- a/internal/controller/loss_test.go
+++ b/internal/controller/loss_test.go
@@ -246,12 +246,12 @@
 	for after, want := range map[uint64]datarecovery.Phase{12: datarecovery.Suspected, 17: datarecovery.Trusted, 18: datarecovery.Trusted} {
 		n := newGrown(2, 1).n
 		n.record.Epoch, n.recordVersion = 1, 17
-		n.recovery.watch = datarecovery.NewWatch("node-a", nil, time.Second)
-		n.recovery.watch.Entered(1, time.Now())
+		n.recovery.detection = datarecovery.NewDetection("node-a", n.incarnation, nil, time.Second)
+		n.recovery.detection.Entered(1, time.Now())
 		next := n.record.Clone()
 		next.Term, next.PreviousVersion = next.Term+1, after
 		n.changed(protocol.Change{Set: controlKey, Value: protocol.Encode(next), Version: 19})
-		if phase, _, _ := n.recovery.watch.Phase(); phase != want || (n.recordVersion == 19) != (want == datarecovery.Trusted) {
+		if phase, _, _ := n.recovery.detection.Phase(); phase != want || (n.recordVersion == 19) != (want == datarecovery.Trusted) {
 			t.Errorf("after %d: %s, version %d", after, phase, n.recordVersion)
 		}
 	}
--- a/internal/controller/meeting_test.go
+++ b/internal/controller/meeting_test.go
@@ -463,8 +463,8 @@
 	if m := n.machine("n-000900"); m.unregisteredSince.IsZero() || m.inspectedAt.IsZero() {
 		t.Error("the machine was not asked")
 	}
-	if n.recovery.proof != "" {
-		t.Errorf("taken for a proof: %s", n.recovery.proof)
+	if proof, proved := n.recovery.detection.Proved(); proved {
+		t.Errorf("taken for a proof: %s", proof)
 	}
 }
 
--- a/internal/controller/node.go
+++ b/internal/controller/node.go
@@ -169,7 +169,7 @@
 	}
 	life := settings.Seconds(o.NodeLease)
 	n.lease = leadership.Lease{Life: life, Margin: life / 20}
-	n.recovery = newRecoveryState(s, life)
+	n.recovery = newRecoveryState(s, n.incarnation, life)
 	n.admission = newAdmissionState(o)
 	n.kvStore.OnSign(n.suspectLossLater)
 	n.agents = agents.New(n.capacity, n.taskSize)
--- a/internal/controller/orphan.go
+++ b/internal/controller/orphan.go
@@ -88,7 +88,7 @@
 	if j := n.jobs[uid]; j != nil && (j.active || hasSize(j.spec)) {
 		return
 	}
-	if n.endLookups[uid] || len(n.endLookups) >= maxLookUps || time.Since(n.recovery.unknown[uid]) < lookUpRetryAfter {
+	if n.endLookups[uid] || len(n.endLookups) >= maxLookUps || time.Since(n.recovery.jobNotFoundAt[uid]) < lookUpRetryAfter {
 		return
 	}
 	n.endLookups[uid] = true
@@ -122,7 +122,7 @@
 		j.spec = spec
 	}
 	if !hasSize(spec) {
-		n.recovery.unknown[uid] = time.Now()
+		n.recovery.jobNotFoundAt[uid] = time.Now()
 	}
 	n.reobserveReserved(uid)
 }
@@ -132,7 +132,7 @@
 	if n.jobs[uid] != nil {
 		return
 	}
-	n.recovery.unknown[uid] = time.Now()
+	n.recovery.jobNotFoundAt[uid] = time.Now()
 	if absent && n.record != nil && (n.record.Epoch == 1 || jobstate.TermOf(attempt) >= n.record.FirstTerm) {
 		// A task is started only for a job that was accepted, and an accepted job has one key or the other for ever.
 		n.proveLoss("a worker has a task of a job that the store does not know")
--- a/internal/controller/owner.go
+++ b/internal/controller/owner.go
@@ -3,7 +3,6 @@
 import (
 	"context"
 	"iter"
-	"maps"
 	"slices"
 	"time"
 
@@ -39,7 +38,7 @@
 	})
 	n.log.Info("shard taken over", "shard", name, "term", shard.SinceTerm(), "barrier", shard.NeedsBarrier(), "held", len(shard.Team().Replica().Assignments))
 	if team, ok := shards.TeamOf(name); ok {
-		for uid, d := range n.recovery.done {
+		for uid, d := range n.recovery.gathering.FinishedByJob() {
 			if j := n.jobs[uid]; j != nil && j.active && j.spec.Team == team {
 				shard.Team().Merge(uid, d)
 			}
@@ -173,7 +172,7 @@
 	return func(yield func(string) bool) {
 		lists := []iter.Seq[string]{slices.Values(n.roster.All())}
 		if n.record.RosterIncomplete {
-			lists = append(lists, maps.Keys(n.recovery.names), maps.Keys(n.recovery.census))
+			lists = append(lists, n.recovery.census.Remembered(), n.recovery.census.Listed())
 		}
 		for _, list := range lists {
 			for name := range list {
--- a/internal/controller/peerhandler.go
+++ b/internal/controller/peerhandler.go
@@ -57,12 +57,9 @@
 			n.onPeerCancellations(node, &s, now)
 			n.onHomeWatermarks(node, &s, now)
 			n.sendNewerRecord(node, &s, now)
-			n.recovery.watch.Heard(node, s.Store, now)
+			n.recovery.detection.PeerAssessed(node, s.Store, n.record, now)
 			n.onPlan(node, incarnation, p, &s.Plan)
 			n.onConfigWord(node, incarnation, s.Config, now)
-			if n.record != nil && s.Store.Epoch == n.record.Epoch && s.Store.Term > n.record.Term {
-				n.recovery.ahead = max(n.recovery.ahead, s.Store.Term)
-			}
 		}
 	case "views":
 		var views []*jobstate.MachineStatus
--- a/internal/controller/recordchange.go
+++ b/internal/controller/recordchange.go
@@ -82,7 +82,7 @@
 	}
 	change := &recordChange{record: next, conditions: conditions, reason: reason, version: n.recordVersion}
 	if n.record != nil {
-		change.marker = n.recovery.markers[datarecovery.EpochKey+n.record.StoreID]
+		change.marker = n.recovery.detection.EpochKeyVersion(datarecovery.EpochKey + n.record.StoreID)
 	}
 	if change.version == 0 { // the first record: the generation begins with it
 		next.Epoch, next.FirstTerm, next.StoreID = 1, next.Term, randomStoreID()
@@ -207,7 +207,7 @@
 		return next, nil, "every machine is on the roster"
 	}
 	if n.shards.OwnsFleet() {
-		if next := datarecovery.GiveUpSearch(record, now.Sub(n.recovery.entered), settings.Seconds(n.options.CopyWait)); next != nil {
+		if next := datarecovery.GiveUpSearch(record, now.Sub(n.recovery.census.EnteredAt()), settings.Seconds(n.options.CopyWait)); next != nil {
 			return next, nil, "no copy was put back in time: what nobody knows is lost for good"
 		}
 	}
--- /dev/null
+++ b/internal/controller/recovery_epoch.go
@@ -0,0 +1,215 @@
+package controller
+
+import (
+	"context"
+	"encoding/hex"
+	"encoding/json"
+	"errors"
+	"maps"
+	"math/rand/v2"
+	"strings"
+	"time"
+
+	"topazhollow/internal/datarecovery"
+	"topazhollow/internal/kvstore"
+	"topazhollow/internal/leadership"
+	"topazhollow/internal/protocol"
+	"topazhollow/internal/userapi"
+)
+
+// Epochs of the state service's data: full lists of its keys, entering the epoch that they are of, and proposing the
+// next one after a loss.
+
+// relistKeys reads all that is followed, to enter the epoch that is found or to know
+// what a lost store holds.
+func (n *Node) relistKeys(ctx context.Context) {
+	began := time.Now()
+	entries, revision, err := n.kvStore.List(ctx, userapi.Watched)
+	if errors.Is(err, kvstore.ErrBack) {
+		n.kvStore.Anew()
+	}
+	if err != nil {
+		sleep(ctx, relistRetryDelay)
+		return
+	}
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	if n.applyFullList(entries, revision) {
+		n.recordFullRead(began)
+	}
+}
+
+// parseStoreContents finds the controllers' own keys in a full list that was read just now.
+func parseStoreContents(entries []protocol.Entry) datarecovery.StoreContents {
+	contents := datarecovery.StoreContents{Presences: map[string]leadership.Presence{}, EpochKeys: map[string]uint64{}, ReadAt: time.Now()}
+	for _, e := range entries {
+		switch {
+		case e.Key == controlKey:
+			var record leadership.Record
+			if json.Unmarshal(e.Value, &record) == nil {
+				contents.Record, contents.RecordVersion = &record, e.Version
+			}
+		case strings.HasPrefix(e.Key, datarecovery.EpochKey):
+			contents.EpochKeys[e.Key] = e.Version
+		case strings.HasPrefix(e.Key, nodeKey):
+			var p present
+			if json.Unmarshal(e.Value, &p) == nil {
+				contents.Presences[e.Key[len(nodeKey):]] = leadership.Presence{Incarnation: p.Incarnation, Version: e.Version}
+			}
+		}
+	}
+	return contents
+}
+
+// applyFullList takes in a full list of the followed keys, if it is of a store that can be
+// relied on. It says whether it is.
+func (n *Node) applyFullList(entries []protocol.Entry, revision uint64) bool {
+	contents := parseStoreContents(entries)
+	judgement := n.recovery.detection.JudgeList(contents, n.record, n.recordVersion)
+	if judgement.Proof != "" {
+		n.proveLoss(judgement.Proof)
+	}
+	if judgement.Suspicion != "" {
+		n.suspectLoss(judgement.Suspicion)
+	}
+	switch judgement.Verdict {
+	case datarecovery.ListOfOtherEpoch:
+		n.enterEpoch(entries, contents, revision)
+		return true
+	case datarecovery.ListCurrent:
+		n.reset(entries, revision)
+		return true
+	}
+	if contents.Presences[n.name].Incarnation != n.incarnation {
+		n.rewriteOwnKey()
+	}
+	return false
+}
+
+// enterEpoch begins to rely on the store as it was listed: at the process's start, and after a
+// loss. What is remembered stays, and is written back where the store lacks it.
+func (n *Node) enterEpoch(entries []protocol.Entry, contents datarecovery.StoreContents, revision uint64) {
+	now := time.Now()
+	if n.record != nil {
+		n.leaveEpoch(now)
+	}
+	n.recovery.detection.ListAccepted()
+	n.recovery.census.Begin(now)
+	n.recovery.writeBack.Begin()
+	n.kvStore.Anew()
+	n.kvStore.Hold(false)
+	n.followedRevision = revision
+	if n.recovery.restartWatch != nil {
+		n.recovery.restartWatch()
+	}
+	if contents.Record != nil {
+		n.adopt(contents.Record, contents.RecordVersion)
+	}
+	for _, e := range entries {
+		n.changed(protocol.Change{Set: e.Key, Value: e.Value, Version: e.Version})
+	}
+	n.watchedKeysRead = true
+	n.recovery.detection.Entered(n.epoch(), now)
+	if n.presences[n.name].Incarnation != n.incarnation {
+		n.rewriteOwnKey()
+	}
+	n.recount(maps.Keys(n.machines))
+	n.wake()
+}
+
+// leaveEpoch turns what is known of the store into what is remembered, as another epoch is about to be entered.
+func (n *Node) leaveEpoch(now time.Time) {
+	for _, name := range n.roster.All() {
+		if m := n.machines[name]; m == nil || !m.gone {
+			n.recovery.census.Remember(name)
+		}
+	}
+	n.rememberFinishedTasks()
+	n.shards.RecordChangeSettled()
+	for _, j := range n.jobs {
+		j.version = 0
+	}
+	for _, job := range n.recovery.gathering.ProposedJobs(now) {
+		n.learnJob(userapi.Stored(job), 0)
+	}
+	n.roster = newRoster(n.settings)
+	n.configEntered()
+	n.recordVersion, n.unansweredVersion = 0, 0
+	n.presences, n.memberMissingSince = map[string]leadership.Presence{}, time.Time{}
+	n.recovery.detection.LeaveEpoch()
+}
+
+// epochEntered is called when a control record of another epoch was adopted.
+func (n *Node) epochEntered(record *leadership.Record) {
+	n.fenceOnEpochKey()
+	if record.Epoch <= 1 {
+		return
+	}
+	n.log.Info("epoch entered", "epoch", record.Epoch, "term", record.Term, "lost_for_good", record.DataLost,
+		"since_loss", n.sinceLoss(time.Now()))
+	var members []string
+	for name := range record.Nodes {
+		if name != n.name {
+			members = append(members, name)
+		}
+	}
+	n.recovery.gathering.Begin(record.Epoch, members)
+	n.membershipSettledAt = time.Now() // machines did not reach their homes while nobody was entitled
+	clear(n.unreachableHomes)
+	for name := range n.recovery.census.Remembered() {
+		if record.Home(name) == n.name {
+			n.unregistered[name] = true
+		}
+	}
+}
+
+// sinceLoss is the time since the last loss was agreed on, for the log.
+func (n *Node) sinceLoss(now time.Time) time.Duration {
+	return now.Sub(n.recovery.detection.ConfirmedAt()).Round(time.Millisecond)
+}
+
+// fenceOnEpochKey has every update rest on the epoch's own key.
+func (n *Node) fenceOnEpochKey() {
+	if n.record == nil || n.record.StoreID == "" {
+		return
+	}
+	key := datarecovery.EpochKey + n.record.StoreID
+	if version := n.recovery.detection.EpochKeyVersion(key); version > 0 {
+		n.kvStore.Fence(protocol.Condition{Key: key, Version: version})
+	}
+}
+
+// proposeEpoch makes the next epoch, unless somebody has.
+func (n *Node) proposeEpoch(ctx context.Context) {
+	n.relistKeys(ctx)
+	evidence, contents, ready := n.proposalEvidence()
+	if !ready {
+		return
+	}
+	next := evidence.NextEpoch()
+	txn := next.Transaction(controlKey, nodeKey, contents, n.settings.Deployment.State.TxnOps)
+	_, failed, err := n.kvStore.TxnControl(ctx, txn)
+	n.log.Info("epoch proposed", "epoch", next.Record.Epoch, "term", next.Record.Term, "accounts_kept", next.WithoutBarrier,
+		"lost_for_good", next.Record.DataLost, "members", next.Record.Members(), "failed", failed, "err", err)
+	n.relistKeys(ctx)
+}
+
+func (n *Node) proposalEvidence() (evidence datarecovery.Evidence, contents datarecovery.StoreContents, ready bool) {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	evidence, contents, ready = n.recovery.detection.Proposal(n.record, n.kvStore.Seen(), time.Now())
+	evidence.Controllers = n.settings.Nodes()
+	evidence.Shards = n.itemNames()
+	evidence.ChangeUnanswered = n.unansweredVersion != 0 || n.recordChangePending
+	evidence.StoreID = randomStoreID()
+	return evidence, contents, ready
+}
+
+// randomStoreID is a name that nobody else draws.
+func randomStoreID() string {
+	b := make([]byte, 8)
+	for i := range b {
+		b[i] = byte(rand.Uint32())
+	}
+	return hex.EncodeToString(b)
+}
--- a/internal/controller/recovery_gather.go
+++ b/internal/controller/recovery_gather.go
@@ -1,7 +1,6 @@
 package controller
 
 import (
-	"context"
 	"maps"
 	"slices"
 	"time"
@@ -11,154 +10,132 @@
 	"topazhollow/internal/datarecovery"
 	"topazhollow/internal/peer"
 	"topazhollow/internal/protocol"
+	"topazhollow/internal/shards"
 	"topazhollow/internal/teamconfig"
 	"topazhollow/internal/userapi"
 )
 
-// What controllers remember for each other, and tell each other after a loss.
+// The exchange of memories: what controllers send each other of what the state service may lack.
 
-// tentativeJob is a job that a peer was about to accept.
-type proposedJob struct {
-	userapi.Stored
-	at time.Time
-}
-
-// tentativeFor is for how long it counts as accepted if the store is lost meanwhile: no
-// longer than a user waits for the answer.
-const proposedJobLife = 10 * time.Second
-
-// Kinds of the lines between controllers that serve the recovery of data. The words are part of the protocol.
+// Kinds of the messages of an exchange of memories. The words are part of the protocol.
 const (
-	kindMemories       = "recall"
-	kindMissingEnds    = "recalled"
-	kindReplicateFact  = "hold"
-	kindFactReplicated = "held"
+	kindMemories    = "recall"
+	kindMissingEnds = "recalled"
 )
 
-// The lines between controllers that serve the recovery of data.
 type (
-	// recallMsg tells what the sender remembers and the store may not have.
+	// memoriesMsg tells what the sender remembers and the store may not have.
 	memoriesMsg struct {
-		Epoch  uint64                    `json:"generation"`
-		Jobs   []userapi.Stored          `json:"jobs,omitempty"`
-		Active []string                  `json:"active,omitempty"` // jobs that the store had, as the sender knows
-		Done   map[string]*bitset.BitSet `json:"done,omitempty"`
-		Ends   datarecovery.Digest       `json:"ends"`
-		Last   bool                      `json:"last"`
-		Ask    bool                      `json:"ask,omitempty"` // the sender waits for the same from those who get it
-		Config []teamconfig.Change       `json:"config,omitempty"`
-	}
-	// recalledMsg answers it: ends that the sender of the recall lacks.
+		Epoch    uint64                    `json:"generation"`
+		Jobs     []userapi.Stored          `json:"jobs,omitempty"`   // active, and not in the store
+		Active   []string                  `json:"active,omitempty"` // jobs that the store had, as the sender knows
+		Finished map[string]*bitset.BitSet `json:"done,omitempty"`   // finished tasks by job
+		Ends     datarecovery.Digest       `json:"ends"`
+		Last     bool                      `json:"last"`          // message of these memories
+		Ask      bool                      `json:"ask,omitempty"` // the sender waits for the same from those who get it
+		Config   []teamconfig.Change       `json:"config,omitempty"`
+	}
+	// missingEndsMsg answers it: ends that the sender of the memories lacks.
 	missingEndsMsg struct {
 		Epoch uint64             `json:"generation"`
 		Ends  *datarecovery.Page `json:"ends,omitempty"`
 		Last  bool               `json:"last"`
 	}
-	// holdMsg asks a peer to hold a fact before it is said to a user.
-	replicateFactMsg struct {
-		ID   uint64          `json:"id,omitempty"`
-		From uint64          `json:"from,omitempty"` // number of the first of Ends among the withdrawals that the sender confirmed
-		Job  *userapi.Stored `json:"job,omitempty"`
-		Ends []jobEnd        `json:"ends,omitempty"`
-	}
-	jobEnd struct {
-		UID string `json:"uid"`
-		userapi.Final
-	}
-	factReplicatedMsg struct {
-		ID uint64 `json:"id"`
-	}
 )
 
-// gathered says whether every member that is heard told what it remembers, and gave its
-// word on what is remembered here.
+const (
+	// jobsPerMessage bounds the jobs of one message of memories.
+	jobsPerMessage = 400
+	// endsPerMessage bounds the ends of one message, in bytes.
+	endsPerMessage = 256 << 10
+	// startupGrace is how long a process that starts may take to hear its peers. Before that, one
+	// that is not heard is not gone: it was once taken for that, and what it remembers was not
+	// waited for.
+	startupGrace = unreachableAfter + 500*time.Millisecond
+	// calledActive stands for an attempt in the look-up of a job that a peer calls active: later than any real one.
+	calledActive = 1 << 52
+)
+
+// memoriesGathered says whether every member that may be heard sent its memories, and
+// answered those of this controller.
 func (n *Node) memoriesGathered(now time.Time) bool {
-	if n.recovery.gather == nil {
-		return true
+	member := func(name string) bool {
+		_, there := n.record.Nodes[name]
+		return there
 	}
-	n.recovery.gather.DropFormerMembers(func(name string) bool {
-		_, member := n.record.Nodes[name]
-		return member
-	})
-	left := n.recovery.gather.Awaited()
-	if slices.ContainsFunc(left, func(name string) bool { return n.mayBeHeard(name, now) }) {
-		return false
+	progress := n.recovery.gathering.Progress(member, func(name string) bool { return n.mayBeHeard(name, now) })
+	if progress.Completed {
+		n.log.Info("memories gathered", "epoch", n.record.Epoch, "since_loss", n.sinceLoss(now))
 	}
-	if len(left) == 0 {
-		n.log.Info("memories gathered", "generation", n.record.Epoch, "since_loss", now.Sub(n.recovery.lostAt).Round(time.Millisecond))
-		n.recovery.gather = nil
+	return progress.Ready
+}
+
+// allPeersExchanged says whether every peer that may be heard sent its memories since this process
+// began to follow the store, and what it knows was looked up.
+func (n *Node) allPeersExchanged(now time.Time) bool {
+	for name := range n.peers {
+		if n.mayBeHeard(name, now) && !n.recovery.gathering.ExchangedWith(name) {
+			return false
+		}
 	}
 	return true
 }
 
-// recall tells peers what is remembered here and the store may lack, and asks for theirs.
+// mayBeHeard says whether a peer is heard, or may be soon.
+func (n *Node) mayBeHeard(name string, now time.Time) bool {
+	return n.peers[name].isReachable(now) || now.Sub(n.startedAt) < startupGrace
+}
+
+func (n *Node) peerNames() []string { return slices.Sorted(maps.Keys(n.peers)) }
+
+// sendMemories tells peers what is remembered here and the store may lack; ask has them send theirs.
 func (n *Node) sendMemories(ask bool, to ...string) {
-	const part = 400 // jobs of a line
-	var jobs []userapi.Stored
-	var active []string
-	for _, uid := range slices.Sorted(maps.Keys(n.jobs)) {
-		if j := n.jobs[uid]; j.active && j.version == 0 {
-			jobs = append(jobs, userapi.Stored{Spec: j.spec, At: j.submittedAt.UnixMilli()})
-		} else if j.active {
-			active = append(active, uid)
-		}
-	}
+	unwritten, written := n.activeJobs()
 	ends := n.front.Digest()
-	for {
-		m := memoriesMsg{Epoch: n.epoch(), Jobs: jobs[:min(part, len(jobs))], Done: map[string]*bitset.BitSet{}, Ask: ask}
-		jobs = jobs[len(m.Jobs):]
+	for last := false; !last; {
+		m := memoriesMsg{Epoch: n.epoch(), Jobs: unwritten[:min(jobsPerMessage, len(unwritten))], Finished: map[string]*bitset.BitSet{}, Ask: ask}
+		unwritten = unwritten[len(m.Jobs):]
 		for _, s := range m.Jobs {
-			if d := n.recovery.done[s.Spec.UID]; d != nil {
-				m.Done[s.Spec.UID] = d
+			if finished := n.recovery.gathering.Finished(s.Spec.UID); finished != nil {
+				m.Finished[s.Spec.UID] = finished
 			}
 		}
-		if m.Last = len(jobs) == 0; m.Last {
-			m.Ends, m.Active, m.Config = ends, active, n.rememberedConfig()
-			for uid, d := range n.recovery.done { // of jobs that the store has
-				if j := n.jobs[uid]; j != nil && j.active && j.version > 0 {
-					m.Done[uid] = d
-				}
-			}
+		if last = len(unwritten) == 0; last {
+			m.Last, m.Ends, m.Active, m.Config = true, ends, written, n.rememberedConfig()
+			n.addFinishedOfWritten(m.Finished)
 		}
 		line := peer.Line(kindMemories, m)
-		for _, p := range to {
-			n.links.SendLine(p, line)
-		}
-		if m.Last {
-			return
+		for _, name := range to {
+			n.links.SendLine(name, line)
 		}
 	}
 }
 
-// introduced says whether every peer that is heard told what it knows since this process
-// began to follow the store, and what it knows was looked up. Before that this process
-// can't tell a job that was never accepted from one that the store lost.
-func (n *Node) allPeersExchanged(now time.Time) bool {
-	for name := range n.peers {
-		if n.mayBeHeard(name, now) && !n.recovery.met[name] {
-			return false
+// activeJobs are the active jobs that the store lacks, and the ids of those that it has, in the order of ids.
+func (n *Node) activeJobs() (unwritten []userapi.Stored, written []string) {
+	for _, uid := range slices.Sorted(maps.Keys(n.jobs)) {
+		if j := n.jobs[uid]; j.active && j.version == 0 {
+			unwritten = append(unwritten, userapi.Stored{Spec: j.spec, At: j.submittedAt.UnixMilli()})
+		} else if j.active {
+			written = append(written, uid)
 		}
 	}
-	return true
+	return unwritten, written
 }
 
-// startFor is how long a process that starts may take to hear its peers. Before that, one
-// that is not heard is not gone: it was once taken for that, and what it remembers was not
-// waited for.
-const startupGrace = unreachableAfter + 500*time.Millisecond
-
-// mayHear says whether a peer is heard, or may be soon.
-func (n *Node) mayBeHeard(name string, now time.Time) bool {
-	return n.peers[name].isReachable(now) || now.Sub(n.startedAt) < startupGrace
+// addFinishedOfWritten adds the finished tasks that are remembered of jobs that the store has.
+func (n *Node) addFinishedOfWritten(finished map[string]*bitset.BitSet) {
+	for uid, tasks := range n.recovery.gathering.FinishedByJob() {
+		if j := n.jobs[uid]; j != nil && j.active && j.version > 0 {
+			finished[uid] = tasks
+		}
+	}
 }
 
-// recallEvery is after what time those who did not answer are told again, as when they
-// have not entered the generation yet.
-const memoriesResendInterval = 300 * time.Millisecond
-
-func (n *Node) onMemories(node string, m *memoriesMsg) {
+// onMemories takes in a peer's memories, and answers with the ends that it lacks.
+func (n *Node) onMemories(from string, m *memoriesMsg) {
 	if m.Epoch != n.epoch() || !n.trusted() {
-		return // it is told again
+		return // it is sent again
 	}
 	for _, s := range m.Jobs {
 		if s.Spec == nil || !protocol.ValidUID(s.Spec.UID) {
@@ -168,151 +145,100 @@
 			n.learnJob(s, 0)
 		}
 	}
-	n.mergeFinishedTasks(m.Done)
+	n.mergeFinishedTasks(m.Finished)
 	n.learnRememberedConfig(m.Config)
-	if !m.Last {
-		return
+	if m.Last {
+		n.completeMemories(from, m)
 	}
+}
+
+// completeMemories takes in the last message of a peer's memories.
+func (n *Node) completeMemories(from string, m *memoriesMsg) {
 	for _, uid := range m.Active {
 		if n.jobs[uid] == nil && !n.hasEnded(uid) {
 			// Accepted and not ended, as the sender knows: the store must have it, or its end.
-			n.lookUpEnd(uid, 1<<52)
+			n.lookUpEnd(uid, calledActive)
 		}
 	}
-	n.recovery.met[node] = true
+	n.recovery.gathering.MemoriesReceived(from)
 	lacking, err := n.front.Lacking(m.Ends)
 	if err != nil {
-		n.log.Error("unreadable line", "peer", node, "kind", kindMemories, "err", err)
+		n.log.Error("unreadable line", "peer", from, "kind", kindMemories, "err", err)
 		return
 	}
-	for _, p := range datarecovery.Pages(lacking, 256<<10) {
-		n.links.Send(node, kindMissingEnds, missingEndsMsg{Epoch: m.Epoch, Ends: &p})
+	for _, page := range datarecovery.Pages(lacking, endsPerMessage) {
+		n.links.Send(from, kindMissingEnds, missingEndsMsg{Epoch: m.Epoch, Ends: &page})
 	}
-	n.links.Send(node, kindMissingEnds, missingEndsMsg{Epoch: m.Epoch, Last: true})
-	if n.recovery.gather != nil {
-		n.recovery.gather.MemoriesReceived(node)
+	n.links.Send(from, kindMissingEnds, missingEndsMsg{Epoch: m.Epoch, Last: true})
+	if n.recovery.gathering.MemoriesAnswered(from) {
 		n.wake()
 	}
-	if m.Ask { // one that entered the generation later missed what was told then
-		n.sendMemories(false, node)
+	if m.Ask { // one that entered the epoch later missed what was sent then
+		n.sendMemories(false, from)
 	}
 }
 
-func (n *Node) onMissingEnds(node string, m *missingEndsMsg) {
+// onMissingEnds takes in the ends that a peer found to be missing here.
+func (n *Node) onMissingEnds(from string, m *missingEndsMsg) {
 	if m.Ends != nil {
 		ends, err := m.Ends.Ends()
 		if err != nil {
-			n.log.Error("unreadable line", "peer", node, "kind", kindMissingEnds, "err", err)
+			n.log.Error("unreadable line", "peer", from, "kind", kindMissingEnds, "err", err)
 			return
 		}
 		n.learnEnds(ends)
-		n.recovery.sealed = false
+		n.recovery.writeBack.EndsLearned()
 	}
-	if m.Last && n.recovery.gather != nil && m.Epoch == n.recovery.gather.Epoch {
-		n.recovery.gather.Answered(node)
+	if m.Last && n.recovery.gathering.AnswerReceived(from, m.Epoch) {
 		n.wake()
 	}
 }
 
 // learnEnds takes in ends from peers and pages.
 func (n *Node) learnEnds(ends []datarecovery.End) {
-	for _, x := range ends {
-		n.front.Learn(x.UID, userapi.FinalOf(x))
-		n.applyRememberedEnd(x.UID)
+	for _, end := range ends {
+		n.front.Learn(end.UID, userapi.FinalOf(end))
+		n.applyRememberedEnd(end.UID)
 	}
 }
 
-// endRemembered books the end of a job that memory tells of; if the store still has it as
+// applyRememberedEnd ends a job of whose end memory tells; if the store still has it as
 // active, its end is to be written there again.
 func (n *Node) applyRememberedEnd(uid string) {
 	if j := n.jobs[uid]; j != nil && j.active {
 		if j.version > 0 && n.epoch() > 1 {
-			n.recovery.bury[uid] = staleActiveKey{j.version, time.Now()}
+			n.recovery.writeBack.EndedKeyActive(uid, j.version, time.Now())
 		}
 		n.endJob(uid)
 	}
 }
 
-// hold has a peer hold a fact before it is said. It gives up soon: what the store has is
-// acknowledged anyway, and a fact that nobody else held is counted.
-func (n *Node) replicateFact(ctx context.Context, m replicateFactMsg) {
-	n.mu.Lock()
-	near := 0
-	now := time.Now()
-	n.recovery.holdID++
-	m.ID = n.recovery.holdID
-	n.numberCancellation(&m)
-	got := make(chan struct{}, 1)
-	n.recovery.holds[m.ID] = got
-	line := peer.Line(kindReplicateFact, m)
-	for name, p := range n.peers {
-		if n.links.SendLine(name, line) && p.isReachable(now) {
-			near++
-		}
-	}
-	n.mu.Unlock()
-	held := false
-	if near > 0 {
-		t := time.NewTimer(replicationTimeout)
-		defer t.Stop()
-		select {
-		case <-got:
-			held = true
-		case <-t.C:
-		case <-ctx.Done():
-		}
+// rememberFinishedTasks takes down the finished tasks that this controller knows as owner or replica.
+func (n *Node) rememberFinishedTasks() {
+	n.mergeFinishedTasks(n.recovery.gathering.TakeFinished())
+	for shard := range n.shards.All() {
+		n.mergeFinishedTasks(shard.Team().Replica().Done)
 	}
-	n.mu.Lock()
-	defer n.mu.Unlock()
-	delete(n.recovery.holds, m.ID)
-	if !held {
-		n.recovery.alone++
+	for replica := range n.shards.Held().All() {
+		n.mergeFinishedTasks(replica.Done)
 	}
 }
 
-// tellEnd tells the peers of an end that was found in the store.
-func (n *Node) broadcastEnd(uid string, end userapi.Final) {
-	n.mu.Lock()
-	defer n.mu.Unlock()
-	n.broadcast(kindReplicateFact, replicateFactMsg{Ends: []jobEnd{{uid, end}}})
-}
-
-// holdFor is how long a peer is waited for to hold a fact.
-const replicationTimeout = 100 * time.Millisecond
-
-func (n *Node) onReplicateFact(node string, m *replicateFactMsg) {
-	if m.Job != nil && m.Job.Spec != nil && protocol.ValidUID(m.Job.Spec.UID) {
-		n.noteProposedJob(*m.Job)
-	}
-	for _, x := range m.Ends {
-		if !protocol.ValidUID(x.UID) || x.State != protocol.Cancelled && x.State != protocol.Done {
-			n.log.Error("unreadable line", "peer", node, "kind", kindReplicateFact, "err", "an end of no job or of no kind")
-			return
+// mergeFinishedTasks takes in finished tasks that were remembered elsewhere, of jobs that may
+// be known only later.
+func (n *Node) mergeFinishedTasks(finished map[string]*bitset.BitSet) {
+	for uid, tasks := range finished {
+		j := n.jobs[uid]
+		if tasks == nil || n.hasEnded(uid) || j != nil && (!j.active || j.spec.Kind == protocol.Service) {
+			continue
 		}
-	}
-	for _, x := range m.Ends {
-		n.front.Learn(x.UID, x.Final)
-		n.applyRememberedEnd(x.UID)
-	}
-	n.cancelWatermark.RecordReceived(node, m.From, len(m.Ends))
-	if m.ID != 0 {
-		n.links.Send(node, kindFactReplicated, factReplicatedMsg{m.ID})
-	}
-}
-
-func (n *Node) onFactReplicated(m *factReplicatedMsg) {
-	if got := n.recovery.holds[m.ID]; got != nil {
-		select {
-		case got <- struct{}{}:
-		default:
+		n.recovery.gathering.MergeFinished(uid, tasks)
+		if j == nil {
+			continue
+		}
+		if shard := n.shards.OfTeam(j.spec.Team); shard != nil && shard.Phase() != shards.Loading {
+			shard.Team().Merge(uid, tasks)
 		}
 	}
-}
-
-// tentative takes down a job that a peer is about to accept. If the store accepts it, the
-// watch tells; if not, it is forgotten.
-func (n *Node) noteProposedJob(s userapi.Stored) {
-	if n.jobs[s.Spec.UID] == nil {
-		n.recovery.tentative[s.Spec.UID] = proposedJob{s, time.Now()}
-	}
+	n.wake()
 }
--- a/internal/controller/stray_test.go
+++ b/internal/controller/stray_test.go
@@ -260,7 +260,8 @@
 	n.place(g.now)
 	state := func() string {
 		done, _ := team.Progress(spec.UID)
-		return fmt.Sprint(len(n.jobs), len(n.machines), len(n.roster.All()), done, len(team.Replica().Assignments), n.recovery.proof, n.recovery.unchained, n.trusted())
+		proof, _ := n.recovery.detection.Proved()
+		return fmt.Sprint(len(n.jobs), len(n.machines), len(n.roster.All()), done, len(team.Replica().Assignments), proof, n.recovery.detection.RecordChainBroken(), n.trusted())
 	}
 	before := state()
 	if held, _ := team.Held(); held == 0 {
--- a/internal/controller/sync_test.go
+++ b/internal/controller/sync_test.go
@@ -11,7 +11,6 @@
 	"golang.org/x/sync/errgroup"
 
 	"topazhollow/internal/agents"
-	"topazhollow/internal/datarecovery"
 	"topazhollow/internal/jobstate"
 	"topazhollow/internal/kvstore"
 	"topazhollow/internal/leadership"
@@ -142,7 +141,7 @@
 		}
 		n.learnJob(userapi.Stored{Spec: array(1, 3, "red")}, 1)
 		n.peers["node-b"] = &peerState{connected: true, lastMessageAt: time.Now()}
-		n.recovery.gather = datarecovery.NewExchange(2, []string{"node-b"}) // it is yet to tell what it remembers
+		n.recovery.gathering.Begin(2, []string{"node-b"}) // it is yet to tell what it remembers
 		it := ownedShard(n, name, 5, blind, rep)
 		n.mu.Lock()
 		n.pagesLoaded(it, nil)
@@ -152,7 +151,8 @@
 		whole := r.Clone()
 		whole.RosterIncomplete = false
 		n.adopt(whole, 9)
-		n.recovery.gather = nil
+		n.recovery.gathering.MemoriesAnswered("node-b")
+		n.recovery.gathering.AnswerReceived("node-b", 2)
 		if it.Phase() == shards.Barrier { // as by a report
 			n.passBarrier(it)
 		}
--- a/internal/controller/userbackend.go
+++ b/internal/controller/userbackend.go
@@ -95,7 +95,7 @@
 	defer b.mu.Unlock()
 	n := (*Node)(b)
 	if j := n.jobs[uid]; j != nil && j.active && j.version > 0 && n.trusted() {
-		n.recovery.suspect[userapi.JobKey+uid] = j.version
+		n.recovery.detection.SuspectKey(userapi.JobKey+uid, j.version)
 	}
 }
 
--- a/internal/datarecovery/epoch.go
+++ b/internal/datarecovery/epoch.go
@@ -1,19 +1,21 @@
 package datarecovery
 
 import (
+	"maps"
 	"slices"
 	"time"
 
 	"topazhollow/internal/leadership"
+	"topazhollow/internal/protocol"
 )
 
-// Next is the control record of the next generation.
+// NextEpoch is the control record of the next epoch.
 type NextEpoch struct {
 	Record         *leadership.Record
 	WithoutBarrier bool // owners keep their accounts: no barrier
 }
 
-// Evidence is what the maker of a generation knows.
+// Evidence is what the controller that proposes an epoch knows.
 type Evidence struct {
 	Self             string
 	Controllers      []string                       // all controllers of the deployment
@@ -28,7 +30,7 @@
 	StoreID          string // drawn name of the generation's store
 }
 
-// Generation makes the next one. Terms go above every token that any worker may have
+// NextEpoch makes the control record of the next epoch. Terms go above every token that any worker may have
 // seen. Owners keep what they own, and without a barrier, only if every controller of the
 // deployment is heard, is the process that the latest record names, and knows no later
 // one: then nobody can have acted under a record that is not known here. If no memory goes back
@@ -38,50 +40,106 @@
 	if e.Record != nil {
 		base = e.Record.Clone()
 	}
-	top, generation := max(base.Term, e.HighestToken), base.Epoch
-	whole := e.Own.MemoryComplete
+	term, epoch := e.highest(base)
+	complete := e.memoryComplete(base.Epoch)
+	keep := complete && e.nobodyActedElsewhere(base)
+	next := (&leadership.Record{Term: term + 1, FirstTerm: term + 1, Epoch: epoch + 1, StoreID: e.StoreID, RosterIncomplete: true}).Clone()
+	next.DataLost = base.DataLost || !complete || (e.Stored != nil && e.Stored.DataLost)
+	for name, presence := range e.Presences {
+		next.Nodes[name] = presence.Incarnation
+		if slices.Contains(base.Unreachable, name) {
+			next.Unreachable = append(next.Unreachable, name)
+		}
+	}
+	slices.Sort(next.Unreachable)
+	e.assignShards(next, base, keep)
+	return NextEpoch{Record: next, WithoutBarrier: keep}
+}
+
+// highest are the highest term and epoch that anybody knows.
+func (e *Evidence) highest(base *leadership.Record) (term, epoch uint64) {
+	term, epoch = max(base.Term, e.HighestToken), base.Epoch
 	if e.Stored != nil {
-		top, generation = max(top, e.Stored.Term), max(generation, e.Stored.Epoch)
+		term, epoch = max(term, e.Stored.Term), max(epoch, e.Stored.Epoch)
 	}
-	for _, w := range e.Assessments {
-		top, generation = max(top, w.Term), max(generation, w.Epoch)
-		whole = whole || (w.MemoryComplete && w.SuspectsLoss && w.Epoch == base.Epoch)
+	for _, a := range e.Assessments {
+		term, epoch = max(term, a.Term), max(epoch, a.Epoch)
 	}
-	kept := whole && e.Record != nil && !e.ChangeUnanswered && (e.Stored == nil || e.Stored.Term <= base.Term)
-	for _, name := range e.Controllers {
-		inc := e.Own.Incarnation
-		if name != e.Self {
-			w, heard := e.Assessments[name]
-			kept = kept && heard && w.Epoch == base.Epoch && w.Term == base.Term
-			inc = w.Incarnation
+	return term, epoch
+}
+
+// memoryComplete says whether a controller that saw the loss in an epoch remembers everything.
+func (e *Evidence) memoryComplete(epoch uint64) bool {
+	if e.Own.MemoryComplete {
+		return true
+	}
+	for _, a := range e.Assessments {
+		if a.MemoryComplete && a.SuspectsLoss && a.Epoch == epoch {
+			return true
 		}
-		kept = kept && base.Nodes[name] == inc && e.Presences[name].Incarnation == inc
 	}
-	r := (&leadership.Record{Term: top + 1, FirstTerm: top + 1, Epoch: generation + 1, StoreID: e.StoreID, RosterIncomplete: true}).Clone()
-	r.DataLost = base.DataLost || !whole
-	if e.Stored != nil {
-		r.DataLost = r.DataLost || e.Stored.DataLost
+	return false
+}
+
+// nobodyActedElsewhere says whether every controller is heard and acted under no other record than the latest known here.
+func (e *Evidence) nobodyActedElsewhere(base *leadership.Record) bool {
+	if e.Record == nil || e.ChangeUnanswered || (e.Stored != nil && e.Stored.Term > base.Term) {
+		return false
 	}
-	for name, p := range e.Presences {
-		r.Nodes[name] = p.Incarnation
-		if slices.Contains(base.Unreachable, name) {
-			r.Unreachable = append(r.Unreachable, name)
+	for _, name := range e.Controllers {
+		incarnation := e.Own.Incarnation
+		if name != e.Self {
+			a, heard := e.Assessments[name]
+			if !heard || a.Epoch != base.Epoch || a.Term != base.Term {
+				return false
+			}
+			incarnation = a.Incarnation
+		}
+		if base.Nodes[name] != incarnation || e.Presences[name].Incarnation != incarnation {
+			return false
 		}
 	}
-	slices.Sort(r.Unreachable)
-	wish := leadership.AssignOwners(e.Shards, r.Members())
+	return true
+}
+
+// assignShards leaves shards with their owners that are members, and gives the others to members.
+func (e *Evidence) assignShards(next, base *leadership.Record, keep bool) {
+	assigned := leadership.AssignOwners(e.Shards, next.Members())
 	for _, name := range e.Shards {
-		old := base.Shards[name]
-		it := leadership.Shard{Owner: old.Owner, SinceTerm: r.Term, NeedsBarrier: !kept || old.NeedsBarrier}
-		if _, there := r.Nodes[it.Owner]; !there {
-			it.Owner, it.NeedsBarrier = wish[name], true
+		before := base.Shards[name]
+		shard := leadership.Shard{Owner: before.Owner, SinceTerm: next.Term, NeedsBarrier: !keep || before.NeedsBarrier}
+		if _, member := next.Nodes[shard.Owner]; !member {
+			shard.Owner, shard.NeedsBarrier = assigned[name], true
 		}
-		r.Shards[name] = it
+		next.Shards[name] = shard
+	}
+}
+
+// Transaction is the one conditional write that begins the epoch in place of what the store holds: it replaces the control
+// record, makes the epoch's own key and deletes those of earlier epochs, at most maxOps operations. It rests on the presences that the
+// epoch names.
+func (p *NextEpoch) Transaction(controlKey, presencePrefix string, replaced StoreContents, maxOps int) protocol.Txn {
+	p.Record.PreviousVersion = replaced.RecordVersion
+	txn := protocol.Txn{
+		Conditions: []protocol.Condition{{Key: controlKey, Version: replaced.RecordVersion}},
+		Then: []protocol.Op{
+			{Set: controlKey, Value: protocol.Encode(p.Record)},
+			{Set: EpochKey + p.Record.StoreID, Value: []byte("{}")},
+		},
+	}
+	for _, key := range slices.Sorted(maps.Keys(replaced.EpochKeys)) {
+		if len(txn.Then) < maxOps {
+			txn.Conditions = append(txn.Conditions, protocol.Condition{Key: key, Version: replaced.EpochKeys[key]})
+			txn.Then = append(txn.Then, protocol.Op{Delete: key})
+		}
+	}
+	for name, presence := range replaced.Presences {
+		txn.Conditions = append(txn.Conditions, protocol.Condition{Key: presencePrefix + name, Version: presence.Version})
 	}
-	return NextEpoch{Record: r, WithoutBarrier: kept}
+	return txn
 }
 
-// GiveUp is the control record with which the search for what nobody remembers ends, once
+// GiveUpSearch is the control record with which the search for what nobody remembers ends, once
 // a copy was waited for as long as the operators said; nil if it goes on. 0 is no bound:
 // then only their word ends it.
 func GiveUpSearch(r *leadership.Record, waited, most time.Duration) *leadership.Record {
--- a/internal/datarecovery/model_test.go
+++ b/internal/datarecovery/model_test.go
@@ -77,7 +77,7 @@
 	name    string
 	inc     uint64
 	up      bool
-	w       *Watch
+	w       *Agreement
 	rec     *leadership.Record
 	version uint64 // of the record
 	marker  uint64
@@ -124,7 +124,7 @@
 func (w *world) boot(n *node) {
 	n.inc++
 	*n = node{name: n.name, inc: n.inc, up: true, live: map[string]leadership.Presence{}, jobs: map[string]uint64{}, ends: NewEnds(), born: w.now}
-	n.w = NewWatch(n.name, []string{w.other(n).name}, 5*time.Second)
+	n.w = NewAgreement(n.name, []string{w.other(n).name}, 5*time.Second)
 }
 
 func (w *world) other(n *node) *node {
@@ -376,7 +376,7 @@
 	}
 	o := w.other(n)
 	if w.near(n) && w.rng.IntN(4) == 0 {
-		o.w.Heard(n.name, n.word(), w.now)
+		o.w.PeerAssessed(n.name, n.word(), w.now)
 	}
 	if w.alive()[n.name].Incarnation != n.inc && w.rng.IntN(3) == 0 { // the lease's duty
 		w.s.txn(map[string]uint64{"w/n/" + n.name: w.alive()[n.name].Version}, map[string]string{"w/n/" + n.name: fmt.Sprint(n.inc)})
@@ -389,12 +389,12 @@
 		p, ok := w.alive()[name]
 		return ok && (name != n.name || p.Incarnation == n.inc)
 	}) {
-	case Compare:
+	case ActionCompare:
 		n.w.Compared(w.look(n), w.now)
-	case Relist:
+	case ActionRelist:
 		n.seen = 0
 		w.list(n)
-	case Propose:
+	case ActionPropose:
 		w.propose(n)
 	}
 	if p, _, _ := n.w.Phase(); p == Lost {
