--- a/internal/arch/arch.go
+++ b/internal/arch/arch.go
@@ -50,6 +50,7 @@
 	{"library", []string{""}},
 	{"tools", []string{
 		"internal/arch",
+		"internal/goldentest",
 		"internal/history",
 		"internal/simulation",
 		"internal/blob",
--- /dev/null
+++ b/internal/artifactreplication/golden_test.go
@@ -0,0 +1,119 @@
+package artifactreplication
+
+import (
+	"os"
+	"path/filepath"
+	"strings"
+	"testing"
+	"time"
+
+	"topazhollow/internal/artifactstore"
+	"topazhollow/internal/blob"
+	"topazhollow/internal/goldentest"
+	"topazhollow/internal/protocol"
+)
+
+// The golden files of what keepers tell each other and keep of themselves. Keepers of two versions run beside each other, so the forms
+// may only grow. Members and Member have no JSON names of their own, nor has what is summed up of an open attempt: there the names in Go
+// are the form.
+
+// goldenMembers has every field set.
+func goldenMembers() Members {
+	return Members{Epoch: 3, Copies: 3, Acks: 2, List: []Member{{Name: "a", Zone: "zone 0", URL: "http://10.0.0.1:7000", State: Serving}, {Name: "b", Zone: "zone 1", URL: "http://10.0.0.2:7000", State: Draining},
+		{Name: "c", Zone: "zone 1", URL: "http://10.0.0.3:7000", State: Gone}, {Name: "d", Zone: "zone 0", URL: "http://10.0.0.4:7000", State: Serving}}}
+}
+
+func TestGoldenIdentity(t *testing.T) {
+	members := goldenMembers()
+	goldentest.Wire.Check(t, []goldentest.Case{
+		{Name: "identity-full.json", Value: identity{Disk: "00112233", Incarnation: 7, Lists: []Members{members}}, Full: true},
+		{Name: "identity-empty.json", Value: identity{}},
+	})
+	goldentest.Bytes(t, "members-digest.txt", []byte(members.digest()+"\n"))
+	dir := t.TempDir()
+	if err := os.WriteFile(filepath.Join(dir, "identity.json"), goldentest.Read(t, "identity-full.json"), 0o600); err != nil {
+		t.Fatal(err)
+	}
+	id, err := openIdentity(dir, &members)
+	if err != nil || id.Disk != "00112233" || id.Incarnation != 8 || !id.full(&members) {
+		t.Errorf("identity %+v, error %v", id, err)
+	}
+}
+
+// TestGoldenPlaces: keepers of all versions must find the same places and buckets for a task.
+func TestGoldenPlaces(t *testing.T) {
+	members := goldenMembers()
+	var text []byte
+	for _, at := range []artifactstore.Attempt{{Job: "job-000412", Task: 3, Number: 2}, {Job: "job-000398", Number: 1}} {
+		text = append(text, protocol.Encode(struct {
+			Place  []string `json:"place"`
+			Bucket int      `json:"bucket"`
+		}{members.Place(at.Job, at.Task), bucketOf(at)})...)
+		text = append(text, '\n')
+	}
+	goldentest.Bytes(t, "places.jsonl", text)
+}
+
+// TestGoldenSums: the names and sums by which keepers compare what they have.
+func TestGoldenSums(t *testing.T) {
+	n, _ := alone(t, t.TempDir(), nil)
+	c := claim(1, 0, 1)
+	if err := n.Begin(ctx, c); err != nil {
+		t.Fatal(err)
+	}
+	if _, err := n.Append(ctx, c, "stdout", 0, lines(0, 3, "line")); err != nil {
+		t.Fatal(err)
+	}
+	bucket := bucketOf(c.Attempt)
+	names, err := n.names("a", []int{bucket})
+	if err != nil {
+		t.Fatal(err)
+	}
+	sums, err := n.sums("a")
+	if err != nil {
+		t.Fatal(err)
+	}
+	goldentest.Bytes(t, "sums.txt", []byte(strings.Join(append(names, sums[bucket]), "\n")+"\n"))
+}
+
+func TestGoldenMessages(t *testing.T) {
+	at := time.Date(2026, 1, 2, 3, 4, 5, 678000000, time.UTC)
+	attempt := artifactstore.Attempt{Job: "job-000412", Task: 3, Number: 2}
+	owner := artifactstore.Claim{Attempt: attempt, Tenant: "vision", Machine: "n-000231", Session: 1, Class: "train"}
+	digest := blob.Of([]byte("content")).String()
+	vote := artifactstore.Vote{Promised: artifactstore.Ballot{Round: 2, By: "a.1"}, Freeze: true, Accepted: artifactstore.Ballot{Round: 1, By: "b.1"}, Value: []byte("value")}
+	view := artifactstore.View{Claim: owner, Ended: digest, Partial: true, Exit: &artifactstore.Exit{Completed: true, Code: 3, Reason: "signal"}, Voted: true, Idle: 1.5,
+		Streams: map[string]artifactstore.Extent{"stdout": {Next: 9, Bytes: 100, Lost: 77}}, Files: map[string]string{"out/a": digest}}
+	status := Status{Name: "a", Zone: "zone 0", State: string(Joining), Epoch: 3, Disk: "00112233", Incarnation: 7, Open: 1, Bytes: 2, Blobs: 3, Left: 4, Oldest: 5.5, Mended: 6, Brought: 7, Short: 8, Strays: 9,
+		Away: map[string]string{"b": "timeout"}, Refused: map[string]int64{"busy": 10}}
+	for _, message := range []struct {
+		name        string
+		full, empty any
+	}{
+		{"call", call{Op: "append", Claim: owner, Attempt: attempt, Stream: "stdout", First: 4, Records: []artifactstore.Record{{At: at, Data: []byte("line\n"), Hole: &artifactstore.Hole{Bytes: 77, From: at, To: at}}},
+			Path: "out/a", Digest: digest, Ballot: artifactstore.Ballot{Round: 2, By: "a.1"}, Freeze: true, Value: []byte("value"), Buckets: []int{0, 7}, Count: true, From: "a", Identity: "3.00"}, call{}},
+		{"answer", answer{Next: 9, Promise: &artifactstore.Promise{Vote: vote, Decided: []byte("value"), Latest: 2, View: &view},
+			Task:  &artifactstore.TaskView{Attempts: []artifactstore.View{view}, Result: &artifactstore.Result{Tenant: "vision", Number: 2, Manifest: digest}, Voted: true},
+			Tasks: []int{0, 3}, Sums: []string{"00"}, Names: []string{"sealed/x"}, Votes: []boundTo{{At: attempt, Vote: vote}}, Status: &status}, answer{}},
+		{"status", status, Status{}},
+	} {
+		goldentest.Wire.Check(t, []goldentest.Case{
+			{Name: message.name + "-full.json", Value: message.full, Full: true},
+			{Name: message.name + "-empty.json", Value: message.empty},
+		})
+	}
+}
+
+// TestGoldenCodes: the names of errors, with the status and the pause that go with each.
+func TestGoldenCodes(t *testing.T) {
+	var text []byte
+	for _, c := range codes {
+		text = append(text, protocol.Encode(struct {
+			Code   string        `json:"code"`
+			Status int           `json:"status"`
+			Retry  time.Duration `json:"retry"`
+		}{c.code, c.status, c.retry})...)
+		text = append(text, '\n')
+	}
+	goldentest.Bytes(t, "codes.jsonl", text)
+}
--- /dev/null
+++ b/internal/goldentest/goldentest.go
@@ -0,0 +1,166 @@
+// Package goldentest compares encoded values with files that are committed beside the tests, in testdata/golden. What
+// controllers tell each other, keep in the state service and on disk, and answer to workers and users outlives the
+// process that wrote it: a changed Go name must not change it, and what an earlier version wrote must be read. The forms
+// may only grow: a golden file is written anew only for a field or a kind that was added, by `go test -run Golden -update`.
+package goldentest
+
+import (
+	"bytes"
+	"flag"
+	"fmt"
+	"os"
+	"path/filepath"
+	"reflect"
+	"testing"
+
+	"topazhollow/internal/protocol"
+)
+
+var update = flag.Bool("update", false, "write the golden files anew instead of comparing with them")
+
+// directory holds a package's golden files.
+var directory = filepath.Join("testdata", "golden")
+
+// Case is a value and the name of its golden file.
+type Case struct {
+	Name  string
+	Value any // not a pointer
+	// Full says that every field is set, at every depth, which is checked: a field left at zero may be missing in the
+	// golden file, which then shows nothing about its name.
+	Full bool
+}
+
+// Form is how values are written and read.
+type Form struct {
+	Encode func(value any) ([]byte, error) // gets a pointer to the value
+	Decode func(data []byte, into any) error
+}
+
+// Wire is the form of the protocol's messages, and of most others.
+var Wire = Form{
+	Encode: func(value any) ([]byte, error) { return protocol.Encode(value), nil },
+	Decode: protocol.Decode,
+}
+
+// Check compares what each value is written as with its golden file, and checks that what is read from the file is
+// written as the same bytes again. It needs values whose written form has one order.
+func (f Form) Check(t *testing.T, cases []Case) {
+	t.Helper()
+	for _, c := range cases {
+		t.Run(c.Name, func(t *testing.T) {
+			t.Helper()
+			if c.Full {
+				AllSet(t, c.Value)
+			}
+			value := reflect.New(reflect.TypeOf(c.Value))
+			value.Elem().Set(reflect.ValueOf(c.Value))
+			got, err := f.Encode(value.Interface())
+			if err != nil {
+				t.Fatalf("encode: %v", err)
+			}
+			want := Bytes(t, c.Name, got)
+			read := reflect.New(reflect.TypeOf(c.Value))
+			if err := f.Decode(want, read.Interface()); err != nil {
+				t.Fatalf("decode the golden file: %v", err)
+			}
+			again, err := f.Encode(read.Interface())
+			if err != nil {
+				t.Fatalf("encode what was read: %v", err)
+			}
+			if !bytes.Equal(again, want) {
+				t.Errorf("read and written again:\n%q\nwant\n%q", again, want)
+			}
+		})
+	}
+}
+
+// Bytes compares bytes with a golden file, whose content it returns.
+func Bytes(t testing.TB, name string, got []byte) []byte {
+	t.Helper()
+	want := Sample(t, name, got)
+	if !bytes.Equal(got, want) {
+		t.Errorf("%s:\n%q\nwant\n%q", filepath.Join(directory, name), got, want)
+	}
+	return want
+}
+
+// Sample returns the content of a golden file without comparing it, for a form that may be written in several ways and need
+// only be read. What is written today goes into the file when it is written anew.
+func Sample(t testing.TB, name string, today []byte) []byte {
+	t.Helper()
+	if *update {
+		if err := os.MkdirAll(directory, 0o755); err != nil {
+			t.Fatal(err)
+		}
+		if err := os.WriteFile(filepath.Join(directory, name), today, 0o644); err != nil {
+			t.Fatal(err)
+		}
+	}
+	return Read(t, name)
+}
+
+// Read reads a golden file.
+func Read(t testing.TB, name string) []byte {
+	t.Helper()
+	data, err := os.ReadFile(filepath.Join(directory, name))
+	if err != nil {
+		t.Fatal(err)
+	}
+	return data
+}
+
+// AllSet fails the test if an exported field of the value is zero, at any depth.
+func AllSet(t testing.TB, value any) {
+	t.Helper()
+	for _, path := range unset(reflect.ValueOf(value), reflect.TypeOf(value).Name()) {
+		t.Errorf("%s is not set", path)
+	}
+}
+
+// unset lists the zero fields of a value.
+func unset(v reflect.Value, path string) (paths []string) {
+	switch v.Kind() {
+	case reflect.Pointer, reflect.Interface:
+		if !v.IsNil() {
+			paths = unset(v.Elem(), path)
+		}
+	case reflect.Slice, reflect.Array:
+		for i := range v.Len() {
+			paths = append(paths, unset(v.Index(i), fmt.Sprintf("%s[%d]", path, i))...)
+		}
+	case reflect.Map:
+		for _, key := range v.MapKeys() {
+			paths = append(paths, unset(v.MapIndex(key), fmt.Sprintf("%s[%v]", path, key))...)
+		}
+	case reflect.Struct:
+		for i := range v.NumField() {
+			field := v.Type().Field(i)
+			if !field.IsExported() && !field.Anonymous {
+				continue
+			}
+			name := path + "." + field.Name
+			if empty(v.Field(i)) {
+				paths = append(paths, name)
+				continue
+			}
+			paths = append(paths, unset(v.Field(i), name)...)
+		}
+	}
+	return paths
+}
+
+// empty says whether a value is zero or has no elements.
+func empty(v reflect.Value) bool {
+	if v.Kind() == reflect.Slice || v.Kind() == reflect.Map {
+		return v.Len() == 0
+	}
+	return v.IsZero()
+}
+
+// Submission is a job with every field set.
+func Submission() *protocol.Submission {
+	zone, deadline := "a", 900.5
+	return &protocol.Submission{UID: "job-000412", Class: "train", Team: "vision", Kind: protocol.Gang, Priority: "high", Tasks: 16,
+		CPUs: 8, GPUs: 1.5, Memory: 64, Image: "img-07", ImageGB: 6.2, Types: []string{"g8", "g4"}, Zone: &zone, OneZone: true, Spread: true,
+		Spot: true, Estimate: 240, Checkpoint: 30, Save: 4, Deadline: &deadline}
+}
--- /dev/null
+++ b/internal/jobstate/golden_test.go
@@ -0,0 +1,64 @@
+package jobstate
+
+import (
+	"encoding/json"
+	"strconv"
+	"testing"
+
+	"github.com/bits-and-blooms/bitset"
+
+	"topazhollow/internal/goldentest"
+	"topazhollow/internal/protocol"
+)
+
+// The golden files of a team's pages of finished tasks in the state service. They outlive the process that wrote them, so
+// the forms may only grow. The messages between controllers that carry this package's types are in the module's root.
+
+// pageRoom is so small that a job of 100 tasks has two parts, of 64 tasks each at most.
+const pageRoom = 20
+
+// finished are jobs' sizes and the tasks of each that are finished.
+var finished = map[string]struct {
+	tasks int
+	done  *bitset.BitSet
+}{
+	"job-000398": {100, bitset.New(0).Set(0).Set(63).Set(64).Set(99)},
+	"job-000412": {3, bitset.New(0).Set(2)},
+}
+
+func TestGoldenPages(t *testing.T) {
+	var jobs []*Job
+	for _, uid := range []string{"job-000398", "job-000412"} {
+		jobs = append(jobs, &Job{Spec: &protocol.Submission{UID: uid}})
+	}
+	pages := NewPageSet(pageRoom).Plan(jobs, func(job string) (int, *bitset.BitSet) { return finished[job].tasks, finished[job].done })
+	if len(pages) != 3 {
+		t.Fatalf("%d pages, want 3", len(pages))
+	}
+	book, read := NewPageSet(pageRoom), map[string]*bitset.BitSet{}
+	for _, p := range pages {
+		if p.Version != 0 {
+			t.Errorf("page %d: version %d, want 0", p.Number, p.Version)
+		}
+		value := goldentest.Bytes(t, "page-"+strconv.Itoa(p.Number)+".json", protocol.Encode(p.Parts))
+		var parts map[string]string
+		if err := json.Unmarshal(value, &parts); err != nil {
+			t.Fatal(err)
+		}
+		if err := book.Read(p.Number, 412, parts, func(job string) int { return finished[job].tasks }, read); err != nil {
+			t.Fatal(err)
+		}
+	}
+	for job, f := range finished {
+		if read[job] == nil || !read[job].SymmetricDifference(f.done).None() {
+			t.Errorf("%s: read %v, want %v", job, read[job], f.done)
+		}
+	}
+}
+
+// TestGoldenAttempt: attempts' numbers tell the term under which their starts were sent, also to controllers of other versions.
+func TestGoldenAttempt(t *testing.T) {
+	if got := AttemptID(41, 2); got != 687865858 || TermOf(got) != 41 {
+		t.Errorf("attempt %d of term %d, want 687865858 of 41", got, TermOf(got))
+	}
+}
--- /dev/null
+++ b/internal/settings/testdata/golden/options.star
@@ -0,0 +1,13 @@
+sample_size = 33
+idle_return_s = 11.5
+warm_machines = 2
+spot_share = 0.5
+haste = 3
+node_lease_s = 6
+class_floor = 0.25
+floor_after_s = 91
+config_bound_s = 12
+copy_wait_s = 13
+bitmap_every_s = 1.5
+team_weights = {"vision": 2}
+class_weights = {"train": 0.5}
--- /dev/null
+++ b/internal/teamconfig/golden_test.go
@@ -0,0 +1,30 @@
+package teamconfig
+
+import (
+	"testing"
+
+	"topazhollow/internal/goldentest"
+	"topazhollow/internal/settings"
+)
+
+// The golden files of teams' entries in the state service, which outlive the process that wrote them: the forms may only grow.
+// The messages between controllers that carry this package's types are in the module's root.
+
+func TestGoldenEntry(t *testing.T) {
+	goldentest.Wire.Check(t, []goldentest.Case{
+		{Name: "entry-full.json", Value: Entry{Number: 3, Change: "drawn", CPUs: 96, CPUsMax: 192.5, GPUs: 8, GPUsMax: 16, Removed: true, StopExcess: true}, Full: true},
+		{Name: "entry-empty.json", Value: Entry{}},
+	})
+}
+
+// TestGoldenBase: controllers compare the digests of their settings files' teams.
+func TestGoldenBase(t *testing.T) {
+	teams := []settings.Team{{Name: "vision", CPUs: 96, CPUsMax: 192.5, GPUs: 8, GPUsMax: 16}, {Name: "speech \u00e9", CPUs: 1e9, CPUsMax: 1e21, GPUs: 0.1}}
+	const want = uint64(8542704972940467863)
+	if got := BaseDigest(teams); got != want {
+		t.Errorf("digest %d, want %d", got, want)
+	}
+	if got := BaseDigest([]settings.Team{teams[1], teams[0]}); got != want {
+		t.Errorf("digest in another order %d, want %d", got, want)
+	}
+}
