--- a/internal/agents/home.go
+++ b/internal/agents/home.go
@@ -116,7 +116,7 @@
 	} else if r.Incarnation < m.Heartbeat.Incarnation || (r.Incarnation == m.Heartbeat.Incarnation && r.Seq <= m.Heartbeat.Seq) {
 		return false, false
 	}
-	changed = r.Incarnation != m.Heartbeat.Incarnation || r.FencingToken != m.Heartbeat.FencingToken || (r.Notice == nil) != (m.Heartbeat.Notice == nil) ||
+	changed = r.Incarnation != m.Heartbeat.Incarnation || r.FencingToken != m.Heartbeat.FencingToken || (r.NoticeSeconds == nil) != (m.Heartbeat.NoticeSeconds == nil) ||
 		!slices.Equal(r.Tasks, m.Heartbeat.Tasks)
 	if r.Incarnation != m.Heartbeat.Incarnation {
 		m.starts = map[jobstate.AttemptRef]*start{}
@@ -188,7 +188,7 @@
 				continue
 			}
 			grace := o.Grace
-			cmd.Grace = &grace
+			cmd.GraceSeconds = &grace
 			if !m.isQueued(protocol.Stop, o.Ref()) {
 				m.queue = append(m.queue, cmd)
 				m.sendNow = true
@@ -372,11 +372,11 @@
 	}
 	r := &m.Heartbeat
 	v := &jobstate.MachineStatus{Machine: name, Addr: r.Addr, Type: r.Type, Zone: r.Zone, Spot: r.Spot, Incarnation: r.Incarnation, Seq: r.Seq,
-		Revision: m.revision, FencingToken: r.FencingToken, Term: h.term, Notice: r.Notice != nil}
+		Revision: m.revision, FencingToken: r.FencingToken, Term: h.term, Notice: r.NoticeSeconds != nil}
 	for _, t := range r.Tasks {
 		job, index, ok := protocol.SplitTask(t.Task)
 		if ok {
-			v.Tasks = append(v.Tasks, jobstate.TaskStatus{TaskID: jobstate.TaskID{Job: job, Index: index}, Attempt: t.Attempt, State: t.State, Why: t.Why, Saved: t.Saved})
+			v.Tasks = append(v.Tasks, jobstate.TaskStatus{TaskID: jobstate.TaskID{Job: job, Index: index}, Attempt: t.Attempt, State: t.State, Why: t.Reason, Saved: t.Checkpointed})
 		}
 	}
 	for ref, s := range m.starts {
--- a/internal/agents/home_test.go
+++ b/internal/agents/home_test.go
@@ -42,7 +42,7 @@
 	o := startOf("job-1")
 	h.QueueOrders(1, "m", []jobstate.Order{o})
 	m.FinishRequest(m.TakeForRequest(), false, true)
-	h.ApplyHeartbeat(report(2, protocol.TaskStatus{Task: "job-1/0", Attempt: 5, State: protocol.Exited, Why: protocol.ReasonDone}), time.Unix(2, 0))
+	h.ApplyHeartbeat(report(2, protocol.TaskStatus{Task: "job-1/0", Attempt: 5, State: protocol.Exited, Reason: protocol.ReasonDone}), time.Unix(2, 0))
 	o.Op = protocol.Forget
 	h.QueueOrders(1, "m", []jobstate.Order{o})
 	if cmds := m.TakeForAnswer(); len(cmds) != 0 {
@@ -128,7 +128,7 @@
 	}
 	forget := o
 	forget.Op = protocol.Forget
-	h.ApplyResponse(report(3, protocol.TaskStatus{Task: "job-1/0", Attempt: 5, State: protocol.Exited, Why: protocol.ReasonError}), time.Unix(3, 0))
+	h.ApplyResponse(report(3, protocol.TaskStatus{Task: "job-1/0", Attempt: 5, State: protocol.Exited, Reason: protocol.ReasonError}), time.Unix(3, 0))
 	h.QueueOrders(1, "m", []jobstate.Order{forget})
 	if cmds := m.TakeForAnswer(); len(cmds) != 0 {
 		t.Fatalf("answers %v beside a start in flight", cmds)
--- a/internal/autoscaler/autoscaler.go
+++ b/internal/autoscaler/autoscaler.go
@@ -294,7 +294,7 @@
 func FetchTime(types []protocol.MachineType, s *protocol.Submission) float64 {
 	longest := 0.0
 	for i := range types {
-		if r := types[i].FetchRate; r > 0 {
+		if r := types[i].FetchGBPerSecond; r > 0 {
 			longest = max(longest, s.ImageGB/r)
 		}
 	}
--- a/internal/autoscaler/autoscaler_test.go
+++ b/internal/autoscaler/autoscaler_test.go
@@ -54,14 +54,14 @@
 
 func setup() (*Fleet, []protocol.MachineType, time.Time) {
 	f := New("x", Options{IdleReturn: 20 * time.Second, SpotShare: 1, Silent: 10 * time.Second, Hurry: 4 * time.Second, Overdue: 2 * time.Second, Unlisted: 3 * time.Second, Haste: 1.5})
-	return f, []protocol.MachineType{{Name: "m8", CPUs: 8, Memory: 64, Price: 2, SpotPrice: 1, Boot: 10, Zones: []string{"a", "b"}}}, time.Unix(10000, 0)
+	return f, []protocol.MachineType{{Name: "m8", CPUs: 8, MemoryGB: 64, PricePerHour: 2, SpotPricePerHour: 1, BootSeconds: 10, Zones: []string{"a", "b"}}}, time.Unix(10000, 0)
 }
 
 // TestRentsOnceAndElsewhereWhenRefused: machines on their way count, names are
 // never reused, and a pool without capacity is left alone for a while.
 func TestRentsOnceAndElsewhereWhenRefused(t *testing.T) {
 	f, types, now := setup()
-	spec := &protocol.Submission{CPUs: 8, Estimate: 10, Spot: true}
+	spec := &protocol.Submission{CPUs: 8, EstimateSeconds: 10, Spot: true}
 	demand := []Demand{{Spec: spec, Count: 3, Due: now.Add(5 * time.Second)}}
 	p := f.Decide(types, nil, demand, nil, now, now)
 	total := 0
@@ -246,7 +246,7 @@
 		if c.machines {
 			machines = busy(now)
 		}
-		demand := []Demand{{Spec: &protocol.Submission{CPUs: 8, Estimate: 10, Spot: true}, Count: 1, Due: now, PreferSpot: c.cheap}}
+		demand := []Demand{{Spec: &protocol.Submission{CPUs: 8, EstimateSeconds: 10, Spot: true}, Count: 1, Due: now, PreferSpot: c.cheap}}
 		rented := 0
 		for _, r := range f.Decide(types, machines, demand, nil, now, now).Rent {
 			rented += r.Count
@@ -262,7 +262,7 @@
 // nothing was ever rented. What did not start as laid out must get machines.
 func TestNotPutOffForEver(t *testing.T) {
 	f, types, now := setup()
-	low := &protocol.Submission{UID: "low", CPUs: 8, Estimate: 10, Spot: true}
+	low := &protocol.Submission{UID: "low", CPUs: 8, EstimateSeconds: 10, Spot: true}
 	began, rented := now, 0
 	for ; now.Sub(began) < 3*time.Minute; now = now.Add(500 * time.Millisecond) {
 		// The two machines are always taken by newcomers for the next 5 s.
@@ -294,7 +294,7 @@
 		for i := range 2 {
 			ms = append(ms, Machine{Name: fmt.Sprintf("n-%02d", i), Type: "m8", Zone: "a", State: protocol.HostRunning, Heard: now, Since: now, Slots: []Slot{{CPUs: 8, Left: 20}}})
 		}
-		low := &protocol.Submission{UID: "low", Priority: "standard", CPUs: 8, Estimate: 10, Spot: true}
+		low := &protocol.Submission{UID: "low", Priority: "standard", CPUs: 8, EstimateSeconds: 10, Spot: true}
 		p := f.Decide(types, ms, []Demand{{Spec: low, Count: 1, Due: now.Add(40 * time.Second)}}, Inflow{protocol.Rank("high"): cpus, protocol.Rank("low"): 100}, now, now)
 		got := 0
 		for _, r := range p.Rent {
@@ -326,8 +326,8 @@
 			machines = append(machines, Machine{Name: fmt.Sprint("n-", i), Type: "m8", Zone: "a", Heard: now, Since: now.Add(-time.Minute), State: protocol.HostRunning, Registered: true,
 				Slots: []Slot{{CPUs: 8, Mem: 64, Left: 15, Pinned: true}}})
 		}
-		gang := Demand{Spec: &protocol.Submission{UID: "gang", Kind: protocol.Gang, Priority: c.priority, CPUs: 7, Estimate: 10, OneZone: true}, Count: 2, Due: now.Add(40 * time.Second)}
-		array := Demand{Spec: &protocol.Submission{UID: "array", Kind: protocol.JobArray, Priority: "standard", CPUs: 1, Estimate: 10, Spot: true}, Count: 16, Due: now.Add(40 * time.Second)}
+		gang := Demand{Spec: &protocol.Submission{UID: "gang", Kind: protocol.Gang, Priority: c.priority, CPUs: 7, EstimateSeconds: 10, OneZone: true}, Count: 2, Due: now.Add(40 * time.Second)}
+		array := Demand{Spec: &protocol.Submission{UID: "array", Kind: protocol.JobArray, Priority: "standard", CPUs: 1, EstimateSeconds: 10, Spot: true}, Count: 16, Due: now.Add(40 * time.Second)}
 		demands := []Demand{gang, array}
 		if c.priority == "low" {
 			demands = []Demand{array, gang}
@@ -377,7 +377,7 @@
 					Slots: []Slot{{CPUs: 8, Mem: 64, Left: c.left[i], Pinned: true}}})
 			}
 		}
-		spec := &protocol.Submission{UID: "gang", Kind: protocol.Gang, Priority: "high", CPUs: 7, Estimate: 10, OneZone: true}
+		spec := &protocol.Submission{UID: "gang", Kind: protocol.Gang, Priority: "high", CPUs: 7, EstimateSeconds: 10, OneZone: true}
 		got := map[string]int{}
 		for _, r := range f.Decide(types, machines, []Demand{{Spec: spec, Count: c.tasks, Due: now.Add(time.Duration(c.late) * time.Second)}}, nil, now, now).Rent {
 			got[r.Zone] += r.Count
@@ -431,11 +431,11 @@
 func TestRequestsGoByUrgency(t *testing.T) {
 	for range 20 { // the order was that of a map
 		f, types, now := setup()
-		types = append(types, protocol.MachineType{Name: "g8", CPUs: 8, GPUs: 2, Memory: 64, Price: 9, SpotPrice: 5, Boot: 10, Zones: []string{"a"}})
+		types = append(types, protocol.MachineType{Name: "g8", CPUs: 8, GPUs: 2, MemoryGB: 64, PricePerHour: 9, SpotPricePerHour: 5, BootSeconds: 10, Zones: []string{"a"}})
 		zone := "b"
-		first := Demand{Spec: &protocol.Submission{UID: "1", Priority: "high", CPUs: 8, GPUs: 1, Estimate: 10}, Count: 1, Due: now}
-		then := Demand{Spec: &protocol.Submission{UID: "2", Priority: "high", CPUs: 8, Estimate: 10, Zone: &zone}, Count: 1, Due: now}
-		last := Demand{Spec: &protocol.Submission{UID: "3", Priority: "low", CPUs: 8, Estimate: 10, Spot: true}, Count: 80, Due: now}
+		first := Demand{Spec: &protocol.Submission{UID: "1", Priority: "high", CPUs: 8, GPUs: 1, EstimateSeconds: 10}, Count: 1, Due: now}
+		then := Demand{Spec: &protocol.Submission{UID: "2", Priority: "high", CPUs: 8, EstimateSeconds: 10, Zone: &zone}, Count: 1, Due: now}
+		last := Demand{Spec: &protocol.Submission{UID: "3", Priority: "low", CPUs: 8, EstimateSeconds: 10, Spot: true}, Count: 80, Due: now}
 		rents := f.Decide(types, nil, []Demand{first, then, last}, nil, now, now).Rent
 		if len(rents) < 4 || rents[0].Type != "g8" || rents[1].Zone != "b" || rents[1].Spot || !rents[2].Spot || !rents[3].Spot {
 			t.Fatalf("requests %+v", rents)
--- a/internal/autoscaler/bin.go
+++ b/internal/autoscaler/bin.go
@@ -26,7 +26,7 @@
 }
 
 func newBin(p pool, t *protocol.MachineType, at float64) *bin {
-	return &bin{pool: p, all: t.CPUs, free: []room{{at, t.CPUs, t.GPUs, t.Memory}}}
+	return &bin{pool: p, all: t.CPUs, free: []room{{at, t.CPUs, t.GPUs, t.MemoryGB}}}
 }
 
 func (b *bin) add(r room) {
@@ -48,7 +48,7 @@
 	start := math.Inf(1)
 	for _, r := range b.free {
 		cpus, gpus, mem = cpus+r.cpus, gpus+r.gpus, mem+r.mem
-		fits := cpus+slack >= s.CPUs && gpus+slack >= s.GPUs && mem+slack >= s.Memory
+		fits := cpus+slack >= s.CPUs && gpus+slack >= s.GPUs && mem+slack >= s.MemoryGB
 		switch {
 		case !fits:
 			start = math.Inf(1)
@@ -74,7 +74,7 @@
 		if r.at > from && i == 0 {
 			return 0 // not there yet
 		}
-		count = min(count, s.Times(cpus, gpus, mem))
+		count = min(count, s.TasksThatFit(cpus, gpus, mem))
 	}
 	return count
 }
@@ -85,8 +85,8 @@
 	count := max(min(b.fits(s, start), most), 1)
 	x := float64(count)
 	b.taken++
-	b.add(room{start, -x * s.CPUs, -x * s.GPUs, -x * s.Memory})
-	b.add(room{start + run, x * s.CPUs, x * s.GPUs, x * s.Memory})
+	b.add(room{start, -x * s.CPUs, -x * s.GPUs, -x * s.MemoryGB})
+	b.add(room{start + run, x * s.CPUs, x * s.GPUs, x * s.MemoryGB})
 	return count
 }
 
@@ -99,7 +99,7 @@
 }
 
 func shapeOf(s *protocol.Submission, cheap bool) shape {
-	x := shape{cpus: s.CPUs, gpus: s.GPUs, mem: s.Memory, spot: s.Spot, cheap: cheap}
+	x := shape{cpus: s.CPUs, gpus: s.GPUs, mem: s.MemoryGB, spot: s.Spot, cheap: cheap}
 	if s.Zone != nil {
 		x.zone = "=" + *s.Zone
 	}
--- a/internal/autoscaler/boot.go
+++ b/internal/autoscaler/boot.go
@@ -44,7 +44,7 @@
 	if len(b.seen) > 0 {
 		return b.most
 	}
-	return t.Boot
+	return t.BootSeconds
 }
 
 // watchBoots learns from machines that came up since the last look, and from those
@@ -113,7 +113,7 @@
 func (f *Fleet) stuck(m *Machine, t *protocol.MachineType, now time.Time) bool {
 	usual := 60.0
 	if t != nil {
-		usual = max(t.Boot, f.bootsOf(m.pool()).usual(t))
+		usual = max(t.BootSeconds, f.bootsOf(m.pool()).usual(t))
 	}
 	most := 6*usual + 20
 	if f.overtaken(m) {
--- a/internal/autoscaler/boot_test.go
+++ b/internal/autoscaler/boot_test.go
@@ -87,7 +87,7 @@
 	} {
 		f, types, now := setup()
 		d := &delivery{f: f, types: types, now: now, up: map[string]time.Time{}}
-		spec := &protocol.Submission{CPUs: 8, Estimate: 10, Spot: true}
+		spec := &protocol.Submission{CPUs: 8, EstimateSeconds: 10, Spot: true}
 		served := time.Duration(0)
 		d.play(now.Add(2*time.Minute), c.boots, func(at time.Time) []Demand {
 			left := 8 - d.running()
--- a/internal/autoscaler/gang.go
+++ b/internal/autoscaler/gang.go
@@ -128,7 +128,7 @@
 			continue
 		}
 		lacks := total - p.room(r.f.boot(from, machineType), total)
-		each := max(p.spec.Times(machineType.CPUs, machineType.GPUs, machineType.Memory), 1)
+		each := max(p.spec.TasksThatFit(machineType.CPUs, machineType.GPUs, machineType.MemoryGB), 1)
 		count := max((lacks+each-1)/each, 1)
 		if !found || count < best.count {
 			best, found = gangOffer{place: p, pool: from, machineType: machineType, count: count}, true
--- a/internal/autoscaler/rent.go
+++ b/internal/autoscaler/rent.go
@@ -70,7 +70,7 @@
 
 // taskOf derives from a demand what a layout goes by.
 func (r *rental) taskOf(d *Demand) *task {
-	t := &task{demand: d, run: max(d.Spec.Estimate, 1)}
+	t := &task{demand: d, run: max(d.Spec.EstimateSeconds, 1)}
 	if d.Spec.Kind == protocol.Service {
 		t.run = EndlessRun
 	}
@@ -232,9 +232,9 @@
 				if !f.mayRent(p, t, d, start, now) {
 					continue
 				}
-				price := t.Price
+				price := t.PricePerHour
 				if spot {
-					price = t.SpotPrice
+					price = t.SpotPricePerHour
 				}
 				price = price/tasks + float64(want[p])*1e-6
 				if price < lowest {
@@ -260,14 +260,14 @@
 
 // takes says whether an empty machine of a type has room for a task.
 func takes(t *protocol.MachineType, s *protocol.Submission) bool {
-	return t.CPUs+slack >= s.CPUs && t.GPUs+slack >= s.GPUs && t.Memory+slack >= s.Memory
+	return t.CPUs+slack >= s.CPUs && t.GPUs+slack >= s.GPUs && t.MemoryGB+slack >= s.MemoryGB
 }
 
 // tasksOn is how many tasks an empty machine of a type takes by CPUs and memory.
 func tasksOn(t *protocol.MachineType, s *protocol.Submission) float64 {
 	count := math.Floor(t.CPUs / max(s.CPUs, 1e-6))
-	if s.Memory > 0 {
-		count = min(count, math.Floor(t.Memory/s.Memory))
+	if s.MemoryGB > 0 {
+		count = min(count, math.Floor(t.MemoryGB/s.MemoryGB))
 	}
 	return count
 }
--- a/internal/autoscaler/retire.go
+++ b/internal/autoscaler/retire.go
@@ -20,7 +20,7 @@
 // share is what part of a machine of a type an amount takes: its scarcest kind.
 func share(t *protocol.MachineType, cpus, gpus, mem float64) float64 {
 	most := 0.0
-	for _, x := range [][2]float64{{cpus, t.CPUs}, {gpus, t.GPUs}, {mem, t.Memory}} {
+	for _, x := range [][2]float64{{cpus, t.CPUs}, {gpus, t.GPUs}, {mem, t.MemoryGB}} {
 		if x[1] > 0 {
 			most = max(most, x[0]/x[1])
 		}
@@ -31,7 +31,7 @@
 // free is what part of a machine is free: of its scarcest kind.
 func (m *Machine) free(t *protocol.MachineType) float64 {
 	least := 1.0
-	for _, x := range [][2]float64{{m.CPUs, t.CPUs}, {m.GPUs, t.GPUs}, {m.Mem, t.Memory}} {
+	for _, x := range [][2]float64{{m.CPUs, t.CPUs}, {m.GPUs, t.GPUs}, {m.Mem, t.MemoryGB}} {
 		if x[1] > 0 {
 			least = min(least, x[0]/x[1])
 		}
@@ -42,7 +42,7 @@
 // dear says whether a machine costs more than another kind of its type does, so
 // that work should leave it where there is room.
 func (f *Fleet) dear(m *Machine, t *protocol.MachineType) bool {
-	return !m.Spot && f.opt.SpotShare > 0 && t.SpotPrice < t.Price
+	return !m.Spot && f.opt.SpotShare > 0 && t.SpotPricePerHour < t.PricePerHour
 }
 
 // retire keeps the set of dear machines that get no more tasks and go back when
@@ -79,7 +79,7 @@
 	for _, d := range demands {
 		for name, t := range types {
 			if allowed(d.Spec, name, "", true) || d.Spec.Zone != nil {
-				waiting[name] += float64(d.Count) * share(t, d.Spec.CPUs, d.Spec.GPUs, d.Spec.Memory)
+				waiting[name] += float64(d.Count) * share(t, d.Spec.CPUs, d.Spec.GPUs, d.Spec.MemoryGB)
 			}
 		}
 	}
--- a/internal/autoscaler/retire_test.go
+++ b/internal/autoscaler/retire_test.go
@@ -85,7 +85,7 @@
 		ms = append(ms, Machine{Name: fmt.Sprintf("n-%02d", i), Type: "m8", Zone: "a", Spot: i > 0, State: protocol.HostRunning, Heard: now,
 			Since: now.Add(-time.Hour), CPUs: 4, Mem: 32, Slots: []Slot{{CPUs: 4, Mem: 32, Left: 30}}})
 	}
-	pinned := []Demand{{Spec: &protocol.Submission{CPUs: 1, Estimate: 5}, Count: 1, Due: now.Add(time.Hour)}}
+	pinned := []Demand{{Spec: &protocol.Submission{CPUs: 1, EstimateSeconds: 5}, Count: 1, Due: now.Add(time.Hour)}}
 	if p := f.Decide(types, ms, pinned, nil, now, now); len(p.Retire) != 0 {
 		t.Fatalf("retires %v while work waits that may use nothing else", p.Retire)
 	}
--- a/internal/autoscaler/return.go
+++ b/internal/autoscaler/return.go
@@ -13,9 +13,9 @@
 
 func (m *Machine) price(types map[string]*protocol.MachineType) float64 {
 	if m.Spot {
-		return types[m.Type].SpotPrice
+		return types[m.Type].SpotPricePerHour
 	}
-	return types[m.Type].Price
+	return types[m.Type].PricePerHour
 }
 
 // giveBack returns machines that have been idle for long, dear ones first, but
@@ -38,7 +38,7 @@
 			keep = 0
 		}
 		if m.Spot && f.opt.SpotShare > 0 && left <= spare {
-			keep = time.Duration(float64(keep) * min(4, types[m.Type].Price/max(m.price(types), 1e-9)))
+			keep = time.Duration(float64(keep) * min(4, types[m.Type].PricePerHour/max(m.price(types), 1e-9)))
 		}
 		if now.Sub(m.Idle) > keep && now.Sub(m.Since) > minStay {
 			plan.Return = append(plan.Return, m.Name)
--- a/internal/cli/demo.go
+++ b/internal/cli/demo.go
@@ -111,7 +111,7 @@
 	defer func() { err = errors.Join(err, g.close()) }()
 	fmt.Fprintf(r.out, "three controllers at %s, a keeper at %s\n", strings.Join(g.listen, ", "), g.keeper)
 	spec := &protocol.Submission{UID: "job-000001", Class: e.Name, Team: "red", Kind: protocol.JobArray, Priority: "standard", Tasks: e.Tasks, CPUs: e.CPUs,
-		Memory: e.Memory, Image: e.Name, Estimate: e.Estimate, Spot: true}
+		MemoryGB: e.Memory, Image: e.Name, EstimateSeconds: e.Estimate, Spot: true}
 	g.check.Submitting(spec)
 	if err := g.until(ctx, "the job to be accepted", func() bool {
 		status, _ := g.ask(ctx, "POST", protocol.PathSubmit, spec)
@@ -222,7 +222,7 @@
 		g.listen = append(g.listen, listen[n])
 	}
 	per := simulation.Periods{Report: 300 * time.Millisecond, Lease: 20 * time.Second, Exec: g.execute}
-	types := []protocol.MachineType{{Name: "m8", CPUs: 8, Memory: 64, Price: 2, SpotPrice: 1, Boot: 1, Zones: []string{"east", "west"}}}
+	types := []protocol.MachineType{{Name: "m8", CPUs: 8, MemoryGB: 64, PricePerHour: 2, SpotPricePerHour: 1, BootSeconds: 1, Zones: []string{"east", "west"}}}
 	g.cloud, err = simulation.NewCloud(types, 4, func(name, typ, zone string, spot bool) (*simulation.Worker, error) {
 		return simulation.NewWorker(name, typ, zone, spot, listen, names, per, g.check)
 	})
@@ -235,11 +235,11 @@
 	}
 	for i, n := range names {
 		s := &settings.Settings{Name: n, Zone: []string{"east", "west"}[i%2], Listen: listen[n], PeerListen: peers[n],
-			Outside: settings.Outside{Cloud: g.cloud.Addr(), State: g.state.Addr()},
+			Outside: settings.Outside{Cloud: g.cloud.Addr(), KVStore: g.state.Addr()},
 			Deployment: settings.Deployment{Size: 3, Zones: []string{"east", "west"}, Teams: []settings.Team{{Name: "red", CPUs: 32, CPUsMax: 64}},
-				Workers: settings.Workers{Report: 0.3, Lease: 20, GangWait: 10, GangPeer: 4, Cancel: 60},
-				State:   settings.State{RPS: 400, WriteRPS: 200, ValueKB: 16, TxnOps: 24},
-				Cloud:   settings.Cloud{RPS: 20, ListLag: 0.2}, Limits: settings.Limits{Cores: 1, MemoryMB: 256, MaxSockets: 512}}}
+				Agents:  settings.Agents{HeartbeatSeconds: 0.3, LeaseSeconds: 20, GangWaitSeconds: 10, GangPeerSeconds: 4, CancelSeconds: 60},
+				KVStore: settings.KVStore{RequestsPerSecond: 400, ChangesPerSecond: 200, ValueKB: 16, ChangesPerTransaction: 24},
+				Cloud:   settings.Cloud{RequestsPerSecond: 20, ListLagSeconds: 0.2}, Limits: settings.Limits{Cores: 1, MemoryMB: 256, MaxSockets: 512}}}
 		for _, p := range names {
 			if p != n {
 				s.Peers = append(s.Peers, settings.Peer{Name: p, Zone: "east", Endpoint: peers[p]})
--- a/internal/cloud/cloud.go
+++ b/internal/cloud/cloud.go
@@ -36,9 +36,9 @@
 // New is a client. Only the fleet's owner sends much, so it may use most of the
 // rate; the others keep to what is left.
 func New(addr string, limits settings.Cloud, n int) *Client {
-	share := limits.RPS * 0.6
+	share := limits.RequestsPerSecond * 0.6
 	if n == 1 {
-		share = limits.RPS * 0.9
+		share = limits.RequestsPerSecond * 0.9
 	}
 	return &Client{pool: httpx.NewPool(addr, 4<<20, 8), limiter: rate.NewLimiter(rate.Limit(share), max(1, int(share)))}
 }
@@ -77,7 +77,7 @@
 	}
 	seen := map[string]bool{}
 	for _, t := range cat.Types {
-		if t.Name == "" || seen[t.Name] || !(t.CPUs > 0) || !(t.Memory >= 0) {
+		if t.Name == "" || seen[t.Name] || !(t.CPUs > 0) || !(t.MemoryGB >= 0) {
 			return nil, fmt.Errorf("cloud: catalog holds an impossible type %q", t.Name)
 		}
 		seen[t.Name] = true
--- a/internal/cloud/golden_test.go
+++ b/internal/cloud/golden_test.go
@@ -11,7 +11,7 @@
 // TestGoldenRequests: what the cloud is asked, in the form that is the cloud's own.
 func TestGoldenRequests(t *testing.T) {
 	service := goldentest.NewService(t, map[string]string{"GET /hosts": `{"estaciones":[{"uid":"n-000231"}],"more":false}`, "POST /hosts": `{"estaciones":["n-000231"]}`})
-	c := New(service.Addr, settings.Cloud{RPS: 1000}, 1)
+	c := New(service.Addr, settings.Cloud{RequestsPerSecond: 1000}, 1)
 	if _, err := c.Catalog(t.Context()); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/controller/admit.go
+++ b/internal/controller/admit.go
@@ -31,7 +31,7 @@
 
 func newAdmissionState(o *settings.Options) *admissionState {
 	return &admissionState{served: admission.NewServed(), door: admission.NewDoor(admission.DefaultLimits), runs: map[admission.Key]float64{},
-		weights: &admission.Weights{Team: o.TeamWeights, Class: o.ClassWeights, Floor: o.ClassFloor, After: settings.Seconds(o.FloorAfter)}}
+		weights: &admission.Weights{Team: o.TeamWeights, Class: o.ClassWeights, Floor: o.ClassFloor, After: settings.Seconds(o.FloorAfterSeconds)}}
 }
 
 func keyOf(s *protocol.Submission) admission.Key { return admission.Key{Team: s.Team, Class: s.Class} }
@@ -271,7 +271,7 @@
 		need.Waiting += waitingCPUs(d)
 		need.Rank = protocol.Rank(d.Spec.Priority)
 		need.Each = max(need.Each, d.Spec.CPUs)
-		need.Memory = max(need.Memory, d.Spec.Memory)
+		need.Memory = max(need.Memory, d.Spec.MemoryGB)
 	}
 }
 
@@ -306,12 +306,12 @@
 	backlog, oldest := map[admission.Key]float64{}, map[*admission.Need]time.Duration{}
 	for i := range demands {
 		d := &demands[i]
-		backlog[keyOf(d.Spec)] += waitingCPUs(d) * d.Spec.Estimate
+		backlog[keyOf(d.Spec)] += waitingCPUs(d) * d.Spec.EstimateSeconds
 	}
 	for _, j := range n.jobs {
 		need, age := needs[keyOf(j.spec)], now.Sub(j.submittedAt)
 		if need != nil && j.spec.Kind != protocol.Service && age < inflowOver {
-			need.Rate += float64(j.spec.Tasks) * j.spec.CPUs * j.spec.Estimate
+			need.Rate += float64(j.spec.Tasks) * j.spec.CPUs * j.spec.EstimateSeconds
 			oldest[need] = max(oldest[need], age)
 		}
 	}
--- a/internal/controller/barrier_test.go
+++ b/internal/controller/barrier_test.go
@@ -49,7 +49,7 @@
 // read the state service.
 func TestJobAcceptedDuringBarrier(t *testing.T) {
 	s := &settings.Settings{Name: "node-a", Deployment: settings.Deployment{Teams: []settings.Team{{Name: "red", CPUsMax: 8}},
-		State: settings.State{RPS: 9, WriteRPS: 9, TxnOps: 4, ValueKB: 4}, Cloud: settings.Cloud{RPS: 1}}}
+		KVStore: settings.KVStore{RequestsPerSecond: 9, ChangesPerSecond: 9, ChangesPerTransaction: 4, ValueKB: 4}, Cloud: settings.Cloud{RequestsPerSecond: 1}}}
 	n := New(s, settings.DefaultOptions(), slog.New(slog.DiscardHandler))
 	name := shards.ForTeam("red")
 	for phase, taken := range map[shards.Phase]bool{shards.Loading: false, shards.Barrier: true, shards.Ready: true} {
--- a/internal/controller/barrierprobe.go
+++ b/internal/controller/barrierprobe.go
@@ -92,7 +92,7 @@
 			return
 		}
 		body := protocol.Encode(protocol.DirectCommands{FencingToken: term, Incarnation: incarnation, Commands: []protocol.Command{}})
-		resp, _, err := link.Do(n.ctx, "POST", protocol.PathDo, body, probeTimeout)
+		resp, _, err := link.Do(n.ctx, "POST", protocol.PathCommands, body, probeTimeout)
 		var report protocol.Heartbeat
 		answered := err == nil && readProbeAnswer(resp, name, &report)
 		n.takeProbeAnswer(term, name, &report, answered)
--- a/internal/controller/barrierprobe_test.go
+++ b/internal/controller/barrierprobe_test.go
@@ -40,7 +40,7 @@
 	addrs["n-000099"] = "127.0.0.1:1" // nobody there
 	addrs["n-000098"] = addrs["n-000001"]
 	n := New(&settings.Settings{Name: "node-a", Peers: []settings.Peer{{Name: "node-b"}}, Deployment: settings.Deployment{Zones: []string{"east"}, Teams: []settings.Team{{Name: "red", CPUsMax: 8}},
-		State: settings.State{RPS: 9, WriteRPS: 9, TxnOps: 4, ValueKB: 4}, Cloud: settings.Cloud{RPS: 1}}}, settings.DefaultOptions(), slog.New(slog.DiscardHandler))
+		KVStore: settings.KVStore{RequestsPerSecond: 9, ChangesPerSecond: 9, ChangesPerTransaction: 4, ValueKB: 4}, Cloud: settings.Cloud{RequestsPerSecond: 1}}}, settings.DefaultOptions(), slog.New(slog.DiscardHandler))
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	n.group, n.ctx = &errgroup.Group{}, ctx
--- a/internal/controller/config_bench_test.go
+++ b/internal/controller/config_bench_test.go
@@ -72,7 +72,7 @@
 	if err != nil {
 		b.Fatal(err)
 	}
-	cloud, err := simulation.NewCloud([]protocol.MachineType{{Name: "m8", CPUs: 8, Memory: 64, Price: 2, SpotPrice: 1, Boot: 1, Zones: []string{"east"}}}, 0,
+	cloud, err := simulation.NewCloud([]protocol.MachineType{{Name: "m8", CPUs: 8, MemoryGB: 64, PricePerHour: 2, SpotPricePerHour: 1, BootSeconds: 1, Zones: []string{"east"}}}, 0,
 		func(string, string, string, bool) (*simulation.Worker, error) { return nil, io.EOF })
 	if err != nil {
 		b.Fatal(err)
@@ -85,9 +85,9 @@
 			}
 		}
 	}
-	limits := settings.State{RPS: 20000, WriteRPS: 5000, ValueKB: 1 << 10, TxnOps: 64}
-	d := settings.Deployment{Size: controllers, Zones: []string{"east"}, Workers: settings.Workers{Report: 4, Lease: 26, GangWait: 10, GangPeer: 4, Cancel: 60},
-		State: limits, Cloud: settings.Cloud{RPS: 20, ListLag: 0.2}, Limits: settings.Limits{Cores: 1, MemoryMB: 1024, MaxSockets: 1024}}
+	limits := settings.KVStore{RequestsPerSecond: 20000, ChangesPerSecond: 5000, ValueKB: 1 << 10, ChangesPerTransaction: 64}
+	d := settings.Deployment{Size: controllers, Zones: []string{"east"}, Agents: settings.Agents{HeartbeatSeconds: 4, LeaseSeconds: 26, GangWaitSeconds: 10, GangPeerSeconds: 4, CancelSeconds: 60},
+		KVStore: limits, Cloud: settings.Cloud{RequestsPerSecond: 20, ListLagSeconds: 0.2}, Limits: settings.Limits{Cores: 1, MemoryMB: 1024, MaxSockets: 1024}}
 	for i := range teams {
 		d.Teams = append(d.Teams, settings.Team{Name: fmt.Sprintf("team-%03d", i), CPUs: 8, CPUsMax: 16})
 	}
@@ -95,7 +95,7 @@
 	var group sync.WaitGroup
 	for i := range controllers {
 		s := &settings.Settings{Name: fmt.Sprintf("node-%02d", i), Zone: "east", Listen: listen[i], PeerListen: peers[i], Deployment: d,
-			Outside: settings.Outside{Cloud: cloud.Addr(), State: x.store.open(b, store.Addr())}}
+			Outside: settings.Outside{Cloud: cloud.Addr(), KVStore: x.store.open(b, store.Addr())}}
 		for k := range controllers {
 			if k != i {
 				s.Peers = append(s.Peers, settings.Peer{Name: fmt.Sprintf("node-%02d", k), Zone: "east", Endpoint: peers[k]})
@@ -103,7 +103,7 @@
 		}
 		x.sets = append(x.sets, s)
 		o := settings.DefaultOptions()
-		o.ConfigBound = 6
+		o.ConfigBoundSeconds = 6
 		group.Go(func() { _ = Run(ctx, s, o, slog.New(slog.DiscardHandler)) })
 	}
 	client := kvstore.New(store.Addr(), limits, 1)
--- a/internal/controller/config_follow.go
+++ b/internal/controller/config_follow.go
@@ -31,10 +31,10 @@
 
 // newConfigFollow is nil unless the configuration is to be followed.
 func newConfigFollow(s *settings.Settings, o *settings.Options) *configFollow {
-	if o.ConfigBound <= 0 {
+	if o.ConfigBoundSeconds <= 0 {
 		return nil
 	}
-	return &configFollow{teams: teamconfig.New(s.Deployment.Teams, settings.Seconds(o.ConfigBound)), force: teamconfig.NewForce(),
+	return &configFollow{teams: teamconfig.New(s.Deployment.Teams, settings.Seconds(o.ConfigBoundSeconds)), force: teamconfig.NewForce(),
 		base: teamconfig.BaseDigest(s.Deployment.Teams), lagging: map[string]time.Time{}, writing: map[string]bool{}}
 }
 
--- a/internal/controller/config_test.go
+++ b/internal/controller/config_test.go
@@ -21,7 +21,7 @@
 }
 
 func newConfigured(t *testing.T, run time.Duration) *configured {
-	r := openRegion(t, run, settings.Workers{Report: 0.2, Lease: 20, GangWait: 10, GangPeer: 4, Cancel: 60}, func(r *region) { r.configBound = 4 })
+	r := openRegion(t, run, settings.Agents{HeartbeatSeconds: 0.2, LeaseSeconds: 20, GangWaitSeconds: 10, GangPeerSeconds: 4, CancelSeconds: 60}, func(r *region) { r.configBound = 4 })
 	c := &configured{region: r}
 	c.until("there is a record", func() bool { all := r.overviews(); return len(all) > 0 && len(all[0].Members) == 3 })
 	c.operator = c.writer()
@@ -32,7 +32,7 @@
 func (c *configured) writer() *teamstore.Writer {
 	ctx, cancel := context.WithCancel(context.Background())
 	c.t.Cleanup(cancel)
-	client := kvstore.New(c.state.Addr(), c.sets[0].Deployment.State, 4)
+	client := kvstore.New(c.state.Addr(), c.sets[0].Deployment.KVStore, 4)
 	go client.Run(ctx)
 	w := teamstore.New(client, c.sets[0].Deployment.Teams)
 	c.until("the operator's command knows the store", func() bool { return w.Open(ctx, controlKey) == nil })
@@ -270,7 +270,7 @@
 	}
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
-	client := kvstore.New(door.Addr(), c.sets[0].Deployment.State, 4)
+	client := kvstore.New(door.Addr(), c.sets[0].Deployment.KVStore, 4)
 	go client.Run(ctx)
 	held := teamstore.New(client, nil)
 	c.until("it knows the store", func() bool { return held.Open(ctx, controlKey) == nil })
--- a/internal/controller/demand_test.go
+++ b/internal/controller/demand_test.go
@@ -22,7 +22,7 @@
 	} {
 		g := newGrown(2, 1) // of 32 CPUs, in a zone each
 		n := g.n
-		spec := &protocol.Submission{UID: "job-000001", Team: "team-0", Kind: c.kind, Priority: "high", Tasks: 20, CPUs: 4, Memory: 1, Image: "img", Estimate: 10,
+		spec := &protocol.Submission{UID: "job-000001", Team: "team-0", Kind: c.kind, Priority: "high", Tasks: 20, CPUs: 4, MemoryGB: 1, Image: "img", EstimateSeconds: 10,
 			Spot: true, OneZone: c.oneZone}
 		n.mu.Lock()
 		n.learnJob(userapi.Stored{At: g.now.UnixMilli(), Spec: spec}, 1)
--- a/internal/controller/eviction.go
+++ b/internal/controller/eviction.go
@@ -19,9 +19,9 @@
 			switch {
 			case job == nil:
 			case job.Spec.Kind == protocol.Gang:
-				shard.Team().StopJob(job, job.Spec.Save)
-			case job.Spec.Kind == protocol.Service || job.Spec.Checkpoint > 0:
-				shard.Team().Stop(assignment.Ref(), job.Spec.Save)
+				shard.Team().StopJob(job, job.Spec.CheckpointSeconds)
+			case job.Spec.Kind == protocol.Service || job.Spec.CheckpointEverySeconds > 0:
+				shard.Team().Stop(assignment.Ref(), job.Spec.CheckpointSeconds)
 			}
 		})
 	}
--- a/internal/controller/fleetview.go
+++ b/internal/controller/fleetview.go
@@ -75,13 +75,13 @@
 
 // slotOf is the room that a task on a machine takes, and for how long it probably does.
 func slotOf(m *machine, spec *protocol.Submission, ref jobstate.AttemptRef, now time.Time) autoscaler.Slot {
-	left := max(spec.Estimate, 1)
+	left := max(spec.EstimateSeconds, 1)
 	if spec.Kind == protocol.Service {
 		left = autoscaler.EndlessRun
 	} else if since, running := m.runningSince[ref]; running {
 		left = max(left-now.Sub(since).Seconds(), left/8)
 	}
-	return autoscaler.Slot{CPUs: spec.CPUs, GPUs: spec.GPUs, Mem: spec.Memory, Left: left, Pinned: !spec.Spot}
+	return autoscaler.Slot{CPUs: spec.CPUs, GPUs: spec.GPUs, Mem: spec.MemoryGB, Left: left, Pinned: !spec.Spot}
 }
 
 // lastHeard is when any controller last heard a machine, as far as known here. One that
@@ -167,7 +167,7 @@
 	in := autoscaler.Inflow{}
 	for _, j := range n.jobs {
 		if j.spec.Kind != protocol.Service && !j.submittedAt.IsZero() && now.Sub(j.submittedAt) < inflowOver {
-			in[protocol.Rank(j.spec.Priority)] += float64(j.spec.Tasks) * j.spec.CPUs * j.spec.Estimate / inflowOver.Seconds()
+			in[protocol.Rank(j.spec.Priority)] += float64(j.spec.Tasks) * j.spec.CPUs * j.spec.EstimateSeconds / inflowOver.Seconds()
 		}
 	}
 	return in
--- a/internal/controller/gangpreemption.go
+++ b/internal/controller/gangpreemption.go
@@ -63,7 +63,7 @@
 	ownOnly := w.borrowed || w.count < len(missing)
 	look := p.gangLook(w, ownOnly)
 	cpus, gpus := w.it.Team().QuotaLeft()
-	each := gangpreemption.Amount{CPUs: w.spec.CPUs, GPUs: w.spec.GPUs, Memory: w.spec.Memory}
+	each := gangpreemption.Amount{CPUs: w.spec.CPUs, GPUs: w.spec.GPUs, Memory: w.spec.MemoryGB}
 	stops, ok := gangpreemption.Plan(gangpreemption.Gang{Tasks: len(missing), Each: each, OneZone: w.spec.OneZone,
 		Quota: gangpreemption.Amount{CPUs: cpus, GPUs: gpus}}, look.machines)
 	if !ok {
@@ -103,7 +103,7 @@
 				continue
 			}
 			m.Victims = append(m.Victims, gangpreemption.Victim{ID: len(look.tasks), Loss: v.lost, Own: own,
-				Size: gangpreemption.Amount{CPUs: v.spec.CPUs, GPUs: v.spec.GPUs, Memory: v.spec.Memory}})
+				Size: gangpreemption.Amount{CPUs: v.spec.CPUs, GPUs: v.spec.GPUs, Memory: v.spec.MemoryGB}})
 			look.tasks = append(look.tasks, v)
 		}
 		look.machines, look.hosts = append(look.machines, m), append(look.hosts, h)
--- a/internal/controller/gangs.go
+++ b/internal/controller/gangs.go
@@ -137,12 +137,12 @@
 	empty, free := map[int]int{}, map[int]int{} // how many tasks fit, by zone
 	for _, m := range n.placeable {
 		if cpus, gpus, memory, ok := n.capacity(m.status.Type); ok && !m.gone && r.accepts(&m.host) {
-			empty[r.zoneOf(&m.host)] += spec.Times(cpus, gpus, memory)
+			empty[r.zoneOf(&m.host)] += spec.TasksThatFit(cpus, gpus, memory)
 		}
 	}
 	for _, h := range r.p.hosts {
 		if r.accepts(h) {
-			free[r.zoneOf(h)] += spec.Times(h.CPUs, h.GPUs, h.Memory)
+			free[r.zoneOf(h)] += spec.TasksThatFit(h.CPUs, h.GPUs, h.Memory)
 		}
 	}
 	best = anyZone
--- a/internal/controller/goals.go
+++ b/internal/controller/goals.go
@@ -16,16 +16,16 @@
 	}
 	j.goals = jobstate.Goals{}
 	add := func(seconds float64) { j.goals = append(j.goals, j.submittedAt.Add(settings.Seconds(seconds))) }
-	if j.spec.Deadline != nil {
-		add(*j.spec.Deadline)
+	if j.spec.DeadlineSeconds != nil {
+		add(*j.spec.DeadlineSeconds)
 	}
 	for _, o := range n.settings.Deployment.Objectives {
 		switch {
 		case o.Class != j.spec.Class:
-		case o.Kind == "finished" && o.Within > 0:
-			add(o.Within)
-		case o.Kind == "deadline" && o.Times > 0 && j.spec.Deadline != nil:
-			add(o.Times * *j.spec.Deadline)
+		case o.Kind == "finished" && o.WithinSeconds > 0:
+			add(o.WithinSeconds)
+		case o.Kind == "deadline" && o.Times > 0 && j.spec.DeadlineSeconds != nil:
+			add(o.Times * *j.spec.DeadlineSeconds)
 		}
 	}
 	slices.SortFunc(j.goals, time.Time.Compare)
@@ -48,7 +48,7 @@
 // or if it is too late for that.
 func (n *Node) startBy(j *job, now time.Time) (time.Time, bool) {
 	for _, o := range n.settings.Deployment.Objectives {
-		if by := j.submittedAt.Add(settings.Seconds(o.Within)); o.Kind == "wait" && o.Class == j.spec.Class && o.Within > 0 && !now.After(by) {
+		if by := j.submittedAt.Add(settings.Seconds(o.WithinSeconds)); o.Kind == "wait" && o.Class == j.spec.Class && o.WithinSeconds > 0 && !now.After(by) {
 			return by, true
 		}
 	}
@@ -59,7 +59,7 @@
 // came at a time; false if nobody said.
 func (n *Node) promptly(came, now time.Time) (time.Time, bool) {
 	for _, o := range n.settings.Deployment.Objectives {
-		if by := came.Add(settings.Seconds(o.Within)); o.Kind == "guarantee" && o.Within > 0 && !now.After(by) {
+		if by := came.Add(settings.Seconds(o.WithinSeconds)); o.Kind == "guarantee" && o.WithinSeconds > 0 && !now.After(by) {
 			return by, true
 		}
 	}
--- a/internal/controller/grown_test.go
+++ b/internal/controller/grown_test.go
@@ -38,8 +38,8 @@
 
 func newGrown(machines, teams int) *grown {
 	s := &settings.Settings{Name: "node-a", Deployment: settings.Deployment{Size: 3, Zones: []string{"east", "west"},
-		Workers: settings.Workers{Report: 4, Lease: 26, Cancel: 56}, State: settings.State{RPS: 150, WriteRPS: 30, ValueKB: 8, TxnOps: 24},
-		Cloud: settings.Cloud{RPS: 6, ListLag: 3}, Limits: settings.Limits{MemoryMB: 200, MaxSockets: 2500}}}
+		Agents: settings.Agents{HeartbeatSeconds: 4, LeaseSeconds: 26, CancelSeconds: 56}, KVStore: settings.KVStore{RequestsPerSecond: 150, ChangesPerSecond: 30, ValueKB: 8, ChangesPerTransaction: 24},
+		Cloud: settings.Cloud{RequestsPerSecond: 6, ListLagSeconds: 3}, Limits: settings.Limits{MemoryMB: 200, MaxSockets: 2500}}}
 	record := (&leadership.Record{Term: 1}).Clone()
 	for _, name := range []string{"node-a", "node-b", "node-c"} {
 		record.Nodes[name] = 1
@@ -51,7 +51,7 @@
 	g := &grown{n: New(s, settings.DefaultOptions(), slog.New(slog.DiscardHandler)), rng: rand.New(rand.NewPCG(3, 4)), now: time.Now(),
 		views: map[string]*jobstate.MachineStatus{}, ends: map[jobstate.AttemptRef]time.Time{}}
 	n := g.n
-	n.machineTypes = []protocol.MachineType{{Name: "m32", CPUs: 32, Memory: 256, Price: 2, SpotPrice: 0.5, Boot: 35, FetchRate: 0.25, Zones: s.Deployment.Zones}}
+	n.machineTypes = []protocol.MachineType{{Name: "m32", CPUs: 32, MemoryGB: 256, PricePerHour: 2, SpotPricePerHour: 0.5, BootSeconds: 35, FetchGBPerSecond: 0.25, Zones: s.Deployment.Zones}}
 	record.Nodes["node-a"] = n.incarnation
 	record.Unreachable = []string{"node-b", "node-c"} // this controller is the home of all
 	for _, t := range s.Deployment.Teams {
@@ -64,7 +64,7 @@
 	cancel() // nothing goes out
 	n.group, n.ctx = &errgroup.Group{}, ended
 	n.lease.Renewed(g.now)
-	n.cancelWatermark = cancelwatermark.New([]string{"node-b", "node-c"}, settings.Seconds(s.Deployment.Workers.Cancel), settings.Seconds(s.Deployment.Workers.Lease))
+	n.cancelWatermark = cancelwatermark.New([]string{"node-b", "node-c"}, settings.Seconds(s.Deployment.Agents.CancelSeconds), settings.Seconds(s.Deployment.Agents.LeaseSeconds))
 	n.cancelWatermark.RecordRead(g.now)
 	for i := range machines {
 		g.names = append(g.names, fmt.Sprintf("n-%06d", i))
@@ -85,7 +85,7 @@
 	defer g.n.mu.Unlock()
 	g.jobs++
 	spec := &protocol.Submission{UID: fmt.Sprintf("job-%06d", g.jobs), Team: fmt.Sprintf("team-%d", g.jobs%len(g.n.settings.Deployment.Teams)), Kind: protocol.JobArray,
-		Priority: []string{"standard", "high"}[g.jobs%2], Tasks: tasks, CPUs: cpus, Memory: 20, Image: fmt.Sprint("img-", g.jobs%10), Estimate: 40, Spot: true}
+		Priority: []string{"standard", "high"}[g.jobs%2], Tasks: tasks, CPUs: cpus, MemoryGB: 20, Image: fmt.Sprint("img-", g.jobs%10), EstimateSeconds: 40, Spot: true}
 	g.n.learnJob(userapi.Stored{Spec: spec, At: g.now.UnixMilli()}, 1)
 }
 
@@ -282,7 +282,7 @@
 			n.mu.Lock()
 			defer n.mu.Unlock()
 			n.learnJob(userapi.Stored{At: g.now.UnixMilli(), Spec: &protocol.Submission{UID: uid, Team: team, Kind: protocol.JobArray,
-				Priority: priority, Tasks: tasks, CPUs: cpus, Memory: 1, Estimate: estimate, Spot: true}}, 1)
+				Priority: priority, Tasks: tasks, CPUs: cpus, MemoryGB: 1, EstimateSeconds: estimate, Spot: true}}, 1)
 		}
 		submit("job-000001", "team-1", "low", 64, 4, 600)
 		for range 12 {
--- a/internal/controller/held_test.go
+++ b/internal/controller/held_test.go
@@ -30,7 +30,7 @@
 			defer n.mu.Unlock()
 			learn := func(uid, class string, tasks int, cpus float64, age time.Duration) {
 				n.learnJob(userapi.Stored{At: g.now.Add(-age).UnixMilli(), Spec: &protocol.Submission{UID: uid, Team: "team-0", Class: class, Kind: protocol.JobArray,
-					Priority: "standard", Tasks: tasks, CPUs: cpus, Memory: 1, Image: "img", Estimate: 40, Spot: true}}, 1)
+					Priority: "standard", Tasks: tasks, CPUs: cpus, MemoryGB: 1, Image: "img", EstimateSeconds: 40, Spot: true}}, 1)
 			}
 			team := n.shards.OfTeam("team-0").Team()
 			learn("job-000001", "small", c.begun, 2, 0)
@@ -73,7 +73,7 @@
 			deadline := 500.0
 			learn := func(uid, class string, tasks int, cpus float64, deadline *float64) {
 				n.learnJob(userapi.Stored{At: g.now.UnixMilli(), Spec: &protocol.Submission{UID: uid, Team: "team-0", Class: class, Kind: protocol.JobArray,
-					Priority: "standard", Tasks: tasks, CPUs: cpus, Memory: 1, Image: "img", Estimate: 40, Spot: true, Deadline: deadline}}, 1)
+					Priority: "standard", Tasks: tasks, CPUs: cpus, MemoryGB: 1, Image: "img", EstimateSeconds: 40, Spot: true, DeadlineSeconds: deadline}}, 1)
 			}
 			learn("job-000001", "other", 15, 2, nil)
 			n.place(g.now)
--- a/internal/controller/home.go
+++ b/internal/controller/home.go
@@ -136,7 +136,7 @@
 		v = misdirection{first: now}
 		keep = !m.homeHeardAt.IsZero() && now.Sub(heard) > n.heartbeatOverdue() && now.Sub(m.keptAliveAt) > n.redirectTimeout()
 	} else {
-		keep = now.Sub(v.sent) < settings.Seconds(n.settings.Deployment.Workers.Lease)
+		keep = now.Sub(v.sent) < settings.Seconds(n.settings.Deployment.Agents.LeaseSeconds)
 	}
 	v.last = now
 	if !again || !keep {
@@ -155,7 +155,7 @@
 
 // overdue is after what time a machine's report is missing at its home.
 func (n *Node) heartbeatOverdue() time.Duration {
-	return settings.Seconds(n.settings.Deployment.Workers.Report)*5/4 + time.Second
+	return settings.Seconds(n.settings.Deployment.Agents.HeartbeatSeconds)*5/4 + time.Second
 }
 
 // vainFor is how long a machine may take from one report here to the next, with a
@@ -567,7 +567,7 @@
 		}
 		*link = httpx.NewLink(addr, 1<<20)
 	}
-	resp, left, err := (*link).Do(ctx, "POST", protocol.PathDo, body, commandTimeout)
+	resp, left, err := (*link).Do(ctx, "POST", protocol.PathCommands, body, commandTimeout)
 	now = time.Now()
 	n.mu.Lock()
 	defer n.mu.Unlock()
--- a/internal/controller/hosts.go
+++ b/internal/controller/hosts.go
@@ -14,7 +14,7 @@
 // Machines as placement sees them: the room that each has as far as known here.
 
 func (n *Node) ask(s *protocol.Submission) *placement.Ask {
-	a := &placement.Ask{CPUs: s.CPUs, GPUs: s.GPUs, Memory: s.Memory, Zone: -1, Spot: s.Spot, Image: s.Image, ImageGB: s.ImageGB, Run: s.Estimate, Class: s.Class}
+	a := &placement.Ask{CPUs: s.CPUs, GPUs: s.GPUs, Memory: s.MemoryGB, Zone: -1, Spot: s.Spot, Image: s.Image, ImageGB: s.ImageGB, Run: s.EstimateSeconds, Class: s.Class}
 	if s.Kind == protocol.Service {
 		a.Run = 1e6
 	}
@@ -47,7 +47,7 @@
 // orders yet.
 func (n *Node) hosts(now time.Time, least *placement.Ask) []*placement.Host {
 	n.recountMoved()
-	fresh := 2*time.Duration(n.settings.Deployment.Workers.Report*float64(time.Second)) + 3*time.Second
+	fresh := 2*time.Duration(n.settings.Deployment.Agents.HeartbeatSeconds*float64(time.Second)) + 3*time.Second
 	drain := n.draining()
 	away := map[string]bool{} // homes that no order reaches
 	for name, p := range n.peers {
@@ -105,9 +105,9 @@
 	if t < 0 {
 		return false
 	}
-	h := placement.Host{Name: v.Machine, Type: t, Zone: n.zoneIndex(v.Zone), Spot: v.Spot, Session: v.Incarnation, Fetch: n.machineTypes[t].FetchRate, Images: m.images}
-	if h.Price = n.machineTypes[t].Price; v.Spot {
-		h.Price = n.machineTypes[t].SpotPrice
+	h := placement.Host{Name: v.Machine, Type: t, Zone: n.zoneIndex(v.Zone), Spot: v.Spot, Session: v.Incarnation, Fetch: n.machineTypes[t].FetchGBPerSecond, Images: m.images}
+	if h.Price = n.machineTypes[t].PricePerHour; v.Spot {
+		h.Price = n.machineTypes[t].SpotPricePerHour
 	}
 	h.CPUs, h.GPUs, h.Memory = n.free(m)
 	pulls := map[string]bool{}
--- a/internal/controller/inflight_test.go
+++ b/internal/controller/inflight_test.go
@@ -69,7 +69,7 @@
 	n := o.n
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	reach := settings.Seconds(n.settings.Deployment.Workers.Cancel-n.settings.Deployment.Workers.Lease) - 2*time.Second
+	reach := settings.Seconds(n.settings.Deployment.Agents.CancelSeconds-n.settings.Deployment.Agents.LeaseSeconds) - 2*time.Second
 	o.report(o.now)
 	o.order(protocol.Start)
 	m := n.agents.Get(o.name)
--- a/internal/controller/meeting_start_test.go
+++ b/internal/controller/meeting_start_test.go
@@ -52,7 +52,7 @@
 	for name, cancels := range map[string]bool{"the job lives": false, "the job is cancelled": true} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			s := openSceneOf(t, sceneRun, settings.Workers{Report: 0.2, Lease: 10, GangWait: 10, GangPeer: 4, Cancel: 25})
+			s := openSceneOf(t, sceneRun, settings.Agents{HeartbeatSeconds: 0.2, LeaseSeconds: 10, GangWaitSeconds: 10, GangPeerSeconds: 4, CancelSeconds: 25})
 			s.members(3)
 			jobs := crowd(s)
 			machines := s.cloud.Workers()
--- a/internal/controller/meeting_test.go
+++ b/internal/controller/meeting_test.go
@@ -26,7 +26,7 @@
 
 // met is a region with short times in which tasks run far longer than a cancellation may take.
 func met(t *testing.T) *region {
-	r := openRegion(t, time.Hour, settings.Workers{Report: 0.2, Lease: 4, GangWait: 10, GangPeer: 4, Cancel: 10})
+	r := openRegion(t, time.Hour, settings.Agents{HeartbeatSeconds: 0.2, LeaseSeconds: 4, GangWaitSeconds: 10, GangPeerSeconds: 4, CancelSeconds: 10})
 	r.check.Cancel = 10 * time.Second
 	return r
 }
@@ -241,7 +241,7 @@
 // ones, also across the end of the controller that sent them: acceptances, withdrawals, ends, pages, lists of machines,
 // lease keys and the record alike.
 func TestLateWrites(t *testing.T) {
-	r := openRegion(t, 400*time.Millisecond, settings.Workers{Report: 0.2, Lease: 20, GangWait: 10, GangPeer: 4, Cancel: 60})
+	r := openRegion(t, 400*time.Millisecond, settings.Agents{HeartbeatSeconds: 0.2, LeaseSeconds: 20, GangWaitSeconds: 10, GangPeerSeconds: 4, CancelSeconds: 60})
 	for _, d := range r.doors {
 		count := 0
 		d.Late(func() time.Duration { // one soon enough for nothing to come before it, the next one long after
@@ -311,7 +311,7 @@
 // sent and in the other one, as when the state service gave no answer. Nothing may change: each rests on a version
 // that its first carrying out, or what came after, has left behind.
 func TestNoWriteAppliesTwice(t *testing.T) {
-	r := openRegion(t, 600*time.Millisecond, settings.Workers{Report: 0.2, Lease: 20, GangWait: 10, GangPeer: 4, Cancel: 60})
+	r := openRegion(t, 600*time.Millisecond, settings.Agents{HeartbeatSeconds: 0.2, LeaseSeconds: 20, GangWaitSeconds: 10, GangPeerSeconds: 4, CancelSeconds: 60})
 	jobs := []*protocol.Submission{array(680, 9, "red"), array(681, 3, "blue")}
 	for _, j := range jobs {
 		r.submit(j)
@@ -372,7 +372,7 @@
 // TestLateReports: copies of reports arrive again up to well over a lease later, of sessions, attempts and machines that are
 // over, and at controllers that began anew and know none of them.
 func TestLateReports(t *testing.T) {
-	r := openRegion(t, time.Second, settings.Workers{Report: 0.2, Lease: 3, GangWait: 10, GangPeer: 4, Cancel: 10})
+	r := openRegion(t, time.Second, settings.Agents{HeartbeatSeconds: 0.2, LeaseSeconds: 3, GangWaitSeconds: 10, GangPeerSeconds: 4, CancelSeconds: 10})
 	r.check.Cancel = 10 * time.Second
 	var mu sync.Mutex
 	rng := rand.New(rand.NewPCG(8, 8))
@@ -418,7 +418,7 @@
 // owner of what it runs end, and the job is withdrawn. Nothing of it may stay longer than a cancellation may
 // take, and what else it ran runs on elsewhere once that is proven off.
 func TestDeafMachineAcrossAnEnd(t *testing.T) {
-	r := openRegion(t, 6*time.Second, settings.Workers{Report: 0.2, Lease: 4, GangWait: 10, GangPeer: 4, Cancel: 10})
+	r := openRegion(t, 6*time.Second, settings.Agents{HeartbeatSeconds: 0.2, LeaseSeconds: 4, GangWaitSeconds: 10, GangPeerSeconds: 4, CancelSeconds: 10})
 	r.check.Cancel = 10 * time.Second
 	gone, stays := array(660, 7, "red"), array(662, 5, "red")
 	r.submit(gone)
@@ -453,7 +453,7 @@
 		r := protocol.Heartbeat{Machine: "n-000900", Addr: addr, Type: "m32", Zone: "east", Incarnation: 1, Seq: seq + 1, FencingToken: 1,
 			Tasks: []protocol.TaskStatus{{Task: "job-000001/0", Attempt: 1, State: protocol.Running}}}
 		n.applyHeartbeat(&r, at)
-		at = at.Add(settings.Seconds(n.settings.Deployment.Workers.Report))
+		at = at.Add(settings.Seconds(n.settings.Deployment.Agents.HeartbeatSeconds))
 		n.cancelWatermark.RecordRead(at)
 		n.mu.Unlock()
 		_ = n.group.Wait() // what is asked of the machine
@@ -479,13 +479,13 @@
 	n.endJob("job-000002")
 	n.front.Learn("job-000003", userapi.Final{State: protocol.Cancelled, Tasks: 1, Team: "team-0"})
 	n.mu.Lock() // what is looked up beside it takes it too
-	reach := settings.Seconds(n.settings.Deployment.Workers.Cancel - n.settings.Deployment.Workers.Lease)
+	reach := settings.Seconds(n.settings.Deployment.Agents.CancelSeconds - n.settings.Deployment.Agents.LeaseSeconds)
 	seq := uint64(10)
 	ask := func(at time.Time, state protocol.TaskState, tasks ...string) (status int, stopped []string) {
 		seq++
 		r := protocol.Heartbeat{Machine: g.names[0], Addr: "127.0.0.1:1", Type: "m32", Zone: "east", Incarnation: 1, Seq: seq, FencingToken: 1, Tasks: []protocol.TaskStatus{}}
 		for _, task := range tasks {
-			r.Tasks = append(r.Tasks, protocol.TaskStatus{Task: task, Attempt: 1, State: state, Why: protocol.ReasonDone})
+			r.Tasks = append(r.Tasks, protocol.TaskStatus{Task: task, Attempt: 1, State: state, Reason: protocol.ReasonDone})
 		}
 		n.lease.Renewed(at)
 		a := n.answerHeartbeat(&r, at)
--- a/internal/controller/node.go
+++ b/internal/controller/node.go
@@ -157,7 +157,7 @@
 	n := &Node{
 		settings: s, options: o, log: log.With("node", s.Name), name: s.Name,
 		incarnation:  uint64(now.UnixMicro()),
-		kvStore:      kvstore.New(s.Outside.State, s.Deployment.State, count),
+		kvStore:      kvstore.New(s.Outside.KVStore, s.Deployment.KVStore, count),
 		cloud:        cloud.New(s.Outside.Cloud, s.Deployment.Cloud, count),
 		wakeRequests: make(chan struct{}, 1), recordHints: make(chan struct{}, 1), syncRequests: make(chan struct{}, 1),
 		rng:       rand.New(rand.NewPCG(uint64(now.UnixNano()), rand.Uint64())),
@@ -167,7 +167,7 @@
 		endLookups: map[string]bool{}, evictions: map[jobstate.AttemptRef]eviction{}, statusRequests: make(chan struct{}, 1), drainingMachines: map[string]bool{}, unreachableHomes: map[string]map[string]misdirection{}, quarantine: quarantine.New(),
 		misdirectedAgents: map[string]bool{}, firstSteps: map[string]bool{}, startLatency: hdrhistogram.New(1, time.Hour.Milliseconds(), 2),
 	}
-	life := settings.Seconds(o.NodeLease)
+	life := settings.Seconds(o.ControllerLeaseSeconds)
 	n.lease = leadership.Lease{Life: life, Margin: life / 20}
 	n.recovery = newRecoveryState(s, n.incarnation, life)
 	n.admission = newAdmissionState(o)
@@ -178,7 +178,7 @@
 		addrs[p.Name] = p.Endpoint
 		n.peers[p.Name] = &peerState{}
 	}
-	n.cancelWatermark = cancelwatermark.New(slices.Collect(maps.Keys(n.peers)), settings.Seconds(s.Deployment.Workers.Cancel), settings.Seconds(s.Deployment.Workers.Lease))
+	n.cancelWatermark = cancelwatermark.New(slices.Collect(maps.Keys(n.peers)), settings.Seconds(s.Deployment.Agents.CancelSeconds), settings.Seconds(s.Deployment.Agents.LeaseSeconds))
 	n.links = peer.New(s.Name, n.incarnation, addrs, (*peerHandler)(n), n.log)
 	n.front = userapi.New(s, n.kvStore, (*userBackend)(n))
 	if n.teamConfig = newConfigFollow(s, o); n.teamConfig != nil {
@@ -289,12 +289,12 @@
 	if t == nil {
 		return 0, 0, 0, false
 	}
-	return t.CPUs, t.GPUs, t.Memory, true
+	return t.CPUs, t.GPUs, t.MemoryGB, true
 }
 
 func (n *Node) taskSize(uid string) (cpus, gpus, memory float64) {
 	if j := n.jobs[uid]; j != nil {
-		return j.spec.CPUs, j.spec.GPUs, j.spec.Memory
+		return j.spec.CPUs, j.spec.GPUs, j.spec.MemoryGB
 	}
 	return 0, 0, 0
 }
--- a/internal/controller/node_test.go
+++ b/internal/controller/node_test.go
@@ -41,15 +41,15 @@
 }
 
 func newRegion(t *testing.T, run time.Duration) *region {
-	return openRegion(t, run, settings.Workers{Report: 0.2, Lease: 20, GangWait: 10, GangPeer: 4, Cancel: 60})
+	return openRegion(t, run, settings.Agents{HeartbeatSeconds: 0.2, LeaseSeconds: 20, GangWaitSeconds: 10, GangPeerSeconds: 4, CancelSeconds: 60})
 }
 
-func openRegion(t *testing.T, run time.Duration, workers settings.Workers, prepare ...func(*region)) *region {
+func openRegion(t *testing.T, run time.Duration, workers settings.Agents, prepare ...func(*region)) *region {
 	return openRegionRunning(t, func(string) time.Duration { return run }, workers, prepare...)
 }
 
 // openRegionRunning opens a region whose tasks run for times of their own.
-func openRegionRunning(t *testing.T, run func(task string) time.Duration, workers settings.Workers, prepare ...func(*region)) *region {
+func openRegionRunning(t *testing.T, run func(task string) time.Duration, workers settings.Agents, prepare ...func(*region)) *region {
 	r := &region{t: t, pipes: simulation.Paths{}, rng: rand.New(rand.NewPCG(1, 2)), httpc: &http.Client{Timeout: 4 * time.Second}}
 	r.check = simulation.NewChecker(map[string]float64{"red": 24, "blue": 16})
 	for _, p := range prepare {
@@ -69,8 +69,8 @@
 			}
 		}
 	}
-	per := simulation.Periods{Report: settings.Seconds(workers.Report), Lease: settings.Seconds(workers.Lease), Run: run}
-	types := []protocol.MachineType{{Name: "m8", CPUs: 8, Memory: 64, Price: 2, SpotPrice: 1, Boot: 1, Zones: []string{"east", "west"}}}
+	per := simulation.Periods{Report: settings.Seconds(workers.HeartbeatSeconds), Lease: settings.Seconds(workers.LeaseSeconds), Run: run}
+	types := []protocol.MachineType{{Name: "m8", CPUs: 8, MemoryGB: 64, PricePerHour: 2, SpotPricePerHour: 1, BootSeconds: 1, Zones: []string{"east", "west"}}}
 	r.cloud, err = simulation.NewCloud(types, 6, func(name, typ, zone string, spot bool) (*simulation.Worker, error) {
 		return simulation.NewWorker(name, typ, zone, spot, listen, names, per, r.check)
 	})
@@ -84,12 +84,12 @@
 		}
 		r.doors = append(r.doors, door)
 		s := &settings.Settings{Name: n, Zone: "east", Listen: listen[n], PeerListen: peers[n],
-			Outside: settings.Outside{Cloud: r.cloud.Addr(), State: door.Addr()},
+			Outside: settings.Outside{Cloud: r.cloud.Addr(), KVStore: door.Addr()},
 			Deployment: settings.Deployment{Size: 3, Zones: []string{"east", "west"},
 				Teams:   []settings.Team{{Name: "red", CPUs: 16, CPUsMax: 24}, {Name: "blue", CPUs: 8, CPUsMax: 16}},
-				Workers: workers,
-				State:   settings.State{RPS: 400, WriteRPS: 200, ValueKB: 16, TxnOps: 16},
-				Cloud:   settings.Cloud{RPS: 20, ListLag: 0.2}, Limits: settings.Limits{Cores: 1, MemoryMB: 256, MaxSockets: 512}}}
+				Agents:  workers,
+				KVStore: settings.KVStore{RequestsPerSecond: 400, ChangesPerSecond: 200, ValueKB: 16, ChangesPerTransaction: 16},
+				Cloud:   settings.Cloud{RequestsPerSecond: 20, ListLagSeconds: 0.2}, Limits: settings.Limits{Cores: 1, MemoryMB: 256, MaxSockets: 512}}}
 		for k, p := range names {
 			if p != n {
 				pipe, err := simulation.NewPipe(peers[p])
@@ -124,7 +124,7 @@
 	}
 	log := slog.New(slog.NewTextHandler(out, &slog.HandlerOptions{Level: slog.LevelDebug}))
 	set, options := r.sets[i], settings.DefaultOptions()
-	options.NodeLease, options.CopyWait, options.ConfigBound = 2, r.copyWait, r.configBound
+	options.ControllerLeaseSeconds, options.CopyWaitSeconds, options.ConfigBoundSeconds = 2, r.copyWait, r.configBound
 	go func() {
 		defer close(p.ended)
 		if err := Run(ctx, set, options, log); err != nil && ctx.Err() == nil {
@@ -168,7 +168,7 @@
 
 func array(i, tasks int, team string) *protocol.Submission {
 	return &protocol.Submission{UID: fmt.Sprintf("job-%06d", i), Class: "c", Team: team, Kind: protocol.JobArray, Priority: "standard",
-		Tasks: tasks, CPUs: 2, Memory: 4, Image: "img", Estimate: 1, Spot: i%2 == 0}
+		Tasks: tasks, CPUs: 2, MemoryGB: 4, Image: "img", EstimateSeconds: 1, Spot: i%2 == 0}
 }
 
 func (r *region) submit(spec *protocol.Submission) {
--- a/internal/controller/order_test.go
+++ b/internal/controller/order_test.go
@@ -14,8 +14,8 @@
 func TestOrderOfWaitingWork(t *testing.T) {
 	n := bare("127.0.0.1:1")
 	n.settings.Deployment.Objectives = []settings.Objective{
-		{Kind: "deadline", Class: "c", Times: 1}, {Kind: "deadline", Class: "c", Times: 2}, {Kind: "finished", Class: "d", Within: 30},
-		{Kind: "wait", Class: "d", Within: 60}, {Kind: "guarantee", Within: 8}}
+		{Kind: "deadline", Class: "c", Times: 1}, {Kind: "deadline", Class: "c", Times: 2}, {Kind: "finished", Class: "d", WithinSeconds: 30},
+		{Kind: "wait", Class: "d", WithinSeconds: 60}, {Kind: "guarantee", WithinSeconds: 8}}
 	now := time.Unix(10000, 0)
 	for _, x := range []struct {
 		class    string
@@ -34,9 +34,9 @@
 		{"other", 0, 1000, int(far / time.Second), false},
 		{"other", 50, 0, 50, false},
 	} {
-		spec := &protocol.Submission{Class: x.class, Estimate: 10}
+		spec := &protocol.Submission{Class: x.class, EstimateSeconds: 10}
 		if x.deadline > 0 {
-			spec.Deadline = &x.deadline
+			spec.DeadlineSeconds = &x.deadline
 		}
 		j := &job{spec: spec, submittedAt: now.Add(-time.Duration(x.age) * time.Second)}
 		goal, late := n.goal(j, now)
@@ -50,7 +50,7 @@
 		}
 	}
 	for age, want := range map[int]bool{26: true, 60: true, 61: false} {
-		j := &job{spec: &protocol.Submission{Class: "d", Estimate: 10}, submittedAt: now.Add(-time.Duration(age) * time.Second)}
+		j := &job{spec: &protocol.Submission{Class: "d", EstimateSeconds: 10}, submittedAt: now.Add(-time.Duration(age) * time.Second)}
 		if by, ok := n.startBy(j, now); ok != want || (ok && by.Sub(j.submittedAt) != time.Minute) {
 			t.Errorf("after %d s tasks should start by %v, %v", age, by, ok)
 		}
--- a/internal/controller/orphan.go
+++ b/internal/controller/orphan.go
@@ -46,7 +46,7 @@
 
 // endedSpec is what is left of a job's description after its end.
 func endedSpec(uid string, end userapi.Final) *protocol.Submission {
-	return &protocol.Submission{UID: uid, Team: end.Team, Tasks: end.Tasks, CPUs: end.CPUs, GPUs: end.GPUs, Memory: end.Memory}
+	return &protocol.Submission{UID: uid, Team: end.Team, Tasks: end.Tasks, CPUs: end.CPUs, GPUs: end.GPUs, MemoryGB: end.Memory}
 }
 
 // sized says whether it is known what a job's tasks take.
--- a/internal/controller/over_test.go
+++ b/internal/controller/over_test.go
@@ -10,7 +10,7 @@
 
 // stored is a job's key in the state service, as the changes tell it.
 func stored(uid string, version uint64) protocol.Change {
-	spec := &protocol.Submission{UID: uid, Team: "team-0", Kind: protocol.JobArray, Priority: "high", Tasks: 1, CPUs: 1, Memory: 1, Image: "img-1", Estimate: 40}
+	spec := &protocol.Submission{UID: uid, Team: "team-0", Kind: protocol.JobArray, Priority: "high", Tasks: 1, CPUs: 1, MemoryGB: 1, Image: "img-1", EstimateSeconds: 40}
 	return protocol.Change{Set: userapi.JobKey + uid, Value: protocol.Encode(userapi.Stored{Spec: spec, At: time.Now().UnixMilli()}), Version: version}
 }
 
--- a/internal/controller/owner.go
+++ b/internal/controller/owner.go
@@ -33,7 +33,7 @@
 		Name:      name,
 		Record:    n.record,
 		NewTeam:   func(replica *jobstate.Replica) *jobstate.Team { return n.newTeam(name, replica, n.record.Term) },
-		PageBytes: maxValueBytes(n.settings.Deployment.State),
+		PageBytes: maxValueBytes(n.settings.Deployment.KVStore),
 		Now:       time.Now(),
 	})
 	n.log.Info("shard taken over", "shard", name, "term", shard.SinceTerm(), "barrier", shard.NeedsBarrier(), "held", len(shard.Team().Replica().Assignments))
--- a/internal/controller/placing.go
+++ b/internal/controller/placing.go
@@ -63,7 +63,7 @@
 		s := list[i].spec
 		least.CPUs = min(least.CPUs, s.CPUs)
 		least.GPUs = min(least.GPUs, s.GPUs)
-		least.Memory = min(least.Memory, s.Memory)
+		least.Memory = min(least.Memory, s.MemoryGB)
 	}
 	return least
 }
@@ -77,7 +77,7 @@
 		if !known {
 			room = placement.Room{CPUs: math.Inf(1), Memory: math.Inf(1)}
 		}
-		least[s.Class] = placement.Room{CPUs: min(room.CPUs, s.CPUs), Memory: min(room.Memory, s.Memory)}
+		least[s.Class] = placement.Room{CPUs: min(room.CPUs, s.CPUs), Memory: min(room.Memory, s.MemoryGB)}
 	}
 	for _, h := range hosts {
 		h.SmallestReserved = least[h.ReservedClass]
--- a/internal/controller/placing_test.go
+++ b/internal/controller/placing_test.go
@@ -19,7 +19,7 @@
 		n := g.n
 		n.mu.Lock()
 		n.learnJob(userapi.Stored{At: g.now.UnixMilli(), Spec: &protocol.Submission{UID: "job-000001", Team: "team-0", Kind: protocol.JobArray, Priority: "high",
-			Tasks: 2, CPUs: 4, Memory: 1, Image: "img", ImageGB: 4, Estimate: 10, Spot: true, Deadline: &deadline}}, 1)
+			Tasks: 2, CPUs: 4, MemoryGB: 1, Image: "img", ImageGB: 4, EstimateSeconds: 10, Spot: true, DeadlineSeconds: &deadline}}, 1)
 		for _, m := range n.machines {
 			m.images["img"], m.counted = !m.status.Spot, false
 		}
@@ -74,7 +74,7 @@
 		n := g.n
 		n.mu.Lock()
 		submit := func(spec protocol.Submission) {
-			spec.Memory, spec.Image, spec.Estimate, spec.OneZone = 1, "img", 40, spec.Kind == protocol.Gang
+			spec.MemoryGB, spec.Image, spec.EstimateSeconds, spec.OneZone = 1, "img", 40, spec.Kind == protocol.Gang
 			n.learnJob(userapi.Stored{At: g.now.UnixMilli(), Spec: &spec}, 1)
 		}
 		held := func(uid string) (count int) {
@@ -120,7 +120,7 @@
 	defer n.mu.Unlock()
 	submit := func(uid, team, priority string, kind protocol.JobKind, tasks int, cpus float64) {
 		n.learnJob(userapi.Stored{At: g.now.UnixMilli(), Spec: &protocol.Submission{UID: uid, Team: team, Kind: kind, Priority: priority, Tasks: tasks, CPUs: cpus,
-			Memory: 1, Image: "img", Estimate: 40, OneZone: kind == protocol.Gang}}, 1)
+			MemoryGB: 1, Image: "img", EstimateSeconds: 40, OneZone: kind == protocol.Gang}}, 1)
 	}
 	gangs, arrays := n.shards.OfTeam("team-0").Team(), n.shards.OfTeam("team-1").Team()
 	placeAt := func(after time.Duration) int {
@@ -164,7 +164,7 @@
 			n.mu.Lock()
 			defer n.mu.Unlock()
 			n.learnJob(userapi.Stored{At: g.now.UnixMilli(), Spec: &protocol.Submission{UID: uid, Team: team, Kind: kind, Priority: priority, Tasks: tasks, CPUs: cpus,
-				Memory: 1, Image: "img", Estimate: 600, OneZone: kind == protocol.Gang, Deadline: &c.deadline}}, 1)
+				MemoryGB: 1, Image: "img", EstimateSeconds: 600, OneZone: kind == protocol.Gang, DeadlineSeconds: &c.deadline}}, 1)
 		}
 		submit("job-000001", "team-1", "standard", protocol.JobArray, 16, 1)
 		submit("job-000002", "team-0", "standard", protocol.JobArray, 60, 1)
@@ -198,10 +198,10 @@
 	n := g.n
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.settings.Deployment.Objectives = []settings.Objective{{Kind: "finished", Class: "c", Within: 300}, {Kind: "wait", Class: "c", Within: 20}}
+	n.settings.Deployment.Objectives = []settings.Objective{{Kind: "finished", Class: "c", WithinSeconds: 300}, {Kind: "wait", Class: "c", WithinSeconds: 20}}
 	for uid, age := range map[string]time.Duration{"job-000001": 100 * time.Second, "job-000002": 5 * time.Second} {
 		n.learnJob(userapi.Stored{At: g.now.Add(-age).UnixMilli(), Spec: &protocol.Submission{UID: uid, Class: "c", Team: "team-0", Kind: protocol.Gang, Priority: "high",
-			Tasks: 8, CPUs: 8, Memory: 1, Image: "img", Estimate: 40, OneZone: true}}, 1)
+			Tasks: 8, CPUs: 8, MemoryGB: 1, Image: "img", EstimateSeconds: 40, OneZone: true}}, 1)
 	}
 	n.place(g.now)
 	holds := n.shards.OfTeam("team-0").Team().Replica().Assignments
--- a/internal/controller/preemption.go
+++ b/internal/controller/preemption.go
@@ -139,7 +139,7 @@
 			e.tasks = 1
 		}
 		p.n.evictions[v.ref] = e
-		host.Release(v.spec.CPUs, v.spec.GPUs, v.spec.Memory)
+		host.Release(v.spec.CPUs, v.spec.GPUs, v.spec.MemoryGB)
 		p.n.evict(evictMsg{Attempt: v.ref, Beneficiary: job})
 	}
 	p.search.evicted(host, victims)
@@ -183,8 +183,8 @@
 		}
 		cpus := float64(count) * j.spec.CPUs
 		n.admission.runs[keyOf(j.spec)] += cpus
-		if j.spec.Estimate > 0 {
-			n.freeing = append(n.freeing, ends{j.spec.CPUs, cpus / j.spec.Estimate})
+		if j.spec.EstimateSeconds > 0 {
+			n.freeing = append(n.freeing, ends{j.spec.CPUs, cpus / j.spec.EstimateSeconds})
 		}
 	}
 	return n.freeing
@@ -211,7 +211,7 @@
 	if it == nil || !it.IsReady() {
 		return
 	}
-	if it.Team().Stop(e.Attempt, victim.spec.Save) {
+	if it.Team().Stop(e.Attempt, victim.spec.CheckpointSeconds) {
 		n.log.Debug("task preempted", "task", e.Attempt.Job, "index", e.Attempt.Index, "for", e.Beneficiary)
 		n.wake()
 	}
@@ -284,7 +284,7 @@
 	v = victim{ref: ref, spec: j.spec}
 	if since, running := m.runningSince[ref]; running {
 		ran := s.now.Sub(since).Seconds()
-		if left := j.spec.Estimate - ran; ran > left && left < soonOver {
+		if left := j.spec.EstimateSeconds - ran; ran > left && left < soonOver {
 			return v, false // much would be lost
 		}
 		v.lost = ran * j.spec.CPUs
@@ -326,7 +326,7 @@
 		if protocol.Rank(v.spec.Priority) >= rank {
 			continue
 		}
-		room.Release(v.spec.CPUs, v.spec.GPUs, v.spec.Memory)
+		room.Release(v.spec.CPUs, v.spec.GPUs, v.spec.MemoryGB)
 		lost += v.lost
 		if lost >= lowest {
 			return nil, lost, false
--- a/internal/controller/promise_test.go
+++ b/internal/controller/promise_test.go
@@ -28,8 +28,8 @@
 		now := time.Now()
 		inc := uint64(100)
 		start := func(i int) {
-			s := &settings.Settings{Name: names[i], Deployment: settings.Deployment{Workers: settings.Workers{Report: 1},
-				State: settings.State{RPS: 9, WriteRPS: 9, TxnOps: 4, ValueKB: 4}, Cloud: settings.Cloud{RPS: 1}}}
+			s := &settings.Settings{Name: names[i], Deployment: settings.Deployment{Agents: settings.Agents{HeartbeatSeconds: 1},
+				KVStore: settings.KVStore{RequestsPerSecond: 9, ChangesPerSecond: 9, ChangesPerTransaction: 4, ValueKB: 4}, Cloud: settings.Cloud{RequestsPerSecond: 1}}}
 			for _, p := range names {
 				if p != names[i] {
 					s.Peers = append(s.Peers, settings.Peer{Name: p})
--- a/internal/controller/provisioning.go
+++ b/internal/controller/provisioning.go
@@ -95,7 +95,7 @@
 	options := provisioning.Options{
 		Since:   since,
 		Prefix:  fmt.Sprintf("%s-%d-%d", n.name, n.incarnation, since),
-		ListLag: settings.Seconds(n.settings.Deployment.Cloud.ListLag),
+		ListLag: settings.Seconds(n.settings.Deployment.Cloud.ListLagSeconds),
 		Fleet:   n.fleetOptions(),
 	}
 	return &provisioner{
@@ -107,16 +107,16 @@
 // fleetOptions derives from the settings what the fleet's decisions go by.
 func (n *Node) fleetOptions() autoscaler.Options {
 	deployment := &n.settings.Deployment
-	lease := settings.Seconds(deployment.Workers.Lease)
-	cancel := settings.Seconds(deployment.Workers.Cancel)
+	lease := settings.Seconds(deployment.Agents.LeaseSeconds)
+	cancel := settings.Seconds(deployment.Agents.CancelSeconds)
 	return autoscaler.Options{
-		IdleReturn: settings.Seconds(n.options.IdleReturn),
+		IdleReturn: settings.Seconds(n.options.IdleReturnSeconds),
 		Warm:       n.options.WarmMachines,
 		Haste:      n.options.Haste,
 		SpotShare:  n.options.SpotShare,
 		// Lists may be twice as old as their lag, and a report may be late.
-		Unlisted: settings.Seconds(2*deployment.Cloud.ListLag) + time.Second,
-		Hurry:    settings.Seconds(2*deployment.Workers.Report) + answerTime,
+		Unlisted: settings.Seconds(2*deployment.Cloud.ListLagSeconds) + time.Second,
+		Hurry:    settings.Seconds(2*deployment.Agents.HeartbeatSeconds) + answerTime,
 		Overdue:  n.heartbeatOverdue() + time.Second,
 		Silent:   min(lease+4*time.Second, cancel/2),
 		// What runs in a zone that is cut off is kept alive there for no longer than this.
--- a/internal/controller/quota_test.go
+++ b/internal/controller/quota_test.go
@@ -38,7 +38,7 @@
 // new owner, which ends the barrier, and hangs before its tasks are stopped. The team's next job may use only what
 // is left of the limit until they are gone, and all of it then.
 func TestCancelledTasksOfAHungMachineCountAfterAllEnded(t *testing.T) {
-	r := openRegion(t, time.Hour, settings.Workers{Report: 0.2, Lease: 12, GangWait: 10, GangPeer: 4, Cancel: 30})
+	r := openRegion(t, time.Hour, settings.Agents{HeartbeatSeconds: 0.2, LeaseSeconds: 12, GangWaitSeconds: 10, GangPeerSeconds: 4, CancelSeconds: 30})
 	first, next, other := array(700, 12, "red"), array(702, 12, "red"), array(704, 5, "blue")
 	r.submit(first)
 	r.until("the first job fills the limit", func() bool { return r.check.OnOf(first.UID) == 12 })
--- a/internal/controller/recordchange.go
+++ b/internal/controller/recordchange.go
@@ -207,7 +207,7 @@
 		return next, nil, "every machine is on the roster"
 	}
 	if n.shards.OwnsFleet() {
-		if next := datarecovery.GiveUpSearch(record, now.Sub(n.recovery.census.EnteredAt()), settings.Seconds(n.options.CopyWait)); next != nil {
+		if next := datarecovery.GiveUpSearch(record, now.Sub(n.recovery.census.EnteredAt()), settings.Seconds(n.options.CopyWaitSeconds)); next != nil {
 			return next, nil, "no copy was put back in time: what nobody knows is lost for good"
 		}
 	}
--- a/internal/controller/recovery_census.go
+++ b/internal/controller/recovery_census.go
@@ -44,7 +44,7 @@
 	defer n.mu.Unlock()
 	census := n.recovery.census
 	due = n.record != nil && n.record.RosterIncomplete && n.trusted() &&
-		census.Due(now, settings.Seconds(n.settings.Deployment.Cloud.ListLag))
+		census.Due(now, settings.Seconds(n.settings.Deployment.Cloud.ListLagSeconds))
 	return census.EnteredAt(), due
 }
 
--- a/internal/controller/recovery_detect.go
+++ b/internal/controller/recovery_detect.go
@@ -78,7 +78,7 @@
 		m.unregisteredSince = time.Time{}
 	case m.unregisteredSince.IsZero():
 		m.unregisteredSince = now
-	case now.Sub(m.unregisteredSince) > settings.Seconds(n.settings.Deployment.Workers.Report/2) && n.cancelWatermark.LastRead().After(m.unregisteredSince):
+	case now.Sub(m.unregisteredSince) > settings.Seconds(n.settings.Deployment.Agents.HeartbeatSeconds/2) && n.cancelWatermark.LastRead().After(m.unregisteredSince):
 		n.probeUnregistered(r.Machine, r.Addr, m)
 	}
 }
@@ -198,7 +198,7 @@
 	if !ready {
 		return outcome
 	}
-	revision, failed, err := n.kvStore.Compare(ctx, plan.Conditions(4*n.settings.Deployment.State.TxnOps-1))
+	revision, failed, err := n.kvStore.Compare(ctx, plan.Conditions(4*n.settings.Deployment.KVStore.ChangesPerTransaction-1))
 	conflict := errors.Is(err, kvstore.ErrConflict)
 	switch {
 	case errors.Is(err, kvstore.ErrBack):
--- a/internal/controller/recovery_epoch.go
+++ b/internal/controller/recovery_epoch.go
@@ -187,7 +187,7 @@
 		return
 	}
 	next := evidence.NextEpoch()
-	txn := next.Transaction(controlKey, nodeKey, contents, n.settings.Deployment.State.TxnOps)
+	txn := next.Transaction(controlKey, nodeKey, contents, n.settings.Deployment.KVStore.ChangesPerTransaction)
 	_, failed, err := n.kvStore.TxnControl(ctx, txn)
 	n.log.Info("epoch proposed", "epoch", next.Record.Epoch, "term", next.Record.Term, "accounts_kept", next.WithoutBarrier,
 		"lost_for_good", next.Record.DataLost, "members", next.Record.Members(), "failed", failed, "err", err)
@@ -198,7 +198,7 @@
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	evidence, contents, ready = n.recovery.detection.Proposal(n.record, n.kvStore.Seen(), time.Now())
-	evidence.Controllers = n.settings.Nodes()
+	evidence.Controllers = n.settings.ControllerNames()
 	evidence.Shards = n.itemNames()
 	evidence.ChangeUnanswered = n.unansweredVersion != 0 || n.recordChangePending
 	evidence.StoreID = randomStoreID()
--- a/internal/controller/recovery_writeback.go
+++ b/internal/controller/recovery_writeback.go
@@ -32,7 +32,7 @@
 // writeBackJobs gives the store the jobs of own teams that it lacks, and the ends of those that it
 // has as active although they ended.
 func (n *Node) writeBackJobs(now time.Time) {
-	limit := 2 * n.settings.Deployment.State.TxnOps
+	limit := 2 * n.settings.Deployment.KVStore.ChangesPerTransaction
 	for _, job := range n.recovery.writeBack.StartJobs(n.unwrittenJobs(), limit) {
 		n.group.Go(func() error {
 			n.writeBackJob(n.ctx, userapi.Stored(job))
@@ -130,7 +130,7 @@
 	if err != nil {
 		return false
 	}
-	pages := datarecovery.Pages(left, maxValueBytes(n.settings.Deployment.State)-pageOverhead)
+	pages := datarecovery.Pages(left, maxValueBytes(n.settings.Deployment.KVStore)-pageOverhead)
 	for i, page := range pages {
 		key := datarecovery.EndsKey + strconv.Itoa(next+i)
 		_, err := n.kvStore.Commit(ctx, kvstore.Update{Later: true,
--- a/internal/controller/roster.go
+++ b/internal/controller/roster.go
@@ -18,7 +18,7 @@
 const registerInterval = 250 * time.Millisecond
 
 func newRoster(s *settings.Settings) *agents.Roster {
-	return agents.NewRoster(maxValueBytes(s.Deployment.State))
+	return agents.NewRoster(maxValueBytes(s.Deployment.KVStore))
 }
 
 // learnRoster takes in a key that lists registered machines.
--- a/internal/controller/save.go
+++ b/internal/controller/save.go
@@ -15,7 +15,7 @@
 )
 
 // maxValueBytes is what one value of the state service may take.
-func maxValueBytes(s settings.State) int { return int(s.ValueKB * 1024) }
+func maxValueBytes(s settings.KVStore) int { return int(s.ValueKB * 1024) }
 
 // readPages takes in a team's pages and gives the finished tasks of its active jobs.
 func (n *Node) readPages(shard *shards.Owned, entries []protocol.Entry) map[string]*bitset.BitSet {
@@ -34,7 +34,7 @@
 
 // savePages writes pages of finished tasks, paced.
 func (n *Node) savePages(ctx context.Context) error {
-	for sleep(ctx, settings.Seconds(n.options.BitmapEvery)) {
+	for sleep(ctx, settings.Seconds(n.options.BitmapEverySeconds)) {
 		n.mu.Lock()
 		if n.entitled(time.Now()) {
 			for shard := range n.shards.All() {
--- a/internal/controller/scene_test.go
+++ b/internal/controller/scene_test.go
@@ -58,13 +58,13 @@
 
 // openScene opens a region in which a lease takes 4 s and a cancellation may take 10 s.
 func openScene(t *testing.T, run func(task string) time.Duration) *scene {
-	return openSceneOf(t, run, settings.Workers{Report: 0.2, Lease: 4, GangWait: 10, GangPeer: 4, Cancel: 10})
+	return openSceneOf(t, run, settings.Agents{HeartbeatSeconds: 0.2, LeaseSeconds: 4, GangWaitSeconds: 10, GangPeerSeconds: 4, CancelSeconds: 10})
 }
 
 // openSceneOf opens a region with other times of workers.
-func openSceneOf(t *testing.T, run func(task string) time.Duration, workers settings.Workers) *scene {
+func openSceneOf(t *testing.T, run func(task string) time.Duration, workers settings.Agents) *scene {
 	r := openRegionRunning(t, run, workers)
-	r.check.Cancel = settings.Seconds(workers.Cancel)
+	r.check.Cancel = settings.Seconds(workers.CancelSeconds)
 	s := &scene{region: r, cancelled: map[string]bool{}}
 	var listen []string
 	for _, set := range r.sets {
--- a/internal/controller/stray_test.go
+++ b/internal/controller/stray_test.go
@@ -54,8 +54,8 @@
 func TestAgentsOfAnUnreachableHomeKeepTheirLeases(t *testing.T) {
 	for _, silent := range []bool{true, false} { // do the peers hear the home?
 		n := newGrown(4, 1).n
-		n.settings.Deployment.Workers = settings.Workers{Report: 2, Lease: 12, Cancel: 32}
-		lease := settings.Seconds(n.settings.Deployment.Workers.Lease)
+		n.settings.Deployment.Agents = settings.Agents{HeartbeatSeconds: 2, LeaseSeconds: 12, CancelSeconds: 32}
+		lease := settings.Seconds(n.settings.Deployment.Agents.LeaseSeconds)
 		start := time.Now()
 		n.membershipSettledAt = start.Add(-time.Minute)
 		n.peers["node-b"] = &peerState{lastMessageAt: start}
@@ -248,10 +248,10 @@
 	}
 	seq := good.Seq
 	for _, x := range []protocol.TaskStatus{
-		{Task: "", Attempt: 1, State: protocol.Running}, {Task: "/0", Attempt: 1, State: protocol.Exited, Why: protocol.ReasonDone},
-		{Task: spec.UID + "/-1", Attempt: 1, State: protocol.Exited, Why: protocol.ReasonDone}, {Task: spec.UID + "/007", Attempt: 1, State: protocol.Exited, Why: protocol.ReasonDone},
-		{Task: spec.UID + "/3", Attempt: 1, State: protocol.Exited, Why: protocol.ReasonDone}, {Task: spec.UID + "/999999999999", Attempt: 1, State: protocol.Exited, Why: protocol.ReasonDone},
-		{Task: spec.UID, Attempt: 1, State: protocol.Exited, Why: protocol.ReasonDone},
+		{Task: "", Attempt: 1, State: protocol.Running}, {Task: "/0", Attempt: 1, State: protocol.Exited, Reason: protocol.ReasonDone},
+		{Task: spec.UID + "/-1", Attempt: 1, State: protocol.Exited, Reason: protocol.ReasonDone}, {Task: spec.UID + "/007", Attempt: 1, State: protocol.Exited, Reason: protocol.ReasonDone},
+		{Task: spec.UID + "/3", Attempt: 1, State: protocol.Exited, Reason: protocol.ReasonDone}, {Task: spec.UID + "/999999999999", Attempt: 1, State: protocol.Exited, Reason: protocol.ReasonDone},
+		{Task: spec.UID, Attempt: 1, State: protocol.Exited, Reason: protocol.ReasonDone},
 	} {
 		r := good
 		seq++
--- a/internal/controller/sustain_test.go
+++ b/internal/controller/sustain_test.go
@@ -20,12 +20,12 @@
 	n := g.n
 	n.lease = leadership.Lease{Life: 5 * time.Second} // lapsed, and nobody promises anything
 	n.peers["node-b"] = &peerState{lastMessageAt: g.now.Add(-time.Minute)}
-	w := n.settings.Deployment.Workers
+	w := n.settings.Deployment.Agents
 	g.submit(1, 4)
 	n.cancelWatermark.RecordRead(g.now)
 	report := func(name string, token uint64, state protocol.TaskState, task string) []byte {
 		return protocol.Encode(protocol.Heartbeat{Machine: name, Addr: "127.0.0.1:1", Type: "m32", Zone: "east", Incarnation: 1, Seq: 9, FencingToken: token,
-			Tasks: []protocol.TaskStatus{{Task: task, Attempt: 1, State: state, Why: protocol.ReasonDone}}})
+			Tasks: []protocol.TaskStatus{{Task: task, Attempt: 1, State: state, Reason: protocol.ReasonDone}}})
 	}
 	answer := func(at time.Time, name string, token uint64, state protocol.TaskState, task string) int {
 		var r protocol.Heartbeat
@@ -56,8 +56,8 @@
 			last = at
 		}
 	}
-	gone := last.Add(settings.Seconds(w.Lease)).Sub(g.now)
-	if cancel := settings.Seconds(w.Cancel); gone >= cancel || gone < cancel-4*time.Second {
+	gone := last.Add(settings.Seconds(w.LeaseSeconds)).Sub(g.now)
+	if cancel := settings.Seconds(w.CancelSeconds); gone >= cancel || gone < cancel-4*time.Second {
 		t.Errorf("kept alive until %v after the last read, a withdrawal has %v", gone, cancel)
 	}
 	n.endJob("job-000001")
--- a/internal/controller/sync_test.go
+++ b/internal/controller/sync_test.go
@@ -18,9 +18,9 @@
 
 // bare is a controller of team red that runs none of its duties.
 func bare(addr string) *Node {
-	s := &settings.Settings{Name: "node-a", Outside: settings.Outside{State: addr},
+	s := &settings.Settings{Name: "node-a", Outside: settings.Outside{KVStore: addr},
 		Deployment: settings.Deployment{Teams: []settings.Team{{Name: "red", CPUsMax: 8}},
-			State: settings.State{RPS: 2000, WriteRPS: 2000, TxnOps: 8, ValueKB: 8}, Cloud: settings.Cloud{RPS: 1}}}
+			KVStore: settings.KVStore{RequestsPerSecond: 2000, ChangesPerSecond: 2000, ChangesPerTransaction: 8, ValueKB: 8}, Cloud: settings.Cloud{RequestsPerSecond: 1}}}
 	n := New(s, settings.DefaultOptions(), slog.New(slog.DiscardHandler))
 	n.record = (&leadership.Record{Term: 5}).Clone()
 	return n
@@ -44,7 +44,7 @@
 	}()
 	n.group, n.ctx = group, ctx
 	n.watchedKeysRead = true // of an empty store; nothing follows the watch
-	other := kvstore.New(srv.Addr(), settings.State{RPS: 2000, WriteRPS: 2000, TxnOps: 8, ValueKB: 8}, 1)
+	other := kvstore.New(srv.Addr(), settings.KVStore{RequestsPerSecond: 2000, ChangesPerSecond: 2000, ChangesPerTransaction: 8, ValueKB: 8}, 1)
 	group.Go(func() error { return other.Run(ctx) })
 	group.Go(func() error { return n.readChangesOnRequest(ctx) })
 	var wg sync.WaitGroup
--- a/internal/controller/userbackend.go
+++ b/internal/controller/userbackend.go
@@ -85,7 +85,7 @@
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return n.trusted() && n.watchedKeysRead && n.record != nil && !n.record.DataLost && n.memoriesGathered(time.Now()) && n.allPeersExchanged(time.Now()) && len(n.endLookups) == 0 &&
-		time.Since(n.startedAt) > 2*settings.Seconds(n.settings.Deployment.Workers.Report)+time.Second
+		time.Since(n.startedAt) > 2*settings.Seconds(n.settings.Deployment.Agents.HeartbeatSeconds)+time.Second
 }
 
 // Missing has the store looked at before it is doubted: what looks like a loss is far more
--- a/internal/faultinjection/loss.go
+++ b/internal/faultinjection/loss.go
@@ -75,7 +75,7 @@
 // array is a job of small tasks, of the one team and the other in turn.
 func array(number, tasks int) *protocol.Submission {
 	return &protocol.Submission{UID: fmt.Sprintf("job-%06d", number), Class: "c", Team: []string{"red", "blue"}[number%2], Kind: protocol.JobArray, Priority: "standard",
-		Tasks: tasks, CPUs: 2, Memory: 4, Image: "img", Estimate: 1, Spot: true}
+		Tasks: tasks, CPUs: 2, MemoryGB: 4, Image: "img", EstimateSeconds: 1, Spot: true}
 }
 
 // each carries out trials, some at the same time, and tells what came of each.
@@ -167,7 +167,7 @@
 	run      time.Duration
 	report   float64 // seconds between a worker's reports
 	teams    []settings.Team
-	state    settings.State
+	state    settings.KVStore
 	cloud    settings.Cloud
 	lease    float64
 	cancel   float64
@@ -176,7 +176,7 @@
 
 var smallRegion = regionSize{machines: 6, cpus: 8, run: time.Second, report: 0.2, lease: 26.5, cancel: 60, memory: 256,
 	teams: []settings.Team{{Name: "red", CPUs: 16, CPUsMax: 24}, {Name: "blue", CPUs: 8, CPUsMax: 16}},
-	state: settings.State{RPS: 400, WriteRPS: 200, ValueKB: 16, TxnOps: 16}, cloud: settings.Cloud{RPS: 20, ListLag: 0.2}}
+	state: settings.KVStore{RequestsPerSecond: 400, ChangesPerSecond: 200, ValueKB: 16, ChangesPerTransaction: 16}, cloud: settings.Cloud{RequestsPerSecond: 20, ListLagSeconds: 0.2}}
 
 func (g *lossRegion) open() error {
 	if err := os.MkdirAll(g.dir, 0o700); err != nil {
@@ -185,7 +185,7 @@
 	var err error
 	g.turns = &sync.Mutex{}
 	if g.state == nil {
-		if g.state, err = simulation.NewState(g.size.state.TxnOps, int(g.size.state.ValueKB)); err != nil {
+		if g.state, err = simulation.NewState(g.size.state.ChangesPerTransaction, int(g.size.state.ValueKB)); err != nil {
 			return err
 		}
 	}
@@ -206,7 +206,7 @@
 		return err
 	}
 	per := simulation.Periods{Report: settings.Seconds(g.size.report), Lease: settings.Seconds(g.size.lease), Run: g.run}
-	types := []protocol.MachineType{{Name: "m8", CPUs: g.size.cpus, Memory: 8 * g.size.cpus, Price: 2, SpotPrice: 1, Boot: 1, Zones: []string{"east", "west"}}}
+	types := []protocol.MachineType{{Name: "m8", CPUs: g.size.cpus, MemoryGB: 8 * g.size.cpus, PricePerHour: 2, SpotPricePerHour: 1, BootSeconds: 1, Zones: []string{"east", "west"}}}
 	if g.cloud, err = simulation.NewCloud(types, g.size.machines, func(name, typ, zone string, spot bool) (*simulation.Worker, error) {
 		return simulation.NewWorker(name, typ, zone, spot, listen, names, per, g.check)
 	}); err != nil {
@@ -220,11 +220,11 @@
 		}
 		g.doors = append(g.doors, door)
 		s := &settings.Settings{Name: name, Zone: "east", Listen: listen[name], PeerListen: peers[name],
-			Outside: settings.Outside{Cloud: g.cloud.Addr(), State: door.Addr()},
+			Outside: settings.Outside{Cloud: g.cloud.Addr(), KVStore: door.Addr()},
 			Deployment: settings.Deployment{Size: 3, Zones: []string{"east", "west"},
 				Teams:   g.size.teams,
-				Workers: settings.Workers{Report: g.size.report, Lease: g.size.lease, GangWait: 10, GangPeer: 4, Cancel: g.size.cancel},
-				State:   g.size.state, Cloud: g.size.cloud, Limits: settings.Limits{Cores: 1, MemoryMB: g.size.memory, MaxSockets: 4000}}}
+				Agents:  settings.Agents{HeartbeatSeconds: g.size.report, LeaseSeconds: g.size.lease, GangWaitSeconds: 10, GangPeerSeconds: 4, CancelSeconds: g.size.cancel},
+				KVStore: g.size.state, Cloud: g.size.cloud, Limits: settings.Limits{Cores: 1, MemoryMB: g.size.memory, MaxSockets: 4000}}}
 		for k, p := range names {
 			if p != name {
 				pipe, err := simulation.NewPipe(peers[p])
--- a/internal/faultinjection/measure.go
+++ b/internal/faultinjection/measure.go
@@ -58,12 +58,12 @@
 		check: simulation.NewChecker(map[string]float64{"red": quota, "blue": quota}),
 		size: regionSize{machines: o.Machines, cpus: 16, run: 10 * time.Minute, report: 5, lease: 26.5, cancel: 46.5, memory: 356,
 			teams: []settings.Team{{Name: "red", CPUs: quota / 2, CPUsMax: quota}, {Name: "blue", CPUs: quota / 2, CPUsMax: quota}},
-			state: settings.State{RPS: 600, WriteRPS: 120, ValueKB: 16, TxnOps: 12}, cloud: settings.Cloud{RPS: 15, ListLag: 4}}}
+			state: settings.KVStore{RequestsPerSecond: 600, ChangesPerSecond: 120, ValueKB: 16, ChangesPerTransaction: 12}, cloud: settings.Cloud{RequestsPerSecond: 15, ListLagSeconds: 4}}}
 	defer g.close()
-	if g.state, err = simulation.NewState(g.size.state.TxnOps, int(g.size.state.ValueKB)); err != nil {
+	if g.state, err = simulation.NewState(g.size.state.ChangesPerTransaction, int(g.size.state.ValueKB)); err != nil {
 		return nil, err
 	}
-	g.state.Limit(g.size.state.RPS, g.size.state.WriteRPS)
+	g.state.Limit(g.size.state.RequestsPerSecond, g.size.state.ChangesPerSecond)
 	for i := range o.Ends {
 		g.state.Put(fmt.Sprintf("f/job-%06d", 500000+i), `{"state":"done","tasks":1,"team":"red"}`)
 	}
@@ -74,7 +74,7 @@
 	tasks := max(1, int(quota/2/4)/o.Jobs)
 	job := func(i int) *protocol.Submission {
 		s := array(i, tasks)
-		s.CPUs, s.Memory, s.Estimate = 4, 8, 600
+		s.CPUs, s.MemoryGB, s.EstimateSeconds = 4, 8, 600
 		return s
 	}
 	slots := make(chan error, 16)
@@ -203,8 +203,8 @@
 func (g *lossRegion) follow(ctx context.Context) (*copying, error) {
 	c := &copying{set: snapshot.DefaultConfig(), ended: make(chan error, 1)}
 	c.set.State, c.set.Dir = g.state.Addr(), filepath.Join(g.dir, "copies")
-	c.set.RPS, c.set.WriteRPS = g.size.state.RPS/10, g.size.state.WriteRPS*2/3
-	c.set.ValueKB, c.set.TxnOps = g.size.state.ValueKB, g.size.state.TxnOps
+	c.set.RPS, c.set.WriteRPS = g.size.state.RequestsPerSecond/10, g.size.state.ChangesPerSecond*2/3
+	c.set.ValueKB, c.set.TxnOps = g.size.state.ValueKB, g.size.state.ChangesPerTransaction
 	var err error
 	if c.a, err = snapshot.Open(c.set.Dir, snapshot.Options{}); err != nil {
 		return nil, err
--- a/internal/faultinjection/overload.go
+++ b/internal/faultinjection/overload.go
@@ -114,9 +114,9 @@
 	users, failed := sync.WaitGroup{}, make(chan error, 1)
 	hand := func(class string) {
 		s := &protocol.Submission{UID: fmt.Sprintf("job-%06d", len(jobs)+1), Class: class, Team: []string{"red", "blue"}[len(jobs)%2], Kind: protocol.JobArray, Priority: "high",
-			Tasks: 12, CPUs: 1, Memory: 1, Image: "img", Estimate: 2, Spot: true}
+			Tasks: 12, CPUs: 1, MemoryGB: 1, Image: "img", EstimateSeconds: 2, Spot: true}
 		if class == large {
-			s.Priority, s.Tasks, s.CPUs, s.Estimate = "standard", 6, 6, 3
+			s.Priority, s.Tasks, s.CPUs, s.EstimateSeconds = "standard", 6, 6, 3
 		}
 		jobs = append(jobs, s)
 		own := *g
--- a/internal/goldentest/goldentest.go
+++ b/internal/goldentest/goldentest.go
@@ -161,6 +161,6 @@
 func Submission() *protocol.Submission {
 	zone, deadline := "a", 900.5
 	return &protocol.Submission{UID: "job-000412", Class: "train", Team: "vision", Kind: protocol.Gang, Priority: "high", Tasks: 16,
-		CPUs: 8, GPUs: 1.5, Memory: 64, Image: "img-07", ImageGB: 6.2, Types: []string{"g8", "g4"}, Zone: &zone, OneZone: true, Spread: true,
-		Spot: true, Estimate: 240, Checkpoint: 30, Save: 4, Deadline: &deadline}
+		CPUs: 8, GPUs: 1.5, MemoryGB: 64, Image: "img-07", ImageGB: 6.2, Types: []string{"g8", "g4"}, Zone: &zone, OneZone: true, Spread: true,
+		Spot: true, EstimateSeconds: 240, CheckpointEverySeconds: 30, CheckpointSeconds: 4, DeadlineSeconds: &deadline}
 }
--- a/internal/jobstate/demand.go
+++ b/internal/jobstate/demand.go
@@ -181,7 +181,7 @@
 			lacks[j.Spec.Class] -= used
 			kept -= used
 		}
-		beyond += float64(left-fit) * j.Spec.CPUs * j.Spec.Estimate
+		beyond += float64(left-fit) * j.Spec.CPUs * j.Spec.EstimateSeconds
 		if left > fit {
 			i, ok := over[j.Spec.Class]
 			if !ok {
--- a/internal/jobstate/floors_test.go
+++ b/internal/jobstate/floors_test.go
@@ -22,7 +22,7 @@
 		floors, largest := map[string]float64{}, 0.0
 		for i := range 1 + rng.IntN(5) {
 			class := fmt.Sprint("c", i)
-			spec := &protocol.Submission{UID: fmt.Sprint("job-", i), Class: class, Kind: protocol.JobArray, Priority: "standard", Tasks: 50, CPUs: float64(1 + rng.IntN(4)), Estimate: 30}
+			spec := &protocol.Submission{UID: fmt.Sprint("job-", i), Class: class, Kind: protocol.JobArray, Priority: "standard", Tasks: 50, CPUs: float64(1 + rng.IntN(4)), EstimateSeconds: 30}
 			team.AddJob(spec, 1, now, nil)
 			floors[class] = spec.CPUs * float64(1+rng.IntN(10))
 			largest = max(largest, spec.CPUs)
--- a/internal/jobstate/gang.go
+++ b/internal/jobstate/gang.go
@@ -47,7 +47,7 @@
 			continue
 		}
 		if old := t.incomplete(j); j.broken || old {
-			t.StopJob(j, j.Spec.Save)
+			t.StopJob(j, j.Spec.CheckpointSeconds)
 		}
 	}
 }
--- a/internal/jobstate/gang_test.go
+++ b/internal/jobstate/gang_test.go
@@ -9,7 +9,7 @@
 
 func gang(t *testing.T) (*model, *Job, map[int]Location) {
 	m := newModel(t, 3)
-	s := &protocol.Submission{UID: "job-9", Team: "team", Kind: protocol.Gang, Priority: "standard", Tasks: 3, CPUs: 2, Save: 2, Checkpoint: 5}
+	s := &protocol.Submission{UID: "job-9", Team: "team", Kind: protocol.Gang, Priority: "standard", Tasks: 3, CPUs: 2, CheckpointSeconds: 2, CheckpointEverySeconds: 5}
 	m.specs[s.UID], m.active[s.UID] = s, true
 	m.team.AddJob(s, 1, m.now, nil)
 	spots := map[int]Location{}
@@ -66,7 +66,7 @@
 	stops := 0
 	for _, orders := range m.team.Due(99, m.now, func(string, uint64) bool { return true }) {
 		for _, o := range orders {
-			if o.Op != protocol.Stop || o.Grace != j.Spec.Save {
+			if o.Op != protocol.Stop || o.Grace != j.Spec.CheckpointSeconds {
 				t.Fatalf("orders %+v", o)
 			}
 			stops++
--- a/internal/jobstate/holdback_test.go
+++ b/internal/jobstate/holdback_test.go
@@ -11,8 +11,8 @@
 // crowdedTeam has a quota of ten CPUs, an urgent gang that takes six and an array that takes whatever there is.
 func crowdedTeam(now time.Time) (team *Team, gang *Job, array *protocol.Submission) {
 	team = NewTeam("t", 0, 10, 0, math.Inf(1), NewReplica(), 1, func(string, ...any) {})
-	spec := &protocol.Submission{UID: "job-000001", Class: "gangs", Kind: protocol.Gang, Priority: "high", Tasks: 3, CPUs: 2, Estimate: 30}
-	array = &protocol.Submission{UID: "job-000002", Class: "arrays", Kind: protocol.JobArray, Priority: "standard", Tasks: 50, CPUs: 1, Estimate: 30}
+	spec := &protocol.Submission{UID: "job-000001", Class: "gangs", Kind: protocol.Gang, Priority: "high", Tasks: 3, CPUs: 2, EstimateSeconds: 30}
+	array = &protocol.Submission{UID: "job-000002", Class: "arrays", Kind: protocol.JobArray, Priority: "standard", Tasks: 50, CPUs: 1, EstimateSeconds: 30}
 	team.AddJob(spec, 1, now, nil)
 	team.AddJob(array, 1, now, nil)
 	return team, team.Job(spec.UID), array
--- a/internal/jobstate/jobstate_test.go
+++ b/internal/jobstate/jobstate_test.go
@@ -620,7 +620,7 @@
 func TestQuotaBacklogIsUrgent(t *testing.T) {
 	team := NewTeam("t", 0, 8, 0, 0, NewReplica(), 1, func(string, ...any) {})
 	team.MaxGPUs = math.Inf(1)
-	spec := &protocol.Submission{UID: "job-000001", Kind: protocol.JobArray, Priority: "standard", Tasks: 20, CPUs: 2, Estimate: 30}
+	spec := &protocol.Submission{UID: "job-000001", Kind: protocol.JobArray, Priority: "standard", Tasks: 20, CPUs: 2, EstimateSeconds: 30}
 	team.AddJob(spec, 1, time.Unix(1000, 0), nil)
 	list := team.Demands(time.Unix(1000, 0))
 	// 4 tasks fit the quota; the other 16 take it four times over, 30 s each.
@@ -628,7 +628,7 @@
 		t.Fatalf("demands %+v, want 4 tasks with 2 minutes behind them, and 32 CPUs beyond the quota", list)
 	}
 	// A class that is kept room for is asked for within the quota, whatever is more urgent.
-	urgent := &protocol.Submission{UID: "job-000002", Class: "urgent", Kind: protocol.JobArray, Priority: "high", Tasks: 20, CPUs: 2, Estimate: 30}
+	urgent := &protocol.Submission{UID: "job-000002", Class: "urgent", Kind: protocol.JobArray, Priority: "high", Tasks: 20, CPUs: 2, EstimateSeconds: 30}
 	team.AddJob(urgent, 1, time.Unix(1000, 0), nil)
 	team.SetFloors(map[string]float64{"": 4})
 	counts := map[string]int{}
--- a/internal/jobstate/limits.go
+++ b/internal/jobstate/limits.go
@@ -55,11 +55,11 @@
 				continue
 			}
 			if j.Spec.Kind == protocol.Gang {
-				t.StopJob(j, j.Spec.Save)
+				t.StopJob(j, j.Spec.CheckpointSeconds)
 				cpus, gpus = t.stopping()
 				break
 			}
-			t.Stop(a.Ref(), j.Spec.Save)
+			t.Stop(a.Ref(), j.Spec.CheckpointSeconds)
 			cpus, gpus = cpus+a.CPUs, gpus+a.GPUs
 		}
 	}
--- a/internal/jobstate/observe.go
+++ b/internal/jobstate/observe.go
@@ -154,7 +154,7 @@
 // as after a full barrier.
 func (t *Team) adopt(v *MachineStatus, x *TaskStatus, spec *protocol.Submission, now time.Time) *attempt {
 	a := &attempt{Assignment: Assignment{TaskID: x.TaskID, Attempt: x.Attempt, Machine: v.Machine, Zone: v.Zone, Incarnation: v.Incarnation,
-		CPUs: spec.CPUs, GPUs: spec.GPUs, Memory: spec.Memory}, listed: now}
+		CPUs: spec.CPUs, GPUs: spec.GPUs, Memory: spec.MemoryGB}, listed: now}
 	t.hold(a)
 	t.rep.Assignments[a.TaskID] = a.Assignment
 	a.seq = t.emit(Delta{Placed: []Assignment{a.Assignment}})
--- a/internal/jobstate/quotaorder_test.go
+++ b/internal/jobstate/quotaorder_test.go
@@ -28,7 +28,7 @@
 	now := time.Unix(1000, 0)
 	team := NewTeam("team", 0, 5, 0, math.Inf(1), NewReplica(), 1, func(string, ...any) {})
 	add := func(uid, priority string, due time.Duration, estimate float64) {
-		team.AddJob(&protocol.Submission{UID: uid, Kind: protocol.JobArray, Priority: priority, Tasks: 2, CPUs: 1, Estimate: estimate}, 1, now, nil)
+		team.AddJob(&protocol.Submission{UID: uid, Kind: protocol.JobArray, Priority: priority, Tasks: 2, CPUs: 1, EstimateSeconds: estimate}, 1, now, nil)
 		if due != 0 {
 			team.SetGoals(uid, Goals{now.Add(due)})
 		}
@@ -61,7 +61,7 @@
 	now := time.Unix(1000, 0)
 	team := NewTeam("team", 0, 8, 0, math.Inf(1), NewReplica(), 1, func(string, ...any) {})
 	add := func(uid string, tasks int, due time.Duration) {
-		team.AddJob(&protocol.Submission{UID: uid, Kind: protocol.JobArray, Priority: "standard", Tasks: tasks, CPUs: 1, Estimate: 10}, 1, now, nil)
+		team.AddJob(&protocol.Submission{UID: uid, Kind: protocol.JobArray, Priority: "standard", Tasks: tasks, CPUs: 1, EstimateSeconds: 10}, 1, now, nil)
 		team.SetGoals(uid, Goals{now.Add(due)})
 	}
 	add("job-giant", 20, -time.Minute)
@@ -95,7 +95,7 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			team := NewTeam("team", 0, 10, 0, math.Inf(1), NewReplica(), 1, func(string, ...any) {})
-			team.AddJob(&protocol.Submission{UID: "job-large", Kind: protocol.JobArray, Priority: "low", Tasks: c.tasks, CPUs: 1, Estimate: 10}, 1, now.Add(-c.age), nil)
+			team.AddJob(&protocol.Submission{UID: "job-large", Kind: protocol.JobArray, Priority: "low", Tasks: c.tasks, CPUs: 1, EstimateSeconds: 10}, 1, now.Add(-c.age), nil)
 			switch c.name {
 			case "late":
 				team.SetGoals("job-large", Goals{now.Add(-time.Minute)})
@@ -105,7 +105,7 @@
 			if c.begun && !team.Place(team.Job("job-large"), 0, Location{Machine: "m", Zone: "z", Session: 1}) {
 				t.Fatal("not placed")
 			}
-			team.AddJob(&protocol.Submission{UID: "job-urgent", Kind: protocol.JobArray, Priority: "high", Tasks: 100, CPUs: 1, Estimate: 10}, 1, now, nil)
+			team.AddJob(&protocol.Submission{UID: "job-urgent", Kind: protocol.JobArray, Priority: "high", Tasks: 100, CPUs: 1, EstimateSeconds: 10}, 1, now, nil)
 			begins, asked := 0, 0
 			for _, d := range team.Demands(now) {
 				asked += d.Count
@@ -127,7 +127,7 @@
 	now := time.Unix(1000, 0)
 	team := NewTeam("team", 0, 4, 0, math.Inf(1), NewReplica(), 1, func(string, ...any) {})
 	for i, uid := range []string{"job-000001", "job-000002"} {
-		team.AddJob(&protocol.Submission{UID: uid, Kind: protocol.Gang, Priority: "high", Tasks: 4, CPUs: 1, Estimate: 10}, 1, now, nil)
+		team.AddJob(&protocol.Submission{UID: uid, Kind: protocol.Gang, Priority: "high", Tasks: 4, CPUs: 1, EstimateSeconds: 10}, 1, now, nil)
 		team.SetGoals(uid, Goals{now.Add(time.Duration(6*i-1) * time.Minute)})
 	}
 	if asked := askedOf(team, now); len(asked) == 0 || asked[0] != "job-000001" {
@@ -163,7 +163,7 @@
 		due := run*5/2 + 10*time.Second
 		estimate := run.Seconds() * (0.7 + 0.6*rng.Float64())
 		deadline := due.Seconds()
-		spec := &protocol.Submission{UID: fmt.Sprintf("job-%06d", i), Kind: protocol.JobArray, Priority: "standard", Tasks: 10 + rng.IntN(30), CPUs: 1, Estimate: estimate, Deadline: &deadline}
+		spec := &protocol.Submission{UID: fmt.Sprintf("job-%06d", i), Kind: protocol.JobArray, Priority: "standard", Tasks: 10 + rng.IntN(30), CPUs: 1, EstimateSeconds: estimate, DeadlineSeconds: &deadline}
 		at := time.Duration(rng.IntN(600)) * time.Second
 		arrays = append(arrays, &array{spec: spec, at: at, due: at + due, run: run, all: end, done: end})
 	}
--- a/internal/jobstate/spare_test.go
+++ b/internal/jobstate/spare_test.go
@@ -15,7 +15,7 @@
 	spare := func(t *testing.T, limit float64, gang bool) map[string]int {
 		team := NewTeam("team", 0, limit, 0, math.Inf(1), NewReplica(), 1, func(string, ...any) {})
 		add := func(uid, class string, kind protocol.JobKind, tasks int, cpus float64) *Job {
-			team.AddJob(&protocol.Submission{UID: uid, Class: class, Kind: kind, Priority: "standard", Tasks: tasks, CPUs: cpus, Estimate: 10}, 1, now, nil)
+			team.AddJob(&protocol.Submission{UID: uid, Class: class, Kind: kind, Priority: "standard", Tasks: tasks, CPUs: cpus, EstimateSeconds: 10}, 1, now, nil)
 			return team.Job(uid)
 		}
 		running := add("job-running", "other", protocol.JobArray, 20, 1)
--- a/internal/jobstate/team.go
+++ b/internal/jobstate/team.go
@@ -35,10 +35,10 @@
 
 // Due is when the job should be complete; far away without a deadline.
 func (j *Job) Due() time.Time {
-	if j.Spec.Deadline == nil {
+	if j.Spec.DeadlineSeconds == nil {
 		return j.Submitted.Add(24 * time.Hour)
 	}
-	return j.Submitted.Add(time.Duration(*j.Spec.Deadline * float64(time.Second)))
+	return j.Submitted.Add(time.Duration(*j.Spec.DeadlineSeconds * float64(time.Second)))
 }
 
 // attempt is a hold with what the owner knows of it beyond the replica.
@@ -355,7 +355,7 @@
 	for _, index := range slices.Sorted(maps.Keys(spots)) {
 		at := spots[index]
 		a := &attempt{Assignment: Assignment{TaskID: TaskID{j.Spec.UID, index}, Attempt: id, Machine: at.Machine, Zone: at.Zone, Incarnation: at.Session,
-			CPUs: j.Spec.CPUs, GPUs: j.Spec.GPUs, Memory: j.Spec.Memory}}
+			CPUs: j.Spec.CPUs, GPUs: j.Spec.GPUs, Memory: j.Spec.MemoryGB}}
 		t.hold(a)
 		t.rep.Assignments[a.TaskID] = a.Assignment
 		made, holds = append(made, a), append(holds, a.Assignment)
--- a/internal/kvstore/batch.go
+++ b/internal/kvstore/batch.go
@@ -71,10 +71,10 @@
 	}
 }
 
-func newBatcher(c *Client, limits settings.State) *batcher {
+func newBatcher(c *Client, limits settings.KVStore) *batcher {
 	// All controllers together may burst one second's worth: a transaction takes
 	// no more than this one's share of it.
-	return &batcher{c: c, ops: min(limits.TxnOps, c.writes.Burst()), bytes: 48 << 10,
+	return &batcher{c: c, ops: min(limits.ChangesPerTransaction, c.writes.Burst()), bytes: 48 << 10,
 		queue: make(chan *pending, maxQueue), back: make(chan []*pending, 16), looked: time.Now()}
 }
 
--- a/internal/kvstore/golden_test.go
+++ b/internal/kvstore/golden_test.go
@@ -15,7 +15,7 @@
 	revision := `{"revision":432}`
 	service := goldentest.NewService(t, map[string]string{"POST /txn": revision, "POST /grants": `{"permiso":7}`, "GET /store": `{"entries":[],"more":false,"revision":432}`,
 		"GET /changes": `{"revision":432,"news":[]}`, "GET /store/a/b": `{"path":"a/b","v":{},"version":412}`})
-	c := New(service.Addr, settings.State{RPS: 1000, WriteRPS: 1000, ValueKB: 8, TxnOps: 12}, 1)
+	c := New(service.Addr, settings.KVStore{RequestsPerSecond: 1000, ChangesPerSecond: 1000, ValueKB: 8, ChangesPerTransaction: 12}, 1)
 	ctx, cancel := context.WithCancel(t.Context())
 	ended := make(chan error, 1)
 	go func() { ended <- c.Run(ctx) }()
--- a/internal/kvstore/kvstore.go
+++ b/internal/kvstore/kvstore.go
@@ -62,15 +62,15 @@
 
 // New is a client with one of n controllers' share of the rates. A tenth is
 // held back for leases and the control record, which are not paced.
-func New(addr string, limits settings.State, n int) *Client {
+func New(addr string, limits settings.KVStore, n int) *Client {
 	share := 0.85 / float64(n)
 	c := &Client{
 		calls:    httpx.NewPool(addr, 1<<20, 16),
 		control:  httpx.NewPool(addr, 1<<20, 8),
 		watch:    httpx.NewPool(addr, 64<<20, 2),
-		requests: rate.NewLimiter(rate.Limit(limits.RPS*share), max(2, int(limits.RPS*share))),
-		writes:   rate.NewLimiter(rate.Limit(limits.WriteRPS*share), max(2, int(limits.WriteRPS*share))),
-		even:     limits.WriteRPS * share,
+		requests: rate.NewLimiter(rate.Limit(limits.RequestsPerSecond*share), max(2, int(limits.RequestsPerSecond*share))),
+		writes:   rate.NewLimiter(rate.Limit(limits.ChangesPerSecond*share), max(2, int(limits.ChangesPerSecond*share))),
+		even:     limits.ChangesPerSecond * share,
 	}
 	c.batch = newBatcher(c, limits)
 	return c
@@ -289,11 +289,11 @@
 
 // Grant takes a lease.
 func (c *Client) Grant(ctx context.Context, life time.Duration) (uint64, error) {
-	resp, err := c.do(ctx, c.control, "POST", "/grants", protocol.Encode(protocol.GrantRequest{TTL: life.Milliseconds()}), timeout)
+	resp, err := c.do(ctx, c.control, "POST", "/grants", protocol.Encode(protocol.LeaseRequest{TTLMillis: life.Milliseconds()}), timeout)
 	if err != nil {
 		return 0, err
 	}
-	var g protocol.Grant
+	var g protocol.LeaseGrant
 	return g.Lease, decode(resp, &g)
 }
 
--- a/internal/kvstore/kvstore_test.go
+++ b/internal/kvstore/kvstore_test.go
@@ -24,7 +24,7 @@
 	defer srv.Close()
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	c := kvstore.New(srv.Addr(), settings.State{RPS: 1000, WriteRPS: 1000, TxnOps: 8, ValueKB: 16}, 1)
+	c := kvstore.New(srv.Addr(), settings.KVStore{RequestsPerSecond: 1000, ChangesPerSecond: 1000, ChangesPerTransaction: 8, ValueKB: 16}, 1)
 	go c.Run(ctx)
 	set := func(key string) kvstore.Update {
 		return kvstore.Update{Guards: []protocol.Condition{{Key: key}}, Ops: []protocol.Op{{Set: key, Value: []byte("1")}}}
@@ -69,7 +69,7 @@
 	s.Put("w/c", "1")
 	s.Put("w/a/job", "1")
 	s.Put("w/c", "2") // changed meanwhile
-	c := kvstore.New(s.Addr(), settings.State{RPS: 100, WriteRPS: 100, ValueKB: 16, TxnOps: 16}, 1)
+	c := kvstore.New(s.Addr(), settings.KVStore{RequestsPerSecond: 100, ChangesPerSecond: 100, ValueKB: 16, ChangesPerTransaction: 16}, 1)
 	ctx, stop := context.WithCancel(t.Context())
 	ended := make(chan error, 1)
 	go func() { ended <- c.Run(ctx) }()
--- a/internal/leasegrant/leasegrant.go
+++ b/internal/leasegrant/leasegrant.go
@@ -84,7 +84,7 @@
 
 // stopAtOnce is the command that stops a task without a grace period.
 func stopAtOnce(task *protocol.TaskStatus) protocol.Command {
-	return protocol.Command{Op: protocol.Stop, Task: task.Task, Attempt: task.Attempt, Grace: new(float64)}
+	return protocol.Command{Op: protocol.Stop, Task: task.Task, Attempt: task.Attempt, GraceSeconds: new(float64)}
 }
 
 // mayRenew says whether a lease that begins now ends before a cancellation not known here runs out of time.
--- a/internal/leasegrant/model_test.go
+++ b/internal/leasegrant/model_test.go
@@ -133,7 +133,7 @@
 func machineName(i int) string { return [2]string{"n-000000", "n-000004"}[i] }
 
 func spec() *protocol.Submission {
-	return &protocol.Submission{UID: jobUID, Team: "red", Kind: protocol.JobArray, Priority: "high", Tasks: 1, CPUs: 1, Estimate: 600}
+	return &protocol.Submission{UID: jobUID, Team: "red", Kind: protocol.JobArray, Priority: "high", Tasks: 1, CPUs: 1, EstimateSeconds: 600}
 }
 
 func capacity(string) (float64, float64, float64, bool) { return 8, 0, 64, true }
@@ -711,13 +711,13 @@
 		case x.Op == protocol.Start && at < 0:
 			t := protocol.TaskStatus{Task: x.Task, Attempt: x.Attempt, State: protocol.Running}
 			if slices.ContainsFunc(m.tasks, func(o protocol.TaskStatus) bool { return o.State != protocol.Exited }) {
-				t.State, t.Why = protocol.Exited, protocol.ReasonInUse
+				t.State, t.Reason = protocol.Exited, protocol.ReasonInUse
 			} else if w.overdue() {
 				w.broken = "a task starts after its job's time"
 			}
 			m.tasks = append(m.tasks, t)
 		case x.Op == protocol.Stop && at >= 0 && m.tasks[at].State != protocol.Exited:
-			m.tasks[at].State, m.tasks[at].Why = protocol.Exited, protocol.ReasonStopped
+			m.tasks[at].State, m.tasks[at].Reason = protocol.Exited, protocol.ReasonStopped
 		case x.Op == protocol.Forget && at >= 0 && m.tasks[at].State == protocol.Exited:
 			m.tasks = slices.Delete(m.tasks, at, at+1)
 		}
--- a/internal/loadtest/cloud.go
+++ b/internal/loadtest/cloud.go
@@ -92,7 +92,7 @@
 	to := min(from+maxListed, len(c.hosts))
 	page := protocol.HostList{Hosts: slices.Clone(c.hosts[from:to]), More: to < len(c.hosts)}
 	for i := range page.Hosts {
-		page.Hosts[i].Age = time.Since(c.began).Seconds()
+		page.Hosts[i].AgeSeconds = time.Since(c.began).Seconds()
 	}
 	answer(w, http.StatusOK, page)
 }
--- a/internal/loadtest/hollow.go
+++ b/internal/loadtest/hollow.go
@@ -99,7 +99,7 @@
 	uid, _, _ := protocol.SplitTask(c.Task)
 	name, ok := parseJobName(uid)
 	if !ok {
-		h.tasks = append(h.tasks, protocol.TaskStatus{Task: c.Task, Attempt: c.Attempt, State: protocol.Exited, Why: protocol.ReasonNoSuch})
+		h.tasks = append(h.tasks, protocol.TaskStatus{Task: c.Task, Attempt: c.Attempt, State: protocol.Exited, Reason: protocol.ReasonNoSuch})
 		h.changed()
 		return
 	}
@@ -121,7 +121,7 @@
 
 func (h *hollow) exit(at int, why protocol.ExitReason) {
 	t := &h.tasks[at]
-	t.State, t.Why = protocol.Exited, why
+	t.State, t.Reason = protocol.Exited, why
 	h.pool.rec.event(false, t.Task, h.name, why == protocol.ReasonDone)
 	if timer := h.timers[t.Task]; timer != nil {
 		timer.Stop()
--- a/internal/loadtest/pool.go
+++ b/internal/loadtest/pool.go
@@ -126,7 +126,7 @@
 	switch {
 	case h == nil:
 		http.NotFound(w, r)
-	case r.URL.Path == protocol.PathDo && r.Method == http.MethodPost:
+	case r.URL.Path == protocol.PathCommands && r.Method == http.MethodPost:
 		h.do(w, r)
 	case r.URL.Path == protocol.PathInspect:
 		h.inspect(w)
--- a/internal/loadtest/region.go
+++ b/internal/loadtest/region.go
@@ -120,7 +120,7 @@
 	if err != nil {
 		return err
 	}
-	types := []protocol.MachineType{{Name: machineType, CPUs: g.c.machineCores(), Memory: g.c.machineCores(), Price: 1, SpotPrice: 1, Boot: 1, Zones: g.zones()}}
+	types := []protocol.MachineType{{Name: machineType, CPUs: g.c.machineCores(), MemoryGB: g.c.machineCores(), PricePerHour: 1, SpotPricePerHour: 1, BootSeconds: 1, Zones: g.zones()}}
 	if g.cloud, err = newCloud(types, hosts, g.remove); err != nil {
 		return err
 	}
@@ -163,12 +163,12 @@
 		return err
 	}
 	s := &settings.Settings{Name: x.name, Zone: zoneName(i % g.c.Zones), Listen: x.listen, PeerListen: x.peers,
-		Outside: settings.Outside{Cloud: g.cloud.addr, State: door.Addr()},
+		Outside: settings.Outside{Cloud: g.cloud.addr, KVStore: door.Addr()},
 		Deployment: settings.Deployment{Size: g.c.Controllers, Zones: g.zones(), Teams: g.teams(),
-			Objectives: []settings.Objective{{Kind: "wait", Class: urgentClass, Within: g.c.UrgentWithin, Share: 0.99}},
-			Workers:    settings.Workers{Report: g.c.Report, Lease: g.c.WorkerLease, GangWait: 10, GangPeer: 4, Cancel: g.c.Cancel},
-			State:      settings.State{RPS: g.c.Store.RPS, WriteRPS: g.c.Store.WriteRPS, ValueKB: g.c.Store.ValueKB, TxnOps: g.c.Store.TxnOps},
-			Cloud:      settings.Cloud{RPS: cloudRPS, ListLag: cloudLag},
+			Objectives: []settings.Objective{{Kind: "wait", Class: urgentClass, WithinSeconds: g.c.UrgentWithin, Share: 0.99}},
+			Agents:     settings.Agents{HeartbeatSeconds: g.c.Report, LeaseSeconds: g.c.WorkerLease, GangWaitSeconds: 10, GangPeerSeconds: 4, CancelSeconds: g.c.Cancel},
+			KVStore:    settings.KVStore{RequestsPerSecond: g.c.Store.RPS, ChangesPerSecond: g.c.Store.WriteRPS, ValueKB: g.c.Store.ValueKB, ChangesPerTransaction: g.c.Store.TxnOps},
+			Cloud:      settings.Cloud{RequestsPerSecond: cloudRPS, ListLagSeconds: cloudLag},
 			Limits:     settings.Limits{Cores: 1, MemoryMB: g.c.Limits.ControllerMemoryMB, MaxSockets: g.c.Limits.ControllerSockets}}}
 	for k, p := range g.controllers {
 		if k == i {
--- a/internal/loadtest/users.go
+++ b/internal/loadtest/users.go
@@ -58,7 +58,7 @@
 // submission is a job as its user describes it.
 func (j *job) submission() *protocol.Submission {
 	s := &protocol.Submission{UID: j.name.String(), Class: usualClass, Team: teamName(j.name.Team), Kind: protocol.JobArray, Priority: "standard",
-		Tasks: j.tasks, CPUs: 1, Memory: 1, Image: "image", Spot: true, Estimate: j.name.Run.Seconds()}
+		Tasks: j.tasks, CPUs: 1, MemoryGB: 1, Image: "image", Spot: true, EstimateSeconds: j.name.Run.Seconds()}
 	if j.urgent {
 		s.Class, s.Priority = urgentClass, "prod"
 	}
--- a/internal/protocol/agents.go
+++ b/internal/protocol/agents.go
@@ -17,7 +17,7 @@
 // The reasons why a task exited or was refused.
 const (
 	ReasonDone       ExitReason = "done"       // completed, the result is kept
-	ReasonStopped    ExitReason = "stopped"    // by command; TaskStatus.Saved says whether progress was saved
+	ReasonStopped    ExitReason = "stopped"    // by command; TaskStatus.Checkpointed says whether progress was saved
 	ReasonPeers      ExitReason = "peers"      // other tasks of its gang were gone for too long
 	ReasonIncomplete ExitReason = "incomplete" // its gang was not complete in time
 	ReasonError      ExitReason = "error"      // the task itself failed
@@ -32,14 +32,14 @@
 // The commands to an agent.
 const (
 	Start  CommandOp = "start"
-	Stop   CommandOp = "stop"   // save a checkpoint within Command.Grace, then exit
+	Stop   CommandOp = "stop"   // save a checkpoint within Command.GraceSeconds, then exit
 	Forget CommandOp = "forget" // drop an exited attempt from the heartbeats
 )
 
 // Paths between controllers and agents.
 const (
 	PathHeartbeat = "/v1/report" // at a controller
-	PathDo        = "/do"        // at an agent: carry out commands
+	PathCommands  = "/do"        // at an agent: carry out commands
 	PathInspect   = "/inspect"   // at an agent: answer with a heartbeat
 )
 
@@ -51,33 +51,33 @@
 // Heartbeat is what an agent says of its machine and of all tasks on it. Seq rises within an incarnation, which is
 // one life of the agent's process; FencingToken is the highest that the agent has taken commands under.
 type Heartbeat struct {
-	Machine      string       `json:"estacion"`
-	Addr         string       `json:"address"`
-	Type         string       `json:"modelo"`
-	Zone         string       `json:"zona"`
-	Spot         bool         `json:"prestadas"`
-	Incarnation  uint64       `json:"jornada"`
-	Seq          uint64       `json:"correlativo"`
-	FencingToken uint64       `json:"mando"`
-	Notice       *float64     `json:"aviso_s"`
-	Tasks        []TaskStatus `json:"tramos"`
+	Machine       string       `json:"estacion"`
+	Addr          string       `json:"address"`
+	Type          string       `json:"modelo"`
+	Zone          string       `json:"zona"`
+	Spot          bool         `json:"prestadas"`
+	Incarnation   uint64       `json:"jornada"`
+	Seq           uint64       `json:"correlativo"`
+	FencingToken  uint64       `json:"mando"`
+	NoticeSeconds *float64     `json:"aviso_s"`
+	Tasks         []TaskStatus `json:"tramos"`
 }
 
 // TaskStatus is one task in a heartbeat.
 type TaskStatus struct {
-	Task    string     `json:"tramo"`
-	Attempt uint64     `json:"intento"`
-	State   TaskState  `json:"estado"`
-	Why     ExitReason `json:"motivo,omitempty"`
-	Saved   bool       `json:"kept,omitempty"`
+	Task         string     `json:"tramo"`
+	Attempt      uint64     `json:"intento"`
+	State        TaskState  `json:"estado"`
+	Reason       ExitReason `json:"motivo,omitempty"`
+	Checkpointed bool       `json:"kept,omitempty"`
 }
 
 // Command is what an agent is to do with one attempt of a task.
 type Command struct {
-	Op      CommandOp `json:"orden"`
-	Task    string    `json:"tramo"`
-	Attempt uint64    `json:"intento"`
-	Grace   *float64  `json:"gracia_s,omitempty"`
+	Op           CommandOp `json:"orden"`
+	Task         string    `json:"tramo"`
+	Attempt      uint64    `json:"intento"`
+	GraceSeconds *float64  `json:"gracia_s,omitempty"`
 }
 
 // HeartbeatAnswer answers a heartbeat. It renews the leases of what the heartbeat listed; the agent refuses the
--- a/internal/protocol/check.go
+++ b/internal/protocol/check.go
@@ -47,10 +47,10 @@
 	}{
 		{"uid", &s.UID}, {"clase", &s.Class}, {"equipo", &s.Team}, {"tipo_trabajo", &s.Kind},
 		{"prioridad", &s.Priority}, {"tramos", &s.Tasks}, {"cores", &s.CPUs}, {"cards", &s.GPUs},
-		{"ram_gb", &s.Memory}, {"imagen", &s.Image}, {"image_gb", &s.ImageGB}, {"modelos", &s.Types},
+		{"ram_gb", &s.MemoryGB}, {"imagen", &s.Image}, {"image_gb", &s.ImageGB}, {"modelos", &s.Types},
 		{"zona", &s.Zone}, {"together", &s.OneZone}, {"apart", &s.Spread}, {"prestadas", &s.Spot},
-		{"estimado_s", &s.Estimate}, {"guardado_cada_s", &s.Checkpoint}, {"guardar_s", &s.Save},
-		{"vence_s", &s.Deadline},
+		{"estimado_s", &s.EstimateSeconds}, {"guardado_cada_s", &s.CheckpointEverySeconds}, {"guardar_s", &s.CheckpointSeconds},
+		{"vence_s", &s.DeadlineSeconds},
 	}
 	for _, f := range fields {
 		value, present := raw[f.name]
@@ -131,20 +131,20 @@
 		value  float64
 		mayBe0 bool
 	}{
-		{"cores", s.CPUs, s.GPUs > 0 || s.Memory > 0},
+		{"cores", s.CPUs, s.GPUs > 0 || s.MemoryGB > 0},
 		{"cards", s.GPUs, true},
-		{"ram_gb", s.Memory, true},
+		{"ram_gb", s.MemoryGB, true},
 		{"image_gb", s.ImageGB, true},
-		{"estimado_s", s.Estimate, true},
-		{"guardado_cada_s", s.Checkpoint, true},
-		{"guardar_s", s.Save, true},
+		{"estimado_s", s.EstimateSeconds, true},
+		{"guardado_cada_s", s.CheckpointEverySeconds, true},
+		{"guardar_s", s.CheckpointSeconds, true},
 	} {
 		isNumber := !math.IsNaN(amount.value)
 		if !isNumber || amount.value < 0 || amount.value > maxAmount || (amount.value == 0 && !amount.mayBe0) {
 			return &FieldError{amount.field, "out of range"}
 		}
 	}
-	if s.Deadline != nil && !(*s.Deadline >= 0 && *s.Deadline <= maxAmount) {
+	if s.DeadlineSeconds != nil && !(*s.DeadlineSeconds >= 0 && *s.DeadlineSeconds <= maxAmount) {
 		return &FieldError{"vence_s", "out of range"}
 	}
 	return nil
--- a/internal/protocol/cloud.go
+++ b/internal/protocol/cloud.go
@@ -20,16 +20,16 @@
 
 // MachineType is one type that the cloud rents. Prices are per hour.
 type MachineType struct {
-	Name      string   `json:"name"`
-	CPUs      float64  `json:"cores"`
-	GPUs      float64  `json:"cards"`
-	Memory    float64  `json:"ram_gb"`
-	Cache     float64  `json:"local_gb"`
-	FetchRate float64  `json:"pull_gb_per_s"`
-	Price     float64  `json:"price"`
-	SpotPrice float64  `json:"low_price"`
-	Boot      float64  `json:"ready_s"`
-	Zones     []string `json:"zonas"`
+	Name             string   `json:"name"`
+	CPUs             float64  `json:"cores"`
+	GPUs             float64  `json:"cards"`
+	MemoryGB         float64  `json:"ram_gb"`
+	CacheGB          float64  `json:"local_gb"`
+	FetchGBPerSecond float64  `json:"pull_gb_per_s"`
+	PricePerHour     float64  `json:"price"`
+	SpotPricePerHour float64  `json:"low_price"`
+	BootSeconds      float64  `json:"ready_s"`
+	Zones            []string `json:"zonas"`
 }
 
 // ScaleOutRequest asks the cloud for machines. The cloud carries out a repeated Request once.
@@ -48,13 +48,13 @@
 
 // Host is a machine in the cloud's list.
 type Host struct {
-	UID   string    `json:"uid"`
-	Addr  string    `json:"address"`
-	Type  string    `json:"modelo"`
-	Zone  string    `json:"zona"`
-	Spot  bool      `json:"prestadas"`
-	State HostState `json:"estado"`
-	Age   float64   `json:"held_s"`
+	UID        string    `json:"uid"`
+	Addr       string    `json:"address"`
+	Type       string    `json:"modelo"`
+	Zone       string    `json:"zona"`
+	Spot       bool      `json:"prestadas"`
+	State      HostState `json:"estado"`
+	AgeSeconds float64   `json:"held_s"`
 }
 
 // HostList is one page of the cloud's list.
--- a/internal/protocol/kvstore.go
+++ b/internal/protocol/kvstore.go
@@ -46,12 +46,12 @@
 }
 
 // GrantRequest asks for a lease of the key-value store.
-type GrantRequest struct {
-	TTL int64 `json:"life_ms"`
+type LeaseRequest struct {
+	TTLMillis int64 `json:"life_ms"`
 }
 
 // Grant is a lease of the key-value store.
-type Grant struct {
+type LeaseGrant struct {
 	Lease uint64 `json:"permiso"`
 }
 
--- a/internal/protocol/protocol_test.go
+++ b/internal/protocol/protocol_test.go
@@ -12,7 +12,7 @@
 
 // TestSubmissions: what is taken and which field a refusal names.
 func TestSubmissions(t *testing.T) {
-	if s, err := ParseSubmission([]byte(good)); err != nil || s.Tasks != 16 || s.Zone != nil || *s.Deadline != 900 {
+	if s, err := ParseSubmission([]byte(good)); err != nil || s.Tasks != 16 || s.Zone != nil || *s.DeadlineSeconds != 900 {
 		t.Fatalf("%+v %v", s, err)
 	}
 	for _, c := range []struct{ old, new, field string }{
--- a/internal/protocol/users.go
+++ b/internal/protocol/users.go
@@ -41,26 +41,26 @@
 // Submission is a job as its user describes it. CPUs, GPUs and memory are what one task takes. Types are the
 // machine types that the job may use, all if nil; Zone is the only zone that it may use, any if nil.
 type Submission struct {
-	UID        string   `json:"uid"`
-	Class      string   `json:"clase"`
-	Team       string   `json:"equipo"`
-	Kind       JobKind  `json:"tipo_trabajo"`
-	Priority   string   `json:"prioridad"`
-	Tasks      int      `json:"tramos"`
-	CPUs       float64  `json:"cores"`
-	GPUs       float64  `json:"cards"`
-	Memory     float64  `json:"ram_gb"`
-	Image      string   `json:"imagen"`
-	ImageGB    float64  `json:"image_gb"`
-	Types      []string `json:"modelos,omitempty"`
-	Zone       *string  `json:"zona,omitempty"`
-	OneZone    bool     `json:"together"`
-	Spread     bool     `json:"apart"`
-	Spot       bool     `json:"prestadas"`
-	Estimate   float64  `json:"estimado_s"`
-	Checkpoint float64  `json:"guardado_cada_s"`
-	Save       float64  `json:"guardar_s"`
-	Deadline   *float64 `json:"vence_s,omitempty"`
+	UID                    string   `json:"uid"`
+	Class                  string   `json:"clase"`
+	Team                   string   `json:"equipo"`
+	Kind                   JobKind  `json:"tipo_trabajo"`
+	Priority               string   `json:"prioridad"`
+	Tasks                  int      `json:"tramos"`
+	CPUs                   float64  `json:"cores"`
+	GPUs                   float64  `json:"cards"`
+	MemoryGB               float64  `json:"ram_gb"`
+	Image                  string   `json:"imagen"`
+	ImageGB                float64  `json:"image_gb"`
+	Types                  []string `json:"modelos,omitempty"`
+	Zone                   *string  `json:"zona,omitempty"`
+	OneZone                bool     `json:"together"`
+	Spread                 bool     `json:"apart"`
+	Spot                   bool     `json:"prestadas"`
+	EstimateSeconds        float64  `json:"estimado_s"`
+	CheckpointEverySeconds float64  `json:"guardado_cada_s"`
+	CheckpointSeconds      float64  `json:"guardar_s"`
+	DeadlineSeconds        *float64 `json:"vence_s,omitempty"`
 }
 
 // Status is the answer about a job, with how many of its tasks are done and how many run.
@@ -83,13 +83,15 @@
 }
 
 // RunTime is how long one of the job's tasks runs, as its owner estimates.
-func (s *Submission) RunTime() time.Duration { return time.Duration(s.Estimate * float64(time.Second)) }
+func (s *Submission) RunTime() time.Duration {
+	return time.Duration(s.EstimateSeconds * float64(time.Second))
+}
 
 // Times is how many of the job's tasks fit into so many CPUs, GPUs and GB of memory.
-func (s *Submission) Times(cpus, gpus, memory float64) int {
+func (s *Submission) TasksThatFit(cpus, gpus, memory float64) int {
 	const slack = 1e-6 // absorbs rounding in sums of amounts
 	times := float64(MaxTasks)
-	for _, x := range [][2]float64{{cpus, s.CPUs}, {gpus, s.GPUs}, {memory, s.Memory}} {
+	for _, x := range [][2]float64{{cpus, s.CPUs}, {gpus, s.GPUs}, {memory, s.MemoryGB}} {
 		if x[1] > 0 {
 			times = min(times, (x[0]+slack)/x[1])
 		}
--- a/internal/provisioning/machines.go
+++ b/internal/provisioning/machines.go
@@ -76,7 +76,7 @@
 	}
 	since := now
 	if host, listed := a.listed[name]; listed {
-		since = now.Add(-settings.Seconds(host.Age))
+		since = now.Add(-settings.Seconds(host.AgeSeconds))
 	}
 	a.firstSeen[name] = since
 	return since
--- a/internal/provisioning/provisioning_test.go
+++ b/internal/provisioning/provisioning_test.go
@@ -10,7 +10,7 @@
 	"topazhollow/internal/protocol"
 )
 
-var types = []protocol.MachineType{{Name: "m", CPUs: 16, Memory: 64, Price: 1, SpotPrice: 0.5, Zones: []string{"a"}, Boot: 10}}
+var types = []protocol.MachineType{{Name: "m", CPUs: 16, MemoryGB: 64, PricePerHour: 1, SpotPricePerHour: 0.5, Zones: []string{"a"}, BootSeconds: 10}}
 
 func newAccount(now time.Time) *Account {
 	return New(Options{Since: 3, Prefix: "p", ListLag: 8 * time.Second, Fleet: autoscaler.Options{SpotShare: 1, Silent: time.Minute, Haste: 2}}, now)
@@ -19,7 +19,7 @@
 func nobodyGone(string) bool { return false }
 
 func demand(now time.Time) []autoscaler.Demand {
-	spec := &protocol.Submission{UID: "job-000001", Kind: protocol.JobArray, Tasks: 4, CPUs: 16, Memory: 4, Estimate: 60, Spot: true}
+	spec := &protocol.Submission{UID: "job-000001", Kind: protocol.JobArray, Tasks: 4, CPUs: 16, MemoryGB: 4, EstimateSeconds: 60, Spot: true}
 	return []autoscaler.Demand{{Spec: spec, Count: 4, Due: now}}
 }
 
--- a/internal/settings/script.go
+++ b/internal/settings/script.go
@@ -12,24 +12,24 @@
 // Options are the operator's own choices, set by a Starlark script: each is a
 // global variable of the script with the option's name.
 type Options struct {
-	SampleSize   int     // machines looked at for one placement
-	IdleReturn   float64 // seconds an idle machine is kept
-	WarmMachines int     // machines kept even when idle
-	SpotShare    float64 // largest share of spot machines in what is rented
-	Haste        float64 // estimated run times in hand before a job is due, when renting
-	NodeLease    float64 // seconds of a controller's lease
-	BitmapEvery  float64 // seconds between writes of finished tasks
-	ClassFloor   float64 // part of what is due to a class of a team that nobody is kept under for long
-	FloorAfter   float64 // seconds under it before a floor is kept
-	TeamWeights  map[string]float64
-	ClassWeights map[string]float64
-	ConfigBound  float64 // seconds after which what is known of the teams' configuration is old; 0: it does not change
-	CopyWait     float64 // seconds for which jobs that nobody remembers after a loss may come back with a copy; 0: until operators say
+	SampleSize             int     // machines looked at for one placement
+	IdleReturnSeconds      float64 // seconds an idle machine is kept
+	WarmMachines           int     // machines kept even when idle
+	SpotShare              float64 // largest share of spot machines in what is rented
+	Haste                  float64 // estimated run times in hand before a job is due, when renting
+	ControllerLeaseSeconds float64 // seconds of a controller's lease
+	BitmapEverySeconds     float64 // seconds between writes of finished tasks
+	ClassFloor             float64 // part of what is due to a class of a team that nobody is kept under for long
+	FloorAfterSeconds      float64 // seconds under it before a floor is kept
+	TeamWeights            map[string]float64
+	ClassWeights           map[string]float64
+	ConfigBoundSeconds     float64 // seconds after which what is known of the teams' configuration is old; 0: it does not change
+	CopyWaitSeconds        float64 // seconds for which jobs that nobody remembers after a loss may come back with a copy; 0: until operators say
 }
 
 // DefaultOptions holds without a script.
 func DefaultOptions() *Options {
-	return &Options{SampleSize: 32, IdleReturn: 10, WarmMachines: 1, SpotShare: 1, Haste: 2, NodeLease: 5, BitmapEvery: 1, ClassFloor: 0.5, FloorAfter: 90}
+	return &Options{SampleSize: 32, IdleReturnSeconds: 10, WarmMachines: 1, SpotShare: 1, Haste: 2, ControllerLeaseSeconds: 5, BitmapEverySeconds: 1, ClassFloor: 0.5, FloorAfterSeconds: 90}
 }
 
 type option struct {
@@ -41,16 +41,16 @@
 
 var optionTable = []option{
 	{"sample_size", 1, 10000, true, func(o *Options, v float64) { o.SampleSize = int(v) }},
-	{"idle_return_s", 0, 86400, false, func(o *Options, v float64) { o.IdleReturn = v }},
+	{"idle_return_s", 0, 86400, false, func(o *Options, v float64) { o.IdleReturnSeconds = v }},
 	{"warm_machines", 0, 10000, true, func(o *Options, v float64) { o.WarmMachines = int(v) }},
 	{"spot_share", 0, 1, false, func(o *Options, v float64) { o.SpotShare = v }},
 	{"haste", 0, 10, false, func(o *Options, v float64) { o.Haste = v }},
-	{"node_lease_s", 2, 60, false, func(o *Options, v float64) { o.NodeLease = v }},
+	{"node_lease_s", 2, 60, false, func(o *Options, v float64) { o.ControllerLeaseSeconds = v }},
 	{"class_floor", 0, 1, false, func(o *Options, v float64) { o.ClassFloor = v }},
-	{"floor_after_s", 0, 86400, false, func(o *Options, v float64) { o.FloorAfter = v }},
-	{"config_bound_s", 0, 600, false, func(o *Options, v float64) { o.ConfigBound = v }},
-	{"copy_wait_s", 0, 86400, false, func(o *Options, v float64) { o.CopyWait = v }},
-	{"bitmap_every_s", 0.1, 60, false, func(o *Options, v float64) { o.BitmapEvery = v }},
+	{"floor_after_s", 0, 86400, false, func(o *Options, v float64) { o.FloorAfterSeconds = v }},
+	{"config_bound_s", 0, 600, false, func(o *Options, v float64) { o.ConfigBoundSeconds = v }},
+	{"copy_wait_s", 0, 86400, false, func(o *Options, v float64) { o.CopyWaitSeconds = v }},
+	{"bitmap_every_s", 0.1, 60, false, func(o *Options, v float64) { o.BitmapEverySeconds = v }},
 }
 
 // LoadScript runs the operator's script; no path means the defaults.
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -33,21 +33,21 @@
 
 // Outside holds the addresses of the region's services.
 type Outside struct {
-	Cloud string `json:"cloud"`
-	State string `json:"state"`
+	Cloud   string `json:"cloud"`
+	KVStore string `json:"state"`
 }
 
 // Deployment is what all controllers share.
 type Deployment struct {
-	Size       int         `json:"initial_size"`
-	Zones      []string    `json:"zones"`
-	Teams      []Team      `json:"teams"`
-	Objectives []Objective `json:"objectives"`
-	Workers    Workers     `json:"workers"`
-	State      State       `json:"state"`
-	Cloud      Cloud       `json:"cloud"`
-	Limits     Limits      `json:"limits"`
-	ClockOffMS float64     `json:"clock_off_ms"`
+	Size             int         `json:"initial_size"`
+	Zones            []string    `json:"zones"`
+	Teams            []Team      `json:"teams"`
+	Objectives       []Objective `json:"objectives"`
+	Agents           Agents      `json:"workers"`
+	KVStore          KVStore     `json:"state"`
+	Cloud            Cloud       `json:"cloud"`
+	Limits           Limits      `json:"limits"`
+	ClockErrorMillis float64     `json:"clock_off_ms"`
 }
 
 // Team is one tenant with its guarantee and limit. In the file a limit of 0 means
@@ -62,34 +62,34 @@
 
 // Objective repeats one aim of the users.
 type Objective struct {
-	Kind   string  `json:"kind"`
-	Class  string  `json:"class"`
-	Within float64 `json:"within_s"`
-	Share  float64 `json:"share"`
-	Times  float64 `json:"times"`
+	Kind          string  `json:"kind"`
+	Class         string  `json:"class"`
+	WithinSeconds float64 `json:"within_s"`
+	Share         float64 `json:"share"`
+	Times         float64 `json:"times"`
 }
 
 // Workers holds the workers' periods, in seconds.
-type Workers struct {
-	Report   float64 `json:"report_s"`
-	Lease    float64 `json:"lease_s"`
-	GangWait float64 `json:"gang_wait_s"`
-	GangPeer float64 `json:"gang_peer_s"`
-	Cancel   float64 `json:"cancel_s"`
+type Agents struct {
+	HeartbeatSeconds float64 `json:"report_s"`
+	LeaseSeconds     float64 `json:"lease_s"`
+	GangWaitSeconds  float64 `json:"gang_wait_s"`
+	GangPeerSeconds  float64 `json:"gang_peer_s"`
+	CancelSeconds    float64 `json:"cancel_s"`
 }
 
 // State holds the limits of the state service, shared by all controllers.
-type State struct {
-	RPS      float64 `json:"rps"`
-	WriteRPS float64 `json:"write_rps"`
-	ValueKB  float64 `json:"value_kb"`
-	TxnOps   int     `json:"txn_ops"`
+type KVStore struct {
+	RequestsPerSecond     float64 `json:"rps"`
+	ChangesPerSecond      float64 `json:"write_rps"`
+	ValueKB               float64 `json:"value_kb"`
+	ChangesPerTransaction int     `json:"txn_ops"`
 }
 
 // Cloud holds the limits of the cloud, shared by all controllers.
 type Cloud struct {
-	RPS     float64 `json:"rps"`
-	ListLag float64 `json:"list_lag_s"`
+	RequestsPerSecond float64 `json:"rps"`
+	ListLagSeconds    float64 `json:"list_lag_s"`
 }
 
 // Limits is what one controller may use.
@@ -103,7 +103,7 @@
 func Seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
 
 // Nodes is the names of all controllers, in order.
-func (s *Settings) Nodes() []string {
+func (s *Settings) ControllerNames() []string {
 	names := []string{s.Name}
 	for _, p := range s.Peers {
 		names = append(names, p.Name)
@@ -142,7 +142,7 @@
 	}
 	addrs := []struct{ field, value string }{
 		{"serve_on", s.Listen}, {"peer_listen", s.PeerListen},
-		{"outside.cloud", s.Outside.Cloud}, {"outside.state", s.Outside.State},
+		{"outside.cloud", s.Outside.Cloud}, {"outside.state", s.Outside.KVStore},
 	}
 	seen := map[string]bool{s.Name: true}
 	for i, p := range s.Peers {
@@ -192,7 +192,7 @@
 		return bad(fmt.Sprintf("deployment.teams[%d].name", i), "%q is given twice or empty", names[i])
 	}
 	for i, o := range d.Objectives {
-		if o.Within < 0 || o.Share < 0 || o.Share > 1 || o.Times < 0 {
+		if o.WithinSeconds < 0 || o.Share < 0 || o.Share > 1 || o.Times < 0 {
 			return bad(fmt.Sprintf("deployment.objectives[%d]", i), "negative amount or share above 1")
 		}
 	}
@@ -200,21 +200,21 @@
 		field         string
 		value, lo, hi float64
 	}{
-		{"workers.report_s", d.Workers.Report, 0.1, 600},
-		{"workers.lease_s", d.Workers.Lease, 0.5, 3600},
-		{"workers.gang_wait_s", d.Workers.GangWait, 0, 3600},
-		{"workers.gang_peer_s", d.Workers.GangPeer, 0, 3600},
-		{"workers.cancel_s", d.Workers.Cancel, 1, 3600},
-		{"state.rps", d.State.RPS, 1, 1e6},
-		{"state.write_rps", d.State.WriteRPS, 1, 1e6},
-		{"state.value_kb", d.State.ValueKB, 1, 1 << 16},
-		{"state.txn_ops", float64(d.State.TxnOps), 4, 1e4},
-		{"cloud.rps", d.Cloud.RPS, 0.1, 1e6},
-		{"cloud.list_lag_s", d.Cloud.ListLag, 0, 600},
+		{"workers.report_s", d.Agents.HeartbeatSeconds, 0.1, 600},
+		{"workers.lease_s", d.Agents.LeaseSeconds, 0.5, 3600},
+		{"workers.gang_wait_s", d.Agents.GangWaitSeconds, 0, 3600},
+		{"workers.gang_peer_s", d.Agents.GangPeerSeconds, 0, 3600},
+		{"workers.cancel_s", d.Agents.CancelSeconds, 1, 3600},
+		{"state.rps", d.KVStore.RequestsPerSecond, 1, 1e6},
+		{"state.write_rps", d.KVStore.ChangesPerSecond, 1, 1e6},
+		{"state.value_kb", d.KVStore.ValueKB, 1, 1 << 16},
+		{"state.txn_ops", float64(d.KVStore.ChangesPerTransaction), 4, 1e4},
+		{"cloud.rps", d.Cloud.RequestsPerSecond, 0.1, 1e6},
+		{"cloud.list_lag_s", d.Cloud.ListLagSeconds, 0, 600},
 		{"limits.cores", d.Limits.Cores, 0.01, 1024},
 		{"limits.memory_mb", d.Limits.MemoryMB, 32, 1 << 20},
 		{"limits.max_sockets", float64(d.Limits.MaxSockets), 64, 1 << 20},
-		{"clock_off_ms", d.ClockOffMS, 0, 60000},
+		{"clock_off_ms", d.ClockErrorMillis, 0, 60000},
 	} {
 		if !(v.value >= v.lo && v.value <= v.hi) {
 			return bad("deployment."+v.field, "%g is not between %g and %g", v.value, v.lo, v.hi)
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -55,7 +55,7 @@
 // TestScripts: options are bounded and checked, and a script cannot run for ever.
 func TestScripts(t *testing.T) {
 	o, err := ParseScript("s.star", []byte("_n = [8 for _ in range(2)]\nwarm_machines = _n[0]\nidle_return_s = 1.5\n"))
-	if err != nil || o.WarmMachines != 8 || o.IdleReturn != 1.5 || o.SampleSize != DefaultOptions().SampleSize {
+	if err != nil || o.WarmMachines != 8 || o.IdleReturnSeconds != 1.5 || o.SampleSize != DefaultOptions().SampleSize {
 		t.Fatalf("%+v %v", o, err)
 	}
 	for src, want := range map[string]string{
--- a/internal/simulation/cloud.go
+++ b/internal/simulation/cloud.go
@@ -162,7 +162,7 @@
 	for name, h := range c.hosts {
 		if name > after {
 			x := h.host
-			x.Age = time.Since(h.since).Seconds()
+			x.AgeSeconds = time.Since(h.since).Seconds()
 			page.Hosts = append(page.Hosts, x)
 		}
 	}
--- a/internal/simulation/faults_test.go
+++ b/internal/simulation/faults_test.go
@@ -35,7 +35,7 @@
 	}
 	b.w = w
 	t.Cleanup(func() { w.End(); controller.Close() })
-	b.check.Submitting(&protocol.Submission{UID: "job-1", Team: "red", Kind: protocol.JobArray, Tasks: 2, CPUs: 4, Checkpoint: 1, Save: 0.2})
+	b.check.Submitting(&protocol.Submission{UID: "job-1", Team: "red", Kind: protocol.JobArray, Tasks: 2, CPUs: 4, CheckpointEverySeconds: 1, CheckpointSeconds: 0.2})
 	return b
 }
 
@@ -44,10 +44,10 @@
 	b.w.mu.Lock()
 	session := b.w.session
 	b.w.mu.Unlock()
-	d := protocol.DirectCommands{FencingToken: 1, Incarnation: session, Commands: []protocol.Command{{Op: op, Task: protocol.TaskName("job-1", index), Attempt: 1, Grace: &grace}}}
+	d := protocol.DirectCommands{FencingToken: 1, Incarnation: session, Commands: []protocol.Command{{Op: op, Task: protocol.TaskName("job-1", index), Attempt: 1, GraceSeconds: &grace}}}
 	ctx, cancel := context.WithTimeout(b.t.Context(), 50*time.Millisecond)
 	defer cancel()
-	req, err := http.NewRequestWithContext(ctx, "POST", "http://"+b.w.Addr()+protocol.PathDo, bytes.NewReader(protocol.Encode(d)))
+	req, err := http.NewRequestWithContext(ctx, "POST", "http://"+b.w.Addr()+protocol.PathCommands, bytes.NewReader(protocol.Encode(d)))
 	if err != nil {
 		b.t.Fatal(err)
 	}
--- a/internal/simulation/state.go
+++ b/internal/simulation/state.go
@@ -378,17 +378,17 @@
 }
 
 func (s *State) grant(w http.ResponseWriter, r *http.Request) {
-	var g protocol.GrantRequest
-	if !read(r, &g) || g.TTL < 100 || g.TTL > 600000 {
+	var g protocol.LeaseRequest
+	if !read(r, &g) || g.TTLMillis < 100 || g.TTLMillis > 600000 {
 		reply(w, 400, protocol.Error{Error: "malformed"})
 		return
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.next++
-	life := time.Duration(g.TTL) * time.Millisecond
+	life := time.Duration(g.TTLMillis) * time.Millisecond
 	s.leases[s.next] = &lease{life, time.Now().Add(life)}
-	reply(w, 200, protocol.Grant{Lease: s.next})
+	reply(w, 200, protocol.LeaseGrant{Lease: s.next})
 }
 
 func (s *State) extend(w http.ResponseWriter, r *http.Request) {
@@ -401,7 +401,7 @@
 		return
 	}
 	l.ends = time.Now().Add(l.life)
-	reply(w, 200, protocol.Grant{Lease: id})
+	reply(w, 200, protocol.LeaseGrant{Lease: id})
 }
 
 func (s *State) watch(w http.ResponseWriter, r *http.Request) {
--- a/internal/simulation/worker.go
+++ b/internal/simulation/worker.go
@@ -128,7 +128,7 @@
 	w.seq++
 	r := protocol.Heartbeat{Machine: w.name, Addr: w.addr, Type: w.typ, Zone: w.zone, Spot: w.spot, Incarnation: w.session, Seq: w.seq, FencingToken: w.token, Tasks: []protocol.TaskStatus{}}
 	if w.faults.taken > 0 {
-		r.Notice = new(w.faults.taken)
+		r.NoticeSeconds = new(w.faults.taken)
 	}
 	for _, t := range w.tasks {
 		r.Tasks = append(r.Tasks, *t)
@@ -190,7 +190,7 @@
 			case t != nil && t.State != protocol.Exited:
 				continue // refused as in_use; the listed attempt stays
 			case w.check.Spec(uid) == nil:
-				w.tasks[c.Task] = &protocol.TaskStatus{Task: c.Task, Attempt: c.Attempt, State: protocol.Exited, Why: protocol.ReasonNoSuch}
+				w.tasks[c.Task] = &protocol.TaskStatus{Task: c.Task, Attempt: c.Attempt, State: protocol.Exited, Reason: protocol.ReasonNoSuch}
 			default:
 				w.tasks[c.Task] = &protocol.TaskStatus{Task: c.Task, Attempt: c.Attempt, State: protocol.Running}
 				w.check.Start(c.Task, w.name, w.typ, w.zone, w.spot)
@@ -198,7 +198,7 @@
 			}
 		case protocol.Stop:
 			if t != nil && t.Attempt == c.Attempt && t.State != protocol.Exited {
-				w.stopTask(t, c.Grace)
+				w.stopTask(t, c.GraceSeconds)
 			}
 		case protocol.Forget:
 			if t != nil && t.Attempt == c.Attempt && t.State == protocol.Exited {
@@ -217,11 +217,11 @@
 	}
 	uid, _, _ := protocol.SplitTask(t.Task)
 	spec := w.check.Spec(uid)
-	saves := spec != nil && spec.Kind != protocol.Gang && spec.Checkpoint > 0 && spec.Save > 0
+	saves := spec != nil && spec.Kind != protocol.Gang && spec.CheckpointEverySeconds > 0 && spec.CheckpointSeconds > 0
 	switch {
 	case t.State == protocol.Saving && given > 0:
-	case t.State == protocol.Running && saves && given >= spec.Save:
-		w.save(t, settings.Seconds(spec.Save))
+	case t.State == protocol.Running && saves && given >= spec.CheckpointSeconds:
+		w.save(t, settings.Seconds(spec.CheckpointSeconds))
 	default:
 		w.exit(t, protocol.ReasonStopped)
 	}
@@ -235,7 +235,7 @@
 	}
 	w.after(t.Task, t.Attempt, takes, func(t *protocol.TaskStatus) {
 		if t.State == protocol.Saving {
-			t.Saved = true
+			t.Checkpointed = true
 			w.exit(t, protocol.ReasonStopped)
 		}
 	})
@@ -259,7 +259,7 @@
 }
 
 func (w *Worker) exit(t *protocol.TaskStatus, why protocol.ExitReason) {
-	t.State, t.Why = protocol.Exited, why
+	t.State, t.Reason = protocol.Exited, why
 	w.check.End(t.Task, why == protocol.ReasonDone)
 	if timer := w.timers[t.Task]; timer != nil {
 		timer.Stop()
--- a/internal/snapshot/follow.go
+++ b/internal/snapshot/follow.go
@@ -68,7 +68,7 @@
 // client is one with all of the stated rate.
 func (c *Config) client() *kvstore.Client {
 	const held = 0.85 // of the rates is what kvstore.New gives a single controller
-	return kvstore.New(c.State, settings.State{RPS: c.RPS / held, WriteRPS: c.WriteRPS / held, ValueKB: c.ValueKB, TxnOps: c.TxnOps}, 1)
+	return kvstore.New(c.State, settings.KVStore{RequestsPerSecond: c.RPS / held, ChangesPerSecond: c.WriteRPS / held, ValueKB: c.ValueKB, ChangesPerTransaction: c.TxnOps}, 1)
 }
 
 // Follower copies the state service into an archive for as long as it runs.
--- a/internal/userapi/golden_answers_test.go
+++ b/internal/userapi/golden_answers_test.go
@@ -21,7 +21,7 @@
 }
 
 func (s *steady) Types() []protocol.MachineType {
-	return []protocol.MachineType{{Name: "g8", CPUs: 96, GPUs: 8, Memory: 768, Zones: []string{"a", "b"}}}
+	return []protocol.MachineType{{Name: "g8", CPUs: 96, GPUs: 8, MemoryGB: 768, Zones: []string{"a", "b"}}}
 }
 func (s *steady) Active(context.Context, string) bool          { return false }
 func (s *steady) Progress(string) (done, running int)          { return s.running / 4, s.running }
@@ -44,7 +44,7 @@
 	}
 	defer store.Close()
 	ctx, cancel := context.WithCancel(t.Context())
-	client := kvstore.New(store.Addr(), settings.State{RPS: 1000, WriteRPS: 1000, ValueKB: 16, TxnOps: 16}, 1)
+	client := kvstore.New(store.Addr(), settings.KVStore{RequestsPerSecond: 1000, ChangesPerSecond: 1000, ValueKB: 16, ChangesPerTransaction: 16}, 1)
 	ended := make(chan error, 1)
 	go func() { ended <- client.Run(ctx) }()
 	defer func() { cancel(); <-ended }()
--- a/internal/userapi/tenants_test.go
+++ b/internal/userapi/tenants_test.go
@@ -24,7 +24,7 @@
 	return []protocol.Condition{{Key: "w/t/" + name}}
 }
 func (b *behind) Types() []protocol.MachineType {
-	return []protocol.MachineType{{Name: "m8", CPUs: 8, Memory: 64, Zones: []string{"east"}}}
+	return []protocol.MachineType{{Name: "m8", CPUs: 8, MemoryGB: 64, Zones: []string{"east"}}}
 }
 func (b *behind) Trusted() bool                                { return true }
 func (b *behind) Remembers(string) (Stored, uint64, bool)      { return Stored{}, 0, false }
@@ -43,14 +43,14 @@
 	defer store.Close()
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
-	limits := settings.State{RPS: 1000, WriteRPS: 1000, ValueKB: 16, TxnOps: 16}
+	limits := settings.KVStore{RequestsPerSecond: 1000, ChangesPerSecond: 1000, ValueKB: 16, ChangesPerTransaction: 16}
 	client := kvstore.New(store.Addr(), limits, 1)
 	go client.Run(ctx)
 	b := &behind{teams: map[string]settings.Team{"known": {Name: "known", CPUsMax: 8}}, caughtUp: func() {}}
 	f := New(&settings.Settings{}, client, b)
 	f.Follow(b)
 	submit := func(uid, team string) int {
-		job := &protocol.Submission{UID: uid, Class: "c", Team: team, Kind: protocol.JobArray, Priority: "standard", Tasks: 1, CPUs: 2, Memory: 4, Image: "img"}
+		job := &protocol.Submission{UID: uid, Class: "c", Team: team, Kind: protocol.JobArray, Priority: "standard", Tasks: 1, CPUs: 2, MemoryGB: 4, Image: "img"}
 		within, done := context.WithTimeout(ctx, 10*time.Second)
 		defer done()
 		a, _ := f.Handle(within, &httpx.Request{Method: "POST", Path: protocol.PathSubmit, Body: protocol.Encode(job)})
--- a/internal/userapi/userapi.go
+++ b/internal/userapi/userapi.go
@@ -44,7 +44,7 @@
 
 // EndOf is the end of a job in a state, protocol.Done or protocol.Withdrawn.
 func EndOf(spec *protocol.Submission, state protocol.JobState) Final {
-	return Final{State: state, Tasks: spec.Tasks, Team: spec.Team, CPUs: spec.CPUs, GPUs: spec.GPUs, Memory: spec.Memory}
+	return Final{State: state, Tasks: spec.Tasks, Team: spec.Team, CPUs: spec.CPUs, GPUs: spec.GPUs, Memory: spec.MemoryGB}
 }
 
 // Backend is what the frontend needs of its controller.
@@ -451,7 +451,7 @@
 		return ""
 	}
 	for _, t := range types {
-		if t.CPUs+1e-6 < s.CPUs || t.GPUs+1e-6 < s.GPUs || t.Memory+1e-6 < s.Memory {
+		if t.CPUs+1e-6 < s.CPUs || t.GPUs+1e-6 < s.GPUs || t.MemoryGB+1e-6 < s.MemoryGB {
 			continue
 		}
 		named := s.Types == nil
