--- a/internal/arch/shape.go
+++ b/internal/arch/shape.go
@@ -18,6 +18,7 @@
 var Shaped = []string{
 	"",
 	"internal/cancelwatermark",
+	"internal/datarecovery",
 	"internal/gangpreemption",
 	"internal/leadership",
 	"internal/leasegrant",
--- /dev/null
+++ b/internal/datarecovery/detection_test.go
@@ -0,0 +1,318 @@
+package datarecovery
+
+import (
+	"testing"
+	"time"
+
+	"topazhollow/internal/leadership"
+)
+
+var testStart = time.Unix(1000, 0)
+
+func testRecord(epoch, term uint64, storeID string) *leadership.Record {
+	return (&leadership.Record{Epoch: epoch, Term: term, FirstTerm: 100, StoreID: storeID}).Clone()
+}
+
+// trustedDetection is that of a controller without peers that entered the record's epoch.
+func trustedDetection(record *leadership.Record) *Detection {
+	d := NewDetection("a", 7, nil, 4*time.Second)
+	d.Started(testStart)
+	d.Entered(record.Epoch, testStart)
+	return d
+}
+
+func contentsOf(record *leadership.Record, version uint64) StoreContents {
+	contents := StoreContents{Record: record, RecordVersion: version, Presences: map[string]leadership.Presence{"a": {Incarnation: 7, Version: 3}}, EpochKeys: map[string]uint64{}, ReadAt: testStart}
+	if record != nil {
+		contents.EpochKeys[EpochKey+record.StoreID] = 1
+	}
+	return contents
+}
+
+// TestFullList: a list of a store that went back was taken for what the store has, or one of a later epoch not entered.
+func TestFullList(t *testing.T) {
+	known := testRecord(2, 120, "s")
+	for name, c := range map[string]struct {
+		record  *leadership.Record
+		stored  StoreContents
+		want    ListVerdict
+		suspect bool
+		prove   bool
+	}{
+		"first of a process":           {nil, contentsOf(known, 9), ListOfOtherEpoch, false, false},
+		"first, of an empty store":     {nil, contentsOf(nil, 0), ListOfOtherEpoch, false, false},
+		"as known":                     {known, contentsOf(known, 9), ListCurrent, false, false},
+		"later term":                   {known, contentsOf(testRecord(2, 121, "s"), 11), ListCurrent, false, false},
+		"no record":                    {known, contentsOf(nil, 0), ListUnreliable, true, false},
+		"earlier term":                 {known, contentsOf(testRecord(2, 119, "s"), 9), ListUnreliable, true, false},
+		"earlier version":              {known, contentsOf(known, 8), ListUnreliable, true, false},
+		"epoch's key is gone":          {known, StoreContents{Record: known, RecordVersion: 9, ReadAt: testStart}, ListUnreliable, true, false},
+		"later epoch":                  {known, contentsOf(testRecord(3, 130, "t"), 2), ListOfOtherEpoch, false, false},
+		"later epoch, its key is gone": {known, StoreContents{Record: testRecord(3, 130, "t"), RecordVersion: 2, ReadAt: testStart}, ListUnreliable, false, true},
+	} {
+		got := trustedDetection(known).JudgeList(c.stored, c.record, 9)
+		if got.Verdict != c.want || (got.Suspicion != "") != c.suspect || (got.Proof != "") != c.prove {
+			t.Errorf("%s: %+v", name, got)
+		}
+	}
+}
+
+// TestListWhilePeersKnowALaterEpoch: a list of the known epoch is taken in, but proves a loss if a peer is in a later one.
+func TestListWhilePeersKnowALaterEpoch(t *testing.T) {
+	known := testRecord(2, 120, "s")
+	d := NewDetection("a", 7, []string{"b"}, 4*time.Second)
+	d.Entered(2, testStart)
+	d.PeerAssessed("b", Assessment{Epoch: 3, Term: 140}, known, testStart)
+	if got := d.JudgeList(contentsOf(known, 9), known, 9); got.Verdict != ListCurrent || got.Proof == "" {
+		t.Errorf("%+v", got)
+	}
+}
+
+// TestLostStoreIsOnlyEvidence: once a loss is agreed on, what the store still has is not relied on, and a proposal needs the own
+// key in it.
+func TestLostStoreIsOnlyEvidence(t *testing.T) {
+	known := testRecord(1, 120, "s")
+	d := trustedDetection(known)
+	if _, _, ready := d.Proposal(known, 0, testStart); ready {
+		t.Error("an epoch is proposed while nothing is lost")
+	}
+	now := loseData(t, d, known)
+	if got := d.JudgeList(contentsOf(known, 9), known, 9); got.Verdict != ListUnreliable || got.Suspicion != "" || got.Proof != "" {
+		t.Errorf("%+v", got)
+	}
+	if _, contents, ready := d.Proposal(known, 0, now); !ready || contents.RecordVersion != 9 {
+		t.Errorf("ready %t with the record at %d", ready, contents.RecordVersion)
+	}
+	without := contentsOf(known, 9)
+	without.Presences = nil
+	d.JudgeList(without, known, 9)
+	if _, _, ready := d.Proposal(known, 0, now); ready {
+		t.Error("an epoch is proposed without the own key in the store")
+	}
+}
+
+// loseData has a detection without peers agree on a loss, and returns the time then.
+func loseData(t *testing.T, d *Detection, record *leadership.Record) time.Time {
+	t.Helper()
+	now := testStart
+	if !d.Suspect("a test", now) {
+		t.Fatal("not trusted before")
+	}
+	for range 20 {
+		now = now.Add(100 * time.Millisecond)
+		switch decision := d.Decide(now, record); {
+		case decision.LossConfirmed:
+			return now
+		case decision.Task == TaskConfirmSuspicion:
+			d.Compared(Missing, now)
+		}
+	}
+	t.Fatal("no loss was agreed on")
+	return now
+}
+
+// TestLossIsToldOnce: what follows a loss begins once, and the next list is asked for.
+func TestLossIsToldOnce(t *testing.T) {
+	known := testRecord(1, 120, "s")
+	d := trustedDetection(known)
+	now := loseData(t, d, known)
+	if !d.ConfirmedAt().Equal(now) {
+		t.Errorf("confirmed at %s instead of %s", d.ConfirmedAt(), now)
+	}
+	if decision := d.Decide(now.Add(50*time.Millisecond), known); decision.LossConfirmed || decision.Phase != Lost || decision.Task != TaskRelist {
+		t.Errorf("%+v", decision)
+	}
+}
+
+// TestProposalWaitsForACompleteMemory: one that does not remember everything gives a peer time to find that it does.
+func TestProposalWaitsForACompleteMemory(t *testing.T) {
+	for _, complete := range []bool{true, false} {
+		known := testRecord(1, 120, "s")
+		d := trustedDetection(known)
+		if complete {
+			d.EndsRead(known)
+			d.LossSeenHere()
+		}
+		lost := loseData(t, d, known)
+		contents := contentsOf(known, 9)
+		for passed := time.Duration(0); ; passed += 50 * time.Millisecond {
+			contents.ReadAt = lost.Add(passed)
+			d.JudgeList(contents, known, 9)
+			if d.Decide(lost.Add(passed), known).Task == TaskProposeEpoch {
+				if complete && passed > 0 || !complete && passed < completeMemoryWait {
+					t.Errorf("complete %t: proposed after %s", complete, passed)
+				}
+				break
+			}
+			if passed > 10*time.Second {
+				t.Fatalf("complete %t: never proposed", complete)
+			}
+		}
+	}
+}
+
+// TestFencingTokens: a worker's token proves a loss only if it is from before the store began; a later one than the term has
+// the record read first, since that may only be late here.
+func TestFencingTokens(t *testing.T) {
+	first, later := testRecord(1, 120, "s"), testRecord(2, 120, "s")
+	for name, c := range map[string]struct {
+		token  uint64
+		record *leadership.Record
+		prove  bool
+		task   Task
+	}{
+		"of the term":                        {120, first, false, TaskNone},
+		"none":                               {0, first, false, TaskNone},
+		"before the store":                   {99, first, true, TaskNone},
+		"before the store, in a later epoch": {99, later, false, TaskNone},
+		"later than the term":                {121, first, false, TaskRefreshRecord},
+		"no term at all":                     {noTerm, first, false, TaskNone},
+		"before any record":                  {99, nil, false, TaskNone},
+	} {
+		d := trustedDetection(first)
+		if proof := d.ObserveFencingToken(c.token, c.record); (proof != "") != c.prove {
+			t.Errorf("%s: proof %q", name, proof)
+		}
+		if decision := d.Decide(testStart, first); decision.Task != c.task {
+			t.Errorf("%s: task %d", name, decision.Task)
+		}
+	}
+}
+
+// TestLaterTermIsJudgedOnce: after the record was read, a later term that somebody knows is a proof or settled.
+func TestLaterTermIsJudgedOnce(t *testing.T) {
+	for term, prove := range map[uint64]bool{120: true, 125: false, 130: false} {
+		d := trustedDetection(testRecord(1, 120, "s"))
+		d.ObserveFencingToken(125, testRecord(1, 120, "s"))
+		if proof := d.RecordRefreshed(testRecord(1, term, "s")); (proof != "") != prove {
+			t.Errorf("term %d: proof %q", term, proof)
+		}
+		if proof := d.RecordRefreshed(testRecord(1, 120, "s")); proof != "" {
+			t.Errorf("term %d: judged again: %s", term, proof)
+		}
+	}
+}
+
+// TestProofEndsCompleteMemory: a proof says that there was something before this process read the store, so that its
+// memory is not complete; only the first counts as news.
+func TestProofEndsCompleteMemory(t *testing.T) {
+	known := testRecord(1, 120, "s")
+	d := trustedDetection(known)
+	d.EndsRead(known)
+	if !d.MemoryComplete() {
+		t.Fatal("the memory is not complete though all was read")
+	}
+	if !d.Prove("first") || d.Prove("second") || d.MemoryComplete() {
+		t.Errorf("memory complete %t", d.MemoryComplete())
+	}
+	if proof, proved := d.Proved(); !proved || proof != "first" {
+		t.Errorf("proof %q", proof)
+	}
+	if _, outcome, ready := d.PlanComparison(nil, true); ready || outcome != Missing {
+		t.Error("a proved loss is looked into")
+	}
+	d.EndsRead(known)
+	if d.MemoryComplete() {
+		t.Error("the memory is complete though a loss is proved")
+	}
+}
+
+// TestSearchGivenUp: nothing more will be remembered than is known, once that was read.
+func TestSearchGivenUp(t *testing.T) {
+	incomplete := testRecord(2, 120, "s")
+	incomplete.DataLost = true
+	d := trustedDetection(incomplete)
+	if d.SearchGivenUp(); d.MemoryComplete() {
+		t.Error("complete before the ends were read")
+	}
+	if d.EndsRead(incomplete); d.MemoryComplete() {
+		t.Error("complete though data were lost for good")
+	}
+	if d.SearchGivenUp(); !d.MemoryComplete() {
+		t.Error("not complete though nothing more will come")
+	}
+}
+
+// TestFailedKeys: a key that has another version was changed since, one that has the same is missing; the own key may have
+// ended with its lease.
+func TestFailedKeys(t *testing.T) {
+	d := trustedDetection(testRecord(1, 120, "s"))
+	d.SuspectKey("w/a/job-000001", 5)
+	d.EpochKeyChanged(EpochKey+"s", 1)
+	plan, _, ready := d.PlanComparison(map[string]uint64{"w/c": 9}, true)
+	plan.OwnKey, plan.OwnVersion = "w/n/a", 3
+	if !ready || len(plan.Keys) != 3 || len(plan.Conditions(10)) != 4 || len(plan.Conditions(1)) != 2 {
+		t.Fatalf("ready %t: %+v", ready, plan)
+	}
+	now := map[string]uint64{"w/c": 10, "w/a/job-000001": 5}
+	versionNow := func(key string) uint64 { return now[key] }
+	if got := d.JudgeFailedKeys(plan, []string{"w/n/a", "w/c"}, 3, versionNow); got.Comparison != Intact || !got.OwnKeyGone || got.MissingKey != "" {
+		t.Errorf("changed since: %+v", got)
+	}
+	if got := d.JudgeFailedKeys(plan, []string{"w/n/a"}, 4, versionNow); got.OwnKeyGone {
+		t.Errorf("the own key was written again: %+v", got)
+	}
+	if d.EndsRead(testRecord(1, 120, "s")); d.Assessment(nil, 0).MemoryComplete {
+		t.Error("peers are told of a complete memory though this process saw no loss")
+	}
+	if got := d.JudgeFailedKeys(plan, []string{"w/c", "w/a/job-000001"}, 3, versionNow); got.Comparison != Missing || got.MissingKey != "w/a/job-000001" {
+		t.Errorf("missing: %+v", got)
+	}
+	if !d.Assessment(nil, 0).MemoryComplete {
+		t.Error("peers are not told that this process saw the loss")
+	}
+}
+
+// TestPeriodicComparison: every quarter of a lease, and at once while a key is suspected.
+func TestPeriodicComparison(t *testing.T) {
+	known := testRecord(1, 120, "s")
+	d := trustedDetection(known)
+	if task := d.Decide(testStart.Add(time.Second), known).Task; task != TaskNone {
+		t.Errorf("task %d before the time", task)
+	}
+	if task := d.Decide(testStart.Add(time.Second+1), known).Task; task != TaskPeriodicCompare {
+		t.Errorf("task %d at the time", task)
+	}
+	if task := d.Decide(testStart.Add(time.Second+2), known).Task; task != TaskNone {
+		t.Errorf("task %d again", task)
+	}
+	d.SuspectKey("w/a/job-000001", 5)
+	d.PeriodicCompared(Unanswered)
+	if task := d.Decide(testStart.Add(time.Second+3), known).Task; task != TaskPeriodicCompare {
+		t.Errorf("task %d with a suspect key", task)
+	}
+	d.PeriodicCompared(Intact)
+	if task := d.Decide(testStart.Add(time.Second+4), known).Task; task != TaskNone {
+		t.Errorf("task %d after it was found", task)
+	}
+}
+
+// TestEnteringClearsEvidence: evidence against a store that lost data was held against the next one.
+func TestEnteringClearsEvidence(t *testing.T) {
+	known := testRecord(1, 120, "s")
+	d := trustedDetection(known)
+	d.EpochKeyChanged(EpochKey+"s", 1)
+	d.SuspectKey("w/c", 9)
+	d.RecordOutOfChain()
+	d.Prove("a test")
+	loseData(t, d, known)
+	d.LeaveEpoch()
+	d.ListAccepted()
+	d.Entered(2, testStart.Add(time.Minute))
+	if _, proved := d.Proved(); proved || d.RecordChainBroken() || d.EpochKeyVersion(EpochKey+"s") != 0 || !d.Trusted() {
+		t.Error("evidence of the epoch before is left")
+	}
+	if plan, _, ready := d.PlanComparison(nil, true); !ready || len(plan.Keys) != 0 {
+		t.Errorf("ready %t with %v", ready, plan.Keys)
+	}
+}
+
+// TestEpochKeyDeleted: only that of the epoch that this controller is in is a sign.
+func TestEpochKeyDeleted(t *testing.T) {
+	known := testRecord(1, 120, "s")
+	d := trustedDetection(known)
+	d.EpochKeyChanged(EpochKey+"s", 1)
+	if d.EpochKeyDeleted(EpochKey+"other", known) || !d.EpochKeyDeleted(EpochKey+"s", known) || d.EpochKeyDeleted(EpochKey+"s", nil) || d.EpochKeyVersion(EpochKey+"s") != 0 {
+		t.Error("wrong sign, or the key is still known")
+	}
+}
--- a/internal/datarecovery/ends.go
+++ b/internal/datarecovery/ends.go
@@ -2,8 +2,6 @@
 
 import (
 	"encoding/base64"
-	"encoding/binary"
-	"encoding/json"
 	"fmt"
 	"maps"
 	"slices"
@@ -24,11 +22,11 @@
 // Ends is every job's end that a controller knows. It only grows: an end is for ever.
 // Job ids of the usual form, a number of six digits or more, take some ten bytes.
 type Ends struct {
-	ids       *roaring.Bitmap
-	packed    map[uint32]uint32
-	others    map[string]End
+	ids       *roaring.Bitmap   // usual ids
+	packed    map[uint32]uint32 // ends by usual id
+	others    map[string]End    // ends that cannot be packed
 	teams     []string
-	teamIndex map[string]uint32
+	teamIndex map[string]uint32 // in teams
 }
 
 // NewEnds knows none.
@@ -36,13 +34,14 @@
 	return &Ends{ids: roaring.New(), packed: map[uint32]uint32{}, others: map[string]End{}, teamIndex: map[string]uint32{}}
 }
 
-// A packed end: tasks in 17 bits, the team's index in 14, and whether it was withdrawn.
+// A packed end: tasks in 17 bits, the team's index in 14, and whether it was cancelled.
 const (
-	taskBits = 17
-	teamBits = 14
+	taskBits     = 17
+	teamBits     = 14
+	cancelledBit = 1 << 31
 )
 
-// prefix and digits are the usual form of a job's id.
+// idPrefix and digits are the usual form of a job's id.
 const idPrefix = "job-"
 
 func parseUsualID(uid string) (uint32, bool) {
@@ -77,11 +76,11 @@
 		e.teamIndex[x.Team] = team
 		e.teams = append(e.teams, x.Team)
 	}
-	v := uint32(x.Tasks) | team<<taskBits
+	packed := uint32(x.Tasks) | team<<taskBits
 	if x.Cancelled {
-		v |= 1 << 31
+		packed |= cancelledBit
 	}
-	e.packed[n] = v
+	e.packed[n] = packed
 	e.ids.Add(n)
 	return true
 }
@@ -97,8 +96,13 @@
 	return x, ok
 }
 
-func (e *Ends) unpack(n, v uint32) End {
-	return End{UID: usualID(n), Cancelled: v>>31 == 1, Tasks: int(v & (1<<taskBits - 1)), Team: e.teams[v>>taskBits&(1<<teamBits-1)]}
+func (e *Ends) unpack(id, packed uint32) End {
+	return End{
+		UID:       usualID(id),
+		Cancelled: packed&cancelledBit != 0,
+		Tasks:     int(packed & (1<<taskBits - 1)),
+		Team:      e.teams[packed>>taskBits&(1<<teamBits-1)],
+	}
 }
 
 // Len counts the ends.
@@ -144,112 +148,6 @@
 	return out, nil
 }
 
-// Page is a number of ends as one value of the state service and as one line between
-// controllers.
-type Page struct {
-	Teams  []string `json:"teams"`
-	Data   string   `json:"data,omitempty"` // of each: distance to the last id, packed end
-	Others []End    `json:"others,omitempty"`
-}
-
-// Pages puts ends on pages of so many bytes at most.
-func Pages(ends []End, room int) []Page {
-	var pages []Page
-	ends = slices.Clone(ends)
-	slices.SortFunc(ends, func(a, b End) int { return strings.Compare(a.UID, b.UID) })
-	team, teams, size := map[string]int{}, []string{}, 0
-	var data []byte
-	var others []End
-	last := uint32(0)
-	flush := func() {
-		if len(data) > 0 || len(others) > 0 {
-			pages = append(pages, Page{Teams: teams, Data: base64.StdEncoding.EncodeToString(data), Others: others})
-		}
-		team, teams, size, data, others, last = map[string]int{}, []string{}, 64, nil, nil, 0
-	}
-	flush()
-	for _, x := range ends {
-		n, usual := parseUsualID(x.UID)
-		usual = usual && x.Tasks >= 0 && x.Tasks < 1<<taskBits
-		more := 20
-		if !usual {
-			more = len(x.UID) + len(x.Team) + 80
-		}
-		if _, ok := team[x.Team]; !ok {
-			more += len(x.Team) + 3
-		}
-		if size+more > room || (usual && n < last) {
-			flush()
-		}
-		size += more
-		if !usual {
-			others = append(others, x)
-			continue
-		}
-		at, ok := team[x.Team]
-		if !ok {
-			at = len(teams)
-			team[x.Team] = at
-			teams = append(teams, x.Team)
-		}
-		v := uint64(x.Tasks)<<1 | uint64(at)<<(taskBits+1)
-		if x.Cancelled {
-			v |= 1
-		}
-		before := len(data)
-		data = binary.AppendUvarint(data, uint64(n-last))
-		data = binary.AppendUvarint(data, v)
-		size += (len(data)-before)*4/3 + 1 - 20
-		last = n
-	}
-	flush()
-	return pages
-}
-
-// ReadPage reads a page as the state service holds it.
-func ReadPage(value []byte) ([]End, error) {
-	var p Page
-	if err := json.Unmarshal(value, &p); err != nil {
-		return nil, fmt.Errorf("datarecovery: page of ends: %w", err)
-	}
-	return p.Ends()
-}
-
-// Ends reads a page.
-func (p *Page) Ends() ([]End, error) {
-	data, err := base64.StdEncoding.DecodeString(p.Data)
-	if err != nil {
-		return nil, fmt.Errorf("datarecovery: page of ends: %w", err)
-	}
-	out := slices.Clone(p.Others)
-	at := uint64(0)
-	next := func() (uint64, error) {
-		v, size := binary.Uvarint(data)
-		if size <= 0 {
-			return 0, fmt.Errorf("datarecovery: page of ends: cut short")
-		}
-		data = data[size:]
-		return v, nil
-	}
-	for len(data) > 0 {
-		step, err := next()
-		if err != nil {
-			return nil, err
-		}
-		v, err := next()
-		if err != nil {
-			return nil, err
-		}
-		at += step
-		team := v >> (taskBits + 1)
-		if at > 1<<32-1 || team >= uint64(len(p.Teams)) {
-			return nil, fmt.Errorf("datarecovery: page of ends: out of range")
-		}
-		out = append(out, End{UID: usualID(uint32(at)), Cancelled: v&1 == 1, Tasks: int(v >> 1 & (1<<taskBits - 1)), Team: p.Teams[team]})
-	}
-	return out, nil
-}
-
 // All lists every end in the order of ids.
 func (e *Ends) All() []End {
 	all, _ := e.Lacking(NewEnds().Digest()) // an own digest can be read
--- /dev/null
+++ b/internal/datarecovery/ends_test.go
@@ -0,0 +1,104 @@
+package datarecovery
+
+import (
+	"encoding/json"
+	"errors"
+	"fmt"
+	"slices"
+	"strings"
+	"testing"
+)
+
+func manyEnds() []End {
+	var ends []End
+	for i := range 400 {
+		ends = append(ends, End{UID: fmt.Sprintf("job-%06d", 7*i), Cancelled: i%3 == 0, Tasks: i, Team: fmt.Sprint("team-", i%5)})
+	}
+	return append(ends,
+		End{UID: "nightly", Tasks: 3, Team: "team-1"},
+		End{UID: "job-7", Tasks: 1, Team: "team-1"},
+		End{UID: "job-4000000", Tasks: 1<<taskBits - 1, Team: "team-2"},
+		End{UID: "job-4000001", Tasks: 1 << taskBits, Team: "team-2", Cancelled: true})
+}
+
+// TestPagesTellTheSameEnds: through pages of any size, none larger than the room, every end comes back as it was.
+func TestPagesTellTheSameEnds(t *testing.T) {
+	want := manyEnds()
+	slices.SortFunc(want, func(a, b End) int { return strings.Compare(a.UID, b.UID) })
+	for _, room := range []int{300, 2000, 100_000} {
+		var got []End
+		for _, page := range Pages(manyEnds(), room) {
+			value, err := json.Marshal(page)
+			if err != nil || len(value) > room {
+				t.Fatalf("room %d: page of %d bytes, %v", room, len(value), err)
+			}
+			ends, err := ReadPage(value)
+			if err != nil {
+				t.Fatal(err)
+			}
+			got = append(got, ends...)
+		}
+		slices.SortFunc(got, func(a, b End) int { return strings.Compare(a.UID, b.UID) })
+		if !slices.Equal(got, want) {
+			t.Errorf("room %d: %d ends, not the %d written", room, len(got), len(want))
+		}
+	}
+}
+
+// TestFormOfAPage: pages outlive the process that wrote them, and controllers of two versions read them.
+func TestFormOfAPage(t *testing.T) {
+	pages := Pages([]End{{UID: "job-000012", Tasks: 5, Team: "red"}, {UID: "job-000300", Tasks: 2, Team: "blue", Cancelled: true}, {UID: "x", Tasks: 1, Team: "red"}}, 10_000)
+	got, err := json.Marshal(pages)
+	const want = `[{"teams":["red","blue"],"data":"DAqgAoWAEA==","others":[{"UID":"x","Withdrawn":false,"Tasks":1,"Team":"red"}]}]`
+	if err != nil || string(got) != want {
+		t.Errorf("%s instead of %s, %v", got, want, err)
+	}
+}
+
+// TestDamagedPages: a page that cannot be read says so.
+func TestDamagedPages(t *testing.T) {
+	for value, want := range map[string]error{
+		`{"teams":["red"],"data":"DA=="}`:     ErrPageCutShort,
+		`{"teams":["red"],"data":"gA=="}`:     ErrPageCutShort,
+		`{"teams":[],"data":"DAo="}`:          ErrPageOutOfRange,
+		`{"teams":["red"],"data":"gICAgCAK"}`: ErrPageOutOfRange,
+		`{"teams":["red"],"data":"*"}`:        nil,
+		`[]`:                                  nil,
+	} {
+		if ends, err := ReadPage([]byte(value)); err == nil || want != nil && !errors.Is(err, want) {
+			t.Errorf("%s: %v, %v", value, ends, err)
+		}
+	}
+}
+
+// TestLackingEnds: a peer's digest tells which ends it lacks, and only these; the first end that was learned stays.
+func TestLackingEnds(t *testing.T) {
+	mine, theirs := NewEnds(), NewEnds()
+	for i, end := range manyEnds() {
+		if !mine.Learn(end) {
+			t.Fatalf("%v was known", end)
+		}
+		if i%2 == 0 {
+			theirs.Learn(end)
+		}
+	}
+	lacking, err := mine.Lacking(theirs.Digest())
+	if err != nil || len(lacking) != mine.Len()-theirs.Len() {
+		t.Fatalf("%d lacking of %d, %v", len(lacking), mine.Len()-theirs.Len(), err)
+	}
+	for _, end := range lacking {
+		theirs.Learn(end)
+	}
+	if !slices.Equal(mine.All(), theirs.All()) {
+		t.Error("not the same ends after the exchange")
+	}
+	if mine.Learn(End{UID: "nightly", Tasks: 9}) {
+		t.Error("a second end of a job was learned")
+	}
+	if end, known := mine.Get("nightly"); !known || end.Tasks != 3 {
+		t.Errorf("%+v", end)
+	}
+	if _, err := mine.Lacking(Digest{IDs: "*"}); err == nil {
+		t.Error("a digest that cannot be read names none")
+	}
+}
--- /dev/null
+++ b/internal/datarecovery/pages.go
@@ -0,0 +1,155 @@
+package datarecovery
+
+import (
+	"encoding/base64"
+	"encoding/binary"
+	"encoding/json"
+	"errors"
+	"fmt"
+	"math"
+	"slices"
+	"strings"
+)
+
+// Page is a number of ends as one value of the state service and as one line between
+// controllers.
+type Page struct {
+	Teams  []string `json:"teams"`
+	Data   string   `json:"data,omitempty"` // of each: distance to the last id, packed end
+	Others []End    `json:"others,omitempty"`
+}
+
+// Sizes of parts of an encoded page, in bytes, as its room is reckoned.
+const (
+	pageFrameSize       = 64 // an empty page
+	packedEndMax        = 20 // the most that an end of usual form takes
+	otherEndFrame       = 80 // of an end that is written out, beside its names
+	teamNameFrame       = 3  // of a team's name
+	base64In, base64Out = 3, 4
+)
+
+// Pages puts ends on pages of so many bytes at most.
+func Pages(ends []End, room int) []Page {
+	ends = slices.Clone(ends)
+	slices.SortFunc(ends, func(a, b End) int { return strings.Compare(a.UID, b.UID) })
+	w := pageWriter{room: room}
+	w.begin()
+	for _, end := range ends {
+		w.add(end)
+	}
+	w.flush()
+	return w.pages
+}
+
+// pageWriter fills pages one after the other.
+type pageWriter struct {
+	room  int
+	pages []Page
+
+	// The page that is being filled.
+	size   int
+	teams  []string
+	team   map[string]int // index in teams
+	data   []byte
+	others []End
+	last   uint32 // id that was packed last
+}
+
+func (w *pageWriter) begin() {
+	w.size, w.teams, w.team, w.data, w.others, w.last = pageFrameSize, []string{}, map[string]int{}, nil, nil, 0
+}
+
+func (w *pageWriter) flush() {
+	if len(w.data) > 0 || len(w.others) > 0 {
+		w.pages = append(w.pages, Page{Teams: w.teams, Data: base64.StdEncoding.EncodeToString(w.data), Others: w.others})
+	}
+	w.begin()
+}
+
+func (w *pageWriter) add(end End) {
+	id, usual := parseUsualID(end.UID)
+	usual = usual && end.Tasks >= 0 && end.Tasks < 1<<taskBits
+	need := packedEndMax
+	if !usual {
+		need = len(end.UID) + len(end.Team) + otherEndFrame
+	}
+	if _, there := w.team[end.Team]; !there {
+		need += len(end.Team) + teamNameFrame
+	}
+	if w.size+need > w.room || (usual && id < w.last) {
+		w.flush()
+	}
+	w.size += need
+	if usual {
+		w.pack(id, end)
+	} else {
+		w.others = append(w.others, end)
+	}
+}
+
+// pack adds an end of usual form: the distance to the last id, then tasks, the team's index and whether it was cancelled.
+func (w *pageWriter) pack(id uint32, end End) {
+	team, there := w.team[end.Team]
+	if !there {
+		team = len(w.teams)
+		w.team[end.Team] = team
+		w.teams = append(w.teams, end.Team)
+	}
+	packed := uint64(end.Tasks)<<1 | uint64(team)<<(taskBits+1)
+	if end.Cancelled {
+		packed |= 1
+	}
+	before := len(w.data)
+	w.data = binary.AppendUvarint(w.data, uint64(id-w.last))
+	w.data = binary.AppendUvarint(w.data, packed)
+	w.size += (len(w.data)-before)*base64Out/base64In + 1 - packedEndMax
+	w.last = id
+}
+
+// ReadPage reads a page as the state service holds it.
+func ReadPage(value []byte) ([]End, error) {
+	var p Page
+	if err := json.Unmarshal(value, &p); err != nil {
+		return nil, fmt.Errorf("datarecovery: page of ends: %w", err)
+	}
+	return p.Ends()
+}
+
+// Ends reads a page.
+func (p *Page) Ends() ([]End, error) {
+	data, err := base64.StdEncoding.DecodeString(p.Data)
+	if err != nil {
+		return nil, fmt.Errorf("datarecovery: page of ends: %w", err)
+	}
+	ends := slices.Clone(p.Others)
+	id := uint64(0)
+	for len(data) > 0 {
+		distance, size := binary.Uvarint(data)
+		if size <= 0 {
+			return nil, ErrPageCutShort
+		}
+		packed, packedSize := binary.Uvarint(data[size:])
+		if packedSize <= 0 {
+			return nil, ErrPageCutShort
+		}
+		data = data[size+packedSize:]
+		id += distance
+		team := packed >> (taskBits + 1)
+		if id > math.MaxUint32 || team >= uint64(len(p.Teams)) {
+			return nil, ErrPageOutOfRange
+		}
+		ends = append(ends, End{
+			UID:       usualID(uint32(id)),
+			Cancelled: packed&1 == 1,
+			Tasks:     int(packed >> 1 & (1<<taskBits - 1)),
+			Team:      p.Teams[team],
+		})
+	}
+	return ends, nil
+}
+
+// What is wrong with a page that cannot be read.
+var (
+	ErrPageCutShort   = errors.New("datarecovery: page of ends: cut short")
+	ErrPageOutOfRange = errors.New("datarecovery: page of ends: out of range")
+)
--- /dev/null
+++ b/internal/datarecovery/writeback_test.go
@@ -0,0 +1,125 @@
+package datarecovery
+
+import (
+	"slices"
+	"testing"
+	"time"
+)
+
+func uids(jobs []RememberedJob) (names []string) {
+	for _, job := range jobs {
+		names = append(names, job.Spec.UID)
+	}
+	return names
+}
+
+// TestJobsAreWrittenBackInOrder: oldest first, with at most so many in flight.
+func TestJobsAreWrittenBackInOrder(t *testing.T) {
+	w := NewWriteBack()
+	missing := []RememberedJob{rememberedJob("job-000003", 30), rememberedJob("job-000001", 10), rememberedJob("job-000002", 20)}
+	if got := uids(w.StartJobs(missing, 2)); !slices.Equal(got, []string{"job-000001", "job-000002"}) {
+		t.Errorf("started %v", got)
+	}
+	if got := w.StartJobs([]RememberedJob{rememberedJob("job-000003", 30)}, 2); len(got) != 0 || w.InFlight("job-000003") {
+		t.Errorf("started %v beyond the limit", uids(got))
+	}
+	w.Written("job-000001")
+	if got := uids(w.StartJobs([]RememberedJob{rememberedJob("job-000003", 30)}, 2)); !slices.Equal(got, []string{"job-000003"}) || w.InFlight("job-000001") {
+		t.Errorf("started %v", got)
+	}
+	if got := w.StartJobs([]RememberedJob{rememberedJob("job-000004", 30)}, 1); len(got) != 0 {
+		t.Errorf("started %v with more in flight than the limit", uids(got))
+	}
+}
+
+// TestStaleKeys: the end of a job that the store has as active is written again by its owner, not before the change that
+// ended it had time to be read here.
+func TestStaleKeys(t *testing.T) {
+	w, due := NewWriteBack(), testStart.Add(staleKeyDelay)
+	w.EndedKeyActive("job-000001", 5, testStart)
+	for name, started := range map[string][]StaleKey{
+		"early":       w.StartStaleKeys(due.Add(-1), 9, always, always),
+		"not owned":   w.StartStaleKeys(due, 9, never, always),
+		"at no limit": w.StartStaleKeys(due, 0, always, always),
+	} {
+		if len(started) != 0 || w.StaleKeys() != 1 {
+			t.Errorf("%s: started %v, %d left", name, started, w.StaleKeys())
+		}
+	}
+	if started := w.StartStaleKeys(due, 9, always, always); !slices.Equal(started, []StaleKey{{"job-000001", 5}}) {
+		t.Fatalf("started %v", started)
+	}
+	if started := w.StartStaleKeys(due, 9, always, always); len(started) != 0 {
+		t.Errorf("started again: %v", started)
+	}
+	w.Written("job-000001")
+	if w.ActiveKeyDeleted("job-000001"); w.StaleKeys() != 0 {
+		t.Error("still stale though the key was deleted")
+	}
+	w.EndedKeyActive("job-000002", 6, testStart)
+	if started := w.StartStaleKeys(due, 9, always, never); len(started) != 0 || w.StaleKeys() != 0 {
+		t.Errorf("a job that has not ended: started %v, %d left", started, w.StaleKeys())
+	}
+}
+
+// TestPagesOfEnds: written once in an epoch, and again after an incomplete write or once more ends are known.
+func TestPagesOfEnds(t *testing.T) {
+	w := NewWriteBack()
+	if !w.StartPages() || w.StartPages() {
+		t.Error("not started, or started twice")
+	}
+	w.PagesDone(false)
+	if !w.StartPages() {
+		t.Error("not started again after a failure")
+	}
+	if w.PagesDone(true); w.StartPages() {
+		t.Error("started again though all is written")
+	}
+	for _, again := range []func(){w.EndsLearned, w.Begin} {
+		if again(); !w.StartPages() {
+			t.Error("not started again")
+		}
+		w.PagesDone(true)
+	}
+}
+
+// TestRounds: what to write back is looked for once in an interval.
+func TestRounds(t *testing.T) {
+	w := NewWriteBack()
+	if !w.RoundDue(testStart) || w.RoundDue(testStart.Add(writeBackInterval-1)) || !w.RoundDue(testStart.Add(writeBackInterval)) {
+		t.Error("not due, or too often")
+	}
+}
+
+// TestCensus: the roster is whole only once the cloud's list, read after its lag, and the memory name nobody else.
+func TestCensus(t *testing.T) {
+	c, lag := NewCensus(), 4*time.Second
+	c.Remember("n-1")
+	c.Begin(testStart)
+	if c.Taken() || c.Due(testStart.Add(2*lag), lag) || !c.Due(testStart.Add(2*lag+1), lag) {
+		t.Error("taken, not due, or due too early")
+	}
+	c.Take([]string{"n-2"})
+	if !c.Taken() || c.Due(testStart.Add(time.Hour), lag) {
+		t.Error("not taken, or due again")
+	}
+	if name, found := c.Unaccounted(func(name string) bool { return name == "n-2" }); !found || name != "n-1" {
+		t.Errorf("unaccounted %q", name)
+	}
+	if name, found := c.Unaccounted(func(name string) bool { return name == "n-1" }); !found || name != "n-2" {
+		t.Errorf("unaccounted %q", name)
+	}
+	if name, found := c.Unaccounted(always); found {
+		t.Errorf("unaccounted %q", name)
+	}
+	if listed, remembered := c.Counts(); listed != 1 || remembered != 1 || !slices.Equal(slices.Collect(c.Listed()), []string{"n-2"}) || !slices.Equal(slices.Collect(c.Remembered()), []string{"n-1"}) {
+		t.Errorf("%d listed, %d remembered", listed, remembered)
+	}
+	c.Take(nil)
+	if !c.Taken() {
+		t.Error("an empty list is none")
+	}
+	if c.Begin(testStart.Add(time.Minute)); c.Taken() || !c.EnteredAt().Equal(testStart.Add(time.Minute)) || len(slices.Collect(c.Remembered())) != 1 {
+		t.Error("another epoch: still taken, or nobody is remembered")
+	}
+}
