--- /dev/null
+++ b/internal/controller/golden_overview_test.go
@@ -0,0 +1,55 @@
+package controller
+
+import (
+	"testing"
+
+	"topazhollow/internal/admission"
+	"topazhollow/internal/datarecovery"
+	"topazhollow/internal/goldentest"
+	"topazhollow/internal/shards"
+	"topazhollow/internal/teamconfig"
+)
+
+// TestGoldenOverview: the answer to GET /overview, which operators' tools read. The form may only grow.
+func TestGoldenOverview(t *testing.T) {
+	behind, age := 0.25, 1.5
+	key := admission.Key{Team: "vision", Class: "train"}
+	full := overview{
+		Node: "estacion-1", Version: "1.2.3", Term: 41, Entitled: true, Behind: &behind, Told: 7, Members: []string{"estacion-1", "estacion-2"}, Deaf: []string{"estacion-2"},
+		Unheard: []string{"estacion-3"}, Still: 0.5, Faulty: 1, Late: []string{"n-000007"}, Owners: map[string]string{shards.ForTeam("vision"): "estacion-1"},
+		Items: map[string]shardOverview{shards.ForTeam("vision"): {Phase: shards.Barrier.String(), Since: 40, InSync: []string{"estacion-2"}, Awaited: 2, Jobs: 3, Waiting: 4, Held: 5, Unproven: 6,
+			CPUs: 96.5, GPUs: 8.5}},
+		Machines: machinesOverview{Known: 9, Homed: 3, Silent: 2, Idle: 1}, Jobs: 12, Waits: map[string]int64{"count": 3, "p50": 100, "p90": 200, "p99": 300, "max": 400},
+		Served: admission.Status{Plan: admission.ID{Since: 40, Number: 6}, Floors: goldenPlan(6).Floors, Reserved: map[string]int{"train": 2}, Refused: 1, Pressure: 0.5,
+			Keys: []admission.KeyStatus{{Key: key, Count: admission.Count{Asked: 9, Accepted: 8, Refused: 7, Started: 6, Done: 5, InTime: 4, Late: 3}, Share: 0.5, Held: 96, Waiting: 2,
+				Oldest: 12.5, Floor: 24}}},
+		Store: datarecovery.Status{Phase: datarecovery.Suspected.String(), Sign: "revision lower than one seen", Epoch: 2, DataLost: true, RosterIncomplete: true, AwaitedMemories: []string{"estacion-2"}, Unwritten: 1,
+			StaleActive: 2, Ends: 3, MemoryComplete: true, Unreplicated: 4, Undescribed: []string{"job-000500"}, Suspicions: 5, Losses: 6},
+		Config: &configOverview{Known: 430, Age: &age, Fresh: true, Latest: 429, Reached: 428, Record: 412, Behind: []teamconfig.Behind{{Node: "estacion-2", Known: 427, For: 2.5}},
+			Open: []openChange{{Team: "vision", Number: 3, Owner: "estacion-1"}}, Unwritten: 1, Lacks: true, Overruled: []teamconfig.Change{goldenChange}, Strangers: []string{"estacion-3"},
+			Changes: map[string]uint64{"vision": 2}},
+	}
+	goldentest.Wire.Check(t, []goldentest.Case{
+		{Name: "overview-full.json", Value: full, Full: true},
+		{Name: "overview-empty.json", Value: overview{Items: map[string]shardOverview{"fleet": {}}, Served: admission.Status{Keys: []admission.KeyStatus{{}}}, Config: &configOverview{}}},
+	})
+}
+
+// TestGoldenOverviewWords: the words that the overview has for phases, and the names of its quantiles.
+func TestGoldenOverviewWords(t *testing.T) {
+	for phase, want := range map[shards.Phase]string{shards.Loading: "loading", shards.Barrier: "barrier", shards.Ready: "ready"} {
+		if phase.String() != want {
+			t.Errorf("phase %q, want %q", phase, want)
+		}
+	}
+	for phase, want := range map[datarecovery.Phase]string{datarecovery.Starting: "starting", datarecovery.MeetingPeers: "meeting", datarecovery.Trusted: "known", datarecovery.Suspected: "doubted", datarecovery.Lost: "lost"} {
+		if phase.String() != want {
+			t.Errorf("phase of the store %q, want %q", phase, want)
+		}
+	}
+	for name, percent := range map[string]float64{"p50": 50, "p90": 90, "p99": 99, "max": 100} {
+		if latencyQuantiles[name] != percent {
+			t.Errorf("quantile %s is %g, want %g", name, latencyQuantiles[name], percent)
+		}
+	}
+}
--- /dev/null
+++ b/internal/controller/golden_state_test.go
@@ -0,0 +1,51 @@
+package controller
+
+import (
+	"strings"
+	"testing"
+
+	"topazhollow/internal/goldentest"
+	"topazhollow/internal/leadership"
+	"topazhollow/internal/protocol"
+	"topazhollow/internal/shards"
+)
+
+// The golden files of the controllers' own keys of the state service. Keys and values outlive the process that wrote them, so the
+// forms may only grow. Those of jobs and ends are in internal/userapi, of pages in internal/jobstate and internal/datarecovery, of
+// rosters in internal/agents, of the control record in internal/leadership, of teams in internal/teamstore.
+
+func TestGoldenKeys(t *testing.T) {
+	goldentest.Bytes(t, "state-keys.txt", []byte(strings.Join([]string{
+		"control record: " + controlKey,
+		"presence of estacion-1: " + nodeKey + "estacion-1",
+		"rosters of estacion-1: " + machineKey + "estacion-1/",
+		"pages of finished tasks of team vision: " + shards.PagesPrefix(shards.ForTeam("vision")),
+		"pages of finished tasks of the fleet, if it had any: " + shards.PagesPrefix(leadership.FleetShard),
+	}, "\n")+"\n"))
+}
+
+func TestGoldenPresence(t *testing.T) {
+	goldentest.Wire.Check(t, []goldentest.Case{
+		{Name: "presence-full.json", Value: present{Incarnation: 1767225600000001}, Full: true},
+		{Name: "presence-empty.json", Value: present{}},
+	})
+}
+
+// goldenRecord is a control record with every field set.
+func goldenRecord() *leadership.Record {
+	return &leadership.Record{Term: 41, Nodes: map[string]uint64{"estacion-1": 1767225600000001, "estacion-2": 1767225600000002},
+		Shards:      map[string]leadership.Shard{shards.ForTeam("vision"): {Owner: "estacion-2", SinceTerm: 40, InSync: []string{"estacion-1"}, NeedsBarrier: true}},
+		Unreachable: []string{"estacion-1"}, Epoch: 2, FirstTerm: 30, StoreID: "DRAWN", PreviousVersion: 411, RosterIncomplete: true, DataLost: true}
+}
+
+// TestGoldenRecordChange: the transactions that write the control record, the first one with its generation's key.
+func TestGoldenRecordChange(t *testing.T) {
+	conditions := []leadership.Condition{{Node: "estacion-1", Version: 400}}
+	first := recordChange{record: goldenRecord(), conditions: conditions}
+	later := recordChange{record: goldenRecord(), conditions: conditions, version: 412, marker: 300}
+	goldentest.Wire.Check(t, []goldentest.Case{
+		{Name: "record-change-first.json", Value: first.transaction()},
+		{Name: "record-change-later.json", Value: later.transaction()},
+		{Name: "record-change-guards-only.json", Value: protocol.Txn{Conditions: []protocol.Condition{{}}}},
+	})
+}
