--- a/internal/controller/admit.go
+++ b/internal/controller/admit.go
@@ -37,9 +37,9 @@
 func keyOf(s *protocol.Submission) admission.Key { return admission.Key{Team: s.Team, Class: s.Class} }
 
 // floorsOf is what the plan in force leaves to a team's classes.
-func (n *Node) floorsOf(it *shards.Owned) map[string]float64 {
+func (n *Node) floorsOf(shard *shards.Owned) map[string]float64 {
 	plan := n.admission.known.Acts()
-	team, ok := shards.TeamOf(it.Name())
+	team, ok := shards.TeamOf(shard.Name())
 	if plan == nil || len(plan.Floors) == 0 || !ok {
 		return nil
 	}
@@ -58,7 +58,7 @@
 
 // goFirst tells for each of a team's demands how many of its tasks go before what is more
 // urgent: as many as its class has less than the plan leaves it, and the first one of an array that has waited long.
-func (n *Node) goFirst(it *shards.Owned, list []jobstate.Demand, now time.Time) []int {
+func (n *Node) goFirst(shard *shards.Owned, list []jobstate.Demand, now time.Time) []int {
 	first := make([]int, len(list))
 	for i, d := range list {
 		if d.Begins {
@@ -70,7 +70,7 @@
 		return first
 	}
 	f := &floorFilling{list: list, first: first, lacks: map[string]float64{}}
-	held := it.Team().HeldBy()
+	held := shard.Team().HeldBy()
 	for i, d := range list {
 		lacks := plan.Floor(keyOf(d.Spec)) - held[d.Spec.Class]
 		if n.jobs[d.Spec.UID] != nil && !d.Probe && d.Spec.CPUs > 0 && lacks >= d.Spec.CPUs {
@@ -157,9 +157,9 @@
 	if n.record == nil {
 		return
 	}
-	if it := n.record.Shards[leadership.FleetShard]; it.Owner == node && n.record.Nodes[node] == incarnation {
+	if fleet := n.record.Shards[leadership.FleetShard]; fleet.Owner == node && n.record.Nodes[node] == incarnation {
 		before := n.admission.known.Acts()
-		n.admission.known.Hear(it.SinceTerm, *w)
+		n.admission.known.Hear(fleet.SinceTerm, *w)
 		n.tellPlan(before)
 	}
 }
@@ -190,15 +190,15 @@
 // makePlan has the fleet's owner make the plans, from every machine's view and from what
 // all owners say waits.
 func (n *Node) makePlan(machines []autoscaler.Machine, demands []autoscaler.Demand, now time.Time) {
-	it := n.record.Shards[leadership.FleetShard]
-	if n.admission.maker == nil || n.admission.maker.Since() != it.SinceTerm {
-		n.admission.maker = admission.NewMaker(it.SinceTerm, &n.admission.known)
+	fleet := n.record.Shards[leadership.FleetShard]
+	if n.admission.maker == nil || n.admission.maker.Since() != fleet.SinceTerm {
+		n.admission.maker = admission.NewMaker(fleet.SinceTerm, &n.admission.known)
 	}
 	inputs := n.planInputs(machines, demands, now)
 	before := n.admission.known.Acts()
 	n.admission.maker.Step(now, inputs, n.plansHeard())
 	force, next := n.admission.maker.Word()
-	n.admission.known.Hear(it.SinceTerm, admission.Word{Force: force, Next: next})
+	n.admission.known.Hear(fleet.SinceTerm, admission.Word{Force: force, Next: next})
 	n.tellPlan(before)
 	if next != nil {
 		n.requestStatus()
@@ -357,11 +357,11 @@
 		return
 	}
 	n.admission.looked = now
-	for it := range n.shards.All() {
-		if it.IsFleet() {
+	for shard := range n.shards.All() {
+		if shard.IsFleet() {
 			continue
 		}
-		it.Team().Jobs(func(tj *jobstate.Job) {
+		shard.Team().Jobs(func(tj *jobstate.Job) {
 			if j := n.jobs[tj.Spec.UID]; j != nil && j.active && !j.countedLate && n.missed(j, now) {
 				j.countedLate = true
 				n.book(j.spec, now, func(c *admission.Count) { c.Late++ })
@@ -398,15 +398,15 @@
 		x := of(k)
 		x.Count, x.Share = c, c.Share()
 	}
-	for it := range n.shards.All() {
-		team, ok := shards.TeamOf(it.Name())
-		if !ok || !it.IsReady() {
+	for shard := range n.shards.All() {
+		team, ok := shards.TeamOf(shard.Name())
+		if !ok || !shard.IsReady() {
 			continue
 		}
-		for class, cpus := range it.Team().HeldBy() {
+		for class, cpus := range shard.Team().HeldBy() {
 			of(admission.Key{Team: team, Class: class}).Held = cpus
 		}
-		for _, d := range it.Team().Demands(now) {
+		for _, d := range shard.Team().Demands(now) {
 			x := of(keyOf(d.Spec))
 			x.Waiting += d.Count + int(d.Beyond/max(d.Spec.CPUs, 1e-9)+0.5)
 			if j := n.jobs[d.Spec.UID]; j != nil {
--- a/internal/controller/capacity_bench_test.go
+++ b/internal/controller/capacity_bench_test.go
@@ -106,8 +106,8 @@
 	for _, machines := range fleetSizes {
 		b.Run(fmt.Sprintf("machines=%d", machines), func(b *testing.B) {
 			g := newGrown(machines, 17)
-			for it := range g.n.shards.InOrder() {
-				barrierShard(g.n, it, 2, g.names)
+			for shard := range g.n.shards.InOrder() {
+				barrierShard(g.n, shard, 2, g.names)
 			}
 			g.n.mu.Lock()
 			defer g.n.mu.Unlock()
--- a/internal/controller/config_follow.go
+++ b/internal/controller/config_follow.go
@@ -163,8 +163,8 @@
 	if n.teamConfig == nil {
 		return
 	}
-	for it := range n.shards.All() {
-		team, ok := shards.TeamOf(it.Name())
+	for shard := range n.shards.All() {
+		team, ok := shards.TeamOf(shard.Name())
 		if !ok {
 			continue
 		}
@@ -173,9 +173,9 @@
 			continue
 		}
 		limits, _ := n.teamConfig.teams.Limits(team, now)
-		it.Team().SetLimits(limits.CPUs, limits.CPUsMax, limits.GPUs, limits.GPUsMax)
-		if it.IsReady() {
-			it.Team().StopExcess(entry.StopExcess)
+		shard.Team().SetLimits(limits.CPUs, limits.CPUsMax, limits.GPUs, limits.GPUsMax)
+		if shard.IsReady() {
+			shard.Team().StopExcess(entry.StopExcess)
 		}
 	}
 }
@@ -201,7 +201,7 @@
 		if n.record.Shards[shards.ForTeam(x.Team)].Owner != n.name {
 			continue
 		}
-		if it := n.shards.OfTeam(x.Team); it == nil || !it.IsReady() || !it.Team().Settled() {
+		if shard := n.shards.OfTeam(x.Team); shard == nil || !shard.IsReady() || !shard.Team().Settled() {
 			w.Unsettled = append(w.Unsettled, x.Team)
 		}
 	}
--- a/internal/controller/demands.go
+++ b/internal/controller/demands.go
@@ -10,15 +10,15 @@
 // demands lists the room that own teams ask for.
 func (n *Node) demands(now time.Time) []demand {
 	var out []demand
-	for it := range n.shards.InOrder() {
-		if !it.IsReady() {
+	for shard := range n.shards.InOrder() {
+		if !shard.IsReady() {
 			continue
 		}
-		list := it.Team().Demands(now)
-		first := n.goFirst(it, list, now)
+		list := shard.Team().Demands(now)
+		first := n.goFirst(shard, list, now)
 		for i, d := range list {
 			if !d.Probe {
-				out = append(out, demand{Job: d.Spec.UID, Count: d.Count, Borrowed: d.Borrowed, QuotaDelay: d.Behind.Milliseconds(), Prioritized: first[i], CPUsBeyondQuota: d.Beyond, Zone: boundZone(it.Team(), d.Spec)})
+				out = append(out, demand{Job: d.Spec.UID, Count: d.Count, Borrowed: d.Borrowed, QuotaDelay: d.Behind.Milliseconds(), Prioritized: first[i], CPUsBeyondQuota: d.Beyond, Zone: boundZone(shard.Team(), d.Spec)})
 			}
 		}
 	}
--- a/internal/controller/gangpreemption.go
+++ b/internal/controller/gangpreemption.go
@@ -14,11 +14,11 @@
 // preemptForGangs has tasks of lower priority stopped for the most urgent waiting gang of each own team, one gang at a time. A
 // gang beyond its team's guarantee stops tasks of its own team only.
 func (n *Node) preemptForGangs(p *placing) {
-	for it := range n.shards.All() {
-		if !it.MayPlace() || it.IsFleet() || !it.Team().HoldsRoom() || !it.Team().HoldsQuota() {
+	for shard := range n.shards.All() {
+		if !shard.MayPlace() || shard.IsFleet() || !shard.Team().HoldsRoom() || !shard.Team().HoldsQuota() {
 			continue
 		}
-		if w := p.firstGang(it); w != nil && p.now.Sub(w.submitted) > preemptionDelay && protocol.Rank(w.spec.Priority) > 0 && !w.spec.Spread {
+		if w := p.firstGang(shard); w != nil && p.now.Sub(w.submitted) > preemptionDelay && protocol.Rank(w.spec.Priority) > 0 && !w.spec.Spread {
 			n.makeGangRoom(p, w)
 		}
 	}
@@ -26,19 +26,19 @@
 
 // firstGang is the most urgent gang of a team that found no room, or else the first that waits for quota; nil if there is none.
 // One that can reach no goal any more stops nobody: what is stopped for it might still have reached its own.
-func (p *placing) firstGang(it *shards.Owned) *waitingTasks {
+func (p *placing) firstGang(shard *shards.Owned) *waitingTasks {
 	for i := range p.short {
-		if w := &p.short[i]; w.it == it && w.spec.Kind == protocol.Gang && !w.probe && !p.missed(w.spec.UID) {
+		if w := &p.short[i]; w.shard == shard && w.spec.Kind == protocol.Gang && !w.probe && !p.missed(w.spec.UID) {
 			return w
 		}
 	}
 	var first *waitingTasks
-	it.Team().Jobs(func(job *jobstate.Job) {
-		if first != nil || job.Spec.Kind != protocol.Gang || !it.Team().Waits(job, p.now) {
+	shard.Team().Jobs(func(job *jobstate.Job) {
+		if first != nil || job.Spec.Kind != protocol.Gang || !shard.Team().Waits(job, p.now) {
 			return
 		}
 		if j := p.n.jobs[job.Spec.UID]; j != nil && j.active && !p.missed(job.Spec.UID) {
-			first = &waitingTasks{claim: claim{it, job}, spec: job.Spec, borrowed: true, submitted: j.submittedAt}
+			first = &waitingTasks{claim: claim{shard, job}, spec: job.Spec, borrowed: true, submitted: j.submittedAt}
 		}
 	})
 	return first
@@ -56,13 +56,13 @@
 
 // makeGangRoom asks for the stops that make room for a gang, unless some are under way already.
 func (n *Node) makeGangRoom(p *placing, w *waitingTasks) {
-	missing, _ := w.it.Team().Gang(w.own)
+	missing, _ := w.shard.Team().Gang(w.own)
 	if len(missing) == 0 || len(n.gangSlots(w.spec.UID)) > 0 {
 		return
 	}
 	ownOnly := w.borrowed || w.count < len(missing)
 	look := p.gangLook(w, ownOnly)
-	cpus, gpus := w.it.Team().QuotaLeft()
+	cpus, gpus := w.shard.Team().QuotaLeft()
 	each := gangpreemption.Amount{CPUs: w.spec.CPUs, GPUs: w.spec.GPUs, Memory: w.spec.MemoryGB}
 	stops, ok := gangpreemption.Plan(gangpreemption.Gang{Tasks: len(missing), Each: each, OneZone: w.spec.OneZone,
 		Quota: gangpreemption.Amount{CPUs: cpus, GPUs: gpus}}, look.machines)
--- a/internal/controller/gangs.go
+++ b/internal/controller/gangs.go
@@ -13,7 +13,7 @@
 
 // placeGang finds room for all missing tasks of a gang, or takes none.
 func (p *placing) placeGang(w *waitingTasks, ask *placement.Ask) bool {
-	missing, attempt := w.it.Team().Gang(w.own)
+	missing, attempt := w.shard.Team().Gang(w.own)
 	if len(missing) == 0 {
 		return true // it runs or ends
 	}
@@ -46,7 +46,7 @@
 			spots[index] = p.n.spot(h)
 			h.Images[ask.Image] = true
 		}
-		if w.it.Team().PlaceGang(w.own, attempt, spots) {
+		if w.shard.Team().PlaceGang(w.own, attempt, spots) {
 			return true
 		}
 	}
@@ -80,7 +80,7 @@
 // left to gangs that made no use of it for some time.
 func (p *placing) reserveForGangs() {
 	for _, w := range p.gangs {
-		if w.it.Team().HoldsRoom() {
+		if w.shard.Team().HoldsRoom() {
 			p.reserveForGang(w)
 		}
 	}
@@ -100,8 +100,8 @@
 // more machines first, and nobody waits for it.
 func (p *placing) reserveForGang(w *waitingTasks) {
 	r := &gangReservation{p: p, w: w, ask: p.n.ask(w.spec), rule: p.n.zoneRule(w)}
-	missing, _ := w.it.Team().Gang(w.own)
-	if p.keepCleared(w, r.ask) > 0 || !w.it.Team().Fits(w.own, len(missing)) {
+	missing, _ := w.shard.Team().Gang(w.own)
+	if p.keepCleared(w, r.ask) > 0 || !w.shard.Team().Fits(w.own, len(missing)) {
 		return // its room is being cleared, or it waits for its team's quota, not for room
 	}
 	best, found := r.bestZone(len(missing))
--- a/internal/controller/grown_test.go
+++ b/internal/controller/grown_test.go
@@ -112,8 +112,8 @@
 		for _, name := range g.names {
 			g.n.machines[name].heardAt = g.now
 			var fresh []jobstate.TaskStatus
-			for it := range g.n.shards.All() {
-				it.Team().On(name, func(h jobstate.Assignment) {
+			for shard := range g.n.shards.All() {
+				shard.Team().On(name, func(h jobstate.Assignment) {
 					if g.ends[h.Ref()].IsZero() {
 						g.ends[h.Ref()] = g.now.Add(20*time.Second + time.Duration(g.rng.IntN(40000))*time.Millisecond)
 						fresh = append(fresh, jobstate.TaskStatus{TaskID: h.TaskID, Attempt: h.Attempt, State: protocol.Running})
@@ -144,8 +144,8 @@
 		}
 	}
 	for _, j := range g.n.jobs { // ended jobs leave the account
-		if it := g.n.shards.OfTeam(j.spec.Team); j.active && it != nil {
-			if tj := it.Team().Job(j.spec.UID); tj != nil && it.Team().Complete(tj) {
+		if shard := g.n.shards.OfTeam(j.spec.Team); j.active && shard != nil {
+			if tj := shard.Team().Job(j.spec.UID); tj != nil && shard.Team().Complete(tj) {
 				g.n.endJob(j.spec.UID)
 			}
 		}
--- a/internal/controller/home.go
+++ b/internal/controller/home.go
@@ -44,9 +44,9 @@
 	n.quarantine.ForgetMachine(name)
 	n.agents.Drop(name)
 	n.log.Info("machine gone", "machine", name)
-	for it := range n.shards.All() {
-		if it.IsReady() {
-			it.Team().Gone(name)
+	for shard := range n.shards.All() {
+		if shard.IsReady() {
+			shard.Team().Gone(name)
 		}
 	}
 	if d := n.commandSenders[name]; d != nil {
@@ -408,13 +408,13 @@
 	}
 	teams := n.teamsOn(v)
 	unknown := n.oldestUnknownTerm(v)
-	for it := range n.shards.InOrder() {
-		if it.IsReady() {
-			if team, _ := shards.TeamOf(it.Name()); slices.Contains(teams, team) || it.Team().Holds(v.Machine) || it.Team().Reserves(v.Machine) || unknown < it.Team().Since() {
-				n.reconcileMachine(it, v)
+	for shard := range n.shards.InOrder() {
+		if shard.IsReady() {
+			if team, _ := shards.TeamOf(shard.Name()); slices.Contains(teams, team) || shard.Team().Holds(v.Machine) || shard.Team().Reserves(v.Machine) || unknown < shard.Team().Since() {
+				n.reconcileMachine(shard, v)
 			}
-		} else if it.Phase() == shards.Barrier && it.Awaits(v.Machine) {
-			n.machineAnswered(it, v)
+		} else if shard.Phase() == shards.Barrier && shard.Awaits(v.Machine) {
+			n.machineAnswered(shard, v)
 		}
 	}
 	n.stopOrphanedTasks(v)
@@ -446,8 +446,8 @@
 	} else {
 		return
 	}
-	if it := n.shards.OfTeam(j.spec.Team); it != nil && it.Phase() != shards.Loading {
-		it.Team().SetFaulty(t.Job, faulty)
+	if shard := n.shards.OfTeam(j.spec.Team); shard != nil && shard.Phase() != shards.Loading {
+		shard.Team().SetFaulty(t.Job, faulty)
 	}
 }
 
--- a/internal/controller/hosts.go
+++ b/internal/controller/hosts.go
@@ -81,8 +81,8 @@
 
 // recountMoved marks the machines where own teams' attempts came or went.
 func (n *Node) recountMoved() {
-	for it := range n.shards.All() {
-		n.recount(maps.Keys(it.Team().TakeMoved()))
+	for shard := range n.shards.All() {
+		n.recount(maps.Keys(shard.Team().TakeMoved()))
 	}
 }
 
@@ -137,8 +137,8 @@
 			cpus, gpus, memory = cpus-c, gpus-g, memory-r
 		}
 	}
-	for it := range n.shards.All() {
-		it.Team().On(m.status.Machine, func(h jobstate.Assignment) {
+	for shard := range n.shards.All() {
+		shard.Team().On(m.status.Machine, func(h jobstate.Assignment) {
 			if !listed[h.Ref()] {
 				cpus, gpus, memory = cpus-h.CPUs, gpus-h.GPUs, memory-h.Memory
 			}
--- a/internal/controller/jobs.go
+++ b/internal/controller/jobs.go
@@ -44,17 +44,17 @@
 		n.reobserveReserved(s.Spec.UID)
 	}
 	j.version = max(j.version, version)
-	if it := n.shards.OfTeam(s.Spec.Team); it != nil && it.Phase() != shards.Loading && it.Team().Job(s.Spec.UID) == nil {
-		n.addJob(it, j, nil)
+	if shard := n.shards.OfTeam(s.Spec.Team); shard != nil && shard.Phase() != shards.Loading && shard.Team().Job(s.Spec.UID) == nil {
+		n.addJob(shard, j, nil)
 		if d := n.recovery.gathering.Finished(s.Spec.UID); d != nil {
-			it.Team().Merge(s.Spec.UID, d)
+			shard.Team().Merge(s.Spec.UID, d)
 		}
 		if n.epoch() > 1 { // machines may run it already
-			n.reconcileMachinesOf(it, s.Spec.UID)
+			n.reconcileMachinesOf(shard, s.Spec.UID)
 		}
 		n.wake()
-	} else if it != nil {
-		it.Team().Written(s.Spec.UID, j.version)
+	} else if shard != nil {
+		shard.Team().Written(s.Spec.UID, j.version)
 	}
 }
 
@@ -78,9 +78,9 @@
 	}
 	j.active, j.endedAt = false, time.Now()
 	n.recovery.gathering.ForgetFinished(uid)
-	if it := n.shards.OfTeam(j.spec.Team); it != nil {
-		it.Team().EndJob(uid)
-		n.reconcileMachinesOf(it, uid)
+	if shard := n.shards.OfTeam(j.spec.Team); shard != nil {
+		shard.Team().EndJob(uid)
+		n.reconcileMachinesOf(shard, uid)
 	}
 	n.wake()
 }
@@ -96,9 +96,9 @@
 	}
 	n.progressSentAt = now
 	progress := map[string][2]int{}
-	for it := range n.shards.All() {
-		it.Team().Jobs(func(j *jobstate.Job) {
-			done, running := it.Team().Progress(j.Spec.UID)
+	for shard := range n.shards.All() {
+		shard.Team().Jobs(func(j *jobstate.Job) {
+			done, running := shard.Team().Progress(j.Spec.UID)
 			if done+running > 0 {
 				progress[j.Spec.UID] = [2]int{done, running}
 			}
--- a/internal/controller/orphan.go
+++ b/internal/controller/orphan.go
@@ -68,9 +68,9 @@
 // became known.
 func (n *Node) reobserveReserved(uid string) {
 	for name := range n.machinesByJob[uid] {
-		for it := range n.shards.All() {
-			if it.IsReady() && it.Team().Reserves(name) {
-				n.reconcileMachine(it, n.machines[name].status)
+		for shard := range n.shards.All() {
+			if shard.IsReady() && shard.Team().Reserves(name) {
+				n.reconcileMachine(shard, n.machines[name].status)
 			}
 		}
 	}
--- a/internal/controller/overview.go
+++ b/internal/controller/overview.go
@@ -79,16 +79,16 @@
 	}
 	if n.record != nil {
 		o.Term, o.Members, o.Deaf = n.record.Term, n.record.Members(), n.record.Unreachable
-		for name, it := range n.record.Shards {
-			o.Owners[name] = it.Owner
+		for name, shard := range n.record.Shards {
+			o.Owners[name] = shard.Owner
 		}
 	}
 	if until := n.cancelWatermark.KnownUntil(now); !until.IsZero() {
 		behind := now.Sub(until).Seconds()
 		o.Behind = &behind
 	}
-	for it := range n.shards.All() {
-		o.Items[it.Name()] = n.shardOverview(it)
+	for shard := range n.shards.All() {
+		o.Items[shard.Name()] = n.shardOverview(shard)
 	}
 	for uid, j := range n.jobs {
 		if !j.active {
@@ -103,17 +103,17 @@
 }
 
 // itemOverview describes an item that this controller owns.
-func (n *Node) shardOverview(it *shards.Owned) shardOverview {
-	x := shardOverview{Phase: it.Phase().String(), Since: it.SinceTerm(), Awaited: it.AwaitedCount(), InSync: n.record.Shards[it.Name()].InSync}
-	if it.IsFleet() {
+func (n *Node) shardOverview(shard *shards.Owned) shardOverview {
+	x := shardOverview{Phase: shard.Phase().String(), Since: shard.SinceTerm(), Awaited: shard.AwaitedCount(), InSync: n.record.Shards[shard.Name()].InSync}
+	if shard.IsFleet() {
 		return x
 	}
-	it.Team().Jobs(func(j *jobstate.Job) {
+	shard.Team().Jobs(func(j *jobstate.Job) {
 		x.Jobs++
-		x.Waiting += it.Team().Unstarted(j)
+		x.Waiting += shard.Team().Unstarted(j)
 	})
-	x.Held, x.Unproven = it.Team().Held()
-	x.CPUs, x.GPUs = it.Team().Used()
+	x.Held, x.Unproven = shard.Team().Held()
+	x.CPUs, x.GPUs = shard.Team().Used()
 	return x
 }
 
--- a/internal/controller/peerhandler.go
+++ b/internal/controller/peerhandler.go
@@ -210,9 +210,9 @@
 		n.hint()
 		return false
 	}
-	it := n.record.Shards[item]
-	if it.SinceTerm < since {
+	entry := n.record.Shards[item]
+	if entry.SinceTerm < since {
 		n.hint()
 	}
-	return it.Owner == node && it.SinceTerm == since
+	return entry.Owner == node && entry.SinceTerm == since
 }
--- a/internal/controller/placing.go
+++ b/internal/controller/placing.go
@@ -148,7 +148,7 @@
 // placeEach places tasks that run independently of each other.
 func (p *placing) placeEach(w *waitingTasks, ask *placement.Ask) {
 	rule := p.n.zoneRule(w)
-	team := w.it.Team()
+	team := w.shard.Team()
 	team.Pending(w.own, p.now, func(index int) bool {
 		if w.count == 0 || !team.Fits(w.own, 1) || w.spare && !team.FitsSpare(w.own) {
 			return false
@@ -188,7 +188,7 @@
 	if s.Spread {
 		r.most = (s.Tasks + 1) / 2
 	}
-	for zone, count := range w.it.Team().Zones(w.own) {
+	for zone, count := range w.shard.Team().Zones(w.own) {
 		r.zones[n.zoneIndex(zone)] += count
 	}
 	return r
--- a/internal/controller/placing_test.go
+++ b/internal/controller/placing_test.go
@@ -78,8 +78,8 @@
 			n.learnJob(userapi.Stored{At: g.now.UnixMilli(), Spec: &spec}, 1)
 		}
 		held := func(uid string) (count int) {
-			for it := range n.shards.All() {
-				for key := range it.Team().Replica().Assignments {
+			for shard := range n.shards.All() {
+				for key := range shard.Team().Replica().Assignments {
 					if key.Job == uid {
 						count++
 					}
--- a/internal/controller/preemption.go
+++ b/internal/controller/preemption.go
@@ -207,11 +207,11 @@
 	if victim == nil || job == nil || protocol.Rank(job.spec.Priority) <= protocol.Rank(victim.spec.Priority) {
 		return
 	}
-	it := n.shards.OfTeam(victim.spec.Team)
-	if it == nil || !it.IsReady() {
+	shard := n.shards.OfTeam(victim.spec.Team)
+	if shard == nil || !shard.IsReady() {
 		return
 	}
-	if it.Team().Stop(e.Attempt, victim.spec.CheckpointSeconds) {
+	if shard.Team().Stop(e.Attempt, victim.spec.CheckpointSeconds) {
 		n.log.Debug("task preempted", "task", e.Attempt.Job, "index", e.Attempt.Index, "for", e.Beneficiary)
 		n.wake()
 	}
--- a/internal/controller/provisioning.go
+++ b/internal/controller/provisioning.go
@@ -49,16 +49,16 @@
 // provision decides once and begins what was decided. It returns the provisioner to go on
 // with, nil while this controller does not own the fleet.
 func (n *Node) provision(p *provisioner, now time.Time) *provisioner {
-	it := n.shards.Owned(leadership.FleetShard)
-	if it == nil {
+	shard := n.shards.Owned(leadership.FleetShard)
+	if shard == nil {
 		n.drainingMachines, n.latePlaces = map[string]bool{}, nil
 		return nil
 	}
 	if !n.entitled(now) || n.machineTypes == nil {
 		return p
 	}
-	if p == nil || p.account.Since() != it.SinceTerm() {
-		p = n.newProvisioner(it.SinceTerm(), now)
+	if p == nil || p.account.Since() != shard.SinceTerm() {
+		p = n.newProvisioner(shard.SinceTerm(), now)
 	}
 	n.readCloudList(p.account, now)
 	if !p.account.Ready() {
@@ -72,7 +72,7 @@
 		Demands:   demands,
 		Inflow:    n.inflow(now),
 		Settled:   n.membershipSettledAt,
-		TakenOver: it.SinceTerm() > n.record.FirstTerm || n.record.Epoch > 1,
+		TakenOver: shard.SinceTerm() > n.record.FirstTerm || n.record.Epoch > 1,
 		Draining:  n.drainingMachines,
 	}, now)
 	n.noteLatePlaces(actions.Late)
--- a/internal/controller/recordchange.go
+++ b/internal/controller/recordchange.go
@@ -181,9 +181,9 @@
 		for _, name := range handed {
 			n.shards.Owned(name).BeginHandOver()
 		}
-		for name, it := range next.Shards {
+		for name, shard := range next.Shards {
 			if have := n.shards.Owned(name); have != nil {
-				have.Replicas().Add(it.InSync)
+				have.Replicas().Add(shard.InSync)
 			}
 		}
 		return next, nil, upkeepReason
--- a/internal/controller/stray_test.go
+++ b/internal/controller/stray_test.go
@@ -125,11 +125,11 @@
 	g.submit(40, 4)
 	g.n.mu.Lock()
 	defer g.n.mu.Unlock()
-	n, it := g.n, g.n.shards.OfTeam("team-0")
+	n, shard := g.n, g.n.shards.OfTeam("team-0")
 	end := func(why protocol.ExitReason) {
 		for _, name := range g.names {
 			var held []jobstate.Assignment
-			it.Team().On(name, func(h jobstate.Assignment) { held = append(held, h) })
+			shard.Team().On(name, func(h jobstate.Assignment) { held = append(held, h) })
 			g.tell(name, func(v *jobstate.MachineStatus) {
 				v.Tasks = nil
 				for _, h := range held {
@@ -139,7 +139,7 @@
 			g.tell(name, func(v *jobstate.MachineStatus) { v.Tasks = nil })
 		}
 	}
-	held := func() int { h, _ := it.Team().Held(); return h }
+	held := func() int { h, _ := shard.Team().Held(); return h }
 	step := func(after time.Duration) {
 		g.now = g.now.Add(after)
 		n.lease.Renewed(g.now)
--- a/internal/controller/sustain_test.go
+++ b/internal/controller/sustain_test.go
@@ -127,24 +127,24 @@
 	}
 	// A start that went nowhere is free to be placed elsewhere; one that may have
 	// left stays held.
-	it := n.shards.OfTeam("team-0")
+	shard := n.shards.OfTeam("team-0")
 	g.submit(1, 4)
 	spec := n.jobs["job-000001"].spec
 	place := func() []jobstate.Order {
-		tj := it.Team().Job(spec.UID)
-		if !it.Team().Place(tj, 0, jobstate.Location{Machine: g.names[0], Session: 1}) {
+		tj := shard.Team().Job(spec.UID)
+		if !shard.Team().Place(tj, 0, jobstate.Location{Machine: g.names[0], Session: 1}) {
 			t.Fatal("no place")
 		}
-		return it.Team().Due(it.Team().Replica().Seq, now, func(string, uint64) bool { return true })[g.names[0]]
+		return shard.Team().Due(shard.Team().Replica().Seq, now, func(string, uint64) bool { return true })[g.names[0]]
 	}
-	it.Team().Unsent(place())
-	if held, _ := it.Team().Held(); held != 0 {
+	shard.Team().Unsent(place())
+	if held, _ := shard.Team().Held(); held != 0 {
 		t.Error("a start that went nowhere is held")
 	}
 	place()
 	now = now.Add(5 * time.Second)
-	it.Team().Unsent(it.Team().Due(it.Team().Replica().Seq, now, func(string, uint64) bool { return true })[g.names[0]])
-	if held, _ := it.Team().Held(); held != 1 {
+	shard.Team().Unsent(shard.Team().Due(shard.Team().Replica().Seq, now, func(string, uint64) bool { return true })[g.names[0]])
+	if held, _ := shard.Team().Held(); held != 1 {
 		t.Error("a start that may be on its way is no longer held")
 	}
 }
--- a/internal/controller/userbackend.go
+++ b/internal/controller/userbackend.go
@@ -27,8 +27,8 @@
 	if j == nil {
 		return 0, 0
 	}
-	if it := n.shards.OfTeam(j.spec.Team); it != nil {
-		return it.Team().Progress(uid)
+	if shard := n.shards.OfTeam(j.spec.Team); shard != nil {
+		return shard.Team().Progress(uid)
 	}
 	for _, p := range n.peers {
 		if v, ok := p.progress[uid]; ok {
--- a/internal/controller/waiting.go
+++ b/internal/controller/waiting.go
@@ -14,8 +14,8 @@
 // claim says whose tasks wait: an own team's, or a peer's, for which room is only kept. Both
 // fields are nil for a peer's.
 type claim struct {
-	it  *shards.Owned
-	own *jobstate.Job
+	shard *shards.Owned
+	own   *jobstate.Job
 }
 
 // waitingTasks are tasks of one job that wait for room, as all owners order them.
@@ -37,9 +37,9 @@
 // peers' teams.
 func (n *Node) allWaiting(now time.Time) []waitingTasks {
 	var list []waitingTasks
-	for it := range n.shards.All() {
-		if it.MayPlace() && !it.IsFleet() {
-			list = n.appendOwnWaiting(list, it, now)
+	for shard := range n.shards.All() {
+		if shard.MayPlace() && !shard.IsFleet() {
+			list = n.appendOwnWaiting(list, shard, now)
 		}
 	}
 	if len(list) == 0 {
@@ -57,23 +57,23 @@
 }
 
 // appendOwnWaiting adds an own team's waiting tasks.
-func (n *Node) appendOwnWaiting(list []waitingTasks, it *shards.Owned, now time.Time) []waitingTasks {
-	demands := it.Team().Demands(now)
-	first := n.goFirst(it, demands, now)
+func (n *Node) appendOwnWaiting(list []waitingTasks, shard *shards.Owned, now time.Time) []waitingTasks {
+	demands := shard.Team().Demands(now)
+	first := n.goFirst(shard, demands, now)
 	for i := range demands {
 		d := &demands[i]
-		own := claim{it, it.Team().Job(d.Spec.UID)}
+		own := claim{shard, shard.Team().Job(d.Spec.UID)}
 		wanted := demand{Job: d.Spec.UID, Count: d.Count, Prioritized: first[i], Borrowed: d.Borrowed}
 		list = n.appendWaiting(list, own, &wanted, d.Probe, now)
 	}
-	return n.appendSpare(list, it, now)
+	return n.appendSpare(list, shard, now)
 }
 
 // appendSpare adds what an own team could place where its demands find no room.
-func (n *Node) appendSpare(list []waitingTasks, it *shards.Owned, now time.Time) []waitingTasks {
+func (n *Node) appendSpare(list []waitingTasks, shard *shards.Owned, now time.Time) []waitingTasks {
 	from := len(list)
-	for _, d := range it.Team().Spare(now) {
-		own := claim{it, it.Team().Job(d.Spec.UID)}
+	for _, d := range shard.Team().Spare(now) {
+		own := claim{shard, shard.Team().Job(d.Spec.UID)}
 		list = n.appendWaiting(list, own, &demand{Job: d.Spec.UID, Count: d.Count, Borrowed: true}, false, now)
 	}
 	for i := range list[from:] {
