--- a/internal/agents/roster.go
+++ b/internal/agents/roster.go
@@ -9,14 +9,13 @@
 	"strconv"
 )
 
-// Roster is what a controller knows of the machines registered in the state
-// service. Each key lists many of them, so that a wave of new or returned
-// machines takes few changes. A controller adds machines to keys of its own;
-// anybody may strike out those that the cloud confirmed to be gone.
+// Roster is what a controller knows of the machines registered in the key-value store. Each key lists many of them, so
+// that a wave of new or returned machines takes few writes. A controller registers machines under keys of its own; any
+// controller may deregister those that the cloud confirmed to be gone.
 type Roster struct {
-	maxValueSize int // bytes of a key's value
+	maxValueSize int // bytes that a key's value may have
 	lists        map[string]*list
-	listCount    map[string]int // in how many lists a machine stands
+	listCount    map[string]int // by machine, how many lists name it
 }
 
 type list struct {
@@ -25,25 +24,25 @@
 	size    int
 }
 
-// RosterWrite is a change of one key, to be written under its present version.
+// RosterWrite is a change of one key, to be written if the key still has the version.
 type RosterWrite struct {
 	Key     string
 	Version uint64
 	Names   []string
 }
 
-// Value is what the write puts into the state service.
+// Value is what the write puts into the key-value store.
 func (w *RosterWrite) Value() RosterValue { return RosterValue{After: w.Version, Names: w.Names} }
 
-// RosterValue is a key's value: the machines, and the version that it replaced. Keys are
-// never deleted, so one that replaced an older version than another controller has seen
-// was written over a store that had lost that one; whom it does not name is not struck off.
+// RosterValue is a key's value: the machines, and the version that it replaced. Keys are never deleted, so a value that
+// replaced an older version than another controller has seen was written over a store that had lost that version;
+// machines that it does not name are not deregistered by it.
 type RosterValue struct {
 	After uint64   `json:"after"`
 	Names []string `json:"names"`
 }
 
-// ReadRoster reads a value; earlier versions wrote the names alone.
+// DecodeRosterValue decodes a key's value; earlier versions of the program wrote the names alone.
 func DecodeRosterValue(value json.RawMessage) (v RosterValue, err error) {
 	if len(value) > 0 && value[0] == '[' {
 		v.After = math.MaxUint64
@@ -55,22 +54,21 @@
 // valueSize is what a value takes beside its names.
 const valueSize = len(`{"after":18446744073709551615,"names":[]}`)
 
-// ErrLostRoster says that a list of machines was written over a store that had lost the one
-// known here.
+// ErrRosterDataLost says that a list of machines was written over a store that had lost the one known here.
 var ErrRosterDataLost = errors.New("workers: a list of machines does not follow the one known")
 
-// NewRoster is an empty roster whose values may take so many bytes.
-func NewRoster(room int) *Roster {
-	return &Roster{maxValueSize: room, lists: map[string]*list{}, listCount: map[string]int{}}
+// NewRoster returns an empty roster whose values may take so many bytes.
+func NewRoster(maxValueSize int) *Roster {
+	return &Roster{maxValueSize: maxValueSize, lists: map[string]*list{}, listCount: map[string]int{}}
 }
 
 // Has says whether a machine is registered.
 func (r *Roster) Has(machine string) bool { return r.listCount[machine] > 0 }
 
-// All lists the registered machines.
+// All returns the registered machines in no order.
 func (r *Roster) All() []string { return slices.Collect(maps.Keys(r.listCount)) }
 
-// Versions gives the version of each key known.
+// Versions returns the version of each key known.
 func (r *Roster) Versions() map[string]uint64 {
 	out := make(map[string]uint64, len(r.lists))
 	for key, l := range r.lists {
@@ -81,7 +79,7 @@
 	return out
 }
 
-// Keys lists the keys known to name any machine.
+// Keys returns the keys known to name any machine.
 func (r *Roster) Keys() []string {
 	var keys []string
 	for key, l := range r.lists {
@@ -92,8 +90,8 @@
 	return keys
 }
 
-// Learn takes in a key's value as of a version; an older one than known is
-// ignored. It tells which machines came on the roster and which left it.
+// ApplyList takes in a key's value as of a version; an older one than known is ignored. It returns which machines became
+// registered and which are no more, or ErrRosterDataLost.
 func (r *Roster) ApplyList(key string, version uint64, value RosterValue) (added, removed []string, err error) {
 	l := r.lists[key]
 	if l == nil {
@@ -136,8 +134,8 @@
 // entrySize is what a name takes in a value, with quotes and comma.
 func entrySize(name string) int { return len(name) + 3 }
 
-// Enter plans the write that registers machines, as many as fit, in a key under
-// a prefix that only this controller adds to.
+// PlanRegistration returns the write that registers machines, as many as fit, in a key under a prefix that only this
+// controller adds to.
 func (r *Roster) PlanRegistration(prefix string, machines []string) RosterWrite {
 	for i := 0; ; i++ {
 		key := prefix + strconv.Itoa(i)
@@ -160,7 +158,7 @@
 	}
 }
 
-// Strike plans the writes that take machines off the roster.
+// PlanDeregistration returns the writes that take machines off the roster.
 func (r *Roster) PlanDeregistration(gone map[string]bool) []RosterWrite {
 	var writes []RosterWrite
 	for _, key := range slices.Sorted(maps.Keys(r.lists)) {
--- a/internal/quarantine/quarantine.go
+++ b/internal/quarantine/quarantine.go
@@ -1,7 +1,7 @@
-// Package quarantine judges failed tasks: whether the job or the machine is at fault.
-// Each speaks against the other only so far: a job that fails on several machines
-// and succeeds on none is held to be faulty, and a machine where several jobs fail
-// that succeed elsewhere is held to be bad. It does no I/O and reads no clock.
+// Package quarantine decides about failed tasks whether the job or the machine is at fault: a job that fails on several
+// machines and succeeds on none is faulty; a machine where several jobs fail that succeed elsewhere is bad, and gets no
+// task for a while. It stops and places nothing itself, does no I/O and reads no clock. A Tracker is not safe for
+// concurrent use; the controller's lock guards it.
 package quarantine
 
 import (
@@ -10,13 +10,13 @@
 )
 
 const (
-	// enough is how many machines must fail a job, or jobs on a machine.
+	// minFailures is on how many machines a job must fail, or how many jobs on a machine.
 	minFailures = 3
-	// fresh is how long a failure speaks against a machine.
+	// failureLife is how long a failure counts against a machine.
 	failureLife = 5 * time.Minute
 )
 
-// Judge remembers what failed where.
+// Tracker remembers what failed where.
 type Tracker struct {
 	jobs     map[string]*job
 	machines map[string]map[string]time.Time // when a job last failed on a machine
@@ -27,28 +27,27 @@
 	failed    map[string]bool // machines; empty once it succeeded
 }
 
-// New is a judge who has seen nothing.
+// New returns a tracker that knows of no failure.
 func New() *Tracker {
 	return &Tracker{jobs: map[string]*job{}, machines: map[string]map[string]time.Time{}}
 }
 
-func (g *Tracker) job(uid string) *job {
-	j := g.jobs[uid]
+func (t *Tracker) job(uid string) *job {
+	j := t.jobs[uid]
 	if j == nil {
 		j = &job{failed: map[string]bool{}}
-		g.jobs[uid] = j
+		t.jobs[uid] = j
 	}
 	return j
 }
 
-// Failed books that a task of a job failed on a machine. It says whether that
-// makes the job faulty, when it was not before.
-func (g *Tracker) RecordFailure(uid, machine string, now time.Time) (turned bool) {
-	if g.machines[machine] == nil {
-		g.machines[machine] = map[string]time.Time{}
+// RecordFailure notes that a task of a job failed on a machine. It says whether the job became faulty by it.
+func (t *Tracker) RecordFailure(uid, machine string, now time.Time) (becameFaulty bool) {
+	if t.machines[machine] == nil {
+		t.machines[machine] = map[string]time.Time{}
 	}
-	g.machines[machine][uid] = now
-	j := g.job(uid)
+	t.machines[machine][uid] = now
+	j := t.job(uid)
 	if j.succeeded || j.failed[machine] || len(j.failed) >= minFailures {
 		return false
 	}
@@ -56,30 +55,30 @@
 	return len(j.failed) >= minFailures
 }
 
-// Done books that a task of a job succeeded on a machine, which lifts any doubt
-// about the job for good. It says whether the job was held to be faulty.
-func (g *Tracker) RecordSuccess(uid, machine string) (lifted bool) {
-	delete(g.machines[machine], uid)
-	j := g.job(uid)
-	lifted = g.IsJobFaulty(uid)
+// RecordSuccess notes that a task of a job succeeded on a machine, after which the job is never faulty. It says whether
+// it was until then.
+func (t *Tracker) RecordSuccess(uid, machine string) (wasFaulty bool) {
+	delete(t.machines[machine], uid)
+	j := t.job(uid)
+	wasFaulty = t.IsJobFaulty(uid)
 	j.succeeded, j.failed = true, nil
-	return lifted
+	return wasFaulty
 }
 
-// Faulty says whether a job is held to be faulty.
-func (g *Tracker) IsJobFaulty(uid string) bool {
-	j := g.jobs[uid]
+// IsJobFaulty says whether a job failed on several machines and succeeded on none.
+func (t *Tracker) IsJobFaulty(uid string) bool {
+	j := t.jobs[uid]
 	return j != nil && len(j.failed) >= minFailures
 }
 
-// Bad says whether a machine is held to be bad.
-func (g *Tracker) IsMachineBad(machine string, now time.Time) bool {
-	if len(g.machines[machine]) < minFailures {
+// IsMachineBad says whether several jobs lately failed on a machine that succeeded on others.
+func (t *Tracker) IsMachineBad(machine string, now time.Time) bool {
+	if len(t.machines[machine]) < minFailures {
 		return false
 	}
 	against := 0
-	maps.DeleteFunc(g.machines[machine], func(uid string, at time.Time) bool {
-		j := g.jobs[uid]
+	maps.DeleteFunc(t.machines[machine], func(uid string, at time.Time) bool {
+		j := t.jobs[uid]
 		if j == nil || now.Sub(at) > failureLife {
 			return true
 		}
@@ -92,7 +91,7 @@
 }
 
 // ForgetJob drops what is known of a job.
-func (g *Tracker) ForgetJob(uid string) { delete(g.jobs, uid) }
+func (t *Tracker) ForgetJob(uid string) { delete(t.jobs, uid) }
 
 // ForgetMachine drops what is known of a machine that is gone.
-func (g *Tracker) ForgetMachine(machine string) { delete(g.machines, machine) }
+func (t *Tracker) ForgetMachine(machine string) { delete(t.machines, machine) }
