--- a/internal/controller/config_follow.go
+++ b/internal/controller/config_follow.go
@@ -247,19 +247,20 @@
 		n.teamConfig.lagging[node] = now
 	} else if now.Sub(since) > configTeachAfter {
 		n.teamConfig.lagging[node] = now
-		n.links.Send(node, "config", configMsg{w.Generation, n.recordVersion, w.Known, n.teamConfig.teams.Known(), n.teamConfig.teams.Lesson(w.Known)})
+		n.links.Send(node, kindTeamConfig, configMsg{w.Generation, n.recordVersion, w.Known, n.teamConfig.teams.Known(), n.teamConfig.teams.Lesson(w.Known)})
 	}
 }
 
 // configTeachAfter is how long a peer may be behind before it is told what it lacks, and how often it is told.
 const configTeachAfter = time.Second
 
-func (n *Node) onConfig(m *configMsg) {
+// onConfig takes in the changes of the configuration that a peer found missing here.
+func (n *Node) onConfig(m *configMsg, now time.Time) {
 	if n.teamConfig == nil || !n.trusted() || n.record == nil || m.Epoch != n.epoch() {
 		return
 	}
 	n.teamConfig.teams.Taught(m.Changes, m.After, m.Known, m.RecordVersion, n.recordVersion)
-	n.configure(time.Now())
+	n.configure(now)
 	n.wake()
 }
 
--- a/internal/controller/configtenants.go
+++ b/internal/controller/configtenants.go
@@ -8,24 +8,27 @@
 	"topazhollow/internal/userapi"
 )
 
-// configTenants is the configuration as the users' frontend sees it.
-type configTenants Node
+// configTenants gives the user API the configuration of the teams; it implements userapi.Tenants. Its methods take
+// Node.mu.
+type configTenants struct{ node *Node }
+
+var _ userapi.Tenants = configTenants{}
 
 // Team gives the limits of a team that takes new jobs, as far as known here.
-func (b *configTenants) Team(name string) (settings.Team, bool) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	return b.teamConfig.teams.Takes(name)
+func (t configTenants) Team(name string) (settings.Team, bool) {
+	n := t.node
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	return n.teamConfig.teams.Takes(name)
 }
 
 // Rests names what an acceptance for a team rests on: its configuration as known here.
-func (b *configTenants) Rests(name string) []protocol.Condition {
-	b.mu.Lock()
-	defer b.mu.Unlock()
+func (t configTenants) Rests(name string) []protocol.Condition {
+	n := t.node
+	n.mu.Lock()
+	defer n.mu.Unlock()
 	if !teamconfig.ValidTeam(name) {
 		return nil
 	}
-	return []protocol.Condition{{Key: teamstore.Prefix + name, Version: b.teamConfig.teams.Version(name)}}
+	return []protocol.Condition{{Key: teamstore.Prefix + name, Version: n.teamConfig.teams.Version(name)}}
 }
-
-var _ userapi.Tenants = (*configTenants)(nil)
--- a/internal/controller/home.go
+++ b/internal/controller/home.go
@@ -492,13 +492,13 @@
 		}
 		views = append(views, v)
 		if tasks += 1 + len(v.Tasks); tasks >= maxStatusesPerMessage {
-			n.broadcast("views", views)
+			n.broadcast(kindMachineStatuses, views)
 			views, tasks = nil, 0
 		}
 	}
 	n.changedMachines = map[string]bool{}
 	if len(views) > 0 {
-		n.broadcast("views", views)
+		n.broadcast(kindMachineStatuses, views)
 	}
 }
 
--- a/internal/controller/jobend.go
+++ b/internal/controller/jobend.go
@@ -39,7 +39,7 @@
 		Guards: []protocol.Condition{{Key: userapi.JobKey + uid, Version: written}, {Key: controlKey, Version: version}},
 		Ops:    []protocol.Op{{Delete: userapi.JobKey + uid}, {Set: userapi.FinalKey + uid, Value: protocol.Encode(end)}}})
 	if c := (*kvstore.Conflict)(nil); errors.As(err, &c) && slices.Contains(c.Keys, userapi.JobKey+uid) {
-		(*userBackend)(n).Missing(uid) // or just withdrawn; the record may have changed as well, which says nothing
+		userBackend{n}.Missing(uid) // or just withdrawn; the record may have changed as well, which says nothing
 	}
 	if err == nil {
 		n.replicateFact(ctx, replicateFactMsg{Ends: []jobEnd{{uid, end}}})
--- a/internal/controller/jobs.go
+++ b/internal/controller/jobs.go
@@ -85,11 +85,11 @@
 	n.wake()
 }
 
-// progressEvery is how often jobs' progress is told: users may be told of it a few seconds
-// late, and it is the longest part of a status.
+// progressInterval is how often a status has the jobs' progress: users may see it a few seconds late, and it is the
+// longest part of a status.
 const progressInterval = 900 * time.Millisecond
 
-// progress is the progress of own teams' jobs when it is due to be told, nil otherwise.
+// dueProgress is the progress of own teams' jobs when it is due to be sent, nil otherwise.
 func (n *Node) dueProgress(now time.Time) map[string][2]int {
 	if now.Sub(n.progressSentAt) < progressInterval {
 		return nil
--- a/internal/controller/leaserenewal.go
+++ b/internal/controller/leaserenewal.go
@@ -174,13 +174,13 @@
 	immediateRecordSenders = 3                     // members who tell it at once
 )
 
-// teachAfter is for how long a peer must be behind before it is told the record: it mostly reads it by itself meanwhile, and in a
+// recordSendDelay is for how long a peer must be behind before it is sent the record: it mostly reads it by itself meanwhile, and in a
 // large group all others would tell it at the same time.
 func recordSendDelay(members int) time.Duration {
 	return min(recordSendInterval, time.Duration(max(0, members-immediateRecordSenders))*recordDelayPerMember)
 }
 
-// teach gives the control record to a peer that knows an earlier one, as one that the state service refused
+// sendNewerRecord gives the control record to a peer that knows an earlier one, as one that the state service refused
 // before it was down for all: it may act by promises only under the latest.
 func (n *Node) sendNewerRecord(name string, s *statusMsg, now time.Time) {
 	p := n.peers[name]
@@ -195,7 +195,7 @@
 		return
 	}
 	p.recordSentAt = now
-	n.links.Send(name, "record", recordMsg{n.recordVersion, protocol.Encode(n.record)})
+	n.links.Send(name, kindRecord, recordMsg{n.recordVersion, protocol.Encode(n.record)})
 }
 
 // onRecord takes up a control record that a peer tells, if it is newer than the one known here and of the same generation.
--- a/internal/controller/messages.go
+++ b/internal/controller/messages.go
@@ -9,43 +9,69 @@
 	"topazhollow/internal/teamconfig"
 )
 
-// The lines between controllers. Unknown kinds and fields are ignored.
-type (
-	ordersMsg struct {
-		Term    uint64           `json:"term"`
-		Machine string           `json:"machine"`
-		Orders  []jobstate.Order `json:"orders"`
-	}
-	// statusMsg is told twice a second.
-	statusMsg struct {
-		Term          uint64                    `json:"term"`
-		Entitled      bool                      `json:"entitled"`
-		HoldsLease    bool                      `json:"leased,omitempty"`
-		SentAt        int64                     `json:"at"`                  // the sender's steady clock, ms
-		Received      map[string]receivedStatus `json:"heard,omitempty"`     // the last At of each peer
-		Promise       bool                      `json:"promise,omitempty"`   // to raise no term for promiseLife
-		HeartbeatAges map[string]int64          `json:"alive,omitempty"`     // homed machines: ms since their last report
-		InFlightAges  map[string]int64          `json:"in_flight,omitempty"` // of these, by starts that may still arrive: ms since all withdrawals known at the sending were confirmed
-		Misdirected   []string                  `json:"stray,omitempty"`     // machines of other homes that reported here since the last status
-		Demands       []demand                  `json:"demands,omitempty"`
-		Progress      map[string][2]int         `json:"progress,omitempty"` // of own teams' jobs, in one status a second; nil: as it was
-		Draining      []string                  `json:"drain,omitempty"`
-		Awaited       []string                  `json:"awaits,omitempty"` // machines that a barrier waits for
-		Unanswered    []string                  `json:"mute,omitempty"`   // machines that did not answer a probe
-		WantedWrites  *float64                  `json:"writes,omitempty"` // changes of the state service wanted a second
-		Store         datarecovery.Assessment   `json:"store"`            // what the sender holds of the state service
-		RecordVersion *uint64                   `json:"version"`          // of the control record that it knows; a promise counts for that one and later ones
-		Cancellations *uint64                   `json:"told"`             // withdrawals that this process confirmed to users so far
-		Plan          admission.Word            `json:"plan"`             // what it knows of plans of who gets how much
-		Config        *teamconfig.Word          `json:"config,omitempty"` // what it knows of the teams' configuration
-	}
+// Kinds of the messages between controllers; those of replicas are in internal/shards, those of the recovery of
+// data in recovery_gather.go. The words stay as they are while controllers of several versions run beside each
+// other. A controller ignores kinds and fields that it does not know.
+const (
+	kindStatus          = "status"
+	kindMachineStatuses = "views" // a list of jobstate.MachineStatus
+	kindOrders          = "orders"
+	kindRecord          = "record"
+	kindTeamConfig      = "config"
+	kindEvict           = "evict"
 )
 
-// echo names a peer's status that was heard.
+// ordersMsg gives the home of a machine the commands that a shard's owner has for it.
+type ordersMsg struct {
+	Term    uint64           `json:"term"` // of the control record that the sender acts under
+	Machine string           `json:"machine"`
+	Orders  []jobstate.Order `json:"orders"`
+}
+
+// statusMsg is a controller's heartbeat to all its peers, twice a second and when something is urgent.
+type statusMsg struct {
+	Term       uint64 `json:"term"`             // of the control record that the sender knows; 0 if none
+	Entitled   bool   `json:"entitled"`         // the sender may act
+	HoldsLease bool   `json:"leased,omitempty"` // the sender's lease in the state service is valid
+	SentAt     int64  `json:"at"`               // ms of the sender's steady clock
+	// Received names the last status of each peer that reached the sender lately.
+	Received map[string]receivedStatus `json:"heard,omitempty"`
+	// Promise is the sender's word to raise no term for promiseLife.
+	Promise bool `json:"promise,omitempty"`
+	// HeartbeatAges is for each machine whose home the sender is the ms since its last heartbeat.
+	HeartbeatAges map[string]int64 `json:"alive,omitempty"`
+	// InFlightAges is, for those of these machines that a start may still reach, the ms since all cancellations that
+	// were known when it was sent had been confirmed.
+	InFlightAges map[string]int64 `json:"in_flight,omitempty"`
+	// Misdirected are the machines of other homes that reported to the sender since its last status.
+	Misdirected []string `json:"stray,omitempty"`
+	Demands     []demand `json:"demands,omitempty"`
+	// Progress is the tasks done and running of each job of the sender's teams; nil if it is not due.
+	Progress map[string][2]int `json:"progress,omitempty"`
+	// Draining are the machines that no task should go to, if the sender owns the fleet.
+	Draining []string `json:"drain,omitempty"`
+	// Awaited are the machines that the sender's barriers wait for, Unanswered those that did not answer its probe.
+	Awaited    []string `json:"awaits,omitempty"`
+	Unanswered []string `json:"mute,omitempty"`
+	// WantedWrites is how many changes of the state service a second the sender has use for; nil if unknown.
+	WantedWrites *float64 `json:"writes,omitempty"`
+	// Store is what the sender knows of the state service's data.
+	Store datarecovery.Assessment `json:"store"`
+	// RecordVersion is that of the control record that the sender knows. A promise counts for that one and later ones.
+	RecordVersion *uint64 `json:"version"`
+	// Cancellations is how many the sender's process has confirmed to users.
+	Cancellations *uint64 `json:"told"`
+	// Plan is what the sender knows of plans of quota, Config of the teams' configuration.
+	Plan   admission.Word   `json:"plan"`
+	Config *teamconfig.Word `json:"config,omitempty"`
+}
+
+// receivedStatus acknowledges the last status of a peer.
 type receivedStatus struct {
-	Incarnation   uint64  `json:"incarnation"`
-	SentAt        int64   `json:"at"`
-	Cancellations *uint64 `json:"got"` // of the withdrawals that it confirmed, taken in without a gap
+	Incarnation uint64 `json:"incarnation"` // of the peer's process
+	SentAt      int64  `json:"at"`          // its clock in that status, in ms
+	// Cancellations is how many of those that it confirmed were received without a gap.
+	Cancellations *uint64 `json:"got"`
 }
 
 // demand is room that waiting tasks of a job ask for.
--- a/internal/controller/node.go
+++ b/internal/controller/node.go
@@ -179,10 +179,10 @@
 		n.peers[p.Name] = &peerState{}
 	}
 	n.cancelWatermark = cancelwatermark.New(slices.Collect(maps.Keys(n.peers)), settings.Seconds(s.Deployment.Agents.CancelSeconds), settings.Seconds(s.Deployment.Agents.LeaseSeconds))
-	n.links = peer.New(s.Name, n.incarnation, addrs, (*peerHandler)(n), n.log)
-	n.front = userapi.New(s, n.kvStore, (*userBackend)(n))
+	n.links = peer.New(s.Name, n.incarnation, addrs, peerHandler{n}, n.log)
+	n.front = userapi.New(s, n.kvStore, userBackend{n})
 	if n.teamConfig = newConfigFollow(s, o); n.teamConfig != nil {
-		n.front.Follow((*configTenants)(n))
+		n.front.Follow(configTenants{n})
 	}
 	return n
 }
--- a/internal/controller/orders.go
+++ b/internal/controller/orders.go
@@ -39,7 +39,7 @@
 		n.acceptOrders(name, n.record.Term, orders)
 		return true
 	}
-	return n.links.Send(home, "orders", ordersMsg{Term: n.record.Term, Machine: name, Orders: orders})
+	return n.links.Send(home, kindOrders, ordersMsg{Term: n.record.Term, Machine: name, Orders: orders})
 }
 
 // acceptOrders queues orders of an owner at the machine's home.
--- a/internal/controller/overview.go
+++ b/internal/controller/overview.go
@@ -55,7 +55,7 @@
 	Idle   int `json:"idle"`
 }
 
-// quantiles are those of the times from submission to start that are shown, in percent.
+// latencyQuantiles are those of the times from submission to start that are shown, in percent.
 var latencyQuantiles = map[string]float64{"p50": 50, "p90": 90, "p99": 99, "max": 100}
 
 func (n *Node) overview(now time.Time) overview {
@@ -102,7 +102,7 @@
 	return o
 }
 
-// itemOverview describes an item that this controller owns.
+// shardOverview describes a shard that this controller owns.
 func (n *Node) shardOverview(shard *shards.Owned) shardOverview {
 	x := shardOverview{Phase: shard.Phase().String(), Since: shard.SinceTerm(), Awaited: shard.AwaitedCount(), InSync: n.record.Shards[shard.Name()].InSync}
 	if shard.IsFleet() {
@@ -136,7 +136,7 @@
 	return x
 }
 
-// unheardPeers names the controllers that are not heard.
+// unreachablePeers names the controllers that no message came from lately.
 func (n *Node) unreachablePeers(now time.Time) (names []string) {
 	for _, name := range slices.Sorted(maps.Keys(n.peers)) {
 		if !n.peers[name].isReachable(now) {
@@ -146,7 +146,7 @@
 	return names
 }
 
-// waitsOverview is the distribution of times from submission to start, in milliseconds.
+// startLatencies is the distribution of times from submission to start, in milliseconds.
 func (n *Node) startLatencies() map[string]int64 {
 	waits := map[string]int64{"count": n.startLatency.TotalCount()}
 	for name, q := range latencyQuantiles {
--- a/internal/controller/peerhandler.go
+++ b/internal/controller/peerhandler.go
@@ -4,144 +4,149 @@
 	"time"
 
 	"topazhollow/internal/jobstate"
+	"topazhollow/internal/peer"
 	"topazhollow/internal/protocol"
 	"topazhollow/internal/shards"
 )
 
-// peerHandler is the controller as its links see it.
-type peerHandler Node
+// peerHandler takes what comes from the controller's peers; it implements peer.Handler.
+type peerHandler struct{ node *Node }
 
-func (h *peerHandler) PeerUp(node string) {
-	n := (*Node)(h)
+var _ peer.Handler = peerHandler{}
+
+// PeerUp notes a new connection to a peer, which has to be sent everything anew.
+func (h peerHandler) PeerUp(name string) {
+	n := h.node
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.peers[node].connected = true
-	n.peers[node].delivery.Up(time.Now())
-	n.shards.ForgetReplica(node)
-	for name := range n.agents.All() {
-		n.changedMachines[name] = true
+	n.peers[name].connected = true
+	n.peers[name].delivery.Up(time.Now())
+	n.shards.ForgetReplica(name)
+	for machine := range n.agents.All() {
+		n.changedMachines[machine] = true
 	}
 	if n.record != nil {
-		n.sendMemories(false, node)
+		n.sendMemories(false, name)
 	}
-	n.requestStatus() // one that starts waits for this one's word
+	n.requestStatus() // a peer that starts waits for this controller's status
 	n.wake()
 }
 
-func (h *peerHandler) PeerDown(node string) {
-	n := (*Node)(h)
+// PeerDown notes that the connection to a peer was lost.
+func (h peerHandler) PeerDown(name string) {
+	n := h.node
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.peers[node].connected = false
-	n.shards.ForgetReplica(node)
+	n.peers[name].connected = false
+	n.shards.ForgetReplica(name)
 }
 
-func (h *peerHandler) PeerMessage(node string, incarnation uint64, kind string, body []byte) {
-	n := (*Node)(h)
+// PeerMessage hands a message to the handler of its kind.
+func (h peerHandler) PeerMessage(name string, incarnation uint64, kind string, body []byte) {
+	n := h.node
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	now := time.Now()
-	p := n.peers[node]
-	if p.incarnation != incarnation {
-		p.incarnation, p.statusSentAt = incarnation, 0
-	}
-	n.cancelWatermark.RecordIncarnation(node, incarnation, now)
-	p.lastMessageAt = now
-	var err error
-	switch kind {
-	case "status":
-		var s statusMsg
-		if err = protocol.Decode(body, &s); err == nil {
-			n.onStatus(p, &s, now)
-			n.resetIfHalfOpen(node, &s, now)
-			n.onPeerCancellations(node, &s, now)
-			n.onHomeWatermarks(node, &s, now)
-			n.sendNewerRecord(node, &s, now)
-			n.recovery.detection.PeerAssessed(node, s.Store, n.record, now)
-			n.onPlan(node, incarnation, p, &s.Plan)
-			n.onConfigWord(node, incarnation, s.Config, now)
-		}
-	case "views":
-		var views []*jobstate.MachineStatus
-		if err = protocol.Decode(body, &views); err == nil {
-			for _, v := range views {
-				if v != nil && v.Machine != "" {
-					n.applyStatus(v, now)
-				}
-			}
-		}
-	case "orders":
-		var o ordersMsg
-		if err = protocol.Decode(body, &o); err == nil {
-			n.onOrders(&o, now)
-		}
-	case shards.KindProbe:
-		var m shards.ProbeRequest
-		if err = protocol.Decode(body, &m); err == nil {
-			n.onProbe(m.Addrs, now)
-		}
-	case "record":
-		var m recordMsg
-		if err = protocol.Decode(body, &m); err == nil {
-			n.onRecord(&m)
-		}
-	case "config":
-		var m configMsg
-		if err = protocol.Decode(body, &m); err == nil {
-			n.onConfig(&m)
-		}
-	case "evict":
-		var e evictMsg
-		if err = protocol.Decode(body, &e); err == nil {
-			n.onEvict(&e)
-		}
-	case shards.KindCopy:
-		var c shards.Copy
-		if err = protocol.Decode(body, &c); err == nil {
-			n.onCopy(node, incarnation, &c)
-		}
-	case shards.KindCopyPart:
-		var m shards.CopyPart
-		if err = protocol.Decode(body, &m); err == nil {
-			n.onCopyPart(node, incarnation, &m)
-		}
-	case shards.KindDeltas:
-		var d shards.Deltas
-		if err = protocol.Decode(body, &d); err == nil {
-			n.onDeltas(node, incarnation, &d)
-		}
-	case kindMemories:
-		var m memoriesMsg
-		if err = protocol.Decode(body, &m); err == nil {
-			n.onMemories(node, &m)
-		}
-	case kindMissingEnds:
-		var m missingEndsMsg
-		if err = protocol.Decode(body, &m); err == nil {
-			n.onMissingEnds(node, &m)
-		}
-	case kindReplicateFact:
-		var m replicateFactMsg
-		if err = protocol.Decode(body, &m); err == nil {
-			n.onReplicateFact(node, &m)
-		}
-	case kindFactReplicated:
-		var m factReplicatedMsg
-		if err = protocol.Decode(body, &m); err == nil {
-			n.onFactReplicated(&m)
-		}
-	case shards.KindAcknowledgement:
-		var a shards.Acknowledgement
-		if err = protocol.Decode(body, &a); err == nil {
-			n.onAcknowledgement(node, incarnation, &a)
+	p := n.peers[name]
+	p.recordMessage(incarnation, now)
+	n.cancelWatermark.RecordIncarnation(name, incarnation, now)
+	handle, known := messageHandlers[kind]
+	if !known {
+		return
+	}
+	if err := handle(n, &sender{name: name, incarnation: incarnation, state: p}, body, now); err != nil {
+		n.log.Error("unreadable line", "peer", name, "kind", kind, "err", err)
+	}
+}
+
+// sender is the process that a message comes from.
+type sender struct {
+	name        string
+	incarnation uint64
+	state       *peerState
+}
+
+// messageHandler decodes the body of a message and carries it out. An error says that the body could not be decoded.
+type messageHandler func(n *Node, from *sender, body []byte, now time.Time) error
+
+// messageHandlers are the handlers by the messages' kind. n.mu is held when one is called.
+var messageHandlers = map[string]messageHandler{
+	kindStatus:          typed((*Node).onStatus),
+	kindMachineStatuses: typed((*Node).onMachineStatuses),
+	kindOrders:          typed((*Node).onOrders),
+	kindRecord: typed(func(n *Node, _ *sender, m *recordMsg, _ time.Time) {
+		n.onRecord(m)
+	}),
+	kindTeamConfig: typed(func(n *Node, _ *sender, m *configMsg, now time.Time) {
+		n.onConfig(m, now)
+	}),
+	kindEvict: typed(func(n *Node, _ *sender, m *evictMsg, _ time.Time) {
+		n.onEvict(m)
+	}),
+	shards.KindProbe: typed(func(n *Node, _ *sender, m *shards.ProbeRequest, now time.Time) {
+		n.onProbe(m.Addrs, now)
+	}),
+	shards.KindCopy: typed(func(n *Node, from *sender, m *shards.Copy, _ time.Time) {
+		n.onCopy(from.name, from.incarnation, m)
+	}),
+	shards.KindCopyPart: typed(func(n *Node, from *sender, m *shards.CopyPart, _ time.Time) {
+		n.onCopyPart(from.name, from.incarnation, m)
+	}),
+	shards.KindDeltas: typed(func(n *Node, from *sender, m *shards.Deltas, _ time.Time) {
+		n.onDeltas(from.name, from.incarnation, m)
+	}),
+	shards.KindAcknowledgement: typed(func(n *Node, from *sender, m *shards.Acknowledgement, _ time.Time) {
+		n.onAcknowledgement(from.name, from.incarnation, m)
+	}),
+	kindMemories: typed(func(n *Node, from *sender, m *memoriesMsg, _ time.Time) {
+		n.onMemories(from.name, m)
+	}),
+	kindMissingEnds: typed(func(n *Node, from *sender, m *missingEndsMsg, _ time.Time) {
+		n.onMissingEnds(from.name, m)
+	}),
+	kindReplicateFact: typed(func(n *Node, from *sender, m *replicateFactMsg, _ time.Time) {
+		n.onReplicateFact(from.name, m)
+	}),
+	kindFactReplicated: typed(func(n *Node, _ *sender, m *factReplicatedMsg, _ time.Time) {
+		n.onFactReplicated(m)
+	}),
+}
+
+// typed makes the handler of a kind whose bodies are of type M.
+func typed[M any](handle func(n *Node, from *sender, m *M, now time.Time)) messageHandler {
+	return func(n *Node, from *sender, body []byte, now time.Time) error {
+		var m M
+		if err := protocol.Decode(body, &m); err != nil {
+			return err
 		}
+		handle(n, from, &m, now)
+		return nil
 	}
-	if err != nil {
-		n.log.Error("unreadable line", "peer", node, "kind", kind, "err", err)
+}
+
+// onMachineStatuses takes in the status of machines whose home the sender is.
+func (n *Node) onMachineStatuses(_ *sender, statuses *[]*jobstate.MachineStatus, now time.Time) {
+	for _, status := range *statuses {
+		if status != nil && status.Machine != "" {
+			n.applyStatus(status, now)
+		}
 	}
 }
 
-// resetIfHalfOpen has the connection to a peer dialled anew if the peer, which is heard, does not get what is sent on it.
+// onStatus takes in a peer's heartbeat, one part of the controller after the other.
+func (n *Node) onStatus(from *sender, s *statusMsg, now time.Time) {
+	n.applyPeerStatus(from.state, s, now)
+	n.resetIfHalfOpen(from.name, s, now)
+	n.onPeerCancellations(from.name, s, now)
+	n.onHomeWatermarks(from.name, s, now)
+	n.sendNewerRecord(from.name, s, now)
+	n.recovery.detection.PeerAssessed(from.name, s.Store, n.record, now)
+	n.onPlan(from.name, from.incarnation, from.state, &s.Plan)
+	n.onConfigWord(from.name, from.incarnation, s.Config, now)
+}
+
+// resetIfHalfOpen has the connection to a peer dialled anew if the peer's messages arrive here, but its statuses say that
+// nothing arrives there.
 func (n *Node) resetIfHalfOpen(node string, s *statusMsg, now time.Time) {
 	received := uint64(0)
 	if e := s.Received[n.name]; e.Incarnation == n.incarnation && e.SentAt > 0 {
@@ -153,29 +158,10 @@
 	}
 }
 
-func (n *Node) onStatus(p *peerState, s *statusMsg, now time.Time) {
-	p.holdsLease, p.statusSentAt = s.HoldsLease, s.SentAt
-	if e, ok := s.Received[n.name]; ok && s.Promise && s.RecordVersion != nil && e.Incarnation == n.incarnation && n.sentBy(e.SentAt, now) {
-		// The promise runs from when the peer sent it, which was after our own
-		// status that it names: counted from then, and less the clocks' drift, it
-		// ends here first.
-		until := n.startedAt.Add(time.Duration(e.SentAt)*time.Millisecond + promiseLife - promiseLife/500)
-		if until.After(p.promisedUntil) {
-			p.promisedUntil, p.promisedVersion = until, *s.RecordVersion
-		}
-	}
-	p.entitled, p.demands = s.Entitled, s.Demands
-	if s.Progress != nil {
-		p.progress = s.Progress
-	}
-	p.drainingMachines = map[string]bool{}
-	for _, m := range s.Draining {
-		p.drainingMachines[m] = true
-	}
-	p.awaitedMachines, p.unansweredMachines, p.wantedWrites = s.Awaited, s.Unanswered, -1
-	if s.WantedWrites != nil {
-		p.wantedWrites = *s.WantedWrites
-	}
+// applyPeerStatus takes in what a status says of the peer itself and of the machines whose home it is.
+func (n *Node) applyPeerStatus(p *peerState, s *statusMsg, now time.Time) {
+	n.applyPromise(p, s, now)
+	p.apply(s)
 	for name, age := range s.HeartbeatAges {
 		if m := n.machines[name]; m != nil && !m.gone {
 			t := now.Add(-time.Duration(age) * time.Millisecond)
@@ -192,7 +178,20 @@
 	}
 }
 
-func (n *Node) onOrders(o *ordersMsg, now time.Time) {
+// applyPromise takes in a peer's promise to raise no term, if it names a status of this process.
+func (n *Node) applyPromise(p *peerState, s *statusMsg, now time.Time) {
+	received, ok := s.Received[n.name]
+	if !ok || !s.Promise || s.RecordVersion == nil || received.Incarnation != n.incarnation || !n.sentBy(received.SentAt, now) {
+		return
+	}
+	// The promise runs from when the peer sent it, which was after our own status that it names: counted from then,
+	// and less the clocks' drift, it ends here first.
+	sentAt := n.startedAt.Add(time.Duration(received.SentAt) * time.Millisecond)
+	p.extendPromise(sentAt.Add(promiseLife-promiseLife/500), *s.RecordVersion)
+}
+
+// onOrders takes in orders of a shard's owner for a machine whose home this controller is.
+func (n *Node) onOrders(_ *sender, o *ordersMsg, now time.Time) {
 	if n.record == nil || !n.entitled(now) {
 		return
 	}
--- a/internal/controller/preemption.go
+++ b/internal/controller/preemption.go
@@ -198,7 +198,7 @@
 		n.onEvict(&e)
 		return
 	}
-	n.links.Send(owner, "evict", e)
+	n.links.Send(owner, kindEvict, e)
 }
 
 // onEvict stops a task of an own team for a job of higher priority.
--- a/internal/controller/status.go
+++ b/internal/controller/status.go
@@ -10,10 +10,13 @@
 	"topazhollow/internal/peer"
 )
 
-// newsEvery is the least time between two statuses.
+// statusInterval is how often a status is sent if nothing is urgent.
+const statusInterval = 500 * time.Millisecond
+
+// minStatusInterval is the least time between two statuses.
 const minStatusInterval = 150 * time.Millisecond
 
-// tellNow has the next status go out soon.
+// requestStatus has the next status go out soon.
 func (n *Node) requestStatus() {
 	select {
 	case n.statusRequests <- struct{}{}:
@@ -21,9 +24,9 @@
 	}
 }
 
-// tell sends this controller's status to its peers.
+// sendStatuses sends this controller's status to its peers.
 func (n *Node) sendStatuses(ctx context.Context) error {
-	ticker := time.NewTicker(500 * time.Millisecond)
+	ticker := time.NewTicker(statusInterval)
 	defer ticker.Stop()
 	for {
 		select {
@@ -40,7 +43,7 @@
 		s := n.status(now)
 		writes := n.shareWrites(now)
 		s.WantedWrites = &writes
-		n.broadcast("status", s)
+		n.broadcast(kindStatus, s)
 		n.forgetOld(now)
 		n.mu.Unlock()
 		if !sleep(ctx, minStatusInterval) {
@@ -49,7 +52,7 @@
 	}
 }
 
-// tellAll sends every peer the same line.
+// broadcast sends every peer the same message.
 func (n *Node) broadcast(kind string, body any) {
 	line := peer.Line(kind, body)
 	for name := range n.peers {
@@ -57,9 +60,8 @@
 	}
 }
 
-// shareWrites parts the rate of changes of the state service by what each controller
-// wants: the ends of one team's many small jobs are all its owner's to write. It
-// returns what this one wants.
+// shareWrites divides the rate of changes of the state service among the controllers by what each has use for: the ends
+// of one team's many small jobs are all its owner's to write. It returns what this one has use for, in changes a second.
 func (n *Node) shareWrites(now time.Time) float64 {
 	var others []float64
 	for _, p := range n.peers {
@@ -73,43 +75,83 @@
 	return n.kvStore.Wanted(now)
 }
 
-// status sums up this controller for its peers, and makes the promise in it.
+// status composes this controller's status for its peers. It makes the promise in it, and takes what is sent once.
 func (n *Node) status(now time.Time) statusMsg {
-	told, version := n.cancelWatermark.Confirmed(), n.recordVersion
-	s := statusMsg{Store: n.storeAssessment(), Cancellations: &told, RecordVersion: &version, Entitled: n.entitled(now), HoldsLease: n.lease.Valid(now), SentAt: now.Sub(n.startedAt).Milliseconds(),
-		Received: map[string]receivedStatus{}, HeartbeatAges: map[string]int64{}}
-	for name, p := range n.peers {
-		if now.Sub(p.lastMessageAt) < promiseLife && p.statusSentAt > 0 {
-			got := n.cancelWatermark.ReceivedFrom(name)
-			s.Received[name] = receivedStatus{p.incarnation, p.statusSentAt, &got}
-		}
-	}
-	if s.Promise = n.promises(now); s.Promise {
-		n.promisedUntil = now.Add(promiseLife)
+	cancellations, recordVersion := n.cancelWatermark.Confirmed(), n.recordVersion
+	s := statusMsg{
+		Store:         n.storeAssessment(),
+		Cancellations: &cancellations,
+		RecordVersion: &recordVersion,
+		Entitled:      n.entitled(now),
+		HoldsLease:    n.lease.Valid(now),
+		SentAt:        now.Sub(n.startedAt).Milliseconds(),
+		Received:      n.receivedStatuses(now),
+		Promise:       n.promise(now),
 	}
 	if n.record != nil {
 		s.Term = n.record.Term
 	}
-	for name, m := range n.agents.All() {
-		s.HeartbeatAges[name] = now.Sub(m.HeartbeatAt).Milliseconds()
-		if known := m.InFlightWatermark(anyJob); !known.IsZero() {
-			if s.InFlightAges == nil {
-				s.InFlightAges = map[string]int64{}
-			}
-			s.InFlightAges[name] = now.Sub(known).Milliseconds() + 1 // rounded up
-		}
-	}
-	s.Misdirected = slices.Sorted(maps.Keys(n.misdirectedAgents))
-	clear(n.misdirectedAgents)
+	s.HeartbeatAges, s.InFlightAges = n.heartbeatAges(now)
+	s.Misdirected = n.takeMisdirected()
 	s.Demands = n.demands(now)
-	s.Progress, s.Plan, s.Config = n.dueProgress(now), n.planWord(), n.configWord(now)
-	s.Awaited, s.Unanswered = n.shards.AwaitedMachines(), n.unanswered()
+	s.Progress = n.dueProgress(now)
+	s.Plan = n.planWord()
+	s.Config = n.configWord(now)
+	s.Awaited = n.shards.AwaitedMachines()
+	s.Unanswered = n.unanswered()
 	if n.shards.OwnsFleet() {
 		s.Draining = slices.Sorted(maps.Keys(n.drainingMachines))
 	}
 	return s
 }
 
+// receivedStatuses names the last status of each peer that arrived lately.
+func (n *Node) receivedStatuses(now time.Time) map[string]receivedStatus {
+	received := map[string]receivedStatus{}
+	for name, p := range n.peers {
+		if now.Sub(p.lastMessageAt) >= promiseLife || p.statusSentAt <= 0 {
+			continue
+		}
+		cancellations := n.cancelWatermark.ReceivedFrom(name)
+		received[name] = receivedStatus{p.incarnation, p.statusSentAt, &cancellations}
+	}
+	return received
+}
+
+// promise says whether this controller promises its peers now to raise no term, and keeps to it.
+func (n *Node) promise(now time.Time) bool {
+	if !n.promises(now) {
+		return false
+	}
+	n.promisedUntil = now.Add(promiseLife)
+	return true
+}
+
+// heartbeatAges is, for the machines whose home this controller is, the milliseconds since their last heartbeats; and,
+// for those that a start may still reach, since all cancellations known when it was sent had been confirmed.
+func (n *Node) heartbeatAges(now time.Time) (ages, inFlight map[string]int64) {
+	ages = map[string]int64{}
+	for name, m := range n.agents.All() {
+		ages[name] = now.Sub(m.HeartbeatAt).Milliseconds()
+		known := m.InFlightWatermark(anyJob)
+		if known.IsZero() {
+			continue
+		}
+		if inFlight == nil {
+			inFlight = map[string]int64{}
+		}
+		inFlight[name] = now.Sub(known).Milliseconds() + 1 // rounded up
+	}
+	return ages, inFlight
+}
+
+// takeMisdirected lists the machines of other homes that reported here since the last status.
+func (n *Node) takeMisdirected() []string {
+	names := slices.Sorted(maps.Keys(n.misdirectedAgents))
+	clear(n.misdirectedAgents)
+	return names
+}
+
 // anyJob counts the starts of all jobs.
 func anyJob(string) bool { return true }
 
--- a/internal/controller/userbackend.go
+++ b/internal/controller/userbackend.go
@@ -10,19 +10,25 @@
 	"topazhollow/internal/userapi"
 )
 
-// userBackend is the controller as the users' frontend sees it.
-type userBackend Node
+// userBackend answers what the user API asks of the controller; it implements userapi.Backend. Its methods take
+// Node.mu, and hold it for no I/O.
+type userBackend struct{ node *Node }
 
-func (b *userBackend) Types() []protocol.MachineType {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	return b.machineTypes
+var _ userapi.Backend = userBackend{}
+
+// Types is the machine types of the cloud, nil while unknown.
+func (b userBackend) Types() []protocol.MachineType {
+	n := b.node
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	return n.machineTypes
 }
 
-func (b *userBackend) Progress(uid string) (done, running int) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	n := (*Node)(b)
+// Progress is how many tasks of a job are done and running, as far as known here.
+func (b userBackend) Progress(uid string) (done, running int) {
+	n := b.node
+	n.mu.Lock()
+	defer n.mu.Unlock()
 	j := n.jobs[uid]
 	if j == nil {
 		return 0, 0
@@ -38,8 +44,9 @@
 	return 0, 0
 }
 
-func (b *userBackend) Active(ctx context.Context, uid string) bool {
-	n := (*Node)(b)
+// Active says whether the state service has a job as active, by a read begun after the call; false if unsure.
+func (b userBackend) Active(ctx context.Context, uid string) bool {
+	n := b.node
 	n.mu.Lock()
 	j := n.jobs[uid]
 	likely := j != nil && j.active && j.version > 0
@@ -54,19 +61,22 @@
 	return j.active && j.version > 0 && n.trusted() && n.memoriesGathered(time.Now())
 }
 
-func (b *userBackend) Trusted() bool {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	n := (*Node)(b)
+// Trusted says whether the state service has what it acknowledged, as far as known.
+func (b userBackend) Trusted() bool {
+	n := b.node
+	n.mu.Lock()
+	defer n.mu.Unlock()
 	// Before the first control record no change rests on a generation, and a loss cannot be told
 	// from the deployment's beginning: nothing is accepted yet.
 	return n.watchedKeysRead && n.record != nil && n.trusted() && n.memoriesGathered(time.Now())
 }
 
-func (b *userBackend) Remembers(uid string) (userapi.Stored, uint64, bool) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	j := b.jobs[uid]
+// Remembers gives an active job and its version in the state service, 0 if that does not have it yet.
+func (b userBackend) Remembers(uid string) (userapi.Stored, uint64, bool) {
+	n := b.node
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	j := n.jobs[uid]
 	if j == nil || !j.active {
 		return userapi.Stored{}, 0, false
 	}
@@ -77,59 +87,72 @@
 // accepted: all ends were read, this process had time to hear what machines know of
 // an earlier store, and nothing was lost for good.
 // All that is followed is read up to now first.
-func (b *userBackend) Certain(ctx context.Context) bool {
-	n := (*Node)(b)
+func (b userBackend) Certain(ctx context.Context) bool {
+	n := b.node
 	if n.waitForChanges(ctx) != nil {
 		return false
 	}
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	return n.trusted() && n.watchedKeysRead && n.record != nil && !n.record.DataLost && n.memoriesGathered(time.Now()) && n.allPeersExchanged(time.Now()) && len(n.endLookups) == 0 &&
-		time.Since(n.startedAt) > 2*settings.Seconds(n.settings.Deployment.Agents.HeartbeatSeconds)+time.Second
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	if !n.trusted() || !n.watchedKeysRead || n.record == nil || n.record.DataLost {
+		return false
+	}
+	now := time.Now()
+	heartbeats := 2*settings.Seconds(n.settings.Deployment.Agents.HeartbeatSeconds) + time.Second
+	return n.memoriesGathered(now) && n.allPeersExchanged(now) && len(n.endLookups) == 0 && now.Sub(n.startedAt) > heartbeats
 }
 
 // Missing has the store looked at before it is doubted: what looks like a loss is far more
 // often a change that this controller is about to hear of, and a doubt stops everything.
-func (b *userBackend) Missing(uid string) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	n := (*Node)(b)
+func (b userBackend) Missing(uid string) {
+	n := b.node
+	n.mu.Lock()
+	defer n.mu.Unlock()
 	if j := n.jobs[uid]; j != nil && j.active && j.version > 0 && n.trusted() {
 		n.recovery.detection.SuspectKey(userapi.JobKey+uid, j.version)
 	}
 }
 
-func (b *userBackend) Hold(ctx context.Context, job *userapi.Stored, uid string, end userapi.Final) {
+// Hold has a peer hold a job, or else an end, before it is confirmed to a user.
+func (b userBackend) Hold(ctx context.Context, job *userapi.Stored, uid string, end userapi.Final) {
+	n := b.node
 	m := replicateFactMsg{Job: job}
 	if job == nil {
 		m.Ends = []jobEnd{{uid, end}}
 	}
-	(*Node)(b).replicateFact(ctx, m)
+	n.replicateFact(ctx, m)
 }
 
-func (b *userBackend) Confirming(uid string, end userapi.Final) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	(*Node)(b).announceCancellation(uid, end)
+// Confirming announces a cancellation to the peers before it is confirmed to a user.
+func (b userBackend) Confirming(uid string, end userapi.Final) {
+	n := b.node
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	n.announceCancellation(uid, end)
 }
 
-func (b *userBackend) Accepted(s userapi.Stored, version uint64) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	(*Node)(b).logFirst("first submission accepted", time.Now())
-	(*Node)(b).learnJob(s, version)
+// Accepted takes up a job that was accepted here.
+func (b userBackend) Accepted(s userapi.Stored, version uint64) {
+	n := b.node
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	n.logFirst("first submission accepted", time.Now())
+	n.learnJob(s, version)
 }
 
-func (b *userBackend) Ended(uid string, final userapi.Final) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	(*Node)(b).endJob(uid)
+// Ended takes in that a job has ended.
+func (b userBackend) Ended(uid string, final userapi.Final) {
+	n := b.node
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	n.endJob(uid)
 }
 
-func (b *userBackend) Healthy() bool {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	n := (*Node)(b)
+// Healthy says whether users are to be sent here: this controller has its lease, or no reachable one has.
+func (b userBackend) Healthy() bool {
+	n := b.node
+	n.mu.Lock()
+	defer n.mu.Unlock()
 	now := time.Now()
 	if n.machineTypes == nil {
 		return false
@@ -137,10 +160,9 @@
 	if n.lease.Valid(now) {
 		return true
 	}
-	// Without the state service nothing can be answered, but when no other
-	// controller is better off there is nobody to send users to. One that hears none for a while
-	// must be taken for the only one that is cut off: its users could ask for as long as that
-	// takes and get no answer, while the others serve.
+	// Without the state service nothing can be answered, but when no other controller is better off there is nobody to
+	// send users to. A controller that no peer's message reaches for a while must be taken for the only one that is cut
+	// off: its users could ask for as long as that takes and get no answer, while the others serve.
 	alone := len(n.peers) > 0
 	for _, p := range n.peers {
 		if p.holdsLease && p.isReachable(now) {
@@ -148,19 +170,22 @@
 		}
 		alone = alone && now.Sub(p.lastMessageAt) > aloneAfter
 	}
-	return !alone && now.Sub(n.startedAt) > 5*time.Second
+	return !alone && now.Sub(n.startedAt) > startupTime
 }
 
-// aloneAfter is after what silence of all peers a controller without a lease sends its users away.
-const aloneAfter = 5 * time.Second
+// When a controller without a lease sends its users away.
+const (
+	aloneAfter  = 5 * time.Second // after such silence of all peers
+	startupTime = 5 * time.Second // until when it does in any case after its start
+)
 
 // Admit says whether a new job can be taken now by what the state service has room for.
-func (b *userBackend) Admit(s *protocol.Submission) (taken bool, back int) {
-	n := (*Node)(b)
+func (b userBackend) Admit(s *protocol.Submission) (taken bool, back int) {
+	n := b.node
 	wait, rate := n.kvStore.Pressure()
 	now := time.Now()
-	b.mu.Lock()
-	defer b.mu.Unlock()
+	n.mu.Lock()
+	defer n.mu.Unlock()
 	taken, after := n.admission.door.Ask(keyOf(s), s.UID, wait, rate, now)
 	n.admission.served.Book(keyOf(s), now, func(c *admission.Count) {
 		if c.Asked++; taken {
