--- a/internal/controller/node.go
+++ b/internal/controller/node.go
@@ -39,23 +39,87 @@
 // tick is how often a controller looks at everything even if nothing happened.
 const tick = 100 * time.Millisecond
 
-// Node is one controller.
+// Node is one controller. It composes the parts: it alone holds the lock, reads the clock, runs goroutines and does I/O.
 type Node struct {
+	// Set by New and never changed; safe to read without the lock.
 	settings    *settings.Settings
 	options     *settings.Options
 	log         *slog.Logger
 	name        string
-	incarnation uint64 // incarnation: later processes of a controller have greater ones
+	incarnation uint64 // of this process; later ones of the same controller have greater ones
+	startedAt   time.Time
 
-	kvStore      *kvstore.Client
-	cloud        *cloud.Client
-	links        *peer.Links
-	front        *userapi.Frontend
-	wakeRequests chan struct{}
-	recordHints  chan struct{} // wakes the watch's reader after a hint of a newer record
+	// Safe for concurrent use by themselves; set by New.
+	kvStore *kvstore.Client
+	cloud   *cloud.Client
+	links   *peer.Links
+	front   *userapi.Frontend
 
-	mu                   sync.Mutex
-	rng                  *rand.Rand
+	// Channels that wake a goroutine; of room one, so that a sender never waits.
+	wakeRequests   chan struct{}
+	recordHints    chan struct{} // wakes the watch's reader after a hint of a newer record
+	syncRequests   chan struct{}
+	statusRequests chan struct{} // wakes the duty that tells peers
+
+	// The goroutines of this controller. Written once by Run under mu, before any of them starts.
+	group *errgroup.Group
+	ctx   context.Context
+
+	// mu guards everything below it.
+	mu         sync.Mutex
+	rng        *rand.Rand
+	firstSteps map[string]bool // what was told of this process's first steps
+	lastStall  time.Duration   // how long this controller stood still last
+
+	// Who may act: the lease, the control record and the members.
+	lease               leadership.Lease
+	leaseID             uint64
+	leaseRenewedAt      time.Time // last renewal of the lease that worked
+	record              *leadership.Record
+	recordVersion       uint64    // of the record's key
+	recordChangePending bool      // a change of the record is on its way
+	unansweredVersion   uint64    // version under which a change had no answer
+	promisedUntil       time.Time // this controller raises no term before
+	presences           map[string]leadership.Presence
+	membershipSettledAt time.Time
+	memberMissingSince  time.Time
+	termChangedAt       time.Time
+
+	// What is followed of the state service's data, and what is known of a loss of it.
+	watchedKeysRead  bool         // the watched keys were read
+	followedRevision uint64       // of the state service, up to which the watched keys are known
+	syncWaiters      []chan error // those who wait for a read of the changes
+	endLookups       map[string]bool
+	cancelWatermark  *cancelwatermark.Watermark // up to when all confirmed withdrawals are known here
+	recovery         *recoveryState             // what is known of the state service, and must outlive it
+
+	// The peers, by name.
+	peers            map[string]*peerState
+	progressSentAt   time.Time // when jobs' progress was last told
+	waitingAnnounced bool      // peers know of tasks that wait
+
+	// Jobs, and the shards of teams whose owner or replica this controller is.
+	shards       *shards.Registry // what this controller owns, and holds for others
+	jobs         map[string]*job
+	startLatency *hdrhistogram.Histogram // ms from submission to a task seen running
+
+	// Machines, and the agents that report here.
+	machines          map[string]*machine
+	machinesByJob     map[string]map[string]bool // by job, the machines that list any task of it
+	machineTypes      []protocol.MachineType
+	roster            *agents.Roster
+	unregistered      map[string]bool // machines to be registered
+	removingGone      bool            // gone machines are being taken off the roster
+	agents            *agents.Registry
+	commandSenders    map[string]*commandSender
+	changedMachines   map[string]bool                    // machines whose view is to be told to peers
+	unreachableHomes  map[string]map[string]misdirection // homes that machines tried in vain
+	misdirectedAgents map[string]bool                    // machines of other homes that reported here since the last status
+	agentsReachable   bool                               // workers can be reached again
+	probes            barrierProbes
+	quarantine        *quarantine.Tracker
+
+	// Placement, and who makes room for others.
 	placeable            []*machine       // those with a view, for placement
 	hostBuffer           []placement.Host // the present step's copy
 	allHostsBuffer       []placement.Host
@@ -63,59 +127,18 @@
 	freeingAt            time.Time
 	runningReviewedAt    time.Time // when running tasks were last looked over
 	preemptionReviewedAt time.Time // when it was last looked whom to stop for others
-	progressSentAt       time.Time // when jobs' progress was last told
-	lease                leadership.Lease
-	leaseID              uint64
-	record               *leadership.Record
-	recordVersion        uint64 // of the record's key
-	membershipSettledAt  time.Time
-	presences            map[string]leadership.Presence
-	watchedKeysRead      bool                       // the watched keys were read
-	followedRevision     uint64                     // of the state service, up to which the watched keys are known
-	cancelWatermark      *cancelwatermark.Watermark // up to when all confirmed withdrawals are known here
-	syncWaiters          []chan error               // those who wait for a read of the changes
-	syncRequests         chan struct{}
-	memberMissingSince   time.Time
-	shards               *shards.Registry // what this controller owns, and holds for others
-	peers                map[string]*peerState
-	jobs                 map[string]*job
-	machines             map[string]*machine
-	machinesByJob        map[string]map[string]bool // by job, the machines that list any task of it
-	roster               *agents.Roster
-	unregistered         map[string]bool // machines to be registered
-	removingGone         bool            // gone machines are being taken off the roster
-	agents               *agents.Registry
-	commandSenders       map[string]*commandSender
-	machineTypes         []protocol.MachineType
-	changedMachines      map[string]bool // machines whose view is to be told to peers
-	termChangedAt        time.Time
-	leaseRenewedAt       time.Time // last renewal of the lease that worked
-	promisedUntil        time.Time // this controller raises no term before
-	recordChangePending  bool      // a change of the record is on its way
-	unansweredVersion    uint64    // version under which a change had no answer
 	evictions            map[jobstate.AttemptRef]eviction
-	waitingAnnounced     bool          // peers know of tasks that wait
-	statusRequests       chan struct{} // wakes the duty that tells peers
-	endLookups           map[string]bool
-	drainingMachines     map[string]bool
-	unreachableHomes     map[string]map[string]misdirection // homes that machines tried in vain
-	quarantine           *quarantine.Tracker
-	latePlaces           []string                // places where machines come up late, as the fleet's owner sees it
-	lastStall            time.Duration           // how long this controller stood still last
-	startLatency         *hdrhistogram.Histogram // ms from submission to a task seen running
-	agentsReachable      bool                    // workers can be reached again
-	group                *errgroup.Group
-	ctx                  context.Context
-	startedAt            time.Time
-	probes               barrierProbes
-	misdirectedAgents    map[string]bool // machines of other homes that reported here since the last status
-	firstSteps           map[string]bool // what was told of this process's first steps
-	admission            *admissionState // who gets how much of what is short
-	recovery             *recoveryState  // what is known of the state service, and must outlive it
-	teamConfig           *configFollow   // the teams' configuration; nil: it does not change
+
+	// Quota: plans of fair shares and floors, and the configuration of the teams.
+	admission  *admissionState // who gets how much of what is short
+	teamConfig *configFollow   // the teams' configuration; nil: it does not change
+
+	// The fleet, while this controller owns its shard.
+	drainingMachines map[string]bool
+	latePlaces       []string // places where machines come up late, as the fleet's owner sees it
 }
 
-// first logs once when this process came to a step, for how long after its start.
+// logFirst logs once when this process came to a step, for how long after its start.
 func (n *Node) logFirst(step string, now time.Time) {
 	if !n.firstSteps[step] {
 		n.firstSteps[step] = true
@@ -150,62 +173,136 @@
 	return n.Run(ctx)
 }
 
-// New makes a controller that does nothing yet.
+// New makes a controller that does nothing yet; Run starts it.
 func New(s *settings.Settings, o *settings.Options, log *slog.Logger) *Node {
-	count := len(s.Peers) + 1
-	now := time.Now()
-	n := &Node{
-		settings: s, options: o, log: log.With("node", s.Name), name: s.Name,
-		incarnation:  uint64(now.UnixMicro()),
-		kvStore:      kvstore.New(s.Outside.KVStore, s.Deployment.KVStore, count),
-		cloud:        cloud.New(s.Outside.Cloud, s.Deployment.Cloud, count),
-		wakeRequests: make(chan struct{}, 1), recordHints: make(chan struct{}, 1), syncRequests: make(chan struct{}, 1),
-		rng:       rand.New(rand.NewPCG(uint64(now.UnixNano()), rand.Uint64())),
-		presences: map[string]leadership.Presence{}, shards: shards.NewRegistry(),
-		peers: map[string]*peerState{}, jobs: map[string]*job{}, machines: map[string]*machine{}, machinesByJob: map[string]map[string]bool{}, unregistered: map[string]bool{}, roster: newRoster(s),
-		commandSenders: map[string]*commandSender{}, changedMachines: map[string]bool{}, membershipSettledAt: now, startedAt: now, leaseRenewedAt: now, promisedUntil: now.Add(promiseLife),
-		endLookups: map[string]bool{}, evictions: map[jobstate.AttemptRef]eviction{}, statusRequests: make(chan struct{}, 1), drainingMachines: map[string]bool{}, unreachableHomes: map[string]map[string]misdirection{}, quarantine: quarantine.New(),
-		misdirectedAgents: map[string]bool{}, firstSteps: map[string]bool{}, startLatency: hdrhistogram.New(1, time.Hour.Milliseconds(), 2),
+	n := newNode(s, o, log, time.Now())
+	n.newClients()
+	n.newMachineState()
+	n.newScheduling()
+	n.newLeadership(settings.Seconds(o.ControllerLeaseSeconds))
+	n.newPeers()
+	n.newUserAPI()
+	return n
+}
+
+// newNode makes a controller without its parts.
+func newNode(s *settings.Settings, o *settings.Options, log *slog.Logger, now time.Time) *Node {
+	return &Node{
+		settings:       s,
+		options:        o,
+		log:            log.With("node", s.Name),
+		name:           s.Name,
+		incarnation:    uint64(now.UnixMicro()),
+		startedAt:      now,
+		rng:            rand.New(rand.NewPCG(uint64(now.UnixNano()), rand.Uint64())),
+		wakeRequests:   make(chan struct{}, 1),
+		recordHints:    make(chan struct{}, 1),
+		syncRequests:   make(chan struct{}, 1),
+		statusRequests: make(chan struct{}, 1),
+		firstSteps:     map[string]bool{},
 	}
-	life := settings.Seconds(o.ControllerLeaseSeconds)
-	n.lease = leadership.Lease{Life: life, Margin: life / 20}
-	n.recovery = newRecoveryState(s, n.incarnation, life)
-	n.admission = newAdmissionState(o)
+}
+
+// newClients makes what talks to the state service and the cloud.
+func (n *Node) newClients() {
+	controllers := len(n.settings.Peers) + 1
+	outside, deployment := &n.settings.Outside, &n.settings.Deployment
+	n.kvStore = kvstore.New(outside.KVStore, deployment.KVStore, controllers)
 	n.kvStore.OnSign(n.suspectLossLater)
+	n.cloud = cloud.New(outside.Cloud, deployment.Cloud, controllers)
+}
+
+// newMachineState makes what is known of machines.
+func (n *Node) newMachineState() {
 	n.agents = agents.New(n.capacity, n.taskSize)
+	n.roster = newRoster(n.settings)
+	n.quarantine = quarantine.New()
+	n.machines = map[string]*machine{}
+	n.machinesByJob = map[string]map[string]bool{}
+	n.unregistered = map[string]bool{}
+	n.changedMachines = map[string]bool{}
+	n.drainingMachines = map[string]bool{}
+	n.misdirectedAgents = map[string]bool{}
+	n.unreachableHomes = map[string]map[string]misdirection{}
+	n.commandSenders = map[string]*commandSender{}
+}
+
+// newScheduling makes what is known of jobs and of who gets how much.
+func (n *Node) newScheduling() {
+	n.shards = shards.NewRegistry()
+	n.jobs = map[string]*job{}
+	n.endLookups = map[string]bool{}
+	n.evictions = map[jobstate.AttemptRef]eviction{}
+	n.admission = newAdmissionState(n.options)
+	n.startLatency = hdrhistogram.New(1, time.Hour.Milliseconds(), 2)
+}
+
+// newLeadership makes what is known of who may act, and of the state service's data. Life is that of the lease.
+func (n *Node) newLeadership(life time.Duration) {
+	n.lease = leadership.Lease{Life: life, Margin: life / 20}
+	n.presences = map[string]leadership.Presence{}
+	n.membershipSettledAt = n.startedAt
+	n.leaseRenewedAt = n.startedAt
+	n.promisedUntil = n.startedAt.Add(promiseLife)
+	n.recovery = newRecoveryState(n.settings, n.incarnation, life)
+}
+
+// newPeers makes what is known of the peers, and the links to them.
+func (n *Node) newPeers() {
+	n.peers = map[string]*peerState{}
 	addrs := map[string]string{}
-	for _, p := range s.Peers {
+	for _, p := range n.settings.Peers {
 		addrs[p.Name] = p.Endpoint
 		n.peers[p.Name] = &peerState{}
 	}
-	n.cancelWatermark = cancelwatermark.New(slices.Collect(maps.Keys(n.peers)), settings.Seconds(s.Deployment.Agents.CancelSeconds), settings.Seconds(s.Deployment.Agents.LeaseSeconds))
-	n.links = peer.New(s.Name, n.incarnation, addrs, peerHandler{n}, n.log)
-	n.front = userapi.New(s, n.kvStore, userBackend{n})
-	if n.teamConfig = newConfigFollow(s, o); n.teamConfig != nil {
+	cancel, lease := settings.Seconds(n.settings.Deployment.Agents.CancelSeconds), settings.Seconds(n.settings.Deployment.Agents.LeaseSeconds)
+	n.cancelWatermark = cancelwatermark.New(slices.Collect(maps.Keys(n.peers)), cancel, lease)
+	n.links = peer.New(n.name, n.incarnation, addrs, peerHandler{n}, n.log)
+}
+
+// newUserAPI makes what answers users.
+func (n *Node) newUserAPI() {
+	n.front = userapi.New(n.settings, n.kvStore, userBackend{n})
+	n.teamConfig = newConfigFollow(n.settings, n.options)
+	if n.teamConfig != nil {
 		n.front.Follow(configTenants{n})
 	}
-	return n
 }
 
 // Run serves until the context ends.
 func (n *Node) Run(ctx context.Context) error {
-	// Most of the memory that is allowed stands empty: half as many collections, and more again
-	// only towards the limit.
-	debug.SetGCPercent(200)
-	debug.SetMemoryLimit(int64(n.settings.Deployment.Limits.MemoryMB * 0.75 * (1 << 20)))
+	limitMemory(n.settings.Deployment.Limits.MemoryMB)
 	group, ctx := errgroup.WithContext(ctx)
 	n.mu.Lock()
 	n.group, n.ctx = group, ctx
 	n.mu.Unlock()
 	n.log.Info("starting", "version", Version, "incarnation", n.incarnation, "zone", n.settings.Zone, "controllers", len(n.settings.Peers)+1)
-	conns := n.settings.Deployment.Limits.MaxSockets*7/10 - 100
-	if conns < 32 {
-		conns = 32
+	for name, duty := range n.duties() {
+		group.Go(func() error {
+			if err := duty(ctx); err != nil && ctx.Err() == nil {
+				return fmt.Errorf("%s: %w", name, err)
+			}
+			return nil
+		})
 	}
-	duties := map[string]func(context.Context) error{
-		"serve": func(ctx context.Context) error {
-			return httpx.Serve(ctx, n.settings.Listen, conns, httpx.Patience{Idle: 90 * time.Second, Slow: 5 * time.Second}, n.serveHTTP)
-		},
+	for _, p := range n.settings.Peers {
+		group.Go(func() error { return n.links.Dial(ctx, p.Name) })
+	}
+	return group.Wait()
+}
+
+// limitMemory has half as many garbage collections as usual, and more again only towards three quarters of the memory
+// that is allowed: most of it stands empty.
+func limitMemory(megabytes float64) {
+	debug.SetGCPercent(200)
+	debug.SetMemoryLimit(int64(megabytes * 0.75 * (1 << 20)))
+}
+
+// duties are the goroutines of a controller, by the name that an error of one is reported under. Each runs until the
+// context ends.
+func (n *Node) duties() map[string]func(context.Context) error {
+	return map[string]func(context.Context) error{
+		"serve":   n.serve,
 		"peers":   func(ctx context.Context) error { return n.links.Listen(ctx, n.settings.PeerListen) },
 		"state":   n.kvStore.Run,
 		"lease":   n.keepLease,
@@ -223,20 +320,22 @@
 		"probe":   n.probeOwnReachability,
 		"fleet":   n.runFleet,
 	}
-	for name, duty := range duties {
-		group.Go(func() error {
-			if err := duty(ctx); err != nil && ctx.Err() == nil {
-				return fmt.Errorf("%s: %w", name, err)
-			}
-			return nil
-		})
-	}
-	for _, p := range n.settings.Peers {
-		group.Go(func() error { return n.links.Dial(ctx, p.Name) })
-	}
-	return group.Wait()
 }
 
+// Connections that the public address takes at a time.
+const (
+	minConnections  = 32
+	reservedSockets = 100 // for peers, agents, the state service and the cloud
+)
+
+// serve answers at the public address.
+func (n *Node) serve(ctx context.Context) error {
+	connections := max(minConnections, n.settings.Deployment.Limits.MaxSockets*7/10-reservedSockets)
+	patience := httpx.Patience{Idle: 90 * time.Second, Slow: 5 * time.Second}
+	return httpx.Serve(ctx, n.settings.Listen, connections, patience, n.serveHTTP)
+}
+
+// wake has the main loop look at everything soon.
 func (n *Node) wake() {
 	select {
 	case n.wakeRequests <- struct{}{}:
@@ -244,7 +343,7 @@
 	}
 }
 
-// pause waits, and says false when the context ended.
+// sleep waits, and says false when the context ended.
 func sleep(ctx context.Context, d time.Duration) bool { return wait.For(ctx, d) }
 
 // promiseLife is how long a promise not to raise the term holds.
@@ -275,30 +374,6 @@
 	return now.Sub(n.leaseRenewedAt) > n.lease.Life*2/5 && !n.recordChangePending && n.unansweredVersion == 0 && n.trusted()
 }
 
-func (n *Node) machineType(name string) *protocol.MachineType {
-	for i := range n.machineTypes {
-		if n.machineTypes[i].Name == name {
-			return &n.machineTypes[i]
-		}
-	}
-	return nil
-}
-
-func (n *Node) capacity(machineType string) (cpus, gpus, memory float64, ok bool) {
-	t := n.machineType(machineType)
-	if t == nil {
-		return 0, 0, 0, false
-	}
-	return t.CPUs, t.GPUs, t.MemoryGB, true
-}
-
-func (n *Node) taskSize(uid string) (cpus, gpus, memory float64) {
-	if j := n.jobs[uid]; j != nil {
-		return j.spec.CPUs, j.spec.GPUs, j.spec.MemoryGB
-	}
-	return 0, 0, 0
-}
-
 // handle answers what comes to the public address.
 func (n *Node) serveHTTP(ctx context.Context, c *httpx.Conn, r *httpx.Request) httpx.Answer {
 	if r.Path == protocol.PathHeartbeat {
