--- a/internal/cloud/cloud.go
+++ b/internal/cloud/cloud.go
@@ -23,8 +23,8 @@
 )
 
 const (
-	timeout   = 6 * time.Second
-	maxReturn = 100
+	timeout    = 6 * time.Second
+	maxScaleIn = 100
 )
 
 // Client talks to the cloud.
@@ -86,7 +86,7 @@
 }
 
 // Rent asks for machines and gives the names of those rented.
-func (c *Client) Rent(ctx context.Context, r protocol.ScaleOutRequest) ([]string, error) {
+func (c *Client) ScaleOut(ctx context.Context, r protocol.ScaleOutRequest) ([]string, error) {
 	r.Count = min(r.Count, protocol.MaxScaleOut)
 	var names protocol.MachineNames
 	err := c.do(ctx, "POST", "/hosts", r, &names)
@@ -94,8 +94,8 @@
 }
 
 // Return gives machines back; when it succeeds, they and all on them are gone.
-func (c *Client) Return(ctx context.Context, machines []string) error {
-	if len(machines) > maxReturn {
+func (c *Client) ScaleIn(ctx context.Context, machines []string) error {
+	if len(machines) > maxScaleIn {
 		return fmt.Errorf("cloud: %d machines in one return", len(machines))
 	}
 	return c.do(ctx, "POST", "/hosts/return", protocol.MachineNames{Machines: machines}, nil)
--- a/internal/cloud/golden_test.go
+++ b/internal/cloud/golden_test.go
@@ -15,11 +15,11 @@
 	if _, err := c.Catalog(t.Context()); err != nil {
 		t.Fatal(err)
 	}
-	rented, err := c.Rent(t.Context(), protocol.ScaleOutRequest{Request: "r-17", Type: "g8", Zone: "a", Spot: true, Count: protocol.MaxScaleOut + 1})
+	rented, err := c.ScaleOut(t.Context(), protocol.ScaleOutRequest{Request: "r-17", Type: "g8", Zone: "a", Spot: true, Count: protocol.MaxScaleOut + 1})
 	if err != nil || len(rented) != 1 || rented[0] != "n-000231" {
 		t.Fatalf("rented %q, error %v", rented, err)
 	}
-	if err := c.Return(t.Context(), []string{"n-000231", "n-000198"}); err != nil {
+	if err := c.ScaleIn(t.Context(), []string{"n-000231", "n-000198"}); err != nil {
 		t.Fatal(err)
 	}
 	hosts, err := c.List(t.Context())
--- a/internal/controller/admit.go
+++ b/internal/controller/admit.go
@@ -381,7 +381,7 @@
 
 // admissionStatus sums up admission for operators.
 func (n *Node) admissionStatus(now time.Time) admission.Status {
-	wait, _ := n.kvStore.Pressure()
+	wait, _ := n.kvStore.UrgentDelay()
 	st := admission.Status{Refused: n.admission.door.Waiting(), Pressure: wait.Seconds()}
 	plan := n.admission.known.Acts()
 	if plan != nil {
--- a/internal/controller/barrier_test.go
+++ b/internal/controller/barrier_test.go
@@ -61,7 +61,7 @@
 			shard.PassBarrier(time.Time{})
 		}
 		spec := array(int(phase), 1, "red")
-		n.learnJob(userapi.Stored{Spec: spec}, 1)
+		n.learnJob(userapi.ActiveJob{Spec: spec}, 1)
 		if (shard.Team().Job(spec.UID) != nil) != taken || n.jobs[spec.UID] == nil {
 			t.Fatalf("phase %s: job in the account: %v", phase, !taken)
 		}
--- a/internal/controller/barrierprobe.go
+++ b/internal/controller/barrierprobe.go
@@ -85,7 +85,7 @@
 
 // probeMachine asks one machine for its report.
 func (n *Node) probeMachine(term uint64, name, addr string, incarnation uint64) {
-	link := httpx.NewLink(addr, probeAnswerSize)
+	link := httpx.NewClientConn(addr, probeAnswerSize)
 	defer link.Close()
 	for range probeTries {
 		if !n.probeNeeded(term, name) {
--- a/internal/controller/changesync.go
+++ b/internal/controller/changesync.go
@@ -64,7 +64,7 @@
 			err, began := errChangesNotRead, time.Now()
 			if listed {
 				var ch *protocol.Changes
-				if ch, err = n.kvStore.Changes(ctx, userapi.Watched, after); err == nil {
+				if ch, err = n.kvStore.Changes(ctx, userapi.WatchedPrefix, after); err == nil {
 					n.mu.Lock()
 					n.applyChanges(ch, began)
 					n.mu.Unlock()
--- a/internal/controller/config_follow.go
+++ b/internal/controller/config_follow.go
@@ -308,7 +308,7 @@
 
 func (n *Node) writeConfig(x teamconfig.Change) {
 	key, value := teamstore.Prefix+x.Team, protocol.Encode(x.Entry)
-	version, err := n.kvStore.Commit(n.ctx, kvstore.Update{Guards: []protocol.Condition{{Key: key, Version: x.Version}}, Ops: []protocol.Op{{Set: key, Value: value}}})
+	version, err := n.kvStore.Commit(n.ctx, kvstore.Update{Conditions: []protocol.Condition{{Key: key, Version: x.Version}}, Changes: []protocol.Op{{Set: key, Value: value}}})
 	if err != nil && !errors.Is(err, kvstore.ErrConflict) { // on a conflict the watch tells what is there
 		sleep(n.ctx, 200*time.Millisecond)
 	}
--- a/internal/controller/configtenants.go
+++ b/internal/controller/configtenants.go
@@ -12,7 +12,7 @@
 // Node.mu.
 type configTenants struct{ node *Node }
 
-var _ userapi.Tenants = configTenants{}
+var _ userapi.Teams = configTenants{}
 
 // Team gives the limits of a team that takes new jobs, as far as known here.
 func (t configTenants) Team(name string) (settings.Team, bool) {
@@ -23,7 +23,7 @@
 }
 
 // Rests names what an acceptance for a team rests on: its configuration as known here.
-func (t configTenants) Rests(name string) []protocol.Condition {
+func (t configTenants) Conditions(name string) []protocol.Condition {
 	n := t.node
 	n.mu.Lock()
 	defer n.mu.Unlock()
--- a/internal/controller/control.go
+++ b/internal/controller/control.go
@@ -19,9 +19,9 @@
 
 // Keys of the state service beside those of the frontend.
 const (
-	controlKey = userapi.Watched + "c"
-	nodeKey    = userapi.Watched + "n/"
-	machineKey = userapi.Watched + "m/"
+	controlKey = userapi.WatchedPrefix + "c"
+	nodeKey    = userapi.WatchedPrefix + "n/"
+	machineKey = userapi.WatchedPrefix + "m/"
 )
 
 // present is a controller's key, held by its lease.
@@ -42,13 +42,13 @@
 		var err error
 		if grant == 0 {
 			shown = false
-			if grant, err = n.kvStore.Grant(ctx, n.lease.Life); err == nil {
+			if grant, err = n.kvStore.GrantLease(ctx, n.lease.Life); err == nil {
 				n.mu.Lock()
 				n.leaseID = grant
 				n.mu.Unlock()
 			}
 		} else if shown {
-			err = n.kvStore.Extend(ctx, grant)
+			err = n.kvStore.RenewLease(ctx, grant)
 		}
 		if err == nil && !shown {
 			if err = n.writeOwnKey(ctx, grant); err == nil {
@@ -62,7 +62,7 @@
 		case err == nil:
 			n.lease.Renewed(sent)
 			n.leaseRenewedAt = sent
-		case errors.Is(err, kvstore.ErrNoLease):
+		case errors.Is(err, kvstore.ErrLeaseExpired):
 			n.log.Info("lease ended at the state service", "lease", grant)
 			if sent.Sub(n.leaseRenewedAt) < n.lease.Life*9/10 && n.lease.Valid(sent) {
 				n.suspectLoss("a lease is gone that cannot have ended")
@@ -98,7 +98,7 @@
 	if e != nil {
 		guard.Version = e.Version
 	}
-	_, _, err = n.kvStore.TxnControl(ctx, protocol.Txn{
+	_, _, err = n.kvStore.CommitControl(ctx, protocol.Txn{
 		Conditions: []protocol.Condition{guard},
 		Then:       []protocol.Op{{Set: nodeKey + n.name, Value: protocol.Encode(present{n.incarnation}), Lease: grant}},
 	})
@@ -114,7 +114,7 @@
 		if !listed {
 			var entries []protocol.Entry
 			var revision uint64
-			if entries, revision, err = n.kvStore.List(ctx, userapi.Watched); err == nil {
+			if entries, revision, err = n.kvStore.List(ctx, userapi.WatchedPrefix); err == nil {
 				n.mu.Lock()
 				if listed = n.applyFullList(entries, revision); listed {
 					n.recordFullRead(began)
@@ -131,7 +131,7 @@
 			n.recovery.restartWatch = cancel // what is watched ends with the epoch
 			n.mu.Unlock()
 			var ch *protocol.Changes
-			ch, err = n.kvStore.Watch(watch, userapi.Watched, after)
+			ch, err = n.kvStore.Watch(watch, userapi.WatchedPrefix, after)
 			cancel()
 			if err == nil {
 				n.mu.Lock()
@@ -140,7 +140,7 @@
 				n.wake()
 			}
 		}
-		if errors.Is(err, kvstore.ErrGone) {
+		if errors.Is(err, kvstore.ErrCompacted) {
 			listed = false
 		} else if err != nil {
 			n.log.Debug("watch failed", "err", err)
@@ -164,7 +164,7 @@
 	}
 	for uid, j := range n.jobs {
 		// One that was accepted after the list began may not be in it.
-		if j.active && j.version > 0 && j.version <= revision && !seen[userapi.JobKey+uid] {
+		if j.active && j.version > 0 && j.version <= revision && !seen[userapi.ActiveJobPrefix+uid] {
 			n.endJob(uid)
 			n.verifyUnlistedJob(uid, j)
 		}
@@ -214,13 +214,13 @@
 		if n.presences[name].Version < e.Version {
 			n.presences[name] = leadership.Presence{Incarnation: p.Incarnation, Version: e.Version}
 		}
-	case strings.HasPrefix(key, userapi.JobKey):
+	case strings.HasPrefix(key, userapi.ActiveJobPrefix):
 		if e.Delete != "" {
-			n.recovery.writeBack.ActiveKeyDeleted(key[len(userapi.JobKey):])
-			n.endJob(key[len(userapi.JobKey):])
+			n.recovery.writeBack.ActiveKeyDeleted(key[len(userapi.ActiveJobPrefix):])
+			n.endJob(key[len(userapi.ActiveJobPrefix):])
 			return
 		}
-		var s userapi.Stored
+		var s userapi.ActiveJob
 		if err := json.Unmarshal(e.Value, &s); err != nil || s.Spec == nil {
 			bad(err)
 			return
--- a/internal/controller/demand_test.go
+++ b/internal/controller/demand_test.go
@@ -25,7 +25,7 @@
 		spec := &protocol.Submission{UID: "job-000001", Team: "team-0", Kind: c.kind, Priority: "high", Tasks: 20, CPUs: 4, MemoryGB: 1, Image: "img", EstimateSeconds: 10,
 			Spot: true, OneZone: c.oneZone}
 		n.mu.Lock()
-		n.learnJob(userapi.Stored{At: g.now.UnixMilli(), Spec: spec}, 1)
+		n.learnJob(userapi.ActiveJob{SubmittedAtMillis: g.now.UnixMilli(), Spec: spec}, 1)
 		n.place(g.now.Add(100 * time.Millisecond))
 		team, demands := n.shards.OfTeam("team-0").Team(), n.demands(g.now)
 		n.mu.Unlock()
--- a/internal/controller/golden_test.go
+++ b/internal/controller/golden_test.go
@@ -77,8 +77,8 @@
 	goldenRef    = jobstate.AttemptRef{TaskID: goldenKey, Attempt: 687865858}
 	goldenHold   = jobstate.Assignment{TaskID: goldenKey, Attempt: 687865858, Machine: "n-000231", Incarnation: 2, Zone: "a", CPUs: 8, GPUs: 1, Memory: 64.5}
 	goldenCopy   = jobstate.Copy{Seq: 17, Assignments: []jobstate.Assignment{goldenHold}, Done: jobstate.DoneTasks{"job-000398": finishedTasks(), "job-000412": bitset.New(0).Set(1)}}
-	goldenStored = userapi.Stored{Spec: goldentest.Submission(), At: 1767225600123}
-	goldenFinal  = userapi.Final{State: protocol.Cancelled, Tasks: 16, Team: "vision", CPUs: 8, GPUs: 1, Memory: 64.5}
+	goldenStored = userapi.ActiveJob{Spec: goldentest.Submission(), SubmittedAtMillis: 1767225600123}
+	goldenFinal  = userapi.JobEnd{State: protocol.Cancelled, Tasks: 16, Team: "vision", CPUs: 8, GPUs: 1, MemoryGB: 64.5}
 	goldenChange = teamconfig.Change{Team: "vision", Version: 412, Entry: teamconfig.Entry{Number: 3, Change: "drawn", CPUs: 96, CPUsMax: 192.5, GPUs: 8,
 		GPUsMax: 16, Removed: true, StopExcess: true}}
 )
@@ -160,7 +160,7 @@
 	for _, end := range []datarecovery.End{{UID: "job-000398", Cancelled: true, Tasks: 16, Team: "vision"}, {UID: "job-000400", Tasks: 1, Team: "speech"}, unusualEnd} {
 		ends.Learn(end)
 	}
-	checkLines(t, "recall", memoriesMsg{Epoch: 2, Jobs: []userapi.Stored{goldenStored}, Active: []string{"job-000500"}, Finished: map[string]*bitset.BitSet{"job-000412": finishedTasks()},
+	checkLines(t, "recall", memoriesMsg{Epoch: 2, Jobs: []userapi.ActiveJob{goldenStored}, Active: []string{"job-000500"}, Finished: map[string]*bitset.BitSet{"job-000412": finishedTasks()},
 		Ends: ends.Digest(), Last: true, Ask: true, Config: []teamconfig.Change{goldenChange}}, memoriesMsg{Ends: datarecovery.NewEnds().Digest()})
 	pages := datarecovery.Pages(ends.All(), 1<<10)
 	checkLines(t, "recalled", missingEndsMsg{Epoch: 2, Ends: &pages[0], Last: true}, missingEndsMsg{})
--- a/internal/controller/grown_test.go
+++ b/internal/controller/grown_test.go
@@ -86,7 +86,7 @@
 	g.jobs++
 	spec := &protocol.Submission{UID: fmt.Sprintf("job-%06d", g.jobs), Team: fmt.Sprintf("team-%d", g.jobs%len(g.n.settings.Deployment.Teams)), Kind: protocol.JobArray,
 		Priority: []string{"standard", "high"}[g.jobs%2], Tasks: tasks, CPUs: cpus, MemoryGB: 20, Image: fmt.Sprint("img-", g.jobs%10), EstimateSeconds: 40, Spot: true}
-	g.n.learnJob(userapi.Stored{Spec: spec, At: g.now.UnixMilli()}, 1)
+	g.n.learnJob(userapi.ActiveJob{Spec: spec, SubmittedAtMillis: g.now.UnixMilli()}, 1)
 }
 
 // tell has a machine report what changed on it.
@@ -281,7 +281,7 @@
 		submit := func(uid, team, priority string, tasks int, cpus, estimate float64) {
 			n.mu.Lock()
 			defer n.mu.Unlock()
-			n.learnJob(userapi.Stored{At: g.now.UnixMilli(), Spec: &protocol.Submission{UID: uid, Team: team, Kind: protocol.JobArray,
+			n.learnJob(userapi.ActiveJob{SubmittedAtMillis: g.now.UnixMilli(), Spec: &protocol.Submission{UID: uid, Team: team, Kind: protocol.JobArray,
 				Priority: priority, Tasks: tasks, CPUs: cpus, MemoryGB: 1, EstimateSeconds: estimate, Spot: true}}, 1)
 		}
 		submit("job-000001", "team-1", "low", 64, 4, 600)
--- a/internal/controller/held_test.go
+++ b/internal/controller/held_test.go
@@ -29,7 +29,7 @@
 			n.mu.Lock()
 			defer n.mu.Unlock()
 			learn := func(uid, class string, tasks int, cpus float64, age time.Duration) {
-				n.learnJob(userapi.Stored{At: g.now.Add(-age).UnixMilli(), Spec: &protocol.Submission{UID: uid, Team: "team-0", Class: class, Kind: protocol.JobArray,
+				n.learnJob(userapi.ActiveJob{SubmittedAtMillis: g.now.Add(-age).UnixMilli(), Spec: &protocol.Submission{UID: uid, Team: "team-0", Class: class, Kind: protocol.JobArray,
 					Priority: "standard", Tasks: tasks, CPUs: cpus, MemoryGB: 1, Image: "img", EstimateSeconds: 40, Spot: true}}, 1)
 			}
 			team := n.shards.OfTeam("team-0").Team()
@@ -72,7 +72,7 @@
 			team.SetLimits(0, c.limit, 0, math.Inf(1))
 			deadline := 500.0
 			learn := func(uid, class string, tasks int, cpus float64, deadline *float64) {
-				n.learnJob(userapi.Stored{At: g.now.UnixMilli(), Spec: &protocol.Submission{UID: uid, Team: "team-0", Class: class, Kind: protocol.JobArray,
+				n.learnJob(userapi.ActiveJob{SubmittedAtMillis: g.now.UnixMilli(), Spec: &protocol.Submission{UID: uid, Team: "team-0", Class: class, Kind: protocol.JobArray,
 					Priority: "standard", Tasks: tasks, CPUs: cpus, MemoryGB: 1, Image: "img", EstimateSeconds: 40, Spot: true, DeadlineSeconds: deadline}}, 1)
 			}
 			learn("job-000001", "other", 15, 2, nil)
--- a/internal/controller/home.go
+++ b/internal/controller/home.go
@@ -210,7 +210,7 @@
 			good = 0
 			continue
 		}
-		link := httpx.NewLink(addr, 1<<20)
+		link := httpx.NewClientConn(addr, 1<<20)
 		resp, _, err := link.Do(ctx, "GET", protocol.PathInspect, nil, time.Second)
 		link.Close()
 		if err != nil || resp.Status != 200 {
@@ -235,7 +235,7 @@
 
 func notEntitledAnswer() httpx.Answer {
 	a := httpx.Refuse(503, "not entitled now")
-	a.Retry = 1
+	a.RetryAfterSeconds = 1
 	return a
 }
 
@@ -525,7 +525,7 @@
 
 // carry sends a machine's urgent commands by /do, one request at a time.
 func (n *Node) sendCommands(ctx context.Context, name string, d *commandSender) {
-	var link *httpx.Link
+	var link *httpx.ClientConn
 	defer func() {
 		if link != nil {
 			link.Close()
@@ -546,7 +546,7 @@
 }
 
 // carryOnce sends what is urgent; it says whether to look again at once.
-func (n *Node) sendCommandsOnce(ctx context.Context, name string, link **httpx.Link) bool {
+func (n *Node) sendCommandsOnce(ctx context.Context, name string, link **httpx.ClientConn) bool {
 	n.mu.Lock()
 	m := n.agents.Get(name)
 	now := time.Now()
@@ -565,7 +565,7 @@
 		if *link != nil {
 			(*link).Close()
 		}
-		*link = httpx.NewLink(addr, 1<<20)
+		*link = httpx.NewClientConn(addr, 1<<20)
 	}
 	resp, left, err := (*link).Do(ctx, "POST", protocol.PathCommands, body, commandTimeout)
 	now = time.Now()
--- a/internal/controller/jobend.go
+++ b/internal/controller/jobend.go
@@ -34,16 +34,16 @@
 func (n *Node) commitJobEnd(ctx context.Context, shard *shards.Owned, j *jobstate.Job, version, written uint64) {
 	uid := j.Spec.UID
 	team, _ := shards.TeamOf(shard.Name())
-	end := userapi.EndOf(j.Spec, protocol.Done)
+	end := userapi.NewJobEnd(j.Spec, protocol.Done)
 	_, err := n.kvStore.Commit(ctx, kvstore.Update{
-		Guards: []protocol.Condition{{Key: userapi.JobKey + uid, Version: written}, {Key: controlKey, Version: version}},
-		Ops:    []protocol.Op{{Delete: userapi.JobKey + uid}, {Set: userapi.FinalKey + uid, Value: protocol.Encode(end)}}})
-	if c := (*kvstore.Conflict)(nil); errors.As(err, &c) && slices.Contains(c.Keys, userapi.JobKey+uid) {
-		userBackend{n}.Missing(uid) // or just withdrawn; the record may have changed as well, which says nothing
+		Conditions: []protocol.Condition{{Key: userapi.ActiveJobPrefix + uid, Version: written}, {Key: controlKey, Version: version}},
+		Changes:    []protocol.Op{{Delete: userapi.ActiveJobPrefix + uid}, {Set: userapi.EndedJobPrefix + uid, Value: protocol.Encode(end)}}})
+	if c := (*kvstore.ConflictError)(nil); errors.As(err, &c) && slices.Contains(c.Keys, userapi.ActiveJobPrefix+uid) {
+		userBackend{n}.ReportMissing(uid) // or just withdrawn; the record may have changed as well, which says nothing
 	}
 	if err == nil {
 		n.replicateFact(ctx, replicateFactMsg{Ends: []jobEnd{{uid, end}}})
-		n.front.Learn(uid, end)
+		n.front.RecordEnd(uid, end)
 	} else {
 		n.log.Debug("end of job not written yet", "job", uid, "err", err)
 		sleep(ctx, 200*time.Millisecond)
--- a/internal/controller/jobs.go
+++ b/internal/controller/jobs.go
@@ -24,12 +24,12 @@
 
 // learnJob takes up an active job, unless it is known to be over: its end may have come first, from a
 // peer or by a later read of the state service. Owners place it at the next tick.
-func (n *Node) learnJob(s userapi.Stored, version uint64) {
+func (n *Node) learnJob(s userapi.ActiveJob, version uint64) {
 	uid := s.Spec.UID
 	j := n.jobs[uid]
 	n.recovery.gathering.JobKnown(uid)
 	if j == nil && n.hasEnded(uid) {
-		j = &job{spec: s.Spec, submittedAt: time.UnixMilli(s.At), endedAt: time.Now()}
+		j = &job{spec: s.Spec, submittedAt: time.UnixMilli(s.SubmittedAtMillis), endedAt: time.Now()}
 		n.jobs[uid] = j
 	}
 	if j != nil && !j.active {
@@ -39,7 +39,7 @@
 		return
 	}
 	if j == nil {
-		j = &job{spec: s.Spec, submittedAt: time.UnixMilli(s.At), active: true}
+		j = &job{spec: s.Spec, submittedAt: time.UnixMilli(s.SubmittedAtMillis), active: true}
 		n.jobs[s.Spec.UID] = j
 		n.reobserveReserved(s.Spec.UID)
 	}
@@ -60,7 +60,7 @@
 
 // ended says whether a job is remembered to have ended.
 func (n *Node) hasEnded(uid string) bool {
-	_, ended := n.front.Final(uid)
+	_, ended := n.front.KnownEnd(uid)
 	return ended
 }
 
@@ -69,7 +69,7 @@
 func (n *Node) endJob(uid string) {
 	j := n.jobs[uid]
 	if j == nil {
-		end, _ := n.front.Final(uid)
+		end, _ := n.front.KnownEnd(uid)
 		n.jobs[uid] = &job{spec: endedSpec(uid, end), endedAt: time.Now()}
 		return
 	}
--- a/internal/controller/leaserenewal.go
+++ b/internal/controller/leaserenewal.go
@@ -81,7 +81,7 @@
 }
 
 // confirming tells the peers of a withdrawal before a user is told of it for the first time here.
-func (n *Node) announceCancellation(uid string, end userapi.Final) {
+func (n *Node) announceCancellation(uid string, end userapi.JobEnd) {
 	m := replicateFactMsg{Ends: []jobEnd{{uid, end}}}
 	if n.numberCancellation(&m); m.From == 0 {
 		return
@@ -107,7 +107,7 @@
 	}
 	m := replicateFactMsg{From: from}
 	for _, uid := range uids {
-		end, _ := n.front.Final(uid) // ends are never forgotten
+		end, _ := n.front.KnownEnd(uid) // ends are never forgotten
 		m.Ends = append(m.Ends, jobEnd{uid, end})
 	}
 	n.links.Send(name, kindReplicateFact, m)
--- a/internal/controller/loss_test.go
+++ b/internal/controller/loss_test.go
@@ -188,7 +188,7 @@
 			l.submit(extra)
 			l.check.Withdrawing(extra.UID)
 			l.state.Back(l.saved)
-			l.state.Put(userapi.FinalKey+extra.UID, string(protocol.Encode(userapi.Final{State: protocol.Cancelled, Tasks: 10, Team: "red"})))
+			l.state.Put(userapi.EndedJobPrefix+extra.UID, string(protocol.Encode(userapi.JobEnd{State: protocol.Cancelled, Tasks: 10, Team: "red"})))
 			told := 0 // each controller is asked, one after the other, until all tell the end
 			l.until("all tell the end", func() bool {
 				for _, s := range l.sets {
@@ -230,11 +230,11 @@
 func TestNothingIsAcceptedBeforeTheFirstRecord(t *testing.T) {
 	n := newGrown(2, 1).n
 	n.watchedKeysRead = true
-	if !(userBackend{n}).Trusted() {
+	if !(userBackend{n}).StoreTrusted() {
 		t.Fatal("a controller with a record takes nothing")
 	}
 	n.record = nil
-	if (userBackend{n}).Trusted() {
+	if (userBackend{n}).StoreTrusted() {
 		t.Error("jobs are taken before there is a record")
 	}
 }
@@ -295,7 +295,7 @@
 	l.until("a generation begins", func() bool { return l.rebuilt(true) })
 	ghost := array(398, 1, "red")
 	late := protocol.Txn{Conditions: []protocol.Condition{{Key: marker.Key, Version: marker.Version}, {Key: snapshot.JobKey + ghost.UID}},
-		Then: []protocol.Op{{Set: snapshot.JobKey + ghost.UID, Value: protocol.Encode(userapi.Stored{Spec: ghost})}}}
+		Then: []protocol.Op{{Set: snapshot.JobKey + ghost.UID, Value: protocol.Encode(userapi.ActiveJob{Spec: ghost})}}}
 	resp, err := l.httpc.Post("http://"+l.state.Addr()+"/txn", "application/json", bytes.NewReader(protocol.Encode(late)))
 	if err != nil {
 		t.Fatal(err)
--- a/internal/controller/meeting_answer_test.go
+++ b/internal/controller/meeting_answer_test.go
@@ -24,9 +24,9 @@
 
 // writeKinds are all that controllers write to the state service.
 var writeKinds = map[string]func(txn *protocol.Txn) bool{
-	"acceptance":     func(txn *protocol.Txn) bool { return sets(txn, userapi.JobKey, "") },
-	"end":            func(txn *protocol.Txn) bool { return sets(txn, userapi.FinalKey, string(protocol.Done)) },
-	"cancellation":   func(txn *protocol.Txn) bool { return sets(txn, userapi.FinalKey, string(protocol.Cancelled)) },
+	"acceptance":     func(txn *protocol.Txn) bool { return sets(txn, userapi.ActiveJobPrefix, "") },
+	"end":            func(txn *protocol.Txn) bool { return sets(txn, userapi.EndedJobPrefix, string(protocol.Done)) },
+	"cancellation":   func(txn *protocol.Txn) bool { return sets(txn, userapi.EndedJobPrefix, string(protocol.Cancelled)) },
 	"page":           func(txn *protocol.Txn) bool { return writes(txn, "b/") },
 	"roster":         func(txn *protocol.Txn) bool { return writes(txn, machineKey) },
 	"control record": func(txn *protocol.Txn) bool { return writes(txn, controlKey) },
--- a/internal/controller/meeting_test.go
+++ b/internal/controller/meeting_test.go
@@ -83,9 +83,9 @@
 // endBehind writes a job's withdrawal to the state service, as a controller does that ends before it tells anybody.
 func (r *region) endBehind(job *protocol.Submission) {
 	r.check.Withdrawing(job.UID)
-	end := userapi.Final{State: protocol.Cancelled, Tasks: job.Tasks, Team: job.Team}
-	txn := protocol.Txn{Conditions: []protocol.Condition{{Key: userapi.FinalKey + job.UID}},
-		Then: []protocol.Op{{Delete: userapi.JobKey + job.UID}, {Set: userapi.FinalKey + job.UID, Value: protocol.Encode(end)}}}
+	end := userapi.JobEnd{State: protocol.Cancelled, Tasks: job.Tasks, Team: job.Team}
+	txn := protocol.Txn{Conditions: []protocol.Condition{{Key: userapi.EndedJobPrefix + job.UID}},
+		Then: []protocol.Op{{Delete: userapi.ActiveJobPrefix + job.UID}, {Set: userapi.EndedJobPrefix + job.UID, Value: protocol.Encode(end)}}}
 	resp, err := r.httpc.Post("http://"+r.state.Addr()+"/txn", "application/json", bytes.NewReader(protocol.Encode(txn)))
 	if err != nil {
 		r.t.Fatal(err)
@@ -344,7 +344,7 @@
 		r.crash(i)
 	}
 	carried := r.state.Carried()
-	kinds := map[string]int{controlKey: 0, nodeKey: 0, machineKey: 0, userapi.JobKey: 0, userapi.FinalKey: 0, "b/": 0, datarecovery.EpochKey: 0}
+	kinds := map[string]int{controlKey: 0, nodeKey: 0, machineKey: 0, userapi.ActiveJobPrefix: 0, userapi.EndedJobPrefix: 0, "b/": 0, datarecovery.EpochKey: 0}
 	for _, txn := range carried {
 		for _, o := range txn.Then {
 			for prefix := range kinds {
@@ -477,7 +477,7 @@
 	g.submit(4, 4) // job-000001
 	g.submit(4, 4)
 	n.endJob("job-000002")
-	n.front.Learn("job-000003", userapi.Final{State: protocol.Cancelled, Tasks: 1, Team: "team-0"})
+	n.front.RecordEnd("job-000003", userapi.JobEnd{State: protocol.Cancelled, Tasks: 1, Team: "team-0"})
 	n.mu.Lock() // what is looked up beside it takes it too
 	reach := settings.Seconds(n.settings.Deployment.Agents.CancelSeconds - n.settings.Deployment.Agents.LeaseSeconds)
 	seq := uint64(10)
@@ -537,7 +537,7 @@
 		t.Fatal("no start waits")
 	}
 	n.mu.Unlock()
-	var link *httpx.Link
+	var link *httpx.ClientConn
 	n.mu.Lock()
 	n.cancelWatermark = cancelwatermark.New([]string{"node-b"}, 0, 0)
 	n.cancelWatermark.RecordRead(time.Now().Add(-time.Minute))
--- a/internal/controller/node.go
+++ b/internal/controller/node.go
@@ -53,7 +53,7 @@
 	kvStore *kvstore.Client
 	cloud   *cloud.Client
 	links   *peer.Links
-	front   *userapi.Frontend
+	front   *userapi.Handler
 
 	// Channels that wake a goroutine; of room one, so that a sender never waits.
 	wakeRequests   chan struct{}
@@ -208,7 +208,7 @@
 	controllers := len(n.settings.Peers) + 1
 	outside, deployment := &n.settings.Outside, &n.settings.Deployment
 	n.kvStore = kvstore.New(outside.KVStore, deployment.KVStore, controllers)
-	n.kvStore.OnSign(n.suspectLossLater)
+	n.kvStore.OnDataLoss(n.suspectLossLater)
 	n.cloud = cloud.New(outside.Cloud, deployment.Cloud, controllers)
 }
 
@@ -265,7 +265,7 @@
 	n.front = userapi.New(n.settings, n.kvStore, userBackend{n})
 	n.teamConfig = newConfigFollow(n.settings, n.options)
 	if n.teamConfig != nil {
-		n.front.Follow(configTenants{n})
+		n.front.UseTeams(configTenants{n})
 	}
 }
 
@@ -331,7 +331,7 @@
 // serve answers at the public address.
 func (n *Node) serve(ctx context.Context) error {
 	connections := max(minConnections, n.settings.Deployment.Limits.MaxSockets*7/10-reservedSockets)
-	patience := httpx.Patience{Idle: 90 * time.Second, Slow: 5 * time.Second}
+	patience := httpx.Timeouts{Idle: 90 * time.Second, Request: 5 * time.Second}
 	return httpx.Serve(ctx, n.settings.Listen, connections, patience, n.serveHTTP)
 }
 
--- a/internal/controller/orphan.go
+++ b/internal/controller/orphan.go
@@ -23,7 +23,7 @@
 	if j := k.n.jobs[uid]; j != nil {
 		return jobstate.JobInfo{Known: true, Mine: j.spec.Team == k.team, Active: j.active, Spec: j.spec}
 	}
-	if end, ended := k.n.front.Final(uid); ended {
+	if end, ended := k.n.front.KnownEnd(uid); ended {
 		return jobstate.JobInfo{Known: true, Mine: end.Team == k.team, Spec: endedSpec(uid, end)}
 	}
 	return jobstate.JobInfo{}
@@ -45,8 +45,8 @@
 }
 
 // endedSpec is what is left of a job's description after its end.
-func endedSpec(uid string, end userapi.Final) *protocol.Submission {
-	return &protocol.Submission{UID: uid, Team: end.Team, Tasks: end.Tasks, CPUs: end.CPUs, GPUs: end.GPUs, MemoryGB: end.Memory}
+func endedSpec(uid string, end userapi.JobEnd) *protocol.Submission {
+	return &protocol.Submission{UID: uid, Team: end.Team, Tasks: end.Tasks, CPUs: end.CPUs, GPUs: end.GPUs, MemoryGB: end.MemoryGB}
 }
 
 // sized says whether it is known what a job's tasks take.
@@ -93,7 +93,7 @@
 	}
 	n.endLookups[uid] = true
 	n.group.Go(func() error {
-		end, found, absent := n.front.LookUp(n.ctx, uid)
+		end, found, absent := n.front.LookUpEndOrAbsence(n.ctx, uid)
 		if found && end.CPUs == 0 && end.GPUs == 0 {
 			if stored, ok := n.front.ReadEnd(n.ctx, uid); ok {
 				end = stored
@@ -112,7 +112,7 @@
 }
 
 // learnEnd takes in the end of a job that was looked up.
-func (n *Node) applyLookedUpEnd(uid string, end userapi.Final) {
+func (n *Node) applyLookedUpEnd(uid string, end userapi.JobEnd) {
 	spec := endedSpec(uid, end)
 	j := n.jobs[uid]
 	switch {
--- a/internal/controller/over_test.go
+++ b/internal/controller/over_test.go
@@ -11,13 +11,13 @@
 // stored is a job's key in the state service, as the changes tell it.
 func stored(uid string, version uint64) protocol.Change {
 	spec := &protocol.Submission{UID: uid, Team: "team-0", Kind: protocol.JobArray, Priority: "high", Tasks: 1, CPUs: 1, MemoryGB: 1, Image: "img-1", EstimateSeconds: 40}
-	return protocol.Change{Set: userapi.JobKey + uid, Value: protocol.Encode(userapi.Stored{Spec: spec, At: time.Now().UnixMilli()}), Version: version}
+	return protocol.Change{Set: userapi.ActiveJobPrefix + uid, Value: protocol.Encode(userapi.ActiveJob{Spec: spec, SubmittedAtMillis: time.Now().UnixMilli()}), Version: version}
 }
 
 // TestEndBeforeAcceptance: a job's end may be known before its acceptance is read. Taken up as active then, its
 // tasks were started and kept alive through an outage of any length after the withdrawal had been confirmed.
 func TestEndBeforeAcceptance(t *testing.T) {
-	end := userapi.Final{State: protocol.Cancelled, Tasks: 1, Team: "team-0"}
+	end := userapi.JobEnd{State: protocol.Cancelled, Tasks: 1, Team: "team-0"}
 	const uid = "job-000900"
 	for what, learn := range map[string]func(n *Node){
 		"a peer tells of the withdrawal, then an earlier read comes": func(n *Node) {
@@ -25,12 +25,12 @@
 			n.changed(stored(uid, 7))
 		},
 		"a later read comes before an earlier one": func(n *Node) {
-			n.changed(protocol.Change{Delete: userapi.JobKey + uid, Version: 9})
+			n.changed(protocol.Change{Delete: userapi.ActiveJobPrefix + uid, Version: 9})
 			n.changed(stored(uid, 7))
 		},
 		"the answer to its acceptance comes last": func(n *Node) {
-			n.changed(protocol.Change{Delete: userapi.JobKey + uid, Version: 9})
-			var s userapi.Stored
+			n.changed(protocol.Change{Delete: userapi.ActiveJobPrefix + uid, Version: 9})
+			var s userapi.ActiveJob
 			if err := protocol.Decode(stored(uid, 7).Value, &s); err != nil {
 				t.Fatal(err)
 			}
@@ -38,7 +38,7 @@
 		},
 		"in order": func(n *Node) {
 			n.changed(stored(uid, 7))
-			n.changed(protocol.Change{Delete: userapi.JobKey + uid, Version: 9})
+			n.changed(protocol.Change{Delete: userapi.ActiveJobPrefix + uid, Version: 9})
 			n.changed(stored(uid, 7))
 		},
 	} {
--- a/internal/controller/placing_test.go
+++ b/internal/controller/placing_test.go
@@ -18,7 +18,7 @@
 		g := newGrown(8, 1)
 		n := g.n
 		n.mu.Lock()
-		n.learnJob(userapi.Stored{At: g.now.UnixMilli(), Spec: &protocol.Submission{UID: "job-000001", Team: "team-0", Kind: protocol.JobArray, Priority: "high",
+		n.learnJob(userapi.ActiveJob{SubmittedAtMillis: g.now.UnixMilli(), Spec: &protocol.Submission{UID: "job-000001", Team: "team-0", Kind: protocol.JobArray, Priority: "high",
 			Tasks: 2, CPUs: 4, MemoryGB: 1, Image: "img", ImageGB: 4, EstimateSeconds: 10, Spot: true, DeadlineSeconds: &deadline}}, 1)
 		for _, m := range n.machines {
 			m.images["img"], m.counted = !m.status.Spot, false
@@ -75,7 +75,7 @@
 		n.mu.Lock()
 		submit := func(spec protocol.Submission) {
 			spec.MemoryGB, spec.Image, spec.EstimateSeconds, spec.OneZone = 1, "img", 40, spec.Kind == protocol.Gang
-			n.learnJob(userapi.Stored{At: g.now.UnixMilli(), Spec: &spec}, 1)
+			n.learnJob(userapi.ActiveJob{SubmittedAtMillis: g.now.UnixMilli(), Spec: &spec}, 1)
 		}
 		held := func(uid string) (count int) {
 			for shard := range n.shards.All() {
@@ -119,7 +119,7 @@
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	submit := func(uid, team, priority string, kind protocol.JobKind, tasks int, cpus float64) {
-		n.learnJob(userapi.Stored{At: g.now.UnixMilli(), Spec: &protocol.Submission{UID: uid, Team: team, Kind: kind, Priority: priority, Tasks: tasks, CPUs: cpus,
+		n.learnJob(userapi.ActiveJob{SubmittedAtMillis: g.now.UnixMilli(), Spec: &protocol.Submission{UID: uid, Team: team, Kind: kind, Priority: priority, Tasks: tasks, CPUs: cpus,
 			MemoryGB: 1, Image: "img", EstimateSeconds: 40, OneZone: kind == protocol.Gang}}, 1)
 	}
 	gangs, arrays := n.shards.OfTeam("team-0").Team(), n.shards.OfTeam("team-1").Team()
@@ -163,7 +163,7 @@
 		submit := func(uid, team, priority string, kind protocol.JobKind, tasks int, cpus float64) {
 			n.mu.Lock()
 			defer n.mu.Unlock()
-			n.learnJob(userapi.Stored{At: g.now.UnixMilli(), Spec: &protocol.Submission{UID: uid, Team: team, Kind: kind, Priority: priority, Tasks: tasks, CPUs: cpus,
+			n.learnJob(userapi.ActiveJob{SubmittedAtMillis: g.now.UnixMilli(), Spec: &protocol.Submission{UID: uid, Team: team, Kind: kind, Priority: priority, Tasks: tasks, CPUs: cpus,
 				MemoryGB: 1, Image: "img", EstimateSeconds: 600, OneZone: kind == protocol.Gang, DeadlineSeconds: &c.deadline}}, 1)
 		}
 		submit("job-000001", "team-1", "standard", protocol.JobArray, 16, 1)
@@ -200,7 +200,7 @@
 	defer n.mu.Unlock()
 	n.settings.Deployment.Objectives = []settings.Objective{{Kind: "finished", Class: "c", WithinSeconds: 300}, {Kind: "wait", Class: "c", WithinSeconds: 20}}
 	for uid, age := range map[string]time.Duration{"job-000001": 100 * time.Second, "job-000002": 5 * time.Second} {
-		n.learnJob(userapi.Stored{At: g.now.Add(-age).UnixMilli(), Spec: &protocol.Submission{UID: uid, Class: "c", Team: "team-0", Kind: protocol.Gang, Priority: "high",
+		n.learnJob(userapi.ActiveJob{SubmittedAtMillis: g.now.Add(-age).UnixMilli(), Spec: &protocol.Submission{UID: uid, Class: "c", Team: "team-0", Kind: protocol.Gang, Priority: "high",
 			Tasks: 8, CPUs: 8, MemoryGB: 1, Image: "img", EstimateSeconds: 40, OneZone: true}}, 1)
 	}
 	n.place(g.now)
--- a/internal/controller/provisioning.go
+++ b/internal/controller/provisioning.go
@@ -170,7 +170,7 @@
 	if dropped {
 		return
 	}
-	names, err := n.cloud.Rent(ctx, request)
+	names, err := n.cloud.ScaleOut(ctx, request)
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.log.Info("rent", "request", request.Request, "type", request.Type, "zone", request.Zone, "spot", request.Spot,
@@ -185,7 +185,7 @@
 		return
 	}
 	n.group.Go(func() error {
-		err := n.cloud.Return(n.ctx, names)
+		err := n.cloud.ScaleIn(n.ctx, names)
 		n.log.Info("return", "machines", names, "err", err)
 		n.mu.Lock()
 		defer n.mu.Unlock()
--- a/internal/controller/recordchange.go
+++ b/internal/controller/recordchange.go
@@ -109,7 +109,7 @@
 
 // propose tries to write a record, and takes it up if that worked.
 func (n *Node) propose(ctx context.Context, c *recordChange) error {
-	revision, failed, err := n.kvStore.TxnControl(ctx, c.transaction())
+	revision, failed, err := n.kvStore.CommitControl(ctx, c.transaction())
 	n.log.Info("control record proposed", "term", c.record.Term, "reason", c.reason, "err", err, "failed", failed)
 	n.mu.Lock()
 	defer n.mu.Unlock()
--- a/internal/controller/recovery.go
+++ b/internal/controller/recovery.go
@@ -136,7 +136,7 @@
 
 // storeAssessment is what peers are told of the store.
 func (n *Node) storeAssessment() datarecovery.Assessment {
-	return n.recovery.detection.Assessment(n.record, n.kvStore.Seen())
+	return n.recovery.detection.Assessment(n.record, n.kvStore.LastRevision())
 }
 
 // storeStatus is what operators are told of the store.
@@ -146,7 +146,7 @@
 	suspicions, losses := detection.Counts()
 	status := datarecovery.Status{
 		Phase: phase.String(), Sign: sign, Epoch: n.epoch(),
-		StaleActive: n.recovery.writeBack.StaleKeys(), Ends: n.front.Ends(),
+		StaleActive: n.recovery.writeBack.StaleKeys(), Ends: n.front.EndCount(),
 		MemoryComplete: detection.MemoryComplete(), Unreplicated: n.recovery.facts.unreplicated,
 		Suspicions: suspicions, Losses: losses,
 	}
--- a/internal/controller/recovery_detect.go
+++ b/internal/controller/recovery_detect.go
@@ -56,12 +56,12 @@
 // the store lost the job.
 func (n *Node) verifyUnlistedJob(uid string, j *job) {
 	n.group.Go(func() error {
-		_, _, absent := n.front.LookUp(n.ctx, uid)
+		_, _, absent := n.front.LookUpEndOrAbsence(n.ctx, uid)
 		n.mu.Lock()
 		defer n.mu.Unlock()
 		if absent && n.jobs[uid] == j && !j.active {
 			j.active, j.endedAt = true, time.Time{}
-			n.learnJob(userapi.Stored{Spec: j.spec, At: j.submittedAt.UnixMilli()}, 0)
+			n.learnJob(userapi.ActiveJob{Spec: j.spec, SubmittedAtMillis: j.submittedAt.UnixMilli()}, 0)
 			n.proveLoss("an accepted job is gone without an end")
 		}
 		return nil
@@ -91,7 +91,7 @@
 	}
 	m.inspectedAt = time.Now()
 	n.group.Go(func() error {
-		link := httpx.NewLink(addr, 1<<20)
+		link := httpx.NewClientConn(addr, 1<<20)
 		defer link.Close()
 		resp, _, err := link.Do(n.ctx, "GET", protocol.PathInspect, nil, probeTimeout)
 		var r protocol.Heartbeat
@@ -164,7 +164,7 @@
 			break
 		}
 		if j.active && j.version > 0 {
-			keys[userapi.JobKey+uid] = j.version
+			keys[userapi.ActiveJobPrefix+uid] = j.version
 			left--
 		}
 	}
@@ -178,8 +178,8 @@
 		return n.recordVersion
 	case strings.HasPrefix(key, datarecovery.EpochKey):
 		return n.recovery.detection.EpochKeyVersion(key)
-	case strings.HasPrefix(key, userapi.JobKey):
-		if j := n.jobs[key[len(userapi.JobKey):]]; j != nil && j.active {
+	case strings.HasPrefix(key, userapi.ActiveJobPrefix):
+		if j := n.jobs[key[len(userapi.ActiveJobPrefix):]]; j != nil && j.active {
 			return j.version
 		}
 		return 0
@@ -198,10 +198,10 @@
 	if !ready {
 		return outcome
 	}
-	revision, failed, err := n.kvStore.Compare(ctx, plan.Conditions(4*n.settings.Deployment.KVStore.ChangesPerTransaction-1))
+	revision, failed, err := n.kvStore.CompareVersions(ctx, plan.Conditions(4*n.settings.Deployment.KVStore.ChangesPerTransaction-1))
 	conflict := errors.Is(err, kvstore.ErrConflict)
 	switch {
-	case errors.Is(err, kvstore.ErrBack):
+	case errors.Is(err, kvstore.ErrRevisionWentBack):
 		n.lossSeenHere()
 		return datarecovery.Missing
 	case (err == nil || conflict) && revision < plan.SeenRevision:
@@ -229,8 +229,8 @@
 	after := n.followedRevision
 	n.mu.Unlock()
 	began := time.Now()
-	changes, err := n.kvStore.Changes(ctx, userapi.Watched, after)
-	if errors.Is(err, kvstore.ErrBack) {
+	changes, err := n.kvStore.Changes(ctx, userapi.WatchedPrefix, after)
+	if errors.Is(err, kvstore.ErrRevisionWentBack) {
 		n.lossSeenHere()
 		return datarecovery.Missing
 	} else if err != nil {
@@ -275,9 +275,9 @@
 		}
 	}
 	n.log.Error("state service lost data", "sign", sign, "epoch", n.epoch(), "revision", n.followedRevision,
-		"jobs_remembered", active, "ends_remembered", n.front.Ends(),
+		"jobs_remembered", active, "ends_remembered", n.front.EndCount(),
 		"memory_complete", n.recovery.detection.MemoryComplete(), "machines_remembered", len(n.roster.All()))
-	n.kvStore.Hold(true)
-	n.kvStore.Anew()
+	n.kvStore.HoldUpdates(true)
+	n.kvStore.ForgetRevisions()
 	n.rewriteOwnKey()
 }
--- a/internal/controller/recovery_epoch.go
+++ b/internal/controller/recovery_epoch.go
@@ -24,9 +24,9 @@
 // what a lost store holds.
 func (n *Node) relistKeys(ctx context.Context) {
 	began := time.Now()
-	entries, revision, err := n.kvStore.List(ctx, userapi.Watched)
-	if errors.Is(err, kvstore.ErrBack) {
-		n.kvStore.Anew()
+	entries, revision, err := n.kvStore.List(ctx, userapi.WatchedPrefix)
+	if errors.Is(err, kvstore.ErrRevisionWentBack) {
+		n.kvStore.ForgetRevisions()
 	}
 	if err != nil {
 		sleep(ctx, relistRetryDelay)
@@ -96,8 +96,8 @@
 	n.recovery.detection.ListAccepted()
 	n.recovery.census.Begin(now)
 	n.recovery.writeBack.Begin()
-	n.kvStore.Anew()
-	n.kvStore.Hold(false)
+	n.kvStore.ForgetRevisions()
+	n.kvStore.HoldUpdates(false)
 	n.followedRevision = revision
 	if n.recovery.restartWatch != nil {
 		n.recovery.restartWatch()
@@ -130,7 +130,7 @@
 		j.version = 0
 	}
 	for _, job := range n.recovery.gathering.ProposedJobs(now) {
-		n.learnJob(userapi.Stored(job), 0)
+		n.learnJob(userapi.ActiveJob(job), 0)
 	}
 	n.roster = newRoster(n.settings)
 	n.configEntered()
@@ -175,7 +175,7 @@
 	}
 	key := datarecovery.EpochKey + n.record.StoreID
 	if version := n.recovery.detection.EpochKeyVersion(key); version > 0 {
-		n.kvStore.Fence(protocol.Condition{Key: key, Version: version})
+		n.kvStore.SetFence(protocol.Condition{Key: key, Version: version})
 	}
 }
 
@@ -188,7 +188,7 @@
 	}
 	next := evidence.NextEpoch()
 	txn := next.Transaction(controlKey, nodeKey, contents, n.settings.Deployment.KVStore.ChangesPerTransaction)
-	_, failed, err := n.kvStore.TxnControl(ctx, txn)
+	_, failed, err := n.kvStore.CommitControl(ctx, txn)
 	n.log.Info("epoch proposed", "epoch", next.Record.Epoch, "term", next.Record.Term, "accounts_kept", next.WithoutBarrier,
 		"lost_for_good", next.Record.DataLost, "members", next.Record.Members(), "failed", failed, "err", err)
 	n.relistKeys(ctx)
@@ -197,7 +197,7 @@
 func (n *Node) proposalEvidence() (evidence datarecovery.Evidence, contents datarecovery.StoreContents, ready bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	evidence, contents, ready = n.recovery.detection.Proposal(n.record, n.kvStore.Seen(), time.Now())
+	evidence, contents, ready = n.recovery.detection.Proposal(n.record, n.kvStore.LastRevision(), time.Now())
 	evidence.Controllers = n.settings.ControllerNames()
 	evidence.Shards = n.itemNames()
 	evidence.ChangeUnanswered = n.unansweredVersion != 0 || n.recordChangePending
--- a/internal/controller/recovery_gather.go
+++ b/internal/controller/recovery_gather.go
@@ -27,7 +27,7 @@
 	// memoriesMsg tells what the sender remembers and the store may not have.
 	memoriesMsg struct {
 		Epoch    uint64                    `json:"generation"`
-		Jobs     []userapi.Stored          `json:"jobs,omitempty"`   // active, and not in the store
+		Jobs     []userapi.ActiveJob       `json:"jobs,omitempty"`   // active, and not in the store
 		Active   []string                  `json:"active,omitempty"` // jobs that the store had, as the sender knows
 		Finished map[string]*bitset.BitSet `json:"done,omitempty"`   // finished tasks by job
 		Ends     datarecovery.Digest       `json:"ends"`
@@ -91,7 +91,7 @@
 // sendMemories tells peers what is remembered here and the store may lack; ask has them send theirs.
 func (n *Node) sendMemories(ask bool, to ...string) {
 	unwritten, written := n.activeJobs()
-	ends := n.front.Digest()
+	ends := n.front.EndsDigest()
 	for last := false; !last; {
 		m := memoriesMsg{Epoch: n.epoch(), Jobs: unwritten[:min(jobsPerMessage, len(unwritten))], Finished: map[string]*bitset.BitSet{}, Ask: ask}
 		unwritten = unwritten[len(m.Jobs):]
@@ -112,10 +112,10 @@
 }
 
 // activeJobs are the active jobs that the store lacks, and the ids of those that it has, in the order of ids.
-func (n *Node) activeJobs() (unwritten []userapi.Stored, written []string) {
+func (n *Node) activeJobs() (unwritten []userapi.ActiveJob, written []string) {
 	for _, uid := range slices.Sorted(maps.Keys(n.jobs)) {
 		if j := n.jobs[uid]; j.active && j.version == 0 {
-			unwritten = append(unwritten, userapi.Stored{Spec: j.spec, At: j.submittedAt.UnixMilli()})
+			unwritten = append(unwritten, userapi.ActiveJob{Spec: j.spec, SubmittedAtMillis: j.submittedAt.UnixMilli()})
 		} else if j.active {
 			written = append(written, uid)
 		}
@@ -161,7 +161,7 @@
 		}
 	}
 	n.recovery.gathering.MemoriesReceived(from)
-	lacking, err := n.front.Lacking(m.Ends)
+	lacking, err := n.front.EndsMissingFrom(m.Ends)
 	if err != nil {
 		n.log.Error("unreadable line", "peer", from, "kind", kindMemories, "err", err)
 		return
@@ -197,7 +197,7 @@
 // learnEnds takes in ends from peers and pages.
 func (n *Node) learnEnds(ends []datarecovery.End) {
 	for _, end := range ends {
-		n.front.Learn(end.UID, userapi.FinalOf(end))
+		n.front.RecordEnd(end.UID, userapi.JobEndFrom(end))
 		n.applyRememberedEnd(end.UID)
 	}
 }
--- a/internal/controller/recovery_replicate.go
+++ b/internal/controller/recovery_replicate.go
@@ -22,14 +22,14 @@
 type (
 	// replicateFactMsg asks a peer to remember a fact before a user is told of it.
 	replicateFactMsg struct {
-		ID   uint64          `json:"id,omitempty"`   // 0: no answer is wanted
-		From uint64          `json:"from,omitempty"` // number of the first of Ends among the cancellations that the sender confirmed
-		Job  *userapi.Stored `json:"job,omitempty"`
-		Ends []jobEnd        `json:"ends,omitempty"`
+		ID   uint64             `json:"id,omitempty"`   // 0: no answer is wanted
+		From uint64             `json:"from,omitempty"` // number of the first of Ends among the cancellations that the sender confirmed
+		Job  *userapi.ActiveJob `json:"job,omitempty"`
+		Ends []jobEnd           `json:"ends,omitempty"`
 	}
 	jobEnd struct {
 		UID string `json:"uid"`
-		userapi.Final
+		userapi.JobEnd
 	}
 	// factReplicatedMsg answers it.
 	factReplicatedMsg struct {
@@ -95,7 +95,7 @@
 }
 
 // broadcastEnd tells the peers of an end that was found in the store.
-func (n *Node) broadcastEnd(uid string, end userapi.Final) {
+func (n *Node) broadcastEnd(uid string, end userapi.JobEnd) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.broadcast(kindReplicateFact, replicateFactMsg{Ends: []jobEnd{{uid, end}}})
@@ -113,7 +113,7 @@
 		}
 	}
 	for _, end := range m.Ends {
-		n.front.Learn(end.UID, end.Final)
+		n.front.RecordEnd(end.UID, end.JobEnd)
 		n.applyRememberedEnd(end.UID)
 	}
 	n.cancelWatermark.RecordReceived(from, m.From, len(m.Ends))
@@ -134,7 +134,7 @@
 
 // rememberProposedJob takes down a job that a peer is about to accept. If the store accepts it, the
 // watch tells; if not, it is forgotten.
-func (n *Node) rememberProposedJob(s userapi.Stored) {
+func (n *Node) rememberProposedJob(s userapi.ActiveJob) {
 	if n.jobs[s.Spec.UID] == nil {
 		n.recovery.gathering.JobProposed(datarecovery.RememberedJob(s), time.Now())
 	}
--- a/internal/controller/recovery_writeback.go
+++ b/internal/controller/recovery_writeback.go
@@ -35,12 +35,12 @@
 	limit := 2 * n.settings.Deployment.KVStore.ChangesPerTransaction
 	for _, job := range n.recovery.writeBack.StartJobs(n.unwrittenJobs(), limit) {
 		n.group.Go(func() error {
-			n.writeBackJob(n.ctx, userapi.Stored(job))
+			n.writeBackJob(n.ctx, userapi.ActiveJob(job))
 			return nil
 		})
 	}
 	for _, key := range n.recovery.writeBack.StartStaleKeys(now, limit, n.ownsJob, n.hasEnded) {
-		final, _ := n.front.Final(key.UID)
+		final, _ := n.front.KnownEnd(key.UID)
 		n.group.Go(func() error {
 			n.writeEndAgain(n.ctx, key, final)
 			return nil
@@ -56,7 +56,7 @@
 			continue
 		}
 		if shard := n.shards.OfTeam(j.spec.Team); shard != nil && shard.IsReady() {
-			jobs = append(jobs, datarecovery.RememberedJob{Spec: j.spec, At: j.submittedAt.UnixMilli()})
+			jobs = append(jobs, datarecovery.RememberedJob{Spec: j.spec, SubmittedAtMillis: j.submittedAt.UnixMilli()})
 		}
 	}
 	return jobs
@@ -69,15 +69,15 @@
 }
 
 // writeBackJob gives the store a job, unless it has the job or its end.
-func (n *Node) writeBackJob(ctx context.Context, s userapi.Stored) {
+func (n *Node) writeBackJob(ctx context.Context, s userapi.ActiveJob) {
 	uid := s.Spec.UID
 	version, err := n.kvStore.Commit(ctx, kvstore.Update{
-		Guards: []protocol.Condition{{Key: userapi.JobKey + uid}, {Key: userapi.FinalKey + uid}},
-		Ops:    []protocol.Op{{Set: userapi.JobKey + uid, Value: protocol.Encode(s)}}})
+		Conditions: []protocol.Condition{{Key: userapi.ActiveJobPrefix + uid}, {Key: userapi.EndedJobPrefix + uid}},
+		Changes:    []protocol.Op{{Set: userapi.ActiveJobPrefix + uid, Value: protocol.Encode(s)}}})
 	if errors.Is(err, kvstore.ErrConflict) {
 		// Its end, if that is why; else the watch tells its version. No watch tells the
 		// others of that end, since for them the store never had the job.
-		if end, ended := n.front.Ended(ctx, uid); ended {
+		if end, ended := n.front.LookUpEnd(ctx, uid); ended {
 			n.broadcastEnd(uid, end)
 		}
 	} else if err != nil {
@@ -92,10 +92,10 @@
 }
 
 // writeEndAgain puts the end of a job in the place of the key that says that it is active.
-func (n *Node) writeEndAgain(ctx context.Context, key datarecovery.StaleKey, final userapi.Final) {
+func (n *Node) writeEndAgain(ctx context.Context, key datarecovery.StaleKey, final userapi.JobEnd) {
 	_, err := n.kvStore.Commit(ctx, kvstore.Update{
-		Guards: []protocol.Condition{{Key: userapi.JobKey + key.UID, Version: key.Version}},
-		Ops:    []protocol.Op{{Delete: userapi.JobKey + key.UID}, {Set: userapi.FinalKey + key.UID, Value: protocol.Encode(final)}}})
+		Conditions: []protocol.Condition{{Key: userapi.ActiveJobPrefix + key.UID, Version: key.Version}},
+		Changes:    []protocol.Op{{Delete: userapi.ActiveJobPrefix + key.UID}, {Set: userapi.EndedJobPrefix + key.UID, Value: protocol.Encode(final)}}})
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.recovery.writeBack.Written(key.UID)
@@ -126,16 +126,16 @@
 		return false
 	}
 	written, next := n.readEndPages(entries)
-	left, err := n.front.Lacking(written.Digest())
+	left, err := n.front.EndsMissingFrom(written.Digest())
 	if err != nil {
 		return false
 	}
 	pages := datarecovery.Pages(left, maxValueBytes(n.settings.Deployment.KVStore)-pageOverhead)
 	for i, page := range pages {
 		key := datarecovery.EndsKey + strconv.Itoa(next+i)
-		_, err := n.kvStore.Commit(ctx, kvstore.Update{Later: true,
-			Guards: []protocol.Condition{{Key: key}},
-			Ops:    []protocol.Op{{Set: key, Value: protocol.Encode(page)}}})
+		_, err := n.kvStore.Commit(ctx, kvstore.Update{Deferrable: true,
+			Conditions: []protocol.Condition{{Key: key}},
+			Changes:    []protocol.Op{{Set: key, Value: protocol.Encode(page)}}})
 		if err != nil {
 			return false // looked at again from the start
 		}
@@ -175,7 +175,7 @@
 		var entries []protocol.Entry
 		err := error(nil)
 		if ready {
-			entries, more, err = n.kvStore.Page(ctx, userapi.FinalKey, after)
+			entries, more, err = n.kvStore.Page(ctx, userapi.EndedJobPrefix, after)
 		}
 		if !ready || err != nil {
 			more = true
@@ -204,10 +204,10 @@
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	for _, e := range entries {
-		var final userapi.Final
+		var final userapi.JobEnd
 		if json.Unmarshal(e.Value, &final) == nil && final.State != "" {
-			uid := e.Key[len(userapi.FinalKey):]
-			n.front.Learn(uid, final)
+			uid := e.Key[len(userapi.EndedJobPrefix):]
+			n.front.RecordEnd(uid, final)
 			n.applyRememberedEnd(uid)
 		}
 	}
--- a/internal/controller/registration.go
+++ b/internal/controller/registration.go
@@ -102,7 +102,7 @@
 func (n *Node) writeRoster(ctx context.Context, w agents.RosterWrite) {
 	value := protocol.Encode(w.Value())
 	revision, err := n.kvStore.Commit(ctx, kvstore.Update{
-		Guards: []protocol.Condition{{Key: w.Key, Version: w.Version}}, Ops: []protocol.Op{{Set: w.Key, Value: value}}})
+		Conditions: []protocol.Condition{{Key: w.Key, Version: w.Version}}, Changes: []protocol.Op{{Set: w.Key, Value: value}}})
 	if err != nil {
 		n.log.Debug("roster not written yet", "key", w.Key, "err", err)
 		if errors.Is(err, kvstore.ErrRefused) {
--- a/internal/controller/save.go
+++ b/internal/controller/save.go
@@ -67,9 +67,9 @@
 // savePage writes one page if the control record is still the one that this controller knows.
 func (n *Node) savePage(shard *shards.Owned, p jobstate.Page, control protocol.Condition) {
 	key := shard.Pages().Key(p.Number)
-	revision, err := n.kvStore.Commit(n.ctx, kvstore.Update{Later: true,
-		Guards: []protocol.Condition{control, {Key: key, Version: p.Version}},
-		Ops:    []protocol.Op{{Set: key, Value: protocol.Encode(p.Parts)}}})
+	revision, err := n.kvStore.Commit(n.ctx, kvstore.Update{Deferrable: true,
+		Conditions: []protocol.Condition{control, {Key: key, Version: p.Version}},
+		Changes:    []protocol.Op{{Set: key, Value: protocol.Encode(p.Parts)}}})
 	if err != nil {
 		n.log.Debug("finished tasks not written yet", "key", key, "err", err)
 		if !errors.Is(err, kvstore.ErrRefused) { // its outcome is open, or it met another version
--- a/internal/controller/status.go
+++ b/internal/controller/status.go
@@ -71,8 +71,8 @@
 		}
 		others = append(others, wanted)
 	}
-	n.kvStore.Share(others)
-	return n.kvStore.Wanted(now)
+	n.kvStore.SetRateByDemand(others)
+	return n.kvStore.WantedRate(now)
 }
 
 // status composes this controller's status for its peers. It makes the promise in it, and takes what is sent once.
--- a/internal/controller/stray_test.go
+++ b/internal/controller/stray_test.go
@@ -213,7 +213,7 @@
 	n.agents.SetTerm(1, func(string) bool { return true })
 	n.roster.ApplyList("x", 1, agents.RosterValue{Names: []string{"n-1"}})
 	spec := array(1, 3, "team-0")
-	n.learnJob(userapi.Stored{Spec: spec, At: g.now.UnixMilli()}, 1)
+	n.learnJob(userapi.ActiveJob{Spec: spec, SubmittedAtMillis: g.now.UnixMilli()}, 1)
 	team := n.shards.OfTeam("team-0").Team()
 	good := protocol.Heartbeat{Machine: "n-1", Addr: "127.0.0.1:1", Type: "m32", Zone: "east", Incarnation: 1, Seq: 1, FencingToken: 1, Tasks: []protocol.TaskStatus{}}
 	if a := n.handleHeartbeat(protocol.Encode(good)); a.Status != 200 {
--- a/internal/controller/sync_test.go
+++ b/internal/controller/sync_test.go
@@ -53,7 +53,7 @@
 		go func() {
 			defer wg.Done()
 			spec := array(i, 1, "red")
-			key := userapi.JobKey + spec.UID
+			key := userapi.ActiveJobPrefix + spec.UID
 			know := func(want bool) {
 				if err := n.waitForChanges(ctx); err != nil {
 					t.Error(err)
@@ -65,11 +65,11 @@
 				}
 			}
 			know(false)
-			if _, err := other.Commit(ctx, kvstore.Update{Ops: []protocol.Op{{Set: key, Value: protocol.Encode(userapi.Stored{Spec: spec})}}}); err != nil {
+			if _, err := other.Commit(ctx, kvstore.Update{Changes: []protocol.Op{{Set: key, Value: protocol.Encode(userapi.ActiveJob{Spec: spec})}}}); err != nil {
 				t.Error(err)
 			}
 			know(true)
-			if _, err := other.Commit(ctx, kvstore.Update{Ops: []protocol.Op{{Delete: key}}}); err != nil {
+			if _, err := other.Commit(ctx, kvstore.Update{Changes: []protocol.Op{{Delete: key}}}); err != nil {
 				t.Error(err)
 			}
 			know(false)
--- a/internal/controller/userbackend.go
+++ b/internal/controller/userbackend.go
@@ -17,7 +17,7 @@
 var _ userapi.Backend = userBackend{}
 
 // Types is the machine types of the cloud, nil while unknown.
-func (b userBackend) Types() []protocol.MachineType {
+func (b userBackend) MachineTypes() []protocol.MachineType {
 	n := b.node
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -45,7 +45,7 @@
 }
 
 // Active says whether the state service has a job as active, by a read begun after the call; false if unsure.
-func (b userBackend) Active(ctx context.Context, uid string) bool {
+func (b userBackend) IsActive(ctx context.Context, uid string) bool {
 	n := b.node
 	n.mu.Lock()
 	j := n.jobs[uid]
@@ -62,7 +62,7 @@
 }
 
 // Trusted says whether the state service has what it acknowledged, as far as known.
-func (b userBackend) Trusted() bool {
+func (b userBackend) StoreTrusted() bool {
 	n := b.node
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -72,22 +72,22 @@
 }
 
 // Remembers gives an active job and its version in the state service, 0 if that does not have it yet.
-func (b userBackend) Remembers(uid string) (userapi.Stored, uint64, bool) {
+func (b userBackend) KnownActiveJob(uid string) (userapi.ActiveJob, uint64, bool) {
 	n := b.node
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	j := n.jobs[uid]
 	if j == nil || !j.active {
-		return userapi.Stored{}, 0, false
+		return userapi.ActiveJob{}, 0, false
 	}
-	return userapi.Stored{Spec: j.spec, At: j.submittedAt.UnixMilli()}, j.version, true
+	return userapi.ActiveJob{Spec: j.spec, SubmittedAtMillis: j.submittedAt.UnixMilli()}, j.version, true
 }
 
 // Certain says whether a job that neither the store nor anybody here knows was never
 // accepted: all ends were read, this process had time to hear what machines know of
 // an earlier store, and nothing was lost for good.
 // All that is followed is read up to now first.
-func (b userBackend) Certain(ctx context.Context) bool {
+func (b userBackend) CertainlyNeverAccepted(ctx context.Context) bool {
 	n := b.node
 	if n.waitForChanges(ctx) != nil {
 		return false
@@ -104,17 +104,17 @@
 
 // Missing has the store looked at before it is doubted: what looks like a loss is far more
 // often a change that this controller is about to hear of, and a doubt stops everything.
-func (b userBackend) Missing(uid string) {
+func (b userBackend) ReportMissing(uid string) {
 	n := b.node
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if j := n.jobs[uid]; j != nil && j.active && j.version > 0 && n.trusted() {
-		n.recovery.detection.SuspectKey(userapi.JobKey+uid, j.version)
+		n.recovery.detection.SuspectKey(userapi.ActiveJobPrefix+uid, j.version)
 	}
 }
 
 // Hold has a peer hold a job, or else an end, before it is confirmed to a user.
-func (b userBackend) Hold(ctx context.Context, job *userapi.Stored, uid string, end userapi.Final) {
+func (b userBackend) CopyToPeer(ctx context.Context, job *userapi.ActiveJob, uid string, end userapi.JobEnd) {
 	n := b.node
 	m := replicateFactMsg{Job: job}
 	if job == nil {
@@ -124,7 +124,7 @@
 }
 
 // Confirming announces a cancellation to the peers before it is confirmed to a user.
-func (b userBackend) Confirming(uid string, end userapi.Final) {
+func (b userBackend) ConfirmingCancellation(uid string, end userapi.JobEnd) {
 	n := b.node
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -132,7 +132,7 @@
 }
 
 // Accepted takes up a job that was accepted here.
-func (b userBackend) Accepted(s userapi.Stored, version uint64) {
+func (b userBackend) JobAccepted(s userapi.ActiveJob, version uint64) {
 	n := b.node
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -141,7 +141,7 @@
 }
 
 // Ended takes in that a job has ended.
-func (b userBackend) Ended(uid string, final userapi.Final) {
+func (b userBackend) JobEnded(uid string, final userapi.JobEnd) {
 	n := b.node
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -182,7 +182,7 @@
 // Admit says whether a new job can be taken now by what the state service has room for.
 func (b userBackend) Admit(s *protocol.Submission) (taken bool, back int) {
 	n := b.node
-	wait, rate := n.kvStore.Pressure()
+	wait, rate := n.kvStore.UrgentDelay()
 	now := time.Now()
 	n.mu.Lock()
 	defer n.mu.Unlock()
--- a/internal/datarecovery/gathering.go
+++ b/internal/datarecovery/gathering.go
@@ -19,8 +19,8 @@
 
 // RememberedJob is a job that the store may not have.
 type RememberedJob struct {
-	Spec *protocol.Submission
-	At   int64 // of its submission, ms
+	Spec              *protocol.Submission
+	SubmittedAtMillis int64 // of its submission, ms
 }
 
 type proposedJob struct {
--- a/internal/datarecovery/gathering_test.go
+++ b/internal/datarecovery/gathering_test.go
@@ -13,7 +13,7 @@
 func never(string) bool  { return false }
 
 func rememberedJob(uid string, at int64) RememberedJob {
-	return RememberedJob{Spec: &protocol.Submission{UID: uid}, At: at}
+	return RememberedJob{Spec: &protocol.Submission{UID: uid}, SubmittedAtMillis: at}
 }
 
 // TestGatheringWaitsForMembersThatAreHeard: teams started before a member that was heard had told of a cancellation.
--- a/internal/datarecovery/writeback.go
+++ b/internal/datarecovery/writeback.go
@@ -125,7 +125,7 @@
 	slices.SortFunc(jobs, func(a, b RememberedJob) int {
 		return cmp.Or(
 			protocol.Rank(b.Spec.Priority)-protocol.Rank(a.Spec.Priority),
-			cmp.Compare(a.At, b.At),
+			cmp.Compare(a.SubmittedAtMillis, b.SubmittedAtMillis),
 			cmp.Compare(a.Spec.UID, b.Spec.UID))
 	})
 }
--- a/internal/httpx/client.go
+++ b/internal/httpx/client.go
@@ -8,35 +8,37 @@
 	"time"
 )
 
-// Link is one ordered client connection: requests go out one after another,
+// ClientConn is one ordered client connection: requests go out one after another,
 // and the next only after the answer to the last.
-type Link struct {
-	addr string
-	max  int
-	conn net.Conn
-	r    *bufio.Reader
+type ClientConn struct {
+	addr    string
+	maxBody int
+	conn    net.Conn
+	reader  *bufio.Reader
 }
 
-// NewLink is a link to an address with a bound for response bodies.
-func NewLink(addr string, maxBody int) *Link { return &Link{addr: addr, max: maxBody} }
+// NewClientConn is a connection to an address with a bound for response bodies.
+func NewClientConn(addr string, maxBody int) *ClientConn {
+	return &ClientConn{addr: addr, maxBody: maxBody}
+}
 
 // Addr is the address that the link goes to.
-func (l *Link) Addr() string { return l.addr }
+func (l *ClientConn) Addr() string { return l.addr }
 
 // Open says whether a connection stands.
-func (l *Link) Open() bool { return l.conn != nil }
+func (l *ClientConn) Open() bool { return l.conn != nil }
 
 // Close ends the connection.
-func (l *Link) Close() {
+func (l *ClientConn) Close() {
 	if l.conn != nil {
 		_ = l.conn.Close()
-		l.conn, l.r = nil, nil
+		l.conn, l.reader = nil, nil
 	}
 }
 
 // Do sends a request and waits for its answer. sent says whether a byte of the
 // request may have left: after an error the request may still be carried out.
-func (l *Link) Do(ctx context.Context, method, target string, body []byte, timeout time.Duration) (resp *Response, sent bool, err error) {
+func (l *ClientConn) Do(ctx context.Context, method, target string, body []byte, timeout time.Duration) (resp *Response, sent bool, err error) {
 	deadline := time.Now().Add(timeout)
 	if l.conn == nil {
 		d := net.Dialer{Deadline: deadline, KeepAlive: -1}
@@ -44,16 +46,16 @@
 		if err != nil {
 			return nil, false, err
 		}
-		l.conn, l.r = conn, bufio.NewReaderSize(conn, 8<<10)
+		l.conn, l.reader = conn, bufio.NewReaderSize(conn, 8<<10)
 	}
-	stop := context.AfterFunc(ctx, func() { _ = l.connClose() })
+	stop := context.AfterFunc(ctx, func() { _ = l.abort() })
 	defer stop()
 	_ = l.conn.SetDeadline(deadline)
 	if _, err = l.conn.Write(AppendRequest(make([]byte, 0, len(body)+160), method, l.addr, target, body)); err != nil {
 		l.Close()
 		return nil, true, err
 	}
-	resp, err = ReadResponse(l.r, l.max)
+	resp, err = ReadResponse(l.reader, l.maxBody)
 	if err != nil {
 		l.Close()
 		return nil, true, err
@@ -64,7 +66,7 @@
 	return resp, true, nil
 }
 
-func (l *Link) connClose() error {
+func (l *ClientConn) abort() error {
 	if conn := l.conn; conn != nil {
 		return conn.SetDeadline(time.Unix(1, 0))
 	}
@@ -73,32 +75,32 @@
 
 // Pool sends independent requests to one address over a few kept connections.
 type Pool struct {
-	addr string
-	max  int
-	mu   sync.Mutex
-	idle []*Link
-	busy chan struct{}
+	addr    string
+	maxBody int
+	mu      sync.Mutex
+	idle    []*ClientConn
+	slots   chan struct{}
 }
 
 // NewPool is a pool with a bound of connections in use at once.
 func NewPool(addr string, maxBody, maxConns int) *Pool {
-	return &Pool{addr: addr, max: maxBody, busy: make(chan struct{}, maxConns)}
+	return &Pool{addr: addr, maxBody: maxBody, slots: make(chan struct{}, maxConns)}
 }
 
 // Do sends one request on a free connection.
 func (p *Pool) Do(ctx context.Context, method, target string, body []byte, timeout time.Duration) (resp *Response, sent bool, err error) {
 	select {
-	case p.busy <- struct{}{}:
+	case p.slots <- struct{}{}:
 	case <-ctx.Done():
 		return nil, false, ctx.Err()
 	}
-	defer func() { <-p.busy }()
+	defer func() { <-p.slots }()
 	p.mu.Lock()
-	var l *Link
+	var l *ClientConn
 	if n := len(p.idle); n > 0 {
 		l, p.idle = p.idle[n-1], p.idle[:n-1]
 	} else {
-		l = NewLink(p.addr, p.max)
+		l = NewClientConn(p.addr, p.maxBody)
 	}
 	p.mu.Unlock()
 	resp, sent, err = l.Do(ctx, method, target, body, timeout)
--- a/internal/httpx/listen.go
+++ b/internal/httpx/listen.go
@@ -15,24 +15,24 @@
 
 // Conn is a connection accepted by gnet, read by a goroutine of its own.
 type Conn struct {
-	raw    gnet.Conn
-	remote string
-	signal chan struct{}
-	timer  *time.Timer
-
-	mu     sync.Mutex
-	unread []byte
-	ended  bool
-	used   time.Time
-	pinned bool
-	until  time.Time
+	raw      gnet.Conn
+	remote   string
+	readable chan struct{}
+	timer    *time.Timer
+
+	mu           sync.Mutex
+	unread       []byte
+	closed       bool
+	lastUsedAt   time.Time
+	pinned       bool
+	readDeadline time.Time
 }
 
 // Remote is the peer's address.
 func (c *Conn) Remote() string { return c.remote }
 
 // SetReadDeadline bounds the following reads.
-func (c *Conn) SetReadDeadline(t time.Time) { c.until = t }
+func (c *Conn) SetReadDeadline(t time.Time) { c.readDeadline = t }
 
 // Pin keeps the connection from being dropped in favour of new ones.
 func (c *Conn) Pin() {
@@ -53,12 +53,12 @@
 			c.mu.Unlock()
 			return n, nil
 		}
-		ended := c.ended
+		ended := c.closed
 		c.mu.Unlock()
 		if ended {
 			return 0, io.EOF
 		}
-		wait := time.Until(c.until)
+		wait := time.Until(c.readDeadline)
 		if wait <= 0 {
 			return 0, os.ErrDeadlineExceeded
 		}
@@ -68,7 +68,7 @@
 			c.timer.Reset(wait)
 		}
 		select {
-		case <-c.signal:
+		case <-c.readable:
 			c.timer.Stop()
 		case <-c.timer.C:
 			return 0, os.ErrDeadlineExceeded
@@ -78,8 +78,8 @@
 
 func (c *Conn) Write(p []byte) (int, error) {
 	c.mu.Lock()
-	ended := c.ended
-	c.used = time.Now()
+	ended := c.closed
+	c.lastUsedAt = time.Now()
 	c.mu.Unlock()
 	if ended {
 		return 0, net.ErrClosed
@@ -93,28 +93,28 @@
 // Close ends the connection after what was written has gone out.
 func (c *Conn) Close() {
 	c.mu.Lock()
-	ended := c.ended
+	ended := c.closed
 	c.mu.Unlock()
 	if !ended {
 		_ = c.raw.AsyncWrite(nil, func(raw gnet.Conn, _ error) error { return raw.Close() })
 	}
 }
 
-func (c *Conn) wake() {
+func (c *Conn) signalReadable() {
 	select {
-	case c.signal <- struct{}{}:
+	case c.readable <- struct{}{}:
 	default:
 	}
 }
 
 type listener struct {
 	gnet.BuiltinEventEngine
-	max    int
-	unread int
-	serve  func(*Conn)
-	engine gnet.Engine
-	booted chan struct{}
-	group  sync.WaitGroup
+	maxConns  int
+	maxUnread int
+	serve     func(*Conn)
+	engine    gnet.Engine
+	booted    chan struct{}
+	handlers  sync.WaitGroup
 
 	mu    sync.Mutex
 	conns map[*Conn]struct{}
@@ -127,17 +127,17 @@
 }
 
 func (l *listener) OnOpen(raw gnet.Conn) ([]byte, gnet.Action) {
-	c := &Conn{raw: raw, signal: make(chan struct{}, 1), used: time.Now()}
+	c := &Conn{raw: raw, readable: make(chan struct{}, 1), lastUsedAt: time.Now()}
 	if a := raw.RemoteAddr(); a != nil {
 		c.remote = a.String()
 	}
 	l.mu.Lock()
-	full := len(l.conns) >= l.max
+	full := len(l.conns) >= l.maxConns
 	if full {
-		if idle := l.oldest(); idle != nil {
+		if idle := l.longestIdle(); idle != nil {
 			idle.Close()
 		}
-		if len(l.conns) >= l.max+l.max/8 {
+		if len(l.conns) >= l.maxConns+l.maxConns/8 {
 			l.mu.Unlock()
 			return nil, gnet.Close
 		}
@@ -145,9 +145,9 @@
 	l.conns[c] = struct{}{}
 	l.mu.Unlock()
 	raw.SetContext(c)
-	l.group.Add(1)
+	l.handlers.Add(1)
 	go func() {
-		defer l.group.Done()
+		defer l.handlers.Done()
 		l.serve(c)
 		c.Close()
 	}()
@@ -155,13 +155,13 @@
 }
 
 // oldest is the connection that was silent for longest, of those not pinned.
-func (l *listener) oldest() *Conn {
+func (l *listener) longestIdle() *Conn {
 	var found *Conn
 	var used time.Time
 	for c := range l.conns {
 		c.mu.Lock()
-		if !c.pinned && !c.ended && (found == nil || c.used.Before(used)) {
-			found, used = c, c.used
+		if !c.pinned && !c.closed && (found == nil || c.lastUsedAt.Before(used)) {
+			found, used = c, c.lastUsedAt
 		}
 		c.mu.Unlock()
 	}
@@ -176,10 +176,10 @@
 	}
 	c.mu.Lock()
 	c.unread = append(c.unread, data...)
-	over := len(c.unread) > l.unread
-	c.used = time.Now()
+	over := len(c.unread) > l.maxUnread
+	c.lastUsedAt = time.Now()
 	c.mu.Unlock()
-	c.wake()
+	c.signalReadable()
 	if over {
 		return gnet.Close
 	}
@@ -192,9 +192,9 @@
 		return gnet.None
 	}
 	c.mu.Lock()
-	c.ended = true
+	c.closed = true
 	c.mu.Unlock()
-	c.wake()
+	c.signalReadable()
 	l.mu.Lock()
 	delete(l.conns, c)
 	l.mu.Unlock()
@@ -205,12 +205,12 @@
 // gives each to serve in a goroutine of its own. A connection that sends more
 // than unread bytes ahead of its goroutine is closed.
 func Listen(ctx context.Context, addr string, max, unread int, serve func(*Conn)) error {
-	l := &listener{max: max, unread: unread, serve: serve, booted: make(chan struct{}), conns: map[*Conn]struct{}{}}
+	l := &listener{maxConns: max, maxUnread: unread, serve: serve, booted: make(chan struct{}), conns: map[*Conn]struct{}{}}
 	failed := make(chan error, 1)
 	go func() {
 		failed <- gnet.Run(l, "tcp://"+addr,
 			gnet.WithNumEventLoop(1), gnet.WithTCPNoDelay(gnet.TCPNoDelay),
-			gnet.WithReuseAddr(true), gnet.WithLogger(quiet{}))
+			gnet.WithReuseAddr(true), gnet.WithLogger(discardLogger{}))
 	}()
 	select {
 	case err := <-failed:
@@ -228,12 +228,12 @@
 	l.mu.Lock()
 	for c := range l.conns {
 		c.mu.Lock()
-		c.ended = true
+		c.closed = true
 		c.mu.Unlock()
-		c.wake()
+		c.signalReadable()
 	}
 	l.mu.Unlock()
-	l.group.Wait()
+	l.handlers.Wait()
 	if errors.Is(err, context.DeadlineExceeded) {
 		return err
 	}
@@ -241,12 +241,12 @@
 }
 
 // quiet keeps gnet's own log out of ours; failures come back as errors.
-type quiet struct{}
+type discardLogger struct{}
 
-func (quiet) Debugf(string, ...any) {}
-func (quiet) Infof(string, ...any)  {}
-func (quiet) Warnf(string, ...any)  {}
-func (quiet) Errorf(string, ...any) {}
-func (quiet) Fatalf(string, ...any) {}
+func (discardLogger) Debugf(string, ...any) {}
+func (discardLogger) Infof(string, ...any)  {}
+func (discardLogger) Warnf(string, ...any)  {}
+func (discardLogger) Errorf(string, ...any) {}
+func (discardLogger) Fatalf(string, ...any) {}
 
-var _ logging.Logger = quiet{}
+var _ logging.Logger = discardLogger{}
--- a/internal/httpx/parse.go
+++ b/internal/httpx/parse.go
@@ -39,10 +39,10 @@
 
 // Response is a parsed response.
 type Response struct {
-	Status int
-	Body   []byte
-	Close  bool
-	Retry  int // seconds of Retry-After, 0 if absent
+	Status            int
+	Body              []byte
+	Close             bool
+	RetryAfterSeconds int // seconds of Retry-After, 0 if absent
 }
 
 type head struct {
@@ -185,7 +185,7 @@
 	if err != nil {
 		return nil, err
 	}
-	resp := &Response{Status: status, Close: h.close || line[7] == '0', Retry: h.retryAfter}
+	resp := &Response{Status: status, Close: h.close || line[7] == '0', RetryAfterSeconds: h.retryAfter}
 	if status == 204 || status == 304 {
 		return resp, nil
 	}
@@ -275,10 +275,10 @@
 
 // Answer is what a handler gives back.
 type Answer struct {
-	Status int
-	Body   []byte
-	Allow  string
-	Retry  int // seconds of Retry-After, 0 for none
+	Status            int
+	Body              []byte
+	Allow             string
+	RetryAfterSeconds int // seconds of Retry-After, 0 for none
 }
 
 // AppendAnswer writes an answer in wire form.
@@ -292,8 +292,8 @@
 	if a.Allow != "" {
 		b = append(append(b, "\r\nAllow: "...), a.Allow...)
 	}
-	if a.Retry > 0 {
-		b = strconv.AppendInt(append(b, "\r\nRetry-After: "...), int64(a.Retry), 10)
+	if a.RetryAfterSeconds > 0 {
+		b = strconv.AppendInt(append(b, "\r\nRetry-After: "...), int64(a.RetryAfterSeconds), 10)
 	}
 	if closing {
 		b = append(b, "\r\nConnection: close"...)
--- a/internal/httpx/parse_test.go
+++ b/internal/httpx/parse_test.go
@@ -45,9 +45,9 @@
 	if err != nil || r.Path != "/a/b" || r.Query != "c=d" || string(r.Body) != "{}" || r.Close {
 		t.Fatalf("%+v %v", r, err)
 	}
-	b := AppendAnswer(nil, Answer{Status: 503, Body: []byte("x"), Retry: 2, Allow: "GET"}, true)
+	b := AppendAnswer(nil, Answer{Status: 503, Body: []byte("x"), RetryAfterSeconds: 2, Allow: "GET"}, true)
 	a, err := ReadResponse(bufio.NewReader(bytes.NewReader(b)), 10)
-	if err != nil || a.Status != 503 || string(a.Body) != "x" || a.Retry != 2 || !a.Close {
+	if err != nil || a.Status != 503 || string(a.Body) != "x" || a.RetryAfterSeconds != 2 || !a.Close {
 		t.Fatalf("%+v %v", a, err)
 	}
 	chunked := "POST / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n2\r\n{\"\r\n3;x=y\r\na\"}\r\n0\r\n\r\n"
--- a/internal/httpx/serve.go
+++ b/internal/httpx/serve.go
@@ -9,10 +9,10 @@
 	"topazhollow/internal/protocol"
 )
 
-// Patience bounds slow and idle clients.
-type Patience struct {
-	Idle time.Duration // between requests
-	Slow time.Duration // for the rest of a request once it began
+// Timeouts bounds slow and idle clients.
+type Timeouts struct {
+	Idle    time.Duration // between requests
+	Request time.Duration // for the rest of a request once it began
 }
 
 // Handler answers requests. It may pin the connection.
@@ -24,11 +24,11 @@
 }
 
 // Serve answers HTTP requests at an address until the context ends.
-func Serve(ctx context.Context, addr string, max int, p Patience, handle Handler) error {
+func Serve(ctx context.Context, addr string, max int, p Timeouts, handle Handler) error {
 	return Listen(ctx, addr, max, 2*protocol.MaxBody, func(c *Conn) { serveConn(ctx, c, p, handle) })
 }
 
-func serveConn(ctx context.Context, c *Conn, p Patience, handle Handler) {
+func serveConn(ctx context.Context, c *Conn, p Timeouts, handle Handler) {
 	r := bufio.NewReaderSize(c, 4<<10)
 	var out []byte
 	for ctx.Err() == nil {
@@ -36,7 +36,7 @@
 		if _, err := r.Peek(1); err != nil {
 			return
 		}
-		c.SetReadDeadline(time.Now().Add(p.Slow))
+		c.SetReadDeadline(time.Now().Add(p.Request))
 		req, err := ReadRequest(r, protocol.MaxBody)
 		if err != nil {
 			var bad *BadRequest
--- a/internal/kvstore/fence.go
+++ b/internal/kvstore/fence.go
@@ -13,65 +13,65 @@
 // Changes made under an earlier generation meet a guard on a key that only the present
 // one has.
 type fence struct {
-	mu    sync.Mutex
-	epoch uint64 // of what is seen: each begins when all is read anew
-	seen  uint64
-	held  bool
-	guard protocol.Condition
-	sign  func(string)
+	mu         sync.Mutex
+	epoch      uint64 // of what is seen: each begins when all is read anew
+	highest    uint64
+	held       bool
+	condition  protocol.Condition
+	onDataLoss func(string)
 }
 
 // mark is what was seen when a request was sent.
-type mark struct{ epoch, seen uint64 }
+type revisionMark struct{ epoch, highest uint64 }
 
-func (f *fence) mark() mark {
+func (f *fence) mark() revisionMark {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return mark{f.epoch, f.seen}
+	return revisionMark{f.epoch, f.highest}
 }
 
-func (f *fence) observe(at mark, revision uint64) error {
+func (f *fence) observe(at revisionMark, revision uint64) error {
 	f.mu.Lock()
-	stale, back := at.epoch != f.epoch, revision < at.seen
-	if !stale && !back {
-		f.seen = max(f.seen, revision)
+	stale, wentBack := at.epoch != f.epoch, revision < at.highest
+	if !stale && !wentBack {
+		f.highest = max(f.highest, revision)
 	}
 	f.mu.Unlock()
 	switch {
 	case stale:
 		return ErrUnknown // of a store that is no longer the one known
-	case back:
-		f.told("revision lower than one seen")
-		return ErrBack
+	case wentBack:
+		f.reportDataLoss("revision lower than one seen")
+		return ErrRevisionWentBack
 	}
 	return nil
 }
 
-func (f *fence) told(sign string) {
+func (f *fence) reportDataLoss(sign string) {
 	f.mu.Lock()
-	hear := f.sign
+	report := f.onDataLoss
 	f.mu.Unlock()
-	if hear != nil {
-		hear(sign)
+	if report != nil {
+		report(sign)
 	}
 }
 
 // guarded gives the guard that every update carries, or false while all are held back.
-func (f *fence) guarded() (g protocol.Condition, open bool) {
+func (f *fence) updateCondition() (g protocol.Condition, open bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.guard, !f.held
+	return f.condition, !f.held
 }
 
 // OnSign has f told of signs that the service lost data. It must not block.
-func (c *Client) OnSign(f func(sign string)) {
+func (c *Client) OnDataLoss(f func(sign string)) {
 	c.fence.mu.Lock()
 	defer c.fence.mu.Unlock()
-	c.fence.sign = f
+	c.fence.onDataLoss = f
 }
 
 // Hold refuses all updates until Fence, or lets them go again.
-func (c *Client) Hold(on bool) {
+func (c *Client) HoldUpdates(on bool) {
 	c.fence.mu.Lock()
 	defer c.fence.mu.Unlock()
 	c.fence.held = on
@@ -79,25 +79,25 @@
 
 // Anew forgets the revisions seen, to read a service that went back. Answers to requests
 // sent before count for nothing.
-func (c *Client) Anew() {
+func (c *Client) ForgetRevisions() {
 	c.fence.mu.Lock()
 	defer c.fence.mu.Unlock()
 	c.fence.epoch++
-	c.fence.seen = 0
+	c.fence.highest = 0
 }
 
 // Seen is the highest revision of an answer.
-func (c *Client) Seen() uint64 { return c.fence.mark().seen }
+func (c *Client) LastRevision() uint64 { return c.fence.mark().highest }
 
 // Fence has every update carry a guard, and lets updates go.
-func (c *Client) Fence(g protocol.Condition) {
+func (c *Client) SetFence(g protocol.Condition) {
 	c.fence.mu.Lock()
 	defer c.fence.mu.Unlock()
-	c.fence.guard, c.fence.held = g, false
+	c.fence.condition, c.fence.held = g, false
 }
 
 // Compare asks whether keys have these versions, and for the revision. It names those that
 // don't, and is not paced.
-func (c *Client) Compare(ctx context.Context, guards []protocol.Condition) (revision uint64, failed []string, err error) {
-	return c.TxnControl(ctx, protocol.Txn{Conditions: guards})
+func (c *Client) CompareVersions(ctx context.Context, guards []protocol.Condition) (revision uint64, failed []string, err error) {
+	return c.CommitControl(ctx, protocol.Txn{Conditions: guards})
 }
--- a/internal/kvstore/golden_test.go
+++ b/internal/kvstore/golden_test.go
@@ -26,12 +26,12 @@
 	_, _, pageErr := c.Page(ctx, "c/", "c/7 8")
 	_, watchErr := c.Watch(ctx, "c/", 431)
 	_, changesErr := c.Changes(ctx, "c/", 431)
-	_, grantErr := c.Grant(ctx, 5*time.Second)
-	extendErr := c.Extend(ctx, 7)
-	_, _, txnErr := c.TxnControl(ctx, protocol.Txn{Then: []protocol.Op{{Set: "a/b", Value: []byte(`{}`), Lease: 7}}})
-	_, _, compareErr := c.Compare(ctx, []protocol.Condition{{Key: "a/b", Version: 412}})
-	c.Fence(protocol.Condition{Key: "g", Version: 3})
-	_, commitErr := c.Commit(ctx, Update{Guards: []protocol.Condition{{Key: "a/b", Version: 412}}, Ops: []protocol.Op{{Delete: "a/b"}, {Set: "c/d", Value: []byte(`{"x":1}`)}}})
+	_, grantErr := c.GrantLease(ctx, 5*time.Second)
+	extendErr := c.RenewLease(ctx, 7)
+	_, _, txnErr := c.CommitControl(ctx, protocol.Txn{Then: []protocol.Op{{Set: "a/b", Value: []byte(`{}`), Lease: 7}}})
+	_, _, compareErr := c.CompareVersions(ctx, []protocol.Condition{{Key: "a/b", Version: 412}})
+	c.SetFence(protocol.Condition{Key: "g", Version: 3})
+	_, commitErr := c.Commit(ctx, Update{Conditions: []protocol.Condition{{Key: "a/b", Version: 412}}, Changes: []protocol.Op{{Delete: "a/b"}, {Set: "c/d", Value: []byte(`{"x":1}`)}}})
 	for name, err := range map[string]error{"get": getErr, "get control": controlErr, "list": listErr, "page": pageErr, "watch": watchErr, "changes": changesErr,
 		"grant": grantErr, "extend": extendErr, "transaction": txnErr, "compare": compareErr, "commit": commitErr} {
 		if err != nil {
--- a/internal/kvstore/kvstore.go
+++ b/internal/kvstore/kvstore.go
@@ -22,25 +22,25 @@
 
 // Errors that callers tell apart.
 var (
-	ErrConflict = errors.New("state: a guard did not hold")
-	ErrRefused  = errors.New("state: not executed")            // 429, 503 or never sent
-	ErrUnknown  = errors.New("state: no answer")               // may have been or yet be executed
-	ErrNoLease  = errors.New("state: no such lease")           // the lease has ended
-	ErrGone     = errors.New("state: watch fell too far back") // read again
-	ErrInvalid  = errors.New("state: malformed request or answer")
-	ErrBack     = fmt.Errorf("%w that counts: the service went back", ErrUnknown)
-	ErrHeld     = fmt.Errorf("%w: held back here", ErrRefused)
+	ErrConflict         = errors.New("state: a guard did not hold")
+	ErrRefused          = errors.New("state: not executed")            // 429, 503 or never sent
+	ErrUnknown          = errors.New("state: no answer")               // may have been or yet be executed
+	ErrLeaseExpired     = errors.New("state: no such lease")           // the lease has ended
+	ErrCompacted        = errors.New("state: watch fell too far back") // read again
+	ErrInvalid          = errors.New("state: malformed request or answer")
+	ErrRevisionWentBack = fmt.Errorf("%w that counts: the service went back", ErrUnknown)
+	ErrUpdatesHeld      = fmt.Errorf("%w: held back here", ErrRefused)
 )
 
 // Conflict is an ErrConflict that names the keys whose guards did not hold.
-type Conflict struct{ Keys []string }
+type ConflictError struct{ Keys []string }
 
-func (c *Conflict) Error() string {
+func (c *ConflictError) Error() string {
 	return fmt.Sprintf("%v: %s", ErrConflict, strings.Join(c.Keys, " "))
 }
 
 // Is makes it an ErrConflict.
-func (c *Conflict) Is(target error) bool { return target == ErrConflict }
+func (c *ConflictError) Is(target error) bool { return target == ErrConflict }
 
 // timeout bounds one call; longPoll is how long a watch waits.
 const (
@@ -55,8 +55,8 @@
 	watch    *httpx.Pool
 	requests *rate.Limiter
 	writes   *rate.Limiter
-	even     float64 // changes a second, if all controllers had as many
-	batch    *batcher
+	evenRate float64 // changes a second, if all controllers had as many
+	batcher  *batcher
 	fence    fence
 }
 
@@ -70,22 +70,22 @@
 		watch:    httpx.NewPool(addr, 64<<20, 2),
 		requests: rate.NewLimiter(rate.Limit(limits.RequestsPerSecond*share), max(2, int(limits.RequestsPerSecond*share))),
 		writes:   rate.NewLimiter(rate.Limit(limits.ChangesPerSecond*share), max(2, int(limits.ChangesPerSecond*share))),
-		even:     limits.ChangesPerSecond * share,
+		evenRate: limits.ChangesPerSecond * share,
 	}
-	c.batch = newBatcher(c, limits)
+	c.batcher = newBatcher(c, limits)
 	return c
 }
 
 // Wanted is how many changes a second this controller would make: those that came
 // of late, and those that wait, within a second. It is to be called regularly.
-func (c *Client) Wanted(now time.Time) float64 { return c.batch.wanted(now) }
+func (c *Client) WantedRate(now time.Time) float64 { return c.batcher.wantedRate(now) }
 
 // Pressure tells how long what users wait for takes to be sent at the present rate, and that
 // rate, in changes a second.
-func (c *Client) Pressure() (wait time.Duration, rate float64) {
-	c.batch.mu.Lock()
-	soon := c.batch.soon
-	c.batch.mu.Unlock()
+func (c *Client) UrgentDelay() (wait time.Duration, rate float64) {
+	c.batcher.mu.Lock()
+	soon := c.batcher.urgentWaiting
+	c.batcher.mu.Unlock()
 	rate = float64(c.writes.Limit())
 	if rate <= 0 {
 		return 0, 0
@@ -95,11 +95,13 @@
 
 // Share takes what the other controllers leave of the rate of changes: wanted is
 // what each of them wants, or a negative number if that is not known.
-func (c *Client) Share(wanted []float64) { c.writes.SetLimit(rate.Limit(share(c.even, wanted))) }
+func (c *Client) SetRateByDemand(wanted []float64) {
+	c.writes.SetLimit(rate.Limit(fairShare(c.evenRate, wanted)))
+}
 
 // share is an even share and what others leave of theirs, less a margin for what
 // they may want before they say so. Two controllers in need part it alike.
-func share(even float64, wanted []float64) float64 {
+func fairShare(even float64, wanted []float64) float64 {
 	left, needy := 0.0, 1.0
 	for _, w := range wanted {
 		if w > even {
@@ -112,7 +114,7 @@
 }
 
 // Run serves queued updates until the context ends.
-func (c *Client) Run(ctx context.Context) error { return c.batch.run(ctx) }
+func (c *Client) Run(ctx context.Context) error { return c.batcher.run(ctx) }
 
 func (c *Client) do(ctx context.Context, pool *httpx.Pool, method, target string, body []byte, wait time.Duration) (*httpx.Response, error) {
 	resp, sent, err := pool.Do(ctx, method, target, body, wait)
@@ -239,7 +241,7 @@
 		return nil, err
 	}
 	if resp.Status == 410 {
-		return nil, ErrGone
+		return nil, ErrCompacted
 	}
 	var ch protocol.Changes
 	if err := decode(resp, &ch); err != nil {
@@ -250,7 +252,7 @@
 
 // TxnControl commits a transaction without pacing, for leases and the control
 // record. The result is the new revision.
-func (c *Client) TxnControl(ctx context.Context, t protocol.Txn) (uint64, []string, error) {
+func (c *Client) CommitControl(ctx context.Context, t protocol.Txn) (uint64, []string, error) {
 	return c.txn(ctx, c.control, t)
 }
 
@@ -281,14 +283,14 @@
 	case 400:
 		var e protocol.Error
 		if protocol.Decode(resp.Body, &e) == nil && e.Error == "no such lease" {
-			return 0, nil, ErrNoLease
+			return 0, nil, ErrLeaseExpired
 		}
 	}
 	return 0, nil, fmt.Errorf("%w: status %d %.200s", ErrInvalid, resp.Status, resp.Body)
 }
 
 // Grant takes a lease.
-func (c *Client) Grant(ctx context.Context, life time.Duration) (uint64, error) {
+func (c *Client) GrantLease(ctx context.Context, life time.Duration) (uint64, error) {
 	resp, err := c.do(ctx, c.control, "POST", "/grants", protocol.Encode(protocol.LeaseRequest{TTLMillis: life.Milliseconds()}), timeout)
 	if err != nil {
 		return 0, err
@@ -298,13 +300,13 @@
 }
 
 // Extend renews a lease. ErrNoLease means that it has ended.
-func (c *Client) Extend(ctx context.Context, lease uint64) error {
+func (c *Client) RenewLease(ctx context.Context, lease uint64) error {
 	resp, err := c.do(ctx, c.control, "POST", "/grants/"+strconv.FormatUint(lease, 10)+"/extend", []byte("{}"), timeout)
 	if err != nil {
 		return err
 	}
 	if resp.Status == 404 {
-		return ErrNoLease
+		return ErrLeaseExpired
 	}
 	if resp.Status != 200 {
 		return fmt.Errorf("%w: status %d", ErrInvalid, resp.Status)
@@ -315,13 +317,13 @@
 // Update is one independent change: it is committed whole or not at all, in a
 // transaction that others may share.
 type Update struct {
-	Guards []protocol.Condition
-	Ops    []protocol.Op
-	Soon   bool // a user waits for it: goes before others
-	Later  bool // may wait for others: it takes only changes that nobody else needs
+	Conditions []protocol.Condition
+	Changes    []protocol.Op
+	Urgent     bool // a user waits for it: goes before others
+	Deferrable bool // may wait for others: it takes only changes that nobody else needs
 }
 
 // Commit queues an update and waits for its outcome.
 func (c *Client) Commit(ctx context.Context, u Update) (revision uint64, err error) {
-	return c.batch.commit(ctx, u)
+	return c.batcher.commit(ctx, u)
 }
--- a/internal/kvstore/kvstore_test.go
+++ b/internal/kvstore/kvstore_test.go
@@ -27,7 +27,7 @@
 	c := kvstore.New(srv.Addr(), settings.KVStore{RequestsPerSecond: 1000, ChangesPerSecond: 1000, ChangesPerTransaction: 8, ValueKB: 16}, 1)
 	go c.Run(ctx)
 	set := func(key string) kvstore.Update {
-		return kvstore.Update{Guards: []protocol.Condition{{Key: key}}, Ops: []protocol.Op{{Set: key, Value: []byte("1")}}}
+		return kvstore.Update{Conditions: []protocol.Condition{{Key: key}}, Changes: []protocol.Op{{Set: key, Value: []byte("1")}}}
 	}
 	if _, err := c.Commit(ctx, set("k/3")); err != nil {
 		t.Fatal(err)
@@ -74,12 +74,12 @@
 	ended := make(chan error, 1)
 	go func() { ended <- c.Run(ctx) }()
 	defer func() { stop(); <-ended }()
-	_, err = c.Commit(ctx, kvstore.Update{Guards: []protocol.Condition{{Key: "w/a/job", Version: 2}, {Key: "w/c", Version: 1}}, Ops: []protocol.Op{{Delete: "w/a/job"}}})
-	var conflict *kvstore.Conflict
+	_, err = c.Commit(ctx, kvstore.Update{Conditions: []protocol.Condition{{Key: "w/a/job", Version: 2}, {Key: "w/c", Version: 1}}, Changes: []protocol.Op{{Delete: "w/a/job"}}})
+	var conflict *kvstore.ConflictError
 	if !errors.Is(err, kvstore.ErrConflict) || !errors.As(err, &conflict) || !slices.Equal(conflict.Keys, []string{"w/c"}) {
 		t.Fatalf("%v", err)
 	}
-	if _, err := c.Commit(ctx, kvstore.Update{Guards: []protocol.Condition{{Key: "w/a/job", Version: 2}, {Key: "w/c", Version: 3}}, Ops: []protocol.Op{{Delete: "w/a/job"}}}); err != nil {
+	if _, err := c.Commit(ctx, kvstore.Update{Conditions: []protocol.Condition{{Key: "w/a/job", Version: 2}, {Key: "w/c", Version: 3}}, Changes: []protocol.Op{{Delete: "w/a/job"}}}); err != nil {
 		t.Fatal(err)
 	}
 }
--- a/internal/kvstore/share_test.go
+++ b/internal/kvstore/share_test.go
@@ -28,12 +28,12 @@
 					others = append(others, w)
 				}
 			}
-			got := share(even, others)
+			got := fairShare(even, others)
 			if got < even {
 				t.Fatalf("seed %d: %g is less than the even share of %g", seed, got, even)
 			}
 			if mine > even { // alone in not hearing somebody it can only get less
-				total += share(even, without(wants, i))
+				total += fairShare(even, without(wants, i))
 			} else {
 				total += mine
 			}
@@ -42,7 +42,7 @@
 			t.Fatalf("seed %d: %g changes a second in all, %g allowed, wanted %v", seed, total, most, wants)
 		}
 	}
-	if got := share(10, []float64{2, 0}); got < 20 {
+	if got := fairShare(10, []float64{2, 0}); got < 20 {
 		t.Errorf("%g of 30 changes a second for the only one in need", got)
 	}
 }
@@ -60,20 +60,20 @@
 // hundreds of small jobs that took seconds. Among their kind updates keep their order.
 func TestUsersGoFirst(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 9))
-	var urgent, later []*pending
-	came := map[*pending]int{}
+	var urgent, later []*queuedUpdate
+	came := map[*queuedUpdate]int{}
 	for i := range 200 {
-		p := &pending{Update: Update{Soon: rng.IntN(3) == 0}}
-		p.Later = !p.Soon && rng.IntN(3) == 0
+		p := &queuedUpdate{Update: Update{Urgent: rng.IntN(3) == 0}}
+		p.Deferrable = !p.Urgent && rng.IntN(3) == 0
 		came[p] = i
-		urgent, later = sort(urgent, later, p)
+		urgent, later = enqueue(urgent, later, p)
 	}
 	if len(urgent)+len(later) != 200 || len(later) == 0 {
 		t.Fatalf("%d and %d of 200", len(urgent), len(later))
 	}
 	for i := range urgent[1:] {
 		p, q := urgent[i], urgent[i+1]
-		if (!p.Soon && q.Soon) || (p.Soon == q.Soon && came[p] > came[q]) || p.Later || q.Later {
+		if (!p.Urgent && q.Urgent) || (p.Urgent == q.Urgent && came[p] > came[q]) || p.Deferrable || q.Deferrable {
 			t.Fatalf("update %d is before %d in the queue", came[p], came[q])
 		}
 	}
--- a/internal/loadtest/hollow.go
+++ b/internal/loadtest/hollow.go
@@ -189,7 +189,7 @@
 // run reports until the context ends or the machine is gone.
 func (h *hollow) run(ctx context.Context) {
 	at := h.rng.IntN(len(h.pool.names))
-	link := httpx.NewLink(h.pool.addrs[at], maxAnswer)
+	link := httpx.NewClientConn(h.pool.addrs[at], maxAnswer)
 	defer func() { link.Close() }()
 	homed := false
 	pause := time.Duration(h.rng.Float64() * float64(h.pool.report))
@@ -214,7 +214,7 @@
 			at, pause = (at+1)%len(h.pool.names), retryAfter
 		}
 		link.Close()
-		link = httpx.NewLink(h.pool.addrs[at], maxAnswer)
+		link = httpx.NewClientConn(h.pool.addrs[at], maxAnswer)
 	}
 }
 
@@ -244,7 +244,7 @@
 
 // send sends a report and takes in its answer; to is the controller that was named
 // instead, or -1.
-func (h *hollow) send(ctx context.Context, link *httpx.Link, body []byte, session uint64, sent time.Time) (to int, good bool) {
+func (h *hollow) send(ctx context.Context, link *httpx.ClientConn, body []byte, session uint64, sent time.Time) (to int, good bool) {
 	resp, _, err := link.Do(ctx, http.MethodPost, protocol.PathHeartbeat, body, answerTimeout)
 	c := Counts{Reports: 1, ReportBytes: int64(len(body))}
 	defer func() { h.pool.rec.count(c) }()
--- a/internal/snapshot/follow.go
+++ b/internal/snapshot/follow.go
@@ -101,11 +101,11 @@
 			return nil
 		case errors.Is(err, errArchive):
 			return err
-		case errors.Is(err, kvstore.ErrBack):
+		case errors.Is(err, kvstore.ErrRevisionWentBack):
 			if err := f.lost(ctx, "its revision went back"); err != nil {
 				return err
 			}
-		case errors.Is(err, kvstore.ErrGone):
+		case errors.Is(err, kvstore.ErrCompacted):
 			f.log.Info("fell behind the service's changes: all is read again")
 			f.id = 0
 		default:
@@ -252,7 +252,7 @@
 			return archiveErr(err)
 		}
 	}
-	f.c.Anew()
+	f.c.ForgetRevisions()
 	f.id, f.revision, f.store = 0, 0, ""
 	f.keys = map[string]Entry{}
 	return nil
--- a/internal/snapshot/restore.go
+++ b/internal/snapshot/restore.go
@@ -41,7 +41,7 @@
 
 	record *leadership.Record
 	fence  protocol.Condition
-	jobs   []userapi.Stored
+	jobs   []userapi.ActiveJob
 	ends   []datarecovery.Page
 	done   map[string]*bitset.BitSet
 	pages  int
@@ -50,25 +50,25 @@
 
 // contents are a copy's jobs as the controllers' keys hold them.
 type contents struct {
-	active map[string]userapi.Stored
+	active map[string]userapi.ActiveJob
 	ends   *datarecovery.Ends
 	done   map[string]*bitset.BitSet
 }
 
 // read takes the controllers' keys apart.
 func read(keys map[string]Entry) (*contents, error) {
-	c := &contents{active: map[string]userapi.Stored{}, ends: datarecovery.NewEnds(), done: map[string]*bitset.BitSet{}}
+	c := &contents{active: map[string]userapi.ActiveJob{}, ends: datarecovery.NewEnds(), done: map[string]*bitset.BitSet{}}
 	pages := map[string]map[string]string{}
 	for name, e := range keys {
 		bad := func(err error) error { return fmt.Errorf("snapshot: key %s: %w", name, err) }
 		if uid, ok := strings.CutPrefix(name, JobKey); ok {
-			var s userapi.Stored
+			var s userapi.ActiveJob
 			if err := json.Unmarshal(e.Value, &s); err != nil || s.Spec == nil || s.Spec.UID != uid {
 				return nil, bad(errors.Join(errors.New("no job"), err))
 			}
 			c.active[uid] = s
 		} else if uid, ok := strings.CutPrefix(name, FinalKey); ok {
-			var final userapi.Final
+			var final userapi.JobEnd
 			if err := json.Unmarshal(e.Value, &final); err != nil {
 				return nil, bad(err)
 			}
@@ -213,13 +213,13 @@
 		_ = r.c.Run(ctx) // ends with the context
 	}()
 	defer func() { cancel(); <-ran }()
-	r.c.Fence(p.fence)
+	r.c.SetFence(p.fence)
 	count := 0
 	put := func(u kvstore.Update) error {
 		for {
 			_, err := r.c.Commit(ctx, u)
 			switch {
-			case errors.Is(err, kvstore.ErrHeld), errors.Is(err, kvstore.ErrBack):
+			case errors.Is(err, kvstore.ErrUpdatesHeld), errors.Is(err, kvstore.ErrRevisionWentBack):
 				return fmt.Errorf("%w: the state service lost data again", ErrNoGeneration)
 			case err == nil || errors.Is(err, kvstore.ErrConflict):
 				if count++; tell != nil {
@@ -245,27 +245,27 @@
 	}
 	for i, page := range p.ends {
 		key := datarecovery.EndsKey + strconv.Itoa(p.pages+i)
-		if err := put(kvstore.Update{Guards: []protocol.Condition{{Key: key}}, Ops: []protocol.Op{{Set: key, Value: protocol.Encode(page)}}}); err != nil {
+		if err := put(kvstore.Update{Conditions: []protocol.Condition{{Key: key}}, Changes: []protocol.Op{{Set: key, Value: protocol.Encode(page)}}}); err != nil {
 			return err
 		}
 	}
 	var done []string
 	for i, page := range donePages(p.done, int(r.set.ValueKB*1024)-64) {
 		key := fmt.Sprintf("%s%d-%d", datarecovery.FinishedKey, p.Copy, i)
-		if err := put(kvstore.Update{Ops: []protocol.Op{{Set: key, Value: protocol.Encode(page)}}}); err != nil {
+		if err := put(kvstore.Update{Changes: []protocol.Op{{Set: key, Value: protocol.Encode(page)}}}); err != nil {
 			return err
 		}
 		done = append(done, key)
 	}
 	for _, s := range p.jobs {
 		uid := s.Spec.UID
-		if err := put(kvstore.Update{Guards: []protocol.Condition{{Key: JobKey + uid}, {Key: FinalKey + uid}},
-			Ops: []protocol.Op{{Set: JobKey + uid, Value: protocol.Encode(s)}}}); err != nil {
+		if err := put(kvstore.Update{Conditions: []protocol.Condition{{Key: JobKey + uid}, {Key: FinalKey + uid}},
+			Changes: []protocol.Op{{Set: JobKey + uid, Value: protocol.Encode(s)}}}); err != nil {
 			return err
 		}
 	}
 	for _, key := range done { // every controller that lives has read it, and the owners write it to their pages
-		if err := put(kvstore.Update{Ops: []protocol.Op{{Delete: key}}}); err != nil {
+		if err := put(kvstore.Update{Changes: []protocol.Op{{Delete: key}}}); err != nil {
 			return err
 		}
 	}
@@ -298,7 +298,7 @@
 		if m == nil {
 			return false, ErrNoGeneration
 		}
-		_, _, err = r.c.TxnControl(ctx, protocol.Txn{Conditions: []protocol.Condition{{Key: r.set.Control, Version: e.Version}, {Key: m.Key, Version: m.Version}},
+		_, _, err = r.c.CommitControl(ctx, protocol.Txn{Conditions: []protocol.Condition{{Key: r.set.Control, Version: e.Version}, {Key: m.Key, Version: m.Version}},
 			Then: []protocol.Op{{Set: r.set.Control, Value: protocol.Encode(record)}}})
 		if err == nil {
 			return true, nil
--- a/internal/snapshot/teams.go
+++ b/internal/snapshot/teams.go
@@ -30,8 +30,8 @@
 			}
 		}
 		if has.Number < had.Number {
-			updates = append(updates, kvstore.Update{Guards: []protocol.Condition{{Key: key, Version: now[key].Version}},
-				Ops: []protocol.Op{{Set: key, Value: old[key].Value}}})
+			updates = append(updates, kvstore.Update{Conditions: []protocol.Condition{{Key: key, Version: now[key].Version}},
+				Changes: []protocol.Op{{Set: key, Value: old[key].Value}}})
 		}
 	}
 	return updates, nil
--- a/internal/snapshot/teams_test.go
+++ b/internal/snapshot/teams_test.go
@@ -17,7 +17,7 @@
 		key     string
 		version uint64
 	}{{"w/t/lost", 0}, {"w/t/older", 7}} {
-		if u := updates[i]; u.Guards[0].Key != want.key || u.Guards[0].Version != want.version || string(u.Ops[0].Value) != string(old[want.key].Value) {
+		if u := updates[i]; u.Conditions[0].Key != want.key || u.Conditions[0].Version != want.version || string(u.Changes[0].Value) != string(old[want.key].Value) {
 			t.Errorf("%+v, want %+v", u, want)
 		}
 	}
--- a/internal/teamstore/teamstore.go
+++ b/internal/teamstore/teamstore.go
@@ -20,7 +20,7 @@
 )
 
 // Prefix is that of the teams' keys, which every controller watches.
-const Prefix = userapi.Watched + "t/"
+const Prefix = userapi.WatchedPrefix + "t/"
 
 // Errors that callers tell apart.
 var (
@@ -58,7 +58,7 @@
 	if marker == nil {
 		return ErrNoRecord
 	}
-	w.client.Fence(protocol.Condition{Key: marker.Key, Version: marker.Version})
+	w.client.SetFence(protocol.Condition{Key: marker.Key, Version: marker.Version})
 	return nil
 }
 
@@ -91,13 +91,13 @@
 				return Committed{}, err
 			}
 			key := Prefix + team
-			version, err = w.client.Commit(ctx, kvstore.Update{Guards: []protocol.Condition{{Key: key, Version: version}},
-				Ops: []protocol.Op{{Set: key, Value: protocol.Encode(e)}}})
+			version, err = w.client.Commit(ctx, kvstore.Update{Conditions: []protocol.Condition{{Key: key, Version: version}},
+				Changes: []protocol.Op{{Set: key, Value: protocol.Encode(e)}}})
 			if err == nil {
 				return Committed{team, e, version}, nil
 			}
 		}
-		if errors.Is(err, kvstore.ErrHeld) || errors.Is(err, kvstore.ErrBack) || errors.Is(err, kvstore.ErrInvalid) {
+		if errors.Is(err, kvstore.ErrUpdatesHeld) || errors.Is(err, kvstore.ErrRevisionWentBack) || errors.Is(err, kvstore.ErrInvalid) {
 			return Committed{}, err
 		}
 		select {
--- a/internal/userapi/golden_answers_test.go
+++ b/internal/userapi/golden_answers_test.go
@@ -23,18 +23,18 @@
 func (s *steady) Types() []protocol.MachineType {
 	return []protocol.MachineType{{Name: "g8", CPUs: 96, GPUs: 8, MemoryGB: 768, Zones: []string{"a", "b"}}}
 }
-func (s *steady) Active(context.Context, string) bool          { return false }
-func (s *steady) Progress(string) (done, running int)          { return s.running / 4, s.running }
-func (s *steady) Trusted() bool                                { return !s.untrusted }
-func (s *steady) Healthy() bool                                { return !s.unhealthy }
-func (s *steady) Remembers(string) (Stored, uint64, bool)      { return Stored{}, 0, false }
-func (s *steady) Certain(context.Context) bool                 { return true }
-func (s *steady) Admit(spec *protocol.Submission) (bool, int)  { return spec.Class != "shed", 7 }
-func (s *steady) Hold(context.Context, *Stored, string, Final) {}
-func (s *steady) Accepted(Stored, uint64)                      {}
-func (s *steady) Ended(string, Final)                          {}
-func (s *steady) Confirming(string, Final)                     {}
-func (s *steady) Missing(string)                               {}
+func (s *steady) Active(context.Context, string) bool              { return false }
+func (s *steady) Progress(string) (done, running int)              { return s.running / 4, s.running }
+func (s *steady) Trusted() bool                                    { return !s.untrusted }
+func (s *steady) Healthy() bool                                    { return !s.unhealthy }
+func (s *steady) Remembers(string) (ActiveJob, uint64, bool)       { return ActiveJob{}, 0, false }
+func (s *steady) Certain(context.Context) bool                     { return true }
+func (s *steady) Admit(spec *protocol.Submission) (bool, int)      { return spec.Class != "shed", 7 }
+func (s *steady) Hold(context.Context, *ActiveJob, string, JobEnd) {}
+func (s *steady) Accepted(ActiveJob, uint64)                       {}
+func (s *steady) Ended(string, JobEnd)                             {}
+func (s *steady) Confirming(string, JobEnd)                        {}
+func (s *steady) Missing(string)                                   {}
 
 // TestGoldenAnswers: the answers to users, in the protocol's form.
 func TestGoldenAnswers(t *testing.T) {
@@ -59,7 +59,7 @@
 	var transcript []byte
 	ask := func(what, method, path string, body []byte) {
 		a, ok := front.Handle(ctx, &httpx.Request{Method: method, Path: path, Body: body})
-		transcript = fmt.Appendf(transcript, "%s: %v, status %d, retry after %d, allow %q\n%s\n", what, ok, a.Status, a.Retry, a.Allow, a.Body)
+		transcript = fmt.Appendf(transcript, "%s: %v, status %d, retry after %d, allow %q\n%s\n", what, ok, a.Status, a.RetryAfterSeconds, a.Allow, a.Body)
 	}
 	const path = "/submissions/job-000412"
 	ask("healthy", "GET", "/healthz", nil)
@@ -81,7 +81,7 @@
 	ask("cancelled again", "POST", path+"/withdraw", nil)
 	ask("poll of a cancelled job", "GET", path, nil)
 	ask("submitted after its cancellation", "POST", "/submissions", job(same))
-	front.Learn("job-000398", Final{State: protocol.Done, Tasks: 16, Team: "vision"})
+	front.RecordEnd("job-000398", JobEnd{State: protocol.Done, Tasks: 16, Team: "vision"})
 	ask("done", "GET", "/submissions/job-000398", nil)
 	ask("cancellation of a job that is done", "POST", "/submissions/job-000398/withdraw", nil)
 	ask("wrong method", "GET", "/submissions", nil)
--- a/internal/userapi/tenants_test.go
+++ b/internal/userapi/tenants_test.go
@@ -20,18 +20,18 @@
 }
 
 func (b *behind) Team(name string) (settings.Team, bool) { t, ok := b.teams[name]; return t, ok }
-func (b *behind) Rests(name string) []protocol.Condition {
+func (b *behind) Conditions(name string) []protocol.Condition {
 	return []protocol.Condition{{Key: "w/t/" + name}}
 }
 func (b *behind) Types() []protocol.MachineType {
 	return []protocol.MachineType{{Name: "m8", CPUs: 8, MemoryGB: 64, Zones: []string{"east"}}}
 }
-func (b *behind) Trusted() bool                                { return true }
-func (b *behind) Remembers(string) (Stored, uint64, bool)      { return Stored{}, 0, false }
-func (b *behind) Certain(context.Context) bool                 { b.caughtUp(); return true }
-func (b *behind) Admit(*protocol.Submission) (bool, int)       { return true, 0 }
-func (b *behind) Hold(context.Context, *Stored, string, Final) {}
-func (b *behind) Accepted(Stored, uint64)                      {}
+func (b *behind) Trusted() bool                                    { return true }
+func (b *behind) Remembers(string) (ActiveJob, uint64, bool)       { return ActiveJob{}, 0, false }
+func (b *behind) Certain(context.Context) bool                     { b.caughtUp(); return true }
+func (b *behind) Admit(*protocol.Submission) (bool, int)           { return true, 0 }
+func (b *behind) Hold(context.Context, *ActiveJob, string, JobEnd) {}
+func (b *behind) Accepted(ActiveJob, uint64)                       {}
 
 // TestTeamsKnownLate: a controller that does not know yet that a team came refuses no job of it for good, and one that does not know that
 // a team was removed takes none.
@@ -48,7 +48,7 @@
 	go client.Run(ctx)
 	b := &behind{teams: map[string]settings.Team{"known": {Name: "known", CPUsMax: 8}}, caughtUp: func() {}}
 	f := New(&settings.Settings{}, client, b)
-	f.Follow(b)
+	f.UseTeams(b)
 	submit := func(uid, team string) int {
 		job := &protocol.Submission{UID: uid, Class: "c", Team: team, Kind: protocol.JobArray, Priority: "standard", Tasks: 1, CPUs: 2, MemoryGB: 4, Image: "img"}
 		within, done := context.WithTimeout(ctx, 10*time.Second)
@@ -60,8 +60,8 @@
 		t.Errorf("a known team: %d", got)
 	}
 	store.Put("w/t/known", `{"number":1,"change":"x","removed":true}`)
-	if got := submit("job-000002", "known"); got != 503 || store.Keys(JobKey+"job-000002") != 0 {
-		t.Errorf("a team that was removed: %d, %d keys", got, store.Keys(JobKey+"job-000002"))
+	if got := submit("job-000002", "known"); got != 503 || store.Keys(ActiveJobPrefix+"job-000002") != 0 {
+		t.Errorf("a team that was removed: %d, %d keys", got, store.Keys(ActiveJobPrefix+"job-000002"))
 	}
 	if got := submit("job-000003", "new"); got != 422 {
 		t.Errorf("a team that nobody knows: %d", got)
--- a/internal/userapi/userapi.go
+++ b/internal/userapi/userapi.go
@@ -20,115 +20,115 @@
 // Keys of the state service. Those below Watched are followed by every
 // controller.
 const (
-	Watched  = "w/"
-	JobKey   = "w/a/" // active jobs
-	FinalKey = "f/"   // jobs that are done or withdrawn
+	WatchedPrefix   = "w/"
+	ActiveJobPrefix = "w/a/" // active jobs
+	EndedJobPrefix  = "f/"   // jobs that are done or withdrawn
 )
 
-// Stored is an active job in the state service.
-type Stored struct {
-	Spec *protocol.Submission `json:"spec"`
-	At   int64                `json:"at"` // time of day of the submission, in ms
+// ActiveJob is an active job in the key-value store.
+type ActiveJob struct {
+	Spec              *protocol.Submission `json:"spec"`
+	SubmittedAtMillis int64                `json:"at"` // time of day of the submission, in ms
 }
 
-// Final is the end of a job in the state service. What a task takes is kept with it, since tasks that are still on
+// JobEnd is the end of a job in the key-value store. What a task takes is kept with it, since tasks that are still on
 // machines use their team's quota and the job's description is gone; it is 0 where only memory tells of the end.
-type Final struct {
-	State  protocol.JobState `json:"state"`
-	Tasks  int               `json:"tasks"`
-	Team   string            `json:"team"`
-	CPUs   float64           `json:"cpus,omitempty"`
-	GPUs   float64           `json:"gpus,omitempty"`
-	Memory float64           `json:"memory,omitempty"` // GB
+type JobEnd struct {
+	State    protocol.JobState `json:"state"`
+	Tasks    int               `json:"tasks"`
+	Team     string            `json:"team"`
+	CPUs     float64           `json:"cpus,omitempty"`
+	GPUs     float64           `json:"gpus,omitempty"`
+	MemoryGB float64           `json:"memory,omitempty"` // GB
 }
 
-// EndOf is the end of a job in a state, protocol.Done or protocol.Withdrawn.
-func EndOf(spec *protocol.Submission, state protocol.JobState) Final {
-	return Final{State: state, Tasks: spec.Tasks, Team: spec.Team, CPUs: spec.CPUs, GPUs: spec.GPUs, Memory: spec.MemoryGB}
+// NewJobEnd is the end of a job in a state, protocol.Done or protocol.Cancelled.
+func NewJobEnd(spec *protocol.Submission, state protocol.JobState) JobEnd {
+	return JobEnd{State: state, Tasks: spec.Tasks, Team: spec.Team, CPUs: spec.CPUs, GPUs: spec.GPUs, MemoryGB: spec.MemoryGB}
 }
 
 // Backend is what the frontend needs of its controller.
 type Backend interface {
-	Types() []protocol.MachineType               // nil while unknown
-	Active(ctx context.Context, uid string) bool // that the state service has it as active, by a read begun after the call; false if unsure
-	Progress(uid string) (done, running int)     // for display
-	Accepted(s Stored, version uint64)           // a job was accepted here
-	Ended(uid string, final Final)               // a job ended, as this node just learned
+	MachineTypes() []protocol.MachineType          // nil while unknown
+	IsActive(ctx context.Context, uid string) bool // that the state service has it as active, by a read begun after the call; false if unsure
+	Progress(uid string) (done, running int)       // for display
+	JobAccepted(s ActiveJob, version uint64)       // a job was accepted here
+	JobEnded(uid string, final JobEnd)             // a job ended, as this node just learned
 	Healthy() bool
 	Admit(spec *protocol.Submission) (taken bool, back int) // whether a new job can be taken now; if not, when to come back, in seconds
 
-	Trusted() bool                                                // whether the state service has what it acknowledged, as far as known
-	Remembers(uid string) (job Stored, version uint64, ok bool)   // an active job; version 0: the state service does not have it yet
-	Certain(ctx context.Context) bool                             // whether a job that nobody knows was surely never accepted
-	Missing(uid string)                                           // the state service lacks a job that it may have acknowledged
-	Hold(ctx context.Context, job *Stored, uid string, end Final) // has a peer hold a job, or else an end, before it is said
-	Confirming(uid string, end Final)                             // a user is about to be told of a withdrawal
+	StoreTrusted() bool                                                     // whether the state service has what it acknowledged, as far as known
+	KnownActiveJob(uid string) (job ActiveJob, version uint64, ok bool)     // an active job; version 0: the state service does not have it yet
+	CertainlyNeverAccepted(ctx context.Context) bool                        // whether a job that nobody knows was surely never accepted
+	ReportMissing(uid string)                                               // the state service lacks a job that it may have acknowledged
+	CopyToPeer(ctx context.Context, job *ActiveJob, uid string, end JobEnd) // has a peer hold a job, or else an end, before it is said
+	ConfirmingCancellation(uid string, end JobEnd)                          // a user is about to be told of a withdrawal
 }
 
-// FinalOf is an end as the state service holds it.
-func FinalOf(x datarecovery.End) Final {
-	f := Final{State: protocol.Done, Tasks: x.Tasks, Team: x.Team}
+// JobEndFrom is an end as the state service holds it.
+func JobEndFrom(x datarecovery.End) JobEnd {
+	f := JobEnd{State: protocol.Done, Tasks: x.Tasks, Team: x.Team}
 	if x.Cancelled {
 		f.State = protocol.Cancelled
 	}
 	return f
 }
 
-// Tenants tells of the teams.
-type Tenants interface {
+// Teams tells of the teams.
+type Teams interface {
 	Team(name string) (t settings.Team, known bool) // that takes new jobs
-	Rests(name string) []protocol.Condition         // what an acceptance for a team rests on
+	Conditions(name string) []protocol.Condition    // what an acceptance for a team rests on
 }
 
-// fixedTenants are those of the settings.
-type fixedTenants map[string]settings.Team
+// settingsTeams are those of the settings.
+type settingsTeams map[string]settings.Team
 
 // Team finds a team.
-func (t fixedTenants) Team(name string) (settings.Team, bool) {
+func (t settingsTeams) Team(name string) (settings.Team, bool) {
 	team, known := t[name]
 	return team, known
 }
 
 // Rests is nothing: the settings do not change.
-func (fixedTenants) Rests(string) []protocol.Condition { return nil }
+func (settingsTeams) Conditions(string) []protocol.Condition { return nil }
 
-// Frontend serves the users' part of the protocol.
-type Frontend struct {
-	state *kvstore.Client
-	teams Tenants
-	back  Backend
+// Handler answers the requests of users.
+type Handler struct {
+	store   *kvstore.Client
+	teams   Teams
+	backend Backend
 
 	mu   sync.Mutex
 	ends *datarecovery.Ends
 }
 
-// New is a frontend for a deployment.
-func New(s *settings.Settings, st *kvstore.Client, back Backend) *Frontend {
-	teams := fixedTenants{}
+// New is a handler for a deployment.
+func New(s *settings.Settings, st *kvstore.Client, back Backend) *Handler {
+	teams := settingsTeams{}
 	for _, t := range s.Deployment.Teams {
 		teams[t.Name] = t
 	}
-	return &Frontend{state: st, teams: teams, back: back, ends: datarecovery.NewEnds()}
+	return &Handler{store: st, teams: teams, backend: back, ends: datarecovery.NewEnds()}
 }
 
 // Follow has the teams looked up elsewhere than in the settings.
-func (f *Frontend) Follow(t Tenants) { f.teams = t }
+func (f *Handler) UseTeams(t Teams) { f.teams = t }
 
-func busy(seconds int) httpx.Answer {
+func tryAgain(seconds int) httpx.Answer {
 	a := httpx.Refuse(503, "not now, try again")
-	a.Retry = seconds
+	a.RetryAfterSeconds = seconds
 	return a
 }
 
 // Handle answers a user's request; ok is false if the path is none of theirs.
-func (f *Frontend) Handle(ctx context.Context, r *httpx.Request) (a httpx.Answer, ok bool) {
+func (f *Handler) Handle(ctx context.Context, r *httpx.Request) (a httpx.Answer, ok bool) {
 	switch {
 	case r.Path == protocol.PathHealth:
 		if r.Method != "GET" {
 			return notAllowed("GET"), true
 		}
-		if !f.back.Healthy() {
-			return busy(1), true
+		if !f.backend.Healthy() {
+			return tryAgain(1), true
 		}
 		return httpx.Answer{Status: 200, Body: []byte("{}")}, true
 	case r.Path == protocol.PathSubmit:
@@ -147,7 +147,7 @@
 		if r.Method != "POST" {
 			return notAllowed("POST"), true
 		}
-		return f.withdraw(ctx, uid), true
+		return f.cancel(ctx, uid), true
 	case more:
 		return httpx.Refuse(404, "no such path"), true
 	case r.Method != "GET":
@@ -163,39 +163,39 @@
 }
 
 // Learn remembers the end of a job. The first end that was learned stays.
-func (f *Frontend) Learn(uid string, final Final) {
+func (f *Handler) RecordEnd(uid string, final JobEnd) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.ends.Learn(datarecovery.End{UID: uid, Cancelled: final.State == protocol.Cancelled, Tasks: final.Tasks, Team: final.Team})
 }
 
 // Final is the end of a job, if it is remembered.
-func (f *Frontend) Final(uid string) (Final, bool) {
+func (f *Handler) KnownEnd(uid string) (JobEnd, bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	x, ok := f.ends.Get(uid)
 	if !ok {
-		return Final{}, false
+		return JobEnd{}, false
 	}
-	return FinalOf(x), true
+	return JobEndFrom(x), true
 }
 
 // Ends counts the ends that are remembered.
-func (f *Frontend) Ends() int {
+func (f *Handler) EndCount() int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.ends.Len()
 }
 
 // Digest names the ends that are remembered.
-func (f *Frontend) Digest() datarecovery.Digest {
+func (f *Handler) EndsDigest() datarecovery.Digest {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.ends.Digest()
 }
 
 // Lacking lists the ends that a digest does not name.
-func (f *Frontend) Lacking(d datarecovery.Digest) ([]datarecovery.End, error) {
+func (f *Handler) EndsMissingFrom(d datarecovery.Digest) ([]datarecovery.End, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.ends.Lacking(d)
@@ -204,146 +204,146 @@
 // find reads what the state service holds of a job: its active entry, or its
 // end, or neither. The order matters: a job moves from active to ended at once
 // and never back.
-func (f *Frontend) find(ctx context.Context, uid string) (*protocol.Entry, *Final, error) {
-	if final, ok := f.Final(uid); ok {
+func (f *Handler) readJob(ctx context.Context, uid string) (*protocol.Entry, *JobEnd, error) {
+	if final, ok := f.KnownEnd(uid); ok {
 		return nil, &final, nil
 	}
-	e, err := f.state.Get(ctx, JobKey+uid)
+	e, err := f.store.Get(ctx, ActiveJobPrefix+uid)
 	if e != nil || err != nil {
 		return e, nil, err
 	}
-	e, err = f.state.Get(ctx, FinalKey+uid)
+	e, err = f.store.Get(ctx, EndedJobPrefix+uid)
 	if e == nil || err != nil {
 		return nil, nil, err
 	}
-	var final Final
+	var final JobEnd
 	if err := json.Unmarshal(e.Value, &final); err != nil {
 		return nil, nil, err
 	}
-	f.Learn(uid, final)
-	f.back.Ended(uid, final)
+	f.RecordEnd(uid, final)
+	f.backend.JobEnded(uid, final)
 	return nil, &final, nil
 }
 
 // Ended reads whether a job has ended and how. A job that nobody submitted has
 // not.
-func (f *Frontend) Ended(ctx context.Context, uid string) (Final, bool) {
-	final, found, _ := f.LookUp(ctx, uid)
+func (f *Handler) LookUpEnd(ctx context.Context, uid string) (JobEnd, bool) {
+	final, found, _ := f.LookUpEndOrAbsence(ctx, uid)
 	return final, found
 }
 
 // LookUp is Ended; absent says that the state service surely has neither the job nor
 // its end.
-func (f *Frontend) LookUp(ctx context.Context, uid string) (end Final, found, absent bool) {
-	e, final, err := f.find(ctx, uid)
+func (f *Handler) LookUpEndOrAbsence(ctx context.Context, uid string) (end JobEnd, found, absent bool) {
+	e, final, err := f.readJob(ctx, uid)
 	if err != nil || final == nil {
-		return Final{}, false, err == nil && e == nil && f.back.Trusted()
+		return JobEnd{}, false, err == nil && e == nil && f.backend.StoreTrusted()
 	}
 	return *final, true, false
 }
 
 // ReadEnd reads a job's end from the state service, with what its tasks take; found is false if it is not there or
 // the service does not answer.
-func (f *Frontend) ReadEnd(ctx context.Context, uid string) (end Final, found bool) {
-	e, err := f.state.Get(ctx, FinalKey+uid)
+func (f *Handler) ReadEnd(ctx context.Context, uid string) (end JobEnd, found bool) {
+	e, err := f.store.Get(ctx, EndedJobPrefix+uid)
 	if err != nil || e == nil || json.Unmarshal(e.Value, &end) != nil {
-		return Final{}, false
+		return JobEnd{}, false
 	}
 	return end, true
 }
 
 // nobody answers about a job that the state service does not have: it may be remembered
 // all the same, or have been lost for good.
-func (f *Frontend) nobody(ctx context.Context, uid string) httpx.Answer {
-	if _, version, ok := f.back.Remembers(uid); ok {
+func (f *Handler) answerNotInStore(ctx context.Context, uid string) httpx.Answer {
+	if _, version, ok := f.backend.KnownActiveJob(uid); ok {
 		if version > 0 { // it ended just now, or was lost: what is known here does not tell
-			f.back.Missing(uid)
-			return busy(1)
+			f.backend.ReportMissing(uid)
+			return tryAgain(1)
 		}
-		return f.describe(200, uid, nil)
+		return f.answerStatus(200, uid, nil)
 	}
-	if !f.back.Certain(ctx) {
-		return busy(unsureFor)
+	if !f.backend.CertainlyNeverAccepted(ctx) {
+		return tryAgain(retryWhenUnsureSeconds)
 	}
-	if final, ok := f.Final(uid); ok { // learned meanwhile, as from a copy that was put back
-		return f.describe(200, uid, &final)
+	if final, ok := f.KnownEnd(uid); ok { // learned meanwhile, as from a copy that was put back
+		return f.answerStatus(200, uid, &final)
 	}
-	if _, _, ok := f.back.Remembers(uid); ok {
-		return busy(1)
+	if _, _, ok := f.backend.KnownActiveJob(uid); ok {
+		return tryAgain(1)
 	}
 	return httpx.Refuse(404, "no such job")
 }
 
 // unsureFor is when to come back, in seconds, to ask about a job that may have been lost.
-const unsureFor = 5
+const retryWhenUnsureSeconds = 5
 
 // remembered answers about a job while the state service cannot be relied on. An end that
 // is known here stays, so it can be told. That a job is still active cannot: another
 // controller may have told its end a moment ago, and nothing that is known here says so
 // until memories are gathered.
-func (f *Frontend) remembered(uid string) httpx.Answer {
-	if final, ok := f.Final(uid); ok {
-		return f.describe(200, uid, &final)
+func (f *Handler) answerFromMemory(uid string) httpx.Answer {
+	if final, ok := f.KnownEnd(uid); ok {
+		return f.answerStatus(200, uid, &final)
 	}
-	return busy(1)
+	return tryAgain(1)
 }
 
 // over answers that a job is withdrawn or done. Whoever keeps its tasks alive must hear of a withdrawal that
 // any user was told of, whoever wrote it.
-func (f *Frontend) over(uid string, final Final) httpx.Answer {
-	f.telling(uid, final)
+func (f *Handler) answerEnded(uid string, final JobEnd) httpx.Answer {
+	f.confirmCancellation(uid, final)
 	return httpx.Answer{Status: 200, Body: protocol.Encode(protocol.JobSummary{UID: uid, State: final.State})}
 }
 
-func (f *Frontend) telling(uid string, final Final) {
+func (f *Handler) confirmCancellation(uid string, final JobEnd) {
 	if final.State == protocol.Cancelled {
-		f.back.Confirming(uid, final)
+		f.backend.ConfirmingCancellation(uid, final)
 	}
 }
 
 // describe answers about a job that has ended, or is active if final is nil.
-func (f *Frontend) describe(status int, uid string, final *Final) httpx.Answer {
+func (f *Handler) answerStatus(status int, uid string, final *JobEnd) httpx.Answer {
 	s := protocol.Status{UID: uid, State: protocol.Pending}
 	if final != nil {
-		f.telling(uid, *final)
+		f.confirmCancellation(uid, *final)
 		s.State = final.State
 		if final.State == protocol.Done {
 			s.Done = final.Tasks
 		}
-	} else if s.Done, s.Running = f.back.Progress(uid); s.Running > 0 || s.Done > 0 {
+	} else if s.Done, s.Running = f.backend.Progress(uid); s.Running > 0 || s.Done > 0 {
 		s.State = protocol.Running
 	}
 	return httpx.Answer{Status: status, Body: protocol.Encode(s)}
 }
 
-func (f *Frontend) status(ctx context.Context, uid string) httpx.Answer {
+func (f *Handler) status(ctx context.Context, uid string) httpx.Answer {
 	if !protocol.ValidUID(uid) {
 		return httpx.Refuse(404, "no such job")
 	}
 	ctx, cancel := context.WithTimeout(ctx, 1800*time.Millisecond)
 	defer cancel()
-	if final, ok := f.Final(uid); ok {
-		return f.describe(200, uid, &final)
+	if final, ok := f.KnownEnd(uid); ok {
+		return f.answerStatus(200, uid, &final)
 	}
-	if f.back.Active(ctx, uid) {
-		return f.describe(200, uid, nil)
+	if f.backend.IsActive(ctx, uid) {
+		return f.answerStatus(200, uid, nil)
 	}
-	if !f.back.Trusted() {
-		return f.remembered(uid)
+	if !f.backend.StoreTrusted() {
+		return f.answerFromMemory(uid)
 	}
-	e, final, err := f.find(ctx, uid)
+	e, final, err := f.readJob(ctx, uid)
 	switch {
-	case err != nil && !f.back.Trusted():
-		return f.remembered(uid)
+	case err != nil && !f.backend.StoreTrusted():
+		return f.answerFromMemory(uid)
 	case err != nil:
-		return busy(1)
+		return tryAgain(1)
 	case e == nil && final == nil:
-		return f.nobody(ctx, uid)
+		return f.answerNotInStore(ctx, uid)
 	}
-	return f.describe(200, uid, final)
+	return f.answerStatus(200, uid, final)
 }
 
-func (f *Frontend) submit(ctx context.Context, body []byte) httpx.Answer {
+func (f *Handler) submit(ctx context.Context, body []byte) httpx.Answer {
 	ctx, cancel := context.WithTimeout(ctx, 4*time.Second)
 	defer cancel()
 	spec, err := protocol.ParseSubmission(body)
@@ -351,90 +351,90 @@
 	uid := ""
 	var rests []protocol.Condition
 	if err == nil {
-		rests = f.teams.Rests(spec.Team) // looked up before what is decided by it
+		rests = f.teams.Conditions(spec.Team) // looked up before what is decided by it
 	}
 	if err != nil {
 		refusal = httpx.Refuse(400, err.Error())
 		uid = protocol.PeekUID(body)
 	} else {
 		uid = spec.UID
-		if reason := f.impossible(spec); reason != "" {
+		if reason := f.whyImpossible(spec); reason != "" {
 			refusal = httpx.Refuse(422, reason)
-		} else if f.back.Types() == nil {
-			return busy(1)
+		} else if f.backend.MachineTypes() == nil {
+			return tryAgain(1)
 		}
 	}
 	if refusal.Status != 0 {
 		if uid == "" {
 			return refusal
 		}
-		if !f.back.Trusted() {
-			return f.remembered(uid)
+		if !f.backend.StoreTrusted() {
+			return f.answerFromMemory(uid)
 		}
-		e, final, err := f.find(ctx, uid)
+		e, final, err := f.readJob(ctx, uid)
 		switch {
 		case err != nil:
-			return busy(1)
+			return tryAgain(1)
 		case e != nil || final != nil:
-			return f.describe(200, uid, final)
-		case refusal.Status == 422 && f.back.Types() == nil:
-			return busy(1)
+			return f.answerStatus(200, uid, final)
+		case refusal.Status == 422 && f.backend.MachineTypes() == nil:
+			return tryAgain(1)
 		}
-		if a := f.nobody(ctx, uid); a.Status != 404 {
+		if a := f.answerNotInStore(ctx, uid); a.Status != 404 {
 			return a
 		}
-		if refusal.Status == 422 && f.impossible(spec) == "" {
-			return busy(1) // all is known up to the request by now, as that the team came
+		if refusal.Status == 422 && f.whyImpossible(spec) == "" {
+			return tryAgain(1) // all is known up to the request by now, as that the team came
 		}
 		return refusal
 	}
-	if final, ok := f.Final(uid); ok {
-		return f.describe(200, uid, &final)
+	if final, ok := f.KnownEnd(uid); ok {
+		return f.answerStatus(200, uid, &final)
 	}
-	if !f.back.Trusted() {
-		return f.remembered(uid)
+	if !f.backend.StoreTrusted() {
+		return f.answerFromMemory(uid)
 	}
-	if _, version, ok := f.back.Remembers(uid); ok && version == 0 {
+	if _, version, ok := f.backend.KnownActiveJob(uid); ok && version == 0 {
 		// After a loss, not written back yet: its end may stand in the state service all the
 		// same, and no change that is followed tells of it.
-		e, final, err := f.find(ctx, uid)
+		e, final, err := f.readJob(ctx, uid)
 		switch {
 		case err != nil:
-			return busy(1)
+			return tryAgain(1)
 		case e == nil && final == nil:
-			return f.nobody(ctx, uid)
+			return f.answerNotInStore(ctx, uid)
 		}
-		return f.describe(200, uid, final)
+		return f.answerStatus(200, uid, final)
 	}
-	if taken, back := f.back.Admit(spec); !taken {
-		return busy(back)
+	if taken, back := f.backend.Admit(spec); !taken {
+		return tryAgain(back)
 	}
-	stored := Stored{Spec: spec, At: time.Now().UnixMilli()}
+	stored := ActiveJob{Spec: spec, SubmittedAtMillis: time.Now().UnixMilli()}
 	held := make(chan struct{})
 	go func() { // a peer holds it before it is said, which takes no longer than the state service does
 		defer close(held)
-		f.back.Hold(ctx, &stored, "", Final{})
+		f.backend.CopyToPeer(ctx, &stored, "", JobEnd{})
 	}()
-	version, err := f.state.Commit(ctx, kvstore.Update{Soon: true,
-		Guards: append([]protocol.Condition{{Key: JobKey + uid}, {Key: FinalKey + uid}}, rests...),
-		Ops:    []protocol.Op{{Set: JobKey + uid, Value: protocol.Encode(stored)}},
+	version, err := f.store.Commit(ctx, kvstore.Update{Urgent: true,
+		Conditions: append([]protocol.Condition{{Key: ActiveJobPrefix + uid}, {Key: EndedJobPrefix + uid}}, rests...),
+		Changes:    []protocol.Op{{Set: ActiveJobPrefix + uid, Value: protocol.Encode(stored)}},
 	})
 	if err == nil {
 		<-held
-		f.back.Accepted(stored, version)
+		f.backend.JobAccepted(stored, version)
 		return httpx.Answer{Status: 201, Body: protocol.Encode(protocol.JobSummary{UID: uid, State: protocol.Pending})}
 	}
 	if errors.Is(err, kvstore.ErrConflict) {
-		e, final, err := f.find(ctx, uid)
+		e, final, err := f.readJob(ctx, uid)
 		if err == nil && (e != nil || final != nil) {
-			return f.describe(200, uid, final)
+			return f.answerStatus(200, uid, final)
 		}
 	}
-	return busy(1)
+	return tryAgain(1)
 }
 
 // impossible says why a job can never run, or "".
-func (f *Frontend) impossible(s *protocol.Submission) string {
+func (f *Handler) whyImpossible(s *protocol.Submission) string {
 	team, ok := f.teams.Team(s.Team)
 	if !ok {
 		return "field equipo: unknown team"
@@ -446,7 +446,7 @@
 	if n*s.CPUs > team.CPUsMax+1e-6 || n*s.GPUs > team.GPUsMax+1e-6 {
 		return "field tramos: needs more than the team's limit"
 	}
-	types := f.back.Types()
+	types := f.backend.MachineTypes()
 	if types == nil {
 		return ""
 	}
@@ -469,49 +469,49 @@
 	return "field cores: a task fits no allowed machine type"
 }
 
-func (f *Frontend) withdraw(ctx context.Context, uid string) httpx.Answer {
+func (f *Handler) cancel(ctx context.Context, uid string) httpx.Answer {
 	if !protocol.ValidUID(uid) {
 		return httpx.Refuse(404, "no such job")
 	}
 	ctx, cancel := context.WithTimeout(ctx, 4*time.Second)
 	defer cancel()
 	for range 4 {
-		if final, ok := f.Final(uid); ok {
-			return f.over(uid, final)
+		if final, ok := f.KnownEnd(uid); ok {
+			return f.answerEnded(uid, final)
 		}
-		if !f.back.Trusted() {
-			return busy(1)
+		if !f.backend.StoreTrusted() {
+			return tryAgain(1)
 		}
-		e, final, err := f.find(ctx, uid)
+		e, final, err := f.readJob(ctx, uid)
 		switch {
 		case err != nil:
-			return busy(1)
+			return tryAgain(1)
 		case final != nil:
-			return f.over(uid, *final)
+			return f.answerEnded(uid, *final)
 		case e == nil:
-			a := f.nobody(ctx, uid)
+			a := f.answerNotInStore(ctx, uid)
 			if a.Status == 200 {
-				return busy(1) // it is being written back, and can be withdrawn then
+				return tryAgain(1) // it is being written back, and can be withdrawn then
 			}
 			return a
 		}
-		var stored Stored
+		var stored ActiveJob
 		if err := json.Unmarshal(e.Value, &stored); err != nil || stored.Spec == nil {
-			return busy(5)
+			return tryAgain(5)
 		}
-		end := EndOf(stored.Spec, protocol.Cancelled)
-		_, err = f.state.Commit(ctx, kvstore.Update{Soon: true,
-			Guards: []protocol.Condition{{Key: JobKey + uid, Version: e.Version}},
-			Ops:    []protocol.Op{{Delete: JobKey + uid}, {Set: FinalKey + uid, Value: protocol.Encode(end)}}})
+		end := NewJobEnd(stored.Spec, protocol.Cancelled)
+		_, err = f.store.Commit(ctx, kvstore.Update{Urgent: true,
+			Conditions: []protocol.Condition{{Key: ActiveJobPrefix + uid, Version: e.Version}},
+			Changes:    []protocol.Op{{Delete: ActiveJobPrefix + uid}, {Set: EndedJobPrefix + uid, Value: protocol.Encode(end)}}})
 		if err == nil {
-			f.Learn(uid, end)
-			f.back.Ended(uid, end)
-			f.back.Hold(ctx, nil, uid, end)
-			return f.over(uid, end)
+			f.RecordEnd(uid, end)
+			f.backend.JobEnded(uid, end)
+			f.backend.CopyToPeer(ctx, nil, uid, end)
+			return f.answerEnded(uid, end)
 		}
 		if !errors.Is(err, kvstore.ErrConflict) {
-			return busy(1)
+			return tryAgain(1)
 		}
 	}
-	return busy(1)
+	return tryAgain(1)
 }
