--- a/internal/controller/config_test.go
+++ b/internal/controller/config_test.go
@@ -215,7 +215,7 @@
 			c.inForce("red", number)
 			c.check.SetLimit("red", 4)
 			c.state.Back(saved)
-			c.until("the change is written back", func() bool { return c.rebuilt(true) && c.state.Keys(teamstore.Prefix) == 1 })
+			c.until("the change is written back", func() bool { return c.recovered(true) && c.state.Keys(teamstore.Prefix) == 1 })
 			c.operator = c.writer()
 			return number
 		},
@@ -226,7 +226,7 @@
 			c.crash(1)
 			c.state.LoseAll()
 			c.start(1)
-			c.until("the change is written back", func() bool { return c.rebuilt(true) && c.state.Keys(teamstore.Prefix) == 1 })
+			c.until("the change is written back", func() bool { return c.recovered(true) && c.state.Keys(teamstore.Prefix) == 1 })
 			c.operator = c.writer()
 			return number
 		},
@@ -235,7 +235,7 @@
 			c.inForce("red", number)
 			c.check.SetLimit("red", 4)
 			c.state.LosePrefix(teamstore.Prefix)
-			c.until("the change is written back", func() bool { return c.rebuilt(true) && c.state.Keys(teamstore.Prefix) == 1 })
+			c.until("the change is written back", func() bool { return c.recovered(true) && c.state.Keys(teamstore.Prefix) == 1 })
 			c.operator = c.writer()
 			return number
 		},
--- a/internal/controller/loss_test.go
+++ b/internal/controller/dataloss_test.go
@@ -21,28 +21,28 @@
 
 // loss is a region in which jobs run, one is withdrawn and some are done, when its
 // state service loses data.
-type loss struct {
+type dataLoss struct {
 	*region
 	jobs      []*protocol.Submission
-	early     int // jobs that were accepted before the state was saved
-	withdrawn *protocol.Submission
+	savedJobs int // jobs that were accepted before the state was saved
+	cancelled *protocol.Submission
 	saved     simulation.Saved
-	loses     bool // a new generation is due
+	newEpoch  bool // a new generation is due
 }
 
-func newLoss(t *testing.T) *loss {
-	l := &loss{region: newRegion(t, 2*time.Second)}
-	l.withdrawn = array(390, 10, "blue")
+func newDataLoss(t *testing.T) *dataLoss {
+	l := &dataLoss{region: newRegion(t, 2*time.Second)}
+	l.cancelled = array(390, 10, "blue")
 	for i := range 8 {
 		j := array(300+i, 10, []string{"red", "blue"}[i%2])
 		l.jobs = append(l.jobs, j)
 		l.submit(j)
 		if i == 3 {
-			l.saved, l.early = l.state.Save(), i+1
+			l.saved, l.savedJobs = l.state.Save(), i+1
 		}
 	}
-	l.submit(l.withdrawn)
-	l.withdraw(l.withdrawn.UID)
+	l.submit(l.cancelled)
+	l.withdraw(l.cancelled.UID)
 	l.until("a job is done", func() bool {
 		for _, j := range l.jobs {
 			if l.poll(j.UID) == protocol.Done {
@@ -85,7 +85,7 @@
 
 // rebuilt says whether all controllers are in the same generation after the first, with
 // nothing left to do; or, if not so, in the first.
-func (r *region) rebuilt(after bool) bool {
+func (r *region) recovered(after bool) bool {
 	all := r.overviews()
 	for _, o := range all {
 		s := o.Store
@@ -97,13 +97,13 @@
 }
 
 // settled sees that what was accepted comes to its end and new work runs.
-func (l *loss) settled() {
+func (l *dataLoss) checkRecovered() {
 	l.t.Helper()
 	late := array(350, 6, "red")
 	l.submit(late)
 	l.allDone(append(l.jobs, late))
-	l.until("withdrawn still", func() bool { return l.poll(l.withdrawn.UID) == protocol.Cancelled })
-	l.until("all is written back", func() bool { return l.rebuilt(l.loses) && (!l.loses || !l.overviews()[0].Store.DataLost) })
+	l.until("withdrawn still", func() bool { return l.poll(l.cancelled.UID) == protocol.Cancelled })
+	l.until("all is written back", func() bool { return l.recovered(l.newEpoch) && (!l.newEpoch || !l.overviews()[0].Store.DataLost) })
 	l.until("an unknown job is unknown", func() bool {
 		status, _ := l.ask("GET", protocol.PathSubmit+"/job-999999", nil)
 		return status == http.StatusNotFound
@@ -113,22 +113,27 @@
 // TestLossWhileControllersLive: the state service loses data in each way while all
 // controllers live. Nothing that was accepted, done or withdrawn is forgotten, no task
 // runs twice, and new work is taken and run.
-func TestLossWhileControllersLive(t *testing.T) {
-	for name, lose := range map[string]func(*loss){
-		"all":       func(l *loss) { l.state.LoseAll() },
-		"back":      func(l *loss) { l.state.Back(l.saved) },
-		"jobs":      func(l *loss) { l.state.LosePrefix("w/a/") },
-		"roster":    func(l *loss) { l.state.LosePrefix("w/m/") },
-		"record":    func(l *loss) { l.state.LosePrefix("w/c") },
-		"leases":    func(l *loss) { l.state.LoseLeases() },
-		"twice":     func(l *loss) { l.state.LoseAll(); time.Sleep(700 * time.Millisecond); l.state.LoseAll() },
-		"in_outage": func(l *loss) { l.state.Outage(true); time.Sleep(time.Second); l.state.LoseAll(); l.state.Outage(false) },
-		"one_ends":  func(l *loss) { l.crash(0); l.state.LoseAll(); l.start(0) },
+func TestDataLossWhileControllersRun(t *testing.T) {
+	for name, lose := range map[string]func(*dataLoss){
+		"all":    func(l *dataLoss) { l.state.LoseAll() },
+		"back":   func(l *dataLoss) { l.state.Back(l.saved) },
+		"jobs":   func(l *dataLoss) { l.state.LosePrefix("w/a/") },
+		"roster": func(l *dataLoss) { l.state.LosePrefix("w/m/") },
+		"record": func(l *dataLoss) { l.state.LosePrefix("w/c") },
+		"leases": func(l *dataLoss) { l.state.LoseLeases() },
+		"twice":  func(l *dataLoss) { l.state.LoseAll(); time.Sleep(700 * time.Millisecond); l.state.LoseAll() },
+		"in_outage": func(l *dataLoss) {
+			l.state.Outage(true)
+			time.Sleep(time.Second)
+			l.state.LoseAll()
+			l.state.Outage(false)
+		},
+		"one_ends": func(l *dataLoss) { l.crash(0); l.state.LoseAll(); l.start(0) },
 		// One that starts without the lists of machines writes its own anew: the others must not
 		// take the machines that it does not name for struck off, with what they run.
-		"roster_one_ends": func(l *loss) { l.crash(0); l.state.LosePrefix("w/m/"); l.start(0) },
-		"jobs_one_ends":   func(l *loss) { l.crash(0); l.state.LosePrefix("w/a/"); l.start(0) },
-		"machine_cut": func(l *loss) {
+		"roster_one_ends": func(l *dataLoss) { l.crash(0); l.state.LosePrefix("w/m/"); l.start(0) },
+		"jobs_one_ends":   func(l *dataLoss) { l.crash(0); l.state.LosePrefix("w/a/"); l.start(0) },
+		"machine_cut": func(l *dataLoss) {
 			w := l.cloud.Workers()[0]
 			w.Cut(true)
 			l.state.LoseAll()
@@ -137,7 +142,7 @@
 		},
 		// Requests to the cloud from before the loss are carried out after it: a machine goes that
 		// the controllers remember, and one comes that nobody rented in this generation.
-		"late_rental_and_return": func(l *loss) {
+		"late_rental_and_return": func(l *dataLoss) {
 			l.state.LoseAll()
 			post := func(path, body string) string {
 				resp, err := l.httpc.Post("http://"+l.cloud.Addr()+path, "application/json", strings.NewReader(body))
@@ -154,7 +159,7 @@
 				l.t.Errorf("no machine came late: %s", got)
 			}
 		},
-		"withdrawal_under_way": func(l *loss) {
+		"withdrawal_under_way": func(l *dataLoss) {
 			extra := array(391, 10, "red")
 			l.submit(extra)
 			told := make(chan struct{})
@@ -183,7 +188,7 @@
 		// An end goes to the store that went back before anybody noticed, under guards that
 		// hold by accident. Whoever finds it there tells it; nobody may call the job active
 		// after that, from a memory that it never reaches by the watch.
-		"end_in_the_store_that_went_back": func(l *loss) {
+		"end_in_the_store_that_went_back": func(l *dataLoss) {
 			extra := array(392, 10, "red")
 			l.submit(extra)
 			l.check.Withdrawing(extra.UID)
@@ -207,20 +212,20 @@
 				return told > 30
 			})
 		},
-		"ended_in_rebuilding": func(l *loss) {
+		"ended_in_rebuilding": func(l *dataLoss) {
 			l.state.LoseAll()
 			l.until("a generation begins", func() bool { all := l.overviews(); return len(all) > 0 && all[0].Store.Epoch > 1 })
 			l.crash(2) // while what it remembers is gathered and written back
 			l.start(2)
 		},
-		"one_is_gone": func(l *loss) { l.crash(1); l.state.Back(l.saved); time.Sleep(8 * time.Second); l.start(1) },
+		"one_is_gone": func(l *dataLoss) { l.crash(1); l.state.Back(l.saved); time.Sleep(8 * time.Second); l.start(1) },
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			l := newLoss(t)
-			l.loses = name != "leases"
+			l := newDataLoss(t)
+			l.newEpoch = name != "leases"
 			lose(l)
-			l.settled()
+			l.checkRecovered()
 		})
 	}
 }
@@ -242,7 +247,7 @@
 // TestRecordWrittenPastALoss: the store went back, and a controller that started since wrote the record
 // past the revision that the others had seen, so that every version they compare is there
 // again or was changed. That the record does not follow the one known is the sign.
-func TestRecordWrittenPastALoss(t *testing.T) {
+func TestRecordOutOfChainIsSuspected(t *testing.T) {
 	for after, want := range map[uint64]datarecovery.Phase{12: datarecovery.Suspected, 17: datarecovery.Trusted, 18: datarecovery.Trusted} {
 		n := newGrown(2, 1).n
 		n.record.Epoch, n.recordVersion = 1, 17
@@ -259,8 +264,8 @@
 
 // TestMemoryFromBeforeTheFirstRecord: a process that had read the store before there was a first record took
 // its memory for good to have holes. A loss of data then left all that was unknown without an answer.
-func TestMemoryFromBeforeTheFirstRecord(t *testing.T) {
-	l := &loss{region: newRegion(t, 300*time.Millisecond), loses: true, withdrawn: array(390, 10, "blue")}
+func TestMemoryReadBeforeTheFirstRecordIsComplete(t *testing.T) {
+	l := &dataLoss{region: newRegion(t, 300*time.Millisecond), newEpoch: true, cancelled: array(390, 10, "blue")}
 	for i := range l.nodes {
 		l.crash(i)
 	}
@@ -273,17 +278,17 @@
 		all := l.overviews()
 		return len(all) == 3 && !slices.ContainsFunc(all, func(o overview) bool { return !o.Store.MemoryComplete })
 	})
-	l.submit(l.withdrawn)
-	l.withdraw(l.withdrawn.UID)
+	l.submit(l.cancelled)
+	l.withdraw(l.cancelled.UID)
 	l.state.LoseAll()
-	l.settled()
+	l.checkRecovered()
 }
 
 // TestLateTransactions: what was sent before a loss and is carried out after it, as when
 // packets were held, changes nothing.
-func TestLateTransactions(t *testing.T) {
-	l := newLoss(t)
-	l.loses = true
+func TestLateTransactionsChangeNothing(t *testing.T) {
+	l := newDataLoss(t)
+	l.newEpoch = true
 	var marker protocol.Entry
 	for _, e := range l.keys(datarecovery.EpochKey) {
 		marker = e
@@ -292,7 +297,7 @@
 		t.Fatal("the generation has no key of its own")
 	}
 	l.state.Back(l.saved)
-	l.until("a generation begins", func() bool { return l.rebuilt(true) })
+	l.until("a generation begins", func() bool { return l.recovered(true) })
 	ghost := array(398, 1, "red")
 	late := protocol.Txn{Conditions: []protocol.Condition{{Key: marker.Key, Version: marker.Version}, {Key: snapshot.JobKey + ghost.UID}},
 		Then: []protocol.Op{{Set: snapshot.JobKey + ghost.UID, Value: protocol.Encode(userapi.ActiveJob{Spec: ghost})}}}
@@ -304,7 +309,7 @@
 	if resp.StatusCode != http.StatusConflict || l.state.Keys(snapshot.JobKey+ghost.UID) != 0 {
 		t.Fatalf("a late acceptance got %d", resp.StatusCode)
 	}
-	l.settled()
+	l.checkRecovered()
 }
 
 // keys lists keys of the stand-in by its protocol.
@@ -325,14 +330,14 @@
 // so that nobody remembers. What cannot be known is never called unknown, what runs is
 // left alone and no task runs twice, new work is taken and run; what the store still has
 // comes to its end.
-func TestLossAtAnEndOfAll(t *testing.T) {
-	for name, lose := range map[string]func(*loss){
-		"all":  func(l *loss) { l.state.LoseAll() },
-		"back": func(l *loss) { l.state.Back(l.saved) },
+func TestDataLossWhileAllControllersRestart(t *testing.T) {
+	for name, lose := range map[string]func(*dataLoss){
+		"all":  func(l *dataLoss) { l.state.LoseAll() },
+		"back": func(l *dataLoss) { l.state.Back(l.saved) },
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			l := newLoss(t)
+			l := newDataLoss(t)
 			for i := range l.nodes {
 				l.crash(i)
 			}
@@ -344,10 +349,10 @@
 			l.submit(late)
 			known := []*protocol.Submission{late}
 			if name == "back" {
-				known = append(known, l.jobs[:l.early]...)
+				known = append(known, l.jobs[:l.savedJobs]...)
 			}
 			l.allDone(known)
-			for _, j := range append(l.jobs, l.withdrawn, array(999, 1, "red")) {
+			for _, j := range append(l.jobs, l.cancelled, array(999, 1, "red")) {
 				status, st := l.ask("GET", protocol.PathSubmit+"/"+j.UID, nil)
 				l.check.Told(j.UID, status, st.State, false)
 				if status != http.StatusOK && status != http.StatusServiceUnavailable {
@@ -369,8 +374,8 @@
 // TestNoCopyCame: nobody remembers and no copy is put back. Once it was waited for as long as
 // the operators said, what nobody knows is told to be unknown, and a later loss is one that
 // everything known survives again.
-func TestNoCopyCame(t *testing.T) {
-	l := newLoss(t)
+func TestSearchIsGivenUpWithoutACopy(t *testing.T) {
+	l := newDataLoss(t)
 	for i := range l.nodes {
 		l.crash(i)
 	}
@@ -405,7 +410,7 @@
 	job := array(360, 6, "red")
 	l.submit(job)
 	l.state.LoseAll()
-	l.until("rebuilt", func() bool { return l.rebuilt(true) && !l.overviews()[0].Store.DataLost })
+	l.until("rebuilt", func() bool { return l.recovered(true) && !l.overviews()[0].Store.DataLost })
 	l.allDone([]*protocol.Submission{job})
 }
 
@@ -414,7 +419,7 @@
 // into the generation that the controllers began, running tasks are taken up again, and
 // unknown jobs are unknown once nothing more is to be found. A second restore does nothing.
 func TestRestoreFromSnapshot(t *testing.T) {
-	l := newLoss(t)
+	l := newDataLoss(t)
 	set := snapshot.DefaultConfig()
 	set.State, set.Dir, set.RPS, set.WriteRPS, set.ValueKB, set.TxnOps = l.state.Addr(), t.TempDir(), 100, 100, 16, 16
 	a, err := snapshot.Open(set.Dir, snapshot.Options{})
@@ -471,6 +476,6 @@
 	if changed, err := r.Declare(t.Context()); err != nil || !changed {
 		t.Fatalf("declared: %t, %v", changed, err)
 	}
-	l.jobs, l.loses = append(l.jobs, last), true
-	l.settled()
+	l.jobs, l.newEpoch = append(l.jobs, last), true
+	l.checkRecovered()
 }
--- a/internal/datarecovery/epoch_test.go
+++ b/internal/datarecovery/epoch_test.go
@@ -10,7 +10,7 @@
 // empty store, under a record of their own, before a worker showed that there had been
 // another one. All are heard and agree; but what runs on the machines is in nobody's
 // account, and without a barrier it was started a second time.
-func TestAccountsAreKeptOnlyByWholeMemory(t *testing.T) {
+func TestAccountsAreKeptOnlyByCompleteMemory(t *testing.T) {
 	r := (&leadership.Record{Term: 5000, FirstTerm: 5000, Epoch: 1, StoreID: "s"}).Clone()
 	e := &Evidence{Self: "a", Controllers: []string{"a", "b"}, Shards: []string{"team/x"}, Record: r, Stored: r, Presences: map[string]leadership.Presence{}, Assessments: map[string]Assessment{}, HighestToken: 70000, StoreID: "t"}
 	for i, n := range e.Controllers {
--- /dev/null
+++ b/internal/datarecovery/model_controller_test.go
@@ -0,0 +1,380 @@
+package datarecovery
+
+import (
+	"fmt"
+	"slices"
+	"strings"
+	"time"
+
+	"topazhollow/internal/leadership"
+)
+
+// memoriesGathered says whether nobody who is heard is awaited.
+func (w *world) memoriesGathered(n *controllerModel) bool {
+	return n.exchange == nil || !w.connected(n)
+}
+
+// controllerModel is a controller around the real decisions.
+type controllerModel struct {
+	name            string
+	incarnation     uint64
+	up              bool
+	agreement       *Agreement
+	record          *leadership.Record
+	recordVersion   uint64 // of the record
+	epochKeyVersion uint64
+	seenRevision    uint64
+	listed          bool
+	presences       map[string]leadership.Presence
+	jobs            map[string]uint64 // active, with versions; 0: not in the store
+	ends            *Ends
+	exchange        *Exchange
+	memoryComplete  bool
+	proved          bool             // of a loss, from what others know
+	assignments     map[string]int   // the owner's account: job -> machine
+	sinceTerm       uint64           // of the account
+	heardMachines   map[int]bool     // machines, under the account's term
+	reported        map[int][]string // what they listed then
+	ready           bool
+	startedAt       time.Time
+}
+
+// boot starts a controller without memory.
+func (w *world) boot(n *controllerModel) {
+	n.incarnation++
+	*n = controllerModel{name: n.name, incarnation: n.incarnation, up: true, presences: map[string]leadership.Presence{}, jobs: map[string]uint64{}, ends: NewEnds(), startedAt: w.now}
+	n.agreement = NewAgreement(n.name, []string{w.other(n).name}, 5*time.Second)
+}
+
+func (w *world) other(n *controllerModel) *controllerModel {
+	if w.nodes[0] == n {
+		return w.nodes[1]
+	}
+	return w.nodes[0]
+}
+
+func (n *controllerModel) trusts() bool {
+	p, _, _ := n.agreement.Phase()
+	return n.up && n.listed && p == Trusted
+}
+
+// wentBack checks an answer's revision.
+func (w *world) wentBack(n *controllerModel) bool {
+	if w.guards.revisions && w.store.revision < n.seenRevision {
+		n.agreement.Suspect("revision", w.now)
+		return true
+	}
+	n.seenRevision = max(n.seenRevision, w.store.revision)
+	return false
+}
+
+// commit is a fenced transaction whose answer counts only if the store did not go back.
+func (w *world) commit(n *controllerModel, gs map[string]uint64, sets map[string]string) bool {
+	all := map[string]uint64{}
+	for k, v := range gs {
+		all[k] = v
+	}
+	if w.guards.fence && n.record != nil {
+		all[EpochKey+n.record.StoreID] = n.epochKeyVersion
+	}
+	failed := w.store.txn(all, sets)
+	if w.wentBack(n) {
+		return false
+	}
+	if n.record != nil && slices.Contains(failed, EpochKey+n.record.StoreID) {
+		n.agreement.Suspect("fence", w.now)
+	}
+	return failed == nil
+}
+
+func (n *controllerModel) epoch() uint64 {
+	if n.record == nil {
+		return 0
+	}
+	return n.record.Epoch
+}
+
+func (n *controllerModel) assessment() Assessment {
+	p, _, _ := n.agreement.Phase()
+	x := Assessment{Epoch: n.epoch(), Revision: n.seenRevision, Incarnation: n.incarnation, MemoryComplete: n.memoryComplete, SuspectsLoss: p == Suspected || p == Lost, ConfirmedLoss: p == Lost}
+	if n.record != nil {
+		x.Term = n.record.Term
+	}
+	return x
+}
+
+// adopt takes up a record, and the shard if it names this controller.
+func (w *world) adopt(n *controllerModel, r *leadership.Record, version uint64) {
+	next := n.record == nil || n.record.Epoch != r.Epoch
+	n.record, n.recordVersion = r, version
+	n.epochKeyVersion = w.store.keys[EpochKey+r.StoreID].version
+	if next {
+		n.agreement.Entered(r.Epoch, w.now)
+		if r.Epoch > 1 && w.guards.exchange {
+			var members []string
+			for m := range r.Nodes {
+				if m != n.name {
+					members = append(members, m)
+				}
+			}
+			n.exchange = NewExchange(r.Epoch, members)
+		}
+	}
+	it := r.Shards[modelShard]
+	if it.Owner != n.name || r.Nodes[n.name] != n.incarnation {
+		n.assignments, n.ready, n.sinceTerm = nil, false, 0
+	} else if n.sinceTerm != it.SinceTerm {
+		if it.NeedsBarrier || n.assignments == nil {
+			n.assignments = map[string]int{}
+			n.heardMachines, n.reported = map[int]bool{}, map[int][]string{}
+		} else {
+			n.heardMachines = nil // nothing to wait for
+		}
+		n.sinceTerm, n.ready = it.SinceTerm, false
+	}
+}
+
+// list reads all that is followed, and enters an epoch if it is a later one.
+func (w *world) list(n *controllerModel) {
+	r, version := w.stored()
+	if r != nil && r.Epoch > n.epoch() && w.store.keys[EpochKey+r.StoreID].version == 0 {
+		return
+	}
+	if n.record == nil || r != nil && r.Epoch > n.epoch() {
+		n.proved = false
+		n.seenRevision, n.listed, n.presences = w.store.revision, true, w.presences()
+		for _, uid := range sorted(n.jobs) {
+			n.jobs[uid] = 0
+		}
+		if r != nil {
+			w.adopt(n, r, version)
+		} else {
+			n.agreement.Entered(0, w.now)
+		}
+		for _, k := range sorted(w.store.keys) {
+			c := w.store.keys[k]
+			if uid, ok := strings.CutPrefix(k, "f/"); ok {
+				n.ends.Learn(End{UID: uid, Cancelled: c.value == "withdrawn", Tasks: 1})
+				delete(n.jobs, uid)
+			}
+		}
+		for _, k := range sorted(w.store.keys) {
+			c := w.store.keys[k]
+			if uid, ok := strings.CutPrefix(k, "w/a/"); ok {
+				w.learn(n, uid, c.version)
+			}
+		}
+		n.memoryComplete = r == nil || !r.DataLost
+		return
+	}
+	for _, x := range n.agreement.Assessments(w.now) {
+		if p, _, _ := n.agreement.Phase(); x.Epoch > n.epoch() && p != Lost {
+			n.proved, n.memoryComplete = true, false
+			n.agreement.Suspect("a controller knows a later generation", w.now)
+		}
+	}
+	n.presences = w.presences()
+}
+
+// learn takes up an active job, unless its end is known.
+func (w *world) learn(n *controllerModel, uid string, version uint64) {
+	if _, ended := n.ends.Get(uid); ended {
+		if version > 0 && w.guards.endBeatsActive { // an end beats active
+			w.commit(n, map[string]uint64{"w/a/" + uid: version}, map[string]string{"w/a/" + uid: "", "f/" + uid: w.storedEnd(n, uid)})
+		} else if version > 0 {
+			n.jobs[uid] = version
+		}
+		return
+	}
+	n.jobs[uid] = max(n.jobs[uid], version)
+}
+
+func (w *world) storedEnd(n *controllerModel, uid string) string {
+	if x, _ := n.ends.Get(uid); x.Cancelled {
+		return "withdrawn"
+	}
+	return "done"
+}
+
+// learnEnd remembers an end.
+func (w *world) learnEnd(n *controllerModel, uid string, withdrawn bool) {
+	n.ends.Learn(End{UID: uid, Cancelled: withdrawn, Tasks: 1})
+	delete(n.jobs, uid)
+}
+
+// connected says whether the controllers hear each other.
+func (w *world) connected(n *controllerModel) bool { return !w.partitioned && n.up && w.other(n).up }
+
+// follow takes in what changed, as the watch would.
+func (w *world) follow(n *controllerModel) {
+	if !n.trusts() || w.wentBack(n) {
+		return
+	}
+	if r, version := w.stored(); r != nil && r.Epoch > n.epoch() && n.record != nil {
+		n.agreement.NewerEpochSeen(r.Epoch)
+		return
+	} else if r != nil && n.record != nil && (r.Epoch < n.record.Epoch || r.Term < n.record.Term) {
+		n.agreement.Suspect("the record is older than the one known", w.now)
+		return
+	} else if r != nil && version > n.recordVersion {
+		w.adopt(n, r, version)
+	}
+	n.presences = w.presences()
+	for _, k := range sorted(w.store.keys) {
+		c := w.store.keys[k]
+		if uid, ok := strings.CutPrefix(k, "w/a/"); ok {
+			w.learn(n, uid, c.version)
+		}
+	}
+	for _, uid := range sorted(n.jobs) {
+		version := n.jobs[uid] // deleted, with a change that tells
+		if c, ended := w.store.keys["f/"+uid]; ended && version > 0 {
+			w.learnEnd(n, uid, c.value == "withdrawn")
+		}
+	}
+}
+
+// compareAcknowledged is the comparison after a suspicion.
+func (w *world) compareAcknowledged(n *controllerModel) Comparison {
+	if n.proved || w.store.revision < max(n.seenRevision, n.agreement.PeersRevision()) && w.guards.revisions {
+		return Missing
+	}
+	r, _ := w.stored()
+	if n.record != nil && (r == nil || r.Term < n.record.Term || w.store.keys[EpochKey+n.record.StoreID].version != n.epochKeyVersion) {
+		return Missing
+	}
+	for _, uid := range sorted(n.jobs) {
+		version := n.jobs[uid]
+		_, ended := w.store.keys["f/"+uid]
+		if version > 0 && !ended && w.store.keys["w/a/"+uid].version != version {
+			return Missing
+		}
+	}
+	return Intact
+}
+
+// act is one step of a controller.
+func (w *world) act(n *controllerModel) {
+	if !n.up {
+		return
+	}
+	if !n.listed {
+		w.list(n)
+		return
+	}
+	o := w.other(n)
+	if w.connected(n) && w.rng.IntN(4) == 0 {
+		o.agreement.PeerAssessed(n.name, n.assessment(), w.now)
+	}
+	if w.presences()[n.name].Incarnation != n.incarnation && w.rng.IntN(3) == 0 { // the lease's duty
+		w.store.txn(map[string]uint64{"w/n/" + n.name: w.presences()[n.name].Version}, map[string]string{"w/n/" + n.name: fmt.Sprint(n.incarnation)})
+	}
+	w.stepAgreement(n)
+	if !n.trusts() {
+		return
+	}
+	if w.guards.compare && w.rng.IntN(20) == 0 && w.compareAcknowledged(n) == Missing {
+		n.agreement.Suspect("look", w.now)
+		return
+	}
+	if w.rng.IntN(2) == 0 {
+		w.follow(n)
+	}
+	w.repair(n)
+	if n.exchange != nil {
+		w.exchangeMemories(n)
+	}
+	w.actAsOwner(n)
+}
+
+// stepAgreement does what the agreement asks for.
+func (w *world) stepAgreement(n *controllerModel) {
+	term := uint64(0)
+	if n.record != nil {
+		term = n.record.Term
+	}
+	switch n.agreement.Step(w.now, term, func(name string) bool {
+		p, ok := w.presences()[name]
+		return ok && (name != n.name || p.Incarnation == n.incarnation)
+	}) {
+	case ActionCompare:
+		n.agreement.Compared(w.compareAcknowledged(n), w.now)
+	case ActionRelist:
+		n.seenRevision = 0
+		w.list(n)
+	case ActionPropose:
+		w.propose(n)
+	}
+	if p, _, _ := n.agreement.Phase(); p == Lost {
+		w.list(n)
+	}
+	for _, x := range n.agreement.Assessments(w.now) { // a read that begins now must have a term that a peer knows
+		if r, _ := w.stored(); n.record != nil && x.Epoch == n.epoch() && x.Term > n.record.Term && (r == nil || r.Term < x.Term) {
+			n.proved, n.memoryComplete = true, false
+			n.agreement.Suspect("a controller knows a later term", w.now)
+		}
+	}
+}
+
+// exchangeMemories is one step of an exchange that is under way.
+func (w *world) exchangeMemories(n *controllerModel) {
+	o := w.other(n)
+	if w.connected(n) && o.trusts() && o.epoch() == n.epoch() {
+		for _, uid := range sorted(n.jobs) {
+			version := n.jobs[uid] // told, and the other's word on it
+			if version == 0 {
+				w.learn(o, uid, 0)
+			}
+		}
+		lacking, _ := o.ends.Lacking(n.ends.Digest())
+		for _, x := range lacking {
+			w.learnEnd(n, x.UID, x.Cancelled)
+		}
+		n.exchange.Answered(o.name)
+		if o.exchange != nil {
+			o.exchange.MemoriesReceived(n.name)
+		}
+		if w.rng.IntN(2) == 0 { // asked for
+			for _, uid := range sorted(o.jobs) {
+				version := o.jobs[uid]
+				if version == 0 {
+					w.learn(n, uid, 0)
+				}
+			}
+			n.exchange.MemoriesReceived(o.name)
+		}
+	}
+	n.exchange.DropFormerMembers(func(m string) bool { return n.record.Nodes[m] != 0 })
+	if len(n.exchange.Awaited()) == 0 {
+		n.exchange = nil
+	}
+}
+
+// propose makes the next epoch.
+func (w *world) propose(n *controllerModel) {
+	r, version := w.stored()
+	e := Evidence{Self: n.name, Controllers: []string{"n0", "n1"}, Shards: []string{modelShard}, Record: n.record, Stored: r, Presences: w.presences(),
+		Assessments: n.agreement.Assessments(w.now), Own: n.assessment(), StoreID: fmt.Sprint("s", w.rng.Uint64())}
+	next := e.NextEpoch()
+	if !w.guards.termAboveTokens {
+		next.Record.Term, next.Record.FirstTerm = 1, 1
+		it := next.Record.Shards[modelShard]
+		it.SinceTerm = 1
+		next.Record.Shards[modelShard] = it
+	}
+	if !w.guards.barrierUnlessKept {
+		it := next.Record.Shards[modelShard]
+		it.NeedsBarrier = false
+		next.Record.Shards[modelShard] = it
+	}
+	sets := map[string]string{"w/c": encode(next.Record), EpochKey + next.Record.StoreID: "{}"}
+	gs := map[string]uint64{"w/c": version}
+	for _, k := range sorted(w.store.keys) {
+		c := w.store.keys[k]
+		if strings.HasPrefix(k, EpochKey) {
+			gs[k], sets[k] = c.version, ""
+		}
+	}
+	w.store.txn(gs, sets)
+	w.list(n)
+}
--- /dev/null
+++ b/internal/datarecovery/model_owner_test.go
@@ -0,0 +1,101 @@
+package datarecovery
+
+import (
+	"fmt"
+	"slices"
+
+	"topazhollow/internal/leadership"
+)
+
+// repair changes the record when members came or went.
+func (w *world) repair(n *controllerModel) {
+	if w.rng.IntN(4) > 0 || n.presences[n.name].Incarnation != n.incarnation {
+		return
+	}
+	base, version := n.record, n.recordVersion
+	first := base == nil
+	if first {
+		base = (&leadership.Record{Term: 1000 + w.rng.Uint64N(1000)}).Clone()
+	}
+	next, conds := leadership.Repair(base, []string{modelShard}, n.presences)
+	if next == nil {
+		return
+	}
+	it := next.Shards[modelShard]
+	if it.SinceTerm == next.Term && !first {
+		it.NeedsBarrier = true // the model has no backups in sync
+		next.Shards[modelShard] = it
+	}
+	gs, sets := map[string]uint64{"w/c": version}, map[string]string{}
+	for _, c := range conds {
+		gs["w/n/"+c.Node] = c.Version
+	}
+	if first {
+		next.Epoch, next.FirstTerm, next.StoreID = 1, next.Term, fmt.Sprint("s", w.rng.Uint64())
+		sets[EpochKey+next.StoreID] = "{}"
+	}
+	sets["w/c"] = encode(next)
+	if w.commit(n, gs, sets) {
+		w.adopt(n, next, w.store.revision)
+	}
+}
+
+// actAsOwner is the owner's work: the barrier, starts, ends, and writing back.
+func (w *world) actAsOwner(n *controllerModel) {
+	if n.record == nil || n.record.Shards[modelShard].Owner != n.name || n.record.Nodes[n.name] != n.incarnation || n.assignments == nil {
+		return
+	}
+	m := w.rng.IntN(len(w.machines))
+	x := w.machines[m]
+	if x.fencingToken <= n.record.Term { // a report, which teaches the term
+		x.fencingToken = n.record.Term
+		if n.heardMachines != nil {
+			n.heardMachines[m] = true
+		}
+		n.reported[m] = sorted(x.running)
+		for _, uid := range sorted(n.assignments) {
+			at := n.assignments[uid]
+			_, runs := x.running[uid]
+			if at == m && !runs { // heard under a later term than its start's, or exited
+				if x.finished[uid] {
+					if v, active := n.jobs[uid]; active && v > 0 && n.ready {
+						w.finish(n, uid, v)
+					}
+				} else if !w.inFlight(uid) {
+					delete(n.assignments, uid)
+				}
+			}
+		}
+	}
+	for m := range w.machines { // adopted, whenever a job comes to be known
+		for _, uid := range n.reported[m] {
+			if _, active := n.jobs[uid]; active && !n.assigned(uid) {
+				n.assignments[uid] = m
+			}
+		}
+	}
+	if !n.ready {
+		n.ready = w.memoriesGathered(n) && (n.heardMachines == nil || len(n.heardMachines) == len(w.machines))
+		return
+	}
+	for _, uid := range sorted(n.jobs) {
+		v := n.jobs[uid]
+		if v == 0 && w.commit(n, map[string]uint64{"w/a/" + uid: 0, "f/" + uid: 0}, map[string]string{"w/a/" + uid: "job"}) {
+			n.jobs[uid] = w.store.revision
+		}
+		if !n.trusts() {
+			return
+		}
+		if !n.assigned(uid) && w.rng.IntN(3) == 0 {
+			at := w.rng.IntN(len(w.machines))
+			n.assignments[uid] = at
+			w.inFlightStarts = append(w.inFlightStarts, startInFlight{at, uid, n.record.Term})
+		}
+	}
+}
+
+func (n *controllerModel) assigned(uid string) bool { _, ok := n.assignments[uid]; return ok }
+
+func (w *world) inFlight(uid string) bool {
+	return slices.ContainsFunc(w.inFlightStarts, func(f startInFlight) bool { return f.job == uid })
+}
--- /dev/null
+++ b/internal/datarecovery/model_users_test.go
@@ -0,0 +1,148 @@
+package datarecovery
+
+import (
+	"fmt"
+	"slices"
+	"time"
+)
+
+func (w *world) finish(n *controllerModel, uid string, v uint64) {
+	if w.commit(n, map[string]uint64{"w/a/" + uid: v, "w/c": n.recordVersion}, map[string]string{"w/a/" + uid: "", "f/" + uid: "done"}) {
+		w.learnEnd(n, uid, false)
+		w.replicateEnd(n, uid, false)
+		delete(n.assignments, uid)
+		w.recordAnswer(uid, "done")
+	}
+}
+
+// replicateEnd has the peer remember an end before a user is told.
+func (w *world) replicateEnd(n *controllerModel, uid string, withdrawn bool) {
+	if w.guards.replicate && w.connected(n) && w.other(n).listed {
+		w.learnEnd(w.other(n), uid, withdrawn)
+	}
+}
+
+// recordAnswer books what a user was told, which must not contradict what was told before.
+func (w *world) recordAnswer(uid, what string) {
+	was := w.told[uid]
+	if (was == "done" || was == "withdrawn") && was != what {
+		w.fail("%s was %s and is %s", uid, was, what)
+	}
+	w.told[uid] = what
+}
+
+// actAsUser submits, polls and cancels.
+func (w *world) actAsUser() {
+	n := w.nodes[w.rng.IntN(2)]
+	if !n.trusts() || !w.memoriesGathered(n) {
+		return
+	}
+	switch w.rng.IntN(20) {
+	case 0:
+		w.jobs++
+		uid := fmt.Sprintf("job-%06d", w.jobs)
+		if w.commit(n, map[string]uint64{"w/a/" + uid: 0, "f/" + uid: 0}, map[string]string{"w/a/" + uid: "job"}) {
+			if w.connected(n) && w.other(n).listed { // held there before it is said
+				w.learn(w.other(n), uid, 0)
+			}
+			w.learn(n, uid, w.store.revision)
+			w.told[uid] = "active"
+		}
+	case 1, 2:
+		if uid := w.anyJob(); uid != "" && n.jobs[uid] > 0 {
+			if w.commit(n, map[string]uint64{"w/a/" + uid: n.jobs[uid]}, map[string]string{"w/a/" + uid: "", "f/" + uid: "withdrawn"}) {
+				w.learnEnd(n, uid, true)
+				w.replicateEnd(n, uid, true)
+				w.recordAnswer(uid, "withdrawn")
+			}
+		}
+	default:
+		uid := w.anyJob()
+		if uid == "" {
+			return
+		}
+		if x, ended := n.ends.Get(uid); ended {
+			w.recordAnswer(uid, map[bool]string{true: "withdrawn", false: "done"}[x.Cancelled])
+			return
+		}
+		if n.jobs[uid] > 0 { // by a read of what is followed, as far as that tells
+			if w.follow(n); n.trusts() && w.memoriesGathered(n) && n.jobs[uid] > 0 {
+				w.recordAnswer(uid, "active")
+			}
+			return
+		}
+		if _, active := n.jobs[uid]; active && !w.guards.askStore {
+			w.recordAnswer(uid, "active")
+			return
+		}
+		if w.wentBack(n) {
+			return
+		}
+		c, ended := w.store.keys["f/"+uid]
+		_, active := w.store.keys["w/a/"+uid]
+		switch {
+		case ended:
+			w.learnEnd(n, uid, c.value == "withdrawn")
+			w.recordAnswer(uid, c.value)
+		case active || slices.Contains(sorted(n.jobs), uid):
+			w.recordAnswer(uid, "active")
+		case !active && n.exchange == nil && n.record != nil && !n.record.DataLost && w.now.Sub(n.startedAt) > 10*time.Second:
+			w.fail("%s, which was told to be %s, is unknown to %s", uid, w.told[uid], n.name)
+		}
+	}
+}
+
+// anyJob draws a job that a user was told of.
+func (w *world) anyJob() string {
+	if w.jobs == 0 {
+		return ""
+	}
+	uid := fmt.Sprintf("job-%06d", 1+w.rng.IntN(w.jobs))
+	if w.told[uid] == "" {
+		return ""
+	}
+	return uid
+}
+
+// runMachines delivers starts, late ones too, and lets tasks end.
+func (w *world) runMachines() {
+	if len(w.inFlightStarts) > 0 && w.rng.IntN(3) == 0 {
+		at := w.rng.IntN(len(w.inFlightStarts))
+		f := w.inFlightStarts[at]
+		w.inFlightStarts = slices.Delete(w.inFlightStarts, at, at+1)
+		x := w.machines[f.machine]
+		if f.term >= x.fencingToken {
+			x.fencingToken = f.term
+			if !x.finished[f.job] {
+				for i, y := range w.machines {
+					if _, runs := y.running[f.job]; runs && i != f.machine {
+						w.fail("%s runs on machines %d and %d", f.job, i, f.machine)
+					}
+				}
+				x.running[f.job] = f.term
+				w.started++
+			}
+		}
+	}
+	x := w.machines[w.rng.IntN(len(w.machines))]
+	for _, uid := range sorted(x.running) {
+		if w.rng.IntN(30) == 0 {
+			delete(x.running, uid)
+			x.finished[uid] = true
+		}
+	}
+}
+
+// machineModel is a machine: the highest fencing token it knows, and its tasks.
+type machineModel struct {
+	fencingToken uint64
+	running      map[string]uint64 // job -> term of its start
+	finished     map[string]bool
+}
+
+// startInFlight is a start that was sent and has not arrived.
+type startInFlight struct {
+	machine int
+	job     string
+	term    uint64
+}
