--- a/internal/controller/barrier_test.go
+++ b/internal/controller/barrier_test.go
@@ -11,8 +11,8 @@
 	"topazhollow/internal/userapi"
 )
 
-// TestBarrierSettlesTheMachineThatReported: a machine that reported under the shard's term is awaited no longer, one that
-// reported under an earlier term is, and the last one ends the barrier.
+// TestBarrierSettlesTheMachineThatReported: a machine that reported under the shard's term is awaited no longer,
+// one that reported under an earlier term is, and the last one ends the barrier.
 func TestBarrierSettlesTheMachineThatReported(t *testing.T) {
 	g := newGrown(3, 1)
 	n := g.n
--- a/internal/controller/barrierprobe.go
+++ b/internal/controller/barrierprobe.go
@@ -91,7 +91,8 @@
 		if !n.probeNeeded(term, name) {
 			return
 		}
-		body := protocol.Encode(protocol.DirectCommands{FencingToken: term, Incarnation: incarnation, Commands: []protocol.Command{}})
+		probe := protocol.DirectCommands{FencingToken: term, Incarnation: incarnation, Commands: []protocol.Command{}}
+		body := protocol.Encode(probe)
 		resp, _, err := link.Do(n.ctx, "POST", protocol.PathCommands, body, probeTimeout)
 		var report protocol.Heartbeat
 		answered := err == nil && readProbeAnswer(resp, name, &report)
--- a/internal/controller/orders.go
+++ b/internal/controller/orders.go
@@ -9,8 +9,8 @@
 	"topazhollow/internal/shards"
 )
 
-// reconcileMachine compares a machine's report with what a shard's owner has assigned to it, and sends the orders that
-// follow.
+// reconcileMachine compares a machine's report with what a shard's owner has assigned to it, and sends the orders
+// that follow.
 func (n *Node) reconcileMachine(shard *shards.Owned, v *jobstate.MachineStatus) {
 	if !shard.IsReady() || shard.IsFleet() {
 		return
--- a/internal/controller/owner.go
+++ b/internal/controller/owner.go
@@ -36,7 +36,8 @@
 		PageBytes: maxValueBytes(n.settings.Deployment.KVStore),
 		Now:       time.Now(),
 	})
-	n.log.Info("shard taken over", "shard", name, "term", shard.SinceTerm(), "barrier", shard.NeedsBarrier(), "held", len(shard.Team().Replica().Assignments))
+	n.log.Info("shard taken over", "shard", name, "term", shard.SinceTerm(),
+		"barrier", shard.NeedsBarrier(), "held", len(shard.Team().Replica().Assignments))
 	if team, ok := shards.TeamOf(name); ok {
 		for uid, d := range n.recovery.gathering.FinishedByJob() {
 			if j := n.jobs[uid]; j != nil && j.active && j.spec.Team == team {
@@ -166,8 +167,8 @@
 	n.wake()
 }
 
-// knownMachines lists all machines that an earlier owner may have started something on: those on the roster, and while
-// that may lack some, those that are remembered or that the cloud lists.
+// knownMachines lists all machines that an earlier owner may have started something on: those on the roster, and
+// while that may lack some, those that are remembered or that the cloud lists.
 func (n *Node) knownMachines() iter.Seq[string] {
 	return func(yield func(string) bool) {
 		lists := []iter.Seq[string]{slices.Values(n.roster.All())}
--- a/internal/controller/owner_test.go
+++ b/internal/controller/owner_test.go
@@ -52,9 +52,10 @@
 	}
 }
 
-// TestRosterCompleteBeforeItsListsArrive: an owner that started after a loss of data read a roster that lacked machines; then
-// the record said that the roster is complete, before the lists came that complete it, and the owner awaited
-// no machine: tasks that were running were started again. An assignment must not end by such a roster either.
+// TestRosterCompleteBeforeItsListsArrive: an owner that started after a loss of data read a roster that lacked
+// machines; then the record said that the roster is complete, before the lists came that complete it, and the
+// owner awaited no machine: tasks that were running were started again. An assignment must not end by such a
+// roster either.
 func TestRosterCompleteBeforeItsListsArrive(t *testing.T) {
 	for _, needsBarrier := range []bool{false, true} {
 		n := bare("127.0.0.1:1") // nobody answers
--- a/internal/controller/replication_test.go
+++ b/internal/controller/replication_test.go
@@ -103,7 +103,8 @@
 	return partial
 }
 
-// replicated steps the owner's replication until the holder has acknowledged all that the owner has, or the test ends.
+// replicated steps the owner's replication until the holder has acknowledged all that the owner has, or the test
+// ends.
 func (p *linkedPair) replicated(t *testing.T) {
 	t.Helper()
 	for end := time.Now().Add(40 * time.Second); time.Now().Before(end); time.Sleep(time.Millisecond) {
@@ -118,9 +119,9 @@
 	t.Fatal("the holder never acknowledged the whole replica")
 }
 
-// TestLargeReplicaReachesItsHolder: a replica of more than one line between controllers may have never reached its holder; the
-// link was dropped and dialled anew for ever. It goes in parts now, also when the link is lost between them, and the holder keeps
-// what it had until all of it is there.
+// TestLargeReplicaReachesItsHolder: a replica of more than one line between controllers may have never reached its
+// holder; the link was dropped and dialled anew for ever. It goes in parts now, also when the link is lost between
+// them, and the holder keeps what it had until all of it is there.
 func TestLargeReplicaReachesItsHolder(t *testing.T) {
 	p := newLinkedPair(t)
 	p.assign(0, 10)
--- a/internal/controller/slowtasks.go
+++ b/internal/controller/slowtasks.go
@@ -8,8 +8,8 @@
 	"topazhollow/internal/shards"
 )
 
-// minRunsToJudge is how many tasks of a job must have run to completion before others of it count as slow, beside a third of
-// all.
+// minRunsToJudge is how many tasks of a job must have run to completion before others of it count as slow, beside
+// a third of all.
 const minRunsToJudge = 3
 
 // moveSlowTasks stops tasks that take far longer than others of their job took, to start them
@@ -28,7 +28,8 @@
 }
 
 // moveIfSlow stops a task that has run longer than a limit, unless its job avoids the machine already.
-func (n *Node) moveIfSlow(shard *shards.Owned, job *jobstate.Job, assignment jobstate.Assignment, limit time.Duration, now time.Time) {
+func (n *Node) moveIfSlow(shard *shards.Owned, job *jobstate.Job, assignment jobstate.Assignment,
+	limit time.Duration, now time.Time) {
 	m := n.machines[assignment.Machine]
 	if m == nil || job.Avoids(assignment.Machine, now) {
 		return
@@ -38,5 +39,6 @@
 		return
 	}
 	m.slowAt = now
-	n.log.Info("task far slower than others of its job", "task", job.Spec.UID, "index", assignment.Index, "machine", assignment.Machine, "ran", now.Sub(since), "limit", limit)
+	n.log.Info("task far slower than others of its job", "task", job.Spec.UID, "index", assignment.Index,
+		"machine", assignment.Machine, "ran", now.Sub(since), "limit", limit)
 }
--- a/internal/controller/step.go
+++ b/internal/controller/step.go
@@ -80,8 +80,8 @@
 	n.sendChangedStatuses()
 }
 
-// stepShard does once what the owner of a shard has to do after placing: first its replicas get the changes, then what they
-// have acknowledged goes out.
+// stepShard does once what the owner of a shard has to do after placing: first its replicas get the changes, then
+// what they have acknowledged goes out.
 func (n *Node) stepShard(shard *shards.Owned, cluster *shards.Cluster, now time.Time, reviewRunning bool) {
 	if shard.Phase() == shards.Barrier {
 		n.passBarrier(shard)
--- a/internal/jobstate/pageset.go
+++ b/internal/jobstate/pageset.go
@@ -65,7 +65,12 @@
 func NewPageSet(pageBytes int) *PageSet {
 	// Half a page in binary is two thirds of one in base64.
 	words := pageBytes / 2 / bytesPerWord
-	return &PageSet{pageBytes: pageBytes, tasksPerPart: words * bitsPerWord, pages: map[int]*page{}, pageOf: map[part]int{}}
+	return &PageSet{
+		pageBytes:    pageBytes,
+		tasksPerPart: words * bitsPerWord,
+		pages:        map[int]*page{},
+		pageOf:       map[part]int{},
+	}
 }
 
 // partSize bounds what a part takes on its page.
@@ -75,10 +80,11 @@
 	return len(p.job) + partSyntaxBytes + base64.StdEncoding.EncodedLen(bitsLengthBytes+words*bytesPerWord)
 }
 
-// Read takes in a page as found in the state service, and adds its finished tasks to done. Parts of jobs that are not
-// active are left out. An error says which part is malformed; the page then counts as there, and some of its parts may have
-// been read.
-func (s *PageSet) Read(number int, version uint64, parts map[string]string, tasks TaskCount, done map[string]*bitset.BitSet) error {
+// Read takes in a page as found in the state service, and adds its finished tasks to done. Parts of jobs that are
+// not active are left out. An error says which part is malformed; the page then counts as there, and some of its
+// parts may have been read.
+func (s *PageSet) Read(number int, version uint64, parts map[string]string, tasks TaskCount,
+	done map[string]*bitset.BitSet) error {
 	read := &page{version: version, usedBytes: emptyPageBytes}
 	s.pages[number] = read
 	return readParts(parts, s.tasksPerPart, tasks, done, func(p part, count int) {
@@ -102,7 +108,8 @@
 }
 
 // readParts adds the finished tasks of a page's parts to done, and calls found for each part of an active job.
-func readParts(parts map[string]string, tasksPerPart int, tasks TaskCount, done map[string]*bitset.BitSet, found func(p part, count int)) error {
+func readParts(parts map[string]string, tasksPerPart int, tasks TaskCount, done map[string]*bitset.BitSet,
+	found func(p part, count int)) error {
 	for name, text := range parts {
 		job, number, ok := protocol.SplitTask(name)
 		if !ok {
@@ -163,7 +170,8 @@
 	}
 	var plan []Page
 	for _, number := range slices.Sorted(maps.Keys(changed)) {
-		plan = append(plan, Page{Number: number, Version: s.pages[number].version, Parts: map[string]string{}, Done: DoneTasks{}})
+		page := Page{Number: number, Version: s.pages[number].version, Parts: map[string]string{}, Done: DoneTasks{}}
+		plan = append(plan, page)
 	}
 	for p, number := range s.pageOf {
 		at, ok := slices.BinarySearchFunc(plan, number, func(x Page, n int) int { return x.Number - n })
--- a/internal/jobstate/transfer.go
+++ b/internal/jobstate/transfer.go
@@ -7,14 +7,14 @@
 	"slices"
 )
 
-// A replica that is too large for one message is given to a controller in parts, while it goes on changing. Each part says
-// what is held and done now of some tasks that were held, and some jobs that had finished tasks, when the transfer began.
-// Changes made meanwhile go out as deltas on the same connection, in order with the parts: what came later is in a
-// delta, what went is in no later part, so that after the last part the controller has exactly the owner's replica. Until then
-// it keeps the one that it had.
-
-// Sizes of what one message carries, in bytes as encoded. Messages between controllers may have 4 MiB; names that need
-// escapes and rounding take less than the rest of it.
+// A replica that is too large for one message is given to a controller in parts, while it goes on changing. Each
+// part says what is held and done now of some tasks that were held, and some jobs that had finished tasks, when
+// the transfer began. Changes made meanwhile go out as deltas on the same connection, in order with the parts:
+// what came later is in a delta, what went is in no later part, so that after the last part the controller has
+// exactly the owner's replica. Until then it keeps the one that it had.
+
+// Sizes of what one message carries, in bytes as encoded. Messages between controllers may have 4 MiB; names that
+// need escapes and rounding take less than the rest of it.
 const (
 	maxCopyBytes    = 3 << 20
 	maxPartBytes    = 1 << 20
@@ -59,7 +59,8 @@
 	maxPartBytes int
 }
 
-// NewTransfer begins to send a replica. The first part is to be made before any delta that the replica does not have yet.
+// NewTransfer begins to send a replica. The first part is to be made before any delta that the replica does not
+// have yet.
 func NewTransfer(replica *Replica) *Transfer {
 	return &Transfer{
 		tasks:        slices.SortedFunc(maps.Keys(replica.Assignments), TaskID.compare),
--- a/internal/shards/barrier.go
+++ b/internal/shards/barrier.go
@@ -72,9 +72,9 @@
 	}
 }
 
-// MachineAnswered takes in a machine's report under a fencing token, and says whether the barrier waits for no machine
-// any more. The other machines are looked at by SettleAwaited once a step: to walk them for each report costs the square of
-// their number.
+// MachineAnswered takes in a machine's report under a fencing token, and says whether the barrier waits for no
+// machine any more. The other machines are looked at by SettleAwaited once a step: to walk them for each report
+// costs the square of their number.
 func (o *Owned) MachineAnswered(machine string, fencingToken uint64) bool {
 	if fencingToken < o.sinceTerm {
 		return false
--- a/internal/shards/owned.go
+++ b/internal/shards/owned.go
@@ -93,8 +93,9 @@
 // Pages is the pages of the team's finished tasks.
 func (o *Owned) Pages() *Pages { return o.pages }
 
-// BeginSaving gives the pages of finished tasks that are to be written now. due is false if nothing is unsaved, or if the
-// pages cannot be written yet or are being written. The caller ends a saving that is due with Pages.SavingEnded.
+// BeginSaving gives the pages of finished tasks that are to be written now. due is false if nothing is unsaved, or
+// if the pages cannot be written yet or are being written. The caller ends a saving that is due with
+// Pages.SavingEnded.
 func (o *Owned) BeginSaving() (pages []jobstate.Page, due bool) {
 	if o.phase != Ready {
 		return nil, false
--- a/internal/shards/pages.go
+++ b/internal/shards/pages.go
@@ -13,8 +13,8 @@
 	"topazhollow/internal/protocol"
 )
 
-// PagesPrefix is the prefix of the keys of a shard's pages of finished tasks. Shards go by a hash, since a key takes no
-// spaces and 200 bytes at most.
+// PagesPrefix is the prefix of the keys of a shard's pages of finished tasks. Shards go by a hash, since a key
+// takes no spaces and 200 bytes at most.
 func PagesPrefix(shard string) string { return fmt.Sprintf("b/%016x/", xxhash.Sum64String(shard)) }
 
 // Pages is the pages on which the state service keeps a team's finished tasks.
@@ -37,7 +37,8 @@
 
 // Read takes in the pages as the state service has them, and gives the finished tasks by job. taskCount is
 // the number of tasks of an active job of the team, 0 for others.
-func (p *Pages) Read(entries []protocol.Entry, taskCount func(uid string) int) (done map[string]*bitset.BitSet, unreadable []UnreadablePage) {
+func (p *Pages) Read(entries []protocol.Entry, taskCount jobstate.TaskCount) (
+	done map[string]*bitset.BitSet, unreadable []UnreadablePage) {
 	done = map[string]*bitset.BitSet{}
 	for _, e := range entries {
 		if err := p.readPage(e, taskCount, done); err != nil {
@@ -48,7 +49,7 @@
 }
 
 // readPage takes in one page and adds its finished tasks to those given by job.
-func (p *Pages) readPage(e protocol.Entry, taskCount func(uid string) int, done map[string]*bitset.BitSet) error {
+func (p *Pages) readPage(e protocol.Entry, taskCount jobstate.TaskCount, done map[string]*bitset.BitSet) error {
 	number, err := strconv.Atoi(strings.TrimPrefix(e.Key, PagesPrefix(p.shard)))
 	if err != nil {
 		return err
@@ -66,8 +67,8 @@
 // MarkRead notes that all pages were read.
 func (p *Pages) MarkRead() { p.read = true }
 
-// beginSaving gives the pages that are to be written now; due is false if nothing is unsaved, or if the pages were not read yet
-// or are being written.
+// beginSaving gives the pages that are to be written now; due is false if nothing is unsaved, or if the pages were
+// not read yet or are being written.
 func (p *Pages) beginSaving() (pages []jobstate.Page, due bool) {
 	if !p.read || p.saving {
 		return nil, false
--- a/internal/shards/probes.go
+++ b/internal/shards/probes.go
@@ -2,8 +2,8 @@
 
 import "slices"
 
-// Probes is what a controller knows of its probes in one term: a command without content, whose answer is the report that
-// a barrier waits for.
+// Probes is what a controller knows of its probes in one term: a command without content, whose answer is the
+// report that a barrier waits for.
 type Probes struct {
 	term       uint64
 	asked      map[string]bool // probed, or to be probed
--- a/internal/shards/registry.go
+++ b/internal/shards/registry.go
@@ -1,9 +1,10 @@
-// Package shards decides who owns a team or the fleet, and what an owner and its replicas do: taking a shard over and giving
-// it up, the barrier that a new owner may have to pass, which replica gets a copy, a part of one or the changes, which
-// replicas are in sync, and which pages of finished tasks are written next.
+// Package shards decides who owns a team or the fleet, and what an owner and its replicas do: taking a shard over
+// and giving it up, the barrier that a new owner may have to pass, which replica gets a copy, a part of one or the
+// changes, which replicas are in sync, and which pages of finished tasks are written next.
 //
-// It places no task, reads no clock and does no I/O: times, the control record and who is connected come in, messages to
-// be sent and pages to be written go out. Its types are not safe for concurrent use; the controller calls them under its lock.
+// It places no task, reads no clock and does no I/O: times, the control record and who is connected come in,
+// messages to be sent and pages to be written go out. Its types are not safe for concurrent use; the controller
+// calls them under its lock.
 package shards
 
 import (
@@ -96,9 +97,11 @@
 	return o
 }
 
-// startingReplica decides with which replica an owner begins, and whether it has to pass the barrier. One that the record takes
-// for in sync, but that holds no replica, must pass it too, unless the deployment's first owners begin.
-func (r *Registry) startingReplica(name string, record *leadership.Record) (replica *jobstate.Replica, needsBarrier bool) {
+// startingReplica decides with which replica an owner begins, and whether it has to pass the barrier. One that the
+// record takes for in sync, but that holds no replica, must pass it too, unless the deployment's first owners
+// begin.
+func (r *Registry) startingReplica(name string, record *leadership.Record) (
+	replica *jobstate.Replica, needsBarrier bool) {
 	entry := record.Shards[name]
 	replica = jobstate.NewReplica()
 	needsBarrier = entry.NeedsBarrier
@@ -119,9 +122,9 @@
 	ToTake  []string // shards to be taken over by Take
 }
 
-// Follow gives up the shards that a new control record gives to others, or to this controller anew, and names those to be
-// taken over. member says whether the record names this process; only a member goes on to hold what it gave up, as
-// a replica.
+// Follow gives up the shards that a new control record gives to others, or to this controller anew, and names
+// those to be taken over. member says whether the record names this process; only a member goes on to hold what it
+// gave up, as a replica.
 func (r *Registry) Follow(record *leadership.Record, self string, member bool) (c Changes) {
 	for name, entry := range record.Shards {
 		o := r.owned[name]
--- a/internal/shards/registry_test.go
+++ b/internal/shards/registry_test.go
@@ -21,11 +21,12 @@
 
 // take has a controller take the test's shard over.
 func take(r *Registry, record *leadership.Record) *Owned {
-	return r.Take(Takeover{Name: testShard, Record: record, NewTeam: testTeam, PageBytes: 8 << 10, Now: time.Unix(1000, 0)})
+	now := time.Unix(1000, 0)
+	return r.Take(Takeover{Name: testShard, Record: record, NewTeam: testTeam, PageBytes: 8 << 10, Now: now})
 }
 
-// TestWhoPassesTheBarrier: an owner without the team's progress once started again what was running. Only one that holds
-// the replica, or the deployment's first owner, begins at once.
+// TestWhoPassesTheBarrier: an owner without the team's progress once started again what was running. Only one that
+// holds the replica, or the deployment's first owner, begins at once.
 func TestWhoPassesTheBarrier(t *testing.T) {
 	for _, c := range []struct {
 		name             string
@@ -33,7 +34,7 @@
 		shard            leadership.Shard
 		held             bool
 		wantBarrier      bool
-		wantHolds        int
+		wantAssignments  int
 	}{
 		{"in sync with a replica", 3, 1, leadership.Shard{SinceTerm: 9}, true, false, 1},
 		{"in sync by the record, without a replica", 3, 1, leadership.Shard{SinceTerm: 9}, false, true, 0},
@@ -49,8 +50,10 @@
 			r.Held().Keep(testShard, 8, replica)
 		}
 		o := take(r, takeRecord(c.firstTerm, c.epoch, c.shard))
-		if o.NeedsBarrier() != c.wantBarrier || len(o.Team().Replica().Assignments) != c.wantHolds {
-			t.Errorf("%s: barrier %v with %d assignments, want %v and %d", c.name, o.NeedsBarrier(), len(o.Team().Replica().Assignments), c.wantBarrier, c.wantHolds)
+		assignments := len(o.Team().Replica().Assignments)
+		if o.NeedsBarrier() != c.wantBarrier || assignments != c.wantAssignments {
+			t.Errorf("%s: barrier %v with %d assignments, want %v and %d", c.name,
+				o.NeedsBarrier(), assignments, c.wantBarrier, c.wantAssignments)
 		}
 		if r.Held().Has(testShard) || r.Owned(testShard) != o {
 			t.Errorf("%s: the replica is kept beside it, or the shard is not owned", c.name)
@@ -61,8 +64,9 @@
 	}
 }
 
-// TestFollow: a controller gives up what a new record gives to another, and goes on to hold it as a replica if it was past
-// its barrier and is a member; what it owns since another term it takes over anew; what it keeps, it keeps as it is.
+// TestFollow: a controller gives up what a new record gives to another, and goes on to hold it as a replica if it
+// was past its barrier and is a member; what it owns since another term it takes over anew; what it keeps, it
+// keeps as it is.
 func TestFollow(t *testing.T) {
 	now := time.Unix(1000, 0)
 	for _, c := range []struct {
@@ -82,7 +86,7 @@
 		{"another process is the member", true, false, leadership.Shard{Owner: "node-a", SinceTerm: 5}, false, true, false},
 	} {
 		r := NewRegistry()
-		o := NewOwned(Options{Name: testShard, SinceTerm: 5, Team: testTeam(jobstate.NewReplica()), PageBytes: 8 << 10, TakenAt: now})
+		o := testLoading(false, jobstate.NewReplica(), now)
 		if c.ready {
 			o.EnterBarrier(nil)
 			o.PassBarrier(now)
@@ -105,13 +109,13 @@
 	}
 }
 
-// TestBarrierWaitsForMachines: the barrier of an owner that was not in sync waits for each machine until that reported under
-// the owner's term or is gone, an owner in sync waits for none.
+// TestBarrierWaitsForMachines: the barrier of an owner that was not in sync waits for each machine until that
+// reported under the owner's term or is gone, an owner in sync waits for none.
 func TestBarrierWaitsForMachines(t *testing.T) {
 	machines := []string{"m-1", "m-2", "m-3"}
 	for _, needs := range []bool{false, true} {
 		r := NewRegistry()
-		o := NewOwned(Options{Name: testShard, SinceTerm: 5, NeedsBarrier: needs, Team: testTeam(jobstate.NewReplica()), PageBytes: 8 << 10})
+		o := testLoading(needs, jobstate.NewReplica(), time.Unix(1000, 0))
 		r.Add(o)
 		o.EnterBarrier(slices.Values(machines))
 		if got := r.AwaitedMachines(); needs && !slices.Equal(got, machines) || !needs && len(got) > 0 {
@@ -137,11 +141,11 @@
 	}
 }
 
-// TestReload: a shard that is not ready is loaded anew when the roster turns out to have had holes, with its pages unread, and
-// the outcome of the earlier load does not count any more. One that is ready stays so.
+// TestReload: a shard that is not ready is loaded anew when the roster turns out to have had holes, with its pages
+// unread, and the outcome of the earlier load does not count any more. One that is ready stays so.
 func TestReload(t *testing.T) {
 	for _, needs := range []bool{false, true} {
-		o := NewOwned(Options{Name: testShard, SinceTerm: 5, NeedsBarrier: needs, Team: testTeam(jobstate.NewReplica()), PageBytes: 8 << 10})
+		o := testLoading(needs, jobstate.NewReplica(), time.Unix(1000, 0))
 		earlier := o.BeginLoad()
 		o.EnterBarrier(slices.Values([]string{"m-1"}))
 		o.Pages().MarkRead()
@@ -159,11 +163,11 @@
 	}
 }
 
-// TestPagesAreSavedOneAtATime: finished tasks are written only once the barrier is passed and the present pages are read, and
-// not while an earlier writing is under way; what a writing saved is not written again.
+// TestPagesAreSavedOneAtATime: finished tasks are written only once the barrier is passed and the present pages
+// are read, and not while an earlier writing is under way; what a writing saved is not written again.
 func TestPagesAreSavedOneAtATime(t *testing.T) {
 	now := time.Unix(1000, 0)
-	o := NewOwned(Options{Name: testShard, SinceTerm: 5, Team: testTeam(jobstate.NewReplica()), PageBytes: 8 << 10, TakenAt: now})
+	o := testLoading(false, jobstate.NewReplica(), now)
 	o.Team().AddJob(testSpec("job-1", 10), 1, now, nil)
 	o.Team().Merge("job-1", bitset.New(1).Set(0))
 	due := func() bool { _, due := o.BeginSaving(); return due }
@@ -198,8 +202,8 @@
 	}
 }
 
-// TestProbesOncePerTerm: a machine is probed once in a term, and counts as unanswered until it is settled otherwise; the next
-// term begins anew, and an answer that comes late for an earlier one changes nothing.
+// TestProbesOncePerTerm: a machine is probed once in a term, and counts as unanswered until it is settled
+// otherwise; the next term begins anew, and an answer that comes late for an earlier one changes nothing.
 func TestProbesOncePerTerm(t *testing.T) {
 	var p Probes
 	settled := map[string]bool{}
--- a/internal/shards/replication.go
+++ b/internal/shards/replication.go
@@ -38,7 +38,8 @@
 	acknowledgements map[string]*acknowledgement // by controller
 }
 
-// Add notes which replicas a pending change of the record puts in sync: starts need their acknowledgement from now on.
+// Add notes which replicas a pending change of the record puts in sync: starts need their acknowledgement from now
+// on.
 func (r *Replicas) Add(inSync []string) { r.adding = inSync }
 
 // acknowledgement is what one replica was sent and acknowledged on the present connection.
@@ -140,8 +141,8 @@
 	return !a.waitingSince.IsZero() && now.Sub(a.waitingSince) > AcknowledgementTimeout
 }
 
-// Replicate takes the team's changes and gives the messages that bring the replicas up to date. The caller sends them in
-// order, and calls NotSent for each that surely did not go out.
+// Replicate takes the team's changes and gives the messages that bring the replicas up to date. The caller sends
+// them in order, and calls NotSent for each that surely did not go out.
 func (r *Replicas) Replicate(c *Cluster, now time.Time) []Outgoing {
 	deltas := r.team.TakeDeltas()
 	seq := r.team.Replica().Seq
@@ -201,7 +202,8 @@
 	a.copySent = true
 	replica := r.team.Replica()
 	if replica.FitsOneMessage() {
-		return Outgoing{To: []string{to}, Kind: KindCopy, Body: Copy{Shard: r.shard, SinceTerm: r.sinceTerm, Copy: replica.Copy()}}
+		body := Copy{Shard: r.shard, SinceTerm: r.sinceTerm, Copy: replica.Copy()}
+		return Outgoing{To: []string{to}, Kind: KindCopy, Body: body}
 	}
 	a.parts = 0
 	a.transfer = jobstate.NewTransfer(replica)
@@ -211,7 +213,8 @@
 // nextPart is the message with the next part of a replica that is being sent in parts.
 func (r *Replicas) nextPart(to string, a *acknowledgement) Outgoing {
 	part := a.transfer.Next(r.team.Replica())
-	return Outgoing{To: []string{to}, Kind: KindCopyPart, Body: CopyPart{Shard: r.shard, SinceTerm: r.sinceTerm, Part: part}}
+	body := CopyPart{Shard: r.shard, SinceTerm: r.sinceTerm, Part: part}
+	return Outgoing{To: []string{to}, Kind: KindCopyPart, Body: body}
 }
 
 // NotSent notes that a message to a replica surely did not go out. Deltas are found missing by the replica itself.
--- a/internal/shards/replication_test.go
+++ b/internal/shards/replication_test.go
@@ -26,9 +26,21 @@
 	return &protocol.Submission{UID: uid, Team: "red", Kind: protocol.JobArray, Tasks: tasks, CPUs: 1}
 }
 
+// testLoading is an owned shard that is to be loaded.
+func testLoading(needsBarrier bool, replica *jobstate.Replica, now time.Time) *Owned {
+	return NewOwned(Options{
+		Name:         testShard,
+		SinceTerm:    5,
+		NeedsBarrier: needsBarrier,
+		Team:         testTeam(replica),
+		PageBytes:    8 << 10,
+		TakenAt:      now,
+	})
+}
+
 // testOwned is an owned shard that is ready.
 func testOwned(replica *jobstate.Replica, now time.Time) *Owned {
-	o := NewOwned(Options{Name: testShard, SinceTerm: 5, Team: testTeam(replica), PageBytes: 8 << 10, TakenAt: now})
+	o := testLoading(false, replica, now)
 	o.EnterBarrier(nil)
 	o.PassBarrier(now)
 	return o
@@ -67,8 +79,16 @@
 }
 
 func newReplicaModel(t *testing.T, seed uint64) *replicaModel {
-	m := &replicaModel{t: t, rng: rand.New(rand.NewPCG(seed, 31)), now: time.Unix(1000, 0), cluster: testCluster(),
-		held: map[string]*Held{}, toNode: map[string][]any{}, toOwner: map[string][]Acknowledgement{}, broken: map[string]bool{}}
+	m := &replicaModel{
+		t:       t,
+		rng:     rand.New(rand.NewPCG(seed, 31)),
+		now:     time.Unix(1000, 0),
+		cluster: testCluster(),
+		held:    map[string]*Held{},
+		toNode:  map[string][]any{},
+		toOwner: map[string][]Acknowledgement{},
+		broken:  map[string]bool{},
+	}
 	replica := jobstate.NewReplica()
 	if seed%4 == 0 { // too large for one message
 		for i := range 20 {
@@ -241,8 +261,8 @@
 	m.t.Fatal("the replicas never became whole")
 }
 
-// TestReplicationModel: whatever is lost between an owner and its replicas, nothing counts as acknowledged that a replica does
-// not have, and once the connections hold all replicas become the owner's.
+// TestReplicationModel: whatever is lost between an owner and its replicas, nothing counts as acknowledged that a
+// replica does not have, and once the connections hold all replicas become the owner's.
 func TestReplicationModel(t *testing.T) {
 	parts, refused := 0, 0
 	for seed := range uint64(60) {
@@ -273,8 +293,8 @@
 	return maps.EqualFunc(a, b, func(x, y *bitset.BitSet) bool { return x.SymmetricDifference(y).None() })
 }
 
-// TestDeltasGoBeforeParts: a part is made of the replica as it is now, so the changes since the part before go out before
-// it; a replica that got them in another order would ask for copy after copy.
+// TestDeltasGoBeforeParts: a part is made of the replica as it is now, so the changes since the part before go out
+// before it; a replica that got them in another order would ask for copy after copy.
 func TestDeltasGoBeforeParts(t *testing.T) {
 	m := newReplicaModel(t, 0) // of a replica in parts
 	for range 50 {
@@ -301,15 +321,18 @@
 	t.Fatal("the replicas never became whole")
 }
 
-// TestSyncStates: a replica that acknowledges nothing is late after its time, counted from the sending and from when the owner
-// could receive anything; one that has everything is whole, and one under another process is neither at once.
+// TestSyncStates: a replica that acknowledges nothing is late after its time, counted from the sending and from
+// when the owner could receive anything; one that has everything is whole, and one under another process is
+// neither at once.
 func TestSyncStates(t *testing.T) {
 	begin := time.Unix(1000, 0)
 	o, c := testOwned(jobstate.NewReplica(), begin), testCluster()
 	o.Team().Merge("job-1", bitset.New(1).Set(0))
 	o.Replicas().Replicate(c, begin)
-	o.Replicas().Acknowledge("node-b", 1, &Acknowledgement{Shard: testShard, SinceTerm: 5, Seq: o.Team().Replica().Seq}, begin)
-	if s := o.Sync(c, begin.Add(AcknowledgementTimeout)); !s.Ready || !s.Whole["node-b"] || s.Whole["node-c"] || len(s.Lagging) != 0 {
+	whole := Acknowledgement{Shard: testShard, SinceTerm: 5, Seq: o.Team().Replica().Seq}
+	o.Replicas().Acknowledge("node-b", 1, &whole, begin)
+	inTime := o.Sync(c, begin.Add(AcknowledgementTimeout))
+	if s := inTime; !s.Ready || !s.Whole["node-b"] || s.Whole["node-c"] || len(s.Lagging) != 0 {
 		t.Errorf("just in time: %+v", s)
 	}
 	late := begin.Add(AcknowledgementTimeout + time.Millisecond)
@@ -320,7 +343,7 @@
 	if s := o.Sync(c, late); len(s.Lagging) != 0 {
 		t.Errorf("late though the owner could receive nothing: %+v", s)
 	}
-	o.Replicas().Acknowledge("node-c", 1, &Acknowledgement{Shard: testShard, SinceTerm: 5, Seq: o.Team().Replica().Seq}, late)
+	o.Replicas().Acknowledge("node-c", 1, &whole, late)
 	if got, want := o.Replicas().AcknowledgedByAll(c), o.Team().Replica().Seq; got != want {
 		t.Errorf("acknowledged up to %d, want %d", got, want)
 	}
@@ -337,8 +360,8 @@
 	}
 }
 
-// TestStartsNeedReplicasBeingAdded: a replica that a pending change of the record puts in sync must have acknowledged what
-// starts, as the change may be in force already.
+// TestStartsNeedReplicasBeingAdded: a replica that a pending change of the record puts in sync must have
+// acknowledged what starts, as the change may be in force already.
 func TestStartsNeedReplicasBeingAdded(t *testing.T) {
 	now := time.Unix(1000, 0)
 	o, c := testOwned(jobstate.NewReplica(), now), testCluster()
