--- a/internal/admission/admission_test.go
+++ b/internal/admission/admission_test.go
@@ -16,22 +16,22 @@
 func TestDivideModel(t *testing.T) {
 	for seed := range uint64(200) {
 		rng := rand.New(rand.NewPCG(seed, 3))
-		teams, w := map[string]Guarantee{}, &Weights{Team: map[string]float64{}, Class: map[string]float64{"c0": float64(1 + rng.IntN(3))}}
+		teams, w := map[string]Quota{}, &Weights{Team: map[string]float64{}, Class: map[string]float64{"c0": float64(1 + rng.IntN(3))}}
 		var needs []Need
 		for i := range 1 + rng.IntN(4) {
 			team := fmt.Sprint("t", i)
-			g := Guarantee{CPUs: float64(rng.IntN(4) * 20)}
+			g := Quota{Guaranteed: float64(rng.IntN(4) * 20)}
 			if rng.IntN(2) == 0 {
-				g.Most = g.CPUs + float64(rng.IntN(60))
+				g.Limit = g.Guaranteed + float64(rng.IntN(60))
 			}
 			teams[team] = g
 			w.Team[team] = float64(1 + rng.IntN(2))
 			for j := range 1 + rng.IntN(3) {
-				needs = append(needs, Need{Key: Key{team, fmt.Sprint("c", j)}, Held: float64(rng.IntN(30)), Waiting: float64(rng.IntN(60))})
+				needs = append(needs, Need{Key: Key{team, fmt.Sprint("c", j)}, Used: float64(rng.IntN(30)), Waiting: float64(rng.IntN(60))})
 			}
 		}
 		cpus := float64(rng.IntN(250))
-		due := Divide(cpus, needs, teams, w)
+		due := FairShares(cpus, needs, teams, w)
 
 		const drop = 0.05
 		got, team := map[Key]float64{}, map[string]float64{}
@@ -40,15 +40,15 @@
 				best, low := -1, math.Inf(1)
 				for i, n := range needs {
 					g := teams[n.Team]
-					most := g.Most
+					most := g.Limit
 					if most == 0 {
 						most = math.Inf(1)
 					}
-					level := (team[n.Team] - g.CPUs) / w.Team[n.Team]
+					level := (team[n.Team] - g.Guaranteed) / w.Team[n.Team]
 					if within {
-						most, level = g.CPUs, team[n.Team]/max(g.CPUs, 1e-9)
+						most, level = g.Guaranteed, team[n.Team]/max(g.Guaranteed, 1e-9)
 					}
-					if got[n.Key]+drop/2 > n.all() || team[n.Team]+drop/2 > most {
+					if got[n.Key]+drop/2 > n.total() || team[n.Team]+drop/2 > most {
 						continue
 					}
 					// Teams by what they have of their weight, within one the classes alike.
@@ -71,19 +71,19 @@
 		for _, n := range needs {
 			sum += due[n.Key]
 			byTeam[n.Team] += due[n.Key]
-			if due[n.Key] > n.all()+1e-6 {
-				t.Fatalf("seed %d: %v gets %g of %g wanted", seed, n.Key, due[n.Key], n.all())
+			if due[n.Key] > n.total()+1e-6 {
+				t.Fatalf("seed %d: %v gets %g of %g wanted", seed, n.Key, due[n.Key], n.total())
 			}
 		}
 		for name, g := range teams {
 			all := 0.0
 			for _, n := range needs {
 				if n.Team == name {
-					all += n.all()
+					all += n.total()
 				}
 			}
-			if g.Most > 0 {
-				all = min(all, g.Most)
+			if g.Limit > 0 {
+				all = min(all, g.Limit)
 			}
 			wanted += all
 			if math.Abs(byTeam[name]-team[name]) > 1.5 {
@@ -95,7 +95,7 @@
 		}
 		for _, n := range needs { // within a team, whoever has less of its weight has all that it wants
 			for _, o := range needs {
-				if n.Team == o.Team && due[n.Key]/weight(w.Class, n.Class) < due[o.Key]/weight(w.Class, o.Class)-1e-6 && due[n.Key] < n.all()-1e-6 {
+				if n.Team == o.Team && due[n.Key]/weight(w.Class, n.Class) < due[o.Key]/weight(w.Class, o.Class)-1e-6 && due[n.Key] < n.total()-1e-6 {
 					t.Fatalf("seed %d: %v has %g, %v %g", seed, n.Key, due[n.Key], o.Key, due[o.Key])
 				}
 			}
@@ -106,8 +106,8 @@
 // TestFloors: whoever needs least for the floor's part of what comes gets it first, a flood for
 // which there is not enough keeps a crumb, and never are more CPUs promised than there are.
 func TestFloors(t *testing.T) {
-	w := &Weights{Floor: 0.5}
-	teams := map[string]Guarantee{"a": {CPUs: 100}, "b": {CPUs: 100, Most: 60}}
+	w := &Weights{FloorShare: 0.5}
+	teams := map[string]Quota{"a": {Guaranteed: 100}, "b": {Guaranteed: 100, Limit: 60}}
 	needs := []Need{{Key: Key{"a", "flood"}, Waiting: 5000, Rate: 4000}, {Key: Key{"a", "calm"}, Waiting: 300, Rate: 200}, {Key: Key{"b", "calm"}, Waiting: 500, Rate: 400}}
 	f := map[Key]float64{}
 	for _, g := range Floors(400, needs, teams, w) {
@@ -120,7 +120,7 @@
 		rng := rand.New(rand.NewPCG(seed, 8))
 		var needs []Need
 		for i := range 1 + rng.IntN(6) {
-			needs = append(needs, Need{Key: Key{fmt.Sprint("t", i%3), fmt.Sprint("c", i)}, Held: float64(rng.IntN(50)), Waiting: float64(rng.IntN(200)), Rate: float64(rng.IntN(300))})
+			needs = append(needs, Need{Key: Key{fmt.Sprint("t", i%3), fmt.Sprint("c", i)}, Used: float64(rng.IntN(50)), Waiting: float64(rng.IntN(200)), Rate: float64(rng.IntN(300))})
 		}
 		cpus := float64(rng.IntN(300))
 		sums, full := [2]float64{}, 0.0
@@ -132,7 +132,7 @@
 			}
 		}
 		for _, n := range needs {
-			full += w.Floor * min(n.Rate, n.all())
+			full += w.FloorShare * min(n.Rate, n.total())
 		}
 		for _, sum := range sums {
 			if sum > cpus+1e-6 {
@@ -152,15 +152,15 @@
 	life  int
 	owner string
 	since uint64
-	known Agreed
-	maker *Maker
+	known Agreement
+	maker *Planner
 	seen  map[string]ID
 }
 
 type letter struct {
 	from, to string
 	life     int // of the receiver when it was sent
-	word     Word
+	word     PlanStatus
 }
 
 // lapses are what the model leaves out to see that it is caught.
@@ -184,13 +184,13 @@
 		if rng.IntN(30) == 0 {
 			waits[[]string{"large", "larger", "small"}[rng.IntN(3)]] = float64(rng.IntN(2)) * 40
 		}
-		in := &Inputs{Teams: map[string]Guarantee{"t": {CPUs: 1e6}}, Weights: &Weights{Floor: 1, After: 2 * time.Second}}
+		in := &Inputs{Teams: map[string]Quota{"t": {Guaranteed: 1e6}}, Weights: &Weights{FloorShare: 1, FloorAfter: 2 * time.Second}}
 		for i := range 6 {
-			in.Machines = append(in.Machines, Machine{Name: fmt.Sprint("m", i), CPUs: 8, Free: float64(rng.IntN(8)), Left: float64(rng.IntN(40))})
+			in.Machines = append(in.Machines, Machine{Name: fmt.Sprint("m", i), CPUs: 8, FreeCPUs: float64(rng.IntN(8)), SecondsUntilIdle: float64(rng.IntN(40))})
 		}
 		for _, class := range []string{"large", "larger", "small"} {
 			each := map[string]float64{"large": 4, "larger": 8, "small": 1}[class]
-			in.Needs = append(in.Needs, Need{Key: Key{"t", class}, Held: float64(rng.IntN(4)), Waiting: waits[class], Each: each, Rate: 30})
+			in.Needs = append(in.Needs, Need{Key: Key{"t", class}, Used: float64(rng.IntN(4)), Waiting: waits[class], TaskCPUs: each, Rate: 30})
 		}
 		return in
 	}
@@ -207,10 +207,10 @@
 			if s.owner != n {
 				s.maker = nil
 			} else {
-				if s.maker == nil || s.maker.Since() != s.since {
-					s.maker = NewMaker(s.since, &s.known)
+				if s.maker == nil || s.maker.SinceTerm() != s.since {
+					s.maker = NewPlanner(s.since, &s.known)
 					if l.afresh && rng.IntN(2) == 0 {
-						s.maker.force = &Plan{ID: ID{s.since, 0}, Reserved: map[string]string{"m1": "large", "m2": "larger"}}
+						s.maker.inForce = &Plan{ID: ID{s.since, 0}, Reserved: map[string]string{"m1": "large", "m2": "larger"}}
 					}
 				}
 				members := map[string]ID{}
@@ -232,12 +232,12 @@
 						}
 					}
 				}
-				force, next := s.maker.Word()
-				s.known.Hear(s.since, Word{Force: force, Next: next})
+				force, next := s.maker.Plans()
+				s.known.Apply(s.since, PlanStatus{InForce: force, Next: next})
 			}
-			w := Word{Seen: s.known.Seen()}
+			w := PlanStatus{Latest: s.known.Latest()}
 			if s.maker != nil {
-				w.Force, w.Next = s.maker.Word()
+				w.InForce, w.Next = s.maker.Plans()
 			}
 			for _, o := range names {
 				if o != n && o != out && rng.IntN(3) > 0 {
@@ -257,9 +257,9 @@
 			if s.life != x.life || x.to == out {
 				continue
 			}
-			s.seen[x.from] = x.word.Seen
+			s.seen[x.from] = x.word.Latest
 			if x.from == s.owner {
-				s.known.Hear(s.since, x.word)
+				s.known.Apply(s.since, x.word)
 			}
 		}
 		switch rng.IntN(120) {
@@ -279,7 +279,7 @@
 			if out == "" {
 				if n := names[rng.IntN(3)]; n != owner { // once its lease has ended it places nothing
 					out = n
-					seats[n].known = Agreed{}
+					seats[n].known = Agreement{}
 					seats[n].life++
 				}
 			} else {
@@ -288,8 +288,8 @@
 		}
 		for i, n := range names {
 			for _, o := range names[i+1:] {
-				if seats[n].known.Acts().Contradicts(seats[o].known.Acts()) {
-					return fmt.Sprintf("step %d: %s acts on %+v, %s on %+v", step, n, seats[n].known.Acts(), o, seats[o].known.Acts()), made
+				if seats[n].known.InForce().ConflictsWith(seats[o].known.InForce()) {
+					return fmt.Sprintf("step %d: %s acts on %+v, %s on %+v", step, n, seats[n].known.InForce(), o, seats[o].known.InForce()), made
 				}
 			}
 		}
@@ -341,9 +341,9 @@
 	const machines, size = 12, 32.0
 	on := make([][]task, machines)
 	large, small := Key{"t", "large"}, Key{"t", "small"}
-	agreed := &Agreed{}
-	maker := NewMaker(1, agreed)
-	w := &Weights{Floor: 0.5, After: 20 * time.Second}
+	agreed := &Agreement{}
+	maker := NewPlanner(1, agreed)
+	w := &Weights{FloorShare: 0.5, FloorAfter: 20 * time.Second}
 	now := time.Unix(1000, 0)
 	began := now
 	var since time.Time
@@ -351,7 +351,7 @@
 		now = now.Add(100 * time.Millisecond)
 		free := make([]float64, machines)
 		held := map[Key]float64{}
-		in := &Inputs{Teams: map[string]Guarantee{"t": {CPUs: 100, Most: 1000}}, Weights: w}
+		in := &Inputs{Teams: map[string]Quota{"t": {Guaranteed: 100, Limit: 1000}}, Weights: w}
 		for i := range on {
 			on[i] = slices.DeleteFunc(on[i], func(x task) bool { return !now.Before(x.ends) })
 			free[i] = size
@@ -361,19 +361,19 @@
 				held[Key{"t", x.class}] += x.cpus
 				left = max(left, x.ends.Sub(now).Seconds())
 			}
-			in.Machines = append(in.Machines, Machine{Name: fmt.Sprint(i), CPUs: size, Free: free[i], Left: left})
+			in.Machines = append(in.Machines, Machine{Name: fmt.Sprint(i), CPUs: size, FreeCPUs: free[i], SecondsUntilIdle: left})
 		}
-		in.Needs = []Need{{Key: large, Held: held[large], Waiting: 2000, Each: 16, Rate: 300}, {Key: small, Held: held[small], Waiting: 4000, Each: 4, Rate: 1000}}
+		in.Needs = []Need{{Key: large, Used: held[large], Waiting: 2000, TaskCPUs: 16, Rate: 300}, {Key: small, Used: held[small], Waiting: 4000, TaskCPUs: 4, Rate: 1000}}
 		if !floors {
 			in.Weights = &Weights{}
 		}
 		maker.Step(now, in, nil)
-		force, next := maker.Word()
-		agreed.Hear(1, Word{Force: force, Next: next})
-		plan := agreed.Acts()
+		force, next := maker.Plans()
+		agreed.Apply(1, PlanStatus{InForce: force, Next: next})
+		plan := agreed.InForce()
 		start := func(k Key, cpus, most float64) {
 			for i := range on {
-				class := plan.For(fmt.Sprint(i))
+				class := plan.ReservedClass(fmt.Sprint(i))
 				if !reservations {
 					class = ""
 				}
@@ -391,7 +391,7 @@
 		// Two tasks less than due: one is about to start, one does not fit evenly.
 		due := Floors(machines*size, in.Needs, in.Teams, w)[0].Floor - 32
 		switch {
-		case held[large] >= due || now.Sub(began) < w.After+45*time.Second:
+		case held[large] >= due || now.Sub(began) < w.FloorAfter+45*time.Second:
 			since = time.Time{}
 		case since.IsZero():
 			since = now
@@ -424,7 +424,7 @@
 func TestDoor(t *testing.T) {
 	for seed := range uint64(20) {
 		rng := rand.New(rand.NewPCG(seed, 7))
-		d := NewDoor(Limits{Wait: 1500 * time.Millisecond, Remember: 3000})
+		d := NewRateLimiter(RateLimits{MaxWait: 1500 * time.Millisecond, MaxRejections: 3000})
 		const rate = 10.0
 		flood, quiet := Key{"flood", "c"}, Key{"quiet", "c"}
 		queue := 0.0
@@ -451,7 +451,7 @@
 				if u.first.Equal(now) {
 					asked[u.k]++
 				}
-				ok, back := d.Ask(u.k, u.uid, time.Duration(queue/rate*float64(time.Second)), rate, now)
+				ok, back := d.Admit(u.k, u.uid, time.Duration(queue/rate*float64(time.Second)), rate, now)
 				if ok {
 					if u.first.Equal(now) && queue > 0.75*rate+1 && u.k == flood {
 						passed++
@@ -462,7 +462,7 @@
 					queue++
 					continue
 				}
-				if back < time.Second || now.Add(back).Sub(u.first) > patienceOf {
+				if back < time.Second || now.Add(back).Sub(u.first) > userTimeout {
 					t.Fatalf("seed %d: asked to come back after %s, %s after the first try", seed, back, now.Sub(u.first))
 				}
 				if now.Sub(u.first) > 55*time.Second {
@@ -475,8 +475,8 @@
 			if queue > rate*1.5+1.001 {
 				t.Fatalf("seed %d: %g wait", seed, queue)
 			}
-			if d.Waiting() > 3000 {
-				t.Fatalf("seed %d: %d remembered", seed, d.Waiting())
+			if d.Rejected() > 3000 {
+				t.Fatalf("seed %d: %d remembered", seed, d.Rejected())
 			}
 		}
 		if lost[quiet] > 0 || taken[quiet] < asked[quiet]*9/10 {
@@ -493,20 +493,20 @@
 
 // TestServed: shares are of the window only, and one that is served badly is named once in a while.
 func TestServed(t *testing.T) {
-	s := NewServed()
+	s := NewServedCounts()
 	k, now := Key{"t", "c"}, time.Unix(1000, 0)
 	for range 10 {
-		s.Book(k, now, func(c *Count) { c.Late++ })
+		s.Record(k, now, func(c *Count) { c.Late++ })
 	}
-	s.Book(k, now, func(c *Count) { c.Done++; c.InTime++ })
-	if c := s.Counts(now)[k]; c.Share() > 0.1 || !slices.Equal(s.Short(now), []Key{k}) || s.Short(now) != nil {
+	s.Record(k, now, func(c *Count) { c.Done++; c.InTime++ })
+	if c := s.Counts(now)[k]; c.InTimeShare() > 0.1 || !slices.Equal(s.PoorlyServed(now), []Key{k}) || s.PoorlyServed(now) != nil {
 		t.Fatalf("%+v", c)
 	}
-	now = now.Add(Window + part)
+	now = now.Add(Window + windowStep)
 	if got := s.Counts(now); len(got) != 0 {
 		t.Fatalf("%v after the window", slices.Collect(maps.Keys(got)))
 	}
-	if j := Jain([]float64{1, 0, 0, 0}); j != 0.25 || Jain([]float64{2, 2}) != 1 || Smallest([]float64{0.4, 0.9}) != 0.4 {
+	if j := JainIndex([]float64{1, 0, 0, 0}); j != 0.25 || JainIndex([]float64{2, 2}) != 1 || Smallest([]float64{0.4, 0.9}) != 0.4 {
 		t.Fatal(j)
 	}
 }
--- a/internal/admission/limit_test.go
+++ b/internal/admission/limit_test.go
@@ -8,26 +8,26 @@
 // crowdedTeam asks for more than its limit, nearly all of it by one class; another team's jobs of the other class run.
 func crowdedTeam() *Inputs {
 	return &Inputs{
-		Teams:   map[string]Guarantee{"a": {CPUs: 100, Most: 1000}, "b": {CPUs: 100}},
-		Weights: &Weights{Floor: 0.5, After: time.Minute},
+		Teams:   map[string]Quota{"a": {Guaranteed: 100, Limit: 1000}, "b": {Guaranteed: 100}},
+		Weights: &Weights{FloorShare: 0.5, FloorAfter: time.Minute},
 		Needs: []Need{
-			{Key: Key{"a", "crowd"}, Held: 1000, Waiting: 3000, Each: 4, Rate: 1200},
-			{Key: Key{"a", "small"}, Waiting: 400, Each: 2, Rate: 200},
-			{Key: Key{"b", "small"}, Held: 400, Waiting: 100, Each: 2, Rate: 400},
+			{Key: Key{"a", "crowd"}, Used: 1000, Waiting: 3000, TaskCPUs: 4, Rate: 1200},
+			{Key: Key{"a", "small"}, Waiting: 400, TaskCPUs: 2, Rate: 200},
+			{Key: Key{"b", "small"}, Used: 400, Waiting: 100, TaskCPUs: 2, Rate: 400},
 		},
-		Machines: []Machine{{Name: "m-1", CPUs: 4000, Free: 2000}},
+		Machines: []Machine{{Name: "m-1", CPUs: 4000, FreeCPUs: 2000}},
 	}
 }
 
 // TestClassOfATeamAtItsLimitHasAFloor: a class starved within one team at its limit while other teams' jobs of the same class
 // ran, since neither the class as a whole nor the team had too little.
 func TestClassOfATeamAtItsLimitHasAFloor(t *testing.T) {
-	in, maker := crowdedTeam(), NewMaker(1, &Agreed{})
+	in, maker := crowdedTeam(), NewPlanner(1, &Agreement{})
 	start := time.Unix(1000, 0)
 	after := func(d time.Duration) *Plan {
 		maker.Step(start.Add(d), in, nil)
-		maker.Step(start.Add(d+2*planEvery), in, nil)
-		force, _ := maker.Word()
+		maker.Step(start.Add(d+2*planInterval), in, nil)
+		force, _ := maker.Plans()
 		return force
 	}
 	if plan := after(0); len(plan.Floors) != 0 {
@@ -41,10 +41,10 @@
 	if plan.Floor(want.Key) != 0 || len(plan.Reserved) != 0 {
 		t.Errorf("a floor within a limit has %g CPUs of machines and %v are held", plan.Floor(want.Key), plan.Reserved)
 	}
-	heir := NewMaker(2, &Agreed{act: plan})
+	heir := NewPlanner(2, &Agreement{inForce: plan})
 	heir.Step(start.Add(3*time.Minute), in, nil)
-	heir.Step(start.Add(3*time.Minute+2*planEvery), in, nil)
-	if force, _ := heir.Word(); len(force.Floors) != 1 || force.Floors[0] != want {
+	heir.Step(start.Add(3*time.Minute+2*planInterval), in, nil)
+	if force, _ := heir.Plans(); len(force.Floors) != 1 || force.Floors[0] != want {
 		t.Errorf("a later maker's floors are %v, want %v", force.Floors, want)
 	}
 }
@@ -54,7 +54,7 @@
 func TestFloorsWithinALimitFitIt(t *testing.T) {
 	in := crowdedTeam()
 	for _, most := range []float64{0, 10, 100, 1000, 3999, 4100, 5000} {
-		in.Teams["a"] = Guarantee{CPUs: 100, Most: most}
+		in.Teams["a"] = Quota{Guaranteed: 100, Limit: most}
 		sum, count := 0.0, 0
 		for _, g := range Floors(4000, in.Needs, in.Teams, in.Weights) {
 			if g.withinLimit() {
--- a/internal/admission/plan.go
+++ b/internal/admission/plan.go
@@ -12,13 +12,13 @@
 // ID names a plan: who owns the fleet since a term numbers its plans, and a later owner's
 // come after all of an earlier one's.
 type ID struct {
-	Since  uint64 `json:"since"`
-	Number uint64 `json:"number"`
+	SinceTerm uint64 `json:"since"`
+	Number    uint64 `json:"number"`
 }
 
 // Compare orders plans.
 func (a ID) Compare(b ID) int {
-	return cmp.Or(cmp.Compare(a.Since, b.Since), cmp.Compare(a.Number, b.Number))
+	return cmp.Or(cmp.Compare(a.SinceTerm, b.SinceTerm), cmp.Compare(a.Number, b.Number))
 }
 
 // Floor is what a key is to have of the machines before others get more, in CPUs.
@@ -46,8 +46,8 @@
 	return 0
 }
 
-// For is the only class that may start on a machine, "" for any.
-func (p *Plan) For(machine string) string {
+// ReservedClass is the only class that may start on a machine, "" for any.
+func (p *Plan) ReservedClass(machine string) string {
 	if p == nil {
 		return ""
 	}
@@ -59,9 +59,9 @@
 	return slices.Equal(p.Floors, o.Floors) && maps.Equal(p.Reserved, o.Reserved)
 }
 
-// Contradicts says whether two controllers that act on these plans at the same time would
+// ConflictsWith says whether two controllers that act on these plans at the same time would
 // hold the same machine for different classes.
-func (p *Plan) Contradicts(o *Plan) bool {
+func (p *Plan) ConflictsWith(o *Plan) bool {
 	if p == nil || o == nil {
 		return false
 	}
@@ -73,30 +73,30 @@
 	return false
 }
 
-// Word is what a controller tells the others of plans with each status. Only the fleet's
-// owner tells bodies: the plan that is in force, and the next one, which nobody acts on yet.
-type Word struct {
-	Seen  ID    `json:"seen"` // the latest plan heard of, in force or not
-	Force *Plan `json:"force,omitempty"`
-	Next  *Plan `json:"next,omitempty"`
+// PlanStatus is what a status says of plans. Only the owner of the fleet shard sends plans: the one in force, and the next
+// one, which nobody acts on yet.
+type PlanStatus struct {
+	Latest  ID    `json:"seen"` // the latest plan received, in force or not
+	InForce *Plan `json:"force,omitempty"`
+	Next    *Plan `json:"next,omitempty"`
 }
 
-// Agreed is a controller's part of the plans: what it acts on and what it has heard of. A
-// plan comes into force when every member has heard of it, and hears of it only together with the
+// Agreement is a controller's part of the plans: what it acts on and what it has received. A
+// plan comes into force when every member has received it, and is sent only together with the
 // one in force, so that what any two controllers act on is at most one plan apart; and no
 // machine is held for one class in a plan and for another one in the next.
-type Agreed struct {
-	act  *Plan
-	next *Plan
+type Agreement struct {
+	inForce *Plan
+	next    *Plan
 }
 
-// Acts is the plan to act on; nil for none.
-func (a *Agreed) Acts() *Plan { return a.act }
+// InForce is the plan to act on; nil for none.
+func (a *Agreement) InForce() *Plan { return a.inForce }
 
-// Seen is the latest plan heard of.
-func (a *Agreed) Seen() ID {
+// Latest is the latest plan received.
+func (a *Agreement) Latest() ID {
 	var id ID
-	for _, p := range []*Plan{a.act, a.next} {
+	for _, p := range []*Plan{a.inForce, a.next} {
 		if p != nil && p.ID.Compare(id) > 0 {
 			id = p.ID
 		}
@@ -104,111 +104,111 @@
 	return id
 }
 
-// Hear takes in what the fleet's owner since a term tells. What an earlier owner told, and
-// arrives late, counts for nothing.
-func (a *Agreed) Hear(since uint64, w Word) {
-	if w.Force == nil || w.Force.Since > since || w.Next != nil && w.Next.Since != since {
+// Apply takes in what the owner of the fleet shard since a term sends. What an earlier owner sent is ignored if it arrives
+// late.
+func (a *Agreement) Apply(since uint64, w PlanStatus) {
+	if w.InForce == nil || w.InForce.SinceTerm > since || w.Next != nil && w.Next.SinceTerm != since {
 		return
 	}
-	if a.act == nil || w.Force.ID.Compare(a.act.ID) > 0 {
-		a.act = w.Force
+	if a.inForce == nil || w.InForce.ID.Compare(a.inForce.ID) > 0 {
+		a.inForce = w.InForce
 	}
-	if w.Next != nil && w.Next.ID.Compare(a.Seen()) > 0 {
+	if w.Next != nil && w.Next.ID.Compare(a.Latest()) > 0 {
 		a.next = w.Next
 	}
-	if a.next != nil && a.act != nil && a.next.ID.Compare(a.act.ID) <= 0 {
+	if a.next != nil && a.inForce != nil && a.next.ID.Compare(a.inForce.ID) <= 0 {
 		a.next = nil
 	}
 }
 
 // Machine is a machine that work may be placed on, as the maker of plans sees it.
 type Machine struct {
-	Name   string
-	CPUs   float64 // in all
-	Memory float64 // in all, GB
-	Free   float64 // CPUs
-	Left   float64 // seconds until what runs there has probably ended
+	Name             string
+	CPUs             float64 // in all
+	Memory           float64 // in all, GB
+	FreeCPUs         float64 // CPUs
+	SecondsUntilIdle float64 // seconds until what runs there has probably ended
 }
 
 // Inputs are what a plan is made from.
 type Inputs struct {
 	Needs    []Need
 	Machines []Machine
-	Teams    map[string]Guarantee
+	Teams    map[string]Quota
 	Weights  *Weights
 }
 
-// Maker makes the plans while its controller owns the fleet.
-type Maker struct {
-	since    uint64
-	force    *Plan
-	next     *Plan
-	under    map[Key]time.Time // since when a class or team is under its floor
-	had      map[Key]float64   // its floor in the last plan
-	eased    map[string]time.Time
-	proposed time.Time
+// Planner makes the plans while its controller owns the fleet shard.
+type Planner struct {
+	sinceTerm  uint64
+	inForce    *Plan
+	next       *Plan
+	belowSince map[Key]time.Time // since when a class or team is under its floor
+	lastFloors map[Key]float64   // its floor in the last plan
+	idleSince  map[string]time.Time
+	proposedAt time.Time
 }
 
-// NewMaker goes on with what its controller acts on and has heard of: others may act on
+// NewPlanner goes on with what its controller acts on and has received: others may act on
 // either. One that knows no plan begins with an empty one, which contradicts none.
-func NewMaker(since uint64, known *Agreed) *Maker {
-	m := &Maker{since: since, under: map[Key]time.Time{}, had: map[Key]float64{}, eased: map[string]time.Time{}}
-	m.force = known.act
-	if m.force == nil {
-		m.force = &Plan{ID: ID{Since: since}}
+func NewPlanner(since uint64, known *Agreement) *Planner {
+	m := &Planner{sinceTerm: since, belowSince: map[Key]time.Time{}, lastFloors: map[Key]float64{}, idleSince: map[string]time.Time{}}
+	m.inForce = known.inForce
+	if m.inForce == nil {
+		m.inForce = &Plan{ID: ID{SinceTerm: since}}
 	}
-	last := m.force
+	last := m.inForce
 	if known.next != nil {
 		last = known.next
 	}
-	m.next = &Plan{ID: ID{Since: since, Number: 1}, Floors: last.Floors, Reserved: last.Reserved}
+	m.next = &Plan{ID: ID{SinceTerm: since, Number: 1}, Floors: last.Floors, Reserved: last.Reserved}
 	for _, f := range last.Floors { // who was short has waited long enough already
 		group := Key{Class: f.Class}
 		if f.WithinLimit {
 			group = f.Key
 		}
-		m.under[group] = time.Unix(1, 0)
-		m.had[group] += f.CPUs
+		m.belowSince[group] = time.Unix(1, 0)
+		m.lastFloors[group] += f.CPUs
 	}
 	return m
 }
 
-// Since is the term since which the maker's controller owns the fleet.
-func (m *Maker) Since() uint64 { return m.since }
+// SinceTerm is the term since which the maker's controller owns the fleet.
+func (m *Planner) SinceTerm() uint64 { return m.sinceTerm }
 
-// Word is what the maker tells.
-func (m *Maker) Word() (force, next *Plan) { return m.force, m.next }
+// Plans is the plan in force and the next one, nil if there is none.
+func (m *Planner) Plans() (force, next *Plan) { return m.inForce, m.next }
 
-// easeAfter is how long a class has nothing that waits before its machines are free for all.
-const easeAfter = 5 * time.Second
+// reservationGrace is how long a class has nothing that waits before its machines are free for all.
+const reservationGrace = 5 * time.Second
 
-// planEvery is the least time between two plans.
-const planEvery = time.Second
+// planInterval is the least time between two plans.
+const planInterval = time.Second
 
-// Step takes in what the members have heard of, brings the next plan into force once all
+// Step takes in which plans the members have received, brings the next plan into force once all
 // have, and then makes another one if what is due has changed.
-func (m *Maker) Step(now time.Time, in *Inputs, members map[string]ID) {
+func (m *Planner) Step(now time.Time, in *Inputs, members map[string]ID) {
 	if m.next != nil {
 		for _, seen := range members {
 			if seen.Compare(m.next.ID) < 0 {
-				return // one that is not heard keeps its plan until it is no member any more
+				return // an unreachable member keeps its plan until the record drops it
 			}
 		}
-		m.force, m.next = m.next, nil
+		m.inForce, m.next = m.next, nil
 	}
-	if now.Sub(m.proposed) < planEvery {
+	if now.Sub(m.proposedAt) < planInterval {
 		return
 	}
 	p := m.plan(now, in)
-	if p.Same(m.force) {
+	if p.Same(m.inForce) {
 		return
 	}
-	p.ID = ID{Since: m.since, Number: m.force.Number + 1}
-	m.next, m.proposed = p, now
+	p.ID = ID{SinceTerm: m.sinceTerm, Number: m.inForce.Number + 1}
+	m.next, m.proposedAt = p, now
 }
 
 // plan is what should hold now, as far as it follows the plan in force.
-func (m *Maker) plan(now time.Time, in *Inputs) *Plan {
+func (m *Planner) plan(now time.Time, in *Inputs) *Plan {
 	cpus := 0.0
 	for _, x := range in.Machines {
 		cpus += x.CPUs
@@ -217,30 +217,30 @@
 	known := map[Key]bool{}
 	for _, g := range Floors(cpus, in.Needs, in.Teams, in.Weights) {
 		known[g.Key] = true
-		had := m.had[g.Key]
+		had := m.lastFloors[g.Key]
 		if had > 0 && math.Abs(had-g.Floor) < max(had, g.Floor)/10 {
 			g.Floor = had // plans do not change for little
 		}
 		switch {
-		case !g.Waits || g.Floor <= 0:
-			delete(m.under, g.Key)
-		case g.Held < g.Floor && m.under[g.Key].IsZero():
-			m.under[g.Key] = now
-		case g.Held >= g.Floor && had == 0:
-			delete(m.under, g.Key)
+		case !g.HasWaiting || g.Floor <= 0:
+			delete(m.belowSince, g.Key)
+		case g.Used < g.Floor && m.belowSince[g.Key].IsZero():
+			m.belowSince[g.Key] = now
+		case g.Used >= g.Floor && had == 0:
+			delete(m.belowSince, g.Key)
 		}
-		if since, ok := m.under[g.Key]; !ok || now.Sub(since) < in.Weights.After {
-			delete(m.had, g.Key)
+		if since, ok := m.belowSince[g.Key]; !ok || now.Sub(since) < in.Weights.FloorAfter {
+			delete(m.lastFloors, g.Key)
 			continue
 		}
-		m.had[g.Key] = g.Floor
+		m.lastFloors[g.Key] = g.Floor
 		if g.withinLimit() {
 			limited[g.Key] = g.Floor
 			continue
 		}
-		m.part(g, in, floors)
+		m.divideGroupFloor(g, in, floors)
 	}
-	maps.DeleteFunc(m.under, func(k Key, _ time.Time) bool { return !known[k] })
+	maps.DeleteFunc(m.belowSince, func(k Key, _ time.Time) bool { return !known[k] })
 	p := &Plan{}
 	least := math.Inf(1) // the smallest task that waits
 	waits := map[string]bool{}
@@ -251,7 +251,7 @@
 			continue
 		}
 		waits[n.Class] = true
-		least = min(least, n.Each)
+		least = min(least, n.TaskCPUs)
 		switch {
 		case floors[n.Key] > 0:
 			floor := n.wholeTasks(floors[n.Key])
@@ -263,30 +263,30 @@
 		}
 	}
 	slices.SortFunc(p.Floors, func(a, b Floor) int { return a.Key.Compare(b.Key) })
-	p.Reserved = m.reserve(now, in, short, sums, least, waits)
+	p.Reserved = m.reserveMachines(now, in, short, sums, least, waits)
 	return p
 }
 
 // wholeTasks rounds a floor to tasks of the need, one at least.
 func (n *Need) wholeTasks(floor float64) float64 {
-	if n.Each <= 0 {
+	if n.TaskCPUs <= 0 {
 		return floor
 	}
-	return max(1, math.Round(floor/n.Each)) * n.Each
+	return max(1, math.Round(floor/n.TaskCPUs)) * n.TaskCPUs
 }
 
-// part divides a group's floor among its keys: that of a class among the teams by weight, that
+// divideGroupFloor divides a group's floor among its keys: that of a class among the teams by weight, that
 // of a team among its classes as they are urgent.
-func (m *Maker) part(g Group, in *Inputs, floors map[Key]float64) {
+func (m *Planner) divideGroupFloor(g Group, in *Inputs, floors map[Key]float64) {
 	var of []Need
 	var wants, weights []float64
 	for _, n := range in.Needs {
 		if g.Team == "" && n.Class == g.Class || g.Class == "" && n.Team == g.Team {
-			of, wants, weights = append(of, n), append(wants, n.all()), append(weights, weight(in.Weights.Team, n.Team))
+			of, wants, weights = append(of, n), append(wants, n.total()), append(weights, weight(in.Weights.Team, n.Team))
 		}
 	}
 	if g.Team == "" {
-		for i, x := range maxMin(g.Floor, wants, weights) {
+		for i, x := range maxMinShares(g.Floor, wants, weights) {
 			floors[of[i].Key] = max(floors[of[i].Key], x)
 		}
 		return
@@ -294,32 +294,32 @@
 	slices.SortStableFunc(of, func(a, b Need) int { return b.Rank - a.Rank })
 	left := g.Floor
 	for _, n := range of {
-		x := min(left, n.all())
+		x := min(left, n.total())
 		floors[n.Key] = max(floors[n.Key], x)
 		left -= x
 	}
 }
 
-// reserve says which machines are held for which class: for one that got too little though its
+// reserveMachines says which machines are held for which class: for one that got too little though its
 // tasks are larger than others that wait, so that it finds no room where those take each
 // piece that comes free. A machine that was held for a class is first free for all.
-func (m *Maker) reserve(now time.Time, in *Inputs, short map[string][]Need, floors map[string]float64, least float64, waits map[string]bool) map[string]string {
+func (m *Planner) reserveMachines(now time.Time, in *Inputs, short map[string][]Need, floors map[string]float64, least float64, waits map[string]bool) map[string]string {
 	reserved := map[string]string{}
 	there := map[string]*Machine{}
 	for i := range in.Machines {
 		there[in.Machines[i].Name] = &in.Machines[i]
 	}
 	held := map[string][]string{}
-	for _, name := range slices.Sorted(maps.Keys(m.force.Reserved)) {
-		class := m.force.Reserved[name]
-		if !waits[class] && m.eased[class].IsZero() {
-			m.eased[class] = now
+	for _, name := range slices.Sorted(maps.Keys(m.inForce.Reserved)) {
+		class := m.inForce.Reserved[name]
+		if !waits[class] && m.idleSince[class].IsZero() {
+			m.idleSince[class] = now
 		}
-		if there[name] != nil && (waits[class] || now.Sub(m.eased[class]) < easeAfter) {
+		if there[name] != nil && (waits[class] || now.Sub(m.idleSince[class]) < reservationGrace) {
 			held[class] = append(held[class], name)
 		}
 	}
-	maps.DeleteFunc(m.eased, func(class string, _ time.Time) bool { return waits[class] })
+	maps.DeleteFunc(m.idleSince, func(class string, _ time.Time) bool { return waits[class] })
 	for class, names := range held {
 		if !waits[class] { // for a moment, in case more comes
 			for _, name := range names {
@@ -332,7 +332,7 @@
 	for _, class := range classes {
 		each, memory := 0.0, 0.0
 		for _, n := range short[class] {
-			each, memory = max(each, n.Each), max(memory, n.Memory)
+			each, memory = max(each, n.TaskCPUs), max(memory, n.TaskMemory)
 		}
 		names := held[class]
 		if each <= least+1e-6 && len(names) == 0 {
@@ -359,12 +359,12 @@
 		}
 		free := make([]*Machine, 0, len(in.Machines))
 		for i := range in.Machines {
-			if x := &in.Machines[i]; reserved[x.Name] == "" && m.force.Reserved[x.Name] == "" {
+			if x := &in.Machines[i]; reserved[x.Name] == "" && m.inForce.Reserved[x.Name] == "" {
 				free = append(free, x)
 			}
 		}
 		slices.SortFunc(free, func(a, b *Machine) int { // what is emptied soonest
-			return cmp.Or(cmp.Compare(a.Left, b.Left), cmp.Compare(b.Free, a.Free), strings.Compare(a.Name, b.Name))
+			return cmp.Or(cmp.Compare(a.SecondsUntilIdle, b.SecondsUntilIdle), cmp.Compare(b.FreeCPUs, a.FreeCPUs), strings.Compare(a.Name, b.Name))
 		})
 		for _, x := range free {
 			if left <= 0 {
--- a/internal/admission/served.go
+++ b/internal/admission/served.go
@@ -8,9 +8,9 @@
 
 // Window is the time over which it is counted who was served, in parts.
 const (
-	Window = 2 * time.Minute
-	part   = 10 * time.Second
-	parts  = int(Window / part)
+	Window      = 2 * time.Minute
+	windowStep  = 10 * time.Second
+	windowSteps = int(Window / windowStep)
 )
 
 // Count is what became of a key's jobs within the window, as far as one controller saw it.
@@ -34,53 +34,53 @@
 	c.Late += o.Late
 }
 
-// Share is the part of the jobs whose first goal was decided that reached it; 1 if there
+// InTimeShare is the part of the jobs whose first goal was decided that reached it; 1 if there
 // were none.
-func (c *Count) Share() float64 {
+func (c *Count) InTimeShare() float64 {
 	if c.InTime+c.Late == 0 {
 		return 1
 	}
 	return float64(c.InTime) / float64(c.InTime+c.Late)
 }
 
-// Served counts who was served. What it keeps is bounded by the number of keys.
-type Served struct {
-	keys map[Key]*[parts]Count
-	at   int64 // part of time that is counted into
-	told map[Key]time.Time
+// ServedCounts counts who was served. What it keeps is bounded by the number of keys.
+type ServedCounts struct {
+	keys     map[Key]*[windowSteps]Count
+	step     int64 // part of time that is counted into
+	loggedAt map[Key]time.Time
 }
 
-// NewServed has counted nothing.
-func NewServed() *Served {
-	return &Served{keys: map[Key]*[parts]Count{}, told: map[Key]time.Time{}}
+// NewServedCounts has counted nothing.
+func NewServedCounts() *ServedCounts {
+	return &ServedCounts{keys: map[Key]*[windowSteps]Count{}, loggedAt: map[Key]time.Time{}}
 }
 
-func (s *Served) turn(now time.Time) {
-	at := now.UnixNano() / int64(part)
-	for s.at < at {
-		if s.at++; at-s.at > int64(parts) {
-			s.at = at - int64(parts)
+func (s *ServedCounts) advance(now time.Time) {
+	at := now.UnixNano() / int64(windowStep)
+	for s.step < at {
+		if s.step++; at-s.step > int64(windowSteps) {
+			s.step = at - int64(windowSteps)
 		}
 		for _, c := range s.keys {
-			c[s.at%int64(parts)] = Count{}
+			c[s.step%int64(windowSteps)] = Count{}
 		}
 	}
 }
 
-// Book counts something for a key.
-func (s *Served) Book(k Key, now time.Time, what func(*Count)) {
-	s.turn(now)
+// Record counts something for a key.
+func (s *ServedCounts) Record(k Key, now time.Time, what func(*Count)) {
+	s.advance(now)
 	c := s.keys[k]
 	if c == nil {
-		c = &[parts]Count{}
+		c = &[windowSteps]Count{}
 		s.keys[k] = c
 	}
-	what(&c[s.at%int64(parts)])
+	what(&c[s.step%int64(windowSteps)])
 }
 
 // Counts sums up the window for each key that anything was counted for.
-func (s *Served) Counts(now time.Time) map[Key]Count {
-	s.turn(now)
+func (s *ServedCounts) Counts(now time.Time) map[Key]Count {
+	s.advance(now)
 	out := map[Key]Count{}
 	for k, list := range s.keys {
 		var sum Count
@@ -99,21 +99,21 @@
 // enough is how many jobs must have ended or missed their goals to say that a key is served
 // badly, and tellAgain after what time it is said again.
 const (
-	enough    = 5
-	tellAgain = time.Minute
+	minDecidedJobs = 5
+	repeatAfter    = time.Minute
 )
 
-// Short names the keys of whose jobs less than half were in time, those not named for a
+// PoorlyServed names the keys of whose jobs less than half were in time, those not named for a
 // while.
-func (s *Served) Short(now time.Time) (short []Key) {
+func (s *ServedCounts) PoorlyServed(now time.Time) (short []Key) {
 	counts := s.Counts(now)
 	for _, k := range slices.SortedFunc(maps.Keys(counts), Key.Compare) {
 		c := counts[k]
-		if c.InTime+c.Late >= enough && c.Share() < 0.5 && now.Sub(s.told[k]) > tellAgain {
-			s.told[k] = now
+		if c.InTime+c.Late >= minDecidedJobs && c.InTimeShare() < 0.5 && now.Sub(s.loggedAt[k]) > repeatAfter {
+			s.loggedAt[k] = now
 			short = append(short, k)
 		}
 	}
-	maps.DeleteFunc(s.told, func(_ Key, at time.Time) bool { return now.Sub(at) > 2*tellAgain })
+	maps.DeleteFunc(s.loggedAt, func(_ Key, at time.Time) bool { return now.Sub(at) > 2*repeatAfter })
 	return short
 }
--- a/internal/admission/status.go
+++ b/internal/admission/status.go
@@ -1,6 +1,6 @@
 package admission
 
-// Status is what a controller tells operators of admission, in its overview.
+// Status is what operators see of admission in a controller's overview.
 type Status struct {
 	Plan     ID             `json:"plan"`
 	Floors   []Floor        `json:"floors,omitempty"`
--- a/internal/cli/admission.go
+++ b/internal/cli/admission.go
@@ -43,7 +43,7 @@
 	} else {
 		var keys []admission.KeyStatus
 		for _, a := range all {
-			fmt.Fprintf(r.out, "%s: plan %d of term %d, machines held %v; acceptances wait %.1f s, %d refused may come back\n", a.Node, a.Served.Plan.Number, a.Served.Plan.Since, a.Served.Reserved, a.Served.Pressure, a.Served.Refused)
+			fmt.Fprintf(r.out, "%s: plan %d of term %d, machines held %v; acceptances wait %.1f s, %d refused may come back\n", a.Node, a.Served.Plan.Number, a.Served.Plan.SinceTerm, a.Served.Reserved, a.Served.Pressure, a.Served.Refused)
 			for _, k := range a.Served.Keys {
 				if k.InTime+k.Late+k.Waiting+k.Done > 0 || k.Held > 0 { // of its owner
 					keys = append(keys, k)
--- a/internal/controller/demands.go
+++ b/internal/controller/demands.go
@@ -15,7 +15,7 @@
 			continue
 		}
 		list := shard.Team().Demands(now)
-		first := n.goFirst(shard, list, now)
+		first := n.prioritizedTasks(shard, list, now)
 		for i, d := range list {
 			if !d.Probe {
 				out = append(out, demand{Job: d.Spec.UID, Count: d.Count, Borrowed: d.Borrowed, QuotaDelay: d.Behind.Milliseconds(), Prioritized: first[i], CPUsBeyondQuota: d.Beyond, Zone: boundZone(shard.Team(), d.Spec)})
--- a/internal/controller/gangpreemption.go
+++ b/internal/controller/gangpreemption.go
@@ -119,12 +119,12 @@
 
 // spares counts a task as stopped and says whether its class keeps its floor without it and without those that were counted before.
 func (n *Node) spares(s *protocol.Submission, counted map[admission.Key]float64) bool {
-	floor := n.admission.known.Acts().Floor(keyOf(s))
+	floor := n.admission.agreement.InForce().Floor(keyOf(s))
 	if floor <= 0 {
 		return true
 	}
 	key := keyOf(s)
-	if n.admission.runs[key]-counted[key]-s.CPUs < floor {
+	if n.admission.runningCPUs[key]-counted[key]-s.CPUs < floor {
 		return false
 	}
 	counted[key] += s.CPUs
--- a/internal/controller/golden_overview_test.go
+++ b/internal/controller/golden_overview_test.go
@@ -20,7 +20,7 @@
 		Items: map[string]shardOverview{shards.ForTeam("vision"): {Phase: shards.Barrier.String(), Since: 40, InSync: []string{"estacion-2"}, Awaited: 2, Jobs: 3, Waiting: 4, Held: 5, Unproven: 6,
 			CPUs: 96.5, GPUs: 8.5}},
 		Machines: machinesOverview{Known: 9, Homed: 3, Silent: 2, Idle: 1}, Jobs: 12, Waits: map[string]int64{"count": 3, "p50": 100, "p90": 200, "p99": 300, "max": 400},
-		Served: admission.Status{Plan: admission.ID{Since: 40, Number: 6}, Floors: goldenPlan(6).Floors, Reserved: map[string]int{"train": 2}, Refused: 1, Pressure: 0.5,
+		Served: admission.Status{Plan: admission.ID{SinceTerm: 40, Number: 6}, Floors: goldenPlan(6).Floors, Reserved: map[string]int{"train": 2}, Refused: 1, Pressure: 0.5,
 			Keys: []admission.KeyStatus{{Key: key, Count: admission.Count{Asked: 9, Accepted: 8, Refused: 7, Started: 6, Done: 5, InTime: 4, Late: 3}, Share: 0.5, Held: 96, Waiting: 2,
 				Oldest: 12.5, Floor: 24}}},
 		Store: datarecovery.Status{Phase: datarecovery.Suspected.String(), Sign: "revision lower than one seen", Epoch: 2, DataLost: true, RosterIncomplete: true, AwaitedMemories: []string{"estacion-2"}, Unwritten: 1,
--- a/internal/controller/golden_test.go
+++ b/internal/controller/golden_test.go
@@ -86,7 +86,7 @@
 // goldenPlan is a plan of who gets how much, with every field set.
 func goldenPlan(number uint64) *admission.Plan {
 	key := admission.Key{Team: "vision", Class: "train"}
-	return &admission.Plan{ID: admission.ID{Since: 41, Number: number}, Floors: []admission.Floor{{Key: key, CPUs: 24.5, WithinLimit: true}},
+	return &admission.Plan{ID: admission.ID{SinceTerm: 41, Number: number}, Floors: []admission.Floor{{Key: key, CPUs: 24.5, WithinLimit: true}},
 		Reserved: map[string]string{"n-000231": "train", "n-000198": "serve"}}
 }
 
@@ -102,7 +102,7 @@
 		Draining: []string{"n-000198"}, Awaited: []string{"n-000231"}, Unanswered: []string{"n-000007"}, WantedWrites: &writes,
 		Store:         datarecovery.Assessment{Epoch: 2, Term: 41, Incarnation: 1767225600000003, Revision: 431, SuspectsLoss: true, ConfirmedLoss: true, MemoryComplete: true},
 		RecordVersion: &version, Cancellations: &told,
-		Plan:   admission.Word{Seen: admission.ID{Since: 41, Number: 6}, Force: goldenPlan(5), Next: goldenPlan(6)},
+		Plan:   admission.PlanStatus{Latest: admission.ID{SinceTerm: 41, Number: 6}, InForce: goldenPlan(5), Next: goldenPlan(6)},
 		Config: &teamconfig.Word{Serial: 9, Generation: 2, Record: 412, Known: 430, Unsettled: []string{"vision"}, Base: 11400714819323198485},
 	}
 }
--- a/internal/controller/held_test.go
+++ b/internal/controller/held_test.go
@@ -35,8 +35,8 @@
 			team := n.shards.OfTeam("team-0").Team()
 			learn("job-000001", "small", c.begun, 2, 0)
 			n.place(g.now)
-			plan := &admission.Plan{ID: admission.ID{Since: 1, Number: 1}, Reserved: map[string]string{g.names[0]: "large"}}
-			n.admission.known.Hear(1, admission.Word{Force: plan})
+			plan := &admission.Plan{ID: admission.ID{SinceTerm: 1, Number: 1}, Reserved: map[string]string{g.names[0]: "large"}}
+			n.admission.agreement.Apply(1, admission.PlanStatus{InForce: plan})
 			team.Job("job-000001").Finishing = true // it asks for nothing more
 			learn("job-000002", "small", 1, 2, c.age)
 			learn("job-000003", "large", 1, 4, 0)
--- a/internal/controller/home.go
+++ b/internal/controller/home.go
@@ -373,7 +373,7 @@
 				running[ref] = now
 				if j := n.jobs[t.Job]; j != nil && !j.submittedAt.IsZero() {
 					// Past an hour the histogram only says "longer".
-					n.started(j.spec, now)
+					n.recordStarted(j.spec, now)
 					_ = n.startLatency.RecordValue(min(max(now.Sub(j.submittedAt).Milliseconds(), 1), time.Hour.Milliseconds()))
 				}
 			}
--- a/internal/controller/hosts.go
+++ b/internal/controller/hosts.go
@@ -53,7 +53,7 @@
 	for name, p := range n.peers {
 		away[name] = !p.connected || !p.isReachable(now)
 	}
-	plan := n.admission.known.Acts()
+	plan := n.admission.agreement.InForce()
 	scratch := &n.hostBuffer
 	if least == nil {
 		scratch = &n.allHostsBuffer
@@ -69,7 +69,7 @@
 		}
 		if !drain[v.Machine] && n.roster.Has(v.Machine) {
 			*scratch = append(*scratch, m.host)
-			(*scratch)[len(*scratch)-1].ReservedClass = plan.For(v.Machine)
+			(*scratch)[len(*scratch)-1].ReservedClass = plan.ReservedClass(v.Machine)
 		}
 	}
 	hosts := make([]*placement.Host, len(*scratch))
--- a/internal/controller/jobend.go
+++ b/internal/controller/jobend.go
@@ -56,7 +56,7 @@
 	if err == nil {
 		team, _ := shards.TeamOf(shard.Name())
 		n.log.Info("job done", "job", uid, "team", team)
-		n.ranOut(j.Spec, time.Now())
+		n.recordCompleted(j.Spec, time.Now())
 		n.endJob(uid)
 	}
 	j.Finishing = false
--- a/internal/controller/messages.go
+++ b/internal/controller/messages.go
@@ -62,8 +62,8 @@
 	// Cancellations is how many the sender's process has confirmed to users.
 	Cancellations *uint64 `json:"told"`
 	// Plan is what the sender knows of plans of quota, Config of the teams' configuration.
-	Plan   admission.Word   `json:"plan"`
-	Config *teamconfig.Word `json:"config,omitempty"`
+	Plan   admission.PlanStatus `json:"plan"`
+	Config *teamconfig.Word     `json:"config,omitempty"`
 }
 
 // receivedStatus acknowledges the last status of a peer.
--- a/internal/controller/peerhandler.go
+++ b/internal/controller/peerhandler.go
@@ -141,7 +141,7 @@
 	n.onHomeWatermarks(from.name, s, now)
 	n.sendNewerRecord(from.name, s, now)
 	n.recovery.detection.PeerAssessed(from.name, s.Store, n.record, now)
-	n.onPlan(from.name, from.incarnation, from.state, &s.Plan)
+	n.onPlanStatus(from.name, from.incarnation, from.state, &s.Plan)
 	n.onConfigWord(from.name, from.incarnation, s.Config, now)
 }
 
--- a/internal/controller/placing.go
+++ b/internal/controller/placing.go
@@ -31,7 +31,7 @@
 	if len(list) > 0 {
 		arrange(list)
 		p.hosts = n.hosts(now, smallest(list))
-		if plan := n.admission.known.Acts(); plan != nil && len(plan.Reserved) > 0 {
+		if plan := n.admission.agreement.InForce(); plan != nil && len(plan.Reserved) > 0 {
 			setHeldFor(p.hosts, list)
 		}
 	}
--- a/internal/controller/preemption.go
+++ b/internal/controller/preemption.go
@@ -175,14 +175,14 @@
 		}
 	}
 	n.freeing, n.freeingAt = []ends{}, now
-	clear(n.admission.runs)
+	clear(n.admission.runningCPUs)
 	for uid, count := range running {
 		j := n.jobs[uid]
 		if j == nil {
 			continue
 		}
 		cpus := float64(count) * j.spec.CPUs
-		n.admission.runs[keyOf(j.spec)] += cpus
+		n.admission.runningCPUs[keyOf(j.spec)] += cpus
 		if j.spec.EstimateSeconds > 0 {
 			n.freeing = append(n.freeing, ends{j.spec.CPUs, cpus / j.spec.EstimateSeconds})
 		}
@@ -278,7 +278,7 @@
 		return v, false
 	}
 	ref := t.Ref()
-	if _, going := s.n.evictions[ref]; going || s.n.keepsFloor(j.spec) {
+	if _, going := s.n.evictions[ref]; going || s.n.protectedByFloor(j.spec) {
 		return v, false
 	}
 	v = victim{ref: ref, spec: j.spec}
--- a/internal/controller/provisioning.go
+++ b/internal/controller/provisioning.go
@@ -77,7 +77,7 @@
 	}, now)
 	n.noteLatePlaces(actions.Late)
 	n.logFleet(p, machines, demands, actions.Retired, now)
-	n.makePlan(machines, demands, now)
+	n.updatePlan(machines, demands, now)
 	n.drainingMachines = actions.Drain
 	n.returnMachines(p.account, actions.Return)
 	n.strikeGone()
--- a/internal/controller/status.go
+++ b/internal/controller/status.go
@@ -95,7 +95,7 @@
 	s.Misdirected = n.takeMisdirected()
 	s.Demands = n.demands(now)
 	s.Progress = n.dueProgress(now)
-	s.Plan = n.planWord()
+	s.Plan = n.planStatus()
 	s.Config = n.configWord(now)
 	s.Awaited = n.shards.AwaitedMachines()
 	s.Unanswered = n.unanswered()
--- a/internal/controller/step.go
+++ b/internal/controller/step.go
@@ -64,7 +64,7 @@
 	}
 	n.configure(now)
 	for shard := range n.shards.All() {
-		shard.Team().SetFloors(n.floorsOf(shard))
+		shard.Team().SetFloors(n.classFloors(shard))
 		shard.Team().TurnHoldback(now)
 	}
 	n.place(now)
@@ -76,7 +76,7 @@
 	for shard := range n.shards.InOrder() {
 		n.stepShard(shard, cluster, now, reviewRunning)
 	}
-	n.countLate(now)
+	n.countLateJobs(now)
 	n.sendChangedStatuses()
 }
 
--- a/internal/controller/userbackend.go
+++ b/internal/controller/userbackend.go
@@ -186,8 +186,8 @@
 	now := time.Now()
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	taken, after := n.admission.door.Ask(keyOf(s), s.UID, wait, rate, now)
-	n.admission.served.Book(keyOf(s), now, func(c *admission.Count) {
+	taken, after := n.admission.rateLimiter.Admit(keyOf(s), s.UID, wait, rate, now)
+	n.admission.served.Record(keyOf(s), now, func(c *admission.Count) {
 		if c.Asked++; taken {
 			c.Accepted++
 		} else {
--- a/internal/controller/waiting.go
+++ b/internal/controller/waiting.go
@@ -59,7 +59,7 @@
 // appendOwnWaiting adds an own team's waiting tasks.
 func (n *Node) appendOwnWaiting(list []waitingTasks, shard *shards.Owned, now time.Time) []waitingTasks {
 	demands := shard.Team().Demands(now)
-	first := n.goFirst(shard, demands, now)
+	first := n.prioritizedTasks(shard, demands, now)
 	for i := range demands {
 		d := &demands[i]
 		own := claim{shard, shard.Team().Job(d.Spec.UID)}
