--- a/internal/userapi/golden_answers_test.go
+++ b/internal/userapi/golden_answers_test.go
@@ -20,21 +20,21 @@
 	running              int
 }
 
-func (s *steady) Types() []protocol.MachineType {
+func (s *steady) MachineTypes() []protocol.MachineType {
 	return []protocol.MachineType{{Name: "g8", CPUs: 96, GPUs: 8, MemoryGB: 768, Zones: []string{"a", "b"}}}
 }
-func (s *steady) Active(context.Context, string) bool              { return false }
-func (s *steady) Progress(string) (done, running int)              { return s.running / 4, s.running }
-func (s *steady) Trusted() bool                                    { return !s.untrusted }
-func (s *steady) Healthy() bool                                    { return !s.unhealthy }
-func (s *steady) Remembers(string) (ActiveJob, uint64, bool)       { return ActiveJob{}, 0, false }
-func (s *steady) Certain(context.Context) bool                     { return true }
-func (s *steady) Admit(spec *protocol.Submission) (bool, int)      { return spec.Class != "shed", 7 }
-func (s *steady) Hold(context.Context, *ActiveJob, string, JobEnd) {}
-func (s *steady) Accepted(ActiveJob, uint64)                       {}
-func (s *steady) Ended(string, JobEnd)                             {}
-func (s *steady) Confirming(string, JobEnd)                        {}
-func (s *steady) Missing(string)                                   {}
+func (s *steady) IsActive(context.Context, string) bool                  { return false }
+func (s *steady) Progress(string) (done, running int)                    { return s.running / 4, s.running }
+func (s *steady) StoreTrusted() bool                                     { return !s.untrusted }
+func (s *steady) Healthy() bool                                          { return !s.unhealthy }
+func (s *steady) KnownActiveJob(string) (ActiveJob, uint64, bool)        { return ActiveJob{}, 0, false }
+func (s *steady) CertainlyNeverAccepted(context.Context) bool            { return true }
+func (s *steady) Admit(spec *protocol.Submission) (bool, int)            { return spec.Class != "shed", 7 }
+func (s *steady) CopyToPeer(context.Context, *ActiveJob, string, JobEnd) {}
+func (s *steady) JobAccepted(ActiveJob, uint64)                          {}
+func (s *steady) JobEnded(string, JobEnd)                                {}
+func (s *steady) ConfirmingCancellation(string, JobEnd)                  {}
+func (s *steady) ReportMissing(string)                                   {}
 
 // TestGoldenAnswers: the answers to users, in the protocol's form.
 func TestGoldenAnswers(t *testing.T) {
--- a/internal/userapi/tenants_test.go
+++ b/internal/userapi/tenants_test.go
@@ -23,15 +23,15 @@
 func (b *behind) Conditions(name string) []protocol.Condition {
 	return []protocol.Condition{{Key: "w/t/" + name}}
 }
-func (b *behind) Types() []protocol.MachineType {
+func (b *behind) MachineTypes() []protocol.MachineType {
 	return []protocol.MachineType{{Name: "m8", CPUs: 8, MemoryGB: 64, Zones: []string{"east"}}}
 }
-func (b *behind) Trusted() bool                                    { return true }
-func (b *behind) Remembers(string) (ActiveJob, uint64, bool)       { return ActiveJob{}, 0, false }
-func (b *behind) Certain(context.Context) bool                     { b.caughtUp(); return true }
-func (b *behind) Admit(*protocol.Submission) (bool, int)           { return true, 0 }
-func (b *behind) Hold(context.Context, *ActiveJob, string, JobEnd) {}
-func (b *behind) Accepted(ActiveJob, uint64)                       {}
+func (b *behind) StoreTrusted() bool                                     { return true }
+func (b *behind) KnownActiveJob(string) (ActiveJob, uint64, bool)        { return ActiveJob{}, 0, false }
+func (b *behind) CertainlyNeverAccepted(context.Context) bool            { b.caughtUp(); return true }
+func (b *behind) Admit(*protocol.Submission) (bool, int)                 { return true, 0 }
+func (b *behind) CopyToPeer(context.Context, *ActiveJob, string, JobEnd) {}
+func (b *behind) JobAccepted(ActiveJob, uint64)                          {}
 
 // TestTeamsKnownLate: a controller that does not know yet that a team came refuses no job of it for good, and one that does not know that
 // a team was removed takes none.
