--- a/internal/controller/admit.go
+++ b/internal/controller/admit.go
@@ -290,7 +290,7 @@
 // admissionMachine describes a machine for a plan, if the plan may count on it.
 func (n *Node) admissionMachine(m *autoscaler.Machine, known *machine, now time.Time) (planned admission.Machine, ok bool) {
 	cpus, _, memory, ok := n.capacity(m.Type)
-	if !ok || m.SpotNotice || m.Faulty || n.drainingMachines[m.Name] || now.Sub(known.lastHeard()) > n.redirectTimeout() {
+	if !ok || m.SpotNotice || m.Faulty || n.drainingMachines[m.Name] || now.Sub(known.lastHeard()) > n.unreachableHomes.Timing().RedirectTimeout {
 		return planned, false
 	}
 	left := 0.0
--- a/internal/controller/fleetview.go
+++ b/internal/controller/fleetview.go
@@ -218,7 +218,7 @@
 		if machines[i].Spot {
 			s.spot++
 		}
-		if now.Sub(m.heardAt) > n.redirectTimeout() {
+		if now.Sub(m.heardAt) > n.unreachableHomes.Timing().RedirectTimeout {
 			s.silent++
 		}
 		cpus, _, _, _ := n.capacity(m.status.Type)
--- /dev/null
+++ b/internal/controller/heartbeat.go
@@ -0,0 +1,153 @@
+package controller
+
+import (
+	"maps"
+	"slices"
+	"time"
+
+	"topazhollow/internal/agents"
+	"topazhollow/internal/httpx"
+	"topazhollow/internal/protocol"
+)
+
+// An agent's heartbeat is taken in and answered here. Whether the lease may be renewed is decided by internal/leasegrant
+// (leaserenewal.go), whether an agent of another home is kept alive by agents.UnreachableHomes.
+
+// handleHeartbeat answers the request with a heartbeat.
+func (n *Node) handleHeartbeat(body []byte) httpx.Answer {
+	var h protocol.Heartbeat
+	if err := protocol.Decode(body, &h); err != nil {
+		return httpx.Refuse(400, "body is not a report")
+	}
+	if err := protocol.CheckHeartbeat(&h); err != nil {
+		return httpx.Refuse(400, err.Error())
+	}
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	return n.encodeAnswer(n.answerHeartbeat(&h, time.Now()))
+}
+
+// retryAfterSeconds is when an agent that got no lease is to try again.
+const retryAfterSeconds = 1
+
+// encodeAnswer makes the HTTP answer of what was decided about a heartbeat.
+func (n *Node) encodeAnswer(a agents.Answer) httpx.Answer {
+	switch a.Outcome {
+	case agents.Redirected:
+		return httpx.Answer{Status: 421, Body: protocol.Encode(protocol.Redirect{Controller: a.RedirectTo})}
+	case agents.KeptAlive, agents.Renewed:
+		answer := protocol.HeartbeatAnswer{FencingToken: n.record.Term, Commands: a.Commands}
+		return httpx.Answer{Status: 200, Body: protocol.Encode(answer)}
+	}
+	refused := httpx.Refuse(503, "not entitled now")
+	refused.RetryAfterSeconds = retryAfterSeconds
+	return refused
+}
+
+// answerHeartbeat decides about a heartbeat that came now.
+func (n *Node) answerHeartbeat(h *protocol.Heartbeat, now time.Time) agents.Answer {
+	n.observeFencingToken(h.FencingToken)
+	if !n.entitled(now) {
+		return n.answerUnentitled(h, now)
+	}
+	if h.FencingToken > n.record.Term {
+		n.hint() // a later record is in force
+		return agents.Answer{Outcome: agents.NotEntitled}
+	}
+	if home := n.homeOf(h.Machine); home != n.name {
+		return n.answerMisdirected(h, home, now)
+	}
+	if n.machine(h.Machine).gone {
+		return agents.Answer{Outcome: agents.NotEntitled}
+	}
+	return n.answerAsHome(h, now)
+}
+
+// answerAsHome takes in a heartbeat of an agent whose home this controller is, and answers with what is to be executed.
+func (n *Node) answerAsHome(h *protocol.Heartbeat, now time.Time) agents.Answer {
+	n.logFirst("first report answered", now)
+	n.applyHeartbeat(h, now)
+	defer n.sendChangedStatuses()
+	commands, ok := n.leaseGrant(h, now)
+	if !ok {
+		return agents.Answer{Outcome: agents.NotEntitled}
+	}
+	agent := n.agents.Get(h.Machine)
+	if agent.Heartbeat.Seq == h.Seq && agent.Heartbeat.Incarnation == h.Incarnation { // not an older one
+		n.prepareCommands(agent, now)
+		commands = append(commands, agent.TakeForAnswer()...)
+		n.publishStatus(h.Machine)
+	}
+	return agents.Answer{Outcome: agents.Renewed, Commands: commands}
+}
+
+// answerMisdirected answers an agent whose home is another controller.
+func (n *Node) answerMisdirected(h *protocol.Heartbeat, home string, now time.Time) agents.Answer {
+	n.machine(h.Machine).misdirectedAt = now
+	n.unreachableHomes.RecordMisdirected(h.Machine)
+	if n.routeMisdirected(home, h.Machine, now) == agents.RedirectHome {
+		return agents.Answer{Outcome: agents.Redirected, RedirectTo: home}
+	}
+	if stops, ok := n.leaseGrant(h, now); ok {
+		return agents.Answer{Outcome: agents.KeptAlive, Commands: stops}
+	}
+	return agents.Answer{Outcome: agents.NotEntitled}
+}
+
+// answerUnentitled answers an agent while this controller may not act: it redirects it to an entitled controller, if one
+// is reachable, and else keeps it alive for as long as that can do no harm.
+func (n *Node) answerUnentitled(h *protocol.Heartbeat, now time.Time) agents.Answer {
+	for _, name := range slices.Sorted(maps.Keys(n.peers)) {
+		if p := n.peers[name]; p.entitled && p.isReachable(now) {
+			return agents.Answer{Outcome: agents.Redirected, RedirectTo: name}
+		}
+	}
+	if n.mayKeepAlive(h, now) {
+		return agents.Answer{Outcome: agents.KeptAlive, Commands: []protocol.Command{}} // what it lists is all active
+	}
+	return agents.Answer{Outcome: agents.NotEntitled}
+}
+
+// mayKeepAlive says whether an agent may be kept alive by a controller that is not entitled, as in a zone that is cut
+// off. Such an answer changes nothing that an owner relies on: an agent's silence proves nothing, and nothing is
+// commanded, so every task that the agent lists must belong to a job that is active as far as known here.
+func (n *Node) mayKeepAlive(h *protocol.Heartbeat, now time.Time) bool {
+	if n.record == nil || h.FencingToken > n.record.Term || n.machine(h.Machine).gone {
+		return false
+	}
+	for _, t := range h.Tasks {
+		uid, _, _ := protocol.SplitTask(t.Task)
+		if j := n.jobs[uid]; t.State != protocol.Exited && (j == nil || !j.active) {
+			return false
+		}
+	}
+	_, ok := n.leaseGrant(h, now)
+	return ok
+}
+
+// applyHeartbeat takes in a heartbeat that an agent sent.
+func (n *Node) applyHeartbeat(h *protocol.Heartbeat, now time.Time) {
+	if newer, changed := n.agents.ApplyHeartbeat(h, now); newer {
+		n.recordHeartbeat(h, changed, now)
+	}
+}
+
+// applyResponse takes in the heartbeat in an agent's response to commands.
+func (n *Node) applyResponse(h *protocol.Heartbeat, now time.Time) {
+	if newer, changed := n.agents.ApplyResponse(h, now); newer {
+		n.recordHeartbeat(h, changed, now)
+	}
+}
+
+// recordHeartbeat notes that an agent is alive at its home, and publishes what changed.
+func (n *Node) recordHeartbeat(h *protocol.Heartbeat, changed bool, now time.Time) {
+	m := n.machine(h.Machine)
+	m.heardAt, m.homeHeardAt, m.homeWatermark = now, now, now
+	if !n.roster.Has(h.Machine) {
+		n.unregistered[h.Machine] = true
+		n.checkUnregistered(h, m, now)
+	}
+	if changed || m.status == nil {
+		n.publishStatus(h.Machine)
+	}
+}
--- a/internal/controller/inflight_test.go
+++ b/internal/controller/inflight_test.go
@@ -28,7 +28,7 @@
 func (o *ordering) report(at time.Time) (status int, commands []protocol.Command) {
 	o.seq++
 	r := protocol.Heartbeat{Machine: o.name, Addr: "127.0.0.1:1", Type: "m32", Zone: "east", Incarnation: 1, Seq: o.seq, FencingToken: 1, Tasks: []protocol.TaskStatus{}}
-	a := o.n.answerHeartbeat(&r, at)
+	a := o.n.encodeAnswer(o.n.answerHeartbeat(&r, at))
 	var answer protocol.HeartbeatAnswer
 	if err := protocol.Decode(a.Body, &answer); err != nil && a.Status == 200 {
 		panic(err)
--- /dev/null
+++ b/internal/controller/machinestatus.go
@@ -0,0 +1,260 @@
+package controller
+
+import (
+	"maps"
+	"slices"
+	"time"
+
+	"topazhollow/internal/jobstate"
+	"topazhollow/internal/protocol"
+	"topazhollow/internal/shards"
+)
+
+// What every controller knows of every machine: the status that its home makes of the agent's heartbeats and tells the
+// other controllers.
+
+// machine finds or makes what is known of a machine.
+func (n *Node) machine(name string) *machine {
+	m := n.machines[name]
+	if m == nil {
+		m = &machine{images: map[string]bool{}, runningSince: map[jobstate.AttemptRef]time.Time{}}
+		n.machines[name] = m
+	}
+	return m
+}
+
+// machineGone notes that the cloud confirmed a machine's end.
+func (n *Node) machineGone(name string) {
+	m := n.machine(name)
+	if m.gone {
+		return
+	}
+	if m.status != nil {
+		n.placeable = slices.DeleteFunc(n.placeable, func(x *machine) bool { return x == m })
+		n.indexTasks(m.status, false)
+	}
+	*m = machine{gone: true, heardAt: time.Now()}
+	n.quarantine.ForgetMachine(name)
+	n.agents.Drop(name)
+	n.unreachableHomes.Forget(name)
+	n.log.Info("machine gone", "machine", name)
+	for shard := range n.shards.All() {
+		if shard.IsReady() {
+			shard.Team().Gone(name)
+		}
+	}
+	if d := n.commandSenders[name]; d != nil {
+		delete(n.commandSenders, name)
+		close(d.signal)
+	}
+	n.wake()
+}
+
+// indexTasks keeps which machines list tasks of a job: those of a status are added if listed, else removed.
+func (n *Node) indexTasks(v *jobstate.MachineStatus, listed bool) {
+	for _, t := range v.Tasks {
+		on := n.machinesByJob[t.Job]
+		switch {
+		case listed && on == nil:
+			n.machinesByJob[t.Job] = map[string]bool{v.Machine: true}
+		case listed:
+			on[v.Machine] = true
+		case on != nil:
+			if delete(on, v.Machine); len(on) == 0 {
+				delete(n.machinesByJob, t.Job)
+			}
+		}
+	}
+}
+
+// homeOf returns the home of a machine by the present control record.
+func (n *Node) homeOf(name string) string {
+	if m := n.machines[name]; m != nil {
+		return n.homeFor(m, name)
+	}
+	return n.record.Home(name)
+}
+
+// homeFor is homeOf for a known machine; the answer is kept until the record changes.
+func (n *Node) homeFor(m *machine, name string) string {
+	if m.homeRecord != n.record {
+		m.home, m.homeRecord = n.record.Home(name), n.record
+	}
+	return m.home
+}
+
+// publishStatus takes in the status of a machine whose home is here, and marks it to be sent to the peers.
+func (n *Node) publishStatus(name string) {
+	v := n.agents.Status(name)
+	if v == nil || n.machine(name).status == v {
+		return // nothing changed
+	}
+	n.changedMachines[name] = true
+	n.applyStatus(v, time.Now())
+}
+
+// applyStatus takes in a machine's status, made here or sent by a peer, unless a newer one is known.
+func (n *Node) applyStatus(v *jobstate.MachineStatus, now time.Time) {
+	m := n.machine(v.Machine)
+	if m.gone || (m.status != nil && !v.Newer(m.status)) {
+		return
+	}
+	n.replaceStatus(m, v)
+	m.heardAt = now
+	n.recordRunTimes(m, v, now)
+	n.freed(v)
+	n.recordTasks(m, v, now)
+	n.reconcileShards(v)
+	n.stopOrphanedTasks(v)
+	n.wake()
+}
+
+// replaceStatus puts a status in place of the one that was known.
+func (n *Node) replaceStatus(m *machine, v *jobstate.MachineStatus) {
+	if m.status == nil {
+		n.placeable = append(n.placeable, m)
+	} else {
+		n.indexTasks(m.status, false)
+	}
+	n.indexTasks(v, true)
+	m.status, m.counted = v, false
+}
+
+// recordRunTimes notes since when each task has been running, and how long those took that are done.
+func (n *Node) recordRunTimes(m *machine, v *jobstate.MachineStatus, now time.Time) {
+	running := make(map[jobstate.AttemptRef]time.Time, len(v.Tasks))
+	for _, t := range v.Tasks {
+		since, wasRunning := m.runningSince[t.Ref()]
+		switch {
+		case t.State == protocol.Running && wasRunning:
+			running[t.Ref()] = since
+		case t.State == protocol.Running:
+			running[t.Ref()] = now
+			n.recordFirstRun(t.Job, now)
+		case wasRunning && t.Why == protocol.ReasonDone:
+			if j := n.jobs[t.Job]; j != nil {
+				j.longestRun = max(j.longestRun, now.Sub(since))
+				j.completedRuns++
+			}
+		}
+	}
+	m.runningSince = running
+}
+
+// maxStartLatency is the longest time from submission to start that the histogram tells apart.
+const maxStartLatency = time.Hour
+
+// recordFirstRun notes that a task of a job was seen running for the first time.
+func (n *Node) recordFirstRun(uid string, now time.Time) {
+	j := n.jobs[uid]
+	if j == nil || j.submittedAt.IsZero() {
+		return
+	}
+	n.recordStarted(j.spec, now)
+	latency := max(now.Sub(j.submittedAt).Milliseconds(), 1)
+	_ = n.startLatency.RecordValue(min(latency, maxStartLatency.Milliseconds()))
+}
+
+// maxKnownImages bounds the images that a machine is known to have; past it they are learned anew.
+const maxKnownImages = 64
+
+// recordTasks notes which tasks have ended and how, which images the machine has, and whether it is idle.
+func (n *Node) recordTasks(m *machine, v *jobstate.MachineStatus, now time.Time) {
+	if len(m.images) > maxKnownImages {
+		clear(m.images)
+	}
+	busy := false
+	for _, t := range v.Tasks {
+		if t.State != protocol.Exited {
+			busy = true
+		} else {
+			n.recordOutcome(t, v.Machine, now)
+		}
+		if j := n.jobs[t.Job]; j != nil {
+			m.images[j.spec.Image] = true
+		}
+	}
+	switch {
+	case busy:
+		m.idleSince = time.Time{}
+	case m.idleSince.IsZero():
+		m.idleSince = now
+	}
+}
+
+// reconcileShards gives a status to the shards owned here that have to do with the machine.
+func (n *Node) reconcileShards(v *jobstate.MachineStatus) {
+	teams := n.teamsOn(v)
+	unknown := n.oldestUnknownTerm(v)
+	for shard := range n.shards.InOrder() {
+		switch {
+		case shard.IsReady():
+			team, _ := shards.TeamOf(shard.Name())
+			account := shard.Team()
+			if slices.Contains(teams, team) || account.Holds(v.Machine) || account.Reserves(v.Machine) || unknown < account.Since() {
+				n.reconcileMachine(shard, v)
+			}
+		case shard.Phase() == shards.Barrier && shard.Awaits(v.Machine):
+			n.machineAnswered(shard, v)
+		}
+	}
+}
+
+// teamsOn lists the teams of the jobs whose tasks a status lists.
+func (n *Node) teamsOn(v *jobstate.MachineStatus) (teams []string) {
+	for _, t := range v.Tasks {
+		if j := n.jobs[t.Job]; j != nil && !slices.Contains(teams, j.spec.Team) {
+			teams = append(teams, j.spec.Team)
+		}
+	}
+	return teams
+}
+
+// recordOutcome notes a task's end as a machine lists it, for the quarantine of jobs and machines. Every controller sees
+// every status, so that whoever takes a team over knows its faulty jobs.
+func (n *Node) recordOutcome(t jobstate.TaskStatus, machine string, now time.Time) {
+	j := n.jobs[t.Job]
+	if j == nil || !j.active || (t.Why != protocol.ReasonError && t.Why != protocol.ReasonDone) {
+		return
+	}
+	faulty := t.Why == protocol.ReasonError
+	if faulty && n.quarantine.RecordFailure(t.Job, machine, now) {
+		n.log.Info("job held to be faulty: it failed on several machines and succeeded on none", "job", t.Job, "team", j.spec.Team, "last", machine)
+	} else if !faulty && n.quarantine.RecordSuccess(t.Job, machine) {
+		n.log.Info("job no longer held to be faulty", "job", t.Job, "team", j.spec.Team)
+	} else {
+		return
+	}
+	if shard := n.shards.OfTeam(j.spec.Team); shard != nil && shard.Phase() != shards.Loading {
+		shard.Team().SetFaulty(t.Job, faulty)
+	}
+}
+
+// maxStatusesPerMessage bounds the machines and tasks that one message tells of: about 300 KB. A link refuses messages of
+// more than 4 MiB, which all machines of a large fleet took when a peer came back: the link was dropped and sent the same
+// message again.
+const maxStatusesPerMessage = 4000
+
+// sendChangedStatuses sends the statuses that changed to all peers.
+func (n *Node) sendChangedStatuses() {
+	if len(n.changedMachines) == 0 {
+		return
+	}
+	var views []*jobstate.MachineStatus
+	tasks := 0
+	for _, name := range slices.Sorted(maps.Keys(n.changedMachines)) {
+		v := n.agents.Status(name)
+		if v == nil {
+			continue
+		}
+		views = append(views, v)
+		if tasks += 1 + len(v.Tasks); tasks >= maxStatusesPerMessage {
+			n.broadcast(kindMachineStatuses, views)
+			views, tasks = nil, 0
+		}
+	}
+	n.changedMachines = map[string]bool{}
+	if len(views) > 0 {
+		n.broadcast(kindMachineStatuses, views)
+	}
+}
--- a/internal/controller/meeting_test.go
+++ b/internal/controller/meeting_test.go
@@ -14,7 +14,6 @@
 
 	"topazhollow/internal/cancelwatermark"
 	"topazhollow/internal/datarecovery"
-	"topazhollow/internal/httpx"
 	"topazhollow/internal/jobstate"
 	"topazhollow/internal/leadership"
 	"topazhollow/internal/protocol"
@@ -488,7 +487,7 @@
 			r.Tasks = append(r.Tasks, protocol.TaskStatus{Task: task, Attempt: 1, State: state, Reason: protocol.ReasonDone})
 		}
 		n.lease.Renewed(at)
-		a := n.answerHeartbeat(&r, at)
+		a := n.encodeAnswer(n.answerHeartbeat(&r, at))
 		var answer protocol.HeartbeatAnswer
 		if err := protocol.Decode(a.Body, &answer); err != nil {
 			t.Fatal(err)
@@ -537,18 +536,18 @@
 		t.Fatal("no start waits")
 	}
 	n.mu.Unlock()
-	var link *httpx.ClientConn
+	sender := &commandSender{machine: g.names[0]}
 	n.mu.Lock()
 	n.cancelWatermark = cancelwatermark.New([]string{"node-b"}, 0, 0)
 	n.cancelWatermark.RecordRead(time.Now().Add(-time.Minute))
 	n.mu.Unlock()
-	if n.sendCommandsOnce(n.ctx, g.names[0], &link) || link != nil {
+	if n.sendCommandsOnce(n.ctx, sender) || sender.conn != nil {
 		t.Error("a start goes out that may land after what is known has run out")
 	}
 	n.mu.Lock()
 	n.cancelWatermark.RecordRead(time.Now())
 	n.mu.Unlock()
-	if n.sendCommandsOnce(n.ctx, g.names[0], &link); link == nil {
+	if n.sendCommandsOnce(n.ctx, sender); sender.conn == nil {
 		t.Error("a start does not go out while what is known is current")
 	}
 }
--- a/internal/controller/node.go
+++ b/internal/controller/node.go
@@ -104,20 +104,19 @@
 	startLatency *hdrhistogram.Histogram // ms from submission to a task seen running
 
 	// Machines, and the agents that report here.
-	machines          map[string]*machine
-	machinesByJob     map[string]map[string]bool // by job, the machines that list any task of it
-	machineTypes      []protocol.MachineType
-	roster            *agents.Roster
-	unregistered      map[string]bool // machines to be registered
-	removingGone      bool            // gone machines are being taken off the roster
-	agents            *agents.Registry
-	commandSenders    map[string]*commandSender
-	changedMachines   map[string]bool                    // machines whose view is to be told to peers
-	unreachableHomes  map[string]map[string]misdirection // homes that machines tried in vain
-	misdirectedAgents map[string]bool                    // machines of other homes that reported here since the last status
-	agentsReachable   bool                               // workers can be reached again
-	probes            barrierProbes
-	quarantine        *quarantine.Tracker
+	machines         map[string]*machine
+	machinesByJob    map[string]map[string]bool // by job, the machines that list any task of it
+	machineTypes     []protocol.MachineType
+	roster           *agents.Roster
+	unregistered     map[string]bool // machines to be registered
+	removingGone     bool            // gone machines are being taken off the roster
+	agents           *agents.Registry
+	commandSenders   map[string]*commandSender
+	changedMachines  map[string]bool // machines whose view is to be told to peers
+	unreachableHomes *agents.UnreachableHomes
+	agentsReachable  bool // workers can be reached again
+	probes           barrierProbes
+	quarantine       *quarantine.Tracker
 
 	// Placement, and who makes room for others.
 	placeable            []*machine       // those with a view, for placement
@@ -156,7 +155,6 @@
 	homeWatermark     time.Time // a start that its home sent and that may still arrive was sent knowing all withdrawals before
 	home              string    // by the record homeBy
 	homeRecord        *leadership.Record
-	keptAliveAt       time.Time // when it was last kept alive here as its home was silent
 	misdirectedAt     time.Time // when it last reported to a controller that is not its home
 	unregisteredSince time.Time // since when it reports tasks though it is on no list of machines
 	inspectedAt       time.Time // when it was last asked whether it is there
@@ -222,8 +220,7 @@
 	n.unregistered = map[string]bool{}
 	n.changedMachines = map[string]bool{}
 	n.drainingMachines = map[string]bool{}
-	n.misdirectedAgents = map[string]bool{}
-	n.unreachableHomes = map[string]map[string]misdirection{}
+	n.unreachableHomes = agents.NewUnreachableHomes(agentTiming(n.settings))
 	n.commandSenders = map[string]*commandSender{}
 }
 
--- a/internal/controller/overview.go
+++ b/internal/controller/overview.go
@@ -120,7 +120,7 @@
 // machinesOverview counts machines by state.
 func (n *Node) machinesOverview(now time.Time) machinesOverview {
 	x := machinesOverview{Homed: len(n.agents.All())}
-	silent := 2 * n.redirectTimeout()
+	silent := 2 * n.unreachableHomes.Timing().RedirectTimeout
 	for _, m := range n.machines {
 		if m.gone || m.status == nil {
 			continue
--- a/internal/controller/provisioning.go
+++ b/internal/controller/provisioning.go
@@ -117,7 +117,7 @@
 		// Lists may be twice as old as their lag, and a report may be late.
 		Unlisted: settings.Seconds(2*deployment.Cloud.ListLagSeconds) + time.Second,
 		Hurry:    settings.Seconds(2*deployment.Agents.HeartbeatSeconds) + answerTime,
-		Overdue:  n.heartbeatOverdue() + time.Second,
+		Overdue:  n.unreachableHomes.Timing().HeartbeatOverdue + time.Second,
 		Silent:   min(lease+4*time.Second, cancel/2),
 		// What runs in a zone that is cut off is kept alive there for no longer than this.
 		Cut: cancel,
--- a/internal/controller/orphan.go
+++ b/internal/controller/reconcile.go
@@ -9,8 +9,9 @@
 	"topazhollow/internal/userapi"
 )
 
-// What this controller knows of orphaned tasks: those that machines list though no account placed them or their job
-// is over. The accounts count them against the quota (internal/jobstate); here is how a job's end is looked up.
+// Reconciliation of orphaned tasks: those that machines list though no account placed them, or though their job has
+// ended. The accounts count them against the quota (internal/jobstate). Here they are stopped, and the ends of jobs that
+// nobody here can describe are looked up.
 
 // teamKnowledge is what this controller can tell the account of a team.
 type teamKnowledge struct {
@@ -138,3 +139,30 @@
 		n.proveLoss("a worker has a task of a job that the store does not know")
 	}
 }
+
+// stopOrphanedTasks has the home of a machine end what it lists of jobs that have ended: that is true for good, whoever
+// owns the team.
+func (n *Node) stopOrphanedTasks(v *jobstate.MachineStatus) {
+	if n.agents.Get(v.Machine) == nil || n.record == nil || n.homeOf(v.Machine) != n.name {
+		return
+	}
+	var orders []jobstate.Order
+	for _, t := range v.Tasks {
+		j := n.jobs[t.Job]
+		if t.State == jobstate.Ordered || (j != nil && j.active) {
+			continue
+		}
+		if j == nil {
+			n.lookUpEnd(t.Job, t.Attempt)
+			continue
+		}
+		o := jobstate.Order{Op: protocol.Stop, TaskID: t.TaskID, Attempt: t.Attempt, Incarnation: v.Incarnation}
+		if t.State == protocol.Exited {
+			o.Op = protocol.Forget
+		}
+		orders = append(orders, o)
+	}
+	if len(orders) > 0 && n.agents.QueueOrders(n.record.Term, v.Machine, orders) {
+		n.wakeCommandSender(v.Machine)
+	}
+}
--- a/internal/controller/recordchange.go
+++ b/internal/controller/recordchange.go
@@ -196,7 +196,7 @@
 	} else {
 		n.agentsReachable = false
 	}
-	if home := n.unreachableMember(now); home != "" && now.Sub(n.termChangedAt) > 3*time.Second {
+	if home := n.unreachableHomes.Find(machineHomes{n}, now); home != "" && now.Sub(n.termChangedAt) > 3*time.Second {
 		if next := leadership.WithReachability(record, home, true); next != nil {
 			return next, nil, "workers cannot reach " + home
 		}
--- a/internal/controller/recovery_epoch.go
+++ b/internal/controller/recovery_epoch.go
@@ -155,7 +155,7 @@
 	}
 	n.recovery.gathering.Begin(record.Epoch, members)
 	n.membershipSettledAt = time.Now() // machines did not reach their homes while nobody was entitled
-	clear(n.unreachableHomes)
+	n.unreachableHomes.ForgetAttempts()
 	for name := range n.recovery.census.Remembered() {
 		if record.Home(name) == n.name {
 			n.unregistered[name] = true
--- a/internal/controller/status.go
+++ b/internal/controller/status.go
@@ -92,7 +92,7 @@
 		s.Term = n.record.Term
 	}
 	s.HeartbeatAges, s.InFlightAges = n.heartbeatAges(now)
-	s.Misdirected = n.takeMisdirected()
+	s.Misdirected = n.unreachableHomes.TakeMisdirected()
 	s.Demands = n.demands(now)
 	s.Progress = n.dueProgress(now)
 	s.Plan = n.planStatus()
@@ -145,13 +145,6 @@
 	return ages, inFlight
 }
 
-// takeMisdirected lists the machines of other homes that reported here since the last status.
-func (n *Node) takeMisdirected() []string {
-	names := slices.Sorted(maps.Keys(n.misdirectedAgents))
-	clear(n.misdirectedAgents)
-	return names
-}
-
 // anyJob counts the starts of all jobs.
 func anyJob(string) bool { return true }
 
@@ -161,7 +154,11 @@
 	const many, long = 2000, 5 * time.Minute
 	if len(n.machines) > many {
 		maps.DeleteFunc(n.machines, func(name string, m *machine) bool {
-			return m.gone && now.Sub(m.heardAt) > long && !n.roster.Has(name)
+			if !m.gone || now.Sub(m.heardAt) <= long || n.roster.Has(name) {
+				return false
+			}
+			n.unreachableHomes.Forget(name)
+			return true
 		})
 	}
 	if len(n.jobs) < many {
--- a/internal/controller/stray_test.go
+++ b/internal/controller/stray_test.go
@@ -36,7 +36,7 @@
 			w.answer(now)
 		case !w.here: // 4 s for an answer, 1 s to the next controller
 			w.here, w.next = true, now.Add(5*time.Second)
-		case n.keepAliveForHome(home, w.name, now):
+		case n.routeMisdirected(home, w.name, now) == agents.KeepAlive:
 			w.answer(now)
 		default:
 			w.here, w.next = false, now.Add(500*time.Millisecond)
@@ -55,6 +55,7 @@
 	for _, silent := range []bool{true, false} { // do the peers hear the home?
 		n := newGrown(4, 1).n
 		n.settings.Deployment.Agents = settings.Agents{HeartbeatSeconds: 2, LeaseSeconds: 12, CancelSeconds: 32}
+		n.unreachableHomes = agents.NewUnreachableHomes(agentTiming(n.settings))
 		lease := settings.Seconds(n.settings.Deployment.Agents.LeaseSeconds)
 		start := time.Now()
 		n.membershipSettledAt = start.Add(-time.Minute)
@@ -99,15 +100,15 @@
 		}
 	}
 	come := func(names []string) string {
-		n.unreachableHomes = map[string]map[string]misdirection{}
+		n.unreachableHomes = agents.NewUnreachableHomes(agentTiming(n.settings))
 		for i := range 6 {
 			at := now.Add(time.Duration(i) * time.Second)
 			n.peers[home].lastMessageAt = at
 			for _, name := range names {
-				n.keepAliveForHome(home, name, at)
+				n.routeMisdirected(home, name, at)
 			}
 		}
-		return n.unreachableMember(now.Add(6 * time.Second))
+		return n.unreachableHomes.Find(machineHomes{n}, now.Add(6*time.Second))
 	}
 	if got := come(homed[:1]); got != "" || len(homed) < 20 {
 		t.Errorf("one machine of %d leaves %q out", len(homed), got)
--- a/internal/controller/sustain_test.go
+++ b/internal/controller/sustain_test.go
@@ -32,7 +32,7 @@
 		if err := protocol.Decode(report(name, token, state, task), &r); err != nil {
 			t.Fatal(err)
 		}
-		return n.answerUnentitled(&r, at).Status
+		return n.encodeAnswer(n.answerUnentitled(&r, at)).Status
 	}
 	name, later := g.names[0], g.now.Add(10*time.Second)
 	if n.entitled(later) {
