--- a/internal/cli/config.go
+++ b/internal/cli/config.go
@@ -44,7 +44,7 @@
 	client := kvstore.New(s.Outside.KVStore, s.Deployment.KVStore, len(s.Peers)+2)
 	go client.Run(ctx)
 	w := teamstore.New(client, s.Deployment.Teams)
-	return w, w.Open(ctx, controlRecord)
+	return w, w.BindEpoch(ctx, controlRecord)
 }
 
 // teamChange is what is to be changed of a team; nil stays as it is.
@@ -115,17 +115,17 @@
 type configAnswer struct {
 	Node   string `json:"node"`
 	Config *struct {
-		Known     uint64              `json:"known_revision"`
-		Age       *float64            `json:"age_s"`
-		Fresh     bool                `json:"fresh"`
-		Latest    uint64              `json:"latest_change"`
-		Reached   uint64              `json:"known_by_all"`
-		Behind    []teamconfig.Behind `json:"behind"`
-		Unwritten int                 `json:"unwritten"`
-		Lacks     bool                `json:"may_lack_changes"`
-		Overruled []teamconfig.Change `json:"overruled"`
-		Strangers []string            `json:"other_settings_file"`
-		Changes   map[string]uint64   `json:"in_force"`
+		Known     uint64                     `json:"known_revision"`
+		Age       *float64                   `json:"age_s"`
+		Fresh     bool                       `json:"fresh"`
+		Latest    uint64                     `json:"latest_change"`
+		Reached   uint64                     `json:"known_by_all"`
+		Behind    []teamconfig.LaggingMember `json:"behind"`
+		Unwritten int                        `json:"unwritten"`
+		Lacks     bool                       `json:"may_lack_changes"`
+		Overruled []teamconfig.Change        `json:"overruled"`
+		Strangers []string                   `json:"other_settings_file"`
+		Changes   map[string]uint64          `json:"in_force"`
 		Open      []struct {
 			Team   string `json:"team"`
 			Number uint64 `json:"number"`
@@ -253,7 +253,7 @@
 			continue
 		}
 		for _, b := range x.Behind {
-			fmt.Fprintf(r.out, "  %s is behind: knows revision %d, for %.1f s\n", b.Node, b.Known, b.For)
+			fmt.Fprintf(r.out, "  %s is behind: knows revision %d, for %.1f s\n", b.Node, b.Known, b.BehindSeconds)
 		}
 		for _, o := range x.Open {
 			fmt.Fprintf(r.out, "  change %d of team %s is not in force; its owner is %q\n", o.Number, o.Team, o.Owner)
--- a/internal/controller/changesync.go
+++ b/internal/controller/changesync.go
@@ -95,7 +95,7 @@
 // knows books that all that the state service had when a read began was taken in. After a loss that is not all
 // that was confirmed, until everybody's memory is gathered.
 func (n *Node) recordFullRead(began time.Time) {
-	n.configCurrent(began)
+	n.noteConfigRead(began)
 	if n.trusted() && n.memoriesGathered(time.Now()) {
 		n.cancelWatermark.RecordRead(began)
 	}
--- a/internal/controller/config_test.go
+++ b/internal/controller/config_test.go
@@ -35,7 +35,7 @@
 	client := kvstore.New(c.state.Addr(), c.sets[0].Deployment.KVStore, 4)
 	go client.Run(ctx)
 	w := teamstore.New(client, c.sets[0].Deployment.Teams)
-	c.until("the operator's command knows the store", func() bool { return w.Open(ctx, controlKey) == nil })
+	c.until("the operator's command knows the store", func() bool { return w.BindEpoch(ctx, controlKey) == nil })
 	return w
 }
 
@@ -273,7 +273,7 @@
 	client := kvstore.New(door.Addr(), c.sets[0].Deployment.KVStore, 4)
 	go client.Run(ctx)
 	held := teamstore.New(client, nil)
-	c.until("it knows the store", func() bool { return held.Open(ctx, controlKey) == nil })
+	c.until("it knows the store", func() bool { return held.BindEpoch(ctx, controlKey) == nil })
 	first := true
 	door.Late(func() time.Duration { // an answer that does not come, of a change that does
 		if !first {
@@ -319,11 +319,11 @@
 	now := time.Now()
 	n.watchedKeysRead = true
 	n.changed(protocol.Change{Set: teamstore.Prefix + "team-0", Value: []byte(`{"number":1,"change":"x","cpus_max":1}`), Version: 9})
-	n.configure(now)
+	n.applyTeamLimits(now)
 	if s := n.status(now); n.teamConfig != nil || s.Config != nil || n.rememberedConfig() != nil {
 		t.Error("the configuration is followed")
 	}
-	if len(n.acknowledgedKeys()) != len(n.roster.Versions()) || len(n.itemNames()) != 2 || n.shards.OfTeam("team-0").Team().MaxCPUs != 10000 {
-		t.Errorf("witnesses %v, items %v", n.acknowledgedKeys(), n.itemNames())
+	if len(n.acknowledgedKeys()) != len(n.roster.Versions()) || len(n.shardNames()) != 2 || n.shards.OfTeam("team-0").Team().MaxCPUs != 10000 {
+		t.Errorf("witnesses %v, items %v", n.acknowledgedKeys(), n.shardNames())
 	}
 }
--- a/internal/controller/configtenants.go
+++ b/internal/controller/configtenants.go
@@ -19,7 +19,7 @@
 	n := t.node
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return n.teamConfig.teams.Takes(name)
+	return n.teamConfig.config.AcceptsJobs(name)
 }
 
 // Rests names what an acceptance for a team rests on: its configuration as known here.
@@ -30,5 +30,5 @@
 	if !teamconfig.ValidTeam(name) {
 		return nil
 	}
-	return []protocol.Condition{{Key: teamstore.Prefix + name, Version: n.teamConfig.teams.Version(name)}}
+	return []protocol.Condition{{Key: teamstore.Prefix + name, Version: n.teamConfig.config.Version(name)}}
 }
--- a/internal/controller/control.go
+++ b/internal/controller/control.go
@@ -174,7 +174,7 @@
 			n.suspectLoss("a list of machines is not there") // they are never deleted
 		}
 	}
-	n.configListed(seen)
+	n.checkConfigListed(seen)
 	n.watchedKeysRead, n.followedRevision = true, revision
 	n.recount(maps.Keys(n.machines)) // jobs may be known now that machines listed before
 }
--- a/internal/controller/golden_overview_test.go
+++ b/internal/controller/golden_overview_test.go
@@ -25,7 +25,7 @@
 				Oldest: 12.5, Floor: 24}}},
 		Store: datarecovery.Status{Phase: datarecovery.Suspected.String(), Sign: "revision lower than one seen", Epoch: 2, DataLost: true, RosterIncomplete: true, AwaitedMemories: []string{"estacion-2"}, Unwritten: 1,
 			StaleActive: 2, Ends: 3, MemoryComplete: true, Unreplicated: 4, Undescribed: []string{"job-000500"}, Suspicions: 5, Losses: 6},
-		Config: &configOverview{Known: 430, Age: &age, Fresh: true, Latest: 429, Reached: 428, Record: 412, Behind: []teamconfig.Behind{{Node: "estacion-2", Known: 427, For: 2.5}},
+		Config: &configOverview{Known: 430, Age: &age, Fresh: true, Latest: 429, Reached: 428, Record: 412, Behind: []teamconfig.LaggingMember{{Node: "estacion-2", Known: 427, BehindSeconds: 2.5}},
 			Open: []openChange{{Team: "vision", Number: 3, Owner: "estacion-1"}}, Unwritten: 1, Lacks: true, Overruled: []teamconfig.Change{goldenChange}, Strangers: []string{"estacion-3"},
 			Changes: map[string]uint64{"vision": 2}},
 	}
--- a/internal/controller/golden_test.go
+++ b/internal/controller/golden_test.go
@@ -103,7 +103,7 @@
 		Store:         datarecovery.Assessment{Epoch: 2, Term: 41, Incarnation: 1767225600000003, Revision: 431, SuspectsLoss: true, ConfirmedLoss: true, MemoryComplete: true},
 		RecordVersion: &version, Cancellations: &told,
 		Plan:   admission.PlanStatus{Latest: admission.ID{SinceTerm: 41, Number: 6}, InForce: goldenPlan(5), Next: goldenPlan(6)},
-		Config: &teamconfig.Word{Serial: 9, Generation: 2, Record: 412, Known: 430, Unsettled: []string{"vision"}, Base: 11400714819323198485},
+		Config: &teamconfig.Status{Serial: 9, Epoch: 2, RecordVersion: 412, KnownRevision: 430, Unsettled: []string{"vision"}, BaseDigest: 11400714819323198485},
 	}
 }
 
--- a/internal/controller/messages.go
+++ b/internal/controller/messages.go
@@ -63,7 +63,7 @@
 	Cancellations *uint64 `json:"told"`
 	// Plan is what the sender knows of plans of quota, Config of the teams' configuration.
 	Plan   admission.PlanStatus `json:"plan"`
-	Config *teamconfig.Word     `json:"config,omitempty"`
+	Config *teamconfig.Status   `json:"config,omitempty"`
 }
 
 // receivedStatus acknowledges the last status of a peer.
--- a/internal/controller/node.go
+++ b/internal/controller/node.go
@@ -129,8 +129,8 @@
 	evictions            map[jobstate.AttemptRef]eviction
 
 	// Quota: plans of fair shares and floors, and the configuration of the teams.
-	admission  *admissionState // who gets how much of what is short
-	teamConfig *configFollow   // the teams' configuration; nil: it does not change
+	admission  *admissionState  // who gets how much of what is short
+	teamConfig *teamConfigState // the teams' configuration; nil: it does not change
 
 	// The fleet, while this controller owns its shard.
 	drainingMachines map[string]bool
@@ -260,7 +260,7 @@
 // newUserAPI makes what answers users.
 func (n *Node) newUserAPI() {
 	n.front = userapi.New(n.settings, n.kvStore, userBackend{n})
-	n.teamConfig = newConfigFollow(n.settings, n.options)
+	n.teamConfig = newTeamConfigState(n.settings, n.options)
 	if n.teamConfig != nil {
 		n.front.UseTeams(configTenants{n})
 	}
--- a/internal/controller/owner.go
+++ b/internal/controller/owner.go
@@ -28,7 +28,7 @@
 
 // takeOwnership begins to own a shard that the control record gives to this controller.
 func (n *Node) takeOwnership(name string) {
-	n.tookTeam()
+	n.noteTeamTakenOver()
 	shard := n.shards.Take(shards.Takeover{
 		Name:      name,
 		Record:    n.record,
--- a/internal/controller/peerhandler.go
+++ b/internal/controller/peerhandler.go
@@ -78,7 +78,7 @@
 		n.onRecord(m)
 	}),
 	kindTeamConfig: typed(func(n *Node, _ *sender, m *configMsg, now time.Time) {
-		n.onConfig(m, now)
+		n.onConfigChanges(m, now)
 	}),
 	kindEvict: typed(func(n *Node, _ *sender, m *evictMsg, _ time.Time) {
 		n.onEvict(m)
@@ -142,7 +142,7 @@
 	n.sendNewerRecord(from.name, s, now)
 	n.recovery.detection.PeerAssessed(from.name, s.Store, n.record, now)
 	n.onPlanStatus(from.name, from.incarnation, from.state, &s.Plan)
-	n.onConfigWord(from.name, from.incarnation, s.Config, now)
+	n.onConfigStatus(from.name, from.incarnation, s.Config, now)
 }
 
 // resetIfHalfOpen has the connection to a peer dialled anew if the peer's messages arrive here, but its statuses say that
--- a/internal/controller/recordchange.go
+++ b/internal/controller/recordchange.go
@@ -156,7 +156,7 @@
 		// Drawn, so that workers' tokens tell an earlier store's terms from this one's.
 		record = (&leadership.Record{Term: 1<<10 + n.rng.Uint64N(1<<20)}).Clone()
 	}
-	if next, conds := leadership.Repair(record, n.itemNames(), n.presences); next != nil {
+	if next, conds := leadership.Repair(record, n.shardNames(), n.presences); next != nil {
 		if n.memberMissingSince.IsZero() {
 			n.memberMissingSince = now
 		}
--- a/internal/controller/recovery_epoch.go
+++ b/internal/controller/recovery_epoch.go
@@ -133,7 +133,7 @@
 		n.learnJob(userapi.ActiveJob(job), 0)
 	}
 	n.roster = newRoster(n.settings)
-	n.configEntered()
+	n.startConfigEpoch()
 	n.recordVersion, n.unansweredVersion = 0, 0
 	n.presences, n.memberMissingSince = map[string]leadership.Presence{}, time.Time{}
 	n.recovery.detection.LeaveEpoch()
@@ -199,7 +199,7 @@
 	defer n.mu.Unlock()
 	evidence, contents, ready = n.recovery.detection.Proposal(n.record, n.kvStore.LastRevision(), time.Now())
 	evidence.Controllers = n.settings.ControllerNames()
-	evidence.Shards = n.itemNames()
+	evidence.Shards = n.shardNames()
 	evidence.ChangeUnanswered = n.unansweredVersion != 0 || n.recordChangePending
 	evidence.StoreID = randomStoreID()
 	return evidence, contents, ready
--- a/internal/controller/status.go
+++ b/internal/controller/status.go
@@ -96,7 +96,7 @@
 	s.Demands = n.demands(now)
 	s.Progress = n.dueProgress(now)
 	s.Plan = n.planStatus()
-	s.Config = n.configWord(now)
+	s.Config = n.teamConfigStatus(now)
 	s.Awaited = n.shards.AwaitedMachines()
 	s.Unanswered = n.unanswered()
 	if n.shards.OwnsFleet() {
--- a/internal/controller/step.go
+++ b/internal/controller/step.go
@@ -62,7 +62,7 @@
 	if !n.entitled(now) {
 		return
 	}
-	n.configure(now)
+	n.applyTeamLimits(now)
 	for shard := range n.shards.All() {
 		shard.Team().SetFloors(n.classFloors(shard))
 		shard.Team().TurnHoldback(now)
--- a/internal/controller/config_follow.go
+++ b/internal/controller/teamconfig.go
@@ -15,27 +15,27 @@
 	"topazhollow/internal/teamstore"
 )
 
-// What connects internal/teamconfig, which decides, to the controller: docs/configuration.md tells what it promises.
-// All of it is off, and Node.config nil, unless the operator's script sets config_bound_s.
+// What connects internal/teamconfig, which decides, to the controller: docs/configuration.md says what it guarantees.
+// All of it is off, and Node.teamConfig nil, unless the operator's script sets config_bound_s.
 
-// configFollow is what a controller knows of the teams' configuration, and of who else knows it.
-type configFollow struct {
-	teams   *teamconfig.Config
-	force   *teamconfig.Force
-	base    uint64               // digest of the settings file's teams
-	serial  uint64               // of this process's words
-	lagging map[string]time.Time // since when peers' words were behind, and when they were last told
-	writing map[string]bool      // entries that are being written back
-	logged  time.Time
+// teamConfigState is what a controller knows of the teams' configuration, and of who else knows it.
+type teamConfigState struct {
+	config          *teamconfig.Config
+	propagation     *teamconfig.Propagation
+	baseDigest      uint64               // digest of the settings file's teams
+	statusSerial    uint64               // of this process's statuses
+	behindSince     map[string]time.Time // since when peers are behind, or when they were last sent what they lack
+	writing         map[string]bool      // entries that are being written back
+	laggingLoggedAt time.Time
 }
 
-// newConfigFollow is nil unless the configuration is to be followed.
-func newConfigFollow(s *settings.Settings, o *settings.Options) *configFollow {
+// newTeamConfigState is nil unless the configuration is to be followed.
+func newTeamConfigState(s *settings.Settings, o *settings.Options) *teamConfigState {
 	if o.ConfigBoundSeconds <= 0 {
 		return nil
 	}
-	return &configFollow{teams: teamconfig.New(s.Deployment.Teams, settings.Seconds(o.ConfigBoundSeconds)), force: teamconfig.NewForce(),
-		base: teamconfig.BaseDigest(s.Deployment.Teams), lagging: map[string]time.Time{}, writing: map[string]bool{}}
+	return &teamConfigState{config: teamconfig.New(s.Deployment.Teams, settings.Seconds(o.ConfigBoundSeconds)), propagation: teamconfig.NewPropagation(),
+		baseDigest: teamconfig.BaseDigest(s.Deployment.Teams), behindSince: map[string]time.Time{}, writing: map[string]bool{}}
 }
 
 // teams lists the teams as far as known here.
@@ -43,11 +43,11 @@
 	if n.teamConfig == nil {
 		return n.settings.Deployment.Teams
 	}
-	return n.teamConfig.teams.Teams()
+	return n.teamConfig.config.Teams()
 }
 
-// itemNames lists all items: the teams and the fleet.
-func (n *Node) itemNames() []string {
+// shardNames lists all items: the teams and the fleet.
+func (n *Node) shardNames() []string {
 	names := []string{leadership.FleetShard}
 	listed := map[string]bool{}
 	for _, t := range n.teams() {
@@ -83,8 +83,8 @@
 		n.log.Error("unreadable key in the state service", "key", e.Set, "err", err)
 		return
 	}
-	overruled := len(n.teamConfig.teams.Overruled())
-	if n.teamConfig.teams.Learn(name, entry, e.Version) {
+	overruled := len(n.teamConfig.config.Overruled())
+	if n.teamConfig.config.Learn(name, entry, e.Version) {
 		n.log.Info("team's configuration", "team", name, "number", entry.Number, "version", e.Version, "cpus_max", entry.CPUsMax, "removed", entry.Removed)
 		n.wake()
 		n.requestStatus()
@@ -92,36 +92,36 @@
 	n.logOverruled(overruled)
 }
 
-// logOverruled tells of the acknowledged changes after the first so many that lost against others.
+// logOverruled logs the acknowledged changes after the first so many that lost against others.
 func (n *Node) logOverruled(known int) {
-	for _, x := range n.teamConfig.teams.Overruled()[known:] {
+	for _, x := range n.teamConfig.config.Overruled()[known:] {
 		n.log.Error("acknowledged change of a team's configuration overruled", "team", x.Team, "number", x.Entry.Number, "change", x.Entry.Change)
 	}
 }
 
-// configCurrent books that all watched keys are known up to n.revision, by a read that began at a time.
-func (n *Node) configCurrent(began time.Time) {
+// noteConfigRead notes that all watched keys are known up to n.revision, by a read that began at a time.
+func (n *Node) noteConfigRead(began time.Time) {
 	if n.teamConfig != nil && n.trusted() && n.watchedKeysRead {
-		n.teamConfig.teams.CaughtUp(n.followedRevision, began)
+		n.teamConfig.config.CaughtUp(n.followedRevision, began)
 	}
 }
 
-// configListed sees that a full list names every entry known: they are never deleted.
-func (n *Node) configListed(seen map[string]bool) {
+// checkConfigListed sees that a full list names every entry known: they are never deleted.
+func (n *Node) checkConfigListed(seen map[string]bool) {
 	if n.teamConfig == nil {
 		return
 	}
-	for name, version := range n.teamConfig.teams.Versions() {
+	for name, version := range n.teamConfig.config.Versions() {
 		if version > 0 && !seen[teamstore.Prefix+name] {
 			n.suspectLoss("a team's configuration is not there")
 		}
 	}
 }
 
-// configEntered begins to rely on the state service's data anew.
-func (n *Node) configEntered() {
+// startConfigEpoch begins to rely on the state service's data anew.
+func (n *Node) startConfigEpoch() {
 	if n.teamConfig != nil {
-		n.teamConfig.teams.Entered()
+		n.teamConfig.config.StartEpoch()
 	}
 }
 
@@ -131,8 +131,8 @@
 		return
 	}
 	const some = 8
-	latest, added := n.teamConfig.teams.Latest(), 0
-	for name, version := range n.teamConfig.teams.Versions() {
+	latest, added := n.teamConfig.config.LatestVersion(), 0
+	for name, version := range n.teamConfig.config.Versions() {
 		if version > 0 && (version == latest || added < some) {
 			witnesses[teamstore.Prefix+name] = version
 			added++
@@ -145,21 +145,21 @@
 	if n.teamConfig == nil {
 		return 0
 	}
-	return n.teamConfig.teams.Version(strings.TrimPrefix(key, teamstore.Prefix))
+	return n.teamConfig.config.Version(strings.TrimPrefix(key, teamstore.Prefix))
 }
 
-// tookTeam books that a team was taken over under the control record known here.
-func (n *Node) tookTeam() {
+// noteTeamTakenOver notes that a team was taken over under the control record known here.
+func (n *Node) noteTeamTakenOver() {
 	if n.teamConfig != nil {
-		n.teamConfig.teams.Take(n.recordVersion)
+		n.teamConfig.config.RequireRevision(n.recordVersion)
 	}
 }
 
 // configReady says whether enough of the configuration is known to start what was taken over.
-func (n *Node) configReady() bool { return n.teamConfig == nil || n.teamConfig.teams.Ready() }
+func (n *Node) configReady() bool { return n.teamConfig == nil || n.teamConfig.config.Ready() }
 
-// configure has the own teams' accounts keep to the limits that hold now.
-func (n *Node) configure(now time.Time) {
+// applyTeamLimits has the own teams' accounts keep to the limits that hold now.
+func (n *Node) applyTeamLimits(now time.Time) {
 	if n.teamConfig == nil {
 		return
 	}
@@ -168,11 +168,11 @@
 		if !ok {
 			continue
 		}
-		entry, changed := n.teamConfig.teams.Entry(team)
+		entry, changed := n.teamConfig.config.Entry(team)
 		if !changed {
 			continue
 		}
-		limits, _ := n.teamConfig.teams.Limits(team, now)
+		limits, _ := n.teamConfig.config.Limits(team, now)
 		shard.Team().SetLimits(limits.CPUs, limits.CPUsMax, limits.GPUs, limits.GPUsMax)
 		if shard.IsReady() {
 			shard.Team().StopExcess(entry.StopExcess)
@@ -181,23 +181,23 @@
 }
 
 // configRecord is what counts of the control record known here.
-func (n *Node) configRecord() *teamconfig.Record {
+func (n *Node) configRecord() *teamconfig.ControlRecord {
 	if n.record == nil {
-		return &teamconfig.Record{Owner: func(string) string { return "" }}
+		return &teamconfig.ControlRecord{Owner: func(string) string { return "" }}
 	}
-	return &teamconfig.Record{Generation: n.record.Epoch, Version: n.recordVersion, Members: n.record.Nodes,
+	return &teamconfig.ControlRecord{Epoch: n.record.Epoch, Version: n.recordVersion, Members: n.record.Nodes,
 		Owner: func(team string) string { return n.record.Shards[shards.ForTeam(team)].Owner }}
 }
 
-// configWord is what this controller tells its peers, nil if it has nothing to say. It keeps to it from here on.
-func (n *Node) configWord(now time.Time) *teamconfig.Word {
+// teamConfigStatus is what this controller's status says of the configuration, nil if nothing. The controller keeps to it from here on.
+func (n *Node) teamConfigStatus(now time.Time) *teamconfig.Status {
 	if n.teamConfig == nil || n.record == nil || !n.trusted() {
 		return nil
 	}
-	n.configure(now)
-	n.teamConfig.serial++
-	w := teamconfig.Word{Serial: n.teamConfig.serial, Generation: n.epoch(), Record: n.recordVersion, Known: n.teamConfig.teams.Known(), Base: n.teamConfig.base}
-	for _, x := range n.teamConfig.teams.Open() {
+	n.applyTeamLimits(now)
+	n.teamConfig.statusSerial++
+	w := teamconfig.Status{Serial: n.teamConfig.statusSerial, Epoch: n.epoch(), RecordVersion: n.recordVersion, KnownRevision: n.teamConfig.config.KnownRevision(), BaseDigest: n.teamConfig.baseDigest}
+	for _, x := range n.teamConfig.config.NotInForce() {
 		if n.record.Shards[shards.ForTeam(x.Team)].Owner != n.name {
 			continue
 		}
@@ -205,62 +205,62 @@
 			w.Unsettled = append(w.Unsettled, x.Team)
 		}
 	}
-	n.teamConfig.force.Heard(n.name, n.incarnation, w)
-	n.configForced(now)
+	n.teamConfig.propagation.Apply(n.name, n.incarnation, w)
+	n.updatePropagation(now)
 	return &w
 }
 
-// configForced books which changes are in force everywhere, and logs who holds the others up.
-func (n *Node) configForced(now time.Time) {
+// updatePropagation notes which changes are in force everywhere, and logs which members are behind.
+func (n *Node) updatePropagation(now time.Time) {
 	r := n.configRecord()
-	for _, x := range n.teamConfig.force.Reach(r, n.teamConfig.teams.Open()) {
-		n.teamConfig.teams.Forced(x.Team, x.Version)
+	for _, x := range n.teamConfig.propagation.Propagated(r, n.teamConfig.config.NotInForce()) {
+		n.teamConfig.config.MarkInForce(x.Team, x.Version)
 		n.log.Info("team's configuration in force everywhere", "team", x.Team, "number", x.Entry.Number, "version", x.Version)
 	}
-	lagging := n.teamConfig.force.Lagging(r, n.teamConfig.teams.Latest(), now)
-	if len(lagging) > 0 && now.Sub(n.teamConfig.logged) > configLogEvery {
+	lagging := n.teamConfig.propagation.Lagging(r, n.teamConfig.config.LatestVersion(), now)
+	if len(lagging) > 0 && now.Sub(n.teamConfig.laggingLoggedAt) > laggingLogInterval {
 		for _, b := range lagging {
-			if b.For > configLogEvery.Seconds() {
-				n.teamConfig.logged = now
-				n.log.Info("controller behind with the configuration", "controller", b.Node, "known", b.Known, "latest", n.teamConfig.teams.Latest(), "for_s", b.For)
+			if b.BehindSeconds > laggingLogInterval.Seconds() {
+				n.teamConfig.laggingLoggedAt = now
+				n.log.Info("controller behind with the configuration", "controller", b.Node, "known", b.Known, "latest", n.teamConfig.config.LatestVersion(), "for_s", b.BehindSeconds)
 			}
 		}
 	}
 }
 
-// configLogEvery is after what time a controller that is behind is logged, and how often.
-const configLogEvery = 10 * time.Second
+// laggingLogInterval is after what time a controller that is behind is logged, and how often.
+const laggingLogInterval = 10 * time.Second
 
-// onConfigWord takes in a peer's word, and tells the peer what it lacks if it stays behind, as one that
+// onConfigStatus takes in a peer's status of the configuration, and sends the peer what it lacks if it stays behind, as one that
 // the state service refuses.
-func (n *Node) onConfigWord(node string, incarnation uint64, w *teamconfig.Word, now time.Time) {
+func (n *Node) onConfigStatus(node string, incarnation uint64, w *teamconfig.Status, now time.Time) {
 	if n.teamConfig == nil || w == nil {
 		return
 	}
-	n.teamConfig.force.Heard(node, incarnation, *w)
-	n.configForced(now)
-	if !n.trusted() || w.Generation != n.epoch() || w.Known >= n.teamConfig.teams.Latest() {
-		delete(n.teamConfig.lagging, node)
+	n.teamConfig.propagation.Apply(node, incarnation, *w)
+	n.updatePropagation(now)
+	if !n.trusted() || w.Epoch != n.epoch() || w.KnownRevision >= n.teamConfig.config.LatestVersion() {
+		delete(n.teamConfig.behindSince, node)
 		return
 	}
-	if since := n.teamConfig.lagging[node]; since.IsZero() {
-		n.teamConfig.lagging[node] = now
-	} else if now.Sub(since) > configTeachAfter {
-		n.teamConfig.lagging[node] = now
-		n.links.Send(node, kindTeamConfig, configMsg{w.Generation, n.recordVersion, w.Known, n.teamConfig.teams.Known(), n.teamConfig.teams.Lesson(w.Known)})
+	if since := n.teamConfig.behindSince[node]; since.IsZero() {
+		n.teamConfig.behindSince[node] = now
+	} else if now.Sub(since) > configResendInterval {
+		n.teamConfig.behindSince[node] = now
+		n.links.Send(node, kindTeamConfig, configMsg{w.Epoch, n.recordVersion, w.KnownRevision, n.teamConfig.config.KnownRevision(), n.teamConfig.config.ChangesAfter(w.KnownRevision)})
 	}
 }
 
-// configTeachAfter is how long a peer may be behind before it is told what it lacks, and how often it is told.
-const configTeachAfter = time.Second
+// configResendInterval is how long a peer may be behind before it is sent what it lacks, and how often it is sent.
+const configResendInterval = time.Second
 
-// onConfig takes in the changes of the configuration that a peer found missing here.
-func (n *Node) onConfig(m *configMsg, now time.Time) {
+// onConfigChanges takes in the changes of the configuration that a peer found missing here.
+func (n *Node) onConfigChanges(m *configMsg, now time.Time) {
 	if n.teamConfig == nil || !n.trusted() || n.record == nil || m.Epoch != n.epoch() {
 		return
 	}
-	n.teamConfig.teams.Taught(m.Changes, m.After, m.Known, m.RecordVersion, n.recordVersion)
-	n.configure(now)
+	n.teamConfig.config.LearnMissing(m.Changes, m.After, m.Known, m.RecordVersion, n.recordVersion)
+	n.applyTeamLimits(now)
 	n.wake()
 }
 
@@ -269,7 +269,7 @@
 	if n.teamConfig == nil {
 		return nil
 	}
-	return n.teamConfig.teams.Unwritten()
+	return n.teamConfig.config.Unwritten()
 }
 
 // recallConfig takes in what a peer remembers of the configuration.
@@ -277,10 +277,10 @@
 	if n.teamConfig == nil {
 		return
 	}
-	overruled := len(n.teamConfig.teams.Overruled())
+	overruled := len(n.teamConfig.config.Overruled())
 	for _, x := range changes {
 		if teamconfig.ValidTeam(x.Team) && x.Entry.Check() == nil {
-			n.teamConfig.teams.Hear(x.Team, x.Entry)
+			n.teamConfig.config.LearnRemembered(x.Team, x.Entry)
 		}
 	}
 	n.logOverruled(overruled)
@@ -294,7 +294,7 @@
 	if n.teamConfig == nil || !n.shards.OwnsFleet() {
 		return
 	}
-	for _, x := range n.teamConfig.teams.Unwritten() {
+	for _, x := range n.teamConfig.config.Unwritten() {
 		if n.teamConfig.writing[x.Team] || len(n.teamConfig.writing) >= configWritesOpen {
 			continue
 		}
--- a/internal/teamconfig/config.go
+++ b/internal/teamconfig/config.go
@@ -10,14 +10,14 @@
 
 // Config is what one controller knows of the teams' configuration.
 type Config struct {
-	base   map[string]settings.Team
-	bound  time.Duration // knowledge that is older is old
-	teams  map[string]*team
-	open   map[string]*team // those whose entry is not known to be in force
-	latest uint64           // version of the last change known
-	known  uint64           // revision of the state service up to which every entry is known
-	asOf   time.Time        // when the read began that last told that nothing is missing
-	floor  uint64           // revision that must be known before a team that was taken over starts anything
+	base             map[string]settings.Team
+	maxAge           time.Duration // knowledge that is older is old
+	teams            map[string]*team
+	notInForce       map[string]*team // those whose entry is not known to be in force
+	latestVersion    uint64           // version of the last change known
+	knownRevision    uint64           // revision of the state service up to which every entry is known
+	readAt           time.Time        // when the read began that last showed that nothing is missing
+	requiredRevision uint64           // revision that must be known before a team that was taken over starts anything
 	// overruled are changes that were acknowledged and lost against another one of the same number.
 	overruled []Change
 }
@@ -25,15 +25,15 @@
 // team is what is known of a team that has an entry.
 type team struct {
 	Entry
-	version uint64 // of this entry's key in this generation; 0: the state service does not have it
-	stored  uint64 // version of the key in this generation, whatever it holds; 0: none
-	settled Limits // the last ones known to be in force everywhere, or to have been at the start
-	inForce bool   // this entry is known to be in force everywhere
+	version       uint64 // of this entry's key in this generation; 0: the state service does not have it
+	storedVersion uint64 // version of the key in this generation, whatever it holds; 0: none
+	limitsInForce Limits // the last ones known to be in force everywhere, or to have been at the start
+	inForce       bool   // this entry is known to be in force everywhere
 }
 
 // New is a configuration by the settings file alone. Knowledge older than the bound counts as old.
 func New(base []settings.Team, bound time.Duration) *Config {
-	c := &Config{base: map[string]settings.Team{}, bound: bound, teams: map[string]*team{}, open: map[string]*team{}}
+	c := &Config{base: map[string]settings.Team{}, maxAge: bound, teams: map[string]*team{}, notInForce: map[string]*team{}}
 	for _, t := range base {
 		c.base[t.Name] = t
 	}
@@ -41,17 +41,17 @@
 }
 
 // Learn takes in an entry that the state service holds, by the version of its key. A version that is not
-// newer than the one known changes nothing, so that late and doubled words do no harm. It says whether
+// newer than the one known changes nothing, so that late and repeated messages do no harm. It says whether
 // anything changed.
 func (c *Config) Learn(name string, e Entry, version uint64) bool {
 	t := c.teams[name]
 	if t == nil {
 		t = &team{}
 	}
-	if version <= t.stored {
+	if version <= t.storedVersion {
 		return false
 	}
-	t.stored, c.latest = version, max(c.latest, version)
+	t.storedVersion, c.latestVersion = version, max(c.latestVersion, version)
 	c.teams[name] = t
 	switch {
 	case e.Number < t.Number:
@@ -65,13 +65,13 @@
 	case e.Number == t.Number:
 		c.overruled = append(c.overruled, Change{Team: name, Entry: t.Entry})
 	}
-	c.take(name, t, e, version)
+	c.adopt(name, t, e, version)
 	return true
 }
 
-// Hear takes in an entry that a peer remembers and the state service may not have, as after a loss of data.
+// LearnRemembered takes in an entry that a peer remembers and the state service may not have, as after a loss of data.
 // It says whether anything changed.
-func (c *Config) Hear(name string, e Entry) bool {
+func (c *Config) LearnRemembered(name string, e Entry) bool {
 	t := c.teams[name]
 	if t == nil {
 		t = &team{}
@@ -80,60 +80,60 @@
 	case e.Number < t.Number, e.Number == t.Number && e.Change == t.Change:
 		return false
 	case e.Number == t.Number && (t.version > 0 || e.Change < t.Change):
-		c.overrule(name, e) // what the state service holds stands, else the same one everywhere
+		c.noteOverruled(name, e) // what the state service holds stands, else the same one everywhere
 		return false
 	case e.Number == t.Number:
-		c.overrule(name, t.Entry)
+		c.noteOverruled(name, t.Entry)
 	}
 	c.teams[name] = t
-	c.take(name, t, e, 0)
+	c.adopt(name, t, e, 0)
 	return true
 }
 
-func (c *Config) overrule(name string, e Entry) {
+func (c *Config) noteOverruled(name string, e Entry) {
 	if !slices.ContainsFunc(c.overruled, func(x Change) bool { return x.Team == name && x.Entry == e }) {
 		c.overruled = append(c.overruled, Change{Team: name, Entry: e})
 	}
 }
 
-// take puts an entry in the place of what was known of a team.
-func (c *Config) take(name string, t *team, e Entry, version uint64) {
-	before := t.settled
+// adopt puts an entry in the place of what was known of a team.
+func (c *Config) adopt(name string, t *team, e Entry, version uint64) {
+	before := t.limitsInForce
 	switch base, had := c.base[name]; {
 	case t.Number > 0 && t.inForce:
 		before = t.Limits()
 	case t.Number > 0:
-	case c.known == 0 || !had: // found at the start, or a new team: nothing smaller is known
+	case c.knownRevision == 0 || !had: // found at the start, or a new team: nothing smaller is known
 		before = e.Limits()
 	default:
 		before = limitsOf(base)
 	}
-	t.Entry, t.version, t.settled, t.inForce = e, version, before, false
-	c.open[name] = t
+	t.Entry, t.version, t.limitsInForce, t.inForce = e, version, before, false
+	c.notInForce[name] = t
 }
 
-// CaughtUp books that every entry up to a revision was taken in, by a read that began at a time.
+// CaughtUp notes that every entry up to a revision was taken in, by a read that began then.
 func (c *Config) CaughtUp(revision uint64, asOf time.Time) {
-	c.known = max(c.known, revision)
-	if asOf.After(c.asOf) {
-		c.asOf = asOf
+	c.knownRevision = max(c.knownRevision, revision)
+	if asOf.After(c.readAt) {
+		c.readAt = asOf
 	}
 }
 
-// Taught takes in what a peer that knows more has told: all changes after the revision known here up to its own. record
+// LearnMissing takes in what a peer that knows more has sent: all changes after the revision known here up to its own. record
 // is the version of the control record that it knew, own of that known here: revisions are known here
 // only with the records among them.
-func (c *Config) Taught(changes []Change, after, known, record, own uint64) {
+func (c *Config) LearnMissing(changes []Change, after, known, record, own uint64) {
 	for _, x := range changes {
 		c.Learn(x.Team, x.Entry, x.Version)
 	}
-	if after <= c.known && own >= record {
-		c.known = max(c.known, known)
+	if after <= c.knownRevision && own >= record {
+		c.knownRevision = max(c.knownRevision, known)
 	}
 }
 
-// Lesson is what a peer lacks that knows the entries up to a revision only.
-func (c *Config) Lesson(after uint64) (changes []Change) {
+// ChangesAfter lists the changes that a peer lacks that knows the entries up to a revision only.
+func (c *Config) ChangesAfter(after uint64) (changes []Change) {
 	for _, name := range slices.Sorted(maps.Keys(c.teams)) {
 		if t := c.teams[name]; t.version > after {
 			changes = append(changes, Change{name, t.Entry, t.version})
@@ -142,16 +142,16 @@
 	return changes
 }
 
-// Entered begins to rely on a state service whose data were begun anew: versions and revisions of the ones
-// before count for nothing, and memory stays.
-func (c *Config) Entered() {
-	c.known, c.floor, c.latest, c.asOf = 0, 0, 0, time.Time{}
+// StartEpoch begins a new epoch of the state service's data: versions and revisions of the one before are void, the
+// entries are kept.
+func (c *Config) StartEpoch() {
+	c.knownRevision, c.requiredRevision, c.latestVersion, c.readAt = 0, 0, 0, time.Time{}
 	for name, t := range c.teams {
 		if t.inForce {
-			t.settled, t.inForce = t.Limits(), false
+			t.limitsInForce, t.inForce = t.Limits(), false
 		}
-		t.version, t.stored = 0, 0
-		c.open[name] = t
+		t.version, t.storedVersion = 0, 0
+		c.notInForce[name] = t
 	}
 }
 
@@ -160,7 +160,7 @@
 func (c *Config) Unwritten() (changes []Change) {
 	for _, name := range slices.Sorted(maps.Keys(c.teams)) {
 		if t := c.teams[name]; t.version == 0 {
-			changes = append(changes, Change{name, t.Entry, t.stored})
+			changes = append(changes, Change{name, t.Entry, t.storedVersion})
 		}
 	}
 	return changes
@@ -169,17 +169,17 @@
 // Overruled lists the changes that were acknowledged and lost against others of the same numbers.
 func (c *Config) Overruled() []Change { return c.overruled }
 
-// Known is the revision up to which every entry is known.
-func (c *Config) Known() uint64 { return c.known }
+// KnownRevision is the revision up to which every entry is known.
+func (c *Config) KnownRevision() uint64 { return c.knownRevision }
 
-// Latest is the version of the last change known.
-func (c *Config) Latest() uint64 { return c.latest }
+// LatestVersion is the version of the last change known.
+func (c *Config) LatestVersion() uint64 { return c.latestVersion }
 
 // Versions gives the versions of the entries' keys by team.
 func (c *Config) Versions() map[string]uint64 {
 	v := map[string]uint64{}
 	for name, t := range c.teams {
-		v[name] = t.stored
+		v[name] = t.storedVersion
 	}
 	return v
 }
@@ -187,7 +187,7 @@
 // Version is the version of a team's key, 0 if it has none.
 func (c *Config) Version(name string) uint64 {
 	if t := c.teams[name]; t != nil {
-		return t.stored
+		return t.storedVersion
 	}
 	return 0
 }
@@ -201,8 +201,8 @@
 	return t.Entry, true
 }
 
-// Takes gives the limits of a team that takes new jobs.
-func (c *Config) Takes(name string) (settings.Team, bool) {
+// AcceptsJobs gives the limits of a team that takes new jobs.
+func (c *Config) AcceptsJobs(name string) (settings.Team, bool) {
 	if t := c.teams[name]; t != nil {
 		return t.Limits().team(name), !t.Removed
 	}
@@ -229,15 +229,17 @@
 	return all
 }
 
-// Take books that a team was taken over under a control record of a version: whoever owned it before may
+// RequireRevision notes that a team was taken over under a control record of a version: whoever owned it before may
 // have said that changes up to then are in force.
-func (c *Config) Take(record uint64) { c.floor = max(c.floor, record) }
+func (c *Config) RequireRevision(record uint64) { c.requiredRevision = max(c.requiredRevision, record) }
 
 // Ready says whether enough is known to start what was taken over.
-func (c *Config) Ready() bool { return c.known >= c.floor }
+func (c *Config) Ready() bool { return c.knownRevision >= c.requiredRevision }
 
 // Fresh says whether what is known is no older than the bound.
-func (c *Config) Fresh(now time.Time) bool { return !c.asOf.IsZero() && now.Sub(c.asOf) <= c.bound }
+func (c *Config) Fresh(now time.Time) bool {
+	return !c.readAt.IsZero() && now.Sub(c.readAt) <= c.maxAge
+}
 
 // Limits are those that a team's owner keeps to now. By old knowledge a change that raised them counts only
 // if it is known to be in force.
@@ -250,21 +252,21 @@
 	if t.inForce || c.Fresh(now) {
 		return t.Limits(), true
 	}
-	return smaller(t.Limits(), t.settled), true
+	return minLimits(t.Limits(), t.limitsInForce), true
 }
 
-// Forced books that a team's change of a version is in force everywhere.
-func (c *Config) Forced(name string, version uint64) {
+// MarkInForce notes that a team's change of a version is in force everywhere.
+func (c *Config) MarkInForce(name string, version uint64) {
 	if t := c.teams[name]; t != nil && t.version == version && version > 0 {
 		t.inForce = true
-		delete(c.open, name)
+		delete(c.notInForce, name)
 	}
 }
 
-// Open lists the changes that are not known to be in force everywhere.
-func (c *Config) Open() (changes []Change) {
-	for _, name := range slices.Sorted(maps.Keys(c.open)) {
-		t := c.open[name]
+// NotInForce lists the changes that are not known to be in force everywhere.
+func (c *Config) NotInForce() (changes []Change) {
+	for _, name := range slices.Sorted(maps.Keys(c.notInForce)) {
+		t := c.notInForce[name]
 		changes = append(changes, Change{name, t.Entry, t.version})
 	}
 	return changes
@@ -283,5 +285,5 @@
 
 // Age is how old what is known may be; known is false if nothing is.
 func (c *Config) Age(now time.Time) (age time.Duration, known bool) {
-	return now.Sub(c.asOf), !c.asOf.IsZero()
+	return now.Sub(c.readAt), !c.readAt.IsZero()
 }
--- a/internal/teamconfig/entry.go
+++ b/internal/teamconfig/entry.go
@@ -1,6 +1,7 @@
 // Package teamconfig decides what a controller may do by what it knows of the teams' configuration, which can change
 // while the controllers run. It does no I/O and reads no clock: what the state service and the other controllers
-// tell goes in, limits and verdicts come out. docs/configuration.md tells why it is done so.
+// report goes in, limits and verdicts come out. It never writes an entry. Its types are not safe for concurrent use; the
+// controller guards them. docs/configuration.md says why it is done so.
 //
 // The configuration is a base, which the settings file gives, and one Entry for each team that was ever changed.
 // An entry is written whole by each change, guarded by the version of its key, and is never deleted.
@@ -43,9 +44,9 @@
 }
 
 const (
-	maxName   = 100  // bytes of a team's name, which is part of its key
-	maxAmount = 1e9  // CPUs or GPUs
-	minLimit  = 0.01 // below it a limit is a mistake: none at all is 0
+	maxNameBytes = 100  // bytes of a team's name, which is part of its key
+	maxAmount    = 1e9  // CPUs or GPUs
+	minLimit     = 0.01 // below it a limit is a mistake: none at all is 0
 )
 
 // ValidTeam says whether a team can have an entry: letters, digits, points, dashes and underscores.
@@ -53,7 +54,7 @@
 	plain := func(r rune) bool {
 		return r >= 'a' && r <= 'z' || r >= 'A' && r <= 'Z' || r >= '0' && r <= '9' || strings.ContainsRune("._-", r)
 	}
-	return name != "" && len(name) <= maxName && strings.IndexFunc(name, func(r rune) bool { return !plain(r) }) < 0
+	return name != "" && len(name) <= maxNameBytes && strings.IndexFunc(name, func(r rune) bool { return !plain(r) }) < 0
 }
 
 // Check names the first field that is out of range.
@@ -97,8 +98,8 @@
 
 func limitsOf(t settings.Team) Limits { return Limits{t.CPUs, t.CPUsMax, t.GPUs, t.GPUsMax} }
 
-// smaller is the least of both in each amount.
-func smaller(a, b Limits) Limits {
+// minLimits is the least of both in each amount.
+func minLimits(a, b Limits) Limits {
 	return Limits{min(a.CPUs, b.CPUs), min(a.CPUsMax, b.CPUsMax), min(a.GPUs, b.GPUs), min(a.GPUsMax, b.GPUsMax)}
 }
 
--- a/internal/teamconfig/model_test.go
+++ b/internal/teamconfig/model_test.go
@@ -42,7 +42,7 @@
 	name     string
 	process  uint64
 	conf     *Config
-	force    *Force
+	force    *Propagation
 	record   record
 	serial   uint64
 	entitled bool
@@ -75,7 +75,7 @@
 func (w *world) begin(i int) {
 	w.ended++
 	base := []settings.Team{{Name: "red", CPUsMax: baseLimit}, {Name: "blue", CPUsMax: baseLimit}}
-	w.nodes[i] = &node{name: nodeNames[i], process: w.ended, conf: New(base, 10*time.Second), force: NewForce(), since: map[string]uint64{}, ready: map[string]bool{}}
+	w.nodes[i] = &node{name: nodeNames[i], process: w.ended, conf: New(base, 10*time.Second), force: NewPropagation(), since: map[string]uint64{}, ready: map[string]bool{}}
 }
 
 // later has something happen after other things, now and then twice or never.
@@ -138,7 +138,7 @@
 		}
 		if _, had := n.since[t]; !had {
 			n.since[t], n.ready[t] = r.version, !r.blind[t]
-			n.conf.Take(r.version)
+			n.conf.RequireRevision(r.version)
 		}
 	}
 }
@@ -152,7 +152,7 @@
 		if out {
 			n.entitled = false // its lease ended, or it could not be left out
 		}
-		if !out && n.conf.Known() > 0 {
+		if !out && n.conf.KnownRevision() > 0 {
 			next.members[n.name] = n.process
 		}
 	}
@@ -242,14 +242,14 @@
 	}
 }
 
-func (n *node) asRecord() *Record {
-	return &Record{Version: n.record.version, Members: n.record.members, Owner: func(team string) string { return n.record.owners[team] }}
+func (n *node) asRecord() *ControlRecord {
+	return &ControlRecord{Version: n.record.version, Members: n.record.members, Owner: func(team string) string { return n.record.owners[team] }}
 }
 
 // tell has a controller tell its word to all.
 func (w *world) tell(n *node) {
 	n.serial++
-	word := Word{Serial: n.serial, Record: n.record.version, Known: n.conf.Known()}
+	word := Status{Serial: n.serial, RecordVersion: n.record.version, KnownRevision: n.conf.KnownRevision()}
 	for _, t := range teamNames {
 		a := w.tasks[t]
 		over := a.coming+a.running > w.limit(n, t)
@@ -257,7 +257,7 @@
 			word.Unsettled = append(word.Unsettled, t)
 		}
 	}
-	n.force.Heard(n.name, n.process, word)
+	n.force.Apply(n.name, n.process, word)
 	process := n.process
 	for i := range w.nodes {
 		to := w.nodes[i]
@@ -265,16 +265,16 @@
 			continue
 		}
 		w.later(func() {
-			to.force.Heard(n.name, process, word)
-			if word.Known < to.conf.Latest() {
-				after, known, rec, lesson := word.Known, to.conf.Known(), to.record.version, to.conf.Lesson(word.Known)
+			to.force.Apply(n.name, process, word)
+			if word.KnownRevision < to.conf.LatestVersion() {
+				after, known, rec, lesson := word.KnownRevision, to.conf.KnownRevision(), to.record.version, to.conf.ChangesAfter(word.KnownRevision)
 				w.later(func() {
 					if n.mute && n.deaf {
 						return
 					}
-					before := n.conf.Known()
-					n.conf.Taught(lesson, after, known, rec, n.record.version)
-					if n.conf.Known() > before {
+					before := n.conf.KnownRevision()
+					n.conf.LearnMissing(lesson, after, known, rec, n.record.version)
+					if n.conf.KnownRevision() > before {
 						w.taught++
 					}
 				})
@@ -285,8 +285,8 @@
 
 // say has a controller find what is in force, and everybody rely on it.
 func (w *world) say(n *node) {
-	for _, x := range n.force.Reach(n.asRecord(), n.conf.Open()) {
-		n.conf.Forced(x.Team, x.Version)
+	for _, x := range n.force.Propagated(n.asRecord(), n.conf.NotInForce()) {
+		n.conf.MarkInForce(x.Team, x.Version)
 		w.said[x.Team] = max(w.said[x.Team], x.Version)
 		w.inForce++
 	}
--- a/internal/teamconfig/teamconfig_test.go
+++ b/internal/teamconfig/teamconfig_test.go
@@ -35,7 +35,7 @@
 	if c.max(t, "red", fresh) != 20 || c.max(t, "red", old) != 8 {
 		t.Errorf("raised: %g by fresh and %g by old knowledge", c.max(t, "red", fresh), c.max(t, "red", old))
 	}
-	c.Forced("red", 11)
+	c.MarkInForce("red", 11)
 	if c.max(t, "red", old) != 20 {
 		t.Errorf("raised and in force: %g", c.max(t, "red", old))
 	}
@@ -43,7 +43,7 @@
 	if c.max(t, "red", fresh) != 3 || c.max(t, "red", old) != 3 {
 		t.Errorf("lowered: %g", c.max(t, "red", fresh))
 	}
-	if c.Forced("red", 11); len(c.Open()) != 1 {
+	if c.MarkInForce("red", 11); len(c.NotInForce()) != 1 {
 		t.Error("an earlier change in force closes a later one")
 	}
 }
@@ -57,33 +57,33 @@
 		c.Learn("red", entry(3, "x", 5), 7)
 		c.Learn("gone", Entry{Number: 1, Change: "y", CPUsMax: 4, Removed: true}, 8)
 		c.CaughtUp(9, start)
-		_, takes := c.Takes("gone")
+		_, takes := c.AcceptsJobs("gone")
 		if c.max(t, "red", start) != 5 || takes || c.max(t, "gone", start) != 4 || len(c.Teams()) != 2 {
 			t.Errorf("with %v: %v, takes %v", base, c.Teams(), takes)
 		}
 	}
-	f := NewForce()
-	f.Heard("b", 1, Word{Serial: 1, Base: BaseDigest(newer)})
-	f.Heard("c", 1, Word{Serial: 1, Base: BaseDigest([]settings.Team{older[1], older[0]})})
-	if s := f.Strangers(BaseDigest(older)); len(s) != 1 || s[0] != "b" {
+	f := NewPropagation()
+	f.Apply("b", 1, Status{Serial: 1, BaseDigest: BaseDigest(newer)})
+	f.Apply("c", 1, Status{Serial: 1, BaseDigest: BaseDigest([]settings.Team{older[1], older[0]})})
+	if s := f.OtherSettings(BaseDigest(older)); len(s) != 1 || s[0] != "b" {
 		t.Errorf("other files at %v", s)
 	}
 }
 
 // TestLagging: a member that knows less than the last change is named, with the time since when.
 func TestLagging(t *testing.T) {
-	f := NewForce()
-	r := &Record{Version: 5, Members: map[string]uint64{"a": 1, "b": 1}, Owner: func(string) string { return "a" }}
-	f.Heard("a", 1, Word{Serial: 1, Record: 5, Known: 9})
-	f.Heard("b", 1, Word{Serial: 1, Record: 5, Known: 8})
+	f := NewPropagation()
+	r := &ControlRecord{Version: 5, Members: map[string]uint64{"a": 1, "b": 1}, Owner: func(string) string { return "a" }}
+	f.Apply("a", 1, Status{Serial: 1, RecordVersion: 5, KnownRevision: 9})
+	f.Apply("b", 1, Status{Serial: 1, RecordVersion: 5, KnownRevision: 8})
 	if l := f.Lagging(r, 8, start); len(l) != 0 {
 		t.Errorf("behind: %v", l)
 	}
 	f.Lagging(r, 9, start)
-	if l := f.Lagging(r, 9, start.Add(3*time.Second)); len(l) != 1 || l[0] != (Behind{"b", 8, 3}) {
+	if l := f.Lagging(r, 9, start.Add(3*time.Second)); len(l) != 1 || l[0] != (LaggingMember{"b", 8, 3}) {
 		t.Errorf("behind: %v", l)
 	}
-	f.Heard("b", 2, Word{Serial: 1, Record: 5, Known: 9})
+	f.Apply("b", 2, Status{Serial: 1, RecordVersion: 5, KnownRevision: 9})
 	if l := f.Lagging(r, 9, start.Add(4*time.Second)); len(l) != 1 {
 		t.Error("a process that the record does not name counts")
 	}
@@ -128,7 +128,7 @@
 			}
 			known := map[string]Entry{}
 			for _, c := range nodes {
-				for _, x := range c.Lesson(0) {
+				for _, x := range c.ChangesAfter(0) {
 					if x.Entry.Number >= known[x.Team].Number {
 						known[x.Team] = x.Entry
 					}
@@ -142,14 +142,14 @@
 				commit() // by an operator whom nobody told yet
 			}
 			for _, c := range nodes {
-				c.Entered()
+				c.StartEpoch()
 				read(c)
 			}
 			for range 2 { // in any order and twice
 				for _, from := range rng.Perm(3) {
 					for _, to := range rng.Perm(3) {
 						for _, x := range nodes[from].Unwritten() {
-							nodes[to].Hear(x.Team, x.Entry)
+							nodes[to].LearnRemembered(x.Team, x.Entry)
 						}
 					}
 				}
@@ -209,12 +209,12 @@
 	if c.Learn("red", entry(2, "b", 4), 12) || c.Learn("red", entry(1, "a", 8), 11) || len(c.Unwritten()) > 0 || c.Version("red") != 12 {
 		t.Errorf("a late entry: version %d, unwritten %v", c.Version("red"), c.Unwritten())
 	}
-	f := NewForce()
-	r := &Record{Version: 5, Members: map[string]uint64{"a": 2}, Owner: func(string) string { return "a" }}
-	f.Heard("a", 2, Word{Serial: 7, Record: 5, Known: 9, Unsettled: []string{"red"}})
-	f.Heard("a", 2, Word{Serial: 6, Record: 5, Known: 9})
-	f.Heard("a", 1, Word{Serial: 8, Record: 5, Known: 20})
-	if f.Reached(r) != 9 || len(f.Reach(r, []Change{{Team: "red", Version: 8}})) > 0 {
+	f := NewPropagation()
+	r := &ControlRecord{Version: 5, Members: map[string]uint64{"a": 2}, Owner: func(string) string { return "a" }}
+	f.Apply("a", 2, Status{Serial: 7, RecordVersion: 5, KnownRevision: 9, Unsettled: []string{"red"}})
+	f.Apply("a", 2, Status{Serial: 6, RecordVersion: 5, KnownRevision: 9})
+	f.Apply("a", 1, Status{Serial: 8, RecordVersion: 5, KnownRevision: 20})
+	if f.KnownByAll(r) != 9 || len(f.Propagated(r, []Change{{Team: "red", Version: 8}})) > 0 {
 		t.Error("a late word of a member, or of its earlier process, counts")
 	}
 }
@@ -248,16 +248,16 @@
 func TestTakeOver(t *testing.T) {
 	c := New(nil, time.Second)
 	c.CaughtUp(10, start)
-	c.Take(15)
-	c.Taught([]Change{{"red", entry(1, "a", 4), 14}}, 10, 20, 16, 15)
-	c.Taught([]Change{{"red", entry(2, "b", 3), 17}}, 12, 20, 15, 15)
-	if c.Ready() || c.Known() != 10 {
-		t.Errorf("known up to %d", c.Known())
+	c.RequireRevision(15)
+	c.LearnMissing([]Change{{"red", entry(1, "a", 4), 14}}, 10, 20, 16, 15)
+	c.LearnMissing([]Change{{"red", entry(2, "b", 3), 17}}, 12, 20, 15, 15)
+	if c.Ready() || c.KnownRevision() != 10 {
+		t.Errorf("known up to %d", c.KnownRevision())
 	}
 	if c.CaughtUp(15, start); !c.Ready() {
 		t.Error("does not begin")
 	}
-	if c.Entered(); c.Known() != 0 || len(c.Unwritten()) != 1 {
-		t.Errorf("after a loss known up to %d, remembered %v", c.Known(), c.Unwritten())
+	if c.StartEpoch(); c.KnownRevision() != 0 || len(c.Unwritten()) != 1 {
+		t.Errorf("after a loss known up to %d, remembered %v", c.KnownRevision(), c.Unwritten())
 	}
 }
--- a/internal/teamstore/teamstore.go
+++ b/internal/teamstore/teamstore.go
@@ -1,5 +1,5 @@
 // Package teamstore commits operators' changes of the teams' configuration to the state service, by the client that the
-// controllers use. internal/teamconfig tells what the controllers do by them.
+// controllers use. internal/teamconfig decides what the controllers do by them.
 package teamstore
 
 import (
@@ -25,11 +25,11 @@
 // Errors that callers tell apart.
 var (
 	ErrNoRecord = errors.New("the state service has no control record with its generation's key: no controller runs on it, or it lost data")
-	ErrName     = errors.New("a team's name has letters, digits, points, dashes and underscores only, 100 at the most")
+	ErrTeamName = errors.New("a team's name has letters, digits, points, dashes and underscores only, 100 at the most")
 )
 
-// retryEvery is the pause before a change is tried again that met another one or had no answer.
-const retryEvery = 200 * time.Millisecond
+// retryInterval is the pause before a change is tried again that met another one or had no answer.
+const retryInterval = 200 * time.Millisecond
 
 // Writer commits changes. Its methods may be called at once by many; changes of different teams share transactions.
 type Writer struct {
@@ -41,8 +41,8 @@
 // Run must be running.
 func New(client *kvstore.Client, base []settings.Team) *Writer { return &Writer{client, base} }
 
-// Open reads which generation of the state service's data the changes are for. They fail in any other.
-func (w *Writer) Open(ctx context.Context, controlKey string) error {
+// BindEpoch reads which epoch of the state service's data the changes are for. They fail in any other.
+func (w *Writer) BindEpoch(ctx context.Context, controlKey string) error {
 	e, err := w.client.Get(ctx, controlKey)
 	if err != nil {
 		return err
@@ -74,7 +74,7 @@
 // answer that did not come is settled by reading.
 func (w *Writer) Change(ctx context.Context, team string, edit func(e *teamconfig.Entry, known bool) error) (Committed, error) {
 	if !teamconfig.ValidTeam(team) {
-		return Committed{}, fmt.Errorf("%w: %q", ErrName, team)
+		return Committed{}, fmt.Errorf("%w: %q", ErrTeamName, team)
 	}
 	change := rand.Text()
 	for {
@@ -103,7 +103,7 @@
 		select {
 		case <-ctx.Done():
 			return Committed{}, fmt.Errorf("not known to be committed: %w", err)
-		case <-time.After(retryEvery):
+		case <-time.After(retryInterval):
 		}
 	}
 }
