--- a/internal/controller/control.go
+++ b/internal/controller/control.go
@@ -65,7 +65,7 @@
 		case errors.Is(err, kvstore.ErrLeaseExpired):
 			n.log.Info("lease ended at the state service", "lease", grant)
 			if sent.Sub(n.leaseRenewedAt) < n.lease.Life*9/10 && n.lease.Valid(sent) {
-				n.suspectLoss("a lease is gone that cannot have ended")
+				n.suspectLoss(datarecovery.SignLeaseGone)
 			}
 			n.leaseID = 0
 			n.lease.Lost()
@@ -171,7 +171,7 @@
 	}
 	for _, key := range n.roster.Keys() {
 		if !seen[key] {
-			n.suspectLoss("a list of machines is not there") // they are never deleted
+			n.suspectLoss(datarecovery.SignRosterGone) // they are never deleted
 		}
 	}
 	n.checkConfigListed(seen)
@@ -196,7 +196,7 @@
 			n.recovery.detection.EpochKeyChanged(key, e.Version)
 			n.fenceOnEpochKey()
 		} else if n.recovery.detection.EpochKeyDeleted(key, n.record) {
-			n.suspectLoss("the generation's key was deleted")
+			n.suspectLoss(datarecovery.SignEpochKeyDeleted)
 		}
 	case strings.HasPrefix(key, nodeKey):
 		name := key[len(nodeKey):]
@@ -251,14 +251,14 @@
 	if n.record != nil && (r.Epoch < n.record.Epoch || r.Term < n.record.Term || r.Epoch == n.record.Epoch && r.StoreID != n.record.StoreID) {
 		// A store that went back and on again, past the revision that was seen, or one that
 		// was begun anew by a process that found none.
-		n.suspectLoss("the control record is older than the one known")
+		n.suspectLoss(datarecovery.SignRecordOlder)
 		return
 	}
 	if n.record != nil && r.PreviousVersion != 0 && r.PreviousVersion < n.recordVersion {
 		// Written past the revision that was seen, over a store that had gone back: the versions
 		// that were given in between are given again, and no comparison shows the loss any more.
 		n.recovery.detection.RecordOutOfChain()
-		n.suspectLoss("the control record does not follow the one known")
+		n.suspectLoss(datarecovery.SignRecordOutOfChain)
 		return
 	}
 	n.adopt(r, version)
--- a/internal/controller/node.go
+++ b/internal/controller/node.go
@@ -206,7 +206,7 @@
 	controllers := len(n.settings.Peers) + 1
 	outside, deployment := &n.settings.Outside, &n.settings.Deployment
 	n.kvStore = kvstore.New(outside.KVStore, deployment.KVStore, controllers)
-	n.kvStore.OnDataLoss(n.suspectLossLater)
+	n.kvStore.OnDataLoss(n.storeReportsLoss)
 	n.cloud = cloud.New(outside.Cloud, deployment.Cloud, controllers)
 }
 
--- a/internal/controller/reconcile.go
+++ b/internal/controller/reconcile.go
@@ -4,6 +4,7 @@
 	"math"
 	"time"
 
+	"topazhollow/internal/datarecovery"
 	"topazhollow/internal/jobstate"
 	"topazhollow/internal/protocol"
 	"topazhollow/internal/userapi"
@@ -136,7 +137,7 @@
 	n.recovery.jobNotFoundAt[uid] = time.Now()
 	if absent && n.record != nil && (n.record.Epoch == 1 || jobstate.TermOf(attempt) >= n.record.FirstTerm) {
 		// A task is started only for a job that was accepted, and an accepted job has one key or the other for ever.
-		n.proveLoss("a worker has a task of a job that the store does not know")
+		n.proveLoss(datarecovery.ProofUnknownJob)
 	}
 }
 
--- a/internal/controller/recovery_census.go
+++ b/internal/controller/recovery_census.go
@@ -11,7 +11,8 @@
 	"topazhollow/internal/shards"
 )
 
-// The census of machines in an epoch that followed a loss: whom barriers wait for, and when the roster is complete again.
+// The census of machines in an epoch that followed a loss: whom barriers wait for, and when the roster is complete
+// again.
 
 // censusCheckInterval is how often it is looked whether the cloud's list is to be read.
 const censusCheckInterval = 200 * time.Millisecond
@@ -71,7 +72,8 @@
 	n.wake()
 }
 
-// awaitListedMachines has barriers wait for the machines that the cloud listed too. It returns whom any barrier waits for.
+// awaitListedMachines has barriers wait for the machines that the cloud listed too. It returns whom any barrier
+// waits for.
 func (n *Node) awaitListedMachines() map[string]bool {
 	awaited := map[string]bool{}
 	for shard := range n.shards.All() {
--- a/internal/controller/recovery_detect.go
+++ b/internal/controller/recovery_detect.go
@@ -18,10 +18,14 @@
 	"topazhollow/internal/userapi"
 )
 
-// Detection of a loss of data: signs and proofs of it, and comparisons of what the store acknowledged with what it has.
+// Detection of a loss of data: signs and proofs of it, and comparisons of what the store acknowledged with what it
+// has.
 
-// suspectLossLater takes in a sign of loss. It may be called without the lock, by a client of the store.
-func (n *Node) suspectLossLater(sign string) {
+// storeReportsLoss takes in a sign of loss that the store's client found.
+func (n *Node) storeReportsLoss(sign string) { n.suspectLossLater(datarecovery.Sign(sign)) }
+
+// suspectLossLater takes in a sign of loss. It may be called with the lock or without.
+func (n *Node) suspectLossLater(sign datarecovery.Sign) {
 	n.group.Go(func() error {
 		n.mu.Lock()
 		defer n.mu.Unlock()
@@ -31,7 +35,7 @@
 }
 
 // suspectLoss takes in a sign of loss: nothing is acknowledged or started until it was looked into.
-func (n *Node) suspectLoss(sign string) {
+func (n *Node) suspectLoss(sign datarecovery.Sign) {
 	if n.recovery.detection.Suspect(sign, time.Now()) {
 		n.log.Info("data loss suspected", "sign", sign, "epoch", n.epoch(), "revision", n.followedRevision)
 		n.requestStatus()
@@ -39,7 +43,7 @@
 }
 
 // proveLoss takes in evidence of a loss that no answer of the store shows.
-func (n *Node) proveLoss(proof string) {
+func (n *Node) proveLoss(proof datarecovery.Sign) {
 	if n.recovery.detection.Prove(proof) {
 		n.suspectLoss(proof)
 	}
@@ -62,7 +66,7 @@
 		if absent && n.jobs[uid] == j && !j.active {
 			j.active, j.endedAt = true, time.Time{}
 			n.learnJob(userapi.ActiveJob{Spec: j.spec, SubmittedAtMillis: j.submittedAt.UnixMilli()}, 0)
-			n.proveLoss("an accepted job is gone without an end")
+			n.proveLoss(datarecovery.ProofJobGone)
 		}
 		return nil
 	})
@@ -78,7 +82,8 @@
 		m.unregisteredSince = time.Time{}
 	case m.unregisteredSince.IsZero():
 		m.unregisteredSince = now
-	case now.Sub(m.unregisteredSince) > settings.Seconds(n.settings.Deployment.Agents.HeartbeatSeconds/2) && n.cancelWatermark.LastRead().After(m.unregisteredSince):
+	case now.Sub(m.unregisteredSince) > settings.Seconds(n.settings.Deployment.Agents.HeartbeatSeconds/2) &&
+		n.cancelWatermark.LastRead().After(m.unregisteredSince):
 		n.probeUnregistered(r.Machine, r.Addr, m)
 	}
 }
@@ -98,8 +103,9 @@
 		there := err == nil && resp.Status == 200 && protocol.Decode(resp.Body, &r) == nil && r.Machine == name
 		n.mu.Lock()
 		defer n.mu.Unlock()
-		if there && n.runsTasksOfThisStore(&r) && n.machines[name] == m && !m.gone && !n.roster.Has(name) && !m.unregisteredSince.IsZero() {
-			n.proveLoss("a worker has tasks though its machine is on no list")
+		unregistered := n.machines[name] == m && !m.gone && !n.roster.Has(name) && !m.unregisteredSince.IsZero()
+		if there && unregistered && n.runsTasksOfThisStore(&r) {
+			n.proveLoss(datarecovery.ProofUnlistedMachine)
 		}
 		return nil
 	})
@@ -126,7 +132,7 @@
 func (n *Node) compareRegularly(ctx context.Context) {
 	outcome := n.compareAcknowledged(ctx)
 	if outcome == datarecovery.Missing {
-		n.suspectLossLater("something acknowledged is gone")
+		n.suspectLossLater(datarecovery.SignAcknowledgedGone)
 		return
 	}
 	n.mu.Lock()
@@ -198,7 +204,8 @@
 	if !ready {
 		return outcome
 	}
-	revision, failed, err := n.kvStore.CompareVersions(ctx, plan.Conditions(4*n.settings.Deployment.KVStore.ChangesPerTransaction-1))
+	limit := 4*n.settings.Deployment.KVStore.ChangesPerTransaction - 1
+	revision, failed, err := n.kvStore.CompareVersions(ctx, plan.Conditions(limit))
 	conflict := errors.Is(err, kvstore.ErrConflict)
 	switch {
 	case errors.Is(err, kvstore.ErrRevisionWentBack):
@@ -224,7 +231,9 @@
 }
 
 // judgeFailedKeys reads all changes, and judges the keys that a comparison did not find by them.
-func (n *Node) judgeFailedKeys(ctx context.Context, plan datarecovery.ComparisonPlan, failed []string) datarecovery.Comparison {
+func (n *Node) judgeFailedKeys(
+	ctx context.Context, plan datarecovery.ComparisonPlan, failed []string,
+) datarecovery.Comparison {
 	n.mu.Lock()
 	after := n.followedRevision
 	n.mu.Unlock()
--- a/internal/controller/recovery_epoch.go
+++ b/internal/controller/recovery_epoch.go
@@ -41,7 +41,11 @@
 
 // parseStoreContents finds the controllers' own keys in a full list that was read just now.
 func parseStoreContents(entries []protocol.Entry) datarecovery.StoreContents {
-	contents := datarecovery.StoreContents{Presences: map[string]leadership.Presence{}, EpochKeys: map[string]uint64{}, ReadAt: time.Now()}
+	contents := datarecovery.StoreContents{
+		Presences: map[string]leadership.Presence{},
+		EpochKeys: map[string]uint64{},
+		ReadAt:    time.Now(),
+	}
 	for _, e := range entries {
 		switch {
 		case e.Key == controlKey:
--- a/internal/controller/recovery_gather.go
+++ b/internal/controller/recovery_gather.go
@@ -93,7 +93,12 @@
 	unwritten, written := n.activeJobs()
 	ends := n.front.EndsDigest()
 	for last := false; !last; {
-		m := memoriesMsg{Epoch: n.epoch(), Jobs: unwritten[:min(jobsPerMessage, len(unwritten))], Finished: map[string]*bitset.BitSet{}, Ask: ask}
+		m := memoriesMsg{
+			Epoch:    n.epoch(),
+			Jobs:     unwritten[:min(jobsPerMessage, len(unwritten))],
+			Finished: map[string]*bitset.BitSet{},
+			Ask:      ask,
+		}
 		unwritten = unwritten[len(m.Jobs):]
 		for _, s := range m.Jobs {
 			if finished := n.recovery.gathering.Finished(s.Spec.UID); finished != nil {
--- a/internal/controller/recovery_replicate.go
+++ b/internal/controller/recovery_replicate.go
@@ -23,7 +23,7 @@
 	// replicateFactMsg asks a peer to remember a fact before a user is told of it.
 	replicateFactMsg struct {
 		ID   uint64             `json:"id,omitempty"`   // 0: no answer is wanted
-		From uint64             `json:"from,omitempty"` // number of the first of Ends among the cancellations that the sender confirmed
+		From uint64             `json:"from,omitempty"` // number of the first of Ends among the sender's cancellations
 		Job  *userapi.ActiveJob `json:"job,omitempty"`
 		Ends []jobEnd           `json:"ends,omitempty"`
 	}
@@ -60,8 +60,8 @@
 	}
 }
 
-// sendFact sends a fact to all peers. It returns its number, what is signalled once a peer remembers it, and how many peers
-// that are heard it went to.
+// sendFact sends a fact to all peers. It returns its number, what is signalled once a peer remembers it, and how
+// many peers that are heard it went to.
 func (n *Node) sendFact(m replicateFactMsg) (id uint64, replicated <-chan struct{}, reached int) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
--- a/internal/controller/recovery_writeback.go
+++ b/internal/controller/recovery_writeback.go
@@ -95,7 +95,11 @@
 func (n *Node) writeEndAgain(ctx context.Context, key datarecovery.StaleKey, final userapi.JobEnd) {
 	_, err := n.kvStore.Commit(ctx, kvstore.Update{
 		Conditions: []protocol.Condition{{Key: userapi.ActiveJobPrefix + key.UID, Version: key.Version}},
-		Changes:    []protocol.Op{{Delete: userapi.ActiveJobPrefix + key.UID}, {Set: userapi.EndedJobPrefix + key.UID, Value: protocol.Encode(final)}}})
+		Changes: []protocol.Op{
+			{Delete: userapi.ActiveJobPrefix + key.UID},
+			{Set: userapi.EndedJobPrefix + key.UID, Value: protocol.Encode(final)},
+		},
+	})
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.recovery.writeBack.Written(key.UID)
--- a/internal/controller/registration.go
+++ b/internal/controller/registration.go
@@ -8,6 +8,7 @@
 	"time"
 
 	"topazhollow/internal/agents"
+	"topazhollow/internal/datarecovery"
 	"topazhollow/internal/kvstore"
 	"topazhollow/internal/protocol"
 	"topazhollow/internal/settings"
@@ -32,7 +33,7 @@
 	if err != nil {
 		// As by a process that started after the loss. That a machine is not named in such a
 		// list must never free what it runs.
-		n.suspectLoss(err.Error())
+		n.suspectLoss(datarecovery.Sign(err.Error()))
 		return
 	}
 	for _, name := range added {
@@ -117,7 +118,7 @@
 			n.mu.Lock()
 			defer n.mu.Unlock()
 			if v := n.roster.Versions()[w.Key]; v > 0 && v == w.Version {
-				n.suspectLoss("a list of machines is not there")
+				n.suspectLoss(datarecovery.SignRosterGone)
 			}
 			return
 		}
--- a/internal/controller/teamconfig.go
+++ b/internal/controller/teamconfig.go
@@ -6,6 +6,7 @@
 	"strings"
 	"time"
 
+	"topazhollow/internal/datarecovery"
 	"topazhollow/internal/kvstore"
 	"topazhollow/internal/leadership"
 	"topazhollow/internal/protocol"
@@ -71,7 +72,7 @@
 	}
 	name := strings.TrimPrefix(e.Set+e.Delete, teamstore.Prefix)
 	if e.Delete != "" {
-		n.suspectLoss("a team's configuration was deleted")
+		n.suspectLoss(datarecovery.SignConfigurationDeleted)
 		return
 	}
 	var entry teamconfig.Entry
@@ -113,7 +114,7 @@
 	}
 	for name, version := range n.teamConfig.config.Versions() {
 		if version > 0 && !seen[teamstore.Prefix+name] {
-			n.suspectLoss("a team's configuration is not there")
+			n.suspectLoss(datarecovery.SignConfigurationGone)
 		}
 	}
 }
--- a/internal/datarecovery/agreement.go
+++ b/internal/datarecovery/agreement.go
@@ -52,14 +52,14 @@
 	Revision       uint64 `json:"seen"` // highest revision of an answer in this epoch
 	SuspectsLoss   bool   `json:"doubt,omitempty"`
 	ConfirmedLoss  bool   `json:"lost,omitempty"`  // holds it to be lost: comparisons confirmed it
-	MemoryComplete bool   `json:"whole,omitempty"` // its memory goes back before the loss that it found, and to the deployment's beginning
+	MemoryComplete bool   `json:"whole,omitempty"` // it saw the loss, and remembers all since the deployment's beginning
 }
 
 const (
 	// compareInterval parts the comparisons after a sign of loss.
 	compareInterval = 200 * time.Millisecond
-	// comparisonsNeeded is how many comparisons in a row have to confirm a sign: a second one rules out a single answer of
-	// an old copy.
+	// comparisonsNeeded is how many comparisons in a row have to confirm a sign: a second one rules out a single
+	// answer of an old copy.
 	comparisonsNeeded = 2
 	// PeerHeardWithin is after what silence a peer counts as not heard.
 	PeerHeardWithin = 2 * time.Second
@@ -80,8 +80,8 @@
 	heardAt    time.Time
 }
 
-// Agreement is how a controller comes to hold, with its peers, that the store can be trusted or has lost data, and when it is
-// its turn to propose the next epoch. Its owner guards it by a lock.
+// Agreement is how a controller finds, with its peers, whether the store can be trusted or has lost data, and when it
+// is its turn to propose the next epoch. Its owner guards it by a lock.
 type Agreement struct {
 	self      string
 	leaseLife time.Duration // of controllers' leases
@@ -89,7 +89,7 @@
 
 	phase      Phase
 	since      time.Time // of the phase
-	sign       string    // that led to it
+	sign       Sign      // that led to it
 	epoch      uint64
 	newerEpoch uint64 // that was seen, if later
 
@@ -112,7 +112,7 @@
 }
 
 // Phase tells the phase, since when, and the sign that led to it.
-func (a *Agreement) Phase() (phase Phase, since time.Time, sign string) {
+func (a *Agreement) Phase() (phase Phase, since time.Time, sign Sign) {
 	return a.phase, a.since, a.sign
 }
 
@@ -146,7 +146,7 @@
 func (a *Agreement) NewerEpochSeen(epoch uint64) { a.newerEpoch = max(a.newerEpoch, epoch) }
 
 // Suspect books that something contradicts what the store acknowledged. It costs a comparison.
-func (a *Agreement) Suspect(sign string, now time.Time) {
+func (a *Agreement) Suspect(sign Sign, now time.Time) {
 	if a.phase != Trusted && a.phase != MeetingPeers {
 		return
 	}
@@ -175,7 +175,7 @@
 		a.enterPhase(Trusted, now)
 	case Missing:
 		if a.phase == MeetingPeers {
-			a.Suspect("others have seen more of it", now)
+			a.Suspect(SignPeersRevision, now)
 		}
 		a.missingInRow++
 	}
@@ -189,7 +189,7 @@
 	}
 	p.assessment, p.heardAt = assessment, now
 	if assessment.SuspectsLoss && assessment.Epoch == a.epoch {
-		a.Suspect("controller "+name+" doubts it", now)
+		a.Suspect(signOfPeer(name), now)
 	}
 }
 
@@ -299,7 +299,9 @@
 // stepLost says when a controller makes the next epoch. One that is not heard may
 // still act by its lease, until that has ended by any clock. One that knows a later
 // term goes first, and so does, of several, the first by name.
-func (a *Agreement) stepLost(now time.Time, term uint64, heard map[string]Assessment, present func(name string) bool) Action {
+func (a *Agreement) stepLost(
+	now time.Time, term uint64, heard map[string]Assessment, present func(name string) bool,
+) Action {
 	passed := now.Sub(a.since)
 	if len(heard) < len(a.peers) && passed < a.leaseLife+a.leaseLife/100 {
 		return ActionNone
--- a/internal/datarecovery/detection.go
+++ b/internal/datarecovery/detection.go
@@ -40,8 +40,8 @@
 // ListJudgement is a verdict with what else the list shows.
 type ListJudgement struct {
 	Verdict   ListVerdict
-	Suspicion string // a sign of loss; empty: none
-	Proof     string // a proof of loss; empty: none
+	Suspicion Sign // of loss; empty: none
+	Proof     Sign // of loss; empty: none
 }
 
 // Task is what a controller is to do next to know its store.
@@ -105,7 +105,7 @@
 	epochKeys    map[string]uint64 // versions of the epochs' own keys that the store has
 	suspectKeys  map[string]uint64 // acknowledged versions of keys that a user's request did not find
 	contents     StoreContents     // of a store that cannot be relied on
-	proof        string            // of a loss that the store's own answers do not show
+	proof        Sign              // of a loss that the store's own answers do not show
 	brokenChain  bool              // a control record was seen that does not follow the one known
 	seenHere     bool              // what this process itself saw shows the loss, not only what others know
 	laterTerm    uint64            // a fencing token, or a peer's term, that is higher than the term
@@ -134,7 +134,7 @@
 }
 
 // Phase tells the phase, since when, and the sign that led to it.
-func (d *Detection) Phase() (phase Phase, since time.Time, sign string) { return d.agreement.Phase() }
+func (d *Detection) Phase() (phase Phase, since time.Time, sign Sign) { return d.agreement.Phase() }
 
 // Counts tells how many signs of loss were seen, and how many losses were agreed on.
 func (d *Detection) Counts() (suspicions, losses int) { return d.agreement.Counts() }
@@ -146,7 +146,7 @@
 func (d *Detection) MemoryComplete() bool { return d.memoryComplete }
 
 // Proved says whether there is a proof of a loss, and which.
-func (d *Detection) Proved() (proof string, proved bool) { return d.proof, d.proof != "" }
+func (d *Detection) Proved() (proof Sign, proved bool) { return d.proof, d.proof != "" }
 
 // RecordChainBroken says whether a control record was seen that does not follow the one known.
 func (d *Detection) RecordChainBroken() bool { return d.brokenChain }
@@ -154,7 +154,10 @@
 // Assessment is what peers are told of the store. record is the latest known, nil for none; revision is the highest
 // that an answer named.
 func (d *Detection) Assessment(record *leadership.Record, revision uint64) Assessment {
-	a := Assessment{Epoch: epochOf(record), Revision: revision, Incarnation: d.incarnation, MemoryComplete: d.memoryComplete && d.seenHere}
+	a := Assessment{
+		Epoch: epochOf(record), Revision: revision, Incarnation: d.incarnation,
+		MemoryComplete: d.memoryComplete && d.seenHere,
+	}
 	a.ConfirmedLoss = d.agreement.phase == Lost
 	a.SuspectsLoss = d.agreement.phase == Suspected || a.ConfirmedLoss
 	if record != nil {
@@ -177,7 +180,7 @@
 }
 
 // Suspect takes in a sign of loss. It says whether that is news: nothing was suspected before.
-func (d *Detection) Suspect(sign string, now time.Time) bool {
+func (d *Detection) Suspect(sign Sign, now time.Time) bool {
 	if !d.Trusted() {
 		return false
 	}
@@ -187,7 +190,7 @@
 
 // Prove takes in evidence of a loss that no answer of the store shows. It says whether it is the first: the memory
 // then lacks what was there before this process read the store, and the loss is to be suspected.
-func (d *Detection) Prove(proof string) bool {
+func (d *Detection) Prove(proof Sign) bool {
 	if d.proof != "" {
 		return false
 	}
@@ -198,7 +201,7 @@
 
 // ObserveFencingToken takes in a worker's fencing token. It returns the proof of a loss if the store never gave
 // that token out, and "" otherwise.
-func (d *Detection) ObserveFencingToken(token uint64, record *leadership.Record) (proof string) {
+func (d *Detection) ObserveFencingToken(token uint64, record *leadership.Record) (proof Sign) {
 	if token >= noTerm || record == nil {
 		return ""
 	}
@@ -207,16 +210,16 @@
 	case token > record.Term:
 		d.laterTerm = max(d.laterTerm, token)
 	case token > 0 && token < record.FirstTerm && record.Epoch == 1:
-		return "a worker knows a term from before the store's first"
+		return ProofTokenBeforeStore
 	}
 	return ""
 }
 
-// RecordRefreshed judges a later term that somebody knows, after the control record was read again. It returns the proof of
-// a loss if the store still does not have that term.
-func (d *Detection) RecordRefreshed(record *leadership.Record) (proof string) {
+// RecordRefreshed judges a later term that somebody knows, after the control record was read again. It returns the
+// proof of a loss if the store still does not have that term.
+func (d *Detection) RecordRefreshed(record *leadership.Record) (proof Sign) {
 	if record != nil && d.laterTerm > record.Term {
-		proof = "a worker or controller knows a later term than the store"
+		proof = ProofLaterTerm
 	}
 	d.laterTerm = 0
 	return proof
@@ -235,7 +238,8 @@
 // EpochKeyChanged books an epoch's own key as the store has it.
 func (d *Detection) EpochKeyChanged(key string, version uint64) { d.epochKeys[key] = version }
 
-// EpochKeyDeleted books that an epoch's own key is not there any more. It says whether the record's epoch is this one.
+// EpochKeyDeleted books that an epoch's own key is not there any more. It says whether the record's epoch is this
+// one.
 func (d *Detection) EpochKeyDeleted(key string, record *leadership.Record) (current bool) {
 	delete(d.epochKeys, key)
 	return record != nil && key == EpochKey+record.StoreID
@@ -312,7 +316,9 @@
 
 // PlanComparison merges the keys that are followed with the evidence. ready is false if the outcome is known without
 // asking the store.
-func (d *Detection) PlanComparison(followed map[string]uint64, listed bool) (plan ComparisonPlan, outcome Comparison, ready bool) {
+func (d *Detection) PlanComparison(
+	followed map[string]uint64, listed bool,
+) (plan ComparisonPlan, outcome Comparison, ready bool) {
 	if d.proof != "" || d.brokenChain {
 		return plan, Missing, false
 	}
@@ -326,9 +332,11 @@
 	return plan, Unanswered, true
 }
 
-// JudgeFailedKeys judges keys that did not have the versions compared. Whoever calls it has read all changes of the store
-// since; versionNow is a key's version by these, ownVersion that of the own presence.
-func (d *Detection) JudgeFailedKeys(plan ComparisonPlan, failed []string, ownVersion uint64, versionNow func(key string) uint64) FailedKeys {
+// JudgeFailedKeys judges keys that did not have the versions compared. Whoever calls it has read all changes of the
+// store since; versionNow is a key's version by these, ownVersion that of the own presence.
+func (d *Detection) JudgeFailedKeys(
+	plan ComparisonPlan, failed []string, ownVersion uint64, versionNow func(key string) uint64,
+) FailedKeys {
 	judged := FailedKeys{Comparison: Intact}
 	for _, key := range failed {
 		if key == plan.OwnKey {
@@ -370,12 +378,13 @@
 	switch {
 	case newer && contents.EpochKeys[EpochKey+stored.StoreID] == 0:
 		// Its own key is gone: this store has lost data already, and what it holds is only evidence.
-		judgement.Proof = "the store's generation has no key of its own"
+		judgement.Proof = ProofEpochKeyGone
 	case record == nil || newer:
 		return ListJudgement{Verdict: ListOfOtherEpoch}
 	case d.agreement.phase == Lost:
-	case stored == nil || stored.Term < record.Term || contents.RecordVersion < recordVersion || contents.EpochKeys[EpochKey+record.StoreID] == 0:
-		judgement.Suspicion = "the list of keys lacks what was acknowledged"
+	case stored == nil || stored.Term < record.Term || contents.RecordVersion < recordVersion ||
+		contents.EpochKeys[EpochKey+record.StoreID] == 0:
+		judgement.Suspicion = SignListLacks
 	default:
 		return ListJudgement{Verdict: ListCurrent, Proof: d.proofByPeers(record, contents.ReadAt)}
 	}
@@ -384,10 +393,10 @@
 }
 
 // proofByPeers is the proof of a loss if a peer knows a later epoch than a list that was just read.
-func (d *Detection) proofByPeers(record *leadership.Record, now time.Time) string {
+func (d *Detection) proofByPeers(record *leadership.Record, now time.Time) Sign {
 	for _, a := range d.agreement.Assessments(now) {
 		if a.Epoch > record.Epoch {
-			return "a controller knows a later generation than the store"
+			return ProofLaterEpoch
 		}
 	}
 	return ""
@@ -408,7 +417,9 @@
 
 // Proposal is the evidence on which the next epoch is made, and the store's contents that it replaces. ready
 // is false while this controller may not propose: no loss is agreed on, or its own key is not in the store.
-func (d *Detection) Proposal(record *leadership.Record, revision uint64, now time.Time) (evidence Evidence, contents StoreContents, ready bool) {
+func (d *Detection) Proposal(
+	record *leadership.Record, revision uint64, now time.Time,
+) (evidence Evidence, contents StoreContents, ready bool) {
 	if d.agreement.phase != Lost || d.contents.Presences[d.self].Incarnation != d.incarnation {
 		return evidence, contents, false
 	}
--- a/internal/datarecovery/detection_test.go
+++ b/internal/datarecovery/detection_test.go
@@ -29,7 +29,8 @@
 	return contents
 }
 
-// TestFullList: a list of a store that went back was taken for what the store has, or one of a later epoch not entered.
+// TestFullList: a list of a store that went back was taken for what the store has, or one of a later epoch not
+// entered.
 func TestFullList(t *testing.T) {
 	known := testRecord(2, 120, "s")
 	for name, c := range map[string]struct {
@@ -57,7 +58,8 @@
 	}
 }
 
-// TestListWhilePeersKnowALaterEpoch: a list of the known epoch is taken in, but proves a loss if a peer is in a later one.
+// TestListWhilePeersKnowALaterEpoch: a list of the known epoch is taken in, but proves a loss if a peer is in a
+// later one.
 func TestListWhilePeersKnowALaterEpoch(t *testing.T) {
 	known := testRecord(2, 120, "s")
 	d := NewDetection("a", 7, []string{"b"}, 4*time.Second)
@@ -68,8 +70,8 @@
 	}
 }
 
-// TestLostStoreIsOnlyEvidence: once a loss is agreed on, what the store still has is not relied on, and a proposal needs the own
-// key in it.
+// TestLostStoreIsOnlyEvidence: once a loss is agreed on, what the store still has is not relied on, and a proposal
+// needs the own key in it.
 func TestLostStoreIsOnlyEvidence(t *testing.T) {
 	known := testRecord(1, 120, "s")
 	d := trustedDetection(known)
@@ -151,8 +153,8 @@
 	}
 }
 
-// TestFencingTokens: a worker's token proves a loss only if it is from before the store began; a later one than the term has
-// the record read first, since that may only be late here.
+// TestFencingTokens: a worker's token proves a loss only if it is from before the store began; a later one than the
+// term has the record read first, since that may only be late here.
 func TestFencingTokens(t *testing.T) {
 	first, later := testRecord(1, 120, "s"), testRecord(2, 120, "s")
 	for name, c := range map[string]struct {
@@ -233,8 +235,8 @@
 	}
 }
 
-// TestFailedKeys: a key that has another version was changed since, one that has the same is missing; the own key may have
-// ended with its lease.
+// TestFailedKeys: a key that has another version was changed since, one that has the same is missing; the own key
+// may have ended with its lease.
 func TestFailedKeys(t *testing.T) {
 	d := trustedDetection(testRecord(1, 120, "s"))
 	d.SuspectKey("w/a/job-000001", 5)
--- a/internal/datarecovery/epoch.go
+++ b/internal/datarecovery/epoch.go
@@ -27,7 +27,7 @@
 	Own              Assessment
 	HighestToken     uint64 // highest that any worker was heard with
 	ChangeUnanswered bool   // a change of the record had no answer
-	StoreID          string // drawn name of the generation's store
+	StoreID          string // drawn name of the epoch's store
 }
 
 // NextEpoch makes the control record of the next epoch. Terms go above every token that any worker may have
@@ -43,7 +43,9 @@
 	term, epoch := e.highest(base)
 	complete := e.memoryComplete(base.Epoch)
 	keep := complete && e.nobodyActedElsewhere(base)
-	next := (&leadership.Record{Term: term + 1, FirstTerm: term + 1, Epoch: epoch + 1, StoreID: e.StoreID, RosterIncomplete: true}).Clone()
+	next := (&leadership.Record{
+		Term: term + 1, FirstTerm: term + 1, Epoch: epoch + 1, StoreID: e.StoreID, RosterIncomplete: true,
+	}).Clone()
 	next.DataLost = base.DataLost || !complete || (e.Stored != nil && e.Stored.DataLost)
 	for name, presence := range e.Presences {
 		next.Nodes[name] = presence.Incarnation
@@ -81,7 +83,8 @@
 	return false
 }
 
-// nobodyActedElsewhere says whether every controller is heard and acted under no other record than the latest known here.
+// nobodyActedElsewhere says whether every controller is heard and acted under no other record than the latest known
+// here.
 func (e *Evidence) nobodyActedElsewhere(base *leadership.Record) bool {
 	if e.Record == nil || e.ChangeUnanswered || (e.Stored != nil && e.Stored.Term > base.Term) {
 		return false
@@ -115,9 +118,9 @@
 	}
 }
 
-// Transaction is the one conditional write that begins the epoch in place of what the store holds: it replaces the control
-// record, makes the epoch's own key and deletes those of earlier epochs, at most maxOps operations. It rests on the presences that the
-// epoch names.
+// Transaction is the one conditional write that begins the epoch in place of what the store holds: it replaces the
+// control record, makes the epoch's own key and deletes those of earlier epochs, at most maxOps operations. It
+// rests on the presences that the epoch names.
 func (p *NextEpoch) Transaction(controlKey, presencePrefix string, replaced StoreContents, maxOps int) protocol.Txn {
 	p.Record.PreviousVersion = replaced.RecordVersion
 	txn := protocol.Txn{
--- a/internal/datarecovery/exchange.go
+++ b/internal/datarecovery/exchange.go
@@ -43,9 +43,9 @@
 	maps.DeleteFunc(x.members, func(name string, _ *memberProgress) bool { return !member(name) })
 }
 
-// Awaited lists the members whose memories or answer are awaited; a nil exchange awaits nobody. Of these, one that is not
-// heard now holds nobody up, but is asked again as long as it is a member: one that only
-// stood still comes back with what it knows.
+// Awaited lists the members whose memories or answer are awaited; a nil exchange awaits nobody. Of these, one that
+// is not heard now holds nobody up, but is asked again as long as it is a member: one that only stood still comes
+// back with what it knows.
 func (x *Exchange) Awaited() []string {
 	if x == nil {
 		return nil
--- a/internal/datarecovery/gathering.go
+++ b/internal/datarecovery/gathering.go
@@ -28,9 +28,9 @@
 	proposedAt time.Time
 }
 
-// Gathering is what controllers exchange after the state service lost data, and before, so that more than one remembers
-// it: whose memories are still awaited, finished tasks, and jobs that a peer was about to accept. It owns its
-// state, does no I/O and reads no clock; its owner guards it by a lock.
+// Gathering is what controllers exchange after the state service lost data, and before, so that more than one
+// remembers it: whose memories are still awaited, finished tasks, and jobs that a peer was about to accept. It owns
+// its state, does no I/O and reads no clock; its owner guards it by a lock.
 type Gathering struct {
 	exchange      *Exchange       // that is under way; nil: none
 	exchangedWith map[string]bool // peers that sent their memories since this process started
@@ -41,7 +41,11 @@
 
 // NewGathering remembers nothing and awaits nobody.
 func NewGathering() *Gathering {
-	return &Gathering{exchangedWith: map[string]bool{}, finished: map[string]*bitset.BitSet{}, proposed: map[string]proposedJob{}}
+	return &Gathering{
+		exchangedWith: map[string]bool{},
+		finished:      map[string]*bitset.BitSet{},
+		proposed:      map[string]proposedJob{},
+	}
 }
 
 // Begin awaits the memories of the other members of an epoch.
@@ -103,8 +107,8 @@
 // tell a job that was never accepted from one that the store lost.
 func (g *Gathering) ExchangedWith(peer string) bool { return g.exchangedWith[peer] }
 
-// SendDue says whether memories are to be sent to all peers now, and if so takes it as done. allExchanged tells whether
-// every peer that may be heard sent its own since this process started.
+// SendDue says whether memories are to be sent to all peers now, and if so takes it as done. allExchanged tells
+// whether every peer that may be heard sent its own since this process started.
 func (g *Gathering) SendDue(now time.Time, allExchanged func() bool) bool {
 	if now.Sub(g.sentAt) <= memoriesResendInterval || (g.exchange == nil && allExchanged()) {
 		return false
@@ -159,7 +163,8 @@
 // ForgetFinished drops the finished tasks of a job that ended.
 func (g *Gathering) ForgetFinished(uid string) { delete(g.finished, uid) }
 
-// TakeFinished empties the memory of finished tasks and returns what it held, for those of jobs that still run to be merged again.
+// TakeFinished empties the memory of finished tasks and returns what it held, for those of jobs that still run to
+// be merged again.
 func (g *Gathering) TakeFinished() map[string]*bitset.BitSet {
 	taken := g.finished
 	g.finished = map[string]*bitset.BitSet{}
--- a/internal/datarecovery/pages.go
+++ b/internal/datarecovery/pages.go
@@ -87,7 +87,8 @@
 	}
 }
 
-// pack adds an end of usual form: the distance to the last id, then tasks, the team's index and whether it was cancelled.
+// pack adds an end of usual form: the distance to the last id, then tasks, the team's index and whether it was
+// cancelled.
 func (w *pageWriter) pack(id uint32, end End) {
 	team, there := w.team[end.Team]
 	if !there {
--- a/internal/datarecovery/status.go
+++ b/internal/datarecovery/status.go
@@ -3,7 +3,7 @@
 // Status is what a controller tells operators of its store, in its overview.
 type Status struct {
 	Phase            string   `json:"phase"`
-	Sign             string   `json:"sign,omitempty"` // why it is doubted or held to be lost
+	Sign             Sign     `json:"sign,omitempty"` // why a loss is suspected or confirmed
 	Epoch            uint64   `json:"generation"`
 	DataLost         bool     `json:"lost_for_good"`     // there may be jobs that nobody remembers
 	RosterIncomplete bool     `json:"roster_incomplete"` // machines may not be registered that run something
--- a/internal/datarecovery/writeback.go
+++ b/internal/datarecovery/writeback.go
@@ -27,10 +27,10 @@
 	seenAt  time.Time
 }
 
-// WriteBack decides what returns to the state service in an epoch that followed a loss of data, and in which order: the
-// jobs that it lacks, the ends of those that it has as active, and the pages of ends. Few jobs at a
-// time, since acceptances and the roster are not to wait for them. It owns its state, does no I/O and reads no clock;
-// its owner guards it by a lock.
+// WriteBack decides what returns to the state service in an epoch that followed a loss of data, and in which order:
+// the jobs that it lacks, the ends of those that it has as active, and the pages of ends. Few jobs at a time, since
+// acceptances and the roster are not to wait for them. It owns its state, does no I/O and reads no clock; its owner
+// guards it by a lock.
 type WriteBack struct {
 	roundAt  time.Time           // when it was last looked what to write back
 	inFlight map[string]bool     // jobs whose key is being written
@@ -71,8 +71,8 @@
 // InFlight says whether a job's key is being written.
 func (w *WriteBack) InFlight(uid string) bool { return w.inFlight[uid] }
 
-// StartJobs picks which of the jobs that the store lacks are written now, with at most limit keys in flight. Each is in flight
-// until Written.
+// StartJobs picks which of the jobs that the store lacks are written now, with at most limit keys in flight. Each
+// is in flight until Written.
 func (w *WriteBack) StartJobs(missing []RememberedJob, limit int) []RememberedJob {
 	SortForWriteBack(missing)
 	room := max(0, limit-len(w.inFlight))
@@ -83,8 +83,9 @@
 	return started
 }
 
-// StartStaleKeys picks which ended jobs have their end written now, with at most limit keys in flight. Each is in flight until
-// Written. owned tells whether this controller owns the job's team, ended whether the job's end is known.
+// StartStaleKeys picks which ended jobs have their end written now, with at most limit keys in flight. Each is in
+// flight until Written. owned tells whether this controller owns the job's team, ended whether the job's end is
+// known.
 func (w *WriteBack) StartStaleKeys(now time.Time, limit int, owned, ended func(uid string) bool) []StaleKey {
 	var started []StaleKey
 	for uid, key := range w.stale {
--- a/internal/datarecovery/writeback_test.go
+++ b/internal/datarecovery/writeback_test.go
@@ -32,8 +32,8 @@
 	}
 }
 
-// TestStaleKeys: the end of a job that the store has as active is written again by its owner, not before the change that
-// ended it had time to be read here.
+// TestStaleKeys: the end of a job that the store has as active is written again by its owner, not before the change
+// that ended it had time to be read here.
 func TestStaleKeys(t *testing.T) {
 	w, due := NewWriteBack(), testStart.Add(staleKeyDelay)
 	w.EndedKeyActive("job-000001", 5, testStart)
