--- a/internal/agents/commands.go
+++ b/internal/agents/commands.go
@@ -71,7 +71,7 @@
 	if a.isQueued(protocol.Stop, o.Ref()) {
 		return
 	}
-	c, grace := command(o), o.Grace
+	c, grace := command(o), o.GraceSeconds
 	c.GraceSeconds = &grace
 	a.queue = append(a.queue, c)
 	a.sendNow = true
@@ -125,7 +125,7 @@
 	}
 	for _, s := range a.starts {
 		if !s.listed && !s.neverSent && !s.forgotten && s.order.Op == protocol.Start {
-			use(s.order.CPUs, s.order.GPUs, s.order.Memory)
+			use(s.order.CPUs, s.order.GPUs, s.order.MemoryGB)
 		}
 	}
 	return cpus >= -sizeTolerance && gpus >= -sizeTolerance && memory >= -sizeTolerance
--- a/internal/agents/machinestatus.go
+++ b/internal/agents/machinestatus.go
@@ -35,7 +35,7 @@
 		if ok {
 			id := jobstate.TaskID{Job: job, Index: index}
 			status.Tasks = append(status.Tasks, jobstate.TaskStatus{
-				TaskID: id, Attempt: t.Attempt, State: t.State, Why: t.Reason, Saved: t.Checkpointed,
+				TaskID: id, Attempt: t.Attempt, State: t.State, Reason: t.Reason, Checkpointed: t.Checkpointed,
 			})
 		}
 	}
--- a/internal/agents/registry_test.go
+++ b/internal/agents/registry_test.go
@@ -16,7 +16,7 @@
 }
 
 func startOf(job string) jobstate.Order {
-	return jobstate.Order{Op: protocol.Start, TaskID: jobstate.TaskID{Job: job}, Attempt: 5, Incarnation: 1, CPUs: 2, Memory: 4}
+	return jobstate.Order{Op: protocol.Start, TaskID: jobstate.TaskID{Job: job}, Attempt: 5, Incarnation: 1, CPUs: 2, MemoryGB: 4}
 }
 
 func report(seq uint64, tasks ...protocol.TaskStatus) *protocol.Heartbeat {
--- a/internal/controller/admission.go
+++ b/internal/controller/admission.go
@@ -61,7 +61,7 @@
 func (n *Node) prioritizedTasks(shard *shards.Owned, list []jobstate.Demand, now time.Time) []int {
 	first := make([]int, len(list))
 	for i, d := range list {
-		if d.Begins {
+		if d.FirstTask {
 			first[i] = d.Count
 		}
 	}
@@ -70,7 +70,7 @@
 		return first
 	}
 	f := &floorFilling{list: list, prioritized: first, deficits: map[string]float64{}}
-	held := shard.Team().HeldBy()
+	held := shard.Team().CPUsByClass()
 	for i, d := range list {
 		lacks := plan.Floor(keyOf(d.Spec)) - held[d.Spec.Class]
 		if n.jobs[d.Spec.UID] != nil && !d.Probe && d.Spec.CPUs > 0 && lacks >= d.Spec.CPUs {
@@ -403,12 +403,12 @@
 		if !ok || !shard.IsReady() {
 			continue
 		}
-		for class, cpus := range shard.Team().HeldBy() {
+		for class, cpus := range shard.Team().CPUsByClass() {
 			of(admission.Key{Team: team, Class: class}).Held = cpus
 		}
 		for _, d := range shard.Team().Demands(now) {
 			x := of(keyOf(d.Spec))
-			x.Waiting += d.Count + int(d.Beyond/max(d.Spec.CPUs, 1e-9)+0.5)
+			x.Waiting += d.Count + int(d.BeyondQuotaCPUs/max(d.Spec.CPUs, 1e-9)+0.5)
 			if j := n.jobs[d.Spec.UID]; j != nil {
 				x.Oldest = max(x.Oldest, now.Sub(j.submittedAt).Seconds())
 			}
--- a/internal/controller/barrier.go
+++ b/internal/controller/barrier.go
@@ -55,7 +55,7 @@
 	}
 	for _, name := range shard.Team().Machines() {
 		if !n.roster.Has(name) {
-			shard.Team().Gone(name)
+			shard.Team().MachineReturned(name)
 		}
 	}
 }
--- a/internal/controller/demands.go
+++ b/internal/controller/demands.go
@@ -18,7 +18,7 @@
 		first := n.prioritizedTasks(shard, list, now)
 		for i, d := range list {
 			if !d.Probe {
-				out = append(out, demand{Job: d.Spec.UID, Count: d.Count, Borrowed: d.Borrowed, QuotaDelay: d.Behind.Milliseconds(), Prioritized: first[i], CPUsBeyondQuota: d.Beyond, Zone: boundZone(shard.Team(), d.Spec)})
+				out = append(out, demand{Job: d.Spec.UID, Count: d.Count, Borrowed: d.Borrowed, QuotaDelay: d.Backlog.Milliseconds(), Prioritized: first[i], CPUsBeyondQuota: d.BeyondQuotaCPUs, Zone: boundZone(shard.Team(), d.Spec)})
 			}
 		}
 	}
@@ -32,7 +32,7 @@
 	if job == nil || !spec.OneZone || spec.Kind == protocol.Gang {
 		return ""
 	}
-	for zone := range team.Zones(job) {
+	for zone := range team.TasksByZone(job) {
 		return zone
 	}
 	return ""
--- a/internal/controller/eviction.go
+++ b/internal/controller/eviction.go
@@ -14,7 +14,7 @@
 		if m == nil || m.status == nil || !m.status.Notice {
 			continue
 		}
-		shard.Team().On(name, func(assignment jobstate.Assignment) {
+		shard.Team().AssignmentsOn(name, func(assignment jobstate.Assignment) {
 			job := shard.Team().Job(assignment.Job)
 			switch {
 			case job == nil:
--- a/internal/controller/gangpreemption.go
+++ b/internal/controller/gangpreemption.go
@@ -15,7 +15,7 @@
 // gang beyond its team's guarantee stops tasks of its own team only.
 func (n *Node) preemptForGangs(p *placing) {
 	for shard := range n.shards.All() {
-		if !shard.MayPlace() || shard.IsFleet() || !shard.Team().HoldsRoom() || !shard.Team().HoldsQuota() {
+		if !shard.MayPlace() || shard.IsFleet() || !shard.Team().ReservesCapacity() || !shard.Team().ReservesQuota() {
 			continue
 		}
 		if w := p.firstGang(shard); w != nil && p.now.Sub(w.submitted) > preemptionDelay && protocol.Rank(w.spec.Priority) > 0 && !w.spec.Spread {
@@ -34,7 +34,7 @@
 	}
 	var first *waitingTasks
 	shard.Team().Jobs(func(job *jobstate.Job) {
-		if first != nil || job.Spec.Kind != protocol.Gang || !shard.Team().Waits(job, p.now) {
+		if first != nil || job.Spec.Kind != protocol.Gang || !shard.Team().HasWaitingTasks(job, p.now) {
 			return
 		}
 		if j := p.n.jobs[job.Spec.UID]; j != nil && j.active && !p.missed(job.Spec.UID) {
@@ -56,7 +56,7 @@
 
 // makeGangRoom asks for the stops that make room for a gang, unless some are under way already.
 func (n *Node) makeGangRoom(p *placing, w *waitingTasks) {
-	missing, _ := w.shard.Team().Gang(w.own)
+	missing, _ := w.shard.Team().MissingGangTasks(w.own)
 	if len(missing) == 0 || len(n.gangSlots(w.spec.UID)) > 0 {
 		return
 	}
--- a/internal/controller/gangs.go
+++ b/internal/controller/gangs.go
@@ -13,7 +13,7 @@
 
 // placeGang finds room for all missing tasks of a gang, or takes none.
 func (p *placing) placeGang(w *waitingTasks, ask *placement.Ask) bool {
-	missing, attempt := w.shard.Team().Gang(w.own)
+	missing, attempt := w.shard.Team().MissingGangTasks(w.own)
 	if len(missing) == 0 {
 		return true // it runs or ends
 	}
@@ -80,7 +80,7 @@
 // left to gangs that made no use of it for some time.
 func (p *placing) reserveForGangs() {
 	for _, w := range p.gangs {
-		if w.shard.Team().HoldsRoom() {
+		if w.shard.Team().ReservesCapacity() {
 			p.reserveForGang(w)
 		}
 	}
@@ -100,7 +100,7 @@
 // more machines first, and nobody waits for it.
 func (p *placing) reserveForGang(w *waitingTasks) {
 	r := &gangReservation{p: p, w: w, ask: p.n.ask(w.spec), rule: p.n.zoneRule(w)}
-	missing, _ := w.shard.Team().Gang(w.own)
+	missing, _ := w.shard.Team().MissingGangTasks(w.own)
 	if p.keepCleared(w, r.ask) > 0 || !w.shard.Team().Fits(w.own, len(missing)) {
 		return // its room is being cleared, or it waits for its team's quota, not for room
 	}
--- a/internal/controller/goals.go
+++ b/internal/controller/goals.go
@@ -10,11 +10,11 @@
 
 // goals lists when a job should be complete, by its deadline and the objectives
 // for its class, in order of time; none if nobody said.
-func (n *Node) goals(j *job) jobstate.Goals {
+func (n *Node) goals(j *job) jobstate.Objectives {
 	if j.goals != nil {
 		return j.goals
 	}
-	j.goals = jobstate.Goals{}
+	j.goals = jobstate.Objectives{}
 	add := func(seconds float64) { j.goals = append(j.goals, j.submittedAt.Add(settings.Seconds(seconds))) }
 	if j.spec.DeadlineSeconds != nil {
 		add(*j.spec.DeadlineSeconds)
--- a/internal/controller/golden_test.go
+++ b/internal/controller/golden_test.go
@@ -117,12 +117,12 @@
 
 func TestGoldenViews(t *testing.T) {
 	full := &jobstate.MachineStatus{Machine: "n-000231", Addr: "10.1.0.232:9000", Type: "g8", Zone: "a", Spot: true, Incarnation: 2, Seq: 88, Revision: 5, FencingToken: 41, Term: 40, Notice: true,
-		Tasks: []jobstate.TaskStatus{{TaskID: goldenKey, Attempt: 687865858, State: protocol.Exited, Why: protocol.ReasonStopped, Saved: true}}, Barred: []jobstate.AttemptRef{goldenRef}}
+		Tasks: []jobstate.TaskStatus{{TaskID: goldenKey, Attempt: 687865858, State: protocol.Exited, Reason: protocol.ReasonStopped, Checkpointed: true}}, Barred: []jobstate.AttemptRef{goldenRef}}
 	checkLines(t, "views", []*jobstate.MachineStatus{full}, []*jobstate.MachineStatus{{Tasks: []jobstate.TaskStatus{{}}, Barred: []jobstate.AttemptRef{{}}}})
 }
 
 func TestGoldenOrders(t *testing.T) {
-	full := jobstate.Order{Op: protocol.Stop, TaskID: goldenKey, Attempt: 687865858, Incarnation: 2, CPUs: 8, GPUs: 1, Memory: 64.5, Grace: 10}
+	full := jobstate.Order{Op: protocol.Stop, TaskID: goldenKey, Attempt: 687865858, Incarnation: 2, CPUs: 8, GPUs: 1, MemoryGB: 64.5, GraceSeconds: 10}
 	checkLines(t, "orders", ordersMsg{Term: 41, Machine: "n-000231", Orders: []jobstate.Order{full}}, ordersMsg{Orders: []jobstate.Order{{}}})
 }
 
--- a/internal/controller/grown_test.go
+++ b/internal/controller/grown_test.go
@@ -113,7 +113,7 @@
 			g.n.machines[name].heardAt = g.now
 			var fresh []jobstate.TaskStatus
 			for shard := range g.n.shards.All() {
-				shard.Team().On(name, func(h jobstate.Assignment) {
+				shard.Team().AssignmentsOn(name, func(h jobstate.Assignment) {
 					if g.ends[h.Ref()].IsZero() {
 						g.ends[h.Ref()] = g.now.Add(20*time.Second + time.Duration(g.rng.IntN(40000))*time.Millisecond)
 						fresh = append(fresh, jobstate.TaskStatus{TaskID: h.TaskID, Attempt: h.Attempt, State: protocol.Running})
@@ -135,7 +135,7 @@
 						continue
 					}
 					if !g.now.Before(g.ends[t.Ref()]) {
-						t.State, t.Why = protocol.Exited, protocol.ReasonDone
+						t.State, t.Reason = protocol.Exited, protocol.ReasonDone
 					}
 					kept = append(kept, t)
 				}
@@ -277,7 +277,7 @@
 	for _, borrowed := range []bool{false, true} {
 		g := newGrown(8, 2)
 		n := g.n
-		n.shards.OfTeam("team-1").Team().CPUs = 0
+		n.shards.OfTeam("team-1").Team().GuaranteedCPUs = 0
 		submit := func(uid, team, priority string, tasks int, cpus, estimate float64) {
 			n.mu.Lock()
 			defer n.mu.Unlock()
@@ -288,7 +288,7 @@
 		for range 12 {
 			g.second(2)
 		}
-		if held, _ := n.shards.OfTeam("team-1").Team().Held(); held != 64 {
+		if held, _ := n.shards.OfTeam("team-1").Team().CountAttempts(); held != 64 {
 			t.Fatalf("%d of 64 idle-time tasks run", held)
 		}
 		team := "team-0"
--- a/internal/controller/hosts.go
+++ b/internal/controller/hosts.go
@@ -82,7 +82,7 @@
 // recountMoved marks the machines where own teams' attempts came or went.
 func (n *Node) recountMoved() {
 	for shard := range n.shards.All() {
-		n.recount(maps.Keys(shard.Team().TakeMoved()))
+		n.recount(maps.Keys(shard.Team().TakeChangedMachines()))
 	}
 }
 
@@ -138,7 +138,7 @@
 		}
 	}
 	for shard := range n.shards.All() {
-		shard.Team().On(m.status.Machine, func(h jobstate.Assignment) {
+		shard.Team().AssignmentsOn(m.status.Machine, func(h jobstate.Assignment) {
 			if !listed[h.Ref()] {
 				cpus, gpus, memory = cpus-h.CPUs, gpus-h.GPUs, memory-h.Memory
 			}
--- a/internal/controller/inflight_test.go
+++ b/internal/controller/inflight_test.go
@@ -37,7 +37,7 @@
 }
 
 func (o *ordering) order(op protocol.CommandOp) {
-	o.n.agents.QueueOrders(1, o.name, []jobstate.Order{{Op: op, TaskID: jobstate.TaskID{Job: "job-000001"}, Attempt: 1, Incarnation: 1, CPUs: 1, Memory: 1}})
+	o.n.agents.QueueOrders(1, o.name, []jobstate.Order{{Op: op, TaskID: jobstate.TaskID{Job: "job-000001"}, Attempt: 1, Incarnation: 1, CPUs: 1, MemoryGB: 1}})
 }
 
 // TestNoStartOfWhatIsOver: an owner that the state service refuses may order starts of a job that its machine's home
@@ -143,7 +143,7 @@
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	o.report(o.now)
-	n.agents.QueueOrders(1, o.name, []jobstate.Order{{Op: protocol.Start, TaskID: jobstate.TaskID{Job: "job-000950"}, Attempt: 1, Incarnation: 1, CPUs: 1, Memory: 1}})
+	n.agents.QueueOrders(1, o.name, []jobstate.Order{{Op: protocol.Start, TaskID: jobstate.TaskID{Job: "job-000950"}, Attempt: 1, Incarnation: 1, CPUs: 1, MemoryGB: 1}})
 	if _, commands := o.report(o.now); len(commands) != 1 {
 		t.Fatalf("the start does not go out: %+v", commands)
 	}
--- a/internal/controller/jobs.go
+++ b/internal/controller/jobs.go
@@ -16,9 +16,9 @@
 	version       uint64
 	active        bool
 	endedAt       time.Time
-	countedLate   bool           // counted as not served in time
-	goals         jobstate.Goals // cached
-	longestRun    time.Duration  // of its tasks that ran to completion as far as seen here
+	countedLate   bool                // counted as not served in time
+	goals         jobstate.Objectives // cached
+	longestRun    time.Duration       // of its tasks that ran to completion as far as seen here
 	completedRuns int
 }
 
@@ -47,14 +47,14 @@
 	if shard := n.shards.OfTeam(s.Spec.Team); shard != nil && shard.Phase() != shards.Loading && shard.Team().Job(s.Spec.UID) == nil {
 		n.addJob(shard, j, nil)
 		if d := n.recovery.gathering.Finished(s.Spec.UID); d != nil {
-			shard.Team().Merge(s.Spec.UID, d)
+			shard.Team().MergeDone(s.Spec.UID, d)
 		}
 		if n.epoch() > 1 { // machines may run it already
 			n.reconcileMachinesOf(shard, s.Spec.UID)
 		}
 		n.wake()
 	} else if shard != nil {
-		shard.Team().Written(s.Spec.UID, j.version)
+		shard.Team().RecordVersion(s.Spec.UID, j.version)
 	}
 }
 
--- a/internal/controller/machinestatus.go
+++ b/internal/controller/machinestatus.go
@@ -40,7 +40,7 @@
 	n.log.Info("machine gone", "machine", name)
 	for shard := range n.shards.All() {
 		if shard.IsReady() {
-			shard.Team().Gone(name)
+			shard.Team().MachineReturned(name)
 		}
 	}
 	if d := n.commandSenders[name]; d != nil {
@@ -131,7 +131,7 @@
 		case t.State == protocol.Running:
 			running[t.Ref()] = now
 			n.recordFirstRun(t.Job, now)
-		case wasRunning && t.Why == protocol.ReasonDone:
+		case wasRunning && t.Reason == protocol.ReasonDone:
 			if j := n.jobs[t.Job]; j != nil {
 				j.longestRun = max(j.longestRun, now.Sub(since))
 				j.completedRuns++
@@ -191,7 +191,7 @@
 		case shard.IsReady():
 			team, _ := shards.TeamOf(shard.Name())
 			account := shard.Team()
-			if slices.Contains(teams, team) || account.Holds(v.Machine) || account.Reserves(v.Machine) || unknown < account.Since() {
+			if slices.Contains(teams, team) || account.HasAssignmentsOn(v.Machine) || account.HasOrphansOn(v.Machine) || unknown < account.FirstTerm() {
 				n.reconcileMachine(shard, v)
 			}
 		case shard.Phase() == shards.Barrier && shard.Awaits(v.Machine):
@@ -214,10 +214,10 @@
 // every status, so that whoever takes a team over knows its faulty jobs.
 func (n *Node) recordOutcome(t jobstate.TaskStatus, machine string, now time.Time) {
 	j := n.jobs[t.Job]
-	if j == nil || !j.active || (t.Why != protocol.ReasonError && t.Why != protocol.ReasonDone) {
+	if j == nil || !j.active || (t.Reason != protocol.ReasonError && t.Reason != protocol.ReasonDone) {
 		return
 	}
-	faulty := t.Why == protocol.ReasonError
+	faulty := t.Reason == protocol.ReasonError
 	if faulty && n.quarantine.RecordFailure(t.Job, machine, now) {
 		n.log.Info("job held to be faulty: it failed on several machines and succeeded on none", "job", t.Job, "team", j.spec.Team, "last", machine)
 	} else if !faulty && n.quarantine.RecordSuccess(t.Job, machine) {
--- a/internal/controller/meeting_test.go
+++ b/internal/controller/meeting_test.go
@@ -522,7 +522,7 @@
 	}
 	// An owner's order tells that the job is there before the watch does.
 	n.agents.SetTerm(1, func(string) bool { return true })
-	o := jobstate.Order{Op: protocol.Start, TaskID: jobstate.TaskID{Job: "job-000008"}, Attempt: 1, Incarnation: 1, CPUs: 1, Memory: 1}
+	o := jobstate.Order{Op: protocol.Start, TaskID: jobstate.TaskID{Job: "job-000008"}, Attempt: 1, Incarnation: 1, CPUs: 1, MemoryGB: 1}
 	n.agents.QueueOrders(1, g.names[0], []jobstate.Order{o})
 	if status, _ := ask(g.now.Add(time.Second), protocol.Running, "job-000008/0"); status != 200 {
 		t.Errorf("a task that its owner ordered here is answered by %d", status)
--- a/internal/controller/overview.go
+++ b/internal/controller/overview.go
@@ -112,7 +112,7 @@
 		x.Jobs++
 		x.Waiting += shard.Team().Unstarted(j)
 	})
-	x.Held, x.Unproven = shard.Team().Held()
+	x.Held, x.Unproven = shard.Team().CountAttempts()
 	x.CPUs, x.GPUs = shard.Team().Used()
 	return x
 }
--- a/internal/controller/placing.go
+++ b/internal/controller/placing.go
@@ -150,7 +150,7 @@
 	rule := p.n.zoneRule(w)
 	team := w.shard.Team()
 	team.Pending(w.own, p.now, func(index int) bool {
-		if w.count == 0 || !team.Fits(w.own, 1) || w.spare && !team.FitsSpare(w.own) {
+		if w.count == 0 || !team.Fits(w.own, 1) || w.spare && !team.FitsSurplus(w.own) {
 			return false
 		}
 		h := p.choose(ask, func(h *placement.Host) bool { return w.own.Avoids(h.Name, p.now) || !rule.allows(h) })
@@ -167,7 +167,7 @@
 
 // spot is a host as the ledger names it.
 func (n *Node) spot(h *placement.Host) jobstate.Location {
-	return jobstate.Location{Machine: h.Name, Zone: n.machines[h.Name].status.Zone, Session: h.Session}
+	return jobstate.Location{Machine: h.Name, Zone: n.machines[h.Name].status.Zone, Incarnation: h.Session}
 }
 
 // zoneRule holds a job's tasks, of which some may be on machines already, to one zone or to
@@ -188,7 +188,7 @@
 	if s.Spread {
 		r.most = (s.Tasks + 1) / 2
 	}
-	for zone, count := range w.shard.Team().Zones(w.own) {
+	for zone, count := range w.shard.Team().TasksByZone(w.own) {
 		r.zones[n.zoneIndex(zone)] += count
 	}
 	return r
--- a/internal/controller/placing_test.go
+++ b/internal/controller/placing_test.go
@@ -128,7 +128,7 @@
 		for _, m := range n.machines {
 			m.heardAt = now
 		}
-		gangs.TurnHoldback(now)
+		gangs.UpdateGangReservation(now)
 		n.place(now)
 		return len(arrays.Replica().Assignments)
 	}
@@ -159,7 +159,7 @@
 		priority := c.priority
 		g := newGrown(8, 2) // two of them ordinary, of 32 CPUs and in one zone
 		n := g.n
-		n.shards.OfTeam("team-0").Team().CPUs, n.shards.OfTeam("team-0").Team().MaxCPUs = 0, 44
+		n.shards.OfTeam("team-0").Team().GuaranteedCPUs, n.shards.OfTeam("team-0").Team().MaxCPUs = 0, 44
 		submit := func(uid, team, priority string, kind protocol.JobKind, tasks int, cpus float64) {
 			n.mu.Lock()
 			defer n.mu.Unlock()
--- a/internal/controller/reconcile.go
+++ b/internal/controller/reconcile.go
@@ -23,16 +23,16 @@
 // Job describes a job by what is followed here, or else by its remembered end.
 func (k teamKnowledge) Job(uid string) jobstate.JobInfo {
 	if j := k.n.jobs[uid]; j != nil {
-		return jobstate.JobInfo{Known: true, Mine: j.spec.Team == k.team, Active: j.active, Spec: j.spec}
+		return jobstate.JobInfo{Known: true, OwnTeam: j.spec.Team == k.team, Active: j.active, Spec: j.spec}
 	}
 	if end, ended := k.n.front.KnownEnd(uid); ended {
-		return jobstate.JobInfo{Known: true, Mine: end.Team == k.team, Spec: endedSpec(uid, end)}
+		return jobstate.JobInfo{Known: true, OwnTeam: end.Team == k.team, Spec: endedSpec(uid, end)}
 	}
 	return jobstate.JobInfo{}
 }
 
 // Unsized is what a machine has beside the listed tasks of known size.
-func (k teamKnowledge) Unsized(v *jobstate.MachineStatus) (cpus, gpus float64) {
+func (k teamKnowledge) UnknownSizeBound(v *jobstate.MachineStatus) (cpus, gpus float64) {
 	cpus, gpus, _, ok := k.n.capacity(v.Type)
 	if !ok {
 		return math.Inf(1), math.Inf(1)
@@ -71,7 +71,7 @@
 func (n *Node) reobserveReserved(uid string) {
 	for name := range n.machinesByJob[uid] {
 		for shard := range n.shards.All() {
-			if shard.IsReady() && shard.Team().Reserves(name) {
+			if shard.IsReady() && shard.Team().HasOrphansOn(name) {
 				n.reconcileMachine(shard, n.machines[name].status)
 			}
 		}
--- a/internal/controller/recovery_gather.go
+++ b/internal/controller/recovery_gather.go
@@ -242,7 +242,7 @@
 			continue
 		}
 		if shard := n.shards.OfTeam(j.spec.Team); shard != nil && shard.Phase() != shards.Loading {
-			shard.Team().Merge(uid, tasks)
+			shard.Team().MergeDone(uid, tasks)
 		}
 	}
 	n.wake()
--- a/internal/controller/replication_test.go
+++ b/internal/controller/replication_test.go
@@ -85,7 +85,7 @@
 func (p *linkedPair) finish(job string, task uint) {
 	p.owner.mu.Lock()
 	defer p.owner.mu.Unlock()
-	p.shard.Team().Merge(job, bitset.New(task+1).Set(task))
+	p.shard.Team().MergeDone(job, bitset.New(task+1).Set(task))
 }
 
 // replicate sends what brings the holder up to date, and says whether that was a part that is not the last.
--- a/internal/controller/slowtasks.go
+++ b/internal/controller/slowtasks.go
@@ -35,7 +35,7 @@
 		return
 	}
 	since, running := m.runningSince[assignment.Ref()]
-	if !running || now.Sub(since) <= limit || !shard.Team().Move(assignment, job.Spec.CheckpointSeconds, now) {
+	if !running || now.Sub(since) <= limit || !shard.Team().Migrate(assignment, job.Spec.CheckpointSeconds, now) {
 		return
 	}
 	m.slowAt = now
--- a/internal/controller/step.go
+++ b/internal/controller/step.go
@@ -65,7 +65,7 @@
 	n.applyTeamLimits(now)
 	for shard := range n.shards.All() {
 		shard.Team().SetFloors(n.classFloors(shard))
-		shard.Team().TurnHoldback(now)
+		shard.Team().UpdateGangReservation(now)
 	}
 	n.place(now)
 	reviewRunning := now.Sub(n.runningReviewedAt) > runningReviewInterval
@@ -103,10 +103,10 @@
 
 // sendDueOrders sends the orders that rest on nothing beyond what every required replica acknowledged.
 func (n *Node) sendDueOrders(shard *shards.Owned, acknowledged uint64, now time.Time) {
-	due := shard.Team().Due(acknowledged, now, n.mayStartOn)
+	due := shard.Team().TakeDueOrders(acknowledged, now, n.mayStartOn)
 	for machine, orders := range due {
 		if !n.sendOrders(machine, orders) {
-			shard.Team().Unsent(orders)
+			shard.Team().RetractUnsent(orders)
 			continue
 		}
 		if orders[0].Op == protocol.Start && shard.FirstStart() {
--- a/internal/controller/sustain_test.go
+++ b/internal/controller/sustain_test.go
@@ -132,19 +132,19 @@
 	spec := n.jobs["job-000001"].spec
 	place := func() []jobstate.Order {
 		tj := shard.Team().Job(spec.UID)
-		if !shard.Team().Place(tj, 0, jobstate.Location{Machine: g.names[0], Session: 1}) {
+		if !shard.Team().Place(tj, 0, jobstate.Location{Machine: g.names[0], Incarnation: 1}) {
 			t.Fatal("no place")
 		}
-		return shard.Team().Due(shard.Team().Replica().Seq, now, func(string, uint64) bool { return true })[g.names[0]]
+		return shard.Team().TakeDueOrders(shard.Team().Replica().Seq, now, func(string, uint64) bool { return true })[g.names[0]]
 	}
-	shard.Team().Unsent(place())
-	if held, _ := shard.Team().Held(); held != 0 {
+	shard.Team().RetractUnsent(place())
+	if held, _ := shard.Team().CountAttempts(); held != 0 {
 		t.Error("a start that went nowhere is held")
 	}
 	place()
 	now = now.Add(5 * time.Second)
-	shard.Team().Unsent(shard.Team().Due(shard.Team().Replica().Seq, now, func(string, uint64) bool { return true })[g.names[0]])
-	if held, _ := shard.Team().Held(); held != 1 {
+	shard.Team().RetractUnsent(shard.Team().TakeDueOrders(shard.Team().Replica().Seq, now, func(string, uint64) bool { return true })[g.names[0]])
+	if held, _ := shard.Team().CountAttempts(); held != 1 {
 		t.Error("a start that may be on its way is no longer held")
 	}
 }
--- a/internal/controller/teamconfig.go
+++ b/internal/controller/teamconfig.go
@@ -202,7 +202,7 @@
 		if n.record.Shards[shards.ForTeam(x.Team)].Owner != n.name {
 			continue
 		}
-		if shard := n.shards.OfTeam(x.Team); shard == nil || !shard.IsReady() || !shard.Team().Settled() {
+		if shard := n.shards.OfTeam(x.Team); shard == nil || !shard.IsReady() || !shard.Team().LimitsInForce() {
 			w.Unsettled = append(w.Unsettled, x.Team)
 		}
 	}
--- a/internal/controller/waiting.go
+++ b/internal/controller/waiting.go
@@ -72,7 +72,7 @@
 // appendSpare adds what an own team could place where its demands find no room.
 func (n *Node) appendSpare(list []waitingTasks, shard *shards.Owned, now time.Time) []waitingTasks {
 	from := len(list)
-	for _, d := range shard.Team().Spare(now) {
+	for _, d := range shard.Team().SurplusDemands(now) {
 		own := claim{shard, shard.Team().Job(d.Spec.UID)}
 		list = n.appendWaiting(list, own, &demand{Job: d.Spec.UID, Count: d.Count, Borrowed: true}, false, now)
 	}
--- a/internal/jobstate/demand.go
+++ b/internal/jobstate/demand.go
@@ -13,15 +13,15 @@
 func (t *Team) Fits(j *Job, tasks int) bool {
 	n := float64(tasks)
 	cpus, gpus := t.charged()
-	return cpus+n*j.Spec.CPUs <= t.MaxCPUs+slack && gpus+n*j.Spec.GPUs <= t.MaxGPUs+slack
+	return cpus+n*j.Spec.CPUs <= t.MaxCPUs+roundingTolerance && gpus+n*j.Spec.GPUs <= t.MaxGPUs+roundingTolerance
 }
 
-// HeldBy sums up the CPUs that attempts of active jobs hold, by class.
-func (t *Team) HeldBy() map[string]float64 {
+// CPUsByClass sums up the CPUs that attempts of active jobs hold, by class.
+func (t *Team) CPUsByClass() map[string]float64 {
 	sum := map[string]float64{}
-	for _, j := range t.order {
-		if len(j.holds) > 0 {
-			sum[j.Spec.Class] += float64(len(j.holds)) * j.Spec.CPUs
+	for _, j := range t.queue {
+		if len(j.attempts) > 0 {
+			sum[j.Spec.Class] += float64(len(j.attempts)) * j.Spec.CPUs
 		}
 	}
 	return sum
@@ -29,24 +29,24 @@
 
 // Demand is the room that pending tasks of a job ask for now, within the quota.
 type Demand struct {
-	Spec     *protocol.Submission
-	Count    int
-	Borrowed bool          // beyond the team's guarantee
-	Probe    bool          // to see whether a faulty job still fails
-	Begins   bool          // the first task of a large array that has waited long; it goes before what is more urgent
-	Beyond   float64       // CPUs that the job's class asks for beyond the quota; then Count is 0
-	Behind   time.Duration // that the whole quota takes for what waits beyond it
+	Spec            *protocol.Submission
+	Count           int
+	Borrowed        bool          // beyond the team's guarantee
+	Probe           bool          // to see whether a faulty job still fails
+	FirstTask       bool          // the first task of a large array that has waited long; it goes before what is more urgent
+	BeyondQuotaCPUs float64       // CPUs that the job's class asks for beyond the quota; then Count is 0
+	Backlog         time.Duration // that the whole quota takes for what waits beyond it
 }
 
 // most is how many tasks that take so much each find room.
-func most(room, each float64) int {
+func maxTasks(room, each float64) int {
 	if each <= 0 || math.IsInf(room, 1) {
-		if room < -slack {
+		if room < -roundingTolerance {
 			return 0
 		}
 		return math.MaxInt
 	}
-	return max(0, int(math.Floor((room+slack)/each)))
+	return max(0, int(math.Floor((room+roundingTolerance)/each)))
 }
 
 // SetFloors has the quota leave room to classes that have less than their floors, in CPUs.
@@ -55,12 +55,12 @@
 // lacking is how many CPUs classes have less than their floors. If less than all of that is left of the quota, each
 // class lacks the same part of it, so that none waits for quota that another one lacks. Classes whose gangs made no use of what was
 // held back for them lack nothing for a while.
-func (t *Team) lacking(left float64) (by map[string]float64, all float64) {
+func (t *Team) floorShortfalls(left float64) (by map[string]float64, all float64) {
 	if len(t.floors) == 0 {
 		return nil, 0
 	}
 	by = map[string]float64{}
-	held, unused := t.HeldBy(), t.releasedClasses()
+	held, unused := t.CPUsByClass(), t.releasedClasses()
 	for class, floor := range t.floors {
 		if unused[class] {
 			continue
@@ -81,9 +81,9 @@
 }
 
 // startsAtOnce is how many of a job's unstarted tasks need quota at the same time for it to begin; 0 once it has begun.
-func (j *Job) startsAtOnce(left int) int {
+func (j *Job) tasksToBegin(left int) int {
 	switch {
-	case len(j.holds) > 0:
+	case len(j.attempts) > 0:
 		return 0
 	case j.Spec.Kind == protocol.Gang:
 		return left
@@ -110,7 +110,7 @@
 
 // quotaFor is how many CPUs are left of the quota for a job whose class lacks so much of its floor, while kept is what
 // all classes lack. A class under its floor has room for one task at least, if there is any.
-func (t *Team) quotaFor(j *Job, used, lacks, kept float64) float64 {
+func (t *Team) availableCPUs(j *Job, used, lacks, kept float64) float64 {
 	left := t.MaxCPUs - used
 	if lacks <= 0 {
 		return left - kept
@@ -127,46 +127,46 @@
 	var out, probes []Demand
 	beyond := 0.0 // CPU seconds that the quota has no room for now
 	over := map[string]int{}
-	lacks, kept := t.lacking(t.MaxCPUs - cpus)
+	lacks, kept := t.floorShortfalls(t.MaxCPUs - cpus)
 	taken := quota{cpus, gpus} // what more urgent jobs leave nothing of
 	reserved := false          // part of it is reserved for a job that can't begin
 	var blocked *Job           // an array that can't begin: less urgent priorities wait for it
 	list, _ := t.waitingJobs(now)
 	for i := range list {
 		w := &list[i]
-		if !w.begins(now) || most(t.MaxCPUs-taken.cpus, w.Spec.CPUs) == 0 || most(t.MaxGPUs-taken.gpus, w.Spec.GPUs) == 0 {
+		if !w.startsFirstTask(now) || maxTasks(t.MaxCPUs-taken.cpus, w.Spec.CPUs) == 0 || maxTasks(t.MaxGPUs-taken.gpus, w.Spec.GPUs) == 0 {
 			continue
 		}
 		cpus += w.Spec.CPUs
 		gpus += w.Spec.GPUs
 		taken.add(w.Spec, 1)
-		w.left--
-		out = append(out, Demand{Spec: w.Spec, Count: 1, Begins: true, Borrowed: cpus > t.CPUs+slack || gpus > t.GPUs+slack})
+		w.unstarted--
+		out = append(out, Demand{Spec: w.Spec, Count: 1, FirstTask: true, Borrowed: cpus > t.GuaranteedCPUs+roundingTolerance || gpus > t.GuaranteedGPUs+roundingTolerance})
 	}
 	for _, waiting := range list {
-		j, left := waiting.Job, waiting.left
+		j, left := waiting.Job, waiting.unstarted
 		if blocked != nil && !reserved && protocol.Rank(j.Spec.Priority) < protocol.Rank(blocked.Spec.Priority) {
 			reserved = true
 			taken.reserve(blocked.Spec, 1, t.MaxCPUs-(kept-lacks[blocked.Spec.Class]), t.MaxGPUs)
 		}
 		d := Demand{Spec: j.Spec}
 		if j.faulty {
-			if len(j.holds) == 0 {
+			if len(j.attempts) == 0 {
 				d.Probe, d.Borrowed, d.Count = true, true, 1
 				probes = append(probes, d)
 			}
 			continue
 		}
 		own := lacks[j.Spec.Class]
-		fit := min(left, most(t.quotaFor(j, taken.cpus, own, kept), j.Spec.CPUs), most(t.MaxGPUs-taken.gpus, j.Spec.GPUs))
-		within := min(fit, most(t.CPUs-cpus, j.Spec.CPUs), most(t.GPUs-gpus, j.Spec.GPUs))
+		fit := min(left, maxTasks(t.availableCPUs(j, taken.cpus, own, kept), j.Spec.CPUs), maxTasks(t.MaxGPUs-taken.gpus, j.Spec.GPUs))
+		within := min(fit, maxTasks(t.GuaranteedCPUs-cpus, j.Spec.CPUs), maxTasks(t.GuaranteedGPUs-gpus, j.Spec.GPUs))
 		cpus += float64(fit) * j.Spec.CPUs
 		gpus += float64(fit) * j.Spec.GPUs
-		switch atOnce := j.startsAtOnce(left); {
+		switch atOnce := j.tasksToBegin(left); {
 		case atOnce > 0 && j.Spec.Kind == protocol.Gang:
 			if !reserved {
 				reserved = true
-				if !t.HoldsQuota() {
+				if !t.ReservesQuota() {
 					atOnce = 0 // it made no use of it
 				}
 				taken.reserve(j.Spec, atOnce, t.MaxCPUs-(kept-own), t.MaxGPUs)
@@ -189,7 +189,7 @@
 				over[j.Spec.Class] = i
 				probes = append(probes, Demand{Spec: j.Spec})
 			}
-			probes[i].Beyond += float64(left-fit) * j.Spec.CPUs
+			probes[i].BeyondQuotaCPUs += float64(left-fit) * j.Spec.CPUs
 		}
 		if within > 0 {
 			d.Count = within
@@ -201,7 +201,7 @@
 		}
 	}
 	for i := range out {
-		out[i].Behind = time.Duration(beyond / t.MaxCPUs * float64(time.Second))
+		out[i].Backlog = time.Duration(beyond / t.MaxCPUs * float64(time.Second))
 	}
 	return append(out, probes...)
 }
--- a/internal/jobstate/floors_test.go
+++ b/internal/jobstate/floors_test.go
@@ -32,7 +32,7 @@
 		for _, d := range team.Demands(now) {
 			asked += float64(d.Count) * d.Spec.CPUs
 		}
-		if asked > limit+slack {
+		if asked > limit+roundingTolerance {
 			t.Fatalf("seed %d: %g CPUs asked for of %g, floors %v", seed, asked, limit, floors)
 		}
 		if asked == 0 && limit >= largest {
--- a/internal/jobstate/gang_test.go
+++ b/internal/jobstate/gang_test.go
@@ -21,7 +21,7 @@
 
 func listed(m *model, j *Job, id uint64, index int, state protocol.TaskState, why protocol.ExitReason) {
 	v := &MachineStatus{Machine: fmt.Sprintf("m%d", index), Zone: "z", Incarnation: 1, FencingToken: 1}
-	v.Tasks = []TaskStatus{{TaskID: TaskID{j.Spec.UID, index}, Attempt: id, State: state, Why: why}}
+	v.Tasks = []TaskStatus{{TaskID: TaskID{j.Spec.UID, index}, Attempt: id, State: state, Reason: why}}
 	m.team.Observe(v, m.now, m)
 }
 
@@ -44,7 +44,7 @@
 	id := AttemptID(1, 1)
 	listed(m, j, id, 0, protocol.Waiting, "")
 	listed(m, j, id, 1, protocol.Exited, protocol.ReasonFull)
-	if missing, same := m.team.Gang(j); len(missing) != 1 || missing[0] != 1 || same != id {
+	if missing, same := m.team.MissingGangTasks(j); len(missing) != 1 || missing[0] != 1 || same != id {
 		t.Fatalf("missing %v of attempt %d", missing, same)
 	}
 }
@@ -60,13 +60,13 @@
 		listed(m, j, id, i, protocol.Running, "")
 	}
 	listed(m, j, id, 1, protocol.Exited, protocol.ReasonError)
-	if missing, _ := m.team.Gang(j); len(missing) != 0 {
+	if missing, _ := m.team.MissingGangTasks(j); len(missing) != 0 {
 		t.Fatalf("would start %v beside a running gang", missing)
 	}
 	stops := 0
-	for _, orders := range m.team.Due(99, m.now, func(string, uint64) bool { return true }) {
+	for _, orders := range m.team.TakeDueOrders(99, m.now, func(string, uint64) bool { return true }) {
 		for _, o := range orders {
-			if o.Op != protocol.Stop || o.Grace != j.Spec.CheckpointSeconds {
+			if o.Op != protocol.Stop || o.GraceSeconds != j.Spec.CheckpointSeconds {
 				t.Fatalf("orders %+v", o)
 			}
 			stops++
@@ -76,11 +76,11 @@
 		t.Fatalf("%d stops for two tasks left", stops)
 	}
 	listed(m, j, id, 0, protocol.Exited, protocol.ReasonStopped)
-	if missing, _ := m.team.Gang(j); len(missing) != 0 {
+	if missing, _ := m.team.MissingGangTasks(j); len(missing) != 0 {
 		t.Fatal("a new attempt while one old task is not off")
 	}
 	listed(m, j, id, 2, protocol.Exited, protocol.ReasonPeers)
-	if missing, fresh := m.team.Gang(j); len(missing) != 3 || fresh != 0 {
+	if missing, fresh := m.team.MissingGangTasks(j); len(missing) != 3 || fresh != 0 {
 		t.Fatalf("missing %v of attempt %d", missing, fresh)
 	}
 }
--- a/internal/jobstate/holdback.go
+++ b/internal/jobstate/holdback.go
@@ -10,76 +10,76 @@
 // it from less urgent work until there is enough. After some time there is something else that it lacks, and what was held
 // back is released for a while.
 var (
-	quotaTurn = turn{hold: time.Minute, release: 15 * time.Second} // half of it each served under half of the largest gangs
-	roomTurn  = turn{hold: time.Minute, release: 15 * time.Second}
+	quotaCycle    = reservationCycle{reserve: time.Minute, release: 15 * time.Second} // half of it each served under half of the largest gangs
+	capacityCycle = reservationCycle{reserve: time.Minute, release: 15 * time.Second}
 )
 
 // turn is for how long something is held back, and then released.
-type turn struct{ hold, release time.Duration }
+type reservationCycle struct{ reserve, release time.Duration }
 
 // releases says whether what was held back since a time is released now.
-func (x turn) releases(since, now time.Time) bool {
-	return now.Sub(since)%(x.hold+x.release) >= x.hold
+func (x reservationCycle) releases(since, now time.Time) bool {
+	return now.Sub(since)%(x.reserve+x.release) >= x.reserve
 }
 
 // holdback tells when quota and room are held back for a team's gangs. Room is, as long as gangs make use of it. Quota is
 // released in turn also while gangs start one after another, since the next of them may lack a little of it for minutes.
-type holdback struct {
-	waiting  time.Time // since when gangs have waited; zero while none waits
-	unplaced time.Time // the same, or since one of them was last placed
-	quota    bool      // released for the time being
-	room     bool      // the same
+type gangReservation struct {
+	waitingSince     time.Time // since when gangs have waited; zero while none waits
+	unplacedSince    time.Time // the same, or since one of them was last placed
+	quotaReleased    bool      // released for the time being
+	capacityReleased bool      // the same
 }
 
 // update takes in whether any gang waits.
-func (h *holdback) update(waits bool, now time.Time) {
+func (h *gangReservation) update(waits bool, now time.Time) {
 	if !waits {
-		*h = holdback{}
+		*h = gangReservation{}
 		return
 	}
-	if h.waiting.IsZero() {
-		h.waiting = now
+	if h.waitingSince.IsZero() {
+		h.waitingSince = now
 	}
-	if h.unplaced.IsZero() {
-		h.unplaced = now
+	if h.unplacedSince.IsZero() {
+		h.unplacedSince = now
 	}
-	h.quota, h.room = quotaTurn.releases(h.waiting, now), roomTurn.releases(h.unplaced, now)
+	h.quotaReleased, h.capacityReleased = quotaCycle.releases(h.waitingSince, now), capacityCycle.releases(h.unplacedSince, now)
 }
 
 // placed starts the time for room anew, since it was of use.
-func (h *holdback) placed() { h.unplaced, h.room = time.Time{}, false }
+func (h *gangReservation) placed() { h.unplacedSince, h.capacityReleased = time.Time{}, false }
 
-// TurnHoldback brings up to date whether quota and room are held back for the team's gangs. It is to be called with
+// UpdateGangReservation brings up to date whether quota and room are held back for the team's gangs. It is to be called with
 // the time of each step, before Demands.
-func (t *Team) TurnHoldback(now time.Time) {
+func (t *Team) UpdateGangReservation(now time.Time) {
 	waits := false
-	for _, j := range t.order {
-		if j.Spec.Kind == protocol.Gang && t.Waits(j, now) {
+	for _, j := range t.queue {
+		if j.Spec.Kind == protocol.Gang && t.HasWaitingTasks(j, now) {
 			waits = true
 			break
 		}
 	}
-	t.holdback.update(waits, now)
+	t.gangReservation.update(waits, now)
 }
 
-// Waits says whether a job has tasks that could be placed now if there were room.
-func (t *Team) Waits(j *Job, now time.Time) bool {
-	return !j.Over && !j.Finishing && !j.faulty && !now.Before(j.notUntil) && t.Unstarted(j) > 0
+// HasWaitingTasks says whether a job has tasks that could be placed now if there were room.
+func (t *Team) HasWaitingTasks(j *Job, now time.Time) bool {
+	return !j.Ended && !j.Finishing && !j.faulty && !now.Before(j.backoffUntil) && t.Unstarted(j) > 0
 }
 
-// HoldsRoom says whether room that comes free is held back for the team's gangs now.
-func (t *Team) HoldsRoom() bool { return !t.holdback.room }
+// ReservesCapacity says whether room that comes free is held back for the team's gangs now.
+func (t *Team) ReservesCapacity() bool { return !t.gangReservation.capacityReleased }
 
-// HoldsQuota says the same of the team's quota.
-func (t *Team) HoldsQuota() bool { return !t.holdback.quota }
+// ReservesQuota says the same of the team's quota.
+func (t *Team) ReservesQuota() bool { return !t.gangReservation.quotaReleased }
 
 // releasedClasses are those of the gangs for which nothing is held back now.
 func (t *Team) releasedClasses() map[string]bool {
-	if t.HoldsQuota() {
+	if t.ReservesQuota() {
 		return nil
 	}
 	classes := map[string]bool{}
-	for _, j := range t.order {
+	for _, j := range t.queue {
 		if j.Spec.Kind == protocol.Gang {
 			classes[j.Spec.Class] = true
 		}
--- a/internal/jobstate/holdback_test.go
+++ b/internal/jobstate/holdback_test.go
@@ -30,29 +30,29 @@
 // TestUnusedHoldbackIsReleased: quota was held back without end for a gang that found no machines, and for the floor of
 // its class, so that arrays waited for minutes beside idle machines. Once it has made no use of it for a while all of the
 // quota is for everybody; the gang is asked for all the same. Later it gets another try.
-func TestUnusedHoldbackIsReleased(t *testing.T) {
+func TestUnusedGangReservationIsReleased(t *testing.T) {
 	now := time.Unix(1000, 0)
 	team, gang, array := crowdedTeam(now)
 	team.SetFloors(map[string]float64{"gangs": 8})
-	team.TurnHoldback(now)
-	if got := asked(team, now); !team.HoldsQuota() || got[gang.Spec.UID] != 3 || got[array.UID] > 4 {
+	team.UpdateGangReservation(now)
+	if got := asked(team, now); !team.ReservesQuota() || got[gang.Spec.UID] != 3 || got[array.UID] > 4 {
 		t.Fatalf("at first %v tasks are asked for", got)
 	}
-	now = now.Add(quotaTurn.hold)
-	team.TurnHoldback(now)
-	if got := asked(team, now); team.HoldsQuota() || got[gang.Spec.UID] != 3 || got[array.UID] != 10 {
-		t.Fatalf("after %v without a start %v tasks are asked for", quotaTurn.hold, got)
+	now = now.Add(quotaCycle.reserve)
+	team.UpdateGangReservation(now)
+	if got := asked(team, now); team.ReservesQuota() || got[gang.Spec.UID] != 3 || got[array.UID] != 10 {
+		t.Fatalf("after %v without a start %v tasks are asked for", quotaCycle.reserve, got)
 	}
-	now = now.Add(quotaTurn.release)
-	team.TurnHoldback(now)
-	if got := asked(team, now); !team.HoldsQuota() || got[array.UID] > 4 {
+	now = now.Add(quotaCycle.release)
+	team.UpdateGangReservation(now)
+	if got := asked(team, now); !team.ReservesQuota() || got[array.UID] > 4 {
 		t.Fatalf("on the second try %v tasks are asked for", got)
 	}
 }
 
 // TestGangBeyondQuotaHoldsBackForAWhile: what is left of the quota was held back without end for a gang that takes more, but for
 // what is too little for one of its tasks; smaller tasks took that, and so each piece that came free.
-func TestGangBeyondQuotaHoldsBackForAWhile(t *testing.T) {
+func TestGangBeyondQuotaReservesForAWhile(t *testing.T) {
 	now := time.Unix(1000, 0)
 	team, _, array := crowdedTeam(now)
 	for i := range 5 {
@@ -60,42 +60,42 @@
 			t.Fatal("the array does not start")
 		}
 	}
-	team.TurnHoldback(now)
+	team.UpdateGangReservation(now)
 	if got := asked(team, now); got[array.UID] != 0 {
 		t.Fatalf("at first %v tasks are asked for", got)
 	}
-	now = now.Add(quotaTurn.hold)
-	team.TurnHoldback(now)
+	now = now.Add(quotaCycle.reserve)
+	team.UpdateGangReservation(now)
 	if got := asked(team, now); got[array.UID] != 5 {
-		t.Fatalf("after %v without a start %v tasks are asked for", quotaTurn.hold, got)
+		t.Fatalf("after %v without a start %v tasks are asked for", quotaCycle.reserve, got)
 	}
 }
 
 // TestHoldbackOfUse: as long as gangs start one after another the room that comes free is held back for the next. The quota
 // is released in turn all the same: what the next gang had too little of stood empty for minutes.
-func TestHoldbackOfUse(t *testing.T) {
+func TestGangReservationInUse(t *testing.T) {
 	now := time.Unix(1000, 0)
 	team, gang, array := crowdedTeam(now)
-	team.TurnHoldback(now)
-	now = now.Add(quotaTurn.hold - time.Second)
+	team.UpdateGangReservation(now)
+	now = now.Add(quotaCycle.reserve - time.Second)
 	if !team.PlaceGang(gang, 0, map[int]Location{0: {"m", "z", 1}, 1: {"m", "z", 1}, 2: {"m", "z", 1}}) {
 		t.Fatal("not placed")
 	}
 	next := *gang.Spec
 	next.UID = "job-000003"
 	team.AddJob(&next, 1, now, nil)
-	team.TurnHoldback(now)
-	if got := asked(team, now); !team.HoldsRoom() || got[next.UID] != 2 || got[array.UID] != 0 {
-		t.Fatalf("room held back: %v, and %v tasks are asked for; want what is left for the next gang", team.HoldsRoom(), got)
+	team.UpdateGangReservation(now)
+	if got := asked(team, now); !team.ReservesCapacity() || got[next.UID] != 2 || got[array.UID] != 0 {
+		t.Fatalf("room held back: %v, and %v tasks are asked for; want what is left for the next gang", team.ReservesCapacity(), got)
 	}
 	now = now.Add(time.Second)
-	team.TurnHoldback(now)
-	if got := asked(team, now); !team.HoldsRoom() || got[array.UID] != 4 {
-		t.Fatalf("room held back: %v, and %v tasks are asked for; want what is left for the array", team.HoldsRoom(), got)
+	team.UpdateGangReservation(now)
+	if got := asked(team, now); !team.ReservesCapacity() || got[array.UID] != 4 {
+		t.Fatalf("room held back: %v, and %v tasks are asked for; want what is left for the array", team.ReservesCapacity(), got)
 	}
-	now = now.Add(roomTurn.hold)
-	team.TurnHoldback(now)
-	if team.HoldsRoom() {
+	now = now.Add(capacityCycle.reserve)
+	team.UpdateGangReservation(now)
+	if team.ReservesCapacity() {
 		t.Fatal("room is held back though no other gang started")
 	}
 }
--- a/internal/jobstate/jobstate_test.go
+++ b/internal/jobstate/jobstate_test.go
@@ -86,11 +86,11 @@
 	case m.memory[uid] == unsized:
 		spec = &protocol.Submission{UID: uid, Team: spec.Team, Tasks: spec.Tasks}
 	}
-	return JobInfo{Known: true, Mine: spec.Team == "team", Active: m.active[uid], Spec: spec}
+	return JobInfo{Known: true, OwnTeam: spec.Team == "team", Active: m.active[uid], Spec: spec}
 }
 
 // Unsized is what a machine has beside the listed tasks of known size.
-func (m *model) Unsized(v *MachineStatus) (cpus, gpus float64) {
+func (m *model) UnknownSizeBound(v *MachineStatus) (cpus, gpus float64) {
 	cpus = plainCapacity
 	for _, x := range v.Tasks {
 		if job := m.Job(x.Job); job.Known && x.State != protocol.Exited && m.memory[x.Job] == whole {
@@ -120,7 +120,7 @@
 	if x.order.Op == protocol.Start && m.used(w, false)+m.specs[x.order.Job].CPUs > plainCapacity {
 		if _, there := w.tasks[x.order.TaskID]; !there {
 			w.token = x.term
-			w.tasks[x.order.TaskID] = TaskStatus{TaskID: x.order.TaskID, Attempt: x.order.Attempt, State: protocol.Exited, Why: protocol.ReasonFull}
+			w.tasks[x.order.TaskID] = TaskStatus{TaskID: x.order.TaskID, Attempt: x.order.Attempt, State: protocol.Exited, Reason: protocol.ReasonFull}
 		}
 		return ""
 	}
@@ -141,12 +141,12 @@
 		for _, o := range m.workers {
 			used += m.used(o, true)
 		}
-		if used > m.team.MaxCPUs+slack {
+		if used > m.team.MaxCPUs+roundingTolerance {
 			broken = fmt.Sprintf("quota: %g", used)
 		}
 	case protocol.Stop:
 		if there && have.Attempt == x.order.Attempt && have.State != protocol.Exited {
-			have.State, have.Why = protocol.Exited, protocol.ReasonStopped
+			have.State, have.Reason = protocol.Exited, protocol.ReasonStopped
 			w.tasks[x.order.TaskID] = have
 		}
 	case protocol.Forget:
@@ -214,7 +214,7 @@
 			m.gone(w.name)
 			m.workers[at] = &plainWorker{name: w.name + "+", session: 1, tasks: map[TaskID]TaskStatus{}}
 		} else if m.careless {
-			m.team.Gone(w.name) // believes that a silent machine is gone
+			m.team.MachineReturned(w.name) // believes that a silent machine is gone
 		}
 	case 17: // the owner crashes; the backup takes over under a raised term, or nobody remembers anything
 		if m.rng.IntN(4) == 0 && (m.await == nil || m.rng.IntN(6) == 0) {
@@ -260,7 +260,7 @@
 }
 
 func (m *model) order() {
-	for name, orders := range m.team.Due(m.backup.Seq, m.now, func(string, uint64) bool { return true }) {
+	for name, orders := range m.team.TakeDueOrders(m.backup.Seq, m.now, func(string, uint64) bool { return true }) {
 		for _, x := range m.workers {
 			if x.name == name {
 				m.send(x, orders)
@@ -308,7 +308,7 @@
 
 func (m *model) observe(w *plainWorker, v *MachineStatus) {
 	orders := m.team.Observe(v, m.now, m)
-	if m.team.Reserves(v.Machine) {
+	if m.team.HasOrphansOn(v.Machine) {
 		m.met["quota is reserved for orphaned tasks"] = true
 	}
 	m.send(w, orders)
@@ -340,7 +340,7 @@
 func (m *model) complete(w *plainWorker) {
 	for k, x := range w.tasks {
 		if x.State == protocol.Running && !w.dead && !w.hung && m.specs[k.Job].Team == "team" {
-			x.State, x.Why = protocol.Exited, protocol.ReasonDone
+			x.State, x.Reason = protocol.Exited, protocol.ReasonDone
 			w.tasks[k] = x
 			m.done[k] = true
 			break
@@ -351,7 +351,7 @@
 func (m *model) gone(name string) {
 	delete(m.last, name)
 	if m.await == nil {
-		m.team.Gone(name)
+		m.team.MachineReturned(name)
 		return
 	}
 	delete(m.await, name)
@@ -445,9 +445,9 @@
 		on[a.Machine]++
 		jobs[k.Job]++
 		cpus += a.CPUs
-		if j := m.team.jobs[k.Job]; (j == nil || a.stop || a.state == "") && !m.team.todo[a] {
+		if j := m.team.jobs[k.Job]; (j == nil || a.stopping || a.state == "") && !m.team.todo[a] {
 			return fmt.Sprintf("attempt %v needs an order and is not looked at", a.Ref())
-		} else if j != nil && j.holds[k.Index] != a {
+		} else if j != nil && j.attempts[k.Index] != a {
 			return fmt.Sprintf("attempt %v is missing at its job", a.Ref())
 		}
 	}
@@ -457,8 +457,8 @@
 		}
 	}
 	for uid, j := range m.team.jobs {
-		if len(j.holds) != jobs[uid] {
-			return fmt.Sprintf("%s holds %d, plainly %d", uid, len(j.holds), jobs[uid])
+		if len(j.attempts) != jobs[uid] {
+			return fmt.Sprintf("%s holds %d, plainly %d", uid, len(j.attempts), jobs[uid])
 		}
 	}
 	for machine, list := range m.team.on {
@@ -466,7 +466,7 @@
 			return fmt.Sprintf("%s holds %d, plainly %d", machine, len(list), on[machine])
 		}
 	}
-	if len(m.team.order) != len(m.team.jobs) || !slices.IsSortedFunc(m.team.order, Urgency) || cpus != m.team.usedCPU {
+	if len(m.team.queue) != len(m.team.jobs) || !slices.IsSortedFunc(m.team.queue, Urgency) || cpus != m.team.usedCPUs {
 		return "jobs out of order, or quota miscounted"
 	}
 	return ""
@@ -594,11 +594,11 @@
 	if !m.team.Place(j, 0, Location{"m0", "z", 1}) {
 		t.Fatal("not placed")
 	}
-	v := &MachineStatus{Machine: "m0", Incarnation: 1, Seq: 1, FencingToken: 1, Tasks: []TaskStatus{{TaskID: TaskID{spec.UID, 0}, Attempt: AttemptID(1, 1), State: protocol.Exited, Why: protocol.ReasonDone}}}
+	v := &MachineStatus{Machine: "m0", Incarnation: 1, Seq: 1, FencingToken: 1, Tasks: []TaskStatus{{TaskID: TaskID{spec.UID, 0}, Attempt: AttemptID(1, 1), State: protocol.Exited, Reason: protocol.ReasonDone}}}
 	if orders := m.team.Observe(v, m.now, m); len(orders) != 0 {
 		t.Fatalf("ordered %v before the bitmap was written", orders)
 	}
-	m.team.Saved(spec.UID, bitset.New(1).Set(0))
+	m.team.RecordSaved(spec.UID, bitset.New(1).Set(0))
 	if orders := m.team.Observe(v, m.now, m); len(orders) != 1 || orders[0].Op != protocol.Forget {
 		t.Fatalf("ordered %v after the bitmap was written", orders)
 	}
@@ -624,7 +624,7 @@
 	team.AddJob(spec, 1, time.Unix(1000, 0), nil)
 	list := team.Demands(time.Unix(1000, 0))
 	// 4 tasks fit the quota; the other 16 take it four times over, 30 s each.
-	if len(list) != 2 || list[0].Count != 4 || list[0].Behind != 2*time.Minute || list[1].Count != 0 || list[1].Beyond != 32 {
+	if len(list) != 2 || list[0].Count != 4 || list[0].Backlog != 2*time.Minute || list[1].Count != 0 || list[1].BeyondQuotaCPUs != 32 {
 		t.Fatalf("demands %+v, want 4 tasks with 2 minutes behind them, and 32 CPUs beyond the quota", list)
 	}
 	// A class that is kept room for is asked for within the quota, whatever is more urgent.
@@ -641,7 +641,7 @@
 	team.SetFloors(nil)
 	team.EndJob(urgent.UID)
 	team.MaxCPUs = math.Inf(1)
-	if list = team.Demands(time.Unix(1000, 0)); list[0].Count != 20 || list[0].Behind != 0 {
+	if list = team.Demands(time.Unix(1000, 0)); list[0].Count != 20 || list[0].Backlog != 0 {
 		t.Fatalf("demands %+v without a limit, want all and nothing behind", list)
 	}
 }
--- a/internal/jobstate/limits_test.go
+++ b/internal/jobstate/limits_test.go
@@ -38,15 +38,15 @@
 		m.team.StopExcess(c.running) // again changes nothing
 		stops := 0
 		for _, a := range m.team.held {
-			if a.stop {
+			if a.stopping {
 				stops++
 			}
 		}
-		if stops != c.stops || m.team.Settled() != c.settled || m.team.Place(j, 3, Location{"d", "z", 1}) {
-			t.Errorf("%s: %d stops, settled %v", name, stops, m.team.Settled())
+		if stops != c.stops || m.team.LimitsInForce() != c.settled || m.team.Place(j, 3, Location{"d", "z", 1}) {
+			t.Errorf("%s: %d stops, settled %v", name, stops, m.team.LimitsInForce())
 		}
 		m.team.SetLimits(0, 8, 0, 1)
-		if !m.team.Settled() || !m.team.Place(j, 3, Location{"d", "z", 1}) {
+		if !m.team.LimitsInForce() || !m.team.Place(j, 3, Location{"d", "z", 1}) {
 			t.Errorf("%s: a raised quota is not used", name)
 		}
 	}
@@ -60,7 +60,7 @@
 	m.team.SetLimits(0, 5, 0, 0)
 	m.team.StopExcess(false)
 	for k, a := range m.team.held {
-		if !a.stop {
+		if !a.stopping {
 			t.Errorf("task %d goes on", k.Index)
 		}
 	}
--- a/internal/jobstate/observe.go
+++ b/internal/jobstate/observe.go
@@ -10,13 +10,13 @@
 // What an account learns from machines: views, ends, and which attempts are proven off.
 
 // off releases an attempt that is proven to be on no machine.
-func (t *Team) off(a *attempt, why protocol.ExitReason) {
+func (t *Team) release(a *attempt, why protocol.ExitReason) {
 	if t.held[a.TaskID] != a {
 		return
 	}
 	j := t.jobs[a.Job]
 	if j != nil {
-		j.lost(a, why)
+		j.attemptLost(a, why)
 	}
 	t.setState(a, "")
 	delete(t.held, a.TaskID)
@@ -26,16 +26,16 @@
 	}
 	delete(t.todo, a)
 	t.moved[a.Machine] = true
-	t.usedCPU -= a.CPUs
-	t.usedGPU -= a.GPUs
+	t.usedCPUs -= a.CPUs
+	t.usedGPUs -= a.GPUs
 	if len(t.held) == 0 {
-		t.usedCPU, t.usedGPU = 0, 0
+		t.usedCPUs, t.usedGPUs = 0, 0
 	}
-	delete(t.rep.Assignments, a.TaskID)
-	t.emit(Delta{Released: []TaskID{a.TaskID}})
+	delete(t.replica.Assignments, a.TaskID)
+	t.emitDelta(Delta{Released: []TaskID{a.TaskID}})
 	if j != nil {
-		delete(j.holds, a.Index)
-		j.next = min(j.next, a.Index)
+		delete(j.attempts, a.Index)
+		j.lowestPending = min(j.lowestPending, a.Index)
 	}
 	t.log("attempt off", "task", a.Job, "index", a.Index, "attempt", a.Attempt, "machine", a.Machine, "why", why)
 }
@@ -53,13 +53,13 @@
 
 // Observe takes in a machine's view and gives the orders that follow from it. Whatever the view lists and this
 // account may have to answer for counts against the team's limit from then on, until it is proven off.
-func (t *Team) Observe(v *MachineStatus, now time.Time, known Knowledge) []Order {
+func (t *Team) Observe(v *MachineStatus, now time.Time, known JobDirectory) []Order {
 	var orders []Order
 	seen := map[TaskID]bool{}
 	var left orphanCount
 	for i := range v.Tasks {
 		x := &v.Tasks[i]
-		if t.listed(v, x, now) {
+		if t.observeAttempt(v, x, now) {
 			seen[x.TaskID] = true
 			if x.State != protocol.Exited {
 				continue
@@ -69,19 +69,19 @@
 			continue
 		}
 		job := known.Job(x.Job)
-		if job.Known && !job.Mine {
+		if job.Known && !job.OwnTeam {
 			continue
 		}
 		if !job.Known {
-			t.countUnknown(&left, x)
+			t.countUnknownJob(&left, x)
 			continue
 		}
 		order := Order{TaskID: x.TaskID, Attempt: x.Attempt, Incarnation: v.Incarnation}
 		switch {
 		case x.State == protocol.Exited:
-			if x.Why == protocol.ReasonDone && job.Active && x.Index < job.Spec.Tasks {
-				t.done(x.TaskID)
-				if j := t.jobs[x.Job]; j == nil || !j.saved.Test(uint(x.Index)) {
+			if x.Reason == protocol.ReasonDone && job.Active && x.Index < job.Spec.Tasks {
+				t.completeTask(x.TaskID)
+				if j := t.jobs[x.Job]; j == nil || !j.savedDone.Test(uint(x.Index)) {
 					continue // forgotten only once the state service knows
 				}
 			}
@@ -104,7 +104,7 @@
 }
 
 // listed takes in what a view says of an attempt that this account holds there; false if it holds none.
-func (t *Team) listed(v *MachineStatus, x *TaskStatus, now time.Time) bool {
+func (t *Team) observeAttempt(v *MachineStatus, x *TaskStatus, now time.Time) bool {
 	a := t.held[x.TaskID]
 	if a == nil || a.Machine != v.Machine || a.Attempt != x.Attempt || a.Incarnation != v.Incarnation {
 		return false
@@ -112,7 +112,7 @@
 	switch x.State {
 	case Ordered:
 	case protocol.Exited:
-		t.exited(a, x, now)
+		t.attemptExited(a, x, now)
 	default:
 		if a.listed.IsZero() {
 			a.listed = now
@@ -124,22 +124,22 @@
 
 // releaseProven ends the holds on a machine that its view proves to be off.
 func (t *Team) releaseProven(v *MachineStatus, seen map[TaskID]bool) {
-	for _, a := range t.sortedOn(v.Machine) {
+	for _, a := range t.attemptsOn(v.Machine) {
 		switch {
 		case v.Incarnation < a.Incarnation || seen[a.TaskID]:
 		case v.Incarnation > a.Incarnation:
-			t.off(a, "newer session")
+			t.release(a, "newer session")
 		case slices.Contains(v.Barred, a.Ref()):
-			t.off(a, "never sent")
+			t.release(a, "never sent")
 		case v.FencingToken > TermOf(a.Attempt):
 			// The worker knows a later term and does not list the attempt: its start
 			// can no longer arrive.
-			t.off(a, "later term")
+			t.release(a, "later term")
 		}
 	}
 }
 
-func (t *Team) sortedOn(machine string) []*attempt {
+func (t *Team) attemptsOn(machine string) []*attempt {
 	list := make([]*attempt, 0, len(t.on[machine]))
 	for _, a := range t.on[machine] {
 		list = append(list, a)
@@ -156,45 +156,45 @@
 	a := &attempt{Assignment: Assignment{TaskID: x.TaskID, Attempt: x.Attempt, Machine: v.Machine, Zone: v.Zone, Incarnation: v.Incarnation,
 		CPUs: spec.CPUs, GPUs: spec.GPUs, Memory: spec.MemoryGB}, listed: now}
 	t.hold(a)
-	t.rep.Assignments[a.TaskID] = a.Assignment
-	a.seq = t.emit(Delta{Placed: []Assignment{a.Assignment}})
+	t.replica.Assignments[a.TaskID] = a.Assignment
+	a.placedSeq = t.emitDelta(Delta{Placed: []Assignment{a.Assignment}})
 	t.setState(a, x.State)
 	t.log("attempt adopted", "task", a.Job, "index", a.Index, "attempt", a.Attempt, "machine", a.Machine)
 	return a
 }
 
 // exited books the end of an attempt.
-func (t *Team) exited(a *attempt, x *TaskStatus, now time.Time) {
-	if x.Why == protocol.ReasonDone {
-		t.done(a.TaskID)
+func (t *Team) attemptExited(a *attempt, x *TaskStatus, now time.Time) {
+	if x.Reason == protocol.ReasonDone {
+		t.completeTask(a.TaskID)
 	}
 	j := t.jobs[a.Job]
-	t.off(a, x.Why)
+	t.release(a, x.Reason)
 	if j == nil {
 		return
 	}
-	switch x.Why {
+	switch x.Reason {
 	case protocol.ReasonError:
 		if !j.faulty {
-			j.avoid[a.Machine] = now.Add(10 * time.Minute)
-		} else if !now.Before(j.notUntil) {
-			j.probes++
-			j.notUntil = now.Add(min(time.Minute, time.Second<<min(j.probes, 6)))
+			j.avoidUntil[a.Machine] = now.Add(10 * time.Minute)
+		} else if !now.Before(j.backoffUntil) {
+			j.failedProbes++
+			j.backoffUntil = now.Add(min(time.Minute, time.Second<<min(j.failedProbes, 6)))
 		}
 		t.log("task failed", "task", a.Job, "index", a.Index, "machine", a.Machine)
 	case protocol.ReasonFull:
-		j.avoid[a.Machine] = now.Add(1500 * time.Millisecond)
+		j.avoidUntil[a.Machine] = now.Add(1500 * time.Millisecond)
 	case protocol.ReasonIncomplete:
-		j.notUntil = now.Add(2 * time.Second)
+		j.backoffUntil = now.Add(2 * time.Second)
 	case protocol.ReasonInUse, protocol.ReasonNoSuch:
-		j.retry[a.Index] = now.Add(3 * time.Second)
+		j.retryAt[a.Index] = now.Add(3 * time.Second)
 	}
 }
 
-// Gone books that the cloud confirmed the end of a machine.
-func (t *Team) Gone(machine string) {
-	for _, a := range t.sortedOn(machine) {
-		t.off(a, "machine returned")
+// MachineReturned books that the cloud confirmed the end of a machine.
+func (t *Team) MachineReturned(machine string) {
+	for _, a := range t.attemptsOn(machine) {
+		t.release(a, "machine returned")
 	}
-	t.orphans.gone(machine)
+	t.orphans.release(machine)
 }
--- a/internal/jobstate/orders.go
+++ b/internal/jobstate/orders.go
@@ -11,37 +11,37 @@
 // Which starts and stops an account has given, and which are to be given now.
 
 // resend is how long an order may take before it is given again.
-const resend = 1500 * time.Millisecond
+const resendInterval = 1500 * time.Millisecond
 
-// Due gives the starts and stops to send now. acked is the sequence number that
+// TakeDueOrders gives the starts and stops to send now. acked is the sequence number that
 // every backup in sync acknowledged; ready says whether a machine's home and
 // registration allow a start under the term. Only attempts made in this term
 // are started: older ones wait until they are listed or proven off.
-func (t *Team) Due(acked uint64, now time.Time, ready func(machine string, session uint64) bool) map[string][]Order {
+func (t *Team) TakeDueOrders(acked uint64, now time.Time, ready func(machine string, session uint64) bool) map[string][]Order {
 	due := map[string][]Order{}
-	t.breakGangs()
+	t.stopIncompleteGangs()
 	for a := range t.todo {
-		if now.Sub(a.ordered) < resend {
+		if now.Sub(a.lastOrdered) < resendInterval {
 			continue
 		}
-		order := Order{TaskID: a.TaskID, Attempt: a.Attempt, Incarnation: a.Incarnation, CPUs: a.CPUs, GPUs: a.GPUs, Memory: a.Memory}
+		order := Order{TaskID: a.TaskID, Attempt: a.Attempt, Incarnation: a.Incarnation, CPUs: a.CPUs, GPUs: a.GPUs, MemoryGB: a.Memory}
 		j := t.jobs[a.Job]
 		switch {
-		case j == nil || a.stop:
-			order.Op, order.Grace = protocol.Stop, a.grace
-			if a.asked.IsZero() {
-				a.asked = now
+		case j == nil || a.stopping:
+			order.Op, order.GraceSeconds = protocol.Stop, a.graceSeconds
+			if a.stopOrdered.IsZero() {
+				a.stopOrdered = now
 			}
 		case a.state != "":
 			delete(t.todo, a)
 			continue
-		case a.seq <= acked && TermOf(a.Attempt) == t.term && ready(a.Machine, a.Incarnation):
+		case a.placedSeq <= acked && TermOf(a.Attempt) == t.term && ready(a.Machine, a.Incarnation):
 			order.Op = protocol.Start
-			a.starts++
+			a.startsInFlight++
 		default:
 			continue
 		}
-		a.ordered = now
+		a.lastOrdered = now
 		due[a.Machine] = append(due[a.Machine], order)
 	}
 	for _, orders := range due {
@@ -50,24 +50,24 @@
 	return due
 }
 
-// Unsent takes back orders that surely went nowhere, as when there is no connection
+// RetractUnsent takes back orders that surely went nowhere, as when there is no connection
 // to the machine's home. An attempt whose start never left is on no machine, and
 // its task is free to be placed elsewhere.
-func (t *Team) Unsent(orders []Order) {
+func (t *Team) RetractUnsent(orders []Order) {
 	for _, o := range orders {
 		a := t.held[o.TaskID]
 		if a == nil || a.Attempt != o.Attempt || o.Op != protocol.Start {
 			continue
 		}
-		if a.starts--; a.starts == 0 && a.state == "" {
-			t.off(a, "never sent")
+		if a.startsInFlight--; a.startsInFlight == 0 && a.state == "" {
+			t.release(a, "never sent")
 		}
 	}
 }
 
-// Held counts the attempts that may be on machines, and those of them that no
+// CountAttempts counts the attempts that may be on machines, and those of them that no
 // report has listed yet.
-func (t *Team) Held() (held, unlisted int) {
+func (t *Team) CountAttempts() (held, unlisted int) {
 	for _, a := range t.held {
 		if a.state == "" {
 			unlisted++
@@ -76,12 +76,12 @@
 	return len(t.held), unlisted
 }
 
-// Unproven counts attempts of this term whose stop was ordered long ago and
+// UnconfirmedStops counts attempts of this term whose stop was ordered long ago and
 // that are still in no list: only a later term can prove them off.
-func (t *Team) Unproven(now time.Time, after time.Duration) int {
+func (t *Team) UnconfirmedStops(now time.Time, after time.Duration) int {
 	n := 0
 	for a := range t.todo {
-		if a.state == "" && !a.asked.IsZero() && now.Sub(a.asked) > after && TermOf(a.Attempt) == t.term {
+		if a.state == "" && !a.stopOrdered.IsZero() && now.Sub(a.stopOrdered) > after && TermOf(a.Attempt) == t.term {
 			n++
 		}
 	}
--- a/internal/jobstate/orphan.go
+++ b/internal/jobstate/orphan.go
@@ -14,71 +14,71 @@
 
 // JobInfo is what an owner's controller knows of a job that a machine lists.
 type JobInfo struct {
-	Known  bool // false: neither team nor size can be told
-	Mine   bool // it belongs to the account's team
-	Active bool
-	Spec   *protocol.Submission // of the account's own jobs; without amounts if only the job's end is known
+	Known   bool // false: neither team nor size can be told
+	OwnTeam bool // it belongs to the account's team
+	Active  bool
+	Spec    *protocol.Submission // of the account's own jobs; without amounts if only the job's end is known
 }
 
-// Knowledge is what an owner's controller knows beside the account.
-type Knowledge interface {
+// JobDirectory is what an owner's controller knows beside the account.
+type JobDirectory interface {
 	// Job describes a job that a machine lists.
 	Job(uid string) JobInfo
 	// Unsized is the most that the tasks of unknown size can take of a machine together, in CPUs and GPUs.
-	Unsized(v *MachineStatus) (cpus, gpus float64)
+	UnknownSizeBound(v *MachineStatus) (cpus, gpus float64)
 }
 
 // orphanCount is what one view lists of tasks that the account can't hold as attempts.
 type orphanCount struct {
-	unsized []AttemptRef // of unknown size
-	cpus    float64
-	gpus    float64
+	unknownSize []AttemptRef // of unknown size
+	cpus        float64
+	gpus        float64
 }
 
 // reservation is the part of the quota that orphaned tasks of one machine may use.
-type reservation struct {
-	session uint64
-	seq     uint64 // of the report that listed them
-	unsized []AttemptRef
-	cpus    float64
-	gpus    float64
+type orphanReservation struct {
+	incarnation uint64
+	seq         uint64 // of the report that listed them
+	unknownSize []AttemptRef
+	cpus        float64
+	gpus        float64
 }
 
 // orphanAccount keeps the reservations by machine.
-type orphanAccount struct {
-	machines map[string]reservation
+type orphanReservations struct {
+	machines map[string]orphanReservation
 }
 
-func newOrphanAccount() orphanAccount {
-	return orphanAccount{machines: map[string]reservation{}}
+func newOrphanReservations() orphanReservations {
+	return orphanReservations{machines: map[string]orphanReservation{}}
 }
 
 // observe replaces what is reserved for a machine by what its view lists. An older report proves nothing about
 // tasks that a newer one listed.
-func (o *orphanAccount) observe(v *MachineStatus, left orphanCount, known Knowledge) {
+func (o *orphanReservations) observe(v *MachineStatus, left orphanCount, known JobDirectory) {
 	before, reserved := o.machines[v.Machine]
-	if reserved && (v.Incarnation < before.session || v.Incarnation == before.session && v.Seq < before.seq) {
+	if reserved && (v.Incarnation < before.incarnation || v.Incarnation == before.incarnation && v.Seq < before.seq) {
 		return
 	}
-	if len(left.unsized) > 0 {
-		cpus, gpus := known.Unsized(v)
+	if len(left.unknownSize) > 0 {
+		cpus, gpus := known.UnknownSizeBound(v)
 		left.cpus += max(0, cpus)
 		left.gpus += max(0, gpus)
 	}
-	if left.cpus == 0 && left.gpus == 0 && len(left.unsized) == 0 {
+	if left.cpus == 0 && left.gpus == 0 && len(left.unknownSize) == 0 {
 		delete(o.machines, v.Machine)
 		return
 	}
-	o.machines[v.Machine] = reservation{session: v.Incarnation, seq: v.Seq, unsized: left.unsized, cpus: left.cpus, gpus: left.gpus}
+	o.machines[v.Machine] = orphanReservation{incarnation: v.Incarnation, seq: v.Seq, unknownSize: left.unknownSize, cpus: left.cpus, gpus: left.gpus}
 }
 
 // gone releases what was reserved for a machine that the cloud confirmed to be gone.
-func (o *orphanAccount) gone(machine string) {
+func (o *orphanReservations) release(machine string) {
 	delete(o.machines, machine)
 }
 
 // sum adds up all reservations.
-func (o *orphanAccount) sum() (cpus, gpus float64) {
+func (o *orphanReservations) sum() (cpus, gpus float64) {
 	for _, r := range o.machines {
 		cpus += r.cpus
 		gpus += r.gpus
@@ -89,20 +89,22 @@
 // charged is what counts against the quota: held attempts, and what orphaned tasks may use.
 func (t *Team) charged() (cpus, gpus float64) {
 	cpus, gpus = t.orphans.sum()
-	return cpus + t.usedCPU, gpus + t.usedGPU
+	return cpus + t.usedCPUs, gpus + t.usedGPUs
 }
 
-// Since is the term in which this account began.
-func (t *Team) Since() uint64 { return t.since }
+// FirstTerm is the term in which this account began.
+func (t *Team) FirstTerm() uint64 { return t.firstTerm }
 
-// Reserves says whether quota is reserved for orphaned tasks of a machine.
-func (t *Team) Reserves(machine string) bool {
+// HasOrphansOn says whether quota is reserved for orphaned tasks of a machine.
+func (t *Team) HasOrphansOn(machine string) bool {
 	_, reserved := t.orphans.machines[machine]
 	return reserved
 }
 
-// Unsized lists the tasks of a machine whose size the account would have to know.
-func (t *Team) Unsized(machine string) []AttemptRef { return t.orphans.machines[machine].unsized }
+// OrphansOfUnknownSize lists the tasks of a machine whose size the account would have to know.
+func (t *Team) OrphansOfUnknownSize(machine string) []AttemptRef {
+	return t.orphans.machines[machine].unknownSize
+}
 
 // Reserved is the part of the quota that orphaned tasks of unknown size, or beside another attempt of theirs,
 // may use.
@@ -110,9 +112,9 @@
 
 // countUnknown counts a task of a job that nobody here can describe. All attempts of this team that were made since
 // this account began are its own, so that only an earlier one may be the team's.
-func (t *Team) countUnknown(left *orphanCount, x *TaskStatus) {
-	if x.State != protocol.Exited && TermOf(x.Attempt) < t.since {
-		left.unsized = append(left.unsized, x.Ref())
+func (t *Team) countUnknownJob(left *orphanCount, x *TaskStatus) {
+	if x.State != protocol.Exited && TermOf(x.Attempt) < t.firstTerm {
+		left.unknownSize = append(left.unknownSize, x.Ref())
 	}
 }
 
@@ -122,7 +124,7 @@
 	sized := spec.CPUs > 0 || spec.GPUs > 0
 	switch {
 	case !sized:
-		left.unsized = append(left.unsized, x.Ref())
+		left.unknownSize = append(left.unknownSize, x.Ref())
 		return false
 	case t.held[x.TaskID] != nil:
 		left.cpus += spec.CPUs
@@ -130,7 +132,7 @@
 		return false
 	}
 	a := t.adopt(v, x, spec, now)
-	a.stop = true
+	a.stopping = true
 	t.todo[a] = true
 	return true
 }
--- a/internal/jobstate/orphan_test.go
+++ b/internal/jobstate/orphan_test.go
@@ -59,14 +59,14 @@
 
 // TestOlderReportReleasesNothing: an older report, at a home that knows no newer one, proves nothing about tasks that
 // a newer one listed.
-func TestOlderReportReleasesNothing(t *testing.T) {
+func TestOlderHeartbeatReleasesNothing(t *testing.T) {
 	m := secondTerm(t)
 	m.specs["job-7"] = &protocol.Submission{UID: "job-7", Team: "team", Tasks: 1, CPUs: 1}
 	m.memory["job-7"] = nothing
 	m.team.Observe(orphans("job-7", 5, AttemptID(1, 1)), m.now, m)
 	m.team.Observe(orphans("job-7", 4), m.now, m)
 	charged(t, m, plainCapacity, "after an older report")
-	m.team.Gone("m0")
+	m.team.MachineReturned("m0")
 	charged(t, m, 0, "after the machine's end")
 }
 
--- a/internal/jobstate/quota_test.go
+++ b/internal/jobstate/quota_test.go
@@ -13,10 +13,10 @@
 	for _, demand := range team.Demands(now) {
 		job := team.Job(demand.Spec.UID)
 		if demand.Spec.Kind == protocol.Gang {
-			missing, attempt := team.Gang(job)
+			missing, attempt := team.MissingGangTasks(job)
 			spots := map[int]Location{}
 			for _, index := range missing {
-				spots[index] = Location{Machine: "m", Zone: "z", Session: 1}
+				spots[index] = Location{Machine: "m", Zone: "z", Incarnation: 1}
 			}
 			team.PlaceGang(job, attempt, spots)
 			continue
@@ -24,7 +24,7 @@
 		left := demand.Count
 		team.Pending(job, now, func(index int) bool {
 			left--
-			return left >= 0 && team.Place(job, index, Location{Machine: "m", Zone: "z", Session: 1})
+			return left >= 0 && team.Place(job, index, Location{Machine: "m", Zone: "z", Incarnation: 1})
 		})
 	}
 }
@@ -32,8 +32,8 @@
 // endOne has the worker end the lowest running task of a job.
 func endOne(team *Team, uid string) {
 	job := team.Job(uid)
-	held := team.heldOf(job)[0]
-	team.exited(held, &TaskStatus{TaskID: held.TaskID, Attempt: held.Attempt, State: protocol.Exited, Why: protocol.ReasonDone}, time.Unix(1000, 0))
+	held := team.attemptsOf(job)[0]
+	team.attemptExited(held, &TaskStatus{TaskID: held.TaskID, Attempt: held.Attempt, State: protocol.Exited, Reason: protocol.ReasonDone}, time.Unix(1000, 0))
 }
 
 // TestQuotaIsReservedForTheMostUrgent: tasks of a less urgent job end one by one at the team's limit. What they free is
@@ -63,7 +63,7 @@
 				endOne(team, small.UID)
 				placeDemanded(team, now)
 			}
-			if held := len(team.Job(urgent.UID).holds); held != urgent.Tasks {
+			if held := len(team.Job(urgent.UID).attempts); held != urgent.Tasks {
 				t.Fatalf("%d of %d urgent tasks hold quota after %d CPUs came free", held, urgent.Tasks, needed)
 			}
 		})
@@ -72,7 +72,7 @@
 
 // TestQuotaOfABegunJobIsNotReserved: an array that has begun goes on by what its own tasks free; what is too small for one
 // of its tasks stays with others.
-func TestQuotaOfABegunJobIsNotReserved(t *testing.T) {
+func TestQuotaOfAStartedJobIsNotReserved(t *testing.T) {
 	now := time.Unix(1000, 0)
 	team := NewTeam("team", 0, 10, 0, math.Inf(1), NewReplica(), 1, func(string, ...any) {})
 	large := &protocol.Submission{UID: "job-000001", Kind: protocol.JobArray, Priority: "high", Tasks: 10, CPUs: 4}
@@ -80,7 +80,7 @@
 	team.AddJob(large, 1, now, nil)
 	team.AddJob(small, 2, now, nil)
 	placeDemanded(team, now)
-	if large, small := len(team.Job(large.UID).holds), len(team.Job(small.UID).holds); large != 2 || small != 2 {
+	if large, small := len(team.Job(large.UID).attempts), len(team.Job(small.UID).attempts); large != 2 || small != 2 {
 		t.Fatalf("%d large and %d small tasks hold quota, want 2 of each", large, small)
 	}
 }
@@ -112,7 +112,7 @@
 	team.AddJob(large, 1, now, nil)
 	team.AddJob(small, 2, now, nil)
 	placeDemanded(team, now)
-	if held := len(team.Job(small.UID).holds); held != 3 {
+	if held := len(team.Job(small.UID).attempts); held != 3 {
 		t.Fatalf("%d small tasks hold quota, want 3", held)
 	}
 }
--- a/internal/jobstate/quotaorder_test.go
+++ b/internal/jobstate/quotaorder_test.go
@@ -24,20 +24,20 @@
 
 // TestQuotaGoesToWhatCanBeInTime: of what a team asks for beyond its limit, jobs with little left come first, then those that can
 // still reach a goal, soonest start first, then what is late, then what has no goal. Priority stands above all of it.
-func TestQuotaGoesToWhatCanBeInTime(t *testing.T) {
+func TestQuotaGoesToAttainableObjectives(t *testing.T) {
 	now := time.Unix(1000, 0)
 	team := NewTeam("team", 0, 5, 0, math.Inf(1), NewReplica(), 1, func(string, ...any) {})
 	add := func(uid, priority string, due time.Duration, estimate float64) {
 		team.AddJob(&protocol.Submission{UID: uid, Kind: protocol.JobArray, Priority: priority, Tasks: 2, CPUs: 1, EstimateSeconds: estimate}, 1, now, nil)
 		if due != 0 {
-			team.SetGoals(uid, Goals{now.Add(due)})
+			team.SetObjectives(uid, Objectives{now.Add(due)})
 		}
 	}
 	add("job-aimless", "standard", 0, 10)
 	add("job-late", "standard", -time.Minute, 10)
 	add("job-begun", "standard", -time.Hour, 10)
 	placeOne := team.Job("job-begun")
-	if !team.Place(placeOne, 0, Location{Machine: "m", Zone: "z", Session: 1}) {
+	if !team.Place(placeOne, 0, Location{Machine: "m", Zone: "z", Incarnation: 1}) {
 		t.Fatal("not placed")
 	}
 	add("job-long", "standard", 5*time.Minute, 270) // due later, but it must start sooner
@@ -57,15 +57,15 @@
 
 // TestLargeBegunJobLeavesTheLimitToOthers: a begun job that could fill the limit for minutes goes by its goals like any other,
 // and before late ones that have not begun.
-func TestLargeBegunJobLeavesTheLimitToOthers(t *testing.T) {
+func TestLargeStartedJobLeavesTheLimitToOthers(t *testing.T) {
 	now := time.Unix(1000, 0)
 	team := NewTeam("team", 0, 8, 0, math.Inf(1), NewReplica(), 1, func(string, ...any) {})
 	add := func(uid string, tasks int, due time.Duration) {
 		team.AddJob(&protocol.Submission{UID: uid, Kind: protocol.JobArray, Priority: "standard", Tasks: tasks, CPUs: 1, EstimateSeconds: 10}, 1, now, nil)
-		team.SetGoals(uid, Goals{now.Add(due)})
+		team.SetObjectives(uid, Objectives{now.Add(due)})
 	}
 	add("job-giant", 20, -time.Minute)
-	if !team.Place(team.Job("job-giant"), 0, Location{Machine: "m", Zone: "z", Session: 1}) {
+	if !team.Place(team.Job("job-giant"), 0, Location{Machine: "m", Zone: "z", Incarnation: 1}) {
 		t.Fatal("not placed")
 	}
 	add("job-late", 20, -time.Minute)
@@ -77,7 +77,7 @@
 
 // TestLargeArraysBegin: one task of a large array that has waited long and can reach no goal goes first, also at a limit that others
 // fill; not of one that has begun, has just come, is small, or can be in time.
-func TestLargeArraysBegin(t *testing.T) {
+func TestLargeArraysStartTheirFirstTask(t *testing.T) {
 	now := time.Unix(1000, 0)
 	for _, c := range []struct {
 		name  string
@@ -86,30 +86,30 @@
 		begun bool
 		want  int
 	}{
-		{"waited long", 40, beginAfter + time.Second, false, 1},
-		{"late", 40, beginAfter + 2*time.Second, false, 1},
-		{"can be in time", 40, beginAfter + 3*time.Second, false, 0},
+		{"waited long", 40, firstTaskDelay + time.Second, false, 1},
+		{"late", 40, firstTaskDelay + 2*time.Second, false, 1},
+		{"can be in time", 40, firstTaskDelay + 3*time.Second, false, 0},
 		{"has just come", 40, time.Second, false, 0},
-		{"small", beginTasks - 1, beginAfter + time.Second, false, 0},
-		{"has begun", 40, beginAfter + time.Second, true, 0},
+		{"small", firstTaskMinTasks - 1, firstTaskDelay + time.Second, false, 0},
+		{"has begun", 40, firstTaskDelay + time.Second, true, 0},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			team := NewTeam("team", 0, 10, 0, math.Inf(1), NewReplica(), 1, func(string, ...any) {})
 			team.AddJob(&protocol.Submission{UID: "job-large", Kind: protocol.JobArray, Priority: "low", Tasks: c.tasks, CPUs: 1, EstimateSeconds: 10}, 1, now.Add(-c.age), nil)
 			switch c.name {
 			case "late":
-				team.SetGoals("job-large", Goals{now.Add(-time.Minute)})
+				team.SetObjectives("job-large", Objectives{now.Add(-time.Minute)})
 			case "can be in time":
-				team.SetGoals("job-large", Goals{now.Add(-time.Minute), now.Add(time.Minute)})
+				team.SetObjectives("job-large", Objectives{now.Add(-time.Minute), now.Add(time.Minute)})
 			}
-			if c.begun && !team.Place(team.Job("job-large"), 0, Location{Machine: "m", Zone: "z", Session: 1}) {
+			if c.begun && !team.Place(team.Job("job-large"), 0, Location{Machine: "m", Zone: "z", Incarnation: 1}) {
 				t.Fatal("not placed")
 			}
 			team.AddJob(&protocol.Submission{UID: "job-urgent", Kind: protocol.JobArray, Priority: "high", Tasks: 100, CPUs: 1, EstimateSeconds: 10}, 1, now, nil)
 			begins, asked := 0, 0
 			for _, d := range team.Demands(now) {
 				asked += d.Count
-				if d.Begins {
+				if d.FirstTask {
 					begins += d.Count
 				}
 			}
@@ -128,7 +128,7 @@
 	team := NewTeam("team", 0, 4, 0, math.Inf(1), NewReplica(), 1, func(string, ...any) {})
 	for i, uid := range []string{"job-000001", "job-000002"} {
 		team.AddJob(&protocol.Submission{UID: uid, Kind: protocol.Gang, Priority: "high", Tasks: 4, CPUs: 1, EstimateSeconds: 10}, 1, now, nil)
-		team.SetGoals(uid, Goals{now.Add(time.Duration(6*i-1) * time.Minute)})
+		team.SetObjectives(uid, Objectives{now.Add(time.Duration(6*i-1) * time.Minute)})
 	}
 	if asked := askedOf(team, now); len(asked) == 0 || asked[0] != "job-000001" {
 		t.Errorf("%v ask for quota", asked)
@@ -173,12 +173,12 @@
 			if a.at == now {
 				team.AddJob(a.spec, 1, start.Add(now), nil)
 				if withGoals {
-					team.SetGoals(a.spec.UID, Goals{start.Add(a.due)})
+					team.SetObjectives(a.spec.UID, Objectives{start.Add(a.due)})
 				}
 			}
 		}
 		for _, held := range running[now] {
-			team.exited(held, &TaskStatus{TaskID: held.TaskID, Attempt: held.Attempt, State: protocol.Exited, Why: protocol.ReasonDone}, start.Add(now))
+			team.attemptExited(held, &TaskStatus{TaskID: held.TaskID, Attempt: held.Attempt, State: protocol.Exited, Reason: protocol.ReasonDone}, start.Add(now))
 		}
 		before := map[TaskID]bool{}
 		for k := range team.held {
@@ -190,7 +190,7 @@
 			if job == nil {
 				continue
 			}
-			for _, held := range job.holds {
+			for _, held := range job.attempts {
 				if !before[held.TaskID] {
 					a.started++
 					running[now+a.run] = append(running[now+a.run], held)
--- a/internal/jobstate/spare.go
+++ b/internal/jobstate/spare.go
@@ -11,15 +11,15 @@
 // were not listed at all. They are offered as spare work.
 
 // sparePart is the part of the limit that spare work leaves nothing beyond, so that the rest stays with what is listed.
-const sparePart = 0.75
+const surplusPart = 0.75
 
-// Spare lists what the team could place beside its demands where those find no room: of each class what the limit, as it is
+// SurplusDemands lists what the team could place beside its demands where those find no room: of each class what the limit, as it is
 // used now, has room for. The classes' counts are not of each other; FitsSpare tells what is left while they are placed. While a
 // gang waits there is none, since what comes free is collected for it.
-func (t *Team) Spare(now time.Time) []Demand {
+func (t *Team) SurplusDemands(now time.Time) []Demand {
 	cpus, gpus := t.charged()
-	room := quota{sparePart*t.MaxCPUs - cpus, sparePart*t.MaxGPUs - gpus}
-	if room.cpus <= 0 || !t.holdback.waiting.IsZero() {
+	room := quota{surplusPart*t.MaxCPUs - cpus, surplusPart*t.MaxGPUs - gpus}
+	if room.cpus <= 0 || !t.gangReservation.waitingSince.IsZero() {
 		return nil
 	}
 	list, short := t.waitingJobs(now)
@@ -37,7 +37,7 @@
 			taken = &quota{}
 			offered[w.Spec.Class] = taken
 		}
-		count := min(w.left, most(room.cpus-taken.cpus, w.Spec.CPUs), most(room.gpus-taken.gpus, w.Spec.GPUs))
+		count := min(w.unstarted, maxTasks(room.cpus-taken.cpus, w.Spec.CPUs), maxTasks(room.gpus-taken.gpus, w.Spec.GPUs))
 		if count > 0 {
 			taken.add(w.Spec, count)
 			spare = append(spare, Demand{Spec: w.Spec, Count: count, Borrowed: true})
@@ -46,8 +46,8 @@
 	return spare
 }
 
-// FitsSpare says whether a task of a job may start as spare work.
-func (t *Team) FitsSpare(j *Job) bool {
+// FitsSurplus says whether a task of a job may start as spare work.
+func (t *Team) FitsSurplus(j *Job) bool {
 	cpus, gpus := t.charged()
-	return cpus+j.Spec.CPUs <= sparePart*t.MaxCPUs+slack && (j.Spec.GPUs == 0 || gpus+j.Spec.GPUs <= sparePart*t.MaxGPUs+slack)
+	return cpus+j.Spec.CPUs <= surplusPart*t.MaxCPUs+roundingTolerance && (j.Spec.GPUs == 0 || gpus+j.Spec.GPUs <= surplusPart*t.MaxGPUs+roundingTolerance)
 }
--- a/internal/jobstate/spare_test.go
+++ b/internal/jobstate/spare_test.go
@@ -10,7 +10,7 @@
 
 // TestSpareWork: beside demands that may find no room, every class is offered what the limit has room for now; nothing of a team that
 // asks for less than its limit, has little left of it, or collects it for a gang.
-func TestSpareWork(t *testing.T) {
+func TestSurplusDemands(t *testing.T) {
 	now := time.Unix(1000, 0)
 	spare := func(t *testing.T, limit float64, gang bool) map[string]int {
 		team := NewTeam("team", 0, limit, 0, math.Inf(1), NewReplica(), 1, func(string, ...any) {})
@@ -20,19 +20,19 @@
 		}
 		running := add("job-running", "other", protocol.JobArray, 20, 1)
 		for i := range 20 {
-			if !team.Place(running, i, Location{Machine: "m", Zone: "z", Session: 1}) {
+			if !team.Place(running, i, Location{Machine: "m", Zone: "z", Incarnation: 1}) {
 				t.Fatal("not placed")
 			}
 		}
 		add("job-large", "large", protocol.JobArray, 30, 4)
-		team.SetGoals("job-large", Goals{now.Add(time.Minute)})
+		team.SetObjectives("job-large", Objectives{now.Add(time.Minute)})
 		add("job-small", "small", protocol.JobArray, 3, 2)
 		if gang {
 			add("job-gang", "gang", protocol.Gang, 2, 4)
 		}
-		team.TurnHoldback(now)
+		team.UpdateGangReservation(now)
 		got := map[string]int{}
-		for _, d := range team.Spare(now) {
+		for _, d := range team.SurplusDemands(now) {
 			got[d.Spec.Class] += d.Count
 		}
 		return got
--- a/internal/jobstate/team.go
+++ b/internal/jobstate/team.go
@@ -16,25 +16,25 @@
 	Spec      *protocol.Submission
 	Version   uint64 // of its key in the state service
 	Submitted time.Time
-	Over      bool // withdrawn or done: nothing may start
+	Ended     bool // withdrawn or done: nothing may start
 	Finishing bool // the final write is under way
 
-	avoid    map[string]time.Time // machines that failed it
-	notUntil time.Time
-	goals    Goals
-	faulty   bool // held to fail everywhere: tried one task at a time, ever more rarely
-	probes   int
-	running  int
-	holds    map[int]*attempt // by task, what may be on machines
-	next     int              // lowest task that may be pending
-	saved    *bitset.BitSet   // done tasks that the state service has
-	dirty    bool
-	retry    map[int]time.Time
-	broken   bool // a gang that must end before its next attempt
-}
-
-// Due is when the job should be complete; far away without a deadline.
-func (j *Job) Due() time.Time {
+	avoidUntil    map[string]time.Time // machines that failed it
+	backoffUntil  time.Time
+	objectives    Objectives
+	faulty        bool // held to fail everywhere: tried one task at a time, ever more rarely
+	failedProbes  int
+	running       int
+	attempts      map[int]*attempt // by task, what may be on machines
+	lowestPending int              // lowest task that may be pending
+	savedDone     *bitset.BitSet   // done tasks that the state service has
+	unsaved       bool
+	retryAt       map[int]time.Time
+	mustRestart   bool // a gang that must end before its next attempt
+}
+
+// Deadline is when the job should be complete; far away without a deadline.
+func (j *Job) Deadline() time.Time {
 	if j.Spec.DeadlineSeconds == nil {
 		return j.Submitted.Add(24 * time.Hour)
 	}
@@ -44,51 +44,51 @@
 // attempt is a hold with what the owner knows of it beyond the replica.
 type attempt struct {
 	Assignment
-	seq     uint64             // delta that made it; 0 after a take-over: backups have it
-	state   protocol.TaskState // as last listed, "" before
-	stop    bool
-	grace   float64
-	ordered time.Time
-	starts  int // how often its start was given to its machine's home
-	listed  time.Time
-	asked   time.Time // when its stop was first ordered
+	placedSeq      uint64             // delta that made it; 0 after a take-over: backups have it
+	state          protocol.TaskState // as last listed, "" before
+	stopping       bool
+	graceSeconds   float64
+	lastOrdered    time.Time
+	startsInFlight int // how often its start was given to its machine's home
+	listed         time.Time
+	stopOrdered    time.Time // when its stop was first ordered
 }
 
 // Team is the owner's account.
 type Team struct {
-	Name    string
-	MaxCPUs float64
-	MaxGPUs float64
-	CPUs    float64 // guaranteed
-	GPUs    float64
-
-	rep      *Replica
-	jobs     map[string]*Job
-	order    []*Job // the same, most urgent first
-	held     map[TaskID]*attempt
-	on       map[string]map[TaskID]*attempt // by machine
-	todo     map[*attempt]bool              // those that may need an order: not listed yet, or to be stopped
-	moved    map[string]bool                // machines whose attempts changed since they were last asked for
-	usedCPU  float64
-	usedGPU  float64
-	orphans  orphanAccount
-	floors   map[string]float64 // by class, CPUs of the quota that others leave to it
-	holdback holdback
-	out      []Delta
-
-	term    uint64
-	since   uint64 // the term in which this account began: it made every later attempt of the team
-	counter uint64
-	log     func(event string, args ...any)
+	Name           string
+	MaxCPUs        float64
+	MaxGPUs        float64
+	GuaranteedCPUs float64 // guaranteed
+	GuaranteedGPUs float64
+
+	replica         *Replica
+	jobs            map[string]*Job
+	queue           []*Job // the same, most urgent first
+	held            map[TaskID]*attempt
+	on              map[string]map[TaskID]*attempt // by machine
+	todo            map[*attempt]bool              // those that may need an order: not listed yet, or to be stopped
+	moved           map[string]bool                // machines whose attempts changed since they were last asked for
+	usedCPUs        float64
+	usedGPUs        float64
+	orphans         orphanReservations
+	floors          map[string]float64 // by class, CPUs of the quota that others leave to it
+	gangReservation gangReservation
+	deltas          []Delta
+
+	term        uint64
+	firstTerm   uint64 // the term in which this account began: it made every later attempt of the team
+	lastAttempt uint64
+	log         func(event string, args ...any)
 }
 
 // slack absorbs rounding in sums of amounts.
-const slack = 1e-6
+const roundingTolerance = 1e-6
 
 // NewTeam starts an account from a replica, in a term. Attempts in the replica
 // stay held until they are seen or proven off.
 func NewTeam(name string, cpus, maxCPUs, gpus, maxGPUs float64, rep *Replica, term uint64, log func(string, ...any)) *Team {
-	t := &Team{Name: name, CPUs: cpus, MaxCPUs: maxCPUs, GPUs: gpus, MaxGPUs: maxGPUs, rep: rep, term: term, since: term, orphans: newOrphanAccount(),
+	t := &Team{Name: name, GuaranteedCPUs: cpus, MaxCPUs: maxCPUs, GuaranteedGPUs: gpus, MaxGPUs: maxGPUs, replica: rep, term: term, firstTerm: term, orphans: newOrphanReservations(),
 		jobs: map[string]*Job{}, held: map[TaskID]*attempt{}, on: map[string]map[TaskID]*attempt{},
 		todo: map[*attempt]bool{}, moved: map[string]bool{}, log: log}
 	for _, h := range rep.Assignments {
@@ -100,33 +100,33 @@
 // SetTerm moves the account to a later term of the same owner.
 func (t *Team) SetTerm(term uint64) {
 	if term > t.term {
-		t.term, t.counter = term, 0
+		t.term, t.lastAttempt = term, 0
 	}
 }
 
 // Replica is the team's replicated part.
-func (t *Team) Replica() *Replica { return t.rep }
+func (t *Team) Replica() *Replica { return t.replica }
 
 // TakeDeltas gives the changes since the last call.
 func (t *Team) TakeDeltas() []Delta {
-	d := t.out
-	t.out = nil
+	d := t.deltas
+	t.deltas = nil
 	return d
 }
 
-func (t *Team) emit(d Delta) uint64 {
-	d.Seq = t.rep.Seq + 1
-	t.rep.Seq = d.Seq
-	t.out = append(t.out, d)
+func (t *Team) emitDelta(d Delta) uint64 {
+	d.Seq = t.replica.Seq + 1
+	t.replica.Seq = d.Seq
+	t.deltas = append(t.deltas, d)
 	return d.Seq
 }
 
 // Used is what the team's held attempts take.
-func (t *Team) Used() (cpus, gpus float64) { return t.usedCPU, t.usedGPU }
+func (t *Team) Used() (cpus, gpus float64) { return t.usedCPUs, t.usedGPUs }
 
 // Jobs calls f for each job in order of urgency.
 func (t *Team) Jobs(f func(*Job)) {
-	for _, j := range t.order {
+	for _, j := range t.queue {
 		f(j)
 	}
 }
@@ -136,7 +136,7 @@
 	if d := protocol.Rank(b.Spec.Priority) - protocol.Rank(a.Spec.Priority); d != 0 {
 		return d
 	}
-	if d := a.Due().Compare(b.Due()); d != 0 {
+	if d := a.Deadline().Compare(b.Deadline()); d != 0 {
 		return d
 	}
 	if d := a.Submitted.Compare(b.Submitted); d != 0 {
@@ -153,14 +153,14 @@
 func (t *Team) AddJob(spec *protocol.Submission, version uint64, submitted time.Time, done *bitset.BitSet) {
 	j := t.jobs[spec.UID]
 	if j == nil {
-		j = &Job{Spec: spec, Version: version, Submitted: submitted, saved: bitset.New(0),
-			avoid: map[string]time.Time{}, retry: map[int]time.Time{}, holds: map[int]*attempt{}}
+		j = &Job{Spec: spec, Version: version, Submitted: submitted, savedDone: bitset.New(0),
+			avoidUntil: map[string]time.Time{}, retryAt: map[int]time.Time{}, attempts: map[int]*attempt{}}
 		t.jobs[spec.UID] = j
-		at, _ := slices.BinarySearchFunc(t.order, j, Urgency)
-		t.order = slices.Insert(t.order, at, j)
+		at, _ := slices.BinarySearchFunc(t.queue, j, Urgency)
+		t.queue = slices.Insert(t.queue, at, j)
 		for k, a := range t.held {
 			if k.Job == spec.UID {
-				j.holds[k.Index] = a
+				j.attempts[k.Index] = a
 				if a.state == protocol.Running {
 					j.running++
 				}
@@ -169,34 +169,34 @@
 	}
 	j.Version = version
 	if done != nil {
-		j.saved.InPlaceUnion(done)
+		j.savedDone.InPlaceUnion(done)
 		for i, ok := done.NextSet(0); ok; i, ok = done.NextSet(i + 1) {
-			t.done(TaskID{spec.UID, int(i)})
+			t.completeTask(TaskID{spec.UID, int(i)})
 		}
 	}
-	if mine := t.rep.Done[spec.UID]; mine != nil && mine.Count() > j.saved.Count() {
-		j.dirty = true
+	if mine := t.replica.Done[spec.UID]; mine != nil && mine.Count() > j.savedDone.Count() {
+		j.unsaved = true
 	}
 }
 
 // EndJob takes a job off the account; what it holds stays held until off.
 func (t *Team) EndJob(uid string) {
 	if j := t.jobs[uid]; j != nil {
-		j.Over = true
+		j.Ended = true
 		delete(t.jobs, uid)
-		t.order = slices.DeleteFunc(t.order, func(x *Job) bool { return x == j })
-		for _, a := range j.holds {
+		t.queue = slices.DeleteFunc(t.queue, func(x *Job) bool { return x == j })
+		for _, a := range j.attempts {
 			t.todo[a] = true
 		}
 	}
-	if t.rep.Done[uid] != nil {
-		delete(t.rep.Done, uid)
-		t.emit(Delta{DroppedJob: uid})
+	if t.replica.Done[uid] != nil {
+		delete(t.replica.Done, uid)
+		t.emitDelta(Delta{DroppedJob: uid})
 	}
 }
 
-// Merge takes in finished tasks of an active job that were remembered elsewhere.
-func (t *Team) Merge(uid string, done *bitset.BitSet) {
+// MergeDone takes in finished tasks of an active job that were remembered elsewhere.
+func (t *Team) MergeDone(uid string, done *bitset.BitSet) {
 	if j := t.jobs[uid]; j != nil && j.Spec.Kind == protocol.Service {
 		return
 	}
@@ -207,14 +207,14 @@
 	}
 }
 
-// Written books the version that a job's key has in the state service now.
-func (t *Team) Written(uid string, version uint64) {
+// RecordVersion books the version that a job's key has in the state service now.
+func (t *Team) RecordVersion(uid string, version uint64) {
 	if j := t.jobs[uid]; j != nil {
 		j.Version = max(j.Version, version)
 	}
 }
 
-func (t *Team) done(k TaskID) {
+func (t *Team) completeTask(k TaskID) {
 	j := t.jobs[k.Job]
 	if j != nil && j.Spec.Kind == protocol.Service {
 		return // a replica is never done
@@ -228,16 +228,16 @@
 }
 
 func (t *Team) markDone(k TaskID) {
-	if t.rep.markDone(k) {
-		t.emit(Delta{Done: []TaskID{k}})
+	if t.replica.markDone(k) {
+		t.emitDelta(Delta{Done: []TaskID{k}})
 		if j := t.jobs[k.Job]; j != nil {
-			j.dirty = true
+			j.unsaved = true
 		}
 	}
 }
 
 func (t *Team) isDone(k TaskID) bool {
-	b := t.rep.Done[k.Job]
+	b := t.replica.Done[k.Job]
 	return b != nil && b.Test(uint(k.Index))
 }
 
@@ -248,16 +248,16 @@
 	}
 	t.on[a.Machine][a.TaskID] = a
 	t.todo[a], t.moved[a.Machine] = true, true
-	t.usedCPU += a.CPUs
-	t.usedGPU += a.GPUs
+	t.usedCPUs += a.CPUs
+	t.usedGPUs += a.GPUs
 	if j := t.jobs[a.Job]; j != nil {
-		j.holds[a.Index] = a
+		j.attempts[a.Index] = a
 	}
 }
 
 // Progress is what users see of a job.
 func (t *Team) Progress(uid string) (done, running int) {
-	if b := t.rep.Done[uid]; b != nil {
+	if b := t.replica.Done[uid]; b != nil {
 		done = int(b.Count())
 	}
 	if j := t.jobs[uid]; j != nil {
@@ -268,44 +268,44 @@
 
 // Complete says whether all tasks of an active job are done.
 func (t *Team) Complete(j *Job) bool {
-	b := t.rep.Done[j.Spec.UID]
+	b := t.replica.Done[j.Spec.UID]
 	return b != nil && int(b.Count()) >= j.Spec.Tasks
 }
 
 // Pending calls f for each task of a job that may be placed now, until f says
 // false.
 func (t *Team) Pending(j *Job, now time.Time, f func(index int) bool) {
-	if j.Over || j.Finishing || now.Before(j.notUntil) || (j.faulty && len(j.holds) > 0) {
+	if j.Ended || j.Finishing || now.Before(j.backoffUntil) || (j.faulty && len(j.attempts) > 0) {
 		return
 	}
 	first := true
-	done := t.rep.Done[j.Spec.UID]
-	for i := j.next; i < j.Spec.Tasks; i++ {
-		if j.holds[i] != nil || (done != nil && done.Test(uint(i))) {
+	done := t.replica.Done[j.Spec.UID]
+	for i := j.lowestPending; i < j.Spec.Tasks; i++ {
+		if j.attempts[i] != nil || (done != nil && done.Test(uint(i))) {
 			continue
 		}
 		if first {
-			j.next, first = i, false
+			j.lowestPending, first = i, false
 		}
-		if until, ok := j.retry[i]; ok {
+		if until, ok := j.retryAt[i]; ok {
 			if now.Before(until) {
 				continue
 			}
-			delete(j.retry, i)
+			delete(j.retryAt, i)
 		}
 		if !f(i) {
 			return
 		}
 	}
 	if first {
-		j.next = j.Spec.Tasks
+		j.lowestPending = j.Spec.Tasks
 	}
 }
 
 // Unstarted counts the tasks of a job that are neither held nor done.
 func (t *Team) Unstarted(j *Job) int {
 	done, _ := t.Progress(j.Spec.UID)
-	return max(0, j.Spec.Tasks-done-len(j.holds))
+	return max(0, j.Spec.Tasks-done-len(j.attempts))
 }
 
 // SetFaulty books whether a job is held to fail on every machine. Such a job asks for
@@ -316,15 +316,15 @@
 	if j == nil || j.faulty == faulty {
 		return
 	}
-	j.faulty, j.probes, j.notUntil = faulty, 0, time.Time{}
-	clear(j.avoid) // what a faulty job met on a machine says nothing about that
+	j.faulty, j.failedProbes, j.backoffUntil = faulty, 0, time.Time{}
+	clear(j.avoidUntil) // what a faulty job met on a machine says nothing about that
 }
 
 // Avoids says whether a job should not go to a machine now.
 func (j *Job) Avoids(machine string, now time.Time) bool {
-	until, ok := j.avoid[machine]
+	until, ok := j.avoidUntil[machine]
 	if ok && !now.Before(until) {
-		delete(j.avoid, machine)
+		delete(j.avoidUntil, machine)
 		return false
 	}
 	return ok
@@ -334,45 +334,45 @@
 // start may be sent once every backup in sync acknowledged the delta.
 func (t *Team) Place(j *Job, index int, at Location) bool {
 	k := TaskID{j.Spec.UID, index}
-	if t.counter >= 1<<termShift-1 || t.held[k] != nil || t.isDone(k) || j.Over || !t.Fits(j, 1) {
+	if t.lastAttempt >= 1<<termShift-1 || t.held[k] != nil || t.isDone(k) || j.Ended || !t.Fits(j, 1) {
 		return false
 	}
-	t.counter++
-	t.start(j, AttemptID(t.term, t.counter), map[int]Location{index: at})
+	t.lastAttempt++
+	t.placeTasks(j, AttemptID(t.term, t.lastAttempt), map[int]Location{index: at})
 	return true
 }
 
 // Location is a place on a machine that an attempt is made for.
 type Location struct {
-	Machine string
-	Zone    string
-	Session uint64
+	Machine     string
+	Zone        string
+	Incarnation uint64
 }
 
-func (t *Team) start(j *Job, id uint64, spots map[int]Location) {
+func (t *Team) placeTasks(j *Job, id uint64, spots map[int]Location) {
 	var made []*attempt
 	var holds []Assignment
 	for _, index := range slices.Sorted(maps.Keys(spots)) {
 		at := spots[index]
-		a := &attempt{Assignment: Assignment{TaskID: TaskID{j.Spec.UID, index}, Attempt: id, Machine: at.Machine, Zone: at.Zone, Incarnation: at.Session,
+		a := &attempt{Assignment: Assignment{TaskID: TaskID{j.Spec.UID, index}, Attempt: id, Machine: at.Machine, Zone: at.Zone, Incarnation: at.Incarnation,
 			CPUs: j.Spec.CPUs, GPUs: j.Spec.GPUs, Memory: j.Spec.MemoryGB}}
 		t.hold(a)
-		t.rep.Assignments[a.TaskID] = a.Assignment
+		t.replica.Assignments[a.TaskID] = a.Assignment
 		made, holds = append(made, a), append(holds, a.Assignment)
 	}
-	seq := t.emit(Delta{Placed: holds})
+	seq := t.emitDelta(Delta{Placed: holds})
 	for _, a := range made {
-		a.seq = seq
+		a.placedSeq = seq
 	}
 }
 
 // Stop marks an attempt to be stopped, with the grace to save.
 func (t *Team) Stop(ref AttemptRef, grace float64) bool {
 	a := t.held[ref.TaskID]
-	if a == nil || a.Attempt != ref.Attempt || a.stop {
+	if a == nil || a.Attempt != ref.Attempt || a.stopping {
 		return false
 	}
-	a.stop, a.grace, a.ordered = true, grace, time.Time{}
+	a.stopping, a.graceSeconds, a.lastOrdered = true, grace, time.Time{}
 	t.todo[a] = true
 	return true
 }
@@ -382,7 +382,7 @@
 	if j.running == 0 {
 		return
 	}
-	for _, a := range t.heldOf(j) {
+	for _, a := range t.attemptsOf(j) {
 		if a.state == protocol.Running {
 			f(a.Assignment)
 		}
@@ -391,31 +391,31 @@
 
 // heldOf lists the attempts of a job in order. What is held is bounded by the
 // quota, while a job may have very many tasks.
-func (t *Team) heldOf(j *Job) []*attempt {
-	list := slices.Collect(maps.Values(j.holds))
+func (t *Team) attemptsOf(j *Job) []*attempt {
+	list := slices.Collect(maps.Values(j.attempts))
 	slices.SortFunc(list, func(a, b *attempt) int { return a.Index - b.Index })
 	return list
 }
 
-// Move stops an attempt to start its task on another machine.
-func (t *Team) Move(h Assignment, grace float64, now time.Time) bool {
+// Migrate stops an attempt to start its task on another machine.
+func (t *Team) Migrate(h Assignment, grace float64, now time.Time) bool {
 	j := t.jobs[h.Job]
 	if j == nil || !t.Stop(h.Ref(), grace) {
 		return false
 	}
-	j.avoid[h.Machine] = now.Add(2 * time.Minute)
+	j.avoidUntil[h.Machine] = now.Add(2 * time.Minute)
 	return true
 }
 
-// On calls f for each attempt held on a machine.
-func (t *Team) On(machine string, f func(Assignment)) {
+// AssignmentsOn calls f for each attempt held on a machine.
+func (t *Team) AssignmentsOn(machine string, f func(Assignment)) {
 	for _, a := range t.on[machine] {
 		f(a.Assignment)
 	}
 }
 
-// TakeMoved gives the machines whose attempts changed since the last call.
-func (t *Team) TakeMoved() map[string]bool {
+// TakeChangedMachines gives the machines whose attempts changed since the last call.
+func (t *Team) TakeChangedMachines() map[string]bool {
 	if len(t.moved) == 0 {
 		return nil
 	}
@@ -424,8 +424,8 @@
 	return m
 }
 
-// Holds says whether any attempt is held on a machine.
-func (t *Team) Holds(machine string) bool { return len(t.on[machine]) > 0 }
+// HasAssignmentsOn says whether any attempt is held on a machine.
+func (t *Team) HasAssignmentsOn(machine string) bool { return len(t.on[machine]) > 0 }
 
 // Machines lists the machines that hold attempts.
 func (t *Team) Machines() []string {
@@ -441,31 +441,31 @@
 // yet.
 func (t *Team) Unsaved() []*Job {
 	var out []*Job
-	for _, j := range t.order {
-		if j.dirty && !j.Finishing && t.rep.Done[j.Spec.UID] != nil {
+	for _, j := range t.queue {
+		if j.unsaved && !j.Finishing && t.replica.Done[j.Spec.UID] != nil {
 			out = append(out, j)
 		}
 	}
 	return out
 }
 
-// Finished gives the size of an active job and its done tasks; 0 for others.
-func (t *Team) Finished(uid string) (tasks int, done *bitset.BitSet) {
+// FinishedTasks gives the size of an active job and its done tasks; 0 for others.
+func (t *Team) FinishedTasks(uid string) (tasks int, done *bitset.BitSet) {
 	j := t.jobs[uid]
 	if j == nil {
 		return 0, nil
 	}
-	return j.Spec.Tasks, t.rep.Done[uid]
+	return j.Spec.Tasks, t.replica.Done[uid]
 }
 
-// Saved books that the state service has these done tasks of a job.
-func (t *Team) Saved(uid string, done *bitset.BitSet) {
+// RecordSaved books that the state service has these done tasks of a job.
+func (t *Team) RecordSaved(uid string, done *bitset.BitSet) {
 	j := t.jobs[uid]
 	if j == nil {
 		return
 	}
-	j.saved.InPlaceUnion(done)
-	if b := t.rep.Done[uid]; b != nil && b.Count() <= j.saved.Count() {
-		j.dirty = false
+	j.savedDone.InPlaceUnion(done)
+	if b := t.replica.Done[uid]; b != nil && b.Count() <= j.savedDone.Count() {
+		j.unsaved = false
 	}
 }
--- a/internal/jobstate/view.go
+++ b/internal/jobstate/view.go
@@ -21,10 +21,10 @@
 // TaskStatus is a task as a machine's home sees it.
 type TaskStatus struct {
 	TaskID
-	Attempt uint64              `json:"a"`
-	State   protocol.TaskState  `json:"e"`
-	Why     protocol.ExitReason `json:"w,omitempty"`
-	Saved   bool                `json:"k,omitempty"`
+	Attempt      uint64              `json:"a"`
+	State        protocol.TaskState  `json:"e"`
+	Reason       protocol.ExitReason `json:"w,omitempty"`
+	Checkpointed bool                `json:"k,omitempty"`
 }
 
 // MachineStatus is what a machine's home knows of it; later (Session, Seq, Rev) is newer.
@@ -62,12 +62,12 @@
 type Order struct {
 	Op protocol.CommandOp `json:"o"`
 	TaskID
-	Attempt     uint64  `json:"a"`
-	Incarnation uint64  `json:"s"`
-	CPUs        float64 `json:"c,omitempty"`
-	GPUs        float64 `json:"g,omitempty"`
-	Memory      float64 `json:"r,omitempty"`
-	Grace       float64 `json:"z,omitempty"`
+	Attempt      uint64  `json:"a"`
+	Incarnation  uint64  `json:"s"`
+	CPUs         float64 `json:"c,omitempty"`
+	GPUs         float64 `json:"g,omitempty"`
+	MemoryGB     float64 `json:"r,omitempty"`
+	GraceSeconds float64 `json:"z,omitempty"`
 }
 
 // Ref is the attempt that the hold is for.
--- a/internal/leasegrant/model_test.go
+++ b/internal/leasegrant/model_test.go
@@ -481,7 +481,7 @@
 		next, _ := leadership.Repair(c.record, []string{team}, c.live)
 		if next == nil && w.entitled(c) && c.account != nil {
 			next, _ = leadership.Upkeep(c.record, names[c.index], map[string]leadership.Sync{team: w.sync(c)}, false)
-			if next == nil && c.account.Unproven(w.now, unprovenAfter) > 0 {
+			if next == nil && c.account.UnconfirmedStops(w.now, unprovenAfter) > 0 {
 				next = c.record.Clone()
 				next.Term++
 			}
@@ -535,7 +535,7 @@
 		c.account.Pending(j, w.now, func(index int) bool {
 			for k, v := range c.views {
 				if v != nil && v.FencingToken >= c.record.Term && !j.Avoids(machineName(k), w.now) && !w.machines[k].hung {
-					return c.account.Place(j, index, jobstate.Location{Machine: machineName(k), Session: v.Incarnation})
+					return c.account.Place(j, index, jobstate.Location{Machine: machineName(k), Incarnation: v.Incarnation})
 				}
 			}
 			return false
@@ -547,7 +547,7 @@
 		acked = c.account.Replica().Seq
 		w.replica = jobstate.FromCopy(c.account.Replica().Copy())
 	}
-	due := c.account.Due(acked, w.now, func(name string, session uint64) bool {
+	due := c.account.TakeDueOrders(acked, w.now, func(name string, session uint64) bool {
 		v := c.views[slices.Index([]string{machineName(0), machineName(1)}, name)]
 		return v != nil && v.Incarnation == session
 	})
@@ -600,17 +600,17 @@
 type jobKnowledge struct{ c *controller }
 
 func (k jobKnowledge) Job(string) jobstate.JobInfo {
-	return jobstate.JobInfo{Known: k.c.known, Mine: true, Active: k.c.active, Spec: spec()}
+	return jobstate.JobInfo{Known: k.c.known, OwnTeam: true, Active: k.c.active, Spec: spec()}
 }
 
-func (k jobKnowledge) Unsized(*jobstate.MachineStatus) (cpus, gpus float64) {
+func (k jobKnowledge) UnknownSizeBound(*jobstate.MachineStatus) (cpus, gpus float64) {
 	return spec().CPUs, spec().GPUs
 }
 
 func (w *world) order(c *controller, k int, orders []jobstate.Order) {
 	h := w.homeOf(c, k)
 	if h == nil {
-		c.account.Unsent(orders)
+		c.account.RetractUnsent(orders)
 		return
 	}
 	if h == c || w.entitled(h) {
--- a/internal/shards/pages.go
+++ b/internal/shards/pages.go
@@ -78,7 +78,7 @@
 		return nil, false
 	}
 	p.saving = true
-	return p.set.Plan(unsaved, p.team.Finished), true
+	return p.set.Plan(unsaved, p.team.FinishedTasks), true
 }
 
 // VersionRead notes the version of a page in the state service whose write failed or may have.
@@ -88,7 +88,7 @@
 func (p *Pages) Saved(page jobstate.Page, version uint64) {
 	p.set.Written(page.Number, version)
 	for uid, done := range page.Done {
-		p.team.Saved(uid, done)
+		p.team.RecordSaved(uid, done)
 	}
 }
 
--- a/internal/shards/registry.go
+++ b/internal/shards/registry.go
@@ -187,7 +187,7 @@
 // NeedsRaisedTerm says whether only a raised term can settle some start that went out.
 func (r *Registry) NeedsRaisedTerm(now time.Time) bool {
 	for _, o := range r.owned {
-		if o.phase == Ready && o.team.Unproven(now, unprovenAfter) > 0 {
+		if o.phase == Ready && o.team.UnconfirmedStops(now, unprovenAfter) > 0 {
 			return true
 		}
 	}
--- a/internal/shards/registry_test.go
+++ b/internal/shards/registry_test.go
@@ -169,7 +169,7 @@
 	now := time.Unix(1000, 0)
 	o := testLoading(false, jobstate.NewReplica(), now)
 	o.Team().AddJob(testSpec("job-1", 10), 1, now, nil)
-	o.Team().Merge("job-1", bitset.New(1).Set(0))
+	o.Team().MergeDone("job-1", bitset.New(1).Set(0))
 	due := func() bool { _, due := o.BeginSaving(); return due }
 	o.Pages().MarkRead()
 	if due() {
--- a/internal/shards/replication_test.go
+++ b/internal/shards/replication_test.go
@@ -193,7 +193,7 @@
 	switch m.rng.IntN(20) {
 	case 0, 1, 2, 3:
 		task := uint(m.rng.IntN(1000))
-		m.owner.Team().Merge(fmt.Sprint("job-", m.rng.IntN(4)), bitset.New(task+1).Set(task))
+		m.owner.Team().MergeDone(fmt.Sprint("job-", m.rng.IntN(4)), bitset.New(task+1).Set(task))
 	case 4, 5, 6, 7:
 		m.replicate()
 	case 8:
@@ -298,7 +298,7 @@
 func TestDeltasGoBeforeParts(t *testing.T) {
 	m := newReplicaModel(t, 0) // of a replica in parts
 	for range 50 {
-		m.owner.Team().Merge("job-1", bitset.New(m.nextTask()+1).Set(m.nextTask()))
+		m.owner.Team().MergeDone("job-1", bitset.New(m.nextTask()+1).Set(m.nextTask()))
 		m.now = m.now.Add(2 * copyRetryInterval)
 		m.replicate()
 		for node, held := range m.held {
@@ -327,7 +327,7 @@
 func TestSyncStates(t *testing.T) {
 	begin := time.Unix(1000, 0)
 	o, c := testOwned(jobstate.NewReplica(), begin), testCluster()
-	o.Team().Merge("job-1", bitset.New(1).Set(0))
+	o.Team().MergeDone("job-1", bitset.New(1).Set(0))
 	o.Replicas().Replicate(c, begin)
 	whole := Acknowledgement{Shard: testShard, SinceTerm: 5, Seq: o.Team().Replica().Seq}
 	o.Replicas().Acknowledge("node-b", 1, &whole, begin)
@@ -368,7 +368,7 @@
 	entry := c.Record.Shards[testShard]
 	entry.InSync = []string{"node-b"}
 	c.Record.Shards[testShard] = entry
-	o.Team().Merge("job-1", bitset.New(1).Set(0))
+	o.Team().MergeDone("job-1", bitset.New(1).Set(0))
 	o.Replicas().Replicate(c, now)
 	seq := o.Team().Replica().Seq
 	o.Replicas().Acknowledge("node-b", 1, &Acknowledgement{Shard: testShard, SinceTerm: 5, Seq: seq}, now)
