--- a/internal/autoscaler/autoscaler_test.go
+++ b/internal/autoscaler/autoscaler_test.go
@@ -15,9 +15,9 @@
 func TestEarliestModel(t *testing.T) {
 	for seed := range uint64(500) {
 		rng := rand.New(rand.NewPCG(seed, 5))
-		b := &bin{free: []room{{0, float64(rng.IntN(5)), 0, 100}}}
+		b := &bin{changes: []roomChange{{0, float64(rng.IntN(5)), 0, 100}}}
 		for range rng.IntN(6) {
-			b.add(room{at: float64(1 + rng.IntN(10)), cpus: float64(rng.IntN(4))})
+			b.add(roomChange{at: float64(1 + rng.IntN(10)), cpus: float64(rng.IntN(4))})
 		}
 		s := &protocol.Submission{CPUs: float64(1 + rng.IntN(8))}
 		for range rng.IntN(3) {
@@ -28,7 +28,7 @@
 		fits := func(at float64) bool { // from then on, for good
 			for t := at; t <= 60; t++ {
 				sum := 0.0
-				for _, r := range b.free {
+				for _, r := range b.changes {
 					if r.at <= t {
 						sum += r.cpus
 					}
@@ -47,13 +47,13 @@
 			}
 		}
 		if got := b.earliest(s, math.Inf(1)); got != want {
-			t.Fatalf("seed %d: %g, plainly %g in %v", seed, got, want, b.free)
+			t.Fatalf("seed %d: %g, plainly %g in %v", seed, got, want, b.changes)
 		}
 	}
 }
 
 func setup() (*Fleet, []protocol.MachineType, time.Time) {
-	f := New("x", Options{IdleReturn: 20 * time.Second, SpotShare: 1, Silent: 10 * time.Second, Hurry: 4 * time.Second, Overdue: 2 * time.Second, Unlisted: 3 * time.Second, Haste: 1.5})
+	f := New("x", Options{IdleTimeout: 20 * time.Second, SpotShare: 1, SilenceTimeout: 10 * time.Second, BarrierTimeout: 4 * time.Second, OverdueTimeout: 2 * time.Second, UnlistedTimeout: 3 * time.Second, SafetyRunTimes: 1.5})
 	return f, []protocol.MachineType{{Name: "m8", CPUs: 8, MemoryGB: 64, PricePerHour: 2, SpotPricePerHour: 1, BootSeconds: 10, Zones: []string{"a", "b"}}}, time.Unix(10000, 0)
 }
 
@@ -66,29 +66,29 @@
 	p := f.Decide(types, nil, demand, nil, now, now)
 	total := 0
 	seen := map[string]bool{}
-	for _, r := range p.Rent {
+	for _, r := range p.ScaleOut {
 		total += r.Count
 		if !r.Spot || seen[r.Request] {
-			t.Fatalf("rents %+v", p.Rent)
+			t.Fatalf("rents %+v", p.ScaleOut)
 		}
 		seen[r.Request] = true
 	}
 	if total != 3 {
-		t.Fatalf("rents %+v for three machines' worth", p.Rent)
+		t.Fatalf("rents %+v for three machines' worth", p.ScaleOut)
 	}
-	if again := f.Decide(types, nil, demand, nil, now, now); len(again.Rent) != 0 {
-		t.Fatalf("rents again while the first is under way: %+v", again.Rent)
+	if again := f.Decide(types, nil, demand, nil, now, now); len(again.ScaleOut) != 0 {
+		t.Fatalf("rents again while the first is under way: %+v", again.ScaleOut)
 	}
-	for _, r := range p.Rent {
-		f.Answered(r, 0, now, true)
+	for _, r := range p.ScaleOut {
+		f.RecordScaleOut(r, 0, now, true)
 	}
 	p = f.Decide(types, nil, demand, nil, now, now)
-	for _, r := range p.Rent {
+	for _, r := range p.ScaleOut {
 		if r.Spot || seen[r.Request] {
 			t.Fatalf("after refusals rents %+v", r)
 		}
 	}
-	if len(p.Rent) == 0 {
+	if len(p.ScaleOut) == 0 {
 		t.Fatal("rents nothing on demand when spot is out")
 	}
 }
@@ -99,50 +99,50 @@
 	f, types, now := setup()
 	old := now.Add(-5 * time.Minute)
 	ms := []Machine{
-		{Name: "failed", Type: "m8", Zone: "a", State: protocol.HostFailed, Since: old},
-		{Name: "silent", Type: "m8", Zone: "a", Heard: now.Add(-time.Minute), Since: old, Registered: true},
-		{Name: "stuck", Type: "m8", Zone: "a", State: protocol.HostBooting, Since: old},
-		{Name: "idle", Type: "m8", Zone: "a", Heard: now, Idle: now.Add(-time.Minute), Since: old, CPUs: 8, Mem: 64},
-		{Name: "busy", Type: "m8", Zone: "a", Heard: now, Since: old},
-		{Name: "new", Type: "m8", Zone: "a", State: protocol.HostBooting, Since: now},
-		{Name: "quiet", Type: "m8", Zone: "a", State: protocol.HostRunning, Heard: now.Add(-5 * time.Second), Since: old, Registered: true},
-		{Name: "taken", Type: "m8", Zone: "a", Heard: now.Add(-3500 * time.Millisecond), Since: old, Registered: true},
-		{Name: "awaited", Type: "m8", Zone: "a", State: protocol.HostRunning, Heard: now.Add(-5 * time.Second), Since: old, Registered: true, Awaited: true},
+		{Name: "failed", Type: "m8", Zone: "a", ListedState: protocol.HostFailed, AcquiredAt: old},
+		{Name: "silent", Type: "m8", Zone: "a", LastHeartbeat: now.Add(-time.Minute), AcquiredAt: old, Registered: true},
+		{Name: "stuck", Type: "m8", Zone: "a", ListedState: protocol.HostBooting, AcquiredAt: old},
+		{Name: "idle", Type: "m8", Zone: "a", LastHeartbeat: now, IdleSince: now.Add(-time.Minute), AcquiredAt: old, FreeCPUs: 8, FreeMemory: 64},
+		{Name: "busy", Type: "m8", Zone: "a", LastHeartbeat: now, AcquiredAt: old},
+		{Name: "new", Type: "m8", Zone: "a", ListedState: protocol.HostBooting, AcquiredAt: now},
+		{Name: "quiet", Type: "m8", Zone: "a", ListedState: protocol.HostRunning, LastHeartbeat: now.Add(-5 * time.Second), AcquiredAt: old, Registered: true},
+		{Name: "taken", Type: "m8", Zone: "a", LastHeartbeat: now.Add(-3500 * time.Millisecond), AcquiredAt: old, Registered: true},
+		{Name: "awaited", Type: "m8", Zone: "a", ListedState: protocol.HostRunning, LastHeartbeat: now.Add(-5 * time.Second), AcquiredAt: old, Registered: true, AwaitedByBarrier: true},
 	}
-	got := f.Decide(types, ms, nil, nil, now, now.Add(-2*time.Minute)).Return
+	got := f.Decide(types, ms, nil, nil, now, now.Add(-2*time.Minute)).ScaleIn
 	if want := []string{"failed", "silent", "stuck", "taken", "awaited", "idle"}; !slices.Equal(got, want) {
 		t.Fatalf("returns %v, want %v", got, want)
 	}
 	// The cloud's list has a later one: that machine is gone, and holds up its owner.
-	gone := []Machine{{Name: "gone", Type: "m8", Zone: "a", Heard: now.Add(-2 * time.Second), Since: old, Registered: true, Awaited: true, SkippedInList: true},
-		{Name: "heard", Type: "m8", Zone: "a", Heard: now, Since: old, Registered: true, Awaited: true, SkippedInList: true},
-		{Name: "fresh", Type: "m8", Zone: "a", Heard: now.Add(-2 * time.Second), Since: old, Registered: true, Awaited: true}}
-	if got := f.Decide(types, gone, nil, nil, now, now.Add(-2*time.Minute)).Return; !slices.Equal(got, []string{"gone"}) {
+	gone := []Machine{{Name: "gone", Type: "m8", Zone: "a", LastHeartbeat: now.Add(-2 * time.Second), AcquiredAt: old, Registered: true, AwaitedByBarrier: true, SkippedInList: true},
+		{Name: "heard", Type: "m8", Zone: "a", LastHeartbeat: now, AcquiredAt: old, Registered: true, AwaitedByBarrier: true, SkippedInList: true},
+		{Name: "fresh", Type: "m8", Zone: "a", LastHeartbeat: now.Add(-2 * time.Second), AcquiredAt: old, Registered: true, AwaitedByBarrier: true}}
+	if got := f.Decide(types, gone, nil, nil, now, now.Add(-2*time.Minute)).ScaleIn; !slices.Equal(got, []string{"gone"}) {
 		t.Fatalf("returns %v of machines that the cloud does not list", got)
 	}
 	// One machine of many held up its owner for as long as a tenth of them would.
 	many := make([]Machine, 100)
 	for i := range many {
-		many[i] = Machine{Name: fmt.Sprintf("n-%03d", i), Type: "m8", Zone: "a", State: protocol.HostRunning, Heard: now, Since: old, Registered: true, Awaited: true}
+		many[i] = Machine{Name: fmt.Sprintf("n-%03d", i), Type: "m8", Zone: "a", ListedState: protocol.HostRunning, LastHeartbeat: now, AcquiredAt: old, Registered: true, AwaitedByBarrier: true}
 	}
 	for late := 1; late <= 3; late++ {
-		many[late].Heard = now.Add(-3 * time.Second)
+		many[late].LastHeartbeat = now.Add(-3 * time.Second)
 		want := late
 		if late > 2 {
 			want = 0
 		}
-		if got := f.Decide(types, many, nil, nil, now, now.Add(-2*time.Minute)).Return; len(got) != want {
+		if got := f.Decide(types, many, nil, nil, now, now.Add(-2*time.Minute)).ScaleIn; len(got) != want {
 			t.Fatalf("returns %d of %d machines that are late", len(got), late)
 		}
 	}
 	for i := range ms { // a cut of many machines must not cost all of them
-		ms[i].Awaited, ms[i].Heard, ms[i].State, ms[i].Idle = true, now.Add(-5*time.Second), protocol.HostRunning, time.Time{}
+		ms[i].AwaitedByBarrier, ms[i].LastHeartbeat, ms[i].ListedState, ms[i].IdleSince = true, now.Add(-5*time.Second), protocol.HostRunning, time.Time{}
 	}
-	if got := f.Decide(types, ms, nil, nil, now, now.Add(-2*time.Minute)).Return; len(got) != 0 {
+	if got := f.Decide(types, ms, nil, nil, now, now.Add(-2*time.Minute)).ScaleIn; len(got) != 0 {
 		t.Fatalf("returns %v though most are silent", got)
 	}
-	ms[1].Heard = now.Add(-time.Minute)
-	if got := f.Decide(types, ms[1:2], nil, nil, now, now).Return; len(got) != 0 {
+	ms[1].LastHeartbeat = now.Add(-time.Minute)
+	if got := f.Decide(types, ms[1:2], nil, nil, now, now).ScaleIn; len(got) != 0 {
 		t.Fatalf("returns %v though nobody could hear it yet", got)
 	}
 }
@@ -154,21 +154,21 @@
 		rng := rand.New(rand.NewPCG(seed, 6))
 		var bins, plain []*bin
 		for range 1 + rng.IntN(6) {
-			b := &bin{free: []room{{0, float64(rng.IntN(9)), 0, 100}}}
+			b := &bin{changes: []roomChange{{0, float64(rng.IntN(9)), 0, 100}}}
 			for range rng.IntN(4) {
-				b.add(room{at: float64(1 + rng.IntN(10)), cpus: float64(rng.IntN(4))})
+				b.add(roomChange{at: float64(1 + rng.IntN(10)), cpus: float64(rng.IntN(4))})
 			}
 			bins = append(bins, b)
-			plain = append(plain, &bin{free: slices.Clone(b.free)})
+			plain = append(plain, &bin{changes: slices.Clone(b.changes)})
 		}
 		all := layout{bins: bins, lines: map[shape]*line{}}
 		for range 6 {
 			s := &protocol.Submission{CPUs: float64(1 + rng.IntN(4)), Spot: true}
 			run := float64(1 + rng.IntN(5))
 			if rng.IntN(3) == 0 {
-				b := &bin{free: []room{{float64(rng.IntN(4)), float64(rng.IntN(9)), 0, 100}}}
+				b := &bin{changes: []roomChange{{float64(rng.IntN(4)), float64(rng.IntN(9)), 0, 100}}}
 				all.bins = append(all.bins, b)
-				plain = append(plain, &bin{free: slices.Clone(b.free)})
+				plain = append(plain, &bin{changes: slices.Clone(b.changes)})
 			}
 			l := all.line(s, false)
 			for range 5 {
@@ -210,13 +210,13 @@
 		f, types, now := setup() // idle ordinary machines go after 20 s, spot ones after 40 s
 		var ms []Machine
 		for i := range 50 {
-			m := Machine{Name: fmt.Sprintf("n-%02d", i), Type: "m8", Zone: "a", Spot: true, Heard: now, Since: now.Add(-time.Hour)}
+			m := Machine{Name: fmt.Sprintf("n-%02d", i), Type: "m8", Zone: "a", Spot: true, LastHeartbeat: now, AcquiredAt: now.Add(-time.Hour)}
 			if i < c.idle {
-				m.Idle, m.CPUs, m.Mem = now.Add(-30*time.Second), 8, 64
+				m.IdleSince, m.FreeCPUs, m.FreeMemory = now.Add(-30*time.Second), 8, 64
 			}
 			ms = append(ms, m)
 		}
-		if got := f.Decide(types, ms, nil, nil, now, now.Add(-time.Hour)).Return; len(got) != c.want {
+		if got := f.Decide(types, ms, nil, nil, now, now.Add(-time.Hour)).ScaleIn; len(got) != c.want {
 			t.Errorf("%d of 50 idle: returns %d, want %d", c.idle, len(got), c.want)
 		}
 	}
@@ -227,7 +227,7 @@
 // other room will come, nor be left without any machine for ever.
 func TestIdleTimeWorkRentsNoDearMachine(t *testing.T) {
 	busy := func(now time.Time) []Machine {
-		return []Machine{{Name: "n-00", Type: "m8", Zone: "a", Heard: now, Since: now.Add(-time.Hour), Slots: []Slot{{CPUs: 8, Left: 100}}}}
+		return []Machine{{Name: "n-00", Type: "m8", Zone: "a", LastHeartbeat: now, AcquiredAt: now.Add(-time.Hour), Tasks: []RunningTask{{CPUs: 8, SecondsLeft: 100}}}}
 	}
 	for _, c := range []struct {
 		name     string
@@ -239,7 +239,7 @@
 		f, types, now := setup()
 		if c.shut {
 			for _, zone := range types[0].Zones {
-				f.shut[pool{"m8", zone, true}] = now.Add(time.Minute)
+				f.unavailableUntil[pool{"m8", zone, true}] = now.Add(time.Minute)
 			}
 		}
 		var machines []Machine
@@ -248,7 +248,7 @@
 		}
 		demand := []Demand{{Spec: &protocol.Submission{CPUs: 8, EstimateSeconds: 10, Spot: true}, Count: 1, Due: now, PreferSpot: c.cheap}}
 		rented := 0
-		for _, r := range f.Decide(types, machines, demand, nil, now, now).Rent {
+		for _, r := range f.Decide(types, machines, demand, nil, now, now).ScaleOut {
 			rented += r.Count
 		}
 		if rented != c.want {
@@ -268,12 +268,12 @@
 		// The two machines are always taken by newcomers for the next 5 s.
 		var ms []Machine
 		for i := range 2 {
-			ms = append(ms, Machine{Name: fmt.Sprintf("n-%02d", i), Type: "m8", Zone: "a", State: protocol.HostRunning, Heard: now, Since: began, Slots: []Slot{{CPUs: 8, Left: 5}}})
+			ms = append(ms, Machine{Name: fmt.Sprintf("n-%02d", i), Type: "m8", Zone: "a", ListedState: protocol.HostRunning, LastHeartbeat: now, AcquiredAt: began, Tasks: []RunningTask{{CPUs: 8, SecondsLeft: 5}}})
 		}
 		p := f.Decide(types, ms, []Demand{{Spec: low, Count: 1, Due: now.Add(time.Minute)}}, nil, now, began)
-		for _, r := range p.Rent {
+		for _, r := range p.ScaleOut {
 			rented += r.Count
-			f.Answered(r, 0, now, false)
+			f.RecordScaleOut(r, 0, now, false)
 		}
 		if rented > 0 {
 			break
@@ -292,12 +292,12 @@
 		f, types, now := setup()
 		var ms []Machine
 		for i := range 2 {
-			ms = append(ms, Machine{Name: fmt.Sprintf("n-%02d", i), Type: "m8", Zone: "a", State: protocol.HostRunning, Heard: now, Since: now, Slots: []Slot{{CPUs: 8, Left: 20}}})
+			ms = append(ms, Machine{Name: fmt.Sprintf("n-%02d", i), Type: "m8", Zone: "a", ListedState: protocol.HostRunning, LastHeartbeat: now, AcquiredAt: now, Tasks: []RunningTask{{CPUs: 8, SecondsLeft: 20}}})
 		}
 		low := &protocol.Submission{UID: "low", Priority: "standard", CPUs: 8, EstimateSeconds: 10, Spot: true}
-		p := f.Decide(types, ms, []Demand{{Spec: low, Count: 1, Due: now.Add(40 * time.Second)}}, Inflow{protocol.Rank("high"): cpus, protocol.Rank("low"): 100}, now, now)
+		p := f.Decide(types, ms, []Demand{{Spec: low, Count: 1, Due: now.Add(40 * time.Second)}}, Arrivals{protocol.Rank("high"): cpus, protocol.Rank("low"): 100}, now, now)
 		got := 0
-		for _, r := range p.Rent {
+		for _, r := range p.ScaleOut {
 			got += r.Count
 		}
 		if got != want {
@@ -318,13 +318,13 @@
 		f, types, now := setup()
 		if c.shut {
 			for _, zone := range types[0].Zones {
-				f.shut[pool{"m8", zone, true}] = now.Add(time.Minute)
+				f.unavailableUntil[pool{"m8", zone, true}] = now.Add(time.Minute)
 			}
 		}
 		var machines []Machine
 		for i := range 4 { // whose tasks end soon
-			machines = append(machines, Machine{Name: fmt.Sprint("n-", i), Type: "m8", Zone: "a", Heard: now, Since: now.Add(-time.Minute), State: protocol.HostRunning, Registered: true,
-				Slots: []Slot{{CPUs: 8, Mem: 64, Left: 15, Pinned: true}}})
+			machines = append(machines, Machine{Name: fmt.Sprint("n-", i), Type: "m8", Zone: "a", LastHeartbeat: now, AcquiredAt: now.Add(-time.Minute), ListedState: protocol.HostRunning, Registered: true,
+				Tasks: []RunningTask{{CPUs: 8, Memory: 64, SecondsLeft: 15, OnDemandOnly: true}}})
 		}
 		gang := Demand{Spec: &protocol.Submission{UID: "gang", Kind: protocol.Gang, Priority: c.priority, CPUs: 7, EstimateSeconds: 10, OneZone: true}, Count: 2, Due: now.Add(40 * time.Second)}
 		array := Demand{Spec: &protocol.Submission{UID: "array", Kind: protocol.JobArray, Priority: "standard", CPUs: 1, EstimateSeconds: 10, Spot: true}, Count: 16, Due: now.Add(40 * time.Second)}
@@ -333,7 +333,7 @@
 			demands = []Demand{array, gang}
 		}
 		spots, others := 0, 0
-		for _, r := range f.Decide(types, machines, demands, nil, now, now).Rent {
+		for _, r := range f.Decide(types, machines, demands, nil, now, now).ScaleOut {
 			if r.Spot {
 				spots += r.Count
 			} else {
@@ -364,7 +364,7 @@
 	} {
 		f, types, now := setup()
 		if c.shut != "" {
-			f.shut[pool{"m8", c.shut, false}] = now.Add(time.Minute)
+			f.unavailableUntil[pool{"m8", c.shut, false}] = now.Add(time.Minute)
 		}
 		var machines []Machine
 		for i, zone := range types[0].Zones {
@@ -373,13 +373,13 @@
 				n = 2
 			}
 			for k := range n {
-				machines = append(machines, Machine{Name: fmt.Sprint("n-", zone, k), Type: "m8", Zone: zone, Heard: now, Since: now.Add(-time.Minute), State: protocol.HostRunning, Registered: true,
-					Slots: []Slot{{CPUs: 8, Mem: 64, Left: c.left[i], Pinned: true}}})
+				machines = append(machines, Machine{Name: fmt.Sprint("n-", zone, k), Type: "m8", Zone: zone, LastHeartbeat: now, AcquiredAt: now.Add(-time.Minute), ListedState: protocol.HostRunning, Registered: true,
+					Tasks: []RunningTask{{CPUs: 8, Memory: 64, SecondsLeft: c.left[i], OnDemandOnly: true}}})
 			}
 		}
 		spec := &protocol.Submission{UID: "gang", Kind: protocol.Gang, Priority: "high", CPUs: 7, EstimateSeconds: 10, OneZone: true}
 		got := map[string]int{}
-		for _, r := range f.Decide(types, machines, []Demand{{Spec: spec, Count: c.tasks, Due: now.Add(time.Duration(c.late) * time.Second)}}, nil, now, now).Rent {
+		for _, r := range f.Decide(types, machines, []Demand{{Spec: spec, Count: c.tasks, Due: now.Add(time.Duration(c.late) * time.Second)}}, nil, now, now).ScaleOut {
 			got[r.Zone] += r.Count
 		}
 		if got["a"] != c.a || got["b"] != c.b {
@@ -394,9 +394,9 @@
 		rng := rand.New(rand.NewPCG(seed, 17))
 		var l layout
 		for range 1 + rng.IntN(4) {
-			b := &bin{pool: pool{"m8", []string{"a", "b"}[rng.IntN(2)], false}, free: []room{{float64(rng.IntN(4)), float64(rng.IntN(9)), 0, 100}}}
+			b := &bin{pool: pool{"m8", []string{"a", "b"}[rng.IntN(2)], false}, changes: []roomChange{{float64(rng.IntN(4)), float64(rng.IntN(9)), 0, 100}}}
 			for range rng.IntN(4) {
-				b.add(room{at: float64(4 + rng.IntN(10)), cpus: float64(rng.IntN(4))})
+				b.add(roomChange{at: float64(4 + rng.IntN(10)), cpus: float64(rng.IntN(4))})
 			}
 			l.bins = append(l.bins, b)
 		}
@@ -407,7 +407,7 @@
 			room := 0
 			for _, b := range l.bins {
 				cpus := 0.0
-				for _, r := range b.free {
+				for _, r := range b.changes {
 					if r.at <= at {
 						cpus += r.cpus // nothing is taken later
 					}
@@ -436,16 +436,16 @@
 		first := Demand{Spec: &protocol.Submission{UID: "1", Priority: "high", CPUs: 8, GPUs: 1, EstimateSeconds: 10}, Count: 1, Due: now}
 		then := Demand{Spec: &protocol.Submission{UID: "2", Priority: "high", CPUs: 8, EstimateSeconds: 10, Zone: &zone}, Count: 1, Due: now}
 		last := Demand{Spec: &protocol.Submission{UID: "3", Priority: "low", CPUs: 8, EstimateSeconds: 10, Spot: true}, Count: 80, Due: now}
-		rents := f.Decide(types, nil, []Demand{first, then, last}, nil, now, now).Rent
+		rents := f.Decide(types, nil, []Demand{first, then, last}, nil, now, now).ScaleOut
 		if len(rents) < 4 || rents[0].Type != "g8" || rents[1].Zone != "b" || rents[1].Spot || !rents[2].Spot || !rents[3].Spot {
 			t.Fatalf("requests %+v", rents)
 		}
 		spot := rents[2]
-		if f.Moot(spot, now) {
+		if f.Obsolete(spot, now) {
 			t.Fatal("a request is pointless before anything was refused")
 		}
-		f.Answered(spot, 0, now, true)
-		if !f.Moot(spot, now) || f.Moot(rents[0], now) || f.Moot(spot, now.Add(time.Minute)) {
+		f.RecordScaleOut(spot, 0, now, true)
+		if !f.Obsolete(spot, now) || f.Obsolete(rents[0], now) || f.Obsolete(spot, now.Add(time.Minute)) {
 			t.Fatal("a request to a place that refused one is not pointless, or another is, or for ever")
 		}
 	}
--- a/internal/autoscaler/bin.go
+++ b/internal/autoscaler/bin.go
@@ -10,33 +10,33 @@
 	"topazhollow/internal/protocol"
 )
 
-// room is a change of a machine's free room at a time, in seconds from now.
-type room struct {
+// roomChange is a change of a machine's free room at a time, in seconds from now.
+type roomChange struct {
 	at              float64
 	cpus, gpus, mem float64
 }
 
 // bin is a machine's free room over time, there or on its way.
 type bin struct {
-	pool pool
-	all  float64 // CPUs
-	free []room  // in order of time
+	pool      pool
+	totalCPUs float64      // CPUs
+	changes   []roomChange // in order of time
 
 	taken int // how often tasks were booked
 }
 
 func newBin(p pool, t *protocol.MachineType, at float64) *bin {
-	return &bin{pool: p, all: t.CPUs, free: []room{{at, t.CPUs, t.GPUs, t.MemoryGB}}}
+	return &bin{pool: p, totalCPUs: t.CPUs, changes: []roomChange{{at, t.CPUs, t.GPUs, t.MemoryGB}}}
 }
 
-func (b *bin) add(r room) {
-	i, _ := slices.BinarySearchFunc(b.free, r.at, func(x room, at float64) int {
+func (b *bin) add(r roomChange) {
+	i, _ := slices.BinarySearchFunc(b.changes, r.at, func(x roomChange, at float64) int {
 		if x.at <= at {
 			return -1
 		}
 		return 1
 	})
-	b.free = slices.Insert(b.free, i, r)
+	b.changes = slices.Insert(b.changes, i, r)
 }
 
 const slack = 1e-6
@@ -46,7 +46,7 @@
 func (b *bin) earliest(s *protocol.Submission, limit float64) float64 {
 	cpus, gpus, mem := 0.0, 0.0, 0.0
 	start := math.Inf(1)
-	for _, r := range b.free {
+	for _, r := range b.changes {
 		cpus, gpus, mem = cpus+r.cpus, gpus+r.gpus, mem+r.mem
 		fits := cpus+slack >= s.CPUs && gpus+slack >= s.GPUs && mem+slack >= s.MemoryGB
 		switch {
@@ -66,9 +66,9 @@
 func (b *bin) fits(s *protocol.Submission, from float64) int {
 	count := protocol.MaxTasks
 	cpus, gpus, mem := 0.0, 0.0, 0.0
-	for i, r := range b.free {
+	for i, r := range b.changes {
 		cpus, gpus, mem = cpus+r.cpus, gpus+r.gpus, mem+r.mem
-		if i+1 < len(b.free) && b.free[i+1].at <= from {
+		if i+1 < len(b.changes) && b.changes[i+1].at <= from {
 			continue
 		}
 		if r.at > from && i == 0 {
@@ -79,14 +79,14 @@
 	return count
 }
 
-// take books tasks from start on, as many as there is room for from then on, one at
+// take records tasks from start on, as many as there is room for from then on, one at
 // least and most at most, and says how many.
 func (b *bin) take(s *protocol.Submission, start, run float64, most int) int {
 	count := max(min(b.fits(s, start), most), 1)
 	x := float64(count)
 	b.taken++
-	b.add(room{start, -x * s.CPUs, -x * s.GPUs, -x * s.MemoryGB})
-	b.add(room{start + run, x * s.CPUs, x * s.GPUs, x * s.MemoryGB})
+	b.add(roomChange{start, -x * s.CPUs, -x * s.GPUs, -x * s.MemoryGB})
+	b.add(roomChange{start + run, x * s.CPUs, x * s.GPUs, x * s.MemoryGB})
 	return count
 }
 
@@ -95,11 +95,11 @@
 	cpus, gpus, mem float64
 	spot            bool
 	zone, types     string
-	cheap           bool // on spot machines alone
+	spotOnly        bool // on spot machines alone
 }
 
 func shapeOf(s *protocol.Submission, cheap bool) shape {
-	x := shape{cpus: s.CPUs, gpus: s.GPUs, mem: s.MemoryGB, spot: s.Spot, cheap: cheap}
+	x := shape{cpus: s.CPUs, gpus: s.GPUs, mem: s.MemoryGB, spot: s.Spot, spotOnly: cheap}
 	if s.Zone != nil {
 		x.zone = "=" + *s.Zone
 	}
@@ -109,7 +109,7 @@
 	return x
 }
 
-// layout is all bins, with a line of them for each shape of what is laid out: a look costs
+// layout is all bins, with a line of them for each shape of what is placed in the forecast: a look costs
 // by the number of shapes, however many jobs and tasks there are of each.
 type layout struct {
 	bins  []*bin
@@ -121,7 +121,7 @@
 	x := shapeOf(s, cheap)
 	q := l.lines[x]
 	if q == nil {
-		q = &line{spec: s, cheap: cheap}
+		q = &line{spec: s, spotOnly: cheap}
 		l.lines[x] = q
 	}
 	fresh := q.known == 0
@@ -145,10 +145,10 @@
 // from a bin, so that the start that was found before is the least that it can be: only the
 // bin in front has to be looked at again, if it changed.
 type line struct {
-	spec  *protocol.Submission // any of the shape
-	cheap bool
-	bins  []candidate
-	known int // bins of the layout that were looked at
+	spec     *protocol.Submission // any of the shape
+	spotOnly bool
+	bins     []candidate
+	known    int // bins of the layout that were looked at
 }
 
 type candidate struct {
@@ -159,7 +159,7 @@
 }
 
 func (l *line) candidate(b *bin) (candidate, bool) {
-	if !allowed(l.spec, b.pool.Type, b.pool.Zone, b.pool.Spot) || l.cheap && !b.pool.Spot {
+	if !allowed(l.spec, b.pool.Type, b.pool.Zone, b.pool.Spot) || l.spotOnly && !b.pool.Spot {
 		return candidate{}, false
 	}
 	start := b.earliest(l.spec, math.Inf(1))
@@ -183,7 +183,7 @@
 	return math.Inf(1)
 }
 
-// take books the next tasks of a job, at most so many, in the bin that has room soonest, as
+// take records the next tasks of a job, at most so many, in the bin that has room soonest, as
 // soonest has just found it, and says how many these are.
 func (l *line) take(run float64, most int) int {
 	c := &l.bins[0]
--- a/internal/autoscaler/boot_test.go
+++ b/internal/autoscaler/boot_test.go
@@ -26,13 +26,13 @@
 		for i := range d.machines {
 			m := &d.machines[i]
 			if at := d.up[m.Name]; !at.IsZero() && !d.now.Before(at) {
-				m.Heard, m.State = d.now, protocol.HostRunning
-				m.Slots = []Slot{{CPUs: 8, Left: 1000}}
+				m.LastHeartbeat, m.ListedState = d.now, protocol.HostRunning
+				m.Tasks = []RunningTask{{CPUs: 8, SecondsLeft: 1000}}
 			}
 		}
 		plan := d.f.Decide(d.types, d.machines, demand(d.now), nil, d.now, d.now.Add(-time.Hour))
-		d.late = d.late || len(plan.Late) > 0
-		for _, name := range plan.Return {
+		d.late = d.late || len(plan.SlowPlaces) > 0
+		for _, name := range plan.ScaleIn {
 			for i := range d.machines {
 				if d.machines[i].Name == name {
 					d.machines = append(d.machines[:i], d.machines[i+1:]...)
@@ -41,23 +41,23 @@
 				}
 			}
 		}
-		for _, r := range plan.Rent {
+		for _, r := range plan.ScaleOut {
 			for range r.Count {
 				d.rented++
 				name := fmt.Sprintf("n-%03d", d.rented)
-				d.machines = append(d.machines, Machine{Name: name, Type: r.Type, Zone: r.Zone, Spot: r.Spot, Since: d.now, State: protocol.HostBooting})
+				d.machines = append(d.machines, Machine{Name: name, Type: r.Type, Zone: r.Zone, Spot: r.Spot, AcquiredAt: d.now, ListedState: protocol.HostBooting})
 				if s := boots(d.rented, r.Zone); s > 0 {
 					d.up[name] = d.now.Add(time.Duration(s * float64(time.Second)))
 				}
 			}
-			d.f.Answered(r, r.Count, d.now, false)
+			d.f.RecordScaleOut(r, r.Count, d.now, false)
 		}
 	}
 }
 
 func (d *delivery) running() (n int) {
 	for _, m := range d.machines {
-		if !m.Heard.IsZero() {
+		if !m.LastHeartbeat.IsZero() {
 			n++
 		}
 	}
--- a/internal/autoscaler/gang.go
+++ b/internal/autoscaler/gang.go
@@ -8,7 +8,7 @@
 )
 
 // A gang of one zone starts once all its tasks have room there at the same time. Laid out task by task, on whatever
-// machine has room soonest, it seemed to start long before it could, and what was rented for it was spread over all
+// machine has room soonest, it seemed to start long before it could, and what was acquired for it was spread over all
 // zones.
 
 // zonesOf lists the zones that any type has machines in, in the order of the catalog.
@@ -41,17 +41,17 @@
 				p.bins = append(p.bins, b)
 			}
 		}
-		p.at = p.together(count)
+		p.at = p.earliestStart(count)
 		places = append(places, p)
 	}
 	return places
 }
 
-// together is when so many tasks first have room at the same time, or infinity.
-func (p *gangPlace) together(count int) float64 {
+// earliestStart is when so many tasks first have room at the same time, or infinity.
+func (p *gangPlace) earliestStart(count int) float64 {
 	times := []float64{0}
 	for _, b := range p.bins {
-		for _, r := range b.free {
+		for _, r := range b.changes {
 			times = append(times, r.at)
 		}
 	}
@@ -79,7 +79,7 @@
 	return n
 }
 
-// gangOffer is what machines to rent for a gang in one of its zones.
+// gangOffer is what machines to acquire for a gang in one of its zones.
 type gangOffer struct {
 	place       *gangPlace
 	pool        pool
@@ -87,11 +87,11 @@
 	count       int
 }
 
-// layGang lays out a gang of one zone where it can start soonest, or rents what it lacks in the zone that lacks
+// placeGang places in the forecast a gang of one zone where it can start soonest, or acquires what it lacks in the zone that lacks
 // least, if that would be late. It says in how many seconds the gang starts by that, and whether machines are
-// rented for it; the time is infinite if there is no room and none to rent.
-func (r *rental) layGang(t *task) (at float64, rented bool) {
-	places := r.all.gangPlaces(r.types, t.demand.Spec, t.demand.Count)
+// acquired for it; the time is infinite if there is no room and none to acquire.
+func (r *scaleOutPass) placeGang(t *task) (at float64, rented bool) {
+	places := r.layout.gangPlaces(r.types, t.demand.Spec, t.demand.Count)
 	at = math.Inf(1)
 	var best *gangPlace
 	for i := range places {
@@ -99,9 +99,9 @@
 			best, at = p, p.at
 		}
 	}
-	if r.expect(t, at) > t.allowance {
+	if r.expectedStart(t, at) > t.allowance {
 		if offer, ok := r.gangOffer(t, places); ok {
-			best, at, rented = offer.place, r.rentForGang(&offer), true
+			best, at, rented = offer.place, r.addForGang(&offer), true
 		}
 	}
 	if best == nil {
@@ -116,18 +116,18 @@
 	return at, rented
 }
 
-// gangOffer finds the zone in which the fewest machines have to be rented for a gang.
-func (r *rental) gangOffer(t *task, places []gangPlace) (best gangOffer, found bool) {
+// gangOffer finds the zone in which the fewest machines have to be acquired for a gang.
+func (r *scaleOutPass) gangOffer(t *task, places []gangPlace) (best gangOffer, found bool) {
 	total := t.demand.Count
 	for i := range places {
 		p := &places[i]
 		there := *t.demand
 		there.Spec = p.spec
-		from, machineType := r.f.cheapest(r.types, &there, r.want, r.expect(t, p.at), r.now)
+		from, machineType := r.fleet.cheapest(r.types, &there, r.wanted, r.expectedStart(t, p.at), r.now)
 		if machineType == nil {
 			continue
 		}
-		lacks := total - p.room(r.f.boot(from, machineType), total)
+		lacks := total - p.room(r.fleet.bootSeconds(from, machineType), total)
 		each := max(p.spec.TasksThatFit(machineType.CPUs, machineType.GPUs, machineType.MemoryGB), 1)
 		count := max((lacks+each-1)/each, 1)
 		if !found || count < best.count {
@@ -137,13 +137,13 @@
 	return best, found
 }
 
-// rentForGang books the machines of an offer, and says in how many seconds they are up.
-func (r *rental) rentForGang(offer *gangOffer) (up float64) {
-	up = r.f.boot(offer.pool, offer.machineType)
-	r.want[offer.pool] += offer.count
+// addForGang records the machines of an offer, and says in how many seconds they are up.
+func (r *scaleOutPass) addForGang(offer *gangOffer) (up float64) {
+	up = r.fleet.bootSeconds(offer.pool, offer.machineType)
+	r.wanted[offer.pool] += offer.count
 	for range offer.count {
 		b := newBin(offer.pool, offer.machineType, up)
-		r.all.bins = append(r.all.bins, b)
+		r.layout.bins = append(r.layout.bins, b)
 		offer.place.bins = append(offer.place.bins, b)
 	}
 	return up
--- a/internal/autoscaler/retire.go
+++ b/internal/autoscaler/retire.go
@@ -9,13 +9,13 @@
 	"topazhollow/internal/protocol"
 )
 
-// reserve is the part of the kept machines' room that stays free when dear
+// freeReserve is the part of the kept machines' room that stays free when on-demand
 // machines are let go: what comes next should not have to wait for a boot.
-const reserve = 0.04
+const freeReserve = 0.04
 
-// calm is for how long after a rental no machine is retired: one that is given back
-// and rented again costs a boot and a minute at least.
-const calm = time.Minute
+// retirePause is for how long after a acquisition no machine is retired: one that is released
+// and acquired again costs a boot and a minute at least.
+const retirePause = time.Minute
 
 // share is what part of a machine of a type an amount takes: its scarcest kind.
 func share(t *protocol.MachineType, cpus, gpus, mem float64) float64 {
@@ -28,10 +28,10 @@
 	return most
 }
 
-// free is what part of a machine is free: of its scarcest kind.
-func (m *Machine) free(t *protocol.MachineType) float64 {
+// freeShare is what part of a machine is free: of its scarcest kind.
+func (m *Machine) freeShare(t *protocol.MachineType) float64 {
 	least := 1.0
-	for _, x := range [][2]float64{{m.CPUs, t.CPUs}, {m.GPUs, t.GPUs}, {m.Mem, t.MemoryGB}} {
+	for _, x := range [][2]float64{{m.FreeCPUs, t.CPUs}, {m.FreeGPUs, t.GPUs}, {m.FreeMemory, t.MemoryGB}} {
 		if x[1] > 0 {
 			least = min(least, x[0]/x[1])
 		}
@@ -39,19 +39,19 @@
 	return max(0, least)
 }
 
-// dear says whether a machine costs more than another kind of its type does, so
+// hasCheaperKind says whether a machine costs more than another kind of its type does, so
 // that work should leave it where there is room.
-func (f *Fleet) dear(m *Machine, t *protocol.MachineType) bool {
-	return !m.Spot && f.opt.SpotShare > 0 && t.SpotPricePerHour < t.PricePerHour
+func (f *Fleet) hasCheaperKind(m *Machine, t *protocol.MachineType) bool {
+	return !m.Spot && f.options.SpotShare > 0 && t.SpotPricePerHour < t.PricePerHour
 }
 
-// retire keeps the set of dear machines that get no more tasks and go back when
+// retire keeps the set of on-demand machines that get no more tasks and go back when
 // those they have are over. Machines used in part never fall idle: work is spread
 // over all there are. A machine is retired once the others have room for its work
 // and the reserve, and taken back into use as soon as that is no longer so. What a
 // retired machine still runs is counted as work that the others are about to get.
 func (f *Fleet) retire(live []*Machine, types map[string]*protocol.MachineType, demands []Demand, now time.Time) {
-	// If some work may not use cheap machines, it is not known which of the dear ones it needs.
+	// If some work may not use spot machines, it is not known which of the on-demand ones it needs.
 	pinned := slices.ContainsFunc(demands, func(d Demand) bool { return !d.Spec.Spot })
 	byType := map[string][]*Machine{}
 	there := map[string]bool{}
@@ -90,18 +90,18 @@
 // that waiting tasks take.
 func (f *Fleet) retireOfType(t *protocol.MachineType, machines []*Machine, waiting float64, now time.Time) {
 	slices.SortFunc(machines, func(a, b *Machine) int {
-		return cmp.Or(cmp.Compare(b.free(t), a.free(t)), cmp.Compare(a.Name, b.Name))
+		return cmp.Or(cmp.Compare(b.freeShare(t), a.freeShare(t)), cmp.Compare(a.Name, b.Name))
 	})
 	kept, room := 0.0, -waiting // machines that are kept, and their free room in machines
 	for _, m := range machines {
 		if f.retired[m.Name] {
-			room -= 1 - m.free(t)
+			room -= 1 - m.freeShare(t)
 		} else {
-			room += m.free(t)
+			room += m.freeShare(t)
 			kept++
 		}
 	}
-	for i := len(machines) - 1; i >= 0 && room < reserve*kept; i-- { // the fullest first: they run on anyway
+	for i := len(machines) - 1; i >= 0 && room < freeReserve*kept; i-- { // the fullest first: they run on anyway
 		if m := machines[i]; f.retired[m.Name] {
 			delete(f.retired, m.Name)
 			room++
@@ -111,10 +111,10 @@
 	// Twice the reserve before the next goes, and none for a while after machines were
 	// asked for, so that none goes back and forth.
 	for _, m := range machines {
-		if now.Sub(f.asked) < calm || room-1 < 2*reserve*(kept-1) || kept <= math.Max(1, float64(f.opt.Warm)) {
+		if now.Sub(f.scaledOutAt) < retirePause || room-1 < 2*freeReserve*(kept-1) || kept <= math.Max(1, float64(f.options.Warm)) {
 			break
 		}
-		if !f.retired[m.Name] && f.dear(m, t) && !m.pinned() {
+		if !f.retired[m.Name] && f.hasCheaperKind(m, t) && !m.runsPinned() {
 			f.retired[m.Name] = true
 			room--
 			kept--
@@ -122,7 +122,7 @@
 	}
 }
 
-// pinned says whether a machine runs what may not run on a cheap one.
-func (m *Machine) pinned() bool {
-	return slices.ContainsFunc(m.Slots, func(s Slot) bool { return s.Pinned })
+// runsPinned says whether a machine runs what may not run on a spot machine.
+func (m *Machine) runsPinned() bool {
+	return slices.ContainsFunc(m.Tasks, func(s RunningTask) bool { return s.OnDemandOnly })
 }
--- a/internal/autoscaler/retire_test.go
+++ b/internal/autoscaler/retire_test.go
@@ -22,18 +22,18 @@
 		byType := map[string]*protocol.MachineType{"m8": &types[0]}
 		ms := make([]*Machine, 40)
 		for i := range ms {
-			ms[i] = &Machine{Name: fmt.Sprintf("n-%02d", i), Type: "m8", Zone: "a", Spot: i%2 == 0, Heard: now, Since: now.Add(-time.Hour)}
+			ms[i] = &Machine{Name: fmt.Sprintf("n-%02d", i), Type: "m8", Zone: "a", Spot: i%2 == 0, LastHeartbeat: now, AcquiredAt: now.Add(-time.Hour)}
 		}
 		for range 40 {
 			busy := rng.Float64()
 			for _, m := range ms {
 				used := 0.0
-				m.Slots = nil
+				m.Tasks = nil
 				for used < 8 && rng.Float64() < busy {
-					m.Slots = append(m.Slots, Slot{CPUs: 2, Left: 10, Pinned: rng.IntN(12) == 0})
+					m.Tasks = append(m.Tasks, RunningTask{CPUs: 2, SecondsLeft: 10, OnDemandOnly: rng.IntN(12) == 0})
 					used += 2
 				}
-				m.CPUs, m.Mem = 8-used, 64
+				m.FreeCPUs, m.FreeMemory = 8-used, 64
 			}
 			var demands []Demand
 			wait := 0.0
@@ -47,24 +47,24 @@
 			for _, m := range ms {
 				switch {
 				case !f.retired[m.Name]:
-					room += m.CPUs / 8
+					room += m.FreeCPUs / 8
 					kept++
 				case m.Spot:
 					t.Fatalf("seed %d: cheap machine retired", seed)
 				default:
-					room -= 1 - m.CPUs/8
+					room -= 1 - m.FreeCPUs/8
 				}
 			}
 			if len(f.retired) > before {
 				retired++
-				if room < reserve*kept {
+				if room < freeReserve*kept {
 					t.Fatalf("seed %d: %d retired, and the others have %.1f machines of room left", seed, len(f.retired), room)
 				}
 			}
 			if len(f.retired) < before {
 				back++
 			}
-			if len(f.retired) > 0 && room < reserve*kept {
+			if len(f.retired) > 0 && room < freeReserve*kept {
 				t.Fatalf("seed %d: %d machines stay retired with %.1f machines of room", seed, len(f.retired), room)
 			}
 		}
@@ -82,28 +82,28 @@
 	f, types, now := setup()
 	var ms []Machine
 	for i := range 10 {
-		ms = append(ms, Machine{Name: fmt.Sprintf("n-%02d", i), Type: "m8", Zone: "a", Spot: i > 0, State: protocol.HostRunning, Heard: now,
-			Since: now.Add(-time.Hour), CPUs: 4, Mem: 32, Slots: []Slot{{CPUs: 4, Mem: 32, Left: 30}}})
+		ms = append(ms, Machine{Name: fmt.Sprintf("n-%02d", i), Type: "m8", Zone: "a", Spot: i > 0, ListedState: protocol.HostRunning, LastHeartbeat: now,
+			AcquiredAt: now.Add(-time.Hour), FreeCPUs: 4, FreeMemory: 32, Tasks: []RunningTask{{CPUs: 4, Memory: 32, SecondsLeft: 30}}})
 	}
 	pinned := []Demand{{Spec: &protocol.Submission{CPUs: 1, EstimateSeconds: 5}, Count: 1, Due: now.Add(time.Hour)}}
 	if p := f.Decide(types, ms, pinned, nil, now, now); len(p.Retire) != 0 {
 		t.Fatalf("retires %v while work waits that may use nothing else", p.Retire)
 	}
-	if p := f.Decide(types, ms, nil, nil, now, now); !slices.Equal(p.Retire, []string{"n-00"}) || len(p.Return) != 0 {
-		t.Fatalf("retires %v, returns %v", p.Retire, p.Return)
+	if p := f.Decide(types, ms, nil, nil, now, now); !slices.Equal(p.Retire, []string{"n-00"}) || len(p.ScaleIn) != 0 {
+		t.Fatalf("retires %v, returns %v", p.Retire, p.ScaleIn)
 	}
-	f.asked = now // what was just rented is not given back
+	f.scaledOutAt = now // what was just rented is not given back
 	delete(f.retired, "n-00")
 	if p := f.Decide(types, ms, nil, nil, now, now); len(p.Retire) != 0 {
 		t.Fatalf("retires %v right after a rental", p.Retire)
 	}
-	f.asked = time.Time{}
+	f.scaledOutAt = time.Time{}
 	if p := f.Decide(types, ms, nil, nil, now, now); len(p.Retire) != 1 {
 		t.Fatalf("retires %v later", p.Retire)
 	}
-	ms[0].CPUs, ms[0].Mem, ms[0].Slots, ms[0].Idle = 8, 64, nil, now.Add(-time.Second)
-	if p := f.Decide(types, ms, nil, nil, now, now); !slices.Equal(p.Return, []string{"n-00"}) {
-		t.Fatalf("returns %v of an idle retired machine", p.Return)
+	ms[0].FreeCPUs, ms[0].FreeMemory, ms[0].Tasks, ms[0].IdleSince = 8, 64, nil, now.Add(-time.Second)
+	if p := f.Decide(types, ms, nil, nil, now, now); !slices.Equal(p.ScaleIn, []string{"n-00"}) {
+		t.Fatalf("returns %v of an idle retired machine", p.ScaleIn)
 	}
 }
 
@@ -112,17 +112,17 @@
 // and with their images, and rented anew. A few that fall silent are returned as ever.
 func TestCutZoneKept(t *testing.T) {
 	f, types, now := setup()
-	f.opt.Cut = 30 * time.Second
+	f.options.CutZoneTimeout = 30 * time.Second
 	silent := func(zone string, count int, quiet time.Duration) int {
 		var ms []Machine
 		for i := range 20 {
-			m := Machine{Name: fmt.Sprintf("n-%02d", i), Type: "m8", Zone: []string{"a", "b"}[i%2], State: protocol.HostRunning, Heard: now, Since: now.Add(-time.Hour)}
+			m := Machine{Name: fmt.Sprintf("n-%02d", i), Type: "m8", Zone: []string{"a", "b"}[i%2], ListedState: protocol.HostRunning, LastHeartbeat: now, AcquiredAt: now.Add(-time.Hour)}
 			if m.Zone == zone && count > 0 {
-				m.Heard, count = now.Add(-quiet), count-1
+				m.LastHeartbeat, count = now.Add(-quiet), count-1
 			}
 			ms = append(ms, m)
 		}
-		return len(f.Decide(types, ms, nil, nil, now, now.Add(-time.Hour)).Return)
+		return len(f.Decide(types, ms, nil, nil, now, now.Add(-time.Hour)).ScaleIn)
 	}
 	for _, x := range []struct {
 		count    int
--- a/internal/autoscaler/return.go
+++ b/internal/autoscaler/scalein.go
@@ -8,8 +8,8 @@
 	"topazhollow/internal/protocol"
 )
 
-// minStay is for how long after its rental an idle machine is not returned.
-const minStay = 50 * time.Second
+// minMachineLife is for how long after its acquisition an idle machine is not released.
+const minMachineLife = 50 * time.Second
 
 func (m *Machine) price(types map[string]*protocol.MachineType) float64 {
 	if m.Spot {
@@ -18,10 +18,10 @@
 	return types[m.Type].PricePerHour
 }
 
-// giveBack returns machines that have been idle for long, dear ones first, but
-// keeps a few warm. Cheap ones, which may not be had again, stay for longer, as far
+// scaleInIdle releases machines that have been idle for long, on-demand ones first, but
+// keeps a few warm. Spot ones, which may not be had again, stay for longer, as far
 // as they are no more than a tenth of all: more than that idle is no lull.
-func (f *Fleet) giveBack(plan *Plan, types map[string]*protocol.MachineType, idle []*Machine, total int, now time.Time) {
+func (f *Fleet) scaleInIdle(plan *Plan, types map[string]*protocol.MachineType, idle []*Machine, total int, now time.Time) {
 	slices.SortFunc(idle, func(a, b *Machine) int {
 		if d := cmp.Compare(b.price(types), a.price(types)); d != 0 {
 			return d
@@ -30,18 +30,18 @@
 	})
 	left, spare := len(idle), total/10
 	for _, m := range idle {
-		if total <= f.opt.Warm {
+		if total <= f.options.Warm {
 			return
 		}
-		keep := f.opt.IdleReturn
+		keep := f.options.IdleTimeout
 		if f.retired[m.Name] {
 			keep = 0
 		}
-		if m.Spot && f.opt.SpotShare > 0 && left <= spare {
+		if m.Spot && f.options.SpotShare > 0 && left <= spare {
 			keep = time.Duration(float64(keep) * min(4, types[m.Type].PricePerHour/max(m.price(types), 1e-9)))
 		}
-		if now.Sub(m.Idle) > keep && now.Sub(m.Since) > minStay {
-			plan.Return = append(plan.Return, m.Name)
+		if now.Sub(m.IdleSince) > keep && now.Sub(m.AcquiredAt) > minMachineLife {
+			plan.ScaleIn = append(plan.ScaleIn, m.Name)
 			total--
 			left--
 		}
--- a/internal/controller/admission.go
+++ b/internal/controller/admission.go
@@ -276,7 +276,9 @@
 }
 
 // waitingCPUs is how many CPUs a demand asks for, with those beyond its team's quota.
-func waitingCPUs(d *autoscaler.Demand) float64 { return float64(d.Count)*d.Spec.CPUs + d.Beyond }
+func waitingCPUs(d *autoscaler.Demand) float64 {
+	return float64(d.Count)*d.Spec.CPUs + d.CPUsBeyondQuota
+}
 
 // addUsed adds what the tasks on a machine hold.
 func (n *Node) addUsed(needs needsByKey, m *machine) {
@@ -294,10 +296,10 @@
 		return planned, false
 	}
 	left := 0.0
-	for _, s := range m.Slots {
-		left = max(left, s.Left)
+	for _, s := range m.Tasks {
+		left = max(left, s.SecondsLeft)
 	}
-	return admission.Machine{Name: m.Name, CPUs: cpus, Memory: memory, FreeCPUs: m.CPUs, SecondsUntilIdle: left}, true
+	return admission.Machine{Name: m.Name, CPUs: cpus, Memory: memory, FreeCPUs: m.FreeCPUs, SecondsUntilIdle: left}, true
 }
 
 // setArrivalRates sets what keeps each need up: as it came of late. What waits counts little, or a
@@ -310,13 +312,13 @@
 	}
 	for _, j := range n.jobs {
 		need, age := needs[keyOf(j.spec)], now.Sub(j.submittedAt)
-		if need != nil && j.spec.Kind != protocol.Service && age < inflowOver {
+		if need != nil && j.spec.Kind != protocol.Service && age < arrivalWindow {
 			need.Rate += float64(j.spec.Tasks) * j.spec.CPUs * j.spec.EstimateSeconds
 			oldest[need] = max(oldest[need], age)
 		}
 	}
 	for k, need := range needs {
-		over := min(max(oldest[need], inflowOver/3), inflowOver) // of a class that has just begun to come
+		over := min(max(oldest[need], arrivalWindow/3), arrivalWindow) // of a class that has just begun to come
 		need.Rate = max(need.Rate/over.Seconds(), backlog[k]/backlogTime.Seconds())
 	}
 }
--- a/internal/controller/provisioning.go
+++ b/internal/controller/autoscaling.go
@@ -15,29 +15,29 @@
 	"topazhollow/internal/settings"
 )
 
-// provisionEvery is how often the fleet's owner decides what to rent and to return.
-const provisionEvery = 500 * time.Millisecond
+// provisionInterval is how often the fleet's owner decides what to acquire and to release.
+const provisionInterval = 500 * time.Millisecond
 
-// maxOpenRequests is how many rental requests are paced or under way at a time. The others
+// maxOpenRequests is how many scale-out requests are paced or under way at a time. The others
 // wait for their turn, and are dropped when it comes if their place refused one meanwhile:
 // they would hold up more urgent ones.
 const maxOpenRequests = 2
 
-// answerTime is how long a worker waits for the answer to a report, and until it tries the
+// heartbeatAnswerTime is how long a worker waits for the answer to a report, and until it tries the
 // next controller.
-const answerTime = 6 * time.Second
+const heartbeatAnswerTime = 6 * time.Second
 
 // provisioner carries out what a provisioning.Account decides.
 type provisioner struct {
-	account *provisioning.Account
-	turns   chan struct{} // holds one element for each rental request under way
-	logged  time.Time     // when the log last described the whole fleet
+	account  *provisioning.Account
+	turns    chan struct{} // holds one element for each scale-out request under way
+	loggedAt time.Time     // when the log last described the whole fleet
 }
 
-// runFleet rents and returns machines while this controller owns the fleet.
+// runFleet acquires and releases machines while this controller owns the fleet.
 func (n *Node) runFleet(ctx context.Context) error {
 	var p *provisioner
-	for sleep(ctx, provisionEvery) {
+	for sleep(ctx, provisionInterval) {
 		now := time.Now()
 		n.mu.Lock()
 		p = n.provision(p, now)
@@ -51,13 +51,13 @@
 func (n *Node) provision(p *provisioner, now time.Time) *provisioner {
 	shard := n.shards.Owned(leadership.FleetShard)
 	if shard == nil {
-		n.drainingMachines, n.latePlaces = map[string]bool{}, nil
+		n.drainingMachines, n.slowPlaces = map[string]bool{}, nil
 		return nil
 	}
 	if !n.entitled(now) || n.machineTypes == nil {
 		return p
 	}
-	if p == nil || p.account.Since() != shard.SinceTerm() {
+	if p == nil || p.account.SinceTerm() != shard.SinceTerm() {
 		p = n.newProvisioner(shard.SinceTerm(), now)
 	}
 	n.readCloudList(p.account, now)
@@ -70,20 +70,20 @@
 		Types:     n.machineTypes,
 		Machines:  machines,
 		Demands:   demands,
-		Inflow:    n.inflow(now),
-		Settled:   n.membershipSettledAt,
+		Arrivals:  n.arrivals(now),
+		SettledAt: n.membershipSettledAt,
 		TakenOver: shard.SinceTerm() > n.record.FirstTerm || n.record.Epoch > 1,
 		Draining:  n.drainingMachines,
 	}, now)
-	n.noteLatePlaces(actions.Late)
+	n.noteSlowPlaces(actions.SlowPlaces)
 	n.logFleet(p, machines, demands, actions.Retired, now)
 	n.updatePlan(machines, demands, now)
 	n.drainingMachines = actions.Drain
-	n.returnMachines(p.account, actions.Return)
-	n.strikeGone()
-	for _, request := range actions.Rent {
+	n.requestScaleIn(p.account, actions.ScaleIn)
+	n.removeGoneMachines()
+	for _, request := range actions.ScaleOut {
 		n.group.Go(func() error {
-			n.rent(n.ctx, p, request)
+			n.requestScaleOut(n.ctx, p, request)
 			return nil
 		})
 	}
@@ -93,10 +93,10 @@
 // newProvisioner begins the account of this controller as the fleet's owner.
 func (n *Node) newProvisioner(since uint64, now time.Time) *provisioner {
 	options := provisioning.Options{
-		Since:   since,
-		Prefix:  fmt.Sprintf("%s-%d-%d", n.name, n.incarnation, since),
-		ListLag: settings.Seconds(n.settings.Deployment.Cloud.ListLagSeconds),
-		Fleet:   n.fleetOptions(),
+		SinceTerm: since,
+		Prefix:    fmt.Sprintf("%s-%d-%d", n.name, n.incarnation, since),
+		ListLag:   settings.Seconds(n.settings.Deployment.Cloud.ListLagSeconds),
+		Fleet:     n.fleetOptions(),
 	}
 	return &provisioner{
 		account: provisioning.New(options, now),
@@ -110,17 +110,17 @@
 	lease := settings.Seconds(deployment.Agents.LeaseSeconds)
 	cancel := settings.Seconds(deployment.Agents.CancelSeconds)
 	return autoscaler.Options{
-		IdleReturn: settings.Seconds(n.options.IdleReturnSeconds),
-		Warm:       n.options.WarmMachines,
-		Haste:      n.options.Haste,
-		SpotShare:  n.options.SpotShare,
+		IdleTimeout:    settings.Seconds(n.options.IdleReturnSeconds),
+		Warm:           n.options.WarmMachines,
+		SafetyRunTimes: n.options.Haste,
+		SpotShare:      n.options.SpotShare,
 		// Lists may be twice as old as their lag, and a report may be late.
-		Unlisted: settings.Seconds(2*deployment.Cloud.ListLagSeconds) + time.Second,
-		Hurry:    settings.Seconds(2*deployment.Agents.HeartbeatSeconds) + answerTime,
-		Overdue:  n.unreachableHomes.Timing().HeartbeatOverdue + time.Second,
-		Silent:   min(lease+4*time.Second, cancel/2),
+		UnlistedTimeout: settings.Seconds(2*deployment.Cloud.ListLagSeconds) + time.Second,
+		BarrierTimeout:  settings.Seconds(2*deployment.Agents.HeartbeatSeconds) + heartbeatAnswerTime,
+		OverdueTimeout:  n.unreachableHomes.Timing().HeartbeatOverdue + time.Second,
+		SilenceTimeout:  min(lease+4*time.Second, cancel/2),
 		// What runs in a zone that is cut off is kept alive there for no longer than this.
-		Cut: cancel,
+		CutZoneTimeout: cancel,
 	}
 }
 
@@ -147,17 +147,17 @@
 	})
 }
 
-// noteLatePlaces logs a change of the places where machines come up late.
-func (n *Node) noteLatePlaces(late []string) {
-	if slices.Equal(late, n.latePlaces) {
+// noteSlowPlaces logs a change of the places where machines come up late.
+func (n *Node) noteSlowPlaces(late []string) {
+	if slices.Equal(late, n.slowPlaces) {
 		return
 	}
-	n.log.Info("places where machines come up late", "before", n.latePlaces, "now", late)
-	n.latePlaces = late
+	n.log.Info("places where machines come up late", "before", n.slowPlaces, "now", late)
+	n.slowPlaces = late
 }
 
-// rent sends one rental request when its turn comes.
-func (n *Node) rent(ctx context.Context, p *provisioner, request protocol.ScaleOutRequest) {
+// requestScaleOut sends one scale-out request when its turn comes.
+func (n *Node) requestScaleOut(ctx context.Context, p *provisioner, request protocol.ScaleOutRequest) {
 	select {
 	case p.turns <- struct{}{}:
 		defer func() { <-p.turns }()
@@ -165,7 +165,7 @@
 		return
 	}
 	n.mu.Lock()
-	dropped := p.account.Dropped(request, time.Now())
+	dropped := p.account.DropObsolete(request, time.Now())
 	n.mu.Unlock()
 	if dropped {
 		return
@@ -175,12 +175,12 @@
 	defer n.mu.Unlock()
 	n.log.Info("rent", "request", request.Request, "type", request.Type, "zone", request.Zone, "spot", request.Spot,
 		"count", request.Count, "got", len(names), "err", err)
-	p.account.RentAnswered(request, names, err == nil || errors.Is(err, cloud.ErrNoCapacity), time.Now())
+	p.account.ScaleOutAnswered(request, names, err == nil || errors.Is(err, cloud.ErrNoCapacity), time.Now())
 }
 
-// returnMachines asks the cloud to take machines back. Only its confirmation ends what may
+// requestScaleIn asks the cloud to take machines back. Only its confirmation ends what may
 // be on them.
-func (n *Node) returnMachines(account *provisioning.Account, names []string) {
+func (n *Node) requestScaleIn(account *provisioning.Account, names []string) {
 	if len(names) == 0 {
 		return
 	}
@@ -190,10 +190,10 @@
 		n.mu.Lock()
 		defer n.mu.Unlock()
 		if err != nil {
-			account.ReturnFailed(names)
+			account.ScaleInFailed(names)
 			return nil
 		}
-		account.ReturnConfirmed(names)
+		account.ScaleInConfirmed(names)
 		for _, name := range names {
 			n.machineGone(name)
 		}
@@ -201,8 +201,8 @@
 	})
 }
 
-// strikeGone takes gone machines off the roster, one batch of writes at a time.
-func (n *Node) strikeGone() {
+// removeGoneMachines takes gone machines off the roster, one batch of writes at a time.
+func (n *Node) removeGoneMachines() {
 	if n.removingGone {
 		return
 	}
--- a/internal/controller/fleetview.go
+++ b/internal/controller/autoscaling_inputs.go
@@ -14,14 +14,14 @@
 
 // What the fleet's owner knows, as inputs of its decisions.
 
-// fleetLogEvery is how often the log describes the whole fleet.
-const fleetLogEvery = 20 * time.Second
+// fleetLogInterval is how often the log describes the whole fleet.
+const fleetLogInterval = 20 * time.Second
 
-// peerWordLife is for how long after its last status a peer's word on demands and barriers
+// peerStatusLife is for how long after its last status a peer's word on demands and barriers
 // counts.
-const peerWordLife = 3 * time.Second
+const peerStatusLife = 3 * time.Second
 
-// fleetMachines describes every machine that is listed, registered, reporting or rented
+// fleetMachines describes every machine that is listed, registered, reporting or acquired
 // lately.
 func (n *Node) fleetMachines(account *provisioning.Account, now time.Time) []autoscaler.Machine {
 	n.recountMoved()
@@ -41,7 +41,7 @@
 			continue
 		}
 		observed := n.observeMachine(m, name, now)
-		observed.Machine.Awaited, observed.Machine.ProbeUnanswered = awaited[name], mute[name]
+		observed.Machine.AwaitedByBarrier, observed.Machine.ProbeUnanswered = awaited[name], mute[name]
 		observations = append(observations, observed)
 	}
 	return account.Describe(observations, now)
@@ -50,41 +50,41 @@
 // observeMachine is what the controllers know of a machine.
 func (n *Node) observeMachine(m *machine, name string, now time.Time) provisioning.Observation {
 	observed := provisioning.Observation{Reported: m.status != nil, Machine: autoscaler.Machine{
-		Name:       name,
-		Heard:      m.lastHeard(),
-		Idle:       m.idleSince,
-		Registered: n.roster.Has(name),
-		Faulty:     n.quarantine.IsMachineBad(name, now),
+		Name:          name,
+		LastHeartbeat: m.lastHeard(),
+		IdleSince:     m.idleSince,
+		Registered:    n.roster.Has(name),
+		Faulty:        n.quarantine.IsMachineBad(name, now),
 	}}
 	if m.status == nil {
 		return observed
 	}
 	x := &observed.Machine
-	x.HomeUnheard = n.homeUnheard(name, now)
+	x.HomeUnreachable = n.homeUnheard(name, now)
 	x.Type, x.Zone, x.Spot, x.SpotNotice = m.status.Type, m.status.Zone, m.status.Spot, m.status.Notice
 	if n.count(m) {
-		x.CPUs, x.GPUs, x.Mem = m.host.CPUs, m.host.GPUs, m.host.Memory
+		x.FreeCPUs, x.FreeGPUs, x.FreeMemory = m.host.CPUs, m.host.GPUs, m.host.Memory
 	}
 	for _, task := range m.status.Tasks {
 		if j := n.jobs[task.Job]; j != nil && task.State != protocol.Exited {
-			x.Slots = append(x.Slots, slotOf(m, j.spec, task.Ref(), now))
+			x.Tasks = append(x.Tasks, runningTaskOf(m, j.spec, task.Ref(), now))
 		}
 	}
 	return observed
 }
 
-// slotOf is the room that a task on a machine takes, and for how long it probably does.
-func slotOf(m *machine, spec *protocol.Submission, ref jobstate.AttemptRef, now time.Time) autoscaler.Slot {
+// runningTaskOf is the room that a task on a machine takes, and for how long it probably does.
+func runningTaskOf(m *machine, spec *protocol.Submission, ref jobstate.AttemptRef, now time.Time) autoscaler.RunningTask {
 	left := max(spec.EstimateSeconds, 1)
 	if spec.Kind == protocol.Service {
 		left = autoscaler.EndlessRun
 	} else if since, running := m.runningSince[ref]; running {
 		left = max(left-now.Sub(since).Seconds(), left/8)
 	}
-	return autoscaler.Slot{CPUs: spec.CPUs, GPUs: spec.GPUs, Mem: spec.MemoryGB, Left: left, Pinned: !spec.Spot}
+	return autoscaler.RunningTask{CPUs: spec.CPUs, GPUs: spec.GPUs, Memory: spec.MemoryGB, SecondsLeft: left, OnDemandOnly: !spec.Spot}
 }
 
-// lastHeard is when any controller last heard a machine, as far as known here. One that
+// lastHeard is when any controller last had a report of a machine, as far as known here. One that
 // reports in vain to other controllers is alive, whatever its home says; a machine that never
 // reported to its home counts from there.
 func (m *machine) lastHeard() time.Time {
@@ -96,7 +96,7 @@
 
 // homeUnheard says whether a machine's home is another member that holds its lease but is not
 // heard here, as when connections between controllers are refused. Then nothing that happens
-// on the machine is heard here either.
+// on the machine is known here either.
 func (n *Node) homeUnheard(name string, now time.Time) bool {
 	home := n.homeOf(name)
 	p := n.peers[home]
@@ -115,7 +115,7 @@
 	add(awaited, n.shards.AwaitedMachines())
 	add(mute, n.unanswered())
 	for _, p := range n.peers {
-		if now.Sub(p.lastMessageAt) < peerWordLife {
+		if now.Sub(p.lastMessageAt) < peerStatusLife {
 			add(awaited, p.awaitedMachines)
 			add(mute, p.unansweredMachines)
 		}
@@ -127,7 +127,7 @@
 func (n *Node) fleetDemands(now time.Time) []autoscaler.Demand {
 	list := n.appendFleetDemands(nil, n.demands(now), now)
 	for _, name := range slices.Sorted(maps.Keys(n.peers)) {
-		if p := n.peers[name]; now.Sub(p.lastMessageAt) < peerWordLife && p.entitled {
+		if p := n.peers[name]; now.Sub(p.lastMessageAt) < peerStatusLife && p.entitled {
 			list = n.appendFleetDemands(list, p.demands, now)
 		}
 	}
@@ -149,33 +149,33 @@
 		}
 		behind := time.Duration(d.QuotaDelay) * time.Millisecond
 		list = append(list, autoscaler.Demand{
-			Spec:       specIn(j.spec, d.Zone),
-			Count:      d.Count,
-			Beyond:     d.CPUsBeyondQuota,
-			Due:        n.due(j, now).Add(-behind),
-			PreferSpot: protocol.Rank(j.spec.Priority) == 0 && len(n.goals(j)) == 0,
+			Spec:            specInZone(j.spec, d.Zone),
+			Count:           d.Count,
+			CPUsBeyondQuota: d.CPUsBeyondQuota,
+			Due:             n.dueTime(j, now).Add(-behind),
+			PreferSpot:      protocol.Rank(j.spec.Priority) == 0 && len(n.goals(j)) == 0,
 		})
 	}
 	return list
 }
 
-// inflowOver is the time over which what comes is counted.
-const inflowOver = time.Minute
+// arrivalWindow is the time over which what comes is counted.
+const arrivalWindow = time.Minute
 
-// inflow is how many CPUs the jobs that came of late keep busy.
-func (n *Node) inflow(now time.Time) autoscaler.Inflow {
-	in := autoscaler.Inflow{}
+// arrivals is how many CPUs the jobs that came of late keep busy.
+func (n *Node) arrivals(now time.Time) autoscaler.Arrivals {
+	in := autoscaler.Arrivals{}
 	for _, j := range n.jobs {
-		if j.spec.Kind != protocol.Service && !j.submittedAt.IsZero() && now.Sub(j.submittedAt) < inflowOver {
-			in[protocol.Rank(j.spec.Priority)] += float64(j.spec.Tasks) * j.spec.CPUs * j.spec.EstimateSeconds / inflowOver.Seconds()
+		if j.spec.Kind != protocol.Service && !j.submittedAt.IsZero() && now.Sub(j.submittedAt) < arrivalWindow {
+			in[protocol.Rank(j.spec.Priority)] += float64(j.spec.Tasks) * j.spec.CPUs * j.spec.EstimateSeconds / arrivalWindow.Seconds()
 		}
 	}
 	return in
 }
 
-// due is when a job should be complete for what the fleet rents. What is late anyway is not
+// dueTime is when a job should be complete for what the fleet acquires. What is late anyway is not
 // worth more machines at once than a new one takes to come up.
-func (n *Node) due(j *job, now time.Time) time.Time {
+func (n *Node) dueTime(j *job, now time.Time) time.Time {
 	goal, late := n.goal(j, now)
 	haste := time.Duration(n.options.Haste * float64(j.spec.RunTime()))
 	switch {
@@ -197,10 +197,10 @@
 // logFleet logs what the fleet looks like, so that an incident can be followed from the log
 // alone.
 func (n *Node) logFleet(p *provisioner, machines []autoscaler.Machine, demands []autoscaler.Demand, retired int, now time.Time) {
-	if now.Sub(p.logged) < fleetLogEvery {
+	if now.Sub(p.loggedAt) < fleetLogInterval {
 		return
 	}
-	p.logged = now
+	p.loggedAt = now
 	s := n.summarise(machines, demands, now)
 	freeShare := math.Round(1000*s.freeCPUs/max(s.allCPUs, 1)) / 1000
 	n.log.Info("fleet", "machines", s.up, "spot", s.spot, "on_their_way", len(machines)-s.up, "silent", s.silent, "retired", retired,
@@ -222,7 +222,7 @@
 			s.silent++
 		}
 		cpus, _, _, _ := n.capacity(m.status.Type)
-		s.freeCPUs += machines[i].CPUs
+		s.freeCPUs += machines[i].FreeCPUs
 		s.allCPUs += cpus
 		for _, task := range m.status.Tasks {
 			switch task.State {
@@ -239,8 +239,8 @@
 	return s
 }
 
-// specIn is a job's description with its tasks bound to a zone; "" binds nothing.
-func specIn(spec *protocol.Submission, zone string) *protocol.Submission {
+// specInZone is a job's description with its tasks bound to a zone; "" binds nothing.
+func specInZone(spec *protocol.Submission, zone string) *protocol.Submission {
 	if zone == "" {
 		return spec
 	}
--- a/internal/controller/capacity_bench_test.go
+++ b/internal/controller/capacity_bench_test.go
@@ -163,7 +163,7 @@
 			}
 			g.second(10)
 			account := provisioning.New(provisioning.Options{}, g.now)
-			f := autoscaler.New("b", autoscaler.Options{IdleReturn: 24 * time.Hour, SpotShare: 1, Silent: 30 * time.Second, Haste: 2})
+			f := autoscaler.New("b", autoscaler.Options{IdleTimeout: 24 * time.Hour, SpotShare: 1, SilenceTimeout: 30 * time.Second, SafetyRunTimes: 2})
 			g.n.mu.Lock()
 			defer g.n.mu.Unlock()
 			processorTime(b, func() {
--- a/internal/controller/demand_test.go
+++ b/internal/controller/demand_test.go
@@ -35,7 +35,7 @@
 		if zones := team.TasksByZone(team.Job(spec.UID)); (len(zones) == 1) != c.bound || c.bound && zones[demands[0].Zone] == 0 {
 			t.Errorf("%s: placed in %v, asks for %q", what, zones, demands[0].Zone)
 		}
-		bound := specIn(spec, demands[0].Zone)
+		bound := specInZone(spec, demands[0].Zone)
 		if (bound.Zone != nil) != c.bound || spec.Zone != nil {
 			t.Errorf("%s: the fleet is told of zone %v, the job itself says %v", what, bound.Zone, spec.Zone)
 		}
--- a/internal/controller/grown_test.go
+++ b/internal/controller/grown_test.go
@@ -236,15 +236,15 @@
 			}
 			g.second(10)
 			account := provisioning.New(provisioning.Options{}, g.now)
-			f := autoscaler.New("b", autoscaler.Options{IdleReturn: 10 * time.Second, SpotShare: 1, Silent: 30 * time.Second, Haste: 2})
+			f := autoscaler.New("b", autoscaler.Options{IdleTimeout: 10 * time.Second, SpotShare: 1, SilenceTimeout: 30 * time.Second, SafetyRunTimes: 2})
 			for b.Loop() {
 				machines := g.n.fleetMachines(account, g.now)
 				var demands []autoscaler.Demand
 				for _, d := range g.n.demands(g.now) {
 					j := g.n.jobs[d.Job]
-					demands = append(demands, autoscaler.Demand{Spec: j.spec, Count: d.Count, Due: g.n.due(j, g.now)})
+					demands = append(demands, autoscaler.Demand{Spec: j.spec, Count: d.Count, Due: g.n.dueTime(j, g.now)})
 				}
-				f.Forget()
+				f.ForgetUnsent()
 				f.Decide(g.n.machineTypes, machines, demands, nil, g.now, g.now)
 			}
 		})
--- a/internal/controller/node.go
+++ b/internal/controller/node.go
@@ -134,7 +134,7 @@
 
 	// The fleet, while this controller owns its shard.
 	drainingMachines map[string]bool
-	latePlaces       []string // places where machines come up late, as the fleet's owner sees it
+	slowPlaces       []string // places where machines come up late, as the fleet's owner sees it
 }
 
 // logFirst logs once when this process came to a step, for how long after its start.
--- a/internal/controller/overview.go
+++ b/internal/controller/overview.go
@@ -75,7 +75,7 @@
 		Config:   n.configStatus(now),
 		Unheard:  n.unreachablePeers(now),
 		Still:    n.lastStall.Seconds(),
-		Late:     n.latePlaces,
+		Late:     n.slowPlaces,
 	}
 	if n.record != nil {
 		o.Term, o.Members, o.Deaf = n.record.Term, n.record.Members(), n.record.Unreachable
--- a/internal/controller/sustain_test.go
+++ b/internal/controller/sustain_test.go
@@ -115,13 +115,13 @@
 	}
 	account := provisioning.New(provisioning.Options{}, g.now)
 	for _, m := range n.fleetMachines(account, now) {
-		if m.HomeUnheard == homed[m.Name] {
-			t.Errorf("%s, homed here: %v, is of an unheard home: %v", m.Name, homed[m.Name], m.HomeUnheard)
+		if m.HomeUnreachable == homed[m.Name] {
+			t.Errorf("%s, homed here: %v, is of an unheard home: %v", m.Name, homed[m.Name], m.HomeUnreachable)
 		}
 	}
 	delete(n.presences, "node-b") // it lost its lease: that is silence for good
 	for _, m := range n.fleetMachines(account, now) {
-		if m.HomeUnheard && n.record.Home(m.Name) == "node-b" {
+		if m.HomeUnreachable && n.record.Home(m.Name) == "node-b" {
 			t.Errorf("%s counts as heard elsewhere, by a controller that is gone", m.Name)
 		}
 	}
--- a/internal/controller/unreachablehomes.go
+++ b/internal/controller/unreachablehomes.go
@@ -19,7 +19,7 @@
 	overdue := settings.Seconds(s.Deployment.Agents.HeartbeatSeconds)*5/4 + time.Second
 	return agents.Timing{
 		HeartbeatOverdue: overdue,
-		RedirectTimeout:  overdue + answerTime,
+		RedirectTimeout:  overdue + heartbeatAnswerTime,
 		Lease:            settings.Seconds(s.Deployment.Agents.LeaseSeconds),
 	}
 }
--- a/internal/provisioning/machines.go
+++ b/internal/provisioning/machines.go
@@ -19,20 +19,20 @@
 }
 
 // Candidates lists the machines that may exist, in the order of their names: those of the
-// cloud's list, those rented lately and those that the controllers know. Machines whose
-// return is under way are left out.
+// cloud's list, those acquired lately and those that the controllers know. Machines whose
+// release is under way are left out.
 func (a *Account) Candidates(known iter.Seq[string]) []string {
 	names := map[string]bool{}
 	for name := range a.listed {
 		names[name] = true
 	}
-	for name := range a.rented {
+	for name := range a.acquired {
 		names[name] = true
 	}
 	for name := range known {
 		names[name] = true
 	}
-	for name := range a.returning {
+	for name := range a.scalingIn {
 		delete(names, name)
 	}
 	return slices.Sorted(maps.Keys(names))
@@ -51,25 +51,25 @@
 // describe joins what is known of one machine.
 func (a *Account) describe(observed *Observation, newestListed string, now time.Time) autoscaler.Machine {
 	machine := observed.Machine
-	machine.Since = a.since(machine.Name, now)
+	machine.AcquiredAt = a.since(machine.Name, now)
 	host, listed := a.listed[machine.Name]
-	machine.State = host.State
+	machine.ListedState = host.State
 	machine.SkippedInList = !listed && machine.Name < newestListed
 	if observed.Reported {
-		if machine.Heard.IsZero() {
-			machine.Heard = a.began
+		if machine.LastHeartbeat.IsZero() {
+			machine.LastHeartbeat = a.startedAt
 		}
 		return machine
 	}
 	if listed {
 		machine.Type, machine.Zone, machine.Spot = host.Type, host.Zone, host.Spot
-	} else if request, rented := a.rented[machine.Name]; rented {
+	} else if request, rented := a.acquired[machine.Name]; rented {
 		machine.Type, machine.Zone, machine.Spot = request.Type, request.Zone, request.Spot
 	}
 	return machine
 }
 
-// since is when a machine was rented, as far as known, or first seen.
+// since is when a machine was acquired, as far as known, or first seen.
 func (a *Account) since(name string, now time.Time) time.Time {
 	if since := a.firstSeen[name]; !since.IsZero() {
 		return since
@@ -82,8 +82,8 @@
 	return since
 }
 
-// newestListed is the machine rented last of those in the cloud's list: names are in the
-// order of rental.
+// newestListed is the machine acquired last of those in the cloud's list: names are in the
+// order of acquisition.
 func (a *Account) newestListed() string {
 	newest := ""
 	for name := range a.listed {
--- a/internal/provisioning/provisioning_test.go
+++ b/internal/provisioning/provisioning_test.go
@@ -13,7 +13,7 @@
 var types = []protocol.MachineType{{Name: "m", CPUs: 16, MemoryGB: 64, PricePerHour: 1, SpotPricePerHour: 0.5, Zones: []string{"a"}, BootSeconds: 10}}
 
 func newAccount(now time.Time) *Account {
-	return New(Options{Since: 3, Prefix: "p", ListLag: 8 * time.Second, Fleet: autoscaler.Options{SpotShare: 1, Silent: time.Minute, Haste: 2}}, now)
+	return New(Options{SinceTerm: 3, Prefix: "p", ListLag: 8 * time.Second, Fleet: autoscaler.Options{SpotShare: 1, SilenceTimeout: time.Minute, SafetyRunTimes: 2}}, now)
 }
 
 func nobodyGone(string) bool { return false }
@@ -59,7 +59,7 @@
 		}
 		actions := a.Decide(&Inputs{Types: types, Machines: a.Describe(observations, now), Draining: draining}, now)
 		draining = actions.Drain
-		return actions.Return
+		return actions.ScaleIn
 	}
 	if got := decide(); got != nil || !draining["m-1"] {
 		t.Fatalf("returned %v before it was drained: %v", got, draining)
@@ -70,11 +70,11 @@
 	if got := a.Candidates(maps.Keys(map[string]bool{"m-1": true})); len(got) != 0 {
 		t.Errorf("%v are candidates while they are returned", got)
 	}
-	a.ReturnFailed([]string{"m-1"})
+	a.ScaleInFailed([]string{"m-1"})
 	if got := decide(); !slices.Equal(got, []string{"m-1"}) {
 		t.Fatalf("after a failure: returned %v", got)
 	}
-	a.ReturnConfirmed([]string{"m-1"})
+	a.ScaleInConfirmed([]string{"m-1"})
 	if got := a.Candidates(maps.Keys(map[string]bool{})); len(got) != 0 {
 		t.Errorf("%v are candidates though they are gone", got)
 	}
@@ -86,20 +86,20 @@
 	now := time.Unix(1000, 0)
 	a := newAccount(now)
 	in := &Inputs{Types: types, Demands: demand(now), TakenOver: true}
-	if got := a.Decide(in, now.Add(8*time.Second-1)).Rent; got != nil {
+	if got := a.Decide(in, now.Add(8*time.Second-1)).ScaleOut; got != nil {
 		t.Fatalf("rents %v at once", got)
 	}
 	later := now.Add(8 * time.Second)
-	requests := a.Decide(in, later).Rent
+	requests := a.Decide(in, later).ScaleOut
 	if len(requests) != 1 || requests[0].Count != 4 {
 		t.Fatalf("rents %v", requests)
 	}
-	a.RentAnswered(requests[0], []string{"m-1", "m-2"}, true, later)
+	a.ScaleOutAnswered(requests[0], []string{"m-1", "m-2"}, true, later)
 	machines := a.Describe([]Observation{{Machine: autoscaler.Machine{Name: "m-1"}}}, later.Add(time.Minute))
-	if m := machines[0]; m.Type != "m" || m.Zone != "a" || !m.Spot || !m.Since.Equal(later) {
+	if m := machines[0]; m.Type != "m" || m.Zone != "a" || !m.Spot || !m.AcquiredAt.Equal(later) {
 		t.Errorf("rented: %+v", m)
 	}
-	if !a.Dropped(requests[0], later) {
+	if !a.DropObsolete(requests[0], later) {
 		t.Error("a request goes on to a place that has just refused one")
 	}
 }
