--- a/internal/controller/admission.go
+++ b/internal/controller/admission.go
@@ -154,10 +154,10 @@
 // onPlanStatus takes in what a peer sends of plans in its status.
 func (n *Node) onPlanStatus(node string, incarnation uint64, p *peerState, w *admission.PlanStatus) {
 	p.admissionPlan = w.Latest
-	if n.record == nil {
+	if n.leadership.Record() == nil {
 		return
 	}
-	if fleet := n.record.Shards[leadership.FleetShard]; fleet.Owner == node && n.record.Nodes[node] == incarnation {
+	if fleet := n.leadership.Record().Shards[leadership.FleetShard]; fleet.Owner == node && n.leadership.Record().Nodes[node] == incarnation {
 		before := n.admission.agreement.InForce()
 		n.admission.agreement.Apply(fleet.SinceTerm, *w)
 		n.logPlanInForce(before)
@@ -190,7 +190,7 @@
 // updatePlan has the fleet's owner make the plans, from every machine's view and from what
 // all owners say waits.
 func (n *Node) updatePlan(machines []autoscaler.Machine, demands []autoscaler.Demand, now time.Time) {
-	fleet := n.record.Shards[leadership.FleetShard]
+	fleet := n.leadership.Record().Shards[leadership.FleetShard]
 	if n.admission.planner == nil || n.admission.planner.SinceTerm() != fleet.SinceTerm {
 		n.admission.planner = admission.NewPlanner(fleet.SinceTerm, &n.admission.agreement)
 	}
@@ -208,7 +208,7 @@
 // latestPlans is the latest plan that each other member has received.
 func (n *Node) latestPlans() map[string]admission.ID {
 	members := map[string]admission.ID{}
-	for name := range n.record.Nodes {
+	for name := range n.leadership.Record().Nodes {
 		if p := n.peers[name]; p != nil {
 			members[name] = p.admissionPlan
 		}
--- a/internal/controller/autoscaling.go
+++ b/internal/controller/autoscaling.go
@@ -71,8 +71,8 @@
 		Machines:  machines,
 		Demands:   demands,
 		Arrivals:  n.arrivals(now),
-		SettledAt: n.membershipSettledAt,
-		TakenOver: shard.SinceTerm() > n.record.FirstTerm || n.record.Epoch > 1,
+		SettledAt: n.leadership.SettledAt(),
+		TakenOver: shard.SinceTerm() > n.leadership.Record().FirstTerm || n.leadership.Epoch() > 1,
 		Draining:  n.drainingMachines,
 	}, now)
 	n.noteSlowPlaces(actions.SlowPlaces)
--- a/internal/controller/autoscaling_inputs.go
+++ b/internal/controller/autoscaling_inputs.go
@@ -100,7 +100,7 @@
 func (n *Node) homeUnheard(name string, now time.Time) bool {
 	home := n.homeOf(name)
 	p := n.peers[home]
-	return p != nil && n.presences[home].Incarnation == n.record.Nodes[home] && !p.isReachable(now)
+	return p != nil && n.leadership.Presence(home).Incarnation == n.leadership.Record().Nodes[home] && !p.isReachable(now)
 }
 
 // awaited is the machines that any owner's barrier waits for, and those that did not answer
--- a/internal/controller/barrier.go
+++ b/internal/controller/barrier.go
@@ -22,7 +22,7 @@
 	if shard.AwaitedCount() > 0 || !n.configReady() || !n.memoriesGathered(time.Now()) {
 		return
 	}
-	if shard.NeedsBarrier() && n.record.RosterIncomplete && !n.recovery.census.Taken() {
+	if shard.NeedsBarrier() && n.leadership.Record().RosterIncomplete && !n.recovery.census.Taken() {
 		return // machines may be missing among those waited for
 	}
 	now := time.Now()
@@ -50,7 +50,7 @@
 // and none is struck off before the cloud confirmed its end. The roster must be
 // known up to the shard's taking.
 func (n *Node) releaseUnregistered(shard *shards.Owned) {
-	if n.record.RosterIncomplete {
+	if n.leadership.Record().RosterIncomplete {
 		return // the roster itself was lost
 	}
 	for _, name := range shard.Team().Machines() {
--- a/internal/controller/barrier_test.go
+++ b/internal/controller/barrier_test.go
@@ -22,7 +22,7 @@
 	for name := range n.machines {
 		names = append(names, name)
 	}
-	shard := barrierShard(n, n.shards.OfTeam("team-0"), n.record.Term, names)
+	shard := barrierShard(n, n.shards.OfTeam("team-0"), n.leadership.Term(), names)
 	report := func(name string, token uint64) {
 		v := *n.machines[name].status
 		v.Seq++
--- a/internal/controller/barrierprobe.go
+++ b/internal/controller/barrierprobe.go
@@ -53,7 +53,7 @@
 	if !n.entitled(now) {
 		return
 	}
-	if n.probes.Begin(n.record.Term) {
+	if n.probes.Begin(n.leadership.Term()) {
 		n.probes.slots = make(chan struct{}, maxOpenProbes)
 	}
 	term, slots := n.probes.Term(), n.probes.slots
@@ -109,7 +109,7 @@
 func (n *Node) probeNeeded(term uint64, name string) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	current := n.probes.Term() == term && n.entitled(time.Now()) && n.record.Term == term
+	current := n.probes.Term() == term && n.entitled(time.Now()) && n.leadership.Term() == term
 	return current && !n.machine(name).knowsTerm(term)
 }
 
@@ -125,7 +125,7 @@
 func (n *Node) takeProbeAnswer(term uint64, name string, report *protocol.Heartbeat, answered bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if n.probes.Term() != term || n.record.Term != term {
+	if n.probes.Term() != term || n.leadership.Term() != term {
 		return
 	}
 	if !answered {
--- a/internal/controller/barrierprobe_test.go
+++ b/internal/controller/barrierprobe_test.go
@@ -44,8 +44,8 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	n.group, n.ctx = &errgroup.Group{}, ctx
-	n.record = bare("127.0.0.1:1").record
-	n.record.Nodes = map[string]uint64{"node-a": n.incarnation, "node-b": 1}
+	learnRecord(n, bare("127.0.0.1:1").leadership.Record())
+	n.leadership.Record().Nodes = map[string]uint64{"node-a": n.incarnation, "node-b": 1}
 	n.agents.SetTerm(5, func(string) bool { return true })
 	probe := func() {
 		n.mu.Lock()
@@ -60,18 +60,18 @@
 	if len(n.placeable) != 0 {
 		t.Fatal("probed without being entitled")
 	}
-	n.lease.Renewed(time.Now())
+	n.leadership.LeaseRenewed(time.Now())
 	probe()
 	for name := range workers {
 		m := n.machines[name]
-		mine := n.record.Home(name) == n.name
+		mine := n.leadership.Record().Home(name) == n.name
 		if known := m != nil && m.status != nil && m.status.FencingToken == 5; known != mine {
 			t.Errorf("%s: homed here %v, known under the term %v", name, mine, known)
 		}
 	}
 	var mute []string
 	for _, name := range []string{"n-000098", "n-000099"} { // another machine's address, and nobody's
-		if n.record.Home(name) == n.name {
+		if n.leadership.Record().Home(name) == n.name {
 			mute = append(mute, name)
 		}
 	}
--- a/internal/controller/commands.go
+++ b/internal/controller/commands.go
@@ -90,7 +90,7 @@
 		return nil
 	}
 	commands := a.TakeForRequest()
-	body := protocol.DirectCommands{FencingToken: n.record.Term, Incarnation: a.Heartbeat.Incarnation, Commands: commands}
+	body := protocol.DirectCommands{FencingToken: n.leadership.Term(), Incarnation: a.Heartbeat.Incarnation, Commands: commands}
 	return &commandRequest{agent: a, commands: commands, addr: a.Heartbeat.Addr, body: protocol.Encode(body)}
 }
 
--- a/internal/controller/control.go
+++ b/internal/controller/control.go
@@ -31,20 +31,20 @@
 
 // keepLease holds the lease and the key that shows it.
 func (n *Node) keepLease(ctx context.Context) error {
-	every := n.lease.Life / 4
+	every := n.leadership.LeaseLife() / 4
 	for {
 		wait := every
 		n.mu.Lock()
-		grant, shown := n.leaseID, n.recovery.ownKeyWritten
+		grant, shown := n.leadership.LeaseID(), n.recovery.ownKeyWritten
 		n.recovery.ownKeyWritten = true // unless something says meanwhile that it is not
 		n.mu.Unlock()
 		sent := time.Now()
 		var err error
 		if grant == 0 {
 			shown = false
-			if grant, err = n.kvStore.GrantLease(ctx, n.lease.Life); err == nil {
+			if grant, err = n.kvStore.GrantLease(ctx, n.leadership.LeaseLife()); err == nil {
 				n.mu.Lock()
-				n.leaseID = grant
+				n.leadership.LeaseGranted(grant)
 				n.mu.Unlock()
 			}
 		} else if shown {
@@ -60,15 +60,12 @@
 		n.recovery.ownKeyWritten = n.recovery.ownKeyWritten && shown
 		switch {
 		case err == nil:
-			n.lease.Renewed(sent)
-			n.leaseRenewedAt = sent
+			n.leadership.LeaseRenewed(sent)
 		case errors.Is(err, kvstore.ErrLeaseExpired):
 			n.log.Info("lease ended at the state service", "lease", grant)
-			if sent.Sub(n.leaseRenewedAt) < n.lease.Life*9/10 && n.lease.Valid(sent) {
+			if n.leadership.LeaseExpired(sent) {
 				n.suspectLoss(datarecovery.SignLeaseGone)
 			}
-			n.leaseID = 0
-			n.lease.Lost()
 			wait = 20 * time.Millisecond
 		default:
 			n.log.Debug("lease not renewed", "err", err)
@@ -157,11 +154,7 @@
 		seen[e.Key] = true
 		n.changed(protocol.Change{Set: e.Key, Value: e.Value, Version: e.Version})
 	}
-	for name := range n.presences {
-		if !seen[nodeKey+name] {
-			delete(n.presences, name)
-		}
-	}
+	n.leadership.RetainPresences(func(name string) bool { return seen[nodeKey+name] })
 	for uid, j := range n.jobs {
 		// One that was accepted after the list began may not be in it.
 		if j.active && j.version > 0 && j.version <= revision && !seen[userapi.ActiveJobPrefix+uid] {
@@ -195,15 +188,13 @@
 		if e.Delete == "" {
 			n.recovery.detection.EpochKeyChanged(key, e.Version)
 			n.fenceOnEpochKey()
-		} else if n.recovery.detection.EpochKeyDeleted(key, n.record) {
+		} else if n.recovery.detection.EpochKeyDeleted(key, n.leadership.Record()) {
 			n.suspectLoss(datarecovery.SignEpochKeyDeleted)
 		}
 	case strings.HasPrefix(key, nodeKey):
 		name := key[len(nodeKey):]
 		if e.Delete != "" {
-			if n.presences[name].Version <= e.Version {
-				delete(n.presences, name)
-			}
+			n.leadership.LearnAbsence(name, e.Version)
 			return
 		}
 		var p present
@@ -211,9 +202,7 @@
 			bad(err)
 			return
 		}
-		if n.presences[name].Version < e.Version {
-			n.presences[name] = leadership.Presence{Incarnation: p.Incarnation, Version: e.Version}
-		}
+		n.leadership.LearnPresence(name, leadership.Presence{Incarnation: p.Incarnation, Version: e.Version})
 	case strings.HasPrefix(key, userapi.ActiveJobPrefix):
 		if e.Delete != "" {
 			n.recovery.writeBack.ActiveKeyDeleted(key[len(userapi.ActiveJobPrefix):])
@@ -239,76 +228,67 @@
 	}
 }
 
-// learnRecord takes in a control record as the state service has it under a version.
+// learnRecord takes in a record as the state service has it under a version.
 func (n *Node) learnRecord(r *leadership.Record, version uint64) {
-	if n.record != nil && r.Epoch > n.record.Epoch {
-		n.recovery.detection.NewerEpochSeen(r.Epoch) // all is read anew before anything rests on it
-		return
-	}
-	if n.record != nil && version <= n.recordVersion {
-		return // read before the one known was written
-	}
-	if n.record != nil && (r.Epoch < n.record.Epoch || r.Term < n.record.Term || r.Epoch == n.record.Epoch && r.StoreID != n.record.StoreID) {
-		// A store that went back and on again, past the revision that was seen, or one that
-		// was begun anew by a process that found none.
+	switch n.leadership.Judge(r, version) {
+	case leadership.Follows:
+		n.adopt(r, version)
+	case leadership.OfNewerEpoch:
+		n.recovery.detection.NewerEpochSeen(r.Epoch)
+	case leadership.Older:
 		n.suspectLoss(datarecovery.SignRecordOlder)
-		return
-	}
-	if n.record != nil && r.PreviousVersion != 0 && r.PreviousVersion < n.recordVersion {
-		// Written past the revision that was seen, over a store that had gone back: the versions
-		// that were given in between are given again, and no comparison shows the loss any more.
+	case leadership.Unchained:
 		n.recovery.detection.RecordOutOfChain()
 		n.suspectLoss(datarecovery.SignRecordOutOfChain)
-		return
 	}
-	n.adopt(r, version)
 }
 
-// adopt takes up a control record.
+// adopt makes a record the one known, and carries out what that changes.
 func (n *Node) adopt(r *leadership.Record, version uint64) {
-	if version <= n.recordVersion {
+	now := time.Now()
+	changes := n.leadership.Adopt(r, version, now)
+	if changes == nil {
 		return
 	}
-	if version > n.unansweredVersion {
-		n.unansweredVersion = 0 // a change that is still on its way will meet another version
-	}
-	old := n.record
-	n.record, n.recordVersion = r, version
-	now := time.Now()
-	if old == nil || old.Term != r.Term {
-		if old == nil || !maps.Equal(old.Nodes, r.Nodes) || !slices.Equal(old.Unreachable, r.Unreachable) {
-			n.membershipSettledAt = now
-		}
-		n.termChangedAt = now
+	if changes.TermChanged {
 		n.log.Info("control record", "term", r.Term, "members", r.Members(), "items", r.Shards)
 		n.agents.SetTerm(r.Term, func(m string) bool { return r.Home(m) == n.name })
-		defer func() { // once the items are those of this record
-			for _, name := range slices.Sorted(maps.Keys(n.agents.All())) {
-				n.publishStatus(name)
-			}
-		}()
-		for name, d := range n.commandSenders {
-			if n.agents.Get(name) == nil {
-				delete(n.commandSenders, name)
-				close(d.signal)
-			}
-		}
+		n.endCommandSenders()
 	}
-	if old != nil && old.DataLost && !r.DataLost {
-		n.recovery.detection.SearchGivenUp() // what is known is all that there will be
+	if changes.LossSettled {
+		n.recovery.detection.SearchGivenUp()
 	}
-	if r.Epoch > 0 && (old == nil || old.Epoch != r.Epoch) {
+	if changes.EpochBegan {
 		n.recovery.detection.Entered(r.Epoch, now)
 		n.epochEntered(r)
 	}
-	if old != nil && old.RosterIncomplete && !r.RosterIncomplete {
+	if changes.RosterCompleted {
 		n.reload()
 	}
-	mine := r.Nodes[n.name] == n.incarnation
-	n.followOwners(r, mine)
+	n.followOwners(r, n.leadership.IsMember())
+	if changes.TermChanged { // the shards are those of this record now
+		n.publishAllStatuses()
+	}
 	n.wake()
 }
 
+// endCommandSenders ends the goroutines that send commands to machines whose home is another controller now.
+func (n *Node) endCommandSenders() {
+	for name, sender := range n.commandSenders {
+		if n.agents.Get(name) == nil {
+			delete(n.commandSenders, name)
+			close(sender.signal)
+		}
+	}
+}
+
+// publishAllStatuses has the status of each machine told to the peers under the new term.
+func (n *Node) publishAllStatuses() {
+	for _, name := range slices.Sorted(maps.Keys(n.agents.All())) {
+		n.publishStatus(name)
+	}
+}
+
 // refresh reads the control record now, after a hint that it has changed.
 func (n *Node) refresh(ctx context.Context) error {
 	e, err := n.kvStore.GetControl(ctx, controlKey)
--- a/internal/controller/dataloss_test.go
+++ b/internal/controller/dataloss_test.go
@@ -13,6 +13,7 @@
 	"time"
 
 	"topazhollow/internal/datarecovery"
+	"topazhollow/internal/leadership"
 	"topazhollow/internal/protocol"
 	"topazhollow/internal/simulation"
 	"topazhollow/internal/snapshot"
@@ -238,7 +239,7 @@
 	if !(userBackend{n}).StoreTrusted() {
 		t.Fatal("a controller with a record takes nothing")
 	}
-	n.record = nil
+	n.leadership = leadership.New(n.name, n.incarnation, leadership.Lease{}, nil, time.Now())
 	if (userBackend{n}).StoreTrusted() {
 		t.Error("jobs are taken before there is a record")
 	}
@@ -250,14 +251,16 @@
 func TestRecordOutOfChainIsSuspected(t *testing.T) {
 	for after, want := range map[uint64]datarecovery.Phase{12: datarecovery.Suspected, 17: datarecovery.Trusted, 18: datarecovery.Trusted} {
 		n := newGrown(2, 1).n
-		n.record.Epoch, n.recordVersion = 1, 17
+		record := n.leadership.Record().Clone()
+		record.Epoch = 1
+		n.leadership.Adopt(record, 17, time.Now())
 		n.recovery.detection = datarecovery.NewDetection("node-a", n.incarnation, nil, time.Second)
 		n.recovery.detection.Entered(1, time.Now())
-		next := n.record.Clone()
+		next := n.leadership.Record().Clone()
 		next.Term, next.PreviousVersion = next.Term+1, after
 		n.changed(protocol.Change{Set: controlKey, Value: protocol.Encode(next), Version: 19})
-		if phase, _, _ := n.recovery.detection.Phase(); phase != want || (n.recordVersion == 19) != (want == datarecovery.Trusted) {
-			t.Errorf("after %d: %s, version %d", after, phase, n.recordVersion)
+		if phase, _, _ := n.recovery.detection.Phase(); phase != want || (n.leadership.RecordVersion() == 19) != (want == datarecovery.Trusted) {
+			t.Errorf("after %d: %s, version %d", after, phase, n.leadership.RecordVersion())
 		}
 	}
 }
--- a/internal/controller/grown_test.go
+++ b/internal/controller/grown_test.go
@@ -59,11 +59,12 @@
 		record.Shards[name] = leadership.Shard{Owner: "node-a", SinceTerm: 1}
 		readyShard(n, name, 1)
 	}
-	n.record = record
+	learnRecord(n, record)
+	n.leadership.EnterStore() // no version of the record is known: nothing is compared with a state service
 	ended, cancel := context.WithCancel(context.Background())
 	cancel() // nothing goes out
 	n.group, n.ctx = &errgroup.Group{}, ended
-	n.lease.Renewed(g.now)
+	n.leadership.LeaseRenewed(g.now)
 	n.cancelWatermark = cancelwatermark.New([]string{"node-b", "node-c"}, settings.Seconds(s.Deployment.Agents.CancelSeconds), settings.Seconds(s.Deployment.Agents.LeaseSeconds))
 	n.cancelWatermark.RecordRead(g.now)
 	for i := range machines {
@@ -107,7 +108,7 @@
 	defer g.n.mu.Unlock()
 	for range steps {
 		g.now = g.now.Add(time.Second / time.Duration(steps))
-		g.n.lease.Renewed(g.now)
+		g.n.leadership.LeaseRenewed(g.now)
 		g.n.step(g.now)
 		for _, name := range g.names {
 			g.n.machines[name].heardAt = g.now
@@ -170,11 +171,11 @@
 			n.machineGone(g.names[len(g.names)-1])
 			g.names = g.names[:len(g.names)-1]
 		case 60: // another controller takes a team over
-			next := n.record.Clone()
+			next := n.leadership.Record().Clone()
 			next.Term++
 			name := shards.ForTeam("team-1")
 			next.Shards[name] = leadership.Shard{Owner: "node-b", SinceTerm: next.Term}
-			n.adopt(next, n.recordVersion+1)
+			n.adopt(next, n.leadership.RecordVersion()+1)
 			for uid, j := range n.jobs { // its jobs are no more this one's to run
 				if j.spec.Team == "team-1" {
 					n.endJob(uid)
--- a/internal/controller/heartbeat.go
+++ b/internal/controller/heartbeat.go
@@ -36,7 +36,7 @@
 	case agents.Redirected:
 		return httpx.Answer{Status: 421, Body: protocol.Encode(protocol.Redirect{Controller: a.RedirectTo})}
 	case agents.KeptAlive, agents.Renewed:
-		answer := protocol.HeartbeatAnswer{FencingToken: n.record.Term, Commands: a.Commands}
+		answer := protocol.HeartbeatAnswer{FencingToken: n.leadership.Term(), Commands: a.Commands}
 		return httpx.Answer{Status: 200, Body: protocol.Encode(answer)}
 	}
 	refused := httpx.Refuse(503, "not entitled now")
@@ -50,7 +50,7 @@
 	if !n.entitled(now) {
 		return n.answerUnentitled(h, now)
 	}
-	if h.FencingToken > n.record.Term {
+	if h.FencingToken > n.leadership.Term() {
 		n.hint() // a later record is in force
 		return agents.Answer{Outcome: agents.NotEntitled}
 	}
@@ -112,7 +112,7 @@
 // off. Such an answer changes nothing that an owner relies on: an agent's silence proves nothing, and nothing is
 // commanded, so every task that the agent lists must belong to a job that is active as far as known here.
 func (n *Node) mayKeepAlive(h *protocol.Heartbeat, now time.Time) bool {
-	if n.record == nil || h.FencingToken > n.record.Term || n.machine(h.Machine).gone {
+	if n.leadership.Record() == nil || h.FencingToken > n.leadership.Term() || n.machine(h.Machine).gone {
 		return false
 	}
 	for _, t := range h.Tasks {
--- a/internal/controller/hosts.go
+++ b/internal/controller/hosts.go
@@ -61,7 +61,7 @@
 	*scratch = (*scratch)[:0]
 	for _, m := range n.placeable {
 		v := m.status
-		if m.gone || v.Term != n.record.Term || !n.count(m) || least != nil && !least.Fits(&m.host) {
+		if m.gone || v.Term != n.leadership.Term() || !n.count(m) || least != nil && !least.Fits(&m.host) {
 			continue
 		}
 		if v.Notice || n.runsUndescribedJob(v) || now.Sub(m.heardAt) > fresh || away[n.homeFor(m, v.Machine)] || n.quarantine.IsMachineBad(v.Machine, now) || n.slow(m, now) {
--- a/internal/controller/inflight_test.go
+++ b/internal/controller/inflight_test.go
@@ -77,7 +77,7 @@
 	m.FinishRequest(m.TakeForRequest(), false, true)
 	renews := func(after time.Duration) bool {
 		at := o.now.Add(after)
-		n.lease.Renewed(at)
+		n.leadership.LeaseRenewed(at)
 		n.cancelWatermark.RecordRead(at) // nothing else bounds it
 		status, _ := o.report(at)
 		return status == 200
@@ -95,13 +95,14 @@
 		t.Errorf("the home tells of %v", s.InFlightAges)
 	}
 	n.agents.SetTerm(2, func(string) bool { return true })
-	n.record = n.record.Clone()
-	n.record.Term = 2
+	next := n.leadership.Record().Clone()
+	next.Term = 2
+	learnRecord(n, next)
 	if !renews(reach + 8*time.Second) {
 		t.Error("a machine is not kept alive though a raised term voids the start")
 	}
-	n.record.Nodes[n.name]++ // an earlier process was its home
-	n.lease.Lost()
+	n.leadership.Record().Nodes[n.name]++ // an earlier process was its home
+	n.leadership.LeaseExpired(at)
 	n.machine(o.name).homeWatermark = time.Time{}
 	if status, _ := o.report(at.Add(2 * time.Second)); status == 200 {
 		t.Error("a process that began anew takes itself for the home that it was")
@@ -116,8 +117,9 @@
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.startedAt = g.now.Add(-time.Minute)
-	n.record = n.record.Clone()
-	n.record.Unreachable = []string{n.name, "node-c"} // the home is node-b
+	record := n.leadership.Record().Clone()
+	record.Unreachable = []string{n.name, "node-c"} // the home is node-b
+	learnRecord(n, record)
 	name := g.names[0]
 	said := func(from string, inFlight map[string]int64) time.Duration {
 		s := statusMsg{HeartbeatAges: map[string]int64{name: 2000}, InFlightAges: inFlight, Received: map[string]receivedStatus{n.name: {Incarnation: n.incarnation, SentAt: 50000}}}
--- a/internal/controller/jobend.go
+++ b/internal/controller/jobend.go
@@ -23,7 +23,7 @@
 			return // after a loss: the store gets it back first
 		}
 		j.Finishing = true
-		version, written := n.recordVersion, j.Version
+		version, written := n.leadership.RecordVersion(), j.Version
 		n.group.Go(func() error {
 			n.commitJobEnd(n.ctx, shard, j, version, written)
 			return nil
--- a/internal/controller/leaserenewal.go
+++ b/internal/controller/leaserenewal.go
@@ -19,8 +19,8 @@
 func (n *Node) leaseGrant(r *protocol.Heartbeat, now time.Time) (stops []protocol.Command, ok bool) {
 	home := n.agents.Get(r.Machine)
 	position := leasegrant.Standing{
-		IsHome:        n.homeOf(r.Machine) == n.name && n.record.Nodes[n.name] == n.incarnation,
-		LeaseValid:    n.lease.Valid(now) && n.entitled(now),
+		IsHome:        n.homeOf(r.Machine) == n.name && n.leadership.IsMember(),
+		LeaseValid:    n.leadership.HoldsLease(now) && n.entitled(now),
 		HomeWatermark: n.machine(r.Machine).homeWatermark,
 	}
 	if home != nil {
@@ -60,7 +60,7 @@
 }
 
 func (k *leaseKnowledge) MayBeLost(attempt uint64) bool {
-	return k.n.epoch() > 1 && jobstate.TermOf(attempt) < k.n.record.FirstTerm
+	return k.n.epoch() > 1 && jobstate.TermOf(attempt) < k.n.leadership.Record().FirstTerm
 }
 
 func (k *leaseKnowledge) MayRenew(now, since time.Time) bool {
@@ -131,7 +131,7 @@
 // ages count from this process's own status that it names.
 func (n *Node) onHomeWatermarks(name string, s *statusMsg, now time.Time) {
 	e, heard := s.Received[n.name]
-	if !heard || e.Incarnation != n.incarnation || !n.sentBy(e.SentAt, now) || n.record == nil {
+	if !heard || e.Incarnation != n.incarnation || !n.sentBy(e.SentAt, now) || n.leadership.Record() == nil {
 		return
 	}
 	sent := n.startedAt.Add(time.Duration(e.SentAt) * time.Millisecond)
@@ -184,23 +184,23 @@
 // before it was down for all: it may act by promises only under the latest.
 func (n *Node) sendNewerRecord(name string, s *statusMsg, now time.Time) {
 	p := n.peers[name]
-	if n.record == nil || s.RecordVersion == nil || *s.RecordVersion >= n.recordVersion || s.Store.Epoch != n.epoch() || !n.trusted() {
+	if n.leadership.Record() == nil || s.RecordVersion == nil || *s.RecordVersion >= n.leadership.RecordVersion() || s.Store.Epoch != n.epoch() || !n.trusted() {
 		p.behindSince = time.Time{}
 		return
 	}
 	if p.behindSince.IsZero() {
 		p.behindSince = now
 	}
-	if now.Sub(p.behindSince) < recordSendDelay(len(n.record.Nodes)) || now.Sub(p.recordSentAt) < recordSendInterval {
+	if now.Sub(p.behindSince) < recordSendDelay(len(n.leadership.Record().Nodes)) || now.Sub(p.recordSentAt) < recordSendInterval {
 		return
 	}
 	p.recordSentAt = now
-	n.links.Send(name, kindRecord, recordMsg{n.recordVersion, protocol.Encode(n.record)})
+	n.links.Send(name, kindRecord, recordMsg{n.leadership.RecordVersion(), protocol.Encode(n.leadership.Record())})
 }
 
 // onRecord takes up a control record that a peer tells, if it is newer than the one known here and of the same generation.
 func (n *Node) onRecord(m *recordMsg) {
-	if m.Version <= n.recordVersion || n.record == nil || !n.trusted() {
+	if m.Version <= n.leadership.RecordVersion() || n.leadership.Record() == nil || !n.trusted() {
 		return
 	}
 	var record leadership.Record
--- a/internal/controller/machinestatus.go
+++ b/internal/controller/machinestatus.go
@@ -72,13 +72,13 @@
 	if m := n.machines[name]; m != nil {
 		return n.homeFor(m, name)
 	}
-	return n.record.Home(name)
+	return n.leadership.Record().Home(name)
 }
 
 // homeFor is homeOf for a known machine; the answer is kept until the record changes.
 func (n *Node) homeFor(m *machine, name string) string {
-	if m.homeRecord != n.record {
-		m.home, m.homeRecord = n.record.Home(name), n.record
+	if m.homeRecord != n.leadership.Record() {
+		m.home, m.homeRecord = n.leadership.Record().Home(name), n.leadership.Record()
 	}
 	return m.home
 }
--- a/internal/controller/meeting_test.go
+++ b/internal/controller/meeting_test.go
@@ -162,14 +162,16 @@
 func TestPromisesOfALaterRecord(t *testing.T) {
 	g := newGrown(1, 1)
 	n := g.n
-	n.lease = leadership.Lease{Life: 5 * time.Second}
-	n.recordVersion, n.startedAt = 7, n.startedAt.Add(-time.Minute)
+	n.startedAt = n.startedAt.Add(-time.Minute)
 	now := time.Now()
+	noPromises := func() {
+		newLeadership(n, now, "node-b")
+		n.leadership.Adopt(n.leadership.Record(), 7, now)
+	}
 	promise := func(version *uint64) bool {
-		p := &peerState{lastMessageAt: now}
-		n.peers = map[string]*peerState{"node-b": p}
+		noPromises()
 		s := statusMsg{Promise: true, RecordVersion: version, Received: map[string]receivedStatus{n.name: {Incarnation: n.incarnation, SentAt: now.Sub(n.startedAt).Milliseconds()}}}
-		n.applyPeerStatus(p, &s, now)
+		n.applyPromise("node-b", &s, now)
 		return n.entitled(now)
 	}
 	version := func(v uint64) *uint64 { return &v }
@@ -182,9 +184,8 @@
 		}
 	}
 	// A status that names one of this process's own that it never sent promises nothing, or it would for ever.
-	p := &peerState{lastMessageAt: now}
-	n.peers = map[string]*peerState{"node-b": p}
-	n.applyPeerStatus(p, &statusMsg{Promise: true, RecordVersion: version(7), Received: map[string]receivedStatus{n.name: {Incarnation: n.incarnation, SentAt: 1 << 50}}}, now)
+	noPromises()
+	n.applyPromise("node-b", &statusMsg{Promise: true, RecordVersion: version(7), Received: map[string]receivedStatus{n.name: {Incarnation: n.incarnation, SentAt: 1 << 50}}}, now)
 	if n.entitled(now) {
 		t.Error("a promise from the future entitles")
 	}
@@ -486,7 +487,7 @@
 		for _, task := range tasks {
 			r.Tasks = append(r.Tasks, protocol.TaskStatus{Task: task, Attempt: 1, State: state, Reason: protocol.ReasonDone})
 		}
-		n.lease.Renewed(at)
+		n.leadership.LeaseRenewed(at)
 		a := n.encodeAnswer(n.answerHeartbeat(&r, at))
 		var answer protocol.HeartbeatAnswer
 		if err := protocol.Decode(a.Body, &answer); err != nil {
@@ -529,7 +530,7 @@
 	}
 	// A start is held back as long as the answer that would renew the machine's lease.
 	n.peers["node-b"] = &peerState{}
-	n.lease.Renewed(time.Now())
+	n.leadership.LeaseRenewed(time.Now())
 	o.TaskID.Job = "job-000007"
 	n.agents.QueueOrders(1, g.names[0], []jobstate.Order{o})
 	if m := n.agents.Get(g.names[0]); !m.HasQueuedStart() {
--- a/internal/controller/messages.go
+++ b/internal/controller/messages.go
@@ -36,7 +36,7 @@
 	SentAt     int64  `json:"at"`               // ms of the sender's steady clock
 	// Received names the last status of each peer that reached the sender lately.
 	Received map[string]receivedStatus `json:"heard,omitempty"`
-	// Promise is the sender's word to raise no term for promiseLife.
+	// Promise is the sender's word to raise no term for leadership.PromiseLife.
 	Promise bool `json:"promise,omitempty"`
 	// HeartbeatAges is for each machine whose home the sender is the ms since its last heartbeat.
 	HeartbeatAges map[string]int64 `json:"alive,omitempty"`
--- a/internal/controller/node.go
+++ b/internal/controller/node.go
@@ -71,19 +71,8 @@
 	firstSteps map[string]bool // what was told of this process's first steps
 	lastStall  time.Duration   // how long this controller stood still last
 
-	// Who may act: the lease, the control record and the members.
-	lease               leadership.Lease
-	leaseID             uint64
-	leaseRenewedAt      time.Time // last renewal of the lease that worked
-	record              *leadership.Record
-	recordVersion       uint64    // of the record's key
-	recordChangePending bool      // a change of the record is on its way
-	unansweredVersion   uint64    // version under which a change had no answer
-	promisedUntil       time.Time // this controller raises no term before
-	presences           map[string]leadership.Presence
-	membershipSettledAt time.Time
-	memberMissingSince  time.Time
-	termChangedAt       time.Time
+	// Who may act: the membership record, the lease and the promises.
+	leadership *leadership.State
 
 	// What is followed of the state service's data, and what is known of a loss of it.
 	watchedKeysRead  bool         // the watched keys were read
@@ -236,11 +225,11 @@
 
 // newLeadership makes what is known of who may act, and of the state service's data. Life is that of the lease.
 func (n *Node) newLeadership(life time.Duration) {
-	n.lease = leadership.Lease{Life: life, Margin: life / 20}
-	n.presences = map[string]leadership.Presence{}
-	n.membershipSettledAt = n.startedAt
-	n.leaseRenewedAt = n.startedAt
-	n.promisedUntil = n.startedAt.Add(promiseLife)
+	var peers []string
+	for _, p := range n.settings.Peers {
+		peers = append(peers, p.Name)
+	}
+	n.leadership = leadership.New(n.name, n.incarnation, leadership.Lease{Life: life, Margin: life / 20}, peers, n.startedAt)
 	n.recovery = newRecoveryState(n.settings, n.incarnation, life)
 }
 
@@ -343,33 +332,8 @@
 // sleep waits, and says false when the context ended.
 func sleep(ctx context.Context, d time.Duration) bool { return wait.For(ctx, d) }
 
-// promiseLife is how long a promise not to raise the term holds.
-const promiseLife = 3 * time.Second
-
-// entitled says whether this controller may act: the state service has what it
-// acknowledged, as far as known, the record names this process, and either its lease lives or every other controller promised to raise no
-// term for now, under this record or an earlier one.
-func (n *Node) entitled(now time.Time) bool {
-	return n.record != nil && n.trusted() && n.record.Nodes[n.name] == n.incarnation && (n.lease.Valid(now) || n.holdsPromises(now))
-}
-
-func (n *Node) holdsPromises(now time.Time) bool {
-	for _, p := range n.peers {
-		// One that knows a later record promises not to raise the term above that one: this
-		// controller may have no part in it.
-		if !now.Before(p.promisedUntil) || p.promisedVersion > n.recordVersion {
-			return false
-		}
-	}
-	return true
-}
-
-// promises says whether this controller can promise its peers not to raise the
-// term: its own lease is not being renewed, as in an outage of the state
-// service, and no change of the record that it sent may still be applied.
-func (n *Node) promises(now time.Time) bool {
-	return now.Sub(n.leaseRenewedAt) > n.lease.Life*2/5 && !n.recordChangePending && n.unansweredVersion == 0 && n.trusted()
-}
+// entitled says whether this controller may act.
+func (n *Node) entitled(now time.Time) bool { return n.leadership.Entitled(now, n.trusted()) }
 
 // handle answers what comes to the public address.
 func (n *Node) serveHTTP(ctx context.Context, c *httpx.Conn, r *httpx.Request) httpx.Answer {
--- a/internal/controller/orders.go
+++ b/internal/controller/orders.go
@@ -36,10 +36,10 @@
 func (n *Node) sendOrders(name string, orders []jobstate.Order) bool {
 	home := n.homeOf(name)
 	if home == n.name {
-		n.acceptOrders(name, n.record.Term, orders)
+		n.acceptOrders(name, n.leadership.Term(), orders)
 		return true
 	}
-	return n.links.Send(home, kindOrders, ordersMsg{Term: n.record.Term, Machine: name, Orders: orders})
+	return n.links.Send(home, kindOrders, ordersMsg{Term: n.leadership.Term(), Machine: name, Orders: orders})
 }
 
 // acceptOrders queues orders of an owner at the machine's home.
--- a/internal/controller/overview.go
+++ b/internal/controller/overview.go
@@ -77,9 +77,9 @@
 		Still:    n.lastStall.Seconds(),
 		Late:     n.slowPlaces,
 	}
-	if n.record != nil {
-		o.Term, o.Members, o.Deaf = n.record.Term, n.record.Members(), n.record.Unreachable
-		for name, shard := range n.record.Shards {
+	if n.leadership.Record() != nil {
+		o.Term, o.Members, o.Deaf = n.leadership.Term(), n.leadership.Record().Members(), n.leadership.Record().Unreachable
+		for name, shard := range n.leadership.Record().Shards {
 			o.Owners[name] = shard.Owner
 		}
 	}
@@ -104,7 +104,7 @@
 
 // shardOverview describes a shard that this controller owns.
 func (n *Node) shardOverview(shard *shards.Owned) shardOverview {
-	x := shardOverview{Phase: shard.Phase().String(), Since: shard.SinceTerm(), Awaited: shard.AwaitedCount(), InSync: n.record.Shards[shard.Name()].InSync}
+	x := shardOverview{Phase: shard.Phase().String(), Since: shard.SinceTerm(), Awaited: shard.AwaitedCount(), InSync: n.leadership.Record().Shards[shard.Name()].InSync}
 	if shard.IsFleet() {
 		return x
 	}
--- a/internal/controller/owner.go
+++ b/internal/controller/owner.go
@@ -31,8 +31,8 @@
 	n.noteTeamTakenOver()
 	shard := n.shards.Take(shards.Takeover{
 		Name:      name,
-		Record:    n.record,
-		NewTeam:   func(replica *jobstate.Replica) *jobstate.Team { return n.newTeam(name, replica, n.record.Term) },
+		Record:    n.leadership.Record(),
+		NewTeam:   func(replica *jobstate.Replica) *jobstate.Team { return n.newTeam(name, replica, n.leadership.Term()) },
 		PageBytes: maxValueBytes(n.settings.Deployment.KVStore),
 		Now:       time.Now(),
 	})
@@ -172,7 +172,7 @@
 func (n *Node) knownMachines() iter.Seq[string] {
 	return func(yield func(string) bool) {
 		lists := []iter.Seq[string]{slices.Values(n.roster.All())}
-		if n.record.RosterIncomplete {
+		if n.leadership.Record().RosterIncomplete {
 			lists = append(lists, n.recovery.census.Remembered(), n.recovery.census.Listed())
 		}
 		for _, list := range lists {
--- a/internal/controller/owner_test.go
+++ b/internal/controller/owner_test.go
@@ -65,7 +65,7 @@
 		r := (&leadership.Record{Term: 5, FirstTerm: 5, Epoch: 2, RosterIncomplete: true}).Clone()
 		r.Nodes["node-a"], r.Nodes["node-b"] = n.incarnation, 1
 		r.Shards[name] = leadership.Shard{Owner: "node-a", SinceTerm: 5, NeedsBarrier: needsBarrier}
-		n.record, n.recordVersion = r, 7
+		n.leadership.Adopt(r, 7, time.Now())
 		replica, want := jobstate.NewReplica(), 0
 		assignment := jobstate.Assignment{TaskID: jobstate.TaskID{Job: "job-000001", Index: 0}, Attempt: jobstate.AttemptID(4, 1), Machine: "n-1", Incarnation: 1, CPUs: 2}
 		if !needsBarrier {
--- a/internal/controller/peerhandler.go
+++ b/internal/controller/peerhandler.go
@@ -25,7 +25,7 @@
 	for machine := range n.agents.All() {
 		n.changedMachines[machine] = true
 	}
-	if n.record != nil {
+	if n.leadership.Record() != nil {
 		n.sendMemories(false, name)
 	}
 	n.requestStatus() // a peer that starts waits for this controller's status
@@ -135,12 +135,13 @@
 
 // onStatus takes in a peer's heartbeat, one part of the controller after the other.
 func (n *Node) onStatus(from *sender, s *statusMsg, now time.Time) {
+	n.applyPromise(from.name, s, now)
 	n.applyPeerStatus(from.state, s, now)
 	n.resetIfHalfOpen(from.name, s, now)
 	n.onPeerCancellations(from.name, s, now)
 	n.onHomeWatermarks(from.name, s, now)
 	n.sendNewerRecord(from.name, s, now)
-	n.recovery.detection.PeerAssessed(from.name, s.Store, n.record, now)
+	n.recovery.detection.PeerAssessed(from.name, s.Store, n.leadership.Record(), now)
 	n.onPlanStatus(from.name, from.incarnation, from.state, &s.Plan)
 	n.onConfigStatus(from.name, from.incarnation, s.Config, now)
 }
@@ -160,7 +161,6 @@
 
 // applyPeerStatus takes in what a status says of the peer itself and of the machines whose home it is.
 func (n *Node) applyPeerStatus(p *peerState, s *statusMsg, now time.Time) {
-	n.applyPromise(p, s, now)
 	p.apply(s)
 	for name, age := range s.HeartbeatAges {
 		if m := n.machines[name]; m != nil && !m.gone {
@@ -173,29 +173,26 @@
 			m.misdirectedAt = now
 		}
 	}
-	if n.record == nil || s.Term > n.record.Term {
+	if n.leadership.Record() == nil || s.Term > n.leadership.Term() {
 		n.hint()
 	}
 }
 
 // applyPromise takes in a peer's promise to raise no term, if it names a status of this process.
-func (n *Node) applyPromise(p *peerState, s *statusMsg, now time.Time) {
+func (n *Node) applyPromise(name string, s *statusMsg, now time.Time) {
 	received, ok := s.Received[n.name]
 	if !ok || !s.Promise || s.RecordVersion == nil || received.Incarnation != n.incarnation || !n.sentBy(received.SentAt, now) {
 		return
 	}
-	// The promise runs from when the peer sent it, which was after our own status that it names: counted from then,
-	// and less the clocks' drift, it ends here first.
-	sentAt := n.startedAt.Add(time.Duration(received.SentAt) * time.Millisecond)
-	p.extendPromise(sentAt.Add(promiseLife-promiseLife/500), *s.RecordVersion)
+	n.leadership.LearnPromise(name, *s.RecordVersion, n.startedAt.Add(time.Duration(received.SentAt)*time.Millisecond))
 }
 
 // onOrders takes in orders of a shard's owner for a machine whose home this controller is.
 func (n *Node) onOrders(_ *sender, o *ordersMsg, now time.Time) {
-	if n.record == nil || !n.entitled(now) {
+	if n.leadership.Record() == nil || !n.entitled(now) {
 		return
 	}
-	if o.Term > n.record.Term {
+	if o.Term > n.leadership.Term() {
 		n.hint()
 	}
 	n.acceptOrders(o.Machine, o.Term, o.Orders)
@@ -205,11 +202,11 @@
 // owns says whether the record names that process of a node as an item's owner
 // since that term.
 func (n *Node) recordNamesOwner(node string, incarnation uint64, item string, since uint64) bool {
-	if n.record == nil || n.record.Nodes[node] != incarnation || n.record.Nodes[n.name] != n.incarnation {
+	if n.leadership.Record() == nil || n.leadership.Record().Nodes[node] != incarnation || !n.leadership.IsMember() {
 		n.hint()
 		return false
 	}
-	entry := n.record.Shards[item]
+	entry := n.leadership.Record().Shards[item]
 	if entry.SinceTerm < since {
 		n.hint()
 	}
--- a/internal/controller/peerstate.go
+++ b/internal/controller/peerstate.go
@@ -17,12 +17,10 @@
 	statusSentAt  int64 // ms of the peer's clock, in its last status
 
 	// Who may act.
-	entitled        bool
-	holdsLease      bool
-	promisedUntil   time.Time // the peer promised to raise no term before
-	promisedVersion uint64    // of the newest control record under which it promised so
-	behindSince     time.Time // since when it has known an earlier control record; zero: it does not
-	recordSentAt    time.Time // when it was last sent the control record
+	entitled     bool
+	holdsLease   bool
+	behindSince  time.Time // since when it has known an earlier control record; zero: it does not
+	recordSentAt time.Time // when it was last sent the control record
 
 	// The rest of its last status.
 	demands            []demand
@@ -50,13 +48,6 @@
 	p.lastMessageAt = now
 }
 
-// extendPromise takes in a promise to raise no term until then, unless an earlier one reaches further.
-func (p *peerState) extendPromise(until time.Time, recordVersion uint64) {
-	if until.After(p.promisedUntil) {
-		p.promisedUntil, p.promisedVersion = until, recordVersion
-	}
-}
-
 // apply takes in what a status says of the peer itself, but for its promise.
 func (p *peerState) apply(s *statusMsg) {
 	p.holdsLease, p.statusSentAt = s.HoldsLease, s.SentAt
--- a/internal/controller/placing_test.go
+++ b/internal/controller/placing_test.go
@@ -49,9 +49,9 @@
 	if got := len(n.hosts(g.now, nil)); got != 2 {
 		t.Fatalf("%d of 2 machines take tasks", got)
 	}
-	next := n.record.Clone()
+	next := n.leadership.Record().Clone()
 	next.Term++
-	n.adopt(next, n.recordVersion+1)
+	n.adopt(next, n.leadership.RecordVersion()+1)
 	if got := len(n.hosts(g.now, nil)); got != 2 {
 		t.Errorf("%d of 2 machines take tasks after the term was raised", got)
 	}
--- a/internal/controller/preemption.go
+++ b/internal/controller/preemption.go
@@ -193,7 +193,7 @@
 // evict asks the owner of a task to stop it.
 func (n *Node) evict(e evictMsg) {
 	j := n.jobs[e.Attempt.Job]
-	owner := n.record.Shards[shards.ForTeam(j.spec.Team)].Owner
+	owner := n.leadership.Record().Shards[shards.ForTeam(j.spec.Team)].Owner
 	if owner == n.name {
 		n.onEvict(&e)
 		return
--- a/internal/controller/promise_test.go
+++ b/internal/controller/promise_test.go
@@ -2,7 +2,9 @@
 
 import (
 	"log/slog"
+	"maps"
 	"math/rand/v2"
+	"slices"
 	"testing"
 	"time"
 
@@ -37,7 +39,8 @@
 			}
 			n := New(s, settings.DefaultOptions(), slog.New(slog.DiscardHandler))
 			inc++
-			n.incarnation, n.startedAt, n.leaseRenewedAt, n.promisedUntil = inc, now, now, now.Add(promiseLife)
+			n.incarnation, n.startedAt = inc, now
+			newLeadership(n, now, slices.Collect(maps.Keys(n.peers))...)
 			nodes[i] = n
 		}
 		for i := range names {
@@ -50,10 +53,14 @@
 			switch rng.IntN(12) {
 			case 0:
 				if rng.IntN(10) == 0 {
-					nodes[i].leaseRenewedAt = now
+					nodes[i].leadership.LeaseRenewed(now)
 				}
 			case 1:
-				nodes[i].recordChangePending = rng.IntN(6) == 0
+				if rng.IntN(6) == 0 {
+					nodes[i].leadership.ChangeSent()
+				} else {
+					nodes[i].leadership.ChangeAnswered()
+				}
 			case 2:
 				if rng.IntN(20) == 0 {
 					start(i)
@@ -78,18 +85,19 @@
 							p.incarnation, p.statusSentAt = l.inc, 0
 						}
 						p.lastMessageAt = now
+						n.applyPromise(names[l.from], &l.body, now)
 						n.applyPeerStatus(p, &l.body, now)
 						break
 					}
 				}
 			}
 			for a, n := range nodes {
-				if !n.holdsPromises(now) {
+				if !n.leadership.HoldsPromises(now) {
 					continue
 				}
 				held++
 				for b, o := range nodes {
-					if a != b && !now.Before(o.promisedUntil) {
+					if a != b && !now.Before(o.leadership.PromisedUntil()) {
 						t.Fatalf("seed %d: %s holds a promise that %s no longer keeps", seed, names[a], names[b])
 					}
 				}
--- a/internal/controller/reconcile.go
+++ b/internal/controller/reconcile.go
@@ -135,7 +135,7 @@
 		return
 	}
 	n.recovery.jobNotFoundAt[uid] = time.Now()
-	if absent && n.record != nil && (n.record.Epoch == 1 || jobstate.TermOf(attempt) >= n.record.FirstTerm) {
+	if absent && n.leadership.Record() != nil && (n.leadership.Epoch() == 1 || jobstate.TermOf(attempt) >= n.leadership.Record().FirstTerm) {
 		// A task is started only for a job that was accepted, and an accepted job has one key or the other for ever.
 		n.proveLoss(datarecovery.ProofUnknownJob)
 	}
@@ -144,7 +144,7 @@
 // stopOrphanedTasks has the home of a machine end what it lists of jobs that have ended: that is true for good, whoever
 // owns the team.
 func (n *Node) stopOrphanedTasks(v *jobstate.MachineStatus) {
-	if n.agents.Get(v.Machine) == nil || n.record == nil || n.homeOf(v.Machine) != n.name {
+	if n.agents.Get(v.Machine) == nil || n.leadership.Record() == nil || n.homeOf(v.Machine) != n.name {
 		return
 	}
 	var orders []jobstate.Order
@@ -163,7 +163,7 @@
 		}
 		orders = append(orders, o)
 	}
-	if len(orders) > 0 && n.agents.QueueOrders(n.record.Term, v.Machine, orders) {
+	if len(orders) > 0 && n.agents.QueueOrders(n.leadership.Term(), v.Machine, orders) {
 		n.wakeCommandSender(v.Machine)
 	}
 }
--- a/internal/controller/recordchange.go
+++ b/internal/controller/recordchange.go
@@ -3,7 +3,6 @@
 import (
 	"context"
 	"errors"
-	"maps"
 	"slices"
 	"time"
 
@@ -76,13 +75,13 @@
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	next, conditions, reason := n.proposal(time.Now(), started)
-	n.recordChangePending = next != nil
 	if next == nil {
 		return nil
 	}
-	change := &recordChange{record: next, conditions: conditions, reason: reason, version: n.recordVersion}
-	if n.record != nil {
-		change.marker = n.recovery.detection.EpochKeyVersion(datarecovery.EpochKey + n.record.StoreID)
+	n.leadership.ChangeSent()
+	change := &recordChange{record: next, conditions: conditions, reason: reason, version: n.leadership.RecordVersion()}
+	if record := n.leadership.Record(); record != nil {
+		change.marker = n.recovery.detection.EpochKeyVersion(datarecovery.EpochKey + record.StoreID)
 	}
 	if change.version == 0 { // the first record: the generation begins with it
 		next.Epoch, next.FirstTerm, next.StoreID = 1, next.Term, randomStoreID()
@@ -113,14 +112,14 @@
 	n.log.Info("control record proposed", "term", c.record.Term, "reason", c.reason, "err", err, "failed", failed)
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.recordChangePending = false
+	n.leadership.ChangeAnswered()
 	switch {
 	case err == nil:
 		n.adopt(c.record, revision)
 	case errors.Is(err, kvstore.ErrRefused): // it was not executed and will not be
 		n.shards.RecordChangeSettled()
 	case !errors.Is(err, kvstore.ErrConflict):
-		n.unansweredVersion = max(1, c.version)
+		n.leadership.ChangeUnanswered(c.version)
 	}
 	return err
 }
@@ -128,55 +127,36 @@
 // upkeepReason is the reason of changes for own items.
 const upkeepReason = "upkeep"
 
-// mayHold says whether a member without a lease may act by a promise of this
-// controller, or of an earlier process of it: one whose key is gone. A newer
-// process of a member holds no promise.
-func (n *Node) mayHold() bool {
-	if n.record == nil {
-		return false
-	}
-	for name := range n.record.Nodes {
-		if _, there := n.presences[name]; !there {
-			return true
-		}
-	}
-	return false
-}
-
 // proposal is the change of the record that this controller should try now.
 func (n *Node) proposal(now, started time.Time) (*leadership.Record, []leadership.Condition, string) {
-	if !n.watchedKeysRead || !n.trusted() || !n.lease.Valid(now) || (now.Before(n.promisedUntil) && n.mayHold()) || n.presences[n.name].Incarnation != n.incarnation {
+	if !n.watchedKeysRead || !n.trusted() || !n.leadership.HoldsLease(now) || n.leadership.PromiseMayBeHeld(now) || !n.leadership.IsPresent() {
 		return nil, nil, ""
 	}
-	record := n.record
+	record := n.leadership.Record()
 	if record == nil {
-		if len(n.presences) < len(n.settings.Peers)+1 && now.Sub(started) < 2500*time.Millisecond {
+		if len(n.leadership.Presences()) < len(n.settings.Peers)+1 && now.Sub(started) < 2500*time.Millisecond {
 			return nil, nil, ""
 		}
 		// Drawn, so that workers' tokens tell an earlier store's terms from this one's.
 		record = (&leadership.Record{Term: 1<<10 + n.rng.Uint64N(1<<20)}).Clone()
 	}
-	if next, conds := leadership.Repair(record, n.shardNames(), n.presences); next != nil {
-		if n.memberMissingSince.IsZero() {
-			n.memberMissingSince = now
-		}
-		turn := slices.Index(slices.Sorted(maps.Keys(n.presences)), n.name)
-		if now.Sub(n.memberMissingSince) < time.Duration(turn)*350*time.Millisecond {
+	if next, conds := leadership.Repair(record, n.shardNames(), n.leadership.Presences()); next != nil {
+		if !n.leadership.OurTurn(now) {
 			return nil, nil, ""
 		}
 		return next, conds, "members changed"
 	}
-	n.memberMissingSince = time.Time{}
+	n.leadership.MembersStand()
 	if !n.entitled(now) {
 		return nil, nil, ""
 	}
-	if n.unansweredVersion != 0 && n.unansweredVersion >= n.recordVersion {
+	if n.leadership.ChangeUnsettled() {
 		// A change without an answer may yet be applied; any other change of the
 		// same version rules that out.
 		return record.Clone(), nil, "settle an unanswered change"
 	}
 	syncs := n.syncStates(now)
-	rebalance := now.Sub(n.membershipSettledAt) > 3*time.Second
+	rebalance := now.Sub(n.leadership.SettledAt()) > 3*time.Second
 	if next, handed := leadership.Upkeep(record, n.name, syncs, rebalance); next != nil {
 		for _, name := range handed {
 			n.shards.Owned(name).BeginHandOver()
@@ -196,7 +176,7 @@
 	} else {
 		n.agentsReachable = false
 	}
-	if home := n.unreachableHomes.Find(machineHomes{n}, now); home != "" && now.Sub(n.termChangedAt) > 3*time.Second {
+	if home := n.unreachableHomes.Find(machineHomes{n}, now); home != "" && now.Sub(n.leadership.TermChangedAt()) > 3*time.Second {
 		if next := leadership.WithReachability(record, home, true); next != nil {
 			return next, nil, "workers cannot reach " + home
 		}
@@ -211,7 +191,7 @@
 			return next, nil, "no copy was put back in time: what nobody knows is lost for good"
 		}
 	}
-	if n.shards.NeedsRaisedTerm(now) && now.Sub(n.termChangedAt) > 5*time.Second {
+	if n.shards.NeedsRaisedTerm(now) && now.Sub(n.leadership.TermChangedAt()) > 5*time.Second {
 		next := record.Clone()
 		next.Term++
 		return next, nil, "unproven attempts"
--- a/internal/controller/recovery.go
+++ b/internal/controller/recovery.go
@@ -77,7 +77,7 @@
 func (n *Node) decideOnStore(now time.Time) datarecovery.Decision {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	decision := n.recovery.detection.Decide(now, n.record)
+	decision := n.recovery.detection.Decide(now, n.leadership.Record())
 	if decision.LossConfirmed {
 		n.lossConfirmed()
 	}
@@ -104,7 +104,7 @@
 // continueRecovery does what is left to do in an epoch that followed a loss, and keeps what is remembered for the
 // next one within bounds.
 func (n *Node) continueRecovery(now time.Time) {
-	if !n.trusted() || n.record == nil {
+	if !n.trusted() || n.leadership.Record() == nil {
 		return
 	}
 	if len(n.recovery.jobNotFoundAt) > maxJobsNotFound {
@@ -128,15 +128,15 @@
 
 // epoch is the number of the state service's data, 0 before the first control record.
 func (n *Node) epoch() uint64 {
-	if n.record == nil {
+	if n.leadership.Record() == nil {
 		return 0
 	}
-	return n.record.Epoch
+	return n.leadership.Epoch()
 }
 
 // storeAssessment is what peers are told of the store.
 func (n *Node) storeAssessment() datarecovery.Assessment {
-	return n.recovery.detection.Assessment(n.record, n.kvStore.LastRevision())
+	return n.recovery.detection.Assessment(n.leadership.Record(), n.kvStore.LastRevision())
 }
 
 // storeStatus is what operators are told of the store.
@@ -150,8 +150,8 @@
 		MemoryComplete: detection.MemoryComplete(), Unreplicated: n.recovery.facts.unreplicated,
 		Suspicions: suspicions, Losses: losses,
 	}
-	if n.record != nil {
-		status.DataLost, status.RosterIncomplete = n.record.DataLost, n.record.RosterIncomplete
+	if n.leadership.Record() != nil {
+		status.DataLost, status.RosterIncomplete = n.leadership.Record().DataLost, n.leadership.Record().RosterIncomplete
 		status.AwaitedMemories = n.recovery.gathering.Awaited()
 	}
 	for _, j := range n.jobs {
--- a/internal/controller/recovery_census.go
+++ b/internal/controller/recovery_census.go
@@ -44,7 +44,7 @@
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	census := n.recovery.census
-	due = n.record != nil && n.record.RosterIncomplete && n.trusted() &&
+	due = n.leadership.Record() != nil && n.leadership.Record().RosterIncomplete && n.trusted() &&
 		census.Due(now, settings.Seconds(n.settings.Deployment.Cloud.ListLagSeconds))
 	return census.EnteredAt(), due
 }
@@ -114,6 +114,6 @@
 		return false
 	}
 	return slices.ContainsFunc(v.Tasks, func(t jobstate.TaskStatus) bool {
-		return t.State != protocol.Exited && n.jobs[t.Job] == nil && jobstate.TermOf(t.Attempt) < n.record.FirstTerm
+		return t.State != protocol.Exited && n.jobs[t.Job] == nil && jobstate.TermOf(t.Attempt) < n.leadership.Record().FirstTerm
 	})
 }
--- a/internal/controller/recovery_detect.go
+++ b/internal/controller/recovery_detect.go
@@ -51,7 +51,7 @@
 
 // observeFencingToken takes in a worker's fencing token: proof of a loss if the store never gave it out.
 func (n *Node) observeFencingToken(token uint64) {
-	if proof := n.recovery.detection.ObserveFencingToken(token, n.record); proof != "" {
+	if proof := n.recovery.detection.ObserveFencingToken(token, n.leadership.Record()); proof != "" {
 		n.proveLoss(proof)
 	}
 }
@@ -114,7 +114,7 @@
 // runsTasksOfThisStore says whether a machine has tasks that were started since this store began.
 func (n *Node) runsTasksOfThisStore(r *protocol.Heartbeat) bool {
 	return slices.ContainsFunc(r.Tasks, func(t protocol.TaskStatus) bool {
-		return t.State != protocol.Exited && jobstate.TermOf(t.Attempt) >= n.record.FirstTerm
+		return t.State != protocol.Exited && jobstate.TermOf(t.Attempt) >= n.leadership.Record().FirstTerm
 	})
 }
 
@@ -148,7 +148,7 @@
 	}
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if proof := n.recovery.detection.RecordRefreshed(n.record); proof != "" {
+	if proof := n.recovery.detection.RecordRefreshed(n.leadership.Record()); proof != "" {
 		n.proveLoss(proof)
 	}
 }
@@ -159,8 +159,8 @@
 // acknowledgedKeys are keys that must have the versions known here, or have changed since.
 func (n *Node) acknowledgedKeys() map[string]uint64 {
 	keys := map[string]uint64{}
-	if n.recordVersion > 0 {
-		keys[controlKey] = n.recordVersion
+	if n.leadership.RecordVersion() > 0 {
+		keys[controlKey] = n.leadership.RecordVersion()
 	}
 	maps.Copy(keys, n.roster.Versions())
 	n.addAcknowledgedConfig(keys)
@@ -181,7 +181,7 @@
 func (n *Node) knownVersion(key string) uint64 {
 	switch {
 	case key == controlKey:
-		return n.recordVersion
+		return n.leadership.RecordVersion()
 	case strings.HasPrefix(key, datarecovery.EpochKey):
 		return n.recovery.detection.EpochKeyVersion(key)
 	case strings.HasPrefix(key, userapi.ActiveJobPrefix):
@@ -226,7 +226,7 @@
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	plan, outcome, ready = n.recovery.detection.PlanComparison(n.acknowledgedKeys(), n.watchedKeysRead)
-	plan.OwnKey, plan.OwnVersion = nodeKey+n.name, n.presences[n.name].Version
+	plan.OwnKey, plan.OwnVersion = nodeKey+n.name, n.leadership.Presence(n.name).Version
 	return plan, outcome, ready
 }
 
@@ -248,7 +248,7 @@
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.applyChanges(changes, began)
-	judged := n.recovery.detection.JudgeFailedKeys(plan, failed, n.presences[n.name].Version, n.knownVersion)
+	judged := n.recovery.detection.JudgeFailedKeys(plan, failed, n.leadership.Presence(n.name).Version, n.knownVersion)
 	if judged.OwnKeyGone {
 		n.rewriteOwnKey()
 	}
--- a/internal/controller/recovery_epoch.go
+++ b/internal/controller/recovery_epoch.go
@@ -69,7 +69,7 @@
 // relied on. It says whether it is.
 func (n *Node) applyFullList(entries []protocol.Entry, revision uint64) bool {
 	contents := parseStoreContents(entries)
-	judgement := n.recovery.detection.JudgeList(contents, n.record, n.recordVersion)
+	judgement := n.recovery.detection.JudgeList(contents, n.leadership.Record(), n.leadership.RecordVersion())
 	if judgement.Proof != "" {
 		n.proveLoss(judgement.Proof)
 	}
@@ -94,7 +94,7 @@
 // loss. What is remembered stays, and is written back where the store lacks it.
 func (n *Node) enterEpoch(entries []protocol.Entry, contents datarecovery.StoreContents, revision uint64) {
 	now := time.Now()
-	if n.record != nil {
+	if n.leadership.Record() != nil {
 		n.leaveEpoch(now)
 	}
 	n.recovery.detection.ListAccepted()
@@ -114,7 +114,7 @@
 	}
 	n.watchedKeysRead = true
 	n.recovery.detection.Entered(n.epoch(), now)
-	if n.presences[n.name].Incarnation != n.incarnation {
+	if !n.leadership.IsPresent() {
 		n.rewriteOwnKey()
 	}
 	n.recount(maps.Keys(n.machines))
@@ -138,8 +138,7 @@
 	}
 	n.roster = newRoster(n.settings)
 	n.startConfigEpoch()
-	n.recordVersion, n.unansweredVersion = 0, 0
-	n.presences, n.memberMissingSince = map[string]leadership.Presence{}, time.Time{}
+	n.leadership.EnterStore()
 	n.recovery.detection.LeaveEpoch()
 }
 
@@ -158,7 +157,7 @@
 		}
 	}
 	n.recovery.gathering.Begin(record.Epoch, members)
-	n.membershipSettledAt = time.Now() // machines did not reach their homes while nobody was entitled
+	n.leadership.SettleAnew(time.Now()) // machines did not reach their homes while nobody was entitled
 	n.unreachableHomes.ForgetAttempts()
 	for name := range n.recovery.census.Remembered() {
 		if record.Home(name) == n.name {
@@ -174,10 +173,10 @@
 
 // fenceOnEpochKey has every update rest on the epoch's own key.
 func (n *Node) fenceOnEpochKey() {
-	if n.record == nil || n.record.StoreID == "" {
+	if n.leadership.Record() == nil || n.leadership.Record().StoreID == "" {
 		return
 	}
-	key := datarecovery.EpochKey + n.record.StoreID
+	key := datarecovery.EpochKey + n.leadership.Record().StoreID
 	if version := n.recovery.detection.EpochKeyVersion(key); version > 0 {
 		n.kvStore.SetFence(protocol.Condition{Key: key, Version: version})
 	}
@@ -201,10 +200,10 @@
 func (n *Node) proposalEvidence() (evidence datarecovery.Evidence, contents datarecovery.StoreContents, ready bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	evidence, contents, ready = n.recovery.detection.Proposal(n.record, n.kvStore.LastRevision(), time.Now())
+	evidence, contents, ready = n.recovery.detection.Proposal(n.leadership.Record(), n.kvStore.LastRevision(), time.Now())
 	evidence.Controllers = n.settings.ControllerNames()
 	evidence.Shards = n.shardNames()
-	evidence.ChangeUnanswered = n.unansweredVersion != 0 || n.recordChangePending
+	evidence.ChangeUnanswered = n.leadership.ChangeOpen()
 	evidence.StoreID = randomStoreID()
 	return evidence, contents, ready
 }
--- a/internal/controller/recovery_gather.go
+++ b/internal/controller/recovery_gather.go
@@ -60,12 +60,12 @@
 // answered those of this controller.
 func (n *Node) memoriesGathered(now time.Time) bool {
 	member := func(name string) bool {
-		_, there := n.record.Nodes[name]
+		_, there := n.leadership.Record().Nodes[name]
 		return there
 	}
 	progress := n.recovery.gathering.Progress(member, func(name string) bool { return n.mayBeHeard(name, now) })
 	if progress.Completed {
-		n.log.Info("memories gathered", "epoch", n.record.Epoch, "since_loss", n.sinceLoss(now))
+		n.log.Info("memories gathered", "epoch", n.leadership.Epoch(), "since_loss", n.sinceLoss(now))
 	}
 	return progress.Ready
 }
--- a/internal/controller/recovery_writeback.go
+++ b/internal/controller/recovery_writeback.go
@@ -174,7 +174,7 @@
 		n.mu.Lock()
 		// Before the first record nothing ever ended, but it can't be said yet of which epoch what is
 		// read is: processes that were quicker than the first record counted their memory as in part for good.
-		ready := n.watchedKeysRead && n.trusted() && n.record != nil
+		ready := n.watchedKeysRead && n.trusted() && n.leadership.Record() != nil
 		n.mu.Unlock()
 		var entries []protocol.Entry
 		err := error(nil)
@@ -197,7 +197,7 @@
 		}
 	}
 	n.mu.Lock()
-	n.recovery.detection.EndsRead(n.record)
+	n.recovery.detection.EndsRead(n.leadership.Record())
 	n.mu.Unlock()
 	<-ctx.Done()
 	return nil
--- a/internal/controller/replication.go
+++ b/internal/controller/replication.go
@@ -14,7 +14,7 @@
 	for name, p := range n.peers {
 		connected[name] = p.connected
 	}
-	return &shards.Cluster{Self: n.name, Record: n.record, Connected: connected}
+	return &shards.Cluster{Self: n.name, Record: n.leadership.Record(), Connected: connected}
 }
 
 // syncStates says for each owned shard which replicas are in sync and which are late.
--- a/internal/controller/replication_test.go
+++ b/internal/controller/replication_test.go
@@ -30,11 +30,14 @@
 func newLinkedPair(t *testing.T) *linkedPair {
 	p := &linkedPair{owner: newGrown(1, 1).n, holder: newGrown(1, 1).n, paths: simulation.Paths{}}
 	p.holder.name, p.holder.incarnation = "node-b", p.owner.incarnation+1
-	record := p.owner.record.Clone()
+	record := p.owner.leadership.Record().Clone()
 	name := shards.ForTeam("team-0")
 	record.Nodes = map[string]uint64{"node-a": p.owner.incarnation, "node-b": p.holder.incarnation}
 	record.Shards[name] = leadership.Shard{Owner: "node-a", SinceTerm: 1}
-	p.owner.record, p.holder.record = record, record
+	learnRecord(p.owner, record)
+	newLeadership(p.holder, time.Now(), "node-a")
+	learnRecord(p.holder, record)
+	p.holder.leadership.LeaseRenewed(time.Now())
 	p.shard = p.owner.shards.Owned(name)
 	p.holder.shards.Remove(name)
 	host := simulation.NewHost()
--- a/internal/controller/status.go
+++ b/internal/controller/status.go
@@ -77,19 +77,19 @@
 
 // status composes this controller's status for its peers. It makes the promise in it, and takes what is sent once.
 func (n *Node) status(now time.Time) statusMsg {
-	cancellations, recordVersion := n.cancelWatermark.Confirmed(), n.recordVersion
+	cancellations, recordVersion := n.cancelWatermark.Confirmed(), n.leadership.RecordVersion()
 	s := statusMsg{
 		Store:         n.storeAssessment(),
 		Cancellations: &cancellations,
 		RecordVersion: &recordVersion,
 		Entitled:      n.entitled(now),
-		HoldsLease:    n.lease.Valid(now),
+		HoldsLease:    n.leadership.HoldsLease(now),
 		SentAt:        now.Sub(n.startedAt).Milliseconds(),
 		Received:      n.receivedStatuses(now),
-		Promise:       n.promise(now),
+		Promise:       n.leadership.Promise(now, n.trusted()),
 	}
-	if n.record != nil {
-		s.Term = n.record.Term
+	if n.leadership.Record() != nil {
+		s.Term = n.leadership.Term()
 	}
 	s.HeartbeatAges, s.InFlightAges = n.heartbeatAges(now)
 	s.Misdirected = n.unreachableHomes.TakeMisdirected()
@@ -109,7 +109,7 @@
 func (n *Node) receivedStatuses(now time.Time) map[string]receivedStatus {
 	received := map[string]receivedStatus{}
 	for name, p := range n.peers {
-		if now.Sub(p.lastMessageAt) >= promiseLife || p.statusSentAt <= 0 {
+		if now.Sub(p.lastMessageAt) >= leadership.PromiseLife || p.statusSentAt <= 0 {
 			continue
 		}
 		cancellations := n.cancelWatermark.ReceivedFrom(name)
@@ -118,15 +118,6 @@
 	return received
 }
 
-// promise says whether this controller promises its peers now to raise no term, and keeps to it.
-func (n *Node) promise(now time.Time) bool {
-	if !n.promises(now) {
-		return false
-	}
-	n.promisedUntil = now.Add(promiseLife)
-	return true
-}
-
 // heartbeatAges is, for the machines whose home this controller is, the milliseconds since their last heartbeats; and,
 // for those that a start may still reach, since all cancellations known when it was sent had been confirmed.
 func (n *Node) heartbeatAges(now time.Time) (ages, inFlight map[string]int64) {
@@ -178,8 +169,8 @@
 	if n.shards.OwnsFleet() {
 		return n.drainingMachines
 	}
-	if n.record != nil {
-		if p := n.peers[n.record.Shards[leadership.FleetShard].Owner]; p != nil {
+	if n.leadership.Record() != nil {
+		if p := n.peers[n.leadership.Record().Shards[leadership.FleetShard].Owner]; p != nil {
 			return p.drainingMachines
 		}
 	}
--- a/internal/controller/step_test.go
+++ b/internal/controller/step_test.go
@@ -14,9 +14,10 @@
 func TestStallCountsNoSilence(t *testing.T) {
 	g := newGrown(4, 1)
 	n, shard := g.n, g.n.shards.OfTeam("team-0")
-	record := n.record.Clone()
+	record := n.leadership.Record().Clone()
 	record.Shards[shard.Name()] = leadership.Shard{Owner: n.name, SinceTerm: 1, InSync: []string{"node-b"}}
-	n.record, n.membershipSettledAt = record, g.now
+	learnRecord(n, record)
+	n.leadership.SettleAnew(g.now)
 	shard.Resume(g.now)
 	n.peers["node-b"] = &peerState{connected: true, lastMessageAt: g.now}
 	shard.Team().Replica().Seq = 1
@@ -33,7 +34,7 @@
 	if n.syncStates(now)[shard.Name()].Lagging["node-b"] {
 		t.Error("a replica is put out of sync for the time that the owner was stalled")
 	}
-	if n.membershipSettledAt != now {
+	if n.leadership.SettledAt() != now {
 		t.Error("silence is counted from before the stall ended")
 	}
 	if o := n.overview(now); o.Still != 4 || len(o.Unheard) != 1 {
--- a/internal/controller/stray_test.go
+++ b/internal/controller/stray_test.go
@@ -58,7 +58,7 @@
 		n.unreachableHomes = agents.NewUnreachableHomes(agentTiming(n.settings))
 		lease := settings.Seconds(n.settings.Deployment.Agents.LeaseSeconds)
 		start := time.Now()
-		n.membershipSettledAt = start.Add(-time.Minute)
+		n.leadership.SettleAnew(start.Add(-time.Minute))
 		n.peers["node-b"] = &peerState{lastMessageAt: start}
 		cut, mended := start.Add(20*time.Second), start.Add(60*time.Second)
 		w := &roamer{name: "n-000001", next: start, answered: start}
@@ -88,14 +88,14 @@
 // out of the homes, as that moves all machines under a new term; many must.
 func TestUnreachableHomeIsFound(t *testing.T) {
 	n := newGrown(120, 1).n
-	n.record.Unreachable = nil
+	n.leadership.Record().Unreachable = nil
 	now := time.Now()
-	n.membershipSettledAt = now.Add(-time.Minute)
+	n.leadership.SettleAnew(now.Add(-time.Minute))
 	home := "node-b"
 	n.peers[home] = &peerState{lastMessageAt: now}
 	var homed []string
 	for i := range 120 {
-		if name := fmt.Sprintf("n-%06d", i); n.record.Home(name) == home {
+		if name := fmt.Sprintf("n-%06d", i); n.leadership.Record().Home(name) == home {
 			homed = append(homed, name)
 		}
 	}
@@ -143,7 +143,7 @@
 	held := func() int { h, _ := shard.Team().CountAttempts(); return h }
 	step := func(after time.Duration) {
 		g.now = g.now.Add(after)
-		n.lease.Renewed(g.now)
+		n.leadership.LeaseRenewed(g.now)
 		for _, name := range g.names {
 			n.machines[name].heardAt = g.now
 		}
@@ -185,10 +185,10 @@
 func TestMisdirectedAgentIsNotSilent(t *testing.T) {
 	g := newGrown(6, 1)
 	fleetOwner, n := newGrown(6, 1).n, g.n
-	n.record.Unreachable = nil
+	n.leadership.Record().Unreachable = nil
 	at := g.now.Add(20 * time.Second)
-	n.lease.Renewed(at)
-	name := g.names[slices.IndexFunc(g.names, func(name string) bool { return n.record.Home(name) != n.name })]
+	n.leadership.LeaseRenewed(at)
+	name := g.names[slices.IndexFunc(g.names, func(name string) bool { return n.leadership.Record().Home(name) != n.name })]
 	r := protocol.Heartbeat{Machine: name, Addr: "127.0.0.1:1", Type: "m32", Zone: "east", Incarnation: 1, Seq: 9, FencingToken: 1, Tasks: []protocol.TaskStatus{}}
 	n.handleHeartbeat(protocol.Encode(r))
 	s := n.status(at)
--- a/internal/controller/sustain_test.go
+++ b/internal/controller/sustain_test.go
@@ -18,7 +18,7 @@
 func TestCutZoneLivesOn(t *testing.T) {
 	g := newGrown(8, 1)
 	n := g.n
-	n.lease = leadership.Lease{Life: 5 * time.Second} // lapsed, and nobody promises anything
+	newLeadership(n, g.now, "node-b") // the lease expired, and nobody promises anything
 	n.peers["node-b"] = &peerState{lastMessageAt: g.now.Add(-time.Minute)}
 	w := n.settings.Deployment.Agents
 	g.submit(1, 4)
@@ -64,10 +64,11 @@
 	if got := answer(later, name, 1, protocol.Running, "job-000001/0"); got != 503 {
 		t.Errorf("a machine that runs a withdrawn job is answered by %d", got)
 	}
-	n.record = n.record.Clone()
-	n.record.Unreachable = nil
+	record := n.leadership.Record().Clone()
+	record.Unreachable = nil
+	learnRecord(n, record)
 	for _, name := range g.names {
-		if n.record.Home(name) != n.name {
+		if n.leadership.Record().Home(name) != n.name {
 			if got := answer(later, name, 1, protocol.Exited, "job-000001/0"); got != 503 {
 				t.Errorf("a machine is kept alive though nothing is known of its home's last word: %d", got)
 			}
@@ -90,24 +91,24 @@
 func TestRefusedLinks(t *testing.T) {
 	g := newGrown(40, 1)
 	n := g.n
-	n.record.Unreachable = nil
+	n.leadership.Record().Unreachable = nil
 	homed := map[string]bool{}
 	for _, name := range g.names {
-		homed[name] = n.record.Home(name) == n.name
+		homed[name] = n.leadership.Record().Home(name) == n.name
 	}
 	for _, p := range []string{"node-b", "node-c"} {
 		n.peers[p] = &peerState{connected: true, lastMessageAt: g.now}
-		n.presences[p] = leadership.Presence{Incarnation: 1, Version: 1}
+		n.leadership.LearnPresence(p, leadership.Presence{Incarnation: 1, Version: 1})
 	}
 	if hosts := n.hosts(g.now, nil); len(hosts) != 40 {
 		t.Fatalf("%d of 40 machines may take tasks", len(hosts))
 	}
-	n.lease.Renewed(g.now)
+	n.leadership.LeaseRenewed(g.now)
 	for p := range n.peers {
 		n.peers[p].connected = false
 	}
 	now := g.now.Add(4 * time.Second)
-	n.lease.Renewed(now)
+	n.leadership.LeaseRenewed(now)
 	for _, h := range n.hosts(now, nil) {
 		if !homed[h.Name] {
 			t.Errorf("%s may take tasks, though no order reaches its home", h.Name)
@@ -119,9 +120,9 @@
 			t.Errorf("%s, homed here: %v, is of an unheard home: %v", m.Name, homed[m.Name], m.HomeUnreachable)
 		}
 	}
-	delete(n.presences, "node-b") // it lost its lease: that is silence for good
+	n.leadership.LearnAbsence("node-b", 1) // it lost its lease: that is silence for good
 	for _, m := range n.fleetMachines(account, now) {
-		if m.HomeUnreachable && n.record.Home(m.Name) == "node-b" {
+		if m.HomeUnreachable && n.leadership.Record().Home(m.Name) == "node-b" {
 			t.Errorf("%s counts as heard elsewhere, by a controller that is gone", m.Name)
 		}
 	}
--- a/internal/controller/sync_test.go
+++ b/internal/controller/sync_test.go
@@ -22,7 +22,7 @@
 		Deployment: settings.Deployment{Teams: []settings.Team{{Name: "red", CPUsMax: 8}},
 			KVStore: settings.KVStore{RequestsPerSecond: 2000, ChangesPerSecond: 2000, ChangesPerTransaction: 8, ValueKB: 8}, Cloud: settings.Cloud{RequestsPerSecond: 1}}}
 	n := New(s, settings.DefaultOptions(), slog.New(slog.DiscardHandler))
-	n.record = (&leadership.Record{Term: 5}).Clone()
+	learnRecord(n, (&leadership.Record{Term: 5}).Clone())
 	return n
 }
 
--- a/internal/controller/teamconfig.go
+++ b/internal/controller/teamconfig.go
@@ -55,8 +55,8 @@
 		names = append(names, shards.ForTeam(t.Name))
 		listed[shards.ForTeam(t.Name)] = true
 	}
-	if n.teamConfig != nil && n.record != nil { // a team that another controller knew of first
-		for name := range n.record.Shards {
+	if n.teamConfig != nil && n.leadership.Record() != nil { // a team that another controller knew of first
+		for name := range n.leadership.Record().Shards {
 			if name != leadership.FleetShard && !listed[name] {
 				names = append(names, name)
 			}
@@ -152,7 +152,7 @@
 // noteTeamTakenOver notes that a team was taken over under the control record known here.
 func (n *Node) noteTeamTakenOver() {
 	if n.teamConfig != nil {
-		n.teamConfig.config.RequireRevision(n.recordVersion)
+		n.teamConfig.config.RequireRevision(n.leadership.RecordVersion())
 	}
 }
 
@@ -183,23 +183,23 @@
 
 // configRecord is what counts of the control record known here.
 func (n *Node) configRecord() *teamconfig.ControlRecord {
-	if n.record == nil {
+	if n.leadership.Record() == nil {
 		return &teamconfig.ControlRecord{Owner: func(string) string { return "" }}
 	}
-	return &teamconfig.ControlRecord{Epoch: n.record.Epoch, Version: n.recordVersion, Members: n.record.Nodes,
-		Owner: func(team string) string { return n.record.Shards[shards.ForTeam(team)].Owner }}
+	return &teamconfig.ControlRecord{Epoch: n.leadership.Epoch(), Version: n.leadership.RecordVersion(), Members: n.leadership.Record().Nodes,
+		Owner: func(team string) string { return n.leadership.Record().Shards[shards.ForTeam(team)].Owner }}
 }
 
 // teamConfigStatus is what this controller's status says of the configuration, nil if nothing. The controller keeps to it from here on.
 func (n *Node) teamConfigStatus(now time.Time) *teamconfig.Status {
-	if n.teamConfig == nil || n.record == nil || !n.trusted() {
+	if n.teamConfig == nil || n.leadership.Record() == nil || !n.trusted() {
 		return nil
 	}
 	n.applyTeamLimits(now)
 	n.teamConfig.statusSerial++
-	w := teamconfig.Status{Serial: n.teamConfig.statusSerial, Epoch: n.epoch(), RecordVersion: n.recordVersion, KnownRevision: n.teamConfig.config.KnownRevision(), BaseDigest: n.teamConfig.baseDigest}
+	w := teamconfig.Status{Serial: n.teamConfig.statusSerial, Epoch: n.epoch(), RecordVersion: n.leadership.RecordVersion(), KnownRevision: n.teamConfig.config.KnownRevision(), BaseDigest: n.teamConfig.baseDigest}
 	for _, x := range n.teamConfig.config.NotInForce() {
-		if n.record.Shards[shards.ForTeam(x.Team)].Owner != n.name {
+		if n.leadership.Record().Shards[shards.ForTeam(x.Team)].Owner != n.name {
 			continue
 		}
 		if shard := n.shards.OfTeam(x.Team); shard == nil || !shard.IsReady() || !shard.Team().LimitsInForce() {
@@ -248,7 +248,7 @@
 		n.teamConfig.behindSince[node] = now
 	} else if now.Sub(since) > configResendInterval {
 		n.teamConfig.behindSince[node] = now
-		n.links.Send(node, kindTeamConfig, configMsg{w.Epoch, n.recordVersion, w.KnownRevision, n.teamConfig.config.KnownRevision(), n.teamConfig.config.ChangesAfter(w.KnownRevision)})
+		n.links.Send(node, kindTeamConfig, configMsg{w.Epoch, n.leadership.RecordVersion(), w.KnownRevision, n.teamConfig.config.KnownRevision(), n.teamConfig.config.ChangesAfter(w.KnownRevision)})
 	}
 }
 
@@ -257,10 +257,10 @@
 
 // onConfigChanges takes in the changes of the configuration that a peer found missing here.
 func (n *Node) onConfigChanges(m *configMsg, now time.Time) {
-	if n.teamConfig == nil || !n.trusted() || n.record == nil || m.Epoch != n.epoch() {
+	if n.teamConfig == nil || !n.trusted() || n.leadership.Record() == nil || m.Epoch != n.epoch() {
 		return
 	}
-	n.teamConfig.config.LearnMissing(m.Changes, m.After, m.Known, m.RecordVersion, n.recordVersion)
+	n.teamConfig.config.LearnMissing(m.Changes, m.After, m.Known, m.RecordVersion, n.leadership.RecordVersion())
 	n.applyTeamLimits(now)
 	n.wake()
 }
--- a/internal/controller/unreachablehomes.go
+++ b/internal/controller/unreachablehomes.go
@@ -35,7 +35,7 @@
 		Home:          home,
 		HomeConnected: p.isReachable(now),
 		HomeHeardAt:   n.machine(machine).homeHeardAt,
-		SettledAt:     n.membershipSettledAt,
+		SettledAt:     n.leadership.SettledAt(),
 	}, now)
 }
 
@@ -45,7 +45,7 @@
 func (h machineHomes) HomeOf(machine string) string { return h.n.homeOf(machine) }
 
 func (h machineHomes) ReachedHomeAt(machine string) time.Time {
-	return later(h.n.machine(machine).homeHeardAt, h.n.membershipSettledAt)
+	return later(h.n.machine(machine).homeHeardAt, h.n.leadership.SettledAt())
 }
 
 func (h machineHomes) CountOf(home string) (count int) {
@@ -89,7 +89,7 @@
 func (n *Node) agentToProbe() (addr string, due bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if n.record == nil || !slices.Contains(n.record.Unreachable, n.name) {
+	if n.leadership.Record() == nil || !slices.Contains(n.leadership.Record().Unreachable, n.name) {
 		return "", false
 	}
 	for _, m := range n.machines {
--- a/internal/controller/userbackend.go
+++ b/internal/controller/userbackend.go
@@ -68,7 +68,7 @@
 	defer n.mu.Unlock()
 	// Before the first control record no change rests on a generation, and a loss cannot be told
 	// from the deployment's beginning: nothing is accepted yet.
-	return n.watchedKeysRead && n.record != nil && n.trusted() && n.memoriesGathered(time.Now())
+	return n.watchedKeysRead && n.leadership.Record() != nil && n.trusted() && n.memoriesGathered(time.Now())
 }
 
 // Remembers gives an active job and its version in the state service, 0 if that does not have it yet.
@@ -94,7 +94,7 @@
 	}
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if !n.trusted() || !n.watchedKeysRead || n.record == nil || n.record.DataLost {
+	if !n.trusted() || !n.watchedKeysRead || n.leadership.Record() == nil || n.leadership.Record().DataLost {
 		return false
 	}
 	now := time.Now()
@@ -157,7 +157,7 @@
 	if n.machineTypes == nil {
 		return false
 	}
-	if n.lease.Valid(now) {
+	if n.leadership.HoldsLease(now) {
 		return true
 	}
 	// Without the state service nothing can be answered, but when no other controller is better off there is nobody to
