--- /dev/null
+++ b/internal/userapi/cancel.go
@@ -0,0 +1,98 @@
+package userapi
+
+import (
+	"context"
+	"encoding/json"
+	"errors"
+
+	"topazhollow/internal/httpx"
+	"topazhollow/internal/kvstore"
+	"topazhollow/internal/protocol"
+)
+
+// cancelAttempts bounds how often a cancellation is tried when the job changes in the store meanwhile.
+const cancelAttempts = 4
+
+// retryWhenUnreadableSeconds is when to come back about a job whose entry in the store cannot be read.
+const retryWhenUnreadableSeconds = 5
+
+// cancel ends a job by compare-and-swap on its entry. A job that has ended stays as it ended.
+func (h *Handler) cancel(ctx context.Context, uid string) httpx.Answer {
+	if !protocol.ValidUID(uid) {
+		return httpx.Refuse(404, "no such job")
+	}
+	ctx, cancel := context.WithTimeout(ctx, changeTimeout)
+	defer cancel()
+	for range cancelAttempts {
+		if answer, done := h.tryCancel(ctx, uid); done {
+			return answer
+		}
+	}
+	return tryAgain(1)
+}
+
+// tryCancel tries once; done is false if the job's entry changed between the read and the write.
+func (h *Handler) tryCancel(ctx context.Context, uid string) (answer httpx.Answer, done bool) {
+	if end, ok := h.KnownEnd(uid); ok {
+		return h.answerEnded(uid, end), true
+	}
+	if !h.backend.StoreTrusted() {
+		return tryAgain(1), true
+	}
+	entry, end, err := h.readJob(ctx, uid)
+	switch {
+	case err != nil:
+		return tryAgain(1), true
+	case end != nil:
+		return h.answerEnded(uid, *end), true
+	case entry == nil:
+		answer := h.answerNotInStore(ctx, uid)
+		if answer.Status == 200 {
+			return tryAgain(1), true // it is being written back, and can be cancelled then
+		}
+		return answer, true
+	}
+	var job ActiveJob
+	if err := json.Unmarshal(entry.Value, &job); err != nil || job.Spec == nil {
+		return tryAgain(retryWhenUnreadableSeconds), true
+	}
+	return h.writeCancellation(ctx, uid, entry.Version, NewJobEnd(job.Spec, protocol.Cancelled))
+}
+
+// writeCancellation replaces the entry of an active job by its end, if the entry has the version still.
+func (h *Handler) writeCancellation(
+	ctx context.Context, uid string, version uint64, end JobEnd,
+) (answer httpx.Answer, done bool) {
+	_, err := h.store.Commit(ctx, kvstore.Update{
+		Urgent:     true,
+		Conditions: []protocol.Condition{{Key: ActiveJobPrefix + uid, Version: version}},
+		Changes: []protocol.Op{
+			{Delete: ActiveJobPrefix + uid},
+			{Set: EndedJobPrefix + uid, Value: protocol.Encode(end)},
+		},
+	})
+	switch {
+	case errors.Is(err, kvstore.ErrConflict):
+		return httpx.Answer{}, false
+	case err != nil:
+		return tryAgain(1), true
+	}
+	h.RecordEnd(uid, end)
+	h.backend.JobEnded(uid, end)
+	h.backend.CopyToPeer(ctx, nil, uid, end)
+	return h.answerEnded(uid, end), true
+}
+
+// answerEnded answers that a job is cancelled or done. Whoever renews the leases of its tasks must know of a
+// cancellation that any user was told of, whoever wrote it.
+func (h *Handler) answerEnded(uid string, end JobEnd) httpx.Answer {
+	h.confirmCancellation(uid, end)
+	return httpx.Answer{Status: 200, Body: protocol.Encode(protocol.JobSummary{UID: uid, State: end.State})}
+}
+
+// confirmCancellation lets the controller take note of a cancellation before a user is told of it.
+func (h *Handler) confirmCancellation(uid string, end JobEnd) {
+	if end.State == protocol.Cancelled {
+		h.backend.ConfirmingCancellation(uid, end)
+	}
+}
