--- a/internal/kvstore/batch.go
+++ b/internal/kvstore/batch.go
@@ -12,23 +12,33 @@
 	"topazhollow/internal/settings"
 )
 
-// maxQueue bounds the updates that wait; past it they are refused at once.
-const maxQueue = 4096
+// Bounds of the batcher.
+const (
+	maxQueue               = 4096     // updates that wait; past it they are refused at once
+	maxTransactionBytes    = 48 << 10 // of the values and keys of one transaction
+	maxConditionsPerChange = 4        // conditions of a transaction, for each change that it may make
+	maxRetryBatches        = 16       // batches that wait to be queued again
 
+	// What a change and a condition take beside their text, in bytes.
+	changeOverhead    = 64
+	conditionOverhead = 48
+)
+
+// outcome is what became of an update.
 type outcome struct {
 	revision uint64
 	err      error
 }
 
+// queuedUpdate is an update with its size in bytes and the channel that its caller waits at.
 type queuedUpdate struct {
 	Update
 	size int
 	done chan outcome
 }
 
-// batcher merges queued updates that touch different keys into shared
-// transactions. When a guard fails, only the updates that carry it get the
-// conflict; the others go again.
+// batcher is the group commit: it merges queued updates that touch different keys into shared transactions. When a
+// condition does not hold, only the updates that carry it get the conflict; the others go again.
 type batcher struct {
 	client     *Client
 	maxChanges int
@@ -36,15 +46,15 @@
 	queue      chan *queuedUpdate
 	retries    chan []*queuedUpdate
 
-	mu            sync.Mutex
-	arrived       int       // changes since the last look
-	waiting       int       // changes that are not sent yet
-	urgentWaiting int       // of them those that users wait for
-	measuredAt    time.Time // at what was wanted
-	arrivalRate   float64   // at which changes came of late
+	mu            sync.Mutex // guards what is below
+	arrived       int        // changes since measuredAt
+	waiting       int        // changes that are not sent yet
+	urgentWaiting int        // of them those that users wait for
+	measuredAt    time.Time  // when arrivalRate was last brought up to date
+	arrivalRate   float64    // changes a second that arrived of late
 }
 
-// wanted is what came a second of late and what waits.
+// wantedRate is how many changes a second arrived of late, and what waits as if it were to go within a second.
 func (b *batcher) wantedRate(now time.Time) float64 {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -55,14 +65,15 @@
 	return b.arrivalRate + float64(b.waiting)
 }
 
-// count books changes that came and are still to be sent, or were sent.
-func (b *batcher) count(came, waiting int) {
+// count books changes that arrived, and the difference in how many wait to be sent.
+func (b *batcher) count(arrived, waiting int) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.arrived += came
+	b.arrived += arrived
 	b.waiting += waiting
 }
 
+// countUrgent books the changes of an update that a user waits for; sign is 1 when it is queued and -1 when it goes.
 func (b *batcher) countUrgent(p *queuedUpdate, sign int) {
 	if p.Urgent {
 		b.mu.Lock()
@@ -74,19 +85,25 @@
 func newBatcher(c *Client, limits settings.KVStore) *batcher {
 	// All controllers together may burst one second's worth: a transaction takes
 	// no more than this one's share of it.
-	return &batcher{client: c, maxChanges: min(limits.ChangesPerTransaction, c.writes.Burst()), maxBytes: 48 << 10,
-		queue: make(chan *queuedUpdate, maxQueue), retries: make(chan []*queuedUpdate, 16), measuredAt: time.Now()}
+	return &batcher{
+		client:     c,
+		maxChanges: min(limits.ChangesPerTransaction, c.writes.Burst()),
+		maxBytes:   maxTransactionBytes,
+		queue:      make(chan *queuedUpdate, maxQueue),
+		retries:    make(chan []*queuedUpdate, maxRetryBatches),
+		measuredAt: time.Now(),
+	}
 }
 
 func (b *batcher) commit(ctx context.Context, u Update) (uint64, error) {
 	p := &queuedUpdate{Update: u, done: make(chan outcome, 1)}
 	for _, o := range u.Changes {
-		p.size += len(o.Value) + len(o.Set) + len(o.Delete) + 64
+		p.size += len(o.Value) + len(o.Set) + len(o.Delete) + changeOverhead
 	}
 	for _, g := range u.Conditions {
-		p.size += len(g.Key) + 48
+		p.size += len(g.Key) + conditionOverhead
 	}
-	if len(u.Changes) > b.maxChanges || len(u.Conditions) >= 4*b.maxChanges {
+	if len(u.Changes) > b.maxChanges || len(u.Conditions) >= maxConditionsPerChange*b.maxChanges {
 		return 0, fmt.Errorf("%w: update of %d changes", ErrInvalid, len(u.Changes))
 	}
 	select {
@@ -104,53 +121,34 @@
 	}
 }
 
-// run keeps up to four transactions on their way.
+// maxInFlight is how many transactions may be on their way at the same time.
+const maxInFlight = 4
+
+// deferredCheckInterval is how often deferrable updates look for changes to spare.
+const deferredCheckInterval = 50 * time.Millisecond
+
+// run sends queued updates until the context ends.
 func (b *batcher) run(ctx context.Context) error {
-	var urgent, later []*queuedUpdate
-	slots := make(chan struct{}, 4)
+	var waiting queues
+	slots := make(chan struct{}, maxInFlight)
 	for {
-		if len(urgent) == 0 {
-			var idle <-chan time.Time
-			if len(later) > 0 {
-				idle = time.After(deferredCheckInterval)
-			}
-			select {
-			case p := <-b.queue:
-				urgent, later = enqueue(urgent, later, p)
-			case ps := <-b.retries:
-				urgent, later = enqueue(urgent, later, ps...)
-			case <-idle:
-			case <-ctx.Done():
-				return nil
-			}
+		if !b.awaitUpdates(ctx, &waiting) {
+			return nil
 		}
 		select {
 		case slots <- struct{}{}:
 		case <-ctx.Done():
 			return nil
 		}
-		urgent, later = b.takeQueued(urgent, later)
-		var batch []*queuedUpdate
-		if len(urgent) > 0 {
-			// No more than there is a rate for now: what is picked keeps what users
-			// wait for from going first.
-			batch, urgent = b.pickBatch(urgent, min(b.maxChanges, int(b.client.writes.Tokens())))
-		} else if b.client.writes.Tokens() >= float64(b.client.writes.Burst())/2 {
-			batch, later = b.pickBatch(later, b.maxChanges)
-		}
+		b.takeQueued(&waiting)
+		batch := b.nextBatch(&waiting)
 		if len(batch) == 0 {
 			<-slots
 			continue
 		}
-		writes := 0
-		for _, p := range batch {
-			writes += len(p.Changes)
-			b.countUrgent(p, -1)
-		}
-		if b.client.requests.Wait(ctx) != nil || b.client.writes.WaitN(ctx, writes) != nil {
+		if !b.awaitRates(ctx, batch) {
 			return nil
 		}
-		b.count(0, -writes)
 		go func() {
 			b.send(ctx, batch)
 			<-slots
@@ -158,138 +156,225 @@
 	}
 }
 
-// laterEvery is how often updates that may wait look for changes to spare.
-const deferredCheckInterval = 50 * time.Millisecond
+// queues are the updates that wait: deferrable ones apart, the others with urgent ones first, each in order of
+// arrival.
+type queues struct{ normal, deferrable []*queuedUpdate }
 
-// sort puts updates behind those of their kind.
-func enqueue(urgent, later []*queuedUpdate, ps ...*queuedUpdate) (u, l []*queuedUpdate) {
-	for _, p := range ps {
+// add puts updates behind those of their kind.
+func (q *queues) add(updates ...*queuedUpdate) {
+	for _, u := range updates {
 		switch {
-		case p.Deferrable:
-			later = append(later, p)
-		case p.Urgent:
-			at := slices.IndexFunc(urgent, func(q *queuedUpdate) bool { return !q.Urgent })
+		case u.Deferrable:
+			q.deferrable = append(q.deferrable, u)
+		case u.Urgent:
+			at := slices.IndexFunc(q.normal, func(other *queuedUpdate) bool { return !other.Urgent })
 			if at < 0 {
-				at = len(urgent)
+				at = len(q.normal)
 			}
-			urgent = slices.Insert(urgent, at, p)
+			q.normal = slices.Insert(q.normal, at, u)
 		default:
-			urgent = append(urgent, p)
+			q.normal = append(q.normal, u)
 		}
 	}
-	return urgent, later
 }
 
-func (b *batcher) takeQueued(urgent, later []*queuedUpdate) (u, l []*queuedUpdate) {
-	for len(urgent)+len(later) < maxQueue {
+// awaitUpdates waits until there is something to send, or until it is time to look whether deferrable updates may
+// go; it is false when the context has ended.
+func (b *batcher) awaitUpdates(ctx context.Context, waiting *queues) bool {
+	if len(waiting.normal) > 0 {
+		return true
+	}
+	var check <-chan time.Time
+	if len(waiting.deferrable) > 0 {
+		check = time.After(deferredCheckInterval)
+	}
+	select {
+	case u := <-b.queue:
+		waiting.add(u)
+	case us := <-b.retries:
+		waiting.add(us...)
+	case <-check:
+	case <-ctx.Done():
+		return false
+	}
+	return true
+}
+
+// takeQueued takes what has been queued, without waiting.
+func (b *batcher) takeQueued(waiting *queues) {
+	for len(waiting.normal)+len(waiting.deferrable) < maxQueue {
 		select {
-		case p := <-b.queue:
-			urgent, later = enqueue(urgent, later, p)
-		case ps := <-b.retries:
-			urgent, later = enqueue(urgent, later, ps...)
+		case u := <-b.queue:
+			waiting.add(u)
+		case us := <-b.retries:
+			waiting.add(us...)
 		default:
-			return urgent, later
+			return
 		}
 	}
-	return urgent, later
 }
 
-// pick takes the updates, oldest first, that fit one transaction of so many changes;
-// one at least. No two of them change the same key, and none guards a key that
-// another changes.
+// nextBatch picks what goes into the next transaction, nothing if only deferrable updates wait and there are no
+// changes to spare.
+func (b *batcher) nextBatch(waiting *queues) (batch []*queuedUpdate) {
+	writes := b.client.writes
+	if len(waiting.normal) > 0 {
+		// No more than there is a rate for now: what is picked keeps what users wait for from going first.
+		batch, waiting.normal = b.pickBatch(waiting.normal, min(b.maxChanges, int(writes.Tokens())))
+	} else if writes.Tokens() >= float64(writes.Burst())/2 {
+		batch, waiting.deferrable = b.pickBatch(waiting.deferrable, b.maxChanges)
+	}
+	return batch
+}
+
+// awaitRates waits until a batch may go by the rates; it is false when the context has ended.
+func (b *batcher) awaitRates(ctx context.Context, batch []*queuedUpdate) bool {
+	changes := 0
+	for _, u := range batch {
+		changes += len(u.Changes)
+		b.countUrgent(u, -1)
+	}
+	if b.client.requests.Wait(ctx) != nil || b.client.writes.WaitN(ctx, changes) != nil {
+		return false
+	}
+	b.count(0, -changes)
+	return true
+}
+
+// pickBatch takes the updates, oldest first, that fit one transaction of so many changes; one at least. No two of them
+// change the same key, and none has a condition on a key that another changes.
 func (b *batcher) pickBatch(waiting []*queuedUpdate, most int) (batch, rest []*queuedUpdate) {
-	changed, guarded := map[string]bool{}, map[string]uint64{}
-	ops, guards, size := 0, 0, 0
-	for i, p := range waiting {
-		fits := ops+len(p.Changes) <= most && guards+len(p.Conditions) < 4*b.maxChanges && size+p.size <= b.maxBytes
+	picked := keySet{changed: map[string]bool{}, compared: map[string]uint64{}}
+	changes, conditions, size := 0, 0, 0
+	for i, u := range waiting {
+		fits := changes+len(u.Changes) <= most &&
+			conditions+len(u.Conditions) < maxConditionsPerChange*b.maxChanges &&
+			size+u.size <= b.maxBytes
 		if len(batch) > 0 && !fits {
 			return batch, append(rest, waiting[i:]...)
 		}
-		clash := false
-		for _, o := range p.Changes {
-			key := o.Set + o.Delete
-			_, g := guarded[key]
-			clash = clash || changed[key] || g
-		}
-		for _, g := range p.Conditions {
-			v, seen := guarded[g.Key]
-			clash = clash || changed[g.Key] || (seen && v != g.Version)
-		}
-		if clash {
-			rest = append(rest, p)
+		if picked.clashes(u) {
+			rest = append(rest, u)
 			continue
 		}
-		for _, o := range p.Changes {
-			changed[o.Set+o.Delete] = true
+		picked.add(u)
+		changes, conditions, size = changes+len(u.Changes), conditions+len(u.Conditions), size+u.size
+		batch = append(batch, u)
+	}
+	return batch, rest
+}
+
+// keySet holds the keys that a transaction changes and compares, the latter with the versions.
+type keySet struct {
+	changed  map[string]bool
+	compared map[string]uint64
+}
+
+// clashes says whether an update cannot share the transaction.
+func (k *keySet) clashes(u *queuedUpdate) bool {
+	for _, change := range u.Changes {
+		key := change.Set + change.Delete
+		if _, compared := k.compared[key]; compared || k.changed[key] {
+			return true
 		}
-		for _, g := range p.Conditions {
-			guarded[g.Key] = g.Version
+	}
+	for _, c := range u.Conditions {
+		version, compared := k.compared[c.Key]
+		if k.changed[c.Key] || (compared && version != c.Version) {
+			return true
 		}
-		ops, guards, size = ops+len(p.Changes), guards+len(p.Conditions), size+p.size
-		batch = append(batch, p)
 	}
-	return batch, rest
+	return false
 }
 
+func (k *keySet) add(u *queuedUpdate) {
+	for _, change := range u.Changes {
+		k.changed[change.Set+change.Delete] = true
+	}
+	for _, c := range u.Conditions {
+		k.compared[c.Key] = c.Version
+	}
+}
+
+// send commits a batch and gives each update its outcome. Updates whose conditions did not fail, in a transaction
+// where others' did, are queued again.
 func (b *batcher) send(ctx context.Context, batch []*queuedUpdate) {
-	var t protocol.Txn
 	fence, open := b.client.fence.updateCondition()
 	if !open {
-		for _, p := range batch {
-			p.done <- outcome{0, ErrUpdatesHeld}
-		}
+		answerAll(batch, outcome{0, ErrUpdatesHeld})
 		return
 	}
-	if fence.Key != "" {
-		t.Conditions = append(t.Conditions, fence)
-	}
-	seen := map[string]bool{fence.Key: true}
-	for _, p := range batch {
-		for _, g := range p.Conditions {
-			if !seen[g.Key] {
-				seen[g.Key] = true
-				t.Conditions = append(t.Conditions, g)
-			}
-		}
-		t.Then = append(t.Then, p.Changes...)
-	}
-	revision, failed, err := b.client.txn(ctx, b.client.calls, t)
+	revision, failed, err := b.client.txn(ctx, b.client.calls, transactionOf(batch, fence))
 	if fence.Key != "" && errors.Is(err, ErrConflict) && slices.Contains(failed, fence.Key) {
 		err = ErrUpdatesHeld // not executed, and nothing under this fence will be
 		b.client.fence.reportDataLoss("the generation's key is gone")
 	}
 	var again []*queuedUpdate
-	for _, p := range batch {
-		o := outcome{revision, err}
+	for _, u := range batch {
+		result := outcome{revision, err}
 		if errors.Is(err, ErrConflict) {
-			var keys []string
-			for _, g := range p.Conditions {
-				if slices.Contains(failed, g.Key) {
-					keys = append(keys, g.Key)
-				}
-			}
+			keys := u.failedKeys(failed)
 			if keys == nil {
-				again = append(again, p)
+				again = append(again, u)
 				continue
 			}
-			o.err = &ConflictError{keys}
+			result.err = &ConflictError{keys}
 		}
-		p.done <- o
+		u.done <- result
 	}
 	if len(again) == len(batch) {
-		for _, p := range again { // the answer names none of our guards
-			p.done <- outcome{0, ErrInvalid}
-		}
+		answerAll(again, outcome{0, ErrInvalid}) // the answer names none of our conditions
 		return
 	}
-	if len(again) > 0 {
-		for _, p := range again {
-			b.count(0, len(p.Changes))
-			b.countUrgent(p, 1)
+	b.queueAgain(ctx, again)
+}
+
+func answerAll(updates []*queuedUpdate, result outcome) {
+	for _, u := range updates {
+		u.done <- result
+	}
+}
+
+// transactionOf joins updates, each condition once, behind the fence if there is one.
+func transactionOf(batch []*queuedUpdate, fence protocol.Condition) protocol.Txn {
+	var t protocol.Txn
+	if fence.Key != "" {
+		t.Conditions = append(t.Conditions, fence)
+	}
+	seen := map[string]bool{fence.Key: true}
+	for _, u := range batch {
+		for _, c := range u.Conditions {
+			if !seen[c.Key] {
+				seen[c.Key] = true
+				t.Conditions = append(t.Conditions, c)
+			}
 		}
-		select {
-		case b.retries <- again:
-		case <-ctx.Done():
+		t.Then = append(t.Then, u.Changes...)
+	}
+	return t
+}
+
+// failedKeys are the update's own keys among those whose conditions did not hold, nil if there is none.
+func (u *queuedUpdate) failedKeys(failed []string) (keys []string) {
+	for _, c := range u.Conditions {
+		if slices.Contains(failed, c.Key) {
+			keys = append(keys, c.Key)
 		}
 	}
+	return keys
+}
+
+// queueAgain queues updates that were not executed through no fault of theirs.
+func (b *batcher) queueAgain(ctx context.Context, again []*queuedUpdate) {
+	if len(again) == 0 {
+		return
+	}
+	for _, u := range again {
+		b.count(0, len(u.Changes))
+		b.countUrgent(u, 1)
+	}
+	select {
+	case b.retries <- again:
+	case <-ctx.Done():
+	}
 }
--- a/internal/kvstore/fence.go
+++ b/internal/kvstore/fence.go
@@ -7,21 +7,20 @@
 	"topazhollow/internal/protocol"
 )
 
-// fence keeps a controller from relying on a state service that has lost what it
-// acknowledged. The service counts its changes: an answer to a request that was sent
-// after a revision was seen tells that revision or a later one, or the service went back.
-// Changes made under an earlier generation meet a guard on a key that only the present
-// one has.
+// fence keeps a controller from relying on a store that has lost what it acknowledged. The store counts its changes:
+// the answer to a request that was sent after an answer with some revision carries that revision or a later one, or
+// the store went back. Updates made for an earlier epoch of the store's data fail on a condition on a key that only the
+// present one has.
 type fence struct {
-	mu         sync.Mutex
-	epoch      uint64 // of what is seen: each begins when all is read anew
-	highest    uint64
-	held       bool
-	condition  protocol.Condition
-	onDataLoss func(string)
+	mu         sync.Mutex         // guards what is below
+	epoch      uint64             // counts the calls of ForgetRevisions
+	highest    uint64             // revision of any answer in this epoch
+	held       bool               // all updates are refused
+	condition  protocol.Condition // of every update; no key if there is none
+	onDataLoss func(reason string)
 }
 
-// mark is what was seen when a request was sent.
+// revisionMark is the highest revision known when a request was sent.
 type revisionMark struct{ epoch, highest uint64 }
 
 func (f *fence) mark() revisionMark {
@@ -30,6 +29,7 @@
 	return revisionMark{f.epoch, f.highest}
 }
 
+// observe takes in the revision of an answer.
 func (f *fence) observe(at revisionMark, revision uint64) error {
 	f.mu.Lock()
 	stale, wentBack := at.epoch != f.epoch, revision < at.highest
@@ -39,7 +39,7 @@
 	f.mu.Unlock()
 	switch {
 	case stale:
-		return ErrUnknown // of a store that is no longer the one known
+		return ErrUnknown // the request was sent before ForgetRevisions
 	case wentBack:
 		f.reportDataLoss("revision lower than one seen")
 		return ErrRevisionWentBack
@@ -47,6 +47,7 @@
 	return nil
 }
 
+// reportDataLoss calls what OnDataLoss has set, without the lock.
 func (f *fence) reportDataLoss(sign string) {
 	f.mu.Lock()
 	report := f.onDataLoss
@@ -56,29 +57,29 @@
 	}
 }
 
-// guarded gives the guard that every update carries, or false while all are held back.
+// updateCondition is the condition that every update carries; open is false while all updates are held back.
 func (f *fence) updateCondition() (g protocol.Condition, open bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.condition, !f.held
 }
 
-// OnSign has f told of signs that the service lost data. It must not block.
+// OnDataLoss has f called with the reason whenever an answer shows that the store lost data. f must not block.
 func (c *Client) OnDataLoss(f func(sign string)) {
 	c.fence.mu.Lock()
 	defer c.fence.mu.Unlock()
 	c.fence.onDataLoss = f
 }
 
-// Hold refuses all updates until Fence, or lets them go again.
+// HoldUpdates has all updates refused with ErrUpdatesHeld until SetFence, or lets them go again.
 func (c *Client) HoldUpdates(on bool) {
 	c.fence.mu.Lock()
 	defer c.fence.mu.Unlock()
 	c.fence.held = on
 }
 
-// Anew forgets the revisions seen, to read a service that went back. Answers to requests
-// sent before count for nothing.
+// ForgetRevisions forgets the highest revision, so that a store that went back can be read. Answers to requests sent
+// before count for nothing.
 func (c *Client) ForgetRevisions() {
 	c.fence.mu.Lock()
 	defer c.fence.mu.Unlock()
@@ -86,18 +87,20 @@
 	c.fence.highest = 0
 }
 
-// Seen is the highest revision of an answer.
+// LastRevision is the highest revision of an answer.
 func (c *Client) LastRevision() uint64 { return c.fence.mark().highest }
 
-// Fence has every update carry a guard, and lets updates go.
+// SetFence has every update carry a condition, and lets updates go.
 func (c *Client) SetFence(g protocol.Condition) {
 	c.fence.mu.Lock()
 	defer c.fence.mu.Unlock()
 	c.fence.condition, c.fence.held = g, false
 }
 
-// Compare asks whether keys have these versions, and for the revision. It names those that
-// don't, and is not paced.
-func (c *Client) CompareVersions(ctx context.Context, guards []protocol.Condition) (revision uint64, failed []string, err error) {
-	return c.CommitControl(ctx, protocol.Txn{Conditions: guards})
+// CompareVersions asks whether keys have these versions, and for the revision. It names those that do not, and is not
+// paced.
+func (c *Client) CompareVersions(
+	ctx context.Context, conditions []protocol.Condition,
+) (revision uint64, failed []string, err error) {
+	return c.CommitControl(ctx, protocol.Txn{Conditions: conditions})
 }
--- a/internal/kvstore/kvstore.go
+++ b/internal/kvstore/kvstore.go
@@ -1,6 +1,13 @@
-// Package kvstore is the client of the region's state service: paced by the share
-// of its rates that one controller has, with group commits of independent
-// updates.
+// Package kvstore is the client of the region's consensus-backed key-value store.
+//
+// Reads and updates are paced by one controller's share of the store's rates; leases and the control record have a
+// part of the rates kept for them and are not paced. Update is a compare-and-swap: it is committed whole or not at
+// all. Updates that touch different keys share transactions (batch.go, a group commit). Updates carry a fence, a
+// condition on a key that only the present epoch of the store's data has, and every answer's revision is compared
+// with those before it, so that a store that lost what it acknowledged is noticed and not written to (fence.go).
+//
+// The package decides nothing about jobs or machines and keeps no copy of the data. A Client may be used by several
+// goroutines at once.
 package kvstore
 
 import (
@@ -20,19 +27,20 @@
 	"topazhollow/internal/settings"
 )
 
-// Errors that callers tell apart.
+// Errors that callers tell apart, with errors.Is. After ErrUnknown and ErrRevisionWentBack a change may have been made
+// or be made later; after the others it was not.
 var (
 	ErrConflict         = errors.New("state: a guard did not hold")
-	ErrRefused          = errors.New("state: not executed")            // 429, 503 or never sent
-	ErrUnknown          = errors.New("state: no answer")               // may have been or yet be executed
-	ErrLeaseExpired     = errors.New("state: no such lease")           // the lease has ended
-	ErrCompacted        = errors.New("state: watch fell too far back") // read again
+	ErrRefused          = errors.New("state: not executed")            // status 429 or 503, or never sent
+	ErrUnknown          = errors.New("state: no answer")               // may have been executed, or be executed yet
+	ErrLeaseExpired     = errors.New("state: no such lease")           // the lease has expired
+	ErrCompacted        = errors.New("state: watch fell too far back") // read the keys again
 	ErrInvalid          = errors.New("state: malformed request or answer")
 	ErrRevisionWentBack = fmt.Errorf("%w that counts: the service went back", ErrUnknown)
 	ErrUpdatesHeld      = fmt.Errorf("%w: held back here", ErrRefused)
 )
 
-// Conflict is an ErrConflict that names the keys whose guards did not hold.
+// ConflictError is an ErrConflict that names the keys whose conditions did not hold.
 type ConflictError struct{ Keys []string }
 
 func (c *ConflictError) Error() string {
@@ -42,20 +50,20 @@
 // Is makes it an ErrConflict.
 func (c *ConflictError) Is(target error) bool { return target == ErrConflict }
 
-// timeout bounds one call; longPoll is how long a watch waits.
+// timeout bounds one call, LongPoll is how long a watch waits for a change.
 const (
 	timeout  = 2 * time.Second
 	LongPoll = 10 * time.Second
 )
 
-// Client talks to the state service.
+// Client talks to the key-value store.
 type Client struct {
 	calls    *httpx.Pool
 	control  *httpx.Pool
 	watch    *httpx.Pool
 	requests *rate.Limiter
 	writes   *rate.Limiter
-	evenRate float64 // changes a second, if all controllers had as many
+	evenRate float64 // changes a second, if all controllers had the same
 	batcher  *batcher
 	fence    fence
 }
@@ -76,12 +84,12 @@
 	return c
 }
 
-// Wanted is how many changes a second this controller would make: those that came
-// of late, and those that wait, within a second. It is to be called regularly.
+// WantedRate is how many changes a second this controller would make: those that came of late, and those that wait,
+// within a second. It is to be called regularly.
 func (c *Client) WantedRate(now time.Time) float64 { return c.batcher.wantedRate(now) }
 
-// Pressure tells how long what users wait for takes to be sent at the present rate, and that
-// rate, in changes a second.
+// UrgentDelay is how long what users wait for takes to be sent at the present rate, and that rate, in changes a
+// second.
 func (c *Client) UrgentDelay() (wait time.Duration, rate float64) {
 	c.batcher.mu.Lock()
 	soon := c.batcher.urgentWaiting
@@ -93,14 +101,14 @@
 	return time.Duration(max(0, float64(soon)-max(0, c.writes.Tokens())) / rate * float64(time.Second)), rate
 }
 
-// Share takes what the other controllers leave of the rate of changes: wanted is
-// what each of them wants, or a negative number if that is not known.
+// SetRateByDemand takes what the other controllers leave of the rate of changes: wanted is what each of them wants, in
+// changes a second, or a negative number if that is not known.
 func (c *Client) SetRateByDemand(wanted []float64) {
 	c.writes.SetLimit(rate.Limit(fairShare(c.evenRate, wanted)))
 }
 
-// share is an even share and what others leave of theirs, less a margin for what
-// they may want before they say so. Two controllers in need part it alike.
+// fairShare is an even share and what others leave of theirs, less a margin for what they may want before they say
+// so. Controllers that want more than an even share part what is left alike.
 func fairShare(even float64, wanted []float64) float64 {
 	left, needy := 0.0, 1.0
 	for _, w := range wanted {
@@ -116,7 +124,10 @@
 // Run serves queued updates until the context ends.
 func (c *Client) Run(ctx context.Context) error { return c.batcher.run(ctx) }
 
-func (c *Client) do(ctx context.Context, pool *httpx.Pool, method, target string, body []byte, wait time.Duration) (*httpx.Response, error) {
+// do sends a request and maps what went wrong to the errors above.
+func (c *Client) do(
+	ctx context.Context, pool *httpx.Pool, method, target string, body []byte, wait time.Duration,
+) (*httpx.Response, error) {
 	resp, sent, err := pool.Do(ctx, method, target, body, wait)
 	switch {
 	case err != nil && !sent:
@@ -229,7 +240,9 @@
 	return c.changes(ctx, c.calls, prefix, after, 0)
 }
 
-func (c *Client) changes(ctx context.Context, pool *httpx.Pool, prefix string, after uint64, wait time.Duration) (*protocol.Changes, error) {
+func (c *Client) changes(
+	ctx context.Context, pool *httpx.Pool, prefix string, after uint64, wait time.Duration,
+) (*protocol.Changes, error) {
 	if err := c.requests.Wait(ctx); err != nil {
 		return nil, ErrRefused
 	}
@@ -250,8 +263,9 @@
 	return &ch, c.fence.observe(at, ch.Revision)
 }
 
-// TxnControl commits a transaction without pacing, for leases and the control
-// record. The result is the new revision.
+// CommitControl commits a transaction without pacing, for leases and the control
+// record. It gives the new revision, or with ErrConflict the
+// keys whose conditions did not hold.
 func (c *Client) CommitControl(ctx context.Context, t protocol.Txn) (uint64, []string, error) {
 	return c.txn(ctx, c.control, t)
 }
@@ -289,9 +303,10 @@
 	return 0, nil, fmt.Errorf("%w: status %d %.200s", ErrInvalid, resp.Status, resp.Body)
 }
 
-// Grant takes a lease.
+// GrantLease takes a lease that expires after a time unless it is renewed.
 func (c *Client) GrantLease(ctx context.Context, life time.Duration) (uint64, error) {
-	resp, err := c.do(ctx, c.control, "POST", "/grants", protocol.Encode(protocol.LeaseRequest{TTLMillis: life.Milliseconds()}), timeout)
+	body := protocol.Encode(protocol.LeaseRequest{TTLMillis: life.Milliseconds()})
+	resp, err := c.do(ctx, c.control, "POST", "/grants", body, timeout)
 	if err != nil {
 		return 0, err
 	}
@@ -299,7 +314,7 @@
 	return g.Lease, decode(resp, &g)
 }
 
-// Extend renews a lease. ErrNoLease means that it has ended.
+// RenewLease renews a lease. ErrLeaseExpired means that it has ended.
 func (c *Client) RenewLease(ctx context.Context, lease uint64) error {
 	resp, err := c.do(ctx, c.control, "POST", "/grants/"+strconv.FormatUint(lease, 10)+"/extend", []byte("{}"), timeout)
 	if err != nil {
@@ -314,16 +329,17 @@
 	return nil
 }
 
-// Update is one independent change: it is committed whole or not at all, in a
-// transaction that others may share.
+// Update is a compare-and-swap: if its conditions hold, all its changes are made, else none. Other updates may share
+// its transaction.
 type Update struct {
 	Conditions []protocol.Condition
 	Changes    []protocol.Op
-	Urgent     bool // a user waits for it: goes before others
-	Deferrable bool // may wait for others: it takes only changes that nobody else needs
+	Urgent     bool // a user waits for it: it goes before others
+	Deferrable bool // it takes only changes of the rate that nothing else needs
 }
 
-// Commit queues an update and waits for its outcome.
+// Commit queues an update and waits for its outcome: the revision, or an error of those above. A conflict is a
+// *ConflictError.
 func (c *Client) Commit(ctx context.Context, u Update) (revision uint64, err error) {
 	return c.batcher.commit(ctx, u)
 }
--- a/internal/kvstore/share_test.go
+++ b/internal/kvstore/share_test.go
@@ -60,14 +60,15 @@
 // hundreds of small jobs that took seconds. Among their kind updates keep their order.
 func TestUsersGoFirst(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 9))
-	var urgent, later []*queuedUpdate
+	var waiting queues
 	came := map[*queuedUpdate]int{}
 	for i := range 200 {
 		p := &queuedUpdate{Update: Update{Urgent: rng.IntN(3) == 0}}
 		p.Deferrable = !p.Urgent && rng.IntN(3) == 0
 		came[p] = i
-		urgent, later = enqueue(urgent, later, p)
+		waiting.add(p)
 	}
+	urgent, later := waiting.normal, waiting.deferrable
 	if len(urgent)+len(later) != 200 || len(later) == 0 {
 		t.Fatalf("%d and %d of 200", len(urgent), len(later))
 	}
