--- a/internal/controller/autoscaling.go
+++ b/internal/controller/autoscaling.go
@@ -203,14 +203,10 @@
 
 // removeGoneMachines takes gone machines off the roster, one batch of writes at a time.
 func (n *Node) removeGoneMachines() {
-	if n.removingGone {
-		return
-	}
-	writes := n.planDeregistration()
+	writes := n.registration.BeginRemoval(n.roster, n.isGone)
 	if len(writes) == 0 {
 		return
 	}
-	n.removingGone = true
 	n.group.Go(func() error {
 		n.deregisterMachines(n.ctx, writes)
 		return nil
--- a/internal/controller/heartbeat.go
+++ b/internal/controller/heartbeat.go
@@ -144,7 +144,7 @@
 	m := n.machine(h.Machine)
 	m.heardAt, m.homeHeardAt, m.homeWatermark = now, now, now
 	if !n.roster.Has(h.Machine) {
-		n.unregistered[h.Machine] = true
+		n.registration.Want(h.Machine)
 		n.checkUnregistered(h, m, now)
 	}
 	if changed || m.status == nil {
--- a/internal/controller/node.go
+++ b/internal/controller/node.go
@@ -78,7 +78,7 @@
 	watchedKeysRead  bool         // the watched keys were read
 	followedRevision uint64       // of the state service, up to which the watched keys are known
 	syncWaiters      []chan error // those who wait for a read of the changes
-	endLookups       map[string]bool
+	endLookUps       *agents.EndLookUps
 	cancelWatermark  *cancelwatermark.Watermark // up to when all confirmed withdrawals are known here
 	recovery         *recoveryState             // what is known of the state service, and must outlive it
 
@@ -97,8 +97,7 @@
 	machinesByJob    map[string]map[string]bool // by job, the machines that list any task of it
 	machineTypes     []protocol.MachineType
 	roster           *agents.Roster
-	unregistered     map[string]bool // machines to be registered
-	removingGone     bool            // gone machines are being taken off the roster
+	registration     *agents.Registration
 	agents           *agents.Registry
 	commandSenders   map[string]*commandSender
 	changedMachines  map[string]bool // machines whose view is to be told to peers
@@ -206,7 +205,7 @@
 	n.quarantine = quarantine.New()
 	n.machines = map[string]*machine{}
 	n.machinesByJob = map[string]map[string]bool{}
-	n.unregistered = map[string]bool{}
+	n.registration = agents.NewRegistration()
 	n.changedMachines = map[string]bool{}
 	n.drainingMachines = map[string]bool{}
 	n.unreachableHomes = agents.NewUnreachableHomes(agentTiming(n.settings))
@@ -217,7 +216,7 @@
 func (n *Node) newScheduling() {
 	n.shards = shards.NewRegistry()
 	n.jobs = map[string]*job{}
-	n.endLookups = map[string]bool{}
+	n.endLookUps = agents.NewEndLookUps()
 	n.evictions = map[jobstate.AttemptRef]eviction{}
 	n.admission = newAdmissionState(n.options)
 	n.startLatency = hdrhistogram.New(1, time.Hour.Milliseconds(), 2)
--- a/internal/controller/reconcile.go
+++ b/internal/controller/reconcile.go
@@ -51,10 +51,10 @@
 	return &protocol.Submission{UID: uid, Team: end.Team, Tasks: end.Tasks, CPUs: end.CPUs, GPUs: end.GPUs, MemoryGB: end.MemoryGB}
 }
 
-// sized says whether it is known what a job's tasks take.
+// hasSize says whether it is known what a job's tasks take.
 func hasSize(spec *protocol.Submission) bool { return spec.CPUs > 0 || spec.GPUs > 0 }
 
-// oldestUnknown is the earliest term of the listed attempts whose jobs nobody here can describe; the greatest
+// oldestUnknownTerm returns the earliest term of the listed attempts whose jobs nobody here can describe; the greatest
 // number if there are none.
 func (n *Node) oldestUnknownTerm(v *jobstate.MachineStatus) uint64 {
 	oldest := uint64(math.MaxUint64)
@@ -78,22 +78,14 @@
 	}
 }
 
-const (
-	// lookUpAgain is after what time a job that was not found, or not with its size, is looked up again.
-	lookUpRetryAfter = 10 * time.Second
-	// maxLookUps bounds the look-ups under way.
-	maxLookUps = 64
-)
-
-// lookUp learns what became of a job that a machine lists and that this controller can't describe.
+// lookUpEnd learns what became of a job that a machine lists and that this controller can't describe.
 func (n *Node) lookUpEnd(uid string, attempt uint64) {
 	if j := n.jobs[uid]; j != nil && (j.active || hasSize(j.spec)) {
 		return
 	}
-	if n.endLookups[uid] || len(n.endLookups) >= maxLookUps || time.Since(n.recovery.jobNotFoundAt[uid]) < lookUpRetryAfter {
+	if !n.endLookUps.Begin(uid, time.Now()) {
 		return
 	}
-	n.endLookups[uid] = true
 	n.group.Go(func() error {
 		end, found, absent := n.front.LookUpEndOrAbsence(n.ctx, uid)
 		if found && end.CPUs == 0 && end.GPUs == 0 {
@@ -103,7 +95,7 @@
 		}
 		n.mu.Lock()
 		defer n.mu.Unlock()
-		delete(n.endLookups, uid)
+		n.endLookUps.Finish(uid)
 		if found {
 			n.applyLookedUpEnd(uid, end)
 		} else {
@@ -113,7 +105,7 @@
 	})
 }
 
-// learnEnd takes in the end of a job that was looked up.
+// applyLookedUpEnd takes in the end of a job that was looked up.
 func (n *Node) applyLookedUpEnd(uid string, end userapi.JobEnd) {
 	spec := endedSpec(uid, end)
 	j := n.jobs[uid]
@@ -124,17 +116,17 @@
 		j.spec = spec
 	}
 	if !hasSize(spec) {
-		n.recovery.jobNotFoundAt[uid] = time.Now()
+		n.endLookUps.Fail(uid, time.Now())
 	}
 	n.reobserveReserved(uid)
 }
 
-// notFound books that a job has no end in the state service; absent: it is surely not there as active either.
+// recordEndNotFound notes that a job has no end in the state service; absent: it is surely not there as active either.
 func (n *Node) recordEndNotFound(uid string, attempt uint64, absent bool) {
 	if n.jobs[uid] != nil {
 		return
 	}
-	n.recovery.jobNotFoundAt[uid] = time.Now()
+	n.endLookUps.Fail(uid, time.Now())
 	if absent && n.leadership.Record() != nil && (n.leadership.Epoch() == 1 || jobstate.TermOf(attempt) >= n.leadership.Record().FirstTerm) {
 		// A task is started only for a job that was accepted, and an accepted job has one key or the other for ever.
 		n.proveLoss(datarecovery.ProofUnknownJob)
--- a/internal/controller/recovery.go
+++ b/internal/controller/recovery.go
@@ -26,7 +26,6 @@
 	ownKeyOutdated chan struct{}      // wakes the duty that renews the lease
 	restartWatch   context.CancelFunc // ends the watch that is open
 
-	jobNotFoundAt map[string]time.Time // jobs that machines list and nobody can describe
 }
 
 func newRecoveryState(s *settings.Settings, incarnation uint64, leaseLife time.Duration) *recoveryState {
@@ -41,7 +40,6 @@
 		census:         datarecovery.NewCensus(),
 		facts:          factReplication{waiting: map[uint64]chan struct{}{}},
 		ownKeyOutdated: make(chan struct{}, 1),
-		jobNotFoundAt:  map[string]time.Time{},
 	}
 }
 
@@ -107,9 +105,7 @@
 	if !n.trusted() || n.leadership.Record() == nil {
 		return
 	}
-	if len(n.recovery.jobNotFoundAt) > maxJobsNotFound {
-		clear(n.recovery.jobNotFoundAt) // only spares looking the same job up again
-	}
+	n.endLookUps.ForgetFailures(maxJobsNotFound) // they only spare looking the same job up again
 	n.recovery.gathering.ExpireProposedJobs(now)
 	if n.recovery.gathering.SendDue(now, func() bool { return n.allPeersExchanged(now) }) {
 		n.sendMemories(true, n.peerNames()...)
--- a/internal/controller/recovery_census.go
+++ b/internal/controller/recovery_census.go
@@ -61,7 +61,7 @@
 		listed = append(listed, h.UID)
 		addrs[h.UID] = h
 		if n.shards.OwnsFleet() && !n.roster.Has(h.UID) {
-			n.unregistered[h.UID] = true
+			n.registration.Want(h.UID)
 		}
 	}
 	n.recovery.census.Take(listed)
@@ -100,7 +100,7 @@
 		return n.roster.Has(name) || (m != nil && m.gone)
 	}
 	if name, found := n.recovery.census.Unaccounted(accounted); found {
-		n.unregistered[name] = true
+		n.registration.Want(name)
 		return false
 	}
 	return true
--- a/internal/controller/recovery_epoch.go
+++ b/internal/controller/recovery_epoch.go
@@ -161,7 +161,7 @@
 	n.unreachableHomes.ForgetAttempts()
 	for name := range n.recovery.census.Remembered() {
 		if record.Home(name) == n.name {
-			n.unregistered[name] = true
+			n.registration.Want(name)
 		}
 	}
 }
--- a/internal/controller/registration.go
+++ b/internal/controller/registration.go
@@ -4,7 +4,6 @@
 	"context"
 	"encoding/json"
 	"errors"
-	"slices"
 	"time"
 
 	"topazhollow/internal/agents"
@@ -14,15 +13,14 @@
 	"topazhollow/internal/settings"
 )
 
-// enrolEvery is the least time between two writes of new machines: those that
-// report meanwhile share one.
+// registerInterval is the least time between two writes of new machines: those whose heartbeats come meanwhile share one.
 const registerInterval = 250 * time.Millisecond
 
 func newRoster(s *settings.Settings) *agents.Roster {
 	return agents.NewRoster(maxValueBytes(s.Deployment.KVStore))
 }
 
-// learnRoster takes in a key that lists registered machines.
+// applyRosterList takes in a key that lists registered machines.
 func (n *Node) applyRosterList(key string, value json.RawMessage, version uint64) {
 	list, err := agents.DecodeRosterValue(value)
 	if err != nil {
@@ -38,7 +36,7 @@
 	}
 	for _, name := range added {
 		n.machine(name)
-		delete(n.unregistered, name)
+		n.registration.Done(name)
 	}
 	for _, name := range removed {
 		n.machineGone(name)
@@ -48,83 +46,70 @@
 	}
 }
 
-// enrol registers the machines that report here. Every machine that may get a
-// start is in the state service first, so that an owner without memory knows
-// whom to wait for.
+// isGone says whether the cloud confirmed a machine's end.
+func (n *Node) isGone(machine string) bool {
+	m := n.machines[machine]
+	return m != nil && m.gone
+}
+
+// registerMachines registers the machines whose agents have this controller as their home.
 func (n *Node) registerMachines(ctx context.Context) error {
 	for sleep(ctx, registerInterval) {
 		n.mu.Lock()
-		var names []string
-		for name := range n.unregistered {
-			if n.roster.Has(name) || n.machine(name).gone {
-				delete(n.unregistered, name)
-			} else {
-				names = append(names, name)
-			}
-		}
-		var w agents.RosterWrite
-		if len(names) > 0 {
-			slices.Sort(names)
-			w = n.roster.PlanRegistration(machineKey+n.name+"/", names)
-		}
+		w, due := n.registration.Next(n.roster, machineKey+n.name+"/", func(machine string) bool {
+			return n.machine(machine).gone
+		})
 		n.mu.Unlock()
-		if len(names) > 0 {
+		if due {
 			n.writeRoster(ctx, w)
 		}
 	}
 	return nil
 }
 
-// strike takes machines that are gone off the roster, which tells every
-// controller. The fleet's owner does it.
+// deregisterMachines takes machines that are gone off the roster, which tells every controller. The fleet's owner does
+// it.
 func (n *Node) deregisterMachines(ctx context.Context, writes []agents.RosterWrite) {
 	for _, w := range writes {
 		n.writeRoster(ctx, w)
 	}
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.removingGone = false
-}
-
-// unstruck plans the writes that take gone machines off the roster.
-func (n *Node) planDeregistration() []agents.RosterWrite {
-	gone := map[string]bool{}
-	for _, name := range n.roster.All() {
-		if m := n.machines[name]; m != nil && m.gone {
-			gone[name] = true
-		}
-	}
-	if len(gone) == 0 {
-		return nil
-	}
-	return n.roster.PlanDeregistration(gone)
+	n.registration.FinishRemoval()
 }
 
+// writeRoster makes a write, and takes in what the key has then.
 func (n *Node) writeRoster(ctx context.Context, w agents.RosterWrite) {
 	value := protocol.Encode(w.Value())
 	revision, err := n.kvStore.Commit(ctx, kvstore.Update{
-		Conditions: []protocol.Condition{{Key: w.Key, Version: w.Version}}, Changes: []protocol.Op{{Set: w.Key, Value: value}}})
+		Conditions: []protocol.Condition{{Key: w.Key, Version: w.Version}},
+		Changes:    []protocol.Op{{Set: w.Key, Value: value}},
+	})
 	if err != nil {
 		n.log.Debug("roster not written yet", "key", w.Key, "err", err)
 		if errors.Is(err, kvstore.ErrRefused) {
 			return
 		}
-		// Another controller wrote it, or the outcome is open: read it.
-		e, err := n.kvStore.Get(ctx, w.Key)
-		if err != nil {
-			return
-		}
-		if e == nil {
-			n.mu.Lock()
-			defer n.mu.Unlock()
-			if v := n.roster.Versions()[w.Key]; v > 0 && v == w.Version {
-				n.suspectLoss(datarecovery.SignRosterGone)
-			}
-			return
-		}
-		value, revision = e.Value, e.Version
+		// Another controller wrote it, or the outcome is open.
+		n.readRosterList(ctx, w)
+		return
 	}
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.applyRosterList(w.Key, value, revision)
 }
+
+// readRosterList reads a key whose write had no certain outcome.
+func (n *Node) readRosterList(ctx context.Context, w agents.RosterWrite) {
+	entry, err := n.kvStore.Get(ctx, w.Key)
+	if err != nil {
+		return
+	}
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	if entry != nil {
+		n.applyRosterList(w.Key, entry.Value, entry.Version)
+	} else if known := n.roster.Versions()[w.Key]; known > 0 && known == w.Version {
+		n.suspectLoss(datarecovery.SignRosterGone)
+	}
+}
--- a/internal/controller/userbackend.go
+++ b/internal/controller/userbackend.go
@@ -99,7 +99,7 @@
 	}
 	now := time.Now()
 	heartbeats := 2*settings.Seconds(n.settings.Deployment.Agents.HeartbeatSeconds) + time.Second
-	return n.memoriesGathered(now) && n.allPeersExchanged(now) && len(n.endLookups) == 0 && now.Sub(n.startedAt) > heartbeats
+	return n.memoriesGathered(now) && n.allPeersExchanged(now) && n.endLookUps.Open() == 0 && now.Sub(n.startedAt) > heartbeats
 }
 
 // Missing has the store looked at before it is doubted: what looks like a loss is far more
