--- a/internal/admission/divide.go
+++ b/internal/admission/divide.go
@@ -88,53 +88,61 @@
 // FairShares divides CPUs among the keys: first each team gets what it asks for within its guaranteed quota, then the rest
 // goes by weight, and within a team by weight among its classes.
 func FairShares(cpus float64, needs []Need, teams map[string]Quota, w *Weights) map[Key]float64 {
-	var names []string
-	by := map[string][]Need{}
-	for _, n := range needs {
-		if n.total() <= 0 {
-			continue
+	byTeam := needsByTeam(needs)
+	names := slices.Sorted(maps.Keys(byTeam))
+	ofTeams := teamShares(cpus, names, byTeam, teams, w)
+	shares := map[Key]float64{}
+	for i, name := range names {
+		list := byTeam[name]
+		wants, weights := make([]float64, len(list)), make([]float64, len(list))
+		for j := range list {
+			wants[j], weights[j] = list[j].total(), weight(w.Class, list[j].Class)
 		}
-		if by[n.Team] == nil {
-			names = append(names, n.Team)
+		for j, share := range maxMinShares(ofTeams[i], wants, weights) {
+			shares[list[j].Key] = share
 		}
-		by[n.Team] = append(by[n.Team], n)
 	}
-	slices.Sort(names)
-	within, beyond, ones := make([]float64, len(names)), make([]float64, len(names)), make([]float64, len(names))
-	for i, name := range names {
-		g, all := teams[name], 0.0
-		for _, n := range by[name] {
-			all += n.total()
-		}
-		if g.Limit > 0 {
-			all = min(all, g.Limit)
+	return shares
+}
+
+// needsByTeam sorts the needs by team, those that are not empty.
+func needsByTeam(needs []Need) map[string][]Need {
+	byTeam := map[string][]Need{}
+	for _, n := range needs {
+		if n.total() > 0 {
+			byTeam[n.Team] = append(byTeam[n.Team], n)
 		}
-		within[i] = min(all, g.Guaranteed)
-		beyond[i], ones[i] = all-within[i], weight(w.Team, name)
 	}
-	// A guarantee that there is not enough for is cut by what each is guaranteed.
-	guaranteed := make([]float64, len(names))
+	return byTeam
+}
+
+// teamShares divides CPUs among teams: what they ask for within their guaranteed quotas first, the rest by weight.
+func teamShares(cpus float64, names []string, byTeam map[string][]Need, teams map[string]Quota, w *Weights) []float64 {
+	within, beyond := make([]float64, len(names)), make([]float64, len(names))
+	guaranteed, weights := make([]float64, len(names)), make([]float64, len(names))
 	for i, name := range names {
-		guaranteed[i] = max(teams[name].Guaranteed, 1e-9)
+		quota, asked := teams[name], 0.0
+		for _, n := range byTeam[name] {
+			asked += n.total()
+		}
+		if quota.Limit > 0 {
+			asked = min(asked, quota.Limit)
+		}
+		within[i] = min(asked, quota.Guaranteed)
+		beyond[i] = asked - within[i]
+		// Guaranteed quotas that there is not enough for are cut by what each team is guaranteed.
+		guaranteed[i] = max(quota.Guaranteed, 1e-9)
+		weights[i] = weight(w.Team, name)
 	}
-	first := maxMinShares(cpus, within, guaranteed)
+	shares := maxMinShares(cpus, within, guaranteed)
 	left := cpus
-	for _, x := range first {
-		left -= x
+	for _, share := range shares {
+		left -= share
 	}
-	second := maxMinShares(left, beyond, ones)
-	due := map[Key]float64{}
-	for i, name := range names {
-		list := by[name]
-		wants, weights := make([]float64, len(list)), make([]float64, len(list))
-		for j, n := range list {
-			wants[j], weights[j] = n.total(), weight(w.Class, n.Class)
-		}
-		for j, x := range maxMinShares(first[i]+second[i], wants, weights) {
-			due[list[j].Key] = x
-		}
+	for i, share := range maxMinShares(left, beyond, weights) {
+		shares[i] += share
 	}
-	return due
+	return shares
 }
 
 // leastFloorShare is the part of its fair share that a class or team keeps as a floor if its floor cannot be served: it
--- a/internal/admission/ratelimit.go
+++ b/internal/admission/ratelimit.go
@@ -60,17 +60,10 @@
 	if _, ok := d.tokens[k]; !ok {
 		d.tokens[k] = 1
 	}
-	pressed := wait > d.limits.MaxWait/2
+	busy := wait > d.limits.MaxWait/2
 	e := d.rejected[uid]
-	need := 1.0
-	if e == nil { // what there is, is for those who were refused before and come back now
-		for s := now.Unix() - 1; s <= now.Unix()+1; s++ {
-			need += float64(d.expectedRetries[k][s])
-		}
-		need = min(need, d.burst())
-	}
-	if taken = wait <= d.limits.MaxWait && (!pressed || d.tokens[k] >= need); taken {
-		if pressed {
+	if wait <= d.limits.MaxWait && (!busy || d.tokens[k] >= d.tokensNeeded(k, e != nil, now)) {
+		if busy {
 			d.tokens[k] = max(0, d.tokens[k]-1)
 		}
 		if e != nil {
@@ -78,6 +71,26 @@
 		}
 		return true, 0
 	}
+	return false, d.reject(k, uid, wait, now)
+}
+
+// tokensNeeded is how many tokens a key must have for a job to be admitted: what there is, is for the jobs that were
+// rejected before and come back now.
+func (d *RateLimiter) tokensNeeded(k Key, rejectedBefore bool, now time.Time) float64 {
+	if rejectedBefore {
+		return 1
+	}
+	needed := 1.0
+	for s := now.Unix() - 1; s <= now.Unix()+1; s++ {
+		needed += float64(d.expectedRetries[k][s])
+	}
+	return min(needed, d.burst())
+}
+
+// reject remembers a rejected job, and says after what time it is to come back: behind those that were rejected before,
+// as long as the queue takes to empty, and their turn.
+func (d *RateLimiter) reject(k Key, uid string, wait time.Duration, now time.Time) time.Duration {
+	e := d.rejected[uid]
 	if e == nil {
 		for d.rejections.Len() >= d.limits.MaxRejections {
 			d.forget(d.rejections.Front())
@@ -85,15 +98,14 @@
 		e = d.rejections.PushBack(&rejection{key: k, uid: uid, firstAt: now})
 		d.rejected[uid] = e
 	}
-	// Behind those who were refused before: as long as the queue takes to empty, and their turn.
-	t := e.Value.(*rejection)
+	r := e.Value.(*rejection)
 	behind := wait - d.limits.MaxWait/2 + time.Duration(float64(d.rejections.Len())/math.Max(d.rate, 0.1)*float64(time.Second))
-	back = min(behind, maxRetryDelay, userTimeout-now.Sub(t.firstAt)-5*time.Second).Truncate(time.Second)
-	back = max(back, time.Second)
-	d.countRetry(t, -1)
-	t.retryAt = now.Add(back)
-	d.countRetry(t, 1)
-	return false, back
+	delay := min(behind, maxRetryDelay, userTimeout-now.Sub(r.firstAt)-5*time.Second).Truncate(time.Second)
+	delay = max(delay, time.Second)
+	d.countRetry(r, -1)
+	r.retryAt = now.Add(delay)
+	d.countRetry(r, 1)
+	return delay
 }
 
 // refill lets time go by: each key that asked of late gets its share of what was taken
