--- a/internal/controller/admission.go
+++ b/internal/controller/admission.go
@@ -18,7 +18,7 @@
 // What connects internal/admission, which decides, to the controller: docs/admission.md
 // says what it guarantees. Node.mu guards all of it.
 
-// admit is what a controller knows of who gets how much of what is short.
+// admissionState is what a controller knows of who gets how much of what is short. Node.mu guards it.
 type admissionState struct {
 	agreement     admission.Agreement
 	planner       *admission.Planner // while this controller owns the fleet
@@ -30,8 +30,17 @@
 }
 
 func newAdmissionState(o *settings.Options) *admissionState {
-	return &admissionState{served: admission.NewServedCounts(), rateLimiter: admission.NewRateLimiter(admission.DefaultRateLimits), runningCPUs: map[admission.Key]float64{},
-		weights: &admission.Weights{Team: o.TeamWeights, Class: o.ClassWeights, FloorShare: o.ClassFloor, FloorAfter: settings.Seconds(o.FloorAfterSeconds)}}
+	return &admissionState{
+		served:      admission.NewServedCounts(),
+		rateLimiter: admission.NewRateLimiter(admission.DefaultRateLimits),
+		runningCPUs: map[admission.Key]float64{},
+		weights: &admission.Weights{
+			Team:       o.TeamWeights,
+			Class:      o.ClassWeights,
+			FloorShare: o.ClassFloor,
+			FloorAfter: settings.Seconds(o.FloorAfterSeconds),
+		},
+	}
 }
 
 func keyOf(s *protocol.Submission) admission.Key { return admission.Key{Team: s.Team, Class: s.Class} }
@@ -352,10 +361,12 @@
 	return len(goals) > 0 && now.After(goals[0])
 }
 
-// countLateJobs counts the own jobs that have missed their first goal, and logs who is served
-// badly.
+// lateCountInterval is the least time between two counts of late jobs.
+const lateCountInterval = 2 * time.Second
+
+// countLateJobs counts the own jobs that have missed their first goal, and logs which keys are poorly served.
 func (n *Node) countLateJobs(now time.Time) {
-	if now.Sub(n.admission.lateCountedAt) < 2*time.Second {
+	if now.Sub(n.admission.lateCountedAt) < lateCountInterval {
 		return
 	}
 	n.admission.lateCountedAt = now
@@ -370,54 +381,71 @@
 			}
 		})
 	}
-	counts := map[admission.Key]admission.Count{}
-	for _, k := range n.admission.served.PoorlyServed(now) {
-		if len(counts) == 0 {
-			counts = n.admission.served.Counts(now)
-		}
+	n.logPoorlyServed(now)
+}
+
+// logPoorlyServed logs the keys of whose jobs less than half were in time.
+func (n *Node) logPoorlyServed(now time.Time) {
+	poorlyServed := n.admission.served.PoorlyServed(now)
+	if len(poorlyServed) == 0 {
+		return
+	}
+	counts := n.admission.served.Counts(now)
+	for _, k := range poorlyServed {
 		c := counts[k]
-		n.log.Info("less than half is served in time", "team", k.Team, "class", k.Class, "in_time", c.InTime, "late", c.Late, "started", c.Started,
-			"floor", n.admission.agreement.InForce().Floor(k))
+		n.log.Info("less than half is served in time", "team", k.Team, "class", k.Class, "in_time", c.InTime, "late", c.Late,
+			"started", c.Started, "floor", n.admission.agreement.InForce().Floor(k))
 	}
 }
 
 // admissionStatus sums up admission for operators.
 func (n *Node) admissionStatus(now time.Time) admission.Status {
 	wait, _ := n.kvStore.UrgentDelay()
-	st := admission.Status{Refused: n.admission.rateLimiter.Rejected(), Pressure: wait.Seconds()}
+	status := admission.Status{Refused: n.admission.rateLimiter.Rejected(), Pressure: wait.Seconds()}
 	plan := n.admission.agreement.InForce()
 	if plan != nil {
-		st.Plan, st.Floors, st.Reserved = plan.ID, plan.Floors, reservedPerClass(plan)
-	}
-	keys := map[admission.Key]*admission.KeyStatus{}
-	of := func(k admission.Key) *admission.KeyStatus {
-		if keys[k] == nil {
-			keys[k] = &admission.KeyStatus{Key: k, Share: 1, Floor: plan.Floor(k)}
-		}
-		return keys[k]
+		status.Plan, status.Floors, status.Reserved = plan.ID, plan.Floors, reservedPerClass(plan)
 	}
-	for k, c := range n.admission.served.Counts(now) {
-		x := of(k)
-		x.Count, x.Share = c, c.InTimeShare()
+	keys := keyStatuses{plan: plan, byKey: map[admission.Key]*admission.KeyStatus{}}
+	for k, count := range n.admission.served.Counts(now) {
+		x := keys.of(k)
+		x.Count, x.Share = count, count.InTimeShare()
 	}
 	for shard := range n.shards.All() {
-		team, ok := shards.TeamOf(shard.Name())
-		if !ok || !shard.IsReady() {
-			continue
-		}
-		for class, cpus := range shard.Team().CPUsByClass() {
-			of(admission.Key{Team: team, Class: class}).Held = cpus
-		}
-		for _, d := range shard.Team().Demands(now) {
-			x := of(keyOf(d.Spec))
-			x.Waiting += d.Count + int(d.BeyondQuotaCPUs/max(d.Spec.CPUs, 1e-9)+0.5)
-			if j := n.jobs[d.Spec.UID]; j != nil {
-				x.Oldest = max(x.Oldest, now.Sub(j.submittedAt).Seconds())
-			}
+		if team, ok := shards.TeamOf(shard.Name()); ok && shard.IsReady() {
+			n.addTeamStatus(&keys, team, shard.Team(), now)
 		}
 	}
-	for _, k := range slices.SortedFunc(maps.Keys(keys), admission.Key.Compare) {
-		st.Keys = append(st.Keys, *keys[k])
+	for _, k := range slices.SortedFunc(maps.Keys(keys.byKey), admission.Key.Compare) {
+		status.Keys = append(status.Keys, *keys.byKey[k])
+	}
+	return status
+}
+
+// keyStatuses collects the status of teams' classes.
+type keyStatuses struct {
+	plan  *admission.Plan // in force; nil: none
+	byKey map[admission.Key]*admission.KeyStatus
+}
+
+// of finds or makes the status of a key.
+func (s *keyStatuses) of(k admission.Key) *admission.KeyStatus {
+	if s.byKey[k] == nil {
+		s.byKey[k] = &admission.KeyStatus{Key: k, Share: 1, Floor: s.plan.Floor(k)}
+	}
+	return s.byKey[k]
+}
+
+// addTeamStatus adds what the classes of an own team use and what waits in them.
+func (n *Node) addTeamStatus(keys *keyStatuses, name string, team *jobstate.Team, now time.Time) {
+	for class, cpus := range team.CPUsByClass() {
+		keys.of(admission.Key{Team: name, Class: class}).Held = cpus
+	}
+	for _, d := range team.Demands(now) {
+		x := keys.of(keyOf(d.Spec))
+		x.Waiting += d.Count + int(d.BeyondQuotaCPUs/max(d.Spec.CPUs, 1e-9)+0.5)
+		if j := n.jobs[d.Spec.UID]; j != nil {
+			x.Oldest = max(x.Oldest, now.Sub(j.submittedAt).Seconds())
+		}
 	}
-	return st
 }
--- a/internal/controller/autoscaling.go
+++ b/internal/controller/autoscaling.go
@@ -78,6 +78,12 @@
 	n.noteSlowPlaces(actions.SlowPlaces)
 	n.logFleet(p, machines, demands, actions.Retired, now)
 	n.updatePlan(machines, demands, now)
+	n.carryOut(p, &actions)
+	return p
+}
+
+// carryOut begins what was decided.
+func (n *Node) carryOut(p *provisioner, actions *provisioning.Actions) {
 	n.drainingMachines = actions.Drain
 	n.requestScaleIn(p.account, actions.ScaleIn)
 	n.removeGoneMachines()
@@ -87,7 +93,6 @@
 			return nil
 		})
 	}
-	return p
 }
 
 // newProvisioner begins the account of this controller as the fleet's owner.
--- a/internal/controller/config_test.go
+++ b/internal/controller/config_test.go
@@ -140,7 +140,7 @@
 func (c *configured) linked() {
 	c.until("all hear each other", func() bool {
 		all := c.overviews()
-		return len(all) == 3 && !slices.ContainsFunc(all, func(o overview) bool { return len(o.Unheard) > 0 || len(o.Members) < 3 })
+		return len(all) == 3 && !slices.ContainsFunc(all, func(o overview) bool { return len(o.UnreachablePeers) > 0 || len(o.Members) < 3 })
 	})
 }
 
--- a/internal/controller/demands.go
+++ b/internal/controller/demands.go
@@ -5,24 +5,39 @@
 
 	"topazhollow/internal/jobstate"
 	"topazhollow/internal/protocol"
+	"topazhollow/internal/shards"
 )
 
 // demands lists the room that own teams ask for.
-func (n *Node) demands(now time.Time) []demand {
-	var out []demand
+func (n *Node) demands(now time.Time) (all []demand) {
 	for shard := range n.shards.InOrder() {
-		if !shard.IsReady() {
-			continue
+		if shard.IsReady() {
+			all = n.appendDemands(all, shard, now)
 		}
-		list := shard.Team().Demands(now)
-		first := n.prioritizedTasks(shard, list, now)
-		for i, d := range list {
-			if !d.Probe {
-				out = append(out, demand{Job: d.Spec.UID, Count: d.Count, Borrowed: d.Borrowed, QuotaDelay: d.Backlog.Milliseconds(), Prioritized: first[i], CPUsBeyondQuota: d.BeyondQuotaCPUs, Zone: boundZone(shard.Team(), d.Spec)})
-			}
+	}
+	return all
+}
+
+// appendDemands adds the room that one team asks for, but for what only probes whether anything starts.
+func (n *Node) appendDemands(all []demand, shard *shards.Owned, now time.Time) []demand {
+	team := shard.Team()
+	list := team.Demands(now)
+	prioritized := n.prioritizedTasks(shard, list, now)
+	for i, d := range list {
+		if d.Probe {
+			continue
 		}
+		all = append(all, demand{
+			Job:             d.Spec.UID,
+			Count:           d.Count,
+			Borrowed:        d.Borrowed,
+			QuotaDelay:      d.Backlog.Milliseconds(),
+			CPUsBeyondQuota: d.BeyondQuotaCPUs,
+			Prioritized:     prioritized[i],
+			Zone:            boundZone(team, d.Spec),
+		})
 	}
-	return out
+	return all
 }
 
 // boundZone is the zone that tasks of an array or service have to be in because others of the job are; "" if none.
--- a/internal/controller/golden_overview_test.go
+++ b/internal/controller/golden_overview_test.go
@@ -15,12 +15,12 @@
 	behind, age := 0.25, 1.5
 	key := admission.Key{Team: "vision", Class: "train"}
 	full := overview{
-		Node: "estacion-1", Version: "1.2.3", Term: 41, Entitled: true, Behind: &behind, Told: 7, Members: []string{"estacion-1", "estacion-2"}, Deaf: []string{"estacion-2"},
-		Unheard: []string{"estacion-3"}, Still: 0.5, Faulty: 1, Late: []string{"n-000007"}, Owners: map[string]string{shards.ForTeam("vision"): "estacion-1"},
-		Items: map[string]shardOverview{shards.ForTeam("vision"): {Phase: shards.Barrier.String(), Since: 40, InSync: []string{"estacion-2"}, Awaited: 2, Jobs: 3, Waiting: 4, Held: 5, Unproven: 6,
+		Node: "estacion-1", Version: "1.2.3", Term: 41, Entitled: true, CancellationLag: &behind, Cancellations: 7, Members: []string{"estacion-1", "estacion-2"}, Unreachable: []string{"estacion-2"},
+		UnreachablePeers: []string{"estacion-3"}, LastStall: 0.5, FaultyJobs: 1, SlowPlaces: []string{"n-000007"}, Owners: map[string]string{shards.ForTeam("vision"): "estacion-1"},
+		Shards: map[string]shardOverview{shards.ForTeam("vision"): {Phase: shards.Barrier.String(), SinceTerm: 40, InSync: []string{"estacion-2"}, Awaited: 2, Jobs: 3, Waiting: 4, Assigned: 5, Unproven: 6,
 			CPUs: 96.5, GPUs: 8.5}},
-		Machines: machinesOverview{Known: 9, Homed: 3, Silent: 2, Idle: 1}, Jobs: 12, Waits: map[string]int64{"count": 3, "p50": 100, "p90": 200, "p99": 300, "max": 400},
-		Served: admission.Status{Plan: admission.ID{SinceTerm: 40, Number: 6}, Floors: goldenPlan(6).Floors, Reserved: map[string]int{"train": 2}, Refused: 1, Pressure: 0.5,
+		Machines: machinesOverview{Known: 9, Here: 3, Silent: 2, Idle: 1}, ActiveJobs: 12, StartLatencies: map[string]int64{"count": 3, "p50": 100, "p90": 200, "p99": 300, "max": 400},
+		Admission: admission.Status{Plan: admission.ID{SinceTerm: 40, Number: 6}, Floors: goldenPlan(6).Floors, Reserved: map[string]int{"train": 2}, Refused: 1, Pressure: 0.5,
 			Keys: []admission.KeyStatus{{Key: key, Count: admission.Count{Asked: 9, Accepted: 8, Refused: 7, Started: 6, Done: 5, InTime: 4, Late: 3}, Share: 0.5, Held: 96, Waiting: 2,
 				Oldest: 12.5, Floor: 24}}},
 		Store: datarecovery.Status{Phase: datarecovery.Suspected.String(), Sign: "revision lower than one seen", Epoch: 2, DataLost: true, RosterIncomplete: true, AwaitedMemories: []string{"estacion-2"}, Unwritten: 1,
@@ -31,7 +31,7 @@
 	}
 	goldentest.Wire.Check(t, []goldentest.Case{
 		{Name: "overview-full.json", Value: full, Full: true},
-		{Name: "overview-empty.json", Value: overview{Items: map[string]shardOverview{"fleet": {}}, Served: admission.Status{Keys: []admission.KeyStatus{{}}}, Config: &configOverview{}}},
+		{Name: "overview-empty.json", Value: overview{Shards: map[string]shardOverview{"fleet": {}}, Admission: admission.Status{Keys: []admission.KeyStatus{{}}}, Config: &configOverview{}}},
 	})
 }
 
--- a/internal/controller/meeting_test.go
+++ b/internal/controller/meeting_test.go
@@ -117,7 +117,7 @@
 	})
 	r.endBehind(job) // the first one hears of it from nobody but who confirms it
 	told := r.withdrawAt(b, job.UID)
-	if !slices.ContainsFunc(r.overviews(), func(o overview) bool { return o.Node == r.sets[b].Name && o.Told == 1 }) {
+	if !slices.ContainsFunc(r.overviews(), func(o overview) bool { return o.Node == r.sets[b].Name && o.Cancellations == 1 }) {
 		t.Error("a withdrawal that another one wrote is confirmed without a number")
 	}
 	r.state.Outage(true)
--- a/internal/controller/overview.go
+++ b/internal/controller/overview.go
@@ -13,44 +13,44 @@
 
 // overview is an operator's view of one controller.
 type overview struct {
-	Node     string                   `json:"node"`
-	Version  string                   `json:"version"`
-	Term     uint64                   `json:"term"`
-	Entitled bool                     `json:"entitled"`
-	Behind   *float64                 `json:"horizon_behind_s"` // how old what is known here of withdrawals may be; nil: nothing is known
-	Told     uint64                   `json:"withdrawals_told"` // withdrawals that users were told of here
-	Members  []string                 `json:"members"`
-	Deaf     []string                 `json:"deaf,omitempty"`
-	Unheard  []string                 `json:"unheard_peers,omitempty"`
-	Still    float64                  `json:"last_stood_still_s,omitempty"`
-	Faulty   int                      `json:"faulty_jobs,omitempty"`
-	Late     []string                 `json:"late_machines,omitempty"`
-	Owners   map[string]string        `json:"owners"`
-	Items    map[string]shardOverview `json:"items"`
-	Machines machinesOverview         `json:"machines"`
-	Jobs     int                      `json:"active_jobs"`
-	Waits    map[string]int64         `json:"start_wait_ms"`
-	Served   admission.Status         `json:"admission"`
-	Store    datarecovery.Status      `json:"store"`
-	Config   *configOverview          `json:"configuration,omitempty"`
+	Node             string                   `json:"node"`
+	Version          string                   `json:"version"`
+	Term             uint64                   `json:"term"`
+	Entitled         bool                     `json:"entitled"`
+	CancellationLag  *float64                 `json:"horizon_behind_s"` // how old what is known here of withdrawals may be; nil: nothing is known
+	Cancellations    uint64                   `json:"withdrawals_told"` // withdrawals that users were told of here
+	Members          []string                 `json:"members"`
+	Unreachable      []string                 `json:"deaf,omitempty"`
+	UnreachablePeers []string                 `json:"unheard_peers,omitempty"`
+	LastStall        float64                  `json:"last_stood_still_s,omitempty"`
+	FaultyJobs       int                      `json:"faulty_jobs,omitempty"`
+	SlowPlaces       []string                 `json:"late_machines,omitempty"`
+	Owners           map[string]string        `json:"owners"`
+	Shards           map[string]shardOverview `json:"items"`
+	Machines         machinesOverview         `json:"machines"`
+	ActiveJobs       int                      `json:"active_jobs"`
+	StartLatencies   map[string]int64         `json:"start_wait_ms"`
+	Admission        admission.Status         `json:"admission"`
+	Store            datarecovery.Status      `json:"store"`
+	Config           *configOverview          `json:"configuration,omitempty"`
 }
 
 type shardOverview struct {
-	Phase    string   `json:"phase"`
-	Since    uint64   `json:"since_term"`
-	InSync   []string `json:"in_sync"`
-	Awaited  int      `json:"barrier_waits_for"`
-	Jobs     int      `json:"jobs"`
-	Waiting  int      `json:"waiting_tasks"`
-	Held     int      `json:"held_tasks"`
-	Unproven int      `json:"unproven_starts"`
-	CPUs     float64  `json:"cpus_used"`
-	GPUs     float64  `json:"gpus_used"`
+	Phase     string   `json:"phase"`
+	SinceTerm uint64   `json:"since_term"`
+	InSync    []string `json:"in_sync"`
+	Awaited   int      `json:"barrier_waits_for"`
+	Jobs      int      `json:"jobs"`
+	Waiting   int      `json:"waiting_tasks"`
+	Assigned  int      `json:"held_tasks"`
+	Unproven  int      `json:"unproven_starts"`
+	CPUs      float64  `json:"cpus_used"`
+	GPUs      float64  `json:"gpus_used"`
 }
 
 type machinesOverview struct {
 	Known  int `json:"known"`
-	Homed  int `json:"homed_here"`
+	Here   int `json:"homed_here"`
 	Silent int `json:"silent"`
 	Idle   int `json:"idle"`
 }
@@ -62,49 +62,59 @@
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	o := overview{
-		Node:     n.name,
-		Version:  Version,
-		Entitled: n.entitled(now),
-		Owners:   map[string]string{},
-		Items:    map[string]shardOverview{},
-		Machines: n.machinesOverview(now),
-		Waits:    n.startLatencies(),
-		Told:     n.cancelWatermark.Confirmed(),
-		Served:   n.admissionStatus(now),
-		Store:    n.storeStatus(),
-		Config:   n.configStatus(now),
-		Unheard:  n.unreachablePeers(now),
-		Still:    n.lastStall.Seconds(),
-		Late:     n.slowPlaces,
-	}
-	if n.leadership.Record() != nil {
-		o.Term, o.Members, o.Deaf = n.leadership.Term(), n.leadership.Record().Members(), n.leadership.Record().Unreachable
-		for name, shard := range n.leadership.Record().Shards {
-			o.Owners[name] = shard.Owner
-		}
-	}
-	if until := n.cancelWatermark.KnownUntil(now); !until.IsZero() {
-		behind := now.Sub(until).Seconds()
-		o.Behind = &behind
+		Node:             n.name,
+		Version:          Version,
+		Entitled:         n.entitled(now),
+		Owners:           map[string]string{},
+		Shards:           map[string]shardOverview{},
+		Machines:         n.machinesOverview(now),
+		StartLatencies:   n.startLatencies(),
+		Cancellations:    n.cancelWatermark.Confirmed(),
+		Admission:        n.admissionStatus(now),
+		Store:            n.storeStatus(),
+		Config:           n.configStatus(now),
+		UnreachablePeers: n.unreachablePeers(now),
+		LastStall:        n.lastStall.Seconds(),
+		SlowPlaces:       n.slowPlaces,
 	}
+	n.addLeadership(&o, now)
 	for shard := range n.shards.All() {
-		o.Items[shard.Name()] = n.shardOverview(shard)
+		o.Shards[shard.Name()] = n.shardOverview(shard)
 	}
 	for uid, j := range n.jobs {
 		if !j.active {
 			continue
 		}
-		o.Jobs++
+		o.ActiveJobs++
 		if n.quarantine.IsJobFaulty(uid) {
-			o.Faulty++
+			o.FaultyJobs++
 		}
 	}
 	return o
 }
 
+// addLeadership adds what is known of the control record and of cancellations.
+func (n *Node) addLeadership(o *overview, now time.Time) {
+	if record := n.leadership.Record(); record != nil {
+		o.Term, o.Members, o.Unreachable = record.Term, record.Members(), record.Unreachable
+		for name, shard := range record.Shards {
+			o.Owners[name] = shard.Owner
+		}
+	}
+	if until := n.cancelWatermark.KnownUntil(now); !until.IsZero() {
+		lag := now.Sub(until).Seconds()
+		o.CancellationLag = &lag
+	}
+}
+
 // shardOverview describes a shard that this controller owns.
 func (n *Node) shardOverview(shard *shards.Owned) shardOverview {
-	x := shardOverview{Phase: shard.Phase().String(), Since: shard.SinceTerm(), Awaited: shard.AwaitedCount(), InSync: n.leadership.Record().Shards[shard.Name()].InSync}
+	x := shardOverview{
+		Phase:     shard.Phase().String(),
+		SinceTerm: shard.SinceTerm(),
+		Awaited:   shard.AwaitedCount(),
+		InSync:    n.leadership.Record().Shards[shard.Name()].InSync,
+	}
 	if shard.IsFleet() {
 		return x
 	}
@@ -112,14 +122,14 @@
 		x.Jobs++
 		x.Waiting += shard.Team().Unstarted(j)
 	})
-	x.Held, x.Unproven = shard.Team().CountAttempts()
+	x.Assigned, x.Unproven = shard.Team().CountAttempts()
 	x.CPUs, x.GPUs = shard.Team().Used()
 	return x
 }
 
 // machinesOverview counts machines by state.
 func (n *Node) machinesOverview(now time.Time) machinesOverview {
-	x := machinesOverview{Homed: len(n.agents.All())}
+	x := machinesOverview{Here: len(n.agents.All())}
 	silent := 2 * n.unreachableHomes.Timing().RedirectTimeout
 	for _, m := range n.machines {
 		if m.gone || m.status == nil {
--- a/internal/controller/scene_test.go
+++ b/internal/controller/scene_test.go
@@ -180,7 +180,7 @@
 // leads says whether a controller owns an item, is entitled and past its barrier.
 func (s *scene) leads(name, item string) bool {
 	return slices.ContainsFunc(s.overviews(), func(o overview) bool {
-		return o.Node == name && o.Entitled && o.Owners[item] == name && o.Items[item].Phase == shards.Ready.String()
+		return o.Node == name && o.Entitled && o.Owners[item] == name && o.Shards[item].Phase == shards.Ready.String()
 	})
 }
 
@@ -244,7 +244,7 @@
 		s.t.Log(w.Name(), zone, spot, w.Running())
 	}
 	for _, o := range s.overviews() {
-		s.t.Logf("%s: term %d, entitled %v, members %v, owners %v, items %+v, machines %+v", o.Node, o.Term, o.Entitled, o.Members, o.Owners, o.Items, o.Machines)
+		s.t.Logf("%s: term %d, entitled %v, members %v, owners %v, items %+v, machines %+v", o.Node, o.Term, o.Entitled, o.Members, o.Owners, o.Shards, o.Machines)
 	}
 	for _, job := range s.accepted {
 		s.t.Logf("%s of %s: %d of %d tasks on machines", job.UID, job.Team, s.check.OnOf(job.UID), job.Tasks)
--- a/internal/controller/step_test.go
+++ b/internal/controller/step_test.go
@@ -37,8 +37,8 @@
 	if n.leadership.SettledAt() != now {
 		t.Error("silence is counted from before the stall ended")
 	}
-	if o := n.overview(now); o.Still != 4 || len(o.Unheard) != 1 {
-		t.Errorf("the overview has a stall of %g s and of unheard peers %v", o.Still, o.Unheard)
+	if o := n.overview(now); o.LastStall != 4 || len(o.UnreachablePeers) != 1 {
+		t.Errorf("the overview has a stall of %g s and of unheard peers %v", o.LastStall, o.UnreachablePeers)
 	}
 	if later := now.Add(2 * shards.AcknowledgementTimeout); !n.syncStates(later)[shard.Name()].Lagging["node-b"] {
 		t.Error("a replica that stays silent must go out of sync in the end")
--- a/internal/controller/teamconfig.go
+++ b/internal/controller/teamconfig.go
@@ -35,8 +35,13 @@
 	if o.ConfigBoundSeconds <= 0 {
 		return nil
 	}
-	return &teamConfigState{config: teamconfig.New(s.Deployment.Teams, settings.Seconds(o.ConfigBoundSeconds)), propagation: teamconfig.NewPropagation(),
-		baseDigest: teamconfig.BaseDigest(s.Deployment.Teams), behindSince: map[string]time.Time{}, writing: map[string]bool{}}
+	return &teamConfigState{
+		config:      teamconfig.New(s.Deployment.Teams, settings.Seconds(o.ConfigBoundSeconds)),
+		propagation: teamconfig.NewPropagation(),
+		baseDigest:  teamconfig.BaseDigest(s.Deployment.Teams),
+		behindSince: map[string]time.Time{},
+		writing:     map[string]bool{},
+	}
 }
 
 // teams lists the teams as far as known here.
@@ -197,18 +202,31 @@
 	}
 	n.applyTeamLimits(now)
 	n.teamConfig.statusSerial++
-	w := teamconfig.Status{Serial: n.teamConfig.statusSerial, Epoch: n.epoch(), RecordVersion: n.leadership.RecordVersion(), KnownRevision: n.teamConfig.config.KnownRevision(), BaseDigest: n.teamConfig.baseDigest}
+	status := teamconfig.Status{
+		Serial:        n.teamConfig.statusSerial,
+		Epoch:         n.epoch(),
+		RecordVersion: n.leadership.RecordVersion(),
+		KnownRevision: n.teamConfig.config.KnownRevision(),
+		BaseDigest:    n.teamConfig.baseDigest,
+		Unsettled:     n.unsettledTeams(),
+	}
+	n.teamConfig.propagation.Apply(n.name, n.incarnation, status)
+	n.updatePropagation(now)
+	return &status
+}
+
+// unsettledTeams lists the own teams with a change that is not in force, and with tasks that it would not allow.
+func (n *Node) unsettledTeams() (unsettled []string) {
 	for _, x := range n.teamConfig.config.NotInForce() {
 		if n.leadership.Record().Shards[shards.ForTeam(x.Team)].Owner != n.name {
 			continue
 		}
-		if shard := n.shards.OfTeam(x.Team); shard == nil || !shard.IsReady() || !shard.Team().LimitsInForce() {
-			w.Unsettled = append(w.Unsettled, x.Team)
+		shard := n.shards.OfTeam(x.Team)
+		if shard == nil || !shard.IsReady() || !shard.Team().LimitsInForce() {
+			unsettled = append(unsettled, x.Team)
 		}
 	}
-	n.teamConfig.propagation.Apply(n.name, n.incarnation, w)
-	n.updatePropagation(now)
-	return &w
+	return unsettled
 }
 
 // updatePropagation notes which changes are in force everywhere, and logs which members are behind.
@@ -218,14 +236,21 @@
 		n.teamConfig.config.MarkInForce(x.Team, x.Version)
 		n.log.Info("team's configuration in force everywhere", "team", x.Team, "number", x.Entry.Number, "version", x.Version)
 	}
-	lagging := n.teamConfig.propagation.Lagging(r, n.teamConfig.config.LatestVersion(), now)
-	if len(lagging) > 0 && now.Sub(n.teamConfig.laggingLoggedAt) > laggingLogInterval {
-		for _, b := range lagging {
-			if b.BehindSeconds > laggingLogInterval.Seconds() {
-				n.teamConfig.laggingLoggedAt = now
-				n.log.Info("controller behind with the configuration", "controller", b.Node, "known", b.Known, "latest", n.teamConfig.config.LatestVersion(), "for_s", b.BehindSeconds)
-			}
+	n.logLagging(n.teamConfig.propagation.Lagging(r, n.teamConfig.config.LatestVersion(), now), now)
+}
+
+// logLagging logs the members that have been behind for long.
+func (n *Node) logLagging(lagging []teamconfig.LaggingMember, now time.Time) {
+	if now.Sub(n.teamConfig.laggingLoggedAt) <= laggingLogInterval {
+		return
+	}
+	for _, member := range lagging {
+		if member.BehindSeconds <= laggingLogInterval.Seconds() {
+			continue
 		}
+		n.teamConfig.laggingLoggedAt = now
+		n.log.Info("controller behind with the configuration", "controller", member.Node, "known", member.Known,
+			"latest", n.teamConfig.config.LatestVersion(), "for_s", member.BehindSeconds)
 	}
 }
 
@@ -307,11 +332,18 @@
 	}
 }
 
+// writeBackPause is the pause after a write that failed, before the entry may be written again.
+const writeBackPause = 200 * time.Millisecond
+
+// writeConfig writes an entry back, unless the state service has another one by now.
 func (n *Node) writeConfig(x teamconfig.Change) {
 	key, value := teamstore.Prefix+x.Team, protocol.Encode(x.Entry)
-	version, err := n.kvStore.Commit(n.ctx, kvstore.Update{Conditions: []protocol.Condition{{Key: key, Version: x.Version}}, Changes: []protocol.Op{{Set: key, Value: value}}})
-	if err != nil && !errors.Is(err, kvstore.ErrConflict) { // on a conflict the watch tells what is there
-		sleep(n.ctx, 200*time.Millisecond)
+	version, err := n.kvStore.Commit(n.ctx, kvstore.Update{
+		Conditions: []protocol.Condition{{Key: key, Version: x.Version}},
+		Changes:    []protocol.Op{{Set: key, Value: value}},
+	})
+	if err != nil && !errors.Is(err, kvstore.ErrConflict) { // on a conflict the watch brings what is there
+		sleep(n.ctx, writeBackPause)
 	}
 	n.mu.Lock()
 	defer n.mu.Unlock()
