--- a/internal/controller/golden_state_test.go
+++ b/internal/controller/golden_state_test.go
@@ -41,8 +41,8 @@
 // TestGoldenRecordChange: the transactions that write the control record, the first one with its generation's key.
 func TestGoldenRecordChange(t *testing.T) {
 	conditions := []leadership.Condition{{Node: "estacion-1", Version: 400}}
-	first := recordChange{record: goldenRecord(), conditions: conditions}
-	later := recordChange{record: goldenRecord(), conditions: conditions, version: 412, marker: 300}
+	first := proposedRecord{RecordChange: &leadership.RecordChange{Record: goldenRecord(), Conditions: conditions}}
+	later := proposedRecord{RecordChange: &leadership.RecordChange{Record: goldenRecord(), Conditions: conditions, Version: 412}, epochKeyVersion: 300}
 	goldentest.Wire.Check(t, []goldentest.Case{
 		{Name: "record-change-first.json", Value: first.transaction()},
 		{Name: "record-change-later.json", Value: later.transaction()},
--- a/internal/controller/leaserenewal.go
+++ b/internal/controller/leaserenewal.go
@@ -1,12 +1,10 @@
 package controller
 
 import (
-	"encoding/json"
 	"time"
 
 	"topazhollow/internal/agents"
 	"topazhollow/internal/jobstate"
-	"topazhollow/internal/leadership"
 	"topazhollow/internal/leasegrant"
 	"topazhollow/internal/protocol"
 	"topazhollow/internal/userapi"
@@ -166,46 +164,3 @@
 	default:
 	}
 }
-
-// Times of telling peers the control record.
-const (
-	recordSendInterval     = time.Second
-	recordDelayPerMember   = 25 * time.Millisecond // for each further member that a peer may hear of it from
-	immediateRecordSenders = 3                     // members who tell it at once
-)
-
-// recordSendDelay is for how long a peer must be behind before it is sent the record: it mostly reads it by itself meanwhile, and in a
-// large group all others would tell it at the same time.
-func recordSendDelay(members int) time.Duration {
-	return min(recordSendInterval, time.Duration(max(0, members-immediateRecordSenders))*recordDelayPerMember)
-}
-
-// sendNewerRecord gives the control record to a peer that knows an earlier one, as one that the state service refused
-// before it was down for all: it may act by promises only under the latest.
-func (n *Node) sendNewerRecord(name string, s *statusMsg, now time.Time) {
-	p := n.peers[name]
-	if n.leadership.Record() == nil || s.RecordVersion == nil || *s.RecordVersion >= n.leadership.RecordVersion() || s.Store.Epoch != n.epoch() || !n.trusted() {
-		p.behindSince = time.Time{}
-		return
-	}
-	if p.behindSince.IsZero() {
-		p.behindSince = now
-	}
-	if now.Sub(p.behindSince) < recordSendDelay(len(n.leadership.Record().Nodes)) || now.Sub(p.recordSentAt) < recordSendInterval {
-		return
-	}
-	p.recordSentAt = now
-	n.links.Send(name, kindRecord, recordMsg{n.leadership.RecordVersion(), protocol.Encode(n.leadership.Record())})
-}
-
-// onRecord takes up a control record that a peer tells, if it is newer than the one known here and of the same generation.
-func (n *Node) onRecord(m *recordMsg) {
-	if m.Version <= n.leadership.RecordVersion() || n.leadership.Record() == nil || !n.trusted() {
-		return
-	}
-	var record leadership.Record
-	if err := json.Unmarshal(m.Record, &record); err != nil || record.Epoch != n.epoch() {
-		return
-	}
-	n.learnRecord(&record, m.Version)
-}
--- a/internal/controller/node.go
+++ b/internal/controller/node.go
@@ -102,7 +102,6 @@
 	commandSenders   map[string]*commandSender
 	changedMachines  map[string]bool // machines whose view is to be told to peers
 	unreachableHomes *agents.UnreachableHomes
-	agentsReachable  bool // workers can be reached again
 	probes           barrierProbes
 	quarantine       *quarantine.Tracker
 
--- a/internal/controller/peerstate.go
+++ b/internal/controller/peerstate.go
@@ -17,10 +17,8 @@
 	statusSentAt  int64 // ms of the peer's clock, in its last status
 
 	// Who may act.
-	entitled     bool
-	holdsLease   bool
-	behindSince  time.Time // since when it has known an earlier control record; zero: it does not
-	recordSentAt time.Time // when it was last sent the control record
+	entitled   bool
+	holdsLease bool
 
 	// The rest of its last status.
 	demands            []demand
--- /dev/null
+++ b/internal/controller/recordsync.go
@@ -0,0 +1,30 @@
+package controller
+
+import (
+	"encoding/json"
+	"time"
+
+	"topazhollow/internal/leadership"
+	"topazhollow/internal/protocol"
+)
+
+// sendNewerRecord sends the membership record to a peer that has known an earlier one for a while.
+func (n *Node) sendNewerRecord(name string, s *statusMsg, now time.Time) {
+	version := n.leadership.RecordVersion()
+	behind := s.RecordVersion != nil && *s.RecordVersion < version && s.Store.Epoch == n.epoch() && n.trusted()
+	if n.leadership.SendsRecord(name, behind, now) {
+		n.links.Send(name, kindRecord, recordMsg{version, protocol.Encode(n.leadership.Record())})
+	}
+}
+
+// onRecord learns a membership record that a peer sends, if it is newer than the one known here and of the same epoch.
+func (n *Node) onRecord(m *recordMsg) {
+	if m.Version <= n.leadership.RecordVersion() || n.leadership.Record() == nil || !n.trusted() {
+		return
+	}
+	var record leadership.Record
+	if err := json.Unmarshal(m.Record, &record); err != nil || record.Epoch != n.epoch() {
+		return
+	}
+	n.learnRecord(&record, m.Version)
+}
--- a/internal/controller/unreachablehomes.go
+++ b/internal/controller/unreachablehomes.go
@@ -78,7 +78,7 @@
 		}
 		if succeeded++; succeeded >= probesToRecover {
 			n.mu.Lock()
-			n.agentsReachable = true
+			n.leadership.AgentsReached()
 			n.mu.Unlock()
 		}
 	}
--- a/internal/leadership/leadership.go
+++ b/internal/leadership/leadership.go
@@ -5,7 +5,6 @@
 import (
 	"maps"
 	"slices"
-	"time"
 
 	"github.com/cespare/xxhash/v2"
 )
@@ -332,27 +331,3 @@
 	}
 	return next
 }
-
-// Lease is a controller's proof, by its own steady clock, that its lease lives.
-type Lease struct {
-	Life   time.Duration
-	Margin time.Duration
-	sent   time.Time
-	held   bool
-}
-
-// Renewed records a successful renewal, counted from before it was sent.
-func (l *Lease) Renewed(sent time.Time) {
-	if !l.held || sent.After(l.sent) {
-		l.sent, l.held = sent, true
-	}
-}
-
-// Lost forgets the lease.
-func (l *Lease) Lost() { l.held = false }
-
-// Valid says whether the lease surely lives at a moment. Clocks drift apart by
-// at most 0.05%; twice that is taken off.
-func (l *Lease) Valid(now time.Time) bool {
-	return l.held && now.Sub(l.sent) < l.Life-l.Life/1000-l.Margin
-}
--- /dev/null
+++ b/internal/leadership/lease.go
@@ -0,0 +1,54 @@
+package leadership
+
+import "time"
+
+// Lease is a controller's proof, by its own steady clock, that its lease lives.
+type Lease struct {
+	Life   time.Duration
+	Margin time.Duration
+	sent   time.Time
+	held   bool
+}
+
+// Renewed records a successful renewal, counted from before it was sent.
+func (l *Lease) Renewed(sent time.Time) {
+	if !l.held || sent.After(l.sent) {
+		l.sent, l.held = sent, true
+	}
+}
+
+// Lost forgets the lease.
+func (l *Lease) Lost() { l.held = false }
+
+// Valid says whether the lease surely lives at a moment. Clocks drift apart by
+// at most 0.05%; twice that is taken off.
+func (l *Lease) Valid(now time.Time) bool {
+	return l.held && now.Sub(l.sent) < l.Life-l.Life/1000-l.Margin
+}
+
+// LeaseLife is how long a lease lasts at the state service without a renewal.
+func (s *State) LeaseLife() time.Duration { return s.lease.Life }
+
+// LeaseID names the lease at the state service; 0: there is none.
+func (s *State) LeaseID() uint64 { return s.leaseID }
+
+// LeaseGranted takes in the lease that the state service granted. It proves nothing before its first renewal.
+func (s *State) LeaseGranted(id uint64) { s.leaseID = id }
+
+// LeaseRenewed takes in a renewal that worked, by the moment before it was sent.
+func (s *State) LeaseRenewed(sent time.Time) {
+	s.lease.Renewed(sent)
+	s.leaseRenewedAt = sent
+}
+
+// LeaseExpired takes in that the state service did not know the lease at a renewal sent at that moment. It says whether the
+// lease was renewed so recently that it can't have expired, so that the state service must have lost it.
+func (s *State) LeaseExpired(sent time.Time) (tooEarly bool) {
+	tooEarly = sent.Sub(s.leaseRenewedAt) < s.lease.Life*9/10 && s.lease.Valid(sent)
+	s.leaseID = 0
+	s.lease.Lost()
+	return tooEarly
+}
+
+// HoldsLease says whether the own lease surely lives.
+func (s *State) HoldsLease(now time.Time) bool { return s.lease.Valid(now) }
--- /dev/null
+++ b/internal/leadership/state_test.go
@@ -0,0 +1,142 @@
+package leadership
+
+import (
+	"testing"
+	"time"
+)
+
+// TestJudge: a record that was read is adopted if it follows the one known, and shows a loss if it is newer by version but
+// not by what it says.
+func TestJudge(t *testing.T) {
+	now := time.Unix(1000, 0)
+	s := New("a", 1, Lease{Life: testLife}, nil, now)
+	read := func(version, epoch, term uint64, store string, previous uint64) Verdict {
+		return s.Judge(&Record{Epoch: epoch, Term: term, StoreID: store, PreviousVersion: previous}, version)
+	}
+	if got := read(7, 1, 5, "x", 0); got != Follows {
+		t.Errorf("the first record: %v", got)
+	}
+	s.Adopt(&Record{Epoch: 2, Term: 5, StoreID: "x"}, 7, now)
+	for name, got := range map[string][2]Verdict{
+		"the next":                        {read(8, 2, 6, "x", 7), Follows},
+		"one that skips a version":        {read(9, 2, 5, "x", 8), Follows},
+		"one of a process of old":         {read(8, 2, 5, "x", 0), Follows},
+		"the same":                        {read(7, 2, 5, "x", 6), KnownAlready},
+		"an earlier read":                 {read(6, 2, 4, "x", 5), KnownAlready},
+		"the next epoch":                  {read(3, 3, 9, "y", 2), OfNewerEpoch},
+		"an earlier epoch":                {read(8, 1, 9, "w", 7), Older},
+		"an earlier term":                 {read(8, 2, 4, "x", 7), Older},
+		"another store of the same epoch": {read(8, 2, 6, "z", 7), Older},
+		"one over an earlier version":     {read(9, 2, 6, "x", 6), Unchained},
+	} {
+		if got[0] != got[1] {
+			t.Errorf("%s: verdict %d, want %d", name, got[0], got[1])
+		}
+	}
+}
+
+// TestAdopt: each difference to the record before is told once, and a version that is known changes nothing.
+func TestAdopt(t *testing.T) {
+	now := time.Unix(1000, 0)
+	s := New("a", 1, Lease{Life: testLife}, nil, now)
+	first := (&Record{Term: 5, Epoch: 1, RosterIncomplete: true, DataLost: true}).Clone()
+	first.Nodes["a"] = 1
+	if got := s.Adopt(first, 7, now); got == nil || *got != (Adoption{TermChanged: true, EpochBegan: true}) {
+		t.Fatalf("the first record: %+v", got)
+	}
+	if s.Adopt(first.Clone(), 7, now) != nil || s.Record() != first {
+		t.Error("the same version is adopted twice")
+	}
+	later := now.Add(time.Second)
+	next := first.Clone()
+	next.RosterIncomplete, next.DataLost = false, false
+	if got := s.Adopt(next, 8, later); got == nil || *got != (Adoption{RosterCompleted: true, LossSettled: true}) {
+		t.Errorf("the roster is complete and the loss settled: %+v", got)
+	}
+	if s.termChangedAt != now || s.SettledAt() != now {
+		t.Error("the members count as changed within a term")
+	}
+	next = next.Clone()
+	next.Term++
+	if got := s.Adopt(next, 9, later); got == nil || *got != (Adoption{TermChanged: true}) || s.termChangedAt != later || s.SettledAt() != now {
+		t.Errorf("a raised term with the same members: %+v, members settled at %v", got, s.SettledAt())
+	}
+	next = next.Clone()
+	next.Term++
+	next.Nodes["b"] = 1
+	if s.Adopt(next, 10, later); s.SettledAt() != later {
+		t.Error("a new member leaves the members settled")
+	}
+	next = next.Clone()
+	next.Epoch++
+	if got := s.Adopt(next, 11, later); got == nil || !got.EpochBegan {
+		t.Errorf("the next epoch: %+v", got)
+	}
+}
+
+// TestUnansweredChange: a change without an answer stays open until a later version is known, and a controller that
+// has one promises nothing.
+func TestUnansweredChange(t *testing.T) {
+	now := time.Unix(1000, 0)
+	s := leading(now.Add(-time.Minute))
+	if !s.Promise(now, true) {
+		t.Fatal("promises nothing though its lease is not renewed")
+	}
+	if s.PromisedUntil() != now.Add(PromiseLife) {
+		t.Errorf("bound until %v", s.PromisedUntil())
+	}
+	if s.Promise(now, false) {
+		t.Error("promises though it does not trust the state service")
+	}
+	s.ChangeSent()
+	if s.Promise(now, true) {
+		t.Error("promises while a change is under way")
+	}
+	s.ChangeUnanswered(7)
+	if s.Promise(now, true) {
+		t.Error("promises while a change may be applied")
+	}
+	s.Adopt(s.Record().Clone(), 8, now)
+	if !s.Promise(now, true) {
+		t.Error("promises nothing though the change will meet another version")
+	}
+	s.LeaseRenewed(now)
+	if s.Promise(now, true) {
+		t.Error("promises though its lease was just renewed")
+	}
+}
+
+// TestLeaseGoneTooEarly: a lease that the state service does not know though it was just renewed shows a loss.
+func TestLeaseGoneTooEarly(t *testing.T) {
+	now := time.Unix(1000, 0)
+	for after, want := range map[time.Duration]bool{time.Second: true, testLife * 9 / 10: false, 2 * testLife: false} {
+		s := leading(now)
+		s.LeaseGranted(9)
+		if got := s.LeaseExpired(now.Add(after)); got != want {
+			t.Errorf("gone %v after its renewal: too early %v", after, got)
+		}
+		if s.LeaseID() != 0 || s.HoldsLease(now) {
+			t.Error("a lease that is gone counts")
+		}
+	}
+}
+
+// TestSendsRecord: a peer that stays behind is sent the record once a second, in a large group after a delay.
+func TestSendsRecord(t *testing.T) {
+	now := time.Unix(1000, 0)
+	s := leading(now)
+	if s.SendsRecord("b", false, now) || s.SendsRecord("unknown", true, now) {
+		t.Error("sent to who is not behind, or is no peer")
+	}
+	if !s.SendsRecord("b", true, now) || s.SendsRecord("b", true, now.Add(recordSendInterval-1)) || !s.SendsRecord("b", true, now.Add(recordSendInterval)) {
+		t.Error("not sent at once and then every second")
+	}
+	for _, name := range []string{"c", "d", "e", "f", "g"} {
+		s.record.Nodes[name] = 1
+	}
+	later := now.Add(time.Minute)
+	s.SendsRecord("b", false, later)
+	if s.SendsRecord("b", true, later) || !s.SendsRecord("b", true, later.Add(4*recordDelayPerMember)) {
+		t.Error("one of seven members does not wait for four times the delay")
+	}
+}
