--- a/internal/arch/arch.go
+++ b/internal/arch/arch.go
@@ -37,6 +37,7 @@
 		"internal/provisioning",
 		"internal/jobstate",
 		"internal/shards",
+		"internal/scheduler",
 		"internal/agents",
 		"internal/leasegrant",
 		"internal/cloud",
--- a/internal/arch/shape.go
+++ b/internal/arch/shape.go
@@ -24,6 +24,7 @@
 	"internal/leasegrant",
 	"internal/placement",
 	"internal/quarantine",
+	"internal/scheduler",
 	"internal/shards",
 }
 
--- a/internal/controller/admission.go
+++ b/internal/controller/admission.go
@@ -25,15 +25,13 @@
 	served        *admission.ServedCounts
 	rateLimiter   *admission.RateLimiter
 	weights       *admission.Weights
-	runningCPUs   map[admission.Key]float64 // CPUs of running tasks, as of the last estimate of what ends
-	lateCountedAt time.Time                 // when late jobs were last counted
+	lateCountedAt time.Time // when late jobs were last counted
 }
 
 func newAdmissionState(o *settings.Options) *admissionState {
 	return &admissionState{
 		served:      admission.NewServedCounts(),
 		rateLimiter: admission.NewRateLimiter(admission.DefaultRateLimits),
-		runningCPUs: map[admission.Key]float64{},
 		weights: &admission.Weights{
 			Team:       o.TeamWeights,
 			Class:      o.ClassWeights,
@@ -144,11 +142,12 @@
 	}
 }
 
-// protectedByFloor says whether a task of a job may not be stopped for others, since its class
-// would have less than the plan leaves it.
-func (n *Node) protectedByFloor(s *protocol.Submission) bool {
-	floor := n.admission.agreement.InForce().Floor(keyOf(s))
-	return floor > 0 && n.admission.runningCPUs[keyOf(s)]-s.CPUs < floor
+// falseFirst orders two conditions that differ: a is the first one's.
+func falseFirst(a bool) int {
+	if a {
+		return 1
+	}
+	return -1
 }
 
 // planStatus is what this controller sends of plans in its status.
@@ -300,7 +299,7 @@
 
 // admissionMachine describes a machine for a plan, if the plan may count on it.
 func (n *Node) admissionMachine(m *autoscaler.Machine, known *machine, now time.Time) (planned admission.Machine, ok bool) {
-	cpus, _, memory, ok := n.capacity(m.Type)
+	cpus, _, memory, ok := n.scheduler.Capacity(m.Type)
 	if !ok || m.SpotNotice || m.Faulty || n.drainingMachines[m.Name] || now.Sub(known.lastHeard()) > n.unreachableHomes.Timing().RedirectTimeout {
 		return planned, false
 	}
--- a/internal/controller/autoscaling.go
+++ b/internal/controller/autoscaling.go
@@ -54,7 +54,7 @@
 		n.drainingMachines, n.slowPlaces = map[string]bool{}, nil
 		return nil
 	}
-	if !n.entitled(now) || n.machineTypes == nil {
+	if !n.entitled(now) || n.scheduler.MachineTypes() == nil {
 		return p
 	}
 	if p == nil || p.account.SinceTerm() != shard.SinceTerm() {
@@ -67,7 +67,7 @@
 	machines := n.fleetMachines(p.account, now)
 	demands := n.fleetDemands(now)
 	actions := p.account.Decide(&provisioning.Inputs{
-		Types:     n.machineTypes,
+		Types:     n.scheduler.MachineTypes(),
 		Machines:  machines,
 		Demands:   demands,
 		Arrivals:  n.arrivals(now),
--- a/internal/controller/autoscaling_inputs.go
+++ b/internal/controller/autoscaling_inputs.go
@@ -24,7 +24,7 @@
 // fleetMachines describes every machine that is listed, registered, reporting or acquired
 // lately.
 func (n *Node) fleetMachines(account *provisioning.Account, now time.Time) []autoscaler.Machine {
-	n.recountMoved()
+	n.scheduler.InvalidateMachines((*schedulerSnapshot)(n).TakeChangedMachines())
 	known := func(yield func(string) bool) {
 		for name, m := range n.machines {
 			if !m.gone && (m.status != nil || n.roster.Has(name)) && !yield(name) {
@@ -62,23 +62,23 @@
 	x := &observed.Machine
 	x.HomeUnreachable = n.homeUnheard(name, now)
 	x.Type, x.Zone, x.Spot, x.SpotNotice = m.status.Type, m.status.Zone, m.status.Spot, m.status.Notice
-	if n.count(m) {
-		x.FreeCPUs, x.FreeGPUs, x.FreeMemory = m.host.CPUs, m.host.GPUs, m.host.Memory
+	if host, known := n.scheduler.Room(name, (*schedulerSnapshot)(n)); known {
+		x.FreeCPUs, x.FreeGPUs, x.FreeMemory = host.CPUs, host.GPUs, host.Memory
 	}
 	for _, task := range m.status.Tasks {
 		if j := n.jobs[task.Job]; j != nil && task.State != protocol.Exited {
-			x.Tasks = append(x.Tasks, runningTaskOf(m, j.spec, task.Ref(), now))
+			x.Tasks = append(x.Tasks, n.runningTaskOf(name, j.spec, task.Ref(), now))
 		}
 	}
 	return observed
 }
 
 // runningTaskOf is the room that a task on a machine takes, and for how long it probably does.
-func runningTaskOf(m *machine, spec *protocol.Submission, ref jobstate.AttemptRef, now time.Time) autoscaler.RunningTask {
+func (n *Node) runningTaskOf(machine string, spec *protocol.Submission, ref jobstate.AttemptRef, now time.Time) autoscaler.RunningTask {
 	left := max(spec.EstimateSeconds, 1)
 	if spec.Kind == protocol.Service {
 		left = autoscaler.EndlessRun
-	} else if since, running := m.runningSince[ref]; running {
+	} else if since, running := n.scheduler.RunningSince(machine, ref); running {
 		left = max(left-now.Sub(since).Seconds(), left/8)
 	}
 	return autoscaler.RunningTask{CPUs: spec.CPUs, GPUs: spec.GPUs, Memory: spec.MemoryGB, SecondsLeft: left, OnDemandOnly: !spec.Spot}
@@ -221,7 +221,7 @@
 		if now.Sub(m.heardAt) > n.unreachableHomes.Timing().RedirectTimeout {
 			s.silent++
 		}
-		cpus, _, _, _ := n.capacity(m.status.Type)
+		cpus, _, _, _ := n.scheduler.Capacity(m.status.Type)
 		s.freeCPUs += machines[i].FreeCPUs
 		s.allCPUs += cpus
 		for _, task := range m.status.Tasks {
--- a/internal/controller/barrierprobe_test.go
+++ b/internal/controller/barrierprobe_test.go
@@ -57,8 +57,10 @@
 		n.group = &errgroup.Group{}
 	}
 	probe()
-	if len(n.placeable) != 0 {
-		t.Fatal("probed without being entitled")
+	for name, m := range n.machines {
+		if m.status != nil {
+			t.Fatalf("%s was probed without being entitled", name)
+		}
 	}
 	n.leadership.LeaseRenewed(time.Now())
 	probe()
--- a/internal/controller/capacity_bench_test.go
+++ b/internal/controller/capacity_bench_test.go
@@ -145,7 +145,7 @@
 			g.n.mu.Lock()
 			defer g.n.mu.Unlock()
 			processorTime(b, func() {
-				if placement.Choose(g.n.rng, g.n.hosts(g.now, ask), ask, g.n.options.SampleSize, func(*placement.Host) bool { return false }) == nil {
+				if placement.Choose(g.n.rng, g.n.scheduler.Hosts((*schedulerSnapshot)(g.n), g.now, ask), ask, g.n.options.SampleSize, func(*placement.Host) bool { return false }) == nil {
 					b.Fatal("nothing was placed")
 				}
 			})
@@ -167,7 +167,7 @@
 			g.n.mu.Lock()
 			defer g.n.mu.Unlock()
 			processorTime(b, func() {
-				f.Decide(g.n.machineTypes, g.n.fleetMachines(account, g.now), nil, nil, g.now, g.now)
+				f.Decide(g.n.scheduler.MachineTypes(), g.n.fleetMachines(account, g.now), nil, nil, g.now, g.now)
 			})
 		})
 	}
--- a/internal/controller/catalog.go
+++ b/internal/controller/catalog.go
@@ -2,10 +2,7 @@
 
 import (
 	"context"
-	"maps"
 	"time"
-
-	"topazhollow/internal/protocol"
 )
 
 // How long the machine types of the last read are used: by the fleet's owner, which needs
@@ -23,8 +20,7 @@
 		n.mu.Lock()
 		wait := catalogLife
 		if err == nil && len(types) > 0 {
-			n.machineTypes = types
-			n.recount(maps.Keys(n.machines))
+			n.scheduler.SetMachineTypes(types)
 			n.wake()
 		} else {
 			n.log.Info("catalog not read", "err", err)
@@ -41,23 +37,6 @@
 	return nil
 }
 
-func (n *Node) machineType(name string) *protocol.MachineType {
-	for i := range n.machineTypes {
-		if n.machineTypes[i].Name == name {
-			return &n.machineTypes[i]
-		}
-	}
-	return nil
-}
-
-func (n *Node) capacity(machineType string) (cpus, gpus, memory float64, ok bool) {
-	t := n.machineType(machineType)
-	if t == nil {
-		return 0, 0, 0, false
-	}
-	return t.CPUs, t.GPUs, t.MemoryGB, true
-}
-
 func (n *Node) taskSize(uid string) (cpus, gpus, memory float64) {
 	if j := n.jobs[uid]; j != nil {
 		return j.spec.CPUs, j.spec.GPUs, j.spec.MemoryGB
--- a/internal/controller/control.go
+++ b/internal/controller/control.go
@@ -169,7 +169,7 @@
 	}
 	n.checkConfigListed(seen)
 	n.watchedKeysRead, n.followedRevision = true, revision
-	n.recount(maps.Keys(n.machines)) // jobs may be known now that machines listed before
+	n.scheduler.InvalidateAllMachines() // jobs may be known now that machines listed before
 }
 
 // changed takes in one change of a watched key.
--- a/internal/controller/grown_test.go
+++ b/internal/controller/grown_test.go
@@ -5,6 +5,7 @@
 	"fmt"
 	"log/slog"
 	"math/rand/v2"
+	"slices"
 	"testing"
 	"time"
 
@@ -51,7 +52,7 @@
 	g := &grown{n: New(s, settings.DefaultOptions(), slog.New(slog.DiscardHandler)), rng: rand.New(rand.NewPCG(3, 4)), now: time.Now(),
 		views: map[string]*jobstate.MachineStatus{}, ends: map[jobstate.AttemptRef]time.Time{}}
 	n := g.n
-	n.machineTypes = []protocol.MachineType{{Name: "m32", CPUs: 32, MemoryGB: 256, PricePerHour: 2, SpotPricePerHour: 0.5, BootSeconds: 35, FetchGBPerSecond: 0.25, Zones: s.Deployment.Zones}}
+	n.scheduler.SetMachineTypes([]protocol.MachineType{{Name: "m32", CPUs: 32, MemoryGB: 256, PricePerHour: 2, SpotPricePerHour: 0.5, BootSeconds: 35, FetchGBPerSecond: 0.25, Zones: s.Deployment.Zones}})
 	record.Nodes["node-a"] = n.incarnation
 	record.Unreachable = []string{"node-b", "node-c"} // this controller is the home of all
 	for _, t := range s.Deployment.Teams {
@@ -182,15 +183,18 @@
 				}
 			}
 		}
-		n.recountMoved()
+		view := (*schedulerSnapshot)(n)
+		n.scheduler.InvalidateMachines(view.TakeChangedMachines())
 		for _, name := range g.names {
-			m := n.machines[name]
-			if !n.count(m) {
+			kept, known := n.scheduler.Room(name, view)
+			if !known {
 				t.Fatalf("%s has no type", name)
 			}
-			cpus, _, memory := n.free(m)
-			if m.host.CPUs != cpus || m.host.Memory != memory {
-				t.Fatalf("second %d: %s has %g CPUs and %g GB kept, %g and %g counted anew", i, name, m.host.CPUs, m.host.Memory, cpus, memory)
+			n.scheduler.InvalidateMachines(slices.Values([]string{name}))
+			anew, _ := n.scheduler.Room(name, view)
+			cpus, memory := anew.CPUs, anew.Memory
+			if kept.CPUs != cpus || kept.Memory != memory {
+				t.Fatalf("second %d: %s has %g CPUs and %g GB kept, %g and %g counted anew", i, name, kept.CPUs, kept.Memory, cpus, memory)
 			}
 			if cpus < -1e-6 || memory < -1e-6 {
 				t.Fatalf("second %d: %s is overfull: %g CPUs, %g GB", i, name, cpus, memory)
@@ -246,7 +250,7 @@
 					demands = append(demands, autoscaler.Demand{Spec: j.spec, Count: d.Count, Due: g.n.dueTime(j, g.now)})
 				}
 				f.ForgetUnsent()
-				f.Decide(g.n.machineTypes, machines, demands, nil, g.now, g.now)
+				f.Decide(g.n.scheduler.MachineTypes(), machines, demands, nil, g.now, g.now)
 			}
 		})
 	}
@@ -270,39 +274,3 @@
 		})
 	}
 }
-
-// TestGuaranteeBeatsIdleTimeWork: a guest without a guarantee fills the machines with
-// work of low priority. What a team waits for within its guarantee must not wait for
-// that to end, even after half of its time; what borrows itself stops nobody.
-func TestGuaranteeBeatsIdleTimeWork(t *testing.T) {
-	for _, borrowed := range []bool{false, true} {
-		g := newGrown(8, 2)
-		n := g.n
-		n.shards.OfTeam("team-1").Team().GuaranteedCPUs = 0
-		submit := func(uid, team, priority string, tasks int, cpus, estimate float64) {
-			n.mu.Lock()
-			defer n.mu.Unlock()
-			n.learnJob(userapi.ActiveJob{SubmittedAtMillis: g.now.UnixMilli(), Spec: &protocol.Submission{UID: uid, Team: team, Kind: protocol.JobArray,
-				Priority: priority, Tasks: tasks, CPUs: cpus, MemoryGB: 1, EstimateSeconds: estimate, Spot: true}}, 1)
-		}
-		submit("job-000001", "team-1", "low", 64, 4, 600)
-		for range 12 {
-			g.second(2)
-		}
-		if held, _ := n.shards.OfTeam("team-1").Team().CountAttempts(); held != 64 {
-			t.Fatalf("%d of 64 idle-time tasks run", held)
-		}
-		team := "team-0"
-		if borrowed {
-			team = "team-1"
-		}
-		// Many small tasks that end soon make no room for a large one.
-		submit("job-000002", team, "standard", 4, 16, 40)
-		g.second(2)
-		n.mu.Lock()
-		if stopped := len(n.evictions); (stopped > 0) == borrowed {
-			t.Errorf("borrowed %v: %d tasks asked to make room", borrowed, stopped)
-		}
-		n.mu.Unlock()
-	}
-}
--- a/internal/controller/machinestatus.go
+++ b/internal/controller/machinestatus.go
@@ -7,6 +7,7 @@
 
 	"topazhollow/internal/jobstate"
 	"topazhollow/internal/protocol"
+	"topazhollow/internal/scheduler"
 	"topazhollow/internal/shards"
 )
 
@@ -17,7 +18,7 @@
 func (n *Node) machine(name string) *machine {
 	m := n.machines[name]
 	if m == nil {
-		m = &machine{images: map[string]bool{}, runningSince: map[jobstate.AttemptRef]time.Time{}}
+		m = &machine{}
 		n.machines[name] = m
 	}
 	return m
@@ -30,7 +31,7 @@
 		return
 	}
 	if m.status != nil {
-		n.placeable = slices.DeleteFunc(n.placeable, func(x *machine) bool { return x == m })
+		n.scheduler.RemoveMachine(name)
 		n.indexTasks(m.status, false)
 	}
 	*m = machine{gone: true, heardAt: time.Now()}
@@ -101,8 +102,7 @@
 	}
 	n.replaceStatus(m, v)
 	m.heardAt = now
-	n.recordRunTimes(m, v, now)
-	n.freed(v)
+	n.recordRunTimes(n.scheduler.ObserveMachine(v, (*schedulerSnapshot)(n), now), now)
 	n.recordTasks(m, v, now)
 	n.reconcileShards(v)
 	n.stopOrphanedTasks(v)
@@ -111,34 +111,24 @@
 
 // replaceStatus puts a status in place of the one that was known.
 func (n *Node) replaceStatus(m *machine, v *jobstate.MachineStatus) {
-	if m.status == nil {
-		n.placeable = append(n.placeable, m)
-	} else {
+	if m.status != nil {
 		n.indexTasks(m.status, false)
 	}
 	n.indexTasks(v, true)
-	m.status, m.counted = v, false
+	m.status = v
 }
 
-// recordRunTimes notes since when each task has been running, and how long those took that are done.
-func (n *Node) recordRunTimes(m *machine, v *jobstate.MachineStatus, now time.Time) {
-	running := make(map[jobstate.AttemptRef]time.Time, len(v.Tasks))
-	for _, t := range v.Tasks {
-		since, wasRunning := m.runningSince[t.Ref()]
-		switch {
-		case t.State == protocol.Running && wasRunning:
-			running[t.Ref()] = since
-		case t.State == protocol.Running:
-			running[t.Ref()] = now
-			n.recordFirstRun(t.Job, now)
-		case wasRunning && t.Reason == protocol.ReasonDone:
-			if j := n.jobs[t.Job]; j != nil {
-				j.longestRun = max(j.longestRun, now.Sub(since))
-				j.completedRuns++
-			}
+// recordRunTimes notes which tasks were seen running for the first time, and how long those took that are done.
+func (n *Node) recordRunTimes(observed scheduler.Observation, now time.Time) {
+	for _, ref := range observed.Started {
+		n.recordFirstRun(ref.Job, now)
+	}
+	for _, task := range observed.Completed {
+		if j := n.jobs[task.Job]; j != nil {
+			j.longestRun = max(j.longestRun, task.Ran)
+			j.completedRuns++
 		}
 	}
-	m.runningSince = running
 }
 
 // maxStartLatency is the longest time from submission to start that the histogram tells apart.
@@ -155,14 +145,8 @@
 	_ = n.startLatency.RecordValue(min(latency, maxStartLatency.Milliseconds()))
 }
 
-// maxKnownImages bounds the images that a machine is known to have; past it they are learned anew.
-const maxKnownImages = 64
-
-// recordTasks notes which tasks have ended and how, which images the machine has, and whether it is idle.
+// recordTasks notes which tasks have ended and how, and whether the machine is idle.
 func (n *Node) recordTasks(m *machine, v *jobstate.MachineStatus, now time.Time) {
-	if len(m.images) > maxKnownImages {
-		clear(m.images)
-	}
 	busy := false
 	for _, t := range v.Tasks {
 		if t.State != protocol.Exited {
@@ -170,9 +154,6 @@
 		} else {
 			n.recordOutcome(t, v.Machine, now)
 		}
-		if j := n.jobs[t.Job]; j != nil {
-			m.images[j.spec.Image] = true
-		}
 	}
 	switch {
 	case busy:
--- a/internal/controller/node.go
+++ b/internal/controller/node.go
@@ -24,9 +24,9 @@
 	"topazhollow/internal/kvstore"
 	"topazhollow/internal/leadership"
 	"topazhollow/internal/peer"
-	"topazhollow/internal/placement"
 	"topazhollow/internal/protocol"
 	"topazhollow/internal/quarantine"
+	"topazhollow/internal/scheduler"
 	"topazhollow/internal/settings"
 	"topazhollow/internal/shards"
 	"topazhollow/internal/userapi"
@@ -95,7 +95,6 @@
 	// Machines, and the agents that report here.
 	machines         map[string]*machine
 	machinesByJob    map[string]map[string]bool // by job, the machines that list any task of it
-	machineTypes     []protocol.MachineType
 	roster           *agents.Roster
 	registration     *agents.Registration
 	agents           *agents.Registry
@@ -105,15 +104,9 @@
 	probes           barrierProbes
 	quarantine       *quarantine.Tracker
 
-	// Placement, and who makes room for others.
-	placeable            []*machine       // those with a view, for placement
-	hostBuffer           []placement.Host // the present step's copy
-	allHostsBuffer       []placement.Host
-	freeing              []ends // what running tasks give back, as of endsAt
-	freeingAt            time.Time
-	runningReviewedAt    time.Time // when running tasks were last looked over
-	preemptionReviewedAt time.Time // when it was last looked whom to stop for others
-	evictions            map[jobstate.AttemptRef]eviction
+	// What starts where, and what makes room for others.
+	scheduler         *scheduler.Scheduler
+	runningReviewedAt time.Time // when running tasks were last looked over
 
 	// Quota: plans of fair shares and floors, and the configuration of the teams.
 	admission  *admissionState  // who gets how much of what is short
@@ -135,8 +128,6 @@
 // machine is what every controller knows of a machine.
 type machine struct {
 	status            *jobstate.MachineStatus
-	host              placement.Host // its entry for placement, if counted
-	counted           bool
 	heardAt           time.Time
 	homeHeardAt       time.Time // when its home last heard it, as far as told
 	homeWatermark     time.Time // a start that its home sent and that may still arrive was sent knowing all withdrawals before
@@ -145,11 +136,9 @@
 	misdirectedAt     time.Time // when it last reported to a controller that is not its home
 	unregisteredSince time.Time // since when it reports tasks though it is on no list of machines
 	inspectedAt       time.Time // when it was last asked whether it is there
-	images            map[string]bool
 	gone              bool
 	idleSince         time.Time
-	slowAt            time.Time                         // when a task here was last found far slower than its kin
-	runningSince      map[jobstate.AttemptRef]time.Time // since when a listed task was seen running
+	slowAt            time.Time // when a task here was last found far slower than its kin
 }
 
 // Run serves until the context ends.
@@ -162,8 +151,8 @@
 func New(s *settings.Settings, o *settings.Options, log *slog.Logger) *Node {
 	n := newNode(s, o, log, time.Now())
 	n.newClients()
-	n.newMachineState()
 	n.newScheduling()
+	n.newMachineState()
 	n.newLeadership(settings.Seconds(o.ControllerLeaseSeconds))
 	n.newPeers()
 	n.newUserAPI()
@@ -199,7 +188,7 @@
 
 // newMachineState makes what is known of machines.
 func (n *Node) newMachineState() {
-	n.agents = agents.New(n.capacity, n.taskSize)
+	n.agents = agents.New(n.scheduler.Capacity, n.taskSize)
 	n.roster = newRoster(n.settings)
 	n.quarantine = quarantine.New()
 	n.machines = map[string]*machine{}
@@ -216,7 +205,7 @@
 	n.shards = shards.NewRegistry()
 	n.jobs = map[string]*job{}
 	n.endLookUps = agents.NewEndLookUps()
-	n.evictions = map[jobstate.AttemptRef]eviction{}
+	n.scheduler = scheduler.New(scheduler.Config{Deployment: &n.settings.Deployment, Options: n.options, Random: n.rng})
 	n.admission = newAdmissionState(n.options)
 	n.startLatency = hdrhistogram.New(1, time.Hour.Milliseconds(), 2)
 }
--- a/internal/controller/owner.go
+++ b/internal/controller/owner.go
@@ -19,7 +19,7 @@
 	changes := n.shards.Follow(r, n.name, member)
 	for _, shard := range changes.GivenUp {
 		n.log.Info("shard given up", "shard", shard.Name(), "owner", r.Shards[shard.Name()].Owner, "term", r.Term)
-		n.recount(slices.Values(shard.Team().Machines()))
+		n.scheduler.InvalidateMachines(slices.Values(shard.Team().Machines()))
 	}
 	for _, name := range changes.ToTake {
 		n.takeOwnership(name)
--- a/internal/controller/reconcile.go
+++ b/internal/controller/reconcile.go
@@ -33,7 +33,7 @@
 
 // Unsized is what a machine has beside the listed tasks of known size.
 func (k teamKnowledge) UnknownSizeBound(v *jobstate.MachineStatus) (cpus, gpus float64) {
-	cpus, gpus, _, ok := k.n.capacity(v.Type)
+	cpus, gpus, _, ok := k.n.scheduler.Capacity(v.Type)
 	if !ok {
 		return math.Inf(1), math.Inf(1)
 	}
--- a/internal/controller/recovery_epoch.go
+++ b/internal/controller/recovery_epoch.go
@@ -5,7 +5,6 @@
 	"encoding/hex"
 	"encoding/json"
 	"errors"
-	"maps"
 	"math/rand/v2"
 	"strings"
 	"time"
@@ -117,7 +116,7 @@
 	if !n.leadership.IsPresent() {
 		n.rewriteOwnKey()
 	}
-	n.recount(maps.Keys(n.machines))
+	n.scheduler.InvalidateAllMachines()
 	n.wake()
 }
 
--- /dev/null
+++ b/internal/controller/scheduling.go
@@ -0,0 +1,181 @@
+package controller
+
+import (
+	"iter"
+	"time"
+
+	"topazhollow/internal/admission"
+	"topazhollow/internal/jobstate"
+	"topazhollow/internal/protocol"
+	"topazhollow/internal/scheduler"
+	"topazhollow/internal/shards"
+)
+
+// What connects internal/scheduler, which decides what starts where and what makes room, to the controller.
+
+// place runs a scheduling pass: it starts what can be started and has the victims stopped that the pass chose.
+func (n *Node) place(now time.Time) {
+	result := n.scheduler.Pass((*schedulerSnapshot)(n), now)
+	for _, e := range result.Evictions {
+		n.evict(evictMsg{Attempt: e.Victim, Beneficiary: e.For})
+	}
+	if result.Queued && (result.Unplaced || n.waitingAnnounced) {
+		n.waitingAnnounced = result.Unplaced
+		n.requestStatus()
+	}
+}
+
+// evict asks the owner of a task to stop it.
+func (n *Node) evict(e evictMsg) {
+	j := n.jobs[e.Attempt.Job]
+	owner := n.leadership.Record().Shards[shards.ForTeam(j.spec.Team)].Owner
+	if owner == n.name {
+		n.onEvict(&e)
+		return
+	}
+	n.links.Send(owner, "evict", e)
+}
+
+// onEvict stops a task of an own team for a job of higher priority.
+func (n *Node) onEvict(e *evictMsg) {
+	victim, job := n.jobs[e.Attempt.Job], n.jobs[e.Beneficiary]
+	if victim == nil || job == nil || protocol.Rank(job.spec.Priority) <= protocol.Rank(victim.spec.Priority) {
+		return
+	}
+	shard := n.shards.OfTeam(victim.spec.Team)
+	if shard == nil || !shard.IsReady() {
+		return
+	}
+	if shard.Team().Stop(e.Attempt, victim.spec.CheckpointSeconds) {
+		n.log.Debug("task preempted", "task", e.Attempt.Job, "index", e.Attempt.Index, "for", e.Beneficiary)
+		n.wake()
+	}
+}
+
+// goals lists when a job should be complete; it is empty if nothing is stated.
+func (n *Node) goals(j *job) jobstate.Objectives {
+	if j.goals == nil {
+		j.goals = scheduler.Objectives(n.settings.Deployment.Objectives).Goals(j.spec, j.submittedAt)
+	}
+	return j.goals
+}
+
+// goal is the next of a job's goals that it can still reach; late if there is none.
+func (n *Node) goal(j *job, now time.Time) (goal time.Time, late bool) {
+	scheduled := scheduler.Job{Spec: j.spec, SubmittedAt: j.submittedAt, Goals: n.goals(j)}
+	return scheduled.NextGoal(now)
+}
+
+// schedulerSnapshot is the controller as its scheduler reads it.
+type schedulerSnapshot Node
+
+// Job gives a job that is or was active.
+func (s *schedulerSnapshot) Job(uid string) (scheduler.Job, bool) {
+	j := s.jobs[uid]
+	if j == nil {
+		return scheduler.Job{}, false
+	}
+	scheduled := scheduler.Job{Spec: j.spec, SubmittedAt: j.submittedAt, Active: j.active}
+	if j.active {
+		scheduled.Goals = (*Node)(s).goals(j)
+	}
+	return scheduled, true
+}
+
+// HeldOn calls f for each attempt that any own team holds on a machine.
+func (s *schedulerSnapshot) HeldOn(machine string, f func(jobstate.Assignment)) {
+	for shard := range s.shards.All() {
+		shard.Team().AssignmentsOn(machine, f)
+	}
+}
+
+// TakeChangedMachines lists the machines where attempts of own teams came or went since the last call.
+func (s *schedulerSnapshot) TakeChangedMachines() iter.Seq[string] {
+	return func(yield func(string) bool) {
+		for shard := range s.shards.All() {
+			for machine := range shard.Team().TakeChangedMachines() {
+				if !yield(machine) {
+					return
+				}
+			}
+		}
+	}
+}
+
+// ownTeam is a team that this controller owns, as its scheduler reads it.
+type ownTeam struct {
+	*jobstate.Team
+	node  *Node
+	shard *shards.Owned
+}
+
+// TasksAhead gives for each demand how many of its tasks go ahead of more urgent work.
+func (t *ownTeam) TasksAhead(demands []jobstate.Demand, now time.Time) []int {
+	return t.node.prioritizedTasks(t.shard, demands, now)
+}
+
+// Teams lists the own teams whose tasks may start now.
+func (s *schedulerSnapshot) Teams() []scheduler.Team {
+	var teams []scheduler.Team
+	for shard := range s.shards.All() {
+		if shard.MayPlace() && !shard.IsFleet() {
+			teams = append(teams, &ownTeam{shard.Team(), (*Node)(s), shard})
+		}
+	}
+	return teams
+}
+
+// PeerDemands lists the tasks of other controllers' teams that wait for room.
+func (s *schedulerSnapshot) PeerDemands(now time.Time) iter.Seq[scheduler.Demand] {
+	return func(yield func(scheduler.Demand) bool) {
+		for _, p := range s.peers {
+			if !p.isReachable(now) || !p.entitled {
+				continue // what one that lost its lease lists is work that others have taken over
+			}
+			for _, d := range p.demands {
+				if !yield(scheduler.Demand{Job: d.Job, Count: d.Count, Ahead: d.Prioritized, Borrowed: d.Borrowed}) {
+					return
+				}
+			}
+		}
+	}
+}
+
+// staleAfter is beside two of its reports for how long a machine may be silent and still take tasks.
+const staleAfter = 3 * time.Second
+
+// AcceptingMachines gives a filter for machines that take tasks now. A machine whose home has not heard it since the
+// term was raised takes no orders yet.
+func (s *schedulerSnapshot) AcceptingMachines(now time.Time) func(*jobstate.MachineStatus) bool {
+	n := (*Node)(s)
+	fresh := 2*time.Duration(n.settings.Deployment.Agents.HeartbeatSeconds*float64(time.Second)) + staleAfter
+	draining := n.draining()
+	unreachable := map[string]bool{} // homes that no order reaches
+	for name, p := range n.peers {
+		unreachable[name] = !p.connected || !p.isReachable(now)
+	}
+	return func(status *jobstate.MachineStatus) bool {
+		name := status.Machine
+		m := n.machines[name]
+		switch {
+		case status.Term != n.leadership.Term(), status.Notice, n.runsUndescribedJob(status):
+			return false
+		case now.Sub(m.heardAt) > fresh, unreachable[n.homeFor(m, name)]:
+			return false
+		case n.quarantine.IsMachineBad(name, now), n.isSlow(m, now):
+			return false
+		}
+		return !draining[name] && n.roster.Has(name)
+	}
+}
+
+// slowFor is how long a machine takes no tasks after it was found slow.
+const slowFor = time.Minute
+
+// isSlow says whether a machine was found slow of late.
+func (n *Node) isSlow(m *machine, now time.Time) bool {
+	return !m.slowAt.IsZero() && now.Sub(m.slowAt) < slowFor
+}
+
+// Plan is the admission plan in force; nil if there is none.
+func (s *schedulerSnapshot) Plan() *admission.Plan { return s.admission.agreement.InForce() }
--- /dev/null
+++ b/internal/controller/scheduling_test.go
@@ -0,0 +1,120 @@
+package controller
+
+import (
+	"math"
+	"testing"
+	"time"
+
+	"topazhollow/internal/agents"
+	"topazhollow/internal/protocol"
+	"topazhollow/internal/userapi"
+)
+
+// TestNewTermKeepsPlaces: a raised term is told of to peers with every homed machine's
+// view; a controller must know its own machines under it as well, or it places nothing
+// on them until each has reported again.
+func TestNewTermKeepsPlaces(t *testing.T) {
+	g := newGrown(0, 1)
+	n := g.n
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	n.agents.SetTerm(1, func(string) bool { return true })
+	n.roster.ApplyList("x", 1, agents.RosterValue{Names: []string{"n-1", "n-2"}})
+	for _, name := range []string{"n-1", "n-2"} {
+		n.applyHeartbeat(&protocol.Heartbeat{Machine: name, Addr: "127.0.0.1:1", Type: "m32", Zone: "east", Incarnation: 1, Seq: 1, FencingToken: 1, Tasks: []protocol.TaskStatus{}}, g.now)
+	}
+	if got := len(n.scheduler.Hosts((*schedulerSnapshot)(n), g.now, nil)); got != 2 {
+		t.Fatalf("%d of 2 machines take tasks", got)
+	}
+	next := n.leadership.Record().Clone()
+	next.Term++
+	n.adopt(next, n.leadership.RecordVersion()+1)
+	if got := len(n.scheduler.Hosts((*schedulerSnapshot)(n), g.now, nil)); got != 2 {
+		t.Errorf("%d of 2 machines take tasks after the term was raised", got)
+	}
+	if len(n.changedMachines) != 2 {
+		t.Errorf("%d of 2 machines are to be told of", len(n.changedMachines))
+	}
+}
+
+// TestRoomIsKeptForGangs: small tasks of an array took each piece of room that came free, so that gangs of higher
+// priority waited until the array was over. What a gang can get is left to it; one that all machines
+// of a zone could not take keeps nobody waiting, nor does one that waits for its team's quota, nor one of lower priority.
+func TestRoomIsKeptForGangs(t *testing.T) {
+	for _, c := range []struct {
+		tasks    int
+		priority string
+		quota    float64
+		kept     bool
+	}{{8, "high", 1000, true}, {9, "high", 1000, false}, {8, "low", 1000, false}, {8, "high", 48, false}} {
+		g := newGrown(8, 2) // two of them ordinary, in one zone
+		n := g.n
+		n.mu.Lock()
+		submit := func(spec protocol.Submission) {
+			spec.MemoryGB, spec.Image, spec.EstimateSeconds, spec.OneZone = 1, "img", 40, spec.Kind == protocol.Gang
+			n.learnJob(userapi.ActiveJob{SubmittedAtMillis: g.now.UnixMilli(), Spec: &spec}, 1)
+		}
+		held := func(uid string) (count int) {
+			for shard := range n.shards.All() {
+				for key := range shard.Team().Replica().Assignments {
+					if key.Job == uid {
+						count++
+					}
+				}
+			}
+			return count
+		}
+		n.shards.OfTeam("team-0").Team().MaxCPUs = c.quota
+		submit(protocol.Submission{UID: "job-000001", Team: "team-0", Kind: protocol.JobArray, Priority: "high", Tasks: 1, CPUs: 8})
+		n.place(g.now)
+		submit(protocol.Submission{UID: "job-000002", Team: "team-0", Kind: protocol.Gang, Priority: c.priority, Tasks: c.tasks, CPUs: 8})
+		submit(protocol.Submission{UID: "job-000003", Team: "team-1", Kind: protocol.JobArray, Priority: "standard", Tasks: 40, CPUs: 1})
+		n.place(g.now)
+		if held("job-000001") != 1 || held("job-000002") != 0 {
+			t.Fatalf("%+v: the gang has %d tasks placed beside what runs", c, held("job-000002"))
+		}
+		if got := held("job-000003"); got != 0 && c.kept || got != 40 && !c.kept {
+			t.Errorf("%+v: %d of 40 tasks of the array were placed", c, got)
+		}
+		n.mu.Unlock()
+		for range 70 {
+			g.second(1) // what ran ends
+		}
+		n.mu.Lock()
+		if done, _ := n.shards.OfTeam("team-0").Team().Progress("job-000002"); done == 0 && held("job-000002") == 0 && c.tasks == 8 && c.quota > 64 {
+			t.Errorf("%+v: the gang did not start in the room that came free", c)
+		}
+		n.mu.Unlock()
+	}
+}
+
+// TestEvictionsReachTheOwner: what a pass wants stopped gets an order to stop in its own team's account.
+func TestEvictionsReachTheOwner(t *testing.T) {
+	g := newGrown(1, 2) // of 32 CPUs
+	n := g.n
+	guest := n.shards.OfTeam("team-1").Team()
+	guest.GuaranteedCPUs = 0
+	submit := func(uid, team, priority string, tasks int, cpus float64) {
+		n.mu.Lock()
+		defer n.mu.Unlock()
+		n.learnJob(userapi.ActiveJob{SubmittedAtMillis: g.now.UnixMilli(), Spec: &protocol.Submission{UID: uid, Team: team, Kind: protocol.JobArray,
+			Priority: priority, Tasks: tasks, CPUs: cpus, MemoryGB: 1, EstimateSeconds: 600, Spot: true}}, 1)
+	}
+	submit("job-000001", "team-1", "low", 8, 4)
+	g.second(2)
+	submit("job-000002", "team-0", "standard", 1, 16)
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	n.place(g.now.Add(time.Second))
+	stops := 0
+	for _, orders := range guest.TakeDueOrders(math.MaxUint64, g.now.Add(time.Second), func(string, uint64) bool { return true }) {
+		for _, order := range orders {
+			if order.Op == protocol.Stop {
+				stops++
+			}
+		}
+	}
+	if stops != 4 {
+		t.Errorf("%d tasks of 4 CPUs get an order to stop for one of 16", stops)
+	}
+}
--- a/internal/controller/slowtasks.go
+++ b/internal/controller/slowtasks.go
@@ -34,7 +34,7 @@
 	if m == nil || job.Avoids(assignment.Machine, now) {
 		return
 	}
-	since, running := m.runningSince[assignment.Ref()]
+	since, running := n.scheduler.RunningSince(assignment.Machine, assignment.Ref())
 	if !running || now.Sub(since) <= limit || !shard.Team().Migrate(assignment, job.Spec.CheckpointSeconds, now) {
 		return
 	}
--- a/internal/controller/stray_test.go
+++ b/internal/controller/stray_test.go
@@ -169,7 +169,7 @@
 	if held() != 1 {
 		t.Fatal("a faulty job is not tried any more")
 	}
-	if got := len(n.hosts(g.now, nil)); got != 12 {
+	if got := len(n.scheduler.Hosts((*schedulerSnapshot)(n), g.now, nil)); got != 12 {
 		t.Fatalf("%d of 12 machines in use after a faulty job", got)
 	}
 	end(protocol.ReasonDone)
--- a/internal/controller/sustain_test.go
+++ b/internal/controller/sustain_test.go
@@ -100,7 +100,7 @@
 		n.peers[p] = &peerState{connected: true, lastMessageAt: g.now}
 		n.leadership.LearnPresence(p, leadership.Presence{Incarnation: 1, Version: 1})
 	}
-	if hosts := n.hosts(g.now, nil); len(hosts) != 40 {
+	if hosts := n.scheduler.Hosts((*schedulerSnapshot)(n), g.now, nil); len(hosts) != 40 {
 		t.Fatalf("%d of 40 machines may take tasks", len(hosts))
 	}
 	n.leadership.LeaseRenewed(g.now)
@@ -109,7 +109,7 @@
 	}
 	now := g.now.Add(4 * time.Second)
 	n.leadership.LeaseRenewed(now)
-	for _, h := range n.hosts(now, nil) {
+	for _, h := range n.scheduler.Hosts((*schedulerSnapshot)(n), now, nil) {
 		if !homed[h.Name] {
 			t.Errorf("%s may take tasks, though no order reaches its home", h.Name)
 		}
--- a/internal/controller/userbackend.go
+++ b/internal/controller/userbackend.go
@@ -21,7 +21,7 @@
 	n := b.node
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return n.machineTypes
+	return n.scheduler.MachineTypes()
 }
 
 // Progress is how many tasks of a job are done and running, as far as known here.
@@ -154,7 +154,7 @@
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	now := time.Now()
-	if n.machineTypes == nil {
+	if n.scheduler.MachineTypes() == nil {
 		return false
 	}
 	if n.leadership.HoldsLease(now) {
--- /dev/null
+++ b/internal/scheduler/fixture_test.go
@@ -0,0 +1,140 @@
+package scheduler
+
+import (
+	"fmt"
+	"iter"
+	"maps"
+	"math/rand/v2"
+	"slices"
+	"testing"
+	"time"
+
+	"topazhollow/internal/admission"
+	"topazhollow/internal/jobstate"
+	"topazhollow/internal/protocol"
+	"topazhollow/internal/settings"
+)
+
+// testTeam is an own team whose tasks go ahead only where its demands say so.
+type testTeam struct{ *jobstate.Team }
+
+func (testTeam) TasksAhead(demands []jobstate.Demand, _ time.Time) []int {
+	ahead := make([]int, len(demands))
+	for i, d := range demands {
+		if d.FirstTask {
+			ahead[i] = d.Count
+		}
+	}
+	return ahead
+}
+
+// cluster is a controller's knowledge of a deployment with two zones, all of whose machines accept tasks.
+type cluster struct {
+	t         *testing.T
+	scheduler *Scheduler
+	settings  settings.Deployment
+	now       time.Time
+	jobs      map[string]*Job
+	teams     []*jobstate.Team
+	plan      *admission.Plan
+	machines  []string
+}
+
+// newCluster has machines of 32 CPUs, three of four of them spot, and teams of no guarantee worth the name.
+func newCluster(t *testing.T, machines, teams int) *cluster {
+	c := &cluster{t: t, now: time.Unix(10000, 0), jobs: map[string]*Job{}}
+	c.settings.Zones = []string{"east", "west"}
+	c.scheduler = New(Config{Deployment: &c.settings, Options: settings.DefaultOptions(), Random: rand.New(rand.NewPCG(3, 4))})
+	c.scheduler.SetMachineTypes([]protocol.MachineType{{Name: "m32", CPUs: 32, MemoryGB: 256, PricePerHour: 2, SpotPricePerHour: 0.5, BootSeconds: 35,
+		FetchGBPerSecond: 0.25, Zones: c.settings.Zones}})
+	for i := range teams {
+		c.teams = append(c.teams, jobstate.NewTeam(fmt.Sprintf("team-%d", i), 3500, 10000, 0, 0, jobstate.NewReplica(), 1, func(string, ...any) {}))
+	}
+	for i := range machines {
+		c.machines = append(c.machines, fmt.Sprintf("n-%06d", i))
+		c.observe(i)
+	}
+	return c
+}
+
+// observe has a machine report these tasks.
+func (c *cluster) observe(machine int, tasks ...jobstate.TaskStatus) {
+	status := &jobstate.MachineStatus{Machine: c.machines[machine], Type: "m32", Zone: c.settings.Zones[machine%2], Spot: machine%4 > 0, Incarnation: 1, Tasks: tasks}
+	c.scheduler.ObserveMachine(status, c, c.now)
+}
+
+// submit has a user submit a job to a team some time ago.
+func (c *cluster) submit(team int, age time.Duration, spec protocol.Submission) {
+	spec.Team = fmt.Sprintf("team-%d", team)
+	j := &Job{Spec: &spec, SubmittedAt: c.now.Add(-age), Active: true}
+	j.Goals = Objectives(c.settings.Objectives).Goals(j.Spec, j.SubmittedAt)
+	c.jobs[spec.UID] = j
+	c.teams[team].AddJob(j.Spec, 1, j.SubmittedAt, nil)
+	c.teams[team].SetObjectives(spec.UID, j.Goals)
+}
+
+// pass runs a scheduling pass.
+func (c *cluster) pass() Result { return c.scheduler.Pass(c, c.now) }
+
+// run lets time pass by half seconds, with a pass in each: what was placed runs, and nothing ends. It gives the tasks that
+// were to be stopped, by the job that needs their room.
+func (c *cluster) run(seconds int) (victims map[jobstate.AttemptRef]string) {
+	victims = map[jobstate.AttemptRef]string{}
+	for range 2 * seconds {
+		c.now = c.now.Add(500 * time.Millisecond)
+		for _, team := range c.teams {
+			team.UpdateGangReservation(c.now)
+		}
+		for _, e := range c.pass().Evictions {
+			victims[e.Victim] = e.For
+		}
+		for i, name := range c.machines {
+			c.observe(i, c.runningOn(name)...)
+		}
+	}
+	return victims
+}
+
+// runningOn lists the tasks that were placed on a machine.
+func (c *cluster) runningOn(machine string) (tasks []jobstate.TaskStatus) {
+	c.HeldOn(machine, func(a jobstate.Assignment) {
+		tasks = append(tasks, jobstate.TaskStatus{TaskID: a.TaskID, Attempt: a.Attempt, State: protocol.Running})
+	})
+	return tasks
+}
+
+func (c *cluster) Job(uid string) (Job, bool) {
+	if j := c.jobs[uid]; j != nil {
+		return *j, true
+	}
+	return Job{}, false
+}
+
+func (c *cluster) HeldOn(machine string, f func(jobstate.Assignment)) {
+	for _, team := range c.teams {
+		team.AssignmentsOn(machine, f)
+	}
+}
+
+func (c *cluster) TakeChangedMachines() iter.Seq[string] {
+	changed := map[string]bool{}
+	for _, team := range c.teams {
+		maps.Copy(changed, team.TakeChangedMachines())
+	}
+	return maps.Keys(changed)
+}
+
+func (c *cluster) Teams() (teams []Team) {
+	for _, team := range c.teams {
+		teams = append(teams, testTeam{team})
+	}
+	return teams
+}
+
+func (c *cluster) PeerDemands(time.Time) iter.Seq[Demand] { return slices.Values([]Demand(nil)) }
+
+func (c *cluster) AcceptingMachines(time.Time) func(*jobstate.MachineStatus) bool {
+	return func(*jobstate.MachineStatus) bool { return true }
+}
+
+func (c *cluster) Plan() *admission.Plan { return c.plan }
--- /dev/null
+++ b/internal/scheduler/pass_test.go
@@ -0,0 +1,143 @@
+package scheduler
+
+import (
+	"math"
+	"testing"
+	"time"
+
+	"topazhollow/internal/admission"
+	"topazhollow/internal/jobstate"
+	"topazhollow/internal/protocol"
+)
+
+// TestNoSlackMinimizesTime: a task with hardly any time left went to a cheap machine that had to fetch its image for
+// longer than it had, beside an expensive one that had the image. What has time goes where it costs least.
+func TestNoSlackMinimizesTime(t *testing.T) {
+	for _, deadline := range []float64{30, 300} {
+		c := newCluster(t, 8, 1)
+		c.jobs["job-000009"] = &Job{Spec: &protocol.Submission{UID: "job-000009", Image: "img"}}
+		for i := 0; i < len(c.machines); i += 4 { // the ordinary ones
+			c.observe(i, jobstate.TaskStatus{TaskID: jobstate.TaskID{Job: "job-000009"}, Attempt: 1, State: protocol.Exited})
+		}
+		c.submit(0, 0, protocol.Submission{UID: "job-000001", Kind: protocol.JobArray, Priority: "high",
+			Tasks: 2, CPUs: 4, MemoryGB: 1, Image: "img", ImageGB: 4, EstimateSeconds: 10, Spot: true, DeadlineSeconds: &deadline})
+		c.now = c.now.Add(100 * time.Millisecond)
+		c.pass()
+		holds := c.teams[0].Replica().Assignments
+		if len(holds) != 2 {
+			t.Errorf("due in %g s: %d of 2 tasks placed", deadline, len(holds))
+		}
+		for _, a := range holds {
+			if spot := c.scheduler.machines[a.Machine].status.Spot; spot != (deadline == 300) {
+				t.Errorf("due in %g s: placed on a spot machine without the image: %v", deadline, spot)
+			}
+		}
+	}
+}
+
+// TestUnusedReservationIsReleased: room was reserved without end for a gang that could not start, so that an array
+// waited for minutes beside it. After a minute in which no gang started the array gets it.
+func TestUnusedReservationIsReleased(t *testing.T) {
+	c := newCluster(t, 8, 2) // two of them ordinary, in one zone
+	gangs, arrays := c.teams[0], c.teams[1]
+	submit := func(team int, uid, priority string, kind protocol.JobKind, tasks int, cpus float64) {
+		c.submit(team, 0, protocol.Submission{UID: uid, Kind: kind, Priority: priority, Tasks: tasks, CPUs: cpus,
+			MemoryGB: 1, Image: "img", EstimateSeconds: 40, OneZone: kind == protocol.Gang})
+	}
+	submittedAt := c.now
+	placeAt := func(after time.Duration) int {
+		c.now = submittedAt.Add(after)
+		gangs.UpdateGangReservation(c.now)
+		c.pass()
+		return len(arrays.Replica().Assignments)
+	}
+	submit(0, "job-000001", "high", protocol.Service, 1, 8)
+	placeAt(0)
+	submit(0, "job-000002", "high", protocol.Gang, 8, 8)
+	submit(1, "job-000003", "standard", protocol.JobArray, 40, 1)
+	if got := placeAt(0); got != 0 {
+		t.Fatalf("%d of 40 tasks of the array were placed at once", got)
+	}
+	if got := placeAt(time.Minute); got != 40 {
+		t.Errorf("%d of 40 tasks of the array were placed after a minute", got)
+	}
+	if got := len(gangs.Replica().Assignments); got != 1 {
+		t.Errorf("%d tasks of the other team are held, want the service alone", got)
+	}
+}
+
+// TestLeftoverRoomOfReservedMachines: a small job waited for minutes beside room on machines that were reserved for a
+// class whose larger tasks did not fit there. After a while it has that room, and never what the class could use.
+func TestLeftoverRoomOfReservedMachines(t *testing.T) {
+	for _, x := range []struct {
+		name       string
+		begun      int // small tasks of 2 CPUs on the machine of 32
+		age        time.Duration
+		wantPlaced int
+	}{
+		{"a job that has just come", 15, time.Second, 0},
+		{"a job that has waited", 15, leftoverAfter + time.Second, 1},
+		{"a job that has waited, beside room for the class", 14, leftoverAfter + time.Second, 0},
+	} {
+		t.Run(x.name, func(t *testing.T) {
+			c := newCluster(t, 1, 1)
+			team := c.teams[0]
+			submit := func(uid, class string, tasks int, cpus float64, age time.Duration, zone *string) {
+				c.submit(0, age, protocol.Submission{UID: uid, Class: class, Kind: protocol.JobArray, Priority: "standard",
+					Tasks: tasks, CPUs: cpus, MemoryGB: 1, Image: "img", EstimateSeconds: 40, Spot: true, Zone: zone})
+			}
+			submit("job-000001", "small", x.begun, 2, 0, nil)
+			c.pass()
+			c.plan = &admission.Plan{ID: admission.ID{SinceTerm: 1, Number: 1}, Reserved: map[string]string{c.machines[0]: "large"}}
+			team.Job("job-000001").Finishing = true // it asks for nothing more
+			submit("job-000002", "small", 1, 2, x.age, nil)
+			var zone *string
+			if x.begun < 15 {
+				elsewhere := "west" // where no machine is, so that the room stays free
+				zone = &elsewhere
+			}
+			submit("job-000003", "large", 1, 4, 0, zone)
+			c.pass()
+			if placed := 1 - team.Unstarted(team.Job("job-000002")); placed != x.wantPlaced {
+				t.Errorf("%d tasks placed, want %d", placed, x.wantPlaced)
+			}
+		})
+	}
+}
+
+// TestSurplusUsesRoomThatDemandsCannot: large tasks that found no room asked for all that a team's limit left, and
+// small ones without a goal waited for minutes beside room that they fit.
+func TestSurplusUsesRoomThatDemandsCannot(t *testing.T) {
+	for _, x := range []struct {
+		name  string
+		limit float64
+		want  int
+	}{
+		{"limit with room", 58, 1},
+		{"limit nearly used up", 38, 0},
+	} {
+		t.Run(x.name, func(t *testing.T) {
+			c := newCluster(t, 1, 1) // of 32 CPUs
+			team := c.teams[0]
+			team.SetLimits(0, x.limit, 0, math.Inf(1))
+			deadline := 500.0
+			submit := func(uid, class string, tasks int, cpus float64, deadline *float64) {
+				c.submit(0, 0, protocol.Submission{UID: uid, Class: class, Kind: protocol.JobArray, Priority: "standard",
+					Tasks: tasks, CPUs: cpus, MemoryGB: 1, Image: "img", EstimateSeconds: 40, Spot: true, DeadlineSeconds: deadline})
+			}
+			submit("job-000001", "other", 15, 2, nil)
+			c.pass()
+			submit("job-000002", "large", 100, 4, &deadline)
+			submit("job-000003", "small", 1, 2, nil)
+			for _, d := range team.Demands(c.now) {
+				if d.Spec.Class == "small" && d.Count > 0 {
+					t.Fatal("the small job is asked for anyway")
+				}
+			}
+			c.pass()
+			if placed := 1 - team.Unstarted(team.Job("job-000003")); placed != x.want {
+				t.Errorf("%d small tasks placed, want %d", placed, x.want)
+			}
+		})
+	}
+}
