--- a/internal/controller/autoscaling_inputs.go
+++ b/internal/controller/autoscaling_inputs.go
@@ -63,7 +63,7 @@
 	x.HomeUnreachable = n.homeUnheard(name, now)
 	x.Type, x.Zone, x.Spot, x.SpotNotice = m.status.Type, m.status.Zone, m.status.Spot, m.status.Notice
 	if host, known := n.scheduler.Room(name, (*schedulerSnapshot)(n)); known {
-		x.FreeCPUs, x.FreeGPUs, x.FreeMemory = host.CPUs, host.GPUs, host.Memory
+		x.FreeCPUs, x.FreeGPUs, x.FreeMemory = host.CPUs, host.GPUs, host.MemoryGB
 	}
 	for _, task := range m.status.Tasks {
 		if j := n.jobs[task.Job]; j != nil && task.State != protocol.Exited {
--- a/internal/controller/grown_test.go
+++ b/internal/controller/grown_test.go
@@ -192,9 +192,9 @@
 			}
 			n.scheduler.InvalidateMachines(slices.Values([]string{name}))
 			anew, _ := n.scheduler.Room(name, view)
-			cpus, memory := anew.CPUs, anew.Memory
-			if kept.CPUs != cpus || kept.Memory != memory {
-				t.Fatalf("second %d: %s has %g CPUs and %g GB kept, %g and %g counted anew", i, name, kept.CPUs, kept.Memory, cpus, memory)
+			cpus, memory := anew.CPUs, anew.MemoryGB
+			if kept.CPUs != cpus || kept.MemoryGB != memory {
+				t.Fatalf("second %d: %s has %g CPUs and %g GB kept, %g and %g counted anew", i, name, kept.CPUs, kept.MemoryGB, cpus, memory)
 			}
 			if cpus < -1e-6 || memory < -1e-6 {
 				t.Fatalf("second %d: %s is overfull: %g CPUs, %g GB", i, name, cpus, memory)
--- a/internal/controller/scheduling_test.go
+++ b/internal/controller/scheduling_test.go
@@ -10,10 +10,10 @@
 	"topazhollow/internal/userapi"
 )
 
-// TestNewTermKeepsPlaces: a raised term is told of to peers with every homed machine's
+// TestMachinesTakeTasksUnderANewTerm: a raised term is told of to peers with every homed machine's
 // view; a controller must know its own machines under it as well, or it places nothing
 // on them until each has reported again.
-func TestNewTermKeepsPlaces(t *testing.T) {
+func TestMachinesTakeTasksUnderANewTerm(t *testing.T) {
 	g := newGrown(0, 1)
 	n := g.n
 	n.mu.Lock()
@@ -37,10 +37,10 @@
 	}
 }
 
-// TestRoomIsKeptForGangs: small tasks of an array took each piece of room that came free, so that gangs of higher
+// TestRoomIsReservedForGangs: small tasks of an array took each piece of room that came free, so that gangs of higher
 // priority waited until the array was over. What a gang can get is left to it; one that all machines
 // of a zone could not take keeps nobody waiting, nor does one that waits for its team's quota, nor one of lower priority.
-func TestRoomIsKeptForGangs(t *testing.T) {
+func TestRoomIsReservedForGangs(t *testing.T) {
 	for _, c := range []struct {
 		tasks    int
 		priority string
--- a/internal/gangpreemption/gangpreemption.go
+++ b/internal/gangpreemption/gangpreemption.go
@@ -8,29 +8,29 @@
 )
 
 // Amount is what tasks take or machines have: CPUs, GPUs, and memory in GB.
-type Amount struct{ CPUs, GPUs, Memory float64 }
+type Amount struct{ CPUs, GPUs, MemoryGB float64 }
 
 func (a Amount) plus(b Amount) Amount {
-	return Amount{a.CPUs + b.CPUs, a.GPUs + b.GPUs, a.Memory + b.Memory}
+	return Amount{a.CPUs + b.CPUs, a.GPUs + b.GPUs, a.MemoryGB + b.MemoryGB}
 }
 
 func (a Amount) minus(b Amount) Amount {
-	return Amount{a.CPUs - b.CPUs, a.GPUs - b.GPUs, a.Memory - b.Memory}
+	return Amount{a.CPUs - b.CPUs, a.GPUs - b.GPUs, a.MemoryGB - b.MemoryGB}
 }
 
 // slack absorbs rounding in sums of amounts.
 const slack = 1e-6
 
 func (a Amount) covers(b Amount) bool {
-	return a.CPUs+slack >= b.CPUs && a.GPUs+slack >= b.GPUs && a.Memory+slack >= b.Memory
+	return a.CPUs+slack >= b.CPUs && a.GPUs+slack >= b.GPUs && a.MemoryGB+slack >= b.MemoryGB
 }
 
 // Victim is a task that may be stopped for the gang. ID is the caller's.
 type Victim struct {
-	ID   int
-	Size Amount
-	Loss float64 // CPU seconds of progress thrown away
-	Own  bool    // of the gang's team: what it takes of the quota becomes free as well
+	ID             int
+	Size           Amount
+	LostCPUSeconds float64 // CPU seconds of progress thrown away
+	Own            bool    // of the gang's team: what it takes of the quota becomes free as well
 }
 
 // Machine is one that the gang may use.
@@ -150,7 +150,7 @@
 			return 0, 0, false
 		}
 		free = free.plus(victims[count].Size)
-		loss += victims[count].Loss
+		loss += victims[count].LostCPUSeconds
 	}
 	return count, loss, true
 }
@@ -158,7 +158,7 @@
 // freeQuota adds victims of the gang's team on any machine until its quota is enough.
 func freeQuota(g Gang, machines []Machine, stops []Stop) (loss float64, ok bool) {
 	quota, need := g.Quota, Amount{CPUs: float64(g.Tasks) * g.Each.CPUs, GPUs: float64(g.Tasks) * g.Each.GPUs}
-	quota.Memory = 0
+	quota.MemoryGB = 0
 	type candidate struct {
 		machine int
 		Victim
@@ -174,14 +174,14 @@
 			}
 		}
 	}
-	slices.SortStableFunc(others, func(a, b candidate) int { return cmp.Compare(a.Loss, b.Loss) })
+	slices.SortStableFunc(others, func(a, b candidate) int { return cmp.Compare(a.LostCPUSeconds, b.LostCPUSeconds) })
 	for _, c := range others {
 		if quota.covers(need) {
 			break
 		}
 		quota.CPUs, quota.GPUs = quota.CPUs+c.Size.CPUs, quota.GPUs+c.Size.GPUs
 		stops[c.machine].Victims = append(slices.Clip(stops[c.machine].Victims), c.Victim)
-		loss += c.Loss
+		loss += c.LostCPUSeconds
 	}
 	return loss, quota.covers(need)
 }
--- a/internal/gangpreemption/gangpreemption_test.go
+++ b/internal/gangpreemption/gangpreemption_test.go
@@ -12,14 +12,14 @@
 	answers := 0
 	for seed := range uint64(2000) {
 		rng := rand.New(rand.NewPCG(seed, 5))
-		g := Gang{Tasks: 1 + rng.IntN(5), Each: Amount{CPUs: float64(1 + rng.IntN(4)), Memory: 1}, OneZone: rng.IntN(2) == 0, Quota: Amount{CPUs: float64(rng.IntN(12)), GPUs: 1}}
+		g := Gang{Tasks: 1 + rng.IntN(5), Each: Amount{CPUs: float64(1 + rng.IntN(4)), MemoryGB: 1}, OneZone: rng.IntN(2) == 0, Quota: Amount{CPUs: float64(rng.IntN(12)), GPUs: 1}}
 		machines := make([]Machine, 1+rng.IntN(5))
 		id := 0
 		for i := range machines {
-			machines[i] = Machine{Zone: rng.IntN(2), Free: Amount{CPUs: float64(rng.IntN(4)), Memory: float64(rng.IntN(6))}}
+			machines[i] = Machine{Zone: rng.IntN(2), Free: Amount{CPUs: float64(rng.IntN(4)), MemoryGB: float64(rng.IntN(6))}}
 			for range rng.IntN(5) {
 				id++
-				machines[i].Victims = append(machines[i].Victims, Victim{ID: id, Size: Amount{CPUs: 1, Memory: 1}, Loss: float64(rng.IntN(50)), Own: rng.IntN(3) > 0})
+				machines[i].Victims = append(machines[i].Victims, Victim{ID: id, Size: Amount{CPUs: 1, MemoryGB: 1}, LostCPUSeconds: float64(rng.IntN(50)), Own: rng.IntN(3) > 0})
 			}
 		}
 		stops, ok := Plan(g, machines)
@@ -77,7 +77,7 @@
 		if !g.OneZone {
 			zone = anyZone
 		}
-		room[zone] += int(math.Min(free[i].CPUs/g.Each.CPUs, free[i].Memory/g.Each.Memory) + slack)
+		room[zone] += int(math.Min(free[i].CPUs/g.Each.CPUs, free[i].MemoryGB/g.Each.MemoryGB) + slack)
 	}
 	most := 0
 	for _, n := range room {
@@ -88,10 +88,10 @@
 
 // TestLeastLoss: of two zones that in which less is lost is chosen.
 func TestLeastLoss(t *testing.T) {
-	size := Amount{CPUs: 4, Memory: 1}
+	size := Amount{CPUs: 4, MemoryGB: 1}
 	machines := []Machine{
-		{Zone: 0, Victims: []Victim{{ID: 1, Size: size, Loss: 90, Own: true}}},
-		{Zone: 1, Victims: []Victim{{ID: 2, Size: size, Loss: 20, Own: true}}},
+		{Zone: 0, Victims: []Victim{{ID: 1, Size: size, LostCPUSeconds: 90, Own: true}}},
+		{Zone: 1, Victims: []Victim{{ID: 2, Size: size, LostCPUSeconds: 20, Own: true}}},
 		{Zone: 1, Free: size},
 	}
 	stops, ok := Plan(Gang{Tasks: 2, Each: size, OneZone: true, Quota: Amount{CPUs: 4}}, machines)
--- a/internal/placement/placement.go
+++ b/internal/placement/placement.go
@@ -13,12 +13,12 @@
 	Type             int // index of its machine type
 	Zone             int // index of its zone
 	Spot             bool
-	Session          uint64  // incarnation of its agent
+	Incarnation      uint64  // of its agent
 	CPUs             float64 // free
 	GPUs             float64 // free
-	Memory           float64 // free, in GB
-	Price            float64 // per unit of time
-	Fetch            float64 // GB per second
+	MemoryGB         float64 // free
+	PricePerHour     float64
+	FetchGBPerSecond float64
 	Images           map[string]bool
 	Pulls            int    // images that it fetches now
 	ReservedClass    string // the only class of jobs that may start there now; "" for any
@@ -26,20 +26,20 @@
 }
 
 // Room is an amount of a machine: CPUs, and memory in GB.
-type Room struct{ CPUs, Memory float64 }
+type Room struct{ CPUs, MemoryGB float64 }
 
 // Ask is what a task needs.
 type Ask struct {
-	CPUs, GPUs, Memory float64
-	Types              []int // indices of the allowed machine types; nil: any
-	Zone               int   // index of the zone; -1: any
-	Spot               bool  // may use spot machines
-	Image              string
-	ImageGB            float64
-	Run                float64 // seconds that the task probably takes
-	MinimizeTime       bool    // time counts, not money
-	Class              string  // of the job
-	MayUseLeftover     bool    // may use room of reserved machines that is too little for what it is reserved for
+	CPUs, GPUs, MemoryGB float64
+	Types                []int // indices of the allowed machine types; nil: any
+	Zone                 int   // index of the zone; -1: any
+	Spot                 bool  // may use spot machines
+	Image                string
+	ImageGB              float64
+	RunSeconds           float64 // that the task probably takes
+	MinimizeTime         bool    // time counts, not money
+	Class                string  // of the job
+	MayUseLeftover       bool    // may use room of reserved machines that is too little for what it is reserved for
 }
 
 // slack absorbs rounding in sums of amounts.
@@ -62,18 +62,18 @@
 	if h.ReservedClass == "" || h.ReservedClass == a.Class {
 		return true
 	}
-	return a.MayUseLeftover && (h.CPUs+slack < h.SmallestReserved.CPUs || h.Memory+slack < h.SmallestReserved.Memory)
+	return a.MayUseLeftover && (h.CPUs+slack < h.SmallestReserved.CPUs || h.MemoryGB+slack < h.SmallestReserved.MemoryGB)
 }
 
 // Fits says whether a host has the room.
 func (a *Ask) Fits(h *Host) bool {
-	return h.CPUs+slack >= a.CPUs && h.GPUs+slack >= a.GPUs && h.Memory+slack >= a.Memory
+	return h.CPUs+slack >= a.CPUs && h.GPUs+slack >= a.GPUs && h.MemoryGB+slack >= a.MemoryGB
 }
 
 // Exceeds says that whatever takes this task would take the other as well.
 func (a *Ask) Exceeds(o *Ask) bool {
 	return a.Class == o.Class && (a.MayUseLeftover || !o.MayUseLeftover) &&
-		a.CPUs >= o.CPUs && a.GPUs >= o.GPUs && a.Memory >= o.Memory && (o.Spot || !a.Spot) &&
+		a.CPUs >= o.CPUs && a.GPUs >= o.GPUs && a.MemoryGB >= o.MemoryGB && (o.Spot || !a.Spot) &&
 		(o.Zone < 0 || o.Zone == a.Zone) && (o.Types == nil || slices.Equal(o.Types, a.Types))
 }
 
@@ -81,14 +81,14 @@
 // an image that is there already counts as much as the time that it saves. Images
 // fetched at the same time may share the rate. With MinimizeTime the time alone counts.
 func (a *Ask) cost(h *Host) float64 {
-	seconds := max(a.Run, 1)
-	if !h.Images[a.Image] && h.Fetch > 0 {
-		seconds += a.ImageGB / h.Fetch * float64(1+h.Pulls)
+	seconds := max(a.RunSeconds, 1)
+	if !h.Images[a.Image] && h.FetchGBPerSecond > 0 {
+		seconds += a.ImageGB / h.FetchGBPerSecond * float64(1+h.Pulls)
 	}
 	if a.MinimizeTime {
-		return seconds + h.Price*1e-6
+		return seconds + h.PricePerHour*1e-6
 	}
-	return h.Price * seconds
+	return h.PricePerHour * seconds
 }
 
 // better says whether x, at its cost, suits a task better than y: it is cheaper, so that expensive ones fall idle, or
@@ -135,12 +135,12 @@
 	}
 	h.CPUs -= a.CPUs
 	h.GPUs -= a.GPUs
-	h.Memory -= a.Memory
+	h.MemoryGB -= a.MemoryGB
 }
 
 // Release books room of a host as free again.
 func (h *Host) Release(cpus, gpus, memory float64) {
 	h.CPUs += cpus
 	h.GPUs += gpus
-	h.Memory += memory
+	h.MemoryGB += memory
 }
--- a/internal/placement/placement_test.go
+++ b/internal/placement/placement_test.go
@@ -15,23 +15,23 @@
 		var hosts []*Host
 		for i := range 1 + rng.IntN(20) {
 			hosts = append(hosts, &Host{Name: fmt.Sprintf("m%02d", i), Type: rng.IntN(3), Zone: rng.IntN(2), Spot: rng.IntN(2) == 0,
-				CPUs: float64(rng.IntN(9)), Memory: float64(rng.IntN(9)), Price: float64(rng.IntN(3)), Fetch: float64(rng.IntN(2)), Images: map[string]bool{"a": rng.IntN(2) == 0}})
+				CPUs: float64(rng.IntN(9)), MemoryGB: float64(rng.IntN(9)), PricePerHour: float64(rng.IntN(3)), FetchGBPerSecond: float64(rng.IntN(2)), Images: map[string]bool{"a": rng.IntN(2) == 0}})
 		}
-		ask := &Ask{CPUs: float64(1 + rng.IntN(4)), Memory: float64(rng.IntN(4)), Zone: rng.IntN(3) - 1, Spot: rng.IntN(2) == 0, Image: "a", ImageGB: float64(rng.IntN(9)), Run: float64(rng.IntN(9))}
+		ask := &Ask{CPUs: float64(1 + rng.IntN(4)), MemoryGB: float64(rng.IntN(4)), Zone: rng.IntN(3) - 1, Spot: rng.IntN(2) == 0, Image: "a", ImageGB: float64(rng.IntN(9)), RunSeconds: float64(rng.IntN(9))}
 		if rng.IntN(2) == 0 {
 			ask.Types = []int{rng.IntN(3)}
 		}
 		possible := func(h *Host) bool {
-			return h.CPUs >= ask.CPUs && h.Memory >= ask.Memory && (ask.Zone < 0 || ask.Zone == h.Zone) &&
+			return h.CPUs >= ask.CPUs && h.MemoryGB >= ask.MemoryGB && (ask.Zone < 0 || ask.Zone == h.Zone) &&
 				(!h.Spot || ask.Spot) && (ask.Types == nil || ask.Types[0] == h.Type) && h.Name != "m03"
 		}
 		// What it costs there, then what is left, then the name.
 		value := func(h *Host) []float64 {
-			seconds := max(1, ask.Run)
-			if h.Fetch == 1 && !h.Images["a"] {
+			seconds := max(1, ask.RunSeconds)
+			if h.FetchGBPerSecond == 1 && !h.Images["a"] {
 				seconds += ask.ImageGB
 			}
-			return []float64{h.Price * seconds, h.CPUs}
+			return []float64{h.PricePerHour * seconds, h.CPUs}
 		}
 		var best *Host
 		for _, h := range hosts { // in order of their names
@@ -62,8 +62,8 @@
 		{"its class", Host{ReservedClass: "a"}, Ask{Class: "a"}, true},
 		{"another class", Host{ReservedClass: "a", CPUs: 2, SmallestReserved: Room{CPUs: 4}}, Ask{Class: "b"}, false},
 		{"one that waited", Host{ReservedClass: "a", CPUs: 2, SmallestReserved: Room{CPUs: 4}}, Ask{Class: "b", MayUseLeftover: true}, true},
-		{"too little memory for the class", Host{ReservedClass: "a", CPUs: 8, Memory: 1, SmallestReserved: Room{CPUs: 4, Memory: 2}}, Ask{Class: "b", MayUseLeftover: true}, true},
-		{"room that the class could use", Host{ReservedClass: "a", CPUs: 4, Memory: 2, SmallestReserved: Room{CPUs: 4, Memory: 2}}, Ask{Class: "b", MayUseLeftover: true}, false},
+		{"too little memory for the class", Host{ReservedClass: "a", CPUs: 8, MemoryGB: 1, SmallestReserved: Room{CPUs: 4, MemoryGB: 2}}, Ask{Class: "b", MayUseLeftover: true}, true},
+		{"room that the class could use", Host{ReservedClass: "a", CPUs: 4, MemoryGB: 2, SmallestReserved: Room{CPUs: 4, MemoryGB: 2}}, Ask{Class: "b", MayUseLeftover: true}, false},
 		{"nobody knows what the class needs", Host{ReservedClass: "a", CPUs: 2}, Ask{Class: "b", MayUseLeftover: true}, false},
 	} {
 		if got := c.ask.Allows(&c.host); got != c.want {
--- a/internal/scheduler/gangpreemption.go
+++ b/internal/scheduler/gangpreemption.go
@@ -83,7 +83,7 @@
 
 // sizeOf is what a task of a job takes.
 func sizeOf(spec *protocol.Submission) gangpreemption.Amount {
-	return gangpreemption.Amount{CPUs: spec.CPUs, GPUs: spec.GPUs, Memory: spec.MemoryGB}
+	return gangpreemption.Amount{CPUs: spec.CPUs, GPUs: spec.GPUs, MemoryGB: spec.MemoryGB}
 }
 
 // gangSearch is what a gang may use and stop.
@@ -121,9 +121,9 @@
 func (s *gangSearch) freeRoom(h *placement.Host, ask *placement.Ask) gangpreemption.Amount {
 	reserved := float64(s.pass.reserved[reservationKey{s.gang.spec.UID, h.Name}])
 	return gangpreemption.Amount{
-		CPUs:   h.CPUs + reserved*ask.CPUs,
-		GPUs:   h.GPUs + reserved*ask.GPUs,
-		Memory: h.Memory + reserved*ask.Memory,
+		CPUs:     h.CPUs + reserved*ask.CPUs,
+		GPUs:     h.GPUs + reserved*ask.GPUs,
+		MemoryGB: h.MemoryGB + reserved*ask.MemoryGB,
 	}
 }
 
@@ -134,7 +134,7 @@
 		if protocol.Rank(v.spec.Priority) >= protocol.Rank(s.gang.spec.Priority) || s.ownOnly && !own || !s.countStopped(v.spec) {
 			continue
 		}
-		allowed = append(allowed, gangpreemption.Victim{ID: len(s.victims), Loss: v.lost, Own: own, Size: sizeOf(v.spec)})
+		allowed = append(allowed, gangpreemption.Victim{ID: len(s.victims), LostCPUSeconds: v.lost, Own: own, Size: sizeOf(v.spec)})
 		s.victims = append(s.victims, v)
 	}
 	return allowed
--- a/internal/scheduler/gangs.go
+++ b/internal/scheduler/gangs.go
@@ -45,7 +45,7 @@
 		}
 	}
 	for _, h := range taken {
-		h.Release(ask.CPUs, ask.GPUs, ask.Memory)
+		h.Release(ask.CPUs, ask.GPUs, ask.MemoryGB)
 	}
 	return false
 }
--- a/internal/scheduler/machines.go
+++ b/internal/scheduler/machines.go
@@ -162,20 +162,20 @@
 	}
 	machineType := &s.machineTypes[t]
 	h := placement.Host{
-		Name:    status.Machine,
-		Type:    t,
-		Zone:    s.zoneIndex(status.Zone),
-		Spot:    status.Spot,
-		Session: status.Incarnation,
-		Price:   machineType.PricePerHour,
-		Fetch:   machineType.FetchGBPerSecond,
-		Images:  m.images,
-		Pulls:   pullsOn(status, held),
+		Name:             status.Machine,
+		Type:             t,
+		Zone:             s.zoneIndex(status.Zone),
+		Spot:             status.Spot,
+		Incarnation:      status.Incarnation,
+		PricePerHour:     machineType.PricePerHour,
+		FetchGBPerSecond: machineType.FetchGBPerSecond,
+		Images:           m.images,
+		Pulls:            pullsOn(status, held),
 	}
 	if status.Spot {
-		h.Price = machineType.SpotPricePerHour
+		h.PricePerHour = machineType.SpotPricePerHour
 	}
-	h.CPUs, h.GPUs, h.Memory = s.freeRoom(m, held)
+	h.CPUs, h.GPUs, h.MemoryGB = s.freeRoom(m, held)
 	m.host, m.counted = h, true
 	return true
 }
--- a/internal/scheduler/pass.go
+++ b/internal/scheduler/pass.go
@@ -71,12 +71,12 @@
 
 // smallestAsk is room that each of the waiting tasks needs at the least.
 func smallestAsk(queue []waitingTasks) *placement.Ask {
-	least := &placement.Ask{CPUs: math.Inf(1), GPUs: math.Inf(1), Memory: math.Inf(1)}
+	least := &placement.Ask{CPUs: math.Inf(1), GPUs: math.Inf(1), MemoryGB: math.Inf(1)}
 	for i := range queue {
 		spec := queue[i].spec
 		least.CPUs = min(least.CPUs, spec.CPUs)
 		least.GPUs = min(least.GPUs, spec.GPUs)
-		least.Memory = min(least.Memory, spec.MemoryGB)
+		least.MemoryGB = min(least.MemoryGB, spec.MemoryGB)
 	}
 	return least
 }
@@ -88,9 +88,9 @@
 		spec := queue[i].spec
 		room, known := least[spec.Class]
 		if !known {
-			room = placement.Room{CPUs: math.Inf(1), Memory: math.Inf(1)}
+			room = placement.Room{CPUs: math.Inf(1), MemoryGB: math.Inf(1)}
 		}
-		least[spec.Class] = placement.Room{CPUs: min(room.CPUs, spec.CPUs), Memory: min(room.Memory, spec.MemoryGB)}
+		least[spec.Class] = placement.Room{CPUs: min(room.CPUs, spec.CPUs), MemoryGB: min(room.MemoryGB, spec.MemoryGB)}
 	}
 	for _, h := range hosts {
 		h.SmallestReserved = least[h.ReservedClass]
@@ -170,7 +170,7 @@
 
 // location is a host as a team's account names it.
 func (s *Scheduler) location(h *placement.Host) jobstate.Location {
-	return jobstate.Location{Machine: h.Name, Zone: s.machines[h.Name].status.Zone, Incarnation: h.Session}
+	return jobstate.Location{Machine: h.Name, Zone: s.machines[h.Name].status.Zone, Incarnation: h.Incarnation}
 }
 
 // hasNoSlack says whether tasks would not be complete in time if they ran three times as long as estimated after
@@ -189,18 +189,18 @@
 // ask is what a task of a job needs of a machine.
 func (s *Scheduler) ask(spec *protocol.Submission) *placement.Ask {
 	ask := &placement.Ask{
-		CPUs:    spec.CPUs,
-		GPUs:    spec.GPUs,
-		Memory:  spec.MemoryGB,
-		Zone:    anyZone,
-		Spot:    spec.Spot,
-		Image:   spec.Image,
-		ImageGB: spec.ImageGB,
-		Run:     spec.EstimateSeconds,
-		Class:   spec.Class,
+		CPUs:       spec.CPUs,
+		GPUs:       spec.GPUs,
+		MemoryGB:   spec.MemoryGB,
+		Zone:       anyZone,
+		Spot:       spec.Spot,
+		Image:      spec.Image,
+		ImageGB:    spec.ImageGB,
+		RunSeconds: spec.EstimateSeconds,
+		Class:      spec.Class,
 	}
 	if spec.Kind == protocol.Service {
-		ask.Run = serviceRun
+		ask.RunSeconds = serviceRun
 	}
 	if spec.Zone != nil {
 		ask.Zone = s.zoneIndex(*spec.Zone)
--- a/internal/scheduler/reservations.go
+++ b/internal/scheduler/reservations.go
@@ -61,7 +61,7 @@
 		for range cleared[h.Name] {
 			h.CPUs = max(0, h.CPUs-ask.CPUs)
 			h.GPUs = max(0, h.GPUs-ask.GPUs)
-			h.Memory = max(0, h.Memory-ask.Memory)
+			h.MemoryGB = max(0, h.MemoryGB-ask.MemoryGB)
 			tasks++
 		}
 	}
@@ -92,7 +92,7 @@
 	}
 	for _, h := range r.pass.hosts {
 		if r.accepts(h) {
-			free[r.zoneOf(h)] += spec.TasksThatFit(h.CPUs, h.GPUs, h.Memory)
+			free[r.zoneOf(h)] += spec.TasksThatFit(h.CPUs, h.GPUs, h.MemoryGB)
 		}
 	}
 	best = anyZone
