--- a/internal/controller/autoscaling.go
+++ b/internal/controller/autoscaling.go
@@ -4,7 +4,6 @@
 	"context"
 	"errors"
 	"fmt"
-	"slices"
 	"time"
 
 	"topazhollow/internal/autoscaler"
@@ -34,35 +33,50 @@
 	loggedAt time.Time     // when the log last described the whole fleet
 }
 
+// draining is the machines that no task should go to; none without a provisioner.
+func (p *provisioner) draining() map[string]bool {
+	if p == nil {
+		return nil
+	}
+	return p.account.Draining()
+}
+
+// slowPlaces are the places where machines come up late; none without a provisioner.
+func (p *provisioner) slowPlaces() []string {
+	if p == nil {
+		return nil
+	}
+	return p.account.SlowPlaces()
+}
+
 // runFleet acquires and releases machines while this controller owns the fleet.
 func (n *Node) runFleet(ctx context.Context) error {
-	var p *provisioner
 	for sleep(ctx, provisionInterval) {
 		now := time.Now()
 		n.mu.Lock()
-		p = n.provision(p, now)
+		n.provision(now)
 		n.mu.Unlock()
 	}
 	return nil
 }
 
-// provision decides once and begins what was decided. It returns the provisioner to go on
-// with, nil while this controller does not own the fleet.
-func (n *Node) provision(p *provisioner, now time.Time) *provisioner {
+// provision decides once and begins what was decided, if this controller owns the fleet and may act.
+func (n *Node) provision(now time.Time) {
 	shard := n.shards.Owned(leadership.FleetShard)
 	if shard == nil {
-		n.drainingMachines, n.slowPlaces = map[string]bool{}, nil
-		return nil
+		n.provisioner = nil
+		return
 	}
 	if !n.entitled(now) || n.scheduler.MachineTypes() == nil {
-		return p
+		return
 	}
-	if p == nil || p.account.SinceTerm() != shard.SinceTerm() {
-		p = n.newProvisioner(shard.SinceTerm(), now)
+	if n.provisioner == nil || n.provisioner.account.SinceTerm() != shard.SinceTerm() {
+		n.provisioner = n.newProvisioner(shard.SinceTerm(), now)
 	}
+	p := n.provisioner
 	n.readCloudList(p.account, now)
 	if !p.account.Ready() {
-		return p
+		return
 	}
 	machines := n.fleetMachines(p.account, now)
 	demands := n.fleetDemands(now)
@@ -73,18 +87,19 @@
 		Arrivals:  n.arrivals(now),
 		SettledAt: n.leadership.SettledAt(),
 		TakenOver: shard.SinceTerm() > n.leadership.Record().FirstTerm || n.leadership.Epoch() > 1,
-		Draining:  n.drainingMachines,
 	}, now)
-	n.noteSlowPlaces(actions.SlowPlaces)
+	before := p.account.SlowPlaces()
+	if p.account.UpdateSlowPlaces(actions.SlowPlaces) {
+		n.log.Info("places where machines come up late", "before", before, "now", actions.SlowPlaces)
+	}
 	n.logFleet(p, machines, demands, actions.Retired, now)
 	n.updatePlan(machines, demands, now)
 	n.carryOut(p, &actions)
-	return p
 }
 
 // carryOut begins what was decided.
 func (n *Node) carryOut(p *provisioner, actions *provisioning.Actions) {
-	n.drainingMachines = actions.Drain
+	p.account.StartDraining(actions.Drain)
 	n.requestScaleIn(p.account, actions.ScaleIn)
 	n.removeGoneMachines()
 	for _, request := range actions.ScaleOut {
@@ -103,10 +118,14 @@
 		ListLag:   settings.Seconds(n.settings.Deployment.Cloud.ListLagSeconds),
 		Fleet:     n.fleetOptions(),
 	}
-	return &provisioner{
+	p := &provisioner{
 		account: provisioning.New(options, now),
 		turns:   make(chan struct{}, maxOpenRequests),
 	}
+	if n.provisioner != nil {
+		p.account.Continue(n.provisioner.account)
+	}
+	return p
 }
 
 // fleetOptions derives from the settings what the fleet's decisions go by.
@@ -152,15 +171,6 @@
 	})
 }
 
-// noteSlowPlaces logs a change of the places where machines come up late.
-func (n *Node) noteSlowPlaces(late []string) {
-	if slices.Equal(late, n.slowPlaces) {
-		return
-	}
-	n.log.Info("places where machines come up late", "before", n.slowPlaces, "now", late)
-	n.slowPlaces = late
-}
-
 // requestScaleOut sends one scale-out request when its turn comes.
 func (n *Node) requestScaleOut(ctx context.Context, p *provisioner, request protocol.ScaleOutRequest) {
 	select {
--- a/internal/controller/node.go
+++ b/internal/controller/node.go
@@ -113,8 +113,7 @@
 	teamConfig *teamConfigState // the teams' configuration; nil: it does not change
 
 	// The fleet, while this controller owns its shard.
-	drainingMachines map[string]bool
-	slowPlaces       []string // places where machines come up late, as the fleet's owner sees it
+	provisioner *provisioner // nil: this controller does not own the fleet shard, or has not begun to
 }
 
 // logFirst logs once when this process came to a step, for how long after its start.
@@ -195,7 +194,6 @@
 	n.machinesByJob = map[string]map[string]bool{}
 	n.registration = agents.NewRegistration()
 	n.changedMachines = map[string]bool{}
-	n.drainingMachines = map[string]bool{}
 	n.unreachableHomes = agents.NewUnreachableHomes(agentTiming(n.settings))
 	n.commandSenders = map[string]*commandSender{}
 }
--- a/internal/controller/overview.go
+++ b/internal/controller/overview.go
@@ -75,7 +75,7 @@
 		Config:           n.configStatus(now),
 		UnreachablePeers: n.unreachablePeers(now),
 		LastStall:        n.lastStall.Seconds(),
-		SlowPlaces:       n.slowPlaces,
+		SlowPlaces:       n.provisioner.slowPlaces(),
 	}
 	n.addLeadership(&o, now)
 	for shard := range n.shards.All() {
--- a/internal/controller/status.go
+++ b/internal/controller/status.go
@@ -100,7 +100,7 @@
 	s.Awaited = n.shards.AwaitedMachines()
 	s.Unanswered = n.unanswered()
 	if n.shards.OwnsFleet() {
-		s.Draining = slices.Sorted(maps.Keys(n.drainingMachines))
+		s.Draining = slices.Sorted(maps.Keys(n.provisioner.draining()))
 	}
 	return s
 }
@@ -167,7 +167,7 @@
 // draining is the machines that no task should go to.
 func (n *Node) draining() map[string]bool {
 	if n.shards.OwnsFleet() {
-		return n.drainingMachines
+		return n.provisioner.draining()
 	}
 	if n.leadership.Record() != nil {
 		if p := n.peers[n.leadership.Record().Shards[leadership.FleetShard].Owner]; p != nil {
--- a/internal/provisioning/decide.go
+++ b/internal/provisioning/decide.go
@@ -21,8 +21,6 @@
 	// TakenOver says that there was an owner before, whose last machines the cloud's list may
 	// not name yet.
 	TakenOver bool
-	// Draining are the machines that get no tasks as of the last decision.
-	Draining map[string]bool
 }
 
 // Actions are what is to be done now.
@@ -34,7 +32,7 @@
 	Retired    int                        // how many machines go back once they are idle
 }
 
-// Decide says what to acquire, to release and to drain.
+// Decide says what to acquire, to release and to drain. StartDraining is to follow.
 func (a *Account) Decide(in *Inputs, now time.Time) Actions {
 	settled := in.SettledAt
 	if a.startedAt.After(settled) {
@@ -47,7 +45,7 @@
 	}
 	return Actions{
 		ScaleOut:   plan.ScaleOut,
-		ScaleIn:    a.beginScaleIn(plan.ScaleIn, in.Draining),
+		ScaleIn:    a.beginScaleIn(plan.ScaleIn),
 		Drain:      drained(plan.ScaleIn, plan.Retire),
 		SlowPlaces: plan.SlowPlaces,
 		Retired:    len(plan.Retire),
@@ -56,9 +54,9 @@
 
 // beginScaleIn picks the machines that are released now: those that already got no tasks as
 // of the last decision, so that no start is on its way to them.
-func (a *Account) beginScaleIn(wanted []string, draining map[string]bool) (now []string) {
+func (a *Account) beginScaleIn(wanted []string) (now []string) {
 	for _, machine := range wanted {
-		if draining[machine] && len(now) < maxScaleIn {
+		if a.draining[machine] && len(now) < maxScaleIn {
 			now = append(now, machine)
 			a.scalingIn[machine] = true
 		}
--- a/internal/provisioning/provisioning.go
+++ b/internal/provisioning/provisioning.go
@@ -6,6 +6,7 @@
 package provisioning
 
 import (
+	"slices"
 	"time"
 
 	"topazhollow/internal/autoscaler"
@@ -34,6 +35,8 @@
 	acquired   map[string]protocol.ScaleOutRequest // by machine, the request that it was acquired by
 	scalingIn  map[string]bool                     // machines whose release is under way
 	listReadAt time.Time                           // when the list was last read; zero before the first time
+	draining   map[string]bool                     // machines that no task should go to
+	slowPlaces []string                            // places where no machine comes up in time
 	reading    bool                                // a read of the list is under way
 }
 
@@ -121,3 +124,25 @@
 		delete(a.scalingIn, machine)
 	}
 }
+
+// Continue carries on what the account of an earlier ownership of the same process has decided on draining.
+func (a *Account) Continue(earlier *Account) {
+	a.draining, a.slowPlaces = earlier.draining, earlier.slowPlaces
+}
+
+// StartDraining sets the machines that no task should go to from now on. A machine is released by the next decision at the
+// earliest, so that no start is on its way to it.
+func (a *Account) StartDraining(machines map[string]bool) { a.draining = machines }
+
+// Draining is the machines that no task should go to. The caller does not change it.
+func (a *Account) Draining() map[string]bool { return a.draining }
+
+// UpdateSlowPlaces sets the places where no machine comes up in time, and says whether they changed.
+func (a *Account) UpdateSlowPlaces(places []string) (changed bool) {
+	changed = !slices.Equal(places, a.slowPlaces)
+	a.slowPlaces = places
+	return changed
+}
+
+// SlowPlaces are the places where no machine comes up in time, as "type in zone".
+func (a *Account) SlowPlaces() []string { return a.slowPlaces }
--- a/internal/provisioning/provisioning_test.go
+++ b/internal/provisioning/provisioning_test.go
@@ -44,9 +44,9 @@
 	}
 }
 
-// TestReturnAfterDraining: a machine is returned one decision after it began to get no
+// TestScaleInAfterDraining: a machine is released one decision after it began to get no
 // tasks, again if the cloud did not answer, and is no candidate meanwhile.
-func TestReturnAfterDraining(t *testing.T) {
+func TestScaleInAfterDraining(t *testing.T) {
 	now := time.Unix(1000, 0)
 	a := newAccount(now)
 	a.BeginListing(now)
@@ -57,8 +57,9 @@
 		for _, name := range a.Candidates(maps.Keys(map[string]bool{})) {
 			observations = append(observations, Observation{Machine: autoscaler.Machine{Name: name}})
 		}
-		actions := a.Decide(&Inputs{Types: types, Machines: a.Describe(observations, now), Draining: draining}, now)
+		actions := a.Decide(&Inputs{Types: types, Machines: a.Describe(observations, now)}, now)
 		draining = actions.Drain
+		a.StartDraining(draining)
 		return actions.ScaleIn
 	}
 	if got := decide(); got != nil || !draining["m-1"] {
@@ -80,9 +81,9 @@
 	}
 }
 
-// TestRentAfterTakeOver: an owner that follows another one rents nothing before the list
-// names what that one rented.
-func TestRentAfterTakeOver(t *testing.T) {
+// TestScaleOutAfterFailover: an owner that follows another one acquires nothing before the list
+// names what that one acquired.
+func TestScaleOutAfterFailover(t *testing.T) {
 	now := time.Unix(1000, 0)
 	a := newAccount(now)
 	in := &Inputs{Types: types, Demands: demand(now), TakenOver: true}
