--- a/internal/controller/autoscaling_inputs.go
+++ b/internal/controller/autoscaling_inputs.go
@@ -51,7 +51,7 @@
 func (n *Node) observeMachine(m *machine, name string, now time.Time) provisioning.Observation {
 	observed := provisioning.Observation{Reported: m.status != nil, Machine: autoscaler.Machine{
 		Name:          name,
-		LastHeartbeat: m.lastHeard(),
+		LastHeartbeat: m.LastSign(),
 		IdleSince:     m.idleSince,
 		Registered:    n.roster.Has(name),
 		Faulty:        n.quarantine.IsMachineBad(name, now),
@@ -84,16 +84,6 @@
 	return autoscaler.RunningTask{CPUs: spec.CPUs, GPUs: spec.GPUs, Memory: spec.MemoryGB, SecondsLeft: left, OnDemandOnly: !spec.Spot}
 }
 
-// lastHeard is when any controller last had a report of a machine, as far as known here. One that
-// reports in vain to other controllers is alive, whatever its home says; a machine that never
-// reported to its home counts from there.
-func (m *machine) lastHeard() time.Time {
-	if m.heardAt.IsZero() {
-		return m.heardAt
-	}
-	return later(m.heardAt, m.misdirectedAt)
-}
-
 // homeUnheard says whether a machine's home is another member that holds its lease but is not
 // heard here, as when connections between controllers are refused. Then nothing that happens
 // on the machine is known here either.
@@ -218,7 +208,7 @@
 		if machines[i].Spot {
 			s.spot++
 		}
-		if now.Sub(m.heardAt) > n.unreachableHomes.Timing().RedirectTimeout {
+		if now.Sub(m.HeardAt) > n.unreachableHomes.Timing().RedirectTimeout {
 			s.silent++
 		}
 		cpus, _, _, _ := n.scheduler.Capacity(m.status.Type)
--- a/internal/controller/grown_test.go
+++ b/internal/controller/grown_test.go
@@ -112,7 +112,7 @@
 		g.n.leadership.LeaseRenewed(g.now)
 		g.n.step(g.now)
 		for _, name := range g.names {
-			g.n.machines[name].heardAt = g.now
+			g.n.machines[name].HeardAt = g.now
 			var fresh []jobstate.TaskStatus
 			for shard := range g.n.shards.All() {
 				shard.Team().AssignmentsOn(name, func(h jobstate.Assignment) {
--- a/internal/controller/heartbeat.go
+++ b/internal/controller/heartbeat.go
@@ -83,7 +83,7 @@
 
 // answerMisdirected answers an agent whose home is another controller.
 func (n *Node) answerMisdirected(h *protocol.Heartbeat, home string, now time.Time) agents.Answer {
-	n.machine(h.Machine).misdirectedAt = now
+	n.machine(h.Machine).MisdirectedAt = now
 	n.unreachableHomes.RecordMisdirected(h.Machine)
 	if n.routeMisdirected(home, h.Machine, now) == agents.RedirectHome {
 		return agents.Answer{Outcome: agents.Redirected, RedirectTo: home}
@@ -142,7 +142,7 @@
 // recordHeartbeat notes that an agent is alive at its home, and publishes what changed.
 func (n *Node) recordHeartbeat(h *protocol.Heartbeat, changed bool, now time.Time) {
 	m := n.machine(h.Machine)
-	m.heardAt, m.homeHeardAt, m.homeWatermark = now, now, now
+	m.RecordHeartbeat(now)
 	if !n.roster.Has(h.Machine) {
 		n.registration.Want(h.Machine)
 		n.checkUnregistered(h, m, now)
--- a/internal/controller/inflight_test.go
+++ b/internal/controller/inflight_test.go
@@ -103,7 +103,7 @@
 	}
 	n.leadership.Record().Nodes[n.name]++ // an earlier process was its home
 	n.leadership.LeaseExpired(at)
-	n.machine(o.name).homeWatermark = time.Time{}
+	n.machine(o.name).HomeWatermark = time.Time{}
 	if status, _ := o.report(at.Add(2 * time.Second)); status == 200 {
 		t.Error("a process that began anew takes itself for the home that it was")
 	}
@@ -124,7 +124,7 @@
 	said := func(from string, inFlight map[string]int64) time.Duration {
 		s := statusMsg{HeartbeatAges: map[string]int64{name: 2000}, InFlightAges: inFlight, Received: map[string]receivedStatus{n.name: {Incarnation: n.incarnation, SentAt: 50000}}}
 		n.onHomeWatermarks(from, &s, g.now)
-		return g.now.Sub(n.machine(name).homeWatermark)
+		return g.now.Sub(n.machine(name).HomeWatermark)
 	}
 	if got := said("node-b", nil); got != 12*time.Second {
 		t.Errorf("heard 2 s before a status that names one of 10 s ago: %v", got)
--- a/internal/controller/leaserenewal.go
+++ b/internal/controller/leaserenewal.go
@@ -19,7 +19,7 @@
 	position := leasegrant.Standing{
 		IsHome:        n.homeOf(r.Machine) == n.name && n.leadership.IsMember(),
 		LeaseValid:    n.leadership.HoldsLease(now) && n.entitled(now),
-		HomeWatermark: n.machine(r.Machine).homeWatermark,
+		HomeWatermark: n.machine(r.Machine).HomeWatermark,
 	}
 	if home != nil {
 		position.InFlightWatermark = home.InFlightWatermark(n.jobEnded)
@@ -141,7 +141,7 @@
 		if inFlight, ok := s.InFlightAges[machine]; ok {
 			age = max(age, inFlight)
 		}
-		m.homeWatermark = sent.Add(-time.Duration(age) * time.Millisecond)
+		m.HomeWatermark = sent.Add(-time.Duration(age) * time.Millisecond)
 	}
 }
 
--- a/internal/controller/machinestatus.go
+++ b/internal/controller/machinestatus.go
@@ -5,6 +5,7 @@
 	"slices"
 	"time"
 
+	"topazhollow/internal/agents"
 	"topazhollow/internal/jobstate"
 	"topazhollow/internal/protocol"
 	"topazhollow/internal/scheduler"
@@ -34,7 +35,7 @@
 		n.scheduler.RemoveMachine(name)
 		n.indexTasks(m.status, false)
 	}
-	*m = machine{gone: true, heardAt: time.Now()}
+	*m = machine{gone: true, Liveness: agents.Liveness{HeardAt: time.Now()}}
 	n.quarantine.ForgetMachine(name)
 	n.agents.Drop(name)
 	n.unreachableHomes.Forget(name)
@@ -101,7 +102,7 @@
 		return
 	}
 	n.replaceStatus(m, v)
-	m.heardAt = now
+	m.HeardAt = now
 	n.recordRunTimes(n.scheduler.ObserveMachine(v, (*schedulerSnapshot)(n), now), now)
 	n.recordTasks(m, v, now)
 	n.reconcileShards(v)
--- a/internal/controller/node.go
+++ b/internal/controller/node.go
@@ -126,13 +126,11 @@
 
 // machine is what every controller knows of a machine.
 type machine struct {
+	agents.Liveness
+
 	status            *jobstate.MachineStatus
-	heardAt           time.Time
-	homeHeardAt       time.Time // when its home last heard it, as far as told
-	homeWatermark     time.Time // a start that its home sent and that may still arrive was sent knowing all withdrawals before
-	home              string    // by the record homeBy
+	home              string // by the record homeBy
 	homeRecord        *leadership.Record
-	misdirectedAt     time.Time // when it last reported to a controller that is not its home
 	unregisteredSince time.Time // since when it reports tasks though it is on no list of machines
 	inspectedAt       time.Time // when it was last asked whether it is there
 	gone              bool
--- a/internal/controller/overview.go
+++ b/internal/controller/overview.go
@@ -136,7 +136,7 @@
 			continue
 		}
 		x.Known++
-		if now.Sub(m.heardAt) > silent {
+		if now.Sub(m.HeardAt) > silent {
 			x.Silent++
 		}
 		if !m.idleSince.IsZero() {
--- a/internal/controller/peerhandler.go
+++ b/internal/controller/peerhandler.go
@@ -164,13 +164,12 @@
 	p.apply(s)
 	for name, age := range s.HeartbeatAges {
 		if m := n.machines[name]; m != nil && !m.gone {
-			t := now.Add(-time.Duration(age) * time.Millisecond)
-			m.heardAt, m.homeHeardAt = later(m.heardAt, t), later(m.homeHeardAt, t)
+			m.RecordHomeHeartbeat(now.Add(-time.Duration(age) * time.Millisecond))
 		}
 	}
 	for _, name := range s.Misdirected {
 		if m := n.machines[name]; m != nil && !m.gone {
-			m.misdirectedAt = now
+			m.MisdirectedAt = now
 		}
 	}
 	if n.leadership.Record() == nil || s.Term > n.leadership.Term() {
--- a/internal/controller/scheduling.go
+++ b/internal/controller/scheduling.go
@@ -160,7 +160,7 @@
 		switch {
 		case status.Term != n.leadership.Term(), status.Notice, n.runsUndescribedJob(status):
 			return false
-		case now.Sub(m.heardAt) > fresh, unreachable[n.homeFor(m, name)]:
+		case now.Sub(m.HeardAt) > fresh, unreachable[n.homeFor(m, name)]:
 			return false
 		case n.quarantine.IsMachineBad(name, now), n.isSlow(m, now):
 			return false
--- a/internal/controller/status.go
+++ b/internal/controller/status.go
@@ -145,7 +145,7 @@
 	const many, long = 2000, 5 * time.Minute
 	if len(n.machines) > many {
 		maps.DeleteFunc(n.machines, func(name string, m *machine) bool {
-			if !m.gone || now.Sub(m.heardAt) <= long || n.roster.Has(name) {
+			if !m.gone || now.Sub(m.HeardAt) <= long || n.roster.Has(name) {
 				return false
 			}
 			n.unreachableHomes.Forget(name)
--- a/internal/controller/step_test.go
+++ b/internal/controller/step_test.go
@@ -24,7 +24,7 @@
 	shard.Replicas().Replicate(n.cluster(), g.now) // a copy goes out, of which nothing is acknowledged
 	shard.Replicas().Acknowledge("node-b", 1, &shards.Acknowledgement{Shard: shard.Name(), SinceTerm: 1}, g.now)
 	for _, name := range g.names {
-		n.machines[name].heardAt = g.now
+		n.machines[name].HeardAt = g.now
 	}
 	now := g.now.Add(4 * time.Second)
 	if !n.syncStates(now)[shard.Name()].Lagging["node-b"] {
--- a/internal/controller/stray_test.go
+++ b/internal/controller/stray_test.go
@@ -32,7 +32,7 @@
 		alive(now)
 		switch {
 		case !w.here && homeAnswers(now):
-			n.machine(w.name).homeHeardAt = now // as the home tells in its status
+			n.machine(w.name).HomeHeardAt = now // as the home tells in its status
 			w.answer(now)
 		case !w.here: // 4 s for an answer, 1 s to the next controller
 			w.here, w.next = true, now.Add(5*time.Second)
@@ -145,7 +145,7 @@
 		g.now = g.now.Add(after)
 		n.leadership.LeaseRenewed(g.now)
 		for _, name := range g.names {
-			n.machines[name].heardAt = g.now
+			n.machines[name].HeardAt = g.now
 		}
 		n.step(g.now)
 	}
@@ -196,12 +196,12 @@
 		t.Fatalf("tells of %v, then of more", s.Misdirected)
 	}
 	m := fleetOwner.machine(name)
-	before := m.lastHeard()
+	before := m.LastSign()
 	fleetOwner.applyPeerStatus(&peerState{}, &s, at)
-	if got := m.lastHeard(); got != at || before == at {
+	if got := m.LastSign(); got != at || before == at {
 		t.Errorf("the fleet's owner last heard the machine at %v, not %v", got, at)
 	}
-	if m.homeHeardAt == at {
+	if m.HomeHeardAt == at {
 		t.Error("a home that heard nothing counts as having heard")
 	}
 }
--- a/internal/controller/sustain_test.go
+++ b/internal/controller/sustain_test.go
@@ -72,7 +72,7 @@
 			if got := answer(later, name, 1, protocol.Exited, "job-000001/0"); got != 503 {
 				t.Errorf("a machine is kept alive though nothing is known of its home's last word: %d", got)
 			}
-			n.machine(name).homeHeardAt, n.machine(name).homeWatermark = g.now, g.now
+			n.machine(name).HomeHeardAt, n.machine(name).HomeWatermark = g.now, g.now
 			if got := answer(later, name, 1, protocol.Exited, "job-000001/0"); got != 200 {
 				t.Errorf("a machine of another home is answered by %d", got)
 			}
--- a/internal/controller/unreachablehomes.go
+++ b/internal/controller/unreachablehomes.go
@@ -34,7 +34,7 @@
 		Machine:       machine,
 		Home:          home,
 		HomeConnected: p.isReachable(now),
-		HomeHeardAt:   n.machine(machine).homeHeardAt,
+		HomeHeardAt:   n.machine(machine).HomeHeardAt,
 		SettledAt:     n.leadership.SettledAt(),
 	}, now)
 }
@@ -45,7 +45,7 @@
 func (h machineHomes) HomeOf(machine string) string { return h.n.homeOf(machine) }
 
 func (h machineHomes) ReachedHomeAt(machine string) time.Time {
-	return later(h.n.machine(machine).homeHeardAt, h.n.leadership.SettledAt())
+	return later(h.n.machine(machine).HomeHeardAt, h.n.leadership.SettledAt())
 }
 
 func (h machineHomes) CountOf(home string) (count int) {
@@ -93,7 +93,7 @@
 		return "", false
 	}
 	for _, m := range n.machines {
-		if m.status != nil && !m.gone && time.Since(m.heardAt) < probedAgentSilent {
+		if m.status != nil && !m.gone && time.Since(m.HeardAt) < probedAgentSilent {
 			return m.status.Addr, m.status.Addr != ""
 		}
 	}
