--- a/internal/controller/golden_state_test.go
+++ b/internal/controller/golden_state_test.go
@@ -26,8 +26,8 @@
 
 func TestGoldenPresence(t *testing.T) {
 	goldentest.Wire.Check(t, []goldentest.Case{
-		{Name: "presence-full.json", Value: present{Incarnation: 1767225600000001}, Full: true},
-		{Name: "presence-empty.json", Value: present{}},
+		{Name: "presence-full.json", Value: presenceValue{Incarnation: 1767225600000001}, Full: true},
+		{Name: "presence-empty.json", Value: presenceValue{}},
 	})
 }
 
--- /dev/null
+++ b/internal/controller/record.go
@@ -0,0 +1,93 @@
+package controller
+
+import (
+	"context"
+	"maps"
+	"slices"
+	"time"
+
+	"topazhollow/internal/datarecovery"
+	"topazhollow/internal/leadership"
+	"topazhollow/internal/protocol"
+)
+
+// learnRecord judges a membership record as the state service has it under a version.
+func (n *Node) learnRecord(r *leadership.Record, version uint64) {
+	switch n.leadership.Judge(r, version) {
+	case leadership.Follows:
+		n.adopt(r, version)
+	case leadership.OfNewerEpoch:
+		n.recovery.detection.NewerEpochSeen(r.Epoch)
+	case leadership.Older:
+		n.suspectLoss(datarecovery.SignRecordOlder)
+	case leadership.Unchained:
+		n.recovery.detection.RecordOutOfChain()
+		n.suspectLoss(datarecovery.SignRecordOutOfChain)
+	}
+}
+
+// adopt makes a record the one known, and carries out what that changes.
+func (n *Node) adopt(r *leadership.Record, version uint64) {
+	now := time.Now()
+	changes := n.leadership.Adopt(r, version, now)
+	if changes == nil {
+		return
+	}
+	if changes.TermChanged {
+		n.log.Info("membership record", "term", r.Term, "members", r.Members(), "shards", r.Shards)
+		n.agents.SetTerm(r.Term, func(m string) bool { return r.Home(m) == n.name })
+		n.endCommandSenders()
+	}
+	if changes.LossSettled {
+		n.recovery.detection.SearchGivenUp()
+	}
+	if changes.EpochBegan {
+		n.recovery.detection.Entered(r.Epoch, now)
+		n.epochEntered(r)
+	}
+	if changes.RosterCompleted {
+		n.reload()
+	}
+	n.followOwners(r, n.leadership.IsMember())
+	if changes.TermChanged { // the shards are those of this record now
+		n.publishAllStatuses()
+	}
+	n.wake()
+}
+
+// endCommandSenders ends the goroutines that send commands to machines whose home is another controller now.
+func (n *Node) endCommandSenders() {
+	for name, sender := range n.commandSenders {
+		if n.agents.Get(name) == nil {
+			delete(n.commandSenders, name)
+			close(sender.signal)
+		}
+	}
+}
+
+// publishAllStatuses has the status of each machine told to the peers under the new term.
+func (n *Node) publishAllStatuses() {
+	for _, name := range slices.Sorted(maps.Keys(n.agents.All())) {
+		n.publishStatus(name)
+	}
+}
+
+// refresh reads the control record now, after a hint that it has changed.
+func (n *Node) refresh(ctx context.Context) error {
+	e, err := n.kvStore.GetControl(ctx, controlKey)
+	if err != nil || e == nil {
+		return err
+	}
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	n.changed(protocol.Change{Set: e.Key, Value: e.Value, Version: e.Version})
+	return nil
+}
+
+// hint asks for a fresh read of the control record.
+func (n *Node) hint() {
+	select {
+	case n.recordHints <- struct{}{}:
+	default:
+	}
+}
--- a/internal/controller/recordchange.go
+++ b/internal/controller/recordchange.go
@@ -122,7 +122,7 @@
 // propose tries to write a record, and adopts it if that worked.
 func (n *Node) propose(ctx context.Context, p *proposedRecord) error {
 	revision, failed, err := n.kvStore.CommitControl(ctx, p.transaction())
-	n.log.Info("control record proposed", "term", p.Record.Term, "reason", p.Why(), "err", err, "failed", failed)
+	n.log.Info("membership record proposed", "term", p.Record.Term, "reason", p.Why(), "err", err, "failed", failed)
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	switch {
--- a/internal/controller/recovery_epoch.go
+++ b/internal/controller/recovery_epoch.go
@@ -55,7 +55,7 @@
 		case strings.HasPrefix(e.Key, datarecovery.EpochKey):
 			contents.EpochKeys[e.Key] = e.Version
 		case strings.HasPrefix(e.Key, nodeKey):
-			var p present
+			var p presenceValue
 			if json.Unmarshal(e.Value, &p) == nil {
 				contents.Presences[e.Key[len(nodeKey):]] = leadership.Presence{Incarnation: p.Incarnation, Version: e.Version}
 			}
