--- a/internal/controller/capacity_bench_test.go
+++ b/internal/controller/capacity_bench_test.go
@@ -66,7 +66,7 @@
 					b.Fatal(err)
 				}
 				h.ApplyHeartbeat(&got, time.Unix(0, 0))
-				peer.Line(kindMachineStatuses, []*jobstate.MachineStatus{h.Status(r.Machine)})
+				peer.Encode(kindMachineStatuses, []*jobstate.MachineStatus{h.Status(r.Machine)})
 			})
 		})
 	}
@@ -224,10 +224,10 @@
 		}
 		g.n.mu.Lock()
 		s := g.n.status(g.now)
-		line := peer.Line(kindStatus, s)
+		line := peer.Encode(kindStatus, s)
 		b.Run(fmt.Sprintf("send/homed=%d", homed), func(b *testing.B) {
 			processorTime(b, func() {
-				peer.Line(kindStatus, g.n.status(g.now))
+				peer.Encode(kindStatus, g.n.status(g.now))
 			})
 			b.ReportMetric(float64(len(line)), "bytes")
 		})
--- a/internal/controller/golden_test.go
+++ b/internal/controller/golden_test.go
@@ -45,7 +45,7 @@
 // line is the form of the lines of one kind.
 func line(kind string) goldentest.Form {
 	return goldentest.Form{
-		Encode: func(value any) ([]byte, error) { return peer.Line(kind, value), nil },
+		Encode: func(value any) ([]byte, error) { return peer.Encode(kind, value), nil },
 		Decode: func(data []byte, into any) error {
 			var e peer.Envelope
 			if err := protocol.Decode(data, &e); err != nil {
--- a/internal/controller/jobs.go
+++ b/internal/controller/jobs.go
@@ -13,7 +13,7 @@
 type job struct {
 	spec          *protocol.Submission
 	submittedAt   time.Time
-	version       uint64
+	version       uint64 // of the job's key in the state service; 0: that does not have it yet
 	active        bool
 	endedAt       time.Time
 	countedLate   bool                // counted as not served in time
@@ -44,27 +44,35 @@
 		n.reobserveReserved(s.Spec.UID)
 	}
 	j.version = max(j.version, version)
-	if shard := n.shards.OfTeam(s.Spec.Team); shard != nil && shard.Phase() != shards.Loading && shard.Team().Job(s.Spec.UID) == nil {
-		n.addJob(shard, j, nil)
-		if d := n.recovery.gathering.Finished(s.Spec.UID); d != nil {
-			shard.Team().MergeDone(s.Spec.UID, d)
-		}
-		if n.epoch() > 1 { // machines may run it already
-			n.reconcileMachinesOf(shard, s.Spec.UID)
-		}
-		n.wake()
-	} else if shard != nil {
-		shard.Team().RecordVersion(s.Spec.UID, j.version)
+	if shard := n.shards.OfTeam(s.Spec.Team); shard != nil {
+		n.takeUpJob(shard, j)
+	}
+}
+
+// takeUpJob gives an active job to the shard of its team, or its version if the shard has it or is still loading.
+func (n *Node) takeUpJob(shard *shards.Owned, j *job) {
+	uid, team := j.spec.UID, shard.Team()
+	if shard.Phase() == shards.Loading || team.Job(uid) != nil {
+		team.RecordVersion(uid, j.version)
+		return
+	}
+	n.addJob(shard, j, nil)
+	if done := n.recovery.gathering.Finished(uid); done != nil {
+		team.MergeDone(uid, done)
 	}
+	if n.epoch() > 1 { // machines may run it already
+		n.reconcileMachinesOf(shard, uid)
+	}
+	n.wake()
 }
 
-// ended says whether a job is remembered to have ended.
+// hasEnded says whether a job is remembered to have ended.
 func (n *Node) hasEnded(uid string) bool {
 	_, ended := n.front.KnownEnd(uid)
 	return ended
 }
 
-// endJob books that a job is over: nothing of it may start any more. One that is not known yet
+// endJob notes that a job is over: nothing of it may start any more. One that is not known yet
 // stays over when its acceptance is read.
 func (n *Node) endJob(uid string) {
 	j := n.jobs[uid]
--- a/internal/controller/node.go
+++ b/internal/controller/node.go
@@ -255,7 +255,7 @@
 		})
 	}
 	for _, p := range n.settings.Peers {
-		group.Go(func() error { return n.links.Dial(ctx, p.Name) })
+		group.Go(func() error { return n.links.KeepConnected(ctx, p.Name) })
 	}
 	return group.Wait()
 }
--- a/internal/controller/recovery_gather.go
+++ b/internal/controller/recovery_gather.go
@@ -109,9 +109,9 @@
 			m.Last, m.Ends, m.Active, m.Config = true, ends, written, n.rememberedConfig()
 			n.addFinishedOfWritten(m.Finished)
 		}
-		line := peer.Line(kindMemories, m)
+		line := peer.Encode(kindMemories, m)
 		for _, name := range to {
-			n.links.SendLine(name, line)
+			n.links.SendEncoded(name, line)
 		}
 	}
 }
--- a/internal/controller/recovery_replicate.go
+++ b/internal/controller/recovery_replicate.go
@@ -72,9 +72,9 @@
 	n.numberCancellation(&m)
 	signal := make(chan struct{}, 1)
 	facts.waiting[m.ID] = signal
-	line := peer.Line(kindReplicateFact, m)
+	line := peer.Encode(kindReplicateFact, m)
 	for name, p := range n.peers {
-		if n.links.SendLine(name, line) && p.isReachable(now) {
+		if n.links.SendEncoded(name, line) && p.isReachable(now) {
 			reached++
 		}
 	}
--- a/internal/controller/replication.go
+++ b/internal/controller/replication.go
@@ -25,9 +25,9 @@
 // sendReplication sends what brings a shard's replicas up to date.
 func (n *Node) sendReplication(shard *shards.Owned, messages []shards.Outgoing) {
 	for _, m := range messages {
-		line := peer.Line(m.Kind, m.Body)
+		line := peer.Encode(m.Kind, m.Body)
 		for _, to := range m.To {
-			if !n.links.SendLine(to, line) {
+			if !n.links.SendEncoded(to, line) {
 				shard.Replicas().NotSent(to, m.Kind)
 			}
 		}
--- a/internal/controller/replication_test.go
+++ b/internal/controller/replication_test.go
@@ -61,7 +61,7 @@
 		n.peers = map[string]*peerState{other: {}}
 		n.links = peer.New(n.name, n.incarnation, map[string]string{other: pipe.Addr()}, peerHandler{n}, slog.New(slog.DiscardHandler))
 		group.Go(func() error { return n.links.Listen(ctx, addrs[n.name]) })
-		group.Go(func() error { return n.links.Dial(ctx, other) })
+		group.Go(func() error { return n.links.KeepConnected(ctx, other) })
 	}
 	t.Cleanup(func() {
 		cancel()
--- a/internal/controller/status.go
+++ b/internal/controller/status.go
@@ -54,9 +54,9 @@
 
 // broadcast sends every peer the same message.
 func (n *Node) broadcast(kind string, body any) {
-	line := peer.Line(kind, body)
+	line := peer.Encode(kind, body)
 	for name := range n.peers {
-		n.links.SendLine(name, line)
+		n.links.SendEncoded(name, line)
 	}
 }
 
--- a/internal/peer/delivery.go
+++ b/internal/peer/delivery.go
@@ -4,47 +4,47 @@
 
 // Times after which a connection counts as half-open.
 const (
-	stallAfter = lineTimeout     // without progress, while the peer is heard; the receiver ends a connection after the same time
-	silence    = 2 * time.Second // between two of the peer's lines that ends the time in which it was heard
+	stallTimeout = receiveTimeout  // without progress, while its statuses come; the receiver ends a connection after the same time
+	steadyGap    = 2 * time.Second // between two of the peer's statuses, longer than which they are not steady
 )
 
-// Delivery notices a half-open connection: one on which this controller sends while the peer, as its own lines say on the
-// connection of the other direction, gets nothing. The operating system may keep such a connection for many minutes, as after a
-// peer's machine or the path between lost it without a word. The zero value has seen nothing.
+// Delivery detects a half-open connection: one on which this controller sends while the peer, as its own statuses say on the
+// connection of the other direction, receives nothing. The operating system may keep such a connection for many minutes,
+// as after a peer's machine or the path between lost it without notice. The zero value knows no connection.
 type Delivery struct {
-	up       time.Time // since when the connection stands
-	heard    time.Time // when the peer's last line came
-	since    time.Time // since when its lines have come without a pause
-	received uint64    // the latest that it says it received
-	progress time.Time // when that last changed
+	connectedAt  time.Time // when the connection began
+	lastStatusAt time.Time // when the peer's last status came
+	steadySince  time.Time // since when its statuses have come without a pause
+	received     uint64    // the latest that it says it received
+	progressAt   time.Time // when that last changed
 }
 
-// Up says that a new connection to the peer stands.
-func (d *Delivery) Up(now time.Time) { d.up = now }
+// Connected notes a new connection to the peer.
+func (d *Delivery) Connected(now time.Time) { d.connectedAt = now }
 
-// Heard takes in a line of the peer that names the latest that it received from this process, in any units that grow; 0 for
-// nothing. It says whether the connection is half-open and should be reset. After that it counts as a new one.
-func (d *Delivery) Heard(now time.Time, received uint64) (stalled bool) {
-	if now.Sub(d.heard) > silence {
-		d.since = now
+// StatusReceived takes in a status of the peer that names the latest that it received from this process, in any units that
+// grow; 0 for nothing. It says whether the connection is half-open and should be reset. After that it counts as a new one.
+func (d *Delivery) StatusReceived(now time.Time, received uint64) (stalled bool) {
+	if now.Sub(d.lastStatusAt) > steadyGap {
+		d.steadySince = now
 	}
-	d.heard = now
+	d.lastStatusAt = now
 	if received != d.received {
-		d.received, d.progress = received, now
+		d.received, d.progressAt = received, now
 		return false
 	}
-	for _, start := range []time.Time{d.up, d.since, d.progress} {
-		if now.Sub(start) < stallAfter {
+	for _, start := range []time.Time{d.connectedAt, d.steadySince, d.progressAt} {
+		if now.Sub(start) < stallTimeout {
 			return false
 		}
 	}
-	d.up = now
+	d.connectedAt = now
 	return true
 }
 
 // Reset ends the connection to a peer, so that it is dialled anew. What was queued for it is dropped.
 func (l *Links) Reset(node string) {
-	s := l.out[node]
+	s := l.connections[node]
 	if s == nil {
 		return
 	}
@@ -54,7 +54,7 @@
 }
 
 // abort ends a sender's connection. Its mutex is held.
-func (s *sender) abort() {
+func (s *connection) abort() {
 	s.up, s.queue, s.queued = false, nil, 0
 	s.wake()
 }
--- a/internal/peer/delivery_test.go
+++ b/internal/peer/delivery_test.go
@@ -23,24 +23,24 @@
 		want     time.Duration // when it is first found to be half-open; 0: never
 	}{
 		{"all arrives", func(now time.Duration) uint64 { return uint64(now) }, nil, 0, 0},
-		{"nothing ever arrives", func(time.Duration) uint64 { return 0 }, nil, 0, stallAfter},
-		{"what arrives ends", func(now time.Duration) uint64 { return uint64(min(now, 4*time.Second)) }, nil, 0, 4*time.Second + stallAfter},
-		{"a new connection has its time", func(time.Duration) uint64 { return 0 }, nil, 10 * time.Second, 10*time.Second + stallAfter},
-		{"progress within the time", func(now time.Duration) uint64 { return uint64(now / (stallAfter - every)) }, nil, 0, 0},
+		{"nothing ever arrives", func(time.Duration) uint64 { return 0 }, nil, 0, stallTimeout},
+		{"what arrives ends", func(now time.Duration) uint64 { return uint64(min(now, 4*time.Second)) }, nil, 0, 4*time.Second + stallTimeout},
+		{"a new connection has its time", func(time.Duration) uint64 { return 0 }, nil, 10 * time.Second, 10*time.Second + stallTimeout},
+		{"progress within the time", func(now time.Duration) uint64 { return uint64(now / (stallTimeout - every)) }, nil, 0, 0},
 		{"the peer is silent now and then", func(time.Duration) uint64 { return 0 }, func(now time.Duration) bool { return now%(10*time.Second) < 7*time.Second }, 0, 0},
 		{"a cut both ways ends", func(now time.Duration) uint64 { return uint64(min(now, time.Second)) },
-			func(now time.Duration) bool { return now < time.Second || now > 30*time.Second }, 0, 30*time.Second + every + stallAfter},
+			func(now time.Duration) bool { return now < time.Second || now > 30*time.Second }, 0, 30*time.Second + every + stallTimeout},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
 			var d Delivery
-			d.Up(start)
+			d.Connected(start)
 			found := time.Duration(0)
 			for now := time.Duration(0); now < time.Minute && found == 0; now += every {
 				if test.up > 0 && now == test.up {
-					d.Up(start.Add(now))
+					d.Connected(start.Add(now))
 				}
-				if (test.heard == nil || test.heard(now)) && d.Heard(start.Add(now), test.received(now)) {
+				if (test.heard == nil || test.heard(now)) && d.StatusReceived(start.Add(now), test.received(now)) {
 					found = now
 				}
 			}
@@ -55,9 +55,9 @@
 func TestDeliveryIsResetOnce(t *testing.T) {
 	var d Delivery
 	start, resets := time.Unix(1000, 0), 0
-	d.Up(start)
-	for now := time.Duration(0); now <= 2*stallAfter; now += time.Second {
-		if d.Heard(start.Add(now), 7) {
+	d.Connected(start)
+	for now := time.Duration(0); now <= 2*stallTimeout; now += time.Second {
+		if d.StatusReceived(start.Add(now), 7) {
 			resets++
 		}
 	}
@@ -93,7 +93,7 @@
 	defer cancel()
 	events := &linkEvents{}
 	links := New("a", 1, map[string]string{"b": listener.Addr().String()}, events, slog.New(slog.DiscardHandler))
-	group.Go(func() { _ = links.Dial(ctx, "b") })
+	group.Go(func() { _ = links.KeepConnected(ctx, "b") })
 	unread, err := listener.Accept()
 	if err != nil {
 		t.Fatal(err)
--- a/internal/peer/golden_test.go
+++ b/internal/peer/golden_test.go
@@ -63,7 +63,7 @@
 	ended := make(chan struct{})
 	go func() {
 		defer close(ended)
-		_ = links.Dial(ctx, "estacion-2")
+		_ = links.KeepConnected(ctx, "estacion-2")
 	}()
 	defer func() { cancel(); <-ended }()
 	conn, err := l.Accept()
@@ -73,7 +73,7 @@
 	defer conn.Close()
 	<-c.up
 	links.Send("estacion-2", "first", text{"<a> & \u00e9 \u2028\n"}) // what JSON may write in several ways
-	links.SendLine("estacion-2", Line("second", []int{1, 2}))
+	links.SendEncoded("estacion-2", Encode("second", []int{1, 2}))
 	links.Send("estacion-2", "third", nil)
 	if err := conn.SetReadDeadline(time.Now().Add(10 * time.Second)); err != nil {
 		t.Fatal(err)
--- a/internal/peer/peer.go
+++ b/internal/peer/peer.go
@@ -1,7 +1,7 @@
-// Package peer carries JSON lines between controllers. Each direction has a
-// connection of its own; the sender dials. Lines of a connection are in order,
-// and once a newer connection of a peer was seen, late lines of an older one
-// are dropped.
+// Package peer carries messages between controllers, as lines of JSON. Each direction has a connection of its own, which the
+// sender dials. Messages of a connection arrive in order; once a newer connection of a peer exists, late messages of an
+// older one are dropped. A message may be lost, and is never sent again by this package. It decides nothing by what a
+// message says. Links is safe for concurrent use; Delivery is not.
 package peer
 
 import (
@@ -21,29 +21,29 @@
 
 // Limits of links, in bytes and connections.
 const (
-	maxLine   = 4 << 20
-	maxQueued = 8 << 20 // unsent lines to one peer; more end the connection
-	maxConns  = 64
-	keptBytes = 1 << 20 // a larger buffer for writing is not kept
+	maxMessageBytes = 4 << 20
+	maxQueuedBytes  = 8 << 20 // unsent lines to one peer; more end the connection
+	maxConnections  = 64
+	maxKeptBuffer   = 1 << 20 // a larger buffer for writing is not kept
 )
 
 // Times of links.
 const (
-	dialTimeout  = time.Second
-	redialDelay  = 300 * time.Millisecond
-	writeTimeout = 4 * time.Second
-	helloTimeout = 5 * time.Second
-	lineTimeout  = 15 * time.Second // silence that ends an incoming connection
+	dialTimeout     = time.Second
+	redialDelay     = 300 * time.Millisecond
+	writeTimeout    = 4 * time.Second
+	greetingTimeout = 5 * time.Second
+	receiveTimeout  = 15 * time.Second // silence that ends an incoming connection
 )
 
-// Hello opens every connection.
-type Hello struct {
+// Greeting is the first line of every connection.
+type Greeting struct {
 	Node        string `json:"node"`
 	Incarnation uint64 `json:"incarnation"`
-	Conn        uint64 `json:"conn"`
+	Connection  uint64 `json:"conn"`
 }
 
-// Envelope is one line.
+// Envelope is a message, one line.
 type Envelope struct {
 	Kind string          `json:"kind"`
 	Body json.RawMessage `json:"body,omitempty"`
@@ -51,26 +51,26 @@
 
 // Handler takes what comes from peers. It must not block for long.
 type Handler interface {
-	// PeerUp says that a connection to the peer stands, empty of earlier lines.
+	// PeerUp says that there is a new connection to the peer. Nothing that was sent before is queued on it.
 	PeerUp(node string)
 	// PeerDown says that the connection to the peer was lost.
 	PeerDown(node string)
-	// PeerMessage is one line from the peer's process of that incarnation.
+	// PeerMessage is one message from the peer's process of that incarnation.
 	PeerMessage(node string, incarnation uint64, kind string, body []byte)
 }
 
 // Links are all connections between this controller and its peers.
 type Links struct {
-	self    Hello
-	log     *slog.Logger
-	handler Handler
-	out     map[string]*sender
+	self        Greeting
+	log         *slog.Logger
+	handler     Handler
+	connections map[string]*connection
 
 	mu     sync.Mutex
-	latest map[string]Hello
+	latest map[string]Greeting
 }
 
-type sender struct {
+type connection struct {
 	node, addr string
 
 	mu     sync.Mutex
@@ -82,28 +82,28 @@
 
 // New makes links to peers given by name and address.
 func New(node string, incarnation uint64, peers map[string]string, handler Handler, log *slog.Logger) *Links {
-	l := &Links{self: Hello{Node: node, Incarnation: incarnation}, log: log, handler: handler,
-		out: map[string]*sender{}, latest: map[string]Hello{}}
+	l := &Links{self: Greeting{Node: node, Incarnation: incarnation}, log: log, handler: handler,
+		connections: map[string]*connection{}, latest: map[string]Greeting{}}
 	for name, addr := range peers {
-		l.out[name] = &sender{node: name, addr: addr, signal: make(chan struct{}, 1)}
+		l.connections[name] = &connection{node: name, addr: addr, signal: make(chan struct{}, 1)}
 	}
 	return l
 }
 
-// Send queues a line. It reports false when the peer has no connection now, or
-// when too much waits, which drops the connection.
+// Send queues a message. It returns false if there is no connection to the peer now, or too much is queued, which ends the
+// connection.
 func (l *Links) Send(node, kind string, body any) bool {
-	return l.SendLine(node, Line(kind, body))
+	return l.SendEncoded(node, Encode(kind, body))
 }
 
-// Line is a message as SendLine takes it, to be encoded once for several peers.
-func Line(kind string, body any) []byte {
+// Encode gives a message the form that SendEncoded takes, so that it is encoded once for several peers.
+func Encode(kind string, body any) []byte {
 	return append(protocol.Encode(Envelope{Kind: kind, Body: protocol.Encode(body)}), '\n')
 }
 
-// SendLine is Send for a line made before.
-func (l *Links) SendLine(node string, line []byte) bool {
-	s := l.out[node]
+// SendEncoded is Send for a message that Encode made.
+func (l *Links) SendEncoded(node string, line []byte) bool {
+	s := l.connections[node]
 	if s == nil {
 		return false
 	}
@@ -112,7 +112,7 @@
 	if !s.up {
 		return false
 	}
-	if s.queued+len(line) > maxQueued {
+	if s.queued+len(line) > maxQueuedBytes {
 		s.abort()
 		return false
 	}
@@ -122,18 +122,18 @@
 	return true
 }
 
-func (s *sender) wake() {
+func (s *connection) wake() {
 	select {
 	case s.signal <- struct{}{}:
 	default:
 	}
 }
 
-// Dial keeps one outgoing connection to the peer until the context ends.
-func (l *Links) Dial(ctx context.Context, node string) error {
-	s := l.out[node]
+// KeepConnected keeps up one connection to the peer until the context ends.
+func (l *Links) KeepConnected(ctx context.Context, node string) error {
+	s := l.connections[node]
 	for n := uint64(1); ctx.Err() == nil; n++ {
-		err := l.session(ctx, s, n)
+		err := l.connect(ctx, s, n)
 		s.mu.Lock()
 		was := s.up
 		s.up, s.queue, s.queued = false, nil, 0
@@ -150,9 +150,9 @@
 	return nil
 }
 
-// session connects to a peer, and sends what is queued until the connection ends. Number is
+// connect connects to a peer, and sends what is queued until the connection ends. Number is
 // that of the connection.
-func (l *Links) session(ctx context.Context, s *sender, number uint64) error {
+func (l *Links) connect(ctx context.Context, s *connection, number uint64) error {
 	d := net.Dialer{Timeout: dialTimeout, KeepAlive: -1}
 	conn, err := d.DialContext(ctx, "tcp4", s.addr)
 	if err != nil {
@@ -162,7 +162,7 @@
 	stop := context.AfterFunc(ctx, func() { conn.Close() })
 	defer stop()
 	hello := l.self
-	hello.Conn = number
+	hello.Connection = number
 	if _, err := conn.Write(append(protocol.Encode(hello), '\n')); err != nil {
 		return err
 	}
@@ -170,7 +170,7 @@
 	s.up, s.queue, s.queued = true, nil, 0
 	s.mu.Unlock()
 	l.handler.PeerUp(s.node)
-	return s.send(conn, whenClosed(conn))
+	return s.writeQueued(conn, whenClosed(conn))
 }
 
 // whenClosed tells when a connection ends on which the peer never writes.
@@ -184,11 +184,11 @@
 	return closed
 }
 
-// send writes queued lines until the connection ends.
-func (s *sender) send(conn net.Conn, closed <-chan struct{}) error {
+// writeQueued writes queued lines until the connection ends.
+func (s *connection) writeQueued(conn net.Conn, closed <-chan struct{}) error {
 	var buf []byte
 	for {
-		lines, err := s.take(closed)
+		lines, err := s.takeQueued(closed)
 		if err != nil {
 			return err
 		}
@@ -203,14 +203,14 @@
 		if _, err := conn.Write(buf); err != nil {
 			return err
 		}
-		if cap(buf) > keptBytes {
+		if cap(buf) > maxKeptBuffer {
 			buf = nil
 		}
 	}
 }
 
-// take waits for queued lines and takes them, which may be none.
-func (s *sender) take(closed <-chan struct{}) ([][]byte, error) {
+// takeQueued waits for queued lines and takes them, which may be none.
+func (s *connection) takeQueued(closed <-chan struct{}) ([][]byte, error) {
 	select {
 	case <-s.signal:
 	case <-closed:
@@ -228,7 +228,7 @@
 
 // Listen takes the peers' connections until the context ends.
 func (l *Links) Listen(ctx context.Context, addr string) error {
-	return httpx.Listen(ctx, addr, maxConns, 2*maxLine, func(c *httpx.Conn) {
+	return httpx.Listen(ctx, addr, maxConnections, 2*maxMessageBytes, func(c *httpx.Conn) {
 		c.Pin()
 		if err := l.receive(ctx, c); err != nil && ctx.Err() == nil {
 			l.log.Info("peer connection dropped", "from", c.Remote(), "err", err)
@@ -240,25 +240,25 @@
 // seen.
 func (l *Links) receive(ctx context.Context, c *httpx.Conn) error {
 	scan := bufio.NewScanner(c)
-	scan.Buffer(make([]byte, 0, 4<<10), maxLine)
-	c.SetReadDeadline(time.Now().Add(helloTimeout))
+	scan.Buffer(make([]byte, 0, 4<<10), maxMessageBytes)
+	c.SetReadDeadline(time.Now().Add(greetingTimeout))
 	if !scan.Scan() {
 		return scan.Err()
 	}
-	var hello Hello
-	if err := protocol.Decode(scan.Bytes(), &hello); err != nil || l.out[hello.Node] == nil {
+	var hello Greeting
+	if err := protocol.Decode(scan.Bytes(), &hello); err != nil || l.connections[hello.Node] == nil {
 		return fmt.Errorf("no peer's hello: %.80q", scan.Bytes())
 	}
-	if !l.begin(hello) {
-		return errOlder
+	if !l.supersede(hello) {
+		return errSuperseded
 	}
 	for ctx.Err() == nil {
-		c.SetReadDeadline(time.Now().Add(lineTimeout))
+		c.SetReadDeadline(time.Now().Add(receiveTimeout))
 		if !scan.Scan() {
 			return scan.Err()
 		}
-		if !l.newest(hello) {
-			return errOlder
+		if !l.isNewest(hello) {
+			return errSuperseded
 		}
 		var e Envelope
 		if err := protocol.Decode(scan.Bytes(), &e); err != nil {
@@ -269,23 +269,23 @@
 	return nil
 }
 
-// errOlder ends a connection of a peer that has a newer one.
-var errOlder = errors.New("older connection")
+// errSuperseded ends a connection of a peer that has a newer one.
+var errSuperseded = errors.New("older connection")
 
-// begin makes a connection its peer's newest, unless a newer one was seen.
-func (l *Links) begin(hello Hello) bool {
+// supersede makes a connection its peer's newest, unless a newer one was seen.
+func (l *Links) supersede(hello Greeting) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	last := l.latest[hello.Node]
-	if last.Incarnation > hello.Incarnation || last.Incarnation == hello.Incarnation && last.Conn > hello.Conn {
+	if last.Incarnation > hello.Incarnation || last.Incarnation == hello.Incarnation && last.Connection > hello.Connection {
 		return false
 	}
 	l.latest[hello.Node] = hello
 	return true
 }
 
-// newest says whether a connection is still its peer's newest.
-func (l *Links) newest(hello Hello) bool {
+// isNewest says whether a connection is still its peer's newest.
+func (l *Links) isNewest(hello Greeting) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.latest[hello.Node] == hello
