--- a/internal/controller/dataloss_test.go
+++ b/internal/controller/dataloss_test.go
@@ -2,13 +2,9 @@
 
 import (
 	"bytes"
-	"context"
 	"encoding/json"
-	"io"
-	"log/slog"
 	"net/http"
 	"slices"
-	"strings"
 	"testing"
 	"time"
 
@@ -20,7 +16,7 @@
 	"topazhollow/internal/userapi"
 )
 
-// loss is a region in which jobs run, one is withdrawn and some are done, when its
+// dataLoss is a region in which jobs run, one is cancelled and some are done, when its
 // state service loses data.
 type dataLoss struct {
 	*region
@@ -28,7 +24,7 @@
 	savedJobs int // jobs that were accepted before the state was saved
 	cancelled *protocol.Submission
 	saved     simulation.Saved
-	newEpoch  bool // a new generation is due
+	newEpoch  bool // another epoch is due
 }
 
 func newDataLoss(t *testing.T) *dataLoss {
@@ -58,7 +54,7 @@
 
 func (r *region) withdraw(uid string) {
 	r.check.Withdrawing(uid)
-	r.until(uid+" withdrawn", func() bool {
+	r.until(uid+" cancelled", func() bool {
 		status, st := r.ask("POST", protocol.PathSubmit+"/"+uid+"/withdraw", struct{}{})
 		r.check.Told(uid, status, st.State, false)
 		return status == 200
@@ -84,7 +80,7 @@
 	return all
 }
 
-// rebuilt says whether all controllers are in the same generation after the first, with
+// recovered says whether all controllers are in the same epoch after the first, with
 // nothing left to do; or, if not so, in the first.
 func (r *region) recovered(after bool) bool {
 	all := r.overviews()
@@ -97,13 +93,13 @@
 	return len(all) > 0
 }
 
-// settled sees that what was accepted comes to its end and new work runs.
+// checkRecovered sees that what was accepted comes to its end and new work runs.
 func (l *dataLoss) checkRecovered() {
 	l.t.Helper()
 	late := array(350, 6, "red")
 	l.submit(late)
 	l.allDone(append(l.jobs, late))
-	l.until("withdrawn still", func() bool { return l.poll(l.cancelled.UID) == protocol.Cancelled })
+	l.until("still cancelled", func() bool { return l.poll(l.cancelled.UID) == protocol.Cancelled })
 	l.until("all is written back", func() bool { return l.recovered(l.newEpoch) && (!l.newEpoch || !l.overviews()[0].Store.DataLost) })
 	l.until("an unknown job is unknown", func() bool {
 		status, _ := l.ask("GET", protocol.PathSubmit+"/job-999999", nil)
@@ -111,115 +107,30 @@
 	})
 }
 
-// TestLossWhileControllersLive: the state service loses data in each way while all
-// controllers live. Nothing that was accepted, done or withdrawn is forgotten, no task
+// TestDataLossWhileControllersRun: the state service loses data in each way while all
+// controllers run. Nothing that was accepted, done or cancelled is forgotten, no task
 // runs twice, and new work is taken and run.
 func TestDataLossWhileControllersRun(t *testing.T) {
 	for name, lose := range map[string]func(*dataLoss){
-		"all":    func(l *dataLoss) { l.state.LoseAll() },
-		"back":   func(l *dataLoss) { l.state.Back(l.saved) },
-		"jobs":   func(l *dataLoss) { l.state.LosePrefix("w/a/") },
-		"roster": func(l *dataLoss) { l.state.LosePrefix("w/m/") },
-		"record": func(l *dataLoss) { l.state.LosePrefix("w/c") },
-		"leases": func(l *dataLoss) { l.state.LoseLeases() },
-		"twice":  func(l *dataLoss) { l.state.LoseAll(); time.Sleep(700 * time.Millisecond); l.state.LoseAll() },
-		"in_outage": func(l *dataLoss) {
-			l.state.Outage(true)
-			time.Sleep(time.Second)
-			l.state.LoseAll()
-			l.state.Outage(false)
-		},
-		"one_ends": func(l *dataLoss) { l.crash(0); l.state.LoseAll(); l.start(0) },
+		"all":       func(l *dataLoss) { l.state.LoseAll() },
+		"back":      func(l *dataLoss) { l.state.Back(l.saved) },
+		"jobs":      func(l *dataLoss) { l.state.LosePrefix("w/a/") },
+		"roster":    func(l *dataLoss) { l.state.LosePrefix("w/m/") },
+		"record":    func(l *dataLoss) { l.state.LosePrefix("w/c") },
+		"leases":    func(l *dataLoss) { l.state.LoseLeases() },
+		"twice":     func(l *dataLoss) { l.state.LoseAll(); time.Sleep(700 * time.Millisecond); l.state.LoseAll() },
+		"in_outage": (*dataLoss).loseInAnOutage,
+		"one_ends":  func(l *dataLoss) { l.crash(0); l.state.LoseAll(); l.start(0) },
 		// One that starts without the lists of machines writes its own anew: the others must not
 		// take the machines that it does not name for struck off, with what they run.
-		"roster_one_ends": func(l *dataLoss) { l.crash(0); l.state.LosePrefix("w/m/"); l.start(0) },
-		"jobs_one_ends":   func(l *dataLoss) { l.crash(0); l.state.LosePrefix("w/a/"); l.start(0) },
-		"machine_cut": func(l *dataLoss) {
-			w := l.cloud.Workers()[0]
-			w.Cut(true)
-			l.state.LoseAll()
-			time.Sleep(5 * time.Second)
-			w.Cut(false)
-		},
-		// Requests to the cloud from before the loss are carried out after it: a machine goes that
-		// the controllers remember, and one comes that nobody rented in this generation.
-		"late_rental_and_return": func(l *dataLoss) {
-			l.state.LoseAll()
-			post := func(path, body string) string {
-				resp, err := l.httpc.Post("http://"+l.cloud.Addr()+path, "application/json", strings.NewReader(body))
-				if err != nil {
-					l.t.Error(err)
-					return ""
-				}
-				defer resp.Body.Close()
-				answer, _ := io.ReadAll(resp.Body)
-				return string(answer)
-			}
-			post("/hosts/return", `{"estaciones":["n-000001"]}`)
-			if got := post("/hosts", `{"pedido":"late-1","modelo":"m8","zona":"east","prestadas":false,"how_many":1}`); !strings.Contains(got, "n-0") {
-				l.t.Errorf("no machine came late: %s", got)
-			}
-		},
-		"withdrawal_under_way": func(l *dataLoss) {
-			extra := array(391, 10, "red")
-			l.submit(extra)
-			told := make(chan struct{})
-			go func() { // its user repeats it until it gets an answer, as the loss comes
-				defer close(told)
-				l.check.Withdrawing(extra.UID)
-				for end := time.Now().Add(30 * time.Second); time.Now().Before(end); time.Sleep(30 * time.Millisecond) {
-					s := l.sets[time.Now().UnixNano()%3]
-					resp, err := l.httpc.Post("http://"+s.Listen+protocol.PathSubmit+"/"+extra.UID+"/withdraw", "application/json", strings.NewReader("{}"))
-					if err != nil {
-						continue
-					}
-					var st protocol.Status
-					_ = json.NewDecoder(resp.Body).Decode(&st)
-					resp.Body.Close()
-					l.check.Told(extra.UID, resp.StatusCode, st.State, false)
-					if resp.StatusCode == http.StatusOK {
-						return
-					}
-				}
-			}()
-			time.Sleep(10 * time.Millisecond)
-			l.state.Back(l.saved)
-			<-told
-		},
-		// An end goes to the store that went back before anybody noticed, under guards that
-		// hold by accident. Whoever finds it there tells it; nobody may call the job active
-		// after that, from a memory that it never reaches by the watch.
-		"end_in_the_store_that_went_back": func(l *dataLoss) {
-			extra := array(392, 10, "red")
-			l.submit(extra)
-			l.check.Withdrawing(extra.UID)
-			l.state.Back(l.saved)
-			l.state.Put(userapi.EndedJobPrefix+extra.UID, string(protocol.Encode(userapi.JobEnd{State: protocol.Cancelled, Tasks: 10, Team: "red"})))
-			told := 0 // each controller is asked, one after the other, until all tell the end
-			l.until("all tell the end", func() bool {
-				for _, s := range l.sets {
-					resp, err := l.httpc.Get("http://" + s.Listen + protocol.PathSubmit + "/" + extra.UID)
-					if err != nil {
-						continue
-					}
-					var st protocol.Status
-					_ = json.NewDecoder(resp.Body).Decode(&st) // the status says the most of it
-					resp.Body.Close()
-					l.check.Told(extra.UID, resp.StatusCode, st.State, false)
-					if st.State == protocol.Cancelled {
-						told++
-					}
-				}
-				return told > 30
-			})
-		},
-		"ended_in_rebuilding": func(l *dataLoss) {
-			l.state.LoseAll()
-			l.until("a generation begins", func() bool { all := l.overviews(); return len(all) > 0 && all[0].Store.Epoch > 1 })
-			l.crash(2) // while what it remembers is gathered and written back
-			l.start(2)
-		},
-		"one_is_gone": func(l *dataLoss) { l.crash(1); l.state.Back(l.saved); time.Sleep(8 * time.Second); l.start(1) },
+		"roster_one_ends":                 func(l *dataLoss) { l.crash(0); l.state.LosePrefix("w/m/"); l.start(0) },
+		"jobs_one_ends":                   func(l *dataLoss) { l.crash(0); l.state.LosePrefix("w/a/"); l.start(0) },
+		"machine_cut":                     (*dataLoss).loseWhileAMachineIsCut,
+		"late_rental_and_return":          (*dataLoss).rentAndReturnLate,
+		"cancellation_under_way":          (*dataLoss).loseDuringACancellation,
+		"end_in_the_store_that_went_back": (*dataLoss).endInTheStoreThatWentBack,
+		"ended_in_rebuilding":             (*dataLoss).restartDuringRecovery,
+		"one_is_gone":                     func(l *dataLoss) { l.crash(1); l.state.Back(l.saved); time.Sleep(8 * time.Second); l.start(1) },
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -245,7 +156,7 @@
 	}
 }
 
-// TestRecordWrittenPastALoss: the store went back, and a controller that started since wrote the record
+// TestRecordOutOfChainIsSuspected: the store went back, and a controller that started since wrote the record
 // past the revision that the others had seen, so that every version they compare is there
 // again or was changed. That the record does not follow the one known is the sign.
 func TestRecordOutOfChainIsSuspected(t *testing.T) {
@@ -265,7 +176,7 @@
 	}
 }
 
-// TestMemoryFromBeforeTheFirstRecord: a process that had read the store before there was a first record took
+// TestMemoryReadBeforeTheFirstRecordIsComplete: a process that had read the store before there was a first record took
 // its memory for good to have holes. A loss of data then left all that was unknown without an answer.
 func TestMemoryReadBeforeTheFirstRecordIsComplete(t *testing.T) {
 	l := &dataLoss{region: newRegion(t, 300*time.Millisecond), newEpoch: true, cancelled: array(390, 10, "blue")}
@@ -287,7 +198,7 @@
 	l.checkRecovered()
 }
 
-// TestLateTransactions: what was sent before a loss and is carried out after it, as when
+// TestLateTransactionsChangeNothing: what was sent before a loss and is carried out after it, as when
 // packets were held, changes nothing.
 func TestLateTransactionsChangeNothing(t *testing.T) {
 	l := newDataLoss(t)
@@ -297,10 +208,10 @@
 		marker = e
 	}
 	if marker.Version == 0 {
-		t.Fatal("the generation has no key of its own")
+		t.Fatal("the epoch has no key of its own")
 	}
 	l.state.Back(l.saved)
-	l.until("a generation begins", func() bool { return l.recovered(true) })
+	l.until("an epoch begins", func() bool { return l.recovered(true) })
 	ghost := array(398, 1, "red")
 	late := protocol.Txn{Conditions: []protocol.Condition{{Key: marker.Key, Version: marker.Version}, {Key: snapshot.JobKey + ghost.UID}},
 		Then: []protocol.Op{{Set: snapshot.JobKey + ghost.UID, Value: protocol.Encode(userapi.ActiveJob{Spec: ghost})}}}
@@ -328,157 +239,3 @@
 	}
 	return list.Items
 }
-
-// TestLossAtAnEndOfAll: the store loses data at the moment in which all controllers end,
-// so that nobody remembers. What cannot be known is never called unknown, what runs is
-// left alone and no task runs twice, new work is taken and run; what the store still has
-// comes to its end.
-func TestDataLossWhileAllControllersRestart(t *testing.T) {
-	for name, lose := range map[string]func(*dataLoss){
-		"all":  func(l *dataLoss) { l.state.LoseAll() },
-		"back": func(l *dataLoss) { l.state.Back(l.saved) },
-	} {
-		t.Run(name, func(t *testing.T) {
-			t.Parallel()
-			l := newDataLoss(t)
-			for i := range l.nodes {
-				l.crash(i)
-			}
-			lose(l)
-			for i := range l.nodes {
-				l.start(i)
-			}
-			late := array(350, 6, "red")
-			l.submit(late)
-			known := []*protocol.Submission{late}
-			if name == "back" {
-				known = append(known, l.jobs[:l.savedJobs]...)
-			}
-			l.allDone(known)
-			for _, j := range append(l.jobs, l.cancelled, array(999, 1, "red")) {
-				status, st := l.ask("GET", protocol.PathSubmit+"/"+j.UID, nil)
-				l.check.Told(j.UID, status, st.State, false)
-				if status != http.StatusOK && status != http.StatusServiceUnavailable {
-					t.Errorf("%s: status %d", j.UID, status)
-				}
-			}
-			for _, o := range l.overviews() {
-				if s := o.Store; s.Epoch < 2 || !s.DataLost || s.Phase != "known" {
-					t.Errorf("%s: %+v", o.Node, s)
-				}
-			}
-			if broken := l.check.Rules(); len(broken) > 0 {
-				t.Fatal(broken)
-			}
-		})
-	}
-}
-
-// TestNoCopyCame: nobody remembers and no copy is put back. Once it was waited for as long as
-// the operators said, what nobody knows is told to be unknown, and a later loss is one that
-// everything known survives again.
-func TestSearchIsGivenUpWithoutACopy(t *testing.T) {
-	l := newDataLoss(t)
-	for i := range l.nodes {
-		l.crash(i)
-	}
-	l.state.LoseAll()
-	l.copyWait = 4
-	for i := range l.nodes {
-		l.start(i)
-	}
-	told := func() int { status, _ := l.ask("GET", protocol.PathSubmit+"/"+l.jobs[0].UID, nil); return status }
-	l.until("controllers serve", func() bool { return len(l.overviews()) == 3 })
-	lost := false
-	l.until("given up", func() bool {
-		all := l.overviews()
-		given := len(all) == 3
-		for _, o := range all {
-			lost = lost || o.Store.DataLost
-			given = given && o.Store.Epoch > 1 && !o.Store.DataLost && o.Store.MemoryComplete
-		}
-		if status := told(); !given && status == http.StatusNotFound {
-			for _, o := range l.overviews() { // unless that came between
-				if o.Store.DataLost {
-					t.Error("unknown before it was given up")
-				}
-			}
-		}
-		return given
-	})
-	if !lost {
-		t.Error("nothing was held to be lost for good before")
-	}
-	l.until("an unknown job is unknown", func() bool { return told() == http.StatusNotFound })
-	job := array(360, 6, "red")
-	l.submit(job)
-	l.state.LoseAll()
-	l.until("rebuilt", func() bool { return l.recovered(true) && !l.overviews()[0].Store.DataLost })
-	l.allDone([]*protocol.Submission{job})
-}
-
-// TestRestoreFromSnapshot: the store loses everything at the moment in which all
-// controllers end, but it was followed. What was accepted, done and withdrawn comes back
-// into the generation that the controllers began, running tasks are taken up again, and
-// unknown jobs are unknown once nothing more is to be found. A second restore does nothing.
-func TestRestoreFromSnapshot(t *testing.T) {
-	l := newDataLoss(t)
-	set := snapshot.DefaultConfig()
-	set.State, set.Dir, set.RPS, set.WriteRPS, set.ValueKB, set.TxnOps = l.state.Addr(), t.TempDir(), 100, 100, 16, 16
-	a, err := snapshot.Open(set.Dir, snapshot.Options{})
-	if err != nil {
-		t.Fatal(err)
-	}
-	defer a.Close()
-	ctx, stop := context.WithCancel(t.Context())
-	ended := make(chan error, 1)
-	go func() { ended <- snapshot.NewFollower(set, a, slog.New(slog.DiscardHandler)).Run(ctx) }()
-	last := array(380, 10, "red")
-	l.submit(last)
-	l.until("the snapshot has the last job", func() bool {
-		c, ok := a.Latest()
-		if !ok {
-			return false
-		}
-		keys, _, err := a.Load(c.ID, 0)
-		_, there := keys[snapshot.JobKey+last.UID]
-		return err == nil && there
-	})
-	for i := range l.nodes {
-		l.crash(i)
-	}
-	stop()
-	if err := <-ended; err != nil {
-		t.Fatal(err)
-	}
-	copy, _ := a.Latest()
-	l.state.LoseAll()
-	for i := range l.nodes {
-		l.start(i)
-	}
-	l.until("the controllers know what they lost", func() bool {
-		all := l.overviews()
-		for _, o := range all {
-			if s := o.Store; s.Epoch < 2 || !s.DataLost || s.Phase != "known" {
-				return false
-			}
-		}
-		return len(all) == 3
-	})
-	r := snapshot.NewRestorer(set)
-	plan, err := r.Plan(t.Context(), a, copy.ID, 0, false)
-	if err != nil || plan.Jobs == 0 || plan.Ends == 0 {
-		t.Fatalf("plan %+v, %v", plan, err)
-	}
-	if err := r.Apply(t.Context(), plan, nil); err != nil {
-		t.Fatal(err)
-	}
-	if plan, err = r.Plan(t.Context(), a, copy.ID, 0, false); err != nil || plan.Changes != 0 {
-		t.Fatalf("a second restore would write: %+v, %v", plan, err)
-	}
-	if changed, err := r.Declare(t.Context()); err != nil || !changed {
-		t.Fatalf("declared: %t, %v", changed, err)
-	}
-	l.jobs, l.newEpoch = append(l.jobs, last), true
-	l.checkRecovered()
-}
