--- a/internal/controller/admission.go
+++ b/internal/controller/admission.go
@@ -111,7 +111,7 @@
 	reaches := make([]reach, len(f.list))
 	for _, i := range f.order {
 		spec := f.list[i].Spec
-		goal, late := n.goal(n.jobs[spec.UID], now)
+		goal, late := n.nextObjective(n.jobs[spec.UID], now)
 		reaches[i] = reach{late, goal.Add(-spec.RunTime())}
 	}
 	slices.SortStableFunc(f.order, func(a, b int) int {
@@ -356,7 +356,7 @@
 
 // missedGoal says whether a job's first goal has passed.
 func (n *Node) missedGoal(j *job, now time.Time) bool {
-	goals := n.goals(j)
+	goals := n.objectives(j)
 	return len(goals) > 0 && now.After(goals[0])
 }
 
--- a/internal/controller/autoscaling_inputs.go
+++ b/internal/controller/autoscaling_inputs.go
@@ -143,7 +143,7 @@
 			Count:           d.Count,
 			CPUsBeyondQuota: d.CPUsBeyondQuota,
 			Due:             n.dueTime(j, now).Add(-behind),
-			PreferSpot:      protocol.Rank(j.spec.Priority) == 0 && len(n.goals(j)) == 0,
+			PreferSpot:      protocol.Rank(j.spec.Priority) == 0 && len(n.objectives(j)) == 0,
 		})
 	}
 	return list
@@ -166,12 +166,12 @@
 // dueTime is when a job should be complete for what the fleet acquires. What is late anyway is not
 // worth more machines at once than a new one takes to come up.
 func (n *Node) dueTime(j *job, now time.Time) time.Time {
-	goal, late := n.goal(j, now)
+	goal, late := n.nextObjective(j, now)
 	haste := time.Duration(n.options.Haste * float64(j.spec.RunTime()))
 	switch {
 	case late:
 		return now.Add(haste + time.Minute)
-	case len(n.goals(j)) == 0:
+	case len(n.objectives(j)) == 0:
 		return j.submittedAt.Add(haste + 5*time.Second)
 	}
 	return goal
--- a/internal/controller/jobs.go
+++ b/internal/controller/jobs.go
@@ -17,7 +17,7 @@
 	active        bool
 	endedAt       time.Time
 	countedLate   bool                // counted as not served in time
-	goals         jobstate.Objectives // cached
+	objectives    jobstate.Objectives // cached
 	longestRun    time.Duration       // of its tasks that ran to completion as far as seen here
 	completedRuns int
 }
--- a/internal/controller/owner.go
+++ b/internal/controller/owner.go
@@ -188,6 +188,6 @@
 // addJob has an own team take up an active job; done are the finished tasks that the state service has.
 func (n *Node) addJob(shard *shards.Owned, j *job, done *bitset.BitSet) {
 	shard.Team().AddJob(j.spec, j.version, j.submittedAt, done)
-	shard.Team().SetObjectives(j.spec.UID, n.goals(j))
+	shard.Team().SetObjectives(j.spec.UID, n.objectives(j))
 	shard.Team().SetFaulty(j.spec.UID, n.quarantine.IsJobFaulty(j.spec.UID))
 }
--- a/internal/controller/scheduling.go
+++ b/internal/controller/scheduling.go
@@ -52,18 +52,18 @@
 	}
 }
 
-// goals lists when a job should be complete; it is empty if nothing is stated.
-func (n *Node) goals(j *job) jobstate.Objectives {
-	if j.goals == nil {
-		j.goals = scheduler.Objectives(n.settings.Deployment.Objectives).Goals(j.spec, j.submittedAt)
+// objectives lists when a job should be complete; it is empty if nothing is stated.
+func (n *Node) objectives(j *job) jobstate.Objectives {
+	if j.objectives == nil {
+		j.objectives = scheduler.ServiceLevels(n.settings.Deployment.Objectives).CompletionTimes(j.spec, j.submittedAt)
 	}
-	return j.goals
+	return j.objectives
 }
 
-// goal is the next of a job's goals that it can still reach; late if there is none.
-func (n *Node) goal(j *job, now time.Time) (goal time.Time, late bool) {
-	scheduled := scheduler.Job{Spec: j.spec, SubmittedAt: j.submittedAt, Goals: n.goals(j)}
-	return scheduled.NextGoal(now)
+// nextObjective is the next of a job's objectives that it can still reach; late if there is none.
+func (n *Node) nextObjective(j *job, now time.Time) (by time.Time, late bool) {
+	scheduled := scheduler.Job{Spec: j.spec, SubmittedAt: j.submittedAt, Objectives: n.objectives(j)}
+	return scheduled.NextObjective(now)
 }
 
 // schedulerSnapshot is the controller as its scheduler reads it.
@@ -77,7 +77,7 @@
 	}
 	scheduled := scheduler.Job{Spec: j.spec, SubmittedAt: j.submittedAt, Active: j.active}
 	if j.active {
-		scheduled.Goals = (*Node)(s).goals(j)
+		scheduled.Objectives = (*Node)(s).objectives(j)
 	}
 	return scheduled, true
 }
--- a/internal/scheduler/fixture_test.go
+++ b/internal/scheduler/fixture_test.go
@@ -67,10 +67,10 @@
 func (c *cluster) submit(team int, age time.Duration, spec protocol.Submission) {
 	spec.Team = fmt.Sprintf("team-%d", team)
 	j := &Job{Spec: &spec, SubmittedAt: c.now.Add(-age), Active: true}
-	j.Goals = Objectives(c.settings.Objectives).Goals(j.Spec, j.SubmittedAt)
+	j.Objectives = ServiceLevels(c.settings.Objectives).CompletionTimes(j.Spec, j.SubmittedAt)
 	c.jobs[spec.UID] = j
 	c.teams[team].AddJob(j.Spec, 1, j.SubmittedAt, nil)
-	c.teams[team].SetObjectives(spec.UID, j.Goals)
+	c.teams[team].SetObjectives(spec.UID, j.Objectives)
 }
 
 // pass runs a scheduling pass.
--- a/internal/scheduler/gangpreemption.go
+++ b/internal/scheduler/gangpreemption.go
@@ -25,11 +25,11 @@
 }
 
 // firstGang is the most urgent gang of a team that found no room, or else the first that waits for quota; nil if there
-// is none. One that can reach no goal any more stops nobody: what is stopped for it might still have reached its own.
+// is none. One that can reach no objective any more stops nobody: what is stopped for it might still have reached its own.
 func (p *pass) firstGang(team Team) *waitingTasks {
 	for i := range p.unplaced {
 		w := &p.unplaced[i]
-		if w.team == team && w.spec.Kind == protocol.Gang && !w.probe && !p.missedGoals(w.spec.UID) {
+		if w.team == team && w.spec.Kind == protocol.Gang && !w.probe && !p.missedObjectives(w.spec.UID) {
 			return w
 		}
 	}
@@ -38,20 +38,20 @@
 		if first != nil || job.Spec.Kind != protocol.Gang || !team.HasWaitingTasks(job, p.now) {
 			return
 		}
-		if j, known := p.view.Job(job.Spec.UID); known && j.Active && !p.missedGoals(job.Spec.UID) {
+		if j, known := p.view.Job(job.Spec.UID); known && j.Active && !p.missedObjectives(job.Spec.UID) {
 			first = &waitingTasks{team: team, job: job, spec: job.Spec, borrowed: true, submittedAt: j.SubmittedAt}
 		}
 	})
 	return first
 }
 
-// missedGoals says whether a job can reach none of its goals any more.
-func (p *pass) missedGoals(uid string) bool {
+// missedObjectives says whether a job can reach none of its objectives any more.
+func (p *pass) missedObjectives(uid string) bool {
 	j, known := p.view.Job(uid)
 	if !known {
 		return true
 	}
-	_, late := j.NextGoal(p.now)
+	_, late := j.NextObjective(p.now)
 	return late
 }
 
--- a/internal/scheduler/objectives.go
+++ b/internal/scheduler/objectives.go
@@ -9,8 +9,8 @@
 	"topazhollow/internal/settings"
 )
 
-// Objectives are the deployment's service-level objectives.
-type Objectives []settings.Objective
+// ServiceLevels are the deployment's service-level objectives.
+type ServiceLevels []settings.Objective
 
 // Kinds of objectives, as the settings name them.
 const (
@@ -20,20 +20,20 @@
 	objectiveGuarantee = "guarantee" // work within a guarantee starts within a time
 )
 
-// defaultGoal is after what time a job for which nothing is stated should be complete.
-const defaultGoal = 24 * time.Hour
+// defaultObjective is after what time a job for which nothing is stated should be complete.
+const defaultObjective = 24 * time.Hour
 
-func (s *Scheduler) objectives() Objectives { return s.config.Deployment.Objectives }
+func (s *Scheduler) serviceLevels() ServiceLevels { return s.config.Deployment.Objectives }
 
-// Goals lists when a job should be complete, by its deadline and the objectives for its class, in order of time; it is
+// CompletionTimes lists when a job should be complete, by its deadline and the objectives for its class, in order of time; it is
 // empty, not nil, if nothing is stated.
-func (objectives Objectives) Goals(spec *protocol.Submission, submittedAt time.Time) jobstate.Objectives {
-	goals := jobstate.Objectives{}
-	add := func(seconds float64) { goals = append(goals, submittedAt.Add(settings.Seconds(seconds))) }
+func (levels ServiceLevels) CompletionTimes(spec *protocol.Submission, submittedAt time.Time) jobstate.Objectives {
+	times := jobstate.Objectives{}
+	add := func(seconds float64) { times = append(times, submittedAt.Add(settings.Seconds(seconds))) }
 	if spec.DeadlineSeconds != nil {
 		add(*spec.DeadlineSeconds)
 	}
-	for _, o := range objectives {
+	for _, o := range levels {
 		switch {
 		case o.Class != spec.Class:
 		case o.Kind == objectiveFinished && o.WithinSeconds > 0:
@@ -42,21 +42,21 @@
 			add(o.Times * *spec.DeadlineSeconds)
 		}
 	}
-	slices.SortFunc(goals, time.Time.Compare)
-	return goals
+	slices.SortFunc(times, time.Time.Compare)
+	return times
 }
 
-// NextGoal is the next of a job's goals that it can still reach; late if there is none.
-func (j *Job) NextGoal(now time.Time) (goal time.Time, late bool) {
-	if len(j.Goals) == 0 {
-		return j.SubmittedAt.Add(defaultGoal), false
+// NextObjective is the next of a job's objectives that it can still reach; late if there is none.
+func (j *Job) NextObjective(now time.Time) (by time.Time, late bool) {
+	if len(j.Objectives) == 0 {
+		return j.SubmittedAt.Add(defaultObjective), false
 	}
-	return j.Goals.Next(now, j.Spec.RunTime())
+	return j.Objectives.Next(now, j.Spec.RunTime())
 }
 
 // classStartBy is when tasks of a job's class should have started; false if nothing is stated, or if it is too late.
-func (objectives Objectives) classStartBy(j *Job, now time.Time) (time.Time, bool) {
-	for _, o := range objectives {
+func (levels ServiceLevels) classStartBy(j *Job, now time.Time) (time.Time, bool) {
+	for _, o := range levels {
 		if o.Kind != objectiveWait || o.Class != j.Spec.Class || o.WithinSeconds <= 0 {
 			continue
 		}
@@ -69,8 +69,8 @@
 
 // guaranteeStartBy is when work within a guarantee should have started, of a job submitted at a time; false if nothing
 // is stated, or if it is too late.
-func (objectives Objectives) guaranteeStartBy(submittedAt, now time.Time) (time.Time, bool) {
-	for _, o := range objectives {
+func (levels ServiceLevels) guaranteeStartBy(submittedAt, now time.Time) (time.Time, bool) {
+	for _, o := range levels {
 		if o.Kind != objectiveGuarantee || o.WithinSeconds <= 0 {
 			continue
 		}
--- a/internal/scheduler/preemption_test.go
+++ b/internal/scheduler/preemption_test.go
@@ -38,7 +38,7 @@
 
 // TestGangStopsLessUrgentWork: gangs of high priority waited for minutes until arrays of their team were over. Beyond
 // its guarantee a gang stops tasks of its own team, as many as it takes, and none of others; one of low priority stops
-// nothing, nor does one that can reach no goal any more.
+// nothing, nor does one that can reach no objective any more.
 func TestGangStopsLessUrgentWork(t *testing.T) {
 	for _, x := range []struct {
 		priority string
--- a/internal/scheduler/queue.go
+++ b/internal/scheduler/queue.go
@@ -20,9 +20,9 @@
 	probe       bool      // of a job that fails everywhere
 	surplus     bool      // beyond what the team's limit leaves to its demands, of which some find no room
 	ahead       bool      // goes ahead of more urgent work: its class has less than the plan leaves it
-	late        bool      // can reach no goal any more
+	late        bool      // can reach no objective any more
 	lateStart   bool      // late, and can't start when it should either
-	latestStart time.Time // when they must start to reach their goal
+	latestStart time.Time // when they must start to reach their objective
 	submittedAt time.Time
 }
 
@@ -68,7 +68,7 @@
 		return
 	}
 	w.spec, w.borrowed, w.probe, w.submittedAt = j.Spec, d.Borrowed, d.Probe, j.SubmittedAt
-	w.setUrgency(p.scheduler.objectives(), &j, p.now)
+	w.setUrgency(p.scheduler.serviceLevels(), &j, p.now)
 	ahead := max(0, min(d.Ahead, d.Count))
 	if ahead > 0 {
 		w.ahead, w.count = true, ahead
@@ -80,17 +80,17 @@
 	}
 }
 
-// setUrgency derives from a job's goals when its tasks must start.
-func (w *waitingTasks) setUrgency(objectives Objectives, j *Job, now time.Time) {
-	goal, late := j.NextGoal(now)
-	w.latestStart, w.late = goal.Add(-j.Spec.RunTime()), late
-	startBy, canStart := objectives.classStartBy(j, now)
+// setUrgency derives from a job's objectives when its tasks must start.
+func (w *waitingTasks) setUrgency(levels ServiceLevels, j *Job, now time.Time) {
+	by, late := j.NextObjective(now)
+	w.latestStart, w.late = by.Add(-j.Spec.RunTime()), late
+	startBy, canStart := levels.classStartBy(j, now)
 	if w.late && canStart {
 		w.latestStart = startBy
 	} else if w.late {
 		w.lateStart = true
 	}
-	if by, ok := objectives.guaranteeStartBy(j.SubmittedAt, now); ok && !w.borrowed && by.Before(w.latestStart) {
+	if by, ok := levels.guaranteeStartBy(j.SubmittedAt, now); ok && !w.borrowed && by.Before(w.latestStart) {
 		w.latestStart, w.late = by, false
 	}
 	if canStart && j.Spec.Kind == protocol.Gang && startBy.Before(w.latestStart) {
@@ -124,7 +124,7 @@
 	return protocol.Rank(o.spec.Priority) - protocol.Rank(w.spec.Priority)
 }
 
-// compare compares by urgency. Within a class those go first that must start soonest to reach their goal; those that
+// compare compares by urgency. Within a class those go first that must start soonest to reach their objective; those that
 // can reach none come last.
 func (w *waitingTasks) compare(o *waitingTasks) int {
 	if order := w.compareClass(o); order != 0 {
--- a/internal/scheduler/queue_test.go
+++ b/internal/scheduler/queue_test.go
@@ -9,7 +9,7 @@
 )
 
 // testObjectives has an objective of each kind.
-var testObjectives = Objectives{
+var testObjectives = ServiceLevels{
 	{Kind: "deadline", Class: "c", Times: 1},
 	{Kind: "deadline", Class: "c", Times: 2},
 	{Kind: "finished", Class: "d", WithinSeconds: 30},
@@ -17,9 +17,9 @@
 	{Kind: "guarantee", WithinSeconds: 8},
 }
 
-// TestNextGoal: a job hurries for the next goal that it can still reach: one that missed its first must neither hold
+// TestNextObjective: a job hurries for the next objective that it can still reach: one that missed its first must neither hold
 // up those that can make theirs nor be given up.
-func TestNextGoal(t *testing.T) {
+func TestNextObjective(t *testing.T) {
 	now := time.Unix(10000, 0)
 	for _, x := range []struct {
 		class    string
@@ -35,7 +35,7 @@
 		{"d", 20, 10, 20, false},
 		{"d", 20, 16, 30, false},
 		{"d", 0, 26, 30, true},
-		{"other", 0, 1000, int(defaultGoal / time.Second), false},
+		{"other", 0, 1000, int(defaultObjective / time.Second), false},
 		{"other", 50, 0, 50, false},
 	} {
 		spec := &protocol.Submission{Class: x.class, EstimateSeconds: 10}
@@ -43,8 +43,8 @@
 			spec.DeadlineSeconds = &x.deadline
 		}
 		j := &Job{Spec: spec, SubmittedAt: now.Add(-time.Duration(x.age) * time.Second)}
-		j.Goals = testObjectives.Goals(spec, j.SubmittedAt)
-		goal, late := j.NextGoal(now)
+		j.Objectives = testObjectives.CompletionTimes(spec, j.SubmittedAt)
+		goal, late := j.NextObjective(now)
 		if goal.Sub(j.SubmittedAt) != time.Duration(x.goal)*time.Second || late != x.late {
 			t.Errorf("%+v: goal after %v, late %v", x, goal.Sub(j.SubmittedAt), late)
 		}
@@ -94,7 +94,7 @@
 }
 
 // TestGangsInTimeGoFirst: gangs wait for room by when they could be complete, so that one that could still
-// start within its goal stood behind those that no longer could.
+// start within its objective stood behind those that no longer could.
 func TestGangsInTimeGoFirst(t *testing.T) {
 	c := newCluster(t, 8, 1) // two of them ordinary, in one zone
 	c.settings.Objectives = []settings.Objective{{Kind: "finished", Class: "c", WithinSeconds: 300}, {Kind: "wait", Class: "c", WithinSeconds: 20}}
--- a/internal/scheduler/scheduler.go
+++ b/internal/scheduler/scheduler.go
@@ -60,7 +60,7 @@
 	Spec        *protocol.Submission
 	SubmittedAt time.Time
 	Active      bool
-	Goals       jobstate.Objectives // of an active job; see Objectives.Goals
+	Objectives  jobstate.Objectives // of an active job; see ServiceLevels.CompletionTimes
 }
 
 // Jobs looks jobs up.
