--- a/internal/controller/node.go
+++ b/internal/controller/node.go
@@ -58,7 +58,6 @@
 	// Channels that wake a goroutine; of room one, so that a sender never waits.
 	wakeRequests   chan struct{}
 	recordHints    chan struct{} // wakes the watch's reader after a hint of a newer record
-	syncRequests   chan struct{}
 	statusRequests chan struct{} // wakes the duty that tells peers
 
 	// The goroutines of this controller. Written once by Run under mu, before any of them starts.
@@ -75,9 +74,9 @@
 	leadership *leadership.State
 
 	// What is followed of the state service's data, and what is known of a loss of it.
-	watchedKeysRead  bool         // the watched keys were read
-	followedRevision uint64       // of the state service, up to which the watched keys are known
-	syncWaiters      []chan error // those who wait for a read of the changes
+	watchedKeysRead  bool   // the watched keys were read
+	followedRevision uint64 // of the state service, up to which the watched keys are known
+	changeReads      *changeReads
 	endLookUps       *agents.EndLookUps
 	cancelWatermark  *cancelwatermark.Watermark // up to when all confirmed withdrawals are known here
 	recovery         *recoveryState             // what is known of the state service, and must outlive it
@@ -168,7 +167,7 @@
 		rng:            rand.New(rand.NewPCG(uint64(now.UnixNano()), rand.Uint64())),
 		wakeRequests:   make(chan struct{}, 1),
 		recordHints:    make(chan struct{}, 1),
-		syncRequests:   make(chan struct{}, 1),
+		changeReads:    newChangeReads(),
 		statusRequests: make(chan struct{}, 1),
 		firstSteps:     map[string]bool{},
 	}
--- a/internal/controller/owner_test.go
+++ b/internal/controller/owner_test.go
@@ -34,7 +34,7 @@
 			defer close(ended)
 			n.load(ctx, shard, 0)
 		}()
-		<-n.syncRequests // it asks the state service, which does not answer
+		<-n.changeReads.requested // it asks the state service, which does not answer
 		n.mu.Lock()
 		if shard.IsReady() == needsBarrier {
 			t.Errorf("in sync: %v, phase %s", !needsBarrier, shard.Phase())
