--- a/internal/controller/recovery.go
+++ b/internal/controller/recovery.go
@@ -25,7 +25,6 @@
 	ownKeyWritten  bool               // the own presence is thought to be in the state service
 	ownKeyOutdated chan struct{}      // wakes the duty that renews the lease
 	restartWatch   context.CancelFunc // ends the watch that is open
-
 }
 
 func newRecoveryState(s *settings.Settings, incarnation uint64, leaseLife time.Duration) *recoveryState {
@@ -123,12 +122,7 @@
 func (n *Node) trusted() bool { return n.recovery.detection.Trusted() }
 
 // epoch is the number of the state service's data, 0 before the first control record.
-func (n *Node) epoch() uint64 {
-	if n.leadership.Record() == nil {
-		return 0
-	}
-	return n.leadership.Epoch()
-}
+func (n *Node) epoch() uint64 { return n.leadership.Epoch() }
 
 // storeAssessment is what peers are told of the store.
 func (n *Node) storeAssessment() datarecovery.Assessment {
