--- /dev/null
+++ b/internal/admission/needs.go
@@ -0,0 +1,95 @@
+package admission
+
+import (
+	"maps"
+	"slices"
+	"time"
+)
+
+// backlogTime is the time in which a backlog is worked off at the least, so that what waits goes on when nothing arrives
+// any more.
+const backlogTime = 10 * time.Minute
+
+// Waiting is what waits of one job.
+type Waiting struct {
+	CPUs            float64 // in all, with what is beyond the team's quota
+	Rank            int     // of its priority
+	TaskCPUs        float64
+	TaskMemory      float64 // GB
+	EstimateSeconds float64 // run time of a task
+}
+
+// Needs sums up what keys use and ask for.
+type Needs struct {
+	window   time.Duration
+	byKey    map[Key]*Need
+	backlog  map[Key]float64 // CPU seconds that wait
+	arrivals map[Key]*arrivals
+}
+
+// arrivals are what arrived for a key within the window.
+type arrivals struct {
+	work   float64       // CPU seconds
+	oldest time.Duration // age of the first
+}
+
+// NewNeeds knows no need yet. Window is the time over which arrivals count.
+func NewNeeds(window time.Duration) *Needs {
+	return &Needs{window: window, byKey: map[Key]*Need{}, backlog: map[Key]float64{}, arrivals: map[Key]*arrivals{}}
+}
+
+// of finds or makes the need of a key.
+func (n *Needs) of(k Key) *Need {
+	if n.byKey[k] == nil {
+		n.byKey[k] = &Need{Key: k}
+	}
+	return n.byKey[k]
+}
+
+// AddWaiting adds what waits of a job.
+func (n *Needs) AddWaiting(k Key, w Waiting) {
+	need := n.of(k)
+	need.Waiting += w.CPUs
+	need.Rank = w.Rank
+	need.TaskCPUs = max(need.TaskCPUs, w.TaskCPUs)
+	need.TaskMemory = max(need.TaskMemory, w.TaskMemory)
+	n.backlog[k] += w.CPUs * w.EstimateSeconds
+}
+
+// AddUsed adds CPUs that a task has on a machine.
+func (n *Needs) AddUsed(k Key, cpus float64) { n.of(k).Used += cpus }
+
+// AddArrival adds a job that was submitted some time ago, by the CPU seconds that it takes in all.
+func (n *Needs) AddArrival(k Key, work float64, age time.Duration) {
+	if age >= n.window {
+		return
+	}
+	if n.arrivals[k] == nil {
+		n.arrivals[k] = &arrivals{}
+	}
+	a := n.arrivals[k]
+	a.work += work
+	a.oldest = max(a.oldest, age)
+}
+
+// List gives the needs in the order of their keys, with the rates that keep up with them: as work arrived lately. What
+// waits counts little, or a class that floods would have its floor raised by all that nobody could serve.
+func (n *Needs) List() []Need {
+	list := make([]Need, 0, len(n.byKey))
+	for _, k := range slices.SortedFunc(maps.Keys(n.byKey), Key.Compare) {
+		need := *n.byKey[k]
+		need.Rate = max(n.arrivalRate(k), n.backlog[k]/backlogTime.Seconds())
+		list = append(list, need)
+	}
+	return list
+}
+
+// arrivalRate is how many CPUs what arrives for a key keeps busy. A key for which the first work arrived just now counts
+// over a third of the window.
+func (n *Needs) arrivalRate(k Key) float64 {
+	a := n.arrivals[k]
+	if a == nil {
+		return 0
+	}
+	return a.work / min(max(a.oldest, n.window/3), n.window).Seconds()
+}
--- a/internal/controller/admission.go
+++ b/internal/controller/admission.go
@@ -59,95 +59,50 @@
 	return floors
 }
 
-// onTimeShare is the part of what a class has too little of that goes to its jobs that can still
-// be in time, soonest first; the rest goes to its oldest, so that none waits for ever.
-const onTimeShare = 0.75
-
-// prioritizedTasks says for each of a team's demands how many of its tasks go before what is more
-// urgent: as many as its class has less than the plan leaves it, and the first one of an array that has waited long.
+// prioritizedTasks says for each of a team's demands how many of its tasks go before what is more urgent: as many as its
+// class has less than the plan leaves it, and the first one of an array that has waited long.
 func (n *Node) prioritizedTasks(shard *shards.Owned, list []jobstate.Demand, now time.Time) []int {
-	first := make([]int, len(list))
+	prioritized := make([]int, len(list))
 	for i, d := range list {
 		if d.FirstTask {
-			first[i] = d.Count
+			prioritized[i] = d.Count
 		}
 	}
 	plan := n.admission.agreement.InForce()
 	if plan == nil || len(plan.Floors) == 0 {
-		return first
+		return prioritized
 	}
-	f := &floorFilling{list: list, prioritized: first, deficits: map[string]float64{}}
-	held := shard.Team().CPUsByClass()
+	used := shard.Team().CPUsByClass()
+	lacks := map[string]float64{}
+	var waiting []*admission.WaitingTasks
 	for i, d := range list {
-		lacks := plan.Floor(keyOf(d.Spec)) - held[d.Spec.Class]
-		if n.jobs[d.Spec.UID] != nil && !d.Probe && d.Spec.CPUs > 0 && lacks >= d.Spec.CPUs {
-			f.deficits[d.Spec.Class] = lacks
-			f.order = append(f.order, i)
+		j, lack := n.jobs[d.Spec.UID], plan.Lacks(keyOf(d.Spec), used[d.Spec.Class])
+		if j != nil && !d.Probe && d.Spec.CPUs > 0 && lack >= d.Spec.CPUs {
+			lacks[d.Spec.Class] = lack
+			waiting = append(waiting, n.waitingTasks(j, i, &d, prioritized[i], now))
 		}
 	}
-	f.orderByReach(n, now)
-	f.assign(onTimeShare)
-	slices.SortStableFunc(f.order, func(a, b int) int {
-		return n.jobs[list[a].Spec.UID].submittedAt.Compare(n.jobs[list[b].Spec.UID].submittedAt)
-	})
-	f.assign(1)
-	return f.prioritized
-}
-
-// floorFilling shares out what a team's classes have less than the plan leaves them.
-type floorFilling struct {
-	list        []jobstate.Demand
-	prioritized []int              // of each demand, how many tasks go first
-	deficits    map[string]float64 // by class, the CPUs that it still lacks
-	order       []int              // of the demands that get any
-}
-
-// orderByReach orders demands by when they must start to be in time, those that cannot be last.
-func (f *floorFilling) orderByReach(n *Node, now time.Time) {
-	type reach struct {
-		late bool
-		by   time.Time
-	}
-	reaches := make([]reach, len(f.list))
-	for _, i := range f.order {
-		spec := f.list[i].Spec
-		goal, late := n.nextObjective(n.jobs[spec.UID], now)
-		reaches[i] = reach{late, goal.Add(-spec.RunTime())}
-	}
-	slices.SortStableFunc(f.order, func(a, b int) int {
-		x, y := reaches[a], reaches[b]
-		if x.late != y.late {
-			return falseFirst(x.late)
-		}
-		return x.by.Compare(y.by)
-	})
-}
-
-// assign gives a part of what each class lacks to its demands in their order.
-func (f *floorFilling) assign(part float64) {
-	most := map[string]float64{}
-	for class, cpus := range f.deficits {
-		most[class] = cpus * part
-	}
-	for _, i := range f.order {
-		d := &f.list[i]
-		count := min(d.Count-f.prioritized[i], int(most[d.Spec.Class]/d.Spec.CPUs+1e-9))
-		if d.Spec.Kind == protocol.Gang && count < d.Count || count <= 0 {
-			continue // a gang is placed whole or not at all
-		}
-		f.prioritized[i] += count
-		cpus := float64(count) * d.Spec.CPUs
-		most[d.Spec.Class] -= cpus
-		f.deficits[d.Spec.Class] -= cpus
+	admission.PrioritizeTasks(waiting, lacks)
+	for _, w := range waiting {
+		prioritized[w.Index] = w.Prioritized
 	}
+	return prioritized
 }
 
-// falseFirst orders two conditions that differ: a is the first one's.
-func falseFirst(a bool) int {
-	if a {
-		return 1
+// waitingTasks describes a demand of a job for the division of floors, by its index in the list of demands.
+func (n *Node) waitingTasks(j *job, index int, d *jobstate.Demand, prioritized int, now time.Time) *admission.WaitingTasks {
+	goal, late := n.nextObjective(j, now)
+	return &admission.WaitingTasks{
+		Index:       index,
+		Class:       d.Spec.Class,
+		Count:       d.Count,
+		TaskCPUs:    d.Spec.CPUs,
+		Gang:        d.Spec.Kind == protocol.Gang,
+		Late:        late,
+		StartBy:     goal.Add(-d.Spec.RunTime()),
+		SubmittedAt: j.submittedAt,
+		Prioritized: prioritized,
 	}
-	return -1
 }
 
 // planStatus is what this controller sends of plans in its status.
@@ -191,10 +146,6 @@
 	return count
 }
 
-// backlogTime is the time in which a backlog is worked off at the least, so that what waits
-// when nothing comes any more goes on.
-const backlogTime = 10 * time.Minute
-
 // updatePlan has the fleet's owner make the plans, from every machine's view and from what
 // all owners say waits.
 func (n *Node) updatePlan(machines []autoscaler.Machine, demands []autoscaler.Demand, now time.Time) {
@@ -227,8 +178,8 @@
 // planInputs is what a plan is made from.
 func (n *Node) planInputs(machines []autoscaler.Machine, demands []autoscaler.Demand, now time.Time) *admission.Inputs {
 	in := &admission.Inputs{Teams: n.quotas(), Weights: n.admission.weights}
-	needs := needsByKey{}
-	needs.addWaiting(demands)
+	needs := admission.NewNeeds(arrivalWindow)
+	addWaiting(needs, demands)
 	for i := range machines {
 		m := n.machines[machines[i].Name]
 		if m == nil || m.status == nil || m.gone {
@@ -239,10 +190,8 @@
 			in.Machines = append(in.Machines, planned)
 		}
 	}
-	n.setArrivalRates(needs, demands, now)
-	for _, k := range slices.SortedFunc(maps.Keys(needs), admission.Key.Compare) {
-		in.Needs = append(in.Needs, *needs[k])
-	}
+	n.addArrivals(needs, now)
+	in.Needs = needs.List()
 	return in
 }
 
@@ -259,40 +208,25 @@
 	return teams
 }
 
-// needsByKey is what teams' classes need.
-type needsByKey map[admission.Key]*admission.Need
-
-// of finds or makes the need of a job's team and class.
-func (needs needsByKey) of(s *protocol.Submission) *admission.Need {
-	k := keyOf(s)
-	if needs[k] == nil {
-		needs[k] = &admission.Need{Key: k}
-	}
-	return needs[k]
-}
-
 // addWaiting adds what waits.
-func (needs needsByKey) addWaiting(demands []autoscaler.Demand) {
+func addWaiting(needs *admission.Needs, demands []autoscaler.Demand) {
 	for i := range demands {
 		d := &demands[i]
-		need := needs.of(d.Spec)
-		need.Waiting += waitingCPUs(d)
-		need.Rank = protocol.Rank(d.Spec.Priority)
-		need.TaskCPUs = max(need.TaskCPUs, d.Spec.CPUs)
-		need.TaskMemory = max(need.TaskMemory, d.Spec.MemoryGB)
+		needs.AddWaiting(keyOf(d.Spec), admission.Waiting{
+			CPUs:            float64(d.Count)*d.Spec.CPUs + d.CPUsBeyondQuota,
+			Rank:            protocol.Rank(d.Spec.Priority),
+			TaskCPUs:        d.Spec.CPUs,
+			TaskMemory:      d.Spec.MemoryGB,
+			EstimateSeconds: d.Spec.EstimateSeconds,
+		})
 	}
 }
 
-// waitingCPUs is how many CPUs a demand asks for, with those beyond its team's quota.
-func waitingCPUs(d *autoscaler.Demand) float64 {
-	return float64(d.Count)*d.Spec.CPUs + d.CPUsBeyondQuota
-}
-
 // addUsed adds what the tasks on a machine hold.
-func (n *Node) addUsed(needs needsByKey, m *machine) {
+func (n *Node) addUsed(needs *admission.Needs, m *machine) {
 	for _, t := range m.status.Tasks {
 		if j := n.jobs[t.Job]; j != nil && t.State != protocol.Exited {
-			needs.of(j.spec).Used += j.spec.CPUs
+			needs.AddUsed(keyOf(j.spec), j.spec.CPUs)
 		}
 	}
 }
@@ -310,25 +244,14 @@
 	return admission.Machine{Name: m.Name, CPUs: cpus, Memory: memory, FreeCPUs: m.FreeCPUs, SecondsUntilIdle: left}, true
 }
 
-// setArrivalRates sets what keeps each need up: as it came of late. What waits counts little, or a
-// class that floods would have its floor raised by all that nobody could serve.
-func (n *Node) setArrivalRates(needs needsByKey, demands []autoscaler.Demand, now time.Time) {
-	backlog, oldest := map[admission.Key]float64{}, map[*admission.Need]time.Duration{}
-	for i := range demands {
-		d := &demands[i]
-		backlog[keyOf(d.Spec)] += waitingCPUs(d) * d.Spec.EstimateSeconds
-	}
+// addArrivals adds the jobs that were submitted lately.
+func (n *Node) addArrivals(needs *admission.Needs, now time.Time) {
 	for _, j := range n.jobs {
-		need, age := needs[keyOf(j.spec)], now.Sub(j.submittedAt)
-		if need != nil && j.spec.Kind != protocol.Service && age < arrivalWindow {
-			need.Rate += float64(j.spec.Tasks) * j.spec.CPUs * j.spec.EstimateSeconds
-			oldest[need] = max(oldest[need], age)
+		if j.spec.Kind != protocol.Service {
+			work := float64(j.spec.Tasks) * j.spec.CPUs * j.spec.EstimateSeconds
+			needs.AddArrival(keyOf(j.spec), work, now.Sub(j.submittedAt))
 		}
 	}
-	for k, need := range needs {
-		over := min(max(oldest[need], arrivalWindow/3), arrivalWindow) // of a class that has just begun to come
-		need.Rate = max(need.Rate/over.Seconds(), backlog[k]/backlogTime.Seconds())
-	}
 }
 
 // recordServed counts something for a job's team and class, if this controller owns the team.
