--- a/internal/arch/arch.go
+++ b/internal/arch/arch.go
@@ -66,6 +66,7 @@
 	}},
 	{"programs", []string{
 		"cmd/topazhollow",
+		"cmd/topazhollowctl",
 		"cmd/topaz",
 	}},
 }
--- a/internal/cli/admission.go
+++ b/internal/cli/admission.go
@@ -31,7 +31,7 @@
 		var a answer
 		if err := overviewOf(r.ctx, addr, &a); err != nil {
 			failed++
-			fmt.Fprintf(r.err, "topaz: %s: %v\n", addr, err)
+			fmt.Fprintf(r.err, programName+": %s: %v\n", addr, err)
 			continue
 		}
 		all = append(all, a)
--- a/internal/cli/cli.go
+++ b/internal/cli/cli.go
@@ -1,4 +1,5 @@
-// Package cli is what the command topaz does.
+// Package cli is what the command topazhollowctl does: it reads the command line, calls the packages that do the work,
+// prints what they give and maps their errors to exit codes, here and nowhere else.
 package cli
 
 import (
@@ -21,6 +22,9 @@
 	"topazhollow/internal/snapshot"
 )
 
+// programName stands in the help and before its errors.
+const programName = "topazhollowctl"
+
 // Exit codes, as --help lists them.
 const (
 	ExitFailed  = 1
@@ -42,19 +46,19 @@
 	Controller controllerCmd `cmd:"" hidden:"" help:"Run a controller, for demo."`
 
 	Snapshot snapshotCmd `cmd:"" help:"Keep copies of the state service, and put one back after it lost data (see docs/data-recovery.md)."`
-	Rebuild  rebuildCmd  `cmd:"" help:"See how the controllers rebuild what the state service lost (see docs/data-recovery.md)."`
+	Rebuild  rebuildCmd  `cmd:"" name:"recovery" aliases:"rebuild" help:"See how the controllers rebuild what the state service lost (see docs/data-recovery.md)."`
 
 	Admission admissionCmd `cmd:"" help:"See who gets how much of what is short (see docs/admission.md)."`
 
 	Config configCmd `cmd:"" help:"Change the teams' configuration while the controllers run (see docs/configuration.md)."`
 
-	Rehearse    rehearseCmd    `cmd:"" help:"Rehearse failures on this machine."`
-	DrillWorker drillWorkerCmd `cmd:"" hidden:"" help:"A worker's process, for rehearse."`
+	Rehearse    rehearseCmd    `cmd:"" name:"simulate" aliases:"rehearse" help:"Simulate failures and load on this machine."`
+	DrillWorker drillWorkerCmd `cmd:"" name:"fault-injection-agent" aliases:"drill-worker" hidden:"" help:"An agent's process, for simulate kills."`
 
-	HollowWorkers hollowWorkersCmd `cmd:"" hidden:"" help:"A process of hollow workers, for rehearse scale."`
+	HollowWorkers hollowWorkersCmd `cmd:"" name:"simulated-agents" aliases:"hollow-workers" hidden:"" help:"A process of simulated agents, for simulate scale."`
 
 	Build buildCmd `cmd:"" help:"Serve build tools: store and action cache of the Remote Execution API (see docs/remote-execution.md)."`
-	Keep  keepCmd  `cmd:"" help:"Keep tasks' output and files (see docs/keeper.md)."`
+	Keep  keepCmd  `cmd:"" name:"artifact-store" aliases:"keep" help:"Keep tasks' output and files (see docs/keeper.md)."`
 	Token tokenCmd `cmd:"" help:"Print a token to read a job's output, or to use an instance for builds, made with the keepers' key."`
 	Tries triesCmd `cmd:"" name:"attempts" help:"List a task's attempts."`
 	Logs  logsCmd  `cmd:"" help:"Print a task's output."`
@@ -80,9 +84,9 @@
 func Main(ctx context.Context, args []string, out, errs io.Writer) (code int) {
 	var c cli
 	ended := -1
-	parser, err := kong.New(&c, kong.Name("topaz"), kong.Description(about), kong.Writers(out, errs), kong.Exit(func(code int) { ended = code }))
+	parser, err := kong.New(&c, kong.Name(programName), kong.Description(about), kong.Writers(out, errs), kong.Exit(func(code int) { ended = code }))
 	if err != nil {
-		fmt.Fprintln(errs, "topaz:", err)
+		fmt.Fprintln(errs, programName+":", err)
 		return ExitUsage
 	}
 	k, err := parser.Parse(args)
@@ -90,14 +94,14 @@
 		return ended
 	}
 	if err != nil {
-		fmt.Fprintln(errs, "topaz:", err)
+		fmt.Fprintln(errs, programName+":", err)
 		return ExitUsage
 	}
 	err = k.Run(&run{ctx: ctx, out: out, err: errs, json: c.Output == "json"})
 	if err == nil {
 		return 0
 	}
-	fmt.Fprintln(errs, "topaz:", err)
+	fmt.Fprintln(errs, programName+":", err)
 	switch {
 	case errors.Is(err, errUsage):
 		return ExitUsage
@@ -358,7 +362,7 @@
 		r.print(map[string]any{"path": f.Path, "blob": f.Digest, "attempt": m.Number, "final": final}, "%s", f.Path)
 	}
 	if !final {
-		fmt.Fprintf(r.err, "topaz: attempt %d is not the task's result\n", m.Number)
+		fmt.Fprintf(r.err, programName+": attempt %d is not the task's result\n", m.Number)
 	}
 	return nil
 }
--- a/internal/cli/cli_test.go
+++ b/internal/cli/cli_test.go
@@ -17,10 +17,10 @@
 	"topazhollow/internal/artifactstore"
 )
 
-// TestMain lets the tests' program be the command topaz for the processes that demo
+// TestMain lets the tests' program be the command topazhollowctl for the processes that demo
 // starts.
 func TestMain(m *testing.M) {
-	if len(os.Args) > 1 && slices.Contains([]string{"controller", "keep", "drill-worker"}, os.Args[1]) {
+	if len(os.Args) > 1 && slices.Contains([]string{"controller", "artifact-store", "fault-injection-agent"}, os.Args[1]) {
 		os.Exit(Main(context.Background(), os.Args[1:], os.Stdout, os.Stderr))
 	}
 	os.Exit(m.Run())
--- a/internal/cli/config.go
+++ b/internal/cli/config.go
@@ -239,7 +239,7 @@
 		}
 		if err != nil {
 			failed++
-			fmt.Fprintf(r.err, "topaz: %s: %v\n", addr, err)
+			fmt.Fprintf(r.err, programName+": %s: %v\n", addr, err)
 			continue
 		}
 		x := a.Config
--- a/internal/cli/demo.go
+++ b/internal/cli/demo.go
@@ -167,7 +167,7 @@
 	}
 	if c.Stay {
 		cancel()
-		fmt.Fprintf(r.out, "\nstill up; Ctrl-C ends it. To try next:\n  export TOPAZ_KEEPER=%s TOPAZ_TOKEN=%s\n  topaz logs %s/1\n  topaz attempts %s/1\n  topaz fetch %s/1 /tmp/profiles\n  curl http://%s/overview\n",
+		fmt.Fprintf(r.out, "\nstill up; Ctrl-C ends it. To try next:\n  export TOPAZ_KEEPER=%s TOPAZ_TOKEN=%s\n  topazhollowctl logs %s/1\n  topazhollowctl attempts %s/1\n  topazhollowctl fetch %s/1 /tmp/profiles\n  curl http://%s/overview\n",
 			g.keeper, reader.Token, spec.UID, spec.UID, spec.UID, g.listen[0])
 		<-r.ctx.Done()
 	}
--- a/internal/cli/rehearse.go
+++ b/internal/cli/rehearse.go
@@ -16,7 +16,7 @@
 	Kills    rehearseKillsCmd    `cmd:"" help:"Kill workers and keepers at drawn moments, and check all that is read afterwards."`
 	Size     rehearseSizeCmd     `cmd:"" name:"loss-at-size" help:"Measure how long after one loss of everything each step is reached."`
 	Meetings rehearseMeetingsCmd `cmd:"" help:"Have troubles meet at drawn moments, with cancellations in between, and check that no rule breaks."`
-	Scale    rehearseScaleCmd    `cmd:"" help:"Measure what controllers take for a fleet of hollow workers (see docs/CAPACITY.md)."`
+	Scale    rehearseScaleCmd    `cmd:"" help:"Measure what controllers take for a fleet of simulated agents (see docs/CAPACITY.md)."`
 	Slopes   rehearseSlopesCmd   `cmd:"" name:"scale-slopes" help:"Fit lines through the results of several runs of scale."`
 	Loss     rehearseLossCmd     `cmd:"" help:"Take data away from the state service at drawn moments, with troubles beside it, and check that nothing is forgotten or run twice."`
 }
@@ -91,7 +91,7 @@
 	Jobs     int           `default:"500" help:"Active jobs."`
 	Ends     int           `default:"25000" help:"Jobs that ended before."`
 	Gone     int           `default:"0" help:"Controllers that end with the loss and come back 3 s later; 3 at most."`
-	Copy     bool          `help:"Follow the service with topaz snapshot, and put the copy back if all three end."`
+	Copy     bool          `help:"Follow the service with topazhollowctl snapshot, and put the copy back if all three end."`
 	Most     time.Duration `default:"15m" help:"Give up after this."`
 }
 
--- a/internal/cli/scale.go
+++ b/internal/cli/scale.go
@@ -88,7 +88,7 @@
 }
 
 type rehearseSlopesCmd struct {
-	Results []string `arg:"" name:"result" help:"Result files of rehearse scale."`
+	Results []string `arg:"" name:"result" help:"Result files of simulate scale."`
 	Over    string   `enum:"workers,starts,teams,controllers,tasks" default:"workers" help:"What the runs differ in: ${enum}."`
 	Report  string   `placeholder:"FILE" help:"Write a page (HTML) to this file."`
 }
@@ -113,5 +113,5 @@
 
 type hollowWorkersCmd struct{}
 
-// Run is a process of hollow workers, for rehearse scale.
+// Run is a process of simulated agents, for simulate scale.
 func (c *hollowWorkersCmd) Run(r *run) error { return loadtest.Work(r.ctx, os.Stdin, r.out) }
--- a/internal/cli/snapshot.go
+++ b/internal/cli/snapshot.go
@@ -190,7 +190,7 @@
 		var s storeStatus
 		if err := overviewOf(r.ctx, addr, &s); err != nil {
 			failed++
-			fmt.Fprintf(r.err, "topaz: %s: %v\n", addr, err)
+			fmt.Fprintf(r.err, programName+": %s: %v\n", addr, err)
 			continue
 		}
 		left := "nothing is left to do"
--- a/internal/faultinjection/faultinjection.go
+++ b/internal/faultinjection/faultinjection.go
@@ -29,7 +29,7 @@
 
 // Options are a drill's choices.
 type Options struct {
-	Program string // the command topaz
+	Program string // the command topazhollowctl
 	Dir     string // for everything; it must be empty
 	Seed    uint64
 	Kills   int // of workers
@@ -182,7 +182,7 @@
 		return err
 	}
 	defer log.Close()
-	cmd := exec.Command(d.opt.Program, "keep", "--config", d.configs[name])
+	cmd := exec.Command(d.opt.Program, "artifact-store", "--config", d.configs[name])
 	cmd.Env = append(os.Environ(), fmt.Sprintf("%s=%x", artifactreplication.KeyVariable, d.opt.Key))
 	cmd.Stderr = log
 	if err := cmd.Start(); err != nil {
@@ -353,7 +353,7 @@
 	ctx, cancel := context.WithTimeout(ctx, 2*time.Minute)
 	defer cancel()
 	var errs strings.Builder
-	cmd := exec.CommandContext(ctx, d.opt.Program, "drill-worker", path)
+	cmd := exec.CommandContext(ctx, d.opt.Program, "fault-injection-agent", path)
 	cmd.Stderr = &errs
 	if err := cmd.Start(); err != nil {
 		return false, err
--- a/internal/faultinjection/faultinjection_test.go
+++ b/internal/faultinjection/faultinjection_test.go
@@ -13,10 +13,10 @@
 	"topazhollow/internal/faultinjection"
 )
 
-// TestMain lets the tests' program be the command topaz for the processes that a drill
+// TestMain lets the tests' program be the command topazhollowctl for the processes that a drill
 // starts.
 func TestMain(m *testing.M) {
-	if len(os.Args) > 1 && slices.Contains([]string{"keep", "drill-worker", "controller"}, os.Args[1]) {
+	if len(os.Args) > 1 && slices.Contains([]string{"artifact-store", "fault-injection-agent", "controller"}, os.Args[1]) {
 		os.Exit(cli.Main(context.Background(), os.Args[1:], os.Stdout, os.Stderr))
 	}
 	os.Exit(m.Run())
--- a/internal/loadtest/loadtest_test.go
+++ b/internal/loadtest/loadtest_test.go
@@ -14,7 +14,7 @@
 	"topazhollow/internal/loadtest"
 )
 
-// TestMain lets the tests' program be the command topaz for the processes that a run starts.
+// TestMain lets the tests' program be the command topazhollowctl for the processes that a run starts.
 func TestMain(m *testing.M) {
 	if len(os.Args) > 1 && slices.Contains([]string{"controller", loadtest.PoolCommand}, os.Args[1]) {
 		os.Exit(cli.Main(context.Background(), os.Args[1:], os.Stdout, os.Stderr))
--- a/internal/loadtest/region.go
+++ b/internal/loadtest/region.go
@@ -26,7 +26,7 @@
 
 // Options are what a run needs beside its experiment.
 type Options struct {
-	Program    string    // that becomes a process of workers by the argument hollow-workers
+	Program    string    // that becomes a process of workers by the argument PoolCommand
 	Controller []string  // command line of a controller, to which its --config and --script are added
 	Dir        string    // for settings and logs
 	Out        io.Writer // told how the run goes
@@ -295,7 +295,7 @@
 }
 
 // PoolCommand is the argument by which Options.Program becomes a process of workers.
-const PoolCommand = "hollow-workers"
+const PoolCommand = "simulated-agents"
 
 // read takes in what a process of workers tells until it ends.
 func (g *region) read(i int, p *poolProcess) {
--- a/internal/snapshot/follow.go
+++ b/internal/snapshot/follow.go
@@ -18,7 +18,7 @@
 	"topazhollow/internal/wait"
 )
 
-// Config is the settings file of topaz snapshot.
+// Config is the settings file of topazhollowctl snapshot.
 type Config struct {
 	State     string  `toml:"state"`          // address of the state service
 	Dir       string  `toml:"dir"`            // of the archive
