--- a/internal/controller/capacity_bench_test.go
+++ b/internal/controller/capacity_bench_test.go
@@ -193,8 +193,8 @@
 		name := fmt.Sprintf("controllers=%d/teams=%d", c.controllers, c.teams)
 		b.Run("proposal/"+name, func(b *testing.B) {
 			processorTime(b, func() {
-				leadership.Repair(record, items, live)
-				leadership.Upkeep(record, "controller-00", nil, true)
+				leadership.ReconcileMembers(record, items, live)
+				leadership.UpdateShards(record, "controller-00", nil, true)
 			})
 			b.ReportMetric(float64(len(protocol.Encode(record))), "bytes")
 		})
@@ -262,7 +262,7 @@
 			items = append(items, fmt.Sprintf("team/team-%03d", i))
 		}
 		for item, owner := range leadership.AssignOwners(items, record.Members()) {
-			record.Shards[item] = leadership.Shard{Owner: owner, SinceTerm: 1, InSync: record.BackupsOf(item, owner, func(string) bool { return true })}
+			record.Shards[item] = leadership.Shard{Owner: owner, SinceTerm: 1, InSync: record.ReplicaHolders(item, owner, func(string) bool { return true })}
 		}
 		line := protocol.Encode(recordMsg{1, protocol.Encode(record)})
 		name := fmt.Sprintf("controllers=%d/teams=%d", c.controllers, c.teams)
--- a/internal/controller/recordchange.go
+++ b/internal/controller/recordchange.go
@@ -59,7 +59,7 @@
 		}
 		if errors.Is(err, kvstore.ErrConflict) && change.Reason == leadership.OwnShards {
 			n.mu.Lock()
-			wait := backoff.Refused(n.rng, len(change.Record.Nodes))
+			wait := backoff.Conflict(n.rng, len(change.Record.Nodes))
 			n.mu.Unlock()
 			sleep(ctx, wait)
 		}
@@ -153,7 +153,7 @@
 
 func (r recordSurroundings) RandomTerm() uint64 { return 1<<10 + r.node.rng.Uint64N(1<<20) }
 
-func (r recordSurroundings) Syncs(now time.Time) map[string]leadership.Sync {
+func (r recordSurroundings) ShardStatuses(now time.Time) map[string]leadership.ShardStatus {
 	return r.node.syncStates(now)
 }
 
--- a/internal/controller/replication.go
+++ b/internal/controller/replication.go
@@ -18,7 +18,7 @@
 }
 
 // syncStates says for each owned shard which replicas are in sync and which are late.
-func (n *Node) syncStates(now time.Time) map[string]leadership.Sync {
+func (n *Node) syncStates(now time.Time) map[string]leadership.ShardStatus {
 	return n.shards.Syncs(n.cluster(), now)
 }
 
--- a/internal/controller/replication_test.go
+++ b/internal/controller/replication_test.go
@@ -113,7 +113,7 @@
 	for end := time.Now().Add(40 * time.Second); time.Now().Before(end); time.Sleep(time.Millisecond) {
 		p.owner.mu.Lock()
 		p.replicate()
-		whole := p.owner.syncStates(time.Now())[p.shard.Name()].Whole["node-b"]
+		whole := p.owner.syncStates(time.Now())[p.shard.Name()].InSync["node-b"]
 		p.owner.mu.Unlock()
 		if whole {
 			return
--- a/internal/datarecovery/model_owner_test.go
+++ b/internal/datarecovery/model_owner_test.go
@@ -17,7 +17,7 @@
 	if first {
 		base = (&leadership.Record{Term: 1000 + w.rng.Uint64N(1000)}).Clone()
 	}
-	next, conds := leadership.Repair(base, []string{modelShard}, n.presences)
+	next, conds := leadership.ReconcileMembers(base, []string{modelShard}, n.presences)
 	if next == nil {
 		return
 	}
--- a/internal/leadership/backoff_test.go
+++ b/internal/leadership/backoff_test.go
@@ -25,7 +25,7 @@
 				refused++
 				wait := look
 				if backoff {
-					wait += waits[i].Refused(rng, members)
+					wait += waits[i].Conflict(rng, members)
 				}
 				next[i] = now + wait.Truncate(time.Millisecond)
 				continue
@@ -60,7 +60,7 @@
 	rng := rand.New(rand.NewPCG(1, 2))
 	var b Backoff
 	for range 10 {
-		if wait := b.Refused(rng, 3); wait != 0 {
+		if wait := b.Conflict(rng, 3); wait != 0 {
 			t.Fatalf("waits %s", wait)
 		}
 	}
@@ -70,14 +70,14 @@
 func TestBackoffIsBounded(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 2))
 	var b Backoff
-	most := time.Duration(46-quietGroup) * waitAMember
+	most := time.Duration(46-smallGroup) * waitPerMember
 	for range 100 {
-		if wait := b.Refused(rng, 46); wait >= most<<mostDoubling {
+		if wait := b.Conflict(rng, 46); wait >= most<<maxDoublings {
 			t.Fatalf("waits %s", wait)
 		}
 	}
 	b.Written()
-	if wait := b.Refused(rng, 46); wait >= most {
+	if wait := b.Conflict(rng, 46); wait >= most {
 		t.Errorf("waits %s after a write", wait)
 	}
 }
--- a/internal/leadership/change.go
+++ b/internal/leadership/change.go
@@ -46,8 +46,8 @@
 	Controllers() int
 	// ShardNames lists what has to be owned.
 	ShardNames() []string
-	// Syncs is the state of the own shards and their replicas.
-	Syncs(now time.Time) map[string]Sync
+	// ShardStatuses is what is known of the own shards and their replicas.
+	ShardStatuses(now time.Time) map[string]ShardStatus
 	// UnreachableMember is a member that agents cannot reach; "" if there is none.
 	UnreachableMember(now time.Time) string
 	// OwnsFleet says whether this controller owns the shard of the fleet.
@@ -126,7 +126,7 @@
 
 // nextOf is the first change that is due, without its version.
 func (s *State) nextOf(in *changeInputs) *RecordChange {
-	if next, conditions := Repair(in.record, in.around.ShardNames(), s.presences); next != nil {
+	if next, conditions := ReconcileMembers(in.record, in.around.ShardNames(), s.presences); next != nil {
 		if !s.ourTurn(in.now) {
 			return nil
 		}
@@ -165,7 +165,7 @@
 // updateOwnShards writes which replicas of own shards are in sync, and gives shards to the owners that the ranking prefers.
 func (in *changeInputs) updateOwnShards() *RecordChange {
 	rebalance := in.now.Sub(in.settledAt) > rebalanceAfter
-	next, handed := Upkeep(in.record, in.self, in.around.Syncs(in.now), rebalance)
+	next, handed := UpdateShards(in.record, in.self, in.around.ShardStatuses(in.now), rebalance)
 	if next == nil {
 		return nil
 	}
--- a/internal/leadership/change_test.go
+++ b/internal/leadership/change_test.go
@@ -8,7 +8,7 @@
 // quiet is a controller around a State, which asks for no change unless a test says so.
 type quiet struct {
 	shards      []string
-	syncs       map[string]Sync
+	syncs       map[string]ShardStatus
 	unreachable string
 	ownsFleet   bool
 	complete    bool
@@ -16,15 +16,15 @@
 	needsTerm   bool
 }
 
-func (q *quiet) Controllers() int                   { return 2 }
-func (q *quiet) ShardNames() []string               { return q.shards }
-func (q *quiet) Syncs(time.Time) map[string]Sync    { return q.syncs }
-func (q *quiet) UnreachableMember(time.Time) string { return q.unreachable }
-func (q *quiet) OwnsFleet() bool                    { return q.ownsFleet }
-func (q *quiet) RosterComplete() bool               { return q.complete }
-func (q *quiet) NeedsRaisedTerm(time.Time) bool     { return q.needsTerm }
-func (q *quiet) RandomTerm() uint64                 { return 5000 }
-func (q *quiet) RandomStoreID() string              { return "drawn" }
+func (q *quiet) Controllers() int                               { return 2 }
+func (q *quiet) ShardNames() []string                           { return q.shards }
+func (q *quiet) ShardStatuses(time.Time) map[string]ShardStatus { return q.syncs }
+func (q *quiet) UnreachableMember(time.Time) string             { return q.unreachable }
+func (q *quiet) OwnsFleet() bool                                { return q.ownsFleet }
+func (q *quiet) RosterComplete() bool                           { return q.complete }
+func (q *quiet) NeedsRaisedTerm(time.Time) bool                 { return q.needsTerm }
+func (q *quiet) RandomTerm() uint64                             { return 5000 }
+func (q *quiet) RandomStoreID() string                          { return "drawn" }
 func (q *quiet) GiveUpSearch(r *Record, _ time.Time) *Record {
 	if !q.givesUp {
 		return nil
@@ -64,7 +64,7 @@
 		{"a change had no answer", func(s *State, q *quiet) { s.ChangeUnanswered(7); q.needsTerm = true }, "settle an unanswered change", 3},
 		{"a change of an earlier version had no answer", func(s *State, _ *quiet) { s.ChangeUnanswered(6) }, "", 0},
 		{"a replica is behind", func(_ *State, q *quiet) {
-			q.syncs, q.needsTerm = map[string]Sync{FleetShard: {Ready: true, Lagging: map[string]bool{"b": true}}}, true
+			q.syncs, q.needsTerm = map[string]ShardStatus{FleetShard: {Ready: true, Lagging: map[string]bool{"b": true}}}, true
 		}, "upkeep", 3},
 		{"agents reach it again", func(s *State, _ *quiet) { s.record.Unreachable = []string{"a"}; s.AgentsReached() }, "workers can be reached again", 4},
 		{"agents reach one that is a home", func(s *State, _ *quiet) { s.AgentsReached() }, "", 0},
--- a/internal/leadership/leadership_test.go
+++ b/internal/leadership/members_test.go
@@ -83,23 +83,23 @@
 				if !ok {
 					continue
 				}
-				next, conds := Repair(v.record, items, v.keys)
+				next, conds := ReconcileMembers(v.record, items, v.keys)
 				if next == nil {
-					syncs := map[string]Sync{}
+					syncs := map[string]ShardStatus{}
 					for name := range v.record.Shards {
-						s := Sync{Ready: rng.IntN(4) > 0, Whole: map[string]bool{}, Lagging: map[string]bool{}}
+						s := ShardStatus{Ready: rng.IntN(4) > 0, InSync: map[string]bool{}, Lagging: map[string]bool{}}
 						for _, p := range nodes {
 							if p != n && v.record.Nodes[p] != 0 {
-								s.Whole[p] = rng.IntN(2) == 0
-								s.Lagging[p] = !s.Whole[p] && rng.IntN(3) == 0
-								if !s.Whole[p] {
-									delete(s.Whole, p)
+								s.InSync[p] = rng.IntN(2) == 0
+								s.Lagging[p] = !s.InSync[p] && rng.IntN(3) == 0
+								if !s.InSync[p] {
+									delete(s.InSync, p)
 								}
 							}
 						}
 						syncs[name] = s
 					}
-					next, _ = Upkeep(v.record, n, syncs, rng.IntN(2) == 0)
+					next, _ = UpdateShards(v.record, n, syncs, rng.IntN(2) == 0)
 				}
 				if next == nil {
 					continue
@@ -146,12 +146,12 @@
 	}
 }
 
-// TestRepairPicksHighestRanked guards take-over by rank among those in sync.
-func TestRepairPicksHighestRanked(t *testing.T) {
+// TestFailoverPicksHighestRanked guards failover by rank among those in sync.
+func TestFailoverPicksHighestRanked(t *testing.T) {
 	all := []string{"n0", "n1", "n2"}
 	r := &Record{Term: 4, Nodes: map[string]uint64{"n0": 1, "n1": 1, "n2": 1}, Shards: map[string]Shard{}}
 	r.Shards["team/a"] = Shard{Owner: "n0", SinceTerm: 2, InSync: []string{"n1", "n2"}}
-	next, conds := Repair(r, []string{"team/a"}, map[string]Presence{"n1": {1, 8}, "n2": {1, 9}})
+	next, conds := ReconcileMembers(r, []string{"team/a"}, map[string]Presence{"n1": {1, 8}, "n2": {1, 9}})
 	want := Ranked("team/a", slices.DeleteFunc(slices.Clone(all), func(n string) bool { return n == "n0" }))[0]
 	it := next.Shards["team/a"]
 	if it.Owner != want || it.NeedsBarrier || next.Term != 5 || it.SinceTerm != 5 {
@@ -182,8 +182,8 @@
 	}
 }
 
-// TestRepairOfEachChange: whatever changed about the members or the items is repaired, and nothing else is touched.
-func TestRepairOfEachChange(t *testing.T) {
+// TestMembersReconciledAfterEachChange: whatever changed about the members or the shards is reconciled, and nothing else is touched.
+func TestMembersReconciledAfterEachChange(t *testing.T) {
 	items := []string{FleetShard, "team/a", "team/b"}
 	live := func(nodes ...string) map[string]Presence {
 		m := map[string]Presence{}
@@ -192,7 +192,7 @@
 		}
 		return m
 	}
-	whole, _ := Repair((&Record{Term: 1}).Clone(), items, live("n0", "n1", "n2"))
+	whole, _ := ReconcileMembers((&Record{Term: 1}).Clone(), items, live("n0", "n1", "n2"))
 	restarted := live("n0", "n1", "n2")
 	restarted["n1"] = Presence{Incarnation: 2, Version: 2}
 	unowned := whole.Clone()
@@ -212,7 +212,7 @@
 		{"a new item", whole, append([]string{"team/c"}, items...), live("n0", "n1", "n2"), true},
 		{"an item's owner is no member", unowned, items, live("n0", "n1", "n2"), true},
 	} {
-		if next, _ := Repair(c.record, c.items, c.live); (next != nil) != c.want {
+		if next, _ := ReconcileMembers(c.record, c.items, c.live); (next != nil) != c.want {
 			t.Errorf("%s: repaired %v, want %v", c.name, next != nil, c.want)
 		}
 	}
--- a/internal/leadership/packed_test.go
+++ b/internal/leadership/packed_test.go
@@ -20,7 +20,7 @@
 	for i := range items {
 		order := rng.Perm(members)
 		item := Shard{Owner: names[order[0]], SinceTerm: r.Term - rng.Uint64N(r.Term), NeedsBarrier: rng.IntN(4) == 0, InSync: []string{}}
-		for _, at := range order[1:min(members, 1+rng.IntN(BackupsPerItem+1))] {
+		for _, at := range order[1:min(members, 1+rng.IntN(ReplicasPerShard+1))] {
 			item.InSync = append(item.InSync, names[at])
 		}
 		r.Shards[fmt.Sprintf("team/team-%04d", i)] = item
@@ -69,8 +69,8 @@
 	}
 }
 
-// TestItemOfNoMemberStaysPlain: an item whose owner is no member can't be told by an index, so the record stays plain.
-func TestItemOfNoMemberStaysPlain(t *testing.T) {
+// TestShardOfNoMemberStaysPlain: a shard whose owner is no member can't be told by an index, so the record stays plain.
+func TestShardOfNoMemberStaysPlain(t *testing.T) {
 	r := drawnRecord(rand.New(rand.NewPCG(5, 6)), 3, packedFrom)
 	item := r.Shards["team/team-0000"]
 	item.Owner = "gone"
@@ -111,9 +111,9 @@
 	}
 }
 
-// TestBackupsOf: the owner is none of them, there are as many as wished for if so many can be reached, the wished-for owner is
+// TestReplicaHolders: the owner is none of them, there are as many as there should be if so many can be reached, the preferred owner is
 // among them, and they do not depend on who asks.
-func TestBackupsOf(t *testing.T) {
+func TestReplicaHolders(t *testing.T) {
 	rng := rand.New(rand.NewPCG(9, 10))
 	for range 300 {
 		members := 1 + rng.IntN(9)
@@ -124,40 +124,40 @@
 		}
 		reachable := func(node string) bool { return !down[node] }
 		for name, item := range r.Shards {
-			backups := r.BackupsOf(name, item.Owner, reachable)
+			backups := r.ReplicaHolders(name, item.Owner, reachable)
 			can := 0
 			for _, node := range r.Members() {
 				if node != item.Owner && reachable(node) {
 					can++
 				}
 			}
-			if len(backups) != min(can, BackupsPerItem) || slices.Contains(backups, item.Owner) || slices.ContainsFunc(backups, func(b string) bool { return down[b] }) {
+			if len(backups) != min(can, ReplicasPerShard) || slices.Contains(backups, item.Owner) || slices.ContainsFunc(backups, func(b string) bool { return down[b] }) {
 				t.Fatalf("%s of %s: backups %v of %d reachable", name, item.Owner, backups, can)
 			}
 			if wished := r.PreferredOwners()[name]; wished != item.Owner && reachable(wished) && !slices.Contains(backups, wished) {
 				t.Fatalf("%s: the wished-for owner %s is no backup: %v", name, wished, backups)
 			}
-			if again := r.Clone().BackupsOf(name, item.Owner, reachable); !slices.Equal(again, backups) {
+			if again := r.Clone().ReplicaHolders(name, item.Owner, reachable); !slices.Equal(again, backups) {
 				t.Fatalf("%s: %v, then %v", name, backups, again)
 			}
 		}
 	}
 }
 
-// TestSurplusBackupsLeaveLast: a member in sync that should hold no replica stays a backup until those that should are in sync.
-func TestSurplusBackupsLeaveLast(t *testing.T) {
+// TestSurplusReplicasLeaveLast: a member in sync that should hold no replica keeps it until those that should are in sync.
+func TestSurplusReplicasLeaveLast(t *testing.T) {
 	r := (&Record{Term: 5}).Clone()
 	for _, node := range []string{"a", "b", "c", "d"} {
 		r.Nodes[node] = 1
 	}
 	r.Shards["team/x"] = Shard{Owner: "a", SinceTerm: 5, InSync: []string{"d"}}
-	sync := Sync{Ready: true, Whole: map[string]bool{"b": true, "d": true}, Backups: []string{"b", "c"}}
-	next, _ := Upkeep(r, "a", map[string]Sync{"team/x": sync}, false)
+	sync := ShardStatus{Ready: true, InSync: map[string]bool{"b": true, "d": true}, Holders: []string{"b", "c"}}
+	next, _ := UpdateShards(r, "a", map[string]ShardStatus{"team/x": sync}, false)
 	if next == nil || !slices.Equal(next.Shards["team/x"].InSync, []string{"b", "d"}) {
 		t.Fatalf("with one of two in sync: %+v", next)
 	}
-	sync.Whole["c"] = true
-	next, _ = Upkeep(next, "a", map[string]Sync{"team/x": sync}, false)
+	sync.InSync["c"] = true
+	next, _ = UpdateShards(next, "a", map[string]ShardStatus{"team/x": sync}, false)
 	if next == nil || !slices.Equal(next.Shards["team/x"].InSync, []string{"b", "c"}) {
 		t.Fatalf("with both in sync: %+v", next)
 	}
--- a/internal/leasegrant/model_test.go
+++ b/internal/leasegrant/model_test.go
@@ -478,9 +478,9 @@
 		if w.now.Before(c.promised) && mayHold(c) {
 			continue
 		}
-		next, _ := leadership.Repair(c.record, []string{team}, c.live)
+		next, _ := leadership.ReconcileMembers(c.record, []string{team}, c.live)
 		if next == nil && w.entitled(c) && c.account != nil {
-			next, _ = leadership.Upkeep(c.record, names[c.index], map[string]leadership.Sync{team: w.sync(c)}, false)
+			next, _ = leadership.UpdateShards(c.record, names[c.index], map[string]leadership.ShardStatus{team: w.sync(c)}, false)
 			if next == nil && c.account.UnconfirmedStops(w.now, unprovenAfter) > 0 {
 				next = c.record.Clone()
 				next.Term++
@@ -503,14 +503,14 @@
 	return false
 }
 
-func (w *world) sync(c *controller) leadership.Sync {
-	s := leadership.Sync{Ready: c.await == [2]bool{}, Whole: map[string]bool{}, Lagging: map[string]bool{}}
+func (w *world) sync(c *controller) leadership.ShardStatus {
+	s := leadership.ShardStatus{Ready: c.await == [2]bool{}, InSync: map[string]bool{}, Lagging: map[string]bool{}}
 	for k, name := range names {
 		if k == c.index {
 			continue
 		}
 		if whole := w.linked(c.index, k) && c.record.Nodes[name] == w.controllers[k].process; whole && w.controllers[k].version == c.version {
-			s.Whole[name] = true
+			s.InSync[name] = true
 		} else {
 			s.Lagging[name] = true
 		}
--- a/internal/shards/owned.go
+++ b/internal/shards/owned.go
@@ -104,7 +104,7 @@
 }
 
 // Sync says whether the shard is ready, which replicas have everything and which are late.
-func (o *Owned) Sync(c *Cluster, now time.Time) leadership.Sync {
+func (o *Owned) Sync(c *Cluster, now time.Time) leadership.ShardStatus {
 	s := o.replicas.sync(c, now)
 	s.Ready = o.MayPlace()
 	return s
--- a/internal/shards/registry.go
+++ b/internal/shards/registry.go
@@ -173,8 +173,8 @@
 }
 
 // Syncs says for each owned shard which replicas have everything and which are late.
-func (r *Registry) Syncs(c *Cluster, now time.Time) map[string]leadership.Sync {
-	syncs := map[string]leadership.Sync{}
+func (r *Registry) Syncs(c *Cluster, now time.Time) map[string]leadership.ShardStatus {
+	syncs := map[string]leadership.ShardStatus{}
 	for name, o := range r.owned {
 		syncs[name] = o.Sync(c, now)
 	}
--- a/internal/shards/replication.go
+++ b/internal/shards/replication.go
@@ -96,7 +96,7 @@
 
 // Holders names the connected controllers that should hold a replica beside the owner.
 func (r *Replicas) Holders(c *Cluster) []string {
-	return c.Record.BackupsOf(r.shard, c.Self, func(node string) bool { return c.Connected[node] })
+	return c.Record.ReplicaHolders(r.shard, c.Self, func(node string) bool { return c.Connected[node] })
 }
 
 // AcknowledgedByAll is the sequence number that every required replica acknowledged.
@@ -113,16 +113,16 @@
 }
 
 // sync says which replicas have everything and which are late.
-func (r *Replicas) sync(c *Cluster, now time.Time) leadership.Sync {
-	s := leadership.Sync{Whole: map[string]bool{}, Lagging: map[string]bool{}, Backups: r.Holders(c)}
+func (r *Replicas) sync(c *Cluster, now time.Time) leadership.ShardStatus {
+	s := leadership.ShardStatus{InSync: map[string]bool{}, Lagging: map[string]bool{}, Holders: r.Holders(c)}
 	inSync := c.Record.Shards[r.shard].InSync
 	for node, connected := range c.Connected {
-		if !slices.Contains(s.Backups, node) && !slices.Contains(inSync, node) {
+		if !slices.Contains(s.Holders, node) && !slices.Contains(inSync, node) {
 			continue
 		}
 		switch a := r.acknowledgements[node]; {
 		case connected && r.isWhole(a, c.Record.Nodes[node]):
-			s.Whole[node] = true
+			s.InSync[node] = true
 		case now.Sub(r.graceFrom) < AcknowledgementTimeout:
 		case !connected || a == nil || a.isLate(now):
 			s.Lagging[node] = true
--- a/internal/shards/replication_test.go
+++ b/internal/shards/replication_test.go
@@ -254,7 +254,7 @@
 				m.acknowledge(node)
 			}
 		}
-		if len(m.owner.Sync(m.cluster, m.now).Whole) == len(m.held) {
+		if len(m.owner.Sync(m.cluster, m.now).InSync) == len(m.held) {
 			return
 		}
 	}
@@ -313,7 +313,7 @@
 			for len(m.toOwner[node]) > 0 {
 				m.acknowledge(node)
 			}
-			if m.parts > 0 && held.Replica(testShard) != nil && len(m.owner.Sync(m.cluster, m.now).Whole) == 2 {
+			if m.parts > 0 && held.Replica(testShard) != nil && len(m.owner.Sync(m.cluster, m.now).InSync) == 2 {
 				return
 			}
 		}
@@ -332,11 +332,11 @@
 	whole := Acknowledgement{Shard: testShard, SinceTerm: 5, Seq: o.Team().Replica().Seq}
 	o.Replicas().Acknowledge("node-b", 1, &whole, begin)
 	inTime := o.Sync(c, begin.Add(AcknowledgementTimeout))
-	if s := inTime; !s.Ready || !s.Whole["node-b"] || s.Whole["node-c"] || len(s.Lagging) != 0 {
+	if s := inTime; !s.Ready || !s.InSync["node-b"] || s.InSync["node-c"] || len(s.Lagging) != 0 {
 		t.Errorf("just in time: %+v", s)
 	}
 	late := begin.Add(AcknowledgementTimeout + time.Millisecond)
-	if s := o.Sync(c, late); !s.Whole["node-b"] || s.Lagging["node-b"] || !s.Lagging["node-c"] {
+	if s := o.Sync(c, late); !s.InSync["node-b"] || s.Lagging["node-b"] || !s.Lagging["node-c"] {
 		t.Errorf("after the time to acknowledge: %+v", s)
 	}
 	o.Resume(late)
@@ -348,7 +348,7 @@
 		t.Errorf("acknowledged up to %d, want %d", got, want)
 	}
 	c.Record.Nodes["node-b"]++
-	if s := o.Sync(c, late); s.Whole["node-b"] {
+	if s := o.Sync(c, late); s.InSync["node-b"] {
 		t.Error("an earlier process's acknowledgement makes a replica whole")
 	}
 	if o.Replicas().AcknowledgedByAll(c) != 0 {
