--- a/internal/datarecovery/model_owner_test.go
+++ b/internal/datarecovery/model_owner_test.go
@@ -45,28 +45,7 @@
 	if n.record == nil || n.record.Shards[modelShard].Owner != n.name || n.record.Nodes[n.name] != n.incarnation || n.assignments == nil {
 		return
 	}
-	m := w.rng.IntN(len(w.machines))
-	x := w.machines[m]
-	if x.fencingToken <= n.record.Term { // a report, which teaches the term
-		x.fencingToken = n.record.Term
-		if n.heardMachines != nil {
-			n.heardMachines[m] = true
-		}
-		n.reported[m] = sorted(x.running)
-		for _, uid := range sorted(n.assignments) {
-			at := n.assignments[uid]
-			_, runs := x.running[uid]
-			if at == m && !runs { // heard under a later term than its start's, or exited
-				if x.finished[uid] {
-					if v, active := n.jobs[uid]; active && v > 0 && n.ready {
-						w.finish(n, uid, v)
-					}
-				} else if !w.inFlight(uid) {
-					delete(n.assignments, uid)
-				}
-			}
-		}
-	}
+	w.hearMachine(n)
 	for m := range w.machines { // adopted, whenever a job comes to be known
 		for _, uid := range n.reported[m] {
 			if _, active := n.jobs[uid]; active && !n.assigned(uid) {
@@ -78,6 +57,38 @@
 		n.ready = w.memoriesGathered(n) && (n.heardMachines == nil || len(n.heardMachines) == len(w.machines))
 		return
 	}
+	w.placeJobs(n)
+}
+
+// hearMachine has a machine report, which teaches it the term.
+func (w *world) hearMachine(n *controllerModel) {
+	m := w.rng.IntN(len(w.machines))
+	x := w.machines[m]
+	if x.fencingToken > n.record.Term {
+		return
+	}
+	x.fencingToken = n.record.Term
+	if n.heardMachines != nil {
+		n.heardMachines[m] = true
+	}
+	n.reported[m] = sorted(x.running)
+	for _, uid := range sorted(n.assignments) {
+		at := n.assignments[uid]
+		_, runs := x.running[uid]
+		if at == m && !runs { // heard under a later term than its start's, or exited
+			if x.finished[uid] {
+				if v, active := n.jobs[uid]; active && v > 0 && n.ready {
+					w.finish(n, uid, v)
+				}
+			} else if !w.inFlight(uid) {
+				delete(n.assignments, uid)
+			}
+		}
+	}
+}
+
+// placeJobs writes back and starts what is active.
+func (w *world) placeJobs(n *controllerModel) {
 	for _, uid := range sorted(n.jobs) {
 		v := n.jobs[uid]
 		if v == 0 && w.commit(n, map[string]uint64{"w/a/" + uid: 0, "f/" + uid: 0}, map[string]string{"w/a/" + uid: "job"}) {
--- a/internal/datarecovery/model_test.go
+++ b/internal/datarecovery/model_test.go
@@ -25,6 +25,8 @@
 	inFlightStarts []startInFlight
 	partitioned    bool // between the controllers
 	told           map[string]string
+	saved          *modelStore // what a backup of the store has
+	troubleFrom    time.Time   // no trouble before: memory is on both again
 	broken         string
 	started        int
 	losses         int
@@ -39,9 +41,18 @@
 	}
 }
 
-// play runs a drawn history and says what broke, "" for nothing.
-func play(seed uint64, g guards) (broken string, w *world) {
-	w = &world{guards: g, rng: rand.New(rand.NewPCG(seed, 17)), now: time.Unix(1000, 0), store: &modelStore{keys: map[string]modelEntry{}}, told: map[string]string{}}
+const (
+	modelStep     = 50 * time.Millisecond
+	drawnSteps    = 2500
+	quietSteps    = 800 // at the end, when nothing more goes wrong
+	restartsApart = 6 * time.Second
+)
+
+func newWorld(seed uint64, g guards) *world {
+	w := &world{
+		guards: g, rng: rand.New(rand.NewPCG(seed, 17)), now: time.Unix(1000, 0),
+		store: &modelStore{keys: map[string]modelEntry{}}, told: map[string]string{},
+	}
 	for _, name := range []string{"n0", "n1"} {
 		w.nodes = append(w.nodes, &controllerModel{name: name, incarnation: 10})
 	}
@@ -51,10 +62,15 @@
 	for range 3 {
 		w.machines = append(w.machines, &machineModel{running: map[string]uint64{}, finished: map[string]bool{}})
 	}
-	saved := w.store.clone()
-	quiet := time.Time{} // no trouble before: memory is on both again
-	for range 2500 {
-		w.now = w.now.Add(50 * time.Millisecond)
+	w.saved = w.store.clone()
+	return w
+}
+
+// play runs a drawn history and says what broke, "" for nothing.
+func play(seed uint64, g guards) (broken string, w *world) {
+	w = newWorld(seed, g)
+	for range drawnSteps {
+		w.now = w.now.Add(modelStep)
 		for _, n := range w.nodes {
 			w.act(n)
 		}
@@ -63,58 +79,80 @@
 		if w.broken != "" {
 			return w.broken, w
 		}
-		settled := true
-		for _, n := range w.nodes {
-			settled = settled && n.trusts() && n.exchange == nil && n.memoryComplete && n.record != nil && w.connected(n)
-		}
-		if w.rng.IntN(150) == 0 && settled {
-			saved = w.store.clone()
-		}
-		if w.now.Before(quiet) {
-			continue
-		}
-		n := w.nodes[w.rng.IntN(2)]
-		switch w.rng.IntN(160) {
-		case 0, 1:
-			if settled { // one that ends loses its memory: the other must have it
-				n.up = false
-				if w.rng.IntN(2) == 0 {
-					w.loseData(saved)
-				}
-				w.store.txn(nil, map[string]string{"w/n/" + n.name: ""})
-				w.boot(n)
-				quiet = w.now.Add(6 * time.Second)
-			}
-		case 2, 3:
-			w.loseData(saved)
-		case 4:
-			w.partitioned = !w.partitioned
-		}
-		if w.partitioned && w.rng.IntN(60) == 0 {
-			w.partitioned = false
-		}
+		w.drawTrouble()
 	}
 	w.partitioned = false
-	for range 800 { // nothing more goes wrong
-		w.now = w.now.Add(50 * time.Millisecond)
+	for range quietSteps {
+		w.now = w.now.Add(modelStep)
 		for _, n := range w.nodes {
 			w.act(n)
 		}
 		w.runMachines()
 	}
-	for uid, said := range w.told {
+	w.checkAnswers()
+	return w.broken, w
+}
+
+// settled says whether both controllers trust the store, hear each other and remember everything.
+func (w *world) settled() bool {
+	for _, n := range w.nodes {
+		if !n.trusts() || n.exchange != nil || !n.memoryComplete || n.record == nil || !w.connected(n) {
+			return false
+		}
+	}
+	return true
+}
+
+// drawTrouble may lose data, restart a controller, or part the two.
+func (w *world) drawTrouble() {
+	settled := w.settled()
+	if w.rng.IntN(150) == 0 && settled {
+		w.saved = w.store.clone()
+	}
+	if w.now.Before(w.troubleFrom) {
+		return
+	}
+	n := w.nodes[w.rng.IntN(2)]
+	switch w.rng.IntN(160) {
+	case 0, 1:
+		if settled {
+			w.restart(n)
+		}
+	case 2, 3:
+		w.loseData(w.saved)
+	case 4:
+		w.partitioned = !w.partitioned
+	}
+	if w.partitioned && w.rng.IntN(60) == 0 {
+		w.partitioned = false
+	}
+}
+
+// restart ends a controller, which loses its memory: the other must have it.
+func (w *world) restart(n *controllerModel) {
+	n.up = false
+	if w.rng.IntN(2) == 0 {
+		w.loseData(w.saved)
+	}
+	w.store.txn(nil, map[string]string{"w/n/" + n.name: ""})
+	w.boot(n)
+	w.troubleFrom = w.now.Add(restartsApart)
+}
+
+// checkAnswers sees that in the end everything is as users were told last.
+func (w *world) checkAnswers() {
+	for uid, answer := range w.told {
 		_, active := w.store.keys["w/a/"+uid]
-		c, ended := w.store.keys["f/"+uid]
+		entry, ended := w.store.keys["f/"+uid]
 		for _, n := range w.nodes {
-			if x, ok := n.ends.Get(uid); ok {
-				ended, c.value = true, map[bool]string{true: "withdrawn", false: "done"}[x.Cancelled]
+			if end, known := n.ends.Get(uid); known {
+				ended, entry.value = true, map[bool]string{true: "withdrawn", false: "done"}[end.Cancelled]
 			}
 		}
-		if (said != "active" && !ended) || (!active && !ended) || (said != "active" && c.value != said) {
-			w.fail("%s was %s; in the end active %t, ended %t as %q", uid, said, active, ended, c.value)
+		if (answer != "active" && !ended) || (!active && !ended) || (answer != "active" && entry.value != answer) {
+			w.fail("%s was %s; in the end active %t, ended %t as %q", uid, answer, active, ended, entry.value)
 		}
 	}
-	return w.broken, w
 }
 
 var allGuards = guards{revisions: true, fence: true, exchange: true, replicate: true, termAboveTokens: true, barrierUnlessKept: true, endBeatsActive: true, compare: true, askStore: true}
--- a/internal/datarecovery/model_users_test.go
+++ b/internal/datarecovery/model_users_test.go
@@ -31,7 +31,7 @@
 	w.told[uid] = what
 }
 
-// actAsUser submits, polls and cancels.
+// actAsUser submits, polls or cancels.
 func (w *world) actAsUser() {
 	n := w.nodes[w.rng.IntN(2)]
 	if !n.trusts() || !w.memoriesGathered(n) {
@@ -39,56 +39,72 @@
 	}
 	switch w.rng.IntN(20) {
 	case 0:
-		w.jobs++
-		uid := fmt.Sprintf("job-%06d", w.jobs)
-		if w.commit(n, map[string]uint64{"w/a/" + uid: 0, "f/" + uid: 0}, map[string]string{"w/a/" + uid: "job"}) {
-			if w.connected(n) && w.other(n).listed { // held there before it is said
-				w.learn(w.other(n), uid, 0)
-			}
-			w.learn(n, uid, w.store.revision)
-			w.told[uid] = "active"
-		}
+		w.submit(n)
 	case 1, 2:
-		if uid := w.anyJob(); uid != "" && n.jobs[uid] > 0 {
-			if w.commit(n, map[string]uint64{"w/a/" + uid: n.jobs[uid]}, map[string]string{"w/a/" + uid: "", "f/" + uid: "withdrawn"}) {
-				w.learnEnd(n, uid, true)
-				w.replicateEnd(n, uid, true)
-				w.recordAnswer(uid, "withdrawn")
-			}
-		}
+		w.cancel(n)
 	default:
-		uid := w.anyJob()
-		if uid == "" {
-			return
-		}
-		if x, ended := n.ends.Get(uid); ended {
-			w.recordAnswer(uid, map[bool]string{true: "withdrawn", false: "done"}[x.Cancelled])
-			return
-		}
-		if n.jobs[uid] > 0 { // by a read of what is followed, as far as that tells
-			if w.follow(n); n.trusts() && w.memoriesGathered(n) && n.jobs[uid] > 0 {
-				w.recordAnswer(uid, "active")
-			}
-			return
-		}
-		if _, active := n.jobs[uid]; active && !w.guards.askStore {
-			w.recordAnswer(uid, "active")
-			return
-		}
-		if w.wentBack(n) {
-			return
+		w.poll(n)
+	}
+}
+
+// submit has a job accepted, which the peer remembers before the user is told.
+func (w *world) submit(n *controllerModel) {
+	w.jobs++
+	uid := fmt.Sprintf("job-%06d", w.jobs)
+	if w.commit(n, map[string]uint64{"w/a/" + uid: 0, "f/" + uid: 0}, map[string]string{"w/a/" + uid: "job"}) {
+		if w.connected(n) && w.other(n).listed {
+			w.learn(w.other(n), uid, 0)
 		}
-		c, ended := w.store.keys["f/"+uid]
-		_, active := w.store.keys["w/a/"+uid]
-		switch {
-		case ended:
-			w.learnEnd(n, uid, c.value == "withdrawn")
-			w.recordAnswer(uid, c.value)
-		case active || slices.Contains(sorted(n.jobs), uid):
+		w.learn(n, uid, w.store.revision)
+		w.told[uid] = "active"
+	}
+}
+
+func (w *world) cancel(n *controllerModel) {
+	uid := w.anyJob()
+	if uid == "" || n.jobs[uid] == 0 {
+		return
+	}
+	if w.commit(n, map[string]uint64{"w/a/" + uid: n.jobs[uid]}, map[string]string{"w/a/" + uid: "", "f/" + uid: "withdrawn"}) {
+		w.learnEnd(n, uid, true)
+		w.replicateEnd(n, uid, true)
+		w.recordAnswer(uid, "withdrawn")
+	}
+}
+
+// poll asks for a job that a user was told of.
+func (w *world) poll(n *controllerModel) {
+	uid := w.anyJob()
+	if uid == "" {
+		return
+	}
+	if x, ended := n.ends.Get(uid); ended {
+		w.recordAnswer(uid, map[bool]string{true: "withdrawn", false: "done"}[x.Cancelled])
+		return
+	}
+	if n.jobs[uid] > 0 { // by a read of what is followed, as far as that tells
+		if w.follow(n); n.trusts() && w.memoriesGathered(n) && n.jobs[uid] > 0 {
 			w.recordAnswer(uid, "active")
-		case !active && n.exchange == nil && n.record != nil && !n.record.DataLost && w.now.Sub(n.startedAt) > 10*time.Second:
-			w.fail("%s, which was told to be %s, is unknown to %s", uid, w.told[uid], n.name)
 		}
+		return
+	}
+	if _, active := n.jobs[uid]; active && !w.guards.askStore {
+		w.recordAnswer(uid, "active")
+		return
+	}
+	if w.wentBack(n) {
+		return
+	}
+	c, ended := w.store.keys["f/"+uid]
+	_, active := w.store.keys["w/a/"+uid]
+	switch {
+	case ended:
+		w.learnEnd(n, uid, c.value == "withdrawn")
+		w.recordAnswer(uid, c.value)
+	case active || slices.Contains(sorted(n.jobs), uid):
+		w.recordAnswer(uid, "active")
+	case !active && n.exchange == nil && n.record != nil && !n.record.DataLost && w.now.Sub(n.startedAt) > 10*time.Second:
+		w.fail("%s, which was told to be %s, is unknown to %s", uid, w.told[uid], n.name)
 	}
 }
 
