--- a/internal/controller/scheduling_test.go
+++ b/internal/controller/scheduling_test.go
@@ -10,9 +10,9 @@
 	"topazhollow/internal/userapi"
 )
 
-// TestMachinesTakeTasksUnderANewTerm: a raised term is told of to peers with every homed machine's
-// view; a controller must know its own machines under it as well, or it places nothing
-// on them until each has reported again.
+// TestMachinesTakeTasksUnderANewTerm: after a raised term peers are sent the status of every machine homed here; a
+// controller must know its own machines under that term as well, or it places nothing on them until each has reported
+// again.
 func TestMachinesTakeTasksUnderANewTerm(t *testing.T) {
 	g := newGrown(0, 1)
 	n := g.n
--- a/internal/scheduler/evictions.go
+++ b/internal/scheduler/evictions.go
@@ -73,7 +73,7 @@
 	for _, h := range p.hosts {
 		left[h.Name] = h
 	}
-	hosts := p.scheduler.Hosts(p.view, p.now, nil)
+	hosts := p.scheduler.Hosts(p.snapshot, p.now, nil)
 	for i, h := range hosts {
 		if x := left[h.Name]; x != nil {
 			hosts[i] = x
--- a/internal/scheduler/fixture_test.go
+++ b/internal/scheduler/fixture_test.go
@@ -40,7 +40,7 @@
 	machines  []string
 }
 
-// newCluster has machines of 32 CPUs, three of four of them spot, and teams of no guarantee worth the name.
+// newCluster has machines of 32 CPUs, three of four of them spot, and teams with a large guarantee and limit.
 func newCluster(t *testing.T, machines, teams int) *cluster {
 	c := &cluster{t: t, now: time.Unix(10000, 0), jobs: map[string]*Job{}}
 	c.settings.Zones = []string{"east", "west"}
@@ -48,7 +48,8 @@
 	c.scheduler.SetMachineTypes([]protocol.MachineType{{Name: "m32", CPUs: 32, MemoryGB: 256, PricePerHour: 2, SpotPricePerHour: 0.5, BootSeconds: 35,
 		FetchGBPerSecond: 0.25, Zones: c.settings.Zones}})
 	for i := range teams {
-		c.teams = append(c.teams, jobstate.NewTeam(fmt.Sprintf("team-%d", i), 3500, 10000, 0, 0, jobstate.NewReplica(), 1, func(string, ...any) {}))
+		name, log := fmt.Sprintf("team-%d", i), func(string, ...any) {}
+		c.teams = append(c.teams, jobstate.NewTeam(name, 3500, 10000, 0, 0, jobstate.NewReplica(), 1, log))
 	}
 	for i := range machines {
 		c.machines = append(c.machines, fmt.Sprintf("n-%06d", i))
@@ -59,7 +60,8 @@
 
 // observe has a machine report these tasks.
 func (c *cluster) observe(machine int, tasks ...jobstate.TaskStatus) {
-	status := &jobstate.MachineStatus{Machine: c.machines[machine], Type: "m32", Zone: c.settings.Zones[machine%2], Spot: machine%4 > 0, Incarnation: 1, Tasks: tasks}
+	status := &jobstate.MachineStatus{Machine: c.machines[machine], Type: "m32", Zone: c.settings.Zones[machine%2],
+		Spot: machine%4 > 0, Incarnation: 1, Tasks: tasks}
 	c.scheduler.ObserveMachine(status, c, c.now)
 }
 
--- a/internal/scheduler/gangpreemption.go
+++ b/internal/scheduler/gangpreemption.go
@@ -38,7 +38,7 @@
 		if first != nil || job.Spec.Kind != protocol.Gang || !team.HasWaitingTasks(job, p.now) {
 			return
 		}
-		if j, known := p.view.Job(job.Spec.UID); known && j.Active && !p.missedObjectives(job.Spec.UID) {
+		if j, known := p.snapshot.Job(job.Spec.UID); known && j.Active && !p.missedObjectives(job.Spec.UID) {
 			first = &waitingTasks{team: team, job: job, spec: job.Spec, borrowed: true, submittedAt: j.SubmittedAt}
 		}
 	})
@@ -47,7 +47,7 @@
 
 // missedObjectives says whether a job can reach none of its objectives any more.
 func (p *pass) missedObjectives(uid string) bool {
-	j, known := p.view.Job(uid)
+	j, known := p.snapshot.Job(uid)
 	if !known {
 		return true
 	}
@@ -99,7 +99,7 @@
 
 // searchGangRoom lists the machines that a gang may use, with what may be stopped there for it.
 func (p *pass) searchGangRoom(w *waitingTasks, ownOnly bool) *gangSearch {
-	p.scheduler.estimateCompletions(p.view, p.now) // counts what runs, for the floors
+	p.scheduler.estimateCompletions(p.snapshot, p.now) // counts what runs, for the floors
 	ask, zones := p.scheduler.ask(w.spec), p.scheduler.zoneRule(w)
 	search := &gangSearch{pass: p, gang: w, ownOnly: ownOnly, stopped: map[admission.Key]float64{}}
 	victims := p.newVictimSearch()
--- a/internal/scheduler/machines.go
+++ b/internal/scheduler/machines.go
@@ -128,16 +128,16 @@
 // Hosts lists the machines that may take tasks, with their free room as far as it is known here; those only that have
 // room for least, if that is not nil. A stale guess costs a refusal at the machine's home. Only machines where
 // something changed are counted anew. The hosts are valid until the next call of the same kind.
-func (s *Scheduler) Hosts(view Snapshot, now time.Time, least *placement.Ask) []*placement.Host {
-	s.InvalidateMachines(view.TakeChangedMachines())
-	accepts, plan := view.AcceptingMachines(now), view.Plan()
+func (s *Scheduler) Hosts(snapshot Snapshot, now time.Time, least *placement.Ask) []*placement.Host {
+	s.InvalidateMachines(snapshot.TakeChangedMachines())
+	accepts, plan := snapshot.AcceptingMachines(now), snapshot.Plan()
 	buffer := &s.hostsWithRoom
 	if least == nil {
 		buffer = &s.allHosts
 	}
 	*buffer = (*buffer)[:0]
 	for _, m := range s.placeable {
-		if !s.count(m, view) || least != nil && !least.Fits(&m.host) || !accepts(m.status) {
+		if !s.count(m, snapshot) || least != nil && !least.Fits(&m.host) || !accepts(m.status) {
 			continue
 		}
 		*buffer = append(*buffer, m.host)
--- a/internal/scheduler/pass.go
+++ b/internal/scheduler/pass.go
@@ -19,7 +19,7 @@
 // pass is one scheduling pass.
 type pass struct {
 	scheduler *Scheduler
-	view      Snapshot
+	snapshot  Snapshot
 	now       time.Time
 	teams     []Team
 	queue     []waitingTasks         // most urgent first
@@ -33,8 +33,8 @@
 
 // Pass starts what can be started, most urgent first, and searches victims for what found no room. Room that a peer's
 // more urgent tasks will take is left to them.
-func (s *Scheduler) Pass(view Snapshot, now time.Time) Result {
-	p := &pass{scheduler: s, view: view, now: now, teams: view.Teams(), reserved: map[reservationKey]int{}}
+func (s *Scheduler) Pass(snapshot Snapshot, now time.Time) Result {
+	p := &pass{scheduler: s, snapshot: snapshot, now: now, teams: snapshot.Teams(), reserved: map[reservationKey]int{}}
 	p.buildQueue()
 	p.listHosts()
 	for i := range p.queue {
@@ -63,8 +63,8 @@
 	if len(p.queue) == 0 {
 		return
 	}
-	p.hosts = p.scheduler.Hosts(p.view, p.now, smallestAsk(p.queue))
-	if plan := p.view.Plan(); plan != nil && len(plan.Reserved) > 0 {
+	p.hosts = p.scheduler.Hosts(p.snapshot, p.now, smallestAsk(p.queue))
+	if plan := p.snapshot.Plan(); plan != nil && len(plan.Reserved) > 0 {
 		setSmallestReserved(p.hosts, p.queue)
 	}
 }
--- a/internal/scheduler/preemption.go
+++ b/internal/scheduler/preemption.go
@@ -4,7 +4,6 @@
 	"time"
 
 	"topazhollow/internal/admission"
-	"topazhollow/internal/placement"
 	"topazhollow/internal/protocol"
 )
 
@@ -19,6 +18,9 @@
 	completionsEvery = 250 * time.Millisecond
 )
 
+// slack absorbs rounding in sums of CPUs.
+const slack = 1e-6
+
 // maxEvictions bounds the tasks for which one pass seeks room by stopping others; the next one goes on.
 const maxEvictions = 32
 
@@ -61,13 +63,13 @@
 	ask, zones := r.pass.scheduler.ask(w.job.Spec), r.pass.scheduler.zoneRule(w)
 	for ; need > 0 && r.search.left > 0; need-- {
 		r.search.left--
-		host, victims := r.search.cheapestRoom(ask, w.job, zones)
-		if host == nil {
+		cheapest := r.search.cheapestRoom(ask, w.job, zones)
+		if cheapest.host == nil {
 			return
 		}
-		r.stop(host, victims, w.job.Spec.UID)
-		host.Take(ask)
-		zones.take(host)
+		r.stop(cheapest, w.job.Spec.UID)
+		cheapest.host.Take(ask)
+		zones.take(cheapest.host)
 	}
 }
 
@@ -76,11 +78,11 @@
 // like them.
 func (r *preemption) bookCompletions(spec *protocol.Submission, need int) (count int) {
 	if r.completions == nil {
-		r.completions = r.pass.scheduler.estimateCompletions(r.pass.view, r.pass.now)
+		r.completions = r.pass.scheduler.estimateCompletions(r.pass.snapshot, r.pass.now)
 	}
 	soon := -r.promised
 	for _, c := range r.completions {
-		if c.taskCPUs+1e-6 >= spec.CPUs {
+		if c.taskCPUs+slack >= spec.CPUs {
 			soon += c.rate * preemptionDelay.Seconds()
 		}
 	}
@@ -92,17 +94,17 @@
 	return count
 }
 
-// stop has tasks on a host stopped for a job.
-func (r *preemption) stop(host *placement.Host, victims []victim, job string) {
-	for i, v := range victims {
+// stop has the victims on a host stopped for a job.
+func (r *preemption) stop(chosen clearance, job string) {
+	for i, v := range chosen.victims {
 		e := eviction{job: job, at: r.pass.now}
 		if i == 0 {
 			e.tasks = 1
 		}
-		host.Release(v.spec.CPUs, v.spec.GPUs, v.spec.MemoryGB)
+		chosen.host.Release(v.spec.CPUs, v.spec.GPUs, v.spec.MemoryGB)
 		r.pass.evict(v.ref, e)
 	}
-	r.search.remove(host, victims)
+	r.search.remove(chosen)
 }
 
 // completionRate is how many CPUs tasks of one size give back per second.
@@ -144,6 +146,6 @@
 // CPUs that are to be stopped anyway.
 func (p *pass) keepsFloorWithout(spec *protocol.Submission, stopped float64) bool {
 	key := admissionKey(spec)
-	floor := p.view.Plan().Floor(key)
+	floor := p.snapshot.Plan().Floor(key)
 	return floor <= 0 || p.scheduler.runningCPUs[key]-stopped-spec.CPUs >= floor
 }
--- a/internal/scheduler/queue.go
+++ b/internal/scheduler/queue.go
@@ -36,7 +36,7 @@
 	if len(p.queue) == 0 {
 		return
 	}
-	for demand := range p.view.PeerDemands(p.now) {
+	for demand := range p.snapshot.PeerDemands(p.now) {
 		p.enqueue(&waitingTasks{}, &demand)
 	}
 	sortQueue(p.queue)
@@ -63,7 +63,7 @@
 
 // enqueue adds a demand of an active job. The tasks that go ahead of more urgent work have an entry of their own.
 func (p *pass) enqueue(w *waitingTasks, d *Demand) {
-	j, known := p.view.Job(d.Job)
+	j, known := p.snapshot.Job(d.Job)
 	if !known || !j.Active {
 		return
 	}
--- a/internal/scheduler/queue_test.go
+++ b/internal/scheduler/queue_test.go
@@ -97,7 +97,10 @@
 // start within its objective stood behind those that no longer could.
 func TestGangsInTimeGoFirst(t *testing.T) {
 	c := newCluster(t, 8, 1) // two of them ordinary, in one zone
-	c.settings.Objectives = []settings.Objective{{Kind: "finished", Class: "c", WithinSeconds: 300}, {Kind: "wait", Class: "c", WithinSeconds: 20}}
+	c.settings.Objectives = []settings.Objective{
+		{Kind: "finished", Class: "c", WithinSeconds: 300},
+		{Kind: "wait", Class: "c", WithinSeconds: 20},
+	}
 	for uid, age := range map[string]time.Duration{"job-000001": 100 * time.Second, "job-000002": 5 * time.Second} {
 		c.submit(0, age, protocol.Submission{UID: uid, Class: "c", Kind: protocol.Gang, Priority: "high",
 			Tasks: 8, CPUs: 8, MemoryGB: 1, Image: "img", EstimateSeconds: 40, OneZone: true})
--- a/internal/scheduler/victims.go
+++ b/internal/scheduler/victims.go
@@ -58,7 +58,7 @@
 
 // victim says whether a task on a machine may be stopped, and what is lost by that.
 func (s *victimSearch) victim(m *machine, t *jobstate.TaskStatus) (v victim, ok bool) {
-	j, known := s.pass.view.Job(t.Job)
+	j, known := s.pass.snapshot.Job(t.Job)
 	if !known || !j.Active || t.State == protocol.Exited || t.State == protocol.Saving || j.Spec.Kind == protocol.Gang {
 		return v, false
 	}
@@ -78,47 +78,54 @@
 }
 
 // remove takes the chosen victims out of the search.
-func (s *victimSearch) remove(h *placement.Host, chosen []victim) {
-	s.victims[h] = slices.DeleteFunc(s.victims[h], func(v victim) bool {
-		return slices.ContainsFunc(chosen, func(c victim) bool { return c.ref == v.ref })
+func (s *victimSearch) remove(chosen clearance) {
+	s.victims[chosen.host] = slices.DeleteFunc(s.victims[chosen.host], func(v victim) bool {
+		return slices.ContainsFunc(chosen.victims, func(c victim) bool { return c.ref == v.ref })
 	})
 }
 
+// clearance is what to stop on a host so that a task has room there.
+type clearance struct {
+	host    *placement.Host // nil if there is none
+	victims []victim
+	lost    float64 // CPU seconds of the victims' progress
+}
+
 // cheapestRoom finds the machine where stopping tasks of lower priority loses least.
-func (s *victimSearch) cheapestRoom(ask *placement.Ask, job *jobstate.Job, zones *zoneRule) (best *placement.Host, stop []victim) {
-	lowest := math.Inf(1)
+func (s *victimSearch) cheapestRoom(ask *placement.Ask, job *jobstate.Job, zones *zoneRule) clearance {
+	best := clearance{lost: math.Inf(1)}
 	rank := protocol.Rank(job.Spec.Priority)
 	for _, h := range s.hosts {
 		if !ask.Allows(h) || job.Avoids(h.Name, s.pass.now) || !zones.allows(h) {
 			continue
 		}
-		victims, lost, found := s.roomOn(h, ask, rank, lowest)
-		if found {
-			best, stop, lowest = h, victims, lost
+		if found, ok := s.roomOn(h, ask, rank, best.lost); ok {
+			best = found
 		}
-		if lowest == 0 {
-			return best, stop
+		if best.lost == 0 {
+			break
 		}
 	}
-	return best, stop
+	return best
 }
 
 // roomOn finds tasks below a rank on a host that leave room enough if they are stopped, and lose less than lowest.
-func (s *victimSearch) roomOn(h *placement.Host, ask *placement.Ask, rank int, lowest float64) (stop []victim, lost float64, found bool) {
+func (s *victimSearch) roomOn(h *placement.Host, ask *placement.Ask, rank int, lowest float64) (found clearance, ok bool) {
 	room := *h
+	found.host = h
 	for _, v := range s.on(h) {
 		if protocol.Rank(v.spec.Priority) >= rank {
 			continue
 		}
 		room.Release(v.spec.CPUs, v.spec.GPUs, v.spec.MemoryGB)
-		lost += v.lost
-		if lost >= lowest {
-			return nil, lost, false
+		found.lost += v.lost
+		if found.lost >= lowest {
+			return found, false
 		}
-		stop = append(stop, v)
+		found.victims = append(found.victims, v)
 		if ask.Fits(&room) {
-			return stop, lost, true
+			return found, true
 		}
 	}
-	return nil, lost, false
+	return found, false
 }
