--- a/internal/controller/dataloss_restart_test.go
+++ b/internal/controller/dataloss_restart_test.go
@@ -100,7 +100,7 @@
 
 // TestRestoreFromSnapshot: the store loses everything at the moment in which all
 // controllers end, but it was followed. What was accepted, done and withdrawn comes back
-// into the generation that the controllers began, running tasks are taken up again, and
+// into the epoch that the controllers began, running tasks are taken up again, and
 // unknown jobs are unknown once nothing more is to be found. A second restore does nothing.
 func TestRestoreFromSnapshot(t *testing.T) {
 	l := newDataLoss(t)
--- a/internal/controller/meeting_answer_test.go
+++ b/internal/controller/meeting_answer_test.go
@@ -98,7 +98,7 @@
 			s.members(3)
 			for _, o := range s.overviews() {
 				if o.Store.Epoch != 1 {
-					t.Errorf("an unanswered write was taken for a loss: generation %d", o.Store.Epoch)
+					t.Errorf("an unanswered write was taken for a loss: epoch %d", o.Store.Epoch)
 				}
 			}
 		})
--- a/internal/controller/meeting_report_test.go
+++ b/internal/controller/meeting_report_test.go
@@ -87,7 +87,7 @@
 			s.settle()
 			for _, o := range s.overviews() {
 				if o.Store.Epoch != 1 {
-					t.Errorf("old reports were taken for a loss: generation %d", o.Store.Epoch)
+					t.Errorf("old reports were taken for a loss: epoch %d", o.Store.Epoch)
 				}
 			}
 		})
--- a/internal/controller/meeting_test.go
+++ b/internal/controller/meeting_test.go
@@ -295,7 +295,7 @@
 	r.allDone([]*protocol.Submission{last})
 	for _, o := range r.overviews() {
 		if o.Store.Epoch != 1 {
-			t.Errorf("late transactions were taken for a loss: generation %d", o.Store.Epoch)
+			t.Errorf("late transactions were taken for a loss: epoch %d", o.Store.Epoch)
 		}
 	}
 }
@@ -409,7 +409,7 @@
 	r.allDone(jobs)
 	for _, o := range r.overviews() {
 		if o.Store.Epoch != 1 {
-			t.Errorf("late reports were taken for a loss: generation %d", o.Store.Epoch)
+			t.Errorf("late reports were taken for a loss: epoch %d", o.Store.Epoch)
 		}
 	}
 }
@@ -435,7 +435,7 @@
 }
 
 // TestOldReportsProveNothing: two late copies of what a machine sent that is gone by now come to a controller that never knew it, and
-// are no proof that the store lost a list of machines. Taken for one they began a new generation.
+// are no proof that the store lost a list of machines. Taken for one they began a new epoch.
 func TestOldReportsProveNothing(t *testing.T) {
 	g := newGrown(1, 1)
 	n := g.n
