--- a/internal/admission/admission_test.go
+++ b/internal/admission/admission_test.go
@@ -10,10 +10,10 @@
 	"time"
 )
 
-// TestDivideModel compares the shares with a plain pouring: a little at a time to whoever has
+// TestFairSharesModel compares the shares with a plain pouring: a little at a time to whoever has
 // least of its weight and wants more, guarantees first. It guards that nothing is left over
 // while anybody wants more, and that nobody gets more than it wants.
-func TestDivideModel(t *testing.T) {
+func TestFairSharesModel(t *testing.T) {
 	for seed := range uint64(200) {
 		rng := rand.New(rand.NewPCG(seed, 3))
 		teams, w := map[string]Quota{}, &Weights{Team: map[string]float64{}, Class: map[string]float64{"c0": float64(1 + rng.IntN(3))}}
@@ -297,9 +297,9 @@
 	return "", made
 }
 
-// TestPlansNeverContradict: whatever is late, lost, restarted or changes hands, no two
+// TestPlansNeverConflict: whatever is late, lost, restarted or changes hands, no two
 // controllers hold a machine for different classes; and plans go on being made.
-func TestPlansNeverContradict(t *testing.T) {
+func TestPlansNeverConflict(t *testing.T) {
 	made := uint64(0)
 	for seed := range uint64(60) {
 		broken, n := playPlans(seed, lapses{})
@@ -418,10 +418,10 @@
 	}
 }
 
-// TestDoor: one team floods. What another one hands in is taken at its share, refused jobs come
+// TestRateLimiter: one team floods. What another one hands in is taken at its share, refused jobs come
 // before later ones, nobody is asked to come back after its patience, and what one leaves
 // the other gets.
-func TestDoor(t *testing.T) {
+func TestRateLimiter(t *testing.T) {
 	for seed := range uint64(20) {
 		rng := rand.New(rand.NewPCG(seed, 7))
 		d := NewRateLimiter(RateLimits{MaxWait: 1500 * time.Millisecond, MaxRejections: 3000})
@@ -491,8 +491,8 @@
 	}
 }
 
-// TestServed: shares are of the window only, and one that is served badly is named once in a while.
-func TestServed(t *testing.T) {
+// TestServedCounts: shares are of the window only, and one that is served badly is named once in a while.
+func TestServedCounts(t *testing.T) {
 	s := NewServedCounts()
 	k, now := Key{"t", "c"}, time.Unix(1000, 0)
 	for range 10 {
--- a/internal/admission/divide.go
+++ b/internal/admission/divide.go
@@ -1,7 +1,7 @@
-// Package admission decides who gets how much when CPUs are short: the fair shares of teams and their classes of jobs, the
-// floors that a numbered plan has all controllers keep, which submissions are admitted when the state service is busy, and
-// how many jobs were served in time. It does no I/O and reads no clock, and never places or stops a task. Its types are
-// not safe for concurrent use; the controller guards them.
+// Package admission decides who gets how much when CPUs are short: the fair shares of teams and their classes of jobs,
+// the floors that a numbered plan has all controllers keep, which submissions are admitted when the state service is
+// busy, and how many jobs were served in time. It does no I/O and reads no clock, and never places or stops a task. Its
+// types are not safe for concurrent use; the controller guards them.
 package admission
 
 import (
@@ -52,8 +52,8 @@
 	return 1
 }
 
-// maxMinShares divides an amount among wants by weight: nobody gets more than it wants, and what somebody leaves goes to
-// those who want more (weighted max-min fairness).
+// maxMinShares divides an amount among wants by weight: nobody gets more than it wants, and what somebody leaves goes
+// to those who want more (weighted max-min fairness).
 func maxMinShares(amount float64, wants, weights []float64) []float64 {
 	got := make([]float64, len(wants))
 	open := make([]int, 0, len(wants))
@@ -85,8 +85,8 @@
 	Limit      float64 // 0: none
 }
 
-// FairShares divides CPUs among the keys: first each team gets what it asks for within its guaranteed quota, then the rest
-// goes by weight, and within a team by weight among its classes.
+// FairShares divides CPUs among the keys: first each team gets what it asks for within its guaranteed quota, then the
+// rest goes by weight, and within a team by weight among its classes.
 func FairShares(cpus float64, needs []Need, teams map[string]Quota, w *Weights) map[Key]float64 {
 	byTeam := needsByTeam(needs)
 	names := slices.Sorted(maps.Keys(byTeam))
@@ -160,11 +160,10 @@
 // withinLimit says whether the group is a class of one team, which has a floor within that team's limit.
 func (g *Group) withinLimit() bool { return g.Team != "" && g.Class != "" }
 
-// Floors gives what each class and each team is not to be kept under: enough to serve the
-// floor's part of what comes, for as many as that is possible for, those first that need
-// least for it. One for which it is not possible, as one that floods, keeps leastFloorShare of its fair share. Of a team that asks for more than
-// its limit, where that is less than all machines, each class has such a floor within the limit, and one that asks for little
-// a higher one.
+// Floors gives what each class and each team is not to be kept under: enough to serve the floor's part of what comes,
+// for as many as that is possible for, those first that need least for it. One for which it is not possible, as one
+// that floods, keeps leastFloorShare of its fair share. Of a team that asks for more than its limit, where that is less
+// than all machines, each class has such a floor within the limit, and one that asks for little a higher one.
 func Floors(cpus float64, needs []Need, teams map[string]Quota, w *Weights) []Group {
 	due := FairShares(cpus, needs, teams, w)
 	groups := groupFloors(cpus, needs, due, teams, w, func(k Key) Key { return Key{Class: k.Class} })
@@ -178,8 +177,8 @@
 	return groups
 }
 
-// raiseSmallFloors raises the floors of classes that ask for less than an equal part of their team's limit: of what waits
-// for its floor, users cancel some, and part of what came is gone before the floor holds.
+// raiseSmallFloors raises the floors of classes that ask for less than an equal part of their team's limit: of what
+// waits for its floor, users cancel some, and part of what came is gone before the floor holds.
 func raiseSmallFloors(within []Group, most float64, w *Weights) {
 	if w.FloorShare <= 0 {
 		return
@@ -198,8 +197,8 @@
 	}
 }
 
-// teamsAtLimit gives the needs of each team that asks for more than its limit. Limits of more than so many CPUs of machines hold
-// nothing back.
+// teamsAtLimit gives the needs of each team that asks for more than its limit. Limits of more than so many CPUs of
+// machines hold nothing back.
 func teamsAtLimit(cpus float64, needs []Need, teams map[string]Quota) [][]Need {
 	byTeam, asked := map[string][]Need{}, map[string]float64{}
 	for _, n := range needs {
@@ -216,12 +215,12 @@
 }
 
 // groupFloors divides so many CPUs into floors for the groups that needs belong to.
-func groupFloors(cpus float64, needs []Need, due map[Key]float64, teams map[string]Quota, w *Weights, of func(Key) Key) []Group {
+func groupFloors(cpus float64, needs []Need, due map[Key]float64, teams map[string]Quota, w *Weights, groupOf func(Key) Key) []Group {
 	sums := map[Key]*Need{}
 	share := map[Key]float64{}
 	var keys []Key
 	for _, n := range needs {
-		g := of(n.Key)
+		g := groupOf(n.Key)
 		if sums[g] == nil {
 			sums[g] = &Need{Key: g}
 			keys = append(keys, g)
--- a/internal/admission/needs.go
+++ b/internal/admission/needs.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// backlogTime is the time in which a backlog is worked off at the least, so that what waits goes on when nothing arrives
-// any more.
+// backlogTime is the time in which a backlog is worked off at the least, so that what waits goes on when nothing
+// arrives any more.
 const backlogTime = 10 * time.Minute
 
 // Waiting is what waits of one job.
@@ -84,8 +84,8 @@
 	return list
 }
 
-// arrivalRate is how many CPUs what arrives for a key keeps busy. A key for which the first work arrived just now counts
-// over a third of the window.
+// arrivalRate is how many CPUs what arrives for a key keeps busy. A key for which the first work arrived just now
+// counts over a third of the window.
 func (n *Needs) arrivalRate(k Key) float64 {
 	a := n.arrivals[k]
 	if a == nil {
--- a/internal/admission/plan.go
+++ b/internal/admission/plan.go
@@ -37,7 +37,8 @@
 	if p == nil {
 		return 0
 	}
-	if i, ok := slices.BinarySearchFunc(p.Floors, k, func(f Floor, k Key) int { return f.Key.Compare(k) }); ok && !p.Floors[i].WithinLimit {
+	compare := func(f Floor, k Key) int { return f.Key.Compare(k) }
+	if i, ok := slices.BinarySearchFunc(p.Floors, k, compare); ok && !p.Floors[i].WithinLimit {
 		return p.Floors[i].CPUs
 	}
 	return 0
@@ -70,8 +71,8 @@
 	return false
 }
 
-// PlanStatus is what a status says of plans. Only the owner of the fleet shard sends plans: the one in force, and the next
-// one, which nobody acts on yet.
+// PlanStatus is what a status says of plans. Only the owner of the fleet shard sends plans: the one in force, and the
+// next one, which nobody acts on yet.
 type PlanStatus struct {
 	Latest  ID    `json:"seen"` // the latest plan received, in force or not
 	InForce *Plan `json:"force,omitempty"`
@@ -101,8 +102,8 @@
 	return id
 }
 
-// Apply takes in what the owner of the fleet shard since a term sends. What an earlier owner sent is ignored if it arrives
-// late.
+// Apply takes in what the owner of the fleet shard since a term sends. What an earlier owner sent is ignored if it
+// arrives late.
 func (a *Agreement) Apply(since uint64, w PlanStatus) {
 	if w.InForce == nil || w.InForce.SinceTerm > since || w.Next != nil && w.Next.SinceTerm != since {
 		return
--- a/internal/admission/planner.go
+++ b/internal/admission/planner.go
@@ -38,7 +38,12 @@
 // NewPlanner goes on with what its controller acts on and has received: others may act on
 // either. One that knows no plan begins with an empty one, which contradicts none.
 func NewPlanner(since uint64, known *Agreement) *Planner {
-	m := &Planner{sinceTerm: since, belowSince: map[Key]time.Time{}, lastFloors: map[Key]float64{}, idleSince: map[string]time.Time{}}
+	m := &Planner{
+		sinceTerm:  since,
+		belowSince: map[Key]time.Time{},
+		lastFloors: map[Key]float64{},
+		idleSince:  map[string]time.Time{},
+	}
 	m.inForce = known.inForce
 	if m.inForce == nil {
 		m.inForce = &Plan{ID: ID{SinceTerm: since}}
@@ -97,7 +102,12 @@
 func (m *Planner) plan(now time.Time, in *Inputs) *Plan {
 	floors := m.currentFloors(now, in)
 	p := &Plan{}
-	d := &reservationDemand{smallestTask: math.Inf(1), waiting: map[string]bool{}, short: map[string][]Need{}, floors: map[string]float64{}}
+	d := &reservationDemand{
+		smallestTask: math.Inf(1),
+		waiting:      map[string]bool{},
+		short:        map[string][]Need{},
+		floors:       map[string]float64{},
+	}
 	for _, n := range in.Needs {
 		if n.Waiting <= 0 {
 			continue
@@ -125,8 +135,8 @@
 	withinLimit map[Key]float64 // of a team
 }
 
-// currentFloors brings up to date which groups are below their floors, and divides the floors of those that have been for
-// long enough among their keys.
+// currentFloors brings up to date which groups are below their floors, and divides the floors of those that have been
+// for long enough among their keys.
 func (m *Planner) currentFloors(now time.Time, in *Inputs) keyFloors {
 	cpus := 0.0
 	for _, x := range in.Machines {
--- a/internal/admission/prioritize.go
+++ b/internal/admission/prioritize.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// onTimeShare is the part of what a class lacks of its floor that goes to its jobs that can still be in time, those first
-// that must start soonest. The rest goes to its oldest jobs, so that none waits for ever.
+// onTimeShare is the part of what a class lacks of its floor that goes to its jobs that can still be in time, those
+// first that must start soonest. The rest goes to its oldest jobs, so that none waits for ever.
 const onTimeShare = 0.75
 
 // WaitingTasks are tasks of one job that wait.
@@ -27,8 +27,8 @@
 // Lacks is how many CPUs a key that uses so many has less than its floor; negative if it has more.
 func (p *Plan) Lacks(k Key, used float64) float64 { return p.Floor(k) - used }
 
-// PrioritizeTasks raises Prioritized of a team's waiting tasks by as many as their classes lack of their floors. Lacks is
-// by class, in CPUs.
+// PrioritizeTasks raises Prioritized of a team's waiting tasks by as many as their classes lack of their floors. Lacks
+// is by class, in CPUs.
 func PrioritizeTasks(waiting []*WaitingTasks, lacks map[string]float64) {
 	order := slices.Clone(waiting)
 	slices.SortStableFunc(order, (*WaitingTasks).compareByStart)
--- a/internal/admission/ratelimit.go
+++ b/internal/admission/ratelimit.go
@@ -15,16 +15,16 @@
 // DefaultRateLimits leave a user's try, which lasts 5 s, time for the rest.
 var DefaultRateLimits = RateLimits{MaxWait: 1500 * time.Millisecond, MaxRejections: 8192}
 
-// A user tries for userTimeout in all. maxRetryDelay is the longest delay that is asked for: who comes back then still has
-// a try left after it.
+// A user tries for userTimeout in all. maxRetryDelay is the longest delay that is asked for: who comes back then still
+// has a try left after it.
 const (
 	userTimeout   = 60 * time.Second
 	maxRetryDelay = 20 * time.Second
 )
 
-// RateLimiter decides which submissions are admitted when more come than the state service can take. Every key that asks
-// has a token bucket with the same share of what it takes; what one leaves goes to the others. A job that was rejected
-// before goes first when it comes back, so that it does not lose to later ones.
+// RateLimiter decides which submissions are admitted when more come than the state service can take. Every key that
+// asks has a token bucket with the same share of what it takes; what one leaves goes to the others. A job that was
+// rejected before goes first when it comes back, so that it does not lose to later ones.
 type RateLimiter struct {
 	limits          RateLimits
 	rate            float64 // acceptances a second that the state service has room for
@@ -45,7 +45,14 @@
 
 // NewRateLimiter makes one that has rejected nobody.
 func NewRateLimiter(l RateLimits) *RateLimiter {
-	return &RateLimiter{limits: l, tokens: map[Key]float64{}, lastAsked: map[Key]time.Time{}, rejected: map[string]*list.Element{}, rejections: list.New(), expectedRetries: map[Key]map[int64]int{}}
+	return &RateLimiter{
+		limits:          l,
+		tokens:          map[Key]float64{},
+		lastAsked:       map[Key]time.Time{},
+		rejected:        map[string]*list.Element{},
+		rejections:      list.New(),
+		expectedRetries: map[Key]map[int64]int{},
+	}
 }
 
 // Rejected counts the refused jobs that may come back.
@@ -54,7 +61,7 @@
 // Admit says whether a submission is taken; if not, when to come back. wait is what an
 // acceptance takes at the state service by what is queued there, and rate how many it takes a
 // second.
-func (d *RateLimiter) Admit(k Key, uid string, wait time.Duration, rate float64, now time.Time) (taken bool, back time.Duration) {
+func (d *RateLimiter) Admit(k Key, uid string, wait time.Duration, rate float64, now time.Time) (taken bool, retryAfter time.Duration) {
 	d.refill(now, rate)
 	d.lastAsked[k] = now
 	if _, ok := d.tokens[k]; !ok {
--- a/internal/admission/reservation.go
+++ b/internal/admission/reservation.go
@@ -37,7 +37,12 @@
 // tasks are larger than others that wait, so that it finds no room where those take each
 // piece that comes free. A machine that was held for a class is first free for all.
 func (m *Planner) reserveMachines(now time.Time, in *Inputs, d *reservationDemand) map[string]string {
-	r := &reservations{machines: map[string]*Machine{}, previous: m.inForce.Reserved, reserved: map[string]string{}, limit: len(in.Machines) / 2}
+	r := &reservations{
+		machines: map[string]*Machine{},
+		previous: m.inForce.Reserved,
+		reserved: map[string]string{},
+		limit:    len(in.Machines) / 2,
+	}
 	for i := range in.Machines {
 		r.machines[in.Machines[i].Name] = &in.Machines[i]
 	}
@@ -97,7 +102,8 @@
 	}
 }
 
-// unreserved lists the machines that neither this plan nor the one in force reserves, those first that are empty soonest.
+// unreserved lists the machines that neither this plan nor the one in force reserves, those first that are empty
+// soonest.
 func (r *reservations) unreserved() []*Machine {
 	free := make([]*Machine, 0, len(r.machines))
 	for name, machine := range r.machines {
@@ -106,7 +112,11 @@
 		}
 	}
 	slices.SortFunc(free, func(a, b *Machine) int {
-		return cmp.Or(cmp.Compare(a.SecondsUntilIdle, b.SecondsUntilIdle), cmp.Compare(b.FreeCPUs, a.FreeCPUs), strings.Compare(a.Name, b.Name))
+		return cmp.Or(
+			cmp.Compare(a.SecondsUntilIdle, b.SecondsUntilIdle),
+			cmp.Compare(b.FreeCPUs, a.FreeCPUs),
+			strings.Compare(a.Name, b.Name),
+		)
 	})
 	return free
 }
--- a/internal/autoscaler/autoscaler.go
+++ b/internal/autoscaler/autoscaler.go
@@ -1,5 +1,5 @@
-// Package autoscaler decides which machines to acquire and to release: spot or on demand, of which type and in which zone.
-// It never sends a request and never stops a task. It does no I/O and reads no clock; its types are not safe for
+// Package autoscaler decides which machines to acquire and to release: spot or on demand, of which type and in which
+// zone. It never sends a request and never stops a task. It does no I/O and reads no clock; its types are not safe for
 // concurrent use.
 package autoscaler
 
@@ -115,9 +115,18 @@
 }
 
 // New makes a fleet's decisions under names that nobody else uses.
-func New(prefix string, opt Options) *Fleet {
-	return &Fleet{options: opt, prefix: prefix, unavailableUntil: map[pool]time.Time{}, backoff: map[pool]time.Duration{}, pending: map[pool]int{},
-		bootTimes: map[pool]*bootHistory{}, booting: map[string]bool{}, retired: map[string]bool{}, startBy: map[string]time.Time{}}
+func New(prefix string, options Options) *Fleet {
+	return &Fleet{
+		options:          options,
+		prefix:           prefix,
+		unavailableUntil: map[pool]time.Time{},
+		backoff:          map[pool]time.Duration{},
+		pending:          map[pool]int{},
+		bootTimes:        map[pool]*bootHistory{},
+		booting:          map[string]bool{},
+		retired:          map[string]bool{},
+		startBy:          map[string]time.Time{},
+	}
 }
 
 // ForgetUnsent drops what was asked for but is not sent.
@@ -141,7 +150,8 @@
 	}
 }
 
-// Obsolete says whether a request that waits for its turn has become pointless: the place refused another one meanwhile.
+// Obsolete says whether a request that waits for its turn has become pointless: the place refused another one
+// meanwhile.
 func (f *Fleet) Obsolete(r protocol.ScaleOutRequest, now time.Time) bool {
 	return f.isUnavailable(pool{r.Type, r.Zone, r.Spot}, now)
 }
@@ -174,7 +184,7 @@
 
 // Decide plans with what is known. settled is when the members last changed:
 // silence counts only from then.
-func (f *Fleet) Decide(types []protocol.MachineType, machines []Machine, demands []Demand, inflow Arrivals, now, settled time.Time) Plan {
+func (f *Fleet) Decide(types []protocol.MachineType, machines []Machine, demands []Demand, arrivals Arrivals, now, settled time.Time) Plan {
 	d := &decision{types: map[string]*protocol.MachineType{}, now: now, settled: settled}
 	for i := range types {
 		d.types[types[i].Name] = &types[i]
@@ -201,7 +211,7 @@
 	plan.Retire = f.retiredMachines(live)
 	bins = append(bins, f.liveBins(live, d.types)...)
 	bins = append(bins, f.pendingBins(d.types)...)
-	f.scaleOut(&plan, types, bins, demands, inflow, now)
+	f.scaleOut(&plan, types, bins, demands, arrivals, now)
 	if len(plan.ScaleOut) == 0 {
 		f.scaleInIdle(&plan, d.types, idleMachines(live), len(bins)+len(plan.Retire), now)
 	}
@@ -211,24 +221,24 @@
 // conditionOf judges a machine by what is known of it.
 func (f *Fleet) conditionOf(m *Machine, d *decision) condition {
 	t := d.types[m.Type]
-	quiet := d.now.Sub(later(m.LastHeartbeat, d.settled))
-	unheard := m.LastHeartbeat.IsZero()
+	silence := d.now.Sub(later(m.LastHeartbeat, d.settled))
+	booting := m.LastHeartbeat.IsZero()
 	switch {
 	case m.ListedState == protocol.HostFailed, m.Faulty:
 		return lost
 	case m.HomeUnreachable && m.ListedState != "":
 		return ignored
-	case unheard && !m.Registered && f.bootTimedOut(m, t, d.now):
+	case booting && !m.Registered && f.bootTimedOut(m, t, d.now):
 		return lost
-	case (!unheard || m.Registered) && quiet > f.silenceTimeout(m, d.barrierTimeout, d.cutZones[m.Zone]):
+	case (!booting || m.Registered) && silence > f.silenceTimeout(m, d.barrierTimeout, d.cutZones[m.Zone]):
 		return lost
 	case m.SpotNotice || t == nil:
 		return ignored
-	case unheard && m.Registered && quiet > f.options.SilenceTimeout/4:
+	case booting && m.Registered && silence > f.options.SilenceTimeout/4:
 		return ignored // registered once, but perhaps gone since
-	case unheard:
+	case booting:
 		return starting
-	case quiet > f.options.SilenceTimeout/2:
+	case silence > f.options.SilenceTimeout/2:
 		return ignored
 	}
 	return operating
--- a/internal/autoscaler/autoscaler_test.go
+++ b/internal/autoscaler/autoscaler_test.go
@@ -57,9 +57,9 @@
 	return f, []protocol.MachineType{{Name: "m8", CPUs: 8, MemoryGB: 64, PricePerHour: 2, SpotPricePerHour: 1, BootSeconds: 10, Zones: []string{"a", "b"}}}, time.Unix(10000, 0)
 }
 
-// TestRentsOnceAndElsewhereWhenRefused: machines on their way count, names are
+// TestScaleOutOnceAndElsewhereWhenRefused: machines on their way count, names are
 // never reused, and a pool without capacity is left alone for a while.
-func TestRentsOnceAndElsewhereWhenRefused(t *testing.T) {
+func TestScaleOutOnceAndElsewhereWhenRefused(t *testing.T) {
 	f, types, now := setup()
 	spec := &protocol.Submission{CPUs: 8, EstimateSeconds: 10, Spot: true}
 	demand := []Demand{{Spec: spec, Count: 3, Due: now.Add(5 * time.Second)}}
@@ -93,9 +93,9 @@
 	}
 }
 
-// TestReturns: failed, silent, never booted and long idle machines go back; busy
+// TestScaleIn: failed, silent, never booted and long idle machines go back; busy
 // ones and those silent only since the controllers changed do not.
-func TestReturns(t *testing.T) {
+func TestScaleIn(t *testing.T) {
 	f, types, now := setup()
 	old := now.Add(-5 * time.Minute)
 	ms := []Machine{
@@ -203,9 +203,9 @@
 	}
 }
 
-// TestGivesBackMoreOfMany: cheap machines are kept through a lull, but when work
+// TestScaleInMoreOfMany: cheap machines are kept through a lull, but when work
 // runs out hundreds stood idle for as long: they go back down to a tenth of all.
-func TestGivesBackMoreOfMany(t *testing.T) {
+func TestScaleInMoreOfMany(t *testing.T) {
 	for _, c := range []struct{ idle, want int }{{4, 0}, {5, 0}, {6, 1}, {30, 25}} {
 		f, types, now := setup() // idle ordinary machines go after 20 s, spot ones after 40 s
 		var ms []Machine
@@ -222,10 +222,10 @@
 	}
 }
 
-// TestIdleTimeWorkRentsNoDearMachine: work of the lowest priority that nobody waits
+// TestLowPriorityWorkWaitsForSpot: work of the lowest priority that nobody waits
 // for fills idle room and cheap machines. It must neither take ordinary ones while
 // other room will come, nor be left without any machine for ever.
-func TestIdleTimeWorkRentsNoDearMachine(t *testing.T) {
+func TestLowPriorityWorkWaitsForSpot(t *testing.T) {
 	busy := func(now time.Time) []Machine {
 		return []Machine{{Name: "n-00", Type: "m8", Zone: "a", LastHeartbeat: now, AcquiredAt: now.Add(-time.Hour), Tasks: []RunningTask{{CPUs: 8, SecondsLeft: 100}}}}
 	}
@@ -257,10 +257,10 @@
 	}
 }
 
-// TestNotPutOffForEver: work of low priority was laid out behind what runs, within
+// TestLowPriorityWorkStartsEventually: work of low priority was laid out behind what runs, within
 // its time, at every look; meanwhile more urgent work came and took those places, and
 // nothing was ever rented. What did not start as laid out must get machines.
-func TestNotPutOffForEver(t *testing.T) {
+func TestLowPriorityWorkStartsEventually(t *testing.T) {
 	f, types, now := setup()
 	low := &protocol.Submission{UID: "low", CPUs: 8, EstimateSeconds: 10, Spot: true}
 	began, rented := now, 0
@@ -284,10 +284,10 @@
 	}
 }
 
-// TestInflow: work of low priority that starts within its time on the machines there
+// TestArrivals: work of low priority that starts within its time on the machines there
 // are, if nothing else comes, must get machines where so much of higher priority keeps
 // coming that it would not.
-func TestInflow(t *testing.T) {
+func TestArrivals(t *testing.T) {
 	for cpus, want := range map[float64]int{0: 0, 2: 0, 12: 1} {
 		f, types, now := setup()
 		var ms []Machine
@@ -306,10 +306,10 @@
 	}
 }
 
-// TestCheapMachinesWhileGangsWait: an array was laid out on ordinary machines in the room that is kept for a gang
+// TestSpotMachinesWhileGangsWait: an array was laid out on ordinary machines in the room that is kept for a gang
 // of higher priority; nothing was rented for it and it waited until it was late. While such a gang waits, the array
 // gets spot machines in time; where there are none to be had it is laid out on the ordinary ones as before.
-func TestCheapMachinesWhileGangsWait(t *testing.T) {
+func TestSpotMachinesWhileGangsWait(t *testing.T) {
 	for _, c := range []struct {
 		priority string
 		shut     bool
@@ -346,9 +346,9 @@
 	}
 }
 
-// TestGangIsLaidOutAsAWhole: tasks of a gang of one zone were laid out one by one on whatever machine had room, so that it
+// TestGangIsPlacedAsAWhole: tasks of a gang of one zone were laid out one by one on whatever machine had room, so that it
 // seemed to start long before it could, and machines were rented for it in all zones, of which it can use one.
-func TestGangIsLaidOutAsAWhole(t *testing.T) {
+func TestGangIsPlacedAsAWhole(t *testing.T) {
 	for _, c := range []struct {
 		name       string
 		left       []float64 // seconds until each machine of zone a is free, then of zone b
@@ -388,8 +388,8 @@
 	}
 }
 
-// TestTogetherModel compares when a gang has room at the same time with a plain walk over time.
-func TestTogetherModel(t *testing.T) {
+// TestEarliestStartModel compares when a gang has room at the same time with a plain walk over time.
+func TestEarliestStartModel(t *testing.T) {
 	for seed := range uint64(300) {
 		rng := rand.New(rand.NewPCG(seed, 17))
 		var l layout
@@ -426,9 +426,9 @@
 	}
 }
 
-// TestRequestsGoByUrgency: requests for machines are paced, and went out in any order; those that waited for their turn
+// TestScaleOutRequestsGoByUrgency: requests for machines are paced, and went out in any order; those that waited for their turn
 // went to places that had refused one meanwhile, and held up what was needed sooner.
-func TestRequestsGoByUrgency(t *testing.T) {
+func TestScaleOutRequestsGoByUrgency(t *testing.T) {
 	for range 20 { // the order was that of a map
 		f, types, now := setup()
 		types = append(types, protocol.MachineType{Name: "g8", CPUs: 8, GPUs: 2, MemoryGB: 64, PricePerHour: 9, SpotPricePerHour: 5, BootSeconds: 10, Zones: []string{"a"}})
--- a/internal/autoscaler/boot_test.go
+++ b/internal/autoscaler/boot_test.go
@@ -64,10 +64,10 @@
 	return n
 }
 
-// TestLateBoots: tasks for eight machines wait. Machines that are all late are not
+// TestSlowBoots: tasks for eight machines wait. Machines that are all late are not
 // rented twice over; those that never come while others do are replaced well
 // before they are given up; where one zone delivers nothing, the other does.
-func TestLateBoots(t *testing.T) {
+func TestSlowBoots(t *testing.T) {
 	for _, c := range []struct {
 		name         string
 		boots        func(number int, zone string) float64
--- a/internal/autoscaler/gang.go
+++ b/internal/autoscaler/gang.go
@@ -87,9 +87,9 @@
 	count       int
 }
 
-// placeGang places in the forecast a gang of one zone where it can start soonest, or acquires what it lacks in the zone that lacks
-// least, if that would be late. It says in how many seconds the gang starts by that, and whether machines are
-// acquired for it; the time is infinite if there is no room and none to acquire.
+// placeGang places in the forecast a gang of one zone where it can start soonest, or acquires what it lacks in the zone
+// that lacks least, if that would be late. It says in how many seconds the gang starts by that, and whether machines
+// are acquired for it; the time is infinite if there is no room and none to acquire.
 func (r *scaleOutPass) placeGang(t *task) (at float64, rented bool) {
 	places := r.layout.gangPlaces(r.types, t.demand.Spec, t.demand.Count)
 	at = math.Inf(1)
--- a/internal/autoscaler/retire_test.go
+++ b/internal/autoscaler/retire_test.go
@@ -74,11 +74,11 @@
 	}
 }
 
-// TestRetiredGoBack: a machine that is used in part never fell idle, so that dear
+// TestRetiredMachinesAreScaledIn: a machine that is used in part never fell idle, so that dear
 // machines stayed all day beside cheap ones with room. It must get nothing more, be
 // no room for what waits, and go back when its work is over. Work that may not use
 // cheap machines keeps the dear ones.
-func TestRetiredGoBack(t *testing.T) {
+func TestRetiredMachinesAreScaledIn(t *testing.T) {
 	f, types, now := setup()
 	var ms []Machine
 	for i := range 10 {
@@ -107,10 +107,10 @@
 	}
 }
 
-// TestCutZoneKept: when nearly all machines of a zone fall silent at once, it is the
+// TestMachinesOfACutZoneAreKept: when nearly all machines of a zone fall silent at once, it is the
 // zone's network. They were returned after a worker's lease, with all that they ran
 // and with their images, and rented anew. A few that fall silent are returned as ever.
-func TestCutZoneKept(t *testing.T) {
+func TestMachinesOfACutZoneAreKept(t *testing.T) {
 	f, types, now := setup()
 	f.options.CutZoneTimeout = 30 * time.Second
 	silent := func(zone string, count int, quiet time.Duration) int {
--- a/internal/autoscaler/scaleout.go
+++ b/internal/autoscaler/scaleout.go
@@ -32,11 +32,11 @@
 // end, and acquires for what would come too late so but in better time on a new
 // machine. What comes meanwhile with a higher rank is expected as it came of late; what
 // did not start as it was placed in the forecast before counts as late by that.
-func (f *Fleet) scaleOut(plan *Plan, types []protocol.MachineType, bins []*bin, demands []Demand, inflow Arrivals, now time.Time) {
+func (f *Fleet) scaleOut(plan *Plan, types []protocol.MachineType, bins []*bin, demands []Demand, arrivals Arrivals, now time.Time) {
 	if !f.anyAvailable(types, now) {
 		return // nothing can be had: who waits keeps the place that was placed in the forecast
 	}
-	r := &scaleOutPass{fleet: f, types: types, arrivals: inflow, now: now, layout: layout{bins: bins, lines: map[shape]*line{}},
+	r := &scaleOutPass{fleet: f, types: types, arrivals: arrivals, now: now, layout: layout{bins: bins, lines: map[shape]*line{}},
 		wanted: map[pool]int{}, startTimes: map[string]time.Time{}, gangRank: -1}
 	for _, b := range bins {
 		r.totalCPUs += b.totalCPUs
@@ -175,8 +175,8 @@
 	return list
 }
 
-// placesByUrgency lists the places that machines are wanted from in the order of who wants them, the most urgent first: requests are
-// paced, and were once sent in any order.
+// placesByUrgency lists the places that machines are wanted from in the order of who wants them, the most urgent first:
+// requests are paced, and were once sent in any order.
 func placesByUrgency(want map[pool]int, added []*bin) (list []pool) {
 	for _, b := range added {
 		if want[b.pool] > 0 && !slices.Contains(list, b.pool) {
@@ -218,7 +218,7 @@
 // cheapest is the pool with the lowest price for a task of those that are open and
 // deliver a machine sooner than the task would start without; among equal ones that
 // with the least already wanted.
-func (f *Fleet) cheapest(types []protocol.MachineType, d *Demand, want map[pool]int, start float64, now time.Time) (best pool, found *protocol.MachineType) {
+func (f *Fleet) cheapest(types []protocol.MachineType, d *Demand, wanted map[pool]int, start float64, now time.Time) (best pool, found *protocol.MachineType) {
 	lowest := math.Inf(1)
 	for i := range types {
 		t := &types[i]
@@ -236,7 +236,7 @@
 				if spot {
 					price = t.SpotPricePerHour
 				}
-				price = price/tasks + float64(want[p])*1e-6
+				price = price/tasks + float64(wanted[p])*1e-6
 				if price < lowest {
 					best, found, lowest = p, t, price
 				}
--- a/internal/autoscaler/silence.go
+++ b/internal/autoscaler/silence.go
@@ -10,14 +10,14 @@
 // that is there is not just too new. One that an owner's barrier waits for has so
 // long as barrierTimeout says. In a zone that is cut off, machines and what they run live
 // on, and come back with their images and results.
-func (f *Fleet) silenceTimeout(m *Machine, hurry time.Duration, cut bool) time.Duration {
+func (f *Fleet) silenceTimeout(m *Machine, barrierTimeout time.Duration, cut bool) time.Duration {
 	switch {
-	case m.AwaitedByBarrier && m.SkippedInList, m.AwaitedByBarrier && m.ProbeUnanswered && hurry <= f.options.OverdueTimeout:
+	case m.AwaitedByBarrier && m.SkippedInList, m.AwaitedByBarrier && m.ProbeUnanswered && barrierTimeout <= f.options.OverdueTimeout:
 		return time.Second
 	case m.ListedState == "":
 		return min(f.options.UnlistedTimeout, f.options.SilenceTimeout)
 	case m.AwaitedByBarrier:
-		return min(hurry, f.options.SilenceTimeout)
+		return min(barrierTimeout, f.options.SilenceTimeout)
 	case cut:
 		return max(f.options.CutZoneTimeout, f.options.SilenceTimeout)
 	}
@@ -34,10 +34,10 @@
 		m := &machines[i]
 		if m.AwaitedByBarrier && m.ProbeUnanswered {
 			overdue++
-		} else if quiet := now.Sub(later(m.LastHeartbeat, settled)); m.AwaitedByBarrier && quiet > f.options.BarrierTimeout {
+		} else if silence := now.Sub(later(m.LastHeartbeat, settled)); m.AwaitedByBarrier && silence > f.options.BarrierTimeout {
 			overdue++
 			silent++
-		} else if m.AwaitedByBarrier && quiet > f.options.OverdueTimeout {
+		} else if m.AwaitedByBarrier && silence > f.options.OverdueTimeout {
 			overdue++
 		}
 	}
--- a/internal/controller/admission.go
+++ b/internal/controller/admission.go
@@ -59,8 +59,8 @@
 	return floors
 }
 
-// prioritizedTasks says for each of a team's demands how many of its tasks go before what is more urgent: as many as its
-// class has less than the plan leaves it, and the first one of an array that has waited long.
+// prioritizedTasks says for each of a team's demands how many of its tasks go before what is more urgent: as many as
+// its class has less than the plan leaves it, and the first one of an array that has waited long.
 func (n *Node) prioritizedTasks(shard *shards.Owned, list []jobstate.Demand, now time.Time) []int {
 	prioritized := make([]int, len(list))
 	for i, d := range list {
--- a/internal/controller/autoscaling.go
+++ b/internal/controller/autoscaling.go
@@ -111,10 +111,10 @@
 }
 
 // newProvisioner begins the account of this controller as the fleet's owner.
-func (n *Node) newProvisioner(since uint64, now time.Time) *provisioner {
+func (n *Node) newProvisioner(sinceTerm uint64, now time.Time) *provisioner {
 	options := provisioning.Options{
-		SinceTerm: since,
-		Prefix:    fmt.Sprintf("%s-%d-%d", n.name, n.incarnation, since),
+		SinceTerm: sinceTerm,
+		Prefix:    fmt.Sprintf("%s-%d-%d", n.name, n.incarnation, sinceTerm),
 		ListLag:   settings.Seconds(n.settings.Deployment.Cloud.ListLagSeconds),
 		Fleet:     n.fleetOptions(),
 	}
--- a/internal/controller/node.go
+++ b/internal/controller/node.go
@@ -39,7 +39,8 @@
 // tick is how often a controller looks at everything even if nothing happened.
 const tick = 100 * time.Millisecond
 
-// Node is one controller. It composes the parts: it alone holds the lock, reads the clock, runs goroutines and does I/O.
+// Node is one controller. It composes the parts: it alone holds the lock, reads the clock, runs goroutines and does
+// I/O.
 type Node struct {
 	// Set by New and never changed; safe to read without the lock.
 	settings    *settings.Settings
--- a/internal/controller/peerhandler.go
+++ b/internal/controller/peerhandler.go
@@ -146,8 +146,8 @@
 	n.onConfigStatus(from.name, from.incarnation, s.Config, now)
 }
 
-// resetIfHalfOpen has the connection to a peer dialled anew if the peer's messages arrive here, but its statuses say that
-// nothing arrives there.
+// resetIfHalfOpen has the connection to a peer dialled anew if the peer's messages arrive here, but its statuses say
+// that nothing arrives there.
 func (n *Node) resetIfHalfOpen(node string, s *statusMsg, now time.Time) {
 	received := uint64(0)
 	if e := s.Received[n.name]; e.Incarnation == n.incarnation && e.SentAt > 0 {
--- a/internal/controller/status.go
+++ b/internal/controller/status.go
@@ -61,7 +61,8 @@
 }
 
 // shareWrites divides the rate of changes of the state service among the controllers by what each has use for: the ends
-// of one team's many small jobs are all its owner's to write. It returns what this one has use for, in changes a second.
+// of one team's many small jobs are all its owner's to write. It returns what this one has use for, in changes a
+// second.
 func (n *Node) shareWrites(now time.Time) float64 {
 	var others []float64
 	for _, p := range n.peers {
--- a/internal/controller/teamconfig.go
+++ b/internal/controller/teamconfig.go
@@ -195,7 +195,8 @@
 		Owner: func(team string) string { return n.leadership.Record().Shards[shards.ForTeam(team)].Owner }}
 }
 
-// teamConfigStatus is what this controller's status says of the configuration, nil if nothing. The controller keeps to it from here on.
+// teamConfigStatus is what this controller's status says of the configuration, nil if nothing. The controller keeps to
+// it from here on.
 func (n *Node) teamConfigStatus(now time.Time) *teamconfig.Status {
 	if n.teamConfig == nil || n.leadership.Record() == nil || !n.trusted() {
 		return nil
@@ -257,15 +258,15 @@
 // laggingLogInterval is after what time a controller that is behind is logged, and how often.
 const laggingLogInterval = 10 * time.Second
 
-// onConfigStatus takes in a peer's status of the configuration, and sends the peer what it lacks if it stays behind, as one that
-// the state service refuses.
-func (n *Node) onConfigStatus(node string, incarnation uint64, w *teamconfig.Status, now time.Time) {
-	if n.teamConfig == nil || w == nil {
+// onConfigStatus takes in a peer's status of the configuration, and sends the peer what it lacks if it stays behind, as
+// one that the state service refuses.
+func (n *Node) onConfigStatus(node string, incarnation uint64, status *teamconfig.Status, now time.Time) {
+	if n.teamConfig == nil || status == nil {
 		return
 	}
-	n.teamConfig.propagation.Apply(node, incarnation, *w)
+	n.teamConfig.propagation.Apply(node, incarnation, *status)
 	n.updatePropagation(now)
-	if !n.trusted() || w.Epoch != n.epoch() || w.KnownRevision >= n.teamConfig.config.LatestVersion() {
+	if !n.trusted() || status.Epoch != n.epoch() || status.KnownRevision >= n.teamConfig.config.LatestVersion() {
 		delete(n.teamConfig.behindSince, node)
 		return
 	}
@@ -273,7 +274,13 @@
 		n.teamConfig.behindSince[node] = now
 	} else if now.Sub(since) > configResendInterval {
 		n.teamConfig.behindSince[node] = now
-		n.links.Send(node, kindTeamConfig, configMsg{w.Epoch, n.leadership.RecordVersion(), w.KnownRevision, n.teamConfig.config.KnownRevision(), n.teamConfig.config.ChangesAfter(w.KnownRevision)})
+		n.links.Send(node, kindTeamConfig, configMsg{
+			Epoch:         status.Epoch,
+			RecordVersion: n.leadership.RecordVersion(),
+			After:         status.KnownRevision,
+			Known:         n.teamConfig.config.KnownRevision(),
+			Changes:       n.teamConfig.config.ChangesAfter(status.KnownRevision),
+		})
 	}
 }
 
--- a/internal/controller/teamconfig_overview.go
+++ b/internal/controller/teamconfig_overview.go
@@ -37,9 +37,21 @@
 	n.teamConfigStatus(now) // its own word is heard, so that alone it is up to date too
 	r, c := n.configRecord(), n.teamConfig.config
 	lost := n.leadership.Record() != nil && n.leadership.Record().DataLost
-	o := &configOverview{Known: c.KnownRevision(), Fresh: c.Fresh(now), Latest: c.LatestVersion(), Reached: n.teamConfig.propagation.KnownByAll(r), Record: r.Version,
-		Behind: n.teamConfig.propagation.Lagging(r, c.LatestVersion(), now), Unwritten: len(c.Unwritten()), Lacks: lost, Overruled: c.Overruled(),
-		Strangers: n.teamConfig.propagation.OtherSettings(n.teamConfig.baseDigest), Changes: c.InForce(), Open: []openChange{}}
+	propagation := n.teamConfig.propagation
+	o := &configOverview{
+		Known:     c.KnownRevision(),
+		Fresh:     c.Fresh(now),
+		Latest:    c.LatestVersion(),
+		Reached:   propagation.KnownByAll(r),
+		Record:    r.Version,
+		Behind:    propagation.Lagging(r, c.LatestVersion(), now),
+		Unwritten: len(c.Unwritten()),
+		Lacks:     lost,
+		Overruled: c.Overruled(),
+		Strangers: propagation.OtherSettings(n.teamConfig.baseDigest),
+		Changes:   c.InForce(),
+		Open:      []openChange{},
+	}
 	if age, known := c.Age(now); known {
 		seconds := age.Seconds()
 		o.Age = &seconds
--- a/internal/controller/userbackend.go
+++ b/internal/controller/userbackend.go
@@ -180,7 +180,7 @@
 )
 
 // Admit says whether a new job can be taken now by what the state service has room for.
-func (b userBackend) Admit(s *protocol.Submission) (taken bool, back int) {
+func (b userBackend) Admit(s *protocol.Submission) (taken bool, retryAfter int) {
 	n := b.node
 	wait, rate := n.kvStore.UrgentDelay()
 	now := time.Now()
--- a/internal/peer/peer.go
+++ b/internal/peer/peer.go
@@ -1,7 +1,7 @@
-// Package peer carries messages between controllers, as lines of JSON. Each direction has a connection of its own, which the
-// sender dials. Messages of a connection arrive in order; once a newer connection of a peer exists, late messages of an
-// older one are dropped. A message may be lost, and is never sent again by this package. It decides nothing by what a
-// message says. Links is safe for concurrent use; Delivery is not.
+// Package peer carries messages between controllers, as lines of JSON. Each direction has a connection of its own,
+// which the sender dials. Messages of a connection arrive in order; once a newer connection of a peer exists, late
+// messages of an older one are dropped. A message may be lost, and is never sent again by this package. It decides
+// nothing by what a message says. Links is safe for concurrent use; Delivery is not.
 package peer
 
 import (
@@ -90,8 +90,8 @@
 	return l
 }
 
-// Send queues a message. It returns false if there is no connection to the peer now, or too much is queued, which ends the
-// connection.
+// Send queues a message. It returns false if there is no connection to the peer now, or too much is queued, which ends
+// the connection.
 func (l *Links) Send(node, kind string, body any) bool {
 	return l.SendEncoded(node, Encode(kind, body))
 }
@@ -161,9 +161,9 @@
 	defer conn.Close()
 	stop := context.AfterFunc(ctx, func() { conn.Close() })
 	defer stop()
-	hello := l.self
-	hello.Connection = number
-	if _, err := conn.Write(append(protocol.Encode(hello), '\n')); err != nil {
+	greeting := l.self
+	greeting.Connection = number
+	if _, err := conn.Write(append(protocol.Encode(greeting), '\n')); err != nil {
 		return err
 	}
 	s.mu.Lock()
@@ -245,11 +245,11 @@
 	if !scan.Scan() {
 		return scan.Err()
 	}
-	var hello Greeting
-	if err := protocol.Decode(scan.Bytes(), &hello); err != nil || l.connections[hello.Node] == nil {
+	var greeting Greeting
+	if err := protocol.Decode(scan.Bytes(), &greeting); err != nil || l.connections[greeting.Node] == nil {
 		return fmt.Errorf("no peer's hello: %.80q", scan.Bytes())
 	}
-	if !l.supersede(hello) {
+	if !l.supersede(greeting) {
 		return errSuperseded
 	}
 	for ctx.Err() == nil {
@@ -257,14 +257,14 @@
 		if !scan.Scan() {
 			return scan.Err()
 		}
-		if !l.isNewest(hello) {
+		if !l.isNewest(greeting) {
 			return errSuperseded
 		}
 		var e Envelope
 		if err := protocol.Decode(scan.Bytes(), &e); err != nil {
 			return fmt.Errorf("line is not JSON: %.80q", scan.Bytes())
 		}
-		l.handler.PeerMessage(hello.Node, hello.Incarnation, e.Kind, e.Body)
+		l.handler.PeerMessage(greeting.Node, greeting.Incarnation, e.Kind, e.Body)
 	}
 	return nil
 }
@@ -273,20 +273,20 @@
 var errSuperseded = errors.New("older connection")
 
 // supersede makes a connection its peer's newest, unless a newer one was seen.
-func (l *Links) supersede(hello Greeting) bool {
+func (l *Links) supersede(greeting Greeting) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	last := l.latest[hello.Node]
-	if last.Incarnation > hello.Incarnation || last.Incarnation == hello.Incarnation && last.Connection > hello.Connection {
+	last := l.latest[greeting.Node]
+	if last.Incarnation > greeting.Incarnation || last.Incarnation == greeting.Incarnation && last.Connection > greeting.Connection {
 		return false
 	}
-	l.latest[hello.Node] = hello
+	l.latest[greeting.Node] = greeting
 	return true
 }
 
 // isNewest says whether a connection is still its peer's newest.
-func (l *Links) isNewest(hello Greeting) bool {
+func (l *Links) isNewest(greeting Greeting) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.latest[hello.Node] == hello
+	return l.latest[greeting.Node] == greeting
 }
--- a/internal/provisioning/provisioning.go
+++ b/internal/provisioning/provisioning.go
@@ -130,8 +130,8 @@
 	a.draining, a.slowPlaces = earlier.draining, earlier.slowPlaces
 }
 
-// StartDraining sets the machines that no task should go to from now on. A machine is released by the next decision at the
-// earliest, so that no start is on its way to it.
+// StartDraining sets the machines that no task should go to from now on. A machine is released by the next decision at
+// the earliest, so that no start is on its way to it.
 func (a *Account) StartDraining(machines map[string]bool) { a.draining = machines }
 
 // Draining is the machines that no task should go to. The caller does not change it.
--- a/internal/teamconfig/config.go
+++ b/internal/teamconfig/config.go
@@ -120,9 +120,9 @@
 	}
 }
 
-// LearnMissing takes in what a peer that knows more has sent: all changes after the revision known here up to its own. record
-// is the version of the control record that it knew, own of that known here: revisions are known here
-// only with the records among them.
+// LearnMissing takes in what a peer that knows more has sent: all changes after the revision known here up to its own.
+// record is the version of the control record that it knew, own of that known here: revisions are known here only with
+// the records among them.
 func (c *Config) LearnMissing(changes []Change, after, known, record, own uint64) {
 	for _, x := range changes {
 		c.Learn(x.Team, x.Entry, x.Version)
--- a/internal/teamconfig/entry.go
+++ b/internal/teamconfig/entry.go
@@ -1,6 +1,6 @@
 // Package teamconfig decides what a controller may do by what it knows of the teams' configuration, which can change
-// while the controllers run. It does no I/O and reads no clock: what the state service and the other controllers
-// report goes in, limits and verdicts come out. It never writes an entry. Its types are not safe for concurrent use; the
+// while the controllers run. It does no I/O and reads no clock: what the state service and the other controllers report
+// goes in, limits and verdicts come out. It never writes an entry. Its types are not safe for concurrent use; the
 // controller guards them. docs/configuration.md says why it is done so.
 //
 // The configuration is a base, which the settings file gives, and one Entry for each team that was ever changed.
--- a/internal/teamconfig/propagation.go
+++ b/internal/teamconfig/propagation.go
@@ -24,9 +24,9 @@
 	Owner   func(team string) string // "" for a team that has none yet
 }
 
-// Propagation is what a controller knows of who knows which changes. A change is in force everywhere once every member of the
-// control record knows it, and the team's owner has nothing under way any more that it would
-// not allow (see Status.Unsettled), all as reported under one and the same record.
+// Propagation is what a controller knows of who knows which changes. A change is in force everywhere once every member
+// of the control record knows it, and the team's owner has nothing under way any more that it would not allow (see
+// Status.Unsettled), all as reported under one and the same record.
 type Propagation struct {
 	statuses    map[string]processStatus
 	behindSince map[string]time.Time // since when a member is behind
--- a/internal/teamconfig/teamconfig_test.go
+++ b/internal/teamconfig/teamconfig_test.go
@@ -25,8 +25,8 @@
 	return l.CPUsMax
 }
 
-// TestOldKnowledge: by knowledge older than the bound a raised quota counts only once it is in force, a lowered one at once.
-func TestOldKnowledge(t *testing.T) {
+// TestStaleConfigKeepsSmallerLimits: by knowledge older than the bound a raised quota counts only once it is in force, a lowered one at once.
+func TestStaleConfigKeepsSmallerLimits(t *testing.T) {
 	c := New([]settings.Team{{Name: "red", CPUsMax: 8}}, 4*time.Second)
 	c.CaughtUp(10, start)
 	c.Learn("red", entry(1, "a", 20), 11)
@@ -48,8 +48,8 @@
 	}
 }
 
-// TestOldSettingsFile: what was changed holds whatever a settings file says, and who has another file is named.
-func TestOldSettingsFile(t *testing.T) {
+// TestControllerWithOtherSettingsFile: what was changed holds whatever a settings file says, and who has another file is named.
+func TestControllerWithOtherSettingsFile(t *testing.T) {
 	older := []settings.Team{{Name: "red", CPUsMax: 8}, {Name: "gone", CPUsMax: 4}}
 	newer := []settings.Team{{Name: "red", CPUsMax: 16}}
 	for _, base := range [][]settings.Team{older, newer} {
@@ -70,8 +70,8 @@
 	}
 }
 
-// TestLagging: a member that knows less than the last change is named, with the time since when.
-func TestLagging(t *testing.T) {
+// TestLaggingMembers: a member that knows less than the last change is named, with the time since when.
+func TestLaggingMembers(t *testing.T) {
 	f := NewPropagation()
 	r := &ControlRecord{Version: 5, Members: map[string]uint64{"a": 1, "b": 1}, Owner: func(string) string { return "a" }}
 	f.Apply("a", 1, Status{Serial: 1, RecordVersion: 5, KnownRevision: 9})
@@ -201,8 +201,8 @@
 	return false
 }
 
-// TestLateWords: what arrives late or twice, of entries and of members, changes nothing.
-func TestLateWords(t *testing.T) {
+// TestLateStatuses: what arrives late or twice, of entries and of members, changes nothing.
+func TestLateStatuses(t *testing.T) {
 	c := New(nil, time.Second)
 	c.Learn("red", entry(1, "a", 8), 11)
 	c.Learn("red", entry(2, "b", 4), 12)
@@ -244,8 +244,8 @@
 	}
 }
 
-// TestTakeOver: who takes a team over starts nothing before it knows all that was in force by then.
-func TestTakeOver(t *testing.T) {
+// TestFailoverNeedsKnownRevision: who takes a team over starts nothing before it knows all that was in force by then.
+func TestFailoverNeedsKnownRevision(t *testing.T) {
 	c := New(nil, time.Second)
 	c.CaughtUp(10, start)
 	c.RequireRevision(15)
--- a/internal/teamstore/teamstore.go
+++ b/internal/teamstore/teamstore.go
@@ -37,8 +37,8 @@
 	base   []settings.Team
 }
 
-// New is a writer to a deployment's state service, with an equal share of the rates beside the controllers. The client's
-// Run must be running.
+// New is a writer to a deployment's state service, with an equal share of the rates beside the controllers. The
+// client's Run must be running.
 func New(client *kvstore.Client, base []settings.Team) *Writer { return &Writer{client, base} }
 
 // BindEpoch reads which epoch of the state service's data the changes are for. They fail in any other.
