--- a/internal/cli/config_test.go
+++ b/internal/cli/config_test.go
@@ -18,7 +18,7 @@
 // TestConfigCommands: changes are committed on top of the settings file and of each other, wrong ones are refused with
 // a name, and nothing is written where no controller keeps its record.
 func TestConfigCommands(t *testing.T) {
-	store, err := simulation.NewState(16, 16)
+	store, err := simulation.NewKVStore(16, 16)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -41,7 +41,7 @@
 		code := Main(t.Context(), append([]string{"config"}, args...), &out, &errs)
 		return code, out.String() + errs.String()
 	}
-	if code, said := topaz("set-team", "red", "--settings", file, "--cpus-max", "2"); code != ExitFailed || !strings.Contains(said, "no control record") || store.Keys("w/t/") > 0 {
+	if code, said := topaz("set-team", "red", "--settings", file, "--cpus-max", "2"); code != ExitFailed || !strings.Contains(said, "no control record") || store.CountKeys("w/t/") > 0 {
 		t.Errorf("without a control record: %d %s", code, said)
 	}
 	store.Put("w/c", `{"term":1,"generation":1,"store":"drawn"}`)
@@ -72,8 +72,8 @@
 			t.Errorf("%v: %d %s", c.args, code, said)
 		}
 	}
-	if store.Keys("w/t/") != 2 {
-		t.Errorf("%d keys", store.Keys("w/t/"))
+	if store.CountKeys("w/t/") != 2 {
+		t.Errorf("%d keys", store.CountKeys("w/t/"))
 	}
 	asked := 0
 	controller := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
--- a/internal/cli/demo.go
+++ b/internal/cli/demo.go
@@ -88,7 +88,7 @@
 	keeper    string // its address
 	listen    []string
 	check     *simulation.Checker
-	state     *simulation.State
+	state     *simulation.KVStore
 	cloud     *simulation.Cloud
 	processes []*exec.Cmd
 	example   *example
@@ -112,7 +112,7 @@
 	fmt.Fprintf(r.out, "three controllers at %s, a keeper at %s\n", strings.Join(g.listen, ", "), g.keeper)
 	spec := &protocol.Submission{UID: "job-000001", Class: e.Name, Team: "red", Kind: protocol.JobArray, Priority: "standard", Tasks: e.Tasks, CPUs: e.CPUs,
 		MemoryGB: e.Memory, Image: e.Name, EstimateSeconds: e.Estimate, Spot: true}
-	g.check.Submitting(spec)
+	g.check.RecordSubmission(spec)
 	if err := g.until(ctx, "the job to be accepted", func() bool {
 		status, _ := g.ask(ctx, "POST", protocol.PathSubmit, spec)
 		return status == 200 || status == 201
@@ -162,7 +162,7 @@
 			fmt.Fprintf(r.out, "  %s/%d %s: %s\n", spec.UID, task, f.Path, bytes.TrimSpace(content))
 		}
 	}
-	if broken := g.check.Rules(); len(broken) > 0 {
+	if broken := g.check.BrokenRules(); len(broken) > 0 {
 		return fmt.Errorf("rules broken: %v", broken)
 	}
 	if c.Stay {
@@ -207,7 +207,7 @@
 		g.ended <- nil
 		return g, err
 	}
-	if g.state, err = simulation.NewState(24, 16); err != nil {
+	if g.state, err = simulation.NewKVStore(24, 16); err != nil {
 		return g, err
 	}
 	names := []string{"estacion-0", "estacion-1", "estacion-2"}
@@ -221,10 +221,10 @@
 		}
 		g.listen = append(g.listen, listen[n])
 	}
-	per := simulation.Periods{Report: 300 * time.Millisecond, Lease: 20 * time.Second, Exec: g.execute}
+	per := simulation.Periods{Heartbeat: 300 * time.Millisecond, Lease: 20 * time.Second, Exec: g.execute}
 	types := []protocol.MachineType{{Name: "m8", CPUs: 8, MemoryGB: 64, PricePerHour: 2, SpotPricePerHour: 1, BootSeconds: 1, Zones: []string{"east", "west"}}}
-	g.cloud, err = simulation.NewCloud(types, 4, func(name, typ, zone string, spot bool) (*simulation.Worker, error) {
-		return simulation.NewWorker(name, typ, zone, spot, listen, names, per, g.check)
+	g.cloud, err = simulation.NewCloud(types, 4, func(name, typ, zone string, spot bool) (*simulation.Agent, error) {
+		return simulation.NewAgent(name, typ, zone, spot, listen, names, per, g.check)
 	})
 	if err != nil {
 		return g, err
--- a/internal/controller/barrierprobe_test.go
+++ b/internal/controller/barrierprobe_test.go
@@ -22,18 +22,18 @@
 // other homes, nor without being entitled.
 func TestBarrierProbe(t *testing.T) {
 	check := simulation.NewChecker(map[string]float64{"red": 8})
-	per := simulation.Periods{Report: time.Hour, Lease: time.Hour, Run: func(string) time.Duration { return time.Hour }}
+	per := simulation.Periods{Heartbeat: time.Hour, Lease: time.Hour, Run: func(string) time.Duration { return time.Hour }}
 	addrs := map[string]string{}
-	workers := map[string]*simulation.Worker{}
+	workers := map[string]*simulation.Agent{}
 	for i := range 12 {
 		name := fmt.Sprintf("n-%06d", i)
-		w, err := simulation.NewWorker(name, "m8", "east", false, map[string]string{"a": "127.0.0.1:1"}, []string{"a"}, per, check)
+		w, err := simulation.NewAgent(name, "m8", "east", false, map[string]string{"a": "127.0.0.1:1"}, []string{"a"}, per, check)
 		if err != nil {
 			t.Fatal(err)
 		}
-		defer w.End()
+		defer w.RemoveMachine()
 		if i%3 == 0 {
-			w.Expire()
+			w.BeginIncarnation()
 		}
 		workers[name], addrs[name] = w, w.Addr()
 	}
@@ -92,8 +92,8 @@
 			t.Errorf("%s was asked again", name)
 		}
 	}
-	if len(seq) < 2 || len(check.Rules()) > 0 || check.Started > 0 {
-		t.Errorf("%d machines known, rules %v, %d starts", len(seq), check.Rules(), check.Started)
+	if len(seq) < 2 || len(check.BrokenRules()) > 0 || check.Started > 0 {
+		t.Errorf("%d machines known, rules %v, %d starts", len(seq), check.BrokenRules(), check.Started)
 	}
 	n.applyHeartbeat(&protocol.Heartbeat{Machine: "n-000099", Incarnation: 1, Seq: 1, FencingToken: 5, Tasks: []protocol.TaskStatus{}}, time.Now())
 	if got := n.unanswered(); slices.Contains(got, "n-000099") {
--- a/internal/controller/config_bench_test.go
+++ b/internal/controller/config_bench_test.go
@@ -68,12 +68,12 @@
 
 func newBench(b *testing.B, controllers, teams int) *bench {
 	x := &bench{b: b}
-	store, err := simulation.NewState(64, 1<<10)
+	store, err := simulation.NewKVStore(64, 1<<10)
 	if err != nil {
 		b.Fatal(err)
 	}
 	cloud, err := simulation.NewCloud([]protocol.MachineType{{Name: "m8", CPUs: 8, MemoryGB: 64, PricePerHour: 2, SpotPricePerHour: 1, BootSeconds: 1, Zones: []string{"east"}}}, 0,
-		func(string, string, string, bool) (*simulation.Worker, error) { return nil, io.EOF })
+		func(string, string, string, bool) (*simulation.Agent, error) { return nil, io.EOF })
 	if err != nil {
 		b.Fatal(err)
 	}
--- a/internal/controller/config_test.go
+++ b/internal/controller/config_test.go
@@ -75,7 +75,7 @@
 	}
 	most := 24.0
 	for i, cpus := range []float64{8, 24, 2, 12, 4, 24} {
-		c.until("the team is at work", func() bool { return c.check.UsedBy("red") > 0 })
+		c.until("the team is at work", func() bool { return c.check.CPUsOfTeam("red") > 0 })
 		if cpus > most {
 			c.check.SetLimit("red", cpus)
 		}
@@ -84,7 +84,7 @@
 		c.check.SetLimit("red", cpus) // from here on no start goes beyond it
 		most = cpus
 		if i%2 == 1 {
-			c.until("the raised quota is used", func() bool { return c.check.UsedBy("red") > cpus/2 || c.poll(jobs[1].UID) == protocol.Done })
+			c.until("the raised quota is used", func() bool { return c.check.CPUsOfTeam("red") > cpus/2 || c.poll(jobs[1].UID) == protocol.Done })
 		}
 	}
 	c.allDone(jobs)
@@ -102,19 +102,19 @@
 	number := c.set("green", func(e *teamconfig.Entry) { e.CPUs, e.CPUsMax = 4, 6 })
 	for i := range c.sets { // at once: who does not know it yet reads before it refuses
 		job := array(712+i, 1, "green")
-		c.check.Submitting(job)
+		c.check.RecordSubmission(job)
 		status, st := c.askAt(i, "POST", protocol.PathSubmit, job)
-		c.check.Told(job.UID, status, st.State, false)
+		c.check.RecordAnswer(job.UID, status, st.State, false)
 		if status == 422 {
 			t.Errorf("controller %d refuses a team that was there when it was asked", i)
 		}
 	}
 	c.inForce("green", number)
 	c.submit(first)
-	c.until("it runs", func() bool { return c.check.UsedBy("green") > 0 })
+	c.until("it runs", func() bool { return c.check.CPUsOfTeam("green") > 0 })
 	number = c.set("green", func(e *teamconfig.Entry) { e.Removed = true })
 	late := array(719, 1, "green")
-	c.check.Submitting(late)
+	c.check.RecordSubmission(late)
 	for i := range c.sets {
 		if status, _ := c.askAt(i, "POST", protocol.PathSubmit, late); status == 200 || status == 201 {
 			t.Errorf("controller %d takes a job of a removed team", i)
@@ -148,16 +148,16 @@
 // exceeded, and in the end the change is in force and the work is done.
 func TestConfigurationInTrouble(t *testing.T) {
 	apart := func(c *configured, on bool) {
-		c.doors[0].Refuse(on)
-		c.pipes.Apart(0, on)
+		c.doors[0].RefuseAll(on)
+		c.pipes.Isolate(0, on)
 	}
 	for name, trouble := range map[string]func(c *configured) (change uint64){
 		"one refused by the store": func(c *configured) uint64 {
-			c.doors[0].Refuse(true)
+			c.doors[0].RefuseAll(true)
 			number := c.set("red", limit(4))
 			c.inForce("red", number)
 			c.check.SetLimit("red", 4)
-			c.doors[0].Refuse(false)
+			c.doors[0].RefuseAll(false)
 			return number
 		},
 		"one cut off": func(c *configured) uint64 {
@@ -165,7 +165,7 @@
 			number := c.set("red", limit(4))
 			c.inForce("red", number)
 			c.check.SetLimit("red", 4)
-			c.until("its tasks go on", func() bool { return c.check.UsedBy("red") > 0 })
+			c.until("its tasks go on", func() bool { return c.check.CPUsOfTeam("red") > 0 })
 			apart(c, false)
 			return number
 		},
@@ -210,12 +210,12 @@
 			return number
 		},
 		"the store goes back": func(c *configured) uint64 {
-			saved := c.state.Save()
+			saved := c.state.Snapshot()
 			number := c.set("red", limit(4))
 			c.inForce("red", number)
 			c.check.SetLimit("red", 4)
-			c.state.Back(saved)
-			c.until("the change is written back", func() bool { return c.recovered(true) && c.state.Keys(teamstore.Prefix) == 1 })
+			c.state.RollBack(saved)
+			c.until("the change is written back", func() bool { return c.recovered(true) && c.state.CountKeys(teamstore.Prefix) == 1 })
 			c.operator = c.writer()
 			return number
 		},
@@ -226,7 +226,7 @@
 			c.crash(1)
 			c.state.LoseAll()
 			c.start(1)
-			c.until("the change is written back", func() bool { return c.recovered(true) && c.state.Keys(teamstore.Prefix) == 1 })
+			c.until("the change is written back", func() bool { return c.recovered(true) && c.state.CountKeys(teamstore.Prefix) == 1 })
 			c.operator = c.writer()
 			return number
 		},
@@ -235,7 +235,7 @@
 			c.inForce("red", number)
 			c.check.SetLimit("red", 4)
 			c.state.LosePrefix(teamstore.Prefix)
-			c.until("the change is written back", func() bool { return c.recovered(true) && c.state.Keys(teamstore.Prefix) == 1 })
+			c.until("the change is written back", func() bool { return c.recovered(true) && c.state.CountKeys(teamstore.Prefix) == 1 })
 			c.operator = c.writer()
 			return number
 		},
@@ -245,13 +245,13 @@
 			c := newConfigured(t, 600*time.Millisecond)
 			job := array(730, 40, "red")
 			c.submit(job)
-			c.until("the team is at work", func() bool { return c.check.UsedBy("red") > 8 })
+			c.until("the team is at work", func() bool { return c.check.CPUsOfTeam("red") > 8 })
 			number := trouble(c)
 			c.inForce("red", number)
 			c.check.SetLimit("red", 4)
 			more := array(732, 20, "red") // the first one may be over by now
 			c.submit(more)
-			c.until("the team is at work within the lowered quota", func() bool { used := c.check.UsedBy("red"); return used > 0 && used <= 4 })
+			c.until("the team is at work within the lowered quota", func() bool { used := c.check.CPUsOfTeam("red"); return used > 0 && used <= 4 })
 			number = c.set("red", limit(24))
 			c.check.SetLimit("red", 24)
 			c.inForce("red", number)
@@ -264,7 +264,7 @@
 // one that was acknowledged stands.
 func TestChangesArriveLate(t *testing.T) {
 	c := newConfigured(t, 400*time.Millisecond)
-	door, err := c.state.Door()
+	door, err := c.state.NewEndpoint()
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -275,7 +275,7 @@
 	held := teamstore.New(client, nil)
 	c.until("it knows the store", func() bool { return held.BindEpoch(ctx, controlKey) == nil })
 	first := true
-	door.Late(func() time.Duration { // an answer that does not come, of a change that does
+	door.DelayTransactions(func() time.Duration { // an answer that does not come, of a change that does
 		if !first {
 			return 0
 		}
@@ -286,7 +286,7 @@
 	if err != nil || done.Entry.Number != 1 {
 		t.Fatalf("%+v, %v: carried out once, and known to be", done, err)
 	}
-	door.Late(func() time.Duration { return 3 * time.Second })
+	door.DelayTransactions(func() time.Duration { return 3 * time.Second })
 	gone, end := context.WithTimeout(ctx, 2500*time.Millisecond) // the command is ended before the answer
 	if _, err := held.Change(gone, "red", limitEdit(2)); err == nil {
 		t.Error("a change without an answer counts as committed")
@@ -294,10 +294,10 @@
 	end()
 	number := c.set("red", limit(16))
 	c.inForce("red", number)
-	c.until("the late one met the newer one", func() bool { _, met := door.CarriedLate(); return met > 0 })
-	for _, txn := range c.state.Carried() {
+	c.until("the late one met the newer one", func() bool { _, met := door.CountDelayed(); return met > 0 })
+	for _, txn := range c.state.AppliedTransactions() {
 		for _, o := range txn.Then {
-			if len(o.Set) > len(teamstore.Prefix) && o.Set[:len(teamstore.Prefix)] == teamstore.Prefix && c.state.Again(txn) {
+			if len(o.Set) > len(teamstore.Prefix) && o.Set[:len(teamstore.Prefix)] == teamstore.Prefix && c.state.RepeatTransaction(txn) {
 				t.Errorf("carried out again: %s", protocol.Encode(txn))
 			}
 		}
--- a/internal/controller/dataloss_cases_test.go
+++ b/internal/controller/dataloss_cases_test.go
@@ -40,7 +40,7 @@
 	told := make(chan struct{})
 	go func() { // its user repeats it until it gets an answer, as the loss comes
 		defer close(told)
-		l.check.Withdrawing(extra.UID)
+		l.check.RecordCancellation(extra.UID)
 		for end := time.Now().Add(30 * time.Second); time.Now().Before(end); time.Sleep(30 * time.Millisecond) {
 			s := l.sets[time.Now().UnixNano()%3]
 			resp, err := l.httpc.Post("http://"+s.Listen+protocol.PathSubmit+"/"+extra.UID+"/withdraw", "application/json", strings.NewReader("{}"))
@@ -50,14 +50,14 @@
 			var st protocol.Status
 			_ = json.NewDecoder(resp.Body).Decode(&st)
 			resp.Body.Close()
-			l.check.Told(extra.UID, resp.StatusCode, st.State, false)
+			l.check.RecordAnswer(extra.UID, resp.StatusCode, st.State, false)
 			if resp.StatusCode == http.StatusOK {
 				return
 			}
 		}
 	}()
 	time.Sleep(10 * time.Millisecond)
-	l.state.Back(l.saved)
+	l.state.RollBack(l.saved)
 	<-told
 }
 
@@ -67,8 +67,8 @@
 func (l *dataLoss) endInTheStoreThatWentBack() {
 	extra := array(392, 10, "red")
 	l.submit(extra)
-	l.check.Withdrawing(extra.UID)
-	l.state.Back(l.saved)
+	l.check.RecordCancellation(extra.UID)
+	l.state.RollBack(l.saved)
 	l.state.Put(userapi.EndedJobPrefix+extra.UID, string(protocol.Encode(userapi.JobEnd{State: protocol.Cancelled, Tasks: 10, Team: "red"})))
 	told := 0 // each controller is asked, one after the other, until all tell the end
 	l.until("all tell the end", func() bool {
@@ -80,7 +80,7 @@
 			var st protocol.Status
 			_ = json.NewDecoder(resp.Body).Decode(&st) // the status says the most of it
 			resp.Body.Close()
-			l.check.Told(extra.UID, resp.StatusCode, st.State, false)
+			l.check.RecordAnswer(extra.UID, resp.StatusCode, st.State, false)
 			if st.State == protocol.Cancelled {
 				told++
 			}
@@ -99,17 +99,17 @@
 
 // loseWhileAMachineIsCut: a machine is not reached until long after the loss.
 func (l *dataLoss) loseWhileAMachineIsCut() {
-	w := l.cloud.Workers()[0]
-	w.Cut(true)
+	w := l.cloud.Agents()[0]
+	w.DisconnectNetwork(true)
 	l.state.LoseAll()
 	time.Sleep(5 * time.Second)
-	w.Cut(false)
+	w.DisconnectNetwork(false)
 }
 
 // loseInAnOutage: the store answers nobody as it loses data.
 func (l *dataLoss) loseInAnOutage() {
-	l.state.Outage(true)
+	l.state.SetOutage(true)
 	time.Sleep(time.Second)
 	l.state.LoseAll()
-	l.state.Outage(false)
+	l.state.SetOutage(false)
 }
--- a/internal/controller/dataloss_restart_test.go
+++ b/internal/controller/dataloss_restart_test.go
@@ -17,7 +17,7 @@
 func TestDataLossWhileAllControllersRestart(t *testing.T) {
 	for name, lose := range map[string]func(*dataLoss){
 		"all":  func(l *dataLoss) { l.state.LoseAll() },
-		"back": func(l *dataLoss) { l.state.Back(l.saved) },
+		"back": func(l *dataLoss) { l.state.RollBack(l.saved) },
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -38,7 +38,7 @@
 			l.allDone(known)
 			for _, j := range append(l.jobs, l.cancelled, array(999, 1, "red")) {
 				status, st := l.ask("GET", protocol.PathSubmit+"/"+j.UID, nil)
-				l.check.Told(j.UID, status, st.State, false)
+				l.check.RecordAnswer(j.UID, status, st.State, false)
 				if status != http.StatusOK && status != http.StatusServiceUnavailable {
 					t.Errorf("%s: status %d", j.UID, status)
 				}
@@ -48,7 +48,7 @@
 					t.Errorf("%s: %+v", o.Node, s)
 				}
 			}
-			if broken := l.check.Rules(); len(broken) > 0 {
+			if broken := l.check.BrokenRules(); len(broken) > 0 {
 				t.Fatal(broken)
 			}
 		})
--- a/internal/controller/dataloss_test.go
+++ b/internal/controller/dataloss_test.go
@@ -23,7 +23,7 @@
 	jobs      []*protocol.Submission
 	savedJobs int // jobs that were accepted before the state was saved
 	cancelled *protocol.Submission
-	saved     simulation.Saved
+	saved     simulation.StoreSnapshot
 	newEpoch  bool // another epoch is due
 }
 
@@ -35,7 +35,7 @@
 		l.jobs = append(l.jobs, j)
 		l.submit(j)
 		if i == 3 {
-			l.saved, l.savedJobs = l.state.Save(), i+1
+			l.saved, l.savedJobs = l.state.Snapshot(), i+1
 		}
 	}
 	l.submit(l.cancelled)
@@ -48,15 +48,15 @@
 		}
 		return false
 	})
-	l.until("tasks run", func() bool { return l.check.On() > 4 })
+	l.until("tasks run", func() bool { return l.check.CountOnMachines() > 4 })
 	return l
 }
 
 func (r *region) withdraw(uid string) {
-	r.check.Withdrawing(uid)
+	r.check.RecordCancellation(uid)
 	r.until(uid+" cancelled", func() bool {
 		status, st := r.ask("POST", protocol.PathSubmit+"/"+uid+"/withdraw", struct{}{})
-		r.check.Told(uid, status, st.State, false)
+		r.check.RecordAnswer(uid, status, st.State, false)
 		return status == 200
 	})
 }
@@ -113,7 +113,7 @@
 func TestDataLossWhileControllersRun(t *testing.T) {
 	for name, lose := range map[string]func(*dataLoss){
 		"all":       func(l *dataLoss) { l.state.LoseAll() },
-		"back":      func(l *dataLoss) { l.state.Back(l.saved) },
+		"back":      func(l *dataLoss) { l.state.RollBack(l.saved) },
 		"jobs":      func(l *dataLoss) { l.state.LosePrefix("w/a/") },
 		"roster":    func(l *dataLoss) { l.state.LosePrefix("w/m/") },
 		"record":    func(l *dataLoss) { l.state.LosePrefix("w/c") },
@@ -130,7 +130,7 @@
 		"cancellation_under_way":          (*dataLoss).loseDuringACancellation,
 		"end_in_the_store_that_went_back": (*dataLoss).endInTheStoreThatWentBack,
 		"ended_in_rebuilding":             (*dataLoss).restartDuringRecovery,
-		"one_is_gone":                     func(l *dataLoss) { l.crash(1); l.state.Back(l.saved); time.Sleep(8 * time.Second); l.start(1) },
+		"one_is_gone":                     func(l *dataLoss) { l.crash(1); l.state.RollBack(l.saved); time.Sleep(8 * time.Second); l.start(1) },
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -210,7 +210,7 @@
 	if marker.Version == 0 {
 		t.Fatal("the epoch has no key of its own")
 	}
-	l.state.Back(l.saved)
+	l.state.RollBack(l.saved)
 	l.until("an epoch begins", func() bool { return l.recovered(true) })
 	ghost := array(398, 1, "red")
 	late := protocol.Txn{Conditions: []protocol.Condition{{Key: marker.Key, Version: marker.Version}, {Key: snapshot.JobKey + ghost.UID}},
@@ -220,7 +220,7 @@
 		t.Fatal(err)
 	}
 	resp.Body.Close()
-	if resp.StatusCode != http.StatusConflict || l.state.Keys(snapshot.JobKey+ghost.UID) != 0 {
+	if resp.StatusCode != http.StatusConflict || l.state.CountKeys(snapshot.JobKey+ghost.UID) != 0 {
 		t.Fatalf("a late acceptance got %d", resp.StatusCode)
 	}
 	l.checkRecovered()
--- a/internal/controller/meeting_answer_test.go
+++ b/internal/controller/meeting_answer_test.go
@@ -37,7 +37,7 @@
 func (s *scene) loseAnswers(kind func(*protocol.Txn) bool, count int) {
 	var mu sync.Mutex
 	for _, d := range s.doors {
-		d.Unanswered(func(txn *protocol.Txn) bool {
+		d.DropAnswers(func(txn *protocol.Txn) bool {
 			mu.Lock()
 			defer mu.Unlock()
 			if count == 0 || !kind(txn) {
@@ -52,7 +52,7 @@
 // lost counts the transactions of a kind that were carried out and not answered.
 func (s *scene) lost(kind func(*protocol.Txn) bool) (count int) {
 	for _, d := range s.doors {
-		for _, txn := range d.Lost() {
+		for _, txn := range d.UnansweredTransactions() {
 			if kind(&txn) {
 				count++
 			}
@@ -116,9 +116,9 @@
 			return func() { s.start(leader) }
 		},
 		"is refused": func(s *scene, leader int) func() {
-			s.doors[leader].Refuse(true)
-			s.pipes.Apart(leader, true)
-			return func() { s.doors[leader].Refuse(false); s.pipes.Apart(leader, false) }
+			s.doors[leader].RefuseAll(true)
+			s.pipes.Isolate(leader, true)
+			return func() { s.doors[leader].RefuseAll(false); s.pipes.Isolate(leader, false) }
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -127,11 +127,11 @@
 			s.members(3)
 			s.enter(endless(1, 4, "red"))
 			s.enter(endless(2, 4, "blue"))
-			s.until("machines work", func() bool { return s.check.On() == 8 })
-			machines := s.cloud.Workers()
+			s.until("machines work", func() bool { return s.check.CountOnMachines() == 8 })
+			machines := s.cloud.Agents()
 			for i, w := range machines {
 				rng := draws(uint64(i))
-				w.SlowCommands(func(*protocol.DirectCommands) time.Duration {
+				w.DelayCommands(func(*protocol.DirectCommands) time.Duration {
 					return time.Duration(4000+rng.IntN(3000)) * time.Millisecond
 				})
 			}
@@ -143,7 +143,7 @@
 			leader, before := s.leader(shards.ForTeam("red")), s.term()
 			undo := depose(s, leader)
 			for _, w := range machines {
-				w.SlowCommands(nil) // the next leader's are not held up
+				w.DelayCommands(nil) // the next leader's are not held up
 			}
 			s.until("another term", func() bool { return s.term() > before })
 			_, atTerm := lateCommands(machines)
@@ -155,9 +155,9 @@
 }
 
 // lateCommands counts the requests with commands to some machines that were held up, and those that arrived since.
-func lateCommands(machines []*simulation.Worker) (held, arrived int) {
+func lateCommands(machines []*simulation.Agent) (held, arrived int) {
 	for _, w := range machines {
-		h, obeyed, outdated := w.LateCommands()
+		h, obeyed, outdated := w.CountDelayedCommands()
 		held, arrived = held+h, arrived+obeyed+outdated
 	}
 	return held, arrived
--- a/internal/controller/meeting_cut_test.go
+++ b/internal/controller/meeting_cut_test.go
@@ -16,23 +16,23 @@
 	s := openScene(t, sceneRun)
 	s.members(3)
 	crowd(s)
-	inside, cut := s.leader(shards.ForTeam("red")), s.cloud.Workers()[:2]
+	inside, cut := s.leader(shards.ForTeam("red")), s.cloud.Agents()[:2]
 	gone := s.runningOn(cut)[0]
 	for _, w := range cut {
-		w.Reach(s.names[inside])
+		w.LimitReach(s.names[inside])
 	}
-	s.doors[inside].Refuse(true)
-	s.pipes.Apart(inside, true)
+	s.doors[inside].RefuseAll(true)
+	s.pipes.Isolate(inside, true)
 	began := time.Now()
 	s.cancel(gone)
 	s.until("the cut outlasts a lease", func() bool { return time.Since(began) > 5*time.Second })
 	if living := s.runningOn(cut); len(living) == 0 || slices.Contains(living, gone) && len(living) == 1 {
 		t.Errorf("nothing that was not cancelled lives on in the cut zone, but %v", living)
 	}
-	s.doors[inside].Refuse(false)
-	s.pipes.Apart(inside, false)
+	s.doors[inside].RefuseAll(false)
+	s.pipes.Isolate(inside, false)
 	for _, w := range cut {
-		w.Reach()
+		w.LimitReach()
 	}
 	s.members(3)
 	s.atLimits()
@@ -48,7 +48,7 @@
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			s := busyScene(t)
-			machines := s.cloud.Workers()
+			machines := s.cloud.Agents()
 			for _, w := range machines {
 				w.Hang(true)
 			}
@@ -82,14 +82,14 @@
 	s.members(3)
 	jobs := crowd(s)
 	leader := s.leader(shards.ForTeam("red"))
-	s.doors[leader].Refuse(true)
+	s.doors[leader].RefuseAll(true)
 	for i, job := range jobs {
 		if i%2 == 0 {
 			s.beside(func() { s.cancel(job.UID) })
 		}
 	}
 	time.Sleep(time.Second)
-	s.state.Outage(true)
+	s.state.SetOutage(true)
 	began := time.Now()
 	confirmed := 0
 	s.mu.Lock()
@@ -100,8 +100,8 @@
 	}
 	s.mu.Unlock()
 	s.until("the outage outlasts a cancellation", func() bool { return time.Since(began) > s.check.Cancel+2*time.Second })
-	s.state.Outage(false)
-	s.doors[leader].Refuse(false)
+	s.state.SetOutage(false)
+	s.doors[leader].RefuseAll(false)
 	if confirmed == 0 {
 		t.Error("nothing was cancelled at that moment")
 	}
--- a/internal/controller/meeting_leader_test.go
+++ b/internal/controller/meeting_leader_test.go
@@ -61,14 +61,14 @@
 				s.beside(func() { s.enter(gone); s.cancel(gone.UID) })
 				leader := s.leader(shards.ForTeam([]string{"red", "blue"}[round%2]))
 				out := outage && round%2 == 1
-				s.state.Outage(out)
+				s.state.SetOutage(out)
 				s.crash(leader)
 				ended[leader]++
 				time.Sleep(time.Duration(rng.IntN(700)) * time.Millisecond)
 				s.start(leader)
 				if out {
 					time.Sleep(time.Duration(rng.IntN(1500)) * time.Millisecond)
-					s.state.Outage(false)
+					s.state.SetOutage(false)
 				}
 			}
 			s.settle()
@@ -89,7 +89,7 @@
 	for i := range s.nodes {
 		s.crash(i)
 	}
-	s.until("all leases are over", func() bool { return s.check.On() == 0 })
+	s.until("all leases are over", func() bool { return s.check.CountOnMachines() == 0 })
 	for i := range s.nodes {
 		s.start(i)
 		if i == 0 {
@@ -160,7 +160,7 @@
 			s.crash(leader)
 			s.start(leader)
 		case jobs / 2:
-			s.cloud.Take(s.cloud.Workers()[0].Name())
+			s.cloud.TakeMachine(s.cloud.Agents()[0].Name())
 		}
 		time.Sleep(every)
 	}
@@ -198,7 +198,7 @@
 				jobs = append(jobs, job)
 				s.enter(job)
 			}
-			s.until("all run", func() bool { return s.check.On() == 12 })
+			s.until("all run", func() bool { return s.check.CountOnMachines() == 12 })
 			for round := range 3 {
 				started := s.check.Starts()
 				machines := s.machinesOf(jobs[round%2].UID)
@@ -206,17 +206,17 @@
 					t.Fatal("a job runs nowhere")
 				}
 				if round == 1 {
-					machines[0].Cut(true)
-					defer machines[0].Cut(false)
+					machines[0].DisconnectNetwork(true)
+					defer machines[0].DisconnectNetwork(false)
 				} else {
-					s.cloud.Take(machines[0].Name())
+					s.cloud.TakeMachine(machines[0].Name())
 				}
 				if ends {
 					leader := s.leader(shards.ForTeam("red"))
 					s.crash(leader)
 					s.start(leader)
 				}
-				s.until("all run again", func() bool { return s.check.Starts() > started && s.check.On() == 12 })
+				s.until("all run again", func() bool { return s.check.Starts() > started && s.check.CountOnMachines() == 12 })
 			}
 			s.settle()
 		})
@@ -229,13 +229,13 @@
 	t.Parallel()
 	s := openScene(t, sceneRun)
 	s.members(3)
-	s.pipes.Slow(150 * time.Millisecond)
+	s.pipes.Delay(150 * time.Millisecond)
 	s.beside(func() {
-		defer s.pipes.Slow(0)
+		defer s.pipes.Delay(0)
 		for i := range 6 {
-			s.pipes.Apart(i%3, true)
+			s.pipes.Isolate(i%3, true)
 			time.Sleep(400 * time.Millisecond)
-			s.pipes.Apart(i%3, false)
+			s.pipes.Isolate(i%3, false)
 			time.Sleep(600 * time.Millisecond)
 		}
 	})
@@ -249,7 +249,7 @@
 			}
 		})
 	}
-	s.until("more than there is room for", func() bool { return s.check.On() >= 16 })
+	s.until("more than there is room for", func() bool { return s.check.CountOnMachines() >= 16 })
 	leader := s.leader(shards.ForTeam("red"))
 	s.crash(leader)
 	s.start(leader)
--- a/internal/controller/meeting_look_test.go
+++ b/internal/controller/meeting_look_test.go
@@ -16,17 +16,17 @@
 // lives has a job accepted, looked at, ended or cancelled at once, and looked at again.
 func (s *scene) lives(spec *protocol.Submission, cancels bool) {
 	s.enter(spec)
-	s.users.LookClosely(spec, looks)
+	s.users.AskEveryController(spec, looks)
 	if cancels {
 		s.cancel(spec.UID)
 	} else {
 		ctx, cancel := userPatience(s.t)
 		defer cancel()
-		if !s.users.EndUntil(ctx, draws(uint64(jobNumber(spec.UID))), spec.UID) {
+		if !s.users.AwaitEnd(ctx, draws(uint64(jobNumber(spec.UID))), spec.UID) {
 			s.t.Errorf("%s did not end", spec.UID)
 		}
 	}
-	s.users.LookClosely(spec, looks)
+	s.users.AskEveryController(spec, looks)
 }
 
 // looked counts the controllers that were asked after an answer of a kind had arrived, while others were asked too.
@@ -55,28 +55,28 @@
 		"answers of the service are lost": func(s *scene) {
 			for i, d := range s.doors {
 				rng := draws(uint64(i))
-				d.Unanswered(func(*protocol.Txn) bool { return rng.IntN(6) == 0 })
+				d.DropAnswers(func(*protocol.Txn) bool { return rng.IntN(6) == 0 })
 			}
 		},
 		"the service answers slowly": func(s *scene) {
 			for i, d := range s.doors {
-				d.Slow(time.Duration(100*i) * time.Millisecond)
+				d.DelayAnswers(time.Duration(100*i) * time.Millisecond)
 			}
 		},
 		"writes lag": func(s *scene) {
 			for i, d := range s.doors {
 				rng := draws(uint64(i))
-				d.Late(func() time.Duration { return time.Duration(rng.IntN(8)/7) * 600 * time.Millisecond })
+				d.DelayTransactions(func() time.Duration { return time.Duration(rng.IntN(8)/7) * 600 * time.Millisecond })
 			}
 		},
 		"controllers do not hear each other": func(s *scene) {
 			for i := range s.sets {
-				s.pipes.Apart(i, true)
+				s.pipes.Isolate(i, true)
 			}
 			s.beside(func() {
 				time.Sleep(3 * time.Second)
 				for i := range s.sets {
-					s.pipes.Apart(i, false)
+					s.pipes.Isolate(i, false)
 				}
 			})
 		},
@@ -87,9 +87,9 @@
 		"the service refuses the leader": func(s *scene) {
 			leader := s.leader(shards.ForTeam("red"))
 			s.beside(func() {
-				s.doors[leader].Refuse(true)
+				s.doors[leader].RefuseAll(true)
 				time.Sleep(time.Second)
-				s.doors[leader].Refuse(false)
+				s.doors[leader].RefuseAll(false)
 			})
 		},
 	} {
@@ -107,9 +107,9 @@
 			}
 			s.behind.Wait()
 			for _, d := range s.doors {
-				d.Unanswered(nil)
-				d.Late(nil)
-				d.Slow(0)
+				d.DropAnswers(nil)
+				d.DelayTransactions(nil)
+				d.DelayAnswers(0)
 			}
 			s.settle()
 			calls := s.users.Log().Calls()
@@ -136,9 +136,9 @@
 		job := array(i, 1+i%2, []string{"red", "blue"}[i%2])
 		s.beside(func() {
 			s.enter(job)
-			s.until(job.UID+" is on a machine", func() bool { return s.check.OnOf(job.UID) > 0 })
-			s.until(job.UID+" leaves its machine", func() bool { return s.check.OnOf(job.UID) == 0 })
-			s.beside(func() { s.users.LookClosely(job, looks) })
+			s.until(job.UID+" is on a machine", func() bool { return s.check.CountOfJob(job.UID) > 0 })
+			s.until(job.UID+" leaves its machine", func() bool { return s.check.CountOfJob(job.UID) == 0 })
+			s.beside(func() { s.users.AskEveryController(job, looks) })
 			s.cancel(job.UID)
 		})
 	}
--- a/internal/controller/meeting_quota_test.go
+++ b/internal/controller/meeting_quota_test.go
@@ -47,7 +47,7 @@
 	defer s.mu.Unlock()
 	for _, job := range s.accepted {
 		if job.Team == team {
-			cpus += job.CPUs * float64(s.check.OnOf(job.UID))
+			cpus += job.CPUs * float64(s.check.CountOfJob(job.UID))
 		}
 	}
 	return cpus
@@ -66,24 +66,24 @@
 }
 
 // withhold keeps a machine from what goes on around it, in a drawn way, and gives what ends that.
-func withhold(w *simulation.Worker, rng *rand.Rand) (how string, undo func()) {
+func withhold(w *simulation.Agent, rng *rand.Rand) (how string, undo func()) {
 	switch rng.IntN(5) {
 	case 0:
 		w.Hang(true)
 		return "hangs", func() { w.Hang(false) }
 	case 1:
-		w.Cut(true)
-		return "cut", func() { w.Cut(false) }
+		w.DisconnectNetwork(true)
+		return "cut", func() { w.DisconnectNetwork(false) }
 	case 2:
-		w.Deaf(true)
-		return "deaf", func() { w.Deaf(false) }
+		w.DropAnswers(true)
+		return "deaf", func() { w.DropAnswers(false) }
 	case 3:
-		w.Mute(true)
-		return "mute", func() { w.Mute(false) }
+		w.DropHeartbeats(true)
+		return "mute", func() { w.DropHeartbeats(false) }
 	}
 	held := time.Duration(500+rng.IntN(4000)) * time.Millisecond
-	w.SlowCommands(func(*protocol.DirectCommands) time.Duration { return held })
-	return "slow commands", func() { w.SlowCommands(nil) }
+	w.DelayCommands(func(*protocol.DirectCommands) time.Duration { return held })
+	return "slow commands", func() { w.DelayCommands(nil) }
 }
 
 // TestQuotaWhileMachinesAreWithheld: every team is at its limit, with work waiting, while jobs are cancelled whose
@@ -98,9 +98,9 @@
 			s.members(3)
 			jobs := crowd(s)
 			rng := draws(seed)
-			machines := s.cloud.Workers()
+			machines := s.cloud.Agents()
 			var undo []func()
-			var withheld []*simulation.Worker
+			var withheld []*simulation.Agent
 			for _, k := range rng.Perm(len(machines))[:2+rng.IntN(2)] {
 				how, back := withhold(machines[k], rng)
 				t.Log(machines[k].Name(), how)
@@ -145,8 +145,8 @@
 			s.start(i)
 		}
 	case 2:
-		s.doors[leader].Refuse(true)
-		defer s.doors[leader].Refuse(false)
+		s.doors[leader].RefuseAll(true)
+		defer s.doors[leader].RefuseAll(false)
 	}
 	s.until("another term", func() bool { return s.term() > before })
 }
--- a/internal/controller/meeting_report_test.go
+++ b/internal/controller/meeting_report_test.go
@@ -20,13 +20,13 @@
 	for i := range 2 {
 		s.enter(array(i, 4, []string{"red", "blue"}[i%2]))
 	}
-	s.until("machines work", func() bool { return s.check.On() >= 8 })
+	s.until("machines work", func() bool { return s.check.CountOnMachines() >= 8 })
 	return s
 }
 
 // deliverAt delivers what machines kept of their reports to all controllers as soon as another controller than the
 // former one owns an item, and gives how many arrived.
-func (s *scene) deliverAt(machines []*simulation.Worker, item string, former int) (arrived int) {
+func (s *scene) deliverAt(machines []*simulation.Agent, item string, former int) (arrived int) {
 	s.t.Helper()
 	s.until("a new owner of "+item, func() bool {
 		owner := s.owner(item)
@@ -34,7 +34,7 @@
 	})
 	var sum atomic.Int64
 	for _, w := range machines {
-		s.beside(func() { sum.Add(int64(w.Deliver(s.names...))) })
+		s.beside(func() { sum.Add(int64(w.DeliverHeld(s.names...))) })
 	}
 	s.behind.Wait()
 	return int(sum.Load())
@@ -56,32 +56,32 @@
 // twice, nothing that ended comes back, and no report is taken for a loss of data.
 func TestOldReportsAtANewLeader(t *testing.T) {
 	t.Parallel()
-	for name, keep := range map[string]func(w *simulation.Worker){
-		"copies": func(w *simulation.Worker) { w.KeepCopies(true) },
-		"held":   func(w *simulation.Worker) { w.HoldReports(3) },
+	for name, keep := range map[string]func(w *simulation.Agent){
+		"copies": func(w *simulation.Agent) { w.CopyHeartbeats(true) },
+		"held":   func(w *simulation.Agent) { w.HoldHeartbeats(3) },
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			s := busyScene(t)
-			machines := s.cloud.Workers()
+			machines := s.cloud.Agents()
 			for _, w := range machines {
 				keep(w)
 			}
 			gone := endless(0, 2, "red")
-			s.until("reports are kept", func() bool { return machines[0].Kept() > 2 && machines[1].Kept() > 2 })
+			s.until("reports are kept", func() bool { return machines[0].CountHeld() > 2 && machines[1].CountHeld() > 2 })
 			s.cancel(gone.UID) // which the reports list as running
-			s.cloud.Take(machines[1].Name())
-			s.until("the machine is known to be gone", func() bool { return s.known() == len(s.cloud.Workers()) })
-			machines[0].Expire()
+			s.cloud.TakeMachine(machines[1].Name())
+			s.until("the machine is known to be gone", func() bool { return s.known() == len(s.cloud.Agents()) })
+			machines[0].BeginIncarnation()
 			s.enter(array(20, 4, "red"))
 			leader := s.leader(shards.ForTeam("red"))
 			s.crash(leader)
-			if s.deliverAt(machines[2:], shards.ForTeam("red"), leader)+machines[0].Deliver(s.names...) == 0 {
+			if s.deliverAt(machines[2:], shards.ForTeam("red"), leader)+machines[0].DeliverHeld(s.names...) == 0 {
 				t.Error("no old report arrived at a new leader")
 			}
 			s.start(leader)
 			s.members(3)
-			if machines[1].Deliver(s.names...) == 0 { // also at one that never knew the machine
+			if machines[1].DeliverHeld(s.names...) == 0 { // also at one that never knew the machine
 				t.Error("no old report of a machine that is gone arrived")
 			}
 			s.settle()
@@ -103,9 +103,9 @@
 			t.Parallel()
 			s := busyScene(t)
 			short := array(30, 6, "red")
-			mute := s.cloud.Workers()[:2]
+			mute := s.cloud.Agents()[:2]
 			for _, w := range mute {
-				w.Mute(true)
+				w.DropHeartbeats(true)
 			}
 			s.beside(func() { s.enter(short) })
 			on := s.runningOn(mute)
@@ -119,9 +119,9 @@
 				s.start(leader)
 			}
 			s.until("the mute machines' leases are over", func() bool { return len(s.runningOn(mute)) == 0 })
-			s.until("what ran there runs again", func() bool { return s.check.On() >= 6 })
+			s.until("what ran there runs again", func() bool { return s.check.CountOnMachines() >= 6 })
 			for _, w := range mute {
-				w.Mute(false)
+				w.DropHeartbeats(false)
 			}
 			s.settle()
 		})
@@ -129,10 +129,10 @@
 }
 
 // runningOn lists the endless jobs that run on some machines.
-func (s *scene) runningOn(machines []*simulation.Worker) (jobs []string) {
+func (s *scene) runningOn(machines []*simulation.Agent) (jobs []string) {
 	seen := map[string]bool{}
 	for _, w := range machines {
-		for _, task := range w.Running() {
+		for _, task := range w.RunningTasks() {
 			if uid, _, _ := protocol.SplitTask(task); jobNumber(uid) >= firstEndless && !seen[uid] {
 				seen[uid] = true
 				jobs = append(jobs, uid)
@@ -153,7 +153,7 @@
 			s.members(3)
 			for i, d := range s.doors {
 				rng := draws(uint64(i))
-				d.Late(func() time.Duration {
+				d.DelayTransactions(func() time.Duration {
 					return time.Duration(rng.IntN(2)) * time.Duration(300+rng.IntN(2500)) * time.Millisecond
 				})
 			}
@@ -173,12 +173,12 @@
 				if s.nodes[i] == nil {
 					s.start(i)
 				}
-				applied, met := s.doors[i].CarriedLate()
+				applied, met := s.doors[i].CountDelayed()
 				lagged += applied + met
 			}
-			s.until("work goes on", func() bool { return s.check.On() >= 8 })
+			s.until("work goes on", func() bool { return s.check.CountOnMachines() >= 8 })
 			for _, d := range s.doors {
-				d.Late(nil)
+				d.DelayTransactions(nil)
 			}
 			s.settle()
 			if lagged == 0 {
--- a/internal/controller/meeting_start_test.go
+++ b/internal/controller/meeting_start_test.go
@@ -12,11 +12,11 @@
 )
 
 // startUnderway waits until a start of a task of a team is held up on its way to a machine.
-func (s *scene) startUnderway(team string) (to *simulation.Worker, job string) {
+func (s *scene) startUnderway(team string) (to *simulation.Agent, job string) {
 	s.t.Helper()
 	s.until("a start is on its way", func() bool {
-		for _, w := range s.cloud.Workers() {
-			for _, task := range w.StartsUnderway() {
+		for _, w := range s.cloud.Agents() {
+			for _, task := range w.StartsInFlight() {
 				if uid, _, _ := protocol.SplitTask(task); s.teamOf(uid) == team {
 					to, job = w, uid
 					return true
@@ -55,19 +55,19 @@
 			s := openSceneOf(t, sceneRun, settings.Agents{HeartbeatSeconds: 0.2, LeaseSeconds: 10, GangWaitSeconds: 10, GangPeerSeconds: 4, CancelSeconds: 25})
 			s.members(3)
 			jobs := crowd(s)
-			machines := s.cloud.Workers()
+			machines := s.cloud.Agents()
 			for _, w := range machines {
-				w.SlowCommands(slowStarts)
+				w.DelayCommands(slowStarts)
 			}
-			first := slices.IndexFunc(jobs, func(j *protocol.Submission) bool { return j.Team == "red" && s.check.OnOf(j.UID) > 0 })
+			first := slices.IndexFunc(jobs, func(j *protocol.Submission) bool { return j.Team == "red" && s.check.CountOfJob(j.UID) > 0 })
 			s.cancel(jobs[first].UID) // its room goes to one that waits
 			deaf, job := s.startUnderway("red")
-			deaf.Deaf(true)
-			deaf.Notice(time.Hour) // so that nothing is placed there anew
+			deaf.DropAnswers(true)
+			deaf.AnnounceEviction(time.Hour) // so that nothing is placed there anew
 			for _, w := range machines {
-				w.SlowCommands(nil)
+				w.DelayCommands(nil)
 			}
-			_, arrived := lateCommands([]*simulation.Worker{deaf})
+			_, arrived := lateCommands([]*simulation.Agent{deaf})
 			leader, before := s.leader(shards.ForTeam("red")), s.term()
 			s.crash(leader)
 			s.until("another term", func() bool { return s.term() > before })
@@ -75,14 +75,14 @@
 				s.beside(func() { s.cancel(job) })
 			}
 			s.until("the start arrived", func() bool {
-				_, now := lateCommands([]*simulation.Worker{deaf})
-				return now > arrived && len(deaf.StartsUnderway()) == 0
+				_, now := lateCommands([]*simulation.Agent{deaf})
+				return now > arrived && len(deaf.StartsInFlight()) == 0
 			})
-			if _, obeyed, _ := deaf.LateCommands(); obeyed == 0 {
+			if _, obeyed, _ := deaf.CountDelayedCommands(); obeyed == 0 {
 				t.Error("the late start did not count at the machine")
 			}
-			deaf.Deaf(false)
-			deaf.Notice(0)
+			deaf.DropAnswers(false)
+			deaf.AnnounceEviction(0)
 			s.start(leader)
 			s.behind.Wait()
 			s.atLimits()
--- a/internal/controller/meeting_test.go
+++ b/internal/controller/meeting_test.go
@@ -40,10 +40,10 @@
 
 // withdrawAt has one controller confirm a withdrawal, and gives the time at which it did.
 func (r *region) withdrawAt(i int, uid string) time.Time {
-	r.check.Withdrawing(uid)
+	r.check.RecordCancellation(uid)
 	r.until("withdrawn", func() bool {
 		status, st := r.askAt(i, "POST", protocol.PathSubmit+"/"+uid+"/withdraw", struct{}{})
-		r.check.Told(uid, status, st.State, false)
+		r.check.RecordAnswer(uid, status, st.State, false)
 		return status == 200 && st.State == protocol.Cancelled
 	})
 	return time.Now()
@@ -51,14 +51,14 @@
 
 // runs waits until a machine runs a task of each job whose teams another controller owns than the machine's home, and
 // gives its worker and which controller is its home.
-func (r *region) runs(jobs ...*protocol.Submission) (w *simulation.Worker, home int) {
+func (r *region) runs(jobs ...*protocol.Submission) (w *simulation.Agent, home int) {
 	record := &leadership.Record{Nodes: map[string]uint64{}}
 	for _, s := range r.sets {
 		record.Nodes[s.Name] = 1
 	}
 	r.until("a machine of another home runs the jobs", func() bool {
 		for _, o := range r.overviews() {
-			for _, x := range r.cloud.Workers() {
+			for _, x := range r.cloud.Agents() {
 				elsewhere := func(j *protocol.Submission) bool {
 					return has(x, j.UID) && o.Owners[shards.ForTeam(j.Team)] != record.Home(x.Name())
 				}
@@ -75,13 +75,13 @@
 }
 
 // has says whether a machine runs a task of a job.
-func has(w *simulation.Worker, job string) bool {
-	return slices.ContainsFunc(w.Running(), func(task string) bool { uid, _, _ := protocol.SplitTask(task); return uid == job })
+func has(w *simulation.Agent, job string) bool {
+	return slices.ContainsFunc(w.RunningTasks(), func(task string) bool { uid, _, _ := protocol.SplitTask(task); return uid == job })
 }
 
 // endBehind writes a job's withdrawal to the state service, as a controller does that ends before it tells anybody.
 func (r *region) endBehind(job *protocol.Submission) {
-	r.check.Withdrawing(job.UID)
+	r.check.RecordCancellation(job.UID)
 	end := userapi.JobEnd{State: protocol.Cancelled, Tasks: job.Tasks, Team: job.Team}
 	txn := protocol.Txn{Conditions: []protocol.Condition{{Key: userapi.EndedJobPrefix + job.UID}},
 		Then: []protocol.Op{{Delete: userapi.ActiveJobPrefix + job.UID}, {Set: userapi.EndedJobPrefix + job.UID, Value: protocol.Encode(end)}}}
@@ -105,8 +105,8 @@
 	r.submit(job)
 	w, a := r.runs(job)
 	b := (a + 1) % 3
-	w.Reach(r.sets[a].Name)
-	r.doors[a].Refuse(true)
+	w.LimitReach(r.sets[a].Name)
+	r.doors[a].RefuseAll(true)
 	r.until("another leads without the refused one", func() bool {
 		for _, o := range r.overviews() {
 			if o.Node != r.sets[a].Name && len(o.Members) == 2 {
@@ -120,15 +120,15 @@
 	if !slices.ContainsFunc(r.overviews(), func(o overview) bool { return o.Node == r.sets[b].Name && o.Cancellations == 1 }) {
 		t.Error("a withdrawal that another one wrote is confirmed without a number")
 	}
-	r.state.Outage(true)
-	if len(w.Running()) == 0 {
+	r.state.SetOutage(true)
+	if len(w.RunningTasks()) == 0 {
 		t.Fatal("the machine ran nothing any more when the outage began")
 	}
-	r.until("its tasks gone", func() bool { return len(w.Running()) == 0 })
+	r.until("its tasks gone", func() bool { return len(w.RunningTasks()) == 0 })
 	r.until("the time of the cancellation over", func() bool { return time.Since(told) > r.check.Cancel+time.Second })
-	r.state.Outage(false)
-	r.doors[a].Refuse(false)
-	w.Reach()
+	r.state.SetOutage(false)
+	r.doors[a].RefuseAll(false)
+	w.LimitReach()
 	r.until("all three are members again", func() bool { o := r.overviews(); return len(o) > 0 && len(o[0].Members) == 3 })
 }
 
@@ -141,18 +141,18 @@
 	r.submit(job)
 	r.submit(other)
 	w, a := r.runs(job, other)
-	w.Reach(r.sets[a].Name) // nobody else can keep it alive
-	r.doors[a].Refuse(true)
-	r.pipes.Apart(a, true) // what is said meanwhile is lost with its connection, and said again
+	w.LimitReach(r.sets[a].Name) // nobody else can keep it alive
+	r.doors[a].RefuseAll(true)
+	r.pipes.Isolate(a, true) // what is said meanwhile is lost with its connection, and said again
 	told := r.withdrawAt((a+1)%3, job.UID)
-	r.state.Outage(true)
-	r.pipes.Apart(a, false)
+	r.state.SetOutage(true)
+	r.pipes.Isolate(a, false)
 	r.until("the outage outlasts lease and cancellation", func() bool { return time.Since(told) > r.check.Cancel+4*time.Second })
 	if !has(w, other.UID) || has(w, job.UID) {
-		t.Errorf("after the outage the machine runs %v, not just what was not withdrawn", w.Running())
+		t.Errorf("after the outage the machine runs %v, not just what was not withdrawn", w.RunningTasks())
 	}
-	r.state.Outage(false)
-	r.doors[a].Refuse(false)
+	r.state.SetOutage(false)
+	r.doors[a].RefuseAll(false)
 	if st := r.poll(job.UID); st != protocol.Cancelled && st != "" {
 		t.Errorf("withdrawn job is %s", st)
 	}
@@ -199,18 +199,18 @@
 	job := array(620, 12, "red")
 	r.submit(job)
 	w, a := r.runs(job)
-	w.Reach(r.sets[a].Name)
-	r.doors[a].Refuse(true)
-	r.pipes.Apart(a, true)
+	w.LimitReach(r.sets[a].Name)
+	r.doors[a].RefuseAll(true)
+	r.pipes.Isolate(a, true)
 	told := r.withdrawAt((a+1)%3, job.UID)
 	if !has(w, job.UID) {
 		t.Fatal("the machine ran nothing any more when the withdrawal was confirmed")
 	}
-	r.state.Outage(true) // nobody leads any more who could return the machine to the cloud
+	r.state.SetOutage(true) // nobody leads any more who could return the machine to the cloud
 	answers, healthy := 0, true
 	r.until("its tasks gone and users sent away", func() bool {
 		status, st := r.askAt(a, "GET", protocol.PathSubmit+"/"+job.UID, nil)
-		r.check.Told(job.UID, status, st.State, false)
+		r.check.RecordAnswer(job.UID, status, st.State, false)
 		if status == 503 {
 			answers++
 		}
@@ -226,10 +226,10 @@
 			t.Errorf("controller %d, which serves, sends its users away too", i)
 		}
 	}
-	r.state.Outage(false)
-	r.doors[a].Refuse(false)
-	r.pipes.Apart(a, false)
-	w.Reach()
+	r.state.SetOutage(false)
+	r.doors[a].RefuseAll(false)
+	r.pipes.Isolate(a, false)
+	w.LimitReach()
 	r.until("all three are members again", func() bool { o := r.overviews(); return len(o) > 0 && len(o[0].Members) == 3 })
 	r.until("it tells the withdrawal", func() bool {
 		_, st := r.askAt(a, "GET", protocol.PathSubmit+"/"+job.UID, nil)
@@ -244,7 +244,7 @@
 	r := openRegion(t, 400*time.Millisecond, settings.Agents{HeartbeatSeconds: 0.2, LeaseSeconds: 20, GangWaitSeconds: 10, GangPeerSeconds: 4, CancelSeconds: 60})
 	for _, d := range r.doors {
 		count := 0
-		d.Late(func() time.Duration { // one soon enough for nothing to come before it, the next one long after
+		d.DelayTransactions(func() time.Duration { // one soon enough for nothing to come before it, the next one long after
 			if count++; count%4 > 0 {
 				return 0
 			}
@@ -256,10 +256,10 @@
 		j := array(630+i, 1+i%3, []string{"red", "blue"}[i%2])
 		r.submit(j)
 		if i == 2 {
-			r.check.Withdrawing(j.UID)
+			r.check.RecordCancellation(j.UID)
 			r.until("withdrawn or done", func() bool {
 				status, st := r.ask("POST", protocol.PathSubmit+"/"+j.UID+"/withdraw", struct{}{})
-				r.check.Told(j.UID, status, st.State, false)
+				r.check.RecordAnswer(j.UID, status, st.State, false)
 				return status == 200
 			})
 			continue
@@ -274,7 +274,7 @@
 	for i := 0; ; i++ {
 		applied, met := 0, 0
 		for _, d := range r.doors {
-			x, y := d.CarriedLate()
+			x, y := d.CountDelayed()
 			applied, met = applied+x, met+y
 		}
 		if applied > 2 && met > 2 {
@@ -288,7 +288,7 @@
 		r.allDone([]*protocol.Submission{j})
 	}
 	for _, d := range r.doors {
-		d.Late(nil)
+		d.DelayTransactions(nil)
 	}
 	last := array(640, 4, "red")
 	r.submit(last)
@@ -302,7 +302,7 @@
 
 // wrote says whether a key with a prefix was written.
 func (r *region) wrote(prefix string) bool {
-	return slices.ContainsFunc(r.state.Carried(), func(txn protocol.Txn) bool {
+	return slices.ContainsFunc(r.state.AppliedTransactions(), func(txn protocol.Txn) bool {
 		return slices.ContainsFunc(txn.Then, func(o protocol.Op) bool { return strings.HasPrefix(o.Set, prefix) })
 	})
 }
@@ -329,8 +329,8 @@
 		r.submit(more)
 		r.allDone([]*protocol.Submission{more})
 	}
-	for _, txn := range r.state.Carried() { // while the record is still the same
-		if r.state.Again(txn) {
+	for _, txn := range r.state.AppliedTransactions() { // while the record is still the same
+		if r.state.RepeatTransaction(txn) {
 			t.Errorf("carried out again under the same record: %s", protocol.Encode(txn))
 		}
 	}
@@ -343,7 +343,7 @@
 	for i := range r.nodes { // what is written from here on would hide what applies again
 		r.crash(i)
 	}
-	carried := r.state.Carried()
+	carried := r.state.AppliedTransactions()
 	kinds := map[string]int{controlKey: 0, nodeKey: 0, machineKey: 0, userapi.ActiveJobPrefix: 0, userapi.EndedJobPrefix: 0, "b/": 0, datarecovery.EpochKey: 0}
 	for _, txn := range carried {
 		for _, o := range txn.Then {
@@ -361,7 +361,7 @@
 	}
 	for range 2 {
 		for _, txn := range carried {
-			if r.state.Again(txn) {
+			if r.state.RepeatTransaction(txn) {
 				t.Errorf("carried out again: %s", protocol.Encode(txn))
 			}
 		}
@@ -385,8 +385,8 @@
 		return 300*time.Millisecond + time.Duration(rng.IntN(6000))*time.Millisecond
 	}
 	repeats := func() (sum int) {
-		for _, w := range r.cloud.Workers() {
-			sum += w.Repeats()
+		for _, w := range r.cloud.Agents() {
+			sum += w.CountRepeated()
 		}
 		return sum
 	}
@@ -395,12 +395,12 @@
 		j := array(650+2*i, 8, []string{"red", "blue"}[i%2])
 		jobs = append(jobs, j)
 		r.submit(j)
-		r.until("tasks run", func() bool { return r.check.On() > 0 })
-		ws := r.cloud.Workers()
+		r.until("tasks run", func() bool { return r.check.CountOnMachines() > 0 })
+		ws := r.cloud.Agents()
 		for _, w := range ws {
-			w.Again(again)
+			w.RepeatHeartbeats(again)
 		}
-		ws[i%len(ws)].Expire()
+		ws[i%len(ws)].BeginIncarnation()
 		r.crash(i)
 		r.start(i)
 		before := repeats()
@@ -424,13 +424,13 @@
 	r.submit(gone)
 	r.submit(stays)
 	w, a := r.runs(gone, stays)
-	w.Deaf(true)
+	w.DropAnswers(true)
 	r.crash(a)
 	r.withdrawAt((a+1)%3, gone.UID)
 	r.start(a)
 	r.until("nothing withdrawn runs", func() bool { return !has(w, gone.UID) })
 	r.allDone([]*protocol.Submission{stays})
-	w.Deaf(false)
+	w.DropAnswers(false)
 	r.until("withdrawn still", func() bool { return r.poll(gone.UID) == protocol.Cancelled })
 }
 
--- a/internal/controller/node_test.go
+++ b/internal/controller/node_test.go
@@ -21,13 +21,13 @@
 // region is three controllers with stand-ins for everything around them.
 type region struct {
 	t     *testing.T
-	state *simulation.State
+	state *simulation.KVStore
 	cloud *simulation.Cloud
 	check *simulation.Checker
 	sets  []*settings.Settings
 	nodes []*process
-	doors []*simulation.Door // each controller's way to the state service
-	pipes simulation.Paths   // from one controller to another
+	doors []*simulation.Endpoint // each controller's way to the state service
+	pipes simulation.Paths       // from one controller to another
 	rng   *rand.Rand
 	httpc *http.Client
 
@@ -56,7 +56,7 @@
 		p(r)
 	}
 	var err error
-	if r.state, err = simulation.NewState(16, 16); err != nil {
+	if r.state, err = simulation.NewKVStore(16, 16); err != nil {
 		t.Fatal(err)
 	}
 	names := []string{"node-a", "node-b", "node-c"}
@@ -69,16 +69,16 @@
 			}
 		}
 	}
-	per := simulation.Periods{Report: settings.Seconds(workers.HeartbeatSeconds), Lease: settings.Seconds(workers.LeaseSeconds), Run: run}
+	per := simulation.Periods{Heartbeat: settings.Seconds(workers.HeartbeatSeconds), Lease: settings.Seconds(workers.LeaseSeconds), Run: run}
 	types := []protocol.MachineType{{Name: "m8", CPUs: 8, MemoryGB: 64, PricePerHour: 2, SpotPricePerHour: 1, BootSeconds: 1, Zones: []string{"east", "west"}}}
-	r.cloud, err = simulation.NewCloud(types, 6, func(name, typ, zone string, spot bool) (*simulation.Worker, error) {
-		return simulation.NewWorker(name, typ, zone, spot, listen, names, per, r.check)
+	r.cloud, err = simulation.NewCloud(types, 6, func(name, typ, zone string, spot bool) (*simulation.Agent, error) {
+		return simulation.NewAgent(name, typ, zone, spot, listen, names, per, r.check)
 	})
 	if err != nil {
 		t.Fatal(err)
 	}
 	for i, n := range names {
-		door, err := r.state.Door()
+		door, err := r.state.NewEndpoint()
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -172,11 +172,11 @@
 }
 
 func (r *region) submit(spec *protocol.Submission) {
-	r.check.Submitting(spec)
+	r.check.RecordSubmission(spec)
 	r.until("accepting "+spec.UID, func() bool {
 		status, st := r.ask("POST", protocol.PathSubmit, spec)
 		if status == 200 || status == 201 {
-			r.check.Told(spec.UID, status, st.State, true)
+			r.check.RecordAnswer(spec.UID, status, st.State, true)
 			return true
 		}
 		return false
@@ -185,7 +185,7 @@
 
 func (r *region) poll(uid string) protocol.JobState {
 	status, st := r.ask("GET", protocol.PathSubmit+"/"+uid, nil)
-	r.check.Told(uid, status, st.State, false)
+	r.check.RecordAnswer(uid, status, st.State, false)
 	return st.State
 }
 
@@ -194,7 +194,7 @@
 func (r *region) until(what string, f func() bool) {
 	r.t.Helper()
 	for end := time.Now().Add(40 * time.Second); time.Now().Before(end); time.Sleep(50 * time.Millisecond) {
-		if broken := r.check.Rules(); len(broken) > 0 {
+		if broken := r.check.BrokenRules(); len(broken) > 0 {
 			r.t.Fatalf("rules broken: %v", broken)
 		}
 		if f() {
@@ -231,7 +231,7 @@
 		changed := *jobs[0]
 		changed.Team = "nobody"
 		status, st := r.ask("POST", protocol.PathSubmit, &changed)
-		r.check.Told(changed.UID, status, st.State, true)
+		r.check.RecordAnswer(changed.UID, status, st.State, true)
 		return status == 200 && st.State == protocol.Done
 	})
 	if r.check.Started == 0 {
@@ -258,12 +258,12 @@
 		jobs = append(jobs, array(100+i, 10, []string{"red", "blue"}[i%2]))
 		r.submit(jobs[i])
 	}
-	r.until("tasks run", func() bool { return r.check.On() > 4 })
+	r.until("tasks run", func() bool { return r.check.CountOnMachines() > 4 })
 	for i := range r.nodes {
 		r.crash(i)
 		r.poll(jobs[0].UID)
 		r.start(i)
-		r.until("tasks run again", func() bool { return r.check.On() > 2 })
+		r.until("tasks run again", func() bool { return r.check.CountOnMachines() > 2 })
 	}
 	for i := range r.nodes {
 		r.crash(i)
@@ -283,23 +283,23 @@
 	for _, j := range jobs {
 		r.submit(j)
 	}
-	r.until("tasks run", func() bool { return r.check.On() > 4 })
-	r.state.Outage(true)
-	ws := r.cloud.Workers()
-	ws[0].Cut(true)
+	r.until("tasks run", func() bool { return r.check.CountOnMachines() > 4 })
+	r.state.SetOutage(true)
+	ws := r.cloud.Agents()
+	ws[0].DisconnectNetwork(true)
 	time.Sleep(4 * time.Second)
-	r.state.Outage(false)
-	ws[0].Cut(false)
+	r.state.SetOutage(false)
+	ws[0].DisconnectNetwork(false)
 	long := array(202, 8, "blue")
 	r.submit(long)
-	r.check.Withdrawing(long.UID)
+	r.check.RecordCancellation(long.UID)
 	r.until("withdrawn", func() bool {
 		status, st := r.ask("POST", protocol.PathSubmit+"/"+long.UID+"/withdraw", struct{}{})
-		r.check.Told(long.UID, status, st.State, false)
+		r.check.RecordAnswer(long.UID, status, st.State, false)
 		return status == 200 && st.State == protocol.Cancelled
 	})
 	r.allDone(jobs)
-	r.until("nothing is left on machines", func() bool { return r.check.On() == 0 })
+	r.until("nothing is left on machines", func() bool { return r.check.CountOnMachines() == 0 })
 	if st := r.poll(long.UID); st != protocol.Cancelled && st != "" {
 		t.Fatalf("withdrawn job is %s", st)
 	}
--- a/internal/controller/quota_test.go
+++ b/internal/controller/quota_test.go
@@ -10,8 +10,8 @@
 )
 
 // onMachine counts the tasks of a job that a machine runs.
-func onMachine(w *simulation.Worker, job string) (count int) {
-	for _, task := range w.Running() {
+func onMachine(w *simulation.Agent, job string) (count int) {
+	for _, task := range w.RunningTasks() {
 		if uid, _, _ := protocol.SplitTask(task); uid == job {
 			count++
 		}
@@ -21,10 +21,10 @@
 
 // answerOnce has a machine execute one direct command and hold up all later ones for good, with no report getting
 // through: it then hangs within its lease, with its tasks on it.
-func answerOnce(w *simulation.Worker) {
-	w.Mute(true)
+func answerOnce(w *simulation.Agent) {
+	w.DropHeartbeats(true)
 	answered := false
-	w.SlowCommands(func(*protocol.DirectCommands) time.Duration {
+	w.DelayCommands(func(*protocol.DirectCommands) time.Duration {
 		if answered {
 			return time.Hour
 		}
@@ -41,29 +41,29 @@
 	r := openRegion(t, time.Hour, settings.Agents{HeartbeatSeconds: 0.2, LeaseSeconds: 12, GangWaitSeconds: 10, GangPeerSeconds: 4, CancelSeconds: 30})
 	first, next, other := array(700, 12, "red"), array(702, 12, "red"), array(704, 5, "blue")
 	r.submit(first)
-	r.until("the first job fills the limit", func() bool { return r.check.OnOf(first.UID) == 12 })
+	r.until("the first job fills the limit", func() bool { return r.check.CountOfJob(first.UID) == 12 })
 	r.submit(other) // its machines have room for what should not start yet
-	r.until("another team's job runs", func() bool { return r.check.OnOf(other.UID) == 5 })
+	r.until("another team's job runs", func() bool { return r.check.CountOfJob(other.UID) == 5 })
 	r.submit(next)
-	var hung *simulation.Worker
-	for _, w := range r.cloud.Workers() {
+	var hung *simulation.Agent
+	for _, w := range r.cloud.Agents() {
 		if onMachine(w, first.UID) > 0 {
 			hung = w
 		}
 	}
 	left := onMachine(hung, first.UID)
-	hung.Cut(true)
+	hung.DisconnectNetwork(true)
 	r.withdraw(first.UID)
 	for i := range r.nodes {
 		r.crash(i)
 	}
 	answerOnce(hung)
-	hung.Cut(false)
+	hung.DisconnectNetwork(false)
 	for i := range r.nodes {
 		r.start(i)
 	}
 	r.until("the next job runs beside tasks of the cancelled one", func() bool {
-		return r.check.OnOf(next.UID) == 12-left && r.check.OnOf(first.UID) == left
+		return r.check.CountOfJob(next.UID) == 12-left && r.check.CountOfJob(first.UID) == left
 	})
-	r.until("the next job has the whole limit", func() bool { return r.check.OnOf(next.UID) == 12 })
+	r.until("the next job has the whole limit", func() bool { return r.check.CountOfJob(next.UID) == 12 })
 }
--- a/internal/controller/scene_test.go
+++ b/internal/controller/scene_test.go
@@ -135,10 +135,10 @@
 			})
 		}
 	}
-	s.until("nothing is left on machines", func() bool { return s.check.On() == 0 })
+	s.until("nothing is left on machines", func() bool { return s.check.CountOnMachines() == 0 })
 	starts := s.check.Starts()
 	time.Sleep(quiet)
-	if s.check.On() > 0 || s.check.Starts() > starts {
+	if s.check.CountOnMachines() > 0 || s.check.Starts() > starts {
 		s.t.Errorf("%d tasks started after all jobs were over", s.check.Starts()-starts)
 	}
 }
@@ -152,7 +152,7 @@
 	for _, v := range history.Check(s.users.Log().Calls()) {
 		s.t.Errorf("%v", v)
 	}
-	for _, broken := range s.check.Rules() {
+	for _, broken := range s.check.BrokenRules() {
 		s.t.Error(broken)
 	}
 }
@@ -210,8 +210,8 @@
 func uneven(i, tasks int, team string) *protocol.Submission { return array(firstUneven+i, tasks, team) }
 
 // machinesOf lists the machines that run a task of a job.
-func (s *scene) machinesOf(uid string) (on []*simulation.Worker) {
-	for _, w := range s.cloud.Workers() {
+func (s *scene) machinesOf(uid string) (on []*simulation.Agent) {
+	for _, w := range s.cloud.Agents() {
 		if has(w, uid) {
 			on = append(on, w)
 		}
@@ -239,14 +239,14 @@
 	if !s.t.Failed() {
 		return
 	}
-	for _, w := range s.cloud.Workers() {
+	for _, w := range s.cloud.Agents() {
 		zone, spot := w.Place()
-		s.t.Log(w.Name(), zone, spot, w.Running())
+		s.t.Log(w.Name(), zone, spot, w.RunningTasks())
 	}
 	for _, o := range s.overviews() {
 		s.t.Logf("%s: term %d, entitled %v, members %v, owners %v, items %+v, machines %+v", o.Node, o.Term, o.Entitled, o.Members, o.Owners, o.Shards, o.Machines)
 	}
 	for _, job := range s.accepted {
-		s.t.Logf("%s of %s: %d of %d tasks on machines", job.UID, job.Team, s.check.OnOf(job.UID), job.Tasks)
+		s.t.Logf("%s of %s: %d of %d tasks on machines", job.UID, job.Team, s.check.CountOfJob(job.UID), job.Tasks)
 	}
 }
--- a/internal/controller/sync_test.go
+++ b/internal/controller/sync_test.go
@@ -30,7 +30,7 @@
 // must know when it answers a request that came later, even if its watch lags.
 // Many ask at once; each must see at least what was written before it asked.
 func TestWaitForChangesSeesEarlierChanges(t *testing.T) {
-	srv, err := simulation.NewState(8, 16)
+	srv, err := simulation.NewKVStore(8, 16)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/faultinjection/loss.go
+++ b/internal/faultinjection/loss.go
@@ -112,9 +112,9 @@
 	dir, program string
 	script       string                          // the controllers' options, a file's text
 	run          func(task string) time.Duration // how long tasks run, if not all alike
-	state        *simulation.State
-	doors        []*simulation.Door // each controller's way to the state service
-	pipes        simulation.Paths   // from one controller to another
+	state        *simulation.KVStore
+	doors        []*simulation.Endpoint // each controller's way to the state service
+	pipes        simulation.Paths       // from one controller to another
 	cloud        *simulation.Cloud
 	check        *simulation.Checker
 	listen       []string
@@ -151,7 +151,7 @@
 	if ctx.Err() != nil {
 		return "", ctx.Err()
 	}
-	if rules := g.check.Rules(); len(rules) > 0 {
+	if rules := g.check.BrokenRules(); len(rules) > 0 {
 		broke = errors.Join(broke, fmt.Errorf("rules %v", rules))
 	}
 	if broke != nil {
@@ -185,7 +185,7 @@
 	var err error
 	g.turns = &sync.Mutex{}
 	if g.state == nil {
-		if g.state, err = simulation.NewState(g.size.state.ChangesPerTransaction, int(g.size.state.ValueKB)); err != nil {
+		if g.state, err = simulation.NewKVStore(g.size.state.ChangesPerTransaction, int(g.size.state.ValueKB)); err != nil {
 			return err
 		}
 	}
@@ -205,16 +205,16 @@
 	if err := os.WriteFile(filepath.Join(g.dir, "options.star"), []byte(g.script), 0o600); err != nil {
 		return err
 	}
-	per := simulation.Periods{Report: settings.Seconds(g.size.report), Lease: settings.Seconds(g.size.lease), Run: g.run}
+	per := simulation.Periods{Heartbeat: settings.Seconds(g.size.report), Lease: settings.Seconds(g.size.lease), Run: g.run}
 	types := []protocol.MachineType{{Name: "m8", CPUs: g.size.cpus, MemoryGB: 8 * g.size.cpus, PricePerHour: 2, SpotPricePerHour: 1, BootSeconds: 1, Zones: []string{"east", "west"}}}
-	if g.cloud, err = simulation.NewCloud(types, g.size.machines, func(name, typ, zone string, spot bool) (*simulation.Worker, error) {
-		return simulation.NewWorker(name, typ, zone, spot, listen, names, per, g.check)
+	if g.cloud, err = simulation.NewCloud(types, g.size.machines, func(name, typ, zone string, spot bool) (*simulation.Agent, error) {
+		return simulation.NewAgent(name, typ, zone, spot, listen, names, per, g.check)
 	}); err != nil {
 		return err
 	}
 	g.pipes = simulation.Paths{}
 	for i, name := range names {
-		door, err := g.state.Door()
+		door, err := g.state.NewEndpoint()
 		if err != nil {
 			return err
 		}
@@ -386,7 +386,7 @@
 	ctx, cancel := context.WithTimeout(ctx, 90*time.Second)
 	defer cancel()
 	for !holds() {
-		if rules := g.check.Rules(); len(rules) > 0 {
+		if rules := g.check.BrokenRules(); len(rules) > 0 {
 			return nil // told by the caller
 		}
 		if !wait.For(ctx, 50*time.Millisecond) {
@@ -397,10 +397,10 @@
 }
 
 func (g *lossRegion) submit(ctx context.Context, s *protocol.Submission) error {
-	g.check.Submitting(s)
+	g.check.RecordSubmission(s)
 	return g.until(ctx, s.UID+" accepted", func() bool {
 		status, st := g.ask("POST", protocol.PathSubmit, s)
-		g.check.Told(s.UID, status, st.State, false)
+		g.check.RecordAnswer(s.UID, status, st.State, false)
 		return status == 200 || status == 201
 	})
 }
@@ -408,7 +408,7 @@
 func (g *lossRegion) reaches(ctx context.Context, uid string, state protocol.JobState) error {
 	return g.until(ctx, uid+" "+string(state), func() bool {
 		status, st := g.ask("GET", protocol.PathSubmit+"/"+uid, nil)
-		g.check.Told(uid, status, st.State, false)
+		g.check.RecordAnswer(uid, status, st.State, false)
 		return status == 200 && st.State == state
 	})
 }
@@ -422,30 +422,30 @@
 		return s
 	}
 	var jobs []*protocol.Submission
-	var saved simulation.Saved
+	var saved simulation.StoreSnapshot
 	for i := range 8 {
 		j := job(i)
 		if err := g.submit(ctx, j); err != nil {
 			return err
 		}
 		if jobs = append(jobs, j); i == 3 {
-			saved = g.state.Save()
+			saved = g.state.Snapshot()
 		}
 	}
 	gone := job(90)
 	if err := g.submit(ctx, gone); err != nil {
 		return err
 	}
-	g.check.Withdrawing(gone.UID)
+	g.check.RecordCancellation(gone.UID)
 	if err := g.until(ctx, "withdrawn", func() bool {
 		status, st := g.ask("POST", protocol.PathSubmit+"/"+gone.UID+"/withdraw", struct{}{})
-		g.check.Told(gone.UID, status, st.State, false)
+		g.check.RecordAnswer(gone.UID, status, st.State, false)
 		return status == 200
 	}); err != nil {
 		return err
 	}
 	if t.Loss == "seconds" {
-		saved = g.state.Save()
+		saved = g.state.Snapshot()
 	}
 	wait.For(ctx, time.Duration(g.rng.IntN(3000))*time.Millisecond)
 	began := time.Now()
@@ -470,13 +470,13 @@
 	return g.reaches(ctx, gone.UID, protocol.Cancelled)
 }
 
-func (g *lossRegion) lose(ctx context.Context, t *LossTrial, saved simulation.Saved) error {
+func (g *lossRegion) lose(ctx context.Context, t *LossTrial, saved simulation.StoreSnapshot) error {
 	drop := func() {
 		switch t.Loss {
 		case "all":
 			g.state.LoseAll()
 		case "back", "seconds":
-			g.state.Back(saved)
+			g.state.RollBack(saved)
 		case "jobs":
 			g.state.LosePrefix("w/a/")
 		case "roster":
@@ -499,18 +499,18 @@
 		g.kill(i)
 		return g.start(i)
 	case "machine cut":
-		ws := g.cloud.Workers()
+		ws := g.cloud.Agents()
 		if len(ws) > 0 {
-			ws[0].Cut(true)
-			defer ws[0].Cut(false)
+			ws[0].DisconnectNetwork(true)
+			defer ws[0].DisconnectNetwork(false)
 		}
 		drop()
 		wait.For(ctx, 4*time.Second)
 	case "outage":
-		g.state.Outage(true)
+		g.state.SetOutage(true)
 		wait.For(ctx, time.Duration(g.rng.IntN(4000))*time.Millisecond)
 		drop()
-		g.state.Outage(false)
+		g.state.SetOutage(false)
 	case "loses twice":
 		drop()
 		wait.For(ctx, time.Duration(g.rng.IntN(3000))*time.Millisecond)
--- a/internal/faultinjection/measure.go
+++ b/internal/faultinjection/measure.go
@@ -60,10 +60,10 @@
 			teams: []settings.Team{{Name: "red", CPUs: quota / 2, CPUsMax: quota}, {Name: "blue", CPUs: quota / 2, CPUsMax: quota}},
 			state: settings.KVStore{RequestsPerSecond: 600, ChangesPerSecond: 120, ValueKB: 16, ChangesPerTransaction: 12}, cloud: settings.Cloud{RequestsPerSecond: 15, ListLagSeconds: 4}}}
 	defer g.close()
-	if g.state, err = simulation.NewState(g.size.state.ChangesPerTransaction, int(g.size.state.ValueKB)); err != nil {
+	if g.state, err = simulation.NewKVStore(g.size.state.ChangesPerTransaction, int(g.size.state.ValueKB)); err != nil {
 		return nil, err
 	}
-	g.state.Limit(g.size.state.RequestsPerSecond, g.size.state.ChangesPerSecond)
+	g.state.LimitRates(g.size.state.RequestsPerSecond, g.size.state.ChangesPerSecond)
 	for i := range o.Ends {
 		g.state.Put(fmt.Sprintf("f/job-%06d", 500000+i), `{"state":"done","tasks":1,"team":"red"}`)
 	}
@@ -102,9 +102,9 @@
 		for _, x := range v {
 			whole = whole && x.Store.MemoryComplete
 		}
-		return whole && g.check.On() >= o.Jobs*tasks*9/10
+		return whole && g.check.CountOnMachines() >= o.Jobs*tasks*9/10
 	}); err != nil {
-		return nil, fmt.Errorf("%w: %d tasks run; controllers %+v", err, g.check.On(), before)
+		return nil, fmt.Errorf("%w: %d tasks run; controllers %+v", err, g.check.CountOnMachines(), before)
 	}
 	var copies *copying
 	if o.Copy {
@@ -114,7 +114,7 @@
 		defer copies.close()
 	}
 	wait.For(ctx, 10*time.Second)
-	m = &Measured{On: [2]int{g.check.On(), 0}}
+	m = &Measured{On: [2]int{g.check.CountOnMachines(), 0}}
 	started := g.check.Starts()
 	for i := range o.Gone {
 		g.kill(i)
@@ -125,7 +125,7 @@
 			spent[i], _ = p.used()
 		}
 	}
-	refused := g.state.Refused()
+	refused := g.state.CountRefused()
 	g.state.LoseAll()
 	began := time.Now()
 	if o.Copy && o.Gone == len(g.nodes) {
@@ -153,7 +153,7 @@
 	}
 	forgotten := o.Gone == len(g.nodes) && !o.Copy
 	late := job(400000)
-	g.check.Submitting(late)
+	g.check.RecordSubmission(late)
 	err = g.steady(ctx, func(v []storeView) bool {
 		noticed, entered, written := false, len(v) > 0, len(v) == 3
 		for _, x := range v {
@@ -173,7 +173,7 @@
 			return status == 201 || status == 200
 		})
 		first(&m.Started, func() bool { return g.check.Starts() > started })
-		first(&m.Written, func() bool { return written && (g.state.Keys("w/e/") > 0 || o.Ends == 0 || forgotten) })
+		first(&m.Written, func() bool { return written && (g.state.CountKeys("w/e/") > 0 || o.Ends == 0 || forgotten) })
 		return m.Noticed > 0 && m.Entered > 0 && (m.Polled > 0 || forgotten) && m.Taken > 0 && m.Started > 0 && m.Written > 0
 	})
 	for i, p := range g.nodes {
@@ -183,9 +183,9 @@
 		}
 		m.CPU = append(m.CPU, cpu-spent[i])
 	}
-	m.Refused = g.state.Refused() - refused
+	m.Refused = g.state.CountRefused() - refused
 	m.Changes, m.Bytes = g.state.Size()
-	m.On[1], m.Broken = g.check.On(), g.check.Rules()
+	m.On[1], m.Broken = g.check.CountOnMachines(), g.check.BrokenRules()
 	return m, err
 }
 
--- a/internal/faultinjection/meetings.go
+++ b/internal/faultinjection/meetings.go
@@ -85,7 +85,7 @@
 			return err
 		}
 	}
-	if err := g.until(ctx, "tasks run", func() bool { return g.check.On() > 6 }); err != nil {
+	if err := g.until(ctx, "tasks run", func() bool { return g.check.CountOnMachines() > 6 }); err != nil {
 		return err
 	}
 	if err := m.trouble(ctx, t); err != nil {
@@ -96,7 +96,7 @@
 		return err
 	}
 	t.Settled = time.Since(began)
-	if err := g.until(ctx, "nothing is left on machines", func() bool { return g.check.On() == 0 }); err != nil {
+	if err := g.until(ctx, "nothing is left on machines", func() bool { return g.check.CountOnMachines() == 0 }); err != nil {
 		return err
 	}
 	if found := history.Check(m.users.Log().Calls()); len(found) > 0 {
@@ -171,8 +171,8 @@
 	if err := m.repeat(ctx, job.UID+" cancelled", func(ctx context.Context) bool { return m.users.CancelUntil(ctx, m.draws(user), job.UID) }); err != nil {
 		return err
 	}
-	m.users.LookClosely(job, closeLooks)
-	m.users.LookClosely(m.short[user], closeLooks)
+	m.users.AskEveryController(job, closeLooks)
+	m.users.AskEveryController(m.short[user], closeLooks)
 	return nil
 }
 
@@ -184,10 +184,10 @@
 	}
 	for i, job := range append(append(m.short, late), m.long...) {
 		rng := m.draws(uint64(20 + i))
-		if err := m.repeat(ctx, job.UID+" ends", func(ctx context.Context) bool { return m.users.EndUntil(ctx, rng, job.UID) }); err != nil {
+		if err := m.repeat(ctx, job.UID+" ends", func(ctx context.Context) bool { return m.users.AwaitEnd(ctx, rng, job.UID) }); err != nil {
 			return err
 		}
-		m.users.LookClosely(job, 1)
+		m.users.AskEveryController(job, 1)
 	}
 	return nil
 }
--- a/internal/faultinjection/overload.go
+++ b/internal/faultinjection/overload.go
@@ -108,7 +108,7 @@
 	t.Crowd = 2 + 2*rng.Float64()
 	rate := t.Crowd * cpus / 24 // jobs of 12 tasks of a CPU and two seconds
 	t.Wanted = map[string]float64{small: t.Crowd * cpus, large: 6 * 6 * 3 / 2}
-	saved := g.state.Save()
+	saved := g.state.Snapshot()
 	var jobs []*protocol.Submission
 	var mu sync.Mutex
 	users, failed := sync.WaitGroup{}, make(chan error, 1)
@@ -124,10 +124,10 @@
 		users.Add(1)
 		go func() {
 			defer users.Done()
-			g.check.Submitting(s)
+			g.check.RecordSubmission(s)
 			for end := time.Now().Add(60 * time.Second); ; {
 				status, st := own.ask("POST", protocol.PathSubmit, s)
-				g.check.Told(s.UID, status, st.State, false)
+				g.check.RecordAnswer(s.UID, status, st.State, false)
 				if status == 200 || status == 201 {
 					return
 				}
@@ -163,7 +163,7 @@
 			}
 			over = time.Since(began)
 		}
-		t.samples = append(t.samples, sample{passed, g.check.Using()})
+		t.samples = append(t.samples, sample{passed, g.check.CPUsByClass()})
 		if !wait.For(ctx, 100*time.Millisecond) {
 			return ctx.Err()
 		}
@@ -189,7 +189,7 @@
 	return nil
 }
 
-func (g *lossRegion) strike(ctx context.Context, rng *rand.Rand, trouble string, saved simulation.Saved) error {
+func (g *lossRegion) strike(ctx context.Context, rng *rand.Rand, trouble string, saved simulation.StoreSnapshot) error {
 	switch trouble {
 	case "one ends":
 		i := rng.IntN(len(g.nodes))
@@ -205,11 +205,11 @@
 			}
 		}
 	case "outage":
-		g.state.Outage(true)
+		g.state.SetOutage(true)
 		wait.For(ctx, 3*time.Second)
-		g.state.Outage(false)
+		g.state.SetOutage(false)
 	case "goes back":
-		g.state.Back(saved)
+		g.state.RollBack(saved)
 	}
 	return nil
 }
--- a/internal/faultinjection/troubles.go
+++ b/internal/faultinjection/troubles.go
@@ -18,37 +18,37 @@
 	play func(ctx context.Context, g *lossRegion, rng *rand.Rand, one int, lasts time.Duration) error
 }{
 	{"refused", func(ctx context.Context, g *lossRegion, _ *rand.Rand, one int, lasts time.Duration) error {
-		g.doors[one].Refuse(true)
-		defer g.doors[one].Refuse(false)
+		g.doors[one].RefuseAll(true)
+		defer g.doors[one].RefuseAll(false)
 		wait.For(ctx, lasts)
 		return nil
 	}},
 	{"no state, no peers", func(ctx context.Context, g *lossRegion, _ *rand.Rand, one int, lasts time.Duration) error {
-		g.doors[one].Refuse(true)
-		g.pipes.Apart(one, true)
-		defer g.doors[one].Refuse(false)
-		defer g.pipes.Apart(one, false)
+		g.doors[one].RefuseAll(true)
+		g.pipes.Isolate(one, true)
+		defer g.doors[one].RefuseAll(false)
+		defer g.pipes.Isolate(one, false)
 		wait.For(ctx, lasts)
 		return nil
 	}},
 	{"links refused", func(ctx context.Context, g *lossRegion, _ *rand.Rand, _ int, lasts time.Duration) error {
 		for i := range g.nodes {
-			g.pipes.Apart(i, true)
-			defer g.pipes.Apart(i, false)
+			g.pipes.Isolate(i, true)
+			defer g.pipes.Isolate(i, false)
 		}
 		wait.For(ctx, lasts)
 		return nil
 	}},
 	{"outage", func(ctx context.Context, g *lossRegion, _ *rand.Rand, _ int, lasts time.Duration) error {
-		g.state.Outage(true)
-		defer g.state.Outage(false)
+		g.state.SetOutage(true)
+		defer g.state.SetOutage(false)
 		wait.For(ctx, 2*lasts)
 		return nil
 	}},
 	{"late writes", func(ctx context.Context, g *lossRegion, rng *rand.Rand, _ int, lasts time.Duration) error {
 		var mu sync.Mutex
 		for _, d := range g.doors {
-			d.Late(func() time.Duration {
+			d.DelayTransactions(func() time.Duration {
 				mu.Lock()
 				defer mu.Unlock()
 				if rng.IntN(3) > 0 {
@@ -56,20 +56,20 @@
 				}
 				return time.Duration(200+rng.IntN(6000)) * time.Millisecond
 			})
-			defer d.Late(nil)
+			defer d.DelayTransactions(nil)
 		}
 		wait.For(ctx, lasts)
 		return nil
 	}},
 	{"late reports", func(ctx context.Context, g *lossRegion, rng *rand.Rand, _ int, lasts time.Duration) error {
 		var mu sync.Mutex
-		for _, w := range g.cloud.Workers() {
-			w.Again(func() time.Duration {
+		for _, w := range g.cloud.Agents() {
+			w.RepeatHeartbeats(func() time.Duration {
 				mu.Lock()
 				defer mu.Unlock()
 				return time.Duration(rng.IntN(2)*(500+rng.IntN(7000))) * time.Millisecond
 			})
-			defer w.Again(nil)
+			defer w.RepeatHeartbeats(nil)
 		}
 		wait.For(ctx, lasts)
 		return nil
@@ -77,57 +77,57 @@
 	{"lost answers", func(ctx context.Context, g *lossRegion, rng *rand.Rand, _ int, lasts time.Duration) error {
 		drawn := oneInTurn(rng, 4)
 		for _, d := range g.doors {
-			d.Unanswered(func(*protocol.Txn) bool { return drawn() })
-			defer d.Unanswered(nil)
+			d.DropAnswers(func(*protocol.Txn) bool { return drawn() })
+			defer d.DropAnswers(nil)
 		}
 		wait.For(ctx, lasts)
 		return nil
 	}},
 	{"late commands", func(ctx context.Context, g *lossRegion, rng *rand.Rand, _ int, lasts time.Duration) error {
 		drawn, held := oneInTurn(rng, 2), time.Duration(500+rng.IntN(5000))*time.Millisecond
-		for _, w := range g.cloud.Workers() {
-			w.SlowCommands(func(*protocol.DirectCommands) time.Duration {
+		for _, w := range g.cloud.Agents() {
+			w.DelayCommands(func(*protocol.DirectCommands) time.Duration {
 				if drawn() {
 					return held
 				}
 				return 0
 			})
-			defer w.SlowCommands(nil)
+			defer w.DelayCommands(nil)
 		}
 		wait.For(ctx, lasts)
 		return nil
 	}},
 	{"reports for the next leader", func(ctx context.Context, g *lossRegion, rng *rand.Rand, one int, _ time.Duration) error {
-		machines := g.cloud.Workers()
+		machines := g.cloud.Agents()
 		for _, w := range machines {
-			w.KeepCopies(true)
-			w.HoldReports(rng.IntN(3))
+			w.CopyHeartbeats(true)
+			w.HoldHeartbeats(rng.IntN(3))
 		}
 		wait.For(ctx, time.Duration(1000+rng.IntN(2000))*time.Millisecond)
 		g.kill(one)
 		wait.For(ctx, time.Duration(1500+rng.IntN(3000))*time.Millisecond)
 		for _, w := range machines {
-			w.KeepCopies(false)
-			w.HoldReports(0)
-			w.Deliver(regionNames...)
+			w.CopyHeartbeats(false)
+			w.HoldHeartbeats(0)
+			w.DeliverHeld(regionNames...)
 		}
 		return g.start(one)
 	}},
-	{"mute machine", onMachine(func(w *simulation.Worker, _ int, on bool) { w.Mute(on) })},
-	{"machine hangs", onMachine(func(w *simulation.Worker, _ int, on bool) { w.Hang(on) })},
+	{"mute machine", onMachine(func(w *simulation.Agent, _ int, on bool) { w.DropHeartbeats(on) })},
+	{"machine hangs", onMachine(func(w *simulation.Agent, _ int, on bool) { w.Hang(on) })},
 	{"machine gone", func(_ context.Context, g *lossRegion, rng *rand.Rand, _ int, _ time.Duration) error {
-		if ws := g.cloud.Workers(); len(ws) > 0 {
-			g.cloud.Take(ws[rng.IntN(len(ws))].Name())
+		if ws := g.cloud.Agents(); len(ws) > 0 {
+			g.cloud.TakeMachine(ws[rng.IntN(len(ws))].Name())
 		}
 		return nil
 	}},
-	{"deaf machine", onMachine(func(w *simulation.Worker, _ int, on bool) { w.Deaf(on) })},
-	{"machine cut", onMachine(func(w *simulation.Worker, _ int, on bool) { w.Cut(on) })},
-	{"machine heard by one only", onMachine(func(w *simulation.Worker, one int, on bool) {
+	{"deaf machine", onMachine(func(w *simulation.Agent, _ int, on bool) { w.DropAnswers(on) })},
+	{"machine cut", onMachine(func(w *simulation.Agent, _ int, on bool) { w.DisconnectNetwork(on) })},
+	{"machine heard by one only", onMachine(func(w *simulation.Agent, one int, on bool) {
 		if on {
-			w.Reach(regionNames[one])
+			w.LimitReach(regionNames[one])
 		} else {
-			w.Reach()
+			w.LimitReach()
 		}
 	})},
 	{"one ends", func(ctx context.Context, g *lossRegion, rng *rand.Rand, one int, _ time.Duration) error {
@@ -170,9 +170,9 @@
 }
 
 // onMachine is a trouble of one drawn machine, if there is any.
-func onMachine(set func(w *simulation.Worker, one int, on bool)) func(context.Context, *lossRegion, *rand.Rand, int, time.Duration) error {
+func onMachine(set func(w *simulation.Agent, one int, on bool)) func(context.Context, *lossRegion, *rand.Rand, int, time.Duration) error {
 	return func(ctx context.Context, g *lossRegion, rng *rand.Rand, one int, lasts time.Duration) error {
-		if ws := g.cloud.Workers(); len(ws) > 0 {
+		if ws := g.cloud.Agents(); len(ws) > 0 {
 			w := ws[rng.IntN(len(ws))]
 			set(w, one, true)
 			defer set(w, one, false)
--- a/internal/kvstore/kvstore_test.go
+++ b/internal/kvstore/kvstore_test.go
@@ -17,7 +17,7 @@
 // TestSharedCommits: updates that share a transaction succeed or fail alone. A
 // conflict of one must not fail or repeat another, and no update is lost.
 func TestSharedCommits(t *testing.T) {
-	srv, err := simulation.NewState(8, 16)
+	srv, err := simulation.NewKVStore(8, 16)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -51,7 +51,7 @@
 	if err != nil || len(entries) != len(errs) {
 		t.Fatalf("%d keys, %v", len(entries), err)
 	}
-	srv.Outage(true)
+	srv.SetOutage(true)
 	if _, err := c.Commit(ctx, set("k/new")); !errors.Is(err, kvstore.ErrRefused) {
 		t.Fatalf("in an outage: %v", err)
 	}
@@ -61,7 +61,7 @@
 // another one that the update rests on. Taking a changed control record for a lost job once
 // stopped a whole deployment for as long as jobs ended.
 func TestConflictNamesItsKeys(t *testing.T) {
-	s, err := simulation.NewState(16, 16)
+	s, err := simulation.NewKVStore(16, 16)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/loadtest/region.go
+++ b/internal/loadtest/region.go
@@ -65,7 +65,7 @@
 type region struct {
 	c           *Config
 	o           Options
-	state       *simulation.State
+	state       *simulation.KVStore
 	cloud       *cloud
 	traffic     *traffic
 	lines       []*lineCounter
@@ -101,10 +101,10 @@
 // open starts everything.
 func (g *region) open(ctx context.Context) error {
 	var err error
-	if g.state, err = simulation.NewState(g.c.Store.TxnOps, int(g.c.Store.ValueKB)); err != nil {
+	if g.state, err = simulation.NewKVStore(g.c.Store.TxnOps, int(g.c.Store.ValueKB)); err != nil {
 		return err
 	}
-	g.state.Limit(g.c.Store.RPS, g.c.Store.WriteRPS)
+	g.state.LimitRates(g.c.Store.RPS, g.c.Store.WriteRPS)
 	host := simulation.NewHost()
 	for i := range g.c.Controllers {
 		x := &controller{name: fmt.Sprintf("controller-%02d", i), config: filepath.Join(g.o.Dir, fmt.Sprintf("controller-%02d.json", i)),
@@ -158,7 +158,7 @@
 // configure writes a controller's settings.
 func (g *region) configure(i int) error {
 	x := g.controllers[i]
-	door, err := g.state.DoorVia(g.traffic.countStore)
+	door, err := g.state.NewEndpointVia(g.traffic.countStore)
 	if err != nil {
 		return err
 	}
--- a/internal/loadtest/run.go
+++ b/internal/loadtest/run.go
@@ -248,7 +248,7 @@
 	r.WorkerBytes = float64(bytes) / r.Measured / float64(x.c.Workers)
 	r.Homed, r.Running = g.reached()
 	r.Polls, r.UsersRetried, r.NotSubmitted = float64(x.u.polls.Load()-x.polls)/r.Measured, x.u.failed.Load(), x.u.left.Load()
-	r.StoreRefused = g.state.Refused()
+	r.StoreRefused = g.state.CountRefused()
 	g.cloud.mu.Lock()
 	r.MachinesTaken = g.cloud.returned
 	g.cloud.mu.Unlock()
--- a/internal/simulation/worker.go
+++ b/internal/simulation/agent.go
@@ -14,22 +14,22 @@
 	"topazhollow/internal/settings"
 )
 
-// Periods are a worker's times.
+// Periods are an agent's times.
 type Periods struct {
-	Report, Lease time.Duration
-	Run           func(task string) time.Duration
+	Heartbeat, Lease time.Duration
+	Run              func(task string) time.Duration
 	// Exec, if given, is what a task does instead of waiting for Run's time; it says
 	// whether it completed. Its context ends when the task is stopped or lost.
 	Exec func(ctx context.Context, machine string, session uint64, task string, attempt uint64) (done bool)
 }
 
-// Worker is a stand-in for a machine's worker.
-type Worker struct {
+// Agent is a stand-in for a machine's agent.
+type Agent struct {
 	name, typ, zone string
 	spot            bool
 	nodes           map[string]string // controller -> address
 	order           []string
-	per             Periods
+	periods         Periods
 	check           *Checker
 	server          *http.Server
 	addr            string
@@ -48,9 +48,9 @@
 	stops   map[string]context.CancelFunc // of what runs for real
 }
 
-// NewWorker starts a worker that reports to one of the controllers.
-func NewWorker(name, typ, zone string, spot bool, nodes map[string]string, order []string, per Periods, check *Checker) (*Worker, error) {
-	w := &Worker{name: name, typ: typ, zone: zone, spot: spot, nodes: nodes, order: order, per: per, check: check,
+// NewAgent starts an agent that reports to one of the controllers.
+func NewAgent(name, typ, zone string, spot bool, nodes map[string]string, order []string, per Periods, check *Checker) (*Agent, error) {
+	w := &Agent{name: name, typ: typ, zone: zone, spot: spot, nodes: nodes, order: order, periods: per, check: check,
 		session: 1, tasks: map[string]*protocol.TaskStatus{}, ended: map[string]bool{}, alive: time.Now(),
 		timers: map[string]*time.Timer{}, stops: map[string]context.CancelFunc{}, wake: make(chan struct{}, 1)}
 	l, err := net.Listen("tcp4", "127.0.0.1:0")
@@ -59,8 +59,8 @@
 	}
 	w.addr = l.Addr().String()
 	mux := http.NewServeMux()
-	mux.HandleFunc("POST /do", w.do)
-	mux.HandleFunc("GET "+protocol.PathInspect, w.inspect)
+	mux.HandleFunc("POST /do", w.handleCommands)
+	mux.HandleFunc("GET "+protocol.PathInspect, w.handleInspect)
 	w.server = &http.Server{Handler: mux}
 	go w.server.Serve(l)
 	ctx, cancel := context.WithCancel(context.Background())
@@ -71,24 +71,24 @@
 }
 
 // Name is the machine's name.
-func (w *Worker) Name() string { return w.name }
+func (w *Agent) Name() string { return w.name }
 
 // Place gives the machine's zone and whether it is a spot machine.
-func (w *Worker) Place() (zone string, spot bool) { return w.zone, w.spot }
+func (w *Agent) Place() (zone string, spot bool) { return w.zone, w.spot }
 
-// Addr is where the worker takes commands.
-func (w *Worker) Addr() string { return w.addr }
+// Addr is where the agent takes commands.
+func (w *Agent) Addr() string { return w.addr }
 
-// Expire begins the next session, as a worker does whose lease ended.
-func (w *Worker) Expire() {
+// BeginIncarnation begins the next session, as an agent does whose lease ended.
+func (w *Agent) BeginIncarnation() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.killAll()
 	w.session++
 }
 
-// Running lists the tasks on the machine.
-func (w *Worker) Running() (tasks []string) {
+// RunningTasks lists the tasks on the machine.
+func (w *Agent) RunningTasks() (tasks []string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	for task, t := range w.tasks {
@@ -99,8 +99,8 @@
 	return tasks
 }
 
-// End takes the machine away with everything on it.
-func (w *Worker) End() {
+// RemoveMachine takes the machine away with everything on it.
+func (w *Agent) RemoveMachine() {
 	w.stop()
 	w.server.Close()
 	w.mu.Lock()
@@ -109,10 +109,10 @@
 	w.faults.gone = true
 }
 
-func (w *Worker) killAll() {
+func (w *Agent) killAll() {
 	for task, t := range w.tasks {
 		if t.State != protocol.Exited {
-			w.check.End(task, false)
+			w.check.RecordEnd(task, false)
 		}
 		if timer := w.timers[task]; timer != nil {
 			timer.Stop()
@@ -124,7 +124,7 @@
 	w.tasks = map[string]*protocol.TaskStatus{}
 }
 
-func (w *Worker) report() protocol.Heartbeat {
+func (w *Agent) heartbeat() protocol.Heartbeat {
 	w.seq++
 	r := protocol.Heartbeat{Machine: w.name, Addr: w.addr, Type: w.typ, Zone: w.zone, Spot: w.spot, Incarnation: w.session, Seq: w.seq, FencingToken: w.token, Tasks: []protocol.TaskStatus{}}
 	if w.faults.taken > 0 {
@@ -136,7 +136,7 @@
 	return r
 }
 
-func (w *Worker) do(rw http.ResponseWriter, r *http.Request) {
+func (w *Agent) handleCommands(rw http.ResponseWriter, r *http.Request) {
 	var d protocol.DirectCommands
 	if !read(r, &d) || d.FencingToken == 0 {
 		reply(rw, 400, protocol.Error{Error: "malformed"})
@@ -150,15 +150,15 @@
 	if w.faults.unreached() {
 		panic(http.ErrAbortHandler)
 	}
-	if !w.obey(&d) {
-		reply(rw, 409, w.report())
+	if !w.applyCommands(&d) {
+		reply(rw, 409, w.heartbeat())
 		return
 	}
-	reply(rw, 200, w.report())
+	reply(rw, 200, w.heartbeat())
 }
 
 // obey executes direct commands if their token and session match.
-func (w *Worker) obey(d *protocol.DirectCommands) bool {
+func (w *Agent) applyCommands(d *protocol.DirectCommands) bool {
 	if d.FencingToken < w.token || d.Incarnation != w.session {
 		return false
 	}
@@ -167,8 +167,8 @@
 	return true
 }
 
-func (w *Worker) inspect(rw http.ResponseWriter, r *http.Request) {
-	if w.hangs() {
+func (w *Agent) handleInspect(rw http.ResponseWriter, r *http.Request) {
+	if w.isHanging() {
 		giveNoAnswer(r)
 	}
 	w.mu.Lock()
@@ -176,10 +176,10 @@
 	if w.faults.unreached() {
 		panic(http.ErrAbortHandler)
 	}
-	reply(rw, 200, w.report())
+	reply(rw, 200, w.heartbeat())
 }
 
-func (w *Worker) execute(cmds []protocol.Command) {
+func (w *Agent) execute(cmds []protocol.Command) {
 	for _, c := range cmds {
 		t := w.tasks[c.Task]
 		switch c.Op {
@@ -193,7 +193,7 @@
 				w.tasks[c.Task] = &protocol.TaskStatus{Task: c.Task, Attempt: c.Attempt, State: protocol.Exited, Reason: protocol.ReasonNoSuch}
 			default:
 				w.tasks[c.Task] = &protocol.TaskStatus{Task: c.Task, Attempt: c.Attempt, State: protocol.Running}
-				w.check.Start(c.Task, w.name, w.typ, w.zone, w.spot)
+				w.check.RecordStart(c.Task, w.name, w.typ, w.zone, w.spot)
 				w.finishLater(c.Task, c.Attempt)
 			}
 		case protocol.Stop:
@@ -210,7 +210,7 @@
 
 // stopTask ends a task, or has it save first if it can and is given the time. A task that saves ends at once by a
 // second stop without grace.
-func (w *Worker) stopTask(t *protocol.TaskStatus, grace *float64) {
+func (w *Agent) stopTask(t *protocol.TaskStatus, grace *float64) {
 	given := 0.0
 	if grace != nil {
 		given = *grace
@@ -228,7 +228,7 @@
 }
 
 // save has a task save its progress, after which it exits.
-func (w *Worker) save(t *protocol.TaskStatus, takes time.Duration) {
+func (w *Agent) save(t *protocol.TaskStatus, takes time.Duration) {
 	t.State = protocol.Saving
 	if timer := w.timers[t.Task]; timer != nil {
 		timer.Stop()
@@ -243,7 +243,7 @@
 
 // after does something with an attempt after a time, unless it is gone by then. A machine that hangs does it once
 // it goes on.
-func (w *Worker) after(task string, attempt uint64, passes time.Duration, do func(t *protocol.TaskStatus)) {
+func (w *Agent) after(task string, attempt uint64, passes time.Duration, do func(t *protocol.TaskStatus)) {
 	w.timers[task] = time.AfterFunc(passes, func() {
 		w.mu.Lock()
 		defer w.mu.Unlock()
@@ -258,9 +258,9 @@
 	})
 }
 
-func (w *Worker) exit(t *protocol.TaskStatus, why protocol.ExitReason) {
+func (w *Agent) exit(t *protocol.TaskStatus, why protocol.ExitReason) {
 	t.State, t.Reason = protocol.Exited, why
-	w.check.End(t.Task, why == protocol.ReasonDone)
+	w.check.RecordEnd(t.Task, why == protocol.ReasonDone)
 	if timer := w.timers[t.Task]; timer != nil {
 		timer.Stop()
 	}
@@ -273,14 +273,14 @@
 	}
 }
 
-func (w *Worker) finishLater(task string, attempt uint64) {
-	if w.per.Exec != nil {
+func (w *Agent) finishLater(task string, attempt uint64) {
+	if w.periods.Exec != nil {
 		ctx, stop := context.WithCancel(context.Background())
 		w.stops[task] = stop
 		session := w.session
 		go func() {
 			defer stop()
-			done := w.per.Exec(ctx, w.name, session, task, attempt)
+			done := w.periods.Exec(ctx, w.name, session, task, attempt)
 			w.mu.Lock()
 			defer w.mu.Unlock()
 			if t := w.tasks[task]; t != nil && t.Attempt == attempt && t.State == protocol.Running && w.session == session {
@@ -293,7 +293,7 @@
 		}()
 		return
 	}
-	run := w.per.Run(task)
+	run := w.periods.Run(task)
 	if w.ended[task] {
 		run = 0
 	}
@@ -306,14 +306,14 @@
 }
 
 // run sends reports to one controller after the other until one answers, and stays there.
-func (w *Worker) run(ctx context.Context) {
+func (w *Agent) run(ctx context.Context) {
 	client := &http.Client{Timeout: 2 * time.Second, Transport: &http.Transport{}}
 	defer client.CloseIdleConnections()
 	at := 0
 	for ctx.Err() == nil {
 		next := hungStep
-		if !w.hangs() {
-			at, next = w.reportOnce(client, at)
+		if !w.isHanging() {
+			at, next = w.sendHeartbeat(client, at)
 		}
 		select {
 		case <-time.After(next):
@@ -325,11 +325,11 @@
 }
 
 // reportOnce sends one report to a controller, by its index, and gives to whom and when the next one goes.
-func (w *Worker) reportOnce(client *http.Client, at int) (to int, next time.Duration) {
+func (w *Agent) sendHeartbeat(client *http.Client, at int) (to int, next time.Duration) {
 	node := w.order[at]
 	sent := time.Now()
-	body, session, arrives := w.nextReport(client, node)
-	to, next = (at+1)%len(w.order), w.per.Report
+	body, session, arrives := w.nextHeartbeat(client, node)
+	to, next = (at+1)%len(w.order), w.periods.Heartbeat
 	if !arrives {
 		return to, next
 	}
@@ -339,7 +339,7 @@
 	}
 	defer resp.Body.Close()
 	switch {
-	case !w.hears():
+	case !w.receives():
 	case resp.StatusCode == http.StatusOK:
 		var a protocol.HeartbeatAnswer
 		_ = json.NewDecoder(resp.Body).Decode(&a) // without a token it is dropped
@@ -356,7 +356,7 @@
 }
 
 // takeAnswer renews the lease and executes commands, unless the answer is to be dropped.
-func (w *Worker) takeAnswer(a *protocol.HeartbeatAnswer, session uint64, sent time.Time) {
+func (w *Agent) takeAnswer(a *protocol.HeartbeatAnswer, session uint64, sent time.Time) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if a.FencingToken >= w.token && a.FencingToken > 0 && w.session == session && !w.faults.cut {
@@ -367,7 +367,7 @@
 }
 
 // watchLease ends all tasks and the session once the last answered report was sent too long ago.
-func (w *Worker) watchLease(ctx context.Context) {
+func (w *Agent) watchLease(ctx context.Context) {
 	tick := time.NewTicker(20 * time.Millisecond)
 	defer tick.Stop()
 	for ctx.Err() == nil {
@@ -379,10 +379,10 @@
 	}
 }
 
-func (w *Worker) checkLease() {
+func (w *Agent) checkLease() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if time.Since(w.alive) > w.per.Lease && !w.faults.gone {
+	if time.Since(w.alive) > w.periods.Lease && !w.faults.gone {
 		w.killAll()
 		w.session++
 		w.alive = time.Now()
--- a/internal/simulation/check.go
+++ b/internal/simulation/check.go
@@ -16,7 +16,7 @@
 
 	mu      sync.Mutex
 	limits  map[string]float64 // CPUs by team
-	jobs    map[string]*truth
+	jobs    map[string]*jobRecord
 	on      map[string]place // what is on machines, by task
 	Broken  []string
 	Started int
@@ -27,7 +27,7 @@
 	machine, zone string
 }
 
-type truth struct {
+type jobRecord struct {
 	spec      *protocol.Submission
 	accepted  bool
 	final     protocol.JobState // as a user was told
@@ -39,38 +39,38 @@
 
 // NewChecker is a checker with the teams' limits.
 func NewChecker(limits map[string]float64) *Checker {
-	return &Checker{limits: limits, jobs: map[string]*truth{}, on: map[string]place{}}
+	return &Checker{limits: limits, jobs: map[string]*jobRecord{}, on: map[string]place{}}
 }
 
-func (c *Checker) fault(rule, format string, args ...any) {
+func (c *Checker) breakRule(rule, format string, args ...any) {
 	c.Broken = append(c.Broken, rule+": "+fmt.Sprintf(format, args...))
 }
 
-// Rules gives the rules broken so far.
-func (c *Checker) Rules() []string {
+// BrokenRules gives the rules broken so far.
+func (c *Checker) BrokenRules() []string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for task, at := range c.on {
 		uid, _, _ := protocol.SplitTask(task)
 		if t := c.jobs[uid]; t != nil && c.late(t) && !t.overdue {
 			t.overdue = true
-			c.fault("ran_cancelled", "%s is on %s", task, at.machine)
+			c.breakRule("ran_cancelled", "%s is on %s", task, at.machine)
 		}
 	}
 	return append([]string(nil), c.Broken...)
 }
 
 // late says whether a job was withdrawn so long ago that no task of it may be on a machine.
-func (c *Checker) late(t *truth) bool {
+func (c *Checker) late(t *jobRecord) bool {
 	return c.Cancel > 0 && t.final == protocol.Cancelled && time.Since(t.told) > c.Cancel
 }
 
-// Submitting notes that a user is about to submit a job.
-func (c *Checker) Submitting(spec *protocol.Submission) {
+// RecordSubmission notes that a user is about to submit a job.
+func (c *Checker) RecordSubmission(spec *protocol.Submission) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.jobs[spec.UID] == nil {
-		c.jobs[spec.UID] = &truth{spec: spec, done: map[int]bool{}}
+		c.jobs[spec.UID] = &jobRecord{spec: spec, done: map[int]bool{}}
 	}
 }
 
@@ -84,60 +84,60 @@
 	return nil
 }
 
-// Known is what users had been told of a job when a request was sent; only that binds its answer.
-type Known struct {
+// KnownAnswer is what users had been told of a job when a request was sent; only that binds its answer.
+type KnownAnswer struct {
 	accepted bool
 	final    protocol.JobState
 }
 
-// Asking gives what users were told of a job so far, for the answer to a request that is sent now.
-func (c *Checker) Asking(uid string) Known {
+// KnownSoFar gives what users were told of a job so far, for the answer to a request that is sent now.
+func (c *Checker) KnownSoFar(uid string) KnownAnswer {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.known(uid)
 }
 
-func (c *Checker) known(uid string) Known {
+func (c *Checker) known(uid string) KnownAnswer {
 	t := c.jobs[uid]
 	if t == nil {
-		return Known{}
+		return KnownAnswer{}
 	}
-	return Known{accepted: t.accepted, final: t.final}
+	return KnownAnswer{accepted: t.accepted, final: t.final}
 }
 
-// Told notes what a user was told of a job by a status code and a state, in answer to a request that no other one
+// RecordAnswer notes what a user was told of a job by a status code and a state, in answer to a request that no other one
 // about the job overlapped.
-func (c *Checker) Told(uid string, status int, state protocol.JobState, repeat bool) {
+func (c *Checker) RecordAnswer(uid string, status int, state protocol.JobState, repeat bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.answered(uid, c.known(uid), status, state, repeat)
 }
 
-// Answered is Told for requests that may overlap: before is what Asking gave when this one was sent.
-func (c *Checker) Answered(uid string, before Known, status int, state protocol.JobState, repeat bool) {
+// RecordOverlappingAnswer is Told for requests that may overlap: before is what Asking gave when this one was sent.
+func (c *Checker) RecordOverlappingAnswer(uid string, before KnownAnswer, status int, state protocol.JobState, repeat bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.answered(uid, before, status, state, repeat)
 }
 
-func (c *Checker) answered(uid string, before Known, status int, state protocol.JobState, repeat bool) {
+func (c *Checker) answered(uid string, before KnownAnswer, status int, state protocol.JobState, repeat bool) {
 	final := state == protocol.Done || state == protocol.Cancelled
 	t := c.jobs[uid]
 	switch {
 	case t == nil && status == 200:
-		c.fault("invented", "%s", uid)
+		c.breakRule("invented", "%s", uid)
 		return
 	case t == nil:
 		return
 	case status == 404 && before.accepted, repeat && before.accepted && (status == 400 || status == 422):
-		c.fault("forgotten", "%s got %d", uid, status)
+		c.breakRule("forgotten", "%s got %d", uid, status)
 	case status == 200 || status == 201:
 		t.accepted = true
 		if before.final != "" && state != before.final || final && t.final != "" && state != t.final {
-			c.fault("went_back", "%s: %s after %s", uid, state, t.final)
+			c.breakRule("went_back", "%s: %s after %s", uid, state, t.final)
 		}
 		if state == protocol.Cancelled && !t.withdrawn {
-			c.fault("went_back", "%s withdrawn, but not by its user", uid)
+			c.breakRule("went_back", "%s withdrawn, but not by its user", uid)
 		}
 		if final {
 			if t.final == "" {
@@ -146,13 +146,13 @@
 			t.final = state
 		}
 		if state == protocol.Done && len(t.done) < t.spec.Tasks {
-			c.fault("not_done", "%s: %d of %d tasks", uid, len(t.done), t.spec.Tasks)
+			c.breakRule("not_done", "%s: %d of %d tasks", uid, len(t.done), t.spec.Tasks)
 		}
 	}
 }
 
-// Withdrawing notes that a job's user asks to cancel it.
-func (c *Checker) Withdrawing(uid string) {
+// RecordCancellation notes that a job's user asks to cancel it.
+func (c *Checker) RecordCancellation(uid string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if t := c.jobs[uid]; t != nil {
@@ -160,26 +160,26 @@
 	}
 }
 
-// Start notes that a task got onto a machine.
-func (c *Checker) Start(task, machine, typ, zone string, spot bool) {
+// RecordStart notes that a task got onto a machine.
+func (c *Checker) RecordStart(task, machine, typ, zone string, spot bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.Started++
 	uid, _, _ := protocol.SplitTask(task)
 	t := c.jobs[uid]
 	if other, there := c.on[task]; there {
-		c.fault("ran_twice", "%s on %s and %s", task, other.machine, machine)
+		c.breakRule("ran_twice", "%s on %s and %s", task, other.machine, machine)
 	}
 	c.on[task] = place{machine, zone}
 	if t == nil {
-		c.fault("invented", "%s runs", task)
+		c.breakRule("invented", "%s runs", task)
 		return
 	}
 	if c.late(t) {
-		c.fault("ran_cancelled", "%s on %s", task, machine)
+		c.breakRule("ran_cancelled", "%s on %s", task, machine)
 	}
 	if (spot && !t.spec.Spot) || (t.spec.Zone != nil && *t.spec.Zone != zone) || (t.spec.Types != nil && !contains(t.spec.Types, typ)) {
-		c.fault("wrong_place", "%s on %s", task, machine)
+		c.breakRule("wrong_place", "%s on %s", task, machine)
 	}
 	c.checkZones(t.spec, zone)
 	used := 0.0
@@ -190,7 +190,7 @@
 		}
 	}
 	if used > c.limits[t.spec.Team]+1e-6 {
-		c.fault("quota", "%s uses %g", t.spec.Team, used)
+		c.breakRule("quota", "%s uses %g", t.spec.Team, used)
 	}
 }
 
@@ -203,10 +203,10 @@
 		}
 	}
 	if spec.OneZone && len(zones) > 1 {
-		c.fault("wrong_place", "%s is in %d zones at a time", spec.UID, len(zones))
+		c.breakRule("wrong_place", "%s is in %d zones at a time", spec.UID, len(zones))
 	}
 	if most := (spec.Tasks + 1) / 2; spec.Spread && zones[zone] > most {
-		c.fault("wrong_place", "%s has %d of %d tasks in one zone", spec.UID, zones[zone], spec.Tasks)
+		c.breakRule("wrong_place", "%s has %d of %d tasks in one zone", spec.UID, zones[zone], spec.Tasks)
 	}
 }
 
@@ -219,8 +219,8 @@
 	return false
 }
 
-// End notes that a task left its machine; done says that it completed.
-func (c *Checker) End(task string, done bool) {
+// RemoveMachine notes that a task left its machine; done says that it completed.
+func (c *Checker) RecordEnd(task string, done bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	delete(c.on, task)
@@ -237,8 +237,8 @@
 	return c.Started
 }
 
-// OnOf counts a job's tasks that are on machines.
-func (c *Checker) OnOf(uid string) (count int) {
+// CountOfJob counts a job's tasks that are on machines.
+func (c *Checker) CountOfJob(uid string) (count int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for task := range c.on {
@@ -249,15 +249,15 @@
 	return count
 }
 
-// On counts the tasks that are on machines.
-func (c *Checker) On() int {
+// CountOnMachines counts the tasks that are on machines.
+func (c *Checker) CountOnMachines() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return len(c.on)
 }
 
-// Using sums up the CPUs of the tasks on machines, by class of their jobs.
-func (c *Checker) Using() map[string]float64 {
+// CPUsByClass sums up the CPUs of the tasks on machines, by class of their jobs.
+func (c *Checker) CPUsByClass() map[string]float64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	sum := map[string]float64{}
--- a/internal/simulation/check_test.go
+++ b/internal/simulation/check_test.go
@@ -15,57 +15,60 @@
 	spec := &protocol.Submission{UID: "job-1", Team: "red", Tasks: 3, CPUs: 4, Zone: &zone}
 	withdrawn := func(c *Checker) {
 		c.Cancel = time.Nanosecond
-		c.Withdrawing("job-1")
-		c.Told("job-1", 200, protocol.Cancelled, false)
+		c.RecordCancellation("job-1")
+		c.RecordAnswer("job-1", 200, protocol.Cancelled, false)
 		time.Sleep(time.Microsecond)
 	}
 	for rule, breaks := range map[string]func(c *Checker){
 		"ran_twice": func(c *Checker) {
-			c.Start("job-1/0", "m1", "t", "east", false)
-			c.Start("job-1/0", "m2", "t", "east", false)
+			c.RecordStart("job-1/0", "m1", "t", "east", false)
+			c.RecordStart("job-1/0", "m2", "t", "east", false)
 		},
 		"quota": func(c *Checker) {
-			c.Start("job-1/0", "m1", "t", "east", false)
-			c.Start("job-1/1", "m1", "t", "east", false)
-			c.Start("job-1/2", "m1", "t", "east", false)
+			c.RecordStart("job-1/0", "m1", "t", "east", false)
+			c.RecordStart("job-1/1", "m1", "t", "east", false)
+			c.RecordStart("job-1/2", "m1", "t", "east", false)
 		},
-		"wrong_place": func(c *Checker) { c.Start("job-1/0", "m1", "t", "west", false) },
+		"wrong_place": func(c *Checker) { c.RecordStart("job-1/0", "m1", "t", "west", false) },
 		"wrong_place: two zones": func(c *Checker) {
 			together := &protocol.Submission{UID: "job-2", Team: "red", Tasks: 3, CPUs: 1, OneZone: true}
-			c.Submitting(together)
-			c.Start("job-2/0", "m1", "t", "east", false)
-			c.Start("job-2/1", "m2", "t", "west", false)
+			c.RecordSubmission(together)
+			c.RecordStart("job-2/0", "m1", "t", "east", false)
+			c.RecordStart("job-2/1", "m2", "t", "west", false)
 		},
 		"wrong_place: not apart": func(c *Checker) {
 			apart := &protocol.Submission{UID: "job-2", Team: "red", Tasks: 3, CPUs: 1, Spread: true}
-			c.Submitting(apart)
+			c.RecordSubmission(apart)
 			for i, machine := range []string{"m1", "m1", "m2"} {
-				c.Start(protocol.TaskName("job-2", i), machine, "t", "east", false)
+				c.RecordStart(protocol.TaskName("job-2", i), machine, "t", "east", false)
 			}
 		},
 		"went_back: both final": func(c *Checker) {
-			c.Withdrawing("job-1")
-			before := c.Asking("job-1")
+			c.RecordCancellation("job-1")
+			before := c.KnownSoFar("job-1")
 			for i := range 3 {
-				c.End(protocol.TaskName("job-1", i), true)
+				c.RecordEnd(protocol.TaskName("job-1", i), true)
 			}
-			c.Answered("job-1", before, 200, protocol.Cancelled, false)
-			c.Answered("job-1", before, 200, protocol.Done, false)
+			c.RecordOverlappingAnswer("job-1", before, 200, protocol.Cancelled, false)
+			c.RecordOverlappingAnswer("job-1", before, 200, protocol.Done, false)
 		},
-		"ran_cancelled":        func(c *Checker) { withdrawn(c); c.Start("job-1/0", "m1", "t", "east", false) },
-		"ran_cancelled: stays": func(c *Checker) { c.Start("job-1/0", "m1", "t", "east", false); withdrawn(c) },
-		"forgotten":            func(c *Checker) { c.Told("job-1", 201, protocol.Pending, false); c.Told("job-1", 404, "", false) },
-		"invented":             func(c *Checker) { c.Told("job-2", 200, protocol.Pending, false) },
-		"not_done":             func(c *Checker) { c.Told("job-1", 200, protocol.Done, false) },
-		"went_back":            func(c *Checker) { c.Told("job-1", 200, protocol.Cancelled, false) },
+		"ran_cancelled":        func(c *Checker) { withdrawn(c); c.RecordStart("job-1/0", "m1", "t", "east", false) },
+		"ran_cancelled: stays": func(c *Checker) { c.RecordStart("job-1/0", "m1", "t", "east", false); withdrawn(c) },
+		"forgotten": func(c *Checker) {
+			c.RecordAnswer("job-1", 201, protocol.Pending, false)
+			c.RecordAnswer("job-1", 404, "", false)
+		},
+		"invented":  func(c *Checker) { c.RecordAnswer("job-2", 200, protocol.Pending, false) },
+		"not_done":  func(c *Checker) { c.RecordAnswer("job-1", 200, protocol.Done, false) },
+		"went_back": func(c *Checker) { c.RecordAnswer("job-1", 200, protocol.Cancelled, false) },
 	} {
 		c := NewChecker(map[string]float64{"red": 8})
-		c.Submitting(spec)
-		if len(c.Rules()) != 0 {
+		c.RecordSubmission(spec)
+		if len(c.BrokenRules()) != 0 {
 			t.Fatalf("%s: broken before anything happened", rule)
 		}
 		breaks(c)
-		if got := c.Rules(); len(got) == 0 || !strings.HasPrefix(got[0], strings.Split(rule, ":")[0]) {
+		if got := c.BrokenRules(); len(got) == 0 || !strings.HasPrefix(got[0], strings.Split(rule, ":")[0]) {
 			t.Errorf("%s: checker says %v", rule, got)
 		}
 	}
--- a/internal/simulation/cloud.go
+++ b/internal/simulation/cloud.go
@@ -11,7 +11,7 @@
 	"topazhollow/internal/protocol"
 )
 
-// Cloud is a stand-in for the cloud; its machines run stand-in workers.
+// Cloud is a stand-in for the cloud; its machines run simulated agents.
 type Cloud struct {
 	mu       sync.Mutex
 	types    []protocol.MachineType
@@ -19,7 +19,7 @@
 	asked    map[string][]string
 	next     int
 	capacity int
-	boot     func(name, typ, zone string, spot bool) (*Worker, error)
+	boot     func(name, typ, zone string, spot bool) (*Agent, error)
 	server   *http.Server
 	addr     string
 	closed   bool
@@ -28,16 +28,16 @@
 type rented struct {
 	host   protocol.Host
 	since  time.Time
-	worker *Worker
+	worker *Agent
 }
 
 // NewCloud starts the stand-in with some types and room for so many machines.
-func NewCloud(types []protocol.MachineType, capacity int, boot func(name, typ, zone string, spot bool) (*Worker, error)) (*Cloud, error) {
+func NewCloud(types []protocol.MachineType, capacity int, boot func(name, typ, zone string, spot bool) (*Agent, error)) (*Cloud, error) {
 	c := &Cloud{types: types, capacity: capacity, boot: boot, hosts: map[string]*rented{}, asked: map[string][]string{}}
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /catalog", func(w http.ResponseWriter, _ *http.Request) { reply(w, 200, protocol.Catalog{Types: c.types}) })
-	mux.HandleFunc("POST /hosts", c.rent)
-	mux.HandleFunc("POST /hosts/return", c.giveBack)
+	mux.HandleFunc("POST /hosts", c.scaleOut)
+	mux.HandleFunc("POST /hosts/return", c.scaleIn)
 	mux.HandleFunc("GET /hosts", c.list)
 	l, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
@@ -60,25 +60,25 @@
 	c.closed = true
 	for _, h := range c.hosts {
 		if h.worker != nil {
-			h.worker.End()
+			h.worker.RemoveMachine()
 		}
 	}
 }
 
-// Take takes a machine away without notice, with everything on it.
-func (c *Cloud) Take(name string) {
+// TakeMachine takes a machine away without notice, with everything on it.
+func (c *Cloud) TakeMachine(name string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if h := c.hosts[name]; h != nil {
 		if h.worker != nil {
-			h.worker.End()
+			h.worker.RemoveMachine()
 		}
 		delete(c.hosts, name)
 	}
 }
 
-// Workers lists the machines that are up.
-func (c *Cloud) Workers() []*Worker {
+// Agents lists the machines that are up.
+func (c *Cloud) Agents() []*Agent {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	var names []string
@@ -88,14 +88,14 @@
 		}
 	}
 	sort.Strings(names)
-	var out []*Worker
+	var out []*Agent
 	for _, name := range names {
 		out = append(out, c.hosts[name].worker)
 	}
 	return out
 }
 
-func (c *Cloud) rent(w http.ResponseWriter, r *http.Request) {
+func (c *Cloud) scaleOut(w http.ResponseWriter, r *http.Request) {
 	var req protocol.ScaleOutRequest
 	if !read(r, &req) || req.Count < 1 || req.Count > 50 || req.Request == "" {
 		reply(w, 400, protocol.Error{Error: "malformed"})
@@ -135,7 +135,7 @@
 	h.worker, h.host.State, h.host.Addr = worker, protocol.HostRunning, worker.Addr()
 }
 
-func (c *Cloud) giveBack(w http.ResponseWriter, r *http.Request) {
+func (c *Cloud) scaleIn(w http.ResponseWriter, r *http.Request) {
 	var names protocol.MachineNames
 	if !read(r, &names) || len(names.Machines) > 100 {
 		reply(w, 400, protocol.Error{Error: "malformed"})
@@ -146,7 +146,7 @@
 	for _, name := range names.Machines {
 		if h := c.hosts[name]; h != nil {
 			if h.worker != nil {
-				h.worker.End()
+				h.worker.RemoveMachine()
 			}
 			delete(c.hosts, name)
 		}
--- a/internal/simulation/faults.go
+++ b/internal/simulation/faults.go
@@ -12,10 +12,10 @@
 // hungStep is how often a machine that hangs looks whether it goes on.
 const hungStep = 20 * time.Millisecond
 
-// copyPause lies between the copies of a worker's reports that are delivered.
+// copyPause lies between the copies of an agent's reports that are delivered.
 const copyPause = 60 * time.Millisecond
 
-// keptReports bounds the copies of reports that a worker keeps.
+// keptReports bounds the copies of reports that an agent keeps.
 const keptReports = 200
 
 // faults are what keeps a machine's messages and tasks from their way.
@@ -50,29 +50,29 @@
 	return f.gone || f.cut || f.mute || f.reach != nil && !f.reach[node]
 }
 
-// Cut takes the worker's network away or gives it back.
-func (w *Worker) Cut(on bool) {
+// DisconnectNetwork takes the agent's network away or gives it back.
+func (w *Agent) DisconnectNetwork(on bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.faults.cut = on
 }
 
-// Deaf has answers to the worker's reports and direct commands lost; its reports arrive.
-func (w *Worker) Deaf(on bool) {
+// DropAnswers has answers to the agent's reports and direct commands lost; its reports arrive.
+func (w *Agent) DropAnswers(on bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.faults.deaf = on
 }
 
-// Mute keeps the worker from reaching any controller; direct commands reach it.
-func (w *Worker) Mute(on bool) {
+// DropHeartbeats keeps the agent from reaching any controller; direct commands reach it.
+func (w *Agent) DropHeartbeats(on bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.faults.mute = on
 }
 
-// Notice has the worker's reports say that the cloud takes the machine away in so long; 0: no notice.
-func (w *Worker) Notice(in time.Duration) {
+// AnnounceEviction has the agent's reports say that the cloud takes the machine away in so long; 0: no notice.
+func (w *Agent) AnnounceEviction(in time.Duration) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.faults.taken = in.Seconds()
@@ -80,7 +80,7 @@
 
 // Hang stops the machine, or has it go on. It reports nothing, its tasks make no end, and direct commands wait
 // without an answer; within its lease it executes these once it goes on.
-func (w *Worker) Hang(on bool) {
+func (w *Agent) Hang(on bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.faults.hung = on
@@ -90,13 +90,13 @@
 	waiting := w.faults.waiting
 	w.faults.waiting = nil
 	for i := range waiting {
-		w.obeyLate(&waiting[i])
+		w.applyDelayed(&waiting[i])
 	}
 }
 
-// Reach bounds which controllers the worker and its machine can be reached by; none given: all. Direct
+// LimitReach bounds which controllers the agent and its machine can be reached by; none given: all. Direct
 // commands come from any of them, so that a bound shuts them out altogether.
-func (w *Worker) Reach(nodes ...string) {
+func (w *Agent) LimitReach(nodes ...string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.faults.reach = nil
@@ -108,44 +108,44 @@
 	}
 }
 
-// Again has copies of reports delivered once more after a time; 0: not that one, nil: none.
-func (w *Worker) Again(after func() time.Duration) {
+// RepeatTransaction has copies of reports delivered once more after a time; 0: not that one, nil: none.
+func (w *Agent) RepeatHeartbeats(after func() time.Duration) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.faults.again = after
 }
 
-// Repeats counts the late copies of reports that were delivered.
-func (w *Worker) Repeats() int {
+// CountRepeated counts the late copies of reports that were delivered.
+func (w *Agent) CountRepeated() int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.faults.repeats
 }
 
-// KeepCopies keeps a copy of each report that is sent from now on, for Deliver.
-func (w *Worker) KeepCopies(on bool) {
+// CopyHeartbeats keeps a copy of each report that is sent from now on, for Deliver.
+func (w *Agent) CopyHeartbeats(on bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.faults.keep = on
 }
 
-// HoldReports has the next so many reports held up on their way until Deliver.
-func (w *Worker) HoldReports(count int) {
+// HoldHeartbeats has the next so many reports held up on their way until Deliver.
+func (w *Agent) HoldHeartbeats(count int) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.faults.hold = count
 }
 
-// Kept counts the reports that wait for Deliver.
-func (w *Worker) Kept() int {
+// CountHeld counts the reports that wait for Deliver.
+func (w *Agent) CountHeld() int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return len(w.faults.kept)
 }
 
-// Deliver sends what was kept of reports to each of some controllers, in the order in which it was made; nobody
+// DeliverHeld sends what was kept of reports to each of some controllers, in the order in which it was made; nobody
 // hears the answers. It gives how many arrived.
-func (w *Worker) Deliver(nodes ...string) (arrived int) {
+func (w *Agent) DeliverHeld(nodes ...string) (arrived int) {
 	w.mu.Lock()
 	kept := w.faults.kept
 	w.faults.kept = nil
@@ -163,24 +163,24 @@
 	return arrived
 }
 
-// SlowCommands has direct commands held up for a time, unanswered, and then executed once if token and session
+// DelayCommands has direct commands held up for a time, unanswered, and then executed once if token and session
 // match; 0: not that one, nil: none.
-func (w *Worker) SlowCommands(hold func(d *protocol.DirectCommands) time.Duration) {
+func (w *Agent) DelayCommands(hold func(d *protocol.DirectCommands) time.Duration) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.faults.slow = hold
 }
 
-// LateCommands counts the requests with commands that were held up, on the way or by a machine that hung; of them
+// CountDelayedCommands counts the requests with commands that were held up, on the way or by a machine that hung; of them
 // those that were executed, and those that were refused by then.
-func (w *Worker) LateCommands() (held, obeyed, outdated int) {
+func (w *Agent) CountDelayedCommands() (held, obeyed, outdated int) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.faults.held, w.faults.obeyed, w.faults.outdated
 }
 
-// StartsUnderway lists the tasks whose starts are held up on their way to the machine now.
-func (w *Worker) StartsUnderway() (tasks []string) {
+// StartsInFlight lists the tasks whose starts are held up on their way to the machine now.
+func (w *Agent) StartsInFlight() (tasks []string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	for _, d := range w.faults.underway {
@@ -193,21 +193,21 @@
 	return tasks
 }
 
-func (w *Worker) hangs() bool {
+func (w *Agent) isHanging() bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.faults.hung
 }
 
 // hears says whether the answer to a report comes through.
-func (w *Worker) hears() bool {
+func (w *Agent) receives() bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return !w.faults.deaf && !w.faults.hung
 }
 
 // passes says whether direct commands come through now; otherwise they may be executed later.
-func (w *Worker) passes(d *protocol.DirectCommands) bool {
+func (w *Agent) passes(d *protocol.DirectCommands) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if w.faults.unreached() {
@@ -225,13 +225,13 @@
 	if held > 0 {
 		w.faults.held++
 		w.faults.underway = append(w.faults.underway, d)
-		time.AfterFunc(held, func() { w.arrivesLate(d) })
+		time.AfterFunc(held, func() { w.delayCommands(d) })
 	}
 	return held <= 0
 }
 
 // arrivesLate executes direct commands that were held up.
-func (w *Worker) arrivesLate(d *protocol.DirectCommands) {
+func (w *Agent) delayCommands(d *protocol.DirectCommands) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.faults.underway = slices.DeleteFunc(w.faults.underway, func(other *protocol.DirectCommands) bool { return other == d })
@@ -240,12 +240,12 @@
 	case w.faults.hung:
 		w.faults.waiting = append(w.faults.waiting, *d)
 	default:
-		w.obeyLate(d)
+		w.applyDelayed(d)
 	}
 }
 
-func (w *Worker) obeyLate(d *protocol.DirectCommands) {
-	if w.obey(d) {
+func (w *Agent) applyDelayed(d *protocol.DirectCommands) {
+	if w.applyCommands(d) {
 		w.faults.obeyed++
 	} else {
 		w.faults.outdated++
@@ -253,10 +253,10 @@
 }
 
 // nextReport makes a report for a controller and says whether it arrives there now.
-func (w *Worker) nextReport(client *http.Client, node string) (body []byte, session uint64, arrives bool) {
+func (w *Agent) nextHeartbeat(client *http.Client, node string) (body []byte, session uint64, arrives bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	body = protocol.Encode(w.report())
+	body = protocol.Encode(w.heartbeat())
 	arrives = !w.faults.silent(node)
 	held := arrives && w.faults.hold > 0
 	if held {
@@ -270,7 +270,7 @@
 }
 
 // copyLater has a copy of a report delivered once more, if that is wished for.
-func (w *Worker) copyLater(client *http.Client, node string, body []byte) {
+func (w *Agent) copyLater(client *http.Client, node string, body []byte) {
 	if w.faults.again == nil || w.faults.silent(node) {
 		return
 	}
@@ -281,7 +281,7 @@
 }
 
 // repeat delivers a copy of an earlier report; nobody hears the answer.
-func (w *Worker) repeat(client *http.Client, url string, body []byte) (arrived bool) {
+func (w *Agent) repeat(client *http.Client, url string, body []byte) (arrived bool) {
 	w.mu.Lock()
 	cut := w.faults.cut
 	w.mu.Unlock()
--- a/internal/simulation/faults_test.go
+++ b/internal/simulation/faults_test.go
@@ -11,10 +11,10 @@
 	"topazhollow/internal/protocol"
 )
 
-// bench is one stand-in worker below a controller that only answers with a token.
+// bench is one simulated agent below a controller that only answers with a token.
 type bench struct {
 	t       *testing.T
-	w       *Worker
+	w       *Agent
 	check   *Checker
 	reports chan protocol.Heartbeat
 }
@@ -27,15 +27,15 @@
 		b.reports <- report
 		reply(w, 200, protocol.HeartbeatAnswer{FencingToken: 1})
 	}))
-	per := Periods{Report: 20 * time.Millisecond, Lease: lease, Run: func(string) time.Duration { return time.Hour }}
+	per := Periods{Heartbeat: 20 * time.Millisecond, Lease: lease, Run: func(string) time.Duration { return time.Hour }}
 	addr := controller.Listener.Addr().String()
-	w, err := NewWorker("n-1", "m8", "east", false, map[string]string{"a": addr}, []string{"a"}, per, b.check)
+	w, err := NewAgent("n-1", "m8", "east", false, map[string]string{"a": addr}, []string{"a"}, per, b.check)
 	if err != nil {
 		t.Fatal(err)
 	}
 	b.w = w
-	t.Cleanup(func() { w.End(); controller.Close() })
-	b.check.Submitting(&protocol.Submission{UID: "job-1", Team: "red", Kind: protocol.JobArray, Tasks: 2, CPUs: 4, CheckpointEverySeconds: 1, CheckpointSeconds: 0.2})
+	t.Cleanup(func() { w.RemoveMachine(); controller.Close() })
+	b.check.RecordSubmission(&protocol.Submission{UID: "job-1", Team: "red", Kind: protocol.JobArray, Tasks: 2, CPUs: 4, CheckpointEverySeconds: 1, CheckpointSeconds: 0.2})
 	return b
 }
 
@@ -71,13 +71,13 @@
 // TestSlowCommandsAreExecutedOnce: a command that is held up gets no answer and is executed later.
 func TestSlowCommandsAreExecutedOnce(t *testing.T) {
 	b := newBench(t, time.Hour)
-	b.w.SlowCommands(func(*protocol.DirectCommands) time.Duration { return 200 * time.Millisecond })
-	if b.command(protocol.Start, 0, 0) || b.check.On() != 0 {
+	b.w.DelayCommands(func(*protocol.DirectCommands) time.Duration { return 200 * time.Millisecond })
+	if b.command(protocol.Start, 0, 0) || b.check.CountOnMachines() != 0 {
 		t.Fatal("a command that is held up was answered or executed at once")
 	}
-	b.until("executed", func() bool { return b.check.On() == 1 })
-	b.w.SlowCommands(nil)
-	if _, obeyed, outdated := b.w.LateCommands(); obeyed != 1 || outdated != 0 || b.check.Starts() != 1 {
+	b.until("executed", func() bool { return b.check.CountOnMachines() == 1 })
+	b.w.DelayCommands(nil)
+	if _, obeyed, outdated := b.w.CountDelayedCommands(); obeyed != 1 || outdated != 0 || b.check.Starts() != 1 {
 		t.Errorf("obeyed %d, outdated %d, started %d", obeyed, outdated, b.check.Starts())
 	}
 }
@@ -96,9 +96,9 @@
 				b.until("the lease is over", func() bool { b.w.mu.Lock(); defer b.w.mu.Unlock(); return b.w.session > 1 })
 			}
 			b.w.Hang(false)
-			_, obeyed, outdated := b.w.LateCommands()
-			if want := lease == time.Hour; (obeyed == 1) != want || (outdated == 1) == want || (b.check.On() == 1) != want {
-				t.Errorf("obeyed %d, outdated %d, on the machine %d", obeyed, outdated, b.check.On())
+			_, obeyed, outdated := b.w.CountDelayedCommands()
+			if want := lease == time.Hour; (obeyed == 1) != want || (outdated == 1) == want || (b.check.CountOnMachines() == 1) != want {
+				t.Errorf("obeyed %d, outdated %d, on the machine %d", obeyed, outdated, b.check.CountOnMachines())
 			}
 		})
 	}
@@ -108,9 +108,9 @@
 func TestMuteMachineObeys(t *testing.T) {
 	b := newBench(t, 300*time.Millisecond)
 	b.until("reported", func() bool { return len(b.reports) > 2 })
-	b.w.Mute(true)
+	b.w.DropHeartbeats(true)
 	b.until("it obeys", func() bool { return b.command(protocol.Start, 0, 0) && b.check.Starts() > 0 })
-	b.until("its lease ends", func() bool { return b.check.On() == 0 })
+	b.until("its lease ends", func() bool { return b.check.CountOnMachines() == 0 })
 }
 
 // TestSavingTaskCounts: a task that saves is on its machine and counts for its team until it has saved.
@@ -118,16 +118,16 @@
 	b := newBench(t, time.Hour)
 	b.command(protocol.Start, 0, 0)
 	b.command(protocol.Stop, 0, 5)
-	if b.check.On() != 1 {
+	if b.check.CountOnMachines() != 1 {
 		t.Fatal("a task that can save and may is gone at once")
 	}
 	b.command(protocol.Start, 1, 0)
-	if rules := b.check.Rules(); len(rules) != 1 {
+	if rules := b.check.BrokenRules(); len(rules) != 1 {
 		t.Errorf("a start beside a task that saves is beyond the limit: %v", rules)
 	}
-	b.until("saved", func() bool { return b.check.On() == 1 })
+	b.until("saved", func() bool { return b.check.CountOnMachines() == 1 })
 	b.command(protocol.Stop, 1, 0)
-	if b.check.On() != 0 {
+	if b.check.CountOnMachines() != 0 {
 		t.Error("a stop without grace does not end a task at once")
 	}
 }
@@ -135,11 +135,11 @@
 // TestHeldReportArrivesLater: reports that are held up come when they are delivered, with their old sequence.
 func TestHeldReportArrivesLater(t *testing.T) {
 	b := newBench(t, time.Hour)
-	b.w.HoldReports(1)
-	b.until("held", func() bool { return b.w.Kept() == 1 })
+	b.w.HoldHeartbeats(1)
+	b.until("held", func() bool { return b.w.CountHeld() == 1 })
 	newest := uint64(0)
 	b.until("a later one arrived", func() bool { r := <-b.reports; newest = max(newest, r.Seq); return r.Seq > 3 })
-	if b.w.Deliver("a") != 1 {
+	if b.w.DeliverHeld("a") != 1 {
 		t.Fatal("nothing was delivered")
 	}
 	b.until("the older one arrived", func() bool { r := <-b.reports; return r.Seq < newest })
@@ -147,16 +147,16 @@
 
 // TestLostAnswerIsCarriedOut: the transaction counts at once, and its sender gets no answer.
 func TestLostAnswerIsCarriedOut(t *testing.T) {
-	s, err := NewState(16, 16)
+	s, err := NewKVStore(16, 16)
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer s.Close()
-	d, err := s.Door()
+	d, err := s.NewEndpoint()
 	if err != nil {
 		t.Fatal(err)
 	}
-	d.Unanswered(func(txn *protocol.Txn) bool { return txn.Then[0].Set == "a" })
+	d.DropAnswers(func(txn *protocol.Txn) bool { return txn.Then[0].Set == "a" })
 	send := func(key string) bool {
 		ctx, cancel := context.WithTimeout(t.Context(), 100*time.Millisecond)
 		defer cancel()
@@ -168,7 +168,7 @@
 		}
 		return err == nil
 	}
-	if send("a") || !send("b") || s.Keys("") != 2 || len(d.Lost()) != 1 {
-		t.Errorf("%d keys, %d answers lost", s.Keys(""), len(d.Lost()))
+	if send("a") || !send("b") || s.CountKeys("") != 2 || len(d.UnansweredTransactions()) != 1 {
+		t.Errorf("%d keys, %d answers lost", s.CountKeys(""), len(d.UnansweredTransactions()))
 	}
 }
--- a/internal/simulation/state.go
+++ b/internal/simulation/kvstore.go
@@ -1,5 +1,5 @@
 // Package simulation holds stand-ins for everything around the controllers,
-// written from the protocol: the state service, the cloud, workers and users,
+// written from the protocol: the key-value store, the cloud, workers and users,
 // with faults and a checker of the protocol's rules. It is the ground of the
 // project's own rehearsals and tests.
 package simulation
@@ -20,25 +20,25 @@
 	"topazhollow/internal/protocol"
 )
 
-// State is a stand-in for the state service.
-type State struct {
-	mu       sync.Mutex
-	changed  *sync.Cond
-	revision uint64
-	keys     map[string]entry
-	log      []event
-	leases   map[uint64]*lease
-	next     uint64
-	out      bool
-	ops      int
-	valueMax int
-	mux      *http.ServeMux
-	servers  []*http.Server
-	addr     string
-	requests *rate.Limiter // nil: no bound
-	writes   *rate.Limiter
-	refused  int            // beyond a rate
-	carried  []protocol.Txn // that changed something
+// KVStore is a stand-in for the key-value store.
+type KVStore struct {
+	mu        sync.Mutex
+	changed   *sync.Cond
+	revision  uint64
+	keys      map[string]entry
+	log       []event
+	leases    map[uint64]*lease
+	nextLease uint64
+	outage    bool
+	ops       int
+	valueMax  int
+	mux       *http.ServeMux
+	servers   []*http.Server
+	addr      string
+	requests  *rate.Limiter // nil: no bound
+	writes    *rate.Limiter
+	refused   int            // beyond a rate
+	carried   []protocol.Txn // that changed something
 }
 
 type entry struct {
@@ -59,32 +59,32 @@
 	ends time.Time
 }
 
-// NewState starts the stand-in on a free port of loopback.
-func NewState(txnOps, valueKB int) (*State, error) {
-	s := &State{keys: map[string]entry{}, leases: map[uint64]*lease{}, ops: txnOps, valueMax: valueKB << 10}
+// NewKVStore starts the stand-in on a free port of loopback.
+func NewKVStore(txnOps, valueKB int) (*KVStore, error) {
+	s := &KVStore{keys: map[string]entry{}, leases: map[uint64]*lease{}, ops: txnOps, valueMax: valueKB << 10}
 	s.changed = sync.NewCond(&s.mu)
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /store/", s.get)
 	mux.HandleFunc("GET /store", s.list)
 	mux.HandleFunc("POST /txn", s.txn)
-	mux.HandleFunc("POST /grants", s.grant)
-	mux.HandleFunc("POST /grants/{id}/extend", s.extend)
+	mux.HandleFunc("POST /grants", s.grantLease)
+	mux.HandleFunc("POST /grants/{id}/extend", s.renewLease)
 	mux.HandleFunc("GET /changes", s.watch)
 	s.mux = mux
-	d, err := s.Door()
+	d, err := s.NewEndpoint()
 	if err != nil {
 		return nil, err
 	}
 	s.addr = d.addr
-	go s.tickLeases()
+	go s.expireLeases()
 	return s, nil
 }
 
 // Addr is the stand-in's address.
-func (s *State) Addr() string { return s.addr }
+func (s *KVStore) Addr() string { return s.addr }
 
 // Close ends the stand-in.
-func (s *State) Close() {
+func (s *KVStore) Close() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, server := range s.servers {
@@ -92,59 +92,59 @@
 	}
 }
 
-// Limit has requests and changes beyond a rate a second refused with 429; both rates allow
+// LimitRates has requests and changes beyond a rate a second refused with 429; both rates allow
 // bursts of one second's worth.
-func (s *State) Limit(rps, changes float64) {
+func (s *KVStore) LimitRates(rps, changes float64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.requests = rate.NewLimiter(rate.Limit(rps), int(rps))
 	s.writes = rate.NewLimiter(rate.Limit(changes), int(changes))
 }
 
-// Refused counts what was refused beyond a rate.
-func (s *State) Refused() int {
+// CountRefused counts what was refused beyond a rate.
+func (s *KVStore) CountRefused() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.refused
 }
 
-// Outage begins or ends an outage; after one, all leases get their full time.
-func (s *State) Outage(on bool) {
+// SetOutage begins or ends an outage; after one, all leases get their full time.
+func (s *KVStore) SetOutage(on bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.out && !on {
+	if s.outage && !on {
 		for _, l := range s.leases {
 			l.ends = time.Now().Add(l.life)
 		}
 	}
-	s.out = on
+	s.outage = on
 }
 
-// Saved is what the stand-in held at a moment.
-type Saved struct {
+// StoreSnapshot is what the stand-in held at a moment.
+type StoreSnapshot struct {
 	revision, next uint64
 	keys           map[string]entry
 	log            int
 	leases         map[uint64]lease
 }
 
-// Save takes down what the stand-in holds now.
-func (s *State) Save() Saved {
+// Snapshot takes down what the stand-in holds now.
+func (s *KVStore) Snapshot() StoreSnapshot {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	x := Saved{revision: s.revision, next: s.next, keys: maps.Clone(s.keys), log: len(s.log), leases: map[uint64]lease{}}
+	x := StoreSnapshot{revision: s.revision, next: s.nextLease, keys: maps.Clone(s.keys), log: len(s.log), leases: map[uint64]lease{}}
 	for id, l := range s.leases {
 		x.leases[id] = *l
 	}
 	return x
 }
 
-// Back sets the stand-in back to what it held, its revision included, without telling
+// RollBack sets the stand-in back to what it held, its revision included, without telling
 // anybody. Leases that it had go on from now.
-func (s *State) Back(x Saved) {
+func (s *KVStore) RollBack(x StoreSnapshot) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.revision, s.next, s.keys, s.log = x.revision, x.next, maps.Clone(x.keys), s.log[:min(x.log, len(s.log))]
+	s.revision, s.nextLease, s.keys, s.log = x.revision, x.next, maps.Clone(x.keys), s.log[:min(x.log, len(s.log))]
 	s.leases = map[uint64]*lease{}
 	for id, l := range x.leases {
 		s.leases[id] = &lease{l.life, time.Now().Add(l.life)}
@@ -153,10 +153,10 @@
 }
 
 // LoseAll drops every key and lease and begins to count anew.
-func (s *State) LoseAll() { s.Back(Saved{}) }
+func (s *KVStore) LoseAll() { s.RollBack(StoreSnapshot{}) }
 
 // LosePrefix drops the keys below a prefix and tells nobody.
-func (s *State) LosePrefix(prefix string) (lost int) {
+func (s *KVStore) LosePrefix(prefix string) (lost int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for key := range s.keys {
@@ -169,7 +169,7 @@
 }
 
 // LoseLeases drops the leases and the keys that they hold.
-func (s *State) LoseLeases() {
+func (s *KVStore) LoseLeases() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for key, e := range s.keys {
@@ -182,7 +182,7 @@
 }
 
 // Put sets a key, as one who is not rehearsed would.
-func (s *State) Put(key, value string) {
+func (s *KVStore) Put(key, value string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.keys == nil {
@@ -195,7 +195,7 @@
 }
 
 // Size gives the revision and the bytes that keys and values take.
-func (s *State) Size() (revision, bytes int) {
+func (s *KVStore) Size() (revision, bytes int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for key, e := range s.keys {
@@ -204,8 +204,8 @@
 	return int(s.revision), bytes
 }
 
-// Keys counts the keys below a prefix.
-func (s *State) Keys(prefix string) (count int) {
+// CountKeys counts the keys below a prefix.
+func (s *KVStore) CountKeys(prefix string) (count int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for key := range s.keys {
@@ -216,7 +216,7 @@
 	return count
 }
 
-func (s *State) tickLeases() {
+func (s *KVStore) expireLeases() {
 	for range time.Tick(20 * time.Millisecond) {
 		s.mu.Lock()
 		s.expire()
@@ -224,8 +224,8 @@
 	}
 }
 
-func (s *State) expire() {
-	if s.out {
+func (s *KVStore) expire() {
+	if s.outage {
 		return
 	}
 	for id, l := range s.leases {
@@ -241,7 +241,7 @@
 	}
 }
 
-func (s *State) remove(key string) {
+func (s *KVStore) remove(key string) {
 	if _, ok := s.keys[key]; ok {
 		delete(s.keys, key)
 		s.log = append(s.log, event{key: key, deleted: true, version: s.revision})
@@ -259,7 +259,7 @@
 	return json.NewDecoder(http.MaxBytesReader(nil, r.Body, protocol.MaxBody)).Decode(v) == nil
 }
 
-func (s *State) get(w http.ResponseWriter, r *http.Request) {
+func (s *KVStore) get(w http.ResponseWriter, r *http.Request) {
 	key := strings.TrimPrefix(r.URL.Path, "/store/")
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -271,7 +271,7 @@
 	reply(w, 200, protocol.Entry{Key: key, Value: e.value, Version: e.version, Lease: e.lease})
 }
 
-func (s *State) list(w http.ResponseWriter, r *http.Request) {
+func (s *KVStore) list(w http.ResponseWriter, r *http.Request) {
 	q := r.URL.Query()
 	limit, _ := strconv.Atoi(q.Get("limit"))
 	s.mu.Lock()
@@ -295,18 +295,18 @@
 	reply(w, 200, page)
 }
 
-func (s *State) txn(w http.ResponseWriter, r *http.Request) {
+func (s *KVStore) txn(w http.ResponseWriter, r *http.Request) {
 	var t protocol.Txn
 	if !read(r, &t) || len(t.Then) > s.ops || len(t.Conditions) > 4*s.ops {
 		reply(w, 400, protocol.Error{Error: "malformed"})
 		return
 	}
-	door, _ := r.Context().Value(doorKey{}).(*Door)
+	door, _ := r.Context().Value(endpointKey{}).(*Endpoint)
 	if hold := door.hold(); hold > 0 {
-		time.AfterFunc(hold, func() { door.carryLate(&t) })
+		time.AfterFunc(hold, func() { door.applyLate(&t) })
 		giveNoAnswer(r)
 	}
-	status, answer, lost := door.carry(&t)
+	status, answer, lost := door.apply(&t)
 	if lost {
 		giveNoAnswer(r)
 	}
@@ -319,16 +319,16 @@
 	panic(http.ErrAbortHandler)
 }
 
-// Carried lists the transactions that changed something, in their order.
-func (s *State) Carried() []protocol.Txn {
+// AppliedTransactions lists the transactions that changed something, in their order.
+func (s *KVStore) AppliedTransactions() []protocol.Txn {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return slices.Clone(s.carried)
 }
 
-// Again carries a transaction out once more, as one that was held up on its way, and says whether it
+// RepeatTransaction carries a transaction out once more, as one that was held up on its way, and says whether it
 // changed anything.
-func (s *State) Again(t protocol.Txn) bool {
+func (s *KVStore) RepeatTransaction(t protocol.Txn) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	status, _ := s.apply(&t)
@@ -336,7 +336,7 @@
 }
 
 // apply carries a transaction out.
-func (s *State) apply(t *protocol.Txn) (status int, answer any) {
+func (s *KVStore) apply(t *protocol.Txn) (status int, answer any) {
 	if s.writes != nil && len(t.Then) > 0 && !s.writes.AllowN(time.Now(), len(t.Then)) {
 		s.refused++
 		return 429, protocol.Error{Error: "too many changes"}
@@ -377,7 +377,7 @@
 	return 200, protocol.TxnResult{Revision: s.revision}
 }
 
-func (s *State) grant(w http.ResponseWriter, r *http.Request) {
+func (s *KVStore) grantLease(w http.ResponseWriter, r *http.Request) {
 	var g protocol.LeaseRequest
 	if !read(r, &g) || g.TTLMillis < 100 || g.TTLMillis > 600000 {
 		reply(w, 400, protocol.Error{Error: "malformed"})
@@ -385,13 +385,13 @@
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.next++
+	s.nextLease++
 	life := time.Duration(g.TTLMillis) * time.Millisecond
-	s.leases[s.next] = &lease{life, time.Now().Add(life)}
-	reply(w, 200, protocol.LeaseGrant{Lease: s.next})
+	s.leases[s.nextLease] = &lease{life, time.Now().Add(life)}
+	reply(w, 200, protocol.LeaseGrant{Lease: s.nextLease})
 }
 
-func (s *State) extend(w http.ResponseWriter, r *http.Request) {
+func (s *KVStore) renewLease(w http.ResponseWriter, r *http.Request) {
 	id, _ := strconv.ParseUint(r.PathValue("id"), 10, 64)
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -404,7 +404,7 @@
 	reply(w, 200, protocol.LeaseGrant{Lease: id})
 }
 
-func (s *State) watch(w http.ResponseWriter, r *http.Request) {
+func (s *KVStore) watch(w http.ResponseWriter, r *http.Request) {
 	q := r.URL.Query()
 	after, _ := strconv.ParseUint(q.Get("after"), 10, 64)
 	wait, _ := strconv.Atoi(q.Get("block_ms"))
@@ -420,7 +420,7 @@
 		case <-stop:
 		}
 	}()
-	door, _ := r.Context().Value(doorKey{}).(*Door)
+	door, _ := r.Context().Value(endpointKey{}).(*Endpoint)
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for {
@@ -436,7 +436,7 @@
 			}
 			ch.Events = append(ch.Events, c)
 		}
-		if (len(ch.Events) > 0 && !s.out && !door.refused) || time.Now().After(until) || r.Context().Err() != nil {
+		if (len(ch.Events) > 0 && !s.outage && !door.refused) || time.Now().After(until) || r.Context().Err() != nil {
 			reply(w, 200, ch)
 			return
 		}
--- a/internal/simulation/limits.go
+++ b/internal/simulation/limits.go
@@ -9,8 +9,8 @@
 	c.limits[team] = cpus
 }
 
-// UsedBy sums up the CPUs of a team's tasks on machines.
-func (c *Checker) UsedBy(team string) (cpus float64) {
+// CPUsOfTeam sums up the CPUs of a team's tasks on machines.
+func (c *Checker) CPUsOfTeam(team string) (cpus float64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for task := range c.on {
--- a/internal/simulation/pipe.go
+++ b/internal/simulation/pipe.go
@@ -32,7 +32,7 @@
 // Addr is where the pipe begins.
 func (p *Pipe) Addr() string { return p.listener.Addr().String() }
 
-// Cut ends what the pipe carries and refuses connections, or carries them again.
+// DisconnectNetwork ends what the pipe carries and refuses connections, or carries them again.
 func (p *Pipe) Cut(on bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -44,8 +44,8 @@
 	}
 }
 
-// Slow has each piece of what is carried take so much longer; 0: none.
-func (p *Pipe) Slow(by time.Duration) {
+// DelayAnswers has each piece of what is carried take so much longer; 0: none.
+func (p *Pipe) Delay(by time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.slow = by
@@ -122,8 +122,8 @@
 // Paths are the pipes between controllers, by the numbers of where they come from and lead to.
 type Paths map[[2]int]*Pipe
 
-// Apart cuts a controller from its peers, or ends that.
-func (p Paths) Apart(i int, on bool) {
+// Isolate cuts a controller from its peers, or ends that.
+func (p Paths) Isolate(i int, on bool) {
 	for path, pipe := range p {
 		if path[0] == i || path[1] == i {
 			pipe.Cut(on)
@@ -131,10 +131,10 @@
 	}
 }
 
-// Slow has all paths take so much longer for each piece that they carry; 0: none.
-func (p Paths) Slow(by time.Duration) {
+// DelayAnswers has all paths take so much longer for each piece that they carry; 0: none.
+func (p Paths) Delay(by time.Duration) {
 	for _, pipe := range p {
-		pipe.Slow(by)
+		pipe.Delay(by)
 	}
 }
 
--- a/internal/simulation/users.go
+++ b/internal/simulation/users.go
@@ -40,7 +40,7 @@
 
 // Submit sends a submission, or repeats it.
 func (u *Users) Submit(node int, spec *protocol.Submission) (status int, state protocol.JobState) {
-	u.check.Submitting(spec)
+	u.check.RecordSubmission(spec)
 	return u.call(node, history.Submit, spec.UID, "POST", protocol.PathSubmit, protocol.Encode(spec))
 }
 
@@ -51,7 +51,7 @@
 
 // Cancel asks to cancel a job.
 func (u *Users) Cancel(node int, uid string) (status int, state protocol.JobState) {
-	u.check.Withdrawing(uid)
+	u.check.RecordCancellation(uid)
 	return u.call(node, history.Cancel, uid, "POST", protocol.PathSubmit+"/"+uid+"/withdraw", []byte("{}"))
 }
 
@@ -61,7 +61,7 @@
 	if err != nil {
 		panic("rehearse: request that cannot be: " + err.Error())
 	}
-	before := u.check.Asking(uid)
+	before := u.check.KnownSoFar(uid)
 	index := u.log.Invoke(node, kind, uid)
 	resp, err := u.client.Do(req)
 	if err != nil {
@@ -73,7 +73,7 @@
 		return 0, "" // broken off in its answer
 	}
 	u.log.Return(index, resp.StatusCode, st.State)
-	u.check.Answered(uid, before, resp.StatusCode, st.State, kind == history.Submit)
+	u.check.RecordOverlappingAnswer(uid, before, resp.StatusCode, st.State, kind == history.Submit)
 	return resp.StatusCode, st.State
 }
 
@@ -90,8 +90,8 @@
 	return u.repeat(ctx, func() bool { status, _ := u.Cancel(rng.IntN(len(u.nodes)), uid); return settled(status) })
 }
 
-// EndUntil asks drawn controllers until one says that the job is done or cancelled; false if the context ended.
-func (u *Users) EndUntil(ctx context.Context, rng *rand.Rand, uid string) bool {
+// AwaitEnd asks drawn controllers until one says that the job is done or cancelled; false if the context ended.
+func (u *Users) AwaitEnd(ctx context.Context, rng *rand.Rand, uid string) bool {
 	return u.repeat(ctx, func() bool {
 		status, state := u.Ask(rng.IntN(len(u.nodes)), uid)
 		return status == http.StatusOK && (state == protocol.Done || state == protocol.Cancelled)
@@ -107,9 +107,9 @@
 	return true
 }
 
-// LookClosely asks for a job and repeats its submission at all controllers at the same time, so many times within
+// AskEveryController asks for a job and repeats its submission at all controllers at the same time, so many times within
 // milliseconds, and waits for all answers.
-func (u *Users) LookClosely(spec *protocol.Submission, times int) {
+func (u *Users) AskEveryController(spec *protocol.Submission, times int) {
 	var group sync.WaitGroup
 	for node := range u.nodes {
 		group.Go(func() {
--- a/internal/snapshot/snapshot_test.go
+++ b/internal/snapshot/snapshot_test.go
@@ -164,15 +164,15 @@
 // silence, while it is followed or between two followers. What was there before is kept
 // and can be read, and an empty copy never takes its place.
 func TestFollowerKeepsWhatWasLost(t *testing.T) {
-	for name, lose := range map[string]func(*simulation.State, simulation.Saved){
-		"back": func(s *simulation.State, old simulation.Saved) { s.Back(old) },
-		"all":  func(s *simulation.State, _ simulation.Saved) { s.LoseAll() },
-		"keys": func(s *simulation.State, _ simulation.Saved) { s.LosePrefix("f/job-00000") },
+	for name, lose := range map[string]func(*simulation.KVStore, simulation.StoreSnapshot){
+		"back": func(s *simulation.KVStore, old simulation.StoreSnapshot) { s.RollBack(old) },
+		"all":  func(s *simulation.KVStore, _ simulation.StoreSnapshot) { s.LoseAll() },
+		"keys": func(s *simulation.KVStore, _ simulation.StoreSnapshot) { s.LosePrefix("f/job-00000") },
 	} {
 		for _, restarted := range []bool{false, true} {
 			t.Run(fmt.Sprintf("%s/restarted=%t", name, restarted), func(t *testing.T) {
 				t.Parallel()
-				s, err := simulation.NewState(16, 16)
+				s, err := simulation.NewKVStore(16, 16)
 				if err != nil {
 					t.Fatal(err)
 				}
@@ -181,7 +181,7 @@
 				for i := range 20 {
 					put(i)
 				}
-				old := s.Save()
+				old := s.Snapshot()
 				set := DefaultConfig()
 				set.State, set.Dir, set.RPS, set.FullEvery = s.Addr(), filepath.Join(t.TempDir(), "a"), 200, 0.01
 				var a *Archive
@@ -260,7 +260,7 @@
 func TestFollowerOnAFullDisk(t *testing.T) {
 	stopped := 0
 	for _, room := range []int64{100, 900, 1500, 2500, 4000} {
-		s, err := simulation.NewState(16, 16)
+		s, err := simulation.NewKVStore(16, 16)
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/userapi/golden_answers_test.go
+++ b/internal/userapi/golden_answers_test.go
@@ -38,7 +38,7 @@
 
 // TestGoldenAnswers: the answers to users, in the protocol's form.
 func TestGoldenAnswers(t *testing.T) {
-	store, err := simulation.NewState(16, 16)
+	store, err := simulation.NewKVStore(16, 16)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/userapi/tenants_test.go
+++ b/internal/userapi/tenants_test.go
@@ -36,7 +36,7 @@
 // TestTeamsKnownLate: a controller that does not know yet that a team came refuses no job of it for good, and one that does not know that
 // a team was removed takes none.
 func TestTeamsKnownLate(t *testing.T) {
-	store, err := simulation.NewState(16, 16)
+	store, err := simulation.NewKVStore(16, 16)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -60,8 +60,8 @@
 		t.Errorf("a known team: %d", got)
 	}
 	store.Put("w/t/known", `{"number":1,"change":"x","removed":true}`)
-	if got := submit("job-000002", "known"); got != 503 || store.Keys(ActiveJobPrefix+"job-000002") != 0 {
-		t.Errorf("a team that was removed: %d, %d keys", got, store.Keys(ActiveJobPrefix+"job-000002"))
+	if got := submit("job-000002", "known"); got != 503 || store.CountKeys(ActiveJobPrefix+"job-000002") != 0 {
+		t.Errorf("a team that was removed: %d, %d keys", got, store.CountKeys(ActiveJobPrefix+"job-000002"))
 	}
 	if got := submit("job-000003", "new"); got != 422 {
 		t.Errorf("a team that nobody knows: %d", got)
