--- a/internal/controller/replication.go
+++ b/internal/controller/replication.go
@@ -25,10 +25,10 @@
 // sendReplication sends what brings a shard's replicas up to date.
 func (n *Node) sendReplication(shard *shards.Owned, messages []shards.Outgoing) {
 	for _, m := range messages {
-		line := peer.Encode(m.Kind, m.Body)
+		line := peer.Encode(m.Message.Kind(), m.Message)
 		for _, to := range m.To {
 			if !n.links.SendEncoded(to, line) {
-				shard.Replicas().NotSent(to, m.Kind)
+				shard.Replicas().NotSent(to, m.Message)
 			}
 		}
 	}
--- a/internal/controller/replication_test.go
+++ b/internal/controller/replication_test.go
@@ -95,7 +95,7 @@
 func (p *linkedPair) replicate() (partial bool) {
 	messages := p.shard.Replicas().Replicate(p.owner.cluster(), time.Now())
 	for _, m := range messages {
-		if part, ok := m.Body.(shards.CopyPart); ok {
+		if part, ok := m.Message.(shards.CopyPart); ok {
 			partial = !part.Part.Last
 			if part.Part.Number == 0 {
 				p.copies++
--- a/internal/shards/messages.go
+++ b/internal/shards/messages.go
@@ -13,6 +13,21 @@
 	KindProbe           = "knock"
 )
 
+// Message is what an owner sends a replica: a Copy, a CopyPart or Deltas.
+type Message interface {
+	// Kind is the kind of the line that carries the message.
+	Kind() string
+}
+
+// Kind is KindCopy.
+func (Copy) Kind() string { return KindCopy }
+
+// Kind is KindCopyPart.
+func (CopyPart) Kind() string { return KindCopyPart }
+
+// Kind is KindDeltas.
+func (Deltas) Kind() string { return KindDeltas }
+
 // Copy gives a controller the whole replica of a shard.
 type Copy struct {
 	Shard     string        `json:"item"`
--- a/internal/shards/replication.go
+++ b/internal/shards/replication.go
@@ -23,9 +23,8 @@
 
 // Outgoing is a message that the owner is to send, in the order of the list that it stands in.
 type Outgoing struct {
-	To   []string
-	Kind string
-	Body any // Copy, CopyPart or Deltas
+	To      []string // controllers
+	Message Message
 }
 
 // Replicas is what the owner of a shard knows of its replicas, and decides which of them gets what next.
@@ -147,8 +146,8 @@
 	deltas := r.team.TakeDeltas()
 	seq := r.team.Replica().Seq
 	replicas := append(r.Holders(c), r.Required(c)...)
-	var changes Outgoing
 	var copies []Outgoing
+	var followers []string // replicas that the deltas go to
 	for node, connected := range c.Connected {
 		if !slices.Contains(replicas, node) {
 			delete(r.acknowledgements, node) // it gets a whole copy when it is to hold a replica again
@@ -164,18 +163,17 @@
 			continue
 		}
 		if len(deltas) > 0 { // they follow what was sent; a replica ignores older ones
-			changes.To = append(changes.To, node)
+			followers = append(followers, node)
 			a.sent(seq, now)
 		}
 		if a.nextPartDue() {
 			copies = append(copies, r.nextPart(node, a))
 		}
 	}
-	if len(changes.To) == 0 {
+	if len(followers) == 0 {
 		return copies
 	}
-	changes.Kind = KindDeltas
-	changes.Body = Deltas{Shard: r.shard, SinceTerm: r.sinceTerm, Deltas: deltas}
+	changes := Outgoing{To: followers, Message: Deltas{Shard: r.shard, SinceTerm: r.sinceTerm, Deltas: deltas}}
 	return append([]Outgoing{changes}, copies...) // all deltas that a part's replica has go before the part
 }
 
@@ -203,7 +201,7 @@
 	replica := r.team.Replica()
 	if replica.FitsOneMessage() {
 		body := Copy{Shard: r.shard, SinceTerm: r.sinceTerm, Copy: replica.Copy()}
-		return Outgoing{To: []string{to}, Kind: KindCopy, Body: body}
+		return Outgoing{To: []string{to}, Message: body}
 	}
 	a.parts = 0
 	a.transfer = jobstate.NewTransfer(replica)
@@ -214,19 +212,19 @@
 func (r *Replicas) nextPart(to string, a *acknowledgement) Outgoing {
 	part := a.transfer.Next(r.team.Replica())
 	body := CopyPart{Shard: r.shard, SinceTerm: r.sinceTerm, Part: part}
-	return Outgoing{To: []string{to}, Kind: KindCopyPart, Body: body}
+	return Outgoing{To: []string{to}, Message: body}
 }
 
 // NotSent notes that a message to a replica surely did not go out. Deltas are found missing by the replica itself.
-func (r *Replicas) NotSent(replica, kind string) {
+func (r *Replicas) NotSent(replica string, m Message) {
 	a := r.acknowledgements[replica]
 	if a == nil {
 		return
 	}
-	switch kind {
-	case KindCopy:
+	switch m.(type) {
+	case Copy:
 		a.copySent = false
-	case KindCopyPart:
+	case CopyPart:
 		a.sendCopyAnew()
 	}
 }
--- a/internal/shards/replication_test.go
+++ b/internal/shards/replication_test.go
@@ -114,7 +114,7 @@
 			}
 			if m.broken[to] {
 				m.refused++
-				m.owner.Replicas().NotSent(to, out.Kind)
+				m.owner.Replicas().NotSent(to, out.Message)
 				continue
 			}
 			m.toNode[to] = append(m.toNode[to], m.asDecoded(out))
@@ -124,7 +124,7 @@
 
 // asDecoded is a message that shares nothing with the owner.
 func (m *replicaModel) asDecoded(out Outgoing) any {
-	switch body := out.Body.(type) {
+	switch body := out.Message.(type) {
 	case Copy:
 		body.Copy.Done = clonedDone(body.Copy.Done)
 		return &body
@@ -135,7 +135,7 @@
 	case Deltas:
 		return &body
 	}
-	m.t.Fatalf("unknown message %T of kind %s", out.Body, out.Kind)
+	m.t.Fatalf("unknown message %T", out.Message)
 	return nil
 }
 
@@ -391,7 +391,7 @@
 	o, c := testOwned(jobstate.NewReplica(), now), testCluster()
 	copies := func() (n int) {
 		for _, m := range o.Replicas().Replicate(c, now) {
-			if m.Kind == KindCopy && m.To[0] == "node-b" {
+			if m.Message.Kind() == KindCopy && m.To[0] == "node-b" {
 				n++
 			}
 		}
@@ -414,7 +414,7 @@
 	if copies() != 1 {
 		t.Error("no copy on a new connection")
 	}
-	o.Replicas().NotSent("node-b", KindCopy)
+	o.Replicas().NotSent("node-b", Copy{})
 	if copies() != 1 || copies() != 0 {
 		t.Error("a copy that did not go out is not sent again, or one that did is")
 	}
