--- a/internal/controller/scheduling.go
+++ b/internal/controller/scheduling.go
@@ -109,8 +109,8 @@
 	shard *shards.Owned
 }
 
-// TasksAhead gives for each demand how many of its tasks go ahead of more urgent work.
-func (t *ownTeam) TasksAhead(demands []jobstate.Demand, now time.Time) []int {
+// PrioritizedTasks gives for each demand how many of its tasks go ahead of more urgent work.
+func (t *ownTeam) PrioritizedTasks(demands []jobstate.Demand, now time.Time) []int {
 	return t.node.prioritizedTasks(t.shard, demands, now)
 }
 
@@ -133,7 +133,7 @@
 				continue // what one that lost its lease lists is work that others have taken over
 			}
 			for _, d := range p.demands {
-				if !yield(scheduler.Demand{Job: d.Job, Count: d.Count, Ahead: d.Prioritized, Borrowed: d.Borrowed}) {
+				if !yield(scheduler.Demand{Job: d.Job, Count: d.Count, Prioritized: d.Prioritized, Borrowed: d.Borrowed}) {
 					return
 				}
 			}
--- a/internal/scheduler/fixture_test.go
+++ b/internal/scheduler/fixture_test.go
@@ -18,14 +18,14 @@
 // testTeam is an own team whose tasks go ahead only where its demands say so.
 type testTeam struct{ *jobstate.Team }
 
-func (testTeam) TasksAhead(demands []jobstate.Demand, _ time.Time) []int {
-	ahead := make([]int, len(demands))
+func (testTeam) PrioritizedTasks(demands []jobstate.Demand, _ time.Time) []int {
+	prioritized := make([]int, len(demands))
 	for i, d := range demands {
 		if d.FirstTask {
-			ahead[i] = d.Count
+			prioritized[i] = d.Count
 		}
 	}
-	return ahead
+	return prioritized
 }
 
 // cluster is a controller's knowledge of a deployment with two zones, all of whose machines accept tasks.
--- a/internal/scheduler/queue.go
+++ b/internal/scheduler/queue.go
@@ -19,7 +19,7 @@
 	borrowed    bool      // beyond the team's guarantee
 	probe       bool      // of a job that fails everywhere
 	surplus     bool      // beyond what the team's limit leaves to its demands, of which some find no room
-	ahead       bool      // goes ahead of more urgent work: its class has less than the plan leaves it
+	prioritized bool      // goes ahead of more urgent work: its class has less than the plan leaves it
 	late        bool      // can reach no objective any more
 	lateStart   bool      // late, and can't start when it should either
 	latestStart time.Time // when they must start to reach their objective
@@ -45,11 +45,11 @@
 // enqueueDemands adds what an own team asks for within its quota.
 func (p *pass) enqueueDemands(team Team) {
 	demands := team.Demands(p.now)
-	ahead := team.TasksAhead(demands, p.now)
+	prioritized := team.PrioritizedTasks(demands, p.now)
 	for i := range demands {
 		d := &demands[i]
 		w := waitingTasks{team: team, job: team.Job(d.Spec.UID)}
-		p.enqueue(&w, &Demand{Job: d.Spec.UID, Count: d.Count, Ahead: ahead[i], Borrowed: d.Borrowed, Probe: d.Probe})
+		p.enqueue(&w, &Demand{Job: d.Spec.UID, Count: d.Count, Prioritized: prioritized[i], Borrowed: d.Borrowed, Probe: d.Probe})
 	}
 }
 
@@ -69,13 +69,13 @@
 	}
 	w.spec, w.borrowed, w.probe, w.submittedAt = j.Spec, d.Borrowed, d.Probe, j.SubmittedAt
 	w.setUrgency(p.scheduler.serviceLevels(), &j, p.now)
-	ahead := max(0, min(d.Ahead, d.Count))
-	if ahead > 0 {
-		w.ahead, w.count = true, ahead
+	prioritized := max(0, min(d.Prioritized, d.Count))
+	if prioritized > 0 {
+		w.prioritized, w.count = true, prioritized
 		p.queue = append(p.queue, *w)
 	}
-	if d.Count > ahead {
-		w.ahead, w.count = false, d.Count-ahead
+	if d.Count > prioritized {
+		w.prioritized, w.count = false, d.Count-prioritized
 		p.queue = append(p.queue, *w)
 	}
 }
@@ -115,8 +115,8 @@
 	if w.surplus != o.surplus {
 		return falseFirst(w.surplus)
 	}
-	if w.ahead != o.ahead {
-		return falseFirst(o.ahead)
+	if w.prioritized != o.prioritized {
+		return falseFirst(o.prioritized)
 	}
 	if w.borrowed != o.borrowed {
 		return falseFirst(w.borrowed)
--- a/internal/scheduler/scheduler.go
+++ b/internal/scheduler/scheduler.go
@@ -113,17 +113,17 @@
 	Account
 	Demands(now time.Time) []jobstate.Demand
 	SurplusDemands(now time.Time) []jobstate.Demand
-	// TasksAhead gives for each demand how many of its tasks go ahead of more urgent work.
-	TasksAhead(demands []jobstate.Demand, now time.Time) []int
+	// PrioritizedTasks gives for each demand how many of its tasks go ahead of more urgent work.
+	PrioritizedTasks(demands []jobstate.Demand, now time.Time) []int
 }
 
 // Demand is what a job's pending tasks ask for.
 type Demand struct {
-	Job      string
-	Count    int  // tasks
-	Ahead    int  // of them, that go ahead of more urgent work
-	Borrowed bool // beyond the team's guarantee
-	Probe    bool // to find out whether a faulty job still fails
+	Job         string
+	Count       int  // tasks
+	Prioritized int  // of them, that go ahead of more urgent work
+	Borrowed    bool // beyond the team's guarantee
+	Probe       bool // to find out whether a faulty job still fails
 }
 
 // Eviction is a task that is to be stopped for a job of higher priority.
