--- a/internal/controller/changesync.go
+++ b/internal/controller/changesync.go
@@ -122,7 +122,7 @@
 // applyChanges takes in all changes since a revision that was known before, by a read that began at a time.
 func (n *Node) applyChanges(ch *protocol.Changes, began time.Time) {
 	for _, e := range ch.Events {
-		n.changed(e)
+		n.applyChange(e)
 	}
 	n.followedRevision = max(n.followedRevision, ch.Revision)
 	n.recordFullRead(began)
--- a/internal/controller/config_bench_test.go
+++ b/internal/controller/config_bench_test.go
@@ -117,7 +117,7 @@
 	})
 	x.until("all are members and every team has an owner", func() bool {
 		o := x.overview(0)
-		return o.Config != nil && len(o.Members) == controllers && len(o.Owners) == teams+1 && len(o.Config.Behind) == 0 && x.operator.BindEpoch(ctx, controlKey) == nil
+		return o.Config != nil && len(o.Members) == controllers && len(o.Owners) == teams+1 && len(o.Config.Behind) == 0 && x.operator.BindEpoch(ctx, recordKey) == nil
 	})
 	return x
 }
--- a/internal/controller/config_test.go
+++ b/internal/controller/config_test.go
@@ -35,7 +35,7 @@
 	client := kvstore.New(c.state.Addr(), c.sets[0].Deployment.KVStore, 4)
 	go client.Run(ctx)
 	w := teamstore.New(client, c.sets[0].Deployment.Teams)
-	c.until("the operator's command knows the store", func() bool { return w.BindEpoch(ctx, controlKey) == nil })
+	c.until("the operator's command knows the store", func() bool { return w.BindEpoch(ctx, recordKey) == nil })
 	return w
 }
 
@@ -273,7 +273,7 @@
 	client := kvstore.New(door.Addr(), c.sets[0].Deployment.KVStore, 4)
 	go client.Run(ctx)
 	held := teamstore.New(client, nil)
-	c.until("it knows the store", func() bool { return held.BindEpoch(ctx, controlKey) == nil })
+	c.until("it knows the store", func() bool { return held.BindEpoch(ctx, recordKey) == nil })
 	first := true
 	door.DelayTransactions(func() time.Duration { // an answer that does not come, of a change that does
 		if !first {
@@ -318,7 +318,7 @@
 	n := newGrown(2, 1).n
 	now := time.Now()
 	n.watchedKeysRead = true
-	n.changed(protocol.Change{Set: teamstore.Prefix + "team-0", Value: []byte(`{"number":1,"change":"x","cpus_max":1}`), Version: 9})
+	n.applyChange(protocol.Change{Set: teamstore.Prefix + "team-0", Value: []byte(`{"number":1,"change":"x","cpus_max":1}`), Version: 9})
 	n.applyTeamLimits(now)
 	if s := n.status(now); n.teamConfig != nil || s.Config != nil || n.rememberedConfig() != nil {
 		t.Error("the configuration is followed")
--- a/internal/controller/dataloss_test.go
+++ b/internal/controller/dataloss_test.go
@@ -169,7 +169,7 @@
 		n.recovery.detection.Entered(1, time.Now())
 		next := n.leadership.Record().Clone()
 		next.Term, next.PreviousVersion = next.Term+1, after
-		n.changed(protocol.Change{Set: controlKey, Value: protocol.Encode(next), Version: 19})
+		n.applyChange(protocol.Change{Set: recordKey, Value: protocol.Encode(next), Version: 19})
 		if phase, _, _ := n.recovery.detection.Phase(); phase != want || (n.leadership.RecordVersion() == 19) != (want == datarecovery.Trusted) {
 			t.Errorf("after %d: %s, version %d", after, phase, n.leadership.RecordVersion())
 		}
--- a/internal/controller/followedkeys.go
+++ b/internal/controller/followedkeys.go
@@ -17,9 +17,9 @@
 
 // Keys of the state service beside those of the frontend.
 const (
-	controlKey = userapi.WatchedPrefix + "c"
-	nodeKey    = userapi.WatchedPrefix + "n/"
-	machineKey = userapi.WatchedPrefix + "m/"
+	recordKey      = userapi.WatchedPrefix + "c"
+	presencePrefix = userapi.WatchedPrefix + "n/"
+	rosterPrefix   = userapi.WatchedPrefix + "m/"
 )
 
 // followRetryAfter is after what time the followed keys are read again if they could not be, or not be relied on.
@@ -84,14 +84,14 @@
 	return nil
 }
 
-// reset takes in a full list of the watched keys.
-func (n *Node) reset(entries []protocol.Entry, revision uint64) {
+// applyListedKeys applies a full list of the watched keys.
+func (n *Node) applyListedKeys(entries []protocol.Entry, revision uint64) {
 	seen := map[string]bool{}
 	for _, e := range entries {
 		seen[e.Key] = true
-		n.changed(protocol.Change{Set: e.Key, Value: e.Value, Version: e.Version})
+		n.applyChange(protocol.Change{Set: e.Key, Value: e.Value, Version: e.Version})
 	}
-	n.leadership.RetainPresences(func(name string) bool { return seen[nodeKey+name] })
+	n.leadership.RetainPresences(func(name string) bool { return seen[presencePrefix+name] })
 	n.endUnlistedJobs(seen, revision)
 	for _, key := range n.roster.Keys() {
 		if !seen[key] {
@@ -114,8 +114,8 @@
 	}
 }
 
-// changed takes in one change of a watched key.
-func (n *Node) changed(c protocol.Change) {
+// applyChange applies one change of a watched key.
+func (n *Node) applyChange(c protocol.Change) {
 	if err := n.applyKey(c); err != nil {
 		n.log.Error("unreadable key in the state service", "key", c.Set+c.Delete, "err", err)
 	}
@@ -125,19 +125,19 @@
 func (n *Node) applyKey(c protocol.Change) error {
 	key := c.Set + c.Delete
 	switch {
-	case key == controlKey:
+	case key == recordKey:
 		return n.applyRecordKey(c)
 	case strings.HasPrefix(key, datarecovery.EpochKey):
 		n.applyEpochKey(key, c)
-	case strings.HasPrefix(key, nodeKey):
-		return n.applyPresenceKey(key[len(nodeKey):], c)
+	case strings.HasPrefix(key, presencePrefix):
+		return n.applyPresenceKey(key[len(presencePrefix):], c)
 	case strings.HasPrefix(key, userapi.ActiveJobPrefix):
 		return n.applyActiveJobKey(key[len(userapi.ActiveJobPrefix):], c)
 	case strings.HasPrefix(key, datarecovery.EndsKey), strings.HasPrefix(key, datarecovery.FinishedKey):
 		if c.Delete == "" {
 			return n.learnRecoveryPage(key, c.Value)
 		}
-	case strings.HasPrefix(key, machineKey):
+	case strings.HasPrefix(key, rosterPrefix):
 		n.applyRosterList(key, c.Value, c.Version)
 	case strings.HasPrefix(key, teamstore.Prefix):
 		n.learnConfig(c)
@@ -155,7 +155,8 @@
 	return nil
 }
 
-// applyEpochKey takes in the key of an epoch of the state service's data: its deletion shows a loss if it is this epoch's.
+// applyEpochKey takes in the key of an epoch of the state service's data: its deletion shows a loss if it is this
+// epoch's.
 func (n *Node) applyEpochKey(key string, c protocol.Change) {
 	if c.Delete == "" {
 		n.recovery.detection.EpochKeyChanged(key, c.Version)
--- a/internal/controller/golden_state_test.go
+++ b/internal/controller/golden_state_test.go
@@ -16,9 +16,9 @@
 
 func TestGoldenKeys(t *testing.T) {
 	goldentest.Bytes(t, "state-keys.txt", []byte(strings.Join([]string{
-		"control record: " + controlKey,
-		"presence of estacion-1: " + nodeKey + "estacion-1",
-		"rosters of estacion-1: " + machineKey + "estacion-1/",
+		"control record: " + recordKey,
+		"presence of estacion-1: " + presencePrefix + "estacion-1",
+		"rosters of estacion-1: " + rosterPrefix + "estacion-1/",
 		"pages of finished tasks of team vision: " + shards.PagesPrefix(shards.ForTeam("vision")),
 		"pages of finished tasks of the fleet, if it had any: " + shards.PagesPrefix(leadership.FleetShard),
 	}, "\n")+"\n"))
--- a/internal/controller/heartbeat.go
+++ b/internal/controller/heartbeat.go
@@ -51,7 +51,7 @@
 		return n.answerUnentitled(h, now)
 	}
 	if h.FencingToken > n.leadership.Term() {
-		n.hint() // a later record is in force
+		n.requestRecordRead() // a later record is in force
 		return agents.Answer{Outcome: agents.NotEntitled}
 	}
 	if home := n.homeOf(h.Machine); home != n.name {
--- a/internal/controller/jobend.go
+++ b/internal/controller/jobend.go
@@ -68,7 +68,7 @@
 	return kvstore.Update{
 		Conditions: []protocol.Condition{
 			{Key: userapi.ActiveJobPrefix + uid, Version: jobVersion},
-			{Key: controlKey, Version: recordVersion},
+			{Key: recordKey, Version: recordVersion},
 		},
 		Changes: []protocol.Op{
 			{Delete: userapi.ActiveJobPrefix + uid},
--- a/internal/controller/leadership_test.go
+++ b/internal/controller/leadership_test.go
@@ -6,7 +6,8 @@
 	"topazhollow/internal/leadership"
 )
 
-// learnRecord has a controller know a record, as the next version of the one before, without carrying out what it changes.
+// learnRecord has a controller know a record, as the next version of the one before, without carrying out what it
+// changes.
 func learnRecord(n *Node, record *leadership.Record) {
 	n.leadership.Adopt(record, n.leadership.RecordVersion()+1, time.Now())
 }
--- a/internal/controller/lease.go
+++ b/internal/controller/lease.go
@@ -50,8 +50,8 @@
 	return n.leaseAnswered(lease, sent, err)
 }
 
-// holdLease asks the state service for what is missing of a lease, a renewal of it and the own key. It returns the lease that
-// was asked about, and whether the own key is written.
+// holdLease asks the state service for what is missing of a lease, a renewal of it and the own key. It returns the
+// lease that was asked about, and whether the own key is written.
 func (n *Node) holdLease(ctx context.Context, lease uint64, written bool) (uint64, bool, error) {
 	var err error
 	if lease == 0 {
@@ -102,7 +102,7 @@
 // writeOwnKey writes this process's key. The write is guarded by the key's version, so
 // that a late one of an earlier process changes nothing.
 func (n *Node) writeOwnKey(ctx context.Context, lease uint64) error {
-	key := nodeKey + n.name
+	key := presencePrefix + n.name
 	guard := protocol.Condition{Key: key}
 	e, err := n.kvStore.GetControl(ctx, key)
 	if err != nil {
--- a/internal/controller/leaserenewal.go
+++ b/internal/controller/leaserenewal.go
@@ -76,9 +76,9 @@
 	m.SetWatermark(now, n.cancelWatermark.KnownUntil(now))
 }
 
-// onHomeWatermarks takes in what a home says of its agents: a start that it sends from now on is sent after it last had a
-// heartbeat of the agent, and one that may still arrive was sent under the watermark that it says. The status may have
-// been held up, so its ages count from this process's own status that it names.
+// onHomeWatermarks takes in what a home says of its agents: a start that it sends from now on is sent after it last had
+// a heartbeat of the agent, and one that may still arrive was sent under the watermark that it says. The status may
+// have been held up, so its ages count from this process's own status that it names.
 func (n *Node) onHomeWatermarks(name string, s *statusMsg, now time.Time) {
 	_, sent, ok := n.ownStatusIn(s, now)
 	if !ok || n.leadership.Record() == nil {
--- a/internal/controller/meeting_answer_test.go
+++ b/internal/controller/meeting_answer_test.go
@@ -28,9 +28,9 @@
 	"end":            func(txn *protocol.Txn) bool { return sets(txn, userapi.EndedJobPrefix, string(protocol.Done)) },
 	"cancellation":   func(txn *protocol.Txn) bool { return sets(txn, userapi.EndedJobPrefix, string(protocol.Cancelled)) },
 	"page":           func(txn *protocol.Txn) bool { return writes(txn, "b/") },
-	"roster":         func(txn *protocol.Txn) bool { return writes(txn, machineKey) },
-	"control record": func(txn *protocol.Txn) bool { return writes(txn, controlKey) },
-	"lease key":      func(txn *protocol.Txn) bool { return writes(txn, nodeKey) },
+	"roster":         func(txn *protocol.Txn) bool { return writes(txn, rosterPrefix) },
+	"control record": func(txn *protocol.Txn) bool { return writes(txn, recordKey) },
+	"lease key":      func(txn *protocol.Txn) bool { return writes(txn, presencePrefix) },
 }
 
 // loseAnswers has the answers to so many transactions of a kind lost, at whatever controller sends them.
--- a/internal/controller/meeting_test.go
+++ b/internal/controller/meeting_test.go
@@ -344,7 +344,7 @@
 		r.crash(i)
 	}
 	carried := r.state.AppliedTransactions()
-	kinds := map[string]int{controlKey: 0, nodeKey: 0, machineKey: 0, userapi.ActiveJobPrefix: 0, userapi.EndedJobPrefix: 0, "b/": 0, datarecovery.EpochKey: 0}
+	kinds := map[string]int{recordKey: 0, presencePrefix: 0, rosterPrefix: 0, userapi.ActiveJobPrefix: 0, userapi.EndedJobPrefix: 0, "b/": 0, datarecovery.EpochKey: 0}
 	for _, txn := range carried {
 		for _, o := range txn.Then {
 			for prefix := range kinds {
--- a/internal/controller/node.go
+++ b/internal/controller/node.go
@@ -57,9 +57,9 @@
 	front   *userapi.Handler
 
 	// Channels that wake a goroutine; of room one, so that a sender never waits.
-	wakeRequests   chan struct{}
-	recordHints    chan struct{} // wakes the watch's reader after a hint of a newer record
-	statusRequests chan struct{} // wakes the duty that tells peers
+	wakeRequests       chan struct{}
+	recordReadRequests chan struct{} // wakes the watch's reader after a hint of a newer record
+	statusRequests     chan struct{} // wakes the duty that tells peers
 
 	// The goroutines of this controller. Written once by Run under mu, before any of them starts.
 	group *errgroup.Group
@@ -159,18 +159,18 @@
 // newNode makes a controller without its parts.
 func newNode(s *settings.Settings, o *settings.Options, log *slog.Logger, now time.Time) *Node {
 	return &Node{
-		settings:       s,
-		options:        o,
-		log:            log.With("node", s.Name),
-		name:           s.Name,
-		incarnation:    uint64(now.UnixMicro()),
-		startedAt:      now,
-		rng:            rand.New(rand.NewPCG(uint64(now.UnixNano()), rand.Uint64())),
-		wakeRequests:   make(chan struct{}, 1),
-		recordHints:    make(chan struct{}, 1),
-		changeReads:    newChangeReads(),
-		statusRequests: make(chan struct{}, 1),
-		firstSteps:     map[string]bool{},
+		settings:           s,
+		options:            o,
+		log:                log.With("node", s.Name),
+		name:               s.Name,
+		incarnation:        uint64(now.UnixMicro()),
+		startedAt:          now,
+		rng:                rand.New(rand.NewPCG(uint64(now.UnixNano()), rand.Uint64())),
+		wakeRequests:       make(chan struct{}, 1),
+		recordReadRequests: make(chan struct{}, 1),
+		changeReads:        newChangeReads(),
+		statusRequests:     make(chan struct{}, 1),
+		firstSteps:         map[string]bool{},
 	}
 }
 
@@ -276,7 +276,7 @@
 		"state":   n.kvStore.Run,
 		"lease":   n.keepLease,
 		"watch":   n.follow,
-		"control": n.keepRecord,
+		"control": n.changeRecord,
 		"tick":    n.runSteps,
 		"status":  n.sendStatuses,
 		"save":    n.savePages,
--- a/internal/controller/over_test.go
+++ b/internal/controller/over_test.go
@@ -22,14 +22,14 @@
 	for what, learn := range map[string]func(n *Node){
 		"a peer tells of the withdrawal, then an earlier read comes": func(n *Node) {
 			n.onReplicateFact("node-b", &replicateFactMsg{From: 1, Ends: []jobEnd{{uid, end}}})
-			n.changed(stored(uid, 7))
+			n.applyChange(stored(uid, 7))
 		},
 		"a later read comes before an earlier one": func(n *Node) {
-			n.changed(protocol.Change{Delete: userapi.ActiveJobPrefix + uid, Version: 9})
-			n.changed(stored(uid, 7))
+			n.applyChange(protocol.Change{Delete: userapi.ActiveJobPrefix + uid, Version: 9})
+			n.applyChange(stored(uid, 7))
 		},
 		"the answer to its acceptance comes last": func(n *Node) {
-			n.changed(protocol.Change{Delete: userapi.ActiveJobPrefix + uid, Version: 9})
+			n.applyChange(protocol.Change{Delete: userapi.ActiveJobPrefix + uid, Version: 9})
 			var s userapi.ActiveJob
 			if err := protocol.Decode(stored(uid, 7).Value, &s); err != nil {
 				t.Fatal(err)
@@ -37,9 +37,9 @@
 			n.learnJob(s, 7)
 		},
 		"in order": func(n *Node) {
-			n.changed(stored(uid, 7))
-			n.changed(protocol.Change{Delete: userapi.ActiveJobPrefix + uid, Version: 9})
-			n.changed(stored(uid, 7))
+			n.applyChange(stored(uid, 7))
+			n.applyChange(protocol.Change{Delete: userapi.ActiveJobPrefix + uid, Version: 9})
+			n.applyChange(stored(uid, 7))
 		},
 	} {
 		g := newGrown(1, 1)
@@ -64,9 +64,9 @@
 	g := newGrown(1, 1)
 	n := g.n
 	n.mu.Lock()
-	n.changed(stored("job-000901", 12))
-	n.changed(stored("job-000902", 9))
-	n.reset(nil, 10)
+	n.applyChange(stored("job-000901", 12))
+	n.applyChange(stored("job-000902", 9))
+	n.applyListedKeys(nil, 10)
 	first, second := n.jobs["job-000901"], n.jobs["job-000902"]
 	n.mu.Unlock()
 	if !first.active {
--- a/internal/controller/owner_test.go
+++ b/internal/controller/owner_test.go
@@ -91,7 +91,7 @@
 		if held, _ := shard.Team().CountAttempts(); held != want || needsBarrier && shard.IsReady() {
 			t.Errorf("needs the barrier %t: %d assignments left, phase %s before the lists of machines came", needsBarrier, held, shard.Phase())
 		}
-		n.roster.ApplyList(machineKey+"node-b/0", 8, agents.RosterValue{Names: []string{"n-1"}})
+		n.roster.ApplyList(rosterPrefix+"node-b/0", 8, agents.RosterValue{Names: []string{"n-1"}})
 		n.pagesLoaded(shard, nil) // the answer to a read that began after the record came
 		if held, _ := shard.Team().CountAttempts(); held != want {
 			t.Errorf("needs the barrier %t: an assignment ended on a machine that is on the roster", needsBarrier)
--- a/internal/controller/peerhandler.go
+++ b/internal/controller/peerhandler.go
@@ -173,7 +173,7 @@
 		}
 	}
 	if n.leadership.Record() == nil || s.Term > n.leadership.Term() {
-		n.hint()
+		n.requestRecordRead()
 	}
 }
 
@@ -192,7 +192,7 @@
 		return
 	}
 	if o.Term > n.leadership.Term() {
-		n.hint()
+		n.requestRecordRead()
 	}
 	n.acceptOrders(o.Machine, o.Term, o.Orders)
 	n.sendChangedStatuses()
@@ -202,12 +202,12 @@
 // since that term.
 func (n *Node) recordNamesOwner(node string, incarnation uint64, item string, since uint64) bool {
 	if n.leadership.Record() == nil || n.leadership.Record().Nodes[node] != incarnation || !n.leadership.IsMember() {
-		n.hint()
+		n.requestRecordRead()
 		return false
 	}
 	entry := n.leadership.Record().Shards[item]
 	if entry.SinceTerm < since {
-		n.hint()
+		n.requestRecordRead()
 	}
 	return entry.Owner == node && entry.SinceTerm == since
 }
--- a/internal/controller/record.go
+++ b/internal/controller/record.go
@@ -72,22 +72,22 @@
 	}
 }
 
-// refresh reads the control record now, after a hint that it has changed.
-func (n *Node) refresh(ctx context.Context) error {
-	e, err := n.kvStore.GetControl(ctx, controlKey)
+// readRecord reads the membership record now, as something says that it has changed.
+func (n *Node) readRecord(ctx context.Context) error {
+	e, err := n.kvStore.GetControl(ctx, recordKey)
 	if err != nil || e == nil {
 		return err
 	}
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.changed(protocol.Change{Set: e.Key, Value: e.Value, Version: e.Version})
+	n.applyChange(protocol.Change{Set: e.Key, Value: e.Value, Version: e.Version})
 	return nil
 }
 
-// hint asks for a fresh read of the control record.
-func (n *Node) hint() {
+// requestRecordRead has the membership record read soon.
+func (n *Node) requestRecordRead() {
 	select {
-	case n.recordHints <- struct{}{}:
+	case n.recordReadRequests <- struct{}{}:
 	default:
 	}
 }
--- a/internal/controller/recordchange.go
+++ b/internal/controller/recordchange.go
@@ -12,13 +12,14 @@
 	"topazhollow/internal/settings"
 )
 
-// How the control record changes: each controller looks many times a second whether it should, writes the next record under
-// the version of the one before, and begins anew with what another one wrote meanwhile.
+// How the membership record changes: each controller looks many times a second whether it should, writes the next
+// record under the version of the one before, and begins anew with what another one wrote meanwhile.
+// internal/leadership decides.
 
-// Times of looking whether the record is to be changed.
+// Times of the duty that changes the record.
 const (
-	recordLookEvery   = 100 * time.Millisecond
-	refreshRetryAfter = 200 * time.Millisecond
+	changeCheckInterval  = 100 * time.Millisecond
+	recordReadRetryAfter = 200 * time.Millisecond
 )
 
 // proposedRecord is a change of the membership record on its way to the state service.
@@ -27,42 +28,48 @@
 	epochKeyVersion uint64 // of the key of the state service's epoch; 0 if it is not known
 }
 
-// keepRecord changes the control record when members come or go, and for this
-// controller's own items.
-func (n *Node) keepRecord(ctx context.Context) error {
+// changeRecord is the duty that changes the membership record, when members come or go and for this controller's own
+// shards, and that reads it when something says that it has changed.
+func (n *Node) changeRecord(ctx context.Context) error {
 	started := time.Now()
-	ticker := time.NewTicker(recordLookEvery)
+	ticker := time.NewTicker(changeCheckInterval)
 	defer ticker.Stop()
 	var backoff leadership.Backoff
 	for {
 		select {
 		case <-ctx.Done():
 			return nil
-		case <-n.recordHints:
-			if err := n.refresh(ctx); err != nil {
-				sleep(ctx, refreshRetryAfter)
-			}
-			continue
+		case <-n.recordReadRequests:
+			n.readRecordOrPause(ctx)
 		case <-ticker.C:
+			if change := n.nextChange(started); change != nil {
+				n.tryChange(ctx, change, &backoff)
+			}
 		}
-		change := n.nextChange(started)
-		if change == nil {
-			continue
-		}
-		err := n.propose(ctx, change)
-		if err == nil {
-			backoff.Written()
-			continue
-		}
-		if err := n.refresh(ctx); err != nil {
-			sleep(ctx, refreshRetryAfter)
-		}
-		if errors.Is(err, kvstore.ErrConflict) && change.Reason == leadership.OwnShards {
-			n.mu.Lock()
-			wait := backoff.Conflict(n.rng, len(change.Record.Nodes))
-			n.mu.Unlock()
-			sleep(ctx, wait)
-		}
+	}
+}
+
+// tryChange proposes a change. What prevented it is read, and after a conflict about own shards others get time for
+// theirs.
+func (n *Node) tryChange(ctx context.Context, change *proposedRecord, backoff *leadership.Backoff) {
+	err := n.propose(ctx, change)
+	if err == nil {
+		backoff.Written()
+		return
+	}
+	n.readRecordOrPause(ctx)
+	if errors.Is(err, kvstore.ErrConflict) && change.Reason == leadership.OwnShards {
+		n.mu.Lock()
+		wait := backoff.Conflict(n.rng, len(change.Record.Nodes))
+		n.mu.Unlock()
+		sleep(ctx, wait)
+	}
+}
+
+// readRecordOrPause reads the membership record, and waits a moment if it cannot be read.
+func (n *Node) readRecordOrPause(ctx context.Context) {
+	if err := n.readRecord(ctx); err != nil {
+		sleep(ctx, recordReadRetryAfter)
 	}
 }
 
@@ -87,8 +94,8 @@
 	return proposed
 }
 
-// shardsChanging has the own shards heed a change of them that is on its way: what is handed over starts nothing more, and
-// replicas that are to be in sync are waited for.
+// shardsChanging has the own shards heed a change of them that is on its way: what is handed over starts nothing more,
+// and replicas that are to be in sync are waited for.
 func (n *Node) shardsChanging(change *leadership.RecordChange) {
 	for _, name := range change.HandedOver {
 		n.shards.Owned(name).BeginHandOver()
@@ -104,11 +111,12 @@
 func (p *proposedRecord) transaction() protocol.Txn {
 	epochKey := datarecovery.EpochKey + p.Record.StoreID
 	txn := protocol.Txn{
-		Conditions: []protocol.Condition{{Key: controlKey, Version: p.Version}},
-		Then:       []protocol.Op{{Set: controlKey, Value: protocol.Encode(p.Record)}},
+		Conditions: []protocol.Condition{{Key: recordKey, Version: p.Version}},
+		Then:       []protocol.Op{{Set: recordKey, Value: protocol.Encode(p.Record)}},
 	}
 	for _, condition := range p.Conditions {
-		txn.Conditions = append(txn.Conditions, protocol.Condition{Key: nodeKey + condition.Node, Version: condition.Version})
+		key := presencePrefix + condition.Node
+		txn.Conditions = append(txn.Conditions, protocol.Condition{Key: key, Version: condition.Version})
 	}
 	if p.Version == 0 {
 		txn.Then = append(txn.Then, protocol.Op{Set: epochKey, Value: []byte("{}")})
--- a/internal/controller/recovery_detect.go
+++ b/internal/controller/recovery_detect.go
@@ -143,7 +143,7 @@
 // checkLaterTerm reads the control record when somebody knows a later term. The record may only be late here: a
 // read that begins now settles it.
 func (n *Node) checkLaterTerm(ctx context.Context) {
-	if n.refresh(ctx) != nil {
+	if n.readRecord(ctx) != nil {
 		return
 	}
 	n.mu.Lock()
@@ -160,7 +160,7 @@
 func (n *Node) acknowledgedKeys() map[string]uint64 {
 	keys := map[string]uint64{}
 	if n.leadership.RecordVersion() > 0 {
-		keys[controlKey] = n.leadership.RecordVersion()
+		keys[recordKey] = n.leadership.RecordVersion()
 	}
 	maps.Copy(keys, n.roster.Versions())
 	n.addAcknowledgedConfig(keys)
@@ -180,7 +180,7 @@
 // knownVersion is the version that a followed key has as far as known here, 0 for none.
 func (n *Node) knownVersion(key string) uint64 {
 	switch {
-	case key == controlKey:
+	case key == recordKey:
 		return n.leadership.RecordVersion()
 	case strings.HasPrefix(key, datarecovery.EpochKey):
 		return n.recovery.detection.EpochKeyVersion(key)
@@ -189,7 +189,7 @@
 			return j.version
 		}
 		return 0
-	case strings.HasPrefix(key, machineKey):
+	case strings.HasPrefix(key, rosterPrefix):
 		return n.roster.Versions()[key]
 	case strings.HasPrefix(key, teamstore.Prefix):
 		return n.configVersion(key)
@@ -226,7 +226,7 @@
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	plan, outcome, ready = n.recovery.detection.PlanComparison(n.acknowledgedKeys(), n.watchedKeysRead)
-	plan.OwnKey, plan.OwnVersion = nodeKey+n.name, n.leadership.Presence(n.name).Version
+	plan.OwnKey, plan.OwnVersion = presencePrefix+n.name, n.leadership.Presence(n.name).Version
 	return plan, outcome, ready
 }
 
--- a/internal/controller/recovery_epoch.go
+++ b/internal/controller/recovery_epoch.go
@@ -47,17 +47,17 @@
 	}
 	for _, e := range entries {
 		switch {
-		case e.Key == controlKey:
+		case e.Key == recordKey:
 			var record leadership.Record
 			if json.Unmarshal(e.Value, &record) == nil {
 				contents.Record, contents.RecordVersion = &record, e.Version
 			}
 		case strings.HasPrefix(e.Key, datarecovery.EpochKey):
 			contents.EpochKeys[e.Key] = e.Version
-		case strings.HasPrefix(e.Key, nodeKey):
+		case strings.HasPrefix(e.Key, presencePrefix):
 			var p presenceValue
 			if json.Unmarshal(e.Value, &p) == nil {
-				contents.Presences[e.Key[len(nodeKey):]] = leadership.Presence{Incarnation: p.Incarnation, Version: e.Version}
+				contents.Presences[e.Key[len(presencePrefix):]] = leadership.Presence{Incarnation: p.Incarnation, Version: e.Version}
 			}
 		}
 	}
@@ -80,7 +80,7 @@
 		n.enterEpoch(entries, contents, revision)
 		return true
 	case datarecovery.ListCurrent:
-		n.reset(entries, revision)
+		n.applyListedKeys(entries, revision)
 		return true
 	}
 	if contents.Presences[n.name].Incarnation != n.incarnation {
@@ -109,7 +109,7 @@
 		n.adopt(contents.Record, contents.RecordVersion)
 	}
 	for _, e := range entries {
-		n.changed(protocol.Change{Set: e.Key, Value: e.Value, Version: e.Version})
+		n.applyChange(protocol.Change{Set: e.Key, Value: e.Value, Version: e.Version})
 	}
 	n.watchedKeysRead = true
 	n.recovery.detection.Entered(n.epoch(), now)
@@ -156,7 +156,7 @@
 		}
 	}
 	n.recovery.gathering.Begin(record.Epoch, members)
-	n.leadership.SettleAnew(time.Now()) // machines did not reach their homes while nobody was entitled
+	n.leadership.RestartSettling(time.Now()) // machines did not reach their homes while nobody was entitled
 	n.unreachableHomes.ForgetAttempts()
 	for name := range n.recovery.census.Remembered() {
 		if record.Home(name) == n.name {
@@ -189,7 +189,7 @@
 		return
 	}
 	next := evidence.NextEpoch()
-	txn := next.Transaction(controlKey, nodeKey, contents, n.settings.Deployment.KVStore.ChangesPerTransaction)
+	txn := next.Transaction(recordKey, presencePrefix, contents, n.settings.Deployment.KVStore.ChangesPerTransaction)
 	_, failed, err := n.kvStore.CommitControl(ctx, txn)
 	n.log.Info("epoch proposed", "epoch", next.Record.Epoch, "term", next.Record.Term, "accounts_kept", next.WithoutBarrier,
 		"lost_for_good", next.Record.DataLost, "members", next.Record.Members(), "failed", failed, "err", err)
--- a/internal/controller/registration.go
+++ b/internal/controller/registration.go
@@ -56,7 +56,7 @@
 func (n *Node) registerMachines(ctx context.Context) error {
 	for sleep(ctx, registerInterval) {
 		n.mu.Lock()
-		w, due := n.registration.Next(n.roster, machineKey+n.name+"/", func(machine string) bool {
+		w, due := n.registration.Next(n.roster, rosterPrefix+n.name+"/", func(machine string) bool {
 			return n.machine(machine).gone
 		})
 		n.mu.Unlock()
--- a/internal/controller/save.go
+++ b/internal/controller/save.go
@@ -52,7 +52,7 @@
 	if !due {
 		return
 	}
-	control := protocol.Condition{Key: controlKey, Version: n.leadership.RecordVersion()}
+	control := protocol.Condition{Key: recordKey, Version: n.leadership.RecordVersion()}
 	n.group.Go(func() error {
 		for _, p := range pages {
 			n.savePage(shard, p, control)
--- a/internal/controller/step.go
+++ b/internal/controller/step.go
@@ -53,7 +53,7 @@
 // stalled may have sent all the time.
 func (n *Node) resumedAfterStall(now time.Time, stalled time.Duration) {
 	n.log.Info("stalled while the clocks ran on", "for", stalled, "entitled", n.entitled(now))
-	n.leadership.SettleAnew(now)
+	n.leadership.RestartSettling(now)
 	n.lastStall = stalled
 	n.shards.Resume(now)
 }
--- a/internal/controller/step_test.go
+++ b/internal/controller/step_test.go
@@ -17,7 +17,7 @@
 	record := n.leadership.Record().Clone()
 	record.Shards[shard.Name()] = leadership.Shard{Owner: n.name, SinceTerm: 1, InSync: []string{"node-b"}}
 	learnRecord(n, record)
-	n.leadership.SettleAnew(g.now)
+	n.leadership.RestartSettling(g.now)
 	shard.Resume(g.now)
 	n.peers["node-b"] = &peerState{connected: true, lastMessageAt: g.now}
 	shard.Team().Replica().Seq = 1
--- a/internal/controller/stray_test.go
+++ b/internal/controller/stray_test.go
@@ -58,7 +58,7 @@
 		n.unreachableHomes = agents.NewUnreachableHomes(agentTiming(n.settings))
 		lease := settings.Seconds(n.settings.Deployment.Agents.LeaseSeconds)
 		start := time.Now()
-		n.leadership.SettleAnew(start.Add(-time.Minute))
+		n.leadership.RestartSettling(start.Add(-time.Minute))
 		n.peers["node-b"] = &peerState{lastMessageAt: start}
 		cut, mended := start.Add(20*time.Second), start.Add(60*time.Second)
 		w := &roamer{name: "n-000001", next: start, answered: start}
@@ -90,7 +90,7 @@
 	n := newGrown(120, 1).n
 	n.leadership.Record().Unreachable = nil
 	now := time.Now()
-	n.leadership.SettleAnew(now.Add(-time.Minute))
+	n.leadership.RestartSettling(now.Add(-time.Minute))
 	home := "node-b"
 	n.peers[home] = &peerState{lastMessageAt: now}
 	var homed []string
--- a/internal/leadership/backoff.go
+++ b/internal/leadership/backoff.go
@@ -12,8 +12,9 @@
 	maxDoublings  = 3
 )
 
-// Backoff spreads the changes that many members want to make of the one record at the same time. Without it all of them try
-// again at once when one was written, and one succeeds while the others work in vain. The zero value has seen no conflict.
+// Backoff spreads the changes that many members want to make of the one record at the same time. Without it all of them
+// try again at once when one was written, and one succeeds while the others work in vain. The zero value has seen no
+// conflict.
 type Backoff struct {
 	conflicts int // in a row
 }
@@ -21,8 +22,8 @@
 // Written notes that a change was written: it ends a row of conflicts.
 func (b *Backoff) Written() { b.conflicts = 0 }
 
-// Conflict takes in a conflict, and gives how long to wait before the next try: a drawn part of a time for each further member
-// of the group, doubled with each conflict in a row. Small groups do not wait.
+// Conflict takes in a conflict, and gives how long to wait before the next try: a drawn part of a time for each further
+// member of the group, doubled with each conflict in a row. Small groups do not wait.
 func (b *Backoff) Conflict(rng *rand.Rand, members int) time.Duration {
 	if members <= smallGroup {
 		return 0
--- a/internal/leadership/backoff_test.go
+++ b/internal/leadership/backoff_test.go
@@ -6,8 +6,9 @@
 	"time"
 )
 
-// rounds plays members that each want one change of a record, one write at a time; a write takes a time, and whoever began before
-// the last one was written is refused. It gives how many tries were refused, and when the last one was written.
+// rounds plays members that each want one change of a record, one write at a time; a write takes a time, and whoever
+// began before the last one was written is refused. It gives how many tries were refused, and when the last one was
+// written.
 func rounds(seed uint64, members int, backoff bool) (refused int, end time.Duration) {
 	const (
 		write = 10 * time.Millisecond
--- a/internal/leadership/change.go
+++ b/internal/leadership/change.go
@@ -74,7 +74,8 @@
 )
 
 // NextChange is what this controller should try to write now; nil for nothing. The caller trusts what the state service
-// says. Started is when the controller began to look for changes. The answer is told by ChangeAnswered or ChangeUnanswered.
+// says. Started is when the controller began to look for changes. The answer is told by ChangeAnswered or
+// ChangeUnanswered.
 func (s *State) NextChange(now, started time.Time, around Surroundings) *RecordChange {
 	if !s.mayChange(now) {
 		return nil
@@ -92,9 +93,10 @@
 	}
 	s.ChangeSent()
 	change.Version = s.recordVersion
-	change.Record.PreviousVersion = s.recordVersion
+	next := change.Record
+	next.PreviousVersion = s.recordVersion
 	if s.recordVersion == 0 { // the epoch begins with its first record
-		change.Record.Epoch, change.Record.FirstTerm, change.Record.StoreID = 1, change.Record.Term, around.RandomStoreID()
+		next.Epoch, next.FirstTerm, next.StoreID = 1, next.Term, around.RandomStoreID()
 	}
 	return change
 }
@@ -162,7 +164,8 @@
 	return &RecordChange{Record: in.record.Clone(), Reason: ChangeUnsettled}
 }
 
-// updateOwnShards writes which replicas of own shards are in sync, and gives shards to the owners that the ranking prefers.
+// updateOwnShards writes which replicas of own shards are in sync, and gives shards to the owners that the ranking
+// prefers.
 func (in *changeInputs) updateOwnShards() *RecordChange {
 	rebalance := in.now.Sub(in.settledAt) > rebalanceAfter
 	next, handed := UpdateShards(in.record, in.self, in.around.ShardStatuses(in.now), rebalance)
@@ -239,8 +242,8 @@
 // ChangeAnswered takes in that the change under way was written or surely not.
 func (s *State) ChangeAnswered() { s.changePending = false }
 
-// ChangeUnanswered takes in that the change under way, of the record of that version, had no answer. It may be applied until
-// another one of the same version is.
+// ChangeUnanswered takes in that the change under way, of the record of that version, had no answer. It may be applied
+// until another one of the same version is.
 func (s *State) ChangeUnanswered(version uint64) {
 	s.changePending = false
 	s.unansweredVersion = max(1, version)
--- a/internal/leadership/change_test.go
+++ b/internal/leadership/change_test.go
@@ -49,8 +49,8 @@
 	return s
 }
 
-// TestEachReasonOfAChange: each thing that asks for a change of the record gives the one change with its reason, in the order
-// of the steps, and a record that replaces the one known.
+// TestEachReasonOfAChange: each thing that asks for a change of the record gives the one change with its reason, in the
+// order of the steps, and a record that replaces the one known.
 func TestEachReasonOfAChange(t *testing.T) {
 	now := time.Unix(1000, 0)
 	for _, c := range []struct {
@@ -98,8 +98,8 @@
 	}
 }
 
-// TestNoChangeWithoutTheRight: a controller changes nothing without its lease, without its key, or while another one may act
-// by a promise of it; a member that is not entitled repairs the members and does nothing else.
+// TestNoChangeWithoutTheRight: a controller changes nothing without its lease, without its key, or while another one
+// may act by a promise of it; a member that is not entitled repairs the members and does nothing else.
 func TestNoChangeWithoutTheRight(t *testing.T) {
 	now := time.Unix(1000, 0)
 	q := &quiet{shards: []string{FleetShard}, needsTerm: true}
--- a/internal/leadership/golden_test.go
+++ b/internal/leadership/golden_test.go
@@ -9,8 +9,8 @@
 	"topazhollow/internal/goldentest"
 )
 
-// The golden files of the control record in the state service, which controllers of two versions read beside each other: the
-// forms may only grow.
+// The golden files of the control record in the state service, which controllers of two versions read beside each
+// other: the forms may only grow.
 
 // fullRecord has every field set.
 func fullRecord() Record {
--- a/internal/leadership/lease.go
+++ b/internal/leadership/lease.go
@@ -41,8 +41,8 @@
 	s.leaseRenewedAt = sent
 }
 
-// LeaseExpired takes in that the state service did not know the lease at a renewal sent at that moment. It says whether the
-// lease was renewed so recently that it can't have expired, so that the state service must have lost it.
+// LeaseExpired takes in that the state service did not know the lease at a renewal sent at that moment. It says whether
+// the lease was renewed so recently that it can't have expired, so that the state service must have lost it.
 func (s *State) LeaseExpired(sent time.Time) (tooEarly bool) {
 	tooEarly = sent.Sub(s.leaseRenewedAt) < s.lease.Life*9/10 && s.lease.Valid(sent)
 	s.leaseID = 0
--- a/internal/leadership/members.go
+++ b/internal/leadership/members.go
@@ -17,9 +17,9 @@
 	Version uint64
 }
 
-// ReconcileMembers is the next record when controllers left or joined or a shard has no owner, with the conditions that make
-// it safe; nil when nothing is to change. Each shard of an absent owner fails over to its highest-ranked replica in sync;
-// without one, to its preferred owner, who then has to pass the full barrier.
+// ReconcileMembers is the next record when controllers left or joined or a shard has no owner, with the conditions that
+// make it safe; nil when nothing is to change. Each shard of an absent owner fails over to its highest-ranked replica
+// in sync; without one, to its preferred owner, who then has to pass the full barrier.
 func ReconcileMembers(r *Record, shards []string, live map[string]Presence) (*Record, []Condition) {
 	if r.matchesPresences(shards, live) {
 		return nil, nil
@@ -96,9 +96,9 @@
 	return conditions, came
 }
 
-// failover gives a shard whose owner does not stay, or that is new, to another one, and says whether it did. Stays has the
-// members that kept their memory. First owns it if no replica is in sync; recorded says that there were shards before, so
-// that a task of a new one may be on a machine.
+// failover gives a shard whose owner does not stay, or that is new, to another one, and says whether it did. Stays has
+// the members that kept their memory. First owns it if no replica is in sync; recorded says that there were shards
+// before, so that a task of a new one may be on a machine.
 func (r *Record) failover(name string, stays map[string]uint64, first string, members []string, recorded bool) bool {
 	shard, known := r.Shards[name]
 	shard.InSync = slices.DeleteFunc(shard.InSync, func(node string) bool { _, ok := stays[node]; return !ok })
@@ -115,7 +115,9 @@
 			break
 		}
 	}
-	shard.InSync = slices.DeleteFunc(shard.InSync, func(node string) bool { return node == shard.Owner || shard.NeedsBarrier })
+	shard.InSync = slices.DeleteFunc(shard.InSync, func(node string) bool {
+		return node == shard.Owner || shard.NeedsBarrier
+	})
 	r.Shards[name] = shard
 	return true
 }
--- a/internal/leadership/members_test.go
+++ b/internal/leadership/members_test.go
@@ -182,7 +182,8 @@
 	}
 }
 
-// TestMembersReconciledAfterEachChange: whatever changed about the members or the shards is reconciled, and nothing else is touched.
+// TestMembersReconciledAfterEachChange: whatever changed about the members or the shards is reconciled, and nothing
+// else is touched.
 func TestMembersReconciledAfterEachChange(t *testing.T) {
 	items := []string{FleetShard, "team/a", "team/b"}
 	live := func(nodes ...string) map[string]Presence {
--- a/internal/leadership/owners.go
+++ b/internal/leadership/owners.go
@@ -39,8 +39,8 @@
 	return out
 }
 
-// AssignOwners gives each shard its preferred owner: the first by rendezvous rank, with no node owning more than its even
-// share.
+// AssignOwners gives each shard its preferred owner: the first by rendezvous rank, with no node owning more than its
+// even share.
 func AssignOwners(shards, nodes []string) map[string]string {
 	shards = slices.Sorted(slices.Values(shards))
 	share := (len(shards) + len(nodes) - 1) / max(1, len(nodes))
@@ -66,8 +66,9 @@
 	return r.preferredOwners
 }
 
-// ReplicaHolders names the members that should hold a shard's replica beside its owner: the preferred owner, so that the shard
-// can be handed over to it, then the highest-ranked reachable ones. There are ReplicasPerShard of them, or as many as there are.
+// ReplicaHolders names the members that should hold a shard's replica beside its owner: the preferred owner, so that
+// the shard can be handed over to it, then the highest-ranked reachable ones. There are ReplicasPerShard of them, or as
+// many as there are.
 func (r *Record) ReplicaHolders(name, owner string, reachable func(node string) bool) []string {
 	var others []string
 	for _, node := range r.Members() {
--- a/internal/leadership/packed.go
+++ b/internal/leadership/packed.go
@@ -7,10 +7,10 @@
 	"slices"
 )
 
-// The membership record is one value of the state service, whose size is bounded. With many shards the plain form, which
-// repeats the members' names and the term for each, outgrows it: 950 shards and three members take 106 KB of 64. From
-// packedFrom shards on the record is written in a packed form, which names members by their index; a record of either form
-// is read. Controllers that know the plain form alone can't read the packed one, so a deployment grows past
+// The membership record is one value of the state service, whose size is bounded. With many shards the plain form,
+// which repeats the members' names and the term for each, outgrows it: 950 shards and three members take 106 KB of 64.
+// From packedFrom shards on the record is written in a packed form, which names members by their index; a record of
+// either form is read. Controllers that know the plain form alone can't read the packed one, so a deployment grows past
 // packedFrom shards only once all of its controllers do.
 
 // packedFrom is the number of shards from which on the packed form is written.
@@ -70,7 +70,12 @@
 		if shard.SinceTerm > r.Term {
 			return nil, false
 		}
-		p := packedShard{owner: slices.Index(members, shard.Owner), age: r.Term - shard.SinceTerm, needsBarrier: shard.NeedsBarrier, inSync: []int{}}
+		p := packedShard{
+			owner:        slices.Index(members, shard.Owner),
+			age:          r.Term - shard.SinceTerm,
+			needsBarrier: shard.NeedsBarrier,
+			inSync:       []int{},
+		}
 		if p.owner == noMember {
 			return nil, false
 		}
@@ -136,10 +141,16 @@
 		return err
 	}
 	if len(numbers) < fixedNumbers {
-		return fmt.Errorf("membership record: packed shard of %d numbers, at least %d expected", len(numbers), fixedNumbers)
+		return fmt.Errorf("membership record: packed shard of %d numbers, at least %d expected",
+			len(numbers), fixedNumbers)
 	}
 	const most = 1 << 30 // indices beyond are refused by unpack, and fit an int
-	*p = packedShard{owner: int(min(numbers[0], most)), needsBarrier: numbers[1] == barrierMark, age: numbers[2], inSync: []int{}}
+	*p = packedShard{
+		owner:        int(min(numbers[0], most)),
+		needsBarrier: numbers[1] == barrierMark,
+		age:          numbers[2],
+		inSync:       []int{},
+	}
 	for _, index := range numbers[fixedNumbers:] {
 		p.inSync = append(p.inSync, int(min(index, most)))
 	}
--- a/internal/leadership/packed_test.go
+++ b/internal/leadership/packed_test.go
@@ -85,7 +85,8 @@
 	}
 }
 
-// TestLargeRecordFits: 950 teams with 3 and with 46 members, with as many backups as an item has, fit a transaction of the state service.
+// TestLargeRecordFits: 950 teams with 3 and with 46 members, with as many backups as an item has, fit a transaction of
+// the state service.
 func TestLargeRecordFits(t *testing.T) {
 	const transaction = 64 << 10
 	for _, members := range []int{3, 46} {
@@ -101,7 +102,8 @@
 	}
 }
 
-// TestBrokenPackedRecordIsRefused: indices of no member, ages before the first term and short items are errors, not owners.
+// TestBrokenPackedRecordIsRefused: indices of no member, ages before the first term and short items are errors, not
+// owners.
 func TestBrokenPackedRecordIsRefused(t *testing.T) {
 	for _, item := range []string{"[]", "[0,0]", "[5,0,0]", "[0,0,0,7]", "[0,0,99]", "[18446744073709551615,0,0]", `"x"`, "[-1,0,0]"} {
 		var r Record
@@ -111,8 +113,8 @@
 	}
 }
 
-// TestReplicaHolders: the owner is none of them, there are as many as there should be if so many can be reached, the preferred owner is
-// among them, and they do not depend on who asks.
+// TestReplicaHolders: the owner is none of them, there are as many as there should be if so many can be reached, the
+// preferred owner is among them, and they do not depend on who asks.
 func TestReplicaHolders(t *testing.T) {
 	rng := rand.New(rand.NewPCG(9, 10))
 	for range 300 {
@@ -144,7 +146,8 @@
 	}
 }
 
-// TestSurplusReplicasLeaveLast: a member in sync that should hold no replica keeps it until those that should are in sync.
+// TestSurplusReplicasLeaveLast: a member in sync that should hold no replica keeps it until those that should are in
+// sync.
 func TestSurplusReplicasLeaveLast(t *testing.T) {
 	r := (&Record{Term: 5}).Clone()
 	for _, node := range []string{"a", "b", "c", "d"} {
--- a/internal/leadership/promise.go
+++ b/internal/leadership/promise.go
@@ -18,8 +18,8 @@
 }
 
 // LearnPromise takes in that a peer promised, under a record of that version, to raise no term for PromiseLife. The
-// promise runs from when the peer sent it, which was after sent, a moment of this controller's clock: counted from then, and
-// less the clocks' drift, it ends here first.
+// promise runs from when the peer sent it, which was after sent, a moment of this controller's clock: counted from
+// then, and less the clocks' drift, it ends here first.
 func (s *State) LearnPromise(node string, version uint64, sent time.Time) {
 	until := sent.Add(PromiseLife - PromiseLife/500)
 	if p := s.peers[node]; p != nil && until.After(p.promisedUntil) {
--- a/internal/leadership/shardupdate.go
+++ b/internal/leadership/shardupdate.go
@@ -13,10 +13,12 @@
 	Holders []string        // who should hold a replica, by ReplicaHolders; nil: any member may
 }
 
-// UpdateShards is an owner's own change of the record: replicas get in sync or fall behind, barriers are passed, and with
-// rebalance shards are handed over to their preferred owners once those are in sync. It lists the shards handed over. The
-// record is nil when nothing is to change.
-func UpdateShards(r *Record, self string, statuses map[string]ShardStatus, rebalance bool) (next *Record, handed []string) {
+// UpdateShards is an owner's own change of the record: replicas get in sync or fall behind, barriers are passed, and
+// with rebalance shards are handed over to their preferred owners once those are in sync. It lists the shards handed
+// over. The record is nil when nothing is to change.
+func UpdateShards(
+	r *Record, self string, statuses map[string]ShardStatus, rebalance bool,
+) (next *Record, handed []string) {
 	preferred := r.PreferredOwners()
 	changed := map[string]Shard{}
 	for _, name := range slices.Sorted(maps.Keys(statuses)) {
@@ -45,8 +47,8 @@
 	return next, handed
 }
 
-// withReplicasInSync is the shard as its owner sees it: the barrier passed, and in sync those replicas that acknowledged
-// everything and do not lag. It says whether that differs.
+// withReplicasInSync is the shard as its owner sees it: the barrier passed, and in sync those replicas that
+// acknowledged everything and do not lag. It says whether that differs.
 func (shard Shard) withReplicasInSync(r *Record, self string, s *ShardStatus) (kept Shard, differs bool) {
 	kept, differs = shard, shard.NeedsBarrier
 	kept.NeedsBarrier, kept.InSync = false, slices.Clone(shard.InSync)
--- a/internal/leadership/state.go
+++ b/internal/leadership/state.go
@@ -43,8 +43,16 @@
 // New is the state of a process that has read nothing yet. An earlier process of the same controller may have
 // promised something right before it ended, so that this one is bound as if it had promised now.
 func New(self string, incarnation uint64, lease Lease, peers []string, now time.Time) *State {
-	s := &State{self: self, incarnation: incarnation, lease: lease, presences: map[string]Presence{}, peers: map[string]*peer{},
-		settledAt: now, leaseRenewedAt: now, promisedUntil: now.Add(PromiseLife)}
+	s := &State{
+		self:           self,
+		incarnation:    incarnation,
+		presences:      map[string]Presence{},
+		lease:          lease,
+		leaseRenewedAt: now,
+		promisedUntil:  now.Add(PromiseLife),
+		peers:          map[string]*peer{},
+		settledAt:      now,
+	}
 	for _, name := range peers {
 		s.peers[name] = &peer{}
 	}
@@ -103,9 +111,9 @@
 	maps.DeleteFunc(s.presences, func(node string, _ Presence) bool { return !listed(node) })
 }
 
-// Entitled says whether this controller may act: the state service has what it acknowledged, as far as the caller knows; the
-// record names this process; and either its lease lives or every other controller promised to raise no term for
-// now, under this record or an earlier one.
+// Entitled says whether this controller may act: the state service has what it acknowledged, as far as the caller
+// knows; the record names this process; and either its lease lives or every other controller promised to raise no term
+// for now, under this record or an earlier one.
 func (s *State) Entitled(now time.Time, storeTrusted bool) bool {
 	return storeTrusted && s.IsMember() && (s.lease.Valid(now) || s.HoldsPromises(now))
 }
@@ -113,11 +121,11 @@
 // SettledAt is since when the members, and which of them workers can reach, are what they are.
 func (s *State) SettledAt() time.Time { return s.settledAt }
 
-// SettleAnew begins to count silence anew, as after this process stood still or nobody was entitled.
-func (s *State) SettleAnew(now time.Time) { s.settledAt = now }
+// RestartSettling counts silence from now on, as after this process stood still or nobody was entitled.
+func (s *State) RestartSettling(now time.Time) { s.settledAt = now }
 
-// EnterStore forgets what was read from the state service's earlier data: versions and keys there begin anew. The record
-// stays for comparison until one of the new data is adopted.
+// EnterStore forgets what was read from the state service's earlier data: versions and keys there begin anew. The
+// record stays for comparison until one of the new data is adopted.
 func (s *State) EnterStore() {
 	s.recordVersion, s.unansweredVersion = 0, 0
 	s.presences, s.memberMissingSince = map[string]Presence{}, time.Time{}
@@ -165,7 +173,7 @@
 	KnownAlready                // it was read before the one known was written
 	OfNewerEpoch                // all is read anew before anything rests on it
 	Older                       // newer by version and older by content: the state service lost data
-	Unchained                   // written over data that had gone back: no comparison of versions shows the loss any more
+	Unchained                   // written over data that had gone back: versions do not show the loss any more
 )
 
 // Judge compares a record that the state service has under a version with the one known.
--- a/internal/leadership/state_test.go
+++ b/internal/leadership/state_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// TestJudge: a record that was read is adopted if it follows the one known, and shows a loss if it is newer by version but
-// not by what it says.
+// TestJudge: a record that was read is adopted if it follows the one known, and shows a loss if it is newer by version
+// but not by what it says.
 func TestJudge(t *testing.T) {
 	now := time.Unix(1000, 0)
 	s := New("a", 1, Lease{Life: testLife}, nil, now)
