--- /dev/null
+++ b/internal/artifactreplication/serve_agents.go
@@ -0,0 +1,139 @@
+package artifactreplication
+
+import (
+	"errors"
+	"fmt"
+	"io"
+	"net/http"
+
+	"topazhollow/internal/artifactstore"
+	"topazhollow/internal/blob"
+)
+
+// routeWorkers adds what workers send of their attempts.
+func (s *Server) routeWorkers(mux *http.ServeMux) {
+	route := func(pattern string, f func(w http.ResponseWriter, r *http.Request, c artifactstore.Claim) error) {
+		s.handle(mux, pattern, maxBody, func(w http.ResponseWriter, r *http.Request, g *artifactstore.Grant) error {
+			c, err := g.Claim()
+			if err != nil {
+				return err
+			}
+			return f(w, r, c)
+		})
+	}
+	route("POST /attempt", s.beginAttempt)
+	route("POST /streams/{name}", s.append)
+	route("POST /files/{path...}", s.attach)
+	route("POST /seal", s.seal)
+	route("POST /uploads", s.begin)
+	route("POST /uploads/{id}", s.piece)
+}
+
+// beginAttempt opens a worker's attempt.
+func (s *Server) beginAttempt(w http.ResponseWriter, r *http.Request, c artifactstore.Claim) error {
+	if err := s.Node.Begin(r.Context(), c); err != nil {
+		return err
+	}
+	send(w, 200, artifactstore.Answer{})
+	return nil
+}
+
+// attach names a blob as a file of an attempt.
+func (s *Server) attach(w http.ResponseWriter, r *http.Request, c artifactstore.Claim) error {
+	d, err := blob.Parse(r.URL.Query().Get("blob"))
+	if err != nil {
+		return err
+	}
+	if err := s.Node.Attach(r.Context(), c, r.PathValue("path"), d); err != nil {
+		return err
+	}
+	send(w, 200, artifactstore.Answer{})
+	return nil
+}
+
+// seal ends an attempt.
+func (s *Server) seal(w http.ResponseWriter, r *http.Request, c artifactstore.Claim) error {
+	var end artifactstore.End
+	if err := decode(r, &end); err != nil {
+		return err
+	}
+	m, final, err := s.Node.Seal(r.Context(), c, end)
+	if err != nil {
+		return err
+	}
+	s.Node.opt.Log.Info("attempt sealed", "job", c.Job, "task", c.Task, "attempt", c.Number, "machine", c.Machine, "completed", m.Exit.Completed, "final", final)
+	s.Node.meters.seals.Inc()
+	send(w, 200, artifactstore.Answer{Sealed: m, Final: final})
+	return nil
+}
+
+func (s *Server) append(w http.ResponseWriter, r *http.Request, c artifactstore.Claim) error {
+	first, err := number(r, "first")
+	if err != nil {
+		return err
+	}
+	var records []artifactstore.Record
+	if err := decode(r, &records); err != nil {
+		return err
+	}
+	next, err := s.Node.Append(r.Context(), c, r.PathValue("name"), first, records)
+	if err != nil {
+		return err
+	}
+	send(w, 200, artifactstore.Answer{Next: &next})
+	return nil
+}
+
+func (s *Server) begin(w http.ResponseWriter, r *http.Request, c artifactstore.Claim) error {
+	d, err := blob.Parse(r.URL.Query().Get("blob"))
+	if err != nil {
+		return err
+	}
+	u, done, err := s.Node.blobs.Begin(c.Tenant, d)
+	if err != nil {
+		return err
+	}
+	if done {
+		send(w, 200, artifactstore.Answer{Done: true})
+		return nil
+	}
+	offset := u.Offset()
+	send(w, 200, artifactstore.Answer{Upload: u.ID(), Offset: &offset})
+	return nil
+}
+
+func (s *Server) piece(w http.ResponseWriter, r *http.Request, c artifactstore.Claim) error {
+	u, err := s.Node.blobs.Resume(c.Tenant, r.PathValue("id"))
+	if err != nil {
+		return err
+	}
+	at, err := number(r, "offset")
+	if err != nil {
+		return err
+	}
+	body, err := io.ReadAll(r.Body)
+	if err != nil {
+		return fmt.Errorf("%w: %v", errBody, err)
+	}
+	offset := u.Offset()
+	if len(body) > 0 {
+		if err := u.Write(int64(at), body); err != nil {
+			if errors.Is(err, blob.ErrGap) {
+				send(w, http.StatusConflict, artifactstore.Answer{Error: err.Error(), Offset: &offset})
+				return nil
+			}
+			return err
+		}
+		offset = u.Offset()
+	}
+	if offset < u.Digest().Size {
+		send(w, 200, artifactstore.Answer{Upload: u.ID(), Offset: &offset})
+		return nil
+	}
+	if err := u.Commit(r.Context()); err != nil {
+		return err
+	}
+	s.Node.meters.uploaded(u.Digest().Size)
+	send(w, 200, artifactstore.Answer{Done: true})
+	return nil
+}
--- /dev/null
+++ b/internal/faultinjection/killagents.go
@@ -0,0 +1,123 @@
+package faultinjection
+
+import (
+	"context"
+	"fmt"
+	"math/rand/v2"
+	"os"
+	"os/exec"
+	"path/filepath"
+	"strings"
+	"time"
+
+	"topazhollow/internal/artifactstore"
+	"topazhollow/internal/protocol"
+	"topazhollow/internal/wait"
+)
+
+// Job is what a worker's process is told to do.
+type Job struct {
+	Spool   string   `json:"spool"`
+	Keepers []string `json:"keepers"`
+	History string   `json:"history"` // file that gets what is acknowledged
+	Recover bool     `json:"recover"` // take up the spool only
+	Claim   artifactstore.Claim
+	Token   string   `json:"token"`
+	Command []string `json:"command"`
+	Env     []string `json:"env"`
+	Dir     string   `json:"dir"`
+	Files   []string `json:"files"`
+}
+
+// task runs a task's attempts one after another, as a scheduler does once the earlier is
+// proven off, until one was not killed.
+func (d *drill) task(ctx context.Context, task int, r *rand.Rand) error {
+	for number := uint64(1); ; number++ {
+		at := artifactstore.Attempt{Job: "job-000001", Task: task, Number: number}
+		name := fmt.Sprintf("%s-%d-%d", at.Job, task, number)
+		c := artifactstore.Claim{Attempt: at, Tenant: "red", Machine: "machine-" + name, Session: 1}
+		job := Job{Spool: filepath.Join(d.opt.Dir, "spool", name), History: filepath.Join(d.opt.Dir, "history", name), Claim: c,
+			Token: artifactstore.Grant{Right: artifactstore.Write, Tenant: c.Tenant, Job: c.Job, Task: &c.Task, Number: number, Machine: c.Machine, Session: 1,
+				Until: time.Now().Add(time.Hour)}.Token(d.opt.Key),
+			Command: []string{"/bin/sh", "-c", script}, Env: []string{"PATH=" + os.Getenv("PATH"), "ATTEMPT=" + at.String()}, Dir: filepath.Join(d.opt.Dir, "work", name), Files: []string{"out"}}
+		for i := range d.urls {
+			job.Keepers = append(job.Keepers, d.urls[(i+r.IntN(3))%3])
+		}
+		for _, dir := range []string{job.Dir, filepath.Dir(job.History)} {
+			if err := os.MkdirAll(dir, 0o700); err != nil {
+				return err
+			}
+		}
+		d.mu.Lock()
+		d.report.Attempts++
+		d.mu.Unlock()
+		var after time.Duration
+		if number <= 2 || r.IntN(3) == 0 { // the first two are killed, if they live long enough
+			after = time.Duration(r.IntN(450_000)) * time.Microsecond
+		}
+		killed, err := d.worker(ctx, &job, after, number == 1)
+		if err != nil {
+			return fmt.Errorf("%s: %w", at, err)
+		}
+		if !killed {
+			return nil
+		}
+		k := Killed{Attempt: at, After: after, Back: r.IntN(2) == 0}
+		if k.Back {
+			job.Recover = true
+			if _, err := d.worker(ctx, &job, 0, false); err != nil {
+				return fmt.Errorf("%s taken up: %w", at, err)
+			}
+		}
+		d.mu.Lock()
+		d.report.Kills = append(d.report.Kills, k)
+		n := len(d.report.Kills)
+		d.mu.Unlock()
+		if n%50 == 0 {
+			d.tell("%d workers killed", n)
+		}
+	}
+}
+
+// worker runs a worker's process, kills it after a while if that is not 0, and says
+// whether that was before its end. The while begins with the process or, if heard, with
+// the first thing that was acknowledged to it, so that however slowly processes start here
+// some of those killed have left something behind.
+func (d *drill) worker(ctx context.Context, job *Job, after time.Duration, heard bool) (killed bool, err error) {
+	path := filepath.Join(d.opt.Dir, "history", filepath.Base(job.History)+".json")
+	if err := os.WriteFile(path, protocol.Encode(job), 0o600); err != nil {
+		return false, err
+	}
+	ctx, cancel := context.WithTimeout(ctx, 2*time.Minute)
+	defer cancel()
+	var errs strings.Builder
+	cmd := exec.CommandContext(ctx, d.opt.Program, "fault-injection-agent", path)
+	cmd.Stderr = &errs
+	if err := cmd.Start(); err != nil {
+		return false, err
+	}
+	if after > 0 {
+		kill, stop := context.WithCancel(ctx)
+		defer stop()
+		go func() {
+			for heard && !nonEmpty(job.History) && wait.For(kill, 2*time.Millisecond) {
+			}
+			if wait.For(kill, after) {
+				_ = cmd.Process.Kill() // it may have ended just now
+			}
+		}()
+	}
+	err = cmd.Wait()
+	if err != nil && after > 0 && ctx.Err() == nil && cmd.ProcessState.ExitCode() == -1 {
+		return true, nil
+	}
+	if err != nil {
+		return false, fmt.Errorf("%w: %s", err, errs.String())
+	}
+	return false, nil
+}
+
+func nonEmpty(path string) bool {
+	st, err := os.Stat(path)
+	return err == nil && st.Size() > 0
+}
--- /dev/null
+++ b/internal/faultinjection/region.go
@@ -0,0 +1,232 @@
+package faultinjection
+
+import (
+	"bytes"
+	"context"
+	"encoding/json"
+	"errors"
+	"fmt"
+	"math/rand/v2"
+	"net/http"
+	"os"
+	"path/filepath"
+	"sync"
+	"time"
+
+	"topazhollow/internal/protocol"
+	"topazhollow/internal/settings"
+	"topazhollow/internal/simulation"
+	"topazhollow/internal/wait"
+)
+
+// lossRegion is three controllers as processes with stand-ins for everything around.
+type lossRegion struct {
+	size         regionSize
+	dir, program string
+	script       string                          // the controllers' options, a file's text
+	run          func(task string) time.Duration // how long tasks run, if not all alike
+	state        *simulation.KVStore
+	doors        []*simulation.Endpoint // each controller's way to the state service
+	pipes        simulation.Paths       // from one controller to another
+	cloud        *simulation.Cloud
+	check        *simulation.Checker
+	listen       []string
+	turns        *sync.Mutex // of who ends or starts a controller
+	nodes        []*process
+	rng          *rand.Rand
+	client       *http.Client
+}
+
+// regionNames are the controllers'.
+var regionNames = []string{"node-a", "node-b", "node-c"}
+
+// regionSize is what differs between a small region and a large one.
+type regionSize struct {
+	machines int
+	cpus     float64 // of a machine
+	run      time.Duration
+	report   float64 // seconds between a worker's reports
+	teams    []settings.Team
+	state    settings.KVStore
+	cloud    settings.Cloud
+	lease    float64
+	cancel   float64
+	memory   float64 // of a controller, MB
+}
+
+// trial opens a region, has something played in it and closes it. What broke is told; an
+// error is one of the rehearsal itself.
+func (g *lossRegion) trial(ctx context.Context, play func() error) (broken string, err error) {
+	defer g.close()
+	if err := g.open(); err != nil {
+		return "", err
+	}
+	broke := errors.Join(play(), g.ended())
+	if ctx.Err() != nil {
+		return "", ctx.Err()
+	}
+	if rules := g.check.BrokenRules(); len(rules) > 0 {
+		broke = errors.Join(broke, fmt.Errorf("rules %v", rules))
+	}
+	if broke != nil {
+		broken = fmt.Sprintf("%v (the controllers' logs are in %s)", broke, g.dir)
+	}
+	return broken, nil
+}
+
+func (g *lossRegion) open() error {
+	if err := os.MkdirAll(g.dir, 0o700); err != nil {
+		return err
+	}
+	var err error
+	g.turns = &sync.Mutex{}
+	if g.state == nil {
+		if g.state, err = simulation.NewKVStore(g.size.state.ChangesPerTransaction, int(g.size.state.ValueKB)); err != nil {
+			return err
+		}
+	}
+	host, names := simulation.NewHost(), regionNames
+	listen, peers := map[string]string{}, map[string]string{}
+	for _, name := range names {
+		for _, m := range []map[string]string{listen, peers} {
+			if m[name], err = host.Listen(); err != nil {
+				return err
+			}
+		}
+		g.listen = append(g.listen, listen[name])
+	}
+	if g.run == nil {
+		g.run = func(string) time.Duration { return g.size.run }
+	}
+	if err := os.WriteFile(filepath.Join(g.dir, "options.star"), []byte(g.script), 0o600); err != nil {
+		return err
+	}
+	per := simulation.Periods{Heartbeat: settings.Seconds(g.size.report), Lease: settings.Seconds(g.size.lease), Run: g.run}
+	types := []protocol.MachineType{{Name: "m8", CPUs: g.size.cpus, MemoryGB: 8 * g.size.cpus, PricePerHour: 2, SpotPricePerHour: 1, BootSeconds: 1, Zones: []string{"east", "west"}}}
+	if g.cloud, err = simulation.NewCloud(types, g.size.machines, func(name, typ, zone string, spot bool) (*simulation.Agent, error) {
+		return simulation.NewAgent(name, typ, zone, spot, listen, names, per, g.check)
+	}); err != nil {
+		return err
+	}
+	g.pipes = simulation.Paths{}
+	for i, name := range names {
+		door, err := g.state.NewEndpoint()
+		if err != nil {
+			return err
+		}
+		g.doors = append(g.doors, door)
+		s := &settings.Settings{Name: name, Zone: "east", Listen: listen[name], PeerListen: peers[name],
+			Outside: settings.Outside{Cloud: g.cloud.Addr(), KVStore: door.Addr()},
+			Deployment: settings.Deployment{Size: 3, Zones: []string{"east", "west"},
+				Teams:   g.size.teams,
+				Agents:  settings.Agents{HeartbeatSeconds: g.size.report, LeaseSeconds: g.size.lease, GangWaitSeconds: 10, GangPeerSeconds: 4, CancelSeconds: g.size.cancel},
+				KVStore: g.size.state, Cloud: g.size.cloud, Limits: settings.Limits{Cores: 1, MemoryMB: g.size.memory, MaxSockets: 4000}}}
+		for k, p := range names {
+			if p != name {
+				pipe, err := simulation.NewPipe(peers[p])
+				if err != nil {
+					return err
+				}
+				g.pipes[[2]int{i, k}] = pipe
+				s.Peers = append(s.Peers, settings.Peer{Name: p, Zone: "east", Endpoint: pipe.Addr()})
+			}
+		}
+		if err := os.WriteFile(g.config(i), protocol.Encode(s), 0o600); err != nil {
+			return err
+		}
+		g.nodes = append(g.nodes, nil)
+		if err := g.start(i); err != nil {
+			return err
+		}
+	}
+	return nil
+}
+
+func (g *lossRegion) config(i int) string {
+	return filepath.Join(g.dir, fmt.Sprintf("node-%d.json", i))
+}
+
+// ended names a controller that ended by itself.
+func (g *lossRegion) ended() error {
+	g.turns.Lock()
+	defer g.turns.Unlock()
+	for i, p := range g.nodes {
+		if p == nil || p.killed {
+			continue
+		}
+		select {
+		case <-p.ended:
+			return fmt.Errorf("controller %d ended by itself", i)
+		default:
+		}
+	}
+	return nil
+}
+
+func (g *lossRegion) close() {
+	for i := range g.nodes {
+		g.kill(i)
+	}
+	g.pipes.Close()
+	if g.cloud != nil {
+		g.cloud.Close()
+	}
+	if g.state != nil {
+		g.state.Close()
+	}
+}
+
+func (g *lossRegion) ask(method, path string, body any) (int, protocol.Status) {
+	return g.askOf(g.rng, method, path, body)
+}
+
+// askOf asks one of the controllers, drawn from a sequence of the caller's own.
+func (g *lossRegion) askOf(rng *rand.Rand, method, path string, body any) (int, protocol.Status) {
+	var st protocol.Status
+	var data []byte
+	if body != nil {
+		data = protocol.Encode(body)
+	}
+	req, err := http.NewRequest(method, "http://"+g.listen[rng.IntN(len(g.listen))]+path, bytes.NewReader(data))
+	if err != nil {
+		return 0, st
+	}
+	resp, err := g.client.Do(req)
+	if err != nil {
+		return 0, st
+	}
+	defer resp.Body.Close()
+	_ = json.NewDecoder(resp.Body).Decode(&st) // the status says the most of it
+	return resp.StatusCode, st
+}
+
+func (g *lossRegion) until(ctx context.Context, what string, holds func() bool) error {
+	ctx, cancel := context.WithTimeout(ctx, 90*time.Second)
+	defer cancel()
+	for !holds() {
+		if rules := g.check.BrokenRules(); len(rules) > 0 {
+			return nil // told by the caller
+		}
+		if !wait.For(ctx, 50*time.Millisecond) {
+			return fmt.Errorf("never came true: %s", what)
+		}
+	}
+	return nil
+}
+
+func (g *lossRegion) submit(ctx context.Context, s *protocol.Submission) error {
+	g.check.RecordSubmission(s)
+	return g.until(ctx, s.UID+" accepted", func() bool {
+		status, st := g.ask("POST", protocol.PathSubmit, s)
+		g.check.RecordAnswer(s.UID, status, st.State, false)
+		return status == 200 || status == 201
+	})
+}
+
+func (g *lossRegion) reaches(ctx context.Context, uid string, state protocol.JobState) error {
+	return g.until(ctx, uid+" "+string(state), func() bool {
+		status, st := g.ask("GET", protocol.PathSubmit+"/"+uid, nil)
+		g.check.RecordAnswer(uid, status, st.State, false)
+		return status == 200 && st.State == state
+	})
+}
--- /dev/null
+++ b/internal/wal/append.go
@@ -0,0 +1,163 @@
+package wal
+
+import (
+	"context"
+	"encoding/binary"
+	"fmt"
+	"hash/crc32"
+	"path/filepath"
+)
+
+// batch is the records of one Append.
+type batch struct {
+	data []byte
+	offs []int64 // of each record within data
+	at   []Pos
+	done chan error
+}
+
+// Append writes records, all of them or, with an error, perhaps some. When it
+// returns without an error they are on the disk, in this order and together, and
+// at says where each begins. ErrBusy says that too much waits; nothing of the call
+// was or will be written then. A call given up by its context may yet be carried
+// out.
+func (l *Log) Append(ctx context.Context, records ...[]byte) (at []Pos, err error) {
+	b := &batch{done: make(chan error, 1)}
+	size := 0
+	for _, r := range records {
+		if len(r) == 0 || len(r) > MaxRecord {
+			return nil, fmt.Errorf("%w: %d bytes", ErrTooLong, len(r))
+		}
+		size += header + len(r)
+	}
+	b.data = make([]byte, 0, size)
+	for _, r := range records {
+		b.offs = append(b.offs, int64(len(b.data)))
+		b.data = binary.LittleEndian.AppendUint32(b.data, uint32(len(r)))
+		b.data = binary.LittleEndian.AppendUint32(b.data, crc32.Checksum(r, table))
+		b.data = append(b.data, r...)
+	}
+	l.mu.Lock()
+	switch {
+	case l.closed:
+		l.mu.Unlock()
+		return nil, ErrClosed
+	case l.broken != nil:
+		l.mu.Unlock()
+		return nil, l.broken
+	case l.bytes > 0 && l.bytes+len(b.data) > l.opt.MaxWaiting:
+		l.mu.Unlock()
+		return nil, ErrBusy
+	}
+	l.wait = append(l.wait, b)
+	l.bytes += len(b.data)
+	l.mu.Unlock()
+	l.signal()
+	select {
+	case err := <-b.done:
+		return b.at, err
+	case <-ctx.Done():
+		return nil, ctx.Err()
+	}
+}
+
+func (l *Log) signal() {
+	select {
+	case l.queue <- struct{}{}:
+	default:
+	}
+}
+
+// write carries out what waits, all of it with one fsync, until the log is closed.
+func (l *Log) write() {
+	defer close(l.ended)
+	for range l.queue {
+		for {
+			l.mu.Lock()
+			group, closed := l.wait, l.closed
+			l.wait = nil
+			f, n, size := l.files[l.last], l.last, l.size
+			l.mu.Unlock()
+			if len(group) == 0 {
+				if closed {
+					return
+				}
+				break
+			}
+			l.carry(group, f, n, size)
+		}
+	}
+}
+
+func (l *Log) carry(group []*batch, f File, n uint32, size int64) {
+	var data []byte
+	for _, b := range group {
+		for _, off := range b.offs {
+			b.at = append(b.at, Pos{n, size + int64(len(data)) + off})
+		}
+		data = append(data, b.data...)
+	}
+	l.mu.Lock()
+	err := l.broken
+	l.mu.Unlock()
+	if err == nil {
+		l.opt.Step("write")
+		if _, werr := f.WriteAt(data, size); werr != nil {
+			err = fmt.Errorf("wal: %w", werr)
+			// A full disk, say: what went out is taken back, and the log goes on.
+			if terr := f.Truncate(size); terr != nil {
+				l.breakWith(terr)
+			}
+		} else {
+			l.opt.Step("sync")
+			if serr := f.Sync(); serr != nil {
+				// What the system did with the pages is not known any more.
+				err = l.breakWith(serr)
+			} else {
+				l.opt.Step("synced")
+				size += int64(len(data))
+			}
+		}
+	}
+	l.mu.Lock()
+	if err == nil {
+		l.size = size
+	}
+	l.bytes -= len(data)
+	l.mu.Unlock()
+	if err == nil && size >= l.opt.SegmentBytes {
+		// A segment that can't be begun is tried again after the next append.
+		_ = l.rotate()
+	}
+	for _, b := range group {
+		b.done <- err
+	}
+}
+
+func (l *Log) breakWith(cause error) error {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	if l.broken == nil {
+		l.broken = fmt.Errorf("%w: %v", ErrBroken, cause)
+	}
+	return l.broken
+}
+
+// rotate begins the next segment.
+func (l *Log) rotate() error {
+	l.mu.Lock()
+	n := l.last + 1
+	l.mu.Unlock()
+	f, err := l.opt.OpenFile(filepath.Join(l.dir, segmentName(n)))
+	if err != nil {
+		return err
+	}
+	if err := SyncDir(l.dir); err != nil {
+		f.Close()
+		return err
+	}
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	l.files[n], l.last, l.size = f, n, 0
+	return nil
+}
--- /dev/null
+++ b/internal/wal/read.go
@@ -0,0 +1,135 @@
+package wal
+
+import (
+	"encoding/binary"
+	"errors"
+	"fmt"
+	"hash/crc32"
+	"io"
+	"io/fs"
+)
+
+var errTorn = errors.New("wal: torn record")
+
+// scan hands over the whole records of a file from an offset on and gives the
+// offset behind the last of them.
+func scan(f io.ReaderAt, at int64, each func(off int64, rec []byte) error) (int64, error) {
+	r := &countingReader{r: io.NewSectionReader(f, at, 1<<62), buf: make([]byte, 0, 64<<10)}
+	for {
+		head, err := r.next(header)
+		if err == io.EOF {
+			return at, nil
+		}
+		if err != nil {
+			return at, errTorn
+		}
+		n, sum := int64(binary.LittleEndian.Uint32(head)), binary.LittleEndian.Uint32(head[4:])
+		if n == 0 || n > MaxRecord {
+			return at, errTorn
+		}
+		rec, err := r.next(int(n))
+		if err != nil || crc32.Checksum(rec, table) != sum {
+			return at, errTorn
+		}
+		if err := each(at, rec); err != nil {
+			return at, err
+		}
+		at += header + n
+	}
+}
+
+// countingReader reads ahead in large pieces.
+type countingReader struct {
+	r   io.Reader
+	buf []byte
+	pos int
+}
+
+// next gives the next n bytes, valid until the next call; io.EOF only if there are
+// none at all.
+func (c *countingReader) next(n int) ([]byte, error) {
+	if len(c.buf)-c.pos < n {
+		rest := append(make([]byte, 0, max(n, 64<<10)), c.buf[c.pos:]...)
+		m, err := io.ReadAtLeast(c.r, rest[len(rest):cap(rest)], n-len(rest))
+		c.buf, c.pos = rest[:len(rest)+m], 0
+		if len(c.buf) < n {
+			if len(c.buf) == 0 && err == io.EOF {
+				return nil, io.EOF
+			}
+			return nil, io.ErrUnexpectedEOF
+		}
+	}
+	p := c.buf[c.pos : c.pos+n]
+	c.pos += n
+	return p, nil
+}
+
+// Read gives the record at a position.
+func (l *Log) Read(at Pos) ([]byte, error) {
+	l.mu.Lock()
+	f := l.files[at.Segment]
+	l.mu.Unlock()
+	if f == nil {
+		return nil, fmt.Errorf("wal: no segment %d: %w", at.Segment, fs.ErrNotExist)
+	}
+	var head [header]byte
+	if _, err := f.ReadAt(head[:], at.Offset); err != nil {
+		return nil, fmt.Errorf("%w: segment %d at %d: %v", ErrCorrupt, at.Segment, at.Offset, err)
+	}
+	n := binary.LittleEndian.Uint32(head[:])
+	if n == 0 || n > MaxRecord {
+		return nil, fmt.Errorf("%w: segment %d at %d: length %d", ErrCorrupt, at.Segment, at.Offset, n)
+	}
+	rec := make([]byte, n)
+	if _, err := f.ReadAt(rec, at.Offset+header); err != nil {
+		return nil, fmt.Errorf("%w: segment %d at %d: %v", ErrCorrupt, at.Segment, at.Offset, err)
+	}
+	if crc32.Checksum(rec, table) != binary.LittleEndian.Uint32(head[4:]) {
+		return nil, fmt.Errorf("%w: segment %d at %d: checksum", ErrCorrupt, at.Segment, at.Offset)
+	}
+	return rec, nil
+}
+
+// Scan hands over the whole records of one finished segment, as when what lives on
+// in it is moved elsewhere before it is dropped.
+func (l *Log) Scan(segment uint32, each func(at Pos, record []byte) error) error {
+	l.mu.Lock()
+	f, last := l.files[segment], l.last
+	l.mu.Unlock()
+	if f == nil || segment >= last {
+		return fmt.Errorf("wal: no finished segment %d", segment)
+	}
+	end, err := scan(f, 0, func(off int64, rec []byte) error { return each(Pos{segment, off}, rec) })
+	if errors.Is(err, errTorn) {
+		return fmt.Errorf("%w: segment %d at %d", ErrCorrupt, segment, end)
+	}
+	return err
+}
+
+// Replay hands over the records from a position to the end as it is now, in order.
+func (l *Log) Replay(from Pos, each func(at Pos, record []byte) error) error {
+	end := l.End()
+	for n := from.Segment; n <= end.Segment; n++ {
+		l.mu.Lock()
+		f := l.files[n]
+		l.mu.Unlock()
+		if f == nil {
+			return fmt.Errorf("wal: no segment %d: %w", n, fs.ErrNotExist)
+		}
+		at, size := int64(0), int64(1<<62)
+		if n == from.Segment {
+			at = from.Offset
+		}
+		if n == end.Segment {
+			size = end.Offset
+		}
+		stop, err := scan(io.NewSectionReader(f, 0, size), at, func(off int64, rec []byte) error { return each(Pos{n, off}, rec) })
+		if errors.Is(err, errTorn) {
+			err = fmt.Errorf("%w: segment %d at %d", ErrCorrupt, n, stop)
+		}
+		if err != nil {
+			return err
+		}
+	}
+	return nil
+}
