--- a/internal/controller/recovery.go
+++ b/internal/controller/recovery.go
@@ -37,7 +37,7 @@
 		gathering:      datarecovery.NewGathering(),
 		writeBack:      datarecovery.NewWriteBack(),
 		census:         datarecovery.NewCensus(),
-		facts:          factReplication{waiting: map[uint64]chan struct{}{}},
+		facts:          newFactReplication(),
 		ownKeyOutdated: make(chan struct{}, 1),
 	}
 }
--- a/internal/controller/recovery_replicate.go
+++ b/internal/controller/recovery_replicate.go
@@ -47,6 +47,36 @@
 	unreplicated int // facts told to users that no peer remembered
 }
 
+func newFactReplication() factReplication {
+	return factReplication{waiting: map[uint64]chan struct{}{}}
+}
+
+// begin numbers a fact, and returns what is signalled once a peer remembers it.
+func (f *factReplication) begin() (id uint64, replicated <-chan struct{}) {
+	f.lastID++
+	signal := make(chan struct{}, 1)
+	f.waiting[f.lastID] = signal
+	return f.lastID, signal
+}
+
+// confirm signals that a peer remembers a fact, unless it is waited for no more.
+func (f *factReplication) confirm(id uint64) {
+	if signal := f.waiting[id]; signal != nil {
+		select {
+		case signal <- struct{}{}:
+		default: // another peer was sooner
+		}
+	}
+}
+
+// end waits for a fact no more.
+func (f *factReplication) end(id uint64, confirmed bool) {
+	delete(f.waiting, id)
+	if !confirmed {
+		f.unreplicated++
+	}
+}
+
 // replicateFact has a peer remember a fact before a user is told of it. It gives up soon: what the store has is
 // acknowledged anyway, and a fact that nobody else remembers is counted.
 func (n *Node) replicateFact(ctx context.Context, m replicateFactMsg) {
@@ -54,10 +84,7 @@
 	confirmed := reached > 0 && waitFor(ctx, replicated, replicationTimeout)
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	delete(n.recovery.facts.waiting, id)
-	if !confirmed {
-		n.recovery.facts.unreplicated++
-	}
+	n.recovery.facts.end(id, confirmed)
 }
 
 // sendFact sends a fact to all peers. It returns its number, what is signalled once a peer remembers it, and how
@@ -66,19 +93,16 @@
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	now := time.Now()
-	facts := &n.recovery.facts
-	facts.lastID++
-	m.ID = facts.lastID
+	id, replicated = n.recovery.facts.begin()
+	m.ID = id
 	n.numberCancellation(&m)
-	signal := make(chan struct{}, 1)
-	facts.waiting[m.ID] = signal
 	line := peer.Encode(kindReplicateFact, m)
 	for name, p := range n.peers {
 		if n.links.SendEncoded(name, line) && p.isReachable(now) {
 			reached++
 		}
 	}
-	return m.ID, signal, reached
+	return id, replicated, reached
 }
 
 // waitFor says whether a signal came before a time has passed or the context ended.
@@ -124,12 +148,7 @@
 
 // onFactReplicated takes in that a peer remembers a fact.
 func (n *Node) onFactReplicated(m *factReplicatedMsg) {
-	if signal := n.recovery.facts.waiting[m.ID]; signal != nil {
-		select {
-		case signal <- struct{}{}:
-		default:
-		}
-	}
+	n.recovery.facts.confirm(m.ID)
 }
 
 // rememberProposedJob takes down a job that a peer is about to accept. If the store accepts it, the
