--- a/internal/autoscaler/autoscaler.go
+++ b/internal/autoscaler/autoscaler.go
@@ -29,7 +29,7 @@
 	AwaitedByBarrier bool // an owner can start nothing before the machine reports or is gone
 	ProbeUnanswered  bool // it did not answer its home's probe
 	SkippedInList    bool // the cloud lists a machine acquired later, but not this one
-	HomeUnreachable  bool // its home is unreachable from here, so that its silence says nothing
+	HomeUnreachable  bool // its home is unreachable from here, so that its silence proves nothing
 	Tasks            []RunningTask
 }
 
@@ -63,7 +63,7 @@
 }
 
 // maxBackoff is for how long at most a pool that refused is left alone: room comes
-// back without a word.
+// back without notice.
 const maxBackoff = 10 * time.Second
 
 // Arrivals is how many CPUs the work that comes keeps busy, by rank of priority: what came
--- a/internal/autoscaler/silence.go
+++ b/internal/autoscaler/silence.go
@@ -5,7 +5,7 @@
 // When a silent machine is given up.
 
 // silenceTimeout is how long a machine may be silent before it is released. One that
-// the cloud no longer lists is gone already, and the cloud's word ends the wait
+// the cloud no longer lists is gone already, and the cloud's list ends the wait
 // for it. Its list is in the order of acquisition, so that a missing machine before one
 // that is there is not just too new. One that an owner's barrier waits for has so
 // long as barrierTimeout says. In a zone that is cut off, machines and what they run live
--- a/internal/controller/admission.go
+++ b/internal/controller/admission.go
@@ -146,8 +146,7 @@
 	return count
 }
 
-// updatePlan has the fleet's owner make the plans, from every machine's view and from what
-// all owners say waits.
+// updatePlan has the fleet's owner make the plans, from every machine's status and from what all owners say waits.
 func (n *Node) updatePlan(machines []autoscaler.Machine, demands []autoscaler.Demand, now time.Time) {
 	fleet := n.leadership.Record().Shards[leadership.FleetShard]
 	if n.admission.planner == nil || n.admission.planner.SinceTerm() != fleet.SinceTerm {
--- a/internal/controller/autoscaling.go
+++ b/internal/controller/autoscaling.go
@@ -138,7 +138,7 @@
 		Warm:           n.options.WarmMachines,
 		SafetyRunTimes: n.options.Haste,
 		SpotShare:      n.options.SpotShare,
-		// Lists may be twice as old as their lag, and a report may be late.
+		// Lists may be twice as old as their lag, and a heartbeat may be late.
 		UnlistedTimeout: settings.Seconds(2*deployment.Cloud.ListLagSeconds) + time.Second,
 		BarrierTimeout:  settings.Seconds(2*deployment.Agents.HeartbeatSeconds) + heartbeatAnswerTime,
 		OverdueTimeout:  n.unreachableHomes.Timing().HeartbeatOverdue + time.Second,
--- a/internal/controller/autoscaling_inputs.go
+++ b/internal/controller/autoscaling_inputs.go
@@ -17,7 +17,7 @@
 // fleetLogInterval is how often the log describes the whole fleet.
 const fleetLogInterval = 20 * time.Second
 
-// peerStatusLife is for how long after its last status a peer's word on demands and barriers
+// peerStatusLife is for how long after its last status what a peer says of demands and barriers
 // counts.
 const peerStatusLife = 3 * time.Second
 
@@ -60,7 +60,7 @@
 		return observed
 	}
 	x := &observed.Machine
-	x.HomeUnreachable = n.homeUnheard(name, now)
+	x.HomeUnreachable = n.homeUnreachable(name, now)
 	x.Type, x.Zone, x.Spot, x.SpotNotice = m.status.Type, m.status.Zone, m.status.Spot, m.status.Notice
 	if host, known := n.scheduler.Room(name, (*schedulerSnapshot)(n)); known {
 		x.FreeCPUs, x.FreeGPUs, x.FreeMemory = host.CPUs, host.GPUs, host.MemoryGB
@@ -84,10 +84,10 @@
 	return autoscaler.RunningTask{CPUs: spec.CPUs, GPUs: spec.GPUs, Memory: spec.MemoryGB, SecondsLeft: left, OnDemandOnly: !spec.Spot}
 }
 
-// homeUnheard says whether a machine's home is another member that holds its lease but is not
-// heard here, as when connections between controllers are refused. Then nothing that happens
+// homeUnreachable says whether a machine's home is another member that holds its lease but is not
+// reachable from here, as when connections between controllers are refused. Then nothing that happens
 // on the machine is known here either.
-func (n *Node) homeUnheard(name string, now time.Time) bool {
+func (n *Node) homeUnreachable(name string, now time.Time) bool {
 	home := n.homeOf(name)
 	p := n.peers[home]
 	return p != nil && n.leadership.Presence(home).Incarnation == n.leadership.Record().Nodes[home] && !p.isReachable(now)
--- a/internal/controller/messages.go
+++ b/internal/controller/messages.go
@@ -36,7 +36,7 @@
 	SentAt     int64  `json:"at"`               // ms of the sender's steady clock
 	// Received names the last status of each peer that reached the sender lately.
 	Received map[string]receivedStatus `json:"heard,omitempty"`
-	// Promise is the sender's word to raise no term for leadership.PromiseLife.
+	// Promise is the sender's promise to raise no term for leadership.PromiseLife.
 	Promise bool `json:"promise,omitempty"`
 	// HeartbeatAges is for each machine whose home the sender is the ms since its last heartbeat.
 	HeartbeatAges map[string]int64 `json:"alive,omitempty"`
@@ -92,13 +92,13 @@
 	Beneficiary string              `json:"for"` // the job that needs the room
 }
 
-// recordMsg tells a peer the control record as the state service has it.
+// recordMsg gives a peer the control record as the state service has it.
 type recordMsg struct {
 	Version uint64          `json:"version"`
 	Record  json.RawMessage `json:"record"` // a leadership.Record, read only if it is newer than the one that is known
 }
 
-// configMsg tells a peer the changes that it lacks.
+// configMsg gives a peer the changes of the configuration that it lacks.
 type configMsg struct {
 	Epoch         uint64              `json:"generation"`
 	RecordVersion uint64              `json:"record"` // version of the control record that the sender knows
--- a/internal/controller/node.go
+++ b/internal/controller/node.go
@@ -58,8 +58,8 @@
 
 	// Channels that wake a goroutine; of room one, so that a sender never waits.
 	wakeRequests       chan struct{}
-	recordReadRequests chan struct{} // wakes the watch's reader after a hint of a newer record
-	statusRequests     chan struct{} // wakes the duty that tells peers
+	recordReadRequests chan struct{} // wakes the reader of the followed keys: there may be a newer record
+	statusRequests     chan struct{} // wakes sendStatuses
 
 	// The goroutines of this controller. Written once by Run under mu, before any of them starts.
 	group *errgroup.Group
@@ -68,8 +68,8 @@
 	// mu guards everything below it.
 	mu         sync.Mutex
 	rng        *rand.Rand
-	firstSteps map[string]bool // what was told of this process's first steps
-	lastStall  time.Duration   // how long this controller stood still last
+	firstSteps map[string]bool // steps of this process that were logged
+	lastStall  time.Duration   // the last time that this controller was stalled for
 
 	// Who may act: the membership record, the lease and the promises.
 	leadership *leadership.State
@@ -79,12 +79,12 @@
 	followedRevision uint64 // of the state service, up to which the watched keys are known
 	changeReads      *changeReads
 	endLookUps       *agents.EndLookUps
-	cancelWatermark  *cancelwatermark.Watermark // up to when all confirmed withdrawals are known here
+	cancelWatermark  *cancelwatermark.Watermark // up to when all confirmed cancellations are known here
 	recovery         *recoveryState             // what is known of the state service, and must outlive it
 
 	// The peers, by name.
 	peers            map[string]*peerState
-	progressSentAt   time.Time // when jobs' progress was last told
+	progressSentAt   time.Time // when jobs' progress was last sent
 	waitingAnnounced bool      // peers know of tasks that wait
 
 	// Jobs, and the shards of teams whose owner or replica this controller is.
@@ -99,7 +99,7 @@
 	registration     *agents.Registration
 	agents           *agents.Registry
 	commandSenders   map[string]*commandSender
-	changedMachines  map[string]bool // machines whose view is to be told to peers
+	changedMachines  map[string]bool // machines whose status is to be sent to the peers
 	unreachableHomes *agents.UnreachableHomes
 	probes           barrierProbes
 	quarantine       *quarantine.Tracker
@@ -129,13 +129,13 @@
 	agents.Liveness
 
 	status            *jobstate.MachineStatus
-	home              string // by the record homeBy
+	home              string // by homeRecord
 	homeRecord        *leadership.Record
 	unregisteredSince time.Time // since when it reports tasks though it is on no list of machines
 	inspectedAt       time.Time // when it was last asked whether it is there
 	gone              bool
 	idleSince         time.Time
-	slowAt            time.Time // when a task here was last found far slower than its kin
+	slowAt            time.Time // when a task here was last found far slower than others of its job
 }
 
 // Run serves until the context ends.
@@ -261,7 +261,7 @@
 }
 
 // limitMemory has half as many garbage collections as usual, and more again only towards three quarters of the memory
-// that is allowed: most of it stands empty.
+// that is allowed: most of it is unused.
 func limitMemory(megabytes float64) {
 	debug.SetGCPercent(200)
 	debug.SetMemoryLimit(int64(megabytes * 0.75 * (1 << 20)))
@@ -300,8 +300,8 @@
 // serve answers at the public address.
 func (n *Node) serve(ctx context.Context) error {
 	connections := max(minConnections, n.settings.Deployment.Limits.MaxSockets*7/10-reservedSockets)
-	patience := httpx.Timeouts{Idle: 90 * time.Second, Request: 5 * time.Second}
-	return httpx.Serve(ctx, n.settings.Listen, connections, patience, n.serveHTTP)
+	timeouts := httpx.Timeouts{Idle: 90 * time.Second, Request: 5 * time.Second}
+	return httpx.Serve(ctx, n.settings.Listen, connections, timeouts, n.serveHTTP)
 }
 
 // wake has the main loop look at everything soon.
--- a/internal/controller/peerhandler.go
+++ b/internal/controller/peerhandler.go
@@ -198,16 +198,16 @@
 	n.sendChangedStatuses()
 }
 
-// owns says whether the record names that process of a node as an item's owner
-// since that term.
-func (n *Node) recordNamesOwner(node string, incarnation uint64, item string, since uint64) bool {
-	if n.leadership.Record() == nil || n.leadership.Record().Nodes[node] != incarnation || !n.leadership.IsMember() {
+// recordNamesOwner says whether the record names that process of a controller as a shard's owner since that term.
+func (n *Node) recordNamesOwner(owner string, incarnation uint64, shard string, sinceTerm uint64) bool {
+	record := n.leadership.Record()
+	if record == nil || record.Nodes[owner] != incarnation || !n.leadership.IsMember() {
 		n.requestRecordRead()
 		return false
 	}
-	entry := n.leadership.Record().Shards[item]
-	if entry.SinceTerm < since {
+	entry := record.Shards[shard]
+	if entry.SinceTerm < sinceTerm {
 		n.requestRecordRead()
 	}
-	return entry.Owner == node && entry.SinceTerm == since
+	return entry.Owner == owner && entry.SinceTerm == sinceTerm
 }
--- a/internal/controller/teamconfig.go
+++ b/internal/controller/teamconfig.go
@@ -52,7 +52,7 @@
 	return n.teamConfig.config.Teams()
 }
 
-// shardNames lists all items: the teams and the fleet.
+// shardNames lists all shards: those of the teams and the fleet.
 func (n *Node) shardNames() []string {
 	names := []string{leadership.FleetShard}
 	listed := map[string]bool{}
--- a/internal/controller/teamconfig_overview.go
+++ b/internal/controller/teamconfig_overview.go
@@ -34,7 +34,7 @@
 	if n.teamConfig == nil {
 		return nil
 	}
-	n.teamConfigStatus(now) // its own word is heard, so that alone it is up to date too
+	n.teamConfigStatus(now) // applies its own status, so that a single controller is up to date too
 	r, c := n.configRecord(), n.teamConfig.config
 	lost := n.leadership.Record() != nil && n.leadership.Record().DataLost
 	propagation := n.teamConfig.propagation
--- a/internal/controller/userbackend.go
+++ b/internal/controller/userbackend.go
@@ -56,7 +56,7 @@
 	}
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	// What the store lost is no key of it, so that what is followed cannot tell its end.
+	// What the store lost is no key of it, so that what is followed cannot show its end.
 	// Before memories are gathered a peer may know the end of one that the store has.
 	return j.active && j.version > 0 && n.trusted() && n.memoriesGathered(time.Now())
 }
@@ -84,7 +84,7 @@
 }
 
 // Certain says whether a job that neither the store nor anybody here knows was never
-// accepted: all ends were read, this process had time to hear what machines know of
+// accepted: all ends were read, this process had time to receive what machines know of
 // an earlier store, and nothing was lost for good.
 // All that is followed is read up to now first.
 func (b userBackend) CertainlyNeverAccepted(ctx context.Context) bool {
@@ -103,7 +103,7 @@
 }
 
 // Missing has the store looked at before it is doubted: what looks like a loss is far more
-// often a change that this controller is about to hear of, and a doubt stops everything.
+// often a change that this controller is about to read, and a doubt stops everything.
 func (b userBackend) ReportMissing(uid string) {
 	n := b.node
 	n.mu.Lock()
--- a/internal/peer/peer.go
+++ b/internal/peer/peer.go
@@ -173,7 +173,7 @@
 	return s.writeQueued(conn, whenClosed(conn))
 }
 
-// whenClosed tells when a connection ends on which the peer never writes.
+// whenClosed returns a channel that is closed when a connection ends on which the peer never writes.
 func whenClosed(conn net.Conn) <-chan struct{} {
 	closed := make(chan struct{})
 	go func() {
--- a/internal/provisioning/machines.go
+++ b/internal/provisioning/machines.go
@@ -12,10 +12,10 @@
 
 // Observation is what the controllers know of a machine beside what the cloud says of it.
 type Observation struct {
-	// Machine holds all that reports and the state service tell. Type, zone and kind count
+	// Machine holds all that heartbeats and the state service say. Type, zone and kind count
 	// only if Reported is set.
 	Machine  autoscaler.Machine
-	Reported bool // the machine's home has a report of it
+	Reported bool // the machine's home has a status of it
 }
 
 // Candidates lists the machines that may exist, in the order of their names: those of the
--- a/internal/teamconfig/config.go
+++ b/internal/teamconfig/config.go
@@ -25,8 +25,8 @@
 // team is what is known of a team that has an entry.
 type team struct {
 	Entry
-	version       uint64 // of this entry's key in this generation; 0: the state service does not have it
-	storedVersion uint64 // version of the key in this generation, whatever it holds; 0: none
+	version       uint64 // of this entry's key in this epoch; 0: the state service does not have it
+	storedVersion uint64 // version of the key in this epoch, whatever it holds; 0: none
 	limitsInForce Limits // the last ones known to be in force everywhere, or to have been at the start
 	inForce       bool   // this entry is known to be in force everywhere
 }
@@ -80,7 +80,7 @@
 	case e.Number < t.Number, e.Number == t.Number && e.Change == t.Change:
 		return false
 	case e.Number == t.Number && (t.version > 0 || e.Change < t.Change):
-		c.noteOverruled(name, e) // what the state service holds stands, else the same one everywhere
+		c.noteOverruled(name, e) // what the state service holds holds, else the same one everywhere
 		return false
 	case e.Number == t.Number:
 		c.noteOverruled(name, t.Entry)
--- a/internal/teamconfig/entry.go
+++ b/internal/teamconfig/entry.go
@@ -107,7 +107,7 @@
 	return settings.Team{Name: name, CPUs: l.CPUs, CPUsMax: l.CPUsMax, GPUs: l.GPUs, GPUsMax: l.GPUsMax}
 }
 
-// BaseDigest names the teams of a settings file, in any order: controllers with different files are told apart.
+// BaseDigest names the teams of a settings file, in any order: controllers with different files are distinguished.
 func BaseDigest(teams []settings.Team) uint64 {
 	lines := make([]string, len(teams))
 	for i, t := range teams {
--- a/internal/teamstore/teamstore.go
+++ b/internal/teamstore/teamstore.go
@@ -22,7 +22,7 @@
 // Prefix is that of the teams' keys, which every controller watches.
 const Prefix = userapi.WatchedPrefix + "t/"
 
-// Errors that callers tell apart.
+// Errors that callers decide by.
 var (
 	ErrNoRecord = errors.New("the state service has no control record with its generation's key: no controller runs on it, or it lost data")
 	ErrTeamName = errors.New("a team's name has letters, digits, points, dashes and underscores only, 100 at the most")
