--- a/internal/leasegrant/meet_test.go
+++ b/internal/leasegrant/model_explore_test.go
@@ -19,26 +19,26 @@
 	do   func(w *world)
 }
 
-// withdrawnBy is the last step in which the job may be withdrawn, and lastStep the one at which a history ends: by then
+// cancelledBy is the last step in which the job may be cancelled, and lastStep the one at which a history ends: by then
 // the time of the cancellation is over.
 const (
-	withdrawnBy = 2
-	lastStep    = withdrawnBy + int(cancelWithin/step) + 2
+	cancelledBy = 2
+	lastStep    = cancelledBy + int(cancelTime/step) + 2
 )
 
 // events come in the order in which those between the same two steps are tried.
 var events = []event{
 	{"machine wakes", func(w *world) bool { return w.machines[0].hung }, func(w *world) {
 		w.machines[0].hung = false
-		w.release(func(d *direct) bool { return !d.late && d.machine == 0 && !w.cut[0][d.from] })
+		w.releaseHeldUp(func(d *commandRequest) bool { return !d.late && d.machine == 0 && !w.pathHeld[0][d.from] })
 	}},
-	{"path heals", func(w *world) bool { return w.cut[0] != [3]bool{} }, func(w *world) {
-		w.cut[0] = [3]bool{}
-		w.release(func(d *direct) bool { return !d.late && d.machine == 0 && !w.machines[0].hung })
+	{"path heals", func(w *world) bool { return w.pathHeld[0] != [3]bool{} }, func(w *world) {
+		w.pathHeld[0] = [3]bool{}
+		w.releaseHeldUp(func(d *commandRequest) bool { return !d.late && d.machine == 0 && !w.machines[0].hung })
 	}},
-	{"c joins", func(w *world) bool { return w.apart[2] }, func(w *world) { w.apart[2] = false }},
-	{"a joins", func(w *world) bool { return w.apart[0] }, func(w *world) { w.apart[0] = false }},
-	{"b joins", func(w *world) bool { return w.apart[1] }, func(w *world) { w.apart[1] = false }},
+	{"c joins", func(w *world) bool { return w.unlinked[2] }, func(w *world) { w.unlinked[2] = false }},
+	{"a joins", func(w *world) bool { return w.unlinked[0] }, func(w *world) { w.unlinked[0] = false }},
+	{"b joins", func(w *world) bool { return w.unlinked[1] }, func(w *world) { w.unlinked[1] = false }},
 	{"a is served", func(w *world) bool { return w.store.refused[0] }, func(w *world) { w.store.refused[0] = false }},
 	{"b is served", func(w *world) bool { return w.store.refused[1] }, func(w *world) { w.store.refused[1] = false }},
 	{"outage ends", func(w *world) bool { return w.store.down }, func(w *world) {
@@ -47,84 +47,84 @@
 			w.store.expires[name] = w.now.Add(controllerLease)
 		}
 	}},
-	{"b reads, its answer is late", func(w *world) bool { return w.served(1) && w.controllers[1].up && !w.controllers[1].known }, stash(1)},
-	{"c apart", func(w *world) bool { return true }, func(w *world) { w.apart[2] = true }},
-	{"c withdraws", canWithdraw(2), withdraw(2)},
-	{"b withdraws", canWithdraw(1), withdraw(1)},
-	{"a withdraws", canWithdraw(0), withdraw(0)},
-	{"c writes the withdrawal and ends", canWithdraw(2), func(w *world) {
-		w.commit()
+	{"b reads, its answer is late", func(w *world) bool { return w.served(1) && w.controllers[1].up && !w.controllers[1].known }, readLate(1)},
+	{"c apart", func(w *world) bool { return true }, func(w *world) { w.unlinked[2] = true }},
+	{"c cancels", canCancel(2), cancelJob(2)},
+	{"b cancels", canCancel(1), cancelJob(1)},
+	{"a cancels", canCancel(0), cancelJob(0)},
+	{"c writes the cancellation and ends", canCancel(2), func(w *world) {
+		w.writeCancellation()
 		w.crash(2)
 	}},
-	{"a confirms it", canConfirm(0), func(w *world) { w.confirm(w.controllers[0]) }},
-	{"b confirms it", canConfirm(1), func(w *world) { w.confirm(w.controllers[1]) }},
+	{"a confirms it", canConfirm(0), func(w *world) { w.confirmCancellation(w.controllers[0]) }},
+	{"b confirms it", canConfirm(1), func(w *world) { w.confirmCancellation(w.controllers[1]) }},
 	{"a refused", func(w *world) bool { return !w.store.down }, func(w *world) { w.store.refused[0] = true }},
 	{"b refused", func(w *world) bool { return !w.store.down }, func(w *world) { w.store.refused[1] = true }},
 	{"outage", func(w *world) bool { return !w.store.down }, func(w *world) { w.store.down = true }},
-	{"b's late answer", func(w *world) bool { return w.controllers[1].up && w.controllers[1].stash != nil }, func(w *world) {
-		for _, x := range w.controllers[1].stash {
-			w.learn(w.controllers[1], x)
+	{"b's late answer", func(w *world) bool { return w.controllers[1].up && w.controllers[1].lateChanges != nil }, func(w *world) {
+		for _, x := range w.controllers[1].lateChanges {
+			w.applyChange(w.controllers[1], x)
 		}
-		w.controllers[1].stash = nil
+		w.controllers[1].lateChanges = nil
 	}},
 	{"a ends", func(w *world) bool { return w.controllers[0].up }, func(w *world) { w.crash(0) }},
 	{"b ends", func(w *world) bool { return w.controllers[1].up }, func(w *world) { w.crash(1) }},
 	{"c ends", func(w *world) bool { return w.controllers[2].up }, func(w *world) { w.crash(2) }},
-	{"a apart", func(w *world) bool { return true }, func(w *world) { w.apart[0] = true }},
-	{"b apart", func(w *world) bool { return true }, func(w *world) { w.apart[1] = true }},
-	{"path to a held", func(w *world) bool { return true }, func(w *world) { w.cut[0][0] = true }},
-	{"only a is reached", func(w *world) bool { return true }, func(w *world) { w.cut[0] = [3]bool{false, true, true} }},
-	{"machine cut off", func(w *world) bool { return !w.cut[0][0] }, func(w *world) { w.cut[0] = [3]bool{true, true, true} }},
+	{"a apart", func(w *world) bool { return true }, func(w *world) { w.unlinked[0] = true }},
+	{"b apart", func(w *world) bool { return true }, func(w *world) { w.unlinked[1] = true }},
+	{"path to a held", func(w *world) bool { return true }, func(w *world) { w.pathHeld[0][0] = true }},
+	{"only a is reached", func(w *world) bool { return true }, func(w *world) { w.pathHeld[0] = [3]bool{false, true, true} }},
+	{"machine cut off", func(w *world) bool { return !w.pathHeld[0][0] }, func(w *world) { w.pathHeld[0] = [3]bool{true, true, true} }},
 	{"machine hangs", func(w *world) bool { return true }, func(w *world) { w.machines[0].hung = true }},
-	{"machine deaf", func(w *world) bool { return true }, func(w *world) { w.machines[0].deaf = true }},
+	{"machine unreachable", func(w *world) bool { return true }, func(w *world) { w.machines[0].unreachable = true }},
 	{"b moves the task", func(w *world) bool { return w.controllers[1].account != nil }, func(w *world) {
 		w.controllers[1].account.AssignmentsOn(machineName(0), func(h jobstate.Assignment) { w.controllers[1].account.Migrate(h, 0, w.now) })
 	}},
-	{"next start is late", func(w *world) bool { return len(w.machines[0].tasks) == 0 }, func(w *world) { w.late = true }},
-	{"late start arrives", func(w *world) bool { return len(w.held) > 0 && w.held[0].late }, func(w *world) {
-		w.release(func(d *direct) bool { return d.late })
+	{"next start is late", func(w *world) bool { return len(w.machines[0].tasks) == 0 }, func(w *world) { w.nextStartLate = true }},
+	{"late start arrives", func(w *world) bool { return len(w.heldUp) > 0 && w.heldUp[0].late }, func(w *world) {
+		w.releaseHeldUp(func(d *commandRequest) bool { return d.late })
 	}},
 }
 
-func stash(i int) func(w *world) {
+func readLate(i int) func(w *world) {
 	return func(w *world) {
 		c := w.controllers[i]
 		for _, x := range w.store.changes {
 			if x.revision > c.revision {
-				c.stash = append(c.stash, x)
+				c.lateChanges = append(c.lateChanges, x)
 			}
 		}
 	}
 }
 
-func canWithdraw(i int) func(w *world) bool {
+func canCancel(i int) func(w *world) bool {
 	return func(w *world) bool {
-		return !w.committed && w.steps <= withdrawnBy && w.controllers[i].up && w.served(i)
+		return !w.cancelled && w.steps <= cancelledBy && w.controllers[i].up && w.served(i)
 	}
 }
 
-func withdraw(i int) func(w *world) {
+func cancelJob(i int) func(w *world) {
 	return func(w *world) {
-		w.commit()
-		w.confirm(w.controllers[i])
+		w.writeCancellation()
+		w.confirmCancellation(w.controllers[i])
 	}
 }
 
-func (w *world) commit() {
-	w.committed = true
+func (w *world) writeCancellation() {
+	w.cancelled = true
 	w.store.revision++
 	w.store.changes = append(w.store.changes, change{revision: w.store.revision, deleted: true})
 }
 
 func canConfirm(i int) func(w *world) bool {
 	return func(w *world) bool {
-		return w.committed && w.confirmed.IsZero() && w.steps <= withdrawnBy && w.controllers[i].up && w.served(i)
+		return w.cancelled && w.confirmedAt.IsZero() && w.steps <= cancelledBy && w.controllers[i].up && w.served(i)
 	}
 }
 
 func (w *world) crash(i int) {
 	c := w.controllers[i]
-	w.controllers[i] = &controller{index: i, process: c.process, returns: w.now.Add(step), lease: leadership.Lease{}}
+	w.controllers[i] = &controller{index: i, incarnation: c.incarnation, restartsAt: w.now.Add(step), lease: leadership.Lease{}}
 }
 
 // outcome is what an exploration found.
@@ -150,20 +150,20 @@
 
 // children lists what may follow a state.
 func children(n *node, f *family) (out []*node) {
-	if n.w.steps < lastStep && (n.w.committed || n.w.steps <= withdrawnBy || !f.withdraws()) {
+	if n.w.steps < lastStep && (n.w.cancelled || n.w.steps <= cancelledBy || !f.cancels()) {
 		w := copied(n.w)
 		w.advance()
 		out = append(out, &node{w, n, "|"})
 	}
-	if n.w.events == f.most {
+	if n.w.events == f.maxEvents {
 		return out
 	}
 	for i := n.w.lastEvent; i < len(events); i++ {
-		if n.w.used&(1<<i) != 0 || !slices.Contains(f.events, events[i].name) || !events[i].can(n.w) {
+		if n.w.usedEvents&(1<<i) != 0 || !slices.Contains(f.events, events[i].name) || !events[i].can(n.w) {
 			continue
 		}
 		w := copied(n.w)
-		w.used |= 1 << i
+		w.usedEvents |= 1 << i
 		w.events, w.lastEvent = w.events+1, i+1
 		events[i].do(w)
 		out = append(out, &node{w, n, events[i].name})
@@ -173,22 +173,22 @@
 
 // family is a part of the events, of which up to so many meet.
 type family struct {
-	name    string
-	running bool // the job's task runs when it begins; else it is to be started
-	most    int
-	events  []string
-	mutants []mutant
-	longer  time.Duration // than in the others a worker's lease is
+	name        string
+	running     bool // the job's task runs when it begins; else it is to be started
+	maxEvents   int
+	events      []string
+	mutants     []mutant
+	longerLease time.Duration // than in the others an agent's lease is
 }
 
-// withdraws says whether the job may be withdrawn.
-func (f *family) withdraws() bool {
-	return slices.ContainsFunc(f.events, func(name string) bool { return strings.Contains(name, "withdraw") })
+// cancels says whether the job may be cancelled.
+func (f *family) cancels() bool {
+	return slices.ContainsFunc(f.events, func(name string) bool { return strings.Contains(name, "cancel") })
 }
 
 // explore goes through all histories of a family, breadth-first.
 func explore(f *family, m mutant) outcome {
-	level := []*node{{w: newWorld(m, f.running, workerLease+f.longer)}}
+	level := []*node{{w: newWorld(m, f.running, agentLease+f.longerLease)}}
 	seen := map[uint64]bool{}
 	found := outcome{}
 	for len(level) > 0 {
@@ -226,30 +226,30 @@
 }
 
 var families = []family{
-	{"refusals and outages", true, 4, []string{"c withdraws", "only a is reached", "path heals", "a refused", "outage", "outage ends", "a apart"},
-		[]mutant{"an unnumbered withdrawal", "renewals without a horizon"}, 0},
-	{"processes and links", true, 5, []string{"c apart", "c joins", "c withdraws", "c ends", "outage"},
+	{"refusals and outages", true, 4, []string{"c cancels", "only a is reached", "path heals", "a refused", "outage", "outage ends", "a apart"},
+		[]mutant{"an unnumbered cancellation", "renewals without a watermark"}, 0},
+	{"processes and links", true, 5, []string{"c apart", "c joins", "c cancels", "c ends", "outage"},
 		[]mutant{"one process"}, 0},
-	{"a held path", false, 5, []string{"c withdraws", "path to a held", "path heals", "outage", "outage ends", "a ends"},
-		[]mutant{"strangers without a bound", "what is over is not stopped"}, 0},
-	{"a late start", false, 6, []string{"next start is late", "late start arrives", "c withdraws", "outage", "machine hangs", "a apart"},
-		[]mutant{"a start in flight does not bound renewals", "a home's word leaves out its starts"}, 0},
-	{"late reads", false, 6, []string{"b reads, its answer is late", "c withdraws", "b withdraws", "outage", "b's late answer", "b ends", "outage ends"},
+	{"a held path", false, 5, []string{"c cancels", "path to a held", "path heals", "outage", "outage ends", "a ends"},
+		[]mutant{"other controllers without a bound", "ended jobs are not stopped"}, 0},
+	{"a late start", false, 6, []string{"next start is late", "late start arrives", "c cancels", "outage", "machine hangs", "a apart"},
+		[]mutant{"a start in flight does not bound renewals", "a home's watermark leaves out its starts"}, 0},
+	{"late reads", false, 6, []string{"b reads, its answer is late", "c cancels", "b cancels", "outage", "b's late answer", "b ends", "outage ends"},
 		[]mutant{"an acceptance after the end"}, 0},
-	{"found by another", true, 4, []string{"c writes the withdrawal and ends", "a confirms it", "b confirms it", "a refused", "outage", "only a is reached", "machine hangs"}, nil, 0},
-	{"a late start across an end", false, 5, []string{"next start is late", "late start arrives", "a ends", "machine deaf", "b moves the task"}, nil, step},
-	{"machines", true, 4, []string{"machine cut off", "path heals", "machine hangs", "machine wakes", "a withdraws", "a ends", "outage"}, nil, 0},
+	{"found by another", true, 4, []string{"c writes the cancellation and ends", "a confirms it", "b confirms it", "a refused", "outage", "only a is reached", "machine hangs"}, nil, 0},
+	{"a late start across an end", false, 5, []string{"next start is late", "late start arrives", "a ends", "machine unreachable", "b moves the task"}, nil, step},
+	{"machines", true, 4, []string{"machine cut off", "path heals", "machine hangs", "machine wakes", "a cancels", "a ends", "outage"}, nil, 0},
 }
 
-// TestMeetings: in no history of any family is a task of the job on a machine, or does one start, later than
-// cancelWithin after a user was told of its withdrawal, nor is a task on two machines.
+// TestModel: in no history of any family is a task of the job on a machine, or does one start, later than
+// cancelTime after a user was told of its cancellation, nor is a task on two machines.
 func TestModel(t *testing.T) {
 	for i := range families {
 		f := &families[i]
 		t.Run(f.name, func(t *testing.T) {
 			began := time.Now()
 			found := explore(f, "")
-			t.Logf("up to %d of %d events between %d steps: %d states, %v", f.most, len(f.events), lastStep, found.states, time.Since(began).Round(time.Millisecond))
+			t.Logf("up to %d of %d events between %d steps: %d states, %v", f.maxEvents, len(f.events), lastStep, found.states, time.Since(began).Round(time.Millisecond))
 			if found.broken != "" {
 				t.Errorf("%s: %q", found.broken, found.history)
 			}
@@ -257,7 +257,7 @@
 	}
 }
 
-// TestMeetingsCatch shows that the model breaks a rule when a guard is left out.
+// TestModelCatchesMutants shows that the model breaks an invariant when a guard is left out.
 func TestModelCatchesMutants(t *testing.T) {
 	for i := range families {
 		for _, m := range families[i].mutants {
--- /dev/null
+++ b/internal/leasegrant/model_owner_test.go
@@ -0,0 +1,114 @@
+package leasegrant_test
+
+import (
+	"slices"
+
+	"topazhollow/internal/jobstate"
+	"topazhollow/internal/protocol"
+)
+
+// The owner of the job's team in the model: it places the task and orders starts and stops.
+
+func spec() *protocol.Submission {
+	return &protocol.Submission{UID: jobUID, Team: "red", Kind: protocol.JobArray, Priority: "high", Tasks: 1, CPUs: 1, EstimateSeconds: 600}
+}
+
+// actAsOwner has the team's owner look at the machines' statuses, place the task, and give orders.
+func (w *world) actAsOwner(c *controller) {
+	if c.account == nil || !w.entitled(c) {
+		return
+	}
+	for k := range w.machines {
+		if h := w.homeOf(c, k); h != nil {
+			w.applyStatus(c, h, k)
+		}
+	}
+	if c.awaited != [2]bool{} {
+		return
+	}
+	if j := c.account.Job(jobUID); j != nil {
+		c.account.Pending(j, w.now, func(index int) bool {
+			for k, v := range c.statuses {
+				if v != nil && v.FencingToken >= c.record.Term && !j.Avoids(machineName(k), w.now) && !w.machines[k].hung {
+					return c.account.Place(j, index, jobstate.Location{Machine: machineName(k), Incarnation: v.Incarnation})
+				}
+			}
+			return false
+		})
+	}
+	acked := uint64(0)
+	c.account.TakeDeltas()
+	if w.replicates(c) {
+		acked = c.account.Replica().Seq
+		w.replica = jobstate.FromCopy(c.account.Replica().Copy())
+	}
+	due := c.account.TakeDueOrders(acked, w.now, func(name string, session uint64) bool {
+		v := c.statuses[slices.Index([]string{machineName(0), machineName(1)}, name)]
+		return v != nil && v.Incarnation == session
+	})
+	for k := range w.machines {
+		if orders := due[machineName(k)]; len(orders) > 0 {
+			w.sendOrders(c, k, orders)
+		}
+	}
+}
+
+// replicates says whether every replica in sync is reached.
+func (w *world) replicates(c *controller) bool {
+	for _, name := range c.record.Shards[team].InSync {
+		k := slices.Index(names[:], name)
+		if k != c.index && (!w.linked(c.index, k) || w.controllers[k].incarnation != c.record.Nodes[name]) {
+			return false
+		}
+	}
+	return true
+}
+
+// homeOf is a machine's home by a controller's record, if they are linked.
+func (w *world) homeOf(c *controller, k int) *controller {
+	h := slices.Index(names[:], c.record.Home(machineName(k)))
+	if h != c.index && !w.linked(c.index, h) {
+		return nil
+	}
+	return w.controllers[h]
+}
+
+func (w *world) applyStatus(c, home *controller, k int) {
+	v := home.home.Status(machineName(k))
+	if v == nil || c.statuses[k] != nil && !v.Newer(c.statuses[k]) {
+		return
+	}
+	c.statuses[k] = v
+	if v.FencingToken >= c.sinceTerm {
+		c.awaited[k] = false
+	}
+	if c.awaited != [2]bool{} {
+		return
+	}
+	orders := c.account.Observe(v, w.now, jobKnowledge{c})
+	if len(orders) > 0 {
+		w.sendOrders(c, k, orders)
+	}
+}
+
+// jobKnowledge is what a controller can tell its account of the job.
+type jobKnowledge struct{ c *controller }
+
+func (k jobKnowledge) Job(string) jobstate.JobInfo {
+	return jobstate.JobInfo{Known: k.c.known, OwnTeam: true, Active: k.c.active, Spec: spec()}
+}
+
+func (k jobKnowledge) UnknownSizeBound(*jobstate.MachineStatus) (cpus, gpus float64) {
+	return spec().CPUs, spec().GPUs
+}
+
+func (w *world) sendOrders(c *controller, k int, orders []jobstate.Order) {
+	h := w.homeOf(c, k)
+	if h == nil {
+		c.account.RetractUnsent(orders)
+		return
+	}
+	if h == c || w.entitled(h) {
+		h.home.QueueOrders(c.record.Term, machineName(k), orders)
+	}
+}
