--- a/internal/admission/fairshares_test.go
+++ b/internal/admission/fairshares_test.go
@@ -101,7 +101,7 @@
 }
 
 // TestFloors: whoever needs least for the floor's part of what comes gets it first, a flood for
-// which there is not enough keeps a crumb, and never are more CPUs promised than there are.
+// which there is not enough keeps leastFloorShare, and never are more CPUs promised than there are.
 func TestFloors(t *testing.T) {
 	w := &Weights{FloorShare: 0.5}
 	teams := map[string]Quota{"a": {Guaranteed: 100}, "b": {Guaranteed: 100, Limit: 60}}
