--- a/internal/artifactreplication/bench_test.go
+++ b/internal/artifactreplication/bench_test.go
@@ -17,7 +17,7 @@
 	"topazhollow/internal/blob"
 )
 
-// benchGroup lets benchmarks use the tests' group of keepers.
+// benchGroup lets benchmarks use the tests' group of replicas.
 func benchGroup(b *testing.B, names ...string) *group {
 	t := &testing.T{}
 	g := &group{t: t, dir: b.TempDir(), members: Members{Epoch: 1, Copies: len(names), Acks: majority(len(names))}, keepers: map[string]*one{}}
@@ -38,7 +38,7 @@
 	return g
 }
 
-// BenchmarkAppend sets appends of a record of 120 bytes, at one keeper and at three of
+// BenchmarkAppend sets appends of a record of 120 bytes, at one replica and at three of
 // which two must have it, beside a plain file with an fsync for each record and one with
 // none.
 func BenchmarkAppend(b *testing.B) {
@@ -102,7 +102,7 @@
 	}
 }
 
-// BenchmarkFetch sets reading a file of 64 MiB from a keeper, over HTTP and verified,
+// BenchmarkFetch sets reading a file of 64 MiB from a replica, over HTTP and verified,
 // beside a plain copy with a sha256.
 func BenchmarkFetch(b *testing.B) {
 	const size = 64 << 20
@@ -164,7 +164,7 @@
 	})
 }
 
-// BenchmarkRefill takes a keeper's disk and measures until it has all again, and what
+// BenchmarkRefill takes a replica's disk and measures until it has all again, and what
 // readers at the others wait meanwhile.
 func BenchmarkRefill(b *testing.B) {
 	const attempts = 2000
@@ -213,7 +213,7 @@
 				took = append(took, time.Since(began))
 			}
 		}()
-		for !g.keepers["c"].Full() {
+		for !g.keepers["c"].IsFull() {
 			if err := g.keepers["c"].Repair(ctx); err != nil {
 				b.Fatal(err)
 			}
@@ -227,7 +227,7 @@
 }
 
 // BenchmarkOpenStreams measures the memory of 10,000 open streams of ten records each, at
-// one keeper.
+// one replica.
 func BenchmarkOpenStreams(b *testing.B) {
 	const streams = 10_000
 	for range b.N {
--- a/internal/artifactreplication/config.go
+++ b/internal/artifactreplication/config.go
@@ -13,7 +13,7 @@
 	"topazhollow/internal/tomlfile"
 )
 
-// KeyVariable is the environment variable with the keeper's key, in hexadecimal. Secrets
+// KeyVariable is the environment variable with the replica's key, in hexadecimal. Secrets
 // have no place in a file.
 const KeyVariable = "TOPAZ_KEEP_KEY"
 
@@ -38,7 +38,7 @@
 	TLS          struct {
 		Cert string `toml:"cert"`
 		Key  string `toml:"key"`
-		CA   string `toml:"ca"` // whose certificates the other keepers have; the system's if empty
+		CA   string `toml:"ca"` // whose certificates the other replicas have; the system's if empty
 	} `toml:"tls"`
 	Members Members `toml:"members"`
 }
@@ -56,7 +56,7 @@
 	if err := tomlfile.Load(path, &c); err != nil {
 		return c, err
 	}
-	c.Fill()
+	c.FillDefaults()
 	for _, beside := range []*string{&c.Policy, &c.Revoked} {
 		if *beside != "" && !filepath.IsAbs(*beside) {
 			*beside = filepath.Join(filepath.Dir(path), *beside)
@@ -68,9 +68,9 @@
 	return c, nil
 }
 
-// Fill makes a list of this keeper alone where there is none, and puts in what a list
+// FillDefaults makes a list of this replica alone where there is none, and puts in what a list
 // leaves out.
-func (c *Config) Fill() {
+func (c *Config) FillDefaults() {
 	m := &c.Members
 	if len(m.List) == 0 {
 		m.List = []Member{{Name: c.Name, URL: "http://" + c.Listen}}
@@ -114,7 +114,7 @@
 	return c.Members.check(c.Name)
 }
 
-// Client is what the other keepers are called with.
+// Client is what the other replicas are called with.
 func (c *Config) Client() (*http.Client, error) {
 	t := http.DefaultTransport.(*http.Transport).Clone()
 	t.MaxIdleConnsPerHost = 64
@@ -134,13 +134,13 @@
 // String is the configuration as a file.
 func (c Config) String() string { return tomlfile.String(c) }
 
-// Duty is what the configuration says of it.
-func (c Config) Duty() Duty {
+// BackgroundWork is what the configuration says of it.
+func (c Config) BackgroundWork() BackgroundWork {
 	span := func(x float64, unit time.Duration) time.Duration { return time.Duration(x * float64(unit)) }
-	return Duty{Every: span(c.DutyMinutes, time.Minute), Partial: span(c.PartialHours, time.Hour), Loose: span(c.LooseHours, time.Hour), Scrub: c.ScrubMB * 1e6, Repair: span(c.RepairSec, time.Second)}
+	return BackgroundWork{Every: span(c.DutyMinutes, time.Minute), Partial: span(c.PartialHours, time.Hour), Loose: span(c.LooseHours, time.Hour), Scrub: c.ScrubMB * 1e6, Repair: span(c.RepairSec, time.Second)}
 }
 
-// KeyFromEnvironment reads the keeper's key.
+// KeyFromEnvironment reads the replica's key.
 func KeyFromEnvironment() ([]byte, error) {
 	key, err := hex.DecodeString(os.Getenv(KeyVariable))
 	if err != nil || len(key) < 16 {
--- a/internal/artifactreplication/config_test.go
+++ b/internal/artifactreplication/config_test.go
@@ -36,7 +36,7 @@
 	c, err := LoadConfig("../../deploy/keep.toml")
 	want := DefaultConfig()
 	want.Policy = "../../deploy/retention.star"
-	want.Fill()
+	want.FillDefaults()
 	if err != nil || !reflect.DeepEqual(c, want) {
 		t.Errorf("%+v, %v", c, err)
 	}
--- a/internal/artifactreplication/decide.go
+++ b/internal/artifactreplication/decide.go
@@ -16,7 +16,7 @@
 	"topazhollow/internal/wait"
 )
 
-// Seal closes an attempt with what its worker says of its end; if that is not all here,
+// Seal closes an attempt with what its agent says of its end; if that is not all here,
 // it is refused with what is wanted. A repeated seal gives the manifest again. When it
 // returns without an error the manifest is decided and durable, and final says whether
 // the attempt is the task's result: the first of the completed ones, unless a later
@@ -44,8 +44,8 @@
 	return m, final, err
 }
 
-// errOvertaken says that a later attempt had begun.
-var errOvertaken = errors.New("keepers: a later attempt has begun")
+// errLaterAttempt says that a later attempt had begun.
+var errLaterAttempt = errors.New("keepers: a later attempt has begun")
 
 // settle makes an attempt, sealed as completed, its task's result if there is none and no
 // later attempt has begun. It gives the task's result, nil if there is none: then the
@@ -55,12 +55,12 @@
 	value, err := n.decide(ctx, artifactstore.Attempt{Job: c.Job, Task: c.Task}, false, func(promises []reply) ([]byte, error) {
 		for _, p := range promises {
 			if p.Promise.Latest > c.Number {
-				return nil, errOvertaken
+				return nil, errLaterAttempt
 			}
 		}
 		return want, nil
 	})
-	if errors.Is(err, errOvertaken) {
+	if errors.Is(err, errLaterAttempt) {
 		return nil, nil
 	}
 	if err != nil {
@@ -70,14 +70,14 @@
 	return r, json.Unmarshal(value, r)
 }
 
-// errNothing says that a register has no value.
-var errNothing = errors.New("keepers: nothing is decided")
+// errNothingDecided says that a register has no value.
+var errNothingDecided = errors.New("keepers: nothing is decided")
 
 // resolve sees through what somebody began to decide, or undoes it: then there is no
 // value, and an attempt that was about to end is not frozen any more.
 func (n *Node) resolve(ctx context.Context, at artifactstore.Attempt) (value []byte, err error) {
-	value, err = n.decide(ctx, at, false, func([]reply) ([]byte, error) { return nil, errNothing })
-	if errors.Is(err, errNothing) {
+	value, err = n.decide(ctx, at, false, func([]reply) ([]byte, error) { return nil, errNothingDecided })
+	if errors.Is(err, errNothingDecided) {
 		return nil, nil
 	}
 	return value, err
@@ -86,11 +86,11 @@
 // decide has a register's value decided, if it is not yet, and gives it. propose is
 // asked for one only while no majority could have decided another.
 func (n *Node) decide(ctx context.Context, at artifactstore.Attempt, freeze bool, propose func(promises []reply) ([]byte, error)) ([]byte, error) {
-	names := n.opt.Members.Place(at.Job, at.Task)
+	names := n.opt.Members.ReplicasOf(at.Job, at.Task)
 	need := majority(len(names))
 	learn := func(value []byte) {
 		// The value is decided whether they learn of it now or later.
-		n.ask(ctx, names, need, func(ctx context.Context, _ string, r replica) (*answer, error) {
+		n.callReplicas(ctx, names, need, func(ctx context.Context, _ string, r replica) (*answer, error) {
 			return r.do(ctx, &call{Op: "learn", Attempt: at, Value: value, From: n.opt.Name})
 		})
 	}
@@ -101,10 +101,10 @@
 			}
 		}
 		b := artifactstore.Ballot{Round: n.round.Add(1), By: n.start}
-		got, failed := n.ask(ctx, names, need, func(ctx context.Context, _ string, r replica) (*answer, error) {
+		got, failed := n.callReplicas(ctx, names, need, func(ctx context.Context, _ string, r replica) (*answer, error) {
 			a, err := r.do(ctx, &call{Op: "prepare", Attempt: at, Ballot: b, Freeze: freeze, Count: true})
 			if err == nil && a.Promise.Decided == nil && a.Promise.Promised != b {
-				n.beyond(a.Promise.Promised.Round)
+				n.advanceRound(a.Promise.Promised.Round)
 				return nil, errOutvoted
 			}
 			return a, err
@@ -140,10 +140,10 @@
 				return nil, err
 			}
 		}
-		got, failed = n.ask(ctx, names, need, func(ctx context.Context, _ string, r replica) (*answer, error) {
+		got, failed = n.callReplicas(ctx, names, need, func(ctx context.Context, _ string, r replica) (*answer, error) {
 			a, err := r.do(ctx, &call{Op: "accept", Attempt: at, Ballot: b, Value: value, Count: true, From: n.opt.Name})
 			if err == nil && a.Promise.Decided == nil && a.Promise.Accepted != b {
-				n.beyond(a.Promise.Promised.Round)
+				n.advanceRound(a.Promise.Promised.Round)
 				return nil, errOutvoted
 			}
 			return a, err
@@ -172,8 +172,8 @@
 	return slices.ContainsFunc(failed, func(r reply) bool { return errors.Is(r.err, errOutvoted) })
 }
 
-// beyond lets the next ballot be higher than one that was seen.
-func (n *Node) beyond(round uint64) {
+// advanceRound lets the next ballot be higher than one that was seen.
+func (n *Node) advanceRound(round uint64) {
 	for {
 		old := n.round.Load()
 		if old >= round || n.round.CompareAndSwap(old, round) {
@@ -182,12 +182,12 @@
 	}
 }
 
-// gather makes a manifest of what a majority of keepers has of an attempt, and has its
-// streams' content at hand. end is what its worker says of it, or nil if it is to be
+// gather makes a manifest of what a majority of replicas has of an attempt, and has its
+// streams' content at hand. end is what its agent says of it, or nil if it is to be
 // shelved.
 func (n *Node) gather(ctx context.Context, c artifactstore.Claim, end *artifactstore.End, promises []reply) ([]byte, error) {
 	most := map[string]artifactstore.Extent{}
-	at := map[string]string{} // keeper that has so much of a stream
+	at := map[string]string{} // replica that has so much of a stream
 	files := map[string]map[string]bool{}
 	known := false
 	for _, p := range promises {
--- a/internal/artifactreplication/duty.go
+++ b/internal/artifactreplication/duty.go
@@ -8,25 +8,25 @@
 	"topazhollow/internal/wait"
 )
 
-// Duty is what a keeper does by itself now and then.
-type Duty struct {
+// BackgroundWork is what a replica does by itself now and then.
+type BackgroundWork struct {
 	Every   time.Duration // between two rounds
 	Partial time.Duration // partial attempts that nothing came for in so long are shelved
 	Loose   time.Duration // blobs that nothing refers to are kept for so long
 	Scrub   float64       // bytes a second read to find what went bad; 0: none
-	Repair  time.Duration // between two looks at what other keepers have
+	Repair  time.Duration // between two looks at what other replicas have
 }
 
 // Run carries out the duty until the context ends. What fails is told of and tried
 // again in the next round.
-func (d Duty) Run(ctx context.Context, n *Node) error {
+func (d BackgroundWork) Run(ctx context.Context, n *Node) error {
 	log := n.opt.Log
 	for {
 		began := time.Now()
 		shelved, err := n.Shelve(ctx, d.Partial)
 		expired := 0
 		if err == nil {
-			expired, err = n.keeper.Expire(ctx, n.opt.Retain.Over(n.opt.Now()))
+			expired, err = n.keeper.Expire(ctx, n.opt.Retain.IsExpired(n.opt.Now()))
 		}
 		if err == nil {
 			err = n.keeper.Trim(ctx)
@@ -54,15 +54,15 @@
 	}
 }
 
-// Mend looks again and again at what other keepers have and brings what is missing here,
+// RepairOnce looks again and again at what other replicas have and brings what is missing here,
 // until the context ends.
-func (d Duty) Mend(ctx context.Context, n *Node) error {
+func (d BackgroundWork) RepairOnce(ctx context.Context, n *Node) error {
 	for {
 		if err := n.Repair(ctx); err != nil && ctx.Err() == nil {
 			n.opt.Log.Warn("repair not done", "err", err)
 		}
 		every := d.Repair
-		if !n.Full() { // until then it can't vote
+		if !n.IsFull() { // until then it can't vote
 			every = min(every, time.Second)
 		}
 		if !wait.For(ctx, every/2+rand.N(every)) {
@@ -72,11 +72,11 @@
 }
 
 // Shelve ends partial attempts that nothing came for in an age: their output stays
-// readable, and they can never be sealed any more. It gives how many. The keepers of a
+// readable, and they can never be sealed any more. It gives how many. The replicas of a
 // task are in turn at it, the first of them first.
 func (n *Node) Shelve(ctx context.Context, age time.Duration) (count int, err error) {
 	for _, v := range n.keeper.Open() {
-		names := n.opt.Members.Place(v.Job, v.Task)
+		names := n.opt.Members.ReplicasOf(v.Job, v.Task)
 		wait := age
 		for i, name := range names {
 			if name == n.opt.Name {
--- a/internal/artifactreplication/front.go
+++ b/internal/artifactreplication/front.go
@@ -19,30 +19,30 @@
 
 // Options are a node's choices.
 type Options struct {
-	Name     string // the own one among Members
-	Dir      string // for what it must know of itself across starts
-	Members  Members
-	Keeper   *artifactstore.Keeper
-	Blobs    *blob.Store
-	Key      []byte
-	Patience time.Duration // for another keeper's answer; 5 s if 0
-	Repair   float64       // bytes a second that repair may bring; no bound if 0
-	Retain   *Retention    // how long what is kept; nil: for ever
-	Revoked  *Revoked      // tokens that are refused; nil: none
-	HTTP     *http.Client  // for the other keepers; http.DefaultClient if nil
-	Log      *slog.Logger
-	Now      func() time.Time
+	Name        string // the own one among Members
+	Dir         string // for what it must know of itself across starts
+	Members     Members
+	Store       *artifactstore.Store
+	Blobs       *blob.Store
+	Key         []byte
+	PeerTimeout time.Duration   // for another replica's answer; 5 s if 0
+	Repair      float64         // bytes a second that repair may bring; no bound if 0
+	Retain      *Retention      // how long what is kept; nil: for ever
+	Revoked     *RevocationList // tokens that are refused; nil: none
+	HTTP        *http.Client    // for the other replicas; http.DefaultClient if nil
+	Log         *slog.Logger
+	Now         func() time.Time
 }
 
-// Node is one keeper among several. Whichever is asked answers for all of them.
+// Node is one replica among several. Whichever is asked answers for all of them.
 type Node struct {
 	opt    Options
-	keeper *artifactstore.Keeper
+	keeper *artifactstore.Store
 	blobs  *blob.Store
 	peers  map[string]replica // all that are not gone, the own one too
 	start  string             // names this process in ballots
 	round  atomic.Uint64
-	busy   map[string]chan struct{} // what goes on behind callers' backs, by keeper
+	busy   map[string]chan struct{} // what goes on behind callers' backs, by replica
 
 	mu     sync.Mutex
 	id     *identity
@@ -51,10 +51,10 @@
 	limit  *rate.Limiter // of repair; nil: none
 }
 
-// New makes a node of a keeper and its store.
+// New makes a node of a replica and its store.
 func New(opt Options) (*Node, error) {
-	if opt.Patience <= 0 {
-		opt.Patience = 5 * time.Second
+	if opt.PeerTimeout <= 0 {
+		opt.PeerTimeout = 5 * time.Second
 	}
 	if opt.Now == nil {
 		opt.Now = time.Now
@@ -74,7 +74,7 @@
 	}
 	var r [6]byte
 	_, _ = crand.Read(r[:]) // never fails
-	n := &Node{opt: opt, keeper: opt.Keeper, blobs: opt.Blobs, id: id, peers: map[string]replica{}, busy: map[string]chan struct{}{},
+	n := &Node{opt: opt, keeper: opt.Store, blobs: opt.Blobs, id: id, peers: map[string]replica{}, busy: map[string]chan struct{}{},
 		start: fmt.Sprintf("%s.%d.%s", opt.Name, id.Incarnation, hex.EncodeToString(r[:]))}
 	n.repair.noticed = map[string]time.Time{}
 	n.meters, n.limit = newMeters(n), newLimit(opt.Repair)
@@ -83,7 +83,7 @@
 			continue
 		}
 		n.peers[m.Name] = &remote{n: n, name: m.Name, url: m.URL, http: opt.HTTP}
-		n.busy[m.Name] = make(chan struct{}, callsAtOnce)
+		n.busy[m.Name] = make(chan struct{}, maxCalls)
 	}
 	n.peers[opt.Name] = local{n}
 	return n, nil
--- a/internal/artifactreplication/golden_test.go
+++ b/internal/artifactreplication/golden_test.go
@@ -13,7 +13,7 @@
 	"topazhollow/internal/protocol"
 )
 
-// The golden files of what keepers tell each other and keep of themselves. Keepers of two versions run beside each other, so the forms
+// The golden files of what replicas tell each other and keep of themselves. Replicas of two versions run beside each other, so the forms
 // may only grow. Members and Member have no JSON names of their own, nor has what is summed up of an open attempt: there the names in Go
 // are the form.
 
@@ -40,7 +40,7 @@
 	}
 }
 
-// TestGoldenPlaces: keepers of all versions must find the same places and buckets for a task.
+// TestGoldenPlaces: replicas of all versions must find the same places and buckets for a task.
 func TestGoldenPlaces(t *testing.T) {
 	members := goldenMembers()
 	var text []byte
@@ -48,13 +48,13 @@
 		text = append(text, protocol.Encode(struct {
 			Place  []string `json:"place"`
 			Bucket int      `json:"bucket"`
-		}{members.Place(at.Job, at.Task), bucketOf(at)})...)
+		}{members.ReplicasOf(at.Job, at.Task), bucketOf(at)})...)
 		text = append(text, '\n')
 	}
 	goldentest.Bytes(t, "places.jsonl", text)
 }
 
-// TestGoldenSums: the names and sums by which keepers compare what they have.
+// TestGoldenSums: the names and sums by which replicas compare what they have.
 func TestGoldenSums(t *testing.T) {
 	n, _ := alone(t, t.TempDir(), nil)
 	c := claim(1, 0, 1)
@@ -69,7 +69,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	sums, err := n.sums("a")
+	sums, err := n.checksums("a")
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/artifactreplication/group_test.go
+++ b/internal/artifactreplication/group_test.go
@@ -22,7 +22,7 @@
 	"topazhollow/internal/blob"
 )
 
-// group is several keepers on loopback, of which each can be away, come back with its
+// group is several replicas on loopback, of which each can be away, come back with its
 // disk or without.
 type group struct {
 	t       *testing.T
@@ -31,10 +31,10 @@
 	keepers map[string]*one
 }
 
-// one is a keeper of a group. Its address outlives it.
+// one is a replica of a group. Its address outlives it.
 type one struct {
 	*Node
-	k    *artifactstore.Keeper
+	k    *artifactstore.Store
 	b    *blob.Store
 	srv  *httptest.Server
 	h    atomic.Pointer[http.Handler] // nil: away
@@ -51,7 +51,7 @@
 	}
 	g.repair()
 	for _, name := range names {
-		if !g.keepers[name].Full() {
+		if !g.keepers[name].IsFull() {
 			t.Fatalf("%s is not full: %+v", name, g.keepers[name].Status())
 		}
 	}
@@ -77,12 +77,12 @@
 	g.members.List = append(g.members.List, Member{Name: name, Zone: zone, URL: o.srv.URL, State: Serving})
 }
 
-// start starts a keeper on its directory, by the list that is in force now.
+// start starts a replica on its directory, by the list that is in force now.
 func (g *group) start(name string) {
 	g.t.Helper()
 	o, dir := g.keepers[name], filepath.Join(g.dir, name)
 	var err error
-	o.b, err = blob.Open(blob.Options{Dir: filepath.Join(dir, "blobs"), Inline: 500, Repair: func(ctx context.Context, d blob.Digest) (io.ReadCloser, error) { return o.Good(ctx, d) }})
+	o.b, err = blob.Open(blob.Options{Dir: filepath.Join(dir, "blobs"), Inline: 500, Repair: func(ctx context.Context, d blob.Digest) (io.ReadCloser, error) { return o.OpenVerified(ctx, d) }})
 	if err != nil {
 		g.t.Fatal(err)
 	}
@@ -91,14 +91,14 @@
 	}
 	m := g.members
 	m.List = slices.Clone(m.List)
-	if o.Node, err = New(Options{Name: name, Dir: dir, Members: m, Keeper: o.k, Blobs: o.b, Key: key, Patience: 2 * time.Second}); err != nil {
+	if o.Node, err = New(Options{Name: name, Dir: dir, Members: m, Store: o.k, Blobs: o.b, Key: key, PeerTimeout: 2 * time.Second}); err != nil {
 		g.t.Fatal(err)
 	}
 	h := (&Server{Node: o.Node}).Handler()
 	o.h.Store(&h)
 }
 
-// cut takes a keeper off the network; stop ends it too.
+// cut takes a replica off the network; stop ends it too.
 func (g *group) cut(name string) { g.keepers[name].h.Store(nil) }
 
 func (g *group) back(name string) {
@@ -116,7 +116,7 @@
 	}
 }
 
-// lose takes a keeper's disk.
+// lose takes a replica's disk.
 func (g *group) lose(name string) {
 	g.stop(name)
 	if err := os.RemoveAll(filepath.Join(g.dir, name)); err != nil {
@@ -124,11 +124,11 @@
 	}
 }
 
-// repair has all keepers that run look after themselves.
+// repair has all replicas that run look after themselves.
 func (g *group) repair() {
 	for _, name := range g.names() {
 		if o := g.keepers[name]; o.k != nil {
-			_ = o.Repair(ctx) // a keeper that is away is no failure of the others
+			_ = o.Repair(ctx) // a replica that is away is no failure of the others
 		}
 	}
 }
@@ -198,13 +198,13 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	content, err := n.whole(ctx, c.Job, c.Task, c.Tenant, d)
+	content, err := n.readWhole(ctx, c.Job, c.Task, c.Tenant, d)
 	if err != nil || !bytes.HasPrefix(content, fmt.Appendf(nil, "file of %d of task %d;", c.Number, c.Task)) {
 		t.Fatalf("%s at %s: file %.40q, %v", c.Attempt, n.opt.Name, content, err)
 	}
 }
 
-// TestAnyOneGone: with any one of three keepers away, cut off or its disk lost, what was
+// TestAnyOneGone: with any one of three replicas away, cut off or its disk lost, what was
 // acknowledged is read from the others, and new attempts go through; one that comes back
 // catches up, one with an empty disk is refilled and does not vote before.
 func TestAnyOneGone(t *testing.T) {
@@ -249,13 +249,13 @@
 		one(g.any())
 		g.start(gone)
 		o := g.keepers[gone]
-		if o.Full() || o.Status().State != string(Joining) {
+		if o.IsFull() || o.Status().State != string(Joining) {
 			t.Fatalf("%s lost its disk and says %+v", gone, o.Status())
 		}
 		if _, err := o.serve(ctx, &call{Op: "task", Attempt: claim(1, 0, 1).Attempt, Count: true}); !errors.Is(err, ErrJoining) {
 			t.Fatalf("%s lost its disk and is counted: %v", gone, err)
 		}
-		if err := o.Repair(ctx); err != nil || !o.Full() {
+		if err := o.Repair(ctx); err != nil || !o.IsFull() {
 			t.Fatalf("%s is not refilled: %v, %+v", gone, err, o.Status())
 		}
 		check()
@@ -311,7 +311,7 @@
 	}
 	defer k.Close()
 	m := Members{Epoch: 1, Copies: 1, Acks: 1, List: []Member{{Name: "a", URL: "http://127.0.0.1:1", State: Serving}}}
-	n, err := New(Options{Name: "a", Dir: dir, Members: m, Keeper: k, Blobs: b, Key: key})
+	n, err := New(Options{Name: "a", Dir: dir, Members: m, Store: k, Blobs: b, Key: key})
 	if err == nil {
 		err = n.Repair(ctx)
 	}
@@ -378,7 +378,7 @@
 		over      bool
 	}{{"", true, 2, false}, {"", true, 4, true}, {"", false, 2, true}, {"grades", false, 1000, false}} {
 		m := &artifactstore.Manifest{Claim: artifactstore.Claim{Class: x.class}, Exit: artifactstore.Exit{Completed: x.completed}, Sealed: now.AddDate(0, 0, -x.days)}
-		if got := r.Over(now)(m); got != x.over {
+		if got := r.IsExpired(now)(m); got != x.over {
 			t.Errorf("%+v: over %v", x, got)
 		}
 	}
@@ -405,7 +405,7 @@
 			go func() {
 				defer wg.Done()
 				var err error
-				for range 20 { // as a worker does
+				for range 20 { // as an agent does
 					if _, finals[i], err = n.Seal(ctx, c, artifactstore.End{Exit: artifactstore.Exit{Completed: true}}); err == nil {
 						return
 					}
@@ -436,7 +436,7 @@
 }
 
 // TestLateAppend: a link that delivers an append minutes late, after the seal, changes
-// nothing; a keeper that missed records gets them from the others.
+// nothing; a replica that missed records gets them from the others.
 func TestLateAppend(t *testing.T) {
 	g := newGroup(t, "a", "b", "c")
 	c := claim(1, 0, 1)
@@ -473,7 +473,7 @@
 }
 
 // TestLeftHalfway: a front that ends between the steps of a seal leaves nothing that
-// blocks: a worker that goes on is let, one that seals again gets its seal, and what was
+// blocks: an agent that goes on is let, one that seals again gets its seal, and what was
 // accepted is seen through.
 func TestLeftHalfway(t *testing.T) {
 	g := newGroup(t, "a", "b", "c")
@@ -539,7 +539,7 @@
 	}
 }
 
-// TestDrain: a keeper joins and another drains, list by list; nothing is lost, no list
+// TestDrain: a replica joins and another drains, list by list; nothing is lost, no list
 // skips what was written under another, and in the end the drained one holds nothing.
 func TestDrain(t *testing.T) {
 	g := newGroup(t, "a", "b", "c")
@@ -568,7 +568,7 @@
 	if err := g.keepers["c"].Begin(ctx, claim(1, 60, 1)); !errors.Is(err, ErrTooFew) {
 		t.Fatalf("under an old list: %v", err)
 	}
-	if g.keepers["d"].Repair(ctx); g.keepers["d"].Full() {
+	if g.keepers["d"].Repair(ctx); g.keepers["d"].IsFull() {
 		t.Fatal("d is full without a word from c")
 	}
 	restart("c")
@@ -593,7 +593,7 @@
 	g.repair()
 	for _, name := range []string{"a", "b", "d"} {
 		n := g.keepers[name].Node
-		if !n.Full() {
+		if !n.IsFull() {
 			t.Errorf("%s: %+v", name, n.Status())
 		}
 		for task := range 12 {
@@ -615,7 +615,7 @@
 	}
 }
 
-// TestRotten: a bit that turned is found by a scrub and mended from another keeper; what
+// TestRotten: a bit that turned is found by a scrub and mended from another replica; what
 // one can't read is read from the others.
 func TestRotten(t *testing.T) {
 	g := newGroup(t, "a", "b", "c")
@@ -666,7 +666,7 @@
 	}
 }
 
-// TestPlace: every keeper takes its part, the zones too, and a keeper that comes or goes
+// TestPlace: every replica takes its part, the zones too, and a replica that comes or goes
 // changes at most one of a task's.
 func TestPlace(t *testing.T) {
 	r := rand.New(rand.NewPCG(1, 2))
@@ -676,7 +676,7 @@
 			m.List = append(m.List, Member{Name: fmt.Sprint("k", i), Zone: fmt.Sprint("z", r.IntN(4)), State: Serving})
 		}
 		job, task := fmt.Sprint("job-", r.IntN(100)), r.IntN(1000)
-		was := m.Place(job, task)
+		was := m.ReplicasOf(job, task)
 		zones := map[string]bool{}
 		for _, x := range m.List {
 			zones[x.Zone] = true
@@ -691,7 +691,7 @@
 		gone := r.IntN(len(m.List))
 		m.List[gone].State = Draining
 		changed := 0
-		for _, name := range m.Place(job, task) {
+		for _, name := range m.ReplicasOf(job, task) {
 			if !slices.Contains(was, name) {
 				changed++
 			}
--- a/internal/artifactreplication/handover.go
+++ b/internal/artifactreplication/handover.go
@@ -10,14 +10,14 @@
 	"topazhollow/internal/protocol"
 )
 
-// handOver lets go of what does not belong here once all of its keepers have it.
+// handOver lets go of what does not belong here once all of its replicas have it.
 func (n *Node) handOver(ctx context.Context) error {
 	tasks := map[artifactstore.Attempt]bool{}
 	for _, m := range n.opt.Members.List {
 		if m.State != Serving || m.Name == n.opt.Name {
 			continue
 		}
-		if err := n.each(m.Name, func(_ string, at artifactstore.Attempt, stray bool) {
+		if err := n.eachName(m.Name, func(_ string, at artifactstore.Attempt, stray bool) {
 			if stray {
 				tasks[artifactstore.Attempt{Job: at.Job, Task: at.Task}] = true
 			}
@@ -36,8 +36,8 @@
 		if err != nil {
 			return err
 		}
-		names := n.opt.Members.Place(at.Job, at.Task)
-		got, _ := n.ask(ctx, names, len(names), func(ctx context.Context, _ string, r replica) (*answer, error) {
+		names := n.opt.Members.ReplicasOf(at.Job, at.Task)
+		got, _ := n.callReplicas(ctx, names, len(names), func(ctx context.Context, _ string, r replica) (*answer, error) {
 			return r.do(ctx, &call{Op: "task", Attempt: at, Count: true})
 		})
 		whole := len(got) == len(names)
@@ -65,7 +65,7 @@
 	return nil
 }
 
-// covers says whether a keeper has all that another has of a task.
+// covers says whether a replica has all that another has of a task.
 func covers(theirs, mine *artifactstore.TaskView) bool {
 	if mine.Result != nil && (theirs.Result == nil || *theirs.Result != *mine.Result) {
 		return false
@@ -96,10 +96,10 @@
 	return true
 }
 
-// seeThrough finishes what somebody left half decided: ends and results that were
+// finishDecisions finishes what somebody left half decided: ends and results that were
 // accepted here, and completed attempts of which nobody said whether they are the
 // result.
-func (n *Node) seeThrough(ctx context.Context) error {
+func (n *Node) finishDecisions(ctx context.Context) error {
 	var errs []error
 	seen := map[artifactstore.Attempt]bool{}
 	for at, v := range n.keeper.Votes() {
@@ -114,7 +114,7 @@
 	n.repair.voted = seen
 	for _, at := range n.keeper.Unsettled() {
 		m, err := n.keeper.Ended(at)
-		if err == nil && n.opt.Members.Here(n.opt.Name, at.Job, at.Task) {
+		if err == nil && n.opt.Members.IsReplica(n.opt.Name, at.Job, at.Task) {
 			_, err = n.settle(ctx, m.Claim, blob.Of(protocol.Encode(m)).String())
 		}
 		if err == nil {
--- a/internal/artifactreplication/known.go
+++ b/internal/artifactreplication/known.go
@@ -11,32 +11,32 @@
 	"topazhollow/internal/blob"
 )
 
-// view is what all keepers together know of a task.
+// view is what all replicas together know of a task.
 type view struct {
 	attempts []merged
 	result   *artifactstore.Result
 	sure     bool // a majority answered
 }
 
-// merged is an attempt as several keepers have it.
+// merged is an attempt as several replicas have it.
 type merged struct {
 	artifactstore.View
-	next  map[string]map[string]uint64 // of open ones: by stream and keeper
+	next  map[string]map[string]uint64 // of open ones: by stream and replica
 	voted bool
 }
 
-// task asks a task's keepers what they have. What one of them accepted and nobody knows
+// task asks a task's replicas what they have. What one of them accepted and nobody knows
 // to be decided is resolved first, so that what is told of stays true.
 func (n *Node) task(ctx context.Context, job string, task int) (_ *view, err error) {
 	at := artifactstore.Attempt{Job: job, Task: task}
-	names := n.opt.Members.Place(job, task)
+	names := n.opt.Members.ReplicasOf(job, task)
 	for try := 0; ; try++ {
-		got, failed := n.ask(ctx, names, majority(len(names)), func(ctx context.Context, _ string, r replica) (*answer, error) {
+		got, failed := n.callReplicas(ctx, names, majority(len(names)), func(ctx context.Context, _ string, r replica) (*answer, error) {
 			return r.do(ctx, &call{Op: "task", Attempt: at, Count: true})
 		})
 		v := &view{sure: len(got) >= majority(len(names))}
 		if !v.sure { // whoever is left, also one that is still joining
-			more, _ := n.ask(ctx, n.sources(job, task), len(names)+len(n.peers), func(ctx context.Context, _ string, r replica) (*answer, error) {
+			more, _ := n.callReplicas(ctx, n.sources(job, task), len(names)+len(n.peers), func(ctx context.Context, _ string, r replica) (*answer, error) {
 				return r.do(ctx, &call{Op: "task", Attempt: at})
 			})
 			if got = append(got, more...); len(got) == 0 {
@@ -67,7 +67,7 @@
 	}
 }
 
-// merge puts together what keepers have, and lists the registers that may be decided
+// merge puts together what replicas have, and lists the registers that may be decided
 // without one of them knowing.
 func (v *view) merge(got []reply) (voted []artifactstore.Attempt) {
 	by := map[uint64]*merged{}
@@ -146,7 +146,7 @@
 	return artifactstore.StateGoesOn
 }
 
-// Attempts lists a task's attempts in their order. sure says whether enough keepers
+// Attempts lists a task's attempts in their order. sure says whether enough replicas
 // answered for all that was ever acknowledged to be in it.
 func (n *Node) Attempts(ctx context.Context, job string, task int) (list []artifactstore.Known, sure bool, err error) {
 	v, err := n.task(ctx, job, task)
@@ -203,15 +203,15 @@
 	if err != nil {
 		return nil, err
 	}
-	b, err := n.whole(ctx, m.Job, m.Task, m.Tenant, d)
+	b, err := n.readWhole(ctx, m.Job, m.Task, m.Tenant, d)
 	if err != nil {
 		return nil, err
 	}
 	return artifactstore.Verify(n.opt.Key, b)
 }
 
-// whole reads a blob of a task from whoever has it.
-func (n *Node) whole(ctx context.Context, job string, task int, tenant string, d blob.Digest) ([]byte, error) {
+// readWhole reads a blob of a task from whoever has it.
+func (n *Node) readWhole(ctx context.Context, job string, task int, tenant string, d blob.Digest) ([]byte, error) {
 	r, err := n.open(ctx, n.sources(job, task), tenant, d, 0)
 	if err != nil {
 		return nil, err
@@ -225,10 +225,10 @@
 }
 
 // Tasks lists the tasks of a job of which something is kept. sure says whether enough
-// keepers answered for none that was acknowledged to be missing.
+// replicas answered for none that was acknowledged to be missing.
 func (n *Node) Tasks(ctx context.Context, job string) (list []int, sure bool, err error) {
 	names := slices.Sorted(maps.Keys(n.peers))
-	got, failed := n.ask(ctx, names, len(names), func(ctx context.Context, _ string, r replica) (*answer, error) {
+	got, failed := n.callReplicas(ctx, names, len(names), func(ctx context.Context, _ string, r replica) (*answer, error) {
 		return r.do(ctx, &call{Op: "tasks", Attempt: artifactstore.Attempt{Job: job}})
 	})
 	if len(got) == 0 {
@@ -240,5 +240,5 @@
 			found[t] = true
 		}
 	}
-	return slices.Sorted(maps.Keys(found)), len(failed) < n.opt.Members.acks(n.opt.Members.Copies), nil
+	return slices.Sorted(maps.Keys(found)), len(failed) < n.opt.Members.acknowledgementsNeeded(n.opt.Members.Copies), nil
 }
--- a/internal/artifactreplication/members.go
+++ b/internal/artifactreplication/members.go
@@ -1,6 +1,6 @@
-// Package artifactreplication makes several keepers one: it places tasks on them, has what
-// workers put out acknowledged by enough of them, decides what must be decided once, and
-// repairs what one of them lacks. docs/keeper.md says what is promised.
+// Package artifactreplication makes several replicas one: it places tasks on them, has what
+// agents put out acknowledged by enough of them, decides what must be decided once, and
+// repairs what one of them lacks. docs/replica.md says what is promised.
 package artifactreplication
 
 import (
@@ -22,10 +22,10 @@
 	"topazhollow/internal/wal"
 )
 
-// State is what the settings say of a keeper.
+// State is what the settings say of a replica.
 type State string
 
-// States of keepers. One that serves but does not have all yet that it should is
+// States of replicas. One that serves but does not have all yet that it should is
 // joining by itself; no word in the settings is needed for it.
 const (
 	Serving  State = "serving"
@@ -33,7 +33,7 @@
 	Gone     State = "gone"     // what it had is not coming back
 )
 
-// Member is a keeper in the settings.
+// Member is a replica in the settings.
 type Member struct {
 	Name  string `toml:"name"`
 	Zone  string `toml:"zone"`
@@ -41,7 +41,7 @@
 	State State  `toml:"state"`
 }
 
-// Members is the settings' list of keepers. Whoever changes it raises the epoch by one.
+// Members is the settings' list of replicas. Whoever changes it raises the epoch by one.
 type Members struct {
 	Epoch  uint64   `toml:"epoch"`
 	Copies int      `toml:"copies"` // of each task
@@ -88,9 +88,9 @@
 	return nil
 }
 
-// Place lists the keepers of a task in their rank: by rendezvous hashing (Thaler and
+// ReplicasOf lists the replicas of a task in their rank: by rendezvous hashing (Thaler and
 // Ravishankar, 1998), zones that have none yet first.
-func (m *Members) Place(job string, task int) []string {
+func (m *Members) ReplicasOf(job string, task int) []string {
 	type ranked struct {
 		*Member
 		weight uint64
@@ -115,23 +115,23 @@
 	return names
 }
 
-// Here says whether a keeper is one of a task's.
-func (m *Members) Here(self, job string, task int) bool {
-	return slices.Contains(m.Place(job, task), self)
+// IsReplica says whether a replica is one of a task's.
+func (m *Members) IsReplica(self, job string, task int) bool {
+	return slices.Contains(m.ReplicasOf(job, task), self)
 }
 
-// majority of so many keepers.
+// majority of so many replicas.
 func majority(n int) int { return n/2 + 1 }
 
-// acks is how many of a task's keepers must have a write.
-func (m *Members) acks(n int) int { return min(n, max(m.Acks, majority(n))) }
+// acknowledgementsNeeded is how many of a task's replicas must have a write.
+func (m *Members) acknowledgementsNeeded(n int) int { return min(n, max(m.Acks, majority(n))) }
 
 // digest tells lists of the same epoch apart.
 func (m *Members) digest() string {
 	return fmt.Sprintf("%d.%016x", m.Epoch, xxhash.Sum64(protocol.Encode(m)))
 }
 
-// identity is what a keeper knows of itself across starts. A keeper whose directory
+// identity is what a replica knows of itself across starts. A replica whose directory
 // is empty has a new one, and so knows that it has lost what it had, or never had any.
 type identity struct {
 	Disk        string    `json:"disk"`
@@ -171,11 +171,11 @@
 	return id, id.save()
 }
 
-// counts says whether the keeper has all of a task that it should, and so may vote and
+// counts says whether the replica has all of a task that it should, and so may vote and
 // be counted by readers.
 func (id *identity) counts(self, job string, task int) bool {
 	for i := range id.Lists {
-		if !id.Lists[i].Here(self, job, task) {
+		if !id.Lists[i].IsReplica(self, job, task) {
 			return false
 		}
 	}
--- a/internal/artifactreplication/one_test.go
+++ b/internal/artifactreplication/one_test.go
@@ -26,7 +26,7 @@
 	key = []byte("0123456789abcdef")
 )
 
-// alone opens a keeper that is the only one.
+// alone opens a replica that is the only one.
 func alone(t *testing.T, dir string, step func(string), tune ...func(*artifactstore.Options)) (*Node, *blob.Store) {
 	t.Helper()
 	b, err := blob.Open(blob.Options{Dir: filepath.Join(dir, "blobs"), Step: step, Inline: 500})
@@ -42,7 +42,7 @@
 		t.Fatal(err)
 	}
 	m := Members{Epoch: 1, Copies: 1, Acks: 1, List: []Member{{Name: "a", URL: "http://127.0.0.1:1", State: Serving}}}
-	n, err := New(Options{Name: "a", Dir: dir, Members: m, Keeper: k, Blobs: b, Key: key})
+	n, err := New(Options{Name: "a", Dir: dir, Members: m, Store: k, Blobs: b, Key: key})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -53,7 +53,7 @@
 	return n, b
 }
 
-// end is what a worker says when it seals.
+// end is what an agent says when it seals.
 func end(completed bool, stdout uint64, files map[string]string) artifactstore.End {
 	return artifactstore.End{Exit: artifactstore.Exit{Completed: completed}, Records: map[string]uint64{"stdout": stdout}, Files: files}
 }
@@ -384,7 +384,7 @@
 // seals, and opens its directory anew. A history of what was acknowledged is held
 // against what readers see: every acknowledged line is there once, in order, under its
 // own attempt; what was said to be sealed is; a final result never changes; and what the
-// worker does again after the restart comes to the same.
+// agent does again after the restart comes to the same.
 func TestKilled(t *testing.T) {
 	if spec := os.Getenv("KEEPER_KILL"); spec != "" {
 		dir, at, _ := strings.Cut(spec, "|")
@@ -431,7 +431,7 @@
 	}
 	k, b := alone(t, dir, nil)
 	finals := check(t, at, k, string(out))
-	play(k, b, func(string, artifactstore.Claim, uint64) {}) // the workers try again
+	play(k, b, func(string, artifactstore.Claim, uint64) {}) // the agents try again
 	for task, number := range finals {
 		if m, state, err := k.Manifest(ctx, "job-000001", task, 0); err != nil || state != artifactstore.StateFinal || m.Number != number {
 			t.Fatalf("step %d: the result of task %d was attempt %d and is %+v, %v", at, task, number, m, err)
@@ -452,7 +452,7 @@
 
 // TestDiskFull lets no file grow beyond a size, one that is reached at another step each
 // time, as a full disk does. What was acknowledged until then stays, and once there is room
-// the workers' tries come to the same as ever.
+// the agents' tries come to the same as ever.
 func TestDiskFull(t *testing.T) {
 	if spec := os.Getenv("KEEPER_FULL"); spec != "" {
 		dir, at, _ := strings.Cut(spec, "|")
@@ -496,7 +496,7 @@
 	}
 }
 
-// play is what workers do: of each of three tasks a first attempt that fails, or in
+// play is what agents do: of each of three tasks a first attempt that fails, or in
 // task 2 is never sealed, and a second that completes.
 func play(k *Node, b *blob.Store, acked func(what string, c artifactstore.Claim, n uint64)) {
 	for task := range 3 {
@@ -527,7 +527,7 @@
 	}
 }
 
-// check holds a keeper against the history of what it acknowledged, and gives the
+// check holds a replica against the history of what it acknowledged, and gives the
 // results that it told of.
 func check(t *testing.T, at int, k *Node, history string) map[int]uint64 {
 	t.Helper()
@@ -560,7 +560,7 @@
 	return finals
 }
 
-// TestHistoryCatches shows that the check of the history fails on a keeper that lost
+// TestHistoryCatches shows that the check of the history fails on a replica that lost
 // or mixed up what it acknowledged.
 func TestHistoryCatches(t *testing.T) {
 	if os.Getenv("HISTORY") != "" {
--- a/internal/artifactreplication/pace.go
+++ b/internal/artifactreplication/pace.go
@@ -11,8 +11,8 @@
 	"topazhollow/internal/blob"
 )
 
-// paced makes a fetch keep to the rate that repair may take, so that it starves nobody.
-func (n *Node) paced(f artifactstore.Fetch) artifactstore.Fetch {
+// limitRate makes a fetch keep to the rate that repair may take, so that it starves nobody.
+func (n *Node) limitRate(f artifactstore.Fetch) artifactstore.Fetch {
 	return func(ctx context.Context, tenant string, d blob.Digest) (io.ReadCloser, error) {
 		r, err := f(ctx, tenant, d)
 		if err != nil {
@@ -30,11 +30,11 @@
 
 func (p *pacedReader) Read(b []byte) (int, error) {
 	got, err := p.ReadCloser.Read(b[:min(len(b), 64<<10)])
-	return got, errors.Join(err, p.n.pace(p.ctx, got))
+	return got, errors.Join(err, p.n.waitForRate(p.ctx, got))
 }
 
-// pace waits until repair may have brought so many bytes more.
-func (n *Node) pace(ctx context.Context, bytes int) error {
+// waitForRate waits until repair may have brought so many bytes more.
+func (n *Node) waitForRate(ctx context.Context, bytes int) error {
 	n.mu.Lock()
 	n.repair.bytes += int64(bytes)
 	n.mu.Unlock()
@@ -51,7 +51,7 @@
 	return rate.NewLimiter(rate.Limit(bytesPerSecond), 1<<20)
 }
 
-// pacedSource is a keeper whose records are read at repair's rate.
+// pacedSource is a replica whose records are read at repair's rate.
 type pacedSource struct {
 	replica
 	n *Node
@@ -59,7 +59,7 @@
 
 func (p pacedSource) read(ctx context.Context, at artifactstore.Attempt, stream string, from uint64, follow bool, each func(artifactstore.Record) error) (uint64, bool, error) {
 	return p.replica.read(ctx, at, stream, from, follow, func(r artifactstore.Record) error {
-		if err := p.n.pace(ctx, len(r.Data)); err != nil {
+		if err := p.n.waitForRate(ctx, len(r.Data)); err != nil {
 			return err
 		}
 		return each(r)
--- a/internal/artifactreplication/quorum.go
+++ b/internal/artifactreplication/quorum.go
@@ -9,21 +9,21 @@
 	"topazhollow/internal/blob"
 )
 
-// callsAtOnce bounds the calls that one keeper has open to another. Beyond it that one
+// maxCalls bounds the calls that one replica has open to another. Beyond it that one
 // counts as failed for the call; if enough do, the caller is told to come back.
-const callsAtOnce = 4096
+const maxCalls = 4096
 
-// reply is one keeper's.
+// reply is one replica's.
 type reply struct {
 	name string
 	*answer
 	err error
 }
 
-// ask puts a call to some keepers at once and gives the answers as soon as so many are
+// callReplicas puts a call to some replicas at once and gives the answers as soon as so many are
 // there, or all have answered. What is still on its way then is seen through behind
-// the caller's back; a keeper that lets too much of that pile up is left to repair.
-func (n *Node) ask(ctx context.Context, names []string, need int, do func(ctx context.Context, name string, r replica) (*answer, error)) (got []reply, failed []reply) {
+// the caller's back; a replica that lets too much of that pile up is left to repair.
+func (n *Node) callReplicas(ctx context.Context, names []string, need int, do func(ctx context.Context, name string, r replica) (*answer, error)) (got []reply, failed []reply) {
 	replies := make(chan reply, len(names))
 	late := context.WithoutCancel(ctx)
 	for _, name := range names {
@@ -40,7 +40,7 @@
 		}
 		go func() {
 			defer func() { <-n.busy[name] }()
-			ctx, cancel := context.WithTimeout(late, n.opt.Patience)
+			ctx, cancel := context.WithTimeout(late, n.opt.PeerTimeout)
 			defer cancel()
 			a, err := do(ctx, name, p)
 			replies <- reply{name, a, err}
@@ -62,7 +62,7 @@
 	return got, failed
 }
 
-// reason is the error that says most about why too few keepers did something.
+// reason is the error that says most about why too few replicas did something.
 func reason(failed []reply) error {
 	var errs []error
 	for _, f := range failed {
@@ -85,13 +85,13 @@
 	return fmt.Errorf("%w: %w", ErrTooFew, errors.Join(errs...))
 }
 
-// write has a call carried out by as many of a task's keepers as must have it. An end
+// writeToQuorum has a call carried out by as many of a task's replicas as must have it. An end
 // that somebody began and left open is seen through or undone first.
-func (n *Node) write(ctx context.Context, at artifactstore.Attempt, do func(ctx context.Context, name string, r replica) (*answer, error)) ([]reply, error) {
-	names := n.opt.Members.Place(at.Job, at.Task)
-	need := n.opt.Members.acks(len(names))
+func (n *Node) writeToQuorum(ctx context.Context, at artifactstore.Attempt, do func(ctx context.Context, name string, r replica) (*answer, error)) ([]reply, error) {
+	names := n.opt.Members.ReplicasOf(at.Job, at.Task)
+	need := n.opt.Members.acknowledgementsNeeded(len(names))
 	for try := 0; ; try++ {
-		got, failed := n.ask(ctx, names, need, do)
+		got, failed := n.callReplicas(ctx, names, need, do)
 		if len(got) >= need {
 			return got, nil
 		}
--- a/internal/artifactreplication/repair.go
+++ b/internal/artifactreplication/repair.go
@@ -18,19 +18,19 @@
 	"topazhollow/internal/protocol"
 )
 
-// Two keepers find out what one of them lacks by names: of ended attempts, of results,
+// Two replicas find out what one of them lacks by names: of ended attempts, of results,
 // and of open attempts with how much of them is there. Names fall into buckets by their
 // tasks; equal sums of hashes mean equal buckets, and only the names of others are sent.
 
-// mendsAtOnce is how many tasks are brought at a time: most of what one takes is waiting
+// maxRepairs is how many tasks are brought at a time: most of what one takes is waiting
 // for disks.
-const mendsAtOnce = 8
+const maxRepairs = 8
 
 // lack is a task of which something is missing here.
 type lack struct {
 	at      artifactstore.Attempt // its task
 	peers   []string              // who has something of it that is missing here
-	copies  int                   // fewest keepers that have the same missing thing
+	copies  int                   // fewest replicas that have the same missing thing
 	noticed time.Time
 }
 
@@ -72,24 +72,24 @@
 	left    int                  // tasks
 	short   int                  // names that another lacks
 	strays  int                  // tasks that are to be handed over
-	away    map[string]string    // keepers that could not be asked, and why
+	away    map[string]string    // replicas that could not be asked, and why
 	voted   map[artifactstore.Attempt]bool
 	mended  int
 	bytes   int64
 }
 
-// Full says whether all is here that should be by the list in force.
-func (n *Node) Full() bool {
+// IsFull says whether all is here that should be by the list in force.
+func (n *Node) IsFull() bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.id.full(&n.opt.Members)
 }
 
-// Repair looks at what the other keepers have, brings what is missing here, hands over
-// what does not belong here, and sees through what was left half decided. A keeper that
+// Repair looks at what the other replicas have, brings what is missing here, hands over
+// what does not belong here, and sees through what was left half decided. A replica that
 // has had an answer of all others, and all that they have for it, is full from then on.
 func (n *Node) Repair(ctx context.Context) error {
-	full := n.Full()
+	full := n.IsFull()
 	have := map[string][]string{}
 	away := map[string]string{}
 	short := 0
@@ -121,12 +121,12 @@
 	n.mu.Unlock()
 	var errs []error
 	var mends errgroup.Group
-	mends.SetLimit(mendsAtOnce)
+	mends.SetLimit(maxRepairs)
 	for _, l := range list {
 		mends.Go(func() error {
 			err := ctx.Err()
 			if err == nil {
-				err = n.mend(ctx, l)
+				err = n.restoreCopy(ctx, l)
 			}
 			n.mu.Lock()
 			defer n.mu.Unlock()
@@ -148,7 +148,7 @@
 	}
 	if !full && len(away) == 0 && len(errs) == 0 {
 		for _, b := range bound {
-			if err := n.keeper.Adopt(ctx, b.At, &b.Vote, n.paced(n.fetch(b.At, ""))); err != nil {
+			if err := n.keeper.Adopt(ctx, b.At, &b.Vote, n.limitRate(n.fetch(b.At, ""))); err != nil {
 				return err
 			}
 		}
@@ -160,17 +160,17 @@
 		}
 		n.opt.Log.Info("all is here that should be", "keeper", n.opt.Name, "epoch", n.opt.Members.Epoch, "disk", n.id.Disk, "incarnation", n.id.Incarnation)
 	}
-	errs = append(errs, n.handOver(ctx), n.seeThrough(ctx))
+	errs = append(errs, n.handOver(ctx), n.finishDecisions(ctx))
 	return errors.Join(errs[:min(len(errs), 10)]...)
 }
 
-// compare adds what a keeper has and this one lacks, and counts what it lacks itself.
+// compare adds what a replica has and this one lacks, and counts what it lacks itself.
 // What it is bound to in registers is read before its names: what is decided meanwhile
 // is among those.
 func (n *Node) compare(ctx context.Context, name string, votes bool, have map[string][]string) (bound []boundTo, short int, err error) {
 	p := n.peers[name]
 	ask := func(c *call) (*answer, error) {
-		ctx, cancel := context.WithTimeout(ctx, 4*n.opt.Patience)
+		ctx, cancel := context.WithTimeout(ctx, 4*n.opt.PeerTimeout)
 		defer cancel()
 		return p.do(ctx, c)
 	}
@@ -185,21 +185,21 @@
 	if err != nil {
 		return nil, 0, err
 	}
-	mine, err := n.sums(name)
+	mine, err := n.checksums(name)
 	if err != nil {
 		return nil, 0, err
 	}
 	if len(a.Sums) != buckets {
 		return nil, 0, fmt.Errorf("%w: %d sums", errBody, len(a.Sums))
 	}
-	differ := []int{strays}
+	differ := []int{strayNames}
 	for i := range mine {
 		if mine[i] != a.Sums[i] {
 			differ = append(differ, i)
 		}
 	}
 	here := map[string]bool{} // whether both are to have it, by name
-	if err := n.each(name, func(x string, at artifactstore.Attempt, stray bool) {
+	if err := n.eachName(name, func(x string, at artifactstore.Attempt, stray bool) {
 		if b := bucketOf(at); stray || mine[b] != a.Sums[b] {
 			here[x] = !stray
 		}
@@ -207,14 +207,14 @@
 		return nil, 0, err
 	}
 	there := map[string]bool{}
-	for of := range slices.Chunk(differ, bucketsAtOnce) {
+	for of := range slices.Chunk(differ, maxBuckets) {
 		a, err := ask(&call{Op: "names", Buckets: of})
 		if err != nil {
 			return nil, 0, err
 		}
 		for _, x := range a.Names {
 			there[x] = true
-			if !here[x] && !n.there(x) {
+			if !here[x] && !n.isMember(x) {
 				have[x] = append(have[x], name)
 			}
 		}
@@ -227,8 +227,8 @@
 	return bound, short, nil
 }
 
-// there says whether a name that another keeper has needs nothing to be done here.
-func (n *Node) there(name string) bool {
+// isMember says whether a name that another replica has needs nothing to be done here.
+func (n *Node) isMember(name string) bool {
 	if _, _, ok := n.blobs.Ref(name); ok {
 		return true
 	}
@@ -245,12 +245,12 @@
 	return err == nil
 }
 
-// mend brings what is missing here of a task.
-func (n *Node) mend(ctx context.Context, l lack) error {
+// restoreCopy brings what is missing here of a task.
+func (n *Node) restoreCopy(ctx context.Context, l lack) error {
 	var errs []error
 	for _, name := range l.peers {
 		p := n.peers[name]
-		asked, cancel := context.WithTimeout(ctx, n.opt.Patience)
+		asked, cancel := context.WithTimeout(ctx, n.opt.PeerTimeout)
 		a, err := p.do(asked, &call{Op: "task", Attempt: l.at})
 		cancel()
 		if err == nil {
@@ -261,16 +261,16 @@
 	return errors.Join(errs...)
 }
 
-// take brings what another keeper's view of a task shows and this one lacks.
+// take brings what another replica's view of a task shows and this one lacks.
 func (n *Node) take(ctx context.Context, task artifactstore.Attempt, name string, t *artifactstore.TaskView) error {
-	over := n.opt.Retain.Over(n.opt.Now())
+	over := n.opt.Retain.IsExpired(n.opt.Now())
 	src := pacedSource{n.peers[name], n}
 	expired := map[uint64]bool{}
 	for _, v := range t.Attempts {
 		if _, err := n.keeper.Ended(v.Attempt); err == nil || v.Machine == "" {
 			continue
 		}
-		fetch := n.paced(n.fetch(v.Attempt, name))
+		fetch := n.limitRate(n.fetch(v.Attempt, name))
 		if v.Ended == "" {
 			if err := n.takeOpen(ctx, src, v, fetch); err != nil {
 				return err
@@ -281,7 +281,7 @@
 		if err != nil {
 			return err
 		}
-		value, err := n.whole(ctx, v.Job, v.Task, v.Tenant, d)
+		value, err := n.readWhole(ctx, v.Job, v.Task, v.Tenant, d)
 		if err != nil {
 			return err
 		}
@@ -300,7 +300,7 @@
 	if t.Result == nil || expired[t.Result.Number] {
 		return nil
 	}
-	return n.keeper.Learn(ctx, task, protocol.Encode(t.Result), n.paced(n.fetch(task, name)))
+	return n.keeper.Learn(ctx, task, protocol.Encode(t.Result), n.limitRate(n.fetch(task, name)))
 }
 
 func (n *Node) takeOpen(ctx context.Context, src replica, v artifactstore.View, fetch artifactstore.Fetch) error {
@@ -356,8 +356,8 @@
 	return err
 }
 
-// Good gives a copy of a blob that went bad here, from a keeper that has a good one.
-func (n *Node) Good(ctx context.Context, d blob.Digest) (io.ReadCloser, error) {
+// OpenVerified gives a copy of a blob that went bad here, from a replica that has a good one.
+func (n *Node) OpenVerified(ctx context.Context, d blob.Digest) (io.ReadCloser, error) {
 	errs := []error{blob.ErrRotten}
 	for _, name := range slices.Sorted(maps.Keys(n.peers)) {
 		if name == n.opt.Name {
--- a/internal/artifactreplication/replica.go
+++ b/internal/artifactreplication/replica.go
@@ -19,18 +19,18 @@
 	"topazhollow/internal/protocol"
 )
 
-// Errors between keepers.
+// Errors between replicas.
 var (
-	// ErrJoining says that a keeper does not have all yet that it should, and so
+	// ErrJoining says that a replica does not have all yet that it should, and so
 	// can't vote or be counted.
 	ErrJoining = errors.New("keepers: still joining")
-	// ErrEpoch says that two keepers go by different lists.
+	// ErrEpoch says that two replicas go by different lists.
 	ErrEpoch = errors.New("keepers: another list of keepers is in force there")
-	// ErrTooFew says that too few of a task's keepers answered.
+	// ErrTooFew says that too few of a task's replicas answered.
 	ErrTooFew = errors.New("keepers: too few of the task's keepers answered")
 )
 
-// call is what one keeper asks another; answer what it gets. Each operation uses a few
+// call is what one replica asks another; answer what it gets. Each operation uses a few
 // of the fields.
 type call struct {
 	Op       string                 `json:"op"`
@@ -45,7 +45,7 @@
 	Freeze   bool                   `json:"freeze,omitempty"`
 	Value    []byte                 `json:"value,omitempty"`
 	Buckets  []int                  `json:"buckets,omitempty"`
-	Count    bool                   `json:"count,omitempty"` // the answer counts, so it must come from a keeper that has all
+	Count    bool                   `json:"count,omitempty"` // the answer counts, so it must come from a replica that has all
 	From     string                 `json:"from"`
 	Identity string                 `json:"identity"` // list in force
 }
@@ -66,7 +66,7 @@
 	Vote artifactstore.Vote    `json:"vote"`
 }
 
-// replica is a keeper as another sees it; the own one is called like the others.
+// replica is a replica as another sees it; the own one is called like the others.
 type replica interface {
 	do(ctx context.Context, c *call) (*answer, error)
 	// read hands over records from a number on, for as long as the context allows if it
@@ -112,7 +112,7 @@
 	errBusy = errors.New("keepers: too much at a time")
 )
 
-// remote is another keeper, over HTTP.
+// remote is another replica, over HTTP.
 type remote struct {
 	n    *Node
 	name string
@@ -210,7 +210,7 @@
 	}
 }
 
-// ended is the state of the last line among keepers where no more can come.
+// ended is the state of the last line among replicas where no more can come.
 const ended = "ended"
 
 func (r *remote) blob(ctx context.Context, tenant string, d blob.Digest, offset int64) (io.ReadCloser, error) {
@@ -231,7 +231,7 @@
 	return resp.Body.Close()
 }
 
-// local is the own keeper.
+// local is the own replica.
 type local struct{ n *Node }
 
 func (l local) do(ctx context.Context, c *call) (*answer, error) { return l.n.serve(ctx, c) }
@@ -255,7 +255,7 @@
 	return l.n.blobs.Take(ctx, tenant, d, content)
 }
 
-// serve carries out what a keeper, this one or another, asks of this one alone.
+// serve carries out what a replica, this one or another, asks of this one alone.
 func (n *Node) serve(ctx context.Context, c *call) (*answer, error) {
 	k, a := n.keeper, &answer{}
 	var err error
@@ -297,12 +297,12 @@
 	case "tasks":
 		a.Tasks, err = k.Tasks(c.Attempt.Job)
 	case "sums":
-		a.Sums, err = n.sums(c.From)
+		a.Sums, err = n.checksums(c.From)
 	case "names":
 		a.Names, err = n.names(c.From, c.Buckets)
 	case "votes":
 		for at, v := range k.Votes() {
-			if n.opt.Members.Here(c.From, at.Job, at.Task) {
+			if n.opt.Members.IsReplica(c.From, at.Job, at.Task) {
 				a.Votes = append(a.Votes, boundTo{at, v})
 			}
 		}
@@ -317,7 +317,7 @@
 	return a, nil
 }
 
-// fetch gets a blob of an attempt from another keeper, the one first that asks for it
+// fetch gets a blob of an attempt from another replica, the one first that asks for it
 // to be there.
 func (n *Node) fetch(at artifactstore.Attempt, first string) artifactstore.Fetch {
 	return func(ctx context.Context, tenant string, d blob.Digest) (io.ReadCloser, error) {
@@ -325,10 +325,10 @@
 	}
 }
 
-// sources lists whoever may have something of a task: its keepers first, then those
-// that were its keepers, perhaps.
+// sources lists whoever may have something of a task: its replicas first, then those
+// that were its replicas, perhaps.
 func (n *Node) sources(job string, task int) []string {
-	names := n.opt.Members.Place(job, task)
+	names := n.opt.Members.ReplicasOf(job, task)
 	for _, m := range n.opt.Members.List {
 		if m.State == Draining {
 			names = append(names, m.Name)
@@ -337,7 +337,7 @@
 	return names
 }
 
-// open reads a blob from the first keeper that has it, the own one before all others.
+// open reads a blob from the first replica that has it, the own one before all others.
 func (n *Node) open(ctx context.Context, names []string, tenant string, d blob.Digest, offset int64) (io.ReadCloser, error) {
 	r, err := n.blobs.Open(tenant, d, offset)
 	if err == nil {
@@ -353,7 +353,7 @@
 			errs = append(errs, err)
 		}
 	}
-	for _, err := range errs { // a keeper that answered says more than one that did not
+	for _, err := range errs { // a replica that answered says more than one that did not
 		if errors.Is(err, blob.ErrNotFound) {
 			return nil, err
 		}
--- a/internal/artifactreplication/retain.go
+++ b/internal/artifactreplication/retain.go
@@ -89,9 +89,9 @@
 	return days, nil
 }
 
-// Over says of an attempt that has ended whether it need not be kept any more. A script
+// IsExpired says of an attempt that has ended whether it need not be kept any more. A script
 // that fails on one leaves it to Days.
-func (r *Retention) Over(now time.Time) func(*artifactstore.Manifest) bool {
+func (r *Retention) IsExpired(now time.Time) func(*artifactstore.Manifest) bool {
 	return func(m *artifactstore.Manifest) bool {
 		if r == nil {
 			return false
--- a/internal/artifactreplication/revoked.go
+++ b/internal/artifactreplication/revoked.go
@@ -13,10 +13,10 @@
 	"topazhollow/internal/artifactstore"
 )
 
-// Revoked is the list of tokens that are refused before their time is over, in a file
+// RevocationList is the list of tokens that are refused before their time is over, in a file
 // that is read again when it changes: a line each, "write JOB/TASK/ATTEMPT", or
 // "write JOB/TASK", "write JOB", "read JOB" for all of them below; # begins a comment.
-type Revoked struct {
+type RevocationList struct {
 	path   string
 	mu     sync.Mutex
 	looked time.Time
@@ -28,15 +28,15 @@
 const maxRevoked = 16 << 20
 
 // LoadRevoked reads a list; no path means none.
-func LoadRevoked(path string) (*Revoked, error) {
+func LoadRevoked(path string) (*RevocationList, error) {
 	if path == "" {
 		return nil, nil
 	}
-	r := &Revoked{path: path}
+	r := &RevocationList{path: path}
 	return r, r.read()
 }
 
-func (r *Revoked) read() error {
+func (r *RevocationList) read() error {
 	info, err := os.Stat(r.path)
 	if err != nil {
 		return err
@@ -78,7 +78,7 @@
 
 // has says whether what a token stands for was revoked. A file that can't be read any
 // more leaves the last list in force.
-func (r *Revoked) has(g *artifactstore.Grant) bool {
+func (r *RevocationList) has(g *artifactstore.Grant) bool {
 	if r == nil || (g.Right != artifactstore.Write && g.Right != artifactstore.Read) {
 		return false
 	}
--- a/internal/artifactreplication/serve.go
+++ b/internal/artifactreplication/serve.go
@@ -25,8 +25,8 @@
 // Bounds of a request's body, in bytes.
 const (
 	maxBody     = 4 << 20  // some records, or a piece of a blob
-	maxPeer     = 32 << 20 // what one keeper sends another
-	maxPeerBlob = 1 << 40  // a blob that one keeper sends another
+	maxPeer     = 32 << 20 // what one replica sends another
+	maxPeerBlob = 1 << 40  // a blob that one replica sends another
 )
 
 // status maps errors to HTTP.
@@ -53,14 +53,14 @@
 	return "", http.StatusInternalServerError, time.Second
 }
 
-// Handler is the keeper's interface as docs/keeper.md lists it.
+// Handler is the replica's interface as docs/replica.md lists it.
 func (s *Server) Handler() http.Handler {
 	if s.Follow <= 0 {
 		s.Follow = time.Hour
 	}
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /healthz", func(w http.ResponseWriter, _ *http.Request) { send(w, 200, artifactstore.Answer{}) })
-	s.routeWorkers(mux)
+	s.routeAgents(mux)
 	s.routeReaders(mux)
 	s.routePeers(mux)
 	s.routeOperators(mux)
--- a/internal/artifactreplication/serve_agents.go
+++ b/internal/artifactreplication/serve_agents.go
@@ -10,8 +10,8 @@
 	"topazhollow/internal/blob"
 )
 
-// routeWorkers adds what workers send of their attempts.
-func (s *Server) routeWorkers(mux *http.ServeMux) {
+// routeAgents adds what agents send of their attempts.
+func (s *Server) routeAgents(mux *http.ServeMux) {
 	route := func(pattern string, f func(w http.ResponseWriter, r *http.Request, c artifactstore.Claim) error) {
 		s.handle(mux, pattern, maxBody, func(w http.ResponseWriter, r *http.Request, g *artifactstore.Grant) error {
 			c, err := g.Claim()
@@ -26,10 +26,10 @@
 	route("POST /files/{path...}", s.attach)
 	route("POST /seal", s.seal)
 	route("POST /uploads", s.begin)
-	route("POST /uploads/{id}", s.piece)
+	route("POST /uploads/{id}", s.uploadPiece)
 }
 
-// beginAttempt opens a worker's attempt.
+// beginAttempt opens an agent's attempt.
 func (s *Server) beginAttempt(w http.ResponseWriter, r *http.Request, c artifactstore.Claim) error {
 	if err := s.Node.Begin(r.Context(), c); err != nil {
 		return err
@@ -102,7 +102,7 @@
 	return nil
 }
 
-func (s *Server) piece(w http.ResponseWriter, r *http.Request, c artifactstore.Claim) error {
+func (s *Server) uploadPiece(w http.ResponseWriter, r *http.Request, c artifactstore.Claim) error {
 	u, err := s.Node.blobs.Resume(c.Tenant, r.PathValue("id"))
 	if err != nil {
 		return err
--- a/internal/artifactreplication/serve_peers.go
+++ b/internal/artifactreplication/serve_peers.go
@@ -11,7 +11,7 @@
 	"topazhollow/internal/blob"
 )
 
-// routePeers adds what keepers send each other.
+// routePeers adds what replicas send each other.
 func (s *Server) routePeers(mux *http.ServeMux) {
 	s.handleRight(mux, "POST /peer/call", maxPeer, artifactstore.Peer, s.peerCall)
 	s.handleRight(mux, "GET /peer/records", 0, artifactstore.Peer, s.peerRecords)
@@ -19,7 +19,7 @@
 	s.handleRight(mux, "PUT /peer/blob", maxPeerBlob, artifactstore.Peer, s.takePeerBlob)
 }
 
-// peerBlob hands a blob to another keeper.
+// peerBlob hands a blob to another replica.
 func (s *Server) peerBlob(w http.ResponseWriter, r *http.Request) error {
 	d, err := blob.Parse(r.URL.Query().Get("blob"))
 	if err != nil {
@@ -44,7 +44,7 @@
 	return nil
 }
 
-// takePeerBlob takes a blob from another keeper.
+// takePeerBlob takes a blob from another replica.
 func (s *Server) takePeerBlob(w http.ResponseWriter, r *http.Request) error {
 	d, err := blob.Parse(r.URL.Query().Get("blob"))
 	if err != nil {
@@ -57,7 +57,7 @@
 	return nil
 }
 
-// peerCall answers another keeper, if both go by the same list of keepers.
+// peerCall answers another replica, if both go by the same list of replicas.
 func (s *Server) peerCall(w http.ResponseWriter, r *http.Request) error {
 	var c call
 	if err := decode(r, &c); err != nil {
@@ -74,7 +74,7 @@
 	return nil
 }
 
-// peerRecords hands records to another keeper, a JSON line each, and at the end a line
+// peerRecords hands records to another replica, a JSON line each, and at the end a line
 // that says whether more can come.
 func (s *Server) peerRecords(w http.ResponseWriter, r *http.Request) error {
 	q := r.URL.Query()
--- a/internal/artifactreplication/serve_readers.go
+++ b/internal/artifactreplication/serve_readers.go
@@ -18,7 +18,7 @@
 func (s *Server) routeReaders(mux *http.ServeMux) {
 	route := func(pattern string, f func(w http.ResponseWriter, r *http.Request, job string, task int) error) {
 		s.handle(mux, pattern, 0, func(w http.ResponseWriter, r *http.Request, g *artifactstore.Grant) error {
-			job, task, err := whatToRead(r, g)
+			job, task, err := readTarget(r, g)
 			if err != nil {
 				return err
 			}
@@ -32,9 +32,9 @@
 	route("GET /files/{job}/{task}/{path...}", s.file)
 }
 
-// whatToRead is the job and the task that a request names, -1 for all its tasks, if the token
+// readTarget is the job and the task that a request names, -1 for all its tasks, if the token
 // is for it.
-func whatToRead(r *http.Request, g *artifactstore.Grant) (job string, task int, err error) {
+func readTarget(r *http.Request, g *artifactstore.Grant) (job string, task int, err error) {
 	job, task = r.PathValue("job"), -1
 	if text := r.PathValue("task"); text != "" {
 		if task, err = strconv.Atoi(text); err != nil || task < 0 {
--- a/internal/artifactreplication/serve_test.go
+++ b/internal/artifactreplication/serve_test.go
@@ -16,7 +16,7 @@
 	"topazhollow/internal/blob"
 )
 
-// site is a keeper behind HTTP, and a caller.
+// site is a replica behind HTTP, and a caller.
 type site struct {
 	t    *testing.T
 	url  string
@@ -160,7 +160,7 @@
 	}
 }
 
-// TestRevoked: a worker or reader whose token was revoked is refused, others are not, and
+// TestRevoked: an agent or reader whose token was revoked is refused, others are not, and
 // the list is read again when it changes; one with nonsense leaves the last in force.
 func TestRevoked(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "revoked")
--- a/internal/artifactreplication/status.go
+++ b/internal/artifactreplication/status.go
@@ -16,7 +16,7 @@
 	"topazhollow/internal/artifactstore"
 )
 
-// Status is what a keeper says of itself.
+// Status is what a replica says of itself.
 type Status struct {
 	Name        string            `json:"name"`
 	Zone        string            `json:"zone"`
@@ -31,16 +31,16 @@
 	Oldest      float64           `json:"repair_oldest"`  // seconds since the first of them was noticed
 	Mended      int               `json:"repaired"`       // tasks, since the start
 	Brought     int64             `json:"repaired_bytes"` // since the start
-	Short       int               `json:"replicas_short"` // attempts and results that another keeper lacks
+	Short       int               `json:"replicas_short"` // attempts and results that another replica lacks
 	Strays      int               `json:"to_hand_over"`   // tasks
-	Away        map[string]string `json:"away,omitempty"` // keepers that could not be asked, and why
+	Away        map[string]string `json:"away,omitempty"` // replicas that could not be asked, and why
 	Refused     map[string]int64  `json:"refused,omitempty"`
 }
 
-// Joining is the state of a keeper that does not have all yet that it should.
+// Joining is the state of a replica that does not have all yet that it should.
 const Joining State = "joining"
 
-// Status tells how this keeper is.
+// Status tells how this replica is.
 func (n *Node) Status() *Status {
 	st := n.blobs.Stats()
 	s := &Status{Name: n.opt.Name, Epoch: n.opt.Members.Epoch, Open: n.keeper.Opened(), Bytes: st.Bytes, Blobs: st.Blobs, Refused: n.meters.reasons()}
@@ -63,7 +63,7 @@
 	return s
 }
 
-// AskStatus asks a keeper how it is.
+// AskStatus asks a replica how it is.
 func AskStatus(ctx context.Context, client *http.Client, url string, key []byte) (*Status, error) {
 	req, err := http.NewRequestWithContext(ctx, "GET", strings.TrimSuffix(url, "/")+"/status", nil)
 	if err != nil {
@@ -82,7 +82,7 @@
 	return st, json.NewDecoder(resp.Body).Decode(st)
 }
 
-// meters are a keeper's metrics.
+// meters are a replica's metrics.
 type meters struct {
 	handler  http.Handler
 	records  prometheus.Counter
@@ -138,7 +138,7 @@
 
 func (m *meters) uploaded(bytes int64) { m.uploads.Add(float64(bytes)) }
 
-// refused counts a refusal. What a reader or worker did wrong in its own words counts
+// refused counts a refusal. What a reader or agent did wrong in its own words counts
 // by its status alone.
 func (m *meters) refused(code string, status int) {
 	if code == "" {
--- a/internal/artifactreplication/streams.go
+++ b/internal/artifactreplication/streams.go
@@ -17,17 +17,17 @@
 // Begin opens an attempt for its machine and session. Repeated by the same it has no
 // effect.
 func (n *Node) Begin(ctx context.Context, c artifactstore.Claim) error {
-	_, err := n.write(ctx, c.Attempt, func(ctx context.Context, _ string, r replica) (*answer, error) {
+	_, err := n.writeToQuorum(ctx, c.Attempt, func(ctx context.Context, _ string, r replica) (*answer, error) {
 		return r.do(ctx, &call{Op: "begin", Claim: c})
 	})
 	return err
 }
 
 // Append adds records to a stream, the first of them under a number. next is the number
-// of the record wanted next; all before it are durable on enough keepers.
+// of the record wanted next; all before it are durable on enough replicas.
 func (n *Node) Append(ctx context.Context, c artifactstore.Claim, stream string, first uint64, records []artifactstore.Record) (next uint64, err error) {
 	begun := n.opt.Now()
-	got, err := n.write(ctx, c.Attempt, func(ctx context.Context, name string, r replica) (*answer, error) {
+	got, err := n.writeToQuorum(ctx, c.Attempt, func(ctx context.Context, name string, r replica) (*answer, error) {
 		a, err := r.do(ctx, &call{Op: "append", Claim: c, Stream: stream, First: first, Records: records})
 		var gap *artifactstore.GapError
 		if errors.As(err, &gap) && n.fill(ctx, c, stream, gap.Want, first, name, r) {
@@ -50,10 +50,10 @@
 	return slices.Min(nexts), nil
 }
 
-// fill brings a keeper the records of a stream that it missed, from another that has
+// fill brings a replica the records of a stream that it missed, from another that has
 // them.
 func (n *Node) fill(ctx context.Context, c artifactstore.Claim, stream string, from, to uint64, name string, r replica) bool {
-	for _, other := range n.opt.Members.Place(c.Job, c.Task) {
+	for _, other := range n.opt.Members.ReplicasOf(c.Job, c.Task) {
 		p := n.peers[other]
 		if other == name || p == nil || from >= to {
 			continue
@@ -65,13 +65,13 @@
 	return from >= to
 }
 
-// atOnce bounds the records that go from one keeper to another in one call.
+// atOnce bounds the records that go from one replica to another in one call.
 const (
 	atOnce      = 500
 	atOnceBytes = 1 << 20
 )
 
-// copyRecords brings records from one keeper to another, up to a number, or all if it
+// copyRecords brings records from one replica to another, up to a number, or all if it
 // is 0, and gives the number of the next.
 func (n *Node) copyRecords(ctx context.Context, c artifactstore.Claim, stream string, from, to uint64, src, dst replica) (uint64, error) {
 	var batch []artifactstore.Record
@@ -100,10 +100,10 @@
 	return from, errors.Join(err, send())
 }
 
-// Attach adds a file, whose content one of the keepers has from the same tenant. A path
+// Attach adds a file, whose content one of the replicas has from the same tenant. A path
 // that was attached before gets the new content.
 func (n *Node) Attach(ctx context.Context, c artifactstore.Claim, path string, d blob.Digest) error {
-	_, err := n.write(ctx, c.Attempt, func(ctx context.Context, name string, r replica) (*answer, error) {
+	_, err := n.writeToQuorum(ctx, c.Attempt, func(ctx context.Context, name string, r replica) (*answer, error) {
 		ask := &call{Op: "attach", Claim: c, Path: path, Digest: d.String()}
 		a, err := r.do(ctx, ask)
 		if !errors.Is(err, blob.ErrNotFound) && !errors.Is(err, blob.ErrTenant) {
@@ -122,13 +122,13 @@
 	return err
 }
 
-// turn is for how long a follower stays with one keeper before it looks whether another
+// repairTurn is for how long a follower stays with one replica before it looks whether another
 // has more.
-const turn = 5 * time.Second
+const repairTurn = 5 * time.Second
 
 // Read hands over the records of an attempt's stream from a number on, and gives the
 // number of the next and the attempt's state. A follower is served for as long as the
-// attempt goes on and the context allows. A keeper that fails meanwhile is replaced by
+// attempt goes on and the context allows. A replica that fails meanwhile is replaced by
 // another.
 func (n *Node) Read(ctx context.Context, at artifactstore.Attempt, stream string, from uint64, follow bool, each func(uint64, artifactstore.Record) error) (next uint64, state string, err error) {
 	next = from
@@ -172,7 +172,7 @@
 			}
 			slice, cancel := ctx, context.CancelFunc(func() {})
 			if following {
-				slice, cancel = context.WithTimeout(ctx, turn)
+				slice, cancel = context.WithTimeout(ctx, repairTurn)
 			}
 			_, _, last = p.read(slice, m.Attempt, stream, next, following, pass)
 			over := slice.Err() != nil
--- a/internal/artifactreplication/sums.go
+++ b/internal/artifactreplication/sums.go
@@ -15,11 +15,11 @@
 
 const buckets = 1024
 
-// bucketsAtOnce is how many buckets one call lists: each call walks over all names.
-const bucketsAtOnce = 256
+// maxBuckets is how many buckets one call lists: each call walks over all names.
+const maxBuckets = 256
 
-// strays is the bucket of what a keeper has though it is not its keeper (any more).
-const strays = -1
+// strayNames is the bucket of what a replica has though it is not its replica (any more).
+const strayNames = -1
 
 // bucketOf is the bucket of a task's names.
 func bucketOf(at artifactstore.Attempt) int {
@@ -27,13 +27,13 @@
 	return int(binary.LittleEndian.Uint32(h[:])) % buckets
 }
 
-// each walks over the names of what is here of tasks that another keeper is to have too.
-func (n *Node) each(other string, f func(name string, at artifactstore.Attempt, stray bool)) error {
+// eachName walks over the names of what is here of tasks that another replica is to have too.
+func (n *Node) eachName(other string, f func(name string, at artifactstore.Attempt, stray bool)) error {
 	var last artifactstore.Attempt
 	var theirs, mine bool
 	visit := func(name string, at artifactstore.Attempt) {
 		if last.Job != at.Job || last.Task != at.Task {
-			place := n.opt.Members.Place(at.Job, at.Task)
+			place := n.opt.Members.ReplicasOf(at.Job, at.Task)
 			theirs, mine, last = slices.Contains(place, other), slices.Contains(place, n.opt.Name), at
 		}
 		if theirs {
@@ -68,10 +68,10 @@
 	return nil
 }
 
-// sums gives each bucket's sum of hashes, of what another keeper is to have too.
-func (n *Node) sums(other string) ([]string, error) {
+// checksums gives each bucket's sum of hashes, of what another replica is to have too.
+func (n *Node) checksums(other string) ([]string, error) {
 	var sums [buckets][2]uint64
-	err := n.each(other, func(name string, at artifactstore.Attempt, stray bool) {
+	err := n.eachName(other, func(name string, at artifactstore.Attempt, stray bool) {
 		if stray {
 			return
 		}
@@ -90,8 +90,8 @@
 
 // names lists some buckets, in one walk.
 func (n *Node) names(other string, of []int) (list []string, err error) {
-	err = n.each(other, func(name string, at artifactstore.Attempt, stray bool) {
-		b := strays
+	err = n.eachName(other, func(name string, at artifactstore.Attempt, stray bool) {
+		b := strayNames
 		if !stray {
 			b = bucketOf(at)
 		}
--- a/internal/artifactstore/answer.go
+++ b/internal/artifactstore/answer.go
@@ -11,7 +11,7 @@
 	Final  bool      `json:"final,omitempty"`
 	Sealed *Manifest `json:"sealed,omitempty"`
 	List   []Known   `json:"attempts,omitempty"`
-	Unsure bool      `json:"unsure,omitempty"` // fewer keepers answered than it takes to be sure
+	Unsure bool      `json:"unsure,omitempty"` // fewer replicas answered than it takes to be sure
 }
 
 // TaskList is the tasks of a job of which something is kept.
@@ -20,7 +20,7 @@
 	Unsure bool  `json:"unsure,omitempty"`
 }
 
-// End is what a worker says of its attempt when it seals it.
+// End is what an agent says of its attempt when it seals it.
 type End struct {
 	Exit    Exit              `json:"exit"`
 	Records map[string]uint64 `json:"records"` // by stream
@@ -41,7 +41,7 @@
 	StateSealed  = "sealed"  // ended, but another is the result, or none
 	StatePartial = "partial" // never sealed, and never will be
 	StateGoesOn  = "goes on" // may get more
-	StateUnsure  = "unsure"  // too few keepers answered to tell
+	StateUnsure  = "unsure"  // too few replicas answered to tell
 )
 
 // Line is one line of a log as it is read over HTTP. The last one has State instead of
--- a/internal/artifactstore/artifactstore.go
+++ b/internal/artifactstore/artifactstore.go
@@ -15,7 +15,7 @@
 	"topazhollow/internal/wal"
 )
 
-// Options are a keeper's choices.
+// Options are a store's choices.
 type Options struct {
 	Dir       string
 	Blobs     *blob.Store
@@ -30,10 +30,10 @@
 	Step      func(step string) // told of each durable step, for tests
 }
 
-// Keeper is one keeper's own part: what it holds on its disk, and its votes. Its
-// methods may be called at the same time. What several keepers promise together is
-// package keepers' matter.
-type Keeper struct {
+// Store is one store's own part: what it holds on its disk, and its votes. Its
+// methods may be called at the same time. What several replicas promise together is
+// package replicas' matter.
+type Store struct {
 	opt Options
 	log *wal.Log
 
@@ -54,7 +54,7 @@
 }
 
 // enter takes an attempt's gate; leave gives it back.
-func (k *Keeper) enter(at Attempt) (leave func()) {
+func (k *Store) enter(at Attempt) (leave func()) {
 	k.mu.Lock()
 	g := k.gates[at]
 	if g == nil {
@@ -104,14 +104,14 @@
 	Hole *Hole     `json:"hole,omitempty"`
 }
 
-// Hole marks output that a worker had no room to keep.
+// Hole marks output that an agent had no room to keep.
 type Hole struct {
 	Bytes int64     `json:"bytes"`
 	From  time.Time `json:"from"`
 	To    time.Time `json:"to"`
 }
 
-// entry is a record of the keeper's own log.
+// entry is a record of the store's own log.
 type entry struct {
 	Kind    string   `json:"k"`
 	Claim   *Claim   `json:"c,omitempty"`
@@ -135,9 +135,9 @@
 	kindSettle = "settled" // it is known whether a closed one is the result
 )
 
-// Open opens a keeper's directory. What a process that ended had begun to seal is
+// Open opens a store's directory. What a process that ended had begun to seal is
 // seen through.
-func Open(opt Options) (*Keeper, error) {
+func Open(opt Options) (*Store, error) {
 	if len(opt.Key) < 16 {
 		return nil, fmt.Errorf("%w: a key of %d bytes, 16 are needed", ErrTooMuch, len(opt.Key))
 	}
@@ -159,7 +159,7 @@
 	if opt.Step == nil {
 		opt.Step = func(string) {}
 	}
-	k := &Keeper{opt: opt, open: map[Attempt]*attempt{}, votes: map[Attempt]*Vote{}, latest: map[string]uint64{}, unsettled: map[Attempt]bool{}, gates: map[Attempt]*gate{}}
+	k := &Store{opt: opt, open: map[Attempt]*attempt{}, votes: map[Attempt]*Vote{}, latest: map[string]uint64{}, unsettled: map[Attempt]bool{}, gates: map[Attempt]*gate{}}
 	k.changed.L = &k.mu
 	// An open attempt's beginning may have been written again behind entries that
 	// belong to it.
@@ -195,7 +195,7 @@
 }
 
 // tidy sees through what a process that ended had begun.
-func (k *Keeper) tidy(ctx context.Context) error {
+func (k *Store) tidy(ctx context.Context) error {
 	for at := range k.votes {
 		if _, there, err := k.decided(at); err != nil {
 			return err
@@ -223,8 +223,8 @@
 	return nil
 }
 
-// Close ends the keeper.
-func (k *Keeper) Close() error {
+// Close ends the store.
+func (k *Store) Close() error {
 	k.mu.Lock()
 	k.closed = true
 	k.mu.Unlock()
@@ -232,9 +232,9 @@
 	return k.log.Close()
 }
 
-// apply carries an entry over to what is known. k.mu is held, or the keeper is
+// apply carries an entry over to what is known. k.mu is held, or the store is
 // being opened.
-func (k *Keeper) apply(e *entry, at wal.Pos) {
+func (k *Store) apply(e *entry, at wal.Pos) {
 	a := k.open[e.Attempt]
 	switch e.Kind {
 	case kindBegin:
@@ -288,7 +288,7 @@
 }
 
 // write makes an entry durable and carries it over.
-func (k *Keeper) write(ctx context.Context, e *entry) error {
+func (k *Store) write(ctx context.Context, e *entry) error {
 	at, err := k.log.Append(context.WithoutCancel(ctx), protocol.Encode(e))
 	if err != nil {
 		return err
@@ -314,7 +314,7 @@
 
 // Begin opens an attempt for its machine. Repeated by the same it has no effect.
 // The files and streams of an earlier attempt stay that attempt's.
-func (k *Keeper) Begin(ctx context.Context, c Claim) error {
+func (k *Store) Begin(ctx context.Context, c Claim) error {
 	if err := c.check(); err != nil {
 		return err
 	}
@@ -342,7 +342,7 @@
 
 // mine finds an open attempt, for the machine and session that began it. Its gate is
 // held.
-func (k *Keeper) mine(c Claim) (*attempt, error) {
+func (k *Store) mine(c Claim) (*attempt, error) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	a := k.open[c.Attempt]
@@ -362,7 +362,7 @@
 }
 
 // over says whether an attempt is sealed or shelved.
-func (k *Keeper) over(at Attempt) bool {
+func (k *Store) over(at Attempt) bool {
 	_, _, sealed := k.opt.Blobs.Ref(sealedName(at))
 	_, _, shelved := k.opt.Blobs.Ref(shelvedName(at))
 	return sealed || shelved
@@ -371,7 +371,7 @@
 // Append adds records to a stream, the first of them under a number. Records that
 // are there already have no second effect; a number behind the end is a GapError.
 // next is the number of the record wanted next; all before it are durable.
-func (k *Keeper) Append(ctx context.Context, c Claim, name string, first uint64, records []Record) (next uint64, err error) {
+func (k *Store) Append(ctx context.Context, c Claim, name string, first uint64, records []Record) (next uint64, err error) {
 	if err := CheckStream(name); err != nil {
 		return 0, err
 	}
@@ -420,7 +420,7 @@
 
 // Attach adds a file, whose content the store of blobs has from the same tenant. A
 // path that was attached before gets the new content.
-func (k *Keeper) Attach(ctx context.Context, c Claim, path string, d blob.Digest) error {
+func (k *Store) Attach(ctx context.Context, c Claim, path string, d blob.Digest) error {
 	if err := CheckPath(path); err != nil {
 		return err
 	}
@@ -445,7 +445,7 @@
 
 // Trim gives back the log's space that closed attempts took: first segments of which
 // at most half lives on, which is written again at the end.
-func (k *Keeper) Trim(ctx context.Context) error {
+func (k *Store) Trim(ctx context.Context) error {
 	return k.log.Compact(ctx, func(_ wal.Pos, b []byte) (func() error, error) {
 		var e entry
 		if err := json.Unmarshal(b, &e); err != nil {
--- a/internal/artifactstore/client.go
+++ b/internal/artifactstore/client.go
@@ -22,20 +22,20 @@
 // ErrPartial says that what was read is no sealed attempt's.
 var ErrPartial = errors.New("keeper: partial, its worker never sealed it")
 
-// ErrUnsure says that too few keepers answered to tell whether more was kept.
+// ErrUnsure says that too few replicas answered to tell whether more was kept.
 var ErrUnsure = errors.New("keeper: too few keepers answered to be sure")
 
 var errAnswer = errors.New("keeper: malformed answer")
 
-// Reader reads from a keeper.
+// Reader reads from a store.
 type Reader struct {
-	URL   string // of a keeper, or of several with commas between: another is asked when one fails
+	URL   string // of a store, or of several with commas between: another is asked when one fails
 	Token string
 	HTTP  *http.Client // http.DefaultClient if nil
 	Tries int          // of a request that got no answer; 5 if 0
 }
 
-// get asks once and again, with jittered pauses, while the keeper can't be reached or
+// get asks once and again, with jittered pauses, while the store can't be reached or
 // has no room for the request.
 func (r *Reader) get(ctx context.Context, path string, q url.Values) (*http.Response, error) {
 	c, tries := r.HTTP, r.Tries
@@ -160,7 +160,7 @@
 }
 
 // Manifest reads the manifest of a task's attempt: the final one's for number 0, else
-// the latest's. It is not verified, since the key is the keeper's.
+// the latest's. It is not verified, since the key is the store's.
 func (r *Reader) Manifest(ctx context.Context, job string, task int, number uint64) (m *Manifest, final bool, err error) {
 	v := url.Values{}
 	if number > 0 {
--- a/internal/artifactstore/decision.go
+++ b/internal/artifactstore/decision.go
@@ -11,7 +11,7 @@
 )
 
 // decided gives a register's value, if it is known here.
-func (k *Keeper) decided(at Attempt) (value []byte, ok bool, err error) {
+func (k *Store) decided(at Attempt) (value []byte, ok bool, err error) {
 	name := finalName(at)
 	if at.Number > 0 {
 		if name = sealedName(at); !k.there(name) {
@@ -33,7 +33,7 @@
 }
 
 // Learn carries out what was decided: the attempt ends, or its task has its result.
-func (k *Keeper) Learn(ctx context.Context, at Attempt, value []byte, fetch Fetch) error {
+func (k *Store) Learn(ctx context.Context, at Attempt, value []byte, fetch Fetch) error {
 	if at.Number == 0 {
 		return k.learnResult(ctx, at, value, fetch)
 	}
@@ -50,7 +50,7 @@
 
 // keepDecision keeps what was decided of an attempt or a task, if it is not kept already.
 // Another decision of the same is ErrSplit. The attempt's gate is held.
-func (k *Keeper) keepDecision(at Attempt, what string, value []byte, keep func() error) error {
+func (k *Store) keepDecision(at Attempt, what string, value []byte, keep func() error) error {
 	was, there, err := k.decided(at)
 	switch {
 	case err != nil:
@@ -64,7 +64,7 @@
 }
 
 // keepEnd makes the end of an attempt durable.
-func (k *Keeper) keepEnd(ctx context.Context, at Attempt, value []byte) error {
+func (k *Store) keepEnd(ctx context.Context, at Attempt, value []byte) error {
 	m, err := Verify(k.opt.Key, value)
 	if err != nil {
 		return err
@@ -82,7 +82,7 @@
 }
 
 // learnResult keeps the result of a task, and settles the attempt that it came from.
-func (k *Keeper) learnResult(ctx context.Context, at Attempt, value []byte, fetch Fetch) error {
+func (k *Store) learnResult(ctx context.Context, at Attempt, value []byte, fetch Fetch) error {
 	var r Result
 	if err := json.Unmarshal(value, &r); err != nil {
 		return fmt.Errorf("%w: %v", ErrForged, err)
@@ -109,8 +109,8 @@
 }
 
 // close takes an attempt that has ended out of what is open. Its gate is held, or the
-// keeper is being opened.
-func (k *Keeper) close(ctx context.Context, at Attempt) error {
+// store is being opened.
+func (k *Store) close(ctx context.Context, at Attempt) error {
 	k.mu.Lock()
 	a, v := k.open[at], k.votes[at]
 	k.mu.Unlock()
@@ -137,7 +137,7 @@
 
 // Unsettled lists the attempts that were sealed as completed, and of which it is not
 // known here whether they are their tasks' results.
-func (k *Keeper) Unsettled() []Attempt {
+func (k *Store) Unsettled() []Attempt {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	list := make([]Attempt, 0, len(k.unsettled))
@@ -148,7 +148,7 @@
 }
 
 // Settled says that it is known whether an attempt is its task's result.
-func (k *Keeper) Settled(ctx context.Context, at Attempt) error {
+func (k *Store) Settled(ctx context.Context, at Attempt) error {
 	k.mu.Lock()
 	there := k.unsettled[at]
 	k.mu.Unlock()
--- a/internal/artifactstore/expire.go
+++ b/internal/artifactstore/expire.go
@@ -8,7 +8,7 @@
 )
 
 // Opened counts the attempts that have not ended.
-func (k *Keeper) Opened() int {
+func (k *Store) Opened() int {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return len(k.open)
@@ -16,7 +16,7 @@
 
 // Expire lets go of attempts that have ended and are over by what it is told of them, the
 // results of their tasks with them. It gives how many.
-func (k *Keeper) Expire(ctx context.Context, over func(*Manifest) bool) (count int, err error) {
+func (k *Store) Expire(ctx context.Context, over func(*Manifest) bool) (count int, err error) {
 	for _, kind := range []string{"sealed/", "partial/"} {
 		after := ""
 		for ctx.Err() == nil {
--- a/internal/artifactstore/golden_test.go
+++ b/internal/artifactstore/golden_test.go
@@ -12,8 +12,8 @@
 	"topazhollow/internal/goldentest"
 )
 
-// The golden files of the keepers' log, manifests, streams, votes and answers. What is on disks outlives the process that wrote it,
-// and keepers of two versions vote together, so the forms may only grow.
+// The golden files of the replicas' log, manifests, streams, votes and answers. What is on disks outlives the process that wrote it,
+// and replicas of two versions vote together, so the forms may only grow.
 
 var (
 	goldenCode    = []byte("0123456789abcdef") // of manifests and tokens
@@ -72,8 +72,8 @@
 	goldentest.Bytes(t, "names.txt", []byte(strings.Join([]string{sealedName(goldenAttempt), shelvedName(goldenAttempt), finalName(goldenAttempt), openName(goldenAttempt, "out/a")}, "\n")+"\n"))
 }
 
-// openGolden opens a keeper whose log is in a directory.
-func openGolden(t *testing.T, dir string) *Keeper {
+// openGolden opens a store whose log is in a directory.
+func openGolden(t *testing.T, dir string) *Store {
 	t.Helper()
 	blobs, err := blob.Open(blob.Options{Dir: t.TempDir()})
 	if err != nil {
@@ -94,7 +94,7 @@
 	return k
 }
 
-// TestGoldenLog: the log of an open attempt as it stands on a disk, and what a keeper that is started on it knows.
+// TestGoldenLog: the log of an open attempt as it stands on a disk, and what a store that is started on it knows.
 func TestGoldenLog(t *testing.T) {
 	const segment = "00000001.log"
 	records := []Record{{At: goldenAt, Data: []byte("line\n")}, {At: goldenAt, Hole: goldenRecord.Hole}}
--- a/internal/artifactstore/inventory.go
+++ b/internal/artifactstore/inventory.go
@@ -15,7 +15,7 @@
 	Lost  int64  `json:"lost,omitempty"`
 }
 
-// View is what one keeper has of an attempt.
+// View is what one store has of an attempt.
 type View struct {
 	Claim
 	Ended   string            `json:"ended,omitempty"` // digest of its manifest; empty: open
@@ -27,7 +27,7 @@
 	Files   map[string]string `json:"files,omitempty"`
 }
 
-// TaskView is what one keeper has of a task.
+// TaskView is what one store has of a task.
 type TaskView struct {
 	Attempts []View  `json:"attempts"`
 	Result   *Result `json:"result,omitempty"`
@@ -35,7 +35,7 @@
 }
 
 // view is what is here of an open attempt. k.mu is held.
-func (k *Keeper) view(at Attempt, a *attempt) *View {
+func (k *Store) view(at Attempt, a *attempt) *View {
 	v := &View{Claim: a.claim, Idle: k.opt.Now().Sub(a.touched).Seconds(), Streams: map[string]Extent{}, Files: map[string]string{}}
 	v.Voted = k.votes[at] != nil && k.votes[at].Value != nil
 	for name, s := range a.streams {
@@ -48,7 +48,7 @@
 }
 
 // Task gives what is here of a task, its attempts in their order.
-func (k *Keeper) Task(job string, task int) (*TaskView, error) {
+func (k *Store) Task(job string, task int) (*TaskView, error) {
 	at := Attempt{Job: job, Task: task}
 	t := &TaskView{}
 	k.mu.Lock()
@@ -100,7 +100,7 @@
 }
 
 // Open lists the attempts that have not ended here, with what is there of them.
-func (k *Keeper) Open() []View {
+func (k *Store) Open() []View {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	list := make([]View, 0, len(k.open))
@@ -111,7 +111,7 @@
 }
 
 // Names lists the references of ended attempts and results, in order, after a name.
-func (k *Keeper) Names(after string, most int) ([]string, error) {
+func (k *Store) Names(after string, most int) ([]string, error) {
 	var list []string
 	for _, kind := range []string{"final/", "partial/", "sealed/"} { // in the order of names
 		names, err := k.opt.Blobs.Refs(kind, after, most-len(list))
@@ -123,7 +123,7 @@
 }
 
 // Tasks lists the tasks of a job of which something is here.
-func (k *Keeper) Tasks(job string) ([]int, error) {
+func (k *Store) Tasks(job string) ([]int, error) {
 	found := map[int]bool{}
 	for _, kind := range []string{"partial/", "sealed/"} {
 		for after := ""; ; {
--- a/internal/artifactstore/manifest.go
+++ b/internal/artifactstore/manifest.go
@@ -88,7 +88,7 @@
 	Digest string `json:"blob"`
 }
 
-// Exit is how an attempt ended, in its worker's words.
+// Exit is how an attempt ended, in its agent's words.
 type Exit struct {
 	Completed bool   `json:"completed"`
 	Code      int    `json:"code"`
@@ -100,7 +100,7 @@
 type Manifest struct {
 	Claim
 	Sealed  time.Time    `json:"sealed"`
-	Partial bool         `json:"partial,omitempty"` // never sealed by its worker, and never will be
+	Partial bool         `json:"partial,omitempty"` // never sealed by its agent, and never will be
 	Exit    Exit         `json:"exit"`
 	Streams []StreamInfo `json:"streams"`
 	Files   []FileInfo   `json:"files"`
--- a/internal/artifactstore/read.go
+++ b/internal/artifactstore/read.go
@@ -13,7 +13,7 @@
 	"topazhollow/internal/protocol"
 )
 
-func (k *Keeper) manifest(tenant string, d blob.Digest) (*Manifest, error) {
+func (k *Store) manifest(tenant string, d blob.Digest) (*Manifest, error) {
 	data, err := k.opt.Blobs.Get(tenant, d, maxManifest)
 	if err != nil {
 		return nil, err
@@ -22,7 +22,7 @@
 }
 
 // Ended gives the manifest of an attempt that is over.
-func (k *Keeper) Ended(at Attempt) (*Manifest, error) {
+func (k *Store) Ended(at Attempt) (*Manifest, error) {
 	for _, name := range []string{sealedName(at), shelvedName(at)} {
 		if tenant, ds, ok := k.opt.Blobs.Ref(name); ok {
 			return k.manifest(tenant, ds[0])
@@ -33,7 +33,7 @@
 
 // Content gives what is here of a stream of an open attempt as it is kept once the
 // attempt has ended: see AppendRecord.
-func (k *Keeper) Content(at Attempt, name string) (content []byte, err error) {
+func (k *Store) Content(at Attempt, name string) (content []byte, err error) {
 	k.mu.Lock()
 	a := k.open[at]
 	k.mu.Unlock()
@@ -54,7 +54,7 @@
 }
 
 // pieces hands over the records of an open attempt's stream from a number on.
-func (k *Keeper) pieces(a *attempt, name string, from uint64, each func(Record) error) error {
+func (k *Store) pieces(a *attempt, name string, from uint64, each func(Record) error) error {
 	for i := 0; ; i++ {
 		var p piece
 		var b []byte
@@ -99,7 +99,7 @@
 // Read hands over the records of an attempt's stream from a number on, of open and
 // of sealed attempts alike, and gives the number of the next. sealed says that no more
 // can come.
-func (k *Keeper) Read(at Attempt, name string, from uint64, each func(Record) error) (next uint64, sealed bool, err error) {
+func (k *Store) Read(at Attempt, name string, from uint64, each func(Record) error) (next uint64, sealed bool, err error) {
 	next = from
 	count := func(r Record) error {
 		next++
@@ -147,7 +147,7 @@
 
 // Wait returns once something changed that may concern a reader of an open attempt,
 // or the context ended.
-func (k *Keeper) Wait(ctx context.Context, at Attempt, name string, next uint64) error {
+func (k *Store) Wait(ctx context.Context, at Attempt, name string, next uint64) error {
 	stop := context.AfterFunc(ctx, func() {
 		k.mu.Lock()
 		defer k.mu.Unlock()
--- a/internal/artifactstore/register.go
+++ b/internal/artifactstore/register.go
@@ -11,16 +11,16 @@
 	"topazhollow/internal/blob"
 )
 
-// What must be decided once by several keepers lies in write-once registers, one for
+// What must be decided once by several replicas lies in write-once registers, one for
 // each attempt's end and one for each task's result. A value is decided once a
-// majority of the register's keepers accepted it in one ballot (Lamport, "The Part-Time
+// majority of the register's replicas accepted it in one ballot (Lamport, "The Part-Time
 // Parliament", 1998, for a single decree). An attempt names its end's register, and
 // with Number 0 its task's result's.
 
 // Ballot orders the tries to decide a register. No two tries share one.
 type Ballot struct {
 	Round uint64 `json:"n"`
-	By    string `json:"by"` // keeper and start of its process
+	By    string `json:"by"` // store and start of its process
 }
 
 // Compare orders ballots.
@@ -28,7 +28,7 @@
 	return cmp.Or(cmp.Compare(b.Round, o.Round), strings.Compare(b.By, o.By))
 }
 
-// Vote is what a keeper is bound to in a register.
+// Vote is what a store is bound to in a register.
 type Vote struct {
 	Promised Ballot `json:"p"`
 	Freeze   bool   `json:"f,omitempty"` // nothing is added to the attempt while this promise stands
@@ -67,7 +67,7 @@
 	ErrSplit = errors.New("keeper: a register has two values")
 )
 
-// Promise is a keeper's answer in a register.
+// Promise is a store's answer in a register.
 type Promise struct {
 	Vote           // what it is bound to; Promised above the ballot asked for is a refusal
 	Decided []byte `json:"d,omitempty"` // the register's value, if it is known here
@@ -88,13 +88,13 @@
 // voteName is the reference that keeps what an accepted value needs.
 func voteName(at Attempt) string { return "vote/" + at.String() }
 
-func (k *Keeper) there(name string) bool {
+func (k *Store) there(name string) bool {
 	_, _, ok := k.opt.Blobs.Ref(name)
 	return ok
 }
 
 // promise is what is to be answered in a register now. Its gate is held.
-func (k *Keeper) promise(at Attempt) (*Promise, error) {
+func (k *Store) promise(at Attempt) (*Promise, error) {
 	p := &Promise{}
 	var err error
 	if p.Decided, _, err = k.decided(at); err != nil || p.Decided != nil {
@@ -129,7 +129,7 @@
 }
 
 // vote makes a vote durable.
-func (k *Keeper) vote(ctx context.Context, at Attempt, v *Vote) error {
+func (k *Store) vote(ctx context.Context, at Attempt, v *Vote) error {
 	return k.write(ctx, &entry{Kind: kindVote, Attempt: at, Vote: v})
 }
 
@@ -137,7 +137,7 @@
 // unless a higher one was promised already. While a promise with freeze is the highest,
 // nothing is added to the attempt, so that what the answers show of it is all that a
 // majority ever acknowledged.
-func (k *Keeper) Prepare(ctx context.Context, at Attempt, b Ballot, freeze bool) (*Promise, error) {
+func (k *Store) Prepare(ctx context.Context, at Attempt, b Ballot, freeze bool) (*Promise, error) {
 	defer k.enter(at)()
 	p, err := k.promise(at)
 	if err != nil || p.Decided != nil || b.Compare(p.Promised) <= 0 {
@@ -152,7 +152,7 @@
 
 // Accept takes a value in a ballot, unless a higher one was promised. Of an end it
 // first gets hold of all that the manifest names.
-func (k *Keeper) Accept(ctx context.Context, at Attempt, b Ballot, value []byte, fetch Fetch) (*Promise, error) {
+func (k *Store) Accept(ctx context.Context, at Attempt, b Ballot, value []byte, fetch Fetch) (*Promise, error) {
 	if at.Number > 0 {
 		if err := k.hold(ctx, at, value, fetch); err != nil {
 			return nil, err
@@ -170,8 +170,8 @@
 	return k.promise(at)
 }
 
-// Adopt binds the keeper to what others are bound to, after its disk was lost.
-func (k *Keeper) Adopt(ctx context.Context, at Attempt, v *Vote, fetch Fetch) error {
+// Adopt binds the store to what others are bound to, after its disk was lost.
+func (k *Store) Adopt(ctx context.Context, at Attempt, v *Vote, fetch Fetch) error {
 	if at.Number > 0 && v.Value != nil {
 		if err := k.hold(ctx, at, v.Value, fetch); err != nil {
 			return err
@@ -184,8 +184,8 @@
 	return k.vote(ctx, at, v)
 }
 
-// Votes lists what the keeper is bound to in registers that are not decided here.
-func (k *Keeper) Votes() map[Attempt]Vote {
+// Votes lists what the store is bound to in registers that are not decided here.
+func (k *Store) Votes() map[Attempt]Vote {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	m := make(map[Attempt]Vote, len(k.votes))
@@ -196,7 +196,7 @@
 }
 
 // hold gets hold of all that a manifest names, and keeps it from being collected.
-func (k *Keeper) hold(ctx context.Context, at Attempt, value []byte, fetch Fetch) error {
+func (k *Store) hold(ctx context.Context, at Attempt, value []byte, fetch Fetch) error {
 	if k.over(at) {
 		return nil
 	}
@@ -240,7 +240,7 @@
 }
 
 // bring fetches a blob.
-func (k *Keeper) bring(ctx context.Context, tenant string, d blob.Digest, fetch Fetch) error {
+func (k *Store) bring(ctx context.Context, tenant string, d blob.Digest, fetch Fetch) error {
 	if fetch == nil {
 		return fmt.Errorf("%w: %s", blob.ErrNotFound, d)
 	}
@@ -253,7 +253,7 @@
 }
 
 // Forget lets go of an ended attempt or a result (Number 0), which others keep.
-func (k *Keeper) Forget(ctx context.Context, at Attempt) error {
+func (k *Store) Forget(ctx context.Context, at Attempt) error {
 	defer k.enter(at)()
 	k.mu.Lock()
 	delete(k.votes, at) // else what was promised of tasks without a result stayed for ever
@@ -268,7 +268,7 @@
 }
 
 // Abandon lets go of an open attempt, which others keep.
-func (k *Keeper) Abandon(ctx context.Context, at Attempt) error {
+func (k *Store) Abandon(ctx context.Context, at Attempt) error {
 	defer k.enter(at)()
 	k.mu.Lock()
 	a := k.open[at]
--- a/internal/artifactstore/token.go
+++ b/internal/artifactstore/token.go
@@ -24,7 +24,7 @@
 	Write Right = "write"
 	// Read lets its bearer read a job's output and files, or one task's.
 	Read Right = "read"
-	// Peer lets one keeper ask another.
+	// Peer lets one store ask another.
 	Peer Right = "peer"
 	// Operate lets its bearer read metrics and status.
 	Operate Right = "operate"
@@ -33,7 +33,7 @@
 )
 
 // Grant is what a token stands for. It holds until its time is over, to the second,
-// by the keeper's time of day.
+// by the store's time of day.
 type Grant struct {
 	Right   Right     `json:"r"`
 	Tenant  string    `json:"t"`
--- a/internal/cli/admission.go
+++ b/internal/cli/admission.go
@@ -106,7 +106,7 @@
 	}
 	defer cancel()
 	trials, err := faultinjection.Overloads(ctx, faultinjection.OverloadOptions{Floor: c.Floor,
-		Draw: faultinjection.Draw{Program: program, Dir: dir, Seed: c.Seed, Trials: c.Trials, AtOnce: c.AtOnce, Out: r.err}})
+		DrawnTrials: faultinjection.DrawnTrials{Program: program, Dir: dir, Seed: c.Seed, Trials: c.Trials, AtOnce: c.AtOnce, Out: r.err}})
 	if err != nil {
 		return err
 	}
--- a/internal/cli/keep.go
+++ b/internal/cli/keep.go
@@ -52,12 +52,12 @@
 	defer listener.Close()
 	if len(set.Members.List) == 0 { // alone, perhaps at an address that only now is known
 		set.Listen = listener.Addr().String()
-		set.Fill()
+		set.FillDefaults()
 	}
 	var node *artifactreplication.Node
 	blobs, err := blob.Open(blob.Options{Dir: filepath.Join(set.Dir, "blobs"), Quota: gb(set.QuotaGB), Reserve: gb(set.ReserveGB),
 		Tenant: func(string) int64 { return gb(set.TenantGB) },
-		Repair: func(ctx context.Context, d blob.Digest) (io.ReadCloser, error) { return node.Good(ctx, d) }})
+		Repair: func(ctx context.Context, d blob.Digest) (io.ReadCloser, error) { return node.OpenVerified(ctx, d) }})
 	if err != nil {
 		return err
 	}
@@ -79,8 +79,8 @@
 	if err != nil {
 		return err
 	}
-	node, err = artifactreplication.New(artifactreplication.Options{Name: set.Name, Dir: set.Dir, Members: set.Members, Keeper: k, Blobs: blobs, Key: key,
-		Patience: time.Duration(set.PatienceSec * float64(time.Second)), Repair: set.RepairMB * 1e6, Retain: retain, Revoked: revoked, HTTP: client, Log: l})
+	node, err = artifactreplication.New(artifactreplication.Options{Name: set.Name, Dir: set.Dir, Members: set.Members, Store: k, Blobs: blobs, Key: key,
+		PeerTimeout: time.Duration(set.PatienceSec * float64(time.Second)), Repair: set.RepairMB * 1e6, Retain: retain, Revoked: revoked, HTTP: client, Log: l})
 	if err != nil {
 		return err
 	}
@@ -89,8 +89,8 @@
 	l.Info("keeping", "keeper", st.Name, "listen", listener.Addr().String(), "dir", set.Dir, "epoch", st.Epoch, "disk", st.Disk, "incarnation", st.Incarnation,
 		"state", st.State, "open_attempts", st.Open, "bytes", st.Bytes)
 	group, ctx := errgroup.WithContext(ctx)
-	group.Go(func() error { return set.Duty().Run(ctx, node) })
-	group.Go(func() error { return set.Duty().Mend(ctx, node) })
+	group.Go(func() error { return set.BackgroundWork().Run(ctx, node) })
+	group.Go(func() error { return set.BackgroundWork().RepairOnce(ctx, node) })
 	group.Go(func() error {
 		var err error
 		if set.TLS.Cert != "" {
--- a/internal/cli/rehearse.go
+++ b/internal/cli/rehearse.go
@@ -43,13 +43,13 @@
 }
 
 // playDrawn plays drawn trials; what they are goes by its plural.
-func playDrawn[T any](r *run, c *drawnCmd, name, what string, play func(context.Context, faultinjection.Draw) ([]T, error), broke func(T) bool) error {
+func playDrawn[T any](r *run, c *drawnCmd, name, what string, play func(context.Context, faultinjection.DrawnTrials) ([]T, error), broke func(T) bool) error {
 	ctx, cancel, program, dir, err := r.rehearsal(name, c.Most)
 	if err != nil {
 		return err
 	}
 	defer cancel()
-	trials, err := play(ctx, faultinjection.Draw{Program: program, Dir: dir, Seed: c.Seed, Trials: c.Trials, AtOnce: c.AtOnce, Out: r.err})
+	trials, err := play(ctx, faultinjection.DrawnTrials{Program: program, Dir: dir, Seed: c.Seed, Trials: c.Trials, AtOnce: c.AtOnce, Out: r.err})
 	if err != nil {
 		return err
 	}
@@ -67,7 +67,7 @@
 
 // Run rehearses meetings; a broken rule or a job that never ends makes the exit code 1.
 func (c *rehearseMeetingsCmd) Run(r *run) error {
-	return playDrawn(r, &c.drawnCmd, "meetings", "meetings", faultinjection.Meetings, func(t faultinjection.MeetingTrial) bool { return t.Broken != "" })
+	return playDrawn(r, &c.drawnCmd, "meetings", "meetings", faultinjection.CombinedFaults, func(t faultinjection.CombinedTrial) bool { return t.Broken != "" })
 }
 
 // verdict prints what came of a rehearsal's trials. If any broke something that is the error,
@@ -168,4 +168,4 @@
 	Job string `arg:""`
 }
 
-func (c *drillWorkerCmd) Run(r *run) error { return faultinjection.Work(r.ctx, c.Job) }
+func (c *drillWorkerCmd) Run(r *run) error { return faultinjection.RunAgent(r.ctx, c.Job) }
--- a/internal/faultinjection/agent.go
+++ b/internal/faultinjection/agent.go
@@ -10,9 +10,9 @@
 	"topazhollow/internal/taskrunner"
 )
 
-// Work is a worker's process: it takes up the spool that an earlier one left, or runs
-// an attempt. What keepers acknowledge goes to the history before anything else happens.
-func Work(ctx context.Context, path string) error {
+// RunAgent is an agent's process: it takes up the spool that an earlier one left, or runs
+// an attempt. What replicas acknowledge goes to the history before anything else happens.
+func RunAgent(ctx context.Context, path string) error {
 	b, err := os.ReadFile(path)
 	if err != nil {
 		return err
@@ -28,7 +28,7 @@
 	defer history.Close()
 	note := func(what string, n uint64) {
 		if _, err := fmt.Fprintf(history, "%s %d\n", what, n); err != nil {
-			panic(fmt.Sprintf("history not written: %v", err)) // the drill would be worth nothing
+			panic(fmt.Sprintf("history not written: %v", err)) // the test would be worth nothing
 		}
 	}
 	opt := taskrunner.Options{Spool: job.Spool, Keepers: job.Keepers, Pause: 50 * time.Millisecond, Acked: note}
--- a/internal/faultinjection/faultinjection.go
+++ b/internal/faultinjection/faultinjection.go
@@ -1,4 +1,4 @@
-// Package faultinjection rehearses what keepers and workers promise: processes are killed at
+// Package faultinjection simulates what replicas and agents promise: processes are killed at
 // drawn moments, hundreds of times, and everything that is read afterwards is held
 // against what was acknowledged to whom.
 package faultinjection
@@ -18,12 +18,12 @@
 	"topazhollow/internal/artifactstore"
 )
 
-// Options are a drill's choices.
+// Options are a test's choices.
 type Options struct {
 	Program string // the command topazhollowctl
 	Dir     string // for everything; it must be empty
 	Seed    uint64
-	Kills   int // of workers
+	Kills   int // of agents
 	AtOnce  int // tasks at a time; 8 if 0
 	Key     []byte
 	Out     io.Writer // is told how it goes
@@ -32,17 +32,17 @@
 	Spoil func(a *artifactstore.Known, lines []string, file string) ([]string, string)
 }
 
-// Killed is one kill of a worker and what was left of its attempt.
+// Killed is one kill of an agent and what was left of its attempt.
 type Killed struct {
 	Attempt artifactstore.Attempt
 	After   time.Duration // of the process's start
 	Back    bool          // its spool was taken up by another process
 	Acked   uint64        // records that were acknowledged to it
 	Lines   int           // that a reader sees in the end
-	State   string        // of the attempt in the end; "" if no keeper heard of it
+	State   string        // of the attempt in the end; "" if no replica heard of it
 }
 
-// Report is what a drill saw.
+// Report is what a test saw.
 type Report struct {
 	Seed          uint64
 	Tasks         int
@@ -50,17 +50,17 @@
 	Kills         []Killed
 	KeeperKills   int
 	DisksLost     int
-	Lines, Files  int // that were read and found where they belong, at each of the keepers
+	Lines, Files  int // that were read and found where they belong, at each of the replicas
 	Took          time.Duration
 	Broken        []string // promises
 	BrokenInTotal int
 }
 
-// names of the drill's keepers.
-var names = []string{"keeper-1", "keeper-2", "keeper-3"}
+// storeNames of the test's replicas.
+var storeNames = []string{"keeper-1", "keeper-2", "keeper-3"}
 
-// lines that each attempt puts out.
-const lines = 40
+// linesPerAttempt that each attempt puts out.
+const linesPerAttempt = 40
 
 // script is what each attempt runs: lines that name it, and a file that does.
 const script = `i=0
@@ -72,45 +72,45 @@
 mkdir -p out
 printf 'file of %s' "$ATTEMPT" > out/result`
 
-type drill struct {
-	opt     Options
-	urls    []string
-	configs map[string]string
-	mu      sync.Mutex
-	procs   map[string]*exec.Cmd
-	report  Report
+type killTest struct {
+	options   Options
+	urls      []string
+	configs   map[string]string
+	mu        sync.Mutex
+	processes map[string]*exec.Cmd
+	report    Report
 }
 
-// Run carries out a drill and gives what it saw. An error is one of the drill itself;
+// Run carries out a test and gives what it saw. An error is one of the test itself;
 // broken promises are in the report.
 func Run(ctx context.Context, opt Options) (*Report, error) {
 	if opt.AtOnce <= 0 {
 		opt.AtOnce = 8
 	}
-	d := &drill{opt: opt, configs: map[string]string{}, procs: map[string]*exec.Cmd{}, report: Report{Seed: opt.Seed}}
+	d := &killTest{options: opt, configs: map[string]string{}, processes: map[string]*exec.Cmd{}, report: Report{Seed: opt.Seed}}
 	defer d.stopAll()
 	if err := d.configure(); err != nil {
 		return nil, err
 	}
-	for _, name := range names {
+	for _, name := range storeNames {
 		if err := d.start(name); err != nil {
 			return nil, err
 		}
 	}
-	if err := d.settled(ctx); err != nil {
+	if err := d.awaitRepaired(ctx); err != nil {
 		return nil, err
 	}
 	began := time.Now()
 	killing, stop := context.WithCancel(ctx)
 	defer stop()
 	var keepersKilled errgroup.Group
-	keepersKilled.Go(func() error { return d.killKeepers(killing, rand.New(rand.NewPCG(opt.Seed, 1))) })
+	keepersKilled.Go(func() error { return d.killStores(killing, rand.New(rand.NewPCG(opt.Seed, 1))) })
 	group, working := errgroup.WithContext(ctx)
 	group.SetLimit(opt.AtOnce)
-	for d.killed() < opt.Kills && working.Err() == nil {
+	for d.countKilled() < opt.Kills && working.Err() == nil {
 		task := d.report.Tasks
 		d.report.Tasks++
-		group.Go(func() error { return d.task(working, task, rand.New(rand.NewPCG(opt.Seed, uint64(task)+2))) })
+		group.Go(func() error { return d.runTask(working, task, rand.New(rand.NewPCG(opt.Seed, uint64(task)+2))) })
 		if d.report.Tasks > 4*opt.Kills+opt.AtOnce { // most attempts are killed; if none is, the draws are wrong
 			break
 		}
@@ -120,7 +120,7 @@
 	if err = errors.Join(err, keepersKilled.Wait()); err != nil {
 		return nil, err
 	}
-	if err := d.settled(ctx); err != nil {
+	if err := d.awaitRepaired(ctx); err != nil {
 		return nil, err
 	}
 	if err := d.check(ctx); err != nil {
@@ -130,14 +130,14 @@
 	return &d.report, nil
 }
 
-func (d *drill) killed() int {
+func (d *killTest) countKilled() int {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return len(d.report.Kills)
 }
 
-func (d *drill) tell(format string, args ...any) {
-	if d.opt.Out != nil {
-		fmt.Fprintf(d.opt.Out, format+"\n", args...)
+func (d *killTest) printf(format string, args ...any) {
+	if d.options.Out != nil {
+		fmt.Fprintf(d.options.Out, format+"\n", args...)
 	}
 }
--- a/internal/faultinjection/faultinjection_test.go
+++ b/internal/faultinjection/faultinjection_test.go
@@ -13,7 +13,7 @@
 	"topazhollow/internal/faultinjection"
 )
 
-// TestMain lets the tests' program be the command topazhollowctl for the processes that a drill
+// TestMain lets the tests' program be the command topazhollowctl for the processes that a test
 // starts.
 func TestMain(m *testing.M) {
 	if len(os.Args) > 1 && slices.Contains([]string{"artifact-store", "fault-injection-agent", "controller"}, os.Args[1]) {
@@ -31,8 +31,8 @@
 	return r
 }
 
-// TestKills: workers and keepers are killed at drawn moments; all that is read afterwards
-// at each keeper is where it belongs, and the report shows it.
+// TestKills: agents and replicas are killed at drawn moments; all that is read afterwards
+// at each replica is where it belongs, and the report shows it.
 func TestKills(t *testing.T) {
 	r := run(t, 40, nil)
 	if r.BrokenInTotal > 0 || len(r.Kills) < 40 || r.Lines == 0 || r.Files == 0 {
--- a/internal/faultinjection/killagents.go
+++ b/internal/faultinjection/killagents.go
@@ -15,7 +15,7 @@
 	"topazhollow/internal/wait"
 )
 
-// Job is what a worker's process is told to do.
+// Job is what an agent's process is told to do.
 type Job struct {
 	Spool   string   `json:"spool"`
 	Keepers []string `json:"keepers"`
@@ -29,17 +29,17 @@
 	Files   []string `json:"files"`
 }
 
-// task runs a task's attempts one after another, as a scheduler does once the earlier is
+// runTask runs a task's attempts one after another, as a scheduler does once the earlier is
 // proven off, until one was not killed.
-func (d *drill) task(ctx context.Context, task int, r *rand.Rand) error {
+func (d *killTest) runTask(ctx context.Context, task int, r *rand.Rand) error {
 	for number := uint64(1); ; number++ {
 		at := artifactstore.Attempt{Job: "job-000001", Task: task, Number: number}
 		name := fmt.Sprintf("%s-%d-%d", at.Job, task, number)
 		c := artifactstore.Claim{Attempt: at, Tenant: "red", Machine: "machine-" + name, Session: 1}
-		job := Job{Spool: filepath.Join(d.opt.Dir, "spool", name), History: filepath.Join(d.opt.Dir, "history", name), Claim: c,
+		job := Job{Spool: filepath.Join(d.options.Dir, "spool", name), History: filepath.Join(d.options.Dir, "history", name), Claim: c,
 			Token: artifactstore.Grant{Right: artifactstore.Write, Tenant: c.Tenant, Job: c.Job, Task: &c.Task, Number: number, Machine: c.Machine, Session: 1,
-				Until: time.Now().Add(time.Hour)}.Token(d.opt.Key),
-			Command: []string{"/bin/sh", "-c", script}, Env: []string{"PATH=" + os.Getenv("PATH"), "ATTEMPT=" + at.String()}, Dir: filepath.Join(d.opt.Dir, "work", name), Files: []string{"out"}}
+				Until: time.Now().Add(time.Hour)}.Token(d.options.Key),
+			Command: []string{"/bin/sh", "-c", script}, Env: []string{"PATH=" + os.Getenv("PATH"), "ATTEMPT=" + at.String()}, Dir: filepath.Join(d.options.Dir, "work", name), Files: []string{"out"}}
 		for i := range d.urls {
 			job.Keepers = append(job.Keepers, d.urls[(i+r.IntN(3))%3])
 		}
@@ -55,7 +55,7 @@
 		if number <= 2 || r.IntN(3) == 0 { // the first two are killed, if they live long enough
 			after = time.Duration(r.IntN(450_000)) * time.Microsecond
 		}
-		killed, err := d.worker(ctx, &job, after, number == 1)
+		killed, err := d.runAgent(ctx, &job, after, number == 1)
 		if err != nil {
 			return fmt.Errorf("%s: %w", at, err)
 		}
@@ -65,7 +65,7 @@
 		k := Killed{Attempt: at, After: after, Back: r.IntN(2) == 0}
 		if k.Back {
 			job.Recover = true
-			if _, err := d.worker(ctx, &job, 0, false); err != nil {
+			if _, err := d.runAgent(ctx, &job, 0, false); err != nil {
 				return fmt.Errorf("%s taken up: %w", at, err)
 			}
 		}
@@ -74,24 +74,24 @@
 		n := len(d.report.Kills)
 		d.mu.Unlock()
 		if n%50 == 0 {
-			d.tell("%d workers killed", n)
+			d.printf("%d workers killed", n)
 		}
 	}
 }
 
-// worker runs a worker's process, kills it after a while if that is not 0, and says
+// runAgent runs an agent's process, kills it after a while if that is not 0, and says
 // whether that was before its end. The while begins with the process or, if heard, with
 // the first thing that was acknowledged to it, so that however slowly processes start here
 // some of those killed have left something behind.
-func (d *drill) worker(ctx context.Context, job *Job, after time.Duration, heard bool) (killed bool, err error) {
-	path := filepath.Join(d.opt.Dir, "history", filepath.Base(job.History)+".json")
+func (d *killTest) runAgent(ctx context.Context, job *Job, after time.Duration, heard bool) (killed bool, err error) {
+	path := filepath.Join(d.options.Dir, "history", filepath.Base(job.History)+".json")
 	if err := os.WriteFile(path, protocol.Encode(job), 0o600); err != nil {
 		return false, err
 	}
 	ctx, cancel := context.WithTimeout(ctx, 2*time.Minute)
 	defer cancel()
 	var errs strings.Builder
-	cmd := exec.CommandContext(ctx, d.opt.Program, "fault-injection-agent", path)
+	cmd := exec.CommandContext(ctx, d.options.Program, "fault-injection-agent", path)
 	cmd.Stderr = &errs
 	if err := cmd.Start(); err != nil {
 		return false, err
--- a/internal/faultinjection/killcheck.go
+++ b/internal/faultinjection/killcheck.go
@@ -12,9 +12,9 @@
 	"topazhollow/internal/artifactstore"
 )
 
-// history reads what was acknowledged to an attempt's worker.
-func (d *drill) history(at artifactstore.Attempt) (acked uint64, sealed, final bool, err error) {
-	f, err := os.Open(filepath.Join(d.opt.Dir, "history", fmt.Sprintf("%s-%d-%d", at.Job, at.Task, at.Number)))
+// readHistory reads what was acknowledged to an attempt's agent.
+func (d *killTest) readHistory(at artifactstore.Attempt) (acked uint64, sealed, final bool, err error) {
+	f, err := os.Open(filepath.Join(d.options.Dir, "history", fmt.Sprintf("%s-%d-%d", at.Job, at.Task, at.Number)))
 	if errors.Is(err, os.ErrNotExist) {
 		return 0, false, false, nil
 	}
@@ -39,26 +39,26 @@
 	return acked, sealed, final, nil
 }
 
-// broken notes a promise that was not kept.
-func (d *drill) broken(format string, args ...any) {
+// breakPromise notes a promise that was not kept.
+func (d *killTest) breakPromise(format string, args ...any) {
 	if d.report.BrokenInTotal++; len(d.report.Broken) < 100 {
 		d.report.Broken = append(d.report.Broken, fmt.Sprintf(format, args...))
 	}
 }
 
-// check reads everything at each keeper and holds it against the history.
-func (d *drill) check(ctx context.Context) error {
+// check reads everything at each replica and holds it against the history.
+func (d *killTest) check(ctx context.Context) error {
 	for task := range d.report.Tasks {
 		var first []artifactstore.Known
 		for i, url := range d.urls {
-			r := &artifactstore.Reader{URL: url, Token: artifactstore.Grant{Right: artifactstore.Read, Job: "job-000001", Until: time.Now().Add(time.Hour)}.Token(d.opt.Key)}
+			r := &artifactstore.Reader{URL: url, Token: artifactstore.Grant{Right: artifactstore.Read, Job: "job-000001", Until: time.Now().Add(time.Hour)}.Token(d.options.Key)}
 			list, err := r.Attempts(ctx, "job-000001", task)
 			if err != nil {
-				return fmt.Errorf("task %d at %s: %w", task, names[i], err)
+				return fmt.Errorf("task %d at %s: %w", task, storeNames[i], err)
 			}
 			results := 0
 			for k := range list {
-				if err := d.attempt(ctx, r, names[i], &list[k]); err != nil {
+				if err := d.checkAttempt(ctx, r, storeNames[i], &list[k]); err != nil {
 					return err
 				}
 				if list[k].State == artifactstore.StateFinal {
@@ -66,12 +66,12 @@
 				}
 			}
 			if results != 1 {
-				d.broken("task %d has %d results at %s", task, results, names[i])
+				d.breakPromise("task %d has %d results at %s", task, results, storeNames[i])
 			}
 			if i == 0 {
 				first = list
 			} else if fmt.Sprint(states(first)) != fmt.Sprint(states(list)) {
-				d.broken("task %d: %s shows %v, %s %v", task, names[0], states(first), names[i], states(list))
+				d.breakPromise("task %d: %s shows %v, %s %v", task, storeNames[0], states(first), storeNames[i], states(list))
 			}
 		}
 		for _, a := range first {
@@ -84,12 +84,12 @@
 	}
 	for i := range d.report.Kills {
 		k := &d.report.Kills[i]
-		acked, sealed, _, err := d.history(k.Attempt)
+		acked, sealed, _, err := d.readHistory(k.Attempt)
 		if err != nil {
 			return err
 		}
 		if k.Acked = acked; k.State == "" && (acked > 0 || sealed) {
-			d.broken("%s is gone: %d records were acknowledged, sealed %v", k.Attempt, acked, sealed)
+			d.breakPromise("%s is gone: %d records were acknowledged, sealed %v", k.Attempt, acked, sealed)
 		}
 	}
 	return nil
@@ -102,16 +102,16 @@
 	return s
 }
 
-// attempt reads one attempt at one keeper.
-func (d *drill) attempt(ctx context.Context, r *artifactstore.Reader, at string, a *artifactstore.Known) error {
-	acked, sealed, final, err := d.history(a.Attempt)
+// checkAttempt reads one attempt at one replica.
+func (d *killTest) checkAttempt(ctx context.Context, r *artifactstore.Reader, at string, a *artifactstore.Known) error {
+	acked, sealed, final, err := d.readHistory(a.Attempt)
 	if err != nil {
 		return err
 	}
 	var got []string
 	end, err := r.Logs(ctx, a.Job, a.Task, artifactstore.Query{Attempt: a.Number}, func(l artifactstore.Line) error {
 		if l.Number != uint64(len(got)) {
-			d.broken("%s at %s: record %d comes as number %d", a.Attempt, at, len(got), l.Number)
+			d.breakPromise("%s at %s: record %d comes as number %d", a.Attempt, at, len(got), l.Number)
 		}
 		got = append(got, string(l.Record.Data))
 		return nil
@@ -122,32 +122,32 @@
 	over := a.State == artifactstore.StateFinal || a.State == artifactstore.StateSealed
 	var file string
 	if over {
-		if file, err = d.file(ctx, r, at, a); err != nil {
+		if file, err = d.checkFile(ctx, r, at, a); err != nil {
 			return fmt.Errorf("%s at %s: %w", a.Attempt, at, err)
 		}
 	}
 	shown := a.State
-	if d.opt.Spoil != nil {
-		got, file = d.opt.Spoil(a, got, file)
+	if d.options.Spoil != nil {
+		got, file = d.options.Spoil(a, got, file)
 	}
 	over = a.State == artifactstore.StateFinal || a.State == artifactstore.StateSealed
 	switch {
 	case end.State != shown:
-		d.broken("%s at %s is %q in the list and %q in its log", a.Attempt, at, shown, end.State)
+		d.breakPromise("%s at %s is %q in the list and %q in its log", a.Attempt, at, shown, end.State)
 	case uint64(len(got)) < acked:
-		d.broken("%s at %s: %d records were acknowledged, %d are there", a.Attempt, at, acked, len(got))
+		d.breakPromise("%s at %s: %d records were acknowledged, %d are there", a.Attempt, at, acked, len(got))
 	case sealed && !over:
-		d.broken("%s at %s: its seal was acknowledged, it is %q", a.Attempt, at, a.State)
+		d.breakPromise("%s at %s: its seal was acknowledged, it is %q", a.Attempt, at, a.State)
 	case final && a.State != artifactstore.StateFinal:
-		d.broken("%s at %s was told to be the result, it is %q", a.Attempt, at, a.State)
-	case over && len(got) != lines:
-		d.broken("%s at %s: sealed with %d of %d lines", a.Attempt, at, len(got), lines)
-	case len(got) > lines:
-		d.broken("%s at %s: %d lines", a.Attempt, at, len(got))
+		d.breakPromise("%s at %s was told to be the result, it is %q", a.Attempt, at, a.State)
+	case over && len(got) != linesPerAttempt:
+		d.breakPromise("%s at %s: sealed with %d of %d lines", a.Attempt, at, len(got), linesPerAttempt)
+	case len(got) > linesPerAttempt:
+		d.breakPromise("%s at %s: %d lines", a.Attempt, at, len(got))
 	}
 	for i, line := range got {
 		if line != fmt.Sprintf("%s line %d", a.Attempt, i) {
-			d.broken("%s at %s: line %d is %q", a.Attempt, at, i, line)
+			d.breakPromise("%s at %s: line %d is %q", a.Attempt, at, i, line)
 			break
 		}
 	}
@@ -159,23 +159,23 @@
 	}
 	if over {
 		if d.report.Files++; file != "file of "+a.Attempt.String() {
-			d.broken("%s at %s: its file says %q", a.Attempt, at, file)
+			d.breakPromise("%s at %s: its file says %q", a.Attempt, at, file)
 		}
 	}
 	return nil
 }
 
-// file reads the file of an attempt that was sealed.
-func (d *drill) file(ctx context.Context, r *artifactstore.Reader, at string, a *artifactstore.Known) (string, error) {
+// checkFile reads the file of an attempt that was sealed.
+func (d *killTest) checkFile(ctx context.Context, r *artifactstore.Reader, at string, a *artifactstore.Known) (string, error) {
 	m, _, err := r.Manifest(ctx, a.Job, a.Task, a.Number)
 	if err != nil {
 		return "", err
 	}
 	if len(m.Files) != 1 || m.Files[0].Path != "out/result" {
-		d.broken("%s at %s has the files %v", a.Attempt, at, m.Files)
+		d.breakPromise("%s at %s has the files %v", a.Attempt, at, m.Files)
 		return "", nil
 	}
-	to := filepath.Join(d.opt.Dir, "fetched")
+	to := filepath.Join(d.options.Dir, "fetched")
 	if err := r.Fetch(ctx, m, m.Files[0], to, nil); err != nil {
 		return "", err
 	}
--- a/internal/faultinjection/killstores.go
+++ b/internal/faultinjection/killstores.go
@@ -16,11 +16,11 @@
 	"topazhollow/internal/wait"
 )
 
-// configure writes the keepers' settings.
-func (d *drill) configure() error {
+// configure writes the replicas' settings.
+func (d *killTest) configure() error {
 	var list strings.Builder
 	listen, host := map[string]string{}, simulation.NewHost()
-	for i, name := range names {
+	for i, name := range storeNames {
 		var err error
 		if listen[name], err = host.Listen(); err != nil {
 			return err
@@ -28,10 +28,10 @@
 		d.urls = append(d.urls, "http://"+listen[name])
 		fmt.Fprintf(&list, "[[members.keeper]]\nname = %q\nzone = \"zone-%d\"\nurl = %q\n", name, i%2, "http://"+listen[name])
 	}
-	for _, name := range names {
-		path := filepath.Join(d.opt.Dir, name+".toml")
+	for _, name := range storeNames {
+		path := filepath.Join(d.options.Dir, name+".toml")
 		text := fmt.Sprintf("name = %q\nlisten = %q\ndir = %q\nrepair_seconds = 0.5\npatience_seconds = 2.0\nscrub_mb_per_s = 0.0\n[members]\nepoch = 1\n%s",
-			name, listen[name], filepath.Join(d.opt.Dir, name), list.String())
+			name, listen[name], filepath.Join(d.options.Dir, name), list.String())
 		if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
 			return err
 		}
@@ -40,30 +40,30 @@
 	return nil
 }
 
-// start starts a keeper as a process.
-func (d *drill) start(name string) error {
-	log, err := os.OpenFile(filepath.Join(d.opt.Dir, name+".log"), os.O_WRONLY|os.O_CREATE|os.O_APPEND, 0o600)
+// start starts a replica as a process.
+func (d *killTest) start(name string) error {
+	log, err := os.OpenFile(filepath.Join(d.options.Dir, name+".log"), os.O_WRONLY|os.O_CREATE|os.O_APPEND, 0o600)
 	if err != nil {
 		return err
 	}
 	defer log.Close()
-	cmd := exec.Command(d.opt.Program, "artifact-store", "--config", d.configs[name])
-	cmd.Env = append(os.Environ(), fmt.Sprintf("%s=%x", artifactreplication.KeyVariable, d.opt.Key))
+	cmd := exec.Command(d.options.Program, "artifact-store", "--config", d.configs[name])
+	cmd.Env = append(os.Environ(), fmt.Sprintf("%s=%x", artifactreplication.KeyVariable, d.options.Key))
 	cmd.Stderr = log
 	if err := cmd.Start(); err != nil {
 		return err
 	}
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.procs[name] = cmd
+	d.processes[name] = cmd
 	return nil
 }
 
-// kill ends a keeper for good.
-func (d *drill) kill(name string) {
+// kill ends a replica for good.
+func (d *killTest) kill(name string) {
 	d.mu.Lock()
-	cmd := d.procs[name]
-	delete(d.procs, name)
+	cmd := d.processes[name]
+	delete(d.processes, name)
 	d.mu.Unlock()
 	if cmd != nil {
 		_ = cmd.Process.Kill() // it may have ended by itself
@@ -71,21 +71,21 @@
 	}
 }
 
-func (d *drill) stopAll() {
-	for _, name := range names {
+func (d *killTest) stopAll() {
+	for _, name := range storeNames {
 		d.kill(name)
 	}
 }
 
-// killKeepers kills one keeper after another at drawn moments, until the context ends.
+// killStores kills one replica after another at drawn moments, until the context ends.
 // Each seventh time it loses its disk too. It comes back after a drawn pause, and the
 // next is killed only once it has all that it should.
-func (d *drill) killKeepers(ctx context.Context, r *rand.Rand) error {
+func (d *killTest) killStores(ctx context.Context, r *rand.Rand) error {
 	for ctx.Err() == nil {
 		if !wait.For(ctx, time.Duration(200+r.IntN(1500))*time.Millisecond) {
 			return nil
 		}
-		name := names[r.IntN(len(names))]
+		name := storeNames[r.IntN(len(storeNames))]
 		d.kill(name)
 		d.mu.Lock()
 		d.report.KeeperKills++
@@ -95,7 +95,7 @@
 		}
 		d.mu.Unlock()
 		if lost {
-			if err := os.RemoveAll(filepath.Join(d.opt.Dir, name)); err != nil {
+			if err := os.RemoveAll(filepath.Join(d.options.Dir, name)); err != nil {
 				return err
 			}
 		}
@@ -105,7 +105,7 @@
 		}
 		if lost {
 			// A second disk lost before the first is filled again is beyond what is promised.
-			if err := d.until(context.WithoutCancel(ctx), func(st *artifactreplication.Status) bool {
+			if err := d.awaitStatus(context.WithoutCancel(ctx), func(st *artifactreplication.Status) bool {
 				return st.Name != name || st.State == string(artifactreplication.Serving)
 			}); err != nil {
 				return err
@@ -115,29 +115,29 @@
 	return nil
 }
 
-// settled waits until each keeper says that it serves and lacks nothing.
-func (d *drill) settled(ctx context.Context) error {
-	return d.until(ctx, func(st *artifactreplication.Status) bool {
+// awaitRepaired waits until each replica says that it serves and lacks nothing.
+func (d *killTest) awaitRepaired(ctx context.Context) error {
+	return d.awaitStatus(ctx, func(st *artifactreplication.Status) bool {
 		return st.State == string(artifactreplication.Serving) && st.Left == 0 && len(st.Away) == 0
 	})
 }
 
-// until waits until something holds for what each keeper says of itself.
-func (d *drill) until(ctx context.Context, holds func(*artifactreplication.Status) bool) error {
+// awaitStatus waits until something holds for what each replica says of itself.
+func (d *killTest) awaitStatus(ctx context.Context, holds func(*artifactreplication.Status) bool) error {
 	ctx, cancel := context.WithTimeout(ctx, 2*time.Minute)
 	defer cancel()
 	client := &http.Client{Timeout: 5 * time.Second}
 	for {
 		all := true
 		for _, url := range d.urls {
-			st, err := artifactreplication.AskStatus(ctx, client, url, d.opt.Key)
+			st, err := artifactreplication.AskStatus(ctx, client, url, d.options.Key)
 			all = all && err == nil && holds(st)
 		}
 		if all {
 			return nil
 		}
 		if !wait.For(ctx, 100*time.Millisecond) {
-			return fmt.Errorf("the keepers did not come to rest; their logs are in %s", d.opt.Dir)
+			return fmt.Errorf("the keepers did not come to rest; their logs are in %s", d.options.Dir)
 		}
 	}
 }
--- a/internal/faultinjection/loss.go
+++ b/internal/faultinjection/loss.go
@@ -29,11 +29,11 @@
 	troubles = []string{"none", "one ends", "one is killed while rebuilding", "machine cut", "outage", "loses twice"}
 )
 
-// Losses rehearses drawn losses of the state service's data against real controller
+// Losses simulates drawn losses of the key-value store's data against real controller
 // processes on loopback, each in a region of its own. The trials come in the order of their seeds.
-func Losses(ctx context.Context, o Draw) ([]LossTrial, error) {
+func Losses(ctx context.Context, o DrawnTrials) ([]LossTrial, error) {
 	trials := make([]LossTrial, o.Trials)
-	err := each(ctx, o.Trials, o.AtOnce, o.Out, func(ctx context.Context, i int) (string, error) {
+	err := runTrials(ctx, o.Trials, o.AtOnce, o.Out, func(ctx context.Context, i int) (string, error) {
 		t := &trials[i]
 		t.Seed = o.Seed + uint64(i)
 		rng := rand.New(rand.NewPCG(t.Seed, 23))
@@ -42,7 +42,7 @@
 		if err := lossTrial(ctx, o.Program, dir, rng, t); err != nil {
 			return "", err
 		}
-		verdict, err := judged(dir, t.Broken)
+		verdict, err := verdictOf(dir, t.Broken)
 		return fmt.Sprintf("seed %d: %s, %s: settled after %s, %s", t.Seed, t.Loss, t.Trouble, t.Settled.Round(100*time.Millisecond), verdict), err
 	})
 	if err != nil {
@@ -52,8 +52,8 @@
 }
 
 func lossTrial(ctx context.Context, program, dir string, rng *rand.Rand, t *LossTrial) (err error) {
-	g := &lossRegion{dir: dir, program: program, rng: rng, size: smallRegion, client: &http.Client{Timeout: 4 * time.Second}, check: simulation.NewChecker(map[string]float64{"red": 24, "blue": 16})}
-	t.Broken, err = g.trial(ctx, func() error { return g.play(ctx, t) })
+	g := &region{dir: dir, program: program, rng: rng, size: smallRegion, client: &http.Client{Timeout: 4 * time.Second}, check: simulation.NewChecker(map[string]float64{"red": 24, "blue": 16})}
+	t.Broken, err = g.runTrial(ctx, func() error { return g.runLossTrial(ctx, t) })
 	return err
 }
 
@@ -61,11 +61,11 @@
 	teams: []settings.Team{{Name: "red", CPUs: 16, CPUsMax: 24}, {Name: "blue", CPUs: 8, CPUsMax: 16}},
 	state: settings.KVStore{RequestsPerSecond: 400, ChangesPerSecond: 200, ValueKB: 16, ChangesPerTransaction: 16}, cloud: settings.Cloud{RequestsPerSecond: 20, ListLagSeconds: 0.2}}
 
-// play has jobs accepted, one withdrawn and some done, takes data away with a trouble
+// runLossTrial has jobs accepted, one cancelled and some done, takes data away with a trouble
 // beside it, and sees that everything comes to its end.
-func (g *lossRegion) play(ctx context.Context, t *LossTrial) error {
+func (g *region) runLossTrial(ctx context.Context, t *LossTrial) error {
 	job := func(i int) *protocol.Submission {
-		s := array(i, 4+g.rng.IntN(8))
+		s := arrayJob(i, 4+g.rng.IntN(8))
 		s.Spot = i%2 == 0
 		return s
 	}
@@ -85,7 +85,7 @@
 		return err
 	}
 	g.check.RecordCancellation(gone.UID)
-	if err := g.until(ctx, "withdrawn", func() bool {
+	if err := g.await(ctx, "withdrawn", func() bool {
 		status, st := g.ask("POST", protocol.PathSubmit+"/"+gone.UID+"/withdraw", struct{}{})
 		g.check.RecordAnswer(gone.UID, status, st.State, false)
 		return status == 200
@@ -97,7 +97,7 @@
 	}
 	wait.For(ctx, time.Duration(g.rng.IntN(3000))*time.Millisecond)
 	began := time.Now()
-	if err := g.lose(ctx, t, saved); err != nil {
+	if err := g.loseData(ctx, t, saved); err != nil {
 		return err
 	}
 	late := job(99)
@@ -105,20 +105,20 @@
 		return err
 	}
 	for _, j := range append(jobs, late) {
-		if err := g.reaches(ctx, j.UID, protocol.Done); err != nil {
+		if err := g.awaitState(ctx, j.UID, protocol.Done); err != nil {
 			return err
 		}
 	}
 	t.Settled = time.Since(began)
 	for _, j := range append(jobs, late) { // and stays so
-		if err := g.reaches(ctx, j.UID, protocol.Done); err != nil {
+		if err := g.awaitState(ctx, j.UID, protocol.Done); err != nil {
 			return err
 		}
 	}
-	return g.reaches(ctx, gone.UID, protocol.Cancelled)
+	return g.awaitState(ctx, gone.UID, protocol.Cancelled)
 }
 
-func (g *lossRegion) lose(ctx context.Context, t *LossTrial, saved simulation.StoreSnapshot) error {
+func (g *region) loseData(ctx context.Context, t *LossTrial, saved simulation.StoreSnapshot) error {
 	drop := func() {
 		switch t.Loss {
 		case "all":
--- a/internal/faultinjection/measure.go
+++ b/internal/faultinjection/measure.go
@@ -41,7 +41,7 @@
 	Taken   time.Duration `json:"accepted_ns"`       // the first new job
 	Started time.Duration `json:"started_ns"`        // the first start of a task
 	Written time.Duration `json:"written_back_ns"`   // all jobs and ends
-	Changes int           `json:"changes"`           // of the state service until then, with what comes meanwhile
+	Changes int           `json:"changes"`           // of the key-value store until then, with what comes meanwhile
 	Bytes   int           `json:"bytes"`             // that its keys take then
 	On      [2]int        `json:"tasks_on_machines"` // before and after
 	Back    time.Duration `json:"copy_back_ns"`      // a copy was put back; 0 without
@@ -51,10 +51,10 @@
 	Broken  []string      `json:"broken,omitempty"`
 }
 
-// MeasureLoss has a region of a size lose all of the state service's data.
+// MeasureLoss has a region of a size lose all of the key-value store's data.
 func MeasureLoss(ctx context.Context, o MeasureOptions) (m *Measured, err error) {
 	quota := float64(o.Machines) * 16
-	g := &lossRegion{dir: o.Dir, program: o.Program, rng: rand.New(rand.NewPCG(1, 2)), client: &http.Client{Timeout: 4 * time.Second},
+	g := &region{dir: o.Dir, program: o.Program, rng: rand.New(rand.NewPCG(1, 2)), client: &http.Client{Timeout: 4 * time.Second},
 		check: simulation.NewChecker(map[string]float64{"red": quota, "blue": quota}),
 		size: regionSize{machines: o.Machines, cpus: 16, run: 10 * time.Minute, report: 5, lease: 26.5, cancel: 46.5, memory: 356,
 			teams: []settings.Team{{Name: "red", CPUs: quota / 2, CPUsMax: quota}, {Name: "blue", CPUs: quota / 2, CPUsMax: quota}},
@@ -73,7 +73,7 @@
 	// Half of the CPUs are kept busy, so that there is room for a first start.
 	tasks := max(1, int(quota/2/4)/o.Jobs)
 	job := func(i int) *protocol.Submission {
-		s := array(i, tasks)
+		s := arrayJob(i, tasks)
 		s.CPUs, s.MemoryGB, s.EstimateSeconds = 4, 8, 600
 		return s
 	}
@@ -96,7 +96,7 @@
 	}
 	fmt.Fprintf(o.Out, "%d jobs of %d tasks accepted, %d ends\n", o.Jobs, tasks, o.Ends)
 	var before []storeView
-	if err := g.steady(ctx, func(v []storeView) bool {
+	if err := g.awaitSteady(ctx, func(v []storeView) bool {
 		before = v
 		whole := len(v) == 3
 		for _, x := range v {
@@ -106,7 +106,7 @@
 	}); err != nil {
 		return nil, fmt.Errorf("%w: %d tasks run; controllers %+v", err, g.check.CountOnMachines(), before)
 	}
-	var copies *copying
+	var copies *snapshotFollower
 	if o.Copy {
 		if copies, err = g.follow(ctx); err != nil {
 			return nil, err
@@ -154,7 +154,7 @@
 	forgotten := o.Gone == len(g.nodes) && !o.Copy
 	late := job(400000)
 	g.check.RecordSubmission(late)
-	err = g.steady(ctx, func(v []storeView) bool {
+	err = g.awaitSteady(ctx, func(v []storeView) bool {
 		noticed, entered, written := false, len(v) > 0, len(v) == 3
 		for _, x := range v {
 			noticed = noticed || x.Store.Phase == "doubted" || x.Store.Phase == "lost" || x.Store.Epoch > 1
@@ -189,8 +189,8 @@
 	return m, err
 }
 
-// copying is a follower of the state service, and what puts its copy back.
-type copying struct {
+// snapshotFollower is a follower of the key-value store, and what puts its copy back.
+type snapshotFollower struct {
 	set   *snapshot.Config
 	a     *snapshot.Archive
 	stop  context.CancelFunc
@@ -198,10 +198,10 @@
 	back  time.Time
 }
 
-// follow begins to copy the state service, and returns once there is a copy. It takes as
+// follow begins to copy the key-value store, and returns once there is a copy. It takes as
 // much of the rates as a tenth of each.
-func (g *lossRegion) follow(ctx context.Context) (*copying, error) {
-	c := &copying{set: snapshot.DefaultConfig(), ended: make(chan error, 1)}
+func (g *region) follow(ctx context.Context) (*snapshotFollower, error) {
+	c := &snapshotFollower{set: snapshot.DefaultConfig(), ended: make(chan error, 1)}
 	c.set.State, c.set.Dir = g.state.Addr(), filepath.Join(g.dir, "copies")
 	c.set.RPS, c.set.WriteRPS = g.size.state.RequestsPerSecond/10, g.size.state.ChangesPerSecond*2/3
 	c.set.ValueKB, c.set.TxnOps = g.size.state.ValueKB, g.size.state.ChangesPerTransaction
@@ -223,7 +223,7 @@
 	}
 }
 
-func (c *copying) close() {
+func (c *snapshotFollower) close() {
 	c.stop()
 	<-c.ended
 	_ = c.a.Close() // everything in it was read already
@@ -231,7 +231,7 @@
 
 // restore puts the copy from before the loss back once the controllers began the next
 // generation, and tells them that there is nothing more to come.
-func (c *copying) restore(ctx context.Context) error {
+func (c *snapshotFollower) restore(ctx context.Context) error {
 	last, _ := c.a.Latest()
 	r := snapshot.NewRestorer(c.set)
 	for {
@@ -256,8 +256,8 @@
 	Store datarecovery.Status `json:"store"`
 }
 
-// steady looks at the controllers' overviews until something holds.
-func (g *lossRegion) steady(ctx context.Context, holds func([]storeView) bool) error {
+// awaitSteady looks at the controllers' overviews until something holds.
+func (g *region) awaitSteady(ctx context.Context, holds func([]storeView) bool) error {
 	for {
 		var all []storeView
 		for _, addr := range g.listen {
--- a/internal/faultinjection/meetings.go
+++ b/internal/faultinjection/meetings.go
@@ -18,8 +18,8 @@
 	"topazhollow/internal/wait"
 )
 
-// MeetingTrial is two or three troubles around one moment and what came of them.
-type MeetingTrial struct {
+// CombinedTrial is two or three troubles around one moment and what came of them.
+type CombinedTrial struct {
 	Seed    uint64        `json:"seed"`
 	Met     []string      `json:"met"`
 	Broken  string        `json:"broken,omitempty"`
@@ -33,26 +33,26 @@
 	return size
 }
 
-// checkSlack is what a busy machine may add to the time of a cancellation before the rehearsal calls it broken.
+// checkSlack is what a busy machine may add to the time of a cancellation before the simulation calls it broken.
 const checkSlack = time.Second
 
-// Meetings rehearses drawn troubles that overlap against real controller processes on loopback, each meeting in a region of
-// its own, with jobs whose tasks end far apart and jobs of long tasks that are withdrawn meanwhile.
-func Meetings(ctx context.Context, o Draw) ([]MeetingTrial, error) {
-	trials := make([]MeetingTrial, o.Trials)
-	err := each(ctx, o.Trials, o.AtOnce, o.Out, func(ctx context.Context, i int) (string, error) {
+// CombinedFaults simulates drawn troubles that overlap against real controller processes on loopback, each meeting in a region of
+// its own, with jobs whose tasks end far apart and jobs of long tasks that are cancelled meanwhile.
+func CombinedFaults(ctx context.Context, o DrawnTrials) ([]CombinedTrial, error) {
+	trials := make([]CombinedTrial, o.Trials)
+	err := runTrials(ctx, o.Trials, o.AtOnce, o.Out, func(ctx context.Context, i int) (string, error) {
 		t := &trials[i]
 		t.Seed = o.Seed + uint64(i)
 		dir := filepath.Join(o.Dir, fmt.Sprint(t.Seed))
 		rng := rand.New(rand.NewPCG(t.Seed, 29))
-		g := &lossRegion{dir: dir, program: o.Program, rng: rng, size: meetingRegion(), client: &http.Client{Timeout: 3 * time.Second},
+		g := &region{dir: dir, program: o.Program, rng: rng, size: meetingRegion(), client: &http.Client{Timeout: 3 * time.Second},
 			check: simulation.NewChecker(map[string]float64{"red": 24, "blue": 16}), run: meetingRun}
 		g.check.Cancel = time.Duration(g.size.cancel*float64(time.Second)) + checkSlack
 		var err error
-		if t.Broken, err = g.trial(ctx, func() error { return g.meet(ctx, t) }); err != nil {
+		if t.Broken, err = g.runTrial(ctx, func() error { return g.runCombined(ctx, t) }); err != nil {
 			return "", err
 		}
-		verdict, err := judged(dir, t.Broken)
+		verdict, err := verdictOf(dir, t.Broken)
 		return fmt.Sprintf("seed %d: %s: settled after %s, %s", t.Seed, strings.Join(t.Met, " + "), t.Settled.Round(100*time.Millisecond), verdict), err
 	})
 	if err != nil {
@@ -74,18 +74,18 @@
 	return time.Second + time.Duration(index%3)*4*time.Second
 }
 
-// meet has jobs accepted, troubles around one moment, cancellations and close looks in between, and sees that all
+// runCombined has jobs accepted, troubles around one moment, cancellations and close looks in between, and sees that all
 // comes to its end.
-func (g *lossRegion) meet(ctx context.Context, t *MeetingTrial) error {
-	m := &meeting{lossRegion: g, users: simulation.NewUsers(g.listen, g.check), seed: t.Seed}
+func (g *region) runCombined(ctx context.Context, t *CombinedTrial) error {
+	m := &combinedFaults{region: g, users: simulation.NewUsers(g.listen, g.check), seed: t.Seed}
 	defer m.users.Close()
 	for i := range 4 {
-		m.short, m.long = append(m.short, array(i, 2+i%2)), append(m.long, array(firstLong+i, 2))
+		m.short, m.long = append(m.short, arrayJob(i, 2+i%2)), append(m.long, arrayJob(firstLong+i, 2))
 		if err := errors.Join(m.accept(ctx, m.long[i]), m.accept(ctx, m.short[i])); err != nil {
 			return err
 		}
 	}
-	if err := g.until(ctx, "tasks run", func() bool { return g.check.CountOnMachines() > 6 }); err != nil {
+	if err := g.await(ctx, "tasks run", func() bool { return g.check.CountOnMachines() > 6 }); err != nil {
 		return err
 	}
 	if err := m.trouble(ctx, t); err != nil {
@@ -96,7 +96,7 @@
 		return err
 	}
 	t.Settled = time.Since(began)
-	if err := g.until(ctx, "nothing is left on machines", func() bool { return g.check.CountOnMachines() == 0 }); err != nil {
+	if err := g.await(ctx, "nothing is left on machines", func() bool { return g.check.CountOnMachines() == 0 }); err != nil {
 		return err
 	}
 	if found := history.Check(m.users.Log().Calls()); len(found) > 0 {
@@ -105,23 +105,25 @@
 	return nil
 }
 
-// meeting is one drawn meeting while it is played.
-type meeting struct {
-	*lossRegion
+// combinedFaults is one drawn meeting while it is played.
+type combinedFaults struct {
+	*region
 	users       *simulation.Users
 	seed        uint64
 	short, long []*protocol.Submission // jobs that end by themselves, and jobs that are cancelled
 }
 
-// patience bounds what a user repeats.
-const patience = 90 * time.Second
+// awaitTimeout bounds what a user repeats.
+const awaitTimeout = 90 * time.Second
 
 // draws gives numbers of one user's own: how often others asked until now depends on the machine.
-func (m *meeting) draws(user uint64) *rand.Rand { return rand.New(rand.NewPCG(m.seed, 100+user)) }
+func (m *combinedFaults) draws(user uint64) *rand.Rand {
+	return rand.New(rand.NewPCG(m.seed, 100+user))
+}
 
 // repeat does something that a user repeats until it is answered.
-func (m *meeting) repeat(ctx context.Context, what string, until func(ctx context.Context) bool) error {
-	ctx, cancel := context.WithTimeout(ctx, patience)
+func (m *combinedFaults) repeat(ctx context.Context, what string, until func(ctx context.Context) bool) error {
+	ctx, cancel := context.WithTimeout(ctx, awaitTimeout)
 	defer cancel()
 	if !until(ctx) {
 		return fmt.Errorf("never came true: %s", what)
@@ -129,17 +131,17 @@
 	return nil
 }
 
-func (m *meeting) accept(ctx context.Context, job *protocol.Submission) error {
+func (m *combinedFaults) accept(ctx context.Context, job *protocol.Submission) error {
 	return m.repeat(ctx, job.UID+" accepted", func(ctx context.Context) bool { return m.users.SubmitUntil(ctx, m.rng, job) })
 }
 
 // trouble plays two or three drawn troubles that overlap, while users cancel the long jobs and look closely at all.
-func (m *meeting) trouble(ctx context.Context, t *MeetingTrial) error {
+func (m *combinedFaults) trouble(ctx context.Context, t *CombinedTrial) error {
 	troubles, during := errgroup.WithContext(ctx)
 	draw := rand.New(rand.NewPCG(m.seed, 37))
 	count := 2 + draw.IntN(2)
-	for _, k := range draw.Perm(len(meetingTroubles))[:count] {
-		x := meetingTroubles[k]
+	for _, k := range draw.Perm(len(combinedFaultKinds))[:count] {
+		x := combinedFaultKinds[k]
 		t.Met = append(t.Met, x.name)
 		own := rand.New(rand.NewPCG(m.seed, uint64(k)))
 		// The same controller for most of them: troubles of one meet there.
@@ -150,7 +152,7 @@
 		lasts := time.Duration(3000+own.IntN(9000)) * time.Millisecond
 		troubles.Go(func() error {
 			wait.For(during, after)
-			return x.play(during, m.lossRegion, own, one, lasts)
+			return x.play(during, m.region, own, one, lasts)
 		})
 	}
 	for i, job := range m.long {
@@ -167,7 +169,7 @@
 const closeLooks = 3
 
 // cancelAndLook has a job cancelled, and all controllers asked for it and another job at once.
-func (m *meeting) cancelAndLook(ctx context.Context, user uint64, job *protocol.Submission) error {
+func (m *combinedFaults) cancelAndLook(ctx context.Context, user uint64, job *protocol.Submission) error {
 	if err := m.repeat(ctx, job.UID+" cancelled", func(ctx context.Context) bool { return m.users.CancelUntil(ctx, m.draws(user), job.UID) }); err != nil {
 		return err
 	}
@@ -177,8 +179,8 @@
 }
 
 // settle sees every job end, and one that comes after all troubles.
-func (m *meeting) settle(ctx context.Context) error {
-	late := array(90, 3)
+func (m *combinedFaults) settle(ctx context.Context) error {
+	late := arrayJob(90, 3)
 	if err := m.accept(ctx, late); err != nil {
 		return err
 	}
--- a/internal/faultinjection/meetings_test.go
+++ b/internal/faultinjection/meetings_test.go
@@ -11,9 +11,9 @@
 // TestMeetings: two or three drawn troubles overlap around one moment, below controller processes that are really
 // killed and stopped, while users cancel jobs of long tasks. No rule breaks, and all that was not cancelled is done.
 func TestMeetings(t *testing.T) {
-	hold(t, 2, 3, func(t *testing.T, group uint64) ([]faultinjection.MeetingTrial, error) {
-		return faultinjection.Meetings(t.Context(), faultinjection.Draw{Program: os.Args[0], Dir: t.TempDir(), Seed: 200 * group, Trials: 3, Out: io.Discard})
-	}, func(t *testing.T, x faultinjection.MeetingTrial) {
+	hold(t, 2, 3, func(t *testing.T, group uint64) ([]faultinjection.CombinedTrial, error) {
+		return faultinjection.CombinedFaults(t.Context(), faultinjection.DrawnTrials{Program: os.Args[0], Dir: t.TempDir(), Seed: 200 * group, Trials: 3, Out: io.Discard})
+	}, func(t *testing.T, x faultinjection.CombinedTrial) {
 		if len(x.Met) < 2 {
 			t.Errorf("seed %d: only %v met", x.Seed, x.Met)
 		}
--- a/internal/faultinjection/overload.go
+++ b/internal/faultinjection/overload.go
@@ -23,9 +23,9 @@
 	"topazhollow/internal/wait"
 )
 
-// OverloadOptions are the choices of a rehearsal of overload.
+// OverloadOptions are the choices of a simulation of overload.
 type OverloadOptions struct {
-	Draw
+	DrawnTrials
 	Floor float64 // the controllers' class_floor
 }
 
@@ -53,7 +53,7 @@
 
 var overloads = []string{"none", "one ends", "all end", "outage", "goes back"}
 
-// The classes of the rehearsal. Large tasks take three quarters of a machine, so that they
+// The classes of the simulation. Large tasks take three quarters of a machine, so that they
 // find no room where small ones take each piece that comes free.
 const (
 	small, large = "small", "large"
@@ -63,10 +63,10 @@
 	recoverAfter = 12 * time.Second
 )
 
-// Overloads rehearses crowds with troubles against real controller processes on loopback.
+// Overloads simulates crowds with troubles against real controller processes on loopback.
 func Overloads(ctx context.Context, o OverloadOptions) ([]OverloadTrial, error) {
 	trials := make([]OverloadTrial, o.Trials)
-	err := each(ctx, o.Trials, o.AtOnce, o.Out, func(ctx context.Context, i int) (string, error) {
+	err := runTrials(ctx, o.Trials, o.AtOnce, o.Out, func(ctx context.Context, i int) (string, error) {
 		t := &trials[i]
 		t.Seed = o.Seed + uint64(i)
 		t.Trouble = overloads[t.Seed%uint64(len(overloads))]
@@ -74,7 +74,7 @@
 		if err := overloadTrial(ctx, &o, dir, t); err != nil {
 			return "", err
 		}
-		verdict, err := judged(dir, t.Broken)
+		verdict, err := verdictOf(dir, t.Broken)
 		return fmt.Sprintf("seed %d: %.1f times, %s: large %.0f of %.0f CPUs wanted, %.0f at least; small %.0f of %.0f; Jain %.2f; %d refused; %s", t.Seed, t.Crowd, t.Trouble,
 			t.Got[large], t.Wanted[large], t.Least, t.Got[small], t.Wanted[small], t.Jain, t.Refused, verdict), err
 	})
@@ -89,7 +89,7 @@
 	size := smallRegion
 	size.machines = 12
 	size.teams = []settings.Team{{Name: "red", CPUs: 48, CPUsMax: 96}, {Name: "blue", CPUs: 48, CPUsMax: 96}}
-	g := &lossRegion{dir: dir, program: o.Program, rng: rng, size: size, client: &http.Client{Timeout: 4 * time.Second}, check: simulation.NewChecker(map[string]float64{"red": 96, "blue": 96}),
+	g := &region{dir: dir, program: o.Program, rng: rng, size: size, client: &http.Client{Timeout: 4 * time.Second}, check: simulation.NewChecker(map[string]float64{"red": 96, "blue": 96}),
 		script: fmt.Sprintf("class_floor = %g\nfloor_after_s = %g\n", o.Floor, floorAfter.Seconds())}
 	g.run = func(task string) time.Duration {
 		if uid, _, _ := protocol.SplitTask(task); g.check.Spec(uid) != nil && g.check.Spec(uid).Class == large {
@@ -97,13 +97,13 @@
 		}
 		return 2 * time.Second
 	}
-	t.Broken, err = g.trial(ctx, func() error { return g.crowd(ctx, rng, t) })
+	t.Broken, err = g.runTrial(ctx, func() error { return g.runOverload(ctx, rng, t) })
 	return err
 }
 
-// crowd hands in work for a while, several times more small and urgent tasks than there is
+// runOverload hands in work for a while, several times more small and urgent tasks than there is
 // room for beside large ones, and takes down who runs.
-func (g *lossRegion) crowd(ctx context.Context, rng *rand.Rand, t *OverloadTrial) error {
+func (g *region) runOverload(ctx context.Context, rng *rand.Rand, t *OverloadTrial) error {
 	cpus := float64(g.size.machines) * g.size.cpus
 	t.Crowd = 2 + 2*rng.Float64()
 	rate := t.Crowd * cpus / 24 // jobs of 12 tasks of a CPU and two seconds
@@ -158,7 +158,7 @@
 		}
 		if !struck && passed > trouble {
 			struck = true
-			if err := g.strike(ctx, rng, t.Trouble, saved); err != nil {
+			if err := g.injectFault(ctx, rng, t.Trouble, saved); err != nil {
 				return err
 			}
 			over = time.Since(began)
@@ -179,7 +179,7 @@
 		if i > len(jobs)/4 {
 			break // the rest of the crowd would take minutes, and shows nothing more
 		}
-		if err := g.reaches(ctx, j.UID, protocol.Done); err != nil {
+		if err := g.awaitState(ctx, j.UID, protocol.Done); err != nil {
 			return err
 		}
 	}
@@ -189,7 +189,7 @@
 	return nil
 }
 
-func (g *lossRegion) strike(ctx context.Context, rng *rand.Rand, trouble string, saved simulation.StoreSnapshot) error {
+func (g *region) injectFault(ctx context.Context, rng *rand.Rand, trouble string, saved simulation.StoreSnapshot) error {
 	switch trouble {
 	case "one ends":
 		i := rng.IntN(len(g.nodes))
--- a/internal/faultinjection/overload_test.go
+++ b/internal/faultinjection/overload_test.go
@@ -14,7 +14,7 @@
 // TestOverloads: a crowd of small urgent tasks over large ones, alone and while controllers
 // really end. The large class goes on and no rule is broken; without floors it gets next to
 // nothing, which the check sees. How close to its floor it comes on a machine that is as slow as it
-// may be here is left to the rehearsal.
+// may be here is left to the simulation.
 func TestOverloads(t *testing.T) {
 	for name, x := range map[string]struct {
 		seed  uint64
@@ -22,7 +22,7 @@
 	}{"alone": {0, 0.5}, "all end": {2, 0.5}, "no floors": {0, 0}} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			trials, err := faultinjection.Overloads(context.Background(), faultinjection.OverloadOptions{Draw: faultinjection.Draw{Program: os.Args[0], Dir: t.TempDir(), Seed: x.seed, Trials: 1, Out: io.Discard}, Floor: x.floor})
+			trials, err := faultinjection.Overloads(context.Background(), faultinjection.OverloadOptions{DrawnTrials: faultinjection.DrawnTrials{Program: os.Args[0], Dir: t.TempDir(), Seed: x.seed, Trials: 1, Out: io.Discard}, Floor: x.floor})
 			if err != nil {
 				t.Fatal(err)
 			}
--- a/internal/faultinjection/process.go
+++ b/internal/faultinjection/process.go
@@ -17,7 +17,7 @@
 	ended  chan struct{} // closed once it is gone
 }
 
-func (g *lossRegion) start(i int) error {
+func (g *region) start(i int) error {
 	g.turns.Lock()
 	defer g.turns.Unlock()
 	if p := g.nodes[i]; p != nil && p.runs() {
@@ -68,7 +68,7 @@
 }
 
 // kill ends a controller without a word.
-func (g *lossRegion) kill(i int) {
+func (g *region) kill(i int) {
 	g.turns.Lock()
 	defer g.turns.Unlock()
 	if p := g.nodes[i]; p != nil && p.runs() {
@@ -89,7 +89,7 @@
 }
 
 // node is a controller's process, the latest if there were several.
-func (g *lossRegion) node(i int) *process {
+func (g *region) node(i int) *process {
 	g.turns.Lock()
 	defer g.turns.Unlock()
 	return g.nodes[i]
--- a/internal/faultinjection/region.go
+++ b/internal/faultinjection/region.go
@@ -19,14 +19,14 @@
 	"topazhollow/internal/wait"
 )
 
-// lossRegion is three controllers as processes with stand-ins for everything around.
-type lossRegion struct {
+// region is three controllers as processes with stand-ins for everything around.
+type region struct {
 	size         regionSize
 	dir, program string
 	script       string                          // the controllers' options, a file's text
 	run          func(task string) time.Duration // how long tasks run, if not all alike
 	state        *simulation.KVStore
-	doors        []*simulation.Endpoint // each controller's way to the state service
+	doors        []*simulation.Endpoint // each controller's way to the key-value store
 	pipes        simulation.Paths       // from one controller to another
 	cloud        *simulation.Cloud
 	check        *simulation.Checker
@@ -45,7 +45,7 @@
 	machines int
 	cpus     float64 // of a machine
 	run      time.Duration
-	report   float64 // seconds between a worker's reports
+	report   float64 // seconds between an agent's reports
 	teams    []settings.Team
 	state    settings.KVStore
 	cloud    settings.Cloud
@@ -54,9 +54,9 @@
 	memory   float64 // of a controller, MB
 }
 
-// trial opens a region, has something played in it and closes it. What broke is told; an
-// error is one of the rehearsal itself.
-func (g *lossRegion) trial(ctx context.Context, play func() error) (broken string, err error) {
+// runTrial opens a region, has something played in it and closes it. What broke is told; an
+// error is one of the simulation itself.
+func (g *region) runTrial(ctx context.Context, play func() error) (broken string, err error) {
 	defer g.close()
 	if err := g.open(); err != nil {
 		return "", err
@@ -74,7 +74,7 @@
 	return broken, nil
 }
 
-func (g *lossRegion) open() error {
+func (g *region) open() error {
 	if err := os.MkdirAll(g.dir, 0o700); err != nil {
 		return err
 	}
@@ -142,12 +142,12 @@
 	return nil
 }
 
-func (g *lossRegion) config(i int) string {
+func (g *region) config(i int) string {
 	return filepath.Join(g.dir, fmt.Sprintf("node-%d.json", i))
 }
 
 // ended names a controller that ended by itself.
-func (g *lossRegion) ended() error {
+func (g *region) ended() error {
 	g.turns.Lock()
 	defer g.turns.Unlock()
 	for i, p := range g.nodes {
@@ -163,7 +163,7 @@
 	return nil
 }
 
-func (g *lossRegion) close() {
+func (g *region) close() {
 	for i := range g.nodes {
 		g.kill(i)
 	}
@@ -176,12 +176,12 @@
 	}
 }
 
-func (g *lossRegion) ask(method, path string, body any) (int, protocol.Status) {
+func (g *region) ask(method, path string, body any) (int, protocol.Status) {
 	return g.askOf(g.rng, method, path, body)
 }
 
 // askOf asks one of the controllers, drawn from a sequence of the caller's own.
-func (g *lossRegion) askOf(rng *rand.Rand, method, path string, body any) (int, protocol.Status) {
+func (g *region) askOf(rng *rand.Rand, method, path string, body any) (int, protocol.Status) {
 	var st protocol.Status
 	var data []byte
 	if body != nil {
@@ -200,7 +200,7 @@
 	return resp.StatusCode, st
 }
 
-func (g *lossRegion) until(ctx context.Context, what string, holds func() bool) error {
+func (g *region) await(ctx context.Context, what string, holds func() bool) error {
 	ctx, cancel := context.WithTimeout(ctx, 90*time.Second)
 	defer cancel()
 	for !holds() {
@@ -214,17 +214,17 @@
 	return nil
 }
 
-func (g *lossRegion) submit(ctx context.Context, s *protocol.Submission) error {
+func (g *region) submit(ctx context.Context, s *protocol.Submission) error {
 	g.check.RecordSubmission(s)
-	return g.until(ctx, s.UID+" accepted", func() bool {
+	return g.await(ctx, s.UID+" accepted", func() bool {
 		status, st := g.ask("POST", protocol.PathSubmit, s)
 		g.check.RecordAnswer(s.UID, status, st.State, false)
 		return status == 200 || status == 201
 	})
 }
 
-func (g *lossRegion) reaches(ctx context.Context, uid string, state protocol.JobState) error {
-	return g.until(ctx, uid+" "+string(state), func() bool {
+func (g *region) awaitState(ctx context.Context, uid string, state protocol.JobState) error {
+	return g.await(ctx, uid+" "+string(state), func() bool {
 		status, st := g.ask("GET", protocol.PathSubmit+"/"+uid, nil)
 		g.check.RecordAnswer(uid, status, st.State, false)
 		return status == 200 && st.State == state
--- a/internal/faultinjection/trials.go
+++ b/internal/faultinjection/trials.go
@@ -12,8 +12,8 @@
 	"topazhollow/internal/protocol"
 )
 
-// Draw is the choices of a rehearsal of drawn trials.
-type Draw struct {
+// DrawnTrials is the choices of a simulation of drawn trials.
+type DrawnTrials struct {
 	Program string // that runs a controller by "controller --config FILE --script FILE"
 	Dir     string
 	Seed    uint64
@@ -22,8 +22,8 @@
 	Out     io.Writer // told of each trial
 }
 
-// each carries out trials, some at the same time, and tells what came of each.
-func each(ctx context.Context, trials, atOnce int, out io.Writer, trial func(ctx context.Context, i int) (told string, err error)) error {
+// runTrials carries out trials, some at the same time, and tells what came of each.
+func runTrials(ctx context.Context, trials, atOnce int, out io.Writer, trial func(ctx context.Context, i int) (told string, err error)) error {
 	group, ctx := errgroup.WithContext(ctx)
 	group.SetLimit(max(1, atOnce))
 	var telling sync.Mutex
@@ -42,16 +42,16 @@
 	return group.Wait()
 }
 
-// judged is a trial's verdict; what one that holds has written is not kept.
-func judged(dir, broken string) (verdict string, err error) {
+// verdictOf is a trial's verdict; what one that holds has written is not kept.
+func verdictOf(dir, broken string) (verdict string, err error) {
 	if broken != "" {
 		return "BROKEN: " + broken, nil
 	}
 	return "holds", os.RemoveAll(dir)
 }
 
-// array is a job of small tasks, of the one team and the other in turn.
-func array(number, tasks int) *protocol.Submission {
+// arrayJob is a job of small tasks, of the one team and the other in turn.
+func arrayJob(number, tasks int) *protocol.Submission {
 	return &protocol.Submission{UID: fmt.Sprintf("job-%06d", number), Class: "c", Team: []string{"red", "blue"}[number%2], Kind: protocol.JobArray, Priority: "standard",
 		Tasks: tasks, CPUs: 2, MemoryGB: 4, Image: "img", EstimateSeconds: 1, Spot: true}
 }
--- a/internal/faultinjection/troubles.go
+++ b/internal/faultinjection/troubles.go
@@ -12,18 +12,18 @@
 	"topazhollow/internal/wait"
 )
 
-// meetingTroubles are what is drawn: each begins, lasts for a time, and ends.
-var meetingTroubles = []struct {
+// combinedFaultKinds are what is drawn: each begins, lasts for a time, and ends.
+var combinedFaultKinds = []struct {
 	name string
-	play func(ctx context.Context, g *lossRegion, rng *rand.Rand, one int, lasts time.Duration) error
+	play func(ctx context.Context, g *region, rng *rand.Rand, one int, lasts time.Duration) error
 }{
-	{"refused", func(ctx context.Context, g *lossRegion, _ *rand.Rand, one int, lasts time.Duration) error {
+	{"refused", func(ctx context.Context, g *region, _ *rand.Rand, one int, lasts time.Duration) error {
 		g.doors[one].RefuseAll(true)
 		defer g.doors[one].RefuseAll(false)
 		wait.For(ctx, lasts)
 		return nil
 	}},
-	{"no state, no peers", func(ctx context.Context, g *lossRegion, _ *rand.Rand, one int, lasts time.Duration) error {
+	{"no state, no peers", func(ctx context.Context, g *region, _ *rand.Rand, one int, lasts time.Duration) error {
 		g.doors[one].RefuseAll(true)
 		g.pipes.Isolate(one, true)
 		defer g.doors[one].RefuseAll(false)
@@ -31,7 +31,7 @@
 		wait.For(ctx, lasts)
 		return nil
 	}},
-	{"links refused", func(ctx context.Context, g *lossRegion, _ *rand.Rand, _ int, lasts time.Duration) error {
+	{"links refused", func(ctx context.Context, g *region, _ *rand.Rand, _ int, lasts time.Duration) error {
 		for i := range g.nodes {
 			g.pipes.Isolate(i, true)
 			defer g.pipes.Isolate(i, false)
@@ -39,13 +39,13 @@
 		wait.For(ctx, lasts)
 		return nil
 	}},
-	{"outage", func(ctx context.Context, g *lossRegion, _ *rand.Rand, _ int, lasts time.Duration) error {
+	{"outage", func(ctx context.Context, g *region, _ *rand.Rand, _ int, lasts time.Duration) error {
 		g.state.SetOutage(true)
 		defer g.state.SetOutage(false)
 		wait.For(ctx, 2*lasts)
 		return nil
 	}},
-	{"late writes", func(ctx context.Context, g *lossRegion, rng *rand.Rand, _ int, lasts time.Duration) error {
+	{"late writes", func(ctx context.Context, g *region, rng *rand.Rand, _ int, lasts time.Duration) error {
 		var mu sync.Mutex
 		for _, d := range g.doors {
 			d.DelayTransactions(func() time.Duration {
@@ -61,7 +61,7 @@
 		wait.For(ctx, lasts)
 		return nil
 	}},
-	{"late reports", func(ctx context.Context, g *lossRegion, rng *rand.Rand, _ int, lasts time.Duration) error {
+	{"late reports", func(ctx context.Context, g *region, rng *rand.Rand, _ int, lasts time.Duration) error {
 		var mu sync.Mutex
 		for _, w := range g.cloud.Agents() {
 			w.RepeatHeartbeats(func() time.Duration {
@@ -74,7 +74,7 @@
 		wait.For(ctx, lasts)
 		return nil
 	}},
-	{"lost answers", func(ctx context.Context, g *lossRegion, rng *rand.Rand, _ int, lasts time.Duration) error {
+	{"lost answers", func(ctx context.Context, g *region, rng *rand.Rand, _ int, lasts time.Duration) error {
 		drawn := oneInTurn(rng, 4)
 		for _, d := range g.doors {
 			d.DropAnswers(func(*protocol.Txn) bool { return drawn() })
@@ -83,7 +83,7 @@
 		wait.For(ctx, lasts)
 		return nil
 	}},
-	{"late commands", func(ctx context.Context, g *lossRegion, rng *rand.Rand, _ int, lasts time.Duration) error {
+	{"late commands", func(ctx context.Context, g *region, rng *rand.Rand, _ int, lasts time.Duration) error {
 		drawn, held := oneInTurn(rng, 2), time.Duration(500+rng.IntN(5000))*time.Millisecond
 		for _, w := range g.cloud.Agents() {
 			w.DelayCommands(func(*protocol.DirectCommands) time.Duration {
@@ -97,7 +97,7 @@
 		wait.For(ctx, lasts)
 		return nil
 	}},
-	{"reports for the next leader", func(ctx context.Context, g *lossRegion, rng *rand.Rand, one int, _ time.Duration) error {
+	{"reports for the next leader", func(ctx context.Context, g *region, rng *rand.Rand, one int, _ time.Duration) error {
 		machines := g.cloud.Agents()
 		for _, w := range machines {
 			w.CopyHeartbeats(true)
@@ -113,29 +113,29 @@
 		}
 		return g.start(one)
 	}},
-	{"mute machine", onMachine(func(w *simulation.Agent, _ int, on bool) { w.DropHeartbeats(on) })},
-	{"machine hangs", onMachine(func(w *simulation.Agent, _ int, on bool) { w.Hang(on) })},
-	{"machine gone", func(_ context.Context, g *lossRegion, rng *rand.Rand, _ int, _ time.Duration) error {
+	{"mute machine", machineFault(func(w *simulation.Agent, _ int, on bool) { w.DropHeartbeats(on) })},
+	{"machine hangs", machineFault(func(w *simulation.Agent, _ int, on bool) { w.Hang(on) })},
+	{"machine gone", func(_ context.Context, g *region, rng *rand.Rand, _ int, _ time.Duration) error {
 		if ws := g.cloud.Agents(); len(ws) > 0 {
 			g.cloud.TakeMachine(ws[rng.IntN(len(ws))].Name())
 		}
 		return nil
 	}},
-	{"deaf machine", onMachine(func(w *simulation.Agent, _ int, on bool) { w.DropAnswers(on) })},
-	{"machine cut", onMachine(func(w *simulation.Agent, _ int, on bool) { w.DisconnectNetwork(on) })},
-	{"machine heard by one only", onMachine(func(w *simulation.Agent, one int, on bool) {
+	{"deaf machine", machineFault(func(w *simulation.Agent, _ int, on bool) { w.DropAnswers(on) })},
+	{"machine cut", machineFault(func(w *simulation.Agent, _ int, on bool) { w.DisconnectNetwork(on) })},
+	{"machine heard by one only", machineFault(func(w *simulation.Agent, one int, on bool) {
 		if on {
 			w.LimitReach(regionNames[one])
 		} else {
 			w.LimitReach()
 		}
 	})},
-	{"one ends", func(ctx context.Context, g *lossRegion, rng *rand.Rand, one int, _ time.Duration) error {
+	{"one ends", func(ctx context.Context, g *region, rng *rand.Rand, one int, _ time.Duration) error {
 		g.kill(one)
 		wait.For(ctx, time.Duration(rng.IntN(3000))*time.Millisecond)
 		return g.start(one)
 	}},
-	{"all end", func(ctx context.Context, g *lossRegion, rng *rand.Rand, _ int, _ time.Duration) error {
+	{"all end", func(ctx context.Context, g *region, rng *rand.Rand, _ int, _ time.Duration) error {
 		for i := range g.nodes {
 			g.kill(i)
 		}
@@ -147,7 +147,7 @@
 		}
 		return nil
 	}},
-	{"ends again", func(ctx context.Context, g *lossRegion, rng *rand.Rand, one int, _ time.Duration) error {
+	{"ends again", func(ctx context.Context, g *region, rng *rand.Rand, one int, _ time.Duration) error {
 		for range 3 {
 			g.kill(one)
 			wait.For(ctx, time.Duration(rng.IntN(300))*time.Millisecond)
@@ -158,7 +158,7 @@
 		}
 		return nil
 	}},
-	{"standstill", func(ctx context.Context, g *lossRegion, _ *rand.Rand, one int, lasts time.Duration) error {
+	{"standstill", func(ctx context.Context, g *region, _ *rand.Rand, one int, lasts time.Duration) error {
 		p := g.node(one)
 		if err := p.cmd.Process.Signal(syscall.SIGSTOP); err != nil {
 			return nil // another trouble has ended it
@@ -169,9 +169,9 @@
 	}},
 }
 
-// onMachine is a trouble of one drawn machine, if there is any.
-func onMachine(set func(w *simulation.Agent, one int, on bool)) func(context.Context, *lossRegion, *rand.Rand, int, time.Duration) error {
-	return func(ctx context.Context, g *lossRegion, rng *rand.Rand, one int, lasts time.Duration) error {
+// machineFault is a trouble of one drawn machine, if there is any.
+func machineFault(set func(w *simulation.Agent, one int, on bool)) func(context.Context, *region, *rand.Rand, int, time.Duration) error {
+	return func(ctx context.Context, g *region, rng *rand.Rand, one int, lasts time.Duration) error {
 		if ws := g.cloud.Agents(); len(ws) > 0 {
 			w := ws[rng.IntN(len(ws))]
 			set(w, one, true)
--- a/internal/httpx/listen.go
+++ b/internal/httpx/listen.go
@@ -154,7 +154,7 @@
 	return nil, gnet.None
 }
 
-// oldest is the connection that was silent for longest, of those not pinned.
+// longestIdle is the connection that was silent for longest, of those not pinned.
 func (l *listener) longestIdle() *Conn {
 	var found *Conn
 	var used time.Time
@@ -240,7 +240,7 @@
 	return nil
 }
 
-// quiet keeps gnet's own log out of ours; failures come back as errors.
+// discardLogger keeps gnet's own log out of ours; failures come back as errors.
 type discardLogger struct{}
 
 func (discardLogger) Debugf(string, ...any) {}
--- a/internal/loadtest/config.go
+++ b/internal/loadtest/config.go
@@ -1,6 +1,6 @@
 // Package loadtest measures how the controllers' cost grows with the fleet: it runs real
-// controller processes on this machine against thousands of hollow workers, which speak
-// the workers' protocol and run nothing, and against stand-ins for the state service, the
+// controller processes on this machine against thousands of simulated agents, which speak
+// the agents' protocol and run nothing, and against stand-ins for the key-value store, the
 // cloud and the users. One run plays one experiment and gives one Result; several results
 // give slopes.
 package loadtest
@@ -28,7 +28,7 @@
 	TeamRoom          float64 `toml:"team_room" json:"team_room"`                     // a team's limit beyond its services, in times of what its arrays take on average
 	UrgentShare       float64 `toml:"urgent_share" json:"urgent_share"`               // of the arrays
 	UrgentWithin      float64 `toml:"urgent_within_s" json:"urgent_within_s"`         // objective for their starts
-	Report            float64 `toml:"report_s" json:"report_s"`                       // period of a worker's reports
+	Report            float64 `toml:"report_s" json:"report_s"`                       // period of an agent's reports
 	WorkerLease       float64 `toml:"worker_lease_s" json:"worker_lease_s"`           //
 	Cancel            float64 `toml:"cancel_s" json:"cancel_s"`                       //
 	CountPeerLines    bool    `toml:"count_peer_lines" json:"count_peer_lines"`       // lines between controllers pass a counter
@@ -45,7 +45,7 @@
 	Back           float64 `toml:"back_after_s" json:"back_after_s"`           // those killed start again after this
 }
 
-// Store is the limits of the state service, which all controllers share.
+// Store is the limits of the key-value store, which all controllers share.
 type Store struct {
 	RPS      float64 `toml:"rps" json:"rps"`
 	WriteRPS float64 `toml:"write_rps" json:"write_rps"`
@@ -134,7 +134,7 @@
 	return nil
 }
 
-// processes is how many processes hold the workers.
+// processes is how many processes hold the agents.
 func (c *Config) processes() int {
 	return (c.Workers + c.WorkersPerProcess - 1) / c.WorkersPerProcess
 }
--- a/internal/loadtest/count.go
+++ b/internal/loadtest/count.go
@@ -62,7 +62,7 @@
 	return out
 }
 
-// storeKind names a request to the state service.
+// storeKind names a request to the key-value store.
 func storeKind(r *http.Request) string {
 	switch {
 	case r.URL.Path == "/txn":
@@ -79,7 +79,7 @@
 	return "read key"
 }
 
-// countStore counts the requests that a handler of the state service gets.
+// countStore counts the requests that a handler of the key-value store gets.
 func (t *traffic) countStore(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		counted := &countingWriter{ResponseWriter: w}
--- a/internal/loadtest/events.go
+++ b/internal/loadtest/events.go
@@ -16,13 +16,13 @@
 	Done    bool   `json:"done,omitempty"` // it left because it completed
 }
 
-// Counts are what workers sent and got since their process began.
+// Counts are what agents sent and got since their process began.
 type Counts struct {
 	Reports      int64 `json:"reports"`
 	Answered     int64 `json:"answered"` // with 200
 	Moved        int64 `json:"moved"`    // sent to another controller
 	Failed       int64 `json:"failed"`   // any other status, or none
-	Expired      int64 `json:"expired"`  // leases of workers that ended
+	Expired      int64 `json:"expired"`  // leases of agents that ended
 	ReportBytes  int64 `json:"report_bytes"`
 	AnswerBytes  int64 `json:"answer_bytes"`
 	Commands     int64 `json:"commands"` // direct requests with commands
@@ -43,20 +43,20 @@
 	c.ResultBytes += sign * o.ResultBytes
 }
 
-// Batch is what a process of workers tells since its last one.
+// Batch is what a process of agents tells since its last one.
 type Batch struct {
 	Until   int64   `json:"until"` // all events before this moment are told
 	Events  []Event `json:"events,omitempty"`
 	Counts  Counts  `json:"counts"`
 	Waits   []int64 `json:"waits,omitempty"` // from a report to its answer, µs
-	Homed   int     `json:"homed"`           // workers whose last report was answered
+	Homed   int     `json:"homed"`           // agents whose last report was answered
 	Removed int     `json:"removed"`         // machines taken away so far
 }
 
-// batchEvery is how often a process of workers tells a batch.
+// batchEvery is how often a process of agents tells a batch.
 const batchEvery = 200 * time.Millisecond
 
-// recorder collects what a process of workers tells.
+// recorder collects what a process of agents tells.
 type recorder struct {
 	mu      sync.Mutex
 	next    Batch
--- a/internal/loadtest/hollow.go
+++ b/internal/loadtest/hollow.go
@@ -14,7 +14,7 @@
 	"topazhollow/internal/protocol"
 )
 
-// Times of the workers' protocol.
+// Times of the agents' protocol.
 const (
 	answerTimeout = 4 * time.Second        // for the answer to a report
 	retryAfter    = time.Second            // until the next controller is tried
@@ -25,8 +25,8 @@
 // maxAnswer bounds the answer to a report, in bytes.
 const maxAnswer = 4 << 20
 
-// hollow is a worker that speaks the whole protocol and runs nothing: a task only takes time.
-type hollow struct {
+// simulatedAgent is an agent that speaks the whole protocol and runs nothing: a task only takes time.
+type simulatedAgent struct {
 	pool       *pool
 	name, zone string
 	addr       string
@@ -46,13 +46,13 @@
 	gone    bool
 }
 
-func (h *hollow) report() protocol.Heartbeat {
+func (h *simulatedAgent) report() protocol.Heartbeat {
 	h.seq++
 	return protocol.Heartbeat{Machine: h.name, Addr: h.addr, Type: machineType, Zone: h.zone, Incarnation: h.session, Seq: h.seq, FencingToken: h.token,
 		Tasks: append([]protocol.TaskStatus{}, h.tasks...)}
 }
 
-func (h *hollow) changed() {
+func (h *simulatedAgent) changed() {
 	select {
 	case h.wake <- struct{}{}:
 	default:
@@ -60,7 +60,7 @@
 }
 
 // sees takes in a token, which is not lower than the highest one seen.
-func (h *hollow) sees(token uint64) {
+func (h *simulatedAgent) sees(token uint64) {
 	if token > h.token && time.Since(h.turned) > h.pool.lease/2 {
 		h.turned = time.Now()
 		h.changed()
@@ -68,11 +68,11 @@
 	h.token = token
 }
 
-func (h *hollow) find(task string) int {
+func (h *simulatedAgent) find(task string) int {
 	return slices.IndexFunc(h.tasks, func(t protocol.TaskStatus) bool { return t.Task == task })
 }
 
-func (h *hollow) execute(commands []protocol.Command) {
+func (h *simulatedAgent) execute(commands []protocol.Command) {
 	for _, c := range commands {
 		at := h.find(c.Task)
 		known := at >= 0 && h.tasks[at].Attempt == c.Attempt
@@ -89,7 +89,7 @@
 }
 
 // start begins a task, in place of an exited attempt if there is one at that index.
-func (h *hollow) start(c protocol.Command, at int) {
+func (h *simulatedAgent) start(c protocol.Command, at int) {
 	if at >= 0 && h.tasks[at].State != protocol.Exited {
 		return // another attempt of it is here
 	}
@@ -111,7 +111,7 @@
 	}
 }
 
-func (h *hollow) complete(task string, attempt uint64) {
+func (h *simulatedAgent) complete(task string, attempt uint64) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if at := h.find(task); at >= 0 && h.tasks[at].Attempt == attempt && h.tasks[at].State == protocol.Running {
@@ -119,7 +119,7 @@
 	}
 }
 
-func (h *hollow) exit(at int, why protocol.ExitReason) {
+func (h *simulatedAgent) exit(at int, why protocol.ExitReason) {
 	t := &h.tasks[at]
 	t.State, t.Reason = protocol.Exited, why
 	h.pool.rec.event(false, t.Task, h.name, why == protocol.ReasonDone)
@@ -131,7 +131,7 @@
 }
 
 // killAll ends everything without a result.
-func (h *hollow) killAll() {
+func (h *simulatedAgent) killAll() {
 	for i := range h.tasks {
 		if h.tasks[i].State != protocol.Exited {
 			h.exit(i, protocol.ReasonStopped)
@@ -141,7 +141,7 @@
 }
 
 // remove takes the machine away with all that is on it.
-func (h *hollow) remove() {
+func (h *simulatedAgent) remove() {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if h.gone {
@@ -154,7 +154,7 @@
 }
 
 // next prepares a report. ok is false once the machine is gone.
-func (h *hollow) next() (body []byte, session uint64, ok bool) {
+func (h *simulatedAgent) next() (body []byte, session uint64, ok bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if h.gone {
@@ -175,7 +175,7 @@
 }
 
 // answered takes in the answer to a report sent at a time in a session.
-func (h *hollow) answered(a *protocol.HeartbeatAnswer, sent time.Time, session uint64) {
+func (h *simulatedAgent) answered(a *protocol.HeartbeatAnswer, sent time.Time, session uint64) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if a.FencingToken == 0 || a.FencingToken < h.token || session != h.session || h.gone {
@@ -187,7 +187,7 @@
 }
 
 // run reports until the context ends or the machine is gone.
-func (h *hollow) run(ctx context.Context) {
+func (h *simulatedAgent) run(ctx context.Context) {
 	at := h.rng.IntN(len(h.pool.names))
 	link := httpx.NewClientConn(h.pool.addrs[at], maxAnswer)
 	defer func() { link.Close() }()
@@ -219,7 +219,7 @@
 }
 
 // pause waits for the next report: for the whole time, or less if something changed.
-func (h *hollow) pause(ctx context.Context, d time.Duration) bool {
+func (h *simulatedAgent) pause(ctx context.Context, d time.Duration) bool {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
 	select {
@@ -244,7 +244,7 @@
 
 // send sends a report and takes in its answer; to is the controller that was named
 // instead, or -1.
-func (h *hollow) send(ctx context.Context, link *httpx.ClientConn, body []byte, session uint64, sent time.Time) (to int, good bool) {
+func (h *simulatedAgent) send(ctx context.Context, link *httpx.ClientConn, body []byte, session uint64, sent time.Time) (to int, good bool) {
 	resp, _, err := link.Do(ctx, http.MethodPost, protocol.PathHeartbeat, body, answerTimeout)
 	c := Counts{Reports: 1, ReportBytes: int64(len(body))}
 	defer func() { h.pool.rec.count(c) }()
@@ -277,7 +277,7 @@
 }
 
 // do carries out direct commands.
-func (h *hollow) do(w http.ResponseWriter, r *http.Request) {
+func (h *simulatedAgent) do(w http.ResponseWriter, r *http.Request) {
 	var d protocol.DirectCommands
 	body := http.MaxBytesReader(w, r.Body, protocol.MaxBody)
 	if json.NewDecoder(body).Decode(&d) != nil || d.FencingToken == 0 || d.Incarnation == 0 {
@@ -301,7 +301,7 @@
 }
 
 // inspect answers with a report.
-func (h *hollow) inspect(w http.ResponseWriter) {
+func (h *simulatedAgent) inspect(w http.ResponseWriter) {
 	h.mu.Lock()
 	answer := protocol.Encode(h.report())
 	h.mu.Unlock()
--- a/internal/loadtest/jobname.go
+++ b/internal/loadtest/jobname.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// jobName is what a job's id tells, so that hollow workers need no description of it.
+// jobName is what a job's id tells, so that simulated agents need no description of it.
 type jobName struct {
 	Number int
 	Team   int
--- a/internal/loadtest/loadtest_test.go
+++ b/internal/loadtest/loadtest_test.go
@@ -39,7 +39,7 @@
 	return r
 }
 
-// TestRun: a small run of three real controllers and two processes of workers, in which one
+// TestRun: a small run of three real controllers and two processes of agents, in which one
 // controller is killed, measures every part, breaks no rule and gives a page.
 func TestRun(t *testing.T) {
 	c := small()
--- a/internal/loadtest/pool.go
+++ b/internal/loadtest/pool.go
@@ -16,11 +16,11 @@
 	"topazhollow/internal/settings"
 )
 
-// PoolConfig is the first line that a process of workers reads.
+// PoolConfig is the first line that a process of agents reads.
 type PoolConfig struct {
 	Seed   uint64   `json:"seed"`
-	IP     string   `json:"ip"`    // loopback address that the workers listen on
-	First  int      `json:"first"` // number of the first worker
+	IP     string   `json:"ip"`    // loopback address that the agents listen on
+	First  int      `json:"first"` // number of the first agent
 	Count  int      `json:"count"`
 	Zones  int      `json:"zones"`
 	Names  []string `json:"names"` // of the controllers
@@ -29,7 +29,7 @@
 	Lease  float64  `json:"lease_s"`
 }
 
-// PoolReady is the first line that a process of workers writes: its machines are up.
+// PoolReady is the first line that a process of agents writes: its machines are up.
 type PoolReady struct {
 	Machines []protocol.Host `json:"machines"`
 }
@@ -39,17 +39,17 @@
 	Remove []string `json:"remove"` // machines to take away
 }
 
-// pool is many hollow workers in one process.
+// pool is many simulated agents in one process.
 type pool struct {
 	names, addrs  []string
 	report, lease time.Duration
 	rec           recorder
 
-	byAddr map[string]*hollow
-	byName map[string]*hollow
+	byAddr map[string]*simulatedAgent
+	byName map[string]*simulatedAgent
 }
 
-// Work is the main function of a process of workers: it reads its configuration and orders
+// Work is the main function of a process of agents: it reads its configuration and orders
 // from in, and writes what happens to out, until in or the context ends.
 func Work(ctx context.Context, in io.Reader, out io.Writer) error {
 	lines := bufio.NewReader(in)
@@ -59,7 +59,7 @@
 		return fmt.Errorf("scale: configuration of a process of workers: %w", err)
 	}
 	p := &pool{names: c.Names, addrs: c.Addrs, report: settings.Seconds(c.Report), lease: settings.Seconds(c.Lease),
-		byAddr: map[string]*hollow{}, byName: map[string]*hollow{}}
+		byAddr: map[string]*simulatedAgent{}, byName: map[string]*simulatedAgent{}}
 	server := &http.Server{Handler: http.HandlerFunc(p.serve), ReadHeaderTimeout: time.Minute, IdleTimeout: 2 * time.Minute}
 	defer server.Close()
 	ready, err := p.open(&c, server)
@@ -82,7 +82,7 @@
 	return <-told
 }
 
-// open starts to listen for each worker.
+// open starts to listen for each agent.
 func (p *pool) open(c *PoolConfig, server *http.Server) (*PoolReady, error) {
 	ready := &PoolReady{}
 	for i := c.First; i < c.First+c.Count; i++ {
@@ -90,7 +90,7 @@
 		if err != nil {
 			return nil, err
 		}
-		h := &hollow{pool: p, name: machineName(i), zone: zoneName(i % c.Zones), addr: l.Addr().String(), listener: l,
+		h := &simulatedAgent{pool: p, name: machineName(i), zone: zoneName(i % c.Zones), addr: l.Addr().String(), listener: l,
 			rng: rand.New(rand.NewPCG(c.Seed, uint64(i))), wake: make(chan struct{}, 1), session: 1, alive: time.Now(), timers: map[string]*time.Timer{}}
 		p.byAddr[h.addr], p.byName[h.name] = h, h
 		ready.Machines = append(ready.Machines, protocol.Host{UID: h.name, Addr: h.addr, Type: machineType, Zone: h.zone, State: protocol.HostRunning})
@@ -115,7 +115,7 @@
 	}
 }
 
-// serve passes a request to the worker at whose address it arrived.
+// serve passes a request to the agent at whose address it arrived.
 func (p *pool) serve(w http.ResponseWriter, r *http.Request) {
 	addr, ok := r.Context().Value(http.LocalAddrContextKey).(net.Addr)
 	if !ok {
@@ -135,5 +135,5 @@
 	}
 }
 
-// errPool says that a process of workers ended by itself.
+// errPool says that a process of agents ended by itself.
 var errPool = errors.New("scale: a process of workers ended")
--- a/internal/loadtest/region.go
+++ b/internal/loadtest/region.go
@@ -26,7 +26,7 @@
 
 // Options are what a run needs beside its experiment.
 type Options struct {
-	Program    string    // that becomes a process of workers by the argument PoolCommand
+	Program    string    // that becomes a process of agents by the argument PoolCommand
 	Controller []string  // command line of a controller, to which its --config and --script are added
 	Dir        string    // for settings and logs
 	Out        io.Writer // told how the run goes
@@ -52,7 +52,7 @@
 	ended  chan struct{}
 }
 
-// poolProcess is a process of workers.
+// poolProcess is a process of agents.
 type poolProcess struct {
 	cmd   *exec.Cmd
 	in    io.WriteCloser
@@ -250,7 +250,7 @@
 	return x.cmd.Process.Pid
 }
 
-// startPools starts the processes of workers and lists their machines.
+// startPools starts the processes of agents and lists their machines.
 func (g *region) startPools() (hosts []protocol.Host, err error) {
 	var names, addrs []string
 	for _, x := range g.controllers {
@@ -294,10 +294,10 @@
 	return p, &ready, p.lines.Decode(&ready)
 }
 
-// PoolCommand is the argument by which Options.Program becomes a process of workers.
+// PoolCommand is the argument by which Options.Program becomes a process of agents.
 const PoolCommand = "simulated-agents"
 
-// read takes in what a process of workers tells until it ends.
+// read takes in what a process of agents tells until it ends.
 func (g *region) read(i int, p *poolProcess) {
 	defer g.readers.Done()
 	for {
@@ -360,7 +360,7 @@
 	}
 }
 
-// reached is how many workers are answered and how many tasks are on machines.
+// reached is how many agents are answered and how many tasks are on machines.
 func (g *region) reached() (homed, on int) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -370,7 +370,7 @@
 	return homed, len(g.rules.on)
 }
 
-// total is what all workers sent and got.
+// total is what all agents sent and got.
 func (g *region) total() (c Counts) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
--- a/internal/loadtest/result.go
+++ b/internal/loadtest/result.go
@@ -79,7 +79,7 @@
 	Machine     Machine   `json:"machine"`
 	Config      Config    `json:"config"`
 	Stopped     string    `json:"stopped,omitempty"` // why the run ended before its time
-	Settled     bool      `json:"settled"`           // all workers were answered and all services ran before the measuring began
+	Settled     bool      `json:"settled"`           // all agents were answered and all services ran before the measuring began
 	SettledIn   float64   `json:"settled_in_s"`
 	Measured    float64   `json:"measured_s"`
 	MachineBusy float64   `json:"machine_busy_cores"` // of the whole machine, other programs included
@@ -97,7 +97,7 @@
 	Expired       int64     `json:"worker_leases_ended"`
 	Moved         int64     `json:"reports_moved"`
 	Failed        int64     `json:"reports_failed"`
-	WorkerBytes   float64   `json:"worker_bytes_per_s"` // per worker, both directions, bodies only
+	WorkerBytes   float64   `json:"worker_bytes_per_s"` // per agent, both directions, bodies only
 	UrgentWait    Quantiles `json:"urgent_start_wait_ms"`
 	UsualWait     Quantiles `json:"usual_start_wait_ms"`
 	ReportTrip    Quantiles `json:"report_to_answer_us"`
--- a/internal/loadtest/run.go
+++ b/internal/loadtest/run.go
@@ -28,7 +28,7 @@
 	mostRamp    = 15 * time.Second // from the first array until measuring begins
 )
 
-// settledShare is which part of workers and services is to be up before measuring begins.
+// settledShare is which part of agents and services is to be up before measuring begins.
 const settledShare = 0.995
 
 // run is one experiment under way.
@@ -38,7 +38,7 @@
 	g        *region
 	u        *users
 	r        *Result
-	watched  []*watched // controllers, then processes of workers, then this process
+	watched  []*watched // controllers, then processes of agents, then this process
 	counts   Counts     // as measuring began
 	before   []Traffic
 	busy     float64
@@ -131,7 +131,7 @@
 	x.r.Broken, x.r.Breaks = slices.Clone(x.g.rules.broken), x.g.rules.breaks
 }
 
-// settle waits until workers are answered and services run.
+// settle waits until agents are answered and services run.
 func (x *run) settle(ctx context.Context) {
 	began := time.Now()
 	ctx, cancel := context.WithTimeout(ctx, settings.Seconds(x.c.Settle))
@@ -266,7 +266,7 @@
 	r.LongestGap, r.QuotaMost = max(g.rules.gap, time.Since(g.rules.last)).Seconds(), g.rules.most
 }
 
-// workerTraffic is what workers sent and got, as other messages are counted.
+// workerTraffic is what agents sent and got, as other messages are counted.
 func workerTraffic(c Counts) []Traffic {
 	return []Traffic{
 		{"workers", "report", c.Reports, c.ReportBytes, c.AnswerBytes},
--- a/internal/simulation/agent.go
+++ b/internal/simulation/agent.go
@@ -157,7 +157,7 @@
 	reply(rw, 200, w.heartbeat())
 }
 
-// obey executes direct commands if their token and session match.
+// applyCommands executes direct commands if their token and session match.
 func (w *Agent) applyCommands(d *protocol.DirectCommands) bool {
 	if d.FencingToken < w.token || d.Incarnation != w.session {
 		return false
@@ -324,7 +324,7 @@
 	}
 }
 
-// reportOnce sends one report to a controller, by its index, and gives to whom and when the next one goes.
+// sendHeartbeat sends one report to a controller, by its index, and gives to whom and when the next one goes.
 func (w *Agent) sendHeartbeat(client *http.Client, at int) (to int, next time.Duration) {
 	node := w.order[at]
 	sent := time.Now()
--- a/internal/simulation/check.go
+++ b/internal/simulation/check.go
@@ -10,7 +10,7 @@
 
 // Checker follows what happens and notes every broken rule of the protocol.
 type Checker struct {
-	// Cancel is how long after a user was told that a job is withdrawn its tasks may be on machines; 0:
+	// Cancel is how long after a user was told that a job is cancelled its tasks may be on machines; 0:
 	// for ever.
 	Cancel time.Duration
 
@@ -60,7 +60,7 @@
 	return append([]string(nil), c.Broken...)
 }
 
-// late says whether a job was withdrawn so long ago that no task of it may be on a machine.
+// late says whether a job was cancelled so long ago that no task of it may be on a machine.
 func (c *Checker) late(t *jobRecord) bool {
 	return c.Cancel > 0 && t.final == protocol.Cancelled && time.Since(t.told) > c.Cancel
 }
@@ -74,7 +74,7 @@
 	}
 }
 
-// Spec finds a submitted job, as workers do.
+// Spec finds a submitted job, as agents do.
 func (c *Checker) Spec(uid string) *protocol.Submission {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/simulation/endpoint.go
+++ b/internal/simulation/endpoint.go
@@ -147,7 +147,7 @@
 	return d.late()
 }
 
-// carryLate carries a transaction out that was held up.
+// applyLate carries a transaction out that was held up.
 func (d *Endpoint) applyLate(t *protocol.Txn) {
 	d.store.mu.Lock()
 	defer d.store.mu.Unlock()
@@ -159,7 +159,7 @@
 	}
 }
 
-// carry carries a transaction out and says whether its answer is lost.
+// apply carries a transaction out and says whether its answer is lost.
 func (d *Endpoint) apply(t *protocol.Txn) (status int, answer any, lost bool) {
 	d.store.mu.Lock()
 	defer d.store.mu.Unlock()
--- a/internal/simulation/faults.go
+++ b/internal/simulation/faults.go
@@ -199,7 +199,7 @@
 	return w.faults.hung
 }
 
-// hears says whether the answer to a report comes through.
+// receives says whether the answer to a report comes through.
 func (w *Agent) receives() bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -230,7 +230,7 @@
 	return held <= 0
 }
 
-// arrivesLate executes direct commands that were held up.
+// delayCommands executes direct commands that were held up.
 func (w *Agent) delayCommands(d *protocol.DirectCommands) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -252,7 +252,7 @@
 	}
 }
 
-// nextReport makes a report for a controller and says whether it arrives there now.
+// nextHeartbeat makes a report for a controller and says whether it arrives there now.
 func (w *Agent) nextHeartbeat(client *http.Client, node string) (body []byte, session uint64, arrives bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
--- a/internal/simulation/kvstore.go
+++ b/internal/simulation/kvstore.go
@@ -1,7 +1,7 @@
 // Package simulation holds stand-ins for everything around the controllers,
-// written from the protocol: the key-value store, the cloud, workers and users,
+// written from the protocol: the key-value store, the cloud, agents and users,
 // with faults and a checker of the protocol's rules. It is the ground of the
-// project's own rehearsals and tests.
+// project's own simulations and tests.
 package simulation
 
 import (
