--- a/internal/taskrunner/bring.go
+++ b/internal/taskrunner/bring.go
@@ -32,11 +32,11 @@
 
 func (r *refusal) Error() string { return fmt.Sprintf("runner: keeper says %d %s", r.status, r.reason) }
 
-// call makes a request until it is answered, of one keeper after another, with jittered
+// call makes a request until it is answered, of one replica after another, with jittered
 // pauses that grow, for as long as the context allows.
 func (s *spool) call(ctx context.Context, path string, body []byte) (*artifactstore.Answer, error) {
 	for pause := s.opt.Pause; ; pause = min(2*pause, 30*time.Second) {
-		a, after, err := s.once(ctx, s.opt.Keepers[s.at], path, body)
+		a, after, err := s.callOnce(ctx, s.opt.Keepers[s.at], path, body)
 		var no *refusal
 		if err == nil || errors.As(err, &no) {
 			return a, err
@@ -48,7 +48,7 @@
 	}
 }
 
-func (s *spool) once(ctx context.Context, at, path string, body []byte) (a *artifactstore.Answer, after time.Duration, err error) {
+func (s *spool) callOnce(ctx context.Context, at, path string, body []byte) (a *artifactstore.Answer, after time.Duration, err error) {
 	ctx, cancel := context.WithTimeout(ctx, time.Minute)
 	defer cancel()
 	req, err := http.NewRequestWithContext(ctx, "POST", strings.TrimSuffix(at, "/")+path, bytes.NewReader(body))
@@ -75,7 +75,7 @@
 	return nil, 0, &refusal{resp.StatusCode, a.Code, a.Error, a.Next, a.Offset}
 }
 
-// sealed says that a keeper refused something since the attempt is sealed: an earlier
+// sealed says that a replica refused something since the attempt is sealed: an earlier
 // process ended before it removed the spool, and all of it is there.
 func sealed(err error) bool {
 	var no *refusal
@@ -88,9 +88,9 @@
 	atOnceBytes = 1 << 20
 )
 
-// bring carries the spool over to a keeper and removes it when that is done. Every step
-// may be taken again after a restart: the keeper knows what it has.
-func (s *spool) bring(ctx context.Context) (Result, error) {
+// upload carries the spool over to a replica and removes it when that is done. Every step
+// may be taken again after a restart: the replica knows what it has.
+func (s *spool) upload(ctx context.Context) (Result, error) {
 	stop := context.AfterFunc(ctx, func() {
 		s.mu.Lock()
 		defer s.mu.Unlock()
@@ -106,7 +106,7 @@
 		for len(s.waits) == 0 && !s.whole && ctx.Err() == nil {
 			s.more.Wait()
 		}
-		var batch []waiting
+		var batch []unsentRecord
 		size := 0
 		for _, w := range s.waits {
 			if w.stream == s.waits[0].stream && len(batch) < atOnce && size < atOnceBytes {
@@ -122,17 +122,17 @@
 		if over {
 			break
 		}
-		if err := s.send(ctx, batch); err != nil {
+		if err := s.sendBatch(ctx, batch); err != nil {
 			return result, err
 		}
 	}
 	if s.exit != nil {
 		end := artifactstore.End{Exit: *s.exit, Records: maps.Clone(s.next), Files: map[string]string{}}
 		for _, path := range s.files {
-			d, err := s.bringFile(ctx, path)
+			d, err := s.uploadFile(ctx, path)
 			var no *refusal
 			for try := 0; try < 3 && errors.As(err, &no) && no.status == http.StatusNotFound; try++ {
-				d, err = s.bringFile(ctx, path) // the keeper gave the upload up meanwhile, or another is asked now
+				d, err = s.uploadFile(ctx, path) // the replica gave the upload up meanwhile, or another is asked now
 			}
 			if err != nil && !sealed(err) {
 				return result, err
@@ -154,8 +154,8 @@
 	return result, os.RemoveAll(s.dir)
 }
 
-// send brings records of one stream.
-func (s *spool) send(ctx context.Context, batch []waiting) error {
+// sendBatch brings records of one stream.
+func (s *spool) sendBatch(ctx context.Context, batch []unsentRecord) error {
 	var records []artifactstore.Record
 	for _, w := range batch {
 		b, err := s.log.Read(w.at)
@@ -200,8 +200,8 @@
 // pieceBytes is how much of a file goes in one request.
 const pieceBytes = 1 << 20
 
-// bringFile uploads one file in pieces and attaches it.
-func (s *spool) bringFile(ctx context.Context, path string) (d blob.Digest, err error) {
+// uploadFile uploads one file in pieces and attaches it.
+func (s *spool) uploadFile(ctx context.Context, path string) (d blob.Digest, err error) {
 	root, err := os.OpenRoot(s.task.Dir)
 	if err != nil {
 		return d, err
--- a/internal/taskrunner/taskrunner.go
+++ b/internal/taskrunner/taskrunner.go
@@ -1,7 +1,7 @@
-// Package taskrunner is a worker's side of keeping output: it runs a task's command, takes
-// in what it puts out and the files that it leaves, and brings all of it to a keeper.
-// Between the two lies a spool on the worker's disk, so that neither a keeper that
-// can't be reached nor the end of the worker's own process loses what was put out. What
+// Package taskrunner is an agent's side of keeping output: it runs a task's command, takes
+// in what it puts out and the files that it leaves, and brings all of it to a replica.
+// Between the two lies a spool on the agent's disk, so that neither a replica that
+// can't be reached nor the end of the agent's own process loses what was put out. What
 // the spool has no room for is dropped and marked; the seal never is.
 package taskrunner
 
@@ -47,7 +47,7 @@
 	Pause   time.Duration
 	Log     *slog.Logger
 	Step    func(step string) // told of each durable step, for tests
-	// Acked is told what a keeper acknowledged: the number of the next record of a stream.
+	// Acked is told what a replica acknowledged: the number of the next record of a stream.
 	Acked func(stream string, next uint64)
 }
 
@@ -60,7 +60,7 @@
 	Exit   *artifactstore.Exit   `json:"x,omitempty"`
 }
 
-// spool is an attempt's way to the keeper.
+// spool is an attempt's way to the replica.
 type spool struct {
 	opt  Options
 	dir  string
@@ -69,7 +69,7 @@
 
 	mu      sync.Mutex
 	more    sync.Cond
-	waits   []waiting // not brought yet
+	waits   []unsentRecord // not brought yet
 	next    map[string]uint64
 	bytes   int64
 	holes   map[string]*artifactstore.Hole // by stream, open
@@ -77,11 +77,11 @@
 	exit    *artifactstore.Exit
 	whole   bool // nothing more comes
 	dropped int64
-	at      int // keeper in use
+	at      int // replica in use
 }
 
-// waiting is a record that is still to be brought.
-type waiting struct {
+// unsentRecord is a record that is still to be brought.
+type unsentRecord struct {
 	stream string
 	number uint64
 	at     wal.Pos
@@ -141,7 +141,7 @@
 	case e.Task != nil:
 		s.task = *e.Task
 	case e.Record != nil:
-		s.waits = append(s.waits, waiting{e.Stream, s.next[e.Stream], at, len(e.Record.Data)})
+		s.waits = append(s.waits, unsentRecord{e.Stream, s.next[e.Stream], at, len(e.Record.Data)})
 		s.next[e.Stream]++
 		s.bytes += int64(len(e.Record.Data))
 	case e.Exit != nil:
@@ -162,9 +162,9 @@
 	return nil
 }
 
-// put takes a record in; if the spool is full, or its disk is, it becomes part of a
+// appendRecord takes a record in; if the spool is full, or its disk is, it becomes part of a
 // hole. One stream is put by one goroutine.
-func (s *spool) put(ctx context.Context, stream string, data []byte) {
+func (s *spool) appendRecord(ctx context.Context, stream string, data []byte) {
 	now := time.Now().UTC()
 	s.mu.Lock()
 	full := s.bytes+int64(len(data)) > s.opt.Room
@@ -193,7 +193,7 @@
 	h.Bytes, h.To = h.Bytes+int64(len(data)), now
 }
 
-// Run runs a task's command to its end and brings what it put out to a keeper. The
+// Run runs a task's command to its end and brings what it put out to a replica. The
 // context's end kills the command's whole process group; what it had put out until
 // then is still brought and sealed as not completed, for as long as grace allows.
 func Run(ctx context.Context, opt Options, t Task, grace time.Duration) (Result, error) {
@@ -221,11 +221,11 @@
 	var result Result
 	go func() {
 		var err error
-		result, err = s.bring(late)
+		result, err = s.upload(late)
 		brought <- err
 	}()
 	exit := s.execute(ctx, t)
-	files, err := collect(t)
+	files, err := collectFiles(t)
 	if err != nil { // what it should have left is not there, or is no plain file
 		exit.Completed, exit.Reason = false, err.Error()
 	}
@@ -262,7 +262,7 @@
 		wg.Add(1)
 		go func() {
 			defer wg.Done()
-			s.take(ctx, stream, r)
+			s.readStream(ctx, stream, r)
 		}()
 	}
 	wg.Wait()
@@ -277,13 +277,13 @@
 	return exit
 }
 
-// take splits a stream into lines, or pieces of long ones.
-func (s *spool) take(ctx context.Context, stream string, r io.Reader) {
+// readStream splits a stream into lines, or pieces of long ones.
+func (s *spool) readStream(ctx context.Context, stream string, r io.Reader) {
 	in := bufio.NewReaderSize(r, s.opt.Line)
 	for {
 		line, err := in.ReadSlice('\n')
 		if len(line) > 0 {
-			s.put(ctx, stream, bytes.Clone(bytes.TrimSuffix(line, []byte("\n"))))
+			s.appendRecord(ctx, stream, bytes.Clone(bytes.TrimSuffix(line, []byte("\n"))))
 		}
 		if err != nil && !errors.Is(err, bufio.ErrBufferFull) {
 			return // the process ended, or closed it
@@ -291,9 +291,9 @@
 	}
 }
 
-// collect lists the plain files that a task was to leave, as paths below its
+// collectFiles lists the plain files that a task was to leave, as paths below its
 // directory. Links are not followed: they could lead anywhere.
-func collect(t Task) (files []string, err error) {
+func collectFiles(t Task) (files []string, err error) {
 	root, err := os.OpenRoot(t.Dir)
 	if err != nil {
 		return nil, err
@@ -328,11 +328,11 @@
 	return slices.Compact(files), nil
 }
 
-// Recover takes up the spools that a worker's earlier process left: what is whole is
+// Recover takes up the spools that an agent's earlier process left: what is whole is
 // brought and sealed, and of what is not, the output that is there is brought; its
 // attempt stays partial, since nobody knows how it ended. It gives how many were taken
 // up. Spools that could not be brought, be it within the context's time or since a
-// keeper refuses them, stay and hold up no others; the error tells of them.
+// replica refuses them, stay and hold up no others; the error tells of them.
 func Recover(ctx context.Context, opt Options) (count int, err error) {
 	opt.defaults()
 	if len(opt.Keepers) == 0 {
@@ -361,7 +361,7 @@
 		}
 		partial := !s.whole
 		s.whole = true
-		_, err = s.bring(ctx)
+		_, err = s.upload(ctx)
 		s.log.Close()
 		if err != nil {
 			errs = append(errs, fmt.Errorf("runner: spool %s: %w", e.Name(), err))
--- a/internal/taskrunner/taskrunner_test.go
+++ b/internal/taskrunner/taskrunner_test.go
@@ -27,7 +27,7 @@
 	key = []byte("0123456789abcdef")
 )
 
-// site is a keeper that can be away.
+// site is a replica that can be away.
 type site struct {
 	t    *testing.T
 	n    *artifactreplication.Node
@@ -48,7 +48,7 @@
 		t.Fatal(err)
 	}
 	m := artifactreplication.Members{Epoch: 1, Copies: 1, Acks: 1, List: []artifactreplication.Member{{Name: "a", URL: "http://127.0.0.1:1", State: artifactreplication.Serving}}}
-	if x.n, err = artifactreplication.New(artifactreplication.Options{Name: "a", Dir: dir, Members: m, Keeper: k, Blobs: x.b, Key: key}); err == nil {
+	if x.n, err = artifactreplication.New(artifactreplication.Options{Name: "a", Dir: dir, Members: m, Store: k, Blobs: x.b, Key: key}); err == nil {
 		err = x.n.Repair(ctx)
 	}
 	if err != nil {
@@ -151,7 +151,7 @@
 	}
 }
 
-// TestKeeperAway: while the keeper can't be reached output waits in the spool up to a
+// TestKeeperAway: while the replica can't be reached output waits in the spool up to a
 // bound; beyond it what is dropped is marked with how much it was, and the attempt is
 // sealed all the same.
 func TestKeeperAway(t *testing.T) {
@@ -172,11 +172,11 @@
 	var got Result
 	go func() {
 		var err error
-		got, err = s.bring(ctx)
+		got, err = s.upload(ctx)
 		brought <- err
 	}()
 	for i := 1000; i < 2000; i++ {
-		s.put(ctx, "stdout", []byte(strconv.Itoa(i)))
+		s.appendRecord(ctx, "stdout", []byte(strconv.Itoa(i)))
 	}
 	x.away.Store(false)
 	for { // until the spool is empty
@@ -188,7 +188,7 @@
 		}
 		time.Sleep(time.Millisecond)
 	}
-	s.put(ctx, "stdout", []byte("last"))
+	s.appendRecord(ctx, "stdout", []byte("last"))
 	if err := s.write(ctx, &entry{Exit: &artifactstore.Exit{Completed: true}}); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/wal/append.go
+++ b/internal/wal/append.go
@@ -28,13 +28,13 @@
 		if len(r) == 0 || len(r) > MaxRecord {
 			return nil, fmt.Errorf("%w: %d bytes", ErrTooLong, len(r))
 		}
-		size += header + len(r)
+		size += headerBytes + len(r)
 	}
 	b.data = make([]byte, 0, size)
 	for _, r := range records {
 		b.offs = append(b.offs, int64(len(b.data)))
 		b.data = binary.LittleEndian.AppendUint32(b.data, uint32(len(r)))
-		b.data = binary.LittleEndian.AppendUint32(b.data, crc32.Checksum(r, table))
+		b.data = binary.LittleEndian.AppendUint32(b.data, crc32.Checksum(r, checksumTable))
 		b.data = append(b.data, r...)
 	}
 	l.mu.Lock()
@@ -68,8 +68,8 @@
 	}
 }
 
-// write carries out what waits, all of it with one fsync, until the log is closed.
-func (l *Log) write() {
+// writeLoop carries out what waits, all of it with one fsync, until the log is closed.
+func (l *Log) writeLoop() {
 	defer close(l.ended)
 	for range l.queue {
 		for {
@@ -84,12 +84,12 @@
 				}
 				break
 			}
-			l.carry(group, f, n, size)
+			l.writeGroup(group, f, n, size)
 		}
 	}
 }
 
-func (l *Log) carry(group []*batch, f File, n uint32, size int64) {
+func (l *Log) writeGroup(group []*batch, f File, n uint32, size int64) {
 	var data []byte
 	for _, b := range group {
 		for _, off := range b.offs {
@@ -106,13 +106,13 @@
 			err = fmt.Errorf("wal: %w", werr)
 			// A full disk, say: what went out is taken back, and the log goes on.
 			if terr := f.Truncate(size); terr != nil {
-				l.breakWith(terr)
+				l.fail(terr)
 			}
 		} else {
 			l.opt.Step("sync")
 			if serr := f.Sync(); serr != nil {
 				// What the system did with the pages is not known any more.
-				err = l.breakWith(serr)
+				err = l.fail(serr)
 			} else {
 				l.opt.Step("synced")
 				size += int64(len(data))
@@ -134,7 +134,7 @@
 	}
 }
 
-func (l *Log) breakWith(cause error) error {
+func (l *Log) fail(cause error) error {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.broken == nil {
--- a/internal/wal/read.go
+++ b/internal/wal/read.go
@@ -16,7 +16,7 @@
 func scan(f io.ReaderAt, at int64, each func(off int64, rec []byte) error) (int64, error) {
 	r := &countingReader{r: io.NewSectionReader(f, at, 1<<62), buf: make([]byte, 0, 64<<10)}
 	for {
-		head, err := r.next(header)
+		head, err := r.next(headerBytes)
 		if err == io.EOF {
 			return at, nil
 		}
@@ -28,13 +28,13 @@
 			return at, errTorn
 		}
 		rec, err := r.next(int(n))
-		if err != nil || crc32.Checksum(rec, table) != sum {
+		if err != nil || crc32.Checksum(rec, checksumTable) != sum {
 			return at, errTorn
 		}
 		if err := each(at, rec); err != nil {
 			return at, err
 		}
-		at += header + n
+		at += headerBytes + n
 	}
 }
 
@@ -72,7 +72,7 @@
 	if f == nil {
 		return nil, fmt.Errorf("wal: no segment %d: %w", at.Segment, fs.ErrNotExist)
 	}
-	var head [header]byte
+	var head [headerBytes]byte
 	if _, err := f.ReadAt(head[:], at.Offset); err != nil {
 		return nil, fmt.Errorf("%w: segment %d at %d: %v", ErrCorrupt, at.Segment, at.Offset, err)
 	}
@@ -81,10 +81,10 @@
 		return nil, fmt.Errorf("%w: segment %d at %d: length %d", ErrCorrupt, at.Segment, at.Offset, n)
 	}
 	rec := make([]byte, n)
-	if _, err := f.ReadAt(rec, at.Offset+header); err != nil {
+	if _, err := f.ReadAt(rec, at.Offset+headerBytes); err != nil {
 		return nil, fmt.Errorf("%w: segment %d at %d: %v", ErrCorrupt, at.Segment, at.Offset, err)
 	}
-	if crc32.Checksum(rec, table) != binary.LittleEndian.Uint32(head[4:]) {
+	if crc32.Checksum(rec, checksumTable) != binary.LittleEndian.Uint32(head[4:]) {
 		return nil, fmt.Errorf("%w: segment %d at %d: checksum", ErrCorrupt, at.Segment, at.Offset)
 	}
 	return rec, nil
--- a/internal/wal/wal.go
+++ b/internal/wal/wal.go
@@ -27,9 +27,9 @@
 // MaxRecord bounds one record, in bytes.
 const MaxRecord = 16 << 20
 
-const header = 8 // length and checksum of a record
+const headerBytes = 8 // length and checksum of a record
 
-var table = crc32.MakeTable(crc32.Castagnoli)
+var checksumTable = crc32.MakeTable(crc32.Castagnoli)
 
 // Pos is where a record begins. Later records have greater positions.
 type Pos struct {
@@ -155,7 +155,7 @@
 		l.closeFiles()
 		return nil, fmt.Errorf("wal: %w", err)
 	}
-	go l.write()
+	go l.writeLoop()
 	return l, nil
 }
 
