--- a/internal/agents/registry_test.go
+++ b/internal/agents/registry_test.go
@@ -23,7 +23,7 @@
 	return &protocol.Heartbeat{Machine: "m", Addr: "a", Type: "t", Zone: "z", Incarnation: 1, Seq: seq, FencingToken: 1, Tasks: tasks}
 }
 
-// TestSameNumberOfTwoOwners: attempt numbers are unique only for a task. Two
+// TestAttemptsOfTwoOwnersWithOneNumber: attempt numbers are unique only for a task. Two
 // owners' attempts of one term once met in one entry, and the second start was
 // never sent.
 func TestAttemptsOfTwoOwnersWithOneNumber(t *testing.T) {
@@ -35,8 +35,8 @@
 	}
 }
 
-// TestUnansweredStartIsNotForgotten: a start whose /do got no answer may still
-// arrive; once the worker forgot the attempt, it would run again.
+// TestUnansweredStartIsNotForgotten: a start whose request got no answer may still
+// arrive; once the agent forgot the attempt, it would run again.
 func TestUnansweredStartIsNotForgotten(t *testing.T) {
 	h, m := home(t)
 	o := startOf("job-1")
@@ -48,7 +48,7 @@
 	if cmds := m.TakeForAnswer(); len(cmds) != 0 {
 		t.Fatalf("forgets beside a start in flight: %v", cmds)
 	}
-	// Under a later term the worker refuses the old start, so it may be forgotten.
+	// Under a later term the agent refuses the old start, so it may be forgotten.
 	h.SetTerm(2, func(string) bool { return true })
 	h.QueueOrders(2, "m", []jobstate.Order{o})
 	if cmds := m.TakeForAnswer(); len(cmds) != 1 || cmds[0].Op != protocol.Forget {
@@ -56,8 +56,7 @@
 	}
 }
 
-// TestBarredIsNeverSent: a stop for a start that was not sent bars it, and the
-// owner may count on it.
+// TestRefusedStartIsNeverSent: a stop for a start that was not sent takes it back for good, and the owner may count on it.
 func TestRefusedStartIsNeverSent(t *testing.T) {
 	h, m := home(t)
 	o := startOf("job-1")
@@ -70,11 +69,11 @@
 		t.Fatalf("sends %v after the owner was told never", cmds)
 	}
 	if v := h.Status("m"); len(v.Barred) != 1 || v.Barred[0] != o.Ref() {
-		t.Fatalf("view bars %v", v.Barred)
+		t.Fatalf("status has as never sent %v", v.Barred)
 	}
 }
 
-// TestSentIsNotBarred: what was sent without an answer is never called unsent.
+// TestSentStartIsNotReportedAsNeverSent: what was sent without an answer may still arrive.
 func TestSentStartIsNotReportedAsNeverSent(t *testing.T) {
 	h, m := home(t)
 	o := startOf("job-1")
@@ -85,11 +84,11 @@
 	h.ApplyHeartbeat(report(2), time.Unix(2, 0))
 	h.QueueOrders(1, "m", []jobstate.Order{o})
 	if v := h.Status("m"); len(v.Barred) != 0 {
-		t.Fatalf("view bars %v, which may still arrive", v.Barred)
+		t.Fatalf("status has as never sent %v, which may still arrive", v.Barred)
 	}
 }
 
-// TestStartOfAnEarlierTermIsNotBarred: a stop for an attempt of an earlier term that the machine does not list is no
+// TestStartOfAnEarlierTermIsNotReportedAsNeverSent: a stop for an attempt of an earlier term that the machine does not list is no
 // proof that its start was never sent: the home of that term may have sent it, and it may still arrive.
 func TestStartOfAnEarlierTermIsNotReportedAsNeverSent(t *testing.T) {
 	h, m := home(t)
@@ -101,18 +100,18 @@
 	o.Op = protocol.Stop
 	h.QueueOrders(2, "m", []jobstate.Order{o})
 	if v := h.Status("m"); len(v.Barred) != 0 {
-		t.Fatalf("view bars %v, which the home of an earlier term sent", v.Barred)
+		t.Fatalf("status has as never sent %v, which the home of an earlier term sent", v.Barred)
 	}
 	// The same stop for an attempt of the home's own term, of which no start came, is proof.
 	o.Attempt = jobstate.AttemptID(2, 1)
 	h.QueueOrders(2, "m", []jobstate.Order{o})
 	if v := h.Status("m"); len(v.Barred) != 1 {
-		t.Fatalf("view bars %v, want the attempt that this home never sent", v.Barred)
+		t.Fatalf("status has as never sent %v, want the attempt that this home never sent", v.Barred)
 	}
 }
 
-// TestStartInAnAnswerIsSettledByTheNextReport: a start that went out with the answer to a report may be on its way while
-// a direct command overtakes it. Only the worker's own next report tells what became of the answer.
+// TestStartInAnAnswerIsSettledByTheNextHeartbeat: a start that went out with the answer to a heartbeat may be on its way
+// while a request with commands overtakes it. Only the agent's own next heartbeat tells what became of the answer.
 func TestStartInAnAnswerIsSettledByTheNextHeartbeat(t *testing.T) {
 	h, m := home(t)
 	o := startOf("job-1")
@@ -124,7 +123,7 @@
 	o.Op = protocol.Stop
 	h.QueueOrders(1, "m", []jobstate.Order{o})
 	if v := h.Status("m"); len(v.Barred) != 0 {
-		t.Fatalf("view bars %v, which may still arrive", v.Barred)
+		t.Fatalf("status has as never sent %v, which may still arrive", v.Barred)
 	}
 	forget := o
 	forget.Op = protocol.Forget
@@ -135,7 +134,7 @@
 	}
 }
 
-// TestLostAnswerIsBarred: once the worker itself reported again without the task, the answer with its start was lost,
+// TestStartInALostAnswerIsNeverSent: once the agent itself sent a heartbeat again without the task, the answer with its start was lost,
 // and the home can say that it will never be sent.
 func TestStartInALostAnswerIsNeverSent(t *testing.T) {
 	h, m := home(t)
@@ -146,11 +145,11 @@
 	o.Op = protocol.Stop
 	h.QueueOrders(1, "m", []jobstate.Order{o})
 	if v := h.Status("m"); len(v.Barred) != 1 {
-		t.Fatalf("view bars %v, want the lost start", v.Barred)
+		t.Fatalf("status has as never sent %v, want the lost start", v.Barred)
 	}
 }
 
-// TestOtherTermIsRefused: a home carries no order of another term, so that a
+// TestOrdersOfAnotherTermAreIgnored: a home sends no order of another term, so that a
 // replaced owner's starts end with their term.
 func TestOrdersOfAnotherTermAreIgnored(t *testing.T) {
 	h, m := home(t)
@@ -161,19 +160,19 @@
 	}
 }
 
-// TestNoRoomIsBarred: two owners that guessed the same room get one yes.
+// TestStartWithoutRoomIsRefused: of owners that place on the same room, the last is refused.
 func TestStartWithoutRoomIsRefused(t *testing.T) {
 	h, _ := home(t)
 	for i, job := range []string{"job-1", "job-2", "job-3", "job-4", "job-5"} {
 		h.QueueOrders(1, "m", []jobstate.Order{startOf(job)})
 		if barred := len(h.Status("m").Barred); (i < 4 && barred != 0) || (i == 4 && barred != 1) {
-			t.Fatalf("after %d starts %d are barred", i+1, barred)
+			t.Fatalf("after %d starts %d are refused", i+1, barred)
 		}
 	}
 }
 
-// TestOlderReportIsIgnored: a copy of an earlier report, also of an earlier session, that comes after newer ones
-// changes nothing: not what the machine lists, nor when it was heard.
+// TestOlderHeartbeatIsIgnored: a copy of an earlier heartbeat, also of an earlier incarnation, that comes after newer ones
+// changes nothing: not what the machine lists, nor when it was last heard.
 func TestOlderHeartbeatIsIgnored(t *testing.T) {
 	h, m := home(t)
 	h.QueueOrders(1, "m", []jobstate.Order{startOf("job-1")})
@@ -182,15 +181,15 @@
 	h.ApplyHeartbeat(report(4, running), time.Unix(4, 0))
 	next := report(1, running)
 	next.Incarnation = 2
-	for what, r := range map[string]*protocol.Heartbeat{"an earlier report": report(3), "the same one": report(4), "one that listed nothing": report(1)} {
+	for what, r := range map[string]*protocol.Heartbeat{"an earlier heartbeat": report(3), "the same one": report(4), "one that listed nothing": report(1)} {
 		if newer, changed := h.ApplyHeartbeat(r, time.Unix(9, 0)); newer || changed || len(m.Heartbeat.Tasks) != 1 || m.HeartbeatAt != time.Unix(4, 0) {
 			t.Errorf("%s is taken for the newest", what)
 		}
 	}
 	if newer, _ := h.ApplyHeartbeat(next, time.Unix(5, 0)); !newer {
-		t.Fatal("the first report of the next session is not taken")
+		t.Fatal("the first heartbeat of the next incarnation is not taken")
 	}
 	if newer, _ := h.ApplyHeartbeat(report(90), time.Unix(9, 0)); newer || m.Heartbeat.Incarnation != 2 {
-		t.Error("a report of an earlier session is taken for the newest")
+		t.Error("a heartbeat of an earlier incarnation is taken for the newest")
 	}
 }
--- a/internal/cancelwatermark/cancelwatermark_test.go
+++ b/internal/cancelwatermark/cancelwatermark_test.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// world is a plain model of three controllers and a state service: what was confirmed when, what each process
+// world is a plain model of three controllers and a key-value store: what was confirmed when, what each process
 // knows, and lines that arrive late or get lost with their connection.
 type world struct {
 	rng       *rand.Rand
@@ -15,7 +15,7 @@
 	now       time.Time
 	stored    []string
 	confirmed map[string]time.Time
-	down      [3]time.Time // the state service does not serve a controller before
+	down      [3]time.Time // the store does not serve a controller before
 	nodes     [3]*process
 	flying    []func()
 	arrives   []time.Time
@@ -218,7 +218,7 @@
 			}
 			for uid, at := range w.confirmed {
 				if at.Before(until) && !n.knows[uid] {
-					return fmt.Sprintf("%s does not know %s, confirmed %v before its horizon", names[k], uid, until.Sub(at))
+					return fmt.Sprintf("%s does not know %s, confirmed %v before its watermark", names[k], uid, until.Sub(at))
 				}
 			}
 		}
@@ -230,9 +230,9 @@
 	return &world{rng: rand.New(rand.NewPCG(seed, 5)), mutant: mutant, now: time.Unix(1000, 0), confirmed: map[string]time.Time{}}
 }
 
-// TestHorizonModel: whatever gets lost, comes late, ends or is refused, everything that anybody confirmed before a
-// controller's horizon is known there. A renewal that rested on anything else kept tasks alive past their
-// time when the state service refused one controller and then all.
+// TestWatermarkModel: whatever gets lost, comes late, ends or is refused, everything that anybody confirmed before a
+// controller's watermark is known there. A renewal that rested on anything else kept tasks alive past their
+// time when the key-value store refused one controller and then all.
 func TestWatermarkModel(t *testing.T) {
 	var sum world
 	for seed := range uint64(60) {
@@ -250,7 +250,7 @@
 	}
 }
 
-// TestHorizonModelCatches shows that the model fails one that takes less for knowledge.
+// TestWatermarkModelCatchesMutants shows that the model finds a watermark that takes less for knowledge.
 func TestWatermarkModelCatchesMutants(t *testing.T) {
 	for _, mutant := range []string{"one process", "untold", "gap", "arrival", "read ended"} {
 		caught := false
@@ -258,13 +258,13 @@
 			caught = caught || newWorld(seed, mutant).play(2500) != ""
 		}
 		if !caught {
-			t.Errorf("a horizon that goes wrong by %q is not caught", mutant)
+			t.Errorf("a watermark that goes wrong by %q is not caught", mutant)
 		}
 	}
 }
 
-// TestHorizonByPeers: through an outage the horizon moves with the peers' words, or machines
-// would lose what they run; it stops with the first peer that is not heard, or that began anew.
+// TestWatermarkAdvancesByPeers: through an outage the watermark advances with the peers' statuses, or machines would lose
+// what they run; it stops with the first peer that is silent, or that began anew.
 func TestWatermarkAdvancesByPeers(t *testing.T) {
 	h := New([]string{"b", "c"}, 30*time.Second, 10*time.Second)
 	start := time.Unix(1000, 0)
@@ -287,7 +287,7 @@
 		}
 	}
 	if got, want := h.KnownUntil(at(100)), at(98.5); !got.Equal(want) {
-		t.Fatalf("horizon %v after the last words, want %v", got.Sub(start), want.Sub(start))
+		t.Fatalf("watermark %v after the last words, want %v", got.Sub(start), want.Sub(start))
 	}
 	// A machine whose home may have sent it something before that word counts from there.
 	if h.MayRenew(at(100), at(80)) || !h.MayRenew(at(100), at(90)) {
@@ -296,22 +296,22 @@
 	hear("b", 1, 1, 101) // one that did not come here
 	hear("c", 1, 0, 101)
 	if got := h.KnownUntil(at(101)); !got.Equal(at(98.5)) {
-		t.Errorf("moves to %v past a withdrawal that did not come", got.Sub(start))
+		t.Errorf("moves to %v past a cancellation that did not come", got.Sub(start))
 	}
 	h.RecordReceived("b", 1, 1)
 	hear("b", 1, 1, 102)
 	hear("c", 2, 0, 102) // began anew: what it confirmed last before is not known here
 	if got := h.KnownUntil(at(102)); !got.Equal(at(1)) {
-		t.Errorf("horizon %v with a peer that began anew, want that of the last read", got.Sub(start))
+		t.Errorf("watermark %v with a peer that began anew, want that of the last read", got.Sub(start))
 	}
 	h.RecordRead(at(103))
 	hear("c", 2, 0, 104)
 	if got := h.KnownUntil(at(104)); !got.Equal(at(103)) {
-		t.Errorf("horizon %v after a read, want 103 s", got.Sub(start))
+		t.Errorf("watermark %v after a read, want 103 s", got.Sub(start))
 	}
 }
 
-// TestAbsurdWords: numbers that nobody can mean change nothing.
+// TestImpossibleNumbersAreIgnored: numbers that nobody can mean change nothing.
 func TestImpossibleNumbersAreIgnored(t *testing.T) {
 	h := New([]string{"b"}, 30*time.Second, 10*time.Second)
 	now := time.Unix(1000, 0)
@@ -326,7 +326,7 @@
 	h.RecordAcknowledgedBy("nobody", 1)
 	h.RecordConfirmedBy("nobody", 0, now.Add(time.Hour))
 	if h.ReceivedFrom("b") != 0 {
-		t.Errorf("took %d withdrawals in from no number and after a gap", h.ReceivedFrom("b"))
+		t.Errorf("took %d cancellations in from no number and after a gap", h.ReceivedFrom("b"))
 	}
 	if from, uids := h.TakeUnacknowledged("b", now, 500); from != 1 || len(uids) != 2 {
 		t.Errorf("tells %v from %d, the peer has nothing", uids, from)
