--- a/internal/autoscaler/retire.go
+++ b/internal/autoscaler/retire.go
@@ -111,7 +111,8 @@
 	// Twice the reserve before the next goes, and none for a while after machines were
 	// asked for, so that none goes back and forth.
 	for _, m := range machines {
-		if now.Sub(f.scaledOutAt) < retirePause || room-1 < 2*freeReserve*(kept-1) || kept <= math.Max(1, float64(f.options.Warm)) {
+		warm := math.Max(1, float64(f.options.Warm))
+		if now.Sub(f.scaledOutAt) < retirePause || room-1 < 2*freeReserve*(kept-1) || kept <= warm {
 			break
 		}
 		if !f.retired[m.Name] && f.hasCheaperKind(m, t) && !m.runsPinned() {
--- a/internal/autoscaler/scaleout.go
+++ b/internal/autoscaler/scaleout.go
@@ -190,7 +190,8 @@
 func (f *Fleet) anyAvailable(types []protocol.MachineType, now time.Time) bool {
 	for i := range types {
 		for _, zone := range types[i].Zones {
-			if !f.isUnavailable(pool{types[i].Name, zone, false}, now) || f.options.SpotShare > 0 && !f.isUnavailable(pool{types[i].Name, zone, true}, now) {
+			onDemand, spot := pool{types[i].Name, zone, false}, pool{types[i].Name, zone, true}
+			if !f.isUnavailable(onDemand, now) || f.options.SpotShare > 0 && !f.isUnavailable(spot, now) {
 				return true
 			}
 		}
--- a/internal/controller/admission.go
+++ b/internal/controller/admission.go
@@ -120,7 +120,8 @@
 	if n.leadership.Record() == nil {
 		return
 	}
-	if fleet := n.leadership.Record().Shards[leadership.FleetShard]; fleet.Owner == node && n.leadership.Record().Nodes[node] == incarnation {
+	record := n.leadership.Record()
+	if fleet := record.Shards[leadership.FleetShard]; fleet.Owner == node && record.Nodes[node] == incarnation {
 		before := n.admission.agreement.InForce()
 		n.admission.agreement.Apply(fleet.SinceTerm, *w)
 		n.logPlanInForce(before)
@@ -133,7 +134,8 @@
 	if now == before || before != nil && now.Same(before) || before == nil && now.Same(&admission.Plan{}) {
 		return
 	}
-	n.log.Info("plan in force", "since", now.SinceTerm, "number", now.Number, "floors", now.Floors, "machines_held", reservedPerClass(now))
+	n.log.Info("plan in force", "since", now.SinceTerm, "number", now.Number, "floors", now.Floors,
+		"machines_held", reservedPerClass(now))
 	n.wake()
 }
 
@@ -240,7 +242,8 @@
 	for _, s := range m.Tasks {
 		left = max(left, s.SecondsLeft)
 	}
-	return admission.Machine{Name: m.Name, CPUs: cpus, Memory: memory, FreeCPUs: m.FreeCPUs, SecondsUntilIdle: left}, true
+	planned = admission.Machine{Name: m.Name, CPUs: cpus, Memory: memory, FreeCPUs: m.FreeCPUs, SecondsUntilIdle: left}
+	return planned, true
 }
 
 // addArrivals adds the jobs that were submitted lately.
--- a/internal/controller/autoscaling_inputs.go
+++ b/internal/controller/autoscaling_inputs.go
@@ -81,7 +81,13 @@
 	} else if since, running := n.scheduler.RunningSince(machine, ref); running {
 		left = max(left-now.Sub(since).Seconds(), left/8)
 	}
-	return autoscaler.RunningTask{CPUs: spec.CPUs, GPUs: spec.GPUs, Memory: spec.MemoryGB, SecondsLeft: left, OnDemandOnly: !spec.Spot}
+	return autoscaler.RunningTask{
+		CPUs:         spec.CPUs,
+		GPUs:         spec.GPUs,
+		Memory:       spec.MemoryGB,
+		SecondsLeft:  left,
+		OnDemandOnly: !spec.Spot,
+	}
 }
 
 // homeUnreachable says whether a machine's home is another member that holds its lease but is not
@@ -157,7 +163,8 @@
 	in := autoscaler.Arrivals{}
 	for _, j := range n.jobs {
 		if j.spec.Kind != protocol.Service && !j.submittedAt.IsZero() && now.Sub(j.submittedAt) < arrivalWindow {
-			in[protocol.Rank(j.spec.Priority)] += float64(j.spec.Tasks) * j.spec.CPUs * j.spec.EstimateSeconds / arrivalWindow.Seconds()
+			work := float64(j.spec.Tasks) * j.spec.CPUs * j.spec.EstimateSeconds
+			in[protocol.Rank(j.spec.Priority)] += work / arrivalWindow.Seconds()
 		}
 	}
 	return in
--- a/internal/controller/node.go
+++ b/internal/controller/node.go
@@ -224,7 +224,8 @@
 		addrs[p.Name] = p.Endpoint
 		n.peers[p.Name] = &peerState{}
 	}
-	cancel, lease := settings.Seconds(n.settings.Deployment.Agents.CancelSeconds), settings.Seconds(n.settings.Deployment.Agents.LeaseSeconds)
+	deadlines := &n.settings.Deployment.Agents
+	cancel, lease := settings.Seconds(deadlines.CancelSeconds), settings.Seconds(deadlines.LeaseSeconds)
 	n.cancelWatermark = cancelwatermark.New(slices.Collect(maps.Keys(n.peers)), cancel, lease)
 	n.links = peer.New(n.name, n.incarnation, addrs, peerHandler{n}, n.log)
 }
@@ -245,7 +246,8 @@
 	n.mu.Lock()
 	n.group, n.ctx = group, ctx
 	n.mu.Unlock()
-	n.log.Info("starting", "version", Version, "incarnation", n.incarnation, "zone", n.settings.Zone, "controllers", len(n.settings.Peers)+1)
+	n.log.Info("starting", "version", Version, "incarnation", n.incarnation, "zone", n.settings.Zone,
+		"controllers", len(n.settings.Peers)+1)
 	for name, duty := range n.duties() {
 		group.Go(func() error {
 			if err := duty(ctx); err != nil && ctx.Err() == nil {
--- a/internal/controller/teamconfig.go
+++ b/internal/controller/teamconfig.go
@@ -91,7 +91,8 @@
 	}
 	overruled := len(n.teamConfig.config.Overruled())
 	if n.teamConfig.config.Learn(name, entry, e.Version) {
-		n.log.Info("team's configuration", "team", name, "number", entry.Number, "version", e.Version, "cpus_max", entry.CPUsMax, "removed", entry.Removed)
+		n.log.Info("team's configuration", "team", name, "number", entry.Number, "version", e.Version,
+			"cpus_max", entry.CPUsMax, "removed", entry.Removed)
 		n.wake()
 		n.requestStatus()
 	}
@@ -101,7 +102,8 @@
 // logOverruled logs the acknowledged changes after the first so many that lost against others.
 func (n *Node) logOverruled(known int) {
 	for _, x := range n.teamConfig.config.Overruled()[known:] {
-		n.log.Error("acknowledged change of a team's configuration overruled", "team", x.Team, "number", x.Entry.Number, "change", x.Entry.Change)
+		n.log.Error("acknowledged change of a team's configuration overruled",
+			"team", x.Team, "number", x.Entry.Number, "change", x.Entry.Change)
 	}
 }
 
@@ -235,7 +237,8 @@
 	r := n.configRecord()
 	for _, x := range n.teamConfig.propagation.Propagated(r, n.teamConfig.config.NotInForce()) {
 		n.teamConfig.config.MarkInForce(x.Team, x.Version)
-		n.log.Info("team's configuration in force everywhere", "team", x.Team, "number", x.Entry.Number, "version", x.Version)
+		n.log.Info("team's configuration in force everywhere",
+			"team", x.Team, "number", x.Entry.Number, "version", x.Version)
 	}
 	n.logLagging(n.teamConfig.propagation.Lagging(r, n.teamConfig.config.LatestVersion(), now), now)
 }
--- a/internal/teamconfig/config.go
+++ b/internal/teamconfig/config.go
@@ -33,7 +33,12 @@
 
 // New is a configuration by the settings file alone. Knowledge older than the bound counts as old.
 func New(base []settings.Team, bound time.Duration) *Config {
-	c := &Config{base: map[string]settings.Team{}, maxAge: bound, teams: map[string]*team{}, notInForce: map[string]*team{}}
+	c := &Config{
+		base:       map[string]settings.Team{},
+		maxAge:     bound,
+		teams:      map[string]*team{},
+		notInForce: map[string]*team{},
+	}
 	for _, t := range base {
 		c.base[t.Name] = t
 	}
--- a/internal/teamconfig/entry.go
+++ b/internal/teamconfig/entry.go
@@ -68,7 +68,8 @@
 		least float64
 	}{{"cpus", e.CPUs, 0}, {"cpus_max", e.CPUsMax, minLimit}, {"gpus", e.GPUs, 0}, {"gpus_max", e.GPUsMax, minLimit}} {
 		if math.IsNaN(x.value) || x.value < 0 || x.value > maxAmount || x.value > 0 && x.value < x.least {
-			return &protocol.FieldError{Field: x.field, Reason: fmt.Sprintf("%g is not 0 or between %g and %g", x.value, max(x.least, 0), float64(maxAmount))}
+			reason := fmt.Sprintf("%g is not 0 or between %g and %g", x.value, max(x.least, 0), float64(maxAmount))
+			return &protocol.FieldError{Field: x.field, Reason: reason}
 		}
 	}
 	return nil
--- a/internal/teamstore/teamstore.go
+++ b/internal/teamstore/teamstore.go
@@ -91,8 +91,10 @@
 				return Committed{}, err
 			}
 			key := Prefix + team
-			version, err = w.client.Commit(ctx, kvstore.Update{Conditions: []protocol.Condition{{Key: key, Version: version}},
-				Changes: []protocol.Op{{Set: key, Value: protocol.Encode(e)}}})
+			version, err = w.client.Commit(ctx, kvstore.Update{
+				Conditions: []protocol.Condition{{Key: key, Version: version}},
+				Changes:    []protocol.Op{{Set: key, Value: protocol.Encode(e)}},
+			})
 			if err == nil {
 				return Committed{team, e, version}, nil
 			}
