--- a/internal/cloud/cloud.go
+++ b/internal/cloud/cloud.go
@@ -1,5 +1,6 @@
-// Package cloud is the client of the cloud's rental interface, paced by one
-// controller's share of its rate.
+// Package cloud is the client of the cloud's rental interface: the catalog of machine types, scaling out and in, and the
+// list of machines. It is paced by one controller's share of the cloud's rate, and decides nothing: which machines to
+// rent is internal/autoscaler's and internal/provisioning's to say.
 package cloud
 
 import (
@@ -16,25 +17,25 @@
 	"topazhollow/internal/settings"
 )
 
-// Errors that callers tell apart.
+// Errors that callers tell apart, with errors.Is.
 var (
-	ErrNoCapacity = errors.New("cloud: no capacity")
-	ErrRefused    = errors.New("cloud: refused")
+	ErrNoCapacity = errors.New("cloud: no capacity") // of that machine type in that zone, now
+	ErrRefused    = errors.New("cloud: refused")     // with a status; any other error may mean that it was carried out
 )
 
 const (
-	timeout    = 6 * time.Second
+	timeout    = 6 * time.Second // of one request
 	maxScaleIn = 100
 )
 
-// Client talks to the cloud.
+// Client talks to the cloud. It may be used by several goroutines at once.
 type Client struct {
 	pool    *httpx.Pool
 	limiter *rate.Limiter
 }
 
-// New is a client. Only the fleet's owner sends much, so it may use most of the
-// rate; the others keep to what is left.
+// New is a client of one of n controllers. Only the owner of the fleet sends much, so each may use most of the rate;
+// a single controller may use nearly all.
 func New(addr string, limits settings.Cloud, n int) *Client {
 	share := limits.RequestsPerSecond * 0.6
 	if n == 1 {
@@ -85,7 +86,8 @@
 	return cat.Types, nil
 }
 
-// ScaleOut asks for machines and gives the names of those rented.
+// ScaleOut asks for machines and gives the names of those rented, which may be fewer. A repeated request by the same
+// r.Request is carried out once.
 func (c *Client) ScaleOut(ctx context.Context, r protocol.ScaleOutRequest) ([]string, error) {
 	r.Count = min(r.Count, protocol.MaxScaleOut)
 	var names protocol.MachineNames
@@ -101,7 +103,7 @@
 	return c.do(ctx, "POST", "/hosts/return", protocol.MachineNames{Machines: machines}, nil)
 }
 
-// List reads the cloud's lagging list of machines.
+// List reads the cloud's list of machines, which lags behind by the list_lag_s of the settings.
 func (c *Client) List(ctx context.Context) ([]protocol.Host, error) {
 	var all []protocol.Host
 	after := ""
--- a/internal/httpx/listen.go
+++ b/internal/httpx/listen.go
@@ -13,7 +13,8 @@
 	"github.com/panjf2000/gnet/v2/pkg/logging"
 )
 
-// Conn is a connection accepted by gnet, read by a goroutine of its own.
+// Conn is a connection accepted by gnet. One goroutine, that of Listen's serve, reads it; gnet's event loop hands over
+// what has arrived. Write and Close may be called from any goroutine.
 type Conn struct {
 	raw      gnet.Conn
 	remote   string
@@ -107,6 +108,7 @@
 	}
 }
 
+// listener is what gnet calls back.
 type listener struct {
 	gnet.BuiltinEventEngine
 	maxConns  int
--- a/internal/httpx/parse.go
+++ b/internal/httpx/parse.go
@@ -1,5 +1,6 @@
-// Package httpx is the project's own HTTP/1.1: a bounded parser, a server on
-// gnet and a client.
+// Package httpx is the project's own HTTP/1.1, as much as the protocol needs: a parser with bounds (parse.go), a server
+// on gnet with a goroutine for each connection (listen.go, serve.go) and a client over kept connections (client.go).
+// It exists because a controller holds thousands of connections in little memory. It knows no path of the protocol.
 package httpx
 
 import (
@@ -14,9 +15,9 @@
 
 // Bounds of the parser.
 const (
-	MaxLine    = 8 << 10
+	MaxLine    = 8 << 10 // of the request line or a header, in bytes
 	MaxHeaders = 64
-	MaxHead    = 32 << 10
+	MaxHead    = 32 << 10 // of all headers, in bytes
 )
 
 // ErrTooLarge says that a response was longer than its reader allows.
@@ -45,6 +46,7 @@
 	RetryAfterSeconds int // seconds of Retry-After, 0 if absent
 }
 
+// head is what the headers say; length is -1 if they give none, retryAfter is in seconds.
 type head struct {
 	length     int64
 	chunked    bool
@@ -68,6 +70,7 @@
 	return string(line), nil
 }
 
+// isToken says whether a text may be a method or the name of a header.
 func isToken(s string) bool {
 	if s == "" {
 		return false
@@ -81,60 +84,75 @@
 	return true
 }
 
+// readHead reads the headers up to the empty line. Those that mean nothing here are checked and dropped.
 func readHead(r *bufio.Reader) (head, error) {
 	h := head{length: -1}
 	total := 0
 	for n := 0; ; n++ {
 		line, err := readLine(r)
-		if err != nil {
-			if errors.Is(err, io.EOF) {
-				err = io.ErrUnexpectedEOF
-			}
-			return h, err
+		if errors.Is(err, io.EOF) {
+			return h, io.ErrUnexpectedEOF
 		}
-		if line == "" {
-			return h, nil
+		if err != nil || line == "" {
+			return h, err
 		}
 		total += len(line)
 		if n >= MaxHeaders || total > MaxHead {
 			return h, &BadRequest{431, "too many headers"}
 		}
-		name, value, ok := strings.Cut(line, ":")
-		if !ok || !isToken(name) {
-			return h, &BadRequest{400, "malformed header"}
+		name, value, err := parseHeader(line)
+		if err != nil {
+			return h, err
 		}
-		value = strings.Trim(value, " \t")
-		if strings.ContainsAny(value, "\x00\r") {
-			return h, &BadRequest{400, "malformed header value"}
+		if err := h.set(name, value); err != nil {
+			return h, err
 		}
-		switch strings.ToLower(name) {
-		case "content-length":
-			v, err := strconv.ParseUint(value, 10, 62)
-			if err != nil || (h.length >= 0 && h.length != int64(v)) || value[0] == '+' {
-				return h, &BadRequest{400, "malformed content-length"}
-			}
-			h.length = int64(v)
-		case "transfer-encoding":
-			if !strings.EqualFold(value, "chunked") || h.chunked {
-				return h, &BadRequest{400, "unknown transfer-encoding"}
-			}
-			h.chunked = true
-		case "connection":
-			for _, token := range strings.Split(value, ",") {
-				if strings.EqualFold(strings.TrimSpace(token), "close") {
-					h.close = true
-				}
-			}
-		case "retry-after":
-			if v, err := strconv.Atoi(value); err == nil && v > 0 {
-				h.retryAfter = v
+	}
+}
+
+// parseHeader takes a header's line apart.
+func parseHeader(line string) (name, value string, err error) {
+	name, value, ok := strings.Cut(line, ":")
+	if !ok || !isToken(name) {
+		return "", "", &BadRequest{400, "malformed header"}
+	}
+	value = strings.Trim(value, " \t")
+	if strings.ContainsAny(value, "\x00\r") {
+		return "", "", &BadRequest{400, "malformed header value"}
+	}
+	return name, value, nil
+}
+
+// set takes in a header. A repeated length must be the same, since two readers could part the stream differently.
+func (h *head) set(name, value string) error {
+	switch strings.ToLower(name) {
+	case "content-length":
+		v, err := strconv.ParseUint(value, 10, 62)
+		if err != nil || (h.length >= 0 && h.length != int64(v)) || value[0] == '+' {
+			return &BadRequest{400, "malformed content-length"}
+		}
+		h.length = int64(v)
+	case "transfer-encoding":
+		if !strings.EqualFold(value, "chunked") || h.chunked {
+			return &BadRequest{400, "unknown transfer-encoding"}
+		}
+		h.chunked = true
+	case "connection":
+		for _, token := range strings.Split(value, ",") {
+			if strings.EqualFold(strings.TrimSpace(token), "close") {
+				h.close = true
 			}
 		}
+	case "retry-after":
+		if v, err := strconv.Atoi(value); err == nil && v > 0 {
+			h.retryAfter = v
+		}
 	}
+	return nil
 }
 
-// ReadRequest reads one request. io.EOF means that the peer closed between
-// requests; a *BadRequest is to be answered.
+// ReadRequest reads one request. io.EOF means that the peer closed between requests; a *BadRequest is to be answered,
+// and the connection closed.
 func ReadRequest(r *bufio.Reader, maxBody int) (*Request, error) {
 	line, err := readLine(r)
 	if err != nil {
@@ -168,7 +186,7 @@
 	return req, err
 }
 
-// ReadResponse reads one response.
+// ReadResponse reads one response. ErrTooLarge means that its body has more than maxBody bytes.
 func ReadResponse(r *bufio.Reader, maxBody int) (*Response, error) {
 	line, err := readLine(r)
 	if err != nil {
@@ -234,6 +252,7 @@
 	return body, nil
 }
 
+// readChunks reads a body in chunks, of max bytes at most, and skips the trailers.
 func readChunks(r *bufio.Reader, max int) ([]byte, error) {
 	var body []byte
 	for {
@@ -266,6 +285,7 @@
 	}
 }
 
+// reasons are the texts of the statuses that are used.
 var reasons = map[int]string{
 	200: "OK", 201: "Created", 400: "Bad Request", 404: "Not Found", 405: "Method Not Allowed",
 	408: "Request Timeout", 409: "Conflict", 413: "Content Too Large", 421: "Misdirected Request",
@@ -273,7 +293,7 @@
 	500: "Internal Server Error", 503: "Service Unavailable",
 }
 
-// Answer is what a handler gives back.
+// Answer is what a handler gives back: a status, a body in JSON and for a 405 the methods that are allowed.
 type Answer struct {
 	Status            int
 	Body              []byte
--- /dev/null
+++ b/internal/settings/check.go
@@ -0,0 +1,168 @@
+package settings
+
+import (
+	"fmt"
+	"math"
+	"net/netip"
+)
+
+// maxQuota is the largest amount of a team's guarantee or limit.
+const maxQuota = 1e9
+
+// fieldError names the field that is wrong, by its path in the file.
+func fieldError(field, format string, args ...any) error {
+	return fmt.Errorf("field %s: %s", field, fmt.Sprintf(format, args...))
+}
+
+// check is nil, or an error for the first wrong field. It turns absent limits of teams into infinity.
+func (s *Settings) check() error {
+	for _, check := range []func() error{
+		s.checkAddresses,
+		s.checkZones,
+		s.checkTeams,
+		s.checkObjectives,
+		s.checkAmounts,
+	} {
+		if err := check(); err != nil {
+			return err
+		}
+	}
+	return nil
+}
+
+// address is a field that holds an IPv4 address and a port.
+type address struct{ field, value string }
+
+func (s *Settings) checkAddresses() error {
+	if s.Name == "" {
+		return fieldError("host_name", "missing")
+	}
+	addresses := []address{
+		{"serve_on", s.Listen},
+		{"peer_listen", s.PeerListen},
+		{"outside.cloud", s.Outside.Cloud},
+		{"outside.state", s.Outside.KVStore},
+	}
+	seen := map[string]bool{s.Name: true}
+	for i, p := range s.Peers {
+		field := fmt.Sprintf("seeds[%d]", i)
+		if p.Name == "" || seen[p.Name] {
+			return fieldError(field+".host_name", "missing or not unique")
+		}
+		seen[p.Name] = true
+		addresses = append(addresses, address{field + ".endpoint", p.Endpoint})
+	}
+	for _, a := range addresses {
+		if ap, err := netip.ParseAddrPort(a.value); err != nil || !ap.Addr().Is4() || ap.Port() == 0 {
+			return fieldError(a.field, "%q is not an IPv4 address with a port", a.value)
+		}
+	}
+	return nil
+}
+
+func (s *Settings) checkZones() error {
+	d := &s.Deployment
+	if d.Size != 0 && d.Size != len(s.Peers)+1 {
+		return fieldError("deployment.initial_size", "is %d, but with seeds there are %d controllers", d.Size, len(s.Peers)+1)
+	}
+	if len(d.Zones) == 0 {
+		return fieldError("deployment.zones", "missing")
+	}
+	if i := duplicate(d.Zones); i >= 0 {
+		return fieldError(fmt.Sprintf("deployment.zones[%d]", i), "%q is given twice or empty", d.Zones[i])
+	}
+	return nil
+}
+
+// checkTeams also turns a limit of 0, which is none, into infinity.
+func (s *Settings) checkTeams() error {
+	teams := s.Deployment.Teams
+	if len(teams) == 0 {
+		return fieldError("deployment.teams", "missing")
+	}
+	names := make([]string, len(teams))
+	for i := range teams {
+		names[i] = teams[i].Name
+		if err := teams[i].checkQuota(fmt.Sprintf("deployment.teams[%d]", i)); err != nil {
+			return err
+		}
+		for _, limit := range []*float64{&teams[i].CPUsMax, &teams[i].GPUsMax} {
+			if *limit == 0 {
+				*limit = math.Inf(1)
+			}
+		}
+	}
+	if i := duplicate(names); i >= 0 {
+		return fieldError(fmt.Sprintf("deployment.teams[%d].name", i), "%q is given twice or empty", names[i])
+	}
+	return nil
+}
+
+// checkQuota checks a team's amounts; path is where the team stands in the file.
+func (t *Team) checkQuota(path string) error {
+	for _, amount := range []struct {
+		field string
+		value float64
+	}{
+		{"cpus", t.CPUs},
+		{"cpus_max", t.CPUsMax},
+		{"gpus", t.GPUs},
+		{"gpus_max", t.GPUsMax},
+	} {
+		if amount.value < 0 || amount.value > maxQuota || math.IsNaN(amount.value) {
+			return fieldError(path+"."+amount.field, "%g is out of range", amount.value)
+		}
+	}
+	return nil
+}
+
+func (s *Settings) checkObjectives() error {
+	for i, o := range s.Deployment.Objectives {
+		if o.WithinSeconds < 0 || o.Share < 0 || o.Share > 1 || o.Times < 0 {
+			return fieldError(fmt.Sprintf("deployment.objectives[%d]", i), "negative amount or share above 1")
+		}
+	}
+	return nil
+}
+
+// checkAmounts checks the fields that must be within bounds. A number that is none is within no bounds.
+func (s *Settings) checkAmounts() error {
+	d := &s.Deployment
+	for _, amount := range []struct {
+		field         string
+		value, lo, hi float64
+	}{
+		{"workers.report_s", d.Agents.HeartbeatSeconds, 0.1, 600},
+		{"workers.lease_s", d.Agents.LeaseSeconds, 0.5, 3600},
+		{"workers.gang_wait_s", d.Agents.GangWaitSeconds, 0, 3600},
+		{"workers.gang_peer_s", d.Agents.GangPeerSeconds, 0, 3600},
+		{"workers.cancel_s", d.Agents.CancelSeconds, 1, 3600},
+		{"state.rps", d.KVStore.RequestsPerSecond, 1, 1e6},
+		{"state.write_rps", d.KVStore.ChangesPerSecond, 1, 1e6},
+		{"state.value_kb", d.KVStore.ValueKB, 1, 1 << 16},
+		{"state.txn_ops", float64(d.KVStore.ChangesPerTransaction), 4, 1e4},
+		{"cloud.rps", d.Cloud.RequestsPerSecond, 0.1, 1e6},
+		{"cloud.list_lag_s", d.Cloud.ListLagSeconds, 0, 600},
+		{"limits.cores", d.Limits.Cores, 0.01, 1024},
+		{"limits.memory_mb", d.Limits.MemoryMB, 32, 1 << 20},
+		{"limits.max_sockets", float64(d.Limits.MaxSockets), 64, 1 << 20},
+		{"clock_off_ms", d.ClockErrorMillis, 0, 60000},
+	} {
+		if !(amount.value >= amount.lo && amount.value <= amount.hi) {
+			return fieldError("deployment."+amount.field, "%g is not between %g and %g", amount.value, amount.lo, amount.hi)
+		}
+	}
+	return nil
+}
+
+// duplicate is the index of the first empty or repeated name, or -1.
+func duplicate(names []string) int {
+	seen := map[string]bool{}
+	for i, n := range names {
+		if n == "" || seen[n] {
+			return i
+		}
+		seen[n] = true
+	}
+	return -1
+}
--- a/internal/settings/script.go
+++ b/internal/settings/script.go
@@ -3,35 +3,55 @@
 import (
 	"fmt"
 	"os"
+	"slices"
 	"time"
 
 	"go.starlark.net/starlark"
 	"go.starlark.net/syntax"
 )
 
-// Options are the operator's own choices, set by a Starlark script: each is a
-// global variable of the script with the option's name.
+// Options are the operator's own choices, set by a Starlark script: each is a global variable of the script with the
+// option's name, see optionTable and weightTable.
 type Options struct {
-	SampleSize             int     // machines looked at for one placement
-	IdleReturnSeconds      float64 // seconds an idle machine is kept
-	WarmMachines           int     // machines kept even when idle
-	SpotShare              float64 // largest share of spot machines in what is rented
-	Haste                  float64 // estimated run times in hand before a job is due, when renting
-	ControllerLeaseSeconds float64 // seconds of a controller's lease
-	BitmapEverySeconds     float64 // seconds between writes of finished tasks
-	ClassFloor             float64 // part of what is due to a class of a team that nobody is kept under for long
-	FloorAfterSeconds      float64 // seconds under it before a floor is kept
-	TeamWeights            map[string]float64
-	ClassWeights           map[string]float64
-	ConfigBoundSeconds     float64 // seconds after which what is known of the teams' configuration is old; 0: it does not change
-	CopyWaitSeconds        float64 // seconds for which jobs that nobody remembers after a loss may come back with a copy; 0: until operators say
+	SampleSize        int     // machines looked at for one placement
+	IdleReturnSeconds float64 // for which an idle machine is kept
+	WarmMachines      int     // machines kept even when idle
+	SpotShare         float64 // largest share of spot machines when scaling out
+	Haste             float64 // estimated run times in hand before a job is due, when scaling out
+
+	ControllerLeaseSeconds float64 // of a controller's lease in the key-value store
+	BitmapEverySeconds     float64 // between writes of finished tasks
+
+	ClassFloor        float64            // part of its share that a class of a team is not kept under for long
+	FloorAfterSeconds float64            // under that part before a floor is kept
+	TeamWeights       map[string]float64 // of teams, where it is short; 1 if not given
+	ClassWeights      map[string]float64 // of classes, where it is short; 1 if not given
+
+	// ConfigBoundSeconds is after which time what is known of the teams' configuration is too old to rely on; 0 if the
+	// configuration does not change.
+	ConfigBoundSeconds float64
+
+	// CopyWaitSeconds is for how long after a loss of the store's data the jobs that no controller remembers may come
+	// back with a copy; 0 until operators say that nothing more comes.
+	CopyWaitSeconds float64
 }
 
-// DefaultOptions holds without a script.
+// DefaultOptions are the options without a script.
 func DefaultOptions() *Options {
-	return &Options{SampleSize: 32, IdleReturnSeconds: 10, WarmMachines: 1, SpotShare: 1, Haste: 2, ControllerLeaseSeconds: 5, BitmapEverySeconds: 1, ClassFloor: 0.5, FloorAfterSeconds: 90}
+	return &Options{
+		SampleSize:             32,
+		IdleReturnSeconds:      10,
+		WarmMachines:           1,
+		SpotShare:              1,
+		Haste:                  2,
+		ControllerLeaseSeconds: 5,
+		BitmapEverySeconds:     1,
+		ClassFloor:             0.5,
+		FloorAfterSeconds:      90,
+	}
 }
 
+// option is an option that is a number, with its bounds.
 type option struct {
 	name   string
 	lo, hi float64
@@ -39,6 +59,7 @@
 	set    func(*Options, float64)
 }
 
+// optionTable has the options that are numbers.
 var optionTable = []option{
 	{"sample_size", 1, 10000, true, func(o *Options, v float64) { o.SampleSize = int(v) }},
 	{"idle_return_s", 0, 86400, false, func(o *Options, v float64) { o.IdleReturnSeconds = v }},
@@ -65,51 +86,74 @@
 	return ParseScript(path, src)
 }
 
-// ParseScript runs a script, bounded in size, steps and time. It can load
-// nothing and reach nothing outside itself.
+// Bounds of a script.
+const (
+	maxScriptBytes = 64 << 10
+	maxScriptSteps = 1_000_000
+	maxScriptTime  = 5 * time.Second
+)
+
+// ParseScript runs a script, bounded in size, steps and time. It can load nothing and reach nothing outside itself.
+// The error names the line or the option.
 func ParseScript(name string, src []byte) (*Options, error) {
-	if len(src) > 64<<10 {
+	globals, err := runScript(name, src)
+	if err != nil {
+		return nil, err
+	}
+	o := DefaultOptions()
+	for name, value := range globals {
+		if err := o.set(name, value); err != nil {
+			return nil, err
+		}
+	}
+	return o, nil
+}
+
+// runScript gives the script's global variables.
+func runScript(name string, src []byte) (starlark.StringDict, error) {
+	if len(src) > maxScriptBytes {
 		return nil, fmt.Errorf("script: %s: longer than 64 KiB", name)
 	}
 	thread := &starlark.Thread{Name: "script"}
-	thread.SetMaxExecutionSteps(1_000_000)
-	timer := time.AfterFunc(5*time.Second, func() { thread.Cancel("took too long") })
+	thread.SetMaxExecutionSteps(maxScriptSteps)
+	timer := time.AfterFunc(maxScriptTime, func() { thread.Cancel("took too long") })
 	defer timer.Stop()
-	globals, err := starlark.ExecFileOptions(&syntax.FileOptions{TopLevelControl: true, GlobalReassign: true}, thread, name, src, nil)
+	dialect := &syntax.FileOptions{TopLevelControl: true, GlobalReassign: true}
+	globals, err := starlark.ExecFileOptions(dialect, thread, name, src, nil)
+	if e, ok := err.(*starlark.EvalError); ok && len(e.CallStack) > 0 {
+		return nil, fmt.Errorf("script: %s: %s", e.CallStack.At(0).Pos, e.Msg)
+	}
 	if err != nil {
-		if e, ok := err.(*starlark.EvalError); ok && len(e.CallStack) > 0 {
-			return nil, fmt.Errorf("script: %s: %s", e.CallStack.At(0).Pos, e.Msg)
-		}
 		return nil, fmt.Errorf("script: %w", err)
 	}
-	o := DefaultOptions()
-	known := map[string]option{}
-	for _, opt := range optionTable {
-		known[opt.name] = opt
-	}
-	for name, value := range globals {
-		if set, ok := weightTable[name]; ok {
-			weights, err := readWeights(name, value)
-			if err != nil {
-				return nil, err
-			}
-			set(o, weights)
-			continue
-		}
-		opt, ok := known[name]
-		if !ok {
-			if _, callable := value.(starlark.Callable); callable || name[0] == '_' {
-				continue
-			}
-			return nil, fmt.Errorf("script: %s: no such option (helpers start with _)", name)
+	return globals, nil
+}
+
+// set takes an option from a global variable. Functions and names that begin with _ are the script's helpers.
+func (o *Options) set(name string, value starlark.Value) error {
+	if set, ok := weightTable[name]; ok {
+		weights, err := readWeights(name, value)
+		if err != nil {
+			return err
 		}
-		v, ok := starlark.AsFloat(value)
-		if _, isInt := value.(starlark.Int); !ok || (opt.whole && !isInt) || !(v >= opt.lo && v <= opt.hi) {
-			return nil, fmt.Errorf("script: %s: %s is not between %g and %g", name, value, opt.lo, opt.hi)
+		set(o, weights)
+		return nil
+	}
+	at := slices.IndexFunc(optionTable, func(opt option) bool { return opt.name == name })
+	if at < 0 {
+		if _, callable := value.(starlark.Callable); callable || name[0] == '_' {
+			return nil
 		}
-		opt.set(o, v)
+		return fmt.Errorf("script: %s: no such option (helpers start with _)", name)
 	}
-	return o, nil
+	opt := optionTable[at]
+	v, isNumber := starlark.AsFloat(value)
+	_, isInt := value.(starlark.Int)
+	if !isNumber || (opt.whole && !isInt) || !(v >= opt.lo && v <= opt.hi) {
+		return fmt.Errorf("script: %s: %s is not between %g and %g", name, value, opt.lo, opt.hi)
+	}
+	opt.set(o, v)
+	return nil
 }
 
 // weightTable has the options that are dictionaries of names and weights.
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -1,13 +1,13 @@
-// Package settings reads and checks the file that the platform hands to every
-// controller. Unknown fields are ignored; a wrong or missing one ends the start
-// with one line naming it.
+// Package settings reads and checks the file that the platform hands to every controller (settings.go, check.go), and
+// the operator's own choices, a Starlark script (script.go). Unknown fields of the file are ignored; a wrong or missing
+// one is an error of one line that names it. Both are read once, at the start, and never change afterwards.
+//
+// Names of Go fields end in the unit where there is one; the names in the file are those of the platform.
 package settings
 
 import (
 	"encoding/json"
 	"fmt"
-	"math"
-	"net/netip"
 	"os"
 	"slices"
 	"time"
@@ -31,7 +31,7 @@
 	Endpoint string `json:"endpoint"`
 }
 
-// Outside holds the addresses of the region's services.
+// Outside holds the addresses of the region's services, as IPv4 address and port.
 type Outside struct {
 	Cloud   string `json:"cloud"`
 	KVStore string `json:"state"`
@@ -50,8 +50,8 @@
 	ClockErrorMillis float64     `json:"clock_off_ms"`
 }
 
-// Team is one tenant with its guarantee and limit. In the file a limit of 0 means
-// that there is none; here that is infinity.
+// Team is one tenant with its guarantee, which is its share when there is too little, and its limit, which is its
+// quota. In the file a limit of 0 means that there is none; here that is infinity.
 type Team struct {
 	Name    string  `json:"name"`
 	CPUs    float64 `json:"cpus"`
@@ -60,7 +60,7 @@
 	GPUsMax float64 `json:"gpus_max"`
 }
 
-// Objective repeats one aim of the users.
+// Objective is one service-level objective: a share of the jobs of a class is to be done within a time.
 type Objective struct {
 	Kind          string  `json:"kind"`
 	Class         string  `json:"class"`
@@ -69,7 +69,7 @@
 	Times         float64 `json:"times"`
 }
 
-// Agents holds the workers' periods, in seconds.
+// Agents holds the periods of the agents on the machines.
 type Agents struct {
 	HeartbeatSeconds float64 `json:"report_s"`
 	LeaseSeconds     float64 `json:"lease_s"`
@@ -78,7 +78,7 @@
 	CancelSeconds    float64 `json:"cancel_s"`
 }
 
-// KVStore holds the limits of the state service, shared by all controllers.
+// KVStore holds the limits of the key-value store, shared by all controllers.
 type KVStore struct {
 	RequestsPerSecond     float64 `json:"rps"`
 	ChangesPerSecond      float64 `json:"write_rps"`
@@ -92,7 +92,7 @@
 	ListLagSeconds    float64 `json:"list_lag_s"`
 }
 
-// Limits is what one controller may use.
+// Limits is what one controller may use of its own machine.
 type Limits struct {
 	Cores      float64 `json:"cores"`
 	MemoryMB   float64 `json:"memory_mb"`
@@ -102,7 +102,7 @@
 // Seconds turns an amount of seconds into a duration.
 func Seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
 
-// ControllerNames is the names of all controllers, in order.
+// ControllerNames are the names of all controllers, in alphabetical order.
 func (s *Settings) ControllerNames() []string {
 	names := []string{s.Name}
 	for _, p := range s.Peers {
@@ -112,7 +112,7 @@
 	return names
 }
 
-// Load reads and checks the settings file.
+// Load reads and checks the settings file. The error names the file or the field.
 func Load(path string) (*Settings, error) {
 	data, err := os.ReadFile(path)
 	if err != nil {
@@ -121,7 +121,7 @@
 	return Parse(data)
 }
 
-// Parse checks settings given as JSON.
+// Parse reads and checks settings given as JSON. The error names the field.
 func Parse(data []byte) (*Settings, error) {
 	var s Settings
 	if err := json.Unmarshal(data, &s); err != nil {
@@ -132,105 +132,3 @@
 	}
 	return &s, nil
 }
-
-func (s *Settings) check() error {
-	bad := func(field, format string, args ...any) error {
-		return fmt.Errorf("field %s: %s", field, fmt.Sprintf(format, args...))
-	}
-	if s.Name == "" {
-		return bad("host_name", "missing")
-	}
-	addrs := []struct{ field, value string }{
-		{"serve_on", s.Listen}, {"peer_listen", s.PeerListen},
-		{"outside.cloud", s.Outside.Cloud}, {"outside.state", s.Outside.KVStore},
-	}
-	seen := map[string]bool{s.Name: true}
-	for i, p := range s.Peers {
-		field := fmt.Sprintf("seeds[%d]", i)
-		if p.Name == "" || seen[p.Name] {
-			return bad(field+".host_name", "missing or not unique")
-		}
-		seen[p.Name] = true
-		addrs = append(addrs, struct{ field, value string }{field + ".endpoint", p.Endpoint})
-	}
-	for _, a := range addrs {
-		if ap, err := netip.ParseAddrPort(a.value); err != nil || !ap.Addr().Is4() || ap.Port() == 0 {
-			return bad(a.field, "%q is not an IPv4 address with a port", a.value)
-		}
-	}
-	d := &s.Deployment
-	if d.Size != 0 && d.Size != len(s.Peers)+1 {
-		return bad("deployment.initial_size", "is %d, but with seeds there are %d controllers", d.Size, len(s.Peers)+1)
-	}
-	if len(d.Zones) == 0 {
-		return bad("deployment.zones", "missing")
-	}
-	if i := duplicate(d.Zones); i >= 0 {
-		return bad(fmt.Sprintf("deployment.zones[%d]", i), "%q is given twice or empty", d.Zones[i])
-	}
-	if len(d.Teams) == 0 {
-		return bad("deployment.teams", "missing")
-	}
-	names := make([]string, len(d.Teams))
-	for i, t := range d.Teams {
-		names[i] = t.Name
-		for _, v := range []struct {
-			field string
-			value float64
-		}{{"cpus", t.CPUs}, {"cpus_max", t.CPUsMax}, {"gpus", t.GPUs}, {"gpus_max", t.GPUsMax}} {
-			if v.value < 0 || v.value > 1e9 || math.IsNaN(v.value) {
-				return bad(fmt.Sprintf("deployment.teams[%d].%s", i, v.field), "%g is out of range", v.value)
-			}
-		}
-		for _, limit := range []*float64{&d.Teams[i].CPUsMax, &d.Teams[i].GPUsMax} {
-			if *limit == 0 {
-				*limit = math.Inf(1)
-			}
-		}
-	}
-	if i := duplicate(names); i >= 0 {
-		return bad(fmt.Sprintf("deployment.teams[%d].name", i), "%q is given twice or empty", names[i])
-	}
-	for i, o := range d.Objectives {
-		if o.WithinSeconds < 0 || o.Share < 0 || o.Share > 1 || o.Times < 0 {
-			return bad(fmt.Sprintf("deployment.objectives[%d]", i), "negative amount or share above 1")
-		}
-	}
-	for _, v := range []struct {
-		field         string
-		value, lo, hi float64
-	}{
-		{"workers.report_s", d.Agents.HeartbeatSeconds, 0.1, 600},
-		{"workers.lease_s", d.Agents.LeaseSeconds, 0.5, 3600},
-		{"workers.gang_wait_s", d.Agents.GangWaitSeconds, 0, 3600},
-		{"workers.gang_peer_s", d.Agents.GangPeerSeconds, 0, 3600},
-		{"workers.cancel_s", d.Agents.CancelSeconds, 1, 3600},
-		{"state.rps", d.KVStore.RequestsPerSecond, 1, 1e6},
-		{"state.write_rps", d.KVStore.ChangesPerSecond, 1, 1e6},
-		{"state.value_kb", d.KVStore.ValueKB, 1, 1 << 16},
-		{"state.txn_ops", float64(d.KVStore.ChangesPerTransaction), 4, 1e4},
-		{"cloud.rps", d.Cloud.RequestsPerSecond, 0.1, 1e6},
-		{"cloud.list_lag_s", d.Cloud.ListLagSeconds, 0, 600},
-		{"limits.cores", d.Limits.Cores, 0.01, 1024},
-		{"limits.memory_mb", d.Limits.MemoryMB, 32, 1 << 20},
-		{"limits.max_sockets", float64(d.Limits.MaxSockets), 64, 1 << 20},
-		{"clock_off_ms", d.ClockErrorMillis, 0, 60000},
-	} {
-		if !(v.value >= v.lo && v.value <= v.hi) {
-			return bad("deployment."+v.field, "%g is not between %g and %g", v.value, v.lo, v.hi)
-		}
-	}
-	return nil
-}
-
-// duplicate is the index of the first empty or repeated name, or -1.
-func duplicate(names []string) int {
-	seen := map[string]bool{}
-	for i, n := range names {
-		if n == "" || seen[n] {
-			return i
-		}
-		seen[n] = true
-	}
-	return -1
-}
--- a/internal/wait/wait.go
+++ b/internal/wait/wait.go
@@ -1,4 +1,4 @@
-// Package wait has the one pause that a context can end.
+// Package wait has a pause that the end of a context cuts short.
 package wait
 
 import (
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// For pauses, and says whether the context still goes on.
+// For pauses for d, or until the context ends; it is false if the context has ended.
 func For(ctx context.Context, d time.Duration) bool {
 	t := time.NewTimer(d)
 	defer t.Stop()
