--- a/internal/gangpreemption/gangpreemption_test.go
+++ b/internal/gangpreemption/gangpreemption_test.go
@@ -6,9 +6,9 @@
 	"testing"
 )
 
-// TestMakeModel compares with trying every set of victims: what is chosen makes room for the whole gang in one zone and within
+// TestPlanModel compares with trying every set of victims: what is chosen makes room for the whole gang in one zone and within
 // the quota, there is an answer whenever stopping all would do, and no victim is chosen twice.
-func TestMakeModel(t *testing.T) {
+func TestPlanModel(t *testing.T) {
 	answers := 0
 	for seed := range uint64(2000) {
 		rng := rand.New(rand.NewPCG(seed, 5))
