--- a/internal/leadership/members_test.go
+++ b/internal/leadership/members_test.go
@@ -4,7 +4,6 @@
 	"math/rand/v2"
 	"slices"
 	"testing"
-	"time"
 )
 
 // world is a plain model of the state service's part: leases, node keys, the
@@ -18,16 +17,16 @@
 }
 
 type write struct {
-	next  *Record
-	base  uint64
-	conds []Condition
+	next       *Record
+	base       uint64
+	conditions []Condition
 }
 
 func (w *world) apply(x write) bool {
 	if x.base != w.version {
 		return false
 	}
-	for _, c := range x.conds {
+	for _, c := range x.conditions {
 		if w.keys[c.Node].Version != c.Version {
 			return false
 		}
@@ -42,7 +41,7 @@
 // the term, that a successor not marked for the barrier is a process that was in
 // sync, and that no live member loses an item without its own doing.
 func TestRecordModel(t *testing.T) {
-	items := []string{FleetShard, "team/a", "team/b", "team/c"}
+	shardNames := []string{FleetShard, "team/a", "team/b", "team/c"}
 	nodes := []string{"n0", "n1", "n2"}
 	for seed := range uint64(300) {
 		rng := rand.New(rand.NewPCG(seed, 1))
@@ -83,7 +82,7 @@
 				if !ok {
 					continue
 				}
-				next, conds := ReconcileMembers(v.record, items, v.keys)
+				next, conditions := ReconcileMembers(v.record, shardNames, v.keys)
 				if next == nil {
 					syncs := map[string]ShardStatus{}
 					for name := range v.record.Shards {
@@ -104,7 +103,7 @@
 				if next == nil {
 					continue
 				}
-				x := write{next, v.version, conds}
+				x := write{next, v.version, conditions}
 				if rng.IntN(3) == 0 {
 					w.late = append(w.late, x)
 					continue
@@ -116,27 +115,27 @@
 				w.late = w.late[1:]
 			}
 			after := w.record
-			for name, it := range after.Shards {
+			for name, shard := range after.Shards {
 				old, had := before.Shards[name]
 				if !had || before == after {
 					continue
 				}
-				if it.Owner != old.Owner || it.SinceTerm != old.SinceTerm {
-					if after.Term <= before.Term || it.SinceTerm != after.Term {
+				if shard.Owner != old.Owner || shard.SinceTerm != old.SinceTerm {
+					if after.Term <= before.Term || shard.SinceTerm != after.Term {
 						t.Fatalf("seed %d: %s changed hands without a raised term", seed, name)
 					}
 					oldAlive := after.Nodes[old.Owner] == before.Nodes[old.Owner] && before.Nodes[old.Owner] != 0
-					if !it.NeedsBarrier && (!slices.Contains(old.InSync, it.Owner) && !oldAlive) {
-						t.Fatalf("seed %d: %s went to %s, who was not in sync, without a barrier", seed, name, it.Owner)
+					if !shard.NeedsBarrier && (!slices.Contains(old.InSync, shard.Owner) && !oldAlive) {
+						t.Fatalf("seed %d: %s went to %s, who was not in sync, without a barrier", seed, name, shard.Owner)
 					}
-					if !it.NeedsBarrier && after.Nodes[it.Owner] != before.Nodes[it.Owner] {
+					if !shard.NeedsBarrier && after.Nodes[shard.Owner] != before.Nodes[shard.Owner] {
 						t.Fatalf("seed %d: %s went to a new process without a barrier", seed, name)
 					}
 				}
-				if slices.Contains(it.InSync, it.Owner) {
+				if slices.Contains(shard.InSync, shard.Owner) {
 					t.Fatalf("seed %d: %s: owner among its backups", seed, name)
 				}
-				for _, b := range it.InSync {
+				for _, b := range shard.InSync {
 					if after.Nodes[b] == 0 || (slices.Contains(old.InSync, b) && before.Nodes[b] != after.Nodes[b]) {
 						t.Fatalf("seed %d: %s: %s is in sync without its memory", seed, name, b)
 					}
@@ -151,41 +150,21 @@
 	all := []string{"n0", "n1", "n2"}
 	r := &Record{Term: 4, Nodes: map[string]uint64{"n0": 1, "n1": 1, "n2": 1}, Shards: map[string]Shard{}}
 	r.Shards["team/a"] = Shard{Owner: "n0", SinceTerm: 2, InSync: []string{"n1", "n2"}}
-	next, conds := ReconcileMembers(r, []string{"team/a"}, map[string]Presence{"n1": {1, 8}, "n2": {1, 9}})
+	next, conditions := ReconcileMembers(r, []string{"team/a"}, map[string]Presence{"n1": {1, 8}, "n2": {1, 9}})
 	want := Ranked("team/a", slices.DeleteFunc(slices.Clone(all), func(n string) bool { return n == "n0" }))[0]
-	it := next.Shards["team/a"]
-	if it.Owner != want || it.NeedsBarrier || next.Term != 5 || it.SinceTerm != 5 {
-		t.Fatalf("took over: %+v in term %d, want owner %s", it, next.Term, want)
+	shard := next.Shards["team/a"]
+	if shard.Owner != want || shard.NeedsBarrier || next.Term != 5 || shard.SinceTerm != 5 {
+		t.Fatalf("took over: %+v in term %d, want owner %s", shard, next.Term, want)
 	}
-	if !slices.Contains(conds, Condition{"n0", 0}) {
-		t.Fatalf("no condition that the missing owner's key is gone: %v", conds)
-	}
-}
-
-// TestLeaseEndsEarly guards that a node stops before the state service can give
-// its lease to others, whatever the clocks' drift, counted from before sending.
-func TestLeaseEndsEarly(t *testing.T) {
-	l := Lease{Life: 5 * time.Second, Margin: 250 * time.Millisecond}
-	now := time.Unix(1000, 0)
-	if l.Valid(now) {
-		t.Fatal("valid before it was taken")
-	}
-	l.Renewed(now)
-	l.Renewed(now.Add(-time.Second)) // an older answer that came late
-	drifted := now.Add(5*time.Second - 5*time.Second/2000)
-	if !l.Valid(now.Add(4*time.Second)) || l.Valid(drifted) {
-		t.Fatal("lease ends at the wrong time")
-	}
-	l.Lost()
-	if l.Valid(now) {
-		t.Fatal("valid after it was lost")
+	if !slices.Contains(conditions, Condition{"n0", 0}) {
+		t.Fatalf("no condition that the missing owner's key is gone: %v", conditions)
 	}
 }
 
 // TestMembersReconciledAfterEachChange: whatever changed about the members or the shards is reconciled, and nothing
 // else is touched.
 func TestMembersReconciledAfterEachChange(t *testing.T) {
-	items := []string{FleetShard, "team/a", "team/b"}
+	shardNames := []string{FleetShard, "team/a", "team/b"}
 	live := func(nodes ...string) map[string]Presence {
 		m := map[string]Presence{}
 		for _, n := range nodes {
@@ -193,27 +172,27 @@
 		}
 		return m
 	}
-	whole, _ := ReconcileMembers((&Record{Term: 1}).Clone(), items, live("n0", "n1", "n2"))
+	whole, _ := ReconcileMembers((&Record{Term: 1}).Clone(), shardNames, live("n0", "n1", "n2"))
 	restarted := live("n0", "n1", "n2")
 	restarted["n1"] = Presence{Incarnation: 2, Version: 2}
 	unowned := whole.Clone()
 	unowned.Shards[FleetShard] = Shard{Owner: "n9", SinceTerm: 1}
 	for _, c := range []struct {
-		name   string
-		record *Record
-		items  []string
-		live   map[string]Presence
-		want   bool
+		name       string
+		record     *Record
+		shardNames []string
+		live       map[string]Presence
+		want       bool
 	}{
-		{"nothing", whole, items, live("n0", "n1", "n2"), false},
-		{"a member is gone", whole, items, live("n0", "n1"), true},
-		{"a member began anew", whole, items, restarted, true},
-		{"one more is present", whole, items, live("n0", "n1", "n2", "n3"), true},
-		{"one went and another came", whole, items, live("n0", "n1", "n3"), true},
-		{"a new item", whole, append([]string{"team/c"}, items...), live("n0", "n1", "n2"), true},
-		{"an item's owner is no member", unowned, items, live("n0", "n1", "n2"), true},
+		{"nothing", whole, shardNames, live("n0", "n1", "n2"), false},
+		{"a member is gone", whole, shardNames, live("n0", "n1"), true},
+		{"a member began anew", whole, shardNames, restarted, true},
+		{"one more is present", whole, shardNames, live("n0", "n1", "n2", "n3"), true},
+		{"one went and another came", whole, shardNames, live("n0", "n1", "n3"), true},
+		{"a new item", whole, append([]string{"team/c"}, shardNames...), live("n0", "n1", "n2"), true},
+		{"an item's owner is no member", unowned, shardNames, live("n0", "n1", "n2"), true},
 	} {
-		if next, _ := ReconcileMembers(c.record, c.items, c.live); (next != nil) != c.want {
+		if next, _ := ReconcileMembers(c.record, c.shardNames, c.live); (next != nil) != c.want {
 			t.Errorf("%s: repaired %v, want %v", c.name, next != nil, c.want)
 		}
 	}
--- a/internal/leadership/packed_test.go
+++ b/internal/leadership/packed_test.go
@@ -5,25 +5,24 @@
 	"fmt"
 	"math/rand/v2"
 	"reflect"
-	"slices"
 	"strings"
 	"testing"
 )
 
 // drawnRecord is a record with so many members and items, whose owners and backups are drawn among the members.
-func drawnRecord(rng *rand.Rand, members, items int) *Record {
+func drawnRecord(rng *rand.Rand, members, shards int) *Record {
 	r := (&Record{Term: 1<<20 + rng.Uint64N(1000), Epoch: 1, StoreID: "store"}).Clone()
 	for i := range members {
 		r.Nodes[fmt.Sprintf("controller-%02d", i)] = rng.Uint64()
 	}
 	names := r.Members()
-	for i := range items {
+	for i := range shards {
 		order := rng.Perm(members)
-		item := Shard{Owner: names[order[0]], SinceTerm: r.Term - rng.Uint64N(r.Term), NeedsBarrier: rng.IntN(4) == 0, InSync: []string{}}
+		shard := Shard{Owner: names[order[0]], SinceTerm: r.Term - rng.Uint64N(r.Term), NeedsBarrier: rng.IntN(4) == 0, InSync: []string{}}
 		for _, at := range order[1:min(members, 1+rng.IntN(ReplicasPerShard+1))] {
-			item.InSync = append(item.InSync, names[at])
+			shard.InSync = append(shard.InSync, names[at])
 		}
-		r.Shards[fmt.Sprintf("team/team-%04d", i)] = item
+		r.Shards[fmt.Sprintf("team/team-%04d", i)] = shard
 	}
 	return r
 }
@@ -72,9 +71,9 @@
 // TestShardOfNoMemberStaysPlain: a shard whose owner is no member can't be told by an index, so the record stays plain.
 func TestShardOfNoMemberStaysPlain(t *testing.T) {
 	r := drawnRecord(rand.New(rand.NewPCG(5, 6)), 3, packedFrom)
-	item := r.Shards["team/team-0000"]
-	item.Owner = "gone"
-	r.Shards["team/team-0000"] = item
+	shard := r.Shards["team/team-0000"]
+	shard.Owner = "gone"
+	r.Shards["team/team-0000"] = shard
 	data, err := json.Marshal(r)
 	if err != nil {
 		t.Fatal(err)
@@ -112,56 +111,3 @@
 		}
 	}
 }
-
-// TestReplicaHolders: the owner is none of them, there are as many as there should be if so many can be reached, the
-// preferred owner is among them, and they do not depend on who asks.
-func TestReplicaHolders(t *testing.T) {
-	rng := rand.New(rand.NewPCG(9, 10))
-	for range 300 {
-		members := 1 + rng.IntN(9)
-		r := drawnRecord(rng, members, 20)
-		down := map[string]bool{}
-		for _, node := range r.Members() {
-			down[node] = rng.IntN(5) == 0
-		}
-		reachable := func(node string) bool { return !down[node] }
-		for name, item := range r.Shards {
-			backups := r.ReplicaHolders(name, item.Owner, reachable)
-			can := 0
-			for _, node := range r.Members() {
-				if node != item.Owner && reachable(node) {
-					can++
-				}
-			}
-			if len(backups) != min(can, ReplicasPerShard) || slices.Contains(backups, item.Owner) || slices.ContainsFunc(backups, func(b string) bool { return down[b] }) {
-				t.Fatalf("%s of %s: backups %v of %d reachable", name, item.Owner, backups, can)
-			}
-			if wished := r.PreferredOwners()[name]; wished != item.Owner && reachable(wished) && !slices.Contains(backups, wished) {
-				t.Fatalf("%s: the wished-for owner %s is no backup: %v", name, wished, backups)
-			}
-			if again := r.Clone().ReplicaHolders(name, item.Owner, reachable); !slices.Equal(again, backups) {
-				t.Fatalf("%s: %v, then %v", name, backups, again)
-			}
-		}
-	}
-}
-
-// TestSurplusReplicasLeaveLast: a member in sync that should hold no replica keeps it until those that should are in
-// sync.
-func TestSurplusReplicasLeaveLast(t *testing.T) {
-	r := (&Record{Term: 5}).Clone()
-	for _, node := range []string{"a", "b", "c", "d"} {
-		r.Nodes[node] = 1
-	}
-	r.Shards["team/x"] = Shard{Owner: "a", SinceTerm: 5, InSync: []string{"d"}}
-	sync := ShardStatus{Ready: true, InSync: map[string]bool{"b": true, "d": true}, Holders: []string{"b", "c"}}
-	next, _ := UpdateShards(r, "a", map[string]ShardStatus{"team/x": sync}, false)
-	if next == nil || !slices.Equal(next.Shards["team/x"].InSync, []string{"b", "d"}) {
-		t.Fatalf("with one of two in sync: %+v", next)
-	}
-	sync.InSync["c"] = true
-	next, _ = UpdateShards(next, "a", map[string]ShardStatus{"team/x": sync}, false)
-	if next == nil || !slices.Equal(next.Shards["team/x"].InSync, []string{"b", "c"}) {
-		t.Fatalf("with both in sync: %+v", next)
-	}
-}
