--- a/internal/controller/admission.go
+++ b/internal/controller/admission.go
@@ -121,7 +121,7 @@
 		return
 	}
 	record := n.leadership.Record()
-	if fleet := record.Shards[leadership.FleetShard]; fleet.Owner == node && record.Nodes[node] == incarnation {
+	if fleet := record.Shards[leadership.FleetShard]; fleet.Owner == node && record.IsMember(node, incarnation) {
 		before := n.admission.agreement.InForce()
 		n.admission.agreement.Apply(fleet.SinceTerm, *w)
 		n.logPlanInForce(before)
--- a/internal/controller/autoscaling_inputs.go
+++ b/internal/controller/autoscaling_inputs.go
@@ -96,7 +96,7 @@
 func (n *Node) homeUnreachable(name string, now time.Time) bool {
 	home := n.homeOf(name)
 	p := n.peers[home]
-	return p != nil && n.leadership.Presence(home).Incarnation == n.leadership.Record().Nodes[home] && !p.isReachable(now)
+	return p != nil && n.leadership.Record().IsMember(home, n.leadership.Presence(home).Incarnation) && !p.isReachable(now)
 }
 
 // awaited is the machines that any owner's barrier waits for, and those that did not answer
--- a/internal/controller/capacity_bench_test.go
+++ b/internal/controller/capacity_bench_test.go
@@ -173,7 +173,7 @@
 	}
 }
 
-// BenchmarkCapacityRecord is what a controller does with the control record: ten times a second it looks whether
+// BenchmarkCapacityRecord is what a controller does with the membership record: ten times a second it looks whether
 // it should change it (proposal), and with each new term it finds the home of every machine (homes).
 func BenchmarkCapacityRecord(b *testing.B) {
 	for _, c := range []struct{ controllers, teams int }{{3, 8}, {3, 100}, {3, 317}, {3, 950}, {9, 950}, {17, 950}, {46, 8}, {46, 950}} {
@@ -249,7 +249,7 @@
 	}
 }
 
-// BenchmarkCapacityRecordLine is the control record as one controller tells it another that knows an earlier one: made, and
+// BenchmarkCapacityRecordLine is the membership record as one controller tells it another that knows an earlier one: made, and
 // taken in.
 func BenchmarkCapacityRecordLine(b *testing.B) {
 	for _, c := range []struct{ controllers, teams int }{{3, 8}, {3, 950}, {46, 950}} {
--- a/internal/controller/golden_state_test.go
+++ b/internal/controller/golden_state_test.go
@@ -12,7 +12,7 @@
 
 // The golden files of the controllers' own keys of the state service. Keys and values outlive the process that wrote them, so the
 // forms may only grow. Those of jobs and ends are in internal/userapi, of pages in internal/jobstate and internal/datarecovery, of
-// rosters in internal/agents, of the control record in internal/leadership, of teams in internal/teamstore.
+// rosters in internal/agents, of the membership record in internal/leadership, of teams in internal/teamstore.
 
 func TestGoldenKeys(t *testing.T) {
 	goldentest.Bytes(t, "state-keys.txt", []byte(strings.Join([]string{
@@ -31,14 +31,14 @@
 	})
 }
 
-// goldenRecord is a control record with every field set.
+// goldenRecord is a membership record with every field set.
 func goldenRecord() *leadership.Record {
 	return &leadership.Record{Term: 41, Nodes: map[string]uint64{"estacion-1": 1767225600000001, "estacion-2": 1767225600000002},
 		Shards:      map[string]leadership.Shard{shards.ForTeam("vision"): {Owner: "estacion-2", SinceTerm: 40, InSync: []string{"estacion-1"}, NeedsBarrier: true}},
 		Unreachable: []string{"estacion-1"}, Epoch: 2, FirstTerm: 30, StoreID: "DRAWN", PreviousVersion: 411, RosterIncomplete: true, DataLost: true}
 }
 
-// TestGoldenRecordChange: the transactions that write the control record, the first one with its generation's key.
+// TestGoldenRecordChange: the transactions that write the membership record, the first one with its generation's key.
 func TestGoldenRecordChange(t *testing.T) {
 	conditions := []leadership.Condition{{Node: "estacion-1", Version: 400}}
 	first := proposedRecord{RecordChange: &leadership.RecordChange{Record: goldenRecord(), Conditions: conditions}}
--- a/internal/controller/jobend.go
+++ b/internal/controller/jobend.go
@@ -34,7 +34,7 @@
 // jobEndRetryDelay is how long after a failed write the end of a job is written again at the earliest.
 const jobEndRetryDelay = 200 * time.Millisecond
 
-// commitJobEnd writes the end of a job to the state service, unless the control record or the job's key has changed
+// commitJobEnd writes the end of a job to the state service, unless the membership record or the job's key has changed
 // since the given versions, and then has it known here and at the peers.
 func (n *Node) commitJobEnd(ctx context.Context, shard *shards.Owned, j *jobstate.Job,
 	recordVersion, jobVersion uint64) {
--- a/internal/controller/jobs.go
+++ b/internal/controller/jobs.go
@@ -33,7 +33,7 @@
 		n.jobs[uid] = j
 	}
 	if j != nil && !j.active {
-		if version > 0 && n.epoch() > 1 && n.hasEnded(uid) { // an end beats active
+		if version > 0 && n.leadership.Epoch() > 1 && n.hasEnded(uid) { // an end beats active
 			n.recovery.writeBack.EndedKeyActive(uid, version, time.Now())
 		}
 		return
@@ -60,7 +60,7 @@
 	if done := n.recovery.gathering.Finished(uid); done != nil {
 		team.MergeDone(uid, done)
 	}
-	if n.epoch() > 1 { // machines may run it already
+	if n.leadership.Epoch() > 1 { // machines may run it already
 		n.reconcileMachinesOf(shard, uid)
 	}
 	n.wake()
--- a/internal/controller/leaserenewal.go
+++ b/internal/controller/leaserenewal.go
@@ -56,7 +56,7 @@
 }
 
 func (k *leaseKnowledge) MayBeLost(attempt uint64) bool {
-	return k.n.epoch() > 1 && jobstate.TermOf(attempt) < k.n.leadership.Record().FirstTerm
+	return k.n.leadership.Epoch() > 1 && jobstate.TermOf(attempt) < k.n.leadership.Record().FirstTerm
 }
 
 func (k *leaseKnowledge) MayRenew(now, bound time.Time) bool {
--- a/internal/controller/machinestatus.go
+++ b/internal/controller/machinestatus.go
@@ -69,7 +69,7 @@
 	}
 }
 
-// homeOf returns the home of a machine by the present control record.
+// homeOf returns the home of a machine by the present membership record.
 func (n *Node) homeOf(name string) string {
 	if m := n.machines[name]; m != nil {
 		return n.homeFor(m, name)
--- a/internal/controller/messages.go
+++ b/internal/controller/messages.go
@@ -23,14 +23,14 @@
 
 // ordersMsg gives the home of a machine the commands that a shard's owner has for it.
 type ordersMsg struct {
-	Term    uint64           `json:"term"` // of the control record that the sender acts under
+	Term    uint64           `json:"term"` // of the membership record that the sender acts under
 	Machine string           `json:"machine"`
 	Orders  []jobstate.Order `json:"orders"`
 }
 
 // statusMsg is a controller's heartbeat to all its peers, twice a second and when something is urgent.
 type statusMsg struct {
-	Term       uint64 `json:"term"`             // of the control record that the sender knows; 0 if none
+	Term       uint64 `json:"term"`             // of the membership record that the sender knows; 0 if none
 	Entitled   bool   `json:"entitled"`         // the sender may act
 	HoldsLease bool   `json:"leased,omitempty"` // the sender's lease in the state service is valid
 	SentAt     int64  `json:"at"`               // ms of the sender's steady clock
@@ -57,7 +57,7 @@
 	WantedWrites *float64 `json:"writes,omitempty"`
 	// Store is what the sender knows of the state service's data.
 	Store datarecovery.Assessment `json:"store"`
-	// RecordVersion is that of the control record that the sender knows. A promise counts for that one and later ones.
+	// RecordVersion is that of the membership record that the sender knows. A promise counts for that one and later ones.
 	RecordVersion *uint64 `json:"version"`
 	// Cancellations is how many the sender's process has confirmed to users.
 	Cancellations *uint64 `json:"told"`
@@ -92,7 +92,7 @@
 	Beneficiary string              `json:"for"` // the job that needs the room
 }
 
-// recordMsg gives a peer the control record as the state service has it.
+// recordMsg gives a peer the membership record as the state service has it.
 type recordMsg struct {
 	Version uint64          `json:"version"`
 	Record  json.RawMessage `json:"record"` // a leadership.Record, read only if it is newer than the one that is known
@@ -101,7 +101,7 @@
 // configMsg gives a peer the changes of the configuration that it lacks.
 type configMsg struct {
 	Epoch         uint64              `json:"generation"`
-	RecordVersion uint64              `json:"record"` // version of the control record that the sender knows
+	RecordVersion uint64              `json:"record"` // version of the membership record that the sender knows
 	After         uint64              `json:"after"`  // revision up to which the peer knew them
 	Known         uint64              `json:"known"`  // revision up to which these are all
 	Changes       []teamconfig.Change `json:"changes"`
--- a/internal/controller/overview.go
+++ b/internal/controller/overview.go
@@ -93,7 +93,7 @@
 	return o
 }
 
-// addLeadership adds what is known of the control record and of cancellations.
+// addLeadership adds what is known of the membership record and of cancellations.
 func (n *Node) addLeadership(o *overview, now time.Time) {
 	if record := n.leadership.Record(); record != nil {
 		o.Term, o.Members, o.Unreachable = record.Term, record.Members(), record.Unreachable
--- a/internal/controller/owner.go
+++ b/internal/controller/owner.go
@@ -14,7 +14,7 @@
 	"topazhollow/internal/shards"
 )
 
-// followOwners takes over and gives up shards as a new control record says; member: this process is in the record.
+// followOwners takes over and gives up shards as a new membership record says; member: this process is in the record.
 func (n *Node) followOwners(r *leadership.Record, member bool) {
 	changes := n.shards.Follow(r, n.name, member)
 	for _, shard := range changes.GivenUp {
@@ -26,7 +26,7 @@
 	}
 }
 
-// takeOwnership begins to own a shard that the control record gives to this controller.
+// takeOwnership begins to own a shard that the membership record gives to this controller.
 func (n *Node) takeOwnership(name string) {
 	n.noteTeamTakenOver()
 	shard := n.shards.Take(shards.Takeover{
--- a/internal/controller/peerhandler.go
+++ b/internal/controller/peerhandler.go
@@ -201,7 +201,7 @@
 // recordNamesOwner says whether the record names that process of a controller as a shard's owner since that term.
 func (n *Node) recordNamesOwner(owner string, incarnation uint64, shard string, sinceTerm uint64) bool {
 	record := n.leadership.Record()
-	if record == nil || record.Nodes[owner] != incarnation || !n.leadership.IsMember() {
+	if record == nil || !record.IsMember(owner, incarnation) || !n.leadership.IsMember() {
 		n.requestRecordRead()
 		return false
 	}
--- a/internal/controller/recordsync.go
+++ b/internal/controller/recordsync.go
@@ -11,7 +11,7 @@
 // sendNewerRecord sends the membership record to a peer that has known an earlier one for a while.
 func (n *Node) sendNewerRecord(name string, s *statusMsg, now time.Time) {
 	version := n.leadership.RecordVersion()
-	behind := s.RecordVersion != nil && *s.RecordVersion < version && s.Store.Epoch == n.epoch() && n.trusted()
+	behind := s.RecordVersion != nil && *s.RecordVersion < version && s.Store.Epoch == n.leadership.Epoch() && n.trusted()
 	if n.leadership.SendsRecord(name, behind, now) {
 		n.links.Send(name, kindRecord, recordMsg{version, protocol.Encode(n.leadership.Record())})
 	}
@@ -23,7 +23,7 @@
 		return
 	}
 	var record leadership.Record
-	if err := json.Unmarshal(m.Record, &record); err != nil || record.Epoch != n.epoch() {
+	if err := json.Unmarshal(m.Record, &record); err != nil || record.Epoch != n.leadership.Epoch() {
 		return
 	}
 	n.learnRecord(&record, m.Version)
--- a/internal/controller/recovery.go
+++ b/internal/controller/recovery.go
@@ -109,7 +109,7 @@
 	if n.recovery.gathering.SendDue(now, func() bool { return n.allPeersExchanged(now) }) {
 		n.sendMemories(true, n.peerNames()...)
 	}
-	if n.epoch() <= 1 || !n.entitled(now) || !n.memoriesGathered(now) || !n.recovery.writeBack.RoundDue(now) {
+	if n.leadership.Epoch() <= 1 || !n.entitled(now) || !n.memoriesGathered(now) || !n.recovery.writeBack.RoundDue(now) {
 		return
 	}
 	n.writeBackJobs(now)
@@ -121,9 +121,6 @@
 // anything since it was read.
 func (n *Node) trusted() bool { return n.recovery.detection.Trusted() }
 
-// epoch is the number of the state service's data, 0 before the first control record.
-func (n *Node) epoch() uint64 { return n.leadership.Epoch() }
-
 // storeAssessment is what peers are told of the store.
 func (n *Node) storeAssessment() datarecovery.Assessment {
 	return n.recovery.detection.Assessment(n.leadership.Record(), n.kvStore.LastRevision())
@@ -135,7 +132,7 @@
 	phase, _, sign := detection.Phase()
 	suspicions, losses := detection.Counts()
 	status := datarecovery.Status{
-		Phase: phase.String(), Sign: sign, Epoch: n.epoch(),
+		Phase: phase.String(), Sign: sign, Epoch: n.leadership.Epoch(),
 		StaleActive: n.recovery.writeBack.StaleKeys(), Ends: n.front.EndCount(),
 		MemoryComplete: detection.MemoryComplete(), Unreplicated: n.recovery.facts.unreplicated,
 		Suspicions: suspicions, Losses: losses,
--- a/internal/controller/recovery_census.go
+++ b/internal/controller/recovery_census.go
@@ -110,7 +110,7 @@
 // describe. Nothing is placed beside it, since nobody knows what it takes; that stays so
 // when the search for what was lost has been given up.
 func (n *Node) runsUndescribedJob(v *jobstate.MachineStatus) bool {
-	if n.epoch() <= 1 {
+	if n.leadership.Epoch() <= 1 {
 		return false
 	}
 	return slices.ContainsFunc(v.Tasks, func(t jobstate.TaskStatus) bool {
--- a/internal/controller/recovery_detect.go
+++ b/internal/controller/recovery_detect.go
@@ -37,7 +37,7 @@
 // suspectLoss takes in a sign of loss: nothing is acknowledged or started until it was looked into.
 func (n *Node) suspectLoss(sign datarecovery.Sign) {
 	if n.recovery.detection.Suspect(sign, time.Now()) {
-		n.log.Info("data loss suspected", "sign", sign, "epoch", n.epoch(), "revision", n.followedRevision)
+		n.log.Info("data loss suspected", "sign", sign, "epoch", n.leadership.Epoch(), "revision", n.followedRevision)
 		n.requestStatus()
 	}
 }
@@ -140,7 +140,7 @@
 	n.recovery.detection.PeriodicCompared(outcome)
 }
 
-// checkLaterTerm reads the control record when somebody knows a later term. The record may only be late here: a
+// checkLaterTerm reads the membership record when somebody knows a later term. The record may only be late here: a
 // read that begins now settles it.
 func (n *Node) checkLaterTerm(ctx context.Context) {
 	if n.readRecord(ctx) != nil {
@@ -283,7 +283,7 @@
 			active++
 		}
 	}
-	n.log.Error("state service lost data", "sign", sign, "epoch", n.epoch(), "revision", n.followedRevision,
+	n.log.Error("state service lost data", "sign", sign, "epoch", n.leadership.Epoch(), "revision", n.followedRevision,
 		"jobs_remembered", active, "ends_remembered", n.front.EndCount(),
 		"memory_complete", n.recovery.detection.MemoryComplete(), "machines_remembered", len(n.roster.All()))
 	n.kvStore.HoldUpdates(true)
--- a/internal/controller/recovery_epoch.go
+++ b/internal/controller/recovery_epoch.go
@@ -112,7 +112,7 @@
 		n.applyChange(protocol.Change{Set: e.Key, Value: e.Value, Version: e.Version})
 	}
 	n.watchedKeysRead = true
-	n.recovery.detection.Entered(n.epoch(), now)
+	n.recovery.detection.Entered(n.leadership.Epoch(), now)
 	if !n.leadership.IsPresent() {
 		n.rewriteOwnKey()
 	}
@@ -141,7 +141,7 @@
 	n.recovery.detection.LeaveEpoch()
 }
 
-// epochEntered is called when a control record of another epoch was adopted.
+// epochEntered is called when a membership record of another epoch was adopted.
 func (n *Node) epochEntered(record *leadership.Record) {
 	n.fenceOnEpochKey()
 	if record.Epoch <= 1 {
--- a/internal/controller/recovery_gather.go
+++ b/internal/controller/recovery_gather.go
@@ -94,7 +94,7 @@
 	ends := n.front.EndsDigest()
 	for last := false; !last; {
 		m := memoriesMsg{
-			Epoch:    n.epoch(),
+			Epoch:    n.leadership.Epoch(),
 			Jobs:     unwritten[:min(jobsPerMessage, len(unwritten))],
 			Finished: map[string]*bitset.BitSet{},
 			Ask:      ask,
@@ -139,7 +139,7 @@
 
 // onMemories takes in a peer's memories, and answers with the ends that it lacks.
 func (n *Node) onMemories(from string, m *memoriesMsg) {
-	if m.Epoch != n.epoch() || !n.trusted() {
+	if m.Epoch != n.leadership.Epoch() || !n.trusted() {
 		return // it is sent again
 	}
 	for _, s := range m.Jobs {
@@ -211,7 +211,7 @@
 // active, its end is to be written there again.
 func (n *Node) applyRememberedEnd(uid string) {
 	if j := n.jobs[uid]; j != nil && j.active {
-		if j.version > 0 && n.epoch() > 1 {
+		if j.version > 0 && n.leadership.Epoch() > 1 {
 			n.recovery.writeBack.EndedKeyActive(uid, j.version, time.Now())
 		}
 		n.endJob(uid)
--- a/internal/controller/recovery_writeback.go
+++ b/internal/controller/recovery_writeback.go
@@ -113,12 +113,12 @@
 	if !n.shards.OwnsFleet() || !n.recovery.writeBack.StartPages() {
 		return
 	}
-	epoch := n.epoch()
+	epoch := n.leadership.Epoch()
 	n.group.Go(func() error {
 		complete := n.writeEndPages(n.ctx)
 		n.mu.Lock()
 		defer n.mu.Unlock()
-		n.recovery.writeBack.PagesDone(complete && epoch == n.epoch())
+		n.recovery.writeBack.PagesDone(complete && epoch == n.leadership.Epoch())
 		return nil
 	})
 }
--- a/internal/controller/save.go
+++ b/internal/controller/save.go
@@ -64,7 +64,7 @@
 	})
 }
 
-// savePage writes one page if the control record is still the one that this controller knows.
+// savePage writes one page if the membership record is still the one that this controller knows.
 func (n *Node) savePage(shard *shards.Owned, p jobstate.Page, control protocol.Condition) {
 	key := shard.Pages().Key(p.Number)
 	revision, err := n.kvStore.Commit(n.ctx, kvstore.Update{Deferrable: true,
--- a/internal/controller/scheduling.go
+++ b/internal/controller/scheduling.go
@@ -28,7 +28,7 @@
 // evict asks the owner of a task to stop it.
 func (n *Node) evict(e evictMsg) {
 	j := n.jobs[e.Attempt.Job]
-	owner := n.leadership.Record().Shards[shards.ForTeam(j.spec.Team)].Owner
+	owner := n.leadership.Record().OwnerOf(shards.ForTeam(j.spec.Team))
 	if owner == n.name {
 		n.onEvict(&e)
 		return
--- a/internal/controller/status.go
+++ b/internal/controller/status.go
@@ -171,7 +171,7 @@
 		return n.provisioner.draining()
 	}
 	if n.leadership.Record() != nil {
-		if p := n.peers[n.leadership.Record().Shards[leadership.FleetShard].Owner]; p != nil {
+		if p := n.peers[n.leadership.Record().OwnerOf(leadership.FleetShard)]; p != nil {
 			return p.drainingMachines
 		}
 	}
--- a/internal/controller/teamconfig.go
+++ b/internal/controller/teamconfig.go
@@ -156,7 +156,7 @@
 	return n.teamConfig.config.Version(strings.TrimPrefix(key, teamstore.Prefix))
 }
 
-// noteTeamTakenOver notes that a team was taken over under the control record known here.
+// noteTeamTakenOver notes that a team was taken over under the membership record known here.
 func (n *Node) noteTeamTakenOver() {
 	if n.teamConfig != nil {
 		n.teamConfig.config.RequireRevision(n.leadership.RecordVersion())
@@ -188,13 +188,13 @@
 	}
 }
 
-// configRecord is what counts of the control record known here.
-func (n *Node) configRecord() *teamconfig.ControlRecord {
+// configRecord is what counts of the membership record known here.
+func (n *Node) configRecord() *teamconfig.MembershipRecord {
 	if n.leadership.Record() == nil {
-		return &teamconfig.ControlRecord{Owner: func(string) string { return "" }}
+		return &teamconfig.MembershipRecord{Owner: func(string) string { return "" }}
 	}
-	return &teamconfig.ControlRecord{Epoch: n.leadership.Epoch(), Version: n.leadership.RecordVersion(), Members: n.leadership.Record().Nodes,
-		Owner: func(team string) string { return n.leadership.Record().Shards[shards.ForTeam(team)].Owner }}
+	return &teamconfig.MembershipRecord{Epoch: n.leadership.Epoch(), Version: n.leadership.RecordVersion(), Members: n.leadership.Record().Nodes,
+		Owner: func(team string) string { return n.leadership.Record().OwnerOf(shards.ForTeam(team)) }}
 }
 
 // teamConfigStatus is what this controller's status says of the configuration, nil if nothing. The controller keeps to
@@ -207,7 +207,7 @@
 	n.teamConfig.statusSerial++
 	status := teamconfig.Status{
 		Serial:        n.teamConfig.statusSerial,
-		Epoch:         n.epoch(),
+		Epoch:         n.leadership.Epoch(),
 		RecordVersion: n.leadership.RecordVersion(),
 		KnownRevision: n.teamConfig.config.KnownRevision(),
 		BaseDigest:    n.teamConfig.baseDigest,
@@ -221,7 +221,7 @@
 // unsettledTeams lists the own teams with a change that is not in force, and with tasks that it would not allow.
 func (n *Node) unsettledTeams() (unsettled []string) {
 	for _, x := range n.teamConfig.config.NotInForce() {
-		if n.leadership.Record().Shards[shards.ForTeam(x.Team)].Owner != n.name {
+		if n.leadership.Record().OwnerOf(shards.ForTeam(x.Team)) != n.name {
 			continue
 		}
 		shard := n.shards.OfTeam(x.Team)
@@ -269,7 +269,7 @@
 	}
 	n.teamConfig.propagation.Apply(node, incarnation, *status)
 	n.updatePropagation(now)
-	if !n.trusted() || status.Epoch != n.epoch() || status.KnownRevision >= n.teamConfig.config.LatestVersion() {
+	if !n.trusted() || status.Epoch != n.leadership.Epoch() || status.KnownRevision >= n.teamConfig.config.LatestVersion() {
 		delete(n.teamConfig.behindSince, node)
 		return
 	}
@@ -292,7 +292,7 @@
 
 // onConfigChanges takes in the changes of the configuration that a peer found missing here.
 func (n *Node) onConfigChanges(m *configMsg, now time.Time) {
-	if n.teamConfig == nil || !n.trusted() || n.leadership.Record() == nil || m.Epoch != n.epoch() {
+	if n.teamConfig == nil || !n.trusted() || n.leadership.Record() == nil || m.Epoch != n.leadership.Epoch() {
 		return
 	}
 	n.teamConfig.config.LearnMissing(m.Changes, m.After, m.Known, m.RecordVersion, n.leadership.RecordVersion())
--- a/internal/controller/teamconfig_overview.go
+++ b/internal/controller/teamconfig_overview.go
@@ -13,7 +13,7 @@
 	Fresh     bool                       `json:"fresh"`
 	Latest    uint64                     `json:"latest_change"`
 	Reached   uint64                     `json:"known_by_all"` // revision up to which every member knows the entries
-	Record    uint64                     `json:"record"`       // version of the control record by which that is said
+	Record    uint64                     `json:"record"`       // version of the membership record by which that is said
 	Behind    []teamconfig.LaggingMember `json:"behind"`
 	Open      []openChange               `json:"not_in_force"`
 	Unwritten int                        `json:"unwritten"`        // remembered, and lost by the state service
--- a/internal/controller/userbackend.go
+++ b/internal/controller/userbackend.go
@@ -66,7 +66,7 @@
 	n := b.node
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	// Before the first control record no change rests on an epoch, and a loss cannot be told
+	// Before the first membership record no change rests on an epoch, and a loss cannot be told
 	// from the deployment's beginning: nothing is accepted yet.
 	return n.watchedKeysRead && n.leadership.Record() != nil && n.trusted() && n.memoriesGathered(time.Now())
 }
--- a/internal/datarecovery/detection.go
+++ b/internal/datarecovery/detection.go
@@ -20,8 +20,8 @@
 
 // StoreContents are the controllers' own keys as a full list of the state service named them.
 type StoreContents struct {
-	Record        *leadership.Record             // the control record; nil: there is none
-	RecordVersion uint64                         // of the control record's key
+	Record        *leadership.Record             // the membership record; nil: there is none
+	RecordVersion uint64                         // of the membership record's key
 	Presences     map[string]leadership.Presence // by controller
 	EpochKeys     map[string]uint64              // versions of the epochs' own keys, by key
 	ReadAt        time.Time
@@ -53,7 +53,7 @@
 	TaskConfirmSuspicion      // compare acknowledged keys, and tell the outcome with Compared
 	TaskRelist                // read all that is followed
 	TaskProposeEpoch          // make the next epoch
-	TaskRefreshRecord         // read the control record, since somebody knows a later term
+	TaskRefreshRecord         // read the membership record, since somebody knows a later term
 	TaskPeriodicCompare       // compare acknowledged keys, and tell the outcome with PeriodicCompared
 )
 
@@ -106,7 +106,7 @@
 	suspectKeys  map[string]uint64 // acknowledged versions of keys that a user's request did not find
 	contents     StoreContents     // of a store that cannot be relied on
 	proof        Sign              // of a loss that the store's own answers do not show
-	brokenChain  bool              // a control record was seen that does not follow the one known
+	brokenChain  bool              // a membership record was seen that does not follow the one known
 	seenHere     bool              // what this process itself saw shows the loss, not only what others know
 	laterTerm    uint64            // a fencing token, or a peer's term, that is higher than the term
 	highestToken uint64            // of all workers heard
@@ -148,7 +148,7 @@
 // Proved says whether there is a proof of a loss, and which.
 func (d *Detection) Proved() (proof Sign, proved bool) { return d.proof, d.proof != "" }
 
-// RecordChainBroken says whether a control record was seen that does not follow the one known.
+// RecordChainBroken says whether a membership record was seen that does not follow the one known.
 func (d *Detection) RecordChainBroken() bool { return d.brokenChain }
 
 // Assessment is what peers are told of the store. record is the latest known, nil for none; revision is the highest
@@ -215,7 +215,7 @@
 	return ""
 }
 
-// RecordRefreshed judges a later term that somebody knows, after the control record was read again. It returns the
+// RecordRefreshed judges a later term that somebody knows, after the membership record was read again. It returns the
 // proof of a loss if the store still does not have that term.
 func (d *Detection) RecordRefreshed(record *leadership.Record) (proof Sign) {
 	if record != nil && d.laterTerm > record.Term {
@@ -232,7 +232,7 @@
 // before it: one that started afterwards read what was left, and would take that for the whole.
 func (d *Detection) LossSeenHere() { d.seenHere = true }
 
-// RecordOutOfChain books a control record that was written over an older version than the one known.
+// RecordOutOfChain books a membership record that was written over an older version than the one known.
 func (d *Detection) RecordOutOfChain() { d.brokenChain, d.seenHere = true, true }
 
 // EpochKeyChanged books an epoch's own key as the store has it.
@@ -248,7 +248,7 @@
 // EpochKeyVersion is the version of an epoch's own key, 0 if the store has none as far as known.
 func (d *Detection) EpochKeyVersion(key string) uint64 { return d.epochKeys[key] }
 
-// NewerEpochSeen books that a control record of a later epoch was seen.
+// NewerEpochSeen books that a membership record of a later epoch was seen.
 func (d *Detection) NewerEpochSeen(epoch uint64) { d.agreement.NewerEpochSeen(epoch) }
 
 // EndsRead books that all single ends that the store has were read.
@@ -412,7 +412,7 @@
 	d.seenHere, d.brokenChain, d.proof, d.laterTerm = false, false, "", 0
 }
 
-// Entered books that all that is followed was read, or that a control record was adopted, of an epoch.
+// Entered books that all that is followed was read, or that a membership record was adopted, of an epoch.
 func (d *Detection) Entered(epoch uint64, now time.Time) { d.agreement.Entered(epoch, now) }
 
 // Proposal is the evidence on which the next epoch is made, and the store's contents that it replaces. ready
--- a/internal/datarecovery/doc.go
+++ b/internal/datarecovery/doc.go
@@ -3,7 +3,7 @@
 //
 //   - Detection judges whether it still has: signs and proofs of a loss, comparisons of acknowledged keys, and,
 //     by Agreement, what the controllers together hold of it.
-//   - Evidence makes the control record of the next epoch; an epoch is the time between two losses.
+//   - Evidence makes the membership record of the next epoch; an epoch is the time between two losses.
 //   - Gathering tells whose memories are awaited before anything starts in that epoch.
 //   - WriteBack picks what returns to the state service, and Census whether every machine that may run something
 //     from before the loss is known.
--- a/internal/datarecovery/epoch.go
+++ b/internal/datarecovery/epoch.go
@@ -9,7 +9,7 @@
 	"topazhollow/internal/protocol"
 )
 
-// NextEpoch is the control record of the next epoch.
+// NextEpoch is the membership record of the next epoch.
 type NextEpoch struct {
 	Record         *leadership.Record
 	WithoutBarrier bool // owners keep their accounts: no barrier
@@ -30,7 +30,7 @@
 	StoreID          string // drawn name of the epoch's store
 }
 
-// NextEpoch makes the control record of the next epoch. Terms go above every token that any worker may have
+// NextEpoch makes the membership record of the next epoch. Terms go above every token that any worker may have
 // seen. Owners keep what they own, and without a barrier, only if every controller of the
 // deployment is heard, is the process that the latest record names, and knows no later
 // one: then nobody can have acted under a record that is not known here. If no memory goes back
@@ -119,7 +119,7 @@
 }
 
 // Transaction is the one conditional write that begins the epoch in place of what the store holds: it replaces the
-// control record, makes the epoch's own key and deletes those of earlier epochs, at most maxOps operations. It
+// membership record, makes the epoch's own key and deletes those of earlier epochs, at most maxOps operations. It
 // rests on the presences that the epoch names.
 func (p *NextEpoch) Transaction(controlKey, presencePrefix string, replaced StoreContents, maxOps int) protocol.Txn {
 	p.Record.PreviousVersion = replaced.RecordVersion
@@ -142,7 +142,7 @@
 	return txn
 }
 
-// GiveUpSearch is the control record with which the search for what nobody remembers ends, once
+// GiveUpSearch is the membership record with which the search for what nobody remembers ends, once
 // a copy was waited for as long as the operators said; nil if it goes on. 0 is no bound:
 // then only their word ends it.
 func GiveUpSearch(r *leadership.Record, waited, most time.Duration) *leadership.Record {
--- a/internal/kvstore/kvstore.go
+++ b/internal/kvstore/kvstore.go
@@ -1,6 +1,6 @@
 // Package kvstore is the client of the region's consensus-backed key-value store.
 //
-// Reads and updates are paced by one controller's share of the store's rates; leases and the control record have a
+// Reads and updates are paced by one controller's share of the store's rates; leases and the membership record have a
 // part of the rates kept for them and are not paced. Update is a compare-and-swap: it is committed whole or not at
 // all. Updates that touch different keys share transactions (batch.go, a group commit). Updates carry a fence, a
 // condition on a key that only the present epoch of the store's data has, and every answer's revision is compared
@@ -69,7 +69,7 @@
 }
 
 // New is a client with one of n controllers' share of the rates. A tenth is
-// held back for leases and the control record, which are not paced.
+// held back for leases and the membership record, which are not paced.
 func New(addr string, limits settings.KVStore, n int) *Client {
 	share := 0.85 / float64(n)
 	c := &Client{
@@ -160,7 +160,7 @@
 	return c.get(ctx, c.calls, key)
 }
 
-// GetControl reads a key without pacing, for leases and the control record.
+// GetControl reads a key without pacing, for leases and the membership record.
 func (c *Client) GetControl(ctx context.Context, key string) (*protocol.Entry, error) {
 	return c.get(ctx, c.control, key)
 }
--- a/internal/kvstore/kvstore_test.go
+++ b/internal/kvstore/kvstore_test.go
@@ -58,7 +58,7 @@
 }
 
 // TestConflictNamesItsKeys: who meets a conflict must know whether it was its own key or
-// another one that the update rests on. Taking a changed control record for a lost job once
+// another one that the update rests on. Taking a changed membership record for a lost job once
 // stopped a whole deployment for as long as jobs ended.
 func TestConflictNamesItsKeys(t *testing.T) {
 	s, err := simulation.NewKVStore(16, 16)
--- a/internal/leadership/golden_test.go
+++ b/internal/leadership/golden_test.go
@@ -9,7 +9,7 @@
 	"topazhollow/internal/goldentest"
 )
 
-// The golden files of the control record in the state service, which controllers of two versions read beside each
+// The golden files of the membership record in the state service, which controllers of two versions read beside each
 // other: the forms may only grow.
 
 // fullRecord has every field set.
--- a/internal/leadership/members_test.go
+++ b/internal/leadership/members_test.go
@@ -36,7 +36,7 @@
 	return true
 }
 
-// TestRecordModel drives the control record through lapsed leases, restarts,
+// TestRecordModel drives the membership record through lapsed leases, restarts,
 // stale readers and late writes. It guards that a change of owner always raises
 // the term, that a successor not marked for the barrier is a process that was in
 // sync, and that no live member loses an item without its own doing.
--- a/internal/leadership/record.go
+++ b/internal/leadership/record.go
@@ -59,6 +59,12 @@
 // Members is the record's nodes in order.
 func (r *Record) Members() []string { return slices.Sorted(maps.Keys(r.Nodes)) }
 
+// IsMember says whether the record names that process of a controller.
+func (r *Record) IsMember(node string, incarnation uint64) bool { return r.Nodes[node] == incarnation }
+
+// OwnerOf is the owner of a shard; "" if there is no such shard.
+func (r *Record) OwnerOf(shard string) string { return r.Shards[shard].Owner }
+
 // Home is the controller that a machine's agent reports to. Members that agents cannot reach are homes only if all are
 // such.
 func (r *Record) Home(machine string) string {
--- a/internal/leadership/state.go
+++ b/internal/leadership/state.go
@@ -83,7 +83,7 @@
 
 // IsMember says whether the record names this process.
 func (s *State) IsMember() bool {
-	return s.record != nil && s.record.Nodes[s.self] == s.incarnation
+	return s.record != nil && s.record.IsMember(s.self, s.incarnation)
 }
 
 // Presence is what is known of a controller's key; zero: it is not there.
--- a/internal/leasegrant/leasegrant.go
+++ b/internal/leasegrant/leasegrant.go
@@ -25,7 +25,7 @@
 
 // Standing is the answering controller's relation to the agent.
 type Standing struct {
-	// IsHome: the control record names this process as the controller that the agent reports to.
+	// IsHome: the membership record names this process as the controller that the agent reports to.
 	IsHome bool
 	// LeaseValid: the controller is entitled and its own lease is valid. A raised term voids the starts that others sent.
 	LeaseValid bool
--- a/internal/leasegrant/model_controller_test.go
+++ b/internal/leasegrant/model_controller_test.go
@@ -9,7 +9,7 @@
 	"topazhollow/internal/leadership"
 )
 
-// The controllers of the model: leases, the control record, statuses, cancellations.
+// The controllers of the model: leases, the membership record, statuses, cancellations.
 
 // startController starts a controller's process.
 func (w *world) startController(i int) {
@@ -131,7 +131,7 @@
 	c.watermark.RecordRead(w.now)
 }
 
-// adoptRecord takes up a control record.
+// adoptRecord takes up a membership record.
 func (w *world) adoptRecord(c *controller, r *leadership.Record, version uint64) {
 	if version <= c.version {
 		return
@@ -236,7 +236,7 @@
 	}
 }
 
-// changeRecord changes the control record, if it is to be changed.
+// changeRecord changes the membership record, if it is to be changed.
 func (w *world) changeRecord() {
 	for _, c := range w.controllers {
 		if !c.up || c.record == nil || !w.served(c.index) || !c.lease.Valid(w.now) || c.live[names[c.index]].Incarnation != c.incarnation || c.version != w.store.version {
--- a/internal/leasegrant/model_test.go
+++ b/internal/leasegrant/model_test.go
@@ -11,7 +11,7 @@
 )
 
 // The model: three controllers, the key-value store, two machines and one job of one task. Real are the watermark, the
-// control record and its repair, the controllers' leases, the owner's account, the machines' home and the decision about
+// membership record and its repair, the controllers' leases, the owner's account, the machines' home and the decision about
 // renewals. What internal/controller does between them is written down plainly here: in a step of time every controller
 // reads the store, sends its peers two statuses, acts as owner and as home, and every machine sends a heartbeat. Between
 // steps comes what may go wrong.
--- a/internal/shards/owned.go
+++ b/internal/shards/owned.go
@@ -78,7 +78,7 @@
 	}
 }
 
-// Name is the shard's name in the control record.
+// Name is the shard's name in the membership record.
 func (o *Owned) Name() string { return o.name }
 
 // IsFleet says whether the shard is the fleet, which has no jobs and no replica to speak of.
--- a/internal/shards/registry.go
+++ b/internal/shards/registry.go
@@ -2,7 +2,7 @@
 // and giving it up, the barrier that a new owner may have to pass, which replica gets a copy, a part of one or the
 // changes, which replicas are in sync, and which pages of finished tasks are written next.
 //
-// It places no task, reads no clock and does no I/O: times, the control record and who is connected come in,
+// It places no task, reads no clock and does no I/O: times, the membership record and who is connected come in,
 // messages to be sent and pages to be written go out. Its types are not safe for concurrent use; the controller
 // calls them under its lock.
 package shards
@@ -21,7 +21,7 @@
 // teamPrefix begins the names of shards that are teams.
 const teamPrefix = "team/"
 
-// ForTeam is the name of a team's shard in the control record.
+// ForTeam is the name of a team's shard in the membership record.
 func ForTeam(team string) string { return teamPrefix + team }
 
 // TeamOf is the team of a shard; false for the fleet.
@@ -80,7 +80,7 @@
 	Now       time.Time
 }
 
-// Take begins to own a shard that the control record gives to this controller, with the replica that was held of it.
+// Take begins to own a shard that the membership record gives to this controller, with the replica that was held of it.
 func (r *Registry) Take(t Takeover) *Owned {
 	entry := t.Record.Shards[t.Name]
 	replica, needsBarrier := r.startingReplica(t.Name, t.Record)
@@ -116,13 +116,13 @@
 	return replica, needsBarrier
 }
 
-// Changes is what a new control record changes for a controller.
+// Changes is what a new membership record changes for a controller.
 type Changes struct {
 	GivenUp []*Owned // owned no more
 	ToTake  []string // shards to be taken over by Take
 }
 
-// Follow gives up the shards that a new control record gives to others, or to this controller anew, and names
+// Follow gives up the shards that a new membership record gives to others, or to this controller anew, and names
 // those to be taken over. member says whether the record names this process; only a member goes on to hold what it
 // gave up, as a replica.
 func (r *Registry) Follow(record *leadership.Record, self string, member bool) (c Changes) {
--- a/internal/shards/registry_test.go
+++ b/internal/shards/registry_test.go
@@ -11,7 +11,7 @@
 	"topazhollow/internal/leadership"
 )
 
-// takeRecord is a control record by which node-a owns a shard.
+// takeRecord is a membership record by which node-a owns a shard.
 func takeRecord(firstTerm, epoch uint64, shard leadership.Shard) *leadership.Record {
 	record := (&leadership.Record{Term: 9, FirstTerm: firstTerm, Epoch: epoch}).Clone()
 	record.Nodes = map[string]uint64{"node-a": 1, "node-b": 1}
--- a/internal/teamconfig/config.go
+++ b/internal/teamconfig/config.go
@@ -126,7 +126,7 @@
 }
 
 // LearnMissing takes in what a peer that knows more has sent: all changes after the revision known here up to its own.
-// record is the version of the control record that it knew, own of that known here: revisions are known here only with
+// record is the version of the membership record that it knew, own of that known here: revisions are known here only with
 // the records among them.
 func (c *Config) LearnMissing(changes []Change, after, known, record, own uint64) {
 	for _, x := range changes {
@@ -234,7 +234,7 @@
 	return all
 }
 
-// RequireRevision notes that a team was taken over under a control record of a version: whoever owned it before may
+// RequireRevision notes that a team was taken over under a membership record of a version: whoever owned it before may
 // have said that changes up to then are in force.
 func (c *Config) RequireRevision(record uint64) { c.requiredRevision = max(c.requiredRevision, record) }
 
--- a/internal/teamconfig/model_test.go
+++ b/internal/teamconfig/model_test.go
@@ -11,7 +11,7 @@
 	"topazhollow/internal/settings"
 )
 
-// world is a plain model: a state service with entries and a control record, controllers whose reads, words and
+// world is a plain model: a state service with entries and a membership record, controllers whose reads, words and
 // lessons arrive late, twice, in any order or never, and machines on which tasks of one CPU start late.
 type world struct {
 	rng      *rand.Rand
@@ -124,7 +124,7 @@
 	})
 }
 
-// adopt has a controller take up a control record.
+// adopt has a controller take up a membership record.
 func (w *world) adopt(n *node, r record) {
 	if r.version <= n.record.version {
 		return
@@ -143,7 +143,7 @@
 	}
 }
 
-// rewrite changes the control record: members come and go, teams change hands.
+// rewrite changes the membership record: members come and go, teams change hands.
 func (w *world) rewrite() {
 	next := record{version: w.revision + 1, members: map[string]uint64{}, owners: map[string]string{}, blind: map[string]bool{}}
 	for _, n := range w.nodes {
@@ -242,8 +242,8 @@
 	}
 }
 
-func (n *node) asRecord() *ControlRecord {
-	return &ControlRecord{Version: n.record.version, Members: n.record.members, Owner: func(team string) string { return n.record.owners[team] }}
+func (n *node) asRecord() *MembershipRecord {
+	return &MembershipRecord{Version: n.record.version, Members: n.record.members, Owner: func(team string) string { return n.record.owners[team] }}
 }
 
 // tell has a controller tell its word to all.
--- a/internal/teamconfig/propagation.go
+++ b/internal/teamconfig/propagation.go
@@ -10,14 +10,14 @@
 type Status struct {
 	Serial        uint64   `json:"serial"`     // of this process's statuses, rising
 	Epoch         uint64   `json:"generation"` // of the state service's data
-	RecordVersion uint64   `json:"record"`     // version of the control record under which this holds
+	RecordVersion uint64   `json:"record"`     // version of the membership record under which this holds
 	KnownRevision uint64   `json:"known"`      // revision up to which every entry is known
 	Unsettled     []string `json:"unsettled,omitempty"`
 	BaseDigest    uint64   `json:"base"` // digest of the settings file's teams
 }
 
-// ControlRecord is what counts of a control record.
-type ControlRecord struct {
+// MembershipRecord is what counts of a membership record.
+type MembershipRecord struct {
 	Epoch   uint64
 	Version uint64
 	Members map[string]uint64        // with their incarnations
@@ -25,7 +25,7 @@
 }
 
 // Propagation is what a controller knows of who knows which changes. A change is in force everywhere once every member
-// of the control record knows it, and the team's owner has nothing under way any more that it would not allow (see
+// of the membership record knows it, and the team's owner has nothing under way any more that it would not allow (see
 // Status.Unsettled), all as reported under one and the same record.
 type Propagation struct {
 	statuses    map[string]processStatus
@@ -52,14 +52,14 @@
 }
 
 // statusOf is a member's status under the record, if there is one.
-func (f *Propagation) statusOf(r *ControlRecord, node string) (Status, bool) {
+func (f *Propagation) statusOf(r *MembershipRecord, node string) (Status, bool) {
 	w, ok := f.statuses[node]
 	return w.Status, ok && w.incarnation == r.Members[node] && w.Epoch == r.Epoch && w.RecordVersion == r.Version
 }
 
 // KnownByAll is the revision up to which every member knows the entries, by statuses under this record; 0 if
 // that of one is missing.
-func (f *Propagation) KnownByAll(r *ControlRecord) (revision uint64) {
+func (f *Propagation) KnownByAll(r *MembershipRecord) (revision uint64) {
 	if len(r.Members) == 0 {
 		return 0
 	}
@@ -75,7 +75,7 @@
 }
 
 // Propagated lists those of the changes that are in force everywhere.
-func (f *Propagation) Propagated(r *ControlRecord, changes []Change) (reached []Change) {
+func (f *Propagation) Propagated(r *MembershipRecord, changes []Change) (reached []Change) {
 	if len(changes) == 0 {
 		return nil
 	}
@@ -99,7 +99,7 @@
 }
 
 // Lagging lists the members that are not known to know the changes up to a version, and since when.
-func (f *Propagation) Lagging(r *ControlRecord, latest uint64, now time.Time) (list []LaggingMember) {
+func (f *Propagation) Lagging(r *MembershipRecord, latest uint64, now time.Time) (list []LaggingMember) {
 	maps.DeleteFunc(f.behindSince, func(node string, _ time.Time) bool { _, member := r.Members[node]; return !member })
 	for _, node := range slices.Sorted(maps.Keys(r.Members)) {
 		w, ok := f.statusOf(r, node)
--- a/internal/teamconfig/teamconfig_test.go
+++ b/internal/teamconfig/teamconfig_test.go
@@ -73,7 +73,7 @@
 // TestLaggingMembers: a member that knows less than the last change is named, with the time since when.
 func TestLaggingMembers(t *testing.T) {
 	f := NewPropagation()
-	r := &ControlRecord{Version: 5, Members: map[string]uint64{"a": 1, "b": 1}, Owner: func(string) string { return "a" }}
+	r := &MembershipRecord{Version: 5, Members: map[string]uint64{"a": 1, "b": 1}, Owner: func(string) string { return "a" }}
 	f.Apply("a", 1, Status{Serial: 1, RecordVersion: 5, KnownRevision: 9})
 	f.Apply("b", 1, Status{Serial: 1, RecordVersion: 5, KnownRevision: 8})
 	if l := f.Lagging(r, 8, start); len(l) != 0 {
@@ -210,7 +210,7 @@
 		t.Errorf("a late entry: version %d, unwritten %v", c.Version("red"), c.Unwritten())
 	}
 	f := NewPropagation()
-	r := &ControlRecord{Version: 5, Members: map[string]uint64{"a": 2}, Owner: func(string) string { return "a" }}
+	r := &MembershipRecord{Version: 5, Members: map[string]uint64{"a": 2}, Owner: func(string) string { return "a" }}
 	f.Apply("a", 2, Status{Serial: 7, RecordVersion: 5, KnownRevision: 9, Unsettled: []string{"red"}})
 	f.Apply("a", 2, Status{Serial: 6, RecordVersion: 5, KnownRevision: 9})
 	f.Apply("a", 1, Status{Serial: 8, RecordVersion: 5, KnownRevision: 20})
