--- a/internal/agents/unreachablehomes.go
+++ b/internal/agents/unreachablehomes.go
@@ -18,8 +18,9 @@
 // Timing is what the decisions about unreachable homes count with.
 type Timing struct {
 	HeartbeatOverdue time.Duration // after what time an agent's heartbeat is missing at its home
-	RedirectTimeout  time.Duration // how long an agent may take from one heartbeat here to the next, with a try of its home between
-	Lease            time.Duration // of an agent
+	// RedirectTimeout is how long an agent may take from one heartbeat here to the next, with a try of its home between.
+	RedirectTimeout time.Duration
+	Lease           time.Duration // of an agent
 }
 
 // Misdirected is a heartbeat that came here though another controller is the agent's home.
@@ -164,7 +165,9 @@
 func (u *UnreachableHomes) countInVain(home string, homes Homes, now time.Time) (count int) {
 	for machine, a := range u.attempts[home] {
 		switch {
-		case now.Sub(a.last) > u.timing.RedirectTimeout, homes.HomeOf(machine) != home, a.first.Before(homes.ReachedHomeAt(machine)):
+		case now.Sub(a.last) > u.timing.RedirectTimeout,
+			homes.HomeOf(machine) != home,
+			a.first.Before(homes.ReachedHomeAt(machine)):
 			delete(u.attempts[home], machine)
 		case a.last.Sub(a.first) > u.timing.HeartbeatOverdue/2:
 			count++
--- a/internal/controller/commands.go
+++ b/internal/controller/commands.go
@@ -95,12 +95,13 @@
 }
 
 // finishCommands takes in an agent's response, or that there was none; left says that the request may have reached it.
-func (n *Node) finishCommands(machine string, r *commandRequest, resp *httpx.Response, left bool, err error) (answered bool) {
+func (n *Node) finishCommands(machine string, r *commandRequest, resp *httpx.Response, left bool, err error) bool {
 	now := time.Now()
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	var h protocol.Heartbeat
-	answered = err == nil && (resp.Status == 200 || resp.Status == 409) && protocol.Decode(resp.Body, &h) == nil && h.Machine == machine
+	answered := err == nil && (resp.Status == 200 || resp.Status == 409) &&
+		protocol.Decode(resp.Body, &h) == nil && h.Machine == machine
 	if answered && n.agents.Get(machine) == r.agent {
 		n.applyResponse(&h, now)
 	}
--- a/internal/controller/machinestatus.go
+++ b/internal/controller/machinestatus.go
@@ -171,9 +171,7 @@
 	for shard := range n.shards.InOrder() {
 		switch {
 		case shard.IsReady():
-			team, _ := shards.TeamOf(shard.Name())
-			account := shard.Team()
-			if slices.Contains(teams, team) || account.HasAssignmentsOn(v.Machine) || account.HasOrphansOn(v.Machine) || unknown < account.FirstTerm() {
+			if concerns(shard, v, teams, unknown) {
 				n.reconcileMachine(shard, v)
 			}
 		case shard.Phase() == shards.Barrier && shard.Awaits(v.Machine):
@@ -182,6 +180,17 @@
 	}
 }
 
+// concerns says whether a team's account has to do with a machine: its tasks are listed there, or may be. Unknown is the
+// earliest term of the listed attempts that nobody here can describe.
+func concerns(shard *shards.Owned, v *jobstate.MachineStatus, teams []string, unknown uint64) bool {
+	team, _ := shards.TeamOf(shard.Name())
+	account := shard.Team()
+	return slices.Contains(teams, team) ||
+		account.HasAssignmentsOn(v.Machine) ||
+		account.HasOrphansOn(v.Machine) ||
+		unknown < account.FirstTerm()
+}
+
 // teamsOn lists the teams of the jobs whose tasks a status lists.
 func (n *Node) teamsOn(v *jobstate.MachineStatus) (teams []string) {
 	for _, t := range v.Tasks {
@@ -201,7 +210,8 @@
 	}
 	faulty := t.Reason == protocol.ReasonError
 	if faulty && n.quarantine.RecordFailure(t.Job, machine, now) {
-		n.log.Info("job held to be faulty: it failed on several machines and succeeded on none", "job", t.Job, "team", j.spec.Team, "last", machine)
+		n.log.Info("job held to be faulty: it failed on several machines and succeeded on none",
+			"job", t.Job, "team", j.spec.Team, "last", machine)
 	} else if !faulty && n.quarantine.RecordSuccess(t.Job, machine) {
 		n.log.Info("job no longer held to be faulty", "job", t.Job, "team", j.spec.Team)
 	} else {
--- a/internal/controller/reconcile.go
+++ b/internal/controller/reconcile.go
@@ -31,7 +31,7 @@
 	return jobstate.JobInfo{}
 }
 
-// Unsized is what a machine has beside the listed tasks of known size.
+// UnknownSizeBound is what a machine has beside the listed tasks of known size.
 func (k teamKnowledge) UnknownSizeBound(v *jobstate.MachineStatus) (cpus, gpus float64) {
 	cpus, gpus, _, ok := k.n.scheduler.Capacity(v.Type)
 	if !ok {
@@ -48,7 +48,10 @@
 
 // endedSpec is what is left of a job's description after its end.
 func endedSpec(uid string, end userapi.JobEnd) *protocol.Submission {
-	return &protocol.Submission{UID: uid, Team: end.Team, Tasks: end.Tasks, CPUs: end.CPUs, GPUs: end.GPUs, MemoryGB: end.MemoryGB}
+	return &protocol.Submission{
+		UID: uid, Team: end.Team, Tasks: end.Tasks,
+		CPUs: end.CPUs, GPUs: end.GPUs, MemoryGB: end.MemoryGB,
+	}
 }
 
 // hasSize says whether it is known what a job's tasks take.
@@ -121,13 +124,14 @@
 	n.reobserveReserved(uid)
 }
 
-// recordEndNotFound notes that a job has no end in the state service; absent: it is surely not there as active either.
+// recordEndNotFound notes that a job has no end in the key-value store; absent: it is surely not there as active either.
 func (n *Node) recordEndNotFound(uid string, attempt uint64, absent bool) {
 	if n.jobs[uid] != nil {
 		return
 	}
 	n.endLookUps.Fail(uid, time.Now())
-	if absent && n.leadership.Record() != nil && (n.leadership.Epoch() == 1 || jobstate.TermOf(attempt) >= n.leadership.Record().FirstTerm) {
+	record := n.leadership.Record()
+	if absent && record != nil && (n.leadership.Epoch() == 1 || jobstate.TermOf(attempt) >= record.FirstTerm) {
 		// A task is started only for a job that was accepted, and an accepted job has one key or the other for ever.
 		n.proveLoss(datarecovery.ProofUnknownJob)
 	}
