--- /dev/null
+++ b/internal/cli/region.go
@@ -0,0 +1,292 @@
+package cli
+
+import (
+	"bytes"
+	"context"
+	"crypto/rand"
+	"encoding/json"
+	"errors"
+	"fmt"
+	"io"
+	"log/slog"
+	"net"
+	"net/http"
+	"os"
+	"os/exec"
+	"path/filepath"
+	"sync"
+	"time"
+
+	"topazhollow/internal/artifactreplication"
+	"topazhollow/internal/artifactstore"
+	"topazhollow/internal/protocol"
+	"topazhollow/internal/settings"
+	"topazhollow/internal/simulation"
+	"topazhollow/internal/taskrunner"
+	"topazhollow/internal/wait"
+)
+
+// region is a whole deployment on loopback: simulated services around it, three
+// controllers as processes and an artifact store.
+type region struct {
+	dir       string
+	key       []byte
+	log       *slog.Logger
+	keeper    string // its address
+	listen    []string
+	check     *simulation.Checker
+	state     *simulation.KVStore
+	cloud     *simulation.Cloud
+	processes []*exec.Cmd
+	example   *example
+	stop      context.CancelFunc
+	ended     chan error
+	tasks     sync.WaitGroup
+}
+
+// freeAddr is a loopback address that nobody listens on.
+func freeAddr() (string, error) {
+	l, err := net.Listen("tcp4", "127.0.0.1:0")
+	if err != nil {
+		return "", err
+	}
+	defer l.Close()
+	return l.Addr().String(), nil
+}
+
+// What the region of the demo is made of.
+const (
+	demoTeam          = "red"
+	demoTeamCPUs      = 32
+	demoTeamMaxCPUs   = 64
+	demoMachines      = 4 // at most
+	demoHeartbeat     = 300 * time.Millisecond
+	demoLease         = 20 * time.Second
+	demoTxnChanges    = 24
+	demoStoreValuesKB = 16
+)
+
+var (
+	demoControllers = []string{"estacion-0", "estacion-1", "estacion-2"}
+	demoZones       = []string{"east", "west"}
+)
+
+// newRegion starts a region that runs an example's tasks. With an error nothing of it is left.
+func newRegion(ctx context.Context, e *example) (g *region, err error) {
+	g = &region{
+		example: e,
+		key:     make([]byte, 32),
+		log:     slog.New(slog.DiscardHandler),
+		ended:   make(chan error, 1),
+		check:   simulation.NewChecker(map[string]float64{demoTeam: demoTeamMaxCPUs}),
+	}
+	_, _ = rand.Read(g.key) // never fails
+	if g.dir, err = os.MkdirTemp("", "topaz-demo-"); err != nil {
+		return nil, err
+	}
+	defer func() {
+		if err != nil {
+			err = errors.Join(err, g.close())
+		}
+	}()
+	if err := g.startArtifactStore(ctx); err != nil {
+		return g, err
+	}
+	if g.state, err = simulation.NewKVStore(demoTxnChanges, demoStoreValuesKB); err != nil {
+		return g, err
+	}
+	listen, peers, err := g.drawAddresses()
+	if err != nil {
+		return g, err
+	}
+	if err := g.startCloud(listen); err != nil {
+		return g, err
+	}
+	return g, g.startControllers(listen, peers)
+}
+
+// startArtifactStore runs a store of output and files until close, and waits until it answers.
+func (g *region) startArtifactStore(ctx context.Context) error {
+	set := artifactreplication.DefaultConfig()
+	set.Listen, set.Dir = "127.0.0.1:0", filepath.Join(g.dir, "keep")
+	running, stop := context.WithCancel(context.WithoutCancel(ctx))
+	g.stop = stop
+	ready := make(chan string, 1)
+	go func() { g.ended <- Keep(running, set, g.key, io.Discard, func(addr string) { ready <- addr }) }()
+	select {
+	case addr := <-ready:
+		g.keeper = "http://" + addr
+		return nil
+	case err := <-g.ended:
+		g.ended <- nil
+		return err
+	}
+}
+
+// drawAddresses gives each controller an address for users and agents, and one for its peers.
+func (g *region) drawAddresses() (listen, peers map[string]string, err error) {
+	listen, peers = map[string]string{}, map[string]string{}
+	for _, n := range demoControllers {
+		var err, err2 error
+		listen[n], err = freeAddr()
+		peers[n], err2 = freeAddr()
+		if err := errors.Join(err, err2); err != nil {
+			return nil, nil, err
+		}
+		g.listen = append(g.listen, listen[n])
+	}
+	return listen, peers, nil
+}
+
+// startCloud starts a cloud whose machines run the example's command for each task.
+func (g *region) startCloud(listen map[string]string) (err error) {
+	periods := simulation.Periods{Heartbeat: demoHeartbeat, Lease: demoLease, Exec: g.execute}
+	types := []protocol.MachineType{{
+		Name: "m8", CPUs: 8, MemoryGB: 64,
+		PricePerHour: 2, SpotPricePerHour: 1, BootSeconds: 1,
+		Zones: demoZones,
+	}}
+	boot := func(name, typ, zone string, spot bool) (*simulation.Agent, error) {
+		return simulation.NewAgent(name, typ, zone, spot, listen, demoControllers, periods, g.check)
+	}
+	g.cloud, err = simulation.NewCloud(types, demoMachines, boot)
+	return err
+}
+
+// startControllers starts a process for each controller, of this program.
+func (g *region) startControllers(listen, peers map[string]string) error {
+	program, err := os.Executable()
+	if err != nil {
+		return err
+	}
+	for i, n := range demoControllers {
+		s := g.settingsOf(n, demoZones[i%2], listen[n], peers)
+		path := filepath.Join(g.dir, n+".json")
+		if err := os.WriteFile(path, protocol.Encode(s), 0o600); err != nil {
+			return err
+		}
+		log, err := os.Create(filepath.Join(g.dir, n+".log"))
+		if err != nil {
+			return err
+		}
+		cmd := exec.Command(program, "controller", "--config", path)
+		cmd.Stderr = log
+		err = cmd.Start()
+		log.Close()
+		if err != nil {
+			return err
+		}
+		g.processes = append(g.processes, cmd)
+	}
+	return nil
+}
+
+// settingsOf are a controller's settings.
+func (g *region) settingsOf(name, zone, listen string, peers map[string]string) *settings.Settings {
+	s := &settings.Settings{
+		Name:       name,
+		Zone:       zone,
+		Listen:     listen,
+		PeerListen: peers[name],
+		Outside:    settings.Outside{Cloud: g.cloud.Addr(), KVStore: g.state.Addr()},
+		Deployment: settings.Deployment{
+			Size:  len(demoControllers),
+			Zones: demoZones,
+			Teams: []settings.Team{{Name: demoTeam, CPUs: demoTeamCPUs, CPUsMax: demoTeamMaxCPUs}},
+			Agents: settings.Agents{
+				HeartbeatSeconds: demoHeartbeat.Seconds(), LeaseSeconds: demoLease.Seconds(),
+				GangWaitSeconds: 10, GangPeerSeconds: 4, CancelSeconds: 60,
+			},
+			KVStore: settings.KVStore{
+				RequestsPerSecond: 400, ChangesPerSecond: 200,
+				ValueKB: demoStoreValuesKB, ChangesPerTransaction: demoTxnChanges,
+			},
+			Cloud:  settings.Cloud{RequestsPerSecond: 20, ListLagSeconds: 0.2},
+			Limits: settings.Limits{Cores: 1, MemoryMB: 256, MaxSockets: 512},
+		},
+	}
+	for _, p := range demoControllers {
+		if p != name {
+			s.Peers = append(s.Peers, settings.Peer{Name: p, Zone: "east", Endpoint: peers[p]})
+		}
+	}
+	return s
+}
+
+// execute is what a simulated agent does with a task: it runs the example's command for real and uploads its output to
+// the artifact store. It says whether the task completed.
+func (g *region) execute(ctx context.Context, machine string, session uint64, name string, attempt uint64) bool {
+	g.tasks.Add(1)
+	defer g.tasks.Done()
+	job, index, ok := protocol.SplitTask(name)
+	if !ok {
+		return false
+	}
+	c := artifactstore.Claim{Attempt: artifactstore.Attempt{Job: job, Task: index, Number: attempt}, Tenant: "red", Machine: machine, Session: session, Class: g.example.Name}
+	token := artifactstore.Grant{Right: artifactstore.Write, Tenant: c.Tenant, Job: job, Task: &index, Number: attempt, Machine: machine, Session: session, Class: c.Class,
+		Until: time.Now().Add(time.Hour)}.Token(g.key)
+	dir := filepath.Join(g.dir, "work", fmt.Sprintf("%s-%d-%d", job, index, attempt))
+	if err := os.MkdirAll(dir, 0o700); err != nil {
+		return false
+	}
+	got, err := taskrunner.Run(ctx, taskrunner.Options{Spool: filepath.Join(g.dir, "spool", machine), Keepers: []string{g.keeper}, Log: g.log},
+		taskrunner.Task{Claim: c, Token: token, Command: g.example.Command, Env: []string{"PATH=" + os.Getenv("PATH"), fmt.Sprint("TASK=", index)}, Dir: dir, Files: g.example.Files}, 2*time.Second)
+	return err == nil && got.Exit.Completed
+}
+
+// ask sends a request to the first controller that answers.
+func (g *region) ask(ctx context.Context, method, path string, body any) (int, protocol.Status) {
+	var st protocol.Status
+	var data []byte
+	if body != nil {
+		data = protocol.Encode(body)
+	}
+	for _, addr := range g.listen {
+		req, err := http.NewRequestWithContext(ctx, method, "http://"+addr+path, bytes.NewReader(data))
+		if err != nil {
+			return 0, st
+		}
+		resp, err := http.DefaultClient.Do(req)
+		if err != nil {
+			continue
+		}
+		_ = json.NewDecoder(resp.Body).Decode(&st) // the status says the most of it
+		resp.Body.Close()
+		if resp.StatusCode < 500 {
+			return resp.StatusCode, st
+		}
+	}
+	return 0, st
+}
+
+// until tries until something holds.
+func (g *region) until(ctx context.Context, what string, holds func() bool) error {
+	for !holds() {
+		if !wait.For(ctx, 100*time.Millisecond) {
+			return fmt.Errorf("waited in vain for %s; the controllers' logs are in %s: %w", what, g.dir, ctx.Err())
+		}
+	}
+	return nil
+}
+
+// close ends everything and leaves nothing behind but, after a failure, the directory
+// that the error names.
+func (g *region) close() error {
+	for _, p := range g.processes {
+		_ = p.Process.Kill() // it may have ended by itself
+		_ = p.Wait()
+	}
+	if g.cloud != nil {
+		g.cloud.Close()
+	}
+	if g.state != nil {
+		g.state.Close()
+	}
+	g.tasks.Wait()
+	var err error
+	if g.stop != nil {
+		g.stop()
+		err = <-g.ended
+	}
+	return errors.Join(err, os.RemoveAll(g.dir))
+}
