--- a/internal/cli/admission.go
+++ b/internal/cli/admission.go
@@ -19,16 +19,18 @@
 	Controllers []string `arg:"" name:"host:port" help:"Public addresses of the controllers."`
 }
 
+// admissionAnswer is what a controller says of admission.
+type admissionAnswer struct {
+	Node   string           `json:"node"`
+	Served admission.Status `json:"admission"`
+}
+
 // Run asks each controller and prints one table, who is served worst first.
 func (c *admissionShowCmd) Run(r *run) error {
-	type answer struct {
-		Node   string           `json:"node"`
-		Served admission.Status `json:"admission"`
-	}
-	var all []answer
+	var all []admissionAnswer
 	failed := 0
 	for _, addr := range c.Controllers {
-		var a answer
+		var a admissionAnswer
 		if err := overviewOf(r.ctx, addr, &a); err != nil {
 			failed++
 			fmt.Fprintf(r.err, programName+": %s: %v\n", addr, err)
@@ -40,33 +42,8 @@
 		for _, a := range all {
 			r.print(a, "")
 		}
-	} else {
-		var keys []admission.KeyStatus
-		for _, a := range all {
-			fmt.Fprintf(r.out, "%s: plan %d of term %d, machines held %v; acceptances wait %.1f s, %d refused may come back\n", a.Node, a.Served.Plan.Number, a.Served.Plan.SinceTerm, a.Served.Reserved, a.Served.Pressure, a.Served.Refused)
-			for _, k := range a.Served.Keys {
-				if k.InTime+k.Late+k.Waiting+k.Done > 0 || k.Held > 0 { // of its owner
-					keys = append(keys, k)
-				}
-			}
-		}
-		slices.SortStableFunc(keys, func(a, b admission.KeyStatus) int {
-			switch {
-			case a.Share < b.Share:
-				return -1
-			case a.Share > b.Share:
-				return 1
-			}
-			return a.Compare(b.Key)
-		})
-		w := tabwriter.NewWriter(r.out, 0, 4, 2, ' ', 0)
-		fmt.Fprintln(w, "team\tclass\tin time\tdone\tlate\trefused\tCPUs\tfloor\twaiting\toldest\twhy")
-		for _, k := range keys {
-			fmt.Fprintf(w, "%s\t%s\t%.0f%%\t%d\t%d\t%d\t%.0f\t%.0f\t%d\t%.0f s\t%s\n", k.Team, k.Class, 100*k.Share, k.Done, k.Late, k.Refused, k.Held, k.Floor, k.Waiting, k.Oldest, why(&k))
-		}
-		if err := w.Flush(); err != nil {
-			return err
-		}
+	} else if err := r.printAdmission(all); err != nil {
+		return err
 	}
 	if failed > 0 {
 		return fmt.Errorf("%d of %d controllers did not answer", failed, len(c.Controllers))
@@ -74,6 +51,39 @@
 	return nil
 }
 
+// printAdmission prints a line for each controller and a table of teams and classes, each as its owner says.
+func (r *run) printAdmission(all []admissionAnswer) error {
+	var keys []admission.KeyStatus
+	for _, a := range all {
+		fmt.Fprintf(r.out, "%s: plan %d of term %d, machines held %v; acceptances wait %.1f s, %d refused may come back\n",
+			a.Node, a.Served.Plan.Number, a.Served.Plan.SinceTerm, a.Served.Reserved, a.Served.Pressure, a.Served.Refused)
+		for _, k := range a.Served.Keys {
+			if k.InTime+k.Late+k.Waiting+k.Done > 0 || k.Held > 0 { // of its owner
+				keys = append(keys, k)
+			}
+		}
+	}
+	slices.SortStableFunc(keys, compareServed)
+	w := tabwriter.NewWriter(r.out, 0, 4, 2, ' ', 0)
+	fmt.Fprintln(w, "team\tclass\tin time\tdone\tlate\trefused\tCPUs\tfloor\twaiting\toldest\twhy")
+	for _, k := range keys {
+		fmt.Fprintf(w, "%s\t%s\t%.0f%%\t%d\t%d\t%d\t%.0f\t%.0f\t%d\t%.0f s\t%s\n",
+			k.Team, k.Class, 100*k.Share, k.Done, k.Late, k.Refused, k.Held, k.Floor, k.Waiting, k.Oldest, why(&k))
+	}
+	return w.Flush()
+}
+
+// compareServed orders who is served worst first, then by name.
+func compareServed(a, b admission.KeyStatus) int {
+	switch {
+	case a.Share < b.Share:
+		return -1
+	case a.Share > b.Share:
+		return 1
+	}
+	return a.Compare(b.Key)
+}
+
 // why says in a few words what a key waits for.
 func why(k *admission.KeyStatus) string {
 	switch {
--- a/internal/cli/keep.go
+++ b/internal/cli/keep.go
@@ -6,6 +6,7 @@
 	"errors"
 	"fmt"
 	"io"
+	"log/slog"
 	"net"
 	"net/http"
 	"path/filepath"
@@ -40,11 +41,8 @@
 	return Keep(r.ctx, set, key, r.err, nil)
 }
 
-// Keep runs a keeper until the context ends. ready is told the address once it
-// answers.
+// Keep runs an artifact store until the context ends. ready is told the address once it answers.
 func Keep(ctx context.Context, set artifactreplication.Config, key []byte, log io.Writer, ready func(addr string)) error {
-	l := logger(log)
-	gb := func(x float64) int64 { return int64(x * 1e9) }
 	listener, err := net.Listen("tcp", set.Listen)
 	if err != nil {
 		return err
@@ -54,19 +52,51 @@
 		set.Listen = listener.Addr().String()
 		set.FillDefaults()
 	}
-	var node *artifactreplication.Node
-	blobs, err := blob.Open(blob.Options{Dir: filepath.Join(set.Dir, "blobs"), Quota: gb(set.QuotaGB), Reserve: gb(set.ReserveGB),
-		Tenant: func(string) int64 { return gb(set.TenantGB) },
-		Repair: func(ctx context.Context, d blob.Digest) (io.ReadCloser, error) { return node.OpenVerified(ctx, d) }})
-	if err != nil {
+	s := &artifactServer{set: set, listener: listener, log: logger(log)}
+	defer s.close()
+	if err := s.open(key); err != nil {
 		return err
 	}
-	defer blobs.Close()
-	k, err := artifactstore.Open(artifactstore.Options{Dir: filepath.Join(set.Dir, "attempts"), Blobs: blobs, Key: key})
-	if err != nil {
+	if err := s.join(key); err != nil {
 		return err
 	}
-	defer k.Close()
+	s.logStart()
+	return s.run(ctx, ready)
+}
+
+// artifactServer is one replica of the artifact store, with all that it is made of.
+type artifactServer struct {
+	set      artifactreplication.Config
+	listener net.Listener
+	log      *slog.Logger
+	blobs    *blob.Store
+	store    *artifactstore.Store
+	node     *artifactreplication.Node
+}
+
+// open opens what is on the disk.
+func (s *artifactServer) open(key []byte) (err error) {
+	set := &s.set
+	gb := func(x float64) int64 { return int64(x * 1e9) }
+	if s.blobs, err = blob.Open(blob.Options{
+		Dir:     filepath.Join(set.Dir, "blobs"),
+		Quota:   gb(set.QuotaGB),
+		Reserve: gb(set.ReserveGB),
+		Tenant:  func(string) int64 { return gb(set.TenantGB) },
+		Repair: func(ctx context.Context, d blob.Digest) (io.ReadCloser, error) {
+			return s.node.OpenVerified(ctx, d)
+		},
+	}); err != nil {
+		return err
+	}
+	attempts := artifactstore.Options{Dir: filepath.Join(set.Dir, "attempts"), Blobs: s.blobs, Key: key}
+	s.store, err = artifactstore.Open(attempts)
+	return err
+}
+
+// join makes it a replica of the group in the settings.
+func (s *artifactServer) join(key []byte) error {
+	set := &s.set
 	retain, err := artifactreplication.LoadRetention(set.Policy, set.KeepDays)
 	if err != nil {
 		return err
@@ -79,46 +109,88 @@
 	if err != nil {
 		return err
 	}
-	node, err = artifactreplication.New(artifactreplication.Options{Name: set.Name, Dir: set.Dir, Members: set.Members, Store: k, Blobs: blobs, Key: key,
-		PeerTimeout: time.Duration(set.PatienceSec * float64(time.Second)), Repair: set.RepairMB * 1e6, Retain: retain, Revoked: revoked, HTTP: client, Log: l})
-	if err != nil {
-		return err
+	s.node, err = artifactreplication.New(artifactreplication.Options{
+		Name:        set.Name,
+		Dir:         set.Dir,
+		Members:     set.Members,
+		Store:       s.store,
+		Blobs:       s.blobs,
+		Key:         key,
+		PeerTimeout: time.Duration(set.PatienceSec * float64(time.Second)),
+		Repair:      set.RepairMB * 1e6,
+		Retain:      retain,
+		Revoked:     revoked,
+		HTTP:        client,
+		Log:         s.log,
+	})
+	return err
+}
+
+// close closes what is open, the attempts before the blobs that they refer to. What was acknowledged is on the disk.
+func (s *artifactServer) close() {
+	if s.store != nil {
+		s.store.Close()
 	}
-	srv := &http.Server{Handler: (&artifactreplication.Server{Node: node}).Handler(), ReadHeaderTimeout: 10 * time.Second, IdleTimeout: 2 * time.Minute, MaxHeaderBytes: 16 << 10}
-	st := node.Status()
-	l.Info("keeping", "keeper", st.Name, "listen", listener.Addr().String(), "dir", set.Dir, "epoch", st.Epoch, "disk", st.Disk, "incarnation", st.Incarnation,
+	if s.blobs != nil {
+		s.blobs.Close()
+	}
+}
+
+func (s *artifactServer) logStart() {
+	st := s.node.Status()
+	s.log.Info("keeping", "keeper", st.Name, "listen", s.listener.Addr().String(), "dir", s.set.Dir,
+		"epoch", st.Epoch, "disk", st.Disk, "incarnation", st.Incarnation,
 		"state", st.State, "open_attempts", st.Open, "bytes", st.Bytes)
+}
+
+// run serves requests and works in the background until the context ends.
+func (s *artifactServer) run(ctx context.Context, ready func(addr string)) error {
+	server := &http.Server{
+		Handler:           (&artifactreplication.Server{Node: s.node}).Handler(),
+		ReadHeaderTimeout: 10 * time.Second,
+		IdleTimeout:       2 * time.Minute,
+		MaxHeaderBytes:    16 << 10,
+	}
 	group, ctx := errgroup.WithContext(ctx)
-	group.Go(func() error { return set.BackgroundWork().Run(ctx, node) })
-	group.Go(func() error { return set.BackgroundWork().RepairOnce(ctx, node) })
-	group.Go(func() error {
-		var err error
-		if set.TLS.Cert != "" {
-			srv.TLSConfig = certs.Reloaded(set.TLS.Cert, set.TLS.Key)
-			err = srv.ServeTLS(listener, "", "")
-		} else {
-			err = srv.Serve(listener)
-		}
-		if errors.Is(err, http.ErrServerClosed) {
-			return nil
-		}
-		return err
-	})
+	group.Go(func() error { return s.set.BackgroundWork().Run(ctx, s.node) })
+	group.Go(func() error { return s.set.BackgroundWork().RepairOnce(ctx, s.node) })
+	group.Go(func() error { return s.serve(server) })
 	group.Go(func() error {
 		<-ctx.Done()
-		stop, cancel := context.WithTimeout(context.Background(), 3*time.Second)
-		defer cancel()
-		if srv.Shutdown(stop) != nil {
-			return srv.Close() // followers hold on to theirs
-		}
-		return nil
+		return shutDown(server)
 	})
 	if ready != nil {
-		ready(listener.Addr().String())
+		ready(s.listener.Addr().String())
 	}
 	return group.Wait()
 }
 
+// serve answers requests until the server is shut down, over TLS if the settings name a certificate.
+func (s *artifactServer) serve(server *http.Server) (err error) {
+	if s.set.TLS.Cert != "" {
+		server.TLSConfig = certs.Reloaded(s.set.TLS.Cert, s.set.TLS.Key)
+		err = server.ServeTLS(s.listener, "", "")
+	} else {
+		err = server.Serve(s.listener)
+	}
+	if errors.Is(err, http.ErrServerClosed) {
+		return nil
+	}
+	return err
+}
+
+// shutdownTimeout is how long requests may take to end; those of readers that follow a log do not end by themselves.
+const shutdownTimeout = 3 * time.Second
+
+func shutDown(server *http.Server) error {
+	stop, cancel := context.WithTimeout(context.Background(), shutdownTimeout)
+	defer cancel()
+	if server.Shutdown(stop) != nil {
+		return server.Close()
+	}
+	return nil
+}
+
 type keepStatusCmd struct {
 	Config string `default:"deploy/keep.toml" help:"Settings file (TOML) with the list of keepers."`
 }
@@ -151,15 +223,11 @@
 		st, err := artifactreplication.AskStatus(r.ctx, client, m.URL, key)
 		if err != nil {
 			silent = append(silent, m.Name)
-			r.row(table, map[string]any{"name": m.Name, "zone": m.Zone, "state": "no answer", "error": err.Error()}, "%s\t%s\tno answer: %v", m.Name, m.Zone, err)
+			answer := map[string]any{"name": m.Name, "zone": m.Zone, "state": "no answer", "error": err.Error()}
+			r.row(table, answer, "%s\t%s\tno answer: %v", m.Name, m.Zone, err)
 			continue
 		}
-		var refused []string
-		for reason, n := range st.Refused {
-			refused = append(refused, fmt.Sprintf("%s %d", reason, n))
-		}
-		r.row(table, st, "%s\t%s\t%s\t%d\t%d\t%.2f\t%d\t%d\t%d\t%.0f s\t%d\t%d\t%s", st.Name, st.Zone, st.State, st.Epoch, st.Incarnation, float64(st.Bytes)/1e9,
-			st.Open, st.Short, st.Left, st.Oldest, st.Strays, len(st.Away), cmp.Or(strings.Join(refused, ", "), "-"))
+		r.statusRow(table, st)
 	}
 	if err := table.Flush(); err != nil {
 		return err
@@ -170,6 +238,17 @@
 	return nil
 }
 
+// statusRow prints how a replica is.
+func (r *run) statusRow(table io.Writer, st *artifactreplication.Status) {
+	var refused []string
+	for reason, n := range st.Refused {
+		refused = append(refused, fmt.Sprintf("%s %d", reason, n))
+	}
+	r.row(table, st, "%s\t%s\t%s\t%d\t%d\t%.2f\t%d\t%d\t%d\t%.0f s\t%d\t%d\t%s",
+		st.Name, st.Zone, st.State, st.Epoch, st.Incarnation, float64(st.Bytes)/1e9,
+		st.Open, st.Short, st.Left, st.Oldest, st.Strays, len(st.Away), cmp.Or(strings.Join(refused, ", "), "-"))
+}
+
 // row prints a line of a table, or a JSON line.
 func (r *run) row(table io.Writer, v any, format string, args ...any) {
 	if r.json {
--- a/internal/cli/scale.go
+++ b/internal/cli/scale.go
@@ -33,14 +33,11 @@
 		return err
 	}
 	defer cancel()
-	o := loadtest.Options{Program: program, Controller: []string{program, "controller"}, Dir: dir, Out: r.err}
-	if c.Controller != "" {
-		path, err := exec.LookPath(c.Controller)
-		if err != nil {
-			return fmt.Errorf("%w: --controller: %w", errUsage, err)
-		}
-		o.Controller = []string{path}
+	controller, err := c.controller(program)
+	if err != nil {
+		return err
 	}
+	o := loadtest.Options{Program: program, Controller: controller, Dir: dir, Out: r.err}
 	result, err := loadtest.Run(ctx, set, o)
 	if result == nil {
 		return err
@@ -62,6 +59,19 @@
 	return os.RemoveAll(dir)
 }
 
+// controller is the command line of a controller: the program that was asked for, or this one.
+func (c *rehearseScaleCmd) controller(program string) ([]string, error) {
+	if c.Controller == "" {
+		return []string{program, "controller"}, nil
+	}
+	path, err := exec.LookPath(c.Controller)
+	if err != nil {
+		return nil, fmt.Errorf("%w: --controller: %w", errUsage, err)
+	}
+	return []string{path}, nil
+}
+
+// write writes the files that were asked for.
 func (c *rehearseScaleCmd) write(result *loadtest.Result) error {
 	if c.Result != "" {
 		if err := result.Write(c.Result); err != nil {
