--- a/internal/admission/plan.go
+++ b/internal/admission/plan.go
@@ -21,8 +21,9 @@
 // Floor is what a key is to have of the machines before others get more, in CPUs.
 type Floor struct {
 	Key
-	CPUs        float64 `json:"cpus"`
-	WithinLimit bool    `json:"within_limit,omitempty"` // it orders what waits for the team's limit; machines are not kept for it
+	CPUs float64 `json:"cpus"`
+	// WithinLimit says that the floor orders what waits for the team's limit; no machines are reserved for it.
+	WithinLimit bool `json:"within_limit,omitempty"`
 }
 
 // Plan is what all controllers keep to while something is short.
--- a/internal/controller/messages.go
+++ b/internal/controller/messages.go
@@ -80,9 +80,9 @@
 	Count           int     `json:"count"`
 	Borrowed        bool    `json:"borrowed,omitempty"` // beyond the team's guarantee
 	QuotaDelay      int64   `json:"behind,omitempty"`   // ms that the team's quota takes for what waits beyond it
-	CPUsBeyondQuota float64 `json:"beyond,omitempty"`   // CPUs that the job's class asks for beyond the quota; then Count is 0
+	CPUsBeyondQuota float64 `json:"beyond,omitempty"`   // that the job's class asks for; then Count is 0
 	Prioritized     int     `json:"first,omitempty"`    // of the tasks, that go before what is more urgent
-	Zone            string  `json:"zone,omitempty"`     // the only one for the tasks, since the others of the job are there
+	Zone            string  `json:"zone,omitempty"`     // the only one for the tasks, as the job's others are there
 }
 
 // evictMsg asks the owner of a task to stop it, to give its room to a job that
--- a/internal/controller/overview.go
+++ b/internal/controller/overview.go
@@ -17,7 +17,7 @@
 	Version          string                   `json:"version"`
 	Term             uint64                   `json:"term"`
 	Entitled         bool                     `json:"entitled"`
-	CancellationLag  *float64                 `json:"horizon_behind_s"` // how old what is known here of withdrawals may be; nil: nothing is known
+	CancellationLag  *float64                 `json:"horizon_behind_s"` // age of what is known of cancellations; nil: unknown
 	Cancellations    uint64                   `json:"withdrawals_told"` // withdrawals that users were told of here
 	Members          []string                 `json:"members"`
 	Unreachable      []string                 `json:"deaf,omitempty"`
--- a/internal/peer/delivery.go
+++ b/internal/peer/delivery.go
@@ -4,7 +4,8 @@
 
 // Times after which a connection counts as half-open.
 const (
-	stallTimeout = receiveTimeout  // without progress, while its statuses come; the receiver ends a connection after the same time
+	// stallTimeout is without progress, while its statuses come. The receiver ends a connection after the same time.
+	stallTimeout = receiveTimeout
 	steadyGap    = 2 * time.Second // between two of the peer's statuses, longer than which they are not steady
 )
 
--- a/internal/teamconfig/entry.go
+++ b/internal/teamconfig/entry.go
@@ -21,14 +21,16 @@
 
 // Entry is a team's configuration as the state service has it.
 type Entry struct {
-	Number     uint64  `json:"number"`            // of the team's change, from 1; it goes on after a loss of the state service's data
-	Change     string  `json:"change"`            // drawn name, by which whoever wrote the change knows it again
-	CPUs       float64 `json:"cpus"`              // guaranteed
-	CPUsMax    float64 `json:"cpus_max"`          // limit; 0: none
-	GPUs       float64 `json:"gpus"`              // guaranteed
-	GPUsMax    float64 `json:"gpus_max"`          // limit; 0: none
-	Removed    bool    `json:"removed,omitempty"` // takes no new jobs; the accepted ones run to their end within these limits
-	StopExcess bool    `json:"stop_excess,omitempty"`
+	// Number is that of the team's change, from 1. It goes on after a loss of the state service's data.
+	Number  uint64  `json:"number"`
+	Change  string  `json:"change"`   // drawn name, by which whoever wrote the change knows it again
+	CPUs    float64 `json:"cpus"`     // guaranteed
+	CPUsMax float64 `json:"cpus_max"` // limit; 0: none
+	GPUs    float64 `json:"gpus"`     // guaranteed
+	GPUsMax float64 `json:"gpus_max"` // limit; 0: none
+	// Removed says that the team takes no new jobs. The accepted ones run to their end within these limits.
+	Removed    bool `json:"removed,omitempty"`
+	StopExcess bool `json:"stop_excess,omitempty"`
 }
 
 // Limits are what a team is guaranteed and what it may use at most, which is infinity without a limit.
