--- a/internal/agents/machinestatus.go
+++ b/internal/agents/machinestatus.go
@@ -1,6 +1,9 @@
 package agents
 
 import (
+	"maps"
+	"slices"
+
 	"topazhollow/internal/jobstate"
 	"topazhollow/internal/protocol"
 )
@@ -51,3 +54,36 @@
 	}
 	return status
 }
+
+// maxStatusesPerMessage bounds the machines and tasks that one message tells of: about 300 KB. A link refuses messages of
+// more than 4 MiB, which all machines of a large fleet took when a peer came back: the link was dropped and sent the same
+// message again.
+const maxStatusesPerMessage = 4000
+
+// MarkChanged has a machine's status sent to the peers.
+func (g *Registry) MarkChanged(machine string) { g.changed[machine] = true }
+
+// Changed counts the machines whose status is to be sent.
+func (g *Registry) Changed() int { return len(g.changed) }
+
+// TakeChanged returns the statuses that are to be sent since the last call, one batch for each message.
+func (g *Registry) TakeChanged() (batches [][]*jobstate.MachineStatus) {
+	var batch []*jobstate.MachineStatus
+	size := 0
+	for _, machine := range slices.Sorted(maps.Keys(g.changed)) {
+		status := g.Status(machine)
+		if status == nil {
+			continue
+		}
+		batch = append(batch, status)
+		if size += 1 + len(status.Tasks); size >= maxStatusesPerMessage {
+			batches = append(batches, batch)
+			batch, size = nil, 0
+		}
+	}
+	clear(g.changed)
+	if len(batch) > 0 {
+		batches = append(batches, batch)
+	}
+	return batches
+}
--- a/internal/agents/registry.go
+++ b/internal/agents/registry.go
@@ -62,13 +62,14 @@
 type Registry struct {
 	term     uint64
 	agents   map[string]*Agent
+	changed  map[string]bool // machines whose status is to be sent to the peers
 	capacity Capacity
 	size     Size
 }
 
 // New returns a registry without agents.
 func New(capacity Capacity, size Size) *Registry {
-	return &Registry{agents: map[string]*Agent{}, capacity: capacity, size: size}
+	return &Registry{agents: map[string]*Agent{}, changed: map[string]bool{}, capacity: capacity, size: size}
 }
 
 // SetTerm begins a later term and drops agents whose home is another controller. What was ordered under the earlier
--- a/internal/controller/machinestatus.go
+++ b/internal/controller/machinestatus.go
@@ -1,7 +1,6 @@
 package controller
 
 import (
-	"maps"
 	"slices"
 	"time"
 
@@ -33,7 +32,7 @@
 	}
 	if m.status != nil {
 		n.scheduler.RemoveMachine(name)
-		n.indexTasks(m.status, false)
+		n.taskIndex.Remove(m.status)
 	}
 	*m = machine{gone: true, Liveness: agents.Liveness{HeardAt: time.Now()}}
 	n.quarantine.ForgetMachine(name)
@@ -52,23 +51,6 @@
 	n.wake()
 }
 
-// indexTasks keeps which machines list tasks of a job: those of a status are added if listed, else removed.
-func (n *Node) indexTasks(v *jobstate.MachineStatus, listed bool) {
-	for _, t := range v.Tasks {
-		on := n.machinesByJob[t.Job]
-		switch {
-		case listed && on == nil:
-			n.machinesByJob[t.Job] = map[string]bool{v.Machine: true}
-		case listed:
-			on[v.Machine] = true
-		case on != nil:
-			if delete(on, v.Machine); len(on) == 0 {
-				delete(n.machinesByJob, t.Job)
-			}
-		}
-	}
-}
-
 // homeOf returns the home of a machine by the present membership record.
 func (n *Node) homeOf(name string) string {
 	if m := n.machines[name]; m != nil {
@@ -91,7 +73,7 @@
 	if v == nil || n.machine(name).status == v {
 		return // nothing changed
 	}
-	n.changedMachines[name] = true
+	n.agents.MarkChanged(name)
 	n.applyStatus(v, time.Now())
 }
 
@@ -113,9 +95,9 @@
 // replaceStatus puts a status in place of the one that was known.
 func (n *Node) replaceStatus(m *machine, v *jobstate.MachineStatus) {
 	if m.status != nil {
-		n.indexTasks(m.status, false)
+		n.taskIndex.Remove(m.status)
 	}
-	n.indexTasks(v, true)
+	n.taskIndex.Add(v)
 	m.status = v
 }
 
@@ -222,31 +204,9 @@
 	}
 }
 
-// maxStatusesPerMessage bounds the machines and tasks that one message tells of: about 300 KB. A link refuses messages of
-// more than 4 MiB, which all machines of a large fleet took when a peer came back: the link was dropped and sent the same
-// message again.
-const maxStatusesPerMessage = 4000
-
 // sendChangedStatuses sends the statuses that changed to all peers.
 func (n *Node) sendChangedStatuses() {
-	if len(n.changedMachines) == 0 {
-		return
-	}
-	var views []*jobstate.MachineStatus
-	tasks := 0
-	for _, name := range slices.Sorted(maps.Keys(n.changedMachines)) {
-		v := n.agents.Status(name)
-		if v == nil {
-			continue
-		}
-		views = append(views, v)
-		if tasks += 1 + len(v.Tasks); tasks >= maxStatusesPerMessage {
-			n.broadcast(kindMachineStatuses, views)
-			views, tasks = nil, 0
-		}
-	}
-	n.changedMachines = map[string]bool{}
-	if len(views) > 0 {
-		n.broadcast(kindMachineStatuses, views)
+	for _, statuses := range n.agents.TakeChanged() {
+		n.broadcast(kindMachineStatuses, statuses)
 	}
 }
--- a/internal/controller/node.go
+++ b/internal/controller/node.go
@@ -94,12 +94,11 @@
 
 	// Machines, and the agents that report here.
 	machines         map[string]*machine
-	machinesByJob    map[string]map[string]bool // by job, the machines that list any task of it
+	taskIndex        *agents.TaskIndex
 	roster           *agents.Roster
 	registration     *agents.Registration
 	agents           *agents.Registry
 	commandSenders   map[string]*commandSender
-	changedMachines  map[string]bool // machines whose status is to be sent to the peers
 	unreachableHomes *agents.UnreachableHomes
 	probes           barrierProbes
 	quarantine       *quarantine.Tracker
@@ -189,9 +188,8 @@
 	n.roster = newRoster(n.settings)
 	n.quarantine = quarantine.New()
 	n.machines = map[string]*machine{}
-	n.machinesByJob = map[string]map[string]bool{}
+	n.taskIndex = agents.NewTaskIndex()
 	n.registration = agents.NewRegistration()
-	n.changedMachines = map[string]bool{}
 	n.unreachableHomes = agents.NewUnreachableHomes(agentTiming(n.settings))
 	n.commandSenders = map[string]*commandSender{}
 }
--- a/internal/controller/orders.go
+++ b/internal/controller/orders.go
@@ -1,8 +1,6 @@
 package controller
 
 import (
-	"maps"
-	"slices"
 	"time"
 
 	"topazhollow/internal/jobstate"
@@ -27,7 +25,7 @@
 
 // reconcileMachinesOf does so again for the machines that list tasks of a job.
 func (n *Node) reconcileMachinesOf(shard *shards.Owned, uid string) {
-	for _, name := range slices.Sorted(maps.Keys(n.machinesByJob[uid])) {
+	for _, name := range n.taskIndex.Machines(uid) {
 		n.reconcileMachine(shard, n.machines[name].status)
 	}
 }
--- a/internal/controller/peerhandler.go
+++ b/internal/controller/peerhandler.go
@@ -23,7 +23,7 @@
 	n.peers[name].delivery.Connected(time.Now())
 	n.shards.ForgetReplica(name)
 	for machine := range n.agents.All() {
-		n.changedMachines[machine] = true
+		n.agents.MarkChanged(machine)
 	}
 	if n.leadership.Record() != nil {
 		n.sendMemories(false, name)
--- a/internal/controller/reconcile.go
+++ b/internal/controller/reconcile.go
@@ -72,7 +72,7 @@
 // reobserveReserved has accounts that reserve quota for tasks of a job look again at their machines, once it
 // became known.
 func (n *Node) reobserveReserved(uid string) {
-	for name := range n.machinesByJob[uid] {
+	for _, name := range n.taskIndex.Machines(uid) {
 		for shard := range n.shards.All() {
 			if shard.IsReady() && shard.Team().HasOrphansOn(name) {
 				n.reconcileMachine(shard, n.machines[name].status)
--- a/internal/controller/scheduling_test.go
+++ b/internal/controller/scheduling_test.go
@@ -32,8 +32,8 @@
 	if got := len(n.scheduler.Hosts((*schedulerSnapshot)(n), g.now, nil)); got != 2 {
 		t.Errorf("%d of 2 machines take tasks after the term was raised", got)
 	}
-	if len(n.changedMachines) != 2 {
-		t.Errorf("%d of 2 machines are to be told of", len(n.changedMachines))
+	if n.agents.Changed() != 2 {
+		t.Errorf("%d of 2 machines are to be told of", n.agents.Changed())
 	}
 }
 
