--- a/internal/controller/leaserenewal.go
+++ b/internal/controller/leaserenewal.go
@@ -99,14 +99,14 @@
 // ownStatusIn returns which status of this process a peer had received when it sent its own, and when that was sent.
 func (n *Node) ownStatusIn(s *statusMsg, now time.Time) (received receivedStatus, sent time.Time, ok bool) {
 	received, ok = s.Received[n.name]
-	if !ok || received.Incarnation != n.incarnation || !n.sentBy(received.SentAt, now) {
+	if !ok || received.Incarnation != n.incarnation || !n.hasSentStatus(received.SentAt, now) {
 		return received, time.Time{}, false
 	}
 	return received, n.startedAt.Add(time.Duration(received.SentAt) * time.Millisecond), true
 }
 
-// sentBy says whether a status of this process can have been sent by now, at a time that a peer names: milliseconds
+// hasSentStatus says whether a status of this process can have been sent by now, at a time that a peer names: milliseconds
 // since this process started.
-func (n *Node) sentBy(at int64, now time.Time) bool {
+func (n *Node) hasSentStatus(at int64, now time.Time) bool {
 	return at > 0 && at <= now.Sub(n.startedAt).Milliseconds()
 }
--- a/internal/controller/peerhandler.go
+++ b/internal/controller/peerhandler.go
@@ -180,7 +180,7 @@
 // applyPromise takes in a peer's promise to raise no term, if it names a status of this process.
 func (n *Node) applyPromise(name string, s *statusMsg, now time.Time) {
 	received, ok := s.Received[n.name]
-	if !ok || !s.Promise || s.RecordVersion == nil || received.Incarnation != n.incarnation || !n.sentBy(received.SentAt, now) {
+	if !ok || !s.Promise || s.RecordVersion == nil || received.Incarnation != n.incarnation || !n.hasSentStatus(received.SentAt, now) {
 		return
 	}
 	n.leadership.LearnPromise(name, *s.RecordVersion, n.startedAt.Add(time.Duration(received.SentAt)*time.Millisecond))
--- a/internal/controller/record.go
+++ b/internal/controller/record.go
@@ -13,14 +13,14 @@
 
 // learnRecord judges a membership record as the state service has it under a version.
 func (n *Node) learnRecord(r *leadership.Record, version uint64) {
-	switch n.leadership.Judge(r, version) {
-	case leadership.Follows:
+	switch n.leadership.CompareRecord(r, version) {
+	case leadership.RecordFollows:
 		n.adopt(r, version)
-	case leadership.OfNewerEpoch:
+	case leadership.RecordOfNewerEpoch:
 		n.recovery.detection.NewerEpochSeen(r.Epoch)
-	case leadership.Older:
+	case leadership.RecordOlder:
 		n.suspectLoss(datarecovery.SignRecordOlder)
-	case leadership.Unchained:
+	case leadership.RecordOutOfChain:
 		n.recovery.detection.RecordOutOfChain()
 		n.suspectLoss(datarecovery.SignRecordOutOfChain)
 	}
@@ -38,7 +38,7 @@
 		n.agents.SetTerm(r.Term, func(m string) bool { return r.Home(m) == n.name })
 		n.endCommandSenders()
 	}
-	if changes.LossSettled {
+	if changes.SearchGivenUp {
 		n.recovery.detection.SearchGivenUp()
 	}
 	if changes.EpochBegan {
--- a/internal/controller/status.go
+++ b/internal/controller/status.go
@@ -87,7 +87,7 @@
 		HoldsLease:    n.leadership.HoldsLease(now),
 		SentAt:        now.Sub(n.startedAt).Milliseconds(),
 		Received:      n.receivedStatuses(now),
-		Promise:       n.leadership.Promise(now, n.trusted()),
+		Promise:       n.leadership.TryPromise(now, n.trusted()),
 	}
 	if n.leadership.Record() != nil {
 		s.Term = n.leadership.Term()
--- a/internal/leadership/change_test.go
+++ b/internal/leadership/change_test.go
@@ -98,9 +98,9 @@
 	}
 }
 
-// TestNoChangeWithoutTheRight: a controller changes nothing without its lease, without its key, or while another one
-// may act by a promise of it; a member that is not entitled repairs the members and does nothing else.
-func TestNoChangeWithoutTheRight(t *testing.T) {
+// TestNoChangeWithoutLeaseKeyOrTerm: a controller changes nothing without its lease, without its key, or while another
+// one may act by a promise of it; a member that is not entitled repairs the members and does nothing else.
+func TestNoChangeWithoutLeaseKeyOrTerm(t *testing.T) {
 	now := time.Unix(1000, 0)
 	q := &quiet{shards: []string{FleetShard}, needsTerm: true}
 	for name, before := range map[string]func(s *State){
@@ -144,8 +144,9 @@
 	}
 }
 
-// TestTurns: the members that are present change the record one after the other in order of their names.
-func TestTurns(t *testing.T) {
+// TestMembersChangeTheRecordInTurn: the members that are present change the record one after the other in order of
+// their names.
+func TestMembersChangeTheRecordInTurn(t *testing.T) {
 	now, q := time.Unix(1000, 0), &quiet{shards: []string{FleetShard}}
 	s := leading(now)
 	s.LearnPresence("0", Presence{Incarnation: 1, Version: 3}) // before a, and no member yet
--- a/internal/leadership/lease.go
+++ b/internal/leadership/lease.go
@@ -4,8 +4,8 @@
 
 // Lease is a controller's proof, by its own steady clock, that its lease lives.
 type Lease struct {
-	Life   time.Duration
-	Margin time.Duration
+	Life   time.Duration // at the state service, from a renewal on
+	Margin time.Duration // by which a controller stops before that
 	sent   time.Time
 	held   bool
 }
@@ -26,6 +26,13 @@
 	return l.held && now.Sub(l.sent) < l.Life-l.Life/1000-l.Margin
 }
 
+// renewalOverdue is after what time without a renewal the state service counts as out of reach.
+func (l *Lease) renewalOverdue() time.Duration { return l.Life * 2 / 5 }
+
+// surelyLives is for how long after a renewal the state service can't have let the lease expire, whatever the clocks
+// do.
+func (l *Lease) surelyLives() time.Duration { return l.Life * 9 / 10 }
+
 // LeaseLife is how long a lease lasts at the state service without a renewal.
 func (s *State) LeaseLife() time.Duration { return s.lease.Life }
 
@@ -44,7 +51,7 @@
 // LeaseExpired takes in that the state service did not know the lease at a renewal sent at that moment. It says whether
 // the lease was renewed so recently that it can't have expired, so that the state service must have lost it.
 func (s *State) LeaseExpired(sent time.Time) (tooEarly bool) {
-	tooEarly = sent.Sub(s.leaseRenewedAt) < s.lease.Life*9/10 && s.lease.Valid(sent)
+	tooEarly = sent.Sub(s.leaseRenewedAt) < s.lease.surelyLives() && s.lease.Valid(sent)
 	s.leaseID = 0
 	s.lease.Lost()
 	return tooEarly
--- a/internal/leadership/promise.go
+++ b/internal/leadership/promise.go
@@ -5,6 +5,9 @@
 // PromiseLife is how long a promise not to raise the term holds.
 const PromiseLife = 3 * time.Second
 
+// promiseDrift is taken off a promise of another one: four times what clocks drift apart within PromiseLife (0.05%).
+const promiseDrift = PromiseLife / 500
+
 // HoldsPromises says whether every other controller promised to raise no term for now.
 func (s *State) HoldsPromises(now time.Time) bool {
 	for _, p := range s.peers {
@@ -21,16 +24,16 @@
 // promise runs from when the peer sent it, which was after sent, a moment of this controller's clock: counted from
 // then, and less the clocks' drift, it ends here first.
 func (s *State) LearnPromise(node string, version uint64, sent time.Time) {
-	until := sent.Add(PromiseLife - PromiseLife/500)
+	until := sent.Add(PromiseLife - promiseDrift)
 	if p := s.peers[node]; p != nil && until.After(p.promisedUntil) {
 		p.promisedUntil, p.promisedVersion = until, version
 	}
 }
 
-// Promise promises the peers not to raise the term for PromiseLife, if this controller can: its own lease is not being
-// renewed, as in an outage of the state service, and no change of the record that it sent may still be applied.
-func (s *State) Promise(now time.Time, storeTrusted bool) bool {
-	if now.Sub(s.leaseRenewedAt) <= s.lease.Life*2/5 || s.ChangeOpen() || !storeTrusted {
+// TryPromise promises the peers not to raise the term for PromiseLife, if this controller can: its own lease is not
+// being renewed, as in an outage of the state service, and no change of the record that it sent may still be applied.
+func (s *State) TryPromise(now time.Time, storeTrusted bool) bool {
+	if now.Sub(s.leaseRenewedAt) <= s.lease.renewalOverdue() || s.ChangeOpen() || !storeTrusted {
 		return false
 	}
 	s.promisedUntil = now.Add(PromiseLife)
--- a/internal/leadership/state.go
+++ b/internal/leadership/state.go
@@ -8,7 +8,8 @@
 
 // State is what one controller knows of the leadership: the membership record under its version, who is present by
 // the keys that leases hold, its own lease, and the promises between controllers. It decides by them whether the
-// controller may act. It has no lock: the controller's own guards it.
+// controller may act, and which change of the record it should try. It has no lock: the controller's own guards it.
+// Times that come in are of one steady clock and do not go back.
 type State struct {
 	self        string
 	incarnation uint64
@@ -24,7 +25,7 @@
 	promisedUntil time.Time // this controller raises no term before
 	peers         map[string]*peer
 
-	changePending      bool   // a change of the record is on its way
+	changePending      bool   // a change of the record is on its way to the state service
 	unansweredVersion  uint64 // version under which a change had no answer
 	memberMissingSince time.Time
 	termChangedAt      time.Time
@@ -118,7 +119,7 @@
 	return storeTrusted && s.IsMember() && (s.lease.Valid(now) || s.HoldsPromises(now))
 }
 
-// SettledAt is since when the members, and which of them workers can reach, are what they are.
+// SettledAt is since when the members, and which of them agents can reach, are what they are.
 func (s *State) SettledAt() time.Time { return s.settledAt }
 
 // RestartSettling counts silence from now on, as after this process stood still or nobody was entitled.
@@ -136,7 +137,7 @@
 	TermChanged     bool
 	EpochBegan      bool // the first record of its epoch here
 	RosterCompleted bool
-	LossSettled     bool // what is known is all that there will be
+	SearchGivenUp   bool // what is known is all that there will be
 }
 
 // Adopt makes a record the one known, and says what that changes; nil if one of this version or a later one is known.
@@ -153,7 +154,7 @@
 		TermChanged:     old == nil || old.Term != r.Term,
 		EpochBegan:      r.Epoch > 0 && (old == nil || old.Epoch != r.Epoch),
 		RosterCompleted: old != nil && old.RosterIncomplete && !r.RosterIncomplete,
-		LossSettled:     old != nil && old.DataLost && !r.DataLost,
+		SearchGivenUp:   old != nil && old.DataLost && !r.DataLost,
 	}
 	if a.TermChanged {
 		if old == nil || !maps.Equal(old.Nodes, r.Nodes) || !slices.Equal(old.Unreachable, r.Unreachable) {
@@ -169,29 +170,29 @@
 
 // Verdicts.
 const (
-	Follows      Verdict = iota // it is to be adopted
-	KnownAlready                // it was read before the one known was written
-	OfNewerEpoch                // all is read anew before anything rests on it
-	Older                       // newer by version and older by content: the state service lost data
-	Unchained                   // written over data that had gone back: versions do not show the loss any more
+	RecordFollows      Verdict = iota // it is to be adopted
+	RecordKnown                       // it was read before the one known was written
+	RecordOfNewerEpoch                // all is read anew before anything rests on it
+	RecordOlder                       // newer by version and older by content: the state service lost data
+	RecordOutOfChain                  // written over data that had gone back: versions do not show the loss any more
 )
 
-// Judge compares a record that the state service has under a version with the one known.
-func (s *State) Judge(r *Record, version uint64) Verdict {
+// CompareRecord compares a record that the state service has under a version with the one known.
+func (s *State) CompareRecord(r *Record, version uint64) Verdict {
 	known := s.record
 	switch {
 	case known == nil:
-		return Follows
+		return RecordFollows
 	case r.Epoch > known.Epoch:
-		return OfNewerEpoch
+		return RecordOfNewerEpoch
 	case version <= s.recordVersion:
-		return KnownAlready
+		return RecordKnown
 	case r.Epoch < known.Epoch, r.Term < known.Term, r.StoreID != known.StoreID:
 		// A store that went back and on again, past the revision that was seen, or one that
 		// was begun anew by a process that found none.
-		return Older
+		return RecordOlder
 	case r.PreviousVersion != 0 && r.PreviousVersion < s.recordVersion:
-		return Unchained
+		return RecordOutOfChain
 	}
-	return Follows
+	return RecordFollows
 }
--- a/internal/leadership/state_test.go
+++ b/internal/leadership/state_test.go
@@ -5,29 +5,29 @@
 	"time"
 )
 
-// TestJudge: a record that was read is adopted if it follows the one known, and shows a loss if it is newer by version
-// but not by what it says.
-func TestJudge(t *testing.T) {
+// TestCompareRecord: a record that was read is adopted if it follows the one known, and shows a loss if it is newer by
+// version but not by what it says.
+func TestCompareRecord(t *testing.T) {
 	now := time.Unix(1000, 0)
 	s := New("a", 1, Lease{Life: testLife}, nil, now)
 	read := func(version, epoch, term uint64, store string, previous uint64) Verdict {
-		return s.Judge(&Record{Epoch: epoch, Term: term, StoreID: store, PreviousVersion: previous}, version)
+		return s.CompareRecord(&Record{Epoch: epoch, Term: term, StoreID: store, PreviousVersion: previous}, version)
 	}
-	if got := read(7, 1, 5, "x", 0); got != Follows {
+	if got := read(7, 1, 5, "x", 0); got != RecordFollows {
 		t.Errorf("the first record: %v", got)
 	}
 	s.Adopt(&Record{Epoch: 2, Term: 5, StoreID: "x"}, 7, now)
 	for name, got := range map[string][2]Verdict{
-		"the next":                        {read(8, 2, 6, "x", 7), Follows},
-		"one that skips a version":        {read(9, 2, 5, "x", 8), Follows},
-		"one of a process of old":         {read(8, 2, 5, "x", 0), Follows},
-		"the same":                        {read(7, 2, 5, "x", 6), KnownAlready},
-		"an earlier read":                 {read(6, 2, 4, "x", 5), KnownAlready},
-		"the next epoch":                  {read(3, 3, 9, "y", 2), OfNewerEpoch},
-		"an earlier epoch":                {read(8, 1, 9, "w", 7), Older},
-		"an earlier term":                 {read(8, 2, 4, "x", 7), Older},
-		"another store of the same epoch": {read(8, 2, 6, "z", 7), Older},
-		"one over an earlier version":     {read(9, 2, 6, "x", 6), Unchained},
+		"the next":                        {read(8, 2, 6, "x", 7), RecordFollows},
+		"one that skips a version":        {read(9, 2, 5, "x", 8), RecordFollows},
+		"one of a process of old":         {read(8, 2, 5, "x", 0), RecordFollows},
+		"the same":                        {read(7, 2, 5, "x", 6), RecordKnown},
+		"an earlier read":                 {read(6, 2, 4, "x", 5), RecordKnown},
+		"the next epoch":                  {read(3, 3, 9, "y", 2), RecordOfNewerEpoch},
+		"an earlier epoch":                {read(8, 1, 9, "w", 7), RecordOlder},
+		"an earlier term":                 {read(8, 2, 4, "x", 7), RecordOlder},
+		"another store of the same epoch": {read(8, 2, 6, "z", 7), RecordOlder},
+		"one over an earlier version":     {read(9, 2, 6, "x", 6), RecordOutOfChain},
 	} {
 		if got[0] != got[1] {
 			t.Errorf("%s: verdict %d, want %d", name, got[0], got[1])
@@ -50,7 +50,7 @@
 	later := now.Add(time.Second)
 	next := first.Clone()
 	next.RosterIncomplete, next.DataLost = false, false
-	if got := s.Adopt(next, 8, later); got == nil || *got != (Adoption{RosterCompleted: true, LossSettled: true}) {
+	if got := s.Adopt(next, 8, later); got == nil || *got != (Adoption{RosterCompleted: true, SearchGivenUp: true}) {
 		t.Errorf("the roster is complete and the loss settled: %+v", got)
 	}
 	if s.termChangedAt != now || s.SettledAt() != now {
