--- a/internal/wal/append.go
+++ b/internal/wal/append.go
@@ -101,26 +101,11 @@
 	err := l.broken
 	l.mu.Unlock()
 	if err == nil {
-		l.opt.Step("write")
-		if _, werr := f.WriteAt(data, size); werr != nil {
-			err = fmt.Errorf("wal: %w", werr)
-			// A full disk, say: what went out is taken back, and the log goes on.
-			if terr := f.Truncate(size); terr != nil {
-				l.fail(terr)
-			}
-		} else {
-			l.opt.Step("sync")
-			if serr := f.Sync(); serr != nil {
-				// What the system did with the pages is not known any more.
-				err = l.fail(serr)
-			} else {
-				l.opt.Step("synced")
-				size += int64(len(data))
-			}
-		}
+		err = l.writeAndSync(f, data, size)
 	}
 	l.mu.Lock()
 	if err == nil {
+		size += int64(len(data))
 		l.size = size
 	}
 	l.bytes -= len(data)
@@ -134,6 +119,24 @@
 	}
 }
 
+// writeAndSync puts data at the end of a segment of a size, and waits until it is on the disk.
+func (l *Log) writeAndSync(f File, data []byte, size int64) error {
+	l.opt.Step("write")
+	if _, err := f.WriteAt(data, size); err != nil {
+		// A full disk, say: what went out is taken back, and the log goes on.
+		if undo := f.Truncate(size); undo != nil {
+			_ = l.fail(undo)
+		}
+		return fmt.Errorf("wal: %w", err)
+	}
+	l.opt.Step("sync")
+	if err := f.Sync(); err != nil {
+		return l.fail(err) // what the system did with the pages is not known any more
+	}
+	l.opt.Step("synced")
+	return nil
+}
+
 func (l *Log) fail(cause error) error {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/wal/wal.go
+++ b/internal/wal/wal.go
@@ -89,18 +89,7 @@
 // the end is taken off. A bad record before the end is ErrCorrupt with its
 // position: everything before it was handed over.
 func Open(dir string, opt Options, from Pos, replay func(at Pos, record []byte) error) (*Log, error) {
-	if opt.SegmentBytes <= 0 {
-		opt.SegmentBytes = 64 << 20
-	}
-	if opt.MaxWaiting <= 0 {
-		opt.MaxWaiting = 32 << 20
-	}
-	if opt.OpenFile == nil {
-		opt.OpenFile = OpenFile
-	}
-	if opt.Step == nil {
-		opt.Step = func(string) {}
-	}
+	opt.setDefaults()
 	if err := os.MkdirAll(dir, 0o700); err != nil {
 		return nil, fmt.Errorf("wal: %w", err)
 	}
@@ -108,45 +97,23 @@
 	if err != nil {
 		return nil, fmt.Errorf("wal: %w", err)
 	}
-	l := &Log{dir: dir, opt: opt, queue: make(chan struct{}, 1), ended: make(chan struct{}), files: map[uint32]File{}}
 	if len(numbers) == 0 {
 		numbers = []uint32{1}
 	}
-	l.first, l.last = numbers[0], numbers[len(numbers)-1]
-	if from != (Pos{}) {
-		size := int64(0)
-		if st, err := os.Stat(filepath.Join(dir, segmentName(l.last))); err == nil {
-			size = st.Size()
-		}
-		if (Pos{l.last, size}).Before(from) {
-			return nil, fmt.Errorf("%w: %v, not %v", ErrBehind, Pos{l.last, size}, from)
-		}
+	l := &Log{
+		dir:   dir,
+		opt:   opt,
+		queue: make(chan struct{}, 1),
+		ended: make(chan struct{}),
+		files: map[uint32]File{},
+		first: numbers[0],
+		last:  numbers[len(numbers)-1],
 	}
-	for i, n := range numbers {
-		f, err := opt.OpenFile(filepath.Join(dir, segmentName(n)))
-		if err != nil {
-			l.closeFiles()
-			return nil, fmt.Errorf("wal: %w", err)
-		}
-		l.files[n] = f
-		at := int64(0)
-		if n == from.Segment {
-			at = from.Offset
-		}
-		if n < from.Segment {
-			continue
-		}
-		end, err := scan(f, at, func(off int64, rec []byte) error { return replay(Pos{n, off}, rec) })
-		if err == nil || (errors.Is(err, errTorn) && i == len(numbers)-1) {
-			if i == len(numbers)-1 {
-				l.size = end
-				err = f.Truncate(end)
-			}
-		}
-		if errors.Is(err, errTorn) {
-			err = fmt.Errorf("%w: segment %d at %d", ErrCorrupt, n, end)
-		}
-		if err != nil {
+	if err := l.checkReaches(from); err != nil {
+		return nil, err
+	}
+	for _, n := range numbers {
+		if err := l.openSegment(n, from, replay); err != nil {
 			l.closeFiles()
 			return nil, err
 		}
@@ -159,6 +126,64 @@
 	return l, nil
 }
 
+// setDefaults replaces what is not given.
+func (o *Options) setDefaults() {
+	if o.SegmentBytes <= 0 {
+		o.SegmentBytes = 64 << 20
+	}
+	if o.MaxWaiting <= 0 {
+		o.MaxWaiting = 32 << 20
+	}
+	if o.OpenFile == nil {
+		o.OpenFile = OpenFile
+	}
+	if o.Step == nil {
+		o.Step = func(string) {}
+	}
+}
+
+// checkReaches is ErrBehind if the log ends before a position that its owner knows to be written.
+func (l *Log) checkReaches(from Pos) error {
+	if from == (Pos{}) {
+		return nil
+	}
+	size := int64(0)
+	if st, err := os.Stat(filepath.Join(l.dir, segmentName(l.last))); err == nil {
+		size = st.Size()
+	}
+	if end := (Pos{l.last, size}); end.Before(from) {
+		return fmt.Errorf("%w: %v, not %v", ErrBehind, end, from)
+	}
+	return nil
+}
+
+// openSegment opens a segment and replays its records from a position on. Of the last segment it takes off what was
+// half written.
+func (l *Log) openSegment(n uint32, from Pos, replay func(at Pos, record []byte) error) error {
+	f, err := l.opt.OpenFile(filepath.Join(l.dir, segmentName(n)))
+	if err != nil {
+		return fmt.Errorf("wal: %w", err)
+	}
+	l.files[n] = f
+	if n < from.Segment {
+		return nil
+	}
+	begin := int64(0)
+	if n == from.Segment {
+		begin = from.Offset
+	}
+	end, err := scan(f, begin, func(off int64, rec []byte) error { return replay(Pos{n, off}, rec) })
+	torn := errors.Is(err, errTorn)
+	switch {
+	case n == l.last && (err == nil || torn):
+		l.size = end
+		return f.Truncate(end)
+	case torn:
+		return fmt.Errorf("%w: segment %d at %d", ErrCorrupt, n, end)
+	}
+	return err
+}
+
 // End is where the next record will begin, at the earliest.
 func (l *Log) End() Pos {
 	l.mu.Lock()
