--- a/internal/snapshot/follow.go
+++ b/internal/snapshot/follow.go
@@ -172,45 +172,13 @@
 	for _, e := range listed {
 		keys[e.Key] = entryOf(e)
 	}
-	catchUp := func(from map[string]Entry, after uint64) (uint64, error) {
-		ch, err := f.c.Changes(ctx, "", after)
-		if err != nil {
-			return 0, err
-		}
-		for _, e := range ch.Events {
-			apply(from, Entry{Key: e.Set + e.Delete, Value: e.Value, Version: e.Version, Gone: e.Delete != ""})
-		}
-		return ch.Revision, nil
-	}
 	// The pages were read one after the other: from the first one's revision on, the changes
 	// bring all of them to one moment.
-	if revision, err = catchUp(keys, revision); err != nil {
+	if revision, err = f.catchUp(ctx, keys, revision); err != nil {
 		return err
 	}
-	if f.id != 0 {
-		if _, err := catchUp(f.keys, f.revision); err != nil {
-			return err
-		}
-		missing := 0
-		for name, e := range f.keys {
-			if now, ok := keys[name]; e.Version <= revision && (!ok || now.Version < e.Version) {
-				missing++
-			}
-		}
-		if missing > 0 {
-			return f.lost(ctx, fmt.Sprintf("%d keys are gone that nobody deleted", missing))
-		}
-	} else if last, ok := f.a.Latest(); ok && f.keys == nil {
-		// A follower that starts compares with what the last one kept.
-		old, _, err := f.a.Load(last.ID, 0)
-		if err != nil {
-			f.log.Error("the newest copy can't be read", "copy", last.ID, "err", err)
-		} else if why := f.wentBack(old, last.Last, keys, revision); why != "" && last.Lost == "" {
-			f.id = last.ID
-			if err := f.lost(ctx, why); err != nil {
-				return err
-			}
-		}
+	if err := f.compareWithKept(ctx, keys, revision); err != nil {
+		return err
 	}
 	id, err := f.a.Put(ctx, keys, revision, time.Now())
 	if err != nil {
@@ -225,6 +193,59 @@
 	return nil
 }
 
+// catchUp applies the changes after a revision to keys, and gives the revision that they are of then.
+func (f *Follower) catchUp(ctx context.Context, keys map[string]Entry, after uint64) (uint64, error) {
+	ch, err := f.c.Changes(ctx, "", after)
+	if err != nil {
+		return 0, err
+	}
+	for _, e := range ch.Events {
+		apply(keys, Entry{Key: e.Set + e.Delete, Value: e.Value, Version: e.Version, Gone: e.Delete != ""})
+	}
+	return ch.Revision, nil
+}
+
+// compareWithKept looks whether the store lost something that was kept, by this process or by the last one, and notes
+// the loss.
+func (f *Follower) compareWithKept(ctx context.Context, keys map[string]Entry, revision uint64) error {
+	if f.id != 0 {
+		return f.compareWithFollowed(ctx, keys, revision)
+	}
+	last, ok := f.a.Latest()
+	if !ok || f.keys != nil {
+		return nil
+	}
+	// A follower that starts compares with what the last one kept.
+	old, _, err := f.a.Load(last.ID, 0)
+	if err != nil {
+		f.log.Error("the newest copy can't be read", "copy", last.ID, "err", err)
+		return nil
+	}
+	reason := f.wentBack(old, last.Last, keys, revision)
+	if reason == "" || last.Lost != "" {
+		return nil
+	}
+	f.id = last.ID
+	return f.lost(ctx, reason)
+}
+
+// compareWithFollowed looks for keys that were followed and are gone though nobody deleted them.
+func (f *Follower) compareWithFollowed(ctx context.Context, keys map[string]Entry, revision uint64) error {
+	if _, err := f.catchUp(ctx, f.keys, f.revision); err != nil {
+		return err
+	}
+	missing := 0
+	for name, e := range f.keys {
+		if now, ok := keys[name]; e.Version <= revision && (!ok || now.Version < e.Version) {
+			missing++
+		}
+	}
+	if missing == 0 {
+		return nil
+	}
+	return f.lost(ctx, fmt.Sprintf("%d keys are gone that nobody deleted", missing))
+}
+
 // wentBack says why a store can't be the one that a copy was made of, or "".
 func (f *Follower) wentBack(old map[string]Entry, last uint64, keys map[string]Entry, revision uint64) string {
 	before, now := f.storeOf(old), f.storeOf(keys)
--- a/internal/snapshot/restore.go
+++ b/internal/snapshot/restore.go
@@ -19,6 +19,7 @@
 	"topazhollow/internal/leadership"
 	"topazhollow/internal/protocol"
 	"topazhollow/internal/userapi"
+	"topazhollow/internal/wait"
 )
 
 // Errors of a restore that callers decide by.
@@ -128,6 +129,40 @@
 	if err != nil {
 		return nil, err
 	}
+	now, err := r.listStore(ctx)
+	if err != nil {
+		return nil, err
+	}
+	record, err := r.lossRecord(now, force)
+	if err != nil {
+		return nil, err
+	}
+	have, err := read(now)
+	if err != nil {
+		return nil, err
+	}
+	p := &Plan{
+		Copy:       id,
+		Revision:   revision,
+		Generation: record.Epoch,
+		record:     record,
+		fence:      protocol.Condition{Key: marker(record), Version: now[marker(record)].Version},
+		done:       map[string]*bitset.BitSet{},
+		pages:      countEndPages(now),
+	}
+	p.addJobs(old, have)
+	lacking := endsLacking(old, have)
+	p.ends = datarecovery.Pages(lacking, r.valueRoom())
+	if p.teams, err = teamsLacking(keys, now); err != nil {
+		return nil, err
+	}
+	p.Jobs, p.Ends, p.Teams = len(p.jobs), len(lacking), len(p.teams)
+	p.Changes = p.Teams + p.Jobs + len(p.ends) + 2*len(donePages(p.done, r.valueRoom()))
+	return p, nil
+}
+
+// listStore reads all that the store has.
+func (r *Restorer) listStore(ctx context.Context) (map[string]Entry, error) {
 	listed, _, err := r.c.List(ctx, "")
 	if err != nil {
 		return nil, err
@@ -136,28 +171,42 @@
 	for _, e := range listed {
 		now[e.Key] = entryOf(e)
 	}
+	return now, nil
+}
+
+// lossRecord is the control record of the epoch that the controllers began after a loss. Without force it is
+// ErrNotLost if they say that nothing was lost for good.
+func (r *Restorer) lossRecord(now map[string]Entry, force bool) (*leadership.Record, error) {
 	record, err := recordOf(now, r.set.Control)
-	if err != nil {
+	switch {
+	case err != nil:
 		return nil, err
-	}
-	if record == nil || now[marker(record)].Version == 0 {
+	case record == nil || now[marker(record)].Version == 0:
 		return nil, ErrNoGeneration
-	}
-	if !record.DataLost && !force {
+	case !record.DataLost && !force:
 		return nil, ErrNotLost
 	}
-	have, err := read(now)
-	if err != nil {
-		return nil, err
-	}
-	p := &Plan{Copy: id, Revision: revision, Generation: record.Epoch, record: record,
-		fence: protocol.Condition{Key: marker(record), Version: now[marker(record)].Version}, done: map[string]*bitset.BitSet{}}
-	var lacking []datarecovery.End
+	return record, nil
+}
+
+// valueOverhead is what a value takes beside its content, in bytes.
+const valueOverhead = 64
+
+// valueRoom is how many bytes of content a value of the store may have.
+func (r *Restorer) valueRoom() int { return int(r.set.ValueKB*1024) - valueOverhead }
+
+// endsLacking are the ends of the copy that the store lacks; an end beats whatever the store has of the job.
+func endsLacking(old, have *contents) (lacking []datarecovery.End) {
 	for _, x := range old.ends.All() {
 		if _, ended := have.ends.Get(x.UID); !ended {
-			lacking = append(lacking, x) // an end beats whatever the service has of the job
+			lacking = append(lacking, x)
 		}
 	}
+	return lacking
+}
+
+// addJobs plans the active jobs of the copy, with their finished tasks, of which the store has nothing newer.
+func (p *Plan) addJobs(old, have *contents) {
 	for _, uid := range slices.Sorted(maps.Keys(old.active)) {
 		_, active := have.active[uid]
 		_, ended := have.ends.Get(uid)
@@ -171,19 +220,17 @@
 			p.Done += int(d.Count())
 		}
 	}
+}
+
+// countEndPages is the number behind that of the last page of ends in the store.
+func countEndPages(now map[string]Entry) (pages int) {
 	for name := range now {
-		if number, err := strconv.Atoi(strings.TrimPrefix(name, datarecovery.EndsKey)); err == nil && strings.HasPrefix(name, datarecovery.EndsKey) {
-			p.pages = max(p.pages, number+1)
+		text, isPage := strings.CutPrefix(name, datarecovery.EndsKey)
+		if number, err := strconv.Atoi(text); isPage && err == nil {
+			pages = max(pages, number+1)
 		}
 	}
-	room := int(r.set.ValueKB*1024) - 64
-	p.ends = datarecovery.Pages(lacking, room)
-	if p.teams, err = teamsLacking(keys, now); err != nil {
-		return nil, err
-	}
-	p.Jobs, p.Ends, p.Teams = len(p.jobs), len(lacking), len(p.teams)
-	p.Changes = p.Teams + p.Jobs + len(p.ends) + 2*len(donePages(p.done, room))
-	return p, nil
+	return pages
 }
 
 // donePages parts finished tasks into values of a size.
@@ -215,61 +262,68 @@
 	defer func() { cancel(); <-ran }()
 	r.c.SetFence(p.fence)
 	count := 0
-	put := func(u kvstore.Update) error {
-		for {
-			_, err := r.c.Commit(ctx, u)
-			switch {
-			case errors.Is(err, kvstore.ErrUpdatesHeld), errors.Is(err, kvstore.ErrRevisionWentBack):
-				return fmt.Errorf("%w: the state service lost data again", ErrNoGeneration)
-			case err == nil || errors.Is(err, kvstore.ErrConflict):
-				if count++; tell != nil {
-					tell(count, p.Changes)
-				}
-				return nil
-			case ctx.Err() != nil:
-				return ctx.Err()
-			case errors.Is(err, kvstore.ErrInvalid):
-				return err
-			}
-			select { // an outage, or too much at a time
-			case <-time.After(300 * time.Millisecond):
-			case <-ctx.Done():
-				return ctx.Err()
-			}
-		}
-	}
-	for _, u := range p.teams { // before the jobs, so that none starts beyond a lowered quota
-		if err := put(u); err != nil {
+	for _, u := range p.updates(r.valueRoom()) {
+		if err := r.put(ctx, u); err != nil {
 			return err
 		}
+		if count++; tell != nil {
+			tell(count, p.Changes)
+		}
 	}
+	return nil
+}
+
+// updates are the plan's updates in the order in which they are made.
+func (p *Plan) updates(room int) []kvstore.Update {
+	all := slices.Clone(p.teams) // before the jobs, so that none starts beyond a lowered quota
 	for i, page := range p.ends {
 		key := datarecovery.EndsKey + strconv.Itoa(p.pages+i)
-		if err := put(kvstore.Update{Conditions: []protocol.Condition{{Key: key}}, Changes: []protocol.Op{{Set: key, Value: protocol.Encode(page)}}}); err != nil {
-			return err
-		}
+		all = append(all, kvstore.Update{
+			Conditions: []protocol.Condition{{Key: key}},
+			Changes:    []protocol.Op{{Set: key, Value: protocol.Encode(page)}},
+		})
 	}
-	var done []string
-	for i, page := range donePages(p.done, int(r.set.ValueKB*1024)-64) {
+	var finished []string
+	for i, page := range donePages(p.done, room) {
 		key := fmt.Sprintf("%s%d-%d", datarecovery.FinishedKey, p.Copy, i)
-		if err := put(kvstore.Update{Changes: []protocol.Op{{Set: key, Value: protocol.Encode(page)}}}); err != nil {
-			return err
-		}
-		done = append(done, key)
+		all = append(all, kvstore.Update{Changes: []protocol.Op{{Set: key, Value: protocol.Encode(page)}}})
+		finished = append(finished, key)
 	}
 	for _, s := range p.jobs {
 		uid := s.Spec.UID
-		if err := put(kvstore.Update{Conditions: []protocol.Condition{{Key: JobKey + uid}, {Key: FinalKey + uid}},
-			Changes: []protocol.Op{{Set: JobKey + uid, Value: protocol.Encode(s)}}}); err != nil {
-			return err
-		}
+		all = append(all, kvstore.Update{
+			Conditions: []protocol.Condition{{Key: JobKey + uid}, {Key: FinalKey + uid}},
+			Changes:    []protocol.Op{{Set: JobKey + uid, Value: protocol.Encode(s)}},
+		})
+	}
+	for _, key := range finished { // every controller that lives has read it, and the owners write it to their pages
+		all = append(all, kvstore.Update{Changes: []protocol.Op{{Delete: key}}})
 	}
-	for _, key := range done { // every controller that lives has read it, and the owners write it to their pages
-		if err := put(kvstore.Update{Changes: []protocol.Op{{Delete: key}}}); err != nil {
+	return all
+}
+
+// restorePause is between tries of an update while the store refuses or does not answer.
+const restorePause = 300 * time.Millisecond
+
+// put commits an update, again and again through outages. A conflict means that the store has something newer, which
+// stays.
+func (r *Restorer) put(ctx context.Context, u kvstore.Update) error {
+	for {
+		_, err := r.c.Commit(ctx, u)
+		switch {
+		case errors.Is(err, kvstore.ErrUpdatesHeld), errors.Is(err, kvstore.ErrRevisionWentBack):
+			return fmt.Errorf("%w: the state service lost data again", ErrNoGeneration)
+		case err == nil || errors.Is(err, kvstore.ErrConflict):
+			return nil
+		case ctx.Err() != nil:
+			return ctx.Err()
+		case errors.Is(err, kvstore.ErrInvalid):
 			return err
 		}
+		if !wait.For(ctx, restorePause) {
+			return ctx.Err()
+		}
 	}
-	return nil
 }
 
 // Declare ends the search for what nobody remembers: from then on a job that is not known
