--- a/internal/controller/meeting_test.go
+++ b/internal/controller/meeting_test.go
@@ -460,7 +460,7 @@
 	}
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if m := n.machine("n-000900"); m.unregisteredSince.IsZero() || m.inspectedAt.IsZero() {
+	if m := n.machine("n-000900"); !m.unregistered.Suspected() || !m.unregistered.Probed() {
 		t.Error("the machine was not asked")
 	}
 	if proof, proved := n.recovery.detection.Proved(); proved {
--- a/internal/controller/node.go
+++ b/internal/controller/node.go
@@ -127,14 +127,13 @@
 type machine struct {
 	agents.Liveness
 
-	status            *jobstate.MachineStatus
-	home              string // by homeRecord
-	homeRecord        *leadership.Record
-	unregisteredSince time.Time // since when it reports tasks though it is on no list of machines
-	inspectedAt       time.Time // when it was last asked whether it is there
-	gone              bool
-	idleSince         time.Time
-	slowAt            time.Time // when a task here was last found far slower than others of its job
+	status       *jobstate.MachineStatus
+	home         string // by homeRecord
+	homeRecord   *leadership.Record
+	unregistered agents.Unregistered // while its machine is on no list
+	gone         bool
+	idleSince    time.Time
+	slowAt       time.Time // when a task here was last found far slower than others of its job
 }
 
 // Run serves until the context ends.
--- a/internal/controller/recovery_detect.go
+++ b/internal/controller/recovery_detect.go
@@ -77,13 +77,8 @@
 // been held up on its way from a machine that is gone by now; one that reports again is
 // there, and a read that began after its first heartbeat must know it.
 func (n *Node) checkUnregistered(r *protocol.Heartbeat, m *machine, now time.Time) {
-	switch {
-	case !n.runsTasksOfThisStore(r):
-		m.unregisteredSince = time.Time{}
-	case m.unregisteredSince.IsZero():
-		m.unregisteredSince = now
-	case now.Sub(m.unregisteredSince) > settings.Seconds(n.settings.Deployment.Agents.HeartbeatSeconds/2) &&
-		n.cancelWatermark.LastRead().After(m.unregisteredSince):
+	settle := settings.Seconds(n.settings.Deployment.Agents.HeartbeatSeconds / 2)
+	if m.unregistered.Record(n.runsTasksOfThisStore(r), now, n.cancelWatermark.LastRead(), settle) {
 		n.probeUnregistered(r.Machine, r.Addr, m)
 	}
 }
@@ -91,10 +86,9 @@
 // probeUnregistered asks a machine that is on no list whether it is there. Two heartbeats are no proof: copies of
 // what a machine sent that was returned long ago may come one after the other to a process that never knew it.
 func (n *Node) probeUnregistered(name, addr string, m *machine) {
-	if m.inspectedAt.After(m.unregisteredSince) && time.Since(m.inspectedAt) < probeTimeout {
+	if !m.unregistered.BeginProbe(time.Now(), probeTimeout) {
 		return
 	}
-	m.inspectedAt = time.Now()
 	n.group.Go(func() error {
 		link := httpx.NewClientConn(addr, 1<<20)
 		defer link.Close()
@@ -103,7 +97,7 @@
 		there := err == nil && resp.Status == 200 && protocol.Decode(resp.Body, &r) == nil && r.Machine == name
 		n.mu.Lock()
 		defer n.mu.Unlock()
-		unregistered := n.machines[name] == m && !m.gone && !n.roster.Has(name) && !m.unregisteredSince.IsZero()
+		unregistered := n.machines[name] == m && !m.gone && !n.roster.Has(name) && m.unregistered.Suspected()
 		if there && unregistered && n.runsTasksOfThisStore(&r) {
 			n.proveLoss(datarecovery.ProofUnlistedMachine)
 		}
