--- a/internal/faultinjection/region.go
+++ b/internal/faultinjection/region.go
@@ -26,7 +26,7 @@
 	script       string                          // the controllers' options, a file's text
 	run          func(task string) time.Duration // how long tasks run, if not all alike
 	state        *simulation.KVStore
-	doors        []*simulation.Endpoint // each controller's way to the key-value store
+	endpoints    []*simulation.Endpoint // each controller's way to the key-value store
 	pipes        simulation.Paths       // from one controller to another
 	cloud        *simulation.Cloud
 	check        *simulation.Checker
@@ -74,26 +74,20 @@
 	return broken, nil
 }
 
-func (g *region) open() error {
+func (g *region) open() (err error) {
 	if err := os.MkdirAll(g.dir, 0o700); err != nil {
 		return err
 	}
-	var err error
 	g.turns = &sync.Mutex{}
 	if g.state == nil {
-		if g.state, err = simulation.NewKVStore(g.size.state.ChangesPerTransaction, int(g.size.state.ValueKB)); err != nil {
+		changes, valueKB := g.size.state.ChangesPerTransaction, int(g.size.state.ValueKB)
+		if g.state, err = simulation.NewKVStore(changes, valueKB); err != nil {
 			return err
 		}
 	}
-	host, names := simulation.NewHost(), regionNames
-	listen, peers := map[string]string{}, map[string]string{}
-	for _, name := range names {
-		for _, m := range []map[string]string{listen, peers} {
-			if m[name], err = host.Listen(); err != nil {
-				return err
-			}
-		}
-		g.listen = append(g.listen, listen[name])
+	listen, peers, err := g.drawAddresses()
+	if err != nil {
+		return err
 	}
 	if g.run == nil {
 		g.run = func(string) time.Duration { return g.size.run }
@@ -101,45 +95,101 @@
 	if err := os.WriteFile(filepath.Join(g.dir, "options.star"), []byte(g.script), 0o600); err != nil {
 		return err
 	}
-	per := simulation.Periods{Heartbeat: settings.Seconds(g.size.report), Lease: settings.Seconds(g.size.lease), Run: g.run}
-	types := []protocol.MachineType{{Name: "m8", CPUs: g.size.cpus, MemoryGB: 8 * g.size.cpus, PricePerHour: 2, SpotPricePerHour: 1, BootSeconds: 1, Zones: []string{"east", "west"}}}
-	if g.cloud, err = simulation.NewCloud(types, g.size.machines, func(name, typ, zone string, spot bool) (*simulation.Agent, error) {
-		return simulation.NewAgent(name, typ, zone, spot, listen, names, per, g.check)
-	}); err != nil {
+	if err := g.openCloud(listen); err != nil {
 		return err
 	}
 	g.pipes = simulation.Paths{}
-	for i, name := range names {
-		door, err := g.state.NewEndpoint()
-		if err != nil {
+	for i := range regionNames {
+		if err := g.openController(i, listen, peers); err != nil {
 			return err
 		}
-		g.doors = append(g.doors, door)
-		s := &settings.Settings{Name: name, Zone: "east", Listen: listen[name], PeerListen: peers[name],
-			Outside: settings.Outside{Cloud: g.cloud.Addr(), KVStore: door.Addr()},
-			Deployment: settings.Deployment{Size: 3, Zones: []string{"east", "west"},
-				Teams:   g.size.teams,
-				Agents:  settings.Agents{HeartbeatSeconds: g.size.report, LeaseSeconds: g.size.lease, GangWaitSeconds: 10, GangPeerSeconds: 4, CancelSeconds: g.size.cancel},
-				KVStore: g.size.state, Cloud: g.size.cloud, Limits: settings.Limits{Cores: 1, MemoryMB: g.size.memory, MaxSockets: 4000}}}
-		for k, p := range names {
-			if p != name {
-				pipe, err := simulation.NewPipe(peers[p])
-				if err != nil {
-					return err
-				}
-				g.pipes[[2]int{i, k}] = pipe
-				s.Peers = append(s.Peers, settings.Peer{Name: p, Zone: "east", Endpoint: pipe.Addr()})
+	}
+	return nil
+}
+
+// drawAddresses gives each controller an address for users and agents, and one for its peers.
+func (g *region) drawAddresses() (listen, peers map[string]string, err error) {
+	host := simulation.NewHost()
+	listen, peers = map[string]string{}, map[string]string{}
+	for _, name := range regionNames {
+		for _, addresses := range []map[string]string{listen, peers} {
+			if addresses[name], err = host.Listen(); err != nil {
+				return nil, nil, err
 			}
 		}
-		if err := os.WriteFile(g.config(i), protocol.Encode(s), 0o600); err != nil {
-			return err
+		g.listen = append(g.listen, listen[name])
+	}
+	return listen, peers, nil
+}
+
+// openCloud starts a cloud whose machines have simulated agents.
+func (g *region) openCloud(listen map[string]string) (err error) {
+	periods := simulation.Periods{
+		Heartbeat: settings.Seconds(g.size.report),
+		Lease:     settings.Seconds(g.size.lease),
+		Run:       g.run,
+	}
+	types := []protocol.MachineType{{
+		Name: "m8", CPUs: g.size.cpus, MemoryGB: 8 * g.size.cpus,
+		PricePerHour: 2, SpotPricePerHour: 1, BootSeconds: 1,
+		Zones: []string{"east", "west"},
+	}}
+	boot := func(name, typ, zone string, spot bool) (*simulation.Agent, error) {
+		return simulation.NewAgent(name, typ, zone, spot, listen, regionNames, periods, g.check)
+	}
+	g.cloud, err = simulation.NewCloud(types, g.size.machines, boot)
+	return err
+}
+
+// openController writes a controller's settings, with an endpoint of the store and a pipe to each peer of its own, and
+// starts it.
+func (g *region) openController(i int, listen, peers map[string]string) error {
+	name := regionNames[i]
+	endpoint, err := g.state.NewEndpoint()
+	if err != nil {
+		return err
+	}
+	g.endpoints = append(g.endpoints, endpoint)
+	s := g.settingsOf(name, listen[name], peers[name], endpoint.Addr())
+	for k, p := range regionNames {
+		if p == name {
+			continue
 		}
-		g.nodes = append(g.nodes, nil)
-		if err := g.start(i); err != nil {
+		pipe, err := simulation.NewPipe(peers[p])
+		if err != nil {
 			return err
 		}
+		g.pipes[[2]int{i, k}] = pipe
+		s.Peers = append(s.Peers, settings.Peer{Name: p, Zone: "east", Endpoint: pipe.Addr()})
+	}
+	if err := os.WriteFile(g.config(i), protocol.Encode(s), 0o600); err != nil {
+		return err
+	}
+	g.nodes = append(g.nodes, nil)
+	return g.start(i)
+}
+
+// settingsOf are a controller's settings but for its peers.
+func (g *region) settingsOf(name, listen, peerListen, store string) *settings.Settings {
+	return &settings.Settings{
+		Name:       name,
+		Zone:       "east",
+		Listen:     listen,
+		PeerListen: peerListen,
+		Outside:    settings.Outside{Cloud: g.cloud.Addr(), KVStore: store},
+		Deployment: settings.Deployment{
+			Size:  len(regionNames),
+			Zones: []string{"east", "west"},
+			Teams: g.size.teams,
+			Agents: settings.Agents{
+				HeartbeatSeconds: g.size.report, LeaseSeconds: g.size.lease,
+				GangWaitSeconds: 10, GangPeerSeconds: 4, CancelSeconds: g.size.cancel,
+			},
+			KVStore: g.size.state,
+			Cloud:   g.size.cloud,
+			Limits:  settings.Limits{Cores: 1, MemoryMB: g.size.memory, MaxSockets: 4000},
+		},
 	}
-	return nil
 }
 
 func (g *region) config(i int) string {
--- a/internal/faultinjection/troubles.go
+++ b/internal/faultinjection/troubles.go
@@ -18,15 +18,15 @@
 	play func(ctx context.Context, g *region, rng *rand.Rand, one int, lasts time.Duration) error
 }{
 	{"refused", func(ctx context.Context, g *region, _ *rand.Rand, one int, lasts time.Duration) error {
-		g.doors[one].RefuseAll(true)
-		defer g.doors[one].RefuseAll(false)
+		g.endpoints[one].RefuseAll(true)
+		defer g.endpoints[one].RefuseAll(false)
 		wait.For(ctx, lasts)
 		return nil
 	}},
 	{"no state, no peers", func(ctx context.Context, g *region, _ *rand.Rand, one int, lasts time.Duration) error {
-		g.doors[one].RefuseAll(true)
+		g.endpoints[one].RefuseAll(true)
 		g.pipes.Isolate(one, true)
-		defer g.doors[one].RefuseAll(false)
+		defer g.endpoints[one].RefuseAll(false)
 		defer g.pipes.Isolate(one, false)
 		wait.For(ctx, lasts)
 		return nil
@@ -47,7 +47,7 @@
 	}},
 	{"late writes", func(ctx context.Context, g *region, rng *rand.Rand, _ int, lasts time.Duration) error {
 		var mu sync.Mutex
-		for _, d := range g.doors {
+		for _, d := range g.endpoints {
 			d.DelayTransactions(func() time.Duration {
 				mu.Lock()
 				defer mu.Unlock()
@@ -76,7 +76,7 @@
 	}},
 	{"lost answers", func(ctx context.Context, g *region, rng *rand.Rand, _ int, lasts time.Duration) error {
 		drawn := oneInTurn(rng, 4)
-		for _, d := range g.doors {
+		for _, d := range g.endpoints {
 			d.DropAnswers(func(*protocol.Txn) bool { return drawn() })
 			defer d.DropAnswers(nil)
 		}
--- a/internal/taskrunner/bring.go
+++ b/internal/taskrunner/upload.go
@@ -102,24 +102,11 @@
 		return result, err
 	}
 	for {
-		s.mu.Lock()
-		for len(s.waits) == 0 && !s.whole && ctx.Err() == nil {
-			s.more.Wait()
-		}
-		var batch []unsentRecord
-		size := 0
-		for _, w := range s.waits {
-			if w.stream == s.waits[0].stream && len(batch) < atOnce && size < atOnceBytes {
-				batch = append(batch, w)
-				size += w.size
-			}
-		}
-		over := len(batch) == 0 && s.whole
-		s.mu.Unlock()
+		batch, more := s.nextBatch(ctx)
 		if ctx.Err() != nil {
 			return result, ctx.Err()
 		}
-		if over {
+		if !more {
 			break
 		}
 		if err := s.sendBatch(ctx, batch); err != nil {
@@ -127,33 +114,62 @@
 		}
 	}
 	if s.exit != nil {
-		end := artifactstore.End{Exit: *s.exit, Records: maps.Clone(s.next), Files: map[string]string{}}
-		for _, path := range s.files {
-			d, err := s.uploadFile(ctx, path)
-			var no *refusal
-			for try := 0; try < 3 && errors.As(err, &no) && no.status == http.StatusNotFound; try++ {
-				d, err = s.uploadFile(ctx, path) // the replica gave the upload up meanwhile, or another is asked now
-			}
-			if err != nil && !sealed(err) {
-				return result, err
-			}
-			end.Files[path] = d.String()
-		}
-		s.opt.Step("seal")
-		body, err := json.Marshal(&end)
+		final, err := s.seal(ctx)
 		if err != nil {
 			return result, err
 		}
-		a, err := s.call(ctx, "/seal", body)
-		if err != nil {
-			return result, err
-		}
-		result.Final = a.Final
+		result.Final = final
 	}
 	s.opt.Step("remove spool")
 	return result, os.RemoveAll(s.dir)
 }
 
+// nextBatch waits for records of one stream; more is false once all have been sent and no others can come.
+func (s *spool) nextBatch(ctx context.Context) (batch []unsentRecord, more bool) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	for len(s.waits) == 0 && !s.whole && ctx.Err() == nil {
+		s.more.Wait()
+	}
+	size := 0
+	for _, w := range s.waits {
+		if w.stream == s.waits[0].stream && len(batch) < atOnce && size < atOnceBytes {
+			batch = append(batch, w)
+			size += w.size
+		}
+	}
+	return batch, len(batch) > 0 || !s.whole
+}
+
+// fileTries is how often the upload of a file is begun anew.
+const fileTries = 3
+
+// seal uploads the files and seals the attempt; final says whether it is the task's result.
+func (s *spool) seal(ctx context.Context) (final bool, err error) {
+	end := artifactstore.End{Exit: *s.exit, Records: maps.Clone(s.next), Files: map[string]string{}}
+	for _, path := range s.files {
+		d, err := s.uploadFile(ctx, path)
+		var no *refusal
+		for try := 0; try < fileTries && errors.As(err, &no) && no.status == http.StatusNotFound; try++ {
+			d, err = s.uploadFile(ctx, path) // the replica gave the upload up meanwhile, or another is asked now
+		}
+		if err != nil && !sealed(err) {
+			return false, err
+		}
+		end.Files[path] = d.String()
+	}
+	s.opt.Step("seal")
+	body, err := json.Marshal(&end)
+	if err != nil {
+		return false, err
+	}
+	a, err := s.call(ctx, "/seal", body)
+	if err != nil {
+		return false, err
+	}
+	return a.Final, nil
+}
+
 // sendBatch brings records of one stream.
 func (s *spool) sendBatch(ctx context.Context, batch []unsentRecord) error {
 	var records []artifactstore.Record
@@ -180,6 +196,12 @@
 	if err == nil && a.Next != nil {
 		s.opt.Acked(batch[0].stream, *a.Next)
 	}
+	s.forget(batch)
+	return nil
+}
+
+// forget drops records that the replica has.
+func (s *spool) forget(batch []unsentRecord) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	sent := map[uint64]bool{}
@@ -194,7 +216,6 @@
 		}
 	}
 	s.waits = kept
-	return nil
 }
 
 // pieceBytes is how much of a file goes in one request.
