--- a/internal/controller/sync_test.go
+++ b/internal/controller/changesync_test.go
@@ -26,9 +26,8 @@
 	return n
 }
 
-// TestSyncedSeesEarlierChanges: what a user was told by one controller, another
-// must know when it answers a request that came later, even if its watch lags.
-// Many ask at once; each must see at least what was written before it asked.
+// TestWaitForChangesSeesEarlierChanges: what a user was told by one controller, another must know when it answers a request
+// that came later, even if its watch lags. Many ask at once; each must see at least what was written before it asked.
 func TestWaitForChangesSeesEarlierChanges(t *testing.T) {
 	srv, err := simulation.NewKVStore(8, 16)
 	if err != nil {
--- a/internal/controller/sustain_test.go
+++ b/internal/controller/keepalive_test.go
@@ -11,11 +11,10 @@
 	"topazhollow/internal/settings"
 )
 
-// TestCutZoneLivesOn: a controller that is cut off with its zone loses its lease,
-// and so did the machines beside it: all that they ran was lost with any cut longer
-// than their lease. They must be kept alive, but no longer than a withdrawal that
-// this controller cannot hear of allows, and none that runs what had ended before.
-func TestCutZoneLivesOn(t *testing.T) {
+// TestAgentsOfACutZoneAreKeptAlive: a controller that is cut off with its zone loses its lease, and so did the agents
+// beside it: all that they ran was lost with any cut longer than their lease. They must be kept alive, but no longer than
+// a cancellation that this controller cannot learn of allows, and none that runs what had ended before.
+func TestAgentsOfACutZoneAreKeptAlive(t *testing.T) {
 	g := newGrown(8, 1)
 	n := g.n
 	newLeadership(n, g.now, "node-b") // the lease expired, and nobody promises anything
@@ -84,10 +83,9 @@
 	}
 }
 
-// TestRefusedLinks: with connections between controllers refused, the fleet's owner
-// heard no machine of another home, took two thirds of a fleet for silent and
-// returned them; starts for them were held for as long as the refusal lasted. A
-// machine whose home is alive but not heard is neither silent nor a place.
+// TestRefusedLinks: with connections between controllers refused, the fleet's owner learned of no machine of another home,
+// took two thirds of a fleet for silent and returned them; starts for them were held for as long as the refusal lasted. A
+// machine whose home is alive but not reached is neither silent nor a place.
 func TestRefusedLinks(t *testing.T) {
 	g := newGrown(40, 1)
 	n := g.n
--- a/internal/controller/inflight_test.go
+++ b/internal/controller/leaserenewal_test.go
@@ -9,7 +9,7 @@
 	"topazhollow/internal/settings"
 )
 
-// ordering is a home that gets orders for one machine and hears its reports.
+// ordering is a home that gets orders for one machine and its heartbeats.
 type ordering struct {
 	*grown
 	name string
@@ -24,7 +24,7 @@
 	return o
 }
 
-// report answers a report of the machine, which lists nothing.
+// report answers a heartbeat of the machine, which lists nothing.
 func (o *ordering) report(at time.Time) (status int, commands []protocol.Command) {
 	o.seq++
 	r := protocol.Heartbeat{Machine: o.name, Addr: "127.0.0.1:1", Type: "m32", Zone: "east", Incarnation: 1, Seq: o.seq, FencingToken: 1, Tasks: []protocol.TaskStatus{}}
@@ -40,9 +40,9 @@
 	o.n.agents.QueueOrders(1, o.name, []jobstate.Order{{Op: op, TaskID: jobstate.TaskID{Job: "job-000001"}, Attempt: 1, Incarnation: 1, CPUs: 1, MemoryGB: 1}})
 }
 
-// TestNoStartOfWhatIsOver: an owner that the state service refuses may order starts of a job that its machine's home
-// knows to be withdrawn. The home sent them.
-func TestNoStartOfWhatIsOver(t *testing.T) {
+// TestNoStartOfAnEndedJob: an owner that the key-value store refuses may order starts of a job that its machine's home
+// knows to be cancelled. The home sent them.
+func TestNoStartOfAnEndedJob(t *testing.T) {
 	o := newOrdering()
 	n := o.n
 	n.mu.Lock()
@@ -62,8 +62,8 @@
 	}
 }
 
-// TestStartInFlightBoundsRenewals: an unanswered /do may arrive late. Once the job of its start is over the machine is
-// kept alive no longer than what was known at the sending allows, by its home and by others, who are told of it.
+// TestStartInFlightBoundsRenewals: an unanswered request may arrive late. Once the job of its start has ended, the agent is
+// kept alive no longer than the watermark at the sending allows, by its home and by others, who are told of it.
 func TestStartInFlightBoundsRenewals(t *testing.T) {
 	o := newOrdering()
 	n := o.n
@@ -109,9 +109,9 @@
 	}
 }
 
-// TestHomeWord: what a home says of its machines counts from this process's status that it names, less the age of what
+// TestHomeWatermark: what a home says of its agents counts from this process's status that it names, less the age of what
 // it knew when it sent what may still arrive.
-func TestHomeWord(t *testing.T) {
+func TestHomeWatermark(t *testing.T) {
 	g := newGrown(1, 1)
 	n := g.n
 	n.mu.Lock()
@@ -138,7 +138,7 @@
 }
 
 // TestOrderIsTrustedUntilARead: a job that its machine's home does not know is renewed on its owner's order, for the watch
-// may be behind. Once the state service was read after the start it is over, or it would be known.
+// may be behind. Once the store was read after the start, the job has ended, or it would be known.
 func TestOrderIsTrustedUntilARead(t *testing.T) {
 	o := newOrdering()
 	n := o.n
--- a/internal/controller/stray_test.go
+++ b/internal/controller/unreachablehomes_test.go
@@ -14,19 +14,19 @@
 	"topazhollow/internal/userapi"
 )
 
-// roamer is a plain worker: it reports to its home, waits for an answer, and goes
-// to the controller under test when none comes.
-type roamer struct {
-	name     string
-	next     time.Time // of its next report
-	here     bool      // it reports to the controller under test
-	answered time.Time // when its last answered report was sent
-	worst    time.Duration
+// roamingAgent is a plain agent: it sends its heartbeats to its home, waits for an answer, and goes to the controller
+// under test when none comes.
+type roamingAgent struct {
+	name              string
+	next              time.Time // of its next report
+	here              bool      // it reports to the controller under test
+	answered          time.Time // when its last answered report was sent
+	longestUnanswered time.Duration
 }
 
-// play lets a worker report until a time. homeAnswers says whether its home
-// answers a report sent then, alive is called as time goes on.
-func (w *roamer) play(n *Node, home string, until time.Time, homeAnswers func(time.Time) bool, alive func(time.Time)) {
+// play lets an agent send heartbeats until a time. homeAnswers says whether its home answers one sent then; alive is
+// called as time goes on.
+func (w *roamingAgent) play(n *Node, home string, until time.Time, homeAnswers func(time.Time) bool, alive func(time.Time)) {
 	for !w.next.After(until) {
 		now := w.next
 		alive(now)
@@ -41,16 +41,17 @@
 		default:
 			w.here, w.next = false, now.Add(500*time.Millisecond)
 		}
-		w.worst = max(w.worst, now.Sub(w.answered))
+		w.longestUnanswered = max(w.longestUnanswered, now.Sub(w.answered))
 	}
 }
 
-func (w *roamer) answer(now time.Time) { w.answered, w.next = now, now.Add(2500*time.Millisecond) }
+func (w *roamingAgent) answer(now time.Time) {
+	w.answered, w.next = now, now.Add(2500*time.Millisecond)
+}
 
-// TestStrayedMachinesLive: a home that stands still, or that workers alone cannot
-// reach, leaves its machines without answers. Sent back to it time and again, each
-// waiting 4 s, they lost their lease of 12 s and 700 tasks with it in one incident.
-// They must be answered elsewhere, and be home again soon after it answers.
+// TestAgentsOfAnUnreachableHomeKeepTheirLeases: a home that stands still, or that agents alone cannot reach, leaves them
+// without answers. Redirected to it time and again, each waiting 4 s, they lost their lease of 12 s and 700 tasks with it
+// in one incident. They must be answered elsewhere, and be home again soon after it answers.
 func TestAgentsOfAnUnreachableHomeKeepTheirLeases(t *testing.T) {
 	for _, silent := range []bool{true, false} { // do the peers hear the home?
 		n := newGrown(4, 1).n
@@ -61,7 +62,7 @@
 		n.leadership.RestartSettling(start.Add(-time.Minute))
 		n.peers["node-b"] = &peerState{lastMessageAt: start}
 		cut, mended := start.Add(20*time.Second), start.Add(60*time.Second)
-		w := &roamer{name: "n-000001", next: start, answered: start}
+		w := &roamingAgent{name: "n-000001", next: start, answered: start}
 		down := func(now time.Time) bool { return !now.Before(cut) && now.Before(mended) }
 		play := func(until time.Time) {
 			w.play(n, "node-b", until, func(now time.Time) bool { return !down(now) }, func(now time.Time) {
@@ -71,8 +72,8 @@
 			})
 		}
 		play(mended.Add(-time.Second))
-		if w.worst >= lease {
-			t.Errorf("silent %v: unanswered for %v, its lease is %v", silent, w.worst, lease)
+		if w.longestUnanswered >= lease {
+			t.Errorf("silent %v: unanswered for %v, its lease is %v", silent, w.longestUnanswered, lease)
 		}
 		if !w.here {
 			t.Fatalf("silent %v: at a home that does not answer", silent)
@@ -84,8 +85,8 @@
 	}
 }
 
-// TestUnheardHome: one machine with a broken path must not have a controller left
-// out of the homes, as that moves all machines under a new term; many must.
+// TestUnreachableHomeIsFound: one machine with a broken path must not have a controller left out of the homes, as that
+// moves all machines under a new term; many must.
 func TestUnreachableHomeIsFound(t *testing.T) {
 	n := newGrown(120, 1).n
 	n.leadership.Record().Unreachable = nil
@@ -179,9 +180,8 @@
 	}
 }
 
-// TestStrayIsNotSilent: machines that a home does not answer report to others, who
-// keep them alive. The fleet's owner must hear of that from whoever does, or it
-// returns them for their silence.
+// TestMisdirectedAgentIsNotSilent: agents that a home does not answer send their heartbeats to others, who keep them
+// alive. The fleet's owner must learn of that from whoever does, or it returns the machines for their silence.
 func TestMisdirectedAgentIsNotSilent(t *testing.T) {
 	g := newGrown(6, 1)
 	fleetOwner, n := newGrown(6, 1).n, g.n
@@ -206,8 +206,8 @@
 	}
 }
 
-// TestAbsurdReports: what is no report is refused with the field named, and what a report says of tasks that can't be
-// changes nothing: no job, no task done, no hold, no machine, no doubt of the state service.
+// TestImpossibleHeartbeats: what is no heartbeat is refused with the field named, and what one says of tasks that can't be
+// changes nothing: no job, no task done, no assignment, no machine, no suspicion of the store.
 func TestImpossibleHeartbeats(t *testing.T) {
 	g := newGrown(0, 1)
 	n := g.n
