--- a/internal/faultinjection/measure.go
+++ b/internal/faultinjection/measure.go
@@ -51,142 +51,255 @@
 	Broken  []string      `json:"broken,omitempty"`
 }
 
-// MeasureLoss has a region of a size lose all of the key-value store's data.
+// What a measured region is made of.
+const (
+	measuredCPUs      = 16 // of each machine
+	measuredTaskCPUs  = 4
+	measuredSubmitter = 16 // users that submit at the same time
+	firstEndedJob     = 500000
+	firstNewJob       = 400000
+	restartAfter      = 3 * time.Second // of killed controllers
+)
+
+// lossMeasurement is one measurement while it runs.
+type lossMeasurement struct {
+	*region
+	options MeasureOptions
+	tasks   int // of each job
+	copies  *snapshotFollower
+	result  *Measured
+
+	began   time.Time // of the loss
+	started int       // tasks until then
+	refused int       // requests until then
+	spent   []float64 // processor time of each controller until then, in seconds
+}
+
+// MeasureLoss has a region of a size lose all of the key-value store's data. With an error the result may be partial.
 func MeasureLoss(ctx context.Context, o MeasureOptions) (m *Measured, err error) {
-	quota := float64(o.Machines) * 16
-	g := &region{dir: o.Dir, program: o.Program, rng: rand.New(rand.NewPCG(1, 2)), client: &http.Client{Timeout: 4 * time.Second},
-		check: simulation.NewChecker(map[string]float64{"red": quota, "blue": quota}),
-		size: regionSize{machines: o.Machines, cpus: 16, run: 10 * time.Minute, report: 5, lease: 26.5, cancel: 46.5, memory: 356,
-			teams: []settings.Team{{Name: "red", CPUs: quota / 2, CPUsMax: quota}, {Name: "blue", CPUs: quota / 2, CPUsMax: quota}},
-			state: settings.KVStore{RequestsPerSecond: 600, ChangesPerSecond: 120, ValueKB: 16, ChangesPerTransaction: 12}, cloud: settings.Cloud{RequestsPerSecond: 15, ListLagSeconds: 4}}}
+	g, err := openMeasured(o)
+	if err != nil {
+		return nil, err
+	}
 	defer g.close()
-	if g.state, err = simulation.NewKVStore(g.size.state.ChangesPerTransaction, int(g.size.state.ValueKB)); err != nil {
+	// Half of the CPUs are kept busy, so that there is room for a first start.
+	busyTasks := int(float64(o.Machines) * measuredCPUs / 2 / measuredTaskCPUs)
+	l := &lossMeasurement{region: g, options: o, tasks: max(1, busyTasks/o.Jobs)}
+	if err := l.submitAll(ctx); err != nil {
 		return nil, err
 	}
-	g.state.LimitRates(g.size.state.RequestsPerSecond, g.size.state.ChangesPerSecond)
+	if err := l.awaitBusy(ctx); err != nil {
+		return nil, err
+	}
+	if o.Copy {
+		if l.copies, err = g.follow(ctx); err != nil {
+			return nil, err
+		}
+		defer l.copies.close()
+	}
+	wait.For(ctx, 10*time.Second)
+	l.result = &Measured{On: [2]int{g.check.CountOnMachines(), 0}}
+	l.loseEverything()
+	awaitRestore := l.restoreInBackground(ctx)
+	l.restartInBackground()
+	err = l.awaitSteps(ctx)
+	l.sumUp()
+	return l.result, errors.Join(err, awaitRestore())
+}
+
+// openMeasured starts the region, with the ends of jobs that are over already in the store.
+func openMeasured(o MeasureOptions) (g *region, err error) {
+	quota := float64(o.Machines) * measuredCPUs
+	team := func(name string) settings.Team { return settings.Team{Name: name, CPUs: quota / 2, CPUsMax: quota} }
+	g = &region{
+		dir:     o.Dir,
+		program: o.Program,
+		rng:     rand.New(rand.NewPCG(1, 2)),
+		client:  &http.Client{Timeout: 4 * time.Second},
+		check:   simulation.NewChecker(map[string]float64{"red": quota, "blue": quota}),
+		size: regionSize{
+			machines: o.Machines, cpus: measuredCPUs, run: 10 * time.Minute, memory: 356,
+			report: 5, lease: 26.5, cancel: 46.5,
+			teams: []settings.Team{team("red"), team("blue")},
+			state: settings.KVStore{
+				RequestsPerSecond: 600, ChangesPerSecond: 120, ValueKB: 16, ChangesPerTransaction: 12,
+			},
+			cloud: settings.Cloud{RequestsPerSecond: 15, ListLagSeconds: 4},
+		},
+	}
+	defer func() {
+		if err != nil {
+			g.close()
+		}
+	}()
+	limits := g.size.state
+	if g.state, err = simulation.NewKVStore(limits.ChangesPerTransaction, int(limits.ValueKB)); err != nil {
+		return nil, err
+	}
+	g.state.LimitRates(limits.RequestsPerSecond, limits.ChangesPerSecond)
 	for i := range o.Ends {
-		g.state.Put(fmt.Sprintf("f/job-%06d", 500000+i), `{"state":"done","tasks":1,"team":"red"}`)
+		g.state.Put(fmt.Sprintf("f/job-%06d", firstEndedJob+i), `{"state":"done","tasks":1,"team":"red"}`)
 	}
 	if err := g.open(); err != nil {
 		return nil, err
 	}
-	// Half of the CPUs are kept busy, so that there is room for a first start.
-	tasks := max(1, int(quota/2/4)/o.Jobs)
-	job := func(i int) *protocol.Submission {
-		s := arrayJob(i, tasks)
-		s.CPUs, s.MemoryGB, s.EstimateSeconds = 4, 8, 600
-		return s
-	}
-	slots := make(chan error, 16)
-	for i := range 16 {
+	return g, nil
+}
+
+func (l *lossMeasurement) job(i int) *protocol.Submission {
+	s := arrayJob(i, l.tasks)
+	s.CPUs, s.MemoryGB, s.EstimateSeconds = measuredTaskCPUs, 8, 600
+	return s
+}
+
+// submitAll has all jobs accepted, by several users at the same time.
+func (l *lossMeasurement) submitAll(ctx context.Context) error {
+	ended := make(chan error, measuredSubmitter)
+	for i := range measuredSubmitter {
 		go func() {
-			own := *g
+			own := *l.region
 			own.rng = rand.New(rand.NewPCG(3, uint64(i)))
 			var err error
-			for j := i; j < o.Jobs && err == nil; j += 16 {
-				err = own.submit(ctx, job(j))
+			for j := i; j < l.options.Jobs && err == nil; j += measuredSubmitter {
+				err = own.submit(ctx, l.job(j))
 			}
-			slots <- err
+			ended <- err
 		}()
 	}
-	for range 16 {
-		if err := <-slots; err != nil {
-			return nil, err
+	for range measuredSubmitter {
+		if err := <-ended; err != nil {
+			return err
 		}
 	}
-	fmt.Fprintf(o.Out, "%d jobs of %d tasks accepted, %d ends\n", o.Jobs, tasks, o.Ends)
-	var before []storeView
-	if err := g.awaitSteady(ctx, func(v []storeView) bool {
-		before = v
-		whole := len(v) == 3
-		for _, x := range v {
+	fmt.Fprintf(l.options.Out, "%d jobs of %d tasks accepted, %d ends\n", l.options.Jobs, l.tasks, l.options.Ends)
+	return nil
+}
+
+// awaitBusy waits until nine tenths of the tasks run and all controllers remember all that the store has.
+func (l *lossMeasurement) awaitBusy(ctx context.Context) error {
+	var last []storeView
+	err := l.awaitSteady(ctx, func(views []storeView) bool {
+		last = views
+		whole := len(views) == len(regionNames)
+		for _, x := range views {
 			whole = whole && x.Store.MemoryComplete
 		}
-		return whole && g.check.CountOnMachines() >= o.Jobs*tasks*9/10
-	}); err != nil {
-		return nil, fmt.Errorf("%w: %d tasks run; controllers %+v", err, g.check.CountOnMachines(), before)
-	}
-	var copies *snapshotFollower
-	if o.Copy {
-		if copies, err = g.follow(ctx); err != nil {
-			return nil, err
-		}
-		defer copies.close()
+		return whole && l.check.CountOnMachines() >= l.options.Jobs*l.tasks*9/10
+	})
+	if err != nil {
+		return fmt.Errorf("%w: %d tasks run; controllers %+v", err, l.check.CountOnMachines(), last)
 	}
-	wait.For(ctx, 10*time.Second)
-	m = &Measured{On: [2]int{g.check.CountOnMachines(), 0}}
-	started := g.check.Starts()
-	for i := range o.Gone {
-		g.kill(i)
+	return nil
+}
+
+// loseEverything kills the controllers that are to go and drops the store's data, and notes where things stood.
+func (l *lossMeasurement) loseEverything() {
+	l.started = l.check.Starts()
+	for i := range l.options.Gone {
+		l.kill(i)
 	}
-	spent := make([]float64, len(g.nodes))
-	for i, p := range g.nodes {
+	l.spent = make([]float64, len(l.nodes))
+	for i, p := range l.nodes {
 		if !p.killed {
-			spent[i], _ = p.used()
+			l.spent[i], _ = p.used()
 		}
 	}
-	refused := g.state.CountRefused()
-	g.state.LoseAll()
-	began := time.Now()
-	if o.Copy && o.Gone == len(g.nodes) {
-		back := make(chan error, 1)
-		go func() { back <- copies.restore(ctx) }()
-		defer func() {
-			if e := <-back; e != nil {
-				err = errors.Join(err, e)
-			} else {
-				m.Back = copies.back.Sub(began)
-			}
-		}()
+	l.refused = l.state.CountRefused()
+	l.state.LoseAll()
+	l.began = time.Now()
+}
+
+// restoreInBackground puts the copy back if no controller is left to remember. What it gives waits for that.
+func (l *lossMeasurement) restoreInBackground(ctx context.Context) (await func() error) {
+	if !l.options.Copy || l.options.Gone != len(l.nodes) {
+		return func() error { return nil }
 	}
-	if o.Gone > 0 {
-		time.AfterFunc(3*time.Second, func() {
-			for i := range o.Gone {
-				_ = g.start(i) // seen by what follows
-			}
-		})
+	restored := make(chan error, 1)
+	go func() { restored <- l.copies.restore(ctx) }()
+	return func() error {
+		err := <-restored
+		if err == nil {
+			l.result.Back = l.copies.back.Sub(l.began)
+		}
+		return err
+	}
+}
+
+// restartInBackground starts the killed controllers after a while.
+func (l *lossMeasurement) restartInBackground() {
+	if l.options.Gone == 0 {
+		return
 	}
+	time.AfterFunc(restartAfter, func() {
+		for i := range l.options.Gone {
+			_ = l.start(i) // seen by what follows
+		}
+	})
+}
+
+// awaitSteps notes when each step is reached first, until all are.
+func (l *lossMeasurement) awaitSteps(ctx context.Context) error {
+	m, o := l.result, l.options
 	first := func(d *time.Duration, holds func() bool) {
 		if *d == 0 && holds() {
-			*d = time.Since(began)
+			*d = time.Since(l.began)
 		}
 	}
-	forgotten := o.Gone == len(g.nodes) && !o.Copy
-	late := job(400000)
-	g.check.RecordSubmission(late)
-	err = g.awaitSteady(ctx, func(v []storeView) bool {
-		noticed, entered, written := false, len(v) > 0, len(v) == 3
-		for _, x := range v {
-			noticed = noticed || x.Store.Phase == "doubted" || x.Store.Phase == "lost" || x.Store.Epoch > 1
-			entered = entered && x.Store.Epoch > 1 && x.Store.Phase == "known"
-			written = written && x.Store.Epoch > 1 && x.Store.Unwritten == 0 && !x.Store.RosterIncomplete
-		}
+	forgotten := o.Gone == len(l.nodes) && !o.Copy
+	late := l.job(firstNewJob)
+	l.check.RecordSubmission(late)
+	return l.awaitSteady(ctx, func(views []storeView) bool {
+		noticed, entered, written := recoveryOf(views)
 		first(&m.Noticed, func() bool { return noticed })
 		first(&m.Entered, func() bool { return entered })
-		first(&m.Polled, func() bool {
-			a, s := g.ask("GET", protocol.PathSubmit+"/job-000001", nil)
-			b, e := g.ask("GET", protocol.PathSubmit+"/job-500001", nil)
-			return o.Ends == 0 || a == 200 && s.State != protocol.Done && b == 200 && e.State == protocol.Done
-		})
+		first(&m.Polled, l.answersRightly)
 		first(&m.Taken, func() bool {
-			status, _ := g.ask("POST", protocol.PathSubmit, late)
+			status, _ := l.ask("POST", protocol.PathSubmit, late)
 			return status == 201 || status == 200
 		})
-		first(&m.Started, func() bool { return g.check.Starts() > started })
-		first(&m.Written, func() bool { return written && (g.state.CountKeys("w/e/") > 0 || o.Ends == 0 || forgotten) })
+		first(&m.Started, func() bool { return l.check.Starts() > l.started })
+		first(&m.Written, func() bool {
+			return written && (l.state.CountKeys("w/e/") > 0 || o.Ends == 0 || forgotten)
+		})
 		return m.Noticed > 0 && m.Entered > 0 && (m.Polled > 0 || forgotten) && m.Taken > 0 && m.Started > 0 && m.Written > 0
 	})
-	for i, p := range g.nodes {
+}
+
+// recoveryOf says whether any controller noticed the loss, all that answer are in the next epoch, and all three have
+// written everything back.
+func recoveryOf(views []storeView) (noticed, entered, written bool) {
+	entered, written = len(views) > 0, len(views) == len(regionNames)
+	for _, x := range views {
+		noticed = noticed || x.Store.Phase == "doubted" || x.Store.Phase == "lost" || x.Store.Epoch > 1
+		entered = entered && x.Store.Epoch > 1 && x.Store.Phase == "known"
+		written = written && x.Store.Epoch > 1 && x.Store.Unwritten == 0 && !x.Store.RosterIncomplete
+	}
+	return noticed, entered, written
+}
+
+// answersRightly says whether users are told of an active job and of one that ended.
+func (l *lossMeasurement) answersRightly() bool {
+	activeStatus, active := l.ask("GET", protocol.PathSubmit+"/job-000001", nil)
+	endedStatus, ended := l.ask("GET", fmt.Sprintf("%s/job-%06d", protocol.PathSubmit, firstEndedJob+1), nil)
+	if l.options.Ends == 0 {
+		return true
+	}
+	return activeStatus == 200 && active.State != protocol.Done && endedStatus == 200 && ended.State == protocol.Done
+}
+
+// sumUp notes what it took.
+func (l *lossMeasurement) sumUp() {
+	m := l.result
+	for i, p := range l.nodes {
 		cpu, memory := p.used()
-		if m.Memory = append(m.Memory, memory); i < o.Gone {
-			spent[i] = 0 // a new process
+		if m.Memory = append(m.Memory, memory); i < l.options.Gone {
+			l.spent[i] = 0 // a new process
 		}
-		m.CPU = append(m.CPU, cpu-spent[i])
+		m.CPU = append(m.CPU, cpu-l.spent[i])
 	}
-	m.Refused = g.state.CountRefused() - refused
-	m.Changes, m.Bytes = g.state.Size()
-	m.On[1], m.Broken = g.check.CountOnMachines(), g.check.BrokenRules()
-	return m, err
+	m.Refused = l.state.CountRefused() - l.refused
+	m.Changes, m.Bytes = l.state.Size()
+	m.On[1], m.Broken = l.check.CountOnMachines(), l.check.BrokenRules()
 }
 
 // snapshotFollower is a follower of the key-value store, and what puts its copy back.
--- a/internal/faultinjection/overload.go
+++ b/internal/faultinjection/overload.go
@@ -106,85 +106,130 @@
 func (g *region) runOverload(ctx context.Context, rng *rand.Rand, t *OverloadTrial) error {
 	cpus := float64(g.size.machines) * g.size.cpus
 	t.Crowd = 2 + 2*rng.Float64()
-	rate := t.Crowd * cpus / 24 // jobs of 12 tasks of a CPU and two seconds
 	t.Wanted = map[string]float64{small: t.Crowd * cpus, large: 6 * 6 * 3 / 2}
-	saved := g.state.Snapshot()
-	var jobs []*protocol.Submission
-	var mu sync.Mutex
-	users, failed := sync.WaitGroup{}, make(chan error, 1)
-	hand := func(class string) {
-		s := &protocol.Submission{UID: fmt.Sprintf("job-%06d", len(jobs)+1), Class: class, Team: []string{"red", "blue"}[len(jobs)%2], Kind: protocol.JobArray, Priority: "high",
-			Tasks: 12, CPUs: 1, MemoryGB: 1, Image: "img", EstimateSeconds: 2, Spot: true}
-		if class == large {
-			s.Priority, s.Tasks, s.CPUs, s.EstimateSeconds = "standard", 6, 6, 3
-		}
-		jobs = append(jobs, s)
-		own := *g
-		own.rng = rand.New(rand.NewPCG(t.Seed, uint64(len(jobs))))
-		users.Add(1)
-		go func() {
-			defer users.Done()
-			g.check.RecordSubmission(s)
-			for end := time.Now().Add(60 * time.Second); ; {
-				status, st := own.ask("POST", protocol.PathSubmit, s)
-				g.check.RecordAnswer(s.UID, status, st.State, false)
-				if status == 200 || status == 201 {
-					return
-				}
-				mu.Lock()
-				t.Refused++
-				mu.Unlock()
-				if time.Now().After(end) || !wait.For(ctx, time.Second) {
-					select {
-					case failed <- fmt.Errorf("%s never accepted", s.UID):
-					default:
-					}
-					return
-				}
-			}
-		}()
+	c := &crowd{
+		region: g,
+		trial:  t,
+		saved:  g.state.Snapshot(),
+		failed: make(chan error, 1),
+		// jobs of 12 tasks of a CPU and two seconds
+		rates: map[string]float64{small: t.Crowd * cpus / 24, large: 0.5},
+	}
+	if err := c.submitAll(ctx, rng); err != nil {
+		return err
+	}
+	if err := c.awaitDone(ctx); err != nil {
+		return err
+	}
+	if floor := 0.5 * t.Wanted[large] * 0.7; t.Least < floor { // whole tasks, and the gap between two of them
+		return fmt.Errorf("the large class had %.1f CPUs for five seconds, %.1f are due", t.Least, floor)
 	}
+	return nil
+}
+
+// crowd is the users of an overload trial and what they submitted.
+type crowd struct {
+	*region
+	trial  *OverloadTrial
+	saved  simulation.StoreSnapshot
+	rates  map[string]float64 // jobs a second by class
+	jobs   []*protocol.Submission
+	users  sync.WaitGroup
+	failed chan error // the first job that was never accepted
+
+	mu sync.Mutex // guards trial.Refused while users run
+}
+
+// submitAll has jobs submitted at their rates, injects the trial's fault in between and samples who is served. It
+// returns once all jobs are accepted.
+func (c *crowd) submitAll(ctx context.Context, rng *rand.Rand) error {
+	t := c.trial
 	began := time.Now()
 	trouble := time.Duration(4+rng.IntN(8)) * time.Second
 	t.from = floorAfter + settleAfter
 	due := map[string]float64{}
 	struck, over := false, time.Duration(0)
 	for passed := time.Duration(0); passed < crowdFor; passed = time.Since(began) {
-		for class, perSecond := range map[string]float64{small: rate, large: 0.5} {
+		for class, perSecond := range c.rates {
 			for due[class] < perSecond*passed.Seconds()+1 {
 				due[class]++
-				hand(class)
+				c.submitOne(ctx, class)
 			}
 		}
 		if !struck && passed > trouble {
 			struck = true
-			if err := g.injectFault(ctx, rng, t.Trouble, saved); err != nil {
+			if err := c.injectFault(ctx, rng, t.Trouble, c.saved); err != nil {
 				return err
 			}
 			over = time.Since(began)
 		}
-		t.samples = append(t.samples, sample{passed, g.check.CPUsByClass()})
+		t.samples = append(t.samples, sample{passed, c.check.CPUsByClass()})
 		if !wait.For(ctx, 100*time.Millisecond) {
 			return ctx.Err()
 		}
 	}
-	users.Wait()
+	c.users.Wait()
 	select {
-	case err := <-failed:
+	case err := <-c.failed:
 		return err
 	default:
 	}
 	t.sum(trouble, over)
-	for i, j := range jobs {
-		if i > len(jobs)/4 {
-			break // the rest of the crowd would take minutes, and shows nothing more
+	return nil
+}
+
+// submitOne has a user submit the next job until it is accepted.
+func (c *crowd) submitOne(ctx context.Context, class string) {
+	s := &protocol.Submission{
+		UID:      fmt.Sprintf("job-%06d", len(c.jobs)+1),
+		Class:    class,
+		Team:     []string{"red", "blue"}[len(c.jobs)%2],
+		Kind:     protocol.JobArray,
+		Priority: "high",
+		Tasks:    12, CPUs: 1, MemoryGB: 1, Image: "img", EstimateSeconds: 2, Spot: true,
+	}
+	if class == large {
+		s.Priority, s.Tasks, s.CPUs, s.EstimateSeconds = "standard", 6, 6, 3
+	}
+	c.jobs = append(c.jobs, s)
+	user := *c.region
+	user.rng = rand.New(rand.NewPCG(c.trial.Seed, uint64(len(c.jobs))))
+	c.users.Go(func() { c.submitUntilAccepted(ctx, &user, s) })
+}
+
+// acceptedWithin is how long a user goes on submitting a job.
+const acceptedWithin = 60 * time.Second
+
+func (c *crowd) submitUntilAccepted(ctx context.Context, user *region, s *protocol.Submission) {
+	c.check.RecordSubmission(s)
+	for end := time.Now().Add(acceptedWithin); ; {
+		status, st := user.ask("POST", protocol.PathSubmit, s)
+		c.check.RecordAnswer(s.UID, status, st.State, false)
+		if status == 200 || status == 201 {
+			return
 		}
-		if err := g.awaitState(ctx, j.UID, protocol.Done); err != nil {
-			return err
+		c.mu.Lock()
+		c.trial.Refused++
+		c.mu.Unlock()
+		if time.Now().After(end) || !wait.For(ctx, time.Second) {
+			select {
+			case c.failed <- fmt.Errorf("%s never accepted", s.UID):
+			default:
+			}
+			return
 		}
 	}
-	if floor := 0.5 * t.Wanted[large] * 0.7; t.Least < floor { // whole tasks, and the gap between two of them
-		return fmt.Errorf("the large class had %.1f CPUs for five seconds, %.1f are due", t.Least, floor)
+}
+
+// awaitDone waits for a quarter of the jobs: the rest of the crowd would take minutes, and shows nothing more.
+func (c *crowd) awaitDone(ctx context.Context) error {
+	for i, j := range c.jobs {
+		if i > len(c.jobs)/4 {
+			break
+		}
+		if err := c.awaitState(ctx, j.UID, protocol.Done); err != nil {
+			return err
+		}
 	}
 	return nil
 }
