--- a/internal/leadership/golden_test.go
+++ b/internal/leadership/golden_test.go
@@ -20,15 +20,15 @@
 		Unreachable: []string{"estacion-1"}, Epoch: 2, FirstTerm: 30, StoreID: "DRAWN", PreviousVersion: 411, RosterIncomplete: true, DataLost: true}
 }
 
-// packedRecord has so many items that it is written in the packed form.
+// packedRecord has so many shards that it is written in the packed form.
 func packedRecord() Record {
 	r := fullRecord()
 	for i := range packedFrom {
-		item := Shard{Owner: "estacion-1", SinceTerm: 41 - uint64(i%3), InSync: []string{"estacion-2"}, NeedsBarrier: i%5 == 0}
+		shard := Shard{Owner: "estacion-1", SinceTerm: 41 - uint64(i%3), InSync: []string{"estacion-2"}, NeedsBarrier: i%5 == 0}
 		if i%4 == 0 {
-			item.InSync = []string{}
+			shard.InSync = []string{}
 		}
-		r.Shards[fmt.Sprintf("team/team-%02d", i)] = item
+		r.Shards[fmt.Sprintf("team/team-%02d", i)] = shard
 	}
 	return r
 }
@@ -52,11 +52,11 @@
 	for _, node := range nodes {
 		r.Nodes[node] = 1
 	}
-	items := []string{FleetShard, "team/vision", "team/speech", "team/search", "team/maps"}
-	owners := AssignOwners(items, nodes)
+	shardNames := []string{FleetShard, "team/vision", "team/speech", "team/search", "team/maps"}
+	owners := AssignOwners(shardNames, nodes)
 	var lines []string
-	for _, item := range slices.Sorted(slices.Values(items)) {
-		lines = append(lines, fmt.Sprintf("%s: owner %s, rank %s", item, owners[item], strings.Join(Ranked(item, nodes), " ")))
+	for _, shard := range slices.Sorted(slices.Values(shardNames)) {
+		lines = append(lines, fmt.Sprintf("%s: owner %s, rank %s", shard, owners[shard], strings.Join(Ranked(shard, nodes), " ")))
 	}
 	for i := range 8 {
 		machine := fmt.Sprintf("n-%06d", i)
--- a/internal/leadership/members_test.go
+++ b/internal/leadership/members_test.go
@@ -39,7 +39,7 @@
 // TestRecordModel drives the membership record through lapsed leases, restarts,
 // stale readers and late writes. It guards that a change of owner always raises
 // the term, that a successor not marked for the barrier is a process that was in
-// sync, and that no live member loses an item without its own doing.
+// sync, and that no live member loses a shard without its own doing.
 func TestRecordModel(t *testing.T) {
 	shardNames := []string{FleetShard, "team/a", "team/b", "team/c"}
 	nodes := []string{"n0", "n1", "n2"}
@@ -189,8 +189,8 @@
 		{"a member began anew", whole, shardNames, restarted, true},
 		{"one more is present", whole, shardNames, live("n0", "n1", "n2", "n3"), true},
 		{"one went and another came", whole, shardNames, live("n0", "n1", "n3"), true},
-		{"a new item", whole, append([]string{"team/c"}, shardNames...), live("n0", "n1", "n2"), true},
-		{"an item's owner is no member", unowned, shardNames, live("n0", "n1", "n2"), true},
+		{"a new shard", whole, append([]string{"team/c"}, shardNames...), live("n0", "n1", "n2"), true},
+		{"a shard's owner is no member", unowned, shardNames, live("n0", "n1", "n2"), true},
 	} {
 		if next, _ := ReconcileMembers(c.record, c.shardNames, c.live); (next != nil) != c.want {
 			t.Errorf("%s: repaired %v, want %v", c.name, next != nil, c.want)
--- a/internal/leadership/packed_test.go
+++ b/internal/leadership/packed_test.go
@@ -9,7 +9,7 @@
 	"testing"
 )
 
-// drawnRecord is a record with so many members and items, whose owners and backups are drawn among the members.
+// drawnRecord is a record with so many members and shards, whose owners and replicas are drawn among the members.
 func drawnRecord(rng *rand.Rand, members, shards int) *Record {
 	r := (&Record{Term: 1<<20 + rng.Uint64N(1000), Epoch: 1, StoreID: "store"}).Clone()
 	for i := range members {
@@ -27,7 +27,7 @@
 	return r
 }
 
-// TestRecordSurvivesBothForms: what is read is what was written, whatever the number of items and members.
+// TestRecordSurvivesBothForms: what is read is what was written, whatever the number of shards and members.
 func TestRecordSurvivesBothForms(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 2))
 	forms := map[bool]int{}
@@ -47,7 +47,7 @@
 		packed := strings.Contains(string(data), `"packed"`)
 		forms[packed]++
 		if packed != (len(r.Shards) >= packedFrom) {
-			t.Errorf("%d items packed: %v", len(r.Shards), packed)
+			t.Errorf("%d shards packed: %v", len(r.Shards), packed)
 		}
 	}
 	if forms[true] == 0 || forms[false] == 0 {
@@ -55,7 +55,7 @@
 	}
 }
 
-// TestPlainFormIsRead: a record of a process that knows the plain form alone is read, however many items it has.
+// TestPlainFormIsRead: a record of a process that knows the plain form alone is read, however many shards it has.
 func TestPlainFormIsRead(t *testing.T) {
 	r := drawnRecord(rand.New(rand.NewPCG(3, 4)), 3, 2*packedFrom)
 	data, err := json.Marshal((*plainRecord)(r))
@@ -84,7 +84,7 @@
 	}
 }
 
-// TestLargeRecordFits: 950 teams with 3 and with 46 members, with as many backups as an item has, fit a transaction of
+// TestLargeRecordFits: 950 teams with 3 and with 46 members, with as many replicas as a shard has, fit a transaction of
 // the state service.
 func TestLargeRecordFits(t *testing.T) {
 	const transaction = 64 << 10
@@ -94,14 +94,14 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		t.Logf("951 items, %d members: %d bytes", members, len(data))
+		t.Logf("951 shards, %d members: %d bytes", members, len(data))
 		if len(data) > transaction*3/4 {
-			t.Errorf("951 items, %d members: %d bytes leave no room in a transaction of %d", members, len(data), transaction)
+			t.Errorf("951 shards, %d members: %d bytes leave no room in a transaction of %d", members, len(data), transaction)
 		}
 	}
 }
 
-// TestBrokenPackedRecordIsRefused: indices of no member, ages before the first term and short items are errors, not
+// TestBrokenPackedRecordIsRefused: indices of no member, ages before the first term and short shards are errors, not
 // owners.
 func TestBrokenPackedRecordIsRefused(t *testing.T) {
 	for _, item := range []string{"[]", "[0,0]", "[5,0,0]", "[0,0,0,7]", "[0,0,99]", "[18446744073709551615,0,0]", `"x"`, "[-1,0,0]"} {
