--- a/internal/controller/scheduling.go
+++ b/internal/controller/scheduling.go
@@ -82,8 +82,8 @@
 	return scheduled, true
 }
 
-// HeldOn calls f for each attempt that any own team holds on a machine.
-func (s *schedulerSnapshot) HeldOn(machine string, f func(jobstate.Assignment)) {
+// AssignmentsOn calls f for each attempt that any own team holds on a machine.
+func (s *schedulerSnapshot) AssignmentsOn(machine string, f func(jobstate.Assignment)) {
 	for shard := range s.shards.All() {
 		shard.Team().AssignmentsOn(machine, f)
 	}
--- a/internal/placement/placement.go
+++ b/internal/placement/placement.go
@@ -56,8 +56,8 @@
 	return slices.Contains(a.Types, h.Type)
 }
 
-// allowsHeld says whether the task may go to a host although that may be held for a class: it is of that class, or it has waited
-// for long and what is free there is too little for any task that the host is held for.
+// allowsReserved says whether the task may go to a host although that may be reserved for a class: it is of that class,
+// or it may use leftover room and what is free there is too little for any waiting task of that class.
 func (a *Ask) allowsReserved(h *Host) bool {
 	if h.ReservedClass == "" || h.ReservedClass == a.Class {
 		return true
--- a/internal/scheduler/fixture_test.go
+++ b/internal/scheduler/fixture_test.go
@@ -99,7 +99,7 @@
 
 // runningOn lists the tasks that were placed on a machine.
 func (c *cluster) runningOn(machine string) (tasks []jobstate.TaskStatus) {
-	c.HeldOn(machine, func(a jobstate.Assignment) {
+	c.AssignmentsOn(machine, func(a jobstate.Assignment) {
 		tasks = append(tasks, jobstate.TaskStatus{TaskID: a.TaskID, Attempt: a.Attempt, State: protocol.Running})
 	})
 	return tasks
@@ -112,7 +112,7 @@
 	return Job{}, false
 }
 
-func (c *cluster) HeldOn(machine string, f func(jobstate.Assignment)) {
+func (c *cluster) AssignmentsOn(machine string, f func(jobstate.Assignment)) {
 	for _, team := range c.teams {
 		team.AssignmentsOn(machine, f)
 	}
--- a/internal/scheduler/machines.go
+++ b/internal/scheduler/machines.go
@@ -117,9 +117,9 @@
 
 // Room is a machine with its free room as far as it is known here; false if its type is unknown. Machines where
 // attempts came or went since are to be invalidated first.
-func (s *Scheduler) Room(name string, held Assignments) (placement.Host, bool) {
+func (s *Scheduler) Room(name string, assignments Assignments) (placement.Host, bool) {
 	m := s.machines[name]
-	if m == nil || !s.count(m, held) {
+	if m == nil || !s.count(m, assignments) {
 		return placement.Host{}, false
 	}
 	return m.host, true
@@ -151,7 +151,7 @@
 }
 
 // count brings a machine's free room up to date; false if its type is unknown.
-func (s *Scheduler) count(m *machine, held Assignments) bool {
+func (s *Scheduler) count(m *machine, assignments Assignments) bool {
 	if m.counted {
 		return true
 	}
@@ -170,12 +170,12 @@
 		PricePerHour:     machineType.PricePerHour,
 		FetchGBPerSecond: machineType.FetchGBPerSecond,
 		Images:           m.images,
-		Pulls:            pullsOn(status, held),
+		Pulls:            pullsOn(status, assignments),
 	}
 	if status.Spot {
 		h.PricePerHour = machineType.SpotPricePerHour
 	}
-	h.CPUs, h.GPUs, h.MemoryGB = s.freeRoom(m, held)
+	h.CPUs, h.GPUs, h.MemoryGB = s.freeRoom(m, assignments)
 	m.host, m.counted = h, true
 	return true
 }
@@ -195,7 +195,7 @@
 }
 
 // freeRoom is a machine's room beside what it lists and what own teams hold there.
-func (s *Scheduler) freeRoom(m *machine, held Assignments) (cpus, gpus, memory float64) {
+func (s *Scheduler) freeRoom(m *machine, assignments Assignments) (cpus, gpus, memory float64) {
 	cpus, gpus, memory, _ = s.Capacity(m.status.Type)
 	listed := map[jobstate.AttemptRef]bool{}
 	for _, t := range m.status.Tasks {
@@ -203,11 +203,11 @@
 		if t.State == protocol.Exited {
 			continue
 		}
-		if j, known := held.Job(t.Job); known {
+		if j, known := assignments.Job(t.Job); known {
 			cpus, gpus, memory = cpus-j.Spec.CPUs, gpus-j.Spec.GPUs, memory-j.Spec.MemoryGB
 		}
 	}
-	held.HeldOn(m.status.Machine, func(a jobstate.Assignment) {
+	assignments.AssignmentsOn(m.status.Machine, func(a jobstate.Assignment) {
 		if !listed[a.Ref()] {
 			cpus, gpus, memory = cpus-a.CPUs, gpus-a.GPUs, memory-a.Memory
 		}
--- a/internal/scheduler/scheduler.go
+++ b/internal/scheduler/scheduler.go
@@ -72,8 +72,8 @@
 // Assignments are what own teams hold on machines.
 type Assignments interface {
 	Jobs
-	// HeldOn calls f for each attempt that any own team holds on a machine.
-	HeldOn(machine string, f func(jobstate.Assignment))
+	// AssignmentsOn calls f for each attempt that any own team holds on a machine.
+	AssignmentsOn(machine string, f func(jobstate.Assignment))
 	// TakeChangedMachines lists the machines where attempts of own teams came or went since the last call.
 	TakeChangedMachines() iter.Seq[string]
 }
