--- a/internal/cli/cli.go
+++ b/internal/cli/cli.go
@@ -37,7 +37,7 @@
 
 const about = `Operators' and users' command line of topazhollow.
 
-Exit codes: 0 done; 1 failed; 2 wrong arguments or settings; 3 what was read is partial, its worker never sealed it; 4 there is no such task, attempt or file; 5 the token was refused; 6 too few keepers answered to be sure.`
+Exit codes: 0 done; 1 failed; 2 wrong arguments or settings; 3 what was read is partial, its agent never sealed it; 4 there is no such task, attempt or file; 5 the token was refused; 6 too few replicas answered to be sure.`
 
 type cli struct {
 	Output string `enum:"text,json" default:"text" help:"Print text or JSON lines."`
@@ -45,8 +45,8 @@
 	Demo       demoCmd       `cmd:"" help:"Run a whole region on this machine, with a job, and show its output."`
 	Controller controllerCmd `cmd:"" hidden:"" help:"Run a controller, for demo."`
 
-	Snapshot snapshotCmd `cmd:"" help:"Keep copies of the state service, and put one back after it lost data (see docs/data-recovery.md)."`
-	Rebuild  rebuildCmd  `cmd:"" name:"recovery" aliases:"rebuild" help:"See how the controllers rebuild what the state service lost (see docs/data-recovery.md)."`
+	Snapshot snapshotCmd `cmd:"" help:"Keep copies of the key-value store, and put one back after it lost data (see docs/data-recovery.md)."`
+	Rebuild  rebuildCmd  `cmd:"" name:"recovery" aliases:"rebuild" help:"See how the controllers rebuild what the key-value store lost (see docs/data-recovery.md)."`
 
 	Admission admissionCmd `cmd:"" help:"See who gets how much of what is short (see docs/admission.md)."`
 
@@ -58,8 +58,8 @@
 	HollowWorkers hollowWorkersCmd `cmd:"" name:"simulated-agents" aliases:"hollow-workers" hidden:"" help:"A process of simulated agents, for simulate scale."`
 
 	Build buildCmd `cmd:"" help:"Serve build tools: store and action cache of the Remote Execution API (see docs/remote-execution.md)."`
-	Keep  keepCmd  `cmd:"" name:"artifact-store" aliases:"keep" help:"Keep tasks' output and files (see docs/keeper.md)."`
-	Token tokenCmd `cmd:"" help:"Print a token to read a job's output, or to use an instance for builds, made with the keepers' key."`
+	Keep  keepCmd  `cmd:"" name:"artifact-store" aliases:"keep" help:"Store tasks' output and files (see docs/keeper.md)."`
+	Token tokenCmd `cmd:"" help:"Print a token to read a job's output, or to use an instance for builds, made with the artifact store's key."`
 	Tries triesCmd `cmd:"" name:"attempts" help:"List a task's attempts."`
 	Logs  logsCmd  `cmd:"" help:"Print a task's output."`
 	Fetch fetchCmd `cmd:"" help:"Copy the files that a task's attempt produced."`
@@ -191,7 +191,7 @@
 
 // from says which keeper to ask, and with what right.
 type from struct {
-	Keeper string `env:"TOPAZ_KEEPER" default:"http://127.0.0.1:8800" placeholder:"URL" help:"A keeper's address, or several with commas between (${env})."`
+	Keeper string `env:"TOPAZ_KEEPER" default:"http://127.0.0.1:8800" placeholder:"URL" help:"A replica's address, or several with commas between (${env})."`
 	Token  string `env:"TOPAZ_TOKEN" required:"" help:"Token to read with (${env})."`
 }
 
--- a/internal/cli/config.go
+++ b/internal/cli/config.go
@@ -30,7 +30,7 @@
 
 // configStore says where changes go and whether to wait for them.
 type configStore struct {
-	Settings string        `required:"" placeholder:"FILE" help:"Settings file of a controller, which names the state service, its limits and the teams."`
+	Settings string        `required:"" placeholder:"FILE" help:"Settings file of a controller, which names the key-value store, its limits and the teams."`
 	Wait     []string      `placeholder:"HOST:PORT" help:"Wait until one of these controllers says that it is in force everywhere."`
 	Most     time.Duration `default:"1m" help:"Give up after this."`
 }
--- a/internal/cli/keep.go
+++ b/internal/cli/keep.go
@@ -23,8 +23,8 @@
 )
 
 type keepCmd struct {
-	Run    keepRunCmd    `cmd:"" default:"withargs" help:"Run a keeper until it is stopped."`
-	Status keepStatusCmd `cmd:"" help:"Tell how each keeper is: copies short, repair left, disk, refusals by reason."`
+	Run    keepRunCmd    `cmd:"" default:"withargs" help:"Run a replica of the artifact store until it is stopped."`
+	Status keepStatusCmd `cmd:"" help:"Tell how each replica is: copies short, repair left, disk, refusals by reason."`
 }
 
 type keepRunCmd struct {
@@ -192,7 +192,7 @@
 }
 
 type keepStatusCmd struct {
-	Config string `default:"deploy/keep.toml" help:"Settings file (TOML) with the list of keepers."`
+	Config string `default:"deploy/keep.toml" help:"Settings file (TOML) with the list of replicas."`
 }
 
 // Run asks every keeper of the settings' list. One that does not answer is told of, and
--- a/internal/cli/rehearse.go
+++ b/internal/cli/rehearse.go
@@ -13,12 +13,12 @@
 
 type rehearseCmd struct {
 	Overload rehearseOverloadCmd `cmd:"" help:"Hand in crowds of urgent work, with troubles beside them, and check that no class starves."`
-	Kills    rehearseKillsCmd    `cmd:"" help:"Kill workers and keepers at drawn moments, and check all that is read afterwards."`
+	Kills    rehearseKillsCmd    `cmd:"" help:"Kill agents and artifact stores at drawn moments, and check all that is read afterwards."`
 	Size     rehearseSizeCmd     `cmd:"" name:"loss-at-size" help:"Measure how long after one loss of everything each step is reached."`
 	Meetings rehearseMeetingsCmd `cmd:"" help:"Have troubles meet at drawn moments, with cancellations in between, and check that no rule breaks."`
 	Scale    rehearseScaleCmd    `cmd:"" help:"Measure what controllers take for a fleet of simulated agents (see docs/CAPACITY.md)."`
 	Slopes   rehearseSlopesCmd   `cmd:"" name:"scale-slopes" help:"Fit lines through the results of several runs of scale."`
-	Loss     rehearseLossCmd     `cmd:"" help:"Take data away from the state service at drawn moments, with troubles beside it, and check that nothing is forgotten or run twice."`
+	Loss     rehearseLossCmd     `cmd:"" help:"Take data away from the key-value store at drawn moments, with troubles beside it, and check that nothing is forgotten or run twice."`
 }
 
 // rehearsal is what each rehearsal begins with: a deadline, this program for the processes that
@@ -87,11 +87,11 @@
 }
 
 type rehearseSizeCmd struct {
-	Machines int           `default:"300" help:"Stand-in workers."`
+	Machines int           `default:"300" help:"Simulated agents."`
 	Jobs     int           `default:"500" help:"Active jobs."`
 	Ends     int           `default:"25000" help:"Jobs that ended before."`
 	Gone     int           `default:"0" help:"Controllers that end with the loss and come back 3 s later; 3 at most."`
-	Copy     bool          `help:"Follow the service with topazhollowctl snapshot, and put the copy back if all three end."`
+	Copy     bool          `help:"Follow the store with topazhollowctl snapshot, and put the copy back if all three end."`
 	Most     time.Duration `default:"15m" help:"Give up after this."`
 }
 
--- a/internal/cli/snapshot.go
+++ b/internal/cli/snapshot.go
@@ -17,7 +17,7 @@
 type snapshotCmd struct {
 	Config string `default:"deploy/snapshot.toml" help:"Settings file."`
 
-	Follow  snapshotFollowCmd  `cmd:"" help:"Copy the state service for as long as this runs."`
+	Follow  snapshotFollowCmd  `cmd:"" help:"Copy the key-value store for as long as this runs."`
 	List    snapshotListCmd    `cmd:"" help:"List the copies."`
 	Verify  snapshotVerifyCmd  `cmd:"" help:"Read every copy and check it."`
 	Restore snapshotRestoreCmd `cmd:"" help:"Put a copy back into the generation that the controllers began after a loss. What the service has is newer and stays."`
@@ -168,7 +168,7 @@
 }
 
 type rebuildCmd struct {
-	Status  rebuildStatusCmd  `cmd:"" help:"Ask controllers what they hold of the state service and what is left to do."`
+	Status  rebuildStatusCmd  `cmd:"" help:"Ask controllers what they hold of the key-value store and what is left to do."`
 	Declare rebuildDeclareCmd `cmd:"" name:"declare-lost" help:"Say that nobody will remember more: jobs that are not known are told to be unknown from then on."`
 }
 
@@ -230,7 +230,7 @@
 }
 
 type rebuildDeclareCmd struct {
-	Config string `default:"deploy/snapshot.toml" help:"Settings file that names the state service."`
+	Config string `default:"deploy/snapshot.toml" help:"Settings file that names the key-value store."`
 }
 
 func (c *rebuildDeclareCmd) Run(r *run) error {
