--- a/internal/artifactreplication/decide.go
+++ b/internal/artifactreplication/decide.go
@@ -85,85 +85,140 @@
 
 // decide has a register's value decided, if it is not yet, and gives it. propose is
 // asked for one only while no majority could have decided another.
-func (n *Node) decide(ctx context.Context, at artifactstore.Attempt, freeze bool, propose func(promises []reply) ([]byte, error)) ([]byte, error) {
-	names := n.opt.Members.ReplicasOf(at.Job, at.Task)
-	need := majority(len(names))
-	learn := func(value []byte) {
-		// The value is decided whether they learn of it now or later.
-		n.callReplicas(ctx, names, need, func(ctx context.Context, _ string, r replica) (*answer, error) {
-			return r.do(ctx, &call{Op: "learn", Attempt: at, Value: value, From: n.opt.Name})
-		})
-	}
-	for try := 0; try < 8; try++ {
-		if try > 0 { // somebody else is at it
-			if !wait.For(ctx, rand.N(10*time.Millisecond<<try)) {
-				return nil, ctx.Err()
-			}
+func (n *Node) decide(
+	ctx context.Context, at artifactstore.Attempt, freeze bool, propose func(promises []reply) ([]byte, error),
+) ([]byte, error) {
+	d := &decision{node: n, at: at, freeze: freeze, names: n.opt.Members.ReplicasOf(at.Job, at.Task)}
+	d.need = majority(len(d.names))
+	for try := range maxBallots {
+		if try > 0 && !wait.For(ctx, rand.N(ballotPause<<try)) { // somebody else is at it
+			return nil, ctx.Err()
 		}
-		b := artifactstore.Ballot{Round: n.round.Add(1), By: n.start}
-		got, failed := n.callReplicas(ctx, names, need, func(ctx context.Context, _ string, r replica) (*answer, error) {
-			a, err := r.do(ctx, &call{Op: "prepare", Attempt: at, Ballot: b, Freeze: freeze, Count: true})
-			if err == nil && a.Promise.Decided == nil && a.Promise.Promised != b {
-				n.advanceRound(a.Promise.Promised.Round)
-				return nil, errOutvoted
-			}
-			return a, err
-		})
-		var best *artifactstore.Promise
-		for _, r := range got {
-			p := r.Promise
-			if p.Decided != nil {
-				if slices.ContainsFunc(got, func(o reply) bool { return o.Promise.Decided == nil }) {
-					learn(p.Decided)
-				}
-				return p.Decided, nil
-			}
-			if p.Value != nil && (best == nil || p.Accepted.Compare(best.Accepted) > 0) {
-				best = p
-			}
+		value, err := d.tryBallot(ctx, propose)
+		if !errors.Is(err, errOutvoted) {
+			return value, err
 		}
-		if len(got) < need {
-			if outvoted(failed) {
-				continue
+	}
+	return nil, fmt.Errorf("%w: others decide it", errBusy)
+}
+
+const (
+	maxBallots  = 8                     // tries of one decision
+	ballotPause = 10 * time.Millisecond // doubled with each try, at most
+)
+
+// decision is one node's tries to decide a register.
+type decision struct {
+	node   *Node
+	at     artifactstore.Attempt
+	freeze bool
+	names  []string // of the replicas
+	need   int      // of them, for a majority
+}
+
+// tryBallot tries once, in a ballot of its own. errOutvoted says that another ballot is ahead.
+func (d *decision) tryBallot(ctx context.Context, propose func(promises []reply) ([]byte, error)) ([]byte, error) {
+	n := d.node
+	b := artifactstore.Ballot{Round: n.round.Add(1), By: n.start}
+	promises, failed := d.prepare(ctx, b)
+	if decided := d.decidedAmong(ctx, promises); decided != nil {
+		return decided, nil
+	}
+	if len(promises) < d.need {
+		return nil, d.whyFailed(failed)
+	}
+	value := acceptedIn(promises)
+	if value == nil {
+		var err error
+		if value, err = propose(promises); err != nil {
+			if d.freeze { // it may go on
+				_, _ = n.resolve(ctx, d.at) // else whoever adds to it does
 			}
-			return nil, reason(failed)
+			return nil, err
 		}
-		var value []byte
-		if best != nil {
-			value = best.Value
-		} else {
-			var err error
-			if value, err = propose(got); err != nil {
-				if freeze { // it may go on
-					_, _ = n.resolve(ctx, at) // else whoever adds to it does
-				}
-				return nil, err
-			}
+	}
+	accepted, failed := d.accept(ctx, b, value)
+	for _, r := range accepted {
+		if r.Promise.Decided != nil {
+			d.teach(ctx, r.Promise.Decided)
+			return r.Promise.Decided, nil
 		}
-		got, failed = n.callReplicas(ctx, names, need, func(ctx context.Context, _ string, r replica) (*answer, error) {
-			a, err := r.do(ctx, &call{Op: "accept", Attempt: at, Ballot: b, Value: value, Count: true, From: n.opt.Name})
-			if err == nil && a.Promise.Decided == nil && a.Promise.Accepted != b {
-				n.advanceRound(a.Promise.Promised.Round)
-				return nil, errOutvoted
-			}
-			return a, err
-		})
-		for _, r := range got {
-			if r.Promise.Decided != nil {
-				value = r.Promise.Decided
-				learn(value)
-				return value, nil
-			}
+	}
+	if len(accepted) < d.need {
+		return nil, d.whyFailed(failed)
+	}
+	d.teach(ctx, value)
+	return value, nil
+}
+
+// whyFailed is errOutvoted if another ballot is ahead, else why too few replicas answered.
+func (d *decision) whyFailed(failed []reply) error {
+	if outvoted(failed) {
+		return errOutvoted
+	}
+	return reason(failed)
+}
+
+// prepare asks the replicas to promise a ballot.
+func (d *decision) prepare(ctx context.Context, b artifactstore.Ballot) (promises, failed []reply) {
+	n := d.node
+	return n.callReplicas(ctx, d.names, d.need, func(ctx context.Context, _ string, r replica) (*answer, error) {
+		a, err := r.do(ctx, &call{Op: "prepare", Attempt: d.at, Ballot: b, Freeze: d.freeze, Count: true})
+		if err == nil && a.Promise.Decided == nil && a.Promise.Promised != b {
+			n.advanceRound(a.Promise.Promised.Round)
+			return nil, errOutvoted
 		}
-		if len(got) >= need {
-			learn(value)
-			return value, nil
+		return a, err
+	})
+}
+
+// accept asks the replicas to accept a value in a ballot.
+func (d *decision) accept(ctx context.Context, b artifactstore.Ballot, value []byte) (accepted, failed []reply) {
+	n := d.node
+	return n.callReplicas(ctx, d.names, d.need, func(ctx context.Context, _ string, r replica) (*answer, error) {
+		a, err := r.do(ctx, &call{Op: "accept", Attempt: d.at, Ballot: b, Value: value, Count: true, From: n.opt.Name})
+		if err == nil && a.Promise.Decided == nil && a.Promise.Accepted != b {
+			n.advanceRound(a.Promise.Promised.Round)
+			return nil, errOutvoted
 		}
-		if !outvoted(failed) {
-			return nil, reason(failed)
+		return a, err
+	})
+}
+
+// teach tells the replicas what is decided. It is decided whether they learn of it now or later.
+func (d *decision) teach(ctx context.Context, value []byte) {
+	n := d.node
+	n.callReplicas(ctx, d.names, d.need, func(ctx context.Context, _ string, r replica) (*answer, error) {
+		return r.do(ctx, &call{Op: "learn", Attempt: d.at, Value: value, From: n.opt.Name})
+	})
+}
+
+// decidedAmong is what a replica knows to be decided, nil if none does. Those that do not know are told.
+func (d *decision) decidedAmong(ctx context.Context, promises []reply) []byte {
+	knows := func(r reply) bool { return r.Promise.Decided != nil }
+	i := slices.IndexFunc(promises, knows)
+	if i < 0 {
+		return nil
+	}
+	decided := promises[i].Promise.Decided
+	if slices.ContainsFunc(promises, func(r reply) bool { return !knows(r) }) {
+		d.teach(ctx, decided)
+	}
+	return decided
+}
+
+// acceptedIn is the value that was accepted in the highest ballot, nil if none was: it may have been decided.
+func acceptedIn(promises []reply) []byte {
+	var best *artifactstore.Promise
+	for _, r := range promises {
+		if p := r.Promise; p.Value != nil && (best == nil || p.Accepted.Compare(best.Accepted) > 0) {
+			best = p
 		}
 	}
-	return nil, fmt.Errorf("%w: others decide it", errBusy)
+	if best == nil {
+		return nil
+	}
+	return best.Value
 }
 
 var errOutvoted = errors.New("keepers: a higher ballot was promised")
@@ -185,10 +240,55 @@
 // gather makes a manifest of what a majority of replicas has of an attempt, and has its
 // streams' content at hand. end is what its agent says of it, or nil if it is to be
 // shelved.
-func (n *Node) gather(ctx context.Context, c artifactstore.Claim, end *artifactstore.End, promises []reply) ([]byte, error) {
-	most := map[string]artifactstore.Extent{}
-	at := map[string]string{} // replica that has so much of a stream
-	files := map[string]map[string]bool{}
+func (n *Node) gather(
+	ctx context.Context, c artifactstore.Claim, end *artifactstore.End, promises []reply,
+) ([]byte, error) {
+	g, err := gatherViews(c, promises)
+	if err != nil {
+		return nil, err
+	}
+	m := &artifactstore.Manifest{
+		Claim:   c,
+		Sealed:  n.opt.Now().UTC(),
+		Streams: []artifactstore.StreamInfo{},
+		Files:   []artifactstore.FileInfo{},
+	}
+	if end == nil {
+		m.Partial, m.Exit = true, artifactstore.Exit{Reason: "never sealed"}
+		m.Files = g.partialFiles()
+	} else {
+		if err := g.checkWhole(end); err != nil {
+			return nil, err
+		}
+		m.Exit = end.Exit
+		for _, path := range slices.Sorted(maps.Keys(end.Files)) {
+			m.Files = append(m.Files, artifactstore.FileInfo{Path: path, Digest: end.Files[path]})
+		}
+	}
+	for _, stream := range slices.Sorted(maps.Keys(g.longest)) {
+		info, err := n.sealStream(ctx, c, stream, g.longest[stream], g.holder[stream])
+		if err != nil {
+			return nil, err
+		}
+		m.Streams = append(m.Streams, info)
+	}
+	return m.Sign(n.opt.Key), nil
+}
+
+// gathered is what replicas have of an attempt.
+type gathered struct {
+	longest map[string]artifactstore.Extent // by stream
+	holder  map[string]string               // replica that has so much of a stream
+	files   map[string]map[string]bool      // digests by path
+}
+
+// gatherViews joins what replicas told with their promises.
+func gatherViews(c artifactstore.Claim, promises []reply) (*gathered, error) {
+	g := &gathered{
+		longest: map[string]artifactstore.Extent{},
+		holder:  map[string]string{},
+		files:   map[string]map[string]bool{},
+	}
 	known := false
 	for _, p := range promises {
 		v := p.Promise.View
@@ -200,68 +300,80 @@
 		}
 		known = true
 		for name, x := range v.Streams {
-			if old, there := most[name]; !there || x.Next > old.Next {
-				most[name], at[name] = x, p.name
+			if old, there := g.longest[name]; !there || x.Next > old.Next {
+				g.longest[name], g.holder[name] = x, p.name
 			}
 		}
 		for path, d := range v.Files {
-			if files[path] == nil {
-				files[path] = map[string]bool{}
+			if g.files[path] == nil {
+				g.files[path] = map[string]bool{}
 			}
-			files[path][d] = true
+			g.files[path][d] = true
 		}
 	}
 	if !known {
 		return nil, artifactstore.ErrUnknown
 	}
-	m := &artifactstore.Manifest{Claim: c, Sealed: n.opt.Now().UTC(), Streams: []artifactstore.StreamInfo{}, Files: []artifactstore.FileInfo{}}
-	if end == nil {
-		m.Partial, m.Exit = true, artifactstore.Exit{Reason: "never sealed"}
-		for _, path := range slices.Sorted(maps.Keys(files)) {
-			m.Files = append(m.Files, artifactstore.FileInfo{Path: path, Digest: slices.Min(slices.Collect(maps.Keys(files[path])))})
-		}
-	} else {
-		m.Exit = end.Exit
-		for stream, want := range end.Records {
-			if have := most[stream].Next; have != want {
-				return nil, fmt.Errorf("%w: %w", artifactstore.ErrNotWhole, &artifactstore.GapError{Stream: stream, Want: have, Have: want})
-			}
-		}
-		for stream := range most {
-			if _, said := end.Records[stream]; !said {
-				return nil, fmt.Errorf("%w: nothing was said of stream %s", artifactstore.ErrNotWhole, stream)
-			}
-		}
-		for path := range files {
-			if _, said := end.Files[path]; !said {
-				return nil, fmt.Errorf("%w: nothing was said of file %s", artifactstore.ErrNotWhole, path)
-			}
-		}
-		for _, path := range slices.Sorted(maps.Keys(end.Files)) {
-			if !files[path][end.Files[path]] {
-				return nil, fmt.Errorf("%w: file %s is not here", artifactstore.ErrNotWhole, path)
-			}
-			m.Files = append(m.Files, artifactstore.FileInfo{Path: path, Digest: end.Files[path]})
+	return g, nil
+}
+
+// partialFiles are the files of an attempt that was never sealed; of several contents the same one is taken each time.
+func (g *gathered) partialFiles() []artifactstore.FileInfo {
+	files := []artifactstore.FileInfo{}
+	for _, path := range slices.Sorted(maps.Keys(g.files)) {
+		digest := slices.Min(slices.Collect(maps.Keys(g.files[path])))
+		files = append(files, artifactstore.FileInfo{Path: path, Digest: digest})
+	}
+	return files
+}
+
+// checkWhole is ErrNotWhole unless all that the agent says it put out is here, and nothing else.
+func (g *gathered) checkWhole(end *artifactstore.End) error {
+	for stream, want := range end.Records {
+		if have := g.longest[stream].Next; have != want {
+			gap := &artifactstore.GapError{Stream: stream, Want: have, Have: want}
+			return fmt.Errorf("%w: %w", artifactstore.ErrNotWhole, gap)
 		}
 	}
-	for _, stream := range slices.Sorted(maps.Keys(most)) {
-		var content []byte
-		x := most[stream]
-		next, _, err := n.peers[at[stream]].read(ctx, c.Attempt, stream, 0, false, func(r artifactstore.Record) error {
-			content = artifactstore.AppendRecord(content, r)
-			return nil
-		})
-		if err == nil && next != x.Next {
-			err = fmt.Errorf("%w: stream %s", artifactstore.ErrNotWhole, stream)
+	for stream := range g.longest {
+		if _, said := end.Records[stream]; !said {
+			return fmt.Errorf("%w: nothing was said of stream %s", artifactstore.ErrNotWhole, stream)
 		}
-		if err != nil {
-			return nil, err
+	}
+	for path := range g.files {
+		if _, said := end.Files[path]; !said {
+			return fmt.Errorf("%w: nothing was said of file %s", artifactstore.ErrNotWhole, path)
 		}
-		d, err := n.blobs.Put(ctx, c.Tenant, content, blob.Urgent)
-		if err != nil {
-			return nil, err
+	}
+	for _, path := range slices.Sorted(maps.Keys(end.Files)) {
+		if !g.files[path][end.Files[path]] {
+			return fmt.Errorf("%w: file %s is not here", artifactstore.ErrNotWhole, path)
 		}
-		m.Streams = append(m.Streams, artifactstore.StreamInfo{Name: stream, Records: x.Next, Bytes: x.Bytes, Lost: x.Lost, Blob: d, Digest: d.String()})
 	}
-	return m.Sign(n.opt.Key), nil
+	return nil
+}
+
+// sealStream puts a stream's content into the store of blobs, as a replica has it.
+func (n *Node) sealStream(
+	ctx context.Context, c artifactstore.Claim, stream string, extent artifactstore.Extent, holder string,
+) (artifactstore.StreamInfo, error) {
+	var content []byte
+	add := func(r artifactstore.Record) error {
+		content = artifactstore.AppendRecord(content, r)
+		return nil
+	}
+	next, _, err := n.peers[holder].read(ctx, c.Attempt, stream, 0, false, add)
+	if err == nil && next != extent.Next {
+		err = fmt.Errorf("%w: stream %s", artifactstore.ErrNotWhole, stream)
+	}
+	if err != nil {
+		return artifactstore.StreamInfo{}, err
+	}
+	d, err := n.blobs.Put(ctx, c.Tenant, content, blob.Urgent)
+	if err != nil {
+		return artifactstore.StreamInfo{}, err
+	}
+	return artifactstore.StreamInfo{
+		Name: stream, Records: extent.Next, Bytes: extent.Bytes, Lost: extent.Lost, Blob: d, Digest: d.String(),
+	}, nil
 }
