--- a/internal/arch/shape.go
+++ b/internal/arch/shape.go
@@ -16,6 +16,7 @@
 	"internal/cancelwatermark",
 	"internal/datarecovery",
 	"internal/gangpreemption",
+	"internal/jobstate",
 	"internal/leadership",
 	"internal/leasegrant",
 	"internal/peer",
--- a/internal/controller/admission.go
+++ b/internal/controller/admission.go
@@ -72,7 +72,7 @@
 	if plan == nil || len(plan.Floors) == 0 {
 		return prioritized
 	}
-	used := shard.Team().CPUsByClass()
+	used := shard.Team().Quota().CPUsByClass()
 	lacks := map[string]float64{}
 	var waiting []*admission.WaitingTasks
 	for i, d := range list {
@@ -362,10 +362,10 @@
 
 // addTeamStatus adds what the classes of an own team use and what waits in them.
 func (n *Node) addTeamStatus(keys *keyStatuses, name string, team *jobstate.Team, now time.Time) {
-	for class, cpus := range team.CPUsByClass() {
+	for class, cpus := range team.Quota().CPUsByClass() {
 		keys.of(admission.Key{Team: name, Class: class}).Held = cpus
 	}
-	for _, d := range team.Demands(now) {
+	for _, d := range team.Quota().Demands(now) {
 		x := keys.of(keyOf(d.Spec))
 		x.Waiting += d.Count + int(d.BeyondQuotaCPUs/max(d.Spec.CPUs, 1e-9)+0.5)
 		if j := n.jobs[d.Spec.UID]; j != nil {
--- a/internal/controller/barrier.go
+++ b/internal/controller/barrier.go
@@ -53,7 +53,7 @@
 	if n.leadership.Record().RosterIncomplete {
 		return // the roster itself was lost
 	}
-	for _, name := range shard.Team().Machines() {
+	for _, name := range shard.Team().Assignments().Machines() {
 		if !n.roster.Has(name) {
 			shard.Team().MachineReturned(name)
 		}
--- a/internal/controller/config_test.go
+++ b/internal/controller/config_test.go
@@ -323,7 +323,7 @@
 	if s := n.status(now); n.teamConfig != nil || s.Config != nil || n.rememberedConfig() != nil {
 		t.Error("the configuration is followed")
 	}
-	if len(n.acknowledgedKeys()) != len(n.roster.Versions()) || len(n.shardNames()) != 2 || n.shards.OfTeam("team-0").Team().MaxCPUs != 10000 {
+	if len(n.acknowledgedKeys()) != len(n.roster.Versions()) || len(n.shardNames()) != 2 || n.shards.OfTeam("team-0").Team().Quota().Limits().Max.CPUs != 10000 {
 		t.Errorf("witnesses %v, items %v", n.acknowledgedKeys(), n.shardNames())
 	}
 }
--- a/internal/controller/demand_test.go
+++ b/internal/controller/demand_test.go
@@ -32,7 +32,7 @@
 		if len(demands) != 1 || demands[0].Count == 0 {
 			t.Fatalf("%s: demands %+v", what, demands)
 		}
-		if zones := team.TasksByZone(team.Job(spec.UID)); (len(zones) == 1) != c.bound || c.bound && zones[demands[0].Zone] == 0 {
+		if zones := team.Job(spec.UID).TasksByZone(); (len(zones) == 1) != c.bound || c.bound && zones[demands[0].Zone] == 0 {
 			t.Errorf("%s: placed in %v, asks for %q", what, zones, demands[0].Zone)
 		}
 		bound := specInZone(spec, demands[0].Zone)
--- a/internal/controller/demands.go
+++ b/internal/controller/demands.go
@@ -21,7 +21,7 @@
 // appendDemands adds the room that one team asks for, but for what only probes whether anything starts.
 func (n *Node) appendDemands(all []demand, shard *shards.Owned, now time.Time) []demand {
 	team := shard.Team()
-	list := team.Demands(now)
+	list := team.Quota().Demands(now)
 	prioritized := n.prioritizedTasks(shard, list, now)
 	for i, d := range list {
 		if d.Probe {
@@ -47,7 +47,7 @@
 	if job == nil || !spec.OneZone || spec.Kind == protocol.Gang {
 		return ""
 	}
-	for zone := range team.TasksByZone(job) {
+	for zone := range job.TasksByZone() {
 		return zone
 	}
 	return ""
--- a/internal/controller/eviction.go
+++ b/internal/controller/eviction.go
@@ -9,12 +9,12 @@
 // evictFromNoticedMachines moves work off machines that the cloud announced to take away:
 // what can save, gangs as a whole, and replicas. Other tasks may yet complete.
 func (n *Node) evictFromNoticedMachines(shard *shards.Owned) {
-	for _, name := range shard.Team().Machines() {
+	for _, name := range shard.Team().Assignments().Machines() {
 		m := n.machines[name]
 		if m == nil || m.status == nil || !m.status.Notice {
 			continue
 		}
-		shard.Team().AssignmentsOn(name, func(assignment jobstate.Assignment) {
+		shard.Team().Assignments().On(name, func(assignment jobstate.Assignment) {
 			job := shard.Team().Job(assignment.Job)
 			switch {
 			case job == nil:
--- a/internal/controller/grown_test.go
+++ b/internal/controller/grown_test.go
@@ -115,7 +115,7 @@
 			g.n.machines[name].HeardAt = g.now
 			var fresh []jobstate.TaskStatus
 			for shard := range g.n.shards.All() {
-				shard.Team().AssignmentsOn(name, func(h jobstate.Assignment) {
+				shard.Team().Assignments().On(name, func(h jobstate.Assignment) {
 					if g.ends[h.Ref()].IsZero() {
 						g.ends[h.Ref()] = g.now.Add(20*time.Second + time.Duration(g.rng.IntN(40000))*time.Millisecond)
 						fresh = append(fresh, jobstate.TaskStatus{TaskID: h.TaskID, Attempt: h.Attempt, State: protocol.Running})
@@ -147,7 +147,7 @@
 	}
 	for _, j := range g.n.jobs { // ended jobs leave the account
 		if shard := g.n.shards.OfTeam(j.spec.Team); j.active && shard != nil {
-			if tj := shard.Team().Job(j.spec.UID); tj != nil && shard.Team().Complete(tj) {
+			if tj := shard.Team().Job(j.spec.UID); tj != nil && tj.Complete() {
 				g.n.endJob(j.spec.UID)
 			}
 		}
--- a/internal/controller/jobend.go
+++ b/internal/controller/jobend.go
@@ -16,7 +16,7 @@
 // commitFinishedJobs commits the end of jobs whose tasks are all done.
 func (n *Node) commitFinishedJobs(shard *shards.Owned) {
 	shard.Team().Jobs(func(j *jobstate.Job) {
-		if j.Spec.Kind == protocol.Service || j.Finishing || !shard.Team().Complete(j) {
+		if j.Spec.Kind == protocol.Service || j.Finishing || !j.Complete() {
 			return
 		}
 		if j.Version == 0 {
--- a/internal/controller/jobs.go
+++ b/internal/controller/jobs.go
@@ -53,7 +53,7 @@
 func (n *Node) takeUpJob(shard *shards.Owned, j *job) {
 	uid, team := j.spec.UID, shard.Team()
 	if shard.Phase() == shards.Loading || team.Job(uid) != nil {
-		team.RecordVersion(uid, j.version)
+		team.Job(uid).RecordVersion(j.version)
 		return
 	}
 	n.addJob(shard, j, nil)
--- a/internal/controller/keepalive_test.go
+++ b/internal/controller/keepalive_test.go
@@ -137,13 +137,13 @@
 		return shard.Team().TakeDueOrders(shard.Team().Replica().Seq, now, func(string, uint64) bool { return true })[g.names[0]]
 	}
 	shard.Team().RetractUnsent(place())
-	if held, _ := shard.Team().CountAttempts(); held != 0 {
+	if held, _ := shard.Team().Assignments().Count(); held != 0 {
 		t.Error("a start that went nowhere is held")
 	}
 	place()
 	now = now.Add(5 * time.Second)
 	shard.Team().RetractUnsent(shard.Team().TakeDueOrders(shard.Team().Replica().Seq, now, func(string, uint64) bool { return true })[g.names[0]])
-	if held, _ := shard.Team().CountAttempts(); held != 1 {
+	if held, _ := shard.Team().Assignments().Count(); held != 1 {
 		t.Error("a start that may be on its way is no longer held")
 	}
 }
--- a/internal/controller/machinestatus.go
+++ b/internal/controller/machinestatus.go
@@ -168,8 +168,8 @@
 	team, _ := shards.TeamOf(shard.Name())
 	account := shard.Team()
 	return slices.Contains(teams, team) ||
-		account.HasAssignmentsOn(v.Machine) ||
-		account.HasOrphansOn(v.Machine) ||
+		account.Assignments().AnyOn(v.Machine) ||
+		account.Quota().HasOrphansOn(v.Machine) ||
 		unknown < account.FirstTerm()
 }
 
@@ -200,7 +200,7 @@
 		return
 	}
 	if shard := n.shards.OfTeam(j.spec.Team); shard != nil && shard.Phase() != shards.Loading {
-		shard.Team().SetFaulty(t.Job, faulty)
+		shard.Team().Job(t.Job).SetFaulty(faulty)
 	}
 }
 
--- a/internal/controller/orders.go
+++ b/internal/controller/orders.go
@@ -18,7 +18,7 @@
 	if len(orders) > 0 {
 		n.sendOrders(v.Machine, orders)
 	}
-	for _, ref := range shard.Team().OrphansOfUnknownSize(v.Machine) {
+	for _, ref := range shard.Team().Quota().OrphansOfUnknownSize(v.Machine) {
 		n.lookUpEnd(ref.Job, ref.Attempt)
 	}
 }
--- a/internal/controller/overview.go
+++ b/internal/controller/overview.go
@@ -120,10 +120,11 @@
 	}
 	shard.Team().Jobs(func(j *jobstate.Job) {
 		x.Jobs++
-		x.Waiting += shard.Team().Unstarted(j)
+		x.Waiting += j.Unstarted()
 	})
-	x.Assigned, x.Unproven = shard.Team().CountAttempts()
-	x.CPUs, x.GPUs = shard.Team().Used()
+	x.Assigned, x.Unproven = shard.Team().Assignments().Count()
+	used := shard.Team().Quota().Used()
+	x.CPUs, x.GPUs = used.CPUs, used.GPUs
 	return x
 }
 
--- a/internal/controller/owner.go
+++ b/internal/controller/owner.go
@@ -12,6 +12,7 @@
 	"topazhollow/internal/leadership"
 	"topazhollow/internal/protocol"
 	"topazhollow/internal/shards"
+	"topazhollow/internal/teamconfig"
 )
 
 // followOwners takes over and gives up shards as a new membership record says; member: this process is in the record.
@@ -19,7 +20,7 @@
 	changes := n.shards.Follow(r, n.name, member)
 	for _, shard := range changes.GivenUp {
 		n.log.Info("shard given up", "shard", shard.Name(), "owner", r.Shards[shard.Name()].Owner, "term", r.Term)
-		n.scheduler.InvalidateMachines(slices.Values(shard.Team().Machines()))
+		n.scheduler.InvalidateMachines(slices.Values(shard.Team().Assignments().Machines()))
 	}
 	for _, name := range changes.ToTake {
 		n.takeOwnership(name)
@@ -69,16 +70,25 @@
 	}
 }
 
+// quotaLimits are a team's limits as its account takes them.
+func quotaLimits(limits teamconfig.Limits) jobstate.Limits {
+	return jobstate.Limits{
+		Guaranteed: jobstate.Resources{CPUs: limits.CPUs, GPUs: limits.GPUs},
+		Max:        jobstate.Resources{CPUs: limits.CPUsMax, GPUs: limits.GPUsMax},
+	}
+}
+
 // newTeam is the account of a shard's jobs, with the limits that its team has now.
 func (n *Node) newTeam(name string, rep *jobstate.Replica, term uint64) *jobstate.Team {
 	log := func(event string, args ...any) { n.log.Debug(event, append(args, "shard", name)...) }
 	team, _ := shards.TeamOf(name)
 	for _, t := range n.teams() {
 		if t.Name == team {
-			return jobstate.NewTeam(name, t.CPUs, t.CPUsMax, t.GPUs, t.GPUsMax, rep, term, log)
+			limits := teamconfig.Limits{CPUs: t.CPUs, CPUsMax: t.CPUsMax, GPUs: t.GPUs, GPUsMax: t.GPUsMax}
+			return jobstate.NewTeam(name, quotaLimits(limits), rep, term, log)
 		}
 	}
-	return jobstate.NewTeam(name, 0, 0, 0, 0, rep, term, log)
+	return jobstate.NewTeam(name, jobstate.Limits{}, rep, term, log)
 }
 
 // load learns from the state service what a new owner needs. One in sync knows
@@ -188,6 +198,6 @@
 // addJob has an own team take up an active job; done are the finished tasks that the state service has.
 func (n *Node) addJob(shard *shards.Owned, j *job, done *bitset.BitSet) {
 	shard.Team().AddJob(j.spec, j.version, j.submittedAt, done)
-	shard.Team().SetObjectives(j.spec.UID, n.objectives(j))
-	shard.Team().SetFaulty(j.spec.UID, n.quarantine.IsJobFaulty(j.spec.UID))
+	shard.Team().Job(j.spec.UID).SetObjectives(n.objectives(j))
+	shard.Team().Job(j.spec.UID).SetFaulty(n.quarantine.IsJobFaulty(j.spec.UID))
 }
--- a/internal/controller/owner_test.go
+++ b/internal/controller/owner_test.go
@@ -39,11 +39,11 @@
 		if shard.IsReady() == needsBarrier {
 			t.Errorf("in sync: %v, phase %s", !needsBarrier, shard.Phase())
 		}
-		if held, _ := shard.Team().CountAttempts(); held != 1 {
+		if held, _ := shard.Team().Assignments().Count(); held != 1 {
 			t.Errorf("in sync: %v, an assignment ended though the roster may be old", !needsBarrier)
 		}
 		n.pagesLoaded(shard, nil) // the answer, that there are no pages and no machines
-		if held, _ := shard.Team().CountAttempts(); held != 0 || !shard.IsReady() {
+		if held, _ := shard.Team().Assignments().Count(); held != 0 || !shard.IsReady() {
 			t.Errorf("in sync: %v, %d assignments to machines struck off, phase %s", !needsBarrier, held, shard.Phase())
 		}
 		n.mu.Unlock()
@@ -88,12 +88,12 @@
 		if shard.Phase() == shards.Barrier { // as by a report
 			n.passBarrier(shard)
 		}
-		if held, _ := shard.Team().CountAttempts(); held != want || needsBarrier && shard.IsReady() {
+		if held, _ := shard.Team().Assignments().Count(); held != want || needsBarrier && shard.IsReady() {
 			t.Errorf("needs the barrier %t: %d assignments left, phase %s before the lists of machines came", needsBarrier, held, shard.Phase())
 		}
 		n.roster.ApplyList(rosterPrefix+"node-b/0", 8, agents.RosterValue{Names: []string{"n-1"}})
 		n.pagesLoaded(shard, nil) // the answer to a read that began after the record came
-		if held, _ := shard.Team().CountAttempts(); held != want {
+		if held, _ := shard.Team().Assignments().Count(); held != want {
 			t.Errorf("needs the barrier %t: an assignment ended on a machine that is on the roster", needsBarrier)
 		}
 		if needsBarrier && (shard.Phase() != shards.Barrier || !shard.Awaits("n-1")) {
--- a/internal/controller/reconcile.go
+++ b/internal/controller/reconcile.go
@@ -74,7 +74,7 @@
 func (n *Node) reobserveReserved(uid string) {
 	for _, name := range n.taskIndex.Machines(uid) {
 		for shard := range n.shards.All() {
-			if shard.IsReady() && shard.Team().HasOrphansOn(name) {
+			if shard.IsReady() && shard.Team().Quota().HasOrphansOn(name) {
 				n.reconcileMachine(shard, n.machines[name].status)
 			}
 		}
--- a/internal/controller/scheduling.go
+++ b/internal/controller/scheduling.go
@@ -85,7 +85,7 @@
 // AssignmentsOn calls f for each attempt that any own team holds on a machine.
 func (s *schedulerSnapshot) AssignmentsOn(machine string, f func(jobstate.Assignment)) {
 	for shard := range s.shards.All() {
-		shard.Team().AssignmentsOn(machine, f)
+		shard.Team().Assignments().On(machine, f)
 	}
 }
 
@@ -93,7 +93,7 @@
 func (s *schedulerSnapshot) TakeChangedMachines() iter.Seq[string] {
 	return func(yield func(string) bool) {
 		for shard := range s.shards.All() {
-			for machine := range shard.Team().TakeChangedMachines() {
+			for machine := range shard.Team().Assignments().TakeChangedMachines() {
 				if !yield(machine) {
 					return
 				}
--- a/internal/controller/scheduling_test.go
+++ b/internal/controller/scheduling_test.go
@@ -64,7 +64,10 @@
 			}
 			return count
 		}
-		n.shards.OfTeam("team-0").Team().MaxCPUs = c.quota
+		quota := n.shards.OfTeam("team-0").Team().Quota()
+		limits := quota.Limits()
+		limits.Max.CPUs = c.quota
+		quota.SetLimits(limits)
 		submit(protocol.Submission{UID: "job-000001", Team: "team-0", Kind: protocol.JobArray, Priority: "high", Tasks: 1, CPUs: 8})
 		n.place(g.now)
 		submit(protocol.Submission{UID: "job-000002", Team: "team-0", Kind: protocol.Gang, Priority: c.priority, Tasks: c.tasks, CPUs: 8})
@@ -93,7 +96,10 @@
 	g := newGrown(1, 2) // of 32 CPUs
 	n := g.n
 	guest := n.shards.OfTeam("team-1").Team()
-	guest.GuaranteedCPUs = 0
+	quota := guest.Quota()
+	limits := quota.Limits()
+	limits.Guaranteed.CPUs = 0
+	quota.SetLimits(limits)
 	submit := func(uid, team, priority string, tasks int, cpus float64) {
 		n.mu.Lock()
 		defer n.mu.Unlock()
--- a/internal/controller/slowtasks.go
+++ b/internal/controller/slowtasks.go
@@ -21,7 +21,7 @@
 			return
 		}
 		limit := max(known.longestRun, job.Spec.RunTime()) * 5 / 2
-		shard.Team().Running(job, func(assignment jobstate.Assignment) {
+		job.Running(func(assignment jobstate.Assignment) {
 			n.moveIfSlow(shard, job, assignment, limit, now)
 		})
 	})
--- a/internal/controller/step.go
+++ b/internal/controller/step.go
@@ -65,8 +65,8 @@
 	}
 	n.applyTeamLimits(now)
 	for shard := range n.shards.All() {
-		shard.Team().SetFloors(n.classFloors(shard))
-		shard.Team().UpdateGangReservation(now)
+		shard.Team().Quota().SetFloors(n.classFloors(shard))
+		shard.Team().Quota().UpdateGangReservation(now)
 	}
 	n.place(now)
 	reviewRunning := now.Sub(n.runningReviewedAt) > runningReviewInterval
--- a/internal/controller/teamconfig.go
+++ b/internal/controller/teamconfig.go
@@ -181,7 +181,7 @@
 			continue
 		}
 		limits, _ := n.teamConfig.config.Limits(team, now)
-		shard.Team().SetLimits(limits.CPUs, limits.CPUsMax, limits.GPUs, limits.GPUsMax)
+		shard.Team().Quota().SetLimits(quotaLimits(limits))
 		if shard.IsReady() {
 			shard.Team().StopExcess(entry.StopExcess)
 		}
--- a/internal/controller/unreachablehomes_test.go
+++ b/internal/controller/unreachablehomes_test.go
@@ -131,7 +131,7 @@
 	end := func(why protocol.ExitReason) {
 		for _, name := range g.names {
 			var held []jobstate.Assignment
-			shard.Team().AssignmentsOn(name, func(h jobstate.Assignment) { held = append(held, h) })
+			shard.Team().Assignments().On(name, func(h jobstate.Assignment) { held = append(held, h) })
 			g.tell(name, func(v *jobstate.MachineStatus) {
 				v.Tasks = nil
 				for _, h := range held {
@@ -141,7 +141,7 @@
 			g.tell(name, func(v *jobstate.MachineStatus) { v.Tasks = nil })
 		}
 	}
-	held := func() int { h, _ := shard.Team().CountAttempts(); return h }
+	held := func() int { h, _ := shard.Team().Assignments().Count(); return h }
 	step := func(after time.Duration) {
 		g.now = g.now.Add(after)
 		n.leadership.LeaseRenewed(g.now)
@@ -227,7 +227,7 @@
 		return fmt.Sprint(len(n.jobs), len(n.machines), len(n.roster.All()), done, len(team.Replica().Assignments), proof, n.recovery.detection.RecordChainBroken(), n.trusted())
 	}
 	before := state()
-	if held, _ := team.CountAttempts(); held == 0 {
+	if held, _ := team.Assignments().Count(); held == 0 {
 		t.Fatal("nothing was placed that a report could undo")
 	}
 	for field, spoil := range map[string]func(*protocol.Heartbeat){
--- /dev/null
+++ b/internal/jobstate/changelog.go
@@ -0,0 +1,61 @@
+package jobstate
+
+import "github.com/bits-and-blooms/bitset"
+
+// changeLog changes a team's replica, and records each change as a delta for those that other controllers keep.
+type changeLog struct {
+	replica *Replica
+	unsent  []Delta
+}
+
+// record gives a delta the next sequence number.
+func (l *changeLog) record(d Delta) (seq uint64) {
+	l.replica.Seq++
+	d.Seq = l.replica.Seq
+	l.unsent = append(l.unsent, d)
+	return d.Seq
+}
+
+// take gives the deltas since the last call.
+func (l *changeLog) take() []Delta {
+	taken := l.unsent
+	l.unsent = nil
+	return taken
+}
+
+// place records attempts as one change.
+func (l *changeLog) place(attempts ...*attempt) (seq uint64) {
+	placed := make([]Assignment, 0, len(attempts))
+	for _, a := range attempts {
+		l.replica.Assignments[a.TaskID] = a.Assignment
+		placed = append(placed, a.Assignment)
+	}
+	return l.record(Delta{Placed: placed})
+}
+
+// release records that a task is on no machine.
+func (l *changeLog) release(id TaskID) {
+	delete(l.replica.Assignments, id)
+	l.record(Delta{Released: []TaskID{id}})
+}
+
+// markDone records that a task is done; false if it was before.
+func (l *changeLog) markDone(id TaskID) bool {
+	if !l.replica.markDone(id) {
+		return false
+	}
+	l.record(Delta{Done: []TaskID{id}})
+	return true
+}
+
+// dropJob forgets the finished tasks of a job that has ended.
+func (l *changeLog) dropJob(uid string) {
+	if l.replica.Done[uid] == nil {
+		return
+	}
+	delete(l.replica.Done, uid)
+	l.record(Delta{DroppedJob: uid})
+}
+
+// done are the finished tasks of a job, nil if there are none.
+func (l *changeLog) done(uid string) *bitset.BitSet { return l.replica.Done[uid] }
--- a/internal/jobstate/demand.go
+++ b/internal/jobstate/demand.go
@@ -1,207 +1,196 @@
 package jobstate
 
 import (
-	"math"
 	"time"
 
 	"topazhollow/internal/protocol"
 )
 
-// What an account would place if there were room, within its quota.
-
-// Fits says whether the quota has room for so many more tasks of a job.
-func (t *Team) Fits(j *Job, tasks int) bool {
-	n := float64(tasks)
-	cpus, gpus := t.charged()
-	return cpus+n*j.Spec.CPUs <= t.MaxCPUs+roundingTolerance && gpus+n*j.Spec.GPUs <= t.MaxGPUs+roundingTolerance
-}
-
-// CPUsByClass sums up the CPUs that attempts of active jobs hold, by class.
-func (t *Team) CPUsByClass() map[string]float64 {
-	sum := map[string]float64{}
-	for _, j := range t.queue {
-		if len(j.attempts) > 0 {
-			sum[j.Spec.Class] += float64(len(j.attempts)) * j.Spec.CPUs
-		}
-	}
-	return sum
-}
-
-// Demand is the room that pending tasks of a job ask for now, within the quota.
+// Demand is the capacity that waiting tasks of a job ask for now, within the quota.
 type Demand struct {
 	Spec            *protocol.Submission
-	Count           int
+	Count           int           // of tasks
 	Borrowed        bool          // beyond the team's guarantee
-	Probe           bool          // to see whether a faulty job still fails
-	FirstTask       bool          // the first task of a large array that has waited long; it goes before what is more urgent
-	BeyondQuotaCPUs float64       // CPUs that the job's class asks for beyond the quota; then Count is 0
+	Probe           bool          // to find out whether a faulty job still fails
+	FirstTask       bool          // of a large array that has waited long; it goes before what is more urgent
+	BeyondQuotaCPUs float64       // that the job's class asks for beyond the quota; then Count is 0
 	Backlog         time.Duration // that the whole quota takes for what waits beyond it
 }
 
-// most is how many tasks that take so much each find room.
-func maxTasks(room, each float64) int {
-	if each <= 0 || math.IsInf(room, 1) {
-		if room < -roundingTolerance {
-			return 0
+// demandPlan is one pass over the jobs that wait for quota, in the order in which they get it.
+type demandPlan struct {
+	quota *Quota
+	asked Resources // what is charged already and what the demands so far ask for
+	taken Resources // what the jobs so far leave nothing of: the same with what is reserved for them
+
+	shortfalls map[string]float64 // by class, CPUs below its floor that no demand so far makes up for
+	shortfall  float64            // of all classes
+
+	reserved bool // quota is reserved for a job that can't start
+	blocked  *Job // an array that can't start: less urgent priorities wait for it
+
+	demands []Demand
+	// Probes of faulty jobs, and for each class what is beyond the quota. They come after all other demands.
+	trailing       []Demand
+	beyondByClass  map[string]int // index into trailing
+	backlogSeconds float64        // CPU seconds that the quota has no room for now
+}
+
+// Demands lists what the team would place if there were capacity, most urgent first, and for each class what is beyond
+// the quota. Of the gangs that wait to start only the most urgent one reserves quota: they may wait for machines for
+// minutes, and all of them together would keep it from everybody. An array that can't start reserves it from lower
+// priorities alone, since jobs of its own priority that fit would otherwise wait beside free quota.
+func (q *Quota) Demands(now time.Time) []Demand {
+	charged := q.charged()
+	p := demandPlan{quota: q, asked: charged, taken: charged, beyondByClass: map[string]int{}}
+	p.shortfalls, p.shortfall = q.floorShortfalls(q.limits.Max.CPUs - charged.CPUs)
+	waiting, _ := q.waitingJobs(now)
+	p.addFirstTasks(waiting, now)
+	for _, w := range waiting {
+		p.reserveForBlocked(w.Job)
+		if w.faulty {
+			p.addProbe(w.Job)
+		} else {
+			p.addJob(w.Job, w.unstarted)
 		}
-		return math.MaxInt
 	}
-	return max(0, int(math.Floor((room+roundingTolerance)/each)))
+	backlog := time.Duration(p.backlogSeconds / q.limits.Max.CPUs * float64(time.Second))
+	for i := range p.demands {
+		p.demands[i].Backlog = backlog
+	}
+	return append(p.demands, p.trailing...)
 }
 
-// SetFloors has the quota leave room to classes that have less than their floors, in CPUs.
-func (t *Team) SetFloors(floors map[string]float64) { t.floors = floors }
-
-// lacking is how many CPUs classes have less than their floors. If less than all of that is left of the quota, each
-// class lacks the same part of it, so that none waits for quota that another one lacks. Classes whose gangs made no use of what was
-// held back for them lack nothing for a while.
-func (t *Team) floorShortfalls(left float64) (by map[string]float64, all float64) {
-	if len(t.floors) == 0 {
-		return nil, 0
-	}
-	by = map[string]float64{}
-	held, unused := t.CPUsByClass(), t.releasedClasses()
-	for class, floor := range t.floors {
-		if unused[class] {
+// addFirstTasks has large arrays that have waited long start with one task each, ahead of all others.
+func (p *demandPlan) addFirstTasks(waiting []waitingJob, now time.Time) {
+	for i := range waiting {
+		w := &waiting[i]
+		if !w.startsFirstTask(now) || p.quota.limits.Max.minus(p.taken).tasks(w.Spec) == 0 {
 			continue
 		}
-		if lacks := floor - held[class]; lacks > 0 {
-			by[class] = lacks
-			all += lacks
-		}
-	}
-	if all > 0 && all > left {
-		part := max(left, 0) / all
-		for class := range by {
-			by[class] *= part
-		}
-		all *= part
+		one := neededBy(w.Spec, 1)
+		p.asked = p.asked.plus(one)
+		p.taken = p.taken.plus(one)
+		w.unstarted--
+		borrowed := !p.asked.within(p.quota.limits.Guaranteed)
+		p.demands = append(p.demands, Demand{Spec: w.Spec, Count: 1, FirstTask: true, Borrowed: borrowed})
 	}
-	return by, all
 }
 
-// startsAtOnce is how many of a job's unstarted tasks need quota at the same time for it to begin; 0 once it has begun.
-func (j *Job) tasksToBegin(left int) int {
-	switch {
-	case len(j.attempts) > 0:
-		return 0
-	case j.Spec.Kind == protocol.Gang:
-		return left
-	default:
-		return min(left, 1)
+// reserveForBlocked reserves one task of the array that can't start, before the first job of a lower priority.
+func (p *demandPlan) reserveForBlocked(next *Job) {
+	if p.blocked == nil || p.reserved || protocol.Rank(next.Spec.Priority) >= protocol.Rank(p.blocked.Spec.Priority) {
+		return
 	}
+	p.reserve(p.blocked, 1)
 }
 
-// quota is a part of a team's quota, in CPUs and GPUs.
-type quota struct{ cpus, gpus float64 }
-
-// add takes what so many tasks of a job need.
-func (q *quota) add(s *protocol.Submission, tasks int) {
-	q.cpus += float64(tasks) * s.CPUs
-	q.gpus += float64(tasks) * s.GPUs
+// reserve takes what so many tasks of a job need, or as much of it as the limit and other classes' floors leave. Else
+// less urgent jobs with smaller tasks would take each piece that comes free, and the job would never have enough at
+// once.
+func (p *demandPlan) reserve(j *Job, tasks int) {
+	p.reserved = true
+	needed := neededBy(j.Spec, tasks)
+	limit := p.quota.limits.Max
+	limit.CPUs -= p.shortfall - p.shortfalls[j.Spec.Class]
+	p.taken.CPUs = min(p.taken.CPUs+needed.CPUs, max(p.taken.CPUs, limit.CPUs))
+	p.taken.GPUs = min(p.taken.GPUs+needed.GPUs, max(p.taken.GPUs, limit.GPUs))
 }
 
-// reserve takes what so many tasks of a job need, or as much of it as the limits leave. Else less urgent jobs with smaller
-// tasks would take each piece that comes free, and the job would never have enough at once.
-func (q *quota) reserve(s *protocol.Submission, tasks int, mostCPUs, mostGPUs float64) {
-	q.cpus = min(q.cpus+float64(tasks)*s.CPUs, max(q.cpus, mostCPUs))
-	q.gpus = min(q.gpus+float64(tasks)*s.GPUs, max(q.gpus, mostGPUs))
+// addProbe asks for one task of a faulty job, unless one is being tried.
+func (p *demandPlan) addProbe(j *Job) {
+	if len(j.attempts) == 0 {
+		p.trailing = append(p.trailing, Demand{Spec: j.Spec, Probe: true, Borrowed: true, Count: 1})
+	}
 }
 
-// quotaFor is how many CPUs are left of the quota for a job whose class lacks so much of its floor, while kept is what
-// all classes lack. A class under its floor has room for one task at least, if there is any.
-func (t *Team) availableCPUs(j *Job, used, lacks, kept float64) float64 {
-	left := t.MaxCPUs - used
-	if lacks <= 0 {
-		return left - kept
+// addJob asks for as many of a job's unstarted tasks as the quota has room for, first within the guarantee, then
+// borrowed.
+func (p *demandPlan) addJob(j *Job, unstarted int) {
+	fit := min(unstarted, p.tasksWithinLimit(j))
+	withinGuarantee := min(fit, p.quota.limits.Guaranteed.minus(p.asked).tasks(j.Spec))
+	p.asked = p.asked.plus(neededBy(j.Spec, fit))
+	p.take(j, unstarted, fit)
+	p.makeUpShortfall(j, fit)
+	p.addBeyond(j, unstarted-fit)
+	if withinGuarantee > 0 {
+		p.demands = append(p.demands, Demand{Spec: j.Spec, Count: withinGuarantee})
+	}
+	if borrowed := fit - withinGuarantee; borrowed > 0 {
+		p.demands = append(p.demands, Demand{Spec: j.Spec, Count: borrowed, Borrowed: true})
 	}
-	return max(left-(kept-lacks), min(left, max(lacks, j.Spec.CPUs)))
 }
 
-// Demands lists what the team would place if there were room, most urgent first, and for each
-// class what is beyond the quota. Of the gangs that wait to begin only the most urgent one reserves quota: they may
-// wait for machines for minutes, and all of them together would keep it from everybody. An array that can't begin
-// reserves it from lower priorities alone, since jobs of its own priority that fit would otherwise wait beside free quota.
-func (t *Team) Demands(now time.Time) []Demand {
-	cpus, gpus := t.charged()
-	var out, probes []Demand
-	beyond := 0.0 // CPU seconds that the quota has no room for now
-	over := map[string]int{}
-	lacks, kept := t.floorShortfalls(t.MaxCPUs - cpus)
-	taken := quota{cpus, gpus} // what more urgent jobs leave nothing of
-	reserved := false          // part of it is reserved for a job that can't begin
-	var blocked *Job           // an array that can't begin: less urgent priorities wait for it
-	list, _ := t.waitingJobs(now)
-	for i := range list {
-		w := &list[i]
-		if !w.startsFirstTask(now) || maxTasks(t.MaxCPUs-taken.cpus, w.Spec.CPUs) == 0 || maxTasks(t.MaxGPUs-taken.gpus, w.Spec.GPUs) == 0 {
-			continue
-		}
-		cpus += w.Spec.CPUs
-		gpus += w.Spec.GPUs
-		taken.add(w.Spec, 1)
-		w.unstarted--
-		out = append(out, Demand{Spec: w.Spec, Count: 1, FirstTask: true, Borrowed: cpus > t.GuaranteedCPUs+roundingTolerance || gpus > t.GuaranteedGPUs+roundingTolerance})
+// tasksWithinLimit is how many tasks of a job the quota has room for.
+func (p *demandPlan) tasksWithinLimit(j *Job) int {
+	return min(maxTasks(p.availableCPUs(j), j.Spec.CPUs), maxTasks(p.quota.limits.Max.GPUs-p.taken.GPUs, j.Spec.GPUs))
+}
+
+// availableCPUs is how many CPUs are left of the quota for a job. A class under its floor has room for one task at
+// least, if there is any.
+func (p *demandPlan) availableCPUs(j *Job) float64 {
+	left := p.quota.limits.Max.CPUs - p.taken.CPUs
+	own := p.shortfalls[j.Spec.Class]
+	if own <= 0 {
+		return left - p.shortfall
 	}
-	for _, waiting := range list {
-		j, left := waiting.Job, waiting.unstarted
-		if blocked != nil && !reserved && protocol.Rank(j.Spec.Priority) < protocol.Rank(blocked.Spec.Priority) {
-			reserved = true
-			taken.reserve(blocked.Spec, 1, t.MaxCPUs-(kept-lacks[blocked.Spec.Class]), t.MaxGPUs)
-		}
-		d := Demand{Spec: j.Spec}
-		if j.faulty {
-			if len(j.attempts) == 0 {
-				d.Probe, d.Borrowed, d.Count = true, true, 1
-				probes = append(probes, d)
-			}
-			continue
-		}
-		own := lacks[j.Spec.Class]
-		fit := min(left, maxTasks(t.availableCPUs(j, taken.cpus, own, kept), j.Spec.CPUs), maxTasks(t.MaxGPUs-taken.gpus, j.Spec.GPUs))
-		within := min(fit, maxTasks(t.GuaranteedCPUs-cpus, j.Spec.CPUs), maxTasks(t.GuaranteedGPUs-gpus, j.Spec.GPUs))
-		cpus += float64(fit) * j.Spec.CPUs
-		gpus += float64(fit) * j.Spec.GPUs
-		switch atOnce := j.tasksToBegin(left); {
-		case atOnce > 0 && j.Spec.Kind == protocol.Gang:
-			if !reserved {
-				reserved = true
-				if !t.ReservesQuota() {
-					atOnce = 0 // it made no use of it
-				}
-				taken.reserve(j.Spec, atOnce, t.MaxCPUs-(kept-own), t.MaxGPUs)
-			}
-		case fit < atOnce && blocked == nil:
-			blocked = j
-		default:
-			taken.add(j.Spec, fit)
-		}
-		if own > 0 {
-			used := min(own, float64(fit)*j.Spec.CPUs)
-			lacks[j.Spec.Class] -= used
-			kept -= used
-		}
-		beyond += float64(left-fit) * j.Spec.CPUs * j.Spec.EstimateSeconds
-		if left > fit {
-			i, ok := over[j.Spec.Class]
-			if !ok {
-				i = len(probes)
-				over[j.Spec.Class] = i
-				probes = append(probes, Demand{Spec: j.Spec})
-			}
-			probes[i].BeyondQuotaCPUs += float64(left-fit) * j.Spec.CPUs
-		}
-		if within > 0 {
-			d.Count = within
-			out = append(out, d)
+	return max(left-(p.shortfall-own), min(left, max(own, j.Spec.CPUs)))
+}
+
+// take keeps from less urgent jobs what a job's tasks that fit take, or what is reserved for one that can't start.
+func (p *demandPlan) take(j *Job, unstarted, fit int) {
+	toBegin := j.tasksToBegin(unstarted)
+	switch {
+	case toBegin > 0 && j.Spec.Kind == protocol.Gang:
+		if p.reserved {
+			return
 		}
-		d.Borrowed, d.Count = true, fit-within
-		if d.Count > 0 {
-			out = append(out, d)
+		if !p.quota.ReservesForGangs() {
+			toBegin = 0 // it made no use of it
 		}
+		p.reserve(j, toBegin)
+	case fit < toBegin && p.blocked == nil:
+		p.blocked = j
+	default:
+		p.taken = p.taken.plus(neededBy(j.Spec, fit))
 	}
-	for i := range out {
-		out[i].Backlog = time.Duration(beyond / t.MaxCPUs * float64(time.Second))
+}
+
+// makeUpShortfall takes what a job's class gets from what it has less than its floor.
+func (p *demandPlan) makeUpShortfall(j *Job, fit int) {
+	own := p.shortfalls[j.Spec.Class]
+	if own <= 0 {
+		return
+	}
+	used := min(own, float64(fit)*j.Spec.CPUs)
+	p.shortfalls[j.Spec.Class] -= used
+	p.shortfall -= used
+}
+
+// addBeyond counts tasks that the quota has no room for now.
+func (p *demandPlan) addBeyond(j *Job, tasks int) {
+	if tasks <= 0 {
+		return
+	}
+	cpus := float64(tasks) * j.Spec.CPUs
+	p.backlogSeconds += cpus * j.Spec.EstimateSeconds
+	i, listed := p.beyondByClass[j.Spec.Class]
+	if !listed {
+		i = len(p.trailing)
+		p.beyondByClass[j.Spec.Class] = i
+		p.trailing = append(p.trailing, Demand{Spec: j.Spec})
+	}
+	p.trailing[i].BeyondQuotaCPUs += cpus
+}
+
+// tasksToBegin is how many of a job's unstarted tasks need quota at the same time for it to start; 0 once it has.
+func (j *Job) tasksToBegin(unstarted int) int {
+	switch {
+	case len(j.attempts) > 0:
+		return 0
+	case j.Spec.Kind == protocol.Gang:
+		return unstarted
+	default:
+		return min(unstarted, 1)
 	}
-	return append(out, probes...)
 }
--- a/internal/jobstate/floors_test.go
+++ b/internal/jobstate/floors_test.go
@@ -18,7 +18,7 @@
 	for seed := range uint64(300) {
 		rng := rand.New(rand.NewPCG(seed, 1))
 		limit := float64(1 + rng.IntN(40))
-		team := NewTeam("t", 0, limit, 0, math.Inf(1), NewReplica(), 1, func(string, ...any) {})
+		team := NewTeam("t", Limits{Max: Resources{CPUs: limit, GPUs: math.Inf(1)}}, NewReplica(), 1, func(string, ...any) {})
 		floors, largest := map[string]float64{}, 0.0
 		for i := range 1 + rng.IntN(5) {
 			class := fmt.Sprint("c", i)
@@ -27,9 +27,9 @@
 			floors[class] = spec.CPUs * float64(1+rng.IntN(10))
 			largest = max(largest, spec.CPUs)
 		}
-		team.SetFloors(floors)
+		team.Quota().SetFloors(floors)
 		asked := 0.0
-		for _, d := range team.Demands(now) {
+		for _, d := range team.Quota().Demands(now) {
 			asked += float64(d.Count) * d.Spec.CPUs
 		}
 		if asked > limit+roundingTolerance {
--- a/internal/jobstate/gang_test.go
+++ b/internal/jobstate/gang_test.go
@@ -28,7 +28,7 @@
 // TestGangAllOrNone: a gang that does not fit the quota takes nothing of it.
 func TestGangAllOrNone(t *testing.T) {
 	m, j, spots := gang(t)
-	m.team.MaxCPUs = 5
+	m.team.quota.limits.Max.CPUs = 5
 	if m.team.PlaceGang(j, 0, spots) || len(m.team.Replica().Assignments) != 0 {
 		t.Fatal("half a gang was placed")
 	}
@@ -90,7 +90,7 @@
 	m, j, spots := gang(t)
 	m.team.PlaceGang(j, 0, spots)
 	listed(m, j, AttemptID(1, 1), 2, protocol.Exited, protocol.ReasonDone)
-	if !m.team.Complete(j) {
+	if !j.Complete() {
 		t.Fatal("one task done, the gang not")
 	}
 }
--- a/internal/jobstate/holdback_test.go
+++ b/internal/jobstate/gangreservation_test.go
@@ -10,7 +10,7 @@
 
 // crowdedTeam has a quota of ten CPUs, an urgent gang that takes six and an array that takes whatever there is.
 func crowdedTeam(now time.Time) (team *Team, gang *Job, array *protocol.Submission) {
-	team = NewTeam("t", 0, 10, 0, math.Inf(1), NewReplica(), 1, func(string, ...any) {})
+	team = NewTeam("t", Limits{Max: Resources{CPUs: 10, GPUs: math.Inf(1)}}, NewReplica(), 1, func(string, ...any) {})
 	spec := &protocol.Submission{UID: "job-000001", Class: "gangs", Kind: protocol.Gang, Priority: "high", Tasks: 3, CPUs: 2, EstimateSeconds: 30}
 	array = &protocol.Submission{UID: "job-000002", Class: "arrays", Kind: protocol.JobArray, Priority: "standard", Tasks: 50, CPUs: 1, EstimateSeconds: 30}
 	team.AddJob(spec, 1, now, nil)
@@ -21,7 +21,7 @@
 // asked is how many tasks of each job the team asks room for.
 func asked(team *Team, now time.Time) map[string]int {
 	counts := map[string]int{}
-	for _, d := range team.Demands(now) {
+	for _, d := range team.Quota().Demands(now) {
 		counts[d.Spec.UID] += d.Count
 	}
 	return counts
@@ -33,19 +33,19 @@
 func TestUnusedGangReservationIsReleased(t *testing.T) {
 	now := time.Unix(1000, 0)
 	team, gang, array := crowdedTeam(now)
-	team.SetFloors(map[string]float64{"gangs": 8})
-	team.UpdateGangReservation(now)
-	if got := asked(team, now); !team.ReservesQuota() || got[gang.Spec.UID] != 3 || got[array.UID] > 4 {
+	team.Quota().SetFloors(map[string]float64{"gangs": 8})
+	team.Quota().UpdateGangReservation(now)
+	if got := asked(team, now); !team.Quota().ReservesForGangs() || got[gang.Spec.UID] != 3 || got[array.UID] > 4 {
 		t.Fatalf("at first %v tasks are asked for", got)
 	}
 	now = now.Add(quotaCycle.reserve)
-	team.UpdateGangReservation(now)
-	if got := asked(team, now); team.ReservesQuota() || got[gang.Spec.UID] != 3 || got[array.UID] != 10 {
+	team.Quota().UpdateGangReservation(now)
+	if got := asked(team, now); team.Quota().ReservesForGangs() || got[gang.Spec.UID] != 3 || got[array.UID] != 10 {
 		t.Fatalf("after %v without a start %v tasks are asked for", quotaCycle.reserve, got)
 	}
 	now = now.Add(quotaCycle.release)
-	team.UpdateGangReservation(now)
-	if got := asked(team, now); !team.ReservesQuota() || got[array.UID] > 4 {
+	team.Quota().UpdateGangReservation(now)
+	if got := asked(team, now); !team.Quota().ReservesForGangs() || got[array.UID] > 4 {
 		t.Fatalf("on the second try %v tasks are asked for", got)
 	}
 }
@@ -60,12 +60,12 @@
 			t.Fatal("the array does not start")
 		}
 	}
-	team.UpdateGangReservation(now)
+	team.Quota().UpdateGangReservation(now)
 	if got := asked(team, now); got[array.UID] != 0 {
 		t.Fatalf("at first %v tasks are asked for", got)
 	}
 	now = now.Add(quotaCycle.reserve)
-	team.UpdateGangReservation(now)
+	team.Quota().UpdateGangReservation(now)
 	if got := asked(team, now); got[array.UID] != 5 {
 		t.Fatalf("after %v without a start %v tasks are asked for", quotaCycle.reserve, got)
 	}
@@ -76,7 +76,7 @@
 func TestGangReservationInUse(t *testing.T) {
 	now := time.Unix(1000, 0)
 	team, gang, array := crowdedTeam(now)
-	team.UpdateGangReservation(now)
+	team.Quota().UpdateGangReservation(now)
 	now = now.Add(quotaCycle.reserve - time.Second)
 	if !team.PlaceGang(gang, 0, map[int]Location{0: {"m", "z", 1}, 1: {"m", "z", 1}, 2: {"m", "z", 1}}) {
 		t.Fatal("not placed")
@@ -84,18 +84,18 @@
 	next := *gang.Spec
 	next.UID = "job-000003"
 	team.AddJob(&next, 1, now, nil)
-	team.UpdateGangReservation(now)
-	if got := asked(team, now); !team.ReservesCapacity() || got[next.UID] != 2 || got[array.UID] != 0 {
-		t.Fatalf("room held back: %v, and %v tasks are asked for; want what is left for the next gang", team.ReservesCapacity(), got)
+	team.Quota().UpdateGangReservation(now)
+	if got := asked(team, now); !team.Quota().ReservesCapacityForGangs() || got[next.UID] != 2 || got[array.UID] != 0 {
+		t.Fatalf("room held back: %v, and %v tasks are asked for; want what is left for the next gang", team.Quota().ReservesCapacityForGangs(), got)
 	}
 	now = now.Add(time.Second)
-	team.UpdateGangReservation(now)
-	if got := asked(team, now); !team.ReservesCapacity() || got[array.UID] != 4 {
-		t.Fatalf("room held back: %v, and %v tasks are asked for; want what is left for the array", team.ReservesCapacity(), got)
+	team.Quota().UpdateGangReservation(now)
+	if got := asked(team, now); !team.Quota().ReservesCapacityForGangs() || got[array.UID] != 4 {
+		t.Fatalf("room held back: %v, and %v tasks are asked for; want what is left for the array", team.Quota().ReservesCapacityForGangs(), got)
 	}
 	now = now.Add(capacityCycle.reserve)
-	team.UpdateGangReservation(now)
-	if team.ReservesCapacity() {
+	team.Quota().UpdateGangReservation(now)
+	if team.Quota().ReservesCapacityForGangs() {
 		t.Fatal("room is held back though no other gang started")
 	}
 }
--- /dev/null
+++ b/internal/jobstate/job.go
@@ -0,0 +1,260 @@
+package jobstate
+
+import (
+	"cmp"
+	"maps"
+	"slices"
+	"time"
+
+	"github.com/bits-and-blooms/bitset"
+
+	"topazhollow/internal/protocol"
+)
+
+// How long a job keeps away from a machine, or a task from any, after an attempt that failed.
+const (
+	avoidAfterMigration = 2 * time.Minute
+	avoidAfterError     = 10 * time.Minute
+	avoidWhileFull      = 1500 * time.Millisecond // by then the machine's next status is here
+	backoffIncomplete   = 2 * time.Second         // of a gang that did not start whole
+	retryDelay          = 3 * time.Second         // of a task whose name is still in use on a machine
+	maxProbeBackoff     = time.Minute
+	maxProbeDoublings   = 6
+)
+
+// noDeadline is when a job without a deadline counts as due, from its submission.
+const noDeadline = 24 * time.Hour
+
+// Job is an active job.
+type Job struct {
+	Spec      *protocol.Submission
+	Version   uint64 // of its key in the state service
+	Submitted time.Time
+	Ended     bool // cancelled or done: nothing may start
+	Finishing bool // the final write is under way
+
+	replica       *Replica             // of its team, for the tasks that are done
+	avoidUntil    map[string]time.Time // by machine that failed it
+	backoffUntil  time.Time            // none of its tasks is placed before
+	objectives    Objectives
+	faulty        bool // taken to fail everywhere: tried one task at a time, ever more rarely
+	failedProbes  int
+	running       int
+	attempts      map[int]*attempt // by task, those that may be on machines
+	lowestPending int              // no task below it may be pending
+	savedDone     *bitset.BitSet   // done tasks that the state service has
+	unsaved       bool             // tasks are done that it does not have
+	retryAt       map[int]time.Time
+	mustRestart   bool // a gang whose attempt must end before the next
+}
+
+func newJob(spec *protocol.Submission, submitted time.Time, replica *Replica) *Job {
+	return &Job{
+		Spec:       spec,
+		Submitted:  submitted,
+		replica:    replica,
+		savedDone:  bitset.New(0),
+		avoidUntil: map[string]time.Time{},
+		retryAt:    map[int]time.Time{},
+		attempts:   map[int]*attempt{},
+	}
+}
+
+// Deadline is when the job should be complete; far away if its user set none.
+func (j *Job) Deadline() time.Time {
+	if j.Spec.DeadlineSeconds == nil {
+		return j.Submitted.Add(noDeadline)
+	}
+	return j.Submitted.Add(time.Duration(*j.Spec.DeadlineSeconds * float64(time.Second)))
+}
+
+// Urgency orders jobs: priority, then deadline, then age, then id.
+func Urgency(a, b *Job) int {
+	if d := protocol.Rank(b.Spec.Priority) - protocol.Rank(a.Spec.Priority); d != 0 {
+		return d
+	}
+	if d := a.Deadline().Compare(b.Deadline()); d != 0 {
+		return d
+	}
+	if d := a.Submitted.Compare(b.Submitted); d != 0 {
+		return d
+	}
+	return cmp.Compare(a.Spec.UID, b.Spec.UID)
+}
+
+// done are the job's finished tasks; nil if there are none.
+func (j *Job) done() *bitset.BitSet { return j.replica.Done[j.Spec.UID] }
+
+// doneCount is the number of the job's finished tasks.
+func (j *Job) doneCount() int {
+	if done := j.done(); done != nil {
+		return int(done.Count())
+	}
+	return 0
+}
+
+// Complete reports whether all tasks of the job are done.
+func (j *Job) Complete() bool {
+	return j.done() != nil && j.doneCount() >= j.Spec.Tasks
+}
+
+// Pending calls f for each task that may be placed now, until f returns false.
+func (j *Job) Pending(now time.Time, f func(index int) bool) {
+	if j.Ended || j.Finishing || now.Before(j.backoffUntil) || (j.faulty && len(j.attempts) > 0) {
+		return
+	}
+	first := true
+	done := j.done()
+	for i := j.lowestPending; i < j.Spec.Tasks; i++ {
+		if j.attempts[i] != nil || (done != nil && done.Test(uint(i))) {
+			continue
+		}
+		if first {
+			j.lowestPending, first = i, false
+		}
+		if j.waitsForRetry(i, now) {
+			continue
+		}
+		if !f(i) {
+			return
+		}
+	}
+	if first {
+		j.lowestPending = j.Spec.Tasks
+	}
+}
+
+// waitsForRetry reports whether a task may not be tried again yet.
+func (j *Job) waitsForRetry(index int, now time.Time) bool {
+	until, waits := j.retryAt[index]
+	if waits && !now.Before(until) {
+		delete(j.retryAt, index)
+		return false
+	}
+	return waits
+}
+
+// Unstarted is the number of tasks that are neither assigned nor done.
+func (j *Job) Unstarted() int {
+	return max(0, j.Spec.Tasks-j.doneCount()-len(j.attempts))
+}
+
+// HasWaitingTasks reports whether tasks could be placed now if there were capacity.
+func (j *Job) HasWaitingTasks(now time.Time) bool {
+	return !j.Ended && !j.Finishing && !j.faulty && !now.Before(j.backoffUntil) && j.Unstarted() > 0
+}
+
+// Running calls f for each assignment that was last listed as running.
+func (j *Job) Running(f func(Assignment)) {
+	if j.running == 0 {
+		return
+	}
+	for _, a := range j.attemptsByIndex() {
+		if a.state == protocol.Running {
+			f(a.Assignment)
+		}
+	}
+}
+
+// TasksByZone counts the tasks that may be on machines, by zone.
+func (j *Job) TasksByZone() map[string]int {
+	zones := map[string]int{}
+	for _, a := range j.attempts {
+		zones[a.Zone]++
+	}
+	return zones
+}
+
+// attemptsByIndex lists the job's attempts, lowest task first. Their number is bounded by the quota, while a job
+// may have very many tasks.
+func (j *Job) attemptsByIndex() []*attempt {
+	list := slices.Collect(maps.Values(j.attempts))
+	slices.SortFunc(list, func(a, b *attempt) int { return a.Index - b.Index })
+	return list
+}
+
+// Avoids reports whether the job should not go to a machine now.
+func (j *Job) Avoids(machine string, now time.Time) bool {
+	until, avoided := j.avoidUntil[machine]
+	if avoided && !now.Before(until) {
+		delete(j.avoidUntil, machine)
+		return false
+	}
+	return avoided
+}
+
+// SetFaulty records whether the job is taken to fail on every machine. Such a job asks for no more capacity than one
+// task takes, so that it neither fills the machines nor has more of them rented, and is tried until its user cancels
+// it or it succeeds. A nil job is ignored.
+func (j *Job) SetFaulty(faulty bool) {
+	if j == nil || j.faulty == faulty {
+		return
+	}
+	j.faulty, j.failedProbes, j.backoffUntil = faulty, 0, time.Time{}
+	clear(j.avoidUntil) // a faulty job's failures say nothing about the machines
+}
+
+// SetObjectives records when the job should be complete. Until then it counts as a job without objectives. A nil job
+// is ignored.
+func (j *Job) SetObjectives(objectives Objectives) {
+	if j != nil {
+		j.objectives = objectives
+	}
+}
+
+// RecordVersion records the version that the job's key has in the state service now. A nil job is ignored.
+func (j *Job) RecordVersion(version uint64) {
+	if j != nil {
+		j.Version = max(j.Version, version)
+	}
+}
+
+// RecordSaved records that the state service has these done tasks. A nil job is ignored.
+func (j *Job) RecordSaved(done *bitset.BitSet) {
+	if j == nil {
+		return
+	}
+	j.savedDone.InPlaceUnion(done)
+	if all := j.done(); all != nil && all.Count() <= j.savedDone.Count() {
+		j.unsaved = false
+	}
+}
+
+// recordExit has the job keep away from what made an attempt of it fail, for a while.
+func (j *Job) recordExit(a *attempt, reason protocol.ExitReason, now time.Time) {
+	switch reason {
+	case protocol.ReasonError:
+		if !j.faulty {
+			j.avoidUntil[a.Machine] = now.Add(avoidAfterError)
+		} else if !now.Before(j.backoffUntil) {
+			j.failedProbes++
+			backoff := time.Second << min(j.failedProbes, maxProbeDoublings)
+			j.backoffUntil = now.Add(min(maxProbeBackoff, backoff))
+		}
+	case protocol.ReasonFull:
+		j.avoidUntil[a.Machine] = now.Add(avoidWhileFull)
+	case protocol.ReasonIncomplete:
+		j.backoffUntil = now.Add(backoffIncomplete)
+	case protocol.ReasonInUse, protocol.ReasonNoSuch:
+		j.retryAt[a.Index] = now.Add(retryDelay)
+	}
+}
+
+// jobQueue holds a team's active jobs, most urgent first.
+type jobQueue struct {
+	byUID   map[string]*Job
+	ordered []*Job // the same, by Urgency
+}
+
+// add puts a job in its place.
+func (q *jobQueue) add(j *Job) {
+	q.byUID[j.Spec.UID] = j
+	at, _ := slices.BinarySearchFunc(q.ordered, j, Urgency)
+	q.ordered = slices.Insert(q.ordered, at, j)
+}
+
+// remove takes a job out.
+func (q *jobQueue) remove(j *Job) {
+	delete(q.byUID, j.Spec.UID)
+	q.ordered = slices.DeleteFunc(q.ordered, func(other *Job) bool { return other == j })
+}
--- a/internal/jobstate/jobstate_test.go
+++ b/internal/jobstate/jobstate_test.go
@@ -141,7 +141,7 @@
 		for _, o := range m.workers {
 			used += m.used(o, true)
 		}
-		if used > m.team.MaxCPUs+roundingTolerance {
+		if used > m.team.quota.limits.Max.CPUs+roundingTolerance {
 			broken = fmt.Sprintf("quota: %g", used)
 		}
 	case protocol.Stop:
@@ -240,9 +240,9 @@
 
 func (m *model) place() {
 	m.team.Jobs(func(j *Job) {
-		m.team.Pending(j, m.now, func(i int) bool {
+		j.Pending(m.now, func(i int) bool {
 			x := m.roomiest(j.Spec.CPUs)
-			return x != nil && m.team.Fits(j, 1) && m.team.Place(j, i, Location{x.name, "z", x.session})
+			return x != nil && m.team.Quota().Fits(j, 1) && m.team.Place(j, i, Location{x.name, "z", x.session})
 		})
 	})
 }
@@ -308,7 +308,7 @@
 
 func (m *model) observe(w *plainWorker, v *MachineStatus) {
 	orders := m.team.Observe(v, m.now, m)
-	if m.team.HasOrphansOn(v.Machine) {
+	if m.team.Quota().HasOrphansOn(v.Machine) {
 		m.met["quota is reserved for orphaned tasks"] = true
 	}
 	m.send(w, orders)
@@ -441,32 +441,32 @@
 func (m *model) account() (broken string) {
 	on, jobs := map[string]int{}, map[string]int{}
 	cpus := 0.0
-	for k, a := range m.team.held {
+	for k, a := range m.team.assignments.byTask {
 		on[a.Machine]++
 		jobs[k.Job]++
 		cpus += a.CPUs
-		if j := m.team.jobs[k.Job]; (j == nil || a.stopping || a.state == "") && !m.team.todo[a] {
+		if j := m.team.jobs.byUID[k.Job]; (j == nil || a.stopping || a.state == "") && !m.team.assignments.openOrders[a] {
 			return fmt.Sprintf("attempt %v needs an order and is not looked at", a.Ref())
 		} else if j != nil && j.attempts[k.Index] != a {
 			return fmt.Sprintf("attempt %v is missing at its job", a.Ref())
 		}
 	}
-	for a := range m.team.todo {
-		if m.team.held[a.TaskID] != a {
+	for a := range m.team.assignments.openOrders {
+		if m.team.assignments.byTask[a.TaskID] != a {
 			return fmt.Sprintf("attempt %v is off and still looked at", a.Ref())
 		}
 	}
-	for uid, j := range m.team.jobs {
+	for uid, j := range m.team.jobs.byUID {
 		if len(j.attempts) != jobs[uid] {
 			return fmt.Sprintf("%s holds %d, plainly %d", uid, len(j.attempts), jobs[uid])
 		}
 	}
-	for machine, list := range m.team.on {
+	for machine, list := range m.team.assignments.byMachine {
 		if len(list) != on[machine] {
 			return fmt.Sprintf("%s holds %d, plainly %d", machine, len(list), on[machine])
 		}
 	}
-	if len(m.team.queue) != len(m.team.jobs) || !slices.IsSortedFunc(m.team.queue, Urgency) || cpus != m.team.usedCPUs {
+	if len(m.team.jobs.ordered) != len(m.team.jobs.byUID) || !slices.IsSortedFunc(m.team.jobs.ordered, Urgency) || cpus != m.team.quota.used.CPUs {
 		return "jobs out of order, or quota miscounted"
 	}
 	return ""
@@ -490,7 +490,7 @@
 		m.last = map[string]*MachineStatus{}
 	}
 	rep := FromCopy(m.backup.Copy())
-	m.team = NewTeam("team", 8, 12, 0, 0, rep, m.term, func(string, ...any) {})
+	m.team = NewTeam("team", Limits{Guaranteed: Resources{CPUs: 8}, Max: Resources{CPUs: 12}}, rep, m.term, func(string, ...any) {})
 	for uid, s := range m.specs {
 		if m.active[uid] && s.Team == "team" {
 			m.team.AddJob(s, 1, time.Unix(0, 0), nil)
@@ -598,7 +598,7 @@
 	if orders := m.team.Observe(v, m.now, m); len(orders) != 0 {
 		t.Fatalf("ordered %v before the bitmap was written", orders)
 	}
-	m.team.RecordSaved(spec.UID, bitset.New(1).Set(0))
+	m.team.Job(spec.UID).RecordSaved(bitset.New(1).Set(0))
 	if orders := m.team.Observe(v, m.now, m); len(orders) != 1 || orders[0].Op != protocol.Forget {
 		t.Fatalf("ordered %v after the bitmap was written", orders)
 	}
@@ -618,11 +618,11 @@
 // waits beyond it. Without that a team at a few tasks of its quota seemed to be in
 // no hurry, and its quota stood empty while a long line waited behind it.
 func TestQuotaBacklogIsUrgent(t *testing.T) {
-	team := NewTeam("t", 0, 8, 0, 0, NewReplica(), 1, func(string, ...any) {})
-	team.MaxGPUs = math.Inf(1)
+	team := NewTeam("t", Limits{Max: Resources{CPUs: 8}}, NewReplica(), 1, func(string, ...any) {})
+	team.quota.limits.Max.GPUs = math.Inf(1)
 	spec := &protocol.Submission{UID: "job-000001", Kind: protocol.JobArray, Priority: "standard", Tasks: 20, CPUs: 2, EstimateSeconds: 30}
 	team.AddJob(spec, 1, time.Unix(1000, 0), nil)
-	list := team.Demands(time.Unix(1000, 0))
+	list := team.Quota().Demands(time.Unix(1000, 0))
 	// 4 tasks fit the quota; the other 16 take it four times over, 30 s each.
 	if len(list) != 2 || list[0].Count != 4 || list[0].Backlog != 2*time.Minute || list[1].Count != 0 || list[1].BeyondQuotaCPUs != 32 {
 		t.Fatalf("demands %+v, want 4 tasks with 2 minutes behind them, and 32 CPUs beyond the quota", list)
@@ -630,18 +630,18 @@
 	// A class that is kept room for is asked for within the quota, whatever is more urgent.
 	urgent := &protocol.Submission{UID: "job-000002", Class: "urgent", Kind: protocol.JobArray, Priority: "high", Tasks: 20, CPUs: 2, EstimateSeconds: 30}
 	team.AddJob(urgent, 1, time.Unix(1000, 0), nil)
-	team.SetFloors(map[string]float64{"": 4})
+	team.Quota().SetFloors(map[string]float64{"": 4})
 	counts := map[string]int{}
-	for _, d := range team.Demands(time.Unix(1000, 0)) {
+	for _, d := range team.Quota().Demands(time.Unix(1000, 0)) {
 		counts[d.Spec.UID] += d.Count
 	}
 	if counts[spec.UID] != 2 || counts[urgent.UID] != 2 {
 		t.Fatalf("%v tasks asked for, want two of each", counts)
 	}
-	team.SetFloors(nil)
+	team.Quota().SetFloors(nil)
 	team.EndJob(urgent.UID)
-	team.MaxCPUs = math.Inf(1)
-	if list = team.Demands(time.Unix(1000, 0)); list[0].Count != 20 || list[0].Backlog != 0 {
+	team.quota.limits.Max.CPUs = math.Inf(1)
+	if list = team.Quota().Demands(time.Unix(1000, 0)); list[0].Count != 20 || list[0].Backlog != 0 {
 		t.Fatalf("demands %+v without a limit, want all and nothing behind", list)
 	}
 }
--- a/internal/jobstate/limits_test.go
+++ b/internal/jobstate/limits_test.go
@@ -26,18 +26,18 @@
 		m := newModel(t, 3)
 		s := &protocol.Submission{UID: "job-9", Team: "team", Kind: protocol.JobArray, Priority: "standard", Tasks: 4, CPUs: 2}
 		m.specs[s.UID], m.active[s.UID] = s, true
-		m.team.SetLimits(0, 6, 0, 1)
+		m.team.Quota().SetLimits(Limits{Max: Resources{CPUs: 6, GPUs: 1}})
 		m.team.AddJob(s, 1, m.now, nil)
 		j := m.team.Job(s.UID)
 		for i, state := range c.states {
 			m.team.Place(j, i, Location{string(rune('a' + i)), "z", 1})
-			m.team.setState(m.team.held[TaskID{s.UID, i}], state)
+			m.team.setState(m.team.assignments.byTask[TaskID{s.UID, i}], state)
 		}
-		m.team.SetLimits(0, c.max, 0, 1)
+		m.team.Quota().SetLimits(Limits{Max: Resources{CPUs: c.max, GPUs: 1}})
 		m.team.StopExcess(c.running)
 		m.team.StopExcess(c.running) // again changes nothing
 		stops := 0
-		for _, a := range m.team.held {
+		for _, a := range m.team.assignments.byTask {
 			if a.stopping {
 				stops++
 			}
@@ -45,7 +45,7 @@
 		if stops != c.stops || m.team.LimitsInForce() != c.settled || m.team.Place(j, 3, Location{"d", "z", 1}) {
 			t.Errorf("%s: %d stops, settled %v", name, stops, m.team.LimitsInForce())
 		}
-		m.team.SetLimits(0, 8, 0, 1)
+		m.team.Quota().SetLimits(Limits{Max: Resources{CPUs: 8, GPUs: 1}})
 		if !m.team.LimitsInForce() || !m.team.Place(j, 3, Location{"d", "z", 1}) {
 			t.Errorf("%s: a raised quota is not used", name)
 		}
@@ -57,9 +57,9 @@
 	m, j, spots := gang(t)
 	m.team.PlaceGang(j, 0, spots)
 	listed(m, j, AttemptID(1, 1), 0, protocol.Waiting, "")
-	m.team.SetLimits(0, 5, 0, 0)
+	m.team.Quota().SetLimits(Limits{Max: Resources{CPUs: 5}})
 	m.team.StopExcess(false)
-	for k, a := range m.team.held {
+	for k, a := range m.team.assignments.byTask {
 		if !a.stopping {
 			t.Errorf("task %d goes on", k.Index)
 		}
--- a/internal/jobstate/observe.go
+++ b/internal/jobstate/observe.go
@@ -7,194 +7,154 @@
 	"topazhollow/internal/protocol"
 )
 
-// What an account learns from machines: views, ends, and which attempts are proven off.
+// What an account learns from machines: their status, ends of attempts, and which attempts are proven off.
 
-// off releases an attempt that is proven to be on no machine.
-func (t *Team) release(a *attempt, why protocol.ExitReason) {
-	if t.held[a.TaskID] != a {
-		return
-	}
-	j := t.jobs[a.Job]
-	if j != nil {
-		j.attemptLost(a, why)
-	}
-	t.setState(a, "")
-	delete(t.held, a.TaskID)
-	delete(t.on[a.Machine], a.TaskID)
-	if len(t.on[a.Machine]) == 0 {
-		delete(t.on, a.Machine)
-	}
-	delete(t.todo, a)
-	t.moved[a.Machine] = true
-	t.usedCPUs -= a.CPUs
-	t.usedGPUs -= a.GPUs
-	if len(t.held) == 0 {
-		t.usedCPUs, t.usedGPUs = 0, 0
-	}
-	delete(t.replica.Assignments, a.TaskID)
-	t.emitDelta(Delta{Released: []TaskID{a.TaskID}})
-	if j != nil {
-		delete(j.attempts, a.Index)
-		j.lowestPending = min(j.lowestPending, a.Index)
-	}
-	t.log("attempt off", "task", a.Job, "index", a.Index, "attempt", a.Attempt, "machine", a.Machine, "why", why)
+// observation is one pass over what a machine's status lists.
+type observation struct {
+	team      *Team
+	status    *MachineStatus
+	now       time.Time
+	directory JobDirectory
+	assigned  map[TaskID]bool // listed tasks that the account has as attempts
+	orphans   orphanCount     // listed tasks that it can't have as attempts
+	orders    []Order         // that follow
 }
 
-func (t *Team) setState(a *attempt, state protocol.TaskState) {
-	j := t.jobs[a.Job]
-	if j != nil && a.state == protocol.Running {
-		j.running--
-	}
-	a.state = state
-	if j != nil && a.state == protocol.Running {
-		j.running++
-	}
+// Observe takes in a machine's status and gives the orders that follow from it. Whatever the status lists and this
+// account may have to answer for counts against the team's limit from then on, until it is proven off.
+func (t *Team) Observe(status *MachineStatus, now time.Time, directory JobDirectory) []Order {
+	o := observation{team: t, status: status, now: now, directory: directory, assigned: map[TaskID]bool{}}
+	for i := range status.Tasks {
+		o.observeTask(&status.Tasks[i])
+	}
+	t.quota.orphans.observe(status, o.orphans, directory)
+	o.releaseProven()
+	return o.orders
 }
 
-// Observe takes in a machine's view and gives the orders that follow from it. Whatever the view lists and this
-// account may have to answer for counts against the team's limit from then on, until it is proven off.
-func (t *Team) Observe(v *MachineStatus, now time.Time, known JobDirectory) []Order {
-	var orders []Order
-	seen := map[TaskID]bool{}
-	var left orphanCount
-	for i := range v.Tasks {
-		x := &v.Tasks[i]
-		if t.observeAttempt(v, x, now) {
-			seen[x.TaskID] = true
-			if x.State != protocol.Exited {
-				continue
-			}
-		}
-		if x.State == Ordered {
-			continue
-		}
-		job := known.Job(x.Job)
-		if job.Known && !job.OwnTeam {
-			continue
-		}
-		if !job.Known {
-			t.countUnknownJob(&left, x)
-			continue
-		}
-		order := Order{TaskID: x.TaskID, Attempt: x.Attempt, Incarnation: v.Incarnation}
-		switch {
-		case x.State == protocol.Exited:
-			if x.Reason == protocol.ReasonDone && job.Active && x.Index < job.Spec.Tasks {
-				t.completeTask(x.TaskID)
-				if j := t.jobs[x.Job]; j == nil || !j.savedDone.Test(uint(x.Index)) {
-					continue // forgotten only once the state service knows
-				}
-			}
-			order.Op = protocol.Forget
-			orders = append(orders, order)
-		case job.Active && t.held[x.TaskID] == nil && !t.isDone(x.TaskID) && x.Index < job.Spec.Tasks:
-			t.adopt(v, x, job.Spec, now)
-			seen[x.TaskID] = true
-		default:
-			if t.holdOrphan(&left, v, x, job.Spec, now) {
-				seen[x.TaskID] = true
-			}
-			order.Op = protocol.Stop
-			orders = append(orders, order)
+// observeTask takes in one listed task.
+func (o *observation) observeTask(x *TaskStatus) {
+	if o.updateAttempt(x) {
+		o.assigned[x.TaskID] = true
+		if x.State != protocol.Exited {
+			return
 		}
 	}
-	t.orphans.observe(v, left, known)
-	t.releaseProven(v, seen)
-	return orders
+	if x.State == Ordered {
+		return
+	}
+	job := o.directory.Job(x.Job)
+	switch {
+	case !job.Known:
+		o.countUnknownJob(x)
+	case !job.OwnTeam:
+	case x.State == protocol.Exited:
+		o.observeResult(x, job)
+	case job.Active && o.team.isPlaceable(x.TaskID) && x.Index < job.Spec.Tasks:
+		o.adopt(x, job.Spec)
+	default:
+		o.assignOrphan(x, job.Spec)
+		o.order(x, protocol.Stop)
+	}
 }
 
-// listed takes in what a view says of an attempt that this account holds there; false if it holds none.
-func (t *Team) observeAttempt(v *MachineStatus, x *TaskStatus, now time.Time) bool {
-	a := t.held[x.TaskID]
-	if a == nil || a.Machine != v.Machine || a.Attempt != x.Attempt || a.Incarnation != v.Incarnation {
+// updateAttempt takes in what the status says of an attempt that this account has there; false if it has none.
+func (o *observation) updateAttempt(x *TaskStatus) bool {
+	a := o.team.assignments.find(x.Ref())
+	if a == nil || a.Machine != o.status.Machine || a.Incarnation != o.status.Incarnation {
 		return false
 	}
 	switch x.State {
 	case Ordered:
 	case protocol.Exited:
-		t.attemptExited(a, x, now)
+		o.team.attemptExited(a, x, o.now)
 	default:
-		if a.listed.IsZero() {
-			a.listed = now
-		}
-		t.setState(a, x.State)
+		o.team.setState(a, x.State)
 	}
 	return true
 }
 
-// releaseProven ends the holds on a machine that its view proves to be off.
-func (t *Team) releaseProven(v *MachineStatus, seen map[TaskID]bool) {
-	for _, a := range t.attemptsOn(v.Machine) {
-		switch {
-		case v.Incarnation < a.Incarnation || seen[a.TaskID]:
-		case v.Incarnation > a.Incarnation:
-			t.release(a, "newer session")
-		case slices.Contains(v.Barred, a.Ref()):
-			t.release(a, "never sent")
-		case v.FencingToken > TermOf(a.Attempt):
-			// The worker knows a later term and does not list the attempt: its start
-			// can no longer arrive.
-			t.release(a, "later term")
+// observeResult has a machine forget a result, a success only once the state service knows of it.
+func (o *observation) observeResult(x *TaskStatus, job JobInfo) {
+	if x.Reason == protocol.ReasonDone && job.Active && x.Index < job.Spec.Tasks {
+		o.team.completeTask(x.TaskID)
+		if j := o.team.Job(x.Job); j == nil || !j.savedDone.Test(uint(x.Index)) {
+			return
 		}
 	}
+	o.order(x, protocol.Forget)
+}
+
+// order has the machine carry out a command for a listed task.
+func (o *observation) order(x *TaskStatus, op protocol.CommandOp) {
+	o.orders = append(o.orders, Order{Op: op, TaskID: x.TaskID, Attempt: x.Attempt, Incarnation: o.status.Incarnation})
 }
 
-func (t *Team) attemptsOn(machine string) []*attempt {
-	list := make([]*attempt, 0, len(t.on[machine]))
-	for _, a := range t.on[machine] {
-		list = append(list, a)
+// countUnknownJob counts a task of a job that nobody here can describe. All attempts of this team that were made since
+// this account began are its own, so that only an earlier one may be the team's.
+func (o *observation) countUnknownJob(x *TaskStatus) {
+	if x.State != protocol.Exited && TermOf(x.Attempt) < o.team.firstTerm {
+		o.orphans.unknownSize = append(o.orphans.unknownSize, x.Ref())
 	}
-	slices.SortFunc(list, func(a, b *attempt) int {
-		return a.compare(b.TaskID)
-	})
-	return list
 }
 
-// adopt takes up an attempt found on a machine that the account did not hold,
-// as after a full barrier.
-func (t *Team) adopt(v *MachineStatus, x *TaskStatus, spec *protocol.Submission, now time.Time) *attempt {
-	a := &attempt{Assignment: Assignment{TaskID: x.TaskID, Attempt: x.Attempt, Machine: v.Machine, Zone: v.Zone, Incarnation: v.Incarnation,
-		CPUs: spec.CPUs, GPUs: spec.GPUs, Memory: spec.MemoryGB}, listed: now}
-	t.hold(a)
-	t.replica.Assignments[a.TaskID] = a.Assignment
-	a.placedSeq = t.emitDelta(Delta{Placed: []Assignment{a.Assignment}})
-	t.setState(a, x.State)
-	t.log("attempt adopted", "task", a.Job, "index", a.Index, "attempt", a.Attempt, "machine", a.Machine)
+// assignOrphan counts a task of a job of this team that is to be stopped. It is assigned like any other attempt, so
+// that replicas know it too; if its size is unknown, or another attempt of the task is assigned, it is counted beside
+// the attempts.
+func (o *observation) assignOrphan(x *TaskStatus, spec *protocol.Submission) {
+	sized := spec.CPUs > 0 || spec.GPUs > 0
+	switch {
+	case !sized:
+		o.orphans.unknownSize = append(o.orphans.unknownSize, x.Ref())
+	case o.team.assignments.byTask[x.TaskID] != nil:
+		o.orphans.sized = o.orphans.sized.plus(neededBy(spec, 1))
+	default:
+		a := o.adopt(x, spec)
+		a.stopping = true
+		o.team.assignments.openOrders[a] = true
+	}
+}
+
+// adopt assigns an attempt found on the machine that the account did not have, as after all controllers ended.
+func (o *observation) adopt(x *TaskStatus, spec *protocol.Submission) *attempt {
+	a := &attempt{Assignment: Assignment{
+		TaskID:      x.TaskID,
+		Attempt:     x.Attempt,
+		Machine:     o.status.Machine,
+		Zone:        o.status.Zone,
+		Incarnation: o.status.Incarnation,
+		CPUs:        spec.CPUs,
+		GPUs:        spec.GPUs,
+		Memory:      spec.MemoryGB,
+	}}
+	o.team.assign(a)
+	a.placedSeq = o.team.changes.place(a)
+	o.team.setState(a, x.State)
+	o.assigned[x.TaskID] = true
+	o.team.log("attempt adopted", "task", a.Job, "index", a.Index, "attempt", a.Attempt, "machine", a.Machine)
 	return a
 }
 
-// exited books the end of an attempt.
-func (t *Team) attemptExited(a *attempt, x *TaskStatus, now time.Time) {
-	if x.Reason == protocol.ReasonDone {
-		t.completeTask(a.TaskID)
-	}
-	j := t.jobs[a.Job]
-	t.release(a, x.Reason)
-	if j == nil {
-		return
-	}
-	switch x.Reason {
-	case protocol.ReasonError:
-		if !j.faulty {
-			j.avoidUntil[a.Machine] = now.Add(10 * time.Minute)
-		} else if !now.Before(j.backoffUntil) {
-			j.failedProbes++
-			j.backoffUntil = now.Add(min(time.Minute, time.Second<<min(j.failedProbes, 6)))
+// releaseProven releases the attempts on the machine that its status proves to be off.
+func (o *observation) releaseProven() {
+	for _, a := range o.team.assignments.sortedOn(o.status.Machine) {
+		switch {
+		case o.status.Incarnation < a.Incarnation || o.assigned[a.TaskID]:
+		case o.status.Incarnation > a.Incarnation:
+			o.team.release(a, "newer session")
+		case slices.Contains(o.status.Barred, a.Ref()):
+			o.team.release(a, "never sent")
+		case o.status.FencingToken > TermOf(a.Attempt):
+			// The agent knows a later term and does not list the attempt: its start can no longer arrive.
+			o.team.release(a, "later term")
 		}
-		t.log("task failed", "task", a.Job, "index", a.Index, "machine", a.Machine)
-	case protocol.ReasonFull:
-		j.avoidUntil[a.Machine] = now.Add(1500 * time.Millisecond)
-	case protocol.ReasonIncomplete:
-		j.backoffUntil = now.Add(2 * time.Second)
-	case protocol.ReasonInUse, protocol.ReasonNoSuch:
-		j.retryAt[a.Index] = now.Add(3 * time.Second)
 	}
 }
 
-// MachineReturned books that the cloud confirmed the end of a machine.
+// MachineReturned releases all that was on a machine whose end the cloud confirmed.
 func (t *Team) MachineReturned(machine string) {
-	for _, a := range t.attemptsOn(machine) {
+	for _, a := range t.assignments.sortedOn(machine) {
 		t.release(a, "machine returned")
 	}
-	t.orphans.release(machine)
+	t.quota.orphans.release(machine)
 }
--- a/internal/jobstate/orphan_test.go
+++ b/internal/jobstate/orphan_test.go
@@ -26,7 +26,7 @@
 
 func charged(t *testing.T, m *model, want float64, when string) {
 	t.Helper()
-	if cpus, _ := m.team.charged(); cpus != want {
+	if cpus := m.team.quota.charged().CPUs; cpus != want {
 		t.Errorf("%s: %g CPUs count against the limit, want %g", when, cpus, want)
 	}
 }
--- a/internal/jobstate/quota_test.go
+++ b/internal/jobstate/quota_test.go
@@ -10,7 +10,7 @@
 
 // placeDemanded places what the team demands, each task on a machine of its own, as far as the quota has room.
 func placeDemanded(team *Team, now time.Time) {
-	for _, demand := range team.Demands(now) {
+	for _, demand := range team.Quota().Demands(now) {
 		job := team.Job(demand.Spec.UID)
 		if demand.Spec.Kind == protocol.Gang {
 			missing, attempt := team.MissingGangTasks(job)
@@ -22,7 +22,7 @@
 			continue
 		}
 		left := demand.Count
-		team.Pending(job, now, func(index int) bool {
+		job.Pending(now, func(index int) bool {
 			left--
 			return left >= 0 && team.Place(job, index, Location{Machine: "m", Zone: "z", Incarnation: 1})
 		})
@@ -32,7 +32,7 @@
 // endOne has the worker end the lowest running task of a job.
 func endOne(team *Team, uid string) {
 	job := team.Job(uid)
-	held := team.attemptsOf(job)[0]
+	held := job.attemptsByIndex()[0]
 	team.attemptExited(held, &TaskStatus{TaskID: held.TaskID, Attempt: held.Attempt, State: protocol.Exited, Reason: protocol.ReasonDone}, time.Unix(1000, 0))
 }
 
@@ -51,7 +51,7 @@
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
 			now := time.Unix(1000, 0)
-			team := NewTeam("team", 0, quota, 0, math.Inf(1), NewReplica(), 1, func(string, ...any) {})
+			team := NewTeam("team", Limits{Max: Resources{CPUs: quota, GPUs: math.Inf(1)}}, NewReplica(), 1, func(string, ...any) {})
 			small := &protocol.Submission{UID: "job-000001", Kind: protocol.JobArray, Priority: "standard", Tasks: 100, CPUs: 1}
 			team.AddJob(small, 1, now, nil)
 			placeDemanded(team, now)
@@ -74,7 +74,7 @@
 // of its tasks stays with others.
 func TestQuotaOfAStartedJobIsNotReserved(t *testing.T) {
 	now := time.Unix(1000, 0)
-	team := NewTeam("team", 0, 10, 0, math.Inf(1), NewReplica(), 1, func(string, ...any) {})
+	team := NewTeam("team", Limits{Max: Resources{CPUs: 10, GPUs: math.Inf(1)}}, NewReplica(), 1, func(string, ...any) {})
 	large := &protocol.Submission{UID: "job-000001", Kind: protocol.JobArray, Priority: "high", Tasks: 10, CPUs: 4}
 	small := &protocol.Submission{UID: "job-000002", Kind: protocol.JobArray, Priority: "standard", Tasks: 10, CPUs: 1}
 	team.AddJob(large, 1, now, nil)
@@ -88,14 +88,14 @@
 // TestOneWaitingGangReservesQuota: gangs that wait for machines leave the quota beyond the first one's to other jobs.
 func TestOneWaitingGangReservesQuota(t *testing.T) {
 	now := time.Unix(1000, 0)
-	team := NewTeam("team", 0, 8, 0, math.Inf(1), NewReplica(), 1, func(string, ...any) {})
+	team := NewTeam("team", Limits{Max: Resources{CPUs: 8, GPUs: math.Inf(1)}}, NewReplica(), 1, func(string, ...any) {})
 	for i, uid := range []string{"job-000001", "job-000002"} {
 		team.AddJob(&protocol.Submission{UID: uid, Kind: protocol.Gang, Priority: "high", Tasks: 2, CPUs: 2}, uint64(i), now, nil)
 	}
 	small := &protocol.Submission{UID: "job-000003", Kind: protocol.JobArray, Priority: "standard", Tasks: 100, CPUs: 1}
 	team.AddJob(small, 3, now, nil)
 	asked := map[string]int{}
-	for _, demand := range team.Demands(now) {
+	for _, demand := range team.Quota().Demands(now) {
 		asked[demand.Spec.UID] += demand.Count
 	}
 	if asked["job-000001"] != 2 || asked["job-000002"] != 2 || asked[small.UID] != 4 {
@@ -106,7 +106,7 @@
 // TestSmallTasksPassALargeOneOfTheirPriority: what the quota has left goes to a job of the same priority that fits it.
 func TestSmallTasksPassALargeOneOfTheirPriority(t *testing.T) {
 	now := time.Unix(1000, 0)
-	team := NewTeam("team", 0, 3, 0, math.Inf(1), NewReplica(), 1, func(string, ...any) {})
+	team := NewTeam("team", Limits{Max: Resources{CPUs: 3, GPUs: math.Inf(1)}}, NewReplica(), 1, func(string, ...any) {})
 	large := &protocol.Submission{UID: "job-000001", Kind: protocol.JobArray, Priority: "standard", Tasks: 1, CPUs: 4}
 	small := &protocol.Submission{UID: "job-000002", Kind: protocol.JobArray, Priority: "standard", Tasks: 5, CPUs: 1}
 	team.AddJob(large, 1, now, nil)
--- a/internal/jobstate/quotaorder_test.go
+++ b/internal/jobstate/quotaorder_test.go
@@ -14,7 +14,7 @@
 // askedOf gives the jobs that ask for quota, in the order in which they do.
 func askedOf(team *Team, now time.Time) []string {
 	var asked []string
-	for _, d := range team.Demands(now) {
+	for _, d := range team.Quota().Demands(now) {
 		if d.Count > 0 && !slices.Contains(asked, d.Spec.UID) {
 			asked = append(asked, d.Spec.UID)
 		}
@@ -26,11 +26,11 @@
 // still reach a goal, soonest start first, then what is late, then what has no goal. Priority stands above all of it.
 func TestQuotaGoesToAttainableObjectives(t *testing.T) {
 	now := time.Unix(1000, 0)
-	team := NewTeam("team", 0, 5, 0, math.Inf(1), NewReplica(), 1, func(string, ...any) {})
+	team := NewTeam("team", Limits{Max: Resources{CPUs: 5, GPUs: math.Inf(1)}}, NewReplica(), 1, func(string, ...any) {})
 	add := func(uid, priority string, due time.Duration, estimate float64) {
 		team.AddJob(&protocol.Submission{UID: uid, Kind: protocol.JobArray, Priority: priority, Tasks: 2, CPUs: 1, EstimateSeconds: estimate}, 1, now, nil)
 		if due != 0 {
-			team.SetObjectives(uid, Objectives{now.Add(due)})
+			team.Job(uid).SetObjectives(Objectives{now.Add(due)})
 		}
 	}
 	add("job-aimless", "standard", 0, 10)
@@ -49,7 +49,7 @@
 	if asked := askedOf(team, now); !slices.Equal(asked, []string{"job-urgent", "job-begun", "job-long"}) {
 		t.Errorf("%v ask for 4 CPUs of quota beside an urgent job", asked)
 	}
-	team.SetLimits(0, 100, 0, math.Inf(1))
+	team.Quota().SetLimits(Limits{Max: Resources{CPUs: 100, GPUs: math.Inf(1)}})
 	if asked := askedOf(team, now); len(asked) != 6 {
 		t.Errorf("%v ask for quota that suffices for all", asked)
 	}
@@ -59,10 +59,10 @@
 // and before late ones that have not begun.
 func TestLargeStartedJobLeavesTheLimitToOthers(t *testing.T) {
 	now := time.Unix(1000, 0)
-	team := NewTeam("team", 0, 8, 0, math.Inf(1), NewReplica(), 1, func(string, ...any) {})
+	team := NewTeam("team", Limits{Max: Resources{CPUs: 8, GPUs: math.Inf(1)}}, NewReplica(), 1, func(string, ...any) {})
 	add := func(uid string, tasks int, due time.Duration) {
 		team.AddJob(&protocol.Submission{UID: uid, Kind: protocol.JobArray, Priority: "standard", Tasks: tasks, CPUs: 1, EstimateSeconds: 10}, 1, now, nil)
-		team.SetObjectives(uid, Objectives{now.Add(due)})
+		team.Job(uid).SetObjectives(Objectives{now.Add(due)})
 	}
 	add("job-giant", 20, -time.Minute)
 	if !team.Place(team.Job("job-giant"), 0, Location{Machine: "m", Zone: "z", Incarnation: 1}) {
@@ -94,26 +94,26 @@
 		{"has begun", 40, firstTaskDelay + time.Second, true, 0},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			team := NewTeam("team", 0, 10, 0, math.Inf(1), NewReplica(), 1, func(string, ...any) {})
+			team := NewTeam("team", Limits{Max: Resources{CPUs: 10, GPUs: math.Inf(1)}}, NewReplica(), 1, func(string, ...any) {})
 			team.AddJob(&protocol.Submission{UID: "job-large", Kind: protocol.JobArray, Priority: "low", Tasks: c.tasks, CPUs: 1, EstimateSeconds: 10}, 1, now.Add(-c.age), nil)
 			switch c.name {
 			case "late":
-				team.SetObjectives("job-large", Objectives{now.Add(-time.Minute)})
+				team.Job("job-large").SetObjectives(Objectives{now.Add(-time.Minute)})
 			case "can be in time":
-				team.SetObjectives("job-large", Objectives{now.Add(-time.Minute), now.Add(time.Minute)})
+				team.Job("job-large").SetObjectives(Objectives{now.Add(-time.Minute), now.Add(time.Minute)})
 			}
 			if c.begun && !team.Place(team.Job("job-large"), 0, Location{Machine: "m", Zone: "z", Incarnation: 1}) {
 				t.Fatal("not placed")
 			}
 			team.AddJob(&protocol.Submission{UID: "job-urgent", Kind: protocol.JobArray, Priority: "high", Tasks: 100, CPUs: 1, EstimateSeconds: 10}, 1, now, nil)
 			begins, asked := 0, 0
-			for _, d := range team.Demands(now) {
+			for _, d := range team.Quota().Demands(now) {
 				asked += d.Count
 				if d.FirstTask {
 					begins += d.Count
 				}
 			}
-			held := len(team.held)
+			held := len(team.assignments.byTask)
 			if begins != c.want || asked+held != 10 {
 				t.Errorf("%d tasks begin of %d that are asked for beside %d, want %d of 10 in all", begins, asked, held, c.want)
 			}
@@ -125,10 +125,10 @@
 // quota at once.
 func TestGangsKeepTheirOrder(t *testing.T) {
 	now := time.Unix(1000, 0)
-	team := NewTeam("team", 0, 4, 0, math.Inf(1), NewReplica(), 1, func(string, ...any) {})
+	team := NewTeam("team", Limits{Max: Resources{CPUs: 4, GPUs: math.Inf(1)}}, NewReplica(), 1, func(string, ...any) {})
 	for i, uid := range []string{"job-000001", "job-000002"} {
 		team.AddJob(&protocol.Submission{UID: uid, Kind: protocol.Gang, Priority: "high", Tasks: 4, CPUs: 1, EstimateSeconds: 10}, 1, now, nil)
-		team.SetObjectives(uid, Objectives{now.Add(time.Duration(6*i-1) * time.Minute)})
+		team.Job(uid).SetObjectives(Objectives{now.Add(time.Duration(6*i-1) * time.Minute)})
 	}
 	if asked := askedOf(team, now); len(asked) == 0 || asked[0] != "job-000001" {
 		t.Errorf("%v ask for quota", asked)
@@ -153,7 +153,7 @@
 	}
 	rng := rand.New(rand.NewPCG(seed, 11))
 	start := time.Unix(1000, 0)
-	team := NewTeam("team", 0, limit, 0, math.Inf(1), NewReplica(), 1, func(string, ...any) {})
+	team := NewTeam("team", Limits{Max: Resources{CPUs: limit, GPUs: math.Inf(1)}}, NewReplica(), 1, func(string, ...any) {})
 	var arrays []*array
 	for i := range jobs {
 		run := time.Duration(20+rng.IntN(40)) * time.Second
@@ -173,7 +173,7 @@
 			if a.at == now {
 				team.AddJob(a.spec, 1, start.Add(now), nil)
 				if withGoals {
-					team.SetObjectives(a.spec.UID, Objectives{start.Add(a.due)})
+					team.Job(a.spec.UID).SetObjectives(Objectives{start.Add(a.due)})
 				}
 			}
 		}
@@ -181,7 +181,7 @@
 			team.attemptExited(held, &TaskStatus{TaskID: held.TaskID, Attempt: held.Attempt, State: protocol.Exited, Reason: protocol.ReasonDone}, start.Add(now))
 		}
 		before := map[TaskID]bool{}
-		for k := range team.held {
+		for k := range team.assignments.byTask {
 			before[k] = true
 		}
 		placeDemanded(team, start.Add(now))
@@ -199,7 +199,7 @@
 			if a.started == a.spec.Tasks {
 				a.all = min(a.all, now)
 			}
-			if team.Complete(job) {
+			if job.Complete() {
 				a.done = now
 				team.EndJob(a.spec.UID)
 			}
--- a/internal/jobstate/spare_test.go
+++ b/internal/jobstate/surplus_test.go
@@ -13,7 +13,7 @@
 func TestSurplusDemands(t *testing.T) {
 	now := time.Unix(1000, 0)
 	spare := func(t *testing.T, limit float64, gang bool) map[string]int {
-		team := NewTeam("team", 0, limit, 0, math.Inf(1), NewReplica(), 1, func(string, ...any) {})
+		team := NewTeam("team", Limits{Max: Resources{CPUs: limit, GPUs: math.Inf(1)}}, NewReplica(), 1, func(string, ...any) {})
 		add := func(uid, class string, kind protocol.JobKind, tasks int, cpus float64) *Job {
 			team.AddJob(&protocol.Submission{UID: uid, Class: class, Kind: kind, Priority: "standard", Tasks: tasks, CPUs: cpus, EstimateSeconds: 10}, 1, now, nil)
 			return team.Job(uid)
@@ -25,14 +25,14 @@
 			}
 		}
 		add("job-large", "large", protocol.JobArray, 30, 4)
-		team.SetObjectives("job-large", Objectives{now.Add(time.Minute)})
+		team.Job("job-large").SetObjectives(Objectives{now.Add(time.Minute)})
 		add("job-small", "small", protocol.JobArray, 3, 2)
 		if gang {
 			add("job-gang", "gang", protocol.Gang, 2, 4)
 		}
-		team.UpdateGangReservation(now)
+		team.Quota().UpdateGangReservation(now)
 		got := map[string]int{}
-		for _, d := range team.SurplusDemands(now) {
+		for _, d := range team.Quota().SurplusDemands(now) {
 			got[d.Spec.Class] += d.Count
 		}
 		return got
--- a/internal/leasegrant/model_controller_test.go
+++ b/internal/leasegrant/model_controller_test.go
@@ -154,7 +154,9 @@
 	} else {
 		replica = jobstate.FromCopy(w.replica.Copy())
 	}
-	c.account = jobstate.NewTeam(team, 8, 8, 0, 0, replica, r.Term, discardLog)
+	eightCPUs := jobstate.Resources{CPUs: 8}
+	limits := jobstate.Limits{Guaranteed: eightCPUs, Max: eightCPUs}
+	c.account = jobstate.NewTeam(team, limits, replica, r.Term, discardLog)
 	if c.active {
 		c.account.AddJob(spec(), 1, w.now, nil)
 	}
--- a/internal/leasegrant/model_explore_test.go
+++ b/internal/leasegrant/model_explore_test.go
@@ -78,7 +78,7 @@
 	{"machine hangs", func(w *world) bool { return true }, func(w *world) { w.machines[0].hung = true }},
 	{"machine unreachable", func(w *world) bool { return true }, func(w *world) { w.machines[0].unreachable = true }},
 	{"b moves the task", func(w *world) bool { return w.controllers[1].account != nil }, func(w *world) {
-		w.controllers[1].account.AssignmentsOn(machineName(0), func(h jobstate.Assignment) { w.controllers[1].account.Migrate(h, 0, w.now) })
+		w.controllers[1].account.Assignments().On(machineName(0), func(h jobstate.Assignment) { w.controllers[1].account.Migrate(h, 0, w.now) })
 	}},
 	{"next start is late", func(w *world) bool { return len(w.machines[0].tasks) == 0 }, func(w *world) { w.nextStartLate = true }},
 	{"late start arrives", func(w *world) bool { return len(w.heldUp) > 0 && w.heldUp[0].late }, func(w *world) {
--- a/internal/leasegrant/model_owner_test.go
+++ b/internal/leasegrant/model_owner_test.go
@@ -27,7 +27,7 @@
 		return
 	}
 	if j := c.account.Job(jobUID); j != nil {
-		c.account.Pending(j, w.now, func(index int) bool {
+		j.Pending(w.now, func(index int) bool {
 			for k, v := range c.statuses {
 				if v != nil && v.FencingToken >= c.record.Term && !j.Avoids(machineName(k), w.now) && !w.machines[k].hung {
 					return c.account.Place(j, index, jobstate.Location{Machine: machineName(k), Incarnation: v.Incarnation})
--- a/internal/scheduler/fixture_test.go
+++ b/internal/scheduler/fixture_test.go
@@ -49,7 +49,8 @@
 		FetchGBPerSecond: 0.25, Zones: c.settings.Zones}})
 	for i := range teams {
 		name, log := fmt.Sprintf("team-%d", i), func(string, ...any) {}
-		c.teams = append(c.teams, jobstate.NewTeam(name, 3500, 10000, 0, 0, jobstate.NewReplica(), 1, log))
+		limits := jobstate.Limits{Guaranteed: jobstate.Resources{CPUs: 3500}, Max: jobstate.Resources{CPUs: 10000}}
+		c.teams = append(c.teams, jobstate.NewTeam(name, limits, jobstate.NewReplica(), 1, log))
 	}
 	for i := range machines {
 		c.machines = append(c.machines, fmt.Sprintf("n-%06d", i))
@@ -72,7 +73,7 @@
 	j.Objectives = ServiceLevels(c.settings.Objectives).CompletionTimes(j.Spec, j.SubmittedAt)
 	c.jobs[spec.UID] = j
 	c.teams[team].AddJob(j.Spec, 1, j.SubmittedAt, nil)
-	c.teams[team].SetObjectives(spec.UID, j.Objectives)
+	c.teams[team].Job(spec.UID).SetObjectives(j.Objectives)
 }
 
 // pass runs a scheduling pass.
@@ -85,7 +86,7 @@
 	for range 2 * seconds {
 		c.now = c.now.Add(500 * time.Millisecond)
 		for _, team := range c.teams {
-			team.UpdateGangReservation(c.now)
+			team.Quota().UpdateGangReservation(c.now)
 		}
 		for _, e := range c.pass().Evictions {
 			victims[e.Victim] = e.For
@@ -114,14 +115,14 @@
 
 func (c *cluster) AssignmentsOn(machine string, f func(jobstate.Assignment)) {
 	for _, team := range c.teams {
-		team.AssignmentsOn(machine, f)
+		team.Assignments().On(machine, f)
 	}
 }
 
 func (c *cluster) TakeChangedMachines() iter.Seq[string] {
 	changed := map[string]bool{}
 	for _, team := range c.teams {
-		maps.Copy(changed, team.TakeChangedMachines())
+		maps.Copy(changed, team.Assignments().TakeChangedMachines())
 	}
 	return maps.Keys(changed)
 }
--- a/internal/scheduler/gangpreemption.go
+++ b/internal/scheduler/gangpreemption.go
@@ -14,7 +14,7 @@
 // time. A gang beyond its team's guarantee stops tasks of its own team only.
 func (p *pass) preemptForGangs() {
 	for _, team := range p.teams {
-		if !team.ReservesCapacity() || !team.ReservesQuota() {
+		if !team.Quota().ReservesCapacityForGangs() || !team.Quota().ReservesForGangs() {
 			continue
 		}
 		w := p.firstGang(team)
@@ -35,7 +35,7 @@
 	}
 	var first *waitingTasks
 	team.Jobs(func(job *jobstate.Job) {
-		if first != nil || job.Spec.Kind != protocol.Gang || !team.HasWaitingTasks(job, p.now) {
+		if first != nil || job.Spec.Kind != protocol.Gang || !job.HasWaitingTasks(p.now) {
 			return
 		}
 		if j, known := p.snapshot.Job(job.Spec.UID); known && j.Active && !p.missedObjectives(job.Spec.UID) {
@@ -63,12 +63,12 @@
 	}
 	ownOnly := w.borrowed || w.count < len(missing)
 	search := p.searchGangRoom(w, ownOnly)
-	cpus, gpus := w.team.QuotaLeft()
+	left := w.team.Quota().Left()
 	stops, ok := gangpreemption.Plan(gangpreemption.Gang{
 		Tasks:   len(missing),
 		Each:    sizeOf(w.spec),
 		OneZone: w.spec.OneZone,
-		Quota:   gangpreemption.Amount{CPUs: cpus, GPUs: gpus},
+		Quota:   gangpreemption.Amount{CPUs: left.CPUs, GPUs: left.GPUs},
 	}, search.machines)
 	if !ok {
 		return
--- a/internal/scheduler/pass.go
+++ b/internal/scheduler/pass.go
@@ -130,8 +130,8 @@
 // placeEach places tasks that run independently of each other.
 func (p *pass) placeEach(w *waitingTasks, ask *placement.Ask) {
 	zones := p.scheduler.zoneRule(w)
-	w.team.Pending(w.job, p.now, func(index int) bool {
-		if w.count == 0 || !w.team.Fits(w.job, 1) || w.surplus && !w.team.FitsSurplus(w.job) {
+	w.job.Pending(p.now, func(index int) bool {
+		if w.count == 0 || !w.team.Quota().Fits(w.job, 1) || w.surplus && !w.team.Quota().FitsSurplus(w.job) {
 			return false
 		}
 		h := p.choose(ask, func(h *placement.Host) bool { return w.job.Avoids(h.Name, p.now) || !zones.allows(h) })
--- a/internal/scheduler/pass_test.go
+++ b/internal/scheduler/pass_test.go
@@ -47,7 +47,7 @@
 	submittedAt := c.now
 	placeAt := func(after time.Duration) int {
 		c.now = submittedAt.Add(after)
-		gangs.UpdateGangReservation(c.now)
+		gangs.Quota().UpdateGangReservation(c.now)
 		c.pass()
 		return len(arrays.Replica().Assignments)
 	}
@@ -98,7 +98,7 @@
 			}
 			submit("job-000003", "large", 1, 4, 0, zone)
 			c.pass()
-			if placed := 1 - team.Unstarted(team.Job("job-000002")); placed != x.wantPlaced {
+			if placed := 1 - team.Job("job-000002").Unstarted(); placed != x.wantPlaced {
 				t.Errorf("%d tasks placed, want %d", placed, x.wantPlaced)
 			}
 		})
@@ -119,7 +119,7 @@
 		t.Run(x.name, func(t *testing.T) {
 			c := newCluster(t, 1, 1) // of 32 CPUs
 			team := c.teams[0]
-			team.SetLimits(0, x.limit, 0, math.Inf(1))
+			team.Quota().SetLimits(jobstate.Limits{Max: jobstate.Resources{CPUs: x.limit, GPUs: math.Inf(1)}})
 			deadline := 500.0
 			submit := func(uid, class string, tasks int, cpus float64, deadline *float64) {
 				c.submit(0, 0, protocol.Submission{UID: uid, Class: class, Kind: protocol.JobArray, Priority: "standard",
@@ -129,13 +129,13 @@
 			c.pass()
 			submit("job-000002", "large", 100, 4, &deadline)
 			submit("job-000003", "small", 1, 2, nil)
-			for _, d := range team.Demands(c.now) {
+			for _, d := range team.Quota().Demands(c.now) {
 				if d.Spec.Class == "small" && d.Count > 0 {
 					t.Fatal("the small job is asked for anyway")
 				}
 			}
 			c.pass()
-			if placed := 1 - team.Unstarted(team.Job("job-000003")); placed != x.want {
+			if placed := 1 - team.Job("job-000003").Unstarted(); placed != x.want {
 				t.Errorf("%d small tasks placed, want %d", placed, x.want)
 			}
 		})
--- a/internal/scheduler/preemption_test.go
+++ b/internal/scheduler/preemption_test.go
@@ -12,7 +12,10 @@
 func TestGuaranteeBeatsIdleTimeWork(t *testing.T) {
 	for _, borrowed := range []bool{false, true} {
 		c := newCluster(t, 8, 2)
-		c.teams[1].GuaranteedCPUs = 0
+		quota := c.teams[1].Quota()
+		limits := quota.Limits()
+		limits.Guaranteed.CPUs = 0
+		quota.SetLimits(limits)
 		submit := func(team int, uid, priority string, tasks int, cpus, estimate float64) {
 			c.submit(team, 0, protocol.Submission{UID: uid, Kind: protocol.JobArray, Priority: priority, Tasks: tasks, CPUs: cpus,
 				MemoryGB: 1, EstimateSeconds: estimate, Spot: true})
@@ -21,7 +24,7 @@
 		if victims := c.run(12); len(victims) > 0 {
 			t.Fatalf("%d tasks asked to make room while nothing waits", len(victims))
 		}
-		if held, _ := c.teams[1].CountAttempts(); held != 64 {
+		if held, _ := c.teams[1].Assignments().Count(); held != 64 {
 			t.Fatalf("%d of 64 idle-time tasks run", held)
 		}
 		team := 0
@@ -46,7 +49,11 @@
 		stops    int
 	}{{"high", 1000, 40}, {"low", 1000, 0}, {"high", 100, 0}} {
 		c := newCluster(t, 8, 2) // two of them ordinary, of 32 CPUs and in one zone
-		c.teams[0].GuaranteedCPUs, c.teams[0].MaxCPUs = 0, 44
+		quota := c.teams[0].Quota()
+		limits := quota.Limits()
+		limits.Guaranteed.CPUs = 0
+		limits.Max.CPUs = 44
+		quota.SetLimits(limits)
 		submit := func(team int, uid, priority string, kind protocol.JobKind, tasks int, cpus float64) {
 			c.submit(team, 0, protocol.Submission{UID: uid, Kind: kind, Priority: priority, Tasks: tasks, CPUs: cpus, MemoryGB: 1,
 				Image: "img", EstimateSeconds: 600, OneZone: kind == protocol.Gang, DeadlineSeconds: &x.deadline})
--- a/internal/scheduler/queue.go
+++ b/internal/scheduler/queue.go
@@ -44,7 +44,7 @@
 
 // enqueueDemands adds what an own team asks for within its quota.
 func (p *pass) enqueueDemands(team Team) {
-	demands := team.Demands(p.now)
+	demands := team.Quota().Demands(p.now)
 	prioritized := team.PrioritizedTasks(demands, p.now)
 	for i := range demands {
 		d := &demands[i]
@@ -55,7 +55,7 @@
 
 // enqueueSurplus adds what an own team could place where its demands find no room.
 func (p *pass) enqueueSurplus(team Team) {
-	for _, d := range team.SurplusDemands(p.now) {
+	for _, d := range team.Quota().SurplusDemands(p.now) {
 		w := waitingTasks{team: team, job: team.Job(d.Spec.UID), surplus: true}
 		p.enqueue(&w, &Demand{Job: d.Spec.UID, Count: d.Count, Borrowed: true})
 	}
--- a/internal/scheduler/reservations.go
+++ b/internal/scheduler/reservations.go
@@ -15,7 +15,7 @@
 // wait until the array is over. Nothing is reserved for gangs that made no use of it for some time.
 func (p *pass) reserveForGangs() {
 	for _, w := range p.gangs {
-		if w.team.ReservesCapacity() {
+		if w.team.Quota().ReservesCapacityForGangs() {
 			p.reserveForGang(w)
 		}
 	}
@@ -36,7 +36,7 @@
 func (p *pass) reserveForGang(w *waitingTasks) {
 	r := &gangReservation{pass: p, gang: w, ask: p.scheduler.ask(w.spec), zones: p.scheduler.zoneRule(w)}
 	missing, _ := w.team.MissingGangTasks(w.job)
-	if p.reserveCleared(w, r.ask) > 0 || !w.team.Fits(w.job, len(missing)) {
+	if p.reserveCleared(w, r.ask) > 0 || !w.team.Quota().Fits(w.job, len(missing)) {
 		return // its room is being cleared, or it waits for its team's quota, not for room
 	}
 	best, found := r.bestZone(len(missing))
--- a/internal/scheduler/scheduler.go
+++ b/internal/scheduler/scheduler.go
@@ -91,28 +91,19 @@
 	Plan() *admission.Plan
 }
 
-// Account is a team's quota and attempts, in which placements are made. *jobstate.Team is one.
+// Account is a team's quota and assignments, in which placements are made. *jobstate.Team is one.
 type Account interface {
+	Quota() *jobstate.Quota
 	Job(uid string) *jobstate.Job
 	Jobs(f func(*jobstate.Job))
-	HasWaitingTasks(job *jobstate.Job, now time.Time) bool
-	Pending(job *jobstate.Job, now time.Time, f func(index int) bool)
-	Fits(job *jobstate.Job, tasks int) bool
-	FitsSurplus(job *jobstate.Job) bool
 	Place(job *jobstate.Job, index int, at jobstate.Location) bool
 	MissingGangTasks(job *jobstate.Job) (missing []int, attempt uint64)
 	PlaceGang(job *jobstate.Job, attempt uint64, at map[int]jobstate.Location) bool
-	TasksByZone(job *jobstate.Job) map[string]int
-	ReservesCapacity() bool
-	ReservesQuota() bool
-	QuotaLeft() (cpus, gpus float64)
 }
 
 // Team is an own team: its account and what waits in it.
 type Team interface {
 	Account
-	Demands(now time.Time) []jobstate.Demand
-	SurplusDemands(now time.Time) []jobstate.Demand
 	// PrioritizedTasks gives for each demand how many of its tasks go ahead of more urgent work.
 	PrioritizedTasks(demands []jobstate.Demand, now time.Time) []int
 }
--- a/internal/scheduler/zones.go
+++ b/internal/scheduler/zones.go
@@ -38,7 +38,7 @@
 	if spec.Spread {
 		rule.mostInOne = (spec.Tasks + 1) / 2
 	}
-	for zone, count := range w.team.TasksByZone(w.job) {
+	for zone, count := range w.job.TasksByZone() {
 		rule.tasks[s.zoneIndex(zone)] += count
 	}
 	return rule
--- a/internal/shards/pages.go
+++ b/internal/shards/pages.go
@@ -88,7 +88,7 @@
 func (p *Pages) Saved(page jobstate.Page, version uint64) {
 	p.set.Written(page.Number, version)
 	for uid, done := range page.Done {
-		p.team.RecordSaved(uid, done)
+		p.team.Job(uid).RecordSaved(done)
 	}
 }
 
--- a/internal/shards/replication_test.go
+++ b/internal/shards/replication_test.go
@@ -18,7 +18,8 @@
 
 // testTeam is a team without jobs, with a replica to begin with.
 func testTeam(replica *jobstate.Replica) *jobstate.Team {
-	return jobstate.NewTeam(testShard, 10, 10, 0, 0, replica, 5, func(string, ...any) {})
+	tenCPUs := jobstate.Resources{CPUs: 10}
+	return jobstate.NewTeam(testShard, jobstate.Limits{Guaranteed: tenCPUs, Max: tenCPUs}, replica, 5, func(string, ...any) {})
 }
 
 // testSpec is an array of so many tasks.
