--- a/internal/artifactstore/artifactstore.go
+++ b/internal/artifactstore/artifactstore.go
@@ -1,7 +1,6 @@
 package artifactstore
 
 import (
-	"cmp"
 	"context"
 	"encoding/json"
 	"fmt"
@@ -138,62 +137,58 @@
 // Open opens a store's directory. What a process that ended had begun to seal is
 // seen through.
 func Open(opt Options) (*Store, error) {
-	if len(opt.Key) < 16 {
+	if len(opt.Key) < minKeyBytes {
 		return nil, fmt.Errorf("%w: a key of %d bytes, 16 are needed", ErrTooMuch, len(opt.Key))
 	}
-	def := func(v *int, d int) {
-		if *v <= 0 {
-			*v = d
-		}
-	}
-	def(&opt.Streams, 16)
-	def(&opt.Files, 10_000)
-	def(&opt.Record, 64<<10)
-	def(&opt.Open, 100_000)
-	if opt.StreamMax <= 0 {
-		opt.StreamMax = 1 << 30
-	}
-	if opt.Now == nil {
-		opt.Now = time.Now
+	opt.setDefaults()
+	k := &Store{
+		opt:       opt,
+		open:      map[Attempt]*attempt{},
+		votes:     map[Attempt]*Vote{},
+		latest:    map[string]uint64{},
+		unsettled: map[Attempt]bool{},
+		gates:     map[Attempt]*gate{},
 	}
-	if opt.Step == nil {
-		opt.Step = func(string) {}
-	}
-	k := &Store{opt: opt, open: map[Attempt]*attempt{}, votes: map[Attempt]*Vote{}, latest: map[string]uint64{}, unsettled: map[Attempt]bool{}, gates: map[Attempt]*gate{}}
 	k.changed.L = &k.mu
-	// An open attempt's beginning may have been written again behind entries that
-	// belong to it.
-	early := map[Attempt][]func(){}
-	log, err := wal.Open(opt.Dir, wal.Options{Step: opt.Step, SegmentBytes: opt.Segment}, wal.Pos{}, func(at wal.Pos, b []byte) error {
-		var e entry
-		if err := json.Unmarshal(b, &e); err != nil {
-			return fmt.Errorf("keeper: entry at %v: %w", at, err)
-		}
-		switch {
-		case e.Kind == kindClosed:
-			delete(early, e.Attempt)
-		case (e.Kind == kindAppend || e.Kind == kindFile) && k.open[e.Attempt] == nil:
-			early[e.Attempt] = append(early[e.Attempt], func() { k.apply(&e, at) })
-			return nil
-		}
-		k.apply(&e, at)
-		for _, late := range early[e.Attempt] {
-			late()
-		}
-		delete(early, e.Attempt)
-		return nil
-	})
-	if err != nil {
+	if err := k.replay(); err != nil {
 		return nil, err
 	}
-	k.log = log
 	if err := k.tidy(context.Background()); err != nil {
-		log.Close()
+		k.log.Close()
 		return nil, err
 	}
 	return k, nil
 }
 
+// minKeyBytes is the shortest key that tokens may be made with.
+const minKeyBytes = 16
+
+// setDefaults replaces what is not given.
+func (o *Options) setDefaults() {
+	for _, bound := range []struct {
+		value     *int
+		unlessSet int
+	}{
+		{&o.Streams, 16},
+		{&o.Files, 10_000},
+		{&o.Record, 64 << 10},
+		{&o.Open, 100_000},
+	} {
+		if *bound.value <= 0 {
+			*bound.value = bound.unlessSet
+		}
+	}
+	if o.StreamMax <= 0 {
+		o.StreamMax = 1 << 30
+	}
+	if o.Now == nil {
+		o.Now = time.Now
+	}
+	if o.Step == nil {
+		o.Step = func(string) {}
+	}
+}
+
 // tidy sees through what a process that ended had begun.
 func (k *Store) tidy(ctx context.Context) error {
 	for at := range k.votes {
@@ -232,61 +227,6 @@
 	return k.log.Close()
 }
 
-// apply carries an entry over to what is known. k.mu is held, or the store is
-// being opened.
-func (k *Store) apply(e *entry, at wal.Pos) {
-	a := k.open[e.Attempt]
-	switch e.Kind {
-	case kindBegin:
-		if a == nil && e.Claim != nil {
-			k.open[e.Attempt] = &attempt{claim: *e.Claim, touched: k.opt.Now(), streams: map[string]*stream{}, files: map[string]blob.Digest{}}
-			k.latest[e.Attempt.task()] = max(k.latest[e.Attempt.task()], e.Attempt.Number)
-		}
-	case kindAppend:
-		if a == nil {
-			return
-		}
-		s := a.streams[e.Stream]
-		if s == nil {
-			s = &stream{}
-			a.streams[e.Stream] = s
-		}
-		// An entry may have been written again further on in the log, behind later ones.
-		i, again := slices.BinarySearchFunc(s.pieces, e.First, func(p piece, first uint64) int { return cmp.Compare(p.first, first) })
-		if again {
-			s.pieces[i].at = at
-			return
-		}
-		s.pieces = slices.Insert(s.pieces, i, piece{e.First, uint64(len(e.Records)), at})
-		s.next = max(s.next, e.First+uint64(len(e.Records)))
-		for _, r := range e.Records {
-			s.bytes += int64(len(r.Data))
-			if r.Hole != nil {
-				s.lost += r.Hole.Bytes
-			}
-		}
-	case kindFile:
-		if d, err := blob.Parse(e.Digest); a != nil && err == nil {
-			a.files[e.Path] = d
-		}
-	case kindVote:
-		if e.Vote != nil {
-			k.votes[e.Attempt] = k.votes[e.Attempt].add(e.Vote)
-		}
-	case kindClosed:
-		if a != nil {
-			k.opt.Blobs.Release(a.claim.Tenant, a.held)
-		}
-		delete(k.open, e.Attempt)
-		delete(k.votes, e.Attempt)
-		if e.Settle {
-			k.unsettled[e.Attempt] = true
-		}
-	case kindSettle:
-		delete(k.unsettled, e.Attempt)
-	}
-}
-
 // write makes an entry durable and carries it over.
 func (k *Store) write(ctx context.Context, e *entry) error {
 	at, err := k.log.Append(context.WithoutCancel(ctx), protocol.Encode(e))
@@ -397,12 +337,9 @@
 		return next, nil
 	}
 	records = records[next-first:]
-	more := int64(0)
-	for _, r := range records {
-		more += int64(len(r.Data))
-		if len(r.Data) > k.opt.Record || (r.Hole != nil && (r.Hole.Bytes < 0 || len(r.Data) > 0)) {
-			return next, fmt.Errorf("%w: a record of %d bytes", ErrTooMuch, len(r.Data))
-		}
+	more, err := k.sizeOf(records)
+	if err != nil {
+		return next, err
 	}
 	if size+more > k.opt.StreamMax {
 		return next, fmt.Errorf("%w: stream %s of %d bytes", ErrTooMuch, name, size+more)
@@ -410,7 +347,8 @@
 	if err := k.opt.Blobs.Hold(c.Tenant, more); err != nil {
 		return next, err
 	}
-	if err := k.write(ctx, &entry{Kind: kindAppend, Attempt: c.Attempt, Stream: name, First: next, Records: records}); err != nil {
+	added := &entry{Kind: kindAppend, Attempt: c.Attempt, Stream: name, First: next, Records: records}
+	if err := k.write(ctx, added); err != nil {
 		k.opt.Blobs.Release(c.Tenant, more)
 		return next, err
 	}
@@ -418,6 +356,17 @@
 	return next + uint64(len(records)), nil
 }
 
+// sizeOf is how many bytes records have; ErrTooMuch says that one is too long or malformed.
+func (k *Store) sizeOf(records []Record) (size int64, err error) {
+	for _, r := range records {
+		size += int64(len(r.Data))
+		if len(r.Data) > k.opt.Record || (r.Hole != nil && (r.Hole.Bytes < 0 || len(r.Data) > 0)) {
+			return 0, fmt.Errorf("%w: a record of %d bytes", ErrTooMuch, len(r.Data))
+		}
+	}
+	return size, nil
+}
+
 // Attach adds a file, whose content the store of blobs has from the same tenant. A
 // path that was attached before gets the new content.
 func (k *Store) Attach(ctx context.Context, c Claim, path string, d blob.Digest) error {
