--- a/internal/jobstate/gangreservation_test.go
+++ b/internal/jobstate/gangreservation_test.go
@@ -27,8 +27,8 @@
 	return counts
 }
 
-// TestUnusedHoldbackIsReleased: quota was held back without end for a gang that found no machines, and for the floor of
-// its class, so that arrays waited for minutes beside idle machines. Once it has made no use of it for a while all of the
+// TestUnusedHoldbackIsReleased: quota was reserved without end for a gang that found no machines, and for the
+// floor of its class, so that arrays waited for minutes beside idle machines. Once it has made no use of it for a while all of the
 // quota is for everybody; the gang is asked for all the same. Later it gets another try.
 func TestUnusedGangReservationIsReleased(t *testing.T) {
 	now := time.Unix(1000, 0)
@@ -50,8 +50,8 @@
 	}
 }
 
-// TestGangBeyondQuotaHoldsBackForAWhile: what is left of the quota was held back without end for a gang that takes more, but for
-// what is too little for one of its tasks; smaller tasks took that, and so each piece that came free.
+// TestGangBeyondQuotaHoldsBackForAWhile: what is left of the quota was reserved without end for a gang that takes more, but
+// for what is too little for one of its tasks; smaller tasks took that, and so each piece that came free.
 func TestGangBeyondQuotaReservesForAWhile(t *testing.T) {
 	now := time.Unix(1000, 0)
 	team, _, array := crowdedTeam(now)
@@ -71,7 +71,7 @@
 	}
 }
 
-// TestHoldbackOfUse: as long as gangs start one after another the room that comes free is held back for the next. The quota
+// TestHoldbackOfUse: as long as gangs start one after another the capacity that comes free is reserved for the next. The quota
 // is released in turn all the same: what the next gang had too little of stood empty for minutes.
 func TestGangReservationInUse(t *testing.T) {
 	now := time.Unix(1000, 0)
@@ -86,16 +86,16 @@
 	team.AddJob(&next, 1, now, nil)
 	team.Quota().UpdateGangReservation(now)
 	if got := asked(team, now); !team.Quota().ReservesCapacityForGangs() || got[next.UID] != 2 || got[array.UID] != 0 {
-		t.Fatalf("room held back: %v, and %v tasks are asked for; want what is left for the next gang", team.Quota().ReservesCapacityForGangs(), got)
+		t.Fatalf("capacity reserved: %v, and %v tasks are asked for; want what is left for the next gang", team.Quota().ReservesCapacityForGangs(), got)
 	}
 	now = now.Add(time.Second)
 	team.Quota().UpdateGangReservation(now)
 	if got := asked(team, now); !team.Quota().ReservesCapacityForGangs() || got[array.UID] != 4 {
-		t.Fatalf("room held back: %v, and %v tasks are asked for; want what is left for the array", team.Quota().ReservesCapacityForGangs(), got)
+		t.Fatalf("capacity reserved: %v, and %v tasks are asked for; want what is left for the array", team.Quota().ReservesCapacityForGangs(), got)
 	}
 	now = now.Add(capacityCycle.reserve)
 	team.Quota().UpdateGangReservation(now)
 	if team.Quota().ReservesCapacityForGangs() {
-		t.Fatal("room is held back though no other gang started")
+		t.Fatal("capacity is reserved though no other gang started")
 	}
 }
--- a/internal/jobstate/jobstate_test.go
+++ b/internal/jobstate/jobstate_test.go
@@ -14,7 +14,7 @@
 	"topazhollow/internal/protocol"
 )
 
-// plainWorker is a plain model of a machine's worker by the protocol.
+// plainWorker is a plain model of a machine's agent by the protocol.
 type plainWorker struct {
 	name    string
 	session uint64
@@ -22,7 +22,7 @@
 	token   uint64
 	tasks   map[TaskID]TaskStatus
 	dead    bool
-	hung    bool // executes nothing and says nothing until it goes on
+	hung    bool // executes nothing and sends nothing until it resumes
 }
 
 // plainCapacity is what each machine of the model has, in CPUs.
@@ -59,12 +59,12 @@
 	specs    map[string]*protocol.Submission
 	active   map[string]bool
 	done     map[TaskID]bool
-	careless bool                      // a broken owner that believes silence
+	careless bool                      // a broken owner that takes a silent machine for gone
 	memory   map[string]recollection   // what is known of a job that is over; zero: all
-	last     map[string]*MachineStatus // the newest view of each machine, as the owner has it
-	late     []*MachineStatus          // copies of reports that are still on their way
-	await    map[string]bool           // machines that a take-over without memory waits for; nil: none
-	since    uint64                    // the term of that take-over
+	last     map[string]*MachineStatus // the newest status of each machine, as the owner has it
+	late     []*MachineStatus          // copies of heartbeats that are still in flight
+	await    map[string]bool           // machines that a failover without memory waits for; nil: none
+	since    uint64                    // the term of that failover
 	met      map[string]bool           // what really happened in this run
 }
 
@@ -195,7 +195,7 @@
 		}
 	case 6, 7, 8, 9, 10: // a message arrives, in any order
 		return m.arrive()
-	case 11, 12, 13: // a report
+	case 11, 12, 13: // a heartbeat
 		if !w.dead && !w.hung {
 			m.report(w)
 		}
@@ -203,7 +203,7 @@
 		if m.rng.IntN(3) == 0 {
 			m.complete(w)
 		}
-	case 15: // the worker's lease runs out
+	case 15: // the agent's lease expires
 		if m.rng.IntN(8) == 0 {
 			w.session++
 			w.tasks, w.hung = map[TaskID]TaskStatus{}, false
@@ -216,7 +216,7 @@
 		} else if m.careless {
 			m.team.MachineReturned(w.name) // believes that a silent machine is gone
 		}
-	case 17: // the owner crashes; the backup takes over under a raised term, or nobody remembers anything
+	case 17: // the owner crashes; the replica takes over under a raised term, or nobody remembers anything
 		if m.rng.IntN(4) == 0 && (m.await == nil || m.rng.IntN(6) == 0) {
 			m.sync()
 			m.term++
@@ -224,7 +224,7 @@
 		}
 	case 18: // a machine hangs, or goes on
 		w.hung = !w.hung && m.rng.IntN(2) == 0
-	case 19, 20: // a user withdraws a job
+	case 19, 20: // a user cancels a job
 		m.withdraw()
 	case 21: // what is known of a job that is over grows
 		if m.rng.IntN(2) == 0 {
@@ -232,7 +232,7 @@
 		}
 	case 22: // another team's task comes or goes
 		m.foreign(w)
-	case 23: // a copy of an old report arrives
+	case 23: // a copy of an old heartbeat arrives
 		m.copyArrives()
 	}
 	return ""
@@ -283,17 +283,17 @@
 	return m.deliver(x)
 }
 
-// report has a worker's report arrive now; a copy of it may arrive once more, any time later.
+// report has an agent's heartbeat arrive now; a copy of it may arrive once more, any time later.
 func (m *model) report(w *plainWorker) {
 	v := m.view(w)
 	if m.rng.IntN(4) == 0 {
 		m.late = append(m.late, v)
 	}
-	w.token = max(w.token, m.term) // the answer brings the term, after the report
+	w.token = max(w.token, m.term) // the answer brings the term, after the heartbeat
 	m.see(w, v)
 }
 
-// see has the owner take in a view if it is newer than the one it has, as a controller does.
+// see has the owner take in a status if it is newer than the one it has, as a controller does.
 func (m *model) see(w *plainWorker, v *MachineStatus) {
 	if last := m.last[v.Machine]; last != nil && !v.Newer(last) {
 		return
@@ -314,7 +314,7 @@
 	m.send(w, orders)
 }
 
-// passBarrier ends a take-over without memory once each machine was heard under its term.
+// passBarrier ends a failover without memory once each machine has reported under its term.
 func (m *model) passBarrier() {
 	for name := range m.await {
 		if v := m.last[name]; v != nil && v.FencingToken >= m.since {
@@ -358,7 +358,7 @@
 	m.passBarrier()
 }
 
-// withdraw ends a job and has another one submitted, so that the team's limit is always asked for.
+// withdraw cancels a job and has another one submitted, so that the team's limit is always asked for.
 func (m *model) withdraw() {
 	if m.rng.IntN(3) > 0 {
 		return
@@ -418,7 +418,7 @@
 	}
 }
 
-// copyArrives delivers a copy of an earlier report at a home that may have no memory of newer ones.
+// copyArrives delivers a copy of an earlier heartbeat at a home that may have no memory of newer ones.
 func (m *model) copyArrives() {
 	if len(m.late) == 0 {
 		return
@@ -472,8 +472,8 @@
 	return ""
 }
 
-// takeOver begins a new owner's account: of what the backup has, or without memory, when all controllers ended. Then
-// the ends of jobs are known to nobody until they are looked up, and every machine has to be heard first.
+// takeOver begins a new owner's account: of what the replica has, or without memory, when all controllers ended. Then
+// the ends of jobs are known to nobody until they are looked up, and every machine has to report first.
 func (m *model) takeOver(blind bool) {
 	if blind {
 		m.met["a take-over without memory"] = true
@@ -515,9 +515,9 @@
 	return m
 }
 
-// TestOwnerModel runs an owner's account against plain workers with messages in
-// any order, leases that run out, machines that hang or die, jobs that are withdrawn, old reports, and take-overs by an in-sync
-// backup or without memory, when nobody knows the jobs that are over. At every start no task may be on two machines and the quota must hold;
+// TestOwnerModel runs an owner's account against plain agents with messages in
+// any order, leases that run out, machines that hang or die, jobs that are cancelled, old heartbeats, and failovers to an in-sync
+// replica or without memory, when nobody knows the jobs that are over. At every start no task may be on two machines and the quota must hold;
 // what the account calls done must be done.
 func TestOwnerModel(t *testing.T) {
 	starts := 0
@@ -555,7 +555,7 @@
 }
 
 // TestOwnerModelCatches shows that the model fails an owner that takes a silent
-// machine's tasks for gone: the rule that only proof ends a hold matters.
+// machine's tasks for gone: the rule that only proof releases an assignment matters.
 func TestOwnerModelCatches(t *testing.T) {
 	for seed := range uint64(400) {
 		m := newModel(t, seed)
@@ -585,7 +585,7 @@
 	}
 }
 
-// TestForgetWaitsForBitmap: a worker keeps a result until the state service
+// TestForgetWaitsForBitmap: an agent keeps a result until the state service
 // knows it; before, a crash of all controllers would run the task again.
 func TestForgetWaitsForBitmap(t *testing.T) {
 	m := newModel(t, 1)
--- a/internal/jobstate/limits.go
+++ b/internal/jobstate/limits.go
@@ -25,7 +25,8 @@
 }
 
 // StopExcess stops attempts beyond the limits, least urgent jobs and last tasks first: those that have not got onto
-// their machines, and only if running is true others too, with the grace for a checkpoint. A gang is stopped as a whole.
+// their machines, and only if running is true others too, with the grace for a checkpoint. A gang is stopped as a
+// whole.
 func (t *Team) StopExcess(running bool) {
 	if !t.quota.exceeded(Resources{}) {
 		return
--- a/internal/jobstate/machinestatus.go
+++ b/internal/jobstate/machinestatus.go
@@ -2,10 +2,10 @@
 
 import "topazhollow/internal/protocol"
 
-// What machines' homes tell owners, and the orders that go back.
+// What machines' homes report to owners, and the orders that go back.
 
-// termShift parts an attempt number into the term that made it and a counter.
-// Terms stay below 2^29, so that attempts stay below 2^53.
+// termShift splits an attempt number into the term that made it and a counter. Terms stay below 2^29, so that attempts
+// stay below 2^53, which JSON numbers hold exactly.
 const termShift = 24
 
 // AttemptID is an attempt number that no other owner or term can make.
@@ -14,11 +14,10 @@
 // TermOf is the term under which an attempt's start was sent.
 func TermOf(attempt uint64) uint64 { return attempt >> termShift }
 
-// Ordered is the state of a start that a machine's home has taken and that the
-// worker has not listed yet.
+// Ordered is the state of a start that a machine's home has accepted and that the agent has not listed yet.
 const Ordered = "ordered"
 
-// TaskStatus is a task as a machine's home sees it.
+// TaskStatus is a task as a machine's home knows it.
 type TaskStatus struct {
 	TaskID
 	Attempt      uint64              `json:"a"`
@@ -37,7 +36,7 @@
 	Incarnation  uint64       `json:"s"`
 	Seq          uint64       `json:"q"`
 	Revision     uint64       `json:"v"` // the home's own count of changes
-	FencingToken uint64       `json:"t"` // highest term the worker has seen
+	FencingToken uint64       `json:"t"` // highest term the agent has seen
 	Term         uint64       `json:"h"` // the home's term
 	Notice       bool         `json:"n,omitempty"`
 	Tasks        []TaskStatus `json:"x,omitempty"`
@@ -70,7 +69,7 @@
 	GraceSeconds float64 `json:"z,omitempty"`
 }
 
-// Ref is the attempt that the hold is for.
+// Ref is the attempt of the assignment.
 func (a Assignment) Ref() AttemptRef { return AttemptRef{a.TaskID, a.Attempt} }
 
 // Ref is the attempt that the task is listed with.
--- a/internal/jobstate/orders.go
+++ b/internal/jobstate/orders.go
@@ -16,7 +16,9 @@
 // TakeDueOrders gives the starts and stops to send now, by machine, and counts them as sent. acked is the sequence
 // number that every replica in sync acknowledged; ready reports whether a machine's home and registration allow a start
 // under the term. Only attempts made in this term are started: older ones wait until they are listed or proven off.
-func (t *Team) TakeDueOrders(acked uint64, now time.Time, ready func(machine string, incarnation uint64) bool) map[string][]Order {
+func (t *Team) TakeDueOrders(
+	acked uint64, now time.Time, ready func(machine string, incarnation uint64) bool,
+) map[string][]Order {
 	due := map[string][]Order{}
 	t.stopIncompleteGangs()
 	for a := range t.assignments.openOrders {
--- a/internal/jobstate/orphan.go
+++ b/internal/jobstate/orphan.go
@@ -5,10 +5,10 @@
 )
 
 // An orphaned task is on a machine though this account did not place it and its job does not call for it: its job
-// has ended, or nobody here can describe the job any more, as after all controllers ended. Until it is proven to be off
-// its machine it uses the quota of its team. One rule covers all such tasks: what a machine lists and has not proven off
-// counts against the limit of every team that it may belong to, by its size where that is known, and else by the most
-// that it can take of its machine.
+// has ended, or nobody here can describe the job any more, as after all controllers ended. Until it is proven to be
+// off its machine it uses the quota of its team. One rule covers all such tasks: what a machine lists and has not
+// proven off counts against the limit of every team that it may belong to, by its size where that is known, and else
+// by the most that it can take of its machine.
 
 // JobInfo is what an owner's controller knows of a job that a machine lists.
 type JobInfo struct {
--- a/internal/jobstate/orphan_test.go
+++ b/internal/jobstate/orphan_test.go
@@ -6,7 +6,7 @@
 	"topazhollow/internal/protocol"
 )
 
-// orphans is a machine's view with tasks of a job, by attempt number.
+// orphans is a machine's status with tasks of a job, by attempt number.
 func orphans(job string, seq uint64, attempts ...uint64) *MachineStatus {
 	v := &MachineStatus{Machine: "m0", Incarnation: 1, Seq: seq, FencingToken: 2, Term: 2}
 	for i, attempt := range attempts {
@@ -32,7 +32,7 @@
 }
 
 // TestUnknownTasksCountByTheirMachine: tasks of a job that nobody can describe count as all that their machine has,
-// then by their size once that is found, and no longer once the machine's newer report lists them no more.
+// then by their size once that is found, and no longer once the machine's newer heartbeat lists them no more.
 func TestUnknownTasksCountByTheirMachine(t *testing.T) {
 	m := secondTerm(t)
 	m.specs["job-7"] = &protocol.Submission{UID: "job-7", Team: "team", Tasks: 2, CPUs: 1}
@@ -57,8 +57,8 @@
 	charged(t, m, 0, "listed no more")
 }
 
-// TestOlderReportReleasesNothing: an older report, at a home that knows no newer one, proves nothing about tasks that
-// a newer one listed.
+// TestOlderReportReleasesNothing: an older heartbeat, at a home that knows no newer one, proves nothing about
+// tasks that a newer one listed.
 func TestOlderHeartbeatReleasesNothing(t *testing.T) {
 	m := secondTerm(t)
 	m.specs["job-7"] = &protocol.Submission{UID: "job-7", Team: "team", Tasks: 1, CPUs: 1}
--- a/internal/jobstate/quota_test.go
+++ b/internal/jobstate/quota_test.go
@@ -29,7 +29,7 @@
 	}
 }
 
-// endOne has the worker end the lowest running task of a job.
+// endOne has the agent end the lowest running task of a job.
 func endOne(team *Team, uid string) {
 	job := team.Job(uid)
 	held := job.attemptsByIndex()[0]
--- a/internal/jobstate/quotaorder.go
+++ b/internal/jobstate/quotaorder.go
@@ -10,9 +10,9 @@
 
 // Which of a team's jobs get its quota first while it does not suffice for all that wait.
 //
-// By deadline alone nearly all jobs of a team that asks for more than its limit would be late: each job that can't be in
-// time any more would go before those that can, and a job of long tasks, which is due late, would not start for minutes.
-// So jobs of which little is left to start are completed, then those go first that must start soonest to reach an
+// By deadline alone nearly all jobs of a team that asks for more than its limit would be late: each job that can't be
+// in time any more would go before those that can, and a job of long tasks, which is due late, would not start for
+// minutes. So jobs of which little is left to start are completed, then those go first that must start soonest to reach an
 // objective, and what can reach none comes after them. A started job of which much is left has no such right: it would
 // keep a small limit from all others for minutes. Gangs start whole and wait long for it; they keep their order,
 // whatever they have missed.
--- a/internal/jobstate/quotaorder_test.go
+++ b/internal/jobstate/quotaorder_test.go
@@ -23,7 +23,7 @@
 }
 
 // TestQuotaGoesToWhatCanBeInTime: of what a team asks for beyond its limit, jobs with little left come first, then those that can
-// still reach a goal, soonest start first, then what is late, then what has no goal. Priority stands above all of it.
+// still reach an objective, soonest start first, then what is late, then what has no objective. Priority stands above all of it.
 func TestQuotaGoesToAttainableObjectives(t *testing.T) {
 	now := time.Unix(1000, 0)
 	team := NewTeam("team", Limits{Max: Resources{CPUs: 5, GPUs: math.Inf(1)}}, NewReplica(), 1, func(string, ...any) {})
@@ -75,8 +75,8 @@
 	}
 }
 
-// TestLargeArraysBegin: one task of a large array that has waited long and can reach no goal goes first, also at a limit that others
-// fill; not of one that has begun, has just come, is small, or can be in time.
+// TestLargeArraysBegin: one task of a large array that has waited long and can reach no objective
+// goes first, also at a limit that others fill; not of one that has started, was just submitted, is small, or can be in time.
 func TestLargeArraysStartTheirFirstTask(t *testing.T) {
 	now := time.Unix(1000, 0)
 	for _, c := range []struct {
@@ -121,7 +121,7 @@
 	}
 }
 
-// TestGangsKeepTheirOrder: a gang that has missed its goals still goes before a later one, or it would never have enough
+// TestGangsKeepTheirOrder: a gang that has missed its objectives still goes before a later one, or it would never have enough
 // quota at once.
 func TestGangsKeepTheirOrder(t *testing.T) {
 	now := time.Unix(1000, 0)
