--- a/internal/jobstate/gang_test.go
+++ b/internal/jobstate/gang_test.go
@@ -19,7 +19,7 @@
 	return m, m.team.Job(s.UID), spots
 }
 
-func listed(m *model, j *Job, id uint64, index int, state protocol.TaskState, why protocol.ExitReason) {
+func observeGangTask(m *model, j *Job, id uint64, index int, state protocol.TaskState, why protocol.ExitReason) {
 	v := &MachineStatus{Machine: fmt.Sprintf("m%d", index), Zone: "z", Incarnation: 1, FencingToken: 1}
 	v.Tasks = []TaskStatus{{TaskID: TaskID{j.Spec.UID, index}, Attempt: id, State: state, Reason: why}}
 	m.team.Observe(v, m.now, m)
@@ -42,8 +42,8 @@
 		t.Fatal("not placed")
 	}
 	id := AttemptID(1, 1)
-	listed(m, j, id, 0, protocol.Waiting, "")
-	listed(m, j, id, 1, protocol.Exited, protocol.ReasonFull)
+	observeGangTask(m, j, id, 0, protocol.Waiting, "")
+	observeGangTask(m, j, id, 1, protocol.Exited, protocol.ReasonFull)
 	if missing, same := m.team.MissingGangTasks(j); len(missing) != 1 || missing[0] != 1 || same != id {
 		t.Fatalf("missing %v of attempt %d", missing, same)
 	}
@@ -57,9 +57,9 @@
 	m.team.PlaceGang(j, 0, spots)
 	id := AttemptID(1, 1)
 	for i := range 3 {
-		listed(m, j, id, i, protocol.Running, "")
+		observeGangTask(m, j, id, i, protocol.Running, "")
 	}
-	listed(m, j, id, 1, protocol.Exited, protocol.ReasonError)
+	observeGangTask(m, j, id, 1, protocol.Exited, protocol.ReasonError)
 	if missing, _ := m.team.MissingGangTasks(j); len(missing) != 0 {
 		t.Fatalf("would start %v beside a running gang", missing)
 	}
@@ -75,11 +75,11 @@
 	if stops != 2 {
 		t.Fatalf("%d stops for two tasks left", stops)
 	}
-	listed(m, j, id, 0, protocol.Exited, protocol.ReasonStopped)
+	observeGangTask(m, j, id, 0, protocol.Exited, protocol.ReasonStopped)
 	if missing, _ := m.team.MissingGangTasks(j); len(missing) != 0 {
 		t.Fatal("a new attempt while one old task is not off")
 	}
-	listed(m, j, id, 2, protocol.Exited, protocol.ReasonPeers)
+	observeGangTask(m, j, id, 2, protocol.Exited, protocol.ReasonPeers)
 	if missing, fresh := m.team.MissingGangTasks(j); len(missing) != 3 || fresh != 0 {
 		t.Fatalf("missing %v of attempt %d", missing, fresh)
 	}
@@ -89,7 +89,7 @@
 func TestGangDoneTogether(t *testing.T) {
 	m, j, spots := gang(t)
 	m.team.PlaceGang(j, 0, spots)
-	listed(m, j, AttemptID(1, 1), 2, protocol.Exited, protocol.ReasonDone)
+	observeGangTask(m, j, AttemptID(1, 1), 2, protocol.Exited, protocol.ReasonDone)
 	if !j.Complete() {
 		t.Fatal("one task done, the gang not")
 	}
--- a/internal/jobstate/gangreservation_test.go
+++ b/internal/jobstate/gangreservation_test.go
@@ -8,8 +8,8 @@
 	"topazhollow/internal/protocol"
 )
 
-// crowdedTeam has a quota of ten CPUs, an urgent gang that takes six and an array that takes whatever there is.
-func crowdedTeam(now time.Time) (team *Team, gang *Job, array *protocol.Submission) {
+// newTeamWithGangAndArray has a quota of ten CPUs, an urgent gang that takes six and an array that takes whatever there is.
+func newTeamWithGangAndArray(now time.Time) (team *Team, gang *Job, array *protocol.Submission) {
 	team = NewTeam("t", Limits{Max: Resources{CPUs: 10, GPUs: math.Inf(1)}}, NewReplica(), 1, func(string, ...any) {})
 	spec := &protocol.Submission{UID: "job-000001", Class: "gangs", Kind: protocol.Gang, Priority: "high", Tasks: 3, CPUs: 2, EstimateSeconds: 30}
 	array = &protocol.Submission{UID: "job-000002", Class: "arrays", Kind: protocol.JobArray, Priority: "standard", Tasks: 50, CPUs: 1, EstimateSeconds: 30}
@@ -32,7 +32,7 @@
 // quota is for everybody; the gang is asked for all the same. Later it gets another try.
 func TestUnusedGangReservationIsReleased(t *testing.T) {
 	now := time.Unix(1000, 0)
-	team, gang, array := crowdedTeam(now)
+	team, gang, array := newTeamWithGangAndArray(now)
 	team.Quota().SetFloors(map[string]float64{"gangs": 8})
 	team.Quota().UpdateGangReservation(now)
 	if got := asked(team, now); !team.Quota().ReservesForGangs() || got[gang.Spec.UID] != 3 || got[array.UID] > 4 {
@@ -54,7 +54,7 @@
 // for what is too little for one of its tasks; smaller tasks took that, and so each piece that came free.
 func TestGangBeyondQuotaReservesForAWhile(t *testing.T) {
 	now := time.Unix(1000, 0)
-	team, _, array := crowdedTeam(now)
+	team, _, array := newTeamWithGangAndArray(now)
 	for i := range 5 {
 		if !team.Place(team.Job(array.UID), i, Location{"m", "z", 1}) {
 			t.Fatal("the array does not start")
@@ -75,7 +75,7 @@
 // is released in turn all the same: what the next gang had too little of stood empty for minutes.
 func TestGangReservationInUse(t *testing.T) {
 	now := time.Unix(1000, 0)
-	team, gang, array := crowdedTeam(now)
+	team, gang, array := newTeamWithGangAndArray(now)
 	team.Quota().UpdateGangReservation(now)
 	now = now.Add(quotaCycle.reserve - time.Second)
 	if !team.PlaceGang(gang, 0, map[int]Location{0: {"m", "z", 1}, 1: {"m", "z", 1}, 2: {"m", "z", 1}}) {
--- a/internal/jobstate/limits_test.go
+++ b/internal/jobstate/limits_test.go
@@ -56,7 +56,7 @@
 func TestGangBeyondLoweredLimits(t *testing.T) {
 	m, j, spots := gang(t)
 	m.team.PlaceGang(j, 0, spots)
-	listed(m, j, AttemptID(1, 1), 0, protocol.Waiting, "")
+	observeGangTask(m, j, AttemptID(1, 1), 0, protocol.Waiting, "")
 	m.team.Quota().SetLimits(Limits{Max: Resources{CPUs: 5}})
 	m.team.StopExcess(false)
 	for k, a := range m.team.assignments.byTask {
--- a/internal/jobstate/orphan_test.go
+++ b/internal/jobstate/orphan_test.go
@@ -19,8 +19,8 @@
 func secondTerm(t *testing.T) *model {
 	m := newModel(t, 1)
 	m.term = 2
-	m.takeOver(true)
-	m.await = nil
+	m.failOver(true)
+	m.barrier = nil
 	return m
 }
 
@@ -37,17 +37,17 @@
 	m := secondTerm(t)
 	m.specs["job-7"] = &protocol.Submission{UID: "job-7", Team: "team", Tasks: 2, CPUs: 1}
 	view := orphans("job-7", 5, AttemptID(1, 1), AttemptID(1, 2))
-	m.memory["job-7"] = nothing
+	m.knowledge["job-7"] = nothing
 	if orders := m.team.Observe(view, m.now, m); len(orders) != 0 {
 		t.Errorf("tasks that may be another team's get %v", orders)
 	}
-	charged(t, m, plainCapacity, "unknown")
-	m.memory["job-7"] = unsized
+	charged(t, m, modelMachineCPUs, "unknown")
+	m.knowledge["job-7"] = endOnly
 	if orders := m.team.Observe(view, m.now, m); len(orders) != 2 || orders[0].Op != protocol.Stop {
 		t.Errorf("tasks of a job that is over get %v", orders)
 	}
-	charged(t, m, plainCapacity, "of unknown size")
-	m.memory["job-7"] = whole
+	charged(t, m, modelMachineCPUs, "of unknown size")
+	m.knowledge["job-7"] = endAndSize
 	m.team.Observe(view, m.now, m)
 	charged(t, m, 2, "of known size")
 	if len(m.team.Replica().Assignments) != 2 {
@@ -62,10 +62,10 @@
 func TestOlderHeartbeatReleasesNothing(t *testing.T) {
 	m := secondTerm(t)
 	m.specs["job-7"] = &protocol.Submission{UID: "job-7", Team: "team", Tasks: 1, CPUs: 1}
-	m.memory["job-7"] = nothing
+	m.knowledge["job-7"] = nothing
 	m.team.Observe(orphans("job-7", 5, AttemptID(1, 1)), m.now, m)
 	m.team.Observe(orphans("job-7", 4), m.now, m)
-	charged(t, m, plainCapacity, "after an older report")
+	charged(t, m, modelMachineCPUs, "after an older report")
 	m.team.MachineReturned("m0")
 	charged(t, m, 0, "after the machine's end")
 }
--- a/internal/jobstate/quota_test.go
+++ b/internal/jobstate/quota_test.go
@@ -29,8 +29,8 @@
 	}
 }
 
-// endOne has the agent end the lowest running task of a job.
-func endOne(team *Team, uid string) {
+// completeOneTask has the agent end the lowest running task of a job.
+func completeOneTask(team *Team, uid string) {
 	job := team.Job(uid)
 	held := job.attemptsByIndex()[0]
 	team.attemptExited(held, &TaskStatus{TaskID: held.TaskID, Attempt: held.Attempt, State: protocol.Exited, Reason: protocol.ReasonDone}, time.Unix(1000, 0))
@@ -60,7 +60,7 @@
 			team.AddJob(&urgent, 2, now, nil)
 			needed := urgent.Tasks * int(urgent.CPUs)
 			for range needed {
-				endOne(team, small.UID)
+				completeOneTask(team, small.UID)
 				placeDemanded(team, now)
 			}
 			if held := len(team.Job(urgent.UID).attempts); held != urgent.Tasks {
--- a/internal/jobstate/surplus_test.go
+++ b/internal/jobstate/surplus_test.go
@@ -12,7 +12,7 @@
 // asks for less than its limit, has little left of it, or collects it for a gang.
 func TestSurplusDemands(t *testing.T) {
 	now := time.Unix(1000, 0)
-	spare := func(t *testing.T, limit float64, gang bool) map[string]int {
+	surplusByClass := func(t *testing.T, limit float64, gang bool) map[string]int {
 		team := NewTeam("team", Limits{Max: Resources{CPUs: limit, GPUs: math.Inf(1)}}, NewReplica(), 1, func(string, ...any) {})
 		add := func(uid, class string, kind protocol.JobKind, tasks int, cpus float64) *Job {
 			team.AddJob(&protocol.Submission{UID: uid, Class: class, Kind: kind, Priority: "standard", Tasks: tasks, CPUs: cpus, EstimateSeconds: 10}, 1, now, nil)
@@ -50,7 +50,7 @@
 		{"a gang waits", 80, true, 0, 0},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			if got := spare(t, c.limit, c.gang); got["large"] != c.large || got["small"] != c.small || got["gang"] != 0 {
+			if got := surplusByClass(t, c.limit, c.gang); got["large"] != c.large || got["small"] != c.small || got["gang"] != 0 {
 				t.Errorf("%v tasks offered, want %d large and %d small", got, c.large, c.small)
 			}
 		})
