--- a/internal/artifactreplication/bench_test.go
+++ b/internal/artifactreplication/bench_test.go
@@ -213,7 +213,7 @@
 				took = append(took, time.Since(began))
 			}
 		}()
-		for !g.keepers["c"].IsFull() {
+		for !g.keepers["c"].InSync() {
 			if err := g.keepers["c"].Repair(ctx); err != nil {
 				b.Fatal(err)
 			}
--- a/internal/artifactreplication/duty.go
+++ b/internal/artifactreplication/duty.go
@@ -26,10 +26,10 @@
 		shelved, err := n.Shelve(ctx, d.Partial)
 		expired := 0
 		if err == nil {
-			expired, err = n.keeper.Expire(ctx, n.opt.Retain.IsExpired(n.opt.Now()))
+			expired, err = n.store.Expire(ctx, n.opt.Retain.IsExpired(n.opt.Now()))
 		}
 		if err == nil {
-			err = n.keeper.Trim(ctx)
+			err = n.store.Trim(ctx)
 		}
 		var blobs int
 		var freed int64
@@ -40,7 +40,7 @@
 			return nil
 		}
 		log.Info("kept in order", "shelved", shelved, "expired", expired, "blobs_collected", blobs, "bytes_freed", freed,
-			"bytes", n.blobs.Stats().Bytes, "open_attempts", n.keeper.Opened(), "took", time.Since(began), "err", err)
+			"bytes", n.blobs.Stats().Bytes, "open_attempts", n.store.Opened(), "took", time.Since(began), "err", err)
 		if err == nil && d.Scrub > 0 {
 			found, err := n.blobs.Scrub(ctx, d.Scrub)
 			if ctx.Err() != nil {
@@ -62,7 +62,7 @@
 			n.opt.Log.Warn("repair not done", "err", err)
 		}
 		every := d.Repair
-		if !n.IsFull() { // until then it can't vote
+		if !n.InSync() { // until then it can't vote
 			every = min(every, time.Second)
 		}
 		if !wait.For(ctx, every/2+rand.N(every)) {
@@ -75,7 +75,7 @@
 // readable, and they can never be sealed any more. It gives how many. The replicas of a
 // task are in turn at it, the first of them first.
 func (n *Node) Shelve(ctx context.Context, age time.Duration) (count int, err error) {
-	for _, v := range n.keeper.Open() {
+	for _, v := range n.store.Open() {
 		names := n.opt.Members.ReplicasOf(v.Job, v.Task)
 		wait := age
 		for i, name := range names {
--- a/internal/artifactreplication/front.go
+++ b/internal/artifactreplication/front.go
@@ -36,13 +36,13 @@
 
 // Node is one replica among several. Whichever is asked answers for all of them.
 type Node struct {
-	opt    Options
-	keeper *artifactstore.Store
-	blobs  *blob.Store
-	peers  map[string]replica // all that are not gone, the own one too
-	start  string             // names this process in ballots
-	round  atomic.Uint64
-	busy   map[string]chan struct{} // what goes on behind callers' backs, by replica
+	opt   Options
+	store *artifactstore.Store
+	blobs *blob.Store
+	peers map[string]replica // all that are not gone, the own one too
+	start string             // names this process in ballots
+	round atomic.Uint64
+	busy  map[string]chan struct{} // what goes on behind callers' backs, by replica
 
 	mu     sync.Mutex
 	id     *identity
@@ -74,7 +74,7 @@
 	}
 	var r [6]byte
 	_, _ = crand.Read(r[:]) // never fails
-	n := &Node{opt: opt, keeper: opt.Store, blobs: opt.Blobs, id: id, peers: map[string]replica{}, busy: map[string]chan struct{}{},
+	n := &Node{opt: opt, store: opt.Store, blobs: opt.Blobs, id: id, peers: map[string]replica{}, busy: map[string]chan struct{}{},
 		start: fmt.Sprintf("%s.%d.%s", opt.Name, id.Incarnation, hex.EncodeToString(r[:]))}
 	n.repair.noticed = map[string]time.Time{}
 	n.meters, n.limit = newMeters(n), newLimit(opt.Repair)
--- a/internal/artifactreplication/group_test.go
+++ b/internal/artifactreplication/group_test.go
@@ -51,7 +51,7 @@
 	}
 	g.repair()
 	for _, name := range names {
-		if !g.keepers[name].IsFull() {
+		if !g.keepers[name].InSync() {
 			t.Fatalf("%s is not full: %+v", name, g.keepers[name].Status())
 		}
 	}
@@ -249,13 +249,13 @@
 		one(g.any())
 		g.start(gone)
 		o := g.keepers[gone]
-		if o.IsFull() || o.Status().State != string(Joining) {
+		if o.InSync() || o.Status().State != string(Joining) {
 			t.Fatalf("%s lost its disk and says %+v", gone, o.Status())
 		}
 		if _, err := o.serve(ctx, &call{Op: "task", Attempt: claim(1, 0, 1).Attempt, Count: true}); !errors.Is(err, ErrJoining) {
 			t.Fatalf("%s lost its disk and is counted: %v", gone, err)
 		}
-		if err := o.Repair(ctx); err != nil || !o.IsFull() {
+		if err := o.Repair(ctx); err != nil || !o.InSync() {
 			t.Fatalf("%s is not refilled: %v, %+v", gone, err, o.Status())
 		}
 		check()
@@ -568,7 +568,7 @@
 	if err := g.keepers["c"].Begin(ctx, claim(1, 60, 1)); !errors.Is(err, ErrTooFew) {
 		t.Fatalf("under an old list: %v", err)
 	}
-	if g.keepers["d"].Repair(ctx); g.keepers["d"].IsFull() {
+	if g.keepers["d"].Repair(ctx); g.keepers["d"].InSync() {
 		t.Fatal("d is full without a word from c")
 	}
 	restart("c")
@@ -593,7 +593,7 @@
 	g.repair()
 	for _, name := range []string{"a", "b", "d"} {
 		n := g.keepers[name].Node
-		if !n.IsFull() {
+		if !n.InSync() {
 			t.Errorf("%s: %+v", name, n.Status())
 		}
 		for task := range 12 {
--- a/internal/artifactreplication/handover.go
+++ b/internal/artifactreplication/handover.go
@@ -32,7 +32,7 @@
 		n.mu.Unlock()
 	}()
 	for at := range tasks {
-		mine, err := n.keeper.Task(at.Job, at.Task)
+		mine, err := n.store.Task(at.Job, at.Task)
 		if err != nil {
 			return err
 		}
@@ -49,15 +49,15 @@
 		}
 		for _, v := range mine.Attempts {
 			if v.Ended == "" {
-				err = n.keeper.Abandon(ctx, v.Attempt)
+				err = n.store.Abandon(ctx, v.Attempt)
 			} else {
-				err = n.keeper.Forget(ctx, v.Attempt)
+				err = n.store.Forget(ctx, v.Attempt)
 			}
 			if err != nil {
 				return err
 			}
 		}
-		if err := n.keeper.Forget(ctx, at); err != nil {
+		if err := n.store.Forget(ctx, at); err != nil {
 			return err
 		}
 		left--
@@ -102,7 +102,7 @@
 func (n *Node) finishDecisions(ctx context.Context) error {
 	var errs []error
 	seen := map[artifactstore.Attempt]bool{}
-	for at, v := range n.keeper.Votes() {
+	for at, v := range n.store.Votes() {
 		if v.Value == nil {
 			continue
 		}
@@ -112,13 +112,13 @@
 		}
 	}
 	n.repair.voted = seen
-	for _, at := range n.keeper.Unsettled() {
-		m, err := n.keeper.Ended(at)
+	for _, at := range n.store.Unsettled() {
+		m, err := n.store.Ended(at)
 		if err == nil && n.opt.Members.IsReplica(n.opt.Name, at.Job, at.Task) {
 			_, err = n.settle(ctx, m.Claim, blob.Of(protocol.Encode(m)).String())
 		}
 		if err == nil {
-			err = n.keeper.Settled(ctx, at)
+			err = n.store.Settled(ctx, at)
 		}
 		errs = append(errs, err)
 	}
--- a/internal/artifactreplication/one_test.go
+++ b/internal/artifactreplication/one_test.go
@@ -174,7 +174,7 @@
 	begin(claim(1, 0, 70))
 	seal(claim(1, 0, 70), true, false) // there is a result
 	seal(claim(1, 0, 20), true, false)
-	k.keeper.Close()
+	k.store.Close()
 	b.Close()
 	k, b = alone(t, dir, nil)
 	m, state, err := k.Manifest(ctx, "job-000001", 0, 0)
@@ -327,7 +327,7 @@
 			t.Fatal(err)
 		}
 		if i%5 == 0 {
-			if err := n.keeper.Trim(ctx); err != nil {
+			if err := n.store.Trim(ctx); err != nil {
 				t.Fatal(err)
 			}
 		}
@@ -343,7 +343,7 @@
 		}
 	}
 	check()
-	n.keeper.Close()
+	n.store.Close()
 	b.Close()
 	n, _ = alone(t, dir, nil, short)
 	check()
--- a/internal/artifactreplication/repair.go
+++ b/internal/artifactreplication/repair.go
@@ -78,8 +78,8 @@
 	bytes   int64
 }
 
-// IsFull says whether all is here that should be by the list in force.
-func (n *Node) IsFull() bool {
+// InSync says whether all is here that should be by the list in force.
+func (n *Node) InSync() bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.id.full(&n.opt.Members)
@@ -89,24 +89,58 @@
 // what does not belong here, and sees through what was left half decided. A replica that
 // has had an answer of all others, and all that they have for it, is full from then on.
 func (n *Node) Repair(ctx context.Context) error {
-	full := n.IsFull()
-	have := map[string][]string{}
-	away := map[string]string{}
-	short := 0
-	var bound []boundTo
+	inSync := n.InSync()
+	found := n.compareAll(ctx, !inSync)
+	began := n.opt.Now()
+	list := n.planRepairs(found, began)
+	errs := n.restoreAll(ctx, list)
+	if ctx.Err() != nil {
+		return ctx.Err()
+	}
+	if len(list) > 0 {
+		n.opt.Log.Info("repaired", "keeper", n.opt.Name, "tasks", len(list)-len(errs), "failed", len(errs),
+			"took", n.opt.Now().Sub(began))
+	}
+	if !inSync && len(found.away) == 0 && len(errs) == 0 {
+		if err := n.becomeSynced(ctx, found.bound); err != nil {
+			return err
+		}
+	}
+	errs = append(errs, n.handOver(ctx), n.finishDecisions(ctx))
+	return errors.Join(errs[:min(len(errs), maxErrors)]...)
+}
+
+// maxErrors bounds the errors that one repair gives.
+const maxErrors = 10
+
+// comparison is what comparing with the other replicas found.
+type comparison struct {
+	have  map[string][]string // replicas that have what is not here, by task
+	away  map[string]string   // why a replica did not answer, by its name
+	bound []boundTo           // votes of others that this one lost
+	short int
+}
+
+// compareAll compares with every other replica, of votes only while this one is not in sync.
+func (n *Node) compareAll(ctx context.Context, votes bool) *comparison {
+	found := &comparison{have: map[string][]string{}, away: map[string]string{}}
 	for _, name := range slices.Sorted(maps.Keys(n.peers)) {
 		if name == n.opt.Name {
 			continue
 		}
-		votes, lacks, err := n.compare(ctx, name, !full, have)
+		bound, short, err := n.compare(ctx, name, votes, found.have)
 		if err != nil {
-			away[name] = err.Error()
+			found.away[name] = err.Error()
 		}
-		bound, short = append(bound, votes...), short+lacks
+		found.bound, found.short = append(found.bound, bound...), found.short+short
 	}
-	now := n.opt.Now()
+	return found
+}
+
+// planRepairs lists what is to be restored, in the order of plan, and notes it for the status.
+func (n *Node) planRepairs(found *comparison, now time.Time) []lack {
 	noticed := map[string]time.Time{}
-	list := plan(have, func(task string) time.Time {
+	list := plan(found.have, func(task string) time.Time {
 		n.mu.Lock()
 		defer n.mu.Unlock()
 		since, ok := n.repair.noticed[task]
@@ -117,13 +151,17 @@
 		return since
 	})
 	n.mu.Lock()
-	n.repair.noticed, n.repair.left, n.repair.short, n.repair.away = noticed, len(list), short, away
-	n.mu.Unlock()
-	var errs []error
-	var mends errgroup.Group
-	mends.SetLimit(maxRepairs)
+	defer n.mu.Unlock()
+	n.repair.noticed, n.repair.left, n.repair.short, n.repair.away = noticed, len(list), found.short, found.away
+	return list
+}
+
+// restoreAll restores what is listed, several at a time, and gives what failed.
+func (n *Node) restoreAll(ctx context.Context, list []lack) (errs []error) {
+	var repairs errgroup.Group
+	repairs.SetLimit(maxRepairs)
 	for _, l := range list {
-		mends.Go(func() error {
+		repairs.Go(func() error {
 			err := ctx.Err()
 			if err == nil {
 				err = n.restoreCopy(ctx, l)
@@ -139,29 +177,27 @@
 			return nil
 		})
 	}
-	_ = mends.Wait() // what failed is in errs
-	if ctx.Err() != nil {
-		return ctx.Err()
-	}
-	if len(list) > 0 {
-		n.opt.Log.Info("repaired", "keeper", n.opt.Name, "tasks", len(list)-len(errs), "failed", len(errs), "took", n.opt.Now().Sub(now))
-	}
-	if !full && len(away) == 0 && len(errs) == 0 {
-		for _, b := range bound {
-			if err := n.keeper.Adopt(ctx, b.At, &b.Vote, n.limitRate(n.fetch(b.At, ""))); err != nil {
-				return err
-			}
-		}
-		n.mu.Lock()
-		err := n.id.synced(&n.opt.Members)
-		n.mu.Unlock()
-		if err != nil {
+	_ = repairs.Wait() // what failed is in errs
+	return errs
+}
+
+// becomeSynced takes over the votes that the others know of, and notes that all is here that should be: from then on
+// this replica counts.
+func (n *Node) becomeSynced(ctx context.Context, bound []boundTo) error {
+	for _, b := range bound {
+		if err := n.store.Adopt(ctx, b.At, &b.Vote, n.limitRate(n.fetch(b.At, ""))); err != nil {
 			return err
 		}
-		n.opt.Log.Info("all is here that should be", "keeper", n.opt.Name, "epoch", n.opt.Members.Epoch, "disk", n.id.Disk, "incarnation", n.id.Incarnation)
 	}
-	errs = append(errs, n.handOver(ctx), n.finishDecisions(ctx))
-	return errors.Join(errs[:min(len(errs), 10)]...)
+	n.mu.Lock()
+	err := n.id.synced(&n.opt.Members)
+	n.mu.Unlock()
+	if err != nil {
+		return err
+	}
+	n.opt.Log.Info("all is here that should be", "keeper", n.opt.Name,
+		"epoch", n.opt.Members.Epoch, "disk", n.id.Disk, "incarnation", n.id.Incarnation)
+	return nil
 }
 
 // compare adds what a replica has and this one lacks, and counts what it lacks itself.
@@ -241,7 +277,7 @@
 	if err != nil {
 		return true
 	}
-	_, err = n.keeper.Ended(at)
+	_, err = n.store.Ended(at)
 	return err == nil
 }
 
@@ -267,7 +303,7 @@
 	src := pacedSource{n.peers[name], n}
 	expired := map[uint64]bool{}
 	for _, v := range t.Attempts {
-		if _, err := n.keeper.Ended(v.Attempt); err == nil || v.Machine == "" {
+		if _, err := n.store.Ended(v.Attempt); err == nil || v.Machine == "" {
 			continue
 		}
 		fetch := n.limitRate(n.fetch(v.Attempt, name))
@@ -293,18 +329,18 @@
 			expired[m.Number] = true
 			continue
 		}
-		if err := n.keeper.Learn(ctx, v.Attempt, value, fetch); err != nil {
+		if err := n.store.Learn(ctx, v.Attempt, value, fetch); err != nil {
 			return err
 		}
 	}
 	if t.Result == nil || expired[t.Result.Number] {
 		return nil
 	}
-	return n.keeper.Learn(ctx, task, protocol.Encode(t.Result), n.limitRate(n.fetch(task, name)))
+	return n.store.Learn(ctx, task, protocol.Encode(t.Result), n.limitRate(n.fetch(task, name)))
 }
 
 func (n *Node) takeOpen(ctx context.Context, src replica, v artifactstore.View, fetch artifactstore.Fetch) error {
-	err := n.keeper.Begin(ctx, v.Claim)
+	err := n.store.Begin(ctx, v.Claim)
 	if errors.Is(err, artifactstore.ErrSealed) {
 		return nil
 	}
@@ -313,7 +349,7 @@
 	}
 	mine := map[string]artifactstore.Extent{}
 	files := map[string]string{}
-	for _, o := range n.keeper.Open() {
+	for _, o := range n.store.Open() {
 		if o.Attempt == v.Attempt {
 			mine, files = o.Streams, o.Files
 		}
@@ -343,7 +379,7 @@
 			r.Close()
 		}
 		if err == nil {
-			err = n.keeper.Attach(ctx, v.Claim, path, d)
+			err = n.store.Attach(ctx, v.Claim, path, d)
 		}
 	}
 	switch {
--- a/internal/artifactreplication/replica.go
+++ b/internal/artifactreplication/replica.go
@@ -238,10 +238,10 @@
 
 func (l local) read(ctx context.Context, at artifactstore.Attempt, stream string, from uint64, follow bool, each func(artifactstore.Record) error) (next uint64, over bool, err error) {
 	for next = from; ; {
-		if next, over, err = l.n.keeper.Read(at, stream, next, each); err != nil || over || !follow {
+		if next, over, err = l.n.store.Read(at, stream, next, each); err != nil || over || !follow {
 			return next, over, err
 		}
-		if l.n.keeper.Wait(ctx, at, stream, next) != nil {
+		if l.n.store.Wait(ctx, at, stream, next) != nil {
 			return next, false, nil
 		}
 	}
@@ -257,7 +257,7 @@
 
 // serve carries out what a replica, this one or another, asks of this one alone.
 func (n *Node) serve(ctx context.Context, c *call) (*answer, error) {
-	k, a := n.keeper, &answer{}
+	k, a := n.store, &answer{}
 	var err error
 	if c.Count && !n.counts(c.Attempt.Job, c.Attempt.Task) {
 		return nil, ErrJoining
--- a/internal/artifactreplication/serve_peers.go
+++ b/internal/artifactreplication/serve_peers.go
@@ -95,7 +95,7 @@
 	for sent := false; ; {
 		n := next
 		var over bool
-		next, over, err = s.Node.keeper.Read(at, q.Get("stream"), next, func(rec artifactstore.Record) error {
+		next, over, err = s.Node.store.Read(at, q.Get("stream"), next, func(rec artifactstore.Record) error {
 			line := artifactstore.Line{Number: n, Record: &rec}
 			n++
 			sent = true
@@ -115,7 +115,7 @@
 			_ = enc.Encode(&artifactstore.Line{Number: next, State: state})
 			return nil
 		}
-		if flush.Flush() != nil || s.Node.keeper.Wait(r.Context(), at, q.Get("stream"), next) != nil {
+		if flush.Flush() != nil || s.Node.store.Wait(r.Context(), at, q.Get("stream"), next) != nil {
 			return nil
 		}
 	}
--- a/internal/artifactreplication/status.go
+++ b/internal/artifactreplication/status.go
@@ -43,7 +43,7 @@
 // Status tells how this replica is.
 func (n *Node) Status() *Status {
 	st := n.blobs.Stats()
-	s := &Status{Name: n.opt.Name, Epoch: n.opt.Members.Epoch, Open: n.keeper.Opened(), Bytes: st.Bytes, Blobs: st.Blobs, Refused: n.meters.reasons()}
+	s := &Status{Name: n.opt.Name, Epoch: n.opt.Members.Epoch, Open: n.store.Opened(), Bytes: st.Bytes, Blobs: st.Blobs, Refused: n.meters.reasons()}
 	for _, m := range n.opt.Members.List {
 		if m.Name == n.opt.Name {
 			s.Zone, s.State = m.Zone, string(m.State)
--- a/internal/artifactreplication/sums.go
+++ b/internal/artifactreplication/sums.go
@@ -41,7 +41,7 @@
 		}
 	}
 	for after := ""; ; {
-		names, err := n.keeper.Names(after, 2000)
+		names, err := n.store.Names(after, 2000)
 		if err != nil {
 			return err
 		}
@@ -57,7 +57,7 @@
 		}
 		after = names[len(names)-1]
 	}
-	for _, v := range n.keeper.Open() {
+	for _, v := range n.store.Open() {
 		v.Idle = 0
 		h := blake3.Sum256(protocol.Encode(&struct {
 			S map[string]artifactstore.Extent
