--- a/internal/jobstate/floors_test.go
+++ b/internal/jobstate/floors_test.go
@@ -10,9 +10,9 @@
 	"topazhollow/internal/protocol"
 )
 
-// TestFloorsBeyondQuotaBlockNobody: of several classes under their floors each one's quota was kept from the others, and
-// where less was left than all of them lacked none could go on while the quota stood empty. Now any quota that
-// is enough for each task that waits is asked for, and never more than there is.
+// TestFloorsBeyondQuotaBlockNobody: of several classes under their floors each one's quota was kept from the others,
+// and where less was left than all of them lacked none could go on while the quota stood empty. Now any quota that is
+// enough for each task that waits is asked for, and never more than there is.
 func TestFloorsBeyondQuotaBlockNobody(t *testing.T) {
 	now := time.Unix(1000, 0)
 	for seed := range uint64(300) {
--- a/internal/jobstate/gangreservation_test.go
+++ b/internal/jobstate/gangreservation_test.go
@@ -8,7 +8,8 @@
 	"topazhollow/internal/protocol"
 )
 
-// newTeamWithGangAndArray has a quota of ten CPUs, an urgent gang that takes six and an array that takes whatever there is.
+// newTeamWithGangAndArray has a quota of ten CPUs, an urgent gang that takes six and an array that takes whatever
+// there is.
 func newTeamWithGangAndArray(now time.Time) (team *Team, gang *Job, array *protocol.Submission) {
 	team = NewTeam("t", Limits{Max: Resources{CPUs: 10, GPUs: math.Inf(1)}}, NewReplica(), 1, func(string, ...any) {})
 	spec := &protocol.Submission{UID: "job-000001", Class: "gangs", Kind: protocol.Gang, Priority: "high", Tasks: 3, CPUs: 2, EstimateSeconds: 30}
@@ -27,9 +28,9 @@
 	return counts
 }
 
-// TestUnusedHoldbackIsReleased: quota was reserved without end for a gang that found no machines, and for the
-// floor of its class, so that arrays waited for minutes beside idle machines. Once it has made no use of it for a while all of the
-// quota is for everybody; the gang is asked for all the same. Later it gets another try.
+// TestUnusedHoldbackIsReleased: quota was reserved without end for a gang that found no machines, and for the floor of
+// its class, so that arrays waited for minutes beside idle machines. Once it has made no use of it for a while all of
+// the quota is for everybody; the gang is asked for all the same. Later it gets another try.
 func TestUnusedGangReservationIsReleased(t *testing.T) {
 	now := time.Unix(1000, 0)
 	team, gang, array := newTeamWithGangAndArray(now)
@@ -50,8 +51,8 @@
 	}
 }
 
-// TestGangBeyondQuotaHoldsBackForAWhile: what is left of the quota was reserved without end for a gang that takes more, but
-// for what is too little for one of its tasks; smaller tasks took that, and so each piece that came free.
+// TestGangBeyondQuotaHoldsBackForAWhile: what is left of the quota was reserved without end for a gang that takes
+// more, but for what is too little for one of its tasks; smaller tasks took that, and so each piece that came free.
 func TestGangBeyondQuotaReservesForAWhile(t *testing.T) {
 	now := time.Unix(1000, 0)
 	team, _, array := newTeamWithGangAndArray(now)
@@ -71,8 +72,8 @@
 	}
 }
 
-// TestHoldbackOfUse: as long as gangs start one after another the capacity that comes free is reserved for the next. The quota
-// is released in turn all the same: what the next gang had too little of stood empty for minutes.
+// TestHoldbackOfUse: as long as gangs start one after another the capacity that comes free is reserved for the next.
+// The quota is released in turn all the same: what the next gang had too little of stood empty for minutes.
 func TestGangReservationInUse(t *testing.T) {
 	now := time.Unix(1000, 0)
 	team, gang, array := newTeamWithGangAndArray(now)
--- a/internal/jobstate/golden_test.go
+++ b/internal/jobstate/golden_test.go
@@ -11,8 +11,9 @@
 	"topazhollow/internal/protocol"
 )
 
-// The golden files of a team's pages of finished tasks in the state service. They outlive the process that wrote them, so
-// the forms may only grow. The messages between controllers that carry this package's types are in the module's root.
+// The golden files of a team's pages of finished tasks in the state service. They outlive the process that wrote them,
+// so the forms may only grow. The messages between controllers that carry this package's types are in the module's
+// root.
 
 // pageRoom is so small that a job of 100 tasks has two parts, of 64 tasks each at most.
 const pageRoom = 20
@@ -56,7 +57,8 @@
 	}
 }
 
-// TestGoldenAttempt: attempts' numbers tell the term under which their starts were sent, also to controllers of other versions.
+// TestGoldenAttempt: attempts' numbers tell the term under which their starts were sent, also to controllers of other
+// versions.
 func TestGoldenAttempt(t *testing.T) {
 	if got := AttemptID(41, 2); got != 687865858 || TermOf(got) != 41 {
 		t.Errorf("attempt %d of term %d, want 687865858 of 41", got, TermOf(got))
--- a/internal/jobstate/jobstate_test.go
+++ b/internal/jobstate/jobstate_test.go
@@ -49,10 +49,10 @@
 	return ""
 }
 
-// TestOwnerModel runs an owner's account against plain agents with messages in
-// any order, leases that run out, machines that hang or die, jobs that are cancelled, old heartbeats, and failovers to an in-sync
-// replica or without memory, when nobody knows the jobs that are over. At every start no task may be on two machines and the quota must hold;
-// what the account calls done must be done.
+// TestOwnerModel runs an owner's account against plain agents with messages in any order, leases that run out,
+// machines that hang or die, jobs that are cancelled, old heartbeats, and failovers to an in-sync replica or without
+// memory, when nobody knows the jobs that are over. At every start no task may be on two machines and the quota must
+// hold; what the account calls done must be done.
 func TestOwnerModel(t *testing.T) {
 	starts := 0
 	reached := map[string]bool{}
--- a/internal/jobstate/limits_test.go
+++ b/internal/jobstate/limits_test.go
@@ -6,8 +6,8 @@
 	"topazhollow/internal/protocol"
 )
 
-// TestLoweredLimits: beyond a lowered quota nothing more is placed, what has not got onto its machine is taken back, a gang as
-// a whole, and what runs is stopped on request only. It is settled once nothing can come any more.
+// TestLoweredLimits: beyond a lowered quota nothing more is placed, what has not got onto its machine is taken back, a
+// gang as a whole, and what runs is stopped on request only. It is settled once nothing can come any more.
 func TestLoweredLimits(t *testing.T) {
 	for name, c := range map[string]struct {
 		states  []protocol.TaskState // of three tasks of 2 CPUs each
--- a/internal/jobstate/machinestatus.go
+++ b/internal/jobstate/machinestatus.go
@@ -26,7 +26,7 @@
 	Checkpointed bool                `json:"k,omitempty"`
 }
 
-// MachineStatus is what a machine's home knows of it; later (Session, Seq, Rev) is newer.
+// MachineStatus is what a machine's home knows of it; Newer orders the statuses of one machine.
 type MachineStatus struct {
 	Machine      string       `json:"m"`
 	Addr         string       `json:"addr"`
@@ -35,15 +35,16 @@
 	Spot         bool         `json:"spot,omitempty"`
 	Incarnation  uint64       `json:"s"`
 	Seq          uint64       `json:"q"`
-	Revision     uint64       `json:"v"` // the home's own count of changes
-	FencingToken uint64       `json:"t"` // highest term the agent has seen
-	Term         uint64       `json:"h"` // the home's term
-	Notice       bool         `json:"n,omitempty"`
+	Revision     uint64       `json:"v"`           // the home's own count of changes
+	FencingToken uint64       `json:"t"`           // highest term the agent has seen
+	Term         uint64       `json:"h"`           // the home's term
+	Notice       bool         `json:"n,omitempty"` // the cloud is about to take the machine back
 	Tasks        []TaskStatus `json:"x,omitempty"`
 	Barred       []AttemptRef `json:"b,omitempty"` // attempts that the home will never send
 }
 
-// Newer says whether v replaces old.
+// Newer reports whether v replaces old: by the agent's incarnation, then the home's term, the heartbeat's sequence
+// number, and the home's revision.
 func (v *MachineStatus) Newer(old *MachineStatus) bool {
 	if v.Incarnation != old.Incarnation {
 		return v.Incarnation > old.Incarnation
--- a/internal/jobstate/quota_test.go
+++ b/internal/jobstate/quota_test.go
@@ -70,8 +70,8 @@
 	}
 }
 
-// TestQuotaOfABegunJobIsNotReserved: an array that has begun goes on by what its own tasks free; what is too small for one
-// of its tasks stays with others.
+// TestQuotaOfABegunJobIsNotReserved: an array that has begun goes on by what its own tasks free; what is too small for
+// one of its tasks stays with others.
 func TestQuotaOfAStartedJobIsNotReserved(t *testing.T) {
 	now := time.Unix(1000, 0)
 	team := NewTeam("team", Limits{Max: Resources{CPUs: 10, GPUs: math.Inf(1)}}, NewReplica(), 1, func(string, ...any) {})
--- a/internal/jobstate/quotaorder.go
+++ b/internal/jobstate/quotaorder.go
@@ -12,10 +12,10 @@
 //
 // By deadline alone nearly all jobs of a team that asks for more than its limit would be late: each job that can't be
 // in time any more would go before those that can, and a job of long tasks, which is due late, would not start for
-// minutes. So jobs of which little is left to start are completed, then those go first that must start soonest to reach an
-// objective, and what can reach none comes after them. A started job of which much is left has no such right: it would
-// keep a small limit from all others for minutes. Gangs start whole and wait long for it; they keep their order,
-// whatever they have missed.
+// minutes. So jobs of which little is left to start are completed, then those go first that must start soonest to
+// reach an objective, and what can reach none comes after them. A started job of which much is left has no such right:
+// it would keep a small limit from all others for minutes. Gangs start whole and wait long for it; they keep their
+// order, whatever they have missed.
 
 // quotaTier is the part of a priority's order that a job is in.
 type quotaTier int
--- a/internal/jobstate/quotaorder_test.go
+++ b/internal/jobstate/quotaorder_test.go
@@ -22,8 +22,9 @@
 	return asked
 }
 
-// TestQuotaGoesToWhatCanBeInTime: of what a team asks for beyond its limit, jobs with little left come first, then those that can
-// still reach an objective, soonest start first, then what is late, then what has no objective. Priority stands above all of it.
+// TestQuotaGoesToWhatCanBeInTime: of what a team asks for beyond its limit, jobs with little left come first, then
+// those that can still reach an objective, soonest start first, then what is late, then what has no objective.
+// Priority stands above all of it.
 func TestQuotaGoesToAttainableObjectives(t *testing.T) {
 	now := time.Unix(1000, 0)
 	team := NewTeam("team", Limits{Max: Resources{CPUs: 5, GPUs: math.Inf(1)}}, NewReplica(), 1, func(string, ...any) {})
@@ -55,8 +56,8 @@
 	}
 }
 
-// TestLargeBegunJobLeavesTheLimitToOthers: a begun job that could fill the limit for minutes goes by its goals like any other,
-// and before late ones that have not begun.
+// TestLargeBegunJobLeavesTheLimitToOthers: a begun job that could fill the limit for minutes goes by its goals like
+// any other, and before late ones that have not begun.
 func TestLargeStartedJobLeavesTheLimitToOthers(t *testing.T) {
 	now := time.Unix(1000, 0)
 	team := NewTeam("team", Limits{Max: Resources{CPUs: 8, GPUs: math.Inf(1)}}, NewReplica(), 1, func(string, ...any) {})
@@ -75,8 +76,8 @@
 	}
 }
 
-// TestLargeArraysBegin: one task of a large array that has waited long and can reach no objective
-// goes first, also at a limit that others fill; not of one that has started, was just submitted, is small, or can be in time.
+// TestLargeArraysBegin: one task of a large array that has waited long and can reach no objective goes first, also at
+// a limit that others fill; not of one that has started, was just submitted, is small, or can be in time.
 func TestLargeArraysStartTheirFirstTask(t *testing.T) {
 	now := time.Unix(1000, 0)
 	for _, c := range []struct {
@@ -121,8 +122,8 @@
 	}
 }
 
-// TestGangsKeepTheirOrder: a gang that has missed its objectives still goes before a later one, or it would never have enough
-// quota at once.
+// TestGangsKeepTheirOrder: a gang that has missed its objectives still goes before a later one, or it would never have
+// enough quota at once.
 func TestGangsKeepTheirOrder(t *testing.T) {
 	now := time.Unix(1000, 0)
 	team := NewTeam("team", Limits{Max: Resources{CPUs: 4, GPUs: math.Inf(1)}}, NewReplica(), 1, func(string, ...any) {})
@@ -135,8 +136,8 @@
 	}
 }
 
-// servedAtLimit plays arrays of drawn sizes against a limit of less than they ask for, and gives the parts that were done by
-// their deadline, and of the longest eighth that had all tasks started within four minutes.
+// servedAtLimit plays arrays of drawn sizes against a limit of less than they ask for, and gives the parts that were
+// done by their deadline, and of the longest eighth that had all tasks started within four minutes.
 func servedAtLimit(seed uint64, withGoals bool) (inTime, longBegan float64) {
 	const (
 		jobs  = 96
@@ -220,8 +221,8 @@
 	return inTime / jobs, longBegan / float64(long)
 }
 
-// TestServedAtALimit: beside a limit that is too low, more jobs are in time than by due time alone, and more of the long ones
-// have begun within four minutes.
+// TestServedAtALimit: beside a limit that is too low, more jobs are in time than by due time alone, and more of the
+// long ones have begun within four minutes.
 func TestServedAtALimit(t *testing.T) {
 	var inTime, longBegan, inTimeByDue, longBeganByDue float64
 	const seeds = 12
--- a/internal/jobstate/surplus_test.go
+++ b/internal/jobstate/surplus_test.go
@@ -8,8 +8,8 @@
 	"topazhollow/internal/protocol"
 )
 
-// TestSpareWork: beside demands that may find no room, every class is offered what the limit has room for now; nothing of a team that
-// asks for less than its limit, has little left of it, or collects it for a gang.
+// TestSpareWork: beside demands that may find no room, every class is offered what the limit has room for now; nothing
+// of a team that asks for less than its limit, has little left of it, or collects it for a gang.
 func TestSurplusDemands(t *testing.T) {
 	now := time.Unix(1000, 0)
 	surplusByClass := func(t *testing.T, limit float64, gang bool) map[string]int {
