--- a/internal/cli/admission.go
+++ b/internal/cli/admission.go
@@ -99,7 +99,7 @@
 	return ""
 }
 
-type rehearseOverloadCmd struct {
+type simulateOverloadCmd struct {
 	Trials int           `default:"5" help:"How many crowds, each with another trouble."`
 	Seed   uint64        `default:"1" help:"Draws them."`
 	AtOnce int           `default:"2" help:"Regions at the same time, of three controller processes each."`
@@ -108,9 +108,9 @@
 	Most   time.Duration `default:"1h" help:"Give up after this."`
 }
 
-// Run rehearses overload; a broken rule, or a class that starves, makes the exit code 1.
-func (c *rehearseOverloadCmd) Run(r *run) error {
-	ctx, cancel, program, dir, err := r.rehearsal("overload", c.Most)
+// Run simulates overload; a broken rule, or a class that starves, makes the exit code 1.
+func (c *simulateOverloadCmd) Run(r *run) error {
+	ctx, cancel, program, dir, err := r.simulation("overload", c.Most)
 	if err != nil {
 		return err
 	}
--- a/internal/cli/keep.go
+++ b/internal/cli/artifactstore.go
@@ -22,27 +22,27 @@
 	"topazhollow/internal/certs"
 )
 
-type keepCmd struct {
-	Run    keepRunCmd    `cmd:"" default:"withargs" help:"Run a replica of the artifact store until it is stopped."`
-	Status keepStatusCmd `cmd:"" help:"Tell how each replica is: copies short, repair left, disk, refusals by reason."`
+type artifactStoreCmd struct {
+	Run    artifactStoreRunCmd    `cmd:"" default:"withargs" help:"Run a replica of the artifact store until it is stopped."`
+	Status artifactStoreStatusCmd `cmd:"" help:"Tell how each replica is: copies short, repair left, disk, refusals by reason."`
 }
 
-type keepRunCmd struct {
+type artifactStoreRunCmd struct {
 	Config string `default:"deploy/keep.toml" help:"Settings file (TOML)."`
 	serverFlags
 }
 
-func (c *keepRunCmd) Run(r *run) error {
+func (c *artifactStoreRunCmd) Run(r *run) error {
 	set, err := artifactreplication.LoadConfig(c.Config)
 	key, err := c.key(r, set, err)
 	if key == nil {
 		return err
 	}
-	return Keep(r.ctx, set, key, r.err, nil)
+	return RunArtifactStore(r.ctx, set, key, r.err, nil)
 }
 
-// Keep runs an artifact store until the context ends. ready is told the address once it answers.
-func Keep(ctx context.Context, set artifactreplication.Config, key []byte, log io.Writer, ready func(addr string)) error {
+// RunArtifactStore runs an artifact store until the context ends. ready is told the address once it answers.
+func RunArtifactStore(ctx context.Context, set artifactreplication.Config, key []byte, log io.Writer, ready func(addr string)) error {
 	listener, err := net.Listen("tcp", set.Listen)
 	if err != nil {
 		return err
@@ -191,13 +191,13 @@
 	return nil
 }
 
-type keepStatusCmd struct {
+type artifactStoreStatusCmd struct {
 	Config string `default:"deploy/keep.toml" help:"Settings file (TOML) with the list of replicas."`
 }
 
 // Run asks every keeper of the settings' list. One that does not answer is told of, and
 // makes the exit code 1.
-func (c *keepStatusCmd) Run(r *run) error {
+func (c *artifactStoreStatusCmd) Run(r *run) error {
 	set, err := artifactreplication.LoadConfig(c.Config)
 	if err != nil {
 		return fmt.Errorf("%w: %w", errUsage, err)
--- a/internal/cli/cli.go
+++ b/internal/cli/cli.go
@@ -46,23 +46,23 @@
 	Controller controllerCmd `cmd:"" hidden:"" help:"Run a controller, for demo."`
 
 	Snapshot snapshotCmd `cmd:"" help:"Keep copies of the key-value store, and put one back after it lost data (see docs/data-recovery.md)."`
-	Rebuild  rebuildCmd  `cmd:"" name:"recovery" aliases:"rebuild" help:"See how the controllers rebuild what the key-value store lost (see docs/data-recovery.md)."`
+	Rebuild  recoveryCmd `cmd:"" name:"recovery" aliases:"rebuild" help:"See how the controllers rebuild what the key-value store lost (see docs/data-recovery.md)."`
 
 	Admission admissionCmd `cmd:"" help:"See who gets how much of what is short (see docs/admission.md)."`
 
 	Config configCmd `cmd:"" help:"Change the teams' configuration while the controllers run (see docs/configuration.md)."`
 
-	Rehearse    rehearseCmd    `cmd:"" name:"simulate" aliases:"rehearse" help:"Simulate failures and load on this machine."`
-	DrillWorker drillWorkerCmd `cmd:"" name:"fault-injection-agent" aliases:"drill-worker" hidden:"" help:"An agent's process, for simulate kills."`
+	Rehearse    simulateCmd            `cmd:"" name:"simulate" aliases:"rehearse" help:"Simulate failures and load on this machine."`
+	DrillWorker faultInjectionAgentCmd `cmd:"" name:"fault-injection-agent" aliases:"drill-worker" hidden:"" help:"An agent's process, for simulate kills."`
 
-	HollowWorkers hollowWorkersCmd `cmd:"" name:"simulated-agents" aliases:"hollow-workers" hidden:"" help:"A process of simulated agents, for simulate scale."`
+	HollowWorkers simulatedAgentsCmd `cmd:"" name:"simulated-agents" aliases:"hollow-workers" hidden:"" help:"A process of simulated agents, for simulate scale."`
 
-	Build buildCmd `cmd:"" help:"Serve build tools: store and action cache of the Remote Execution API (see docs/remote-execution.md)."`
-	Keep  keepCmd  `cmd:"" name:"artifact-store" aliases:"keep" help:"Store tasks' output and files (see docs/keeper.md)."`
-	Token tokenCmd `cmd:"" help:"Print a token to read a job's output, or to use an instance for builds, made with the artifact store's key."`
-	Tries triesCmd `cmd:"" name:"attempts" help:"List a task's attempts."`
-	Logs  logsCmd  `cmd:"" help:"Print a task's output."`
-	Fetch fetchCmd `cmd:"" help:"Copy the files that a task's attempt produced."`
+	Build buildCmd         `cmd:"" help:"Serve build tools: store and action cache of the Remote Execution API (see docs/remote-execution.md)."`
+	Keep  artifactStoreCmd `cmd:"" name:"artifact-store" aliases:"keep" help:"Store tasks' output and files (see docs/keeper.md)."`
+	Token tokenCmd         `cmd:"" help:"Print a token to read a job's output, or to use an instance for builds, made with the artifact store's key."`
+	Tries attemptsCmd      `cmd:"" name:"attempts" help:"List a task's attempts."`
+	Logs  logsCmd          `cmd:"" help:"Print a task's output."`
+	Fetch fetchCmd         `cmd:"" help:"Copy the files that a task's attempt produced."`
 }
 
 // run is what a command has at hand.
@@ -220,12 +220,12 @@
 	return nil
 }
 
-type triesCmd struct {
+type attemptsCmd struct {
 	Of taskName `arg:"" name:"task" help:"Task, as job-000412/3."`
 	from
 }
 
-func (c *triesCmd) Run(r *run) error {
+func (c *attemptsCmd) Run(r *run) error {
 	list, err := c.reader().Attempts(r.ctx, c.Of.Job, c.Of.Task)
 	if err != nil && !errors.Is(err, artifactstore.ErrUnsure) {
 		return err
--- a/internal/cli/cli_test.go
+++ b/internal/cli/cli_test.go
@@ -59,7 +59,7 @@
 	set.Listen, set.Dir = "127.0.0.1:0", filepath.Join(dir, "keep")
 	ctx, cancel := context.WithCancel(context.Background())
 	ended, ready := make(chan error, 1), make(chan string, 1)
-	go func() { ended <- Keep(ctx, set, key, &bytes.Buffer{}, func(addr string) { ready <- addr }) }()
+	go func() { ended <- RunArtifactStore(ctx, set, key, &bytes.Buffer{}, func(addr string) { ready <- addr }) }()
 	t.Setenv("TOPAZ_KEEPER", "http://"+<-ready)
 	t.Setenv(artifactreplication.KeyVariable, strings.Repeat("07", 16))
 	code, token, errs := topaz("token", "job-000001")
--- a/internal/cli/region.go
+++ b/internal/cli/region.go
@@ -112,7 +112,9 @@
 	running, stop := context.WithCancel(context.WithoutCancel(ctx))
 	g.stop = stop
 	ready := make(chan string, 1)
-	go func() { g.ended <- Keep(running, set, g.key, io.Discard, func(addr string) { ready <- addr }) }()
+	go func() {
+		g.ended <- RunArtifactStore(running, set, g.key, io.Discard, func(addr string) { ready <- addr })
+	}()
 	select {
 	case addr := <-ready:
 		g.keeper = "http://" + addr
--- a/internal/cli/scale.go
+++ b/internal/cli/scale.go
@@ -9,7 +9,7 @@
 	"topazhollow/internal/loadtest"
 )
 
-type rehearseScaleCmd struct {
+type simulateScaleCmd struct {
 	Config      string `placeholder:"FILE" help:"The experiment (TOML); what it does not say has the default."`
 	PrintConfig bool   `help:"Print the experiment with defaults, then leave."`
 	Controller  string `placeholder:"PROGRAM" help:"Controller to run, as target/topazhollow; this program's own otherwise."`
@@ -19,7 +19,7 @@
 }
 
 // Run plays one experiment; a broken rule, or an end before its time, makes the exit code 1.
-func (c *rehearseScaleCmd) Run(r *run) error {
+func (c *simulateScaleCmd) Run(r *run) error {
 	set, err := loadtest.Load(c.Config)
 	if err != nil {
 		return fmt.Errorf("%w: %w", errUsage, err)
@@ -28,7 +28,7 @@
 		fmt.Fprint(r.out, set)
 		return nil
 	}
-	ctx, cancel, program, dir, err := r.rehearsal("scale", time.Duration(set.Limits.Seconds*float64(time.Second))+time.Minute)
+	ctx, cancel, program, dir, err := r.simulation("scale", time.Duration(set.Limits.Seconds*float64(time.Second))+time.Minute)
 	if err != nil {
 		return err
 	}
@@ -60,7 +60,7 @@
 }
 
 // controller is the command line of a controller: the program that was asked for, or this one.
-func (c *rehearseScaleCmd) controller(program string) ([]string, error) {
+func (c *simulateScaleCmd) controller(program string) ([]string, error) {
 	if c.Controller == "" {
 		return []string{program, "controller"}, nil
 	}
@@ -72,7 +72,7 @@
 }
 
 // write writes the files that were asked for.
-func (c *rehearseScaleCmd) write(result *loadtest.Result) error {
+func (c *simulateScaleCmd) write(result *loadtest.Result) error {
 	if c.Result != "" {
 		if err := result.Write(c.Result); err != nil {
 			return err
@@ -97,14 +97,14 @@
 	return f.Close()
 }
 
-type rehearseSlopesCmd struct {
+type simulateSlopesCmd struct {
 	Results []string `arg:"" name:"result" help:"Result files of simulate scale."`
 	Over    string   `enum:"workers,starts,teams,controllers,tasks" default:"workers" help:"What the runs differ in: ${enum}."`
 	Report  string   `placeholder:"FILE" help:"Write a page (HTML) to this file."`
 }
 
 // Run fits lines through the figures of several results and prints them.
-func (c *rehearseSlopesCmd) Run(r *run) error {
+func (c *simulateSlopesCmd) Run(r *run) error {
 	var results []*loadtest.Result
 	for _, path := range c.Results {
 		x, err := loadtest.ReadResult(path)
@@ -121,7 +121,7 @@
 	return writePage(c.Report, results, loadtest.Axis(c.Over))
 }
 
-type hollowWorkersCmd struct{}
+type simulatedAgentsCmd struct{}
 
 // Run is a process of simulated agents, for simulate scale.
-func (c *hollowWorkersCmd) Run(r *run) error { return loadtest.Work(r.ctx, os.Stdin, r.out) }
+func (c *simulatedAgentsCmd) Run(r *run) error { return loadtest.Work(r.ctx, os.Stdin, r.out) }
--- a/internal/cli/rehearse.go
+++ b/internal/cli/simulate.go
@@ -11,19 +11,19 @@
 	"topazhollow/internal/faultinjection"
 )
 
-type rehearseCmd struct {
-	Overload rehearseOverloadCmd `cmd:"" help:"Hand in crowds of urgent work, with troubles beside them, and check that no class starves."`
-	Kills    rehearseKillsCmd    `cmd:"" help:"Kill agents and artifact stores at drawn moments, and check all that is read afterwards."`
-	Size     rehearseSizeCmd     `cmd:"" name:"loss-at-size" help:"Measure how long after one loss of everything each step is reached."`
-	Meetings rehearseMeetingsCmd `cmd:"" help:"Have troubles meet at drawn moments, with cancellations in between, and check that no rule breaks."`
-	Scale    rehearseScaleCmd    `cmd:"" help:"Measure what controllers take for a fleet of simulated agents (see docs/CAPACITY.md)."`
-	Slopes   rehearseSlopesCmd   `cmd:"" name:"scale-slopes" help:"Fit lines through the results of several runs of scale."`
-	Loss     rehearseLossCmd     `cmd:"" help:"Take data away from the key-value store at drawn moments, with troubles beside it, and check that nothing is forgotten or run twice."`
+type simulateCmd struct {
+	Overload simulateOverloadCmd `cmd:"" help:"Hand in crowds of urgent work, with troubles beside them, and check that no class starves."`
+	Kills    simulateKillsCmd    `cmd:"" help:"Kill agents and artifact stores at drawn moments, and check all that is read afterwards."`
+	Size     simulateSizeCmd     `cmd:"" name:"loss-at-size" help:"Measure how long after one loss of everything each step is reached."`
+	Meetings simulateMeetingsCmd `cmd:"" help:"Have troubles meet at drawn moments, with cancellations in between, and check that no rule breaks."`
+	Scale    simulateScaleCmd    `cmd:"" help:"Measure what controllers take for a fleet of simulated agents (see docs/CAPACITY.md)."`
+	Slopes   simulateSlopesCmd   `cmd:"" name:"scale-slopes" help:"Fit lines through the results of several runs of scale."`
+	Loss     simulateLossCmd     `cmd:"" help:"Take data away from the key-value store at drawn moments, with troubles beside it, and check that nothing is forgotten or run twice."`
 }
 
-// rehearsal is what each rehearsal begins with: a deadline, this program for the processes that
+// simulation is what each simulation begins with: a deadline, this program for the processes that
 // it starts, and a directory for all that they write.
-func (r *run) rehearsal(what string, most time.Duration) (ctx context.Context, cancel context.CancelFunc, program, dir string, err error) {
+func (r *run) simulation(what string, most time.Duration) (ctx context.Context, cancel context.CancelFunc, program, dir string, err error) {
 	if program, err = os.Executable(); err != nil {
 		return nil, nil, "", "", err
 	}
@@ -34,7 +34,7 @@
 	return ctx, cancel, program, dir, nil
 }
 
-// drawnCmd is what rehearsals of drawn trials have in common.
+// drawnCmd is what simulations of drawn trials have in common.
 type drawnCmd struct {
 	Trials int           `default:"12" help:"How many are drawn."`
 	Seed   uint64        `default:"1" help:"Draws them: trial N has the seed plus N."`
@@ -44,7 +44,7 @@
 
 // playDrawn plays drawn trials; what they are goes by its plural.
 func playDrawn[T any](r *run, c *drawnCmd, name, what string, play func(context.Context, faultinjection.DrawnTrials) ([]T, error), broke func(T) bool) error {
-	ctx, cancel, program, dir, err := r.rehearsal(name, c.Most)
+	ctx, cancel, program, dir, err := r.simulation(name, c.Most)
 	if err != nil {
 		return err
 	}
@@ -56,17 +56,17 @@
 	return verdict(r, what, dir, trials, broke)
 }
 
-type rehearseLossCmd struct{ drawnCmd }
+type simulateLossCmd struct{ drawnCmd }
 
 // Run rehearses losses; a broken rule or a job that never ends makes the exit code 1.
-func (c *rehearseLossCmd) Run(r *run) error {
+func (c *simulateLossCmd) Run(r *run) error {
 	return playDrawn(r, &c.drawnCmd, "loss", "losses", faultinjection.Losses, func(t faultinjection.LossTrial) bool { return t.Broken != "" })
 }
 
-type rehearseMeetingsCmd struct{ drawnCmd }
+type simulateMeetingsCmd struct{ drawnCmd }
 
 // Run rehearses meetings; a broken rule or a job that never ends makes the exit code 1.
-func (c *rehearseMeetingsCmd) Run(r *run) error {
+func (c *simulateMeetingsCmd) Run(r *run) error {
 	return playDrawn(r, &c.drawnCmd, "meetings", "meetings", faultinjection.CombinedFaults, func(t faultinjection.CombinedTrial) bool { return t.Broken != "" })
 }
 
@@ -86,7 +86,7 @@
 	return os.RemoveAll(dir)
 }
 
-type rehearseSizeCmd struct {
+type simulateSizeCmd struct {
 	Machines int           `default:"300" help:"Simulated agents."`
 	Jobs     int           `default:"500" help:"Active jobs."`
 	Ends     int           `default:"25000" help:"Jobs that ended before."`
@@ -95,11 +95,11 @@
 	Most     time.Duration `default:"15m" help:"Give up after this."`
 }
 
-func (c *rehearseSizeCmd) Run(r *run) error {
+func (c *simulateSizeCmd) Run(r *run) error {
 	if c.Machines < 1 || c.Jobs < 1 || c.Ends < 0 || c.Gone < 0 || c.Gone > 3 {
 		return fmt.Errorf("%w: a machine, a job, and three controllers to end at most are expected", errUsage)
 	}
-	ctx, cancel, program, dir, err := r.rehearsal("loss", c.Most)
+	ctx, cancel, program, dir, err := r.simulation("loss", c.Most)
 	if err != nil {
 		return err
 	}
@@ -117,7 +117,7 @@
 	return os.RemoveAll(dir)
 }
 
-type rehearseKillsCmd struct {
+type simulateKillsCmd struct {
 	Kills  int           `default:"300" help:"How many workers are killed."`
 	Seed   uint64        `default:"1" help:"Draws the moments."`
 	Report string        `help:"Write a page (HTML) to this file."`
@@ -125,8 +125,8 @@
 }
 
 // Run rehearses kills; a broken promise makes the exit code 1.
-func (c *rehearseKillsCmd) Run(r *run) (err error) {
-	ctx, cancel, program, dir, err := r.rehearsal("kills", c.Most)
+func (c *simulateKillsCmd) Run(r *run) (err error) {
+	ctx, cancel, program, dir, err := r.simulation("kills", c.Most)
 	if err != nil {
 		return err
 	}
@@ -164,8 +164,8 @@
 	return os.RemoveAll(dir)
 }
 
-type drillWorkerCmd struct {
+type faultInjectionAgentCmd struct {
 	Job string `arg:""`
 }
 
-func (c *drillWorkerCmd) Run(r *run) error { return faultinjection.RunAgent(r.ctx, c.Job) }
+func (c *faultInjectionAgentCmd) Run(r *run) error { return faultinjection.RunAgent(r.ctx, c.Job) }
--- a/internal/cli/snapshot.go
+++ b/internal/cli/snapshot.go
@@ -167,7 +167,7 @@
 	return errors.Join(err, a.Close())
 }
 
-type rebuildCmd struct {
+type recoveryCmd struct {
 	Status  rebuildStatusCmd  `cmd:"" help:"Ask controllers what they hold of the key-value store and what is left to do."`
 	Declare rebuildDeclareCmd `cmd:"" name:"declare-lost" help:"Say that nobody will remember more: jobs that are not known are told to be unknown from then on."`
 }
