--- a/internal/cloud/cloud.go
+++ b/internal/cloud/cloud.go
@@ -20,7 +20,7 @@
 // Errors that callers tell apart, with errors.Is.
 var (
 	ErrNoCapacity = errors.New("cloud: no capacity") // of that machine type in that zone, now
-	ErrRefused    = errors.New("cloud: refused")     // with a status; any other error may mean that it was carried out
+	ErrRefused    = errors.New("cloud: refused")     // with a status; with another error, or one of 500 and above, it may have been carried out
 )
 
 const (
