--- a/internal/cancelwatermark/cancelwatermark_test.go
+++ b/internal/cancelwatermark/cancelwatermark_test.go
@@ -17,20 +17,20 @@
 	confirmed map[string]time.Time
 	down      [3]time.Time // the store does not serve a controller before
 	nodes     [3]*process
-	flying    []func()
+	inFlight  []func()
 	arrives   []time.Time
 	ended     uint64
 
-	beyond, restarts, gaps, fromMemory int // that it really happened
+	aheadOfReads, restarts, gaps, fromMemory int // that it really happened
 }
 
 type process struct {
-	id        uint64
-	watermark *Watermark
-	knows     map[string]bool
-	links     [3]int // connections to the others, by number
-	heard     [3]uint64
-	at        [3]time.Time // the peer's clock in its last status
+	id         uint64
+	watermark  *Watermark
+	knows      map[string]bool
+	links      [3]int // connections to the others, by number
+	statusFrom [3]uint64
+	statusAt   [3]time.Time // the peer's clock in its last status
 }
 
 var names = [3]string{"a", "b", "c"}
@@ -64,7 +64,7 @@
 		at = w.arrives[n-1]
 	}
 	w.arrives = append(w.arrives, at)
-	w.flying = append(w.flying, func() {
+	w.inFlight = append(w.inFlight, func() {
 		if w.nodes[k] != to || from.links[k] != link {
 			return // lost with its connection
 		}
@@ -73,8 +73,8 @@
 			id = 1
 		}
 		to.watermark.RecordIncarnation(names[i], id, w.now)
-		if to.heard[i] != from.id {
-			to.heard[i], to.at[i] = from.id, time.Time{}
+		if to.statusFrom[i] != from.id {
+			to.statusFrom[i], to.statusAt[i] = from.id, time.Time{}
 		}
 		take(from, to)
 	})
@@ -84,26 +84,26 @@
 	n := w.nodes[i]
 	n.knows[uid] = true
 	if w.mutant == "untold" {
-		w.note(uid)
+		w.recordConfirmation(uid)
 		return
 	}
 	if number := n.watermark.RecordCancellation(uid); number > 0 {
 		for k := range names {
 			if k != i {
-				w.tell(i, k, number, []string{uid})
+				w.sendCancellations(i, k, number, []string{uid})
 			}
 		}
 	}
-	w.note(uid)
+	w.recordConfirmation(uid)
 }
 
-func (w *world) note(uid string) {
+func (w *world) recordConfirmation(uid string) {
 	if w.confirmed[uid].IsZero() {
 		w.confirmed[uid] = w.now
 	}
 }
 
-func (w *world) tell(i, k int, number uint64, uids []string) {
+func (w *world) sendCancellations(i, k int, number uint64, uids []string) {
 	w.send(i, k, func(_, to *process) {
 		for _, uid := range uids {
 			to.knows[uid] = true
@@ -118,25 +118,25 @@
 	})
 }
 
-func (w *world) status(i int) {
+func (w *world) sendStatus(i int) {
 	n := w.nodes[i]
 	for k := range names {
 		if k == i {
 			continue
 		}
-		told, echo, got, sent := n.watermark.Confirmed(), n.at[k], n.watermark.ReceivedFrom(names[k]), w.now
+		confirmed, echo, got, sent := n.watermark.Confirmed(), n.statusAt[k], n.watermark.ReceivedFrom(names[k]), w.now
 		w.send(i, k, func(_, to *process) {
-			to.at[i] = sent
+			to.statusAt[i] = sent
 			if !echo.IsZero() {
 				if w.mutant == "arrival" {
 					echo = w.now
 				}
-				to.watermark.RecordConfirmedBy(names[i], told, echo)
+				to.watermark.RecordConfirmedBy(names[i], confirmed, echo)
 				to.watermark.RecordAcknowledgedBy(names[i], got)
 			}
 		})
 		if from, uids := n.watermark.TakeUnacknowledged(names[k], w.now, 3); len(uids) > 0 && w.mutant != "once" {
-			w.tell(i, k, from, uids)
+			w.sendCancellations(i, k, from, uids)
 		}
 	}
 }
@@ -152,7 +152,7 @@
 	var deliver func()
 	deliver = func() {
 		if w.now.Before(late) {
-			w.flying, w.arrives = append(w.flying, deliver), append(w.arrives, w.now)
+			w.inFlight, w.arrives = append(w.inFlight, deliver), append(w.arrives, w.now)
 			return
 		}
 		for _, uid := range w.stored[:snapshot] {
@@ -163,7 +163,7 @@
 		}
 		n.watermark.RecordRead(began)
 	}
-	w.flying = append(w.flying, deliver)
+	w.inFlight = append(w.inFlight, deliver)
 }
 
 // play returns what broke.
@@ -173,9 +173,9 @@
 	}
 	for range steps {
 		w.now = w.now.Add(time.Duration(1+w.rng.IntN(60)) * time.Millisecond)
-		for k, n := 0, len(w.flying); k < n && !w.now.Before(w.arrives[0]); k++ {
-			f := w.flying[0]
-			w.flying, w.arrives = w.flying[1:], w.arrives[1:]
+		for k, n := 0, len(w.inFlight); k < n && !w.now.Before(w.arrives[0]); k++ {
+			f := w.inFlight[0]
+			w.inFlight, w.arrives = w.inFlight[1:], w.arrives[1:]
 			f()
 		}
 		i := w.rng.IntN(3)
@@ -197,7 +197,7 @@
 		case x < 14:
 			w.read(i)
 		case x < 60:
-			w.status(i)
+			w.sendStatus(i)
 		case x == 60 && w.rng.IntN(6) == 0:
 			w.restarts++
 			w.start(i)
@@ -214,7 +214,7 @@
 		for k, n := range w.nodes {
 			until := n.watermark.KnownUntil(w.now)
 			if until.After(n.watermark.LastRead()) {
-				w.beyond++
+				w.aheadOfReads++
 			}
 			for uid, at := range w.confirmed {
 				if at.Before(until) && !n.knows[uid] {
@@ -240,13 +240,13 @@
 		if broken := w.play(2500); broken != "" {
 			t.Fatalf("seed %d: %s", seed, broken)
 		}
-		sum.beyond += w.beyond
+		sum.aheadOfReads += w.aheadOfReads
 		sum.restarts += w.restarts
 		sum.gaps += w.gaps
 		sum.fromMemory += w.fromMemory
 	}
-	if sum.beyond == 0 || sum.restarts == 0 || sum.gaps == 0 || sum.fromMemory == 0 {
-		t.Fatalf("moved by peers %d times, restarts %d, gaps %d, told from memory %d", sum.beyond, sum.restarts, sum.gaps, sum.fromMemory)
+	if sum.aheadOfReads == 0 || sum.restarts == 0 || sum.gaps == 0 || sum.fromMemory == 0 {
+		t.Fatalf("moved by peers %d times, restarts %d, gaps %d, told from memory %d", sum.aheadOfReads, sum.restarts, sum.gaps, sum.fromMemory)
 	}
 }
 
@@ -266,73 +266,73 @@
 // TestWatermarkAdvancesByPeers: through an outage the watermark advances with the peers' statuses, or machines would lose
 // what they run; it stops with the first peer that is silent, or that began anew.
 func TestWatermarkAdvancesByPeers(t *testing.T) {
-	h := New([]string{"b", "c"}, 30*time.Second, 10*time.Second)
+	w := New([]string{"b", "c"}, 30*time.Second, 10*time.Second)
 	start := time.Unix(1000, 0)
 	at := func(s float64) time.Time { return start.Add(time.Duration(s * float64(time.Second))) }
-	if h.MayRenew(at(0), time.Time{}) {
+	if w.MayRenew(at(0), time.Time{}) {
 		t.Fatal("renews before anything was read")
 	}
-	hear := func(name string, process, told uint64, s float64) {
-		h.RecordIncarnation(name, process, at(s))
-		h.RecordConfirmedBy(name, told, at(s-0.5))
+	receiveStatus := func(name string, process, told uint64, s float64) {
+		w.RecordIncarnation(name, process, at(s))
+		w.RecordConfirmedBy(name, told, at(s-0.5))
 	}
-	hear("b", 1, 0, 0.5)
-	hear("c", 1, 0, 0.5)
-	h.RecordRead(at(1))
+	receiveStatus("b", 1, 0, 0.5)
+	receiveStatus("c", 1, 0, 0.5)
+	w.RecordRead(at(1))
 	for s := 2.0; s < 100; s++ {
-		hear("b", 1, 0, s)
-		hear("c", 1, 0, s)
-		if !h.MayRenew(at(s), time.Time{}) {
+		receiveStatus("b", 1, 0, s)
+		receiveStatus("c", 1, 0, s)
+		if !w.MayRenew(at(s), time.Time{}) {
 			t.Fatalf("does not renew %g s into an outage in which all peers are heard", s)
 		}
 	}
-	if got, want := h.KnownUntil(at(100)), at(98.5); !got.Equal(want) {
+	if got, want := w.KnownUntil(at(100)), at(98.5); !got.Equal(want) {
 		t.Fatalf("watermark %v after the last words, want %v", got.Sub(start), want.Sub(start))
 	}
 	// A machine whose home may have sent it something before that word counts from there.
-	if h.MayRenew(at(100), at(80)) || !h.MayRenew(at(100), at(90)) {
+	if w.MayRenew(at(100), at(80)) || !w.MayRenew(at(100), at(90)) {
 		t.Error("an earlier word of a machine's home does not bound its renewal, or a later one does")
 	}
-	hear("b", 1, 1, 101) // one that did not come here
-	hear("c", 1, 0, 101)
-	if got := h.KnownUntil(at(101)); !got.Equal(at(98.5)) {
+	receiveStatus("b", 1, 1, 101) // one that did not come here
+	receiveStatus("c", 1, 0, 101)
+	if got := w.KnownUntil(at(101)); !got.Equal(at(98.5)) {
 		t.Errorf("moves to %v past a cancellation that did not come", got.Sub(start))
 	}
-	h.RecordReceived("b", 1, 1)
-	hear("b", 1, 1, 102)
-	hear("c", 2, 0, 102) // began anew: what it confirmed last before is not known here
-	if got := h.KnownUntil(at(102)); !got.Equal(at(1)) {
+	w.RecordReceived("b", 1, 1)
+	receiveStatus("b", 1, 1, 102)
+	receiveStatus("c", 2, 0, 102) // began anew: what it confirmed last before is not known here
+	if got := w.KnownUntil(at(102)); !got.Equal(at(1)) {
 		t.Errorf("watermark %v with a peer that began anew, want that of the last read", got.Sub(start))
 	}
-	h.RecordRead(at(103))
-	hear("c", 2, 0, 104)
-	if got := h.KnownUntil(at(104)); !got.Equal(at(103)) {
+	w.RecordRead(at(103))
+	receiveStatus("c", 2, 0, 104)
+	if got := w.KnownUntil(at(104)); !got.Equal(at(103)) {
 		t.Errorf("watermark %v after a read, want 103 s", got.Sub(start))
 	}
 }
 
 // TestImpossibleNumbersAreIgnored: numbers that nobody can mean change nothing.
 func TestImpossibleNumbersAreIgnored(t *testing.T) {
-	h := New([]string{"b"}, 30*time.Second, 10*time.Second)
+	w := New([]string{"b"}, 30*time.Second, 10*time.Second)
 	now := time.Unix(1000, 0)
-	h.RecordRead(now)
-	h.RecordIncarnation("b", 1, now)
-	if h.RecordCancellation("job-000001") != 1 || h.RecordCancellation("job-000001") != 0 || h.RecordCancellation("job-000002") != 2 {
+	w.RecordRead(now)
+	w.RecordIncarnation("b", 1, now)
+	if w.RecordCancellation("job-000001") != 1 || w.RecordCancellation("job-000001") != 0 || w.RecordCancellation("job-000002") != 2 {
 		t.Fatal("confirmations are not numbered once each from 1 on")
 	}
-	h.RecordReceived("b", 0, 1<<40)
-	h.RecordReceived("b", 1<<63, 3)
-	h.RecordAcknowledgedBy("b", 1<<63)
-	h.RecordAcknowledgedBy("nobody", 1)
-	h.RecordConfirmedBy("nobody", 0, now.Add(time.Hour))
-	if h.ReceivedFrom("b") != 0 {
-		t.Errorf("took %d cancellations in from no number and after a gap", h.ReceivedFrom("b"))
+	w.RecordReceived("b", 0, 1<<40)
+	w.RecordReceived("b", 1<<63, 3)
+	w.RecordAcknowledgedBy("b", 1<<63)
+	w.RecordAcknowledgedBy("nobody", 1)
+	w.RecordConfirmedBy("nobody", 0, now.Add(time.Hour))
+	if w.ReceivedFrom("b") != 0 {
+		t.Errorf("took %d cancellations in from no number and after a gap", w.ReceivedFrom("b"))
 	}
-	if from, uids := h.TakeUnacknowledged("b", now, 500); from != 1 || len(uids) != 2 {
+	if from, uids := w.TakeUnacknowledged("b", now, 500); from != 1 || len(uids) != 2 {
 		t.Errorf("tells %v from %d, the peer has nothing", uids, from)
 	}
-	h.RecordAcknowledgedBy("b", 1)
-	if from, uids := h.TakeUnacknowledged("b", now.Add(time.Minute), 500); from != 2 || len(uids) != 1 || uids[0] != "job-000002" {
+	w.RecordAcknowledgedBy("b", 1)
+	if from, uids := w.TakeUnacknowledged("b", now.Add(time.Minute), 500); from != 2 || len(uids) != 1 || uids[0] != "job-000002" {
 		t.Errorf("tells %v from %d, want the second", uids, from)
 	}
 }
