--- a/internal/controller/admission.go
+++ b/internal/controller/admission.go
@@ -367,7 +367,7 @@
 	}
 	for _, d := range team.Quota().Demands(now) {
 		x := keys.of(keyOf(d.Spec))
-		x.Waiting += d.Count + int(d.BeyondQuotaCPUs/max(d.Spec.CPUs, 1e-9)+0.5)
+		x.Waiting += d.Count + int(d.CPUsBeyondQuota/max(d.Spec.CPUs, 1e-9)+0.5)
 		if j := n.jobs[d.Spec.UID]; j != nil {
 			x.Oldest = max(x.Oldest, now.Sub(j.submittedAt).Seconds())
 		}
--- a/internal/controller/capacity_bench_test.go
+++ b/internal/controller/capacity_bench_test.go
@@ -141,7 +141,7 @@
 	for _, machines := range fleetSizes {
 		b.Run(fmt.Sprintf("machines=%d", machines), func(b *testing.B) {
 			g := newGrown(machines, 3)
-			ask := &placement.Ask{CPUs: 1, MemoryGB: 1, Zone: -1, Spot: true, Image: "img-0", RunSeconds: 40}
+			ask := &placement.Request{CPUs: 1, MemoryGB: 1, Zone: -1, Spot: true, Image: "img-0", RunSeconds: 40}
 			g.n.mu.Lock()
 			defer g.n.mu.Unlock()
 			processorTime(b, func() {
--- a/internal/controller/demands.go
+++ b/internal/controller/demands.go
@@ -31,8 +31,8 @@
 			Job:             d.Spec.UID,
 			Count:           d.Count,
 			Borrowed:        d.Borrowed,
-			QuotaDelay:      d.Backlog.Milliseconds(),
-			CPUsBeyondQuota: d.BeyondQuotaCPUs,
+			QuotaDelay:      d.QuotaDelay.Milliseconds(),
+			CPUsBeyondQuota: d.CPUsBeyondQuota,
 			Prioritized:     prioritized[i],
 			Zone:            boundZone(team, d.Spec),
 		})
--- a/internal/gangpreemption/gangpreemption.go
+++ b/internal/gangpreemption/gangpreemption.go
@@ -7,45 +7,45 @@
 	"slices"
 )
 
-// Amount is what tasks take or machines have: CPUs, GPUs, and memory in GB.
-type Amount struct{ CPUs, GPUs, MemoryGB float64 }
+// Resources is what tasks take or machines have: CPUs, GPUs, and memory in GB.
+type Resources struct{ CPUs, GPUs, MemoryGB float64 }
 
-func (a Amount) plus(b Amount) Amount {
-	return Amount{a.CPUs + b.CPUs, a.GPUs + b.GPUs, a.MemoryGB + b.MemoryGB}
+func (a Resources) plus(b Resources) Resources {
+	return Resources{a.CPUs + b.CPUs, a.GPUs + b.GPUs, a.MemoryGB + b.MemoryGB}
 }
 
-func (a Amount) minus(b Amount) Amount {
-	return Amount{a.CPUs - b.CPUs, a.GPUs - b.GPUs, a.MemoryGB - b.MemoryGB}
+func (a Resources) minus(b Resources) Resources {
+	return Resources{a.CPUs - b.CPUs, a.GPUs - b.GPUs, a.MemoryGB - b.MemoryGB}
 }
 
 // slack absorbs rounding in sums of amounts.
 const slack = 1e-6
 
-func (a Amount) covers(b Amount) bool {
+func (a Resources) covers(b Resources) bool {
 	return a.CPUs+slack >= b.CPUs && a.GPUs+slack >= b.GPUs && a.MemoryGB+slack >= b.MemoryGB
 }
 
 // Victim is a task that may be stopped for the gang. ID is the caller's.
 type Victim struct {
 	ID             int
-	Size           Amount
+	Size           Resources
 	LostCPUSeconds float64 // CPU seconds of progress thrown away
-	Own            bool    // of the gang's team: what it takes of the quota becomes free as well
+	SameTeam       bool    // of the gang's team: what it takes of the quota becomes free as well
 }
 
 // Machine is one that the gang may use.
 type Machine struct {
 	Zone    int
-	Free    Amount
+	Free    Resources
 	Victims []Victim // in the order in which they are to be stopped
 }
 
 // Gang is what needs room.
 type Gang struct {
 	Tasks   int
-	Each    Amount // that a task takes
+	PerTask Resources // that a task takes
 	OneZone bool
-	Quota   Amount // that is left to its team; memory counts for nothing
+	Quota   Resources // that is left to its team; memory counts for nothing
 }
 
 // Stop is what to stop on a machine, and how many of the gang's tasks have room there then.
@@ -89,8 +89,8 @@
 	gang     Gang
 	machines []Machine
 	zone     int
-	stops    []Stop   // by machine
-	free     []Amount // by machine, what the chosen stops and slots leave
+	stops    []Stop      // by machine
+	free     []Resources // by machine, what the chosen stops and slots leave
 }
 
 // planIn makes room for a gang on the machines of one zone.
@@ -100,7 +100,7 @@
 		machines: machines,
 		zone:     zone,
 		stops:    make([]Stop, len(machines)),
-		free:     make([]Amount, len(machines)),
+		free:     make([]Resources, len(machines)),
 	}
 	for i := range machines {
 		p.stops[i].Machine, p.free[i] = i, machines[i].Free
@@ -124,7 +124,7 @@
 		if p.zone != anyZone && p.machines[i].Zone != p.zone {
 			continue
 		}
-		n, lost, fits := nextSlot(p.gang.Each, p.free[i], p.machines[i].Victims[len(p.stops[i].Victims):])
+		n, lost, fits := nextSlot(p.gang.PerTask, p.free[i], p.machines[i].Victims[len(p.stops[i].Victims):])
 		if fits && (best < 0 || lost < loss) {
 			best, count, loss = i, n, lost
 		}
@@ -139,12 +139,12 @@
 	}
 	stop.Victims = p.machines[best].Victims[:from+count]
 	stop.Slots++
-	p.free[best] = p.free[best].minus(p.gang.Each)
+	p.free[best] = p.free[best].minus(p.gang.PerTask)
 	return loss, true
 }
 
 // nextSlot is how many of the victims, in their order, have to be stopped so that one more task fits.
-func nextSlot(each, free Amount, victims []Victim) (count int, loss float64, ok bool) {
+func nextSlot(each, free Resources, victims []Victim) (count int, loss float64, ok bool) {
 	for ; !free.covers(each); count++ {
 		if count == len(victims) {
 			return 0, 0, false
@@ -157,7 +157,7 @@
 
 // freeQuota adds victims of the gang's team on any machine until its quota is enough.
 func freeQuota(g Gang, machines []Machine, stops []Stop) (loss float64, ok bool) {
-	quota, need := g.Quota, Amount{CPUs: float64(g.Tasks) * g.Each.CPUs, GPUs: float64(g.Tasks) * g.Each.GPUs}
+	quota, need := g.Quota, Resources{CPUs: float64(g.Tasks) * g.PerTask.CPUs, GPUs: float64(g.Tasks) * g.PerTask.GPUs}
 	quota.MemoryGB = 0
 	type candidate struct {
 		machine int
@@ -167,9 +167,9 @@
 	for i := range machines {
 		chosen := len(stops[i].Victims)
 		for at, v := range machines[i].Victims {
-			if v.Own && at < chosen {
+			if v.SameTeam && at < chosen {
 				quota.CPUs, quota.GPUs = quota.CPUs+v.Size.CPUs, quota.GPUs+v.Size.GPUs
-			} else if v.Own {
+			} else if v.SameTeam {
 				others = append(others, candidate{i, v})
 			}
 		}
--- a/internal/gangpreemption/gangpreemption_test.go
+++ b/internal/gangpreemption/gangpreemption_test.go
@@ -12,14 +12,14 @@
 	answers := 0
 	for seed := range uint64(2000) {
 		rng := rand.New(rand.NewPCG(seed, 5))
-		g := Gang{Tasks: 1 + rng.IntN(5), Each: Amount{CPUs: float64(1 + rng.IntN(4)), MemoryGB: 1}, OneZone: rng.IntN(2) == 0, Quota: Amount{CPUs: float64(rng.IntN(12)), GPUs: 1}}
+		g := Gang{Tasks: 1 + rng.IntN(5), PerTask: Resources{CPUs: float64(1 + rng.IntN(4)), MemoryGB: 1}, OneZone: rng.IntN(2) == 0, Quota: Resources{CPUs: float64(rng.IntN(12)), GPUs: 1}}
 		machines := make([]Machine, 1+rng.IntN(5))
 		id := 0
 		for i := range machines {
-			machines[i] = Machine{Zone: rng.IntN(2), Free: Amount{CPUs: float64(rng.IntN(4)), MemoryGB: float64(rng.IntN(6))}}
+			machines[i] = Machine{Zone: rng.IntN(2), Free: Resources{CPUs: float64(rng.IntN(4)), MemoryGB: float64(rng.IntN(6))}}
 			for range rng.IntN(5) {
 				id++
-				machines[i].Victims = append(machines[i].Victims, Victim{ID: id, Size: Amount{CPUs: 1, MemoryGB: 1}, LostCPUSeconds: float64(rng.IntN(50)), Own: rng.IntN(3) > 0})
+				machines[i].Victims = append(machines[i].Victims, Victim{ID: id, Size: Resources{CPUs: 1, MemoryGB: 1}, LostCPUSeconds: float64(rng.IntN(50)), SameTeam: rng.IntN(3) > 0})
 			}
 		}
 		stops, ok := Plan(g, machines)
@@ -58,7 +58,7 @@
 
 // enough says plainly whether a gang has room in one of its zones, and quota, once these are stopped.
 func enough(g Gang, machines []Machine, stops []Stop) bool {
-	free := make([]Amount, len(machines))
+	free := make([]Resources, len(machines))
 	for i := range machines {
 		free[i] = machines[i].Free
 	}
@@ -66,7 +66,7 @@
 	for _, s := range stops {
 		for _, v := range s.Victims {
 			free[s.Machine] = free[s.Machine].plus(v.Size)
-			if v.Own {
+			if v.SameTeam {
 				quota += v.Size.CPUs
 			}
 		}
@@ -77,24 +77,24 @@
 		if !g.OneZone {
 			zone = anyZone
 		}
-		room[zone] += int(math.Min(free[i].CPUs/g.Each.CPUs, free[i].MemoryGB/g.Each.MemoryGB) + slack)
+		room[zone] += int(math.Min(free[i].CPUs/g.PerTask.CPUs, free[i].MemoryGB/g.PerTask.MemoryGB) + slack)
 	}
 	most := 0
 	for _, n := range room {
 		most = max(most, n)
 	}
-	return most >= g.Tasks && quota+slack >= float64(g.Tasks)*g.Each.CPUs
+	return most >= g.Tasks && quota+slack >= float64(g.Tasks)*g.PerTask.CPUs
 }
 
 // TestLeastLoss: of two zones that in which less is lost is chosen.
 func TestLeastLoss(t *testing.T) {
-	size := Amount{CPUs: 4, MemoryGB: 1}
+	size := Resources{CPUs: 4, MemoryGB: 1}
 	machines := []Machine{
-		{Zone: 0, Victims: []Victim{{ID: 1, Size: size, LostCPUSeconds: 90, Own: true}}},
-		{Zone: 1, Victims: []Victim{{ID: 2, Size: size, LostCPUSeconds: 20, Own: true}}},
+		{Zone: 0, Victims: []Victim{{ID: 1, Size: size, LostCPUSeconds: 90, SameTeam: true}}},
+		{Zone: 1, Victims: []Victim{{ID: 2, Size: size, LostCPUSeconds: 20, SameTeam: true}}},
 		{Zone: 1, Free: size},
 	}
-	stops, ok := Plan(Gang{Tasks: 2, Each: size, OneZone: true, Quota: Amount{CPUs: 4}}, machines)
+	stops, ok := Plan(Gang{Tasks: 2, PerTask: size, OneZone: true, Quota: Resources{CPUs: 4}}, machines)
 	if !ok || len(stops) != 2 || len(stops[0].Victims) != 1 || stops[0].Victims[0].ID != 2 || stops[1].Slots != 1 {
 		t.Fatalf("%+v, %v", stops, ok)
 	}
--- a/internal/jobstate/demand.go
+++ b/internal/jobstate/demand.go
@@ -13,8 +13,8 @@
 	Borrowed        bool          // beyond the team's guarantee
 	Probe           bool          // to find out whether a faulty job still fails
 	FirstTask       bool          // of a large array that has waited long; it goes before what is more urgent
-	BeyondQuotaCPUs float64       // that the job's class asks for beyond the quota; then Count is 0
-	Backlog         time.Duration // that the whole quota takes for what waits beyond it
+	CPUsBeyondQuota float64       // that the job's class asks for beyond the quota; then Count is 0
+	QuotaDelay      time.Duration // that the whole quota takes for what waits beyond it
 }
 
 // demandPlan is one pass over the jobs that wait for quota, in the order in which they get it.
@@ -56,7 +56,7 @@
 	}
 	backlog := time.Duration(p.backlogSeconds / q.limits.Max.CPUs * float64(time.Second))
 	for i := range p.demands {
-		p.demands[i].Backlog = backlog
+		p.demands[i].QuotaDelay = backlog
 	}
 	return append(p.demands, p.trailing...)
 }
@@ -180,7 +180,7 @@
 		p.beyondByClass[j.Spec.Class] = i
 		p.trailing = append(p.trailing, Demand{Spec: j.Spec})
 	}
-	p.trailing[i].BeyondQuotaCPUs += cpus
+	p.trailing[i].CPUsBeyondQuota += cpus
 }
 
 // tasksToBegin is how many of a job's unstarted tasks need quota at the same time for it to start; 0 once it has.
--- a/internal/jobstate/jobstate_test.go
+++ b/internal/jobstate/jobstate_test.go
@@ -158,7 +158,7 @@
 	team.AddJob(spec, 1, time.Unix(1000, 0), nil)
 	list := team.Quota().Demands(time.Unix(1000, 0))
 	// 4 tasks fit the quota; the other 16 take it four times over, 30 s each.
-	if len(list) != 2 || list[0].Count != 4 || list[0].Backlog != 2*time.Minute || list[1].Count != 0 || list[1].BeyondQuotaCPUs != 32 {
+	if len(list) != 2 || list[0].Count != 4 || list[0].QuotaDelay != 2*time.Minute || list[1].Count != 0 || list[1].CPUsBeyondQuota != 32 {
 		t.Fatalf("demands %+v, want 4 tasks with 2 minutes behind them, and 32 CPUs beyond the quota", list)
 	}
 	// A class that is kept room for is asked for within the quota, whatever is more urgent.
@@ -175,7 +175,7 @@
 	team.Quota().SetFloors(nil)
 	team.EndJob(urgent.UID)
 	team.quota.limits.Max.CPUs = math.Inf(1)
-	if list = team.Quota().Demands(time.Unix(1000, 0)); list[0].Count != 20 || list[0].Backlog != 0 {
+	if list = team.Quota().Demands(time.Unix(1000, 0)); list[0].Count != 20 || list[0].QuotaDelay != 0 {
 		t.Fatalf("demands %+v without a limit, want all and nothing behind", list)
 	}
 }
--- a/internal/jobstate/pageset.go
+++ b/internal/jobstate/pageset.go
@@ -248,8 +248,8 @@
 	}
 }
 
-// Written notes the version that a page has in the state service now.
-func (s *PageSet) Written(number int, version uint64) {
+// RecordWritten notes the version that a page has in the state service now.
+func (s *PageSet) RecordWritten(number int, version uint64) {
 	if pg := s.pages[number]; pg != nil {
 		pg.version = version
 	}
--- a/internal/jobstate/pageset_test.go
+++ b/internal/jobstate/pageset_test.go
@@ -76,7 +76,7 @@
 					}
 					revision++
 					store[p.Number] = value{revision, p.Parts}
-					pageSet.Written(p.Number, revision)
+					pageSet.RecordWritten(p.Number, revision)
 					for uid, b := range p.Done {
 						saved[uid].InPlaceUnion(b)
 					}
--- a/internal/jobstate/transfer.go
+++ b/internal/jobstate/transfer.go
@@ -115,8 +115,8 @@
 // errPartOrder is a part that does not follow what came before; the transfer must begin anew.
 var errPartOrder = errors.New("jobstate: part out of order")
 
-// Take takes in a part, and gives the replica once it is whole. After an error the transfer must begin anew.
-func (in *Incoming) Take(p Part) (whole *Replica, err error) {
+// AddPart takes in a part, and gives the replica once it is whole. After an error the transfer must begin anew.
+func (in *Incoming) AddPart(p Part) (whole *Replica, err error) {
 	if p.Number != in.nextNumber || p.Number > 0 && p.Seq != in.replica.Seq {
 		return nil, fmt.Errorf("%w: %d at %d, want %d at %d", errPartOrder, p.Number, p.Seq, in.nextNumber, in.replica.Seq)
 	}
--- a/internal/jobstate/transfer_test.go
+++ b/internal/jobstate/transfer_test.go
@@ -77,7 +77,7 @@
 			m.incoming = NewIncoming()
 		}
 		var whole *Replica
-		if whole, err = m.incoming.Take(x); whole != nil {
+		if whole, err = m.incoming.AddPart(x); whole != nil {
 			m.kept, m.incoming = whole, nil
 			m.whole++
 		}
@@ -171,20 +171,20 @@
 	first, second, third := transfer.Next(owner), transfer.Next(owner), transfer.Next(owner)
 	begun := func() *Incoming {
 		in := NewIncoming()
-		if _, err := in.Take(first); err != nil {
+		if _, err := in.AddPart(first); err != nil {
 			t.Fatal(err)
 		}
 		return in
 	}
-	if _, err := begun().Take(third); err == nil {
+	if _, err := begun().AddPart(third); err == nil {
 		t.Error("a part is missing, and the next one is taken")
 	}
-	if _, err := begun().Take(first); err == nil {
+	if _, err := begun().AddPart(first); err == nil {
 		t.Error("a part is taken twice")
 	}
 	later := second
 	later.Seq++
-	if _, err := begun().Take(later); err == nil {
+	if _, err := begun().AddPart(later); err == nil {
 		t.Error("a part is taken without the delta before it")
 	}
 	if err := begun().Apply(Delta{Seq: first.Seq + 2}); err == nil {
--- a/internal/placement/placement.go
+++ b/internal/placement/placement.go
@@ -20,16 +20,16 @@
 	PricePerHour     float64
 	FetchGBPerSecond float64
 	Images           map[string]bool
-	Pulls            int    // images that it fetches now
-	ReservedClass    string // the only class of jobs that may start there now; "" for any
-	SmallestReserved Room   // the least that a waiting task of that class needs; zero if none is known to wait
+	Pulls            int       // images that it fetches now
+	ReservedClass    string    // the only class of jobs that may start there now; "" for any
+	SmallestReserved Resources // the least that a waiting task of that class needs; zero if none is known to wait
 }
 
-// Room is an amount of a machine: CPUs, and memory in GB.
-type Room struct{ CPUs, MemoryGB float64 }
+// Resources is an amount of a machine: CPUs, and memory in GB.
+type Resources struct{ CPUs, MemoryGB float64 }
 
-// Ask is what a task needs.
-type Ask struct {
+// Request is what a task needs.
+type Request struct {
 	CPUs, GPUs, MemoryGB float64
 	Types                []int // indices of the allowed machine types; nil: any
 	Zone                 int   // index of the zone; -1: any
@@ -46,7 +46,7 @@
 const slack = 1e-6
 
 // Allows says whether a host's type, zone and kind are allowed.
-func (a *Ask) Allows(h *Host) bool {
+func (a *Request) Allows(h *Host) bool {
 	if (h.Spot && !a.Spot) || (a.Zone >= 0 && h.Zone != a.Zone) || !a.allowsReserved(h) {
 		return false
 	}
@@ -58,7 +58,7 @@
 
 // allowsReserved says whether the task may go to a host although that may be reserved for a class: it is of that class,
 // or it may use leftover room and what is free there is too little for any waiting task of that class.
-func (a *Ask) allowsReserved(h *Host) bool {
+func (a *Request) allowsReserved(h *Host) bool {
 	if h.ReservedClass == "" || h.ReservedClass == a.Class {
 		return true
 	}
@@ -66,12 +66,12 @@
 }
 
 // Fits says whether a host has the room.
-func (a *Ask) Fits(h *Host) bool {
+func (a *Request) Fits(h *Host) bool {
 	return h.CPUs+slack >= a.CPUs && h.GPUs+slack >= a.GPUs && h.MemoryGB+slack >= a.MemoryGB
 }
 
 // Exceeds says that whatever takes this task would take the other as well.
-func (a *Ask) Exceeds(o *Ask) bool {
+func (a *Request) Exceeds(o *Request) bool {
 	return a.Class == o.Class && (a.MayUseLeftover || !o.MayUseLeftover) &&
 		a.CPUs >= o.CPUs && a.GPUs >= o.GPUs && a.MemoryGB >= o.MemoryGB && (o.Spot || !a.Spot) &&
 		(o.Zone < 0 || o.Zone == a.Zone) && (o.Types == nil || slices.Equal(o.Types, a.Types))
@@ -80,7 +80,7 @@
 // cost is what the machine costs while it fetches the image and runs the task:
 // an image that is there already counts as much as the time that it saves. Images
 // fetched at the same time may share the rate. With MinimizeTime the time alone counts.
-func (a *Ask) cost(h *Host) float64 {
+func (a *Request) cost(h *Host) float64 {
 	seconds := max(a.RunSeconds, 1)
 	if !h.Images[a.Image] && h.FetchGBPerSecond > 0 {
 		seconds += a.ImageGB / h.FetchGBPerSecond * float64(1+h.Pulls)
@@ -108,7 +108,7 @@
 
 // Choose looks at hosts in random order until it has seen sample ones that fit,
 // and gives the best of these, or nil.
-func Choose(rng *rand.Rand, hosts []*Host, a *Ask, sample int, skip func(*Host) bool) *Host {
+func Choose(rng *rand.Rand, hosts []*Host, a *Request, sample int, skip func(*Host) bool) *Host {
 	if len(hosts) == 0 {
 		return nil
 	}
@@ -128,8 +128,8 @@
 	return best
 }
 
-// Take books a task on a host, with its image.
-func (h *Host) Take(a *Ask) {
+// Allocate books a task on a host, with its image.
+func (h *Host) Allocate(a *Request) {
 	if !h.Images[a.Image] {
 		h.Pulls++
 	}
--- a/internal/placement/placement_test.go
+++ b/internal/placement/placement_test.go
@@ -17,7 +17,7 @@
 			hosts = append(hosts, &Host{Name: fmt.Sprintf("m%02d", i), Type: rng.IntN(3), Zone: rng.IntN(2), Spot: rng.IntN(2) == 0,
 				CPUs: float64(rng.IntN(9)), MemoryGB: float64(rng.IntN(9)), PricePerHour: float64(rng.IntN(3)), FetchGBPerSecond: float64(rng.IntN(2)), Images: map[string]bool{"a": rng.IntN(2) == 0}})
 		}
-		ask := &Ask{CPUs: float64(1 + rng.IntN(4)), MemoryGB: float64(rng.IntN(4)), Zone: rng.IntN(3) - 1, Spot: rng.IntN(2) == 0, Image: "a", ImageGB: float64(rng.IntN(9)), RunSeconds: float64(rng.IntN(9))}
+		ask := &Request{CPUs: float64(1 + rng.IntN(4)), MemoryGB: float64(rng.IntN(4)), Zone: rng.IntN(3) - 1, Spot: rng.IntN(2) == 0, Image: "a", ImageGB: float64(rng.IntN(9)), RunSeconds: float64(rng.IntN(9))}
 		if rng.IntN(2) == 0 {
 			ask.Types = []int{rng.IntN(3)}
 		}
@@ -55,22 +55,22 @@
 	for _, c := range []struct {
 		name string
 		host Host
-		ask  Ask
+		ask  Request
 		want bool
 	}{
-		{"not held", Host{}, Ask{Class: "b"}, true},
-		{"its class", Host{ReservedClass: "a"}, Ask{Class: "a"}, true},
-		{"another class", Host{ReservedClass: "a", CPUs: 2, SmallestReserved: Room{CPUs: 4}}, Ask{Class: "b"}, false},
-		{"one that waited", Host{ReservedClass: "a", CPUs: 2, SmallestReserved: Room{CPUs: 4}}, Ask{Class: "b", MayUseLeftover: true}, true},
-		{"too little memory for the class", Host{ReservedClass: "a", CPUs: 8, MemoryGB: 1, SmallestReserved: Room{CPUs: 4, MemoryGB: 2}}, Ask{Class: "b", MayUseLeftover: true}, true},
-		{"room that the class could use", Host{ReservedClass: "a", CPUs: 4, MemoryGB: 2, SmallestReserved: Room{CPUs: 4, MemoryGB: 2}}, Ask{Class: "b", MayUseLeftover: true}, false},
-		{"nobody knows what the class needs", Host{ReservedClass: "a", CPUs: 2}, Ask{Class: "b", MayUseLeftover: true}, false},
+		{"not held", Host{}, Request{Class: "b"}, true},
+		{"its class", Host{ReservedClass: "a"}, Request{Class: "a"}, true},
+		{"another class", Host{ReservedClass: "a", CPUs: 2, SmallestReserved: Resources{CPUs: 4}}, Request{Class: "b"}, false},
+		{"one that waited", Host{ReservedClass: "a", CPUs: 2, SmallestReserved: Resources{CPUs: 4}}, Request{Class: "b", MayUseLeftover: true}, true},
+		{"too little memory for the class", Host{ReservedClass: "a", CPUs: 8, MemoryGB: 1, SmallestReserved: Resources{CPUs: 4, MemoryGB: 2}}, Request{Class: "b", MayUseLeftover: true}, true},
+		{"room that the class could use", Host{ReservedClass: "a", CPUs: 4, MemoryGB: 2, SmallestReserved: Resources{CPUs: 4, MemoryGB: 2}}, Request{Class: "b", MayUseLeftover: true}, false},
+		{"nobody knows what the class needs", Host{ReservedClass: "a", CPUs: 2}, Request{Class: "b", MayUseLeftover: true}, false},
 	} {
 		if got := c.ask.Allows(&c.host); got != c.want {
 			t.Errorf("%s: allowed %v, want %v", c.name, got, c.want)
 		}
 	}
-	waited, fresh := &Ask{Class: "b", MayUseLeftover: true}, &Ask{Class: "b"}
+	waited, fresh := &Request{Class: "b", MayUseLeftover: true}, &Request{Class: "b"}
 	if fresh.Exceeds(waited) || !waited.Exceeds(fresh) {
 		t.Error("what a task that waited finds is taken for what a fresh one finds")
 	}
--- a/internal/scheduler/gangpreemption.go
+++ b/internal/scheduler/gangpreemption.go
@@ -66,9 +66,9 @@
 	left := w.team.Quota().Left()
 	stops, ok := gangpreemption.Plan(gangpreemption.Gang{
 		Tasks:   len(missing),
-		Each:    sizeOf(w.spec),
+		PerTask: sizeOf(w.spec),
 		OneZone: w.spec.OneZone,
-		Quota:   gangpreemption.Amount{CPUs: left.CPUs, GPUs: left.GPUs},
+		Quota:   gangpreemption.Resources{CPUs: left.CPUs, GPUs: left.GPUs},
 	}, search.machines)
 	if !ok {
 		return
@@ -82,8 +82,8 @@
 }
 
 // sizeOf is what a task of a job takes.
-func sizeOf(spec *protocol.Submission) gangpreemption.Amount {
-	return gangpreemption.Amount{CPUs: spec.CPUs, GPUs: spec.GPUs, MemoryGB: spec.MemoryGB}
+func sizeOf(spec *protocol.Submission) gangpreemption.Resources {
+	return gangpreemption.Resources{CPUs: spec.CPUs, GPUs: spec.GPUs, MemoryGB: spec.MemoryGB}
 }
 
 // gangSearch is what a gang may use and stop.
@@ -118,9 +118,9 @@
 }
 
 // freeRoom is the free room on a host, with what this pass reserved for the gang itself.
-func (s *gangSearch) freeRoom(h *placement.Host, ask *placement.Ask) gangpreemption.Amount {
+func (s *gangSearch) freeRoom(h *placement.Host, ask *placement.Request) gangpreemption.Resources {
 	reserved := float64(s.pass.reserved[reservationKey{s.gang.spec.UID, h.Name}])
-	return gangpreemption.Amount{
+	return gangpreemption.Resources{
 		CPUs:     h.CPUs + reserved*ask.CPUs,
 		GPUs:     h.GPUs + reserved*ask.GPUs,
 		MemoryGB: h.MemoryGB + reserved*ask.MemoryGB,
@@ -134,7 +134,7 @@
 		if protocol.Rank(v.spec.Priority) >= protocol.Rank(s.gang.spec.Priority) || s.ownOnly && !own || !s.countStopped(v.spec) {
 			continue
 		}
-		allowed = append(allowed, gangpreemption.Victim{ID: len(s.victims), LostCPUSeconds: v.lost, Own: own, Size: sizeOf(v.spec)})
+		allowed = append(allowed, gangpreemption.Victim{ID: len(s.victims), LostCPUSeconds: v.lost, SameTeam: own, Size: sizeOf(v.spec)})
 		s.victims = append(s.victims, v)
 	}
 	return allowed
--- a/internal/scheduler/gangs.go
+++ b/internal/scheduler/gangs.go
@@ -6,7 +6,7 @@
 )
 
 // placeGang finds room for all missing tasks of a gang, or takes none.
-func (p *pass) placeGang(w *waitingTasks, ask *placement.Ask) bool {
+func (p *pass) placeGang(w *waitingTasks, ask *placement.Request) bool {
 	missing, attempt := w.team.MissingGangTasks(w.job)
 	if len(missing) == 0 {
 		return true // it runs or ends
@@ -32,7 +32,7 @@
 }
 
 // placeGangIn places all missing tasks of a gang in a zone, or takes no room.
-func (p *pass) placeGangIn(zone int, w *waitingTasks, ask *placement.Ask, missing []int, attempt uint64) bool {
+func (p *pass) placeGangIn(zone int, w *waitingTasks, ask *placement.Request, missing []int, attempt uint64) bool {
 	taken := p.takeGangRoom(zone, w, ask, missing)
 	if len(taken) == len(missing) {
 		locations := map[int]jobstate.Location{}
@@ -51,7 +51,7 @@
 }
 
 // takeGangRoom takes room for as many of a gang's missing tasks as it can, by their index.
-func (p *pass) takeGangRoom(zone int, w *waitingTasks, ask *placement.Ask, missing []int) map[int]*placement.Host {
+func (p *pass) takeGangRoom(zone int, w *waitingTasks, ask *placement.Request, missing []int) map[int]*placement.Host {
 	zones := p.scheduler.zoneRule(w)
 	taken := map[int]*placement.Host{}
 	for _, index := range missing {
@@ -61,7 +61,7 @@
 		if h == nil {
 			break
 		}
-		h.Take(ask)
+		h.Allocate(ask)
 		zones.take(h)
 		taken[index] = h
 	}
--- a/internal/scheduler/machines.go
+++ b/internal/scheduler/machines.go
@@ -128,7 +128,7 @@
 // Hosts lists the machines that may take tasks, with their free room as far as it is known here; those only that have
 // room for least, if that is not nil. A stale guess costs a refusal at the machine's home. Only machines where
 // something changed are counted anew. The hosts are valid until the next call of the same kind.
-func (s *Scheduler) Hosts(snapshot Snapshot, now time.Time, least *placement.Ask) []*placement.Host {
+func (s *Scheduler) Hosts(snapshot Snapshot, now time.Time, least *placement.Request) []*placement.Host {
 	s.InvalidateMachines(snapshot.TakeChangedMachines())
 	accepts, plan := snapshot.AcceptingMachines(now), snapshot.Plan()
 	buffer := &s.hostsWithRoom
--- a/internal/scheduler/pass.go
+++ b/internal/scheduler/pass.go
@@ -24,7 +24,7 @@
 	teams     []Team
 	queue     []waitingTasks         // most urgent first
 	hosts     []*placement.Host      // with the room that this pass leaves
-	noRoom    []*placement.Ask       // what fits no host any more
+	noRoom    []*placement.Request   // what fits no host any more
 	unplaced  []waitingTasks         // own tasks that found no room
 	gangs     []*waitingTasks        // of the present class, that found no room for all their tasks
 	reserved  map[reservationKey]int // tasks that room is reserved for
@@ -70,8 +70,8 @@
 }
 
 // smallestAsk is room that each of the waiting tasks needs at the least.
-func smallestAsk(queue []waitingTasks) *placement.Ask {
-	least := &placement.Ask{CPUs: math.Inf(1), GPUs: math.Inf(1), MemoryGB: math.Inf(1)}
+func smallestAsk(queue []waitingTasks) *placement.Request {
+	least := &placement.Request{CPUs: math.Inf(1), GPUs: math.Inf(1), MemoryGB: math.Inf(1)}
 	for i := range queue {
 		spec := queue[i].spec
 		least.CPUs = min(least.CPUs, spec.CPUs)
@@ -83,14 +83,14 @@
 
 // setSmallestReserved tells hosts that are reserved for a class what the smallest of its waiting tasks needs.
 func setSmallestReserved(hosts []*placement.Host, queue []waitingTasks) {
-	least := map[string]placement.Room{}
+	least := map[string]placement.Resources{}
 	for i := range queue {
 		spec := queue[i].spec
 		room, known := least[spec.Class]
 		if !known {
-			room = placement.Room{CPUs: math.Inf(1), MemoryGB: math.Inf(1)}
+			room = placement.Resources{CPUs: math.Inf(1), MemoryGB: math.Inf(1)}
 		}
-		least[spec.Class] = placement.Room{CPUs: min(room.CPUs, spec.CPUs), MemoryGB: min(room.MemoryGB, spec.MemoryGB)}
+		least[spec.Class] = placement.Resources{CPUs: min(room.CPUs, spec.CPUs), MemoryGB: min(room.MemoryGB, spec.MemoryGB)}
 	}
 	for _, h := range hosts {
 		h.SmallestReserved = least[h.ReservedClass]
@@ -117,18 +117,18 @@
 }
 
 // leaveRoomToPeer takes room for a peer's tasks out of this pass.
-func (p *pass) leaveRoomToPeer(w *waitingTasks, ask *placement.Ask) {
+func (p *pass) leaveRoomToPeer(w *waitingTasks, ask *placement.Request) {
 	for ; w.count > 0; w.count-- {
 		h := p.choose(ask, func(*placement.Host) bool { return false })
 		if h == nil {
 			return
 		}
-		h.Take(ask)
+		h.Allocate(ask)
 	}
 }
 
 // placeEach places tasks that run independently of each other.
-func (p *pass) placeEach(w *waitingTasks, ask *placement.Ask) {
+func (p *pass) placeEach(w *waitingTasks, ask *placement.Request) {
 	zones := p.scheduler.zoneRule(w)
 	w.job.Pending(p.now, func(index int) bool {
 		if w.count == 0 || !w.team.Quota().Fits(w.job, 1) || w.surplus && !w.team.Quota().FitsSurplus(w.job) {
@@ -140,14 +140,14 @@
 		}
 		zones.take(h)
 		w.count--
-		h.Take(ask)
+		h.Allocate(ask)
 		h.Images[ask.Image] = true
 		return true
 	})
 }
 
 // choose finds a host that is not to be skipped; nil if none has room.
-func (p *pass) choose(ask *placement.Ask, skip func(*placement.Host) bool) *placement.Host {
+func (p *pass) choose(ask *placement.Request, skip func(*placement.Host) bool) *placement.Host {
 	if slices.ContainsFunc(p.noRoom, ask.Exceeds) {
 		return nil
 	}
@@ -164,7 +164,7 @@
 }
 
 // chooseHost finds the best of a sample of the hosts that have room; nil if none has.
-func (s *Scheduler) chooseHost(hosts []*placement.Host, ask *placement.Ask, skip func(*placement.Host) bool) *placement.Host {
+func (s *Scheduler) chooseHost(hosts []*placement.Host, ask *placement.Request, skip func(*placement.Host) bool) *placement.Host {
 	return placement.Choose(s.config.Random, hosts, ask, s.config.Options.SampleSize, skip)
 }
 
@@ -187,8 +187,8 @@
 const serviceRun = 1e6
 
 // ask is what a task of a job needs of a machine.
-func (s *Scheduler) ask(spec *protocol.Submission) *placement.Ask {
-	ask := &placement.Ask{
+func (s *Scheduler) ask(spec *protocol.Submission) *placement.Request {
+	ask := &placement.Request{
 		CPUs:       spec.CPUs,
 		GPUs:       spec.GPUs,
 		MemoryGB:   spec.MemoryGB,
--- a/internal/scheduler/preemption.go
+++ b/internal/scheduler/preemption.go
@@ -68,7 +68,7 @@
 			return
 		}
 		r.stop(cheapest, w.job.Spec.UID)
-		cheapest.host.Take(ask)
+		cheapest.host.Allocate(ask)
 		zones.take(cheapest.host)
 	}
 }
--- a/internal/scheduler/reservations.go
+++ b/internal/scheduler/reservations.go
@@ -26,7 +26,7 @@
 type gangReservation struct {
 	pass  *pass
 	gang  *waitingTasks
-	ask   *placement.Ask
+	ask   *placement.Request
 	zones *zoneRule
 }
 
@@ -46,7 +46,7 @@
 	left := len(missing)
 	for _, h := range p.hosts {
 		for ; left > 0 && r.zoneOf(h) == best && r.ask.Fits(h) && r.accepts(h); left-- {
-			h.Take(r.ask)
+			h.Allocate(r.ask)
 			r.zones.take(h)
 			p.reserved[reservationKey{w.spec.UID, h.Name}]++
 		}
@@ -55,7 +55,7 @@
 
 // reserveCleared reserves the room that is being cleared for a gang by evictions, also what is too little for one of
 // its tasks so far. It gives the number of tasks that the room is for.
-func (p *pass) reserveCleared(w *waitingTasks, ask *placement.Ask) (tasks int) {
+func (p *pass) reserveCleared(w *waitingTasks, ask *placement.Request) (tasks int) {
 	cleared := p.scheduler.gangSlots(w.spec.UID)
 	for _, h := range p.hosts {
 		for range cleared[h.Name] {
--- a/internal/scheduler/victims.go
+++ b/internal/scheduler/victims.go
@@ -92,7 +92,7 @@
 }
 
 // cheapestRoom finds the machine where stopping tasks of lower priority loses least.
-func (s *victimSearch) cheapestRoom(ask *placement.Ask, job *jobstate.Job, zones *zoneRule) clearance {
+func (s *victimSearch) cheapestRoom(ask *placement.Request, job *jobstate.Job, zones *zoneRule) clearance {
 	best := clearance{lost: math.Inf(1)}
 	rank := protocol.Rank(job.Spec.Priority)
 	for _, h := range s.hosts {
@@ -110,7 +110,7 @@
 }
 
 // roomOn finds tasks below a rank on a host that leave room enough if they are stopped, and lose less than lowest.
-func (s *victimSearch) roomOn(h *placement.Host, ask *placement.Ask, rank int, lowest float64) (found clearance, ok bool) {
+func (s *victimSearch) roomOn(h *placement.Host, ask *placement.Request, rank int, lowest float64) (found clearance, ok bool) {
 	room := *h
 	found.host = h
 	for _, v := range s.on(h) {
--- a/internal/shards/held.go
+++ b/internal/shards/held.go
@@ -75,7 +75,7 @@
 	if !r.receives(m.SinceTerm) {
 		return RequestCopy(m.Shard, m.SinceTerm)
 	}
-	whole, err := r.incoming.Take(m.Part)
+	whole, err := r.incoming.AddPart(m.Part)
 	switch {
 	case err != nil:
 		r.incoming = nil
--- a/internal/shards/pages.go
+++ b/internal/shards/pages.go
@@ -82,11 +82,11 @@
 }
 
 // VersionRead notes the version of a page in the state service whose write failed or may have.
-func (p *Pages) VersionRead(number int, version uint64) { p.set.Written(number, version) }
+func (p *Pages) VersionRead(number int, version uint64) { p.set.RecordWritten(number, version) }
 
 // Saved notes that a page was written under a version.
 func (p *Pages) Saved(page jobstate.Page, version uint64) {
-	p.set.Written(page.Number, version)
+	p.set.RecordWritten(page.Number, version)
 	for uid, done := range page.Done {
 		p.team.Job(uid).RecordSaved(done)
 	}
