--- a/internal/gangpreemption/gangpreemption.go
+++ b/internal/gangpreemption/gangpreemption.go
@@ -18,11 +18,11 @@
 	return Resources{a.CPUs - b.CPUs, a.GPUs - b.GPUs, a.MemoryGB - b.MemoryGB}
 }
 
-// slack absorbs rounding in sums of amounts.
-const slack = 1e-6
+// roundingTolerance absorbs rounding in sums of amounts.
+const roundingTolerance = 1e-6
 
 func (a Resources) covers(b Resources) bool {
-	return a.CPUs+slack >= b.CPUs && a.GPUs+slack >= b.GPUs && a.MemoryGB+slack >= b.MemoryGB
+	return a.CPUs+roundingTolerance >= b.CPUs && a.GPUs+roundingTolerance >= b.GPUs && a.MemoryGB+roundingTolerance >= b.MemoryGB
 }
 
 // Victim is a task that may be stopped for the gang. ID is the caller's.
@@ -59,8 +59,8 @@
 // stopped for the quota alone. ok is false if there is no room for the whole gang whatever is stopped.
 func Plan(g Gang, machines []Machine) (stops []Stop, ok bool) {
 	lowest := 0.0
-	for _, zone := range zones(g, machines) {
-		list, loss, enough := planIn(g, machines, zone)
+	for _, zone := range candidateZones(g, machines) {
+		list, loss, enough := planInZone(g, machines, zone)
 		if enough && (!ok || loss < lowest) {
 			stops, lowest, ok = list, loss, true
 		}
@@ -71,8 +71,8 @@
 // anyZone stands for all zones together.
 const anyZone = -1
 
-// zones lists where the whole gang has to run.
-func zones(g Gang, machines []Machine) (list []int) {
+// candidateZones lists where the whole gang has to run.
+func candidateZones(g Gang, machines []Machine) (list []int) {
 	if !g.OneZone {
 		return []int{anyZone}
 	}
@@ -84,8 +84,8 @@
 	return list
 }
 
-// planning is the search for a gang's stops on the machines of one zone.
-type planning struct {
+// zonePlanner is the search for a gang's stops on the machines of one zone.
+type zonePlanner struct {
 	gang     Gang
 	machines []Machine
 	zone     int
@@ -93,9 +93,9 @@
 	free     []Resources // by machine, what the chosen stops and slots leave
 }
 
-// planIn makes room for a gang on the machines of one zone.
-func planIn(g Gang, machines []Machine, zone int) (stops []Stop, loss float64, ok bool) {
-	p := &planning{
+// planInZone makes room for a gang on the machines of one zone.
+func planInZone(g Gang, machines []Machine, zone int) (stops []Stop, loss float64, ok bool) {
+	p := &zonePlanner{
 		gang:     g,
 		machines: machines,
 		zone:     zone,
@@ -118,7 +118,7 @@
 }
 
 // addSlot makes room for one more task where that loses least.
-func (p *planning) addSlot() (loss float64, ok bool) {
+func (p *zonePlanner) addSlot() (loss float64, ok bool) {
 	best, count := -1, 0
 	for i := range p.machines {
 		if p.zone != anyZone && p.machines[i].Zone != p.zone {
--- a/internal/gangpreemption/gangpreemption_test.go
+++ b/internal/gangpreemption/gangpreemption_test.go
@@ -27,14 +27,14 @@
 		for i := range machines {
 			all[i] = Stop{Machine: i, Victims: machines[i].Victims}
 		}
-		if possible := enough(g, machines, all); ok != possible {
+		if possible := hasRoom(g, machines, all); ok != possible {
 			t.Fatalf("seed %d: found %v, plainly %v", seed, ok, possible)
 		}
 		if !ok {
 			continue
 		}
 		answers++
-		if !enough(g, machines, stops) {
+		if !hasRoom(g, machines, stops) {
 			t.Fatalf("seed %d: %+v make no room for %+v on %+v", seed, stops, g, machines)
 		}
 		seen, slots := map[int]bool{}, 0
@@ -56,8 +56,8 @@
 	}
 }
 
-// enough says plainly whether a gang has room in one of its zones, and quota, once these are stopped.
-func enough(g Gang, machines []Machine, stops []Stop) bool {
+// hasRoom says plainly whether a gang has room in one of its zones, and quota, once these are stopped.
+func hasRoom(g Gang, machines []Machine, stops []Stop) bool {
 	free := make([]Resources, len(machines))
 	for i := range machines {
 		free[i] = machines[i].Free
@@ -77,13 +77,13 @@
 		if !g.OneZone {
 			zone = anyZone
 		}
-		room[zone] += int(math.Min(free[i].CPUs/g.PerTask.CPUs, free[i].MemoryGB/g.PerTask.MemoryGB) + slack)
+		room[zone] += int(math.Min(free[i].CPUs/g.PerTask.CPUs, free[i].MemoryGB/g.PerTask.MemoryGB) + roundingTolerance)
 	}
 	most := 0
 	for _, n := range room {
 		most = max(most, n)
 	}
-	return most >= g.Tasks && quota+slack >= float64(g.Tasks)*g.PerTask.CPUs
+	return most >= g.Tasks && quota+roundingTolerance >= float64(g.Tasks)*g.PerTask.CPUs
 }
 
 // TestLeastLoss: of two zones that in which less is lost is chosen.
--- a/internal/jobstate/assignments.go
+++ b/internal/jobstate/assignments.go
@@ -19,9 +19,9 @@
 	stopOrdered    time.Time          // when its stop was first sent
 }
 
-// mayYetStart reports whether the attempt may yet start on its machine: it has not been listed, or waits for its
+// mayStillStart reports whether the attempt may yet start on its machine: it has not been listed, or waits for its
 // image.
-func (a *attempt) mayYetStart() bool { return a.state == "" || a.state == protocol.Pulling }
+func (a *attempt) mayStillStart() bool { return a.state == "" || a.state == protocol.Pulling }
 
 // Assignments are the attempts of a team that may be on machines. The account of the team alone changes them.
 type Assignments struct {
--- a/internal/jobstate/demand.go
+++ b/internal/jobstate/demand.go
@@ -19,9 +19,9 @@
 
 // demandPlan is one pass over the jobs that wait for quota, in the order in which they get it.
 type demandPlan struct {
-	quota *Quota
-	asked Resources // what is charged already and what the demands so far ask for
-	taken Resources // what the jobs so far leave nothing of: the same with what is reserved for them
+	quota     *Quota
+	requested Resources // what is charged already and what the demands so far ask for
+	committed Resources // what the jobs so far leave nothing of: the same with what is reserved for them
 
 	shortfalls map[string]float64 // by class, CPUs below its floor that no demand so far makes up for
 	shortfall  float64            // of all classes
@@ -42,7 +42,7 @@
 // priorities alone, since jobs of its own priority that fit would otherwise wait beside free quota.
 func (q *Quota) Demands(now time.Time) []Demand {
 	charged := q.charged()
-	p := demandPlan{quota: q, asked: charged, taken: charged, beyondByClass: map[string]int{}}
+	p := demandPlan{quota: q, requested: charged, committed: charged, beyondByClass: map[string]int{}}
 	p.shortfalls, p.shortfall = q.floorShortfalls(q.limits.Max.CPUs - charged.CPUs)
 	waiting, _ := q.waitingJobs(now)
 	p.addFirstTasks(waiting, now)
@@ -65,14 +65,14 @@
 func (p *demandPlan) addFirstTasks(waiting []waitingJob, now time.Time) {
 	for i := range waiting {
 		w := &waiting[i]
-		if !w.startsFirstTask(now) || p.quota.limits.Max.minus(p.taken).tasks(w.Spec) == 0 {
+		if !w.startsFirstTask(now) || p.quota.limits.Max.minus(p.committed).tasks(w.Spec) == 0 {
 			continue
 		}
 		one := neededBy(w.Spec, 1)
-		p.asked = p.asked.plus(one)
-		p.taken = p.taken.plus(one)
+		p.requested = p.requested.plus(one)
+		p.committed = p.committed.plus(one)
 		w.unstarted--
-		borrowed := !p.asked.within(p.quota.limits.Guaranteed)
+		borrowed := !p.requested.within(p.quota.limits.Guaranteed)
 		p.demands = append(p.demands, Demand{Spec: w.Spec, Count: 1, FirstTask: true, Borrowed: borrowed})
 	}
 }
@@ -93,8 +93,8 @@
 	needed := neededBy(j.Spec, tasks)
 	limit := p.quota.limits.Max
 	limit.CPUs -= p.shortfall - p.shortfalls[j.Spec.Class]
-	p.taken.CPUs = min(p.taken.CPUs+needed.CPUs, max(p.taken.CPUs, limit.CPUs))
-	p.taken.GPUs = min(p.taken.GPUs+needed.GPUs, max(p.taken.GPUs, limit.GPUs))
+	p.committed.CPUs = min(p.committed.CPUs+needed.CPUs, max(p.committed.CPUs, limit.CPUs))
+	p.committed.GPUs = min(p.committed.GPUs+needed.GPUs, max(p.committed.GPUs, limit.GPUs))
 }
 
 // addProbe asks for one task of a faulty job, unless one is being tried.
@@ -108,11 +108,11 @@
 // borrowed.
 func (p *demandPlan) addJob(j *Job, unstarted int) {
 	fit := min(unstarted, p.tasksWithinLimit(j))
-	withinGuarantee := min(fit, p.quota.limits.Guaranteed.minus(p.asked).tasks(j.Spec))
-	p.asked = p.asked.plus(neededBy(j.Spec, fit))
-	p.take(j, unstarted, fit)
-	p.makeUpShortfall(j, fit)
-	p.addBeyond(j, unstarted-fit)
+	withinGuarantee := min(fit, p.quota.limits.Guaranteed.minus(p.requested).tasks(j.Spec))
+	p.requested = p.requested.plus(neededBy(j.Spec, fit))
+	p.commit(j, unstarted, fit)
+	p.reduceShortfall(j, fit)
+	p.addBeyondQuota(j, unstarted-fit)
 	if withinGuarantee > 0 {
 		p.demands = append(p.demands, Demand{Spec: j.Spec, Count: withinGuarantee})
 	}
@@ -123,13 +123,13 @@
 
 // tasksWithinLimit is how many tasks of a job the quota has room for.
 func (p *demandPlan) tasksWithinLimit(j *Job) int {
-	return min(maxTasks(p.availableCPUs(j), j.Spec.CPUs), maxTasks(p.quota.limits.Max.GPUs-p.taken.GPUs, j.Spec.GPUs))
+	return min(maxTasks(p.availableCPUs(j), j.Spec.CPUs), maxTasks(p.quota.limits.Max.GPUs-p.committed.GPUs, j.Spec.GPUs))
 }
 
 // availableCPUs is how many CPUs are left of the quota for a job. A class under its floor has room for one task at
 // least, if there is any.
 func (p *demandPlan) availableCPUs(j *Job) float64 {
-	left := p.quota.limits.Max.CPUs - p.taken.CPUs
+	left := p.quota.limits.Max.CPUs - p.committed.CPUs
 	own := p.shortfalls[j.Spec.Class]
 	if own <= 0 {
 		return left - p.shortfall
@@ -137,27 +137,27 @@
 	return max(left-(p.shortfall-own), min(left, max(own, j.Spec.CPUs)))
 }
 
-// take keeps from less urgent jobs what a job's tasks that fit take, or what is reserved for one that can't start.
-func (p *demandPlan) take(j *Job, unstarted, fit int) {
-	toBegin := j.tasksToBegin(unstarted)
+// commit keeps from less urgent jobs what a job's tasks that fit commit, or what is reserved for one that can't start.
+func (p *demandPlan) commit(j *Job, unstarted, fit int) {
+	toStart := j.tasksToStart(unstarted)
 	switch {
-	case toBegin > 0 && j.Spec.Kind == protocol.Gang:
+	case toStart > 0 && j.Spec.Kind == protocol.Gang:
 		if p.reserved {
 			return
 		}
 		if !p.quota.ReservesForGangs() {
-			toBegin = 0 // it made no use of it
+			toStart = 0 // it made no use of it
 		}
-		p.reserve(j, toBegin)
-	case fit < toBegin && p.blocked == nil:
+		p.reserve(j, toStart)
+	case fit < toStart && p.blocked == nil:
 		p.blocked = j
 	default:
-		p.taken = p.taken.plus(neededBy(j.Spec, fit))
+		p.committed = p.committed.plus(neededBy(j.Spec, fit))
 	}
 }
 
-// makeUpShortfall takes what a job's class gets from what it has less than its floor.
-func (p *demandPlan) makeUpShortfall(j *Job, fit int) {
+// reduceShortfall takes what a job's class gets from what it has less than its floor.
+func (p *demandPlan) reduceShortfall(j *Job, fit int) {
 	own := p.shortfalls[j.Spec.Class]
 	if own <= 0 {
 		return
@@ -167,8 +167,8 @@
 	p.shortfall -= used
 }
 
-// addBeyond counts tasks that the quota has no room for now.
-func (p *demandPlan) addBeyond(j *Job, tasks int) {
+// addBeyondQuota counts tasks that the quota has no room for now.
+func (p *demandPlan) addBeyondQuota(j *Job, tasks int) {
 	if tasks <= 0 {
 		return
 	}
@@ -183,8 +183,8 @@
 	p.trailing[i].CPUsBeyondQuota += cpus
 }
 
-// tasksToBegin is how many of a job's unstarted tasks need quota at the same time for it to start; 0 once it has.
-func (j *Job) tasksToBegin(unstarted int) int {
+// tasksToStart is how many of a job's unstarted tasks need quota at the same time for it to start; 0 once it has.
+func (j *Job) tasksToStart(unstarted int) int {
 	switch {
 	case len(j.attempts) > 0:
 		return 0
--- a/internal/jobstate/floors_test.go
+++ b/internal/jobstate/floors_test.go
@@ -10,10 +10,10 @@
 	"topazhollow/internal/protocol"
 )
 
-// TestFloorsBeyondQuotaBlockNobody: of several classes under their floors each one's quota was kept from the others,
+// TestFloorsBeyondQuotaBlockNoClass: of several classes under their floors each one's quota was kept from the others,
 // and where less was left than all of them lacked none could go on while the quota stood empty. Now any quota that is
 // enough for each task that waits is asked for, and never more than there is.
-func TestFloorsBeyondQuotaBlockNobody(t *testing.T) {
+func TestFloorsBeyondQuotaBlockNoClass(t *testing.T) {
 	now := time.Unix(1000, 0)
 	for seed := range uint64(300) {
 		rng := rand.New(rand.NewPCG(seed, 1))
@@ -28,14 +28,14 @@
 			largest = max(largest, spec.CPUs)
 		}
 		team.Quota().SetFloors(floors)
-		asked := 0.0
+		requested := 0.0
 		for _, d := range team.Quota().Demands(now) {
-			asked += float64(d.Count) * d.Spec.CPUs
+			requested += float64(d.Count) * d.Spec.CPUs
 		}
-		if asked > limit+roundingTolerance {
-			t.Fatalf("seed %d: %g CPUs asked for of %g, floors %v", seed, asked, limit, floors)
+		if requested > limit+roundingTolerance {
+			t.Fatalf("seed %d: %g CPUs asked for of %g, floors %v", seed, requested, limit, floors)
 		}
-		if asked == 0 && limit >= largest {
+		if requested == 0 && limit >= largest {
 			t.Fatalf("seed %d: nothing is asked for beside %g CPUs of quota, floors %v", seed, limit, floors)
 		}
 	}
--- a/internal/jobstate/gang_test.go
+++ b/internal/jobstate/gang_test.go
@@ -7,7 +7,7 @@
 	"topazhollow/internal/protocol"
 )
 
-func gang(t *testing.T) (*model, *Job, map[int]Location) {
+func newModelWithGang(t *testing.T) (*model, *Job, map[int]Location) {
 	m := newModel(t, 3)
 	s := &protocol.Submission{UID: "job-9", Team: "team", Kind: protocol.Gang, Priority: "standard", Tasks: 3, CPUs: 2, CheckpointSeconds: 2, CheckpointEverySeconds: 5}
 	m.specs[s.UID], m.active[s.UID] = s, true
@@ -27,17 +27,17 @@
 
 // TestGangAllOrNone: a gang that does not fit the quota takes nothing of it.
 func TestGangAllOrNone(t *testing.T) {
-	m, j, spots := gang(t)
+	m, j, spots := newModelWithGang(t)
 	m.team.quota.limits.Max.CPUs = 5
 	if m.team.PlaceGang(j, 0, spots) || len(m.team.Replica().Assignments) != 0 {
 		t.Fatal("half a gang was placed")
 	}
 }
 
-// TestGangReplacesBeforeStart: a task refused while the others wait is replaced
+// TestGangTaskIsReplacedBeforeStart: a task refused while the others wait is replaced
 // under the same attempt.
-func TestGangReplacesBeforeStart(t *testing.T) {
-	m, j, spots := gang(t)
+func TestGangTaskIsReplacedBeforeStart(t *testing.T) {
+	m, j, spots := newModelWithGang(t)
 	if !m.team.PlaceGang(j, 0, spots) {
 		t.Fatal("not placed")
 	}
@@ -49,11 +49,11 @@
 	}
 }
 
-// TestGangRestartsWhole: a gang that lost a running task stops as a whole, with
+// TestGangRestartsAsAWhole: a gang that lost a running task stops as a whole, with
 // the grace to save, and begins a new attempt only when every task is off: an old
 // task may still be on its machine.
-func TestGangRestartsWhole(t *testing.T) {
-	m, j, spots := gang(t)
+func TestGangRestartsAsAWhole(t *testing.T) {
+	m, j, spots := newModelWithGang(t)
 	m.team.PlaceGang(j, 0, spots)
 	id := AttemptID(1, 1)
 	for i := range 3 {
@@ -85,9 +85,9 @@
 	}
 }
 
-// TestGangDoneTogether: if one task of a gang is done, all are.
-func TestGangDoneTogether(t *testing.T) {
-	m, j, spots := gang(t)
+// TestGangCompletesTogether: if one task of a gang is done, all are.
+func TestGangCompletesTogether(t *testing.T) {
+	m, j, spots := newModelWithGang(t)
 	m.team.PlaceGang(j, 0, spots)
 	observeGangTask(m, j, AttemptID(1, 1), 2, protocol.Exited, protocol.ReasonDone)
 	if !j.Complete() {
--- a/internal/jobstate/gangreservation_test.go
+++ b/internal/jobstate/gangreservation_test.go
@@ -19,8 +19,8 @@
 	return team, team.Job(spec.UID), array
 }
 
-// asked is how many tasks of each job the team asks room for.
-func asked(team *Team, now time.Time) map[string]int {
+// requestedTasks is how many tasks of each job the team asks room for.
+func requestedTasks(team *Team, now time.Time) map[string]int {
 	counts := map[string]int{}
 	for _, d := range team.Quota().Demands(now) {
 		counts[d.Spec.UID] += d.Count
@@ -36,17 +36,17 @@
 	team, gang, array := newTeamWithGangAndArray(now)
 	team.Quota().SetFloors(map[string]float64{"gangs": 8})
 	team.Quota().UpdateGangReservation(now)
-	if got := asked(team, now); !team.Quota().ReservesForGangs() || got[gang.Spec.UID] != 3 || got[array.UID] > 4 {
+	if got := requestedTasks(team, now); !team.Quota().ReservesForGangs() || got[gang.Spec.UID] != 3 || got[array.UID] > 4 {
 		t.Fatalf("at first %v tasks are asked for", got)
 	}
 	now = now.Add(quotaCycle.reserve)
 	team.Quota().UpdateGangReservation(now)
-	if got := asked(team, now); team.Quota().ReservesForGangs() || got[gang.Spec.UID] != 3 || got[array.UID] != 10 {
+	if got := requestedTasks(team, now); team.Quota().ReservesForGangs() || got[gang.Spec.UID] != 3 || got[array.UID] != 10 {
 		t.Fatalf("after %v without a start %v tasks are asked for", quotaCycle.reserve, got)
 	}
 	now = now.Add(quotaCycle.release)
 	team.Quota().UpdateGangReservation(now)
-	if got := asked(team, now); !team.Quota().ReservesForGangs() || got[array.UID] > 4 {
+	if got := requestedTasks(team, now); !team.Quota().ReservesForGangs() || got[array.UID] > 4 {
 		t.Fatalf("on the second try %v tasks are asked for", got)
 	}
 }
@@ -62,12 +62,12 @@
 		}
 	}
 	team.Quota().UpdateGangReservation(now)
-	if got := asked(team, now); got[array.UID] != 0 {
+	if got := requestedTasks(team, now); got[array.UID] != 0 {
 		t.Fatalf("at first %v tasks are asked for", got)
 	}
 	now = now.Add(quotaCycle.reserve)
 	team.Quota().UpdateGangReservation(now)
-	if got := asked(team, now); got[array.UID] != 5 {
+	if got := requestedTasks(team, now); got[array.UID] != 5 {
 		t.Fatalf("after %v without a start %v tasks are asked for", quotaCycle.reserve, got)
 	}
 }
@@ -86,12 +86,12 @@
 	next.UID = "job-000003"
 	team.AddJob(&next, 1, now, nil)
 	team.Quota().UpdateGangReservation(now)
-	if got := asked(team, now); !team.Quota().ReservesCapacityForGangs() || got[next.UID] != 2 || got[array.UID] != 0 {
+	if got := requestedTasks(team, now); !team.Quota().ReservesCapacityForGangs() || got[next.UID] != 2 || got[array.UID] != 0 {
 		t.Fatalf("capacity reserved: %v, and %v tasks are asked for; want what is left for the next gang", team.Quota().ReservesCapacityForGangs(), got)
 	}
 	now = now.Add(time.Second)
 	team.Quota().UpdateGangReservation(now)
-	if got := asked(team, now); !team.Quota().ReservesCapacityForGangs() || got[array.UID] != 4 {
+	if got := requestedTasks(team, now); !team.Quota().ReservesCapacityForGangs() || got[array.UID] != 4 {
 		t.Fatalf("capacity reserved: %v, and %v tasks are asked for; want what is left for the array", team.Quota().ReservesCapacityForGangs(), got)
 	}
 	now = now.Add(capacityCycle.reserve)
--- a/internal/jobstate/golden_test.go
+++ b/internal/jobstate/golden_test.go
@@ -15,8 +15,8 @@
 // so the forms may only grow. The messages between controllers that carry this package's types are in the module's
 // root.
 
-// pageRoom is so small that a job of 100 tasks has two parts, of 64 tasks each at most.
-const pageRoom = 20
+// smallPageBytes is so small that a job of 100 tasks has two parts, of 64 tasks each at most.
+const smallPageBytes = 20
 
 // finished are jobs' sizes and the tasks of each that are finished.
 var finished = map[string]struct {
@@ -32,11 +32,11 @@
 	for _, uid := range []string{"job-000398", "job-000412"} {
 		jobs = append(jobs, &Job{Spec: &protocol.Submission{UID: uid}})
 	}
-	pages := NewPageSet(pageRoom).Plan(jobs, func(job string) (int, *bitset.BitSet) { return finished[job].tasks, finished[job].done })
+	pages := NewPageSet(smallPageBytes).Plan(jobs, func(job string) (int, *bitset.BitSet) { return finished[job].tasks, finished[job].done })
 	if len(pages) != 3 {
 		t.Fatalf("%d pages, want 3", len(pages))
 	}
-	book, read := NewPageSet(pageRoom), map[string]*bitset.BitSet{}
+	reader, read := NewPageSet(smallPageBytes), map[string]*bitset.BitSet{}
 	for _, p := range pages {
 		if p.Version != 0 {
 			t.Errorf("page %d: version %d, want 0", p.Number, p.Version)
@@ -46,7 +46,7 @@
 		if err := json.Unmarshal(value, &parts); err != nil {
 			t.Fatal(err)
 		}
-		if err := book.Read(p.Number, 412, parts, func(job string) int { return finished[job].tasks }, read); err != nil {
+		if err := reader.Read(p.Number, 412, parts, func(job string) int { return finished[job].tasks }, read); err != nil {
 			t.Fatal(err)
 		}
 	}
--- a/internal/jobstate/jobstate_test.go
+++ b/internal/jobstate/jobstate_test.go
@@ -15,7 +15,7 @@
 // checkAccount compares what the team keeps up to date as things change with a plain
 // count of all that it holds: an attempt that is forgotten there would never get
 // its order.
-func (m *model) checkAccount() (broken string) {
+func (m *model) checkAccount() (violation string) {
 	on, jobs := map[string]int{}, map[string]int{}
 	cpus := 0.0
 	for k, a := range m.team.assignments.byTask {
@@ -88,12 +88,12 @@
 	}
 }
 
-// TestOwnerModelCatches shows that the model fails an owner that takes a silent
+// TestOwnerModelDetectsReleaseWithoutProof shows that the model fails an owner that takes a silent
 // machine's tasks for gone: the rule that only proof releases an assignment matters.
-func TestOwnerModelCatches(t *testing.T) {
+func TestOwnerModelDetectsReleaseWithoutProof(t *testing.T) {
 	for seed := range uint64(400) {
 		m := newModel(t, seed)
-		m.careless = true
+		m.releasesWithoutProof = true
 		for range 400 {
 			if m.step() != "" {
 				return
@@ -119,9 +119,9 @@
 	}
 }
 
-// TestForgetWaitsForBitmap: an agent keeps a result until the state service
+// TestForgetWaitsForSavedBitmap: an agent keeps a result until the state service
 // knows it; before, a crash of all controllers would run the task again.
-func TestForgetWaitsForBitmap(t *testing.T) {
+func TestForgetWaitsForSavedBitmap(t *testing.T) {
 	m := newModel(t, 1)
 	spec := m.specs["job-0"]
 	j := m.team.Job(spec.UID)
--- a/internal/jobstate/limits.go
+++ b/internal/jobstate/limits.go
@@ -17,7 +17,7 @@
 		return false // whether these wait for their images is not known
 	}
 	for _, a := range t.assignments.byTask {
-		if a.mayYetStart() {
+		if a.mayStillStart() {
 			return false
 		}
 	}
@@ -37,7 +37,7 @@
 			if !t.quota.exceeded(givenUp) {
 				return
 			}
-			if a.stopping || !running && !a.mayYetStart() {
+			if a.stopping || !running && !a.mayStillStart() {
 				continue
 			}
 			if j.Spec.Kind == protocol.Gang {
--- a/internal/jobstate/limits_test.go
+++ b/internal/jobstate/limits_test.go
@@ -14,7 +14,7 @@
 		max     float64
 		running bool
 		stops   int
-		settled bool
+		inForce bool
 	}{
 		"within":                       {[]protocol.TaskState{protocol.Running, protocol.Pulling, ""}, 6, false, 0, true},
 		"none has come":                {[]protocol.TaskState{"", "", ""}, 4, false, 1, false},
@@ -42,7 +42,7 @@
 				stops++
 			}
 		}
-		if stops != c.stops || m.team.LimitsInForce() != c.settled || m.team.Place(j, 3, Location{"d", "z", 1}) {
+		if stops != c.stops || m.team.LimitsInForce() != c.inForce || m.team.Place(j, 3, Location{"d", "z", 1}) {
 			t.Errorf("%s: %d stops, settled %v", name, stops, m.team.LimitsInForce())
 		}
 		m.team.Quota().SetLimits(Limits{Max: Resources{CPUs: 8, GPUs: 1}})
@@ -54,7 +54,7 @@
 
 // TestGangBeyondLoweredLimits: a gang that has not come whole is stopped as a whole.
 func TestGangBeyondLoweredLimits(t *testing.T) {
-	m, j, spots := gang(t)
+	m, j, spots := newModelWithGang(t)
 	m.team.PlaceGang(j, 0, spots)
 	observeGangTask(m, j, AttemptID(1, 1), 0, protocol.Waiting, "")
 	m.team.Quota().SetLimits(Limits{Max: Resources{CPUs: 5}})
--- a/internal/jobstate/model_test.go
+++ b/internal/jobstate/model_test.go
@@ -44,25 +44,25 @@
 }
 
 type model struct {
-	t               *testing.T
-	rng             *rand.Rand
-	seed            uint64
-	now             time.Time
-	term            uint64
-	team            *Team
-	replica         *Replica
-	agents          []*modelAgent
-	inFlight        []message
-	specs           map[string]*protocol.Submission
-	active          map[string]bool
-	done            map[TaskID]bool
-	careless        bool                      // a broken owner that takes a silent machine for gone
-	knowledge       map[string]endKnowledge   // what is known of a job that is over; zero: all
-	newestStatus    map[string]*MachineStatus // the newest status of each machine, as the owner has it
-	delayedStatuses []*MachineStatus          // copies of heartbeats that are still in flight
-	barrier         map[string]bool           // machines that a failover without memory waits for; nil: none
-	barrierTerm     uint64                    // the term of that failover
-	reached         map[string]bool           // what really happened in this run
+	t                    *testing.T
+	rng                  *rand.Rand
+	seed                 uint64
+	now                  time.Time
+	term                 uint64
+	team                 *Team
+	replica              *Replica
+	agents               []*modelAgent
+	inFlight             []message
+	specs                map[string]*protocol.Submission
+	active               map[string]bool
+	done                 map[TaskID]bool
+	releasesWithoutProof bool                      // a broken owner that takes a silent machine for gone
+	knowledge            map[string]endKnowledge   // what is known of a job that is over; zero: all
+	newestStatus         map[string]*MachineStatus // the newest status of each machine, as the owner has it
+	delayedStatuses      []*MachineStatus          // copies of heartbeats that are still in flight
+	barrier              map[string]bool           // machines that a failover without memory waits for; nil: none
+	barrierTerm          uint64                    // the term of that failover
+	reached              map[string]bool           // what really happened in this run
 }
 
 // endKnowledge is how much an owner's controller knows of a job that is over.
@@ -71,14 +71,14 @@
 const (
 	endAndSize endKnowledge = iota
 	endOnly                 // its end, and not what its tasks take
-	nothing
+	unknownJob
 )
 
 // Job is what the owner's controller knows of a job.
 func (m *model) Job(uid string) JobInfo {
 	spec := m.specs[uid]
 	switch {
-	case spec == nil || m.knowledge[uid] == nothing:
+	case spec == nil || m.knowledge[uid] == unknownJob:
 		return JobInfo{}
 	case m.knowledge[uid] == endOnly:
 		spec = &protocol.Submission{UID: uid, Team: spec.Team, Tasks: spec.Tasks}
@@ -210,7 +210,7 @@
 			w.dead = true
 			m.returnMachine(w.name)
 			m.agents[at] = &modelAgent{name: w.name + "+", incarnation: 1, tasks: map[TaskID]TaskStatus{}}
-		} else if m.careless {
+		} else if m.releasesWithoutProof {
 			m.team.MachineReturned(w.name) // believes that a silent machine is gone
 		}
 	case 17: // the owner crashes; the replica takes over under a raised term, or nobody remembers anything
@@ -238,14 +238,14 @@
 func (m *model) place() {
 	m.team.Jobs(func(j *Job) {
 		j.Pending(m.now, func(i int) bool {
-			x := m.roomiest(j.Spec.CPUs)
+			x := m.machineWithRoom(j.Spec.CPUs)
 			return x != nil && m.team.Quota().Fits(j, 1) && m.team.Place(j, i, Location{x.name, "z", x.incarnation})
 		})
 	})
 }
 
-// roomiest is a machine with room for a task as the owner sees it, or any.
-func (m *model) roomiest(cpus float64) *modelAgent {
+// machineWithRoom is a machine with room for a task as the owner sees it, or any.
+func (m *model) machineWithRoom(cpus float64) *modelAgent {
 	x := m.agents[m.rng.IntN(len(m.agents))]
 	for range 8 {
 		if !x.dead && m.used(x, false)+cpus <= modelMachineCPUs {
@@ -434,8 +434,8 @@
 
 // failOver begins a new owner's account: of what the replica has, or without memory, when all controllers ended. Then
 // the ends of jobs are known to nobody until they are looked up, and every machine has to report first.
-func (m *model) failOver(blind bool) {
-	if blind {
+func (m *model) failOver(withoutReplica bool) {
+	if withoutReplica {
 		m.reached["a failover without memory"] = true
 		m.replica = NewReplica()
 		for uid := range m.specs {
--- a/internal/jobstate/pageset.go
+++ b/internal/jobstate/pageset.go
@@ -17,7 +17,7 @@
 // always written whole: with what is known of every active job that has a part
 // on it.
 type PageSet struct {
-	pageBytes    int
+	maxPageBytes int
 	tasksPerPart int
 	pages        map[int]*page
 	pageOf       map[part]int // number of the page that a part is on
@@ -66,7 +66,7 @@
 	// Half a page in binary is two thirds of one in base64.
 	words := pageBytes / 2 / bytesPerWord
 	return &PageSet{
-		pageBytes:    pageBytes,
+		maxPageBytes: pageBytes,
 		tasksPerPart: words * bitsPerWord,
 		pages:        map[int]*page{},
 		pageOf:       map[part]int{},
@@ -240,7 +240,7 @@
 			pg = &page{usedBytes: emptyPageBytes}
 			s.pages[number] = pg
 		}
-		if pg.usedBytes == emptyPageBytes || pg.usedBytes+size <= s.pageBytes {
+		if pg.usedBytes == emptyPageBytes || pg.usedBytes+size <= s.maxPageBytes {
 			pg.usedBytes += size
 			s.pageOf[p] = number
 			return number
--- a/internal/jobstate/pageset_test.go
+++ b/internal/jobstate/pageset_test.go
@@ -15,7 +15,7 @@
 // store, now and then under a new owner that read it. What was marked as saved
 // must be found by the next reader, and no page outgrows its room.
 func TestPageSetModel(t *testing.T) {
-	const room = 400
+	const maxBytes = 400
 	type value struct {
 		version uint64
 		parts   map[string]string
@@ -23,7 +23,7 @@
 	for seed := range uint64(200) {
 		rng := rand.New(rand.NewPCG(seed, 11))
 		store, revision := map[int]value{}, uint64(0)
-		pageSet := NewPageSet(room)
+		pageSet := NewPageSet(maxBytes)
 		jobs, done, saved := map[string]*Job{}, map[string]*bitset.BitSet{}, map[string]*bitset.BitSet{}
 		find := func(uid string) (int, *bitset.BitSet) {
 			if j := jobs[uid]; j != nil {
@@ -44,7 +44,7 @@
 					}
 				}
 			case 2: // a new owner reads what there is
-				pageSet = NewPageSet(room)
+				pageSet = NewPageSet(maxBytes)
 				found := map[string]*bitset.BitSet{}
 				for number, v := range store {
 					if err := pageSet.Read(number, v.version, v.parts, func(uid string) int { n, _ := find(uid); return n }, found); err != nil {
@@ -68,7 +68,7 @@
 				}
 				for _, p := range pageSet.Plan(unsaved, find) {
 					text, err := json.Marshal(p.Parts)
-					if err != nil || len(text) > room {
+					if err != nil || len(text) > maxBytes {
 						t.Fatalf("seed %d: page of %d bytes, %v", seed, len(text), err)
 					}
 					if store[p.Number].version != p.Version {
--- a/internal/jobstate/quota.go
+++ b/internal/jobstate/quota.go
@@ -27,8 +27,8 @@
 	return Resources{CPUs: r.CPUs - other.CPUs, GPUs: r.GPUs - other.GPUs}
 }
 
-// times is a part of the amounts.
-func (r Resources) times(part float64) Resources {
+// scaled is a part of the amounts.
+func (r Resources) scaled(part float64) Resources {
 	return Resources{CPUs: part * r.CPUs, GPUs: part * r.GPUs}
 }
 
--- a/internal/jobstate/quota_test.go
+++ b/internal/jobstate/quota_test.go
@@ -32,8 +32,8 @@
 // completeOneTask has the agent end the lowest running task of a job.
 func completeOneTask(team *Team, uid string) {
 	job := team.Job(uid)
-	held := job.attemptsByIndex()[0]
-	team.attemptExited(held, &TaskStatus{TaskID: held.TaskID, Attempt: held.Attempt, State: protocol.Exited, Reason: protocol.ReasonDone}, time.Unix(1000, 0))
+	first := job.attemptsByIndex()[0]
+	team.attemptExited(first, &TaskStatus{TaskID: first.TaskID, Attempt: first.Attempt, State: protocol.Exited, Reason: protocol.ReasonDone}, time.Unix(1000, 0))
 }
 
 // TestQuotaIsReservedForTheMostUrgent: tasks of a less urgent job end one by one at the team's limit. What they free is
@@ -63,8 +63,8 @@
 				completeOneTask(team, small.UID)
 				placeDemanded(team, now)
 			}
-			if held := len(team.Job(urgent.UID).attempts); held != urgent.Tasks {
-				t.Fatalf("%d of %d urgent tasks hold quota after %d CPUs came free", held, urgent.Tasks, needed)
+			if assigned := len(team.Job(urgent.UID).attempts); assigned != urgent.Tasks {
+				t.Fatalf("%d of %d urgent tasks hold quota after %d CPUs came free", assigned, urgent.Tasks, needed)
 			}
 		})
 	}
@@ -103,8 +103,8 @@
 	}
 }
 
-// TestSmallTasksPassALargeOneOfTheirPriority: what the quota has left goes to a job of the same priority that fits it.
-func TestSmallTasksPassALargeOneOfTheirPriority(t *testing.T) {
+// TestSmallTasksOvertakeLargeOnesOfEqualPriority: what the quota has left goes to a job of the same priority that fits it.
+func TestSmallTasksOvertakeLargeOnesOfEqualPriority(t *testing.T) {
 	now := time.Unix(1000, 0)
 	team := NewTeam("team", Limits{Max: Resources{CPUs: 3, GPUs: math.Inf(1)}}, NewReplica(), 1, func(string, ...any) {})
 	large := &protocol.Submission{UID: "job-000001", Kind: protocol.JobArray, Priority: "standard", Tasks: 1, CPUs: 4}
@@ -112,7 +112,7 @@
 	team.AddJob(large, 1, now, nil)
 	team.AddJob(small, 2, now, nil)
 	placeDemanded(team, now)
-	if held := len(team.Job(small.UID).attempts); held != 3 {
-		t.Fatalf("%d small tasks hold quota, want 3", held)
+	if assigned := len(team.Job(small.UID).attempts); assigned != 3 {
+		t.Fatalf("%d small tasks hold quota, want 3", assigned)
 	}
 }
--- a/internal/jobstate/quotaorder.go
+++ b/internal/jobstate/quotaorder.go
@@ -28,9 +28,9 @@
 	noObjective                    // it has none
 )
 
-// smallRemainderPart is the part of the limit that what is left of a started job may take for the job to be completed
+// smallRemainderFraction is the part of the limit that what is left of a started job may take for the job to be completed
 // first.
-const smallRemainderPart = 0.25
+const smallRemainderFraction = 0.25
 
 // waitingJob is a job with tasks that are neither assigned nor done, or one that is taken to be faulty.
 type waitingJob struct {
@@ -97,7 +97,7 @@
 
 // isSmallRemainder reports whether what is left of a job takes a small part of the team's limit.
 func (q *Quota) isSmallRemainder(w *waitingJob) bool {
-	return neededBy(w.Spec, w.unstarted).within(q.limits.Max.times(smallRemainderPart))
+	return neededBy(w.Spec, w.unstarted).within(q.limits.Max.scaled(smallRemainderFraction))
 }
 
 // A large array that can reach no objective, so that it would be served last of all, starts with one task after
--- a/internal/jobstate/quotaorder_test.go
+++ b/internal/jobstate/quotaorder_test.go
@@ -11,8 +11,8 @@
 	"topazhollow/internal/protocol"
 )
 
-// askedOf gives the jobs that ask for quota, in the order in which they do.
-func askedOf(team *Team, now time.Time) []string {
+// requestingJobs gives the jobs that ask for quota, in the order in which they do.
+func requestingJobs(team *Team, now time.Time) []string {
 	var asked []string
 	for _, d := range team.Quota().Demands(now) {
 		if d.Count > 0 && !slices.Contains(asked, d.Spec.UID) {
@@ -43,15 +43,15 @@
 	}
 	add("job-long", "standard", 5*time.Minute, 270) // due later, but it must start sooner
 	add("job-short", "standard", 2*time.Minute, 10)
-	if asked := askedOf(team, now); !slices.Equal(asked, []string{"job-begun", "job-long", "job-short"}) {
+	if asked := requestingJobs(team, now); !slices.Equal(asked, []string{"job-begun", "job-long", "job-short"}) {
 		t.Fatalf("%v ask for 4 CPUs of quota", asked)
 	}
 	add("job-urgent", "high", 0, 10)
-	if asked := askedOf(team, now); !slices.Equal(asked, []string{"job-urgent", "job-begun", "job-long"}) {
+	if asked := requestingJobs(team, now); !slices.Equal(asked, []string{"job-urgent", "job-begun", "job-long"}) {
 		t.Errorf("%v ask for 4 CPUs of quota beside an urgent job", asked)
 	}
 	team.Quota().SetLimits(Limits{Max: Resources{CPUs: 100, GPUs: math.Inf(1)}})
-	if asked := askedOf(team, now); len(asked) != 6 {
+	if asked := requestingJobs(team, now); len(asked) != 6 {
 		t.Errorf("%v ask for quota that suffices for all", asked)
 	}
 }
@@ -71,7 +71,7 @@
 	}
 	add("job-late", 20, -time.Minute)
 	add("job-small", 3, 5*time.Minute)
-	if asked := askedOf(team, now); !slices.Equal(asked, []string{"job-small", "job-giant"}) {
+	if asked := requestingJobs(team, now); !slices.Equal(asked, []string{"job-small", "job-giant"}) {
 		t.Errorf("%v ask for 7 CPUs of quota", asked)
 	}
 }
@@ -81,11 +81,11 @@
 func TestLargeArraysStartTheirFirstTask(t *testing.T) {
 	now := time.Unix(1000, 0)
 	for _, c := range []struct {
-		name  string
-		tasks int
-		age   time.Duration
-		begun bool
-		want  int
+		name    string
+		tasks   int
+		age     time.Duration
+		started bool
+		want    int
 	}{
 		{"waited long", 40, firstTaskDelay + time.Second, false, 1},
 		{"late", 40, firstTaskDelay + 2*time.Second, false, 1},
@@ -103,20 +103,20 @@
 			case "can be in time":
 				team.Job("job-large").SetObjectives(Objectives{now.Add(-time.Minute), now.Add(time.Minute)})
 			}
-			if c.begun && !team.Place(team.Job("job-large"), 0, Location{Machine: "m", Zone: "z", Incarnation: 1}) {
+			if c.started && !team.Place(team.Job("job-large"), 0, Location{Machine: "m", Zone: "z", Incarnation: 1}) {
 				t.Fatal("not placed")
 			}
 			team.AddJob(&protocol.Submission{UID: "job-urgent", Kind: protocol.JobArray, Priority: "high", Tasks: 100, CPUs: 1, EstimateSeconds: 10}, 1, now, nil)
-			begins, asked := 0, 0
+			firstTasks, requested := 0, 0
 			for _, d := range team.Quota().Demands(now) {
-				asked += d.Count
+				requested += d.Count
 				if d.FirstTask {
-					begins += d.Count
+					firstTasks += d.Count
 				}
 			}
-			held := len(team.assignments.byTask)
-			if begins != c.want || asked+held != 10 {
-				t.Errorf("%d tasks begin of %d that are asked for beside %d, want %d of 10 in all", begins, asked, held, c.want)
+			assigned := len(team.assignments.byTask)
+			if firstTasks != c.want || requested+assigned != 10 {
+				t.Errorf("%d tasks begin of %d that are asked for beside %d, want %d of 10 in all", firstTasks, requested, assigned, c.want)
 			}
 		})
 	}
@@ -131,14 +131,14 @@
 		team.AddJob(&protocol.Submission{UID: uid, Kind: protocol.Gang, Priority: "high", Tasks: 4, CPUs: 1, EstimateSeconds: 10}, 1, now, nil)
 		team.Job(uid).SetObjectives(Objectives{now.Add(time.Duration(6*i-1) * time.Minute)})
 	}
-	if asked := askedOf(team, now); len(asked) == 0 || asked[0] != "job-000001" {
+	if asked := requestingJobs(team, now); len(asked) == 0 || asked[0] != "job-000001" {
 		t.Errorf("%v ask for quota", asked)
 	}
 }
 
-// servedAtLimit plays arrays of drawn sizes against a limit of less than they ask for, and gives the parts that were
+// simulateAtLimit plays arrays of drawn sizes against a limit of less than they ask for, and gives the parts that were
 // done by their deadline, and of the longest eighth that had all tasks started within four minutes.
-func servedAtLimit(seed uint64, withGoals bool) (inTime, longBegan float64) {
+func simulateAtLimit(seed uint64, withObjectives bool) (inTime, longStarted float64) {
 	const (
 		jobs  = 96
 		limit = 120
@@ -173,13 +173,13 @@
 		for _, a := range arrays {
 			if a.at == now {
 				team.AddJob(a.spec, 1, start.Add(now), nil)
-				if withGoals {
+				if withObjectives {
 					team.Job(a.spec.UID).SetObjectives(Objectives{start.Add(a.due)})
 				}
 			}
 		}
-		for _, held := range running[now] {
-			team.attemptExited(held, &TaskStatus{TaskID: held.TaskID, Attempt: held.Attempt, State: protocol.Exited, Reason: protocol.ReasonDone}, start.Add(now))
+		for _, ended := range running[now] {
+			team.attemptExited(ended, &TaskStatus{TaskID: ended.TaskID, Attempt: ended.Attempt, State: protocol.Exited, Reason: protocol.ReasonDone}, start.Add(now))
 		}
 		before := map[TaskID]bool{}
 		for k := range team.assignments.byTask {
@@ -191,10 +191,10 @@
 			if job == nil {
 				continue
 			}
-			for _, held := range job.attempts {
-				if !before[held.TaskID] {
+			for _, placed := range job.attempts {
+				if !before[placed.TaskID] {
 					a.started++
-					running[now+a.run] = append(running[now+a.run], held)
+					running[now+a.run] = append(running[now+a.run], placed)
 				}
 			}
 			if a.started == a.spec.Tasks {
@@ -214,26 +214,26 @@
 		if i%8 == 0 {
 			long++
 			if a.all-a.at <= 4*time.Minute {
-				longBegan++
+				longStarted++
 			}
 		}
 	}
-	return inTime / jobs, longBegan / float64(long)
+	return inTime / jobs, longStarted / float64(long)
 }
 
-// TestServedAtALimit: beside a limit that is too low, more jobs are in time than by due time alone, and more of the
+// TestObjectivesAtLimitBeatDeadlineOrder: beside a limit that is too low, more jobs are in time than by due time alone, and more of the
 // long ones have begun within four minutes.
-func TestServedAtALimit(t *testing.T) {
-	var inTime, longBegan, inTimeByDue, longBeganByDue float64
+func TestObjectivesAtLimitBeatDeadlineOrder(t *testing.T) {
+	var inTime, longStarted, inTimeByDeadline, longStartedByDeadline float64
 	const seeds = 12
 	for seed := range uint64(seeds) {
-		a, b := servedAtLimit(seed, true)
-		inTime, longBegan = inTime+a/seeds, longBegan+b/seeds
-		a, b = servedAtLimit(seed, false)
-		inTimeByDue, longBeganByDue = inTimeByDue+a/seeds, longBeganByDue+b/seeds
+		a, b := simulateAtLimit(seed, true)
+		inTime, longStarted = inTime+a/seeds, longStarted+b/seeds
+		a, b = simulateAtLimit(seed, false)
+		inTimeByDeadline, longStartedByDeadline = inTimeByDeadline+a/seeds, longStartedByDeadline+b/seeds
 	}
-	t.Logf("in time %.2f, by due time %.2f; long ones begun %.2f, by due time %.2f", inTime, inTimeByDue, longBegan, longBeganByDue)
-	if inTime <= inTimeByDue || longBegan <= longBeganByDue {
+	t.Logf("in time %.2f, by due time %.2f; long ones begun %.2f, by due time %.2f", inTime, inTimeByDeadline, longStarted, longStartedByDeadline)
+	if inTime <= inTimeByDeadline || longStarted <= longStartedByDeadline {
 		t.Fail()
 	}
 }
--- a/internal/jobstate/surplus.go
+++ b/internal/jobstate/surplus.go
@@ -11,15 +11,15 @@
 // most of that finds no capacity, and takes none of the limit; yet smaller tasks behind it, which would fit into what
 // is free on machines, were not listed at all. They are offered as surplus demands.
 
-// surplusPart is the part of the limit that surplus tasks leave nothing beyond, so that the rest stays with what is
+// surplusFraction is the part of the limit that surplus tasks leave nothing beyond, so that the rest stays with what is
 // listed.
-const surplusPart = 0.75
+const surplusFraction = 0.75
 
 // SurplusDemands lists what the team could place beside its demands where those find no capacity: of each class what
 // the limit, as it is used now, has room for. The classes' counts are independent of each other; FitsSurplus tells what
 // is left while they are placed. While a gang waits there are none, since what comes free is collected for it.
 func (q *Quota) SurplusDemands(now time.Time) []Demand {
-	room := q.limits.Max.times(surplusPart).minus(q.charged())
+	room := q.limits.Max.scaled(surplusFraction).minus(q.charged())
 	if room.CPUs <= 0 || q.gangs.waiting() {
 		return nil
 	}
@@ -45,7 +45,7 @@
 
 // FitsSurplus reports whether a task of a job may start as surplus.
 func (q *Quota) FitsSurplus(j *Job) bool {
-	limit := q.limits.Max.times(surplusPart)
+	limit := q.limits.Max.scaled(surplusFraction)
 	if j.Spec.GPUs == 0 {
 		limit.GPUs = math.Inf(1) // what others have of them does not matter
 	}
--- a/internal/jobstate/transfer_test.go
+++ b/internal/jobstate/transfer_test.go
@@ -12,14 +12,14 @@
 
 // transferModel is an owner and a replica's holder with an ordered connection that may be lost.
 type transferModel struct {
-	t        *testing.T
-	rng      *rand.Rand
-	owner    *Replica
-	transfer *Transfer
-	line     []any // Part or Delta, in order
-	kept     *Replica
-	incoming *Incoming
-	whole    int // replicas received whole
+	t         *testing.T
+	rng       *rand.Rand
+	owner     *Replica
+	transfer  *Transfer
+	inFlight  []any // Part or Delta, in order
+	replica   *Replica
+	incoming  *Incoming
+	completed int // replicas received whole
 }
 
 // change draws a change of the owner's replica.
@@ -42,7 +42,7 @@
 		m.t.Fatal(err)
 	}
 	if m.transfer != nil {
-		m.line = append(m.line, d)
+		m.inFlight = append(m.inFlight, d)
 	}
 }
 
@@ -59,17 +59,17 @@
 			done[job] = set.Clone()
 		}
 		p.Done = done
-		m.line = append(m.line, p)
+		m.inFlight = append(m.inFlight, p)
 	}
 }
 
 // receive takes the next line.
 func (m *transferModel) receive() {
-	if len(m.line) == 0 {
+	if len(m.inFlight) == 0 {
 		return
 	}
-	next := m.line[0]
-	m.line = m.line[1:]
+	next := m.inFlight[0]
+	m.inFlight = m.inFlight[1:]
 	var err error
 	switch x := next.(type) {
 	case Part:
@@ -78,14 +78,14 @@
 		}
 		var whole *Replica
 		if whole, err = m.incoming.AddPart(x); whole != nil {
-			m.kept, m.incoming = whole, nil
-			m.whole++
+			m.replica, m.incoming = whole, nil
+			m.completed++
 		}
 	case Delta:
 		if m.incoming != nil {
 			err = m.incoming.Apply(x)
 		} else {
-			err = m.kept.Apply(x)
+			err = m.replica.Apply(x)
 		}
 	}
 	if err != nil {
@@ -93,9 +93,9 @@
 	}
 }
 
-// lose ends the connection with all that is on it.
-func (m *transferModel) lose() {
-	m.line, m.transfer, m.incoming = nil, nil, nil
+// disconnect ends the connection with all that is on it.
+func (m *transferModel) disconnect() {
+	m.inFlight, m.transfer, m.incoming = nil, nil, nil
 }
 
 // sameReplica says whether two replicas hold the same.
@@ -133,7 +133,7 @@
 				m.send()
 			case 7:
 				if m.rng.IntN(8) == 0 {
-					m.lose()
+					m.disconnect()
 				}
 			default:
 				m.receive()
@@ -143,11 +143,11 @@
 			m.send()
 		}
 		parts = max(parts, m.transfer.PartsMade())
-		for len(m.line) > 0 {
+		for len(m.inFlight) > 0 {
 			m.receive()
 		}
-		if m.whole == 0 || !sameReplica(m.owner, m.kept) {
-			t.Fatalf("seed %d: after %d whole replicas the holder has %+v, the owner %+v", seed, m.whole, m.kept, m.owner)
+		if m.completed == 0 || !sameReplica(m.owner, m.replica) {
+			t.Fatalf("seed %d: after %d whole replicas the holder has %+v, the owner %+v", seed, m.completed, m.replica, m.owner)
 		}
 	}
 	if parts < 4 {
@@ -169,32 +169,32 @@
 	transfer := NewTransfer(owner)
 	transfer.maxPartBytes = partBytesForTests
 	first, second, third := transfer.Next(owner), transfer.Next(owner), transfer.Next(owner)
-	begun := func() *Incoming {
+	afterFirst := func() *Incoming {
 		in := NewIncoming()
 		if _, err := in.AddPart(first); err != nil {
 			t.Fatal(err)
 		}
 		return in
 	}
-	if _, err := begun().AddPart(third); err == nil {
+	if _, err := afterFirst().AddPart(third); err == nil {
 		t.Error("a part is missing, and the next one is taken")
 	}
-	if _, err := begun().AddPart(first); err == nil {
+	if _, err := afterFirst().AddPart(first); err == nil {
 		t.Error("a part is taken twice")
 	}
 	later := second
 	later.Seq++
-	if _, err := begun().AddPart(later); err == nil {
+	if _, err := afterFirst().AddPart(later); err == nil {
 		t.Error("a part is taken without the delta before it")
 	}
-	if err := begun().Apply(Delta{Seq: first.Seq + 2}); err == nil {
+	if err := afterFirst().Apply(Delta{Seq: first.Seq + 2}); err == nil {
 		t.Error("a delta is taken without the one before it")
 	}
 }
 
 // TestPartsAreBounded: no part is longer than a line between controllers may be, and only what is too long for one goes in parts.
 func TestPartsAreBounded(t *testing.T) {
-	const line = 4 << 20
+	const maxMessageBytes = 4 << 20
 	r := NewReplica()
 	for i := range 40000 {
 		k := TaskID{"job-000001", i}
@@ -211,7 +211,7 @@
 		t.Error("all of it counts as one message")
 	}
 	for transfer := NewTransfer(r); !transfer.Ended(); {
-		if size := len(encoded(t, transfer.Next(r))); size > line/2 {
+		if size := len(encoded(t, transfer.Next(r))); size > maxMessageBytes/2 {
 			t.Fatalf("a part has %d bytes", size)
 		}
 	}
@@ -223,7 +223,7 @@
 	if !small.FitsOneMessage() {
 		t.Error("15,000 tasks go in parts")
 	}
-	if size := len(encoded(t, small.Copy())); size > line {
+	if size := len(encoded(t, small.Copy())); size > maxMessageBytes {
 		t.Errorf("a whole replica has %d bytes", size)
 	}
 }
--- a/internal/placement/placement.go
+++ b/internal/placement/placement.go
@@ -42,8 +42,8 @@
 	MayUseLeftover       bool    // may use room of reserved machines that is too little for what it is reserved for
 }
 
-// slack absorbs rounding in sums of amounts.
-const slack = 1e-6
+// roundingTolerance absorbs rounding in sums of amounts.
+const roundingTolerance = 1e-6
 
 // Allows says whether a host's type, zone and kind are allowed.
 func (a *Request) Allows(h *Host) bool {
@@ -62,12 +62,12 @@
 	if h.ReservedClass == "" || h.ReservedClass == a.Class {
 		return true
 	}
-	return a.MayUseLeftover && (h.CPUs+slack < h.SmallestReserved.CPUs || h.MemoryGB+slack < h.SmallestReserved.MemoryGB)
+	return a.MayUseLeftover && (h.CPUs+roundingTolerance < h.SmallestReserved.CPUs || h.MemoryGB+roundingTolerance < h.SmallestReserved.MemoryGB)
 }
 
 // Fits says whether a host has the room.
 func (a *Request) Fits(h *Host) bool {
-	return h.CPUs+slack >= a.CPUs && h.GPUs+slack >= a.GPUs && h.MemoryGB+slack >= a.MemoryGB
+	return h.CPUs+roundingTolerance >= a.CPUs && h.GPUs+roundingTolerance >= a.GPUs && h.MemoryGB+roundingTolerance >= a.MemoryGB
 }
 
 // Exceeds says that whatever takes this task would take the other as well.
@@ -91,9 +91,9 @@
 	return h.PricePerHour * seconds
 }
 
-// better says whether x, at its cost, suits a task better than y: it is cheaper, so that expensive ones fall idle, or
+// isBetter says whether x, at its cost, suits a task isBetter than y: it is cheaper, so that expensive ones fall idle, or
 // it is left with less room.
-func better(x, y *Host, xCost, yCost float64) bool {
+func isBetter(x, y *Host, xCost, yCost float64) bool {
 	if xCost != yCost {
 		return xCost < yCost
 	}
@@ -121,7 +121,7 @@
 			continue
 		}
 		seen++
-		if cost := a.cost(h); best == nil || better(h, best, cost, lowest) {
+		if cost := a.cost(h); best == nil || isBetter(h, best, cost, lowest) {
 			best, lowest = h, cost
 		}
 	}
--- a/internal/quarantine/quarantine.go
+++ b/internal/quarantine/quarantine.go
@@ -76,18 +76,18 @@
 	if len(t.machines[machine]) < minFailures {
 		return false
 	}
-	against := 0
+	failures := 0
 	maps.DeleteFunc(t.machines[machine], func(uid string, at time.Time) bool {
 		j := t.jobs[uid]
 		if j == nil || now.Sub(at) > failureLife {
 			return true
 		}
 		if j.succeeded {
-			against++
+			failures++
 		}
 		return false
 	})
-	return against >= minFailures
+	return failures >= minFailures
 }
 
 // ForgetJob drops what is known of a job.
--- a/internal/quarantine/quarantine_test.go
+++ b/internal/quarantine/quarantine_test.go
@@ -19,10 +19,10 @@
 // fleet was returned in waves: a job that succeeds nowhere says nothing about a
 // machine.
 func TestTrackerModel(t *testing.T) {
-	condemned, doubted := 0, 0
+	badMachines, faultyJobs := 0, 0
 	for seed := range uint64(200) {
 		rng := rand.New(rand.NewPCG(seed, 7))
-		g, now := New(), time.Unix(1000, 0)
+		tracker, now := New(), time.Unix(1000, 0)
 		var history []event
 		for range 120 {
 			now = now.Add(time.Duration(rng.IntN(20)) * time.Second)
@@ -31,32 +31,32 @@
 			if job > 2 && machine > 1 && rng.IntN(5) == 0 {
 				e.done = false // now and then anything fails
 			}
-			before := plainFaulty(history, e.job)
+			before := modelFaulty(history, e.job)
 			history = append(history, e)
-			after := plainFaulty(history, e.job)
+			after := modelFaulty(history, e.job)
 			if e.done {
-				if g.RecordSuccess(e.job, e.machine) != (before && !after) {
+				if tracker.RecordSuccess(e.job, e.machine) != (before && !after) {
 					t.Fatalf("seed %d: lifted wrongly after %v", seed, history)
 				}
-			} else if g.RecordFailure(e.job, e.machine, now) != (after && !before) {
+			} else if tracker.RecordFailure(e.job, e.machine, now) != (after && !before) {
 				t.Fatalf("seed %d: turned wrongly after %v", seed, history)
 			}
 			for j := range 8 {
-				want := plainFaulty(history, fmt.Sprint("job-", j))
-				if got := g.IsJobFaulty(fmt.Sprint("job-", j)); got != want {
+				want := modelFaulty(history, fmt.Sprint("job-", j))
+				if got := tracker.IsJobFaulty(fmt.Sprint("job-", j)); got != want {
 					t.Fatalf("seed %d: job-%d faulty %v, plainly %v", seed, j, got, want)
 				}
 				if want {
-					doubted++
+					faultyJobs++
 				}
 			}
 			for m := range 6 {
-				want := plainBad(history, fmt.Sprint("m-", m), now)
-				if got := g.IsMachineBad(fmt.Sprint("m-", m), now); got != want {
+				want := modelBad(history, fmt.Sprint("m-", m), now)
+				if got := tracker.IsMachineBad(fmt.Sprint("m-", m), now); got != want {
 					t.Fatalf("seed %d: m-%d bad %v, plainly %v", seed, m, got, want)
 				}
 				if want {
-					condemned++
+					badMachines++
 				}
 				if want && m > 1 && onlyFaulty(history, fmt.Sprint("m-", m)) {
 					t.Fatalf("seed %d: m-%d is bad by faulty jobs alone", seed, m)
@@ -64,13 +64,13 @@
 			}
 		}
 	}
-	if condemned == 0 || doubted == 0 {
-		t.Fatalf("bad %d, faulty %d times: the model says nothing", condemned, doubted)
+	if badMachines == 0 || faultyJobs == 0 {
+		t.Fatalf("bad %d, faulty %d times: the model says nothing", badMachines, faultyJobs)
 	}
 }
 
-// plainFaulty: failed on three machines, never succeeded.
-func plainFaulty(history []event, job string) bool {
+// modelFaulty: failed on three machines, never succeeded.
+func modelFaulty(history []event, job string) bool {
 	on := map[string]bool{}
 	for _, e := range history {
 		if e.job == job && e.done {
@@ -83,9 +83,9 @@
 	return len(on) >= 3
 }
 
-// plainBad: three jobs that succeeded somewhere failed here within five minutes
+// modelBad: three jobs that succeeded somewhere failed here within five minutes
 // and did not succeed here after that.
-func plainBad(history []event, machine string, now time.Time) bool {
+func modelBad(history []event, machine string, now time.Time) bool {
 	last, good := map[string]event{}, map[string]bool{}
 	for _, e := range history {
 		if e.machine == machine {
