--- a/internal/gangpreemption/gangpreemption.go
+++ b/internal/gangpreemption/gangpreemption.go
@@ -1,5 +1,5 @@
-// Package gangpreemption decides which tasks to stop so that all tasks of a gang have room at the same time. It keeps no
-// state, does no I/O and reads no clock.
+// Package gangpreemption selects the tasks to stop so that all tasks of a gang fit on machines at the same time. It keeps
+// no state, does no I/O and reads no clock.
 package gangpreemption
 
 import (
@@ -7,7 +7,7 @@
 	"slices"
 )
 
-// Resources is what tasks take or machines have: CPUs, GPUs, and memory in GB.
+// Resources is an amount of CPUs, GPUs and memory in GB.
 type Resources struct{ CPUs, GPUs, MemoryGB float64 }
 
 func (a Resources) plus(b Resources) Resources {
@@ -18,45 +18,48 @@
 	return Resources{a.CPUs - b.CPUs, a.GPUs - b.GPUs, a.MemoryGB - b.MemoryGB}
 }
 
-// roundingTolerance absorbs rounding in sums of amounts.
+// roundingTolerance is the largest rounding error of summed amounts.
 const roundingTolerance = 1e-6
 
+// covers reports whether a is at least b.
 func (a Resources) covers(b Resources) bool {
 	return a.CPUs+roundingTolerance >= b.CPUs && a.GPUs+roundingTolerance >= b.GPUs && a.MemoryGB+roundingTolerance >= b.MemoryGB
 }
 
-// Victim is a task that may be stopped for the gang. ID is the caller's.
+// Victim is a task that may be stopped for the gang. The caller assigns the ID.
 type Victim struct {
 	ID             int
 	Size           Resources
-	LostCPUSeconds float64 // CPU seconds of progress thrown away
-	SameTeam       bool    // of the gang's team: what it takes of the quota becomes free as well
+	LostCPUSeconds float64 // progress lost if it is stopped
+	SameTeam       bool    // it is of the gang's team, so that stopping it also frees quota
 }
 
-// Machine is one that the gang may use.
+// Machine is a machine that the gang may run on.
 type Machine struct {
 	Zone    int
 	Free    Resources
-	Victims []Victim // in the order in which they are to be stopped
+	Victims []Victim // in the order in which they may be stopped
 }
 
-// Gang is what needs room.
+// Gang is the gang to be placed.
 type Gang struct {
 	Tasks   int
-	PerTask Resources // that a task takes
+	PerTask Resources // needed by each task
 	OneZone bool
-	Quota   Resources // that is left to its team; memory counts for nothing
+	Quota   Resources // unused by its team; memory is ignored
 }
 
-// Stop is what to stop on a machine, and how many of the gang's tasks have room there then.
+// Stop lists the victims to stop on a machine, and how many of the gang's tasks then fit there.
 type Stop struct {
 	Machine int // index into the machines
 	Slots   int
 	Victims []Victim
 }
 
-// Plan gives the stops with the least loss, one for each machine that the gang would use and for each where tasks are
-// stopped for the quota alone. ok is false if there is no room for the whole gang whatever is stopped.
+// Plan returns the stops of the zone in which least progress is lost, or those for all machines together if the gang
+// need not run in one zone: one Stop for each machine that the gang would use, and for each where tasks are stopped only
+// to free quota. Within a zone the search is greedy, one task of the gang at a time. ok is false if the gang does not fit
+// even if all victims are stopped.
 func Plan(g Gang, machines []Machine) (stops []Stop, ok bool) {
 	lowest := 0.0
 	for _, zone := range candidateZones(g, machines) {
@@ -71,7 +74,7 @@
 // anyZone stands for all zones together.
 const anyZone = -1
 
-// candidateZones lists where the whole gang has to run.
+// candidateZones lists the zones to try: each zone that has machines if the gang must run in one, else anyZone.
 func candidateZones(g Gang, machines []Machine) (list []int) {
 	if !g.OneZone {
 		return []int{anyZone}
@@ -84,16 +87,16 @@
 	return list
 }
 
-// zonePlanner is the search for a gang's stops on the machines of one zone.
+// zonePlanner searches for the stops on the machines of one zone, or of all zones.
 type zonePlanner struct {
 	gang     Gang
 	machines []Machine
 	zone     int
 	stops    []Stop      // by machine
-	free     []Resources // by machine, what the chosen stops and slots leave
+	free     []Resources // by machine, after the stops and slots chosen so far
 }
 
-// planInZone makes room for a gang on the machines of one zone.
+// planInZone plans the stops for the gang on the machines of one zone, or of all zones.
 func planInZone(g Gang, machines []Machine, zone int) (stops []Stop, loss float64, ok bool) {
 	p := &zonePlanner{
 		gang:     g,
@@ -117,7 +120,7 @@
 	return stops, loss + more, ok
 }
 
-// addSlot makes room for one more task where that loses least.
+// addSlot adds a slot for one more task on the machine where that loses least progress.
 func (p *zonePlanner) addSlot() (loss float64, ok bool) {
 	best, count := -1, 0
 	for i := range p.machines {
@@ -143,7 +146,7 @@
 	return loss, true
 }
 
-// nextSlot is how many of the victims, in their order, have to be stopped so that one more task fits.
+// nextSlot returns how many of the victims, in order, have to be stopped for one more task to fit, and the progress lost.
 func nextSlot(each, free Resources, victims []Victim) (count int, loss float64, ok bool) {
 	for ; !free.covers(each); count++ {
 		if count == len(victims) {
@@ -155,7 +158,8 @@
 	return count, loss, true
 }
 
-// freeQuota adds victims of the gang's team on any machine until its quota is enough.
+// freeQuota adds victims of the gang's team on any machine, least loss first, until the team's quota suffices. Quota of
+// victims that are already chosen counts as free.
 func freeQuota(g Gang, machines []Machine, stops []Stop) (loss float64, ok bool) {
 	quota, need := g.Quota, Resources{CPUs: float64(g.Tasks) * g.PerTask.CPUs, GPUs: float64(g.Tasks) * g.PerTask.GPUs}
 	quota.MemoryGB = 0
--- a/internal/gangpreemption/gangpreemption_test.go
+++ b/internal/gangpreemption/gangpreemption_test.go
@@ -6,10 +6,10 @@
 	"testing"
 )
 
-// TestPlanModel compares with trying every set of victims: what is chosen makes room for the whole gang in one zone and within
-// the quota, there is an answer whenever stopping all would do, and no victim is chosen twice.
+// TestPlanModel checks on random machines that the planned stops let the whole gang fit, in one zone if required and
+// within the quota, that there is a plan whenever stopping all victims would suffice, and that no victim is stopped twice.
 func TestPlanModel(t *testing.T) {
-	answers := 0
+	plans := 0
 	for seed := range uint64(2000) {
 		rng := rand.New(rand.NewPCG(seed, 5))
 		g := Gang{Tasks: 1 + rng.IntN(5), PerTask: Resources{CPUs: float64(1 + rng.IntN(4)), MemoryGB: 1}, OneZone: rng.IntN(2) == 0, Quota: Resources{CPUs: float64(rng.IntN(12)), GPUs: 1}}
@@ -28,14 +28,14 @@
 			all[i] = Stop{Machine: i, Victims: machines[i].Victims}
 		}
 		if possible := hasRoom(g, machines, all); ok != possible {
-			t.Fatalf("seed %d: found %v, plainly %v", seed, ok, possible)
+			t.Fatalf("seed %d: plan found %v, want %v", seed, ok, possible)
 		}
 		if !ok {
 			continue
 		}
-		answers++
+		plans++
 		if !hasRoom(g, machines, stops) {
-			t.Fatalf("seed %d: %+v make no room for %+v on %+v", seed, stops, g, machines)
+			t.Fatalf("seed %d: stops %+v do not make %+v fit on %+v", seed, stops, g, machines)
 		}
 		seen, slots := map[int]bool{}, 0
 		for _, s := range stops {
@@ -51,12 +51,12 @@
 			t.Fatalf("seed %d: %d slots for %d tasks", seed, slots, g.Tasks)
 		}
 	}
-	if answers < 100 {
-		t.Fatalf("only %d gangs had room", answers)
+	if plans < 100 {
+		t.Fatalf("only %d gangs were planned", plans)
 	}
 }
 
-// hasRoom says plainly whether a gang has room in one of its zones, and quota, once these are stopped.
+// hasRoom reports whether a gang fits in one of its zones, and in the quota, after the given stops.
 func hasRoom(g Gang, machines []Machine, stops []Stop) bool {
 	free := make([]Resources, len(machines))
 	for i := range machines {
@@ -71,22 +71,22 @@
 			}
 		}
 	}
-	room := map[int]int{}
+	slots := map[int]int{} // by zone
 	for i := range machines {
 		zone := machines[i].Zone
 		if !g.OneZone {
 			zone = anyZone
 		}
-		room[zone] += int(math.Min(free[i].CPUs/g.PerTask.CPUs, free[i].MemoryGB/g.PerTask.MemoryGB) + roundingTolerance)
+		slots[zone] += int(math.Min(free[i].CPUs/g.PerTask.CPUs, free[i].MemoryGB/g.PerTask.MemoryGB) + roundingTolerance)
 	}
 	most := 0
-	for _, n := range room {
+	for _, n := range slots {
 		most = max(most, n)
 	}
 	return most >= g.Tasks && quota+roundingTolerance >= float64(g.Tasks)*g.PerTask.CPUs
 }
 
-// TestLeastLoss: of two zones that in which less is lost is chosen.
+// TestLeastLoss checks that of two zones the one in which less progress is lost is chosen.
 func TestLeastLoss(t *testing.T) {
 	size := Resources{CPUs: 4, MemoryGB: 1}
 	machines := []Machine{
--- a/internal/jobstate/changelog.go
+++ b/internal/jobstate/changelog.go
@@ -2,13 +2,13 @@
 
 import "github.com/bits-and-blooms/bitset"
 
-// changeLog changes a team's replica, and records each change as a delta for those that other controllers keep.
+// changeLog changes the owner's replica of a team, and records each change as a delta for the other controllers.
 type changeLog struct {
 	replica *Replica
-	unsent  []Delta
+	unsent  []Delta // not taken yet
 }
 
-// record gives a delta the next sequence number.
+// record assigns the next sequence number to a delta and appends it.
 func (l *changeLog) record(d Delta) (seq uint64) {
 	l.replica.Seq++
 	d.Seq = l.replica.Seq
@@ -16,14 +16,14 @@
 	return d.Seq
 }
 
-// take gives the deltas since the last call.
+// take returns the deltas since the last call.
 func (l *changeLog) take() []Delta {
 	taken := l.unsent
 	l.unsent = nil
 	return taken
 }
 
-// place records attempts as one change.
+// place adds attempts, in one delta.
 func (l *changeLog) place(attempts ...*attempt) (seq uint64) {
 	placed := make([]Assignment, 0, len(attempts))
 	for _, a := range attempts {
@@ -33,13 +33,13 @@
 	return l.record(Delta{Placed: placed})
 }
 
-// release records that a task is on no machine.
+// release removes the assignment of a task.
 func (l *changeLog) release(id TaskID) {
 	delete(l.replica.Assignments, id)
 	l.record(Delta{Released: []TaskID{id}})
 }
 
-// markDone records that a task is done; false if it was before.
+// markDone records that a task is done, and reports whether it was not before.
 func (l *changeLog) markDone(id TaskID) bool {
 	if !l.replica.markDone(id) {
 		return false
@@ -48,7 +48,7 @@
 	return true
 }
 
-// dropJob forgets the finished tasks of a job that has ended.
+// dropJob removes the finished tasks of a job that has ended.
 func (l *changeLog) dropJob(uid string) {
 	if l.replica.Done[uid] == nil {
 		return
@@ -57,5 +57,5 @@
 	l.record(Delta{DroppedJob: uid})
 }
 
-// done are the finished tasks of a job, nil if there are none.
+// done is the set of a job's finished tasks; nil if there are none.
 func (l *changeLog) done(uid string) *bitset.BitSet { return l.replica.Done[uid] }
--- a/internal/jobstate/demand.go
+++ b/internal/jobstate/demand.go
@@ -6,40 +6,40 @@
 	"topazhollow/internal/protocol"
 )
 
-// Demand is the capacity that waiting tasks of a job ask for now, within the quota.
+// Demand is a request for capacity for waiting tasks of a job, within the quota.
 type Demand struct {
 	Spec            *protocol.Submission
-	Count           int           // of tasks
+	Count           int           // number of tasks
 	Borrowed        bool          // beyond the team's guarantee
-	Probe           bool          // to find out whether a faulty job still fails
-	FirstTask       bool          // of a large array that has waited long; it goes before what is more urgent
-	CPUsBeyondQuota float64       // that the job's class asks for beyond the quota; then Count is 0
-	QuotaDelay      time.Duration // that the whole quota takes for what waits beyond it
+	Probe           bool          // one task of a faulty job, to find out whether it still fails
+	FirstTask       bool          // the first task of a large array that has waited long; served before more urgent demands
+	CPUsBeyondQuota float64       // CPUs that waiting tasks of the job's class need beyond the quota; then Count is 0
+	QuotaDelay      time.Duration // time that the whole quota needs for the tasks that wait beyond it
 }
 
-// demandPlan is one pass over the jobs that wait for quota, in the order in which they get it.
+// demandPlan is one pass over the jobs that wait for quota, in the order in which they are served.
 type demandPlan struct {
 	quota     *Quota
-	requested Resources // what is charged already and what the demands so far ask for
-	committed Resources // what the jobs so far leave nothing of: the same with what is reserved for them
+	requested Resources // what is charged, and the demands so far
+	committed Resources // the same with what is reserved; later jobs get the rest of the quota
 
-	shortfalls map[string]float64 // by class, CPUs below its floor that no demand so far makes up for
-	shortfall  float64            // of all classes
+	shortfalls map[string]float64 // by class, CPUs that it lacks to its floor with the demands so far
+	shortfall  float64            // sum over all classes
 
-	reserved bool // quota is reserved for a job that can't start
-	blocked  *Job // an array that can't start: less urgent priorities wait for it
+	reserved bool // quota is reserved for a job that can't start; at most one is
+	blocked  *Job // the first array that can't start; reserves quota from lower priorities
 
 	demands []Demand
-	// Probes of faulty jobs, and for each class what is beyond the quota. They come after all other demands.
+	// Probes of faulty jobs, and one demand per class for the CPUs beyond the quota. They follow all other demands.
 	trailing       []Demand
 	beyondByClass  map[string]int // index into trailing
-	backlogSeconds float64        // CPU seconds that the quota has no room for now
+	backlogSeconds float64        // estimated CPU seconds of the tasks beyond the quota
 }
 
-// Demands lists what the team would place if there were capacity, most urgent first, and for each class what is beyond
-// the quota. Of the gangs that wait to start only the most urgent one reserves quota: they may wait for machines for
-// minutes, and all of them together would keep it from everybody. An array that can't start reserves it from lower
-// priorities alone, since jobs of its own priority that fit would otherwise wait beside free quota.
+// Demands lists what the team would place if there were capacity, most urgent first, and for each class what it needs
+// beyond the quota. Of the gangs that wait to start only the most urgent one reserves quota: gangs may wait for machines
+// for minutes, and all of them together would block the quota for all other jobs. An array that can't start reserves quota
+// only from lower priorities, since otherwise jobs of its own priority that fit would wait while quota is unused.
 func (q *Quota) Demands(now time.Time) []Demand {
 	charged := q.charged()
 	p := demandPlan{quota: q, requested: charged, committed: charged, beyondByClass: map[string]int{}}
@@ -61,7 +61,7 @@
 	return append(p.demands, p.trailing...)
 }
 
-// addFirstTasks has large arrays that have waited long start with one task each, ahead of all others.
+// addFirstTasks adds a demand for the first task of each large array that has waited long, ahead of all other demands.
 func (p *demandPlan) addFirstTasks(waiting []waitingJob, now time.Time) {
 	for i := range waiting {
 		w := &waiting[i]
@@ -77,7 +77,7 @@
 	}
 }
 
-// reserveForBlocked reserves one task of the array that can't start, before the first job of a lower priority.
+// reserveForBlocked reserves quota for one task of the blocked array, once the next job has a lower priority.
 func (p *demandPlan) reserveForBlocked(next *Job) {
 	if p.blocked == nil || p.reserved || protocol.Rank(next.Spec.Priority) >= protocol.Rank(p.blocked.Spec.Priority) {
 		return
@@ -85,9 +85,9 @@
 	p.reserve(p.blocked, 1)
 }
 
-// reserve takes what so many tasks of a job need, or as much of it as the limit and other classes' floors leave. Else
-// less urgent jobs with smaller tasks would take each piece that comes free, and the job would never have enough at
-// once.
+// reserve commits what the given number of tasks needs, or as much of it as the limit and the floors of other classes
+// leave. Otherwise smaller tasks of less urgent jobs would use all quota that becomes free, and the job would never have
+// enough at once.
 func (p *demandPlan) reserve(j *Job, tasks int) {
 	p.reserved = true
 	needed := neededBy(j.Spec, tasks)
@@ -97,15 +97,15 @@
 	p.committed.GPUs = min(p.committed.GPUs+needed.GPUs, max(p.committed.GPUs, limit.GPUs))
 }
 
-// addProbe asks for one task of a faulty job, unless one is being tried.
+// addProbe adds a demand for one task of a faulty job, unless it has an attempt already.
 func (p *demandPlan) addProbe(j *Job) {
 	if len(j.attempts) == 0 {
 		p.trailing = append(p.trailing, Demand{Spec: j.Spec, Probe: true, Borrowed: true, Count: 1})
 	}
 }
 
-// addJob asks for as many of a job's unstarted tasks as the quota has room for, first within the guarantee, then
-// borrowed.
+// addJob adds demands for as many of a job's unstarted tasks as fit the quota: first those within the guarantee, then
+// those that borrow.
 func (p *demandPlan) addJob(j *Job, unstarted int) {
 	fit := min(unstarted, p.tasksWithinLimit(j))
 	withinGuarantee := min(fit, p.quota.limits.Guaranteed.minus(p.requested).tasks(j.Spec))
@@ -121,13 +121,14 @@
 	}
 }
 
-// tasksWithinLimit is how many tasks of a job the quota has room for.
+// tasksWithinLimit is the number of tasks of a job that fit the quota.
 func (p *demandPlan) tasksWithinLimit(j *Job) int {
 	return min(maxTasks(p.availableCPUs(j), j.Spec.CPUs), maxTasks(p.quota.limits.Max.GPUs-p.committed.GPUs, j.Spec.GPUs))
 }
 
-// availableCPUs is how many CPUs are left of the quota for a job. A class under its floor has room for one task at
-// least, if there is any.
+// availableCPUs is the part of the quota that a job may use, in CPUs: what the floors of other classes leave. A class that
+// is below its floor may use enough for one task if that much quota is left at all; otherwise classes that all lack quota
+// would block each other.
 func (p *demandPlan) availableCPUs(j *Job) float64 {
 	left := p.quota.limits.Max.CPUs - p.committed.CPUs
 	own := p.shortfalls[j.Spec.Class]
@@ -137,7 +138,7 @@
 	return max(left-(p.shortfall-own), min(left, max(own, j.Spec.CPUs)))
 }
 
-// commit keeps from less urgent jobs what a job's tasks that fit commit, or what is reserved for one that can't start.
+// commit withholds from less urgent jobs what the job's fitting tasks need, or what is reserved for it if it can't start.
 func (p *demandPlan) commit(j *Job, unstarted, fit int) {
 	toStart := j.tasksToStart(unstarted)
 	switch {
@@ -146,7 +147,7 @@
 			return
 		}
 		if !p.quota.ReservesForGangs() {
-			toStart = 0 // it made no use of it
+			toStart = 0 // it has not started in time: release the reservation
 		}
 		p.reserve(j, toStart)
 	case fit < toStart && p.blocked == nil:
@@ -156,7 +157,7 @@
 	}
 }
 
-// reduceShortfall takes what a job's class gets from what it has less than its floor.
+// reduceShortfall subtracts the demand of a job from what its class lacks to its floor.
 func (p *demandPlan) reduceShortfall(j *Job, fit int) {
 	own := p.shortfalls[j.Spec.Class]
 	if own <= 0 {
@@ -167,7 +168,7 @@
 	p.shortfall -= used
 }
 
-// addBeyondQuota counts tasks that the quota has no room for now.
+// addBeyondQuota adds tasks that do not fit the quota to the demand of their class beyond it.
 func (p *demandPlan) addBeyondQuota(j *Job, tasks int) {
 	if tasks <= 0 {
 		return
@@ -183,7 +184,8 @@
 	p.trailing[i].CPUsBeyondQuota += cpus
 }
 
-// tasksToStart is how many of a job's unstarted tasks need quota at the same time for it to start; 0 once it has.
+// tasksToStart is the number of a job's unstarted tasks that need quota at the same time for the job to start; 0 if it has
+// attempts already.
 func (j *Job) tasksToStart(unstarted int) int {
 	switch {
 	case len(j.attempts) > 0:
--- a/internal/jobstate/gang.go
+++ b/internal/jobstate/gang.go
@@ -4,8 +4,9 @@
 	"topazhollow/internal/protocol"
 )
 
-// MissingGangTasks is what a gang needs now: the missing tasks, all of them for a new attempt (id 0), or those to
-// complete an attempt that has not started. Nothing is missing while an attempt runs or ends.
+// MissingGangTasks returns the tasks of a gang that are to be placed now: all of them for a new attempt (id 0), or those
+// that complete the attempt id, which has not started. It returns none while an attempt runs, has
+// to end first, or was placed in an earlier term.
 func (t *Team) MissingGangTasks(j *Job) (missing []int, id uint64) {
 	if j.Ended || j.Finishing || j.Complete() {
 		return nil, 0
@@ -27,8 +28,8 @@
 	return missing, id
 }
 
-// PlaceGang assigns a gang's missing tasks to machines, all or none; id is that of the attempt that they complete, 0
-// for a new one.
+// PlaceGang assigns a gang's missing tasks to machines, all or none; id is the attempt that they complete, 0 for a new
+// one. It returns false if the quota does not suffice.
 func (t *Team) PlaceGang(j *Job, id uint64, at map[int]Location) bool {
 	if !t.quota.Fits(j, len(at)) || t.lastAttempt >= maxAttemptsOfTerm {
 		return false
@@ -42,9 +43,8 @@
 	return true
 }
 
-// stopIncompleteGangs stops what is left of gangs that lost a task for good: one that had started, whose tasks gave up
-// waiting for each other, or that was placed in an earlier term and is not whole. The next attempt starts when all its
-// tasks are proven off.
+// stopIncompleteGangs stops the remaining tasks of gangs that must restart, and of gangs that were placed in an earlier
+// term and are incomplete. The next attempt starts once all tasks of the gang are proven to be off their machines.
 func (t *Team) stopIncompleteGangs() {
 	for _, j := range t.jobs.byUID {
 		if j.Spec.Kind != protocol.Gang || len(j.attempts) == 0 {
@@ -56,7 +56,8 @@
 	}
 }
 
-// isIncompleteSince reports whether the gang was placed in a term before this one and is not whole.
+// isIncompleteSince reports whether some task of the gang has no attempt and another has one of a term other than the
+// given one.
 func (j *Job) isIncompleteSince(term uint64) bool {
 	if len(j.attempts) >= j.Spec.Tasks {
 		return false
@@ -69,7 +70,7 @@
 	return false
 }
 
-// StopJob stops every attempt of a job at once, with the grace for a checkpoint, in seconds.
+// StopJob marks every attempt of a job to be stopped, with a grace period for a checkpoint, in seconds.
 func (t *Team) StopJob(j *Job, graceSeconds float64) {
 	for _, a := range j.attemptsByIndex() {
 		t.Stop(a.Ref(), graceSeconds)
@@ -79,7 +80,9 @@
 	}
 }
 
-// attemptLost records that a gang lost a task. Before it started, a replacement with the same attempt may complete it.
+// attemptLost records that a task of a gang is no longer on its machine. The gang must restart if any of its tasks had
+// started, or if its tasks are being stopped or gave up waiting for each other; otherwise a replacement under the same
+// attempt may complete it.
 func (j *Job) attemptLost(a *attempt, reason protocol.ExitReason) {
 	if j.Spec.Kind != protocol.Gang {
 		return
--- a/internal/jobstate/gangreservation.go
+++ b/internal/jobstate/gangreservation.go
@@ -6,37 +6,37 @@
 	"topazhollow/internal/protocol"
 )
 
-// A gang starts whole or not at all. What comes free of its team's quota, and of the machines, is therefore reserved
-// for it from less urgent work until there is enough. After some time there is something else that it lacks, and what
-// was reserved is released for a while.
+// All tasks of a gang start together. Quota of its team and capacity of machines that become free are therefore reserved
+// for it, ahead of less urgent work, until they suffice. If the gang has not started after some time it probably lacks
+// something else, and the reservation is released for a while.
 var (
-	// Half of it each served under half of the largest gangs.
+	// With equal times for both phases, fewer than half of the largest gangs started.
 	quotaCycle    = reservationCycle{reserve: time.Minute, release: 15 * time.Second}
 	capacityCycle = reservationCycle{reserve: time.Minute, release: 15 * time.Second}
 )
 
-// reservationCycle is for how long something is reserved, and then released, in turn.
+// reservationCycle is the length of the two alternating phases: reserved, then released.
 type reservationCycle struct{ reserve, release time.Duration }
 
-// releases reports whether what was reserved since a time is released now.
+// releases reports whether a reservation that began at since is in its release phase now.
 func (c reservationCycle) releases(since, now time.Time) bool {
 	return now.Sub(since)%(c.reserve+c.release) >= c.reserve
 }
 
-// gangReservation decides when quota and capacity of machines are reserved for a team's gangs. Capacity is, as long as
-// gangs make use of it. Quota is released in turn also while gangs start one after another, since the next of them may
-// lack a little of it for minutes.
+// gangReservation decides when quota and machine capacity are reserved for a team's gangs. The cycle for capacity starts
+// again whenever a gang is placed. The cycle for quota does not, since the next gang may lack a little quota for minutes
+// while the rest stays unused.
 type gangReservation struct {
-	waitingSince     time.Time // since when gangs have waited; zero while none waits
-	unplacedSince    time.Time // the same, or since one of them was last placed
-	quotaReleased    bool      // for the time being
-	capacityReleased bool      // for the time being
+	waitingSince     time.Time // start of the time in which some gang has always waited; zero while none waits
+	unplacedSince    time.Time // the same, or the first update after a gang was placed, if later
+	quotaReleased    bool      // the quota cycle is in its release phase
+	capacityReleased bool      // the capacity cycle is in its release phase
 }
 
-// waiting reports whether a gang waits.
+// waiting reports whether any gang waits.
 func (r *gangReservation) waiting() bool { return !r.waitingSince.IsZero() }
 
-// update takes in whether any gang waits.
+// update advances both cycles; waits reports whether any gang waits now.
 func (r *gangReservation) update(waits bool, now time.Time) {
 	if !waits {
 		*r = gangReservation{}
@@ -52,11 +52,11 @@
 	r.capacityReleased = capacityCycle.releases(r.unplacedSince, now)
 }
 
-// placed starts the time for capacity anew, since a gang made use of it.
+// placed restarts the capacity cycle, since a gang has used the reserved capacity.
 func (r *gangReservation) placed() { r.unplacedSince, r.capacityReleased = time.Time{}, false }
 
-// UpdateGangReservation brings up to date whether quota and capacity are reserved for the team's gangs. It is to be
-// called with the time of each step, before Demands.
+// UpdateGangReservation determines whether quota and capacity are reserved for the team's gangs now. It must be called
+// once per step, before Demands.
 func (q *Quota) UpdateGangReservation(now time.Time) {
 	waits := false
 	for _, j := range q.jobs.ordered {
@@ -68,13 +68,13 @@
 	q.gangs.update(waits, now)
 }
 
-// ReservesCapacityForGangs reports whether capacity that comes free on machines is reserved for the team's gangs now.
+// ReservesCapacityForGangs reports whether capacity that becomes free on machines is reserved for the team's gangs now.
 func (q *Quota) ReservesCapacityForGangs() bool { return !q.gangs.capacityReleased }
 
-// ReservesForGangs reports the same of the team's quota.
+// ReservesForGangs reports whether quota of the team is reserved for its gangs now.
 func (q *Quota) ReservesForGangs() bool { return !q.gangs.quotaReleased }
 
-// releasedClasses are those of the gangs for which nothing is reserved now.
+// releasedClasses returns the classes of the team's gangs while no quota is reserved for gangs; nil otherwise.
 func (q *Quota) releasedClasses() map[string]bool {
 	if q.ReservesForGangs() {
 		return nil
--- a/internal/jobstate/job.go
+++ b/internal/jobstate/job.go
@@ -11,18 +11,18 @@
 	"topazhollow/internal/protocol"
 )
 
-// How long a job keeps away from a machine, or a task from any, after an attempt that failed.
+// How long a job avoids a machine, or a job or task is not placed at all, after a failed attempt.
 const (
 	avoidAfterMigration = 2 * time.Minute
 	avoidAfterError     = 10 * time.Minute
-	avoidWhileFull      = 1500 * time.Millisecond // by then the machine's next status is here
-	backoffIncomplete   = 2 * time.Second         // of a gang that did not start whole
-	retryDelay          = 3 * time.Second         // of a task whose name is still in use on a machine
-	maxProbeBackoff     = time.Minute
+	avoidWhileFull      = 1500 * time.Millisecond // longer than until the machine's next status
+	backoffIncomplete   = 2 * time.Second         // for a gang whose tasks did not all start
+	retryDelay          = 3 * time.Second         // for a task whose name is still in use on a machine
+	maxProbeBackoff     = time.Minute             // between probes of a faulty job
 	maxProbeDoublings   = 6
 )
 
-// noDeadline is when a job without a deadline counts as due, from its submission.
+// noDeadline is the time from submission to the assumed deadline of a job that has none.
 const noDeadline = 24 * time.Hour
 
 // Job is an active job.
@@ -30,22 +30,22 @@
 	Spec      *protocol.Submission
 	Version   uint64 // of its key in the state service
 	Submitted time.Time
-	Ended     bool // cancelled or done: nothing may start
+	Ended     bool // cancelled or done: no task may start
 	Finishing bool // the final write is under way
 
-	replica       *Replica             // of its team, for the tasks that are done
-	avoidUntil    map[string]time.Time // by machine that failed it
-	backoffUntil  time.Time            // none of its tasks is placed before
+	replica       *Replica             // of its team; holds the done tasks
+	avoidUntil    map[string]time.Time // by machine where an attempt failed
+	backoffUntil  time.Time            // no task is placed before
 	objectives    Objectives
-	faulty        bool // taken to fail everywhere: tried one task at a time, ever more rarely
+	faulty        bool // assumed to fail everywhere: one task at a time is tried, with increasing backoff
 	failedProbes  int
-	running       int
-	attempts      map[int]*attempt // by task, those that may be on machines
-	lowestPending int              // no task below it may be pending
-	savedDone     *bitset.BitSet   // done tasks that the state service has
-	unsaved       bool             // tasks are done that it does not have
-	retryAt       map[int]time.Time
-	mustRestart   bool // a gang whose attempt must end before the next
+	running       int               // tasks that were last listed as running
+	attempts      map[int]*attempt  // by task; those that may be on machines
+	lowestPending int               // no task with a lower index can be pending
+	savedDone     *bitset.BitSet    // done tasks that are saved in the state service
+	unsaved       bool              // some done tasks are not saved there
+	retryAt       map[int]time.Time // by task that is not placed before
+	mustRestart   bool              // a gang whose present attempt must end before the next
 }
 
 func newJob(spec *protocol.Submission, submitted time.Time, replica *Replica) *Job {
@@ -60,7 +60,7 @@
 	}
 }
 
-// Deadline is when the job should be complete; far away if its user set none.
+// Deadline is when the job should be complete; noDeadline after its submission if its user set none.
 func (j *Job) Deadline() time.Time {
 	if j.Spec.DeadlineSeconds == nil {
 		return j.Submitted.Add(noDeadline)
@@ -68,7 +68,7 @@
 	return j.Submitted.Add(time.Duration(*j.Spec.DeadlineSeconds * float64(time.Second)))
 }
 
-// Urgency orders jobs: priority, then deadline, then age, then id.
+// Urgency compares jobs by priority, then deadline, then age, then UID. The more urgent one is less.
 func Urgency(a, b *Job) int {
 	if d := protocol.Rank(b.Spec.Priority) - protocol.Rank(a.Spec.Priority); d != 0 {
 		return d
@@ -82,7 +82,7 @@
 	return cmp.Compare(a.Spec.UID, b.Spec.UID)
 }
 
-// done are the job's finished tasks; nil if there are none.
+// done is the set of the job's finished tasks; nil if there are none.
 func (j *Job) done() *bitset.BitSet { return j.replica.Done[j.Spec.UID] }
 
 // doneCount is the number of the job's finished tasks.
@@ -124,7 +124,7 @@
 	}
 }
 
-// waitsForRetry reports whether a task may not be tried again yet.
+// waitsForRetry reports whether the retry delay of a task has not passed yet.
 func (j *Job) waitsForRetry(index int, now time.Time) bool {
 	until, waits := j.retryAt[index]
 	if waits && !now.Before(until) {
@@ -139,7 +139,7 @@
 	return max(0, j.Spec.Tasks-j.doneCount()-len(j.attempts))
 }
 
-// HasWaitingTasks reports whether tasks could be placed now if there were capacity.
+// HasWaitingTasks reports whether some tasks would be placed now if there were capacity. Faulty jobs have none.
 func (j *Job) HasWaitingTasks(now time.Time) bool {
 	return !j.Ended && !j.Finishing && !j.faulty && !now.Before(j.backoffUntil) && j.Unstarted() > 0
 }
@@ -165,15 +165,15 @@
 	return zones
 }
 
-// attemptsByIndex lists the job's attempts, lowest task first. Their number is bounded by the quota, while a job
-// may have very many tasks.
+// attemptsByIndex lists the job's attempts by task index. It iterates over the attempts, whose number the quota bounds,
+// and not over the tasks, which may be very many.
 func (j *Job) attemptsByIndex() []*attempt {
 	list := slices.Collect(maps.Values(j.attempts))
 	slices.SortFunc(list, func(a, b *attempt) int { return a.Index - b.Index })
 	return list
 }
 
-// Avoids reports whether the job should not go to a machine now.
+// Avoids reports whether the job should not be placed on a machine now.
 func (j *Job) Avoids(machine string, now time.Time) bool {
 	until, avoided := j.avoidUntil[machine]
 	if avoided && !now.Before(until) {
@@ -183,33 +183,33 @@
 	return avoided
 }
 
-// SetFaulty records whether the job is taken to fail on every machine. Such a job asks for no more capacity than one
-// task takes, so that it neither fills the machines nor has more of them rented, and is tried until its user cancels
-// it or it succeeds. A nil job is ignored.
+// SetFaulty records whether the job is assumed to fail on every machine. Such a job requests capacity for one task only,
+// so that it neither fills the machines nor causes more of them to be rented. It is retried until its user cancels it or
+// a task succeeds. A nil job is ignored.
 func (j *Job) SetFaulty(faulty bool) {
 	if j == nil || j.faulty == faulty {
 		return
 	}
 	j.faulty, j.failedProbes, j.backoffUntil = faulty, 0, time.Time{}
-	clear(j.avoidUntil) // a faulty job's failures say nothing about the machines
+	clear(j.avoidUntil) // failures of a faulty job are no evidence against machines
 }
 
-// SetObjectives records when the job should be complete. Until then it counts as a job without objectives. A nil job
-// is ignored.
+// SetObjectives records when the job should be complete. Before the first call the job counts as one without objectives.
+// A nil job is ignored.
 func (j *Job) SetObjectives(objectives Objectives) {
 	if j != nil {
 		j.objectives = objectives
 	}
 }
 
-// RecordVersion records the version that the job's key has in the state service now. A nil job is ignored.
+// RecordVersion records a version of the job's key in the state service; the highest one counts. A nil job is ignored.
 func (j *Job) RecordVersion(version uint64) {
 	if j != nil {
 		j.Version = max(j.Version, version)
 	}
 }
 
-// RecordSaved records that the state service has these done tasks. A nil job is ignored.
+// RecordSaved records that these done tasks are saved in the state service. A nil job is ignored.
 func (j *Job) RecordSaved(done *bitset.BitSet) {
 	if j == nil {
 		return
@@ -220,7 +220,7 @@
 	}
 }
 
-// recordExit has the job keep away from what made an attempt of it fail, for a while.
+// recordExit sets the backoff that follows from the end of an attempt: for the machine, the task or the whole job.
 func (j *Job) recordExit(a *attempt, reason protocol.ExitReason, now time.Time) {
 	switch reason {
 	case protocol.ReasonError:
@@ -240,20 +240,20 @@
 	}
 }
 
-// jobQueue holds a team's active jobs, most urgent first.
+// jobQueue holds a team's active jobs in order of urgency.
 type jobQueue struct {
 	byUID   map[string]*Job
 	ordered []*Job // the same, by Urgency
 }
 
-// add puts a job in its place.
+// add inserts a job in order of urgency.
 func (q *jobQueue) add(j *Job) {
 	q.byUID[j.Spec.UID] = j
 	at, _ := slices.BinarySearchFunc(q.ordered, j, Urgency)
 	q.ordered = slices.Insert(q.ordered, at, j)
 }
 
-// remove takes a job out.
+// remove deletes a job.
 func (q *jobQueue) remove(j *Job) {
 	delete(q.byUID, j.Spec.UID)
 	q.ordered = slices.DeleteFunc(q.ordered, func(other *Job) bool { return other == j })
--- a/internal/jobstate/limits.go
+++ b/internal/jobstate/limits.go
@@ -6,15 +6,15 @@
 	"topazhollow/internal/protocol"
 )
 
-// Limits that change while the team runs.
+// Enforcement of limits that are lowered while attempts are assigned.
 
-// LimitsInForce reports whether no attempt can get onto a machine any more beyond the limits.
+// LimitsInForce reports whether no further attempt can start beyond the limits. Attempts that already run may exceed them.
 func (t *Team) LimitsInForce() bool {
 	if !t.quota.exceeded(Resources{}) {
 		return true
 	}
 	if len(t.quota.orphans.machines) > 0 {
-		return false // whether these wait for their images is not known
+		return false // it is unknown whether orphaned tasks are still pulling their images
 	}
 	for _, a := range t.assignments.byTask {
 		if a.mayStillStart() {
@@ -24,17 +24,17 @@
 	return true
 }
 
-// StopExcess stops attempts beyond the limits, least urgent jobs and last tasks first: those that have not got onto
-// their machines, and only if running is true others too, with the grace for a checkpoint. A gang is stopped as a
-// whole.
+// StopExcess marks attempts beyond the limits to be stopped, starting with the least urgent job and the highest task
+// index: those that have not started on their machines, and if running is true also the others. They get the grace period
+// for a checkpoint. A gang is stopped as a whole.
 func (t *Team) StopExcess(running bool) {
 	if !t.quota.exceeded(Resources{}) {
 		return
 	}
-	givenUp := t.usedByStopping()
+	released := t.usedByStopping()
 	for _, j := range slices.Backward(t.jobs.ordered) {
 		for _, a := range slices.Backward(j.attemptsByIndex()) {
-			if !t.quota.exceeded(givenUp) {
+			if !t.quota.exceeded(released) {
 				return
 			}
 			if a.stopping || !running && !a.mayStillStart() {
@@ -42,16 +42,16 @@
 			}
 			if j.Spec.Kind == protocol.Gang {
 				t.StopJob(j, j.Spec.CheckpointSeconds)
-				givenUp = t.usedByStopping()
+				released = t.usedByStopping()
 				break
 			}
 			t.Stop(a.Ref(), j.Spec.CheckpointSeconds)
-			givenUp = givenUp.plus(Resources{CPUs: a.CPUs, GPUs: a.GPUs})
+			released = released.plus(Resources{CPUs: a.CPUs, GPUs: a.GPUs})
 		}
 	}
 }
 
-// usedByStopping sums up what attempts use that are to stop, also since their jobs ended.
+// usedByStopping is the sum of what attempts use that are marked to be stopped or whose job has ended.
 func (t *Team) usedByStopping() (used Resources) {
 	for _, a := range t.assignments.byTask {
 		if a.stopping || t.Job(a.Job) == nil {
--- a/internal/jobstate/machinestatus.go
+++ b/internal/jobstate/machinestatus.go
@@ -2,22 +2,24 @@
 
 import "topazhollow/internal/protocol"
 
-// What machines' homes report to owners, and the orders that go back.
+// The machine statuses that homes report to owners, and the orders that owners return. A machine's home is the controller
+// that its agent reports to; a team's owner is the controller that keeps the team's state.
 
-// termShift splits an attempt number into the term that made it and a counter. Terms stay below 2^29, so that attempts
-// stay below 2^53, which JSON numbers hold exactly.
+// termShift is the number of low bits of an attempt number that hold a counter; the bits above hold the term. Terms stay
+// below 2^29 and attempt numbers thus below 2^53, up to which JSON numbers are exact.
 const termShift = 24
 
-// AttemptID is an attempt number that no other owner or term can make.
+// AttemptID returns the attempt number of a term and a counter. Each term has one owner, so that numbers of different
+// owners or terms differ.
 func AttemptID(term, counter uint64) uint64 { return term<<termShift | counter&(1<<termShift-1) }
 
-// TermOf is the term under which an attempt's start was sent.
+// TermOf returns the term that an attempt was created in, under which its start is sent.
 func TermOf(attempt uint64) uint64 { return attempt >> termShift }
 
-// Ordered is the state of a start that a machine's home has accepted and that the agent has not listed yet.
+// Ordered is the state of a task whose start the machine's home has accepted and that the agent has not listed yet.
 const Ordered = "ordered"
 
-// TaskStatus is a task as a machine's home knows it.
+// TaskStatus is the state of a task on a machine, as known to the machine's home.
 type TaskStatus struct {
 	TaskID
 	Attempt      uint64              `json:"a"`
@@ -26,7 +28,7 @@
 	Checkpointed bool                `json:"k,omitempty"`
 }
 
-// MachineStatus is what a machine's home knows of it; Newer orders the statuses of one machine.
+// MachineStatus is the state of a machine as known to its home. Newer orders the statuses of one machine.
 type MachineStatus struct {
 	Machine      string       `json:"m"`
 	Addr         string       `json:"addr"`
@@ -35,12 +37,12 @@
 	Spot         bool         `json:"spot,omitempty"`
 	Incarnation  uint64       `json:"s"`
 	Seq          uint64       `json:"q"`
-	Revision     uint64       `json:"v"`           // the home's own count of changes
-	FencingToken uint64       `json:"t"`           // highest term the agent has seen
+	Revision     uint64       `json:"v"`           // the home's counter of changes
+	FencingToken uint64       `json:"t"`           // highest term that the agent has seen
 	Term         uint64       `json:"h"`           // the home's term
-	Notice       bool         `json:"n,omitempty"` // the cloud is about to take the machine back
+	Notice       bool         `json:"n,omitempty"` // the cloud has announced that it will reclaim the machine
 	Tasks        []TaskStatus `json:"x,omitempty"`
-	Barred       []AttemptRef `json:"b,omitempty"` // attempts that the home will never send
+	Barred       []AttemptRef `json:"b,omitempty"` // attempts whose starts the home will never send
 }
 
 // Newer reports whether v replaces old: by the agent's incarnation, then the home's term, the heartbeat's sequence
@@ -58,7 +60,7 @@
 	return v.Revision > old.Revision
 }
 
-// Order is a command for a machine, given by an owner and carried by its home.
+// Order is a command of an owner for a machine, which the machine's home forwards.
 type Order struct {
 	Op protocol.CommandOp `json:"o"`
 	TaskID
@@ -70,11 +72,11 @@
 	GraceSeconds float64 `json:"z,omitempty"`
 }
 
-// Ref is the attempt of the assignment.
+// Ref identifies the attempt of the assignment.
 func (a Assignment) Ref() AttemptRef { return AttemptRef{a.TaskID, a.Attempt} }
 
-// Ref is the attempt that the task is listed with.
+// Ref identifies the attempt that the task is listed with.
 func (x TaskStatus) Ref() AttemptRef { return AttemptRef{x.TaskID, x.Attempt} }
 
-// Ref is the attempt that the order is for.
+// Ref identifies the attempt that the order is for.
 func (o *Order) Ref() AttemptRef { return AttemptRef{o.TaskID, o.Attempt} }
--- a/internal/jobstate/observe.go
+++ b/internal/jobstate/observe.go
@@ -7,21 +7,21 @@
 	"topazhollow/internal/protocol"
 )
 
-// What an account learns from machines: their status, ends of attempts, and which attempts are proven off.
+// Processing of machine statuses: states and ends of attempts, and proofs that attempts are off their machines.
 
-// observation is one pass over what a machine's status lists.
+// observation is one pass over a machine's status.
 type observation struct {
 	team      *Team
 	status    *MachineStatus
 	now       time.Time
 	directory JobDirectory
-	assigned  map[TaskID]bool // listed tasks that the account has as attempts
-	orphans   orphanCount     // listed tasks that it can't have as attempts
-	orders    []Order         // that follow
+	assigned  map[TaskID]bool // listed tasks that match an assigned attempt
+	orphans   orphanCount     // listed tasks that can't be assigned as attempts
+	orders    []Order         // in response to the status
 }
 
-// Observe takes in a machine's status and gives the orders that follow from it. Whatever the status lists and this
-// account may have to answer for counts against the team's limit from then on, until it is proven off.
+// Observe processes a machine's status and returns the orders in response. From then on every listed task that may belong
+// to the team counts against its limit, until it is proven to be off the machine.
 func (t *Team) Observe(status *MachineStatus, now time.Time, directory JobDirectory) []Order {
 	o := observation{team: t, status: status, now: now, directory: directory, assigned: map[TaskID]bool{}}
 	for i := range status.Tasks {
@@ -32,7 +32,7 @@
 	return o.orders
 }
 
-// observeTask takes in one listed task.
+// observeTask processes one listed task.
 func (o *observation) observeTask(x *TaskStatus) {
 	if o.updateAttempt(x) {
 		o.assigned[x.TaskID] = true
@@ -58,7 +58,7 @@
 	}
 }
 
-// updateAttempt takes in what the status says of an attempt that this account has there; false if it has none.
+// updateAttempt updates the assigned attempt that the listed task matches; it returns false if there is none.
 func (o *observation) updateAttempt(x *TaskStatus) bool {
 	a := o.team.assignments.find(x.Ref())
 	if a == nil || a.Machine != o.status.Machine || a.Incarnation != o.status.Incarnation {
@@ -74,7 +74,8 @@
 	return true
 }
 
-// observeResult has a machine forget a result, a success only once the state service knows of it.
+// observeResult orders the machine to forget the result of an exited task. A success is recorded, and forgotten only once
+// it is saved in the state service.
 func (o *observation) observeResult(x *TaskStatus, job JobInfo) {
 	if x.Reason == protocol.ReasonDone && job.Active && x.Index < job.Spec.Tasks {
 		o.team.completeTask(x.TaskID)
@@ -85,22 +86,22 @@
 	o.order(x, protocol.Forget)
 }
 
-// order has the machine carry out a command for a listed task.
+// order adds an order for a listed task.
 func (o *observation) order(x *TaskStatus, op protocol.CommandOp) {
 	o.orders = append(o.orders, Order{Op: op, TaskID: x.TaskID, Attempt: x.Attempt, Incarnation: o.status.Incarnation})
 }
 
-// countUnknownJob counts a task of a job that nobody here can describe. All attempts of this team that were made since
-// this account began are its own, so that only an earlier one may be the team's.
+// countUnknownJob counts a task of a job that is not in the directory, if it may belong to this team. This Team created
+// all of the team's attempts since its first term, so that only an attempt of an earlier term may be one.
 func (o *observation) countUnknownJob(x *TaskStatus) {
 	if x.State != protocol.Exited && TermOf(x.Attempt) < o.team.firstTerm {
 		o.orphans.unknownSize = append(o.orphans.unknownSize, x.Ref())
 	}
 }
 
-// assignOrphan counts a task of a job of this team that is to be stopped. It is assigned like any other attempt, so
-// that replicas know it too; if its size is unknown, or another attempt of the task is assigned, it is counted beside
-// the attempts.
+// assignOrphan counts a task of this team that is to be stopped. The task is assigned like any other attempt, so that
+// replicas contain it too. If its size is unknown, or another attempt of the task is assigned, it is counted as an orphan
+// instead.
 func (o *observation) assignOrphan(x *TaskStatus, spec *protocol.Submission) {
 	sized := spec.CPUs > 0 || spec.GPUs > 0
 	switch {
@@ -115,7 +116,7 @@
 	}
 }
 
-// adopt assigns an attempt found on the machine that the account did not have, as after all controllers ended.
+// adopt assigns a listed attempt that was not assigned, which happens after all controllers have crashed.
 func (o *observation) adopt(x *TaskStatus, spec *protocol.Submission) *attempt {
 	a := &attempt{Assignment: Assignment{
 		TaskID:      x.TaskID,
@@ -135,23 +136,23 @@
 	return a
 }
 
-// releaseProven releases the attempts on the machine that its status proves to be off.
+// releaseProven releases the attempts that the status proves to be off the machine.
 func (o *observation) releaseProven() {
 	for _, a := range o.team.assignments.sortedOn(o.status.Machine) {
 		switch {
 		case o.status.Incarnation < a.Incarnation || o.assigned[a.TaskID]:
 		case o.status.Incarnation > a.Incarnation:
-			o.team.release(a, "newer session")
+			o.team.release(a, "newer incarnation")
 		case slices.Contains(o.status.Barred, a.Ref()):
 			o.team.release(a, "never sent")
 		case o.status.FencingToken > TermOf(a.Attempt):
-			// The agent knows a later term and does not list the attempt: its start can no longer arrive.
+			// The agent has seen a later term and does not list the attempt: it will reject the attempt's start.
 			o.team.release(a, "later term")
 		}
 	}
 }
 
-// MachineReturned releases all that was on a machine whose end the cloud confirmed.
+// MachineReturned releases everything assigned to a machine that the cloud has confirmed as returned.
 func (t *Team) MachineReturned(machine string) {
 	for _, a := range t.assignments.sortedOn(machine) {
 		t.release(a, "machine returned")
--- a/internal/jobstate/orders.go
+++ b/internal/jobstate/orders.go
@@ -8,14 +8,15 @@
 	"topazhollow/internal/protocol"
 )
 
-// Which starts and stops an account has sent, and which are to be sent now.
+// Sending of start and stop orders.
 
-// resendInterval is how long an order may go unconfirmed before it is sent again.
+// resendInterval is the time after which an unconfirmed order is sent again.
 const resendInterval = 1500 * time.Millisecond
 
-// TakeDueOrders gives the starts and stops to send now, by machine, and counts them as sent. acked is the sequence
-// number that every replica in sync acknowledged; ready reports whether a machine's home and registration allow a start
-// under the term. Only attempts made in this term are started: older ones wait until they are listed or proven off.
+// TakeDueOrders returns the starts and stops to send now, by machine, and records them as sent. acked is the sequence
+// number that every replica in sync has acknowledged; ready reports whether a machine's home and registration allow a
+// start under the present term. Only attempts created in this term are started; older ones wait until they are listed or
+// proven to be off their machines.
 func (t *Team) TakeDueOrders(
 	acked uint64, now time.Time, ready func(machine string, incarnation uint64) bool,
 ) map[string][]Order {
@@ -57,8 +58,8 @@
 	return due
 }
 
-// RetractUnsent takes back orders that surely never left, as when there is no connection to the machine's home. An
-// attempt whose start never left is on no machine, and its task is free to be placed elsewhere.
+// RetractUnsent retracts orders that were certainly not transmitted, for example because there is no connection to the
+// machine's home. An attempt whose start was never transmitted is on no machine, so that its task may be placed again.
 func (t *Team) RetractUnsent(orders []Order) {
 	for _, order := range orders {
 		a := t.assignments.find(order.Ref())
@@ -72,8 +73,8 @@
 	}
 }
 
-// UnconfirmedStops counts attempts of this term whose stop was first sent longer ago than after and that no heartbeat
-// has listed yet: only a later term can prove them off.
+// UnconfirmedStops counts the attempts of this term whose stop was first sent longer ago than after and that no heartbeat
+// has listed yet. Only a later term can prove them to be off their machines.
 func (t *Team) UnconfirmedStops(now time.Time, after time.Duration) int {
 	count := 0
 	for a := range t.assignments.openOrders {
--- a/internal/jobstate/orphan.go
+++ b/internal/jobstate/orphan.go
@@ -4,43 +4,42 @@
 	"topazhollow/internal/protocol"
 )
 
-// An orphaned task is on a machine though this account did not place it and its job does not call for it: its job
-// has ended, or nobody here can describe the job any more, as after all controllers ended. Until it is proven to be
-// off its machine it uses the quota of its team. One rule covers all such tasks: what a machine lists and has not
-// proven off counts against the limit of every team that it may belong to, by its size where that is known, and else
-// by the most that it can take of its machine.
+// An orphaned task is on a machine although this Team did not place it and its job does not need it: the job has ended, or
+// is unknown to the controller, which happens after all controllers have crashed. Until an orphaned task is proven to be
+// off its machine it counts against the limit of every team that it may belong to: by its size if that is known, otherwise
+// by the most that it can use of the machine.
 
-// JobInfo is what an owner's controller knows of a job that a machine lists.
+// JobInfo describes a job that a machine lists, as far as the owner's controller knows it.
 type JobInfo struct {
-	Known   bool // false: neither team nor size can be told
-	OwnTeam bool // it belongs to the account's team
+	Known   bool // false: neither its team nor its size is known
+	OwnTeam bool // it belongs to the Team's team
 	Active  bool
-	Spec    *protocol.Submission // of the team's own jobs; without amounts if only the job's end is known
+	Spec    *protocol.Submission // set for the team's own jobs; without resources if only the job's end is known
 }
 
-// JobDirectory is what an owner's controller knows of jobs beside the account.
+// JobDirectory provides what an owner's controller knows of jobs beyond the state of one team.
 type JobDirectory interface {
 	// Job describes a job that a machine lists.
 	Job(uid string) JobInfo
-	// UnknownSizeBound is the most that the tasks of unknown size can take of a machine together, in CPUs and GPUs.
+	// UnknownSizeBound returns the most that all tasks of unknown size on a machine can use together, in CPUs and GPUs.
 	UnknownSizeBound(status *MachineStatus) (cpus, gpus float64)
 }
 
-// orphanCount is what one machine status lists of tasks that the account can't hold as attempts.
+// orphanCount sums up the tasks of one machine status that can't be assigned as attempts.
 type orphanCount struct {
 	unknownSize []AttemptRef
-	sized       Resources // that the others take
+	sized       Resources // total of the tasks of known size
 }
 
-// orphanReservation is the part of the quota that orphaned tasks of one machine may use.
+// orphanReservation is the quota reserved for the orphaned tasks of one machine.
 type orphanReservation struct {
 	incarnation uint64       // of the machine's agent
-	seq         uint64       // of the heartbeat that listed them
-	unknownSize []AttemptRef // those whose size is not known
-	resources   Resources    // that they may use together
+	seq         uint64       // of the heartbeat that listed the tasks
+	unknownSize []AttemptRef // tasks of unknown size
+	resources   Resources    // total, with the bound for tasks of unknown size
 }
 
-// orphanReservations keeps the reservations by machine.
+// orphanReservations holds the reservations by machine.
 type orphanReservations struct {
 	machines map[string]orphanReservation
 }
@@ -49,8 +48,8 @@
 	return orphanReservations{machines: map[string]orphanReservation{}}
 }
 
-// observe replaces what is reserved for a machine by what its status lists. An older heartbeat proves nothing about
-// tasks that a newer one listed.
+// observe replaces the reservation of a machine according to its status. A status with an older heartbeat is ignored: it
+// does not prove that tasks listed by a newer one are gone.
 func (o *orphanReservations) observe(status *MachineStatus, count orphanCount, directory JobDirectory) {
 	before, reserved := o.machines[status.Machine]
 	if reserved && before.isNewerThan(status) {
@@ -73,7 +72,7 @@
 	}
 }
 
-// isNewerThan reports whether the reservation was made for a newer heartbeat than a status has.
+// isNewerThan reports whether the reservation was made for a newer heartbeat than the status's.
 func (r *orphanReservation) isNewerThan(status *MachineStatus) bool {
 	if status.Incarnation != r.incarnation {
 		return status.Incarnation < r.incarnation
@@ -81,12 +80,12 @@
 	return status.Seq < r.seq
 }
 
-// release ends what was reserved for a machine that the cloud confirmed to be returned.
+// release removes the reservation of a machine that the cloud has confirmed as returned.
 func (o *orphanReservations) release(machine string) {
 	delete(o.machines, machine)
 }
 
-// sum adds up all reservations.
+// sum is the total of all reservations.
 func (o *orphanReservations) sum() (all Resources) {
 	for _, r := range o.machines {
 		all = all.plus(r.resources)
--- a/internal/jobstate/pageset.go
+++ b/internal/jobstate/pageset.go
@@ -12,58 +12,58 @@
 	"topazhollow/internal/protocol"
 )
 
-// PageSet lays out the finished tasks of a team's jobs on pages, each the value of
-// one key in the state service, so that many jobs share one change. A page is
-// always written whole: with what is known of every active job that has a part
-// on it.
+// PageSet distributes the finished tasks of a team's jobs over pages. Each page is the value of one key in the state
+// service, so that one write saves the progress of many jobs. A page is always written as a whole, with the present
+// finished tasks of every active job that has a part on it.
 type PageSet struct {
 	maxPageBytes int
 	tasksPerPart int
 	pages        map[int]*page
-	pageOf       map[part]int // number of the page that a part is on
+	pageOf       map[part]int // number of the page that holds the part
 }
 
-// part is a stretch of a job's tasks.
+// part is a range of a job's tasks; all parts have tasksPerPart tasks, except that the last one may have fewer.
 type part struct {
 	job    string
-	number int // from 0
+	number int // counted from 0
 }
 
 // name is the part's name on its page.
 func (p part) name() string { return p.job + "/" + strconv.Itoa(p.number) }
 
-// page is what is known of one page.
+// page is the state of one page.
 type page struct {
-	version   uint64 // in the state service; 0: it is not there
-	usedBytes int
+	version   uint64 // in the state service; 0 if it does not exist there
+	usedBytes int    // upper bound of its encoded size
 }
 
-// Sizes of a page's encoding, in bytes.
+// Sizes of a page's encoding, in bytes, and of a bitmap's words.
 const (
-	emptyPageBytes  = 2  // its braces
+	emptyPageBytes  = 2  // the braces
 	partSyntaxBytes = 14 // a part's number, quotes and punctuation
-	bitsLengthBytes = 8  // the number of bits, before a bitmap's words
+	bitsLengthBytes = 8  // the number of bits, which precedes a bitmap's words
 	bitsPerWord     = 64
 	bytesPerWord    = bitsPerWord / 8
 )
 
-// Page is a page to be written under its present version.
+// Page is a page to be written if the state service still has the given version.
 type Page struct {
 	Number  int
 	Version uint64
-	Parts   map[string]string // encoded bitmaps by the name of the part
-	Done    DoneTasks         // the same by job; they are saved once the page is written
+	Parts   map[string]string // encoded bitmaps by part name
+	Done    DoneTasks         // the same tasks by job; saved once the page is written
 }
 
-// TaskCount is the number of tasks of an active job, 0 for others.
+// TaskCount returns the number of tasks of an active job; 0 for other jobs.
 type TaskCount func(job string) int
 
-// FinishedTasks is the number of tasks of an active job and those that are finished; 0 and nil for others.
+// FinishedTasks returns the number of tasks of an active job and the set of those that are finished; 0 and nil for other
+// jobs.
 type FinishedTasks func(job string) (tasks int, done *bitset.BitSet)
 
-// NewPageSet is a set without pages, each of which may take so many bytes.
+// NewPageSet returns a set without pages; pageBytes is the maximum encoded size of a page.
 func NewPageSet(pageBytes int) *PageSet {
-	// Half a page in binary is two thirds of one in base64.
+	// A part's bitmap takes up to half a page in binary, which is two thirds of a page in base64.
 	words := pageBytes / 2 / bytesPerWord
 	return &PageSet{
 		maxPageBytes: pageBytes,
@@ -73,16 +73,16 @@
 	}
 }
 
-// partSize bounds what a part takes on its page.
+// partSize is an upper bound of the encoded size of a part.
 func (s *PageSet) partSize(p part, tasks int) int {
 	bits := min(s.tasksPerPart, tasks-p.number*s.tasksPerPart)
 	words := (bits + bitsPerWord - 1) / bitsPerWord
 	return len(p.job) + partSyntaxBytes + base64.StdEncoding.EncodedLen(bitsLengthBytes+words*bytesPerWord)
 }
 
-// Read takes in a page as found in the state service, and adds its finished tasks to done. Parts of jobs that are
-// not active are left out. An error says which part is malformed; the page then counts as there, and some of its
-// parts may have been read.
+// Read adds a page that was read from the state service to the set, and its finished tasks to done. Parts of jobs that are
+// not active are ignored. It returns an error if a part is malformed; the page is in the set then, and some of its parts
+// may have been read.
 func (s *PageSet) Read(number int, version uint64, parts map[string]string, tasks TaskCount,
 	done map[string]*bitset.BitSet) error {
 	read := &page{version: version, usedBytes: emptyPageBytes}
@@ -93,9 +93,8 @@
 	})
 }
 
-// ReadParts reads the parts of one page of any size, as found in the state service, and
-// adds the finished tasks to done. Parts after a job's first are left out,
-// since where they begin depends on the page's size.
+// ReadParts adds the finished tasks of a page that was read from the state service to done, for any page size. It reads
+// only the first part of each job, since the first task of a later part depends on the page size.
 func ReadParts(parts map[string]string, tasks TaskCount, done map[string]*bitset.BitSet) error {
 	first := map[string]string{}
 	for name, text := range parts {
@@ -113,11 +112,11 @@
 	for name, text := range parts {
 		job, number, ok := protocol.SplitTask(name)
 		if !ok {
-			return fmt.Errorf("jobstate: malformed part %.80q", name)
+			return fmt.Errorf("jobstate: malformed part name %.80q", name)
 		}
 		count, first := tasks(job), number*tasksPerPart
 		if count <= first {
-			continue // the job is over
+			continue // the job has ended
 		}
 		bits, err := decodeBits(text)
 		if err != nil {
@@ -136,7 +135,7 @@
 	return nil
 }
 
-// decodeBits is a part's bitmap.
+// decodeBits decodes the bitmap of a part.
 func decodeBits(text string) (*bitset.BitSet, error) {
 	data, err := base64.StdEncoding.DecodeString(text)
 	if err != nil {
@@ -149,17 +148,17 @@
 	return bits, nil
 }
 
-// encodeBits is a bitmap as a part has it.
+// encodeBits encodes the bitmap of a part.
 func encodeBits(bits *bitset.BitSet) string {
 	data, err := bits.MarshalBinary()
 	if err != nil {
-		panic(fmt.Sprintf("jobstate: bitmap without binary form: %v", err))
+		panic(fmt.Sprintf("jobstate: encoding a bitmap: %v", err))
 	}
 	return base64.StdEncoding.EncodeToString(data)
 }
 
-// Plan gives the pages to write for jobs whose finished tasks the state service
-// does not know yet. Parts of jobs that are not active leave the set.
+// Plan returns the pages to write for jobs with finished tasks that are not saved yet. It removes the parts of jobs that
+// are not active from the set.
 func (s *PageSet) Plan(unsaved []*Job, finished FinishedTasks) []Page {
 	s.dropEndedParts(finished)
 	changed := map[int]bool{}
@@ -185,7 +184,7 @@
 	return plan
 }
 
-// pagesOf lists the pages with finished tasks of a job. Parts that are on no page yet are given one.
+// pagesOf lists the pages with finished tasks of a job. Parts that are on no page yet are assigned to one.
 func (s *PageSet) pagesOf(job string, finished FinishedTasks) (numbers []int) {
 	tasks, done := finished(job)
 	if done == nil {
@@ -200,7 +199,7 @@
 	return numbers
 }
 
-// add puts a part on the page, with those of its tasks that are finished.
+// add adds a part, with those of its tasks that are finished, to the page.
 func (p *Page) add(which part, finished *bitset.BitSet, tasksPerPart int) {
 	if p.Done[which.job] == nil {
 		p.Done[which.job] = bitset.New(0)
@@ -213,8 +212,8 @@
 	p.Parts[which.name()] = encodeBits(bits)
 }
 
-// dropEndedParts takes the parts of jobs that are over off their pages. They vanish from
-// the state service when their page is written next.
+// dropEndedParts removes the parts of jobs that have ended from their pages. They are removed from the state service when
+// the page is written next.
 func (s *PageSet) dropEndedParts(finished FinishedTasks) {
 	for _, pg := range s.pages {
 		pg.usedBytes = emptyPageBytes
@@ -228,7 +227,8 @@
 	}
 }
 
-// assignPage is the number of a part's page; a part that is on none is put on the first with room.
+// assignPage returns the number of the page that holds a part. A part that is on no page is assigned to the first page
+// that is empty or that it fits on.
 func (s *PageSet) assignPage(p part, tasks int) int {
 	if number, ok := s.pageOf[p]; ok {
 		return number
@@ -248,7 +248,7 @@
 	}
 }
 
-// RecordWritten notes the version that a page has in the state service now.
+// RecordWritten records the present version of a page in the state service.
 func (s *PageSet) RecordWritten(number int, version uint64) {
 	if pg := s.pages[number]; pg != nil {
 		pg.version = version
--- a/internal/jobstate/quota.go
+++ b/internal/jobstate/quota.go
@@ -6,13 +6,13 @@
 	"topazhollow/internal/protocol"
 )
 
-// roundingTolerance absorbs rounding in sums of amounts.
+// roundingTolerance is the largest rounding error of summed amounts.
 const roundingTolerance = 1e-6
 
-// Resources are amounts of CPUs and GPUs.
+// Resources is an amount of CPUs and GPUs.
 type Resources struct{ CPUs, GPUs float64 }
 
-// neededBy is what so many tasks of a job take.
+// neededBy is what the given number of tasks of a job needs.
 func neededBy(spec *protocol.Submission, tasks int) Resources {
 	return Resources{CPUs: float64(tasks) * spec.CPUs, GPUs: float64(tasks) * spec.GPUs}
 }
@@ -22,71 +22,72 @@
 	return Resources{CPUs: r.CPUs + other.CPUs, GPUs: r.GPUs + other.GPUs}
 }
 
-// minus is what is left after other was taken.
+// minus is the difference of two amounts.
 func (r Resources) minus(other Resources) Resources {
 	return Resources{CPUs: r.CPUs - other.CPUs, GPUs: r.GPUs - other.GPUs}
 }
 
-// scaled is a part of the amounts.
-func (r Resources) scaled(part float64) Resources {
-	return Resources{CPUs: part * r.CPUs, GPUs: part * r.GPUs}
+// scaled is the given fraction of the amounts.
+func (r Resources) scaled(fraction float64) Resources {
+	return Resources{CPUs: fraction * r.CPUs, GPUs: fraction * r.GPUs}
 }
 
-// within reports whether the amounts keep to a limit.
+// within reports whether the amounts do not exceed a limit.
 func (r Resources) within(limit Resources) bool {
 	return r.CPUs <= limit.CPUs+roundingTolerance && r.GPUs <= limit.GPUs+roundingTolerance
 }
 
-// tasks is how many tasks of a job find room.
+// tasks is the number of tasks of a job that fit.
 func (r Resources) tasks(spec *protocol.Submission) int {
 	return min(maxTasks(r.CPUs, spec.CPUs), maxTasks(r.GPUs, spec.GPUs))
 }
 
-// maxTasks is how many tasks that take so much each find room.
-func maxTasks(room, each float64) int {
-	if each <= 0 || math.IsInf(room, 1) {
-		if room < -roundingTolerance {
+// maxTasks is the number of tasks that fit if each needs the given amount; MaxInt if they need nothing.
+func maxTasks(available, perTask float64) int {
+	if perTask <= 0 || math.IsInf(available, 1) {
+		if available < -roundingTolerance {
 			return 0
 		}
 		return math.MaxInt
 	}
-	return max(0, int(math.Floor((room+roundingTolerance)/each)))
+	return max(0, int(math.Floor((available+roundingTolerance)/perTask)))
 }
 
-// Limits bound what a team uses.
+// Limits bound what a team may use.
 type Limits struct {
-	Guaranteed Resources // its fair share; what is used beyond it is borrowed
-	Max        Resources // hard; infinite where there is none
+	Guaranteed Resources // its fair share; use beyond it is borrowed
+	Max        Resources // hard limit; infinite where there is none
 }
 
-// Quota is the account of what a team may use: what it is guaranteed, its limit, what its attempts and orphaned tasks
-// use of it, and what is reserved for classes under their floors and for gangs. It decides which waiting tasks ask for
-// capacity, and in which order. Attempts are charged and refunded by Team.
+// Quota is what a team may use and uses: its guarantee and limit, the use by its attempts and orphaned tasks, and the
+// reservations for classes below their floors and for gangs. It decides which waiting tasks demand capacity, and in which
+// order. Team charges and refunds attempts.
 type Quota struct {
 	limits  Limits
 	used    Resources          // by attempts that may be on machines
-	orphans orphanReservations // for tasks on machines that are no attempts of the account
-	floors  map[string]float64 // by class, CPUs of the quota that others leave to it
+	orphans orphanReservations // for tasks on machines that are not assigned
+	floors  map[string]float64 // by class, CPUs of the quota that other classes leave to it
 	gangs   gangReservation
 	jobs    *jobQueue
 }
 
-// SetLimits changes what the team is guaranteed and what it may use. What it uses beyond lowered limits stays
-// assigned; nothing more fits until it is within them again.
+// SetLimits changes the guarantee and the limit. Attempts beyond lowered limits stay assigned; nothing more fits until the
+// use is within the limits again.
 func (q *Quota) SetLimits(limits Limits) { q.limits = limits }
 
-// Limits are what the team is guaranteed and what it may use.
+// Limits returns the guarantee and the limit.
 func (q *Quota) Limits() Limits { return q.limits }
 
-// SetFloors has the quota leave room to classes that have less than their floors, in CPUs.
+// SetFloors sets the floors by class, in CPUs: the quota up to its floor is reserved for a class that uses less.
 func (q *Quota) SetFloors(floors map[string]float64) { q.floors = floors }
 
-// charge counts an attempt.
+// charge adds the resources of an attempt to the use.
 func (q *Quota) charge(a *attempt) {
 	q.used = q.used.plus(Resources{CPUs: a.CPUs, GPUs: a.GPUs})
 }
 
-// refund counts an attempt no longer. When none is left, the sum's rounding errors go as well.
+// refund subtracts the resources of an attempt from the use. If no attempt is left it resets the use to zero, which removes
+// accumulated rounding errors.
 func (q *Quota) refund(a *attempt, anyLeft bool) {
 	q.used = q.used.minus(Resources{CPUs: a.CPUs, GPUs: a.GPUs})
 	if !anyLeft {
@@ -94,26 +95,26 @@
 	}
 }
 
-// Used is what the team's attempts take.
+// Used is the sum of what the team's attempts use.
 func (q *Quota) Used() Resources { return q.used }
 
-// charged is what counts against the limit: attempts, and what orphaned tasks may use.
+// charged is what counts against the limit: the use by attempts, and the reservations for orphaned tasks.
 func (q *Quota) charged() Resources { return q.orphans.sum().plus(q.used) }
 
-// Left is what is left of the limit.
+// Left is the unused part of the limit.
 func (q *Quota) Left() Resources { return q.limits.Max.minus(q.charged()) }
 
-// Fits reports whether the limit has room for so many more tasks of a job.
+// Fits reports whether the given number of further tasks of a job fits the limit.
 func (q *Quota) Fits(j *Job, tasks int) bool {
 	return q.charged().plus(neededBy(j.Spec, tasks)).within(q.limits.Max)
 }
 
-// exceeded reports whether more is used than allowed, once so much of it is given up.
-func (q *Quota) exceeded(givenUp Resources) bool {
-	return !q.charged().minus(givenUp).within(q.limits.Max)
+// exceeded reports whether the use exceeds the limit even after the given amount is released.
+func (q *Quota) exceeded(released Resources) bool {
+	return !q.charged().minus(released).within(q.limits.Max)
 }
 
-// CPUsByClass sums up the CPUs that attempts of active jobs take, by class.
+// CPUsByClass sums up the CPUs that attempts of active jobs use, by class.
 func (q *Quota) CPUsByClass() map[string]float64 {
 	sum := map[string]float64{}
 	for _, j := range q.jobs.ordered {
@@ -124,20 +125,20 @@
 	return sum
 }
 
-// HasOrphansOn reports whether quota is reserved for orphaned tasks of a machine.
+// HasOrphansOn reports whether quota is reserved for orphaned tasks on a machine.
 func (q *Quota) HasOrphansOn(machine string) bool {
 	_, reserved := q.orphans.machines[machine]
 	return reserved
 }
 
-// OrphansOfUnknownSize lists the tasks of a machine whose size the account would have to know.
+// OrphansOfUnknownSize lists the orphaned tasks of unknown size on a machine.
 func (q *Quota) OrphansOfUnknownSize(machine string) []AttemptRef {
 	return q.orphans.machines[machine].unknownSize
 }
 
-// floorShortfalls is how many CPUs classes have less than their floors. If less than all of that is left of the quota,
-// each class lacks the same part of it, so that none waits for quota that another one lacks. Classes whose gangs made
-// no use of what was reserved for them lack nothing for a while.
+// floorShortfalls returns the CPUs that each class lacks to its floor, and their sum. If less than the sum is left of the
+// quota, all are scaled down by the same factor, so that no class waits for quota that others lack too. Classes of gangs
+// whose reservation is released count as lacking nothing.
 func (q *Quota) floorShortfalls(left float64) (byClass map[string]float64, all float64) {
 	if len(q.floors) == 0 {
 		return nil, 0
@@ -154,11 +155,11 @@
 		}
 	}
 	if all > 0 && all > left {
-		part := max(left, 0) / all
+		factor := max(left, 0) / all
 		for class := range byClass {
-			byClass[class] *= part
+			byClass[class] *= factor
 		}
-		all *= part
+		all *= factor
 	}
 	return byClass, all
 }
--- a/internal/jobstate/quotaorder.go
+++ b/internal/jobstate/quotaorder.go
@@ -8,40 +8,40 @@
 	"topazhollow/internal/protocol"
 )
 
-// Which of a team's jobs get its quota first while it does not suffice for all that wait.
+// The order in which a team's jobs get quota while it does not suffice for all waiting tasks.
 //
-// By deadline alone nearly all jobs of a team that asks for more than its limit would be late: each job that can't be
-// in time any more would go before those that can, and a job of long tasks, which is due late, would not start for
-// minutes. So jobs of which little is left to start are completed, then those go first that must start soonest to
-// reach an objective, and what can reach none comes after them. A started job of which much is left has no such right:
-// it would keep a small limit from all others for minutes. Gangs start whole and wait long for it; they keep their
-// order, whatever they have missed.
+// Ordered by deadline alone, nearly all jobs of a team that demands more than its limit would be late: a job that can no
+// longer meet its deadline would precede those that still can, and a job of long tasks, whose deadline is late, would not
+// start for minutes. Therefore started jobs with little left to start come first, then the jobs that can still reach an
+// objective, by latest start time, then those that can't. A started job with much left to start has no precedence, since
+// it would use up a small limit for minutes. Gangs wait long because all their tasks must start together; they keep their
+// order even if they have missed their objectives.
 
-// quotaTier is the part of a priority's order that a job is in.
+// quotaTier ranks jobs of the same priority; lower tiers get quota first.
 type quotaTier int
 
 const (
-	nearlyStarted quotaTier = iota // some of its tasks run or are done, and little is left to start
-	attainable                     // it can still reach an objective
-	missedStarted                  // it can reach none, and some of its tasks run or are done
-	missed                         // it can reach none
-	noObjective                    // it has none
+	nearlyStarted quotaTier = iota // some tasks are assigned or done, and little is left to start
+	attainable                     // can still reach an objective
+	missedStarted                  // can reach no objective; some tasks are assigned or done
+	missed                         // can reach no objective
+	noObjective                    // has no objective
 )
 
-// smallRemainderFraction is the part of the limit that what is left of a started job may take for the job to be completed
-// first.
+// smallRemainderFraction is the largest fraction of the limit that the unstarted tasks of a started job may need for the
+// job to be nearlyStarted.
 const smallRemainderFraction = 0.25
 
-// waitingJob is a job with tasks that are neither assigned nor done, or one that is taken to be faulty.
+// waitingJob is a job with unstarted tasks: tasks that are neither assigned nor done.
 type waitingJob struct {
 	*Job
-	unstarted   int // such tasks
+	unstarted   int
 	tier        quotaTier
-	latestStart time.Time // of them, to reach the objective that counts
+	latestStart time.Time // of the unstarted tasks, to reach the objective
 }
 
-// waitingJobs lists the jobs that wait for quota, in the order in which they get it, and reports whether there is too
-// little for all of them.
+// waitingJobs lists the jobs that wait for quota, in the order in which they get it, and reports whether the quota does not
+// suffice for all of them.
 func (q *Quota) waitingJobs(now time.Time) (list []waitingJob, short bool) {
 	wanted := q.charged()
 	list = make([]waitingJob, 0, len(q.jobs.ordered))
@@ -68,7 +68,7 @@
 	return list, true
 }
 
-// classify sets a job's tier, and when it must start.
+// classify sets a job's tier and latest start time.
 func (q *Quota) classify(w *waitingJob, now time.Time) {
 	estimate := w.Spec.RunTime()
 	if len(w.objectives) == 0 {
@@ -95,19 +95,19 @@
 	}
 }
 
-// isSmallRemainder reports whether what is left of a job takes a small part of the team's limit.
+// isSmallRemainder reports whether the unstarted tasks of a job need only a small fraction of the team's limit.
 func (q *Quota) isSmallRemainder(w *waitingJob) bool {
 	return neededBy(w.Spec, w.unstarted).within(q.limits.Max.scaled(smallRemainderFraction))
 }
 
-// A large array that can reach no objective, so that it would be served last of all, starts with one task after
-// firstTaskDelay: its users see that it is not forgotten, and it has started within minutes.
+// A large array that can reach no objective would be served last. Its first task is served ahead of others once the array
+// has waited for firstTaskDelay, so that it starts within minutes and its users see progress.
 const (
 	firstTaskDelay    = time.Minute
-	firstTaskMinTasks = 20 // of the array, so that what goes first is a small part of it
+	firstTaskMinTasks = 20 // minimum size of the array, so that its first task is a small part of it
 )
 
-// startsFirstTask reports whether the job's first task should go before others.
+// startsFirstTask reports whether the job's first task is served ahead of others.
 func (w *waitingJob) startsFirstTask(now time.Time) bool {
 	if w.Spec.Kind != protocol.JobArray || w.faulty || w.Spec.Tasks < firstTaskMinTasks {
 		return false
@@ -119,7 +119,8 @@
 	return missed
 }
 
-// compareForQuota orders classified jobs. Those that compare equal stay in order of urgency.
+// compareForQuota compares classified jobs by priority, tier and latest start. Equal jobs stay in order of urgency, since
+// the sort is stable.
 func compareForQuota(a, b waitingJob) int {
 	return cmp.Or(
 		cmp.Compare(protocol.Rank(b.Spec.Priority), protocol.Rank(a.Spec.Priority)),
--- a/internal/jobstate/replica.go
+++ b/internal/jobstate/replica.go
@@ -1,6 +1,6 @@
-// Package jobstate is an owner's account of one team: its jobs, their tasks, the
-// attempts that may be on machines and the quota these hold; and the replica of
-// it that other controllers keep. It does no I/O and reads no clock.
+// Package jobstate keeps the state of one team at the controller that owns it: its jobs, their tasks, the attempts that
+// may be on machines and the quota that these use. It also defines the replica of this state that other controllers keep.
+// It does no I/O and reads no clock.
 package jobstate
 
 import (
@@ -12,24 +12,25 @@
 	"github.com/bits-and-blooms/bitset"
 )
 
-// TaskID names a task.
+// TaskID identifies a task.
 type TaskID struct {
 	Job   string `json:"j"`
 	Index int    `json:"i"`
 }
 
+// compare orders tasks by job, then index.
 func (k TaskID) compare(o TaskID) int {
 	return cmp.Or(strings.Compare(k.Job, o.Job), k.Index-o.Index)
 }
 
-// AttemptRef names an attempt: its number alone is unique only for its task.
+// AttemptRef identifies an attempt. Attempt numbers are unique only per task.
 type AttemptRef struct {
 	TaskID
 	Attempt uint64 `json:"a"`
 }
 
-// Assignment is an attempt that may be on a machine: from before its start is sent
-// until it is proven off.
+// Assignment is an attempt that may be on a machine: from before its start is sent until it is proven to be off the
+// machine.
 type Assignment struct {
 	TaskID
 	Attempt     uint64  `json:"a"`
@@ -41,38 +42,38 @@
 	Memory      float64 `json:"r,omitempty"`
 }
 
-// Delta is one sequenced change of a team's progress.
+// Delta is one change of a team's replica, with its sequence number.
 type Delta struct {
 	Seq        uint64       `json:"seq"`
 	Placed     []Assignment `json:"place,omitempty"`
 	Released   []TaskID     `json:"off,omitempty"`
 	Done       []TaskID     `json:"done,omitempty"`
-	DroppedJob string       `json:"drop,omitempty"` // a job that is over
+	DroppedJob string       `json:"drop,omitempty"` // a job that has ended
 }
 
 // DoneTasks are finished tasks by job.
 type DoneTasks map[string]*bitset.BitSet
 
-// Copy is a whole replica on the wire.
+// Copy is the encoding of a whole replica in messages.
 type Copy struct {
 	Seq         uint64       `json:"seq"`
 	Assignments []Assignment `json:"holds"`
 	Done        DoneTasks    `json:"done"`
 }
 
-// Replica is a team's progress, as its owner has it and other controllers keep it.
+// Replica is the replicated state of a team: its owner changes it, other controllers keep copies.
 type Replica struct {
 	Seq         uint64
 	Assignments map[TaskID]Assignment
 	Done        DoneTasks
 }
 
-// NewReplica is an empty replica.
+// NewReplica returns an empty replica.
 func NewReplica() *Replica {
 	return &Replica{Assignments: map[TaskID]Assignment{}, Done: DoneTasks{}}
 }
 
-// FromCopy makes a replica of a received copy.
+// FromCopy returns the replica that a received copy describes.
 func FromCopy(c Copy) *Replica {
 	r := NewReplica()
 	r.Seq = c.Seq
@@ -80,7 +81,7 @@
 	return r
 }
 
-// add takes in what a copy holds.
+// add merges the contents of a copy into the replica.
 func (r *Replica) add(c Copy) {
 	for _, a := range c.Assignments {
 		r.Assignments[a.TaskID] = a
@@ -92,7 +93,7 @@
 	}
 }
 
-// Copy is the replica as sent to another controller.
+// Copy returns the encoding that is sent to another controller.
 func (r *Replica) Copy() Copy {
 	c := Copy{Seq: r.Seq, Done: r.Done, Assignments: make([]Assignment, 0, len(r.Assignments))}
 	for _, a := range r.Assignments {
@@ -104,14 +105,14 @@
 	return c
 }
 
-// Apply carries out a delta. An older one is ignored; a gap is an error, which
-// a full copy mends.
+// Apply applies the next delta. One that is already applied is ignored. If a delta is missing in between it returns an
+// error; the replica must then be replaced by a full copy.
 func (r *Replica) Apply(d Delta) error {
 	if d.Seq <= r.Seq {
 		return nil
 	}
 	if d.Seq != r.Seq+1 {
-		return fmt.Errorf("jobstate: delta %d after %d", d.Seq, r.Seq)
+		return fmt.Errorf("jobstate: delta %d does not follow %d", d.Seq, r.Seq)
 	}
 	r.Seq = d.Seq
 	for _, a := range d.Placed {
@@ -129,6 +130,7 @@
 	return nil
 }
 
+// markDone records that a task is done, and reports whether it was not before.
 func (r *Replica) markDone(k TaskID) bool {
 	b := r.Done[k.Job]
 	if b == nil {
--- a/internal/jobstate/surplus.go
+++ b/internal/jobstate/surplus.go
@@ -7,20 +7,21 @@
 	"topazhollow/internal/protocol"
 )
 
-// A team that asks for far more than its limit lists what the limit leaves, most urgent first. While machines are full
-// most of that finds no capacity, and takes none of the limit; yet smaller tasks behind it, which would fit into what
-// is free on machines, were not listed at all. They are offered as surplus demands.
+// The demands of a team that needs far more than its limit cover only its most urgent tasks. While machines are full, most
+// of these find no capacity and use none of the limit. Smaller, less urgent tasks could use the capacity that is free on
+// machines, but are in no demand. Surplus demands are for these.
 
-// surplusFraction is the part of the limit that surplus tasks leave nothing beyond, so that the rest stays with what is
-// listed.
+// surplusFraction is the fraction of the limit up to which surplus tasks may raise the use. The rest stays available to the
+// regular demands.
 const surplusFraction = 0.75
 
-// SurplusDemands lists what the team could place beside its demands where those find no capacity: of each class what
-// the limit, as it is used now, has room for. The classes' counts are independent of each other; FitsSurplus tells what
-// is left while they are placed. While a gang waits there are none, since what comes free is collected for it.
+// SurplusDemands lists what the team could place in addition to its demands while those find no capacity: for each class
+// the tasks that fit between the present use and surplusFraction of the limit. Each class is counted as if it were the
+// only one; FitsSurplus checks each task when it is placed. There are none while a gang waits, since free quota is
+// reserved for it.
 func (q *Quota) SurplusDemands(now time.Time) []Demand {
-	room := q.limits.Max.scaled(surplusFraction).minus(q.charged())
-	if room.CPUs <= 0 || q.gangs.waiting() {
+	available := q.limits.Max.scaled(surplusFraction).minus(q.charged())
+	if available.CPUs <= 0 || q.gangs.waiting() {
 		return nil
 	}
 	waiting, short := q.waitingJobs(now)
@@ -34,7 +35,7 @@
 			continue
 		}
 		class := w.Spec.Class
-		count := min(w.unstarted, room.minus(offered[class]).tasks(w.Spec))
+		count := min(w.unstarted, available.minus(offered[class]).tasks(w.Spec))
 		if count > 0 {
 			offered[class] = offered[class].plus(neededBy(w.Spec, count))
 			surplus = append(surplus, Demand{Spec: w.Spec, Count: count, Borrowed: true})
@@ -43,11 +44,11 @@
 	return surplus
 }
 
-// FitsSurplus reports whether a task of a job may start as surplus.
+// FitsSurplus reports whether one more task of a job fits as surplus.
 func (q *Quota) FitsSurplus(j *Job) bool {
 	limit := q.limits.Max.scaled(surplusFraction)
 	if j.Spec.GPUs == 0 {
-		limit.GPUs = math.Inf(1) // what others have of them does not matter
+		limit.GPUs = math.Inf(1) // a task without GPUs is not limited by the GPUs in use
 	}
 	return q.charged().plus(neededBy(j.Spec, 1)).within(limit)
 }
--- a/internal/jobstate/team.go
+++ b/internal/jobstate/team.go
@@ -10,8 +10,8 @@
 	"topazhollow/internal/protocol"
 )
 
-// Team is the owner's account of one team. It composes the team's active jobs, their assignments, the quota that these
-// use, and the changes that replicas are to get, and keeps them consistent.
+// Team is the state of one team at its owner. It combines the team's active jobs, their assignments, the quota that these
+// use, and the changes that are still to be sent to replicas, and keeps them consistent.
 type Team struct {
 	Name string
 
@@ -20,24 +20,24 @@
 	quota       Quota
 	changes     changeLog
 
-	term        uint64 // of the owner now
-	firstTerm   uint64 // in which this account began: it made every later attempt of the team
-	lastAttempt uint64 // count of the attempts made in this term
+	term        uint64 // present term of the owner
+	firstTerm   uint64 // in which this Team was created; attempts of this or a later term were created by it
+	lastAttempt uint64 // counter of the attempts created in this term
 	log         func(event string, args ...any)
 }
 
-// maxAttemptsOfTerm is how many attempts the numbers of one term suffice for.
+// maxAttemptsOfTerm is the largest attempt counter of a term.
 const maxAttemptsOfTerm = 1<<termShift - 1
 
-// Location is a place on a machine that an attempt is made for.
+// Location is the machine that an attempt is created for.
 type Location struct {
 	Machine     string
 	Zone        string
 	Incarnation uint64 // of the machine's agent
 }
 
-// NewTeam starts an account from a replica, in a term. Attempts in the replica stay assigned until they are listed or
-// proven off.
+// NewTeam creates the state of a team from a replica, in a term. Attempts in the replica stay assigned until they are
+// proven to be off their machines.
 func NewTeam(name string, limits Limits, replica *Replica, term uint64, log func(string, ...any)) *Team {
 	t := &Team{
 		Name:        name,
@@ -55,26 +55,26 @@
 	return t
 }
 
-// SetTerm moves the account to a later term of the same owner.
+// SetTerm sets a later term of the same owner; an earlier one is ignored.
 func (t *Team) SetTerm(term uint64) {
 	if term > t.term {
 		t.term, t.lastAttempt = term, 0
 	}
 }
 
-// FirstTerm is the term in which this account began.
+// FirstTerm is the term in which this Team was created.
 func (t *Team) FirstTerm() uint64 { return t.firstTerm }
 
-// Quota is the team's account of its quota.
+// Quota is the team's quota and its use.
 func (t *Team) Quota() *Quota { return &t.quota }
 
-// Assignments are the team's attempts that may be on machines.
+// Assignments is the set of the team's attempts that may be on machines.
 func (t *Team) Assignments() *Assignments { return &t.assignments }
 
-// Replica is the team's replicated part.
+// Replica is the replicated part of the state.
 func (t *Team) Replica() *Replica { return t.changes.replica }
 
-// TakeDeltas gives the changes since the last call.
+// TakeDeltas returns the changes since the last call.
 func (t *Team) TakeDeltas() []Delta { return t.changes.take() }
 
 // Jobs calls f for each active job in order of urgency.
@@ -84,10 +84,11 @@
 	}
 }
 
-// Job finds an active job; nil if there is none.
+// Job returns an active job; nil if there is none with this UID.
 func (t *Team) Job(uid string) *Job { return t.jobs.byUID[uid] }
 
-// AddJob takes up an active job; done holds the finished tasks that the state service knows.
+// AddJob adds an active job, or updates its version and finished tasks; done holds the finished tasks that are saved in
+// the state service.
 func (t *Team) AddJob(spec *protocol.Submission, version uint64, submitted time.Time, done *bitset.BitSet) {
 	j := t.Job(spec.UID)
 	if j == nil {
@@ -107,7 +108,7 @@
 	}
 }
 
-// attachAttempts gives a new job the attempts that the account has of it already.
+// attachAttempts adds the attempts that are already assigned to a new job.
 func (t *Team) attachAttempts(j *Job) {
 	for id, a := range t.assignments.byTask {
 		if id.Job != j.Spec.UID {
@@ -120,7 +121,7 @@
 	}
 }
 
-// EndJob takes a job off the account; its attempts stay assigned until they are proven off.
+// EndJob removes a job. Its attempts are stopped, and stay assigned until they are proven to be off their machines.
 func (t *Team) EndJob(uid string) {
 	if j := t.Job(uid); j != nil {
 		j.Ended = true
@@ -132,7 +133,7 @@
 	t.changes.dropJob(uid)
 }
 
-// Progress is what users see of a job.
+// Progress returns the number of done and running tasks that is shown to users.
 func (t *Team) Progress(uid string) (done, running int) {
 	if b := t.changes.done(uid); b != nil {
 		done = int(b.Count())
@@ -143,7 +144,7 @@
 	return done, running
 }
 
-// FinishedTasks gives the number of an active job's tasks and those that are done; 0 for other jobs.
+// FinishedTasks returns the number of an active job's tasks and the set of those that are done; 0 and nil for other jobs.
 func (t *Team) FinishedTasks(uid string) (tasks int, done *bitset.BitSet) {
 	j := t.Job(uid)
 	if j == nil {
@@ -152,7 +153,7 @@
 	return j.Spec.Tasks, j.done()
 }
 
-// Unsaved gives the jobs with done tasks that the state service does not know yet.
+// Unsaved lists the jobs with done tasks that are not saved in the state service yet.
 func (t *Team) Unsaved() []*Job {
 	var unsaved []*Job
 	for _, j := range t.jobs.ordered {
@@ -163,7 +164,7 @@
 	return unsaved
 }
 
-// MergeDone takes in finished tasks of a job that were remembered elsewhere. The tasks of a service are never done.
+// MergeDone adds finished tasks of a job that another source has recorded. The tasks of a service are never done.
 func (t *Team) MergeDone(uid string, done *bitset.BitSet) {
 	j := t.Job(uid)
 	if j != nil && j.Spec.Kind == protocol.Service {
@@ -190,6 +191,7 @@
 	t.markDone(id)
 }
 
+// markDone records that one task is done.
 func (t *Team) markDone(id TaskID) {
 	if !t.changes.markDone(id) {
 		return
@@ -205,8 +207,8 @@
 	return t.assignments.byTask[id] == nil && (done == nil || !done.Test(uint(id.Index)))
 }
 
-// Place assigns a task to a machine and charges its quota; false if that can't be. Its start may be sent once every
-// replica in sync acknowledged the delta.
+// Place assigns a task to a machine and charges its quota; it returns false if the task may not be placed or the quota
+// does not suffice. The start may be sent once every replica in sync has acknowledged the delta.
 func (t *Team) Place(j *Job, index int, at Location) bool {
 	if t.lastAttempt >= maxAttemptsOfTerm || j.Ended {
 		return false
@@ -219,7 +221,7 @@
 	return true
 }
 
-// placeTasks assigns tasks of a job to machines as one attempt and one change.
+// placeTasks assigns tasks of a job to machines, under one attempt number and in one delta.
 func (t *Team) placeTasks(j *Job, id uint64, at map[int]Location) {
 	var placed []*attempt
 	for _, index := range slices.Sorted(maps.Keys(at)) {
@@ -242,7 +244,7 @@
 	}
 }
 
-// assign records an attempt that may be on its machine from now on, and charges its quota.
+// assign adds an attempt that may be on its machine from now on, and charges its quota.
 func (t *Team) assign(a *attempt) {
 	t.assignments.add(a)
 	t.quota.charge(a)
@@ -251,7 +253,7 @@
 	}
 }
 
-// release ends an attempt that is proven to be on no machine, and refunds its quota.
+// release removes an attempt that is proven to be on no machine, and refunds its quota.
 func (t *Team) release(a *attempt, why protocol.ExitReason) {
 	if t.assignments.byTask[a.TaskID] != a {
 		return
@@ -268,10 +270,10 @@
 		delete(j.attempts, a.Index)
 		j.lowestPending = min(j.lowestPending, a.Index)
 	}
-	t.log("attempt off", "task", a.Job, "index", a.Index, "attempt", a.Attempt, "machine", a.Machine, "why", why)
+	t.log("attempt released", "task", a.Job, "index", a.Index, "attempt", a.Attempt, "machine", a.Machine, "why", why)
 }
 
-// setState records in which state an attempt was last listed.
+// setState records the state in which an attempt was last listed.
 func (t *Team) setState(a *attempt, state protocol.TaskState) {
 	j := t.Job(a.Job)
 	if j != nil && a.state == protocol.Running {
@@ -283,7 +285,7 @@
 	}
 }
 
-// attemptExited records the end of an attempt.
+// attemptExited processes the end of an attempt that its machine lists.
 func (t *Team) attemptExited(a *attempt, x *TaskStatus, now time.Time) {
 	if x.Reason == protocol.ReasonDone {
 		t.completeTask(a.TaskID)
@@ -299,8 +301,8 @@
 	}
 }
 
-// Stop marks an attempt to be stopped, with the grace for a checkpoint, in seconds; false if it is not assigned or is
-// to be stopped already.
+// Stop marks an attempt to be stopped, with a grace period for a checkpoint, in seconds. It returns false if the attempt
+// is not assigned or already marked.
 func (t *Team) Stop(ref AttemptRef, graceSeconds float64) bool {
 	a := t.assignments.find(ref)
 	if a == nil || a.stopping {
@@ -311,7 +313,8 @@
 	return true
 }
 
-// Migrate stops an attempt to start its task on another machine.
+// Migrate marks an attempt to be stopped so that its task starts on another machine: the job avoids the present one for
+// a while. It returns false if Stop does or the job is not active.
 func (t *Team) Migrate(assignment Assignment, graceSeconds float64, now time.Time) bool {
 	j := t.Job(assignment.Job)
 	if j == nil || !t.Stop(assignment.Ref(), graceSeconds) {
--- a/internal/jobstate/transfer.go
+++ b/internal/jobstate/transfer.go
@@ -7,39 +7,39 @@
 	"slices"
 )
 
-// A replica that is too large for one message is given to a controller in parts, while it goes on changing. Each
-// part says what is held and done now of some tasks that were held, and some jobs that had finished tasks, when
-// the transfer began. Changes made meanwhile go out as deltas on the same connection, in order with the parts:
-// what came later is in a delta, what went is in no later part, so that after the last part the controller has
-// exactly the owner's replica. Until then it keeps the one that it had.
-
-// Sizes of what one message carries, in bytes as encoded. Messages between controllers may have 4 MiB; names that
-// need escapes and rounding take less than the rest of it.
+// A replica that is too large for one message is sent to a controller in parts, while it keeps changing. The tasks that
+// were assigned and the jobs that had finished tasks when the transfer began are divided among the parts. Each part has
+// the present assignments and finished tasks of its share. Changes during the transfer are sent as deltas on the same
+// connection, in order with the parts: what is added later is in a delta, and what is removed is in no later part. After
+// the last part the receiver therefore has exactly the owner's replica. Until then it keeps its previous one.
+
+// Encoded sizes in bytes. Messages between controllers may have up to 4 MiB; the difference to maxCopyBytes is for the
+// escaping of names and for the error of the estimates.
 const (
 	maxCopyBytes    = 3 << 20
 	maxPartBytes    = 1 << 20
-	assignmentBytes = 160 // of an assignment's numbers, beside its names
-	wordBytes       = 11  // of 64 tasks in a set
+	assignmentBytes = 160 // of an assignment, without its names
+	wordBytes       = 11  // of each 64 tasks in a set of finished tasks
 )
 
-// Part is one part of a replica.
+// Part is one part of a replica that is sent in parts.
 type Part struct {
-	Copy        // Seq is the owner's when the part was made
-	Number int  `json:"number"` // from 0
+	Copy        // Seq is the owner's sequence number when the part was created
+	Number int  `json:"number"` // counted from 0
 	Last   bool `json:"last,omitempty"`
 }
 
-// encodedSize is about how long an assignment is as encoded.
+// encodedSize estimates the encoded size of an assignment.
 func (a *Assignment) encodedSize() int {
 	return assignmentBytes + len(a.Job) + len(a.Machine) + len(a.Zone)
 }
 
-// doneSize is about how long a job's set of finished tasks is as encoded.
+// doneSize estimates the encoded size of a job's set of finished tasks.
 func (r *Replica) doneSize(job string) int {
 	return assignmentBytes + len(job) + wordBytes*len(r.Done[job].Words())
 }
 
-// FitsOneMessage says whether the replica may be sent as a whole.
+// FitsOneMessage reports whether the replica may be sent in one message.
 func (r *Replica) FitsOneMessage() bool {
 	size := 0
 	for _, a := range r.Assignments {
@@ -51,16 +51,15 @@
 	return size <= maxCopyBytes
 }
 
-// Transfer is the sending of a replica in parts.
+// Transfer is the sender's state of a transfer of a replica in parts.
 type Transfer struct {
-	tasks        []TaskID // that were assigned at the beginning and are not sent yet
-	jobs         []string // that had finished tasks then and are not sent yet
+	tasks        []TaskID // tasks that were assigned at the beginning and are in no part yet
+	jobs         []string // jobs that had finished tasks then and are in no part yet
 	partsMade    int
 	maxPartBytes int
 }
 
-// NewTransfer begins to send a replica. The first part is to be made before any delta that the replica does not
-// have yet.
+// NewTransfer begins the transfer of a replica. The first part must be created before the replica changes again.
 func NewTransfer(replica *Replica) *Transfer {
 	return &Transfer{
 		tasks:        slices.SortedFunc(maps.Keys(replica.Assignments), TaskID.compare),
@@ -69,13 +68,13 @@
 	}
 }
 
-// PartsMade is how many parts were made.
+// PartsMade is the number of parts created so far.
 func (t *Transfer) PartsMade() int { return t.partsMade }
 
-// Ended says whether the last part was made.
+// Ended reports whether the last part was created.
 func (t *Transfer) Ended() bool { return t.partsMade > 0 && len(t.tasks)+len(t.jobs) == 0 }
 
-// Next makes the next part from the replica as it is now.
+// Next creates the next part from the present state of the replica.
 func (t *Transfer) Next(replica *Replica) Part {
 	part := Part{Number: t.partsMade}
 	part.Seq = replica.Seq
@@ -103,22 +102,22 @@
 	return part
 }
 
-// Incoming is a replica that a controller receives in parts.
+// Incoming is the receiver's state of a transfer of a replica in parts.
 type Incoming struct {
 	replica    *Replica
-	nextNumber int // number of the part that is to come
+	nextNumber int // number of the next part
 }
 
-// NewIncoming has received nothing.
+// NewIncoming returns an Incoming that has received no part.
 func NewIncoming() *Incoming { return &Incoming{replica: NewReplica()} }
 
-// errPartOrder is a part that does not follow what came before; the transfer must begin anew.
+// errPartOrder reports a part that does not follow the parts and deltas received before; the transfer must be restarted.
 var errPartOrder = errors.New("jobstate: part out of order")
 
-// AddPart takes in a part, and gives the replica once it is whole. After an error the transfer must begin anew.
+// AddPart adds the next part, and returns the replica after the last one. After an error the transfer must be restarted.
 func (in *Incoming) AddPart(p Part) (whole *Replica, err error) {
 	if p.Number != in.nextNumber || p.Number > 0 && p.Seq != in.replica.Seq {
-		return nil, fmt.Errorf("%w: %d at %d, want %d at %d", errPartOrder, p.Number, p.Seq, in.nextNumber, in.replica.Seq)
+		return nil, fmt.Errorf("%w: got part %d at sequence number %d, want part %d at %d", errPartOrder, p.Number, p.Seq, in.nextNumber, in.replica.Seq)
 	}
 	in.nextNumber++
 	in.replica.Seq = p.Seq
@@ -129,5 +128,5 @@
 	return in.replica, nil
 }
 
-// Apply carries out a delta between two parts. After an error the transfer must begin anew.
+// Apply applies a delta that arrives between two parts. After an error the transfer must be restarted.
 func (in *Incoming) Apply(d Delta) error { return in.replica.Apply(d) }
--- a/internal/placement/placement.go
+++ b/internal/placement/placement.go
@@ -1,5 +1,5 @@
-// Package placement packs tasks into machines: it picks the best fit among a random sample of those with room. It keeps
-// no state; the caller's hosts are changed by Take and Release alone.
+// Package placement assigns tasks to machines by best fit among a random sample of the machines with enough free
+// resources. It keeps no state; only Allocate and Release modify the caller's hosts.
 package placement
 
 import (
@@ -7,7 +7,7 @@
 	"slices"
 )
 
-// Host is a machine that may take tasks.
+// Host is a machine that tasks may be placed on.
 type Host struct {
 	Name             string
 	Type             int // index of its machine type
@@ -20,32 +20,33 @@
 	PricePerHour     float64
 	FetchGBPerSecond float64
 	Images           map[string]bool
-	Pulls            int       // images that it fetches now
-	ReservedClass    string    // the only class of jobs that may start there now; "" for any
-	SmallestReserved Resources // the least that a waiting task of that class needs; zero if none is known to wait
+	Pulls            int       // number of images being fetched
+	ReservedClass    string    // class of jobs that the machine is reserved for; "" if it is not reserved
+	SmallestReserved Resources // minimum over the waiting tasks of that class; zero if none is known to wait
 }
 
-// Resources is an amount of a machine: CPUs, and memory in GB.
+// Resources is an amount of CPUs and of memory in GB.
 type Resources struct{ CPUs, MemoryGB float64 }
 
-// Request is what a task needs.
+// Request is what a task requires of a machine.
 type Request struct {
 	CPUs, GPUs, MemoryGB float64
 	Types                []int // indices of the allowed machine types; nil: any
 	Zone                 int   // index of the zone; -1: any
-	Spot                 bool  // may use spot machines
+	Spot                 bool  // may run on spot machines
 	Image                string
 	ImageGB              float64
-	RunSeconds           float64 // that the task probably takes
-	MinimizeTime         bool    // time counts, not money
-	Class                string  // of the job
-	MayUseLeftover       bool    // may use room of reserved machines that is too little for what it is reserved for
+	RunSeconds           float64 // estimated run time of the task
+	MinimizeTime         bool    // minimize time instead of price
+	Class                string  // class of the job
+	MayUseLeftover       bool    // may use what is free on a reserved machine if that is too little for the reserved class
 }
 
-// roundingTolerance absorbs rounding in sums of amounts.
+// roundingTolerance is the largest rounding error of summed amounts.
 const roundingTolerance = 1e-6
 
-// Allows says whether a host's type, zone and kind are allowed.
+// Allows reports whether the task may run on the host's machine type, in its zone, on spot machines if it is one, and
+// whether the host's reservation admits it.
 func (a *Request) Allows(h *Host) bool {
 	if (h.Spot && !a.Spot) || (a.Zone >= 0 && h.Zone != a.Zone) || !a.allowsReserved(h) {
 		return false
@@ -56,8 +57,8 @@
 	return slices.Contains(a.Types, h.Type)
 }
 
-// allowsReserved says whether the task may go to a host although that may be reserved for a class: it is of that class,
-// or it may use leftover room and what is free there is too little for any waiting task of that class.
+// allowsReserved reports whether the host's reservation admits the task: the host is not reserved, it is reserved for the
+// task's class, or the task may use leftovers and the free resources are too little for any waiting task of that class.
 func (a *Request) allowsReserved(h *Host) bool {
 	if h.ReservedClass == "" || h.ReservedClass == a.Class {
 		return true
@@ -65,21 +66,22 @@
 	return a.MayUseLeftover && (h.CPUs+roundingTolerance < h.SmallestReserved.CPUs || h.MemoryGB+roundingTolerance < h.SmallestReserved.MemoryGB)
 }
 
-// Fits says whether a host has the room.
+// Fits reports whether the free resources of a host suffice.
 func (a *Request) Fits(h *Host) bool {
 	return h.CPUs+roundingTolerance >= a.CPUs && h.GPUs+roundingTolerance >= a.GPUs && h.MemoryGB+roundingTolerance >= a.MemoryGB
 }
 
-// Exceeds says that whatever takes this task would take the other as well.
+// Exceeds reports whether the request is of the same class as o, needs at least as much, and is restricted to no other
+// zones, types or spot machines than o. A request that may not use leftovers does not exceed one that may.
 func (a *Request) Exceeds(o *Request) bool {
 	return a.Class == o.Class && (a.MayUseLeftover || !o.MayUseLeftover) &&
 		a.CPUs >= o.CPUs && a.GPUs >= o.GPUs && a.MemoryGB >= o.MemoryGB && (o.Spot || !a.Spot) &&
 		(o.Zone < 0 || o.Zone == a.Zone) && (o.Types == nil || slices.Equal(o.Types, a.Types))
 }
 
-// cost is what the machine costs while it fetches the image and runs the task:
-// an image that is there already counts as much as the time that it saves. Images
-// fetched at the same time may share the rate. With MinimizeTime the time alone counts.
+// cost is the price of the host while it fetches the image, unless it has the image, and runs the task. Concurrent
+// fetches are assumed to share the host's transfer rate. With MinimizeTime the cost is the time, and the price only
+// breaks ties.
 func (a *Request) cost(h *Host) float64 {
 	seconds := max(a.RunSeconds, 1)
 	if !h.Images[a.Image] && h.FetchGBPerSecond > 0 {
@@ -91,8 +93,8 @@
 	return h.PricePerHour * seconds
 }
 
-// isBetter says whether x, at its cost, suits a task isBetter than y: it is cheaper, so that expensive ones fall idle, or
-// it is left with less room.
+// isBetter reports whether x is preferred to y: it costs less, so that expensive machines become idle, or at equal cost
+// has fewer GPUs or CPUs free. The name breaks ties.
 func isBetter(x, y *Host, xCost, yCost float64) bool {
 	if xCost != yCost {
 		return xCost < yCost
@@ -106,8 +108,8 @@
 	return x.Name < y.Name
 }
 
-// Choose looks at hosts in random order until it has seen sample ones that fit,
-// and gives the best of these, or nil.
+// Choose scans the hosts from a random one on until it has found sample suitable ones, and returns the best of these; nil
+// if none is suitable. Hosts for which skip returns true are not suitable.
 func Choose(rng *rand.Rand, hosts []*Host, a *Request, sample int, skip func(*Host) bool) *Host {
 	if len(hosts) == 0 {
 		return nil
@@ -128,7 +130,7 @@
 	return best
 }
 
-// Allocate books a task on a host, with its image.
+// Allocate subtracts what the task requires from the free resources, and counts a fetch if the host lacks its image.
 func (h *Host) Allocate(a *Request) {
 	if !h.Images[a.Image] {
 		h.Pulls++
@@ -138,7 +140,7 @@
 	h.MemoryGB -= a.MemoryGB
 }
 
-// Release books room of a host as free again.
+// Release adds to the free resources.
 func (h *Host) Release(cpus, gpus, memory float64) {
 	h.CPUs += cpus
 	h.GPUs += gpus
--- a/internal/placement/placement_test.go
+++ b/internal/placement/placement_test.go
@@ -7,8 +7,8 @@
 	"testing"
 )
 
-// TestChooseModel compares the choice over a full sample with an exhaustive best
-// fit, and any sampled choice with what is allowed.
+// TestChooseModel compares Choose over all hosts with an exhaustive search for the best fit, and checks that Choose over
+// a sample returns a suitable host if there is one.
 func TestChooseModel(t *testing.T) {
 	for seed := range uint64(500) {
 		rng := rand.New(rand.NewPCG(seed, 3))
@@ -25,7 +25,7 @@
 			return h.CPUs >= ask.CPUs && h.MemoryGB >= ask.MemoryGB && (ask.Zone < 0 || ask.Zone == h.Zone) &&
 				(!h.Spot || ask.Spot) && (ask.Types == nil || ask.Types[0] == h.Type) && h.Name != "m03"
 		}
-		// What it costs there, then what is left, then the name.
+		// By cost, then free CPUs; the loop below breaks ties by name.
 		value := func(h *Host) []float64 {
 			seconds := max(1, ask.RunSeconds)
 			if h.FetchGBPerSecond == 1 && !h.Images["a"] {
@@ -34,23 +34,23 @@
 			return []float64{h.PricePerHour * seconds, h.CPUs}
 		}
 		var best *Host
-		for _, h := range hosts { // in order of their names
+		for _, h := range hosts { // in name order
 			if possible(h) && (best == nil || slices.Compare(value(h), value(best)) < 0) {
 				best = h
 			}
 		}
 		skip := func(h *Host) bool { return h.Name == "m03" }
 		if got := Choose(rng, hosts, ask, len(hosts), skip); got != best {
-			t.Fatalf("seed %d: chose %v, best is %v", seed, got, best)
+			t.Fatalf("seed %d: chose %v, want %v", seed, got, best)
 		}
 		if got := Choose(rng, hosts, ask, 2, skip); (got == nil) != (best == nil) || (got != nil && !possible(got)) {
-			t.Fatalf("seed %d: sample chose %v", seed, got)
+			t.Fatalf("seed %d: chose %v from a sample", seed, got)
 		}
 	}
 }
 
-// TestReservedHosts: a host that is held for a class takes others only after they have waited, and only what no task of that class
-// could use.
+// TestReservedHosts checks that a host that is reserved for a class admits other tasks only if they may use leftovers, and
+// only while its free resources are too little for any waiting task of the class.
 func TestReservedHosts(t *testing.T) {
 	for _, c := range []struct {
 		name string
@@ -58,20 +58,20 @@
 		ask  Request
 		want bool
 	}{
-		{"not held", Host{}, Request{Class: "b"}, true},
-		{"its class", Host{ReservedClass: "a"}, Request{Class: "a"}, true},
+		{"not reserved", Host{}, Request{Class: "b"}, true},
+		{"reserved class", Host{ReservedClass: "a"}, Request{Class: "a"}, true},
 		{"another class", Host{ReservedClass: "a", CPUs: 2, SmallestReserved: Resources{CPUs: 4}}, Request{Class: "b"}, false},
-		{"one that waited", Host{ReservedClass: "a", CPUs: 2, SmallestReserved: Resources{CPUs: 4}}, Request{Class: "b", MayUseLeftover: true}, true},
+		{"another class that may use leftovers", Host{ReservedClass: "a", CPUs: 2, SmallestReserved: Resources{CPUs: 4}}, Request{Class: "b", MayUseLeftover: true}, true},
 		{"too little memory for the class", Host{ReservedClass: "a", CPUs: 8, MemoryGB: 1, SmallestReserved: Resources{CPUs: 4, MemoryGB: 2}}, Request{Class: "b", MayUseLeftover: true}, true},
-		{"room that the class could use", Host{ReservedClass: "a", CPUs: 4, MemoryGB: 2, SmallestReserved: Resources{CPUs: 4, MemoryGB: 2}}, Request{Class: "b", MayUseLeftover: true}, false},
-		{"nobody knows what the class needs", Host{ReservedClass: "a", CPUs: 2}, Request{Class: "b", MayUseLeftover: true}, false},
+		{"enough for the class", Host{ReservedClass: "a", CPUs: 4, MemoryGB: 2, SmallestReserved: Resources{CPUs: 4, MemoryGB: 2}}, Request{Class: "b", MayUseLeftover: true}, false},
+		{"needs of the class unknown", Host{ReservedClass: "a", CPUs: 2}, Request{Class: "b", MayUseLeftover: true}, false},
 	} {
 		if got := c.ask.Allows(&c.host); got != c.want {
 			t.Errorf("%s: allowed %v, want %v", c.name, got, c.want)
 		}
 	}
-	waited, fresh := &Request{Class: "b", MayUseLeftover: true}, &Request{Class: "b"}
-	if fresh.Exceeds(waited) || !waited.Exceeds(fresh) {
-		t.Error("what a task that waited finds is taken for what a fresh one finds")
+	leftover, regular := &Request{Class: "b", MayUseLeftover: true}, &Request{Class: "b"}
+	if regular.Exceeds(leftover) || !leftover.Exceeds(regular) {
+		t.Error("a request that may use leftovers must exceed one that may not, and not vice versa")
 	}
 }
--- a/internal/quarantine/quarantine.go
+++ b/internal/quarantine/quarantine.go
@@ -1,7 +1,7 @@
-// Package quarantine decides about failed tasks whether the job or the machine is at fault: a job that fails on several
-// machines and succeeds on none is faulty; a machine where several jobs fail that succeed elsewhere is bad, and gets no
-// task for a while. It stops and places nothing itself, does no I/O and reads no clock. A Tracker is not safe for
-// concurrent use; the controller's lock guards it.
+// Package quarantine attributes task failures to the job or to the machine. A job that fails on several machines and
+// succeeds on none is faulty. A machine is bad while several jobs that succeeded elsewhere have recently failed on it.
+// The package only classifies: its callers stop and place tasks. It does no I/O and reads no clock. A Tracker is not safe
+// for concurrent use; the controller's lock guards it.
 package quarantine
 
 import (
@@ -10,28 +10,30 @@
 )
 
 const (
-	// minFailures is on how many machines a job must fail, or how many jobs on a machine.
+	// minFailures is the number of machines that a job must fail on to be faulty, and the number of jobs that must fail
+	// on a machine for it to be bad.
 	minFailures = 3
-	// failureLife is how long a failure counts against a machine.
-	failureLife = 5 * time.Minute
+	// failureTTL is how long a failure counts against a machine.
+	failureTTL = 5 * time.Minute
 )
 
-// Tracker remembers what failed where.
+// Tracker records on which machines each job failed.
 type Tracker struct {
 	jobs     map[string]*job
-	machines map[string]map[string]time.Time // when a job last failed on a machine
+	machines map[string]map[string]time.Time // by machine and job: time of the last failure
 }
 
 type job struct {
 	succeeded bool
-	failed    map[string]bool // machines; empty once it succeeded
+	failed    map[string]bool // machines that it failed on; nil once it succeeded
 }
 
-// New returns a tracker that knows of no failure.
+// New returns a Tracker without failures.
 func New() *Tracker {
 	return &Tracker{jobs: map[string]*job{}, machines: map[string]map[string]time.Time{}}
 }
 
+// job returns the record of a job and creates it if necessary.
 func (t *Tracker) job(uid string) *job {
 	j := t.jobs[uid]
 	if j == nil {
@@ -41,7 +43,7 @@
 	return j
 }
 
-// RecordFailure notes that a task of a job failed on a machine. It says whether the job became faulty by it.
+// RecordFailure records that a task of a job failed on a machine, and reports whether this made the job faulty.
 func (t *Tracker) RecordFailure(uid, machine string, now time.Time) (becameFaulty bool) {
 	if t.machines[machine] == nil {
 		t.machines[machine] = map[string]time.Time{}
@@ -55,8 +57,8 @@
 	return len(j.failed) >= minFailures
 }
 
-// RecordSuccess notes that a task of a job succeeded on a machine, after which the job is never faulty. It says whether
-// it was until then.
+// RecordSuccess records that a task of a job succeeded on a machine, and reports whether the job was faulty before. A job
+// that has succeeded once is never faulty again.
 func (t *Tracker) RecordSuccess(uid, machine string) (wasFaulty bool) {
 	delete(t.machines[machine], uid)
 	j := t.job(uid)
@@ -65,13 +67,14 @@
 	return wasFaulty
 }
 
-// IsJobFaulty says whether a job failed on several machines and succeeded on none.
+// IsJobFaulty reports whether a job failed on several machines and succeeded on none.
 func (t *Tracker) IsJobFaulty(uid string) bool {
 	j := t.jobs[uid]
 	return j != nil && len(j.failed) >= minFailures
 }
 
-// IsMachineBad says whether several jobs lately failed on a machine that succeeded on others.
+// IsMachineBad reports whether several jobs that succeeded on other machines recently failed on this one. It also removes
+// expired failures.
 func (t *Tracker) IsMachineBad(machine string, now time.Time) bool {
 	if len(t.machines[machine]) < minFailures {
 		return false
@@ -79,7 +82,7 @@
 	failures := 0
 	maps.DeleteFunc(t.machines[machine], func(uid string, at time.Time) bool {
 		j := t.jobs[uid]
-		if j == nil || now.Sub(at) > failureLife {
+		if j == nil || now.Sub(at) > failureTTL {
 			return true
 		}
 		if j.succeeded {
@@ -90,8 +93,8 @@
 	return failures >= minFailures
 }
 
-// ForgetJob drops what is known of a job.
+// ForgetJob removes the record of a job.
 func (t *Tracker) ForgetJob(uid string) { delete(t.jobs, uid) }
 
-// ForgetMachine drops what is known of a machine that is gone.
+// ForgetMachine removes the failures on a machine that no longer exists.
 func (t *Tracker) ForgetMachine(machine string) { delete(t.machines, machine) }
--- a/internal/quarantine/quarantine_test.go
+++ b/internal/quarantine/quarantine_test.go
@@ -7,17 +7,16 @@
 	"time"
 )
 
-// event is a task's end as the plain model keeps it.
+// event is the end of a task in the history that the reference model evaluates.
 type event struct {
 	job, machine string
 	done         bool
 	at           time.Time
 }
 
-// TestJudgeModel compares the judge with a plain reading of the whole history.
-// Three faulty jobs once condemned every machine that they were tried on, and the
-// fleet was returned in waves: a job that succeeds nowhere says nothing about a
-// machine.
+// TestTrackerModel compares the tracker with a reference model that evaluates the whole history. It guards against
+// faulty jobs marking machines as bad: three of them once marked every machine that they were tried on, and the machines
+// were returned to the cloud in waves. Failures of a job that succeeds nowhere are no evidence against a machine.
 func TestTrackerModel(t *testing.T) {
 	badMachines, faultyJobs := 0, 0
 	for seed := range uint64(200) {
@@ -29,22 +28,22 @@
 			job, machine := rng.IntN(8), rng.IntN(6)
 			e := event{fmt.Sprint("job-", job), fmt.Sprint("m-", machine), job > 2 && machine > 1, now}
 			if job > 2 && machine > 1 && rng.IntN(5) == 0 {
-				e.done = false // now and then anything fails
+				e.done = false // any job fails occasionally
 			}
 			before := modelFaulty(history, e.job)
 			history = append(history, e)
 			after := modelFaulty(history, e.job)
 			if e.done {
 				if tracker.RecordSuccess(e.job, e.machine) != (before && !after) {
-					t.Fatalf("seed %d: lifted wrongly after %v", seed, history)
+					t.Fatalf("seed %d: wrong result of RecordSuccess after %v", seed, history)
 				}
 			} else if tracker.RecordFailure(e.job, e.machine, now) != (after && !before) {
-				t.Fatalf("seed %d: turned wrongly after %v", seed, history)
+				t.Fatalf("seed %d: wrong result of RecordFailure after %v", seed, history)
 			}
 			for j := range 8 {
 				want := modelFaulty(history, fmt.Sprint("job-", j))
 				if got := tracker.IsJobFaulty(fmt.Sprint("job-", j)); got != want {
-					t.Fatalf("seed %d: job-%d faulty %v, plainly %v", seed, j, got, want)
+					t.Fatalf("seed %d: job-%d faulty %v, want %v", seed, j, got, want)
 				}
 				if want {
 					faultyJobs++
@@ -53,23 +52,23 @@
 			for m := range 6 {
 				want := modelBad(history, fmt.Sprint("m-", m), now)
 				if got := tracker.IsMachineBad(fmt.Sprint("m-", m), now); got != want {
-					t.Fatalf("seed %d: m-%d bad %v, plainly %v", seed, m, got, want)
+					t.Fatalf("seed %d: m-%d bad %v, want %v", seed, m, got, want)
 				}
 				if want {
 					badMachines++
 				}
 				if want && m > 1 && onlyFaulty(history, fmt.Sprint("m-", m)) {
-					t.Fatalf("seed %d: m-%d is bad by faulty jobs alone", seed, m)
+					t.Fatalf("seed %d: m-%d is bad because of faulty jobs alone", seed, m)
 				}
 			}
 		}
 	}
 	if badMachines == 0 || faultyJobs == 0 {
-		t.Fatalf("bad %d, faulty %d times: the model says nothing", badMachines, faultyJobs)
+		t.Fatalf("bad %d, faulty %d times: the test exercised nothing", badMachines, faultyJobs)
 	}
 }
 
-// modelFaulty: failed on three machines, never succeeded.
+// modelFaulty reports whether a job failed on three machines and never succeeded.
 func modelFaulty(history []event, job string) bool {
 	on := map[string]bool{}
 	for _, e := range history {
@@ -83,8 +82,8 @@
 	return len(on) >= 3
 }
 
-// modelBad: three jobs that succeeded somewhere failed here within five minutes
-// and did not succeed here after that.
+// modelBad reports whether three jobs that succeeded somewhere failed on the machine within the last five minutes and
+// have not succeeded there since.
 func modelBad(history []event, machine string, now time.Time) bool {
 	last, good := map[string]event{}, map[string]bool{}
 	for _, e := range history {
@@ -102,7 +101,7 @@
 	return against >= 3
 }
 
-// onlyFaulty says that only jobs that fail everywhere failed on a machine.
+// onlyFaulty reports whether all jobs that failed on a machine are those that fail everywhere.
 func onlyFaulty(history []event, machine string) bool {
 	for _, e := range history {
 		if e.machine == machine && !e.done && e.job > "job-2" {
