--- a/internal/gangpreemption/gangpreemption.go
+++ b/internal/gangpreemption/gangpreemption.go
@@ -1,5 +1,5 @@
-// Package gangpreemption selects the tasks to stop so that all tasks of a gang fit on machines at the same time. It keeps
-// no state, does no I/O and reads no clock.
+// Package gangpreemption selects the tasks to stop so that all tasks of a gang fit on machines at the same time. It
+// keeps no state, does no I/O and reads no clock.
 package gangpreemption
 
 import (
@@ -57,9 +57,9 @@
 }
 
 // Plan returns the stops of the zone in which least progress is lost, or those for all machines together if the gang
-// need not run in one zone: one Stop for each machine that the gang would use, and for each where tasks are stopped only
-// to free quota. Within a zone the search is greedy, one task of the gang at a time. ok is false if the gang does not fit
-// even if all victims are stopped.
+// need not run in one zone: one Stop for each machine that the gang would use, and for each where tasks are stopped
+// only to free quota. Within a zone the search is greedy, one task of the gang at a time. ok is false if the gang does
+// not fit even if all victims are stopped.
 func Plan(g Gang, machines []Machine) (stops []Stop, ok bool) {
 	lowest := 0.0
 	for _, zone := range candidateZones(g, machines) {
@@ -146,7 +146,8 @@
 	return loss, true
 }
 
-// nextSlot returns how many of the victims, in order, have to be stopped for one more task to fit, and the progress lost.
+// nextSlot returns how many of the victims, in order, have to be stopped for one more task to fit, and the progress
+// lost.
 func nextSlot(each, free Resources, victims []Victim) (count int, loss float64, ok bool) {
 	for ; !free.covers(each); count++ {
 		if count == len(victims) {
--- a/internal/gangpreemption/gangpreemption_test.go
+++ b/internal/gangpreemption/gangpreemption_test.go
@@ -7,7 +7,8 @@
 )
 
 // TestPlanModel checks on random machines that the planned stops let the whole gang fit, in one zone if required and
-// within the quota, that there is a plan whenever stopping all victims would suffice, and that no victim is stopped twice.
+// within the quota, that there is a plan whenever stopping all victims would suffice, and that no victim is stopped
+// twice.
 func TestPlanModel(t *testing.T) {
 	plans := 0
 	for seed := range uint64(2000) {
--- a/internal/jobstate/demand.go
+++ b/internal/jobstate/demand.go
@@ -37,9 +37,10 @@
 }
 
 // Demands lists what the team would place if there were capacity, most urgent first, and for each class what it needs
-// beyond the quota. Of the gangs that wait to start only the most urgent one reserves quota: gangs may wait for machines
-// for minutes, and all of them together would block the quota for all other jobs. An array that can't start reserves quota
-// only from lower priorities, since otherwise jobs of its own priority that fit would wait while quota is unused.
+// beyond the quota. Of the gangs that wait to start only the most urgent one reserves quota: gangs may wait for
+// machines for minutes, and all of them together would block the quota for all other jobs. An array that can't start
+// reserves quota only from lower priorities, since otherwise jobs of its own priority that fit would wait while quota
+// is unused.
 func (q *Quota) Demands(now time.Time) []Demand {
 	charged := q.charged()
 	p := demandPlan{quota: q, requested: charged, committed: charged, beyondByClass: map[string]int{}}
@@ -54,9 +55,9 @@
 			p.addJob(w.Job, w.unstarted)
 		}
 	}
-	backlog := time.Duration(p.backlogSeconds / q.limits.Max.CPUs * float64(time.Second))
+	quotaDelay := time.Duration(p.backlogSeconds / q.limits.Max.CPUs * float64(time.Second))
 	for i := range p.demands {
-		p.demands[i].QuotaDelay = backlog
+		p.demands[i].QuotaDelay = quotaDelay
 	}
 	return append(p.demands, p.trailing...)
 }
@@ -86,8 +87,8 @@
 }
 
 // reserve commits what the given number of tasks needs, or as much of it as the limit and the floors of other classes
-// leave. Otherwise smaller tasks of less urgent jobs would use all quota that becomes free, and the job would never have
-// enough at once.
+// leave. Otherwise smaller tasks of less urgent jobs would use all quota that becomes free, and the job would never
+// have enough at once.
 func (p *demandPlan) reserve(j *Job, tasks int) {
 	p.reserved = true
 	needed := neededBy(j.Spec, tasks)
@@ -126,9 +127,9 @@
 	return min(maxTasks(p.availableCPUs(j), j.Spec.CPUs), maxTasks(p.quota.limits.Max.GPUs-p.committed.GPUs, j.Spec.GPUs))
 }
 
-// availableCPUs is the part of the quota that a job may use, in CPUs: what the floors of other classes leave. A class that
-// is below its floor may use enough for one task if that much quota is left at all; otherwise classes that all lack quota
-// would block each other.
+// availableCPUs is the part of the quota that a job may use, in CPUs: what the floors of other classes leave. A class
+// that is below its floor may use enough for one task if that much quota is left at all; otherwise classes that all
+// lack quota would block each other.
 func (p *demandPlan) availableCPUs(j *Job) float64 {
 	left := p.quota.limits.Max.CPUs - p.committed.CPUs
 	own := p.shortfalls[j.Spec.Class]
@@ -138,7 +139,8 @@
 	return max(left-(p.shortfall-own), min(left, max(own, j.Spec.CPUs)))
 }
 
-// commit withholds from less urgent jobs what the job's fitting tasks need, or what is reserved for it if it can't start.
+// commit withholds from less urgent jobs what the job's fitting tasks need, or what is reserved for it if it can't
+// start.
 func (p *demandPlan) commit(j *Job, unstarted, fit int) {
 	toStart := j.tasksToStart(unstarted)
 	switch {
@@ -184,8 +186,8 @@
 	p.trailing[i].CPUsBeyondQuota += cpus
 }
 
-// tasksToStart is the number of a job's unstarted tasks that need quota at the same time for the job to start; 0 if it has
-// attempts already.
+// tasksToStart is the number of a job's unstarted tasks that need quota at the same time for the job to start; 0 if it
+// has attempts already.
 func (j *Job) tasksToStart(unstarted int) int {
 	switch {
 	case len(j.attempts) > 0:
--- a/internal/jobstate/floors_test.go
+++ b/internal/jobstate/floors_test.go
@@ -10,9 +10,9 @@
 	"topazhollow/internal/protocol"
 )
 
-// TestFloorsBeyondQuotaBlockNoClass: of several classes under their floors each one's quota was kept from the others,
-// and where less was left than all of them lacked none could go on while the quota stood empty. Now any quota that is
-// enough for each task that waits is asked for, and never more than there is.
+// TestFloorsBeyondQuotaBlockNoClass guards against classes below their floors blocking each other: if less quota was
+// left than all of them lacked together, each class left it to the others and none demanded any. Quota that suffices
+// for the largest waiting task must be demanded, and never more than the limit.
 func TestFloorsBeyondQuotaBlockNoClass(t *testing.T) {
 	now := time.Unix(1000, 0)
 	for seed := range uint64(300) {
@@ -33,10 +33,10 @@
 			requested += float64(d.Count) * d.Spec.CPUs
 		}
 		if requested > limit+roundingTolerance {
-			t.Fatalf("seed %d: %g CPUs asked for of %g, floors %v", seed, requested, limit, floors)
+			t.Fatalf("seed %d: %g CPUs demanded of %g, floors %v", seed, requested, limit, floors)
 		}
 		if requested == 0 && limit >= largest {
-			t.Fatalf("seed %d: nothing is asked for beside %g CPUs of quota, floors %v", seed, limit, floors)
+			t.Fatalf("seed %d: nothing is demanded of %g CPUs of quota, floors %v", seed, limit, floors)
 		}
 	}
 }
--- a/internal/jobstate/gang.go
+++ b/internal/jobstate/gang.go
@@ -4,9 +4,9 @@
 	"topazhollow/internal/protocol"
 )
 
-// MissingGangTasks returns the tasks of a gang that are to be placed now: all of them for a new attempt (id 0), or those
-// that complete the attempt id, which has not started. It returns none while an attempt runs, has
-// to end first, or was placed in an earlier term.
+// MissingGangTasks returns the tasks of a gang that are to be placed now: all of them for a new attempt (id 0), or
+// those that complete the attempt id, which has not started. It returns none while an attempt runs, has to end first,
+// or was placed in an earlier term.
 func (t *Team) MissingGangTasks(j *Job) (missing []int, id uint64) {
 	if j.Ended || j.Finishing || j.Complete() {
 		return nil, 0
--- a/internal/jobstate/gang_test.go
+++ b/internal/jobstate/gang_test.go
@@ -7,38 +7,40 @@
 	"topazhollow/internal/protocol"
 )
 
+// newModelWithGang returns a model whose team has a gang of three tasks of 2 CPUs, and a location for each task.
 func newModelWithGang(t *testing.T) (*model, *Job, map[int]Location) {
 	m := newModel(t, 3)
 	s := &protocol.Submission{UID: "job-9", Team: "team", Kind: protocol.Gang, Priority: "standard", Tasks: 3, CPUs: 2, CheckpointSeconds: 2, CheckpointEverySeconds: 5}
 	m.specs[s.UID], m.active[s.UID] = s, true
 	m.team.AddJob(s, 1, m.now, nil)
-	spots := map[int]Location{}
+	locations := map[int]Location{}
 	for i := range s.Tasks {
-		spots[i] = Location{fmt.Sprintf("m%d", i), "z", 1}
+		locations[i] = Location{fmt.Sprintf("m%d", i), "z", 1}
 	}
-	return m, m.team.Job(s.UID), spots
+	return m, m.team.Job(s.UID), locations
 }
 
+// observeGangTask has the team observe a heartbeat that lists one task of the gang in the given state.
 func observeGangTask(m *model, j *Job, id uint64, index int, state protocol.TaskState, why protocol.ExitReason) {
 	v := &MachineStatus{Machine: fmt.Sprintf("m%d", index), Zone: "z", Incarnation: 1, FencingToken: 1}
 	v.Tasks = []TaskStatus{{TaskID: TaskID{j.Spec.UID, index}, Attempt: id, State: state, Reason: why}}
 	m.team.Observe(v, m.now, m)
 }
 
-// TestGangAllOrNone: a gang that does not fit the quota takes nothing of it.
+// TestGangAllOrNone checks that no task of a gang that does not fit the quota is placed.
 func TestGangAllOrNone(t *testing.T) {
-	m, j, spots := newModelWithGang(t)
+	m, j, locations := newModelWithGang(t)
 	m.team.quota.limits.Max.CPUs = 5
-	if m.team.PlaceGang(j, 0, spots) || len(m.team.Replica().Assignments) != 0 {
-		t.Fatal("half a gang was placed")
+	if m.team.PlaceGang(j, 0, locations) || len(m.team.Replica().Assignments) != 0 {
+		t.Fatal("an incomplete gang was placed")
 	}
 }
 
-// TestGangTaskIsReplacedBeforeStart: a task refused while the others wait is replaced
-// under the same attempt.
+// TestGangTaskIsReplacedBeforeStart checks that a task that its machine rejects while the others wait to start is
+// placed again under the same attempt.
 func TestGangTaskIsReplacedBeforeStart(t *testing.T) {
-	m, j, spots := newModelWithGang(t)
-	if !m.team.PlaceGang(j, 0, spots) {
+	m, j, locations := newModelWithGang(t)
+	if !m.team.PlaceGang(j, 0, locations) {
 		t.Fatal("not placed")
 	}
 	id := AttemptID(1, 1)
@@ -49,19 +51,18 @@
 	}
 }
 
-// TestGangRestartsAsAWhole: a gang that lost a running task stops as a whole, with
-// the grace to save, and begins a new attempt only when every task is off: an old
-// task may still be on its machine.
+// TestGangRestartsAsAWhole checks that a gang that lost a running task is stopped as a whole, with the grace period for
+// a checkpoint, and that no new attempt starts before every task is proven to be off its machine.
 func TestGangRestartsAsAWhole(t *testing.T) {
-	m, j, spots := newModelWithGang(t)
-	m.team.PlaceGang(j, 0, spots)
+	m, j, locations := newModelWithGang(t)
+	m.team.PlaceGang(j, 0, locations)
 	id := AttemptID(1, 1)
 	for i := range 3 {
 		observeGangTask(m, j, id, i, protocol.Running, "")
 	}
 	observeGangTask(m, j, id, 1, protocol.Exited, protocol.ReasonError)
 	if missing, _ := m.team.MissingGangTasks(j); len(missing) != 0 {
-		t.Fatalf("would start %v beside a running gang", missing)
+		t.Fatalf("tasks %v would start while the gang runs", missing)
 	}
 	stops := 0
 	for _, orders := range m.team.TakeDueOrders(99, m.now, func(string, uint64) bool { return true }) {
@@ -73,11 +74,11 @@
 		}
 	}
 	if stops != 2 {
-		t.Fatalf("%d stops for two tasks left", stops)
+		t.Fatalf("%d stops, want 2 for the two remaining tasks", stops)
 	}
 	observeGangTask(m, j, id, 0, protocol.Exited, protocol.ReasonStopped)
 	if missing, _ := m.team.MissingGangTasks(j); len(missing) != 0 {
-		t.Fatal("a new attempt while one old task is not off")
+		t.Fatal("a new attempt would start while a task of the old one may run")
 	}
 	observeGangTask(m, j, id, 2, protocol.Exited, protocol.ReasonPeers)
 	if missing, fresh := m.team.MissingGangTasks(j); len(missing) != 3 || fresh != 0 {
@@ -85,12 +86,12 @@
 	}
 }
 
-// TestGangCompletesTogether: if one task of a gang is done, all are.
+// TestGangCompletesTogether checks that all tasks of a gang are done once one of them is.
 func TestGangCompletesTogether(t *testing.T) {
-	m, j, spots := newModelWithGang(t)
-	m.team.PlaceGang(j, 0, spots)
+	m, j, locations := newModelWithGang(t)
+	m.team.PlaceGang(j, 0, locations)
 	observeGangTask(m, j, AttemptID(1, 1), 2, protocol.Exited, protocol.ReasonDone)
 	if !j.Complete() {
-		t.Fatal("one task done, the gang not")
+		t.Fatal("one task is done but the gang is not complete")
 	}
 }
--- a/internal/jobstate/gangreservation.go
+++ b/internal/jobstate/gangreservation.go
@@ -6,9 +6,9 @@
 	"topazhollow/internal/protocol"
 )
 
-// All tasks of a gang start together. Quota of its team and capacity of machines that become free are therefore reserved
-// for it, ahead of less urgent work, until they suffice. If the gang has not started after some time it probably lacks
-// something else, and the reservation is released for a while.
+// All tasks of a gang start together. Quota of its team and capacity of machines that become free are therefore
+// reserved for it, ahead of less urgent work, until they suffice. If the gang has not started after some time it
+// probably lacks something else, and the reservation is released for a while.
 var (
 	// With equal times for both phases, fewer than half of the largest gangs started.
 	quotaCycle    = reservationCycle{reserve: time.Minute, release: 15 * time.Second}
@@ -23,9 +23,9 @@
 	return now.Sub(since)%(c.reserve+c.release) >= c.reserve
 }
 
-// gangReservation decides when quota and machine capacity are reserved for a team's gangs. The cycle for capacity starts
-// again whenever a gang is placed. The cycle for quota does not, since the next gang may lack a little quota for minutes
-// while the rest stays unused.
+// gangReservation decides when quota and machine capacity are reserved for a team's gangs. The cycle for capacity
+// starts again whenever a gang is placed. The cycle for quota does not, since the next gang may lack a little quota for
+// minutes while the rest stays unused.
 type gangReservation struct {
 	waitingSince     time.Time // start of the time in which some gang has always waited; zero while none waits
 	unplacedSince    time.Time // the same, or the first update after a gang was placed, if later
--- a/internal/jobstate/gangreservation_test.go
+++ b/internal/jobstate/gangreservation_test.go
@@ -8,8 +8,8 @@
 	"topazhollow/internal/protocol"
 )
 
-// newTeamWithGangAndArray has a quota of ten CPUs, an urgent gang that takes six and an array that takes whatever
-// there is.
+// newTeamWithGangAndArray returns a team with a quota of ten CPUs, an urgent gang that needs six of them, and an array
+// of more small tasks than fit.
 func newTeamWithGangAndArray(now time.Time) (team *Team, gang *Job, array *protocol.Submission) {
 	team = NewTeam("t", Limits{Max: Resources{CPUs: 10, GPUs: math.Inf(1)}}, NewReplica(), 1, func(string, ...any) {})
 	spec := &protocol.Submission{UID: "job-000001", Class: "gangs", Kind: protocol.Gang, Priority: "high", Tasks: 3, CPUs: 2, EstimateSeconds: 30}
@@ -19,7 +19,7 @@
 	return team, team.Job(spec.UID), array
 }
 
-// requestedTasks is how many tasks of each job the team asks room for.
+// requestedTasks returns the number of tasks of each job that the team demands capacity for.
 func requestedTasks(team *Team, now time.Time) map[string]int {
 	counts := map[string]int{}
 	for _, d := range team.Quota().Demands(now) {
@@ -28,52 +28,53 @@
 	return counts
 }
 
-// TestUnusedHoldbackIsReleased: quota was reserved without end for a gang that found no machines, and for the floor of
-// its class, so that arrays waited for minutes beside idle machines. Once it has made no use of it for a while all of
-// the quota is for everybody; the gang is asked for all the same. Later it gets another try.
+// TestUnusedGangReservationIsReleased guards against an endless reservation of quota for a gang that finds no machines,
+// and for the floor of its class: arrays waited for minutes beside idle machines. If the gang does not start for
+// quotaCycle.reserve, other jobs may use all quota, while the gang is still demanded. Then the reservation is renewed.
 func TestUnusedGangReservationIsReleased(t *testing.T) {
 	now := time.Unix(1000, 0)
 	team, gang, array := newTeamWithGangAndArray(now)
 	team.Quota().SetFloors(map[string]float64{"gangs": 8})
 	team.Quota().UpdateGangReservation(now)
 	if got := requestedTasks(team, now); !team.Quota().ReservesForGangs() || got[gang.Spec.UID] != 3 || got[array.UID] > 4 {
-		t.Fatalf("at first %v tasks are asked for", got)
+		t.Fatalf("at first %v tasks are demanded", got)
 	}
 	now = now.Add(quotaCycle.reserve)
 	team.Quota().UpdateGangReservation(now)
 	if got := requestedTasks(team, now); team.Quota().ReservesForGangs() || got[gang.Spec.UID] != 3 || got[array.UID] != 10 {
-		t.Fatalf("after %v without a start %v tasks are asked for", quotaCycle.reserve, got)
+		t.Fatalf("after %v without a start %v tasks are demanded", quotaCycle.reserve, got)
 	}
 	now = now.Add(quotaCycle.release)
 	team.Quota().UpdateGangReservation(now)
 	if got := requestedTasks(team, now); !team.Quota().ReservesForGangs() || got[array.UID] > 4 {
-		t.Fatalf("on the second try %v tasks are asked for", got)
+		t.Fatalf("in the second cycle %v tasks are demanded", got)
 	}
 }
 
-// TestGangBeyondQuotaHoldsBackForAWhile: what is left of the quota was reserved without end for a gang that takes
-// more, but for what is too little for one of its tasks; smaller tasks took that, and so each piece that came free.
+// TestGangBeyondQuotaReservesForAWhile checks that the unused quota is reserved for a gang that needs more than that,
+// and released after quotaCycle.reserve. Earlier it was reserved without end, except for a rest too small for one task
+// of the gang; smaller tasks used that, and then all other quota that became free.
 func TestGangBeyondQuotaReservesForAWhile(t *testing.T) {
 	now := time.Unix(1000, 0)
 	team, _, array := newTeamWithGangAndArray(now)
 	for i := range 5 {
 		if !team.Place(team.Job(array.UID), i, Location{"m", "z", 1}) {
-			t.Fatal("the array does not start")
+			t.Fatal("the array is not placed")
 		}
 	}
 	team.Quota().UpdateGangReservation(now)
 	if got := requestedTasks(team, now); got[array.UID] != 0 {
-		t.Fatalf("at first %v tasks are asked for", got)
+		t.Fatalf("at first %v tasks are demanded", got)
 	}
 	now = now.Add(quotaCycle.reserve)
 	team.Quota().UpdateGangReservation(now)
 	if got := requestedTasks(team, now); got[array.UID] != 5 {
-		t.Fatalf("after %v without a start %v tasks are asked for", quotaCycle.reserve, got)
+		t.Fatalf("after %v without a start %v tasks are demanded", quotaCycle.reserve, got)
 	}
 }
 
-// TestHoldbackOfUse: as long as gangs start one after another the capacity that comes free is reserved for the next.
-// The quota is released in turn all the same: what the next gang had too little of stood empty for minutes.
+// TestGangReservationInUse checks that free capacity stays reserved for gangs while they start one after another. The
+// quota must be released periodically nevertheless: otherwise quota too small for the next gang was unused for minutes.
 func TestGangReservationInUse(t *testing.T) {
 	now := time.Unix(1000, 0)
 	team, gang, array := newTeamWithGangAndArray(now)
@@ -87,16 +88,16 @@
 	team.AddJob(&next, 1, now, nil)
 	team.Quota().UpdateGangReservation(now)
 	if got := requestedTasks(team, now); !team.Quota().ReservesCapacityForGangs() || got[next.UID] != 2 || got[array.UID] != 0 {
-		t.Fatalf("capacity reserved: %v, and %v tasks are asked for; want what is left for the next gang", team.Quota().ReservesCapacityForGangs(), got)
+		t.Fatalf("capacity reserved: %v, %v tasks are demanded; want the rest of the quota for the next gang", team.Quota().ReservesCapacityForGangs(), got)
 	}
 	now = now.Add(time.Second)
 	team.Quota().UpdateGangReservation(now)
 	if got := requestedTasks(team, now); !team.Quota().ReservesCapacityForGangs() || got[array.UID] != 4 {
-		t.Fatalf("capacity reserved: %v, and %v tasks are asked for; want what is left for the array", team.Quota().ReservesCapacityForGangs(), got)
+		t.Fatalf("capacity reserved: %v, %v tasks are demanded; want the rest of the quota for the array", team.Quota().ReservesCapacityForGangs(), got)
 	}
 	now = now.Add(capacityCycle.reserve)
 	team.Quota().UpdateGangReservation(now)
 	if team.Quota().ReservesCapacityForGangs() {
-		t.Fatal("capacity is reserved though no other gang started")
+		t.Fatal("capacity is still reserved although no other gang started")
 	}
 }
--- a/internal/jobstate/golden_test.go
+++ b/internal/jobstate/golden_test.go
@@ -11,14 +11,14 @@
 	"topazhollow/internal/protocol"
 )
 
-// The golden files of a team's pages of finished tasks in the state service. They outlive the process that wrote them,
-// so the forms may only grow. The messages between controllers that carry this package's types are in the module's
-// root.
+// The golden files hold a team's pages of finished tasks as stored in the state service. Stored pages outlive the
+// process that wrote them, so the format may only be extended. The golden files of messages between controllers that
+// contain this package's types are in the module's root.
 
-// smallPageBytes is so small that a job of 100 tasks has two parts, of 64 tasks each at most.
+// smallPageBytes is a page size with 64 tasks per part, so that a job of 100 tasks has two parts.
 const smallPageBytes = 20
 
-// finished are jobs' sizes and the tasks of each that are finished.
+// finished has the number of tasks and the finished tasks of each job.
 var finished = map[string]struct {
 	tasks int
 	done  *bitset.BitSet
@@ -27,6 +27,7 @@
 	"job-000412": {3, bitset.New(0).Set(2)},
 }
 
+// TestGoldenPages compares the encoding of pages with the golden files, and reads the pages back.
 func TestGoldenPages(t *testing.T) {
 	var jobs []*Job
 	for _, uid := range []string{"job-000398", "job-000412"} {
@@ -57,8 +58,8 @@
 	}
 }
 
-// TestGoldenAttempt: attempts' numbers tell the term under which their starts were sent, also to controllers of other
-// versions.
+// TestGoldenAttempt guards the format of attempt numbers, from which controllers of other versions also derive the
+// term.
 func TestGoldenAttempt(t *testing.T) {
 	if got := AttemptID(41, 2); got != 687865858 || TermOf(got) != 41 {
 		t.Errorf("attempt %d of term %d, want 687865858 of 41", got, TermOf(got))
--- a/internal/jobstate/job.go
+++ b/internal/jobstate/job.go
@@ -183,9 +183,9 @@
 	return avoided
 }
 
-// SetFaulty records whether the job is assumed to fail on every machine. Such a job requests capacity for one task only,
-// so that it neither fills the machines nor causes more of them to be rented. It is retried until its user cancels it or
-// a task succeeds. A nil job is ignored.
+// SetFaulty records whether the job is assumed to fail on every machine. Such a job requests capacity for one task
+// only, so that it neither fills the machines nor causes more of them to be rented. It is retried until its user
+// cancels it or a task succeeds. A nil job is ignored.
 func (j *Job) SetFaulty(faulty bool) {
 	if j == nil || j.faulty == faulty {
 		return
@@ -194,8 +194,8 @@
 	clear(j.avoidUntil) // failures of a faulty job are no evidence against machines
 }
 
-// SetObjectives records when the job should be complete. Before the first call the job counts as one without objectives.
-// A nil job is ignored.
+// SetObjectives records when the job should be complete. Before the first call the job counts as one without
+// objectives. A nil job is ignored.
 func (j *Job) SetObjectives(objectives Objectives) {
 	if j != nil {
 		j.objectives = objectives
--- a/internal/jobstate/limits.go
+++ b/internal/jobstate/limits.go
@@ -8,7 +8,8 @@
 
 // Enforcement of limits that are lowered while attempts are assigned.
 
-// LimitsInForce reports whether no further attempt can start beyond the limits. Attempts that already run may exceed them.
+// LimitsInForce reports whether no further attempt can start beyond the limits. Attempts that already run may exceed
+// them.
 func (t *Team) LimitsInForce() bool {
 	if !t.quota.exceeded(Resources{}) {
 		return true
@@ -25,8 +26,8 @@
 }
 
 // StopExcess marks attempts beyond the limits to be stopped, starting with the least urgent job and the highest task
-// index: those that have not started on their machines, and if running is true also the others. They get the grace period
-// for a checkpoint. A gang is stopped as a whole.
+// index: those that have not started on their machines, and if running is true also the others. They get the grace
+// period for a checkpoint. A gang is stopped as a whole.
 func (t *Team) StopExcess(running bool) {
 	if !t.quota.exceeded(Resources{}) {
 		return
--- a/internal/jobstate/machinestatus.go
+++ b/internal/jobstate/machinestatus.go
@@ -2,11 +2,11 @@
 
 import "topazhollow/internal/protocol"
 
-// The machine statuses that homes report to owners, and the orders that owners return. A machine's home is the controller
-// that its agent reports to; a team's owner is the controller that keeps the team's state.
+// The machine statuses that homes report to owners, and the orders that owners return. A machine's home is the
+// controller that its agent reports to; a team's owner is the controller that keeps the team's state.
 
-// termShift is the number of low bits of an attempt number that hold a counter; the bits above hold the term. Terms stay
-// below 2^29 and attempt numbers thus below 2^53, up to which JSON numbers are exact.
+// termShift is the number of low bits of an attempt number that hold a counter; the bits above hold the term. Terms
+// stay below 2^29 and attempt numbers thus below 2^53, up to which JSON numbers are exact.
 const termShift = 24
 
 // AttemptID returns the attempt number of a term and a counter. Each term has one owner, so that numbers of different
--- a/internal/jobstate/model_test.go
+++ b/internal/jobstate/model_test.go
@@ -11,7 +11,7 @@
 	"topazhollow/internal/protocol"
 )
 
-// modelAgent is a plain model of a machine's agent by the protocol.
+// modelAgent models the agent of a machine and its tasks.
 type modelAgent struct {
 	name         string
 	incarnation  uint64
@@ -19,30 +19,31 @@
 	fencingToken uint64
 	tasks        map[TaskID]TaskStatus
 	dead         bool
-	hung         bool // executes nothing and sends nothing until it resumes
+	hung         bool // neither executes nor sends anything until it resumes
 }
 
-// plainCapacity is what each machine of the model has, in CPUs.
+// modelMachineCPUs is the number of CPUs of each machine of the model.
 const modelMachineCPUs = 6
 
-// used sums up what runs on a machine, of all teams or of the model's own.
-func (m *model) used(w *modelAgent, own bool) (cpus float64) {
-	for k, x := range w.tasks {
-		if !w.dead && x.State != protocol.Exited && (!own || m.specs[k.Job].Team == "team") {
+// used is the sum of the CPUs that running tasks use on a machine: of all teams, or only of the team under test.
+func (m *model) used(agent *modelAgent, own bool) (cpus float64) {
+	for k, x := range agent.tasks {
+		if !agent.dead && x.State != protocol.Exited && (!own || m.specs[k.Job].Team == "team") {
 			cpus += m.specs[k.Job].CPUs
 		}
 	}
 	return cpus
 }
 
-// message is a start or stop on its way; it may arrive late, even after its
-// sender was replaced, as with held packets.
+// message is a start or stop in flight. It may arrive late, even after its sender has been replaced, as packets that
+// are delayed in the network do.
 type message struct {
 	to    *modelAgent
 	term  uint64
 	order Order
 }
 
+// model connects a team's state at its owner with modelled agents by unreliable messages.
 type model struct {
 	t                    *testing.T
 	rng                  *rand.Rand
@@ -56,25 +57,25 @@
 	specs                map[string]*protocol.Submission
 	active               map[string]bool
 	done                 map[TaskID]bool
-	releasesWithoutProof bool                      // a broken owner that takes a silent machine for gone
-	knowledge            map[string]endKnowledge   // what is known of a job that is over; zero: all
-	newestStatus         map[string]*MachineStatus // the newest status of each machine, as the owner has it
-	delayedStatuses      []*MachineStatus          // copies of heartbeats that are still in flight
-	barrier              map[string]bool           // machines that a failover without memory waits for; nil: none
-	barrierTerm          uint64                    // the term of that failover
-	reached              map[string]bool           // what really happened in this run
+	releasesWithoutProof bool                      // a faulty owner that treats silent machines as returned
+	knowledge            map[string]endKnowledge   // what is known of an ended job; the zero value: everything
+	newestStatus         map[string]*MachineStatus // the newest status of each machine that the owner has received
+	delayedStatuses      []*MachineStatus          // duplicates of heartbeats that are still in flight
+	barrier              map[string]bool           // machines that a failover without a replica waits for; nil if none is under way
+	barrierTerm          uint64                    // term of that failover
+	reached              map[string]bool           // situations that the runs have covered
 }
 
-// endKnowledge is how much an owner's controller knows of a job that is over.
+// endKnowledge is how much an owner's controller knows of an ended job.
 type endKnowledge int
 
 const (
 	endAndSize endKnowledge = iota
-	endOnly                 // its end, and not what its tasks take
+	endOnly                 // that it ended, but not the size of its tasks
 	unknownJob
 )
 
-// Job is what the owner's controller knows of a job.
+// Job implements JobDirectory.
 func (m *model) Job(uid string) JobInfo {
 	spec := m.specs[uid]
 	switch {
@@ -86,7 +87,7 @@
 	return JobInfo{Known: true, OwnTeam: spec.Team == "team", Active: m.active[uid], Spec: spec}
 }
 
-// Unsized is what a machine has beside the listed tasks of known size.
+// UnknownSizeBound implements JobDirectory: it is what the listed tasks of known size leave of a machine.
 func (m *model) UnknownSizeBound(v *MachineStatus) (cpus, gpus float64) {
 	cpus = modelMachineCPUs
 	for _, x := range v.Tasks {
@@ -97,32 +98,33 @@
 	return cpus, 0
 }
 
-func (m *model) status(w *modelAgent) *MachineStatus {
-	w.seq++
-	v := &MachineStatus{Machine: w.name, Incarnation: w.incarnation, Seq: w.seq, FencingToken: w.fencingToken, Term: m.term}
-	for _, x := range w.tasks {
+// status returns the next heartbeat of an agent as the status that its home reports.
+func (m *model) status(agent *modelAgent) *MachineStatus {
+	agent.seq++
+	v := &MachineStatus{Machine: agent.name, Incarnation: agent.incarnation, Seq: agent.seq, FencingToken: agent.fencingToken, Term: m.term}
+	for _, x := range agent.tasks {
 		v.Tasks = append(v.Tasks, x)
 	}
 	slices.SortFunc(v.Tasks, func(a, b TaskStatus) int { return int(a.Attempt) - int(b.Attempt) })
 	return v
 }
 
-// deliver executes a command at a worker, and checks the two rules that an owner
-// answers for at every start.
-func (m *model) deliver(x message) (broken string) {
-	w := x.to
-	if w.dead || x.term < w.fencingToken || x.order.Incarnation != w.incarnation {
+// deliver executes an order at an agent. At every start it checks that the task runs on no other machine and that the
+// team's quota is not exceeded.
+func (m *model) deliver(x message) (violation string) {
+	agent := x.to
+	if agent.dead || x.term < agent.fencingToken || x.order.Incarnation != agent.incarnation {
 		return ""
 	}
-	if x.order.Op == protocol.Start && m.used(w, false)+m.specs[x.order.Job].CPUs > modelMachineCPUs {
-		if _, there := w.tasks[x.order.TaskID]; !there {
-			w.fencingToken = x.term
-			w.tasks[x.order.TaskID] = TaskStatus{TaskID: x.order.TaskID, Attempt: x.order.Attempt, State: protocol.Exited, Reason: protocol.ReasonFull}
+	if x.order.Op == protocol.Start && m.used(agent, false)+m.specs[x.order.Job].CPUs > modelMachineCPUs {
+		if _, there := agent.tasks[x.order.TaskID]; !there {
+			agent.fencingToken = x.term
+			agent.tasks[x.order.TaskID] = TaskStatus{TaskID: x.order.TaskID, Attempt: x.order.Attempt, State: protocol.Exited, Reason: protocol.ReasonFull}
 		}
 		return ""
 	}
-	w.fencingToken = x.term
-	have, there := w.tasks[x.order.TaskID]
+	agent.fencingToken = x.term
+	have, there := agent.tasks[x.order.TaskID]
 	switch x.order.Op {
 	case protocol.Start:
 		if there {
@@ -130,31 +132,31 @@
 		}
 		for _, o := range m.agents {
 			if t, ok := o.tasks[x.order.TaskID]; ok && !o.dead && t.State != protocol.Exited {
-				broken = fmt.Sprintf("%v on %s and %s", x.order.TaskID, o.name, w.name)
+				violation = fmt.Sprintf("%v on %s and %s", x.order.TaskID, o.name, agent.name)
 			}
 		}
-		w.tasks[x.order.TaskID] = TaskStatus{TaskID: x.order.TaskID, Attempt: x.order.Attempt, State: protocol.Running}
+		agent.tasks[x.order.TaskID] = TaskStatus{TaskID: x.order.TaskID, Attempt: x.order.Attempt, State: protocol.Running}
 		used := 0.0
 		for _, o := range m.agents {
 			used += m.used(o, true)
 		}
 		if used > m.team.quota.limits.Max.CPUs+roundingTolerance {
-			broken = fmt.Sprintf("quota: %g", used)
+			violation = fmt.Sprintf("%g CPUs used, beyond the quota", used)
 		}
 	case protocol.Stop:
 		if there && have.Attempt == x.order.Attempt && have.State != protocol.Exited {
 			have.State, have.Reason = protocol.Exited, protocol.ReasonStopped
-			w.tasks[x.order.TaskID] = have
+			agent.tasks[x.order.TaskID] = have
 		}
 	case protocol.Forget:
 		if there && have.Attempt == x.order.Attempt && have.State == protocol.Exited {
-			delete(w.tasks, x.order.TaskID)
+			delete(agent.tasks, x.order.TaskID)
 		}
 	}
-	return broken
+	return violation
 }
 
-// replicate gives the owner's deltas to the replica and compares the two.
+// replicate applies the owner's deltas to the replica and compares both.
 func (m *model) replicate() {
 	for _, d := range m.team.TakeDeltas() {
 		if err := m.replica.Apply(d); err != nil {
@@ -166,75 +168,79 @@
 	}
 }
 
-func (m *model) send(w *modelAgent, orders []Order) {
+// send puts the orders for an agent in flight, except those that are in flight already.
+func (m *model) send(agent *modelAgent, orders []Order) {
 	for _, o := range orders {
-		x := message{w, m.term, o}
-		// A home withholds forgets while starts are open, and repeats a command only once the last one is decided.
+		x := message{agent, m.term, o}
+		// A home does not send forgets while starts are unconfirmed, and repeats an order only after the previous one
+		// is resolved.
 		if o.Op != protocol.Forget && !slices.Contains(m.inFlight, x) {
 			m.inFlight = append(m.inFlight, x)
 		}
 	}
 }
 
-func (m *model) step() (broken string) {
+// step makes one random change to the model; it returns a violation or "".
+func (m *model) step() (violation string) {
 	m.now = m.now.Add(time.Second)
 	at := m.rng.IntN(len(m.agents))
-	w := m.agents[at]
+	agent := m.agents[at]
 	switch m.rng.IntN(24) {
-	case 0, 1, 2: // place what may be placed, on any machine
+	case 0, 1, 2: // place all pending tasks for which a machine is found
 		if m.barrier == nil {
 			m.place()
 		}
-	case 3, 4, 5: // write before start: orders go out only for what the replica has
+	case 3, 4, 5: // replicate before starting: only starts that the replica contains are sent
 		m.replicate()
 		if m.barrier == nil {
 			m.sendDueOrders()
 		}
-	case 6, 7, 8, 9, 10: // a message arrives, in any order
+	case 6, 7, 8, 9, 10: // a random message in flight arrives
 		return m.deliverAny()
 	case 11, 12, 13: // a heartbeat
-		if !w.dead && !w.hung {
-			m.sendHeartbeat(w)
+		if !agent.dead && !agent.hung {
+			m.sendHeartbeat(agent)
 		}
 	case 14: // a task completes
 		if m.rng.IntN(3) == 0 {
-			m.complete(w)
+			m.complete(agent)
 		}
 	case 15: // the agent's lease expires
 		if m.rng.IntN(8) == 0 {
-			w.incarnation++
-			w.tasks, w.hung = map[TaskID]TaskStatus{}, false
+			agent.incarnation++
+			agent.tasks, agent.hung = map[TaskID]TaskStatus{}, false
 		}
-	case 16: // a machine dies; the cloud confirms its return
+	case 16: // a machine dies, and the cloud confirms its return
 		if m.rng.IntN(12) == 0 {
-			w.dead = true
-			m.returnMachine(w.name)
-			m.agents[at] = &modelAgent{name: w.name + "+", incarnation: 1, tasks: map[TaskID]TaskStatus{}}
+			agent.dead = true
+			m.returnMachine(agent.name)
+			m.agents[at] = &modelAgent{name: agent.name + "+", incarnation: 1, tasks: map[TaskID]TaskStatus{}}
 		} else if m.releasesWithoutProof {
-			m.team.MachineReturned(w.name) // believes that a silent machine is gone
+			m.team.MachineReturned(agent.name) // treats a silent machine as returned
 		}
-	case 17: // the owner crashes; the replica takes over under a raised term, or nobody remembers anything
+	case 17: // the owner crashes; the next one starts in a higher term, with the replica or without
 		if m.rng.IntN(4) == 0 && (m.barrier == nil || m.rng.IntN(6) == 0) {
 			m.replicate()
 			m.term++
 			m.failOver(m.rng.IntN(2) == 0)
 		}
-	case 18: // a machine hangs, or goes on
-		w.hung = !w.hung && m.rng.IntN(2) == 0
+	case 18: // a machine hangs or resumes
+		agent.hung = !agent.hung && m.rng.IntN(2) == 0
 	case 19, 20: // a user cancels a job
 		m.cancelJob()
-	case 21: // what is known of a job that is over grows
+	case 21: // more is learned of an ended job
 		if m.rng.IntN(2) == 0 {
 			m.lookUpEnd()
 		}
-	case 22: // another team's task comes or goes
-		m.changeForeignTask(w)
-	case 23: // a copy of an old heartbeat arrives
+	case 22: // a task of another team starts or ends
+		m.changeForeignTask(agent)
+	case 23: // a duplicate of an old heartbeat arrives
 		m.receiveDelayedStatus()
 	}
 	return ""
 }
 
+// place places pending tasks on machines with enough free CPUs.
 func (m *model) place() {
 	m.team.Jobs(func(j *Job) {
 		j.Pending(m.now, func(i int) bool {
@@ -244,7 +250,7 @@
 	})
 }
 
-// machineWithRoom is a machine with room for a task as the owner sees it, or any.
+// machineWithRoom returns a random living agent with enough free CPUs; nil if a few random tries find none.
 func (m *model) machineWithRoom(cpus float64) *modelAgent {
 	x := m.agents[m.rng.IntN(len(m.agents))]
 	for range 8 {
@@ -256,6 +262,7 @@
 	return nil
 }
 
+// sendDueOrders sends the starts and stops that are due according to the replica.
 func (m *model) sendDueOrders() {
 	for name, orders := range m.team.TakeDueOrders(m.replica.Seq, m.now, func(string, uint64) bool { return true }) {
 		for _, x := range m.agents {
@@ -266,32 +273,33 @@
 	}
 }
 
-func (m *model) deliverAny() (broken string) {
+// deliverAny delivers a random message in flight, unless its machine hangs.
+func (m *model) deliverAny() (violation string) {
 	if len(m.inFlight) == 0 {
 		return ""
 	}
 	i := m.rng.IntN(len(m.inFlight))
 	x := m.inFlight[i]
 	if x.to.hung {
-		m.reached["a message waits at a machine that hangs"] = true
+		m.reached["a message waits for a hung machine"] = true
 		return ""
 	}
 	m.inFlight = slices.Delete(m.inFlight, i, i+1)
 	return m.deliver(x)
 }
 
-// sendHeartbeat has an agent's heartbeat arrive now; a copy of it may arrive once more, any time later.
-func (m *model) sendHeartbeat(w *modelAgent) {
-	v := m.status(w)
+// sendHeartbeat delivers a heartbeat of an agent. A duplicate may arrive at any later time.
+func (m *model) sendHeartbeat(agent *modelAgent) {
+	v := m.status(agent)
 	if m.rng.IntN(4) == 0 {
 		m.delayedStatuses = append(m.delayedStatuses, v)
 	}
-	w.fencingToken = max(w.fencingToken, m.term) // the answer brings the term, after the heartbeat
-	m.receiveStatus(w, v)
+	agent.fencingToken = max(agent.fencingToken, m.term) // the response to the heartbeat carries the present term
+	m.receiveStatus(agent, v)
 }
 
-// receiveStatus has the owner take in a status if it is newer than the one it has, as a controller does.
-func (m *model) receiveStatus(w *modelAgent, v *MachineStatus) {
+// receiveStatus has the owner process a status if it is newer than the last one, as controllers do.
+func (m *model) receiveStatus(agent *modelAgent, v *MachineStatus) {
 	if last := m.newestStatus[v.Machine]; last != nil && !v.Newer(last) {
 		return
 	}
@@ -300,18 +308,19 @@
 		m.passBarrier()
 		return
 	}
-	m.observe(w, v)
+	m.observe(agent, v)
 }
 
-func (m *model) observe(w *modelAgent, v *MachineStatus) {
+// observe has the owner process a status, and sends the resulting orders.
+func (m *model) observe(agent *modelAgent, v *MachineStatus) {
 	orders := m.team.Observe(v, m.now, m)
 	if m.team.Quota().HasOrphansOn(v.Machine) {
 		m.reached["quota is reserved for orphaned tasks"] = true
 	}
-	m.send(w, orders)
+	m.send(agent, orders)
 }
 
-// passBarrier ends a failover without memory once each machine has reported under its term.
+// passBarrier ends a failover without a replica once every machine has sent a heartbeat under its term.
 func (m *model) passBarrier() {
 	for name := range m.barrier {
 		if v := m.newestStatus[name]; v != nil && v.FencingToken >= m.barrierTerm {
@@ -326,25 +335,28 @@
 	m.observeAll()
 }
 
+// observeAll processes the newest status of every machine again.
 func (m *model) observeAll() {
-	for _, w := range m.agents {
-		if v := m.newestStatus[w.name]; v != nil {
-			m.observe(w, v)
+	for _, agent := range m.agents {
+		if v := m.newestStatus[agent.name]; v != nil {
+			m.observe(agent, v)
 		}
 	}
 }
 
-func (m *model) complete(w *modelAgent) {
-	for k, x := range w.tasks {
-		if x.State == protocol.Running && !w.dead && !w.hung && m.specs[k.Job].Team == "team" {
+// complete ends a running task of the team under test as done.
+func (m *model) complete(agent *modelAgent) {
+	for k, x := range agent.tasks {
+		if x.State == protocol.Running && !agent.dead && !agent.hung && m.specs[k.Job].Team == "team" {
 			x.State, x.Reason = protocol.Exited, protocol.ReasonDone
-			w.tasks[k] = x
+			agent.tasks[k] = x
 			m.done[k] = true
 			break
 		}
 	}
 }
 
+// returnMachine confirms the return of a machine to the owner.
 func (m *model) returnMachine(name string) {
 	delete(m.newestStatus, name)
 	if m.barrier == nil {
@@ -355,7 +367,7 @@
 	m.passBarrier()
 }
 
-// cancelJob cancels a job and has another one submitted, so that the team's limit is always asked for.
+// cancelJob cancels a random job at times and submits another one, so that the team always demands its limit.
 func (m *model) cancelJob() {
 	if m.rng.IntN(3) > 0 {
 		return
@@ -374,12 +386,14 @@
 	m.observeAllUnlessAtBarrier()
 }
 
+// observeAllUnlessAtBarrier is observeAll, except during a failover without a replica.
 func (m *model) observeAllUnlessAtBarrier() {
 	if m.barrier == nil {
 		m.observeAll()
 	}
 }
 
+// submit adds a job of the team under test.
 func (m *model) submit() {
 	n := len(m.specs)
 	s := &protocol.Submission{UID: fmt.Sprintf("job-%d", n), Team: "team", Kind: protocol.JobArray, Priority: "standard", Tasks: 6, CPUs: float64(2 + n%2)}
@@ -387,7 +401,7 @@
 	m.team.AddJob(s, 1, time.Unix(0, 0), nil)
 }
 
-// lookUpEnd has a job that is over looked up: first how it ended, then what its tasks take.
+// lookUpEnd increases what is known of an ended job: first that it ended, then the size of its tasks.
 func (m *model) lookUpEnd() {
 	for uid, r := range m.knowledge {
 		if r == endAndSize {
@@ -402,20 +416,20 @@
 	}
 }
 
-// changeForeignTask has a task of another team come to a machine or leave it.
-func (m *model) changeForeignTask(w *modelAgent) {
-	if w.dead || w.hung {
+// changeForeignTask starts or ends a task of another team on a machine.
+func (m *model) changeForeignTask(agent *modelAgent) {
+	if agent.dead || agent.hung {
 		return
 	}
 	k := TaskID{"foreign", m.rng.IntN(3)}
-	if _, there := w.tasks[k]; there {
-		delete(w.tasks, k)
-	} else if m.used(w, false)+m.specs[k.Job].CPUs <= modelMachineCPUs {
-		w.tasks[k] = TaskStatus{TaskID: k, Attempt: AttemptID(m.term, 1<<20), State: protocol.Running}
+	if _, there := agent.tasks[k]; there {
+		delete(agent.tasks, k)
+	} else if m.used(agent, false)+m.specs[k.Job].CPUs <= modelMachineCPUs {
+		agent.tasks[k] = TaskStatus{TaskID: k, Attempt: AttemptID(m.term, 1<<20), State: protocol.Running}
 	}
 }
 
-// receiveDelayedStatus delivers a copy of an earlier heartbeat at a home that may have no memory of newer ones.
+// receiveDelayedStatus delivers a duplicate of an earlier heartbeat to a home that may not have received newer ones.
 func (m *model) receiveDelayedStatus() {
 	if len(m.delayedStatuses) == 0 {
 		return
@@ -423,20 +437,20 @@
 	i := m.rng.IntN(len(m.delayedStatuses))
 	v := *m.delayedStatuses[i]
 	m.delayedStatuses = slices.Delete(m.delayedStatuses, i, i+1)
-	for _, w := range m.agents {
-		if w.name == v.Machine {
+	for _, agent := range m.agents {
+		if agent.name == v.Machine {
 			m.reached["an old heartbeat replaces a newer one"] = m.reached["an old heartbeat replaces a newer one"] || m.newestStatus[v.Machine] != nil && m.newestStatus[v.Machine].Term < m.term
 			v.Term = m.term
-			m.receiveStatus(w, &v)
+			m.receiveStatus(agent, &v)
 		}
 	}
 }
 
-// failOver begins a new owner's account: of what the replica has, or without memory, when all controllers ended. Then
-// the ends of jobs are known to nobody until they are looked up, and every machine has to report first.
+// failOver starts a new owner: from the replica, or without one, as after a crash of all controllers. In that case the
+// ends of jobs are unknown until they are looked up, and the owner waits for a heartbeat of every machine first.
 func (m *model) failOver(withoutReplica bool) {
 	if withoutReplica {
-		m.reached["a failover without memory"] = true
+		m.reached["a failover without a replica"] = true
 		m.replica = NewReplica()
 		for uid := range m.specs {
 			if !m.active[uid] {
@@ -444,8 +458,8 @@
 			}
 		}
 		m.barrier, m.barrierTerm = map[string]bool{}, m.term
-		for _, w := range m.agents {
-			m.barrier[w.name] = true
+		for _, agent := range m.agents {
+			m.barrier[agent.name] = true
 		}
 		m.newestStatus = map[string]*MachineStatus{}
 	}
@@ -459,6 +473,7 @@
 	m.observeAllUnlessAtBarrier()
 }
 
+// newModel returns a model with four machines, three jobs of the team under test and one of another team.
 func newModel(t *testing.T, seed uint64) *model {
 	m := &model{t: t, rng: rand.New(rand.NewPCG(seed, 7)), seed: seed, now: time.Unix(1000, 0), term: 1, replica: NewReplica(),
 		specs: map[string]*protocol.Submission{}, active: map[string]bool{}, done: map[TaskID]bool{}}
--- a/internal/jobstate/objectives.go
+++ b/internal/jobstate/objectives.go
@@ -7,8 +7,8 @@
 type Objectives []time.Time
 
 // Next returns the first objective that a job can still reach if all its remaining tasks started now and took half the
-// estimated time, since estimates are often wrong by half. If there is none, missed is true and the objective is the last
-// one, or the zero time if there are no objectives.
+// estimated time, since estimates are often wrong by half. If there is none, missed is true and the objective is the
+// last one, or the zero time if there are no objectives.
 func (o Objectives) Next(now time.Time, estimate time.Duration) (objective time.Time, missed bool) {
 	for _, objective := range o {
 		if !now.Add(estimate / 2).After(objective) {
--- a/internal/jobstate/observe.go
+++ b/internal/jobstate/observe.go
@@ -20,8 +20,8 @@
 	orders    []Order         // in response to the status
 }
 
-// Observe processes a machine's status and returns the orders in response. From then on every listed task that may belong
-// to the team counts against its limit, until it is proven to be off the machine.
+// Observe processes a machine's status and returns the orders in response. From then on every listed task that may
+// belong to the team counts against its limit, until it is proven to be off the machine.
 func (t *Team) Observe(status *MachineStatus, now time.Time, directory JobDirectory) []Order {
 	o := observation{team: t, status: status, now: now, directory: directory, assigned: map[TaskID]bool{}}
 	for i := range status.Tasks {
@@ -74,8 +74,8 @@
 	return true
 }
 
-// observeResult orders the machine to forget the result of an exited task. A success is recorded, and forgotten only once
-// it is saved in the state service.
+// observeResult orders the machine to forget the result of an exited task. A success is recorded, and forgotten only
+// once it is saved in the state service.
 func (o *observation) observeResult(x *TaskStatus, job JobInfo) {
 	if x.Reason == protocol.ReasonDone && job.Active && x.Index < job.Spec.Tasks {
 		o.team.completeTask(x.TaskID)
@@ -100,8 +100,8 @@
 }
 
 // assignOrphan counts a task of this team that is to be stopped. The task is assigned like any other attempt, so that
-// replicas contain it too. If its size is unknown, or another attempt of the task is assigned, it is counted as an orphan
-// instead.
+// replicas contain it too. If its size is unknown, or another attempt of the task is assigned, it is counted as an
+// orphan instead.
 func (o *observation) assignOrphan(x *TaskStatus, spec *protocol.Submission) {
 	sized := spec.CPUs > 0 || spec.GPUs > 0
 	switch {
--- a/internal/jobstate/orders.go
+++ b/internal/jobstate/orders.go
@@ -15,8 +15,8 @@
 
 // TakeDueOrders returns the starts and stops to send now, by machine, and records them as sent. acked is the sequence
 // number that every replica in sync has acknowledged; ready reports whether a machine's home and registration allow a
-// start under the present term. Only attempts created in this term are started; older ones wait until they are listed or
-// proven to be off their machines.
+// start under the present term. Only attempts created in this term are started; older ones wait until they are listed
+// or proven to be off their machines.
 func (t *Team) TakeDueOrders(
 	acked uint64, now time.Time, ready func(machine string, incarnation uint64) bool,
 ) map[string][]Order {
@@ -73,8 +73,8 @@
 	}
 }
 
-// UnconfirmedStops counts the attempts of this term whose stop was first sent longer ago than after and that no heartbeat
-// has listed yet. Only a later term can prove them to be off their machines.
+// UnconfirmedStops counts the attempts of this term whose stop was first sent longer ago than after and that no
+// heartbeat has listed yet. Only a later term can prove them to be off their machines.
 func (t *Team) UnconfirmedStops(now time.Time, after time.Duration) int {
 	count := 0
 	for a := range t.assignments.openOrders {
--- a/internal/jobstate/orphan.go
+++ b/internal/jobstate/orphan.go
@@ -4,10 +4,10 @@
 	"topazhollow/internal/protocol"
 )
 
-// An orphaned task is on a machine although this Team did not place it and its job does not need it: the job has ended, or
-// is unknown to the controller, which happens after all controllers have crashed. Until an orphaned task is proven to be
-// off its machine it counts against the limit of every team that it may belong to: by its size if that is known, otherwise
-// by the most that it can use of the machine.
+// An orphaned task is on a machine although this Team did not place it and its job does not need it: the job has ended,
+// or is unknown to the controller, which happens after all controllers have crashed. Until an orphaned task is proven
+// to be off its machine it counts against the limit of every team that it may belong to: by its size if that is known,
+// otherwise by the most that it can use of the machine.
 
 // JobInfo describes a job that a machine lists, as far as the owner's controller knows it.
 type JobInfo struct {
@@ -48,8 +48,8 @@
 	return orphanReservations{machines: map[string]orphanReservation{}}
 }
 
-// observe replaces the reservation of a machine according to its status. A status with an older heartbeat is ignored: it
-// does not prove that tasks listed by a newer one are gone.
+// observe replaces the reservation of a machine according to its status. A status with an older heartbeat is ignored:
+// it does not prove that tasks listed by a newer one are gone.
 func (o *orphanReservations) observe(status *MachineStatus, count orphanCount, directory JobDirectory) {
 	before, reserved := o.machines[status.Machine]
 	if reserved && before.isNewerThan(status) {
--- a/internal/jobstate/pageset.go
+++ b/internal/jobstate/pageset.go
@@ -57,8 +57,8 @@
 // TaskCount returns the number of tasks of an active job; 0 for other jobs.
 type TaskCount func(job string) int
 
-// FinishedTasks returns the number of tasks of an active job and the set of those that are finished; 0 and nil for other
-// jobs.
+// FinishedTasks returns the number of tasks of an active job and the set of those that are finished; 0 and nil for
+// other jobs.
 type FinishedTasks func(job string) (tasks int, done *bitset.BitSet)
 
 // NewPageSet returns a set without pages; pageBytes is the maximum encoded size of a page.
@@ -80,9 +80,9 @@
 	return len(p.job) + partSyntaxBytes + base64.StdEncoding.EncodedLen(bitsLengthBytes+words*bytesPerWord)
 }
 
-// Read adds a page that was read from the state service to the set, and its finished tasks to done. Parts of jobs that are
-// not active are ignored. It returns an error if a part is malformed; the page is in the set then, and some of its parts
-// may have been read.
+// Read adds a page that was read from the state service to the set, and its finished tasks to done. Parts of jobs that
+// are not active are ignored. It returns an error if a part is malformed; the page is in the set then, and some of its
+// parts may have been read.
 func (s *PageSet) Read(number int, version uint64, parts map[string]string, tasks TaskCount,
 	done map[string]*bitset.BitSet) error {
 	read := &page{version: version, usedBytes: emptyPageBytes}
@@ -157,8 +157,8 @@
 	return base64.StdEncoding.EncodeToString(data)
 }
 
-// Plan returns the pages to write for jobs with finished tasks that are not saved yet. It removes the parts of jobs that
-// are not active from the set.
+// Plan returns the pages to write for jobs with finished tasks that are not saved yet. It removes the parts of jobs
+// that are not active from the set.
 func (s *PageSet) Plan(unsaved []*Job, finished FinishedTasks) []Page {
 	s.dropEndedParts(finished)
 	changed := map[int]bool{}
@@ -212,8 +212,8 @@
 	p.Parts[which.name()] = encodeBits(bits)
 }
 
-// dropEndedParts removes the parts of jobs that have ended from their pages. They are removed from the state service when
-// the page is written next.
+// dropEndedParts removes the parts of jobs that have ended from their pages. They are removed from the state service
+// when the page is written next.
 func (s *PageSet) dropEndedParts(finished FinishedTasks) {
 	for _, pg := range s.pages {
 		pg.usedBytes = emptyPageBytes
--- a/internal/jobstate/pageset_test.go
+++ b/internal/jobstate/pageset_test.go
@@ -11,9 +11,8 @@
 	"topazhollow/internal/protocol"
 )
 
-// TestPageSetModel: jobs come, finish tasks and end; their pages go to a plain
-// store, now and then under a new owner that read it. What was marked as saved
-// must be found by the next reader, and no page outgrows its room.
+// TestPageSetModel has random jobs start, finish tasks and end, and writes their pages to a map. At times a new owner
+// reads the pages. It must find all tasks that were saved, and no page may exceed its maximum size.
 func TestPageSetModel(t *testing.T) {
 	const maxBytes = 400
 	type value struct {
@@ -43,7 +42,7 @@
 						delete(jobs, uid)
 					}
 				}
-			case 2: // a new owner reads what there is
+			case 2: // a new owner reads all pages
 				pageSet = NewPageSet(maxBytes)
 				found := map[string]*bitset.BitSet{}
 				for number, v := range store {
@@ -53,7 +52,7 @@
 				}
 				for uid := range jobs {
 					if got := found[uid]; (got == nil && saved[uid].Any()) || (got != nil && !got.IsSuperSet(saved[uid])) {
-						t.Fatalf("seed %d: saved tasks of %s are not found", seed, uid)
+						t.Fatalf("seed %d: a new owner does not find the saved tasks of %s", seed, uid)
 					}
 				}
 			default:
@@ -69,10 +68,10 @@
 				for _, p := range pageSet.Plan(unsaved, find) {
 					text, err := json.Marshal(p.Parts)
 					if err != nil || len(text) > maxBytes {
-						t.Fatalf("seed %d: page of %d bytes, %v", seed, len(text), err)
+						t.Fatalf("seed %d: page of %d bytes, error %v", seed, len(text), err)
 					}
 					if store[p.Number].version != p.Version {
-						t.Fatalf("seed %d: page %d under version %d", seed, p.Number, p.Version)
+						t.Fatalf("seed %d: page %d is written under version %d", seed, p.Number, p.Version)
 					}
 					revision++
 					store[p.Number] = value{revision, p.Parts}
@@ -83,7 +82,7 @@
 				}
 				for _, j := range unsaved {
 					if uid := j.Spec.UID; !saved[uid].IsSuperSet(done[uid]) {
-						t.Fatalf("seed %d: finished tasks of %s were left out", seed, uid)
+						t.Fatalf("seed %d: finished tasks of %s are not in the plan", seed, uid)
 					}
 				}
 			}
--- a/internal/jobstate/quota.go
+++ b/internal/jobstate/quota.go
@@ -60,8 +60,8 @@
 }
 
 // Quota is what a team may use and uses: its guarantee and limit, the use by its attempts and orphaned tasks, and the
-// reservations for classes below their floors and for gangs. It decides which waiting tasks demand capacity, and in which
-// order. Team charges and refunds attempts.
+// reservations for classes below their floors and for gangs. It decides which waiting tasks demand capacity, and in
+// which order. Team charges and refunds attempts.
 type Quota struct {
 	limits  Limits
 	used    Resources          // by attempts that may be on machines
@@ -71,8 +71,8 @@
 	jobs    *jobQueue
 }
 
-// SetLimits changes the guarantee and the limit. Attempts beyond lowered limits stay assigned; nothing more fits until the
-// use is within the limits again.
+// SetLimits changes the guarantee and the limit. Attempts beyond lowered limits stay assigned; nothing more fits until
+// the use is within the limits again.
 func (q *Quota) SetLimits(limits Limits) { q.limits = limits }
 
 // Limits returns the guarantee and the limit.
@@ -86,8 +86,8 @@
 	q.used = q.used.plus(Resources{CPUs: a.CPUs, GPUs: a.GPUs})
 }
 
-// refund subtracts the resources of an attempt from the use. If no attempt is left it resets the use to zero, which removes
-// accumulated rounding errors.
+// refund subtracts the resources of an attempt from the use. If no attempt is left it resets the use to zero, which
+// removes accumulated rounding errors.
 func (q *Quota) refund(a *attempt, anyLeft bool) {
 	q.used = q.used.minus(Resources{CPUs: a.CPUs, GPUs: a.GPUs})
 	if !anyLeft {
@@ -136,9 +136,9 @@
 	return q.orphans.machines[machine].unknownSize
 }
 
-// floorShortfalls returns the CPUs that each class lacks to its floor, and their sum. If less than the sum is left of the
-// quota, all are scaled down by the same factor, so that no class waits for quota that others lack too. Classes of gangs
-// whose reservation is released count as lacking nothing.
+// floorShortfalls returns the CPUs that each class lacks to its floor, and their sum. If less than the sum is left of
+// the quota, all are scaled down by the same factor, so that no class waits for quota that others lack too. Classes of
+// gangs whose reservation is released count as lacking nothing.
 func (q *Quota) floorShortfalls(left float64) (byClass map[string]float64, all float64) {
 	if len(q.floors) == 0 {
 		return nil, 0
--- a/internal/jobstate/quota_test.go
+++ b/internal/jobstate/quota_test.go
@@ -8,17 +8,17 @@
 	"topazhollow/internal/protocol"
 )
 
-// placeDemanded places what the team demands, each task on a machine of its own, as far as the quota has room.
+// placeDemanded places the demanded tasks as far as they fit the quota.
 func placeDemanded(team *Team, now time.Time) {
 	for _, demand := range team.Quota().Demands(now) {
 		job := team.Job(demand.Spec.UID)
 		if demand.Spec.Kind == protocol.Gang {
 			missing, attempt := team.MissingGangTasks(job)
-			spots := map[int]Location{}
+			locations := map[int]Location{}
 			for _, index := range missing {
-				spots[index] = Location{Machine: "m", Zone: "z", Incarnation: 1}
+				locations[index] = Location{Machine: "m", Zone: "z", Incarnation: 1}
 			}
-			team.PlaceGang(job, attempt, spots)
+			team.PlaceGang(job, attempt, locations)
 			continue
 		}
 		left := demand.Count
@@ -29,15 +29,15 @@
 	}
 }
 
-// completeOneTask has the agent end the lowest running task of a job.
+// completeOneTask ends the attempt with the lowest task index of a job as done.
 func completeOneTask(team *Team, uid string) {
 	job := team.Job(uid)
 	first := job.attemptsByIndex()[0]
 	team.attemptExited(first, &TaskStatus{TaskID: first.TaskID, Attempt: first.Attempt, State: protocol.Exited, Reason: protocol.ReasonDone}, time.Unix(1000, 0))
 }
 
-// TestQuotaIsReservedForTheMostUrgent: tasks of a less urgent job end one by one at the team's limit. What they free is
-// collected for an urgent job whose tasks are larger, instead of going to the next small tasks each time.
+// TestQuotaIsReservedForTheMostUrgent has tasks of a less urgent job end one by one while the team is at its limit. The
+// quota that they free must be reserved for an urgent job with larger tasks, and not be used by further small tasks.
 func TestQuotaIsReservedForTheMostUrgent(t *testing.T) {
 	const quota = 8
 	tests := []struct {
@@ -64,14 +64,14 @@
 				placeDemanded(team, now)
 			}
 			if assigned := len(team.Job(urgent.UID).attempts); assigned != urgent.Tasks {
-				t.Fatalf("%d of %d urgent tasks hold quota after %d CPUs came free", assigned, urgent.Tasks, needed)
+				t.Fatalf("%d of %d urgent tasks are placed after %d CPUs became free", assigned, urgent.Tasks, needed)
 			}
 		})
 	}
 }
 
-// TestQuotaOfABegunJobIsNotReserved: an array that has begun goes on by what its own tasks free; what is too small for
-// one of its tasks stays with others.
+// TestQuotaOfAStartedJobIsNotReserved checks that no quota is reserved for an array that has started: it continues with
+// the quota that its own tasks free, and a rest too small for one of its tasks is left to other jobs.
 func TestQuotaOfAStartedJobIsNotReserved(t *testing.T) {
 	now := time.Unix(1000, 0)
 	team := NewTeam("team", Limits{Max: Resources{CPUs: 10, GPUs: math.Inf(1)}}, NewReplica(), 1, func(string, ...any) {})
@@ -81,11 +81,11 @@
 	team.AddJob(small, 2, now, nil)
 	placeDemanded(team, now)
 	if large, small := len(team.Job(large.UID).attempts), len(team.Job(small.UID).attempts); large != 2 || small != 2 {
-		t.Fatalf("%d large and %d small tasks hold quota, want 2 of each", large, small)
+		t.Fatalf("%d large and %d small tasks are placed, want 2 of each", large, small)
 	}
 }
 
-// TestOneWaitingGangReservesQuota: gangs that wait for machines leave the quota beyond the first one's to other jobs.
+// TestOneWaitingGangReservesQuota checks that of several waiting gangs only the first reserves quota.
 func TestOneWaitingGangReservesQuota(t *testing.T) {
 	now := time.Unix(1000, 0)
 	team := NewTeam("team", Limits{Max: Resources{CPUs: 8, GPUs: math.Inf(1)}}, NewReplica(), 1, func(string, ...any) {})
@@ -99,11 +99,12 @@
 		asked[demand.Spec.UID] += demand.Count
 	}
 	if asked["job-000001"] != 2 || asked["job-000002"] != 2 || asked[small.UID] != 4 {
-		t.Fatalf("%v tasks asked for, want 2 of each gang and 4 small ones", asked)
+		t.Fatalf("%v tasks demanded, want 2 of each gang and 4 small ones", asked)
 	}
 }
 
-// TestSmallTasksOvertakeLargeOnesOfEqualPriority: what the quota has left goes to a job of the same priority that fits it.
+// TestSmallTasksOvertakeLargeOnesOfEqualPriority checks that quota too small for one job is left to a job of the same
+// priority that fits.
 func TestSmallTasksOvertakeLargeOnesOfEqualPriority(t *testing.T) {
 	now := time.Unix(1000, 0)
 	team := NewTeam("team", Limits{Max: Resources{CPUs: 3, GPUs: math.Inf(1)}}, NewReplica(), 1, func(string, ...any) {})
@@ -113,6 +114,6 @@
 	team.AddJob(small, 2, now, nil)
 	placeDemanded(team, now)
 	if assigned := len(team.Job(small.UID).attempts); assigned != 3 {
-		t.Fatalf("%d small tasks hold quota, want 3", assigned)
+		t.Fatalf("%d small tasks are placed, want 3", assigned)
 	}
 }
--- a/internal/jobstate/quotaorder.go
+++ b/internal/jobstate/quotaorder.go
@@ -10,12 +10,12 @@
 
 // The order in which a team's jobs get quota while it does not suffice for all waiting tasks.
 //
-// Ordered by deadline alone, nearly all jobs of a team that demands more than its limit would be late: a job that can no
-// longer meet its deadline would precede those that still can, and a job of long tasks, whose deadline is late, would not
-// start for minutes. Therefore started jobs with little left to start come first, then the jobs that can still reach an
-// objective, by latest start time, then those that can't. A started job with much left to start has no precedence, since
-// it would use up a small limit for minutes. Gangs wait long because all their tasks must start together; they keep their
-// order even if they have missed their objectives.
+// Ordered by deadline alone, nearly all jobs of a team that demands more than its limit would be late: a job that can
+// no longer meet its deadline would precede those that still can, and a job of long tasks, whose deadline is late,
+// would not start for minutes. Therefore started jobs with little left to start come first, then the jobs that can
+// still reach an objective, by latest start time, then those that can't. A started job with much left to start has no
+// precedence, since it would use up a small limit for minutes. Gangs wait long because all their tasks must start
+// together; they keep their order even if they have missed their objectives.
 
 // quotaTier ranks jobs of the same priority; lower tiers get quota first.
 type quotaTier int
@@ -28,8 +28,8 @@
 	noObjective                    // has no objective
 )
 
-// smallRemainderFraction is the largest fraction of the limit that the unstarted tasks of a started job may need for the
-// job to be nearlyStarted.
+// smallRemainderFraction is the largest fraction of the limit that the unstarted tasks of a started job may need for
+// the job to be nearlyStarted.
 const smallRemainderFraction = 0.25
 
 // waitingJob is a job with unstarted tasks: tasks that are neither assigned nor done.
@@ -40,8 +40,8 @@
 	latestStart time.Time // of the unstarted tasks, to reach the objective
 }
 
-// waitingJobs lists the jobs that wait for quota, in the order in which they get it, and reports whether the quota does not
-// suffice for all of them.
+// waitingJobs lists the jobs that wait for quota, in the order in which they get it, and reports whether the quota does
+// not suffice for all of them.
 func (q *Quota) waitingJobs(now time.Time) (list []waitingJob, short bool) {
 	wanted := q.charged()
 	list = make([]waitingJob, 0, len(q.jobs.ordered))
@@ -100,8 +100,8 @@
 	return neededBy(w.Spec, w.unstarted).within(q.limits.Max.scaled(smallRemainderFraction))
 }
 
-// A large array that can reach no objective would be served last. Its first task is served ahead of others once the array
-// has waited for firstTaskDelay, so that it starts within minutes and its users see progress.
+// A large array that can reach no objective would be served last. Its first task is served ahead of others once the
+// array has waited for firstTaskDelay, so that it starts within minutes and its users see progress.
 const (
 	firstTaskDelay    = time.Minute
 	firstTaskMinTasks = 20 // minimum size of the array, so that its first task is a small part of it
@@ -119,8 +119,8 @@
 	return missed
 }
 
-// compareForQuota compares classified jobs by priority, tier and latest start. Equal jobs stay in order of urgency, since
-// the sort is stable.
+// compareForQuota compares classified jobs by priority, tier and latest start. Equal jobs stay in order of urgency,
+// since the sort is stable.
 func compareForQuota(a, b waitingJob) int {
 	return cmp.Or(
 		cmp.Compare(protocol.Rank(b.Spec.Priority), protocol.Rank(a.Spec.Priority)),
--- a/internal/jobstate/quotaorder_test.go
+++ b/internal/jobstate/quotaorder_test.go
@@ -11,7 +11,7 @@
 	"topazhollow/internal/protocol"
 )
 
-// requestingJobs gives the jobs that ask for quota, in the order in which they do.
+// requestingJobs lists the jobs with demands within the quota, in the order of their first demand.
 func requestingJobs(team *Team, now time.Time) []string {
 	var asked []string
 	for _, d := range team.Quota().Demands(now) {
@@ -22,9 +22,9 @@
 	return asked
 }
 
-// TestQuotaGoesToWhatCanBeInTime: of what a team asks for beyond its limit, jobs with little left come first, then
-// those that can still reach an objective, soonest start first, then what is late, then what has no objective.
-// Priority stands above all of it.
+// TestQuotaGoesToAttainableObjectives checks the order in which jobs get quota that does not suffice for all: by
+// priority, then started jobs with little left to start, jobs that can still reach an objective by latest start time,
+// late jobs, and jobs without objectives.
 func TestQuotaGoesToAttainableObjectives(t *testing.T) {
 	now := time.Unix(1000, 0)
 	team := NewTeam("team", Limits{Max: Resources{CPUs: 5, GPUs: math.Inf(1)}}, NewReplica(), 1, func(string, ...any) {})
@@ -41,23 +41,23 @@
 	if !team.Place(placeOne, 0, Location{Machine: "m", Zone: "z", Incarnation: 1}) {
 		t.Fatal("not placed")
 	}
-	add("job-long", "standard", 5*time.Minute, 270) // due later, but it must start sooner
+	add("job-long", "standard", 5*time.Minute, 270) // has a later objective, but must start earlier
 	add("job-short", "standard", 2*time.Minute, 10)
 	if asked := requestingJobs(team, now); !slices.Equal(asked, []string{"job-begun", "job-long", "job-short"}) {
-		t.Fatalf("%v ask for 4 CPUs of quota", asked)
+		t.Fatalf("%v demand 4 CPUs of quota", asked)
 	}
 	add("job-urgent", "high", 0, 10)
 	if asked := requestingJobs(team, now); !slices.Equal(asked, []string{"job-urgent", "job-begun", "job-long"}) {
-		t.Errorf("%v ask for 4 CPUs of quota beside an urgent job", asked)
+		t.Errorf("%v demand 4 CPUs of quota together with an urgent job", asked)
 	}
 	team.Quota().SetLimits(Limits{Max: Resources{CPUs: 100, GPUs: math.Inf(1)}})
 	if asked := requestingJobs(team, now); len(asked) != 6 {
-		t.Errorf("%v ask for quota that suffices for all", asked)
+		t.Errorf("%v demand quota that suffices for all", asked)
 	}
 }
 
-// TestLargeBegunJobLeavesTheLimitToOthers: a begun job that could fill the limit for minutes goes by its goals like
-// any other, and before late ones that have not begun.
+// TestLargeStartedJobLeavesTheLimitToOthers checks that a started job that could use the whole limit for minutes has no
+// precedence over jobs that can reach an objective, but precedes late jobs that have not started.
 func TestLargeStartedJobLeavesTheLimitToOthers(t *testing.T) {
 	now := time.Unix(1000, 0)
 	team := NewTeam("team", Limits{Max: Resources{CPUs: 8, GPUs: math.Inf(1)}}, NewReplica(), 1, func(string, ...any) {})
@@ -72,12 +72,13 @@
 	add("job-late", 20, -time.Minute)
 	add("job-small", 3, 5*time.Minute)
 	if asked := requestingJobs(team, now); !slices.Equal(asked, []string{"job-small", "job-giant"}) {
-		t.Errorf("%v ask for 7 CPUs of quota", asked)
+		t.Errorf("%v demand 7 CPUs of quota", asked)
 	}
 }
 
-// TestLargeArraysBegin: one task of a large array that has waited long and can reach no objective goes first, also at
-// a limit that others fill; not of one that has started, was just submitted, is small, or can be in time.
+// TestLargeArraysStartTheirFirstTask checks that the first task of a large array that has waited long and can reach no
+// objective is demanded ahead of others that fill the limit, and that this does not apply to an array that has started,
+// was just submitted, is small, or can still reach an objective.
 func TestLargeArraysStartTheirFirstTask(t *testing.T) {
 	now := time.Unix(1000, 0)
 	for _, c := range []struct {
@@ -89,10 +90,10 @@
 	}{
 		{"waited long", 40, firstTaskDelay + time.Second, false, 1},
 		{"late", 40, firstTaskDelay + 2*time.Second, false, 1},
-		{"can be in time", 40, firstTaskDelay + 3*time.Second, false, 0},
-		{"has just come", 40, time.Second, false, 0},
+		{"can reach an objective", 40, firstTaskDelay + 3*time.Second, false, 0},
+		{"just submitted", 40, time.Second, false, 0},
 		{"small", firstTaskMinTasks - 1, firstTaskDelay + time.Second, false, 0},
-		{"has begun", 40, firstTaskDelay + time.Second, true, 0},
+		{"has started", 40, firstTaskDelay + time.Second, true, 0},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			team := NewTeam("team", Limits{Max: Resources{CPUs: 10, GPUs: math.Inf(1)}}, NewReplica(), 1, func(string, ...any) {})
@@ -100,7 +101,7 @@
 			switch c.name {
 			case "late":
 				team.Job("job-large").SetObjectives(Objectives{now.Add(-time.Minute)})
-			case "can be in time":
+			case "can reach an objective":
 				team.Job("job-large").SetObjectives(Objectives{now.Add(-time.Minute), now.Add(time.Minute)})
 			}
 			if c.started && !team.Place(team.Job("job-large"), 0, Location{Machine: "m", Zone: "z", Incarnation: 1}) {
@@ -116,14 +117,14 @@
 			}
 			assigned := len(team.assignments.byTask)
 			if firstTasks != c.want || requested+assigned != 10 {
-				t.Errorf("%d tasks begin of %d that are asked for beside %d, want %d of 10 in all", firstTasks, requested, assigned, c.want)
+				t.Errorf("%d first tasks of %d demanded with %d assigned, want %d, and 10 in all", firstTasks, requested, assigned, c.want)
 			}
 		})
 	}
 }
 
-// TestGangsKeepTheirOrder: a gang that has missed its objectives still goes before a later one, or it would never have
-// enough quota at once.
+// TestGangsKeepTheirOrder checks that a gang that has missed its objectives still precedes a later one. Otherwise it
+// would never have enough quota at once.
 func TestGangsKeepTheirOrder(t *testing.T) {
 	now := time.Unix(1000, 0)
 	team := NewTeam("team", Limits{Max: Resources{CPUs: 4, GPUs: math.Inf(1)}}, NewReplica(), 1, func(string, ...any) {})
@@ -132,12 +133,13 @@
 		team.Job(uid).SetObjectives(Objectives{now.Add(time.Duration(6*i-1) * time.Minute)})
 	}
 	if asked := requestingJobs(team, now); len(asked) == 0 || asked[0] != "job-000001" {
-		t.Errorf("%v ask for quota", asked)
+		t.Errorf("%v demand quota", asked)
 	}
 }
 
-// simulateAtLimit plays arrays of drawn sizes against a limit of less than they ask for, and gives the parts that were
-// done by their deadline, and of the longest eighth that had all tasks started within four minutes.
+// simulateAtLimit simulates arrays of random sizes that demand more than the limit. It returns the fraction of arrays
+// that were done by their deadline, and the fraction of the long eighth of them whose tasks had all started within four
+// minutes.
 func simulateAtLimit(seed uint64, withObjectives bool) (inTime, longStarted float64) {
 	const (
 		jobs  = 96
@@ -221,8 +223,8 @@
 	return inTime / jobs, longStarted / float64(long)
 }
 
-// TestObjectivesAtLimitBeatDeadlineOrder: beside a limit that is too low, more jobs are in time than by due time alone, and more of the
-// long ones have begun within four minutes.
+// TestObjectivesAtLimitBeatDeadlineOrder checks that under a limit that is too low the order by objectives completes
+// more jobs in time than the order by deadline alone, and starts more of the long ones within four minutes.
 func TestObjectivesAtLimitBeatDeadlineOrder(t *testing.T) {
 	var inTime, longStarted, inTimeByDeadline, longStartedByDeadline float64
 	const seeds = 12
@@ -232,7 +234,7 @@
 		a, b = simulateAtLimit(seed, false)
 		inTimeByDeadline, longStartedByDeadline = inTimeByDeadline+a/seeds, longStartedByDeadline+b/seeds
 	}
-	t.Logf("in time %.2f, by due time %.2f; long ones begun %.2f, by due time %.2f", inTime, inTimeByDeadline, longStarted, longStartedByDeadline)
+	t.Logf("in time %.2f, by deadline order %.2f; long ones started %.2f, by deadline order %.2f", inTime, inTimeByDeadline, longStarted, longStartedByDeadline)
 	if inTime <= inTimeByDeadline || longStarted <= longStartedByDeadline {
 		t.Fail()
 	}
--- a/internal/jobstate/replica.go
+++ b/internal/jobstate/replica.go
@@ -1,6 +1,6 @@
 // Package jobstate keeps the state of one team at the controller that owns it: its jobs, their tasks, the attempts that
-// may be on machines and the quota that these use. It also defines the replica of this state that other controllers keep.
-// It does no I/O and reads no clock.
+// may be on machines and the quota that these use. It also defines the replica of this state that other controllers
+// keep. It does no I/O and reads no clock.
 package jobstate
 
 import (
--- a/internal/jobstate/surplus_test.go
+++ b/internal/jobstate/surplus_test.go
@@ -8,8 +8,8 @@
 	"topazhollow/internal/protocol"
 )
 
-// TestSpareWork: beside demands that may find no room, every class is offered what the limit has room for now; nothing
-// of a team that asks for less than its limit, has little left of it, or collects it for a gang.
+// TestSurplusDemands checks that each class has surplus demands for the tasks that fit surplusFraction of the limit,
+// and that there are none if the limit suffices for all tasks, little of it is left, or a gang waits.
 func TestSurplusDemands(t *testing.T) {
 	now := time.Unix(1000, 0)
 	surplusByClass := func(t *testing.T, limit float64, gang bool) map[string]int {
@@ -43,15 +43,15 @@
 		gang         bool
 		large, small int
 	}{
-		{"the limit is asked for twice", 80, false, 10, 3},
-		{"little room", 32, false, 1, 2},
+		{"more than the limit is demanded", 80, false, 10, 3},
+		{"little left", 32, false, 1, 2},
 		{"three quarters are used", 26, false, 0, 0},
-		{"the limit has room for all", 200, false, 0, 0},
+		{"the limit suffices for all", 200, false, 0, 0},
 		{"a gang waits", 80, true, 0, 0},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			if got := surplusByClass(t, c.limit, c.gang); got["large"] != c.large || got["small"] != c.small || got["gang"] != 0 {
-				t.Errorf("%v tasks offered, want %d large and %d small", got, c.large, c.small)
+				t.Errorf("%v surplus tasks, want %d large and %d small", got, c.large, c.small)
 			}
 		})
 	}
--- a/internal/jobstate/team.go
+++ b/internal/jobstate/team.go
@@ -10,8 +10,8 @@
 	"topazhollow/internal/protocol"
 )
 
-// Team is the state of one team at its owner. It combines the team's active jobs, their assignments, the quota that these
-// use, and the changes that are still to be sent to replicas, and keeps them consistent.
+// Team is the state of one team at its owner. It combines the team's active jobs, their assignments, the quota that
+// these use, and the changes that are still to be sent to replicas, and keeps them consistent.
 type Team struct {
 	Name string
 
@@ -144,7 +144,8 @@
 	return done, running
 }
 
-// FinishedTasks returns the number of an active job's tasks and the set of those that are done; 0 and nil for other jobs.
+// FinishedTasks returns the number of an active job's tasks and the set of those that are done; 0 and nil for other
+// jobs.
 func (t *Team) FinishedTasks(uid string) (tasks int, done *bitset.BitSet) {
 	j := t.Job(uid)
 	if j == nil {
@@ -301,8 +302,8 @@
 	}
 }
 
-// Stop marks an attempt to be stopped, with a grace period for a checkpoint, in seconds. It returns false if the attempt
-// is not assigned or already marked.
+// Stop marks an attempt to be stopped, with a grace period for a checkpoint, in seconds. It returns false if the
+// attempt is not assigned or already marked.
 func (t *Team) Stop(ref AttemptRef, graceSeconds float64) bool {
 	a := t.assignments.find(ref)
 	if a == nil || a.stopping {
--- a/internal/jobstate/transfer.go
+++ b/internal/jobstate/transfer.go
@@ -10,8 +10,8 @@
 // A replica that is too large for one message is sent to a controller in parts, while it keeps changing. The tasks that
 // were assigned and the jobs that had finished tasks when the transfer began are divided among the parts. Each part has
 // the present assignments and finished tasks of its share. Changes during the transfer are sent as deltas on the same
-// connection, in order with the parts: what is added later is in a delta, and what is removed is in no later part. After
-// the last part the receiver therefore has exactly the owner's replica. Until then it keeps its previous one.
+// connection, in order with the parts: what is added later is in a delta, and what is removed is in no later part.
+// After the last part the receiver therefore has exactly the owner's replica. Until then it keeps its previous one.
 
 // Encoded sizes in bytes. Messages between controllers may have up to 4 MiB; the difference to maxCopyBytes is for the
 // escaping of names and for the error of the estimates.
@@ -111,10 +111,12 @@
 // NewIncoming returns an Incoming that has received no part.
 func NewIncoming() *Incoming { return &Incoming{replica: NewReplica()} }
 
-// errPartOrder reports a part that does not follow the parts and deltas received before; the transfer must be restarted.
+// errPartOrder reports a part that does not follow the parts and deltas received before; the transfer must be
+// restarted.
 var errPartOrder = errors.New("jobstate: part out of order")
 
-// AddPart adds the next part, and returns the replica after the last one. After an error the transfer must be restarted.
+// AddPart adds the next part, and returns the replica after the last one. After an error the transfer must be
+// restarted.
 func (in *Incoming) AddPart(p Part) (whole *Replica, err error) {
 	if p.Number != in.nextNumber || p.Number > 0 && p.Seq != in.replica.Seq {
 		return nil, fmt.Errorf("%w: got part %d at sequence number %d, want part %d at %d", errPartOrder, p.Number, p.Seq, in.nextNumber, in.replica.Seq)
--- a/internal/jobstate/transfer_test.go
+++ b/internal/jobstate/transfer_test.go
@@ -7,22 +7,22 @@
 	"testing"
 )
 
-// partBytesForTests has a replica of some dozen tasks go in several parts.
+// partBytesForTests is a part size at which a replica of a few dozen tasks needs several parts.
 const partBytesForTests = 600
 
-// transferModel is an owner and a replica's holder with an ordered connection that may be lost.
+// transferModel is an owner and the receiver of its replica, with an ordered connection that may be lost.
 type transferModel struct {
 	t         *testing.T
 	rng       *rand.Rand
 	owner     *Replica
 	transfer  *Transfer
-	inFlight  []any // Part or Delta, in order
+	inFlight  []any // Part or Delta, in the order sent
 	replica   *Replica
 	incoming  *Incoming
-	completed int // replicas received whole
+	completed int // number of completely received replicas
 }
 
-// change draws a change of the owner's replica.
+// change makes a random change to the owner's replica and sends its delta while a transfer is under way.
 func (m *transferModel) change() {
 	key := TaskID{fmt.Sprint("job-", m.rng.IntN(5)), m.rng.IntN(12)}
 	d := Delta{Seq: m.owner.Seq + 1}
@@ -46,7 +46,7 @@
 	}
 }
 
-// send makes the next part, with a transfer begun if none is.
+// send sends the next part, and begins a transfer if there is none.
 func (m *transferModel) send() {
 	if m.transfer == nil {
 		m.transfer = NewTransfer(m.owner)
@@ -55,7 +55,7 @@
 	if !m.transfer.Ended() {
 		p := m.transfer.Next(m.owner)
 		done := DoneTasks{}
-		for job, set := range p.Done { // as encoded
+		for job, set := range p.Done { // copied as by encoding
 			done[job] = set.Clone()
 		}
 		p.Done = done
@@ -63,7 +63,7 @@
 	}
 }
 
-// receive takes the next line.
+// receive processes the next message.
 func (m *transferModel) receive() {
 	if len(m.inFlight) == 0 {
 		return
@@ -89,16 +89,16 @@
 		}
 	}
 	if err != nil {
-		m.t.Fatalf("on an ordered connection: %v", err)
+		m.t.Fatalf("receiving in order: %v", err)
 	}
 }
 
-// disconnect ends the connection with all that is on it.
+// disconnect loses the connection and all messages in flight.
 func (m *transferModel) disconnect() {
 	m.inFlight, m.transfer, m.incoming = nil, nil, nil
 }
 
-// sameReplica says whether two replicas hold the same.
+// sameReplica reports whether two replicas are equal.
 func sameReplica(a, b *Replica) bool {
 	if a.Seq != b.Seq || len(a.Assignments) != len(b.Assignments) || len(a.Done) != len(b.Done) {
 		return false
@@ -116,8 +116,8 @@
 	return true
 }
 
-// TestTransferModel: whatever changes between the parts, and however often the connection is lost, a holder that has
-// received all parts and deltas has exactly the owner's replica.
+// TestTransferModel checks that a receiver of all parts and deltas has exactly the owner's replica, whatever changes
+// between the parts and however often the connection is lost.
 func TestTransferModel(t *testing.T) {
 	parts := 0
 	for seed := range uint64(2000) {
@@ -147,15 +147,15 @@
 			m.receive()
 		}
 		if m.completed == 0 || !sameReplica(m.owner, m.replica) {
-			t.Fatalf("seed %d: after %d whole replicas the holder has %+v, the owner %+v", seed, m.completed, m.replica, m.owner)
+			t.Fatalf("seed %d: after %d complete transfers the receiver has %+v, the owner %+v", seed, m.completed, m.replica, m.owner)
 		}
 	}
 	if parts < 4 {
-		t.Errorf("the largest transfer had %d parts: nothing was tried", parts)
+		t.Errorf("the largest transfer had %d parts, want at least 4", parts)
 	}
 }
 
-// TestPartsOutOfOrder: a part that is missing, repeated or made after a delta that did not come ends the transfer.
+// TestPartsOutOfOrder checks that a missing or repeated part, and a part or delta after a missing delta, is an error.
 func TestPartsOutOfOrder(t *testing.T) {
 	owner := NewReplica()
 	place := func(index int) Delta {
@@ -177,22 +177,23 @@
 		return in
 	}
 	if _, err := afterFirst().AddPart(third); err == nil {
-		t.Error("a part is missing, and the next one is taken")
+		t.Error("the part after a missing one is accepted")
 	}
 	if _, err := afterFirst().AddPart(first); err == nil {
-		t.Error("a part is taken twice")
+		t.Error("a part is accepted twice")
 	}
 	later := second
 	later.Seq++
 	if _, err := afterFirst().AddPart(later); err == nil {
-		t.Error("a part is taken without the delta before it")
+		t.Error("a part is accepted without the delta before it")
 	}
 	if err := afterFirst().Apply(Delta{Seq: first.Seq + 2}); err == nil {
-		t.Error("a delta is taken without the one before it")
+		t.Error("a delta is accepted without the one before it")
 	}
 }
 
-// TestPartsAreBounded: no part is longer than a line between controllers may be, and only what is too long for one goes in parts.
+// TestPartsAreBounded checks that the parts of a large replica are well below the message size limit, and that a
+// replica is sent in one message exactly if it fits.
 func TestPartsAreBounded(t *testing.T) {
 	const maxMessageBytes = 4 << 20
 	r := NewReplica()
@@ -208,7 +209,7 @@
 		r.Done[fmt.Sprint("job-", i)] = done.Done["job"]
 	}
 	if r.FitsOneMessage() {
-		t.Error("all of it counts as one message")
+		t.Error("the large replica is considered to fit one message")
 	}
 	for transfer := NewTransfer(r); !transfer.Ended(); {
 		if size := len(encoded(t, transfer.Next(r))); size > maxMessageBytes/2 {
@@ -221,14 +222,14 @@
 		small.Assignments[k] = r.Assignments[k]
 	}
 	if !small.FitsOneMessage() {
-		t.Error("15,000 tasks go in parts")
+		t.Error("a replica of 15,000 tasks is considered not to fit one message")
 	}
 	if size := len(encoded(t, small.Copy())); size > maxMessageBytes {
 		t.Errorf("a whole replica has %d bytes", size)
 	}
 }
 
-// encoded is a message as it goes out.
+// encoded returns the JSON encoding of a message.
 func encoded(t *testing.T, message any) []byte {
 	t.Helper()
 	b, err := json.Marshal(message)
--- a/internal/placement/placement.go
+++ b/internal/placement/placement.go
@@ -47,47 +47,48 @@
 
 // Allows reports whether the task may run on the host's machine type, in its zone, on spot machines if it is one, and
 // whether the host's reservation admits it.
-func (a *Request) Allows(h *Host) bool {
-	if (h.Spot && !a.Spot) || (a.Zone >= 0 && h.Zone != a.Zone) || !a.allowsReserved(h) {
+func (r *Request) Allows(h *Host) bool {
+	if (h.Spot && !r.Spot) || (r.Zone >= 0 && h.Zone != r.Zone) || !r.allowsReserved(h) {
 		return false
 	}
-	if a.Types == nil {
+	if r.Types == nil {
 		return true
 	}
-	return slices.Contains(a.Types, h.Type)
+	return slices.Contains(r.Types, h.Type)
 }
 
-// allowsReserved reports whether the host's reservation admits the task: the host is not reserved, it is reserved for the
-// task's class, or the task may use leftovers and the free resources are too little for any waiting task of that class.
-func (a *Request) allowsReserved(h *Host) bool {
-	if h.ReservedClass == "" || h.ReservedClass == a.Class {
+// allowsReserved reports whether the host's reservation admits the task: the host is not reserved, it is reserved for
+// the task's class, or the task may use leftovers and the free resources are too little for any waiting task of that
+// class.
+func (r *Request) allowsReserved(h *Host) bool {
+	if h.ReservedClass == "" || h.ReservedClass == r.Class {
 		return true
 	}
-	return a.MayUseLeftover && (h.CPUs+roundingTolerance < h.SmallestReserved.CPUs || h.MemoryGB+roundingTolerance < h.SmallestReserved.MemoryGB)
+	return r.MayUseLeftover && (h.CPUs+roundingTolerance < h.SmallestReserved.CPUs || h.MemoryGB+roundingTolerance < h.SmallestReserved.MemoryGB)
 }
 
 // Fits reports whether the free resources of a host suffice.
-func (a *Request) Fits(h *Host) bool {
-	return h.CPUs+roundingTolerance >= a.CPUs && h.GPUs+roundingTolerance >= a.GPUs && h.MemoryGB+roundingTolerance >= a.MemoryGB
+func (r *Request) Fits(h *Host) bool {
+	return h.CPUs+roundingTolerance >= r.CPUs && h.GPUs+roundingTolerance >= r.GPUs && h.MemoryGB+roundingTolerance >= r.MemoryGB
 }
 
 // Exceeds reports whether the request is of the same class as o, needs at least as much, and is restricted to no other
 // zones, types or spot machines than o. A request that may not use leftovers does not exceed one that may.
-func (a *Request) Exceeds(o *Request) bool {
-	return a.Class == o.Class && (a.MayUseLeftover || !o.MayUseLeftover) &&
-		a.CPUs >= o.CPUs && a.GPUs >= o.GPUs && a.MemoryGB >= o.MemoryGB && (o.Spot || !a.Spot) &&
-		(o.Zone < 0 || o.Zone == a.Zone) && (o.Types == nil || slices.Equal(o.Types, a.Types))
+func (r *Request) Exceeds(o *Request) bool {
+	return r.Class == o.Class && (r.MayUseLeftover || !o.MayUseLeftover) &&
+		r.CPUs >= o.CPUs && r.GPUs >= o.GPUs && r.MemoryGB >= o.MemoryGB && (o.Spot || !r.Spot) &&
+		(o.Zone < 0 || o.Zone == r.Zone) && (o.Types == nil || slices.Equal(o.Types, r.Types))
 }
 
 // cost is the price of the host while it fetches the image, unless it has the image, and runs the task. Concurrent
 // fetches are assumed to share the host's transfer rate. With MinimizeTime the cost is the time, and the price only
 // breaks ties.
-func (a *Request) cost(h *Host) float64 {
-	seconds := max(a.RunSeconds, 1)
-	if !h.Images[a.Image] && h.FetchGBPerSecond > 0 {
-		seconds += a.ImageGB / h.FetchGBPerSecond * float64(1+h.Pulls)
+func (r *Request) cost(h *Host) float64 {
+	seconds := max(r.RunSeconds, 1)
+	if !h.Images[r.Image] && h.FetchGBPerSecond > 0 {
+		seconds += r.ImageGB / h.FetchGBPerSecond * float64(1+h.Pulls)
 	}
-	if a.MinimizeTime {
+	if r.MinimizeTime {
 		return seconds + h.PricePerHour*1e-6
 	}
 	return h.PricePerHour * seconds
@@ -108,9 +109,9 @@
 	return x.Name < y.Name
 }
 
-// Choose scans the hosts from a random one on until it has found sample suitable ones, and returns the best of these; nil
-// if none is suitable. Hosts for which skip returns true are not suitable.
-func Choose(rng *rand.Rand, hosts []*Host, a *Request, sample int, skip func(*Host) bool) *Host {
+// Choose scans the hosts from a random one on until it has found sample suitable ones, and returns the best of these;
+// nil if none is suitable. Hosts for which skip returns true are not suitable.
+func Choose(rng *rand.Rand, hosts []*Host, r *Request, sample int, skip func(*Host) bool) *Host {
 	if len(hosts) == 0 {
 		return nil
 	}
@@ -119,11 +120,11 @@
 	first, seen := rng.IntN(len(hosts)), 0
 	for i := 0; i < len(hosts) && seen < sample; i++ {
 		h := hosts[(first+i)%len(hosts)]
-		if !a.Fits(h) || !a.Allows(h) || skip(h) {
+		if !r.Fits(h) || !r.Allows(h) || skip(h) {
 			continue
 		}
 		seen++
-		if cost := a.cost(h); best == nil || isBetter(h, best, cost, lowest) {
+		if cost := r.cost(h); best == nil || isBetter(h, best, cost, lowest) {
 			best, lowest = h, cost
 		}
 	}
@@ -131,13 +132,13 @@
 }
 
 // Allocate subtracts what the task requires from the free resources, and counts a fetch if the host lacks its image.
-func (h *Host) Allocate(a *Request) {
-	if !h.Images[a.Image] {
+func (h *Host) Allocate(r *Request) {
+	if !h.Images[r.Image] {
 		h.Pulls++
 	}
-	h.CPUs -= a.CPUs
-	h.GPUs -= a.GPUs
-	h.MemoryGB -= a.MemoryGB
+	h.CPUs -= r.CPUs
+	h.GPUs -= r.GPUs
+	h.MemoryGB -= r.MemoryGB
 }
 
 // Release adds to the free resources.
--- a/internal/placement/placement_test.go
+++ b/internal/placement/placement_test.go
@@ -7,8 +7,8 @@
 	"testing"
 )
 
-// TestChooseModel compares Choose over all hosts with an exhaustive search for the best fit, and checks that Choose over
-// a sample returns a suitable host if there is one.
+// TestChooseModel compares Choose over all hosts with an exhaustive search for the best fit, and checks that Choose
+// over a sample returns a suitable host if there is one.
 func TestChooseModel(t *testing.T) {
 	for seed := range uint64(500) {
 		rng := rand.New(rand.NewPCG(seed, 3))
@@ -49,8 +49,8 @@
 	}
 }
 
-// TestReservedHosts checks that a host that is reserved for a class admits other tasks only if they may use leftovers, and
-// only while its free resources are too little for any waiting task of the class.
+// TestReservedHosts checks that a host that is reserved for a class admits other tasks only if they may use leftovers,
+// and only while its free resources are too little for any waiting task of the class.
 func TestReservedHosts(t *testing.T) {
 	for _, c := range []struct {
 		name string
--- a/internal/quarantine/quarantine.go
+++ b/internal/quarantine/quarantine.go
@@ -1,7 +1,7 @@
 // Package quarantine attributes task failures to the job or to the machine. A job that fails on several machines and
 // succeeds on none is faulty. A machine is bad while several jobs that succeeded elsewhere have recently failed on it.
-// The package only classifies: its callers stop and place tasks. It does no I/O and reads no clock. A Tracker is not safe
-// for concurrent use; the controller's lock guards it.
+// The package only classifies: its callers stop and place tasks. It does no I/O and reads no clock. A Tracker is not
+// safe for concurrent use; the controller's lock guards it.
 package quarantine
 
 import (
@@ -57,8 +57,8 @@
 	return len(j.failed) >= minFailures
 }
 
-// RecordSuccess records that a task of a job succeeded on a machine, and reports whether the job was faulty before. A job
-// that has succeeded once is never faulty again.
+// RecordSuccess records that a task of a job succeeded on a machine, and reports whether the job was faulty before. A
+// job that has succeeded once is never faulty again.
 func (t *Tracker) RecordSuccess(uid, machine string) (wasFaulty bool) {
 	delete(t.machines[machine], uid)
 	j := t.job(uid)
@@ -73,8 +73,8 @@
 	return j != nil && len(j.failed) >= minFailures
 }
 
-// IsMachineBad reports whether several jobs that succeeded on other machines recently failed on this one. It also removes
-// expired failures.
+// IsMachineBad reports whether several jobs that succeeded on other machines recently failed on this one. It also
+// removes expired failures.
 func (t *Tracker) IsMachineBad(machine string, now time.Time) bool {
 	if len(t.machines[machine]) < minFailures {
 		return false
--- a/internal/quarantine/quarantine_test.go
+++ b/internal/quarantine/quarantine_test.go
@@ -15,8 +15,9 @@
 }
 
 // TestTrackerModel compares the tracker with a reference model that evaluates the whole history. It guards against
-// faulty jobs marking machines as bad: three of them once marked every machine that they were tried on, and the machines
-// were returned to the cloud in waves. Failures of a job that succeeds nowhere are no evidence against a machine.
+// faulty jobs marking machines as bad: three of them once marked every machine that they were tried on, and the
+// machines were returned to the cloud in waves. Failures of a job that succeeds nowhere are no evidence against a
+// machine.
 func TestTrackerModel(t *testing.T) {
 	badMachines, faultyJobs := 0, 0
 	for seed := range uint64(200) {
