--- a/internal/jobstate/gang.go
+++ b/internal/jobstate/gang.go
@@ -50,15 +50,15 @@
 		if j.Spec.Kind != protocol.Gang || len(j.attempts) == 0 {
 			continue
 		}
-		if j.mustRestart || j.isIncompleteSince(t.term) {
+		if j.mustRestart || j.isIncompleteFromOtherTerm(t.term) {
 			t.StopJob(j, j.Spec.CheckpointSeconds)
 		}
 	}
 }
 
-// isIncompleteSince reports whether some task of the gang has no attempt and another has one of a term other than the
-// given one.
-func (j *Job) isIncompleteSince(term uint64) bool {
+// isIncompleteFromOtherTerm reports whether some task of the gang has no attempt and another has one of a term other
+// than the given one.
+func (j *Job) isIncompleteFromOtherTerm(term uint64) bool {
 	if len(j.attempts) >= j.Spec.Tasks {
 		return false
 	}
--- a/internal/jobstate/job.go
+++ b/internal/jobstate/job.go
@@ -15,7 +15,7 @@
 const (
 	avoidAfterMigration = 2 * time.Minute
 	avoidAfterError     = 10 * time.Minute
-	avoidWhileFull      = 1500 * time.Millisecond // longer than until the machine's next status
+	avoidWhileFull      = 1500 * time.Millisecond // the machine's next status arrives within this time
 	backoffIncomplete   = 2 * time.Second         // for a gang whose tasks did not all start
 	retryDelay          = 3 * time.Second         // for a task whose name is still in use on a machine
 	maxProbeBackoff     = time.Minute             // between probes of a faulty job
@@ -44,7 +44,7 @@
 	lowestPending int               // no task with a lower index can be pending
 	savedDone     *bitset.BitSet    // done tasks that are saved in the state service
 	unsaved       bool              // some done tasks are not saved there
-	retryAt       map[int]time.Time // by task that is not placed before
+	retryAt       map[int]time.Time // by task; not placed before this time
 	mustRestart   bool              // a gang whose present attempt must end before the next
 }
 
--- a/internal/jobstate/jobstate_test.go
+++ b/internal/jobstate/jobstate_test.go
@@ -148,9 +148,9 @@
 	}
 }
 
-// TestQuotaBacklogIsUrgent checks the QuotaDelay of demands. Without it a team that demanded only the few tasks that
+// TestDemandsHaveQuotaDelay checks the QuotaDelay of demands. Without it a team that demanded only the few tasks that
 // fit its quota did not seem urgent, and its quota was left unused while many more tasks waited.
-func TestQuotaBacklogIsUrgent(t *testing.T) {
+func TestDemandsHaveQuotaDelay(t *testing.T) {
 	team := NewTeam("t", Limits{Max: Resources{CPUs: 8}}, NewReplica(), 1, func(string, ...any) {})
 	team.quota.limits.Max.GPUs = math.Inf(1)
 	spec := &protocol.Submission{UID: "job-000001", Kind: protocol.JobArray, Priority: "standard", Tasks: 20, CPUs: 2, EstimateSeconds: 30}
--- a/internal/jobstate/orphan.go
+++ b/internal/jobstate/orphan.go
@@ -12,7 +12,7 @@
 // JobInfo describes a job that a machine lists, as far as the owner's controller knows it.
 type JobInfo struct {
 	Known   bool // false: neither its team nor its size is known
-	OwnTeam bool // it belongs to the Team's team
+	OwnTeam bool // the job belongs to this team
 	Active  bool
 	Spec    *protocol.Submission // set for the team's own jobs; without resources if only the job's end is known
 }
