--- a/internal/jobstate/pageset.go
+++ b/internal/jobstate/pageset.go
@@ -63,7 +63,7 @@
 
 // NewPageSet returns a set without pages; pageBytes is the maximum encoded size of a page.
 func NewPageSet(pageBytes int) *PageSet {
-	// A part's bitmap takes up to half a page in binary, which is two thirds of a page in base64.
+	// A part's bitmap has up to half a page in binary, which is two thirds of a page in base64.
 	words := pageBytes / 2 / bytesPerWord
 	return &PageSet{
 		maxPageBytes: pageBytes,
--- a/internal/jobstate/quota_test.go
+++ b/internal/jobstate/quota_test.go
@@ -94,12 +94,12 @@
 	}
 	small := &protocol.Submission{UID: "job-000003", Kind: protocol.JobArray, Priority: "standard", Tasks: 100, CPUs: 1}
 	team.AddJob(small, 3, now, nil)
-	asked := map[string]int{}
+	requested := map[string]int{}
 	for _, demand := range team.Quota().Demands(now) {
-		asked[demand.Spec.UID] += demand.Count
+		requested[demand.Spec.UID] += demand.Count
 	}
-	if asked["job-000001"] != 2 || asked["job-000002"] != 2 || asked[small.UID] != 4 {
-		t.Fatalf("%v tasks demanded, want 2 of each gang and 4 small ones", asked)
+	if requested["job-000001"] != 2 || requested["job-000002"] != 2 || requested[small.UID] != 4 {
+		t.Fatalf("%v tasks demanded, want 2 of each gang and 4 small ones", requested)
 	}
 }
 
--- a/internal/jobstate/quotaorder_test.go
+++ b/internal/jobstate/quotaorder_test.go
@@ -13,13 +13,13 @@
 
 // requestingJobs lists the jobs with demands within the quota, in the order of their first demand.
 func requestingJobs(team *Team, now time.Time) []string {
-	var asked []string
+	var requested []string
 	for _, d := range team.Quota().Demands(now) {
-		if d.Count > 0 && !slices.Contains(asked, d.Spec.UID) {
-			asked = append(asked, d.Spec.UID)
+		if d.Count > 0 && !slices.Contains(requested, d.Spec.UID) {
+			requested = append(requested, d.Spec.UID)
 		}
 	}
-	return asked
+	return requested
 }
 
 // TestQuotaGoesToAttainableObjectives checks the order in which jobs get quota that does not suffice for all: by
@@ -43,16 +43,16 @@
 	}
 	add("job-long", "standard", 5*time.Minute, 270) // has a later objective, but must start earlier
 	add("job-short", "standard", 2*time.Minute, 10)
-	if asked := requestingJobs(team, now); !slices.Equal(asked, []string{"job-begun", "job-long", "job-short"}) {
-		t.Fatalf("%v demand 4 CPUs of quota", asked)
+	if requested := requestingJobs(team, now); !slices.Equal(requested, []string{"job-begun", "job-long", "job-short"}) {
+		t.Fatalf("%v demand 4 CPUs of quota", requested)
 	}
 	add("job-urgent", "high", 0, 10)
-	if asked := requestingJobs(team, now); !slices.Equal(asked, []string{"job-urgent", "job-begun", "job-long"}) {
-		t.Errorf("%v demand 4 CPUs of quota together with an urgent job", asked)
+	if requested := requestingJobs(team, now); !slices.Equal(requested, []string{"job-urgent", "job-begun", "job-long"}) {
+		t.Errorf("%v demand 4 CPUs of quota together with an urgent job", requested)
 	}
 	team.Quota().SetLimits(Limits{Max: Resources{CPUs: 100, GPUs: math.Inf(1)}})
-	if asked := requestingJobs(team, now); len(asked) != 6 {
-		t.Errorf("%v demand quota that suffices for all", asked)
+	if requested := requestingJobs(team, now); len(requested) != 6 {
+		t.Errorf("%v demand quota that suffices for all", requested)
 	}
 }
 
@@ -71,8 +71,8 @@
 	}
 	add("job-late", 20, -time.Minute)
 	add("job-small", 3, 5*time.Minute)
-	if asked := requestingJobs(team, now); !slices.Equal(asked, []string{"job-small", "job-giant"}) {
-		t.Errorf("%v demand 7 CPUs of quota", asked)
+	if requested := requestingJobs(team, now); !slices.Equal(requested, []string{"job-small", "job-giant"}) {
+		t.Errorf("%v demand 7 CPUs of quota", requested)
 	}
 }
 
@@ -132,8 +132,8 @@
 		team.AddJob(&protocol.Submission{UID: uid, Kind: protocol.Gang, Priority: "high", Tasks: 4, CPUs: 1, EstimateSeconds: 10}, 1, now, nil)
 		team.Job(uid).SetObjectives(Objectives{now.Add(time.Duration(6*i-1) * time.Minute)})
 	}
-	if asked := requestingJobs(team, now); len(asked) == 0 || asked[0] != "job-000001" {
-		t.Errorf("%v demand quota", asked)
+	if requested := requestingJobs(team, now); len(requested) == 0 || requested[0] != "job-000001" {
+		t.Errorf("%v demand quota", requested)
 	}
 }
 
