--- a/internal/agents/endlookups.go
+++ b/internal/agents/endlookups.go
@@ -9,20 +9,20 @@
 	maxLookUps = 64
 )
 
-// EndLookUps decides when it is looked up what became of a job that a machine lists and that nobody here can describe.
-type EndLookUps struct {
+// JobLookups decides when it is looked up what became of a job that a machine lists and that nobody here can describe.
+type JobLookups struct {
 	open     map[string]bool
 	failedAt map[string]time.Time
 }
 
-// NewEndLookUps returns one with no look-up under way.
-func NewEndLookUps() *EndLookUps {
-	return &EndLookUps{open: map[string]bool{}, failedAt: map[string]time.Time{}}
+// NewJobLookups returns one with no look-up under way.
+func NewJobLookups() *JobLookups {
+	return &JobLookups{open: map[string]bool{}, failedAt: map[string]time.Time{}}
 }
 
 // Begin says whether a job is to be looked up now; Finish must be called then. It is not while it is being looked up,
 // shortly after that failed, or while too many others are.
-func (l *EndLookUps) Begin(uid string, now time.Time) bool {
+func (l *JobLookups) Begin(uid string, now time.Time) bool {
 	if l.open[uid] || len(l.open) >= maxLookUps || now.Sub(l.failedAt[uid]) < lookUpRetryAfter {
 		return false
 	}
@@ -31,16 +31,16 @@
 }
 
 // Finish notes that a look-up is over.
-func (l *EndLookUps) Finish(uid string) { delete(l.open, uid) }
+func (l *JobLookups) Finish(uid string) { delete(l.open, uid) }
 
 // Fail notes that a job was not found, or not with its size.
-func (l *EndLookUps) Fail(uid string, now time.Time) { l.failedAt[uid] = now }
+func (l *JobLookups) Fail(uid string, now time.Time) { l.failedAt[uid] = now }
 
 // Open counts the look-ups under way.
-func (l *EndLookUps) Open() int { return len(l.open) }
+func (l *JobLookups) Open() int { return len(l.open) }
 
 // ForgetFailures drops the jobs that were not found if they are more than most: they are looked up again then.
-func (l *EndLookUps) ForgetFailures(most int) {
+func (l *JobLookups) ForgetFailures(most int) {
 	if len(l.failedAt) > most {
 		clear(l.failedAt)
 	}
--- a/internal/agents/endlookups_test.go
+++ b/internal/agents/endlookups_test.go
@@ -8,7 +8,7 @@
 
 // TestEndLookUps: a job is looked up once at a time, not again shortly after that failed, and not beside too many others.
 func TestEndLookUps(t *testing.T) {
-	l, now := NewEndLookUps(), time.Unix(1000, 0)
+	l, now := NewJobLookups(), time.Unix(1000, 0)
 	if !l.Begin("job-1", now) || l.Begin("job-1", now) {
 		t.Error("not looked up once at a time")
 	}
--- a/internal/agents/liveness.go
+++ b/internal/agents/liveness.go
@@ -23,9 +23,9 @@
 	l.HomeHeardAt = later(l.HomeHeardAt, at)
 }
 
-// LastSign returns when any controller last had a heartbeat of the agent, as far as known here. One that comes in vain to
+// LastSeenAt returns when any controller last had a heartbeat of the agent, as far as known here. One that comes in vain to
 // other controllers is alive, whatever its home says; one that never came to its home counts from there: it is zero.
-func (l *Liveness) LastSign() time.Time {
+func (l *Liveness) LastSeenAt() time.Time {
 	if l.HeardAt.IsZero() {
 		return time.Time{}
 	}
--- a/internal/agents/unreachablehomes_test.go
+++ b/internal/agents/unreachablehomes_test.go
@@ -85,16 +85,16 @@
 func TestLiveness(t *testing.T) {
 	at := func(s int64) time.Time { return time.Unix(s, 0) }
 	l := Liveness{MisdirectedAt: at(50)}
-	if !l.LastSign().IsZero() {
+	if !l.LastSeenAt().IsZero() {
 		t.Error("a sign before the first heartbeat at its home")
 	}
 	l.RecordHomeHeartbeat(at(40))
 	l.RecordHomeHeartbeat(at(30)) // an older word of the home
-	if l.HeardAt != at(40) || l.HomeHeardAt != at(40) || l.LastSign() != at(50) || !l.HomeWatermark.IsZero() {
+	if l.HeardAt != at(40) || l.HomeHeardAt != at(40) || l.LastSeenAt() != at(50) || !l.HomeWatermark.IsZero() {
 		t.Errorf("as its home tells: %+v", l)
 	}
 	l.RecordHeartbeat(at(60))
-	if l.HeardAt != at(60) || l.HomeHeardAt != at(60) || l.HomeWatermark != at(60) || l.LastSign() != at(60) {
+	if l.HeardAt != at(60) || l.HomeHeardAt != at(60) || l.HomeWatermark != at(60) || l.LastSeenAt() != at(60) {
 		t.Errorf("after a heartbeat here: %+v", l)
 	}
 }
--- a/internal/autoscaler/autoscaler.go
+++ b/internal/autoscaler/autoscaler.go
@@ -51,15 +51,15 @@
 
 // Options are the operator's choices.
 type Options struct {
-	IdleTimeout     time.Duration
-	Warm            int
-	SpotShare       float64
-	SilenceTimeout  time.Duration // a machine silent for so long is released
-	CutZoneTimeout  time.Duration // the same where nearly all of its zone are silent
-	BarrierTimeout  time.Duration // the same where it holds up others
-	OverdueTimeout  time.Duration // the same where nearly all others reported
-	UnlistedTimeout time.Duration // the same where the cloud no longer lists it
-	SafetyRunTimes  float64       // run times kept in hand before a job is due
+	IdleTimeout            time.Duration
+	Warm                   int
+	SpotShare              float64
+	SilenceTimeout         time.Duration // a machine silent for so long is released
+	PartitionedZoneTimeout time.Duration // the same where nearly all of its zone are silent
+	BarrierTimeout         time.Duration // the same where it holds up others
+	OverdueTimeout         time.Duration // the same where nearly all others reported
+	UnlistedTimeout        time.Duration // the same where the cloud no longer lists it
+	SafetyRunTimes         float64       // run times kept in hand before a job is due
 }
 
 // maxBackoff is for how long at most a pool that refused is left alone: room comes
@@ -88,10 +88,10 @@
 
 // Plan is what to do now.
 type Plan struct {
-	ScaleOut   []protocol.ScaleOutRequest
-	ScaleIn    []string
-	Retire     []string // get no more tasks, and go back once they are idle
-	SlowPlaces []string // types and zones, as "type in zone", where no machine comes up in time
+	ScaleOut          []protocol.ScaleOutRequest
+	ScaleIn           []string
+	Retire            []string // get no more tasks, and go back once they are idle
+	SlowBootLocations []string // types and zones, as "type in zone", where no machine comes up in time
 }
 
 type pool struct {
@@ -99,8 +99,8 @@
 	Spot       bool
 }
 
-// Fleet remembers refusals and what was acquired lately.
-type Fleet struct {
+// Autoscaler remembers refusals and what was acquired lately.
+type Autoscaler struct {
 	options          Options
 	prefix           string
 	counter          uint64
@@ -115,8 +115,8 @@
 }
 
 // New makes a fleet's decisions under names that nobody else uses.
-func New(prefix string, options Options) *Fleet {
-	return &Fleet{
+func New(prefix string, options Options) *Autoscaler {
+	return &Autoscaler{
 		options:          options,
 		prefix:           prefix,
 		unavailableUntil: map[pool]time.Time{},
@@ -130,10 +130,10 @@
 }
 
 // ForgetUnsent drops what was asked for but is not sent.
-func (f *Fleet) ForgetUnsent() { clear(f.pending) }
+func (f *Autoscaler) ForgetUnsent() { clear(f.pending) }
 
 // RecordScaleOut records the outcome of a scale-out request.
-func (f *Fleet) RecordScaleOut(r protocol.ScaleOutRequest, got int, now time.Time, refused bool) {
+func (f *Autoscaler) RecordScaleOut(r protocol.ScaleOutRequest, got int, now time.Time, refused bool) {
 	p := pool{r.Type, r.Zone, r.Spot}
 	f.pending[p] -= r.Count
 	if f.pending[p] <= 0 {
@@ -152,12 +152,14 @@
 
 // Obsolete says whether a request that waits for its turn has become pointless: the place refused another one
 // meanwhile.
-func (f *Fleet) Obsolete(r protocol.ScaleOutRequest, now time.Time) bool {
+func (f *Autoscaler) Obsolete(r protocol.ScaleOutRequest, now time.Time) bool {
 	return f.isUnavailable(pool{r.Type, r.Zone, r.Spot}, now)
 }
 
 // isUnavailable says whether a place is left alone, since it refused.
-func (f *Fleet) isUnavailable(p pool, now time.Time) bool { return now.Before(f.unavailableUntil[p]) }
+func (f *Autoscaler) isUnavailable(p pool, now time.Time) bool {
+	return now.Before(f.unavailableUntil[p])
+}
 
 func allowed(s *protocol.Submission, typ, zone string, spot bool) bool {
 	return (!spot || s.Spot) && (s.Zone == nil || *s.Zone == zone) && (s.Types == nil || slices.Contains(s.Types, typ))
@@ -184,7 +186,7 @@
 
 // Decide plans with what is known. settled is when the members last changed:
 // silence counts only from then.
-func (f *Fleet) Decide(types []protocol.MachineType, machines []Machine, demands []Demand, arrivals Arrivals, now, settled time.Time) Plan {
+func (f *Autoscaler) Decide(types []protocol.MachineType, machines []Machine, demands []Demand, arrivals Arrivals, now, settled time.Time) Plan {
 	d := &decision{types: map[string]*protocol.MachineType{}, now: now, settled: settled}
 	for i := range types {
 		d.types[types[i].Name] = &types[i]
@@ -192,7 +194,7 @@
 	f.observeBoots(machines, d.types, now)
 	d.barrierTimeout = f.barrierTimeout(machines, now, settled)
 	d.cutZones = f.cutZones(machines, now, settled)
-	plan := Plan{SlowPlaces: f.slowPlaces()}
+	plan := Plan{SlowBootLocations: f.slowPlaces()}
 	var bins []*bin
 	var live []*Machine
 	for i := range machines {
@@ -219,7 +221,7 @@
 }
 
 // conditionOf judges a machine by what is known of it.
-func (f *Fleet) conditionOf(m *Machine, d *decision) condition {
+func (f *Autoscaler) conditionOf(m *Machine, d *decision) condition {
 	t := d.types[m.Type]
 	silence := d.now.Sub(later(m.LastHeartbeat, d.settled))
 	booting := m.LastHeartbeat.IsZero()
@@ -245,7 +247,7 @@
 }
 
 // retiredMachines names the machines that are retired.
-func (f *Fleet) retiredMachines(live []*Machine) (names []string) {
+func (f *Autoscaler) retiredMachines(live []*Machine) (names []string) {
 	for _, m := range live {
 		if f.retired[m.Name] {
 			names = append(names, m.Name)
@@ -265,7 +267,7 @@
 }
 
 // liveBins is the room of machines in operation that are not retired.
-func (f *Fleet) liveBins(live []*Machine, types map[string]*protocol.MachineType) (bins []*bin) {
+func (f *Autoscaler) liveBins(live []*Machine, types map[string]*protocol.MachineType) (bins []*bin) {
 	for _, m := range live {
 		if f.retired[m.Name] {
 			continue
@@ -280,7 +282,7 @@
 }
 
 // pendingBins is the room of machines that were asked for and not yet promised.
-func (f *Fleet) pendingBins(types map[string]*protocol.MachineType) (bins []*bin) {
+func (f *Autoscaler) pendingBins(types map[string]*protocol.MachineType) (bins []*bin) {
 	for p, count := range f.pending {
 		t := types[p.Type]
 		if t == nil {
@@ -300,9 +302,9 @@
 	return b
 }
 
-// FetchTime is how many seconds a machine takes to get the job's image, by the
+// ImageFetchSeconds is how many seconds a machine takes to get the job's image, by the
 // slowest type: it may have to share the rate.
-func FetchTime(types []protocol.MachineType, s *protocol.Submission) float64 {
+func ImageFetchSeconds(types []protocol.MachineType, s *protocol.Submission) float64 {
 	longest := 0.0
 	for i := range types {
 		if r := types[i].FetchGBPerSecond; r > 0 {
--- a/internal/autoscaler/autoscaler_test.go
+++ b/internal/autoscaler/autoscaler_test.go
@@ -52,7 +52,7 @@
 	}
 }
 
-func setup() (*Fleet, []protocol.MachineType, time.Time) {
+func setup() (*Autoscaler, []protocol.MachineType, time.Time) {
 	f := New("x", Options{IdleTimeout: 20 * time.Second, SpotShare: 1, SilenceTimeout: 10 * time.Second, BarrierTimeout: 4 * time.Second, OverdueTimeout: 2 * time.Second, UnlistedTimeout: 3 * time.Second, SafetyRunTimes: 1.5})
 	return f, []protocol.MachineType{{Name: "m8", CPUs: 8, MemoryGB: 64, PricePerHour: 2, SpotPricePerHour: 1, BootSeconds: 10, Zones: []string{"a", "b"}}}, time.Unix(10000, 0)
 }
--- a/internal/autoscaler/boot.go
+++ b/internal/autoscaler/boot.go
@@ -23,7 +23,7 @@
 const lateFactor = 1.5
 
 // bootTimesOf finds or makes what is known of the boots of a pool's type and zone.
-func (f *Fleet) bootTimesOf(p pool) *bootHistory {
+func (f *Autoscaler) bootTimesOf(p pool) *bootHistory {
 	p.Spot = false
 	b := f.bootTimes[p]
 	if b == nil {
@@ -35,7 +35,7 @@
 
 // bootSeconds is how many seconds a new machine of a pool probably takes until it
 // reports: what nearly all took of late, or what the catalog says.
-func (f *Fleet) bootSeconds(p pool, t *protocol.MachineType) float64 {
+func (f *Autoscaler) bootSeconds(p pool, t *protocol.MachineType) float64 {
 	b := f.bootTimesOf(p)
 	return max(b.usual(t), b.lowerBound, 1)
 }
@@ -50,7 +50,7 @@
 // observeBoots learns from machines that came up since the last look, and from those
 // that should have. While machines acquired earlier are late and none acquired since is
 // up, all are slow; a machine that others overtook is late on its own.
-func (f *Fleet) observeBoots(machines []Machine, types map[string]*protocol.MachineType, now time.Time) {
+func (f *Autoscaler) observeBoots(machines []Machine, types map[string]*protocol.MachineType, now time.Time) {
 	booting := map[string]bool{}
 	for i := range machines {
 		m := &machines[i]
@@ -81,7 +81,7 @@
 }
 
 // slowPlaces lists where all machines on their way are late.
-func (f *Fleet) slowPlaces() (list []string) {
+func (f *Autoscaler) slowPlaces() (list []string) {
 	for p, b := range f.bootTimes {
 		if b.lowerBound > 0 {
 			list = append(list, p.Type+" in "+p.Zone)
@@ -95,13 +95,13 @@
 
 // overtaken says whether a machine of the same type and zone that was acquired no earlier
 // is up.
-func (f *Fleet) overtaken(m *Machine) bool {
+func (f *Autoscaler) overtaken(m *Machine) bool {
 	return !m.AcquiredAt.After(f.bootTimesOf(m.pool()).newestUp)
 }
 
 // secondsUntilUp is in how many seconds a machine that was acquired is probably up. One
 // that is late may well take as long again as it took already.
-func (f *Fleet) secondsUntilUp(m *Machine, t *protocol.MachineType, now time.Time) float64 {
+func (f *Autoscaler) secondsUntilUp(m *Machine, t *protocol.MachineType, now time.Time) float64 {
 	expected, age := f.bootSeconds(m.pool(), t), now.Sub(m.AcquiredAt).Seconds()
 	if age > lateFactor*expected {
 		return age
@@ -110,7 +110,7 @@
 }
 
 // bootTimedOut says whether a machine takes so long to boot that it will hardly come.
-func (f *Fleet) bootTimedOut(m *Machine, t *protocol.MachineType, now time.Time) bool {
+func (f *Autoscaler) bootTimedOut(m *Machine, t *protocol.MachineType, now time.Time) bool {
 	usual := 60.0
 	if t != nil {
 		usual = max(t.BootSeconds, f.bootTimesOf(m.pool()).usual(t))
--- a/internal/autoscaler/boot_test.go
+++ b/internal/autoscaler/boot_test.go
@@ -11,7 +11,7 @@
 // delivery is a plain cloud that rents out what is asked for; boots says after how
 // many seconds a machine is up, 0 for never.
 type delivery struct {
-	f        *Fleet
+	f        *Autoscaler
 	types    []protocol.MachineType
 	now      time.Time
 	machines []Machine
@@ -31,7 +31,7 @@
 			}
 		}
 		plan := d.f.Decide(d.types, d.machines, demand(d.now), nil, d.now, d.now.Add(-time.Hour))
-		d.late = d.late || len(plan.SlowPlaces) > 0
+		d.late = d.late || len(plan.SlowBootLocations) > 0
 		for _, name := range plan.ScaleIn {
 			for i := range d.machines {
 				if d.machines[i].Name == name {
--- a/internal/autoscaler/retire.go
+++ b/internal/autoscaler/retire.go
@@ -41,7 +41,7 @@
 
 // hasCheaperKind says whether a machine costs more than another kind of its type does, so
 // that work should leave it where there is room.
-func (f *Fleet) hasCheaperKind(m *Machine, t *protocol.MachineType) bool {
+func (f *Autoscaler) hasCheaperKind(m *Machine, t *protocol.MachineType) bool {
 	return !m.Spot && f.options.SpotShare > 0 && t.SpotPricePerHour < t.PricePerHour
 }
 
@@ -50,7 +50,7 @@
 // over all there are. A machine is retired once the others have room for its work
 // and the reserve, and taken back into use as soon as that is no longer so. What a
 // retired machine still runs is counted as work that the others are about to get.
-func (f *Fleet) retire(live []*Machine, types map[string]*protocol.MachineType, demands []Demand, now time.Time) {
+func (f *Autoscaler) retire(live []*Machine, types map[string]*protocol.MachineType, demands []Demand, now time.Time) {
 	// If some work may not use spot machines, it is not known which of the on-demand ones it needs.
 	pinned := slices.ContainsFunc(demands, func(d Demand) bool { return !d.Spec.Spot })
 	byType := map[string][]*Machine{}
@@ -88,7 +88,7 @@
 
 // retireOfType retires machines of one type or takes them back. Waiting is the machines' room
 // that waiting tasks take.
-func (f *Fleet) retireOfType(t *protocol.MachineType, machines []*Machine, waiting float64, now time.Time) {
+func (f *Autoscaler) retireOfType(t *protocol.MachineType, machines []*Machine, waiting float64, now time.Time) {
 	slices.SortFunc(machines, func(a, b *Machine) int {
 		return cmp.Or(cmp.Compare(b.freeShare(t), a.freeShare(t)), cmp.Compare(a.Name, b.Name))
 	})
--- a/internal/autoscaler/retire_test.go
+++ b/internal/autoscaler/retire_test.go
@@ -112,7 +112,7 @@
 // and with their images, and rented anew. A few that fall silent are returned as ever.
 func TestMachinesOfACutZoneAreKept(t *testing.T) {
 	f, types, now := setup()
-	f.options.CutZoneTimeout = 30 * time.Second
+	f.options.PartitionedZoneTimeout = 30 * time.Second
 	silent := func(zone string, count int, quiet time.Duration) int {
 		var ms []Machine
 		for i := range 20 {
--- a/internal/autoscaler/scalein.go
+++ b/internal/autoscaler/scalein.go
@@ -21,7 +21,7 @@
 // scaleInIdle releases machines that have been idle for long, on-demand ones first, but
 // keeps a few warm. Spot ones, which may not be had again, stay for longer, as far
 // as they are no more than a tenth of all: more than that idle is no lull.
-func (f *Fleet) scaleInIdle(plan *Plan, types map[string]*protocol.MachineType, idle []*Machine, total int, now time.Time) {
+func (f *Autoscaler) scaleInIdle(plan *Plan, types map[string]*protocol.MachineType, idle []*Machine, total int, now time.Time) {
 	slices.SortFunc(idle, func(a, b *Machine) int {
 		if d := cmp.Compare(b.price(types), a.price(types)); d != 0 {
 			return d
--- a/internal/autoscaler/scaleout.go
+++ b/internal/autoscaler/scaleout.go
@@ -12,12 +12,12 @@
 // maxScaleOutRequests is how many requests go out for one pool at a time.
 const maxScaleOutRequests = 2
 
-// EndlessRun is the run time in seconds that a service's task counts with.
-const EndlessRun = 1e6
+// ServiceRunSeconds is the run time in seconds that a service's task counts with.
+const ServiceRunSeconds = 1e6
 
 // scaleOutPass is one forecast of all waiting tasks, which shows what to acquire.
 type scaleOutPass struct {
-	fleet      *Fleet
+	fleet      *Autoscaler
 	types      []protocol.MachineType
 	arrivals   Arrivals
 	now        time.Time
@@ -32,7 +32,7 @@
 // end, and acquires for what would come too late so but in better time on a new
 // machine. What comes meanwhile with a higher rank is expected as it came of late; what
 // did not start as it was placed in the forecast before counts as late by that.
-func (f *Fleet) scaleOut(plan *Plan, types []protocol.MachineType, bins []*bin, demands []Demand, arrivals Arrivals, now time.Time) {
+func (f *Autoscaler) scaleOut(plan *Plan, types []protocol.MachineType, bins []*bin, demands []Demand, arrivals Arrivals, now time.Time) {
 	if !f.anyAvailable(types, now) {
 		return // nothing can be had: who waits keeps the place that was placed in the forecast
 	}
@@ -72,9 +72,9 @@
 func (r *scaleOutPass) taskOf(d *Demand) *task {
 	t := &task{demand: d, run: max(d.Spec.EstimateSeconds, 1)}
 	if d.Spec.Kind == protocol.Service {
-		t.run = EndlessRun
+		t.run = ServiceRunSeconds
 	}
-	t.allowance = max(0, d.Due.Sub(r.now).Seconds()-r.fleet.options.SafetyRunTimes*t.run-FetchTime(r.types, d.Spec))
+	t.allowance = max(0, d.Due.Sub(r.now).Seconds()-r.fleet.options.SafetyRunTimes*t.run-ImageFetchSeconds(r.types, d.Spec))
 	if by, ok := r.fleet.startBy[d.Spec.UID]; ok {
 		t.behind = max(0, r.now.Sub(by).Seconds())
 	}
@@ -159,7 +159,7 @@
 
 // scaleOutRequests makes the requests for the wanted machines. A wave of machines goes out at once;
 // what is beyond that waits for answers.
-func (f *Fleet) scaleOutRequests(places []pool, want map[pool]int) (list []protocol.ScaleOutRequest) {
+func (f *Autoscaler) scaleOutRequests(places []pool, want map[pool]int) (list []protocol.ScaleOutRequest) {
 	for _, p := range places {
 		for i, left := 0, want[p]; i < maxScaleOutRequests && left > 0; i++ {
 			count := min(left, protocol.MaxScaleOut)
@@ -187,7 +187,7 @@
 }
 
 // anyAvailable says whether any place may have machines to give.
-func (f *Fleet) anyAvailable(types []protocol.MachineType, now time.Time) bool {
+func (f *Autoscaler) anyAvailable(types []protocol.MachineType, now time.Time) bool {
 	for i := range types {
 		for _, zone := range types[i].Zones {
 			onDemand, spot := pool{types[i].Name, zone, false}, pool{types[i].Name, zone, true}
@@ -203,7 +203,7 @@
 // of what waits, and is in no layout yet; so a job that has not started by then
 // counts as that much further behind, until machines are acquired for it. Else work of
 // low priority would be placed in the forecast within its time again and again and never start.
-func (f *Fleet) recordStartTimes(waits map[string]time.Time) {
+func (f *Autoscaler) recordStartTimes(waits map[string]time.Time) {
 	for uid := range f.startBy {
 		if _, ok := waits[uid]; !ok {
 			delete(f.startBy, uid)
@@ -219,7 +219,7 @@
 // cheapest is the pool with the lowest price for a task of those that are open and
 // deliver a machine sooner than the task would start without; among equal ones that
 // with the least already wanted.
-func (f *Fleet) cheapest(types []protocol.MachineType, d *Demand, wanted map[pool]int, start float64, now time.Time) (best pool, found *protocol.MachineType) {
+func (f *Autoscaler) cheapest(types []protocol.MachineType, d *Demand, wanted map[pool]int, start float64, now time.Time) (best pool, found *protocol.MachineType) {
 	lowest := math.Inf(1)
 	for i := range types {
 		t := &types[i]
@@ -249,7 +249,7 @@
 
 // mayScaleOut says whether a machine of a pool may be acquired for a task that would start in so
 // many seconds without it.
-func (f *Fleet) mayScaleOut(p pool, t *protocol.MachineType, d *Demand, start float64, now time.Time) bool {
+func (f *Autoscaler) mayScaleOut(p pool, t *protocol.MachineType, d *Demand, start float64, now time.Time) bool {
 	if !allowed(d.Spec, p.Type, p.Zone, p.Spot) || f.isUnavailable(p, now) || f.bootSeconds(p, t) >= start {
 		return false
 	}
--- a/internal/autoscaler/silence.go
+++ b/internal/autoscaler/silence.go
@@ -10,7 +10,7 @@
 // that is there is not just too new. One that an owner's barrier waits for has so
 // long as barrierTimeout says. In a zone that is cut off, machines and what they run live
 // on, and come back with their images and results.
-func (f *Fleet) silenceTimeout(m *Machine, barrierTimeout time.Duration, cut bool) time.Duration {
+func (f *Autoscaler) silenceTimeout(m *Machine, barrierTimeout time.Duration, cut bool) time.Duration {
 	switch {
 	case m.AwaitedByBarrier && m.SkippedInList, m.AwaitedByBarrier && m.ProbeUnanswered && barrierTimeout <= f.options.OverdueTimeout:
 		return time.Second
@@ -19,7 +19,7 @@
 	case m.AwaitedByBarrier:
 		return min(barrierTimeout, f.options.SilenceTimeout)
 	case cut:
-		return max(f.options.CutZoneTimeout, f.options.SilenceTimeout)
+		return max(f.options.PartitionedZoneTimeout, f.options.SilenceTimeout)
 	}
 	return f.options.SilenceTimeout
 }
@@ -28,7 +28,7 @@
 // all of a team more than a new machine. If only a few are missing when all others
 // must have reported, it is those; if many are, they get the time in which a worker
 // finds another controller, and more than a tenth are rather cut off.
-func (f *Fleet) barrierTimeout(machines []Machine, now, settled time.Time) time.Duration {
+func (f *Autoscaler) barrierTimeout(machines []Machine, now, settled time.Time) time.Duration {
 	overdue, silent := 0, 0
 	for i := range machines {
 		m := &machines[i]
@@ -56,7 +56,7 @@
 
 // cutZones are the zones of whose machines at least three quarters fell silent, so
 // that it is rather the zone's network.
-func (f *Fleet) cutZones(machines []Machine, now, settled time.Time) map[string]bool {
+func (f *Autoscaler) cutZones(machines []Machine, now, settled time.Time) map[string]bool {
 	known, silent := map[string]int{}, map[string]int{}
 	for i := range machines {
 		m := &machines[i]
--- a/internal/controller/admission.go
+++ b/internal/controller/admission.go
@@ -235,7 +235,7 @@
 // admissionMachine describes a machine for a plan, if the plan may count on it.
 func (n *Node) admissionMachine(m *autoscaler.Machine, known *machine, now time.Time) (planned admission.Machine, ok bool) {
 	cpus, _, memory, ok := n.scheduler.Capacity(m.Type)
-	if !ok || m.SpotNotice || m.Faulty || n.provisioner.draining()[m.Name] || now.Sub(known.LastSign()) > n.unreachableHomes.Timing().RedirectTimeout {
+	if !ok || m.SpotNotice || m.Faulty || n.provisioner.draining()[m.Name] || now.Sub(known.LastSeenAt()) > n.unreachableHomes.Timing().RedirectTimeout {
 		return planned, false
 	}
 	left := 0.0
--- a/internal/controller/autoscaling.go
+++ b/internal/controller/autoscaling.go
@@ -26,9 +26,9 @@
 // next controller.
 const heartbeatAnswerTime = 6 * time.Second
 
-// provisioner carries out what a provisioning.Account decides.
+// provisioner carries out what a provisioning.Provisioner decides.
 type provisioner struct {
-	account  *provisioning.Account
+	account  *provisioning.Provisioner
 	turns    chan struct{} // holds one element for each scale-out request under way
 	loggedAt time.Time     // when the log last described the whole fleet
 }
@@ -46,7 +46,7 @@
 	if p == nil {
 		return nil
 	}
-	return p.account.SlowPlaces()
+	return p.account.SlowBootLocations()
 }
 
 // runFleet acquires and releases machines while this controller owns the fleet.
@@ -88,9 +88,9 @@
 		SettledAt: n.leadership.SettledAt(),
 		TakenOver: shard.SinceTerm() > n.leadership.Record().FirstTerm || n.leadership.Epoch() > 1,
 	}, now)
-	before := p.account.SlowPlaces()
-	if p.account.UpdateSlowPlaces(actions.SlowPlaces) {
-		n.log.Info("places where machines come up late", "before", before, "now", actions.SlowPlaces)
+	before := p.account.SlowBootLocations()
+	if p.account.UpdateSlowBootLocations(actions.SlowBootLocations) {
+		n.log.Info("places where machines come up late", "before", before, "now", actions.SlowBootLocations)
 	}
 	n.logFleet(p, machines, demands, actions.Retired, now)
 	n.updatePlan(machines, demands, now)
@@ -113,10 +113,10 @@
 // newProvisioner begins the account of this controller as the fleet's owner.
 func (n *Node) newProvisioner(sinceTerm uint64, now time.Time) *provisioner {
 	options := provisioning.Options{
-		SinceTerm: sinceTerm,
-		Prefix:    fmt.Sprintf("%s-%d-%d", n.name, n.incarnation, sinceTerm),
-		ListLag:   settings.Seconds(n.settings.Deployment.Cloud.ListLagSeconds),
-		Fleet:     n.fleetOptions(),
+		SinceTerm:  sinceTerm,
+		Prefix:     fmt.Sprintf("%s-%d-%d", n.name, n.incarnation, sinceTerm),
+		ListLag:    settings.Seconds(n.settings.Deployment.Cloud.ListLagSeconds),
+		Autoscaler: n.fleetOptions(),
 	}
 	p := &provisioner{
 		account: provisioning.New(options, now),
@@ -144,13 +144,13 @@
 		OverdueTimeout:  n.unreachableHomes.Timing().HeartbeatOverdue + time.Second,
 		SilenceTimeout:  min(lease+4*time.Second, cancel/2),
 		// What runs in a zone that is cut off is kept alive there for no longer than this.
-		CutZoneTimeout: cancel,
+		PartitionedZoneTimeout: cancel,
 	}
 }
 
 // readCloudList reads the cloud's list if it is due, and has the machines probed that
 // barriers wait for.
-func (n *Node) readCloudList(account *provisioning.Account, now time.Time) {
+func (n *Node) readCloudList(account *provisioning.Provisioner, now time.Time) {
 	if !account.BeginListing(now) {
 		return
 	}
@@ -195,7 +195,7 @@
 
 // requestScaleIn asks the cloud to take machines back. Only its confirmation ends what may
 // be on them.
-func (n *Node) requestScaleIn(account *provisioning.Account, names []string) {
+func (n *Node) requestScaleIn(account *provisioning.Provisioner, names []string) {
 	if len(names) == 0 {
 		return
 	}
--- a/internal/controller/autoscaling_inputs.go
+++ b/internal/controller/autoscaling_inputs.go
@@ -23,7 +23,7 @@
 
 // fleetMachines describes every machine that is listed, registered, reporting or acquired
 // lately.
-func (n *Node) fleetMachines(account *provisioning.Account, now time.Time) []autoscaler.Machine {
+func (n *Node) fleetMachines(account *provisioning.Provisioner, now time.Time) []autoscaler.Machine {
 	n.scheduler.InvalidateMachines((*schedulerSnapshot)(n).TakeChangedMachines())
 	known := func(yield func(string) bool) {
 		for name, m := range n.machines {
@@ -51,7 +51,7 @@
 func (n *Node) observeMachine(m *machine, name string, now time.Time) provisioning.Observation {
 	observed := provisioning.Observation{Reported: m.status != nil, Machine: autoscaler.Machine{
 		Name:          name,
-		LastHeartbeat: m.LastSign(),
+		LastHeartbeat: m.LastSeenAt(),
 		IdleSince:     m.idleSince,
 		Registered:    n.roster.Has(name),
 		Faulty:        n.quarantine.IsMachineBad(name, now),
@@ -77,7 +77,7 @@
 func (n *Node) runningTaskOf(machine string, spec *protocol.Submission, ref jobstate.AttemptRef, now time.Time) autoscaler.RunningTask {
 	left := max(spec.EstimateSeconds, 1)
 	if spec.Kind == protocol.Service {
-		left = autoscaler.EndlessRun
+		left = autoscaler.ServiceRunSeconds
 	} else if since, running := n.scheduler.RunningSince(machine, ref); running {
 		left = max(left-now.Sub(since).Seconds(), left/8)
 	}
--- a/internal/controller/node.go
+++ b/internal/controller/node.go
@@ -78,7 +78,7 @@
 	watchedKeysRead  bool   // the watched keys were read
 	followedRevision uint64 // of the state service, up to which the watched keys are known
 	changeReads      *changeReads
-	endLookUps       *agents.EndLookUps
+	endLookUps       *agents.JobLookups
 	cancelWatermark  *cancelwatermark.Watermark // up to when all confirmed cancellations are known here
 	recovery         *recoveryState             // what is known of the state service, and must outlive it
 
@@ -197,7 +197,7 @@
 func (n *Node) newScheduling() {
 	n.shards = shards.NewRegistry()
 	n.jobs = map[string]*job{}
-	n.endLookUps = agents.NewEndLookUps()
+	n.endLookUps = agents.NewJobLookups()
 	n.scheduler = scheduler.New(scheduler.Config{Deployment: &n.settings.Deployment, Options: n.options, Random: n.rng})
 	n.admission = newAdmissionState(n.options)
 	n.startLatency = hdrhistogram.New(1, time.Hour.Milliseconds(), 2)
--- a/internal/controller/unreachablehomes_test.go
+++ b/internal/controller/unreachablehomes_test.go
@@ -196,9 +196,9 @@
 		t.Fatalf("tells of %v, then of more", s.Misdirected)
 	}
 	m := fleetOwner.machine(name)
-	before := m.LastSign()
+	before := m.LastSeenAt()
 	fleetOwner.applyPeerStatus(&peerState{}, &s, at)
-	if got := m.LastSign(); got != at || before == at {
+	if got := m.LastSeenAt(); got != at || before == at {
 		t.Errorf("the fleet's owner last heard the machine at %v, not %v", got, at)
 	}
 	if m.HomeHeardAt == at {
--- a/internal/provisioning/decide.go
+++ b/internal/provisioning/decide.go
@@ -25,15 +25,15 @@
 
 // Actions are what is to be done now.
 type Actions struct {
-	ScaleOut   []protocol.ScaleOutRequest // requests to send, most urgent first
-	ScaleIn    []string                   // machines to release; ScaleInConfirmed or ScaleInFailed follows
-	Drain      map[string]bool            // machines that get no tasks from now on
-	SlowPlaces []string                   // places where no machine comes up in time
-	Retired    int                        // how many machines go back once they are idle
+	ScaleOut          []protocol.ScaleOutRequest // requests to send, most urgent first
+	ScaleIn           []string                   // machines to release; ScaleInConfirmed or ScaleInFailed follows
+	Drain             map[string]bool            // machines that get no tasks from now on
+	SlowBootLocations []string                   // places where no machine comes up in time
+	Retired           int                        // how many machines go back once they are idle
 }
 
 // Decide says what to acquire, to release and to drain. StartDraining is to follow.
-func (a *Account) Decide(in *Inputs, now time.Time) Actions {
+func (a *Provisioner) Decide(in *Inputs, now time.Time) Actions {
 	settled := in.SettledAt
 	if a.startedAt.After(settled) {
 		settled = a.startedAt
@@ -44,17 +44,17 @@
 		a.fleet.ForgetUnsent()
 	}
 	return Actions{
-		ScaleOut:   plan.ScaleOut,
-		ScaleIn:    a.beginScaleIn(plan.ScaleIn),
-		Drain:      drained(plan.ScaleIn, plan.Retire),
-		SlowPlaces: plan.SlowPlaces,
-		Retired:    len(plan.Retire),
+		ScaleOut:          plan.ScaleOut,
+		ScaleIn:           a.beginScaleIn(plan.ScaleIn),
+		Drain:             drained(plan.ScaleIn, plan.Retire),
+		SlowBootLocations: plan.SlowBootLocations,
+		Retired:           len(plan.Retire),
 	}
 }
 
 // beginScaleIn picks the machines that are released now: those that already got no tasks as
 // of the last decision, so that no start is on its way to them.
-func (a *Account) beginScaleIn(wanted []string) (now []string) {
+func (a *Provisioner) beginScaleIn(wanted []string) (now []string) {
 	for _, machine := range wanted {
 		if a.draining[machine] && len(now) < maxScaleIn {
 			now = append(now, machine)
--- a/internal/provisioning/machines.go
+++ b/internal/provisioning/machines.go
@@ -21,7 +21,7 @@
 // Candidates lists the machines that may exist, in the order of their names: those of the
 // cloud's list, those acquired lately and those that the controllers know. Machines whose
 // release is under way are left out.
-func (a *Account) Candidates(known iter.Seq[string]) []string {
+func (a *Provisioner) Candidates(known iter.Seq[string]) []string {
 	names := map[string]bool{}
 	for name := range a.listed {
 		names[name] = true
@@ -39,7 +39,7 @@
 }
 
 // Describe joins what the controllers know of machines with what the cloud says.
-func (a *Account) Describe(observations []Observation, now time.Time) []autoscaler.Machine {
+func (a *Provisioner) Describe(observations []Observation, now time.Time) []autoscaler.Machine {
 	newest := a.newestListed()
 	machines := make([]autoscaler.Machine, 0, len(observations))
 	for i := range observations {
@@ -49,7 +49,7 @@
 }
 
 // describe joins what is known of one machine.
-func (a *Account) describe(observed *Observation, newestListed string, now time.Time) autoscaler.Machine {
+func (a *Provisioner) describe(observed *Observation, newestListed string, now time.Time) autoscaler.Machine {
 	machine := observed.Machine
 	machine.AcquiredAt = a.since(machine.Name, now)
 	host, listed := a.listed[machine.Name]
@@ -70,7 +70,7 @@
 }
 
 // since is when a machine was acquired, as far as known, or first seen.
-func (a *Account) since(name string, now time.Time) time.Time {
+func (a *Provisioner) since(name string, now time.Time) time.Time {
 	if since := a.firstSeen[name]; !since.IsZero() {
 		return since
 	}
@@ -84,7 +84,7 @@
 
 // newestListed is the machine acquired last of those in the cloud's list: names are in the
 // order of acquisition.
-func (a *Account) newestListed() string {
+func (a *Provisioner) newestListed() string {
 	newest := ""
 	for name := range a.listed {
 		newest = max(newest, name)
--- a/internal/provisioning/provisioning.go
+++ b/internal/provisioning/provisioning.go
@@ -18,17 +18,17 @@
 
 // Options describe one ownership of the fleet.
 type Options struct {
-	SinceTerm uint64        // term in which the controller became the fleet's owner
-	Prefix    string        // of the names of scale-out requests; no other owner uses it
-	ListLag   time.Duration // how old the cloud's list may be
-	Fleet     autoscaler.Options
+	SinceTerm  uint64        // term in which the controller became the fleet's owner
+	Prefix     string        // of the names of scale-out requests; no other owner uses it
+	ListLag    time.Duration // how old the cloud's list may be
+	Autoscaler autoscaler.Options
 }
 
-// Account is what the fleet's owner knows of the cloud's machines, from when it became the
+// Provisioner is what the fleet's owner knows of the cloud's machines, from when it became the
 // owner.
-type Account struct {
+type Provisioner struct {
 	options    Options
-	fleet      *autoscaler.Fleet
+	fleet      *autoscaler.Autoscaler
 	startedAt  time.Time
 	listed     map[string]protocol.Host            // the cloud's list as last read
 	firstSeen  map[string]time.Time                // when a machine was acquired, or became known
@@ -41,10 +41,10 @@
 }
 
 // New begins the account of an owner that starts now.
-func New(options Options, now time.Time) *Account {
-	return &Account{
+func New(options Options, now time.Time) *Provisioner {
+	return &Provisioner{
 		options:   options,
-		fleet:     autoscaler.New(options.Prefix, options.Fleet),
+		fleet:     autoscaler.New(options.Prefix, options.Autoscaler),
 		startedAt: now,
 		listed:    map[string]protocol.Host{},
 		firstSeen: map[string]time.Time{},
@@ -54,17 +54,17 @@
 }
 
 // SinceTerm is the term in which the controller became the fleet's owner.
-func (a *Account) SinceTerm() uint64 { return a.options.SinceTerm }
+func (a *Provisioner) SinceTerm() uint64 { return a.options.SinceTerm }
 
 // Ready says whether the cloud's list was read. Nothing is decided before.
-func (a *Account) Ready() bool { return !a.listReadAt.IsZero() }
+func (a *Provisioner) Ready() bool { return !a.listReadAt.IsZero() }
 
 // Hosts is the cloud's list as last read, by machine. The caller does not change it.
-func (a *Account) Hosts() map[string]protocol.Host { return a.listed }
+func (a *Provisioner) Hosts() map[string]protocol.Host { return a.listed }
 
 // BeginListing says whether the cloud's list is to be read now, about twice in its lag, and
 // records that the read has begun. ListingRead or ListingFailed ends it.
-func (a *Account) BeginListing(now time.Time) bool {
+func (a *Provisioner) BeginListing(now time.Time) bool {
 	interval := max(minListInterval, a.options.ListLag/2)
 	if a.reading || now.Sub(a.listReadAt) < interval {
 		return false
@@ -75,7 +75,7 @@
 
 // ListingRead takes in the cloud's list, without machines that are known to be gone: an old
 // list may still name them.
-func (a *Account) ListingRead(hosts []protocol.Host, gone func(machine string) bool, now time.Time) {
+func (a *Provisioner) ListingRead(hosts []protocol.Host, gone func(machine string) bool, now time.Time) {
 	a.reading = false
 	a.listReadAt = now
 	a.listed = map[string]protocol.Host{}
@@ -87,11 +87,11 @@
 }
 
 // ListingFailed records that the cloud's list could not be read.
-func (a *Account) ListingFailed() { a.reading = false }
+func (a *Provisioner) ListingFailed() { a.reading = false }
 
 // DropObsolete says whether a scale-out request that waits for its turn is pointless, as its place
 // refused another one meanwhile. Such a request is booked as answered with no machine.
-func (a *Account) DropObsolete(request protocol.ScaleOutRequest, now time.Time) bool {
+func (a *Provisioner) DropObsolete(request protocol.ScaleOutRequest, now time.Time) bool {
 	if !a.fleet.Obsolete(request, now) {
 		return false
 	}
@@ -101,7 +101,7 @@
 
 // ScaleOutAnswered records the machines that a scale-out request brought. Certain says that the cloud
 // gave no more because it has no more, not that the request failed.
-func (a *Account) ScaleOutAnswered(request protocol.ScaleOutRequest, machines []string, certain bool, now time.Time) {
+func (a *Provisioner) ScaleOutAnswered(request protocol.ScaleOutRequest, machines []string, certain bool, now time.Time) {
 	for _, machine := range machines {
 		a.acquired[machine] = request
 		a.firstSeen[machine] = now
@@ -110,7 +110,7 @@
 }
 
 // ScaleInConfirmed records that the cloud took machines back. They are gone.
-func (a *Account) ScaleInConfirmed(machines []string) {
+func (a *Provisioner) ScaleInConfirmed(machines []string) {
 	for _, machine := range machines {
 		delete(a.scalingIn, machine)
 		delete(a.acquired, machine)
@@ -119,30 +119,30 @@
 }
 
 // ScaleInFailed records that a request to release machines failed. It may be sent again.
-func (a *Account) ScaleInFailed(machines []string) {
+func (a *Provisioner) ScaleInFailed(machines []string) {
 	for _, machine := range machines {
 		delete(a.scalingIn, machine)
 	}
 }
 
 // Continue carries on what the account of an earlier ownership of the same process has decided on draining.
-func (a *Account) Continue(earlier *Account) {
+func (a *Provisioner) Continue(earlier *Provisioner) {
 	a.draining, a.slowPlaces = earlier.draining, earlier.slowPlaces
 }
 
 // StartDraining sets the machines that no task should go to from now on. A machine is released by the next decision at
 // the earliest, so that no start is on its way to it.
-func (a *Account) StartDraining(machines map[string]bool) { a.draining = machines }
+func (a *Provisioner) StartDraining(machines map[string]bool) { a.draining = machines }
 
 // Draining is the machines that no task should go to. The caller does not change it.
-func (a *Account) Draining() map[string]bool { return a.draining }
+func (a *Provisioner) Draining() map[string]bool { return a.draining }
 
-// UpdateSlowPlaces sets the places where no machine comes up in time, and says whether they changed.
-func (a *Account) UpdateSlowPlaces(places []string) (changed bool) {
+// UpdateSlowBootLocations sets the places where no machine comes up in time, and says whether they changed.
+func (a *Provisioner) UpdateSlowBootLocations(places []string) (changed bool) {
 	changed = !slices.Equal(places, a.slowPlaces)
 	a.slowPlaces = places
 	return changed
 }
 
-// SlowPlaces are the places where no machine comes up in time, as "type in zone".
-func (a *Account) SlowPlaces() []string { return a.slowPlaces }
+// SlowBootLocations are the places where no machine comes up in time, as "type in zone".
+func (a *Provisioner) SlowBootLocations() []string { return a.slowPlaces }
--- a/internal/provisioning/provisioning_test.go
+++ b/internal/provisioning/provisioning_test.go
@@ -12,8 +12,8 @@
 
 var types = []protocol.MachineType{{Name: "m", CPUs: 16, MemoryGB: 64, PricePerHour: 1, SpotPricePerHour: 0.5, Zones: []string{"a"}, BootSeconds: 10}}
 
-func newAccount(now time.Time) *Account {
-	return New(Options{SinceTerm: 3, Prefix: "p", ListLag: 8 * time.Second, Fleet: autoscaler.Options{SpotShare: 1, SilenceTimeout: time.Minute, SafetyRunTimes: 2}}, now)
+func newAccount(now time.Time) *Provisioner {
+	return New(Options{SinceTerm: 3, Prefix: "p", ListLag: 8 * time.Second, Autoscaler: autoscaler.Options{SpotShare: 1, SilenceTimeout: time.Minute, SafetyRunTimes: 2}}, now)
 }
 
 func nobodyGone(string) bool { return false }
--- a/internal/scheduler/pass.go
+++ b/internal/scheduler/pass.go
@@ -179,7 +179,7 @@
 	if w.spec.Kind != protocol.JobArray || w.late || w.borrowed {
 		return false
 	}
-	fetch := settings.Seconds(autoscaler.FetchTime(s.machineTypes, w.spec))
+	fetch := settings.Seconds(autoscaler.ImageFetchSeconds(s.machineTypes, w.spec))
 	return w.latestStart.Sub(now) <= 2*w.spec.RunTime()+fetch+preemptionDelay
 }
 
