--- a/internal/scheduler/evictions.go
+++ b/internal/scheduler/evictions.go
@@ -9,33 +9,35 @@
 	"topazhollow/internal/protocol"
 )
 
-// evictionLife is how long an eviction may take before its room is sought again.
-const evictionLife = 5 * time.Second
+// evictionTimeout is how long an eviction may take before other victims are selected in its place.
+const evictionTimeout = 5 * time.Second
 
-// eviction is a task that was asked to make room for a job.
+// eviction is an eviction in progress: a task that is being stopped in favor of a job.
 type eviction struct {
 	job   string
-	tasks int // of the job that the room will take
+	tasks int // number of the job's tasks that the freed capacity is for
 	at    time.Time
-	// For a gang: where, and how many of its tasks are to run there once all that was asked to make room there has.
+	// For a gang: the victim's machine, and how many of the gang's tasks will run there once all victims on it have
+	// exited.
 	machine string
 	slots   int
 }
 
-// expireEvictions forgets evictions that took too long, and counts by job the tasks that the others make room for.
-func (s *Scheduler) expireEvictions(now time.Time) (comingRoom map[string]int) {
-	comingRoom = map[string]int{}
+// expireEvictions drops evictions that have timed out. It returns by job the number of tasks that the remaining
+// evictions free capacity for.
+func (s *Scheduler) expireEvictions(now time.Time) (servedTasks map[string]int) {
+	servedTasks = map[string]int{}
 	for ref, e := range s.evictions {
-		if now.Sub(e.at) > evictionLife {
+		if now.Sub(e.at) > evictionTimeout {
 			delete(s.evictions, ref)
 		} else {
-			comingRoom[e.job] += e.tasks
+			servedTasks[e.job] += e.tasks
 		}
 	}
-	return comingRoom
+	return servedTasks
 }
 
-// forgetFinishedEvictions forgets evictions whose victims have exited, as a machine's status says.
+// forgetFinishedEvictions drops the evictions whose victims have exited according to a machine's status.
 func (s *Scheduler) forgetFinishedEvictions(status *jobstate.MachineStatus) {
 	if len(s.evictions) == 0 {
 		return
@@ -50,7 +52,8 @@
 	})
 }
 
-// gangSlots is where tasks are being stopped for a gang, and how many of its tasks are to run there.
+// gangSlots returns the machines where tasks are being evicted for a gang, with the number of its tasks that will run
+// on each.
 func (s *Scheduler) gangSlots(uid string) map[string]int {
 	slots := map[string]int{}
 	for _, e := range s.evictions {
@@ -61,13 +64,14 @@
 	return slots
 }
 
-// evict has a task stopped.
+// evict records that a task is to be stopped and adds it to the result of the pass.
 func (p *pass) evict(victim jobstate.AttemptRef, e eviction) {
 	p.scheduler.evictions[victim] = e
 	p.evictions = append(p.evictions, Eviction{Victim: victim, For: e.job})
 }
 
-// allHosts lists all machines that may take tasks, those with room as this pass left them.
+// allHosts returns all machines that accept tasks, including full ones. Hosts that this pass already uses are returned
+// with the capacity it has left free.
 func (p *pass) allHosts() []*placement.Host {
 	left := map[string]*placement.Host{}
 	for _, h := range p.hosts {
--- a/internal/scheduler/fixture_test.go
+++ b/internal/scheduler/fixture_test.go
@@ -15,7 +15,7 @@
 	"topazhollow/internal/settings"
 )
 
-// testTeam is an own team whose tasks go ahead only where its demands say so.
+// testTeam is an own team that prioritizes only the first tasks of large arrays.
 type testTeam struct{ *jobstate.Team }
 
 func (testTeam) PrioritizedTasks(demands []jobstate.Demand, _ time.Time) []int {
@@ -28,7 +28,7 @@
 	return prioritized
 }
 
-// cluster is a controller's knowledge of a deployment with two zones, all of whose machines accept tasks.
+// cluster implements Snapshot for a deployment with two zones in which all machines accept tasks.
 type cluster struct {
 	t         *testing.T
 	scheduler *Scheduler
@@ -40,7 +40,8 @@
 	machines  []string
 }
 
-// newCluster has machines of 32 CPUs, three of four of them spot, and teams with a large guarantee and limit.
+// newCluster returns a cluster of machines with 32 CPUs, three out of four of them spot, and of teams with a large
+// guarantee and limit.
 func newCluster(t *testing.T, machines, teams int) *cluster {
 	c := &cluster{t: t, now: time.Unix(10000, 0), jobs: map[string]*Job{}}
 	c.settings.Zones = []string{"east", "west"}
@@ -59,14 +60,14 @@
 	return c
 }
 
-// observe has a machine report these tasks.
+// observe reports a status with these tasks for a machine.
 func (c *cluster) observe(machine int, tasks ...jobstate.TaskStatus) {
 	status := &jobstate.MachineStatus{Machine: c.machines[machine], Type: "m32", Zone: c.settings.Zones[machine%2],
 		Spot: machine%4 > 0, Incarnation: 1, Tasks: tasks}
 	c.scheduler.ObserveMachine(status, c, c.now)
 }
 
-// submit has a user submit a job to a team some time ago.
+// submit adds a job to a team that was submitted age ago.
 func (c *cluster) submit(team int, age time.Duration, spec protocol.Submission) {
 	spec.Team = fmt.Sprintf("team-%d", team)
 	j := &Job{Spec: &spec, SubmittedAt: c.now.Add(-age), Active: true}
@@ -79,8 +80,8 @@
 // pass runs a scheduling pass.
 func (c *cluster) pass() Result { return c.scheduler.Pass(c, c.now) }
 
-// run lets time pass by half seconds, with a pass in each: what was placed runs, and nothing ends. It gives the tasks that
-// were to be stopped, by the job that needs their room.
+// run advances the time in steps of half a second with a pass in each. Placed tasks run and never end. It returns the
+// evicted tasks, each with the job that it was evicted for.
 func (c *cluster) run(seconds int) (victims map[jobstate.AttemptRef]string) {
 	victims = map[jobstate.AttemptRef]string{}
 	for range 2 * seconds {
@@ -98,7 +99,7 @@
 	return victims
 }
 
-// runningOn lists the tasks that were placed on a machine.
+// runningOn returns the tasks that were placed on a machine, as running.
 func (c *cluster) runningOn(machine string) (tasks []jobstate.TaskStatus) {
 	c.AssignmentsOn(machine, func(a jobstate.Assignment) {
 		tasks = append(tasks, jobstate.TaskStatus{TaskID: a.TaskID, Attempt: a.Attempt, State: protocol.Running})
--- a/internal/scheduler/gangpreemption.go
+++ b/internal/scheduler/gangpreemption.go
@@ -8,10 +8,10 @@
 	"topazhollow/internal/protocol"
 )
 
-// What connects internal/gangpreemption, which decides which tasks to stop for a gang, to a pass.
+// This file connects scheduling passes to internal/gangpreemption, which decides which tasks to stop for a gang.
 
-// preemptForGangs has tasks of lower priority stopped for the most urgent waiting gang of each own team, one gang at a
-// time. A gang beyond its team's guarantee stops tasks of its own team only.
+// preemptForGangs evicts tasks of lower priority for the most urgent waiting gang of each own team, one gang per team
+// at a time. A gang that exceeds its team's guarantee evicts only tasks of the same team.
 func (p *pass) preemptForGangs() {
 	for _, team := range p.teams {
 		if !team.Quota().ReservesCapacityForGangs() || !team.Quota().ReservesForGangs() {
@@ -19,13 +19,13 @@
 		}
 		w := p.firstGang(team)
 		if w != nil && p.now.Sub(w.submittedAt) > preemptionDelay && protocol.Rank(w.spec.Priority) > 0 && !w.spec.Spread {
-			p.makeGangRoom(w)
+			p.preemptForGang(w)
 		}
 	}
 }
 
-// firstGang is the most urgent gang of a team that found no room, or else the first that waits for quota; nil if there
-// is none. One that can reach no objective any more stops nobody: what is stopped for it might still have reached its own.
+// firstGang returns the most urgent unplaced gang of a team, or else the first gang that waits for quota, or nil. Gangs
+// that can no longer meet any objective are skipped: their victims might still have met their own.
 func (p *pass) firstGang(team Team) *waitingTasks {
 	for i := range p.unplaced {
 		w := &p.unplaced[i]
@@ -45,7 +45,7 @@
 	return first
 }
 
-// missedObjectives says whether a job can reach none of its objectives any more.
+// missedObjectives reports whether a job can no longer meet any of its objectives.
 func (p *pass) missedObjectives(uid string) bool {
 	j, known := p.snapshot.Job(uid)
 	if !known {
@@ -55,8 +55,8 @@
 	return late
 }
 
-// makeGangRoom asks for the stops that make room for a gang, unless some are under way already.
-func (p *pass) makeGangRoom(w *waitingTasks) {
+// preemptForGang evicts the tasks that make room for a gang, unless evictions for it are already in progress.
+func (p *pass) preemptForGang(w *waitingTasks) {
 	missing, _ := w.team.MissingGangTasks(w.job)
 	if len(missing) == 0 || len(p.scheduler.gangSlots(w.spec.UID)) > 0 {
 		return
@@ -81,25 +81,25 @@
 	}
 }
 
-// sizeOf is what a task of a job takes.
+// sizeOf returns the resources that a task of a job uses.
 func sizeOf(spec *protocol.Submission) gangpreemption.Amount {
 	return gangpreemption.Amount{CPUs: spec.CPUs, GPUs: spec.GPUs, MemoryGB: spec.MemoryGB}
 }
 
-// gangSearch is what a gang may use and stop.
+// gangSearch collects the machines that a gang may use and the tasks that may be stopped for it.
 type gangSearch struct {
 	pass     *pass
 	gang     *waitingTasks
 	ownOnly  bool // only tasks of the gang's team may be stopped
 	machines []gangpreemption.Machine
-	hosts    []*placement.Host         // of the machines
-	victims  []victim                  // by their ids
+	hosts    []*placement.Host         // same indices as machines
+	victims  []victim                  // indexed by Victim.ID
 	stopped  map[admission.Key]float64 // CPUs of the victims
 }
 
-// searchGangRoom lists the machines that a gang may use, with what may be stopped there for it.
+// searchGangRoom collects the machines that a gang may use, with the tasks that may be stopped on them.
 func (p *pass) searchGangRoom(w *waitingTasks, ownOnly bool) *gangSearch {
-	p.scheduler.estimateCompletions(p.snapshot, p.now) // counts what runs, for the floors
+	p.scheduler.estimateCompletions(p.snapshot, p.now) // updates runningCPUs, which the floors are checked against
 	ask, zones := p.scheduler.ask(w.spec), p.scheduler.zoneRule(w)
 	search := &gangSearch{pass: p, gang: w, ownOnly: ownOnly, stopped: map[admission.Key]float64{}}
 	victims := p.newVictimSearch()
@@ -111,13 +111,13 @@
 		search.machines = append(search.machines, gangpreemption.Machine{
 			Zone:    h.Zone,
 			Free:    search.freeRoom(h, ask),
-			Victims: search.victimsOf(victims.on(h)),
+			Victims: search.victimsOf(victims.candidatesOn(h)),
 		})
 	}
 	return search
 }
 
-// freeRoom is the free room on a host, with what this pass reserved for the gang itself.
+// freeRoom returns the free capacity of a host, including what this pass has reserved for the gang.
 func (s *gangSearch) freeRoom(h *placement.Host, ask *placement.Ask) gangpreemption.Amount {
 	reserved := float64(s.pass.reserved[reservationKey{s.gang.spec.UID, h.Name}])
 	return gangpreemption.Amount{
@@ -127,21 +127,21 @@
 	}
 }
 
-// victimsOf lists those of a host's tasks that may be stopped for the gang.
+// victimsOf selects from a host's tasks those that may be stopped for the gang.
 func (s *gangSearch) victimsOf(list []victim) (allowed []gangpreemption.Victim) {
 	for _, v := range list {
 		own := v.spec.Team == s.gang.spec.Team
 		if protocol.Rank(v.spec.Priority) >= protocol.Rank(s.gang.spec.Priority) || s.ownOnly && !own || !s.countStopped(v.spec) {
 			continue
 		}
-		allowed = append(allowed, gangpreemption.Victim{ID: len(s.victims), LostCPUSeconds: v.lost, Own: own, Size: sizeOf(v.spec)})
+		allowed = append(allowed, gangpreemption.Victim{ID: len(s.victims), LostCPUSeconds: v.lostCPUSeconds, Own: own, Size: sizeOf(v.spec)})
 		s.victims = append(s.victims, v)
 	}
 	return allowed
 }
 
-// countStopped counts a task as stopped; false if its class would not keep its floor without it and those that were
-// counted before.
+// countStopped adds a task to the stopped CPUs of its class. It returns false without adding it if the class would drop
+// below its floor.
 func (s *gangSearch) countStopped(spec *protocol.Submission) bool {
 	key := admissionKey(spec)
 	if !s.pass.keepsFloorWithout(spec, s.stopped[key]) {
--- a/internal/scheduler/gangs.go
+++ b/internal/scheduler/gangs.go
@@ -5,13 +5,13 @@
 	"topazhollow/internal/placement"
 )
 
-// placeGang finds room for all missing tasks of a gang, or takes none.
+// placeGang places all missing tasks of a gang, or none of them.
 func (p *pass) placeGang(w *waitingTasks, ask *placement.Ask) bool {
 	missing, attempt := w.team.MissingGangTasks(w.job)
 	if len(missing) == 0 {
-		return true // it runs or ends
+		return true // the gang is running or ending
 	}
-	for _, zone := range p.scheduler.zonesToTry(w) {
+	for _, zone := range p.scheduler.candidateZones(w) {
 		if p.placeGangIn(zone, w, ask, missing, attempt) {
 			return true
 		}
@@ -19,8 +19,8 @@
 	return false
 }
 
-// zonesToTry lists the zones in which all of a gang may go, or anyZone if they may differ.
-func (s *Scheduler) zonesToTry(w *waitingTasks) []int {
+// candidateZones returns the zones that can hold a whole gang, or anyZone if its tasks may be in different zones.
+func (s *Scheduler) candidateZones(w *waitingTasks) []int {
 	if !w.job.Spec.OneZone {
 		return []int{anyZone}
 	}
@@ -31,7 +31,7 @@
 	return zones
 }
 
-// placeGangIn places all missing tasks of a gang in a zone, or takes no room.
+// placeGangIn places all missing tasks of a gang in a zone. If they do not all fit, it releases what it took.
 func (p *pass) placeGangIn(zone int, w *waitingTasks, ask *placement.Ask, missing []int, attempt uint64) bool {
 	taken := p.takeGangRoom(zone, w, ask, missing)
 	if len(taken) == len(missing) {
@@ -50,7 +50,7 @@
 	return false
 }
 
-// takeGangRoom takes room for as many of a gang's missing tasks as it can, by their index.
+// takeGangRoom allocates hosts to as many of a gang's missing tasks as fit and returns them by task index.
 func (p *pass) takeGangRoom(zone int, w *waitingTasks, ask *placement.Ask, missing []int) map[int]*placement.Host {
 	zones := p.scheduler.zoneRule(w)
 	taken := map[int]*placement.Host{}
--- a/internal/scheduler/machines.go
+++ b/internal/scheduler/machines.go
@@ -10,46 +10,46 @@
 	"topazhollow/internal/protocol"
 )
 
-// maxImages bounds the images that are remembered to be on a machine.
+// maxImages bounds the number of images recorded per machine.
 const maxImages = 64
 
-// machine is what is kept of a machine that has reported.
+// machine is the cached state of a machine that has reported.
 type machine struct {
 	status       *jobstate.MachineStatus
-	host         placement.Host // its free room, if counted
-	counted      bool
-	images       map[string]bool                   // that its tasks have used
-	runningSince map[jobstate.AttemptRef]time.Time // since when a listed task was seen running
+	host         placement.Host                    // valid if roomCurrent
+	roomCurrent  bool                              // host's free capacity is up to date
+	images       map[string]bool                   // images used by its tasks
+	runningSince map[jobstate.AttemptRef]time.Time // when each running task was first seen running
 }
 
 // CompletedTask is a task that ran to completion.
 type CompletedTask struct {
 	Job string
-	Ran time.Duration // since it was first seen running
+	Ran time.Duration // time since it was first seen running
 }
 
-// Observation is what a machine's status says of its tasks for the first time.
+// Observation lists the tasks that a machine's status shows as started or completed for the first time.
 type Observation struct {
-	Started   []jobstate.AttemptRef // seen running
+	Started   []jobstate.AttemptRef // first seen running
 	Completed []CompletedTask
 }
 
-// ObserveMachine takes in a machine's newer status.
+// ObserveMachine applies a newer status of a machine.
 func (s *Scheduler) ObserveMachine(status *jobstate.MachineStatus, jobs Jobs, now time.Time) Observation {
 	m := s.machines[status.Machine]
 	if m == nil {
 		m = &machine{images: map[string]bool{}}
 		s.machines[status.Machine] = m
-		s.placeable = append(s.placeable, m)
+		s.orderedMachines = append(s.orderedMachines, m)
 	}
-	m.status, m.counted = status, false
+	m.status, m.roomCurrent = status, false
 	observed := m.observeTasks(now)
 	s.forgetFinishedEvictions(status)
 	m.rememberImages(jobs)
 	return observed
 }
 
-// observeTasks brings up to date since when the listed tasks run.
+// observeTasks updates when each listed task was first seen running.
 func (m *machine) observeTasks(now time.Time) (observed Observation) {
 	running := make(map[jobstate.AttemptRef]time.Time, len(m.status.Tasks))
 	for _, t := range m.status.Tasks {
@@ -69,7 +69,7 @@
 	return observed
 }
 
-// rememberImages adds the images of the listed tasks.
+// rememberImages records the images of the listed tasks.
 func (m *machine) rememberImages(jobs Jobs) {
 	if len(m.images) > maxImages {
 		clear(m.images)
@@ -81,17 +81,17 @@
 	}
 }
 
-// RemoveMachine forgets a machine that is gone for good.
+// RemoveMachine removes a machine that has been released or lost.
 func (s *Scheduler) RemoveMachine(name string) {
 	m := s.machines[name]
 	if m == nil {
 		return
 	}
 	delete(s.machines, name)
-	s.placeable = slices.DeleteFunc(s.placeable, func(x *machine) bool { return x == m })
+	s.orderedMachines = slices.DeleteFunc(s.orderedMachines, func(x *machine) bool { return x == m })
 }
 
-// RunningSince is when a task on a machine was first seen running; false if it is not listed as running.
+// RunningSince returns when a task on a machine was first seen running, and false if it is not listed as running.
 func (s *Scheduler) RunningSince(machineName string, ref jobstate.AttemptRef) (since time.Time, running bool) {
 	if m := s.machines[machineName]; m != nil {
 		since, running = m.runningSince[ref]
@@ -99,35 +99,36 @@
 	return since, running
 }
 
-// InvalidateMachines has the free room of machines counted anew before it is next used.
+// InvalidateMachines marks the cached free capacity of machines as stale.
 func (s *Scheduler) InvalidateMachines(names iter.Seq[string]) {
 	for name := range names {
 		if m := s.machines[name]; m != nil {
-			m.counted = false
+			m.roomCurrent = false
 		}
 	}
 }
 
-// InvalidateAllMachines has the free room of all machines counted anew before it is next used.
+// InvalidateAllMachines marks the cached free capacity of all machines as stale.
 func (s *Scheduler) InvalidateAllMachines() {
-	for _, m := range s.placeable {
-		m.counted = false
+	for _, m := range s.orderedMachines {
+		m.roomCurrent = false
 	}
 }
 
-// Room is a machine with its free room as far as it is known here; false if its type is unknown. Machines where
-// attempts came or went since are to be invalidated first.
+// Room returns a machine with its free capacity as known to this controller, and false if the machine or its type is
+// unknown. Callers must first invalidate the machines whose assigned attempts have changed.
 func (s *Scheduler) Room(name string, assignments Assignments) (placement.Host, bool) {
 	m := s.machines[name]
-	if m == nil || !s.count(m, assignments) {
+	if m == nil || !s.refreshRoom(m, assignments) {
 		return placement.Host{}, false
 	}
 	return m.host, true
 }
 
-// Hosts lists the machines that may take tasks, with their free room as far as it is known here; those only that have
-// room for least, if that is not nil. A stale guess costs a refusal at the machine's home. Only machines where
-// something changed are counted anew. The hosts are valid until the next call of the same kind.
+// Hosts returns the machines that accept tasks, with their free capacity as known to this controller. If least is not
+// nil, machines without room for it are left out. Stale data is safe: the machine's home refuses a task that does not
+// fit. Only machines with changes are recomputed. The result is valid until the next call of the same kind, with or
+// without least.
 func (s *Scheduler) Hosts(snapshot Snapshot, now time.Time, least *placement.Ask) []*placement.Host {
 	s.InvalidateMachines(snapshot.TakeChangedMachines())
 	accepts, plan := snapshot.AcceptingMachines(now), snapshot.Plan()
@@ -136,8 +137,8 @@
 		buffer = &s.allHosts
 	}
 	*buffer = (*buffer)[:0]
-	for _, m := range s.placeable {
-		if !s.count(m, snapshot) || least != nil && !least.Fits(&m.host) || !accepts(m.status) {
+	for _, m := range s.orderedMachines {
+		if !s.refreshRoom(m, snapshot) || least != nil && !least.Fits(&m.host) || !accepts(m.status) {
 			continue
 		}
 		*buffer = append(*buffer, m.host)
@@ -150,9 +151,9 @@
 	return hosts
 }
 
-// count brings a machine's free room up to date; false if its type is unknown.
-func (s *Scheduler) count(m *machine, assignments Assignments) bool {
-	if m.counted {
+// refreshRoom recomputes a machine's free capacity if it is stale. It returns false if the machine's type is unknown.
+func (s *Scheduler) refreshRoom(m *machine, assignments Assignments) bool {
+	if m.roomCurrent {
 		return true
 	}
 	status := m.status
@@ -176,11 +177,11 @@
 		h.PricePerHour = machineType.SpotPricePerHour
 	}
 	h.CPUs, h.GPUs, h.MemoryGB = s.freeRoom(m, assignments)
-	m.host, m.counted = h, true
+	m.host, m.roomCurrent = h, true
 	return true
 }
 
-// pullsOn counts the images that a machine fetches.
+// pullsOn counts the images that a machine is pulling.
 func pullsOn(status *jobstate.MachineStatus, jobs Jobs) int {
 	images := map[string]bool{}
 	for _, t := range status.Tasks {
@@ -194,7 +195,8 @@
 	return len(images)
 }
 
-// freeRoom is a machine's room beside what it lists and what own teams hold there.
+// freeRoom returns a machine's capacity minus the tasks it lists and the unlisted attempts that own teams have assigned
+// to it.
 func (s *Scheduler) freeRoom(m *machine, assignments Assignments) (cpus, gpus, memory float64) {
 	cpus, gpus, memory, _ = s.Capacity(m.status.Type)
 	listed := map[jobstate.AttemptRef]bool{}
--- a/internal/scheduler/objectives.go
+++ b/internal/scheduler/objectives.go
@@ -12,21 +12,21 @@
 // ServiceLevels are the deployment's service-level objectives.
 type ServiceLevels []settings.Objective
 
-// Kinds of objectives, as the settings name them.
+// Kinds of objectives, as spelled in the settings.
 const (
-	objectiveFinished  = "finished"  // complete within a time
-	objectiveDeadline  = "deadline"  // complete within a multiple of the job's deadline
+	objectiveFinished  = "finished"  // jobs complete within a time
+	objectiveDeadline  = "deadline"  // jobs complete within a multiple of their deadline
 	objectiveWait      = "wait"      // tasks of a class start within a time
 	objectiveGuarantee = "guarantee" // work within a guarantee starts within a time
 )
 
-// defaultObjective is after what time a job for which nothing is stated should be complete.
+// defaultObjective is the target completion time, counted from submission, of a job without objectives or deadline.
 const defaultObjective = 24 * time.Hour
 
 func (s *Scheduler) serviceLevels() ServiceLevels { return s.config.Deployment.Objectives }
 
-// CompletionTimes lists when a job should be complete, by its deadline and the objectives for its class, in order of time; it is
-// empty, not nil, if nothing is stated.
+// CompletionTimes returns the target completion times of a job from its deadline and the objectives of its class,
+// sorted by time. It returns an empty slice, not nil, if there are none.
 func (levels ServiceLevels) CompletionTimes(spec *protocol.Submission, submittedAt time.Time) jobstate.Objectives {
 	times := jobstate.Objectives{}
 	add := func(seconds float64) { times = append(times, submittedAt.Add(settings.Seconds(seconds))) }
@@ -46,7 +46,7 @@
 	return times
 }
 
-// NextObjective is the next of a job's objectives that it can still reach; late if there is none.
+// NextObjective returns the next target completion time that a job can still meet. late is true if there is none.
 func (j *Job) NextObjective(now time.Time) (by time.Time, late bool) {
 	if len(j.Objectives) == 0 {
 		return j.SubmittedAt.Add(defaultObjective), false
@@ -54,7 +54,8 @@
 	return j.Objectives.Next(now, j.Spec.RunTime())
 }
 
-// classStartBy is when tasks of a job's class should have started; false if nothing is stated, or if it is too late.
+// classStartBy returns the time by which a job's tasks should start according to the objective of its class, and false
+// if there is no such objective or the time has passed.
 func (levels ServiceLevels) classStartBy(j *Job, now time.Time) (time.Time, bool) {
 	for _, o := range levels {
 		if o.Kind != objectiveWait || o.Class != j.Spec.Class || o.WithinSeconds <= 0 {
@@ -67,8 +68,8 @@
 	return time.Time{}, false
 }
 
-// guaranteeStartBy is when work within a guarantee should have started, of a job submitted at a time; false if nothing
-// is stated, or if it is too late.
+// guaranteeStartBy returns the time by which work within a team's guarantee should start if it was submitted at
+// submittedAt, and false if there is no such objective or the time has passed.
 func (levels ServiceLevels) guaranteeStartBy(submittedAt, now time.Time) (time.Time, bool) {
 	for _, o := range levels {
 		if o.Kind != objectiveGuarantee || o.WithinSeconds <= 0 {
--- a/internal/scheduler/pass.go
+++ b/internal/scheduler/pass.go
@@ -12,27 +12,28 @@
 	"topazhollow/internal/settings"
 )
 
-// leftoverAfter is how long a job waits before its tasks may take leftover room of machines that are reserved for a
-// class: what is too little for any waiting task of that class. Until then it may yet become enough for one.
-const leftoverAfter = time.Minute
+// leftoverDelay is how long a job must have waited before its tasks may use leftover capacity on machines reserved for
+// another class, that is, capacity too small for any waiting task of that class. The delay gives running tasks time to
+// end, after which the free capacity may suffice for a task of the class.
+const leftoverDelay = time.Minute
 
 // pass is one scheduling pass.
 type pass struct {
-	scheduler *Scheduler
-	snapshot  Snapshot
-	now       time.Time
-	teams     []Team
-	queue     []waitingTasks         // most urgent first
-	hosts     []*placement.Host      // with the room that this pass leaves
-	noRoom    []*placement.Ask       // what fits no host any more
-	unplaced  []waitingTasks         // own tasks that found no room
-	gangs     []*waitingTasks        // of the present class, that found no room for all their tasks
-	reserved  map[reservationKey]int // tasks that room is reserved for
-	evictions []Eviction
+	scheduler       *Scheduler
+	snapshot        Snapshot
+	now             time.Time
+	teams           []Team
+	queue           []waitingTasks         // most urgent first
+	hosts           []*placement.Host      // with the capacity that this pass has left free
+	unplaceableAsks []*placement.Ask       // requests that no longer fit any host
+	unplaced        []waitingTasks         // own tasks that could not be placed
+	unplacedGangs   []*waitingTasks        // gangs of the current urgency class that could not be placed as a whole
+	reserved        map[reservationKey]int // number of tasks that capacity is reserved for
+	evictions       []Eviction
 }
 
-// Pass starts what can be started, most urgent first, and searches victims for what found no room. Room that a peer's
-// more urgent tasks will take is left to them.
+// Pass places the waiting tasks that fit, most urgent first, and selects preemption victims for those that do not.
+// Capacity needed by more urgent tasks of peer controllers is left free.
 func (s *Scheduler) Pass(snapshot Snapshot, now time.Time) Result {
 	p := &pass{scheduler: s, snapshot: snapshot, now: now, teams: snapshot.Teams(), reserved: map[reservationKey]int{}}
 	p.buildQueue()
@@ -47,7 +48,7 @@
 			p.unplaced = append(p.unplaced, *w)
 		}
 	}
-	if now.Sub(s.preemptedAt) >= preemptEvery {
+	if now.Sub(s.preemptedAt) >= preemptionInterval {
 		s.preemptedAt = now
 		p.preemptForGangs()
 		p.preempt()
@@ -55,10 +56,10 @@
 	return Result{Evictions: p.evictions, Queued: len(p.queue) > 0, Unplaced: len(p.unplaced) > 0}
 }
 
-// isOwn says whether the tasks are of a team that this controller owns.
+// isOwn reports whether the tasks belong to a team that this controller owns.
 func (w *waitingTasks) isOwn() bool { return w.job != nil }
 
-// listHosts lists the machines that have room for any waiting task.
+// listHosts collects the machines that may have room for at least one waiting task.
 func (p *pass) listHosts() {
 	if len(p.queue) == 0 {
 		return
@@ -69,7 +70,7 @@
 	}
 }
 
-// smallestAsk is room that each of the waiting tasks needs at the least.
+// smallestAsk returns the minimum of each resource over all waiting tasks. A host without it fits none of them.
 func smallestAsk(queue []waitingTasks) *placement.Ask {
 	least := &placement.Ask{CPUs: math.Inf(1), GPUs: math.Inf(1), MemoryGB: math.Inf(1)}
 	for i := range queue {
@@ -81,7 +82,8 @@
 	return least
 }
 
-// setSmallestReserved tells hosts that are reserved for a class what the smallest of its waiting tasks needs.
+// setSmallestReserved sets on each host that is reserved for a class the minimum resources of that class's waiting
+// tasks.
 func setSmallestReserved(hosts []*placement.Host, queue []waitingTasks) {
 	least := map[string]placement.Room{}
 	for i := range queue {
@@ -97,27 +99,27 @@
 	}
 }
 
-// placeTasks places what it can of waiting tasks and takes that off their count.
+// placeTasks places as many of the waiting tasks as possible and reduces their count accordingly.
 func (p *pass) placeTasks(w *waitingTasks) {
 	ask := p.scheduler.ask(w.spec)
 	ask.MinimizeTime = p.scheduler.hasNoSlack(w, p.now)
-	ask.MayUseLeftover = p.now.Sub(w.submittedAt) > leftoverAfter
+	ask.MayUseLeftover = p.now.Sub(w.submittedAt) > leftoverDelay
 	switch {
 	case !w.isOwn():
-		p.leaveRoomToPeer(w, ask)
+		p.leaveRoomForPeer(w, ask)
 	case w.job.Spec.Kind == protocol.Gang:
 		if p.placeGang(w, ask) {
 			w.count = 0
 		} else {
-			p.gangs = append(p.gangs, w)
+			p.unplacedGangs = append(p.unplacedGangs, w)
 		}
 	default:
 		p.placeEach(w, ask)
 	}
 }
 
-// leaveRoomToPeer takes room for a peer's tasks out of this pass.
-func (p *pass) leaveRoomToPeer(w *waitingTasks, ask *placement.Ask) {
+// leaveRoomForPeer subtracts the capacity for a peer's tasks from the hosts of this pass.
+func (p *pass) leaveRoomForPeer(w *waitingTasks, ask *placement.Ask) {
 	for ; w.count > 0; w.count-- {
 		h := p.choose(ask, func(*placement.Host) bool { return false })
 		if h == nil {
@@ -146,9 +148,10 @@
 	})
 }
 
-// choose finds a host that is not to be skipped; nil if none has room.
+// choose returns a host that has room for a task and is not skipped, or nil. If no host was skipped, the request is
+// recorded in unplaceableAsks, so that larger ones fail without another search.
 func (p *pass) choose(ask *placement.Ask, skip func(*placement.Host) bool) *placement.Host {
-	if slices.ContainsFunc(p.noRoom, ask.Exceeds) {
+	if slices.ContainsFunc(p.unplaceableAsks, ask.Exceeds) {
 		return nil
 	}
 	skipped := false
@@ -158,23 +161,23 @@
 		return skip
 	})
 	if h == nil && !skipped {
-		p.noRoom = append(p.noRoom, ask)
+		p.unplaceableAsks = append(p.unplaceableAsks, ask)
 	}
 	return h
 }
 
-// chooseHost finds the best of a sample of the hosts that have room; nil if none has.
+// chooseHost returns the best host from a sample of those that have room, or nil if none has.
 func (s *Scheduler) chooseHost(hosts []*placement.Host, ask *placement.Ask, skip func(*placement.Host) bool) *placement.Host {
 	return placement.Choose(s.config.Random, hosts, ask, s.config.Options.SampleSize, skip)
 }
 
-// location is a host as a team's account names it.
+// location converts a host to the form in which team accounts record it.
 func (s *Scheduler) location(h *placement.Host) jobstate.Location {
 	return jobstate.Location{Machine: h.Name, Zone: s.machines[h.Name].status.Zone, Incarnation: h.Incarnation}
 }
 
-// hasNoSlack says whether tasks would not be complete in time if they ran three times as long as estimated after
-// fetching their image.
+// hasNoSlack reports whether the tasks would miss their objective if they took three times their estimated run time
+// after fetching the image.
 func (s *Scheduler) hasNoSlack(w *waitingTasks, now time.Time) bool {
 	if w.spec.Kind != protocol.JobArray || w.late || w.borrowed {
 		return false
@@ -183,10 +186,10 @@
 	return w.latestStart.Sub(now) <= 2*w.spec.RunTime()+fetch+preemptionDelay
 }
 
-// serviceRun is how long a service's task is taken to run, in seconds.
-const serviceRun = 1e6
+// serviceRunSeconds is the assumed run time of a service's task, in seconds.
+const serviceRunSeconds = 1e6
 
-// ask is what a task of a job needs of a machine.
+// ask returns the placement request of a job's task.
 func (s *Scheduler) ask(spec *protocol.Submission) *placement.Ask {
 	ask := &placement.Ask{
 		CPUs:       spec.CPUs,
@@ -200,7 +203,7 @@
 		Class:      spec.Class,
 	}
 	if spec.Kind == protocol.Service {
-		ask.RunSeconds = serviceRun
+		ask.RunSeconds = serviceRunSeconds
 	}
 	if spec.Zone != nil {
 		ask.Zone = s.zoneIndex(*spec.Zone)
--- a/internal/scheduler/pass_test.go
+++ b/internal/scheduler/pass_test.go
@@ -10,13 +10,13 @@
 	"topazhollow/internal/protocol"
 )
 
-// TestNoSlackMinimizesTime: a task with hardly any time left went to a cheap machine that had to fetch its image for
-// longer than it had, beside an expensive one that had the image. What has time goes where it costs least.
+// TestNoSlackMinimizesTime guards against placing a task that is almost due on a cheap machine that must fetch its
+// image first, although a more expensive machine has the image. Tasks with enough time are placed at the lowest cost.
 func TestNoSlackMinimizesTime(t *testing.T) {
 	for _, deadline := range []float64{30, 300} {
 		c := newCluster(t, 8, 1)
 		c.jobs["job-000009"] = &Job{Spec: &protocol.Submission{UID: "job-000009", Image: "img"}}
-		for i := 0; i < len(c.machines); i += 4 { // the ordinary ones
+		for i := 0; i < len(c.machines); i += 4 { // the on-demand machines
 			c.observe(i, jobstate.TaskStatus{TaskID: jobstate.TaskID{Job: "job-000009"}, Attempt: 1, State: protocol.Exited})
 		}
 		c.submit(0, 0, protocol.Submission{UID: "job-000001", Kind: protocol.JobArray, Priority: "high",
@@ -35,10 +35,10 @@
 	}
 }
 
-// TestUnusedReservationIsReleased: room was reserved without end for a gang that could not start, so that an array
-// waited for minutes beside it. After a minute in which no gang started the array gets it.
+// TestUnusedReservationIsReleased guards against reserving capacity indefinitely for a gang that cannot start while an
+// array waits. After a minute in which no gang has started, the array gets the capacity.
 func TestUnusedReservationIsReleased(t *testing.T) {
-	c := newCluster(t, 8, 2) // two of them ordinary, in one zone
+	c := newCluster(t, 8, 2) // two machines are on-demand, both in one zone
 	gangs, arrays := c.teams[0], c.teams[1]
 	submit := func(team int, uid, priority string, kind protocol.JobKind, tasks int, cpus float64) {
 		c.submit(team, 0, protocol.Submission{UID: uid, Kind: kind, Priority: priority, Tasks: tasks, CPUs: cpus,
@@ -62,22 +62,23 @@
 		t.Errorf("%d of 40 tasks of the array were placed after a minute", got)
 	}
 	if got := len(gangs.Replica().Assignments); got != 1 {
-		t.Errorf("%d tasks of the other team are held, want the service alone", got)
+		t.Errorf("%d tasks of the other team are placed, want only the service", got)
 	}
 }
 
-// TestLeftoverRoomOfReservedMachines: a small job waited for minutes beside room on machines that were reserved for a
-// class whose larger tasks did not fit there. After a while it has that room, and never what the class could use.
+// TestLeftoverRoomOfReservedMachines guards against a small job waiting beside free capacity on machines that are
+// reserved for a class whose larger tasks do not fit into it. After leftoverDelay the job may use such capacity, but
+// never capacity that the class could use.
 func TestLeftoverRoomOfReservedMachines(t *testing.T) {
 	for _, x := range []struct {
 		name       string
-		begun      int // small tasks of 2 CPUs on the machine of 32
+		begun      int // running tasks of 2 CPUs on the machine of 32
 		age        time.Duration
 		wantPlaced int
 	}{
-		{"a job that has just come", 15, time.Second, 0},
-		{"a job that has waited", 15, leftoverAfter + time.Second, 1},
-		{"a job that has waited, beside room for the class", 14, leftoverAfter + time.Second, 0},
+		{"a job submitted just now", 15, time.Second, 0},
+		{"a job past the delay", 15, leftoverDelay + time.Second, 1},
+		{"a job past the delay, room for the class", 14, leftoverDelay + time.Second, 0},
 	} {
 		t.Run(x.name, func(t *testing.T) {
 			c := newCluster(t, 1, 1)
@@ -89,11 +90,11 @@
 			submit("job-000001", "small", x.begun, 2, 0, nil)
 			c.pass()
 			c.plan = &admission.Plan{ID: admission.ID{SinceTerm: 1, Number: 1}, Reserved: map[string]string{c.machines[0]: "large"}}
-			team.Job("job-000001").Finishing = true // it asks for nothing more
+			team.Job("job-000001").Finishing = true // it requests no more tasks
 			submit("job-000002", "small", 1, 2, x.age, nil)
 			var zone *string
 			if x.begun < 15 {
-				elsewhere := "west" // where no machine is, so that the room stays free
+				elsewhere := "west" // has no machine, so that the capacity stays free
 				zone = &elsewhere
 			}
 			submit("job-000003", "large", 1, 4, 0, zone)
@@ -105,8 +106,8 @@
 	}
 }
 
-// TestSurplusUsesRoomThatDemandsCannot: large tasks that found no room asked for all that a team's limit left, and
-// small ones without a goal waited for minutes beside room that they fit.
+// TestSurplusUsesRoomThatDemandsCannot guards against small tasks without a deadline waiting beside capacity that they
+// fit into, because larger tasks that do not fit request all that is left of the team's limit.
 func TestSurplusUsesRoomThatDemandsCannot(t *testing.T) {
 	for _, x := range []struct {
 		name  string
@@ -117,7 +118,7 @@
 		{"limit nearly used up", 38, 0},
 	} {
 		t.Run(x.name, func(t *testing.T) {
-			c := newCluster(t, 1, 1) // of 32 CPUs
+			c := newCluster(t, 1, 1) // one machine with 32 CPUs
 			team := c.teams[0]
 			team.Quota().SetLimits(jobstate.Limits{Max: jobstate.Resources{CPUs: x.limit, GPUs: math.Inf(1)}})
 			deadline := 500.0
@@ -131,7 +132,7 @@
 			submit("job-000003", "small", 1, 2, nil)
 			for _, d := range team.Quota().Demands(c.now) {
 				if d.Spec.Class == "small" && d.Count > 0 {
-					t.Fatal("the small job is asked for anyway")
+					t.Fatal("the small job is among the demands")
 				}
 			}
 			c.pass()
--- a/internal/scheduler/preemption.go
+++ b/internal/scheduler/preemption.go
@@ -7,52 +7,53 @@
 	"topazhollow/internal/protocol"
 )
 
-// Periods of preemption.
+// Intervals and delays of preemption.
 const (
-	// preemptEvery is how often victims are searched. Each search goes through all machines, and what is found takes
-	// seconds to end.
-	preemptEvery = 200 * time.Millisecond
-	// preemptionDelay is how long a job waits for room that comes free by itself before others are stopped for it.
+	// preemptionInterval is the minimum interval between two searches for victims. Each search scans all machines, and
+	// the victims take seconds to exit, so searching in every pass would gain nothing.
+	preemptionInterval = 200 * time.Millisecond
+	// preemptionDelay is how long a job waits for running tasks to complete before others are stopped for it.
 	preemptionDelay = 3 * time.Second
-	// completionsEvery is how often it is estimated anew what running tasks give back.
-	completionsEvery = 250 * time.Millisecond
+	// completionsInterval is the interval at which the completion rates of running tasks are estimated again.
+	completionsInterval = 250 * time.Millisecond
 )
 
-// slack absorbs rounding in sums of CPUs.
-const slack = 1e-6
+// roundingTolerance is the tolerance for rounding errors in sums of CPUs.
+const roundingTolerance = 1e-6
 
-// maxEvictions bounds the tasks for which one pass seeks room by stopping others; the next one goes on.
+// maxEvictions bounds the number of waiting tasks for which one pass evicts others. The next pass handles the rest.
 const maxEvictions = 32
 
-// preemption is a pass's search for tasks to stop for others that run independently of each other.
+// preemption selects the tasks that a pass stops in favor of array and service tasks. For gangs see preemptForGangs.
 type preemption struct {
 	pass        *pass
-	completions []completionRate // nil before it is needed
-	promised    float64          // CPUs of those, for more urgent tasks
-	search      *victimSearch    // nil before it is needed
+	completions []completionRate // nil until first needed
+	bookedCPUs  float64          // CPUs of expected completions that are booked for more urgent tasks
+	search      *victimSearch    // nil until first needed
 }
 
-// preempt frees room for waiting tasks of higher priority, at the least loss. What borrows stops nobody: the room would
-// go to those within their guarantee, and the stopped task would come back only to be stopped again.
+// preempt evicts tasks for unplaced tasks of higher priority, choosing the victims that lose the least progress.
+// Borrowed work evicts nothing: the freed capacity would go to work within its guarantee, and the evicted task would be
+// queued again only to be evicted once more.
 func (p *pass) preempt() {
-	comingRoom := p.scheduler.expireEvictions(p.now)
+	servedTasks := p.scheduler.expireEvictions(p.now)
 	search := &preemption{pass: p}
 	for i := range p.unplaced {
 		w := &p.unplaced[i]
-		need := w.count - comingRoom[w.job.Spec.UID]
+		need := w.count - servedTasks[w.job.Spec.UID]
 		if need > 0 && w.mayPreempt() {
-			search.freeRoom(w, need)
+			search.makeRoom(w, need)
 		}
 	}
 }
 
-// mayPreempt says whether others may be stopped for waiting tasks.
+// mayPreempt reports whether running tasks may be stopped for these waiting tasks.
 func (w *waitingTasks) mayPreempt() bool {
 	return !w.borrowed && !w.probe && w.job.Spec.Kind != protocol.Gang && protocol.Rank(w.job.Spec.Priority) != 0
 }
 
-// freeRoom stops tasks of lower priority for so many waiting ones.
-func (r *preemption) freeRoom(w *waitingTasks, need int) {
+// makeRoom stops tasks of lower priority to make room for need of the waiting tasks.
+func (r *preemption) makeRoom(w *waitingTasks, need int) {
 	need -= r.bookCompletions(w.job.Spec, need)
 	if need <= 0 {
 		return
@@ -61,9 +62,9 @@
 		r.search = r.pass.newVictimSearch()
 	}
 	ask, zones := r.pass.scheduler.ask(w.job.Spec), r.pass.scheduler.zoneRule(w)
-	for ; need > 0 && r.search.left > 0; need-- {
-		r.search.left--
-		cheapest := r.search.cheapestRoom(ask, w.job, zones)
+	for ; need > 0 && r.search.remainingTasks > 0; need-- {
+		r.search.remainingTasks--
+		cheapest := r.search.cheapestEvictionSet(ask, w.job, zones)
 		if cheapest.host == nil {
 			return
 		}
@@ -73,29 +74,29 @@
 	}
 }
 
-// bookCompletions says how many of a job's tasks find room within preemptionDelay by what ends by itself, and books
-// that room. It goes to the most urgent anyway, if it leaves room enough: the room of smaller tasks is taken by others
-// like them.
+// bookCompletions returns how many of a job's tasks, at most need, will fit within preemptionDelay into capacity that
+// completing tasks free, and books that capacity. Capacity freed by smaller tasks does not count: other small tasks
+// take it first.
 func (r *preemption) bookCompletions(spec *protocol.Submission, need int) (count int) {
 	if r.completions == nil {
 		r.completions = r.pass.scheduler.estimateCompletions(r.pass.snapshot, r.pass.now)
 	}
-	soon := -r.promised
+	soon := -r.bookedCPUs
 	for _, c := range r.completions {
-		if c.taskCPUs+slack >= spec.CPUs {
+		if c.taskCPUs+roundingTolerance >= spec.CPUs {
 			soon += c.rate * preemptionDelay.Seconds()
 		}
 	}
 	for count < need && soon >= spec.CPUs {
 		soon -= spec.CPUs
-		r.promised += spec.CPUs
+		r.bookedCPUs += spec.CPUs
 		count++
 	}
 	return count
 }
 
-// stop has the victims on a host stopped for a job.
-func (r *preemption) stop(chosen clearance, job string) {
+// stop evicts the chosen victims on a host for a job.
+func (r *preemption) stop(chosen evictionSet, job string) {
 	for i, v := range chosen.victims {
 		e := eviction{job: job, at: r.pass.now}
 		if i == 0 {
@@ -107,16 +108,16 @@
 	r.search.remove(chosen)
 }
 
-// completionRate is how many CPUs tasks of one size give back per second.
+// completionRate is the number of CPUs per second that completing tasks of one size are expected to free.
 type completionRate struct{ taskCPUs, rate float64 }
 
-// estimateCompletions estimates what running tasks give back, by job, and counts what runs.
+// estimateCompletions estimates the completion rate of each job's running tasks and updates runningCPUs.
 func (s *Scheduler) estimateCompletions(jobs Jobs, now time.Time) []completionRate {
-	if s.completions != nil && now.Sub(s.completionsAt) < completionsEvery {
+	if s.completions != nil && now.Sub(s.completionsAt) < completionsInterval {
 		return s.completions
 	}
 	running := map[string]int{}
-	for _, m := range s.placeable {
+	for _, m := range s.orderedMachines {
 		for ref := range m.runningSince {
 			running[ref.Job]++
 		}
@@ -137,13 +138,13 @@
 	return s.completions
 }
 
-// admissionKey is what a job counts for in an admission plan.
+// admissionKey returns the team and class under which an admission plan counts a job.
 func admissionKey(spec *protocol.Submission) admission.Key {
 	return admission.Key{Team: spec.Team, Class: spec.Class}
 }
 
-// keepsFloorWithout says whether a class keeps its floor by the plan without one of its tasks, and without so many
-// CPUs that are to be stopped anyway.
+// keepsFloorWithout reports whether the class of a task would still reach its floor in the admission plan if the task
+// and another stopped CPUs of the class were gone.
 func (p *pass) keepsFloorWithout(spec *protocol.Submission, stopped float64) bool {
 	key := admissionKey(spec)
 	floor := p.snapshot.Plan().Floor(key)
--- a/internal/scheduler/preemption_test.go
+++ b/internal/scheduler/preemption_test.go
@@ -6,10 +6,10 @@
 	"topazhollow/internal/protocol"
 )
 
-// TestGuaranteeBeatsIdleTimeWork: a guest without a guarantee fills the machines with work of low priority. What a team
-// waits for within its guarantee must not wait for that to end, even after half of its time; what borrows itself stops
-// nobody.
-func TestGuaranteeBeatsIdleTimeWork(t *testing.T) {
+// TestGuaranteedWorkPreemptsLowPriority: a team without a guarantee fills the machines with work of low priority. Tasks
+// of another team within its guarantee preempt that work instead of waiting for it to end. Borrowed work preempts
+// nothing.
+func TestGuaranteedWorkPreemptsLowPriority(t *testing.T) {
 	for _, borrowed := range []bool{false, true} {
 		c := newCluster(t, 8, 2)
 		quota := c.teams[1].Quota()
@@ -22,33 +22,33 @@
 		}
 		submit(1, "job-000001", "low", 64, 4, 600)
 		if victims := c.run(12); len(victims) > 0 {
-			t.Fatalf("%d tasks asked to make room while nothing waits", len(victims))
+			t.Fatalf("%d tasks evicted while nothing waits", len(victims))
 		}
 		if held, _ := c.teams[1].Assignments().Count(); held != 64 {
-			t.Fatalf("%d of 64 idle-time tasks run", held)
+			t.Fatalf("%d of 64 low-priority tasks run", held)
 		}
 		team := 0
 		if borrowed {
 			team = 1
 		}
-		// Many small tasks that end soon make no room for a large one.
+		// A large task does not fit into the capacity that many small tasks free one by one.
 		submit(team, "job-000002", "standard", 4, 16, 40)
 		if victims := c.run(1); (len(victims) > 0) == borrowed {
-			t.Errorf("borrowed %v: %d tasks asked to make room", borrowed, len(victims))
+			t.Errorf("borrowed %v: %d tasks evicted", borrowed, len(victims))
 		}
 	}
 }
 
-// TestGangStopsLessUrgentWork: gangs of high priority waited for minutes until arrays of their team were over. Beyond
-// its guarantee a gang stops tasks of its own team, as many as it takes, and none of others; one of low priority stops
-// nothing, nor does one that can reach no objective any more.
-func TestGangStopsLessUrgentWork(t *testing.T) {
+// TestGangPreemptsLessUrgentWork guards against gangs of high priority waiting until arrays of their own team end. A
+// gang beyond its team's guarantee evicts as many tasks of that team as it needs and none of other teams. A gang of low
+// priority evicts nothing, nor does one that can no longer meet any objective.
+func TestGangPreemptsLessUrgentWork(t *testing.T) {
 	for _, x := range []struct {
 		priority string
 		deadline float64
 		stops    int
 	}{{"high", 1000, 40}, {"low", 1000, 0}, {"high", 100, 0}} {
-		c := newCluster(t, 8, 2) // two of them ordinary, of 32 CPUs and in one zone
+		c := newCluster(t, 8, 2) // two machines are on-demand, with 32 CPUs each and in one zone
 		quota := c.teams[0].Quota()
 		limits := quota.Limits()
 		limits.Guaranteed.CPUs = 0
@@ -61,18 +61,18 @@
 		submit(1, "job-000001", "standard", protocol.JobArray, 16, 1)
 		submit(0, "job-000002", "standard", protocol.JobArray, 60, 1)
 		if victims := c.run(3); len(victims) > 0 {
-			t.Fatalf("%+v: %d tasks asked to make room before the gang came", x, len(victims))
+			t.Fatalf("%+v: %d tasks evicted before the gang was submitted", x, len(victims))
 		}
 		submit(0, "job-000003", x.priority, protocol.Gang, 5, 8)
 		victims := c.run(6)
 		for ref, job := range victims {
 			if ref.Job != "job-000002" || job != "job-000003" {
-				t.Errorf("%+v: %v was asked to make room for %s", x, ref, job)
+				t.Errorf("%+v: %v was evicted for %s", x, ref, job)
 			}
 		}
-		// 44 of the 64 CPUs are all that the team may use, and the array has them: 40 of them are for the gang.
+		// The team's limit is 44 of the 64 CPUs and the array uses all of them. The gang needs 40.
 		if len(victims) != x.stops {
-			t.Errorf("%+v: %d tasks were asked to make room", x, len(victims))
+			t.Errorf("%+v: %d tasks were evicted", x, len(victims))
 		}
 	}
 }
--- a/internal/scheduler/queue.go
+++ b/internal/scheduler/queue.go
@@ -10,24 +10,24 @@
 	"topazhollow/internal/protocol"
 )
 
-// waitingTasks are tasks of one job that wait for room, as all controllers order them.
+// waitingTasks is a queue entry: tasks of one job that wait to be placed. All controllers sort them in the same order.
 type waitingTasks struct {
-	team        Team          // nil for a peer's, for which room is only left
-	job         *jobstate.Job // in the team's account; nil for a peer's
+	team        Team          // nil for tasks of a peer, which are not placed here
+	job         *jobstate.Job // from the team's account; nil for tasks of a peer
 	spec        *protocol.Submission
 	count       int
-	borrowed    bool      // beyond the team's guarantee
-	probe       bool      // of a job that fails everywhere
-	surplus     bool      // beyond what the team's limit leaves to its demands, of which some find no room
-	prioritized bool      // goes ahead of more urgent work: its class has less than the plan leaves it
-	late        bool      // can reach no objective any more
-	lateStart   bool      // late, and can't start when it should either
-	latestStart time.Time // when they must start to reach their objective
+	borrowed    bool      // uses capacity beyond the team's guarantee
+	probe       bool      // belongs to a job that fails on all machines
+	surplus     bool      // beyond the team's demands, in limit and capacity that these leave unused for lack of room
+	prioritized bool      // placed before more urgent work; see Team.PrioritizedTasks
+	late        bool      // can no longer meet any completion objective
+	lateStart   bool      // late, and has missed its start objective as well
+	latestStart time.Time // latest start that still meets the objective
 	submittedAt time.Time
 }
 
-// buildQueue lists the tasks that wait for room, most urgent first: those of own teams and, if there are any, those of
-// peers' teams.
+// buildQueue collects the waiting tasks of own teams and sorts them by urgency. If there are any, the queue also
+// includes the tasks of peers' teams.
 func (p *pass) buildQueue() {
 	for _, team := range p.teams {
 		p.enqueueDemands(team)
@@ -42,7 +42,7 @@
 	sortQueue(p.queue)
 }
 
-// enqueueDemands adds what an own team asks for within its quota.
+// enqueueDemands adds the demands of an own team within its quota.
 func (p *pass) enqueueDemands(team Team) {
 	demands := team.Quota().Demands(p.now)
 	prioritized := team.PrioritizedTasks(demands, p.now)
@@ -53,7 +53,7 @@
 	}
 }
 
-// enqueueSurplus adds what an own team could place where its demands find no room.
+// enqueueSurplus adds tasks of an own team that may use capacity which its demands do not fit into.
 func (p *pass) enqueueSurplus(team Team) {
 	for _, d := range team.Quota().SurplusDemands(p.now) {
 		w := waitingTasks{team: team, job: team.Job(d.Spec.UID), surplus: true}
@@ -61,7 +61,7 @@
 	}
 }
 
-// enqueue adds a demand of an active job. The tasks that go ahead of more urgent work have an entry of their own.
+// enqueue adds a demand of an active job. Prioritized tasks get a separate entry.
 func (p *pass) enqueue(w *waitingTasks, d *Demand) {
 	j, known := p.snapshot.Job(d.Job)
 	if !known || !j.Active {
@@ -80,7 +80,7 @@
 	}
 }
 
-// setUrgency derives from a job's objectives when its tasks must start.
+// setUrgency derives the latest start of a job's tasks from its objectives.
 func (w *waitingTasks) setUrgency(levels ServiceLevels, j *Job, now time.Time) {
 	by, late := j.NextObjective(now)
 	w.latestStart, w.late = by.Add(-j.Spec.RunTime()), late
@@ -94,11 +94,11 @@
 		w.latestStart, w.late = by, false
 	}
 	if canStart && j.Spec.Kind == protocol.Gang && startBy.Before(w.latestStart) {
-		w.latestStart = startBy // all of it starts at once, so that it can still be in time as a whole
+		w.latestStart = startBy // a gang starts as a whole, so all of its tasks can still meet the start objective
 	}
 }
 
-// falseFirst orders two conditions that differ: a is the first one's.
+// falseFirst compares two boolean values that differ, false before true. a is the first of them.
 func falseFirst(a bool) int {
 	if a {
 		return 1
@@ -106,8 +106,9 @@
 	return -1
 }
 
-// compareClass compares what must not be mixed: work within its team's guarantee comes first, then priority decides.
-// Surplus work comes after all that, and probes of faulty jobs last.
+// compareClass compares the urgency classes of two entries. Entries of different classes are never interleaved: work
+// within its team's guarantee precedes borrowed work, then the higher priority precedes the lower. Prioritized tasks
+// precede both, surplus tasks follow them, and probes of faulty jobs come last.
 func (w *waitingTasks) compareClass(o *waitingTasks) int {
 	if w.probe != o.probe {
 		return falseFirst(w.probe)
@@ -124,8 +125,8 @@
 	return protocol.Rank(o.spec.Priority) - protocol.Rank(w.spec.Priority)
 }
 
-// compare compares by urgency. Within a class those go first that must start soonest to reach their objective; those that
-// can reach none come last.
+// compare compares two entries by urgency. Within a class the earlier latest start comes first; entries that can no
+// longer meet any objective come last.
 func (w *waitingTasks) compare(o *waitingTasks) int {
 	if order := w.compareClass(o); order != 0 {
 		return order
@@ -143,7 +144,7 @@
 	)
 }
 
-// sortQueue puts waiting tasks in the order in which they get room, most urgent first.
+// sortQueue sorts waiting tasks by urgency, most urgent first.
 func sortQueue(queue []waitingTasks) {
 	slices.SortFunc(queue, func(a, b waitingTasks) int { return a.compare(&b) })
 }
--- a/internal/scheduler/queue_test.go
+++ b/internal/scheduler/queue_test.go
@@ -8,7 +8,7 @@
 	"topazhollow/internal/settings"
 )
 
-// testObjectives has an objective of each kind.
+// testObjectives contains objectives of every kind.
 var testObjectives = ServiceLevels{
 	{Kind: "deadline", Class: "c", Times: 1},
 	{Kind: "deadline", Class: "c", Times: 2},
@@ -17,8 +17,8 @@
 	{Kind: "guarantee", WithinSeconds: 8},
 }
 
-// TestNextObjective: a job hurries for the next objective that it can still reach: one that missed its first must neither hold
-// up those that can make theirs nor be given up.
+// TestNextObjective: a job is scheduled for the next objective that it can still meet. A job that missed its first one
+// must neither delay jobs that can meet theirs nor be treated as hopeless.
 func TestNextObjective(t *testing.T) {
 	now := time.Unix(10000, 0)
 	for _, x := range []struct {
@@ -29,7 +29,7 @@
 		late     bool
 	}{
 		{"c", 100, 0, 100, false},
-		{"c", 100, 96, 200, false}, // 4 s before its deadline, and half its estimate is 5 s
+		{"c", 100, 96, 200, false}, // 4 s are left until the deadline, less than half of the estimated run time
 		{"c", 100, 196, 200, true},
 		{"d", 0, 10, 30, false},
 		{"d", 20, 10, 20, false},
@@ -51,25 +51,25 @@
 	}
 }
 
-// TestStartObjectives: work within a guarantee, and tasks of a class, have a time by which they should start until it
-// has passed.
+// TestStartObjectives: work within a guarantee and tasks of a class with a start objective have a time to start by,
+// until that time has passed.
 func TestStartObjectives(t *testing.T) {
 	now := time.Unix(10000, 0)
 	for age, want := range map[int]bool{0: true, 8: true, 9: false} {
 		by, ok := testObjectives.guaranteeStartBy(now.Add(-time.Duration(age)*time.Second), now)
 		if ok != want || (ok && by.Sub(now) != time.Duration(8-age)*time.Second) {
-			t.Errorf("work within the guarantee that waits for %d s should start by %v, %v", age, by, ok)
+			t.Errorf("guaranteed work submitted %d s ago: start by %v, %v", age, by, ok)
 		}
 	}
 	for age, want := range map[int]bool{26: true, 60: true, 61: false} {
 		j := &Job{Spec: &protocol.Submission{Class: "d", EstimateSeconds: 10}, SubmittedAt: now.Add(-time.Duration(age) * time.Second)}
 		if by, ok := testObjectives.classStartBy(j, now); ok != want || (ok && by.Sub(j.SubmittedAt) != time.Minute) {
-			t.Errorf("after %d s tasks should start by %v, %v", age, by, ok)
+			t.Errorf("class task submitted %d s ago: start by %v, %v", age, by, ok)
 		}
 	}
 }
 
-// TestQueueOrder: the guarantee goes before priority, priority before time.
+// TestQueueOrder: the queue is sorted by guarantee first, then by priority, then by latest start.
 func TestQueueOrder(t *testing.T) {
 	now := time.Unix(10000, 0)
 	waits := func(uid, priority string, borrowed, late bool, latest int) waitingTasks {
@@ -93,10 +93,10 @@
 	}
 }
 
-// TestGangsInTimeGoFirst: gangs wait for room by when they could be complete, so that one that could still
-// start within its objective stood behind those that no longer could.
-func TestGangsInTimeGoFirst(t *testing.T) {
-	c := newCluster(t, 8, 1) // two of them ordinary, in one zone
+// TestGangsOnTimeAreOrderedFirst guards against ordering gangs by completion objective alone: a gang that can still
+// meet its start objective must precede gangs that no longer can.
+func TestGangsOnTimeAreOrderedFirst(t *testing.T) {
+	c := newCluster(t, 8, 1) // two machines are on-demand, both in one zone
 	c.settings.Objectives = []settings.Objective{
 		{Kind: "finished", Class: "c", WithinSeconds: 300},
 		{Kind: "wait", Class: "c", WithinSeconds: 20},
--- a/internal/scheduler/reservations.go
+++ b/internal/scheduler/reservations.go
@@ -7,22 +7,23 @@
 	"topazhollow/internal/placement"
 )
 
-// reservationKey names the room that is reserved for a job on a machine.
+// reservationKey identifies the capacity that is reserved for a job on a machine.
 type reservationKey struct{ job, machine string }
 
-// reserveForGangs reserves what room there is for gangs that found none for all their tasks, before less urgent work
-// is placed. Else small tasks of an array would take each piece that comes free, and gangs of higher priority would
-// wait until the array is over. Nothing is reserved for gangs that made no use of it for some time.
+// reserveForGangs reserves free capacity for gangs that could not be placed as a whole, before less urgent work is
+// placed. Otherwise small array tasks would take every piece of capacity as it becomes free, and gangs of higher
+// priority would wait until the array ends. Nothing is reserved for a team whose reservations have gone unused for some
+// time.
 func (p *pass) reserveForGangs() {
-	for _, w := range p.gangs {
+	for _, w := range p.unplacedGangs {
 		if w.team.Quota().ReservesCapacityForGangs() {
 			p.reserveForGang(w)
 		}
 	}
-	p.gangs = p.gangs[:0]
+	p.unplacedGangs = p.unplacedGangs[:0]
 }
 
-// gangReservation is the search for room to reserve for one gang.
+// gangReservation is the search for capacity to reserve for one gang.
 type gangReservation struct {
 	pass  *pass
 	gang  *waitingTasks
@@ -30,14 +31,14 @@
 	zones *zoneRule
 }
 
-// reserveForGang reserves room for one gang: if it is to run in one zone, in that which has the most. Only machines
-// that could take all of it if they were empty are reserved; else it needs more machines first, and nobody waits for
-// it.
+// reserveForGang reserves capacity for one gang. A gang that must run in one zone gets the zone with the most free
+// capacity. Nothing is reserved where the gang would not fit even on empty machines: it needs more machines first, and
+// holding capacity back from other work would not help it.
 func (p *pass) reserveForGang(w *waitingTasks) {
 	r := &gangReservation{pass: p, gang: w, ask: p.scheduler.ask(w.spec), zones: p.scheduler.zoneRule(w)}
 	missing, _ := w.team.MissingGangTasks(w.job)
-	if p.reserveCleared(w, r.ask) > 0 || !w.team.Quota().Fits(w.job, len(missing)) {
-		return // its room is being cleared, or it waits for its team's quota, not for room
+	if p.reserveEvictionRoom(w, r.ask) > 0 || !w.team.Quota().Fits(w.job, len(missing)) {
+		return // evictions are freeing capacity for it already, or it waits for quota
 	}
 	best, found := r.bestZone(len(missing))
 	if !found {
@@ -53,9 +54,9 @@
 	}
 }
 
-// reserveCleared reserves the room that is being cleared for a gang by evictions, also what is too little for one of
-// its tasks so far. It gives the number of tasks that the room is for.
-func (p *pass) reserveCleared(w *waitingTasks, ask *placement.Ask) (tasks int) {
+// reserveEvictionRoom reserves the free capacity on machines where tasks are being evicted for a gang, even if it does
+// not yet suffice for one of the gang's tasks. It returns the number of tasks that the capacity is for.
+func (p *pass) reserveEvictionRoom(w *waitingTasks, ask *placement.Ask) (tasks int) {
 	cleared := p.scheduler.gangSlots(w.spec.UID)
 	for _, h := range p.hosts {
 		for range cleared[h.Name] {
@@ -68,12 +69,12 @@
 	return tasks
 }
 
-// accepts says whether the gang may use a host if it has room.
+// accepts reports whether the gang may use a host, regardless of the host's free capacity.
 func (r *gangReservation) accepts(h *placement.Host) bool {
 	return r.ask.Allows(h) && !r.gang.job.Avoids(h.Name, r.pass.now) && r.zones.allows(h)
 }
 
-// zoneOf is the zone that a host counts for: all count alike if the gang's zones may differ.
+// zoneOf returns a host's zone, or anyZone if the gang may span several zones.
 func (r *gangReservation) zoneOf(h *placement.Host) int {
 	if r.gang.spec.OneZone {
 		return h.Zone
@@ -81,11 +82,11 @@
 	return anyZone
 }
 
-// bestZone is the zone with the most free room of those that could take all missing tasks.
+// bestZone returns the zone with the most free capacity among those that could hold all missing tasks when empty.
 func (r *gangReservation) bestZone(missing int) (best int, found bool) {
 	s, spec := r.pass.scheduler, r.gang.spec
-	empty, free := map[int]int{}, map[int]int{} // how many tasks fit, by zone
-	for _, m := range s.placeable {
+	empty, free := map[int]int{}, map[int]int{} // number of tasks that fit, by zone
+	for _, m := range s.orderedMachines {
 		if cpus, gpus, memory, ok := s.Capacity(m.status.Type); ok && r.accepts(&m.host) {
 			empty[r.zoneOf(&m.host)] += spec.TasksThatFit(cpus, gpus, memory)
 		}
--- a/internal/scheduler/scheduler.go
+++ b/internal/scheduler/scheduler.go
@@ -1,12 +1,14 @@
-// Package scheduler decides which waiting tasks start where, and which running tasks make room for more urgent ones.
+// Package scheduler assigns waiting tasks to machines and selects running tasks to preempt for more urgent ones.
 //
-// One pass orders all waiting tasks (queue.go), places them one job after the other (pass.go, gangs.go), reserves room
-// for gangs that found too little (reservations.go), and searches victims for what found none (preemption.go,
-// gangpreemption.go). Between passes the Scheduler keeps the machines' free room and the evictions under way.
+// A scheduling pass sorts all waiting tasks by urgency (queue.go), places them job by job (pass.go, gangs.go), reserves
+// capacity for gangs that do not fit yet (reservations.go), and selects preemption victims for tasks that were not
+// placed (preemption.go, gangpreemption.go). Between passes the Scheduler caches the free capacity of each machine and
+// tracks the evictions in progress.
 //
-// It never sends a command, takes a lock, reads a clock or does I/O: the controller gives it the time and a Snapshot,
-// and carries out the evictions that a pass returns. Placements are made in the teams' accounts (Team) as the pass
-// goes, since each uses quota that the next one counts on. A Scheduler is not safe for concurrent use.
+// The package sends no commands, takes no locks, reads no clock and does no I/O: the controller passes in the time and
+// a Snapshot, and carries out the evictions that a pass returns. A pass records placements in the teams' accounts
+// (Team) immediately, because each placement uses quota that later ones are checked against. A Scheduler is not safe
+// for concurrent use.
 package scheduler
 
 import (
@@ -21,31 +23,31 @@
 	"topazhollow/internal/settings"
 )
 
-// Config is what a Scheduler goes by.
+// Config holds the settings of a Scheduler.
 type Config struct {
-	Deployment *settings.Deployment // its zones and objectives are read in each pass
-	Options    *settings.Options    // its SampleSize is read in each pass
-	Random     *rand.Rand           // where the search for a machine begins
+	Deployment *settings.Deployment // zones and objectives are read in each pass
+	Options    *settings.Options    // SampleSize is read in each pass
+	Random     *rand.Rand           // selects where the search for a machine begins
 }
 
-// Scheduler is what is kept between passes.
+// Scheduler holds the state that is kept between passes.
 type Scheduler struct {
-	config       Config
-	machineTypes []protocol.MachineType
-	machines     map[string]*machine
-	placeable    []*machine // all of machines, in the order of their first reports
+	config          Config
+	machineTypes    []protocol.MachineType
+	machines        map[string]*machine
+	orderedMachines []*machine // all values of machines, ordered by first report
 
-	hostsWithRoom []placement.Host // the present pass's copy
-	allHosts      []placement.Host // the same with full machines, for preemption
+	hostsWithRoom []placement.Host // buffer of the current pass
+	allHosts      []placement.Host // the same including full machines, for preemption
 
 	evictions     map[jobstate.AttemptRef]eviction
-	runningCPUs   map[admission.Key]float64 // as of completionsAt
-	completions   []completionRate          // what running tasks give back, as of completionsAt
+	runningCPUs   map[admission.Key]float64 // of running tasks, as of completionsAt
+	completions   []completionRate          // expected completions of running tasks, as of completionsAt
 	completionsAt time.Time
-	preemptedAt   time.Time // when victims were last searched
+	preemptedAt   time.Time // when preemption last ran
 }
 
-// New makes a Scheduler that knows no machines.
+// New returns a Scheduler that knows no machines.
 func New(config Config) *Scheduler {
 	return &Scheduler{
 		config:      config,
@@ -55,43 +57,44 @@
 	}
 }
 
-// Job is what a pass reads of a job that is or was active.
+// Job holds the properties of an active or formerly active job that a pass reads.
 type Job struct {
 	Spec        *protocol.Submission
 	SubmittedAt time.Time
 	Active      bool
-	Objectives  jobstate.Objectives // of an active job; see ServiceLevels.CompletionTimes
+	Objectives  jobstate.Objectives // set for active jobs; see ServiceLevels.CompletionTimes
 }
 
-// Jobs looks jobs up.
+// Jobs looks up jobs by their identifier.
 type Jobs interface {
-	// Job gives a job by its identifier, and false if it is unknown.
+	// Job returns a job by its identifier, and false if the job is unknown.
 	Job(uid string) (Job, bool)
 }
 
-// Assignments are what own teams hold on machines.
+// Assignments gives access to the attempts that are assigned to machines by the teams that this controller owns (own
+// teams).
 type Assignments interface {
 	Jobs
-	// AssignmentsOn calls f for each attempt that any own team holds on a machine.
+	// AssignmentsOn calls f for each attempt that an own team has assigned to a machine.
 	AssignmentsOn(machine string, f func(jobstate.Assignment))
-	// TakeChangedMachines lists the machines where attempts of own teams came or went since the last call.
+	// TakeChangedMachines yields the machines whose assigned attempts of own teams changed since the last call.
 	TakeChangedMachines() iter.Seq[string]
 }
 
-// Snapshot is what a pass reads of the rest of a controller.
+// Snapshot is the controller state that a pass reads.
 type Snapshot interface {
 	Assignments
-	// Teams lists the own teams whose tasks may start now.
+	// Teams returns the own teams whose tasks may start now.
 	Teams() []Team
-	// PeerDemands lists the tasks of other controllers' teams that wait for room.
+	// PeerDemands yields the waiting tasks of teams that other controllers own.
 	PeerDemands(now time.Time) iter.Seq[Demand]
-	// AcceptingMachines gives a filter for machines that take tasks now.
+	// AcceptingMachines returns a filter that selects the machines that accept tasks now.
 	AcceptingMachines(now time.Time) func(*jobstate.MachineStatus) bool
-	// Plan is the admission plan in force; nil if there is none.
+	// Plan returns the admission plan in force, or nil if there is none.
 	Plan() *admission.Plan
 }
 
-// Account is a team's quota and assignments, in which placements are made. *jobstate.Team is one.
+// Account holds a team's quota and assignments and records its placements. *jobstate.Team implements it.
 type Account interface {
 	Quota() *jobstate.Quota
 	Job(uid string) *jobstate.Job
@@ -101,33 +104,34 @@
 	PlaceGang(job *jobstate.Job, attempt uint64, at map[int]jobstate.Location) bool
 }
 
-// Team is an own team: its account and what waits in it.
+// Team is the account of an own team together with its rule for prioritized tasks.
 type Team interface {
 	Account
-	// PrioritizedTasks gives for each demand how many of its tasks go ahead of more urgent work.
+	// PrioritizedTasks returns for each demand how many of its tasks are placed before more urgent work: because their
+	// class uses less than its floor in the admission plan, or as the first task of a large array that has waited long.
 	PrioritizedTasks(demands []jobstate.Demand, now time.Time) []int
 }
 
-// Demand is what a job's pending tasks ask for.
+// Demand is a request to place pending tasks of a job.
 type Demand struct {
 	Job         string
-	Count       int  // tasks
-	Prioritized int  // of them, that go ahead of more urgent work
-	Borrowed    bool // beyond the team's guarantee
-	Probe       bool // to find out whether a faulty job still fails
+	Count       int  // number of tasks
+	Prioritized int  // number of these tasks that are placed before more urgent work
+	Borrowed    bool // uses capacity beyond the team's guarantee
+	Probe       bool // tests whether a faulty job still fails
 }
 
-// Eviction is a task that is to be stopped for a job of higher priority.
+// Eviction is a request to stop a task in favor of a job of higher priority.
 type Eviction struct {
 	Victim jobstate.AttemptRef
-	For    string // the job
+	For    string // identifier of the job that needs the capacity
 }
 
-// Result is what a pass decided beside the placements.
+// Result is the outcome of a pass, apart from the placements.
 type Result struct {
 	Evictions []Eviction
-	Queued    bool // own tasks waited when the pass began
-	Unplaced  bool // some of them still do
+	Queued    bool // own tasks were waiting when the pass began
+	Unplaced  bool // some own tasks are still waiting
 }
 
 // SetMachineTypes replaces the catalog of machine types.
@@ -136,10 +140,10 @@
 	s.InvalidateAllMachines()
 }
 
-// MachineTypes is the catalog of machine types; nil before it was read.
+// MachineTypes returns the catalog of machine types, or nil if it has not been read yet.
 func (s *Scheduler) MachineTypes() []protocol.MachineType { return s.machineTypes }
 
-// machineType looks a machine type up; nil if it is unknown.
+// machineType returns a machine type by name, or nil if it is unknown.
 func (s *Scheduler) machineType(name string) *protocol.MachineType {
 	for i := range s.machineTypes {
 		if s.machineTypes[i].Name == name {
@@ -149,7 +153,7 @@
 	return nil
 }
 
-// Capacity is what an empty machine of a type has: CPUs, GPUs and memory in GB. It is false for an unknown type.
+// Capacity returns the CPUs, GPUs and GB of memory of an empty machine of a type. ok is false for an unknown type.
 func (s *Scheduler) Capacity(machineType string) (cpus, gpus, memory float64, ok bool) {
 	t := s.machineType(machineType)
 	if t == nil {
--- a/internal/scheduler/victims.go
+++ b/internal/scheduler/victims.go
@@ -10,35 +10,35 @@
 	"topazhollow/internal/protocol"
 )
 
-// nearlyDone is what a task past its half may have left so that it is not stopped, in seconds.
-const nearlyDone = 60
+// nearlyDoneSeconds is the remaining run time in seconds below which a task past half of its estimate is not stopped.
+const nearlyDoneSeconds = 60
 
-// victim is a task that may be stopped for others.
+// victim is a running task that may be stopped in favor of others.
 type victim struct {
-	ref  jobstate.AttemptRef
-	spec *protocol.Submission
-	lost float64 // CPU seconds of progress thrown away
+	ref            jobstate.AttemptRef
+	spec           *protocol.Submission
+	lostCPUSeconds float64 // CPU seconds of progress that stopping it discards
 }
 
-// victimSearch is one pass's search for room held by tasks of lower priority.
+// victimSearch is a pass's search for tasks of lower priority to stop.
 type victimSearch struct {
-	pass    *pass
-	hosts   []*placement.Host            // all that may take tasks, full ones too
-	victims map[*placement.Host][]victim // those of any rank, least loss first
-	left    int                          // how many tasks room is still sought for
+	pass           *pass
+	hosts          []*placement.Host            // all machines that accept tasks, including full ones
+	victims        map[*placement.Host][]victim // candidates of any priority, sorted by loss
+	remainingTasks int                          // number of waiting tasks that may still be served; see maxEvictions
 }
 
 func (p *pass) newVictimSearch() *victimSearch {
 	return &victimSearch{
-		pass:    p,
-		hosts:   p.allHosts(),
-		victims: map[*placement.Host][]victim{},
-		left:    maxEvictions,
+		pass:           p,
+		hosts:          p.allHosts(),
+		victims:        map[*placement.Host][]victim{},
+		remainingTasks: maxEvictions,
 	}
 }
 
-// on lists the tasks of a host that may be stopped, least loss first.
-func (s *victimSearch) on(h *placement.Host) []victim {
+// candidatesOn returns the tasks of a host that may be stopped, sorted by loss.
+func (s *victimSearch) candidatesOn(h *placement.Host) []victim {
 	if list, ok := s.victims[h]; ok {
 		return list
 	}
@@ -50,13 +50,13 @@
 		}
 	}
 	slices.SortFunc(list, func(a, b victim) int {
-		return cmp.Or(cmp.Compare(a.lost, b.lost), cmp.Compare(a.ref.Attempt, b.ref.Attempt))
+		return cmp.Or(cmp.Compare(a.lostCPUSeconds, b.lostCPUSeconds), cmp.Compare(a.ref.Attempt, b.ref.Attempt))
 	})
 	s.victims[h] = list
 	return list
 }
 
-// victim says whether a task on a machine may be stopped, and what is lost by that.
+// victim returns a task as a victim with the progress that stopping it discards. ok is false if it must not be stopped.
 func (s *victimSearch) victim(m *machine, t *jobstate.TaskStatus) (v victim, ok bool) {
 	j, known := s.pass.snapshot.Job(t.Job)
 	if !known || !j.Active || t.State == protocol.Exited || t.State == protocol.Saving || j.Spec.Kind == protocol.Gang {
@@ -69,57 +69,58 @@
 	v = victim{ref: ref, spec: j.Spec}
 	if since, running := m.runningSince[ref]; running {
 		ran := s.pass.now.Sub(since).Seconds()
-		if left := j.Spec.EstimateSeconds - ran; ran > left && left < nearlyDone {
-			return v, false // much would be lost
+		if left := j.Spec.EstimateSeconds - ran; ran > left && left < nearlyDoneSeconds {
+			return v, false // too much progress would be lost
 		}
-		v.lost = ran * j.Spec.CPUs
+		v.lostCPUSeconds = ran * j.Spec.CPUs
 	}
 	return v, true
 }
 
-// remove takes the chosen victims out of the search.
-func (s *victimSearch) remove(chosen clearance) {
+// remove removes the chosen victims from the search.
+func (s *victimSearch) remove(chosen evictionSet) {
 	s.victims[chosen.host] = slices.DeleteFunc(s.victims[chosen.host], func(v victim) bool {
 		return slices.ContainsFunc(chosen.victims, func(c victim) bool { return c.ref == v.ref })
 	})
 }
 
-// clearance is what to stop on a host so that a task has room there.
-type clearance struct {
-	host    *placement.Host // nil if there is none
-	victims []victim
-	lost    float64 // CPU seconds of the victims' progress
+// evictionSet is a set of victims on a host whose end makes room for a task there.
+type evictionSet struct {
+	host           *placement.Host // nil if no such set was found
+	victims        []victim
+	lostCPUSeconds float64 // CPU seconds of the victims' progress
 }
 
-// cheapestRoom finds the machine where stopping tasks of lower priority loses least.
-func (s *victimSearch) cheapestRoom(ask *placement.Ask, job *jobstate.Job, zones *zoneRule) clearance {
-	best := clearance{lost: math.Inf(1)}
+// cheapestEvictionSet finds the host where making room for a task discards the least progress.
+func (s *victimSearch) cheapestEvictionSet(ask *placement.Ask, job *jobstate.Job, zones *zoneRule) evictionSet {
+	best := evictionSet{lostCPUSeconds: math.Inf(1)}
 	rank := protocol.Rank(job.Spec.Priority)
 	for _, h := range s.hosts {
 		if !ask.Allows(h) || job.Avoids(h.Name, s.pass.now) || !zones.allows(h) {
 			continue
 		}
-		if found, ok := s.roomOn(h, ask, rank, best.lost); ok {
+		if found, ok := s.evictionSetOn(h, ask, rank, best.lostCPUSeconds); ok {
 			best = found
 		}
-		if best.lost == 0 {
+		if best.lostCPUSeconds == 0 {
 			break
 		}
 	}
 	return best
 }
 
-// roomOn finds tasks below a rank on a host that leave room enough if they are stopped, and lose less than lowest.
-func (s *victimSearch) roomOn(h *placement.Host, ask *placement.Ask, rank int, lowest float64) (found clearance, ok bool) {
+// evictionSetOn selects victims of a priority below rank on a host that make room for ask. ok is false if there are
+// none or their loss is not below lowest.
+func (s *victimSearch) evictionSetOn(h *placement.Host, ask *placement.Ask, rank int, lowest float64) (found evictionSet, ok bool) {
 	room := *h
 	found.host = h
-	for _, v := range s.on(h) {
+	for _, v := range s.candidatesOn(h) {
 		if protocol.Rank(v.spec.Priority) >= rank {
 			continue
 		}
 		room.Release(v.spec.CPUs, v.spec.GPUs, v.spec.MemoryGB)
-		found.lost += v.lost
-		if found.lost >= lowest {
+		found.lostCPUSeconds += v.lostCPUSeconds
+		if found.lostCPUSeconds >= lowest {
 			return found, false
 		}
 		found.victims = append(found.victims, v)
--- a/internal/scheduler/zones.go
+++ b/internal/scheduler/zones.go
@@ -6,13 +6,13 @@
 	"topazhollow/internal/placement"
 )
 
-// anyZone stands for all zones where a zone's index is expected.
+// anyZone means all zones where a zone index is expected.
 const anyZone = -1
 
-// unknownZone is the index of a zone that the deployment does not have; no machine is in it.
+// unknownZone is the index of zones that are not part of the deployment. It matches no machine's zone.
 const unknownZone = 1 << 20
 
-// zoneIndex is a zone's dense index.
+// zoneIndex returns the index of a zone in the deployment's list, or unknownZone.
 func (s *Scheduler) zoneIndex(zone string) int {
 	if i := slices.Index(s.config.Deployment.Zones, zone); i >= 0 {
 		return i
@@ -20,15 +20,15 @@
 	return unknownZone
 }
 
-// zoneRule holds a job's tasks, of which some may be on machines already, to one zone or to at most half of them in
-// one.
+// zoneRule restricts the zones of a job's tasks: all in one zone, or at most half of them in any zone. It takes tasks
+// that are already placed into account.
 type zoneRule struct {
-	tasks     map[int]int // by zone
-	mostInOne int         // 0: no bound
-	oneZone   bool
+	tasks      map[int]int // placed tasks by zone index
+	maxPerZone int         // maximum number of tasks per zone; 0 means no limit
+	oneZone    bool
 }
 
-// zoneRule counts where a job's tasks are, if its zones are restricted.
+// zoneRule returns the zone restriction of a job with the current zones of its tasks.
 func (s *Scheduler) zoneRule(w *waitingTasks) *zoneRule {
 	spec := w.job.Spec
 	rule := &zoneRule{tasks: map[int]int{}, oneZone: spec.OneZone}
@@ -36,7 +36,7 @@
 		return rule
 	}
 	if spec.Spread {
-		rule.mostInOne = (spec.Tasks + 1) / 2
+		rule.maxPerZone = (spec.Tasks + 1) / 2
 	}
 	for zone, count := range w.job.TasksByZone() {
 		rule.tasks[s.zoneIndex(zone)] += count
@@ -44,17 +44,17 @@
 	return rule
 }
 
-// allows says whether another task may go to a host's zone.
+// allows reports whether another task may be placed in a host's zone.
 func (r *zoneRule) allows(h *placement.Host) bool {
 	if r.oneZone && len(r.tasks) > 0 && r.tasks[h.Zone] == 0 {
 		return false
 	}
-	return r.mostInOne == 0 || r.tasks[h.Zone] < r.mostInOne
+	return r.maxPerZone == 0 || r.tasks[h.Zone] < r.maxPerZone
 }
 
-// take counts a task on a host.
+// take records that a task was placed on a host.
 func (r *zoneRule) take(h *placement.Host) {
-	if r.oneZone || r.mostInOne > 0 {
+	if r.oneZone || r.maxPerZone > 0 {
 		r.tasks[h.Zone]++
 	}
 }
--- a/internal/scheduler/zones_test.go
+++ b/internal/scheduler/zones_test.go
@@ -7,9 +7,9 @@
 	"topazhollow/internal/protocol"
 )
 
-// TestZonesOfAJob: tasks that share a zone stay in it although another has room, and of tasks that are spread no more
-// than half are in one zone although that has room for all.
-func TestZonesOfAJob(t *testing.T) {
+// TestZoneRestrictions: tasks of a one-zone job stay in their zone even if another zone has room, and no zone gets more
+// than half of the tasks of a spread job even if it has room for all.
+func TestZoneRestrictions(t *testing.T) {
 	for _, x := range []struct {
 		name            string
 		oneZone, spread bool
@@ -21,11 +21,11 @@
 		{"spread over two zones", false, true, 2, 8, []int{4, 4}},
 		{"spread where there is one zone", false, true, 1, 8, []int{4}},
 	} {
-		c := newCluster(t, x.machines, 1) // of 32 CPUs, in a zone each
+		c := newCluster(t, x.machines, 1) // 32 CPUs each; two machines are in different zones
 		c.submit(0, 0, protocol.Submission{UID: "job-000001", Kind: protocol.JobArray, Priority: "high", Tasks: x.tasks, CPUs: 4,
 			MemoryGB: 1, Image: "img", EstimateSeconds: 40, Spot: true, OneZone: x.oneZone, Spread: x.spread})
 		c.pass()
-		c.pass() // what is missing goes by where the others are
+		c.pass() // the remaining tasks depend on the zones of the placed ones
 		tasks := map[string]int{}
 		for _, a := range c.teams[0].Replica().Assignments {
 			tasks[a.Zone]++
