--- a/internal/autoscaler/autoscaler.go
+++ b/internal/autoscaler/autoscaler.go
@@ -1,6 +1,6 @@
-// Package autoscaler decides which machines to acquire and to release: spot or on demand, of which type and in which
-// zone. It never sends a request and never stops a task. It does no I/O and reads no clock; its types are not safe for
-// concurrent use.
+// Package autoscaler decides which machines to acquire and to release: of which type, in which zone, spot or on demand.
+// It sends no requests and stops no tasks, does no I/O and reads no clock: callers pass in the time and carry out the
+// returned Plan. Its types are not safe for concurrent use.
 package autoscaler
 
 import (
@@ -10,72 +10,72 @@
 	"topazhollow/internal/protocol"
 )
 
-// Machine is what is known of a machine.
+// Machine is the known state of a machine.
 type Machine struct {
 	Name             string
 	Type             string
 	Zone             string
 	Spot             bool
-	LastHeartbeat    time.Time          // last report anywhere; zero before the first
-	AcquiredAt       time.Time          // first seen, if that is not known
-	IdleSince        time.Time          // idle since; zero while it has tasks
-	ListedState      protocol.HostState // in the cloud's list, "" if not listed
+	LastHeartbeat    time.Time          // last heartbeat at any controller; zero before the first
+	AcquiredAt       time.Time          // or when it was first seen, if the acquisition time is unknown
+	IdleSince        time.Time          // zero while it has tasks
+	ListedState      protocol.HostState // state in the cloud's list; "" if not listed
 	FreeCPUs         float64
 	FreeGPUs         float64
 	FreeMemory       float64
-	SpotNotice       bool // the cloud said that it takes the machine back within seconds
-	Faulty           bool // fails different jobs
+	SpotNotice       bool // the cloud announced that it will reclaim the machine within seconds
+	Faulty           bool // tasks of different jobs fail on it
 	Registered       bool // registered in the state service
-	AwaitedByBarrier bool // an owner can start nothing before the machine reports or is gone
+	AwaitedByBarrier bool // an owner can start no tasks until the machine reports or is known to be gone
 	ProbeUnanswered  bool // it did not answer its home's probe
-	SkippedInList    bool // the cloud lists a machine acquired later, but not this one
-	HomeUnreachable  bool // its home is unreachable from here, so that its silence proves nothing
+	SkippedInList    bool // the cloud's list contains a machine acquired later, but not this one
+	HomeUnreachable  bool // its home controller is unreachable from here, so missing heartbeats prove nothing
 	Tasks            []RunningTask
 }
 
 // RunningTask is a task on a machine.
 type RunningTask struct {
 	CPUs, GPUs, Memory float64
-	SecondsLeft        float64 // seconds until it probably ends
+	SecondsLeft        float64 // estimated seconds until it ends
 	OnDemandOnly       bool    // may not run on a spot machine
 }
 
-// Demand is room asked for by tasks that wait.
+// Demand is a request for capacity by a job's waiting tasks.
 type Demand struct {
 	Spec            *protocol.Submission
 	Count           int
-	Due             time.Time // when the job should be complete
-	CPUsBeyondQuota float64   // CPUs that its class asks for beyond its team's quota; then Count is 0
-	PreferSpot      bool      // waits rather than get an ordinary machine, while there is any room to come
+	Due             time.Time // target completion time of the job
+	CPUsBeyondQuota float64   // CPUs requested by its class beyond its team's quota; Count is 0 if set
+	PreferSpot      bool      // acquires on-demand machines only if no capacity is expected otherwise
 }
 
-// Options are the operator's choices.
+// Options are the configured parameters of an Autoscaler.
 type Options struct {
-	IdleTimeout            time.Duration
-	Warm                   int
-	SpotShare              float64
-	SilenceTimeout         time.Duration // a machine silent for so long is released
-	PartitionedZoneTimeout time.Duration // the same where nearly all of its zone are silent
-	BarrierTimeout         time.Duration // the same where it holds up others
-	OverdueTimeout         time.Duration // the same where nearly all others reported
-	UnlistedTimeout        time.Duration // the same where the cloud no longer lists it
-	SafetyRunTimes         float64       // run times kept in hand before a job is due
+	IdleTimeout            time.Duration // idle time after which a machine is released
+	Warm                   int           // number of machines kept even if idle
+	SpotShare              float64       // 0 excludes spot machines
+	SilenceTimeout         time.Duration // silence after which a machine is released
+	PartitionedZoneTimeout time.Duration // the same if most machines of its zone are silent
+	BarrierTimeout         time.Duration // the same if a barrier waits for the machine
+	OverdueTimeout         time.Duration // the same if a barrier waits for it and nearly all other machines have reported
+	UnlistedTimeout        time.Duration // the same if the cloud no longer lists the machine
+	SafetyRunTimes         float64       // safety margin before a job is due, in multiples of its run time
 }
 
-// maxBackoff is for how long at most a pool that refused is left alone: room comes
-// back without notice.
+// maxBackoff bounds how long no machines are requested from a pool that refused a request. It is short because the
+// cloud does not announce when capacity becomes available again.
 const maxBackoff = 10 * time.Second
 
-// Arrivals is how many CPUs the work that comes keeps busy, by rank of priority: what came
-// a second of late, times how long it runs.
+// Arrivals is the number of CPUs that newly submitted work keeps busy, by priority rank: the recent arrival rate times
+// the run time.
 type Arrivals map[int]float64
 
-// maxArrivalShare is what part of the room work that is still to come takes at most: what came in
-// the last minute says only so much.
+// maxArrivalShare bounds the share of all CPUs that future arrivals are assumed to use, since the arrivals of the last
+// minute are only a rough estimate.
 const maxArrivalShare = 0.33
 
-// delayFactor is by what factor work of a rank starts later than a layout says that knows
-// only of what is there: what comes with a higher rank goes before it.
+// delayFactor returns the factor by which work of a rank starts later than forecast, because the forecast only contains
+// work already submitted and future work of a higher rank will be placed first.
 func (in Arrivals) delayFactor(rank int, room float64) float64 {
 	before := 0.0
 	for r, cpus := range in {
@@ -86,35 +86,36 @@
 	return 1 / (1 - min(before/max(room, 1), maxArrivalShare))
 }
 
-// Plan is what to do now.
+// Plan lists the actions to carry out now.
 type Plan struct {
 	ScaleOut          []protocol.ScaleOutRequest
 	ScaleIn           []string
-	Retire            []string // get no more tasks, and go back once they are idle
-	SlowBootLocations []string // types and zones, as "type in zone", where no machine comes up in time
+	Retire            []string // machines that get no more tasks and are released once idle
+	SlowBootLocations []string // "type in zone" where all booting machines are late
 }
 
+// pool identifies the machines of one type in one zone, either spot or on-demand.
 type pool struct {
 	Type, Zone string
 	Spot       bool
 }
 
-// Autoscaler remembers refusals and what was acquired lately.
+// Autoscaler makes the scaling decisions. It keeps track of refusals, pending requests and recent boot times.
 type Autoscaler struct {
 	options          Options
 	prefix           string
 	counter          uint64
-	unavailableUntil map[pool]time.Time // no capacity until
+	unavailableUntil map[pool]time.Time // until when no requests are sent after a refusal
 	backoff          map[pool]time.Duration
-	pending          map[pool]int // asked for, not yet answered
+	pending          map[pool]int // machines requested, not yet answered
 	bootTimes        map[pool]*bootHistory
-	booting          map[string]bool      // machines without a report as of the last decision
+	booting          map[string]bool      // machines without a heartbeat as of the last decision
 	retired          map[string]bool      // machines that get no more tasks
-	scaledOutAt      time.Time            // when machines were last asked for
-	startBy          map[string]time.Time // by when all of a job should have started, by the first forecast
+	scaledOutAt      time.Time            // when machines were last requested
+	forecastStarts   map[string]time.Time // by job, forecast start of its last task; the earliest forecast counts
 }
 
-// New makes a fleet's decisions under names that nobody else uses.
+// New returns an Autoscaler whose scale-out requests have names that begin with prefix. No other owner may use it.
 func New(prefix string, options Options) *Autoscaler {
 	return &Autoscaler{
 		options:          options,
@@ -125,103 +126,104 @@
 		bootTimes:        map[pool]*bootHistory{},
 		booting:          map[string]bool{},
 		retired:          map[string]bool{},
-		startBy:          map[string]time.Time{},
+		forecastStarts:   map[string]time.Time{},
 	}
 }
 
-// ForgetUnsent drops what was asked for but is not sent.
-func (f *Autoscaler) ForgetUnsent() { clear(f.pending) }
+// ForgetUnsent forgets pending requests that the caller did not send.
+func (a *Autoscaler) ForgetUnsent() { clear(a.pending) }
 
 // RecordScaleOut records the outcome of a scale-out request.
-func (f *Autoscaler) RecordScaleOut(r protocol.ScaleOutRequest, got int, now time.Time, refused bool) {
+func (a *Autoscaler) RecordScaleOut(r protocol.ScaleOutRequest, got int, now time.Time, refused bool) {
 	p := pool{r.Type, r.Zone, r.Spot}
-	f.pending[p] -= r.Count
-	if f.pending[p] <= 0 {
-		delete(f.pending, p)
+	a.pending[p] -= r.Count
+	if a.pending[p] <= 0 {
+		delete(a.pending, p)
 	}
 	if got < r.Count && refused {
-		d := min(max(2*f.backoff[p], 4*time.Second), maxBackoff)
-		f.backoff[p] = d
-		f.unavailableUntil[p] = now.Add(d)
+		d := min(max(2*a.backoff[p], 4*time.Second), maxBackoff)
+		a.backoff[p] = d
+		a.unavailableUntil[p] = now.Add(d)
 		return
 	}
 	if got > 0 {
-		delete(f.backoff, p)
+		delete(a.backoff, p)
 	}
 }
 
-// Obsolete says whether a request that waits for its turn has become pointless: the place refused another one
-// meanwhile.
-func (f *Autoscaler) Obsolete(r protocol.ScaleOutRequest, now time.Time) bool {
-	return f.isUnavailable(pool{r.Type, r.Zone, r.Spot}, now)
+// Obsolete reports whether a request that has not been sent yet is pointless, because its pool has refused another
+// request in the meantime.
+func (a *Autoscaler) Obsolete(r protocol.ScaleOutRequest, now time.Time) bool {
+	return a.isUnavailable(pool{r.Type, r.Zone, r.Spot}, now)
 }
 
-// isUnavailable says whether a place is left alone, since it refused.
-func (f *Autoscaler) isUnavailable(p pool, now time.Time) bool {
-	return now.Before(f.unavailableUntil[p])
+// isUnavailable reports whether a pool is in backoff after a refusal.
+func (a *Autoscaler) isUnavailable(p pool, now time.Time) bool {
+	return now.Before(a.unavailableUntil[p])
 }
 
+// allowed reports whether a job's tasks may run on machines of a type, zone and kind.
 func allowed(s *protocol.Submission, typ, zone string, spot bool) bool {
 	return (!spot || s.Spot) && (s.Zone == nil || *s.Zone == zone) && (s.Types == nil || slices.Contains(s.Types, typ))
 }
 
-// condition is what a decision makes of a machine.
+// condition classifies a machine for a decision.
 type condition int
 
 const (
-	ignored   condition = iota // neither used nor released
-	lost                       // silent for too long, failed or faulty
-	starting                   // acquired, no report yet
-	operating                  // reported lately
+	ignored   condition = iota // neither counted as capacity nor released
+	lost                       // silent for too long, failed or faulty; to be released
+	starting                   // acquired, no heartbeat yet
+	operating                  // sent a heartbeat recently
 )
 
-// decision is what one call of Decide works with.
+// decision holds the inputs and derived values of one call of Decide.
 type decision struct {
-	types          map[string]*protocol.MachineType // by name
-	barrierTimeout time.Duration                    // how long a machine that a barrier waits for may be silent
-	cutZones       map[string]bool                  // zones that are cut off
-	now            time.Time
-	settled        time.Time
+	types            map[string]*protocol.MachineType // by name
+	barrierTimeout   time.Duration                    // silence after which a machine that a barrier waits for is lost
+	partitionedZones map[string]bool                  // zones that are probably cut off from the network
+	now              time.Time
+	settled          time.Time
 }
 
-// Decide plans with what is known. settled is when the members last changed:
-// silence counts only from then.
-func (f *Autoscaler) Decide(types []protocol.MachineType, machines []Machine, demands []Demand, arrivals Arrivals, now, settled time.Time) Plan {
+// Decide returns the actions that follow from the given state. settled is when the set of controllers last changed; the
+// silence of a machine is counted from then at the earliest.
+func (a *Autoscaler) Decide(types []protocol.MachineType, machines []Machine, demands []Demand, arrivals Arrivals, now, settled time.Time) Plan {
 	d := &decision{types: map[string]*protocol.MachineType{}, now: now, settled: settled}
 	for i := range types {
 		d.types[types[i].Name] = &types[i]
 	}
-	f.observeBoots(machines, d.types, now)
-	d.barrierTimeout = f.barrierTimeout(machines, now, settled)
-	d.cutZones = f.cutZones(machines, now, settled)
-	plan := Plan{SlowBootLocations: f.slowPlaces()}
+	a.observeBoots(machines, d.types, now)
+	d.barrierTimeout = a.barrierTimeout(machines, now, settled)
+	d.partitionedZones = a.partitionedZones(machines, now, settled)
+	plan := Plan{SlowBootLocations: a.slowBootLocations()}
 	var bins []*bin
 	var live []*Machine
 	for i := range machines {
 		m := &machines[i]
-		switch f.conditionOf(m, d) {
+		switch a.conditionOf(m, d) {
 		case lost:
 			plan.ScaleIn = append(plan.ScaleIn, m.Name)
 		case starting:
 			t := d.types[m.Type]
-			bins = append(bins, newBin(m.pool(), t, f.secondsUntilUp(m, t, now)))
+			bins = append(bins, newBin(m.pool(), t, a.secondsUntilUp(m, t, now)))
 		case operating:
 			live = append(live, m)
 		}
 	}
-	f.retire(live, d.types, demands, now)
-	plan.Retire = f.retiredMachines(live)
-	bins = append(bins, f.liveBins(live, d.types)...)
-	bins = append(bins, f.pendingBins(d.types)...)
-	f.scaleOut(&plan, types, bins, demands, arrivals, now)
+	a.retire(live, d.types, demands, now)
+	plan.Retire = a.retiredMachines(live)
+	bins = append(bins, a.liveBins(live, d.types)...)
+	bins = append(bins, a.pendingBins(d.types)...)
+	a.scaleOut(&plan, types, bins, demands, arrivals, now)
 	if len(plan.ScaleOut) == 0 {
-		f.scaleInIdle(&plan, d.types, idleMachines(live), len(bins)+len(plan.Retire), now)
+		a.scaleInIdle(&plan, d.types, idleMachines(live), len(bins)+len(plan.Retire), now)
 	}
 	return plan
 }
 
-// conditionOf judges a machine by what is known of it.
-func (f *Autoscaler) conditionOf(m *Machine, d *decision) condition {
+// conditionOf classifies a machine.
+func (a *Autoscaler) conditionOf(m *Machine, d *decision) condition {
 	t := d.types[m.Type]
 	silence := d.now.Sub(later(m.LastHeartbeat, d.settled))
 	booting := m.LastHeartbeat.IsZero()
@@ -230,33 +232,33 @@
 		return lost
 	case m.HomeUnreachable && m.ListedState != "":
 		return ignored
-	case booting && !m.Registered && f.bootTimedOut(m, t, d.now):
+	case booting && !m.Registered && a.bootTimedOut(m, t, d.now):
 		return lost
-	case (!booting || m.Registered) && silence > f.silenceTimeout(m, d.barrierTimeout, d.cutZones[m.Zone]):
+	case (!booting || m.Registered) && silence > a.silenceTimeout(m, d.barrierTimeout, d.partitionedZones[m.Zone]):
 		return lost
 	case m.SpotNotice || t == nil:
 		return ignored
-	case booting && m.Registered && silence > f.options.SilenceTimeout/4:
-		return ignored // registered once, but perhaps gone since
+	case booting && m.Registered && silence > a.options.SilenceTimeout/4:
+		return ignored // registered earlier, but may have been released since
 	case booting:
 		return starting
-	case silence > f.options.SilenceTimeout/2:
+	case silence > a.options.SilenceTimeout/2:
 		return ignored
 	}
 	return operating
 }
 
-// retiredMachines names the machines that are retired.
-func (f *Autoscaler) retiredMachines(live []*Machine) (names []string) {
+// retiredMachines returns the names of the retired machines.
+func (a *Autoscaler) retiredMachines(live []*Machine) (names []string) {
 	for _, m := range live {
-		if f.retired[m.Name] {
+		if a.retired[m.Name] {
 			names = append(names, m.Name)
 		}
 	}
 	return names
 }
 
-// idleMachines lists the machines without tasks.
+// idleMachines returns the machines without tasks.
 func idleMachines(live []*Machine) (idle []*Machine) {
 	for _, m := range live {
 		if !m.IdleSince.IsZero() {
@@ -266,35 +268,36 @@
 	return idle
 }
 
-// liveBins is the room of machines in operation that are not retired.
-func (f *Autoscaler) liveBins(live []*Machine, types map[string]*protocol.MachineType) (bins []*bin) {
+// liveBins returns the free capacity over time of operating machines that are not retired.
+func (a *Autoscaler) liveBins(live []*Machine, types map[string]*protocol.MachineType) (bins []*bin) {
 	for _, m := range live {
-		if f.retired[m.Name] {
+		if a.retired[m.Name] {
 			continue
 		}
-		b := &bin{pool: m.pool(), totalCPUs: types[m.Type].CPUs, changes: []roomChange{{0, m.FreeCPUs, m.FreeGPUs, m.FreeMemory}}}
-		for _, slot := range m.Tasks {
-			b.add(roomChange{max(slot.SecondsLeft, 1), slot.CPUs, slot.GPUs, slot.Memory})
+		b := &bin{pool: m.pool(), totalCPUs: types[m.Type].CPUs, changes: []capacityChange{{0, m.FreeCPUs, m.FreeGPUs, m.FreeMemory}}}
+		for _, task := range m.Tasks {
+			b.add(capacityChange{max(task.SecondsLeft, 1), task.CPUs, task.GPUs, task.Memory})
 		}
 		bins = append(bins, b)
 	}
 	return bins
 }
 
-// pendingBins is the room of machines that were asked for and not yet promised.
-func (f *Autoscaler) pendingBins(types map[string]*protocol.MachineType) (bins []*bin) {
-	for p, count := range f.pending {
+// pendingBins returns the capacity of machines that were requested, where the cloud has not answered yet.
+func (a *Autoscaler) pendingBins(types map[string]*protocol.MachineType) (bins []*bin) {
+	for p, count := range a.pending {
 		t := types[p.Type]
 		if t == nil {
 			continue
 		}
 		for range count {
-			bins = append(bins, newBin(p, t, f.bootSeconds(p, t)))
+			bins = append(bins, newBin(p, t, a.bootSeconds(p, t)))
 		}
 	}
 	return bins
 }
 
+// later returns the later of two times.
 func later(a, b time.Time) time.Time {
 	if a.After(b) {
 		return a
@@ -302,8 +305,8 @@
 	return b
 }
 
-// ImageFetchSeconds is how many seconds a machine takes to get the job's image, by the
-// slowest type: it may have to share the rate.
+// ImageFetchSeconds returns how many seconds a machine takes to fetch a job's image. It assumes the slowest machine
+// type, since concurrent fetches share the rate.
 func ImageFetchSeconds(types []protocol.MachineType, s *protocol.Submission) float64 {
 	longest := 0.0
 	for i := range types {
--- a/internal/autoscaler/bin.go
+++ b/internal/autoscaler/bin.go
@@ -10,27 +10,29 @@
 	"topazhollow/internal/protocol"
 )
 
-// roomChange is a change of a machine's free room at a time, in seconds from now.
-type roomChange struct {
+// capacityChange is a change of a machine's free capacity at a time, in seconds from now.
+type capacityChange struct {
 	at              float64
 	cpus, gpus, mem float64
 }
 
-// bin is a machine's free room over time, there or on its way.
+// bin is the free capacity over time of a machine that exists or is expected.
 type bin struct {
 	pool      pool
-	totalCPUs float64      // CPUs
-	changes   []roomChange // in order of time
+	totalCPUs float64          // of the empty machine
+	changes   []capacityChange // sorted by time
 
-	taken int // how often tasks were booked
+	reservations int // number of reservations made; see queuedBin.reservations
 }
 
+// newBin returns an empty machine that becomes available at a time.
 func newBin(p pool, t *protocol.MachineType, at float64) *bin {
-	return &bin{pool: p, totalCPUs: t.CPUs, changes: []roomChange{{at, t.CPUs, t.GPUs, t.MemoryGB}}}
+	return &bin{pool: p, totalCPUs: t.CPUs, changes: []capacityChange{{at, t.CPUs, t.GPUs, t.MemoryGB}}}
 }
 
-func (b *bin) add(r roomChange) {
-	i, _ := slices.BinarySearchFunc(b.changes, r.at, func(x roomChange, at float64) int {
+// add inserts a capacity change after those of the same time.
+func (b *bin) add(r capacityChange) {
+	i, _ := slices.BinarySearchFunc(b.changes, r.at, func(x capacityChange, at float64) int {
 		if x.at <= at {
 			return -1
 		}
@@ -39,16 +41,17 @@
 	b.changes = slices.Insert(b.changes, i, r)
 }
 
-const slack = 1e-6
+// roundingTolerance is the tolerance for rounding errors in sums of resources.
+const roundingTolerance = 1e-6
 
-// earliest is when the bin has room for a task from then on, or infinity; it
-// stops looking at limit.
-func (b *bin) earliest(s *protocol.Submission, limit float64) float64 {
+// earliestStart returns the earliest time from which the bin has room for a task permanently, or infinity. It may stop
+// searching at limit.
+func (b *bin) earliestStart(s *protocol.Submission, limit float64) float64 {
 	cpus, gpus, mem := 0.0, 0.0, 0.0
 	start := math.Inf(1)
 	for _, r := range b.changes {
 		cpus, gpus, mem = cpus+r.cpus, gpus+r.gpus, mem+r.mem
-		fits := cpus+slack >= s.CPUs && gpus+slack >= s.GPUs && mem+slack >= s.MemoryGB
+		fits := cpus+roundingTolerance >= s.CPUs && gpus+roundingTolerance >= s.GPUs && mem+roundingTolerance >= s.MemoryGB
 		switch {
 		case !fits:
 			start = math.Inf(1)
@@ -62,8 +65,8 @@
 	return start
 }
 
-// fits is how many tasks there is room for from a time on, for good.
-func (b *bin) fits(s *protocol.Submission, from float64) int {
+// tasksThatFit returns how many tasks there is permanently room for from a time on.
+func (b *bin) tasksThatFit(s *protocol.Submission, from float64) int {
 	count := protocol.MaxTasks
 	cpus, gpus, mem := 0.0, 0.0, 0.0
 	for i, r := range b.changes {
@@ -72,34 +75,35 @@
 			continue
 		}
 		if r.at > from && i == 0 {
-			return 0 // not there yet
+			return 0 // the machine is not available yet
 		}
 		count = min(count, s.TasksThatFit(cpus, gpus, mem))
 	}
 	return count
 }
 
-// take records tasks from start on, as many as there is room for from then on, one at
-// least and most at most, and says how many.
-func (b *bin) take(s *protocol.Submission, start, run float64, most int) int {
-	count := max(min(b.fits(s, start), most), 1)
+// reserve reserves capacity for tasks that begin at start, as many as fit from then on, but at least one and at most
+// limit. It returns their number.
+func (b *bin) reserve(s *protocol.Submission, start, run float64, limit int) int {
+	count := max(min(b.tasksThatFit(s, start), limit), 1)
 	x := float64(count)
-	b.taken++
-	b.add(roomChange{start, -x * s.CPUs, -x * s.GPUs, -x * s.MemoryGB})
-	b.add(roomChange{start + run, x * s.CPUs, x * s.GPUs, x * s.MemoryGB})
+	b.reservations++
+	b.add(capacityChange{start, -x * s.CPUs, -x * s.GPUs, -x * s.MemoryGB})
+	b.add(capacityChange{start + run, x * s.CPUs, x * s.GPUs, x * s.MemoryGB})
 	return count
 }
 
-// shape is what a task asks of a machine: tasks of one shape find the same places.
-type shape struct {
+// taskShape is what determines on which bins a task fits. Tasks of the same shape fit on the same bins.
+type taskShape struct {
 	cpus, gpus, mem float64
 	spot            bool
 	zone, types     string
-	spotOnly        bool // on spot machines alone
+	spotOnly        bool // considers spot machines only
 }
 
-func shapeOf(s *protocol.Submission, cheap bool) shape {
-	x := shape{cpus: s.CPUs, gpus: s.GPUs, mem: s.MemoryGB, spot: s.Spot, spotOnly: cheap}
+// shapeOf returns the shape of a job's tasks.
+func shapeOf(s *protocol.Submission, spotOnly bool) taskShape {
+	x := taskShape{cpus: s.CPUs, gpus: s.GPUs, mem: s.MemoryGB, spot: s.Spot, spotOnly: spotOnly}
 	if s.Zone != nil {
 		x.zone = "=" + *s.Zone
 	}
@@ -109,24 +113,24 @@
 	return x
 }
 
-// layout is all bins, with a line of them for each shape of what is placed in the forecast: a look costs
-// by the number of shapes, however many jobs and tasks there are of each.
-type layout struct {
-	bins  []*bin
-	lines map[shape]*line
+// forecast holds all bins and a queue of them for each task shape. The cost of a search depends on the number of
+// shapes, not on the number of jobs and tasks of each shape.
+type forecast struct {
+	bins   []*bin
+	queues map[taskShape]*binQueue
 }
 
-// line finds the bins that may take tasks of a job's shape, or the spot ones of these.
-func (l *layout) line(s *protocol.Submission, cheap bool) *line {
-	x := shapeOf(s, cheap)
-	q := l.lines[x]
+// queueFor returns the queue of bins for a job's task shape, or of the spot ones among these, after adding new bins.
+func (f *forecast) queueFor(s *protocol.Submission, spotOnly bool) *binQueue {
+	x := shapeOf(s, spotOnly)
+	q := f.queues[x]
 	if q == nil {
-		q = &line{spec: s, spotOnly: cheap}
-		l.lines[x] = q
+		q = &binQueue{spec: s, spotOnly: spotOnly}
+		f.queues[x] = q
 	}
-	fresh := q.known == 0
-	for ; q.known < len(l.bins); q.known++ {
-		c, ok := q.candidate(l.bins[q.known])
+	fresh := q.scanned == 0
+	for ; q.scanned < len(f.bins); q.scanned++ {
+		c, ok := q.newQueuedBin(f.bins[q.scanned])
 		switch {
 		case !ok:
 		case fresh:
@@ -141,69 +145,71 @@
 	return q
 }
 
-// line is the bins that may take tasks of one shape, soonest first. Room is only ever taken
-// from a bin, so that the start that was found before is the least that it can be: only the
-// bin in front has to be looked at again, if it changed.
-type line struct {
-	spec     *protocol.Submission // any of the shape
+// binQueue is a priority queue of the bins that fit tasks of one shape, earliest start first. Reservations only reduce
+// the capacity of a bin, so a start computed earlier is a lower bound: only the first bin must be recomputed, if it has
+// changed.
+type binQueue struct {
+	spec     *protocol.Submission // any job of the shape
 	spotOnly bool
-	bins     []candidate
-	known    int // bins of the layout that were looked at
+	bins     []queuedBin
+	scanned  int // number of forecast bins that were examined
 }
 
-type candidate struct {
-	start float64
-	order int // of the bins, for what starts at the same time
-	bin   *bin
-	taken int // of the bin when start was found
+// queuedBin is a bin in a binQueue.
+type queuedBin struct {
+	start        float64
+	order        int // breaks ties between equal starts
+	bin          *bin
+	reservations int // the bin's reservations when start was computed
 }
 
-func (l *line) candidate(b *bin) (candidate, bool) {
-	if !allowed(l.spec, b.pool.Type, b.pool.Zone, b.pool.Spot) || l.spotOnly && !b.pool.Spot {
-		return candidate{}, false
+// newQueuedBin returns a queue entry for a bin. ok is false if the bin can never run a task of the shape.
+func (q *binQueue) newQueuedBin(b *bin) (queuedBin, bool) {
+	if !allowed(q.spec, b.pool.Type, b.pool.Zone, b.pool.Spot) || q.spotOnly && !b.pool.Spot {
+		return queuedBin{}, false
 	}
-	start := b.earliest(l.spec, math.Inf(1))
-	return candidate{start, l.known, b, b.taken}, !math.IsInf(start, 1)
+	start := b.earliestStart(q.spec, math.Inf(1))
+	return queuedBin{start, q.scanned, b, b.reservations}, !math.IsInf(start, 1)
 }
 
-// soonest is when the next task can start, or infinity.
-func (l *line) soonest() float64 {
-	for len(l.bins) > 0 {
-		c := &l.bins[0]
-		if c.taken == c.bin.taken {
+// earliestStart returns when the next task can start, or infinity.
+func (q *binQueue) earliestStart() float64 {
+	for len(q.bins) > 0 {
+		c := &q.bins[0]
+		if c.reservations == c.bin.reservations {
 			return c.start
 		}
-		c.start, c.taken = c.bin.earliest(l.spec, math.Inf(1)), c.bin.taken
+		c.start, c.reservations = c.bin.earliestStart(q.spec, math.Inf(1)), c.bin.reservations
 		if math.IsInf(c.start, 1) {
-			heap.Pop(l)
+			heap.Pop(q)
 		} else {
-			heap.Fix(l, 0)
+			heap.Fix(q, 0)
 		}
 	}
 	return math.Inf(1)
 }
 
-// take records the next tasks of a job, at most so many, in the bin that has room soonest, as
-// soonest has just found it, and says how many these are.
-func (l *line) take(run float64, most int) int {
-	c := &l.bins[0]
-	return c.bin.take(l.spec, c.start, run, most)
+// reserve reserves capacity for up to limit tasks in the first bin and returns their number. It must be called after
+// earliestStart.
+func (q *binQueue) reserve(run float64, limit int) int {
+	c := &q.bins[0]
+	return c.bin.reserve(q.spec, c.start, run, limit)
 }
 
-func (l *line) Len() int { return len(l.bins) }
+func (q *binQueue) Len() int { return len(q.bins) }
 
-func (l *line) Less(i, j int) bool {
-	a, b := l.bins[i], l.bins[j]
+func (q *binQueue) Less(i, j int) bool {
+	a, b := q.bins[i], q.bins[j]
 	return cmp.Or(cmp.Compare(a.start, b.start), a.order-b.order) < 0
 }
 
-func (l *line) Swap(i, j int) { l.bins[i], l.bins[j] = l.bins[j], l.bins[i] }
+func (q *binQueue) Swap(i, j int) { q.bins[i], q.bins[j] = q.bins[j], q.bins[i] }
 
-// Push and Pop are for package heap alone.
-func (l *line) Push(x any) { l.bins = append(l.bins, x.(candidate)) }
+// Push and Pop implement heap.Interface; callers use package heap instead.
+func (q *binQueue) Push(x any) { q.bins = append(q.bins, x.(queuedBin)) }
 
-func (l *line) Pop() any {
-	last := l.bins[len(l.bins)-1]
-	l.bins = l.bins[:len(l.bins)-1]
+func (q *binQueue) Pop() any {
+	last := q.bins[len(q.bins)-1]
+	q.bins = q.bins[:len(q.bins)-1]
 	return last
 }
--- a/internal/autoscaler/boot.go
+++ b/internal/autoscaler/boot.go
@@ -7,82 +7,83 @@
 	"topazhollow/internal/protocol"
 )
 
-// bootHistory is how long machines of a type in a zone, spot or not, took of late until
-// they reported.
+// bootHistory records how long recent machines of a type in a zone, spot or on-demand, took from acquisition to the
+// first heartbeat.
 type bootHistory struct {
-	seconds    []float64 // seconds, the last ones
-	expected   float64   // what nearly all of these took
-	newestUp   time.Time // latest acquisition of a machine that is up
-	lowerBound float64   // what they all seem to take, while none comes in time
+	seconds      []float64 // most recent boot times in seconds
+	p75          float64   // 75th percentile of these
+	newestBooted time.Time // latest acquisition time of a machine that has booted
+	lowerBound   float64   // estimated boot time while all booting machines are late; else 0
 }
 
-// keptBoots is how many boots an expectation rests on.
-const keptBoots = 8
+// maxBootHistory is the number of recent boots that the expected boot time is based on.
+const maxBootHistory = 8
 
-// lateFactor says that a boot is late when it takes this many times what was expected.
-const lateFactor = 1.5
+// lateBootFactor is the multiple of the expected boot time after which a boot is late.
+const lateBootFactor = 1.5
 
-// bootTimesOf finds or makes what is known of the boots of a pool's type and zone.
-func (f *Autoscaler) bootTimesOf(p pool) *bootHistory {
+// bootTimesOf returns the boot history of a pool's type and zone, creating it if necessary.
+func (a *Autoscaler) bootTimesOf(p pool) *bootHistory {
 	p.Spot = false
-	b := f.bootTimes[p]
+	b := a.bootTimes[p]
 	if b == nil {
 		b = &bootHistory{}
-		f.bootTimes[p] = b
+		a.bootTimes[p] = b
 	}
 	return b
 }
 
-// bootSeconds is how many seconds a new machine of a pool probably takes until it
-// reports: what nearly all took of late, or what the catalog says.
-func (f *Autoscaler) bootSeconds(p pool, t *protocol.MachineType) float64 {
-	b := f.bootTimesOf(p)
-	return max(b.usual(t), b.lowerBound, 1)
+// bootSeconds returns the expected seconds from the acquisition of a machine of a pool to its first heartbeat, from
+// recent boots or else from the catalog.
+func (a *Autoscaler) bootSeconds(p pool, t *protocol.MachineType) float64 {
+	b := a.bootTimesOf(p)
+	return max(b.typicalSeconds(t), b.lowerBound, 1)
 }
 
-func (b *bootHistory) usual(t *protocol.MachineType) float64 {
+// typicalSeconds returns the boot time without regard to machines that are late now.
+func (b *bootHistory) typicalSeconds(t *protocol.MachineType) float64 {
 	if len(b.seconds) > 0 {
-		return b.expected
+		return b.p75
 	}
 	return t.BootSeconds
 }
 
-// observeBoots learns from machines that came up since the last look, and from those
-// that should have. While machines acquired earlier are late and none acquired since is
-// up, all are slow; a machine that others overtook is late on its own.
-func (f *Autoscaler) observeBoots(machines []Machine, types map[string]*protocol.MachineType, now time.Time) {
+// observeBoots updates the boot histories from machines that have booted since the last call and from those that are
+// late. If a machine is late and none acquired later has booted, the whole type and zone counts as slow. A machine that
+// others have overtaken is an isolated case.
+func (a *Autoscaler) observeBoots(machines []Machine, types map[string]*protocol.MachineType, now time.Time) {
 	booting := map[string]bool{}
 	for i := range machines {
 		m := &machines[i]
 		if m.LastHeartbeat.IsZero() && !m.Registered {
 			booting[m.Name] = true
-		} else if f.booting[m.Name] && !m.LastHeartbeat.IsZero() {
-			b := f.bootTimesOf(m.pool())
+		} else if a.booting[m.Name] && !m.LastHeartbeat.IsZero() {
+			b := a.bootTimesOf(m.pool())
 			b.seconds = append(b.seconds, max(0, m.LastHeartbeat.Sub(m.AcquiredAt).Seconds()))
-			b.seconds = b.seconds[max(0, len(b.seconds)-keptBoots):]
-			b.expected = slices.Sorted(slices.Values(b.seconds))[len(b.seconds)*3/4]
-			b.newestUp = later(b.newestUp, m.AcquiredAt)
+			b.seconds = b.seconds[max(0, len(b.seconds)-maxBootHistory):]
+			b.p75 = slices.Sorted(slices.Values(b.seconds))[len(b.seconds)*3/4]
+			b.newestBooted = later(b.newestBooted, m.AcquiredAt)
 		}
 	}
-	f.booting = booting
-	for _, b := range f.bootTimes {
+	a.booting = booting
+	for _, b := range a.bootTimes {
 		b.lowerBound = 0
 	}
 	for i := range machines {
 		m := &machines[i]
 		t, age := types[m.Type], now.Sub(m.AcquiredAt).Seconds()
-		if t == nil || !booting[m.Name] || f.overtaken(m) {
+		if t == nil || !booting[m.Name] || a.overtaken(m) {
 			continue
 		}
-		if b := f.bootTimesOf(m.pool()); age > lateFactor*f.bootSeconds(m.pool(), t) {
-			b.lowerBound = max(b.lowerBound, lateFactor*age)
+		if b := a.bootTimesOf(m.pool()); age > lateBootFactor*a.bootSeconds(m.pool(), t) {
+			b.lowerBound = max(b.lowerBound, lateBootFactor*age)
 		}
 	}
 }
 
-// slowPlaces lists where all machines on their way are late.
-func (f *Autoscaler) slowPlaces() (list []string) {
-	for p, b := range f.bootTimes {
+// slowBootLocations lists the types and zones where all booting machines are late.
+func (a *Autoscaler) slowBootLocations() (list []string) {
+	for p, b := range a.bootTimes {
 		if b.lowerBound > 0 {
 			list = append(list, p.Type+" in "+p.Zone)
 		}
@@ -91,33 +92,33 @@
 	return list
 }
 
+// pool returns the pool that a machine was acquired from.
 func (m *Machine) pool() pool { return pool{m.Type, m.Zone, m.Spot} }
 
-// overtaken says whether a machine of the same type and zone that was acquired no earlier
-// is up.
-func (f *Autoscaler) overtaken(m *Machine) bool {
-	return !m.AcquiredAt.After(f.bootTimesOf(m.pool()).newestUp)
+// overtaken reports whether a machine of the same type and zone that was acquired no earlier has booted.
+func (a *Autoscaler) overtaken(m *Machine) bool {
+	return !m.AcquiredAt.After(a.bootTimesOf(m.pool()).newestBooted)
 }
 
-// secondsUntilUp is in how many seconds a machine that was acquired is probably up. One
-// that is late may well take as long again as it took already.
-func (f *Autoscaler) secondsUntilUp(m *Machine, t *protocol.MachineType, now time.Time) float64 {
-	expected, age := f.bootSeconds(m.pool(), t), now.Sub(m.AcquiredAt).Seconds()
-	if age > lateFactor*expected {
+// secondsUntilUp estimates in how many seconds a booting machine is up. A late machine is expected to need as long
+// again as it has taken so far.
+func (a *Autoscaler) secondsUntilUp(m *Machine, t *protocol.MachineType, now time.Time) float64 {
+	expected, age := a.bootSeconds(m.pool(), t), now.Sub(m.AcquiredAt).Seconds()
+	if age > lateBootFactor*expected {
 		return age
 	}
 	return max(1, expected-age)
 }
 
-// bootTimedOut says whether a machine takes so long to boot that it will hardly come.
-func (f *Autoscaler) bootTimedOut(m *Machine, t *protocol.MachineType, now time.Time) bool {
-	usual := 60.0
+// bootTimedOut reports whether a machine has been booting for so long that it is given up.
+func (a *Autoscaler) bootTimedOut(m *Machine, t *protocol.MachineType, now time.Time) bool {
+	typical := 60.0
 	if t != nil {
-		usual = max(t.BootSeconds, f.bootTimesOf(m.pool()).usual(t))
+		typical = max(t.BootSeconds, a.bootTimesOf(m.pool()).typicalSeconds(t))
 	}
-	most := 6*usual + 20
-	if f.overtaken(m) {
-		most = 3*usual + 10
+	most := 6*typical + 20
+	if a.overtaken(m) {
+		most = 3*typical + 10
 	}
 	return now.Sub(m.AcquiredAt).Seconds() > most
 }
--- a/internal/autoscaler/gang.go
+++ b/internal/autoscaler/gang.go
@@ -7,11 +7,11 @@
 	"topazhollow/internal/protocol"
 )
 
-// A gang of one zone starts once all its tasks have room there at the same time. Laid out task by task, on whatever
-// machine has room soonest, it seemed to start long before it could, and what was acquired for it was spread over all
-// zones.
+// A gang that must run in one zone starts once all of its tasks have room there at the same time. Forecasting its tasks
+// one by one on whichever machine has room first would predict a start that is much too early and would acquire
+// machines spread over all zones. The functions in this file therefore forecast such a gang as a whole.
 
-// zonesOf lists the zones that any type has machines in, in the order of the catalog.
+// zonesOf returns the zones of all machine types, in the order of the catalog.
 func zonesOf(types []protocol.MachineType) (zones []string) {
 	for i := range types {
 		for _, z := range types[i].Zones {
@@ -23,34 +23,34 @@
 	return zones
 }
 
-// gangPlace is a gang in one of the zones that it could run in.
-type gangPlace struct {
-	spec *protocol.Submission // as one that has to run there
-	bins []*bin               // that it may use there
-	at   float64              // when all of it first has room there, or infinity
+// gangZone is the forecast of a gang in one of the zones that it could run in.
+type gangZone struct {
+	spec *protocol.Submission // the gang's, restricted to the zone
+	bins []*bin               // bins in the zone that the gang may use
+	at   float64              // earliest start of the whole gang, in seconds from now, or infinity
 }
 
-// gangPlaces lists the zones for so many tasks of a gang.
-func (l *layout) gangPlaces(types []protocol.MachineType, s *protocol.Submission, count int) (places []gangPlace) {
+// gangZones forecasts a gang of count tasks in each zone.
+func (f *forecast) gangZones(types []protocol.MachineType, s *protocol.Submission, count int) (zones []gangZone) {
 	for _, zone := range zonesOf(types) {
-		there := *s
-		there.Zone = &zone
-		p := gangPlace{spec: &there}
-		for _, b := range l.bins {
-			if allowed(p.spec, b.pool.Type, b.pool.Zone, b.pool.Spot) {
-				p.bins = append(p.bins, b)
+		zoned := *s
+		zoned.Zone = &zone
+		z := gangZone{spec: &zoned}
+		for _, b := range f.bins {
+			if allowed(z.spec, b.pool.Type, b.pool.Zone, b.pool.Spot) {
+				z.bins = append(z.bins, b)
 			}
 		}
-		p.at = p.earliestStart(count)
-		places = append(places, p)
+		z.at = z.earliestStart(count)
+		zones = append(zones, z)
 	}
-	return places
+	return zones
 }
 
-// earliestStart is when so many tasks first have room at the same time, or infinity.
-func (p *gangPlace) earliestStart(count int) float64 {
+// earliestStart returns when count tasks first have room at the same time, or infinity.
+func (z *gangZone) earliestStart(count int) float64 {
 	times := []float64{0}
-	for _, b := range p.bins {
+	for _, b := range z.bins {
 		for _, r := range b.changes {
 			times = append(times, r.at)
 		}
@@ -58,7 +58,7 @@
 	slices.Sort(times)
 	times = slices.Compact(times)
 	i, _ := slices.BinarySearchFunc(times, true, func(at float64, _ bool) int {
-		if p.room(at, count) < count {
+		if z.tasksThatFit(at, count) < count {
 			return -1
 		}
 		return 0
@@ -69,39 +69,39 @@
 	return times[i]
 }
 
-// room is how many tasks have room from a time on; it stops counting at enough.
-func (p *gangPlace) room(at float64, enough int) (n int) {
-	for _, b := range p.bins {
-		if n += b.fits(p.spec, at); n >= enough {
+// tasksThatFit returns how many tasks fit from a time on. It stops counting at enough.
+func (z *gangZone) tasksThatFit(at float64, enough int) (n int) {
+	for _, b := range z.bins {
+		if n += b.tasksThatFit(z.spec, at); n >= enough {
 			break
 		}
 	}
 	return n
 }
 
-// gangOffer is what machines to acquire for a gang in one of its zones.
-type gangOffer struct {
-	place       *gangPlace
+// gangScaleOut is a set of machines to acquire for a gang in one zone.
+type gangScaleOut struct {
+	zone        *gangZone
 	pool        pool
 	machineType *protocol.MachineType
 	count       int
 }
 
-// placeGang places in the forecast a gang of one zone where it can start soonest, or acquires what it lacks in the zone
-// that lacks least, if that would be late. It says in how many seconds the gang starts by that, and whether machines
-// are acquired for it; the time is infinite if there is no room and none to acquire.
-func (r *scaleOutPass) placeGang(t *task) (at float64, rented bool) {
-	places := r.layout.gangPlaces(r.types, t.demand.Spec, t.demand.Count)
+// placeGang places a one-zone gang in the zone where it can start first. If that would be late, it instead acquires the
+// missing machines in the zone that needs the fewest. It returns in how many seconds the gang starts, and whether
+// machines are acquired for it. The time is infinite if there is no capacity and none can be acquired.
+func (r *scaleOutPass) placeGang(t *task) (at float64, acquired bool) {
+	zones := r.forecast.gangZones(r.types, t.demand.Spec, t.demand.Count)
 	at = math.Inf(1)
-	var best *gangPlace
-	for i := range places {
-		if p := &places[i]; p.at < at {
-			best, at = p, p.at
+	var best *gangZone
+	for i := range zones {
+		if z := &zones[i]; z.at < at {
+			best, at = z, z.at
 		}
 	}
-	if r.expectedStart(t, at) > t.allowance {
-		if offer, ok := r.gangOffer(t, places); ok {
-			best, at, rented = offer.place, r.addForGang(&offer), true
+	if r.expectedStart(t, at) > t.latestStart {
+		if scaleOut, ok := r.planGangScaleOut(t, zones); ok {
+			best, at, acquired = scaleOut.zone, r.addForGang(&scaleOut), true
 		}
 	}
 	if best == nil {
@@ -109,42 +109,42 @@
 	}
 	left := t.demand.Count
 	for _, b := range best.bins {
-		if left > 0 && b.fits(best.spec, at) > 0 {
-			left -= b.take(best.spec, at, t.run, left)
+		if left > 0 && b.tasksThatFit(best.spec, at) > 0 {
+			left -= b.reserve(best.spec, at, t.run, left)
 		}
 	}
-	return at, rented
+	return at, acquired
 }
 
-// gangOffer finds the zone in which the fewest machines have to be acquired for a gang.
-func (r *scaleOutPass) gangOffer(t *task, places []gangPlace) (best gangOffer, found bool) {
+// planGangScaleOut finds the zone in which the fewest machines have to be acquired for a gang.
+func (r *scaleOutPass) planGangScaleOut(t *task, zones []gangZone) (best gangScaleOut, found bool) {
 	total := t.demand.Count
-	for i := range places {
-		p := &places[i]
-		there := *t.demand
-		there.Spec = p.spec
-		from, machineType := r.fleet.cheapest(r.types, &there, r.wanted, r.expectedStart(t, p.at), r.now)
+	for i := range zones {
+		z := &zones[i]
+		zoned := *t.demand
+		zoned.Spec = z.spec
+		from, machineType := r.autoscaler.cheapestPool(r.types, &zoned, r.wanted, r.expectedStart(t, z.at), r.now)
 		if machineType == nil {
 			continue
 		}
-		lacks := total - p.room(r.fleet.bootSeconds(from, machineType), total)
-		each := max(p.spec.TasksThatFit(machineType.CPUs, machineType.GPUs, machineType.MemoryGB), 1)
+		lacks := total - z.tasksThatFit(r.autoscaler.bootSeconds(from, machineType), total)
+		each := max(z.spec.TasksThatFit(machineType.CPUs, machineType.GPUs, machineType.MemoryGB), 1)
 		count := max((lacks+each-1)/each, 1)
 		if !found || count < best.count {
-			best, found = gangOffer{place: p, pool: from, machineType: machineType, count: count}, true
+			best, found = gangScaleOut{zone: z, pool: from, machineType: machineType, count: count}, true
 		}
 	}
 	return best, found
 }
 
-// addForGang records the machines of an offer, and says in how many seconds they are up.
-func (r *scaleOutPass) addForGang(offer *gangOffer) (up float64) {
-	up = r.fleet.bootSeconds(offer.pool, offer.machineType)
-	r.wanted[offer.pool] += offer.count
-	for range offer.count {
-		b := newBin(offer.pool, offer.machineType, up)
-		r.layout.bins = append(r.layout.bins, b)
-		offer.place.bins = append(offer.place.bins, b)
+// addForGang adds the machines of a gangScaleOut to the forecast and returns in how many seconds they are up.
+func (r *scaleOutPass) addForGang(scaleOut *gangScaleOut) (up float64) {
+	up = r.autoscaler.bootSeconds(scaleOut.pool, scaleOut.machineType)
+	r.wanted[scaleOut.pool] += scaleOut.count
+	for range scaleOut.count {
+		b := newBin(scaleOut.pool, scaleOut.machineType, up)
+		r.forecast.bins = append(r.forecast.bins, b)
+		scaleOut.zone.bins = append(scaleOut.zone.bins, b)
 	}
 	return up
 }
--- a/internal/autoscaler/retire.go
+++ b/internal/autoscaler/retire.go
@@ -9,16 +9,16 @@
 	"topazhollow/internal/protocol"
 )
 
-// freeReserve is the part of the kept machines' room that stays free when on-demand
-// machines are let go: what comes next should not have to wait for a boot.
-const freeReserve = 0.04
+// freeReserveShare is the share of the kept machines' capacity that must stay free when on-demand machines are retired,
+// so that new work does not have to wait for a boot.
+const freeReserveShare = 0.04
 
-// retirePause is for how long after a acquisition no machine is retired: one that is released
-// and acquired again costs a boot and a minute at least.
+// retirePause is how long after a scale-out no machine is retired. Releasing and reacquiring a machine costs a boot and
+// at least a minute.
 const retirePause = time.Minute
 
-// share is what part of a machine of a type an amount takes: its scarcest kind.
-func share(t *protocol.MachineType, cpus, gpus, mem float64) float64 {
+// dominantShare returns the largest share that an amount takes of any resource of a machine type.
+func dominantShare(t *protocol.MachineType, cpus, gpus, mem float64) float64 {
 	most := 0.0
 	for _, x := range [][2]float64{{cpus, t.CPUs}, {gpus, t.GPUs}, {mem, t.MemoryGB}} {
 		if x[1] > 0 {
@@ -28,7 +28,7 @@
 	return most
 }
 
-// freeShare is what part of a machine is free: of its scarcest kind.
+// freeShare returns the free share of a machine's scarcest resource.
 func (m *Machine) freeShare(t *protocol.MachineType) float64 {
 	least := 1.0
 	for _, x := range [][2]float64{{m.FreeCPUs, t.CPUs}, {m.FreeGPUs, t.GPUs}, {m.FreeMemory, t.MemoryGB}} {
@@ -39,91 +39,90 @@
 	return max(0, least)
 }
 
-// hasCheaperKind says whether a machine costs more than another kind of its type does, so
-// that work should leave it where there is room.
-func (f *Autoscaler) hasCheaperKind(m *Machine, t *protocol.MachineType) bool {
-	return !m.Spot && f.options.SpotShare > 0 && t.SpotPricePerHour < t.PricePerHour
+// hasCheaperSpot reports whether a machine is on-demand and spot machines of its type are in use and cheaper, so that
+// its work should move to other machines that have room.
+func (a *Autoscaler) hasCheaperSpot(m *Machine, t *protocol.MachineType) bool {
+	return !m.Spot && a.options.SpotShare > 0 && t.SpotPricePerHour < t.PricePerHour
 }
 
-// retire keeps the set of on-demand machines that get no more tasks and go back when
-// those they have are over. Machines used in part never fall idle: work is spread
-// over all there are. A machine is retired once the others have room for its work
-// and the reserve, and taken back into use as soon as that is no longer so. What a
-// retired machine still runs is counted as work that the others are about to get.
-func (f *Autoscaler) retire(live []*Machine, types map[string]*protocol.MachineType, demands []Demand, now time.Time) {
-	// If some work may not use spot machines, it is not known which of the on-demand ones it needs.
-	pinned := slices.ContainsFunc(demands, func(d Demand) bool { return !d.Spec.Spot })
+// retire updates the set of retired machines: on-demand machines that get no more tasks and are released when their
+// tasks have ended. Without it, partly used machines would never become idle, since work is spread over all machines. A
+// machine is retired once the others have room for its work plus the reserve, and returned to service as soon as that
+// no longer holds. Tasks on retired machines count as work that the others are about to get.
+func (a *Autoscaler) retire(live []*Machine, types map[string]*protocol.MachineType, demands []Demand, now time.Time) {
+	// While work that may not use spot machines waits, it is unknown which on-demand machines it needs: retire none.
+	onDemandOnly := slices.ContainsFunc(demands, func(d Demand) bool { return !d.Spec.Spot })
 	byType := map[string][]*Machine{}
-	there := map[string]bool{}
+	isLive := map[string]bool{}
 	for _, m := range live {
 		byType[m.Type] = append(byType[m.Type], m)
-		there[m.Name] = true
+		isLive[m.Name] = true
 	}
-	for name := range f.retired {
-		if !there[name] || pinned {
-			delete(f.retired, name)
+	for name := range a.retired {
+		if !isLive[name] || onDemandOnly {
+			delete(a.retired, name)
 		}
 	}
-	if pinned {
+	if onDemandOnly {
 		return
 	}
 	waiting := waitingByType(types, demands)
 	for name, machines := range byType {
-		f.retireOfType(types[name], machines, waiting[name], now)
+		a.retireOfType(types[name], machines, waiting[name], now)
 	}
 }
 
-// waitingByType is how many machines' room the waiting tasks take that may run on a type.
+// waitingByType returns for each type the capacity, in machines, of the waiting tasks that may run on it.
 func waitingByType(types map[string]*protocol.MachineType, demands []Demand) map[string]float64 {
 	waiting := map[string]float64{}
 	for _, d := range demands {
 		for name, t := range types {
 			if allowed(d.Spec, name, "", true) || d.Spec.Zone != nil {
-				waiting[name] += float64(d.Count) * share(t, d.Spec.CPUs, d.Spec.GPUs, d.Spec.MemoryGB)
+				waiting[name] += float64(d.Count) * dominantShare(t, d.Spec.CPUs, d.Spec.GPUs, d.Spec.MemoryGB)
 			}
 		}
 	}
 	return waiting
 }
 
-// retireOfType retires machines of one type or takes them back. Waiting is the machines' room
-// that waiting tasks take.
-func (f *Autoscaler) retireOfType(t *protocol.MachineType, machines []*Machine, waiting float64, now time.Time) {
+// retireOfType retires machines of one type or returns them to service. waiting is the capacity, in machines, that
+// waiting tasks need.
+func (a *Autoscaler) retireOfType(t *protocol.MachineType, machines []*Machine, waiting float64, now time.Time) {
 	slices.SortFunc(machines, func(a, b *Machine) int {
 		return cmp.Or(cmp.Compare(b.freeShare(t), a.freeShare(t)), cmp.Compare(a.Name, b.Name))
 	})
-	kept, room := 0.0, -waiting // machines that are kept, and their free room in machines
+	kept, room := 0.0, -waiting // machines that are kept, and their free capacity in machines
 	for _, m := range machines {
-		if f.retired[m.Name] {
+		if a.retired[m.Name] {
 			room -= 1 - m.freeShare(t)
 		} else {
 			room += m.freeShare(t)
 			kept++
 		}
 	}
-	for i := len(machines) - 1; i >= 0 && room < freeReserve*kept; i-- { // the fullest first: they run on anyway
-		if m := machines[i]; f.retired[m.Name] {
-			delete(f.retired, m.Name)
+	for i := len(machines) - 1; i >= 0 && room < freeReserveShare*kept; i-- { // the fullest first: they stay longest
+		if m := machines[i]; a.retired[m.Name] {
+			delete(a.retired, m.Name)
 			room++
 			kept++
 		}
 	}
-	// Twice the reserve before the next goes, and none for a while after machines were
-	// asked for, so that none goes back and forth.
+	// Hysteresis against machines alternating between retired and in service: retiring requires twice the reserve, and
+	// none is retired for a while after a scale-out.
 	for _, m := range machines {
-		warm := math.Max(1, float64(f.options.Warm))
-		if now.Sub(f.scaledOutAt) < retirePause || room-1 < 2*freeReserve*(kept-1) || kept <= warm {
+		warm := math.Max(1, float64(a.options.Warm))
+		if now.Sub(a.scaledOutAt) < retirePause || room-1 < 2*freeReserveShare*(kept-1) || kept <= warm {
 			break
 		}
-		if !f.retired[m.Name] && f.hasCheaperKind(m, t) && !m.runsPinned() {
-			f.retired[m.Name] = true
+		if !a.retired[m.Name] && a.hasCheaperSpot(m, t) && !m.runsOnDemandOnly() {
+			a.retired[m.Name] = true
 			room--
 			kept--
 		}
 	}
 }
 
-// runsPinned says whether a machine runs what may not run on a spot machine.
-func (m *Machine) runsPinned() bool {
+// runsOnDemandOnly reports whether a machine runs a task that may not run on a spot machine.
+func (m *Machine) runsOnDemandOnly() bool {
 	return slices.ContainsFunc(m.Tasks, func(s RunningTask) bool { return s.OnDemandOnly })
 }
--- a/internal/autoscaler/retire_test.go
+++ b/internal/autoscaler/retire_test.go
@@ -10,15 +10,14 @@
 	"topazhollow/internal/protocol"
 )
 
-// TestRetireModel lets machines fill and empty at random. Whatever is retired, the
-// kept machines' free room must at the moment of a retirement take all that the
-// retired ones run and what waits; cheap machines, and those that run what may not
-// use them, are never retired; nor is any when work waits beyond the room.
+// TestRetireModel changes the load of machines at random. When a machine is retired, the free capacity of the kept
+// machines must suffice for the tasks of the retired ones, the waiting tasks and the reserve. Spot machines and
+// machines that run on-demand-only tasks are never retired, nor is any machine while more tasks wait than fit.
 func TestRetireModel(t *testing.T) {
 	retired, back := 0, 0
 	for seed := range uint64(60) {
 		rng := rand.New(rand.NewPCG(seed, 7))
-		f, types, now := setup()
+		a, types, now := setup()
 		byType := map[string]*protocol.MachineType{"m8": &types[0]}
 		ms := make([]*Machine, 40)
 		for i := range ms {
@@ -41,78 +40,77 @@
 				wait = float64(rng.IntN(60))
 				demands = []Demand{{Spec: &protocol.Submission{CPUs: 2, Spot: true}, Count: int(wait), Due: now}}
 			}
-			before := len(f.retired)
-			f.retire(ms, byType, demands, now)
+			before := len(a.retired)
+			a.retire(ms, byType, demands, now)
 			room, kept := -wait/4, 0.0
 			for _, m := range ms {
 				switch {
-				case !f.retired[m.Name]:
+				case !a.retired[m.Name]:
 					room += m.FreeCPUs / 8
 					kept++
 				case m.Spot:
-					t.Fatalf("seed %d: cheap machine retired", seed)
+					t.Fatalf("seed %d: spot machine retired", seed)
 				default:
 					room -= 1 - m.FreeCPUs/8
 				}
 			}
-			if len(f.retired) > before {
+			if len(a.retired) > before {
 				retired++
-				if room < freeReserve*kept {
-					t.Fatalf("seed %d: %d retired, and the others have %.1f machines of room left", seed, len(f.retired), room)
+				if room < freeReserveShare*kept {
+					t.Fatalf("seed %d: %d retired, but the others have a free capacity of only %.1f machines", seed, len(a.retired), room)
 				}
 			}
-			if len(f.retired) < before {
+			if len(a.retired) < before {
 				back++
 			}
-			if len(f.retired) > 0 && room < freeReserve*kept {
-				t.Fatalf("seed %d: %d machines stay retired with %.1f machines of room", seed, len(f.retired), room)
+			if len(a.retired) > 0 && room < freeReserveShare*kept {
+				t.Fatalf("seed %d: %d machines stay retired with a free capacity of %.1f machines", seed, len(a.retired), room)
 			}
 		}
 	}
 	if retired == 0 || back == 0 {
-		t.Fatalf("%d times retired, %d times taken back", retired, back)
+		t.Fatalf("%d times retired, %d times returned to service", retired, back)
 	}
 }
 
-// TestRetiredMachinesAreScaledIn: a machine that is used in part never fell idle, so that dear
-// machines stayed all day beside cheap ones with room. It must get nothing more, be
-// no room for what waits, and go back when its work is over. Work that may not use
-// cheap machines keeps the dear ones.
+// TestRetiredMachinesAreScaledIn guards against partly used on-demand machines that never become idle although spot
+// machines have room for their work. Such a machine is retired: it gets no more tasks, does not count as capacity and
+// is released when its tasks have ended. While work that may not use spot machines waits, no machine is retired.
 func TestRetiredMachinesAreScaledIn(t *testing.T) {
-	f, types, now := setup()
+	a, types, now := setup()
 	var ms []Machine
 	for i := range 10 {
 		ms = append(ms, Machine{Name: fmt.Sprintf("n-%02d", i), Type: "m8", Zone: "a", Spot: i > 0, ListedState: protocol.HostRunning, LastHeartbeat: now,
 			AcquiredAt: now.Add(-time.Hour), FreeCPUs: 4, FreeMemory: 32, Tasks: []RunningTask{{CPUs: 4, Memory: 32, SecondsLeft: 30}}})
 	}
-	pinned := []Demand{{Spec: &protocol.Submission{CPUs: 1, EstimateSeconds: 5}, Count: 1, Due: now.Add(time.Hour)}}
-	if p := f.Decide(types, ms, pinned, nil, now, now); len(p.Retire) != 0 {
-		t.Fatalf("retires %v while work waits that may use nothing else", p.Retire)
+	onDemandOnly := []Demand{{Spec: &protocol.Submission{CPUs: 1, EstimateSeconds: 5}, Count: 1, Due: now.Add(time.Hour)}}
+	if p := a.Decide(types, ms, onDemandOnly, nil, now, now); len(p.Retire) != 0 {
+		t.Fatalf("retires %v while on-demand-only work waits", p.Retire)
 	}
-	if p := f.Decide(types, ms, nil, nil, now, now); !slices.Equal(p.Retire, []string{"n-00"}) || len(p.ScaleIn) != 0 {
-		t.Fatalf("retires %v, returns %v", p.Retire, p.ScaleIn)
+	if p := a.Decide(types, ms, nil, nil, now, now); !slices.Equal(p.Retire, []string{"n-00"}) || len(p.ScaleIn) != 0 {
+		t.Fatalf("retires %v, releases %v", p.Retire, p.ScaleIn)
 	}
-	f.scaledOutAt = now // what was just rented is not given back
-	delete(f.retired, "n-00")
-	if p := f.Decide(types, ms, nil, nil, now, now); len(p.Retire) != 0 {
-		t.Fatalf("retires %v right after a rental", p.Retire)
+	a.scaledOutAt = now // no machine is retired right after a scale-out
+	delete(a.retired, "n-00")
+	if p := a.Decide(types, ms, nil, nil, now, now); len(p.Retire) != 0 {
+		t.Fatalf("retires %v right after a scale-out", p.Retire)
 	}
-	f.scaledOutAt = time.Time{}
-	if p := f.Decide(types, ms, nil, nil, now, now); len(p.Retire) != 1 {
+	a.scaledOutAt = time.Time{}
+	if p := a.Decide(types, ms, nil, nil, now, now); len(p.Retire) != 1 {
 		t.Fatalf("retires %v later", p.Retire)
 	}
 	ms[0].FreeCPUs, ms[0].FreeMemory, ms[0].Tasks, ms[0].IdleSince = 8, 64, nil, now.Add(-time.Second)
-	if p := f.Decide(types, ms, nil, nil, now, now); !slices.Equal(p.ScaleIn, []string{"n-00"}) {
-		t.Fatalf("returns %v of an idle retired machine", p.ScaleIn)
+	if p := a.Decide(types, ms, nil, nil, now, now); !slices.Equal(p.ScaleIn, []string{"n-00"}) {
+		t.Fatalf("releases %v, want the idle retired machine", p.ScaleIn)
 	}
 }
 
-// TestMachinesOfACutZoneAreKept: when nearly all machines of a zone fall silent at once, it is the
-// zone's network. They were returned after a worker's lease, with all that they ran
-// and with their images, and rented anew. A few that fall silent are returned as ever.
-func TestMachinesOfACutZoneAreKept(t *testing.T) {
-	f, types, now := setup()
-	f.options.PartitionedZoneTimeout = 30 * time.Second
+// TestMachinesOfPartitionedZonesAreKept: if most machines of a zone become silent at once, the zone's network has
+// probably failed. Releasing them after the lease would lose their tasks and images and acquire new machines. If only a
+// few become silent, they are released as usual.
+func TestMachinesOfPartitionedZonesAreKept(t *testing.T) {
+	a, types, now := setup()
+	a.options.PartitionedZoneTimeout = 30 * time.Second
 	silent := func(zone string, count int, quiet time.Duration) int {
 		var ms []Machine
 		for i := range 20 {
@@ -122,15 +120,15 @@
 			}
 			ms = append(ms, m)
 		}
-		return len(f.Decide(types, ms, nil, nil, now, now.Add(-time.Hour)).ScaleIn)
+		return len(a.Decide(types, ms, nil, nil, now, now.Add(-time.Hour)).ScaleIn)
 	}
 	for _, x := range []struct {
 		count    int
 		quiet    time.Duration
-		returned int
+		released int
 	}{{10, 20 * time.Second, 0}, {8, 20 * time.Second, 0}, {10, 31 * time.Second, 10}, {5, 20 * time.Second, 5}, {1, 20 * time.Second, 1}} {
-		if got := silent("b", x.count, x.quiet); got != x.returned {
-			t.Errorf("%d of 10 machines of a zone silent for %v: %d returned, not %d", x.count, x.quiet, got, x.returned)
+		if got := silent("b", x.count, x.quiet); got != x.released {
+			t.Errorf("%d of 10 machines of a zone silent for %v: %d released, want %d", x.count, x.quiet, got, x.released)
 		}
 	}
 }
--- a/internal/autoscaler/scalein.go
+++ b/internal/autoscaler/scalein.go
@@ -8,9 +8,10 @@
 	"topazhollow/internal/protocol"
 )
 
-// minMachineLife is for how long after its acquisition an idle machine is not released.
+// minMachineLife is the minimum time between the acquisition of a machine and its release as idle.
 const minMachineLife = 50 * time.Second
 
+// price returns the hourly price of a machine.
 func (m *Machine) price(types map[string]*protocol.MachineType) float64 {
 	if m.Spot {
 		return types[m.Type].SpotPricePerHour
@@ -18,10 +19,10 @@
 	return types[m.Type].PricePerHour
 }
 
-// scaleInIdle releases machines that have been idle for long, on-demand ones first, but
-// keeps a few warm. Spot ones, which may not be had again, stay for longer, as far
-// as they are no more than a tenth of all: more than that idle is no lull.
-func (f *Autoscaler) scaleInIdle(plan *Plan, types map[string]*protocol.MachineType, idle []*Machine, total int, now time.Time) {
+// scaleInIdle releases machines that have been idle longer than the idle timeout, the most expensive first, but keeps
+// Options.Warm machines. Spot machines may not be available again, so they are kept longer while at most a tenth of all
+// machines is idle; more idle machines than that are not a short lull.
+func (a *Autoscaler) scaleInIdle(plan *Plan, types map[string]*protocol.MachineType, idle []*Machine, total int, now time.Time) {
 	slices.SortFunc(idle, func(a, b *Machine) int {
 		if d := cmp.Compare(b.price(types), a.price(types)); d != 0 {
 			return d
@@ -30,14 +31,14 @@
 	})
 	left, spare := len(idle), total/10
 	for _, m := range idle {
-		if total <= f.options.Warm {
+		if total <= a.options.Warm {
 			return
 		}
-		keep := f.options.IdleTimeout
-		if f.retired[m.Name] {
+		keep := a.options.IdleTimeout
+		if a.retired[m.Name] {
 			keep = 0
 		}
-		if m.Spot && f.options.SpotShare > 0 && left <= spare {
+		if m.Spot && a.options.SpotShare > 0 && left <= spare {
 			keep = time.Duration(float64(keep) * min(4, types[m.Type].PricePerHour/max(m.price(types), 1e-9)))
 		}
 		if now.Sub(m.IdleSince) > keep && now.Sub(m.AcquiredAt) > minMachineLife {
--- a/internal/autoscaler/silence.go
+++ b/internal/autoscaler/silence.go
@@ -2,61 +2,62 @@
 
 import "time"
 
-// When a silent machine is given up.
+// This file decides when a machine that sends no heartbeats is given up.
 
-// silenceTimeout is how long a machine may be silent before it is released. One that
-// the cloud no longer lists is gone already, and the cloud's list ends the wait
-// for it. Its list is in the order of acquisition, so that a missing machine before one
-// that is there is not just too new. One that an owner's barrier waits for has so
-// long as barrierTimeout says. In a zone that is cut off, machines and what they run live
-// on, and come back with their images and results.
-func (f *Autoscaler) silenceTimeout(m *Machine, barrierTimeout time.Duration, cut bool) time.Duration {
+// silenceTimeout returns how long a machine may be silent before it is released:
+//   - A machine that the cloud no longer lists is already gone, so it gets a shorter timeout. The list is ordered by
+//     acquisition: a missing machine that precedes a listed one is not merely too new to be listed, and gets the
+//     shortest timeout if a barrier waits for it.
+//   - A machine that an owner's barrier waits for gets barrierTimeout.
+//   - Machines in a zone that is partitioned from the network keep running their tasks and return with their images
+//     and results, so they get longer.
+func (a *Autoscaler) silenceTimeout(m *Machine, barrierTimeout time.Duration, partitioned bool) time.Duration {
 	switch {
-	case m.AwaitedByBarrier && m.SkippedInList, m.AwaitedByBarrier && m.ProbeUnanswered && barrierTimeout <= f.options.OverdueTimeout:
+	case m.AwaitedByBarrier && m.SkippedInList, m.AwaitedByBarrier && m.ProbeUnanswered && barrierTimeout <= a.options.OverdueTimeout:
 		return time.Second
 	case m.ListedState == "":
-		return min(f.options.UnlistedTimeout, f.options.SilenceTimeout)
+		return min(a.options.UnlistedTimeout, a.options.SilenceTimeout)
 	case m.AwaitedByBarrier:
-		return min(barrierTimeout, f.options.SilenceTimeout)
-	case cut:
-		return max(f.options.PartitionedZoneTimeout, f.options.SilenceTimeout)
+		return min(barrierTimeout, a.options.SilenceTimeout)
+	case partitioned:
+		return max(a.options.PartitionedZoneTimeout, a.options.SilenceTimeout)
 	}
-	return f.options.SilenceTimeout
+	return a.options.SilenceTimeout
 }
 
-// barrierTimeout is how long a machine may be silent that a barrier waits for, which costs
-// all of a team more than a new machine. If only a few are missing when all others
-// must have reported, it is those; if many are, they get the time in which a worker
-// finds another controller, and more than a tenth are rather cut off.
-func (f *Autoscaler) barrierTimeout(machines []Machine, now, settled time.Time) time.Duration {
+// barrierTimeout returns how long a machine that a barrier waits for may be silent. Waiting blocks a whole team, which
+// costs more than a new machine. If at most 2 % of the machines are overdue, these are probably gone and get the
+// shortest timeout. If more are, they get the time that an agent needs to find another controller. If more than a tenth
+// are silent even after that, they are probably cut off and get the regular timeout.
+func (a *Autoscaler) barrierTimeout(machines []Machine, now, settled time.Time) time.Duration {
 	overdue, silent := 0, 0
 	for i := range machines {
 		m := &machines[i]
 		if m.AwaitedByBarrier && m.ProbeUnanswered {
 			overdue++
-		} else if silence := now.Sub(later(m.LastHeartbeat, settled)); m.AwaitedByBarrier && silence > f.options.BarrierTimeout {
+		} else if silence := now.Sub(later(m.LastHeartbeat, settled)); m.AwaitedByBarrier && silence > a.options.BarrierTimeout {
 			overdue++
 			silent++
-		} else if m.AwaitedByBarrier && silence > f.options.OverdueTimeout {
+		} else if m.AwaitedByBarrier && silence > a.options.OverdueTimeout {
 			overdue++
 		}
 	}
 	switch {
 	case 50*overdue <= len(machines):
-		return f.options.OverdueTimeout
+		return a.options.OverdueTimeout
 	case silent <= (len(machines)+9)/10:
-		return f.options.BarrierTimeout
+		return a.options.BarrierTimeout
 	}
-	return f.options.SilenceTimeout
+	return a.options.SilenceTimeout
 }
 
-// minMachinesForCut is how many machines of a zone there must be to tell a cut of the
-// zone from the end of some of them.
-const minMachinesForCut = 4
+// minMachinesForPartition is the minimum number of machines in a zone to distinguish a network partition of the zone
+// from the loss of individual machines.
+const minMachinesForPartition = 4
 
-// cutZones are the zones of whose machines at least three quarters fell silent, so
-// that it is rather the zone's network.
-func (f *Autoscaler) cutZones(machines []Machine, now, settled time.Time) map[string]bool {
+// partitionedZones returns the zones where at least three quarters of the machines are silent, which indicates a
+// network partition rather than the loss of the machines.
+func (a *Autoscaler) partitionedZones(machines []Machine, now, settled time.Time) map[string]bool {
 	known, silent := map[string]int{}, map[string]int{}
 	for i := range machines {
 		m := &machines[i]
@@ -64,13 +65,13 @@
 			continue
 		}
 		known[m.Zone]++
-		if now.Sub(later(m.LastHeartbeat, settled)) > f.options.BarrierTimeout/2 {
+		if now.Sub(later(m.LastHeartbeat, settled)) > a.options.BarrierTimeout/2 {
 			silent[m.Zone]++
 		}
 	}
-	cut := map[string]bool{}
+	partitioned := map[string]bool{}
 	for zone, n := range known {
-		cut[zone] = n >= minMachinesForCut && 4*silent[zone] >= 3*n
+		partitioned[zone] = n >= minMachinesForPartition && 4*silent[zone] >= 3*n
 	}
-	return cut
+	return partitioned
 }
