--- a/internal/provisioning/decide.go
+++ b/internal/provisioning/decide.go
@@ -7,65 +7,64 @@
 	"topazhollow/internal/protocol"
 )
 
-// maxScaleIn is how many machines one request releases at most.
+// maxScaleIn is the maximum number of machines that one request releases.
 const maxScaleIn = 100
 
-// Inputs are what a decision rests on.
+// Inputs are the inputs of a decision.
 type Inputs struct {
 	Types    []protocol.MachineType
 	Machines []autoscaler.Machine
 	Demands  []autoscaler.Demand // most urgent first
 	Arrivals autoscaler.Arrivals
-	// SettledAt is when the members last changed: silence of machines counts only from then.
+	// SettledAt is when the set of controllers last changed. Silence of machines is counted from then at the earliest.
 	SettledAt time.Time
-	// TakenOver says that there was an owner before, whose last machines the cloud's list may
-	// not name yet.
+	// TakenOver is set if there was an earlier owner. The cloud's list may not contain the machines it acquired last.
 	TakenOver bool
 }
 
-// Actions are what is to be done now.
+// Actions are the actions to carry out now.
 type Actions struct {
 	ScaleOut          []protocol.ScaleOutRequest // requests to send, most urgent first
 	ScaleIn           []string                   // machines to release; ScaleInConfirmed or ScaleInFailed follows
-	Drain             map[string]bool            // machines that get no tasks from now on
-	SlowBootLocations []string                   // places where no machine comes up in time
-	Retired           int                        // how many machines go back once they are idle
+	Drain             map[string]bool            // machines that must get no tasks from now on
+	SlowBootLocations []string                   // locations where all booting machines are late
+	Retired           int                        // number of machines that will be released once idle
 }
 
-// Decide says what to acquire, to release and to drain. StartDraining is to follow.
-func (a *Provisioner) Decide(in *Inputs, now time.Time) Actions {
+// Decide returns the machines to acquire, release and drain. The caller must then call StartDraining.
+func (p *Provisioner) Decide(in *Inputs, now time.Time) Actions {
 	settled := in.SettledAt
-	if a.startedAt.After(settled) {
-		settled = a.startedAt
+	if p.startedAt.After(settled) {
+		settled = p.startedAt
 	}
-	plan := a.fleet.Decide(in.Types, in.Machines, in.Demands, in.Arrivals, now, settled)
-	if in.TakenOver && now.Sub(a.startedAt) < a.options.ListLag {
+	plan := p.autoscaler.Decide(in.Types, in.Machines, in.Demands, in.Arrivals, now, settled)
+	if in.TakenOver && now.Sub(p.startedAt) < p.options.ListLag {
 		plan.ScaleOut = nil
-		a.fleet.ForgetUnsent()
+		p.autoscaler.ForgetUnsent()
 	}
 	return Actions{
 		ScaleOut:          plan.ScaleOut,
-		ScaleIn:           a.beginScaleIn(plan.ScaleIn),
-		Drain:             drained(plan.ScaleIn, plan.Retire),
+		ScaleIn:           p.beginScaleIn(plan.ScaleIn),
+		Drain:             drainSet(plan.ScaleIn, plan.Retire),
 		SlowBootLocations: plan.SlowBootLocations,
 		Retired:           len(plan.Retire),
 	}
 }
 
-// beginScaleIn picks the machines that are released now: those that already got no tasks as
-// of the last decision, so that no start is on its way to them.
-func (a *Provisioner) beginScaleIn(wanted []string) (now []string) {
+// beginScaleIn selects the machines that are released now: those that have been draining since the last decision, so
+// that no start is still in transit to them.
+func (p *Provisioner) beginScaleIn(wanted []string) (now []string) {
 	for _, machine := range wanted {
-		if a.draining[machine] && len(now) < maxScaleIn {
+		if p.draining[machine] && len(now) < maxScaleIn {
 			now = append(now, machine)
-			a.scalingIn[machine] = true
+			p.scalingIn[machine] = true
 		}
 	}
 	return now
 }
 
-// drained is the set of machines that are to be released now or once they are idle.
-func drained(returned, retired []string) map[string]bool {
+// drainSet returns the set of machines that are released now or once they are idle.
+func drainSet(returned, retired []string) map[string]bool {
 	set := map[string]bool{}
 	for _, machine := range returned {
 		set[machine] = true
