--- a/internal/agents/answer.go
+++ b/internal/agents/answer.go
@@ -2,20 +2,22 @@
 
 import "topazhollow/internal/protocol"
 
-// Outcome is what an agent's heartbeat got.
+// Outcome is the kind of answer to an agent's heartbeat.
 type Outcome int
 
 // The outcomes of a heartbeat.
 const (
-	NotEntitled Outcome = iota // this controller may neither renew the lease nor name another: the agent tries again
-	Redirected                 // the agent is to report to another controller
-	KeptAlive                  // the lease is renewed, and no more is commanded than to stop what has ended for good
-	Renewed                    // the lease is renewed by the agent's home, with the commands that waited
+	NotEntitled Outcome = iota // this controller can neither renew the lease nor redirect the agent, which must retry
+	Redirected                 // the agent must send its heartbeats to another controller
+	// KeptAlive means that the lease is renewed, but without the home's queued commands. The only commands are stops of
+	// tasks whose jobs have ended.
+	KeptAlive
+	Renewed // the lease is renewed by the agent's home; the answer contains the queued commands
 )
 
-// Answer is the decision about one heartbeat.
+// Answer is the answer to one heartbeat.
 type Answer struct {
 	Outcome    Outcome
 	RedirectTo string             // if Redirected
-	Commands   []protocol.Command // if KeptAlive or Renewed; not nil
+	Commands   []protocol.Command // if KeptAlive or Renewed; never nil then
 }
--- a/internal/agents/commands.go
+++ b/internal/agents/commands.go
@@ -9,14 +9,14 @@
 	"topazhollow/internal/protocol"
 )
 
-// maxQueued bounds the commands that wait for one agent. Owners repeat an order that found no place.
+// maxQueued bounds the queued commands per agent. Orders beyond it are dropped; owners send them again.
 const maxQueued = 512
 
-// sizeTolerance is by how much sizes may miss a capacity when they are added up.
+// sizeTolerance is the tolerance for rounding errors when a sum of task sizes is compared with a capacity.
 const sizeTolerance = 1e-6
 
-// QueueOrders makes commands of an owner's orders for a machine under a term. It says whether commands are to be sent
-// at once. Orders of another term, or for another incarnation of the agent, are ignored.
+// QueueOrders queues an owner's orders for a machine as commands and reports whether queued commands should be sent
+// immediately. Orders of another term or for another incarnation of the agent are ignored.
 func (g *Registry) QueueOrders(term uint64, machine string, orders []jobstate.Order) (sendNow bool) {
 	a := g.agents[machine]
 	if a == nil || term != g.term {
@@ -38,7 +38,8 @@
 	return a.sendNow
 }
 
-// queueStart queues a start, unless it was sent and may still arrive, or has no room on the machine.
+// queueStart queues a start. A start that does not fit on the machine is refused for good; one that was sent and may
+// still arrive is not queued again.
 func (g *Registry) queueStart(a *Agent, o jobstate.Order) {
 	s := a.starts[o.Ref()]
 	if s == nil {
@@ -56,16 +57,17 @@
 	a.invalidateStatus()
 }
 
-// maySendAgain says whether a start may be repeated: only when the outcome of its last sending is decided. One in a
-// request that was never answered may arrive late, which does no harm.
+// maySendAgain reports whether a start may be sent again: only after the outcome of its last transmission is known. An
+// unanswered request does not prevent it, since a late duplicate is harmless.
 func (a *Agent) maySendAgain(s *start) bool {
 	return !s.neverSent && !s.forgotten && !s.listed && !s.queued && !s.inRequest && !a.inOpenAnswer(s)
 }
 
-// queueStop queues the stop of a listed attempt. A start that was surely not sent is taken back instead.
+// queueStop queues the stop of a listed attempt. If the attempt is not listed and its start was certainly not sent, the
+// start is canceled instead.
 func (g *Registry) queueStop(a *Agent, o jobstate.Order) {
 	if !a.lists(o.Ref()) {
-		g.takeBackStart(a, o)
+		g.cancelStart(a, o)
 		return
 	}
 	if a.isQueued(protocol.Stop, o.Ref()) {
@@ -77,11 +79,11 @@
 	a.sendNow = true
 }
 
-// takeBackStart notes that the start of an attempt will never be sent, if that is sure.
-func (g *Registry) takeBackStart(a *Agent, o jobstate.Order) {
+// cancelStart records that the start of an attempt will never be sent, if that is certain.
+func (g *Registry) cancelStart(a *Agent, o jobstate.Order) {
 	s := a.starts[o.Ref()]
 	if s == nil && jobstate.TermOf(o.Attempt) != g.term {
-		return // a home of its term may have sent its start: only a heartbeat under a later term proves it off
+		return // the home of that term may have sent the start; only a heartbeat under a later term proves otherwise
 	}
 	if s == nil || (!s.neverSent && !s.listed && a.settled(s)) {
 		a.removeQueued(protocol.Start, o.Ref())
@@ -90,11 +92,12 @@
 	}
 }
 
-// queueForget queues that an agent drops what it knows of an attempt, after which the attempt is never started again.
+// queueForget queues a command that makes an agent delete its record of an attempt. The attempt is never started again
+// afterwards.
 func (a *Agent) queueForget(o jobstate.Order) {
 	s := a.starts[o.Ref()]
 	if s != nil && !a.settled(s) {
-		return // an unanswered start would run the task again
+		return // a start that arrives after the forget command would run the task again
 	}
 	if s == nil {
 		s = &start{order: o}
@@ -106,11 +109,12 @@
 	}
 }
 
+// command converts an order to a command.
 func command(o jobstate.Order) protocol.Command {
 	return protocol.Command{Op: o.Op, Task: protocol.TaskName(o.Job, o.Index), Attempt: o.Attempt}
 }
 
-// hasRoomFor says whether a machine has room for all that is listed and ordered there, the newest start among it.
+// hasRoomFor reports whether a machine has room for all listed tasks and ordered starts, including the newest start.
 func (g *Registry) hasRoomFor(a *Agent) bool {
 	cpus, gpus, memory, ok := g.capacity(a.Heartbeat.Type)
 	if !ok {
@@ -131,15 +135,16 @@
 	return cpus >= -sizeTolerance && gpus >= -sizeTolerance && memory >= -sizeTolerance
 }
 
-// settled says that no start command for the attempt can still arrive.
+// settled reports that no start command for the attempt can still arrive.
 func (a *Agent) settled(s *start) bool {
 	return !s.inRequest && !s.unanswered && !a.inOpenAnswer(s)
 }
 
-// inOpenAnswer says that the answer with the start may still be on its way to the agent.
+// inOpenAnswer reports that the start was sent in the answer to a heartbeat that may still be in transit.
 func (a *Agent) inOpenAnswer(s *start) bool { return s.inAnswer && a.lastOwnSeq <= s.answeredSeq }
 
-// StartOrdered says whether an owner ordered a start here in this term, and when it was first sent; zero: not yet.
+// StartOrdered reports whether an owner ordered the start of an attempt in this term, and when the start was first
+// sent. The time is zero if it has not been sent.
 func (a *Agent) StartOrdered(ref jobstate.AttemptRef) (sent time.Time, ok bool) {
 	s := a.starts[ref]
 	if s == nil || s.order.Op != protocol.Start {
@@ -148,35 +153,39 @@
 	return s.sentAt, true
 }
 
-// HasQueuedStart says whether a start waits to be sent.
+// HasQueuedStart reports whether any start is queued.
 func (a *Agent) HasQueuedStart() bool {
 	return slices.ContainsFunc(a.queue, func(c protocol.Command) bool { return c.Op == protocol.Start })
 }
 
+// isQueued reports whether a command for an attempt is queued.
 func (a *Agent) isQueued(op protocol.CommandOp, ref jobstate.AttemptRef) bool {
 	return slices.ContainsFunc(a.queue, func(c protocol.Command) bool { return isCommand(c, op, ref) })
 }
 
+// removeQueued removes a command for an attempt from the queue.
 func (a *Agent) removeQueued(op protocol.CommandOp, ref jobstate.AttemptRef) {
 	a.queue = slices.DeleteFunc(a.queue, func(c protocol.Command) bool { return isCommand(c, op, ref) })
 }
 
+// isCommand reports whether c is the command op for an attempt.
 func isCommand(c protocol.Command, op protocol.CommandOp, ref jobstate.AttemptRef) bool {
 	return c.Op == op && parseAttempt(c.Task, c.Attempt) == ref
 }
 
-// dropCommands forgets all that was ordered, as in a new term or for a new incarnation of the agent.
+// dropCommands drops all orders and queued commands, as in a new term or for a new incarnation of the agent.
 func (a *Agent) dropCommands() {
 	a.starts = map[jobstate.AttemptRef]*start{}
 	a.queue, a.sendNow = nil, false
 }
 
-// ShouldSend says whether commands wait that are to be sent by a request now.
+// ShouldSend reports whether queued commands should be sent by a request now.
 func (a *Agent) ShouldSend() bool {
 	return a.sendNow && !a.requestOpen && !a.unresponsive && len(a.queue) > 0
 }
 
-// TakeForRequest takes the queued commands for a request. FinishRequest must be called with its outcome.
+// TakeForRequest removes and returns the queued commands, to be sent by a request. The caller must call FinishRequest
+// with the outcome.
 func (a *Agent) TakeForRequest() []protocol.Command {
 	commands := a.queue
 	a.queue, a.sendNow, a.requestOpen = nil, false, true
@@ -187,8 +196,8 @@
 	return commands
 }
 
-// FinishRequest notes the outcome of a request: answered (ApplyResponse is called first then), or not answered, when its
-// commands may still be executed if they left this machine.
+// FinishRequest records the outcome of a request. If it was answered, ApplyResponse must be called first. If not, its
+// commands may still be executed when left is true, that is, when they may have left this machine.
 func (a *Agent) FinishRequest(commands []protocol.Command, answered, left bool) {
 	a.requestOpen = false
 	a.unresponsive = !answered
@@ -199,8 +208,8 @@
 	a.invalidateStatus()
 }
 
-// TakeForAnswer takes the queued commands for the answer to the newest heartbeat. Commands in an answer are executed
-// before the agent's next heartbeat or never. There are none while a request is under way.
+// TakeForAnswer removes and returns the queued commands, to be sent in the answer to the newest heartbeat. The agent
+// executes them before its next heartbeat or never. It returns none while a request is in progress.
 func (a *Agent) TakeForAnswer() []protocol.Command {
 	if a.requestOpen {
 		return nil
@@ -214,7 +223,7 @@
 	return commands
 }
 
-// startsIn yields what is known of the starts among commands.
+// startsIn yields the records of the start commands among commands.
 func (a *Agent) startsIn(commands []protocol.Command) iter.Seq[*start] {
 	return func(yield func(*start) bool) {
 		for _, c := range commands {
@@ -226,18 +235,18 @@
 	}
 }
 
-// recordSending notes when a start was first sent, and what was known then.
+// recordSending records when a start was first sent, and the cancellation watermark at that time.
 func (a *Agent) recordSending(s *start) {
 	if s.sentAt.IsZero() {
 		s.sentAt, s.sentWatermark = a.sendTime, a.sendWatermark
 	}
 }
 
-// SetWatermark is called before commands are taken to be sent: a start that is sent then is known to have been sent at
-// a time, by a controller that knew every cancellation confirmed before the watermark.
+// SetWatermark must be called before commands are taken for sending. Starts taken next are recorded as sent at now by a
+// controller that knew every cancellation confirmed before watermark.
 func (a *Agent) SetWatermark(now, watermark time.Time) { a.sendTime, a.sendWatermark = now, watermark }
 
-// DropStarts takes back the queued starts of jobs that have ended: their owner may not know yet.
+// DropStarts cancels the queued starts of jobs that have ended, which their owner may not know yet.
 func (a *Agent) DropStarts(ended func(job string) bool) {
 	a.queue = slices.DeleteFunc(a.queue, func(c protocol.Command) bool {
 		ref := parseAttempt(c.Task, c.Attempt)
@@ -253,8 +262,8 @@
 	})
 }
 
-// InFlightWatermark bounds what may still arrive of jobs that have ended: it is the earliest cancellation watermark
-// under which such a start was sent, or zero if there is none.
+// InFlightWatermark returns the earliest cancellation watermark under which a start of an ended job was sent that may
+// still arrive, or zero if there is no such start.
 func (a *Agent) InFlightWatermark(ended func(job string) bool) (watermark time.Time) {
 	for ref, s := range a.starts {
 		if s.listed || s.neverSent || s.sentAt.IsZero() || a.settled(s) || !ended(ref.Job) {
--- a/internal/agents/golden_test.go
+++ b/internal/agents/golden_test.go
@@ -11,9 +11,10 @@
 	"topazhollow/internal/protocol"
 )
 
-// The golden files of lists of machines in the state service. They outlive the process that wrote them, so the forms may only
-// grow.
+// The golden files of this package include lists of machines in the key-value store. Stored lists outlive the process
+// that wrote them, so their format may only be extended.
 
+// TestGoldenRoster: the stored form of machine lists, and the older forms that must remain readable.
 func TestGoldenRoster(t *testing.T) {
 	goldentest.Wire.Check(t, []goldentest.Case{
 		{Name: "roster-full.json", Value: RosterValue{After: 412, Names: []string{"n-000198", "n-000231"}}, Full: true},
@@ -22,7 +23,7 @@
 	for name, want := range map[string]RosterValue{
 		"roster-full.json":  {After: 412, Names: []string{"n-000198", "n-000231"}},
 		"roster-empty.json": {},
-		"roster-names.json": {After: math.MaxUint64, Names: []string{"n-000198", "n-000231"}}, // of early versions, only read
+		"roster-names.json": {After: math.MaxUint64, Names: []string{"n-000198", "n-000231"}}, // format of early versions, which is only read
 	} {
 		got, err := DecodeRosterValue(goldentest.Read(t, name))
 		if err != nil || got.After != want.After || !slices.Equal(got.Names, want.Names) {
@@ -31,7 +32,7 @@
 	}
 }
 
-// TestGoldenRosterWrites: the keys and values of writes that register machines and strike one out.
+// TestGoldenRosterWrites: the keys and values of writes that register machines and deregister one.
 func TestGoldenRosterWrites(t *testing.T) {
 	r := NewRoster(64)
 	w := r.PlanRegistration("w/m/estacion-1/", []string{"n-000231", "n-000198", "n-000232"})
@@ -45,10 +46,10 @@
 	goldentest.Bytes(t, "write-strike.txt", []byte(w.Key+" "+string(protocol.Encode(w.Value()))+"\n"))
 }
 
-// TestGoldenCommands: what owners' orders become in the answer to a worker's report.
+// TestGoldenCommands: the commands in a heartbeat answer that result from owners' orders.
 func TestGoldenCommands(t *testing.T) {
-	h, m := home(t)
-	h.ApplyHeartbeat(report(2, protocol.TaskStatus{Task: "job-1/1", Attempt: 5, State: protocol.Running}, protocol.TaskStatus{Task: "job-1/2", Attempt: 5, State: protocol.Exited, Reason: protocol.ReasonDone},
+	h, m := newTestRegistry(t)
+	h.ApplyHeartbeat(testHeartbeat(2, protocol.TaskStatus{Task: "job-1/1", Attempt: 5, State: protocol.Running}, protocol.TaskStatus{Task: "job-1/2", Attempt: 5, State: protocol.Exited, Reason: protocol.ReasonDone},
 		protocol.TaskStatus{Task: "job-1/3", Attempt: 5, State: protocol.Running}), time.Unix(2, 0))
 	stop := func(index int, grace float64) jobstate.Order {
 		return jobstate.Order{Op: protocol.Stop, TaskID: jobstate.TaskID{Job: "job-1", Index: index}, Attempt: 5, Incarnation: 1, GraceSeconds: grace}
--- a/internal/agents/joblookups.go
+++ b/internal/agents/joblookups.go
@@ -3,45 +3,45 @@
 import "time"
 
 const (
-	// lookUpRetryAfter is after what time a job that was not found, or not with its size, is looked up again.
-	lookUpRetryAfter = 10 * time.Second
-	// maxLookUps bounds the look-ups under way.
-	maxLookUps = 64
+	// lookupRetryDelay is the delay before a job is looked up again that was not found or whose size was not found.
+	lookupRetryDelay = 10 * time.Second
+	// maxOpenLookups bounds the number of concurrent lookups.
+	maxOpenLookups = 64
 )
 
-// JobLookups decides when it is looked up what became of a job that a machine lists and that nobody here can describe.
+// JobLookups schedules the lookups of jobs that a machine lists but that no controller can describe.
 type JobLookups struct {
 	open     map[string]bool
 	failedAt map[string]time.Time
 }
 
-// NewJobLookups returns one with no look-up under way.
+// NewJobLookups returns a JobLookups with no lookup in progress.
 func NewJobLookups() *JobLookups {
 	return &JobLookups{open: map[string]bool{}, failedAt: map[string]time.Time{}}
 }
 
-// Begin says whether a job is to be looked up now; Finish must be called then. It is not while it is being looked up,
-// shortly after that failed, or while too many others are.
+// Begin reports whether a job should be looked up now. If so, the caller must call Finish afterwards. It returns false
+// while the job is being looked up, shortly after a failed lookup, and while too many other lookups are in progress.
 func (l *JobLookups) Begin(uid string, now time.Time) bool {
-	if l.open[uid] || len(l.open) >= maxLookUps || now.Sub(l.failedAt[uid]) < lookUpRetryAfter {
+	if l.open[uid] || len(l.open) >= maxOpenLookups || now.Sub(l.failedAt[uid]) < lookupRetryDelay {
 		return false
 	}
 	l.open[uid] = true
 	return true
 }
 
-// Finish notes that a look-up is over.
+// Finish records that a lookup has ended.
 func (l *JobLookups) Finish(uid string) { delete(l.open, uid) }
 
-// Fail notes that a job was not found, or not with its size.
+// Fail records that a job was not found or its size was not found.
 func (l *JobLookups) Fail(uid string, now time.Time) { l.failedAt[uid] = now }
 
-// Open counts the look-ups under way.
+// Open returns the number of lookups in progress.
 func (l *JobLookups) Open() int { return len(l.open) }
 
-// ForgetFailures drops the jobs that were not found if they are more than most: they are looked up again then.
-func (l *JobLookups) ForgetFailures(most int) {
-	if len(l.failedAt) > most {
+// ForgetFailures forgets all failed lookups if there are more than limit, so that these jobs are looked up again.
+func (l *JobLookups) ForgetFailures(limit int) {
+	if len(l.failedAt) > limit {
 		clear(l.failedAt)
 	}
 }
--- a/internal/agents/machinestatus.go
+++ b/internal/agents/machinestatus.go
@@ -8,13 +8,15 @@
 	"topazhollow/internal/protocol"
 )
 
+// invalidateStatus increments the revision and drops the cached status.
 func (a *Agent) invalidateStatus() {
 	a.revision++
 	a.status = nil
 }
 
-// Status returns what owners are told of a machine: what its agent lists, and what became of the owners' orders. It is
-// nil for an agent that has not sent a heartbeat here, and the same value until something changes.
+// Status returns the status of a machine that is reported to owners: the tasks that its agent lists and the state of
+// the owners' orders. It is nil for an agent that has not sent a heartbeat here. The same value is returned until
+// something changes.
 func (g *Registry) Status(machine string) *jobstate.MachineStatus {
 	a := g.agents[machine]
 	if a == nil {
@@ -26,6 +28,7 @@
 	return a.status
 }
 
+// makeStatus builds the status of a machine.
 func (g *Registry) makeStatus(machine string, a *Agent) *jobstate.MachineStatus {
 	h := &a.Heartbeat
 	status := &jobstate.MachineStatus{
@@ -55,18 +58,18 @@
 	return status
 }
 
-// maxStatusesPerMessage bounds the machines and tasks that one message tells of: about 300 KB. A link refuses messages of
-// more than 4 MiB, which all machines of a large fleet took when a peer came back: the link was dropped and sent the same
-// message again.
+// maxStatusesPerMessage bounds the number of machines plus tasks per message, which limits it to about 300 KB. A link
+// rejects messages above 4 MiB. The status of all machines of a large fleet exceeds that when a peer reconnects, and
+// the link would be closed and the same message sent again.
 const maxStatusesPerMessage = 4000
 
-// MarkChanged has a machine's status sent to the peers.
+// MarkChanged marks a machine's status to be sent to the peers.
 func (g *Registry) MarkChanged(machine string) { g.changed[machine] = true }
 
-// Changed counts the machines whose status is to be sent.
+// Changed returns the number of machines whose status is to be sent.
 func (g *Registry) Changed() int { return len(g.changed) }
 
-// TakeChanged returns the statuses that are to be sent since the last call, one batch for each message.
+// TakeChanged returns the statuses marked since the last call, in one batch per message.
 func (g *Registry) TakeChanged() (batches [][]*jobstate.MachineStatus) {
 	var batch []*jobstate.MachineStatus
 	size := 0
--- a/internal/agents/machinestatus_test.go
+++ b/internal/agents/machinestatus_test.go
@@ -10,9 +10,9 @@
 	"topazhollow/internal/protocol"
 )
 
-// TestStatusesAreSentInBoundedMessages: however many machines a home tells of at once, no message comes near what a link
-// takes.
-func TestStatusesAreSentInBoundedMessages(t *testing.T) {
+// TestStatusMessagesAreBounded: no message with statuses comes near the size limit of a link, however many
+// machines a home reports at once.
+func TestStatusMessagesAreBounded(t *testing.T) {
 	status := &jobstate.MachineStatus{
 		Machine: "n-000001", Addr: "10.1.0.232:9000", Type: "mtatsminda-32", Zone: "batumi-coast", Incarnation: 1 << 20,
 		Seq: 1 << 40, Revision: 1 << 30, FencingToken: 1 << 40, Term: 1 << 40,
@@ -28,16 +28,16 @@
 	message := protocol.Encode(status)
 	const linkTakes = 4 << 20
 	if size := machines * (len(message) + 1); size > linkTakes/4 {
-		t.Errorf("%d machines of %d tasks take %d bytes in one message", machines, tasks, size)
+		t.Errorf("a message with %d machines of %d tasks has %d bytes", machines, tasks, size)
 	}
 }
 
-// TestTakeChanged: each machine that changed is told once, in batches of bounded size, and none that is gone.
+// TestTakeChanged: each changed machine is returned once, in batches of bounded size; unknown machines are left out.
 func TestTakeChanged(t *testing.T) {
-	g, _ := home(t)
-	const machines = 2*maxStatusesPerMessage + 1 // each counts as one: they list no task
+	g, _ := newTestRegistry(t)
+	const machines = 2*maxStatusesPerMessage + 1 // each machine counts as one, as it lists no tasks
 	for i := range machines {
-		h := report(1)
+		h := testHeartbeat(1)
 		h.Machine = fmt.Sprintf("n-%06d", i)
 		g.ApplyHeartbeat(h, time.Unix(1, 0))
 		g.MarkChanged(h.Machine)
@@ -56,7 +56,7 @@
 	}
 }
 
-// TestTaskIndex: a job's machines are those whose last status lists any task of it.
+// TestTaskIndex: a job's machines are those whose last status lists at least one of its tasks.
 func TestTaskIndex(t *testing.T) {
 	x := NewTaskIndex()
 	status := func(machine string, jobs ...string) *jobstate.MachineStatus {
@@ -77,6 +77,6 @@
 		t.Errorf("job-1 on %v, job-2 on %v", got, x.Machines("job-2"))
 	}
 	if x.Remove(second); len(x.machines) != 0 {
-		t.Errorf("%d jobs of no machine stay", len(x.machines))
+		t.Errorf("%d jobs without machines remain in the index", len(x.machines))
 	}
 }
--- a/internal/agents/registration.go
+++ b/internal/agents/registration.go
@@ -5,25 +5,26 @@
 	"slices"
 )
 
-// Registration decides what is to be written to the roster: which machines are to be registered, and when those that
-// are gone are taken off. Every machine that may get a start is in the key-value store first, so that an owner without
-// memory knows whom to wait for.
+// Registration decides which machines to register in the roster and when to remove those that are gone. A machine is
+// registered in the key-value store before it may get a start, so that an owner that has lost its state knows which
+// machines to wait for.
 type Registration struct {
 	wanted   map[string]bool // machines to be registered
-	removing bool            // machines are being taken off the roster
+	removing bool            // machines are being removed from the roster
 }
 
-// NewRegistration returns one that has nothing to write.
+// NewRegistration returns a Registration with nothing to write.
 func NewRegistration() *Registration { return &Registration{wanted: map[string]bool{}} }
 
-// Want has a machine registered.
+// Want requests the registration of a machine.
 func (g *Registration) Want(machine string) { g.wanted[machine] = true }
 
-// Done drops a machine that is registered by now.
+// Done drops the request for a machine that has been registered.
 func (g *Registration) Done(machine string) { delete(g.wanted, machine) }
 
-// Next returns the write that registers the wanted machines, as many as fit, in a key under a prefix that only this
-// controller adds to. There is none if nothing is wanted; machines that are registered or gone are wanted no more.
+// Next returns a write that registers as many of the requested machines as fit, in a key under a prefix to which only
+// this controller adds. due is false if no machine is to be registered. Requests for machines that are registered or
+// gone are dropped.
 func (g *Registration) Next(roster *Roster, prefix string, isGone func(machine string) bool) (w RosterWrite, due bool) {
 	maps.DeleteFunc(g.wanted, func(machine string, _ bool) bool { return roster.Has(machine) || isGone(machine) })
 	if len(g.wanted) == 0 {
@@ -32,8 +33,8 @@
 	return roster.PlanRegistration(prefix, slices.Sorted(maps.Keys(g.wanted))), true
 }
 
-// BeginRemoval returns the writes that take the machines that are gone off the roster. There are none while the writes
-// of an earlier call are under way; FinishRemoval ends those.
+// BeginRemoval returns the writes that remove the machines that are gone from the roster. It returns none until
+// FinishRemoval has been called for the writes of an earlier call.
 func (g *Registration) BeginRemoval(roster *Roster, isGone func(machine string) bool) []RosterWrite {
 	if g.removing {
 		return nil
@@ -52,5 +53,5 @@
 	return writes
 }
 
-// FinishRemoval notes that the writes of BeginRemoval were made, or failed.
+// FinishRemoval records that the writes of BeginRemoval have completed or failed.
 func (g *Registration) FinishRemoval() { g.removing = false }
--- a/internal/agents/registry.go
+++ b/internal/agents/registry.go
@@ -1,10 +1,10 @@
-// Package agents is a controller's part as the home of machines: the controller that a machine's agent sends its
-// heartbeats to.
+// Package agents implements a controller's role as the home of machines. The home of a machine is the controller to
+// which the machine's agent sends its heartbeats.
 //
-// It decides which heartbeat is newer than what is known, which of the owners' orders become commands, when a command
-// is sent and what may still arrive of it (Registry, Agent); whether an agent is kept alive here because its home does
-// not answer it (UnreachableHomes); and which machines are registered in the key-value store (Roster). It knows no
-// quotas and places no task.
+// Registry and Agent decide which heartbeat is the newest, which orders of owners become commands, when a command is
+// sent and whether it may still arrive. UnreachableHomes decides whether this controller renews the lease of an agent
+// whose home does not answer it. Roster holds the machines that are registered in the key-value store. The package
+// knows no quotas and places no tasks.
 //
 // It does no I/O and reads no clock: the time is passed in. Its types are not safe for concurrent use; the controller's
 // lock guards them.
@@ -18,47 +18,47 @@
 	"topazhollow/internal/protocol"
 )
 
-// Agent is what its home knows of one agent.
+// Agent is the state that a home keeps of one agent.
 type Agent struct {
-	Heartbeat   protocol.Heartbeat // the newest, from the agent itself or from its answer to a command
-	HeartbeatAt time.Time          // when it came
+	Heartbeat   protocol.Heartbeat // the newest, sent by the agent itself or contained in its response to a request
+	HeartbeatAt time.Time          // when it was received
 
-	lastOwnSeq    uint64 // the greatest sequence number of this incarnation that the agent itself sent
+	lastOwnSeq    uint64 // highest sequence number of this incarnation in a heartbeat that the agent itself sent
 	starts        map[jobstate.AttemptRef]*start
 	queue         []protocol.Command
-	sendNow       bool      // the queue is to be sent by a request, without waiting for the next heartbeat
-	requestOpen   bool      // a request with commands is under way
-	unresponsive  bool      // the last request failed: commands go in answers to heartbeats until one comes
-	sendTime      time.Time // of what is sent next, as is sendWatermark
-	sendWatermark time.Time // every cancellation confirmed before it is known here
+	sendNow       bool      // send the queue by a request instead of waiting for the next heartbeat
+	requestOpen   bool      // a request with commands is in progress
+	unresponsive  bool      // the last request failed; until the next heartbeat, commands are sent only in answers
+	sendTime      time.Time // recorded for the commands sent next, as is sendWatermark
+	sendWatermark time.Time // every cancellation confirmed before this time is known here
 
 	revision uint64
-	status   *jobstate.MachineStatus // cached; nil: to be made anew
+	status   *jobstate.MachineStatus // cached; nil if it must be rebuilt
 }
 
-// start is what became of a start command in this term.
+// start is the state of a start order in this term.
 type start struct {
 	order       jobstate.Order
-	queued      bool   // waits here
-	inRequest   bool   // a request with it is under way
-	unanswered  bool   // a request with it was never answered: it may still arrive in this term
-	inAnswer    bool   // sent in the answer to a heartbeat
-	answeredSeq uint64 // that heartbeat: what became of the answer is known once the agent itself sent a later one
+	queued      bool   // the command is in the queue
+	inRequest   bool   // a request with it is in progress
+	unanswered  bool   // a request with it was never answered, so it may still arrive in this term
+	inAnswer    bool   // it was sent in the answer to a heartbeat
+	answeredSeq uint64 // sequence number of that heartbeat; a later one from the agent itself settles the answer's outcome
 	listed      bool   // a heartbeat listed the attempt
-	neverSent   bool   // refused or taken back: it will never be sent, and the owner is told so
-	forgotten   bool   // a forget was queued: it is never to be sent again
+	neverSent   bool   // refused or canceled: it will never be sent, and the owner is informed
+	forgotten   bool   // a forget command was queued, so it must never be sent again
 
 	sentAt        time.Time // when it was first sent
-	sentWatermark time.Time // every cancellation confirmed before was known here then
+	sentWatermark time.Time // every cancellation confirmed before this time was known here then
 }
 
-// Size tells what a task of a job takes: cores, GPUs and GB of memory.
+// Size returns the resources that a task of a job uses: CPUs, GPUs and GB of memory.
 type Size func(job string) (cpus, gpus, memory float64)
 
-// Capacity tells what a machine of a type has: cores, GPUs and GB of memory. It is not ok for an unknown type.
+// Capacity returns the resources of a machine of a type: CPUs, GPUs and GB of memory. ok is false for an unknown type.
 type Capacity func(machineType string) (cpus, gpus, memory float64, ok bool)
 
-// Registry holds the agents that have this controller as their home.
+// Registry holds the agents whose home is this controller.
 type Registry struct {
 	term     uint64
 	agents   map[string]*Agent
@@ -67,13 +67,13 @@
 	size     Size
 }
 
-// New returns a registry without agents.
+// New returns a Registry without agents.
 func New(capacity Capacity, size Size) *Registry {
 	return &Registry{agents: map[string]*Agent{}, changed: map[string]bool{}, capacity: capacity, size: size}
 }
 
-// SetTerm begins a later term and drops agents whose home is another controller. What was ordered under the earlier
-// term is dropped: none of its starts will be sent any more.
+// SetTerm begins a later term. It drops the agents whose home is another controller and all orders of the earlier term,
+// so that none of its starts is sent any more.
 func (g *Registry) SetTerm(term uint64, isHome func(machine string) bool) {
 	if term <= g.term {
 		return
@@ -95,12 +95,12 @@
 // All returns the agents by machine. The caller must not change the map.
 func (g *Registry) All() map[string]*Agent { return g.agents }
 
-// Drop forgets an agent whose machine is gone or has another home.
+// Drop removes an agent whose machine is gone or has another home.
 func (g *Registry) Drop(machine string) { delete(g.agents, machine) }
 
-// ApplyHeartbeat takes in a heartbeat that the agent itself sent. It says whether it is newer than what was known and
-// whether anything in it changed. An agent keeps one heartbeat in flight at a time, so it executed the commands in the
-// answer to the one before, or never will.
+// ApplyHeartbeat applies a heartbeat that the agent itself sent. It reports whether the heartbeat is newer than the
+// last known one and whether its contents changed. An agent has at most one heartbeat in flight, so it has executed the
+// commands in the answer to the previous one or never will.
 func (g *Registry) ApplyHeartbeat(h *protocol.Heartbeat, now time.Time) (newer, changed bool) {
 	newer, changed = g.ApplyResponse(h, now)
 	if a := g.agents[h.Machine]; a.Heartbeat.Incarnation == h.Incarnation {
@@ -109,8 +109,8 @@
 	return newer, changed
 }
 
-// ApplyResponse takes in the heartbeat in an agent's response to a request with commands. The answer to the agent's own
-// last heartbeat may still be on its way to it.
+// ApplyResponse applies the heartbeat in an agent's response to a request with commands. Unlike with ApplyHeartbeat,
+// the answer to the agent's own last heartbeat may still be in transit.
 func (g *Registry) ApplyResponse(h *protocol.Heartbeat, now time.Time) (newer, changed bool) {
 	a := g.agents[h.Machine]
 	if a == nil {
@@ -136,12 +136,12 @@
 	return true, changed
 }
 
-// isNewer says whether a heartbeat was sent after one that is known: by a later incarnation, or later in the same.
+// isNewer reports whether a heartbeat was sent after a known one: by a later incarnation, or later by the same one.
 func isNewer(h, known *protocol.Heartbeat) bool {
 	return h.Incarnation > known.Incarnation || (h.Incarnation == known.Incarnation && h.Seq > known.Seq)
 }
 
-// differs says whether a heartbeat says anything that owners are told of.
+// differs reports whether two heartbeats differ in anything that is reported to owners.
 func differs(h, known *protocol.Heartbeat) bool {
 	return h.Incarnation != known.Incarnation ||
 		h.FencingToken != known.FencingToken ||
@@ -149,7 +149,8 @@
 		!slices.Equal(h.Tasks, known.Tasks)
 }
 
-// parseAttempt reads an attempt's name as an agent gave it; a malformed one matches nothing that was ever ordered.
+// parseAttempt parses the name of an attempt sent by an agent. For a malformed name it returns the zero value, which
+// matches no attempt that was ever ordered.
 func parseAttempt(task string, attempt uint64) jobstate.AttemptRef {
 	job, index, ok := protocol.SplitTask(task)
 	if !ok {
@@ -158,7 +159,7 @@
 	return jobstate.AttemptRef{TaskID: jobstate.TaskID{Job: job, Index: index}, Attempt: attempt}
 }
 
-// lists says whether the newest heartbeat lists an attempt.
+// lists reports whether the newest heartbeat lists an attempt.
 func (a *Agent) lists(ref jobstate.AttemptRef) bool {
 	return slices.ContainsFunc(a.Heartbeat.Tasks, func(t protocol.TaskStatus) bool {
 		return parseAttempt(t.Task, t.Attempt) == ref
--- a/internal/agents/registry_test.go
+++ b/internal/agents/registry_test.go
@@ -8,47 +8,49 @@
 	"topazhollow/internal/protocol"
 )
 
-func home(t *testing.T) (*Registry, *Agent) {
+// newTestRegistry returns a Registry in term 1 with the agent of machine m, which has 8 CPUs and 64 GB of memory.
+func newTestRegistry(t *testing.T) (*Registry, *Agent) {
 	h := New(func(string) (float64, float64, float64, bool) { return 8, 0, 64, true }, func(string) (float64, float64, float64) { return 2, 0, 4 })
 	h.SetTerm(1, func(string) bool { return true })
 	h.ApplyHeartbeat(&protocol.Heartbeat{Machine: "m", Addr: "a", Type: "t", Zone: "z", Incarnation: 1, Seq: 1, FencingToken: 1}, time.Unix(1, 0))
 	return h, h.Get("m")
 }
 
+// startOf returns a start order for the first task of a job.
 func startOf(job string) jobstate.Order {
 	return jobstate.Order{Op: protocol.Start, TaskID: jobstate.TaskID{Job: job}, Attempt: 5, Incarnation: 1, CPUs: 2, MemoryGB: 4}
 }
 
-func report(seq uint64, tasks ...protocol.TaskStatus) *protocol.Heartbeat {
+// testHeartbeat returns a heartbeat of machine m.
+func testHeartbeat(seq uint64, tasks ...protocol.TaskStatus) *protocol.Heartbeat {
 	return &protocol.Heartbeat{Machine: "m", Addr: "a", Type: "t", Zone: "z", Incarnation: 1, Seq: seq, FencingToken: 1, Tasks: tasks}
 }
 
-// TestAttemptsOfTwoOwnersWithOneNumber: attempt numbers are unique only for a task. Two
-// owners' attempts of one term once met in one entry, and the second start was
-// never sent.
+// TestAttemptsOfTwoOwnersWithOneNumber guards against identifying starts by attempt number alone. Attempt numbers are
+// unique only per task, so the second of two owners' starts with the same number would never be sent.
 func TestAttemptsOfTwoOwnersWithOneNumber(t *testing.T) {
-	h, m := home(t)
+	h, m := newTestRegistry(t)
 	h.QueueOrders(1, "m", []jobstate.Order{startOf("job-1")})
 	h.QueueOrders(1, "m", []jobstate.Order{startOf("job-2")})
 	if cmds := m.TakeForRequest(); len(cmds) != 2 {
-		t.Fatalf("sends %v", cmds)
+		t.Fatalf("sends %v, want two starts", cmds)
 	}
 }
 
-// TestUnansweredStartIsNotForgotten: a start whose request got no answer may still
-// arrive; once the agent forgot the attempt, it would run again.
+// TestUnansweredStartIsNotForgotten: a start whose request was not answered may still arrive. If the agent had deleted
+// its record of the attempt by then, it would run the attempt again.
 func TestUnansweredStartIsNotForgotten(t *testing.T) {
-	h, m := home(t)
+	h, m := newTestRegistry(t)
 	o := startOf("job-1")
 	h.QueueOrders(1, "m", []jobstate.Order{o})
 	m.FinishRequest(m.TakeForRequest(), false, true)
-	h.ApplyHeartbeat(report(2, protocol.TaskStatus{Task: "job-1/0", Attempt: 5, State: protocol.Exited, Reason: protocol.ReasonDone}), time.Unix(2, 0))
+	h.ApplyHeartbeat(testHeartbeat(2, protocol.TaskStatus{Task: "job-1/0", Attempt: 5, State: protocol.Exited, Reason: protocol.ReasonDone}), time.Unix(2, 0))
 	o.Op = protocol.Forget
 	h.QueueOrders(1, "m", []jobstate.Order{o})
 	if cmds := m.TakeForAnswer(); len(cmds) != 0 {
-		t.Fatalf("forgets beside a start in flight: %v", cmds)
+		t.Fatalf("sends forget while a start is in flight: %v", cmds)
 	}
-	// Under a later term the agent refuses the old start, so it may be forgotten.
+	// Under a later term the agent refuses the old start, so the attempt may be forgotten.
 	h.SetTerm(2, func(string) bool { return true })
 	h.QueueOrders(2, "m", []jobstate.Order{o})
 	if cmds := m.TakeForAnswer(); len(cmds) != 1 || cmds[0].Op != protocol.Forget {
@@ -56,9 +58,10 @@
 	}
 }
 
-// TestRefusedStartIsNeverSent: a stop for a start that was not sent takes it back for good, and the owner may count on it.
+// TestRefusedStartIsNeverSent: a stop for a start that has not been sent cancels it permanently, and the owner is told
+// so.
 func TestRefusedStartIsNeverSent(t *testing.T) {
-	h, m := home(t)
+	h, m := newTestRegistry(t)
 	o := startOf("job-1")
 	h.QueueOrders(1, "m", []jobstate.Order{o})
 	o.Op = protocol.Stop
@@ -66,32 +69,32 @@
 	o.Op = protocol.Start
 	h.QueueOrders(1, "m", []jobstate.Order{o})
 	if cmds := m.TakeForRequest(); len(cmds) != 0 {
-		t.Fatalf("sends %v after the owner was told never", cmds)
+		t.Fatalf("sends %v after reporting the start as never sent", cmds)
 	}
 	if v := h.Status("m"); len(v.Barred) != 1 || v.Barred[0] != o.Ref() {
-		t.Fatalf("status has as never sent %v", v.Barred)
+		t.Fatalf("status reports as never sent %v", v.Barred)
 	}
 }
 
-// TestSentStartIsNotReportedAsNeverSent: what was sent without an answer may still arrive.
+// TestSentStartIsNotReportedAsNeverSent: a start that was sent without a response may still arrive.
 func TestSentStartIsNotReportedAsNeverSent(t *testing.T) {
-	h, m := home(t)
+	h, m := newTestRegistry(t)
 	o := startOf("job-1")
 	h.QueueOrders(1, "m", []jobstate.Order{o})
 	m.FinishRequest(m.TakeForRequest(), false, true)
 	o.Op = protocol.Stop
 	h.QueueOrders(1, "m", []jobstate.Order{o})
-	h.ApplyHeartbeat(report(2), time.Unix(2, 0))
+	h.ApplyHeartbeat(testHeartbeat(2), time.Unix(2, 0))
 	h.QueueOrders(1, "m", []jobstate.Order{o})
 	if v := h.Status("m"); len(v.Barred) != 0 {
-		t.Fatalf("status has as never sent %v, which may still arrive", v.Barred)
+		t.Fatalf("status reports as never sent %v, which may still arrive", v.Barred)
 	}
 }
 
-// TestStartOfAnEarlierTermIsNotReportedAsNeverSent: a stop for an attempt of an earlier term that the machine does not list is no
-// proof that its start was never sent: the home of that term may have sent it, and it may still arrive.
+// TestStartOfAnEarlierTermIsNotReportedAsNeverSent: if a stop refers to an attempt of an earlier term that the machine
+// does not list, its start may still have been sent by the home of that term and may still arrive.
 func TestStartOfAnEarlierTermIsNotReportedAsNeverSent(t *testing.T) {
-	h, m := home(t)
+	h, m := newTestRegistry(t)
 	o := startOf("job-1")
 	o.Attempt = jobstate.AttemptID(1, 5)
 	h.QueueOrders(1, "m", []jobstate.Order{o})
@@ -100,59 +103,59 @@
 	o.Op = protocol.Stop
 	h.QueueOrders(2, "m", []jobstate.Order{o})
 	if v := h.Status("m"); len(v.Barred) != 0 {
-		t.Fatalf("status has as never sent %v, which the home of an earlier term sent", v.Barred)
+		t.Fatalf("status reports as never sent %v, which the home of an earlier term sent", v.Barred)
 	}
-	// The same stop for an attempt of the home's own term, of which no start came, is proof.
+	// If the attempt is of this home's own term and no start was ordered, the start was certainly never sent.
 	o.Attempt = jobstate.AttemptID(2, 1)
 	h.QueueOrders(2, "m", []jobstate.Order{o})
 	if v := h.Status("m"); len(v.Barred) != 1 {
-		t.Fatalf("status has as never sent %v, want the attempt that this home never sent", v.Barred)
+		t.Fatalf("status reports as never sent %v, want the attempt that this home never sent", v.Barred)
 	}
 }
 
-// TestStartInAnAnswerIsSettledByTheNextHeartbeat: a start that went out with the answer to a heartbeat may be on its way
-// while a request with commands overtakes it. Only the agent's own next heartbeat tells what became of the answer.
+// TestStartInAnAnswerIsSettledByTheNextHeartbeat: a start sent in the answer to a heartbeat may be overtaken by a
+// request with commands. Only the agent's own next heartbeat determines whether the answer arrived.
 func TestStartInAnAnswerIsSettledByTheNextHeartbeat(t *testing.T) {
-	h, m := home(t)
+	h, m := newTestRegistry(t)
 	o := startOf("job-1")
 	h.QueueOrders(1, "m", []jobstate.Order{o})
 	if cmds := m.TakeForAnswer(); len(cmds) != 1 {
 		t.Fatalf("answers %v", cmds)
 	}
-	h.ApplyResponse(report(2), time.Unix(2, 0))
+	h.ApplyResponse(testHeartbeat(2), time.Unix(2, 0))
 	o.Op = protocol.Stop
 	h.QueueOrders(1, "m", []jobstate.Order{o})
 	if v := h.Status("m"); len(v.Barred) != 0 {
-		t.Fatalf("status has as never sent %v, which may still arrive", v.Barred)
+		t.Fatalf("status reports as never sent %v, which may still arrive", v.Barred)
 	}
 	forget := o
 	forget.Op = protocol.Forget
-	h.ApplyResponse(report(3, protocol.TaskStatus{Task: "job-1/0", Attempt: 5, State: protocol.Exited, Reason: protocol.ReasonError}), time.Unix(3, 0))
+	h.ApplyResponse(testHeartbeat(3, protocol.TaskStatus{Task: "job-1/0", Attempt: 5, State: protocol.Exited, Reason: protocol.ReasonError}), time.Unix(3, 0))
 	h.QueueOrders(1, "m", []jobstate.Order{forget})
 	if cmds := m.TakeForAnswer(); len(cmds) != 0 {
-		t.Fatalf("answers %v beside a start in flight", cmds)
+		t.Fatalf("answers %v while a start is in flight", cmds)
 	}
 }
 
-// TestStartInALostAnswerIsNeverSent: once the agent itself sent a heartbeat again without the task, the answer with its start was lost,
-// and the home can say that it will never be sent.
+// TestStartInALostAnswerIsNeverSent: if the agent's own next heartbeat does not list the task, the answer with its
+// start was lost, and the home may report that it will never be sent.
 func TestStartInALostAnswerIsNeverSent(t *testing.T) {
-	h, m := home(t)
+	h, m := newTestRegistry(t)
 	o := startOf("job-1")
 	h.QueueOrders(1, "m", []jobstate.Order{o})
 	m.TakeForAnswer()
-	h.ApplyHeartbeat(report(2), time.Unix(2, 0))
+	h.ApplyHeartbeat(testHeartbeat(2), time.Unix(2, 0))
 	o.Op = protocol.Stop
 	h.QueueOrders(1, "m", []jobstate.Order{o})
 	if v := h.Status("m"); len(v.Barred) != 1 {
-		t.Fatalf("status has as never sent %v, want the lost start", v.Barred)
+		t.Fatalf("status reports as never sent %v, want the lost start", v.Barred)
 	}
 }
 
-// TestOrdersOfAnotherTermAreIgnored: a home sends no order of another term, so that a
-// replaced owner's starts end with their term.
+// TestOrdersOfAnotherTermAreIgnored: a home sends no orders of another term, so that a replaced owner's starts are not
+// sent after the end of their term.
 func TestOrdersOfAnotherTermAreIgnored(t *testing.T) {
-	h, m := home(t)
+	h, m := newTestRegistry(t)
 	h.SetTerm(2, func(string) bool { return true })
 	h.QueueOrders(1, "m", []jobstate.Order{startOf("job-1")})
 	if cmds := m.TakeForRequest(); len(cmds) != 0 {
@@ -160,36 +163,36 @@
 	}
 }
 
-// TestStartWithoutRoomIsRefused: of owners that place on the same room, the last is refused.
+// TestStartWithoutRoomIsRefused: if several owners place tasks into the same free capacity, the last start is refused.
 func TestStartWithoutRoomIsRefused(t *testing.T) {
-	h, _ := home(t)
+	h, _ := newTestRegistry(t)
 	for i, job := range []string{"job-1", "job-2", "job-3", "job-4", "job-5"} {
 		h.QueueOrders(1, "m", []jobstate.Order{startOf(job)})
 		if barred := len(h.Status("m").Barred); (i < 4 && barred != 0) || (i == 4 && barred != 1) {
-			t.Fatalf("after %d starts %d are refused", i+1, barred)
+			t.Fatalf("after %d starts %d are refused, want only the fifth", i+1, barred)
 		}
 	}
 }
 
-// TestOlderHeartbeatIsIgnored: a copy of an earlier heartbeat, also of an earlier incarnation, that comes after newer ones
-// changes nothing: not what the machine lists, nor when it was last heard.
+// TestOlderHeartbeatIsIgnored: a duplicate of an earlier heartbeat, or one of an earlier incarnation, that arrives
+// after newer ones changes neither the listed tasks nor the time of the last heartbeat.
 func TestOlderHeartbeatIsIgnored(t *testing.T) {
-	h, m := home(t)
+	h, m := newTestRegistry(t)
 	h.QueueOrders(1, "m", []jobstate.Order{startOf("job-1")})
 	m.FinishRequest(m.TakeForRequest(), true, true)
 	running := protocol.TaskStatus{Task: "job-1/0", Attempt: 5, State: protocol.Running}
-	h.ApplyHeartbeat(report(4, running), time.Unix(4, 0))
-	next := report(1, running)
+	h.ApplyHeartbeat(testHeartbeat(4, running), time.Unix(4, 0))
+	next := testHeartbeat(1, running)
 	next.Incarnation = 2
-	for what, r := range map[string]*protocol.Heartbeat{"an earlier heartbeat": report(3), "the same one": report(4), "one that listed nothing": report(1)} {
+	for what, r := range map[string]*protocol.Heartbeat{"an earlier heartbeat": testHeartbeat(3), "the same heartbeat": testHeartbeat(4), "an earlier one without tasks": testHeartbeat(1)} {
 		if newer, changed := h.ApplyHeartbeat(r, time.Unix(9, 0)); newer || changed || len(m.Heartbeat.Tasks) != 1 || m.HeartbeatAt != time.Unix(4, 0) {
-			t.Errorf("%s is taken for the newest", what)
+			t.Errorf("%s is accepted as the newest", what)
 		}
 	}
 	if newer, _ := h.ApplyHeartbeat(next, time.Unix(5, 0)); !newer {
-		t.Fatal("the first heartbeat of the next incarnation is not taken")
+		t.Fatal("the first heartbeat of the next incarnation is not accepted")
 	}
-	if newer, _ := h.ApplyHeartbeat(report(90), time.Unix(9, 0)); newer || m.Heartbeat.Incarnation != 2 {
-		t.Error("a heartbeat of an earlier incarnation is taken for the newest")
+	if newer, _ := h.ApplyHeartbeat(testHeartbeat(90), time.Unix(9, 0)); newer || m.Heartbeat.Incarnation != 2 {
+		t.Error("a heartbeat of an earlier incarnation is accepted as the newest")
 	}
 }
--- a/internal/agents/roster.go
+++ b/internal/agents/roster.go
@@ -9,40 +9,42 @@
 	"strconv"
 )
 
-// Roster is what a controller knows of the machines registered in the key-value store. Each key lists many of them, so
-// that a wave of new or returned machines takes few writes. A controller registers machines under keys of its own; any
-// controller may deregister those that the cloud confirmed to be gone.
+// Roster is a controller's view of the machines registered in the key-value store. Each key lists many machines, so
+// that a batch of acquired or released machines takes few writes. A controller registers machines only under its own
+// keys. Any controller may deregister machines that are confirmed by the cloud to be gone.
 type Roster struct {
-	maxValueSize int // bytes that a key's value may have
+	maxValueSize int // maximum size of a key's value in bytes
 	lists        map[string]*list
-	listCount    map[string]int // by machine, how many lists name it
+	listCount    map[string]int // by machine, number of lists that contain it
 }
 
+// list is the last known value of a key.
 type list struct {
 	version uint64
 	names   map[string]bool
-	size    int
+	size    int // of the encoded value in bytes
 }
 
-// RosterWrite is a change of one key, to be written if the key still has the version.
+// RosterWrite is a conditional write of one key: it applies only if the key still has the given version.
 type RosterWrite struct {
 	Key     string
 	Version uint64
 	Names   []string
 }
 
-// Value is what the write puts into the key-value store.
+// Value returns the value to be written.
 func (w *RosterWrite) Value() RosterValue { return RosterValue{After: w.Version, Names: w.Names} }
 
-// RosterValue is a key's value: the machines, and the version that it replaced. Keys are never deleted, so a value that
-// replaced an older version than another controller has seen was written over a store that had lost that version;
-// machines that it does not name are not deregistered by it.
+// RosterValue is a key's value: the machines, and the version of the key that it replaced. Keys are never deleted. A
+// value that replaced an older version than one seen by another controller was therefore written after the store had
+// lost the later version, and machines missing from it have not been deregistered.
 type RosterValue struct {
 	After uint64   `json:"after"`
 	Names []string `json:"names"`
 }
 
-// DecodeRosterValue decodes a key's value; earlier versions of the program wrote the names alone.
+// DecodeRosterValue decodes a key's value. It also accepts the format of earlier versions of the program, a plain list
+// of names.
 func DecodeRosterValue(value json.RawMessage) (v RosterValue, err error) {
 	if len(value) > 0 && value[0] == '[' {
 		v.After = math.MaxUint64
@@ -51,24 +53,24 @@
 	return v, json.Unmarshal(value, &v)
 }
 
-// valueSize is what a value takes beside its names.
-const valueSize = len(`{"after":18446744073709551615,"names":[]}`)
+// emptyValueSize is the maximum size in bytes of an encoded value without names.
+const emptyValueSize = len(`{"after":18446744073709551615,"names":[]}`)
 
-// ErrRosterDataLost says that a list of machines was written over a store that had lost the one known here.
-var ErrRosterDataLost = errors.New("workers: a list of machines does not follow the one known")
+// ErrRosterDataLost means that a list of machines was written after the store had lost the list known here.
+var ErrRosterDataLost = errors.New("roster: list of machines replaces an older version than the known one")
 
-// NewRoster returns an empty roster whose values may take so many bytes.
+// NewRoster returns an empty Roster whose encoded values are limited to maxValueSize bytes.
 func NewRoster(maxValueSize int) *Roster {
 	return &Roster{maxValueSize: maxValueSize, lists: map[string]*list{}, listCount: map[string]int{}}
 }
 
-// Has says whether a machine is registered.
+// Has reports whether a machine is registered.
 func (r *Roster) Has(machine string) bool { return r.listCount[machine] > 0 }
 
-// All returns the registered machines in no order.
+// All returns the registered machines in no particular order.
 func (r *Roster) All() []string { return slices.Collect(maps.Keys(r.listCount)) }
 
-// Versions returns the version of each key known.
+// Versions returns the version of each known key.
 func (r *Roster) Versions() map[string]uint64 {
 	out := make(map[string]uint64, len(r.lists))
 	for key, l := range r.lists {
@@ -79,7 +81,7 @@
 	return out
 }
 
-// Keys returns the keys known to name any machine.
+// Keys returns the known keys that list at least one machine.
 func (r *Roster) Keys() []string {
 	var keys []string
 	for key, l := range r.lists {
@@ -90,8 +92,8 @@
 	return keys
 }
 
-// ApplyList takes in a key's value as of a version; an older one than known is ignored. It returns which machines became
-// registered and which are no more, or ErrRosterDataLost.
+// ApplyList applies a version of a key's value; a version that is not newer than the known one is ignored. It returns
+// the machines that became registered and those that are no longer registered, or ErrRosterDataLost.
 func (r *Roster) ApplyList(key string, version uint64, value RosterValue) (added, removed []string, err error) {
 	l := r.lists[key]
 	if l == nil {
@@ -105,7 +107,7 @@
 		return nil, nil, ErrRosterDataLost
 	}
 	old := l.names
-	l.version, l.names, l.size = version, map[string]bool{}, valueSize
+	l.version, l.names, l.size = version, map[string]bool{}, emptyValueSize
 	for _, name := range value.Names {
 		if l.names[name] {
 			continue
@@ -131,17 +133,17 @@
 	return added, removed, nil
 }
 
-// entrySize is what a name takes in a value, with quotes and comma.
+// entrySize is the size in bytes of a name in an encoded value, with quotes and comma.
 func entrySize(name string) int { return len(name) + 3 }
 
-// PlanRegistration returns the write that registers machines, as many as fit, in a key under a prefix that only this
-// controller adds to.
+// PlanRegistration returns a write that registers as many of the machines as fit, in a key under a prefix to which only
+// this controller adds.
 func (r *Roster) PlanRegistration(prefix string, machines []string) RosterWrite {
 	for i := 0; ; i++ {
 		key := prefix + strconv.Itoa(i)
 		l := r.lists[key]
 		if l == nil {
-			l = &list{size: valueSize}
+			l = &list{size: emptyValueSize}
 		}
 		w := RosterWrite{Key: key, Version: l.version, Names: slices.Collect(maps.Keys(l.names))}
 		size := l.size
@@ -158,7 +160,7 @@
 	}
 }
 
-// PlanDeregistration returns the writes that take machines off the roster.
+// PlanDeregistration returns the writes that remove machines from the roster.
 func (r *Roster) PlanDeregistration(gone map[string]bool) []RosterWrite {
 	var writes []RosterWrite
 	for _, key := range slices.Sorted(maps.Keys(r.lists)) {
--- a/internal/agents/roster_test.go
+++ b/internal/agents/roster_test.go
@@ -8,12 +8,11 @@
 	"testing"
 )
 
-// TestRosterModel: controllers add and strike machines through keys of a plain
-// store, some of their writes late or lost. Who has learnt every key must know
-// just the machines that stand in the store, each comes and goes once, and no
-// value outgrows its room.
+// TestRosterModel: controllers register and deregister machines in a simulated store, with some writes delayed or lost.
+// After reading every key a controller must know exactly the machines in the store. Each machine must be reported as
+// added and removed at most once, and no value may exceed its maximum size.
 func TestRosterModel(t *testing.T) {
-	const room = 160
+	const maxSize = 160
 	type value struct {
 		version, after uint64
 		names          []string
@@ -21,22 +20,22 @@
 	for seed := range uint64(300) {
 		rng := rand.New(rand.NewPCG(seed, 9))
 		store, revision := map[string]value{}, uint64(0)
-		rosters := []*Roster{NewRoster(room), NewRoster(room), NewRoster(room)}
+		rosters := []*Roster{NewRoster(maxSize), NewRoster(maxSize), NewRoster(maxSize)}
 		known := []map[string]bool{{}, {}, {}}
-		learn := func(who int, key string) {
+		read := func(who int, key string) {
 			added, removed, err := rosters[who].ApplyList(key, store[key].version, RosterValue{After: store[key].after, Names: store[key].names})
 			if err != nil {
-				t.Fatalf("seed %d: %v though nothing was lost", seed, err)
+				t.Fatalf("seed %d: %v although no data was lost", seed, err)
 			}
 			for _, name := range added {
 				if known[who][name] {
-					t.Fatalf("seed %d: %s came twice", seed, name)
+					t.Fatalf("seed %d: %s added twice", seed, name)
 				}
 				known[who][name] = true
 			}
 			for _, name := range removed {
 				if !known[who][name] {
-					t.Fatalf("seed %d: %s left without having come", seed, name)
+					t.Fatalf("seed %d: %s removed without having been added", seed, name)
 				}
 				delete(known[who], name)
 			}
@@ -44,13 +43,13 @@
 		var late []RosterWrite
 		apply := func(w RosterWrite) {
 			if store[w.Key].version != w.Version {
-				return // another write was first
+				return // the key has changed since the write was planned
 			}
-			size := valueSize
+			size := emptyValueSize
 			for _, name := range w.Names {
 				size += len(name) + 3
 			}
-			if size > room {
+			if size > maxSize {
 				t.Fatalf("seed %d: value of %d bytes", seed, size)
 			}
 			revision++
@@ -82,7 +81,7 @@
 					continue
 				}
 				apply(w)
-				learn(who, w.Key)
+				read(who, w.Key)
 			}
 			if len(late) > 0 && rng.IntN(3) == 0 {
 				apply(late[0])
@@ -90,30 +89,30 @@
 			}
 			for key := range store {
 				if rng.IntN(2) == 0 {
-					learn(rng.IntN(3), key)
+					read(rng.IntN(3), key)
 				}
 			}
 		}
-		plain := map[string]bool{}
+		want := map[string]bool{}
 		for _, v := range store {
 			for _, name := range v.names {
-				plain[name] = true
+				want[name] = true
 			}
 		}
 		for who, r := range rosters {
 			for key := range store {
-				learn(who, key)
+				read(who, key)
 			}
 			all := r.All()
-			if len(all) != len(plain) || slices.ContainsFunc(all, func(name string) bool { return !plain[name] || !known[who][name] }) {
-				t.Fatalf("seed %d: controller %d knows %d machines, the store holds %d", seed, who, len(all), len(plain))
+			if len(all) != len(want) || slices.ContainsFunc(all, func(name string) bool { return !want[name] || !known[who][name] }) {
+				t.Fatalf("seed %d: controller %d knows %d machines, the store holds %d", seed, who, len(all), len(want))
 			}
 		}
 	}
 }
 
-// TestLostListStrikesNobodyOff: a store lost a list, and a process that started afterwards
-// wrote it anew. Whom that does not name was struck off by nobody.
+// TestLostListDeregistersNobody: if the store loses a list and a process that started afterwards writes a new one, the
+// machines missing from the new list have not been deregistered.
 func TestLostListDeregistersNobody(t *testing.T) {
 	r := NewRoster(200)
 	if _, _, err := r.ApplyList("m/a/0", 5, RosterValue{Names: []string{"n-1", "n-2"}}); err != nil {
--- a/internal/agents/taskindex.go
+++ b/internal/agents/taskindex.go
@@ -7,7 +7,7 @@
 	"topazhollow/internal/jobstate"
 )
 
-// TaskIndex tells which machines list tasks of a job.
+// TaskIndex maps jobs to the machines that list their tasks.
 type TaskIndex struct {
 	machines map[string]map[string]bool // by job
 }
@@ -15,7 +15,7 @@
 // NewTaskIndex returns an empty index.
 func NewTaskIndex() *TaskIndex { return &TaskIndex{machines: map[string]map[string]bool{}} }
 
-// Add enters what a machine's status lists.
+// Add adds the tasks that a machine's status lists.
 func (x *TaskIndex) Add(status *jobstate.MachineStatus) {
 	for _, t := range status.Tasks {
 		if x.machines[t.Job] == nil {
@@ -25,7 +25,7 @@
 	}
 }
 
-// Remove takes out what a machine's status lists, which was added before.
+// Remove removes the tasks of a machine's status that was added before.
 func (x *TaskIndex) Remove(status *jobstate.MachineStatus) {
 	for _, t := range status.Tasks {
 		on := x.machines[t.Job]
@@ -35,5 +35,5 @@
 	}
 }
 
-// Machines returns the machines that list any task of a job, in order of name.
+// Machines returns the machines that list any task of a job, sorted by name.
 func (x *TaskIndex) Machines(job string) []string { return slices.Sorted(maps.Keys(x.machines[job])) }
--- a/internal/agents/unreachablehomes.go
+++ b/internal/agents/unreachablehomes.go
@@ -6,49 +6,50 @@
 	"time"
 )
 
-// Route says what becomes of a heartbeat that should have gone to another controller.
+// Route is the decision about a heartbeat that should have been sent to another controller.
 type Route int
 
 // The routes of a misdirected heartbeat.
 const (
-	RedirectHome Route = iota // the agent is sent to its home
-	KeepAlive                 // the lease may be renewed here, without commands of the home
+	RedirectHome Route = iota // the agent is redirected to its home
+	KeepAlive                 // the lease may be renewed here, without commands from the home
 )
 
-// Timing is what the decisions about unreachable homes count with.
+// Timing holds the durations on which decisions about unreachable homes are based.
 type Timing struct {
-	HeartbeatOverdue time.Duration // after what time an agent's heartbeat is missing at its home
-	// RedirectTimeout is how long an agent may take from one heartbeat here to the next, with a try of its home between.
+	HeartbeatOverdue time.Duration // time without a heartbeat after which an agent is overdue at its home
+	// RedirectTimeout is the maximum time between two heartbeats of an agent here, with an attempt to reach its home in
+	// between.
 	RedirectTimeout time.Duration
-	Lease           time.Duration // of an agent
+	Lease           time.Duration // duration of an agent's lease
 }
 
-// Misdirected is a heartbeat that came here though another controller is the agent's home.
+// Misdirected is a heartbeat received here although another controller is the agent's home.
 type Misdirected struct {
 	Machine       string
 	Home          string
-	HomeConnected bool      // this controller receives the home's messages
-	HomeHeardAt   time.Time // when the home last had a heartbeat of the agent, as far as told; zero: never
+	HomeConnected bool      // this controller receives messages from the home
+	HomeHeardAt   time.Time // last heartbeat of the agent that the home has reported; zero if none
 	SettledAt     time.Time // when homes last changed
 }
 
-// UnreachableHomes notes which agents try their home in vain, as they come here instead. It decides whether such an
-// agent is kept alive here: redirected again and again it would wait for answers until its lease ends. And it finds the
-// controller that agents can't reach although its peers can.
+// UnreachableHomes tracks the agents that cannot reach their home and send their heartbeats here instead. It decides
+// whether such an agent's lease is renewed here: if the agent were always redirected to a home that does not answer,
+// its lease would expire. It also finds a controller that agents cannot reach although its peers can.
 type UnreachableHomes struct {
 	timing      Timing
 	attempts    map[string]map[string]attempts // by home and machine
-	keptAliveAt map[string]time.Time           // by machine, when it was last kept alive as nobody heard from its home
-	misdirected map[string]bool                // machines whose heartbeats came here since TakeMisdirected
+	keptAliveAt map[string]time.Time           // by machine, last kept alive because its home was not connected
+	misdirected map[string]bool                // machines with misdirected heartbeats since the last TakeMisdirected
 }
 
-// attempts are an agent's heartbeats that came here though its home should have had them.
+// attempts summarizes an agent's consecutive misdirected heartbeats.
 type attempts struct {
-	first, last time.Time // since the home last heard the agent
-	redirected  time.Time // when the agent was last sent to its home, or came from there
+	first, last time.Time // first and last such heartbeat since the agent last reached its home
+	redirected  time.Time // when the agent was last redirected to its home, or first came here after trying it
 }
 
-// NewUnreachableHomes returns one that knows of no misdirected agent.
+// NewUnreachableHomes returns an UnreachableHomes without misdirected agents.
 func NewUnreachableHomes(timing Timing) *UnreachableHomes {
 	return &UnreachableHomes{
 		timing:      timing,
@@ -58,35 +59,35 @@
 	}
 }
 
-// Timing returns what the decisions count with.
+// Timing returns the durations on which the decisions are based.
 func (u *UnreachableHomes) Timing() Timing { return u.timing }
 
-// RecordMisdirected notes that a heartbeat came here which should have gone elsewhere.
+// RecordMisdirected records that a heartbeat was received here that should have been sent to another controller.
 func (u *UnreachableHomes) RecordMisdirected(machine string) { u.misdirected[machine] = true }
 
-// TakeMisdirected returns the machines whose heartbeats came here since the last call, in order of name. The peers are
-// told, so that no such machine is taken for silent.
+// TakeMisdirected returns the machines with misdirected heartbeats since the last call, sorted by name. The caller
+// reports them to the peers, so that these do not consider the machines silent.
 func (u *UnreachableHomes) TakeMisdirected() []string {
 	machines := slices.Sorted(maps.Keys(u.misdirected))
 	clear(u.misdirected)
 	return machines
 }
 
-// Forget drops what is known of a machine that is gone.
+// Forget drops the state of a machine that is gone.
 func (u *UnreachableHomes) Forget(machine string) { delete(u.keptAliveAt, machine) }
 
-// ForgetAttempts drops all attempts, as after a time in which no controller could answer.
+// ForgetAttempts drops all attempts, as after a period in which no controller could answer.
 func (u *UnreachableHomes) ForgetAttempts() { clear(u.attempts) }
 
-// Route decides about a heartbeat that should have gone to another home.
+// Route decides how to answer a misdirected heartbeat.
 func (u *UnreachableHomes) Route(m Misdirected, now time.Time) Route {
 	if !m.HomeConnected {
-		// Once the home is connected again, the agent is sent there.
+		// Once the home is connected again, the agent is redirected to it.
 		delete(u.attempts[m.Home], m.Machine)
 		u.keptAliveAt[m.Machine] = now
 		return KeepAlive
 	}
-	a, known := u.continuing(m, now)
+	a, known := u.currentAttempts(m, now)
 	var route Route
 	if known {
 		route = u.routeAgain(a, now)
@@ -102,13 +103,15 @@
 	return route
 }
 
-// continuing returns the agent's earlier attempts, if it came here before and its home has not heard it since.
-func (u *UnreachableHomes) continuing(m Misdirected, now time.Time) (a attempts, known bool) {
+// currentAttempts returns the agent's current series of attempts. known is false if there is none: the home has
+// received a heartbeat since, or too much time has passed.
+func (u *UnreachableHomes) currentAttempts(m Misdirected, now time.Time) (a attempts, known bool) {
 	a = u.attempts[m.Home][m.Machine]
 	return a, !a.first.Before(m.reachedHomeAt()) && now.Sub(a.last) <= u.timing.RedirectTimeout
 }
 
-// routeFirst keeps an agent alive that was at its home and is overdue there, unless that happened a moment ago.
+// routeFirst routes the first heartbeat of a series. It keeps an agent alive that reached its home before and is
+// overdue there, unless it was kept alive just before because the home was not connected.
 func (u *UnreachableHomes) routeFirst(m Misdirected, now time.Time) Route {
 	overdue := now.Sub(m.reachedHomeAt()) > u.timing.HeartbeatOverdue
 	justKeptAlive := now.Sub(u.keptAliveAt[m.Machine]) <= u.timing.RedirectTimeout
@@ -118,7 +121,8 @@
 	return RedirectHome
 }
 
-// routeAgain keeps an agent alive for the time of a lease after it was redirected in vain, then has it try again.
+// routeAgain routes later heartbeats of a series. It keeps an agent alive for the duration of a lease after a redirect
+// that failed, then redirects it again.
 func (u *UnreachableHomes) routeAgain(a attempts, now time.Time) Route {
 	if now.Sub(a.redirected) < u.timing.Lease {
 		return KeepAlive
@@ -126,6 +130,7 @@
 	return RedirectHome
 }
 
+// record stores the attempts of an agent.
 func (u *UnreachableHomes) record(m Misdirected, a attempts) {
 	if u.attempts[m.Home] == nil {
 		u.attempts[m.Home] = map[string]attempts{}
@@ -133,36 +138,36 @@
 	u.attempts[m.Home][m.Machine] = a
 }
 
-// reachedHomeAt is when the agent's heartbeats last reached its home, or the home became its home.
+// reachedHomeAt returns when a heartbeat of the agent last reached its home or, if later, when homes last changed.
 func (m *Misdirected) reachedHomeAt() time.Time { return later(m.HomeHeardAt, m.SettledAt) }
 
-// Homes tells which controller is the home of a machine.
+// Homes looks up the homes of machines.
 type Homes interface {
-	// HomeOf returns a machine's present home.
+	// HomeOf returns a machine's current home.
 	HomeOf(machine string) string
-	// ReachedHomeAt returns when a machine's heartbeats last reached its home, or the home became its home.
+	// ReachedHomeAt returns when a heartbeat of a machine last reached its home or, if later, when homes last changed.
 	ReachedHomeAt(machine string) time.Time
-	// CountOf counts the machines that have a home.
+	// CountOf returns the number of machines whose home is the given controller.
 	CountOf(home string) int
 }
 
-// minUnreachableShare is which part of a home's machines must try it in vain before it is held to be unreachable, so
-// that a machine with a broken path moves nobody: one in so many.
-const minUnreachableShare = 10
+// unreachableDivisor sets the share of a home's machines, one in unreachableDivisor, that must fail to reach it before
+// the home is considered unreachable. A single machine with a broken network path must not cause that.
+const unreachableDivisor = 10
 
-// Find names a controller that agents lately tried to reach in vain, or "". Attempts that are over are dropped.
+// Find returns a controller that agents recently failed to reach, or "". It drops attempts that are no longer current.
 func (u *UnreachableHomes) Find(homes Homes, now time.Time) string {
 	for _, home := range slices.Sorted(maps.Keys(u.attempts)) {
-		inVain := u.countInVain(home, homes, now)
-		if inVain > 0 && minUnreachableShare*inVain >= homes.CountOf(home) {
+		unreachable := u.countUnreachable(home, homes, now)
+		if unreachable > 0 && unreachableDivisor*unreachable >= homes.CountOf(home) {
 			return home
 		}
 	}
 	return ""
 }
 
-// countInVain counts the agents that have tried a home for a while.
-func (u *UnreachableHomes) countInVain(home string, homes Homes, now time.Time) (count int) {
+// countUnreachable returns the number of agents that have been failing to reach a home for some time.
+func (u *UnreachableHomes) countUnreachable(home string, homes Homes, now time.Time) (count int) {
 	for machine, a := range u.attempts[home] {
 		switch {
 		case now.Sub(a.last) > u.timing.RedirectTimeout,
@@ -176,6 +181,7 @@
 	return count
 }
 
+// later returns the later of two times.
 func later(a, b time.Time) time.Time {
 	if a.After(b) {
 		return a
--- a/internal/agents/unreachablehomes_test.go
+++ b/internal/agents/unreachablehomes_test.go
@@ -8,7 +8,7 @@
 
 var testTiming = Timing{HeartbeatOverdue: 3500 * time.Millisecond, RedirectTimeout: 9500 * time.Millisecond, Lease: 12 * time.Second}
 
-// TestRouteOfAMisdirectedAgent: each reason to redirect an agent or to keep it alive, alone.
+// TestRouteOfAMisdirectedAgent tests each reason to redirect an agent or to keep it alive separately.
 func TestRouteOfAMisdirectedAgent(t *testing.T) {
 	start := time.Unix(1000, 0)
 	at := func(s float64) time.Time { return start.Add(time.Duration(s * float64(time.Second))) }
@@ -22,14 +22,14 @@
 		want  Route
 	}
 	for what, heartbeats := range map[string][]heartbeat{
-		"not overdue at its home":             {{3, agent, RedirectHome}},
-		"overdue at its home":                 {{4, agent, KeepAlive}},
-		"never at its home":                   {{4, unheard, RedirectHome}},
-		"a home that nobody hears":            {{3, unconnected, KeepAlive}, {6, unconnected, KeepAlive}},
-		"just kept alive for that":            {{3, unconnected, KeepAlive}, {6, agent, RedirectHome}},
-		"in vain, for the time of a lease":    {{4, agent, KeepAlive}, {9, agent, KeepAlive}, {15.5, agent, KeepAlive}, {16.5, agent, RedirectHome}, {22, agent, KeepAlive}},
-		"a pause begins anew":                 {{3, agent, RedirectHome}, {13, agent, KeepAlive}},
-		"another home's attempts don't count": {{3, agent, RedirectHome}, {3.2, Misdirected{Machine: "n-1", Home: "c", HomeConnected: true, HomeHeardAt: at(0)}, RedirectHome}},
+		"not overdue at its home":                      {{3, agent, RedirectHome}},
+		"overdue at its home":                          {{4, agent, KeepAlive}},
+		"never at its home":                            {{4, unheard, RedirectHome}},
+		"home not connected":                           {{3, unconnected, KeepAlive}, {6, unconnected, KeepAlive}},
+		"kept alive just before, home connected again": {{3, unconnected, KeepAlive}, {6, agent, RedirectHome}},
+		"redirect failed, for the duration of a lease": {{4, agent, KeepAlive}, {9, agent, KeepAlive}, {15.5, agent, KeepAlive}, {16.5, agent, RedirectHome}, {22, agent, KeepAlive}},
+		"new series after a pause":                     {{3, agent, RedirectHome}, {13, agent, KeepAlive}},
+		"attempts to reach another home":               {{3, agent, RedirectHome}, {3.2, Misdirected{Machine: "n-1", Home: "c", HomeConnected: true, HomeHeardAt: at(0)}, RedirectHome}},
 	} {
 		u := NewUnreachableHomes(testTiming)
 		for _, h := range heartbeats {
@@ -40,15 +40,15 @@
 	}
 }
 
-// fixedHomes has home b for so many machines, none of which ever reached it.
+// fixedHomes is a number of machines whose home is b. None of them has reached it since the homes changed.
 type fixedHomes int
 
 func (f fixedHomes) HomeOf(string) string           { return "b" }
 func (f fixedHomes) ReachedHomeAt(string) time.Time { return time.Unix(900, 0) }
 func (f fixedHomes) CountOf(string) int             { return int(f) }
 
-// TestFindUnreachableHome: a home is unreachable once a tenth of its agents tried it in vain for a while, and is not any
-// more when they stop.
+// TestFindUnreachableHome: a home is unreachable once a tenth of its agents have failed to reach it for some time, and
+// no longer when their attempts end.
 func TestFindUnreachableHome(t *testing.T) {
 	u, start := NewUnreachableHomes(testTiming), time.Unix(1000, 0)
 	for i := range 3 {
@@ -60,14 +60,14 @@
 	}
 	now := start.Add(3 * time.Second)
 	if got := u.Find(fixedHomes(11), now); got != "" {
-		t.Errorf("found %q by fewer than a tenth of its agents", got)
+		t.Errorf("found %q from fewer than a tenth of its agents", got)
 	}
 	if got := u.Find(fixedHomes(10), now.Add(testTiming.RedirectTimeout)); got != "" {
-		t.Errorf("found %q though nobody tries it any more", got)
+		t.Errorf("found %q although no agent tries to reach it any more", got)
 	}
 }
 
-// TestTakeMisdirected: each agent that came is told once.
+// TestTakeMisdirected: each machine with misdirected heartbeats is returned once.
 func TestTakeMisdirected(t *testing.T) {
 	u := NewUnreachableHomes(testTiming)
 	for _, machine := range []string{"n-2", "n-1", "n-2"} {
@@ -81,17 +81,18 @@
 	}
 }
 
-// TestLiveness: an agent's last sign is the latest at any controller, but counts only once its home heard it.
+// TestLiveness: an agent was last seen when any controller last received a heartbeat, but only once its home has
+// received one.
 func TestLiveness(t *testing.T) {
 	at := func(s int64) time.Time { return time.Unix(s, 0) }
 	l := Liveness{MisdirectedAt: at(50)}
 	if !l.LastSeenAt().IsZero() {
-		t.Error("a sign before the first heartbeat at its home")
+		t.Error("seen before the first heartbeat at its home")
 	}
 	l.RecordHomeHeartbeat(at(40))
-	l.RecordHomeHeartbeat(at(30)) // an older word of the home
+	l.RecordHomeHeartbeat(at(30)) // an older report by the home
 	if l.HeardAt != at(40) || l.HomeHeardAt != at(40) || l.LastSeenAt() != at(50) || !l.HomeWatermark.IsZero() {
-		t.Errorf("as its home tells: %+v", l)
+		t.Errorf("as reported by its home: %+v", l)
 	}
 	l.RecordHeartbeat(at(60))
 	if l.HeardAt != at(60) || l.HomeHeardAt != at(60) || l.HomeWatermark != at(60) || l.LastSeenAt() != at(60) {
--- a/internal/agents/unregistered.go
+++ b/internal/agents/unregistered.go
@@ -2,16 +2,16 @@
 
 import "time"
 
-// Unregistered is what a controller knows of an agent that sends heartbeats with tasks though its machine is on no list
-// of registered machines: a sign that the key-value store lost a list, since a machine is registered before its first
-// start. One heartbeat is no proof, as it may have been held up on its way from a machine that is gone by now.
+// Unregistered tracks an agent that sends heartbeats with tasks although its machine is not registered. Since a machine
+// is registered before its first start, this indicates that the key-value store has lost a list of machines. A single
+// heartbeat proves nothing, because it may be a delayed one from a machine that is gone by now.
 type Unregistered struct {
-	since    time.Time // when the first such heartbeat came; zero: none did
+	since    time.Time // when the first such heartbeat was received; zero if none
 	probedAt time.Time
 }
 
-// Record takes in a heartbeat. It says whether the agent is to be probed: it has sent such heartbeats for longer than
-// settle, and a read of the store that began after the first of them does not know the machine.
+// Record records a heartbeat and reports whether the agent should be probed: it has sent such heartbeats for longer
+// than settle, and a read of the store that began after the first of them did not list the machine.
 func (u *Unregistered) Record(hasTasks bool, now, lastRead time.Time, settle time.Duration) (probe bool) {
 	switch {
 	case !hasTasks:
@@ -24,7 +24,7 @@
 	return false
 }
 
-// BeginProbe says whether a probe is to be sent now: not while an earlier one may still be answered.
+// BeginProbe reports whether a probe should be sent now. It returns false while an earlier probe may still be answered.
 func (u *Unregistered) BeginProbe(now time.Time, timeout time.Duration) bool {
 	if u.probedAt.After(u.since) && now.Sub(u.probedAt) < timeout {
 		return false
@@ -33,8 +33,8 @@
 	return true
 }
 
-// Suspected says whether such heartbeats came, with no other since.
+// Suspected reports whether such heartbeats were received and none without tasks since.
 func (u *Unregistered) Suspected() bool { return !u.since.IsZero() }
 
-// Probed says whether a probe was ever sent.
+// Probed reports whether a probe was ever sent.
 func (u *Unregistered) Probed() bool { return !u.probedAt.IsZero() }
