--- a/internal/cli/snapshot.go
+++ b/internal/cli/snapshot.go
@@ -194,15 +194,15 @@
 			continue
 		}
 		left := "nothing is left to do"
-		if x := s.Store; x.RosterIncomplete || len(x.AwaitedMemories) > 0 || x.Unwritten+x.StaleActive > 0 {
-			left = fmt.Sprintf("left: %d jobs to write back, %d ends to write again, memory of %v, roster incomplete: %t", x.Unwritten, x.StaleActive, x.AwaitedMemories, x.RosterIncomplete)
+		if x := s.Store; x.RosterIncomplete || len(x.AwaitedMembers) > 0 || x.Unwritten+x.StaleActive > 0 {
+			left = fmt.Sprintf("left: %d jobs to write back, %d ends to write again, memory of %v, roster incomplete: %t", x.Unwritten, x.StaleActive, x.AwaitedMembers, x.RosterIncomplete)
 		}
 		lost := "nothing is lost for good"
 		if s.Store.DataLost {
 			lost = fmt.Sprintf("jobs may be lost that nobody remembers; machines run tasks of %d that nobody can describe %s", len(s.Store.Undescribed), strings.Join(s.Store.Undescribed, " "))
 		}
 		r.print(s, "%s: store %s %s, generation %d, term %d; %s; %s; remembers %d ends (all: %t)",
-			s.Node, s.Store.Phase, s.Store.Sign, s.Store.Epoch, s.Term, left, lost, s.Store.Ends, s.Store.MemoryComplete)
+			s.Node, s.Store.Phase, s.Store.Sign, s.Store.Epoch, s.Term, left, lost, s.Store.Ends, s.Store.HistoryComplete)
 	}
 	if failed > 0 {
 		return fmt.Errorf("%d of %d controllers did not answer", failed, len(c.Controllers))
--- a/internal/controller/autoscaling_inputs.go
+++ b/internal/controller/autoscaling_inputs.go
@@ -109,7 +109,7 @@
 		}
 	}
 	add(awaited, n.shards.AwaitedMachines())
-	add(mute, n.unanswered())
+	add(mute, n.unansweredProbes())
 	for _, p := range n.peers {
 		if now.Sub(p.lastMessageAt) < peerStatusLife {
 			add(awaited, p.awaitedMachines)
--- a/internal/controller/barrier.go
+++ b/internal/controller/barrier.go
@@ -19,7 +19,7 @@
 // everything else is known that a start rests on.
 func (n *Node) passBarrier(shard *shards.Owned) {
 	shard.SettleAwaited(n.machineSettled)
-	if shard.AwaitedCount() > 0 || !n.configReady() || !n.memoriesGathered(time.Now()) {
+	if shard.AwaitedCount() > 0 || !n.configReady() || !n.retainedStateGathered(time.Now()) {
 		return
 	}
 	if shard.NeedsBarrier() && n.leadership.Record().RosterIncomplete && !n.recovery.census.Taken() {
@@ -38,8 +38,8 @@
 	}
 }
 
-// machineAnswered takes a machine that reported off those that a barrier waits for.
-func (n *Node) machineAnswered(shard *shards.Owned, v *jobstate.MachineStatus) {
+// machineReported takes a machine that reported off those that a barrier waits for.
+func (n *Node) machineReported(shard *shards.Owned, v *jobstate.MachineStatus) {
 	if shard.MachineAnswered(v.Machine, v.FencingToken) {
 		n.passBarrier(shard)
 	}
--- a/internal/controller/barrierprobe.go
+++ b/internal/controller/barrierprobe.go
@@ -137,7 +137,7 @@
 	n.sendChangedStatuses()
 }
 
-// unanswered lists the machines homed here that did not answer a probe and have not reported since.
-func (n *Node) unanswered() []string {
+// unansweredProbes lists the machines homed here that did not answer a probe and have not reported since.
+func (n *Node) unansweredProbes() []string {
 	return n.probes.Unanswered(func(name string, term uint64) bool { return n.machine(name).knowsTerm(term) })
 }
--- a/internal/controller/barrierprobe_test.go
+++ b/internal/controller/barrierprobe_test.go
@@ -77,7 +77,7 @@
 			mute = append(mute, name)
 		}
 	}
-	if got := n.unanswered(); !slices.Equal(got, mute) {
+	if got := n.unansweredProbes(); !slices.Equal(got, mute) {
 		t.Errorf("unanswered are %v, not %v", got, mute)
 	}
 	seq := map[string]uint64{}
@@ -96,7 +96,7 @@
 		t.Errorf("%d machines known, rules %v, %d starts", len(seq), check.BrokenRules(), check.Started)
 	}
 	n.applyHeartbeat(&protocol.Heartbeat{Machine: "n-000099", Incarnation: 1, Seq: 1, FencingToken: 5, Tasks: []protocol.TaskStatus{}}, time.Now())
-	if got := n.unanswered(); slices.Contains(got, "n-000099") {
+	if got := n.unansweredProbes(); slices.Contains(got, "n-000099") {
 		t.Errorf("unanswered though it reported since: %v", got)
 	}
 }
--- a/internal/controller/cancellations.go
+++ b/internal/controller/cancellations.go
@@ -60,9 +60,9 @@
 // maxReadAge is how old the last read of the key-value store may be before another one is made, if nobody asks for one.
 const maxReadAge = 3 * time.Second
 
-// requestStaleRead keeps the watermark advancing while the key-value store answers: a watch alone may wait for ten
+// requestReadIfStale keeps the watermark advancing while the key-value store answers: a watch alone may wait for ten
 // seconds, and hangs where the store refuses this controller.
-func (n *Node) requestStaleRead(now time.Time) {
+func (n *Node) requestReadIfStale(now time.Time) {
 	if now.Sub(n.cancelWatermark.LastRead()) >= maxReadAge {
 		n.changeReads.request()
 	}
--- a/internal/controller/changesync.go
+++ b/internal/controller/changesync.go
@@ -132,7 +132,7 @@
 // that was confirmed, until what every controller remembers is gathered.
 func (n *Node) recordFullRead(began time.Time) {
 	n.noteConfigRead(began)
-	if n.trusted() && n.memoriesGathered(time.Now()) {
+	if n.trusted() && n.retainedStateGathered(time.Now()) {
 		n.cancelWatermark.RecordRead(began)
 	}
 }
--- a/internal/controller/dataloss_restart_test.go
+++ b/internal/controller/dataloss_restart_test.go
@@ -76,7 +76,7 @@
 		given := len(all) == 3
 		for _, o := range all {
 			lost = lost || o.Store.DataLost
-			given = given && o.Store.Epoch > 1 && !o.Store.DataLost && o.Store.MemoryComplete
+			given = given && o.Store.Epoch > 1 && !o.Store.DataLost && o.Store.HistoryComplete
 		}
 		if status := told(); !given && status == http.StatusNotFound {
 			for _, o := range l.overviews() { // unless that came between
--- a/internal/controller/dataloss_test.go
+++ b/internal/controller/dataloss_test.go
@@ -86,7 +86,7 @@
 	all := r.overviews()
 	for _, o := range all {
 		s := o.Store
-		if s.Phase != "known" || s.Epoch != all[0].Store.Epoch || s.Epoch > 1 != after || s.Unwritten+s.StaleActive+len(s.AwaitedMemories) > 0 || s.RosterIncomplete {
+		if s.Phase != "known" || s.Epoch != all[0].Store.Epoch || s.Epoch > 1 != after || s.Unwritten+s.StaleActive+len(s.AwaitedMembers) > 0 || s.RosterIncomplete {
 			return false
 		}
 	}
@@ -190,7 +190,7 @@
 	l.start(2)
 	l.until("all remember all", func() bool {
 		all := l.overviews()
-		return len(all) == 3 && !slices.ContainsFunc(all, func(o overview) bool { return !o.Store.MemoryComplete })
+		return len(all) == 3 && !slices.ContainsFunc(all, func(o overview) bool { return !o.Store.HistoryComplete })
 	})
 	l.submit(l.cancelled)
 	l.withdraw(l.cancelled.UID)
--- a/internal/controller/golden_overview_test.go
+++ b/internal/controller/golden_overview_test.go
@@ -23,8 +23,8 @@
 		Admission: admission.Status{Plan: admission.ID{SinceTerm: 40, Number: 6}, Floors: goldenPlan(6).Floors, Reserved: map[string]int{"train": 2}, Refused: 1, Pressure: 0.5,
 			Keys: []admission.KeyStatus{{Key: key, Count: admission.Count{Asked: 9, Accepted: 8, Refused: 7, Started: 6, Done: 5, InTime: 4, Late: 3}, Share: 0.5, Held: 96, Waiting: 2,
 				Oldest: 12.5, Floor: 24}}},
-		Store: datarecovery.Status{Phase: datarecovery.Suspected.String(), Sign: "revision lower than one seen", Epoch: 2, DataLost: true, RosterIncomplete: true, AwaitedMemories: []string{"estacion-2"}, Unwritten: 1,
-			StaleActive: 2, Ends: 3, MemoryComplete: true, Unreplicated: 4, Undescribed: []string{"job-000500"}, Suspicions: 5, Losses: 6},
+		Store: datarecovery.Status{Phase: datarecovery.Suspected.String(), Sign: "revision lower than one seen", Epoch: 2, DataLost: true, RosterIncomplete: true, AwaitedMembers: []string{"estacion-2"}, Unwritten: 1,
+			StaleActive: 2, Ends: 3, HistoryComplete: true, Unreplicated: 4, Undescribed: []string{"job-000500"}, Suspicions: 5, Losses: 6},
 		Config: &configOverview{Known: 430, Age: &age, Fresh: true, Latest: 429, Reached: 428, Record: 412, Behind: []teamconfig.LaggingMember{{Node: "estacion-2", Known: 427, BehindSeconds: 2.5}},
 			Open: []openChange{{Team: "vision", Number: 3, Owner: "estacion-1"}}, Unwritten: 1, Lacks: true, Overruled: []teamconfig.Change{goldenChange}, Strangers: []string{"estacion-3"},
 			Changes: map[string]uint64{"vision": 2}},
@@ -42,7 +42,7 @@
 			t.Errorf("phase %q, want %q", phase, want)
 		}
 	}
-	for phase, want := range map[datarecovery.Phase]string{datarecovery.Starting: "starting", datarecovery.MeetingPeers: "meeting", datarecovery.Trusted: "known", datarecovery.Suspected: "doubted", datarecovery.Lost: "lost"} {
+	for phase, want := range map[datarecovery.Phase]string{datarecovery.Starting: "starting", datarecovery.AwaitingPeers: "meeting", datarecovery.Trusted: "known", datarecovery.Suspected: "doubted", datarecovery.Lost: "lost"} {
 		if phase.String() != want {
 			t.Errorf("phase of the store %q, want %q", phase, want)
 		}
--- a/internal/controller/golden_test.go
+++ b/internal/controller/golden_test.go
@@ -100,7 +100,7 @@
 		Demands:  []demand{{Job: "job-000412", Count: 4, Borrowed: true, QuotaDelay: 9000, CPUsBeyondQuota: 12.5, Prioritized: 2, Zone: "a"}},
 		Progress: map[string][2]int{"job-000412": {3, 13}, "job-000398": {1, 0}},
 		Draining: []string{"n-000198"}, Awaited: []string{"n-000231"}, Unanswered: []string{"n-000007"}, WantedWrites: &writes,
-		Store:         datarecovery.Assessment{Epoch: 2, Term: 41, Incarnation: 1767225600000003, Revision: 431, SuspectsLoss: true, ConfirmedLoss: true, MemoryComplete: true},
+		Store:         datarecovery.Assessment{Epoch: 2, Term: 41, Incarnation: 1767225600000003, Revision: 431, SuspectsLoss: true, ConfirmedLoss: true, HistoryComplete: true},
 		RecordVersion: &version, Cancellations: &told,
 		Plan:   admission.PlanStatus{Latest: admission.ID{SinceTerm: 41, Number: 6}, InForce: goldenPlan(5), Next: goldenPlan(6)},
 		Config: &teamconfig.Status{Serial: 9, Epoch: 2, RecordVersion: 412, KnownRevision: 430, Unsettled: []string{"vision"}, BaseDigest: 11400714819323198485},
@@ -158,10 +158,10 @@
 func TestGoldenRecall(t *testing.T) {
 	ends := datarecovery.NewEnds()
 	for _, end := range []datarecovery.End{{UID: "job-000398", Cancelled: true, Tasks: 16, Team: "vision"}, {UID: "job-000400", Tasks: 1, Team: "speech"}, unusualEnd} {
-		ends.Learn(end)
+		ends.Add(end)
 	}
-	checkLines(t, "recall", memoriesMsg{Epoch: 2, Jobs: []userapi.ActiveJob{goldenStored}, Active: []string{"job-000500"}, Finished: map[string]*bitset.BitSet{"job-000412": finishedTasks()},
-		Ends: ends.Digest(), Last: true, Ask: true, Config: []teamconfig.Change{goldenChange}}, memoriesMsg{Ends: datarecovery.NewEnds().Digest()})
+	checkLines(t, "recall", retainedStateMsg{Epoch: 2, Jobs: []userapi.ActiveJob{goldenStored}, Active: []string{"job-000500"}, Finished: map[string]*bitset.BitSet{"job-000412": finishedTasks()},
+		Ends: ends.Digest(), Last: true, Ask: true, Config: []teamconfig.Change{goldenChange}}, retainedStateMsg{Ends: datarecovery.NewEnds().Digest()})
 	pages := datarecovery.Pages(ends.All(), 1<<10)
 	checkLines(t, "recalled", missingEndsMsg{Epoch: 2, Ends: &pages[0], Last: true}, missingEndsMsg{})
 }
--- a/internal/controller/lease.go
+++ b/internal/controller/lease.go
@@ -22,8 +22,8 @@
 	Incarnation uint64 `json:"incarnation"`
 }
 
-// keepLease is the duty that holds this controller's lease at the state service, and the key that shows it to all.
-func (n *Node) keepLease(ctx context.Context) error {
+// maintainLease is the duty that holds this controller's lease at the state service, and the key that shows it to all.
+func (n *Node) maintainLease(ctx context.Context) error {
 	for ctx.Err() == nil {
 		timer := time.NewTimer(n.renewLease(ctx))
 		select {
--- a/internal/controller/machinestatus.go
+++ b/internal/controller/machinestatus.go
@@ -157,7 +157,7 @@
 				n.reconcileMachine(shard, v)
 			}
 		case shard.Phase() == shards.Barrier && shard.Awaits(v.Machine):
-			n.machineAnswered(shard, v)
+			n.machineReported(shard, v)
 		}
 	}
 }
--- a/internal/controller/peerhandler.go
+++ b/internal/controller/peerhandler.go
@@ -26,7 +26,7 @@
 		n.agents.MarkChanged(machine)
 	}
 	if n.leadership.Record() != nil {
-		n.sendMemories(false, name)
+		n.sendRetainedState(false, name)
 	}
 	n.requestStatus() // a peer that starts waits for this controller's status
 	n.wake()
@@ -98,8 +98,8 @@
 	shards.KindAcknowledgement: typed(func(n *Node, from *sender, m *shards.Acknowledgement, _ time.Time) {
 		n.onAcknowledgement(from.name, from.incarnation, m)
 	}),
-	kindMemories: typed(func(n *Node, from *sender, m *memoriesMsg, _ time.Time) {
-		n.onMemories(from.name, m)
+	kindRetainedState: typed(func(n *Node, from *sender, m *retainedStateMsg, _ time.Time) {
+		n.onRetainedState(from.name, m)
 	}),
 	kindMissingEnds: typed(func(n *Node, from *sender, m *missingEndsMsg, _ time.Time) {
 		n.onMissingEnds(from.name, m)
--- a/internal/controller/recovery.go
+++ b/internal/controller/recovery.go
@@ -53,9 +53,9 @@
 	maxJobsNotFound = 1000
 )
 
-// watchStore is the duty that looks whether the store has what it acknowledged, and mends
+// monitorStore is the duty that looks whether the store has what it acknowledged, and mends
 // what it lost.
-func (n *Node) watchStore(ctx context.Context) error {
+func (n *Node) monitorStore(ctx context.Context) error {
 	n.mu.Lock()
 	n.recovery.detection.Started(time.Now())
 	n.mu.Unlock()
@@ -107,9 +107,9 @@
 	n.endLookUps.ForgetFailures(maxJobsNotFound) // they only spare looking the same job up again
 	n.recovery.gathering.ExpireProposedJobs(now)
 	if n.recovery.gathering.SendDue(now, func() bool { return n.allPeersExchanged(now) }) {
-		n.sendMemories(true, n.peerNames()...)
+		n.sendRetainedState(true, n.peerNames()...)
 	}
-	if n.leadership.Epoch() <= 1 || !n.entitled(now) || !n.memoriesGathered(now) || !n.recovery.writeBack.RoundDue(now) {
+	if n.leadership.Epoch() <= 1 || !n.entitled(now) || !n.retainedStateGathered(now) || !n.recovery.writeBack.RoundDue(now) {
 		return
 	}
 	n.writeBackJobs(now)
@@ -134,12 +134,12 @@
 	status := datarecovery.Status{
 		Phase: phase.String(), Sign: sign, Epoch: n.leadership.Epoch(),
 		StaleActive: n.recovery.writeBack.StaleKeys(), Ends: n.front.EndCount(),
-		MemoryComplete: detection.MemoryComplete(), Unreplicated: n.recovery.facts.unreplicated,
+		HistoryComplete: detection.HistoryComplete(), Unreplicated: n.recovery.facts.unreplicated,
 		Suspicions: suspicions, Losses: losses,
 	}
 	if n.leadership.Record() != nil {
 		status.DataLost, status.RosterIncomplete = n.leadership.Record().DataLost, n.leadership.Record().RosterIncomplete
-		status.AwaitedMemories = n.recovery.gathering.Awaited()
+		status.AwaitedMembers = n.recovery.gathering.Awaited()
 	}
 	for _, j := range n.jobs {
 		if j.active && j.version == 0 {
--- a/internal/controller/recovery_census.go
+++ b/internal/controller/recovery_census.go
@@ -17,9 +17,9 @@
 // censusCheckInterval is how often it is looked whether the cloud's list is to be read.
 const censusCheckInterval = 200 * time.Millisecond
 
-// countMachines is the duty that reads the cloud's list once it must name every machine that was rented
+// runMachineCensus is the duty that reads the cloud's list once it must name every machine that was rented
 // before the epoch began. The roster may have lost some of them.
-func (n *Node) countMachines(ctx context.Context) error {
+func (n *Node) runMachineCensus(ctx context.Context) error {
 	for sleep(ctx, censusCheckInterval) {
 		entered, due := n.censusDue(time.Now())
 		if !due {
--- a/internal/controller/recovery_detect.go
+++ b/internal/controller/recovery_detect.go
@@ -279,7 +279,7 @@
 	}
 	n.log.Error("state service lost data", "sign", sign, "epoch", n.leadership.Epoch(), "revision", n.followedRevision,
 		"jobs_remembered", active, "ends_remembered", n.front.EndCount(),
-		"memory_complete", n.recovery.detection.MemoryComplete(), "machines_remembered", len(n.roster.All()))
+		"memory_complete", n.recovery.detection.HistoryComplete(), "machines_remembered", len(n.roster.All()))
 	n.kvStore.HoldUpdates(true)
 	n.kvStore.ForgetRevisions()
 	n.rewriteOwnKey()
--- a/internal/controller/recovery_gather.go
+++ b/internal/controller/recovery_gather.go
@@ -19,13 +19,13 @@
 
 // Kinds of the messages of an exchange of memories. The words are part of the protocol.
 const (
-	kindMemories    = "recall"
-	kindMissingEnds = "recalled"
+	kindRetainedState = "recall"
+	kindMissingEnds   = "recalled"
 )
 
 type (
-	// memoriesMsg tells what the sender remembers and the store may not have.
-	memoriesMsg struct {
+	// retainedStateMsg tells what the sender remembers and the store may not have.
+	retainedStateMsg struct {
 		Epoch    uint64                    `json:"generation"`
 		Jobs     []userapi.ActiveJob       `json:"jobs,omitempty"`   // active, and not in the store
 		Active   []string                  `json:"active,omitempty"` // jobs that the store had, as the sender knows
@@ -56,9 +56,9 @@
 	calledActive = 1 << 52
 )
 
-// memoriesGathered says whether every member that may be heard sent its memories, and
+// retainedStateGathered says whether every member that may be heard sent its memories, and
 // answered those of this controller.
-func (n *Node) memoriesGathered(now time.Time) bool {
+func (n *Node) retainedStateGathered(now time.Time) bool {
 	member := func(name string) bool {
 		_, there := n.leadership.Record().Nodes[name]
 		return there
@@ -88,12 +88,12 @@
 
 func (n *Node) peerNames() []string { return slices.Sorted(maps.Keys(n.peers)) }
 
-// sendMemories tells peers what is remembered here and the store may lack; ask has them send theirs.
-func (n *Node) sendMemories(ask bool, to ...string) {
+// sendRetainedState tells peers what is remembered here and the store may lack; ask has them send theirs.
+func (n *Node) sendRetainedState(ask bool, to ...string) {
 	unwritten, written := n.activeJobs()
 	ends := n.front.EndsDigest()
 	for last := false; !last; {
-		m := memoriesMsg{
+		m := retainedStateMsg{
 			Epoch:    n.leadership.Epoch(),
 			Jobs:     unwritten[:min(jobsPerMessage, len(unwritten))],
 			Finished: map[string]*bitset.BitSet{},
@@ -109,7 +109,7 @@
 			m.Last, m.Ends, m.Active, m.Config = true, ends, written, n.rememberedConfig()
 			n.addFinishedOfWritten(m.Finished)
 		}
-		line := peer.Encode(kindMemories, m)
+		line := peer.Encode(kindRetainedState, m)
 		for _, name := range to {
 			n.links.SendEncoded(name, line)
 		}
@@ -137,8 +137,8 @@
 	}
 }
 
-// onMemories takes in a peer's memories, and answers with the ends that it lacks.
-func (n *Node) onMemories(from string, m *memoriesMsg) {
+// onRetainedState takes in a peer's memories, and answers with the ends that it lacks.
+func (n *Node) onRetainedState(from string, m *retainedStateMsg) {
 	if m.Epoch != n.leadership.Epoch() || !n.trusted() {
 		return // it is sent again
 	}
@@ -158,7 +158,7 @@
 }
 
 // completeMemories takes in the last message of a peer's memories.
-func (n *Node) completeMemories(from string, m *memoriesMsg) {
+func (n *Node) completeMemories(from string, m *retainedStateMsg) {
 	for _, uid := range m.Active {
 		if n.jobs[uid] == nil && !n.hasEnded(uid) {
 			// Accepted and not ended, as the sender knows: the store must have it, or its end.
@@ -168,7 +168,7 @@
 	n.recovery.gathering.MemoriesReceived(from)
 	lacking, err := n.front.EndsMissingFrom(m.Ends)
 	if err != nil {
-		n.log.Error("unreadable line", "peer", from, "kind", kindMemories, "err", err)
+		n.log.Error("unreadable line", "peer", from, "kind", kindRetainedState, "err", err)
 		return
 	}
 	for _, page := range datarecovery.Pages(lacking, endsPerMessage) {
@@ -179,7 +179,7 @@
 		n.wake()
 	}
 	if m.Ask { // one that entered the epoch later missed what was sent then
-		n.sendMemories(false, from)
+		n.sendRetainedState(false, from)
 	}
 }
 
--- a/internal/controller/recovery_writeback.go
+++ b/internal/controller/recovery_writeback.go
@@ -161,7 +161,7 @@
 			continue
 		}
 		for _, end := range ends {
-			written.Learn(end)
+			written.Add(end)
 		}
 	}
 	return written, next
--- a/internal/controller/status.go
+++ b/internal/controller/status.go
@@ -34,7 +34,7 @@
 			return nil
 		case <-ticker.C:
 			n.mu.Lock()
-			n.requestStaleRead(time.Now())
+			n.requestReadIfStale(time.Now())
 			n.mu.Unlock()
 		case <-n.statusRequests:
 		}
@@ -99,7 +99,7 @@
 	s.Plan = n.planStatus()
 	s.Config = n.teamConfigStatus(now)
 	s.Awaited = n.shards.AwaitedMachines()
-	s.Unanswered = n.unanswered()
+	s.Unanswered = n.unansweredProbes()
 	if n.shards.OwnsFleet() {
 		s.Draining = slices.Sorted(maps.Keys(n.provisioner.draining()))
 	}
--- a/internal/controller/userbackend.go
+++ b/internal/controller/userbackend.go
@@ -58,7 +58,7 @@
 	defer n.mu.Unlock()
 	// What the store lost is no key of it, so that what is followed cannot show its end.
 	// Before memories are gathered a peer may know the end of one that the store has.
-	return j.active && j.version > 0 && n.trusted() && n.memoriesGathered(time.Now())
+	return j.active && j.version > 0 && n.trusted() && n.retainedStateGathered(time.Now())
 }
 
 // Trusted says whether the state service has what it acknowledged, as far as known.
@@ -68,7 +68,7 @@
 	defer n.mu.Unlock()
 	// Before the first membership record no change rests on an epoch, and a loss cannot be told
 	// from the deployment's beginning: nothing is accepted yet.
-	return n.watchedKeysRead && n.leadership.Record() != nil && n.trusted() && n.memoriesGathered(time.Now())
+	return n.watchedKeysRead && n.leadership.Record() != nil && n.trusted() && n.retainedStateGathered(time.Now())
 }
 
 // Remembers gives an active job and its version in the state service, 0 if that does not have it yet.
@@ -99,7 +99,7 @@
 	}
 	now := time.Now()
 	heartbeats := 2*settings.Seconds(n.settings.Deployment.Agents.HeartbeatSeconds) + time.Second
-	return n.memoriesGathered(now) && n.allPeersExchanged(now) && n.endLookUps.Open() == 0 && now.Sub(n.startedAt) > heartbeats
+	return n.retainedStateGathered(now) && n.allPeersExchanged(now) && n.endLookUps.Open() == 0 && now.Sub(n.startedAt) > heartbeats
 }
 
 // Missing has the store looked at before it is doubted: what looks like a loss is far more
--- a/internal/datarecovery/agreement.go
+++ b/internal/datarecovery/agreement.go
@@ -11,11 +11,11 @@
 
 // The phases. Nothing is acknowledged, started, rented or returned but in Trusted.
 const (
-	Starting     Phase = iota // not read yet
-	MeetingPeers              // read, but a peer may know that it went back: this process does not
-	Trusted                   // it has what it acknowledged, as far as anybody saw
-	Suspected                 // a sign of loss was seen and is being looked into
-	Lost                      // it has lost what it acknowledged; the next epoch is to be made
+	Starting      Phase = iota // not read yet
+	AwaitingPeers              // read, but a peer may know that it went back: this process does not
+	Trusted                    // it has what it acknowledged, as far as anybody saw
+	Suspected                  // a sign of loss was seen and is being looked into
+	Lost                       // it has lost what it acknowledged; the next epoch is to be made
 )
 
 // String is the phase as operators read it in the overview.
@@ -46,13 +46,13 @@
 
 // Assessment is what a controller tells its peers of the store with each status.
 type Assessment struct {
-	Epoch          uint64 `json:"generation"`
-	Term           uint64 `json:"term"`
-	Incarnation    uint64 `json:"incarnation"`
-	Revision       uint64 `json:"seen"` // highest revision of an answer in this epoch
-	SuspectsLoss   bool   `json:"doubt,omitempty"`
-	ConfirmedLoss  bool   `json:"lost,omitempty"`  // holds it to be lost: comparisons confirmed it
-	MemoryComplete bool   `json:"whole,omitempty"` // it saw the loss, and remembers all since the deployment's beginning
+	Epoch           uint64 `json:"generation"`
+	Term            uint64 `json:"term"`
+	Incarnation     uint64 `json:"incarnation"`
+	Revision        uint64 `json:"seen"` // highest revision of an answer in this epoch
+	SuspectsLoss    bool   `json:"doubt,omitempty"`
+	ConfirmedLoss   bool   `json:"lost,omitempty"`  // holds it to be lost: comparisons confirmed it
+	HistoryComplete bool   `json:"whole,omitempty"` // it saw the loss, and remembers all since the deployment's beginning
 }
 
 const (
@@ -126,17 +126,17 @@
 
 // Entered books that all that is followed was read and is of an epoch.
 func (a *Agreement) Entered(epoch uint64, now time.Time) {
-	if (a.phase == Trusted || a.phase == MeetingPeers) && epoch == a.epoch {
+	if (a.phase == Trusted || a.phase == AwaitingPeers) && epoch == a.epoch {
 		return
 	}
-	first := a.phase == Starting || a.phase == MeetingPeers && epoch <= 1
+	first := a.phase == Starting || a.phase == AwaitingPeers && epoch <= 1
 	a.epoch = epoch
 	a.sign = ""
-	if a.phase == MeetingPeers && first {
+	if a.phase == AwaitingPeers && first {
 		return // the record came meanwhile
 	}
 	if first && len(a.peers) > 0 {
-		a.enterPhase(MeetingPeers, now)
+		a.enterPhase(AwaitingPeers, now)
 	} else {
 		a.enterPhase(Trusted, now)
 	}
@@ -147,7 +147,7 @@
 
 // Suspect books that something contradicts what the store acknowledged. It costs a comparison.
 func (a *Agreement) Suspect(sign Sign, now time.Time) {
-	if a.phase != Trusted && a.phase != MeetingPeers {
+	if a.phase != Trusted && a.phase != AwaitingPeers {
 		return
 	}
 	a.suspicions++
@@ -162,7 +162,7 @@
 	}
 	a.comparing = false
 	a.comparedAt = now
-	if a.phase != Suspected && a.phase != MeetingPeers {
+	if a.phase != Suspected && a.phase != AwaitingPeers {
 		return
 	}
 	for _, assessment := range a.Assessments(now) {
@@ -174,7 +174,7 @@
 	case Intact:
 		a.enterPhase(Trusted, now)
 	case Missing:
-		if a.phase == MeetingPeers {
+		if a.phase == AwaitingPeers {
 			a.Suspect(SignPeersRevision, now)
 		}
 		a.missingInRow++
@@ -225,7 +225,7 @@
 		return ActionRelist
 	}
 	switch a.phase {
-	case MeetingPeers:
+	case AwaitingPeers:
 		return a.stepMeetingPeers(now)
 	case Suspected:
 		return a.stepSuspected(now, heard)
--- a/internal/datarecovery/detection.go
+++ b/internal/datarecovery/detection.go
@@ -142,8 +142,8 @@
 // ConfirmedAt is when the last loss was agreed on here.
 func (d *Detection) ConfirmedAt() time.Time { return d.confirmedAt }
 
-// MemoryComplete says whether the ends known here go back to the deployment's beginning.
-func (d *Detection) MemoryComplete() bool { return d.memoryComplete }
+// HistoryComplete says whether the ends known here go back to the deployment's beginning.
+func (d *Detection) HistoryComplete() bool { return d.memoryComplete }
 
 // Proved says whether there is a proof of a loss, and which.
 func (d *Detection) Proved() (proof Sign, proved bool) { return d.proof, d.proof != "" }
@@ -156,7 +156,7 @@
 func (d *Detection) Assessment(record *leadership.Record, revision uint64) Assessment {
 	a := Assessment{
 		Epoch: epochOf(record), Revision: revision, Incarnation: d.incarnation,
-		MemoryComplete: d.memoryComplete && d.seenHere,
+		HistoryComplete: d.memoryComplete && d.seenHere,
 	}
 	a.ConfirmedLoss = d.agreement.phase == Lost
 	a.SuspectsLoss = d.agreement.phase == Suspected || a.ConfirmedLoss
@@ -298,7 +298,7 @@
 		return TaskRelist
 	case action == ActionPropose:
 		return TaskProposeEpoch
-	case d.laterTerm > term && (phase == Trusted || phase == MeetingPeers):
+	case d.laterTerm > term && (phase == Trusted || phase == AwaitingPeers):
 		return TaskRefreshRecord
 	case phase == Trusted && (now.Sub(d.comparedAt) > d.leaseLife/4 || len(d.suspectKeys) > 0):
 		d.comparedAt = now
--- a/internal/datarecovery/detection_test.go
+++ b/internal/datarecovery/detection_test.go
@@ -201,11 +201,11 @@
 	known := testRecord(1, 120, "s")
 	d := trustedDetection(known)
 	d.EndsRead(known)
-	if !d.MemoryComplete() {
+	if !d.HistoryComplete() {
 		t.Fatal("the memory is not complete though all was read")
 	}
-	if !d.Prove("first") || d.Prove("second") || d.MemoryComplete() {
-		t.Errorf("memory complete %t", d.MemoryComplete())
+	if !d.Prove("first") || d.Prove("second") || d.HistoryComplete() {
+		t.Errorf("memory complete %t", d.HistoryComplete())
 	}
 	if proof, proved := d.Proved(); !proved || proof != "first" {
 		t.Errorf("proof %q", proof)
@@ -214,7 +214,7 @@
 		t.Error("a proved loss is looked into")
 	}
 	d.EndsRead(known)
-	if d.MemoryComplete() {
+	if d.HistoryComplete() {
 		t.Error("the memory is complete though a loss is proved")
 	}
 }
@@ -224,13 +224,13 @@
 	incomplete := testRecord(2, 120, "s")
 	incomplete.DataLost = true
 	d := trustedDetection(incomplete)
-	if d.SearchGivenUp(); d.MemoryComplete() {
+	if d.SearchGivenUp(); d.HistoryComplete() {
 		t.Error("complete before the ends were read")
 	}
-	if d.EndsRead(incomplete); d.MemoryComplete() {
+	if d.EndsRead(incomplete); d.HistoryComplete() {
 		t.Error("complete though data were lost for good")
 	}
-	if d.SearchGivenUp(); !d.MemoryComplete() {
+	if d.SearchGivenUp(); !d.HistoryComplete() {
 		t.Error("not complete though nothing more will come")
 	}
 }
@@ -254,13 +254,13 @@
 	if got := d.JudgeFailedKeys(plan, []string{"w/n/a"}, 4, versionNow); got.OwnKeyGone {
 		t.Errorf("the own key was written again: %+v", got)
 	}
-	if d.EndsRead(testRecord(1, 120, "s")); d.Assessment(nil, 0).MemoryComplete {
+	if d.EndsRead(testRecord(1, 120, "s")); d.Assessment(nil, 0).HistoryComplete {
 		t.Error("peers are told of a complete memory though this process saw no loss")
 	}
 	if got := d.JudgeFailedKeys(plan, []string{"w/c", "w/a/job-000001"}, 3, versionNow); got.Comparison != Missing || got.MissingKey != "w/a/job-000001" {
 		t.Errorf("missing: %+v", got)
 	}
-	if !d.Assessment(nil, 0).MemoryComplete {
+	if !d.Assessment(nil, 0).HistoryComplete {
 		t.Error("peers are not told that this process saw the loss")
 	}
 }
--- a/internal/datarecovery/ends.go
+++ b/internal/datarecovery/ends.go
@@ -58,8 +58,8 @@
 
 func usualID(n uint32) string { return fmt.Sprintf("%s%06d", idPrefix, n) }
 
-// Learn takes in an end and says whether it was new. The first that was learned stays.
-func (e *Ends) Learn(x End) bool {
+// Add takes in an end and says whether it was new. The first that was learned stays.
+func (e *Ends) Add(x End) bool {
 	if _, known := e.Get(x.UID); known {
 		return false
 	}
@@ -125,8 +125,8 @@
 	return Digest{IDs: base64.StdEncoding.EncodeToString(data), Others: slices.Sorted(maps.Keys(e.others))}
 }
 
-// Lacking lists the ends known here that a digest does not name.
-func (e *Ends) Lacking(d Digest) ([]End, error) {
+// MissingFrom lists the ends known here that a digest does not name.
+func (e *Ends) MissingFrom(d Digest) ([]End, error) {
 	data, err := base64.StdEncoding.DecodeString(d.IDs)
 	if err != nil {
 		return nil, fmt.Errorf("datarecovery: digest: %w", err)
@@ -150,6 +150,6 @@
 
 // All lists every end in the order of ids.
 func (e *Ends) All() []End {
-	all, _ := e.Lacking(NewEnds().Digest()) // an own digest can be read
+	all, _ := e.MissingFrom(NewEnds().Digest()) // an own digest can be read
 	return all
 }
--- a/internal/datarecovery/ends_test.go
+++ b/internal/datarecovery/ends_test.go
@@ -75,30 +75,30 @@
 func TestLackingEnds(t *testing.T) {
 	mine, theirs := NewEnds(), NewEnds()
 	for i, end := range manyEnds() {
-		if !mine.Learn(end) {
+		if !mine.Add(end) {
 			t.Fatalf("%v was known", end)
 		}
 		if i%2 == 0 {
-			theirs.Learn(end)
+			theirs.Add(end)
 		}
 	}
-	lacking, err := mine.Lacking(theirs.Digest())
+	lacking, err := mine.MissingFrom(theirs.Digest())
 	if err != nil || len(lacking) != mine.Len()-theirs.Len() {
 		t.Fatalf("%d lacking of %d, %v", len(lacking), mine.Len()-theirs.Len(), err)
 	}
 	for _, end := range lacking {
-		theirs.Learn(end)
+		theirs.Add(end)
 	}
 	if !slices.Equal(mine.All(), theirs.All()) {
 		t.Error("not the same ends after the exchange")
 	}
-	if mine.Learn(End{UID: "nightly", Tasks: 9}) {
+	if mine.Add(End{UID: "nightly", Tasks: 9}) {
 		t.Error("a second end of a job was learned")
 	}
 	if end, known := mine.Get("nightly"); !known || end.Tasks != 3 {
 		t.Errorf("%+v", end)
 	}
-	if _, err := mine.Lacking(Digest{IDs: "*"}); err == nil {
+	if _, err := mine.MissingFrom(Digest{IDs: "*"}); err == nil {
 		t.Error("a digest that cannot be read names none")
 	}
 }
--- a/internal/datarecovery/epoch.go
+++ b/internal/datarecovery/epoch.go
@@ -72,11 +72,11 @@
 
 // memoryComplete says whether a controller that saw the loss in an epoch remembers everything.
 func (e *Evidence) memoryComplete(epoch uint64) bool {
-	if e.Own.MemoryComplete {
+	if e.Own.HistoryComplete {
 		return true
 	}
 	for _, a := range e.Assessments {
-		if a.MemoryComplete && a.SuspectsLoss && a.Epoch == epoch {
+		if a.HistoryComplete && a.SuspectsLoss && a.Epoch == epoch {
 			return true
 		}
 	}
--- a/internal/datarecovery/epoch_test.go
+++ b/internal/datarecovery/epoch_test.go
@@ -18,12 +18,12 @@
 		e.Presences[n] = leadership.Presence{Incarnation: uint64(i + 1), Version: 1}
 	}
 	r.Shards["team/x"] = leadership.Shard{Owner: "a", SinceTerm: 5000}
-	e.Own = Assessment{Epoch: 1, Term: 5000, Incarnation: 1, SuspectsLoss: true, ConfirmedLoss: true, MemoryComplete: true}
+	e.Own = Assessment{Epoch: 1, Term: 5000, Incarnation: 1, SuspectsLoss: true, ConfirmedLoss: true, HistoryComplete: true}
 	e.Assessments["b"] = Assessment{Epoch: 1, Term: 5000, Incarnation: 2, SuspectsLoss: true, ConfirmedLoss: true}
 	if next := e.NextEpoch(); !next.WithoutBarrier || next.Record.Shards["team/x"].NeedsBarrier || next.Record.DataLost || next.Record.Term <= e.HighestToken {
 		t.Errorf("one remembers all: %+v", next.Record)
 	}
-	e.Own.MemoryComplete = false
+	e.Own.HistoryComplete = false
 	if next := e.NextEpoch(); next.WithoutBarrier || !next.Record.Shards["team/x"].NeedsBarrier || !next.Record.DataLost {
 		t.Errorf("nobody remembers: %+v", next.Record)
 	}
--- a/internal/datarecovery/golden_test.go
+++ b/internal/datarecovery/golden_test.go
@@ -44,7 +44,7 @@
 func TestGoldenDigest(t *testing.T) {
 	known := NewEnds()
 	for _, end := range ends {
-		known.Learn(end)
+		known.Add(end)
 	}
 	goldentest.Wire.Check(t, []goldentest.Case{
 		{Name: "digest-full.json", Value: known.Digest(), Full: true},
@@ -54,8 +54,8 @@
 	if err := protocol.Decode(goldentest.Read(t, "digest-full.json"), &digest); err != nil {
 		t.Fatal(err)
 	}
-	known.Learn(End{UID: "job-000500", Team: "vision"})
-	lacking, err := known.Lacking(digest)
+	known.Add(End{UID: "job-000500", Team: "vision"})
+	lacking, err := known.MissingFrom(digest)
 	if err != nil || !slices.Equal(lacking, []End{{UID: "job-000500", Team: "vision"}}) {
 		t.Errorf("lacking %+v, error %v, want job-000500 alone", lacking, err)
 	}
--- a/internal/datarecovery/model_controller_test.go
+++ b/internal/datarecovery/model_controller_test.go
@@ -96,7 +96,7 @@
 
 func (n *controllerModel) assessment() Assessment {
 	p, _, _ := n.agreement.Phase()
-	x := Assessment{Epoch: n.epoch(), Revision: n.seenRevision, Incarnation: n.incarnation, MemoryComplete: n.memoryComplete, SuspectsLoss: p == Suspected || p == Lost, ConfirmedLoss: p == Lost}
+	x := Assessment{Epoch: n.epoch(), Revision: n.seenRevision, Incarnation: n.incarnation, HistoryComplete: n.memoryComplete, SuspectsLoss: p == Suspected || p == Lost, ConfirmedLoss: p == Lost}
 	if n.record != nil {
 		x.Term = n.record.Term
 	}
@@ -154,7 +154,7 @@
 		for _, k := range sorted(w.store.keys) {
 			c := w.store.keys[k]
 			if uid, ok := strings.CutPrefix(k, "f/"); ok {
-				n.ends.Learn(End{UID: uid, Cancelled: c.value == "withdrawn", Tasks: 1})
+				n.ends.Add(End{UID: uid, Cancelled: c.value == "withdrawn", Tasks: 1})
 				delete(n.jobs, uid)
 			}
 		}
@@ -198,7 +198,7 @@
 
 // learnEnd remembers an end.
 func (w *world) learnEnd(n *controllerModel, uid string, withdrawn bool) {
-	n.ends.Learn(End{UID: uid, Cancelled: withdrawn, Tasks: 1})
+	n.ends.Add(End{UID: uid, Cancelled: withdrawn, Tasks: 1})
 	delete(n.jobs, uid)
 }
 
@@ -326,7 +326,7 @@
 				w.learn(o, uid, 0)
 			}
 		}
-		lacking, _ := o.ends.Lacking(n.ends.Digest())
+		lacking, _ := o.ends.MissingFrom(n.ends.Digest())
 		for _, x := range lacking {
 			w.learnEnd(n, x.UID, x.Cancelled)
 		}
--- a/internal/datarecovery/status.go
+++ b/internal/datarecovery/status.go
@@ -7,11 +7,11 @@
 	Epoch            uint64   `json:"generation"`
 	DataLost         bool     `json:"lost_for_good"`     // there may be jobs that nobody remembers
 	RosterIncomplete bool     `json:"roster_incomplete"` // machines may not be registered that run something
-	AwaitedMemories  []string `json:"waits_for_memory_of,omitempty"`
+	AwaitedMembers   []string `json:"waits_for_memory_of,omitempty"`
 	Unwritten        int      `json:"jobs_to_write_back"`
 	StaleActive      int      `json:"ends_to_write_again"`
 	Ends             int      `json:"ends_remembered"`
-	MemoryComplete   bool     `json:"remembers_all_ends"`
+	HistoryComplete  bool     `json:"remembers_all_ends"`
 	Unreplicated     int      `json:"said_with_no_peer_holding_it"`
 	Undescribed      []string `json:"jobs_nobody_can_describe,omitempty"` // a hundred at most
 	Suspicions       int      `json:"signs_seen"`
--- a/internal/faultinjection/measure.go
+++ b/internal/faultinjection/measure.go
@@ -182,7 +182,7 @@
 		last = views
 		whole := len(views) == len(regionNames)
 		for _, x := range views {
-			whole = whole && x.Store.MemoryComplete
+			whole = whole && x.Store.HistoryComplete
 		}
 		return whole && l.check.CountOnMachines() >= l.options.Jobs*l.tasks*9/10
 	})
--- a/internal/snapshot/restore.go
+++ b/internal/snapshot/restore.go
@@ -73,14 +73,14 @@
 			if err := json.Unmarshal(e.Value, &final); err != nil {
 				return nil, bad(err)
 			}
-			c.ends.Learn(datarecovery.End{UID: uid, Cancelled: final.State == protocol.Cancelled, Tasks: final.Tasks, Team: final.Team})
+			c.ends.Add(datarecovery.End{UID: uid, Cancelled: final.State == protocol.Cancelled, Tasks: final.Tasks, Team: final.Team})
 		} else if strings.HasPrefix(name, datarecovery.EndsKey) {
 			ends, err := datarecovery.ReadPage(e.Value)
 			if err != nil {
 				return nil, bad(err)
 			}
 			for _, x := range ends {
-				c.ends.Learn(x)
+				c.ends.Add(x)
 			}
 		} else if strings.HasPrefix(name, PageKey) {
 			var parts map[string]string
--- a/internal/userapi/ends.go
+++ b/internal/userapi/ends.go
@@ -37,7 +37,7 @@
 func (h *Handler) RecordEnd(uid string, final JobEnd) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.ends.Learn(datarecovery.End{UID: uid, Cancelled: final.State == protocol.Cancelled, Tasks: final.Tasks, Team: final.Team})
+	h.ends.Add(datarecovery.End{UID: uid, Cancelled: final.State == protocol.Cancelled, Tasks: final.Tasks, Team: final.Team})
 }
 
 // KnownEnd is the end of a job, if it is remembered.
@@ -70,7 +70,7 @@
 func (h *Handler) EndsMissingFrom(d datarecovery.Digest) ([]datarecovery.End, error) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return h.ends.Lacking(d)
+	return h.ends.MissingFrom(d)
 }
 
 // readJob reads what the store holds of a job: its active entry, or its end, or neither. The order of the two reads
