--- a/internal/controller/barrier.go
+++ b/internal/controller/barrier.go
@@ -9,21 +9,21 @@
 	"topazhollow/internal/shards"
 )
 
-// machineSettled says whether a machine is gone, or reported knowing a term.
+// machineSettled reports whether a machine is gone or has reported under the given term or a later one.
 func (n *Node) machineSettled(name string, term uint64) bool {
 	m := n.machines[name]
 	return m != nil && m.knowsTerm(term)
 }
 
-// passBarrier ends the barrier once every machine that it waits for reported under the shard's term or is gone, and
-// everything else is known that a start rests on.
+// passBarrier ends the barrier once every machine that it awaits has reported under the shard's term or is gone, and
+// the configuration and the peers' retained state, which starts depend on, are known.
 func (n *Node) passBarrier(shard *shards.Owned) {
 	shard.SettleAwaited(n.machineSettled)
 	if shard.AwaitedCount() > 0 || !n.configReady() || !n.retainedStateGathered(time.Now()) {
 		return
 	}
-	if shard.NeedsBarrier() && n.leadership.Record().RosterIncomplete && !n.recovery.census.Taken() {
-		return // machines may be missing among those waited for
+	if shard.NeedsBarrier() && n.leadership.Record().RosterIncomplete && !n.recovery.census.ListRead() {
+		return // the roster may lack machines that the barrier has to await
 	}
 	now := time.Now()
 	shard.PassBarrier(now)
@@ -38,20 +38,20 @@
 	}
 }
 
-// machineReported takes a machine that reported off those that a barrier waits for.
+// machineReported removes a machine that reported from those that a shard's barrier awaits.
 func (n *Node) machineReported(shard *shards.Owned, v *jobstate.MachineStatus) {
 	if shard.MachineAnswered(v.Machine, v.FencingToken) {
 		n.passBarrier(shard)
 	}
 }
 
-// releaseUnregistered ends assignments to machines that were struck off the roster before
-// this controller followed it. No start goes to a machine that is not registered,
-// and none is struck off before the cloud confirmed its end. The roster must be
-// known up to the shard's taking.
+// releaseUnregistered releases assignments to machines that were removed from the roster before this controller
+// followed it. This is safe because no start is sent to an unregistered machine, and a machine is removed only after
+// the cloud confirmed that it is gone. The caller must have read the roster up to the time when the shard was taken
+// over.
 func (n *Node) releaseUnregistered(shard *shards.Owned) {
 	if n.leadership.Record().RosterIncomplete {
-		return // the roster itself was lost
+		return // the roster itself lost entries
 	}
 	for _, name := range shard.Team().Assignments().Machines() {
 		if !n.roster.Has(name) {
--- a/internal/controller/barrier_test.go
+++ b/internal/controller/barrier_test.go
@@ -11,8 +11,8 @@
 	"topazhollow/internal/userapi"
 )
 
-// TestBarrierSettlesTheMachineThatReported: a machine that reported under the shard's term is awaited no longer,
-// one that reported under an earlier term is, and the last one ends the barrier.
+// TestBarrierSettlesTheMachineThatReported: the barrier stops awaiting a machine that reported under the shard's term,
+// keeps awaiting one that reported under an earlier term, and ends with the last machine.
 func TestBarrierSettlesTheMachineThatReported(t *testing.T) {
 	g := newGrown(3, 1)
 	n := g.n
@@ -31,7 +31,7 @@
 	}
 	report(names[0], shard.SinceTerm()-1)
 	if shard.AwaitedCount() != len(names) || shard.Phase() != shards.Barrier {
-		t.Fatalf("%d of %d are waited for after a report of an earlier term", shard.AwaitedCount(), len(names))
+		t.Fatalf("%d of %d are awaited after a report of an earlier term", shard.AwaitedCount(), len(names))
 	}
 	for i, name := range names {
 		if shard.Phase() != shards.Barrier {
@@ -40,13 +40,12 @@
 		report(name, shard.SinceTerm())
 	}
 	if !shard.IsReady() {
-		t.Fatalf("the barrier waits for %d machines though all reported", shard.AwaitedCount())
+		t.Fatalf("the barrier awaits %d machines although all reported", shard.AwaitedCount())
 	}
 }
 
-// TestJobAcceptedDuringBarrier: a job that is accepted while its team's owner waits at
-// the barrier was once left out of the account, and waited until the next owner
-// read the state service.
+// TestJobAcceptedDuringBarrier: a job accepted while its team's owner was at the barrier was not added to the team, and
+// waited until the next owner read the state service.
 func TestJobAcceptedDuringBarrier(t *testing.T) {
 	s := &settings.Settings{Name: "node-a", Deployment: settings.Deployment{Teams: []settings.Team{{Name: "red", CPUsMax: 8}},
 		KVStore: settings.KVStore{RequestsPerSecond: 9, ChangesPerSecond: 9, ChangesPerTransaction: 4, ValueKB: 4}, Cloud: settings.Cloud{RequestsPerSecond: 1}}}
@@ -63,7 +62,7 @@
 		spec := array(int(phase), 1, "red")
 		n.learnJob(userapi.ActiveJob{Spec: spec}, 1)
 		if (shard.Team().Job(spec.UID) != nil) != taken || n.jobs[spec.UID] == nil {
-			t.Fatalf("phase %s: job in the account: %v", phase, !taken)
+			t.Fatalf("phase %s: job in the team: %v", phase, !taken)
 		}
 	}
 }
--- a/internal/controller/barrierprobe.go
+++ b/internal/controller/barrierprobe.go
@@ -10,30 +10,30 @@
 	"topazhollow/internal/shards"
 )
 
-// After an end of all controllers the full barrier waits for every registered machine. Each of them
-// sends its next report over a connection that is gone, and then to a controller that redirects it to its home:
-// the last of a thousand took six seconds. The cloud's list has their addresses. So the fleet's owner sends these
-// to the homes, which probe the machines: a /do without commands carries the term to an agent, and its
-// answer is a report under that term, which is what the barrier waits for.
+// Probes shorten the full barrier after a restart of all controllers, when it awaits every registered machine. Each
+// machine sends its next report over a connection that is closed, and then to a controller that redirects it to its
+// home; the last of a thousand machines took six seconds. The cloud's list has the machines' addresses, so the fleet's
+// owner sends these to the home controllers, which probe the machines: a /do request without commands carries the term
+// to an agent, and its answer is a report under that term, which is what the barrier awaits.
 
 const (
-	// maxOpenProbes is how many machines a controller probes at a time.
-	maxOpenProbes = 24
+	// maxConcurrentProbes is how many machines a controller probes at the same time.
+	maxConcurrentProbes = 24
 	// probeTimeout is how long a machine may take to answer a probe.
 	probeTimeout = 1500 * time.Millisecond
-	// probeTries is how often a machine is asked: a second time if it is in another incarnation.
-	probeTries = 2
-	// probeAnswerSize is how many bytes an answer has at most.
-	probeAnswerSize = 1 << 20
+	// probeAttempts is how often a machine is probed: again if its first answer names another incarnation.
+	probeAttempts = 2
+	// maxProbeAnswerBytes is the maximum size of an answer.
+	maxProbeAnswerBytes = 1 << 20
 )
 
-// barrierProbes is the probes of one term.
+// barrierProbes holds the probes of one term.
 type barrierProbes struct {
 	shards.Probes
-	slots chan struct{} // one element for each probe under way in the term
+	slots chan struct{} // semaphore: one element for each probe in progress
 }
 
-// probeAwaited has the homes of all machines that a barrier waits for probe them.
+// probeAwaited makes the home controllers probe the awaited machines that run according to the cloud's list.
 func (n *Node) probeAwaited(list map[string]protocol.Host, awaited map[string]bool) {
 	addrs := map[string]string{}
 	for name := range awaited {
@@ -54,7 +54,7 @@
 		return
 	}
 	if n.probes.Begin(n.leadership.Term()) {
-		n.probes.slots = make(chan struct{}, maxOpenProbes)
+		n.probes.slots = make(chan struct{}, maxConcurrentProbes)
 	}
 	term, slots := n.probes.Term(), n.probes.slots
 	for _, name := range slices.Sorted(maps.Keys(addrs)) {
@@ -78,16 +78,16 @@
 	}
 }
 
-// knowsTerm says whether a machine is gone, or reported under a term or a later one.
+// knowsTerm reports whether a machine is gone or has reported under the given term or a later one.
 func (m *machine) knowsTerm(term uint64) bool {
 	return m.gone || m.status != nil && m.status.FencingToken >= term
 }
 
-// probeMachine asks one machine for its report.
+// probeMachine requests a report from one machine.
 func (n *Node) probeMachine(term uint64, name, addr string, incarnation uint64) {
-	link := httpx.NewClientConn(addr, probeAnswerSize)
+	link := httpx.NewClientConn(addr, maxProbeAnswerBytes)
 	defer link.Close()
-	for range probeTries {
+	for range probeAttempts {
 		if !n.probeNeeded(term, name) {
 			return
 		}
@@ -96,7 +96,7 @@
 		resp, _, err := link.Do(n.ctx, "POST", protocol.PathCommands, body, probeTimeout)
 		var report protocol.Heartbeat
 		answered := err == nil && readProbeAnswer(resp, name, &report)
-		n.takeProbeAnswer(term, name, &report, answered)
+		n.handleProbeResult(term, name, &report, answered)
 		if !answered || resp.Status == 200 || report.FencingToken > term {
 			return
 		}
@@ -104,8 +104,8 @@
 	}
 }
 
-// probeNeeded says whether a machine has to be asked yet: meanwhile it may have reported by
-// itself, or the term may be another.
+// probeNeeded reports whether a machine still has to be probed: it may have reported on its own, or the term may have
+// changed.
 func (n *Node) probeNeeded(term uint64, name string) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -113,7 +113,8 @@
 	return current && !n.machine(name).knowsTerm(term)
 }
 
-// readProbeAnswer reads the report that a machine of that name answered with.
+// readProbeAnswer decodes the report in an answer. It returns false unless the report is valid and of the named
+// machine.
 func readProbeAnswer(resp *httpx.Response, name string, report *protocol.Heartbeat) bool {
 	if resp.Status != 200 && resp.Status != 409 {
 		return false
@@ -121,8 +122,8 @@
 	return protocol.Decode(resp.Body, report) == nil && protocol.CheckHeartbeat(report) == nil && report.Machine == name
 }
 
-// takeProbeAnswer takes in the report that a machine answered with, or that it did not answer.
-func (n *Node) takeProbeAnswer(term uint64, name string, report *protocol.Heartbeat, answered bool) {
+// handleProbeResult applies the report that a machine answered with, or records that it did not answer.
+func (n *Node) handleProbeResult(term uint64, name string, report *protocol.Heartbeat, answered bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if n.probes.Term() != term || n.leadership.Term() != term {
--- a/internal/controller/barrierprobe_test.go
+++ b/internal/controller/barrierprobe_test.go
@@ -15,11 +15,10 @@
 	"topazhollow/internal/simulation"
 )
 
-// TestBarrierProbe: after an end of all controllers the barrier waited for each machine's
-// next report, and for each dead one until its silence was noticed. A probe must have a machine
-// known under the term at once, whatever its incarnation, without a command and without a
-// second probe; one that does not answer must be listed. Nothing goes to machines of
-// other homes, nor without being entitled.
+// TestBarrierProbe: after a restart of all controllers, the barrier waited for each machine's next report, and for each
+// dead machine until it was detected. A probe must make a machine report under the term at once, whatever its
+// incarnation, without a command and without a second probe; a machine that does not answer must be listed. Machines of
+// other homes are not probed, and a controller that is not entitled probes none.
 func TestBarrierProbe(t *testing.T) {
 	check := simulation.NewChecker(map[string]float64{"red": 8})
 	per := simulation.Periods{Heartbeat: time.Hour, Lease: time.Hour, Run: func(string) time.Duration { return time.Hour }}
@@ -37,7 +36,7 @@
 		}
 		workers[name], addrs[name] = w, w.Addr()
 	}
-	addrs["n-000099"] = "127.0.0.1:1" // nobody there
+	addrs["n-000099"] = "127.0.0.1:1" // nothing listens there
 	addrs["n-000098"] = addrs["n-000001"]
 	n := New(&settings.Settings{Name: "node-a", Peers: []settings.Peer{{Name: "node-b"}}, Deployment: settings.Deployment{Zones: []string{"east"}, Teams: []settings.Team{{Name: "red", CPUsMax: 8}},
 		KVStore: settings.KVStore{RequestsPerSecond: 9, ChangesPerSecond: 9, ChangesPerTransaction: 4, ValueKB: 4}, Cloud: settings.Cloud{RequestsPerSecond: 1}}}, settings.DefaultOptions(), slog.New(slog.DiscardHandler))
@@ -89,7 +88,7 @@
 	probe()
 	for name, m := range n.machines {
 		if m.status != nil && m.status.Seq != seq[name] {
-			t.Errorf("%s was asked again", name)
+			t.Errorf("%s was probed again", name)
 		}
 	}
 	if len(seq) < 2 || len(check.BrokenRules()) > 0 || check.Started > 0 {
@@ -97,6 +96,6 @@
 	}
 	n.applyHeartbeat(&protocol.Heartbeat{Machine: "n-000099", Incarnation: 1, Seq: 1, FencingToken: 5, Tasks: []protocol.TaskStatus{}}, time.Now())
 	if got := n.unansweredProbes(); slices.Contains(got, "n-000099") {
-		t.Errorf("unanswered though it reported since: %v", got)
+		t.Errorf("unanswered although it reported since: %v", got)
 	}
 }
--- a/internal/controller/cancellations.go
+++ b/internal/controller/cancellations.go
@@ -7,10 +7,11 @@
 	"topazhollow/internal/userapi"
 )
 
-// The cancellations that controllers confirm to users: each is numbered and sent to the peers before its user has the
-// answer. internal/cancelwatermark decides from them up to when all are known here.
+// Cancellations that a controller confirms to users are numbered and sent to its peers before the user gets the answer.
+// From the numbers, internal/cancelwatermark derives the time up to which this controller knows all cancellations.
 
-// announceCancellation tells the peers of a cancellation before a user is told of it for the first time here.
+// announceCancellation sends a cancellation to the peers before this controller confirms it to a user for the first
+// time.
 func (n *Node) announceCancellation(uid string, end userapi.JobEnd) {
 	m := replicateFactMsg{Ends: []jobEnd{{uid, end}}}
 	if n.numberCancellation(&m); m.From == 0 {
@@ -19,18 +20,18 @@
 	n.broadcast(kindReplicateFact, m)
 }
 
-// numberCancellation gives the cancellation that a message tells of its number.
+// numberCancellation assigns the next number to the cancellation that a message contains, if it contains one.
 func (n *Node) numberCancellation(m *replicateFactMsg) {
 	if len(m.Ends) == 1 && m.Ends[0].State == protocol.Cancelled {
 		m.From = n.cancelWatermark.RecordCancellation(m.Ends[0].UID)
 	}
 }
 
-// maxResentCancellations is how many cancellations one message tells again.
+// maxResentCancellations is the maximum number of cancellations in one resent message.
 const maxResentCancellations = 500
 
-// resendCancellations tells a peer again what it has not acknowledged of the cancellations confirmed here, as after a
-// lost connection.
+// resendCancellations sends a peer again the cancellations confirmed here that it has not acknowledged, for example
+// because the connection was lost.
 func (n *Node) resendCancellations(name string, now time.Time) {
 	from, uids := n.cancelWatermark.TakeUnacknowledged(name, now, maxResentCancellations)
 	if len(uids) == 0 {
@@ -44,7 +45,7 @@
 	n.links.Send(name, kindReplicateFact, m)
 }
 
-// onPeerCancellations takes in what a peer's status says of cancellations.
+// onPeerCancellations applies what a peer's status contains about cancellations.
 func (n *Node) onPeerCancellations(name string, s *statusMsg, now time.Time) {
 	received, sent, ok := n.ownStatusIn(s, now)
 	if !ok || s.Cancellations == nil {
@@ -57,11 +58,11 @@
 	n.resendCancellations(name, now)
 }
 
-// maxReadAge is how old the last read of the key-value store may be before another one is made, if nobody asks for one.
+// maxReadAge is the age of the last read of the key-value store after which a new read is requested.
 const maxReadAge = 3 * time.Second
 
-// requestReadIfStale keeps the watermark advancing while the key-value store answers: a watch alone may wait for ten
-// seconds, and hangs where the store refuses this controller.
+// requestReadIfStale requests a read of the key-value store if the last one is too old, so that the watermark advances:
+// a watch alone may wait for ten seconds, and hangs where the store refuses this controller.
 func (n *Node) requestReadIfStale(now time.Time) {
 	if now.Sub(n.cancelWatermark.LastRead()) >= maxReadAge {
 		n.changeReads.request()
--- a/internal/controller/dataloss_cases_test.go
+++ b/internal/controller/dataloss_cases_test.go
@@ -11,10 +11,10 @@
 	"topazhollow/internal/userapi"
 )
 
-// Ways in which data are lost that take more than a line.
+// Scenarios of a data loss that take more than one line.
 
-// rentAndReturnLate: requests to the cloud from before the loss are carried out after it: a machine goes that
-// the controllers remember, and one comes that nobody rented in this epoch.
+// rentAndReturnLate: requests to the cloud from before the loss are executed after it. A machine disappears that the
+// controllers remember, and one appears that no controller rented in this epoch.
 func (l *dataLoss) rentAndReturnLate() {
 	l.state.LoseAll()
 	post := func(path, body string) string {
@@ -29,17 +29,18 @@
 	}
 	post("/hosts/return", `{"estaciones":["n-000001"]}`)
 	if got := post("/hosts", `{"pedido":"late-1","modelo":"m8","zona":"east","prestadas":false,"how_many":1}`); !strings.Contains(got, "n-0") {
-		l.t.Errorf("no machine came late: %s", got)
+		l.t.Errorf("no machine was rented late: %s", got)
 	}
 }
 
-// loseDuringACancellation: the store goes back while a user repeats a cancellation until it is answered.
+// loseDuringACancellation: the store is reset to an earlier state while a user repeats a cancellation until it is
+// answered.
 func (l *dataLoss) loseDuringACancellation() {
 	extra := array(391, 10, "red")
 	l.submit(extra)
-	told := make(chan struct{})
-	go func() { // its user repeats it until it gets an answer, as the loss comes
-		defer close(told)
+	answered := make(chan struct{})
+	go func() { // repeats the request until it is answered, during the loss
+		defer close(answered)
 		l.check.RecordCancellation(extra.UID)
 		for end := time.Now().Add(30 * time.Second); time.Now().Before(end); time.Sleep(30 * time.Millisecond) {
 			s := l.sets[time.Now().UnixNano()%3]
@@ -58,46 +59,47 @@
 	}()
 	time.Sleep(10 * time.Millisecond)
 	l.state.RollBack(l.saved)
-	<-told
+	<-answered
 }
 
-// endInTheStoreThatWentBack: an end goes to the store that went back before anybody noticed, under guards that
-// hold by accident. Whoever finds it there tells it; nobody may call the job active
-// after that, from a memory that it never reaches by the watch.
+// endInTheStoreThatWentBack: an end is written to a store that was reset to an earlier state before any controller
+// noticed, because its conditions happen to hold. A controller that finds the end there sends it to its peers. After
+// that, no controller may answer that the job is active, since the watch never delivers the end to those that remember
+// the job.
 func (l *dataLoss) endInTheStoreThatWentBack() {
 	extra := array(392, 10, "red")
 	l.submit(extra)
 	l.check.RecordCancellation(extra.UID)
 	l.state.RollBack(l.saved)
 	l.state.Put(userapi.EndedJobPrefix+extra.UID, string(protocol.Encode(userapi.JobEnd{State: protocol.Cancelled, Tasks: 10, Team: "red"})))
-	told := 0 // each controller is asked, one after the other, until all tell the end
-	l.until("all tell the end", func() bool {
+	cancelled := 0 // answers; the controllers are polled in turn until all return the end
+	l.until("all return the end", func() bool {
 		for _, s := range l.sets {
 			resp, err := l.httpc.Get("http://" + s.Listen + protocol.PathSubmit + "/" + extra.UID)
 			if err != nil {
 				continue
 			}
 			var st protocol.Status
-			_ = json.NewDecoder(resp.Body).Decode(&st) // the status says the most of it
+			_ = json.NewDecoder(resp.Body).Decode(&st) // the HTTP status is checked too
 			resp.Body.Close()
 			l.check.RecordAnswer(extra.UID, resp.StatusCode, st.State, false)
 			if st.State == protocol.Cancelled {
-				told++
+				cancelled++
 			}
 		}
-		return told > 30
+		return cancelled > 30
 	})
 }
 
-// restartDuringRecovery: a controller restarts while memories are exchanged and written back.
+// restartDuringRecovery: a controller restarts while retained state is exchanged and written back.
 func (l *dataLoss) restartDuringRecovery() {
 	l.state.LoseAll()
 	l.until("an epoch begins", func() bool { all := l.overviews(); return len(all) > 0 && all[0].Store.Epoch > 1 })
-	l.crash(2) // while what it remembers is gathered and written back
+	l.crash(2) // while its retained state is gathered and written back
 	l.start(2)
 }
 
-// loseWhileAMachineIsCut: a machine is not reached until long after the loss.
+// loseWhileAMachineIsCut: a machine stays unreachable until long after the loss.
 func (l *dataLoss) loseWhileAMachineIsCut() {
 	w := l.cloud.Agents()[0]
 	w.DisconnectNetwork(true)
@@ -106,7 +108,7 @@
 	w.DisconnectNetwork(false)
 }
 
-// loseInAnOutage: the store answers nobody as it loses data.
+// loseInAnOutage: the store loses its data during an outage.
 func (l *dataLoss) loseInAnOutage() {
 	l.state.SetOutage(true)
 	time.Sleep(time.Second)
--- a/internal/controller/dataloss_restart_test.go
+++ b/internal/controller/dataloss_restart_test.go
@@ -10,10 +10,9 @@
 	"topazhollow/internal/snapshot"
 )
 
-// TestDataLossWhileAllControllersRestart: the store loses data at the moment in which all controllers end,
-// so that nobody remembers. What cannot be known is never called unknown, what runs is
-// left alone and no task runs twice, new work is taken and run; what the store still has
-// comes to its end.
+// TestDataLossWhileAllControllersRestart: the store loses data at the moment when all controllers stop, so that no
+// controller retains any state. A job about which nothing is known must never be answered as unknown, running tasks are
+// left alone, no task runs twice, new jobs are accepted and run, and jobs that the store still has complete.
 func TestDataLossWhileAllControllersRestart(t *testing.T) {
 	for name, lose := range map[string]func(*dataLoss){
 		"all":  func(l *dataLoss) { l.state.LoseAll() },
@@ -55,9 +54,8 @@
 	}
 }
 
-// TestSearchIsGivenUpWithoutACopy: nobody remembers and no copy is put back. Once it was waited for as long as
-// the operators said, what nobody knows is told to be unknown, and a later loss is one that
-// everything known survives again.
+// TestSearchIsGivenUpWithoutACopy: no controller retains any state and no copy is restored. After the configured wait
+// for a copy, jobs that nobody knows are answered as unknown, and everything known survives a later loss again.
 func TestSearchIsGivenUpWithoutACopy(t *testing.T) {
 	l := newDataLoss(t)
 	for i := range l.nodes {
@@ -68,7 +66,7 @@
 	for i := range l.nodes {
 		l.start(i)
 	}
-	told := func() int { status, _ := l.ask("GET", protocol.PathSubmit+"/"+l.jobs[0].UID, nil); return status }
+	pollStatus := func() int { status, _ := l.ask("GET", protocol.PathSubmit+"/"+l.jobs[0].UID, nil); return status }
 	l.until("controllers serve", func() bool { return len(l.overviews()) == 3 })
 	lost := false
 	l.until("given up", func() bool {
@@ -78,19 +76,19 @@
 			lost = lost || o.Store.DataLost
 			given = given && o.Store.Epoch > 1 && !o.Store.DataLost && o.Store.HistoryComplete
 		}
-		if status := told(); !given && status == http.StatusNotFound {
-			for _, o := range l.overviews() { // unless that came between
+		if status := pollStatus(); !given && status == http.StatusNotFound {
+			for _, o := range l.overviews() { // unless the search was given up in between
 				if o.Store.DataLost {
-					t.Error("unknown before it was given up")
+					t.Error("answered as unknown before the search was given up")
 				}
 			}
 		}
 		return given
 	})
 	if !lost {
-		t.Error("nothing was held to be lost for good before")
+		t.Error("no controller reported data as lost for good before")
 	}
-	l.until("an unknown job is unknown", func() bool { return told() == http.StatusNotFound })
+	l.until("an unknown job is unknown", func() bool { return pollStatus() == http.StatusNotFound })
 	job := array(360, 6, "red")
 	l.submit(job)
 	l.state.LoseAll()
@@ -98,10 +96,9 @@
 	l.allDone([]*protocol.Submission{job})
 }
 
-// TestRestoreFromSnapshot: the store loses everything at the moment in which all
-// controllers end, but it was followed. What was accepted, done and withdrawn comes back
-// into the epoch that the controllers began, running tasks are taken up again, and
-// unknown jobs are unknown once nothing more is to be found. A second restore does nothing.
+// TestRestoreFromSnapshot: the store loses everything at the moment when all controllers stop, but a follower copied it
+// before. Accepted, done and cancelled jobs are restored into the epoch that the controllers began, running tasks are
+// adopted, and unknown jobs are answered as unknown once the search is declared over. A second restore writes nothing.
 func TestRestoreFromSnapshot(t *testing.T) {
 	l := newDataLoss(t)
 	set := snapshot.DefaultConfig()
--- a/internal/controller/dataloss_test.go
+++ b/internal/controller/dataloss_test.go
@@ -16,15 +16,14 @@
 	"topazhollow/internal/userapi"
 )
 
-// dataLoss is a region in which jobs run, one is cancelled and some are done, when its
-// state service loses data.
+// dataLoss is a region with running jobs, a cancelled job and done ones, whose state service then loses data.
 type dataLoss struct {
 	*region
 	jobs      []*protocol.Submission
-	savedJobs int // jobs that were accepted before the state was saved
+	savedJobs int // number of jobs accepted before the state was saved
 	cancelled *protocol.Submission
 	saved     simulation.StoreSnapshot
-	newEpoch  bool // another epoch is due
+	newEpoch  bool // the loss leads to a new epoch
 }
 
 func newDataLoss(t *testing.T) *dataLoss {
@@ -61,7 +60,7 @@
 	})
 }
 
-// overviews asks each controller that runs.
+// overviews returns the overview of each running controller.
 func (r *region) overviews() (all []overview) {
 	for i, s := range r.sets {
 		if r.nodes[i] == nil {
@@ -80,8 +79,8 @@
 	return all
 }
 
-// recovered says whether all controllers are in the same epoch after the first, with
-// nothing left to do; or, if not so, in the first.
+// recovered reports whether all controllers have nothing left to recover and are in the same epoch: a later one than
+// the first if after is true, the first otherwise.
 func (r *region) recovered(after bool) bool {
 	all := r.overviews()
 	for _, o := range all {
@@ -93,23 +92,22 @@
 	return len(all) > 0
 }
 
-// checkRecovered sees that what was accepted comes to its end and new work runs.
+// checkRecovered checks that accepted jobs complete and that new ones run.
 func (l *dataLoss) checkRecovered() {
 	l.t.Helper()
 	late := array(350, 6, "red")
 	l.submit(late)
 	l.allDone(append(l.jobs, late))
 	l.until("still cancelled", func() bool { return l.poll(l.cancelled.UID) == protocol.Cancelled })
-	l.until("all is written back", func() bool { return l.recovered(l.newEpoch) && (!l.newEpoch || !l.overviews()[0].Store.DataLost) })
+	l.until("everything is written back", func() bool { return l.recovered(l.newEpoch) && (!l.newEpoch || !l.overviews()[0].Store.DataLost) })
 	l.until("an unknown job is unknown", func() bool {
 		status, _ := l.ask("GET", protocol.PathSubmit+"/job-999999", nil)
 		return status == http.StatusNotFound
 	})
 }
 
-// TestDataLossWhileControllersRun: the state service loses data in each way while all
-// controllers run. Nothing that was accepted, done or cancelled is forgotten, no task
-// runs twice, and new work is taken and run.
+// TestDataLossWhileControllersRun: the state service loses data in each way while all controllers run. No accepted,
+// done or cancelled job is forgotten, no task runs twice, and new jobs are accepted and run.
 func TestDataLossWhileControllersRun(t *testing.T) {
 	for name, lose := range map[string]func(*dataLoss){
 		"all":       func(l *dataLoss) { l.state.LoseAll() },
@@ -121,8 +119,8 @@
 		"twice":     func(l *dataLoss) { l.state.LoseAll(); time.Sleep(700 * time.Millisecond); l.state.LoseAll() },
 		"in_outage": (*dataLoss).loseInAnOutage,
 		"one_ends":  func(l *dataLoss) { l.crash(0); l.state.LoseAll(); l.start(0) },
-		// One that starts without the lists of machines writes its own anew: the others must not
-		// take the machines that it does not name for struck off, with what they run.
+		// A controller that starts without the roster lists writes its own list anew. The others must not treat the
+		// machines that it lacks as removed together with the tasks on them.
 		"roster_one_ends":                 func(l *dataLoss) { l.crash(0); l.state.LosePrefix("w/m/"); l.start(0) },
 		"jobs_one_ends":                   func(l *dataLoss) { l.crash(0); l.state.LosePrefix("w/a/"); l.start(0) },
 		"machine_cut":                     (*dataLoss).loseWhileAMachineIsCut,
@@ -142,23 +140,23 @@
 	}
 }
 
-// TestNothingIsAcceptedBeforeTheFirstRecord: a store that lost everything before the first control
-// record was made looks like a new one, and jobs accepted by then were forgotten.
+// TestNothingIsAcceptedBeforeTheFirstRecord: a store that loses everything before the first membership record is
+// written looks like a new one, and jobs accepted by then were forgotten.
 func TestNothingIsAcceptedBeforeTheFirstRecord(t *testing.T) {
 	n := newGrown(2, 1).n
 	n.watchedKeysRead = true
 	if !(userBackend{n}).StoreTrusted() {
-		t.Fatal("a controller with a record takes nothing")
+		t.Fatal("a controller with a record accepts no jobs")
 	}
 	n.leadership = leadership.New(n.name, n.incarnation, leadership.Lease{}, nil, time.Now())
 	if (userBackend{n}).StoreTrusted() {
-		t.Error("jobs are taken before there is a record")
+		t.Error("jobs are accepted before there is a record")
 	}
 }
 
-// TestRecordOutOfChainIsSuspected: the store went back, and a controller that started since wrote the record
-// past the revision that the others had seen, so that every version they compare is there
-// again or was changed. That the record does not follow the one known is the sign.
+// TestRecordOutOfChainIsSuspected: the store was reset to an earlier state, and a controller that started since wrote
+// the record until the store passed the revision that the others had seen. Every key that they compare then exists
+// again or was changed. Only the broken chain of records is a sign of the loss.
 func TestRecordOutOfChainIsSuspected(t *testing.T) {
 	for after, want := range map[uint64]datarecovery.Phase{12: datarecovery.Suspected, 17: datarecovery.Trusted, 18: datarecovery.Trusted} {
 		n := newGrown(2, 1).n
@@ -176,19 +174,19 @@
 	}
 }
 
-// TestMemoryReadBeforeTheFirstRecordIsComplete: a process that had read the store before there was a first record took
-// its memory for good to have holes. A loss of data then left all that was unknown without an answer.
-func TestMemoryReadBeforeTheFirstRecordIsComplete(t *testing.T) {
+// TestHistoryReadBeforeTheFirstRecordIsComplete: a process that had read the store before the first record was written
+// treated its history as incomplete for good. After a loss of data, requests for unknown jobs then got no answer.
+func TestHistoryReadBeforeTheFirstRecordIsComplete(t *testing.T) {
 	l := &dataLoss{region: newRegion(t, 300*time.Millisecond), newEpoch: true, cancelled: array(390, 10, "blue")}
 	for i := range l.nodes {
 		l.crash(i)
 	}
-	l.state.LoseAll() // nobody is there who would miss it: a new store
-	l.start(0)        // waits for the others before it makes the first record, and has read all by then
+	l.state.LoseAll() // no controller runs, so this is a new store
+	l.start(0)        // waits for its peers before it writes the first record, and has read everything by then
 	l.until("there is a record", func() bool { all := l.overviews(); return len(all) > 0 && all[0].Term > 0 })
 	l.start(1)
 	l.start(2)
-	l.until("all remember all", func() bool {
+	l.until("all have a complete history", func() bool {
 		all := l.overviews()
 		return len(all) == 3 && !slices.ContainsFunc(all, func(o overview) bool { return !o.Store.HistoryComplete })
 	})
@@ -198,8 +196,8 @@
 	l.checkRecovered()
 }
 
-// TestLateTransactionsChangeNothing: what was sent before a loss and is carried out after it, as when
-// packets were held, changes nothing.
+// TestLateTransactionsChangeNothing: a transaction that was sent before a loss and is executed after it, because its
+// packets were delayed, changes nothing.
 func TestLateTransactionsChangeNothing(t *testing.T) {
 	l := newDataLoss(t)
 	l.newEpoch = true
@@ -208,7 +206,7 @@
 		marker = e
 	}
 	if marker.Version == 0 {
-		t.Fatal("the epoch has no key of its own")
+		t.Fatal("there is no epoch key")
 	}
 	l.state.RollBack(l.saved)
 	l.until("an epoch begins", func() bool { return l.recovered(true) })
@@ -226,7 +224,7 @@
 	l.checkRecovered()
 }
 
-// keys lists keys of the stand-in by its protocol.
+// keys lists keys of the simulated state service through its protocol.
 func (r *region) keys(prefix string) []protocol.Entry {
 	resp, err := r.httpc.Get("http://" + r.state.Addr() + "/store?limit=1000&under=" + prefix)
 	if err != nil {
--- a/internal/controller/keepalive_test.go
+++ b/internal/controller/keepalive_test.go
@@ -11,13 +11,14 @@
 	"topazhollow/internal/settings"
 )
 
-// TestAgentsOfACutZoneAreKeptAlive: a controller that is cut off with its zone loses its lease, and so did the agents
-// beside it: all that they ran was lost with any cut longer than their lease. They must be kept alive, but no longer than
-// a cancellation that this controller cannot learn of allows, and none that runs what had ended before.
+// TestAgentsOfACutZoneAreKeptAlive: a controller that is cut off together with its zone loses its lease, and so did the
+// agents in that zone: a cut longer than their lease ended everything that ran there. Such agents must be kept alive,
+// but no longer than the deadline for a cancellation that this controller cannot learn of, and not if they run a job
+// that had ended before.
 func TestAgentsOfACutZoneAreKeptAlive(t *testing.T) {
 	g := newGrown(8, 1)
 	n := g.n
-	newLeadership(n, g.now, "node-b") // the lease expired, and nobody promises anything
+	newLeadership(n, g.now, "node-b") // the lease has expired, and no peer gives a promise
 	n.peers["node-b"] = &peerState{lastMessageAt: g.now.Add(-time.Minute)}
 	w := n.settings.Deployment.Agents
 	g.submit(1, 4)
@@ -47,8 +48,7 @@
 			t.Errorf("%s is answered by %d, not %d", what, got[0], got[1])
 		}
 	}
-	// However long it goes on, nothing is on the machine once the time is over in
-	// which a job that was withdrawn right after the last read must be gone.
+	// No renewal may let a task run beyond the deadline of a cancellation that was made right after the last read.
 	last := g.now
 	for at := g.now; at.Before(g.now.Add(3 * time.Minute)); at = at.Add(time.Second) {
 		if answer(at, name, 1, protocol.Running, "job-000001/0") == 200 {
@@ -57,11 +57,11 @@
 	}
 	gone := last.Add(settings.Seconds(w.LeaseSeconds)).Sub(g.now)
 	if cancel := settings.Seconds(w.CancelSeconds); gone >= cancel || gone < cancel-4*time.Second {
-		t.Errorf("kept alive until %v after the last read, a withdrawal has %v", gone, cancel)
+		t.Errorf("kept alive until %v after the last read, the deadline of a cancellation is %v", gone, cancel)
 	}
 	n.endJob("job-000001")
 	if got := answer(later, name, 1, protocol.Running, "job-000001/0"); got != 503 {
-		t.Errorf("a machine that runs a withdrawn job is answered by %d", got)
+		t.Errorf("a machine that runs a cancelled job is answered by %d", got)
 	}
 	record := n.leadership.Record().Clone()
 	record.Unreachable = nil
@@ -69,7 +69,7 @@
 	for _, name := range g.names {
 		if n.leadership.Record().Home(name) != n.name {
 			if got := answer(later, name, 1, protocol.Exited, "job-000001/0"); got != 503 {
-				t.Errorf("a machine is kept alive though nothing is known of its home's last word: %d", got)
+				t.Errorf("a machine is kept alive although its home's watermark is unknown: %d", got)
 			}
 			n.machine(name).HomeHeardAt, n.machine(name).HomeWatermark = g.now, g.now
 			if got := answer(later, name, 1, protocol.Exited, "job-000001/0"); got != 200 {
@@ -79,13 +79,13 @@
 	}
 	n.peers["node-b"].lastMessageAt, n.peers["node-b"].entitled = later, true
 	if got := answer(later, name, 1, protocol.Exited, "job-000001/0"); got != 421 {
-		t.Errorf("with an entitled peer in hearing the answer is %d", got)
+		t.Errorf("with a reachable entitled peer the answer is %d", got)
 	}
 }
 
-// TestRefusedLinks: with connections between controllers refused, the fleet's owner learned of no machine of another home,
-// took two thirds of a fleet for silent and returned them; starts for them were held for as long as the refusal lasted. A
-// machine whose home is alive but not reached is neither silent nor a place.
+// TestRefusedLinks: with connections between controllers refused, the fleet's owner received no status of machines with
+// another home, treated two thirds of the fleet as silent and returned them; starts for them were held for as long as
+// the refusal lasted. A machine whose home is alive but unreachable is not silent, and no task may be placed on it.
 func TestRefusedLinks(t *testing.T) {
 	g := newGrown(40, 1)
 	n := g.n
@@ -109,41 +109,40 @@
 	n.leadership.LeaseRenewed(now)
 	for _, h := range n.scheduler.Hosts((*schedulerSnapshot)(n), now, nil) {
 		if !homed[h.Name] {
-			t.Errorf("%s may take tasks, though no order reaches its home", h.Name)
+			t.Errorf("%s may take tasks, although no order reaches its home", h.Name)
 		}
 	}
 	account := provisioning.New(provisioning.Options{}, g.now)
 	for _, m := range n.fleetMachines(account, now) {
 		if m.HomeUnreachable == homed[m.Name] {
-			t.Errorf("%s, homed here: %v, is of an unheard home: %v", m.Name, homed[m.Name], m.HomeUnreachable)
+			t.Errorf("%s, homed here: %v, home unreachable: %v", m.Name, homed[m.Name], m.HomeUnreachable)
 		}
 	}
-	n.leadership.LearnAbsence("node-b", 1) // it lost its lease: that is silence for good
+	n.leadership.LearnAbsence("node-b", 1) // its lease expired, so it is gone
 	for _, m := range n.fleetMachines(account, now) {
 		if m.HomeUnreachable && n.leadership.Record().Home(m.Name) == "node-b" {
-			t.Errorf("%s counts as heard elsewhere, by a controller that is gone", m.Name)
+			t.Errorf("%s counts as having an unreachable home, although that controller is gone", m.Name)
 		}
 	}
-	// A start that went nowhere is free to be placed elsewhere; one that may have
-	// left stays held.
+	// A start that was not sent may be placed elsewhere; one that may have been sent stays assigned.
 	shard := n.shards.OfTeam("team-0")
 	g.submit(1, 4)
 	spec := n.jobs["job-000001"].spec
 	place := func() []jobstate.Order {
 		tj := shard.Team().Job(spec.UID)
 		if !shard.Team().Place(tj, 0, jobstate.Location{Machine: g.names[0], Incarnation: 1}) {
-			t.Fatal("no place")
+			t.Fatal("the task was not placed")
 		}
 		return shard.Team().TakeDueOrders(shard.Team().Replica().Seq, now, func(string, uint64) bool { return true })[g.names[0]]
 	}
 	shard.Team().RetractUnsent(place())
 	if held, _ := shard.Team().Assignments().Count(); held != 0 {
-		t.Error("a start that went nowhere is held")
+		t.Error("a start that was not sent is still assigned")
 	}
 	place()
 	now = now.Add(5 * time.Second)
 	shard.Team().RetractUnsent(shard.Team().TakeDueOrders(shard.Team().Replica().Seq, now, func(string, uint64) bool { return true })[g.names[0]])
 	if held, _ := shard.Team().Assignments().Count(); held != 1 {
-		t.Error("a start that may be on its way is no longer held")
+		t.Error("a start that may be in flight is no longer assigned")
 	}
 }
--- a/internal/controller/leadership_test.go
+++ b/internal/controller/leadership_test.go
@@ -6,14 +6,13 @@
 	"topazhollow/internal/leadership"
 )
 
-// learnRecord has a controller know a record, as the next version of the one before, without carrying out what it
-// changes.
+// learnRecord makes a controller adopt a record as the next version, without applying its changes.
 func learnRecord(n *Node, record *leadership.Record) {
 	n.leadership.Adopt(record, n.leadership.RecordVersion()+1, time.Now())
 }
 
-// newLeadership begins a controller's leadership anew with the record that it knows and with these peers: it
-// has neither lease nor promises.
+// newLeadership replaces a controller's leadership by a new one with the same record and the given peers, without a
+// lease or promises.
 func newLeadership(n *Node, now time.Time, peers ...string) {
 	record := n.leadership.Record()
 	life := n.leadership.LeaseLife()
--- a/internal/controller/lease.go
+++ b/internal/controller/lease.go
@@ -10,19 +10,19 @@
 	"topazhollow/internal/protocol"
 )
 
-// Times of the duty that holds the lease.
+// Timing of the lease renewal.
 const (
-	renewalsPerLease  = 4                      // while all goes well
-	leaseAgainAfter   = 20 * time.Millisecond  // when the lease has expired
-	renewalRetryAfter = 250 * time.Millisecond // when the state service did not answer
+	renewalsPerLease  = 4                      // per lease lifetime, while renewals succeed
+	reacquireDelay    = 20 * time.Millisecond  // after the lease has expired
+	renewalRetryDelay = 250 * time.Millisecond // after the state service did not answer
 )
 
-// presenceValue is the value of a controller's key, which its lease holds.
+// presenceValue is the value of a controller's presence key, which is bound to its lease.
 type presenceValue struct {
 	Incarnation uint64 `json:"incarnation"`
 }
 
-// maintainLease is the duty that holds this controller's lease at the state service, and the key that shows it to all.
+// maintainLease is the background task that keeps this controller's lease at the state service and its presence key.
 func (n *Node) maintainLease(ctx context.Context) error {
 	for ctx.Err() == nil {
 		timer := time.NewTimer(n.renewLease(ctx))
@@ -36,27 +36,28 @@
 	return nil
 }
 
-// renewLease renews the lease, or takes one and writes the own key with it. It says after what time to do so again.
+// renewLease renews the lease, or acquires one and writes the presence key with it. It returns the delay until the next
+// call.
 func (n *Node) renewLease(ctx context.Context) time.Duration {
 	n.mu.Lock()
 	lease, written := n.leadership.LeaseID(), n.recovery.ownKeyWritten
-	n.recovery.ownKeyWritten = true // unless something says meanwhile that it is not
+	n.recovery.ownKeyWritten = true // unless rewriteOwnKey resets it meanwhile
 	n.mu.Unlock()
 	sent := time.Now()
-	lease, written, err := n.holdLease(ctx, lease, written)
+	lease, written, err := n.ensureLease(ctx, lease, written)
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.recovery.ownKeyWritten = n.recovery.ownKeyWritten && written
-	return n.leaseAnswered(lease, sent, err)
+	return n.handleLeaseResult(lease, sent, err)
 }
 
-// holdLease asks the state service for what is missing of a lease, a renewal of it and the own key. It returns the
-// lease that was asked about, and whether the own key is written.
-func (n *Node) holdLease(ctx context.Context, lease uint64, written bool) (uint64, bool, error) {
+// ensureLease acquires a lease, renews it or writes the presence key, whichever is needed. It returns the lease and
+// whether the presence key is written.
+func (n *Node) ensureLease(ctx context.Context, lease uint64, written bool) (uint64, bool, error) {
 	var err error
 	if lease == 0 {
 		written = false
-		lease, err = n.takeLease(ctx)
+		lease, err = n.acquireLease(ctx)
 	} else if written {
 		err = n.kvStore.RenewLease(ctx, lease)
 	}
@@ -66,12 +67,12 @@
 	if err := n.writeOwnKey(ctx, lease); err != nil {
 		return lease, false, err
 	}
-	n.log.Info("lease taken", "lease", lease)
+	n.log.Info("lease acquired", "lease", lease)
 	return lease, true, nil
 }
 
-// takeLease has the state service grant a lease.
-func (n *Node) takeLease(ctx context.Context) (uint64, error) {
+// acquireLease requests a lease from the state service.
+func (n *Node) acquireLease(ctx context.Context) (uint64, error) {
 	lease, err := n.kvStore.GrantLease(ctx, n.leadership.LeaseLife())
 	if err != nil {
 		return lease, err
@@ -82,25 +83,25 @@
 	return lease, nil
 }
 
-// leaseAnswered takes in what came of the requests for a lease, and says after what time to make the next.
-func (n *Node) leaseAnswered(lease uint64, sent time.Time, err error) time.Duration {
+// handleLeaseResult records the result of the lease requests and returns the delay until the next ones.
+func (n *Node) handleLeaseResult(lease uint64, sent time.Time, err error) time.Duration {
 	switch {
 	case err == nil:
 		n.leadership.LeaseRenewed(sent)
 		return n.leadership.LeaseLife() / renewalsPerLease
 	case errors.Is(err, kvstore.ErrLeaseExpired):
-		n.log.Info("lease ended at the state service", "lease", lease)
+		n.log.Info("lease expired at the state service", "lease", lease)
 		if n.leadership.LeaseExpired(sent) {
 			n.suspectLoss(datarecovery.SignLeaseGone)
 		}
-		return leaseAgainAfter
+		return reacquireDelay
 	}
 	n.log.Debug("lease not renewed", "err", err)
-	return renewalRetryAfter
+	return renewalRetryDelay
 }
 
-// writeOwnKey writes this process's key. The write is guarded by the key's version, so
-// that a late one of an earlier process changes nothing.
+// writeOwnKey writes this process's presence key. The write is conditional on the key's version, so that a delayed
+// write of an earlier process has no effect.
 func (n *Node) writeOwnKey(ctx context.Context, lease uint64) error {
 	key := presencePrefix + n.name
 	guard := protocol.Condition{Key: key}
--- a/internal/controller/leaserenewal.go
+++ b/internal/controller/leaserenewal.go
@@ -9,9 +9,11 @@
 	"topazhollow/internal/protocol"
 )
 
-// Every answer that renews an agent's lease passes here, of an entitled controller or not; internal/leasegrant decides.
+// Every answer that may renew an agent's lease is decided here, whether this controller is entitled or not; the rules
+// are in internal/leasegrant.
 
-// leaseGrant says whether the answer to a heartbeat may renew the agent's lease, and what it must stop then.
+// leaseGrant reports whether the answer to a heartbeat may renew the agent's lease, and returns the stop commands that
+// the answer must then contain.
 func (n *Node) leaseGrant(r *protocol.Heartbeat, now time.Time) (stops []protocol.Command, ok bool) {
 	home := n.agents.Get(r.Machine)
 	standing := leasegrant.Standing{
@@ -29,10 +31,10 @@
 	return grant.Stops, grant.Renewed
 }
 
-// leaseKnowledge is the controller as leasegrant sees it.
+// leaseKnowledge implements leasegrant's view of the controller.
 type leaseKnowledge struct {
 	n    *Node
-	home *agents.Agent // nil: no heartbeat of it came here while this was its home
+	home *agents.Agent // nil: no heartbeat of the agent was received while this controller was its home
 }
 
 func (k *leaseKnowledge) JobState(uid string) leasegrant.JobState {
@@ -45,8 +47,8 @@
 	return leasegrant.Unknown
 }
 
-// StartOrdered trusts an owner's order until the key-value store was read after it: a job that is not known then has
-// ended, since it was accepted before.
+// StartOrdered reports whether the owner's order to start an attempt can be relied on. It can until the key-value store
+// was read after the order: a job that is unknown after that read has ended, since it was accepted before the order.
 func (k *leaseKnowledge) StartOrdered(attempt jobstate.AttemptRef) bool {
 	if k.home == nil {
 		return false
@@ -63,22 +65,23 @@
 	return k.n.cancelWatermark.MayRenew(now, bound)
 }
 
-// jobEnded says whether a job is known to be cancelled or done.
+// jobEnded reports whether a job is known to be cancelled or done.
 func (n *Node) jobEnded(uid string) bool {
 	j := n.jobs[uid]
 	return j != nil && !j.active || n.hasEnded(uid)
 }
 
-// prepareCommands is called before an agent's commands are taken to be sent: no start of a job that has ended goes out,
-// whose owner may not know it yet, and the watermark is noted with the others.
+// prepareCommands is called before an agent's queued commands are sent. It drops starts of jobs that are known to have
+// ended, which the owner may not know yet, and stores the current cancellation watermark for the remaining ones.
 func (n *Node) prepareCommands(m *agents.Agent, now time.Time) {
 	m.DropStarts(n.jobEnded)
 	m.SetWatermark(now, n.cancelWatermark.KnownUntil(now))
 }
 
-// onHomeWatermarks takes in what a home says of its agents: a start that it sends from now on is sent after it last had
-// a heartbeat of the agent, and one that may still arrive was sent under the watermark that it says. The status may
-// have been held up, so its ages count from this process's own status that it names.
+// onHomeWatermarks updates the watermarks of a home controller's agents from its status. A start that the home sends
+// from now on is sent after the last heartbeat that it received from the agent; one still in flight was sent under the
+// watermark named in the status. The status may have been delayed, so its ages are counted from the status of this
+// process that it acknowledges.
 func (n *Node) onHomeWatermarks(name string, s *statusMsg, now time.Time) {
 	_, sent, ok := n.ownStatusIn(s, now)
 	if !ok || n.leadership.Record() == nil {
@@ -96,7 +99,8 @@
 	}
 }
 
-// ownStatusIn returns which status of this process a peer had received when it sent its own, and when that was sent.
+// ownStatusIn returns the latest status of this process that a peer had received when it sent its own, and when that
+// status was sent.
 func (n *Node) ownStatusIn(s *statusMsg, now time.Time) (received receivedStatus, sent time.Time, ok bool) {
 	received, ok = s.Received[n.name]
 	if !ok || received.Incarnation != n.incarnation || !n.hasSentStatus(received.SentAt, now) {
@@ -105,8 +109,8 @@
 	return received, n.startedAt.Add(time.Duration(received.SentAt) * time.Millisecond), true
 }
 
-// hasSentStatus says whether a status of this process can have been sent by now, at a time that a peer names: milliseconds
-// since this process started.
+// hasSentStatus reports whether this process can have sent a status at the given time, which a peer names in
+// milliseconds since this process started.
 func (n *Node) hasSentStatus(at int64, now time.Time) bool {
 	return at > 0 && at <= now.Sub(n.startedAt).Milliseconds()
 }
--- a/internal/controller/leaserenewal_test.go
+++ b/internal/controller/leaserenewal_test.go
@@ -9,23 +9,23 @@
 	"topazhollow/internal/settings"
 )
 
-// ordering is a home that gets orders for one machine and its heartbeats.
-type ordering struct {
+// orderedMachine is a machine whose home receives orders for it and answers its heartbeats.
+type orderedMachine struct {
 	*grown
 	name string
 	seq  uint64
 }
 
-func newOrdering() *ordering {
+func newOrderedMachine() *orderedMachine {
 	g := newGrown(1, 1)
-	o := &ordering{grown: g, name: g.names[0], seq: 10}
+	o := &orderedMachine{grown: g, name: g.names[0], seq: 10}
 	g.n.agents.SetTerm(1, func(string) bool { return true })
 	g.submit(2, 1) // job-000001
 	return o
 }
 
-// report answers a heartbeat of the machine, which lists nothing.
-func (o *ordering) report(at time.Time) (status int, commands []protocol.Command) {
+// report sends a heartbeat of the machine without tasks, and returns the answer.
+func (o *orderedMachine) report(at time.Time) (status int, commands []protocol.Command) {
 	o.seq++
 	r := protocol.Heartbeat{Machine: o.name, Addr: "127.0.0.1:1", Type: "m32", Zone: "east", Incarnation: 1, Seq: o.seq, FencingToken: 1, Tasks: []protocol.TaskStatus{}}
 	a := o.n.encodeAnswer(o.n.answerHeartbeat(&r, at))
@@ -36,14 +36,14 @@
 	return a.Status, answer.Commands
 }
 
-func (o *ordering) order(op protocol.CommandOp) {
+func (o *orderedMachine) order(op protocol.CommandOp) {
 	o.n.agents.QueueOrders(1, o.name, []jobstate.Order{{Op: op, TaskID: jobstate.TaskID{Job: "job-000001"}, Attempt: 1, Incarnation: 1, CPUs: 1, MemoryGB: 1}})
 }
 
-// TestNoStartOfAnEndedJob: an owner that the key-value store refuses may order starts of a job that its machine's home
+// TestNoStartOfAnEndedJob: an owner that the key-value store refuses may order starts of a job that the machine's home
 // knows to be cancelled. The home sent them.
 func TestNoStartOfAnEndedJob(t *testing.T) {
-	o := newOrdering()
+	o := newOrderedMachine()
 	n := o.n
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -55,17 +55,18 @@
 	}
 	o.order(protocol.Start)
 	if n.agents.Get(o.name).HasQueuedStart() {
-		t.Error("it is queued again")
+		t.Error("the start is queued again")
 	}
 	if v := n.agents.Status(o.name); len(v.Barred) != 1 {
-		t.Errorf("its owner is not told that it was never sent: %+v", v)
+		t.Errorf("the status does not report the start as never sent: %+v", v)
 	}
 }
 
-// TestStartInFlightBoundsRenewals: an unanswered request may arrive late. Once the job of its start has ended, the agent is
-// kept alive no longer than the watermark at the sending allows, by its home and by others, who are told of it.
+// TestStartInFlightBoundsRenewals: an unanswered request may arrive late. Once the job of its start has ended, the home
+// renews the agent's lease no longer than the watermark at the time of sending allows. Other controllers get that
+// watermark with the home's status and are bound by it too.
 func TestStartInFlightBoundsRenewals(t *testing.T) {
-	o := newOrdering()
+	o := newOrderedMachine()
 	n := o.n
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -78,7 +79,7 @@
 	renews := func(after time.Duration) bool {
 		at := o.now.Add(after)
 		n.leadership.LeaseRenewed(at)
-		n.cancelWatermark.RecordRead(at) // nothing else bounds it
+		n.cancelWatermark.RecordRead(at) // renewals have no other bound
 		status, _ := o.report(at)
 		return status == 200
 	}
@@ -87,30 +88,30 @@
 	}
 	n.endJob("job-000001")
 	if renews(reach + 6*time.Second) {
-		t.Error("a machine is kept alive for which a start of a withdrawn job may arrive")
+		t.Error("a machine is kept alive although a start of a cancelled job may arrive there")
 	}
 	at := o.now.Add(reach + 7*time.Second)
 	s := n.status(at)
 	if age, ok := s.InFlightAges[o.name]; !ok || age < (reach+7*time.Second).Milliseconds() {
-		t.Errorf("the home tells of %v", s.InFlightAges)
+		t.Errorf("the home reports the ages %v", s.InFlightAges)
 	}
 	n.agents.SetTerm(2, func(string) bool { return true })
 	next := n.leadership.Record().Clone()
 	next.Term = 2
 	learnRecord(n, next)
 	if !renews(reach + 8*time.Second) {
-		t.Error("a machine is not kept alive though a raised term voids the start")
+		t.Error("a machine is not kept alive although a raised term invalidates the start")
 	}
 	n.leadership.Record().Nodes[n.name]++ // an earlier process was its home
 	n.leadership.LeaseExpired(at)
 	n.machine(o.name).HomeWatermark = time.Time{}
 	if status, _ := o.report(at.Add(2 * time.Second)); status == 200 {
-		t.Error("a process that began anew takes itself for the home that it was")
+		t.Error("a restarted process acts as the home that it was before")
 	}
 }
 
-// TestHomeWatermark: what a home says of its agents counts from this process's status that it names, less the age of what
-// it knew when it sent what may still arrive.
+// TestHomeWatermark: the age of a home's watermark counts from the status of this process that the home acknowledges,
+// plus the age of what it knew when it sent a start that may still arrive.
 func TestHomeWatermark(t *testing.T) {
 	g := newGrown(1, 1)
 	n := g.n
@@ -121,33 +122,34 @@
 	record.Unreachable = []string{n.name, "node-c"} // the home is node-b
 	learnRecord(n, record)
 	name := g.names[0]
-	said := func(from string, inFlight map[string]int64) time.Duration {
+	watermarkAge := func(from string, inFlight map[string]int64) time.Duration {
 		s := statusMsg{HeartbeatAges: map[string]int64{name: 2000}, InFlightAges: inFlight, Received: map[string]receivedStatus{n.name: {Incarnation: n.incarnation, SentAt: 50000}}}
 		n.onHomeWatermarks(from, &s, g.now)
 		return g.now.Sub(n.machine(name).HomeWatermark)
 	}
-	if got := said("node-b", nil); got != 12*time.Second {
-		t.Errorf("heard 2 s before a status that names one of 10 s ago: %v", got)
+	if got := watermarkAge("node-b", nil); got != 12*time.Second {
+		t.Errorf("heartbeat 2 s before a status that acknowledges one of 10 s ago: %v", got)
 	}
-	if got := said("node-b", map[string]int64{name: 5000}); got != 15*time.Second {
-		t.Errorf("a start sent with what was known 5 s before: %v", got)
+	if got := watermarkAge("node-b", map[string]int64{name: 5000}); got != 15*time.Second {
+		t.Errorf("a start sent under a watermark 5 s older: %v", got)
 	}
-	if got := said("node-c", nil); got != 15*time.Second {
-		t.Errorf("another one's word counts: %v", got)
+	if got := watermarkAge("node-c", nil); got != 15*time.Second {
+		t.Errorf("the status of a controller that is not the home counts: %v", got)
 	}
 }
 
-// TestOrderIsTrustedUntilARead: a job that its machine's home does not know is renewed on its owner's order, for the watch
-// may be behind. Once the store was read after the start, the job has ended, or it would be known.
+// TestOrderIsTrustedUntilARead: the lease of an agent whose task is of a job unknown to its home is renewed based on
+// the owner's order, since the watch may be behind. After a read of the store that began after the start, an unknown
+// job must have ended.
 func TestOrderIsTrustedUntilARead(t *testing.T) {
-	o := newOrdering()
+	o := newOrderedMachine()
 	n := o.n
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	o.report(o.now)
 	n.agents.QueueOrders(1, o.name, []jobstate.Order{{Op: protocol.Start, TaskID: jobstate.TaskID{Job: "job-000950"}, Attempt: 1, Incarnation: 1, CPUs: 1, MemoryGB: 1}})
 	if _, commands := o.report(o.now); len(commands) != 1 {
-		t.Fatalf("the start does not go out: %+v", commands)
+		t.Fatalf("the start is not sent: %+v", commands)
 	}
 	renews := func(at time.Time) bool {
 		o.seq++
--- a/internal/controller/owner.go
+++ b/internal/controller/owner.go
@@ -15,7 +15,8 @@
 	"topazhollow/internal/teamconfig"
 )
 
-// followOwners takes over and gives up shards as a new membership record says; member: this process is in the record.
+// followOwners takes over and gives up shards according to a new membership record. member reports whether the record
+// names this process.
 func (n *Node) followOwners(r *leadership.Record, member bool) {
 	changes := n.shards.Follow(r, n.name, member)
 	for _, shard := range changes.GivenUp {
@@ -27,7 +28,7 @@
 	}
 }
 
-// takeOwnership begins to own a shard that the membership record gives to this controller.
+// takeOwnership takes over a shard that the membership record assigns to this controller.
 func (n *Node) takeOwnership(name string) {
 	n.noteTeamTakenOver()
 	shard := n.shards.Take(shards.Takeover{
@@ -49,20 +50,20 @@
 	n.startLoad(shard)
 }
 
-// startLoad begins to load a shard, in place of a load that is under way.
+// startLoad starts to load a shard and supersedes a load in progress.
 func (n *Node) startLoad(shard *shards.Owned) {
 	load := shard.BeginLoad()
 	n.group.Go(func() error {
-		n.load(n.ctx, shard, load)
+		n.loadShard(n.ctx, shard, load)
 		return nil
 	})
 }
 
-// reload has shards that are not ready yet read the roster again, now that it names every machine that
-// may run something from before a loss of data. The machines that such a shard awaits were taken from a roster that
-// lacked some, and the record that calls it complete may be known here before the lists that complete it: an
-// owner that started after the loss once awaited no machine and started tasks again that were running.
-func (n *Node) reload() {
+// reloadShards makes shards that are not ready read the roster again after it became complete, that is, after it names
+// every machine that may run tasks from before a loss of data. Such a shard awaits the machines of an incomplete
+// roster, and the record that marks the roster complete may arrive before the roster lists do. Without the reload, an
+// owner that started after a loss awaited no machine and started tasks again that were running.
+func (n *Node) reloadShards() {
 	for shard := range n.shards.All() {
 		if shard.Reload() {
 			n.startLoad(shard)
@@ -70,7 +71,7 @@
 	}
 }
 
-// quotaLimits are a team's limits as its account takes them.
+// quotaLimits converts a team's limits to the type used by jobstate.
 func quotaLimits(limits teamconfig.Limits) jobstate.Limits {
 	return jobstate.Limits{
 		Guaranteed: jobstate.Resources{CPUs: limits.CPUs, GPUs: limits.GPUs},
@@ -78,7 +79,7 @@
 	}
 }
 
-// newTeam is the account of a shard's jobs, with the limits that its team has now.
+// newTeam returns the state of a shard's jobs and assignments, with the current limits of its team.
 func (n *Node) newTeam(name string, rep *jobstate.Replica, term uint64) *jobstate.Team {
 	log := func(event string, args ...any) { n.log.Debug(event, append(args, "shard", name)...) }
 	team, _ := shards.TeamOf(name)
@@ -91,13 +92,12 @@
 	return jobstate.NewTeam(name, jobstate.Limits{}, rep, term, log)
 }
 
-// load learns from the state service what a new owner needs. One in sync knows
-// the team's progress already and begins with the jobs that it followed, even if
-// the state service does not answer; one that is not must know every job and
-// machine that was there before it took over.
-func (n *Node) load(ctx context.Context, shard *shards.Owned, load int) {
+// loadShard reads what a new owner needs from the state service. An owner whose replica is in sync knows the team's
+// progress already and begins with the jobs that it watched, even if the state service does not answer. One that is not
+// in sync must know every job and machine from before the takeover.
+func (n *Node) loadShard(ctx context.Context, shard *shards.Owned, load int) {
 	for ctx.Err() == nil {
-		if !n.beginUnread(shard, load) || shard.IsFleet() {
+		if !n.beginWithoutStore(shard, load) || shard.IsFleet() {
 			return
 		}
 		err := n.loadPages(ctx, shard, load)
@@ -109,8 +109,9 @@
 	}
 }
 
-// beginUnread begins a shard that need not wait for the state service; false if the load does not count any more.
-func (n *Node) beginUnread(shard *shards.Owned, load int) bool {
+// beginWithoutStore enters the barrier of a shard that need not wait for the state service. It returns false if the
+// load was superseded.
+func (n *Node) beginWithoutStore(shard *shards.Owned, load int) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if !n.shards.Owns(shard) || !shard.LoadIsCurrent(load) {
@@ -122,7 +123,7 @@
 	return true
 }
 
-// loadPages reads the state service up to now, and the shard's pages of finished tasks.
+// loadPages reads all changes of the state service up to now, and the shard's pages of finished tasks.
 func (n *Node) loadPages(ctx context.Context, shard *shards.Owned, load int) error {
 	if err := n.waitForChanges(ctx); err != nil {
 		return err
@@ -139,7 +140,7 @@
 	return nil
 }
 
-// pagesLoaded takes in the pages of finished tasks, after which they can be written.
+// pagesLoaded applies the pages of finished tasks that were read; from then on they can be written.
 func (n *Node) pagesLoaded(shard *shards.Owned, pages []protocol.Entry) {
 	if !n.shards.Owns(shard) {
 		return
@@ -159,8 +160,8 @@
 	n.wake()
 }
 
-// enterBarrier begins a shard with the jobs and machines known by now, and the finished
-// tasks that the state service has.
+// enterBarrier starts a shard's barrier with the jobs and machines known by now and the finished tasks read from the
+// state service.
 func (n *Node) enterBarrier(shard *shards.Owned, done map[string]*bitset.BitSet) {
 	if shard.IsFleet() {
 		shard.StartFleet()
@@ -177,8 +178,8 @@
 	n.wake()
 }
 
-// knownMachines lists all machines that an earlier owner may have started something on: those on the roster, and
-// while that may lack some, those that are remembered or that the cloud lists.
+// knownMachines returns all machines on which an earlier owner may have started tasks: those on the roster and, while
+// it may be incomplete, those remembered from before the loss and those that the cloud lists.
 func (n *Node) knownMachines() iter.Seq[string] {
 	return func(yield func(string) bool) {
 		lists := []iter.Seq[string]{slices.Values(n.roster.All())}
@@ -195,7 +196,7 @@
 	}
 }
 
-// addJob has an own team take up an active job; done are the finished tasks that the state service has.
+// addJob adds an active job to the team of an owned shard; done are its finished tasks in the state service.
 func (n *Node) addJob(shard *shards.Owned, j *job, done *bitset.BitSet) {
 	shard.Team().AddJob(j.spec, j.version, j.submittedAt, done)
 	shard.Team().Job(j.spec.UID).SetObjectives(n.objectives(j))
--- a/internal/controller/promise_test.go
+++ b/internal/controller/promise_test.go
@@ -11,12 +11,11 @@
 	"topazhollow/internal/settings"
 )
 
-// TestPromiseModel lets three controllers exchange statuses that arrive late, in
-// order, while renewals fail or work and processes restart without memory. It
-// guards what the exception from the lease rests on: while one holds the promises
-// of all others, none of them may raise the term.
+// TestPromiseModel lets three controllers exchange statuses that arrive late but in order, while lease renewals fail or
+// succeed and processes restart without state. A controller may act without a lease while it holds the promises of all
+// others, so during that time none of them may raise the term.
 func TestPromiseModel(t *testing.T) {
-	type letter struct {
+	type statusInFlight struct {
 		from, to int
 		inc      uint64
 		body     statusMsg
@@ -46,7 +45,7 @@
 		for i := range names {
 			start(i)
 		}
-		var flying []letter
+		var inFlight []statusInFlight
 		for range 1500 {
 			now = now.Add(time.Duration(rng.IntN(60)) * time.Millisecond)
 			i := rng.IntN(3)
@@ -69,17 +68,17 @@
 				body := nodes[i].status(now)
 				for to := range nodes {
 					if to != i {
-						flying = append(flying, letter{i, to, nodes[i].incarnation, body, now.Add(time.Duration(rng.IntN(600)) * time.Millisecond)})
+						inFlight = append(inFlight, statusInFlight{i, to, nodes[i].incarnation, body, now.Add(time.Duration(rng.IntN(600)) * time.Millisecond)})
 					}
 				}
 			default:
-				for k, l := range flying {
+				for k, l := range inFlight {
 					if !now.Before(l.at) {
-						flying = append(flying[:k:k], flying[k+1:]...)
+						inFlight = append(inFlight[:k:k], inFlight[k+1:]...)
 						n := nodes[l.to]
 						p := n.peers[names[l.from]]
 						if l.inc < p.incarnation {
-							break // links drop lines of older processes
+							break // links drop messages of earlier processes
 						}
 						if p.incarnation != l.inc {
 							p.incarnation, p.statusSentAt = l.inc, 0
@@ -105,6 +104,6 @@
 		}
 	}
 	if held == 0 {
-		t.Fatal("nobody ever held all promises")
+		t.Fatal("no controller ever held all promises")
 	}
 }
--- a/internal/controller/record.go
+++ b/internal/controller/record.go
@@ -11,7 +11,8 @@
 	"topazhollow/internal/protocol"
 )
 
-// learnRecord judges a membership record as the state service has it under a version.
+// learnRecord processes a membership record that was read from the state service with the given version: it adopts the
+// record, or suspects a loss.
 func (n *Node) learnRecord(r *leadership.Record, version uint64) {
 	switch n.leadership.CompareRecord(r, version) {
 	case leadership.RecordFollows:
@@ -26,7 +27,7 @@
 	}
 }
 
-// adopt makes a record the one known, and carries out what that changes.
+// adopt replaces the known membership record and applies what changes with it.
 func (n *Node) adopt(r *leadership.Record, version uint64) {
 	now := time.Now()
 	changes := n.leadership.Adopt(r, version, now)
@@ -46,16 +47,16 @@
 		n.epochEntered(r)
 	}
 	if changes.RosterCompleted {
-		n.reload()
+		n.reloadShards()
 	}
 	n.followOwners(r, n.leadership.IsMember())
-	if changes.TermChanged { // the shards are those of this record now
+	if changes.TermChanged { // followOwners has applied the shards of this record
 		n.publishAllStatuses()
 	}
 	n.wake()
 }
 
-// endCommandSenders ends the goroutines that send commands to machines whose home is another controller now.
+// endCommandSenders stops the goroutines that send commands to machines whose home is now another controller.
 func (n *Node) endCommandSenders() {
 	for name, sender := range n.commandSenders {
 		if n.agents.Get(name) == nil {
@@ -65,14 +66,14 @@
 	}
 }
 
-// publishAllStatuses has the status of each machine told to the peers under the new term.
+// publishAllStatuses sends the status of each machine homed here to the peers under the new term.
 func (n *Node) publishAllStatuses() {
 	for _, name := range slices.Sorted(maps.Keys(n.agents.All())) {
 		n.publishStatus(name)
 	}
 }
 
-// readRecord reads the membership record now, as something says that it has changed.
+// readRecord reads the membership record from the state service and applies it.
 func (n *Node) readRecord(ctx context.Context) error {
 	e, err := n.kvStore.GetControl(ctx, recordKey)
 	if err != nil || e == nil {
@@ -84,7 +85,7 @@
 	return nil
 }
 
-// requestRecordRead has the membership record read soon.
+// requestRecordRead requests an asynchronous read of the membership record.
 func (n *Node) requestRecordRead() {
 	select {
 	case n.recordReadRequests <- struct{}{}:
--- a/internal/controller/recordchange.go
+++ b/internal/controller/recordchange.go
@@ -12,24 +12,24 @@
 	"topazhollow/internal/settings"
 )
 
-// How the membership record changes: each controller looks many times a second whether it should, writes the next
-// record under the version of the one before, and begins anew with what another one wrote meanwhile.
-// internal/leadership decides.
+// Changes of the membership record: each controller checks periodically whether it should change the record, writes the
+// next one under the condition that the version is unchanged, and after a conflict starts over from the record that
+// another controller wrote. The decisions are made in internal/leadership.
 
-// Times of the duty that changes the record.
+// Timing of record changes.
 const (
 	changeCheckInterval  = 100 * time.Millisecond
 	recordReadRetryAfter = 200 * time.Millisecond
 )
 
-// proposedRecord is a change of the membership record on its way to the state service.
+// proposedRecord is a change of the membership record that is being written to the state service.
 type proposedRecord struct {
 	*leadership.RecordChange
-	epochKeyVersion uint64 // of the key of the state service's epoch; 0 if it is not known
+	epochKeyVersion uint64 // version of the epoch key; 0: not known
 }
 
-// changeRecord is the duty that changes the membership record, when members come or go and for this controller's own
-// shards, and that reads it when something says that it has changed.
+// changeRecord is the background task that writes changes of the membership record, when members join or leave and for
+// the shards owned here, and reads the record on request.
 func (n *Node) changeRecord(ctx context.Context) error {
 	started := time.Now()
 	ticker := time.NewTicker(changeCheckInterval)
@@ -49,8 +49,8 @@
 	}
 }
 
-// tryChange proposes a change. What prevented it is read, and after a conflict about own shards others get time for
-// theirs.
+// tryChange proposes a change. If that fails, it reads the record again; after a conflict about the shards owned here,
+// it also backs off so that other controllers can write theirs.
 func (n *Node) tryChange(ctx context.Context, change *proposedRecord, backoff *leadership.Backoff) {
 	err := n.propose(ctx, change)
 	if err == nil {
@@ -66,14 +66,14 @@
 	}
 }
 
-// readRecordOrPause reads the membership record, and waits a moment if it cannot be read.
+// readRecordOrPause reads the membership record and sleeps briefly if the read fails.
 func (n *Node) readRecordOrPause(ctx context.Context) {
 	if err := n.readRecord(ctx); err != nil {
 		sleep(ctx, recordReadRetryAfter)
 	}
 }
 
-// nextChange is what this controller should try to write now; nil for nothing.
+// nextChange returns the change that this controller should write now; nil: none.
 func (n *Node) nextChange(started time.Time) *proposedRecord {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -85,7 +85,7 @@
 		return nil
 	}
 	if change.Reason == leadership.OwnShards {
-		n.shardsChanging(change)
+		n.beginShardChange(change)
 	}
 	proposed := &proposedRecord{RecordChange: change}
 	if record := n.leadership.Record(); record != nil {
@@ -94,9 +94,9 @@
 	return proposed
 }
 
-// shardsChanging has the own shards heed a change of them that is on its way: what is handed over starts nothing more,
-// and replicas that are to be in sync are waited for.
-func (n *Node) shardsChanging(change *leadership.RecordChange) {
+// beginShardChange prepares the owned shards for a change that is about to be written: a shard that is handed over
+// starts nothing more, and the replicas that the change marks as in sync have to acknowledge from now on.
+func (n *Node) beginShardChange(change *leadership.RecordChange) {
 	for _, name := range change.HandedOver {
 		n.shards.Owned(name).BeginHandOver()
 	}
@@ -107,7 +107,7 @@
 	}
 }
 
-// transaction writes the record if nothing that it rests on has changed.
+// transaction returns the write of the record, conditional on everything that the change is based on.
 func (p *proposedRecord) transaction() protocol.Txn {
 	epochKey := datarecovery.EpochKey + p.Record.StoreID
 	txn := protocol.Txn{
@@ -127,7 +127,7 @@
 	return txn
 }
 
-// propose tries to write a record, and adopts it if that worked.
+// propose tries to write a record, and adopts it if the write succeeded.
 func (n *Node) propose(ctx context.Context, p *proposedRecord) error {
 	revision, failed, err := n.kvStore.CommitControl(ctx, p.transaction())
 	n.log.Info("membership record proposed", "term", p.Record.Term, "reason", p.Why(), "err", err, "failed", failed)
@@ -148,7 +148,7 @@
 	return err
 }
 
-// recordSurroundings is the controller as leadership.NextChange asks for it.
+// recordSurroundings implements leadership.Surroundings, the view of the controller that leadership.NextChange uses.
 type recordSurroundings struct{ node *Node }
 
 var _ leadership.Surroundings = recordSurroundings{}
--- a/internal/controller/recordsync.go
+++ b/internal/controller/recordsync.go
@@ -8,7 +8,7 @@
 	"topazhollow/internal/protocol"
 )
 
-// sendNewerRecord sends the membership record to a peer that has known an earlier one for a while.
+// sendNewerRecord sends the membership record to a peer that has had an earlier one for some time.
 func (n *Node) sendNewerRecord(name string, s *statusMsg, now time.Time) {
 	version := n.leadership.RecordVersion()
 	behind := s.RecordVersion != nil && *s.RecordVersion < version && s.Store.Epoch == n.leadership.Epoch() && n.trusted()
@@ -17,7 +17,7 @@
 	}
 }
 
-// onRecord learns a membership record that a peer sends, if it is newer than the one known here and of the same epoch.
+// onRecord processes a membership record sent by a peer, if it is newer than the known one and of the same epoch.
 func (n *Node) onRecord(m *recordMsg) {
 	if m.Version <= n.leadership.RecordVersion() || n.leadership.Record() == nil || !n.trusted() {
 		return
--- a/internal/controller/recovery.go
+++ b/internal/controller/recovery.go
@@ -10,11 +10,12 @@
 	"topazhollow/internal/settings"
 )
 
-// What the state service acknowledged may be gone: its data lost, or set back to what they were.
-// docs/data-recovery.md tells how that is detected, agreed on and mended. internal/datarecovery decides; the files
+// The state service may lose data that it acknowledged, or be reset to an earlier state. docs/data-recovery.md
+// describes how that is detected, agreed on and repaired. internal/datarecovery makes the decisions; the files
 // recovery*.go connect it to the controller: they hold the lock, read the clock and do the I/O.
 
-// recoveryState is what a controller knows of its state service, and of what must survive it. Node.mu guards it.
+// recoveryState is what a controller knows about its state service and about the data that has to survive a loss there.
+// Node.mu guards it.
 type recoveryState struct {
 	detection *datarecovery.Detection
 	gathering *datarecovery.Gathering
@@ -22,9 +23,9 @@
 	census    *datarecovery.Census
 	facts     factReplication
 
-	ownKeyWritten  bool               // the own presence is thought to be in the state service
-	ownKeyOutdated chan struct{}      // wakes the duty that renews the lease
-	restartWatch   context.CancelFunc // ends the watch that is open
+	ownKeyWritten  bool               // this controller's presence key is assumed to be in the state service
+	ownKeyOutdated chan struct{}      // wakes maintainLease
+	restartWatch   context.CancelFunc // cancels the open watch
 }
 
 func newRecoveryState(s *settings.Settings, incarnation uint64, leaseLife time.Duration) *recoveryState {
@@ -43,18 +44,18 @@
 }
 
 const (
-	// storeCheckInterval is how often a controller that does not trust its store looks what to do;
-	// one that does looks trustedCheckFactor times less often.
+	// storeCheckInterval is how often a controller that does not trust its store decides what to do; one that does
+	// checks trustedCheckFactor times less often.
 	storeCheckInterval = 50 * time.Millisecond
 	trustedCheckFactor = 4
-	// relistRetryDelay is after what time a list of keys that failed may be asked for again.
+	// relistRetryDelay is the delay before a failed list of the keys is retried.
 	relistRetryDelay = 100 * time.Millisecond
-	// maxJobsNotFound bounds what is remembered of jobs that nobody can describe.
+	// maxJobsNotFound bounds the number of jobs remembered because their look-up found nothing.
 	maxJobsNotFound = 1000
 )
 
-// monitorStore is the duty that looks whether the store has what it acknowledged, and mends
-// what it lost.
+// monitorStore is the background task that checks whether the store still has what it acknowledged, and recovers what
+// it lost.
 func (n *Node) monitorStore(ctx context.Context) error {
 	n.mu.Lock()
 	n.recovery.detection.Started(time.Now())
@@ -71,6 +72,7 @@
 	return nil
 }
 
+// decideOnStore returns the decision of the detection and advances the recovery.
 func (n *Node) decideOnStore(now time.Time) datarecovery.Decision {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -82,6 +84,7 @@
 	return decision
 }
 
+// performStoreTask carries out a task of the detection.
 func (n *Node) performStoreTask(ctx context.Context, task datarecovery.Task) {
 	switch task {
 	case datarecovery.TaskConfirmSuspicion:
@@ -93,18 +96,18 @@
 	case datarecovery.TaskRefreshRecord:
 		n.checkLaterTerm(ctx)
 	case datarecovery.TaskPeriodicCompare:
-		n.compareRegularly(ctx)
+		n.comparePeriodically(ctx)
 	case datarecovery.TaskNone:
 	}
 }
 
-// continueRecovery does what is left to do in an epoch that followed a loss, and keeps what is remembered for the
-// next one within bounds.
+// continueRecovery performs the remaining steps in an epoch that followed a loss, and bounds what is remembered for the
+// next one.
 func (n *Node) continueRecovery(now time.Time) {
 	if !n.trusted() || n.leadership.Record() == nil {
 		return
 	}
-	n.endLookUps.ForgetFailures(maxJobsNotFound) // they only spare looking the same job up again
+	n.endLookUps.ForgetFailures(maxJobsNotFound) // the failures only avoid repeated look-ups of the same job
 	n.recovery.gathering.ExpireProposedJobs(now)
 	if n.recovery.gathering.SendDue(now, func() bool { return n.allPeersExchanged(now) }) {
 		n.sendRetainedState(true, n.peerNames()...)
@@ -117,16 +120,15 @@
 	n.writeBackEnds()
 }
 
-// trusted says whether what the store answers counts: nobody saw a sign that it lost
-// anything since it was read.
+// trusted reports whether the store's answers can be relied on: no sign of loss was seen since the store was read.
 func (n *Node) trusted() bool { return n.recovery.detection.Trusted() }
 
-// storeAssessment is what peers are told of the store.
+// storeAssessment returns the view of the store that is sent to peers.
 func (n *Node) storeAssessment() datarecovery.Assessment {
 	return n.recovery.detection.Assessment(n.leadership.Record(), n.kvStore.LastRevision())
 }
 
-// storeStatus is what operators are told of the store.
+// storeStatus returns the view of the store for the overview.
 func (n *Node) storeStatus() datarecovery.Status {
 	detection := n.recovery.detection
 	phase, _, sign := detection.Phase()
@@ -150,10 +152,11 @@
 	return status
 }
 
-// maxUndescribed bounds the jobs that nobody can describe of which operators are told.
+// maxUndescribed bounds the list of jobs without a known specification in the overview.
 const maxUndescribed = 100
 
-// undescribedJobs lists the jobs from before a loss that machines run and nobody can describe.
+// undescribedJobs lists the jobs from before a loss that run on machines although no controller knows their
+// specification.
 func (n *Node) undescribedJobs() []string {
 	var jobs []string
 	for _, m := range n.machines {
--- a/internal/controller/recovery_census.go
+++ b/internal/controller/recovery_census.go
@@ -11,14 +11,14 @@
 	"topazhollow/internal/shards"
 )
 
-// The census of machines in an epoch that followed a loss: whom barriers wait for, and when the roster is complete
-// again.
+// The machine census of an epoch that followed a loss determines which machines barriers await and when the roster is
+// complete again.
 
-// censusCheckInterval is how often it is looked whether the cloud's list is to be read.
+// censusCheckInterval is the time between two checks whether to read the cloud's list.
 const censusCheckInterval = 200 * time.Millisecond
 
-// runMachineCensus is the duty that reads the cloud's list once it must name every machine that was rented
-// before the epoch began. The roster may have lost some of them.
+// runMachineCensus is the background task that reads the cloud's list as soon as it must name every machine that was
+// rented before the epoch began. The roster may have lost some of them.
 func (n *Node) runMachineCensus(ctx context.Context) error {
 	for sleep(ctx, censusCheckInterval) {
 		entered, due := n.censusDue(time.Now())
@@ -39,7 +39,7 @@
 	return nil
 }
 
-// censusDue says whether the cloud's list is to be read, and when the epoch that it is for was entered.
+// censusDue reports whether to read the cloud's list now, and when the epoch that it is read for was entered.
 func (n *Node) censusDue(now time.Time) (entered time.Time, due bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -49,8 +49,8 @@
 	return census.EnteredAt(), due
 }
 
-// applyCensus takes in the cloud's list. A machine that is still booting in a list that old has run
-// nothing before the loss.
+// applyCensus applies the cloud's list. A machine that is still booting in a list read this late cannot have run
+// anything before the loss.
 func (n *Node) applyCensus(hosts []protocol.Host) {
 	var listed []string
 	addrs := map[string]protocol.Host{}
@@ -64,16 +64,16 @@
 			n.registration.Want(h.UID)
 		}
 	}
-	n.recovery.census.Take(listed)
+	n.recovery.census.RecordListed(listed)
 	awaited := n.awaitListedMachines()
 	count, remembered := n.recovery.census.Counts()
-	n.log.Info("machines counted", "listed", count, "remembered", remembered, "awaited", len(awaited))
+	n.log.Info("machine census taken", "listed", count, "remembered", remembered, "awaited", len(awaited))
 	n.probeAwaited(addrs, awaited)
 	n.wake()
 }
 
-// awaitListedMachines has barriers wait for the machines that the cloud listed too. It returns whom any barrier
-// waits for.
+// awaitListedMachines adds the machines that the cloud listed to those that barriers await. It returns all machines
+// that any barrier awaits.
 func (n *Node) awaitListedMachines() map[string]bool {
 	awaited := map[string]bool{}
 	for shard := range n.shards.All() {
@@ -89,10 +89,9 @@
 	return awaited
 }
 
-// rosterComplete says whether every machine that may run something from before the loss is
-// on the roster again.
+// rosterComplete reports whether every machine that may run tasks from before the loss is on the roster again.
 func (n *Node) rosterComplete() bool {
-	if !n.recovery.census.Taken() {
+	if !n.recovery.census.ListRead() {
 		return false
 	}
 	accounted := func(name string) bool {
@@ -106,9 +105,9 @@
 	return true
 }
 
-// runsUndescribedJob says whether a machine runs a task from before a loss of a job that nobody can
-// describe. Nothing is placed beside it, since nobody knows what it takes; that stays so
-// when the search for what was lost has been given up.
+// runsUndescribedJob reports whether a machine runs a task from before a loss whose job specification no controller
+// knows. Nothing is placed on such a machine, since the resources of that task are unknown; this holds even after the
+// search for the lost data has been given up.
 func (n *Node) runsUndescribedJob(v *jobstate.MachineStatus) bool {
 	if n.leadership.Epoch() <= 1 {
 		return false
--- a/internal/controller/recovery_detect.go
+++ b/internal/controller/recovery_detect.go
@@ -18,14 +18,13 @@
 	"topazhollow/internal/userapi"
 )
 
-// Detection of a loss of data: signs and proofs of it, and comparisons of what the store acknowledged with what it
-// has.
+// Detection of a loss of data: signs and proofs of it, and comparisons of what the store acknowledged with what it has.
 
-// storeReportsLoss takes in a sign of loss that the store's client found.
-func (n *Node) storeReportsLoss(sign string) { n.suspectLossLater(datarecovery.Sign(sign)) }
+// storeReportsLoss processes a sign of loss that the store's client found.
+func (n *Node) storeReportsLoss(sign string) { n.suspectLossAsync(datarecovery.Sign(sign)) }
 
-// suspectLossLater takes in a sign of loss. It may be called with the lock or without.
-func (n *Node) suspectLossLater(sign datarecovery.Sign) {
+// suspectLossAsync calls suspectLoss in the background. It may be called with or without the lock held.
+func (n *Node) suspectLossAsync(sign datarecovery.Sign) {
 	n.group.Go(func() error {
 		n.mu.Lock()
 		defer n.mu.Unlock()
@@ -34,7 +33,7 @@
 	})
 }
 
-// suspectLoss takes in a sign of loss: nothing is acknowledged or started until it was looked into.
+// suspectLoss records a sign of loss: nothing is acknowledged or started until it was checked.
 func (n *Node) suspectLoss(sign datarecovery.Sign) {
 	if n.recovery.detection.Suspect(sign, time.Now()) {
 		n.log.Info("data loss suspected", "sign", sign, "epoch", n.leadership.Epoch(), "revision", n.followedRevision)
@@ -42,22 +41,22 @@
 	}
 }
 
-// proveLoss takes in evidence of a loss that no answer of the store shows.
+// proveLoss records a proof of a loss that the store's own answers do not show.
 func (n *Node) proveLoss(proof datarecovery.Sign) {
 	if n.recovery.detection.Prove(proof) {
 		n.suspectLoss(proof)
 	}
 }
 
-// observeFencingToken takes in a worker's fencing token: proof of a loss if the store never gave it out.
+// observeFencingToken checks a worker's fencing token: a token that the store never issued proves a loss.
 func (n *Node) observeFencingToken(token uint64) {
 	if proof := n.recovery.detection.ObserveFencingToken(token, n.leadership.Record()); proof != "" {
 		n.proveLoss(proof)
 	}
 }
 
-// verifyUnlistedJob looks up the end of a job whose key is not in a full list. It has one, unless
-// the store lost the job.
+// verifyUnlistedJob looks up the end of a job whose key is not in a full list. The job has one, unless the store lost
+// the job.
 func (n *Node) verifyUnlistedJob(uid string, j *job) {
 	n.group.Go(func() error {
 		_, _, absent := n.front.LookUpEndOrAbsence(n.ctx, uid)
@@ -72,10 +71,10 @@
 	})
 }
 
-// checkUnregistered takes in a worker's heartbeat while its machine is on no list: proof of a loss if
-// it has tasks, since a machine is registered before the first start. One heartbeat may have
-// been held up on its way from a machine that is gone by now; one that reports again is
-// there, and a read that began after its first heartbeat must know it.
+// checkUnregistered processes the heartbeat of a worker whose machine is not on the roster. If it has tasks, that
+// proves a loss, since a machine is registered before the first start. A single heartbeat is not enough: it may have
+// been delayed on its way from a machine that is gone by now. A machine that reports again exists, and a read of the
+// store that began after its first heartbeat must include it.
 func (n *Node) checkUnregistered(r *protocol.Heartbeat, m *machine, now time.Time) {
 	settle := settings.Seconds(n.settings.Deployment.Agents.HeartbeatSeconds / 2)
 	if m.unregistered.Record(n.runsTasksOfThisStore(r), now, n.cancelWatermark.LastRead(), settle) {
@@ -83,8 +82,9 @@
 	}
 }
 
-// probeUnregistered asks a machine that is on no list whether it is there. Two heartbeats are no proof: copies of
-// what a machine sent that was returned long ago may come one after the other to a process that never knew it.
+// probeUnregistered checks by a request that a machine which is not on the roster exists. Two heartbeats are no proof:
+// delayed copies of heartbeats from a machine that was returned long ago may arrive one after the other at a process
+// that never knew it.
 func (n *Node) probeUnregistered(name, addr string, m *machine) {
 	if !m.unregistered.BeginProbe(time.Now(), probeTimeout) {
 		return
@@ -105,7 +105,8 @@
 	})
 }
 
-// runsTasksOfThisStore says whether a machine has tasks that were started since this store began.
+// runsTasksOfThisStore reports whether a machine has tasks that were started since the epoch of the current store
+// began.
 func (n *Node) runsTasksOfThisStore(r *protocol.Heartbeat) bool {
 	return slices.ContainsFunc(r.Tasks, func(t protocol.TaskStatus) bool {
 		return t.State != protocol.Exited && jobstate.TermOf(t.Attempt) >= n.leadership.Record().FirstTerm
@@ -118,15 +119,15 @@
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if n.recovery.detection.Compared(outcome, time.Now()) {
-		n.log.Info("state service has what it acknowledged")
+		n.log.Info("no data loss: the state service has all compared keys")
 	}
 }
 
-// compareRegularly compares acknowledged keys while nothing is suspected.
-func (n *Node) compareRegularly(ctx context.Context) {
+// comparePeriodically performs one periodic comparison of acknowledged keys while no loss is suspected.
+func (n *Node) comparePeriodically(ctx context.Context) {
 	outcome := n.compareAcknowledged(ctx)
 	if outcome == datarecovery.Missing {
-		n.suspectLossLater(datarecovery.SignAcknowledgedGone)
+		n.suspectLossAsync(datarecovery.SignAcknowledgedGone)
 		return
 	}
 	n.mu.Lock()
@@ -134,8 +135,8 @@
 	n.recovery.detection.PeriodicCompared(outcome)
 }
 
-// checkLaterTerm reads the membership record when somebody knows a later term. The record may only be late here: a
-// read that begins now settles it.
+// checkLaterTerm reads the membership record again when somebody knows a later term. The record known here may just be
+// out of date; a read that begins now settles that.
 func (n *Node) checkLaterTerm(ctx context.Context) {
 	if n.readRecord(ctx) != nil {
 		return
@@ -147,10 +148,10 @@
 	}
 }
 
-// comparedJobs is how many jobs a comparison covers.
+// comparedJobs is the maximum number of jobs in one comparison.
 const comparedJobs = 8
 
-// acknowledgedKeys are keys that must have the versions known here, or have changed since.
+// acknowledgedKeys returns keys that must have the versions known here unless they were changed since.
 func (n *Node) acknowledgedKeys() map[string]uint64 {
 	keys := map[string]uint64{}
 	if n.leadership.RecordVersion() > 0 {
@@ -171,7 +172,7 @@
 	return keys
 }
 
-// knownVersion is the version that a followed key has as far as known here, 0 for none.
+// knownVersion returns the version of a watched key according to the changes applied here; 0: the key does not exist.
 func (n *Node) knownVersion(key string) uint64 {
 	switch {
 	case key == recordKey:
@@ -191,8 +192,8 @@
 	return 0
 }
 
-// compareAcknowledged asks the store whether it has what it acknowledged. What it does not have must
-// have been changed, as a read of the changes tells.
+// compareAcknowledged compares acknowledged keys with the store. A key with another version must have been changed,
+// which a read of the changes shows.
 func (n *Node) compareAcknowledged(ctx context.Context) datarecovery.Comparison {
 	plan, outcome, ready := n.planComparison()
 	if !ready {
@@ -206,16 +207,17 @@
 		n.lossSeenHere()
 		return datarecovery.Missing
 	case (err == nil || conflict) && revision < plan.SeenRevision:
-		n.log.Info("a peer has seen a later revision", "seen", plan.SeenRevision, "revision", revision)
+		n.log.Info("state service is behind a revision that a peer has seen", "seen", plan.SeenRevision, "revision", revision)
 		return datarecovery.Missing
 	case err == nil:
 		return datarecovery.Intact
 	case !conflict:
 		return datarecovery.Unanswered
 	}
-	return n.judgeFailedKeys(ctx, plan, failed)
+	return n.evaluateFailedKeys(ctx, plan, failed)
 }
 
+// planComparison returns the next comparison, or its outcome if that is known without a request.
 func (n *Node) planComparison() (plan datarecovery.ComparisonPlan, outcome datarecovery.Comparison, ready bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -224,8 +226,8 @@
 	return plan, outcome, ready
 }
 
-// judgeFailedKeys reads all changes, and judges the keys that a comparison did not find by them.
-func (n *Node) judgeFailedKeys(
+// evaluateFailedKeys reads all changes and decides from them whether the keys that failed the comparison are missing.
+func (n *Node) evaluateFailedKeys(
 	ctx context.Context, plan datarecovery.ComparisonPlan, failed []string,
 ) datarecovery.Comparison {
 	n.mu.Lock()
@@ -242,24 +244,24 @@
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.applyChanges(changes, began)
-	judged := n.recovery.detection.JudgeFailedKeys(plan, failed, n.leadership.Presence(n.name).Version, n.knownVersion)
+	judged := n.recovery.detection.EvaluateFailedKeys(plan, failed, n.leadership.Presence(n.name).Version, n.knownVersion)
 	if judged.OwnKeyGone {
 		n.rewriteOwnKey()
 	}
 	if judged.MissingKey != "" {
-		n.log.Info("acknowledged key is not there", "key", judged.MissingKey, "version", plan.Keys[judged.MissingKey])
+		n.log.Info("acknowledged key is missing", "key", judged.MissingKey, "version", plan.Keys[judged.MissingKey])
 	}
 	return judged.Comparison
 }
 
-// lossSeenHere books that what this process itself had seen shows the loss.
+// lossSeenHere records that this process saw the loss itself.
 func (n *Node) lossSeenHere() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.recovery.detection.LossSeenHere()
 }
 
-// rewriteOwnKey has the duty that renews the lease write the own key again.
+// rewriteOwnKey makes maintainLease write this controller's presence key again.
 func (n *Node) rewriteOwnKey() {
 	n.recovery.ownKeyWritten = false
 	select {
@@ -268,7 +270,7 @@
 	}
 }
 
-// lossConfirmed begins what follows once the controllers agree that the store lost data.
+// lossConfirmed starts the recovery once the controllers agree that the store lost data.
 func (n *Node) lossConfirmed() {
 	_, _, sign := n.recovery.detection.Phase()
 	active := 0
--- a/internal/controller/recovery_epoch.go
+++ b/internal/controller/recovery_epoch.go
@@ -16,11 +16,10 @@
 	"topazhollow/internal/userapi"
 )
 
-// Epochs of the state service's data: full lists of its keys, entering the epoch that they are of, and proposing the
-// next one after a loss.
+// Epochs of the state service's data: full lists of its keys, entering their epoch, and proposing the next epoch after
+// a loss.
 
-// relistKeys reads all that is followed, to enter the epoch that is found or to know
-// what a lost store holds.
+// relistKeys lists all watched keys, to enter the epoch found there or to record what a store that lost data still has.
 func (n *Node) relistKeys(ctx context.Context) {
 	began := time.Now()
 	entries, revision, err := n.kvStore.List(ctx, userapi.WatchedPrefix)
@@ -38,7 +37,7 @@
 	}
 }
 
-// parseStoreContents finds the controllers' own keys in a full list that was read just now.
+// parseStoreContents extracts the control data from a full list that was read just now.
 func parseStoreContents(entries []protocol.Entry) datarecovery.StoreContents {
 	contents := datarecovery.StoreContents{
 		Presences: map[string]leadership.Presence{},
@@ -64,11 +63,11 @@
 	return contents
 }
 
-// applyFullList takes in a full list of the followed keys, if it is of a store that can be
-// relied on. It says whether it is.
+// applyFullList applies a full list of the watched keys if the store that it was read from is reliable, and reports
+// whether it is.
 func (n *Node) applyFullList(entries []protocol.Entry, revision uint64) bool {
 	contents := parseStoreContents(entries)
-	judgement := n.recovery.detection.JudgeList(contents, n.leadership.Record(), n.leadership.RecordVersion())
+	judgement := n.recovery.detection.EvaluateList(contents, n.leadership.Record(), n.leadership.RecordVersion())
 	if judgement.Proof != "" {
 		n.proveLoss(judgement.Proof)
 	}
@@ -89,8 +88,8 @@
 	return false
 }
 
-// enterEpoch begins to rely on the store as it was listed: at the process's start, and after a
-// loss. What is remembered stays, and is written back where the store lacks it.
+// enterEpoch starts to rely on the listed store contents, at the start of the process and after a loss. What this
+// controller remembers is kept, and is written back where the store lacks it.
 func (n *Node) enterEpoch(entries []protocol.Entry, contents datarecovery.StoreContents, revision uint64) {
 	now := time.Now()
 	if n.leadership.Record() != nil {
@@ -120,7 +119,8 @@
 	n.wake()
 }
 
-// leaveEpoch turns what is known of the store into what is remembered, as another epoch is about to be entered.
+// leaveEpoch moves what is known of the store to what is remembered from before the loss, before another epoch is
+// entered.
 func (n *Node) leaveEpoch(now time.Time) {
 	for _, name := range n.roster.All() {
 		if m := n.machines[name]; m == nil || !m.gone {
@@ -141,7 +141,7 @@
 	n.recovery.detection.LeaveEpoch()
 }
 
-// epochEntered is called when a membership record of another epoch was adopted.
+// epochEntered is called after a membership record of another epoch was adopted.
 func (n *Node) epochEntered(record *leadership.Record) {
 	n.fenceOnEpochKey()
 	if record.Epoch <= 1 {
@@ -156,7 +156,7 @@
 		}
 	}
 	n.recovery.gathering.Begin(record.Epoch, members)
-	n.leadership.RestartSettling(time.Now()) // machines did not reach their homes while nobody was entitled
+	n.leadership.RestartSettling(time.Now()) // machines could not reach their homes while no controller was entitled
 	n.unreachableHomes.ForgetAttempts()
 	for name := range n.recovery.census.Remembered() {
 		if record.Home(name) == n.name {
@@ -165,12 +165,12 @@
 	}
 }
 
-// sinceLoss is the time since the last loss was agreed on, for the log.
+// sinceLoss returns the time since the last loss was confirmed, for the log.
 func (n *Node) sinceLoss(now time.Time) time.Duration {
 	return now.Sub(n.recovery.detection.ConfirmedAt()).Round(time.Millisecond)
 }
 
-// fenceOnEpochKey has every update rest on the epoch's own key.
+// fenceOnEpochKey makes every update conditional on the epoch key.
 func (n *Node) fenceOnEpochKey() {
 	if n.leadership.Record() == nil || n.leadership.Record().StoreID == "" {
 		return
@@ -181,7 +181,7 @@
 	}
 }
 
-// proposeEpoch makes the next epoch, unless somebody has.
+// proposeEpoch creates the next epoch, unless another controller has.
 func (n *Node) proposeEpoch(ctx context.Context) {
 	n.relistKeys(ctx)
 	evidence, contents, ready := n.proposalEvidence()
@@ -196,6 +196,7 @@
 	n.relistKeys(ctx)
 }
 
+// proposalEvidence collects the evidence for the next epoch; ready is false while this controller may not propose.
 func (n *Node) proposalEvidence() (evidence datarecovery.Evidence, contents datarecovery.StoreContents, ready bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -207,7 +208,7 @@
 	return evidence, contents, ready
 }
 
-// randomStoreID is a name that nobody else draws.
+// randomStoreID returns a random ID that is unique with high probability.
 func randomStoreID() string {
 	b := make([]byte, 8)
 	for i := range b {
--- a/internal/controller/recovery_gather.go
+++ b/internal/controller/recovery_gather.go
@@ -15,27 +15,27 @@
 	"topazhollow/internal/userapi"
 )
 
-// The exchange of memories: what controllers send each other of what the state service may lack.
+// The exchange of retained state: controllers send each other what they know and the state service may lack.
 
-// Kinds of the messages of an exchange of memories. The words are part of the protocol.
+// Message kinds of the exchange of retained state. The values are part of the protocol.
 const (
 	kindRetainedState = "recall"
 	kindMissingEnds   = "recalled"
 )
 
 type (
-	// retainedStateMsg tells what the sender remembers and the store may not have.
+	// retainedStateMsg contains what the sender knows and the store may lack.
 	retainedStateMsg struct {
 		Epoch    uint64                    `json:"generation"`
-		Jobs     []userapi.ActiveJob       `json:"jobs,omitempty"`   // active, and not in the store
-		Active   []string                  `json:"active,omitempty"` // jobs that the store had, as the sender knows
-		Finished map[string]*bitset.BitSet `json:"done,omitempty"`   // finished tasks by job
+		Jobs     []userapi.ActiveJob       `json:"jobs,omitempty"`   // active, but not in the store
+		Active   []string                  `json:"active,omitempty"` // jobs that are active in the store, as far as the sender knows
+		Finished map[string]*bitset.BitSet `json:"done,omitempty"`   // finished tasks, by job
 		Ends     datarecovery.Digest       `json:"ends"`
-		Last     bool                      `json:"last"`          // message of these memories
-		Ask      bool                      `json:"ask,omitempty"` // the sender waits for the same from those who get it
+		Last     bool                      `json:"last"`          // the last message of the sender's retained state
+		Ask      bool                      `json:"ask,omitempty"` // requests the retained state of the receiver
 		Config   []teamconfig.Change       `json:"config,omitempty"`
 	}
-	// missingEndsMsg answers it: ends that the sender of the memories lacks.
+	// missingEndsMsg is the answer: the ends that the sender of the retained state lacks.
 	missingEndsMsg struct {
 		Epoch uint64             `json:"generation"`
 		Ends  *datarecovery.Page `json:"ends,omitempty"`
@@ -44,51 +44,50 @@
 )
 
 const (
-	// jobsPerMessage bounds the jobs of one message of memories.
+	// jobsPerMessage is the maximum number of jobs in one retainedStateMsg.
 	jobsPerMessage = 400
-	// endsPerMessage bounds the ends of one message, in bytes.
+	// endsPerMessage is the maximum size in bytes of the ends in one missingEndsMsg.
 	endsPerMessage = 256 << 10
-	// startupGrace is how long a process that starts may take to hear its peers. Before that, one
-	// that is not heard is not gone: it was once taken for that, and what it remembers was not
-	// waited for.
+	// startupGrace is how long a process that has just started treats every peer as possibly reachable. Without it, a
+	// peer that had not been heard from yet counted as gone, and its retained state was not awaited.
 	startupGrace = unreachableAfter + 500*time.Millisecond
-	// calledActive stands for an attempt in the look-up of a job that a peer calls active: later than any real one.
-	calledActive = 1 << 52
+	// latestAttempt is an attempt number above all real ones, for the look-up of a job that a peer reports as active.
+	latestAttempt = 1 << 52
 )
 
-// retainedStateGathered says whether every member that may be heard sent its memories, and
-// answered those of this controller.
+// retainedStateGathered reports whether every member that may be reachable has sent its retained state and answered
+// that of this controller.
 func (n *Node) retainedStateGathered(now time.Time) bool {
 	member := func(name string) bool {
 		_, there := n.leadership.Record().Nodes[name]
 		return there
 	}
-	progress := n.recovery.gathering.Progress(member, func(name string) bool { return n.mayBeHeard(name, now) })
+	progress := n.recovery.gathering.Progress(member, func(name string) bool { return n.mayBeReachable(name, now) })
 	if progress.Completed {
-		n.log.Info("memories gathered", "epoch", n.leadership.Epoch(), "since_loss", n.sinceLoss(now))
+		n.log.Info("retained state gathered", "epoch", n.leadership.Epoch(), "since_loss", n.sinceLoss(now))
 	}
 	return progress.Ready
 }
 
-// allPeersExchanged says whether every peer that may be heard sent its memories since this process
-// began to follow the store, and what it knows was looked up.
+// allPeersExchanged reports whether every peer that may be reachable has sent its retained state since this process
+// started to watch the store.
 func (n *Node) allPeersExchanged(now time.Time) bool {
 	for name := range n.peers {
-		if n.mayBeHeard(name, now) && !n.recovery.gathering.ExchangedWith(name) {
+		if n.mayBeReachable(name, now) && !n.recovery.gathering.ExchangedWith(name) {
 			return false
 		}
 	}
 	return true
 }
 
-// mayBeHeard says whether a peer is heard, or may be soon.
-func (n *Node) mayBeHeard(name string, now time.Time) bool {
+// mayBeReachable reports whether a peer is reachable, or may become so within the startup grace period.
+func (n *Node) mayBeReachable(name string, now time.Time) bool {
 	return n.peers[name].isReachable(now) || now.Sub(n.startedAt) < startupGrace
 }
 
 func (n *Node) peerNames() []string { return slices.Sorted(maps.Keys(n.peers)) }
 
-// sendRetainedState tells peers what is remembered here and the store may lack; ask has them send theirs.
+// sendRetainedState sends peers what this controller knows and the store may lack. ask requests theirs in return.
 func (n *Node) sendRetainedState(ask bool, to ...string) {
 	unwritten, written := n.activeJobs()
 	ends := n.front.EndsDigest()
@@ -116,7 +115,7 @@
 	}
 }
 
-// activeJobs are the active jobs that the store lacks, and the ids of those that it has, in the order of ids.
+// activeJobs returns the active jobs that the store lacks, and the ids of those that it has, both ordered by id.
 func (n *Node) activeJobs() (unwritten []userapi.ActiveJob, written []string) {
 	for _, uid := range slices.Sorted(maps.Keys(n.jobs)) {
 		if j := n.jobs[uid]; j.active && j.version == 0 {
@@ -128,7 +127,7 @@
 	return unwritten, written
 }
 
-// addFinishedOfWritten adds the finished tasks that are remembered of jobs that the store has.
+// addFinishedOfWritten adds the remembered finished tasks of jobs that the store has.
 func (n *Node) addFinishedOfWritten(finished map[string]*bitset.BitSet) {
 	for uid, tasks := range n.recovery.gathering.FinishedByJob() {
 		if j := n.jobs[uid]; j != nil && j.active && j.version > 0 {
@@ -137,10 +136,10 @@
 	}
 }
 
-// onRetainedState takes in a peer's memories, and answers with the ends that it lacks.
+// onRetainedState applies a peer's retained state and answers the last message of it with the ends that the peer lacks.
 func (n *Node) onRetainedState(from string, m *retainedStateMsg) {
 	if m.Epoch != n.leadership.Epoch() || !n.trusted() {
-		return // it is sent again
+		return // the peer sends it again
 	}
 	for _, s := range m.Jobs {
 		if s.Spec == nil || !protocol.ValidUID(s.Spec.UID) {
@@ -153,19 +152,19 @@
 	n.mergeFinishedTasks(m.Finished)
 	n.learnRememberedConfig(m.Config)
 	if m.Last {
-		n.completeMemories(from, m)
+		n.completeRetainedState(from, m)
 	}
 }
 
-// completeMemories takes in the last message of a peer's memories.
-func (n *Node) completeMemories(from string, m *retainedStateMsg) {
+// completeRetainedState processes the last message of a peer's retained state.
+func (n *Node) completeRetainedState(from string, m *retainedStateMsg) {
 	for _, uid := range m.Active {
 		if n.jobs[uid] == nil && !n.hasEnded(uid) {
-			// Accepted and not ended, as the sender knows: the store must have it, or its end.
-			n.lookUpEnd(uid, calledActive)
+			// The sender knows it as accepted and not ended, so the store must have the job or its end.
+			n.lookUpEnd(uid, latestAttempt)
 		}
 	}
-	n.recovery.gathering.MemoriesReceived(from)
+	n.recovery.gathering.StateReceived(from)
 	lacking, err := n.front.EndsMissingFrom(m.Ends)
 	if err != nil {
 		n.log.Error("unreadable line", "peer", from, "kind", kindRetainedState, "err", err)
@@ -175,15 +174,15 @@
 		n.links.Send(from, kindMissingEnds, missingEndsMsg{Epoch: m.Epoch, Ends: &page})
 	}
 	n.links.Send(from, kindMissingEnds, missingEndsMsg{Epoch: m.Epoch, Last: true})
-	if n.recovery.gathering.MemoriesAnswered(from) {
+	if n.recovery.gathering.StateAnswered(from) {
 		n.wake()
 	}
-	if m.Ask { // one that entered the epoch later missed what was sent then
+	if m.Ask { // the peer may have entered the epoch after the last send to all peers
 		n.sendRetainedState(false, from)
 	}
 }
 
-// onMissingEnds takes in the ends that a peer found to be missing here.
+// onMissingEnds applies ends that a peer found to be missing here.
 func (n *Node) onMissingEnds(from string, m *missingEndsMsg) {
 	if m.Ends != nil {
 		ends, err := m.Ends.Ends()
@@ -199,7 +198,7 @@
 	}
 }
 
-// learnEnds takes in ends from peers and pages.
+// learnEnds records ends received from peers or read from pages.
 func (n *Node) learnEnds(ends []datarecovery.End) {
 	for _, end := range ends {
 		n.front.RecordEnd(end.UID, userapi.JobEndFrom(end))
@@ -207,8 +206,8 @@
 	}
 }
 
-// applyRememberedEnd ends a job of whose end memory tells; if the store still has it as
-// active, its end is to be written there again.
+// applyRememberedEnd ends an active job whose end is known. If the store still has the job as active, its end has to be
+// written there again.
 func (n *Node) applyRememberedEnd(uid string) {
 	if j := n.jobs[uid]; j != nil && j.active {
 		if j.version > 0 && n.leadership.Epoch() > 1 {
@@ -218,7 +217,8 @@
 	}
 }
 
-// rememberFinishedTasks takes down the finished tasks that this controller knows as owner or replica.
+// rememberFinishedTasks merges the finished tasks that this controller knows as owner or holder of a replica into the
+// remembered ones.
 func (n *Node) rememberFinishedTasks() {
 	n.mergeFinishedTasks(n.recovery.gathering.TakeFinished())
 	for shard := range n.shards.All() {
@@ -229,8 +229,8 @@
 	}
 }
 
-// mergeFinishedTasks takes in finished tasks that were remembered elsewhere, of jobs that may
-// be known only later.
+// mergeFinishedTasks merges finished tasks into the remembered ones and into the teams owned here. Their jobs may
+// become known only later.
 func (n *Node) mergeFinishedTasks(finished map[string]*bitset.BitSet) {
 	for uid, tasks := range finished {
 		j := n.jobs[uid]
--- a/internal/controller/recovery_replicate.go
+++ b/internal/controller/recovery_replicate.go
@@ -10,48 +10,49 @@
 	"topazhollow/internal/userapi"
 )
 
-// Replication of facts before they are acknowledged: what a user is told, a peer knows by then, so that no end of a
-// single controller together with a loss of the store's data makes it forgotten.
+// Replication of facts before they are acknowledged: a peer knows what a user is told, so that a crash of a single
+// controller together with a loss of the store's data does not lose it.
 
-// Kinds of the messages that replicate facts. The words are part of the protocol.
+// Message kinds for the replication of facts. The values are part of the protocol.
 const (
 	kindReplicateFact  = "hold"
 	kindFactReplicated = "held"
 )
 
 type (
-	// replicateFactMsg asks a peer to remember a fact before a user is told of it.
+	// replicateFactMsg asks a peer to remember a fact before it is acknowledged to a user.
 	replicateFactMsg struct {
-		ID   uint64             `json:"id,omitempty"`   // 0: no answer is wanted
+		ID   uint64             `json:"id,omitempty"`   // 0: no answer is requested
 		From uint64             `json:"from,omitempty"` // number of the first of Ends among the sender's cancellations
 		Job  *userapi.ActiveJob `json:"job,omitempty"`
 		Ends []jobEnd           `json:"ends,omitempty"`
 	}
+	// jobEnd is the end of a job together with the job's id.
 	jobEnd struct {
 		UID string `json:"uid"`
 		userapi.JobEnd
 	}
-	// factReplicatedMsg answers it.
+	// factReplicatedMsg is the answer to a replicateFactMsg.
 	factReplicatedMsg struct {
 		ID uint64 `json:"id"`
 	}
 )
 
-// replicationTimeout is how long is waited for a peer to remember a fact.
+// replicationTimeout is the maximum time to wait until a peer has remembered a fact.
 const replicationTimeout = 100 * time.Millisecond
 
-// factReplication is what waits for a peer to remember a fact. Node.mu guards it.
+// factReplication tracks facts that no peer has confirmed yet. Node.mu guards it.
 type factReplication struct {
 	waiting      map[uint64]chan struct{} // by the fact's number
 	lastID       uint64
-	unreplicated int // facts told to users that no peer remembered
+	unreplicated int // facts acknowledged to users that no peer had confirmed
 }
 
 func newFactReplication() factReplication {
 	return factReplication{waiting: map[uint64]chan struct{}{}}
 }
 
-// begin numbers a fact, and returns what is signalled once a peer remembers it.
+// begin assigns a number to a fact and returns the channel that is signalled once a peer has confirmed it.
 func (f *factReplication) begin() (id uint64, replicated <-chan struct{}) {
 	f.lastID++
 	signal := make(chan struct{}, 1)
@@ -59,17 +60,17 @@
 	return f.lastID, signal
 }
 
-// confirm signals that a peer remembers a fact, unless it is waited for no more.
+// confirm signals that a peer has confirmed a fact, unless the wait for it is over.
 func (f *factReplication) confirm(id uint64) {
 	if signal := f.waiting[id]; signal != nil {
 		select {
 		case signal <- struct{}{}:
-		default: // another peer was sooner
+		default: // another peer confirmed it first
 		}
 	}
 }
 
-// end waits for a fact no more.
+// end ends the wait for a fact and counts the fact if no peer confirmed it.
 func (f *factReplication) end(id uint64, confirmed bool) {
 	delete(f.waiting, id)
 	if !confirmed {
@@ -77,8 +78,9 @@
 	}
 }
 
-// replicateFact has a peer remember a fact before a user is told of it. It gives up soon: what the store has is
-// acknowledged anyway, and a fact that nobody else remembers is counted.
+// replicateFact sends a fact to the peers and waits until one has confirmed it, before it is acknowledged to a user. It
+// gives up after replicationTimeout: what the store has is acknowledged anyway, and a fact that no peer confirmed is
+// counted.
 func (n *Node) replicateFact(ctx context.Context, m replicateFactMsg) {
 	id, replicated, reached := n.sendFact(m)
 	confirmed := reached > 0 && waitFor(ctx, replicated, replicationTimeout)
@@ -87,8 +89,8 @@
 	n.recovery.facts.end(id, confirmed)
 }
 
-// sendFact sends a fact to all peers. It returns its number, what is signalled once a peer remembers it, and how
-// many peers that are heard it went to.
+// sendFact sends a fact to all peers. It returns its number, the channel that is signalled once a peer has confirmed
+// it, and the number of reachable peers that it was sent to.
 func (n *Node) sendFact(m replicateFactMsg) (id uint64, replicated <-chan struct{}, reached int) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -105,7 +107,7 @@
 	return id, replicated, reached
 }
 
-// waitFor says whether a signal came before a time has passed or the context ended.
+// waitFor reports whether a signal arrived before the timeout and before the context was cancelled.
 func waitFor(ctx context.Context, signal <-chan struct{}, timeout time.Duration) bool {
 	timer := time.NewTimer(timeout)
 	defer timer.Stop()
@@ -118,21 +120,21 @@
 	return false
 }
 
-// broadcastEnd tells the peers of an end that was found in the store.
+// broadcastEnd sends an end that was found in the store to the peers.
 func (n *Node) broadcastEnd(uid string, end userapi.JobEnd) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.broadcast(kindReplicateFact, replicateFactMsg{Ends: []jobEnd{{uid, end}}})
 }
 
-// onReplicateFact remembers a peer's fact.
+// onReplicateFact records a fact sent by a peer and confirms it.
 func (n *Node) onReplicateFact(from string, m *replicateFactMsg) {
 	if m.Job != nil && m.Job.Spec != nil && protocol.ValidUID(m.Job.Spec.UID) {
 		n.rememberProposedJob(*m.Job)
 	}
 	for _, end := range m.Ends {
 		if !protocol.ValidUID(end.UID) || end.State != protocol.Cancelled && end.State != protocol.Done {
-			n.log.Error("unreadable line", "peer", from, "kind", kindReplicateFact, "err", "an end of no job or of no kind")
+			n.log.Error("unreadable line", "peer", from, "kind", kindReplicateFact, "err", "job end with an invalid id or state")
 			return
 		}
 	}
@@ -146,13 +148,13 @@
 	}
 }
 
-// onFactReplicated takes in that a peer remembers a fact.
+// onFactReplicated records that a peer has confirmed a fact.
 func (n *Node) onFactReplicated(m *factReplicatedMsg) {
 	n.recovery.facts.confirm(m.ID)
 }
 
-// rememberProposedJob takes down a job that a peer is about to accept. If the store accepts it, the
-// watch tells; if not, it is forgotten.
+// rememberProposedJob records a job that a peer is about to accept. If the store accepts the job, the watch delivers
+// it; if not, the record expires.
 func (n *Node) rememberProposedJob(s userapi.ActiveJob) {
 	if n.jobs[s.Spec.UID] == nil {
 		n.recovery.gathering.JobProposed(datarecovery.RememberedJob(s), time.Now())
--- a/internal/controller/recovery_writeback.go
+++ b/internal/controller/recovery_writeback.go
@@ -16,21 +16,21 @@
 	"topazhollow/internal/userapi"
 )
 
-// Write-back in an epoch that followed a loss: jobs and ends return to the state service.
+// Write-back in an epoch that followed a loss: jobs and job ends are written to the state service again.
 
 const (
-	// pageOverhead is what of a value's size is left free beside a page of ends.
+	// pageOverhead is the part of the maximum value size, in bytes, that a page of ends leaves unused.
 	pageOverhead = 64
-	// endsRetryDelay is after what time reading the single ends is tried again.
+	// endsRetryDelay is the delay before a failed read of individual ends is retried.
 	endsRetryDelay = 300 * time.Millisecond
-	// endsPageDelay parts the reads of the pages of single ends.
+	// endsPageDelay is the delay between two reads of individual ends.
 	endsPageDelay = 100 * time.Millisecond
-	// writeRetryDelay is after what time a job whose write failed may be tried again.
+	// writeRetryDelay is the delay before a failed write of a job may be retried.
 	writeRetryDelay = 200 * time.Millisecond
 )
 
-// writeBackJobs gives the store the jobs of own teams that it lacks, and the ends of those that it
-// has as active although they ended.
+// writeBackJobs writes the jobs of teams owned here that the store lacks, and the ends of jobs that it still has as
+// active.
 func (n *Node) writeBackJobs(now time.Time) {
 	limit := 2 * n.settings.Deployment.KVStore.ChangesPerTransaction
 	for _, job := range n.recovery.writeBack.StartJobs(n.unwrittenJobs(), limit) {
@@ -48,7 +48,7 @@
 	}
 }
 
-// unwrittenJobs are the active jobs of own teams that the store lacks and whose write is not under way.
+// unwrittenJobs returns the active jobs of teams owned here that the store lacks and that are not being written.
 func (n *Node) unwrittenJobs() []datarecovery.RememberedJob {
 	var jobs []datarecovery.RememberedJob
 	for uid, j := range n.jobs {
@@ -62,21 +62,21 @@
 	return jobs
 }
 
-// ownsJob says whether this controller owns the team of a job.
+// ownsJob reports whether this controller owns the team of a job.
 func (n *Node) ownsJob(uid string) bool {
 	j := n.jobs[uid]
 	return j != nil && n.shards.OfTeam(j.spec.Team) != nil
 }
 
-// writeBackJob gives the store a job, unless it has the job or its end.
+// writeBackJob writes a job to the store, unless the store has the job or its end.
 func (n *Node) writeBackJob(ctx context.Context, s userapi.ActiveJob) {
 	uid := s.Spec.UID
 	version, err := n.kvStore.Commit(ctx, kvstore.Update{
 		Conditions: []protocol.Condition{{Key: userapi.ActiveJobPrefix + uid}, {Key: userapi.EndedJobPrefix + uid}},
 		Changes:    []protocol.Op{{Set: userapi.ActiveJobPrefix + uid, Value: protocol.Encode(s)}}})
 	if errors.Is(err, kvstore.ErrConflict) {
-		// Its end, if that is why; else the watch tells its version. No watch tells the
-		// others of that end, since for them the store never had the job.
+		// The store has the end or the job. In the latter case the watch delivers its version. No watch delivers the
+		// end to the peers, since for them the store never had the job, so the end is sent to them.
 		if end, ended := n.front.LookUpEnd(ctx, uid); ended {
 			n.broadcastEnd(uid, end)
 		}
@@ -91,7 +91,7 @@
 	}
 }
 
-// writeEndAgain puts the end of a job in the place of the key that says that it is active.
+// writeEndAgain replaces the active key of an ended job by its end.
 func (n *Node) writeEndAgain(ctx context.Context, key datarecovery.StaleKey, final userapi.JobEnd) {
 	_, err := n.kvStore.Commit(ctx, kvstore.Update{
 		Conditions: []protocol.Condition{{Key: userapi.ActiveJobPrefix + key.UID, Version: key.Version}},
@@ -108,7 +108,8 @@
 	}
 }
 
-// writeBackEnds has the fleet's owner write the ends to pages, once in an epoch and after it learned more.
+// writeBackEnds writes the known ends to pages if this controller owns the fleet: once in an epoch, and again after
+// more ends became known.
 func (n *Node) writeBackEnds() {
 	if !n.shards.OwnsFleet() || !n.recovery.writeBack.StartPages() {
 		return
@@ -123,7 +124,7 @@
 	})
 }
 
-// writeEndPages writes the ends that are remembered to pages, as far as they are not on any. It says whether all are.
+// writeEndPages writes the known ends that are on no page to new pages. It reports whether all are written.
 func (n *Node) writeEndPages(ctx context.Context) bool {
 	entries, _, err := n.kvStore.List(ctx, datarecovery.EndsKey)
 	if err != nil {
@@ -141,14 +142,14 @@
 			Conditions: []protocol.Condition{{Key: key}},
 			Changes:    []protocol.Op{{Set: key, Value: protocol.Encode(page)}}})
 		if err != nil {
-			return false // looked at again from the start
+			return false // the caller tries again from the start
 		}
 	}
 	n.log.Info("ends written back", "ends", len(left), "pages", len(pages))
 	return true
 }
 
-// readEndPages collects the ends on the pages that the store has, and finds the number of the next page.
+// readEndPages returns the ends on the pages in the store and the number of the next page.
 func (n *Node) readEndPages(entries []protocol.Entry) (written *datarecovery.Ends, next int) {
 	written = datarecovery.NewEnds()
 	for _, e := range entries {
@@ -167,13 +168,13 @@
 	return written, next
 }
 
-// loadStoredEnds is the duty that loads all single ends that the store has, so that they outlive it. The pages
-// of ends are followed like all that is watched.
+// loadStoredEnds is the background task that reads all individual ends in the store, so that they survive a loss there.
+// The pages of ends are watched like the other keys.
 func (n *Node) loadStoredEnds(ctx context.Context) error {
 	for after, more := "", true; more; {
 		n.mu.Lock()
-		// Before the first record nothing ever ended, but it can't be said yet of which epoch what is
-		// read is: processes that were quicker than the first record counted their memory as in part for good.
+		// Before the first record no job has ended, but the epoch of what is read is unknown. Processes that had read
+		// everything before the first record was written counted their history as incomplete for good.
 		ready := n.watchedKeysRead && n.trusted() && n.leadership.Record() != nil
 		n.mu.Unlock()
 		var entries []protocol.Entry
@@ -203,7 +204,7 @@
 	return nil
 }
 
-// learnStoredEnds takes in single ends that the store has.
+// learnStoredEnds records individual ends read from the store.
 func (n *Node) learnStoredEnds(entries []protocol.Entry) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -217,7 +218,7 @@
 	}
 }
 
-// learnRecoveryPage takes in a page of ends, or of finished tasks, from the store.
+// learnRecoveryPage records a page of ends or of finished tasks read from the store.
 func (n *Node) learnRecoveryPage(key string, value []byte) error {
 	if strings.HasPrefix(key, datarecovery.EndsKey) {
 		ends, err := datarecovery.ReadPage(value)
--- a/internal/controller/replication.go
+++ b/internal/controller/replication.go
@@ -8,7 +8,7 @@
 	"topazhollow/internal/shards"
 )
 
-// cluster is what decisions about replicas rest on now.
+// cluster returns the current view of the cluster for decisions about replicas.
 func (n *Node) cluster() *shards.Cluster {
 	connected := make(map[string]bool, len(n.peers))
 	for name, p := range n.peers {
@@ -17,12 +17,12 @@
 	return &shards.Cluster{Self: n.name, Record: n.leadership.Record(), Connected: connected}
 }
 
-// syncStates says for each owned shard which replicas are in sync and which are late.
+// syncStates returns for each owned shard which replicas are in sync and which lag behind.
 func (n *Node) syncStates(now time.Time) map[string]leadership.ShardStatus {
 	return n.shards.Syncs(n.cluster(), now)
 }
 
-// sendReplication sends what brings a shard's replicas up to date.
+// sendReplication sends messages that bring a shard's replicas up to date.
 func (n *Node) sendReplication(shard *shards.Owned, messages []shards.Outgoing) {
 	for _, m := range messages {
 		line := peer.Encode(m.Message.Kind(), m.Message)
@@ -34,7 +34,7 @@
 	}
 }
 
-// onCopy takes a whole replica of a peer's shard.
+// onCopy applies a full copy of a peer's shard to the replica here.
 func (n *Node) onCopy(node string, incarnation uint64, m *shards.Copy) {
 	if !n.recordNamesOwner(node, incarnation, m.Shard, m.SinceTerm) {
 		n.requestCopy(node, m.Shard, m.SinceTerm)
@@ -43,7 +43,7 @@
 	n.acknowledge(node, n.shards.Held().TakeCopy(m))
 }
 
-// onCopyPart takes a part of a replica of a peer's shard.
+// onCopyPart applies one part of a copy of a peer's shard.
 func (n *Node) onCopyPart(node string, incarnation uint64, m *shards.CopyPart) {
 	if !n.recordNamesOwner(node, incarnation, m.Shard, m.SinceTerm) {
 		n.requestCopy(node, m.Shard, m.SinceTerm)
@@ -52,7 +52,7 @@
 	n.acknowledge(node, n.shards.Held().TakePart(m))
 }
 
-// onDeltas takes changes of a peer's shard.
+// onDeltas applies changes of a peer's shard to the replica here.
 func (n *Node) onDeltas(node string, incarnation uint64, m *shards.Deltas) {
 	if !n.shards.Held().Has(m.Shard) || !n.recordNamesOwner(node, incarnation, m.Shard, m.SinceTerm) {
 		n.requestCopy(node, m.Shard, m.SinceTerm)
@@ -63,17 +63,17 @@
 	}
 }
 
-// requestCopy asks a shard's owner for its whole replica.
+// requestCopy requests a full copy of a shard from its owner.
 func (n *Node) requestCopy(owner, name string, sinceTerm uint64) {
 	n.acknowledge(owner, shards.RequestCopy(name, sinceTerm))
 }
 
-// acknowledge sends a shard's owner what the replica here has.
+// acknowledge sends the state of the replica here to the shard's owner.
 func (n *Node) acknowledge(owner string, a shards.Acknowledgement) {
 	n.links.Send(owner, shards.KindAcknowledgement, a)
 }
 
-// onAcknowledgement takes in what a replica of an own shard has.
+// onAcknowledgement records the state that a replica of an owned shard has acknowledged.
 func (n *Node) onAcknowledgement(node string, incarnation uint64, m *shards.Acknowledgement) {
 	shard := n.shards.Owned(m.Shard)
 	if shard != nil && shard.Replicas().Acknowledge(node, incarnation, m, time.Now()) {
--- a/internal/controller/replication_test.go
+++ b/internal/controller/replication_test.go
@@ -18,15 +18,15 @@
 	"topazhollow/internal/simulation"
 )
 
-// linkedPair is a shard's owner, node-a, and a controller that holds its replica, node-b, with real connections.
+// linkedPair is a shard's owner, node-a, and a controller with its replica, node-b, with real connections between them.
 type linkedPair struct {
 	owner, holder *Node
 	shard         *shards.Owned
 	paths         simulation.Paths
-	copies        int // copies in parts that the owner began to send
+	copies        int // copies that the owner began to send in parts
 }
 
-// newLinkedPair opens the connections of an owner of one team. Nobody steps the controllers but the test.
+// newLinkedPair connects the owner of one team with the holder of its replica. Only the test steps the controllers.
 func newLinkedPair(t *testing.T) *linkedPair {
 	p := &linkedPair{owner: newGrown(1, 1).n, holder: newGrown(1, 1).n, paths: simulation.Paths{}}
 	p.holder.name, p.holder.incarnation = "node-b", p.owner.incarnation+1
@@ -71,7 +71,7 @@
 	return p
 }
 
-// assign has the owner's replica have so many assignments more, as if it had placed the tasks.
+// assign adds the given number of assignments to the owner's replica, as if it had placed the tasks.
 func (p *linkedPair) assign(from, count int) {
 	replica := p.shard.Team().Replica()
 	d := jobstate.Delta{Seq: replica.Seq + 1}
@@ -84,14 +84,15 @@
 	}
 }
 
-// finish has the owner learn that a task is done.
+// finish marks a task as done in the owner's team.
 func (p *linkedPair) finish(job string, task uint) {
 	p.owner.mu.Lock()
 	defer p.owner.mu.Unlock()
 	p.shard.Team().MergeDone(job, bitset.New(task+1).Set(task))
 }
 
-// replicate sends what brings the holder up to date, and says whether that was a part that is not the last.
+// replicate sends the messages that bring the holder up to date. It reports whether the last of them is a part of a
+// copy that is not the final one.
 func (p *linkedPair) replicate() (partial bool) {
 	messages := p.shard.Replicas().Replicate(p.owner.cluster(), time.Now())
 	for _, m := range messages {
@@ -106,25 +107,24 @@
 	return partial
 }
 
-// replicated steps the owner's replication until the holder has acknowledged all that the owner has, or the test
-// ends.
+// replicated steps the owner's replication until the holder has acknowledged everything, or fails the test.
 func (p *linkedPair) replicated(t *testing.T) {
 	t.Helper()
 	for end := time.Now().Add(40 * time.Second); time.Now().Before(end); time.Sleep(time.Millisecond) {
 		p.owner.mu.Lock()
 		p.replicate()
-		whole := p.owner.syncStates(time.Now())[p.shard.Name()].InSync["node-b"]
+		inSync := p.owner.syncStates(time.Now())[p.shard.Name()].InSync["node-b"]
 		p.owner.mu.Unlock()
-		if whole {
+		if inSync {
 			return
 		}
 	}
 	t.Fatal("the holder never acknowledged the whole replica")
 }
 
-// TestLargeReplicaReachesItsHolder: a replica of more than one line between controllers may have never reached its
-// holder; the link was dropped and dialled anew for ever. It goes in parts now, also when the link is lost between
-// them, and the holder keeps what it had until all of it is there.
+// TestLargeReplicaReachesItsHolder: a replica that does not fit in one message between controllers could never reach
+// its holder; the link was closed and dialled again forever. It must be sent in parts, also when the connection is lost
+// between them, and the holder must keep its previous replica until all parts have arrived.
 func TestLargeReplicaReachesItsHolder(t *testing.T) {
 	p := newLinkedPair(t)
 	p.assign(0, 10)
@@ -135,19 +135,19 @@
 	partial := p.replicate()
 	p.owner.mu.Unlock()
 	if !partial {
-		t.Fatal("60,000 tasks go in one part")
+		t.Fatal("60,000 tasks are sent in one part")
 	}
 	p.holder.mu.Lock()
 	kept := len(p.holder.shards.Held().Replica(p.shard.Name()).Assignments)
 	p.holder.mu.Unlock()
 	if kept != 10 {
-		t.Errorf("the holder keeps %d tasks between the parts, want the 10 that it had", kept)
+		t.Errorf("the holder has %d tasks between the parts, want the previous 10", kept)
 	}
 	p.finish("job-000002", 7) // a delta between the parts
 	p.replicated(t)
 	p.owner.mu.Lock()
 	if p.copies != 1 {
-		t.Errorf("%d copies went out: the holder asked for another one while it received one", p.copies)
+		t.Errorf("%d copies were sent: the holder requested another one while it received one", p.copies)
 	}
 	p.shard.Replicas().Forget("node-b")
 	p.replicate()
--- a/internal/controller/save.go
+++ b/internal/controller/save.go
@@ -14,10 +14,10 @@
 	"topazhollow/internal/shards"
 )
 
-// maxValueBytes is what one value of the state service may take.
+// maxValueBytes is the maximum size of a value in the state service.
 func maxValueBytes(s settings.KVStore) int { return int(s.ValueKB * 1024) }
 
-// readPages takes in a team's pages and gives the finished tasks of its active jobs.
+// readPages reads a team's pages and returns the finished tasks of its active jobs.
 func (n *Node) readPages(shard *shards.Owned, entries []protocol.Entry) map[string]*bitset.BitSet {
 	team, _ := shards.TeamOf(shard.Name())
 	done, unreadable := shard.Pages().Read(entries, func(uid string) int {
@@ -32,7 +32,7 @@
 	return done
 }
 
-// savePages writes pages of finished tasks, paced.
+// savePages periodically writes the pages of finished tasks of all owned shards.
 func (n *Node) savePages(ctx context.Context) error {
 	for sleep(ctx, settings.Seconds(n.options.BitmapEverySeconds)) {
 		n.mu.Lock()
@@ -46,7 +46,7 @@
 	return nil
 }
 
-// saveShard begins to write a shard's pages that lack finished tasks.
+// saveShard starts to write those pages of a shard that lack finished tasks.
 func (n *Node) saveShard(shard *shards.Owned) {
 	pages, due := shard.BeginSaving()
 	if !due {
@@ -64,7 +64,7 @@
 	})
 }
 
-// savePage writes one page if the membership record is still the one that this controller knows.
+// savePage writes one page, provided that the membership record is still the one known here.
 func (n *Node) savePage(shard *shards.Owned, p jobstate.Page, control protocol.Condition) {
 	key := shard.Pages().Key(p.Number)
 	revision, err := n.kvStore.Commit(n.ctx, kvstore.Update{Deferrable: true,
@@ -72,7 +72,7 @@
 		Changes:    []protocol.Op{{Set: key, Value: protocol.Encode(p.Parts)}}})
 	if err != nil {
 		n.log.Debug("finished tasks not written yet", "key", key, "err", err)
-		if !errors.Is(err, kvstore.ErrRefused) { // its outcome is open, or it met another version
+		if !errors.Is(err, kvstore.ErrRefused) { // the outcome is unknown, or the page had another version
 			n.readPageVersion(shard, p.Number)
 		}
 		return
@@ -85,7 +85,7 @@
 	}
 }
 
-// readPageVersion looks up which version of a page the state service has.
+// readPageVersion reads the version of a page in the state service.
 func (n *Node) readPageVersion(shard *shards.Owned, number int) {
 	e, err := n.kvStore.Get(n.ctx, shard.Pages().Key(number))
 	if err != nil {
--- a/internal/controller/save_test.go
+++ b/internal/controller/save_test.go
@@ -9,8 +9,8 @@
 	"topazhollow/internal/shards"
 )
 
-// TestSharedPageSurvivesFailover: two jobs' finished tasks share a page; an owner
-// that takes over must find both, and its own writes must keep them.
+// TestSharedPageSurvivesFailover: the finished tasks of two jobs share a page. An owner that takes over must find both,
+// and its own writes must keep them.
 func TestSharedPageSurvivesFailover(t *testing.T) {
 	n := bare("127.0.0.1:1")
 	name := shards.ForTeam("red")
@@ -38,7 +38,7 @@
 			shard.Team().Observe(v, n.startedAt, teamKnowledge{n, "red"})
 			pages, due := shard.BeginSaving()
 			if !due {
-				t.Fatalf("round %d: nothing is to be written", round)
+				t.Fatalf("round %d: no page is due", round)
 			}
 			for _, p := range pages {
 				key := shard.Pages().Key(p.Number)
--- a/internal/datarecovery/agreement.go
+++ b/internal/datarecovery/agreement.go
@@ -6,102 +6,103 @@
 	"time"
 )
 
-// Phase is what a controller holds of its store.
+// Phase is how far a controller trusts the state service (the store).
 type Phase int
 
-// The phases. Nothing is acknowledged, started, rented or returned but in Trusted.
+// The phases. A controller acknowledges, starts, rents and returns only in Trusted.
 const (
-	Starting      Phase = iota // not read yet
-	AwaitingPeers              // read, but a peer may know that it went back: this process does not
-	Trusted                    // it has what it acknowledged, as far as anybody saw
-	Suspected                  // a sign of loss was seen and is being looked into
-	Lost                       // it has lost what it acknowledged; the next epoch is to be made
+	Starting      Phase = iota // the store was not read yet
+	AwaitingPeers              // the store was read; peers may still report that it lost data before that
+	Trusted                    // no sign of loss is known
+	Suspected                  // a sign of loss was seen and is being checked
+	Lost                       // the loss is confirmed; the next epoch has to be created
 )
 
-// String is the phase as operators read it in the overview.
+// String returns the name of the phase in the overview.
 func (p Phase) String() string {
 	return [...]string{"starting", "meeting", "known", "doubted", "lost"}[p]
 }
 
-// Comparison is the outcome of a comparison of acknowledged keys with the store.
+// Comparison is the outcome of comparing acknowledged keys with the store.
 type Comparison int
 
 // The outcomes.
 const (
-	Unanswered Comparison = iota
-	Intact                // every key compared is as it was acknowledged, or was changed since
-	Missing               // something acknowledged is not there, and no change tells why
+	Unanswered Comparison = iota // no result, for example because the store did not answer
+	Intact                       // every compared key has its acknowledged version or was changed since
+	Missing                      // an acknowledged key is missing and no later change explains it
 )
 
-// Action is what a controller is to do now.
+// Action is what a controller has to do next.
 type Action int
 
 // The actions.
 const (
 	ActionNone    Action = iota
 	ActionCompare        // compare acknowledged keys with the store
-	ActionRelist         // read all that is followed, and enter the epoch that is found
-	ActionPropose        // make the next epoch, if nobody has
+	ActionRelist         // list all watched keys and enter the epoch found there
+	ActionPropose        // create the next epoch, unless another controller has
 )
 
-// Assessment is what a controller tells its peers of the store with each status.
+// Assessment is a controller's view of the store. It is sent to the peers with each status.
 type Assessment struct {
 	Epoch           uint64 `json:"generation"`
 	Term            uint64 `json:"term"`
 	Incarnation     uint64 `json:"incarnation"`
-	Revision        uint64 `json:"seen"` // highest revision of an answer in this epoch
+	Revision        uint64 `json:"seen"` // highest revision that the store named in this epoch
 	SuspectsLoss    bool   `json:"doubt,omitempty"`
-	ConfirmedLoss   bool   `json:"lost,omitempty"`  // holds it to be lost: comparisons confirmed it
-	HistoryComplete bool   `json:"whole,omitempty"` // it saw the loss, and remembers all since the deployment's beginning
+	ConfirmedLoss   bool   `json:"lost,omitempty"`  // comparisons confirmed the loss
+	HistoryComplete bool   `json:"whole,omitempty"` // the sender saw the loss and knows every job end ever
 }
 
 const (
-	// compareInterval parts the comparisons after a sign of loss.
+	// compareInterval is the minimum time between two comparisons after a sign of loss.
 	compareInterval = 200 * time.Millisecond
-	// comparisonsNeeded is how many comparisons in a row have to confirm a sign: a second one rules out a single
-	// answer of an old copy.
+	// comparisonsNeeded is the number of comparisons that must find keys missing before a loss is confirmed. A second
+	// one rules out a single answer from a stale copy.
 	comparisonsNeeded = 2
-	// PeerHeardWithin is after what silence a peer counts as not heard.
-	PeerHeardWithin = 2 * time.Second
-	// proposalStagger parts the proposals of several controllers.
+	// PeerTimeout is the time without an assessment after which a peer counts as unreachable.
+	PeerTimeout = 2 * time.Second
+	// proposalStagger is the delay between the proposals of different controllers.
 	proposalStagger = 350 * time.Millisecond
-	// meetingTime is how long a process that starts waits for its peers' assessments.
-	meetingTime = 1500 * time.Millisecond
-	// aloneConfirmAfter is after what time a suspicion that every comparison confirms is a loss, whatever the
-	// others find: one that started since then does not know what was there.
-	aloneConfirmAfter = 5 * time.Second
-	// presencesWait is how long the others' keys are waited for before an epoch is made
+	// peerWaitTimeout is how long a process that starts waits for its peers' assessments before it compares the store
 	// without them.
-	presencesWait = 1500 * time.Millisecond
+	peerWaitTimeout = 1500 * time.Millisecond
+	// unilateralConfirmAfter is the time after which a suspicion that every comparison confirms becomes a loss even if
+	// peers disagree: a peer that started after the loss does not know what the store had.
+	unilateralConfirmAfter = 5 * time.Second
+	// presenceWaitTimeout is how long a controller waits for the presence keys of reachable peers before it creates an
+	// epoch without them.
+	presenceWaitTimeout = 1500 * time.Millisecond
 )
 
 type peer struct {
 	assessment Assessment
-	heardAt    time.Time
+	reportedAt time.Time
 }
 
-// Agreement is how a controller finds, with its peers, whether the store can be trusted or has lost data, and when it
-// is its turn to propose the next epoch. Its owner guards it by a lock.
+// Agreement decides, from this controller's comparisons and its peers' assessments, whether the store can be trusted or
+// has lost data, and when this controller may propose the next epoch. The caller guards it by a lock.
 type Agreement struct {
 	self      string
-	leaseLife time.Duration // of controllers' leases
+	leaseLife time.Duration // lifetime of the controllers' leases
 	peers     map[string]*peer
 
 	phase      Phase
-	since      time.Time // of the phase
-	sign       Sign      // that led to it
+	since      time.Time // when the phase was entered
+	sign       Sign      // that led to the phase
 	epoch      uint64
-	newerEpoch uint64 // that was seen, if later
+	newerEpoch uint64 // highest later epoch in a record seen; 0: none
 
 	comparing    bool
 	comparedAt   time.Time
-	missingInRow int // comparisons that found something missing
+	missingInRow int // comparisons since the phase began that found something missing
 
-	suspicions int // in all
-	losses     int // in all
+	suspicions int // total
+	losses     int // total
 }
 
-// NewAgreement is that of a controller that has read nothing yet; leaseLife is that of
+// NewAgreement returns the agreement of a controller that has read nothing yet. leaseLife is the lifetime of the
 // controllers' leases.
 func NewAgreement(self string, peers []string, leaseLife time.Duration) *Agreement {
 	a := &Agreement{self: self, leaseLife: leaseLife, peers: map[string]*peer{}}
@@ -111,12 +112,12 @@
 	return a
 }
 
-// Phase tells the phase, since when, and the sign that led to it.
+// Phase returns the phase, when it was entered and the sign that led to it.
 func (a *Agreement) Phase() (phase Phase, since time.Time, sign Sign) {
 	return a.phase, a.since, a.sign
 }
 
-// Counts tells how many signs of loss were seen, and how many losses were agreed on.
+// Counts returns how many times a loss was suspected and how many losses were confirmed.
 func (a *Agreement) Counts() (suspicions, losses int) { return a.suspicions, a.losses }
 
 func (a *Agreement) enterPhase(phase Phase, now time.Time) {
@@ -124,7 +125,7 @@
 	a.missingInRow, a.comparing, a.comparedAt = 0, false, time.Time{}
 }
 
-// Entered books that all that is followed was read and is of an epoch.
+// Entered records that all watched keys of an epoch were read.
 func (a *Agreement) Entered(epoch uint64, now time.Time) {
 	if (a.phase == Trusted || a.phase == AwaitingPeers) && epoch == a.epoch {
 		return
@@ -133,7 +134,7 @@
 	a.epoch = epoch
 	a.sign = ""
 	if a.phase == AwaitingPeers && first {
-		return // the record came meanwhile
+		return // another controller wrote the first record while this one waited for its peers
 	}
 	if first && len(a.peers) > 0 {
 		a.enterPhase(AwaitingPeers, now)
@@ -142,10 +143,10 @@
 	}
 }
 
-// NewerEpochSeen books that a record of a later epoch was seen.
+// NewerEpochSeen records that a membership record of a later epoch was seen.
 func (a *Agreement) NewerEpochSeen(epoch uint64) { a.newerEpoch = max(a.newerEpoch, epoch) }
 
-// Suspect books that something contradicts what the store acknowledged. It costs a comparison.
+// Suspect records a sign of loss. A false alarm costs one comparison.
 func (a *Agreement) Suspect(sign Sign, now time.Time) {
 	if a.phase != Trusted && a.phase != AwaitingPeers {
 		return
@@ -155,10 +156,10 @@
 	a.enterPhase(Suspected, now)
 }
 
-// Compared books the outcome of a comparison that Step asked for.
+// Compared records the outcome of a comparison that Step requested.
 func (a *Agreement) Compared(outcome Comparison, now time.Time) {
 	if !a.comparing {
-		return // of an earlier suspicion
+		return // the comparison belongs to an earlier phase
 	}
 	a.comparing = false
 	a.comparedAt = now
@@ -167,7 +168,7 @@
 	}
 	for _, assessment := range a.Assessments(now) {
 		if assessment.ConfirmedLoss && assessment.Epoch == a.epoch {
-			outcome = Missing // what is found here is only what is left
+			outcome = Missing // keys found here are only the rest after the loss
 		}
 	}
 	switch outcome {
@@ -181,34 +182,34 @@
 	}
 }
 
-// PeerAssessed takes in a peer's assessment.
+// PeerAssessed records a peer's assessment.
 func (a *Agreement) PeerAssessed(name string, assessment Assessment, now time.Time) {
 	p := a.peers[name]
 	if p == nil {
 		return
 	}
-	p.assessment, p.heardAt = assessment, now
+	p.assessment, p.reportedAt = assessment, now
 	if assessment.SuspectsLoss && assessment.Epoch == a.epoch {
 		a.Suspect(signOfPeer(name), now)
 	}
 }
 
-func (a *Agreement) isHeard(p *peer, now time.Time) bool {
-	return !p.heardAt.IsZero() && now.Sub(p.heardAt) <= PeerHeardWithin
+func (a *Agreement) isReachable(p *peer, now time.Time) bool {
+	return !p.reportedAt.IsZero() && now.Sub(p.reportedAt) <= PeerTimeout
 }
 
-// Assessments are those of the peers that are heard.
+// Assessments returns the assessments of the reachable peers.
 func (a *Agreement) Assessments(now time.Time) map[string]Assessment {
-	heard := map[string]Assessment{}
+	reachable := map[string]Assessment{}
 	for name, p := range a.peers {
-		if a.isHeard(p, now) {
-			heard[name] = p.assessment
+		if a.isReachable(p, now) {
+			reachable[name] = p.assessment
 		}
 	}
-	return heard
+	return reachable
 }
 
-// PeersRevision is the highest revision that a peer saw in this epoch.
+// PeersRevision returns the highest revision that a peer saw in this epoch.
 func (a *Agreement) PeersRevision() (revision uint64) {
 	for _, p := range a.peers {
 		if p.assessment.Epoch == a.epoch {
@@ -218,29 +219,29 @@
 	return revision
 }
 
-// Step says what to do now. present says whether the store has a controller's key, as far as known.
+// Step returns the next action. present reports whether the store is known to have a controller's presence key.
 func (a *Agreement) Step(now time.Time, term uint64, present func(name string) bool) Action {
-	heard := a.Assessments(now)
-	if a.phase != Starting && a.laterEpoch(heard) {
+	reachable := a.Assessments(now)
+	if a.phase != Starting && a.laterEpoch(reachable) {
 		return ActionRelist
 	}
 	switch a.phase {
 	case AwaitingPeers:
-		return a.stepMeetingPeers(now)
+		return a.stepAwaitingPeers(now)
 	case Suspected:
-		return a.stepSuspected(now, heard)
+		return a.stepSuspected(now, reachable)
 	case Lost:
-		return a.stepLost(now, term, heard, present)
+		return a.stepLost(now, term, reachable, present)
 	}
 	return ActionNone
 }
 
-// laterEpoch says whether anybody knows a later epoch.
-func (a *Agreement) laterEpoch(heard map[string]Assessment) bool {
+// laterEpoch reports whether a record or a reachable peer names a later epoch.
+func (a *Agreement) laterEpoch(reachable map[string]Assessment) bool {
 	if a.newerEpoch > a.epoch {
 		return true
 	}
-	for _, assessment := range heard {
+	for _, assessment := range reachable {
 		if assessment.Epoch > a.epoch {
 			return true
 		}
@@ -248,22 +249,22 @@
 	return false
 }
 
-// stepMeetingPeers has the store compared once the peers are heard: a read that begins now must know all that they
-// have seen.
-func (a *Agreement) stepMeetingPeers(now time.Time) Action {
+// stepAwaitingPeers requests a comparison once all peers have reported or the wait for them has timed out. A read that
+// begins then must return everything that they have seen.
+func (a *Agreement) stepAwaitingPeers(now time.Time) Action {
 	switch passed := now.Sub(a.since); {
-	case passed > 3*meetingTime:
+	case passed > 3*peerWaitTimeout:
 		a.enterPhase(Trusted, now)
-	case (a.allPeersHeard() || passed > meetingTime) && !a.comparing && now.Sub(a.comparedAt) >= compareInterval/4:
+	case (a.allPeersReported() || passed > peerWaitTimeout) && !a.comparing && now.Sub(a.comparedAt) >= compareInterval/4:
 		a.comparing = true
 		return ActionCompare
 	}
 	return ActionNone
 }
 
-// stepSuspected has the store compared until the suspicion is a loss, or none.
-func (a *Agreement) stepSuspected(now time.Time, heard map[string]Assessment) Action {
-	if a.missingInRow >= comparisonsNeeded && (a.peersAgree(heard) || now.Sub(a.since) > aloneConfirmAfter) {
+// stepSuspected requests comparisons until the loss is confirmed or ruled out.
+func (a *Agreement) stepSuspected(now time.Time, reachable map[string]Assessment) Action {
+	if a.missingInRow >= comparisonsNeeded && (a.peersAgree(reachable) || now.Sub(a.since) > unilateralConfirmAfter) {
 		a.losses++
 		a.enterPhase(Lost, now)
 		return ActionRelist
@@ -275,20 +276,20 @@
 	return ActionNone
 }
 
-// allPeersHeard says whether every peer was heard since this process started.
-func (a *Agreement) allPeersHeard() bool {
+// allPeersReported reports whether every peer has sent an assessment since this process started.
+func (a *Agreement) allPeersReported() bool {
 	for _, p := range a.peers {
-		if p.heardAt.IsZero() {
+		if p.reportedAt.IsZero() {
 			return false
 		}
 	}
 	return true
 }
 
-// peersAgree says whether this controller's suspicion is enough: one whose peers all find
-// what was acknowledged reads something else than they do.
-func (a *Agreement) peersAgree(heard map[string]Assessment) bool {
-	for _, assessment := range heard {
+// peersAgree reports whether no reachable peer in this epoch contradicts the suspicion. If a peer finds every
+// acknowledged key, this controller reads different data than that peer does.
+func (a *Agreement) peersAgree(reachable map[string]Assessment) bool {
+	for _, assessment := range reachable {
 		if !assessment.SuspectsLoss && assessment.Epoch == a.epoch {
 			return false
 		}
@@ -296,28 +297,28 @@
 	return true
 }
 
-// stepLost says when a controller makes the next epoch. One that is not heard may
-// still act by its lease, until that has ended by any clock. One that knows a later
-// term goes first, and so does, of several, the first by name.
+// stepLost decides when this controller creates the next epoch. An unreachable peer may still act under its lease, so
+// the proposal waits until that lease has expired on any clock. A controller that knows a later term proposes first;
+// among several, proposals are staggered in the order of names.
 func (a *Agreement) stepLost(
-	now time.Time, term uint64, heard map[string]Assessment, present func(name string) bool,
+	now time.Time, term uint64, reachable map[string]Assessment, present func(name string) bool,
 ) Action {
 	passed := now.Sub(a.since)
-	if len(heard) < len(a.peers) && passed < a.leaseLife+a.leaseLife/100 {
+	if len(reachable) < len(a.peers) && passed < a.leaseLife+a.leaseLife/100 {
 		return ActionNone
 	}
-	for name, assessment := range heard {
+	for name, assessment := range reachable {
 		if assessment.Epoch == a.epoch && assessment.Term > term && passed < a.leaseLife {
 			return ActionNone
 		}
-		if !present(name) && passed < presencesWait {
+		if !present(name) && passed < presenceWaitTimeout {
 			return ActionNone
 		}
 	}
 	if !present(a.self) {
 		return ActionNone
 	}
-	names := append(slices.Collect(maps.Keys(heard)), a.self)
+	names := append(slices.Collect(maps.Keys(reachable)), a.self)
 	slices.Sort(names)
 	if passed < time.Duration(slices.Index(names, a.self))*proposalStagger {
 		return ActionNone
--- a/internal/datarecovery/detection.go
+++ b/internal/datarecovery/detection.go
@@ -9,70 +9,72 @@
 )
 
 const (
-	// completeMemoryWait is how long a controller whose memory is incomplete leaves the proposal of the next
-	// epoch to one that may find that it remembers everything.
-	completeMemoryWait = 2 * time.Second
-	// relistInterval is how often the keys of a store that lost data are listed again.
+	// completeHistoryWait is how long a controller with an incomplete history delays its proposal of the next epoch, so
+	// that a peer with a complete one may propose first.
+	completeHistoryWait = 2 * time.Second
+	// relistInterval is the time between two lists of the keys of a store that lost data.
 	relistInterval = 250 * time.Millisecond
-	// noTerm is the first fencing token that is no term: attempts have no room for it.
-	noTerm = 1 << 29
+	// termLimit is the lowest fencing token that cannot be a term: attempt numbers have no bits for higher terms.
+	termLimit = 1 << 29
 )
 
-// StoreContents are the controllers' own keys as a full list of the state service named them.
+// StoreContents is the control data found in a full list of the state service: the membership record, the presence keys
+// and the epoch keys.
 type StoreContents struct {
-	Record        *leadership.Record             // the membership record; nil: there is none
-	RecordVersion uint64                         // of the membership record's key
+	Record        *leadership.Record             // nil: there is none
+	RecordVersion uint64                         // version of the membership record's key
 	Presences     map[string]leadership.Presence // by controller
-	EpochKeys     map[string]uint64              // versions of the epochs' own keys, by key
+	EpochKeys     map[string]uint64              // versions of the epoch keys, by key
 	ReadAt        time.Time
 }
 
-// ListVerdict is what a full list of the followed keys means.
+// ListVerdict classifies a full list of the watched keys.
 type ListVerdict int
 
 // The verdicts.
 const (
-	ListUnreliable   ListVerdict = iota // the store lacks something acknowledged: the list is only evidence
-	ListCurrent                         // of the epoch that this controller is in
-	ListOfOtherEpoch                    // of a later epoch, or the first list of this process
+	ListUnreliable   ListVerdict = iota // the store lacks something acknowledged; the list only serves as evidence
+	ListCurrent                         // of this controller's epoch
+	ListOfOtherEpoch                    // of a later epoch, or the first list that this process read
 )
 
-// ListJudgement is a verdict with what else the list shows.
-type ListJudgement struct {
+// ListEvaluation is the verdict on a full list together with any sign or proof of loss that it shows.
+type ListEvaluation struct {
 	Verdict   ListVerdict
 	Suspicion Sign // of loss; empty: none
 	Proof     Sign // of loss; empty: none
 }
 
-// Task is what a controller is to do next to know its store.
+// Task is the next step of a controller that checks its store.
 type Task int
 
 // The tasks.
 const (
 	TaskNone             Task = iota
-	TaskConfirmSuspicion      // compare acknowledged keys, and tell the outcome with Compared
-	TaskRelist                // read all that is followed
-	TaskProposeEpoch          // make the next epoch
-	TaskRefreshRecord         // read the membership record, since somebody knows a later term
-	TaskPeriodicCompare       // compare acknowledged keys, and tell the outcome with PeriodicCompared
+	TaskConfirmSuspicion      // compare acknowledged keys and report the outcome to Compared
+	TaskRelist                // list all watched keys
+	TaskProposeEpoch          // create the next epoch
+	TaskRefreshRecord         // read the membership record again, since a worker or peer knows a later term
+	TaskPeriodicCompare       // compare acknowledged keys and report the outcome to PeriodicCompared
 )
 
-// Decision is what Decide found.
+// Decision is the result of Decide.
 type Decision struct {
 	Task          Task
 	Phase         Phase
-	LossConfirmed bool // since the last decision
+	LossConfirmed bool // a loss was confirmed since the last decision
 }
 
-// ComparisonPlan is the comparison of acknowledged keys with the store.
+// ComparisonPlan lists the keys whose acknowledged versions are compared with the store.
 type ComparisonPlan struct {
-	Keys         map[string]uint64 // acknowledged versions
-	OwnKey       string            // key of this controller's presence
-	OwnVersion   uint64            // its version; 0: it is not compared
-	SeenRevision uint64            // highest revision that a peer saw; an answer must have at least this one
+	Keys         map[string]uint64 // acknowledged versions, by key
+	OwnKey       string            // this controller's presence key
+	OwnVersion   uint64            // version of OwnKey; 0: it is not compared
+	SeenRevision uint64            // highest revision that a peer saw; an answer must not have a lower one
 }
 
-// Conditions are the conditions of the plan's transaction, at most this many and one for the own key.
+// Conditions returns the conditions of the comparing transaction: at most limit for acknowledged keys, and one for this
+// controller's presence key.
 func (p *ComparisonPlan) Conditions(limit int) []protocol.Condition {
 	var conditions []protocol.Condition
 	for key, version := range p.Keys {
@@ -86,39 +88,40 @@
 	return conditions
 }
 
-// FailedKeys is what keys mean that did not have the versions compared, once all changes were read.
+// FailedKeys is the result of evaluating the keys that did not have the compared versions, after all changes were read.
 type FailedKeys struct {
 	Comparison Comparison
-	MissingKey string // acknowledged, and neither there nor changed since
-	OwnKeyGone bool   // the own presence is not the one known
+	MissingKey string // acknowledged, but neither present nor changed since
+	OwnKeyGone bool   // this controller's presence key does not have the known version
 }
 
-// Detection judges whether the state service still has what it acknowledged. It owns the evidence: the
-// phase that the controllers agreed on, the epochs' keys, suspicions and proofs, later terms that others know.
-// It does no I/O and reads no clock; its owner guards it by a lock.
+// Detection decides whether the state service still has what it acknowledged. It keeps the evidence: the phase agreed
+// on with the peers, the epoch keys, suspicions, proofs, and later terms that others know. It does no I/O and reads no
+// clock; the caller guards it by a lock.
 type Detection struct {
 	self        string
 	incarnation uint64
 	leaseLife   time.Duration
 	agreement   *Agreement
 
-	epochKeys    map[string]uint64 // versions of the epochs' own keys that the store has
-	suspectKeys  map[string]uint64 // acknowledged versions of keys that a user's request did not find
-	contents     StoreContents     // of a store that cannot be relied on
-	proof        Sign              // of a loss that the store's own answers do not show
-	brokenChain  bool              // a membership record was seen that does not follow the one known
-	seenHere     bool              // what this process itself saw shows the loss, not only what others know
-	laterTerm    uint64            // a fencing token, or a peer's term, that is higher than the term
-	highestToken uint64            // of all workers heard
+	epochKeys    map[string]uint64 // versions of the epoch keys in the store
+	suspectKeys  map[string]uint64 // acknowledged versions of keys that were missing when a user's request read them
+	contents     StoreContents     // of the last unreliable list
+	proof        Sign              // of a loss that the store's own answers do not show; empty: none
+	brokenChain  bool              // a membership record was seen that does not follow the known one
+	seenHere     bool              // this process saw the loss itself, instead of only learning of it from others
+	laterTerm    uint64            // higher term known from a worker's fencing token or from a peer; 0: none
+	highestToken uint64            // highest fencing token reported by any worker
 
-	endsRead       bool // all single ends that the store has were read
-	memoryComplete bool // the ends known go back to the deployment's beginning
+	endsRead        bool // all individual job ends in the store were read
+	historyComplete bool // all job ends since the deployment began are known
 
-	comparedAt  time.Time // last periodic comparison
-	confirmedAt time.Time // when the last loss was agreed on here
+	comparedAt  time.Time // when the last periodic comparison began
+	confirmedAt time.Time // when the last loss was confirmed here
 }
 
-// NewDetection is the detection of a process that has read nothing yet. leaseLife is that of controllers' leases.
+// NewDetection returns the detection of a process that has read nothing yet. leaseLife is the lifetime of the
+// controllers' leases.
 func NewDetection(self string, incarnation uint64, peers []string, leaseLife time.Duration) *Detection {
 	return &Detection{
 		self: self, incarnation: incarnation, leaseLife: leaseLife,
@@ -128,35 +131,35 @@
 	}
 }
 
-// Trusted says whether what the store answers counts: nobody saw a sign that it lost anything since it was read.
+// Trusted reports whether the store's answers can be relied on: no sign of loss was seen since the store was read.
 func (d *Detection) Trusted() bool {
 	return d.agreement.phase == Trusted || d.agreement.phase == Starting
 }
 
-// Phase tells the phase, since when, and the sign that led to it.
+// Phase returns the phase, when it was entered and the sign that led to it.
 func (d *Detection) Phase() (phase Phase, since time.Time, sign Sign) { return d.agreement.Phase() }
 
-// Counts tells how many signs of loss were seen, and how many losses were agreed on.
+// Counts returns how many times a loss was suspected and how many losses were confirmed.
 func (d *Detection) Counts() (suspicions, losses int) { return d.agreement.Counts() }
 
-// ConfirmedAt is when the last loss was agreed on here.
+// ConfirmedAt returns when the last loss was confirmed here.
 func (d *Detection) ConfirmedAt() time.Time { return d.confirmedAt }
 
-// HistoryComplete says whether the ends known here go back to the deployment's beginning.
-func (d *Detection) HistoryComplete() bool { return d.memoryComplete }
+// HistoryComplete reports whether all job ends since the deployment began are known here.
+func (d *Detection) HistoryComplete() bool { return d.historyComplete }
 
-// Proved says whether there is a proof of a loss, and which.
+// Proved returns the proof of a loss and whether there is one.
 func (d *Detection) Proved() (proof Sign, proved bool) { return d.proof, d.proof != "" }
 
-// RecordChainBroken says whether a membership record was seen that does not follow the one known.
+// RecordChainBroken reports whether a membership record was seen that does not follow the known one.
 func (d *Detection) RecordChainBroken() bool { return d.brokenChain }
 
-// Assessment is what peers are told of the store. record is the latest known, nil for none; revision is the highest
-// that an answer named.
+// Assessment returns the view of the store that is sent to peers. record is the latest known, nil for none; revision is
+// the highest that the store named.
 func (d *Detection) Assessment(record *leadership.Record, revision uint64) Assessment {
 	a := Assessment{
 		Epoch: epochOf(record), Revision: revision, Incarnation: d.incarnation,
-		HistoryComplete: d.memoryComplete && d.seenHere,
+		HistoryComplete: d.historyComplete && d.seenHere,
 	}
 	a.ConfirmedLoss = d.agreement.phase == Lost
 	a.SuspectsLoss = d.agreement.phase == Suspected || a.ConfirmedLoss
@@ -166,12 +169,12 @@
 	return a
 }
 
-// PeerAssessments are those of the peers that are heard.
+// PeerAssessments returns the assessments of the reachable peers.
 func (d *Detection) PeerAssessments(now time.Time) map[string]Assessment {
 	return d.agreement.Assessments(now)
 }
 
-// PeerAssessed takes in a peer's assessment.
+// PeerAssessed records a peer's assessment.
 func (d *Detection) PeerAssessed(peer string, a Assessment, record *leadership.Record, now time.Time) {
 	d.agreement.PeerAssessed(peer, a, now)
 	if record != nil && a.Epoch == record.Epoch && a.Term > record.Term {
@@ -179,7 +182,7 @@
 	}
 }
 
-// Suspect takes in a sign of loss. It says whether that is news: nothing was suspected before.
+// Suspect records a sign of loss. It returns false if the store was not trusted already.
 func (d *Detection) Suspect(sign Sign, now time.Time) bool {
 	if !d.Trusted() {
 		return false
@@ -188,21 +191,21 @@
 	return true
 }
 
-// Prove takes in evidence of a loss that no answer of the store shows. It says whether it is the first: the memory
-// then lacks what was there before this process read the store, and the loss is to be suspected.
+// Prove records a proof of a loss that the store's own answers do not show. It returns true for the first proof: the
+// store lost data before this process read it, so the history here is incomplete and the caller has to call Suspect.
 func (d *Detection) Prove(proof Sign) bool {
 	if d.proof != "" {
 		return false
 	}
 	d.proof = proof
-	d.memoryComplete = false
+	d.historyComplete = false
 	return true
 }
 
-// ObserveFencingToken takes in a worker's fencing token. It returns the proof of a loss if the store never gave
-// that token out, and "" otherwise.
+// ObserveFencingToken records a worker's fencing token. It returns a proof of loss if the token is from before this
+// store's first term, and "" otherwise.
 func (d *Detection) ObserveFencingToken(token uint64, record *leadership.Record) (proof Sign) {
-	if token >= noTerm || record == nil {
+	if token >= termLimit || record == nil {
 		return ""
 	}
 	d.highestToken = max(d.highestToken, token)
@@ -215,8 +218,8 @@
 	return ""
 }
 
-// RecordRefreshed judges a later term that somebody knows, after the membership record was read again. It returns the
-// proof of a loss if the store still does not have that term.
+// RecordRefreshed is called after the membership record was read again because somebody knows a later term. It returns
+// a proof of loss if the store still lacks that term, and "" otherwise.
 func (d *Detection) RecordRefreshed(record *leadership.Record) (proof Sign) {
 	if record != nil && d.laterTerm > record.Term {
 		proof = ProofLaterTerm
@@ -225,49 +228,48 @@
 	return proof
 }
 
-// SuspectKey has the next comparison include a key that a request of a user did not find.
+// SuspectKey adds a key that a user's request did not find to the next comparison.
 func (d *Detection) SuspectKey(key string, version uint64) { d.suspectKeys[key] = version }
 
-// LossSeenHere books that what this process itself had seen shows the loss. Only then does its memory reach back
-// before it: one that started afterwards read what was left, and would take that for the whole.
+// LossSeenHere records that this process saw the loss itself. Only then can its history include the time before the
+// loss: a process that started later read only what was left.
 func (d *Detection) LossSeenHere() { d.seenHere = true }
 
-// RecordOutOfChain books a membership record that was written over an older version than the one known.
+// RecordOutOfChain records a membership record that replaced an older version than the known one.
 func (d *Detection) RecordOutOfChain() { d.brokenChain, d.seenHere = true, true }
 
-// EpochKeyChanged books an epoch's own key as the store has it.
+// EpochKeyChanged records the version of an epoch key in the store.
 func (d *Detection) EpochKeyChanged(key string, version uint64) { d.epochKeys[key] = version }
 
-// EpochKeyDeleted books that an epoch's own key is not there any more. It says whether the record's epoch is this
-// one.
+// EpochKeyDeleted records the deletion of an epoch key. It reports whether that is the key of the record's epoch.
 func (d *Detection) EpochKeyDeleted(key string, record *leadership.Record) (current bool) {
 	delete(d.epochKeys, key)
 	return record != nil && key == EpochKey+record.StoreID
 }
 
-// EpochKeyVersion is the version of an epoch's own key, 0 if the store has none as far as known.
+// EpochKeyVersion returns the known version of an epoch key, 0 if the store has none.
 func (d *Detection) EpochKeyVersion(key string) uint64 { return d.epochKeys[key] }
 
-// NewerEpochSeen books that a membership record of a later epoch was seen.
+// NewerEpochSeen records that a membership record of a later epoch was seen.
 func (d *Detection) NewerEpochSeen(epoch uint64) { d.agreement.NewerEpochSeen(epoch) }
 
-// EndsRead books that all single ends that the store has were read.
+// EndsRead records that all individual job ends in the store were read.
 func (d *Detection) EndsRead(record *leadership.Record) {
 	d.endsRead = true
-	d.memoryComplete = d.proof == "" && record != nil && !record.DataLost
+	d.historyComplete = d.proof == "" && record != nil && !record.DataLost
 }
 
-// SearchGivenUp books that nothing more will be remembered than is known now.
+// SearchGivenUp records that the search for lost job ends is over, so that the ends known now count as all.
 func (d *Detection) SearchGivenUp() {
 	if d.endsRead {
-		d.memoryComplete = true
+		d.historyComplete = true
 	}
 }
 
-// Started begins the periodic comparisons.
+// Started starts the interval of the periodic comparisons.
 func (d *Detection) Started(now time.Time) { d.comparedAt = now }
 
-// Decide says what to do next.
+// Decide returns the current phase and the next task.
 func (d *Detection) Decide(now time.Time, record *leadership.Record) Decision {
 	term := uint64(0)
 	if record != nil {
@@ -283,14 +285,15 @@
 	if action == ActionNone && phase == Lost && now.Sub(d.contents.ReadAt) > relistInterval {
 		action = ActionRelist
 	}
-	if action == ActionPropose && !(d.memoryComplete && d.seenHere) && now.Sub(since) < completeMemoryWait {
-		action = ActionNone // a peer may yet find that it remembers more
+	if action == ActionPropose && !(d.historyComplete && d.seenHere) && now.Sub(since) < completeHistoryWait {
+		action = ActionNone // a peer may have a complete history
 	}
-	decision.Task = d.task(action, phase, term, now)
+	decision.Task = d.taskFor(action, phase, term, now)
 	return decision
 }
 
-func (d *Detection) task(action Action, phase Phase, term uint64, now time.Time) Task {
+// taskFor translates an action of the agreement into a task, or returns a due check of the trusted store.
+func (d *Detection) taskFor(action Action, phase Phase, term uint64, now time.Time) Task {
 	switch {
 	case action == ActionCompare:
 		return TaskConfirmSuspicion
@@ -307,15 +310,15 @@
 	return TaskNone
 }
 
-// presenceListed says whether a lost store was found to hold a controller's presence; for the own one, that of
-// this process.
+// presenceListed reports whether the last unreliable list has a controller's presence key. For this controller, the key
+// must be of this process.
 func (d *Detection) presenceListed(name string) bool {
 	presence, there := d.contents.Presences[name]
 	return there && (name != d.self || presence.Incarnation == d.incarnation)
 }
 
-// PlanComparison merges the keys that are followed with the evidence. ready is false if the outcome is known without
-// asking the store.
+// PlanComparison returns the keys to compare: the followed ones, the epoch keys and the suspect keys. If ready is
+// false, outcome is known without a request to the store. listed reports whether all watched keys were read.
 func (d *Detection) PlanComparison(
 	followed map[string]uint64, listed bool,
 ) (plan ComparisonPlan, outcome Comparison, ready bool) {
@@ -332,15 +335,16 @@
 	return plan, Unanswered, true
 }
 
-// JudgeFailedKeys judges keys that did not have the versions compared. Whoever calls it has read all changes of the
-// store since; versionNow is a key's version by these, ownVersion that of the own presence.
-func (d *Detection) JudgeFailedKeys(
+// EvaluateFailedKeys decides what it means that keys did not have the compared versions. The caller must have read all
+// changes of the store since the comparison: versionNow returns a key's version according to these, ownVersion is the
+// version of this controller's presence key.
+func (d *Detection) EvaluateFailedKeys(
 	plan ComparisonPlan, failed []string, ownVersion uint64, versionNow func(key string) uint64,
 ) FailedKeys {
 	judged := FailedKeys{Comparison: Intact}
 	for _, key := range failed {
 		if key == plan.OwnKey {
-			judged.OwnKeyGone = judged.OwnKeyGone || ownVersion == plan.OwnVersion // its lease may have ended
+			judged.OwnKeyGone = judged.OwnKeyGone || ownVersion == plan.OwnVersion // its lease may have expired
 			continue
 		}
 		if version, compared := plan.Keys[key]; compared && versionNow(key) == version {
@@ -352,7 +356,7 @@
 	return judged
 }
 
-// Compared takes in the outcome of a comparison that a suspicion led to. It says whether the store is trusted again.
+// Compared records the outcome of a comparison that checked a suspicion. It reports whether the store is trusted again.
 func (d *Detection) Compared(outcome Comparison, now time.Time) (trusted bool) {
 	d.agreement.Compared(outcome, now)
 	if !d.Trusted() {
@@ -362,37 +366,37 @@
 	return true
 }
 
-// PeriodicCompared takes in the outcome of a periodic comparison.
+// PeriodicCompared records the outcome of a periodic comparison.
 func (d *Detection) PeriodicCompared(outcome Comparison) {
 	if outcome == Intact {
 		clear(d.suspectKeys)
 	}
 }
 
-// JudgeList says what a full list of the followed keys means. record is the latest known, nil for none; recordVersion
-// is its key's.
-func (d *Detection) JudgeList(contents StoreContents, record *leadership.Record, recordVersion uint64) ListJudgement {
+// EvaluateList classifies a full list of the watched keys. record is the latest known membership record, nil for none,
+// and recordVersion is the version of its key.
+func (d *Detection) EvaluateList(contents StoreContents, record *leadership.Record, recordVersion uint64) ListEvaluation {
 	stored := contents.Record
 	newer := stored != nil && stored.Epoch > epochOf(record)
-	judgement := ListJudgement{}
+	judgement := ListEvaluation{}
 	switch {
 	case newer && contents.EpochKeys[EpochKey+stored.StoreID] == 0:
-		// Its own key is gone: this store has lost data already, and what it holds is only evidence.
+		// The key of its epoch is gone: the store has lost data since, and its contents are only evidence.
 		judgement.Proof = ProofEpochKeyGone
 	case record == nil || newer:
-		return ListJudgement{Verdict: ListOfOtherEpoch}
+		return ListEvaluation{Verdict: ListOfOtherEpoch}
 	case d.agreement.phase == Lost:
 	case stored == nil || stored.Term < record.Term || contents.RecordVersion < recordVersion ||
 		contents.EpochKeys[EpochKey+record.StoreID] == 0:
 		judgement.Suspicion = SignListLacks
 	default:
-		return ListJudgement{Verdict: ListCurrent, Proof: d.proofByPeers(record, contents.ReadAt)}
+		return ListEvaluation{Verdict: ListCurrent, Proof: d.proofByPeers(record, contents.ReadAt)}
 	}
 	d.contents = contents
 	return judgement
 }
 
-// proofByPeers is the proof of a loss if a peer knows a later epoch than a list that was just read.
+// proofByPeers returns a proof of loss if a peer knows a later epoch than a list that was just read.
 func (d *Detection) proofByPeers(record *leadership.Record, now time.Time) Sign {
 	for _, a := range d.agreement.Assessments(now) {
 		if a.Epoch > record.Epoch {
@@ -402,21 +406,21 @@
 	return ""
 }
 
-// LeaveEpoch drops what is known of an epoch's keys, as another is about to be entered.
+// LeaveEpoch clears the keys known of an epoch, before another one is entered.
 func (d *Detection) LeaveEpoch() {
 	d.epochKeys, d.suspectKeys = map[string]uint64{}, map[string]uint64{}
 }
 
-// ListAccepted drops the evidence against a store, as a list of another epoch is about to be taken in.
+// ListAccepted clears the evidence against the store, before a list of another epoch is applied.
 func (d *Detection) ListAccepted() {
 	d.seenHere, d.brokenChain, d.proof, d.laterTerm = false, false, "", 0
 }
 
-// Entered books that all that is followed was read, or that a membership record was adopted, of an epoch.
+// Entered records that all watched keys of an epoch were read, or that a membership record of it was adopted.
 func (d *Detection) Entered(epoch uint64, now time.Time) { d.agreement.Entered(epoch, now) }
 
-// Proposal is the evidence on which the next epoch is made, and the store's contents that it replaces. ready
-// is false while this controller may not propose: no loss is agreed on, or its own key is not in the store.
+// Proposal returns the evidence for the next epoch and the store contents that it replaces. ready is false while this
+// controller may not propose: no loss is confirmed, or its presence key is not in the store.
 func (d *Detection) Proposal(
 	record *leadership.Record, revision uint64, now time.Time,
 ) (evidence Evidence, contents StoreContents, ready bool) {
--- a/internal/datarecovery/detection_test.go
+++ b/internal/datarecovery/detection_test.go
@@ -13,7 +13,7 @@
 	return (&leadership.Record{Epoch: epoch, Term: term, FirstTerm: 100, StoreID: storeID}).Clone()
 }
 
-// trustedDetection is that of a controller without peers that entered the record's epoch.
+// trustedDetection returns the detection of a controller without peers that entered the record's epoch.
 func trustedDetection(record *leadership.Record) *Detection {
 	d := NewDetection("a", 7, nil, 4*time.Second)
 	d.Started(testStart)
@@ -29,8 +29,7 @@
 	return contents
 }
 
-// TestFullList: a list of a store that went back was taken for what the store has, or one of a later epoch not
-// entered.
+// TestFullList guards against applying the list of a store that lost data, and against not entering a later epoch.
 func TestFullList(t *testing.T) {
 	known := testRecord(2, 120, "s")
 	for name, c := range map[string]struct {
@@ -40,65 +39,65 @@
 		suspect bool
 		prove   bool
 	}{
-		"first of a process":           {nil, contentsOf(known, 9), ListOfOtherEpoch, false, false},
-		"first, of an empty store":     {nil, contentsOf(nil, 0), ListOfOtherEpoch, false, false},
-		"as known":                     {known, contentsOf(known, 9), ListCurrent, false, false},
-		"later term":                   {known, contentsOf(testRecord(2, 121, "s"), 11), ListCurrent, false, false},
-		"no record":                    {known, contentsOf(nil, 0), ListUnreliable, true, false},
-		"earlier term":                 {known, contentsOf(testRecord(2, 119, "s"), 9), ListUnreliable, true, false},
-		"earlier version":              {known, contentsOf(known, 8), ListUnreliable, true, false},
-		"epoch's key is gone":          {known, StoreContents{Record: known, RecordVersion: 9, ReadAt: testStart}, ListUnreliable, true, false},
-		"later epoch":                  {known, contentsOf(testRecord(3, 130, "t"), 2), ListOfOtherEpoch, false, false},
-		"later epoch, its key is gone": {known, StoreContents{Record: testRecord(3, 130, "t"), RecordVersion: 2, ReadAt: testStart}, ListUnreliable, false, true},
+		"first of a process":             {nil, contentsOf(known, 9), ListOfOtherEpoch, false, false},
+		"first, of an empty store":       {nil, contentsOf(nil, 0), ListOfOtherEpoch, false, false},
+		"as known":                       {known, contentsOf(known, 9), ListCurrent, false, false},
+		"later term":                     {known, contentsOf(testRecord(2, 121, "s"), 11), ListCurrent, false, false},
+		"no record":                      {known, contentsOf(nil, 0), ListUnreliable, true, false},
+		"earlier term":                   {known, contentsOf(testRecord(2, 119, "s"), 9), ListUnreliable, true, false},
+		"earlier version":                {known, contentsOf(known, 8), ListUnreliable, true, false},
+		"epoch key is gone":              {known, StoreContents{Record: known, RecordVersion: 9, ReadAt: testStart}, ListUnreliable, true, false},
+		"later epoch":                    {known, contentsOf(testRecord(3, 130, "t"), 2), ListOfOtherEpoch, false, false},
+		"later epoch, epoch key is gone": {known, StoreContents{Record: testRecord(3, 130, "t"), RecordVersion: 2, ReadAt: testStart}, ListUnreliable, false, true},
 	} {
-		got := trustedDetection(known).JudgeList(c.stored, c.record, 9)
+		got := trustedDetection(known).EvaluateList(c.stored, c.record, 9)
 		if got.Verdict != c.want || (got.Suspicion != "") != c.suspect || (got.Proof != "") != c.prove {
 			t.Errorf("%s: %+v", name, got)
 		}
 	}
 }
 
-// TestListWhilePeersKnowALaterEpoch: a list of the known epoch is taken in, but proves a loss if a peer is in a
-// later one.
+// TestListWhilePeersKnowALaterEpoch: a list of the known epoch is applied, but proves a loss if a peer is in a later
+// epoch.
 func TestListWhilePeersKnowALaterEpoch(t *testing.T) {
 	known := testRecord(2, 120, "s")
 	d := NewDetection("a", 7, []string{"b"}, 4*time.Second)
 	d.Entered(2, testStart)
 	d.PeerAssessed("b", Assessment{Epoch: 3, Term: 140}, known, testStart)
-	if got := d.JudgeList(contentsOf(known, 9), known, 9); got.Verdict != ListCurrent || got.Proof == "" {
+	if got := d.EvaluateList(contentsOf(known, 9), known, 9); got.Verdict != ListCurrent || got.Proof == "" {
 		t.Errorf("%+v", got)
 	}
 }
 
-// TestLostStoreIsOnlyEvidence: once a loss is agreed on, what the store still has is not relied on, and a proposal
-// needs the own key in it.
+// TestLostStoreIsOnlyEvidence: once a loss is confirmed, the remaining contents of the store are not relied on, and a
+// proposal requires this controller's presence key in them.
 func TestLostStoreIsOnlyEvidence(t *testing.T) {
 	known := testRecord(1, 120, "s")
 	d := trustedDetection(known)
 	if _, _, ready := d.Proposal(known, 0, testStart); ready {
-		t.Error("an epoch is proposed while nothing is lost")
+		t.Error("an epoch is proposed without a loss")
 	}
-	now := loseData(t, d, known)
-	if got := d.JudgeList(contentsOf(known, 9), known, 9); got.Verdict != ListUnreliable || got.Suspicion != "" || got.Proof != "" {
+	now := confirmLoss(t, d, known)
+	if got := d.EvaluateList(contentsOf(known, 9), known, 9); got.Verdict != ListUnreliable || got.Suspicion != "" || got.Proof != "" {
 		t.Errorf("%+v", got)
 	}
 	if _, contents, ready := d.Proposal(known, 0, now); !ready || contents.RecordVersion != 9 {
-		t.Errorf("ready %t with the record at %d", ready, contents.RecordVersion)
+		t.Errorf("ready %t, record version %d", ready, contents.RecordVersion)
 	}
 	without := contentsOf(known, 9)
 	without.Presences = nil
-	d.JudgeList(without, known, 9)
+	d.EvaluateList(without, known, 9)
 	if _, _, ready := d.Proposal(known, 0, now); ready {
-		t.Error("an epoch is proposed without the own key in the store")
+		t.Error("an epoch is proposed without the presence key in the store")
 	}
 }
 
-// loseData has a detection without peers agree on a loss, and returns the time then.
-func loseData(t *testing.T, d *Detection, record *leadership.Record) time.Time {
+// confirmLoss makes a detection without peers confirm a loss, and returns the time of that.
+func confirmLoss(t *testing.T, d *Detection, record *leadership.Record) time.Time {
 	t.Helper()
 	now := testStart
 	if !d.Suspect("a test", now) {
-		t.Fatal("not trusted before")
+		t.Fatal("the store was not trusted before")
 	}
 	for range 20 {
 		now = now.Add(100 * time.Millisecond)
@@ -109,15 +108,15 @@
 			d.Compared(Missing, now)
 		}
 	}
-	t.Fatal("no loss was agreed on")
+	t.Fatal("no loss was confirmed")
 	return now
 }
 
-// TestLossIsToldOnce: what follows a loss begins once, and the next list is asked for.
-func TestLossIsToldOnce(t *testing.T) {
+// TestLossIsReportedOnce: a confirmed loss is reported by one decision only, and the next task is to list the keys.
+func TestLossIsReportedOnce(t *testing.T) {
 	known := testRecord(1, 120, "s")
 	d := trustedDetection(known)
-	now := loseData(t, d, known)
+	now := confirmLoss(t, d, known)
 	if !d.ConfirmedAt().Equal(now) {
 		t.Errorf("confirmed at %s instead of %s", d.ConfirmedAt(), now)
 	}
@@ -126,8 +125,9 @@
 	}
 }
 
-// TestProposalWaitsForACompleteMemory: one that does not remember everything gives a peer time to find that it does.
-func TestProposalWaitsForACompleteMemory(t *testing.T) {
+// TestProposalWaitsForACompleteHistory: a controller with an incomplete history delays its proposal, so that a peer
+// with a complete one may propose first.
+func TestProposalWaitsForACompleteHistory(t *testing.T) {
 	for _, complete := range []bool{true, false} {
 		known := testRecord(1, 120, "s")
 		d := trustedDetection(known)
@@ -135,13 +135,13 @@
 			d.EndsRead(known)
 			d.LossSeenHere()
 		}
-		lost := loseData(t, d, known)
+		lost := confirmLoss(t, d, known)
 		contents := contentsOf(known, 9)
 		for passed := time.Duration(0); ; passed += 50 * time.Millisecond {
 			contents.ReadAt = lost.Add(passed)
-			d.JudgeList(contents, known, 9)
+			d.EvaluateList(contents, known, 9)
 			if d.Decide(lost.Add(passed), known).Task == TaskProposeEpoch {
-				if complete && passed > 0 || !complete && passed < completeMemoryWait {
+				if complete && passed > 0 || !complete && passed < completeHistoryWait {
 					t.Errorf("complete %t: proposed after %s", complete, passed)
 				}
 				break
@@ -153,8 +153,8 @@
 	}
 }
 
-// TestFencingTokens: a worker's token proves a loss only if it is from before the store began; a later one than the
-// term has the record read first, since that may only be late here.
+// TestFencingTokens: a worker's token proves a loss only if it is from before the store's first term. A token later
+// than the known term makes the controller read the record again, since the record known here may be out of date.
 func TestFencingTokens(t *testing.T) {
 	first, later := testRecord(1, 120, "s"), testRecord(2, 120, "s")
 	for name, c := range map[string]struct {
@@ -168,7 +168,7 @@
 		"before the store":                   {99, first, true, TaskNone},
 		"before the store, in a later epoch": {99, later, false, TaskNone},
 		"later than the term":                {121, first, false, TaskRefreshRecord},
-		"no term at all":                     {noTerm, first, false, TaskNone},
+		"no term at all":                     {termLimit, first, false, TaskNone},
 		"before any record":                  {99, nil, false, TaskNone},
 	} {
 		d := trustedDetection(first)
@@ -181,8 +181,9 @@
 	}
 }
 
-// TestLaterTermIsJudgedOnce: after the record was read, a later term that somebody knows is a proof or settled.
-func TestLaterTermIsJudgedOnce(t *testing.T) {
+// TestLaterTermIsCheckedOnce: after the record was read again, a later term that somebody knows is either a proof or
+// settled.
+func TestLaterTermIsCheckedOnce(t *testing.T) {
 	for term, prove := range map[uint64]bool{120: true, 125: false, 130: false} {
 		d := trustedDetection(testRecord(1, 120, "s"))
 		d.ObserveFencingToken(125, testRecord(1, 120, "s"))
@@ -190,36 +191,36 @@
 			t.Errorf("term %d: proof %q", term, proof)
 		}
 		if proof := d.RecordRefreshed(testRecord(1, 120, "s")); proof != "" {
-			t.Errorf("term %d: judged again: %s", term, proof)
+			t.Errorf("term %d: proof again: %s", term, proof)
 		}
 	}
 }
 
-// TestProofEndsCompleteMemory: a proof says that there was something before this process read the store, so that its
-// memory is not complete; only the first counts as news.
-func TestProofEndsCompleteMemory(t *testing.T) {
+// TestProofMakesHistoryIncomplete: a proof shows that the store lost data before this process read it, so that the
+// history here is incomplete. Only the first proof is reported as new.
+func TestProofMakesHistoryIncomplete(t *testing.T) {
 	known := testRecord(1, 120, "s")
 	d := trustedDetection(known)
 	d.EndsRead(known)
 	if !d.HistoryComplete() {
-		t.Fatal("the memory is not complete though all was read")
+		t.Fatal("the history is incomplete although all ends were read")
 	}
 	if !d.Prove("first") || d.Prove("second") || d.HistoryComplete() {
-		t.Errorf("memory complete %t", d.HistoryComplete())
+		t.Errorf("history complete %t", d.HistoryComplete())
 	}
 	if proof, proved := d.Proved(); !proved || proof != "first" {
 		t.Errorf("proof %q", proof)
 	}
 	if _, outcome, ready := d.PlanComparison(nil, true); ready || outcome != Missing {
-		t.Error("a proved loss is looked into")
+		t.Error("a proved loss is compared")
 	}
 	d.EndsRead(known)
 	if d.HistoryComplete() {
-		t.Error("the memory is complete though a loss is proved")
+		t.Error("the history is complete although a loss is proved")
 	}
 }
 
-// TestSearchGivenUp: nothing more will be remembered than is known, once that was read.
+// TestSearchGivenUp: once the search is given up and all ends in the store were read, the history counts as complete.
 func TestSearchGivenUp(t *testing.T) {
 	incomplete := testRecord(2, 120, "s")
 	incomplete.DataLost = true
@@ -228,15 +229,15 @@
 		t.Error("complete before the ends were read")
 	}
 	if d.EndsRead(incomplete); d.HistoryComplete() {
-		t.Error("complete though data were lost for good")
+		t.Error("complete although data was lost for good")
 	}
 	if d.SearchGivenUp(); !d.HistoryComplete() {
-		t.Error("not complete though nothing more will come")
+		t.Error("incomplete although the search is over")
 	}
 }
 
-// TestFailedKeys: a key that has another version was changed since, one that has the same is missing; the own key
-// may have ended with its lease.
+// TestFailedKeys: a key with another version was changed since, one with the same version is missing, and this
+// controller's presence key may have expired with its lease.
 func TestFailedKeys(t *testing.T) {
 	d := trustedDetection(testRecord(1, 120, "s"))
 	d.SuspectKey("w/a/job-000001", 5)
@@ -248,32 +249,32 @@
 	}
 	now := map[string]uint64{"w/c": 10, "w/a/job-000001": 5}
 	versionNow := func(key string) uint64 { return now[key] }
-	if got := d.JudgeFailedKeys(plan, []string{"w/n/a", "w/c"}, 3, versionNow); got.Comparison != Intact || !got.OwnKeyGone || got.MissingKey != "" {
+	if got := d.EvaluateFailedKeys(plan, []string{"w/n/a", "w/c"}, 3, versionNow); got.Comparison != Intact || !got.OwnKeyGone || got.MissingKey != "" {
 		t.Errorf("changed since: %+v", got)
 	}
-	if got := d.JudgeFailedKeys(plan, []string{"w/n/a"}, 4, versionNow); got.OwnKeyGone {
-		t.Errorf("the own key was written again: %+v", got)
+	if got := d.EvaluateFailedKeys(plan, []string{"w/n/a"}, 4, versionNow); got.OwnKeyGone {
+		t.Errorf("the presence key was written again: %+v", got)
 	}
 	if d.EndsRead(testRecord(1, 120, "s")); d.Assessment(nil, 0).HistoryComplete {
-		t.Error("peers are told of a complete memory though this process saw no loss")
+		t.Error("the assessment claims a complete history although this process saw no loss")
 	}
-	if got := d.JudgeFailedKeys(plan, []string{"w/c", "w/a/job-000001"}, 3, versionNow); got.Comparison != Missing || got.MissingKey != "w/a/job-000001" {
+	if got := d.EvaluateFailedKeys(plan, []string{"w/c", "w/a/job-000001"}, 3, versionNow); got.Comparison != Missing || got.MissingKey != "w/a/job-000001" {
 		t.Errorf("missing: %+v", got)
 	}
 	if !d.Assessment(nil, 0).HistoryComplete {
-		t.Error("peers are not told that this process saw the loss")
+		t.Error("the assessment lacks that this process saw the loss")
 	}
 }
 
-// TestPeriodicComparison: every quarter of a lease, and at once while a key is suspected.
+// TestPeriodicComparison: keys are compared every quarter of a lease, and at once while a key is suspect.
 func TestPeriodicComparison(t *testing.T) {
 	known := testRecord(1, 120, "s")
 	d := trustedDetection(known)
 	if task := d.Decide(testStart.Add(time.Second), known).Task; task != TaskNone {
-		t.Errorf("task %d before the time", task)
+		t.Errorf("task %d before the interval ended", task)
 	}
 	if task := d.Decide(testStart.Add(time.Second+1), known).Task; task != TaskPeriodicCompare {
-		t.Errorf("task %d at the time", task)
+		t.Errorf("task %d after the interval", task)
 	}
 	if task := d.Decide(testStart.Add(time.Second+2), known).Task; task != TaskNone {
 		t.Errorf("task %d again", task)
@@ -289,7 +290,7 @@
 	}
 }
 
-// TestEnteringClearsEvidence: evidence against a store that lost data was held against the next one.
+// TestEnteringClearsEvidence: evidence against a store that lost data was used against the store of the next epoch.
 func TestEnteringClearsEvidence(t *testing.T) {
 	known := testRecord(1, 120, "s")
 	d := trustedDetection(known)
@@ -297,19 +298,19 @@
 	d.SuspectKey("w/c", 9)
 	d.RecordOutOfChain()
 	d.Prove("a test")
-	loseData(t, d, known)
+	confirmLoss(t, d, known)
 	d.LeaveEpoch()
 	d.ListAccepted()
 	d.Entered(2, testStart.Add(time.Minute))
 	if _, proved := d.Proved(); proved || d.RecordChainBroken() || d.EpochKeyVersion(EpochKey+"s") != 0 || !d.Trusted() {
-		t.Error("evidence of the epoch before is left")
+		t.Error("evidence of the previous epoch is left")
 	}
 	if plan, _, ready := d.PlanComparison(nil, true); !ready || len(plan.Keys) != 0 {
 		t.Errorf("ready %t with %v", ready, plan.Keys)
 	}
 }
 
-// TestEpochKeyDeleted: only that of the epoch that this controller is in is a sign.
+// TestEpochKeyDeleted: only the deletion of the current epoch's key is a sign of loss.
 func TestEpochKeyDeleted(t *testing.T) {
 	known := testRecord(1, 120, "s")
 	d := trustedDetection(known)
