--- a/internal/datarecovery/ends.go
+++ b/internal/datarecovery/ends.go
@@ -11,7 +11,7 @@
 	"github.com/RoaringBitmap/roaring/v2"
 )
 
-// End is how a job ended.
+// End is how a job ended: done, or cancelled.
 type End struct {
 	UID       string `json:"UID"`
 	Cancelled bool   `json:"Withdrawn"`
@@ -19,29 +19,30 @@
 	Team      string `json:"Team"`
 }
 
-// Ends is every job's end that a controller knows. It only grows: an end is for ever.
-// Job ids of the usual form, a number of six digits or more, take some ten bytes.
+// Ends is the set of all job ends that a controller knows. Ends are never removed. An end whose job id has the usual
+// form, a number of six digits or more, takes about ten bytes.
 type Ends struct {
-	ids       *roaring.Bitmap   // usual ids
-	packed    map[uint32]uint32 // ends by usual id
+	ids       *roaring.Bitmap   // numbers of the usual ids
+	packed    map[uint32]uint32 // ends by number of the usual id
 	others    map[string]End    // ends that cannot be packed
 	teams     []string
-	teamIndex map[string]uint32 // in teams
+	teamIndex map[string]uint32 // indices in teams
 }
 
-// NewEnds knows none.
+// NewEnds returns an empty set.
 func NewEnds() *Ends {
 	return &Ends{ids: roaring.New(), packed: map[uint32]uint32{}, others: map[string]End{}, teamIndex: map[string]uint32{}}
 }
 
-// A packed end: tasks in 17 bits, the team's index in 14, and whether it was cancelled.
+// Layout of a packed end: the number of tasks in 17 bits, the index of the team in 14 bits, and one bit that is set if
+// the job was cancelled.
 const (
 	taskBits     = 17
 	teamBits     = 14
 	cancelledBit = 1 << 31
 )
 
-// idPrefix and digits are the usual form of a job's id.
+// idPrefix is the prefix of a job id of the usual form; a number of at least six digits follows.
 const idPrefix = "job-"
 
 func parseUsualID(uid string) (uint32, bool) {
@@ -58,7 +59,7 @@
 
 func usualID(n uint32) string { return fmt.Sprintf("%s%06d", idPrefix, n) }
 
-// Add takes in an end and says whether it was new. The first that was learned stays.
+// Add adds an end and reports whether it is new. An end that is known for the job is kept.
 func (e *Ends) Add(x End) bool {
 	if _, known := e.Get(x.UID); known {
 		return false
@@ -85,7 +86,7 @@
 	return true
 }
 
-// Get finds a job's end.
+// Get returns the end of a job and whether it is known.
 func (e *Ends) Get(uid string) (End, bool) {
 	if n, ok := parseUsualID(uid); ok {
 		if v, ok := e.packed[n]; ok {
@@ -105,35 +106,34 @@
 	}
 }
 
-// Len counts the ends.
+// Len returns the number of known ends.
 func (e *Ends) Len() int { return len(e.packed) + len(e.others) }
 
-// Digest names the ends known, for a peer to find those that are lacking here: a
-// compressed bitmap of the usual ids, and the others.
+// Digest names the jobs whose ends are known, so that a peer can determine which ends are missing here.
 type Digest struct {
-	IDs    string   `json:"ids"` // portable Roaring form, base64
-	Others []string `json:"others,omitempty"`
+	IDs    string   `json:"ids"`              // numbers of the usual ids: Roaring bitmap in the portable format, base64
+	Others []string `json:"others,omitempty"` // ids of the ends that are not packed
 }
 
-// Digest sums up what is known.
+// Digest returns the digest of the known ends.
 func (e *Ends) Digest() Digest {
 	e.ids.RunOptimize()
 	data, err := e.ids.ToBytes()
 	if err != nil {
-		panic(fmt.Sprintf("datarecovery: bitmap without binary form: %v", err)) // only a failing writer makes one
+		panic(fmt.Sprintf("datarecovery: encode bitmap: %v", err)) // writing to a buffer does not fail
 	}
 	return Digest{IDs: base64.StdEncoding.EncodeToString(data), Others: slices.Sorted(maps.Keys(e.others))}
 }
 
-// MissingFrom lists the ends known here that a digest does not name.
+// MissingFrom returns the ends known here that a digest does not name.
 func (e *Ends) MissingFrom(d Digest) ([]End, error) {
 	data, err := base64.StdEncoding.DecodeString(d.IDs)
 	if err != nil {
-		return nil, fmt.Errorf("datarecovery: digest: %w", err)
+		return nil, fmt.Errorf("datarecovery: decode digest: %w", err)
 	}
 	theirs := roaring.New()
 	if err := theirs.UnmarshalBinary(data); err != nil {
-		return nil, fmt.Errorf("datarecovery: digest: %w", err)
+		return nil, fmt.Errorf("datarecovery: decode digest: %w", err)
 	}
 	var out []End
 	for it := roaring.AndNot(e.ids, theirs).Iterator(); it.HasNext(); {
@@ -148,8 +148,8 @@
 	return out, nil
 }
 
-// All lists every end in the order of ids.
+// All returns all ends, the packed ones first, each group in the order of ids.
 func (e *Ends) All() []End {
-	all, _ := e.MissingFrom(NewEnds().Digest()) // an own digest can be read
+	all, _ := e.MissingFrom(NewEnds().Digest()) // the digest of an empty set is always valid
 	return all
 }
--- a/internal/datarecovery/ends_test.go
+++ b/internal/datarecovery/ends_test.go
@@ -21,16 +21,16 @@
 		End{UID: "job-4000001", Tasks: 1 << taskBits, Team: "team-2", Cancelled: true})
 }
 
-// TestPagesTellTheSameEnds: through pages of any size, none larger than the room, every end comes back as it was.
-func TestPagesTellTheSameEnds(t *testing.T) {
+// TestPagesRoundTrip: ends encoded as pages of any size are decoded unchanged, and no page exceeds the limit.
+func TestPagesRoundTrip(t *testing.T) {
 	want := manyEnds()
 	slices.SortFunc(want, func(a, b End) int { return strings.Compare(a.UID, b.UID) })
-	for _, room := range []int{300, 2000, 100_000} {
+	for _, maxBytes := range []int{300, 2000, 100_000} {
 		var got []End
-		for _, page := range Pages(manyEnds(), room) {
+		for _, page := range Pages(manyEnds(), maxBytes) {
 			value, err := json.Marshal(page)
-			if err != nil || len(value) > room {
-				t.Fatalf("room %d: page of %d bytes, %v", room, len(value), err)
+			if err != nil || len(value) > maxBytes {
+				t.Fatalf("maxBytes %d: page of %d bytes, %v", maxBytes, len(value), err)
 			}
 			ends, err := ReadPage(value)
 			if err != nil {
@@ -40,13 +40,14 @@
 		}
 		slices.SortFunc(got, func(a, b End) int { return strings.Compare(a.UID, b.UID) })
 		if !slices.Equal(got, want) {
-			t.Errorf("room %d: %d ends, not the %d written", room, len(got), len(want))
+			t.Errorf("maxBytes %d: %d ends, not the %d written", maxBytes, len(got), len(want))
 		}
 	}
 }
 
-// TestFormOfAPage: pages outlive the process that wrote them, and controllers of two versions read them.
-func TestFormOfAPage(t *testing.T) {
+// TestPageEncoding pins the encoding of pages: they outlive the process that wrote them, and controllers of different
+// versions read them.
+func TestPageEncoding(t *testing.T) {
 	pages := Pages([]End{{UID: "job-000012", Tasks: 5, Team: "red"}, {UID: "job-000300", Tasks: 2, Team: "blue", Cancelled: true}, {UID: "x", Tasks: 1, Team: "red"}}, 10_000)
 	got, err := json.Marshal(pages)
 	const want = `[{"teams":["red","blue"],"data":"DAqgAoWAEA==","others":[{"UID":"x","Withdrawn":false,"Tasks":1,"Team":"red"}]}]`
@@ -55,11 +56,11 @@
 	}
 }
 
-// TestDamagedPages: a page that cannot be read says so.
+// TestDamagedPages: decoding a damaged page returns an error.
 func TestDamagedPages(t *testing.T) {
 	for value, want := range map[string]error{
-		`{"teams":["red"],"data":"DA=="}`:     ErrPageCutShort,
-		`{"teams":["red"],"data":"gA=="}`:     ErrPageCutShort,
+		`{"teams":["red"],"data":"DA=="}`:     ErrPageTruncated,
+		`{"teams":["red"],"data":"gA=="}`:     ErrPageTruncated,
 		`{"teams":[],"data":"DAo="}`:          ErrPageOutOfRange,
 		`{"teams":["red"],"data":"gICAgCAK"}`: ErrPageOutOfRange,
 		`{"teams":["red"],"data":"*"}`:        nil,
@@ -71,34 +72,35 @@
 	}
 }
 
-// TestLackingEnds: a peer's digest tells which ends it lacks, and only these; the first end that was learned stays.
-func TestLackingEnds(t *testing.T) {
+// TestMissingEnds: MissingFrom returns exactly the ends that a peer's digest lacks, and the first end added for a job
+// is kept.
+func TestMissingEnds(t *testing.T) {
 	mine, theirs := NewEnds(), NewEnds()
 	for i, end := range manyEnds() {
 		if !mine.Add(end) {
-			t.Fatalf("%v was known", end)
+			t.Fatalf("%v counts as known", end)
 		}
 		if i%2 == 0 {
 			theirs.Add(end)
 		}
 	}
-	lacking, err := mine.MissingFrom(theirs.Digest())
-	if err != nil || len(lacking) != mine.Len()-theirs.Len() {
-		t.Fatalf("%d lacking of %d, %v", len(lacking), mine.Len()-theirs.Len(), err)
+	missing, err := mine.MissingFrom(theirs.Digest())
+	if err != nil || len(missing) != mine.Len()-theirs.Len() {
+		t.Fatalf("%d missing of %d, %v", len(missing), mine.Len()-theirs.Len(), err)
 	}
-	for _, end := range lacking {
+	for _, end := range missing {
 		theirs.Add(end)
 	}
 	if !slices.Equal(mine.All(), theirs.All()) {
-		t.Error("not the same ends after the exchange")
+		t.Error("the ends differ after the exchange")
 	}
 	if mine.Add(End{UID: "nightly", Tasks: 9}) {
-		t.Error("a second end of a job was learned")
+		t.Error("a second end of a job was added")
 	}
 	if end, known := mine.Get("nightly"); !known || end.Tasks != 3 {
 		t.Errorf("%+v", end)
 	}
 	if _, err := mine.MissingFrom(Digest{IDs: "*"}); err == nil {
-		t.Error("a digest that cannot be read names none")
+		t.Error("a damaged digest was accepted")
 	}
 }
--- a/internal/datarecovery/epoch.go
+++ b/internal/datarecovery/epoch.go
@@ -9,40 +9,40 @@
 	"topazhollow/internal/protocol"
 )
 
-// NextEpoch is the membership record of the next epoch.
+// NextEpoch is the proposal of the epoch that follows a loss.
 type NextEpoch struct {
 	Record         *leadership.Record
-	WithoutBarrier bool // owners keep their accounts: no barrier
+	WithoutBarrier bool // owners keep their assignments and need no barrier
 }
 
 // Evidence is what the controller that proposes an epoch knows.
 type Evidence struct {
 	Self             string
 	Controllers      []string                       // all controllers of the deployment
-	Shards           []string                       // all items
-	Record           *leadership.Record             // the latest known; nil if none
-	Stored           *leadership.Record             // as the store has it now; nil if it has none
-	Presences        map[string]leadership.Presence // controllers' keys as the store has them now
-	Assessments      map[string]Assessment          // of the peers that are heard
+	Shards           []string                       // all shards
+	Record           *leadership.Record             // the latest known membership record; nil: none
+	Stored           *leadership.Record             // the membership record that the store has now; nil: none
+	Presences        map[string]leadership.Presence // presence keys that the store has now, by controller
+	Assessments      map[string]Assessment          // of the reachable peers
 	Own              Assessment
-	HighestToken     uint64 // highest that any worker was heard with
-	ChangeUnanswered bool   // a change of the record had no answer
-	StoreID          string // drawn name of the epoch's store
+	HighestToken     uint64 // highest fencing token reported by any worker
+	ChangeUnanswered bool   // the outcome of a change of the record is unknown
+	StoreID          string // random ID of the new epoch's store
 }
 
-// NextEpoch makes the membership record of the next epoch. Terms go above every token that any worker may have
-// seen. Owners keep what they own, and without a barrier, only if every controller of the
-// deployment is heard, is the process that the latest record names, and knows no later
-// one: then nobody can have acted under a record that is not known here. If no memory goes back
-// before the loss, as when all of them ended with it, it was acted under one that nobody knows.
+// NextEpoch builds the membership record of the next epoch. Its term is above every fencing token that a worker may
+// have seen. Owners keep their shards and need no barrier only if every controller of the deployment is reachable, is
+// the process named in the latest record, and knows no later record: then nobody can have acted under a record that is
+// unknown here. If no controller has a complete history, as when all of them stopped together with the loss, an earlier
+// record that nobody knows was in effect, so the barrier is needed.
 func (e *Evidence) NextEpoch() NextEpoch {
 	base := (&leadership.Record{}).Clone()
 	if e.Record != nil {
 		base = e.Record.Clone()
 	}
 	term, epoch := e.highest(base)
-	complete := e.memoryComplete(base.Epoch)
-	keep := complete && e.nobodyActedElsewhere(base)
+	complete := e.historyComplete(base.Epoch)
+	keep := complete && e.allActedUnderLatestRecord(base)
 	next := (&leadership.Record{
 		Term: term + 1, FirstTerm: term + 1, Epoch: epoch + 1, StoreID: e.StoreID, RosterIncomplete: true,
 	}).Clone()
@@ -58,7 +58,7 @@
 	return NextEpoch{Record: next, WithoutBarrier: keep}
 }
 
-// highest are the highest term and epoch that anybody knows.
+// highest returns the highest term and epoch that any source knows.
 func (e *Evidence) highest(base *leadership.Record) (term, epoch uint64) {
 	term, epoch = max(base.Term, e.HighestToken), base.Epoch
 	if e.Stored != nil {
@@ -70,8 +70,9 @@
 	return term, epoch
 }
 
-// memoryComplete says whether a controller that saw the loss in an epoch remembers everything.
-func (e *Evidence) memoryComplete(epoch uint64) bool {
+// historyComplete reports whether this controller, or a peer that saw a loss in the given epoch, has a complete
+// history.
+func (e *Evidence) historyComplete(epoch uint64) bool {
 	if e.Own.HistoryComplete {
 		return true
 	}
@@ -83,17 +84,17 @@
 	return false
 }
 
-// nobodyActedElsewhere says whether every controller is heard and acted under no other record than the latest known
-// here.
-func (e *Evidence) nobodyActedElsewhere(base *leadership.Record) bool {
+// allActedUnderLatestRecord reports whether every controller is reachable and acted under no record other than the
+// latest known here.
+func (e *Evidence) allActedUnderLatestRecord(base *leadership.Record) bool {
 	if e.Record == nil || e.ChangeUnanswered || (e.Stored != nil && e.Stored.Term > base.Term) {
 		return false
 	}
 	for _, name := range e.Controllers {
 		incarnation := e.Own.Incarnation
 		if name != e.Self {
-			a, heard := e.Assessments[name]
-			if !heard || a.Epoch != base.Epoch || a.Term != base.Term {
+			a, reachable := e.Assessments[name]
+			if !reachable || a.Epoch != base.Epoch || a.Term != base.Term {
 				return false
 			}
 			incarnation = a.Incarnation
@@ -105,7 +106,8 @@
 	return true
 }
 
-// assignShards leaves shards with their owners that are members, and gives the others to members.
+// assignShards keeps each shard with its owner if that is a member of the next epoch, and assigns the others to
+// members.
 func (e *Evidence) assignShards(next, base *leadership.Record, keep bool) {
 	assigned := leadership.AssignOwners(e.Shards, next.Members())
 	for _, name := range e.Shards {
@@ -118,9 +120,9 @@
 	}
 }
 
-// Transaction is the one conditional write that begins the epoch in place of what the store holds: it replaces the
-// membership record, makes the epoch's own key and deletes those of earlier epochs, at most maxOps operations. It
-// rests on the presences that the epoch names.
+// Transaction returns the conditional write that starts the epoch: it replaces the membership record, creates the epoch
+// key and deletes those of earlier epochs, with at most maxOps operations. It is conditional on the presence keys on
+// which the membership is based.
 func (p *NextEpoch) Transaction(controlKey, presencePrefix string, replaced StoreContents, maxOps int) protocol.Txn {
 	p.Record.PreviousVersion = replaced.RecordVersion
 	txn := protocol.Txn{
@@ -142,11 +144,10 @@
 	return txn
 }
 
-// GiveUpSearch is the membership record with which the search for what nobody remembers ends, once
-// a copy was waited for as long as the operators said; nil if it goes on. 0 is no bound:
-// then only their word ends it.
-func GiveUpSearch(r *leadership.Record, waited, most time.Duration) *leadership.Record {
-	if !r.DataLost || most <= 0 || waited < most {
+// GiveUpSearch returns the membership record that ends the search for lost data once the configured wait for a copy is
+// over, and nil while the search goes on. With maxWait 0 there is no limit: only an operator ends the search.
+func GiveUpSearch(r *leadership.Record, waited, maxWait time.Duration) *leadership.Record {
+	if !r.DataLost || maxWait <= 0 || waited < maxWait {
 		return nil
 	}
 	next := r.Clone()
--- a/internal/datarecovery/epoch_test.go
+++ b/internal/datarecovery/epoch_test.go
@@ -6,11 +6,11 @@
 	"topazhollow/internal/leadership"
 )
 
-// TestAccountsAreKeptOnlyByWholeMemory: all controllers ended with the loss and began anew in an
-// empty store, under a record of their own, before a worker showed that there had been
-// another one. All are heard and agree; but what runs on the machines is in nobody's
-// account, and without a barrier it was started a second time.
-func TestAccountsAreKeptOnlyByCompleteMemory(t *testing.T) {
+// TestAssignmentsAreKeptOnlyWithCompleteHistory: all controllers stopped together with the loss, started with an empty
+// store and wrote a first record, before a worker showed that there had been another record. All controllers are
+// reachable and agree, but none knows the assignments of the running tasks. Without a barrier these tasks were started
+// a second time.
+func TestAssignmentsAreKeptOnlyWithCompleteHistory(t *testing.T) {
 	r := (&leadership.Record{Term: 5000, FirstTerm: 5000, Epoch: 1, StoreID: "s"}).Clone()
 	e := &Evidence{Self: "a", Controllers: []string{"a", "b"}, Shards: []string{"team/x"}, Record: r, Stored: r, Presences: map[string]leadership.Presence{}, Assessments: map[string]Assessment{}, HighestToken: 70000, StoreID: "t"}
 	for i, n := range e.Controllers {
@@ -21,10 +21,10 @@
 	e.Own = Assessment{Epoch: 1, Term: 5000, Incarnation: 1, SuspectsLoss: true, ConfirmedLoss: true, HistoryComplete: true}
 	e.Assessments["b"] = Assessment{Epoch: 1, Term: 5000, Incarnation: 2, SuspectsLoss: true, ConfirmedLoss: true}
 	if next := e.NextEpoch(); !next.WithoutBarrier || next.Record.Shards["team/x"].NeedsBarrier || next.Record.DataLost || next.Record.Term <= e.HighestToken {
-		t.Errorf("one remembers all: %+v", next.Record)
+		t.Errorf("one has a complete history: %+v", next.Record)
 	}
 	e.Own.HistoryComplete = false
 	if next := e.NextEpoch(); next.WithoutBarrier || !next.Record.Shards["team/x"].NeedsBarrier || !next.Record.DataLost {
-		t.Errorf("nobody remembers: %+v", next.Record)
+		t.Errorf("nobody has a complete history: %+v", next.Record)
 	}
 }
--- a/internal/datarecovery/gathering.go
+++ b/internal/datarecovery/gathering.go
@@ -9,37 +9,38 @@
 )
 
 const (
-	// memoriesResendInterval is after what time peers that did not answer are sent memories again, as when
-	// they have not entered the epoch yet.
-	memoriesResendInterval = 300 * time.Millisecond
-	// proposedJobLife is for how long a job that a peer was about to accept counts as accepted if the store loses its
-	// data meanwhile: no longer than a user waits for the answer.
+	// stateResendInterval is the time after which the retained state is sent again to the peers, since one that has not
+	// entered the epoch yet does not answer.
+	stateResendInterval = 300 * time.Millisecond
+	// proposedJobLife is how long a job that a peer was about to accept counts as accepted if the store loses its data
+	// meanwhile. It does not exceed the time that a user waits for the answer.
 	proposedJobLife = 10 * time.Second
 )
 
-// RememberedJob is a job that the store may not have.
+// RememberedJob is a job that is known here and may be missing in the store.
 type RememberedJob struct {
 	Spec              *protocol.Submission
-	SubmittedAtMillis int64 // of its submission, ms
+	SubmittedAtMillis int64 // Unix time in milliseconds
 }
 
+// proposedJob is a job that a peer was about to accept.
 type proposedJob struct {
 	RememberedJob
 	proposedAt time.Time
 }
 
-// Gathering is what controllers exchange after the state service lost data, and before, so that more than one
-// remembers it: whose memories are still awaited, finished tasks, and jobs that a peer was about to accept. It owns
-// its state, does no I/O and reads no clock; its owner guards it by a lock.
+// Gathering holds the state that controllers exchange, both after a loss of data and before it, so that more than one
+// of them retains it: finished tasks, jobs that a peer was about to accept, and whose retained state is still awaited.
+// It does no I/O and reads no clock; the caller guards it by a lock.
 type Gathering struct {
-	exchange      *Exchange       // that is under way; nil: none
-	exchangedWith map[string]bool // peers that sent their memories since this process started
-	sentAt        time.Time       // when peers were last sent the memories
-	finished      map[string]*bitset.BitSet
-	proposed      map[string]proposedJob
+	exchange      *Exchange                 // in progress; nil: none
+	exchangedWith map[string]bool           // peers that sent their retained state since this process started
+	sentAt        time.Time                 // when the retained state was last sent to all peers
+	finished      map[string]*bitset.BitSet // finished tasks, by job
+	proposed      map[string]proposedJob    // by job
 }
 
-// NewGathering remembers nothing and awaits nobody.
+// NewGathering returns an empty state that awaits nobody.
 func NewGathering() *Gathering {
 	return &Gathering{
 		exchangedWith: map[string]bool{},
@@ -48,27 +49,28 @@
 	}
 }
 
-// Begin awaits the memories of the other members of an epoch.
+// Begin starts an exchange with the other members of an epoch.
 func (g *Gathering) Begin(epoch uint64, members []string) {
 	g.exchange = NewExchange(epoch, members)
 	g.sentAt = time.Time{}
 }
 
-// Progress is how far an exchange is.
+// Progress is the progress of an exchange.
 type Progress struct {
-	Ready     bool // nobody who may be heard is awaited: teams may start
-	Completed bool // by this call, every member answered
+	Ready     bool // no reachable member is awaited: teams may start
+	Completed bool // every member has answered; true once only
 }
 
-// Progress says how far the exchange is. member tells who is one still, mayBeHeard whom it is worth to wait for.
-func (g *Gathering) Progress(member, mayBeHeard func(name string) bool) Progress {
+// Progress returns the progress of the exchange. member reports whether a controller is still a member, mayBeReachable
+// whether to wait for it.
+func (g *Gathering) Progress(member, mayBeReachable func(name string) bool) Progress {
 	if g.exchange == nil {
 		return Progress{Ready: true}
 	}
 	g.exchange.DropFormerMembers(member)
 	awaited := g.exchange.Awaited()
 	for _, name := range awaited {
-		if mayBeHeard(name) {
+		if mayBeReachable(name) {
 			return Progress{}
 		}
 	}
@@ -79,22 +81,24 @@
 	return Progress{Ready: true, Completed: true}
 }
 
-// Awaited lists the members whose memories, or whose answer, are awaited.
+// Awaited returns the members whose retained state or answer is awaited.
 func (g *Gathering) Awaited() []string { return g.exchange.Awaited() }
 
-// MemoriesReceived books that a peer sent all that it remembers.
-func (g *Gathering) MemoriesReceived(peer string) { g.exchangedWith[peer] = true }
+// StateReceived records that a peer sent all of its retained state.
+func (g *Gathering) StateReceived(peer string) { g.exchangedWith[peer] = true }
 
-// MemoriesAnswered books that a peer's memories were answered here. It says whether they were awaited.
-func (g *Gathering) MemoriesAnswered(peer string) (awaited bool) {
+// StateAnswered records that a peer's retained state was received and answered. It reports whether an exchange is in
+// progress.
+func (g *Gathering) StateAnswered(peer string) (awaited bool) {
 	if g.exchange == nil {
 		return false
 	}
-	g.exchange.MemoriesReceived(peer)
+	g.exchange.StateReceived(peer)
 	return true
 }
 
-// AnswerReceived books that a peer answered the memories of an epoch. It says whether that was awaited.
+// AnswerReceived records that a peer answered the retained state sent in an epoch. It reports whether an exchange of
+// that epoch is in progress.
 func (g *Gathering) AnswerReceived(peer string, epoch uint64) (awaited bool) {
 	if g.exchange == nil || epoch != g.exchange.Epoch {
 		return false
@@ -103,30 +107,30 @@
 	return true
 }
 
-// ExchangedWith says whether a peer sent its memories since this process started. Before that this process cannot
-// tell a job that was never accepted from one that the store lost.
+// ExchangedWith reports whether a peer sent its retained state since this process started. Until then, this process
+// cannot distinguish a job that was never accepted from one that the store lost.
 func (g *Gathering) ExchangedWith(peer string) bool { return g.exchangedWith[peer] }
 
-// SendDue says whether memories are to be sent to all peers now, and if so takes it as done. allExchanged tells
-// whether every peer that may be heard sent its own since this process started.
+// SendDue reports whether to send the retained state to all peers now; if so, it restarts the resend interval.
+// allExchanged reports whether every peer that may be reachable sent its own since this process started.
 func (g *Gathering) SendDue(now time.Time, allExchanged func() bool) bool {
-	if now.Sub(g.sentAt) <= memoriesResendInterval || (g.exchange == nil && allExchanged()) {
+	if now.Sub(g.sentAt) <= stateResendInterval || (g.exchange == nil && allExchanged()) {
 		return false
 	}
 	g.sentAt = now
 	return true
 }
 
-// JobProposed takes down a job that a peer is about to accept. If the store accepts it, that is read there;
-// if not, it is forgotten.
+// JobProposed records a job that a peer is about to accept. If the store accepts the job, the watch delivers it; if
+// not, the record expires.
 func (g *Gathering) JobProposed(job RememberedJob, now time.Time) {
 	g.proposed[job.Spec.UID] = proposedJob{job, now}
 }
 
-// JobKnown books that a job is not merely proposed any more.
+// JobKnown removes a job from the proposed ones, as it is known to be accepted.
 func (g *Gathering) JobKnown(uid string) { delete(g.proposed, uid) }
 
-// ProposedJobs are those that count as accepted if the store loses its data now.
+// ProposedJobs returns the jobs that count as accepted if the store loses its data now.
 func (g *Gathering) ProposedJobs(now time.Time) []RememberedJob {
 	var jobs []RememberedJob
 	for _, job := range g.proposed {
@@ -137,7 +141,7 @@
 	return jobs
 }
 
-// ExpireProposedJobs forgets the proposed jobs that count as accepted no more.
+// ExpireProposedJobs removes proposed jobs that no longer count as accepted.
 func (g *Gathering) ExpireProposedJobs(now time.Time) {
 	for uid, job := range g.proposed {
 		if now.Sub(job.proposedAt) > proposedJobLife {
@@ -146,10 +150,10 @@
 	}
 }
 
-// Finished are the finished tasks that are remembered of a job; nil: none. The caller does not change them.
+// Finished returns the remembered finished tasks of a job; nil: none. The caller must not modify the set.
 func (g *Gathering) Finished(uid string) *bitset.BitSet { return g.finished[uid] }
 
-// FinishedByJob are all finished tasks that are remembered. The caller does not change them.
+// FinishedByJob returns the remembered finished tasks of all jobs. The caller must not modify them.
 func (g *Gathering) FinishedByJob() map[string]*bitset.BitSet { return g.finished }
 
 // MergeFinished adds finished tasks of a job.
@@ -160,11 +164,10 @@
 	g.finished[uid].InPlaceUnion(tasks)
 }
 
-// ForgetFinished drops the finished tasks of a job that ended.
+// ForgetFinished removes the finished tasks of a job that ended.
 func (g *Gathering) ForgetFinished(uid string) { delete(g.finished, uid) }
 
-// TakeFinished empties the memory of finished tasks and returns what it held, for those of jobs that still run to
-// be merged again.
+// TakeFinished removes and returns all remembered finished tasks. The caller merges those of running jobs back.
 func (g *Gathering) TakeFinished() map[string]*bitset.BitSet {
 	taken := g.finished
 	g.finished = map[string]*bitset.BitSet{}
--- a/internal/datarecovery/gathering_test.go
+++ b/internal/datarecovery/gathering_test.go
@@ -16,44 +16,46 @@
 	return RememberedJob{Spec: &protocol.Submission{UID: uid}, SubmittedAtMillis: at}
 }
 
-// TestGatheringWaitsForMembersThatAreHeard: teams started before a member that was heard had told of a cancellation.
-func TestGatheringWaitsForMembersThatAreHeard(t *testing.T) {
+// TestGatheringWaitsForReachableMembers: teams started before a reachable member had sent a cancellation that only it
+// knew.
+func TestGatheringWaitsForReachableMembers(t *testing.T) {
 	g := NewGathering()
 	if progress := g.Progress(always, always); !progress.Ready || progress.Completed {
 		t.Fatalf("without an exchange: %+v", progress)
 	}
 	g.Begin(2, []string{"b", "c"})
 	if progress := g.Progress(always, always); progress.Ready {
-		t.Error("ready though nobody answered")
+		t.Error("ready although nobody answered")
 	}
 	if progress := g.Progress(always, never); !progress.Ready || progress.Completed {
-		t.Errorf("nobody is heard: %+v", progress)
+		t.Errorf("nobody is reachable: %+v", progress)
 	}
-	if !g.MemoriesAnswered("b") || g.AnswerReceived("b", 1) || !g.AnswerReceived("b", 2) {
-		t.Error("an answer of another epoch counts, or one of this does not")
+	if !g.StateAnswered("b") || g.AnswerReceived("b", 1) || !g.AnswerReceived("b", 2) {
+		t.Error("an answer of another epoch counts, or one of this epoch does not")
 	}
 	if progress := g.Progress(always, func(name string) bool { return name == "b" }); !progress.Ready || progress.Completed || len(g.Awaited()) != 1 {
-		t.Errorf("b answered, c is not heard: %+v, awaited %v", progress, g.Awaited())
+		t.Errorf("b answered, c is not reachable: %+v, awaited %v", progress, g.Awaited())
 	}
 	if progress := g.Progress(func(name string) bool { return name == "b" }, always); !progress.Completed {
-		t.Errorf("c is a member no more: %+v", progress)
+		t.Errorf("c is no longer a member: %+v", progress)
 	}
-	if progress := g.Progress(always, always); !progress.Ready || progress.Completed || g.MemoriesAnswered("b") || g.AnswerReceived("b", 2) {
+	if progress := g.Progress(always, always); !progress.Ready || progress.Completed || g.StateAnswered("b") || g.AnswerReceived("b", 2) {
 		t.Errorf("completed again: %+v", progress)
 	}
 }
 
-// TestMemoriesAreSentUntilAllExchanged: and no more often than the interval, but at once in a new epoch.
-func TestMemoriesAreSentUntilAllExchanged(t *testing.T) {
+// TestStateIsSentUntilAllExchanged: retained state is sent until all peers have exchanged it, at most once per
+// interval, and at once in a new epoch.
+func TestStateIsSentUntilAllExchanged(t *testing.T) {
 	g, now := NewGathering(), testStart
 	exchanged := false
 	all := func() bool { return exchanged }
-	if !g.SendDue(now, all) || g.SendDue(now.Add(memoriesResendInterval), all) || !g.SendDue(now.Add(memoriesResendInterval+1), all) {
+	if !g.SendDue(now, all) || g.SendDue(now.Add(stateResendInterval), all) || !g.SendDue(now.Add(stateResendInterval+1), all) {
 		t.Error("not sent at the start, or sent too often")
 	}
 	exchanged = true
 	if g.SendDue(now.Add(time.Hour), all) {
-		t.Error("sent though all exchanged")
+		t.Error("sent although all have exchanged")
 	}
 	g.SendDue(now.Add(time.Hour), func() bool { return false })
 	g.Begin(2, []string{"b"})
@@ -61,14 +63,15 @@
 		t.Error("not sent at once in a new epoch")
 	}
 	if g.ExchangedWith("b") {
-		t.Error("exchanged with one that sent nothing")
+		t.Error("a peer that sent nothing counts as exchanged")
 	}
-	if g.MemoriesReceived("b"); !g.ExchangedWith("b") {
-		t.Error("not exchanged with one that sent all")
+	if g.StateReceived("b"); !g.ExchangedWith("b") {
+		t.Error("a peer that sent its state does not count as exchanged")
 	}
 }
 
-// TestProposedJobs: they count as accepted as long as a user waits for the answer, unless the store tells.
+// TestProposedJobs: a proposed job counts as accepted for as long as a user waits for the answer, unless the store
+// already has it.
 func TestProposedJobs(t *testing.T) {
 	g := NewGathering()
 	g.JobProposed(rememberedJob("job-000001", 1), testStart)
@@ -89,7 +92,7 @@
 	}
 }
 
-// TestFinishedTasksAreAUnion: and the memory holds a set of its own.
+// TestFinishedTasksAreAUnion: finished tasks are merged into a set that is separate from the caller's.
 func TestFinishedTasksAreAUnion(t *testing.T) {
 	g := NewGathering()
 	mine := bitset.New(0).Set(1)
--- a/internal/datarecovery/golden_test.go
+++ b/internal/datarecovery/golden_test.go
@@ -9,10 +9,11 @@
 	"topazhollow/internal/protocol"
 )
 
-// The golden files of what rebuilding keeps in the state service and tells other controllers. Both outlive the process that
-// wrote them, so the forms may only grow. Page.Others has no JSON names of its own: the names of End's fields are the form.
+// Golden files of the data that recovery stores in the state service and sends to other controllers. Both outlive the
+// process that wrote them, so their encoding may only be extended. Page.Others has no JSON names of its own: the names
+// of End's fields are the encoding.
 
-// ends are two that a page has packed, and one of an id that it has in full.
+// ends contains two ends that a page packs and one that it stores in full because of its id.
 var ends = []End{{UID: "job-000398", Cancelled: true, Tasks: 16, Team: "vision"}, {UID: "job-000412", Tasks: 100000, Team: "speech"},
 	{UID: "job-x", Cancelled: true, Tasks: 4, Team: "maps"}}
 
@@ -55,8 +56,8 @@
 		t.Fatal(err)
 	}
 	known.Add(End{UID: "job-000500", Team: "vision"})
-	lacking, err := known.MissingFrom(digest)
-	if err != nil || !slices.Equal(lacking, []End{{UID: "job-000500", Team: "vision"}}) {
-		t.Errorf("lacking %+v, error %v, want job-000500 alone", lacking, err)
+	missing, err := known.MissingFrom(digest)
+	if err != nil || !slices.Equal(missing, []End{{UID: "job-000500", Team: "vision"}}) {
+		t.Errorf("missing %+v, error %v, want job-000500 alone", missing, err)
 	}
 }
--- a/internal/datarecovery/model_controller_test.go
+++ b/internal/datarecovery/model_controller_test.go
@@ -9,37 +9,37 @@
 	"topazhollow/internal/leadership"
 )
 
-// memoriesGathered says whether nobody who is heard is awaited.
-func (w *world) memoriesGathered(n *controllerModel) bool {
+// stateGathered reports whether no reachable member is awaited.
+func (w *world) stateGathered(n *controllerModel) bool {
 	return n.exchange == nil || !w.connected(n)
 }
 
-// controllerModel is a controller around the real decisions.
+// controllerModel is a controller that uses the decisions under test.
 type controllerModel struct {
-	name            string
-	incarnation     uint64
-	up              bool
-	agreement       *Agreement
-	record          *leadership.Record
-	recordVersion   uint64 // of the record
-	epochKeyVersion uint64
-	seenRevision    uint64
-	listed          bool
-	presences       map[string]leadership.Presence
-	jobs            map[string]uint64 // active, with versions; 0: not in the store
-	ends            *Ends
-	exchange        *Exchange
-	memoryComplete  bool
-	proved          bool             // of a loss, from what others know
-	assignments     map[string]int   // the owner's account: job -> machine
-	sinceTerm       uint64           // of the account
-	heardMachines   map[int]bool     // machines, under the account's term
-	reported        map[int][]string // what they listed then
-	ready           bool
-	startedAt       time.Time
+	name             string
+	incarnation      uint64
+	up               bool
+	agreement        *Agreement
+	record           *leadership.Record
+	recordVersion    uint64 // version of the record's key
+	epochKeyVersion  uint64
+	seenRevision     uint64
+	listed           bool
+	presences        map[string]leadership.Presence
+	jobs             map[string]uint64 // active jobs with their versions; 0: not in the store
+	ends             *Ends
+	exchange         *Exchange
+	historyComplete  bool
+	proved           bool             // a loss is proved by what others know
+	assignments      map[string]int   // machine by job, as the owner knows it; nil: not the owner
+	sinceTerm        uint64           // term of the ownership
+	reportedMachines map[int]bool     // machines that reported since the owner entered the barrier; nil: no barrier
+	reported         map[int][]string // jobs listed in the last report, by machine
+	ready            bool
+	startedAt        time.Time
 }
 
-// boot starts a controller without memory.
+// boot starts a controller without any state.
 func (w *world) boot(n *controllerModel) {
 	n.incarnation++
 	*n = controllerModel{name: n.name, incarnation: n.incarnation, up: true, presences: map[string]leadership.Presence{}, jobs: map[string]uint64{}, ends: NewEnds(), startedAt: w.now}
@@ -58,7 +58,7 @@
 	return n.up && n.listed && p == Trusted
 }
 
-// wentBack checks an answer's revision.
+// wentBack checks the revision of an answer.
 func (w *world) wentBack(n *controllerModel) bool {
 	if w.guards.revisions && w.store.revision < n.seenRevision {
 		n.agreement.Suspect("revision", w.now)
@@ -68,10 +68,10 @@
 	return false
 }
 
-// commit is a fenced transaction whose answer counts only if the store did not go back.
-func (w *world) commit(n *controllerModel, gs map[string]uint64, sets map[string]string) bool {
+// commit performs a fenced transaction. Its result counts only if the store's revision did not go back.
+func (w *world) commit(n *controllerModel, conditions map[string]uint64, sets map[string]string) bool {
 	all := map[string]uint64{}
-	for k, v := range gs {
+	for k, v := range conditions {
 		all[k] = v
 	}
 	if w.guards.fence && n.record != nil {
@@ -96,14 +96,14 @@
 
 func (n *controllerModel) assessment() Assessment {
 	p, _, _ := n.agreement.Phase()
-	x := Assessment{Epoch: n.epoch(), Revision: n.seenRevision, Incarnation: n.incarnation, HistoryComplete: n.memoryComplete, SuspectsLoss: p == Suspected || p == Lost, ConfirmedLoss: p == Lost}
+	x := Assessment{Epoch: n.epoch(), Revision: n.seenRevision, Incarnation: n.incarnation, HistoryComplete: n.historyComplete, SuspectsLoss: p == Suspected || p == Lost, ConfirmedLoss: p == Lost}
 	if n.record != nil {
 		x.Term = n.record.Term
 	}
 	return x
 }
 
-// adopt takes up a record, and the shard if it names this controller.
+// adopt adopts a record, and takes over the shard if the record assigns it to this controller.
 func (w *world) adopt(n *controllerModel, r *leadership.Record, version uint64) {
 	next := n.record == nil || n.record.Epoch != r.Epoch
 	n.record, n.recordVersion = r, version
@@ -120,21 +120,21 @@
 			n.exchange = NewExchange(r.Epoch, members)
 		}
 	}
-	it := r.Shards[modelShard]
-	if it.Owner != n.name || r.Nodes[n.name] != n.incarnation {
+	shard := r.Shards[modelShard]
+	if shard.Owner != n.name || r.Nodes[n.name] != n.incarnation {
 		n.assignments, n.ready, n.sinceTerm = nil, false, 0
-	} else if n.sinceTerm != it.SinceTerm {
-		if it.NeedsBarrier || n.assignments == nil {
+	} else if n.sinceTerm != shard.SinceTerm {
+		if shard.NeedsBarrier || n.assignments == nil {
 			n.assignments = map[string]int{}
-			n.heardMachines, n.reported = map[int]bool{}, map[int][]string{}
+			n.reportedMachines, n.reported = map[int]bool{}, map[int][]string{}
 		} else {
-			n.heardMachines = nil // nothing to wait for
+			n.reportedMachines = nil // no machine is awaited
 		}
-		n.sinceTerm, n.ready = it.SinceTerm, false
+		n.sinceTerm, n.ready = shard.SinceTerm, false
 	}
 }
 
-// list reads all that is followed, and enters an epoch if it is a later one.
+// list reads all watched keys, and enters their epoch if that is a later one.
 func (w *world) list(n *controllerModel) {
 	r, version := w.stored()
 	if r != nil && r.Epoch > n.epoch() && w.store.keys[EpochKey+r.StoreID].version == 0 {
@@ -164,22 +164,22 @@
 				w.learn(n, uid, c.version)
 			}
 		}
-		n.memoryComplete = r == nil || !r.DataLost
+		n.historyComplete = r == nil || !r.DataLost
 		return
 	}
 	for _, x := range n.agreement.Assessments(w.now) {
 		if p, _, _ := n.agreement.Phase(); x.Epoch > n.epoch() && p != Lost {
-			n.proved, n.memoryComplete = true, false
+			n.proved, n.historyComplete = true, false
 			n.agreement.Suspect("a controller knows a later generation", w.now)
 		}
 	}
 	n.presences = w.presences()
 }
 
-// learn takes up an active job, unless its end is known.
+// learn records an active job, unless its end is known.
 func (w *world) learn(n *controllerModel, uid string, version uint64) {
 	if _, ended := n.ends.Get(uid); ended {
-		if version > 0 && w.guards.endBeatsActive { // an end beats active
+		if version > 0 && w.guards.endBeatsActive { // a known end overrides an active key
 			w.commit(n, map[string]uint64{"w/a/" + uid: version}, map[string]string{"w/a/" + uid: "", "f/" + uid: w.storedEnd(n, uid)})
 		} else if version > 0 {
 			n.jobs[uid] = version
@@ -196,16 +196,16 @@
 	return "done"
 }
 
-// learnEnd remembers an end.
+// learnEnd records an end.
 func (w *world) learnEnd(n *controllerModel, uid string, withdrawn bool) {
 	n.ends.Add(End{UID: uid, Cancelled: withdrawn, Tasks: 1})
 	delete(n.jobs, uid)
 }
 
-// connected says whether the controllers hear each other.
+// connected reports whether the controllers can communicate.
 func (w *world) connected(n *controllerModel) bool { return !w.partitioned && n.up && w.other(n).up }
 
-// follow takes in what changed, as the watch would.
+// follow applies changes of the store like the watch.
 func (w *world) follow(n *controllerModel) {
 	if !n.trusts() || w.wentBack(n) {
 		return
@@ -227,14 +227,14 @@
 		}
 	}
 	for _, uid := range sorted(n.jobs) {
-		version := n.jobs[uid] // deleted, with a change that tells
+		version := n.jobs[uid] // its key was deleted by the change that wrote the end
 		if c, ended := w.store.keys["f/"+uid]; ended && version > 0 {
 			w.learnEnd(n, uid, c.value == "withdrawn")
 		}
 	}
 }
 
-// compareAcknowledged is the comparison after a suspicion.
+// compareAcknowledged compares acknowledged keys after a suspicion.
 func (w *world) compareAcknowledged(n *controllerModel) Comparison {
 	if n.proved || w.store.revision < max(n.seenRevision, n.agreement.PeersRevision()) && w.guards.revisions {
 		return Missing
@@ -253,8 +253,8 @@
 	return Intact
 }
 
-// act is one step of a controller.
-func (w *world) act(n *controllerModel) {
+// stepController runs one step of a controller.
+func (w *world) stepController(n *controllerModel) {
 	if !n.up {
 		return
 	}
@@ -266,7 +266,7 @@
 	if w.connected(n) && w.rng.IntN(4) == 0 {
 		o.agreement.PeerAssessed(n.name, n.assessment(), w.now)
 	}
-	if w.presences()[n.name].Incarnation != n.incarnation && w.rng.IntN(3) == 0 { // the lease's duty
+	if w.presences()[n.name].Incarnation != n.incarnation && w.rng.IntN(3) == 0 { // the lease renewal writes the presence key
 		w.store.txn(map[string]uint64{"w/n/" + n.name: w.presences()[n.name].Version}, map[string]string{"w/n/" + n.name: fmt.Sprint(n.incarnation)})
 	}
 	w.stepAgreement(n)
@@ -280,14 +280,14 @@
 	if w.rng.IntN(2) == 0 {
 		w.follow(n)
 	}
-	w.repair(n)
+	w.reconcileMembers(n)
 	if n.exchange != nil {
-		w.exchangeMemories(n)
+		w.exchangeState(n)
 	}
 	w.actAsOwner(n)
 }
 
-// stepAgreement does what the agreement asks for.
+// stepAgreement carries out the next action of the agreement.
 func (w *world) stepAgreement(n *controllerModel) {
 	term := uint64(0)
 	if n.record != nil {
@@ -308,20 +308,20 @@
 	if p, _, _ := n.agreement.Phase(); p == Lost {
 		w.list(n)
 	}
-	for _, x := range n.agreement.Assessments(w.now) { // a read that begins now must have a term that a peer knows
+	for _, x := range n.agreement.Assessments(w.now) { // a read that begins now must return a term that a peer knows
 		if r, _ := w.stored(); n.record != nil && x.Epoch == n.epoch() && x.Term > n.record.Term && (r == nil || r.Term < x.Term) {
-			n.proved, n.memoryComplete = true, false
+			n.proved, n.historyComplete = true, false
 			n.agreement.Suspect("a controller knows a later term", w.now)
 		}
 	}
 }
 
-// exchangeMemories is one step of an exchange that is under way.
-func (w *world) exchangeMemories(n *controllerModel) {
+// exchangeState runs one step of an exchange in progress.
+func (w *world) exchangeState(n *controllerModel) {
 	o := w.other(n)
 	if w.connected(n) && o.trusts() && o.epoch() == n.epoch() {
 		for _, uid := range sorted(n.jobs) {
-			version := n.jobs[uid] // told, and the other's word on it
+			version := n.jobs[uid] // sent to the peer if the store lacks the job
 			if version == 0 {
 				w.learn(o, uid, 0)
 			}
@@ -332,16 +332,16 @@
 		}
 		n.exchange.Answered(o.name)
 		if o.exchange != nil {
-			o.exchange.MemoriesReceived(n.name)
+			o.exchange.StateReceived(n.name)
 		}
-		if w.rng.IntN(2) == 0 { // asked for
+		if w.rng.IntN(2) == 0 { // the peer sends its state in return
 			for _, uid := range sorted(o.jobs) {
 				version := o.jobs[uid]
 				if version == 0 {
 					w.learn(n, uid, 0)
 				}
 			}
-			n.exchange.MemoriesReceived(o.name)
+			n.exchange.StateReceived(o.name)
 		}
 	}
 	n.exchange.DropFormerMembers(func(m string) bool { return n.record.Nodes[m] != 0 })
@@ -350,7 +350,7 @@
 	}
 }
 
-// propose makes the next epoch.
+// propose creates the next epoch.
 func (w *world) propose(n *controllerModel) {
 	r, version := w.stored()
 	e := Evidence{Self: n.name, Controllers: []string{"n0", "n1"}, Shards: []string{modelShard}, Record: n.record, Stored: r, Presences: w.presences(),
@@ -358,23 +358,23 @@
 	next := e.NextEpoch()
 	if !w.guards.termAboveTokens {
 		next.Record.Term, next.Record.FirstTerm = 1, 1
-		it := next.Record.Shards[modelShard]
-		it.SinceTerm = 1
-		next.Record.Shards[modelShard] = it
+		shard := next.Record.Shards[modelShard]
+		shard.SinceTerm = 1
+		next.Record.Shards[modelShard] = shard
 	}
 	if !w.guards.barrierUnlessKept {
-		it := next.Record.Shards[modelShard]
-		it.NeedsBarrier = false
-		next.Record.Shards[modelShard] = it
+		shard := next.Record.Shards[modelShard]
+		shard.NeedsBarrier = false
+		next.Record.Shards[modelShard] = shard
 	}
 	sets := map[string]string{"w/c": encode(next.Record), EpochKey + next.Record.StoreID: "{}"}
-	gs := map[string]uint64{"w/c": version}
+	conditions := map[string]uint64{"w/c": version}
 	for _, k := range sorted(w.store.keys) {
 		c := w.store.keys[k]
 		if strings.HasPrefix(k, EpochKey) {
-			gs[k], sets[k] = c.version, ""
+			conditions[k], sets[k] = c.version, ""
 		}
 	}
-	w.store.txn(gs, sets)
+	w.store.txn(conditions, sets)
 	w.list(n)
 }
--- a/internal/datarecovery/model_owner_test.go
+++ b/internal/datarecovery/model_owner_test.go
@@ -7,8 +7,8 @@
 	"topazhollow/internal/leadership"
 )
 
-// repair changes the record when members came or went.
-func (w *world) repair(n *controllerModel) {
+// reconcileMembers changes the record when members joined or left.
+func (w *world) reconcileMembers(n *controllerModel) {
 	if w.rng.IntN(4) > 0 || n.presences[n.name].Incarnation != n.incarnation {
 		return
 	}
@@ -21,32 +21,32 @@
 	if next == nil {
 		return
 	}
-	it := next.Shards[modelShard]
-	if it.SinceTerm == next.Term && !first {
-		it.NeedsBarrier = true // the model has no backups in sync
-		next.Shards[modelShard] = it
+	shard := next.Shards[modelShard]
+	if shard.SinceTerm == next.Term && !first {
+		shard.NeedsBarrier = true // the model has no replicas in sync
+		next.Shards[modelShard] = shard
 	}
-	gs, sets := map[string]uint64{"w/c": version}, map[string]string{}
+	conditions, sets := map[string]uint64{"w/c": version}, map[string]string{}
 	for _, c := range conds {
-		gs["w/n/"+c.Node] = c.Version
+		conditions["w/n/"+c.Node] = c.Version
 	}
 	if first {
 		next.Epoch, next.FirstTerm, next.StoreID = 1, next.Term, fmt.Sprint("s", w.rng.Uint64())
 		sets[EpochKey+next.StoreID] = "{}"
 	}
 	sets["w/c"] = encode(next)
-	if w.commit(n, gs, sets) {
+	if w.commit(n, conditions, sets) {
 		w.adopt(n, next, w.store.revision)
 	}
 }
 
-// actAsOwner is the owner's work: the barrier, starts, ends, and writing back.
+// actAsOwner performs the work of a shard's owner: the barrier, starts, ends and write-back.
 func (w *world) actAsOwner(n *controllerModel) {
 	if n.record == nil || n.record.Shards[modelShard].Owner != n.name || n.record.Nodes[n.name] != n.incarnation || n.assignments == nil {
 		return
 	}
-	w.hearMachine(n)
-	for m := range w.machines { // adopted, whenever a job comes to be known
+	w.receiveReport(n)
+	for m := range w.machines { // running tasks are adopted as soon as their job is known
 		for _, uid := range n.reported[m] {
 			if _, active := n.jobs[uid]; active && !n.assigned(uid) {
 				n.assignments[uid] = m
@@ -54,28 +54,28 @@
 		}
 	}
 	if !n.ready {
-		n.ready = w.memoriesGathered(n) && (n.heardMachines == nil || len(n.heardMachines) == len(w.machines))
+		n.ready = w.stateGathered(n) && (n.reportedMachines == nil || len(n.reportedMachines) == len(w.machines))
 		return
 	}
 	w.placeJobs(n)
 }
 
-// hearMachine has a machine report, which teaches it the term.
-func (w *world) hearMachine(n *controllerModel) {
+// receiveReport receives the report of a random machine, which learns the current term by that.
+func (w *world) receiveReport(n *controllerModel) {
 	m := w.rng.IntN(len(w.machines))
 	x := w.machines[m]
 	if x.fencingToken > n.record.Term {
 		return
 	}
 	x.fencingToken = n.record.Term
-	if n.heardMachines != nil {
-		n.heardMachines[m] = true
+	if n.reportedMachines != nil {
+		n.reportedMachines[m] = true
 	}
 	n.reported[m] = sorted(x.running)
 	for _, uid := range sorted(n.assignments) {
 		at := n.assignments[uid]
 		_, runs := x.running[uid]
-		if at == m && !runs { // heard under a later term than its start's, or exited
+		if at == m && !runs { // reported under a later term than the start's, or exited
 			if x.finished[uid] {
 				if v, active := n.jobs[uid]; active && v > 0 && n.ready {
 					w.finish(n, uid, v)
@@ -87,7 +87,7 @@
 	}
 }
 
-// placeJobs writes back and starts what is active.
+// placeJobs writes active jobs back and starts them.
 func (w *world) placeJobs(n *controllerModel) {
 	for _, uid := range sorted(n.jobs) {
 		v := n.jobs[uid]
--- a/internal/datarecovery/model_store_test.go
+++ b/internal/datarecovery/model_store_test.go
@@ -10,13 +10,13 @@
 	"topazhollow/internal/leadership"
 )
 
-// modelEntry is a key's value and version.
+// modelEntry is the value and the version of a key.
 type modelEntry struct {
 	value   string
 	version uint64
 }
 
-// modelStore is a plain store of keys.
+// modelStore is a simple key-value store.
 type modelStore struct {
 	keys     map[string]modelEntry
 	revision uint64
@@ -30,7 +30,7 @@
 	return c
 }
 
-// txn is atomic; an empty value deletes.
+// txn applies a transaction atomically. An empty value deletes its key. failed are the keys whose versions differ.
 func (s *modelStore) txn(guards map[string]uint64, sets map[string]string) (failed []string) {
 	for k, v := range guards {
 		if s.keys[k].version != v {
@@ -84,11 +84,11 @@
 	return live
 }
 
-// loseData takes data away from the store and tells nobody.
+// loseData silently removes data from the store.
 func (w *world) loseData(saved *modelStore) {
 	w.losses++
 	for _, n := range w.nodes {
-		if w.partitioned { // what nobody else could hold has at least been seen by the watch
+		if w.partitioned { // changes that no peer could retain have at least been read by the watch
 			w.follow(n)
 		}
 	}
--- a/internal/datarecovery/model_test.go
+++ b/internal/datarecovery/model_test.go
@@ -7,14 +7,14 @@
 	"time"
 )
 
-// The model: a plain store that loses data, two controllers around the real decisions,
-// three machines, jobs of one task each. It is slow and obvious; what the controllers may
-// conclude comes from this package and from leadership alone.
+// The model consists of a simple store that loses data, two controllers, three machines, and jobs of one task each. It
+// is slow and straightforward. The controllers take their decisions from the code under test, that is, from this
+// package and from leadership alone.
 
-// guards can be left out one by one, to see that the model catches it.
+// guards are the safety mechanisms of the controllers. A test disables one at a time to show that the model detects it.
 type guards struct{ revisions, fence, exchange, replicate, termAboveTokens, barrierUnlessKept, endBeatsActive, compare, askStore bool }
 
-// world is everything in the model.
+// world is the complete state of the model.
 type world struct {
 	guards         guards
 	rng            *rand.Rand
@@ -23,11 +23,11 @@
 	nodes          []*controllerModel
 	machines       []*machineModel
 	inFlightStarts []startInFlight
-	partitioned    bool // between the controllers
-	told           map[string]string
-	saved          *modelStore // what a backup of the store has
-	troubleFrom    time.Time   // no trouble before: memory is on both again
-	broken         string
+	partitioned    bool              // no connection between the controllers
+	answers        map[string]string // latest answer to a user, by job
+	saved          *modelStore       // contents of the backup
+	faultsFrom     time.Time         // no fault is injected earlier, so that both controllers retain the state again
+	violation      string            // the first violation found; empty: none
 	started        int
 	losses         int
 	jobs           int
@@ -36,22 +36,22 @@
 const modelShard = "team/a"
 
 func (w *world) fail(format string, args ...any) {
-	if w.broken == "" {
-		w.broken = fmt.Sprintf(format, args...)
+	if w.violation == "" {
+		w.violation = fmt.Sprintf(format, args...)
 	}
 }
 
 const (
-	modelStep     = 50 * time.Millisecond
-	drawnSteps    = 2500
-	quietSteps    = 800 // at the end, when nothing more goes wrong
-	restartsApart = 6 * time.Second
+	modelStep       = 50 * time.Millisecond
+	faultSteps      = 2500
+	faultFreeSteps  = 800 // at the end of a history
+	restartInterval = 6 * time.Second
 )
 
 func newWorld(seed uint64, g guards) *world {
 	w := &world{
 		guards: g, rng: rand.New(rand.NewPCG(seed, 17)), now: time.Unix(1000, 0),
-		store: &modelStore{keys: map[string]modelEntry{}}, told: map[string]string{},
+		store: &modelStore{keys: map[string]modelEntry{}}, answers: map[string]string{},
 	}
 	for _, name := range []string{"n0", "n1"} {
 		w.nodes = append(w.nodes, &controllerModel{name: name, incarnation: 10})
@@ -66,50 +66,50 @@
 	return w
 }
 
-// play runs a drawn history and says what broke, "" for nothing.
-func play(seed uint64, g guards) (broken string, w *world) {
+// runHistory runs a random history and returns the first violation, "" for none.
+func runHistory(seed uint64, g guards) (broken string, w *world) {
 	w = newWorld(seed, g)
-	for range drawnSteps {
+	for range faultSteps {
 		w.now = w.now.Add(modelStep)
 		for _, n := range w.nodes {
-			w.act(n)
+			w.stepController(n)
 		}
 		w.actAsUser()
 		w.runMachines()
-		if w.broken != "" {
-			return w.broken, w
+		if w.violation != "" {
+			return w.violation, w
 		}
-		w.drawTrouble()
+		w.injectFaults()
 	}
 	w.partitioned = false
-	for range quietSteps {
+	for range faultFreeSteps {
 		w.now = w.now.Add(modelStep)
 		for _, n := range w.nodes {
-			w.act(n)
+			w.stepController(n)
 		}
 		w.runMachines()
 	}
 	w.checkAnswers()
-	return w.broken, w
+	return w.violation, w
 }
 
-// settled says whether both controllers trust the store, hear each other and remember everything.
+// settled reports whether both controllers trust the store, are connected and have a complete history.
 func (w *world) settled() bool {
 	for _, n := range w.nodes {
-		if !n.trusts() || n.exchange != nil || !n.memoryComplete || n.record == nil || !w.connected(n) {
+		if !n.trusts() || n.exchange != nil || !n.historyComplete || n.record == nil || !w.connected(n) {
 			return false
 		}
 	}
 	return true
 }
 
-// drawTrouble may lose data, restart a controller, or part the two.
-func (w *world) drawTrouble() {
+// injectFaults may lose data, restart a controller, or partition the two.
+func (w *world) injectFaults() {
 	settled := w.settled()
 	if w.rng.IntN(150) == 0 && settled {
 		w.saved = w.store.clone()
 	}
-	if w.now.Before(w.troubleFrom) {
+	if w.now.Before(w.faultsFrom) {
 		return
 	}
 	n := w.nodes[w.rng.IntN(2)]
@@ -128,7 +128,7 @@
 	}
 }
 
-// restart ends a controller, which loses its memory: the other must have it.
+// restart restarts a controller, which loses its state; the other one must retain it.
 func (w *world) restart(n *controllerModel) {
 	n.up = false
 	if w.rng.IntN(2) == 0 {
@@ -136,12 +136,12 @@
 	}
 	w.store.txn(nil, map[string]string{"w/n/" + n.name: ""})
 	w.boot(n)
-	w.troubleFrom = w.now.Add(restartsApart)
+	w.faultsFrom = w.now.Add(restartInterval)
 }
 
-// checkAnswers sees that in the end everything is as users were told last.
+// checkAnswers checks that the final state of each job agrees with the last answer to its user.
 func (w *world) checkAnswers() {
-	for uid, answer := range w.told {
+	for uid, answer := range w.answers {
 		_, active := w.store.keys["w/a/"+uid]
 		entry, ended := w.store.keys["f/"+uid]
 		for _, n := range w.nodes {
@@ -150,52 +150,51 @@
 			}
 		}
 		if (answer != "active" && !ended) || (!active && !ended) || (answer != "active" && entry.value != answer) {
-			w.fail("%s was %s; in the end active %t, ended %t as %q", uid, answer, active, ended, entry.value)
+			w.fail("%s was answered as %s; finally active %t, ended %t as %q", uid, answer, active, ended, entry.value)
 		}
 	}
 }
 
 var allGuards = guards{revisions: true, fence: true, exchange: true, replicate: true, termAboveTokens: true, barrierUnlessKept: true, endBeatsActive: true, compare: true, askStore: true}
 
-// TestRecoveryModel plays drawn histories of losses, ends and partitions. It guards that while one
-// controller lives nothing that was accepted, done or cancelled is forgotten or called
-// something else, and that no task runs twice.
+// TestRecoveryModel runs random histories of losses, restarts and partitions. As long as one controller stays up, no
+// job that was accepted, done or cancelled may be forgotten or change its state, and no task may run twice.
 func TestRecoveryModel(t *testing.T) {
 	losses, started, generations := 0, 0, uint64(0)
 	for seed := range uint64(15) {
-		broken, w := play(seed, allGuards)
+		broken, w := runHistory(seed, allGuards)
 		if broken != "" {
 			t.Fatalf("seed %d: %s", seed, broken)
 		}
 		losses, started, generations = losses+w.losses, started+w.started, generations+w.nodes[0].epoch()
 	}
 	if losses < 30 || started < 100 || generations < 30 {
-		t.Fatalf("%d losses, %d starts and %d generations are too few to show anything", losses, started, generations)
+		t.Fatalf("only %d losses, %d starts and %d epochs", losses, started, generations)
 	}
 }
 
-// TestRecoveryModelCatches leaves out one guard after the other.
+// TestRecoveryModelCatches disables one guard at a time and checks that the model finds a violation.
 func TestRecoveryModelCatches(t *testing.T) {
 	for name, leave := range map[string]func(*guards){
-		"an answer of a lower revision counts, and nobody looks":    func(g *guards) { g.revisions, g.compare = false, false },
-		"changes rest on no key of the generation":                  func(g *guards) { g.fence, g.compare, g.revisions = false, false, false },
-		"nobody waits for what others remember":                     func(g *guards) { g.exchange = false },
-		"what is said is held by nobody else":                       func(g *guards) { g.replicate = false },
-		"a generation's terms begin anew":                           func(g *guards) { g.termAboveTokens = false },
-		"owners go on without a barrier, whoever may have acted":    func(g *guards) { g.barrierUnlessKept = false },
-		"what the store has as active is active, whatever is known": func(g *guards) { g.endBeatsActive = false },
-		"what the store lost is active as long as memory says so":   func(g *guards) { g.askStore = false },
+		"answers of a lower revision are accepted, and keys are not compared":        func(g *guards) { g.revisions, g.compare = false, false },
+		"changes are not conditional on the epoch key":                               func(g *guards) { g.fence, g.compare, g.revisions = false, false, false },
+		"retained state of the peers is not awaited":                                 func(g *guards) { g.exchange = false },
+		"facts are not replicated before they are answered":                          func(g *guards) { g.replicate = false },
+		"the terms of a new epoch start from 1":                                      func(g *guards) { g.termAboveTokens = false },
+		"owners continue without a barrier in all cases":                             func(g *guards) { g.barrierUnlessKept = false },
+		"a key of an active job overrides its known end":                             func(g *guards) { g.endBeatsActive = false },
+		"a job missing in the store is answered as active without reading the store": func(g *guards) { g.askStore = false },
 	} {
 		caught, tries := false, uint64(0)
 		for seed := uint64(0); seed < 200 && !caught; seed++ {
-			// Begun where the rarest of them is caught soon.
-			broken, _ := play(70+seed, func() guards { g := allGuards; leave(&g); return g }())
+			// The first seed is one after which the rarest violation is found soon.
+			broken, _ := runHistory(70+seed, func() guards { g := allGuards; leave(&g); return g }())
 			caught = broken != ""
 			tries = seed + 1
 		}
-		t.Logf("%s: caught by history %d", name, tries)
+		t.Logf("%s: detected in history %d", name, tries)
 		if !caught {
-			t.Errorf("not caught: %s", name)
+			t.Errorf("not detected: %s", name)
 		}
 	}
 }
--- a/internal/datarecovery/model_users_test.go
+++ b/internal/datarecovery/model_users_test.go
@@ -15,26 +15,26 @@
 	}
 }
 
-// replicateEnd has the peer remember an end before a user is told.
+// replicateEnd makes the peer record an end before the user gets the answer.
 func (w *world) replicateEnd(n *controllerModel, uid string, withdrawn bool) {
 	if w.guards.replicate && w.connected(n) && w.other(n).listed {
 		w.learnEnd(w.other(n), uid, withdrawn)
 	}
 }
 
-// recordAnswer books what a user was told, which must not contradict what was told before.
+// recordAnswer records an answer to a user, which must not contradict an earlier one.
 func (w *world) recordAnswer(uid, what string) {
-	was := w.told[uid]
+	was := w.answers[uid]
 	if (was == "done" || was == "withdrawn") && was != what {
 		w.fail("%s was %s and is %s", uid, was, what)
 	}
-	w.told[uid] = what
+	w.answers[uid] = what
 }
 
-// actAsUser submits, polls or cancels.
+// actAsUser submits, polls or cancels a job.
 func (w *world) actAsUser() {
 	n := w.nodes[w.rng.IntN(2)]
-	if !n.trusts() || !w.memoriesGathered(n) {
+	if !n.trusts() || !w.stateGathered(n) {
 		return
 	}
 	switch w.rng.IntN(20) {
@@ -47,7 +47,7 @@
 	}
 }
 
-// submit has a job accepted, which the peer remembers before the user is told.
+// submit submits a job, which the peer records before the user gets the answer.
 func (w *world) submit(n *controllerModel) {
 	w.jobs++
 	uid := fmt.Sprintf("job-%06d", w.jobs)
@@ -56,7 +56,7 @@
 			w.learn(w.other(n), uid, 0)
 		}
 		w.learn(n, uid, w.store.revision)
-		w.told[uid] = "active"
+		w.answers[uid] = "active"
 	}
 }
 
@@ -72,7 +72,7 @@
 	}
 }
 
-// poll asks for a job that a user was told of.
+// poll requests the state of a job that a user has an answer about.
 func (w *world) poll(n *controllerModel) {
 	uid := w.anyJob()
 	if uid == "" {
@@ -82,8 +82,8 @@
 		w.recordAnswer(uid, map[bool]string{true: "withdrawn", false: "done"}[x.Cancelled])
 		return
 	}
-	if n.jobs[uid] > 0 { // by a read of what is followed, as far as that tells
-		if w.follow(n); n.trusts() && w.memoriesGathered(n) && n.jobs[uid] > 0 {
+	if n.jobs[uid] > 0 { // answered from the watched keys, after reading the changes
+		if w.follow(n); n.trusts() && w.stateGathered(n) && n.jobs[uid] > 0 {
 			w.recordAnswer(uid, "active")
 		}
 		return
@@ -104,23 +104,23 @@
 	case active || slices.Contains(sorted(n.jobs), uid):
 		w.recordAnswer(uid, "active")
 	case !active && n.exchange == nil && n.record != nil && !n.record.DataLost && w.now.Sub(n.startedAt) > 10*time.Second:
-		w.fail("%s, which was told to be %s, is unknown to %s", uid, w.told[uid], n.name)
+		w.fail("%s, which was answered as %s, is unknown to %s", uid, w.answers[uid], n.name)
 	}
 }
 
-// anyJob draws a job that a user was told of.
+// anyJob returns a random job that a user has an answer about, or "".
 func (w *world) anyJob() string {
 	if w.jobs == 0 {
 		return ""
 	}
 	uid := fmt.Sprintf("job-%06d", 1+w.rng.IntN(w.jobs))
-	if w.told[uid] == "" {
+	if w.answers[uid] == "" {
 		return ""
 	}
 	return uid
 }
 
-// runMachines delivers starts, late ones too, and lets tasks end.
+// runMachines delivers starts, possibly late, and lets tasks exit.
 func (w *world) runMachines() {
 	if len(w.inFlightStarts) > 0 && w.rng.IntN(3) == 0 {
 		at := w.rng.IntN(len(w.inFlightStarts))
@@ -149,14 +149,14 @@
 	}
 }
 
-// machineModel is a machine: the highest fencing token it knows, and its tasks.
+// machineModel is a machine: the highest fencing token that it knows, and its tasks.
 type machineModel struct {
 	fencingToken uint64
 	running      map[string]uint64 // job -> term of its start
 	finished     map[string]bool
 }
 
-// startInFlight is a start that was sent and has not arrived.
+// startInFlight is a start command that was sent and has not arrived yet.
 type startInFlight struct {
 	machine int
 	job     string
--- a/internal/datarecovery/pages.go
+++ b/internal/datarecovery/pages.go
@@ -11,28 +11,27 @@
 	"strings"
 )
 
-// Page is a number of ends as one value of the state service and as one line between
-// controllers.
+// Page is a group of job ends, encoded as one value in the state service or as one message between controllers.
 type Page struct {
 	Teams  []string `json:"teams"`
-	Data   string   `json:"data,omitempty"` // of each: distance to the last id, packed end
+	Data   string   `json:"data,omitempty"` // per packed end: difference to the previous id, then the end; base64
 	Others []End    `json:"others,omitempty"`
 }
 
-// Sizes of parts of an encoded page, in bytes, as its room is reckoned.
+// Upper bounds of the sizes of parts of an encoded page, in bytes.
 const (
 	pageFrameSize       = 64 // an empty page
-	packedEndMax        = 20 // the most that an end of usual form takes
-	otherEndFrame       = 80 // of an end that is written out, beside its names
-	teamNameFrame       = 3  // of a team's name
+	packedEndMax        = 20 // a packed end
+	otherEndFrame       = 80 // an end in JSON, without its names
+	teamNameFrame       = 3  // quotes and comma of a team name
 	base64In, base64Out = 3, 4
 )
 
-// Pages puts ends on pages of so many bytes at most.
-func Pages(ends []End, room int) []Page {
+// Pages encodes ends as pages of at most maxBytes each.
+func Pages(ends []End, maxBytes int) []Page {
 	ends = slices.Clone(ends)
 	slices.SortFunc(ends, func(a, b End) int { return strings.Compare(a.UID, b.UID) })
-	w := pageWriter{room: room}
+	w := pageWriter{maxBytes: maxBytes}
 	w.begin()
 	for _, end := range ends {
 		w.add(end)
@@ -43,16 +42,16 @@
 
 // pageWriter fills pages one after the other.
 type pageWriter struct {
-	room  int
-	pages []Page
+	maxBytes int
+	pages    []Page
 
-	// The page that is being filled.
+	// State of the current page.
 	size   int
 	teams  []string
 	team   map[string]int // index in teams
 	data   []byte
 	others []End
-	last   uint32 // id that was packed last
+	last   uint32 // number of the last packed id
 }
 
 func (w *pageWriter) begin() {
@@ -76,7 +75,7 @@
 	if _, there := w.team[end.Team]; !there {
 		need += len(end.Team) + teamNameFrame
 	}
-	if w.size+need > w.room || (usual && id < w.last) {
+	if w.size+need > w.maxBytes || (usual && id < w.last) {
 		w.flush()
 	}
 	w.size += need
@@ -87,8 +86,8 @@
 	}
 }
 
-// pack adds an end of usual form: the distance to the last id, then tasks, the team's index and whether it was
-// cancelled.
+// pack appends an end with a usual id: the difference to the previous id, then the number of tasks, the team's index
+// and whether the job was cancelled.
 func (w *pageWriter) pack(id uint32, end End) {
 	team, there := w.team[end.Team]
 	if !there {
@@ -107,31 +106,31 @@
 	w.last = id
 }
 
-// ReadPage reads a page as the state service holds it.
+// ReadPage decodes a page from a value in the state service.
 func ReadPage(value []byte) ([]End, error) {
 	var p Page
 	if err := json.Unmarshal(value, &p); err != nil {
-		return nil, fmt.Errorf("datarecovery: page of ends: %w", err)
+		return nil, fmt.Errorf("datarecovery: decode page of ends: %w", err)
 	}
 	return p.Ends()
 }
 
-// Ends reads a page.
+// Ends decodes the ends of the page.
 func (p *Page) Ends() ([]End, error) {
 	data, err := base64.StdEncoding.DecodeString(p.Data)
 	if err != nil {
-		return nil, fmt.Errorf("datarecovery: page of ends: %w", err)
+		return nil, fmt.Errorf("datarecovery: decode page of ends: %w", err)
 	}
 	ends := slices.Clone(p.Others)
 	id := uint64(0)
 	for len(data) > 0 {
 		distance, size := binary.Uvarint(data)
 		if size <= 0 {
-			return nil, ErrPageCutShort
+			return nil, ErrPageTruncated
 		}
 		packed, packedSize := binary.Uvarint(data[size:])
 		if packedSize <= 0 {
-			return nil, ErrPageCutShort
+			return nil, ErrPageTruncated
 		}
 		data = data[size+packedSize:]
 		id += distance
@@ -149,8 +148,8 @@
 	return ends, nil
 }
 
-// What is wrong with a page that cannot be read.
+// Errors of pages that cannot be decoded.
 var (
-	ErrPageCutShort   = errors.New("datarecovery: page of ends: cut short")
-	ErrPageOutOfRange = errors.New("datarecovery: page of ends: out of range")
+	ErrPageTruncated  = errors.New("datarecovery: page of ends is truncated")
+	ErrPageOutOfRange = errors.New("datarecovery: page of ends has an id or a team index out of range")
 )
--- a/internal/datarecovery/signs.go
+++ b/internal/datarecovery/signs.go
@@ -1,7 +1,8 @@
 package datarecovery
 
-// Sign is what contradicts that the state service has what it acknowledged, as operators read it in the overview
-// and in the log. A sign is looked into; a proof is one that no answer of the store shows, and needs no comparison.
+// Sign is an observation that contradicts that the state service has everything it acknowledged. Its text is shown in
+// the overview and in the log. A sign is checked by a comparison. A proof is a sign that the store's own answers cannot
+// refute, and needs no comparison.
 type Sign string
 
 // Signs.
@@ -29,5 +30,5 @@
 	ProofUnlistedMachine  Sign = "a worker has tasks though its machine is on no list"
 )
 
-// signOfPeer is that a peer suspects a loss.
+// signOfPeer returns the sign that a peer suspects a loss.
 func signOfPeer(name string) Sign { return Sign("controller " + name + " doubts it") }
--- a/internal/datarecovery/writeback.go
+++ b/internal/datarecovery/writeback.go
@@ -9,14 +9,14 @@
 )
 
 const (
-	// writeBackInterval is how often it is looked what to write back.
+	// writeBackInterval is the time between two checks for what to write back.
 	writeBackInterval = 200 * time.Millisecond
-	// staleKeyDelay is what the change of the store that ended a job may take to be read here. A key
-	// that says that an ended job is active counts as stale after that.
+	// staleKeyDelay is the time after which the active key of an ended job counts as stale. Before, the change that
+	// ended the job may not have been read here yet.
 	staleKeyDelay = 2 * time.Second
 )
 
-// StaleKey is the key of an ended job that the store has as active.
+// StaleKey is the active key that the store still has of an ended job.
 type StaleKey struct {
 	UID     string
 	Version uint64
@@ -27,28 +27,28 @@
 	seenAt  time.Time
 }
 
-// WriteBack decides what returns to the state service in an epoch that followed a loss of data, and in which order:
-// the jobs that it lacks, the ends of those that it has as active, and the pages of ends. Few jobs at a time, since
-// acceptances and the roster are not to wait for them. It owns its state, does no I/O and reads no clock; its owner
-// guards it by a lock.
+// WriteBack decides what is written back to the state service in an epoch that followed a loss of data, and in which
+// order: the jobs that it lacks, the ends of jobs that it has as active, and the pages of ends. Only a few jobs are in
+// flight at a time, so that writes of accepted jobs and of the roster are not delayed. WriteBack does no I/O and reads
+// no clock; the caller guards it by a lock.
 type WriteBack struct {
-	roundAt  time.Time           // when it was last looked what to write back
+	roundAt  time.Time           // when the last check for what to write back began
 	inFlight map[string]bool     // jobs whose key is being written
 	stale    map[string]staleKey // by job
 
-	pagesWritten bool // the ends of this epoch are on pages
+	pagesWritten bool // all known ends are on pages in this epoch
 	pagesWriting bool
 }
 
-// NewWriteBack has nothing to write.
+// NewWriteBack returns a write-back with nothing to write.
 func NewWriteBack() *WriteBack {
 	return &WriteBack{inFlight: map[string]bool{}, stale: map[string]staleKey{}}
 }
 
-// Begin has the ends looked at anew, in an epoch that is entered now.
+// Begin requests that the pages of ends are checked again, in an epoch that is entered now.
 func (w *WriteBack) Begin() { w.pagesWritten = false }
 
-// RoundDue says whether it is time to look what to write back, and if so takes it as done.
+// RoundDue reports whether to check now for what to write back; if so, it restarts the interval.
 func (w *WriteBack) RoundDue(now time.Time) bool {
 	if now.Sub(w.roundAt) < writeBackInterval {
 		return false
@@ -57,22 +57,22 @@
 	return true
 }
 
-// EndedKeyActive books that the store has an ended job as active, under a version.
+// EndedKeyActive records that the store has an ended job as active, with the version of that key.
 func (w *WriteBack) EndedKeyActive(uid string, version uint64, now time.Time) {
 	w.stale[uid] = staleKey{version, now}
 }
 
-// ActiveKeyDeleted books that the store has a job as active no more.
+// ActiveKeyDeleted records that the store no longer has a job as active.
 func (w *WriteBack) ActiveKeyDeleted(uid string) { delete(w.stale, uid) }
 
-// StaleKeys counts the ended jobs that the store has as active.
+// StaleKeys returns the number of ended jobs that the store has as active.
 func (w *WriteBack) StaleKeys() int { return len(w.stale) }
 
-// InFlight says whether a job's key is being written.
+// InFlight reports whether a job's key is being written.
 func (w *WriteBack) InFlight(uid string) bool { return w.inFlight[uid] }
 
-// StartJobs picks which of the jobs that the store lacks are written now, with at most limit keys in flight. Each
-// is in flight until Written.
+// StartJobs selects which of the jobs that the store lacks are written now, with at most limit keys in flight. Each
+// stays in flight until Written is called.
 func (w *WriteBack) StartJobs(missing []RememberedJob, limit int) []RememberedJob {
 	SortForWriteBack(missing)
 	room := max(0, limit-len(w.inFlight))
@@ -83,9 +83,9 @@
 	return started
 }
 
-// StartStaleKeys picks which ended jobs have their end written now, with at most limit keys in flight. Each is in
-// flight until Written. owned tells whether this controller owns the job's team, ended whether the job's end is
-// known.
+// StartStaleKeys selects which ended jobs have their end written now, with at most limit keys in flight. Each stays in
+// flight until Written is called. owned reports whether this controller owns the job's team, ended whether the job's
+// end is known.
 func (w *WriteBack) StartStaleKeys(now time.Time, limit int, owned, ended func(uid string) bool) []StaleKey {
 	var started []StaleKey
 	for uid, key := range w.stale {
@@ -102,10 +102,11 @@
 	return started
 }
 
-// Written books that the write of a job's key was answered, or failed.
+// Written records that the write of a job's key completed or failed.
 func (w *WriteBack) Written(uid string) { delete(w.inFlight, uid) }
 
-// StartPages says whether the ends are to be written to pages now, and if so takes it as begun.
+// StartPages reports whether to write the ends to pages now; if so, the write counts as in progress until PagesDone is
+// called.
 func (w *WriteBack) StartPages() bool {
 	if w.pagesWritten || w.pagesWriting {
 		return false
@@ -114,14 +115,14 @@
 	return true
 }
 
-// PagesDone books the outcome of writing the pages.
+// PagesDone records the outcome of writing the pages.
 func (w *WriteBack) PagesDone(complete bool) { w.pagesWriting, w.pagesWritten = false, complete }
 
-// EndsLearned books that ends came to be known that may be on no page.
+// EndsLearned records that ends became known that may be on no page.
 func (w *WriteBack) EndsLearned() { w.pagesWritten = false }
 
-// SortForWriteBack puts jobs in the order in which they are written back: what a user waits for
-// longest by priority, then the oldest.
+// SortForWriteBack sorts jobs in the order in which they are written back: by priority, highest first, then by
+// submission time, oldest first.
 func SortForWriteBack(jobs []RememberedJob) {
 	slices.SortFunc(jobs, func(a, b RememberedJob) int {
 		return cmp.Or(
--- a/internal/datarecovery/writeback_test.go
+++ b/internal/datarecovery/writeback_test.go
@@ -13,7 +13,7 @@
 	return names
 }
 
-// TestJobsAreWrittenBackInOrder: oldest first, with at most so many in flight.
+// TestJobsAreWrittenBackInOrder: jobs are written back oldest first, with at most the given number in flight.
 func TestJobsAreWrittenBackInOrder(t *testing.T) {
 	w := NewWriteBack()
 	missing := []RememberedJob{rememberedJob("job-000003", 30), rememberedJob("job-000001", 10), rememberedJob("job-000002", 20)}
@@ -32,8 +32,8 @@
 	}
 }
 
-// TestStaleKeys: the end of a job that the store has as active is written again by its owner, not before the change
-// that ended it had time to be read here.
+// TestStaleKeys: the owner writes the end of a job again that the store has as active, but not before the change that
+// ended the job had time to be read.
 func TestStaleKeys(t *testing.T) {
 	w, due := NewWriteBack(), testStart.Add(staleKeyDelay)
 	w.EndedKeyActive("job-000001", 5, testStart)
@@ -54,7 +54,7 @@
 	}
 	w.Written("job-000001")
 	if w.ActiveKeyDeleted("job-000001"); w.StaleKeys() != 0 {
-		t.Error("still stale though the key was deleted")
+		t.Error("still stale although the key was deleted")
 	}
 	w.EndedKeyActive("job-000002", 6, testStart)
 	if started := w.StartStaleKeys(due, 9, always, never); len(started) != 0 || w.StaleKeys() != 0 {
@@ -62,7 +62,8 @@
 	}
 }
 
-// TestPagesOfEnds: written once in an epoch, and again after an incomplete write or once more ends are known.
+// TestPagesOfEnds: pages of ends are written once in an epoch, and again after an incomplete write or once more ends
+// are known.
 func TestPagesOfEnds(t *testing.T) {
 	w := NewWriteBack()
 	if !w.StartPages() || w.StartPages() {
@@ -73,7 +74,7 @@
 		t.Error("not started again after a failure")
 	}
 	if w.PagesDone(true); w.StartPages() {
-		t.Error("started again though all is written")
+		t.Error("started again although everything is written")
 	}
 	for _, again := range []func(){w.EndsLearned, w.Begin} {
 		if again(); !w.StartPages() {
@@ -83,7 +84,7 @@
 	}
 }
 
-// TestRounds: what to write back is looked for once in an interval.
+// TestRounds: write-back is checked at most once per interval.
 func TestRounds(t *testing.T) {
 	w := NewWriteBack()
 	if !w.RoundDue(testStart) || w.RoundDue(testStart.Add(writeBackInterval-1)) || !w.RoundDue(testStart.Add(writeBackInterval)) {
@@ -91,17 +92,18 @@
 	}
 }
 
-// TestCensus: the roster is whole only once the cloud's list, read after its lag, and the memory name nobody else.
+// TestCensus: the roster is complete only once it has every machine that is remembered or named by the cloud's list,
+// which is read after its lag.
 func TestCensus(t *testing.T) {
 	c, lag := NewCensus(), 4*time.Second
 	c.Remember("n-1")
 	c.Begin(testStart)
-	if c.Taken() || c.Due(testStart.Add(2*lag), lag) || !c.Due(testStart.Add(2*lag+1), lag) {
-		t.Error("taken, not due, or due too early")
+	if c.ListRead() || c.Due(testStart.Add(2*lag), lag) || !c.Due(testStart.Add(2*lag+1), lag) {
+		t.Error("list counts as read, is not due, or is due too early")
 	}
-	c.Take([]string{"n-2"})
-	if !c.Taken() || c.Due(testStart.Add(time.Hour), lag) {
-		t.Error("not taken, or due again")
+	c.RecordListed([]string{"n-2"})
+	if !c.ListRead() || c.Due(testStart.Add(time.Hour), lag) {
+		t.Error("list does not count as read, or is due again")
 	}
 	if name, found := c.Unaccounted(func(name string) bool { return name == "n-2" }); !found || name != "n-1" {
 		t.Errorf("unaccounted %q", name)
@@ -115,11 +117,11 @@
 	if listed, remembered := c.Counts(); listed != 1 || remembered != 1 || !slices.Equal(slices.Collect(c.Listed()), []string{"n-2"}) || !slices.Equal(slices.Collect(c.Remembered()), []string{"n-1"}) {
 		t.Errorf("%d listed, %d remembered", listed, remembered)
 	}
-	c.Take(nil)
-	if !c.Taken() {
-		t.Error("an empty list is none")
+	c.RecordListed(nil)
+	if !c.ListRead() {
+		t.Error("an empty list does not count as read")
 	}
-	if c.Begin(testStart.Add(time.Minute)); c.Taken() || !c.EnteredAt().Equal(testStart.Add(time.Minute)) || len(slices.Collect(c.Remembered())) != 1 {
-		t.Error("another epoch: still taken, or nobody is remembered")
+	if c.Begin(testStart.Add(time.Minute)); c.ListRead() || !c.EnteredAt().Equal(testStart.Add(time.Minute)) || len(slices.Collect(c.Remembered())) != 1 {
+		t.Error("another epoch: list still counts as read, or no machine is remembered")
 	}
 }
