--- a/internal/controller/dataloss_restart_test.go
+++ b/internal/controller/dataloss_restart_test.go
@@ -11,8 +11,8 @@
 )
 
 // TestDataLossWhileAllControllersRestart: the store loses data at the moment when all controllers stop, so that no
-// controller retains any state. A job about which nothing is known must never be answered as unknown, running tasks are
-// left alone, no task runs twice, new jobs are accepted and run, and jobs that the store still has complete.
+// controller retains any state. A job about which nothing can be known must not be answered as unknown, running tasks
+// are left alone, no task runs twice, new jobs are accepted and run, and jobs that the store still has complete.
 func TestDataLossWhileAllControllersRestart(t *testing.T) {
 	for name, lose := range map[string]func(*dataLoss){
 		"all":  func(l *dataLoss) { l.state.LoseAll() },
--- a/internal/controller/recovery_detect.go
+++ b/internal/controller/recovery_detect.go
@@ -207,7 +207,7 @@
 		n.lossSeenHere()
 		return datarecovery.Missing
 	case (err == nil || conflict) && revision < plan.SeenRevision:
-		n.log.Info("state service is behind a revision that a peer has seen", "seen", plan.SeenRevision, "revision", revision)
+		n.log.Info("state service is behind a revision seen by a peer", "seen", plan.SeenRevision, "revision", revision)
 		return datarecovery.Missing
 	case err == nil:
 		return datarecovery.Intact
@@ -244,14 +244,14 @@
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.applyChanges(changes, began)
-	judged := n.recovery.detection.EvaluateFailedKeys(plan, failed, n.leadership.Presence(n.name).Version, n.knownVersion)
-	if judged.OwnKeyGone {
+	result := n.recovery.detection.EvaluateFailedKeys(plan, failed, n.leadership.Presence(n.name).Version, n.knownVersion)
+	if result.OwnKeyGone {
 		n.rewriteOwnKey()
 	}
-	if judged.MissingKey != "" {
-		n.log.Info("acknowledged key is missing", "key", judged.MissingKey, "version", plan.Keys[judged.MissingKey])
+	if result.MissingKey != "" {
+		n.log.Info("acknowledged key is missing", "key", result.MissingKey, "version", plan.Keys[result.MissingKey])
 	}
-	return judged.Comparison
+	return result.Comparison
 }
 
 // lossSeenHere records that this process saw the loss itself.
--- a/internal/controller/recovery_gather.go
+++ b/internal/controller/recovery_gather.go
@@ -28,7 +28,7 @@
 	retainedStateMsg struct {
 		Epoch    uint64                    `json:"generation"`
 		Jobs     []userapi.ActiveJob       `json:"jobs,omitempty"`   // active, but not in the store
-		Active   []string                  `json:"active,omitempty"` // jobs that are active in the store, as far as the sender knows
+		Active   []string                  `json:"active,omitempty"` // jobs in the store, as the sender knows
 		Finished map[string]*bitset.BitSet `json:"done,omitempty"`   // finished tasks, by job
 		Ends     datarecovery.Digest       `json:"ends"`
 		Last     bool                      `json:"last"`          // the last message of the sender's retained state
@@ -49,7 +49,7 @@
 	// endsPerMessage is the maximum size in bytes of the ends in one missingEndsMsg.
 	endsPerMessage = 256 << 10
 	// startupGrace is how long a process that has just started treats every peer as possibly reachable. Without it, a
-	// peer that had not been heard from yet counted as gone, and its retained state was not awaited.
+	// peer that had not connected yet counted as gone, and its retained state was not awaited.
 	startupGrace = unreachableAfter + 500*time.Millisecond
 	// latestAttempt is an attempt number above all real ones, for the look-up of a job that a peer reports as active.
 	latestAttempt = 1 << 52
@@ -165,12 +165,12 @@
 		}
 	}
 	n.recovery.gathering.StateReceived(from)
-	lacking, err := n.front.EndsMissingFrom(m.Ends)
+	missing, err := n.front.EndsMissingFrom(m.Ends)
 	if err != nil {
 		n.log.Error("unreadable line", "peer", from, "kind", kindRetainedState, "err", err)
 		return
 	}
-	for _, page := range datarecovery.Pages(lacking, endsPerMessage) {
+	for _, page := range datarecovery.Pages(missing, endsPerMessage) {
 		n.links.Send(from, kindMissingEnds, missingEndsMsg{Epoch: m.Epoch, Ends: &page})
 	}
 	n.links.Send(from, kindMissingEnds, missingEndsMsg{Epoch: m.Epoch, Last: true})
--- a/internal/controller/replication_test.go
+++ b/internal/controller/replication_test.go
@@ -119,7 +119,7 @@
 			return
 		}
 	}
-	t.Fatal("the holder never acknowledged the whole replica")
+	t.Fatal("the holder never acknowledged the complete replica")
 }
 
 // TestLargeReplicaReachesItsHolder: a replica that does not fit in one message between controllers could never reach
--- a/internal/datarecovery/agreement.go
+++ b/internal/datarecovery/agreement.go
@@ -52,7 +52,7 @@
 	Revision        uint64 `json:"seen"` // highest revision that the store named in this epoch
 	SuspectsLoss    bool   `json:"doubt,omitempty"`
 	ConfirmedLoss   bool   `json:"lost,omitempty"`  // comparisons confirmed the loss
-	HistoryComplete bool   `json:"whole,omitempty"` // the sender saw the loss and knows every job end ever
+	HistoryComplete bool   `json:"whole,omitempty"` // the sender saw the loss and has a complete history of job ends
 }
 
 const (
@@ -250,7 +250,8 @@
 }
 
 // stepAwaitingPeers requests a comparison once all peers have reported or the wait for them has timed out. A read that
-// begins then must return everything that they have seen.
+// begins then must return everything that they have seen. If no comparison completes within three times that wait, the
+// store is trusted.
 func (a *Agreement) stepAwaitingPeers(now time.Time) Action {
 	switch passed := now.Sub(a.since); {
 	case passed > 3*peerWaitTimeout:
--- a/internal/datarecovery/detection.go
+++ b/internal/datarecovery/detection.go
@@ -131,7 +131,8 @@
 	}
 }
 
-// Trusted reports whether the store's answers can be relied on: no sign of loss was seen since the store was read.
+// Trusted reports whether the store's answers can be relied on: no sign of loss was seen since the store was read, or
+// it was not read yet.
 func (d *Detection) Trusted() bool {
 	return d.agreement.phase == Trusted || d.agreement.phase == Starting
 }
@@ -182,7 +183,7 @@
 	}
 }
 
-// Suspect records a sign of loss. It returns false if the store was not trusted already.
+// Suspect records a sign of loss. It returns false if the store was not trusted anyway.
 func (d *Detection) Suspect(sign Sign, now time.Time) bool {
 	if !d.Trusted() {
 		return false
@@ -341,19 +342,19 @@
 func (d *Detection) EvaluateFailedKeys(
 	plan ComparisonPlan, failed []string, ownVersion uint64, versionNow func(key string) uint64,
 ) FailedKeys {
-	judged := FailedKeys{Comparison: Intact}
+	result := FailedKeys{Comparison: Intact}
 	for _, key := range failed {
 		if key == plan.OwnKey {
-			judged.OwnKeyGone = judged.OwnKeyGone || ownVersion == plan.OwnVersion // its lease may have expired
+			result.OwnKeyGone = result.OwnKeyGone || ownVersion == plan.OwnVersion // its lease may have expired
 			continue
 		}
 		if version, compared := plan.Keys[key]; compared && versionNow(key) == version {
 			d.seenHere = true
-			judged.Comparison, judged.MissingKey = Missing, key
-			return judged
+			result.Comparison, result.MissingKey = Missing, key
+			return result
 		}
 	}
-	return judged
+	return result
 }
 
 // Compared records the outcome of a comparison that checked a suspicion. It reports whether the store is trusted again.
--- a/internal/datarecovery/model_controller_test.go
+++ b/internal/datarecovery/model_controller_test.go
@@ -274,7 +274,7 @@
 		return
 	}
 	if w.guards.compare && w.rng.IntN(20) == 0 && w.compareAcknowledged(n) == Missing {
-		n.agreement.Suspect("look", w.now)
+		n.agreement.Suspect("comparison", w.now)
 		return
 	}
 	if w.rng.IntN(2) == 0 {
@@ -326,8 +326,8 @@
 				w.learn(o, uid, 0)
 			}
 		}
-		lacking, _ := o.ends.MissingFrom(n.ends.Digest())
-		for _, x := range lacking {
+		missing, _ := o.ends.MissingFrom(n.ends.Digest())
+		for _, x := range missing {
 			w.learnEnd(n, x.UID, x.Cancelled)
 		}
 		n.exchange.Answered(o.name)
--- a/internal/datarecovery/model_test.go
+++ b/internal/datarecovery/model_test.go
@@ -8,7 +8,7 @@
 )
 
 // The model consists of a simple store that loses data, two controllers, three machines, and jobs of one task each. It
-// is slow and straightforward. The controllers take their decisions from the code under test, that is, from this
+// is slow and straightforward. The controllers take all decisions from the code under test, that is, from this
 // package and from leadership alone.
 
 // guards are the safety mechanisms of the controllers. A test disables one at a time to show that the model detects it.
--- a/internal/datarecovery/status.go
+++ b/internal/datarecovery/status.go
@@ -13,7 +13,7 @@
 	Ends             int      `json:"ends_remembered"`
 	HistoryComplete  bool     `json:"remembers_all_ends"`
 	Unreplicated     int      `json:"said_with_no_peer_holding_it"`
-	Undescribed      []string `json:"jobs_nobody_can_describe,omitempty"` // jobs without a known specification; at most 100
+	Undescribed      []string `json:"jobs_nobody_can_describe,omitempty"` // jobs without a known specification, at most 100
 	Suspicions       int      `json:"signs_seen"`
 	Losses           int      `json:"losses"`
 }
