--- a/internal/controller/leaserenewal_test.go
+++ b/internal/controller/leaserenewal_test.go
@@ -41,7 +41,7 @@
 }
 
 // TestNoStartOfAnEndedJob: an owner that the key-value store refuses may order starts of a job that the machine's home
-// knows to be cancelled. The home sent them.
+// knows to be cancelled. The home sent them nevertheless.
 func TestNoStartOfAnEndedJob(t *testing.T) {
 	o := newOrderedMachine()
 	n := o.n
--- a/internal/controller/recovery_gather.go
+++ b/internal/controller/recovery_gather.go
@@ -70,7 +70,7 @@
 }
 
 // allPeersExchanged reports whether every peer that may be reachable has sent its retained state since this process
-// started to watch the store.
+// started to watch the store, and the jobs named there were looked up.
 func (n *Node) allPeersExchanged(now time.Time) bool {
 	for name := range n.peers {
 		if n.mayBeReachable(name, now) && !n.recovery.gathering.ExchangedWith(name) {
