--- a/internal/controller/barrier_test.go
+++ b/internal/controller/barrier_test.go
@@ -14,7 +14,7 @@
 // TestBarrierSettlesTheMachineThatReported: a machine that reported under the shard's term is awaited no longer,
 // one that reported under an earlier term is, and the last one ends the barrier.
 func TestBarrierSettlesTheMachineThatReported(t *testing.T) {
-	g := newGrown(3, 1)
+	g := newNodeHarness(3, 1)
 	n := g.n
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -60,7 +60,7 @@
 		if phase == shards.Ready {
 			shard.PassBarrier(time.Time{})
 		}
-		spec := array(int(phase), 1, "red")
+		spec := arrayJob(int(phase), 1, "red")
 		n.learnJob(userapi.ActiveJob{Spec: spec}, 1)
 		if (shard.Team().Job(spec.UID) != nil) != taken || n.jobs[spec.UID] == nil {
 			t.Fatalf("phase %s: job in the account: %v", phase, !taken)
--- a/internal/controller/cancellations.go
+++ b/internal/controller/cancellations.go
@@ -38,7 +38,7 @@
 	}
 	m := replicateFactMsg{From: from}
 	for _, uid := range uids {
-		end, _ := n.front.KnownEnd(uid) // ends are never forgotten
+		end, _ := n.userAPI.KnownEnd(uid) // ends are never forgotten
 		m.Ends = append(m.Ends, jobEnd{uid, end})
 	}
 	n.links.Send(name, kindReplicateFact, m)
--- a/internal/controller/capacity_bench_test.go
+++ b/internal/controller/capacity_bench_test.go
@@ -81,8 +81,8 @@
 		{1000, 3, 4}, {1000, 3, 8}, {1000, 3, 16}, {1000, 3, 26},
 	} {
 		b.Run(fmt.Sprintf("machines=%d/teams=%d/tasks=%d", c.machines, c.teams, c.tasks), func(b *testing.B) {
-			g := newGrown(c.machines, c.teams)
-			view := *g.views[g.names[0]]
+			g := newNodeHarness(c.machines, c.teams)
+			view := *g.views[g.machineNames[0]]
 			view.Tasks = busyTasks(c.tasks)
 			body := protocol.Encode([]*jobstate.MachineStatus{&view})
 			g.n.mu.Lock()
@@ -105,13 +105,13 @@
 func BenchmarkCapacityBarrier(b *testing.B) {
 	for _, machines := range fleetSizes {
 		b.Run(fmt.Sprintf("machines=%d", machines), func(b *testing.B) {
-			g := newGrown(machines, 17)
+			g := newNodeHarness(machines, 17)
 			for shard := range g.n.shards.InOrder() {
-				barrierShard(g.n, shard, 2, g.names)
+				barrierShard(g.n, shard, 2, g.machineNames)
 			}
 			g.n.mu.Lock()
 			defer g.n.mu.Unlock()
-			view := *g.views[g.names[0]]
+			view := *g.views[g.machineNames[0]]
 			processorTime(b, func() {
 				view.Seq++
 				next := view
@@ -125,7 +125,7 @@
 func BenchmarkCapacityStep(b *testing.B) {
 	for _, c := range []struct{ machines, teams int }{{500, 3}, {4000, 3}, {15000, 3}, {1000, 20}, {1000, 100}, {1000, 317}, {1000, 950}} {
 		b.Run(fmt.Sprintf("machines=%d/teams=%d", c.machines, c.teams), func(b *testing.B) {
-			g := newGrown(c.machines, c.teams)
+			g := newNodeHarness(c.machines, c.teams)
 			g.n.mu.Lock()
 			defer g.n.mu.Unlock()
 			processorTime(b, func() {
@@ -140,7 +140,7 @@
 func BenchmarkCapacityPlace(b *testing.B) {
 	for _, machines := range fleetSizes {
 		b.Run(fmt.Sprintf("machines=%d", machines), func(b *testing.B) {
-			g := newGrown(machines, 3)
+			g := newNodeHarness(machines, 3)
 			ask := &placement.Ask{CPUs: 1, MemoryGB: 1, Zone: -1, Spot: true, Image: "img-0", RunSeconds: 40}
 			g.n.mu.Lock()
 			defer g.n.mu.Unlock()
@@ -157,11 +157,11 @@
 func BenchmarkCapacityFleet(b *testing.B) {
 	for _, machines := range fleetSizes {
 		b.Run(fmt.Sprintf("machines=%d", machines), func(b *testing.B) {
-			g := newGrown(machines, 3)
+			g := newNodeHarness(machines, 3)
 			for range 30 {
 				g.submit(100, 8)
 			}
-			g.second(10)
+			g.advanceSecond(10)
 			account := provisioning.New(provisioning.Options{}, g.now)
 			f := autoscaler.New("b", autoscaler.Options{IdleTimeout: 24 * time.Hour, SpotShare: 1, SilenceTimeout: 30 * time.Second, SafetyRunTimes: 2})
 			g.n.mu.Lock()
@@ -218,8 +218,8 @@
 // twice a second at least, and taken in by each.
 func BenchmarkCapacityStatus(b *testing.B) {
 	for _, homed := range []int{326, 1000, 2500, 5000} {
-		g := newGrown(homed, 3)
-		for _, name := range g.names {
+		g := newNodeHarness(homed, 3)
+		for _, name := range g.machineNames {
 			g.n.agents.ApplyHeartbeat(&protocol.Heartbeat{Machine: name, Addr: "127.0.0.1:9000", Type: "m32", Zone: "east", Incarnation: 1, Seq: 1, FencingToken: 1}, g.now)
 		}
 		g.n.mu.Lock()
--- a/internal/controller/changesync_test.go
+++ b/internal/controller/changesync_test.go
@@ -51,7 +51,7 @@
 		wg.Add(1)
 		go func() {
 			defer wg.Done()
-			spec := array(i, 1, "red")
+			spec := arrayJob(i, 1, "red")
 			key := userapi.ActiveJobPrefix + spec.UID
 			know := func(want bool) {
 				if err := n.waitForChanges(ctx); err != nil {
--- a/internal/controller/config_test.go
+++ b/internal/controller/config_test.go
@@ -16,14 +16,14 @@
 
 // configured is a region whose teams' configuration changes, and an operator who changes it.
 type configured struct {
-	*region
+	*testCluster
 	operator *teamstore.Writer
 }
 
 func newConfigured(t *testing.T, run time.Duration) *configured {
-	r := openRegion(t, run, settings.Agents{HeartbeatSeconds: 0.2, LeaseSeconds: 20, GangWaitSeconds: 10, GangPeerSeconds: 4, CancelSeconds: 60}, func(r *region) { r.configBound = 4 })
-	c := &configured{region: r}
-	c.until("there is a record", func() bool { all := r.overviews(); return len(all) > 0 && len(all[0].Members) == 3 })
+	r := openRegion(t, run, settings.Agents{HeartbeatSeconds: 0.2, LeaseSeconds: 20, GangWaitSeconds: 10, GangPeerSeconds: 4, CancelSeconds: 60}, func(r *testCluster) { r.configBound = 4 })
+	c := &configured{testCluster: r}
+	c.waitUntil("there is a record", func() bool { all := r.overviews(); return len(all) > 0 && len(all[0].Members) == 3 })
 	c.operator = c.writer()
 	return c
 }
@@ -32,10 +32,10 @@
 func (c *configured) writer() *teamstore.Writer {
 	ctx, cancel := context.WithCancel(context.Background())
 	c.t.Cleanup(cancel)
-	client := kvstore.New(c.state.Addr(), c.sets[0].Deployment.KVStore, 4)
+	client := kvstore.New(c.state.Addr(), c.nodeSettings[0].Deployment.KVStore, 4)
 	go client.Run(ctx)
-	w := teamstore.New(client, c.sets[0].Deployment.Teams)
-	c.until("the operator's command knows the store", func() bool { return w.BindEpoch(ctx, recordKey) == nil })
+	w := teamstore.New(client, c.nodeSettings[0].Deployment.Teams)
+	c.waitUntil("the operator's command knows the store", func() bool { return w.BindEpoch(ctx, recordKey) == nil })
 	return w
 }
 
@@ -58,7 +58,7 @@
 // inForce waits until some controller says that a change is in force.
 func (c *configured) inForce(team string, number uint64) {
 	c.t.Helper()
-	c.until(fmt.Sprintf("change %d of %s in force", number, team), func() bool { return c.said(team, number) })
+	c.waitUntil(fmt.Sprintf("change %d of %s in force", number, team), func() bool { return c.said(team, number) })
 }
 
 func (c *configured) said(team string, number uint64) bool {
@@ -69,59 +69,59 @@
 // in force is never exceeded, and a raised quota is used.
 func TestQuotaChangesUnderLoad(t *testing.T) {
 	c := newConfigured(t, 500*time.Millisecond)
-	jobs := []*protocol.Submission{array(700, 60, "red"), array(701, 60, "red")}
+	jobs := []*protocol.Submission{arrayJob(700, 60, "red"), arrayJob(701, 60, "red")}
 	for _, j := range jobs {
 		c.submit(j)
 	}
 	most := 24.0
 	for i, cpus := range []float64{8, 24, 2, 12, 4, 24} {
-		c.until("the team is at work", func() bool { return c.check.CPUsOfTeam("red") > 0 })
+		c.waitUntil("the team is at work", func() bool { return c.checker.CPUsOfTeam("red") > 0 })
 		if cpus > most {
-			c.check.SetLimit("red", cpus)
+			c.checker.SetLimit("red", cpus)
 		}
 		number := c.set("red", limit(cpus))
 		c.inForce("red", number)
-		c.check.SetLimit("red", cpus) // from here on no start goes beyond it
+		c.checker.SetLimit("red", cpus) // from here on no start goes beyond it
 		most = cpus
 		if i%2 == 1 {
-			c.until("the raised quota is used", func() bool { return c.check.CPUsOfTeam("red") > cpus/2 || c.poll(jobs[1].UID) == protocol.Done })
+			c.waitUntil("the raised quota is used", func() bool { return c.checker.CPUsOfTeam("red") > cpus/2 || c.queryState(jobs[1].UID) == protocol.Done })
 		}
 	}
-	c.allDone(jobs)
+	c.awaitAllDone(jobs)
 }
 
 // TestTeamComesAndGoes: a new team is never unknown where it is known elsewhere, a removed one takes no new jobs
 // and its accepted ones run to their end.
 func TestTeamComesAndGoes(t *testing.T) {
 	c := newConfigured(t, 400*time.Millisecond)
-	c.check.SetLimit("green", 6)
-	first := array(710, 8, "green")
-	for i := range c.sets {
-		c.until("an unknown team is refused", func() bool { status, _ := c.askAt(i, "POST", protocol.PathSubmit, first); return status == 422 })
+	c.checker.SetLimit("green", 6)
+	first := arrayJob(710, 8, "green")
+	for i := range c.nodeSettings {
+		c.waitUntil("an unknown team is refused", func() bool { status, _ := c.askAt(i, "POST", protocol.PathSubmit, first); return status == 422 })
 	}
 	number := c.set("green", func(e *teamconfig.Entry) { e.CPUs, e.CPUsMax = 4, 6 })
-	for i := range c.sets { // at once: who does not know it yet reads before it refuses
-		job := array(712+i, 1, "green")
-		c.check.RecordSubmission(job)
+	for i := range c.nodeSettings { // at once: who does not know it yet reads before it refuses
+		job := arrayJob(712+i, 1, "green")
+		c.checker.RecordSubmission(job)
 		status, st := c.askAt(i, "POST", protocol.PathSubmit, job)
-		c.check.RecordAnswer(job.UID, status, st.State, false)
+		c.checker.RecordAnswer(job.UID, status, st.State, false)
 		if status == 422 {
 			t.Errorf("controller %d refuses a team that was there when it was asked", i)
 		}
 	}
 	c.inForce("green", number)
 	c.submit(first)
-	c.until("it runs", func() bool { return c.check.CPUsOfTeam("green") > 0 })
+	c.waitUntil("it runs", func() bool { return c.checker.CPUsOfTeam("green") > 0 })
 	number = c.set("green", func(e *teamconfig.Entry) { e.Removed = true })
-	late := array(719, 1, "green")
-	c.check.RecordSubmission(late)
-	for i := range c.sets {
+	late := arrayJob(719, 1, "green")
+	c.checker.RecordSubmission(late)
+	for i := range c.nodeSettings {
 		if status, _ := c.askAt(i, "POST", protocol.PathSubmit, late); status == 200 || status == 201 {
 			t.Errorf("controller %d takes a job of a removed team", i)
 		}
 	}
 	c.inForce("green", number)
-	for i := range c.sets {
+	for i := range c.nodeSettings {
 		if status, _ := c.askAt(i, "POST", protocol.PathSubmit, late); status != 422 {
 			t.Errorf("controller %d answers a job of a removed team by %d", i, status)
 		}
@@ -129,16 +129,16 @@
 			t.Errorf("controller %d answers a repeated submission by %d", i, status)
 		}
 	}
-	c.allDone([]*protocol.Submission{first})
+	c.awaitAllDone([]*protocol.Submission{first})
 	c.inForce("green", c.set("green", func(e *teamconfig.Entry) { e.Removed = false }))
 	c.submit(late)
-	c.allDone([]*protocol.Submission{late})
+	c.awaitAllDone([]*protocol.Submission{late})
 }
 
 // linked waits until all controllers hear each other. One that dials another in the moment in which that one ends in this process may
 // be left with a connection that nobody reads and nobody closes, which has nothing to do with the configuration.
 func (c *configured) linked() {
-	c.until("all hear each other", func() bool {
+	c.waitUntil("all hear each other", func() bool {
 		all := c.overviews()
 		return len(all) == 3 && !slices.ContainsFunc(all, func(o overview) bool { return len(o.UnreachablePeers) > 0 || len(o.Members) < 3 })
 	})
@@ -156,7 +156,7 @@
 			c.doors[0].RefuseAll(true)
 			number := c.set("red", limit(4))
 			c.inForce("red", number)
-			c.check.SetLimit("red", 4)
+			c.checker.SetLimit("red", 4)
 			c.doors[0].RefuseAll(false)
 			return number
 		},
@@ -164,8 +164,8 @@
 			apart(c, true)
 			number := c.set("red", limit(4))
 			c.inForce("red", number)
-			c.check.SetLimit("red", 4)
-			c.until("its tasks go on", func() bool { return c.check.CPUsOfTeam("red") > 0 })
+			c.checker.SetLimit("red", 4)
+			c.waitUntil("its tasks go on", func() bool { return c.checker.CPUsOfTeam("red") > 0 })
 			apart(c, false)
 			return number
 		},
@@ -191,19 +191,19 @@
 		"one returns with an old settings file": func(c *configured) uint64 {
 			number := c.set("red", limit(4))
 			c.inForce("red", number)
-			c.check.SetLimit("red", 4)
+			c.checker.SetLimit("red", 4)
 			c.crash(0)
-			old := *c.sets[0]
+			old := *c.nodeSettings[0]
 			old.Deployment.Teams = []settings.Team{{Name: "red", CPUs: 32, CPUsMax: 64}, {Name: "blue", CPUs: 8, CPUsMax: 16}}
-			c.sets[0] = &old
+			c.nodeSettings[0] = &old
 			c.start(0)
-			c.until("it is a member and named", func() bool {
+			c.waitUntil("it is a member and named", func() bool {
 				all := c.overviews()
-				return len(all) == 3 && len(all[1].Members) == 3 && all[1].Config != nil && slices.Contains(all[1].Config.Strangers, c.sets[0].Name)
+				return len(all) == 3 && len(all[1].Members) == 3 && all[1].Config != nil && slices.Contains(all[1].Config.Strangers, c.nodeSettings[0].Name)
 			})
-			large := array(739, 8, "red")
+			large := arrayJob(739, 8, "red")
 			large.Kind = protocol.Gang
-			c.until("a job that needs more than the changed limit is refused", func() bool {
+			c.waitUntil("a job that needs more than the changed limit is refused", func() bool {
 				status, _ := c.askAt(0, "POST", protocol.PathSubmit, large)
 				return status == 422
 			})
@@ -213,29 +213,29 @@
 			saved := c.state.Snapshot()
 			number := c.set("red", limit(4))
 			c.inForce("red", number)
-			c.check.SetLimit("red", 4)
+			c.checker.SetLimit("red", 4)
 			c.state.RollBack(saved)
-			c.until("the change is written back", func() bool { return c.recovered(true) && c.state.CountKeys(teamstore.Prefix) == 1 })
+			c.waitUntil("the change is written back", func() bool { return c.recovered(true) && c.state.CountKeys(teamstore.Prefix) == 1 })
 			c.operator = c.writer()
 			return number
 		},
 		"the store loses all and one ends": func(c *configured) uint64 {
 			number := c.set("red", limit(4))
 			c.inForce("red", number)
-			c.check.SetLimit("red", 4)
+			c.checker.SetLimit("red", 4)
 			c.crash(1)
 			c.state.LoseAll()
 			c.start(1)
-			c.until("the change is written back", func() bool { return c.recovered(true) && c.state.CountKeys(teamstore.Prefix) == 1 })
+			c.waitUntil("the change is written back", func() bool { return c.recovered(true) && c.state.CountKeys(teamstore.Prefix) == 1 })
 			c.operator = c.writer()
 			return number
 		},
 		"the store loses the changes": func(c *configured) uint64 {
 			number := c.set("red", limit(4))
 			c.inForce("red", number)
-			c.check.SetLimit("red", 4)
+			c.checker.SetLimit("red", 4)
 			c.state.LosePrefix(teamstore.Prefix)
-			c.until("the change is written back", func() bool { return c.recovered(true) && c.state.CountKeys(teamstore.Prefix) == 1 })
+			c.waitUntil("the change is written back", func() bool { return c.recovered(true) && c.state.CountKeys(teamstore.Prefix) == 1 })
 			c.operator = c.writer()
 			return number
 		},
@@ -243,19 +243,19 @@
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			c := newConfigured(t, 600*time.Millisecond)
-			job := array(730, 40, "red")
+			job := arrayJob(730, 40, "red")
 			c.submit(job)
-			c.until("the team is at work", func() bool { return c.check.CPUsOfTeam("red") > 8 })
+			c.waitUntil("the team is at work", func() bool { return c.checker.CPUsOfTeam("red") > 8 })
 			number := trouble(c)
 			c.inForce("red", number)
-			c.check.SetLimit("red", 4)
-			more := array(732, 20, "red") // the first one may be over by now
+			c.checker.SetLimit("red", 4)
+			more := arrayJob(732, 20, "red") // the first one may be over by now
 			c.submit(more)
-			c.until("the team is at work within the lowered quota", func() bool { used := c.check.CPUsOfTeam("red"); return used > 0 && used <= 4 })
+			c.waitUntil("the team is at work within the lowered quota", func() bool { used := c.checker.CPUsOfTeam("red"); return used > 0 && used <= 4 })
 			number = c.set("red", limit(24))
-			c.check.SetLimit("red", 24)
+			c.checker.SetLimit("red", 24)
 			c.inForce("red", number)
-			c.allDone([]*protocol.Submission{job, more})
+			c.awaitAllDone([]*protocol.Submission{job, more})
 		})
 	}
 }
@@ -270,10 +270,10 @@
 	}
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
-	client := kvstore.New(door.Addr(), c.sets[0].Deployment.KVStore, 4)
+	client := kvstore.New(door.Addr(), c.nodeSettings[0].Deployment.KVStore, 4)
 	go client.Run(ctx)
 	held := teamstore.New(client, nil)
-	c.until("it knows the store", func() bool { return held.BindEpoch(ctx, recordKey) == nil })
+	c.waitUntil("it knows the store", func() bool { return held.BindEpoch(ctx, recordKey) == nil })
 	first := true
 	door.DelayTransactions(func() time.Duration { // an answer that does not come, of a change that does
 		if !first {
@@ -294,7 +294,7 @@
 	end()
 	number := c.set("red", limit(16))
 	c.inForce("red", number)
-	c.until("the late one met the newer one", func() bool { _, met := door.CountDelayed(); return met > 0 })
+	c.waitUntil("the late one met the newer one", func() bool { _, met := door.CountDelayed(); return met > 0 })
 	for _, txn := range c.state.AppliedTransactions() {
 		for _, o := range txn.Then {
 			if len(o.Set) > len(teamstore.Prefix) && o.Set[:len(teamstore.Prefix)] == teamstore.Prefix && c.state.RepeatTransaction(txn) {
@@ -315,7 +315,7 @@
 // TestNothingFollowedByDefault: without the option no status tells of the configuration, no acceptance rests on it, and a
 // key of it changes nothing.
 func TestNothingFollowedByDefault(t *testing.T) {
-	n := newGrown(2, 1).n
+	n := newNodeHarness(2, 1).n
 	now := time.Now()
 	n.watchedKeysRead = true
 	n.applyChange(protocol.Change{Set: teamstore.Prefix + "team-0", Value: []byte(`{"number":1,"change":"x","cpus_max":1}`), Version: 9})
--- a/internal/controller/dataloss_cases_test.go
+++ b/internal/controller/dataloss_cases_test.go
@@ -35,14 +35,14 @@
 
 // loseDuringACancellation: the store goes back while a user repeats a cancellation until it is answered.
 func (l *dataLoss) loseDuringACancellation() {
-	extra := array(391, 10, "red")
+	extra := arrayJob(391, 10, "red")
 	l.submit(extra)
 	told := make(chan struct{})
 	go func() { // its user repeats it until it gets an answer, as the loss comes
 		defer close(told)
-		l.check.RecordCancellation(extra.UID)
+		l.checker.RecordCancellation(extra.UID)
 		for end := time.Now().Add(30 * time.Second); time.Now().Before(end); time.Sleep(30 * time.Millisecond) {
-			s := l.sets[time.Now().UnixNano()%3]
+			s := l.nodeSettings[time.Now().UnixNano()%3]
 			resp, err := l.httpc.Post("http://"+s.Listen+protocol.PathSubmit+"/"+extra.UID+"/withdraw", "application/json", strings.NewReader("{}"))
 			if err != nil {
 				continue
@@ -50,7 +50,7 @@
 			var st protocol.Status
 			_ = json.NewDecoder(resp.Body).Decode(&st)
 			resp.Body.Close()
-			l.check.RecordAnswer(extra.UID, resp.StatusCode, st.State, false)
+			l.checker.RecordAnswer(extra.UID, resp.StatusCode, st.State, false)
 			if resp.StatusCode == http.StatusOK {
 				return
 			}
@@ -65,14 +65,14 @@
 // hold by accident. Whoever finds it there tells it; nobody may call the job active
 // after that, from a memory that it never reaches by the watch.
 func (l *dataLoss) endInTheStoreThatWentBack() {
-	extra := array(392, 10, "red")
+	extra := arrayJob(392, 10, "red")
 	l.submit(extra)
-	l.check.RecordCancellation(extra.UID)
+	l.checker.RecordCancellation(extra.UID)
 	l.state.RollBack(l.saved)
 	l.state.Put(userapi.EndedJobPrefix+extra.UID, string(protocol.Encode(userapi.JobEnd{State: protocol.Cancelled, Tasks: 10, Team: "red"})))
 	told := 0 // each controller is asked, one after the other, until all tell the end
-	l.until("all tell the end", func() bool {
-		for _, s := range l.sets {
+	l.waitUntil("all tell the end", func() bool {
+		for _, s := range l.nodeSettings {
 			resp, err := l.httpc.Get("http://" + s.Listen + protocol.PathSubmit + "/" + extra.UID)
 			if err != nil {
 				continue
@@ -80,7 +80,7 @@
 			var st protocol.Status
 			_ = json.NewDecoder(resp.Body).Decode(&st) // the status says the most of it
 			resp.Body.Close()
-			l.check.RecordAnswer(extra.UID, resp.StatusCode, st.State, false)
+			l.checker.RecordAnswer(extra.UID, resp.StatusCode, st.State, false)
 			if st.State == protocol.Cancelled {
 				told++
 			}
@@ -92,7 +92,7 @@
 // restartDuringRecovery: a controller restarts while memories are exchanged and written back.
 func (l *dataLoss) restartDuringRecovery() {
 	l.state.LoseAll()
-	l.until("an epoch begins", func() bool { all := l.overviews(); return len(all) > 0 && all[0].Store.Epoch > 1 })
+	l.waitUntil("an epoch begins", func() bool { all := l.overviews(); return len(all) > 0 && all[0].Store.Epoch > 1 })
 	l.crash(2) // while what it remembers is gathered and written back
 	l.start(2)
 }
--- a/internal/controller/dataloss_restart_test.go
+++ b/internal/controller/dataloss_restart_test.go
@@ -29,16 +29,16 @@
 			for i := range l.nodes {
 				l.start(i)
 			}
-			late := array(350, 6, "red")
+			late := arrayJob(350, 6, "red")
 			l.submit(late)
 			known := []*protocol.Submission{late}
 			if name == "back" {
 				known = append(known, l.jobs[:l.savedJobs]...)
 			}
-			l.allDone(known)
-			for _, j := range append(l.jobs, l.cancelled, array(999, 1, "red")) {
-				status, st := l.ask("GET", protocol.PathSubmit+"/"+j.UID, nil)
-				l.check.RecordAnswer(j.UID, status, st.State, false)
+			l.awaitAllDone(known)
+			for _, j := range append(l.jobs, l.cancelled, arrayJob(999, 1, "red")) {
+				status, st := l.request("GET", protocol.PathSubmit+"/"+j.UID, nil)
+				l.checker.RecordAnswer(j.UID, status, st.State, false)
 				if status != http.StatusOK && status != http.StatusServiceUnavailable {
 					t.Errorf("%s: status %d", j.UID, status)
 				}
@@ -48,7 +48,7 @@
 					t.Errorf("%s: %+v", o.Node, s)
 				}
 			}
-			if broken := l.check.BrokenRules(); len(broken) > 0 {
+			if broken := l.checker.BrokenRules(); len(broken) > 0 {
 				t.Fatal(broken)
 			}
 		})
@@ -68,10 +68,10 @@
 	for i := range l.nodes {
 		l.start(i)
 	}
-	told := func() int { status, _ := l.ask("GET", protocol.PathSubmit+"/"+l.jobs[0].UID, nil); return status }
-	l.until("controllers serve", func() bool { return len(l.overviews()) == 3 })
+	told := func() int { status, _ := l.request("GET", protocol.PathSubmit+"/"+l.jobs[0].UID, nil); return status }
+	l.waitUntil("controllers serve", func() bool { return len(l.overviews()) == 3 })
 	lost := false
-	l.until("given up", func() bool {
+	l.waitUntil("given up", func() bool {
 		all := l.overviews()
 		given := len(all) == 3
 		for _, o := range all {
@@ -90,12 +90,12 @@
 	if !lost {
 		t.Error("nothing was held to be lost for good before")
 	}
-	l.until("an unknown job is unknown", func() bool { return told() == http.StatusNotFound })
-	job := array(360, 6, "red")
+	l.waitUntil("an unknown job is unknown", func() bool { return told() == http.StatusNotFound })
+	job := arrayJob(360, 6, "red")
 	l.submit(job)
 	l.state.LoseAll()
-	l.until("recovered", func() bool { return l.recovered(true) && !l.overviews()[0].Store.DataLost })
-	l.allDone([]*protocol.Submission{job})
+	l.waitUntil("recovered", func() bool { return l.recovered(true) && !l.overviews()[0].Store.DataLost })
+	l.awaitAllDone([]*protocol.Submission{job})
 }
 
 // TestRestoreFromSnapshot: the store loses everything at the moment in which all
@@ -114,9 +114,9 @@
 	ctx, stop := context.WithCancel(t.Context())
 	ended := make(chan error, 1)
 	go func() { ended <- snapshot.NewFollower(set, a, slog.New(slog.DiscardHandler)).Run(ctx) }()
-	last := array(380, 10, "red")
+	last := arrayJob(380, 10, "red")
 	l.submit(last)
-	l.until("the snapshot has the last job", func() bool {
+	l.waitUntil("the snapshot has the last job", func() bool {
 		c, ok := a.Latest()
 		if !ok {
 			return false
@@ -137,7 +137,7 @@
 	for i := range l.nodes {
 		l.start(i)
 	}
-	l.until("the controllers know what they lost", func() bool {
+	l.waitUntil("the controllers know what they lost", func() bool {
 		all := l.overviews()
 		for _, o := range all {
 			if s := o.Store; s.Epoch < 2 || !s.DataLost || s.Phase != "known" {
--- a/internal/controller/dataloss_test.go
+++ b/internal/controller/dataloss_test.go
@@ -19,7 +19,7 @@
 // dataLoss is a region in which jobs run, one is cancelled and some are done, when its
 // state service loses data.
 type dataLoss struct {
-	*region
+	*testCluster
 	jobs      []*protocol.Submission
 	savedJobs int // jobs that were accepted before the state was saved
 	cancelled *protocol.Submission
@@ -28,10 +28,10 @@
 }
 
 func newDataLoss(t *testing.T) *dataLoss {
-	l := &dataLoss{region: newRegion(t, 2*time.Second)}
-	l.cancelled = array(390, 10, "blue")
+	l := &dataLoss{testCluster: newTestCluster(t, 2*time.Second)}
+	l.cancelled = arrayJob(390, 10, "blue")
 	for i := range 8 {
-		j := array(300+i, 10, []string{"red", "blue"}[i%2])
+		j := arrayJob(300+i, 10, []string{"red", "blue"}[i%2])
 		l.jobs = append(l.jobs, j)
 		l.submit(j)
 		if i == 3 {
@@ -40,30 +40,30 @@
 	}
 	l.submit(l.cancelled)
 	l.withdraw(l.cancelled.UID)
-	l.until("a job is done", func() bool {
+	l.waitUntil("a job is done", func() bool {
 		for _, j := range l.jobs {
-			if l.poll(j.UID) == protocol.Done {
+			if l.queryState(j.UID) == protocol.Done {
 				return true
 			}
 		}
 		return false
 	})
-	l.until("tasks run", func() bool { return l.check.CountOnMachines() > 4 })
+	l.waitUntil("tasks run", func() bool { return l.checker.CountOnMachines() > 4 })
 	return l
 }
 
-func (r *region) withdraw(uid string) {
-	r.check.RecordCancellation(uid)
-	r.until(uid+" cancelled", func() bool {
-		status, st := r.ask("POST", protocol.PathSubmit+"/"+uid+"/withdraw", struct{}{})
-		r.check.RecordAnswer(uid, status, st.State, false)
+func (r *testCluster) withdraw(uid string) {
+	r.checker.RecordCancellation(uid)
+	r.waitUntil(uid+" cancelled", func() bool {
+		status, st := r.request("POST", protocol.PathSubmit+"/"+uid+"/withdraw", struct{}{})
+		r.checker.RecordAnswer(uid, status, st.State, false)
 		return status == 200
 	})
 }
 
 // overviews asks each controller that runs.
-func (r *region) overviews() (all []overview) {
-	for i, s := range r.sets {
+func (r *testCluster) overviews() (all []overview) {
+	for i, s := range r.nodeSettings {
 		if r.nodes[i] == nil {
 			continue
 		}
@@ -82,7 +82,7 @@
 
 // recovered says whether all controllers are in the same epoch after the first, with
 // nothing left to do; or, if not so, in the first.
-func (r *region) recovered(after bool) bool {
+func (r *testCluster) recovered(after bool) bool {
 	all := r.overviews()
 	for _, o := range all {
 		s := o.Store
@@ -96,13 +96,13 @@
 // checkRecovered sees that what was accepted comes to its end and new work runs.
 func (l *dataLoss) checkRecovered() {
 	l.t.Helper()
-	late := array(350, 6, "red")
+	late := arrayJob(350, 6, "red")
 	l.submit(late)
-	l.allDone(append(l.jobs, late))
-	l.until("still cancelled", func() bool { return l.poll(l.cancelled.UID) == protocol.Cancelled })
-	l.until("all is written back", func() bool { return l.recovered(l.newEpoch) && (!l.newEpoch || !l.overviews()[0].Store.DataLost) })
-	l.until("an unknown job is unknown", func() bool {
-		status, _ := l.ask("GET", protocol.PathSubmit+"/job-999999", nil)
+	l.awaitAllDone(append(l.jobs, late))
+	l.waitUntil("still cancelled", func() bool { return l.queryState(l.cancelled.UID) == protocol.Cancelled })
+	l.waitUntil("all is written back", func() bool { return l.recovered(l.newEpoch) && (!l.newEpoch || !l.overviews()[0].Store.DataLost) })
+	l.waitUntil("an unknown job is unknown", func() bool {
+		status, _ := l.request("GET", protocol.PathSubmit+"/job-999999", nil)
 		return status == http.StatusNotFound
 	})
 }
@@ -145,7 +145,7 @@
 // TestNothingIsAcceptedBeforeTheFirstRecord: a store that lost everything before the first control
 // record was made looks like a new one, and jobs accepted by then were forgotten.
 func TestNothingIsAcceptedBeforeTheFirstRecord(t *testing.T) {
-	n := newGrown(2, 1).n
+	n := newNodeHarness(2, 1).n
 	n.watchedKeysRead = true
 	if !(userBackend{n}).StoreTrusted() {
 		t.Fatal("a controller with a record takes nothing")
@@ -161,7 +161,7 @@
 // again or was changed. That the record does not follow the one known is the sign.
 func TestRecordOutOfChainIsSuspected(t *testing.T) {
 	for after, want := range map[uint64]datarecovery.Phase{12: datarecovery.Suspected, 17: datarecovery.Trusted, 18: datarecovery.Trusted} {
-		n := newGrown(2, 1).n
+		n := newNodeHarness(2, 1).n
 		record := n.leadership.Record().Clone()
 		record.Epoch = 1
 		n.leadership.Adopt(record, 17, time.Now())
@@ -179,16 +179,16 @@
 // TestMemoryReadBeforeTheFirstRecordIsComplete: a process that had read the store before there was a first record took
 // its memory for good to have holes. A loss of data then left all that was unknown without an answer.
 func TestMemoryReadBeforeTheFirstRecordIsComplete(t *testing.T) {
-	l := &dataLoss{region: newRegion(t, 300*time.Millisecond), newEpoch: true, cancelled: array(390, 10, "blue")}
+	l := &dataLoss{testCluster: newTestCluster(t, 300*time.Millisecond), newEpoch: true, cancelled: arrayJob(390, 10, "blue")}
 	for i := range l.nodes {
 		l.crash(i)
 	}
 	l.state.LoseAll() // nobody is there who would miss it: a new store
 	l.start(0)        // waits for the others before it makes the first record, and has read all by then
-	l.until("there is a record", func() bool { all := l.overviews(); return len(all) > 0 && all[0].Term > 0 })
+	l.waitUntil("there is a record", func() bool { all := l.overviews(); return len(all) > 0 && all[0].Term > 0 })
 	l.start(1)
 	l.start(2)
-	l.until("all remember all", func() bool {
+	l.waitUntil("all remember all", func() bool {
 		all := l.overviews()
 		return len(all) == 3 && !slices.ContainsFunc(all, func(o overview) bool { return !o.Store.MemoryComplete })
 	})
@@ -211,8 +211,8 @@
 		t.Fatal("the epoch has no key of its own")
 	}
 	l.state.RollBack(l.saved)
-	l.until("an epoch begins", func() bool { return l.recovered(true) })
-	ghost := array(398, 1, "red")
+	l.waitUntil("an epoch begins", func() bool { return l.recovered(true) })
+	ghost := arrayJob(398, 1, "red")
 	late := protocol.Txn{Conditions: []protocol.Condition{{Key: marker.Key, Version: marker.Version}, {Key: snapshot.JobKey + ghost.UID}},
 		Then: []protocol.Op{{Set: snapshot.JobKey + ghost.UID, Value: protocol.Encode(userapi.ActiveJob{Spec: ghost})}}}
 	resp, err := l.httpc.Post("http://"+l.state.Addr()+"/txn", "application/json", bytes.NewReader(protocol.Encode(late)))
@@ -227,7 +227,7 @@
 }
 
 // keys lists keys of the stand-in by its protocol.
-func (r *region) keys(prefix string) []protocol.Entry {
+func (r *testCluster) keys(prefix string) []protocol.Entry {
 	resp, err := r.httpc.Get("http://" + r.state.Addr() + "/store?limit=1000&under=" + prefix)
 	if err != nil {
 		r.t.Fatal(err)
--- a/internal/controller/demand_test.go
+++ b/internal/controller/demand_test.go
@@ -20,7 +20,7 @@
 		"service that does":        {protocol.Service, true, true},
 		"array anywhere":           {protocol.JobArray, false, false},
 	} {
-		g := newGrown(2, 1) // of 32 CPUs, in a zone each
+		g := newNodeHarness(2, 1) // of 32 CPUs, in a zone each
 		n := g.n
 		spec := &protocol.Submission{UID: "job-000001", Team: "team-0", Kind: c.kind, Priority: "high", Tasks: 20, CPUs: 4, MemoryGB: 1, Image: "img", EstimateSeconds: 10,
 			Spot: true, OneZone: c.oneZone}
--- a/internal/controller/grown_test.go
+++ b/internal/controller/grown_test.go
@@ -23,21 +23,21 @@
 	"topazhollow/internal/userapi"
 )
 
-// grown is one controller's own account of a deployment of many machines, with
+// nodeHarness is one controller's own account of a deployment of many machines, with
 // plain workers in place of its network: it owns every team and hears every
 // machine as from a peer.
-type grown struct {
+type nodeHarness struct {
 	n       *Node
 	rng     *rand.Rand
 	now     time.Time
-	names   []string
+	machineNames   []string
 	views   map[string]*jobstate.MachineStatus
 	ends    map[jobstate.AttemptRef]time.Time
 	jobs    int
 	started int
 }
 
-func newGrown(machines, teams int) *grown {
+func newNodeHarness(machines, teams int) *nodeHarness {
 	s := &settings.Settings{Name: "node-a", Deployment: settings.Deployment{Size: 3, Zones: []string{"east", "west"},
 		Agents: settings.Agents{HeartbeatSeconds: 4, LeaseSeconds: 26, CancelSeconds: 56}, KVStore: settings.KVStore{RequestsPerSecond: 150, ChangesPerSecond: 30, ValueKB: 8, ChangesPerTransaction: 24},
 		Cloud: settings.Cloud{RequestsPerSecond: 6, ListLagSeconds: 3}, Limits: settings.Limits{MemoryMB: 200, MaxSockets: 2500}}}
@@ -49,7 +49,7 @@
 		t := settings.Team{Name: fmt.Sprintf("team-%d", i), CPUs: 3500, CPUsMax: 10000}
 		s.Deployment.Teams = append(s.Deployment.Teams, t)
 	}
-	g := &grown{n: New(s, settings.DefaultOptions(), slog.New(slog.DiscardHandler)), rng: rand.New(rand.NewPCG(3, 4)), now: time.Now(),
+	g := &nodeHarness{n: New(s, settings.DefaultOptions(), slog.New(slog.DiscardHandler)), rng: rand.New(rand.NewPCG(3, 4)), now: time.Now(),
 		views: map[string]*jobstate.MachineStatus{}, ends: map[jobstate.AttemptRef]time.Time{}}
 	n := g.n
 	n.scheduler.SetMachineTypes([]protocol.MachineType{{Name: "m32", CPUs: 32, MemoryGB: 256, PricePerHour: 2, SpotPricePerHour: 0.5, BootSeconds: 35, FetchGBPerSecond: 0.25, Zones: s.Deployment.Zones}})
@@ -69,12 +69,12 @@
 	n.cancelWatermark = cancelwatermark.New([]string{"node-b", "node-c"}, settings.Seconds(s.Deployment.Agents.CancelSeconds), settings.Seconds(s.Deployment.Agents.LeaseSeconds))
 	n.cancelWatermark.RecordRead(g.now)
 	for i := range machines {
-		g.names = append(g.names, fmt.Sprintf("n-%06d", i))
+		g.machineNames = append(g.machineNames, fmt.Sprintf("n-%06d", i))
 	}
 	for i := 0; i < machines; i += 200 {
-		n.roster.ApplyList(fmt.Sprint(i), 1, agents.RosterValue{Names: g.names[i:min(i+200, machines)]})
+		n.roster.ApplyList(fmt.Sprint(i), 1, agents.RosterValue{Names: g.machineNames[i:min(i+200, machines)]})
 	}
-	for i, name := range g.names {
+	for i, name := range g.machineNames {
 		g.views[name] = &jobstate.MachineStatus{Machine: name, Type: "m32", Zone: s.Deployment.Zones[i%2], Spot: i%4 > 0, Incarnation: 1, Seq: 1, FencingToken: 1, Term: 1}
 		n.applyStatus(g.views[name], g.now)
 	}
@@ -82,7 +82,7 @@
 }
 
 // submit has a user hand in a job of so many tasks.
-func (g *grown) submit(tasks int, cpus float64) {
+func (g *nodeHarness) submit(tasks int, cpus float64) {
 	g.n.mu.Lock()
 	defer g.n.mu.Unlock()
 	g.jobs++
@@ -91,8 +91,8 @@
 	g.n.learnJob(userapi.ActiveJob{Spec: spec, SubmittedAtMillis: g.now.UnixMilli()}, 1)
 }
 
-// tell has a machine report what changed on it.
-func (g *grown) tell(name string, change func(v *jobstate.MachineStatus)) {
+// reportStatus has a machine report what changed on it.
+func (g *nodeHarness) reportStatus(name string, change func(v *jobstate.MachineStatus)) {
 	old := g.views[name]
 	v := *old
 	v.Seq++
@@ -102,16 +102,16 @@
 	g.n.applyStatus(&v, g.now)
 }
 
-// second plays one second: tasks placed are listed as running, those that ran
+// advanceSecond plays one advanceSecond: tasks placed are listed as running, those that ran
 // out exit and are forgotten.
-func (g *grown) second(steps int) {
+func (g *nodeHarness) advanceSecond(steps int) {
 	g.n.mu.Lock()
 	defer g.n.mu.Unlock()
 	for range steps {
 		g.now = g.now.Add(time.Second / time.Duration(steps))
 		g.n.leadership.LeaseRenewed(g.now)
 		g.n.step(g.now)
-		for _, name := range g.names {
+		for _, name := range g.machineNames {
 			g.n.machines[name].HeardAt = g.now
 			var fresh []jobstate.TaskStatus
 			for shard := range g.n.shards.All() {
@@ -130,7 +130,7 @@
 			if len(fresh) == 0 && !over {
 				continue
 			}
-			g.tell(name, func(v *jobstate.MachineStatus) {
+			g.reportStatus(name, func(v *jobstate.MachineStatus) {
 				var kept []jobstate.TaskStatus
 				for _, t := range v.Tasks {
 					if t.State == protocol.Exited {
@@ -159,18 +159,18 @@
 // also after jobs end, machines go and items change hands. Room counted twice
 // would be lost for good, room forgotten would earn refusals.
 func TestFreeRoomModel(t *testing.T) {
-	g := newGrown(60, 3)
+	g := newNodeHarness(60, 3)
 	n := g.n
 	for i := range 150 {
 		if i%2 == 0 && i < 100 {
 			g.submit(1+g.rng.IntN(40), float64(1+g.rng.IntN(16)))
 		}
-		g.second(2)
+		g.advanceSecond(2)
 		n.mu.Lock()
 		switch i {
 		case 40, 80:
-			n.machineGone(g.names[len(g.names)-1])
-			g.names = g.names[:len(g.names)-1]
+			n.machineGone(g.machineNames[len(g.machineNames)-1])
+			g.machineNames = g.machineNames[:len(g.machineNames)-1]
 		case 60: // another controller takes a team over
 			next := n.leadership.Record().Clone()
 			next.Term++
@@ -185,7 +185,7 @@
 		}
 		view := (*schedulerSnapshot)(n)
 		n.scheduler.InvalidateMachines(view.TakeChangedMachines())
-		for _, name := range g.names {
+		for _, name := range g.machineNames {
 			kept, known := n.scheduler.Room(name, view)
 			if !known {
 				t.Fatalf("%s has no type", name)
@@ -215,16 +215,16 @@
 		jobs int // waiting at first, which more or less fill the machines
 	}{{"room", 10}, {"full", 120}} {
 		b.Run(load.name, func(b *testing.B) {
-			g := newGrown(1000, 6)
+			g := newNodeHarness(1000, 6)
 			for range load.jobs {
 				g.submit(100, 8)
 			}
 			for range 3 {
-				g.second(10)
+				g.advanceSecond(10)
 			}
 			for b.Loop() {
 				g.submit(60, 8)
-				g.second(20)
+				g.advanceSecond(20)
 			}
 			b.ReportMetric(float64(g.started)/float64(b.N), "starts/op")
 		})
@@ -235,11 +235,11 @@
 func BenchmarkFleet(b *testing.B) {
 	for _, waiting := range []int{300, 3000, 30000, 100000} {
 		b.Run(fmt.Sprint(waiting), func(b *testing.B) {
-			g := newGrown(1000, 6)
+			g := newNodeHarness(1000, 6)
 			for range (waiting + 4000) / 100 {
 				g.submit(100, 8)
 			}
-			g.second(10)
+			g.advanceSecond(10)
 			account := provisioning.New(provisioning.Options{}, g.now)
 			f := autoscaler.New("b", autoscaler.Options{IdleTimeout: 10 * time.Second, SpotShare: 1, SilenceTimeout: 30 * time.Second, SafetyRunTimes: 2})
 			for b.Loop() {
@@ -261,11 +261,11 @@
 func BenchmarkPlace(b *testing.B) {
 	for _, waiting := range []int{300, 3000, 30000, 100000} {
 		b.Run(fmt.Sprint(waiting), func(b *testing.B) {
-			g := newGrown(1000, 6)
+			g := newNodeHarness(1000, 6)
 			for range (waiting + 4000) / 100 {
 				g.submit(100, 8)
 			}
-			g.second(10)
+			g.advanceSecond(10)
 			g.n.mu.Lock()
 			defer g.n.mu.Unlock()
 			for b.Loop() {
--- a/internal/controller/jobend.go
+++ b/internal/controller/jobend.go
@@ -46,7 +46,7 @@
 	}
 	if err == nil {
 		n.replicateFact(ctx, replicateFactMsg{Ends: []jobEnd{{uid, end}}})
-		n.front.RecordEnd(uid, end)
+		n.userAPI.RecordEnd(uid, end)
 	} else {
 		n.log.Debug("end of job not written yet", "job", uid, "err", err)
 		sleep(ctx, jobEndRetryDelay)
--- a/internal/controller/jobs.go
+++ b/internal/controller/jobs.go
@@ -68,7 +68,7 @@
 
 // hasEnded says whether a job is remembered to have ended.
 func (n *Node) hasEnded(uid string) bool {
-	_, ended := n.front.KnownEnd(uid)
+	_, ended := n.userAPI.KnownEnd(uid)
 	return ended
 }
 
@@ -77,7 +77,7 @@
 func (n *Node) endJob(uid string) {
 	j := n.jobs[uid]
 	if j == nil {
-		end, _ := n.front.KnownEnd(uid)
+		end, _ := n.userAPI.KnownEnd(uid)
 		n.jobs[uid] = &job{spec: endedSpec(uid, end), endedAt: time.Now()}
 		return
 	}
--- a/internal/controller/keepalive_test.go
+++ b/internal/controller/keepalive_test.go
@@ -15,7 +15,7 @@
 // beside it: all that they ran was lost with any cut longer than their lease. They must be kept alive, but no longer than
 // a cancellation that this controller cannot learn of allows, and none that runs what had ended before.
 func TestAgentsOfACutZoneAreKeptAlive(t *testing.T) {
-	g := newGrown(8, 1)
+	g := newNodeHarness(8, 1)
 	n := g.n
 	newLeadership(n, g.now, "node-b") // the lease expired, and nobody promises anything
 	n.peers["node-b"] = &peerState{lastMessageAt: g.now.Add(-time.Minute)}
@@ -33,7 +33,7 @@
 		}
 		return n.encodeAnswer(n.answerUnentitled(&r, at)).Status
 	}
-	name, later := g.names[0], g.now.Add(10*time.Second)
+	name, later := g.machineNames[0], g.now.Add(10*time.Second)
 	if n.entitled(later) {
 		t.Fatal("entitled without lease and promises")
 	}
@@ -66,7 +66,7 @@
 	record := n.leadership.Record().Clone()
 	record.Unreachable = nil
 	learnRecord(n, record)
-	for _, name := range g.names {
+	for _, name := range g.machineNames {
 		if n.leadership.Record().Home(name) != n.name {
 			if got := answer(later, name, 1, protocol.Exited, "job-000001/0"); got != 503 {
 				t.Errorf("a machine is kept alive though nothing is known of its home's last word: %d", got)
@@ -87,11 +87,11 @@
 // took two thirds of a fleet for silent and returned them; starts for them were held for as long as the refusal lasted. A
 // machine whose home is alive but not reached is neither silent nor a place.
 func TestRefusedLinks(t *testing.T) {
-	g := newGrown(40, 1)
+	g := newNodeHarness(40, 1)
 	n := g.n
 	n.leadership.Record().Unreachable = nil
 	homed := map[string]bool{}
-	for _, name := range g.names {
+	for _, name := range g.machineNames {
 		homed[name] = n.leadership.Record().Home(name) == n.name
 	}
 	for _, p := range []string{"node-b", "node-c"} {
@@ -131,10 +131,10 @@
 	spec := n.jobs["job-000001"].spec
 	place := func() []jobstate.Order {
 		tj := shard.Team().Job(spec.UID)
-		if !shard.Team().Place(tj, 0, jobstate.Location{Machine: g.names[0], Incarnation: 1}) {
+		if !shard.Team().Place(tj, 0, jobstate.Location{Machine: g.machineNames[0], Incarnation: 1}) {
 			t.Fatal("no place")
 		}
-		return shard.Team().TakeDueOrders(shard.Team().Replica().Seq, now, func(string, uint64) bool { return true })[g.names[0]]
+		return shard.Team().TakeDueOrders(shard.Team().Replica().Seq, now, func(string, uint64) bool { return true })[g.machineNames[0]]
 	}
 	shard.Team().RetractUnsent(place())
 	if held, _ := shard.Team().Assignments().Count(); held != 0 {
@@ -142,7 +142,7 @@
 	}
 	place()
 	now = now.Add(5 * time.Second)
-	shard.Team().RetractUnsent(shard.Team().TakeDueOrders(shard.Team().Replica().Seq, now, func(string, uint64) bool { return true })[g.names[0]])
+	shard.Team().RetractUnsent(shard.Team().TakeDueOrders(shard.Team().Replica().Seq, now, func(string, uint64) bool { return true })[g.machineNames[0]])
 	if held, _ := shard.Team().Assignments().Count(); held != 1 {
 		t.Error("a start that may be on its way is no longer held")
 	}
--- a/internal/controller/leaserenewal_test.go
+++ b/internal/controller/leaserenewal_test.go
@@ -11,14 +11,14 @@
 
 // ordering is a home that gets orders for one machine and its heartbeats.
 type ordering struct {
-	*grown
+	*nodeHarness
 	name string
 	seq  uint64
 }
 
 func newOrdering() *ordering {
-	g := newGrown(1, 1)
-	o := &ordering{grown: g, name: g.names[0], seq: 10}
+	g := newNodeHarness(1, 1)
+	o := &ordering{nodeHarness: g, name: g.machineNames[0], seq: 10}
 	g.n.agents.SetTerm(1, func(string) bool { return true })
 	g.submit(2, 1) // job-000001
 	return o
@@ -112,7 +112,7 @@
 // TestHomeWatermark: what a home says of its agents counts from this process's status that it names, less the age of what
 // it knew when it sent what may still arrive.
 func TestHomeWatermark(t *testing.T) {
-	g := newGrown(1, 1)
+	g := newNodeHarness(1, 1)
 	n := g.n
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -120,7 +120,7 @@
 	record := n.leadership.Record().Clone()
 	record.Unreachable = []string{n.name, "node-c"} // the home is node-b
 	learnRecord(n, record)
-	name := g.names[0]
+	name := g.machineNames[0]
 	said := func(from string, inFlight map[string]int64) time.Duration {
 		s := statusMsg{HeartbeatAges: map[string]int64{name: 2000}, InFlightAges: inFlight, Received: map[string]receivedStatus{n.name: {Incarnation: n.incarnation, SentAt: 50000}}}
 		n.onHomeWatermarks(from, &s, g.now)
--- a/internal/controller/meeting_answer_test.go
+++ b/internal/controller/meeting_answer_test.go
@@ -83,7 +83,7 @@
 			for i := range 6 {
 				submit(i)
 			}
-			s.until("machines work", func() bool { return s.check.Starts() > 0 })
+			s.waitUntil("machines work", func() bool { return s.checker.Starts() > 0 })
 			leader := s.leader(shards.ForTeam("red"))
 			s.crash(leader)
 			s.start(leader)
@@ -94,7 +94,7 @@
 				}
 				s.settle()
 			}
-			s.until("an answer of the kind was lost", func() bool { return s.lost(kind) > 0 })
+			s.waitUntil("an answer of the kind was lost", func() bool { return s.lost(kind) > 0 })
 			s.members(3)
 			for _, o := range s.overviews() {
 				if o.Store.Epoch != 1 {
@@ -127,7 +127,7 @@
 			s.members(3)
 			s.enter(endless(1, 4, "red"))
 			s.enter(endless(2, 4, "blue"))
-			s.until("machines work", func() bool { return s.check.CountOnMachines() == 8 })
+			s.waitUntil("machines work", func() bool { return s.checker.CountOnMachines() == 8 })
 			machines := s.cloud.Agents()
 			for i, w := range machines {
 				rng := draws(uint64(i))
@@ -136,18 +136,18 @@
 				})
 			}
 			for i := range 4 {
-				s.beside(func() { s.enter(array(10+i, 2, []string{"red", "blue"}[i%2])) })
+				s.beside(func() { s.enter(arrayJob(10+i, 2, []string{"red", "blue"}[i%2])) })
 			}
 			s.cancel(endless(1, 4, "red").UID)
-			s.until("commands are on their way", func() bool { held, _ := lateCommands(machines); return held > 0 })
+			s.waitUntil("commands are on their way", func() bool { held, _ := lateCommands(machines); return held > 0 })
 			leader, before := s.leader(shards.ForTeam("red")), s.term()
 			undo := depose(s, leader)
 			for _, w := range machines {
 				w.DelayCommands(nil) // the next leader's are not held up
 			}
-			s.until("another term", func() bool { return s.term() > before })
+			s.waitUntil("another term", func() bool { return s.term() > before })
 			_, atTerm := lateCommands(machines)
-			s.until("commands arrived after it", func() bool { _, late := lateCommands(machines); return late > atTerm })
+			s.waitUntil("commands arrived after it", func() bool { _, late := lateCommands(machines); return late > atTerm })
 			undo()
 			s.settle()
 		})
--- a/internal/controller/meeting_cut_test.go
+++ b/internal/controller/meeting_cut_test.go
@@ -25,7 +25,7 @@
 	s.pipes.Isolate(inside, true)
 	began := time.Now()
 	s.cancel(gone)
-	s.until("the cut outlasts a lease", func() bool { return time.Since(began) > 5*time.Second })
+	s.waitUntil("the cut outlasts a lease", func() bool { return time.Since(began) > 5*time.Second })
 	if living := s.runningOn(cut); len(living) == 0 || slices.Contains(living, gone) && len(living) == 1 {
 		t.Errorf("nothing that was not cancelled lives on in the cut zone, but %v", living)
 	}
@@ -55,9 +55,9 @@
 			gone := s.runningOn(machines)[0]
 			s.beside(func() { s.cancel(gone) })
 			for i := range 2 {
-				s.beside(func() { s.enter(array(40+i, 3, []string{"red", "blue"}[i])) })
+				s.beside(func() { s.enter(arrayJob(40+i, 3, []string{"red", "blue"}[i])) })
 			}
-			s.until("commands wait at machines", func() bool { held, _ := lateCommands(machines); return held > 0 })
+			s.waitUntil("commands wait at machines", func() bool { held, _ := lateCommands(machines); return held > 0 })
 			if ends {
 				leader := s.leader(shards.ForTeam("red"))
 				s.crash(leader)
@@ -99,7 +99,7 @@
 		}
 	}
 	s.mu.Unlock()
-	s.until("the outage outlasts a cancellation", func() bool { return time.Since(began) > s.check.Cancel+2*time.Second })
+	s.waitUntil("the outage outlasts a cancellation", func() bool { return time.Since(began) > s.checker.Cancel+2*time.Second })
 	s.state.SetOutage(false)
 	s.doors[leader].RefuseAll(false)
 	if confirmed == 0 {
--- a/internal/controller/meeting_leader_test.go
+++ b/internal/controller/meeting_leader_test.go
@@ -34,7 +34,7 @@
 			s.crash(leader)
 			time.Sleep(pause)
 			s.start(leader)
-			s.until("it leads again", func() bool { return s.leads(s.names[leader], shards.ForTeam("red")) })
+			s.waitUntil("it leads again", func() bool { return s.leads(s.names[leader], shards.ForTeam("red")) })
 			confirmed := between.Load() - begun
 			s.settle()
 			if confirmed == 0 {
@@ -89,7 +89,7 @@
 	for i := range s.nodes {
 		s.crash(i)
 	}
-	s.until("all leases are over", func() bool { return s.check.CountOnMachines() == 0 })
+	s.waitUntil("all leases are over", func() bool { return s.checker.CountOnMachines() == 0 })
 	for i := range s.nodes {
 		s.start(i)
 		if i == 0 {
@@ -113,7 +113,7 @@
 	s.crash(leader)
 	s.start(leader)
 	s.beside(func() { s.cancel(jobs[0].UID) })
-	s.until("it leads again", func() bool { return s.leads(s.names[leader], shards.ForTeam("blue")) })
+	s.waitUntil("it leads again", func() bool { return s.leads(s.names[leader], shards.ForTeam("blue")) })
 	for i := range s.nodes {
 		s.crash(i)
 	}
@@ -121,7 +121,7 @@
 	for _, job := range jobs[1:4] {
 		s.beside(func() { s.cancel(job.UID) })
 	}
-	s.until("it leads alone", func() bool { return s.leads(s.names[leader], shards.ForTeam("red")) })
+	s.waitUntil("it leads alone", func() bool { return s.leads(s.names[leader], shards.ForTeam("red")) })
 	if got := len(s.overviews()); got != 1 {
 		t.Errorf("%d controllers answer", got)
 	}
@@ -145,7 +145,7 @@
 	s.members(3)
 	rng := draws(12)
 	for i := range jobs {
-		job, cancels := array(i, 1, []string{"red", "blue"}[i%2]), i%4 == 0
+		job, cancels := arrayJob(i, 1, []string{"red", "blue"}[i%2]), i%4 == 0
 		after := time.Duration(rng.IntN(900)) * time.Millisecond
 		s.beside(func() {
 			s.enter(job)
@@ -198,9 +198,9 @@
 				jobs = append(jobs, job)
 				s.enter(job)
 			}
-			s.until("all run", func() bool { return s.check.CountOnMachines() == 12 })
+			s.waitUntil("all run", func() bool { return s.checker.CountOnMachines() == 12 })
 			for round := range 3 {
-				started := s.check.Starts()
+				started := s.checker.Starts()
 				machines := s.machinesOf(jobs[round%2].UID)
 				if len(machines) == 0 {
 					t.Fatal("a job runs nowhere")
@@ -216,7 +216,7 @@
 					s.crash(leader)
 					s.start(leader)
 				}
-				s.until("all run again", func() bool { return s.check.Starts() > started && s.check.CountOnMachines() == 12 })
+				s.waitUntil("all run again", func() bool { return s.checker.Starts() > started && s.checker.CountOnMachines() == 12 })
 			}
 			s.settle()
 		})
@@ -249,7 +249,7 @@
 			}
 		})
 	}
-	s.until("more than there is room for", func() bool { return s.check.CountOnMachines() >= 16 })
+	s.waitUntil("more than there is room for", func() bool { return s.checker.CountOnMachines() >= 16 })
 	leader := s.leader(shards.ForTeam("red"))
 	s.crash(leader)
 	s.start(leader)
--- a/internal/controller/meeting_look_test.go
+++ b/internal/controller/meeting_look_test.go
@@ -70,12 +70,12 @@
 			}
 		},
 		"controllers do not hear each other": func(s *scene) {
-			for i := range s.sets {
+			for i := range s.nodeSettings {
 				s.pipes.Isolate(i, true)
 			}
 			s.beside(func() {
 				time.Sleep(3 * time.Second)
-				for i := range s.sets {
+				for i := range s.nodeSettings {
 					s.pipes.Isolate(i, false)
 				}
 			})
@@ -99,7 +99,7 @@
 			s.members(3)
 			trouble(s)
 			for i := range 12 {
-				job, cancels := array(i, 1+i%3, []string{"red", "blue"}[i%2]), i%4 == 0
+				job, cancels := arrayJob(i, 1+i%3, []string{"red", "blue"}[i%2]), i%4 == 0
 				if cancels {
 					job = endless(i, 1, job.Team)
 				}
@@ -118,7 +118,7 @@
 				"done":      func(c history.Call) bool { return c.Status == 200 && c.State == protocol.Done },
 				"cancelled": func(c history.Call) bool { return c.Kind == history.Cancel && c.State == protocol.Cancelled },
 			} {
-				if n := looked(calls, happened); n < len(s.sets) {
+				if n := looked(calls, happened); n < len(s.nodeSettings) {
 					t.Errorf("after a job was %s only %d controllers told of it", event, n)
 				}
 			}
@@ -133,11 +133,11 @@
 	s := openScene(t, sceneRun)
 	s.members(3)
 	for i := range 16 {
-		job := array(i, 1+i%2, []string{"red", "blue"}[i%2])
+		job := arrayJob(i, 1+i%2, []string{"red", "blue"}[i%2])
 		s.beside(func() {
 			s.enter(job)
-			s.until(job.UID+" is on a machine", func() bool { return s.check.CountOfJob(job.UID) > 0 })
-			s.until(job.UID+" leaves its machine", func() bool { return s.check.CountOfJob(job.UID) == 0 })
+			s.waitUntil(job.UID+" is on a machine", func() bool { return s.checker.CountOfJob(job.UID) > 0 })
+			s.waitUntil(job.UID+" leaves its machine", func() bool { return s.checker.CountOfJob(job.UID) == 0 })
 			s.beside(func() { s.users.AskEveryController(job, looks) })
 			s.cancel(job.UID)
 		})
@@ -160,20 +160,20 @@
 	t.Parallel()
 	s := openScene(t, sceneRun)
 	s.members(3)
-	running, over := endless(1, 2, "red"), array(2, 1, "blue")
+	running, over := endless(1, 2, "red"), arrayJob(2, 1, "blue")
 	s.enter(running)
 	s.enter(over)
-	s.until("one is over", func() bool { _, state := s.users.Ask(0, over.UID); return state == protocol.Done })
+	s.waitUntil("one is over", func() bool { _, state := s.users.Ask(0, over.UID); return state == protocol.Done })
 	check := func() {
-		for node := range s.sets {
+		for node := range s.nodeSettings {
 			s.refuses(node)
-			s.until("an unfinished job's repetition is known", func() bool {
+			s.waitUntil("an unfinished job's repetition is known", func() bool {
 				repeated := *running
 				repeated.Team, repeated.CPUs = "nobody", 900
 				status, state := s.users.Submit(node, &repeated)
 				return status == 200 && state != protocol.Cancelled
 			})
-			s.until("a job that is done can't be cancelled", func() bool {
+			s.waitUntil("a job that is done can't be cancelled", func() bool {
 				status, state := s.users.Cancel(node, over.UID)
 				return status == 200 && state == protocol.Done
 			})
@@ -204,9 +204,9 @@
 		"unknown kind":          {func(j *protocol.Submission) { j.Kind = "other" }, 400},
 		"no tasks":              {func(j *protocol.Submission) { j.Tasks = 0 }, 400},
 	} {
-		job := array(900+node, 2, "red")
+		job := arrayJob(900+node, 2, "red")
 		c.spoil(job)
-		s.until(what+" is refused", func() bool {
+		s.waitUntil(what+" is refused", func() bool {
 			status, _ := s.users.Submit(node, job)
 			if status == 200 || status == 201 {
 				s.t.Fatalf("%s was accepted", what)
@@ -223,7 +223,7 @@
 // lacksFields sends submissions that each lack one field.
 func (s *scene) lacksFields(node int) {
 	var whole map[string]any
-	if err := protocol.Decode(protocol.Encode(array(910+node, 2, "red")), &whole); err != nil {
+	if err := protocol.Decode(protocol.Encode(arrayJob(910+node, 2, "red")), &whole); err != nil {
 		s.t.Fatal(err)
 	}
 	for field := range whole {
@@ -233,6 +233,6 @@
 				part[name] = value
 			}
 		}
-		s.until("without "+field+" it is refused", func() bool { return s.post(node, protocol.PathSubmit, protocol.Encode(part)) == 400 })
+		s.waitUntil("without "+field+" it is refused", func() bool { return s.post(node, protocol.PathSubmit, protocol.Encode(part)) == 400 })
 	}
 }
--- a/internal/controller/meeting_quota_test.go
+++ b/internal/controller/meeting_quota_test.go
@@ -37,7 +37,7 @@
 func (s *scene) atLimits() {
 	s.t.Helper()
 	for team, limit := range sceneLimits {
-		s.until(team+" is at its limit", func() bool { return s.usedBy(team) >= min(limit, s.wantedBy(team)) })
+		s.waitUntil(team+" is at its limit", func() bool { return s.usedBy(team) >= min(limit, s.wantedBy(team)) })
 	}
 }
 
@@ -47,7 +47,7 @@
 	defer s.mu.Unlock()
 	for _, job := range s.accepted {
 		if job.Team == team {
-			cpus += job.CPUs * float64(s.check.CountOfJob(job.UID))
+			cpus += job.CPUs * float64(s.checker.CountOfJob(job.UID))
 		}
 	}
 	return cpus
@@ -148,5 +148,5 @@
 		s.doors[leader].RefuseAll(true)
 		defer s.doors[leader].RefuseAll(false)
 	}
-	s.until("another term", func() bool { return s.term() > before })
+	s.waitUntil("another term", func() bool { return s.term() > before })
 }
--- a/internal/controller/meeting_report_test.go
+++ b/internal/controller/meeting_report_test.go
@@ -18,9 +18,9 @@
 		s.enter(endless(i, 2, []string{"red", "blue"}[i%2]))
 	}
 	for i := range 2 {
-		s.enter(array(i, 4, []string{"red", "blue"}[i%2]))
+		s.enter(arrayJob(i, 4, []string{"red", "blue"}[i%2]))
 	}
-	s.until("machines work", func() bool { return s.check.CountOnMachines() >= 8 })
+	s.waitUntil("machines work", func() bool { return s.checker.CountOnMachines() >= 8 })
 	return s
 }
 
@@ -28,7 +28,7 @@
 // former one owns an item, and gives how many arrived.
 func (s *scene) deliverAt(machines []*simulation.Agent, item string, former int) (arrived int) {
 	s.t.Helper()
-	s.until("a new owner of "+item, func() bool {
+	s.waitUntil("a new owner of "+item, func() bool {
 		owner := s.owner(item)
 		return owner >= 0 && owner != former
 	})
@@ -68,12 +68,12 @@
 				keep(w)
 			}
 			gone := endless(0, 2, "red")
-			s.until("reports are kept", func() bool { return machines[0].CountHeld() > 2 && machines[1].CountHeld() > 2 })
+			s.waitUntil("reports are kept", func() bool { return machines[0].CountHeld() > 2 && machines[1].CountHeld() > 2 })
 			s.cancel(gone.UID) // which the reports list as running
 			s.cloud.TakeMachine(machines[1].Name())
-			s.until("the machine is known to be gone", func() bool { return s.known() == len(s.cloud.Agents()) })
+			s.waitUntil("the machine is known to be gone", func() bool { return s.known() == len(s.cloud.Agents()) })
 			machines[0].BeginIncarnation()
-			s.enter(array(20, 4, "red"))
+			s.enter(arrayJob(20, 4, "red"))
 			leader := s.leader(shards.ForTeam("red"))
 			s.crash(leader)
 			if s.deliverAt(machines[2:], shards.ForTeam("red"), leader)+machines[0].DeliverHeld(s.names...) == 0 {
@@ -102,7 +102,7 @@
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			s := busyScene(t)
-			short := array(30, 6, "red")
+			short := arrayJob(30, 6, "red")
 			mute := s.cloud.Agents()[:2]
 			for _, w := range mute {
 				w.DropHeartbeats(true)
@@ -118,8 +118,8 @@
 				s.crash(leader)
 				s.start(leader)
 			}
-			s.until("the mute machines' leases are over", func() bool { return len(s.runningOn(mute)) == 0 })
-			s.until("what ran there runs again", func() bool { return s.check.CountOnMachines() >= 6 })
+			s.waitUntil("the mute machines' leases are over", func() bool { return len(s.runningOn(mute)) == 0 })
+			s.waitUntil("what ran there runs again", func() bool { return s.checker.CountOnMachines() >= 6 })
 			for _, w := range mute {
 				w.DropHeartbeats(false)
 			}
@@ -159,9 +159,9 @@
 			}
 			for i := range 4 {
 				s.beside(func() { s.enter(endless(i, 3, []string{"red", "blue"}[i%2])) })
-				s.beside(func() { s.enter(array(i, 3, []string{"red", "blue"}[i%2])) })
+				s.beside(func() { s.enter(arrayJob(i, 3, []string{"red", "blue"}[i%2])) })
 			}
-			s.until("new machines work", func() bool { return s.check.Starts() > 0 })
+			s.waitUntil("new machines work", func() bool { return s.checker.Starts() > 0 })
 			leader := s.owner(shards.ForTeam("red"))
 			for i := range s.nodes {
 				if all || i == leader {
@@ -176,7 +176,7 @@
 				applied, met := s.doors[i].CountDelayed()
 				lagged += applied + met
 			}
-			s.until("work goes on", func() bool { return s.check.CountOnMachines() >= 8 })
+			s.waitUntil("work goes on", func() bool { return s.checker.CountOnMachines() >= 8 })
 			for _, d := range s.doors {
 				d.DelayTransactions(nil)
 			}
--- a/internal/controller/meeting_start_test.go
+++ b/internal/controller/meeting_start_test.go
@@ -14,7 +14,7 @@
 // startUnderway waits until a start of a task of a team is held up on its way to a machine.
 func (s *scene) startUnderway(team string) (to *simulation.Agent, job string) {
 	s.t.Helper()
-	s.until("a start is on its way", func() bool {
+	s.waitUntil("a start is on its way", func() bool {
 		for _, w := range s.cloud.Agents() {
 			for _, task := range w.StartsInFlight() {
 				if uid, _, _ := protocol.SplitTask(task); s.teamOf(uid) == team {
@@ -29,7 +29,7 @@
 }
 
 func (s *scene) teamOf(uid string) string {
-	if spec := s.check.Spec(uid); spec != nil {
+	if spec := s.checker.Spec(uid); spec != nil {
 		return spec.Team
 	}
 	return ""
@@ -59,7 +59,7 @@
 			for _, w := range machines {
 				w.DelayCommands(slowStarts)
 			}
-			first := slices.IndexFunc(jobs, func(j *protocol.Submission) bool { return j.Team == "red" && s.check.CountOfJob(j.UID) > 0 })
+			first := slices.IndexFunc(jobs, func(j *protocol.Submission) bool { return j.Team == "red" && s.checker.CountOfJob(j.UID) > 0 })
 			s.cancel(jobs[first].UID) // its room goes to one that waits
 			deaf, job := s.startUnderway("red")
 			deaf.DropAnswers(true)
@@ -70,11 +70,11 @@
 			_, arrived := lateCommands([]*simulation.Agent{deaf})
 			leader, before := s.leader(shards.ForTeam("red")), s.term()
 			s.crash(leader)
-			s.until("another term", func() bool { return s.term() > before })
+			s.waitUntil("another term", func() bool { return s.term() > before })
 			if cancels {
 				s.beside(func() { s.cancel(job) })
 			}
-			s.until("the start arrived", func() bool {
+			s.waitUntil("the start arrived", func() bool {
 				_, now := lateCommands([]*simulation.Agent{deaf})
 				return now > arrived && len(deaf.StartsInFlight()) == 0
 			})
--- a/internal/controller/meeting_test.go
+++ b/internal/controller/meeting_test.go
@@ -23,27 +23,27 @@
 	"topazhollow/internal/userapi"
 )
 
-// met is a region with short times in which tasks run far longer than a cancellation may take.
-func met(t *testing.T) *region {
+// newLongTaskCluster is a region with short times in which tasks run far longer than a cancellation may take.
+func newLongTaskCluster(t *testing.T) *testCluster {
 	r := openRegion(t, time.Hour, settings.Agents{HeartbeatSeconds: 0.2, LeaseSeconds: 4, GangWaitSeconds: 10, GangPeerSeconds: 4, CancelSeconds: 10})
-	r.check.Cancel = 10 * time.Second
+	r.checker.Cancel = 10 * time.Second
 	return r
 }
 
 // askAt sends a request to one controller.
-func (r *region) askAt(i int, method, path string, body any) (int, protocol.Status) {
-	all := r.sets
-	r.sets = all[i : i+1]
-	defer func() { r.sets = all }()
-	return r.ask(method, path, body)
+func (r *testCluster) askAt(i int, method, path string, body any) (int, protocol.Status) {
+	all := r.nodeSettings
+	r.nodeSettings = all[i : i+1]
+	defer func() { r.nodeSettings = all }()
+	return r.request(method, path, body)
 }
 
 // withdrawAt has one controller confirm a withdrawal, and gives the time at which it did.
-func (r *region) withdrawAt(i int, uid string) time.Time {
-	r.check.RecordCancellation(uid)
-	r.until("withdrawn", func() bool {
+func (r *testCluster) withdrawAt(i int, uid string) time.Time {
+	r.checker.RecordCancellation(uid)
+	r.waitUntil("withdrawn", func() bool {
 		status, st := r.askAt(i, "POST", protocol.PathSubmit+"/"+uid+"/withdraw", struct{}{})
-		r.check.RecordAnswer(uid, status, st.State, false)
+		r.checker.RecordAnswer(uid, status, st.State, false)
 		return status == 200 && st.State == protocol.Cancelled
 	})
 	return time.Now()
@@ -51,12 +51,12 @@
 
 // runs waits until a machine runs a task of each job whose teams another controller owns than the machine's home, and
 // gives its worker and which controller is its home.
-func (r *region) runs(jobs ...*protocol.Submission) (w *simulation.Agent, home int) {
+func (r *testCluster) runs(jobs ...*protocol.Submission) (w *simulation.Agent, home int) {
 	record := &leadership.Record{Nodes: map[string]uint64{}}
-	for _, s := range r.sets {
+	for _, s := range r.nodeSettings {
 		record.Nodes[s.Name] = 1
 	}
-	r.until("a machine of another home runs the jobs", func() bool {
+	r.waitUntil("a machine of another home runs the jobs", func() bool {
 		for _, o := range r.overviews() {
 			for _, x := range r.cloud.Agents() {
 				elsewhere := func(j *protocol.Submission) bool {
@@ -70,7 +70,7 @@
 		}
 		return false
 	})
-	home = slices.IndexFunc(r.sets, func(s *settings.Settings) bool { return s.Name == record.Home(w.Name()) })
+	home = slices.IndexFunc(r.nodeSettings, func(s *settings.Settings) bool { return s.Name == record.Home(w.Name()) })
 	return w, home
 }
 
@@ -80,8 +80,8 @@
 }
 
 // endBehind writes a job's withdrawal to the state service, as a controller does that ends before it tells anybody.
-func (r *region) endBehind(job *protocol.Submission) {
-	r.check.RecordCancellation(job.UID)
+func (r *testCluster) endBehind(job *protocol.Submission) {
+	r.checker.RecordCancellation(job.UID)
 	end := userapi.JobEnd{State: protocol.Cancelled, Tasks: job.Tasks, Team: job.Team}
 	txn := protocol.Txn{Conditions: []protocol.Condition{{Key: userapi.EndedJobPrefix + job.UID}},
 		Then: []protocol.Op{{Delete: userapi.ActiveJobPrefix + job.UID}, {Set: userapi.EndedJobPrefix + job.UID, Value: protocol.Encode(end)}}}
@@ -100,16 +100,16 @@
 // first one. That one, whose record was old, once collected the others' promises, held itself for entitled again and
 // renewed the machine's lease for as long as the outage took.
 func TestRefusedLeaderThenOutage(t *testing.T) {
-	r := met(t)
-	job := array(600, 12, "red")
+	r := newLongTaskCluster(t)
+	job := arrayJob(600, 12, "red")
 	r.submit(job)
 	w, a := r.runs(job)
 	b := (a + 1) % 3
-	w.LimitReach(r.sets[a].Name)
+	w.LimitReach(r.nodeSettings[a].Name)
 	r.doors[a].RefuseAll(true)
-	r.until("another leads without the refused one", func() bool {
+	r.waitUntil("another leads without the refused one", func() bool {
 		for _, o := range r.overviews() {
-			if o.Node != r.sets[a].Name && len(o.Members) == 2 {
+			if o.Node != r.nodeSettings[a].Name && len(o.Members) == 2 {
 				return true
 			}
 		}
@@ -117,50 +117,50 @@
 	})
 	r.endBehind(job) // the first one hears of it from nobody but who confirms it
 	told := r.withdrawAt(b, job.UID)
-	if !slices.ContainsFunc(r.overviews(), func(o overview) bool { return o.Node == r.sets[b].Name && o.Cancellations == 1 }) {
+	if !slices.ContainsFunc(r.overviews(), func(o overview) bool { return o.Node == r.nodeSettings[b].Name && o.Cancellations == 1 }) {
 		t.Error("a withdrawal that another one wrote is confirmed without a number")
 	}
 	r.state.SetOutage(true)
 	if len(w.RunningTasks()) == 0 {
 		t.Fatal("the machine ran nothing any more when the outage began")
 	}
-	r.until("its tasks gone", func() bool { return len(w.RunningTasks()) == 0 })
-	r.until("the time of the cancellation over", func() bool { return time.Since(told) > r.check.Cancel+time.Second })
+	r.waitUntil("its tasks gone", func() bool { return len(w.RunningTasks()) == 0 })
+	r.waitUntil("the time of the cancellation over", func() bool { return time.Since(told) > r.checker.Cancel+time.Second })
 	r.state.SetOutage(false)
 	r.doors[a].RefuseAll(false)
 	w.LimitReach()
-	r.until("all three are members again", func() bool { o := r.overviews(); return len(o) > 0 && len(o[0].Members) == 3 })
+	r.waitUntil("all three are members again", func() bool { o := r.overviews(); return len(o) > 0 && len(o[0].Members) == 3 })
 }
 
 // TestRefusedOwnerHearsOfWithdrawals: refused for less than its lease a controller stays rightful owner and home, and
 // its watch hangs on into the outage. It must stop what another one confirmed as withdrawn, and keep the rest
 // alive through an outage far longer than a lease and a cancellation.
 func TestRefusedOwnerHearsOfWithdrawals(t *testing.T) {
-	r := met(t)
-	job, other := array(610, 7, "red"), array(612, 5, "red")
+	r := newLongTaskCluster(t)
+	job, other := arrayJob(610, 7, "red"), arrayJob(612, 5, "red")
 	r.submit(job)
 	r.submit(other)
 	w, a := r.runs(job, other)
-	w.LimitReach(r.sets[a].Name) // nobody else can keep it alive
+	w.LimitReach(r.nodeSettings[a].Name) // nobody else can keep it alive
 	r.doors[a].RefuseAll(true)
 	r.pipes.Isolate(a, true) // what is said meanwhile is lost with its connection, and said again
 	told := r.withdrawAt((a+1)%3, job.UID)
 	r.state.SetOutage(true)
 	r.pipes.Isolate(a, false)
-	r.until("the outage outlasts lease and cancellation", func() bool { return time.Since(told) > r.check.Cancel+4*time.Second })
+	r.waitUntil("the outage outlasts lease and cancellation", func() bool { return time.Since(told) > r.checker.Cancel+4*time.Second })
 	if !has(w, other.UID) || has(w, job.UID) {
 		t.Errorf("after the outage the machine runs %v, not just what was not withdrawn", w.RunningTasks())
 	}
 	r.state.SetOutage(false)
 	r.doors[a].RefuseAll(false)
-	if st := r.poll(job.UID); st != protocol.Cancelled && st != "" {
+	if st := r.queryState(job.UID); st != protocol.Cancelled && st != "" {
 		t.Errorf("withdrawn job is %s", st)
 	}
 }
 
 // TestPromisesOfALaterRecord: promises to raise no term above a record that one does not know entitle to nothing.
 func TestPromisesOfALaterRecord(t *testing.T) {
-	g := newGrown(1, 1)
+	g := newNodeHarness(1, 1)
 	n := g.n
 	n.startedAt = n.startedAt.Add(-time.Minute)
 	now := time.Now()
@@ -195,11 +195,11 @@
 // still reach it, and a job is withdrawn through another one. It must tell no user an older state, send its
 // users away, and end what the machine runs in time, though nobody tells it anything.
 func TestCutLeader(t *testing.T) {
-	r := met(t)
-	job := array(620, 12, "red")
+	r := newLongTaskCluster(t)
+	job := arrayJob(620, 12, "red")
 	r.submit(job)
 	w, a := r.runs(job)
-	w.LimitReach(r.sets[a].Name)
+	w.LimitReach(r.nodeSettings[a].Name)
 	r.doors[a].RefuseAll(true)
 	r.pipes.Isolate(a, true)
 	told := r.withdrawAt((a+1)%3, job.UID)
@@ -208,9 +208,9 @@
 	}
 	r.state.SetOutage(true) // nobody leads any more who could return the machine to the cloud
 	answers, healthy := 0, true
-	r.until("its tasks gone and users sent away", func() bool {
+	r.waitUntil("its tasks gone and users sent away", func() bool {
 		status, st := r.askAt(a, "GET", protocol.PathSubmit+"/"+job.UID, nil)
-		r.check.RecordAnswer(job.UID, status, st.State, false)
+		r.checker.RecordAnswer(job.UID, status, st.State, false)
 		if status == 503 {
 			answers++
 		}
@@ -218,10 +218,10 @@
 		healthy = status == 200
 		return !has(w, job.UID) && !healthy
 	})
-	if time.Since(told) > r.check.Cancel || answers == 0 {
+	if time.Since(told) > r.checker.Cancel || answers == 0 {
 		t.Errorf("gone %v after the confirmation, asked %d times in vain", time.Since(told), answers)
 	}
-	for i := range r.sets {
+	for i := range r.nodeSettings {
 		if status, _ := r.askAt(i, "GET", protocol.PathHealth, nil); i != a && status != 200 {
 			t.Errorf("controller %d, which serves, sends its users away too", i)
 		}
@@ -230,8 +230,8 @@
 	r.doors[a].RefuseAll(false)
 	r.pipes.Isolate(a, false)
 	w.LimitReach()
-	r.until("all three are members again", func() bool { o := r.overviews(); return len(o) > 0 && len(o[0].Members) == 3 })
-	r.until("it tells the withdrawal", func() bool {
+	r.waitUntil("all three are members again", func() bool { o := r.overviews(); return len(o) > 0 && len(o[0].Members) == 3 })
+	r.waitUntil("it tells the withdrawal", func() bool {
 		_, st := r.askAt(a, "GET", protocol.PathSubmit+"/"+job.UID, nil)
 		return st.State == protocol.Cancelled
 	})
@@ -253,13 +253,13 @@
 	}
 	var jobs []*protocol.Submission
 	for i := range 6 {
-		j := array(630+i, 1+i%3, []string{"red", "blue"}[i%2])
+		j := arrayJob(630+i, 1+i%3, []string{"red", "blue"}[i%2])
 		r.submit(j)
 		if i == 2 {
-			r.check.RecordCancellation(j.UID)
-			r.until("withdrawn or done", func() bool {
-				status, st := r.ask("POST", protocol.PathSubmit+"/"+j.UID+"/withdraw", struct{}{})
-				r.check.RecordAnswer(j.UID, status, st.State, false)
+			r.checker.RecordCancellation(j.UID)
+			r.waitUntil("withdrawn or done", func() bool {
+				status, st := r.request("POST", protocol.PathSubmit+"/"+j.UID+"/withdraw", struct{}{})
+				r.checker.RecordAnswer(j.UID, status, st.State, false)
 				return status == 200
 			})
 			continue
@@ -270,7 +270,7 @@
 			r.start(0)
 		}
 	}
-	r.allDone(jobs)
+	r.awaitAllDone(jobs)
 	for i := 0; ; i++ {
 		applied, met := 0, 0
 		for _, d := range r.doors {
@@ -283,16 +283,16 @@
 		if i > 40 {
 			t.Fatalf("%d late transactions changed something, %d met newer ones", applied, met)
 		}
-		j := array(670+i, 1, "blue")
+		j := arrayJob(670+i, 1, "blue")
 		r.submit(j)
-		r.allDone([]*protocol.Submission{j})
+		r.awaitAllDone([]*protocol.Submission{j})
 	}
 	for _, d := range r.doors {
 		d.DelayTransactions(nil)
 	}
-	last := array(640, 4, "red")
+	last := arrayJob(640, 4, "red")
 	r.submit(last)
-	r.allDone([]*protocol.Submission{last})
+	r.awaitAllDone([]*protocol.Submission{last})
 	for _, o := range r.overviews() {
 		if o.Store.Epoch != 1 {
 			t.Errorf("late transactions were taken for a loss: epoch %d", o.Store.Epoch)
@@ -300,8 +300,8 @@
 	}
 }
 
-// wrote says whether a key with a prefix was written.
-func (r *region) wrote(prefix string) bool {
+// hasWritten says whether a key with a prefix was written.
+func (r *testCluster) hasWritten(prefix string) bool {
 	return slices.ContainsFunc(r.state.AppliedTransactions(), func(txn protocol.Txn) bool {
 		return slices.ContainsFunc(txn.Then, func(o protocol.Op) bool { return strings.HasPrefix(o.Set, prefix) })
 	})
@@ -312,22 +312,22 @@
 // that its first carrying out, or what came after, has left behind.
 func TestNoWriteAppliesTwice(t *testing.T) {
 	r := openRegion(t, 600*time.Millisecond, settings.Agents{HeartbeatSeconds: 0.2, LeaseSeconds: 20, GangWaitSeconds: 10, GangPeerSeconds: 4, CancelSeconds: 60})
-	jobs := []*protocol.Submission{array(680, 9, "red"), array(681, 3, "blue")}
+	jobs := []*protocol.Submission{arrayJob(680, 9, "red"), arrayJob(681, 3, "blue")}
 	for _, j := range jobs {
 		r.submit(j)
 	}
-	over := array(682, 20, "red")
+	over := arrayJob(682, 20, "red")
 	r.submit(over)
 	r.withdraw(over.UID)
-	r.allDone(jobs)
+	r.awaitAllDone(jobs)
 	// A page is written only if a job is partly done at that time: on a busy machine none was.
-	for i := 0; !r.wrote("b/"); i++ {
+	for i := 0; !r.hasWritten("b/"); i++ {
 		if i == 10 {
 			t.Fatal("ten jobs were done without a page")
 		}
-		more := array(684+2*i, 40, "red") // more than the limit lets run at once
+		more := arrayJob(684+2*i, 40, "red") // more than the limit lets run at once
 		r.submit(more)
-		r.allDone([]*protocol.Submission{more})
+		r.awaitAllDone([]*protocol.Submission{more})
 	}
 	for _, txn := range r.state.AppliedTransactions() { // while the record is still the same
 		if r.state.RepeatTransaction(txn) {
@@ -336,10 +336,10 @@
 	}
 	r.crash(1)
 	r.start(1)
-	late := array(683, 2, "blue")
+	late := arrayJob(683, 2, "blue")
 	r.submit(late)
-	r.allDone([]*protocol.Submission{late})
-	r.until("all three are members again", func() bool { o := r.overviews(); return len(o) == 3 && len(o[0].Members) == 3 })
+	r.awaitAllDone([]*protocol.Submission{late})
+	r.waitUntil("all three are members again", func() bool { o := r.overviews(); return len(o) == 3 && len(o[0].Members) == 3 })
 	for i := range r.nodes { // what is written from here on would hide what applies again
 		r.crash(i)
 	}
@@ -373,7 +373,7 @@
 // over, and at controllers that began anew and know none of them.
 func TestLateReports(t *testing.T) {
 	r := openRegion(t, time.Second, settings.Agents{HeartbeatSeconds: 0.2, LeaseSeconds: 3, GangWaitSeconds: 10, GangPeerSeconds: 4, CancelSeconds: 10})
-	r.check.Cancel = 10 * time.Second
+	r.checker.Cancel = 10 * time.Second
 	var mu sync.Mutex
 	rng := rand.New(rand.NewPCG(8, 8))
 	again := func() time.Duration {
@@ -392,10 +392,10 @@
 	}
 	var jobs []*protocol.Submission
 	for i := range 3 {
-		j := array(650+2*i, 8, []string{"red", "blue"}[i%2])
+		j := arrayJob(650+2*i, 8, []string{"red", "blue"}[i%2])
 		jobs = append(jobs, j)
 		r.submit(j)
-		r.until("tasks run", func() bool { return r.check.CountOnMachines() > 0 })
+		r.waitUntil("tasks run", func() bool { return r.checker.CountOnMachines() > 0 })
 		ws := r.cloud.Agents()
 		for _, w := range ws {
 			w.RepeatHeartbeats(again)
@@ -404,9 +404,9 @@
 		r.crash(i)
 		r.start(i)
 		before := repeats()
-		r.until("copies came", func() bool { return repeats() > before+10 })
+		r.waitUntil("copies came", func() bool { return repeats() > before+10 })
 	}
-	r.allDone(jobs)
+	r.awaitAllDone(jobs)
 	for _, o := range r.overviews() {
 		if o.Store.Epoch != 1 {
 			t.Errorf("late reports were taken for a loss: epoch %d", o.Store.Epoch)
@@ -419,8 +419,8 @@
 // take, and what else it ran runs on elsewhere once that is proven off.
 func TestDeafMachineAcrossAnEnd(t *testing.T) {
 	r := openRegion(t, 6*time.Second, settings.Agents{HeartbeatSeconds: 0.2, LeaseSeconds: 4, GangWaitSeconds: 10, GangPeerSeconds: 4, CancelSeconds: 10})
-	r.check.Cancel = 10 * time.Second
-	gone, stays := array(660, 7, "red"), array(662, 5, "red")
+	r.checker.Cancel = 10 * time.Second
+	gone, stays := arrayJob(660, 7, "red"), arrayJob(662, 5, "red")
 	r.submit(gone)
 	r.submit(stays)
 	w, a := r.runs(gone, stays)
@@ -428,16 +428,16 @@
 	r.crash(a)
 	r.withdrawAt((a+1)%3, gone.UID)
 	r.start(a)
-	r.until("nothing withdrawn runs", func() bool { return !has(w, gone.UID) })
-	r.allDone([]*protocol.Submission{stays})
+	r.waitUntil("nothing withdrawn runs", func() bool { return !has(w, gone.UID) })
+	r.awaitAllDone([]*protocol.Submission{stays})
 	w.DropAnswers(false)
-	r.until("withdrawn still", func() bool { return r.poll(gone.UID) == protocol.Cancelled })
+	r.waitUntil("withdrawn still", func() bool { return r.queryState(gone.UID) == protocol.Cancelled })
 }
 
 // TestOldReportsProveNothing: two late copies of what a machine sent that is gone by now come to a controller that never knew it, and
 // are no proof that the store lost a list of machines. Taken for one they began a new epoch.
 func TestOldReportsProveNothing(t *testing.T) {
-	g := newGrown(1, 1)
+	g := newNodeHarness(1, 1)
 	n := g.n
 	g.submit(1, 4)
 	gone, err := net.Listen("tcp4", "127.0.0.1:0")
@@ -472,18 +472,18 @@
 // current. An entitled one renewed without a bound, whatever the machine ran and however long ago it had last heard of
 // withdrawals.
 func TestRenewal(t *testing.T) {
-	g := newGrown(2, 1)
+	g := newNodeHarness(2, 1)
 	n := g.n
 	g.submit(4, 4) // job-000001
 	g.submit(4, 4)
 	n.endJob("job-000002")
-	n.front.RecordEnd("job-000003", userapi.JobEnd{State: protocol.Cancelled, Tasks: 1, Team: "team-0"})
+	n.userAPI.RecordEnd("job-000003", userapi.JobEnd{State: protocol.Cancelled, Tasks: 1, Team: "team-0"})
 	n.mu.Lock() // what is looked up beside it takes it too
 	reach := settings.Seconds(n.settings.Deployment.Agents.CancelSeconds - n.settings.Deployment.Agents.LeaseSeconds)
 	seq := uint64(10)
 	ask := func(at time.Time, state protocol.TaskState, tasks ...string) (status int, stopped []string) {
 		seq++
-		r := protocol.Heartbeat{Machine: g.names[0], Addr: "127.0.0.1:1", Type: "m32", Zone: "east", Incarnation: 1, Seq: seq, FencingToken: 1, Tasks: []protocol.TaskStatus{}}
+		r := protocol.Heartbeat{Machine: g.machineNames[0], Addr: "127.0.0.1:1", Type: "m32", Zone: "east", Incarnation: 1, Seq: seq, FencingToken: 1, Tasks: []protocol.TaskStatus{}}
 		for _, task := range tasks {
 			r.Tasks = append(r.Tasks, protocol.TaskStatus{Task: task, Attempt: 1, State: state, Reason: protocol.ReasonDone})
 		}
@@ -524,7 +524,7 @@
 	// An owner's order tells that the job is there before the watch does.
 	n.agents.SetTerm(1, func(string) bool { return true })
 	o := jobstate.Order{Op: protocol.Start, TaskID: jobstate.TaskID{Job: "job-000008"}, Attempt: 1, Incarnation: 1, CPUs: 1, MemoryGB: 1}
-	n.agents.QueueOrders(1, g.names[0], []jobstate.Order{o})
+	n.agents.QueueOrders(1, g.machineNames[0], []jobstate.Order{o})
 	if status, _ := ask(g.now.Add(time.Second), protocol.Running, "job-000008/0"); status != 200 {
 		t.Errorf("a task that its owner ordered here is answered by %d", status)
 	}
@@ -532,12 +532,12 @@
 	n.peers["node-b"] = &peerState{}
 	n.leadership.LeaseRenewed(time.Now())
 	o.TaskID.Job = "job-000007"
-	n.agents.QueueOrders(1, g.names[0], []jobstate.Order{o})
-	if m := n.agents.Get(g.names[0]); !m.HasQueuedStart() {
+	n.agents.QueueOrders(1, g.machineNames[0], []jobstate.Order{o})
+	if m := n.agents.Get(g.machineNames[0]); !m.HasQueuedStart() {
 		t.Fatal("no start waits")
 	}
 	n.mu.Unlock()
-	sender := &commandSender{machine: g.names[0]}
+	sender := &commandSender{machine: g.machineNames[0]}
 	n.mu.Lock()
 	n.cancelWatermark = cancelwatermark.New([]string{"node-b"}, 0, 0)
 	n.cancelWatermark.RecordRead(time.Now().Add(-time.Minute))
--- a/internal/controller/node.go
+++ b/internal/controller/node.go
@@ -54,7 +54,7 @@
 	kvStore *kvstore.Client
 	cloud   *cloud.Client
 	links   *peer.Links
-	front   *userapi.Handler
+	userAPI   *userapi.Handler
 
 	// Channels that wake a goroutine; of room one, so that a sender never waits.
 	wakeRequests       chan struct{}
@@ -229,10 +229,10 @@
 
 // newUserAPI makes what answers users.
 func (n *Node) newUserAPI() {
-	n.front = userapi.New(n.settings, n.kvStore, userBackend{n})
+	n.userAPI = userapi.New(n.settings, n.kvStore, userBackend{n})
 	n.teamConfig = newTeamConfigState(n.settings, n.options)
 	if n.teamConfig != nil {
-		n.front.UseTeams(configTenants{n})
+		n.userAPI.UseTeams(configTenants{n})
 	}
 }
 
@@ -336,7 +336,7 @@
 		}
 		return httpx.Answer{Status: 200, Body: protocol.Encode(n.overview(time.Now()))}
 	}
-	if a, ok := n.front.Handle(ctx, r); ok {
+	if a, ok := n.userAPI.Handle(ctx, r); ok {
 		return a
 	}
 	return httpx.Refuse(404, "no such path")
--- a/internal/controller/node_test.go
+++ b/internal/controller/node_test.go
@@ -18,13 +18,13 @@
 	"topazhollow/internal/simulation"
 )
 
-// region is three controllers with stand-ins for everything around them.
-type region struct {
+// testCluster is three controllers with stand-ins for everything around them.
+type testCluster struct {
 	t     *testing.T
 	state *simulation.KVStore
 	cloud *simulation.Cloud
-	check *simulation.Checker
-	sets  []*settings.Settings
+	checker *simulation.Checker
+	nodeSettings  []*settings.Settings
 	nodes []*process
 	doors []*simulation.Endpoint // each controller's way to the state service
 	pipes simulation.Paths       // from one controller to another
@@ -40,18 +40,18 @@
 	ended  chan struct{}
 }
 
-func newRegion(t *testing.T, run time.Duration) *region {
+func newTestCluster(t *testing.T, run time.Duration) *testCluster {
 	return openRegion(t, run, settings.Agents{HeartbeatSeconds: 0.2, LeaseSeconds: 20, GangWaitSeconds: 10, GangPeerSeconds: 4, CancelSeconds: 60})
 }
 
-func openRegion(t *testing.T, run time.Duration, workers settings.Agents, prepare ...func(*region)) *region {
+func openRegion(t *testing.T, run time.Duration, workers settings.Agents, prepare ...func(*testCluster)) *testCluster {
 	return openRegionRunning(t, func(string) time.Duration { return run }, workers, prepare...)
 }
 
 // openRegionRunning opens a region whose tasks run for times of their own.
-func openRegionRunning(t *testing.T, run func(task string) time.Duration, workers settings.Agents, prepare ...func(*region)) *region {
-	r := &region{t: t, pipes: simulation.Paths{}, rng: rand.New(rand.NewPCG(1, 2)), httpc: &http.Client{Timeout: 4 * time.Second}}
-	r.check = simulation.NewChecker(map[string]float64{"red": 24, "blue": 16})
+func openRegionRunning(t *testing.T, run func(task string) time.Duration, workers settings.Agents, prepare ...func(*testCluster)) *testCluster {
+	r := &testCluster{t: t, pipes: simulation.Paths{}, rng: rand.New(rand.NewPCG(1, 2)), httpc: &http.Client{Timeout: 4 * time.Second}}
+	r.checker = simulation.NewChecker(map[string]float64{"red": 24, "blue": 16})
 	for _, p := range prepare {
 		p(r)
 	}
@@ -72,7 +72,7 @@
 	per := simulation.Periods{Heartbeat: settings.Seconds(workers.HeartbeatSeconds), Lease: settings.Seconds(workers.LeaseSeconds), Run: run}
 	types := []protocol.MachineType{{Name: "m8", CPUs: 8, MemoryGB: 64, PricePerHour: 2, SpotPricePerHour: 1, BootSeconds: 1, Zones: []string{"east", "west"}}}
 	r.cloud, err = simulation.NewCloud(types, 6, func(name, typ, zone string, spot bool) (*simulation.Agent, error) {
-		return simulation.NewAgent(name, typ, zone, spot, listen, names, per, r.check)
+		return simulation.NewAgent(name, typ, zone, spot, listen, names, per, r.checker)
 	})
 	if err != nil {
 		t.Fatal(err)
@@ -100,7 +100,7 @@
 				s.Peers = append(s.Peers, settings.Peer{Name: p, Zone: "east", Endpoint: pipe.Addr()})
 			}
 		}
-		r.sets = append(r.sets, s)
+		r.nodeSettings = append(r.nodeSettings, s)
 		r.nodes = append(r.nodes, nil)
 		r.start(i)
 	}
@@ -115,7 +115,7 @@
 	return r
 }
 
-func (r *region) start(i int) {
+func (r *testCluster) start(i int) {
 	ctx, cancel := context.WithCancel(context.Background())
 	p := &process{cancel: cancel, ended: make(chan struct{})}
 	var out io.Writer = io.Discard
@@ -123,7 +123,7 @@
 		out = os.Stderr
 	}
 	log := slog.New(slog.NewTextHandler(out, &slog.HandlerOptions{Level: slog.LevelDebug}))
-	set, options := r.sets[i], settings.DefaultOptions()
+	set, options := r.nodeSettings[i], settings.DefaultOptions()
 	options.ControllerLeaseSeconds, options.CopyWaitSeconds, options.ConfigBoundSeconds = 2, r.copyWait, r.configBound
 	go func() {
 		defer close(p.ended)
@@ -134,7 +134,7 @@
 	r.nodes[i] = p
 }
 
-func (r *region) crash(i int) {
+func (r *testCluster) crash(i int) {
 	if p := r.nodes[i]; p != nil {
 		p.cancel()
 		<-p.ended
@@ -142,13 +142,13 @@
 	}
 }
 
-// ask sends a request to one of the controllers, as the load balancer would.
-func (r *region) ask(method, path string, body any) (int, protocol.Status) {
+// request sends a request to one of the controllers, as the load balancer would.
+func (r *testCluster) request(method, path string, body any) (int, protocol.Status) {
 	var data []byte
 	if body != nil {
 		data = protocol.Encode(body)
 	}
-	s := r.sets[r.rng.IntN(len(r.sets))]
+	s := r.nodeSettings[r.rng.IntN(len(r.nodeSettings))]
 	req, err := http.NewRequest(method, "http://"+s.Listen+path, bytes.NewReader(data))
 	if err != nil {
 		r.t.Fatal(err)
@@ -166,35 +166,35 @@
 	return resp.StatusCode, st
 }
 
-func array(i, tasks int, team string) *protocol.Submission {
+func arrayJob(i, tasks int, team string) *protocol.Submission {
 	return &protocol.Submission{UID: fmt.Sprintf("job-%06d", i), Class: "c", Team: team, Kind: protocol.JobArray, Priority: "standard",
 		Tasks: tasks, CPUs: 2, MemoryGB: 4, Image: "img", EstimateSeconds: 1, Spot: i%2 == 0}
 }
 
-func (r *region) submit(spec *protocol.Submission) {
-	r.check.RecordSubmission(spec)
-	r.until("accepting "+spec.UID, func() bool {
-		status, st := r.ask("POST", protocol.PathSubmit, spec)
+func (r *testCluster) submit(spec *protocol.Submission) {
+	r.checker.RecordSubmission(spec)
+	r.waitUntil("accepting "+spec.UID, func() bool {
+		status, st := r.request("POST", protocol.PathSubmit, spec)
 		if status == 200 || status == 201 {
-			r.check.RecordAnswer(spec.UID, status, st.State, true)
+			r.checker.RecordAnswer(spec.UID, status, st.State, true)
 			return true
 		}
 		return false
 	})
 }
 
-func (r *region) poll(uid string) protocol.JobState {
-	status, st := r.ask("GET", protocol.PathSubmit+"/"+uid, nil)
-	r.check.RecordAnswer(uid, status, st.State, false)
+func (r *testCluster) queryState(uid string) protocol.JobState {
+	status, st := r.request("GET", protocol.PathSubmit+"/"+uid, nil)
+	r.checker.RecordAnswer(uid, status, st.State, false)
 	return st.State
 }
 
-// until tries until something holds; the bound only keeps a hung test from
+// waitUntil tries waitUntil something holds; the bound only keeps a hung test from
 // running for ever.
-func (r *region) until(what string, f func() bool) {
+func (r *testCluster) waitUntil(what string, f func() bool) {
 	r.t.Helper()
 	for end := time.Now().Add(40 * time.Second); time.Now().Before(end); time.Sleep(50 * time.Millisecond) {
-		if broken := r.check.BrokenRules(); len(broken) > 0 {
+		if broken := r.checker.BrokenRules(); len(broken) > 0 {
 			r.t.Fatalf("rules broken: %v", broken)
 		}
 		if f() {
@@ -204,40 +204,40 @@
 	r.t.Fatalf("never came true: %s", what)
 }
 
-func (r *region) allDone(jobs []*protocol.Submission) {
+func (r *testCluster) awaitAllDone(jobs []*protocol.Submission) {
 	for _, j := range jobs {
-		r.until(j.UID+" done", func() bool { return r.poll(j.UID) == protocol.Done })
+		r.waitUntil(j.UID+" done", func() bool { return r.queryState(j.UID) == protocol.Done })
 	}
 	for _, j := range jobs { // final states stay
-		r.until(j.UID+" still done", func() bool { return r.poll(j.UID) == protocol.Done })
+		r.waitUntil(j.UID+" still done", func() bool { return r.queryState(j.UID) == protocol.Done })
 	}
 }
 
 // TestQuietDay: arrays of two teams run to their end under their quotas, an
 // unknown job gets 404 and a repeated submission is known however late.
 func TestQuietDay(t *testing.T) {
-	r := newRegion(t, 300*time.Millisecond)
+	r := newTestCluster(t, 300*time.Millisecond)
 	var jobs []*protocol.Submission
 	for i := range 6 {
-		jobs = append(jobs, array(i, 5+i, []string{"red", "blue"}[i%2]))
+		jobs = append(jobs, arrayJob(i, 5+i, []string{"red", "blue"}[i%2]))
 		r.submit(jobs[i])
 	}
-	r.allDone(jobs)
-	r.until("404 for a job that nobody submitted", func() bool {
-		status, _ := r.ask("GET", protocol.PathSubmit+"/job-999999", nil)
+	r.awaitAllDone(jobs)
+	r.waitUntil("404 for a job that nobody submitted", func() bool {
+		status, _ := r.request("GET", protocol.PathSubmit+"/job-999999", nil)
 		return status == 404
 	})
-	r.until("a late repeat with another body is known", func() bool {
+	r.waitUntil("a late repeat with another body is known", func() bool {
 		changed := *jobs[0]
 		changed.Team = "nobody"
-		status, st := r.ask("POST", protocol.PathSubmit, &changed)
-		r.check.RecordAnswer(changed.UID, status, st.State, true)
+		status, st := r.request("POST", protocol.PathSubmit, &changed)
+		r.checker.RecordAnswer(changed.UID, status, st.State, true)
 		return status == 200 && st.State == protocol.Done
 	})
-	if r.check.Started == 0 {
+	if r.checker.Started == 0 {
 		t.Fatal("nothing ran")
 	}
-	resp, err := r.httpc.Get("http://" + r.sets[0].Listen + "/overview")
+	resp, err := r.httpc.Get("http://" + r.nodeSettings[0].Listen + "/overview")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -252,18 +252,18 @@
 // while tasks run. A successor that was in sync goes on with what it knows; one
 // without memory has to pass the full barrier. Either way no task runs twice.
 func TestControllersCrash(t *testing.T) {
-	r := newRegion(t, 3*time.Second)
+	r := newTestCluster(t, 3*time.Second)
 	var jobs []*protocol.Submission
 	for i := range 4 {
-		jobs = append(jobs, array(100+i, 10, []string{"red", "blue"}[i%2]))
+		jobs = append(jobs, arrayJob(100+i, 10, []string{"red", "blue"}[i%2]))
 		r.submit(jobs[i])
 	}
-	r.until("tasks run", func() bool { return r.check.CountOnMachines() > 4 })
+	r.waitUntil("tasks run", func() bool { return r.checker.CountOnMachines() > 4 })
 	for i := range r.nodes {
 		r.crash(i)
-		r.poll(jobs[0].UID)
+		r.queryState(jobs[0].UID)
 		r.start(i)
-		r.until("tasks run again", func() bool { return r.check.CountOnMachines() > 2 })
+		r.waitUntil("tasks run again", func() bool { return r.checker.CountOnMachines() > 2 })
 	}
 	for i := range r.nodes {
 		r.crash(i)
@@ -271,36 +271,36 @@
 	for i := range r.nodes {
 		r.start(i)
 	}
-	r.allDone(jobs)
+	r.awaitAllDone(jobs)
 }
 
 // TestOutageAndCut: the state service is out while machines run and one machine
 // loses its network; then a job is withdrawn. Withdrawn stays withdrawn, and its
 // tasks end.
 func TestOutageAndCut(t *testing.T) {
-	r := newRegion(t, 2*time.Second)
-	jobs := []*protocol.Submission{array(200, 16, "red"), array(201, 8, "blue")}
+	r := newTestCluster(t, 2*time.Second)
+	jobs := []*protocol.Submission{arrayJob(200, 16, "red"), arrayJob(201, 8, "blue")}
 	for _, j := range jobs {
 		r.submit(j)
 	}
-	r.until("tasks run", func() bool { return r.check.CountOnMachines() > 4 })
+	r.waitUntil("tasks run", func() bool { return r.checker.CountOnMachines() > 4 })
 	r.state.SetOutage(true)
 	ws := r.cloud.Agents()
 	ws[0].DisconnectNetwork(true)
 	time.Sleep(4 * time.Second)
 	r.state.SetOutage(false)
 	ws[0].DisconnectNetwork(false)
-	long := array(202, 8, "blue")
+	long := arrayJob(202, 8, "blue")
 	r.submit(long)
-	r.check.RecordCancellation(long.UID)
-	r.until("withdrawn", func() bool {
-		status, st := r.ask("POST", protocol.PathSubmit+"/"+long.UID+"/withdraw", struct{}{})
-		r.check.RecordAnswer(long.UID, status, st.State, false)
+	r.checker.RecordCancellation(long.UID)
+	r.waitUntil("withdrawn", func() bool {
+		status, st := r.request("POST", protocol.PathSubmit+"/"+long.UID+"/withdraw", struct{}{})
+		r.checker.RecordAnswer(long.UID, status, st.State, false)
 		return status == 200 && st.State == protocol.Cancelled
 	})
-	r.allDone(jobs)
-	r.until("nothing is left on machines", func() bool { return r.check.CountOnMachines() == 0 })
-	if st := r.poll(long.UID); st != protocol.Cancelled && st != "" {
+	r.awaitAllDone(jobs)
+	r.waitUntil("nothing is left on machines", func() bool { return r.checker.CountOnMachines() == 0 })
+	if st := r.queryState(long.UID); st != protocol.Cancelled && st != "" {
 		t.Fatalf("withdrawn job is %s", st)
 	}
 }
--- a/internal/controller/over_test.go
+++ b/internal/controller/over_test.go
@@ -42,14 +42,14 @@
 			n.applyChange(stored(uid, 7))
 		},
 	} {
-		g := newGrown(1, 1)
+		g := newNodeHarness(1, 1)
 		n := g.n
 		n.mu.Lock()
 		learn(n)
 		if j := n.jobs[uid]; j == nil || j.active || n.shards.OfTeam("team-0").Team().Job(uid) != nil {
 			t.Errorf("%s: the job is active", what)
 		}
-		r := protocol.Heartbeat{Machine: g.names[0], Addr: "127.0.0.1:1", Type: "m32", Zone: "east", Incarnation: 1, Seq: 10, FencingToken: 1,
+		r := protocol.Heartbeat{Machine: g.machineNames[0], Addr: "127.0.0.1:1", Type: "m32", Zone: "east", Incarnation: 1, Seq: 10, FencingToken: 1,
 			Tasks: []protocol.TaskStatus{{Task: uid + "/0", Attempt: 1, State: protocol.Running}}}
 		if stops, ok := n.leaseGrant(&r, g.now.Add(time.Second)); !ok || len(stops) != 1 {
 			t.Errorf("%s: its machine is renewed %v with %d stops", what, ok, len(stops))
@@ -61,7 +61,7 @@
 // TestListOlderThanAcceptance: a job accepted while all keys are read again, in pages, is in none of them and
 // stays active. It was taken for ended and never ran.
 func TestListOlderThanAcceptance(t *testing.T) {
-	g := newGrown(1, 1)
+	g := newNodeHarness(1, 1)
 	n := g.n
 	n.mu.Lock()
 	n.applyChange(stored("job-000901", 12))
--- a/internal/controller/owner.go
+++ b/internal/controller/owner.go
@@ -29,7 +29,7 @@
 
 // takeOwnership begins to own a shard that the membership record gives to this controller.
 func (n *Node) takeOwnership(name string) {
-	n.noteTeamTakenOver()
+	n.recordTeamTakeover()
 	shard := n.shards.Take(shards.Takeover{
 		Name:      name,
 		Record:    n.leadership.Record(),
--- a/internal/controller/owner_test.go
+++ b/internal/controller/owner_test.go
@@ -28,7 +28,7 @@
 		assignment := jobstate.Assignment{TaskID: jobstate.TaskID{Job: "job-1", Index: 0}, Attempt: jobstate.AttemptID(4, 1), Machine: "n-1", Incarnation: 1, CPUs: 2}
 		replica.Assignments[assignment.TaskID] = assignment
 		shard := ownedShard(n, name, 5, needsBarrier, replica)
-		n.learnJob(userapi.ActiveJob{Spec: array(1, 3, "red")}, 1)
+		n.learnJob(userapi.ActiveJob{Spec: arrayJob(1, 3, "red")}, 1)
 		ended := make(chan struct{})
 		go func() {
 			defer close(ended)
@@ -71,7 +71,7 @@
 		if !needsBarrier {
 			replica.Assignments[assignment.TaskID], want = assignment, 1
 		}
-		n.learnJob(userapi.ActiveJob{Spec: array(1, 3, "red")}, 1)
+		n.learnJob(userapi.ActiveJob{Spec: arrayJob(1, 3, "red")}, 1)
 		n.peers["node-b"] = &peerState{connected: true, lastMessageAt: time.Now()}
 		n.recovery.gathering.Begin(2, []string{"node-b"}) // it is yet to tell what it remembers
 		shard := ownedShard(n, name, 5, needsBarrier, replica)
--- a/internal/controller/quota_test.go
+++ b/internal/controller/quota_test.go
@@ -39,11 +39,11 @@
 // is left of the limit until they are gone, and all of it then.
 func TestCancelledTasksOfAHungMachineCountAfterAllEnded(t *testing.T) {
 	r := openRegion(t, time.Hour, settings.Agents{HeartbeatSeconds: 0.2, LeaseSeconds: 12, GangWaitSeconds: 10, GangPeerSeconds: 4, CancelSeconds: 30})
-	first, next, other := array(700, 12, "red"), array(702, 12, "red"), array(704, 5, "blue")
+	first, next, other := arrayJob(700, 12, "red"), arrayJob(702, 12, "red"), arrayJob(704, 5, "blue")
 	r.submit(first)
-	r.until("the first job fills the limit", func() bool { return r.check.CountOfJob(first.UID) == 12 })
+	r.waitUntil("the first job fills the limit", func() bool { return r.checker.CountOfJob(first.UID) == 12 })
 	r.submit(other) // its machines have room for what should not start yet
-	r.until("another team's job runs", func() bool { return r.check.CountOfJob(other.UID) == 5 })
+	r.waitUntil("another team's job runs", func() bool { return r.checker.CountOfJob(other.UID) == 5 })
 	r.submit(next)
 	var hung *simulation.Agent
 	for _, w := range r.cloud.Agents() {
@@ -62,8 +62,8 @@
 	for i := range r.nodes {
 		r.start(i)
 	}
-	r.until("the next job runs beside tasks of the cancelled one", func() bool {
-		return r.check.CountOfJob(next.UID) == 12-left && r.check.CountOfJob(first.UID) == left
+	r.waitUntil("the next job runs beside tasks of the cancelled one", func() bool {
+		return r.checker.CountOfJob(next.UID) == 12-left && r.checker.CountOfJob(first.UID) == left
 	})
-	r.until("the next job has the whole limit", func() bool { return r.check.CountOfJob(next.UID) == 12 })
+	r.waitUntil("the next job has the whole limit", func() bool { return r.checker.CountOfJob(next.UID) == 12 })
 }
--- a/internal/controller/reconcile.go
+++ b/internal/controller/reconcile.go
@@ -25,7 +25,7 @@
 	if j := k.n.jobs[uid]; j != nil {
 		return jobstate.JobInfo{Known: true, OwnTeam: j.spec.Team == k.team, Active: j.active, Spec: j.spec}
 	}
-	if end, ended := k.n.front.KnownEnd(uid); ended {
+	if end, ended := k.n.userAPI.KnownEnd(uid); ended {
 		return jobstate.JobInfo{Known: true, OwnTeam: end.Team == k.team, Spec: endedSpec(uid, end)}
 	}
 	return jobstate.JobInfo{}
@@ -90,9 +90,9 @@
 		return
 	}
 	n.group.Go(func() error {
-		end, found, absent := n.front.LookUpEndOrAbsence(n.ctx, uid)
+		end, found, absent := n.userAPI.LookUpEndOrAbsence(n.ctx, uid)
 		if found && end.CPUs == 0 && end.GPUs == 0 {
-			if stored, ok := n.front.ReadEnd(n.ctx, uid); ok {
+			if stored, ok := n.userAPI.ReadEnd(n.ctx, uid); ok {
 				end = stored
 			}
 		}
--- a/internal/controller/recovery.go
+++ b/internal/controller/recovery.go
@@ -133,7 +133,7 @@
 	suspicions, losses := detection.Counts()
 	status := datarecovery.Status{
 		Phase: phase.String(), Sign: sign, Epoch: n.leadership.Epoch(),
-		StaleActive: n.recovery.writeBack.StaleKeys(), Ends: n.front.EndCount(),
+		StaleActive: n.recovery.writeBack.StaleKeys(), Ends: n.userAPI.EndCount(),
 		MemoryComplete: detection.MemoryComplete(), Unreplicated: n.recovery.facts.unreplicated,
 		Suspicions: suspicions, Losses: losses,
 	}
--- a/internal/controller/recovery_detect.go
+++ b/internal/controller/recovery_detect.go
@@ -60,7 +60,7 @@
 // the store lost the job.
 func (n *Node) verifyUnlistedJob(uid string, j *job) {
 	n.group.Go(func() error {
-		_, _, absent := n.front.LookUpEndOrAbsence(n.ctx, uid)
+		_, _, absent := n.userAPI.LookUpEndOrAbsence(n.ctx, uid)
 		n.mu.Lock()
 		defer n.mu.Unlock()
 		if absent && n.jobs[uid] == j && !j.active {
@@ -278,7 +278,7 @@
 		}
 	}
 	n.log.Error("state service lost data", "sign", sign, "epoch", n.leadership.Epoch(), "revision", n.followedRevision,
-		"jobs_remembered", active, "ends_remembered", n.front.EndCount(),
+		"jobs_remembered", active, "ends_remembered", n.userAPI.EndCount(),
 		"memory_complete", n.recovery.detection.MemoryComplete(), "machines_remembered", len(n.roster.All()))
 	n.kvStore.HoldUpdates(true)
 	n.kvStore.ForgetRevisions()
--- a/internal/controller/recovery_gather.go
+++ b/internal/controller/recovery_gather.go
@@ -91,7 +91,7 @@
 // sendMemories tells peers what is remembered here and the store may lack; ask has them send theirs.
 func (n *Node) sendMemories(ask bool, to ...string) {
 	unwritten, written := n.activeJobs()
-	ends := n.front.EndsDigest()
+	ends := n.userAPI.EndsDigest()
 	for last := false; !last; {
 		m := memoriesMsg{
 			Epoch:    n.leadership.Epoch(),
@@ -166,7 +166,7 @@
 		}
 	}
 	n.recovery.gathering.MemoriesReceived(from)
-	lacking, err := n.front.EndsMissingFrom(m.Ends)
+	lacking, err := n.userAPI.EndsMissingFrom(m.Ends)
 	if err != nil {
 		n.log.Error("unreadable line", "peer", from, "kind", kindMemories, "err", err)
 		return
@@ -202,7 +202,7 @@
 // learnEnds takes in ends from peers and pages.
 func (n *Node) learnEnds(ends []datarecovery.End) {
 	for _, end := range ends {
-		n.front.RecordEnd(end.UID, userapi.JobEndFrom(end))
+		n.userAPI.RecordEnd(end.UID, userapi.JobEndFrom(end))
 		n.applyRememberedEnd(end.UID)
 	}
 }
--- a/internal/controller/recovery_replicate.go
+++ b/internal/controller/recovery_replicate.go
@@ -137,7 +137,7 @@
 		}
 	}
 	for _, end := range m.Ends {
-		n.front.RecordEnd(end.UID, end.JobEnd)
+		n.userAPI.RecordEnd(end.UID, end.JobEnd)
 		n.applyRememberedEnd(end.UID)
 	}
 	n.cancelWatermark.RecordReceived(from, m.From, len(m.Ends))
--- a/internal/controller/recovery_writeback.go
+++ b/internal/controller/recovery_writeback.go
@@ -40,7 +40,7 @@
 		})
 	}
 	for _, key := range n.recovery.writeBack.StartStaleKeys(now, limit, n.ownsJob, n.hasEnded) {
-		final, _ := n.front.KnownEnd(key.UID)
+		final, _ := n.userAPI.KnownEnd(key.UID)
 		n.group.Go(func() error {
 			n.writeEndAgain(n.ctx, key, final)
 			return nil
@@ -77,7 +77,7 @@
 	if errors.Is(err, kvstore.ErrConflict) {
 		// Its end, if that is why; else the watch tells its version. No watch tells the
 		// others of that end, since for them the store never had the job.
-		if end, ended := n.front.LookUpEnd(ctx, uid); ended {
+		if end, ended := n.userAPI.LookUpEnd(ctx, uid); ended {
 			n.broadcastEnd(uid, end)
 		}
 	} else if err != nil {
@@ -130,7 +130,7 @@
 		return false
 	}
 	written, next := n.readEndPages(entries)
-	left, err := n.front.EndsMissingFrom(written.Digest())
+	left, err := n.userAPI.EndsMissingFrom(written.Digest())
 	if err != nil {
 		return false
 	}
@@ -211,7 +211,7 @@
 		var final userapi.JobEnd
 		if json.Unmarshal(e.Value, &final) == nil && final.State != "" {
 			uid := e.Key[len(userapi.EndedJobPrefix):]
-			n.front.RecordEnd(uid, final)
+			n.userAPI.RecordEnd(uid, final)
 			n.applyRememberedEnd(uid)
 		}
 	}
--- a/internal/controller/replication_test.go
+++ b/internal/controller/replication_test.go
@@ -28,7 +28,7 @@
 
 // newLinkedPair opens the connections of an owner of one team. Nobody steps the controllers but the test.
 func newLinkedPair(t *testing.T) *linkedPair {
-	p := &linkedPair{owner: newGrown(1, 1).n, holder: newGrown(1, 1).n, paths: simulation.Paths{}}
+	p := &linkedPair{owner: newNodeHarness(1, 1).n, holder: newNodeHarness(1, 1).n, paths: simulation.Paths{}}
 	p.holder.name, p.holder.incarnation = "node-b", p.owner.incarnation+1
 	record := p.owner.leadership.Record().Clone()
 	name := shards.ForTeam("team-0")
--- a/internal/controller/save_test.go
+++ b/internal/controller/save_test.go
@@ -22,7 +22,7 @@
 			entries = append(entries, e)
 		}
 		for i := range 2 {
-			spec := array(i, 10, "red")
+			spec := arrayJob(i, 10, "red")
 			n.jobs[spec.UID] = &job{spec: spec, active: true}
 			shard.Team().AddJob(spec, 1, n.startedAt, nil)
 		}
--- a/internal/controller/scene_test.go
+++ b/internal/controller/scene_test.go
@@ -21,7 +21,7 @@
 // scene is a region with short times in which a test has troubles meet while users ask at all controllers. Its close
 // checks what all of them were answered.
 type scene struct {
-	*region
+	*testCluster
 	users *simulation.Users
 	names []string // the controllers'
 
@@ -64,13 +64,13 @@
 // openSceneOf opens a region with other times of workers.
 func openSceneOf(t *testing.T, run func(task string) time.Duration, workers settings.Agents) *scene {
 	r := openRegionRunning(t, run, workers)
-	r.check.Cancel = settings.Seconds(workers.CancelSeconds)
-	s := &scene{region: r, cancelled: map[string]bool{}}
+	r.checker.Cancel = settings.Seconds(workers.CancelSeconds)
+	s := &scene{testCluster: r, cancelled: map[string]bool{}}
 	var listen []string
-	for _, set := range r.sets {
+	for _, set := range r.nodeSettings {
 		listen, s.names = append(listen, set.Listen), append(s.names, set.Name)
 	}
-	s.users = simulation.NewUsers(listen, r.check)
+	s.users = simulation.NewUsers(listen, r.checker)
 	t.Cleanup(s.users.Close)
 	t.Cleanup(s.tellIfFailed)
 	return s
@@ -128,18 +128,18 @@
 		if !s.cancelled[job.UID] && jobNumber(job.UID) >= firstEndless {
 			s.cancel(job.UID)
 		}
-		for node := range s.sets {
-			s.until(fmt.Sprintf("%s is over at %s", job.UID, s.names[node]), func() bool {
+		for node := range s.nodeSettings {
+			s.waitUntil(fmt.Sprintf("%s is over at %s", job.UID, s.names[node]), func() bool {
 				status, state := s.users.Ask(node, job.UID)
 				return status == 200 && (state == protocol.Done || state == protocol.Cancelled && s.cancelled[job.UID])
 			})
 		}
 	}
-	s.until("nothing is left on machines", func() bool { return s.check.CountOnMachines() == 0 })
-	starts := s.check.Starts()
+	s.waitUntil("nothing is left on machines", func() bool { return s.checker.CountOnMachines() == 0 })
+	starts := s.checker.Starts()
 	time.Sleep(quiet)
-	if s.check.CountOnMachines() > 0 || s.check.Starts() > starts {
-		s.t.Errorf("%d tasks started after all jobs were over", s.check.Starts()-starts)
+	if s.checker.CountOnMachines() > 0 || s.checker.Starts() > starts {
+		s.t.Errorf("%d tasks started after all jobs were over", s.checker.Starts()-starts)
 	}
 }
 
@@ -152,7 +152,7 @@
 	for _, v := range history.Check(s.users.Log().Calls()) {
 		s.t.Errorf("%v", v)
 	}
-	for _, broken := range s.check.BrokenRules() {
+	for _, broken := range s.checker.BrokenRules() {
 		s.t.Error(broken)
 	}
 }
@@ -170,7 +170,7 @@
 // leader waits for an owner of an item that is ready to act and gives its number.
 func (s *scene) leader(item string) (leader int) {
 	s.t.Helper()
-	s.until("an owner of "+item+" is ready", func() bool {
+	s.waitUntil("an owner of "+item+" is ready", func() bool {
 		leader = slices.IndexFunc(s.names, func(name string) bool { return s.leads(name, item) })
 		return leader >= 0
 	})
@@ -187,7 +187,7 @@
 // members waits until all controllers are members and hear of it.
 func (s *scene) members(count int) {
 	s.t.Helper()
-	s.until(fmt.Sprintf("%d members", count), func() bool {
+	s.waitUntil(fmt.Sprintf("%d members", count), func() bool {
 		all := s.overviews()
 		return len(all) == count && !slices.ContainsFunc(all, func(o overview) bool { return len(o.Members) != count })
 	})
@@ -203,11 +203,11 @@
 
 // endless is a job whose tasks run until they are stopped.
 func endless(i, tasks int, team string) *protocol.Submission {
-	return array(firstEndless+i, tasks, team)
+	return arrayJob(firstEndless+i, tasks, team)
 }
 
 // uneven is a job whose tasks end far apart.
-func uneven(i, tasks int, team string) *protocol.Submission { return array(firstUneven+i, tasks, team) }
+func uneven(i, tasks int, team string) *protocol.Submission { return arrayJob(firstUneven+i, tasks, team) }
 
 // machinesOf lists the machines that run a task of a job.
 func (s *scene) machinesOf(uid string) (on []*simulation.Agent) {
@@ -226,7 +226,7 @@
 
 // post sends one controller a body that is not noted as any user's request, and gives the status code; 0: no answer.
 func (s *scene) post(node int, path string, body []byte) int {
-	resp, err := s.httpc.Post("http://"+s.sets[node].Listen+path, "application/json", bytes.NewReader(body))
+	resp, err := s.httpc.Post("http://"+s.nodeSettings[node].Listen+path, "application/json", bytes.NewReader(body))
 	if err != nil {
 		return 0
 	}
@@ -247,6 +247,6 @@
 		s.t.Logf("%s: term %d, entitled %v, members %v, owners %v, items %+v, machines %+v", o.Node, o.Term, o.Entitled, o.Members, o.Owners, o.Shards, o.Machines)
 	}
 	for _, job := range s.accepted {
-		s.t.Logf("%s of %s: %d of %d tasks on machines", job.UID, job.Team, s.check.CountOfJob(job.UID), job.Tasks)
+		s.t.Logf("%s of %s: %d of %d tasks on machines", job.UID, job.Team, s.checker.CountOfJob(job.UID), job.Tasks)
 	}
 }
--- a/internal/controller/scheduling_test.go
+++ b/internal/controller/scheduling_test.go
@@ -14,7 +14,7 @@
 // controller must know its own machines under that term as well, or it places nothing on them until each has reported
 // again.
 func TestMachinesTakeTasksUnderANewTerm(t *testing.T) {
-	g := newGrown(0, 1)
+	g := newNodeHarness(0, 1)
 	n := g.n
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -47,7 +47,7 @@
 		quota    float64
 		kept     bool
 	}{{8, "high", 1000, true}, {9, "high", 1000, false}, {8, "low", 1000, false}, {8, "high", 48, false}} {
-		g := newGrown(8, 2) // two of them ordinary, in one zone
+		g := newNodeHarness(8, 2) // two of them ordinary, in one zone
 		n := g.n
 		n.mu.Lock()
 		submit := func(spec protocol.Submission) {
@@ -81,7 +81,7 @@
 		}
 		n.mu.Unlock()
 		for range 70 {
-			g.second(1) // what ran ends
+			g.advanceSecond(1) // what ran ends
 		}
 		n.mu.Lock()
 		if done, _ := n.shards.OfTeam("team-0").Team().Progress("job-000002"); done == 0 && held("job-000002") == 0 && c.tasks == 8 && c.quota > 64 {
@@ -93,7 +93,7 @@
 
 // TestEvictionsReachTheOwner: what a pass wants stopped gets an order to stop in its own team's account.
 func TestEvictionsReachTheOwner(t *testing.T) {
-	g := newGrown(1, 2) // of 32 CPUs
+	g := newNodeHarness(1, 2) // of 32 CPUs
 	n := g.n
 	guest := n.shards.OfTeam("team-1").Team()
 	quota := guest.Quota()
@@ -107,7 +107,7 @@
 			Priority: priority, Tasks: tasks, CPUs: cpus, MemoryGB: 1, EstimateSeconds: 600, Spot: true}}, 1)
 	}
 	submit("job-000001", "team-1", "low", 8, 4)
-	g.second(2)
+	g.advanceSecond(2)
 	submit("job-000002", "team-0", "standard", 1, 16)
 	n.mu.Lock()
 	defer n.mu.Unlock()
--- a/internal/controller/step_test.go
+++ b/internal/controller/step_test.go
@@ -12,7 +12,7 @@
 // When it goes on and its lease has not expired, it must neither put its replicas out of sync
 // nor take its machines for silent.
 func TestStallCountsNoSilence(t *testing.T) {
-	g := newGrown(4, 1)
+	g := newNodeHarness(4, 1)
 	n, shard := g.n, g.n.shards.OfTeam("team-0")
 	record := n.leadership.Record().Clone()
 	record.Shards[shard.Name()] = leadership.Shard{Owner: n.name, SinceTerm: 1, InSync: []string{"node-b"}}
@@ -23,7 +23,7 @@
 	shard.Team().Replica().Seq = 1
 	shard.Replicas().Replicate(n.cluster(), g.now) // a copy goes out, of which nothing is acknowledged
 	shard.Replicas().Acknowledge("node-b", 1, &shards.Acknowledgement{Shard: shard.Name(), SinceTerm: 1}, g.now)
-	for _, name := range g.names {
+	for _, name := range g.machineNames {
 		n.machines[name].HeardAt = g.now
 	}
 	now := g.now.Add(4 * time.Second)
--- a/internal/controller/teamconfig.go
+++ b/internal/controller/teamconfig.go
@@ -156,8 +156,8 @@
 	return n.teamConfig.config.Version(strings.TrimPrefix(key, teamstore.Prefix))
 }
 
-// noteTeamTakenOver notes that a team was taken over under the membership record known here.
-func (n *Node) noteTeamTakenOver() {
+// recordTeamTakeover notes that a team was taken over under the membership record known here.
+func (n *Node) recordTeamTakeover() {
 	if n.teamConfig != nil {
 		n.teamConfig.config.RequireRevision(n.leadership.RecordVersion())
 	}
--- a/internal/controller/unreachablehomes_test.go
+++ b/internal/controller/unreachablehomes_test.go
@@ -54,7 +54,7 @@
 // in one incident. They must be answered elsewhere, and be home again soon after it answers.
 func TestAgentsOfAnUnreachableHomeKeepTheirLeases(t *testing.T) {
 	for _, silent := range []bool{true, false} { // do the peers hear the home?
-		n := newGrown(4, 1).n
+		n := newNodeHarness(4, 1).n
 		n.settings.Deployment.Agents = settings.Agents{HeartbeatSeconds: 2, LeaseSeconds: 12, CancelSeconds: 32}
 		n.unreachableHomes = agents.NewUnreachableHomes(agentTiming(n.settings))
 		lease := settings.Seconds(n.settings.Deployment.Agents.LeaseSeconds)
@@ -88,7 +88,7 @@
 // TestUnreachableHomeIsFound: one machine with a broken path must not have a controller left out of the homes, as that
 // moves all machines under a new term; many must.
 func TestUnreachableHomeIsFound(t *testing.T) {
-	n := newGrown(120, 1).n
+	n := newNodeHarness(120, 1).n
 	n.leadership.Record().Unreachable = nil
 	now := time.Now()
 	n.leadership.RestartSettling(now.Add(-time.Minute))
@@ -123,29 +123,29 @@
 // time and rents nothing, while the machines that it failed on stay in use; a
 // success brings it back. It used to fill the machines and condemn them.
 func TestFaultyJobAsksForLittle(t *testing.T) {
-	g := newGrown(12, 1)
+	g := newNodeHarness(12, 1)
 	g.submit(40, 4)
 	g.n.mu.Lock()
 	defer g.n.mu.Unlock()
 	n, shard := g.n, g.n.shards.OfTeam("team-0")
 	end := func(why protocol.ExitReason) {
-		for _, name := range g.names {
+		for _, name := range g.machineNames {
 			var held []jobstate.Assignment
 			shard.Team().Assignments().On(name, func(h jobstate.Assignment) { held = append(held, h) })
-			g.tell(name, func(v *jobstate.MachineStatus) {
+			g.reportStatus(name, func(v *jobstate.MachineStatus) {
 				v.Tasks = nil
 				for _, h := range held {
 					v.Tasks = append(v.Tasks, jobstate.TaskStatus{TaskID: h.TaskID, Attempt: h.Attempt, State: protocol.Exited, Reason: why})
 				}
 			})
-			g.tell(name, func(v *jobstate.MachineStatus) { v.Tasks = nil })
+			g.reportStatus(name, func(v *jobstate.MachineStatus) { v.Tasks = nil })
 		}
 	}
 	held := func() int { h, _ := shard.Team().Assignments().Count(); return h }
 	step := func(after time.Duration) {
 		g.now = g.now.Add(after)
 		n.leadership.LeaseRenewed(g.now)
-		for _, name := range g.names {
+		for _, name := range g.machineNames {
 			n.machines[name].HeardAt = g.now
 		}
 		n.step(g.now)
@@ -183,12 +183,12 @@
 // TestMisdirectedAgentIsNotSilent: agents that a home does not answer send their heartbeats to others, who keep them
 // alive. The fleet's owner must learn of that from whoever does, or it returns the machines for their silence.
 func TestMisdirectedAgentIsNotSilent(t *testing.T) {
-	g := newGrown(6, 1)
-	fleetOwner, n := newGrown(6, 1).n, g.n
+	g := newNodeHarness(6, 1)
+	fleetOwner, n := newNodeHarness(6, 1).n, g.n
 	n.leadership.Record().Unreachable = nil
 	at := g.now.Add(20 * time.Second)
 	n.leadership.LeaseRenewed(at)
-	name := g.names[slices.IndexFunc(g.names, func(name string) bool { return n.leadership.Record().Home(name) != n.name })]
+	name := g.machineNames[slices.IndexFunc(g.machineNames, func(name string) bool { return n.leadership.Record().Home(name) != n.name })]
 	r := protocol.Heartbeat{Machine: name, Addr: "127.0.0.1:1", Type: "m32", Zone: "east", Incarnation: 1, Seq: 9, FencingToken: 1, Tasks: []protocol.TaskStatus{}}
 	n.handleHeartbeat(protocol.Encode(r))
 	s := n.status(at)
@@ -209,11 +209,11 @@
 // TestImpossibleHeartbeats: what is no heartbeat is refused with the field named, and what one says of tasks that can't be
 // changes nothing: no job, no task done, no assignment, no machine, no suspicion of the store.
 func TestImpossibleHeartbeats(t *testing.T) {
-	g := newGrown(0, 1)
+	g := newNodeHarness(0, 1)
 	n := g.n
 	n.agents.SetTerm(1, func(string) bool { return true })
 	n.roster.ApplyList("x", 1, agents.RosterValue{Names: []string{"n-1"}})
-	spec := array(1, 3, "team-0")
+	spec := arrayJob(1, 3, "team-0")
 	n.learnJob(userapi.ActiveJob{Spec: spec, SubmittedAtMillis: g.now.UnixMilli()}, 1)
 	team := n.shards.OfTeam("team-0").Team()
 	good := protocol.Heartbeat{Machine: "n-1", Addr: "127.0.0.1:1", Type: "m32", Zone: "east", Incarnation: 1, Seq: 1, FencingToken: 1, Tasks: []protocol.TaskStatus{}}
