--- a/internal/controller/orders.go
+++ b/internal/controller/orders.go
@@ -14,7 +14,7 @@
 		return
 	}
 	team, _ := shards.TeamOf(shard.Name())
-	orders := shard.Team().Observe(v, time.Now(), teamKnowledge{n, team})
+	orders := shard.Team().Observe(v, time.Now(), teamJobs{n, team})
 	if len(orders) > 0 {
 		n.sendOrders(v.Machine, orders)
 	}
--- a/internal/controller/reconcile.go
+++ b/internal/controller/reconcile.go
@@ -14,14 +14,14 @@
 // ended. The accounts count them against the quota (internal/jobstate). Here they are stopped, and the ends of jobs that
 // nobody here can describe are looked up.
 
-// teamKnowledge is what this controller can tell the account of a team.
-type teamKnowledge struct {
+// teamJobs is what this controller can tell the account of a team.
+type teamJobs struct {
 	n    *Node
 	team string
 }
 
 // Job describes a job by what is followed here, or else by its remembered end.
-func (k teamKnowledge) Job(uid string) jobstate.JobInfo {
+func (k teamJobs) Job(uid string) jobstate.JobInfo {
 	if j := k.n.jobs[uid]; j != nil {
 		return jobstate.JobInfo{Known: true, OwnTeam: j.spec.Team == k.team, Active: j.active, Spec: j.spec}
 	}
@@ -32,7 +32,7 @@
 }
 
 // UnknownSizeBound is what a machine has beside the listed tasks of known size.
-func (k teamKnowledge) UnknownSizeBound(v *jobstate.MachineStatus) (cpus, gpus float64) {
+func (k teamJobs) UnknownSizeBound(v *jobstate.MachineStatus) (cpus, gpus float64) {
 	cpus, gpus, _, ok := k.n.scheduler.Capacity(v.Type)
 	if !ok {
 		return math.Inf(1), math.Inf(1)
--- a/internal/controller/recordchange.go
+++ b/internal/controller/recordchange.go
@@ -166,7 +166,7 @@
 }
 
 func (r recordSurroundings) UnreachableMember(now time.Time) string {
-	return r.node.unreachableHomes.Find(machineHomes{r.node}, now)
+	return r.node.unreachableHomes.Find(homesView{r.node}, now)
 }
 
 func (r recordSurroundings) GiveUpSearch(record *leadership.Record, now time.Time) *leadership.Record {
--- a/internal/controller/save_test.go
+++ b/internal/controller/save_test.go
@@ -35,7 +35,7 @@
 		for i := range 2 { // one more task of each completes, job 1 is written first
 			uid := fmt.Sprintf("job-%06d", 1-i)
 			v := &jobstate.MachineStatus{Machine: "m", Incarnation: 1, Tasks: []jobstate.TaskStatus{{TaskID: jobstate.TaskID{Job: uid, Index: round}, Attempt: 1, State: protocol.Exited, Reason: protocol.ReasonDone}}}
-			shard.Team().Observe(v, n.startedAt, teamKnowledge{n, "red"})
+			shard.Team().Observe(v, n.startedAt, teamJobs{n, "red"})
 			pages, due := shard.BeginSaving()
 			if !due {
 				t.Fatalf("round %d: nothing is to be written", round)
--- a/internal/controller/unreachablehomes.go
+++ b/internal/controller/unreachablehomes.go
@@ -39,16 +39,16 @@
 	}, now)
 }
 
-// machineHomes is the controller as agents.UnreachableHomes sees it.
-type machineHomes struct{ n *Node }
+// homesView is the controller as agents.UnreachableHomes sees it.
+type homesView struct{ n *Node }
 
-func (h machineHomes) HomeOf(machine string) string { return h.n.homeOf(machine) }
+func (h homesView) HomeOf(machine string) string { return h.n.homeOf(machine) }
 
-func (h machineHomes) ReachedHomeAt(machine string) time.Time {
+func (h homesView) ReachedHomeAt(machine string) time.Time {
 	return later(h.n.machine(machine).HomeHeardAt, h.n.leadership.SettledAt())
 }
 
-func (h machineHomes) CountOf(home string) (count int) {
+func (h homesView) CountOf(home string) (count int) {
 	for name, m := range h.n.machines {
 		if !m.gone && m.status != nil && h.n.homeOf(name) == home {
 			count++
--- a/internal/controller/unreachablehomes_test.go
+++ b/internal/controller/unreachablehomes_test.go
@@ -109,7 +109,7 @@
 				n.routeMisdirected(home, name, at)
 			}
 		}
-		return n.unreachableHomes.Find(machineHomes{n}, now.Add(6*time.Second))
+		return n.unreachableHomes.Find(homesView{n}, now.Add(6*time.Second))
 	}
 	if got := come(homed[:1]); got != "" || len(homed) < 20 {
 		t.Errorf("one machine of %d leaves %q out", len(homed), got)
