--- a/internal/controller/admission.go
+++ b/internal/controller/admission.go
@@ -15,10 +15,9 @@
 	"topazhollow/internal/shards"
 )
 
-// What connects internal/admission, which decides, to the controller: docs/admission.md
-// says what it guarantees. Node.mu guards all of it.
+// The controller's side of internal/admission, which makes the decisions; docs/admission.md states its guarantees.
 
-// admissionState is what a controller knows of who gets how much of what is short. Node.mu guards it.
+// admissionState holds the admission plans and the counts they are judged by. Node.mu guards it.
 type admissionState struct {
 	agreement     admission.Agreement
 	planner       *admission.Planner // while this controller owns the fleet
@@ -41,9 +40,12 @@
 	}
 }
 
-func keyOf(s *protocol.Submission) admission.Key { return admission.Key{Team: s.Team, Class: s.Class} }
+// admissionKey returns the team and class that a job is admitted and counted under.
+func admissionKey(s *protocol.Submission) admission.Key {
+	return admission.Key{Team: s.Team, Class: s.Class}
+}
 
-// classFloors is what the plan in force leaves to a team's classes.
+// classFloors returns the CPUs that the plan in force guarantees to each class of a shard's team.
 func (n *Node) classFloors(shard *shards.Owned) map[string]float64 {
 	plan := n.admission.agreement.InForce()
 	team, ok := shards.TeamOf(shard.Name())
@@ -59,8 +61,8 @@
 	return floors
 }
 
-// prioritizedTasks says for each of a team's demands how many of its tasks go before what is more urgent: as many as
-// its class has less than the plan leaves it, and the first one of an array that has waited long.
+// prioritizedTasks returns for each of a team's demands how many of its tasks are placed before more urgent work: as
+// many as fit into what its class lacks of its floor, and the first task of an array that has waited long.
 func (n *Node) prioritizedTasks(shard *shards.Owned, list []jobstate.Demand, now time.Time) []int {
 	prioritized := make([]int, len(list))
 	for i, d := range list {
@@ -76,7 +78,7 @@
 	lacks := map[string]float64{}
 	var waiting []*admission.WaitingTasks
 	for i, d := range list {
-		j, lack := n.jobs[d.Spec.UID], plan.Lacks(keyOf(d.Spec), used[d.Spec.Class])
+		j, lack := n.jobs[d.Spec.UID], plan.Lacks(admissionKey(d.Spec), used[d.Spec.Class])
 		if j != nil && !d.Probe && d.Spec.CPUs > 0 && lack >= d.Spec.CPUs {
 			lacks[d.Spec.Class] = lack
 			waiting = append(waiting, n.waitingTasks(j, i, &d, prioritized[i], now))
@@ -89,9 +91,9 @@
 	return prioritized
 }
 
-// waitingTasks describes a demand of a job for the division of floors, by its index in the list of demands.
+// waitingTasks describes a demand, with its index in the list of demands, for the division of the floors among tasks.
 func (n *Node) waitingTasks(j *job, index int, d *jobstate.Demand, prioritized int, now time.Time) *admission.WaitingTasks {
-	goal, late := n.nextObjective(j, now)
+	objective, late := n.nextObjective(j, now)
 	return &admission.WaitingTasks{
 		Index:       index,
 		Class:       d.Spec.Class,
@@ -99,13 +101,13 @@
 		TaskCPUs:    d.Spec.CPUs,
 		Gang:        d.Spec.Kind == protocol.Gang,
 		Late:        late,
-		StartBy:     goal.Add(-d.Spec.RunTime()),
+		StartBy:     objective.Add(-d.Spec.RunTime()),
 		SubmittedAt: j.submittedAt,
 		Prioritized: prioritized,
 	}
 }
 
-// planStatus is what this controller sends of plans in its status.
+// planStatus returns the part of this controller's status that concerns admission plans.
 func (n *Node) planStatus() admission.PlanStatus {
 	w := admission.PlanStatus{Latest: n.admission.agreement.Latest()}
 	if n.admission.planner != nil && n.shards.OwnsFleet() {
@@ -114,7 +116,7 @@
 	return w
 }
 
-// onPlanStatus takes in what a peer sends of plans in its status.
+// onPlanStatus applies the part of a peer's status that concerns admission plans.
 func (n *Node) onPlanStatus(node string, incarnation uint64, p *peerState, w *admission.PlanStatus) {
 	p.admissionPlan = w.Latest
 	if n.leadership.Record() == nil {
@@ -128,7 +130,7 @@
 	}
 }
 
-// logPlanInForce logs a plan that came into force here.
+// logPlanInForce logs the plan in force here if it differs from the one before.
 func (n *Node) logPlanInForce(before *admission.Plan) {
 	now := n.admission.agreement.InForce()
 	if now == before || before != nil && now.Same(before) || before == nil && now.Same(&admission.Plan{}) {
@@ -139,7 +141,7 @@
 	n.wake()
 }
 
-// reservedPerClass counts the machines that a plan holds, by class.
+// reservedPerClass counts the machines that a plan reserves, by class.
 func reservedPerClass(p *admission.Plan) map[string]int {
 	count := map[string]int{}
 	for _, class := range p.Reserved {
@@ -148,7 +150,8 @@
 	return count
 }
 
-// updatePlan has the fleet's owner make the plans, from every machine's status and from what all owners say waits.
+// updatePlan makes or advances the admission plan, as the fleet's owner does, from the status of all machines and the
+// demands of all teams.
 func (n *Node) updatePlan(machines []autoscaler.Machine, demands []autoscaler.Demand, now time.Time) {
 	fleet := n.leadership.Record().Shards[leadership.FleetShard]
 	if n.admission.planner == nil || n.admission.planner.SinceTerm() != fleet.SinceTerm {
@@ -165,7 +168,7 @@
 	}
 }
 
-// latestPlans is the latest plan that each other member has received.
+// latestPlans returns the ID of the latest plan that each other member has received.
 func (n *Node) latestPlans() map[string]admission.ID {
 	members := map[string]admission.ID{}
 	for name := range n.leadership.Record().Nodes {
@@ -176,7 +179,7 @@
 	return members
 }
 
-// planInputs is what a plan is made from.
+// planInputs collects the teams' quotas, needs and machines that a plan is computed from.
 func (n *Node) planInputs(machines []autoscaler.Machine, demands []autoscaler.Demand, now time.Time) *admission.Inputs {
 	in := &admission.Inputs{Teams: n.quotas(), Weights: n.admission.weights}
 	needs := admission.NewNeeds(arrivalWindow)
@@ -196,7 +199,7 @@
 	return in
 }
 
-// quotas is what each team is guaranteed, and its limit if it has one.
+// quotas returns each team's guaranteed CPUs, and its limit if it has one.
 func (n *Node) quotas() map[string]admission.Quota {
 	teams := map[string]admission.Quota{}
 	for _, t := range n.teams() {
@@ -209,11 +212,11 @@
 	return teams
 }
 
-// addWaiting adds what waits.
+// addWaiting adds the waiting tasks to the needs.
 func addWaiting(needs *admission.Needs, demands []autoscaler.Demand) {
 	for i := range demands {
 		d := &demands[i]
-		needs.AddWaiting(keyOf(d.Spec), admission.Waiting{
+		needs.AddWaiting(admissionKey(d.Spec), admission.Waiting{
 			CPUs:            float64(d.Count)*d.Spec.CPUs + d.CPUsBeyondQuota,
 			Rank:            protocol.Rank(d.Spec.Priority),
 			TaskCPUs:        d.Spec.CPUs,
@@ -223,16 +226,16 @@
 	}
 }
 
-// addUsed adds what the tasks on a machine hold.
+// addUsed adds the CPUs of the tasks on a machine to the needs.
 func (n *Node) addUsed(needs *admission.Needs, m *machine) {
 	for _, t := range m.status.Tasks {
 		if j := n.jobs[t.Job]; j != nil && t.State != protocol.Exited {
-			needs.AddUsed(keyOf(j.spec), j.spec.CPUs)
+			needs.AddUsed(admissionKey(j.spec), j.spec.CPUs)
 		}
 	}
 }
 
-// admissionMachine describes a machine for a plan, if the plan may count on it.
+// admissionMachine describes a machine for a plan; ok is false if the plan must not count on it.
 func (n *Node) admissionMachine(m *autoscaler.Machine, known *machine, now time.Time) (planned admission.Machine, ok bool) {
 	cpus, _, memory, ok := n.scheduler.Capacity(m.Type)
 	if !ok || m.SpotNotice || m.Faulty || n.provisioner.draining()[m.Name] || now.Sub(known.LastSign()) > n.unreachableHomes.Timing().RedirectTimeout {
@@ -246,32 +249,33 @@
 	return planned, true
 }
 
-// addArrivals adds the jobs that were submitted lately.
+// addArrivals adds the work of newly submitted jobs to the needs.
 func (n *Node) addArrivals(needs *admission.Needs, now time.Time) {
 	for _, j := range n.jobs {
 		if j.spec.Kind != protocol.Service {
 			work := float64(j.spec.Tasks) * j.spec.CPUs * j.spec.EstimateSeconds
-			needs.AddArrival(keyOf(j.spec), work, now.Sub(j.submittedAt))
+			needs.AddArrival(admissionKey(j.spec), work, now.Sub(j.submittedAt))
 		}
 	}
 }
 
-// recordServed counts something for a job's team and class, if this controller owns the team.
+// recordServed updates the counts of a job's team and class, if this controller owns the team.
 func (n *Node) recordServed(s *protocol.Submission, now time.Time, what func(*admission.Count)) {
 	if n.shards.OfTeam(s.Team) != nil {
-		n.admission.served.Record(keyOf(s), now, what)
+		n.admission.served.Record(admissionKey(s), now, what)
 	}
 }
 
+// recordStarted counts a task that was first reported running.
 func (n *Node) recordStarted(s *protocol.Submission, now time.Time) {
 	n.recordServed(s, now, func(c *admission.Count) { c.Started++ })
 }
 
-// recordCompleted counts a job that is done.
+// recordCompleted counts a completed job as in time or late, unless it was counted as late before.
 func (n *Node) recordCompleted(s *protocol.Submission, now time.Time) {
 	j := n.jobs[s.UID]
 	n.recordServed(s, now, func(c *admission.Count) {
-		if c.Done++; j != nil && !j.countedLate && !n.missedGoal(j, now) {
+		if c.Done++; j != nil && !j.countedLate && !n.missedObjective(j, now) {
 			c.InTime++
 		} else if j != nil && !j.countedLate {
 			c.Late++
@@ -279,16 +283,17 @@
 	})
 }
 
-// missedGoal says whether a job's first goal has passed.
-func (n *Node) missedGoal(j *job, now time.Time) bool {
-	goals := n.objectives(j)
-	return len(goals) > 0 && now.After(goals[0])
+// missedObjective returns whether a job's first objective has passed.
+func (n *Node) missedObjective(j *job, now time.Time) bool {
+	objectives := n.objectives(j)
+	return len(objectives) > 0 && now.After(objectives[0])
 }
 
 // lateCountInterval is the least time between two counts of late jobs.
 const lateCountInterval = 2 * time.Second
 
-// countLateJobs counts the own jobs that have missed their first goal, and logs which keys are poorly served.
+// countLateJobs counts the jobs of teams owned here that have missed their first objective, and logs the keys that are
+// poorly served.
 func (n *Node) countLateJobs(now time.Time) {
 	if now.Sub(n.admission.lateCountedAt) < lateCountInterval {
 		return
@@ -299,7 +304,7 @@
 			continue
 		}
 		shard.Team().Jobs(func(tj *jobstate.Job) {
-			if j := n.jobs[tj.Spec.UID]; j != nil && j.active && !j.countedLate && n.missedGoal(j, now) {
+			if j := n.jobs[tj.Spec.UID]; j != nil && j.active && !j.countedLate && n.missedObjective(j, now) {
 				j.countedLate = true
 				n.recordServed(j.spec, now, func(c *admission.Count) { c.Late++ })
 			}
@@ -308,7 +313,7 @@
 	n.logPoorlyServed(now)
 }
 
-// logPoorlyServed logs the keys of whose jobs less than half were in time.
+// logPoorlyServed logs the keys with less than half of their jobs in time.
 func (n *Node) logPoorlyServed(now time.Time) {
 	poorlyServed := n.admission.served.PoorlyServed(now)
 	if len(poorlyServed) == 0 {
@@ -317,12 +322,12 @@
 	counts := n.admission.served.Counts(now)
 	for _, k := range poorlyServed {
 		c := counts[k]
-		n.log.Info("less than half is served in time", "team", k.Team, "class", k.Class, "in_time", c.InTime, "late", c.Late,
+		n.log.Info("less than half of the jobs in time", "team", k.Team, "class", k.Class, "in_time", c.InTime, "late", c.Late,
 			"started", c.Started, "floor", n.admission.agreement.InForce().Floor(k))
 	}
 }
 
-// admissionStatus sums up admission for operators.
+// admissionStatus summarises admission for the overview.
 func (n *Node) admissionStatus(now time.Time) admission.Status {
 	wait, _ := n.kvStore.UrgentDelay()
 	status := admission.Status{Refused: n.admission.rateLimiter.Rejected(), Pressure: wait.Seconds()}
@@ -352,7 +357,7 @@
 	byKey map[admission.Key]*admission.KeyStatus
 }
 
-// of finds or makes the status of a key.
+// of returns the status of a key, and adds an empty one if there is none.
 func (s *keyStatuses) of(k admission.Key) *admission.KeyStatus {
 	if s.byKey[k] == nil {
 		s.byKey[k] = &admission.KeyStatus{Key: k, Share: 1, Floor: s.plan.Floor(k)}
@@ -360,13 +365,13 @@
 	return s.byKey[k]
 }
 
-// addTeamStatus adds what the classes of an own team use and what waits in them.
+// addTeamStatus adds what the classes of a team owned here use, and the tasks that wait in them.
 func (n *Node) addTeamStatus(keys *keyStatuses, name string, team *jobstate.Team, now time.Time) {
 	for class, cpus := range team.Quota().CPUsByClass() {
 		keys.of(admission.Key{Team: name, Class: class}).Held = cpus
 	}
 	for _, d := range team.Quota().Demands(now) {
-		x := keys.of(keyOf(d.Spec))
+		x := keys.of(admissionKey(d.Spec))
 		x.Waiting += d.Count + int(d.BeyondQuotaCPUs/max(d.Spec.CPUs, 1e-9)+0.5)
 		if j := n.jobs[d.Spec.UID]; j != nil {
 			x.Oldest = max(x.Oldest, now.Sub(j.submittedAt).Seconds())
--- a/internal/controller/autoscaling.go
+++ b/internal/controller/autoscaling.go
@@ -14,26 +14,26 @@
 	"topazhollow/internal/settings"
 )
 
-// provisionInterval is how often the fleet's owner decides what to acquire and to release.
+// provisionInterval is how often the fleet's owner decides which machines to acquire and to release.
 const provisionInterval = 500 * time.Millisecond
 
-// maxOpenRequests is how many scale-out requests are paced or under way at a time. The others
-// wait for their turn, and are dropped when it comes if their place refused one meanwhile:
-// they would hold up more urgent ones.
+// maxOpenRequests is how many scale-out requests wait for the rate limit or are in flight at a time. The others wait
+// for a slot, and are dropped when they get one if the cloud has refused a request for the same place meanwhile: they
+// would delay more urgent requests.
 const maxOpenRequests = 2
 
-// heartbeatAnswerTime is how long a worker waits for the answer to a report, and until it tries the
+// heartbeatAnswerTimeout is how long an agent waits for the answer to a heartbeat, plus the pause until it tries the
 // next controller.
-const heartbeatAnswerTime = 6 * time.Second
+const heartbeatAnswerTimeout = 6 * time.Second
 
-// provisioner carries out what a provisioning.Account decides.
+// provisioner sends the cloud the requests that a provisioning.Account decides on.
 type provisioner struct {
 	account  *provisioning.Account
-	turns    chan struct{} // holds one element for each scale-out request under way
+	slots    chan struct{} // holds one element for each open scale-out request
 	loggedAt time.Time     // when the log last described the whole fleet
 }
 
-// draining is the machines that no task should go to; none without a provisioner.
+// draining returns the machines that no task should be placed on; none if there is no provisioner.
 func (p *provisioner) draining() map[string]bool {
 	if p == nil {
 		return nil
@@ -41,7 +41,7 @@
 	return p.account.Draining()
 }
 
-// slowPlaces are the places where machines come up late; none without a provisioner.
+// slowPlaces returns the places where machines come up late; none if there is no provisioner.
 func (p *provisioner) slowPlaces() []string {
 	if p == nil {
 		return nil
@@ -49,7 +49,7 @@
 	return p.account.SlowPlaces()
 }
 
-// runFleet acquires and releases machines while this controller owns the fleet.
+// runFleet runs provision at every interval until the context ends.
 func (n *Node) runFleet(ctx context.Context) error {
 	for sleep(ctx, provisionInterval) {
 		now := time.Now()
@@ -60,7 +60,8 @@
 	return nil
 }
 
-// provision decides once and begins what was decided, if this controller owns the fleet and may act.
+// provision decides once which machines to acquire and release, and starts the requests, if this controller owns the
+// fleet and may act.
 func (n *Node) provision(now time.Time) {
 	shard := n.shards.Owned(leadership.FleetShard)
 	if shard == nil {
@@ -90,15 +91,15 @@
 	}, now)
 	before := p.account.SlowPlaces()
 	if p.account.UpdateSlowPlaces(actions.SlowPlaces) {
-		n.log.Info("places where machines come up late", "before", before, "now", actions.SlowPlaces)
+		n.log.Info("slow places changed", "before", before, "now", actions.SlowPlaces)
 	}
 	n.logFleet(p, machines, demands, actions.Retired, now)
 	n.updatePlan(machines, demands, now)
-	n.carryOut(p, &actions)
+	n.startActions(p, &actions)
 }
 
-// carryOut begins what was decided.
-func (n *Node) carryOut(p *provisioner, actions *provisioning.Actions) {
+// startActions starts the requests and removals that were decided.
+func (n *Node) startActions(p *provisioner, actions *provisioning.Actions) {
 	p.account.StartDraining(actions.Drain)
 	n.requestScaleIn(p.account, actions.ScaleIn)
 	n.removeGoneMachines()
@@ -110,7 +111,7 @@
 	}
 }
 
-// newProvisioner begins the account of this controller as the fleet's owner.
+// newProvisioner creates a provisioner for a term of ownership, which continues the account of an earlier one.
 func (n *Node) newProvisioner(sinceTerm uint64, now time.Time) *provisioner {
 	options := provisioning.Options{
 		SinceTerm: sinceTerm,
@@ -120,7 +121,7 @@
 	}
 	p := &provisioner{
 		account: provisioning.New(options, now),
-		turns:   make(chan struct{}, maxOpenRequests),
+		slots:   make(chan struct{}, maxOpenRequests),
 	}
 	if n.provisioner != nil {
 		p.account.Continue(n.provisioner.account)
@@ -128,7 +129,7 @@
 	return p
 }
 
-// fleetOptions derives from the settings what the fleet's decisions go by.
+// fleetOptions derives the autoscaler's options from the settings.
 func (n *Node) fleetOptions() autoscaler.Options {
 	deployment := &n.settings.Deployment
 	lease := settings.Seconds(deployment.Agents.LeaseSeconds)
@@ -138,18 +139,17 @@
 		Warm:           n.options.WarmMachines,
 		SafetyRunTimes: n.options.Haste,
 		SpotShare:      n.options.SpotShare,
-		// Lists may be twice as old as their lag, and a heartbeat may be late.
+		// A list may be twice as old as the list lag, and a heartbeat may be late.
 		UnlistedTimeout: settings.Seconds(2*deployment.Cloud.ListLagSeconds) + time.Second,
-		BarrierTimeout:  settings.Seconds(2*deployment.Agents.HeartbeatSeconds) + heartbeatAnswerTime,
+		BarrierTimeout:  settings.Seconds(2*deployment.Agents.HeartbeatSeconds) + heartbeatAnswerTimeout,
 		OverdueTimeout:  n.unreachableHomes.Timing().HeartbeatOverdue + time.Second,
 		SilenceTimeout:  min(lease+4*time.Second, cancel/2),
-		// What runs in a zone that is cut off is kept alive there for no longer than this.
+		// Tasks in a zone that is cut off are kept alive there for no longer than this.
 		CutZoneTimeout: cancel,
 	}
 }
 
-// readCloudList reads the cloud's list if it is due, and has the machines probed that
-// barriers wait for.
+// readCloudList reads the cloud's list of machines if it is due, and then probes the machines that barriers wait for.
 func (n *Node) readCloudList(account *provisioning.Account, now time.Time) {
 	if !account.BeginListing(now) {
 		return
@@ -171,11 +171,11 @@
 	})
 }
 
-// requestScaleOut sends one scale-out request when its turn comes.
+// requestScaleOut sends one scale-out request when it has a slot, unless it has become obsolete by then.
 func (n *Node) requestScaleOut(ctx context.Context, p *provisioner, request protocol.ScaleOutRequest) {
 	select {
-	case p.turns <- struct{}{}:
-		defer func() { <-p.turns }()
+	case p.slots <- struct{}{}:
+		defer func() { <-p.slots }()
 	case <-ctx.Done():
 		return
 	}
@@ -188,20 +188,20 @@
 	names, err := n.cloud.ScaleOut(ctx, request)
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.log.Info("rent", "request", request.Request, "type", request.Type, "zone", request.Zone, "spot", request.Spot,
+	n.log.Info("scale-out request completed", "request", request.Request, "type", request.Type, "zone", request.Zone, "spot", request.Spot,
 		"count", request.Count, "got", len(names), "err", err)
 	p.account.ScaleOutAnswered(request, names, err == nil || errors.Is(err, cloud.ErrNoCapacity), time.Now())
 }
 
-// requestScaleIn asks the cloud to take machines back. Only its confirmation ends what may
-// be on them.
+// requestScaleIn asks the cloud to take machines back. Only the cloud's confirmation proves that no task runs on them
+// any more.
 func (n *Node) requestScaleIn(account *provisioning.Account, names []string) {
 	if len(names) == 0 {
 		return
 	}
 	n.group.Go(func() error {
 		err := n.cloud.ScaleIn(n.ctx, names)
-		n.log.Info("return", "machines", names, "err", err)
+		n.log.Info("scale-in request completed", "machines", names, "err", err)
 		n.mu.Lock()
 		defer n.mu.Unlock()
 		if err != nil {
@@ -216,7 +216,7 @@
 	})
 }
 
-// removeGoneMachines takes gone machines off the roster, one batch of writes at a time.
+// removeGoneMachines removes gone machines from the roster, one batch of writes at a time.
 func (n *Node) removeGoneMachines() {
 	writes := n.registration.BeginRemoval(n.roster, n.isGone)
 	if len(writes) == 0 {
--- a/internal/controller/autoscaling_inputs.go
+++ b/internal/controller/autoscaling_inputs.go
@@ -12,17 +12,15 @@
 	"topazhollow/internal/provisioning"
 )
 
-// What the fleet's owner knows, as inputs of its decisions.
+// The inputs of the fleet owner's decisions.
 
 // fleetLogInterval is how often the log describes the whole fleet.
 const fleetLogInterval = 20 * time.Second
 
-// peerStatusLife is for how long after its last status what a peer says of demands and barriers
-// counts.
+// peerStatusLife is how long the demands and barriers of a peer's last status count.
 const peerStatusLife = 3 * time.Second
 
-// fleetMachines describes every machine that is listed, registered, reporting or acquired
-// lately.
+// fleetMachines describes every machine that is listed by the cloud, registered, sending heartbeats, or newly acquired.
 func (n *Node) fleetMachines(account *provisioning.Account, now time.Time) []autoscaler.Machine {
 	n.scheduler.InvalidateMachines((*schedulerSnapshot)(n).TakeChangedMachines())
 	known := func(yield func(string) bool) {
@@ -32,7 +30,7 @@
 			}
 		}
 	}
-	awaited, mute := n.awaited(now)
+	awaited, unanswered := n.awaited(now)
 	candidates := account.Candidates(known)
 	observations := make([]provisioning.Observation, 0, len(candidates))
 	for _, name := range candidates {
@@ -41,13 +39,13 @@
 			continue
 		}
 		observed := n.observeMachine(m, name, now)
-		observed.Machine.AwaitedByBarrier, observed.Machine.ProbeUnanswered = awaited[name], mute[name]
+		observed.Machine.AwaitedByBarrier, observed.Machine.ProbeUnanswered = awaited[name], unanswered[name]
 		observations = append(observations, observed)
 	}
 	return account.Describe(observations, now)
 }
 
-// observeMachine is what the controllers know of a machine.
+// observeMachine describes a machine by its last known status, the room left on it, and its running tasks.
 func (n *Node) observeMachine(m *machine, name string, now time.Time) provisioning.Observation {
 	observed := provisioning.Observation{Reported: m.status != nil, Machine: autoscaler.Machine{
 		Name:          name,
@@ -73,7 +71,7 @@
 	return observed
 }
 
-// runningTaskOf is the room that a task on a machine takes, and for how long it probably does.
+// runningTaskOf describes the resources that a task on a machine takes, and the estimated time until it ends.
 func (n *Node) runningTaskOf(machine string, spec *protocol.Submission, ref jobstate.AttemptRef, now time.Time) autoscaler.RunningTask {
 	left := max(spec.EstimateSeconds, 1)
 	if spec.Kind == protocol.Service {
@@ -90,36 +88,35 @@
 	}
 }
 
-// homeUnreachable says whether a machine's home is another member that holds its lease but is not
-// reachable from here, as when connections between controllers are refused. Then nothing that happens
-// on the machine is known here either.
+// homeUnreachable returns whether a machine's home is another member that holds its lease but is not reachable from
+// this controller, as when connections between controllers are refused. In that case this controller receives no status
+// of the machine either.
 func (n *Node) homeUnreachable(name string, now time.Time) bool {
 	home := n.homeOf(name)
 	p := n.peers[home]
 	return p != nil && n.leadership.Record().IsMember(home, n.leadership.Presence(home).Incarnation) && !p.isReachable(now)
 }
 
-// awaited is the machines that any owner's barrier waits for, and those that did not answer
-// their home's probe.
-func (n *Node) awaited(now time.Time) (awaited, mute map[string]bool) {
-	awaited, mute = map[string]bool{}, map[string]bool{}
+// awaited returns the machines that any owner's barrier waits for, and those that did not answer their home's probe.
+func (n *Node) awaited(now time.Time) (awaited, unanswered map[string]bool) {
+	awaited, unanswered = map[string]bool{}, map[string]bool{}
 	add := func(to map[string]bool, names []string) {
 		for _, name := range names {
 			to[name] = true
 		}
 	}
 	add(awaited, n.shards.AwaitedMachines())
-	add(mute, n.unanswered())
+	add(unanswered, n.unanswered())
 	for _, p := range n.peers {
 		if now.Sub(p.lastMessageAt) < peerStatusLife {
 			add(awaited, p.awaitedMachines)
-			add(mute, p.unansweredMachines)
+			add(unanswered, p.unansweredMachines)
 		}
 	}
-	return awaited, mute
+	return awaited, unanswered
 }
 
-// fleetDemands lists the room that waiting tasks of all teams ask for, most urgent first.
+// fleetDemands lists the demands of all teams, most urgent first.
 func (n *Node) fleetDemands(now time.Time) []autoscaler.Demand {
 	list := n.appendFleetDemands(nil, n.demands(now), now)
 	for _, name := range slices.Sorted(maps.Keys(n.peers)) {
@@ -155,10 +152,11 @@
 	return list
 }
 
-// arrivalWindow is the time over which what comes is counted.
+// arrivalWindow is how far back submitted jobs count as arrivals.
 const arrivalWindow = time.Minute
 
-// arrivals is how many CPUs the jobs that came of late keep busy.
+// arrivals returns the CPUs, by priority rank, that the jobs submitted within the last arrivalWindow keep busy on
+// average.
 func (n *Node) arrivals(now time.Time) autoscaler.Arrivals {
 	in := autoscaler.Arrivals{}
 	for _, j := range n.jobs {
@@ -170,10 +168,11 @@
 	return in
 }
 
-// dueTime is when a job should be complete for what the fleet acquires. What is late anyway is not
-// worth more machines at once than a new one takes to come up.
+// dueTime returns when a job should be complete, by which the autoscaler decides how many machines to acquire. A job
+// that is already late is due a minute later than its safety time: more machines at once would not help it, as a new
+// machine takes about that long to come up.
 func (n *Node) dueTime(j *job, now time.Time) time.Time {
-	goal, late := n.nextObjective(j, now)
+	objective, late := n.nextObjective(j, now)
 	haste := time.Duration(n.options.Haste * float64(j.spec.RunTime()))
 	switch {
 	case late:
@@ -181,7 +180,7 @@
 	case len(n.objectives(j)) == 0:
 		return j.submittedAt.Add(haste + 5*time.Second)
 	}
-	return goal
+	return objective
 }
 
 // fleetSummary describes the whole fleet for the log.
@@ -191,7 +190,7 @@
 	freeCPUs, allCPUs         float64 // of machines that are up
 }
 
-// logFleet logs what the fleet looks like, so that an incident can be followed from the log
+// logFleet logs a summary of the fleet at every fleetLogInterval, so that an incident can be followed from the log
 // alone.
 func (n *Node) logFleet(p *provisioner, machines []autoscaler.Machine, demands []autoscaler.Demand, retired int, now time.Time) {
 	if now.Sub(p.loggedAt) < fleetLogInterval {
@@ -204,7 +203,7 @@
 		"free_share", freeShare, "tasks_running", s.running, "tasks_pulling", s.pulling, "tasks_waiting", s.waiting)
 }
 
-// summarise sums up machines and waiting tasks.
+// summarise counts machines and tasks by state, and sums up the CPUs.
 func (n *Node) summarise(machines []autoscaler.Machine, demands []autoscaler.Demand, now time.Time) (s fleetSummary) {
 	for i := range machines {
 		m := n.machines[machines[i].Name]
@@ -236,7 +235,7 @@
 	return s
 }
 
-// specInZone is a job's description with its tasks bound to a zone; "" binds nothing.
+// specInZone returns a job's specification with its tasks bound to a zone, or unchanged if the zone is "".
 func specInZone(spec *protocol.Submission, zone string) *protocol.Submission {
 	if zone == "" {
 		return spec
--- a/internal/controller/barrierprobe_test.go
+++ b/internal/controller/barrierprobe_test.go
@@ -44,7 +44,7 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	n.group, n.ctx = &errgroup.Group{}, ctx
-	learnRecord(n, bare("127.0.0.1:1").leadership.Record())
+	learnRecord(n, newStoppedNode("127.0.0.1:1").leadership.Record())
 	n.leadership.Record().Nodes = map[string]uint64{"node-a": n.incarnation, "node-b": 1}
 	n.agents.SetTerm(5, func(string) bool { return true })
 	probe := func() {
--- a/internal/controller/capacity_bench_test.go
+++ b/internal/controller/capacity_bench_test.go
@@ -16,14 +16,14 @@
 	"topazhollow/internal/provisioning"
 )
 
-// The benchmarks of this file give the processor time of single roles at sizes that a whole run on one
-// machine does not reach; docs/CAPACITY.md cites them.
+// The benchmarks of this file measure the processor time of single roles of a controller, at sizes that a whole
+// deployment on one machine cannot reach; docs/CAPACITY.md cites them.
 
-// fleetSizes are the numbers of machines that roles are measured at.
+// fleetSizes are the numbers of machines that roles are measured with.
 var fleetSizes = []int{500, 1000, 2000, 4000, 8000, 15000}
 
-// processorTime repeats work and reports the processor time of one time, which other programs on the machine
-// disturb less than the time of day.
+// processorTime repeats work and reports the processor time per run, which other programs on the machine affect less
+// than the elapsed time.
 func processorTime(b *testing.B, work func()) {
 	spent := func() time.Duration {
 		var use syscall.Rusage
@@ -47,7 +47,8 @@
 	return tasks
 }
 
-// BenchmarkCapacityReport is a home's part in one report: parsed, taken in as a change, and told as a view.
+// BenchmarkCapacityReport measures a home's work for one heartbeat: decoding it, applying it as a change, and encoding
+// the machine's status for the peers.
 func BenchmarkCapacityReport(b *testing.B) {
 	for _, tasks := range []int{1, 4, 8, 16, 26} {
 		b.Run(fmt.Sprintf("tasks=%d", tasks), func(b *testing.B) {
@@ -72,8 +73,8 @@
 	}
 }
 
-// BenchmarkCapacityView is one controller's part in a view that a peer tells: every controller takes in every
-// machine's. Teams are those that it owns.
+// BenchmarkCapacityView measures a controller's work for one machine status from a peer. Every controller receives the
+// statuses of all machines. Teams is the number of teams that it owns.
 func BenchmarkCapacityView(b *testing.B) {
 	for _, c := range []struct{ machines, teams, tasks int }{
 		{500, 3, 1}, {4000, 3, 1}, {15000, 3, 1},
@@ -82,7 +83,7 @@
 	} {
 		b.Run(fmt.Sprintf("machines=%d/teams=%d/tasks=%d", c.machines, c.teams, c.tasks), func(b *testing.B) {
 			g := newNodeHarness(c.machines, c.teams)
-			view := *g.views[g.machineNames[0]]
+			view := *g.statuses[g.machineNames[0]]
 			view.Tasks = busyTasks(c.tasks)
 			body := protocol.Encode([]*jobstate.MachineStatus{&view})
 			g.n.mu.Lock()
@@ -100,8 +101,8 @@
 	}
 }
 
-// BenchmarkCapacityBarrier is a view that comes while 17 own items wait at a full barrier for every machine, as after
-// an end of all controllers.
+// BenchmarkCapacityBarrier measures the work for one machine status while 17 owned shards wait at a full barrier for
+// every machine, as after a crash of all controllers.
 func BenchmarkCapacityBarrier(b *testing.B) {
 	for _, machines := range fleetSizes {
 		b.Run(fmt.Sprintf("machines=%d", machines), func(b *testing.B) {
@@ -111,7 +112,7 @@
 			}
 			g.n.mu.Lock()
 			defer g.n.mu.Unlock()
-			view := *g.views[g.machineNames[0]]
+			view := *g.statuses[g.machineNames[0]]
 			processorTime(b, func() {
 				view.Seq++
 				next := view
@@ -121,7 +122,7 @@
 	}
 }
 
-// BenchmarkCapacityStep is one step of a controller in which nothing is to be done, by machines and own teams.
+// BenchmarkCapacityStep measures one idle step of the main loop, by the numbers of machines and owned teams.
 func BenchmarkCapacityStep(b *testing.B) {
 	for _, c := range []struct{ machines, teams int }{{500, 3}, {4000, 3}, {15000, 3}, {1000, 20}, {1000, 100}, {1000, 317}, {1000, 950}} {
 		b.Run(fmt.Sprintf("machines=%d/teams=%d", c.machines, c.teams), func(b *testing.B) {
@@ -135,8 +136,8 @@
 	}
 }
 
-// BenchmarkCapacityPlace is what each step that places anything begins with, a copy of every machine with room,
-// and the choice of one of them.
+// BenchmarkCapacityPlace measures what each step that places a task begins with: copying every machine with room, and
+// choosing one of them.
 func BenchmarkCapacityPlace(b *testing.B) {
 	for _, machines := range fleetSizes {
 		b.Run(fmt.Sprintf("machines=%d", machines), func(b *testing.B) {
@@ -153,7 +154,7 @@
 	}
 }
 
-// BenchmarkCapacityFleet is one look of the fleet's owner, twice a second, at machines that all are up.
+// BenchmarkCapacityFleet measures one decision of the fleet's owner, made twice a second, with all machines up.
 func BenchmarkCapacityFleet(b *testing.B) {
 	for _, machines := range fleetSizes {
 		b.Run(fmt.Sprintf("machines=%d", machines), func(b *testing.B) {
@@ -173,27 +174,27 @@
 	}
 }
 
-// BenchmarkCapacityRecord is what a controller does with the membership record: ten times a second it looks whether
-// it should change it (proposal), and with each new term it finds the home of every machine (homes).
+// BenchmarkCapacityRecord measures a controller's work on the membership record: ten times a second it checks whether
+// to change the record (proposal), and with each new term it computes the home of every machine (homes).
 func BenchmarkCapacityRecord(b *testing.B) {
 	for _, c := range []struct{ controllers, teams int }{{3, 8}, {3, 100}, {3, 317}, {3, 950}, {9, 950}, {17, 950}, {46, 8}, {46, 950}} {
 		record := (&leadership.Record{Term: 1}).Clone()
 		live := map[string]leadership.Presence{}
-		var items []string
+		var shardNames []string
 		for i := range c.controllers {
 			name := fmt.Sprintf("controller-%02d", i)
 			record.Nodes[name], live[name] = 1, leadership.Presence{Incarnation: 1, Version: 1}
 		}
 		for i := range c.teams {
-			items = append(items, fmt.Sprintf("team/team-%03d", i))
+			shardNames = append(shardNames, fmt.Sprintf("team/team-%03d", i))
 		}
-		for item, owner := range leadership.AssignOwners(items, record.Members()) {
-			record.Shards[item] = leadership.Shard{Owner: owner, SinceTerm: 1, InSync: record.Members()}
+		for shard, owner := range leadership.AssignOwners(shardNames, record.Members()) {
+			record.Shards[shard] = leadership.Shard{Owner: owner, SinceTerm: 1, InSync: record.Members()}
 		}
 		name := fmt.Sprintf("controllers=%d/teams=%d", c.controllers, c.teams)
 		b.Run("proposal/"+name, func(b *testing.B) {
 			processorTime(b, func() {
-				leadership.ReconcileMembers(record, items, live)
+				leadership.ReconcileMembers(record, shardNames, live)
 				leadership.UpdateShards(record, "controller-00", nil, true)
 			})
 			b.ReportMetric(float64(len(protocol.Encode(record))), "bytes")
@@ -214,8 +215,8 @@
 	}
 }
 
-// BenchmarkCapacityStatus is one status line, by the machines homed at its sender: made once and sent to each peer
-// twice a second at least, and taken in by each.
+// BenchmarkCapacityStatus measures one status message, by the number of machines homed at its sender: composed and
+// encoded once for all peers, at least twice a second (send), and decoded and applied by each of them (take).
 func BenchmarkCapacityStatus(b *testing.B) {
 	for _, homed := range []int{326, 1000, 2500, 5000} {
 		g := newNodeHarness(homed, 3)
@@ -249,20 +250,20 @@
 	}
 }
 
-// BenchmarkCapacityRecordLine is the membership record as one controller tells it another that knows an earlier one: made, and
-// taken in.
+// BenchmarkCapacityRecordLine measures the message that sends the membership record to a peer that knows an earlier
+// one: encoding it (made) and decoding it (taken).
 func BenchmarkCapacityRecordLine(b *testing.B) {
 	for _, c := range []struct{ controllers, teams int }{{3, 8}, {3, 950}, {46, 950}} {
 		record := (&leadership.Record{Term: 1}).Clone()
-		var items []string
+		var shardNames []string
 		for i := range c.controllers {
 			record.Nodes[fmt.Sprintf("controller-%02d", i)] = 1
 		}
 		for i := range c.teams {
-			items = append(items, fmt.Sprintf("team/team-%03d", i))
+			shardNames = append(shardNames, fmt.Sprintf("team/team-%03d", i))
 		}
-		for item, owner := range leadership.AssignOwners(items, record.Members()) {
-			record.Shards[item] = leadership.Shard{Owner: owner, SinceTerm: 1, InSync: record.ReplicaHolders(item, owner, func(string) bool { return true })}
+		for shard, owner := range leadership.AssignOwners(shardNames, record.Members()) {
+			record.Shards[shard] = leadership.Shard{Owner: owner, SinceTerm: 1, InSync: record.ReplicaHolders(shard, owner, func(string) bool { return true })}
 		}
 		line := protocol.Encode(recordMsg{1, protocol.Encode(record)})
 		name := fmt.Sprintf("controllers=%d/teams=%d", c.controllers, c.teams)
--- a/internal/controller/catalog.go
+++ b/internal/controller/catalog.go
@@ -5,15 +5,14 @@
 	"time"
 )
 
-// How long the machine types of the last read are used: by the fleet's owner, which needs
-// their prices, by the others, and after a read that failed.
+// How long after a read of the catalog it is read again.
 const (
-	ownerCatalogLife = 30 * time.Second
-	catalogLife      = 5 * time.Minute
-	catalogRetry     = time.Second
+	ownerCatalogLife = 30 * time.Second // by the fleet's owner, which needs current prices
+	catalogLife      = 5 * time.Minute  // by the other controllers
+	catalogRetry     = time.Second      // after a read that failed
 )
 
-// readCatalog keeps the machine types known.
+// readCatalog reads the cloud's catalog of machine types again and again until the context ends.
 func (n *Node) readCatalog(ctx context.Context) error {
 	for ctx.Err() == nil {
 		types, err := n.cloud.Catalog(ctx)
@@ -37,6 +36,7 @@
 	return nil
 }
 
+// taskSize returns what a task of a job takes; zeros if the job is not known.
 func (n *Node) taskSize(uid string) (cpus, gpus, memory float64) {
 	if j := n.jobs[uid]; j != nil {
 		return j.spec.CPUs, j.spec.GPUs, j.spec.MemoryGB
--- a/internal/controller/changesync.go
+++ b/internal/controller/changesync.go
@@ -9,28 +9,28 @@
 	"topazhollow/internal/userapi"
 )
 
-// What users ask about active jobs is answered from what this controller followed, once a read of the changes that began
-// after their request has come back: one such read serves all that asked before it, however many they are.
+// Users' requests about active jobs are answered from this controller's copy of the watched keys, after a read of the
+// changes that began after the request. One such read serves all requests that arrived before it began.
 
 const (
-	// changeReadInterval is the least time between the beginnings of two such reads.
+	// changeReadInterval is the least time from the start of one such read to the start of the next.
 	changeReadInterval = 30 * time.Millisecond
-	// maxChangeReads is how many may be under way.
+	// maxChangeReads is how many such reads may be in flight.
 	maxChangeReads = 4
 )
 
 var errChangesNotRead = errors.New("the state service did not answer")
 
-// changeReads collects those who wait for a read of the changes. Its channel needs no lock; what waits is guarded by
-// Node.mu.
+// changeReads collects the callers that wait for a read of the changes. Node.mu guards the waiting list; the channel
+// needs no lock.
 type changeReads struct {
-	requested chan struct{} // holds one request at most: it stands for all that wait
+	requested chan struct{} // holds at most one request, which stands for all waiting callers
 	waiting   []chan error
 }
 
 func newChangeReads() *changeReads { return &changeReads{requested: make(chan struct{}, 1)} }
 
-// request has a read begin soon.
+// request makes a read begin soon.
 func (r *changeReads) request() {
 	select {
 	case r.requested <- struct{}{}:
@@ -38,21 +38,23 @@
 	}
 }
 
-// wait returns a channel that gets the outcome of a read that begins after the call. The caller then makes a request.
+// wait returns a channel that receives the result of a read that begins after the call. The caller must then call
+// request.
 func (r *changeReads) wait() <-chan error {
 	done := make(chan error, 1)
 	r.waiting = append(r.waiting, done)
 	return done
 }
 
-// takeWaiting returns those whom the read that begins now serves.
+// takeWaiting removes and returns the channels that the read that begins now serves.
 func (r *changeReads) takeWaiting() []chan error {
 	waiting := r.waiting
 	r.waiting = nil
 	return waiting
 }
 
-// waitForChanges returns once this controller knows every change of the watched keys that was made before the call.
+// waitForChanges returns when this controller has applied every change of the watched keys that was made before the
+// call.
 func (n *Node) waitForChanges(ctx context.Context) error {
 	n.mu.Lock()
 	done := n.changeReads.wait()
@@ -66,7 +68,7 @@
 	}
 }
 
-// readChangesOnRequest reads the changes for those who wait for them, until the context ends.
+// readChangesOnRequest starts a read of the changes for each request, until the context ends.
 func (n *Node) readChangesOnRequest(ctx context.Context) error {
 	slots := make(chan struct{}, maxChangeReads)
 	for {
@@ -87,7 +89,7 @@
 	}
 }
 
-// beginChangeRead starts one read for all that wait now, and frees a slot when it is over.
+// beginChangeRead starts one read for all callers that wait now, and frees a slot when it has ended.
 func (n *Node) beginChangeRead(ctx context.Context, slots <-chan struct{}) {
 	n.mu.Lock()
 	waiting := n.changeReads.takeWaiting()
@@ -119,7 +121,7 @@
 	return nil
 }
 
-// applyChanges takes in all changes since a revision that was known before, by a read that began at a time.
+// applyChanges applies all changes after a known revision, as a read returned them that began at the given time.
 func (n *Node) applyChanges(ch *protocol.Changes, began time.Time) {
 	for _, e := range ch.Events {
 		n.applyChange(e)
@@ -128,10 +130,10 @@
 	n.recordFullRead(began)
 }
 
-// recordFullRead notes that all that the key-value store had when a read began was taken in. After a loss that is not all
-// that was confirmed, until what every controller remembers is gathered.
+// recordFullRead records that everything in the state service at the start of a read is now known here. After a loss of
+// data that does not include all confirmed cancellations until the memories of all controllers are gathered.
 func (n *Node) recordFullRead(began time.Time) {
-	n.noteConfigRead(began)
+	n.recordConfigRead(began)
 	if n.trusted() && n.memoriesGathered(time.Now()) {
 		n.cancelWatermark.RecordRead(began)
 	}
--- a/internal/controller/changesync_test.go
+++ b/internal/controller/changesync_test.go
@@ -16,8 +16,8 @@
 	"topazhollow/internal/userapi"
 )
 
-// bare is a controller of team red that runs none of its duties.
-func bare(addr string) *Node {
+// newStoppedNode returns a controller with the team red, none of whose goroutines run.
+func newStoppedNode(addr string) *Node {
 	s := &settings.Settings{Name: "node-a", Outside: settings.Outside{KVStore: addr},
 		Deployment: settings.Deployment{Teams: []settings.Team{{Name: "red", CPUsMax: 8}},
 			KVStore: settings.KVStore{RequestsPerSecond: 2000, ChangesPerSecond: 2000, ChangesPerTransaction: 8, ValueKB: 8}, Cloud: settings.Cloud{RequestsPerSecond: 1}}}
@@ -26,15 +26,16 @@
 	return n
 }
 
-// TestWaitForChangesSeesEarlierChanges: what a user was told by one controller, another must know when it answers a request
-// that came later, even if its watch lags. Many ask at once; each must see at least what was written before it asked.
+// TestWaitForChangesSeesEarlierChanges: once a user has an answer from one controller, every controller must know the
+// answer's contents when it answers a later request, even if its watch lags. Of many concurrent callers each must see
+// at least the changes that were written before its call.
 func TestWaitForChangesSeesEarlierChanges(t *testing.T) {
 	srv, err := simulation.NewKVStore(8, 16)
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer srv.Close()
-	n := bare(srv.Addr())
+	n := newStoppedNode(srv.Addr())
 	ctx, cancel := context.WithCancel(context.Background())
 	group := &errgroup.Group{}
 	defer func() {
@@ -42,7 +43,7 @@
 		_ = group.Wait()
 	}()
 	n.group, n.ctx = group, ctx
-	n.watchedKeysRead = true // of an empty store; nothing follows the watch
+	n.watchedKeysRead = true // of an empty store; no goroutine watches for changes
 	other := kvstore.New(srv.Addr(), settings.KVStore{RequestsPerSecond: 2000, ChangesPerSecond: 2000, ChangesPerTransaction: 8, ValueKB: 8}, 1)
 	group.Go(func() error { return other.Run(ctx) })
 	group.Go(func() error { return n.readChangesOnRequest(ctx) })
--- a/internal/controller/commands.go
+++ b/internal/controller/commands.go
@@ -9,21 +9,22 @@
 	"topazhollow/internal/protocol"
 )
 
-// Commands that can't wait for an agent's next heartbeat are sent by a request, one at a time for each agent.
+// Urgent commands are sent to an agent in a request of their own instead of the answer to its next heartbeat, one
+// request at a time for each agent.
 
 const (
 	commandTimeout     = 3 * time.Second
 	maxCommandResponse = 1 << 20 // bytes
 )
 
-// commandSender sends commands to one agent over one ordered connection, in a goroutine of its own.
+// commandSender sends commands to one agent over one connection, in order, from a goroutine of its own.
 type commandSender struct {
 	machine string
 	signal  chan struct{}     // closed when the machine is gone or has another home
 	conn    *httpx.ClientConn // used by the goroutine alone
 }
 
-// commandRequest is a request that is under way.
+// commandRequest is a request with commands that is in flight.
 type commandRequest struct {
 	agent    *agents.Agent
 	commands []protocol.Command
@@ -31,7 +32,7 @@
 	body     []byte
 }
 
-// wakeCommandSender has a machine's commands sent, by a new sender if there is none.
+// wakeCommandSender makes a machine's command sender send its commands, and starts the sender if there is none.
 func (n *Node) wakeCommandSender(machine string) {
 	s := n.commandSenders[machine]
 	if s == nil {
@@ -48,7 +49,7 @@
 	}
 }
 
-// sendCommands sends a machine's commands whenever it is woken, until its sender is closed.
+// sendCommands sends a machine's commands whenever it is signalled, until the signal channel is closed.
 func (n *Node) sendCommands(ctx context.Context, s *commandSender) {
 	defer s.disconnect()
 	for {
@@ -65,7 +66,7 @@
 	}
 }
 
-// sendCommandsOnce sends the commands that are due. It says whether to look again at once.
+// sendCommandsOnce sends the commands that are due, and returns whether to check for more at once.
 func (n *Node) sendCommandsOnce(ctx context.Context, s *commandSender) (again bool) {
 	r := n.takeDueCommands(s.machine, time.Now())
 	if r == nil {
@@ -76,8 +77,8 @@
 	return n.finishCommands(s.machine, r, resp, left, err)
 }
 
-// takeDueCommands takes what is to be sent to an agent now. It is nil if nothing is, or this controller may not act, or
-// knows too little of cancellations to start anything.
+// takeDueCommands takes the commands to send to an agent now. It returns nil if there are none, if this controller may
+// not act, or if a start is queued and this controller's knowledge of cancellations is too old to start anything.
 func (n *Node) takeDueCommands(machine string, now time.Time) *commandRequest {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -94,7 +95,8 @@
 	return &commandRequest{agent: a, commands: commands, addr: a.Heartbeat.Addr, body: protocol.Encode(body)}
 }
 
-// finishCommands takes in an agent's response, or that there was none; left says that the request may have reached it.
+// finishCommands applies an agent's response, or records that there was none. Left is true if the request may have
+// reached the agent.
 func (n *Node) finishCommands(machine string, r *commandRequest, resp *httpx.Response, left bool, err error) bool {
 	now := time.Now()
 	n.mu.Lock()
@@ -106,7 +108,7 @@
 		n.applyResponse(&h, now)
 	}
 	if !answered {
-		n.log.Info("commands not answered", "machine", machine, "commands", len(r.commands), "err", err)
+		n.log.Info("no answer to commands", "machine", machine, "commands", len(r.commands), "err", err)
 	}
 	r.agent.FinishRequest(r.commands, answered, left && (err != nil || resp.Status == 200))
 	n.publishStatus(machine)
@@ -114,7 +116,7 @@
 	return answered
 }
 
-// connect makes sure that there is a link to an address.
+// connect opens a connection to an address unless the present one leads there.
 func (s *commandSender) connect(addr string) {
 	if s.conn != nil && s.conn.Addr() == addr {
 		return
@@ -123,6 +125,7 @@
 	s.conn = httpx.NewClientConn(addr, maxCommandResponse)
 }
 
+// disconnect closes the connection, if there is one.
 func (s *commandSender) disconnect() {
 	if s.conn != nil {
 		s.conn.Close()
--- a/internal/controller/config_bench_test.go
+++ b/internal/controller/config_bench_test.go
@@ -24,11 +24,11 @@
 	"topazhollow/internal/teamstore"
 )
 
-// counted is a way to the state service that counts what passes.
-type counted struct{ reads, watches, transactions, others atomic.Int64 }
+// countingProxy forwards requests to the state service and counts them.
+type countingProxy struct{ reads, watches, transactions, others atomic.Int64 }
 
-// open gives an address that leads to another one.
-func (c *counted) open(b *testing.B, to string) string {
+// open starts a proxy to an address and returns the proxy's own address.
+func (c *countingProxy) open(b *testing.B, to string) string {
 	l, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
 		b.Fatal(err)
@@ -54,20 +54,22 @@
 	return l.Addr().String()
 }
 
-func (c *counted) all() [4]int64 {
+// counts returns the numbers of requests of each kind so far.
+func (c *countingProxy) counts() [4]int64 {
 	return [4]int64{c.reads.Load(), c.watches.Load(), c.transactions.Load(), c.others.Load()}
 }
 
-// bench is controllers on loopback without machines and jobs, that follow the configuration.
-type bench struct {
+// configBench is a number of controllers on loopback, without machines and jobs, that follow the teams' configuration.
+type configBench struct {
 	b        *testing.B
 	sets     []*settings.Settings
 	operator *teamstore.Writer
-	store    counted
+	store    countingProxy
 }
 
-func newBench(b *testing.B, controllers, teams int) *bench {
-	x := &bench{b: b}
+// newConfigBench starts the controllers and waits until they all are members and every team has an owner.
+func newConfigBench(b *testing.B, controllers, teams int) *configBench {
+	x := &configBench{b: b}
 	store, err := simulation.NewKVStore(64, 1<<10)
 	if err != nil {
 		b.Fatal(err)
@@ -115,35 +117,37 @@
 		cloud.Close()
 		store.Close()
 	})
-	x.until("all are members and every team has an owner", func() bool {
+	x.waitUntil("all are members and every team has an owner", func() bool {
 		o := x.overview(0)
-		return o.Config != nil && len(o.Members) == controllers && len(o.Owners) == teams+1 && len(o.Config.Behind) == 0 && x.operator.BindEpoch(ctx, recordKey) == nil
+		return o.Config != nil && len(o.Members) == controllers && len(o.Owners) == teams+1 && len(o.Config.Lagging) == 0 && x.operator.BindEpoch(ctx, recordKey) == nil
 	})
 	return x
 }
 
-func (x *bench) until(what string, f func() bool) {
+// waitUntil waits until a condition holds. Its deadline only ends hung benchmarks.
+func (x *configBench) waitUntil(what string, f func() bool) {
 	x.b.Helper()
 	for end := time.Now().Add(3 * time.Minute); time.Now().Before(end); time.Sleep(20 * time.Millisecond) {
 		if f() {
 			return
 		}
 	}
-	x.b.Fatalf("never came true: %s", what)
+	x.b.Fatalf("timed out waiting for: %s", what)
 }
 
-func (x *bench) overview(i int) (o overview) {
+// overview reads the overview of a controller; it is empty if the controller does not answer.
+func (x *configBench) overview(i int) (o overview) {
 	resp, err := http.Get("http://" + x.sets[i].Listen + "/overview")
 	if err != nil {
 		return o
 	}
 	defer resp.Body.Close()
-	_ = json.NewDecoder(resp.Body).Decode(&o) // an empty one is asked for again
+	_ = json.NewDecoder(resp.Body).Decode(&o) // callers retry on an empty one
 	return o
 }
 
-// change commits a change of a team and gives its number.
-func (x *bench) change(team int, cpus float64) (name string, number uint64) {
+// change commits a change of a team's configuration, and returns the team's name and the number of the change.
+func (x *configBench) change(team int, cpus float64) (name string, number uint64) {
 	name = fmt.Sprintf("team-%03d", team)
 	done, err := x.operator.Change(context.Background(), name, func(e *teamconfig.Entry, _ bool) error { e.CPUsMax = cpus; return nil })
 	if err != nil {
@@ -152,11 +156,12 @@
 	return name, done.Entry.Number
 }
 
-func (x *bench) awaitForce(at int, want map[string]uint64) {
-	x.until("in force everywhere", func() bool {
+// awaitInForce waits until a controller reports changes with at least the given numbers, by team, as in force.
+func (x *configBench) awaitInForce(at int, want map[string]uint64) {
+	x.waitUntil("in force everywhere", func() bool {
 		o := x.overview(at)
 		for name, number := range want {
-			if o.Config == nil || o.Config.Changes[name] < number {
+			if o.Config == nil || o.Config.InForce[name] < number {
 				return false
 			}
 		}
@@ -164,22 +169,22 @@
 	})
 }
 
-// BenchmarkConfiguration measures on loopback, in simulated regions without work, how long a single change takes from the operator's
-// request until a controller says that it is in force everywhere, how many changes a second can be made when many come
-// at once, and what each change costs at the state service.
+// BenchmarkConfiguration measures, with controllers on loopback and no jobs, the time from an operator's request of a
+// single change until a controller reports it as in force everywhere, the rate of changes when many are made at once,
+// and the requests to the state service for each change.
 func BenchmarkConfiguration(b *testing.B) {
 	const teams, single, many = 60, 20, 600
 	for _, controllers := range []int{3, 8, 16, 46} {
 		b.Run(fmt.Sprintf("controllers=%d", controllers), func(b *testing.B) {
-			x := newBench(b, controllers, teams)
+			x := newConfigBench(b, controllers, teams)
 			for b.Loop() {
-				idle := x.over(5*time.Second, func() {})
+				idle := x.countRequestsOver(5*time.Second, func() {})
 				var times []time.Duration
-				busy := x.over(5*time.Second, func() {
+				busy := x.countRequestsOver(5*time.Second, func() {
 					for i := range single {
 						began := time.Now()
 						name, number := x.change(i%teams, float64(10+i%7))
-						x.awaitForce(i%controllers, map[string]uint64{name: number})
+						x.awaitInForce(i%controllers, map[string]uint64{name: number})
 						times = append(times, time.Since(began))
 					}
 				})
@@ -196,25 +201,26 @@
 	}
 }
 
-// over counts what passes to the state service while something is done and then until a time is over, and the seconds.
-func (x *bench) over(least time.Duration, f func()) (sum [5]float64) {
-	before, began := x.store.all(), time.Now()
+// countRequestsOver runs a function, waits until at least the given time has passed, and returns the numbers of
+// requests to the state service meanwhile, and the seconds that passed.
+func (x *configBench) countRequestsOver(least time.Duration, f func()) (sum [5]float64) {
+	before, began := x.store.counts(), time.Now()
 	f()
 	time.Sleep(time.Until(began.Add(least)))
-	for i, after := range x.store.all() {
+	for i, after := range x.store.counts() {
 		sum[i] = float64(after - before[i])
 	}
 	sum[4] = time.Since(began).Seconds()
 	return sum
 }
 
-// burst makes many changes at once and waits until all are in force.
-func (x *bench) burst(many, teams int) {
+// burst makes many changes at once, waits until all are in force, and reports the rates of both.
+func (x *configBench) burst(many, teams int) {
 	began, last := time.Now(), map[string]uint64{}
 	var group sync.WaitGroup
 	var mu sync.Mutex
 	for team := range teams {
-		group.Go(func() { // one after the other of each team
+		group.Go(func() { // a team's changes are made one after the other
 			for i := range many / teams {
 				name, number := x.change(team, float64(10+i%7))
 				mu.Lock()
@@ -225,7 +231,7 @@
 	}
 	group.Wait()
 	committed := time.Since(began)
-	x.awaitForce(0, last)
+	x.awaitInForce(0, last)
 	x.b.ReportMetric(float64(many)/committed.Seconds(), "committed/s")
 	x.b.ReportMetric(float64(many)/time.Since(began).Seconds(), "in-force/s")
 }
--- a/internal/controller/config_test.go
+++ b/internal/controller/config_test.go
@@ -14,22 +14,23 @@
 	"topazhollow/internal/teamstore"
 )
 
-// configured is a region whose teams' configuration changes, and an operator who changes it.
-type configured struct {
+// configCluster is a test cluster with changes of the teams' configuration enabled, and an operator who makes them.
+type configCluster struct {
 	*testCluster
 	operator *teamstore.Writer
 }
 
-func newConfigured(t *testing.T, run time.Duration) *configured {
-	r := openRegion(t, run, settings.Agents{HeartbeatSeconds: 0.2, LeaseSeconds: 20, GangWaitSeconds: 10, GangPeerSeconds: 4, CancelSeconds: 60}, func(r *testCluster) { r.configBound = 4 })
-	c := &configured{testCluster: r}
+// newConfigCluster starts a cluster and waits until all controllers are members.
+func newConfigCluster(t *testing.T, run time.Duration) *configCluster {
+	r := newTestClusterWith(t, run, settings.Agents{HeartbeatSeconds: 0.2, LeaseSeconds: 20, GangWaitSeconds: 10, GangPeerSeconds: 4, CancelSeconds: 60}, func(r *testCluster) { r.configBound = 4 })
+	c := &configCluster{testCluster: r}
 	c.waitUntil("there is a record", func() bool { all := r.overviews(); return len(all) > 0 && len(all[0].Members) == 3 })
 	c.operator = c.writer()
 	return c
 }
 
-// writer is an operator's command that has just been begun.
-func (c *configured) writer() *teamstore.Writer {
+// writer returns what an operator's command uses to change the configuration, as right after the command's start.
+func (c *configCluster) writer() *teamstore.Writer {
 	ctx, cancel := context.WithCancel(context.Background())
 	c.t.Cleanup(cancel)
 	client := kvstore.New(c.state.Addr(), c.nodeSettings[0].Deployment.KVStore, 4)
@@ -39,8 +40,8 @@
 	return w
 }
 
-// set changes a team's limit of CPUs, and gives the number of the change.
-func (c *configured) set(team string, edit func(*teamconfig.Entry)) uint64 {
+// changeTeam commits a change of a team's configuration, and returns the number of the change.
+func (c *configCluster) changeTeam(team string, edit func(*teamconfig.Entry)) uint64 {
 	c.t.Helper()
 	ctx, cancel := context.WithTimeout(context.Background(), 20*time.Second)
 	defer cancel()
@@ -51,24 +52,26 @@
 	return done.Entry.Number
 }
 
-func limit(cpus float64) func(*teamconfig.Entry) {
+// setLimit returns an edit that sets a team's limit of CPUs.
+func setLimit(cpus float64) func(*teamconfig.Entry) {
 	return func(e *teamconfig.Entry) { e.CPUsMax = cpus }
 }
 
-// inForce waits until some controller says that a change is in force.
-func (c *configured) inForce(team string, number uint64) {
+// awaitInForce waits until some controller reports that a change is in force.
+func (c *configCluster) awaitInForce(team string, number uint64) {
 	c.t.Helper()
-	c.waitUntil(fmt.Sprintf("change %d of %s in force", number, team), func() bool { return c.said(team, number) })
+	c.waitUntil(fmt.Sprintf("change %d of %s in force", number, team), func() bool { return c.reportedInForce(team, number) })
 }
 
-func (c *configured) said(team string, number uint64) bool {
-	return slices.ContainsFunc(c.overviews(), func(o overview) bool { return o.Config != nil && o.Config.Changes[team] >= number })
+// reportedInForce returns whether some controller reports that a change, or a later one of the team, is in force.
+func (c *configCluster) reportedInForce(team string, number uint64) bool {
+	return slices.ContainsFunc(c.overviews(), func(o overview) bool { return o.Config != nil && o.Config.InForce[team] >= number })
 }
 
-// TestQuotaChangesUnderLoad: a quota is lowered and raised while more work waits than either allows. What is said to be
-// in force is never exceeded, and a raised quota is used.
+// TestQuotaChangesUnderLoad: a quota is lowered and raised while more tasks wait than any of its values allows. A quota
+// that is reported to be in force is never exceeded, and a raised quota is used.
 func TestQuotaChangesUnderLoad(t *testing.T) {
-	c := newConfigured(t, 500*time.Millisecond)
+	c := newConfigCluster(t, 500*time.Millisecond)
 	jobs := []*protocol.Submission{arrayJob(700, 60, "red"), arrayJob(701, 60, "red")}
 	for _, j := range jobs {
 		c.submit(j)
@@ -79,8 +82,8 @@
 		if cpus > most {
 			c.checker.SetLimit("red", cpus)
 		}
-		number := c.set("red", limit(cpus))
-		c.inForce("red", number)
+		number := c.changeTeam("red", setLimit(cpus))
+		c.awaitInForce("red", number)
 		c.checker.SetLimit("red", cpus) // from here on no start goes beyond it
 		most = cpus
 		if i%2 == 1 {
@@ -90,87 +93,88 @@
 	c.awaitAllDone(jobs)
 }
 
-// TestTeamComesAndGoes: a new team is never unknown where it is known elsewhere, a removed one takes no new jobs
-// and its accepted ones run to their end.
-func TestTeamComesAndGoes(t *testing.T) {
-	c := newConfigured(t, 400*time.Millisecond)
+// TestTeamAddedAndRemoved: once a new team is committed, every controller accepts its jobs. A removed team's new jobs
+// are refused, and its accepted ones run to their end.
+func TestTeamAddedAndRemoved(t *testing.T) {
+	c := newConfigCluster(t, 400*time.Millisecond)
 	c.checker.SetLimit("green", 6)
 	first := arrayJob(710, 8, "green")
 	for i := range c.nodeSettings {
-		c.waitUntil("an unknown team is refused", func() bool { status, _ := c.askAt(i, "POST", protocol.PathSubmit, first); return status == 422 })
+		c.waitUntil("an unknown team is refused", func() bool { status, _ := c.requestAt(i, "POST", protocol.PathSubmit, first); return status == 422 })
 	}
-	number := c.set("green", func(e *teamconfig.Entry) { e.CPUs, e.CPUsMax = 4, 6 })
-	for i := range c.nodeSettings { // at once: who does not know it yet reads before it refuses
+	number := c.changeTeam("green", func(e *teamconfig.Entry) { e.CPUs, e.CPUsMax = 4, 6 })
+	for i := range c.nodeSettings { // at once: a controller that does not know the team yet reads the configuration before it refuses
 		job := arrayJob(712+i, 1, "green")
 		c.checker.RecordSubmission(job)
-		status, st := c.askAt(i, "POST", protocol.PathSubmit, job)
+		status, st := c.requestAt(i, "POST", protocol.PathSubmit, job)
 		c.checker.RecordAnswer(job.UID, status, st.State, false)
 		if status == 422 {
-			t.Errorf("controller %d refuses a team that was there when it was asked", i)
+			t.Errorf("controller %d refuses a team that was committed before the request", i)
 		}
 	}
-	c.inForce("green", number)
+	c.awaitInForce("green", number)
 	c.submit(first)
 	c.waitUntil("it runs", func() bool { return c.checker.CPUsOfTeam("green") > 0 })
-	number = c.set("green", func(e *teamconfig.Entry) { e.Removed = true })
+	number = c.changeTeam("green", func(e *teamconfig.Entry) { e.Removed = true })
 	late := arrayJob(719, 1, "green")
 	c.checker.RecordSubmission(late)
 	for i := range c.nodeSettings {
-		if status, _ := c.askAt(i, "POST", protocol.PathSubmit, late); status == 200 || status == 201 {
-			t.Errorf("controller %d takes a job of a removed team", i)
+		if status, _ := c.requestAt(i, "POST", protocol.PathSubmit, late); status == 200 || status == 201 {
+			t.Errorf("controller %d accepts a job of a removed team", i)
 		}
 	}
-	c.inForce("green", number)
+	c.awaitInForce("green", number)
 	for i := range c.nodeSettings {
-		if status, _ := c.askAt(i, "POST", protocol.PathSubmit, late); status != 422 {
-			t.Errorf("controller %d answers a job of a removed team by %d", i, status)
+		if status, _ := c.requestAt(i, "POST", protocol.PathSubmit, late); status != 422 {
+			t.Errorf("controller %d answers a job of a removed team with %d", i, status)
 		}
-		if status, _ := c.askAt(i, "POST", protocol.PathSubmit, first); status != 200 {
-			t.Errorf("controller %d answers a repeated submission by %d", i, status)
+		if status, _ := c.requestAt(i, "POST", protocol.PathSubmit, first); status != 200 {
+			t.Errorf("controller %d answers a repeated submission with %d", i, status)
 		}
 	}
 	c.awaitAllDone([]*protocol.Submission{first})
-	c.inForce("green", c.set("green", func(e *teamconfig.Entry) { e.Removed = false }))
+	c.awaitInForce("green", c.changeTeam("green", func(e *teamconfig.Entry) { e.Removed = false }))
 	c.submit(late)
 	c.awaitAllDone([]*protocol.Submission{late})
 }
 
-// linked waits until all controllers hear each other. One that dials another in the moment in which that one ends in this process may
-// be left with a connection that nobody reads and nobody closes, which has nothing to do with the configuration.
-func (c *configured) linked() {
-	c.waitUntil("all hear each other", func() bool {
+// awaitConnected waits until all controllers receive each other's messages. As all run in one process, a controller
+// that dials another just as that one ends may be left with a connection that is neither read nor closed. That does not
+// concern the configuration.
+func (c *configCluster) awaitConnected() {
+	c.waitUntil("all controllers are connected", func() bool {
 		all := c.overviews()
 		return len(all) == 3 && !slices.ContainsFunc(all, func(o overview) bool { return len(o.UnreachablePeers) > 0 || len(o.Members) < 3 })
 	})
 }
 
-// TestConfigurationInTrouble: a quota is lowered while one thing after the other goes wrong. What is said to be in force is never
-// exceeded, and in the end the change is in force and the work is done.
-func TestConfigurationInTrouble(t *testing.T) {
-	apart := func(c *configured, on bool) {
-		c.doors[0].RefuseAll(on)
-		c.pipes.Isolate(0, on)
+// TestConfigurationChangeDuringFaults: a quota is lowered during a fault. A quota that is reported to be in force is
+// never exceeded, and eventually the change is in force and the jobs are done.
+func TestConfigurationChangeDuringFaults(t *testing.T) {
+	isolate := func(c *configCluster, on bool) {
+		c.storeEndpoints[0].RefuseAll(on)
+		c.peerPaths.Isolate(0, on)
 	}
-	for name, trouble := range map[string]func(c *configured) (change uint64){
-		"one refused by the store": func(c *configured) uint64 {
-			c.doors[0].RefuseAll(true)
-			number := c.set("red", limit(4))
-			c.inForce("red", number)
+	for name, fault := range map[string]func(c *configCluster) (change uint64){
+		"one refused by the store": func(c *configCluster) uint64 {
+			c.storeEndpoints[0].RefuseAll(true)
+			number := c.changeTeam("red", setLimit(4))
+			c.awaitInForce("red", number)
 			c.checker.SetLimit("red", 4)
-			c.doors[0].RefuseAll(false)
+			c.storeEndpoints[0].RefuseAll(false)
 			return number
 		},
-		"one cut off": func(c *configured) uint64 {
-			apart(c, true)
-			number := c.set("red", limit(4))
-			c.inForce("red", number)
+		"one cut off": func(c *configCluster) uint64 {
+			isolate(c, true)
+			number := c.changeTeam("red", setLimit(4))
+			c.awaitInForce("red", number)
 			c.checker.SetLimit("red", 4)
-			c.waitUntil("its tasks go on", func() bool { return c.checker.CPUsOfTeam("red") > 0 })
-			apart(c, false)
+			c.waitUntil("the team's tasks continue", func() bool { return c.checker.CPUsOfTeam("red") > 0 })
+			isolate(c, false)
 			return number
 		},
-		"all end at once": func(c *configured) uint64 {
-			number := c.set("red", limit(4))
+		"all end at once": func(c *configCluster) uint64 {
+			number := c.changeTeam("red", setLimit(4))
 			for i := range c.nodes {
 				c.crash(i)
 			}
@@ -179,49 +183,49 @@
 			}
 			return number
 		},
-		"each ends as it learns": func(c *configured) (number uint64) {
+		"each ends as it learns": func(c *configCluster) (number uint64) {
 			for i, cpus := range []float64{10, 6, 4} {
-				number = c.set("red", limit(cpus))
+				number = c.changeTeam("red", setLimit(cpus))
 				c.crash(i)
 				c.start(i)
-				c.linked()
+				c.awaitConnected()
 			}
 			return number
 		},
-		"one returns with an old settings file": func(c *configured) uint64 {
-			number := c.set("red", limit(4))
-			c.inForce("red", number)
+		"one returns with an old settings file": func(c *configCluster) uint64 {
+			number := c.changeTeam("red", setLimit(4))
+			c.awaitInForce("red", number)
 			c.checker.SetLimit("red", 4)
 			c.crash(0)
 			old := *c.nodeSettings[0]
 			old.Deployment.Teams = []settings.Team{{Name: "red", CPUs: 32, CPUsMax: 64}, {Name: "blue", CPUs: 8, CPUsMax: 16}}
 			c.nodeSettings[0] = &old
 			c.start(0)
-			c.waitUntil("it is a member and named", func() bool {
+			c.waitUntil("it is a member and its other settings file is reported", func() bool {
 				all := c.overviews()
-				return len(all) == 3 && len(all[1].Members) == 3 && all[1].Config != nil && slices.Contains(all[1].Config.Strangers, c.nodeSettings[0].Name)
+				return len(all) == 3 && len(all[1].Members) == 3 && all[1].Config != nil && slices.Contains(all[1].Config.OtherSettings, c.nodeSettings[0].Name)
 			})
 			large := arrayJob(739, 8, "red")
 			large.Kind = protocol.Gang
 			c.waitUntil("a job that needs more than the changed limit is refused", func() bool {
-				status, _ := c.askAt(0, "POST", protocol.PathSubmit, large)
+				status, _ := c.requestAt(0, "POST", protocol.PathSubmit, large)
 				return status == 422
 			})
 			return number
 		},
-		"the store goes back": func(c *configured) uint64 {
+		"the store goes back": func(c *configCluster) uint64 {
 			saved := c.state.Snapshot()
-			number := c.set("red", limit(4))
-			c.inForce("red", number)
+			number := c.changeTeam("red", setLimit(4))
+			c.awaitInForce("red", number)
 			c.checker.SetLimit("red", 4)
 			c.state.RollBack(saved)
 			c.waitUntil("the change is written back", func() bool { return c.recovered(true) && c.state.CountKeys(teamstore.Prefix) == 1 })
 			c.operator = c.writer()
 			return number
 		},
-		"the store loses all and one ends": func(c *configured) uint64 {
-			number := c.set("red", limit(4))
-			c.inForce("red", number)
+		"the store loses all and one ends": func(c *configCluster) uint64 {
+			number := c.changeTeam("red", setLimit(4))
+			c.awaitInForce("red", number)
 			c.checker.SetLimit("red", 4)
 			c.crash(1)
 			c.state.LoseAll()
@@ -230,9 +234,9 @@
 			c.operator = c.writer()
 			return number
 		},
-		"the store loses the changes": func(c *configured) uint64 {
-			number := c.set("red", limit(4))
-			c.inForce("red", number)
+		"the store loses the changes": func(c *configCluster) uint64 {
+			number := c.changeTeam("red", setLimit(4))
+			c.awaitInForce("red", number)
 			c.checker.SetLimit("red", 4)
 			c.state.LosePrefix(teamstore.Prefix)
 			c.waitUntil("the change is written back", func() bool { return c.recovered(true) && c.state.CountKeys(teamstore.Prefix) == 1 })
@@ -242,28 +246,28 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			c := newConfigured(t, 600*time.Millisecond)
+			c := newConfigCluster(t, 600*time.Millisecond)
 			job := arrayJob(730, 40, "red")
 			c.submit(job)
 			c.waitUntil("the team is at work", func() bool { return c.checker.CPUsOfTeam("red") > 8 })
-			number := trouble(c)
-			c.inForce("red", number)
+			number := fault(c)
+			c.awaitInForce("red", number)
 			c.checker.SetLimit("red", 4)
-			more := arrayJob(732, 20, "red") // the first one may be over by now
+			more := arrayJob(732, 20, "red") // the first job may have ended by now
 			c.submit(more)
-			c.waitUntil("the team is at work within the lowered quota", func() bool { used := c.checker.CPUsOfTeam("red"); return used > 0 && used <= 4 })
-			number = c.set("red", limit(24))
+			c.waitUntil("the team's tasks run within the lowered quota", func() bool { used := c.checker.CPUsOfTeam("red"); return used > 0 && used <= 4 })
+			number = c.changeTeam("red", setLimit(24))
 			c.checker.SetLimit("red", 24)
-			c.inForce("red", number)
+			c.awaitInForce("red", number)
 			c.awaitAllDone([]*protocol.Submission{job, more})
 		})
 	}
 }
 
-// TestChangesArriveLate: an operator's changes have no answer and are carried out late, twice, or after newer ones. The last
-// one that was acknowledged stands.
-func TestChangesArriveLate(t *testing.T) {
-	c := newConfigured(t, 400*time.Millisecond)
+// TestLateConfigurationChanges: an operator's changes get no answer, and are applied late, repeated, or arrive after
+// newer ones. The last acknowledged change must remain.
+func TestLateConfigurationChanges(t *testing.T) {
+	c := newConfigCluster(t, 400*time.Millisecond)
 	door, err := c.state.NewEndpoint()
 	if err != nil {
 		t.Fatal(err)
@@ -275,7 +279,7 @@
 	held := teamstore.New(client, nil)
 	c.waitUntil("it knows the store", func() bool { return held.BindEpoch(ctx, recordKey) == nil })
 	first := true
-	door.DelayTransactions(func() time.Duration { // an answer that does not come, of a change that does
+	door.DelayTransactions(func() time.Duration { // the change is applied, but its answer is lost
 		if !first {
 			return 0
 		}
@@ -284,21 +288,21 @@
 	})
 	done, err := held.Change(ctx, "red", func(e *teamconfig.Entry, _ bool) error { e.CPUsMax = 20; return nil })
 	if err != nil || done.Entry.Number != 1 {
-		t.Fatalf("%+v, %v: carried out once, and known to be", done, err)
+		t.Fatalf("%+v, %v: want one change that is known to be committed", done, err)
 	}
 	door.DelayTransactions(func() time.Duration { return 3 * time.Second })
-	gone, end := context.WithTimeout(ctx, 2500*time.Millisecond) // the command is ended before the answer
-	if _, err := held.Change(gone, "red", limitEdit(2)); err == nil {
+	gone, end := context.WithTimeout(ctx, 2500*time.Millisecond) // the command ends before the answer
+	if _, err := held.Change(gone, "red", setLimitEdit(2)); err == nil {
 		t.Error("a change without an answer counts as committed")
 	}
 	end()
-	number := c.set("red", limit(16))
-	c.inForce("red", number)
-	c.waitUntil("the late one met the newer one", func() bool { _, met := door.CountDelayed(); return met > 0 })
+	number := c.changeTeam("red", setLimit(16))
+	c.awaitInForce("red", number)
+	c.waitUntil("the late change conflicted with the newer one", func() bool { _, conflicted := door.CountDelayed(); return conflicted > 0 })
 	for _, txn := range c.state.AppliedTransactions() {
 		for _, o := range txn.Then {
 			if len(o.Set) > len(teamstore.Prefix) && o.Set[:len(teamstore.Prefix)] == teamstore.Prefix && c.state.RepeatTransaction(txn) {
-				t.Errorf("carried out again: %s", protocol.Encode(txn))
+				t.Errorf("applied again: %s", protocol.Encode(txn))
 			}
 		}
 	}
@@ -308,13 +312,14 @@
 	}
 }
 
-func limitEdit(cpus float64) func(*teamconfig.Entry, bool) error {
+// setLimitEdit returns an edit for teamstore.Writer.Change that sets a team's limit of CPUs.
+func setLimitEdit(cpus float64) func(*teamconfig.Entry, bool) error {
 	return func(e *teamconfig.Entry, _ bool) error { e.CPUsMax = cpus; return nil }
 }
 
-// TestNothingFollowedByDefault: without the option no status tells of the configuration, no acceptance rests on it, and a
-// key of it changes nothing.
-func TestNothingFollowedByDefault(t *testing.T) {
+// TestConfigurationIsNotFollowedByDefault: without the option no status contains the configuration, no acceptance
+// depends on it, and its keys have no effect.
+func TestConfigurationIsNotFollowedByDefault(t *testing.T) {
 	n := newNodeHarness(2, 1).n
 	now := time.Now()
 	n.watchedKeysRead = true
@@ -324,6 +329,6 @@
 		t.Error("the configuration is followed")
 	}
 	if len(n.acknowledgedKeys()) != len(n.roster.Versions()) || len(n.shardNames()) != 2 || n.shards.OfTeam("team-0").Team().Quota().Limits().Max.CPUs != 10000 {
-		t.Errorf("witnesses %v, items %v", n.acknowledgedKeys(), n.shardNames())
+		t.Errorf("checked keys %v, shards %v", n.acknowledgedKeys(), n.shardNames())
 	}
 }
--- a/internal/controller/configtenants.go
+++ b/internal/controller/configtenants.go
@@ -8,13 +8,12 @@
 	"topazhollow/internal/userapi"
 )
 
-// configTenants gives the user API the configuration of the teams; it implements userapi.Tenants. Its methods take
-// Node.mu.
+// configTenants gives the user API the teams' configuration; it implements userapi.Teams. Its methods take Node.mu.
 type configTenants struct{ node *Node }
 
 var _ userapi.Teams = configTenants{}
 
-// Team gives the limits of a team that takes new jobs, as far as known here.
+// Team returns a team and its limits, as known here, if the team accepts new jobs.
 func (t configTenants) Team(name string) (settings.Team, bool) {
 	n := t.node
 	n.mu.Lock()
@@ -22,7 +21,8 @@
 	return n.teamConfig.config.AcceptsJobs(name)
 }
 
-// Rests names what an acceptance for a team rests on: its configuration as known here.
+// Conditions returns the condition that the acceptance of a team's job is written under: the team's configuration must
+// still be the one known here.
 func (t configTenants) Conditions(name string) []protocol.Condition {
 	n := t.node
 	n.mu.Lock()
--- a/internal/controller/demands.go
+++ b/internal/controller/demands.go
@@ -8,7 +8,7 @@
 	"topazhollow/internal/shards"
 )
 
-// demands lists the room that own teams ask for.
+// demands lists the demands of the teams that this controller owns.
 func (n *Node) demands(now time.Time) (all []demand) {
 	for shard := range n.shards.InOrder() {
 		if shard.IsReady() {
@@ -18,7 +18,7 @@
 	return all
 }
 
-// appendDemands adds the room that one team asks for, but for what only probes whether anything starts.
+// appendDemands adds the demands of one team, except those of faulty jobs, which only probe whether a task can run.
 func (n *Node) appendDemands(all []demand, shard *shards.Owned, now time.Time) []demand {
 	team := shard.Team()
 	list := team.Quota().Demands(now)
@@ -40,8 +40,8 @@
 	return all
 }
 
-// boundZone is the zone that tasks of an array or service have to be in because others of the job are; "" if none.
-// A gang's missing tasks are asked for as a whole.
+// boundZone returns the zone that the tasks of an array or service must be placed in because others of the job are
+// there; "" if none. It is "" for gangs, as all of a gang's missing tasks are demanded together.
 func boundZone(team *jobstate.Team, spec *protocol.Submission) string {
 	job := team.Job(spec.UID)
 	if job == nil || !spec.OneZone || spec.Kind == protocol.Gang {
--- a/internal/controller/demand_test.go
+++ b/internal/controller/demands_test.go
@@ -8,9 +8,10 @@
 	"topazhollow/internal/userapi"
 )
 
-// TestMissingTasksAreAskedForWhereTheOthersAre: what is missing of an array whose tasks share a zone is asked of the
-// fleet for that zone. It was laid out on idle machines of any zone, nothing was rented, and it waited for ever.
-func TestMissingTasksAreAskedForWhereTheOthersAre(t *testing.T) {
+// TestMissingTasksAreDemandedInTheirZone: the unplaced tasks of an array whose tasks must share a zone are demanded
+// from the fleet for that zone. Otherwise the fleet's owner counts idle machines of any zone for them, acquires none,
+// and the tasks wait forever.
+func TestMissingTasksAreDemandedInTheirZone(t *testing.T) {
 	for what, c := range map[string]struct {
 		kind    protocol.JobKind
 		oneZone bool
@@ -20,7 +21,7 @@
 		"service that does":        {protocol.Service, true, true},
 		"array anywhere":           {protocol.JobArray, false, false},
 	} {
-		g := newNodeHarness(2, 1) // of 32 CPUs, in a zone each
+		g := newNodeHarness(2, 1) // of 32 CPUs each, in different zones
 		n := g.n
 		spec := &protocol.Submission{UID: "job-000001", Team: "team-0", Kind: c.kind, Priority: "high", Tasks: 20, CPUs: 4, MemoryGB: 1, Image: "img", EstimateSeconds: 10,
 			Spot: true, OneZone: c.oneZone}
@@ -33,11 +34,11 @@
 			t.Fatalf("%s: demands %+v", what, demands)
 		}
 		if zones := team.Job(spec.UID).TasksByZone(); (len(zones) == 1) != c.bound || c.bound && zones[demands[0].Zone] == 0 {
-			t.Errorf("%s: placed in %v, asks for %q", what, zones, demands[0].Zone)
+			t.Errorf("%s: placed in %v, demanded in %q", what, zones, demands[0].Zone)
 		}
 		bound := specInZone(spec, demands[0].Zone)
 		if (bound.Zone != nil) != c.bound || spec.Zone != nil {
-			t.Errorf("%s: the fleet is told of zone %v, the job itself says %v", what, bound.Zone, spec.Zone)
+			t.Errorf("%s: the demand names zone %v, the job itself %v", what, bound.Zone, spec.Zone)
 		}
 	}
 }
--- a/internal/controller/eviction.go
+++ b/internal/controller/eviction.go
@@ -6,8 +6,9 @@
 	"topazhollow/internal/shards"
 )
 
-// evictFromNoticedMachines moves work off machines that the cloud announced to take away:
-// what can save, gangs as a whole, and replicas. Other tasks may yet complete.
+// evictFromNoticedMachines stops tasks on machines that the cloud has announced to take away, so that they start
+// elsewhere: tasks with checkpoints, gangs as a whole, and replicas of services. Other tasks may still complete in
+// time.
 func (n *Node) evictFromNoticedMachines(shard *shards.Owned) {
 	for _, name := range shard.Team().Assignments().Machines() {
 		m := n.machines[name]
--- a/internal/controller/meeting_look_test.go
+++ b/internal/controller/faults_queries_test.go
@@ -10,27 +10,27 @@
 	"topazhollow/internal/shards"
 )
 
-// looks is how many times each controller is asked after each event.
-const looks = 4
+// queriesPerController is how many times each controller is queried after each event.
+const queriesPerController = 4
 
-// lives has a job accepted, looked at, ended or cancelled at once, and looked at again.
-func (s *scene) lives(spec *protocol.Submission, cancels bool) {
-	s.enter(spec)
-	s.users.AskEveryController(spec, looks)
+// runJobLifecycle submits a job, queries it, waits for its end or cancels it, and queries it again at once.
+func (s *faultScenario) runJobLifecycle(spec *protocol.Submission, cancels bool) {
+	s.submitUntilAccepted(spec)
+	s.users.AskEveryController(spec, queriesPerController)
 	if cancels {
-		s.cancel(spec.UID)
+		s.cancelUntilAnswered(spec.UID)
 	} else {
-		ctx, cancel := userPatience(s.t)
+		ctx, cancel := userDeadline(s.t)
 		defer cancel()
-		if !s.users.AwaitEnd(ctx, draws(uint64(jobNumber(spec.UID))), spec.UID) {
+		if !s.users.AwaitEnd(ctx, newRand(uint64(jobNumber(spec.UID))), spec.UID) {
 			s.t.Errorf("%s did not end", spec.UID)
 		}
 	}
-	s.users.AskEveryController(spec, looks)
+	s.users.AskEveryController(spec, queriesPerController)
 }
 
-// looked counts the controllers that were asked after an answer of a kind had arrived, while others were asked too.
-func looked(calls []history.Call, event func(c history.Call) bool) int {
+// countQueriedControllers counts the controllers that answered a query that was sent after an answer with the event.
+func countQueriedControllers(calls []history.Call, event func(c history.Call) bool) int {
 	nodes := map[int]bool{}
 	for _, e := range calls {
 		if !event(e) {
@@ -45,104 +45,104 @@
 	return len(nodes)
 }
 
-// TestCloseLooks: users ask at all controllers within milliseconds, and repeat the submission, right after a job was
-// accepted, ended or confirmed as cancelled, beside a trouble that lets controllers know different things. No
-// controller answers something older than any of them did.
-func TestCloseLooks(t *testing.T) {
+// TestQueriesNeverGoBackwards: users query all controllers within milliseconds, and repeat the submission, right after
+// a job was accepted, ended or confirmed as cancelled, during faults that make the controllers' knowledge differ. No
+// controller may answer with an older state than any of them did before.
+func TestQueriesNeverGoBackwards(t *testing.T) {
 	t.Parallel()
-	for name, trouble := range map[string]func(s *scene){
-		"quiet": func(*scene) {},
-		"answers of the service are lost": func(s *scene) {
-			for i, d := range s.doors {
-				rng := draws(uint64(i))
+	for name, fault := range map[string]func(s *faultScenario){
+		"no fault": func(*faultScenario) {},
+		"answers of the service are lost": func(s *faultScenario) {
+			for i, d := range s.storeEndpoints {
+				rng := newRand(uint64(i))
 				d.DropAnswers(func(*protocol.Txn) bool { return rng.IntN(6) == 0 })
 			}
 		},
-		"the service answers slowly": func(s *scene) {
-			for i, d := range s.doors {
+		"the service answers slowly": func(s *faultScenario) {
+			for i, d := range s.storeEndpoints {
 				d.DelayAnswers(time.Duration(100*i) * time.Millisecond)
 			}
 		},
-		"writes lag": func(s *scene) {
-			for i, d := range s.doors {
-				rng := draws(uint64(i))
+		"writes lag": func(s *faultScenario) {
+			for i, d := range s.storeEndpoints {
+				rng := newRand(uint64(i))
 				d.DelayTransactions(func() time.Duration { return time.Duration(rng.IntN(8)/7) * 600 * time.Millisecond })
 			}
 		},
-		"controllers do not hear each other": func(s *scene) {
+		"links between controllers are down": func(s *faultScenario) {
 			for i := range s.nodeSettings {
-				s.pipes.Isolate(i, true)
+				s.peerPaths.Isolate(i, true)
 			}
-			s.beside(func() {
+			s.inBackground(func() {
 				time.Sleep(3 * time.Second)
 				for i := range s.nodeSettings {
-					s.pipes.Isolate(i, false)
+					s.peerPaths.Isolate(i, false)
 				}
 			})
 		},
-		"a leader ends": func(s *scene) {
-			leader := s.leader(shards.ForTeam("red"))
-			s.beside(func() { s.crash(leader); s.start(leader) })
+		"an owner crashes": func(s *faultScenario) {
+			owner := s.awaitReadyOwner(shards.ForTeam("red"))
+			s.inBackground(func() { s.crash(owner); s.start(owner) })
 		},
-		"the service refuses the leader": func(s *scene) {
-			leader := s.leader(shards.ForTeam("red"))
-			s.beside(func() {
-				s.doors[leader].RefuseAll(true)
+		"the service refuses the owner": func(s *faultScenario) {
+			owner := s.awaitReadyOwner(shards.ForTeam("red"))
+			s.inBackground(func() {
+				s.storeEndpoints[owner].RefuseAll(true)
 				time.Sleep(time.Second)
-				s.doors[leader].RefuseAll(false)
+				s.storeEndpoints[owner].RefuseAll(false)
 			})
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			s := openScene(t, sceneRun)
-			s.members(3)
-			trouble(s)
+			s := newFaultScenario(t, taskRunTime)
+			s.awaitMembers(3)
+			fault(s)
 			for i := range 12 {
 				job, cancels := arrayJob(i, 1+i%3, []string{"red", "blue"}[i%2]), i%4 == 0
 				if cancels {
-					job = endless(i, 1, job.Team)
+					job = endlessJob(i, 1, job.Team)
 				}
-				s.beside(func() { s.lives(job, cancels) })
+				s.inBackground(func() { s.runJobLifecycle(job, cancels) })
 			}
-			s.behind.Wait()
-			for _, d := range s.doors {
+			s.background.Wait()
+			for _, d := range s.storeEndpoints {
 				d.DropAnswers(nil)
 				d.DelayTransactions(nil)
 				d.DelayAnswers(0)
 			}
-			s.settle()
+			s.awaitEndAndCheck()
 			calls := s.users.Log().Calls()
 			for event, happened := range map[string]func(c history.Call) bool{
 				"accepted":  func(c history.Call) bool { return c.Status == 201 },
 				"done":      func(c history.Call) bool { return c.Status == 200 && c.State == protocol.Done },
 				"cancelled": func(c history.Call) bool { return c.Kind == history.Cancel && c.State == protocol.Cancelled },
 			} {
-				if n := looked(calls, happened); n < len(s.nodeSettings) {
-					t.Errorf("after a job was %s only %d controllers told of it", event, n)
+				if n := countQueriedControllers(calls, happened); n < len(s.nodeSettings) {
+					t.Errorf("after a job was %s only %d controllers were queried", event, n)
 				}
 			}
 		})
 	}
 }
 
-// TestEndMeetsUsers: a cancellation, a question and a repeated submission come at the moment at which a job's last task
-// ends, with no other trouble. All answers agree on one end.
-func TestEndMeetsUsers(t *testing.T) {
+// TestRequestsAtJobEnd: a cancellation, queries and repeated submissions arrive just as a job's last task ends, without
+// any fault. All answers must agree on one end.
+func TestRequestsAtJobEnd(t *testing.T) {
 	t.Parallel()
-	s := openScene(t, sceneRun)
-	s.members(3)
+	s := newFaultScenario(t, taskRunTime)
+	s.awaitMembers(3)
 	for i := range 16 {
 		job := arrayJob(i, 1+i%2, []string{"red", "blue"}[i%2])
-		s.beside(func() {
-			s.enter(job)
+		s.inBackground(func() {
+			s.submitUntilAccepted(job)
 			s.waitUntil(job.UID+" is on a machine", func() bool { return s.checker.CountOfJob(job.UID) > 0 })
 			s.waitUntil(job.UID+" leaves its machine", func() bool { return s.checker.CountOfJob(job.UID) == 0 })
-			s.beside(func() { s.users.AskEveryController(job, looks) })
-			s.cancel(job.UID)
+			s.inBackground(func() { s.users.AskEveryController(job, queriesPerController) })
+			s.cancelUntilAnswered(job.UID)
 		})
 	}
-	s.settle()
+	s.awaitEndAndCheck()
 	ends := []protocol.JobState{}
 	for _, c := range s.users.Log().Calls() {
 		if c.Kind == history.Cancel && c.Status == 200 {
@@ -150,23 +150,24 @@
 		}
 	}
 	if !slices.Contains(ends, protocol.Done) && !slices.Contains(ends, protocol.Cancelled) {
-		t.Error("no cancellation met an end")
+		t.Error("no cancellation was answered with an end")
 	}
 }
 
-// TestRefusals: what can't run or lacks a field is refused with 422 or 400, the repetition of an unfinished job is not,
-// whatever it says, and the cancellation of a job that is done answers so; at every controller and beside a leader's end.
+// TestRefusals: a submission that cannot run is refused with 422, one that lacks a field with 400. The repeated
+// submission of an unfinished job is not refused, whatever its body, and the cancellation of a job that is done answers
+// "done". All that holds at every controller, before and after a crash of the owner.
 func TestRefusals(t *testing.T) {
 	t.Parallel()
-	s := openScene(t, sceneRun)
-	s.members(3)
-	running, over := endless(1, 2, "red"), arrayJob(2, 1, "blue")
-	s.enter(running)
-	s.enter(over)
+	s := newFaultScenario(t, taskRunTime)
+	s.awaitMembers(3)
+	running, over := endlessJob(1, 2, "red"), arrayJob(2, 1, "blue")
+	s.submitUntilAccepted(running)
+	s.submitUntilAccepted(over)
 	s.waitUntil("one is over", func() bool { _, state := s.users.Ask(0, over.UID); return state == protocol.Done })
 	check := func() {
 		for node := range s.nodeSettings {
-			s.refuses(node)
+			s.checkRejections(node)
 			s.waitUntil("an unfinished job's repetition is known", func() bool {
 				repeated := *running
 				repeated.Team, repeated.CPUs = "nobody", 900
@@ -180,16 +181,16 @@
 		}
 	}
 	check()
-	leader := s.leader(shards.ForTeam("red"))
-	s.crash(leader)
-	s.start(leader)
+	owner := s.awaitReadyOwner(shards.ForTeam("red"))
+	s.crash(owner)
+	s.start(owner)
 	check()
-	s.settle()
+	s.awaitEndAndCheck()
 }
 
-// refuses sends one controller submissions that can't be accepted. A controller that can't tell yet may ask to come
-// again.
-func (s *scene) refuses(node int) {
+// checkRejections sends a controller submissions that must be refused. A controller that cannot decide yet may ask the
+// user to retry.
+func (s *faultScenario) checkRejections(node int) {
 	far := "nowhere"
 	for what, c := range map[string]struct {
 		spoil func(*protocol.Submission)
@@ -214,14 +215,14 @@
 			return status == c.want
 		})
 		if status, _ := s.users.Ask(node, job.UID); status == 200 {
-			s.t.Errorf("a job that was refused for %s is known", what)
+			s.t.Errorf("a job that was refused (%s) is known", what)
 		}
 	}
-	s.lacksFields(node)
+	s.checkMissingFields(node)
 }
 
-// lacksFields sends submissions that each lack one field.
-func (s *scene) lacksFields(node int) {
+// checkMissingFields sends a controller submissions that each lack one field, which must be refused.
+func (s *faultScenario) checkMissingFields(node int) {
 	var whole map[string]any
 	if err := protocol.Decode(protocol.Encode(arrayJob(910+node, 2, "red")), &whole); err != nil {
 		s.t.Fatal(err)
--- a/internal/controller/meeting_test.go
+++ b/internal/controller/faults_test.go
@@ -23,44 +23,44 @@
 	"topazhollow/internal/userapi"
 )
 
-// newLongTaskCluster is a region with short times in which tasks run far longer than a cancellation may take.
+// newLongTaskCluster starts a cluster with short timeouts, whose tasks run far longer than a cancellation may take.
 func newLongTaskCluster(t *testing.T) *testCluster {
-	r := openRegion(t, time.Hour, settings.Agents{HeartbeatSeconds: 0.2, LeaseSeconds: 4, GangWaitSeconds: 10, GangPeerSeconds: 4, CancelSeconds: 10})
+	r := newTestClusterWith(t, time.Hour, settings.Agents{HeartbeatSeconds: 0.2, LeaseSeconds: 4, GangWaitSeconds: 10, GangPeerSeconds: 4, CancelSeconds: 10})
 	r.checker.Cancel = 10 * time.Second
 	return r
 }
 
-// askAt sends a request to one controller.
-func (r *testCluster) askAt(i int, method, path string, body any) (int, protocol.Status) {
+// requestAt sends a request to one controller.
+func (r *testCluster) requestAt(i int, method, path string, body any) (int, protocol.Status) {
 	all := r.nodeSettings
 	r.nodeSettings = all[i : i+1]
 	defer func() { r.nodeSettings = all }()
 	return r.request(method, path, body)
 }
 
-// withdrawAt has one controller confirm a withdrawal, and gives the time at which it did.
-func (r *testCluster) withdrawAt(i int, uid string) time.Time {
+// cancelAt requests a job's cancellation from one controller until it is confirmed, and returns the time of that.
+func (r *testCluster) cancelAt(i int, uid string) time.Time {
 	r.checker.RecordCancellation(uid)
-	r.waitUntil("withdrawn", func() bool {
-		status, st := r.askAt(i, "POST", protocol.PathSubmit+"/"+uid+"/withdraw", struct{}{})
+	r.waitUntil("cancelled", func() bool {
+		status, st := r.requestAt(i, "POST", protocol.PathSubmit+"/"+uid+"/withdraw", struct{}{})
 		r.checker.RecordAnswer(uid, status, st.State, false)
 		return status == 200 && st.State == protocol.Cancelled
 	})
 	return time.Now()
 }
 
-// runs waits until a machine runs a task of each job whose teams another controller owns than the machine's home, and
-// gives its worker and which controller is its home.
-func (r *testCluster) runs(jobs ...*protocol.Submission) (w *simulation.Agent, home int) {
+// awaitRunningAtOtherHome waits until a machine runs a task of each job while its home owns none of the jobs' teams,
+// and returns the machine's agent and the number of its home.
+func (r *testCluster) awaitRunningAtOtherHome(jobs ...*protocol.Submission) (w *simulation.Agent, home int) {
 	record := &leadership.Record{Nodes: map[string]uint64{}}
 	for _, s := range r.nodeSettings {
 		record.Nodes[s.Name] = 1
 	}
-	r.waitUntil("a machine of another home runs the jobs", func() bool {
+	r.waitUntil("a machine with another home runs the jobs", func() bool {
 		for _, o := range r.overviews() {
 			for _, x := range r.cloud.Agents() {
 				elsewhere := func(j *protocol.Submission) bool {
-					return has(x, j.UID) && o.Owners[shards.ForTeam(j.Team)] != record.Home(x.Name())
+					return runsJob(x, j.UID) && o.Owners[shards.ForTeam(j.Team)] != record.Home(x.Name())
 				}
 				if len(o.Members) == 3 && !slices.ContainsFunc(jobs, func(j *protocol.Submission) bool { return !elsewhere(j) }) {
 					w = x
@@ -74,13 +74,14 @@
 	return w, home
 }
 
-// has says whether a machine runs a task of a job.
-func has(w *simulation.Agent, job string) bool {
+// runsJob returns whether a machine runs a task of a job.
+func runsJob(w *simulation.Agent, job string) bool {
 	return slices.ContainsFunc(w.RunningTasks(), func(task string) bool { uid, _, _ := protocol.SplitTask(task); return uid == job })
 }
 
-// endBehind writes a job's withdrawal to the state service, as a controller does that ends before it tells anybody.
-func (r *testCluster) endBehind(job *protocol.Submission) {
+// writeCancellation writes a job's cancellation to the state service, as a controller does that crashes before it sends
+// anyone the result.
+func (r *testCluster) writeCancellation(job *protocol.Submission) {
 	r.checker.RecordCancellation(job.UID)
 	end := userapi.JobEnd{State: protocol.Cancelled, Tasks: job.Tasks, Team: job.Team}
 	txn := protocol.Txn{Conditions: []protocol.Condition{{Key: userapi.EndedJobPrefix + job.UID}},
@@ -91,23 +92,23 @@
 	}
 	defer resp.Body.Close()
 	if resp.StatusCode != http.StatusOK {
-		r.t.Fatalf("the withdrawal was not written: %d", resp.StatusCode)
+		r.t.Fatalf("the cancellation was not written: %d", resp.StatusCode)
 	}
 }
 
-// TestRefusedLeaderThenOutage is the meeting before all others: the state service refuses one controller alone,
-// another takes over and confirms a cancellation; then the service is down for all, and a machine still reports to the
-// first one. That one, whose record was old, once collected the others' promises, held itself for entitled again and
-// renewed the machine's lease for as long as the outage took.
-func TestRefusedLeaderThenOutage(t *testing.T) {
+// TestRefusedOwnerThenOutage: the state service refuses one controller, another takes over and confirms a cancellation;
+// then the state service is down for all, while a machine still sends heartbeats to the first controller. The first
+// controller, with its outdated record, must not count the promises of the others: it would be entitled again and renew
+// the machine's lease throughout the outage.
+func TestRefusedOwnerThenOutage(t *testing.T) {
 	r := newLongTaskCluster(t)
 	job := arrayJob(600, 12, "red")
 	r.submit(job)
-	w, a := r.runs(job)
+	w, a := r.awaitRunningAtOtherHome(job)
 	b := (a + 1) % 3
 	w.LimitReach(r.nodeSettings[a].Name)
-	r.doors[a].RefuseAll(true)
-	r.waitUntil("another leads without the refused one", func() bool {
+	r.storeEndpoints[a].RefuseAll(true)
+	r.waitUntil("the refused controller is no member", func() bool {
 		for _, o := range r.overviews() {
 			if o.Node != r.nodeSettings[a].Name && len(o.Members) == 2 {
 				return true
@@ -115,50 +116,51 @@
 		}
 		return false
 	})
-	r.endBehind(job) // the first one hears of it from nobody but who confirms it
-	told := r.withdrawAt(b, job.UID)
+	r.writeCancellation(job) // only the controller that confirms it can send it to the first one
+	confirmedAt := r.cancelAt(b, job.UID)
 	if !slices.ContainsFunc(r.overviews(), func(o overview) bool { return o.Node == r.nodeSettings[b].Name && o.Cancellations == 1 }) {
-		t.Error("a withdrawal that another one wrote is confirmed without a number")
+		t.Error("a cancellation that another controller wrote is confirmed without a number")
 	}
 	r.state.SetOutage(true)
 	if len(w.RunningTasks()) == 0 {
-		t.Fatal("the machine ran nothing any more when the outage began")
+		t.Fatal("the machine ran no task when the outage began")
 	}
 	r.waitUntil("its tasks gone", func() bool { return len(w.RunningTasks()) == 0 })
-	r.waitUntil("the time of the cancellation over", func() bool { return time.Since(told) > r.checker.Cancel+time.Second })
+	r.waitUntil("the time of the cancellation over", func() bool { return time.Since(confirmedAt) > r.checker.Cancel+time.Second })
 	r.state.SetOutage(false)
-	r.doors[a].RefuseAll(false)
+	r.storeEndpoints[a].RefuseAll(false)
 	w.LimitReach()
 	r.waitUntil("all three are members again", func() bool { o := r.overviews(); return len(o) > 0 && len(o[0].Members) == 3 })
 }
 
-// TestRefusedOwnerHearsOfWithdrawals: refused for less than its lease a controller stays rightful owner and home, and
-// its watch hangs on into the outage. It must stop what another one confirmed as withdrawn, and keep the rest
-// alive through an outage far longer than a lease and a cancellation.
-func TestRefusedOwnerHearsOfWithdrawals(t *testing.T) {
+// TestRefusedOwnerLearnsCancellations: a controller that the state service refuses for less than the controller's lease
+// remains owner and home, and its watch hangs until into the outage. It must stop the tasks of a job whose cancellation
+// another controller confirmed, and keep all others alive through an outage far longer than a lease and a cancellation.
+func TestRefusedOwnerLearnsCancellations(t *testing.T) {
 	r := newLongTaskCluster(t)
 	job, other := arrayJob(610, 7, "red"), arrayJob(612, 5, "red")
 	r.submit(job)
 	r.submit(other)
-	w, a := r.runs(job, other)
-	w.LimitReach(r.nodeSettings[a].Name) // nobody else can keep it alive
-	r.doors[a].RefuseAll(true)
-	r.pipes.Isolate(a, true) // what is said meanwhile is lost with its connection, and said again
-	told := r.withdrawAt((a+1)%3, job.UID)
+	w, a := r.awaitRunningAtOtherHome(job, other)
+	w.LimitReach(r.nodeSettings[a].Name) // no other controller can keep it alive
+	r.storeEndpoints[a].RefuseAll(true)
+	r.peerPaths.Isolate(a, true) // messages are lost with the connection, and must be sent again
+	confirmedAt := r.cancelAt((a+1)%3, job.UID)
 	r.state.SetOutage(true)
-	r.pipes.Isolate(a, false)
-	r.waitUntil("the outage outlasts lease and cancellation", func() bool { return time.Since(told) > r.checker.Cancel+4*time.Second })
-	if !has(w, other.UID) || has(w, job.UID) {
-		t.Errorf("after the outage the machine runs %v, not just what was not withdrawn", w.RunningTasks())
+	r.peerPaths.Isolate(a, false)
+	r.waitUntil("the outage outlasts lease and cancellation", func() bool { return time.Since(confirmedAt) > r.checker.Cancel+4*time.Second })
+	if !runsJob(w, other.UID) || runsJob(w, job.UID) {
+		t.Errorf("after the outage the machine runs %v, not just the job that was not cancelled", w.RunningTasks())
 	}
 	r.state.SetOutage(false)
-	r.doors[a].RefuseAll(false)
+	r.storeEndpoints[a].RefuseAll(false)
 	if st := r.queryState(job.UID); st != protocol.Cancelled && st != "" {
-		t.Errorf("withdrawn job is %s", st)
+		t.Errorf("cancelled job is %s", st)
 	}
 }
 
-// TestPromisesOfALaterRecord: promises to raise no term above a record that one does not know entitle to nothing.
+// TestPromisesOfALaterRecord: promises to raise no term must not entitle a controller that knows only an earlier record
+// than the one that they refer to.
 func TestPromisesOfALaterRecord(t *testing.T) {
 	g := newNodeHarness(1, 1)
 	n := g.n
@@ -183,7 +185,8 @@
 			t.Errorf("a promise under %s entitles: %v", what, got[0])
 		}
 	}
-	// A status that names one of this process's own that it never sent promises nothing, or it would for ever.
+	// A promise that acknowledges a status that this process has not sent yet must not count, as it would hold for
+	// ever.
 	noPromises()
 	n.applyPromise("node-b", &statusMsg{Promise: true, RecordVersion: version(7), Received: map[string]receivedStatus{n.name: {Incarnation: n.incarnation, SentAt: 1 << 50}}}, now)
 	if n.entitled(now) {
@@ -191,60 +194,61 @@
 	}
 }
 
-// TestCutLeader: a controller is cut from the state service and from the other controllers while a machine and users
-// still reach it, and a job is withdrawn through another one. It must tell no user an older state, send its
-// users away, and end what the machine runs in time, though nobody tells it anything.
-func TestCutLeader(t *testing.T) {
+// TestIsolatedOwner: a controller is cut off from the state service and from the other controllers, while a machine and
+// users still reach it, and a job is cancelled through another controller. The isolated controller must answer no user
+// with an older state, report itself as unhealthy, and let the machine's tasks end in time, although it learns of
+// nothing.
+func TestIsolatedOwner(t *testing.T) {
 	r := newLongTaskCluster(t)
 	job := arrayJob(620, 12, "red")
 	r.submit(job)
-	w, a := r.runs(job)
+	w, a := r.awaitRunningAtOtherHome(job)
 	w.LimitReach(r.nodeSettings[a].Name)
-	r.doors[a].RefuseAll(true)
-	r.pipes.Isolate(a, true)
-	told := r.withdrawAt((a+1)%3, job.UID)
-	if !has(w, job.UID) {
-		t.Fatal("the machine ran nothing any more when the withdrawal was confirmed")
+	r.storeEndpoints[a].RefuseAll(true)
+	r.peerPaths.Isolate(a, true)
+	confirmedAt := r.cancelAt((a+1)%3, job.UID)
+	if !runsJob(w, job.UID) {
+		t.Fatal("the machine ran no task when the cancellation was confirmed")
 	}
-	r.state.SetOutage(true) // nobody leads any more who could return the machine to the cloud
+	r.state.SetOutage(true) // so that no fleet owner returns the machine to the cloud
 	answers, healthy := 0, true
-	r.waitUntil("its tasks gone and users sent away", func() bool {
-		status, st := r.askAt(a, "GET", protocol.PathSubmit+"/"+job.UID, nil)
+	r.waitUntil("its tasks gone and the controller unhealthy", func() bool {
+		status, st := r.requestAt(a, "GET", protocol.PathSubmit+"/"+job.UID, nil)
 		r.checker.RecordAnswer(job.UID, status, st.State, false)
 		if status == 503 {
 			answers++
 		}
-		status, _ = r.askAt(a, "GET", protocol.PathHealth, nil)
+		status, _ = r.requestAt(a, "GET", protocol.PathHealth, nil)
 		healthy = status == 200
-		return !has(w, job.UID) && !healthy
+		return !runsJob(w, job.UID) && !healthy
 	})
-	if time.Since(told) > r.checker.Cancel || answers == 0 {
-		t.Errorf("gone %v after the confirmation, asked %d times in vain", time.Since(told), answers)
+	if time.Since(confirmedAt) > r.checker.Cancel || answers == 0 {
+		t.Errorf("gone %v after the confirmation, %d queries answered with 503", time.Since(confirmedAt), answers)
 	}
 	for i := range r.nodeSettings {
-		if status, _ := r.askAt(i, "GET", protocol.PathHealth, nil); i != a && status != 200 {
-			t.Errorf("controller %d, which serves, sends its users away too", i)
+		if status, _ := r.requestAt(i, "GET", protocol.PathHealth, nil); i != a && status != 200 {
+			t.Errorf("controller %d, which serves, is unhealthy too", i)
 		}
 	}
 	r.state.SetOutage(false)
-	r.doors[a].RefuseAll(false)
-	r.pipes.Isolate(a, false)
+	r.storeEndpoints[a].RefuseAll(false)
+	r.peerPaths.Isolate(a, false)
 	w.LimitReach()
 	r.waitUntil("all three are members again", func() bool { o := r.overviews(); return len(o) > 0 && len(o[0].Members) == 3 })
-	r.waitUntil("it tells the withdrawal", func() bool {
-		_, st := r.askAt(a, "GET", protocol.PathSubmit+"/"+job.UID, nil)
+	r.waitUntil("it reports the cancellation", func() bool {
+		_, st := r.requestAt(a, "GET", protocol.PathSubmit+"/"+job.UID, nil)
 		return st.State == protocol.Cancelled
 	})
 }
 
-// TestLateWrites: of all controllers' transactions some get no answer and are carried out seconds later, after newer
-// ones, also across the end of the controller that sent them: acceptances, withdrawals, ends, pages, lists of machines,
-// lease keys and the record alike.
+// TestLateWrites: some of all controllers' transactions get no answer and are carried out seconds later, after newer
+// ones, even if the controller that sent them has crashed meanwhile. That concerns all kinds: acceptances,
+// cancellations, ends, pages, rosters, lease keys and the membership record.
 func TestLateWrites(t *testing.T) {
-	r := openRegion(t, 400*time.Millisecond, settings.Agents{HeartbeatSeconds: 0.2, LeaseSeconds: 20, GangWaitSeconds: 10, GangPeerSeconds: 4, CancelSeconds: 60})
-	for _, d := range r.doors {
+	r := newTestClusterWith(t, 400*time.Millisecond, settings.Agents{HeartbeatSeconds: 0.2, LeaseSeconds: 20, GangWaitSeconds: 10, GangPeerSeconds: 4, CancelSeconds: 60})
+	for _, d := range r.storeEndpoints {
 		count := 0
-		d.DelayTransactions(func() time.Duration { // one soon enough for nothing to come before it, the next one long after
+		d.DelayTransactions(func() time.Duration { // one shortly, before any newer one, and the next one long after
 			if count++; count%4 > 0 {
 				return 0
 			}
@@ -257,7 +261,7 @@
 		r.submit(j)
 		if i == 2 {
 			r.checker.RecordCancellation(j.UID)
-			r.waitUntil("withdrawn or done", func() bool {
+			r.waitUntil("cancelled or done", func() bool {
 				status, st := r.request("POST", protocol.PathSubmit+"/"+j.UID+"/withdraw", struct{}{})
 				r.checker.RecordAnswer(j.UID, status, st.State, false)
 				return status == 200
@@ -272,22 +276,22 @@
 	}
 	r.awaitAllDone(jobs)
 	for i := 0; ; i++ {
-		applied, met := 0, 0
-		for _, d := range r.doors {
+		applied, conflicted := 0, 0
+		for _, d := range r.storeEndpoints {
 			x, y := d.CountDelayed()
-			applied, met = applied+x, met+y
+			applied, conflicted = applied+x, conflicted+y
 		}
-		if applied > 2 && met > 2 {
+		if applied > 2 && conflicted > 2 {
 			break
 		}
 		if i > 40 {
-			t.Fatalf("%d late transactions changed something, %d met newer ones", applied, met)
+			t.Fatalf("%d late transactions were applied, %d conflicted with newer ones", applied, conflicted)
 		}
 		j := arrayJob(670+i, 1, "blue")
 		r.submit(j)
 		r.awaitAllDone([]*protocol.Submission{j})
 	}
-	for _, d := range r.doors {
+	for _, d := range r.storeEndpoints {
 		d.DelayTransactions(nil)
 	}
 	last := arrayJob(640, 4, "red")
@@ -295,23 +299,23 @@
 	r.awaitAllDone([]*protocol.Submission{last})
 	for _, o := range r.overviews() {
 		if o.Store.Epoch != 1 {
-			t.Errorf("late transactions were taken for a loss: epoch %d", o.Store.Epoch)
+			t.Errorf("late transactions were taken for a loss of data: epoch %d", o.Store.Epoch)
 		}
 	}
 }
 
-// hasWritten says whether a key with a prefix was written.
+// hasWritten returns whether a key with a prefix has been set.
 func (r *testCluster) hasWritten(prefix string) bool {
 	return slices.ContainsFunc(r.state.AppliedTransactions(), func(txn protocol.Txn) bool {
 		return slices.ContainsFunc(txn.Then, func(o protocol.Op) bool { return strings.HasPrefix(o.Set, prefix) })
 	})
 }
 
-// TestNoWriteAppliesTwice: every kind of transaction is carried out once more after newer ones, in the order in which they were
-// sent and in the other one, as when the state service gave no answer. Nothing may change: each rests on a version
-// that its first carrying out, or what came after, has left behind.
+// TestNoWriteAppliesTwice: transactions of every kind are repeated after newer ones, in the order in which they were
+// sent and in reverse, as when the state service gave no answer. None may be applied again: each has a condition on a
+// version that its first application, or a later transaction, has changed.
 func TestNoWriteAppliesTwice(t *testing.T) {
-	r := openRegion(t, 600*time.Millisecond, settings.Agents{HeartbeatSeconds: 0.2, LeaseSeconds: 20, GangWaitSeconds: 10, GangPeerSeconds: 4, CancelSeconds: 60})
+	r := newTestClusterWith(t, 600*time.Millisecond, settings.Agents{HeartbeatSeconds: 0.2, LeaseSeconds: 20, GangWaitSeconds: 10, GangPeerSeconds: 4, CancelSeconds: 60})
 	jobs := []*protocol.Submission{arrayJob(680, 9, "red"), arrayJob(681, 3, "blue")}
 	for _, j := range jobs {
 		r.submit(j)
@@ -320,10 +324,10 @@
 	r.submit(over)
 	r.withdraw(over.UID)
 	r.awaitAllDone(jobs)
-	// A page is written only if a job is partly done at that time: on a busy machine none was.
+	// A page is written only while a job is partly done, which never happened in some runs under load.
 	for i := 0; !r.hasWritten("b/"); i++ {
 		if i == 10 {
-			t.Fatal("ten jobs were done without a page")
+			t.Fatal("ten jobs were done, and no page was written")
 		}
 		more := arrayJob(684+2*i, 40, "red") // more than the limit lets run at once
 		r.submit(more)
@@ -331,7 +335,7 @@
 	}
 	for _, txn := range r.state.AppliedTransactions() { // while the record is still the same
 		if r.state.RepeatTransaction(txn) {
-			t.Errorf("carried out again under the same record: %s", protocol.Encode(txn))
+			t.Errorf("applied again under the same record: %s", protocol.Encode(txn))
 		}
 	}
 	r.crash(1)
@@ -340,7 +344,7 @@
 	r.submit(late)
 	r.awaitAllDone([]*protocol.Submission{late})
 	r.waitUntil("all three are members again", func() bool { o := r.overviews(); return len(o) == 3 && len(o[0].Members) == 3 })
-	for i := range r.nodes { // what is written from here on would hide what applies again
+	for i := range r.nodes { // later writes would hide a transaction that is applied again
 		r.crash(i)
 	}
 	carried := r.state.AppliedTransactions()
@@ -356,23 +360,23 @@
 	}
 	for prefix, n := range kinds {
 		if n == 0 {
-			t.Errorf("no write of %s was there to come again", prefix)
+			t.Errorf("no write of %s was there to be repeated", prefix)
 		}
 	}
 	for range 2 {
 		for _, txn := range carried {
 			if r.state.RepeatTransaction(txn) {
-				t.Errorf("carried out again: %s", protocol.Encode(txn))
+				t.Errorf("applied again: %s", protocol.Encode(txn))
 			}
 		}
 		slices.Reverse(carried)
 	}
 }
 
-// TestLateReports: copies of reports arrive again up to well over a lease later, of sessions, attempts and machines that are
-// over, and at controllers that began anew and know none of them.
-func TestLateReports(t *testing.T) {
-	r := openRegion(t, time.Second, settings.Agents{HeartbeatSeconds: 0.2, LeaseSeconds: 3, GangWaitSeconds: 10, GangPeerSeconds: 4, CancelSeconds: 10})
+// TestLateHeartbeats: copies of heartbeats arrive up to well over a lease later: of incarnations, attempts and machines
+// that have ended, and at restarted controllers that know none of them.
+func TestLateHeartbeats(t *testing.T) {
+	r := newTestClusterWith(t, time.Second, settings.Agents{HeartbeatSeconds: 0.2, LeaseSeconds: 3, GangWaitSeconds: 10, GangPeerSeconds: 4, CancelSeconds: 10})
 	r.checker.Cancel = 10 * time.Second
 	var mu sync.Mutex
 	rng := rand.New(rand.NewPCG(8, 8))
@@ -404,39 +408,40 @@
 		r.crash(i)
 		r.start(i)
 		before := repeats()
-		r.waitUntil("copies came", func() bool { return repeats() > before+10 })
+		r.waitUntil("copies arrived", func() bool { return repeats() > before+10 })
 	}
 	r.awaitAllDone(jobs)
 	for _, o := range r.overviews() {
 		if o.Store.Epoch != 1 {
-			t.Errorf("late reports were taken for a loss: epoch %d", o.Store.Epoch)
+			t.Errorf("late heartbeats were taken for a loss of data: epoch %d", o.Store.Epoch)
 		}
 	}
 }
 
-// TestDeafMachineAcrossAnEnd: the answers and commands to a machine are lost while its reports arrive, its home and the
-// owner of what it runs end, and the job is withdrawn. Nothing of it may stay longer than a cancellation may
-// take, and what else it ran runs on elsewhere once that is proven off.
-func TestDeafMachineAcrossAnEnd(t *testing.T) {
-	r := openRegion(t, 6*time.Second, settings.Agents{HeartbeatSeconds: 0.2, LeaseSeconds: 4, GangWaitSeconds: 10, GangPeerSeconds: 4, CancelSeconds: 10})
+// TestMachineWithoutAnswersAcrossCrash: a machine's heartbeats arrive but the answers and commands to it are lost, its
+// home crashes, and one of its jobs is cancelled. No task of that job may run for longer than a cancellation may take,
+// and the machine's other job continues elsewhere once its tasks there are proven to have ended.
+func TestMachineWithoutAnswersAcrossCrash(t *testing.T) {
+	r := newTestClusterWith(t, 6*time.Second, settings.Agents{HeartbeatSeconds: 0.2, LeaseSeconds: 4, GangWaitSeconds: 10, GangPeerSeconds: 4, CancelSeconds: 10})
 	r.checker.Cancel = 10 * time.Second
 	gone, stays := arrayJob(660, 7, "red"), arrayJob(662, 5, "red")
 	r.submit(gone)
 	r.submit(stays)
-	w, a := r.runs(gone, stays)
+	w, a := r.awaitRunningAtOtherHome(gone, stays)
 	w.DropAnswers(true)
 	r.crash(a)
-	r.withdrawAt((a+1)%3, gone.UID)
+	r.cancelAt((a+1)%3, gone.UID)
 	r.start(a)
-	r.waitUntil("nothing withdrawn runs", func() bool { return !has(w, gone.UID) })
+	r.waitUntil("no task of the cancelled job runs", func() bool { return !runsJob(w, gone.UID) })
 	r.awaitAllDone([]*protocol.Submission{stays})
 	w.DropAnswers(false)
-	r.waitUntil("withdrawn still", func() bool { return r.queryState(gone.UID) == protocol.Cancelled })
+	r.waitUntil("still cancelled", func() bool { return r.queryState(gone.UID) == protocol.Cancelled })
 }
 
-// TestOldReportsProveNothing: two late copies of what a machine sent that is gone by now come to a controller that never knew it, and
-// are no proof that the store lost a list of machines. Taken for one they began a new epoch.
-func TestOldReportsProveNothing(t *testing.T) {
+// TestOldHeartbeatsProveNoLoss: two late copies of the heartbeats of a machine that is gone by now reach a controller
+// that never knew the machine. They must not count as proof that the state service lost a roster, which would begin a
+// new epoch.
+func TestOldHeartbeatsProveNoLoss(t *testing.T) {
 	g := newNodeHarness(1, 1)
 	n := g.n
 	g.submit(1, 4)
@@ -456,21 +461,21 @@
 		at = at.Add(settings.Seconds(n.settings.Deployment.Agents.HeartbeatSeconds))
 		n.cancelWatermark.RecordRead(at)
 		n.mu.Unlock()
-		_ = n.group.Wait() // what is asked of the machine
+		_ = n.group.Wait() // for the probe of the machine
 	}
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if m := n.machine("n-000900"); !m.unregistered.Suspected() || !m.unregistered.Probed() {
-		t.Error("the machine was not asked")
+		t.Error("the machine was not probed")
 	}
 	if proof, proved := n.recovery.detection.Proved(); proved {
-		t.Errorf("taken for a proof: %s", proof)
+		t.Errorf("counted as proof of a loss: %s", proof)
 	}
 }
 
-// TestRenewal: every answer that renews a lease, of an entitled controller too, rests on knowledge that is still
-// current. An entitled one renewed without a bound, whatever the machine ran and however long ago it had last heard of
-// withdrawals.
+// TestRenewal: a controller may renew a lease only while its knowledge of cancellations is recent enough, also if it is
+// entitled. Without that bound an entitled controller renews leases whatever the machine runs, and however long ago it
+// last received cancellations.
 func TestRenewal(t *testing.T) {
 	g := newNodeHarness(2, 1)
 	n := g.n
@@ -478,7 +483,7 @@
 	g.submit(4, 4)
 	n.endJob("job-000002")
 	n.userAPI.RecordEnd("job-000003", userapi.JobEnd{State: protocol.Cancelled, Tasks: 1, Team: "team-0"})
-	n.mu.Lock() // what is looked up beside it takes it too
+	n.mu.Lock() // lookups in the background take it too
 	reach := settings.Seconds(n.settings.Deployment.Agents.CancelSeconds - n.settings.Deployment.Agents.LeaseSeconds)
 	seq := uint64(10)
 	ask := func(at time.Time, state protocol.TaskState, tasks ...string) (status int, stopped []string) {
@@ -508,33 +513,33 @@
 		stop   bool
 	}{
 		"an active job":                  {time.Second, protocol.Running, "job-000001/0", 200, false},
-		"a job that was withdrawn":       {time.Second, protocol.Running, "job-000002/0", 200, true},
+		"a job that was cancelled":       {time.Second, protocol.Running, "job-000002/0", 200, true},
 		"one known only by its end":      {time.Second, protocol.Running, "job-000003/0", 200, true},
-		"one that nobody knows":          {time.Second, protocol.Running, "job-000009/0", 503, false},
-		"what is over of one":            {time.Second, protocol.Exited, "job-000009/0", 200, false},
+		"an unknown job":                 {time.Second, protocol.Running, "job-000009/0", 503, false},
+		"an exited task of it":           {time.Second, protocol.Exited, "job-000009/0", 200, false},
 		"shortly before the bound":       {reach - 3*time.Second, protocol.Running, "job-000001/0", 200, false},
 		"after it":                       {reach, protocol.Running, "job-000001/0", 503, false},
 		"after it, with nothing running": {reach, protocol.Exited, "job-000001/0", 503, false},
 	} {
 		status, stopped := ask(g.now.Add(c.after), c.state, c.task)
 		if status != c.status || slices.Contains(stopped, c.task) != c.stop {
-			t.Errorf("%s: answered by %d, stops %v", what, status, stopped)
+			t.Errorf("%s: answered with %d, stops %v", what, status, stopped)
 		}
 	}
-	// An owner's order tells that the job is there before the watch does.
+	// An owner's order proves that the job is active before the watch delivers its key.
 	n.agents.SetTerm(1, func(string) bool { return true })
 	o := jobstate.Order{Op: protocol.Start, TaskID: jobstate.TaskID{Job: "job-000008"}, Attempt: 1, Incarnation: 1, CPUs: 1, MemoryGB: 1}
 	n.agents.QueueOrders(1, g.machineNames[0], []jobstate.Order{o})
 	if status, _ := ask(g.now.Add(time.Second), protocol.Running, "job-000008/0"); status != 200 {
-		t.Errorf("a task that its owner ordered here is answered by %d", status)
+		t.Errorf("a task that its owner ordered here is answered with %d", status)
 	}
-	// A start is held back as long as the answer that would renew the machine's lease.
+	// A start is held back for as long as the machine's lease may not be renewed.
 	n.peers["node-b"] = &peerState{}
 	n.leadership.LeaseRenewed(time.Now())
 	o.TaskID.Job = "job-000007"
 	n.agents.QueueOrders(1, g.machineNames[0], []jobstate.Order{o})
 	if m := n.agents.Get(g.machineNames[0]); !m.HasQueuedStart() {
-		t.Fatal("no start waits")
+		t.Fatal("no start is queued")
 	}
 	n.mu.Unlock()
 	sender := &commandSender{machine: g.machineNames[0]}
@@ -543,12 +548,12 @@
 	n.cancelWatermark.RecordRead(time.Now().Add(-time.Minute))
 	n.mu.Unlock()
 	if n.sendCommandsOnce(n.ctx, sender) || sender.conn != nil {
-		t.Error("a start goes out that may land after what is known has run out")
+		t.Error("a start is sent though the knowledge of cancellations is too old")
 	}
 	n.mu.Lock()
 	n.cancelWatermark.RecordRead(time.Now())
 	n.mu.Unlock()
 	if n.sendCommandsOnce(n.ctx, sender); sender.conn == nil {
-		t.Error("a start does not go out while what is known is current")
+		t.Error("a start is not sent though the knowledge of cancellations is recent")
 	}
 }
--- a/internal/controller/followedkeys.go
+++ b/internal/controller/followedkeys.go
@@ -15,19 +15,20 @@
 	"topazhollow/internal/userapi"
 )
 
-// Keys of the state service beside those of the frontend.
+// Keys and key prefixes of the state service, besides those of internal/userapi.
 const (
 	recordKey      = userapi.WatchedPrefix + "c"
 	presencePrefix = userapi.WatchedPrefix + "n/"
 	rosterPrefix   = userapi.WatchedPrefix + "m/"
 )
 
-// followRetryAfter is after what time the followed keys are read again if they could not be, or not be relied on.
+// followRetryAfter is the pause before the watched keys are read again after a read that failed or could not be
+// trusted.
 const followRetryAfter = 300 * time.Millisecond
 
-// follow is the duty that keeps what this controller knows of the watched keys up to date: it lists all, and then
-// watches their changes until the state service has dropped those after what is known.
-func (n *Node) follow(ctx context.Context) error {
+// followWatchedKeys keeps this controller's copy of the watched keys up to date: it lists all keys, and then watches
+// for changes until the state service has compacted the changes that follow the known revision.
+func (n *Node) followWatchedKeys(ctx context.Context) error {
 	listed := false
 	for ctx.Err() == nil {
 		var err error
@@ -46,7 +47,7 @@
 	return nil
 }
 
-// listAll reads all watched keys, and says whether the state service that listed them can be relied on.
+// listAll reads all watched keys, and returns whether the state service that listed them can be trusted.
 func (n *Node) listAll(ctx context.Context) (relied bool, err error) {
 	began := time.Now()
 	entries, revision, err := n.kvStore.List(ctx, userapi.WatchedPrefix)
@@ -70,7 +71,7 @@
 	n.mu.Lock()
 	after := n.followedRevision
 	watch, cancel := context.WithCancel(ctx)
-	n.recovery.restartWatch = cancel // what is watched ends with the epoch
+	n.recovery.restartWatch = cancel // a new epoch cancels the watch
 	n.mu.Unlock()
 	changes, err := n.kvStore.Watch(watch, userapi.WatchedPrefix, after)
 	cancel()
@@ -84,7 +85,7 @@
 	return nil
 }
 
-// applyListedKeys applies a full list of the watched keys.
+// applyListedKeys applies a full list of the watched keys, read at a revision.
 func (n *Node) applyListedKeys(entries []protocol.Entry, revision uint64) {
 	seen := map[string]bool{}
 	for _, e := range entries {
@@ -95,18 +96,18 @@
 	n.endUnlistedJobs(seen, revision)
 	for _, key := range n.roster.Keys() {
 		if !seen[key] {
-			n.suspectLoss(datarecovery.SignRosterGone) // they are never deleted
+			n.suspectLoss(datarecovery.SignRosterGone) // roster keys are never deleted
 		}
 	}
 	n.checkConfigListed(seen)
 	n.watchedKeysRead, n.followedRevision = true, revision
-	n.scheduler.InvalidateAllMachines() // jobs may be known now that machines listed before
+	n.scheduler.InvalidateAllMachines() // jobs that machines listed earlier may be known now
 }
 
-// endUnlistedJobs ends the active jobs that a full list of that revision does not name.
+// endUnlistedJobs ends the active jobs that are missing from a full list of the given revision.
 func (n *Node) endUnlistedJobs(seen map[string]bool, revision uint64) {
 	for uid, j := range n.jobs {
-		// One that was accepted after the list began may not be in it.
+		// A job that was accepted after the list began may be missing from it.
 		if j.active && j.version > 0 && j.version <= revision && !seen[userapi.ActiveJobPrefix+uid] {
 			n.endJob(uid)
 			n.verifyUnlistedJob(uid, j)
@@ -121,7 +122,7 @@
 	}
 }
 
-// applyKey applies the change of a key by the handler of its prefix.
+// applyKey passes the change of a key to the handler of its prefix.
 func (n *Node) applyKey(c protocol.Change) error {
 	key := c.Set + c.Delete
 	switch {
@@ -140,12 +141,12 @@
 	case strings.HasPrefix(key, rosterPrefix):
 		n.applyRosterList(key, c.Value, c.Version)
 	case strings.HasPrefix(key, teamstore.Prefix):
-		n.learnConfig(c)
+		n.applyConfigKey(c)
 	}
 	return nil
 }
 
-// applyRecordKey learns the membership record.
+// applyRecordKey applies a change of the membership record.
 func (n *Node) applyRecordKey(c protocol.Change) error {
 	var record leadership.Record
 	if err := json.Unmarshal(c.Value, &record); err != nil {
@@ -155,8 +156,8 @@
 	return nil
 }
 
-// applyEpochKey takes in the key of an epoch of the state service's data: its deletion shows a loss if it is this
-// epoch's.
+// applyEpochKey applies a change of an epoch's key. The deletion of the current epoch's key is a sign of a loss of
+// data.
 func (n *Node) applyEpochKey(key string, c protocol.Change) {
 	if c.Delete == "" {
 		n.recovery.detection.EpochKeyChanged(key, c.Version)
@@ -166,7 +167,7 @@
 	}
 }
 
-// applyPresenceKey learns that a controller holds its lease, or does not any more.
+// applyPresenceKey records that a controller holds its lease, or no longer does.
 func (n *Node) applyPresenceKey(name string, c protocol.Change) error {
 	if c.Delete != "" {
 		n.leadership.LearnAbsence(name, c.Version)
@@ -180,10 +181,10 @@
 	return nil
 }
 
-// errNoSpecification says that an active job's key lacks what the job consists of.
-var errNoSpecification = errors.New("an active job without its specification")
+// errNoSpecification is returned for the key of an active job whose value has no specification.
+var errNoSpecification = errors.New("active job without a specification")
 
-// applyActiveJobKey learns an active job, or its end.
+// applyActiveJobKey records an active job, or the end of one whose key was deleted.
 func (n *Node) applyActiveJobKey(uid string, c protocol.Change) error {
 	if c.Delete != "" {
 		n.recovery.writeBack.ActiveKeyDeleted(uid)
--- a/internal/controller/golden_overview_test.go
+++ b/internal/controller/golden_overview_test.go
@@ -10,7 +10,8 @@
 	"topazhollow/internal/teamconfig"
 )
 
-// TestGoldenOverview: the answer to GET /overview, which operators' tools read. The form may only grow.
+// TestGoldenOverview checks the encoding of the answer to GET /overview, which operators' tools read. Fields may be
+// added, but none changed or removed.
 func TestGoldenOverview(t *testing.T) {
 	behind, age := 0.25, 1.5
 	key := admission.Key{Team: "vision", Class: "train"}
@@ -25,9 +26,9 @@
 				Oldest: 12.5, Floor: 24}}},
 		Store: datarecovery.Status{Phase: datarecovery.Suspected.String(), Sign: "revision lower than one seen", Epoch: 2, DataLost: true, RosterIncomplete: true, AwaitedMemories: []string{"estacion-2"}, Unwritten: 1,
 			StaleActive: 2, Ends: 3, MemoryComplete: true, Unreplicated: 4, Undescribed: []string{"job-000500"}, Suspicions: 5, Losses: 6},
-		Config: &configOverview{Known: 430, Age: &age, Fresh: true, Latest: 429, Reached: 428, Record: 412, Behind: []teamconfig.LaggingMember{{Node: "estacion-2", Known: 427, BehindSeconds: 2.5}},
-			Open: []openChange{{Team: "vision", Number: 3, Owner: "estacion-1"}}, Unwritten: 1, Lacks: true, Overruled: []teamconfig.Change{goldenChange}, Strangers: []string{"estacion-3"},
-			Changes: map[string]uint64{"vision": 2}},
+		Config: &configOverview{Known: 430, Age: &age, Fresh: true, Latest: 429, KnownByAll: 428, RecordVersion: 412, Lagging: []teamconfig.LaggingMember{{Node: "estacion-2", Known: 427, BehindSeconds: 2.5}},
+			NotInForce: []pendingChange{{Team: "vision", Number: 3, Owner: "estacion-1"}}, Unwritten: 1, MayLackChanges: true, Overruled: []teamconfig.Change{goldenChange}, OtherSettings: []string{"estacion-3"},
+			InForce: map[string]uint64{"vision": 2}},
 	}
 	goldentest.Wire.Check(t, []goldentest.Case{
 		{Name: "overview-full.json", Value: full, Full: true},
@@ -35,8 +36,8 @@
 	})
 }
 
-// TestGoldenOverviewWords: the words that the overview has for phases, and the names of its quantiles.
-func TestGoldenOverviewWords(t *testing.T) {
+// TestGoldenOverviewNames checks the names of phases and quantiles in the overview.
+func TestGoldenOverviewNames(t *testing.T) {
 	for phase, want := range map[shards.Phase]string{shards.Loading: "loading", shards.Barrier: "barrier", shards.Ready: "ready"} {
 		if phase.String() != want {
 			t.Errorf("phase %q, want %q", phase, want)
--- a/internal/controller/golden_state_test.go
+++ b/internal/controller/golden_state_test.go
@@ -10,9 +10,10 @@
 	"topazhollow/internal/shards"
 )
 
-// The golden files of the controllers' own keys of the state service. Keys and values outlive the process that wrote them, so the
-// forms may only grow. Those of jobs and ends are in internal/userapi, of pages in internal/jobstate and internal/datarecovery, of
-// rosters in internal/agents, of the membership record in internal/leadership, of teams in internal/teamstore.
+// Golden files of the controllers' own keys in the state service. Keys and values outlive the process that wrote them,
+// so that fields may be added, but none changed or removed. The golden files of jobs and ends are in internal/userapi,
+// of pages in internal/jobstate and internal/datarecovery, of rosters in internal/agents, of the membership record in
+// internal/leadership, of teams in internal/teamstore.
 
 func TestGoldenKeys(t *testing.T) {
 	goldentest.Bytes(t, "state-keys.txt", []byte(strings.Join([]string{
@@ -38,7 +39,8 @@
 		Unreachable: []string{"estacion-1"}, Epoch: 2, FirstTerm: 30, StoreID: "DRAWN", PreviousVersion: 411, RosterIncomplete: true, DataLost: true}
 }
 
-// TestGoldenRecordChange: the transactions that write the membership record, the first one with its generation's key.
+// TestGoldenRecordChange checks the transactions that write the membership record; the first one also writes the
+// epoch's key.
 func TestGoldenRecordChange(t *testing.T) {
 	conditions := []leadership.Condition{{Node: "estacion-1", Version: 400}}
 	first := proposedRecord{RecordChange: &leadership.RecordChange{Record: goldenRecord(), Conditions: conditions}}
--- a/internal/controller/golden_test.go
+++ b/internal/controller/golden_test.go
@@ -22,14 +22,14 @@
 	"topazhollow/internal/userapi"
 )
 
-// The golden files of the lines between controllers, as they stand on the connection. Controllers of two versions run beside
-// each other, so the forms may only grow: a kind or a field may be added, none may be renamed or taken away.
+// Golden files of the messages between controllers, as encoded on the connection. Controllers of two versions run side
+// by side, so that kinds and fields may be added, but none renamed or removed.
 
-// lineKinds are the kinds of lines that a controller takes.
+// lineKinds lists the kinds of messages that a controller handles.
 var lineKinds = []string{"status", "views", "orders", "knock", "record", "config", "evict", "copy", "copy_part", "deltas", "ack", "recall", "recalled", "hold", "held"}
 
-// TestGoldenKinds shows that a controller takes lines of each kind, by what it logs of a body that none of them can have. A line
-// of an unknown kind is ignored, whatever its body is.
+// TestGoldenKinds checks that a controller handles messages of each kind, by the error that it logs for a body that is
+// invalid for all of them. A message of an unknown kind is ignored whatever its body is.
 func TestGoldenKinds(t *testing.T) {
 	for _, kind := range append([]string{"unknown"}, lineKinds...) {
 		var log bytes.Buffer
@@ -42,7 +42,7 @@
 	}
 }
 
-// line is the form of the lines of one kind.
+// line returns the encoding of messages of one kind.
 func line(kind string) goldentest.Form {
 	return goldentest.Form{
 		Encode: func(value any) ([]byte, error) { return peer.Encode(kind, value), nil },
@@ -59,7 +59,7 @@
 	}
 }
 
-// checkLines compares lines with the golden files kind-full and kind-empty.
+// checkLines compares two messages with the golden files kind-full and kind-empty.
 func checkLines(t *testing.T, kind string, full, empty any) {
 	t.Helper()
 	line(kind).Check(t, []goldentest.Case{
@@ -68,7 +68,7 @@
 	})
 }
 
-// finishedTasks is a set beyond one word.
+// finishedTasks returns a set that does not fit into one 64-bit word.
 func finishedTasks() *bitset.BitSet { return bitset.New(0).Set(0).Set(3).Set(70) }
 
 // Values that several messages carry, with every field set.
@@ -83,14 +83,14 @@
 		GPUsMax: 16, Removed: true, StopExcess: true}}
 )
 
-// goldenPlan is a plan of who gets how much, with every field set.
+// goldenPlan returns an admission plan with every field set.
 func goldenPlan(number uint64) *admission.Plan {
 	key := admission.Key{Team: "vision", Class: "train"}
 	return &admission.Plan{ID: admission.ID{SinceTerm: 41, Number: number}, Floors: []admission.Floor{{Key: key, CPUs: 24.5, WithinLimit: true}},
 		Reserved: map[string]string{"n-000231": "train", "n-000198": "serve"}}
 }
 
-// goldenStatus has every field of a status set.
+// goldenStatus returns a status with every field set.
 func goldenStatus() statusMsg {
 	writes, version, told, got := 2.5, uint64(412), uint64(7), uint64(5)
 	return statusMsg{
@@ -152,7 +152,7 @@
 	checkLines(t, "ack", shards.Acknowledgement{Shard: "team/vision", SinceTerm: 40, Seq: 18, Parts: 3, Again: true}, shards.Acknowledgement{})
 }
 
-// unusualEnd is an end that a page of ends tells beside its packed ones.
+// unusualEnd is an end that a page of ends cannot pack, and stores separately.
 var unusualEnd = datarecovery.End{UID: "job-x", Cancelled: true, Tasks: 4, Team: "speech"}
 
 func TestGoldenRecall(t *testing.T) {
--- a/internal/controller/heartbeat.go
+++ b/internal/controller/heartbeat.go
@@ -10,10 +10,10 @@
 	"topazhollow/internal/protocol"
 )
 
-// An agent's heartbeat is taken in and answered here. Whether the lease may be renewed is decided by internal/leasegrant
-// (leaserenewal.go), whether an agent of another home is kept alive by agents.UnreachableHomes.
+// Processing of agents' heartbeats. internal/leasegrant decides whether the agent's lease may be renewed (see
+// leaserenewal.go), agents.UnreachableHomes whether an agent with another home is kept alive here.
 
-// handleHeartbeat answers the request with a heartbeat.
+// handleHeartbeat decodes and checks the body of a heartbeat request, and answers it.
 func (n *Node) handleHeartbeat(body []byte) httpx.Answer {
 	var h protocol.Heartbeat
 	if err := protocol.Decode(body, &h); err != nil {
@@ -27,10 +27,10 @@
 	return n.encodeAnswer(n.answerHeartbeat(&h, time.Now()))
 }
 
-// retryAfterSeconds is when an agent that got no lease is to try again.
+// retryAfterSeconds is the pause after which an agent whose lease was not renewed should try again.
 const retryAfterSeconds = 1
 
-// encodeAnswer makes the HTTP answer of what was decided about a heartbeat.
+// encodeAnswer encodes the decision about a heartbeat as an HTTP answer.
 func (n *Node) encodeAnswer(a agents.Answer) httpx.Answer {
 	switch a.Outcome {
 	case agents.Redirected:
@@ -44,14 +44,14 @@
 	return refused
 }
 
-// answerHeartbeat decides about a heartbeat that came now.
+// answerHeartbeat applies a heartbeat that arrived now, and decides how to answer it.
 func (n *Node) answerHeartbeat(h *protocol.Heartbeat, now time.Time) agents.Answer {
 	n.observeFencingToken(h.FencingToken)
 	if !n.entitled(now) {
 		return n.answerUnentitled(h, now)
 	}
 	if h.FencingToken > n.leadership.Term() {
-		n.requestRecordRead() // a later record is in force
+		n.requestRecordRead() // there is a membership record with a higher term
 		return agents.Answer{Outcome: agents.NotEntitled}
 	}
 	if home := n.homeOf(h.Machine); home != n.name {
@@ -63,9 +63,9 @@
 	return n.answerAsHome(h, now)
 }
 
-// answerAsHome takes in a heartbeat of an agent whose home this controller is, and answers with what is to be executed.
+// answerAsHome applies a heartbeat of an agent whose home this controller is, and answers with the commands to execute.
 func (n *Node) answerAsHome(h *protocol.Heartbeat, now time.Time) agents.Answer {
-	n.logFirst("first report answered", now)
+	n.logMilestone("first heartbeat answered", now)
 	n.applyHeartbeat(h, now)
 	defer n.sendChangedStatuses()
 	commands, ok := n.leaseGrant(h, now)
@@ -73,7 +73,7 @@
 		return agents.Answer{Outcome: agents.NotEntitled}
 	}
 	agent := n.agents.Get(h.Machine)
-	if agent.Heartbeat.Seq == h.Seq && agent.Heartbeat.Incarnation == h.Incarnation { // not an older one
+	if agent.Heartbeat.Seq == h.Seq && agent.Heartbeat.Incarnation == h.Incarnation { // not an older one, late
 		n.prepareCommands(agent, now)
 		commands = append(commands, agent.TakeForAnswer()...)
 		n.publishStatus(h.Machine)
@@ -81,7 +81,8 @@
 	return agents.Answer{Outcome: agents.Renewed, Commands: commands}
 }
 
-// answerMisdirected answers an agent whose home is another controller.
+// answerMisdirected answers an agent whose home is another controller: it redirects the agent there, or renews its
+// lease in place of an unreachable home.
 func (n *Node) answerMisdirected(h *protocol.Heartbeat, home string, now time.Time) agents.Answer {
 	n.machine(h.Machine).MisdirectedAt = now
 	n.unreachableHomes.RecordMisdirected(h.Machine)
@@ -94,8 +95,8 @@
 	return agents.Answer{Outcome: agents.NotEntitled}
 }
 
-// answerUnentitled answers an agent while this controller may not act: it redirects it to an entitled controller, if one
-// is reachable, and else keeps it alive for as long as that can do no harm.
+// answerUnentitled answers an agent while this controller may not act. It redirects the agent to an entitled controller
+// if one is reachable, and otherwise keeps the agent alive if mayKeepAlive allows it.
 func (n *Node) answerUnentitled(h *protocol.Heartbeat, now time.Time) agents.Answer {
 	for _, name := range slices.Sorted(maps.Keys(n.peers)) {
 		if p := n.peers[name]; p.entitled && p.isReachable(now) {
@@ -103,14 +104,14 @@
 		}
 	}
 	if n.mayKeepAlive(h, now) {
-		return agents.Answer{Outcome: agents.KeptAlive, Commands: []protocol.Command{}} // what it lists is all active
+		return agents.Answer{Outcome: agents.KeptAlive, Commands: []protocol.Command{}} // no task to stop
 	}
 	return agents.Answer{Outcome: agents.NotEntitled}
 }
 
-// mayKeepAlive says whether an agent may be kept alive by a controller that is not entitled, as in a zone that is cut
-// off. Such an answer changes nothing that an owner relies on: an agent's silence proves nothing, and nothing is
-// commanded, so every task that the agent lists must belong to a job that is active as far as known here.
+// mayKeepAlive returns whether a controller that is not entitled may keep an agent alive, as in a zone that is cut off.
+// That is safe because owners take no agent's silence as proof that its tasks have ended. As the answer carries no
+// commands, every task that the agent lists must belong to a job that is active as far as known here.
 func (n *Node) mayKeepAlive(h *protocol.Heartbeat, now time.Time) bool {
 	if n.leadership.Record() == nil || h.FencingToken > n.leadership.Term() || n.machine(h.Machine).gone {
 		return false
@@ -125,21 +126,22 @@
 	return ok
 }
 
-// applyHeartbeat takes in a heartbeat that an agent sent.
+// applyHeartbeat applies a heartbeat request of an agent.
 func (n *Node) applyHeartbeat(h *protocol.Heartbeat, now time.Time) {
 	if newer, changed := n.agents.ApplyHeartbeat(h, now); newer {
 		n.recordHeartbeat(h, changed, now)
 	}
 }
 
-// applyResponse takes in the heartbeat in an agent's response to commands.
+// applyResponse applies the heartbeat in an agent's response to commands.
 func (n *Node) applyResponse(h *protocol.Heartbeat, now time.Time) {
 	if newer, changed := n.agents.ApplyResponse(h, now); newer {
 		n.recordHeartbeat(h, changed, now)
 	}
 }
 
-// recordHeartbeat notes that an agent is alive at its home, and publishes what changed.
+// recordHeartbeat records that an agent has reached its home, registers its machine if needed, and publishes the status
+// if it changed.
 func (n *Node) recordHeartbeat(h *protocol.Heartbeat, changed bool, now time.Time) {
 	m := n.machine(h.Machine)
 	m.RecordHeartbeat(now)
--- a/internal/controller/jobend.go
+++ b/internal/controller/jobend.go
@@ -13,14 +13,14 @@
 	"topazhollow/internal/userapi"
 )
 
-// commitFinishedJobs commits the end of jobs whose tasks are all done.
+// commitFinishedJobs starts writing the end of each job whose tasks are all done.
 func (n *Node) commitFinishedJobs(shard *shards.Owned) {
 	shard.Team().Jobs(func(j *jobstate.Job) {
 		if j.Spec.Kind == protocol.Service || j.Finishing || !j.Complete() {
 			return
 		}
 		if j.Version == 0 {
-			return // after a loss: the store gets it back first
+			return // lost by the state service: the active job is written back first
 		}
 		j.Finishing = true
 		version, written := n.leadership.RecordVersion(), j.Version
@@ -31,24 +31,24 @@
 	})
 }
 
-// jobEndRetryDelay is how long after a failed write the end of a job is written again at the earliest.
+// jobEndRetryDelay is the least time from a failed write of a job's end to the next attempt.
 const jobEndRetryDelay = 200 * time.Millisecond
 
-// commitJobEnd writes the end of a job to the state service, unless the membership record or the job's key has changed
-// since the given versions, and then has it known here and at the peers.
+// commitJobEnd writes the end of a job to the state service, provided that the membership record and the job's key
+// still have the given versions, and then records it here and sends it to the peers.
 func (n *Node) commitJobEnd(ctx context.Context, shard *shards.Owned, j *jobstate.Job,
 	recordVersion, jobVersion uint64) {
 	uid := j.Spec.UID
 	end := userapi.NewJobEnd(j.Spec, protocol.Done)
 	_, err := n.kvStore.Commit(ctx, jobEndUpdate(uid, end, recordVersion, jobVersion))
 	if c := (*kvstore.ConflictError)(nil); errors.As(err, &c) && slices.Contains(c.Keys, userapi.ActiveJobPrefix+uid) {
-		userBackend{n}.ReportMissing(uid) // or just cancelled; the record may have changed as well, which says nothing
+		userBackend{n}.ReportMissing(uid) // may also have been cancelled just now; a changed record proves nothing
 	}
 	if err == nil {
 		n.replicateFact(ctx, replicateFactMsg{Ends: []jobEnd{{uid, end}}})
 		n.userAPI.RecordEnd(uid, end)
 	} else {
-		n.log.Debug("end of job not written yet", "job", uid, "err", err)
+		n.log.Debug("end of job not written", "job", uid, "err", err)
 		sleep(ctx, jobEndRetryDelay)
 	}
 	n.mu.Lock()
@@ -63,7 +63,7 @@
 	n.wake()
 }
 
-// jobEndUpdate is the change of the state service that ends a job.
+// jobEndUpdate returns the transaction that replaces a job's active key by its ended key.
 func jobEndUpdate(uid string, end userapi.JobEnd, recordVersion, jobVersion uint64) kvstore.Update {
 	return kvstore.Update{
 		Conditions: []protocol.Condition{
--- a/internal/controller/jobs.go
+++ b/internal/controller/jobs.go
@@ -9,21 +9,21 @@
 	"topazhollow/internal/userapi"
 )
 
-// job is what every controller knows of a job that is or was active.
+// job holds what a controller knows of a job that is or was active, whoever owns its team.
 type job struct {
 	spec          *protocol.Submission
 	submittedAt   time.Time
-	version       uint64 // of the job's key in the state service; 0: that does not have it yet
+	version       uint64 // of the job's key in the state service; 0: not written there
 	active        bool
 	endedAt       time.Time
-	countedLate   bool                // counted as not served in time
+	countedLate   bool                // counted as late by countLateJobs
 	objectives    jobstate.Objectives // cached
-	longestRun    time.Duration       // of its tasks that ran to completion as far as seen here
+	longestRun    time.Duration       // the longest observed run time of its completed tasks
 	completedRuns int
 }
 
-// learnJob takes up an active job, unless it is known to be over: its end may have come first, from a
-// peer or by a later read of the state service. Owners place it at the next tick.
+// learnJob records an active job, unless its end is already known: the end may have arrived first, from a peer or by a
+// later read of the state service. The owner of its team places its tasks in the next step.
 func (n *Node) learnJob(s userapi.ActiveJob, version uint64) {
 	uid := s.Spec.UID
 	j := n.jobs[uid]
@@ -33,7 +33,7 @@
 		n.jobs[uid] = j
 	}
 	if j != nil && !j.active {
-		if version > 0 && n.leadership.Epoch() > 1 && n.hasEnded(uid) { // an end beats active
+		if version > 0 && n.leadership.Epoch() > 1 && n.hasEnded(uid) { // the end takes precedence over the active key
 			n.recovery.writeBack.EndedKeyActive(uid, version, time.Now())
 		}
 		return
@@ -45,12 +45,13 @@
 	}
 	j.version = max(j.version, version)
 	if shard := n.shards.OfTeam(s.Spec.Team); shard != nil {
-		n.takeUpJob(shard, j)
+		n.addOrUpdateJob(shard, j)
 	}
 }
 
-// takeUpJob gives an active job to the shard of its team, or its version if the shard has it or is still loading.
-func (n *Node) takeUpJob(shard *shards.Owned, j *job) {
+// addOrUpdateJob adds an active job to the shard of its team. If the shard has the job already, or is still loading, it
+// only updates the job's version there.
+func (n *Node) addOrUpdateJob(shard *shards.Owned, j *job) {
 	uid, team := j.spec.UID, shard.Team()
 	if shard.Phase() == shards.Loading || team.Job(uid) != nil {
 		team.Job(uid).RecordVersion(j.version)
@@ -60,20 +61,20 @@
 	if done := n.recovery.gathering.Finished(uid); done != nil {
 		team.MergeDone(uid, done)
 	}
-	if n.leadership.Epoch() > 1 { // machines may run it already
+	if n.leadership.Epoch() > 1 { // after a loss of data machines may run it already
 		n.reconcileMachinesOf(shard, uid)
 	}
 	n.wake()
 }
 
-// hasEnded says whether a job is remembered to have ended.
+// hasEnded returns whether this controller has a recorded end of a job.
 func (n *Node) hasEnded(uid string) bool {
 	_, ended := n.userAPI.KnownEnd(uid)
 	return ended
 }
 
-// endJob notes that a job is over: nothing of it may start any more. One that is not known yet
-// stays over when its acceptance is read.
+// endJob marks a job as ended, so that none of its tasks starts any more. A job that is not known yet is recorded as
+// ended, so that a later read of its acceptance does not make it active.
 func (n *Node) endJob(uid string) {
 	j := n.jobs[uid]
 	if j == nil {
@@ -93,11 +94,11 @@
 	n.wake()
 }
 
-// progressInterval is how often a status has the jobs' progress: users may see it a few seconds late, and it is the
-// longest part of a status.
+// progressInterval is the least time between two statuses that contain the jobs' progress. It is the longest part of a
+// status, and users may see it a few seconds late.
 const progressInterval = 900 * time.Millisecond
 
-// dueProgress is the progress of own teams' jobs when it is due to be sent, nil otherwise.
+// dueProgress returns the progress of the jobs of teams owned here if it is due to be sent, and nil otherwise.
 func (n *Node) dueProgress(now time.Time) map[string][2]int {
 	if now.Sub(n.progressSentAt) < progressInterval {
 		return nil
--- a/internal/controller/machinestatus.go
+++ b/internal/controller/machinestatus.go
@@ -11,10 +11,10 @@
 	"topazhollow/internal/shards"
 )
 
-// What every controller knows of every machine: the status that its home makes of the agent's heartbeats and tells the
-// other controllers.
+// The status of machines. A machine's home derives it from the agent's heartbeats and sends it to all other
+// controllers.
 
-// machine finds or makes what is known of a machine.
+// machine returns the entry of a machine, and adds an empty one if there is none.
 func (n *Node) machine(name string) *machine {
 	m := n.machines[name]
 	if m == nil {
@@ -24,7 +24,7 @@
 	return m
 }
 
-// machineGone notes that the cloud confirmed a machine's end.
+// machineGone records that the cloud has confirmed the end of a machine, and releases everything kept for it.
 func (n *Node) machineGone(name string) {
 	m := n.machine(name)
 	if m.gone {
@@ -51,7 +51,7 @@
 	n.wake()
 }
 
-// homeOf returns the home of a machine by the present membership record.
+// homeOf returns the home of a machine according to the current membership record.
 func (n *Node) homeOf(name string) string {
 	if m := n.machines[name]; m != nil {
 		return n.homeFor(m, name)
@@ -59,7 +59,7 @@
 	return n.leadership.Record().Home(name)
 }
 
-// homeFor is homeOf for a known machine; the answer is kept until the record changes.
+// homeFor is homeOf for a known machine. The result is cached until the record changes.
 func (n *Node) homeFor(m *machine, name string) string {
 	if m.homeRecord != n.leadership.Record() {
 		m.home, m.homeRecord = n.leadership.Record().Home(name), n.leadership.Record()
@@ -67,7 +67,7 @@
 	return m.home
 }
 
-// publishStatus takes in the status of a machine whose home is here, and marks it to be sent to the peers.
+// publishStatus applies the status of a machine whose home this controller is, and marks it to be sent to the peers.
 func (n *Node) publishStatus(name string) {
 	v := n.agents.Status(name)
 	if v == nil || n.machine(name).status == v {
@@ -77,7 +77,7 @@
 	n.applyStatus(v, time.Now())
 }
 
-// applyStatus takes in a machine's status, made here or sent by a peer, unless a newer one is known.
+// applyStatus applies a machine's status, derived here or sent by a peer, unless a newer one is known.
 func (n *Node) applyStatus(v *jobstate.MachineStatus, now time.Time) {
 	m := n.machine(v.Machine)
 	if m.gone || (m.status != nil && !v.Newer(m.status)) {
@@ -92,7 +92,7 @@
 	n.wake()
 }
 
-// replaceStatus puts a status in place of the one that was known.
+// replaceStatus replaces a machine's known status and updates the index of tasks.
 func (n *Node) replaceStatus(m *machine, v *jobstate.MachineStatus) {
 	if m.status != nil {
 		n.taskIndex.Remove(m.status)
@@ -101,7 +101,7 @@
 	m.status = v
 }
 
-// recordRunTimes notes which tasks were seen running for the first time, and how long those took that are done.
+// recordRunTimes records the tasks that were first reported running, and the run times of completed ones.
 func (n *Node) recordRunTimes(observed scheduler.Observation, now time.Time) {
 	for _, ref := range observed.Started {
 		n.recordFirstRun(ref.Job, now)
@@ -114,10 +114,10 @@
 	}
 }
 
-// maxStartLatency is the longest time from submission to start that the histogram tells apart.
+// maxStartLatency is the largest time from submission to start that the histogram records; longer ones count as this.
 const maxStartLatency = time.Hour
 
-// recordFirstRun notes that a task of a job was seen running for the first time.
+// recordFirstRun records the start latency of a task that was first reported running.
 func (n *Node) recordFirstRun(uid string, now time.Time) {
 	j := n.jobs[uid]
 	if j == nil || j.submittedAt.IsZero() {
@@ -128,7 +128,7 @@
 	_ = n.startLatency.RecordValue(min(latency, maxStartLatency.Milliseconds()))
 }
 
-// recordTasks notes which tasks have ended and how, and whether the machine is idle.
+// recordTasks records the outcome of exited tasks, and since when the machine is idle.
 func (n *Node) recordTasks(m *machine, v *jobstate.MachineStatus, now time.Time) {
 	busy := false
 	for _, t := range v.Tasks {
@@ -146,7 +146,7 @@
 	}
 }
 
-// reconcileShards gives a status to the shards owned here that have to do with the machine.
+// reconcileShards passes a status to the owned shards that it concerns.
 func (n *Node) reconcileShards(v *jobstate.MachineStatus) {
 	teams := n.teamsOn(v)
 	unknown := n.oldestUnknownTerm(v)
@@ -162,8 +162,8 @@
 	}
 }
 
-// concerns says whether a team's account has to do with a machine: its tasks are listed there, or may be. Unknown is the
-// earliest term of the listed attempts that nobody here can describe.
+// concerns returns whether a status concerns a shard: tasks of the shard's team are listed in it, or may be. Unknown is
+// the earliest term of the listed attempts whose jobs are not known here.
 func concerns(shard *shards.Owned, v *jobstate.MachineStatus, teams []string, unknown uint64) bool {
 	team, _ := shards.TeamOf(shard.Name())
 	account := shard.Team()
@@ -183,8 +183,8 @@
 	return teams
 }
 
-// recordOutcome notes a task's end as a machine lists it, for the quarantine of jobs and machines. Every controller sees
-// every status, so that whoever takes a team over knows its faulty jobs.
+// recordOutcome records an exited task's success or failure for the quarantine of jobs and machines. As every
+// controller receives every status, a new owner of a team already knows the team's faulty jobs.
 func (n *Node) recordOutcome(t jobstate.TaskStatus, machine string, now time.Time) {
 	j := n.jobs[t.Job]
 	if j == nil || !j.active || (t.Reason != protocol.ReasonError && t.Reason != protocol.ReasonDone) {
@@ -192,10 +192,10 @@
 	}
 	faulty := t.Reason == protocol.ReasonError
 	if faulty && n.quarantine.RecordFailure(t.Job, machine, now) {
-		n.log.Info("job held to be faulty: it failed on several machines and succeeded on none",
+		n.log.Info("job marked faulty: failed on several machines and succeeded on none",
 			"job", t.Job, "team", j.spec.Team, "last", machine)
 	} else if !faulty && n.quarantine.RecordSuccess(t.Job, machine) {
-		n.log.Info("job no longer held to be faulty", "job", t.Job, "team", j.spec.Team)
+		n.log.Info("job no longer marked faulty", "job", t.Job, "team", j.spec.Team)
 	} else {
 		return
 	}
--- a/internal/controller/node.go
+++ b/internal/controller/node.go
@@ -1,5 +1,5 @@
-// Package controller composes one controller from its parts. It alone holds the
-// lock, reads the clock, runs goroutines and does I/O; the packages below it decide.
+// Package controller assembles a controller process from the packages that make its decisions. Only this package takes
+// the lock, reads the clock, runs goroutines and does I/O.
 package controller
 
 import (
@@ -33,32 +33,31 @@
 	"topazhollow/internal/wait"
 )
 
-// Version is the version of the program.
+// Version is the version of the controller program, as logged at start and shown in the overview.
 const Version = "0.1.0"
 
-// tick is how often a controller looks at everything even if nothing happened.
+// tick is the interval of the main loop when no event wakes it.
 const tick = 100 * time.Millisecond
 
-// Node is one controller. It composes the parts: it alone holds the lock, reads the clock, runs goroutines and does
-// I/O.
+// Node is one controller process: its connections, its goroutines, and all state that they share under one lock.
 type Node struct {
 	// Set by New and never changed; safe to read without the lock.
 	settings    *settings.Settings
 	options     *settings.Options
 	log         *slog.Logger
 	name        string
-	incarnation uint64 // of this process; later ones of the same controller have greater ones
+	incarnation uint64 // of this process; greater than those of the controller's earlier processes
 	startedAt   time.Time
 
 	// Safe for concurrent use by themselves; set by New.
 	kvStore *kvstore.Client
 	cloud   *cloud.Client
 	links   *peer.Links
-	userAPI   *userapi.Handler
+	userAPI *userapi.Handler
 
-	// Channels that wake a goroutine; of room one, so that a sender never waits.
+	// Channels that wake a goroutine. Their capacity of one lets senders never block.
 	wakeRequests       chan struct{}
-	recordReadRequests chan struct{} // wakes the reader of the followed keys: there may be a newer record
+	recordReadRequests chan struct{} // wakes the goroutine that reads the membership record, as there may be a newer one
 	statusRequests     chan struct{} // wakes sendStatuses
 
 	// The goroutines of this controller. Written once by Run under mu, before any of them starts.
@@ -66,33 +65,33 @@
 	ctx   context.Context
 
 	// mu guards everything below it.
-	mu         sync.Mutex
-	rng        *rand.Rand
-	firstSteps map[string]bool // steps of this process that were logged
-	lastStall  time.Duration   // the last time that this controller was stalled for
+	mu               sync.Mutex
+	rng              *rand.Rand
+	loggedMilestones map[string]bool // milestones of this process that were logged
+	lastStall        time.Duration   // duration of the last stall of this process
 
 	// Who may act: the membership record, the lease and the promises.
 	leadership *leadership.State
 
-	// What is followed of the state service's data, and what is known of a loss of it.
-	watchedKeysRead  bool   // the watched keys were read
-	followedRevision uint64 // of the state service, up to which the watched keys are known
+	// The watched keys of the state service, and the detection of a loss of its data.
+	watchedKeysRead  bool   // the watched keys were listed at least once
+	followedRevision uint64 // revision of the state service up to which the watched keys are known
 	changeReads      *changeReads
 	endLookUps       *agents.EndLookUps
-	cancelWatermark  *cancelwatermark.Watermark // up to when all confirmed cancellations are known here
-	recovery         *recoveryState             // what is known of the state service, and must outlive it
+	cancelWatermark  *cancelwatermark.Watermark // time up to which all confirmed cancellations are known here
+	recovery         *recoveryState             // data-loss detection, and the data to restore after a loss
 
 	// The peers, by name.
 	peers            map[string]*peerState
 	progressSentAt   time.Time // when jobs' progress was last sent
-	waitingAnnounced bool      // peers know of tasks that wait
+	waitingAnnounced bool      // the last status told the peers of unplaced tasks
 
-	// Jobs, and the shards of teams whose owner or replica this controller is.
-	shards       *shards.Registry // what this controller owns, and holds for others
+	// Jobs, and the shards of teams that this controller owns or holds a replica of.
+	shards       *shards.Registry // owned shards, and replicas of other owners' shards
 	jobs         map[string]*job
-	startLatency *hdrhistogram.Histogram // ms from submission to a task seen running
+	startLatency *hdrhistogram.Histogram // ms from submission until a task is first reported running
 
-	// Machines, and the agents that report here.
+	// Machines, and the agents that send their heartbeats to this controller.
 	machines         map[string]*machine
 	taskIndex        *agents.TaskIndex
 	roster           *agents.Roster
@@ -103,46 +102,46 @@
 	probes           barrierProbes
 	quarantine       *quarantine.Tracker
 
-	// What starts where, and what makes room for others.
+	// Placement and preemption.
 	scheduler         *scheduler.Scheduler
-	runningReviewedAt time.Time // when running tasks were last looked over
+	runningReviewedAt time.Time // when running tasks were last checked for slowness and eviction notices
 
-	// Quota: plans of fair shares and floors, and the configuration of the teams.
-	admission  *admissionState  // who gets how much of what is short
-	teamConfig *teamConfigState // the teams' configuration; nil: it does not change
+	// Quota: admission plans with fair shares and floors, and the teams' configuration.
+	admission  *admissionState  // how scarce capacity is divided
+	teamConfig *teamConfigState // nil: the teams' configuration is fixed at start
 
 	// The fleet, while this controller owns its shard.
-	provisioner *provisioner // nil: this controller does not own the fleet shard, or has not begun to
+	provisioner *provisioner // nil: this controller does not own the fleet shard, or has not started provisioning
 }
 
-// logFirst logs once when this process came to a step, for how long after its start.
-func (n *Node) logFirst(step string, now time.Time) {
-	if !n.firstSteps[step] {
-		n.firstSteps[step] = true
+// logMilestone logs the first time that this process reaches a milestone, with the time since its start.
+func (n *Node) logMilestone(step string, now time.Time) {
+	if !n.loggedMilestones[step] {
+		n.loggedMilestones[step] = true
 		n.log.Info(step, "after", now.Sub(n.startedAt))
 	}
 }
 
-// machine is what every controller knows of a machine.
+// machine holds what a controller knows of a machine, whoever its home is.
 type machine struct {
 	agents.Liveness
 
 	status       *jobstate.MachineStatus
-	home         string // by homeRecord
+	home         string // cached for homeRecord
 	homeRecord   *leadership.Record
-	unregistered agents.Unregistered // while its machine is on no list
+	unregistered agents.Unregistered // while the machine is missing from the roster
 	gone         bool
 	idleSince    time.Time
-	slowAt       time.Time // when a task here was last found far slower than others of its job
+	slowAt       time.Time // when a task on it was last found far slower than others of its job
 }
 
-// Run serves until the context ends.
+// Run creates a controller and runs it until the context ends or one of its goroutines fails.
 func Run(ctx context.Context, s *settings.Settings, o *settings.Options, log *slog.Logger) error {
 	n := New(s, o, log)
 	return n.Run(ctx)
 }
 
-// New makes a controller that does nothing yet; Run starts it.
+// New creates a controller without starting it; Node.Run does that.
 func New(s *settings.Settings, o *settings.Options, log *slog.Logger) *Node {
 	n := newNode(s, o, log, time.Now())
 	n.newClients()
@@ -154,7 +153,7 @@
 	return n
 }
 
-// newNode makes a controller without its parts.
+// newNode creates a controller without the state that the other constructors add.
 func newNode(s *settings.Settings, o *settings.Options, log *slog.Logger, now time.Time) *Node {
 	return &Node{
 		settings:           s,
@@ -168,11 +167,11 @@
 		recordReadRequests: make(chan struct{}, 1),
 		changeReads:        newChangeReads(),
 		statusRequests:     make(chan struct{}, 1),
-		firstSteps:         map[string]bool{},
+		loggedMilestones:   map[string]bool{},
 	}
 }
 
-// newClients makes what talks to the state service and the cloud.
+// newClients creates the clients of the state service and the cloud.
 func (n *Node) newClients() {
 	controllers := len(n.settings.Peers) + 1
 	outside, deployment := &n.settings.Outside, &n.settings.Deployment
@@ -181,7 +180,7 @@
 	n.cloud = cloud.New(outside.Cloud, deployment.Cloud, controllers)
 }
 
-// newMachineState makes what is known of machines.
+// newMachineState creates the empty state of machines and agents.
 func (n *Node) newMachineState() {
 	n.agents = agents.New(n.scheduler.Capacity, n.taskSize)
 	n.roster = newRoster(n.settings)
@@ -193,7 +192,7 @@
 	n.commandSenders = map[string]*commandSender{}
 }
 
-// newScheduling makes what is known of jobs and of who gets how much.
+// newScheduling creates the empty state of jobs, the scheduler and admission.
 func (n *Node) newScheduling() {
 	n.shards = shards.NewRegistry()
 	n.jobs = map[string]*job{}
@@ -203,7 +202,8 @@
 	n.startLatency = hdrhistogram.New(1, time.Hour.Milliseconds(), 2)
 }
 
-// newLeadership makes what is known of who may act, and of the state service's data. Life is that of the lease.
+// newLeadership creates the state of leadership and of data-loss recovery. Life is how long the controller's lease
+// lasts.
 func (n *Node) newLeadership(life time.Duration) {
 	var peers []string
 	for _, p := range n.settings.Peers {
@@ -213,7 +213,7 @@
 	n.recovery = newRecoveryState(n.settings, n.incarnation, life)
 }
 
-// newPeers makes what is known of the peers, and the links to them.
+// newPeers creates the state of the peers and the links to them.
 func (n *Node) newPeers() {
 	n.peers = map[string]*peerState{}
 	addrs := map[string]string{}
@@ -227,7 +227,7 @@
 	n.links = peer.New(n.name, n.incarnation, addrs, peerHandler{n}, n.log)
 }
 
-// newUserAPI makes what answers users.
+// newUserAPI creates the handler of the user API.
 func (n *Node) newUserAPI() {
 	n.userAPI = userapi.New(n.settings, n.kvStore, userBackend{n})
 	n.teamConfig = newTeamConfigState(n.settings, n.options)
@@ -236,7 +236,7 @@
 	}
 }
 
-// Run serves until the context ends.
+// Run starts the controller's goroutines and waits until the context ends or one of them fails.
 func (n *Node) Run(ctx context.Context) error {
 	limitMemory(n.settings.Deployment.Limits.MemoryMB)
 	group, ctx := errgroup.WithContext(ctx)
@@ -245,9 +245,9 @@
 	n.mu.Unlock()
 	n.log.Info("starting", "version", Version, "incarnation", n.incarnation, "zone", n.settings.Zone,
 		"controllers", len(n.settings.Peers)+1)
-	for name, duty := range n.duties() {
+	for name, loop := range n.backgroundLoops() {
 		group.Go(func() error {
-			if err := duty(ctx); err != nil && ctx.Err() == nil {
+			if err := loop(ctx); err != nil && ctx.Err() == nil {
 				return fmt.Errorf("%s: %w", name, err)
 			}
 			return nil
@@ -259,22 +259,22 @@
 	return group.Wait()
 }
 
-// limitMemory has half as many garbage collections as usual, and more again only towards three quarters of the memory
-// that is allowed: most of it is unused.
+// limitMemory trades memory for processor time: the garbage collector runs half as often as by default, and more often
+// again only when memory use approaches three quarters of the limit, as most of the allowed memory is unused.
 func limitMemory(megabytes float64) {
 	debug.SetGCPercent(200)
 	debug.SetMemoryLimit(int64(megabytes * 0.75 * (1 << 20)))
 }
 
-// duties are the goroutines of a controller, by the name that an error of one is reported under. Each runs until the
-// context ends.
-func (n *Node) duties() map[string]func(context.Context) error {
+// backgroundLoops maps the name of each of the controller's goroutines, which its errors are reported under, to its
+// function. Each runs until the context ends.
+func (n *Node) backgroundLoops() map[string]func(context.Context) error {
 	return map[string]func(context.Context) error{
 		"serve":   n.serve,
 		"peers":   func(ctx context.Context) error { return n.links.Listen(ctx, n.settings.PeerListen) },
 		"state":   n.kvStore.Run,
 		"lease":   n.keepLease,
-		"watch":   n.follow,
+		"watch":   n.followWatchedKeys,
 		"control": n.changeRecord,
 		"tick":    n.runSteps,
 		"status":  n.sendStatuses,
@@ -290,20 +290,20 @@
 	}
 }
 
-// Connections that the public address takes at a time.
+// Bounds of the number of connections that the public address accepts at a time.
 const (
 	minConnections  = 32
-	reservedSockets = 100 // for peers, agents, the state service and the cloud
+	reservedSockets = 100 // for connections to peers, agents, the state service and the cloud
 )
 
-// serve answers at the public address.
+// serve runs the HTTP server of the public address, which users and agents send requests to.
 func (n *Node) serve(ctx context.Context) error {
 	connections := max(minConnections, n.settings.Deployment.Limits.MaxSockets*7/10-reservedSockets)
 	timeouts := httpx.Timeouts{Idle: 90 * time.Second, Request: 5 * time.Second}
 	return httpx.Serve(ctx, n.settings.Listen, connections, timeouts, n.serveHTTP)
 }
 
-// wake has the main loop look at everything soon.
+// wake makes the main loop run its next step soon.
 func (n *Node) wake() {
 	select {
 	case n.wakeRequests <- struct{}{}:
@@ -311,13 +311,13 @@
 	}
 }
 
-// sleep waits, and says false when the context ended.
+// sleep waits for a duration and returns false if the context ended meanwhile.
 func sleep(ctx context.Context, d time.Duration) bool { return wait.For(ctx, d) }
 
-// entitled says whether this controller may act.
+// entitled returns whether this controller may act: start and stop tasks, and renew agents' leases.
 func (n *Node) entitled(now time.Time) bool { return n.leadership.Entitled(now, n.trusted()) }
 
-// handle answers what comes to the public address.
+// serveHTTP answers a request to the public address: a heartbeat, the overview, or a call of the user API.
 func (n *Node) serveHTTP(ctx context.Context, c *httpx.Conn, r *httpx.Request) httpx.Answer {
 	if r.Path == protocol.PathHeartbeat {
 		if r.Method != "POST" {
--- a/internal/controller/node_test.go
+++ b/internal/controller/node_test.go
@@ -18,39 +18,42 @@
 	"topazhollow/internal/simulation"
 )
 
-// testCluster is three controllers with stand-ins for everything around them.
+// testCluster is three controllers in one process, with simulations of the state service, the cloud and the agents.
 type testCluster struct {
-	t     *testing.T
-	state *simulation.KVStore
-	cloud *simulation.Cloud
-	checker *simulation.Checker
-	nodeSettings  []*settings.Settings
-	nodes []*process
-	doors []*simulation.Endpoint // each controller's way to the state service
-	pipes simulation.Paths       // from one controller to another
-	rng   *rand.Rand
-	httpc *http.Client
+	t              *testing.T
+	state          *simulation.KVStore
+	cloud          *simulation.Cloud
+	checker        *simulation.Checker
+	nodeSettings   []*settings.Settings
+	nodes          []*process
+	storeEndpoints []*simulation.Endpoint // each controller's connection to the state service
+	peerPaths      simulation.Paths       // the connections from one controller to another
+	rng            *rand.Rand
+	httpc          *http.Client
 
-	copyWait    float64 // options of controllers that start from now on
+	copyWait    float64 // options of the controllers that start afterwards
 	configBound float64
 }
 
+// process is a controller that runs in the test's process.
 type process struct {
-	cancel context.CancelFunc
-	ended  chan struct{}
+	cancel  context.CancelFunc
+	stopped chan struct{}
 }
 
+// newTestCluster starts a cluster in which all tasks run for the same time.
 func newTestCluster(t *testing.T, run time.Duration) *testCluster {
-	return openRegion(t, run, settings.Agents{HeartbeatSeconds: 0.2, LeaseSeconds: 20, GangWaitSeconds: 10, GangPeerSeconds: 4, CancelSeconds: 60})
+	return newTestClusterWith(t, run, settings.Agents{HeartbeatSeconds: 0.2, LeaseSeconds: 20, GangWaitSeconds: 10, GangPeerSeconds: 4, CancelSeconds: 60})
 }
 
-func openRegion(t *testing.T, run time.Duration, workers settings.Agents, prepare ...func(*testCluster)) *testCluster {
-	return openRegionRunning(t, func(string) time.Duration { return run }, workers, prepare...)
+// newTestClusterWith starts a cluster with the given timeouts of agents.
+func newTestClusterWith(t *testing.T, run time.Duration, workers settings.Agents, prepare ...func(*testCluster)) *testCluster {
+	return newTestClusterRunning(t, func(string) time.Duration { return run }, workers, prepare...)
 }
 
-// openRegionRunning opens a region whose tasks run for times of their own.
-func openRegionRunning(t *testing.T, run func(task string) time.Duration, workers settings.Agents, prepare ...func(*testCluster)) *testCluster {
-	r := &testCluster{t: t, pipes: simulation.Paths{}, rng: rand.New(rand.NewPCG(1, 2)), httpc: &http.Client{Timeout: 4 * time.Second}}
+// newTestClusterRunning starts a cluster in which each task has a run time of its own.
+func newTestClusterRunning(t *testing.T, run func(task string) time.Duration, workers settings.Agents, prepare ...func(*testCluster)) *testCluster {
+	r := &testCluster{t: t, peerPaths: simulation.Paths{}, rng: rand.New(rand.NewPCG(1, 2)), httpc: &http.Client{Timeout: 4 * time.Second}}
 	r.checker = simulation.NewChecker(map[string]float64{"red": 24, "blue": 16})
 	for _, p := range prepare {
 		p(r)
@@ -82,7 +85,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		r.doors = append(r.doors, door)
+		r.storeEndpoints = append(r.storeEndpoints, door)
 		s := &settings.Settings{Name: n, Zone: "east", Listen: listen[n], PeerListen: peers[n],
 			Outside: settings.Outside{Cloud: r.cloud.Addr(), KVStore: door.Addr()},
 			Deployment: settings.Deployment{Size: 3, Zones: []string{"east", "west"},
@@ -96,7 +99,7 @@
 				if err != nil {
 					t.Fatal(err)
 				}
-				r.pipes[[2]int{i, k}] = pipe
+				r.peerPaths[[2]int{i, k}] = pipe
 				s.Peers = append(s.Peers, settings.Peer{Name: p, Zone: "east", Endpoint: pipe.Addr()})
 			}
 		}
@@ -108,16 +111,17 @@
 		for i := range r.nodes {
 			r.crash(i)
 		}
-		r.pipes.Close()
+		r.peerPaths.Close()
 		r.cloud.Close()
 		r.state.Close()
 	})
 	return r
 }
 
+// start starts a controller.
 func (r *testCluster) start(i int) {
 	ctx, cancel := context.WithCancel(context.Background())
-	p := &process{cancel: cancel, ended: make(chan struct{})}
+	p := &process{cancel: cancel, stopped: make(chan struct{})}
 	var out io.Writer = io.Discard
 	if os.Getenv("TEST_LOG") != "" {
 		out = os.Stderr
@@ -126,23 +130,24 @@
 	set, options := r.nodeSettings[i], settings.DefaultOptions()
 	options.ControllerLeaseSeconds, options.CopyWaitSeconds, options.ConfigBoundSeconds = 2, r.copyWait, r.configBound
 	go func() {
-		defer close(p.ended)
+		defer close(p.stopped)
 		if err := Run(ctx, set, options, log); err != nil && ctx.Err() == nil {
-			r.t.Errorf("controller %d ended by itself: %v", i, err)
+			r.t.Errorf("controller %d failed: %v", i, err)
 		}
 	}()
 	r.nodes[i] = p
 }
 
+// crash ends a controller if it is running, and waits for its end.
 func (r *testCluster) crash(i int) {
 	if p := r.nodes[i]; p != nil {
 		p.cancel()
-		<-p.ended
+		<-p.stopped
 		r.nodes[i] = nil
 	}
 }
 
-// request sends a request to one of the controllers, as the load balancer would.
+// request sends a request to a random controller, as a load balancer would.
 func (r *testCluster) request(method, path string, body any) (int, protocol.Status) {
 	var data []byte
 	if body != nil {
@@ -166,11 +171,13 @@
 	return resp.StatusCode, st
 }
 
+// arrayJob returns an array job with so many tasks.
 func arrayJob(i, tasks int, team string) *protocol.Submission {
 	return &protocol.Submission{UID: fmt.Sprintf("job-%06d", i), Class: "c", Team: team, Kind: protocol.JobArray, Priority: "standard",
 		Tasks: tasks, CPUs: 2, MemoryGB: 4, Image: "img", EstimateSeconds: 1, Spot: i%2 == 0}
 }
 
+// submit submits a job until it is accepted.
 func (r *testCluster) submit(spec *protocol.Submission) {
 	r.checker.RecordSubmission(spec)
 	r.waitUntil("accepting "+spec.UID, func() bool {
@@ -183,27 +190,28 @@
 	})
 }
 
+// queryState requests the state of a job from a random controller and has the answer checked.
 func (r *testCluster) queryState(uid string) protocol.JobState {
 	status, st := r.request("GET", protocol.PathSubmit+"/"+uid, nil)
 	r.checker.RecordAnswer(uid, status, st.State, false)
 	return st.State
 }
 
-// waitUntil tries waitUntil something holds; the bound only keeps a hung test from
-// running for ever.
+// waitUntil waits until a condition holds. Its deadline only ends hung tests.
 func (r *testCluster) waitUntil(what string, f func() bool) {
 	r.t.Helper()
 	for end := time.Now().Add(40 * time.Second); time.Now().Before(end); time.Sleep(50 * time.Millisecond) {
 		if broken := r.checker.BrokenRules(); len(broken) > 0 {
-			r.t.Fatalf("rules broken: %v", broken)
+			r.t.Fatalf("broken rules: %v", broken)
 		}
 		if f() {
 			return
 		}
 	}
-	r.t.Fatalf("never came true: %s", what)
+	r.t.Fatalf("timed out waiting for: %s", what)
 }
 
+// awaitAllDone waits until all jobs are done, and checks that they stay done.
 func (r *testCluster) awaitAllDone(jobs []*protocol.Submission) {
 	for _, j := range jobs {
 		r.waitUntil(j.UID+" done", func() bool { return r.queryState(j.UID) == protocol.Done })
@@ -213,9 +221,9 @@
 	}
 }
 
-// TestQuietDay: arrays of two teams run to their end under their quotas, an
-// unknown job gets 404 and a repeated submission is known however late.
-func TestQuietDay(t *testing.T) {
+// TestJobsCompleteWithoutFaults: array jobs of two teams complete within their quotas, a query of an unknown job gets
+// 404, and a late repeated submission is answered with the job's state.
+func TestJobsCompleteWithoutFaults(t *testing.T) {
 	r := newTestCluster(t, 300*time.Millisecond)
 	var jobs []*protocol.Submission
 	for i := range 6 {
@@ -235,7 +243,7 @@
 		return status == 200 && st.State == protocol.Done
 	})
 	if r.checker.Started == 0 {
-		t.Fatal("nothing ran")
+		t.Fatal("no task started")
 	}
 	resp, err := r.httpc.Get("http://" + r.nodeSettings[0].Listen + "/overview")
 	if err != nil {
@@ -248,9 +256,8 @@
 	}
 }
 
-// TestControllersCrash: each controller alone and then all at once are killed
-// while tasks run. A successor that was in sync goes on with what it knows; one
-// without memory has to pass the full barrier. Either way no task runs twice.
+// TestControllersCrash: each controller in turn, and then all at once, crash while tasks run. A successor with an
+// in-sync replica continues from it; one without must pass the full barrier. In both cases no task runs twice.
 func TestControllersCrash(t *testing.T) {
 	r := newTestCluster(t, 3*time.Second)
 	var jobs []*protocol.Submission
@@ -274,10 +281,9 @@
 	r.awaitAllDone(jobs)
 }
 
-// TestOutageAndCut: the state service is out while machines run and one machine
-// loses its network; then a job is withdrawn. Withdrawn stays withdrawn, and its
-// tasks end.
-func TestOutageAndCut(t *testing.T) {
+// TestOutageWithDisconnectedMachine: the state service is down and one machine loses its network while tasks run; then
+// a job is cancelled. The job stays cancelled, and its tasks end.
+func TestOutageWithDisconnectedMachine(t *testing.T) {
 	r := newTestCluster(t, 2*time.Second)
 	jobs := []*protocol.Submission{arrayJob(200, 16, "red"), arrayJob(201, 8, "blue")}
 	for _, j := range jobs {
@@ -293,7 +299,7 @@
 	long := arrayJob(202, 8, "blue")
 	r.submit(long)
 	r.checker.RecordCancellation(long.UID)
-	r.waitUntil("withdrawn", func() bool {
+	r.waitUntil("cancelled", func() bool {
 		status, st := r.request("POST", protocol.PathSubmit+"/"+long.UID+"/withdraw", struct{}{})
 		r.checker.RecordAnswer(long.UID, status, st.State, false)
 		return status == 200 && st.State == protocol.Cancelled
@@ -301,6 +307,6 @@
 	r.awaitAllDone(jobs)
 	r.waitUntil("nothing is left on machines", func() bool { return r.checker.CountOnMachines() == 0 })
 	if st := r.queryState(long.UID); st != protocol.Cancelled && st != "" {
-		t.Fatalf("withdrawn job is %s", st)
+		t.Fatalf("cancelled job is %s", st)
 	}
 }
--- a/internal/controller/grown_test.go
+++ b/internal/controller/nodeharness_test.go
@@ -23,20 +23,20 @@
 	"topazhollow/internal/userapi"
 )
 
-// nodeHarness is one controller's own account of a deployment of many machines, with
-// plain workers in place of its network: it owns every team and hears every
-// machine as from a peer.
+// nodeHarness is one controller of a deployment with many machines, without a network: it owns every team, and the test
+// passes it the machines' statuses as if a peer had sent them.
 type nodeHarness struct {
-	n       *Node
-	rng     *rand.Rand
-	now     time.Time
-	machineNames   []string
-	views   map[string]*jobstate.MachineStatus
-	ends    map[jobstate.AttemptRef]time.Time
-	jobs    int
-	started int
+	n            *Node
+	rng          *rand.Rand
+	now          time.Time
+	machineNames []string
+	statuses     map[string]*jobstate.MachineStatus
+	ends         map[jobstate.AttemptRef]time.Time
+	jobs         int
+	started      int
 }
 
+// newNodeHarness returns a controller that owns so many teams and knows so many idle machines of 32 CPUs.
 func newNodeHarness(machines, teams int) *nodeHarness {
 	s := &settings.Settings{Name: "node-a", Deployment: settings.Deployment{Size: 3, Zones: []string{"east", "west"},
 		Agents: settings.Agents{HeartbeatSeconds: 4, LeaseSeconds: 26, CancelSeconds: 56}, KVStore: settings.KVStore{RequestsPerSecond: 150, ChangesPerSecond: 30, ValueKB: 8, ChangesPerTransaction: 24},
@@ -50,20 +50,20 @@
 		s.Deployment.Teams = append(s.Deployment.Teams, t)
 	}
 	g := &nodeHarness{n: New(s, settings.DefaultOptions(), slog.New(slog.DiscardHandler)), rng: rand.New(rand.NewPCG(3, 4)), now: time.Now(),
-		views: map[string]*jobstate.MachineStatus{}, ends: map[jobstate.AttemptRef]time.Time{}}
+		statuses: map[string]*jobstate.MachineStatus{}, ends: map[jobstate.AttemptRef]time.Time{}}
 	n := g.n
 	n.scheduler.SetMachineTypes([]protocol.MachineType{{Name: "m32", CPUs: 32, MemoryGB: 256, PricePerHour: 2, SpotPricePerHour: 0.5, BootSeconds: 35, FetchGBPerSecond: 0.25, Zones: s.Deployment.Zones}})
 	record.Nodes["node-a"] = n.incarnation
-	record.Unreachable = []string{"node-b", "node-c"} // this controller is the home of all
+	record.Unreachable = []string{"node-b", "node-c"} // this controller is the home of all machines
 	for _, t := range s.Deployment.Teams {
 		name := shards.ForTeam(t.Name)
 		record.Shards[name] = leadership.Shard{Owner: "node-a", SinceTerm: 1}
 		readyShard(n, name, 1)
 	}
 	learnRecord(n, record)
-	n.leadership.EnterStore() // no version of the record is known: nothing is compared with a state service
+	n.leadership.EnterStore() // with no known version of the record: no check of the state service
 	ended, cancel := context.WithCancel(context.Background())
-	cancel() // nothing goes out
+	cancel() // no request is sent
 	n.group, n.ctx = &errgroup.Group{}, ended
 	n.leadership.LeaseRenewed(g.now)
 	n.cancelWatermark = cancelwatermark.New([]string{"node-b", "node-c"}, settings.Seconds(s.Deployment.Agents.CancelSeconds), settings.Seconds(s.Deployment.Agents.LeaseSeconds))
@@ -75,13 +75,13 @@
 		n.roster.ApplyList(fmt.Sprint(i), 1, agents.RosterValue{Names: g.machineNames[i:min(i+200, machines)]})
 	}
 	for i, name := range g.machineNames {
-		g.views[name] = &jobstate.MachineStatus{Machine: name, Type: "m32", Zone: s.Deployment.Zones[i%2], Spot: i%4 > 0, Incarnation: 1, Seq: 1, FencingToken: 1, Term: 1}
-		n.applyStatus(g.views[name], g.now)
+		g.statuses[name] = &jobstate.MachineStatus{Machine: name, Type: "m32", Zone: s.Deployment.Zones[i%2], Spot: i%4 > 0, Incarnation: 1, Seq: 1, FencingToken: 1, Term: 1}
+		n.applyStatus(g.statuses[name], g.now)
 	}
 	return g
 }
 
-// submit has a user hand in a job of so many tasks.
+// submit adds an accepted job with so many tasks.
 func (g *nodeHarness) submit(tasks int, cpus float64) {
 	g.n.mu.Lock()
 	defer g.n.mu.Unlock()
@@ -91,19 +91,19 @@
 	g.n.learnJob(userapi.ActiveJob{Spec: spec, SubmittedAtMillis: g.now.UnixMilli()}, 1)
 }
 
-// reportStatus has a machine report what changed on it.
+// reportStatus applies a changed status of a machine.
 func (g *nodeHarness) reportStatus(name string, change func(v *jobstate.MachineStatus)) {
-	old := g.views[name]
+	old := g.statuses[name]
 	v := *old
 	v.Seq++
 	v.Tasks = append([]jobstate.TaskStatus(nil), old.Tasks...)
 	change(&v)
-	g.views[name] = &v
+	g.statuses[name] = &v
 	g.n.applyStatus(&v, g.now)
 }
 
-// advanceSecond plays one advanceSecond: tasks placed are listed as running, those that ran
-// out exit and are forgotten.
+// advanceSecond simulates one second in so many steps of the main loop: placed tasks are listed as running, and those
+// whose run time is over exit and are then no longer listed.
 func (g *nodeHarness) advanceSecond(steps int) {
 	g.n.mu.Lock()
 	defer g.n.mu.Unlock()
@@ -124,7 +124,7 @@
 			}
 			g.started += len(fresh)
 			over := false
-			for _, t := range g.views[name].Tasks {
+			for _, t := range g.statuses[name].Tasks {
 				over = over || t.State == protocol.Exited || !g.now.Before(g.ends[t.Ref()])
 			}
 			if len(fresh) == 0 && !over {
@@ -145,7 +145,7 @@
 			})
 		}
 	}
-	for _, j := range g.n.jobs { // ended jobs leave the account
+	for _, j := range g.n.jobs { // complete jobs end
 		if shard := g.n.shards.OfTeam(j.spec.Team); j.active && shard != nil {
 			if tj := shard.Team().Job(j.spec.UID); tj != nil && tj.Complete() {
 				g.n.endJob(j.spec.UID)
@@ -154,11 +154,10 @@
 	}
 }
 
-// TestFreeRoomModel: the free room that placement works with is kept up to date
-// where something changed; it must be what counting every machine anew gives,
-// also after jobs end, machines go and items change hands. Room counted twice
-// would be lost for good, room forgotten would earn refusals.
-func TestFreeRoomModel(t *testing.T) {
+// TestFreeCapacityModel: the scheduler updates the free capacity of a machine only when something changes there. The
+// result must equal a full recount of every machine, also after jobs end, machines go and shards change owners. An
+// error one way loses capacity for good, the other way it overfills machines.
+func TestFreeCapacityModel(t *testing.T) {
 	g := newNodeHarness(60, 3)
 	n := g.n
 	for i := range 150 {
@@ -177,7 +176,7 @@
 			name := shards.ForTeam("team-1")
 			next.Shards[name] = leadership.Shard{Owner: "node-b", SinceTerm: next.Term}
 			n.adopt(next, n.leadership.RecordVersion()+1)
-			for uid, j := range n.jobs { // its jobs are no more this one's to run
+			for uid, j := range n.jobs { // its jobs no longer run here
 				if j.spec.Team == "team-1" {
 					n.endJob(uid)
 				}
@@ -186,15 +185,15 @@
 		view := (*schedulerSnapshot)(n)
 		n.scheduler.InvalidateMachines(view.TakeChangedMachines())
 		for _, name := range g.machineNames {
-			kept, known := n.scheduler.Room(name, view)
+			cached, known := n.scheduler.Room(name, view)
 			if !known {
 				t.Fatalf("%s has no type", name)
 			}
 			n.scheduler.InvalidateMachines(slices.Values([]string{name}))
-			anew, _ := n.scheduler.Room(name, view)
-			cpus, memory := anew.CPUs, anew.MemoryGB
-			if kept.CPUs != cpus || kept.MemoryGB != memory {
-				t.Fatalf("second %d: %s has %g CPUs and %g GB kept, %g and %g counted anew", i, name, kept.CPUs, kept.MemoryGB, cpus, memory)
+			recounted, _ := n.scheduler.Room(name, view)
+			cpus, memory := recounted.CPUs, recounted.MemoryGB
+			if cached.CPUs != cpus || cached.MemoryGB != memory {
+				t.Fatalf("second %d: %s has %g CPUs and %g GB cached, %g and %g recounted", i, name, cached.CPUs, cached.MemoryGB, cpus, memory)
 			}
 			if cpus < -1e-6 || memory < -1e-6 {
 				t.Fatalf("second %d: %s is overfull: %g CPUs, %g GB", i, name, cpus, memory)
@@ -203,16 +202,16 @@
 		n.mu.Unlock()
 	}
 	if g.started == 0 {
-		t.Fatal("nothing was placed")
+		t.Fatal("no task was placed")
 	}
 }
 
-// BenchmarkGrown is one second of a deployment of 1,000 machines that start and
-// end some 50 tasks, as its only owner sees it.
+// BenchmarkGrown measures the only owner's work for one second of a deployment of 1,000 machines, which start and end
+// some 50 tasks.
 func BenchmarkGrown(b *testing.B) {
 	for _, load := range []struct {
 		name string
-		jobs int // waiting at first, which more or less fill the machines
+		jobs int // submitted first; they fill the machines in part or wholly
 	}{{"room", 10}, {"full", 120}} {
 		b.Run(load.name, func(b *testing.B) {
 			g := newNodeHarness(1000, 6)
@@ -231,7 +230,7 @@
 	}
 }
 
-// BenchmarkFleet is one look of the fleet's owner at 1,000 machines, by how many tasks wait.
+// BenchmarkFleet measures one decision of the fleet's owner about 1,000 machines, by the number of waiting tasks.
 func BenchmarkFleet(b *testing.B) {
 	for _, waiting := range []int{300, 3000, 30000, 100000} {
 		b.Run(fmt.Sprint(waiting), func(b *testing.B) {
@@ -256,8 +255,8 @@
 	}
 }
 
-// BenchmarkPlace is one step of placing beside a full fleet of 1,000 machines, by how many
-// tasks wait: nothing can start.
+// BenchmarkPlace measures one scheduling pass over 1,000 full machines, on which no task can be placed, by the number
+// of waiting tasks.
 func BenchmarkPlace(b *testing.B) {
 	for _, waiting := range []int{300, 3000, 30000, 100000} {
 		b.Run(fmt.Sprint(waiting), func(b *testing.B) {
--- a/internal/controller/orders.go
+++ b/internal/controller/orders.go
@@ -7,8 +7,8 @@
 	"topazhollow/internal/shards"
 )
 
-// reconcileMachine compares a machine's report with what a shard's owner has assigned to it, and sends the orders
-// that follow.
+// reconcileMachine compares a machine's status with the assignments in an owned shard, and sends the orders that
+// result.
 func (n *Node) reconcileMachine(shard *shards.Owned, v *jobstate.MachineStatus) {
 	if !shard.IsReady() || shard.IsFleet() {
 		return
@@ -23,14 +23,14 @@
 	}
 }
 
-// reconcileMachinesOf does so again for the machines that list tasks of a job.
+// reconcileMachinesOf reconciles the machines that list tasks of a job.
 func (n *Node) reconcileMachinesOf(shard *shards.Owned, uid string) {
 	for _, name := range n.taskIndex.Machines(uid) {
 		n.reconcileMachine(shard, n.machines[name].status)
 	}
 }
 
-// sendOrders hands orders for a machine to its home; false if they surely did not go out.
+// sendOrders sends orders for a machine to its home. It returns false if they were certainly not sent.
 func (n *Node) sendOrders(name string, orders []jobstate.Order) bool {
 	home := n.homeOf(name)
 	if home == n.name {
@@ -40,7 +40,7 @@
 	return n.links.Send(home, kindOrders, ordersMsg{Term: n.leadership.Term(), Machine: name, Orders: orders})
 }
 
-// acceptOrders queues orders of an owner at the machine's home.
+// acceptOrders queues a shard owner's orders for a machine whose home this controller is.
 func (n *Node) acceptOrders(name string, term uint64, orders []jobstate.Order) {
 	if n.agents.QueueOrders(term, name, orders) {
 		n.wakeCommandSender(name)
--- a/internal/controller/overview.go
+++ b/internal/controller/overview.go
@@ -11,14 +11,14 @@
 	"topazhollow/internal/shards"
 )
 
-// overview is an operator's view of one controller.
+// overview is the body of the answer to GET /overview: the state of one controller, for operators and their tools.
 type overview struct {
 	Node             string                   `json:"node"`
 	Version          string                   `json:"version"`
 	Term             uint64                   `json:"term"`
 	Entitled         bool                     `json:"entitled"`
-	CancellationLag  *float64                 `json:"horizon_behind_s"` // age of what is known of cancellations; nil: unknown
-	Cancellations    uint64                   `json:"withdrawals_told"` // withdrawals that users were told of here
+	CancellationLag  *float64                 `json:"horizon_behind_s"` // age of the cancellation watermark; nil: unknown
+	Cancellations    uint64                   `json:"withdrawals_told"` // cancellations that this process confirmed to users
 	Members          []string                 `json:"members"`
 	Unreachable      []string                 `json:"deaf,omitempty"`
 	UnreachablePeers []string                 `json:"unheard_peers,omitempty"`
@@ -35,6 +35,7 @@
 	Config           *configOverview          `json:"configuration,omitempty"`
 }
 
+// shardOverview describes a shard that the controller owns.
 type shardOverview struct {
 	Phase     string   `json:"phase"`
 	SinceTerm uint64   `json:"since_term"`
@@ -48,6 +49,7 @@
 	GPUs      float64  `json:"gpus_used"`
 }
 
+// machinesOverview counts the machines that the controller knows.
 type machinesOverview struct {
 	Known  int `json:"known"`
 	Here   int `json:"homed_here"`
@@ -55,9 +57,10 @@
 	Idle   int `json:"idle"`
 }
 
-// latencyQuantiles are those of the times from submission to start that are shown, in percent.
+// latencyQuantiles maps the names of the start latency's quantiles in the overview to their percentages.
 var latencyQuantiles = map[string]float64{"p50": 50, "p90": 90, "p99": 99, "max": 100}
 
+// overview collects the overview of this controller.
 func (n *Node) overview(now time.Time) overview {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -93,7 +96,7 @@
 	return o
 }
 
-// addLeadership adds what is known of the membership record and of cancellations.
+// addLeadership adds the contents of the membership record and the cancellation lag.
 func (n *Node) addLeadership(o *overview, now time.Time) {
 	if record := n.leadership.Record(); record != nil {
 		o.Term, o.Members, o.Unreachable = record.Term, record.Members(), record.Unreachable
@@ -147,7 +150,7 @@
 	return x
 }
 
-// unreachablePeers names the controllers that no message came from lately.
+// unreachablePeers lists the controllers that have sent no message within unreachableAfter.
 func (n *Node) unreachablePeers(now time.Time) (names []string) {
 	for _, name := range slices.Sorted(maps.Keys(n.peers)) {
 		if !n.peers[name].isReachable(now) {
@@ -157,7 +160,7 @@
 	return names
 }
 
-// startLatencies is the distribution of times from submission to start, in milliseconds.
+// startLatencies returns the count and the quantiles of the times from submission to start, in milliseconds.
 func (n *Node) startLatencies() map[string]int64 {
 	waits := map[string]int64{"count": n.startLatency.TotalCount()}
 	for name, q := range latencyQuantiles {
--- a/internal/controller/owner_test.go
+++ b/internal/controller/owner_test.go
@@ -21,7 +21,7 @@
 // that is not on the roster ends only once the roster is surely up to date.
 func TestInSyncOwnerBeginsWithoutStateService(t *testing.T) {
 	for _, needsBarrier := range []bool{false, true} {
-		n := bare("127.0.0.1:1") // nobody answers
+		n := newStoppedNode("127.0.0.1:1") // nobody answers
 		ctx, cancel := context.WithCancel(context.Background())
 		name := shards.ForTeam("red")
 		replica := jobstate.NewReplica()
@@ -58,7 +58,7 @@
 // roster either.
 func TestRosterCompleteBeforeItsListsArrive(t *testing.T) {
 	for _, needsBarrier := range []bool{false, true} {
-		n := bare("127.0.0.1:1") // nobody answers
+		n := newStoppedNode("127.0.0.1:1") // nobody answers
 		ctx, cancel := context.WithCancel(context.Background())
 		n.ctx, n.group = ctx, &errgroup.Group{}
 		name := shards.ForTeam("red")
