--- a/internal/controller/peerhandler.go
+++ b/internal/controller/peerhandler.go
@@ -9,12 +9,12 @@
 	"topazhollow/internal/shards"
 )
 
-// peerHandler takes what comes from the controller's peers; it implements peer.Handler.
+// peerHandler handles the connections and messages of the controller's peers; it implements peer.Handler.
 type peerHandler struct{ node *Node }
 
 var _ peer.Handler = peerHandler{}
 
-// PeerUp notes a new connection to a peer, which has to be sent everything anew.
+// PeerUp records a new connection to a peer, which must be sent all replicas, machine statuses and memories again.
 func (h peerHandler) PeerUp(name string) {
 	n := h.node
 	n.mu.Lock()
@@ -28,11 +28,11 @@
 	if n.leadership.Record() != nil {
 		n.sendMemories(false, name)
 	}
-	n.requestStatus() // a peer that starts waits for this controller's status
+	n.requestStatus() // a starting peer waits for this controller's status
 	n.wake()
 }
 
-// PeerDown notes that the connection to a peer was lost.
+// PeerDown records that the connection to a peer was lost.
 func (h peerHandler) PeerDown(name string) {
 	n := h.node
 	n.mu.Lock()
@@ -41,7 +41,7 @@
 	n.shards.ForgetReplica(name)
 }
 
-// PeerMessage hands a message to the handler of its kind.
+// PeerMessage passes a message to the handler of its kind, and ignores messages of unknown kinds.
 func (h peerHandler) PeerMessage(name string, incarnation uint64, kind string, body []byte) {
 	n := h.node
 	n.mu.Lock()
@@ -59,17 +59,17 @@
 	}
 }
 
-// sender is the process that a message comes from.
+// sender identifies the peer process that sent a message.
 type sender struct {
 	name        string
 	incarnation uint64
 	state       *peerState
 }
 
-// messageHandler decodes the body of a message and carries it out. An error says that the body could not be decoded.
+// messageHandler decodes and processes the body of a message. It returns an error if the body cannot be decoded.
 type messageHandler func(n *Node, from *sender, body []byte, now time.Time) error
 
-// messageHandlers are the handlers by the messages' kind. n.mu is held when one is called.
+// messageHandlers maps the kinds of messages to their handlers, which are called with n.mu held.
 var messageHandlers = map[string]messageHandler{
 	kindStatus:          typed((*Node).onStatus),
 	kindMachineStatuses: typed((*Node).onMachineStatuses),
@@ -112,7 +112,7 @@
 	}),
 }
 
-// typed makes the handler of a kind whose bodies are of type M.
+// typed returns a handler that decodes bodies of type M and passes them to handle.
 func typed[M any](handle func(n *Node, from *sender, m *M, now time.Time)) messageHandler {
 	return func(n *Node, from *sender, body []byte, now time.Time) error {
 		var m M
@@ -124,7 +124,7 @@
 	}
 }
 
-// onMachineStatuses takes in the status of machines whose home the sender is.
+// onMachineStatuses applies the statuses of machines whose home the sender is.
 func (n *Node) onMachineStatuses(_ *sender, statuses *[]*jobstate.MachineStatus, now time.Time) {
 	for _, status := range *statuses {
 		if status != nil && status.Machine != "" {
@@ -133,7 +133,7 @@
 	}
 }
 
-// onStatus takes in a peer's heartbeat, one part of the controller after the other.
+// onStatus applies a peer's status, part by part.
 func (n *Node) onStatus(from *sender, s *statusMsg, now time.Time) {
 	n.applyPromise(from.name, s, now)
 	n.applyPeerStatus(from.state, s, now)
@@ -146,8 +146,8 @@
 	n.onConfigStatus(from.name, from.incarnation, s.Config, now)
 }
 
-// resetIfHalfOpen has the connection to a peer dialled anew if the peer's messages arrive here, but its statuses say
-// that nothing arrives there.
+// resetIfHalfOpen resets the connection to a peer if the peer's messages arrive here, but its statuses show that this
+// controller's do not arrive there.
 func (n *Node) resetIfHalfOpen(node string, s *statusMsg, now time.Time) {
 	received := uint64(0)
 	if e := s.Received[n.name]; e.Incarnation == n.incarnation && e.SentAt > 0 {
@@ -159,7 +159,7 @@
 	}
 }
 
-// applyPeerStatus takes in what a status says of the peer itself and of the machines whose home it is.
+// applyPeerStatus applies the parts of a status that concern the peer itself and the machines whose home it is.
 func (n *Node) applyPeerStatus(p *peerState, s *statusMsg, now time.Time) {
 	p.apply(s)
 	for name, age := range s.HeartbeatAges {
@@ -177,7 +177,8 @@
 	}
 }
 
-// applyPromise takes in a peer's promise to raise no term, if it names a status of this process.
+// applyPromise records a peer's promise to raise no term, if the promise acknowledges a status that this process has
+// sent.
 func (n *Node) applyPromise(name string, s *statusMsg, now time.Time) {
 	received, ok := s.Received[n.name]
 	if !ok || !s.Promise || s.RecordVersion == nil || received.Incarnation != n.incarnation || !n.hasSentStatus(received.SentAt, now) {
@@ -186,7 +187,8 @@
 	n.leadership.LearnPromise(name, *s.RecordVersion, n.startedAt.Add(time.Duration(received.SentAt)*time.Millisecond))
 }
 
-// onOrders takes in orders of a shard's owner for a machine whose home this controller is.
+// onOrders queues the orders of a shard's owner for a machine whose home this controller is, if this controller may
+// act.
 func (n *Node) onOrders(_ *sender, o *ordersMsg, now time.Time) {
 	if n.leadership.Record() == nil || !n.entitled(now) {
 		return
@@ -198,7 +200,8 @@
 	n.sendChangedStatuses()
 }
 
-// recordNamesOwner says whether the record names that process of a controller as a shard's owner since that term.
+// recordNamesOwner returns whether the membership record names the given process of a controller as a shard's owner
+// since the given term. It requests a read of the record if the one known here may be outdated.
 func (n *Node) recordNamesOwner(owner string, incarnation uint64, shard string, sinceTerm uint64) bool {
 	record := n.leadership.Record()
 	if record == nil || !record.IsMember(owner, incarnation) || !n.leadership.IsMember() {
--- a/internal/controller/peerstate.go
+++ b/internal/controller/peerstate.go
@@ -7,7 +7,7 @@
 	"topazhollow/internal/peer"
 )
 
-// peerState is what this controller knows of another one. Node.mu guards it.
+// peerState holds what this controller knows of a peer. Node.mu guards it.
 type peerState struct {
 	// The connection, and the process at its other end.
 	connected     bool
@@ -16,29 +16,30 @@
 	lastMessageAt time.Time
 	statusSentAt  int64 // ms of the peer's clock, in its last status
 
-	// Who may act.
+	// The peer's rights, as of its last status.
 	entitled   bool
 	holdsLease bool
 
-	// The rest of its last status.
+	// The rest of the peer's last status.
 	demands            []demand
-	progress           map[string][2]int // of each job, the tasks done and running
+	progress           map[string][2]int // by job, the numbers of done and running tasks
 	drainingMachines   map[string]bool
 	awaitedMachines    []string
 	unansweredMachines []string
-	wantedWrites       float64      // changes of the state service that it wants a second; negative if unknown
-	admissionPlan      admission.ID // the latest plan that it knows
+	wantedWrites       float64      // changes per second that it would make in the state service; negative if unknown
+	admissionPlan      admission.ID // the latest admission plan that it knows
 }
 
-// unreachableAfter is after what silence a peer counts as unreachable: four of its statuses.
+// unreachableAfter is how long a peer may be silent before it counts as unreachable: four status intervals.
 const unreachableAfter = 2 * time.Second
 
-// isReachable says whether a message of the peer came lately.
+// isReachable returns whether a message of the peer has arrived within unreachableAfter.
 func (p *peerState) isReachable(now time.Time) bool {
 	return now.Sub(p.lastMessageAt) <= unreachableAfter
 }
 
-// recordMessage notes a message of the peer's process. What an earlier process sent is no status of this one.
+// recordMessage records that a message of a process of the peer arrived. A new process discards the acknowledgement of
+// its predecessor's last status.
 func (p *peerState) recordMessage(incarnation uint64, now time.Time) {
 	if p.incarnation != incarnation {
 		p.incarnation, p.statusSentAt = incarnation, 0
@@ -46,7 +47,7 @@
 	p.lastMessageAt = now
 }
 
-// apply takes in what a status says of the peer itself, but for its promise.
+// apply records what a status reports of the peer itself, except its promise.
 func (p *peerState) apply(s *statusMsg) {
 	p.holdsLease, p.statusSentAt = s.HoldsLease, s.SentAt
 	p.entitled, p.demands = s.Entitled, s.Demands
--- a/internal/controller/reconcile.go
+++ b/internal/controller/reconcile.go
@@ -10,17 +10,17 @@
 	"topazhollow/internal/userapi"
 )
 
-// Reconciliation of orphaned tasks: those that machines list though no account placed them, or though their job has
-// ended. The accounts count them against the quota (internal/jobstate). Here they are stopped, and the ends of jobs that
-// nobody here can describe are looked up.
+// Reconciliation of orphaned tasks: tasks that a machine lists although no team's account placed them there, or
+// although their job has ended. The accounts count them against the quota (internal/jobstate). The code here stops
+// them, and looks up in the state service the ends of jobs that this controller does not know.
 
-// teamJobs is what this controller can tell the account of a team.
+// teamJobs describes jobs and machines, as known to this controller, to the account of a team.
 type teamJobs struct {
 	n    *Node
 	team string
 }
 
-// Job describes a job by what is followed here, or else by its remembered end.
+// Job describes a job from the watched keys, or else from its recorded end.
 func (k teamJobs) Job(uid string) jobstate.JobInfo {
 	if j := k.n.jobs[uid]; j != nil {
 		return jobstate.JobInfo{Known: true, OwnTeam: j.spec.Team == k.team, Active: j.active, Spec: j.spec}
@@ -31,7 +31,8 @@
 	return jobstate.JobInfo{}
 }
 
-// UnknownSizeBound is what a machine has beside the listed tasks of known size.
+// UnknownSizeBound returns an upper bound of what the listed tasks of unknown size take together: the machine's
+// capacity less the tasks of known size.
 func (k teamJobs) UnknownSizeBound(v *jobstate.MachineStatus) (cpus, gpus float64) {
 	cpus, gpus, _, ok := k.n.scheduler.Capacity(v.Type)
 	if !ok {
@@ -46,7 +47,7 @@
 	return cpus, gpus
 }
 
-// endedSpec is what is left of a job's description after its end.
+// endedSpec returns the part of a job's specification that its recorded end keeps.
 func endedSpec(uid string, end userapi.JobEnd) *protocol.Submission {
 	return &protocol.Submission{
 		UID: uid, Team: end.Team, Tasks: end.Tasks,
@@ -54,11 +55,11 @@
 	}
 }
 
-// hasSize says whether it is known what a job's tasks take.
+// hasSize returns whether the resources that a job's tasks take are known.
 func hasSize(spec *protocol.Submission) bool { return spec.CPUs > 0 || spec.GPUs > 0 }
 
-// oldestUnknownTerm returns the earliest term of the listed attempts whose jobs nobody here can describe; the greatest
-// number if there are none.
+// oldestUnknownTerm returns the earliest term of the listed attempts whose jobs this controller does not know;
+// math.MaxUint64 if there are none.
 func (n *Node) oldestUnknownTerm(v *jobstate.MachineStatus) uint64 {
 	oldest := uint64(math.MaxUint64)
 	for _, t := range v.Tasks {
@@ -69,8 +70,8 @@
 	return oldest
 }
 
-// reobserveReserved has accounts that reserve quota for tasks of a job look again at their machines, once it
-// became known.
+// reobserveReserved reconciles again the machines where accounts reserve quota for orphaned tasks of a job that has
+// become known.
 func (n *Node) reobserveReserved(uid string) {
 	for _, name := range n.taskIndex.Machines(uid) {
 		for shard := range n.shards.All() {
@@ -81,7 +82,7 @@
 	}
 }
 
-// lookUpEnd learns what became of a job that a machine lists and that this controller can't describe.
+// lookUpEnd reads from the state service the end of a job that a machine lists and whose size is not known here.
 func (n *Node) lookUpEnd(uid string, attempt uint64) {
 	if j := n.jobs[uid]; j != nil && (j.active || hasSize(j.spec)) {
 		return
@@ -108,7 +109,7 @@
 	})
 }
 
-// applyLookedUpEnd takes in the end of a job that was looked up.
+// applyLookedUpEnd records the end of a job that lookUpEnd found.
 func (n *Node) applyLookedUpEnd(uid string, end userapi.JobEnd) {
 	spec := endedSpec(uid, end)
 	j := n.jobs[uid]
@@ -124,7 +125,7 @@
 	n.reobserveReserved(uid)
 }
 
-// recordEndNotFound notes that a job has no end in the key-value store; absent: it is surely not there as active either.
+// recordEndNotFound records that the state service has no end of a job; absent means that it has no active job either.
 func (n *Node) recordEndNotFound(uid string, attempt uint64, absent bool) {
 	if n.jobs[uid] != nil {
 		return
@@ -132,13 +133,13 @@
 	n.endLookUps.Fail(uid, time.Now())
 	record := n.leadership.Record()
 	if absent && record != nil && (n.leadership.Epoch() == 1 || jobstate.TermOf(attempt) >= record.FirstTerm) {
-		// A task is started only for a job that was accepted, and an accepted job has one key or the other for ever.
+		// Tasks are started only for accepted jobs, and an accepted job always has either its active or its ended key.
 		n.proveLoss(datarecovery.ProofUnknownJob)
 	}
 }
 
-// stopOrphanedTasks has the home of a machine end what it lists of jobs that have ended: that is true for good, whoever
-// owns the team.
+// stopOrphanedTasks queues orders for a machine homed here to stop, or to forget if exited, the tasks of jobs that have
+// ended. That needs no order of the team's owner, as an ended job never becomes active again.
 func (n *Node) stopOrphanedTasks(v *jobstate.MachineStatus) {
 	if n.agents.Get(v.Machine) == nil || n.leadership.Record() == nil || n.homeOf(v.Machine) != n.name {
 		return
--- a/internal/controller/registration.go
+++ b/internal/controller/registration.go
@@ -13,14 +13,16 @@
 	"topazhollow/internal/settings"
 )
 
-// registerInterval is the least time between two writes of new machines: those whose heartbeats come meanwhile share one.
+// registerInterval is the least time between two writes that register machines. Machines whose first heartbeats arrive
+// within it share one write.
 const registerInterval = 250 * time.Millisecond
 
+// newRoster creates an empty roster with the size limit of the state service's values.
 func newRoster(s *settings.Settings) *agents.Roster {
 	return agents.NewRoster(maxValueBytes(s.Deployment.KVStore))
 }
 
-// applyRosterList takes in a key that lists registered machines.
+// applyRosterList applies the value of a key that lists registered machines.
 func (n *Node) applyRosterList(key string, value json.RawMessage, version uint64) {
 	list, err := agents.DecodeRosterValue(value)
 	if err != nil {
@@ -29,8 +31,8 @@
 	}
 	added, removed, err := n.roster.ApplyList(key, version, list)
 	if err != nil {
-		// As by a process that started after the loss. That a machine is not named in such a
-		// list must never free what it runs.
+		// As written by a process that started after a loss of data. A machine's absence from such a list must never
+		// count as proof that its tasks have ended.
 		n.suspectLoss(datarecovery.Sign(err.Error()))
 		return
 	}
@@ -46,13 +48,13 @@
 	}
 }
 
-// isGone says whether the cloud confirmed a machine's end.
+// isGone returns whether the cloud has confirmed the end of a machine.
 func (n *Node) isGone(machine string) bool {
 	m := n.machines[machine]
 	return m != nil && m.gone
 }
 
-// registerMachines registers the machines whose agents have this controller as their home.
+// registerMachines writes new machines homed here to the roster until the context ends.
 func (n *Node) registerMachines(ctx context.Context) error {
 	for sleep(ctx, registerInterval) {
 		n.mu.Lock()
@@ -67,8 +69,8 @@
 	return nil
 }
 
-// deregisterMachines takes machines that are gone off the roster, which tells every controller. The fleet's owner does
-// it.
+// deregisterMachines removes gone machines from the roster, by which every controller learns of their end. Only the
+// fleet's owner calls it.
 func (n *Node) deregisterMachines(ctx context.Context, writes []agents.RosterWrite) {
 	for _, w := range writes {
 		n.writeRoster(ctx, w)
@@ -78,7 +80,7 @@
 	n.registration.FinishRemoval()
 }
 
-// writeRoster makes a write, and takes in what the key has then.
+// writeRoster writes a roster key, and applies the value that the key has afterwards.
 func (n *Node) writeRoster(ctx context.Context, w agents.RosterWrite) {
 	value := protocol.Encode(w.Value())
 	revision, err := n.kvStore.Commit(ctx, kvstore.Update{
@@ -86,11 +88,11 @@
 		Changes:    []protocol.Op{{Set: w.Key, Value: value}},
 	})
 	if err != nil {
-		n.log.Debug("roster not written yet", "key", w.Key, "err", err)
+		n.log.Debug("roster not written", "key", w.Key, "err", err)
 		if errors.Is(err, kvstore.ErrRefused) {
 			return
 		}
-		// Another controller wrote it, or the outcome is open.
+		// Another controller wrote the key, or the outcome of the write is unknown.
 		n.readRosterList(ctx, w)
 		return
 	}
@@ -99,7 +101,7 @@
 	n.applyRosterList(w.Key, value, revision)
 }
 
-// readRosterList reads a key whose write had no certain outcome.
+// readRosterList reads and applies a roster key whose write failed or had an unknown outcome.
 func (n *Node) readRosterList(ctx context.Context, w agents.RosterWrite) {
 	entry, err := n.kvStore.Get(ctx, w.Key)
 	if err != nil {
--- a/internal/controller/save_test.go
+++ b/internal/controller/save_test.go
@@ -12,7 +12,7 @@
 // TestSharedPageSurvivesFailover: two jobs' finished tasks share a page; an owner
 // that takes over must find both, and its own writes must keep them.
 func TestSharedPageSurvivesFailover(t *testing.T) {
-	n := bare("127.0.0.1:1")
+	n := newStoppedNode("127.0.0.1:1")
 	name := shards.ForTeam("red")
 	store := map[string]protocol.Entry{}
 	for round := range 4 {
--- a/internal/controller/scheduling.go
+++ b/internal/controller/scheduling.go
@@ -11,9 +11,9 @@
 	"topazhollow/internal/shards"
 )
 
-// What connects internal/scheduler, which decides what starts where and what makes room, to the controller.
+// The controller's side of internal/scheduler, which decides about placement and preemption.
 
-// place runs a scheduling pass: it starts what can be started and has the victims stopped that the pass chose.
+// place runs a scheduling pass, which places waiting tasks, and has the tasks stopped that the pass chose to preempt.
 func (n *Node) place(now time.Time) {
 	result := n.scheduler.Pass((*schedulerSnapshot)(n), now)
 	for _, e := range result.Evictions {
@@ -36,7 +36,7 @@
 	n.links.Send(owner, "evict", e)
 }
 
-// onEvict stops a task of an own team for a job of higher priority.
+// onEvict stops a task of a team that this controller owns in favour of a job of higher priority.
 func (n *Node) onEvict(e *evictMsg) {
 	victim, job := n.jobs[e.Attempt.Job], n.jobs[e.Beneficiary]
 	if victim == nil || job == nil || protocol.Rank(job.spec.Priority) <= protocol.Rank(victim.spec.Priority) {
@@ -52,7 +52,7 @@
 	}
 }
 
-// objectives lists when a job should be complete; it is empty if nothing is stated.
+// objectives returns the times by which a job should be complete; it is empty if the job has no objective.
 func (n *Node) objectives(j *job) jobstate.Objectives {
 	if j.objectives == nil {
 		j.objectives = scheduler.ServiceLevels(n.settings.Deployment.Objectives).CompletionTimes(j.spec, j.submittedAt)
@@ -60,16 +60,16 @@
 	return j.objectives
 }
 
-// nextObjective is the next of a job's objectives that it can still reach; late if there is none.
+// nextObjective returns the next of a job's objectives that it can still meet; late is true if there is none.
 func (n *Node) nextObjective(j *job, now time.Time) (by time.Time, late bool) {
 	scheduled := scheduler.Job{Spec: j.spec, SubmittedAt: j.submittedAt, Objectives: n.objectives(j)}
 	return scheduled.NextObjective(now)
 }
 
-// schedulerSnapshot is the controller as its scheduler reads it.
+// schedulerSnapshot is the scheduler's read-only view of the controller.
 type schedulerSnapshot Node
 
-// Job gives a job that is or was active.
+// Job returns a job that is or was active.
 func (s *schedulerSnapshot) Job(uid string) (scheduler.Job, bool) {
 	j := s.jobs[uid]
 	if j == nil {
@@ -82,14 +82,14 @@
 	return scheduled, true
 }
 
-// AssignmentsOn calls f for each attempt that any own team holds on a machine.
+// AssignmentsOn calls f for each attempt that a team owned here has assigned to a machine.
 func (s *schedulerSnapshot) AssignmentsOn(machine string, f func(jobstate.Assignment)) {
 	for shard := range s.shards.All() {
 		shard.Team().Assignments().On(machine, f)
 	}
 }
 
-// TakeChangedMachines lists the machines where attempts of own teams came or went since the last call.
+// TakeChangedMachines lists the machines whose assignments of teams owned here changed since the last call.
 func (s *schedulerSnapshot) TakeChangedMachines() iter.Seq[string] {
 	return func(yield func(string) bool) {
 		for shard := range s.shards.All() {
@@ -102,19 +102,19 @@
 	}
 }
 
-// ownTeam is a team that this controller owns, as its scheduler reads it.
+// ownTeam is the scheduler's view of a team that this controller owns.
 type ownTeam struct {
 	*jobstate.Team
 	node  *Node
 	shard *shards.Owned
 }
 
-// PrioritizedTasks gives for each demand how many of its tasks go ahead of more urgent work.
+// PrioritizedTasks returns for each demand how many of its tasks are placed before more urgent work.
 func (t *ownTeam) PrioritizedTasks(demands []jobstate.Demand, now time.Time) []int {
 	return t.node.prioritizedTasks(t.shard, demands, now)
 }
 
-// Teams lists the own teams whose tasks may start now.
+// Teams lists the teams owned here whose tasks may be placed now.
 func (s *schedulerSnapshot) Teams() []scheduler.Team {
 	var teams []scheduler.Team
 	for shard := range s.shards.All() {
@@ -125,12 +125,12 @@
 	return teams
 }
 
-// PeerDemands lists the tasks of other controllers' teams that wait for room.
+// PeerDemands yields the demands of the teams that other controllers own.
 func (s *schedulerSnapshot) PeerDemands(now time.Time) iter.Seq[scheduler.Demand] {
 	return func(yield func(scheduler.Demand) bool) {
 		for _, p := range s.peers {
 			if !p.isReachable(now) || !p.entitled {
-				continue // what one that lost its lease lists is work that others have taken over
+				continue // other controllers have taken over the teams of one that lost its lease
 			}
 			for _, d := range p.demands {
 				if !yield(scheduler.Demand{Job: d.Job, Count: d.Count, Prioritized: d.Prioritized, Borrowed: d.Borrowed}) {
@@ -141,16 +141,16 @@
 	}
 }
 
-// staleAfter is beside two of its reports for how long a machine may be silent and still take tasks.
-const staleAfter = 3 * time.Second
+// heartbeatSlack is how long, beyond two heartbeat intervals, a machine may be silent and still be given tasks.
+const heartbeatSlack = 3 * time.Second
 
-// AcceptingMachines gives a filter for machines that take tasks now. A machine whose home has not heard it since the
-// term was raised takes no orders yet.
+// AcceptingMachines returns a filter for the machines that tasks can be placed on now. A machine whose home has not
+// received a heartbeat from it since the term was raised accepts no orders yet.
 func (s *schedulerSnapshot) AcceptingMachines(now time.Time) func(*jobstate.MachineStatus) bool {
 	n := (*Node)(s)
-	fresh := 2*time.Duration(n.settings.Deployment.Agents.HeartbeatSeconds*float64(time.Second)) + staleAfter
+	fresh := 2*time.Duration(n.settings.Deployment.Agents.HeartbeatSeconds*float64(time.Second)) + heartbeatSlack
 	draining := n.draining()
-	unreachable := map[string]bool{} // homes that no order reaches
+	unreachable := map[string]bool{} // homes that orders cannot be sent to
 	for name, p := range n.peers {
 		unreachable[name] = !p.connected || !p.isReachable(now)
 	}
@@ -169,13 +169,13 @@
 	}
 }
 
-// slowFor is how long a machine takes no tasks after it was found slow.
-const slowFor = time.Minute
+// slowMachineTimeout is how long a machine is given no tasks after it was found slow.
+const slowMachineTimeout = time.Minute
 
-// isSlow says whether a machine was found slow of late.
+// isSlow returns whether a machine was found slow within the last slowMachineTimeout.
 func (n *Node) isSlow(m *machine, now time.Time) bool {
-	return !m.slowAt.IsZero() && now.Sub(m.slowAt) < slowFor
+	return !m.slowAt.IsZero() && now.Sub(m.slowAt) < slowMachineTimeout
 }
 
-// Plan is the admission plan in force; nil if there is none.
+// Plan returns the admission plan in force; nil if there is none.
 func (s *schedulerSnapshot) Plan() *admission.Plan { return s.admission.agreement.InForce() }
--- a/internal/controller/scheduling_test.go
+++ b/internal/controller/scheduling_test.go
@@ -10,10 +10,10 @@
 	"topazhollow/internal/userapi"
 )
 
-// TestMachinesTakeTasksUnderANewTerm: after a raised term peers are sent the status of every machine homed here; a
-// controller must know its own machines under that term as well, or it places nothing on them until each has reported
-// again.
-func TestMachinesTakeTasksUnderANewTerm(t *testing.T) {
+// TestMachinesAcceptTasksUnderNewTerm: after the term is raised, a home sends its peers the status of all its machines.
+// It must update its own entries to that term as well, or it places no task on its machines until each has sent another
+// heartbeat.
+func TestMachinesAcceptTasksUnderNewTerm(t *testing.T) {
 	g := newNodeHarness(0, 1)
 	n := g.n
 	n.mu.Lock()
@@ -33,13 +33,13 @@
 		t.Errorf("%d of 2 machines take tasks after the term was raised", got)
 	}
 	if n.agents.Changed() != 2 {
-		t.Errorf("%d of 2 machines are to be told of", n.agents.Changed())
+		t.Errorf("the status of %d of 2 machines is to be sent", n.agents.Changed())
 	}
 }
 
-// TestRoomIsReservedForGangs: small tasks of an array took each piece of room that came free, so that gangs of higher
-// priority waited until the array was over. What a gang can get is left to it; one that all machines
-// of a zone could not take keeps nobody waiting, nor does one that waits for its team's quota, nor one of lower priority.
+// TestRoomIsReservedForGangs: without reservations, small tasks of an array take all room as it becomes free, and gangs
+// of higher priority wait until the array has ended. Room is reserved for a gang, unless all machines of a zone
+// together could not hold it, it waits for its team's quota, or its priority is lower.
 func TestRoomIsReservedForGangs(t *testing.T) {
 	for _, c := range []struct {
 		tasks    int
@@ -47,7 +47,7 @@
 		quota    float64
 		kept     bool
 	}{{8, "high", 1000, true}, {9, "high", 1000, false}, {8, "low", 1000, false}, {8, "high", 48, false}} {
-		g := newNodeHarness(8, 2) // two of them ordinary, in one zone
+		g := newNodeHarness(8, 2) // two of them on-demand, in one zone
 		n := g.n
 		n.mu.Lock()
 		submit := func(spec protocol.Submission) {
@@ -81,7 +81,7 @@
 		}
 		n.mu.Unlock()
 		for range 70 {
-			g.advanceSecond(1) // what ran ends
+			g.advanceSecond(1) // the running tasks end
 		}
 		n.mu.Lock()
 		if done, _ := n.shards.OfTeam("team-0").Team().Progress("job-000002"); done == 0 && held("job-000002") == 0 && c.tasks == 8 && c.quota > 64 {
@@ -91,7 +91,8 @@
 	}
 }
 
-// TestEvictionsReachTheOwner: what a pass wants stopped gets an order to stop in its own team's account.
+// TestEvictionsReachTheOwner: each task that a scheduling pass preempts gets an order to stop from its own team's
+// account.
 func TestEvictionsReachTheOwner(t *testing.T) {
 	g := newNodeHarness(1, 2) // of 32 CPUs
 	n := g.n
--- a/internal/controller/slowtasks.go
+++ b/internal/controller/slowtasks.go
@@ -8,12 +8,12 @@
 	"topazhollow/internal/shards"
 )
 
-// minRunsToJudge is how many tasks of a job must have run to completion before others of it count as slow, beside
-// a third of all.
+// minRunsToJudge is how many tasks of a job must have completed before others of the job can count as slow; at least a
+// third of the job's tasks is required as well.
 const minRunsToJudge = 3
 
-// moveSlowTasks stops tasks that take far longer than others of their job took, to start them
-// anew elsewhere once they are proven off: as when a machine is faulty.
+// moveSlowTasks stops tasks that run far longer than completed tasks of their job did, as on a faulty machine. They are
+// started again elsewhere once they are proven to have ended.
 func (n *Node) moveSlowTasks(shard *shards.Owned, now time.Time) {
 	shard.Team().Jobs(func(job *jobstate.Job) {
 		known := n.jobs[job.Spec.UID]
@@ -27,7 +27,7 @@
 	})
 }
 
-// moveIfSlow stops a task that has run longer than a limit, unless its job avoids the machine already.
+// moveIfSlow stops a task that has run longer than a limit, unless its job already avoids the machine.
 func (n *Node) moveIfSlow(shard *shards.Owned, job *jobstate.Job, assignment jobstate.Assignment,
 	limit time.Duration, now time.Time) {
 	m := n.machines[assignment.Machine]
@@ -39,6 +39,6 @@
 		return
 	}
 	m.slowAt = now
-	n.log.Info("task far slower than others of its job", "task", job.Spec.UID, "index", assignment.Index,
+	n.log.Info("task moved: far slower than others of its job", "task", job.Spec.UID, "index", assignment.Index,
 		"machine", assignment.Machine, "ran", now.Sub(since), "limit", limit)
 }
--- a/internal/controller/status.go
+++ b/internal/controller/status.go
@@ -16,7 +16,7 @@
 // minStatusInterval is the least time between two statuses.
 const minStatusInterval = 150 * time.Millisecond
 
-// requestStatus has the next status go out soon.
+// requestStatus makes sendStatuses send the next status soon.
 func (n *Node) requestStatus() {
 	select {
 	case n.statusRequests <- struct{}{}:
@@ -24,7 +24,7 @@
 	}
 }
 
-// sendStatuses sends this controller's status to its peers.
+// sendStatuses sends this controller's status to its peers at every interval and on request, until the context ends.
 func (n *Node) sendStatuses(ctx context.Context) error {
 	ticker := time.NewTicker(statusInterval)
 	defer ticker.Stop()
@@ -44,7 +44,7 @@
 		writes := n.shareWrites(now)
 		s.WantedWrites = &writes
 		n.broadcast(kindStatus, s)
-		n.forgetOld(now)
+		n.pruneOldState(now)
 		n.mu.Unlock()
 		if !sleep(ctx, minStatusInterval) {
 			return nil
@@ -52,7 +52,7 @@
 	}
 }
 
-// broadcast sends every peer the same message.
+// broadcast sends a message to every peer.
 func (n *Node) broadcast(kind string, body any) {
 	line := peer.Encode(kind, body)
 	for name := range n.peers {
@@ -60,9 +60,9 @@
 	}
 }
 
-// shareWrites divides the rate of changes of the state service among the controllers by what each has use for: the ends
-// of one team's many small jobs are all its owner's to write. It returns what this one has use for, in changes a
-// second.
+// shareWrites divides the permitted rate of changes of the state service among the controllers by their demand, which
+// differs: the owner of a team with many small jobs has to write all their ends. It returns this controller's demand,
+// in changes per second.
 func (n *Node) shareWrites(now time.Time) float64 {
 	var others []float64
 	for _, p := range n.peers {
@@ -76,7 +76,8 @@
 	return n.kvStore.WantedRate(now)
 }
 
-// status composes this controller's status for its peers. It makes the promise in it, and takes what is sent once.
+// status composes this controller's status for its peers. It has side effects: it makes the promise that the status
+// contains, and consumes what is sent only once.
 func (n *Node) status(now time.Time) statusMsg {
 	cancellations, recordVersion := n.cancelWatermark.Confirmed(), n.leadership.RecordVersion()
 	s := statusMsg{
@@ -106,7 +107,7 @@
 	return s
 }
 
-// receivedStatuses names the last status of each peer that arrived lately.
+// receivedStatuses acknowledges the last status of each peer that arrived within leadership.PromiseLife.
 func (n *Node) receivedStatuses(now time.Time) map[string]receivedStatus {
 	received := map[string]receivedStatus{}
 	for name, p := range n.peers {
@@ -119,8 +120,9 @@
 	return received
 }
 
-// heartbeatAges is, for the machines whose home this controller is, the milliseconds since their last heartbeats; and,
-// for those that a start may still reach, since all cancellations known when it was sent had been confirmed.
+// heartbeatAges returns, for the machines whose home this controller is, the milliseconds since their last heartbeats,
+// and, for those that a start may still reach, the age of the earliest cancellation watermark that such a start was
+// sent under.
 func (n *Node) heartbeatAges(now time.Time) (ages, inFlight map[string]int64) {
 	ages = map[string]int64{}
 	for name, m := range n.agents.All() {
@@ -137,27 +139,27 @@
 	return ages, inFlight
 }
 
-// anyJob counts the starts of all jobs.
+// anyJob selects the starts of all jobs for Agent.InFlightWatermark.
 func anyJob(string) bool { return true }
 
-// prune forgets jobs that ended and machines that were gone long ago when there
-// are many; a machine that still lists such a job makes its home look it up again.
-func (n *Node) forgetOld(now time.Time) {
-	const many, long = 2000, 5 * time.Minute
-	if len(n.machines) > many {
+// pruneOldState forgets the jobs that ended and the machines that were gone long ago, once there are many entries. If a
+// machine still lists a task of a forgotten job, its home looks the job's end up again.
+func (n *Node) pruneOldState(now time.Time) {
+	const maxEntries, minAge = 2000, 5 * time.Minute
+	if len(n.machines) > maxEntries {
 		maps.DeleteFunc(n.machines, func(name string, m *machine) bool {
-			if !m.gone || now.Sub(m.HeardAt) <= long || n.roster.Has(name) {
+			if !m.gone || now.Sub(m.HeardAt) <= minAge || n.roster.Has(name) {
 				return false
 			}
 			n.unreachableHomes.Forget(name)
 			return true
 		})
 	}
-	if len(n.jobs) < many {
+	if len(n.jobs) < maxEntries {
 		return
 	}
 	maps.DeleteFunc(n.jobs, func(uid string, j *job) bool {
-		old := !j.active && now.Sub(j.endedAt) > long
+		old := !j.active && now.Sub(j.endedAt) > minAge
 		if old {
 			n.quarantine.ForgetJob(uid)
 		}
@@ -165,7 +167,7 @@
 	})
 }
 
-// draining is the machines that no task should go to.
+// draining returns the machines that no task should be placed on, as the fleet's owner has decided.
 func (n *Node) draining() map[string]bool {
 	if n.shards.OwnsFleet() {
 		return n.provisioner.draining()
--- a/internal/controller/step.go
+++ b/internal/controller/step.go
@@ -8,22 +8,22 @@
 	"topazhollow/internal/shards"
 )
 
-// minStepPause and stepPauseFactor bound how often and for how much of the time a step is
-// taken: what happens meanwhile is looked at together.
+// minStepPause is the shortest pause after a step; a longer step is followed by a pause of stepPauseFactor times its
+// duration. Events that arrive during the pause are handled together in the next step.
 const (
 	minStepPause    = 20 * time.Millisecond
 	stepPauseFactor = 4
 )
 
-// stallThreshold is by how much the main loop must be late to show that the process
-// did not run while the clocks ran on.
+// stallThreshold is the delay of the main loop from which on the process counts as having been stalled, as when it was
+// suspended while the clock ran on.
 const stallThreshold = time.Second
 
-// runningReviewInterval is how often running tasks are looked over for those to be moved.
+// runningReviewInterval is how often running tasks are checked for those that must move to another machine.
 const runningReviewInterval = 500 * time.Millisecond
 
-// runSteps is the main loop: it replicates, orders and places whenever something
-// happened, and at every tick.
+// runSteps is the main loop: it places tasks, replicates changes and sends orders whenever it is woken, and at every
+// tick.
 func (n *Node) runSteps(ctx context.Context) error {
 	ticker := time.NewTicker(tick)
 	defer ticker.Stop()
@@ -49,16 +49,16 @@
 	}
 }
 
-// resumedAfterStall begins to count silence anew: who did not get through while this controller was
-// stalled may have sent all the time.
+// resumedAfterStall restarts the silence timeouts of peers, replicas and machines after a stall: they may have sent
+// messages all the time, which this process could not read.
 func (n *Node) resumedAfterStall(now time.Time, stalled time.Duration) {
-	n.log.Info("stalled while the clocks ran on", "for", stalled, "entitled", n.entitled(now))
+	n.log.Info("process was stalled", "for", stalled, "entitled", n.entitled(now))
 	n.leadership.RestartSettling(now)
 	n.lastStall = stalled
 	n.shards.Resume(now)
 }
 
-// step does once what an owner has to do for its shards.
+// step runs one pass of the main loop over all shards that this controller owns.
 func (n *Node) step(now time.Time) {
 	if !n.entitled(now) {
 		return
@@ -81,8 +81,8 @@
 	n.sendChangedStatuses()
 }
 
-// stepShard does once what the owner of a shard has to do after placing: first its replicas get the changes, then
-// what they have acknowledged goes out.
+// stepShard runs the part of a step that follows placement for one shard: it replicates the shard's changes, and then
+// sends the orders that the replicas have acknowledged.
 func (n *Node) stepShard(shard *shards.Owned, cluster *shards.Cluster, now time.Time, reviewRunning bool) {
 	if shard.Phase() == shards.Barrier {
 		n.passBarrier(shard)
@@ -102,7 +102,7 @@
 	}
 }
 
-// sendDueOrders sends the orders that rest on nothing beyond what every required replica acknowledged.
+// sendDueOrders sends the orders that depend only on changes that every required replica has acknowledged.
 func (n *Node) sendDueOrders(shard *shards.Owned, acknowledged uint64, now time.Time) {
 	due := shard.Team().TakeDueOrders(acknowledged, now, n.mayStartOn)
 	for machine, orders := range due {
@@ -116,7 +116,8 @@
 	}
 }
 
-// mayStartOn says whether a start may go to a machine: it is registered, and in the given incarnation.
+// mayStartOn returns whether a start may be sent to a machine: the machine is registered, and the given incarnation of
+// its agent is still the current one.
 func (n *Node) mayStartOn(machine string, incarnation uint64) bool {
 	m := n.machines[machine]
 	return m != nil && !m.gone && n.roster.Has(machine) && m.status != nil && m.status.Incarnation == incarnation
--- a/internal/controller/step_test.go
+++ b/internal/controller/step_test.go
@@ -8,10 +8,9 @@
 	"topazhollow/internal/shards"
 )
 
-// TestStallCountsNoSilence: a controller that was stalled received nothing meanwhile.
-// When it goes on and its lease has not expired, it must neither put its replicas out of sync
-// nor take its machines for silent.
-func TestStallCountsNoSilence(t *testing.T) {
+// TestStallDoesNotCountAsSilence: a controller receives nothing while it is stalled. When it resumes and its lease has
+// not expired, it must neither mark its replicas as out of sync nor count its machines as silent.
+func TestStallDoesNotCountAsSilence(t *testing.T) {
 	g := newNodeHarness(4, 1)
 	n, shard := g.n, g.n.shards.OfTeam("team-0")
 	record := n.leadership.Record().Clone()
@@ -21,7 +20,7 @@
 	shard.Resume(g.now)
 	n.peers["node-b"] = &peerState{connected: true, lastMessageAt: g.now}
 	shard.Team().Replica().Seq = 1
-	shard.Replicas().Replicate(n.cluster(), g.now) // a copy goes out, of which nothing is acknowledged
+	shard.Replicas().Replicate(n.cluster(), g.now) // sends a copy, which is never acknowledged
 	shard.Replicas().Acknowledge("node-b", 1, &shards.Acknowledgement{Shard: shard.Name(), SinceTerm: 1}, g.now)
 	for _, name := range g.machineNames {
 		n.machines[name].HeardAt = g.now
@@ -32,15 +31,15 @@
 	}
 	n.resumedAfterStall(now, 4*time.Second)
 	if n.syncStates(now)[shard.Name()].Lagging["node-b"] {
-		t.Error("a replica is put out of sync for the time that the owner was stalled")
+		t.Error("a replica is marked as out of sync for the time that the owner was stalled")
 	}
 	if n.leadership.SettledAt() != now {
-		t.Error("silence is counted from before the stall ended")
+		t.Error("silence is counted from a time before the stall ended")
 	}
 	if o := n.overview(now); o.LastStall != 4 || len(o.UnreachablePeers) != 1 {
-		t.Errorf("the overview has a stall of %g s and of unheard peers %v", o.LastStall, o.UnreachablePeers)
+		t.Errorf("the overview shows a stall of %g s and the unreachable peers %v", o.LastStall, o.UnreachablePeers)
 	}
 	if later := now.Add(2 * shards.AcknowledgementTimeout); !n.syncStates(later)[shard.Name()].Lagging["node-b"] {
-		t.Error("a replica that stays silent must go out of sync in the end")
+		t.Error("a replica that stays silent must go out of sync eventually")
 	}
 }
--- a/internal/controller/teamconfig.go
+++ b/internal/controller/teamconfig.go
@@ -16,21 +16,21 @@
 	"topazhollow/internal/teamstore"
 )
 
-// What connects internal/teamconfig, which decides, to the controller: docs/configuration.md says what it guarantees.
+// The controller's side of internal/teamconfig, which makes the decisions; docs/configuration.md states its guarantees.
 // All of it is off, and Node.teamConfig nil, unless the operator's script sets config_bound_s.
 
-// teamConfigState is what a controller knows of the teams' configuration, and of who else knows it.
+// teamConfigState holds the teams' configuration, and which controllers know which changes of it.
 type teamConfigState struct {
 	config          *teamconfig.Config
 	propagation     *teamconfig.Propagation
 	baseDigest      uint64               // digest of the settings file's teams
-	statusSerial    uint64               // of this process's statuses
-	behindSince     map[string]time.Time // since when peers are behind, or when they were last sent what they lack
-	writing         map[string]bool      // entries that are being written back
+	statusSerial    uint64               // of the last configuration status of this process
+	behindSince     map[string]time.Time // by peer, since when it is behind or was last sent changes
+	writing         map[string]bool      // teams whose entries are being written back
 	laggingLoggedAt time.Time
 }
 
-// newTeamConfigState is nil unless the configuration is to be followed.
+// newTeamConfigState returns nil unless the options enable changes of the configuration.
 func newTeamConfigState(s *settings.Settings, o *settings.Options) *teamConfigState {
 	if o.ConfigBoundSeconds <= 0 {
 		return nil
@@ -44,7 +44,7 @@
 	}
 }
 
-// teams lists the teams as far as known here.
+// teams lists the teams known here.
 func (n *Node) teams() []settings.Team {
 	if n.teamConfig == nil {
 		return n.settings.Deployment.Teams
@@ -60,7 +60,7 @@
 		names = append(names, shards.ForTeam(t.Name))
 		listed[shards.ForTeam(t.Name)] = true
 	}
-	if n.teamConfig != nil && n.leadership.Record() != nil { // a team that another controller knew of first
+	if n.teamConfig != nil && n.leadership.Record() != nil { // another controller may have learned of a team first
 		for name := range n.leadership.Record().Shards {
 			if name != leadership.FleetShard && !listed[name] {
 				names = append(names, name)
@@ -70,8 +70,8 @@
 	return names
 }
 
-// learnConfig takes in a change of a team's key.
-func (n *Node) learnConfig(e protocol.Change) {
+// applyConfigKey applies a change of a team's configuration key.
+func (n *Node) applyConfigKey(e protocol.Change) {
 	if n.teamConfig == nil {
 		return
 	}
@@ -91,7 +91,7 @@
 	}
 	overruled := len(n.teamConfig.config.Overruled())
 	if n.teamConfig.config.Learn(name, entry, e.Version) {
-		n.log.Info("team's configuration", "team", name, "number", entry.Number, "version", e.Version,
+		n.log.Info("team configuration learned", "team", name, "number", entry.Number, "version", e.Version,
 			"cpus_max", entry.CPUsMax, "removed", entry.Removed)
 		n.wake()
 		n.requestStatus()
@@ -99,22 +99,22 @@
 	n.logOverruled(overruled)
 }
 
-// logOverruled logs the acknowledged changes after the first so many that lost against others.
+// logOverruled logs the acknowledged changes that were overruled by others, except the first known ones.
 func (n *Node) logOverruled(known int) {
 	for _, x := range n.teamConfig.config.Overruled()[known:] {
-		n.log.Error("acknowledged change of a team's configuration overruled",
+		n.log.Error("acknowledged change of a team configuration overruled",
 			"team", x.Team, "number", x.Entry.Number, "change", x.Entry.Change)
 	}
 }
 
-// noteConfigRead notes that all watched keys are known up to n.revision, by a read that began at a time.
-func (n *Node) noteConfigRead(began time.Time) {
+// recordConfigRead records that all watched keys are known up to n.followedRevision, by a read that began at a time.
+func (n *Node) recordConfigRead(began time.Time) {
 	if n.teamConfig != nil && n.trusted() && n.watchedKeysRead {
 		n.teamConfig.config.CaughtUp(n.followedRevision, began)
 	}
 }
 
-// checkConfigListed sees that a full list names every entry known: they are never deleted.
+// checkConfigListed suspects a loss of data if a full list lacks a known configuration key, as these are never deleted.
 func (n *Node) checkConfigListed(seen map[string]bool) {
 	if n.teamConfig == nil {
 		return
@@ -126,29 +126,31 @@
 	}
 }
 
-// startConfigEpoch begins to rely on the state service's data anew.
+// startConfigEpoch voids the known versions and revisions of the configuration, as a new epoch of the state service's
+// data begins.
 func (n *Node) startConfigEpoch() {
 	if n.teamConfig != nil {
 		n.teamConfig.config.StartEpoch()
 	}
 }
 
-// configWitnesses adds the versions of entries to those that a look at the state service compares.
-func (n *Node) addAcknowledgedConfig(witnesses map[string]uint64) {
+// addAcknowledgedConfig adds the latest configuration key and a few others to the keys whose versions a check of the
+// state service compares.
+func (n *Node) addAcknowledgedConfig(versions map[string]uint64) {
 	if n.teamConfig == nil {
 		return
 	}
-	const some = 8
+	const sampleSize = 8
 	latest, added := n.teamConfig.config.LatestVersion(), 0
 	for name, version := range n.teamConfig.config.Versions() {
-		if version > 0 && (version == latest || added < some) {
-			witnesses[teamstore.Prefix+name] = version
+		if version > 0 && (version == latest || added < sampleSize) {
+			versions[teamstore.Prefix+name] = version
 			added++
 		}
 	}
 }
 
-// configVersion is the version of an entry's key as far as known.
+// configVersion returns the known version of a configuration key.
 func (n *Node) configVersion(key string) uint64 {
 	if n.teamConfig == nil {
 		return 0
@@ -156,17 +158,18 @@
 	return n.teamConfig.config.Version(strings.TrimPrefix(key, teamstore.Prefix))
 }
 
-// recordTeamTakeover notes that a team was taken over under the membership record known here.
+// recordTeamTakeover requires the configuration to be known up to the version of the current membership record, under
+// which a team was taken over.
 func (n *Node) recordTeamTakeover() {
 	if n.teamConfig != nil {
 		n.teamConfig.config.RequireRevision(n.leadership.RecordVersion())
 	}
 }
 
-// configReady says whether enough of the configuration is known to start what was taken over.
+// configReady returns whether the configuration is known far enough to start tasks of the teams taken over.
 func (n *Node) configReady() bool { return n.teamConfig == nil || n.teamConfig.config.Ready() }
 
-// applyTeamLimits has the own teams' accounts keep to the limits that hold now.
+// applyTeamLimits sets the limits that hold now in the accounts of the teams owned here.
 func (n *Node) applyTeamLimits(now time.Time) {
 	if n.teamConfig == nil {
 		return
@@ -188,7 +191,7 @@
 	}
 }
 
-// configRecord is what counts of the membership record known here.
+// configRecord returns the parts of the membership record that internal/teamconfig needs.
 func (n *Node) configRecord() *teamconfig.MembershipRecord {
 	if n.leadership.Record() == nil {
 		return &teamconfig.MembershipRecord{Owner: func(string) string { return "" }}
@@ -197,8 +200,8 @@
 		Owner: func(team string) string { return n.leadership.Record().OwnerOf(shards.ForTeam(team)) }}
 }
 
-// teamConfigStatus is what this controller's status says of the configuration, nil if nothing. The controller keeps to
-// it from here on.
+// teamConfigStatus returns the part of this controller's status that concerns the configuration, nil if there is none.
+// The limits that the status acknowledges are applied first, as the status is binding.
 func (n *Node) teamConfigStatus(now time.Time) *teamconfig.Status {
 	if n.teamConfig == nil || n.leadership.Record() == nil || !n.trusted() {
 		return nil
@@ -218,7 +221,8 @@
 	return &status
 }
 
-// unsettledTeams lists the own teams with a change that is not in force, and with tasks that it would not allow.
+// unsettledTeams lists the teams owned here that have a change that is not in force and whose tasks still exceed the
+// changed limits.
 func (n *Node) unsettledTeams() (unsettled []string) {
 	for _, x := range n.teamConfig.config.NotInForce() {
 		if n.leadership.Record().OwnerOf(shards.ForTeam(x.Team)) != n.name {
@@ -232,18 +236,18 @@
 	return unsettled
 }
 
-// updatePropagation notes which changes are in force everywhere, and logs which members are behind.
+// updatePropagation marks the changes that are in force everywhere by now, and logs which members are behind.
 func (n *Node) updatePropagation(now time.Time) {
 	r := n.configRecord()
 	for _, x := range n.teamConfig.propagation.Propagated(r, n.teamConfig.config.NotInForce()) {
 		n.teamConfig.config.MarkInForce(x.Team, x.Version)
-		n.log.Info("team's configuration in force everywhere",
+		n.log.Info("team configuration in force everywhere",
 			"team", x.Team, "number", x.Entry.Number, "version", x.Version)
 	}
 	n.logLagging(n.teamConfig.propagation.Lagging(r, n.teamConfig.config.LatestVersion(), now), now)
 }
 
-// logLagging logs the members that have been behind for long.
+// logLagging logs the members that have been behind for longer than laggingLogInterval.
 func (n *Node) logLagging(lagging []teamconfig.LaggingMember, now time.Time) {
 	if now.Sub(n.teamConfig.laggingLoggedAt) <= laggingLogInterval {
 		return
@@ -258,11 +262,11 @@
 	}
 }
 
-// laggingLogInterval is after what time a controller that is behind is logged, and how often.
+// laggingLogInterval is how long a controller must be behind to be logged, and how often it is logged again.
 const laggingLogInterval = 10 * time.Second
 
-// onConfigStatus takes in a peer's status of the configuration, and sends the peer what it lacks if it stays behind, as
-// one that the state service refuses.
+// onConfigStatus applies the configuration part of a peer's status. If the peer stays behind, as when the state service
+// refuses its requests, it is sent the changes that it lacks.
 func (n *Node) onConfigStatus(node string, incarnation uint64, status *teamconfig.Status, now time.Time) {
 	if n.teamConfig == nil || status == nil {
 		return
@@ -287,10 +291,11 @@
 	}
 }
 
-// configResendInterval is how long a peer may be behind before it is sent what it lacks, and how often it is sent.
+// configResendInterval is how long a peer must be behind before it is sent the changes that it lacks, and how often it
+// is sent them.
 const configResendInterval = time.Second
 
-// onConfigChanges takes in the changes of the configuration that a peer found missing here.
+// onConfigChanges applies the changes of the configuration that a peer found missing here.
 func (n *Node) onConfigChanges(m *configMsg, now time.Time) {
 	if n.teamConfig == nil || !n.trusted() || n.leadership.Record() == nil || m.Epoch != n.leadership.Epoch() {
 		return
@@ -300,7 +305,8 @@
 	n.wake()
 }
 
-// configMemory is what a peer must know of the configuration after a loss: the entries that the state service may lack.
+// rememberedConfig returns what peers must be sent of the configuration after a loss of data: the entries that the
+// state service may lack.
 func (n *Node) rememberedConfig() []teamconfig.Change {
 	if n.teamConfig == nil {
 		return nil
@@ -308,7 +314,7 @@
 	return n.teamConfig.config.Unwritten()
 }
 
-// recallConfig takes in what a peer remembers of the configuration.
+// learnRememberedConfig applies the entries that a peer remembers after a loss of data.
 func (n *Node) learnRememberedConfig(changes []teamconfig.Change) {
 	if n.teamConfig == nil {
 		return
@@ -322,10 +328,10 @@
 	n.logOverruled(overruled)
 }
 
-// configWritesOpen bounds the entries that are being written back at a time.
+// configWritesOpen is how many entries are written back at a time.
 const configWritesOpen = 64
 
-// writeBackConfig has the fleet's owner give the state service the entries that it lost.
+// writeBackConfig starts writing back the entries that the state service has lost, if this controller owns the fleet.
 func (n *Node) writeBackConfig() {
 	if n.teamConfig == nil || !n.shards.OwnsFleet() {
 		return
@@ -345,21 +351,21 @@
 // writeBackPause is the pause after a write that failed, before the entry may be written again.
 const writeBackPause = 200 * time.Millisecond
 
-// writeConfig writes an entry back, unless the state service has another one by now.
+// writeConfig writes an entry back, unless its key has changed in the state service meanwhile.
 func (n *Node) writeConfig(x teamconfig.Change) {
 	key, value := teamstore.Prefix+x.Team, protocol.Encode(x.Entry)
 	version, err := n.kvStore.Commit(n.ctx, kvstore.Update{
 		Conditions: []protocol.Condition{{Key: key, Version: x.Version}},
 		Changes:    []protocol.Op{{Set: key, Value: value}},
 	})
-	if err != nil && !errors.Is(err, kvstore.ErrConflict) { // on a conflict the watch brings what is there
+	if err != nil && !errors.Is(err, kvstore.ErrConflict) { // after a conflict the watch delivers the present value
 		sleep(n.ctx, writeBackPause)
 	}
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	delete(n.teamConfig.writing, x.Team)
 	if err == nil {
-		n.log.Info("team's configuration written back", "team", x.Team, "number", x.Entry.Number, "version", version)
-		n.learnConfig(protocol.Change{Set: key, Value: value, Version: version})
+		n.log.Info("team configuration written back", "team", x.Team, "number", x.Entry.Number, "version", version)
+		n.applyConfigKey(protocol.Change{Set: key, Value: value, Version: version})
 	}
 }
--- a/internal/controller/unreachablehomes.go
+++ b/internal/controller/unreachablehomes.go
@@ -11,20 +11,21 @@
 	"topazhollow/internal/settings"
 )
 
-// Agents that don't reach their home controller come to another one. internal/agents decides what becomes of them, and
-// which controller can't be reached; a controller that is held to be unreachable probes here whether it still is.
+// Agents that cannot reach their home send their heartbeats to another controller. agents.UnreachableHomes decides how
+// these are answered and which home counts as unreachable. A controller that counts as unreachable probes whether
+// agents can reach it again.
 
-// agentTiming is what the decisions about agents count with.
+// agentTiming derives the timeouts of agents.UnreachableHomes from the settings.
 func agentTiming(s *settings.Settings) agents.Timing {
 	overdue := settings.Seconds(s.Deployment.Agents.HeartbeatSeconds)*5/4 + time.Second
 	return agents.Timing{
 		HeartbeatOverdue: overdue,
-		RedirectTimeout:  overdue + heartbeatAnswerTime,
+		RedirectTimeout:  overdue + heartbeatAnswerTimeout,
 		Lease:            settings.Seconds(s.Deployment.Agents.LeaseSeconds),
 	}
 }
 
-// routeMisdirected decides whether an agent that should have gone to its home is sent there or kept alive here.
+// routeMisdirected decides whether an agent with another home is redirected there or kept alive here.
 func (n *Node) routeMisdirected(home, machine string, now time.Time) agents.Route {
 	p := n.peers[home]
 	if p == nil {
@@ -39,15 +40,18 @@
 	}, now)
 }
 
-// homesView is the controller as agents.UnreachableHomes sees it.
+// homesView is the view of the controller that agents.UnreachableHomes reads; it implements agents.Homes.
 type homesView struct{ n *Node }
 
+// HomeOf returns the home of a machine.
 func (h homesView) HomeOf(machine string) string { return h.n.homeOf(machine) }
 
+// ReachedHomeAt returns when a machine last reached its home, or when homes last changed if that was later.
 func (h homesView) ReachedHomeAt(machine string) time.Time {
 	return later(h.n.machine(machine).HomeHeardAt, h.n.leadership.SettledAt())
 }
 
+// CountOf counts the machines with a home.
 func (h homesView) CountOf(home string) (count int) {
 	for name, m := range h.n.machines {
 		if !m.gone && m.status != nil && h.n.homeOf(name) == home {
@@ -57,17 +61,17 @@
 	return count
 }
 
-// Times of probing whether agents can be reached.
+// Parameters of the probes that check whether this controller and agents can reach each other.
 const (
 	probeInterval     = time.Second
 	probeRequestTime  = time.Second
-	probedAgentSilent = 5 * time.Second // an agent that was silent for longer is not probed
+	probedAgentSilent = 5 * time.Second // an agent that has been silent for longer is not probed
 	probesToRecover   = 3               // successful ones in a row
 	maxProbeResponse  = 1 << 20         // bytes
 )
 
-// probeOwnReachability asks an agent for its status while this controller is held to be unreachable by agents, and notes
-// when it is reachable again.
+// probeOwnReachability probes an agent at every interval while this controller counts as unreachable for agents, and
+// records when enough probes in a row have succeeded.
 func (n *Node) probeOwnReachability(ctx context.Context) error {
 	succeeded := 0
 	for sleep(ctx, probeInterval) {
@@ -85,7 +89,7 @@
 	return nil
 }
 
-// agentToProbe returns the address of an agent that is alive, if this controller is held to be unreachable.
+// agentToProbe returns the address of an agent that is alive, if this controller counts as unreachable.
 func (n *Node) agentToProbe() (addr string, due bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -100,6 +104,7 @@
 	return "", false
 }
 
+// probeAgent returns whether an agent answers a request for its status.
 func probeAgent(ctx context.Context, addr string) bool {
 	conn := httpx.NewClientConn(addr, maxProbeResponse)
 	defer conn.Close()
@@ -107,6 +112,7 @@
 	return err == nil && resp.Status == 200
 }
 
+// later returns the later of two times.
 func later(a, b time.Time) time.Time {
 	if a.After(b) {
 		return a
--- a/internal/controller/unreachablehomes_test.go
+++ b/internal/controller/unreachablehomes_test.go
@@ -14,27 +14,27 @@
 	"topazhollow/internal/userapi"
 )
 
-// roamingAgent is a plain agent: it sends its heartbeats to its home, waits for an answer, and goes to the controller
-// under test when none comes.
+// roamingAgent models an agent that sends its heartbeats to its home, and to the controller under test when the home
+// does not answer in time.
 type roamingAgent struct {
 	name              string
-	next              time.Time // of its next report
-	here              bool      // it reports to the controller under test
-	answered          time.Time // when its last answered report was sent
+	next              time.Time // when it sends the next heartbeat
+	here              bool      // it sends its heartbeats to the controller under test
+	answered          time.Time // when it sent the last heartbeat that was answered
 	longestUnanswered time.Duration
 }
 
-// play lets an agent send heartbeats until a time. homeAnswers says whether its home answers one sent then; alive is
-// called as time goes on.
-func (w *roamingAgent) play(n *Node, home string, until time.Time, homeAnswers func(time.Time) bool, alive func(time.Time)) {
+// run simulates the agent's heartbeats until a time. homeAnswers returns whether the home answers a heartbeat sent at a
+// time; alive is called with the time of each heartbeat.
+func (w *roamingAgent) run(n *Node, home string, until time.Time, homeAnswers func(time.Time) bool, alive func(time.Time)) {
 	for !w.next.After(until) {
 		now := w.next
 		alive(now)
 		switch {
 		case !w.here && homeAnswers(now):
-			n.machine(w.name).HomeHeardAt = now // as the home tells in its status
+			n.machine(w.name).HomeHeardAt = now // as the home's status reports
 			w.answer(now)
-		case !w.here: // 4 s for an answer, 1 s to the next controller
+		case !w.here: // 4 s without an answer, and 1 s until it tries the next controller
 			w.here, w.next = true, now.Add(5*time.Second)
 		case n.routeMisdirected(home, w.name, now) == agents.KeepAlive:
 			w.answer(now)
@@ -45,15 +45,17 @@
 	}
 }
 
+// answer records that a heartbeat sent at a time was answered.
 func (w *roamingAgent) answer(now time.Time) {
 	w.answered, w.next = now, now.Add(2500*time.Millisecond)
 }
 
-// TestAgentsOfAnUnreachableHomeKeepTheirLeases: a home that stands still, or that agents alone cannot reach, leaves them
-// without answers. Redirected to it time and again, each waiting 4 s, they lost their lease of 12 s and 700 tasks with it
-// in one incident. They must be answered elsewhere, and be home again soon after it answers.
+// TestAgentsOfAnUnreachableHomeKeepTheirLeases: agents get no answer from a home that is stalled, or that only agents
+// cannot reach. Redirected to the home again and again, each time waiting 4 s for an answer, they lost their leases of
+// 12 s in one incident, and 700 tasks with them. Another controller must answer them, and they must return to their
+// home soon after it answers again.
 func TestAgentsOfAnUnreachableHomeKeepTheirLeases(t *testing.T) {
-	for _, silent := range []bool{true, false} { // do the peers hear the home?
+	for _, silent := range []bool{true, false} { // does the home send its peers no messages?
 		n := newNodeHarness(4, 1).n
 		n.settings.Deployment.Agents = settings.Agents{HeartbeatSeconds: 2, LeaseSeconds: 12, CancelSeconds: 32}
 		n.unreachableHomes = agents.NewUnreachableHomes(agentTiming(n.settings))
@@ -61,32 +63,33 @@
 		start := time.Now()
 		n.leadership.RestartSettling(start.Add(-time.Minute))
 		n.peers["node-b"] = &peerState{lastMessageAt: start}
-		cut, mended := start.Add(20*time.Second), start.Add(60*time.Second)
+		failed, recovered := start.Add(20*time.Second), start.Add(60*time.Second)
 		w := &roamingAgent{name: "n-000001", next: start, answered: start}
-		down := func(now time.Time) bool { return !now.Before(cut) && now.Before(mended) }
+		down := func(now time.Time) bool { return !now.Before(failed) && now.Before(recovered) }
 		play := func(until time.Time) {
-			w.play(n, "node-b", until, func(now time.Time) bool { return !down(now) }, func(now time.Time) {
+			w.run(n, "node-b", until, func(now time.Time) bool { return !down(now) }, func(now time.Time) {
 				if !silent || !down(now) {
 					n.peers["node-b"].lastMessageAt = now
 				}
 			})
 		}
-		play(mended.Add(-time.Second))
+		play(recovered.Add(-time.Second))
 		if w.longestUnanswered >= lease {
 			t.Errorf("silent %v: unanswered for %v, its lease is %v", silent, w.longestUnanswered, lease)
 		}
 		if !w.here {
-			t.Fatalf("silent %v: at a home that does not answer", silent)
+			t.Fatalf("silent %v: sends its heartbeats to a home that does not answer", silent)
 		}
-		play(mended.Add(lease + 6*time.Second))
+		play(recovered.Add(lease + 6*time.Second))
 		if w.here {
-			t.Errorf("silent %v: still away from its home %v after that answers again", silent, lease)
+			t.Errorf("silent %v: still not back at its home %v after the home answers again", silent, lease)
 		}
 	}
 }
 
-// TestUnreachableHomeIsFound: one machine with a broken path must not have a controller left out of the homes, as that
-// moves all machines under a new term; many must.
+// TestUnreachableHomeIsFound: if many machines cannot reach their home, the home must count as unreachable. A single
+// machine with a broken network path must not be enough, as excluding a controller from the homes moves machines under
+// a new term.
 func TestUnreachableHomeIsFound(t *testing.T) {
 	n := newNodeHarness(120, 1).n
 	n.leadership.Record().Unreachable = nil
@@ -100,7 +103,7 @@
 			homed = append(homed, name)
 		}
 	}
-	come := func(names []string) string {
+	findAfterHeartbeatsOf := func(names []string) string {
 		n.unreachableHomes = agents.NewUnreachableHomes(agentTiming(n.settings))
 		for i := range 6 {
 			at := now.Add(time.Duration(i) * time.Second)
@@ -111,18 +114,18 @@
 		}
 		return n.unreachableHomes.Find(homesView{n}, now.Add(6*time.Second))
 	}
-	if got := come(homed[:1]); got != "" || len(homed) < 20 {
-		t.Errorf("one machine of %d leaves %q out", len(homed), got)
+	if got := findAfterHeartbeatsOf(homed[:1]); got != "" || len(homed) < 20 {
+		t.Errorf("misdirected heartbeats of one machine of %d make %q unreachable", len(homed), got)
 	}
-	if got := come(homed[:len(homed)/2]); got != home {
-		t.Errorf("half of %d machines leave %q out, not %s", len(homed), got, home)
+	if got := findAfterHeartbeatsOf(homed[:len(homed)/2]); got != home {
+		t.Errorf("misdirected heartbeats of half of %d machines make %q unreachable, not %s", len(homed), got, home)
 	}
 }
 
-// TestFaultyJobAsksForLittle: a job that fails everywhere is tried one task at a
-// time and rents nothing, while the machines that it failed on stay in use; a
-// success brings it back. It used to fill the machines and condemn them.
-func TestFaultyJobAsksForLittle(t *testing.T) {
+// TestFaultyJobIsThrottled: of a job that fails on every machine only one task at a time is tried, and no machine is
+// acquired for it, while the machines that it failed on stay in use; after a success all its tasks are placed again.
+// Without that the job fills the machines and has them quarantined.
+func TestFaultyJobIsThrottled(t *testing.T) {
 	g := newNodeHarness(12, 1)
 	g.submit(40, 4)
 	g.n.mu.Lock()
@@ -161,14 +164,14 @@
 			t.Fatalf("try %d: %d tasks placed of a faulty job", i, held())
 		}
 		if list := n.demands(g.now); len(list) != 0 {
-			t.Fatalf("a faulty job asks peers and fleet for room: %v", list)
+			t.Fatalf("a faulty job has demands: %v", list)
 		}
 		if i < 3 {
 			end(protocol.ReasonError)
 		}
 	}
 	if held() != 1 {
-		t.Fatal("a faulty job is not tried any more")
+		t.Fatal("no task of a faulty job is tried any more")
 	}
 	if got := len(n.scheduler.Hosts((*schedulerSnapshot)(n), g.now, nil)); got != 12 {
 		t.Fatalf("%d of 12 machines in use after a faulty job", got)
@@ -180,8 +183,9 @@
 	}
 }
 
-// TestMisdirectedAgentIsNotSilent: agents that a home does not answer send their heartbeats to others, who keep them
-// alive. The fleet's owner must learn of that from whoever does, or it returns the machines for their silence.
+// TestMisdirectedAgentIsNotSilent: agents that their home does not answer send their heartbeats to other controllers,
+// which keep them alive. The fleet's owner must learn of that from these controllers, or it releases the machines as
+// silent.
 func TestMisdirectedAgentIsNotSilent(t *testing.T) {
 	g := newNodeHarness(6, 1)
 	fleetOwner, n := newNodeHarness(6, 1).n, g.n
@@ -193,22 +197,22 @@
 	n.handleHeartbeat(protocol.Encode(r))
 	s := n.status(at)
 	if !slices.Equal(s.Misdirected, []string{name}) || len(n.status(at).Misdirected) != 0 {
-		t.Fatalf("tells of %v, then of more", s.Misdirected)
+		t.Fatalf("the first status lists %v, or the second lists more", s.Misdirected)
 	}
 	m := fleetOwner.machine(name)
 	before := m.LastSign()
 	fleetOwner.applyPeerStatus(&peerState{}, &s, at)
 	if got := m.LastSign(); got != at || before == at {
-		t.Errorf("the fleet's owner last heard the machine at %v, not %v", got, at)
+		t.Errorf("the fleet's owner has the machine's last sign of life at %v, not %v", got, at)
 	}
 	if m.HomeHeardAt == at {
-		t.Error("a home that heard nothing counts as having heard")
+		t.Error("a home that received no heartbeat counts as having received one")
 	}
 }
 
-// TestImpossibleHeartbeats: what is no heartbeat is refused with the field named, and what one says of tasks that can't be
-// changes nothing: no job, no task done, no assignment, no machine, no suspicion of the store.
-func TestImpossibleHeartbeats(t *testing.T) {
+// TestInvalidHeartbeats: an invalid heartbeat is refused with the name of the field, and a valid one that lists
+// impossible tasks changes nothing: no job, no done task, no assignment, no machine, no suspicion of a loss of data.
+func TestInvalidHeartbeats(t *testing.T) {
 	g := newNodeHarness(0, 1)
 	n := g.n
 	n.agents.SetTerm(1, func(string) bool { return true })
@@ -218,7 +222,7 @@
 	team := n.shards.OfTeam("team-0").Team()
 	good := protocol.Heartbeat{Machine: "n-1", Addr: "127.0.0.1:1", Type: "m32", Zone: "east", Incarnation: 1, Seq: 1, FencingToken: 1, Tasks: []protocol.TaskStatus{}}
 	if a := n.handleHeartbeat(protocol.Encode(good)); a.Status != 200 {
-		t.Fatalf("a good report got %d %s", a.Status, a.Body)
+		t.Fatalf("a valid heartbeat got %d %s", a.Status, a.Body)
 	}
 	n.place(g.now)
 	state := func() string {
@@ -228,7 +232,7 @@
 	}
 	before := state()
 	if held, _ := team.Assignments().Count(); held == 0 {
-		t.Fatal("nothing was placed that a report could undo")
+		t.Fatal("no task was placed that a heartbeat could affect")
 	}
 	for field, spoil := range map[string]func(*protocol.Heartbeat){
 		"estacion": func(r *protocol.Heartbeat) { r.Machine = "n 1" },
@@ -265,6 +269,6 @@
 	r := good
 	r.Seq, r.FencingToken = seq+1, 1<<60
 	if a := n.handleHeartbeat(protocol.Encode(r)); a.Status != 503 || state() != before {
-		t.Errorf("a token that nobody gave out: %d, %s, before %s", a.Status, state(), before)
+		t.Errorf("a fencing token that was never issued: %d, %s, before %s", a.Status, state(), before)
 	}
 }
--- a/internal/controller/userbackend.go
+++ b/internal/controller/userbackend.go
@@ -10,13 +10,13 @@
 	"topazhollow/internal/userapi"
 )
 
-// userBackend answers what the user API asks of the controller; it implements userapi.Backend. Its methods take
-// Node.mu, and hold it for no I/O.
+// userBackend is the controller as the user API sees it; it implements userapi.Backend. Its methods take Node.mu, and
+// release it during I/O.
 type userBackend struct{ node *Node }
 
 var _ userapi.Backend = userBackend{}
 
-// Types is the machine types of the cloud, nil while unknown.
+// MachineTypes returns the machine types of the cloud; nil while they are unknown.
 func (b userBackend) MachineTypes() []protocol.MachineType {
 	n := b.node
 	n.mu.Lock()
@@ -24,7 +24,7 @@
 	return n.scheduler.MachineTypes()
 }
 
-// Progress is how many tasks of a job are done and running, as far as known here.
+// Progress returns how many tasks of a job are done and running, as far as known here.
 func (b userBackend) Progress(uid string) (done, running int) {
 	n := b.node
 	n.mu.Lock()
@@ -44,7 +44,8 @@
 	return 0, 0
 }
 
-// Active says whether the state service has a job as active, by a read begun after the call; false if unsure.
+// IsActive returns whether a job is active, according to a read of the state service that began after the call; false
+// if that is uncertain.
 func (b userBackend) IsActive(ctx context.Context, uid string) bool {
 	n := b.node
 	n.mu.Lock()
@@ -56,22 +57,23 @@
 	}
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	// What the store lost is no key of it, so that what is followed cannot show its end.
-	// Before memories are gathered a peer may know the end of one that the store has.
+	// If the state service has lost a job's keys, the watched keys never show the job's end. And before the memories
+	// are gathered, a peer may know the end of a job that the state service has as active.
 	return j.active && j.version > 0 && n.trusted() && n.memoriesGathered(time.Now())
 }
 
-// Trusted says whether the state service has what it acknowledged, as far as known.
+// StoreTrusted returns whether the state service has all that it acknowledged, as far as known.
 func (b userBackend) StoreTrusted() bool {
 	n := b.node
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	// Before the first membership record no change rests on an epoch, and a loss cannot be told
-	// from the deployment's beginning: nothing is accepted yet.
+	// Before the first membership record no change is bound to an epoch, and a loss of all data looks like a new
+	// deployment, so that nothing is accepted yet.
 	return n.watchedKeysRead && n.leadership.Record() != nil && n.trusted() && n.memoriesGathered(time.Now())
 }
 
-// Remembers gives an active job and its version in the state service, 0 if that does not have it yet.
+// KnownActiveJob returns an active job that is known here and its version in the state service; 0 if it is not written
+// there.
 func (b userBackend) KnownActiveJob(uid string) (userapi.ActiveJob, uint64, bool) {
 	n := b.node
 	n.mu.Lock()
@@ -83,10 +85,9 @@
 	return userapi.ActiveJob{Spec: j.spec, SubmittedAtMillis: j.submittedAt.UnixMilli()}, j.version, true
 }
 
-// Certain says whether a job that neither the store nor anybody here knows was never
-// accepted: all ends were read, this process had time to receive what machines know of
-// an earlier store, and nothing was lost for good.
-// All that is followed is read up to now first.
+// CertainlyNeverAccepted returns whether a job that neither the state service nor this controller knows was certainly
+// never accepted: all ends were read, this process has run long enough to receive what machines list of an earlier
+// epoch's jobs, and no data was lost for good. It first reads the watched keys up to now.
 func (b userBackend) CertainlyNeverAccepted(ctx context.Context) bool {
 	n := b.node
 	if n.waitForChanges(ctx) != nil {
@@ -102,8 +103,9 @@
 	return n.memoriesGathered(now) && n.allPeersExchanged(now) && n.endLookUps.Open() == 0 && now.Sub(n.startedAt) > heartbeats
 }
 
-// Missing has the store looked at before it is doubted: what looks like a loss is far more
-// often a change that this controller is about to read, and a doubt stops everything.
+// ReportMissing has the key of a job that seems to be missing read from the state service. It does not suspect a loss
+// of data at once, as that stops everything, and the cause is far more often a change that this controller has yet to
+// read.
 func (b userBackend) ReportMissing(uid string) {
 	n := b.node
 	n.mu.Lock()
@@ -113,7 +115,7 @@
 	}
 }
 
-// Hold has a peer hold a job, or else an end, before it is confirmed to a user.
+// CopyToPeer has a peer keep a copy of a job, or of an end if job is nil, before it is confirmed to a user.
 func (b userBackend) CopyToPeer(ctx context.Context, job *userapi.ActiveJob, uid string, end userapi.JobEnd) {
 	n := b.node
 	m := replicateFactMsg{Job: job}
@@ -123,7 +125,7 @@
 	n.replicateFact(ctx, m)
 }
 
-// Confirming announces a cancellation to the peers before it is confirmed to a user.
+// ConfirmingCancellation announces a cancellation to the peers before it is confirmed to a user.
 func (b userBackend) ConfirmingCancellation(uid string, end userapi.JobEnd) {
 	n := b.node
 	n.mu.Lock()
@@ -131,16 +133,16 @@
 	n.announceCancellation(uid, end)
 }
 
-// Accepted takes up a job that was accepted here.
+// JobAccepted records a job that this controller has accepted.
 func (b userBackend) JobAccepted(s userapi.ActiveJob, version uint64) {
 	n := b.node
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.logFirst("first submission accepted", time.Now())
+	n.logMilestone("first submission accepted", time.Now())
 	n.learnJob(s, version)
 }
 
-// Ended takes in that a job has ended.
+// JobEnded records that a job has ended.
 func (b userBackend) JobEnded(uid string, final userapi.JobEnd) {
 	n := b.node
 	n.mu.Lock()
@@ -148,7 +150,8 @@
 	n.endJob(uid)
 }
 
-// Healthy says whether users are to be sent here: this controller has its lease, or no reachable one has.
+// Healthy returns whether load balancers should send users to this controller: it holds its lease, or no reachable
+// controller does.
 func (b userBackend) Healthy() bool {
 	n := b.node
 	n.mu.Lock()
@@ -160,9 +163,9 @@
 	if n.leadership.HoldsLease(now) {
 		return true
 	}
-	// Without the state service nothing can be answered, but when no other controller is better off there is nobody to
-	// send users to. A controller that no peer's message reaches for a while must be taken for the only one that is cut
-	// off: its users could ask for as long as that takes and get no answer, while the others serve.
+	// Without the state service this controller can answer nothing, but if no other controller can either, there is
+	// none to send users to. A controller that has received no peer's message for a while must assume that it alone is
+	// cut off: otherwise its users would get no answer for as long as that lasts, while the other controllers serve.
 	alone := len(n.peers) > 0
 	for _, p := range n.peers {
 		if p.holdsLease && p.isReachable(now) {
@@ -173,21 +176,22 @@
 	return !alone && now.Sub(n.startedAt) > startupTime
 }
 
-// When a controller without a lease sends its users away.
+// When a controller without a lease reports that it is not healthy.
 const (
-	aloneAfter  = 5 * time.Second // after such silence of all peers
-	startupTime = 5 * time.Second // until when it does in any case after its start
+	aloneAfter  = 5 * time.Second // after all peers have been silent for this long
+	startupTime = 5 * time.Second // for this long after its start, in any case
 )
 
-// Admit says whether a new job can be taken now by what the state service has room for.
+// Admit returns whether the state service's rate of changes has room for a new job now, and otherwise the seconds after
+// which the user should retry.
 func (b userBackend) Admit(s *protocol.Submission) (taken bool, retryAfter int) {
 	n := b.node
 	wait, rate := n.kvStore.UrgentDelay()
 	now := time.Now()
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	taken, after := n.admission.rateLimiter.Admit(keyOf(s), s.UID, wait, rate, now)
-	n.admission.served.Record(keyOf(s), now, func(c *admission.Count) {
+	taken, after := n.admission.rateLimiter.Admit(admissionKey(s), s.UID, wait, rate, now)
+	n.admission.served.Record(admissionKey(s), now, func(c *admission.Count) {
 		if c.Asked++; taken {
 			c.Accepted++
 		} else {
