--- a/internal/controller/nodeharness_test.go
+++ b/internal/controller/nodeharness_test.go
@@ -206,9 +206,9 @@
 	}
 }
 
-// BenchmarkGrown measures the only owner's work for one second of a deployment of 1,000 machines, which start and end
-// some 50 tasks.
-func BenchmarkGrown(b *testing.B) {
+// BenchmarkDeploymentSecond measures the only owner's work for one second of a deployment of 1,000 machines, which
+// start and end some 50 tasks.
+func BenchmarkDeploymentSecond(b *testing.B) {
 	for _, load := range []struct {
 		name string
 		jobs int // submitted first; they fill the machines in part or wholly
