--- a/internal/controller/dataloss_cases_test.go
+++ b/internal/controller/dataloss_cases_test.go
@@ -36,14 +36,14 @@
 // loseDuringACancellation: the store is reset to an earlier state while a user repeats a cancellation until it is
 // answered.
 func (l *dataLoss) loseDuringACancellation() {
-	extra := array(391, 10, "red")
+	extra := arrayJob(391, 10, "red")
 	l.submit(extra)
 	answered := make(chan struct{})
 	go func() { // repeats the request until it is answered, during the loss
 		defer close(answered)
-		l.check.RecordCancellation(extra.UID)
+		l.checker.RecordCancellation(extra.UID)
 		for end := time.Now().Add(30 * time.Second); time.Now().Before(end); time.Sleep(30 * time.Millisecond) {
-			s := l.sets[time.Now().UnixNano()%3]
+			s := l.nodeSettings[time.Now().UnixNano()%3]
 			resp, err := l.httpc.Post("http://"+s.Listen+protocol.PathSubmit+"/"+extra.UID+"/withdraw", "application/json", strings.NewReader("{}"))
 			if err != nil {
 				continue
@@ -51,7 +51,7 @@
 			var st protocol.Status
 			_ = json.NewDecoder(resp.Body).Decode(&st)
 			resp.Body.Close()
-			l.check.RecordAnswer(extra.UID, resp.StatusCode, st.State, false)
+			l.checker.RecordAnswer(extra.UID, resp.StatusCode, st.State, false)
 			if resp.StatusCode == http.StatusOK {
 				return
 			}
@@ -67,14 +67,14 @@
 // that, no controller may answer that the job is active, since the watch never delivers the end to those that remember
 // the job.
 func (l *dataLoss) endInTheStoreThatWentBack() {
-	extra := array(392, 10, "red")
+	extra := arrayJob(392, 10, "red")
 	l.submit(extra)
-	l.check.RecordCancellation(extra.UID)
+	l.checker.RecordCancellation(extra.UID)
 	l.state.RollBack(l.saved)
 	l.state.Put(userapi.EndedJobPrefix+extra.UID, string(protocol.Encode(userapi.JobEnd{State: protocol.Cancelled, Tasks: 10, Team: "red"})))
 	cancelled := 0 // answers; the controllers are polled in turn until all return the end
-	l.until("all return the end", func() bool {
-		for _, s := range l.sets {
+	l.waitUntil("all return the end", func() bool {
+		for _, s := range l.nodeSettings {
 			resp, err := l.httpc.Get("http://" + s.Listen + protocol.PathSubmit + "/" + extra.UID)
 			if err != nil {
 				continue
@@ -82,7 +82,7 @@
 			var st protocol.Status
 			_ = json.NewDecoder(resp.Body).Decode(&st) // the HTTP status is checked too
 			resp.Body.Close()
-			l.check.RecordAnswer(extra.UID, resp.StatusCode, st.State, false)
+			l.checker.RecordAnswer(extra.UID, resp.StatusCode, st.State, false)
 			if st.State == protocol.Cancelled {
 				cancelled++
 			}
@@ -94,7 +94,7 @@
 // restartDuringRecovery: a controller restarts while retained state is exchanged and written back.
 func (l *dataLoss) restartDuringRecovery() {
 	l.state.LoseAll()
-	l.until("an epoch begins", func() bool { all := l.overviews(); return len(all) > 0 && all[0].Store.Epoch > 1 })
+	l.waitUntil("an epoch begins", func() bool { all := l.overviews(); return len(all) > 0 && all[0].Store.Epoch > 1 })
 	l.crash(2) // while its retained state is gathered and written back
 	l.start(2)
 }
--- a/internal/controller/leaserenewal_test.go
+++ b/internal/controller/leaserenewal_test.go
@@ -11,14 +11,14 @@
 
 // orderedMachine is a machine whose home receives orders for it and answers its heartbeats.
 type orderedMachine struct {
-	*grown
+	*nodeHarness
 	name string
 	seq  uint64
 }
 
 func newOrderedMachine() *orderedMachine {
-	g := newGrown(1, 1)
-	o := &orderedMachine{grown: g, name: g.names[0], seq: 10}
+	g := newNodeHarness(1, 1)
+	o := &orderedMachine{nodeHarness: g, name: g.machineNames[0], seq: 10}
 	g.n.agents.SetTerm(1, func(string) bool { return true })
 	g.submit(2, 1) // job-000001
 	return o
@@ -113,7 +113,7 @@
 // TestHomeWatermark: the age of a home's watermark counts from the status of this process that the home acknowledges,
 // plus the age of what it knew when it sent a start that may still arrive.
 func TestHomeWatermark(t *testing.T) {
-	g := newGrown(1, 1)
+	g := newNodeHarness(1, 1)
 	n := g.n
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -121,7 +121,7 @@
 	record := n.leadership.Record().Clone()
 	record.Unreachable = []string{n.name, "node-c"} // the home is node-b
 	learnRecord(n, record)
-	name := g.names[0]
+	name := g.machineNames[0]
 	watermarkAge := func(from string, inFlight map[string]int64) time.Duration {
 		s := statusMsg{HeartbeatAges: map[string]int64{name: 2000}, InFlightAges: inFlight, Received: map[string]receivedStatus{n.name: {Incarnation: n.incarnation, SentAt: 50000}}}
 		n.onHomeWatermarks(from, &s, g.now)
--- a/internal/controller/owner.go
+++ b/internal/controller/owner.go
@@ -30,7 +30,7 @@
 
 // takeOwnership takes over a shard that the membership record assigns to this controller.
 func (n *Node) takeOwnership(name string) {
-	n.noteTeamTakenOver()
+	n.recordTeamTakeover()
 	shard := n.shards.Take(shards.Takeover{
 		Name:      name,
 		Record:    n.leadership.Record(),
--- a/internal/controller/owner_test.go
+++ b/internal/controller/owner_test.go
@@ -21,14 +21,14 @@
 // be up to date.
 func TestInSyncOwnerBeginsWithoutStateService(t *testing.T) {
 	for _, needsBarrier := range []bool{false, true} {
-		n := bare("127.0.0.1:1") // nothing listens there
+		n := newStoppedNode("127.0.0.1:1") // nothing listens there
 		ctx, cancel := context.WithCancel(context.Background())
 		name := shards.ForTeam("red")
 		replica := jobstate.NewReplica()
 		assignment := jobstate.Assignment{TaskID: jobstate.TaskID{Job: "job-1", Index: 0}, Attempt: jobstate.AttemptID(4, 1), Machine: "n-1", Incarnation: 1, CPUs: 2}
 		replica.Assignments[assignment.TaskID] = assignment
 		shard := ownedShard(n, name, 5, needsBarrier, replica)
-		n.learnJob(userapi.ActiveJob{Spec: array(1, 3, "red")}, 1)
+		n.learnJob(userapi.ActiveJob{Spec: arrayJob(1, 3, "red")}, 1)
 		ended := make(chan struct{})
 		go func() {
 			defer close(ended)
@@ -57,7 +57,7 @@
 // machine: tasks that were running were started again. Nor may an assignment end because of such a roster.
 func TestRosterCompleteBeforeItsListsArrive(t *testing.T) {
 	for _, needsBarrier := range []bool{false, true} {
-		n := bare("127.0.0.1:1") // nothing listens there
+		n := newStoppedNode("127.0.0.1:1") // nothing listens there
 		ctx, cancel := context.WithCancel(context.Background())
 		n.ctx, n.group = ctx, &errgroup.Group{}
 		name := shards.ForTeam("red")
@@ -70,7 +70,7 @@
 		if !needsBarrier {
 			replica.Assignments[assignment.TaskID], want = assignment, 1
 		}
-		n.learnJob(userapi.ActiveJob{Spec: array(1, 3, "red")}, 1)
+		n.learnJob(userapi.ActiveJob{Spec: arrayJob(1, 3, "red")}, 1)
 		n.peers["node-b"] = &peerState{connected: true, lastMessageAt: time.Now()}
 		n.recovery.gathering.Begin(2, []string{"node-b"}) // its retained state is awaited
 		shard := ownedShard(n, name, 5, needsBarrier, replica)
--- a/internal/controller/recovery_gather.go
+++ b/internal/controller/recovery_gather.go
@@ -90,7 +90,7 @@
 // sendRetainedState sends peers what this controller knows and the store may lack. ask requests theirs in return.
 func (n *Node) sendRetainedState(ask bool, to ...string) {
 	unwritten, written := n.activeJobs()
-	ends := n.front.EndsDigest()
+	ends := n.userAPI.EndsDigest()
 	for last := false; !last; {
 		m := retainedStateMsg{
 			Epoch:    n.leadership.Epoch(),
@@ -165,7 +165,7 @@
 		}
 	}
 	n.recovery.gathering.StateReceived(from)
-	missing, err := n.front.EndsMissingFrom(m.Ends)
+	missing, err := n.userAPI.EndsMissingFrom(m.Ends)
 	if err != nil {
 		n.log.Error("unreadable line", "peer", from, "kind", kindRetainedState, "err", err)
 		return
@@ -201,7 +201,7 @@
 // learnEnds records ends received from peers or read from pages.
 func (n *Node) learnEnds(ends []datarecovery.End) {
 	for _, end := range ends {
-		n.front.RecordEnd(end.UID, userapi.JobEndFrom(end))
+		n.userAPI.RecordEnd(end.UID, userapi.JobEndFrom(end))
 		n.applyRememberedEnd(end.UID)
 	}
 }
--- a/internal/controller/save_test.go
+++ b/internal/controller/save_test.go
@@ -12,7 +12,7 @@
 // TestSharedPageSurvivesFailover: the finished tasks of two jobs share a page. An owner that takes over must find both,
 // and its own writes must keep them.
 func TestSharedPageSurvivesFailover(t *testing.T) {
-	n := bare("127.0.0.1:1")
+	n := newStoppedNode("127.0.0.1:1")
 	name := shards.ForTeam("red")
 	store := map[string]protocol.Entry{}
 	for round := range 4 {
@@ -22,7 +22,7 @@
 			entries = append(entries, e)
 		}
 		for i := range 2 {
-			spec := array(i, 10, "red")
+			spec := arrayJob(i, 10, "red")
 			n.jobs[spec.UID] = &job{spec: spec, active: true}
 			shard.Team().AddJob(spec, 1, n.startedAt, nil)
 		}
@@ -35,7 +35,7 @@
 		for i := range 2 { // one more task of each completes, job 1 is written first
 			uid := fmt.Sprintf("job-%06d", 1-i)
 			v := &jobstate.MachineStatus{Machine: "m", Incarnation: 1, Tasks: []jobstate.TaskStatus{{TaskID: jobstate.TaskID{Job: uid, Index: round}, Attempt: 1, State: protocol.Exited, Reason: protocol.ReasonDone}}}
-			shard.Team().Observe(v, n.startedAt, teamKnowledge{n, "red"})
+			shard.Team().Observe(v, n.startedAt, teamJobs{n, "red"})
 			pages, due := shard.BeginSaving()
 			if !due {
 				t.Fatalf("round %d: no page is due", round)
