--- a/internal/controller/autoscaling_inputs.go
+++ b/internal/controller/autoscaling_inputs.go
@@ -106,7 +106,7 @@
 		}
 	}
 	add(awaited, n.shards.AwaitedMachines())
-	add(unansweredProbes, n.unansweredProbes())
+	add(unanswered, n.unansweredProbes())
 	for _, p := range n.peers {
 		if now.Sub(p.lastMessageAt) < peerStatusLife {
 			add(awaited, p.awaitedMachines)
