--- a/internal/agents/unreachablehomes.go
+++ b/internal/agents/unreachablehomes.go
@@ -46,7 +46,7 @@
 // attempts summarizes an agent's consecutive misdirected heartbeats.
 type attempts struct {
 	first, last time.Time // first and last such heartbeat since the agent last reached its home
-	redirected  time.Time // when the agent was last redirected to its home, or first came here after trying it
+	redirected  time.Time // when the agent was last redirected to its home, or when the series began
 }
 
 // NewUnreachableHomes returns an UnreachableHomes without misdirected agents.
--- a/internal/autoscaler/autoscaler_test.go
+++ b/internal/autoscaler/autoscaler_test.go
@@ -153,14 +153,14 @@
 func TestBinQueueModel(t *testing.T) {
 	for seed := range uint64(300) {
 		rng := rand.New(rand.NewPCG(seed, 6))
-		var bins, plain []*bin
+		var bins, reference []*bin
 		for range 1 + rng.IntN(6) {
 			b := &bin{changes: []capacityChange{{0, float64(rng.IntN(9)), 0, 100}}}
 			for range rng.IntN(4) {
 				b.add(capacityChange{at: float64(1 + rng.IntN(10)), cpus: float64(rng.IntN(4))})
 			}
 			bins = append(bins, b)
-			plain = append(plain, &bin{changes: slices.Clone(b.changes)})
+			reference = append(reference, &bin{changes: slices.Clone(b.changes)})
 		}
 		all := forecast{bins: bins, queues: map[taskShape]*binQueue{}}
 		for range 6 {
@@ -169,13 +169,13 @@
 			if rng.IntN(3) == 0 {
 				b := &bin{changes: []capacityChange{{float64(rng.IntN(4)), float64(rng.IntN(9)), 0, 100}}}
 				all.bins = append(all.bins, b)
-				plain = append(plain, &bin{changes: slices.Clone(b.changes)})
+				reference = append(reference, &bin{changes: slices.Clone(b.changes)})
 			}
 			l := all.queueFor(s, false)
 			for range 5 {
 				var best *bin
 				want := math.Inf(1)
-				for _, b := range plain {
+				for _, b := range reference {
 					if at := b.earliestStart(s, math.Inf(1)); at < want {
 						best, want = b, at
 					}
@@ -189,7 +189,7 @@
 				// reserve may place several tasks at once; the linear search places them one by one.
 				for took := l.reserve(run, 1+rng.IntN(4)); took > 0; took-- {
 					best, want = nil, math.Inf(1)
-					for _, b := range plain {
+					for _, b := range reference {
 						if at := b.earliestStart(s, math.Inf(1)); at < want {
 							best, want = b, at
 						}
