--- a/internal/controller/autoscaling.go
+++ b/internal/controller/autoscaling.go
@@ -85,7 +85,7 @@
 		Machines:  machines,
 		Demands:   demands,
 		Arrivals:  n.arrivals(now),
-		SettledAt: n.leadership.SettledAt(),
+		SettledAt: n.leadership.StableSince(),
 		TakenOver: shard.SinceTerm() > n.leadership.Record().FirstTerm || n.leadership.Epoch() > 1,
 	}, now)
 	before := p.account.SlowPlaces()
--- a/internal/controller/barrier.go
+++ b/internal/controller/barrier.go
@@ -18,7 +18,7 @@
 // passBarrier ends the barrier once every machine that it waits for reported under the shard's term or is gone, and
 // everything else is known that a start rests on.
 func (n *Node) passBarrier(shard *shards.Owned) {
-	shard.SettleAwaited(n.machineSettled)
+	shard.RemoveSettledMachines(n.machineSettled)
 	if shard.AwaitedCount() > 0 || !n.configReady() || !n.memoriesGathered(time.Now()) {
 		return
 	}
--- a/internal/controller/barrierprobe.go
+++ b/internal/controller/barrierprobe.go
@@ -59,7 +59,7 @@
 	term, slots := n.probes.Term(), n.probes.slots
 	for _, name := range slices.Sorted(maps.Keys(addrs)) {
 		m := n.machine(name)
-		if n.homeOf(name) != n.name || m.knowsTerm(term) || !n.probes.Ask(name) {
+		if n.homeOf(name) != n.name || m.knowsTerm(term) || !n.probes.MarkProbed(name) {
 			continue
 		}
 		incarnation := uint64(1)
@@ -129,7 +129,7 @@
 		return
 	}
 	if !answered {
-		n.probes.NotAnswered(term, name)
+		n.probes.MarkUnanswered(term, name)
 		return
 	}
 	n.applyResponse(report, time.Now())
--- a/internal/controller/golden_test.go
+++ b/internal/controller/golden_test.go
@@ -149,7 +149,7 @@
 	checkLines(t, shards.KindCopyPart, shards.CopyPart{Shard: "team/vision", SinceTerm: 40, Part: jobstate.Part{Copy: goldenCopy, Number: 2, Last: true}}, shards.CopyPart{})
 	delta := jobstate.Delta{Seq: 18, Placed: []jobstate.Assignment{goldenHold}, Released: []jobstate.TaskID{goldenKey}, Done: []jobstate.TaskID{goldenKey}, DroppedJob: "job-000398"}
 	checkLines(t, "deltas", shards.Deltas{Shard: "team/vision", SinceTerm: 40, Deltas: []jobstate.Delta{delta}}, shards.Deltas{Deltas: []jobstate.Delta{{Placed: []jobstate.Assignment{{}}}}})
-	checkLines(t, "ack", shards.Acknowledgement{Shard: "team/vision", SinceTerm: 40, Seq: 18, Parts: 3, Again: true}, shards.Acknowledgement{})
+	checkLines(t, "ack", shards.Acknowledgement{Shard: "team/vision", SinceTerm: 40, Seq: 18, Parts: 3, NeedsCopy: true}, shards.Acknowledgement{})
 }
 
 // unusualEnd is an end that a page of ends tells beside its packed ones.
--- a/internal/controller/grown_test.go
+++ b/internal/controller/grown_test.go
@@ -61,7 +61,7 @@
 		readyShard(n, name, 1)
 	}
 	learnRecord(n, record)
-	n.leadership.EnterStore() // no version of the record is known: nothing is compared with a state service
+	n.leadership.ResetForNewEpoch() // no version of the record is known: nothing is compared with a state service
 	ended, cancel := context.WithCancel(context.Background())
 	cancel() // nothing goes out
 	n.group, n.ctx = &errgroup.Group{}, ended
--- a/internal/controller/leadership_test.go
+++ b/internal/controller/leadership_test.go
@@ -16,8 +16,8 @@
 // has neither lease nor promises.
 func newLeadership(n *Node, now time.Time, peers ...string) {
 	record := n.leadership.Record()
-	life := n.leadership.LeaseLife()
-	n.leadership = leadership.New(n.name, n.incarnation, leadership.Lease{Life: life, Margin: life / 20}, peers, now)
+	life := n.leadership.LeaseTTL()
+	n.leadership = leadership.New(n.name, n.incarnation, leadership.Lease{TTL: life, Margin: life / 20}, peers, now)
 	if record != nil {
 		learnRecord(n, record)
 	}
--- a/internal/controller/lease.go
+++ b/internal/controller/lease.go
@@ -72,7 +72,7 @@
 
 // takeLease has the state service grant a lease.
 func (n *Node) takeLease(ctx context.Context) (uint64, error) {
-	lease, err := n.kvStore.GrantLease(ctx, n.leadership.LeaseLife())
+	lease, err := n.kvStore.GrantLease(ctx, n.leadership.LeaseTTL())
 	if err != nil {
 		return lease, err
 	}
@@ -87,7 +87,7 @@
 	switch {
 	case err == nil:
 		n.leadership.LeaseRenewed(sent)
-		return n.leadership.LeaseLife() / renewalsPerLease
+		return n.leadership.LeaseTTL() / renewalsPerLease
 	case errors.Is(err, kvstore.ErrLeaseExpired):
 		n.log.Info("lease ended at the state service", "lease", lease)
 		if n.leadership.LeaseExpired(sent) {
--- a/internal/controller/leaserenewal.go
+++ b/internal/controller/leaserenewal.go
@@ -14,7 +14,7 @@
 // leaseGrant says whether the answer to a heartbeat may renew the agent's lease, and what it must stop then.
 func (n *Node) leaseGrant(r *protocol.Heartbeat, now time.Time) (stops []protocol.Command, ok bool) {
 	home := n.agents.Get(r.Machine)
-	standing := leasegrant.Standing{
+	standing := leasegrant.ControllerRole{
 		IsHome:        n.homeOf(r.Machine) == n.name && n.leadership.IsMember(),
 		LeaseValid:    n.leadership.HoldsLease(now) && n.entitled(now),
 		HomeWatermark: n.machine(r.Machine).HomeWatermark,
--- a/internal/controller/node.go
+++ b/internal/controller/node.go
@@ -209,7 +209,7 @@
 	for _, p := range n.settings.Peers {
 		peers = append(peers, p.Name)
 	}
-	n.leadership = leadership.New(n.name, n.incarnation, leadership.Lease{Life: life, Margin: life / 20}, peers, n.startedAt)
+	n.leadership = leadership.New(n.name, n.incarnation, leadership.Lease{TTL: life, Margin: life / 20}, peers, n.startedAt)
 	n.recovery = newRecoveryState(n.settings, n.incarnation, life)
 }
 
--- a/internal/controller/owner.go
+++ b/internal/controller/owner.go
@@ -17,12 +17,12 @@
 
 // followOwners takes over and gives up shards as a new membership record says; member: this process is in the record.
 func (n *Node) followOwners(r *leadership.Record, member bool) {
-	changes := n.shards.Follow(r, n.name, member)
+	changes := n.shards.ApplyRecord(r, n.name, member)
 	for _, shard := range changes.GivenUp {
 		n.log.Info("shard given up", "shard", shard.Name(), "owner", r.Shards[shard.Name()].Owner, "term", r.Term)
 		n.scheduler.InvalidateMachines(slices.Values(shard.Team().Assignments().Machines()))
 	}
-	for _, name := range changes.ToTake {
+	for _, name := range changes.ToTakeOver {
 		n.takeOwnership(name)
 	}
 }
@@ -30,7 +30,7 @@
 // takeOwnership begins to own a shard that the membership record gives to this controller.
 func (n *Node) takeOwnership(name string) {
 	n.noteTeamTakenOver()
-	shard := n.shards.Take(shards.Takeover{
+	shard := n.shards.TakeOver(shards.Takeover{
 		Name:      name,
 		Record:    n.leadership.Record(),
 		NewTeam:   func(replica *jobstate.Replica) *jobstate.Team { return n.newTeam(name, replica, n.leadership.Term()) },
@@ -116,7 +116,7 @@
 	if !n.shards.Owns(shard) || !shard.LoadIsCurrent(load) {
 		return false
 	}
-	if shard.MayBeginUnread() {
+	if shard.CanStartBeforeRead() {
 		n.enterBarrier(shard, nil)
 	}
 	return true
--- a/internal/controller/record.go
+++ b/internal/controller/record.go
@@ -20,7 +20,7 @@
 		n.recovery.detection.NewerEpochSeen(r.Epoch)
 	case leadership.RecordOlder:
 		n.suspectLoss(datarecovery.SignRecordOlder)
-	case leadership.RecordOutOfChain:
+	case leadership.RecordChainBroken:
 		n.recovery.detection.RecordOutOfChain()
 		n.suspectLoss(datarecovery.SignRecordOutOfChain)
 	}
--- a/internal/controller/recordchange.go
+++ b/internal/controller/recordchange.go
@@ -102,7 +102,7 @@
 	}
 	for name, shard := range change.Record.Shards {
 		if owned := n.shards.Owned(name); owned != nil {
-			owned.Replicas().Add(shard.InSync)
+			owned.Replicas().SetPendingReplicas(shard.InSync)
 		}
 	}
 }
@@ -130,7 +130,7 @@
 // propose tries to write a record, and adopts it if that worked.
 func (n *Node) propose(ctx context.Context, p *proposedRecord) error {
 	revision, failed, err := n.kvStore.CommitControl(ctx, p.transaction())
-	n.log.Info("membership record proposed", "term", p.Record.Term, "reason", p.Why(), "err", err, "failed", failed)
+	n.log.Info("membership record proposed", "term", p.Record.Term, "reason", p.ReasonText(), "err", err, "failed", failed)
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	switch {
@@ -151,7 +151,7 @@
 // recordSurroundings is the controller as leadership.NextChange asks for it.
 type recordSurroundings struct{ node *Node }
 
-var _ leadership.Surroundings = recordSurroundings{}
+var _ leadership.ControllerView = recordSurroundings{}
 
 func (r recordSurroundings) Controllers() int      { return len(r.node.settings.Peers) + 1 }
 func (r recordSurroundings) ShardNames() []string  { return r.node.shardNames() }
--- a/internal/controller/recordsync.go
+++ b/internal/controller/recordsync.go
@@ -12,7 +12,7 @@
 func (n *Node) sendNewerRecord(name string, s *statusMsg, now time.Time) {
 	version := n.leadership.RecordVersion()
 	behind := s.RecordVersion != nil && *s.RecordVersion < version && s.Store.Epoch == n.leadership.Epoch() && n.trusted()
-	if n.leadership.SendsRecord(name, behind, now) {
+	if n.leadership.ShouldSendRecord(name, behind, now) {
 		n.links.Send(name, kindRecord, recordMsg{version, protocol.Encode(n.leadership.Record())})
 	}
 }
--- a/internal/controller/recovery_epoch.go
+++ b/internal/controller/recovery_epoch.go
@@ -137,7 +137,7 @@
 	}
 	n.roster = newRoster(n.settings)
 	n.startConfigEpoch()
-	n.leadership.EnterStore()
+	n.leadership.ResetForNewEpoch()
 	n.recovery.detection.LeaveEpoch()
 }
 
@@ -156,7 +156,7 @@
 		}
 	}
 	n.recovery.gathering.Begin(record.Epoch, members)
-	n.leadership.RestartSettling(time.Now()) // machines did not reach their homes while nobody was entitled
+	n.leadership.ResetStableSince(time.Now()) // machines did not reach their homes while nobody was entitled
 	n.unreachableHomes.ForgetAttempts()
 	for name := range n.recovery.census.Remembered() {
 		if record.Home(name) == n.name {
--- a/internal/controller/replication.go
+++ b/internal/controller/replication.go
@@ -19,7 +19,7 @@
 
 // syncStates says for each owned shard which replicas are in sync and which are late.
 func (n *Node) syncStates(now time.Time) map[string]leadership.ShardStatus {
-	return n.shards.Syncs(n.cluster(), now)
+	return n.shards.Statuses(n.cluster(), now)
 }
 
 // sendReplication sends what brings a shard's replicas up to date.
@@ -40,7 +40,7 @@
 		n.requestCopy(node, m.Shard, m.SinceTerm)
 		return
 	}
-	n.acknowledge(node, n.shards.Held().TakeCopy(m))
+	n.acknowledge(node, n.shards.Held().ReceiveCopy(m))
 }
 
 // onCopyPart takes a part of a replica of a peer's shard.
@@ -49,7 +49,7 @@
 		n.requestCopy(node, m.Shard, m.SinceTerm)
 		return
 	}
-	n.acknowledge(node, n.shards.Held().TakePart(m))
+	n.acknowledge(node, n.shards.Held().ReceivePart(m))
 }
 
 // onDeltas takes changes of a peer's shard.
@@ -58,14 +58,14 @@
 		n.requestCopy(node, m.Shard, m.SinceTerm)
 		return
 	}
-	if answer, due := n.shards.Held().TakeDeltas(m); due {
+	if answer, due := n.shards.Held().ReceiveDeltas(m); due {
 		n.acknowledge(node, answer)
 	}
 }
 
 // requestCopy asks a shard's owner for its whole replica.
 func (n *Node) requestCopy(owner, name string, sinceTerm uint64) {
-	n.acknowledge(owner, shards.RequestCopy(name, sinceTerm))
+	n.acknowledge(owner, shards.CopyRequest(name, sinceTerm))
 }
 
 // acknowledge sends a shard's owner what the replica here has.
@@ -76,7 +76,7 @@
 // onAcknowledgement takes in what a replica of an own shard has.
 func (n *Node) onAcknowledgement(node string, incarnation uint64, m *shards.Acknowledgement) {
 	shard := n.shards.Owned(m.Shard)
-	if shard != nil && shard.Replicas().Acknowledge(node, incarnation, m, time.Now()) {
+	if shard != nil && shard.Replicas().HandleAcknowledgement(node, incarnation, m, time.Now()) {
 		n.wake()
 	}
 }
--- a/internal/controller/save.go
+++ b/internal/controller/save.go
@@ -59,7 +59,7 @@
 		}
 		n.mu.Lock()
 		defer n.mu.Unlock()
-		shard.Pages().SavingEnded()
+		shard.Pages().EndSaving()
 		return nil
 	})
 }
@@ -79,7 +79,7 @@
 	}
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	shard.Pages().Saved(p, revision)
+	shard.Pages().MarkSaved(p, revision)
 	for uid := range p.Done {
 		n.reconcileMachinesOf(shard, uid)
 	}
@@ -97,5 +97,5 @@
 	}
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	shard.Pages().VersionRead(number, version)
+	shard.Pages().SetVersion(number, version)
 }
--- a/internal/controller/save_test.go
+++ b/internal/controller/save_test.go
@@ -43,9 +43,9 @@
 			for _, p := range pages {
 				key := shard.Pages().Key(p.Number)
 				store[key] = protocol.Entry{Key: key, Value: protocol.Encode(p.Parts), Version: p.Version + 1}
-				shard.Pages().Saved(p, p.Version+1)
+				shard.Pages().MarkSaved(p, p.Version+1)
 			}
-			shard.Pages().SavingEnded()
+			shard.Pages().EndSaving()
 		}
 	}
 }
--- a/internal/controller/status.go
+++ b/internal/controller/status.go
@@ -110,7 +110,7 @@
 func (n *Node) receivedStatuses(now time.Time) map[string]receivedStatus {
 	received := map[string]receivedStatus{}
 	for name, p := range n.peers {
-		if now.Sub(p.lastMessageAt) >= leadership.PromiseLife || p.statusSentAt <= 0 {
+		if now.Sub(p.lastMessageAt) >= leadership.PromiseDuration || p.statusSentAt <= 0 {
 			continue
 		}
 		cancellations := n.cancelWatermark.ReceivedFrom(name)
--- a/internal/controller/step.go
+++ b/internal/controller/step.go
@@ -53,7 +53,7 @@
 // stalled may have sent all the time.
 func (n *Node) resumedAfterStall(now time.Time, stalled time.Duration) {
 	n.log.Info("stalled while the clocks ran on", "for", stalled, "entitled", n.entitled(now))
-	n.leadership.RestartSettling(now)
+	n.leadership.ResetStableSince(now)
 	n.lastStall = stalled
 	n.shards.Resume(now)
 }
@@ -110,7 +110,7 @@
 			shard.Team().RetractUnsent(orders)
 			continue
 		}
-		if orders[0].Op == protocol.Start && shard.FirstStart() {
+		if orders[0].Op == protocol.Start && shard.MarkFirstStart() {
 			n.log.Info("first start of the shard", "shard", shard.Name(), "after", now.Sub(shard.TakenAt()))
 		}
 	}
--- a/internal/controller/step_test.go
+++ b/internal/controller/step_test.go
@@ -17,12 +17,12 @@
 	record := n.leadership.Record().Clone()
 	record.Shards[shard.Name()] = leadership.Shard{Owner: n.name, SinceTerm: 1, InSync: []string{"node-b"}}
 	learnRecord(n, record)
-	n.leadership.RestartSettling(g.now)
+	n.leadership.ResetStableSince(g.now)
 	shard.Resume(g.now)
 	n.peers["node-b"] = &peerState{connected: true, lastMessageAt: g.now}
 	shard.Team().Replica().Seq = 1
 	shard.Replicas().Replicate(n.cluster(), g.now) // a copy goes out, of which nothing is acknowledged
-	shard.Replicas().Acknowledge("node-b", 1, &shards.Acknowledgement{Shard: shard.Name(), SinceTerm: 1}, g.now)
+	shard.Replicas().HandleAcknowledgement("node-b", 1, &shards.Acknowledgement{Shard: shard.Name(), SinceTerm: 1}, g.now)
 	for _, name := range g.names {
 		n.machines[name].HeardAt = g.now
 	}
@@ -34,7 +34,7 @@
 	if n.syncStates(now)[shard.Name()].Lagging["node-b"] {
 		t.Error("a replica is put out of sync for the time that the owner was stalled")
 	}
-	if n.leadership.SettledAt() != now {
+	if n.leadership.StableSince() != now {
 		t.Error("silence is counted from before the stall ended")
 	}
 	if o := n.overview(now); o.LastStall != 4 || len(o.UnreachablePeers) != 1 {
--- a/internal/controller/unreachablehomes.go
+++ b/internal/controller/unreachablehomes.go
@@ -35,7 +35,7 @@
 		Home:          home,
 		HomeConnected: p.isReachable(now),
 		HomeHeardAt:   n.machine(machine).HomeHeardAt,
-		SettledAt:     n.leadership.SettledAt(),
+		SettledAt:     n.leadership.StableSince(),
 	}, now)
 }
 
@@ -45,7 +45,7 @@
 func (h machineHomes) HomeOf(machine string) string { return h.n.homeOf(machine) }
 
 func (h machineHomes) ReachedHomeAt(machine string) time.Time {
-	return later(h.n.machine(machine).HomeHeardAt, h.n.leadership.SettledAt())
+	return later(h.n.machine(machine).HomeHeardAt, h.n.leadership.StableSince())
 }
 
 func (h machineHomes) CountOf(home string) (count int) {
--- a/internal/controller/unreachablehomes_test.go
+++ b/internal/controller/unreachablehomes_test.go
@@ -59,7 +59,7 @@
 		n.unreachableHomes = agents.NewUnreachableHomes(agentTiming(n.settings))
 		lease := settings.Seconds(n.settings.Deployment.Agents.LeaseSeconds)
 		start := time.Now()
-		n.leadership.RestartSettling(start.Add(-time.Minute))
+		n.leadership.ResetStableSince(start.Add(-time.Minute))
 		n.peers["node-b"] = &peerState{lastMessageAt: start}
 		cut, mended := start.Add(20*time.Second), start.Add(60*time.Second)
 		w := &roamingAgent{name: "n-000001", next: start, answered: start}
@@ -91,7 +91,7 @@
 	n := newGrown(120, 1).n
 	n.leadership.Record().Unreachable = nil
 	now := time.Now()
-	n.leadership.RestartSettling(now.Add(-time.Minute))
+	n.leadership.ResetStableSince(now.Add(-time.Minute))
 	home := "node-b"
 	n.peers[home] = &peerState{lastMessageAt: now}
 	var homed []string
--- a/internal/leadership/change.go
+++ b/internal/leadership/change.go
@@ -31,17 +31,17 @@
 	HandedOver []string // own shards that it gives to other members
 }
 
-// Why is the reason with the member that it is about.
-func (c *RecordChange) Why() string {
+// ReasonText is the reason with the member that it is about.
+func (c *RecordChange) ReasonText() string {
 	if c.Member == "" {
 		return string(c.Reason)
 	}
 	return string(c.Reason) + " " + c.Member
 }
 
-// Surroundings is what the rest of the controller knows and a change rests on. Each method is asked only if no
+// ControllerView is what the rest of the controller knows and a change rests on. Each method is asked only if no
 // earlier step changes the record.
-type Surroundings interface {
+type ControllerView interface {
 	// Controllers is how many there are in the deployment.
 	Controllers() int
 	// ShardNames lists what has to be owned.
@@ -66,7 +66,7 @@
 
 // Times that changes of the record wait for.
 const (
-	firstRecordAfter  = 2500 * time.Millisecond // for controllers that have not come yet
+	firstRecordDelay  = 2500 * time.Millisecond // for controllers that have not come yet
 	turnAfter         = 350 * time.Millisecond  // for each controller before this one in order of names
 	rebalanceAfter    = 3 * time.Second         // since the members are settled
 	unreachableAfter  = 3 * time.Second         // since the term changed
@@ -76,13 +76,13 @@
 // NextChange is what this controller should try to write now; nil for nothing. The caller trusts what the state service
 // says. Started is when the controller began to look for changes. The answer is told by ChangeAnswered or
 // ChangeUnanswered.
-func (s *State) NextChange(now, started time.Time, around Surroundings) *RecordChange {
+func (s *State) NextChange(now, started time.Time, around ControllerView) *RecordChange {
 	if !s.mayChange(now) {
 		return nil
 	}
 	record := s.record
 	if record == nil {
-		if len(s.presences) < around.Controllers() && now.Sub(started) < firstRecordAfter {
+		if len(s.presences) < around.Controllers() && now.Sub(started) < firstRecordDelay {
 			return nil
 		}
 		record = (&Record{Term: around.RandomTerm()}).Clone()
@@ -112,7 +112,7 @@
 	*State
 	record *Record // the one to be changed
 	now    time.Time
-	around Surroundings
+	around ControllerView
 }
 
 // entitledSteps are the changes that only an entitled controller makes. The first that is due is made.
--- a/internal/leadership/change_test.go
+++ b/internal/leadership/change_test.go
@@ -38,7 +38,7 @@
 
 // leading is the state of node a, which holds its lease, is a member beside b and owns the fleet, under version 7.
 func leading(now time.Time) *State {
-	s := New("a", 1, Lease{Life: testLife}, []string{"b"}, now.Add(-time.Hour))
+	s := New("a", 1, Lease{TTL: testLife}, []string{"b"}, now.Add(-time.Hour))
 	record := (&Record{Term: 3, Epoch: 1, FirstTerm: 1, StoreID: "store"}).Clone()
 	record.Nodes["a"], record.Nodes["b"] = 1, 1
 	record.Shards[FleetShard] = Shard{Owner: "a", SinceTerm: 3, InSync: []string{"b"}}
@@ -89,8 +89,8 @@
 			}
 			continue
 		}
-		if change.Why() != c.want || change.Record.Term != c.term {
-			t.Errorf("%s: %q in term %d, want %q in %d", c.name, change.Why(), change.Record.Term, c.want, c.term)
+		if change.ReasonText() != c.want || change.Record.Term != c.term {
+			t.Errorf("%s: %q in term %d, want %q in %d", c.name, change.ReasonText(), change.Record.Term, c.want, c.term)
 		}
 		if change.Version != 7 || change.Record.PreviousVersion != 7 || change.Record.StoreID != "store" || !s.ChangeOpen() {
 			t.Errorf("%s: replaces %d, follows %d in store %q, under way %v", c.name, change.Version, change.Record.PreviousVersion, change.Record.StoreID, s.ChangeOpen())
@@ -115,7 +115,7 @@
 		s := leading(now)
 		before(s)
 		if change := s.NextChange(now, now.Add(-time.Hour), q); change != nil {
-			t.Errorf("%s: %q", name, change.Why())
+			t.Errorf("%s: %q", name, change.ReasonText())
 		}
 	}
 	s := leading(now)
@@ -128,7 +128,7 @@
 // TestFirstRecord: a controller waits for the others before it makes the first record, which begins the first epoch.
 func TestFirstRecord(t *testing.T) {
 	now, q := time.Unix(1000, 0), &quiet{shards: []string{FleetShard}}
-	s := New("a", 1, Lease{Life: testLife}, []string{"b"}, now.Add(-time.Hour))
+	s := New("a", 1, Lease{TTL: testLife}, []string{"b"}, now.Add(-time.Hour))
 	s.LearnPresence("a", Presence{Incarnation: 1, Version: 1})
 	s.LeaseRenewed(now)
 	if change := s.NextChange(now, now.Add(-2*time.Second), q); change != nil {
--- a/internal/leadership/lease.go
+++ b/internal/leadership/lease.go
@@ -4,7 +4,7 @@
 
 // Lease is a controller's proof, by its own steady clock, that its lease lives.
 type Lease struct {
-	Life   time.Duration // at the state service, from a renewal on
+	TTL    time.Duration // at the state service, from a renewal on
 	Margin time.Duration // by which a controller stops before that
 	sent   time.Time
 	held   bool
@@ -23,18 +23,18 @@
 // Valid says whether the lease surely lives at a moment. Clocks drift apart by
 // at most 0.05%; twice that is taken off.
 func (l *Lease) Valid(now time.Time) bool {
-	return l.held && now.Sub(l.sent) < l.Life-l.Life/1000-l.Margin
+	return l.held && now.Sub(l.sent) < l.TTL-l.TTL/1000-l.Margin
 }
 
 // renewalOverdue is after what time without a renewal the state service counts as out of reach.
-func (l *Lease) renewalOverdue() time.Duration { return l.Life * 2 / 5 }
+func (l *Lease) renewalOverdue() time.Duration { return l.TTL * 2 / 5 }
 
 // surelyLives is for how long after a renewal the state service can't have let the lease expire, whatever the clocks
 // do.
-func (l *Lease) surelyLives() time.Duration { return l.Life * 9 / 10 }
+func (l *Lease) surelyLives() time.Duration { return l.TTL * 9 / 10 }
 
-// LeaseLife is how long a lease lasts at the state service without a renewal.
-func (s *State) LeaseLife() time.Duration { return s.lease.Life }
+// LeaseTTL is how long a lease lasts at the state service without a renewal.
+func (s *State) LeaseTTL() time.Duration { return s.lease.TTL }
 
 // LeaseID names the lease at the state service; 0: there is none.
 func (s *State) LeaseID() uint64 { return s.leaseID }
--- a/internal/leadership/lease_test.go
+++ b/internal/leadership/lease_test.go
@@ -8,7 +8,7 @@
 // TestLeaseEndsEarly guards that a node stops before the state service can give
 // its lease to others, whatever the clocks' drift, counted from before sending.
 func TestLeaseEndsEarly(t *testing.T) {
-	l := Lease{Life: 5 * time.Second, Margin: 250 * time.Millisecond}
+	l := Lease{TTL: 5 * time.Second, Margin: 250 * time.Millisecond}
 	now := time.Unix(1000, 0)
 	if l.Valid(now) {
 		t.Fatal("valid before it was taken")
--- a/internal/leadership/promise.go
+++ b/internal/leadership/promise.go
@@ -2,11 +2,11 @@
 
 import "time"
 
-// PromiseLife is how long a promise not to raise the term holds.
-const PromiseLife = 3 * time.Second
+// PromiseDuration is how long a promise not to raise the term holds.
+const PromiseDuration = 3 * time.Second
 
 // promiseDrift is taken off a promise of another one: four times what clocks drift apart within PromiseLife (0.05%).
-const promiseDrift = PromiseLife / 500
+const promiseDrift = PromiseDuration / 500
 
 // HoldsPromises says whether every other controller promised to raise no term for now.
 func (s *State) HoldsPromises(now time.Time) bool {
@@ -24,7 +24,7 @@
 // promise runs from when the peer sent it, which was after sent, a moment of this controller's clock: counted from
 // then, and less the clocks' drift, it ends here first.
 func (s *State) LearnPromise(node string, version uint64, sent time.Time) {
-	until := sent.Add(PromiseLife - promiseDrift)
+	until := sent.Add(PromiseDuration - promiseDrift)
 	if p := s.peers[node]; p != nil && until.After(p.promisedUntil) {
 		p.promisedUntil, p.promisedVersion = until, version
 	}
@@ -36,7 +36,7 @@
 	if now.Sub(s.leaseRenewedAt) <= s.lease.renewalOverdue() || s.ChangeOpen() || !storeTrusted {
 		return false
 	}
-	s.promisedUntil = now.Add(PromiseLife)
+	s.promisedUntil = now.Add(PromiseDuration)
 	return true
 }
 
--- a/internal/leadership/promise_test.go
+++ b/internal/leadership/promise_test.go
@@ -13,7 +13,7 @@
 	if !s.TryPromise(now, true) {
 		t.Fatal("promises nothing though its lease is not renewed")
 	}
-	if s.PromisedUntil() != now.Add(PromiseLife) {
+	if s.PromisedUntil() != now.Add(PromiseDuration) {
 		t.Errorf("bound until %v", s.PromisedUntil())
 	}
 	if s.TryPromise(now, false) {
--- a/internal/leadership/recordsync.go
+++ b/internal/leadership/recordsync.go
@@ -15,10 +15,10 @@
 	return min(recordSendInterval, time.Duration(max(0, members-immediateRecordSenders))*recordDelayPerMember)
 }
 
-// SendsRecord says whether a peer is to be sent the record now; behind says that it knows an earlier one of the same
+// ShouldSendRecord says whether a peer is to be sent the record now; behind says that it knows an earlier one of the same
 // epoch, as one that the state service refused before it was down for all: it may act by promises only under the
 // latest.
-func (s *State) SendsRecord(node string, behind bool, now time.Time) bool {
+func (s *State) ShouldSendRecord(node string, behind bool, now time.Time) bool {
 	p := s.peers[node]
 	if p == nil {
 		return false
--- a/internal/leadership/state.go
+++ b/internal/leadership/state.go
@@ -50,7 +50,7 @@
 		presences:      map[string]Presence{},
 		lease:          lease,
 		leaseRenewedAt: now,
-		promisedUntil:  now.Add(PromiseLife),
+		promisedUntil:  now.Add(PromiseDuration),
 		peers:          map[string]*peer{},
 		settledAt:      now,
 	}
@@ -119,21 +119,21 @@
 	return storeTrusted && s.IsMember() && (s.lease.Valid(now) || s.HoldsPromises(now))
 }
 
-// SettledAt is since when the members, and which of them agents can reach, are what they are.
-func (s *State) SettledAt() time.Time { return s.settledAt }
+// StableSince is since when the members, and which of them agents can reach, are what they are.
+func (s *State) StableSince() time.Time { return s.settledAt }
 
-// RestartSettling counts silence from now on, as after this process stood still or nobody was entitled.
-func (s *State) RestartSettling(now time.Time) { s.settledAt = now }
+// ResetStableSince counts silence from now on, as after this process stood still or nobody was entitled.
+func (s *State) ResetStableSince(now time.Time) { s.settledAt = now }
 
-// EnterStore forgets what was read from the state service's earlier data: versions and keys there begin anew. The
+// ResetForNewEpoch forgets what was read from the state service's earlier data: versions and keys there begin anew. The
 // record stays for comparison until one of the new data is adopted.
-func (s *State) EnterStore() {
+func (s *State) ResetForNewEpoch() {
 	s.recordVersion, s.unansweredVersion = 0, 0
 	s.presences, s.memberMissingSince = map[string]Presence{}, time.Time{}
 }
 
-// Adoption is what a record that was adopted changes.
-type Adoption struct {
+// AdoptResult is what a record that was adopted changes.
+type AdoptResult struct {
 	TermChanged     bool
 	EpochBegan      bool // the first record of its epoch here
 	RosterCompleted bool
@@ -141,7 +141,7 @@
 }
 
 // Adopt makes a record the one known, and says what that changes; nil if one of this version or a later one is known.
-func (s *State) Adopt(r *Record, version uint64, now time.Time) *Adoption {
+func (s *State) Adopt(r *Record, version uint64, now time.Time) *AdoptResult {
 	if version <= s.recordVersion {
 		return nil
 	}
@@ -150,7 +150,7 @@
 	}
 	old := s.record
 	s.record, s.recordVersion = r, version
-	a := &Adoption{
+	a := &AdoptResult{
 		TermChanged:     old == nil || old.Term != r.Term,
 		EpochBegan:      r.Epoch > 0 && (old == nil || old.Epoch != r.Epoch),
 		RosterCompleted: old != nil && old.RosterIncomplete && !r.RosterIncomplete,
@@ -165,20 +165,20 @@
 	return a
 }
 
-// Verdict is what a record that was read is beside the one known.
-type Verdict int
+// RecordComparison is what a record that was read is beside the one known.
+type RecordComparison int
 
 // Verdicts.
 const (
-	RecordFollows      Verdict = iota // it is to be adopted
-	RecordKnown                       // it was read before the one known was written
-	RecordOfNewerEpoch                // all is read anew before anything rests on it
-	RecordOlder                       // newer by version and older by content: the state service lost data
-	RecordOutOfChain                  // written over data that had gone back: versions do not show the loss any more
+	RecordFollows      RecordComparison = iota // it is to be adopted
+	RecordKnown                                // it was read before the one known was written
+	RecordOfNewerEpoch                         // all is read anew before anything rests on it
+	RecordOlder                                // newer by version and older by content: the state service lost data
+	RecordChainBroken                          // written over data that had gone back: versions do not show the loss any more
 )
 
 // CompareRecord compares a record that the state service has under a version with the one known.
-func (s *State) CompareRecord(r *Record, version uint64) Verdict {
+func (s *State) CompareRecord(r *Record, version uint64) RecordComparison {
 	known := s.record
 	switch {
 	case known == nil:
@@ -192,7 +192,7 @@
 		// was begun anew by a process that found none.
 		return RecordOlder
 	case r.PreviousVersion != 0 && r.PreviousVersion < s.recordVersion:
-		return RecordOutOfChain
+		return RecordChainBroken
 	}
 	return RecordFollows
 }
--- a/internal/leadership/state_test.go
+++ b/internal/leadership/state_test.go
@@ -9,15 +9,15 @@
 // version but not by what it says.
 func TestCompareRecord(t *testing.T) {
 	now := time.Unix(1000, 0)
-	s := New("a", 1, Lease{Life: testLife}, nil, now)
-	read := func(version, epoch, term uint64, store string, previous uint64) Verdict {
+	s := New("a", 1, Lease{TTL: testLife}, nil, now)
+	read := func(version, epoch, term uint64, store string, previous uint64) RecordComparison {
 		return s.CompareRecord(&Record{Epoch: epoch, Term: term, StoreID: store, PreviousVersion: previous}, version)
 	}
 	if got := read(7, 1, 5, "x", 0); got != RecordFollows {
 		t.Errorf("the first record: %v", got)
 	}
 	s.Adopt(&Record{Epoch: 2, Term: 5, StoreID: "x"}, 7, now)
-	for name, got := range map[string][2]Verdict{
+	for name, got := range map[string][2]RecordComparison{
 		"the next":                        {read(8, 2, 6, "x", 7), RecordFollows},
 		"one that skips a version":        {read(9, 2, 5, "x", 8), RecordFollows},
 		"one of a process of old":         {read(8, 2, 5, "x", 0), RecordFollows},
@@ -27,7 +27,7 @@
 		"an earlier epoch":                {read(8, 1, 9, "w", 7), RecordOlder},
 		"an earlier term":                 {read(8, 2, 4, "x", 7), RecordOlder},
 		"another store of the same epoch": {read(8, 2, 6, "z", 7), RecordOlder},
-		"one over an earlier version":     {read(9, 2, 6, "x", 6), RecordOutOfChain},
+		"one over an earlier version":     {read(9, 2, 6, "x", 6), RecordChainBroken},
 	} {
 		if got[0] != got[1] {
 			t.Errorf("%s: verdict %d, want %d", name, got[0], got[1])
@@ -38,10 +38,10 @@
 // TestAdopt: each difference to the record before is told once, and a version that is known changes nothing.
 func TestAdopt(t *testing.T) {
 	now := time.Unix(1000, 0)
-	s := New("a", 1, Lease{Life: testLife}, nil, now)
+	s := New("a", 1, Lease{TTL: testLife}, nil, now)
 	first := (&Record{Term: 5, Epoch: 1, RosterIncomplete: true, DataLost: true}).Clone()
 	first.Nodes["a"] = 1
-	if got := s.Adopt(first, 7, now); got == nil || *got != (Adoption{TermChanged: true, EpochBegan: true}) {
+	if got := s.Adopt(first, 7, now); got == nil || *got != (AdoptResult{TermChanged: true, EpochBegan: true}) {
 		t.Fatalf("the first record: %+v", got)
 	}
 	if s.Adopt(first.Clone(), 7, now) != nil || s.Record() != first {
@@ -50,21 +50,21 @@
 	later := now.Add(time.Second)
 	next := first.Clone()
 	next.RosterIncomplete, next.DataLost = false, false
-	if got := s.Adopt(next, 8, later); got == nil || *got != (Adoption{RosterCompleted: true, SearchGivenUp: true}) {
+	if got := s.Adopt(next, 8, later); got == nil || *got != (AdoptResult{RosterCompleted: true, SearchGivenUp: true}) {
 		t.Errorf("the roster is complete and the loss settled: %+v", got)
 	}
-	if s.termChangedAt != now || s.SettledAt() != now {
+	if s.termChangedAt != now || s.StableSince() != now {
 		t.Error("the members count as changed within a term")
 	}
 	next = next.Clone()
 	next.Term++
-	if got := s.Adopt(next, 9, later); got == nil || *got != (Adoption{TermChanged: true}) || s.termChangedAt != later || s.SettledAt() != now {
-		t.Errorf("a raised term with the same members: %+v, members settled at %v", got, s.SettledAt())
+	if got := s.Adopt(next, 9, later); got == nil || *got != (AdoptResult{TermChanged: true}) || s.termChangedAt != later || s.StableSince() != now {
+		t.Errorf("a raised term with the same members: %+v, members settled at %v", got, s.StableSince())
 	}
 	next = next.Clone()
 	next.Term++
 	next.Nodes["b"] = 1
-	if s.Adopt(next, 10, later); s.SettledAt() != later {
+	if s.Adopt(next, 10, later); s.StableSince() != later {
 		t.Error("a new member leaves the members settled")
 	}
 	next = next.Clone()
--- a/internal/leasegrant/leasegrant.go
+++ b/internal/leasegrant/leasegrant.go
@@ -23,8 +23,8 @@
 	Ended // cancelled or done, for good
 )
 
-// Standing is the answering controller's relation to the agent.
-type Standing struct {
+// ControllerRole is the answering controller's relation to the agent.
+type ControllerRole struct {
 	// IsHome: the membership record names this process as the controller that the agent reports to.
 	IsHome bool
 	// LeaseValid: the controller is entitled and its own lease is valid. A raised term voids the starts that others sent.
@@ -37,8 +37,8 @@
 	InFlightWatermark time.Time
 }
 
-// Knowledge is what the controller knows of jobs, and how old that may be.
-type Knowledge interface {
+// ControllerView is what the controller knows of jobs, and how old that may be.
+type ControllerView interface {
 	// JobState returns what is known of a job.
 	JobState(uid string) JobState
 	// StartOrdered says whether the job's owner ordered the start of an attempt here in this term, and the key-value
@@ -58,7 +58,7 @@
 }
 
 // Decide answers a heartbeat that came now.
-func Decide(heartbeat *protocol.Heartbeat, now time.Time, standing Standing, known Knowledge) Grant {
+func Decide(heartbeat *protocol.Heartbeat, now time.Time, standing ControllerRole, known ControllerView) Grant {
 	if !mayRenew(now, standing, known) {
 		return Grant{}
 	}
@@ -88,7 +88,7 @@
 }
 
 // mayRenew says whether a lease that begins now ends before a cancellation not known here runs out of time.
-func mayRenew(now time.Time, standing Standing, known Knowledge) bool {
+func mayRenew(now time.Time, standing ControllerRole, known ControllerView) bool {
 	bound := standing.InFlightWatermark
 	if !standing.IsHome && !standing.LeaseValid {
 		// A start may be held up on its way from the agent's home, and in an outage no raised term voids it.
--- a/internal/leasegrant/leasegrant_test.go
+++ b/internal/leasegrant/leasegrant_test.go
@@ -27,9 +27,9 @@
 	now := time.Unix(1000, 0)
 	k := &known{until: now, jobs: map[string]JobState{"job-000001": Active, "job-000002": Ended}, lost: 5,
 		ordered: map[jobstate.AttemptRef]bool{{TaskID: jobstate.TaskID{Job: "job-000003", Index: 1}, Attempt: 7}: true}}
-	home, stranger := Standing{IsHome: true}, Standing{HomeWatermark: now}
+	home, stranger := ControllerRole{IsHome: true}, ControllerRole{HomeWatermark: now}
 	for what, c := range map[string]struct {
-		standing Standing
+		standing ControllerRole
 		at       time.Time
 		task     protocol.TaskStatus
 		renew    bool
@@ -45,9 +45,9 @@
 		"another attempt than was ordered":        {home, now, protocol.TaskStatus{Task: "job-000003/1", Attempt: 8}, false, 0, true},
 		"an active job after the watermark":       {home, now.Add(1), protocol.TaskStatus{Task: "job-000001/0", Attempt: 9}, false, 0, false},
 		"a stranger's in time":                    {stranger, now, protocol.TaskStatus{Task: "job-000001/0", Attempt: 9}, true, 0, false},
-		"a stranger's after the home's watermark": {Standing{HomeWatermark: now.Add(-1)}, now, protocol.TaskStatus{Task: "job-000001/0", Attempt: 9}, false, 0, false},
-		"a stranger's without a watermark":        {Standing{}, now, protocol.TaskStatus{Task: "job-000001/0", Attempt: 9}, false, 0, false},
-		"a leased stranger's without a watermark": {Standing{LeaseValid: true}, now, protocol.TaskStatus{Task: "job-000001/0", Attempt: 9}, true, 0, false},
+		"a stranger's after the home's watermark": {ControllerRole{HomeWatermark: now.Add(-1)}, now, protocol.TaskStatus{Task: "job-000001/0", Attempt: 9}, false, 0, false},
+		"a stranger's without a watermark":        {ControllerRole{}, now, protocol.TaskStatus{Task: "job-000001/0", Attempt: 9}, false, 0, false},
+		"a leased stranger's without a watermark": {ControllerRole{LeaseValid: true}, now, protocol.TaskStatus{Task: "job-000001/0", Attempt: 9}, true, 0, false},
 	} {
 		got := Decide(&protocol.Heartbeat{Tasks: []protocol.TaskStatus{c.task}}, c.at, c.standing, k)
 		if got.Renewed != c.renew || len(got.Stops) != c.stops || (got.Unknown != nil) != c.unknown {
--- a/internal/leasegrant/model_agents_test.go
+++ b/internal/leasegrant/model_agents_test.go
@@ -214,7 +214,7 @@
 // leaseGrant is Node.leaseGrant.
 func (w *world) leaseGrant(c *controller, r *protocol.Heartbeat) leasegrant.Grant {
 	k := slices.Index([]string{machineName(0), machineName(1)}, r.Machine)
-	standing := leasegrant.Standing{IsHome: c.record.Home(r.Machine) == names[c.index] && c.record.Nodes[names[c.index]] == c.incarnation,
+	standing := leasegrant.ControllerRole{IsHome: c.record.Home(r.Machine) == names[c.index] && c.record.Nodes[names[c.index]] == c.incarnation,
 		LeaseValid: c.lease.Valid(w.now) && w.entitled(c) || w.mutant == "other controllers without a bound", HomeWatermark: c.homeWatermarks[k]}
 	if m := c.home.Get(r.Machine); m != nil {
 		if w.mutant != "a start in flight does not bound renewals" {
--- a/internal/leasegrant/model_controller_test.go
+++ b/internal/leasegrant/model_controller_test.go
@@ -17,7 +17,7 @@
 	if old := w.controllers[i]; old != nil {
 		process = old.incarnation + 1
 	}
-	c := &controller{index: i, up: true, incarnation: process, lease: leadership.Lease{Life: controllerLease, Margin: controllerLease / 20},
+	c := &controller{index: i, up: true, incarnation: process, lease: leadership.Lease{TTL: controllerLease, Margin: controllerLease / 20},
 		renewedAt: w.now, promisedUntil: w.now.Add(promiseTime), home: agents.New(capacity, size), live: map[string]leadership.Presence{}}
 	var others []string
 	for k, name := range names {
--- a/internal/shards/barrier.go
+++ b/internal/shards/barrier.go
@@ -28,9 +28,9 @@
 	return true
 }
 
-// MayBeginUnread says whether the owner begins before the state service has answered: one in sync followed the jobs
+// CanStartBeforeRead says whether the owner begins before the state service has answered: one in sync followed the jobs
 // and the team's progress already, and the fleet has none.
-func (o *Owned) MayBeginUnread() bool {
+func (o *Owned) CanStartBeforeRead() bool {
 	return o.phase == Loading && (!o.needsBarrier || o.IsFleet())
 }
 
@@ -62,9 +62,9 @@
 // AwaitedMachines lists the machines that the barrier waits for, in no order.
 func (o *Owned) AwaitedMachines() iter.Seq[string] { return maps.Keys(o.awaitedMachines) }
 
-// SettleAwaited no longer waits for the machines that are settled for the shard's term: they reported under it, which
+// RemoveSettledMachines no longer waits for the machines that are settled for the shard's term: they reported under it, which
 // rules out that an earlier start still arrives, or are gone.
-func (o *Owned) SettleAwaited(settled func(machine string, term uint64) bool) {
+func (o *Owned) RemoveSettledMachines(settled func(machine string, term uint64) bool) {
 	for name := range o.awaitedMachines {
 		if settled(name, o.sinceTerm) {
 			delete(o.awaitedMachines, name)
--- a/internal/shards/held.go
+++ b/internal/shards/held.go
@@ -44,8 +44,8 @@
 	}
 }
 
-// Keep holds a replica that this controller has as a whole, for the owner since a term.
-func (h *Held) Keep(shard string, sinceTerm uint64, replica *jobstate.Replica) {
+// Put holds a replica that this controller has as a whole, for the owner since a term.
+func (h *Held) Put(shard string, sinceTerm uint64, replica *jobstate.Replica) {
 	h.replicas[shard] = &heldReplica{sinceTerm: sinceTerm, replica: replica}
 }
 
@@ -55,15 +55,15 @@
 // DropAll ends the holding of all replicas.
 func (h *Held) DropAll() { clear(h.replicas) }
 
-// TakeCopy takes in a whole replica from the shard's owner.
-func (h *Held) TakeCopy(m *Copy) Acknowledgement {
-	h.Keep(m.Shard, m.SinceTerm, jobstate.FromCopy(m.Copy))
+// ReceiveCopy takes in a whole replica from the shard's owner.
+func (h *Held) ReceiveCopy(m *Copy) Acknowledgement {
+	h.Put(m.Shard, m.SinceTerm, jobstate.FromCopy(m.Copy))
 	return Acknowledgement{Shard: m.Shard, SinceTerm: m.SinceTerm, Seq: m.Copy.Seq}
 }
 
-// TakePart takes in a part of a replica from the shard's owner. The replica from before is held until the new one is
+// ReceivePart takes in a part of a replica from the shard's owner. The replica from before is held until the new one is
 // whole.
-func (h *Held) TakePart(m *CopyPart) Acknowledgement {
+func (h *Held) ReceivePart(m *CopyPart) Acknowledgement {
 	r := h.replicas[m.Shard]
 	if r == nil {
 		r = &heldReplica{}
@@ -73,36 +73,36 @@
 		r.incoming, r.incomingSinceTerm = jobstate.NewIncoming(), m.SinceTerm
 	}
 	if !r.receives(m.SinceTerm) {
-		return RequestCopy(m.Shard, m.SinceTerm)
+		return CopyRequest(m.Shard, m.SinceTerm)
 	}
 	whole, err := r.incoming.Take(m.Part)
 	switch {
 	case err != nil:
 		r.incoming = nil
-		return RequestCopy(m.Shard, m.SinceTerm)
+		return CopyRequest(m.Shard, m.SinceTerm)
 	case whole != nil:
-		h.Keep(m.Shard, m.SinceTerm, whole)
+		h.Put(m.Shard, m.SinceTerm, whole)
 		return Acknowledgement{Shard: m.Shard, SinceTerm: m.SinceTerm, Seq: whole.Seq}
 	}
 	return Acknowledgement{Shard: m.Shard, SinceTerm: m.SinceTerm, Parts: m.Part.Number + 1}
 }
 
-// TakeDeltas takes in changes from the shard's owner. No answer goes out between the parts of a replica: deltas are
+// ReceiveDeltas takes in changes from the shard's owner. No answer goes out between the parts of a replica: deltas are
 // acknowledged once it is whole.
-func (h *Held) TakeDeltas(m *Deltas) (answer Acknowledgement, due bool) {
+func (h *Held) ReceiveDeltas(m *Deltas) (answer Acknowledgement, due bool) {
 	r := h.replicas[m.Shard]
 	if r == nil {
-		return RequestCopy(m.Shard, m.SinceTerm), true
+		return CopyRequest(m.Shard, m.SinceTerm), true
 	}
 	if r.receives(m.SinceTerm) {
 		if applyAll(m.Deltas, r.incoming.Apply) != nil {
 			r.incoming = nil
-			return RequestCopy(m.Shard, m.SinceTerm), true
+			return CopyRequest(m.Shard, m.SinceTerm), true
 		}
 		return Acknowledgement{}, false
 	}
 	if r.replica == nil || r.sinceTerm != m.SinceTerm || applyAll(m.Deltas, r.replica.Apply) != nil {
-		return RequestCopy(m.Shard, m.SinceTerm), true
+		return CopyRequest(m.Shard, m.SinceTerm), true
 	}
 	return Acknowledgement{Shard: m.Shard, SinceTerm: m.SinceTerm, Seq: r.replica.Seq}, true
 }
--- a/internal/shards/messages.go
+++ b/internal/shards/messages.go
@@ -55,12 +55,12 @@
 	SinceTerm uint64 `json:"since"`
 	Seq       uint64 `json:"seq"`             // everything up to this delta, if the fields below are empty
 	Parts     int    `json:"parts,omitempty"` // so many parts of a copy; the copy is not whole yet
-	Again     bool   `json:"again,omitempty"` // the replica needs a whole copy
+	NeedsCopy bool   `json:"again,omitempty"` // the replica needs a whole copy
 }
 
-// RequestCopy asks a shard's owner for its whole replica.
-func RequestCopy(shard string, sinceTerm uint64) Acknowledgement {
-	return Acknowledgement{Shard: shard, SinceTerm: sinceTerm, Again: true}
+// CopyRequest asks a shard's owner for its whole replica.
+func CopyRequest(shard string, sinceTerm uint64) Acknowledgement {
+	return Acknowledgement{Shard: shard, SinceTerm: sinceTerm, NeedsCopy: true}
 }
 
 // ProbeRequest gives homes the addresses of machines that barriers wait for.
--- a/internal/shards/owned.go
+++ b/internal/shards/owned.go
@@ -103,8 +103,8 @@
 	return o.pages.beginSaving()
 }
 
-// Sync says whether the shard is ready, which replicas have everything and which are late.
-func (o *Owned) Sync(c *Cluster, now time.Time) leadership.ShardStatus {
+// Status says whether the shard is ready, which replicas have everything and which are late.
+func (o *Owned) Status(c *Cluster, now time.Time) leadership.ShardStatus {
 	s := o.replicas.sync(c, now)
 	s.Ready = o.MayPlace()
 	return s
@@ -138,8 +138,8 @@
 // Resume counts the replicas' silence anew, after this controller could not receive anything for a while.
 func (o *Owned) Resume(now time.Time) { o.replicas.graceFrom = now }
 
-// FirstStart says whether a start that is sent now is the owner's first one.
-func (o *Owned) FirstStart() bool {
+// MarkFirstStart says whether a start that is sent now is the owner's first one.
+func (o *Owned) MarkFirstStart() bool {
 	first := !o.firstStartSent
 	o.firstStartSent = true
 	return first
--- a/internal/shards/pages.go
+++ b/internal/shards/pages.go
@@ -81,16 +81,16 @@
 	return p.set.Plan(unsaved, p.team.FinishedTasks), true
 }
 
-// VersionRead notes the version of a page in the state service whose write failed or may have.
-func (p *Pages) VersionRead(number int, version uint64) { p.set.Written(number, version) }
+// SetVersion notes the version of a page in the state service whose write failed or may have.
+func (p *Pages) SetVersion(number int, version uint64) { p.set.Written(number, version) }
 
-// Saved notes that a page was written under a version.
-func (p *Pages) Saved(page jobstate.Page, version uint64) {
+// MarkSaved notes that a page was written under a version.
+func (p *Pages) MarkSaved(page jobstate.Page, version uint64) {
 	p.set.Written(page.Number, version)
 	for uid, done := range page.Done {
 		p.team.Job(uid).RecordSaved(done)
 	}
 }
 
-// SavingEnded notes that no page is being written any more.
-func (p *Pages) SavingEnded() { p.saving = false }
+// EndSaving notes that no page is being written any more.
+func (p *Pages) EndSaving() { p.saving = false }
--- a/internal/shards/probes.go
+++ b/internal/shards/probes.go
@@ -22,8 +22,8 @@
 // Term is the term of the probes; 0 before the first.
 func (p *Probes) Term() uint64 { return p.term }
 
-// Ask says whether a machine is to be probed now: it was not in this term.
-func (p *Probes) Ask(machine string) bool {
+// MarkProbed says whether a machine is to be probed now: it was not in this term.
+func (p *Probes) MarkProbed(machine string) bool {
 	if p.asked[machine] {
 		return false
 	}
@@ -31,8 +31,8 @@
 	return true
 }
 
-// NotAnswered notes that a machine did not answer a probe of a term.
-func (p *Probes) NotAnswered(term uint64, machine string) {
+// MarkUnanswered notes that a machine did not answer a probe of a term.
+func (p *Probes) MarkUnanswered(term uint64, machine string) {
 	if p.term == term {
 		p.unanswered[machine] = true
 	}
--- a/internal/shards/registry.go
+++ b/internal/shards/registry.go
@@ -80,8 +80,8 @@
 	Now       time.Time
 }
 
-// Take begins to own a shard that the membership record gives to this controller, with the replica that was held of it.
-func (r *Registry) Take(t Takeover) *Owned {
+// TakeOver begins to own a shard that the membership record gives to this controller, with the replica that was held of it.
+func (r *Registry) TakeOver(t Takeover) *Owned {
 	entry := t.Record.Shards[t.Name]
 	replica, needsBarrier := r.startingReplica(t.Name, t.Record)
 	r.held.Drop(t.Name)
@@ -118,20 +118,20 @@
 
 // Changes is what a new membership record changes for a controller.
 type Changes struct {
-	GivenUp []*Owned // owned no more
-	ToTake  []string // shards to be taken over by Take
+	GivenUp    []*Owned // owned no more
+	ToTakeOver []string // shards to be taken over by Take
 }
 
-// Follow gives up the shards that a new membership record gives to others, or to this controller anew, and names
+// ApplyRecord gives up the shards that a new membership record gives to others, or to this controller anew, and names
 // those to be taken over. member says whether the record names this process; only a member goes on to hold what it
 // gave up, as a replica.
-func (r *Registry) Follow(record *leadership.Record, self string, member bool) (c Changes) {
+func (r *Registry) ApplyRecord(record *leadership.Record, self string, member bool) (c Changes) {
 	for name, entry := range record.Shards {
 		o := r.owned[name]
 		mine := member && entry.Owner == self
 		if o != nil && (!mine || o.sinceTerm != entry.SinceTerm) {
 			if o.phase == Ready && member {
-				r.held.Keep(name, entry.SinceTerm, o.team.Replica())
+				r.held.Put(name, entry.SinceTerm, o.team.Replica())
 			}
 			r.Remove(name)
 			c.GivenUp = append(c.GivenUp, o)
@@ -139,7 +139,7 @@
 		}
 		switch {
 		case mine && o == nil:
-			c.ToTake = append(c.ToTake, name)
+			c.ToTakeOver = append(c.ToTakeOver, name)
 		case mine:
 			o.RecordChangeSettled()
 			o.team.SetTerm(record.Term)
@@ -172,11 +172,11 @@
 	}
 }
 
-// Syncs says for each owned shard which replicas have everything and which are late.
-func (r *Registry) Syncs(c *Cluster, now time.Time) map[string]leadership.ShardStatus {
+// Statuses says for each owned shard which replicas have everything and which are late.
+func (r *Registry) Statuses(c *Cluster, now time.Time) map[string]leadership.ShardStatus {
 	syncs := map[string]leadership.ShardStatus{}
 	for name, o := range r.owned {
-		syncs[name] = o.Sync(c, now)
+		syncs[name] = o.Status(c, now)
 	}
 	return syncs
 }
--- a/internal/shards/registry_test.go
+++ b/internal/shards/registry_test.go
@@ -22,7 +22,7 @@
 // take has a controller take the test's shard over.
 func take(r *Registry, record *leadership.Record) *Owned {
 	now := time.Unix(1000, 0)
-	return r.Take(Takeover{Name: testShard, Record: record, NewTeam: testTeam, PageBytes: 8 << 10, Now: now})
+	return r.TakeOver(Takeover{Name: testShard, Record: record, NewTeam: testTeam, PageBytes: 8 << 10, Now: now})
 }
 
 // TestWhoPassesTheBarrier: an owner without the team's progress once started again what was running. Only one that
@@ -47,7 +47,7 @@
 			replica := jobstate.NewReplica()
 			task := jobstate.TaskID{Job: "job-1"}
 			replica.Assignments[task] = jobstate.Assignment{TaskID: task, Attempt: 1, Machine: "m-1"}
-			r.Held().Keep(testShard, 8, replica)
+			r.Held().Put(testShard, 8, replica)
 		}
 		o := take(r, takeRecord(c.firstTerm, c.epoch, c.shard))
 		assignments := len(o.Team().Replica().Assignments)
@@ -58,8 +58,8 @@
 		if r.Held().Has(testShard) || r.Owned(testShard) != o {
 			t.Errorf("%s: the replica is kept beside it, or the shard is not owned", c.name)
 		}
-		if o.MayBeginUnread() == c.wantBarrier {
-			t.Errorf("%s: may begin before the state service answers: %v", c.name, o.MayBeginUnread())
+		if o.CanStartBeforeRead() == c.wantBarrier {
+			t.Errorf("%s: may begin before the state service answers: %v", c.name, o.CanStartBeforeRead())
 		}
 	}
 }
@@ -93,11 +93,11 @@
 			o.BeginHandOver()
 		}
 		r.Add(o)
-		changes := r.Follow(takeRecord(3, 1, c.entry), "node-a", c.member)
+		changes := r.ApplyRecord(takeRecord(3, 1, c.entry), "node-a", c.member)
 		if gone := slices.Contains(changes.GivenUp, o); gone != c.wantGone || r.Owns(o) == c.wantGone {
 			t.Errorf("%s: given up %v, owned %v", c.name, gone, r.Owns(o))
 		}
-		if taken := slices.Contains(changes.ToTake, testShard); taken != c.wantTake {
+		if taken := slices.Contains(changes.ToTakeOver, testShard); taken != c.wantTake {
 			t.Errorf("%s: to be taken over %v, want %v", c.name, taken, c.wantTake)
 		}
 		if held := r.Held().Replica(testShard) != nil; held != c.wantHeld {
@@ -130,7 +130,7 @@
 		if o.MachineAnswered("m-1", 5) || o.Awaits("m-1") {
 			t.Error("a report under the term does not settle a machine, or all")
 		}
-		o.SettleAwaited(func(name string, term uint64) bool { return name == "m-2" && term == 5 })
+		o.RemoveSettledMachines(func(name string, term uint64) bool { return name == "m-2" && term == 5 })
 		if got := r.AwaitedMachines(); !slices.Equal(got, machines[2:]) {
 			t.Errorf("waits for %v, want the third machine", got)
 		}
@@ -189,14 +189,14 @@
 	if due() {
 		t.Error("written twice at a time")
 	}
-	o.Pages().VersionRead(pages[0].Number, 7) // the write met another version
-	o.Pages().SavingEnded()
+	o.Pages().SetVersion(pages[0].Number, 7) // the write met another version
+	o.Pages().EndSaving()
 	pages, begun = o.BeginSaving()
 	if !begun || len(pages) != 1 || pages[0].Version != 7 {
 		t.Fatalf("written again: %v, %+v", begun, pages)
 	}
-	o.Pages().Saved(pages[0], 8)
-	o.Pages().SavingEnded()
+	o.Pages().MarkSaved(pages[0], 8)
+	o.Pages().EndSaving()
 	if due() {
 		t.Error("what is saved is written again")
 	}
@@ -210,11 +210,11 @@
 	unanswered := func() []string {
 		return p.Unanswered(func(name string, _ uint64) bool { return settled[name] })
 	}
-	if !p.Begin(5) || p.Begin(5) || !p.Ask("m-1") || p.Ask("m-1") || !p.Ask("m-2") {
+	if !p.Begin(5) || p.Begin(5) || !p.MarkProbed("m-1") || p.MarkProbed("m-1") || !p.MarkProbed("m-2") {
 		t.Fatal("not one probe a machine in the first term")
 	}
-	p.NotAnswered(5, "m-2")
-	p.NotAnswered(5, "m-1")
+	p.MarkUnanswered(5, "m-2")
+	p.MarkUnanswered(5, "m-1")
 	if got := unanswered(); !slices.Equal(got, []string{"m-1", "m-2"}) {
 		t.Errorf("unanswered are %v", got)
 	}
@@ -222,10 +222,10 @@
 	if got := unanswered(); !slices.Equal(got, []string{"m-2"}) {
 		t.Errorf("unanswered are %v after one reported by itself", got)
 	}
-	if !p.Begin(6) || !p.Ask("m-1") || len(unanswered()) != 0 {
+	if !p.Begin(6) || !p.MarkProbed("m-1") || len(unanswered()) != 0 {
 		t.Error("the next term does not begin anew")
 	}
-	p.NotAnswered(5, "m-2")
+	p.MarkUnanswered(5, "m-2")
 	if got := unanswered(); len(got) != 0 {
 		t.Errorf("unanswered are %v by a probe of an earlier term", got)
 	}
--- a/internal/shards/replication.go
+++ b/internal/shards/replication.go
@@ -37,9 +37,9 @@
 	acknowledgements map[string]*acknowledgement // by controller
 }
 
-// Add notes which replicas a pending change of the record puts in sync: starts need their acknowledgement from now
+// SetPendingReplicas notes which replicas a pending change of the record puts in sync: starts need their acknowledgement from now
 // on.
-func (r *Replicas) Add(inSync []string) { r.adding = inSync }
+func (r *Replicas) SetPendingReplicas(inSync []string) { r.adding = inSync }
 
 // acknowledgement is what one replica was sent and acknowledged on the present connection.
 type acknowledgement struct {
@@ -229,14 +229,14 @@
 	}
 }
 
-// Acknowledge takes in what a process of a controller acknowledges; false if it changes nothing.
-func (r *Replicas) Acknowledge(replica string, incarnation uint64, m *Acknowledgement, now time.Time) bool {
+// HandleAcknowledgement takes in what a process of a controller acknowledges; false if it changes nothing.
+func (r *Replicas) HandleAcknowledgement(replica string, incarnation uint64, m *Acknowledgement, now time.Time) bool {
 	a := r.acknowledgements[replica]
 	if a == nil || m.SinceTerm != r.sinceTerm {
 		return false
 	}
 	switch {
-	case m.Again:
+	case m.NeedsCopy:
 		if !a.copyAskedAt.IsZero() && now.Sub(a.copyAskedAt) < copyRetryInterval {
 			return false
 		}
--- a/internal/shards/replication_test.go
+++ b/internal/shards/replication_test.go
@@ -152,11 +152,11 @@
 	due := true
 	switch x := message.(type) {
 	case *Copy:
-		answer = held.TakeCopy(x)
+		answer = held.ReceiveCopy(x)
 	case *CopyPart:
-		answer = held.TakePart(x)
+		answer = held.ReceivePart(x)
 	case *Deltas:
-		answer, due = held.TakeDeltas(x)
+		answer, due = held.ReceiveDeltas(x)
 	}
 	if due {
 		m.toOwner[node] = append(m.toOwner[node], answer)
@@ -170,7 +170,7 @@
 	}
 	answer := m.toOwner[node][0]
 	m.toOwner[node] = m.toOwner[node][1:]
-	m.owner.Replicas().Acknowledge(node, m.cluster.Record.Nodes[node], &answer, m.now)
+	m.owner.Replicas().HandleAcknowledgement(node, m.cluster.Record.Nodes[node], &answer, m.now)
 }
 
 // lose ends a connection with all that is under way on it.
@@ -255,7 +255,7 @@
 				m.acknowledge(node)
 			}
 		}
-		if len(m.owner.Sync(m.cluster, m.now).InSync) == len(m.held) {
+		if len(m.owner.Status(m.cluster, m.now).InSync) == len(m.held) {
 			return
 		}
 	}
@@ -307,14 +307,14 @@
 				m.deliver(node)
 			}
 			for _, answer := range m.toOwner[node] {
-				if answer.Again {
+				if answer.NeedsCopy {
 					t.Fatalf("%s asks for a copy though nothing was lost", node)
 				}
 			}
 			for len(m.toOwner[node]) > 0 {
 				m.acknowledge(node)
 			}
-			if m.parts > 0 && held.Replica(testShard) != nil && len(m.owner.Sync(m.cluster, m.now).InSync) == 2 {
+			if m.parts > 0 && held.Replica(testShard) != nil && len(m.owner.Status(m.cluster, m.now).InSync) == 2 {
 				return
 			}
 		}
@@ -331,32 +331,32 @@
 	o.Team().MergeDone("job-1", bitset.New(1).Set(0))
 	o.Replicas().Replicate(c, begin)
 	whole := Acknowledgement{Shard: testShard, SinceTerm: 5, Seq: o.Team().Replica().Seq}
-	o.Replicas().Acknowledge("node-b", 1, &whole, begin)
-	inTime := o.Sync(c, begin.Add(AcknowledgementTimeout))
+	o.Replicas().HandleAcknowledgement("node-b", 1, &whole, begin)
+	inTime := o.Status(c, begin.Add(AcknowledgementTimeout))
 	if s := inTime; !s.Ready || !s.InSync["node-b"] || s.InSync["node-c"] || len(s.Lagging) != 0 {
 		t.Errorf("just in time: %+v", s)
 	}
 	late := begin.Add(AcknowledgementTimeout + time.Millisecond)
-	if s := o.Sync(c, late); !s.InSync["node-b"] || s.Lagging["node-b"] || !s.Lagging["node-c"] {
+	if s := o.Status(c, late); !s.InSync["node-b"] || s.Lagging["node-b"] || !s.Lagging["node-c"] {
 		t.Errorf("after the time to acknowledge: %+v", s)
 	}
 	o.Resume(late)
-	if s := o.Sync(c, late); len(s.Lagging) != 0 {
+	if s := o.Status(c, late); len(s.Lagging) != 0 {
 		t.Errorf("late though the owner could receive nothing: %+v", s)
 	}
-	o.Replicas().Acknowledge("node-c", 1, &whole, late)
+	o.Replicas().HandleAcknowledgement("node-c", 1, &whole, late)
 	if got, want := o.Replicas().AcknowledgedByAll(c), o.Team().Replica().Seq; got != want {
 		t.Errorf("acknowledged up to %d, want %d", got, want)
 	}
 	c.Record.Nodes["node-b"]++
-	if s := o.Sync(c, late); s.InSync["node-b"] {
+	if s := o.Status(c, late); s.InSync["node-b"] {
 		t.Error("an earlier process's acknowledgement makes a replica whole")
 	}
 	if o.Replicas().AcknowledgedByAll(c) != 0 {
 		t.Error("an earlier process's acknowledgement counts for a start")
 	}
 	o.BeginHandOver()
-	if o.Sync(c, late).Ready {
+	if o.Status(c, late).Ready {
 		t.Error("a shard that is being handed over counts as ready")
 	}
 }
@@ -372,11 +372,11 @@
 	o.Team().MergeDone("job-1", bitset.New(1).Set(0))
 	o.Replicas().Replicate(c, now)
 	seq := o.Team().Replica().Seq
-	o.Replicas().Acknowledge("node-b", 1, &Acknowledgement{Shard: testShard, SinceTerm: 5, Seq: seq}, now)
+	o.Replicas().HandleAcknowledgement("node-b", 1, &Acknowledgement{Shard: testShard, SinceTerm: 5, Seq: seq}, now)
 	if got := o.Replicas().AcknowledgedByAll(c); got != seq {
 		t.Fatalf("acknowledged up to %d, want %d", got, seq)
 	}
-	o.Replicas().Add([]string{"node-b", "node-c"})
+	o.Replicas().SetPendingReplicas([]string{"node-b", "node-c"})
 	if got := o.Replicas().AcknowledgedByAll(c); got != 0 {
 		t.Errorf("acknowledged up to %d without the replica that is being added", got)
 	}
@@ -398,12 +398,12 @@
 		}
 		return n
 	}
-	request := RequestCopy(testShard, 5)
+	request := CopyRequest(testShard, 5)
 	if copies() != 1 || copies() != 0 {
 		t.Fatal("not one copy at first")
 	}
 	for i, want := range []int{1, 0, 0, 1} {
-		if taken := o.Replicas().Acknowledge("node-b", 1, &request, now); taken != (want == 1) {
+		if taken := o.Replicas().HandleAcknowledgement("node-b", 1, &request, now); taken != (want == 1) {
 			t.Errorf("request %d taken: %v", i, taken)
 		}
 		if got := copies(); got != want {
@@ -419,8 +419,8 @@
 	if copies() != 1 || copies() != 0 {
 		t.Error("a copy that did not go out is not sent again, or one that did is")
 	}
-	earlier := RequestCopy(testShard, 4)
-	if o.Replicas().Acknowledge("node-b", 1, &earlier, now.Add(time.Minute)) {
+	earlier := CopyRequest(testShard, 4)
+	if o.Replicas().HandleAcknowledgement("node-b", 1, &earlier, now.Add(time.Minute)) {
 		t.Error("a request for an earlier ownership is taken")
 	}
 }
