--- a/internal/controller/barrier.go
+++ b/internal/controller/barrier.go
@@ -18,7 +18,7 @@
 // passBarrier ends the barrier once every machine that it awaits has reported under the shard's term or is gone, and
 // the configuration and the peers' retained state, which starts depend on, are known.
 func (n *Node) passBarrier(shard *shards.Owned) {
-	shard.SettleAwaited(n.machineSettled)
+	shard.RemoveSettledMachines(n.machineSettled)
 	if shard.AwaitedCount() > 0 || !n.configReady() || !n.retainedStateGathered(time.Now()) {
 		return
 	}
--- a/internal/controller/lease.go
+++ b/internal/controller/lease.go
@@ -73,7 +73,7 @@
 
 // acquireLease requests a lease from the state service.
 func (n *Node) acquireLease(ctx context.Context) (uint64, error) {
-	lease, err := n.kvStore.GrantLease(ctx, n.leadership.LeaseLife())
+	lease, err := n.kvStore.GrantLease(ctx, n.leadership.LeaseTTL())
 	if err != nil {
 		return lease, err
 	}
@@ -88,7 +88,7 @@
 	switch {
 	case err == nil:
 		n.leadership.LeaseRenewed(sent)
-		return n.leadership.LeaseLife() / renewalsPerLease
+		return n.leadership.LeaseTTL() / renewalsPerLease
 	case errors.Is(err, kvstore.ErrLeaseExpired):
 		n.log.Info("lease expired at the state service", "lease", lease)
 		if n.leadership.LeaseExpired(sent) {
--- a/internal/controller/replication.go
+++ b/internal/controller/replication.go
@@ -19,7 +19,7 @@
 
 // syncStates returns for each owned shard which replicas are in sync and which lag behind.
 func (n *Node) syncStates(now time.Time) map[string]leadership.ShardStatus {
-	return n.shards.Syncs(n.cluster(), now)
+	return n.shards.Statuses(n.cluster(), now)
 }
 
 // sendReplication sends messages that bring a shard's replicas up to date.
@@ -40,7 +40,7 @@
 		n.requestCopy(node, m.Shard, m.SinceTerm)
 		return
 	}
-	n.acknowledge(node, n.shards.Held().TakeCopy(m))
+	n.acknowledge(node, n.shards.Held().ReceiveCopy(m))
 }
 
 // onCopyPart applies one part of a copy of a peer's shard.
@@ -49,7 +49,7 @@
 		n.requestCopy(node, m.Shard, m.SinceTerm)
 		return
 	}
-	n.acknowledge(node, n.shards.Held().TakePart(m))
+	n.acknowledge(node, n.shards.Held().ReceivePart(m))
 }
 
 // onDeltas applies changes of a peer's shard to the replica here.
@@ -58,14 +58,14 @@
 		n.requestCopy(node, m.Shard, m.SinceTerm)
 		return
 	}
-	if answer, due := n.shards.Held().TakeDeltas(m); due {
+	if answer, due := n.shards.Held().ReceiveDeltas(m); due {
 		n.acknowledge(node, answer)
 	}
 }
 
 // requestCopy requests a full copy of a shard from its owner.
 func (n *Node) requestCopy(owner, name string, sinceTerm uint64) {
-	n.acknowledge(owner, shards.RequestCopy(name, sinceTerm))
+	n.acknowledge(owner, shards.CopyRequest(name, sinceTerm))
 }
 
 // acknowledge sends the state of the replica here to the shard's owner.
@@ -76,7 +76,7 @@
 // onAcknowledgement records the state that a replica of an owned shard has acknowledged.
 func (n *Node) onAcknowledgement(node string, incarnation uint64, m *shards.Acknowledgement) {
 	shard := n.shards.Owned(m.Shard)
-	if shard != nil && shard.Replicas().Acknowledge(node, incarnation, m, time.Now()) {
+	if shard != nil && shard.Replicas().HandleAcknowledgement(node, incarnation, m, time.Now()) {
 		n.wake()
 	}
 }
--- a/internal/controller/step_test.go
+++ b/internal/controller/step_test.go
@@ -16,12 +16,12 @@
 	record := n.leadership.Record().Clone()
 	record.Shards[shard.Name()] = leadership.Shard{Owner: n.name, SinceTerm: 1, InSync: []string{"node-b"}}
 	learnRecord(n, record)
-	n.leadership.RestartSettling(g.now)
+	n.leadership.ResetStableSince(g.now)
 	shard.Resume(g.now)
 	n.peers["node-b"] = &peerState{connected: true, lastMessageAt: g.now}
 	shard.Team().Replica().Seq = 1
 	shard.Replicas().Replicate(n.cluster(), g.now) // sends a copy, which is never acknowledged
-	shard.Replicas().Acknowledge("node-b", 1, &shards.Acknowledgement{Shard: shard.Name(), SinceTerm: 1}, g.now)
+	shard.Replicas().HandleAcknowledgement("node-b", 1, &shards.Acknowledgement{Shard: shard.Name(), SinceTerm: 1}, g.now)
 	for _, name := range g.machineNames {
 		n.machines[name].HeardAt = g.now
 	}
@@ -33,7 +33,7 @@
 	if n.syncStates(now)[shard.Name()].Lagging["node-b"] {
 		t.Error("a replica is marked as out of sync for the time that the owner was stalled")
 	}
-	if n.leadership.SettledAt() != now {
+	if n.leadership.StableSince() != now {
 		t.Error("silence is counted from a time before the stall ended")
 	}
 	if o := n.overview(now); o.LastStall != 4 || len(o.UnreachablePeers) != 1 {
--- a/internal/controller/unreachablehomes.go
+++ b/internal/controller/unreachablehomes.go
@@ -36,7 +36,7 @@
 		Home:          home,
 		HomeConnected: p.isReachable(now),
 		HomeHeardAt:   n.machine(machine).HomeHeardAt,
-		SettledAt:     n.leadership.SettledAt(),
+		SettledAt:     n.leadership.StableSince(),
 	}, now)
 }
 
@@ -48,7 +48,7 @@
 
 // ReachedHomeAt returns when a machine last reached its home, or when homes last changed if that was later.
 func (h homesView) ReachedHomeAt(machine string) time.Time {
-	return later(h.n.machine(machine).HomeHeardAt, h.n.leadership.SettledAt())
+	return later(h.n.machine(machine).HomeHeardAt, h.n.leadership.StableSince())
 }
 
 // CountOf counts the machines with a home.
