--- a/internal/scheduler/pass.go
+++ b/internal/scheduler/pass.go
@@ -25,7 +25,7 @@
 	teams           []Team
 	queue           []waitingTasks         // most urgent first
 	hosts           []*placement.Host      // with the capacity that this pass has left free
-	unplaceableAsks []*placement.Request       // requests that no longer fit any host
+	unplaceableAsks []*placement.Request   // requests that no longer fit any host
 	unplaced        []waitingTasks         // own tasks that could not be placed
 	unplacedGangs   []*waitingTasks        // gangs of the current urgency class that could not be placed as a whole
 	reserved        map[reservationKey]int // number of tasks that capacity is reserved for
