--- a/internal/cancelwatermark/cancelwatermark.go
+++ b/internal/cancelwatermark/cancelwatermark.go
@@ -2,16 +2,16 @@
 // of cancellations is.
 //
 // A controller that has not learned of a cancellation must not renew the lease of an agent that runs the job's tasks
-// beyond the time by which these tasks must be gone. It therefore keeps a watermark: every cancellation that any
-// controller confirmed to a user before that moment is known here. Two sources advance the watermark:
+// beyond the time by which these tasks must be gone. It therefore keeps a watermark, a moment such that every
+// cancellation that any controller confirmed to a user before it is known here. Two sources advance the watermark:
 //
 //   - a read of the key-value store, up to the moment at which the read began;
 //   - without the store, the peers: each peer numbers the cancellations that it confirms, sends them, and reports in
 //     its status how many it has confirmed. A controller that received all of them knows everything that this peer
 //     had confirmed by then.
 //
-// The package does not rely on agents' heartbeats for this, does no I/O and reads no clock. A Watermark is not safe for
-// concurrent use; the controller's lock guards it.
+// Agents' heartbeats do not advance the watermark. The package does no I/O and reads no clock. A Watermark is not safe
+// for concurrent use; the controller's lock guards it.
 package cancelwatermark
 
 import (
@@ -42,8 +42,9 @@
 // peers may have the cancellation, and between an answer to an agent and the start of the lease that it renews.
 const DeliveryMargin = 1500 * time.Millisecond
 
-// minRenewalWindow applies in a deployment whose cancellation time is no longer than a lease plus the margin. No bound
-// could be guaranteed there, and a controller that never renews a lease is useless.
+// minRenewalWindow is the lower limit of the renewal window. It applies in a deployment whose cancellation time is
+// hardly longer than a lease plus the margin: the cancellation time cannot be guaranteed there, but controllers that
+// never renewed a lease would be useless.
 const minRenewalWindow = 3 * time.Second
 
 // clockDrift is the maximum relative drift between two monotonic clocks.
@@ -100,8 +101,8 @@
 	}
 }
 
-// RecordReceived records that count of a peer's cancellations were received, numbered from from on. After a gap they
-// are ignored until the missing ones were received.
+// RecordReceived records that a peer sent the given number of cancellations, of which the first has the number from. If
+// earlier ones are missing, the message does not count until they have been received.
 func (w *Watermark) RecordReceived(name string, from uint64, count int) {
 	if p := w.peers[name]; p != nil && from > 0 && from <= p.received+1 {
 		p.received = max(p.received, from+uint64(count)-1)
--- a/internal/cancelwatermark/cancelwatermark_test.go
+++ b/internal/cancelwatermark/cancelwatermark_test.go
@@ -11,7 +11,7 @@
 // and messages that arrive late or are lost with their connection.
 type world struct {
 	rng         *rand.Rand
-	mutant      string
+	mutant      string // the fault that the model simulates; "" for none
 	now         time.Time
 	stored      []string
 	confirmed   map[string]time.Time
@@ -57,33 +57,33 @@
 }
 
 // send sends a message over the current connection. Messages of one connection stay in order.
-func (w *world) send(i, k int, take func(from, to *process)) {
-	from, to, link := w.nodes[i], w.nodes[k], w.nodes[i].connections[k]
+func (w *world) send(i, k int, handle func(from, to *process)) {
+	from, to, connection := w.nodes[i], w.nodes[k], w.nodes[i].connections[k]
 	at := w.now.Add(time.Duration(w.rng.IntN(300)) * time.Millisecond)
 	if n := len(w.arrivals); n > 0 && at.Before(w.arrivals[n-1]) {
 		at = w.arrivals[n-1]
 	}
 	w.arrivals = append(w.arrivals, at)
 	w.inFlight = append(w.inFlight, func() {
-		if w.nodes[k] != to || from.connections[k] != link {
+		if w.nodes[k] != to || from.connections[k] != connection {
 			return // lost with its connection
 		}
 		id := from.id
-		if w.mutant == "one process" {
+		if w.mutant == "restarts go unnoticed" {
 			id = 1
 		}
 		to.watermark.RecordIncarnation(names[i], id, w.now)
 		if to.statusFrom[i] != from.id {
 			to.statusFrom[i], to.statusAt[i] = from.id, time.Time{}
 		}
-		take(from, to)
+		handle(from, to)
 	})
 }
 
 func (w *world) confirm(i int, uid string) {
 	n := w.nodes[i]
 	n.knows[uid] = true
-	if w.mutant == "untold" {
+	if w.mutant == "cancellations are not sent" {
 		w.recordConfirmation(uid)
 		return
 	}
@@ -110,7 +110,7 @@
 		}
 		if number > to.watermark.ReceivedFrom(names[i])+1 {
 			w.gaps++
-			if w.mutant == "gap" {
+			if w.mutant == "gaps are ignored" {
 				to.watermark.peers[names[i]].received = number
 			}
 		}
@@ -128,14 +128,14 @@
 		w.send(i, k, func(_, to *process) {
 			to.statusAt[i] = sent
 			if !echo.IsZero() {
-				if w.mutant == "arrival" {
+				if w.mutant == "statuses count from their arrival" {
 					echo = w.now
 				}
 				to.watermark.RecordConfirmedBy(names[i], confirmed, echo)
 				to.watermark.RecordAcknowledgedBy(names[i], got)
 			}
 		})
-		if from, uids := n.watermark.TakeUnacknowledged(names[k], w.now, 3); len(uids) > 0 && w.mutant != "once" {
+		if from, uids := n.watermark.TakeUnacknowledged(names[k], w.now, 3); len(uids) > 0 && w.mutant != "nothing is sent again" {
 			w.sendCancellations(i, k, from, uids)
 		}
 	}
@@ -158,7 +158,7 @@
 		for _, uid := range w.stored[:snapshot] {
 			n.knows[uid] = true
 		}
-		if w.mutant == "read ended" {
+		if w.mutant == "reads count from their end" {
 			began = w.now
 		}
 		n.watermark.RecordRead(began)
@@ -253,7 +253,8 @@
 
 // TestWatermarkModelCatchesMutants shows that the model detects a watermark that advances on insufficient knowledge.
 func TestWatermarkModelCatchesMutants(t *testing.T) {
-	for _, mutant := range []string{"one process", "untold", "gap", "arrival", "read ended"} {
+	for _, mutant := range []string{"restarts go unnoticed", "cancellations are not sent", "gaps are ignored",
+		"statuses count from their arrival", "reads count from their end"} {
 		caught := false
 		for seed := range uint64(60) {
 			caught = caught || newWorld(seed, mutant).run(2500) != ""
@@ -273,9 +274,9 @@
 	if w.MayRenew(at(0), time.Time{}) {
 		t.Fatal("renews before anything was read")
 	}
-	receiveStatus := func(name string, process, told uint64, s float64) {
+	receiveStatus := func(name string, process, confirmed uint64, s float64) {
 		w.RecordIncarnation(name, process, at(s))
-		w.RecordConfirmedBy(name, told, at(s-0.5))
+		w.RecordConfirmedBy(name, confirmed, at(s-0.5))
 	}
 	receiveStatus("b", 1, 0, 0.5)
 	receiveStatus("c", 1, 0, 0.5)
--- a/internal/gangpreemption/gangpreemption.go
+++ b/internal/gangpreemption/gangpreemption.go
@@ -56,16 +56,16 @@
 	Victims []Victim
 }
 
-// Plan returns the stops of the zone in which least progress is lost, or those for all machines together if the gang
-// need not run in one zone: one Stop for each machine that the gang would use, and for each where tasks are stopped
-// only to free quota. Within a zone the search is greedy, one task of the gang at a time. ok is false if the gang does
-// not fit even if all victims are stopped.
+// Plan returns which tasks to stop. It returns one Stop for each machine that the gang would use, and for each machine
+// where tasks are stopped only to free quota. If the gang must run in one zone, it is the zone in which least progress
+// is lost. Within a zone, the search adds one task of the gang at a time, where that loses least progress. ok is false
+// if the gang does not fit even if all victims are stopped.
 func Plan(g Gang, machines []Machine) (stops []Stop, ok bool) {
-	lowest := 0.0
+	lowestLoss := 0.0
 	for _, zone := range candidateZones(g, machines) {
-		list, loss, enough := planInZone(g, machines, zone)
-		if enough && (!ok || loss < lowest) {
-			stops, lowest, ok = list, loss, true
+		zoneStops, loss, fits := planInZone(g, machines, zone)
+		if fits && (!ok || loss < lowestLoss) {
+			stops, lowestLoss, ok = zoneStops, loss, true
 		}
 	}
 	return stops, ok
@@ -115,9 +115,9 @@
 		}
 		loss += lost
 	}
-	more, ok := freeQuota(g, machines, p.stops)
+	quotaLoss, ok := freeQuota(g, machines, p.stops)
 	stops = slices.DeleteFunc(p.stops, func(s Stop) bool { return s.Slots == 0 && len(s.Victims) == 0 })
-	return stops, loss + more, ok
+	return stops, loss + quotaLoss, ok
 }
 
 // addSlot adds a slot for one more task on the machine where that loses least progress.
@@ -148,8 +148,8 @@
 
 // nextSlot returns how many of the victims, in order, have to be stopped for one more task to fit, and the progress
 // lost.
-func nextSlot(each, free Resources, victims []Victim) (count int, loss float64, ok bool) {
-	for ; !free.covers(each); count++ {
+func nextSlot(perTask, free Resources, victims []Victim) (count int, loss float64, ok bool) {
+	for ; !free.covers(perTask); count++ {
 		if count == len(victims) {
 			return 0, 0, false
 		}
--- a/internal/jobstate/changelog.go
+++ b/internal/jobstate/changelog.go
@@ -2,7 +2,8 @@
 
 import "github.com/bits-and-blooms/bitset"
 
-// changeLog changes the owner's replica of a team, and records each change as a delta for the other controllers.
+// changeLog applies changes to the owner's replica of a team, and records each as a delta to be sent to the other
+// controllers.
 type changeLog struct {
 	replica *Replica
 	unsent  []Delta // not taken yet
@@ -57,5 +58,5 @@
 	l.record(Delta{DroppedJob: uid})
 }
 
-// done is the set of a job's finished tasks; nil if there are none.
+// done returns the set of a job's finished tasks; nil if there are none.
 func (l *changeLog) done(uid string) *bitset.BitSet { return l.replica.Done[uid] }
--- a/internal/jobstate/demand.go
+++ b/internal/jobstate/demand.go
@@ -13,21 +13,21 @@
 	Borrowed        bool          // beyond the team's guarantee
 	Probe           bool          // one task of a faulty job, to find out whether it still fails
 	FirstTask       bool          // the first task of a large array that has waited long; served before more urgent demands
-	CPUsBeyondQuota float64       // CPUs that waiting tasks of the job's class need beyond the quota; then Count is 0
-	QuotaDelay      time.Duration // time that the whole quota needs for the tasks that wait beyond it
+	CPUsBeyondQuota float64       // CPUs that waiting tasks of the job's class need beyond the quota; if set, Count is 0
+	QuotaDelay      time.Duration // estimated time to run the tasks beyond the quota with the whole quota
 }
 
 // demandPlan is one pass over the jobs that wait for quota, in the order in which they are served.
 type demandPlan struct {
 	quota     *Quota
-	requested Resources // what is charged, and the demands so far
-	committed Resources // the same with what is reserved; later jobs get the rest of the quota
+	requested Resources // the quota in use plus the demands so far
+	committed Resources // the same plus what is reserved; later jobs get the rest of the quota
 
-	shortfalls map[string]float64 // by class, CPUs that it lacks to its floor with the demands so far
+	shortfalls map[string]float64 // by class, how many CPUs it is below its floor, counting the demands so far
 	shortfall  float64            // sum over all classes
 
-	reserved bool // quota is reserved for a job that can't start; at most one is
-	blocked  *Job // the first array that can't start; reserves quota from lower priorities
+	reserved bool // quota is reserved for a job that has yet to start; at most one job has a reservation
+	blocked  *Job // the first array that lacks quota to start; quota is reserved for it against lower priorities
 
 	demands []Demand
 	// Probes of faulty jobs, and one demand per class for the CPUs beyond the quota. They follow all other demands.
@@ -38,9 +38,9 @@
 
 // Demands lists what the team would place if there were capacity, most urgent first, and for each class what it needs
 // beyond the quota. Of the gangs that wait to start only the most urgent one reserves quota: gangs may wait for
-// machines for minutes, and all of them together would block the quota for all other jobs. An array that can't start
-// reserves quota only from lower priorities, since otherwise jobs of its own priority that fit would wait while quota
-// is unused.
+// machines for minutes, and all of them together would block the quota for all other jobs. An array that lacks quota to
+// start reserves it only against jobs of lower priority, since otherwise jobs of its own priority that fit would wait
+// while quota is unused.
 func (q *Quota) Demands(now time.Time) []Demand {
 	charged := q.charged()
 	p := demandPlan{quota: q, requested: charged, committed: charged, beyondByClass: map[string]int{}}
@@ -87,8 +87,8 @@
 }
 
 // reserve commits what the given number of tasks needs, or as much of it as the limit and the floors of other classes
-// leave. Otherwise smaller tasks of less urgent jobs would use all quota that becomes free, and the job would never
-// have enough at once.
+// leave. Without the reservation, smaller tasks of less urgent jobs would use all quota that becomes free, and the job
+// would never have enough at once.
 func (p *demandPlan) reserve(j *Job, tasks int) {
 	p.reserved = true
 	needed := neededBy(j.Spec, tasks)
@@ -122,14 +122,14 @@
 	}
 }
 
-// tasksWithinLimit is the number of tasks of a job that fit the quota.
+// tasksWithinLimit returns the number of tasks of a job that fit the quota.
 func (p *demandPlan) tasksWithinLimit(j *Job) int {
 	return min(maxTasks(p.availableCPUs(j), j.Spec.CPUs), maxTasks(p.quota.limits.Max.GPUs-p.committed.GPUs, j.Spec.GPUs))
 }
 
-// availableCPUs is the part of the quota that a job may use, in CPUs: what the floors of other classes leave. A class
-// that is below its floor may use enough for one task if that much quota is left at all; otherwise classes that all
-// lack quota would block each other.
+// availableCPUs returns the part of the quota that a job may use, in CPUs: what the floors of other classes leave. A
+// class that is below its floor may also use its own shortfall, or enough for one task if that is more, as far as quota
+// is left at all; otherwise classes below their floors would block each other.
 func (p *demandPlan) availableCPUs(j *Job) float64 {
 	left := p.quota.limits.Max.CPUs - p.committed.CPUs
 	own := p.shortfalls[j.Spec.Class]
@@ -139,8 +139,8 @@
 	return max(left-(p.shortfall-own), min(left, max(own, j.Spec.CPUs)))
 }
 
-// commit withholds from less urgent jobs what the job's fitting tasks need, or what is reserved for it if it can't
-// start.
+// commit withholds quota from less urgent jobs: for a gang that has not started, what all its tasks need; for any other
+// job, what those of its tasks that fit need. The first array that lacks quota to start is recorded as blocked.
 func (p *demandPlan) commit(j *Job, unstarted, fit int) {
 	toStart := j.tasksToStart(unstarted)
 	switch {
@@ -149,7 +149,7 @@
 			return
 		}
 		if !p.quota.ReservesForGangs() {
-			toStart = 0 // it has not started in time: release the reservation
+			toStart = 0 // gangs did not start in time: their reservation is released for a while
 		}
 		p.reserve(j, toStart)
 	case fit < toStart && p.blocked == nil:
@@ -159,7 +159,7 @@
 	}
 }
 
-// reduceShortfall subtracts the demand of a job from what its class lacks to its floor.
+// reduceShortfall subtracts the demand of a job from its class's shortfall.
 func (p *demandPlan) reduceShortfall(j *Job, fit int) {
 	own := p.shortfalls[j.Spec.Class]
 	if own <= 0 {
@@ -170,7 +170,7 @@
 	p.shortfall -= used
 }
 
-// addBeyondQuota adds tasks that do not fit the quota to the demand of their class beyond it.
+// addBeyondQuota adds tasks that do not fit the quota to their class's demand beyond the quota.
 func (p *demandPlan) addBeyondQuota(j *Job, tasks int) {
 	if tasks <= 0 {
 		return
@@ -186,8 +186,8 @@
 	p.trailing[i].CPUsBeyondQuota += cpus
 }
 
-// tasksToStart is the number of a job's unstarted tasks that need quota at the same time for the job to start; 0 if it
-// has attempts already.
+// tasksToStart returns the number of a job's unstarted tasks that need quota at the same time for the job to start; 0
+// if it has attempts already.
 func (j *Job) tasksToStart(unstarted int) int {
 	switch {
 	case len(j.attempts) > 0:
--- a/internal/jobstate/floors_test.go
+++ b/internal/jobstate/floors_test.go
@@ -11,8 +11,8 @@
 )
 
 // TestFloorsBeyondQuotaBlockNoClass guards against classes below their floors blocking each other: if less quota was
-// left than all of them lacked together, each class left it to the others and none demanded any. Quota that suffices
-// for the largest waiting task must be demanded, and never more than the limit.
+// left than the sum of their shortfalls, each class left it to the others and none demanded any. If the limit suffices
+// for the largest waiting task, some quota must be demanded, and never more than the limit.
 func TestFloorsBeyondQuotaBlockNoClass(t *testing.T) {
 	now := time.Unix(1000, 0)
 	for seed := range uint64(300) {
--- a/internal/jobstate/gangreservation.go
+++ b/internal/jobstate/gangreservation.go
@@ -28,7 +28,7 @@
 // minutes while the rest stays unused.
 type gangReservation struct {
 	waitingSince     time.Time // start of the time in which some gang has always waited; zero while none waits
-	unplacedSince    time.Time // the same, or the first update after a gang was placed, if later
+	unplacedSince    time.Time // waitingSince, or the first update after a gang was placed if that is later
 	quotaReleased    bool      // the quota cycle is in its release phase
 	capacityReleased bool      // the capacity cycle is in its release phase
 }
--- a/internal/jobstate/job.go
+++ b/internal/jobstate/job.go
@@ -31,7 +31,7 @@
 	Version   uint64 // of its key in the state service
 	Submitted time.Time
 	Ended     bool // cancelled or done: no task may start
-	Finishing bool // the final write is under way
+	Finishing bool // the end of the job is being written to the state service
 
 	replica       *Replica             // of its team; holds the done tasks
 	avoidUntil    map[string]time.Time // by machine where an attempt failed
@@ -60,7 +60,7 @@
 	}
 }
 
-// Deadline is when the job should be complete; noDeadline after its submission if its user set none.
+// Deadline returns when the job should be complete; noDeadline after its submission if its user set none.
 func (j *Job) Deadline() time.Time {
 	if j.Spec.DeadlineSeconds == nil {
 		return j.Submitted.Add(noDeadline)
@@ -82,10 +82,10 @@
 	return cmp.Compare(a.Spec.UID, b.Spec.UID)
 }
 
-// done is the set of the job's finished tasks; nil if there are none.
+// done returns the set of the job's finished tasks; nil if there are none.
 func (j *Job) done() *bitset.BitSet { return j.replica.Done[j.Spec.UID] }
 
-// doneCount is the number of the job's finished tasks.
+// doneCount returns the number of the job's finished tasks.
 func (j *Job) doneCount() int {
 	if done := j.done(); done != nil {
 		return int(done.Count())
@@ -134,7 +134,7 @@
 	return waits
 }
 
-// Unstarted is the number of tasks that are neither assigned nor done.
+// Unstarted returns the number of tasks that are neither assigned nor done.
 func (j *Job) Unstarted() int {
 	return max(0, j.Spec.Tasks-j.doneCount()-len(j.attempts))
 }
--- a/internal/jobstate/jobstate_test.go
+++ b/internal/jobstate/jobstate_test.go
@@ -12,9 +12,10 @@
 	"topazhollow/internal/protocol"
 )
 
-// checkAccount compares the indexes and sums that the team updates incrementally with a full count over all attempts.
-// An attempt missing in openOrders, for example, would never be started or stopped.
-func (m *model) checkAccount() (violation string) {
+// checkDerivedState compares the indexes and sums that the team updates incrementally with a full count over all
+// attempts.
+// An attempt that is missing from openOrders, for example, would never be started or stopped.
+func (m *model) checkDerivedState() (violation string) {
 	on, jobs := map[string]int{}, map[string]int{}
 	cpus := 0.0
 	for k, a := range m.team.assignments.byTask {
@@ -49,9 +50,9 @@
 }
 
 // TestOwnerModel runs a team's state at its owner against modelled agents. Messages are reordered and delayed, leases
-// expire, machines hang or die, jobs are cancelled, old heartbeats arrive again, and the owner fails over to an in-sync
-// replica or without any, when ended jobs are unknown. At every start the task must run on no other machine and the
-// quota must not be exceeded, and only tasks that really completed may be recorded as done.
+// expire, machines hang or die, jobs are cancelled, old heartbeats arrive again, and the owner crashes. Its successor starts
+// from an in-sync replica, or without one and without knowing the jobs that have ended. At every start the task must
+// run on no other machine and the quota must not be exceeded, and only tasks that completed may be recorded as done.
 func TestOwnerModel(t *testing.T) {
 	doneTasks := 0
 	reached := map[string]bool{}
@@ -61,7 +62,7 @@
 		for range 400 {
 			violation := m.step()
 			if violation == "" {
-				violation = m.checkAccount()
+				violation = m.checkDerivedState()
 			}
 			if violation != "" {
 				t.Fatalf("seed %d: %s", seed, violation)
--- a/internal/jobstate/model_test.go
+++ b/internal/jobstate/model_test.go
@@ -25,7 +25,7 @@
 // modelMachineCPUs is the number of CPUs of each machine of the model.
 const modelMachineCPUs = 6
 
-// used is the sum of the CPUs that running tasks use on a machine: of all teams, or only of the team under test.
+// used returns the sum of the CPUs that running tasks use on a machine: of all teams, or only of the team under test.
 func (m *model) used(agent *modelAgent, own bool) (cpus float64) {
 	for k, x := range agent.tasks {
 		if !agent.dead && x.State != protocol.Exited && (!own || m.specs[k.Job].Team == "team") {
@@ -262,7 +262,7 @@
 	return nil
 }
 
-// sendDueOrders sends the starts and stops that are due according to the replica.
+// sendDueOrders sends the stops that are due, and those starts that the replica contains.
 func (m *model) sendDueOrders() {
 	for name, orders := range m.team.TakeDueOrders(m.replica.Seq, m.now, func(string, uint64) bool { return true }) {
 		for _, x := range m.agents {
@@ -367,7 +367,8 @@
 	m.passBarrier()
 }
 
-// cancelJob cancels a random job at times and submits another one, so that the team always demands its limit.
+// cancelJob cancels a random job with a probability of one third, and submits another one, so that the team always
+// demands its limit.
 func (m *model) cancelJob() {
 	if m.rng.IntN(3) > 0 {
 		return
@@ -386,7 +387,7 @@
 	m.observeAllUnlessAtBarrier()
 }
 
-// observeAllUnlessAtBarrier is observeAll, except during a failover without a replica.
+// observeAllUnlessAtBarrier calls observeAll, except during a failover without a replica.
 func (m *model) observeAllUnlessAtBarrier() {
 	if m.barrier == nil {
 		m.observeAll()
--- a/internal/jobstate/observe.go
+++ b/internal/jobstate/observe.go
@@ -92,7 +92,8 @@
 }
 
 // countUnknownJob counts a task of a job that is not in the directory, if it may belong to this team. This Team created
-// all of the team's attempts since its first term, so that only an attempt of an earlier term may be one.
+// all of the team's attempts of its first term and later ones, and knows their jobs. Only an attempt of an earlier term
+// can therefore belong to the team.
 func (o *observation) countUnknownJob(x *TaskStatus) {
 	if x.State != protocol.Exited && TermOf(x.Attempt) < o.team.firstTerm {
 		o.orphans.unknownSize = append(o.orphans.unknownSize, x.Ref())
--- a/internal/jobstate/orphan.go
+++ b/internal/jobstate/orphan.go
@@ -85,7 +85,7 @@
 	delete(o.machines, machine)
 }
 
-// sum is the total of all reservations.
+// sum returns the total of all reservations.
 func (o *orphanReservations) sum() (all Resources) {
 	for _, r := range o.machines {
 		all = all.plus(r.resources)
--- a/internal/jobstate/orphan_test.go
+++ b/internal/jobstate/orphan_test.go
@@ -37,19 +37,19 @@
 func TestUnknownTasksChargeWholeMachine(t *testing.T) {
 	m := newModelInSecondTerm(t)
 	m.specs["job-7"] = &protocol.Submission{UID: "job-7", Team: "team", Tasks: 2, CPUs: 1}
-	view := statusListing("job-7", 5, AttemptID(1, 1), AttemptID(1, 2))
+	status := statusListing("job-7", 5, AttemptID(1, 1), AttemptID(1, 2))
 	m.knowledge["job-7"] = unknownJob
-	if orders := m.team.Observe(view, m.now, m); len(orders) != 0 {
+	if orders := m.team.Observe(status, m.now, m); len(orders) != 0 {
 		t.Errorf("orders for tasks that may be another team's: %v", orders)
 	}
 	checkCharged(t, m, modelMachineCPUs, "unknown")
 	m.knowledge["job-7"] = endOnly
-	if orders := m.team.Observe(view, m.now, m); len(orders) != 2 || orders[0].Op != protocol.Stop {
+	if orders := m.team.Observe(status, m.now, m); len(orders) != 2 || orders[0].Op != protocol.Stop {
 		t.Errorf("orders for tasks of an ended job: %v", orders)
 	}
 	checkCharged(t, m, modelMachineCPUs, "of unknown size")
 	m.knowledge["job-7"] = endAndSize
-	m.team.Observe(view, m.now, m)
+	m.team.Observe(status, m.now, m)
 	checkCharged(t, m, 2, "of known size")
 	if len(m.team.Replica().Assignments) != 2 {
 		t.Errorf("the replica has %d of the tasks, want 2", len(m.team.Replica().Assignments))
--- a/internal/jobstate/pageset.go
+++ b/internal/jobstate/pageset.go
@@ -28,7 +28,7 @@
 	number int // counted from 0
 }
 
-// name is the part's name on its page.
+// name returns the part's name on its page.
 func (p part) name() string { return p.job + "/" + strconv.Itoa(p.number) }
 
 // page is the state of one page.
@@ -73,7 +73,7 @@
 	}
 }
 
-// partSize is an upper bound of the encoded size of a part.
+// partSize returns an upper bound of the encoded size of a part.
 func (s *PageSet) partSize(p part, tasks int) int {
 	bits := min(s.tasksPerPart, tasks-p.number*s.tasksPerPart)
 	words := (bits + bitsPerWord - 1) / bitsPerWord
--- a/internal/jobstate/quota.go
+++ b/internal/jobstate/quota.go
@@ -12,22 +12,22 @@
 // Resources is an amount of CPUs and GPUs.
 type Resources struct{ CPUs, GPUs float64 }
 
-// neededBy is what the given number of tasks of a job needs.
+// neededBy returns what the given number of tasks of a job needs.
 func neededBy(spec *protocol.Submission, tasks int) Resources {
 	return Resources{CPUs: float64(tasks) * spec.CPUs, GPUs: float64(tasks) * spec.GPUs}
 }
 
-// plus is the sum of two amounts.
+// plus returns the sum of two amounts.
 func (r Resources) plus(other Resources) Resources {
 	return Resources{CPUs: r.CPUs + other.CPUs, GPUs: r.GPUs + other.GPUs}
 }
 
-// minus is the difference of two amounts.
+// minus returns the difference of two amounts.
 func (r Resources) minus(other Resources) Resources {
 	return Resources{CPUs: r.CPUs - other.CPUs, GPUs: r.GPUs - other.GPUs}
 }
 
-// scaled is the given fraction of the amounts.
+// scaled returns the given fraction of the amounts.
 func (r Resources) scaled(fraction float64) Resources {
 	return Resources{CPUs: fraction * r.CPUs, GPUs: fraction * r.GPUs}
 }
@@ -37,12 +37,12 @@
 	return r.CPUs <= limit.CPUs+roundingTolerance && r.GPUs <= limit.GPUs+roundingTolerance
 }
 
-// tasks is the number of tasks of a job that fit.
+// tasks returns the number of tasks of a job that fit.
 func (r Resources) tasks(spec *protocol.Submission) int {
 	return min(maxTasks(r.CPUs, spec.CPUs), maxTasks(r.GPUs, spec.GPUs))
 }
 
-// maxTasks is the number of tasks that fit if each needs the given amount; MaxInt if they need nothing.
+// maxTasks returns the number of tasks that fit if each needs the given amount; MaxInt if they need nothing.
 func maxTasks(available, perTask float64) int {
 	if perTask <= 0 || math.IsInf(available, 1) {
 		if available < -roundingTolerance {
@@ -59,13 +59,13 @@
 	Max        Resources // hard limit; infinite where there is none
 }
 
-// Quota is what a team may use and uses: its guarantee and limit, the use by its attempts and orphaned tasks, and the
-// reservations for classes below their floors and for gangs. It decides which waiting tasks demand capacity, and in
-// which order. Team charges and refunds attempts.
+// Quota tracks what a team may use and what it uses: its guarantee and limit, the use by its attempts and orphaned
+// tasks, and the reservations for classes below their floors and for gangs. It decides which waiting tasks demand
+// capacity, and in which order. Team charges and refunds attempts.
 type Quota struct {
 	limits  Limits
 	used    Resources          // by attempts that may be on machines
-	orphans orphanReservations // for tasks on machines that are not assigned
+	orphans orphanReservations // for orphaned tasks
 	floors  map[string]float64 // by class, CPUs of the quota that other classes leave to it
 	gangs   gangReservation
 	jobs    *jobQueue
@@ -95,13 +95,13 @@
 	}
 }
 
-// Used is the sum of what the team's attempts use.
+// Used returns the sum of what the team's attempts use.
 func (q *Quota) Used() Resources { return q.used }
 
-// charged is what counts against the limit: the use by attempts, and the reservations for orphaned tasks.
+// charged returns what counts against the limit: the use by attempts, and the reservations for orphaned tasks.
 func (q *Quota) charged() Resources { return q.orphans.sum().plus(q.used) }
 
-// Left is the unused part of the limit.
+// Left returns the unused part of the limit.
 func (q *Quota) Left() Resources { return q.limits.Max.minus(q.charged()) }
 
 // Fits reports whether the given number of further tasks of a job fits the limit.
@@ -136,9 +136,10 @@
 	return q.orphans.machines[machine].unknownSize
 }
 
-// floorShortfalls returns the CPUs that each class lacks to its floor, and their sum. If less than the sum is left of
-// the quota, all are scaled down by the same factor, so that no class waits for quota that others lack too. Classes of
-// gangs whose reservation is released count as lacking nothing.
+// floorShortfalls returns how many CPUs each class is below its floor, and the sum over all classes. If less than the
+// sum is left of the quota, all shortfalls are scaled down by the same factor, so that classes below their floors do
+// not all leave the quota to each other. Classes of gangs have no shortfall while the reservation for gangs is
+// released.
 func (q *Quota) floorShortfalls(left float64) (byClass map[string]float64, all float64) {
 	if len(q.floors) == 0 {
 		return nil, 0
@@ -149,9 +150,9 @@
 		if released[class] {
 			continue
 		}
-		if lacks := floor - used[class]; lacks > 0 {
-			byClass[class] = lacks
-			all += lacks
+		if shortfall := floor - used[class]; shortfall > 0 {
+			byClass[class] = shortfall
+			all += shortfall
 		}
 	}
 	if all > 0 && all > left {
--- a/internal/jobstate/quotaorder_test.go
+++ b/internal/jobstate/quotaorder_test.go
@@ -37,8 +37,8 @@
 	add("job-aimless", "standard", 0, 10)
 	add("job-late", "standard", -time.Minute, 10)
 	add("job-begun", "standard", -time.Hour, 10)
-	placeOne := team.Job("job-begun")
-	if !team.Place(placeOne, 0, Location{Machine: "m", Zone: "z", Incarnation: 1}) {
+	started := team.Job("job-begun")
+	if !team.Place(started, 0, Location{Machine: "m", Zone: "z", Incarnation: 1}) {
 		t.Fatal("not placed")
 	}
 	add("job-long", "standard", 5*time.Minute, 270) // has a later objective, but must start earlier
@@ -137,9 +137,9 @@
 	}
 }
 
-// simulateAtLimit simulates arrays of random sizes that demand more than the limit. It returns the fraction of arrays
-// that were done by their deadline, and the fraction of the long eighth of them whose tasks had all started within four
-// minutes.
+// simulateAtLimit simulates arrays of random sizes that demand more than the limit. Every eighth array is long: its
+// tasks run four times as long. It returns the fraction of arrays that were done by their deadline, and the fraction of
+// the long arrays whose tasks had all started within four minutes of their submission.
 func simulateAtLimit(seed uint64, withObjectives bool) (inTime, longStarted float64) {
 	const (
 		jobs  = 96
@@ -147,12 +147,12 @@
 		end   = 900 * time.Second
 	)
 	type array struct {
-		spec    *protocol.Submission
-		at, due time.Duration
-		run     time.Duration
-		started int
-		all     time.Duration
-		done    time.Duration
+		spec           *protocol.Submission
+		submitted, due time.Duration
+		run            time.Duration // of each task
+		started        int           // number of tasks
+		allStarted     time.Duration
+		done           time.Duration
 	}
 	rng := rand.New(rand.NewPCG(seed, 11))
 	start := time.Unix(1000, 0)
@@ -168,12 +168,12 @@
 		deadline := due.Seconds()
 		spec := &protocol.Submission{UID: fmt.Sprintf("job-%06d", i), Kind: protocol.JobArray, Priority: "standard", Tasks: 10 + rng.IntN(30), CPUs: 1, EstimateSeconds: estimate, DeadlineSeconds: &deadline}
 		at := time.Duration(rng.IntN(600)) * time.Second
-		arrays = append(arrays, &array{spec: spec, at: at, due: at + due, run: run, all: end, done: end})
+		arrays = append(arrays, &array{spec: spec, submitted: at, due: at + due, run: run, allStarted: end, done: end})
 	}
 	running := map[time.Duration][]*attempt{}
 	for now := time.Duration(0); now < end; now += time.Second {
 		for _, a := range arrays {
-			if a.at == now {
+			if a.submitted == now {
 				team.AddJob(a.spec, 1, start.Add(now), nil)
 				if withObjectives {
 					team.Job(a.spec.UID).SetObjectives(Objectives{start.Add(a.due)})
@@ -200,7 +200,7 @@
 				}
 			}
 			if a.started == a.spec.Tasks {
-				a.all = min(a.all, now)
+				a.allStarted = min(a.allStarted, now)
 			}
 			if job.Complete() {
 				a.done = now
@@ -215,7 +215,7 @@
 		}
 		if i%8 == 0 {
 			long++
-			if a.all-a.at <= 4*time.Minute {
+			if a.allStarted-a.submitted <= 4*time.Minute {
 				longStarted++
 			}
 		}
--- a/internal/jobstate/surplus.go
+++ b/internal/jobstate/surplus.go
@@ -8,16 +8,16 @@
 )
 
 // The demands of a team that needs far more than its limit cover only its most urgent tasks. While machines are full,
-// most of these find no capacity and use none of the limit. Smaller, less urgent tasks could use the capacity that is
-// free on machines, but are in no demand. Surplus demands are for these.
+// most of these tasks are not placed, and so use none of the limit. Smaller, less urgent tasks could use the little
+// capacity that is free on machines, but no demand covers them. Surplus demands are for these tasks.
 
 // surplusFraction is the fraction of the limit up to which surplus tasks may raise the use. The rest stays available to
 // the regular demands.
 const surplusFraction = 0.75
 
-// SurplusDemands lists what the team could place in addition to its demands while those find no capacity: for each
-// class the tasks that fit between the present use and surplusFraction of the limit. Each class is counted as if it
-// were the only one; FitsSurplus checks each task when it is placed. There are none while a gang waits, since free
+// SurplusDemands lists what the team could place in addition to its demands while there is no capacity for those: for
+// each class the tasks that fit between the present use and surplusFraction of the limit. Each class is counted as if
+// it were the only one; FitsSurplus checks each task when it is placed. There are none while a gang waits, since free
 // quota is reserved for it.
 func (q *Quota) SurplusDemands(now time.Time) []Demand {
 	available := q.limits.Max.scaled(surplusFraction).minus(q.charged())
--- a/internal/jobstate/team.go
+++ b/internal/jobstate/team.go
@@ -62,16 +62,16 @@
 	}
 }
 
-// FirstTerm is the term in which this Team was created.
+// FirstTerm returns the term in which this Team was created.
 func (t *Team) FirstTerm() uint64 { return t.firstTerm }
 
-// Quota is the team's quota and its use.
+// Quota returns the team's quota and its use.
 func (t *Team) Quota() *Quota { return &t.quota }
 
-// Assignments is the set of the team's attempts that may be on machines.
+// Assignments returns the set of the team's attempts that may be on machines.
 func (t *Team) Assignments() *Assignments { return &t.assignments }
 
-// Replica is the replicated part of the state.
+// Replica returns the replicated part of the state.
 func (t *Team) Replica() *Replica { return t.changes.replica }
 
 // TakeDeltas returns the changes since the last call.
--- a/internal/jobstate/transfer.go
+++ b/internal/jobstate/transfer.go
@@ -68,7 +68,7 @@
 	}
 }
 
-// PartsMade is the number of parts created so far.
+// PartsMade returns the number of parts created so far.
 func (t *Transfer) PartsMade() int { return t.partsMade }
 
 // Ended reports whether the last part was created.
--- a/internal/leadership/backoff_test.go
+++ b/internal/leadership/backoff_test.go
@@ -12,7 +12,7 @@
 func simulateConflicts(seed uint64, members int, backoff bool) (refused int, end time.Duration) {
 	const (
 		write = 10 * time.Millisecond
-		look  = 100 * time.Millisecond
+		retry = 100 * time.Millisecond // from a rejected attempt to the next one, without the backoff
 	)
 	rng := rand.New(rand.NewPCG(seed, 3))
 	next, waits := make([]time.Duration, members), make([]Backoff, members)
@@ -24,7 +24,7 @@
 			}
 			if now < written { // the record that it read is outdated when its write arrives
 				refused++
-				wait := look
+				wait := retry
 				if backoff {
 					wait += waits[i].Conflict(rng, members)
 				}
--- a/internal/leadership/change.go
+++ b/internal/leadership/change.go
@@ -39,8 +39,8 @@
 	return string(c.Reason) + " " + c.Member
 }
 
-// ControllerView gives State.NextChange access to the rest of the controller. A method is called only if no earlier
-// step changes the record.
+// ControllerView gives State.NextChange access to the rest of the controller. NextChange checks the reasons for a
+// change in order and stops at the first that applies, so that it calls only the methods that it needs up to there.
 type ControllerView interface {
 	// Controllers returns the number of controllers in the deployment.
 	Controllers() int
@@ -76,9 +76,9 @@
 	unprovenTermDelay = 5 * time.Second         // since the term changed
 )
 
-// NextChange returns the change of the record that this controller should attempt now, or nil if there is none. The
-// caller must trust the state service's data. started is when the controller began to look for changes. A returned
-// change is pending until the caller reports its result by ChangeAnswered or ChangeUnanswered.
+// NextChange returns the change of the record that this controller should attempt now, or nil if there is none. It must
+// not be called while there are signs that the state service lost data. started is when the controller first called it.
+// A returned change is pending until the caller reports its result by ChangeAnswered or ChangeUnanswered.
 func (s *State) NextChange(now, started time.Time, view ControllerView) *RecordChange {
 	if !s.mayChange(now) {
 		return nil
@@ -129,7 +129,8 @@
 	(*changeInputs).raiseTerm,
 }
 
-// firstDueChange returns the first change that is due, without its version.
+// firstDueChange returns the first change that is due; NextChange fills in its versions. Any controller that may change
+// the record reconciles the members, when it is its turn. All other changes are left to entitled controllers.
 func (s *State) firstDueChange(in *changeInputs) *RecordChange {
 	if next, conditions := ReconcileMembers(in.record, in.view.ShardNames(), s.presences); next != nil {
 		if !s.isOwnTurn(in.now) {
@@ -159,8 +160,8 @@
 	return now.Sub(s.membersOutdatedSince) >= time.Duration(turn)*turnDelay
 }
 
-// settleUnanswered writes the record again while a change that got no answer may still be applied to it. Once another
-// change of the same version is written, the unanswered one fails.
+// settleUnanswered writes the known record again while a change that got no answer may still be applied to it.
+// Once another change based on the same version is written, the unanswered one can only fail.
 func (in *changeInputs) settleUnanswered() *RecordChange {
 	if in.unansweredVersion == 0 || in.unansweredVersion < in.recordVersion {
 		return nil
@@ -178,7 +179,7 @@
 	return &RecordChange{Record: next, Reason: OwnShards, HandedOver: handed}
 }
 
-// returnToHomes makes this controller eligible as a home again once agents reach it.
+// returnToHomes lets agents report to this controller again once they reach it.
 func (in *changeInputs) returnToHomes() *RecordChange {
 	reached := in.agentsReached
 	in.agentsReached = false
@@ -188,7 +189,8 @@
 	return &RecordChange{Record: WithReachability(in.record, in.self, false), Reason: AgentsReached}
 }
 
-// excludeUnreachable removes a member that agents cannot reach from the homes.
+// excludeUnreachable excludes a member that agents cannot reach from the homes, which are the controllers that agents
+// report to.
 func (in *changeInputs) excludeUnreachable() *RecordChange {
 	member := in.view.UnreachableMember(in.now)
 	if member == "" || in.now.Sub(in.termChangedAt) <= unreachableDelay {
@@ -246,8 +248,8 @@
 func (s *State) ChangeAnswered() { s.changePending = false }
 
 // ChangeUnanswered records that the pending change, based on the given version of the record, got no answer. It may
-// still be applied until another change of the same version is.
+// still be applied until another change based on that version is.
 func (s *State) ChangeUnanswered(version uint64) {
 	s.changePending = false
-	s.unansweredVersion = max(1, version)
+	s.unansweredVersion = max(1, version) // 0 would mean that there is no unanswered change
 }
--- a/internal/leadership/members.go
+++ b/internal/leadership/members.go
@@ -101,8 +101,8 @@
 
 // failover assigns a new owner to a shard that is new or whose owner is not in retained, and reports whether it did.
 // retained holds the members whose process, and so its memory, is unchanged. If no replica is in sync, fallback becomes
-// the owner. hadShards means that the previous record had shards, so that a machine may already run a task of a new
-// one.
+// the owner. hadShards means that the previous record had shards, so that even a shard that is new in the record may
+// have tasks on machines.
 func (r *Record) failover(
 	name string, retained map[string]uint64, fallback string, members []string, hadShards bool,
 ) bool {
--- a/internal/leadership/members_test.go
+++ b/internal/leadership/members_test.go
@@ -12,7 +12,7 @@
 	record  *Record
 	version uint64
 	keys    map[string]Presence
-	next    uint64
+	next    uint64 // the last version that was assigned
 	late    []write
 }
 
--- a/internal/leadership/owners.go
+++ b/internal/leadership/owners.go
@@ -86,8 +86,8 @@
 	return others[:ReplicasPerShard]
 }
 
-// withoutSurplus removes in-sync members that should not hold a replica, but only once all members that should are in
-// sync.
+// withoutSurplus removes the members that are not holders from those in sync, but only once all holders are in sync. No
+// holders means that any member may hold a replica.
 func withoutSurplus(inSync, holders []string) []string {
 	if len(holders) == 0 {
 		return inSync
--- a/internal/leadership/promise.go
+++ b/internal/leadership/promise.go
@@ -30,8 +30,9 @@
 	}
 }
 
-// TryPromise promises the peers not to raise the term for PromiseDuration, if this controller can: its own lease is not
-// being renewed, as in an outage of the state service, and no change of the record that it sent may still be applied.
+// TryPromise promises the peers not to raise the term for PromiseDuration, and reports whether it did. It does so only
+// if this controller's own lease is not being renewed, as in an outage of the state service, no change of the record
+// that it sent may still be applied, and there is no sign that the state service lost data (storeTrusted).
 func (s *State) TryPromise(now time.Time, storeTrusted bool) bool {
 	if now.Sub(s.leaseRenewedAt) <= s.lease.renewalOverdue() || s.ChangeOpen() || !storeTrusted {
 		return false
--- a/internal/leadership/recordsync.go
+++ b/internal/leadership/recordsync.go
@@ -4,7 +4,7 @@
 
 // Timing of the record's transfer to peers that lag behind.
 const (
-	recordSendInterval      = time.Second
+	recordSendInterval      = time.Second           // minimum time between two sendings to the same peer
 	recordDelayPerMember    = 25 * time.Millisecond // per member beyond recordGroupWithoutDelay
 	recordGroupWithoutDelay = 3                     // a group of up to this many members sends without delay
 )
--- a/internal/leadership/shardupdate.go
+++ b/internal/leadership/shardupdate.go
@@ -15,7 +15,7 @@
 
 // UpdateShards returns the record with an owner's changes to its own shards: replicas become in sync or fall out of
 // sync, barriers are cleared and, if rebalance is set, shards are handed over to their preferred owners once these are
-// in sync. It lists the shards handed over. The record is nil if nothing changes.
+// in sync. handedOver lists the shards with a new owner. The record is nil if nothing changes.
 func UpdateShards(
 	r *Record, self string, statuses map[string]ShardStatus, rebalance bool,
 ) (next *Record, handedOver []string) {
--- a/internal/leadership/state.go
+++ b/internal/leadership/state.go
@@ -134,7 +134,7 @@
 	s.presences, s.membersOutdatedSince = map[string]Presence{}, time.Time{}
 }
 
-// AdoptResult is the set of changes that an adopted record brings.
+// AdoptResult reports what an adopted record changes.
 type AdoptResult struct {
 	TermChanged     bool
 	EpochBegan      bool // this is the first adopted record of its epoch
@@ -174,9 +174,9 @@
 const (
 	RecordFollows      RecordComparison = iota // it is newer and must be adopted
 	RecordKnown                                // it is the known record or an earlier one
-	RecordOfNewerEpoch                         // everything must be read again before it is used
+	RecordOfNewerEpoch                         // all keys must be read again before it is used
 	RecordOlder                                // newer version but older content: the state service lost data
-	RecordChainBroken                          // written after a loss of data that the versions no longer reveal
+	RecordChainBroken                          // it replaced an earlier version than the known one: data was lost in between
 )
 
 // CompareRecord compares a record, and its version in the state service, with the known one.
--- a/internal/leadership/state_test.go
+++ b/internal/leadership/state_test.go
@@ -18,16 +18,16 @@
 	}
 	s.Adopt(&Record{Epoch: 2, Term: 5, StoreID: "x"}, 7, now)
 	for name, got := range map[string][2]RecordComparison{
-		"the next":                 {read(8, 2, 6, "x", 7), RecordFollows},
-		"one that skips a version": {read(9, 2, 5, "x", 8), RecordFollows},
-		"one of an old version, without a previous version": {read(8, 2, 5, "x", 0), RecordFollows},
-		"the same":                        {read(7, 2, 5, "x", 6), RecordKnown},
-		"an earlier read":                 {read(6, 2, 4, "x", 5), RecordKnown},
-		"the next epoch":                  {read(3, 3, 9, "y", 2), RecordOfNewerEpoch},
-		"an earlier epoch":                {read(8, 1, 9, "w", 7), RecordOlder},
-		"an earlier term":                 {read(8, 2, 4, "x", 7), RecordOlder},
-		"another store of the same epoch": {read(8, 2, 6, "z", 7), RecordOlder},
-		"one over an earlier version":     {read(9, 2, 6, "x", 6), RecordChainBroken},
+		"the next":                           {read(8, 2, 6, "x", 7), RecordFollows},
+		"one that skips a version":           {read(9, 2, 5, "x", 8), RecordFollows},
+		"one that names no previous version": {read(8, 2, 5, "x", 0), RecordFollows},
+		"the same":                           {read(7, 2, 5, "x", 6), RecordKnown},
+		"an earlier read":                    {read(6, 2, 4, "x", 5), RecordKnown},
+		"the next epoch":                     {read(3, 3, 9, "y", 2), RecordOfNewerEpoch},
+		"an earlier epoch":                   {read(8, 1, 9, "w", 7), RecordOlder},
+		"an earlier term":                    {read(8, 2, 4, "x", 7), RecordOlder},
+		"another store of the same epoch":    {read(8, 2, 6, "z", 7), RecordOlder},
+		"one over an earlier version":        {read(9, 2, 6, "x", 6), RecordChainBroken},
 	} {
 		if got[0] != got[1] {
 			t.Errorf("%s: comparison %d, want %d", name, got[0], got[1])
--- a/internal/leasegrant/leasegrant_test.go
+++ b/internal/leasegrant/leasegrant_test.go
@@ -8,25 +8,25 @@
 	"topazhollow/internal/protocol"
 )
 
-// known implements ControllerView with fixed answers.
-type known struct {
+// fakeView implements ControllerView with fixed answers.
+type fakeView struct {
 	until   time.Time
 	jobs    map[string]JobState
 	ordered map[jobstate.AttemptRef]bool
 	lost    uint64
 }
 
-func (k *known) JobState(uid string) JobState            { return k.jobs[uid] }
-func (k *known) StartOrdered(a jobstate.AttemptRef) bool { return k.ordered[a] }
-func (k *known) MayBeLost(attempt uint64) bool           { return attempt < k.lost }
-func (k *known) MayRenew(now, s time.Time) bool {
-	return !now.After(k.until) && (s.IsZero() || !now.After(s))
+func (k *fakeView) JobState(uid string) JobState            { return k.jobs[uid] }
+func (k *fakeView) StartOrdered(a jobstate.AttemptRef) bool { return k.ordered[a] }
+func (k *fakeView) MayBeLost(attempt uint64) bool           { return attempt < k.lost }
+func (k *fakeView) MayRenew(now, bound time.Time) bool {
+	return !now.After(k.until) && (bound.IsZero() || !now.After(bound))
 }
 
 // TestDecide checks each reason to refuse a renewal or to stop a task on its own.
 func TestDecide(t *testing.T) {
 	now := time.Unix(1000, 0)
-	k := &known{until: now, jobs: map[string]JobState{"job-000001": Active, "job-000002": Ended}, lost: 5,
+	k := &fakeView{until: now, jobs: map[string]JobState{"job-000001": Active, "job-000002": Ended}, lost: 5,
 		ordered: map[jobstate.AttemptRef]bool{{TaskID: jobstate.TaskID{Job: "job-000003", Index: 1}, Attempt: 7}: true}}
 	home, other := ControllerRole{IsHome: true}, ControllerRole{HomeWatermark: now}
 	for what, c := range map[string]struct {
--- a/internal/leasegrant/model_agents_test.go
+++ b/internal/leasegrant/model_agents_test.go
@@ -54,7 +54,7 @@
 		if at != nil {
 			w.prepareCommands(c, at)
 		}
-		if at == nil || !at.ShouldSend() || !w.entitled(c) || at.HasQueuedStart() && !c.watermark.MayRenew(w.now, time.Time{}) && w.mutant != "starts after the watermark's time" {
+		if at == nil || !at.ShouldSend() || !w.entitled(c) || at.HasQueuedStart() && !c.watermark.MayRenew(w.now, time.Time{}) && w.mutant != "starts are sent without a watermark" {
 			continue
 		}
 		late := w.nextStartLate && at.HasQueuedStart()
@@ -76,13 +76,13 @@
 
 // jobEnded mirrors Node.jobEnded.
 func (w *world) jobEnded(c *controller) func(string) bool {
-	over := c.known && !c.active || c.ended && w.mutant != "an acceptance after the end"
-	return func(string) bool { return over }
+	ended := c.known && !c.active || c.ended && w.mutant != "a late read revives an ended job"
+	return func(string) bool { return ended }
 }
 
 // prepareCommands mirrors Node.prepareCommands.
 func (w *world) prepareCommands(c *controller, m *agents.Agent) {
-	if w.mutant != "starts of ended jobs" {
+	if w.mutant != "starts of ended jobs are sent" {
 		m.DropStarts(w.jobEnded(c))
 	}
 	m.SetWatermark(w.now, c.watermark.KnownUntil(w.now))
@@ -98,12 +98,12 @@
 	w.execute(m, d.commands)
 }
 
-// releaseHeldUp delivers the delayed requests that are no longer held up.
-func (w *world) releaseHeldUp(now func(*commandRequest) bool) {
+// releaseHeldUp delivers those of the delayed requests that may arrive now.
+func (w *world) releaseHeldUp(arrives func(*commandRequest) bool) {
 	held := w.heldUp
 	w.heldUp = nil
 	for _, d := range held {
-		if now(&d) {
+		if arrives(&d) {
 			w.receiveCommands(d)
 		} else {
 			w.heldUp = append(w.heldUp, d)
@@ -139,16 +139,16 @@
 
 // sendHeartbeat makes an agent send its heartbeat to one controller after the other until one answers it.
 func (w *world) sendHeartbeat(m *machine) {
-	var inVain [3]bool
+	var unanswered [3]bool
 	for try := 0; try < 5 && !m.hung; try++ {
 		c := w.controllers[m.reportsTo]
 		if !c.up || w.pathHeld[m.index][c.index] {
-			inVain[c.index] = true
+			unanswered[c.index] = true
 			m.reportsTo = (m.reportsTo + 1) % 3
 			continue
 		}
 		r := m.heartbeat()
-		a := w.answerHeartbeat(c, &r, &inVain)
+		a := w.answerHeartbeat(c, &r, &unanswered)
 		switch {
 		case m.unreachable:
 			m.reportsTo = (m.reportsTo + 1) % 3
@@ -174,7 +174,7 @@
 }
 
 // answerHeartbeat mirrors Node.answerHeartbeat.
-func (w *world) answerHeartbeat(c *controller, r *protocol.Heartbeat, inVain *[3]bool) answer {
+func (w *world) answerHeartbeat(c *controller, r *protocol.Heartbeat, unanswered *[3]bool) answer {
 	if !w.entitled(c) {
 		for k := range names {
 			if p := &c.peers[k]; k != c.index && p.entitled && p.statusAt.Equal(w.now) {
@@ -194,7 +194,7 @@
 	}
 	home := slices.Index(names[:], c.record.Home(r.Machine))
 	if home != c.index {
-		if c.peers[home].statusAt.Equal(w.now) && !inVain[home] {
+		if c.peers[home].statusAt.Equal(w.now) && !unanswered[home] {
 			return answer{status: 421, to: home}
 		}
 		if grant := w.leaseGrant(c, r); grant.Renewed {
@@ -216,9 +216,9 @@
 func (w *world) leaseGrant(c *controller, r *protocol.Heartbeat) leasegrant.Grant {
 	k := slices.Index([]string{machineName(0), machineName(1)}, r.Machine)
 	role := leasegrant.ControllerRole{IsHome: c.record.Home(r.Machine) == names[c.index] && c.record.Nodes[names[c.index]] == c.incarnation,
-		LeaseValid: c.lease.Valid(w.now) && w.entitled(c) || w.mutant == "other controllers without a bound", HomeWatermark: c.homeWatermarks[k]}
+		LeaseValid: c.lease.Valid(w.now) && w.entitled(c) || w.mutant == "other controllers need no watermark of the home", HomeWatermark: c.homeWatermarks[k]}
 	if m := c.home.Get(r.Machine); m != nil {
-		if w.mutant != "a start in flight does not bound renewals" {
+		if w.mutant != "starts in flight do not bound renewals" {
 			role.InFlightWatermark = m.InFlightWatermark(w.jobEnded(c))
 		}
 	}
@@ -235,11 +235,11 @@
 	switch {
 	case k.w.mutant == "ended jobs are not stopped":
 		return leasegrant.Active
-	case k.c.active && k.c.known && k.w.mutant == "an acceptance after the end":
+	case k.c.active && k.c.known && k.w.mutant == "a late read revives an ended job":
 		return leasegrant.Active
 	case k.c.ended, k.c.known && !k.c.active:
 		return leasegrant.Ended
-	case k.c.known, k.w.mutant == "what nobody knows is renewed":
+	case k.c.known, k.w.mutant == "tasks of unknown jobs are renewed":
 		return leasegrant.Active
 	}
 	return leasegrant.Unknown
@@ -259,5 +259,5 @@
 func (k *knowledge) MayBeLost(uint64) bool { return false }
 
 func (k *knowledge) MayRenew(now, bound time.Time) bool {
-	return k.w.mutant == "renewals without a watermark" || k.c.watermark.MayRenew(now, bound)
+	return k.w.mutant == "renewals need no watermark" || k.c.watermark.MayRenew(now, bound)
 }
--- a/internal/leasegrant/model_controller_test.go
+++ b/internal/leasegrant/model_controller_test.go
@@ -49,36 +49,36 @@
 func (w *world) holdsPromises(c *controller) bool {
 	for k := range names {
 		p := &c.peers[k]
-		if k != c.index && (!w.now.Before(p.promisedUntil) || p.promisedVersion > c.version && w.mutant != "promise of a later record") {
+		if k != c.index && (!w.now.Before(p.promisedUntil) || p.promisedVersion > c.version && w.mutant != "promises count whatever record they name") {
 			return false
 		}
 	}
 	return true
 }
 
-// applyChange processes a change of the job's key, like Node.changed.
+// applyChange processes a change of the job's key, like Node.applyActiveJobKey.
 func (w *world) applyChange(c *controller, x change) {
 	switch {
 	case x.deleted:
 		w.endJob(c)
 	case c.known && !c.active:
-	case c.ended && w.mutant != "an acceptance after the end":
+	case c.ended && w.mutant != "a late read revives an ended job":
 		c.known, c.active = true, false
 	default:
 		c.known, c.active = true, true
-		if c.account != nil {
-			c.account.AddJob(spec(), x.revision, w.now, nil)
+		if c.teamState != nil {
+			c.teamState.AddJob(spec(), x.revision, w.now, nil)
 		}
 	}
 }
 
 func (w *world) endJob(c *controller) {
-	if !c.known && w.mutant == "an acceptance after the end" {
+	if !c.known && w.mutant == "a late read revives an ended job" {
 		return
 	}
 	c.known, c.active = true, false
-	if c.account != nil {
-		c.account.EndJob(jobUID)
+	if c.teamState != nil {
+		c.teamState.EndJob(jobUID)
 	}
 }
 
@@ -99,7 +99,7 @@
 	if w.confirmedAt.IsZero() {
 		w.confirmedAt = w.now
 	}
-	if w.mutant == "an unnumbered cancellation" {
+	if w.mutant == "cancellations are not numbered" {
 		return
 	}
 	if number := c.watermark.RecordCancellation(jobUID); number > 0 {
@@ -144,11 +144,11 @@
 	c.home.SetTerm(r.Term, func(m string) bool { return r.Home(m) == names[c.index] })
 	shard := r.Shards[team]
 	if shard.Owner != names[c.index] || r.Nodes[names[c.index]] != c.incarnation {
-		c.account = nil
+		c.teamState = nil
 		return
 	}
-	if c.account != nil && c.sinceTerm == shard.SinceTerm {
-		c.account.SetTerm(r.Term)
+	if c.teamState != nil && c.sinceTerm == shard.SinceTerm {
+		c.teamState.SetTerm(r.Term)
 		return
 	}
 	replica := jobstate.NewReplica()
@@ -160,9 +160,9 @@
 	}
 	eightCPUs := jobstate.Resources{CPUs: 8}
 	limits := jobstate.Limits{Guaranteed: eightCPUs, Max: eightCPUs}
-	c.account = jobstate.NewTeam(team, limits, replica, r.Term, discardLog)
+	c.teamState = jobstate.NewTeam(team, limits, replica, r.Term, discardLog)
 	if c.active {
-		c.account.AddJob(spec(), 1, w.now, nil)
+		c.teamState.AddJob(spec(), 1, w.now, nil)
 	}
 }
 
@@ -193,7 +193,7 @@
 		for k := range w.machines {
 			if m := c.home.Get(machineName(k)); m != nil {
 				s.homeWatermarks[k] = m.HeartbeatAt
-				if known := m.InFlightWatermark(func(string) bool { return true }); !known.IsZero() && known.Before(m.HeartbeatAt) && w.mutant != "a home's watermark leaves out its starts" {
+				if known := m.InFlightWatermark(func(string) bool { return true }); !known.IsZero() && known.Before(m.HeartbeatAt) && w.mutant != "home watermarks ignore starts in flight" {
 					s.homeWatermarks[k] = known
 				}
 			}
@@ -213,7 +213,7 @@
 	from, name := s.from.index, names[s.from.index]
 	p := &c.peers[from]
 	process := s.from.incarnation
-	if w.mutant == "one process" {
+	if w.mutant == "a peer's restart goes unnoticed" {
 		process = 1
 	}
 	c.watermark.RecordIncarnation(name, process, w.now)
@@ -227,7 +227,7 @@
 		}
 		c.watermark.RecordConfirmedBy(name, s.confirmed, echo.statusAt)
 		c.watermark.RecordAcknowledgedBy(name, s.received[c.index])
-		if number, uids := c.watermark.TakeUnacknowledged(name, w.now, 9); len(uids) > 0 && w.linked(c.index, from) && w.mutant != "not sent again" {
+		if number, uids := c.watermark.TakeUnacknowledged(name, w.now, 9); len(uids) > 0 && w.linked(c.index, from) && w.mutant != "cancellations are not sent again" {
 			w.receiveCancellation(s.from, c, number)
 		}
 	}
@@ -252,9 +252,9 @@
 			continue
 		}
 		next, _ := leadership.ReconcileMembers(c.record, []string{team}, c.live)
-		if next == nil && w.entitled(c) && c.account != nil {
+		if next == nil && w.entitled(c) && c.teamState != nil {
 			next, _ = leadership.UpdateShards(c.record, names[c.index], map[string]leadership.ShardStatus{team: w.shardStatus(c)}, false)
-			if next == nil && c.account.UnconfirmedStops(w.now, confirmStopsWithin) > 0 {
+			if next == nil && c.teamState.UnconfirmedStops(w.now, confirmStopsWithin) > 0 {
 				next = c.record.Clone()
 				next.Term++
 			}
--- a/internal/leasegrant/model_copy_test.go
+++ b/internal/leasegrant/model_copy_test.go
@@ -116,13 +116,14 @@
 
 const prime = 0x9e3779b97f4a7c15
 
+// mix combines a hash with a further value.
 func mix(h, x uint64) uint64 {
 	hi, lo := bits.Mul64(h^x^prime, 0xd6e8feb86659fd93)
 	return hi ^ lo + prime
 }
 
-// digest returns a hash that distinguishes states. Times are hashed relative to now, and all times longer ago than a
-// minute are equal.
+// digest returns a hash of a state. Times are hashed relative to now, and all times longer ago than a minute are equal,
+// so that states that differ only in these count as the same.
 func digest(w *world) uint64 {
 	fresh := *w
 	return hash(reflect.ValueOf(&fresh).Elem(), w.now)
--- a/internal/leasegrant/model_explore_test.go
+++ b/internal/leasegrant/model_explore_test.go
@@ -14,9 +14,9 @@
 
 // event is a failure, a recovery or an action between two steps of time. Each event occurs at most once in a history.
 type event struct {
-	name string
-	can  func(w *world) bool
-	do   func(w *world)
+	name     string
+	possible func(w *world) bool
+	apply    func(w *world)
 }
 
 // cancelledBy is the last step in which the job may be cancelled. lastStep is the step at which a history ends; by then
@@ -28,64 +28,65 @@
 
 // events are listed in the order in which events between the same two steps are tried.
 var events = []event{
-	{"machine wakes", func(w *world) bool { return w.machines[0].hung }, func(w *world) {
+	{"machine resumes", func(w *world) bool { return w.machines[0].hung }, func(w *world) {
 		w.machines[0].hung = false
 		w.releaseHeldUp(func(d *commandRequest) bool { return !d.late && d.machine == 0 && !w.pathHeld[0][d.from] })
 	}},
-	{"path heals", func(w *world) bool { return w.pathHeld[0] != [3]bool{} }, func(w *world) {
+	{"paths recover", func(w *world) bool { return w.pathHeld[0] != [3]bool{} }, func(w *world) {
 		w.pathHeld[0] = [3]bool{}
 		w.releaseHeldUp(func(d *commandRequest) bool { return !d.late && d.machine == 0 && !w.machines[0].hung })
 	}},
-	{"c joins", func(w *world) bool { return w.unlinked[2] }, func(w *world) { w.unlinked[2] = false }},
-	{"a joins", func(w *world) bool { return w.unlinked[0] }, func(w *world) { w.unlinked[0] = false }},
-	{"b joins", func(w *world) bool { return w.unlinked[1] }, func(w *world) { w.unlinked[1] = false }},
-	{"a is served", func(w *world) bool { return w.store.refused[0] }, func(w *world) { w.store.refused[0] = false }},
-	{"b is served", func(w *world) bool { return w.store.refused[1] }, func(w *world) { w.store.refused[1] = false }},
+	{"c reconnects", func(w *world) bool { return w.unlinked[2] }, func(w *world) { w.unlinked[2] = false }},
+	{"a reconnects", func(w *world) bool { return w.unlinked[0] }, func(w *world) { w.unlinked[0] = false }},
+	{"b reconnects", func(w *world) bool { return w.unlinked[1] }, func(w *world) { w.unlinked[1] = false }},
+	{"store serves a", func(w *world) bool { return w.store.refused[0] }, func(w *world) { w.store.refused[0] = false }},
+	{"store serves b", func(w *world) bool { return w.store.refused[1] }, func(w *world) { w.store.refused[1] = false }},
 	{"outage ends", func(w *world) bool { return w.store.down }, func(w *world) {
 		w.store.down = false
 		for name := range w.store.expires {
 			w.store.expires[name] = w.now.Add(controllerLease)
 		}
 	}},
-	{"b reads, its answer is late", func(w *world) bool { return w.served(1) && w.controllers[1].up && !w.controllers[1].known }, readLate(1)},
-	{"c apart", func(w *world) bool { return true }, func(w *world) { w.unlinked[2] = true }},
+	{"b reads, answer delayed", func(w *world) bool { return w.served(1) && w.controllers[1].up && !w.controllers[1].known }, readLate(1)},
+	{"c disconnected", func(w *world) bool { return true }, func(w *world) { w.unlinked[2] = true }},
 	{"c cancels", canCancel(2), cancelJob(2)},
 	{"b cancels", canCancel(1), cancelJob(1)},
 	{"a cancels", canCancel(0), cancelJob(0)},
-	{"c writes the cancellation and ends", canCancel(2), func(w *world) {
+	{"c writes the cancellation and crashes", canCancel(2), func(w *world) {
 		w.writeCancellation()
 		w.crash(2)
 	}},
-	{"a confirms it", canConfirm(0), func(w *world) { w.confirmCancellation(w.controllers[0]) }},
-	{"b confirms it", canConfirm(1), func(w *world) { w.confirmCancellation(w.controllers[1]) }},
-	{"a refused", func(w *world) bool { return !w.store.down }, func(w *world) { w.store.refused[0] = true }},
-	{"b refused", func(w *world) bool { return !w.store.down }, func(w *world) { w.store.refused[1] = true }},
+	{"a confirms the cancellation", canConfirm(0), func(w *world) { w.confirmCancellation(w.controllers[0]) }},
+	{"b confirms the cancellation", canConfirm(1), func(w *world) { w.confirmCancellation(w.controllers[1]) }},
+	{"store refuses a", func(w *world) bool { return !w.store.down }, func(w *world) { w.store.refused[0] = true }},
+	{"store refuses b", func(w *world) bool { return !w.store.down }, func(w *world) { w.store.refused[1] = true }},
 	{"outage", func(w *world) bool { return !w.store.down }, func(w *world) { w.store.down = true }},
-	{"b's late answer", func(w *world) bool { return w.controllers[1].up && w.controllers[1].lateChanges != nil }, func(w *world) {
+	{"b receives the delayed answer", func(w *world) bool { return w.controllers[1].up && w.controllers[1].lateChanges != nil }, func(w *world) {
 		for _, x := range w.controllers[1].lateChanges {
 			w.applyChange(w.controllers[1], x)
 		}
 		w.controllers[1].lateChanges = nil
 	}},
-	{"a ends", func(w *world) bool { return w.controllers[0].up }, func(w *world) { w.crash(0) }},
-	{"b ends", func(w *world) bool { return w.controllers[1].up }, func(w *world) { w.crash(1) }},
-	{"c ends", func(w *world) bool { return w.controllers[2].up }, func(w *world) { w.crash(2) }},
-	{"a apart", func(w *world) bool { return true }, func(w *world) { w.unlinked[0] = true }},
-	{"b apart", func(w *world) bool { return true }, func(w *world) { w.unlinked[1] = true }},
-	{"path to a held", func(w *world) bool { return true }, func(w *world) { w.pathHeld[0][0] = true }},
-	{"only a is reached", func(w *world) bool { return true }, func(w *world) { w.pathHeld[0] = [3]bool{false, true, true} }},
-	{"machine cut off", func(w *world) bool { return !w.pathHeld[0][0] }, func(w *world) { w.pathHeld[0] = [3]bool{true, true, true} }},
+	{"a crashes", func(w *world) bool { return w.controllers[0].up }, func(w *world) { w.crash(0) }},
+	{"b crashes", func(w *world) bool { return w.controllers[1].up }, func(w *world) { w.crash(1) }},
+	{"c crashes", func(w *world) bool { return w.controllers[2].up }, func(w *world) { w.crash(2) }},
+	{"a disconnected", func(w *world) bool { return true }, func(w *world) { w.unlinked[0] = true }},
+	{"b disconnected", func(w *world) bool { return true }, func(w *world) { w.unlinked[1] = true }},
+	{"path to a delayed", func(w *world) bool { return true }, func(w *world) { w.pathHeld[0][0] = true }},
+	{"machine reaches only a", func(w *world) bool { return true }, func(w *world) { w.pathHeld[0] = [3]bool{false, true, true} }},
+	{"machine reaches no controller", func(w *world) bool { return !w.pathHeld[0][0] }, func(w *world) { w.pathHeld[0] = [3]bool{true, true, true} }},
 	{"machine hangs", func(w *world) bool { return true }, func(w *world) { w.machines[0].hung = true }},
 	{"machine unreachable", func(w *world) bool { return true }, func(w *world) { w.machines[0].unreachable = true }},
-	{"b moves the task", func(w *world) bool { return w.controllers[1].account != nil }, func(w *world) {
-		w.controllers[1].account.Assignments().On(machineName(0), func(h jobstate.Assignment) { w.controllers[1].account.Migrate(h, 0, w.now) })
+	{"b migrates the task", func(w *world) bool { return w.controllers[1].teamState != nil }, func(w *world) {
+		w.controllers[1].teamState.Assignments().On(machineName(0), func(h jobstate.Assignment) { w.controllers[1].teamState.Migrate(h, 0, w.now) })
 	}},
-	{"next start is late", func(w *world) bool { return len(w.machines[0].tasks) == 0 }, func(w *world) { w.nextStartLate = true }},
-	{"late start arrives", func(w *world) bool { return len(w.heldUp) > 0 && w.heldUp[0].late }, func(w *world) {
+	{"next start is delayed", func(w *world) bool { return len(w.machines[0].tasks) == 0 }, func(w *world) { w.nextStartLate = true }},
+	{"delayed start arrives", func(w *world) bool { return len(w.heldUp) > 0 && w.heldUp[0].late }, func(w *world) {
 		w.releaseHeldUp(func(d *commandRequest) bool { return d.late })
 	}},
 }
 
+// readLate returns the effect of a read by a controller whose answer is delayed.
 func readLate(i int) func(w *world) {
 	return func(w *world) {
 		c := w.controllers[i]
@@ -122,6 +123,7 @@
 	}
 }
 
+// crash ends a controller's process; it restarts after one step.
 func (w *world) crash(i int) {
 	c := w.controllers[i]
 	w.controllers[i] = &controller{index: i, incarnation: c.incarnation, restartsAt: w.now.Add(step), lease: leadership.Lease{}}
@@ -159,13 +161,13 @@
 		return out
 	}
 	for i := n.w.lastEvent; i < len(events); i++ {
-		if n.w.usedEvents&(1<<i) != 0 || !slices.Contains(f.events, events[i].name) || !events[i].can(n.w) {
+		if n.w.usedEvents&(1<<i) != 0 || !slices.Contains(f.events, events[i].name) || !events[i].possible(n.w) {
 			continue
 		}
 		w := deepCopy(n.w)
 		w.usedEvents |= 1 << i
 		w.events, w.lastEvent = w.events+1, i+1
-		events[i].do(w)
+		events[i].apply(w)
 		out = append(out, &node{w, n, events[i].name})
 	}
 	return out
@@ -190,7 +192,7 @@
 func explore(f *family, m mutant) outcome {
 	level := []*node{{w: newWorld(m, f.running, agentLease+f.longerLease)}}
 	seen := map[uint64]bool{}
-	found := outcome{}
+	result := outcome{}
 	for len(level) > 0 {
 		next := make([][]*node, len(level))
 		sums := make([][]uint64, len(level))
@@ -220,25 +222,25 @@
 				}
 			}
 		}
-		found.states = len(seen)
+		result.states = len(seen)
 	}
-	return found
+	return result
 }
 
 var families = []family{
-	{"refusals and outages", true, 4, []string{"c cancels", "only a is reached", "path heals", "a refused", "outage", "outage ends", "a apart"},
-		[]mutant{"an unnumbered cancellation", "renewals without a watermark"}, 0},
-	{"processes and links", true, 5, []string{"c apart", "c joins", "c cancels", "c ends", "outage"},
-		[]mutant{"one process"}, 0},
-	{"a held path", false, 5, []string{"c cancels", "path to a held", "path heals", "outage", "outage ends", "a ends"},
-		[]mutant{"other controllers without a bound", "ended jobs are not stopped"}, 0},
-	{"a late start", false, 6, []string{"next start is late", "late start arrives", "c cancels", "outage", "machine hangs", "a apart"},
-		[]mutant{"a start in flight does not bound renewals", "a home's watermark leaves out its starts"}, 0},
-	{"late reads", false, 6, []string{"b reads, its answer is late", "c cancels", "b cancels", "outage", "b's late answer", "b ends", "outage ends"},
-		[]mutant{"an acceptance after the end"}, 0},
-	{"found by another", true, 4, []string{"c writes the cancellation and ends", "a confirms it", "b confirms it", "a refused", "outage", "only a is reached", "machine hangs"}, nil, 0},
-	{"a late start across an end", false, 5, []string{"next start is late", "late start arrives", "a ends", "machine unreachable", "b moves the task"}, nil, step},
-	{"machines", true, 4, []string{"machine cut off", "path heals", "machine hangs", "machine wakes", "a cancels", "a ends", "outage"}, nil, 0},
+	{"refusals and outages", true, 4, []string{"c cancels", "machine reaches only a", "paths recover", "store refuses a", "outage", "outage ends", "a disconnected"},
+		[]mutant{"cancellations are not numbered", "renewals need no watermark"}, 0},
+	{"crashes and disconnections", true, 5, []string{"c disconnected", "c reconnects", "c cancels", "c crashes", "outage"},
+		[]mutant{"a peer's restart goes unnoticed"}, 0},
+	{"a delayed path", false, 5, []string{"c cancels", "path to a delayed", "paths recover", "outage", "outage ends", "a crashes"},
+		[]mutant{"other controllers need no watermark of the home", "ended jobs are not stopped"}, 0},
+	{"a delayed start", false, 6, []string{"next start is delayed", "delayed start arrives", "c cancels", "outage", "machine hangs", "a disconnected"},
+		[]mutant{"starts in flight do not bound renewals", "home watermarks ignore starts in flight"}, 0},
+	{"delayed reads", false, 6, []string{"b reads, answer delayed", "c cancels", "b cancels", "outage", "b receives the delayed answer", "b crashes", "outage ends"},
+		[]mutant{"a late read revives an ended job"}, 0},
+	{"cancellation found by another controller", true, 4, []string{"c writes the cancellation and crashes", "a confirms the cancellation", "b confirms the cancellation", "store refuses a", "outage", "machine reaches only a", "machine hangs"}, nil, 0},
+	{"a delayed start across a crash", false, 5, []string{"next start is delayed", "delayed start arrives", "a crashes", "machine unreachable", "b migrates the task"}, nil, step},
+	{"machine failures", true, 4, []string{"machine reaches no controller", "paths recover", "machine hangs", "machine resumes", "a cancels", "a crashes", "outage"}, nil, 0},
 }
 
 // TestModel guards that in no history of any family a task of the job is on a machine, or starts, later than cancelTime
--- a/internal/leasegrant/model_owner_test.go
+++ b/internal/leasegrant/model_owner_test.go
@@ -15,7 +15,7 @@
 
 // actAsOwner makes the team's owner process the machines' statuses, place the task and send orders.
 func (w *world) actAsOwner(c *controller) {
-	if c.account == nil || !w.entitled(c) {
+	if c.teamState == nil || !w.entitled(c) {
 		return
 	}
 	for k := range w.machines {
@@ -26,25 +26,25 @@
 	if c.awaited != [2]bool{} {
 		return
 	}
-	if j := c.account.Job(jobUID); j != nil {
+	if j := c.teamState.Job(jobUID); j != nil {
 		j.Pending(w.now, func(index int) bool {
 			for k, v := range c.statuses {
 				if v != nil && v.FencingToken >= c.record.Term && !j.Avoids(machineName(k), w.now) && !w.machines[k].hung {
-					return c.account.Place(j, index, jobstate.Location{Machine: machineName(k), Incarnation: v.Incarnation})
+					return c.teamState.Place(j, index, jobstate.Location{Machine: machineName(k), Incarnation: v.Incarnation})
 				}
 			}
 			return false
 		})
 	}
 	acked := uint64(0)
-	c.account.TakeDeltas()
+	c.teamState.TakeDeltas()
 	if w.replicates(c) {
-		acked = c.account.Replica().Seq
-		w.replica = jobstate.FromCopy(c.account.Replica().Copy())
+		acked = c.teamState.Replica().Seq
+		w.replica = jobstate.FromCopy(c.teamState.Replica().Copy())
 	}
-	due := c.account.TakeDueOrders(acked, w.now, func(name string, session uint64) bool {
+	due := c.teamState.TakeDueOrders(acked, w.now, func(name string, incarnation uint64) bool {
 		v := c.statuses[slices.Index([]string{machineName(0), machineName(1)}, name)]
-		return v != nil && v.Incarnation == session
+		return v != nil && v.Incarnation == incarnation
 	})
 	for k := range w.machines {
 		if orders := due[machineName(k)]; len(orders) > 0 {
@@ -85,7 +85,7 @@
 	if c.awaited != [2]bool{} {
 		return
 	}
-	orders := c.account.Observe(v, w.now, jobKnowledge{c})
+	orders := c.teamState.Observe(v, w.now, jobKnowledge{c})
 	if len(orders) > 0 {
 		w.sendOrders(c, k, orders)
 	}
@@ -105,7 +105,7 @@
 func (w *world) sendOrders(c *controller, k int, orders []jobstate.Order) {
 	h := w.homeOf(c, k)
 	if h == nil {
-		c.account.RetractUnsent(orders)
+		c.teamState.RetractUnsent(orders)
 		return
 	}
 	if h == c || w.entitled(h) {
--- a/internal/leasegrant/model_test.go
+++ b/internal/leasegrant/model_test.go
@@ -67,7 +67,7 @@
 	live     map[string]leadership.Presence
 	expires  map[string]time.Time
 	down     bool
-	refused  [3]bool
+	refused  [3]bool // controllers whose requests the store rejects
 }
 
 // change is a change of the job's key.
@@ -92,14 +92,14 @@
 	revision       uint64
 	lateChanges    []change // read by the store, but the answer is delayed
 	active         bool     // the job is active, as far as known
-	known          bool
-	ended          bool // the job is known to have ended, even if it is not known otherwise
+	known          bool     // the job's key was read, or its cancellation confirmed here
+	ended          bool     // the job's cancellation was confirmed here or by a peer, even if its key was never read
 	peers          [3]peer
 	homeWatermarks [2]time.Time
 	statuses       [2]*jobstate.MachineStatus
-	account        *jobstate.Team
+	teamState      *jobstate.Team // of the team that it owns; nil if it does not own it
 	sinceTerm      uint64
-	awaited        [2]bool
+	awaited        [2]bool // machines that the barrier waits for
 }
 
 type peer struct {
@@ -116,14 +116,14 @@
 	token            uint64
 	leaseRenewedAt   time.Time
 	tasks            []protocol.TaskStatus
-	hung             bool
+	hung             bool // neither executes nor sends anything
 	unreachable      bool // its heartbeats arrive, but messages to it are lost
 	reportsTo        int  // index of the controller that it reports to
 }
 
 func machineName(i int) string { return [2]string{"n-000000", "n-000004"}[i] }
 
-// newWorld returns a running deployment with an accepted job. If running is set, its task is already running.
+// newWorld returns a running deployment with an accepted job. If running is set, the job's task already runs.
 func newWorld(m mutant, running bool, lease time.Duration) *world {
 	w := &world{mutant: m, agentLease: lease, now: time.Unix(10000, 0).UTC(), replica: jobstate.NewReplica()}
 	w.store = store{live: map[string]leadership.Presence{}, expires: map[string]time.Time{}}
--- a/internal/placement/placement.go
+++ b/internal/placement/placement.go
@@ -72,15 +72,16 @@
 	return h.CPUs+roundingTolerance >= r.CPUs && h.GPUs+roundingTolerance >= r.GPUs && h.MemoryGB+roundingTolerance >= r.MemoryGB
 }
 
-// Exceeds reports whether the request is of the same class as o, needs at least as much, and is restricted to no other
-// zones, types or spot machines than o. A request that may not use leftovers does not exceed one that may.
+// Exceeds reports whether the request is of the same class as o, needs at least as much of each resource, and may run
+// in no zone, on no machine type and on no spot machine that o may not run on. The scheduler searches no host for such
+// a request once it found none for o. A request that may not use leftovers does not exceed one that may.
 func (r *Request) Exceeds(o *Request) bool {
 	return r.Class == o.Class && (r.MayUseLeftover || !o.MayUseLeftover) &&
 		r.CPUs >= o.CPUs && r.GPUs >= o.GPUs && r.MemoryGB >= o.MemoryGB && (o.Spot || !r.Spot) &&
 		(o.Zone < 0 || o.Zone == r.Zone) && (o.Types == nil || slices.Equal(o.Types, r.Types))
 }
 
-// cost is the price of the host while it fetches the image, unless it has the image, and runs the task. Concurrent
+// cost returns the price of the host while it fetches the image, unless it has the image, and runs the task. Concurrent
 // fetches are assumed to share the host's transfer rate. With MinimizeTime the cost is the time, and the price only
 // breaks ties.
 func (r *Request) cost(h *Host) float64 {
--- a/internal/quarantine/quarantine.go
+++ b/internal/quarantine/quarantine.go
@@ -1,7 +1,7 @@
 // Package quarantine attributes task failures to the job or to the machine. A job that fails on several machines and
 // succeeds on none is faulty. A machine is bad while several jobs that succeeded elsewhere have recently failed on it.
-// The package only classifies: its callers stop and place tasks. It does no I/O and reads no clock. A Tracker is not
-// safe for concurrent use; the controller's lock guards it.
+// The package only classifies: its callers place no tasks on bad machines, and try faulty jobs one task at a time. It
+// does no I/O and reads no clock. A Tracker is not safe for concurrent use; the controller's lock guards it.
 package quarantine
 
 import (
--- a/internal/quarantine/quarantine_test.go
+++ b/internal/quarantine/quarantine_test.go
@@ -71,35 +71,35 @@
 
 // modelFaulty reports whether a job failed on three machines and never succeeded.
 func modelFaulty(history []event, job string) bool {
-	on := map[string]bool{}
+	failedOn := map[string]bool{}
 	for _, e := range history {
 		if e.job == job && e.done {
 			return false
 		}
 		if e.job == job {
-			on[e.machine] = true
+			failedOn[e.machine] = true
 		}
 	}
-	return len(on) >= 3
+	return len(failedOn) >= 3
 }
 
 // modelBad reports whether three jobs that succeeded somewhere failed on the machine within the last five minutes and
 // have not succeeded there since.
 func modelBad(history []event, machine string, now time.Time) bool {
-	last, good := map[string]event{}, map[string]bool{}
+	last, succeeded := map[string]event{}, map[string]bool{}
 	for _, e := range history {
 		if e.machine == machine {
 			last[e.job] = e
 		}
-		good[e.job] = good[e.job] || e.done
+		succeeded[e.job] = succeeded[e.job] || e.done
 	}
-	against := 0
+	failures := 0
 	for job, e := range last {
-		if !e.done && good[job] && now.Sub(e.at) <= 5*time.Minute {
-			against++
+		if !e.done && succeeded[job] && now.Sub(e.at) <= 5*time.Minute {
+			failures++
 		}
 	}
-	return against >= 3
+	return failures >= 3
 }
 
 // onlyFaulty reports whether all jobs that failed on a machine are those that fail everywhere.
--- a/internal/shards/barrier.go
+++ b/internal/shards/barrier.go
@@ -6,7 +6,8 @@
 	"time"
 )
 
-// BeginLoad starts a load of the shard, which replaces any load in progress, and returns its number.
+// BeginLoad starts a load of the shard, which reads its jobs and its pages of finished tasks, and returns the number of
+// the load. It replaces any load in progress.
 func (o *Owned) BeginLoad() int {
 	o.loadNumber++
 	return o.loadNumber
@@ -64,7 +65,7 @@
 func (o *Owned) AwaitedMachines() iter.Seq[string] { return maps.Keys(o.awaitedMachines) }
 
 // RemoveSettledMachines stops waiting for the machines that are settled in the shard's term: either they reported under
-// it, which rules out that an earlier start still arrives, or they are gone.
+// it, so that they reject any start of an earlier term, or they are gone.
 func (o *Owned) RemoveSettledMachines(settled func(machine string, term uint64) bool) {
 	for name := range o.awaitedMachines {
 		if settled(name, o.sinceTerm) {
@@ -84,5 +85,5 @@
 	return len(o.awaitedMachines) == 0
 }
 
-// PassBarrier makes the shard ready.
+// PassBarrier makes the shard ready and restarts the replicas' acknowledgement timeout.
 func (o *Owned) PassBarrier(now time.Time) { o.phase, o.replicas.timeoutsStart = Ready, now }
--- a/internal/shards/held.go
+++ b/internal/shards/held.go
@@ -44,7 +44,7 @@
 	}
 }
 
-// Put stores a complete replica, which follows the owner of the given term.
+// Put stores a complete replica. sinceTerm is the term in which the owner that will update it acquired the shard.
 func (h *Held) Put(shard string, sinceTerm uint64, replica *jobstate.Replica) {
 	h.replicas[shard] = &heldReplica{sinceTerm: sinceTerm, replica: replica}
 }
--- a/internal/shards/messages.go
+++ b/internal/shards/messages.go
@@ -63,7 +63,7 @@
 	return Acknowledgement{Shard: shard, SinceTerm: sinceTerm, NeedsCopy: true}
 }
 
-// ProbeRequest sends the homes the addresses of machines that barriers wait for.
+// ProbeRequest asks the other controllers to probe those of the machines that barriers wait for that report to them.
 type ProbeRequest struct {
-	Addrs map[string]string `json:"addrs"` // by machine
+	Addrs map[string]string `json:"addrs"` // address by machine
 }
--- a/internal/shards/registry.go
+++ b/internal/shards/registry.go
@@ -125,8 +125,8 @@
 }
 
 // ApplyRecord gives up the shards that a new membership record assigns to other controllers, or to this one in a new
-// term, and lists those to take over. member reports whether the record lists this process; only a member keeps what it
-// gave up as a replica.
+// term, and lists those to take over. member means that the record lists this process; only a member keeps what it gave
+// up as a replica.
 func (r *Registry) ApplyRecord(record *leadership.Record, self string, member bool) (c Changes) {
 	for name, entry := range record.Shards {
 		o := r.owned[name]
@@ -183,8 +183,8 @@
 	return statuses
 }
 
-// unconfirmedStopTimeout is how long after its first stop an attempt may stay unlisted by any heartbeat before the term
-// is raised.
+// unconfirmedStopTimeout is how long after the first stop command for an attempt the owner waits for a heartbeat that
+// lists the attempt, before the term is raised.
 const unconfirmedStopTimeout = 4 * time.Second
 
 // NeedsRaisedTerm reports whether some stopped attempt that no heartbeat has listed can be settled only by raising the
--- a/internal/shards/replication.go
+++ b/internal/shards/replication.go
@@ -164,7 +164,7 @@
 			a.recordSent(seq, now)
 			continue
 		}
-		if len(deltas) > 0 { // sent after the earlier messages; a replica ignores deltas that it has
+		if len(deltas) > 0 { // a replica ignores those that its copy already contains
 			followers = append(followers, node)
 			a.recordSent(seq, now)
 		}
@@ -233,8 +233,9 @@
 	}
 }
 
-// HandleAcknowledgement processes an acknowledgement from a controller's process. It returns false if the message
-// changes nothing.
+// HandleAcknowledgement processes an acknowledgement from a controller's process. It returns false if it ignores the
+// message: the controller was sent nothing, the message is from another term of ownership, or it requests a copy too
+// soon after the previous request.
 func (r *Replicas) HandleAcknowledgement(replica string, incarnation uint64, m *Acknowledgement, now time.Time) bool {
 	a := r.states[replica]
 	if a == nil || m.SinceTerm != r.sinceTerm {
