--- a/internal/jobstate/jobstate_test.go
+++ b/internal/jobstate/jobstate_test.go
@@ -50,9 +50,10 @@
 }
 
 // TestOwnerModel runs a team's state at its owner against modelled agents. Messages are reordered and delayed, leases
-// expire, machines hang or die, jobs are cancelled, old heartbeats arrive again, and the owner crashes. Its successor starts
-// from an in-sync replica, or without one and without knowing the jobs that have ended. At every start the task must
-// run on no other machine and the quota must not be exceeded, and only tasks that completed may be recorded as done.
+// expire, machines hang or die, jobs are cancelled, old heartbeats arrive again, and the owner crashes. Its successor
+// starts from an in-sync replica, or without one and without knowing the jobs that have ended. At every start the task
+// must run on no other machine and the quota must not be exceeded, and only tasks that completed may be recorded as
+// done.
 func TestOwnerModel(t *testing.T) {
 	doneTasks := 0
 	reached := map[string]bool{}
--- a/internal/jobstate/limits.go
+++ b/internal/jobstate/limits.go
@@ -52,7 +52,7 @@
 	}
 }
 
-// usedByStopping returns the sum of what attempts use that are marked to be stopped or whose job has ended.
+// usedByStopping returns the total use of the attempts that are marked to be stopped or whose job has ended.
 func (t *Team) usedByStopping() (used Resources) {
 	for _, a := range t.assignments.byTask {
 		if a.stopping || t.Job(a.Job) == nil {
--- a/internal/jobstate/observe.go
+++ b/internal/jobstate/observe.go
@@ -16,7 +16,7 @@
 	now       time.Time
 	directory JobDirectory
 	assigned  map[TaskID]bool // listed tasks that match an assigned attempt
-	orphans   orphanCount     // listed tasks that can't be assigned as attempts
+	orphans   orphanCount     // listed tasks that cannot be assigned as attempts
 	orders    []Order         // in response to the status
 }
 
--- a/internal/jobstate/orphan.go
+++ b/internal/jobstate/orphan.go
@@ -25,7 +25,7 @@
 	UnknownSizeBound(status *MachineStatus) (cpus, gpus float64)
 }
 
-// orphanCount sums up the tasks of one machine status that can't be assigned as attempts.
+// orphanCount sums up the tasks of one machine status that cannot be assigned as attempts.
 type orphanCount struct {
 	unknownSize []AttemptRef
 	sized       Resources // total of the tasks of known size
--- a/internal/jobstate/quotaorder.go
+++ b/internal/jobstate/quotaorder.go
@@ -13,7 +13,7 @@
 // Ordered by deadline alone, nearly all jobs of a team that demands more than its limit would be late: a job that can
 // no longer meet its deadline would precede those that still can, and a job of long tasks, whose deadline is late,
 // would not start for minutes. Therefore started jobs with little left to start come first, then the jobs that can
-// still reach an objective, by latest start time, then those that can't. A started job with much left to start has no
+// still reach an objective, by latest start time, then those that cannot. A started job with much left to start has no
 // precedence, since it would use up a small limit for minutes. Gangs wait long because all their tasks must start
 // together; they keep their order even if they have missed their objectives.
 
--- a/internal/leadership/change.go
+++ b/internal/leadership/change.go
@@ -77,8 +77,8 @@
 )
 
 // NextChange returns the change of the record that this controller should attempt now, or nil if there is none. It must
-// not be called while there are signs that the state service lost data. started is when the controller first called it.
-// A returned change is pending until the caller reports its result by ChangeAnswered or ChangeUnanswered.
+// not be called while there are signs that the state service lost data. started is when the controller began to check
+// for changes. A returned change is pending until the caller reports its result by ChangeAnswered or ChangeUnanswered.
 func (s *State) NextChange(now, started time.Time, view ControllerView) *RecordChange {
 	if !s.mayChange(now) {
 		return nil
--- a/internal/leadership/change_test.go
+++ b/internal/leadership/change_test.go
@@ -36,8 +36,8 @@
 
 const testTTL = 5 * time.Second
 
-// newMemberState returns the state of controller a, which holds its lease, is a member together with b, and owns the fleet.
-// The record has version 7.
+// newMemberState returns the state of controller a, which holds its lease, is a member together with b, and owns the
+// fleet. The record has version 7.
 func newMemberState(now time.Time) *State {
 	s := New("a", 1, Lease{TTL: testTTL}, []string{"b"}, now.Add(-time.Hour))
 	record := (&Record{Term: 3, Epoch: 1, FirstTerm: 1, StoreID: "store"}).Clone()
--- a/internal/leadership/state.go
+++ b/internal/leadership/state.go
@@ -176,7 +176,7 @@
 	RecordKnown                                // it is the known record or an earlier one
 	RecordOfNewerEpoch                         // all keys must be read again before it is used
 	RecordOlder                                // newer version but older content: the state service lost data
-	RecordChainBroken                          // it replaced an earlier version than the known one: data was lost in between
+	RecordChainBroken                          // it replaced an older record than the known one, which was lost
 )
 
 // CompareRecord compares a record, and its version in the state service, with the known one.
