--- a/internal/jobstate/orphan.go
+++ b/internal/jobstate/orphan.go
@@ -25,7 +25,7 @@
 	UnknownSizeBound(status *MachineStatus) (cpus, gpus float64)
 }
 
-// orphanCount sums up the tasks of one machine status that can't be assigned as attempts.
+// orphanCount sums up the tasks of one machine status that cannot be assigned as attempts.
 type orphanCount struct {
 	unknownSize []AttemptRef
 	sized       Resources // total of the tasks of known size
@@ -85,7 +85,7 @@
 	delete(o.machines, machine)
 }
 
-// sum is the total of all reservations.
+// sum returns the total of all reservations.
 func (o *orphanReservations) sum() (all Resources) {
 	for _, r := range o.machines {
 		all = all.plus(r.resources)
