--- a/internal/admission/fairshares.go
+++ b/internal/admission/fairshares.go
@@ -159,8 +159,8 @@
 	return sum * sum / (float64(len(parts)) * squares)
 }
 
-// Smallest is the smallest of some parts; 1 if there are none.
-func Smallest(parts []float64) float64 {
+// MinShare is the smallest of some parts; 1 if there are none.
+func MinShare(parts []float64) float64 {
 	least := 1.0
 	for _, x := range parts {
 		least = math.Min(least, x)
--- a/internal/admission/fairshares_test.go
+++ b/internal/admission/fairshares_test.go
@@ -149,7 +149,7 @@
 	life  int
 	owner string
 	since uint64
-	known Agreement
+	known PlanState
 	maker *Planner
 	seen  map[string]ID
 }
--- a/internal/admission/floors_test.go
+++ b/internal/admission/floors_test.go
@@ -22,7 +22,7 @@
 // TestClassOfATeamAtItsLimitHasAFloor: a class starved within one team at its limit while other teams' jobs of the same class
 // ran, since neither the class as a whole nor the team had too little.
 func TestClassOfATeamAtItsLimitHasAFloor(t *testing.T) {
-	in, maker := crowdedTeam(), NewPlanner(1, &Agreement{})
+	in, maker := crowdedTeam(), NewPlanner(1, &PlanState{})
 	start := time.Unix(1000, 0)
 	after := func(d time.Duration) *Plan {
 		maker.Step(start.Add(d), in, nil)
@@ -41,7 +41,7 @@
 	if plan.Floor(want.Key) != 0 || len(plan.Reserved) != 0 {
 		t.Errorf("a floor within a limit has %g CPUs of machines and %v are held", plan.Floor(want.Key), plan.Reserved)
 	}
-	heir := NewPlanner(2, &Agreement{inForce: plan})
+	heir := NewPlanner(2, &PlanState{inForce: plan})
 	heir.Step(start.Add(3*time.Minute), in, nil)
 	heir.Step(start.Add(3*time.Minute+2*planInterval), in, nil)
 	if force, _ := heir.Plans(); len(force.Floors) != 1 || force.Floors[0] != want {
--- a/internal/admission/needs.go
+++ b/internal/admission/needs.go
@@ -10,8 +10,8 @@
 // arrives any more.
 const backlogTime = 10 * time.Minute
 
-// Waiting is what waits of one job.
-type Waiting struct {
+// PendingWork is what waits of one job.
+type PendingWork struct {
 	CPUs            float64 // in all, with what is beyond the team's quota
 	Rank            int     // of its priority
 	TaskCPUs        float64
@@ -47,7 +47,7 @@
 }
 
 // AddWaiting adds what waits of a job.
-func (n *Needs) AddWaiting(k Key, w Waiting) {
+func (n *Needs) AddWaiting(k Key, w PendingWork) {
 	need := n.of(k)
 	need.Waiting += w.CPUs
 	need.Rank = w.Rank
--- a/internal/admission/plan.go
+++ b/internal/admission/plan.go
@@ -80,20 +80,20 @@
 	Next    *Plan `json:"next,omitempty"`
 }
 
-// Agreement is a controller's part of the plans: what it acts on and what it has received. A
+// PlanState is a controller's part of the plans: what it acts on and what it has received. A
 // plan comes into force when every member has received it, and is sent only together with the
 // one in force, so that what any two controllers act on is at most one plan apart; and no
 // machine is held for one class in a plan and for another one in the next.
-type Agreement struct {
+type PlanState struct {
 	inForce *Plan
 	next    *Plan
 }
 
 // InForce is the plan to act on; nil for none.
-func (a *Agreement) InForce() *Plan { return a.inForce }
+func (a *PlanState) InForce() *Plan { return a.inForce }
 
 // Latest is the latest plan received.
-func (a *Agreement) Latest() ID {
+func (a *PlanState) Latest() ID {
 	var id ID
 	for _, p := range []*Plan{a.inForce, a.next} {
 		if p != nil && p.ID.Compare(id) > 0 {
@@ -105,7 +105,7 @@
 
 // Apply takes in what the owner of the fleet shard since a term sends. What an earlier owner sent is ignored if it
 // arrives late.
-func (a *Agreement) Apply(since uint64, w PlanStatus) {
+func (a *PlanState) Apply(since uint64, w PlanStatus) {
 	if w.InForce == nil || w.InForce.SinceTerm > since || w.Next != nil && w.Next.SinceTerm != since {
 		return
 	}
--- a/internal/admission/planner.go
+++ b/internal/admission/planner.go
@@ -37,7 +37,7 @@
 
 // NewPlanner goes on with what its controller acts on and has received: others may act on
 // either. One that knows no plan begins with an empty one, which contradicts none.
-func NewPlanner(since uint64, known *Agreement) *Planner {
+func NewPlanner(since uint64, known *PlanState) *Planner {
 	m := &Planner{
 		sinceTerm:  since,
 		belowSince: map[Key]time.Time{},
--- a/internal/admission/planner_test.go
+++ b/internal/admission/planner_test.go
@@ -125,7 +125,7 @@
 			if out == "" {
 				if n := names[rng.IntN(3)]; n != owner { // once its lease has ended it places nothing
 					out = n
-					seats[n].known = Agreement{}
+					seats[n].known = PlanState{}
 					seats[n].life++
 				}
 			} else {
@@ -187,7 +187,7 @@
 	const machines, size = 12, 32.0
 	on := make([][]task, machines)
 	large, small := Key{"t", "large"}, Key{"t", "small"}
-	agreed := &Agreement{}
+	agreed := &PlanState{}
 	maker := NewPlanner(1, agreed)
 	w := &Weights{FloorShare: 0.5, FloorAfter: 20 * time.Second}
 	now := time.Unix(1000, 0)
--- a/internal/admission/prioritize.go
+++ b/internal/admission/prioritize.go
@@ -24,8 +24,8 @@
 	Prioritized int
 }
 
-// Lacks is how many CPUs a key that uses so many has less than its floor; negative if it has more.
-func (p *Plan) Lacks(k Key, used float64) float64 { return p.Floor(k) - used }
+// Deficit is how many CPUs a key that uses so many has less than its floor; negative if it has more.
+func (p *Plan) Deficit(k Key, used float64) float64 { return p.Floor(k) - used }
 
 // PrioritizeTasks raises Prioritized of a team's waiting tasks by as many as their classes lack of their floors. Lacks
 // is by class, in CPUs.
--- a/internal/admission/prioritize_test.go
+++ b/internal/admission/prioritize_test.go
@@ -39,8 +39,8 @@
 func TestNeeds(t *testing.T) {
 	team, other := Key{"a", "batch"}, Key{"b", "batch"}
 	needs := NewNeeds(time.Minute)
-	needs.AddWaiting(team, Waiting{CPUs: 8, Rank: 2, TaskCPUs: 2, TaskMemory: 3, EstimateSeconds: 30})
-	needs.AddWaiting(team, Waiting{CPUs: 4, Rank: 1, TaskCPUs: 1, TaskMemory: 5, EstimateSeconds: 30})
+	needs.AddWaiting(team, PendingWork{CPUs: 8, Rank: 2, TaskCPUs: 2, TaskMemory: 3, EstimateSeconds: 30})
+	needs.AddWaiting(team, PendingWork{CPUs: 4, Rank: 1, TaskCPUs: 1, TaskMemory: 5, EstimateSeconds: 30})
 	needs.AddUsed(team, 6)
 	needs.AddArrival(team, 120, 3*time.Second)
 	needs.AddArrival(team, 480, 30*time.Second)
@@ -52,7 +52,7 @@
 		t.Errorf("needs %+v, want %+v", list, want)
 	}
 	needs = NewNeeds(time.Minute)
-	needs.AddWaiting(other, Waiting{CPUs: 600, TaskCPUs: 1, EstimateSeconds: 60})
+	needs.AddWaiting(other, PendingWork{CPUs: 600, TaskCPUs: 1, EstimateSeconds: 60})
 	if list := needs.List(); len(list) != 1 || list[0].Rate != 60 {
 		t.Errorf("a backlog of 36000 CPU seconds gives %+v", list)
 	}
--- a/internal/admission/served_test.go
+++ b/internal/admission/served_test.go
@@ -22,7 +22,7 @@
 	if got := s.Counts(now); len(got) != 0 {
 		t.Fatalf("%v after the window", slices.Collect(maps.Keys(got)))
 	}
-	if j := JainIndex([]float64{1, 0, 0, 0}); j != 0.25 || JainIndex([]float64{2, 2}) != 1 || Smallest([]float64{0.4, 0.9}) != 0.4 {
+	if j := JainIndex([]float64{1, 0, 0, 0}); j != 0.25 || JainIndex([]float64{2, 2}) != 1 || MinShare([]float64{0.4, 0.9}) != 0.4 {
 		t.Fatal(j)
 	}
 }
--- a/internal/cli/config.go
+++ b/internal/cli/config.go
@@ -41,7 +41,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("%w: %w", errUsage, err)
 	}
-	client := kvstore.New(s.Outside.KVStore, s.Deployment.KVStore, len(s.Peers)+2)
+	client := kvstore.New(s.Services.KVStore, s.Deployment.KVStore, len(s.Peers)+2)
 	go client.Run(ctx)
 	w := teamstore.New(client, s.Deployment.Teams)
 	return w, w.BindEpoch(ctx, controlRecord)
--- a/internal/cli/config_test.go
+++ b/internal/cli/config_test.go
@@ -26,7 +26,7 @@
 	dir := t.TempDir()
 	file := filepath.Join(dir, "settings.json")
 	data, err := json.Marshal(settings.Settings{Name: "node-a", Listen: "127.0.0.1:1", PeerListen: "127.0.0.1:2",
-		Outside: settings.Outside{KVStore: store.Addr(), Cloud: "127.0.0.1:3"},
+		Services: settings.ServiceAddrs{KVStore: store.Addr(), Cloud: "127.0.0.1:3"},
 		Deployment: settings.Deployment{Zones: []string{"z"}, Teams: []settings.Team{{Name: "red", CPUs: 4, CPUsMax: 8}},
 			Agents: settings.Agents{HeartbeatSeconds: 1, LeaseSeconds: 5, CancelSeconds: 10}, KVStore: settings.KVStore{RequestsPerSecond: 1000, ChangesPerSecond: 1000, ValueKB: 8, ChangesPerTransaction: 8},
 			Cloud: settings.Cloud{RequestsPerSecond: 1}, Limits: settings.Limits{Cores: 1, MemoryMB: 64, MaxSockets: 64}}})
--- a/internal/cli/region.go
+++ b/internal/cli/region.go
@@ -190,7 +190,7 @@
 		Zone:       zone,
 		Listen:     listen,
 		PeerListen: peers[name],
-		Outside:    settings.Outside{Cloud: g.cloud.Addr(), KVStore: g.state.Addr()},
+		Services:   settings.ServiceAddrs{Cloud: g.cloud.Addr(), KVStore: g.state.Addr()},
 		Deployment: settings.Deployment{
 			Size:  len(demoControllers),
 			Zones: demoZones,
--- a/internal/controller/admission.go
+++ b/internal/controller/admission.go
@@ -19,7 +19,7 @@
 
 // admissionState holds the admission plans and the counts they are judged by. Node.mu guards it.
 type admissionState struct {
-	agreement     admission.Agreement
+	agreement     admission.PlanState
 	planner       *admission.Planner // while this controller owns the fleet
 	served        *admission.ServedCounts
 	rateLimiter   *admission.RateLimiter
@@ -78,7 +78,7 @@
 	lacks := map[string]float64{}
 	var waiting []*admission.WaitingTasks
 	for i, d := range list {
-		j, lack := n.jobs[d.Spec.UID], plan.Lacks(admissionKey(d.Spec), used[d.Spec.Class])
+		j, lack := n.jobs[d.Spec.UID], plan.Deficit(admissionKey(d.Spec), used[d.Spec.Class])
 		if j != nil && !d.Probe && d.Spec.CPUs > 0 && lack >= d.Spec.CPUs {
 			lacks[d.Spec.Class] = lack
 			waiting = append(waiting, n.waitingTasks(j, i, &d, prioritized[i], now))
@@ -216,7 +216,7 @@
 func addWaiting(needs *admission.Needs, demands []autoscaler.Demand) {
 	for i := range demands {
 		d := &demands[i]
-		needs.AddWaiting(admissionKey(d.Spec), admission.Waiting{
+		needs.AddWaiting(admissionKey(d.Spec), admission.PendingWork{
 			CPUs:            float64(d.Count)*d.Spec.CPUs + d.CPUsBeyondQuota,
 			Rank:            protocol.Rank(d.Spec.Priority),
 			TaskCPUs:        d.Spec.CPUs,
--- a/internal/controller/autoscaling.go
+++ b/internal/controller/autoscaling.go
@@ -137,7 +137,7 @@
 	return autoscaler.Options{
 		IdleTimeout:    settings.Seconds(n.options.IdleReturnSeconds),
 		Warm:           n.options.WarmMachines,
-		SafetyRunTimes: n.options.Haste,
+		SafetyRunTimes: n.options.SafetyRunTimes,
 		SpotShare:      n.options.SpotShare,
 		// A list may be twice as old as the list lag, and a heartbeat may be late.
 		UnlistedTimeout: settings.Seconds(2*deployment.Cloud.ListLagSeconds) + time.Second,
--- a/internal/controller/autoscaling_inputs.go
+++ b/internal/controller/autoscaling_inputs.go
@@ -173,7 +173,7 @@
 // machine takes about that long to come up.
 func (n *Node) dueTime(j *job, now time.Time) time.Time {
 	objective, late := n.nextObjective(j, now)
-	haste := time.Duration(n.options.Haste * float64(j.spec.RunTime()))
+	haste := time.Duration(n.options.SafetyRunTimes * float64(j.spec.RunTime()))
 	switch {
 	case late:
 		return now.Add(haste + time.Minute)
--- a/internal/controller/changesync_test.go
+++ b/internal/controller/changesync_test.go
@@ -18,7 +18,7 @@
 
 // newStoppedNode returns a controller with the team red, none of whose goroutines run.
 func newStoppedNode(addr string) *Node {
-	s := &settings.Settings{Name: "node-a", Outside: settings.Outside{KVStore: addr},
+	s := &settings.Settings{Name: "node-a", Services: settings.ServiceAddrs{KVStore: addr},
 		Deployment: settings.Deployment{Teams: []settings.Team{{Name: "red", CPUsMax: 8}},
 			KVStore: settings.KVStore{RequestsPerSecond: 2000, ChangesPerSecond: 2000, ChangesPerTransaction: 8, ValueKB: 8}, Cloud: settings.Cloud{RequestsPerSecond: 1}}}
 	n := New(s, settings.DefaultOptions(), slog.New(slog.DiscardHandler))
--- a/internal/controller/config_bench_test.go
+++ b/internal/controller/config_bench_test.go
@@ -97,7 +97,7 @@
 	var group sync.WaitGroup
 	for i := range controllers {
 		s := &settings.Settings{Name: fmt.Sprintf("node-%02d", i), Zone: "east", Listen: listen[i], PeerListen: peers[i], Deployment: d,
-			Outside: settings.Outside{Cloud: cloud.Addr(), KVStore: x.store.open(b, store.Addr())}}
+			Services: settings.ServiceAddrs{Cloud: cloud.Addr(), KVStore: x.store.open(b, store.Addr())}}
 		for k := range controllers {
 			if k != i {
 				s.Peers = append(s.Peers, settings.Peer{Name: fmt.Sprintf("node-%02d", k), Zone: "east", Endpoint: peers[k]})
@@ -105,7 +105,7 @@
 		}
 		x.sets = append(x.sets, s)
 		o := settings.DefaultOptions()
-		o.ConfigBoundSeconds = 6
+		o.ConfigMaxAgeSeconds = 6
 		group.Go(func() { _ = Run(ctx, s, o, slog.New(slog.DiscardHandler)) })
 	}
 	client := kvstore.New(store.Addr(), limits, 1)
--- a/internal/controller/golden_test.go
+++ b/internal/controller/golden_test.go
@@ -79,7 +79,7 @@
 	goldenCopy   = jobstate.Copy{Seq: 17, Assignments: []jobstate.Assignment{goldenHold}, Done: jobstate.DoneTasks{"job-000398": finishedTasks(), "job-000412": bitset.New(0).Set(1)}}
 	goldenStored = userapi.ActiveJob{Spec: goldentest.Submission(), SubmittedAtMillis: 1767225600123}
 	goldenFinal  = userapi.JobEnd{State: protocol.Cancelled, Tasks: 16, Team: "vision", CPUs: 8, GPUs: 1, MemoryGB: 64.5}
-	goldenChange = teamconfig.Change{Team: "vision", Version: 412, Entry: teamconfig.Entry{Number: 3, Change: "drawn", CPUs: 96, CPUsMax: 192.5, GPUs: 8,
+	goldenChange = teamconfig.Change{Team: "vision", Version: 412, Entry: teamconfig.Entry{Number: 3, ChangeID: "drawn", CPUs: 96, CPUsMax: 192.5, GPUs: 8,
 		GPUsMax: 16, Removed: true, StopExcess: true}}
 )
 
--- a/internal/controller/node.go
+++ b/internal/controller/node.go
@@ -174,7 +174,7 @@
 // newClients creates the clients of the state service and the cloud.
 func (n *Node) newClients() {
 	controllers := len(n.settings.Peers) + 1
-	outside, deployment := &n.settings.Outside, &n.settings.Deployment
+	outside, deployment := &n.settings.Services, &n.settings.Deployment
 	n.kvStore = kvstore.New(outside.KVStore, deployment.KVStore, controllers)
 	n.kvStore.OnDataLoss(n.storeReportsLoss)
 	n.cloud = cloud.New(outside.Cloud, deployment.Cloud, controllers)
--- a/internal/controller/node_test.go
+++ b/internal/controller/node_test.go
@@ -87,7 +87,7 @@
 		}
 		r.storeEndpoints = append(r.storeEndpoints, door)
 		s := &settings.Settings{Name: n, Zone: "east", Listen: listen[n], PeerListen: peers[n],
-			Outside: settings.Outside{Cloud: r.cloud.Addr(), KVStore: door.Addr()},
+			Services: settings.ServiceAddrs{Cloud: r.cloud.Addr(), KVStore: door.Addr()},
 			Deployment: settings.Deployment{Size: 3, Zones: []string{"east", "west"},
 				Teams:   []settings.Team{{Name: "red", CPUs: 16, CPUsMax: 24}, {Name: "blue", CPUs: 8, CPUsMax: 16}},
 				Agents:  workers,
@@ -128,7 +128,7 @@
 	}
 	log := slog.New(slog.NewTextHandler(out, &slog.HandlerOptions{Level: slog.LevelDebug}))
 	set, options := r.nodeSettings[i], settings.DefaultOptions()
-	options.ControllerLeaseSeconds, options.CopyWaitSeconds, options.ConfigBoundSeconds = 2, r.copyWait, r.configBound
+	options.ControllerLeaseSeconds, options.CopyWaitSeconds, options.ConfigMaxAgeSeconds = 2, r.copyWait, r.configBound
 	go func() {
 		defer close(p.stopped)
 		if err := Run(ctx, set, options, log); err != nil && ctx.Err() == nil {
--- a/internal/controller/recovery_detect.go
+++ b/internal/controller/recovery_detect.go
@@ -203,7 +203,7 @@
 	revision, failed, err := n.kvStore.CompareVersions(ctx, plan.Conditions(limit))
 	conflict := errors.Is(err, kvstore.ErrConflict)
 	switch {
-	case errors.Is(err, kvstore.ErrRevisionWentBack):
+	case errors.Is(err, kvstore.ErrRevisionDecreased):
 		n.lossSeenHere()
 		return datarecovery.Missing
 	case (err == nil || conflict) && revision < plan.SeenRevision:
@@ -235,7 +235,7 @@
 	n.mu.Unlock()
 	began := time.Now()
 	changes, err := n.kvStore.Changes(ctx, userapi.WatchedPrefix, after)
-	if errors.Is(err, kvstore.ErrRevisionWentBack) {
+	if errors.Is(err, kvstore.ErrRevisionDecreased) {
 		n.lossSeenHere()
 		return datarecovery.Missing
 	} else if err != nil {
--- a/internal/controller/recovery_epoch.go
+++ b/internal/controller/recovery_epoch.go
@@ -23,7 +23,7 @@
 func (n *Node) relistKeys(ctx context.Context) {
 	began := time.Now()
 	entries, revision, err := n.kvStore.List(ctx, userapi.WatchedPrefix)
-	if errors.Is(err, kvstore.ErrRevisionWentBack) {
+	if errors.Is(err, kvstore.ErrRevisionDecreased) {
 		n.kvStore.ForgetRevisions()
 	}
 	if err != nil {
--- a/internal/controller/save.go
+++ b/internal/controller/save.go
@@ -34,7 +34,7 @@
 
 // savePages periodically writes the pages of finished tasks of all owned shards.
 func (n *Node) savePages(ctx context.Context) error {
-	for sleep(ctx, settings.Seconds(n.options.BitmapEverySeconds)) {
+	for sleep(ctx, settings.Seconds(n.options.BitmapIntervalSeconds)) {
 		n.mu.Lock()
 		if n.entitled(time.Now()) {
 			for shard := range n.shards.All() {
--- a/internal/controller/status.go
+++ b/internal/controller/status.go
@@ -73,7 +73,7 @@
 		others = append(others, wanted)
 	}
 	n.kvStore.SetRateByDemand(others)
-	return n.kvStore.WantedRate(now)
+	return n.kvStore.DemandRate(now)
 }
 
 // status composes this controller's status for its peers. It has side effects: it makes the promise that the status
--- a/internal/controller/teamconfig.go
+++ b/internal/controller/teamconfig.go
@@ -32,11 +32,11 @@
 
 // newTeamConfigState returns nil unless the options enable changes of the configuration.
 func newTeamConfigState(s *settings.Settings, o *settings.Options) *teamConfigState {
-	if o.ConfigBoundSeconds <= 0 {
+	if o.ConfigMaxAgeSeconds <= 0 {
 		return nil
 	}
 	return &teamConfigState{
-		config:      teamconfig.New(s.Deployment.Teams, settings.Seconds(o.ConfigBoundSeconds)),
+		config:      teamconfig.New(s.Deployment.Teams, settings.Seconds(o.ConfigMaxAgeSeconds)),
 		propagation: teamconfig.NewPropagation(),
 		baseDigest:  teamconfig.BaseDigest(s.Deployment.Teams),
 		behindSince: map[string]time.Time{},
@@ -90,7 +90,7 @@
 		return
 	}
 	overruled := len(n.teamConfig.config.Overruled())
-	if n.teamConfig.config.Learn(name, entry, e.Version) {
+	if n.teamConfig.config.ApplyEntry(name, entry, e.Version) {
 		n.log.Info("team configuration learned", "team", name, "number", entry.Number, "version", e.Version,
 			"cpus_max", entry.CPUsMax, "removed", entry.Removed)
 		n.wake()
@@ -103,14 +103,14 @@
 func (n *Node) logOverruled(known int) {
 	for _, x := range n.teamConfig.config.Overruled()[known:] {
 		n.log.Error("acknowledged change of a team configuration overruled",
-			"team", x.Team, "number", x.Entry.Number, "change", x.Entry.Change)
+			"team", x.Team, "number", x.Entry.Number, "change", x.Entry.ChangeID)
 	}
 }
 
 // recordConfigRead records that all watched keys are known up to n.followedRevision, by a read that began at a time.
 func (n *Node) recordConfigRead(began time.Time) {
 	if n.teamConfig != nil && n.trusted() && n.watchedKeysRead {
-		n.teamConfig.config.CaughtUp(n.followedRevision, began)
+		n.teamConfig.config.MarkReadUpTo(n.followedRevision, began)
 	}
 }
 
@@ -300,7 +300,7 @@
 	if n.teamConfig == nil || !n.trusted() || n.leadership.Record() == nil || m.Epoch != n.leadership.Epoch() {
 		return
 	}
-	n.teamConfig.config.LearnMissing(m.Changes, m.After, m.Known, m.RecordVersion, n.leadership.RecordVersion())
+	n.teamConfig.config.ApplyMissing(m.Changes, m.After, m.Known, m.RecordVersion, n.leadership.RecordVersion())
 	n.applyTeamLimits(now)
 	n.wake()
 }
@@ -322,7 +322,7 @@
 	overruled := len(n.teamConfig.config.Overruled())
 	for _, x := range changes {
 		if teamconfig.ValidTeam(x.Team) && x.Entry.Check() == nil {
-			n.teamConfig.config.LearnRemembered(x.Team, x.Entry)
+			n.teamConfig.config.ApplyRemembered(x.Team, x.Entry)
 		}
 	}
 	n.logOverruled(overruled)
--- a/internal/faultinjection/overload.go
+++ b/internal/faultinjection/overload.go
@@ -294,7 +294,7 @@
 		t.Got[class] /= max(n, 1)
 		parts = append(parts, t.Got[class]/t.Wanted[class])
 	}
-	t.Jain, t.Smallest = admission.JainIndex(parts), admission.Smallest(parts)
+	t.Jain, t.Smallest = admission.JainIndex(parts), admission.MinShare(parts)
 }
 
 var overloadPage = template.Must(template.New("overload").Parse(`<!doctype html>
--- a/internal/faultinjection/region.go
+++ b/internal/faultinjection/region.go
@@ -176,7 +176,7 @@
 		Zone:       "east",
 		Listen:     listen,
 		PeerListen: peerListen,
-		Outside:    settings.Outside{Cloud: g.cloud.Addr(), KVStore: store},
+		Services:   settings.ServiceAddrs{Cloud: g.cloud.Addr(), KVStore: store},
 		Deployment: settings.Deployment{
 			Size:  len(regionNames),
 			Zones: []string{"east", "west"},
--- a/internal/kvstore/fence.go
+++ b/internal/kvstore/fence.go
@@ -42,7 +42,7 @@
 		return ErrUnknown // the request was sent before ForgetRevisions
 	case wentBack:
 		f.reportDataLoss("revision lower than one seen")
-		return ErrRevisionWentBack
+		return ErrRevisionDecreased
 	}
 	return nil
 }
--- a/internal/kvstore/kvstore.go
+++ b/internal/kvstore/kvstore.go
@@ -27,17 +27,17 @@
 	"topazhollow/internal/settings"
 )
 
-// Errors that callers tell apart, with errors.Is. After ErrUnknown and ErrRevisionWentBack a change may have been made
+// Errors that callers tell apart, with errors.Is. After ErrUnknown and ErrRevisionDecreased a change may have been made
 // or be made later; after the others it was not.
 var (
-	ErrConflict         = errors.New("state: a guard did not hold")
-	ErrRefused          = errors.New("state: not executed")            // status 429 or 503, or never sent
-	ErrUnknown          = errors.New("state: no answer")               // may have been executed, or be executed yet
-	ErrLeaseExpired     = errors.New("state: no such lease")           // the lease has expired
-	ErrCompacted        = errors.New("state: watch fell too far back") // read the keys again
-	ErrInvalid          = errors.New("state: malformed request or answer")
-	ErrRevisionWentBack = fmt.Errorf("%w that counts: the service went back", ErrUnknown)
-	ErrUpdatesHeld      = fmt.Errorf("%w: held back here", ErrRefused)
+	ErrConflict          = errors.New("state: a guard did not hold")
+	ErrRefused           = errors.New("state: not executed")            // status 429 or 503, or never sent
+	ErrUnknown           = errors.New("state: no answer")               // may have been executed, or be executed yet
+	ErrLeaseExpired      = errors.New("state: no such lease")           // the lease has expired
+	ErrCompacted         = errors.New("state: watch fell too far back") // read the keys again
+	ErrInvalid           = errors.New("state: malformed request or answer")
+	ErrRevisionDecreased = fmt.Errorf("%w that counts: the service went back", ErrUnknown)
+	ErrUpdatesHeld       = fmt.Errorf("%w: held back here", ErrRefused)
 )
 
 // ConflictError is an ErrConflict that names the keys whose conditions did not hold.
@@ -84,9 +84,9 @@
 	return c
 }
 
-// WantedRate is how many changes a second this controller would make: those that came of late, and those that wait,
+// DemandRate is how many changes a second this controller would make: those that came of late, and those that wait,
 // within a second. It is to be called regularly.
-func (c *Client) WantedRate(now time.Time) float64 { return c.batcher.wantedRate(now) }
+func (c *Client) DemandRate(now time.Time) float64 { return c.batcher.wantedRate(now) }
 
 // UrgentDelay is how long what users wait for takes to be sent at the present rate, and that rate, in changes a
 // second.
--- a/internal/loadtest/region.go
+++ b/internal/loadtest/region.go
@@ -163,7 +163,7 @@
 		return err
 	}
 	s := &settings.Settings{Name: x.name, Zone: zoneName(i % g.c.Zones), Listen: x.listen, PeerListen: x.peers,
-		Outside: settings.Outside{Cloud: g.cloud.addr, KVStore: door.Addr()},
+		Services: settings.ServiceAddrs{Cloud: g.cloud.addr, KVStore: door.Addr()},
 		Deployment: settings.Deployment{Size: g.c.Controllers, Zones: g.zones(), Teams: g.teams(),
 			Objectives: []settings.Objective{{Kind: "wait", Class: urgentClass, WithinSeconds: g.c.UrgentWithin, Share: 0.99}},
 			Agents:     settings.Agents{HeartbeatSeconds: g.c.Report, LeaseSeconds: g.c.WorkerLease, GangWaitSeconds: 10, GangPeerSeconds: 4, CancelSeconds: g.c.Cancel},
--- a/internal/peer/delivery.go
+++ b/internal/peer/delivery.go
@@ -9,10 +9,10 @@
 	steadyGap    = 2 * time.Second // between two of the peer's statuses, longer than which they are not steady
 )
 
-// Delivery detects a half-open connection: one on which this controller sends while the peer, as its own statuses say
+// HalfOpenDetector detects a half-open connection: one on which this controller sends while the peer, as its own statuses say
 // on the connection of the other direction, receives nothing. The operating system may keep such a connection for many
 // minutes, as after a peer's machine or the path between lost it without notice. The zero value knows no connection.
-type Delivery struct {
+type HalfOpenDetector struct {
 	connectedAt  time.Time // when the connection began
 	lastStatusAt time.Time // when the peer's last status came
 	steadySince  time.Time // since when its statuses have come without a pause
@@ -21,12 +21,12 @@
 }
 
 // Connected notes a new connection to the peer.
-func (d *Delivery) Connected(now time.Time) { d.connectedAt = now }
+func (d *HalfOpenDetector) Connected(now time.Time) { d.connectedAt = now }
 
 // StatusReceived takes in a status of the peer that names the latest that it received from this process, in any units
 // that grow; 0 for nothing. It says whether the connection is half-open and should be reset. After that it counts as a
 // new one.
-func (d *Delivery) StatusReceived(now time.Time, received uint64) (stalled bool) {
+func (d *HalfOpenDetector) StatusReceived(now time.Time, received uint64) (stalled bool) {
 	if now.Sub(d.lastStatusAt) > steadyGap {
 		d.steadySince = now
 	}
--- a/internal/peer/delivery_test.go
+++ b/internal/peer/delivery_test.go
@@ -33,7 +33,7 @@
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
-			var d Delivery
+			var d HalfOpenDetector
 			d.Connected(start)
 			found := time.Duration(0)
 			for now := time.Duration(0); now < time.Minute && found == 0; now += every {
@@ -53,7 +53,7 @@
 
 // TestDeliveryIsResetOnce: a connection that was reset has the whole time again.
 func TestDeliveryIsResetOnce(t *testing.T) {
-	var d Delivery
+	var d HalfOpenDetector
 	start, resets := time.Unix(1000, 0), 0
 	d.Connected(start)
 	for now := time.Duration(0); now <= 2*stallTimeout; now += time.Second {
--- a/internal/settings/check.go
+++ b/internal/settings/check.go
@@ -40,8 +40,8 @@
 	addresses := []address{
 		{"serve_on", s.Listen},
 		{"peer_listen", s.PeerListen},
-		{"outside.cloud", s.Outside.Cloud},
-		{"outside.state", s.Outside.KVStore},
+		{"outside.cloud", s.Services.Cloud},
+		{"outside.state", s.Services.KVStore},
 	}
 	seen := map[string]bool{s.Name: true}
 	for i, p := range s.Peers {
--- a/internal/settings/golden_test.go
+++ b/internal/settings/golden_test.go
@@ -37,7 +37,7 @@
 	compare(t, []value{
 		{"host_name", s.Name, "estacion-1"}, {"zone", s.Zone, "a"}, {"serve_on", s.Listen, "10.0.0.1:8080"}, {"peer_listen", s.PeerListen, "10.0.0.1:8081"},
 		{"seeds.host_name", s.Peers[0].Name, "estacion-2"}, {"seeds.zone", s.Peers[0].Zone, "b"}, {"seeds.endpoint", s.Peers[0].Endpoint, "10.0.0.2:8081"},
-		{"outside.cloud", s.Outside.Cloud, "10.2.0.2:1"}, {"outside.state", s.Outside.KVStore, "10.2.0.1:2"},
+		{"outside.cloud", s.Services.Cloud, "10.2.0.2:1"}, {"outside.state", s.Services.KVStore, "10.2.0.1:2"},
 		{"initial_size", d.Size, 2}, {"zones", d.Zones, []string{"a", "b"}}, {"clock_off_ms", d.ClockErrorMillis, 25},
 		{"teams.name", team.Name, "vision"}, {"teams.cpus", team.CPUs, 96}, {"teams.cpus_max", team.CPUsMax, 192.5}, {"teams.gpus", team.GPUs, 8}, {"teams.gpus_max", team.GPUsMax, 16},
 		{"teams.cpus_max 0", d.Teams[1].CPUsMax, "+Inf"}, {"teams.gpus_max 0", d.Teams[1].GPUsMax, "+Inf"},
@@ -58,9 +58,9 @@
 	}
 	goldentest.AllSet(t, *o)
 	compare(t, []value{
-		{"sample_size", o.SampleSize, 33}, {"idle_return_s", o.IdleReturnSeconds, 11.5}, {"warm_machines", o.WarmMachines, 2}, {"spot_share", o.SpotShare, 0.5}, {"haste", o.Haste, 3},
-		{"node_lease_s", o.ControllerLeaseSeconds, 6}, {"class_floor", o.ClassFloor, 0.25}, {"floor_after_s", o.FloorAfterSeconds, 91}, {"config_bound_s", o.ConfigBoundSeconds, 12}, {"copy_wait_s", o.CopyWaitSeconds, 13},
-		{"bitmap_every_s", o.BitmapEverySeconds, 1.5}, {"team_weights", o.TeamWeights, map[string]float64{"vision": 2}}, {"class_weights", o.ClassWeights, map[string]float64{"train": 0.5}},
+		{"sample_size", o.SampleSize, 33}, {"idle_return_s", o.IdleReturnSeconds, 11.5}, {"warm_machines", o.WarmMachines, 2}, {"spot_share", o.SpotShare, 0.5}, {"haste", o.SafetyRunTimes, 3},
+		{"node_lease_s", o.ControllerLeaseSeconds, 6}, {"class_floor", o.ClassFloor, 0.25}, {"floor_after_s", o.FloorAfterSeconds, 91}, {"config_bound_s", o.ConfigMaxAgeSeconds, 12}, {"copy_wait_s", o.CopyWaitSeconds, 13},
+		{"bitmap_every_s", o.BitmapIntervalSeconds, 1.5}, {"team_weights", o.TeamWeights, map[string]float64{"vision": 2}}, {"class_weights", o.ClassWeights, map[string]float64{"train": 0.5}},
 	})
 }
 
@@ -68,8 +68,8 @@
 func TestGoldenDefaults(t *testing.T) {
 	o := DefaultOptions()
 	compare(t, []value{
-		{"sample_size", o.SampleSize, 32}, {"idle_return_s", o.IdleReturnSeconds, 10}, {"warm_machines", o.WarmMachines, 1}, {"spot_share", o.SpotShare, 1}, {"haste", o.Haste, 2},
-		{"node_lease_s", o.ControllerLeaseSeconds, 5}, {"class_floor", o.ClassFloor, 0.5}, {"floor_after_s", o.FloorAfterSeconds, 90}, {"config_bound_s", o.ConfigBoundSeconds, 0}, {"copy_wait_s", o.CopyWaitSeconds, 0},
-		{"bitmap_every_s", o.BitmapEverySeconds, 1}, {"team_weights", len(o.TeamWeights), 0}, {"class_weights", len(o.ClassWeights), 0},
+		{"sample_size", o.SampleSize, 32}, {"idle_return_s", o.IdleReturnSeconds, 10}, {"warm_machines", o.WarmMachines, 1}, {"spot_share", o.SpotShare, 1}, {"haste", o.SafetyRunTimes, 2},
+		{"node_lease_s", o.ControllerLeaseSeconds, 5}, {"class_floor", o.ClassFloor, 0.5}, {"floor_after_s", o.FloorAfterSeconds, 90}, {"config_bound_s", o.ConfigMaxAgeSeconds, 0}, {"copy_wait_s", o.CopyWaitSeconds, 0},
+		{"bitmap_every_s", o.BitmapIntervalSeconds, 1}, {"team_weights", len(o.TeamWeights), 0}, {"class_weights", len(o.ClassWeights), 0},
 	})
 }
--- a/internal/settings/script.go
+++ b/internal/settings/script.go
@@ -17,19 +17,19 @@
 	IdleReturnSeconds float64 // for which an idle machine is kept
 	WarmMachines      int     // machines kept even when idle
 	SpotShare         float64 // largest share of spot machines when scaling out
-	Haste             float64 // estimated run times in hand before a job is due, when scaling out
+	SafetyRunTimes    float64 // estimated run times in hand before a job is due, when scaling out
 
 	ControllerLeaseSeconds float64 // of a controller's lease in the key-value store
-	BitmapEverySeconds     float64 // between writes of finished tasks
+	BitmapIntervalSeconds  float64 // between writes of finished tasks
 
 	ClassFloor        float64            // part of its share that a class of a team is not kept under for long
 	FloorAfterSeconds float64            // under that part before a floor is kept
 	TeamWeights       map[string]float64 // of teams, where it is short; 1 if not given
 	ClassWeights      map[string]float64 // of classes, where it is short; 1 if not given
 
-	// ConfigBoundSeconds is after which time what is known of the teams' configuration is too old to rely on; 0 if the
+	// ConfigMaxAgeSeconds is after which time what is known of the teams' configuration is too old to rely on; 0 if the
 	// configuration does not change.
-	ConfigBoundSeconds float64
+	ConfigMaxAgeSeconds float64
 
 	// CopyWaitSeconds is for how long after a loss of the store's data the jobs that no controller remembers may come
 	// back with a copy; 0 until operators say that nothing more comes.
@@ -43,9 +43,9 @@
 		IdleReturnSeconds:      10,
 		WarmMachines:           1,
 		SpotShare:              1,
-		Haste:                  2,
+		SafetyRunTimes:         2,
 		ControllerLeaseSeconds: 5,
-		BitmapEverySeconds:     1,
+		BitmapIntervalSeconds:  1,
 		ClassFloor:             0.5,
 		FloorAfterSeconds:      90,
 	}
@@ -65,13 +65,13 @@
 	{"idle_return_s", 0, 86400, false, func(o *Options, v float64) { o.IdleReturnSeconds = v }},
 	{"warm_machines", 0, 10000, true, func(o *Options, v float64) { o.WarmMachines = int(v) }},
 	{"spot_share", 0, 1, false, func(o *Options, v float64) { o.SpotShare = v }},
-	{"haste", 0, 10, false, func(o *Options, v float64) { o.Haste = v }},
+	{"haste", 0, 10, false, func(o *Options, v float64) { o.SafetyRunTimes = v }},
 	{"node_lease_s", 2, 60, false, func(o *Options, v float64) { o.ControllerLeaseSeconds = v }},
 	{"class_floor", 0, 1, false, func(o *Options, v float64) { o.ClassFloor = v }},
 	{"floor_after_s", 0, 86400, false, func(o *Options, v float64) { o.FloorAfterSeconds = v }},
-	{"config_bound_s", 0, 600, false, func(o *Options, v float64) { o.ConfigBoundSeconds = v }},
+	{"config_bound_s", 0, 600, false, func(o *Options, v float64) { o.ConfigMaxAgeSeconds = v }},
 	{"copy_wait_s", 0, 86400, false, func(o *Options, v float64) { o.CopyWaitSeconds = v }},
-	{"bitmap_every_s", 0.1, 60, false, func(o *Options, v float64) { o.BitmapEverySeconds = v }},
+	{"bitmap_every_s", 0.1, 60, false, func(o *Options, v float64) { o.BitmapIntervalSeconds = v }},
 }
 
 // LoadScript runs the operator's script; no path means the defaults.
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -15,13 +15,13 @@
 
 // Settings is one controller's view of its deployment.
 type Settings struct {
-	Name       string     `json:"host_name"`
-	Zone       string     `json:"zone"`
-	Listen     string     `json:"serve_on"`
-	PeerListen string     `json:"peer_listen"`
-	Peers      []Peer     `json:"seeds"`
-	Outside    Outside    `json:"outside"`
-	Deployment Deployment `json:"deployment"`
+	Name       string       `json:"host_name"`
+	Zone       string       `json:"zone"`
+	Listen     string       `json:"serve_on"`
+	PeerListen string       `json:"peer_listen"`
+	Peers      []Peer       `json:"seeds"`
+	Services   ServiceAddrs `json:"outside"`
+	Deployment Deployment   `json:"deployment"`
 }
 
 // Peer is another controller.
@@ -31,8 +31,8 @@
 	Endpoint string `json:"endpoint"`
 }
 
-// Outside holds the addresses of the region's services, as IPv4 address and port.
-type Outside struct {
+// ServiceAddrs holds the addresses of the region's services, as IPv4 address and port.
+type ServiceAddrs struct {
 	Cloud   string `json:"cloud"`
 	KVStore string `json:"state"`
 }
--- a/internal/snapshot/follow.go
+++ b/internal/snapshot/follow.go
@@ -101,7 +101,7 @@
 			return nil
 		case errors.Is(err, errArchive):
 			return err
-		case errors.Is(err, kvstore.ErrRevisionWentBack):
+		case errors.Is(err, kvstore.ErrRevisionDecreased):
 			if err := f.lost(ctx, "its revision went back"); err != nil {
 				return err
 			}
--- a/internal/snapshot/restore.go
+++ b/internal/snapshot/restore.go
@@ -311,7 +311,7 @@
 	for {
 		_, err := r.c.Commit(ctx, u)
 		switch {
-		case errors.Is(err, kvstore.ErrUpdatesHeld), errors.Is(err, kvstore.ErrRevisionWentBack):
+		case errors.Is(err, kvstore.ErrUpdatesHeld), errors.Is(err, kvstore.ErrRevisionDecreased):
 			return fmt.Errorf("%w: the state service lost data again", ErrNoGeneration)
 		case err == nil || errors.Is(err, kvstore.ErrConflict):
 			return nil
--- a/internal/teamconfig/config.go
+++ b/internal/teamconfig/config.go
@@ -45,10 +45,10 @@
 	return c
 }
 
-// Learn takes in an entry that the state service holds, by the version of its key. A version that is not
+// ApplyEntry takes in an entry that the state service holds, by the version of its key. A version that is not
 // newer than the one known changes nothing, so that late and repeated messages do no harm. It says whether
 // anything changed.
-func (c *Config) Learn(name string, e Entry, version uint64) bool {
+func (c *Config) ApplyEntry(name string, e Entry, version uint64) bool {
 	t := c.teams[name]
 	if t == nil {
 		t = &team{}
@@ -64,7 +64,7 @@
 		// written back.
 		t.version = 0
 		return false
-	case e.Number == t.Number && e.Change == t.Change:
+	case e.Number == t.Number && e.ChangeID == t.ChangeID:
 		t.version = version
 		return false
 	case e.Number == t.Number:
@@ -74,17 +74,17 @@
 	return true
 }
 
-// LearnRemembered takes in an entry that a peer remembers and the state service may not have, as after a loss of data.
+// ApplyRemembered takes in an entry that a peer remembers and the state service may not have, as after a loss of data.
 // It says whether anything changed.
-func (c *Config) LearnRemembered(name string, e Entry) bool {
+func (c *Config) ApplyRemembered(name string, e Entry) bool {
 	t := c.teams[name]
 	if t == nil {
 		t = &team{}
 	}
 	switch {
-	case e.Number < t.Number, e.Number == t.Number && e.Change == t.Change:
+	case e.Number < t.Number, e.Number == t.Number && e.ChangeID == t.ChangeID:
 		return false
-	case e.Number == t.Number && (t.version > 0 || e.Change < t.Change):
+	case e.Number == t.Number && (t.version > 0 || e.ChangeID < t.ChangeID):
 		c.noteOverruled(name, e) // what the state service holds holds, else the same one everywhere
 		return false
 	case e.Number == t.Number:
@@ -117,20 +117,20 @@
 	c.notInForce[name] = t
 }
 
-// CaughtUp notes that every entry up to a revision was taken in, by a read that began then.
-func (c *Config) CaughtUp(revision uint64, asOf time.Time) {
+// MarkReadUpTo notes that every entry up to a revision was taken in, by a read that began then.
+func (c *Config) MarkReadUpTo(revision uint64, asOf time.Time) {
 	c.knownRevision = max(c.knownRevision, revision)
 	if asOf.After(c.readAt) {
 		c.readAt = asOf
 	}
 }
 
-// LearnMissing takes in what a peer that knows more has sent: all changes after the revision known here up to its own.
+// ApplyMissing takes in what a peer that knows more has sent: all changes after the revision known here up to its own.
 // record is the version of the membership record that it knew, own of that known here: revisions are known here only with
 // the records among them.
-func (c *Config) LearnMissing(changes []Change, after, known, record, own uint64) {
+func (c *Config) ApplyMissing(changes []Change, after, known, record, own uint64) {
 	for _, x := range changes {
-		c.Learn(x.Team, x.Entry, x.Version)
+		c.ApplyEntry(x.Team, x.Entry, x.Version)
 	}
 	if after <= c.knownRevision && own >= record {
 		c.knownRevision = max(c.knownRevision, known)
--- a/internal/teamconfig/entry.go
+++ b/internal/teamconfig/entry.go
@@ -22,12 +22,12 @@
 // Entry is a team's configuration as the state service has it.
 type Entry struct {
 	// Number is that of the team's change, from 1. It goes on after a loss of the state service's data.
-	Number  uint64  `json:"number"`
-	Change  string  `json:"change"`   // drawn name, by which whoever wrote the change knows it again
-	CPUs    float64 `json:"cpus"`     // guaranteed
-	CPUsMax float64 `json:"cpus_max"` // limit; 0: none
-	GPUs    float64 `json:"gpus"`     // guaranteed
-	GPUsMax float64 `json:"gpus_max"` // limit; 0: none
+	Number   uint64  `json:"number"`
+	ChangeID string  `json:"change"`   // drawn name, by which whoever wrote the change knows it again
+	CPUs     float64 `json:"cpus"`     // guaranteed
+	CPUsMax  float64 `json:"cpus_max"` // limit; 0: none
+	GPUs     float64 `json:"gpus"`     // guaranteed
+	GPUsMax  float64 `json:"gpus_max"` // limit; 0: none
 	// Removed says that the team takes no new jobs. The accepted ones run to their end within these limits.
 	Removed    bool `json:"removed,omitempty"`
 	StopExcess bool `json:"stop_excess,omitempty"`
@@ -61,7 +61,7 @@
 
 // Check names the first field that is out of range.
 func (e *Entry) Check() error {
-	if e.Number == 0 || e.Change == "" {
+	if e.Number == 0 || e.ChangeID == "" {
 		return &protocol.FieldError{Field: "number", Reason: "missing"}
 	}
 	for _, x := range []struct {
@@ -88,8 +88,8 @@
 	return l
 }
 
-// EntryOf is an entry, without number and name, that sets what the settings file says of a team.
-func EntryOf(t settings.Team) Entry {
+// EntryFromSettings is an entry, without number and name, that sets what the settings file says of a team.
+func EntryFromSettings(t settings.Team) Entry {
 	e := Entry{CPUs: t.CPUs, CPUsMax: t.CPUsMax, GPUs: t.GPUs, GPUsMax: t.GPUsMax}
 	for _, limit := range []*float64{&e.CPUsMax, &e.GPUsMax} {
 		if math.IsInf(*limit, 1) {
--- a/internal/teamconfig/golden_test.go
+++ b/internal/teamconfig/golden_test.go
@@ -12,7 +12,7 @@
 
 func TestGoldenEntry(t *testing.T) {
 	goldentest.Wire.Check(t, []goldentest.Case{
-		{Name: "entry-full.json", Value: Entry{Number: 3, Change: "drawn", CPUs: 96, CPUsMax: 192.5, GPUs: 8, GPUsMax: 16, Removed: true, StopExcess: true}, Full: true},
+		{Name: "entry-full.json", Value: Entry{Number: 3, ChangeID: "drawn", CPUs: 96, CPUsMax: 192.5, GPUs: 8, GPUsMax: 16, Removed: true, StopExcess: true}, Full: true},
 		{Name: "entry-empty.json", Value: Entry{}},
 	})
 }
--- a/internal/teamconfig/model_test.go
+++ b/internal/teamconfig/model_test.go
@@ -99,7 +99,7 @@
 func (w *world) change(team string) {
 	number := uint64(len(w.history[team]) + 1)
 	w.revision++
-	e := Entry{Number: number, Change: fmt.Sprint(number), CPUsMax: float64(1 + w.rng.IntN(9))}
+	e := Entry{Number: number, ChangeID: fmt.Sprint(number), CPUsMax: float64(1 + w.rng.IntN(9))}
 	w.history[team] = append(w.history[team], Change{team, e, w.revision})
 }
 
@@ -117,10 +117,10 @@
 			return
 		}
 		for _, x := range all {
-			n.conf.Learn(x.Team, x.Entry, x.Version)
+			n.conf.ApplyEntry(x.Team, x.Entry, x.Version)
 		}
 		w.adopt(n, r)
-		n.conf.CaughtUp(revision, began)
+		n.conf.MarkReadUpTo(revision, began)
 	})
 }
 
@@ -273,7 +273,7 @@
 						return
 					}
 					before := n.conf.KnownRevision()
-					n.conf.LearnMissing(lesson, after, known, rec, n.record.version)
+					n.conf.ApplyMissing(lesson, after, known, rec, n.record.version)
 					if n.conf.KnownRevision() > before {
 						w.taught++
 					}
--- a/internal/teamconfig/teamconfig_test.go
+++ b/internal/teamconfig/teamconfig_test.go
@@ -14,7 +14,7 @@
 var start = time.Unix(1e6, 0)
 
 func entry(number uint64, change string, cpus float64) Entry {
-	return Entry{Number: number, Change: change, CPUsMax: cpus}
+	return Entry{Number: number, ChangeID: change, CPUsMax: cpus}
 }
 
 func (c *Config) max(t *testing.T, name string, now time.Time) float64 {
@@ -28,9 +28,9 @@
 // TestStaleConfigKeepsSmallerLimits: by knowledge older than the bound a raised quota counts only once it is in force, a lowered one at once.
 func TestStaleConfigKeepsSmallerLimits(t *testing.T) {
 	c := New([]settings.Team{{Name: "red", CPUsMax: 8}}, 4*time.Second)
-	c.CaughtUp(10, start)
-	c.Learn("red", entry(1, "a", 20), 11)
-	c.CaughtUp(11, start)
+	c.MarkReadUpTo(10, start)
+	c.ApplyEntry("red", entry(1, "a", 20), 11)
+	c.MarkReadUpTo(11, start)
 	fresh, old := start.Add(4*time.Second), start.Add(5*time.Second)
 	if c.max(t, "red", fresh) != 20 || c.max(t, "red", old) != 8 {
 		t.Errorf("raised: %g by fresh and %g by old knowledge", c.max(t, "red", fresh), c.max(t, "red", old))
@@ -39,7 +39,7 @@
 	if c.max(t, "red", old) != 20 {
 		t.Errorf("raised and in force: %g", c.max(t, "red", old))
 	}
-	c.Learn("red", entry(2, "b", 3), 12)
+	c.ApplyEntry("red", entry(2, "b", 3), 12)
 	if c.max(t, "red", fresh) != 3 || c.max(t, "red", old) != 3 {
 		t.Errorf("lowered: %g", c.max(t, "red", fresh))
 	}
@@ -54,9 +54,9 @@
 	newer := []settings.Team{{Name: "red", CPUsMax: 16}}
 	for _, base := range [][]settings.Team{older, newer} {
 		c := New(base, time.Second)
-		c.Learn("red", entry(3, "x", 5), 7)
-		c.Learn("gone", Entry{Number: 1, Change: "y", CPUsMax: 4, Removed: true}, 8)
-		c.CaughtUp(9, start)
+		c.ApplyEntry("red", entry(3, "x", 5), 7)
+		c.ApplyEntry("gone", Entry{Number: 1, ChangeID: "y", CPUsMax: 4, Removed: true}, 8)
+		c.MarkReadUpTo(9, start)
 		_, takes := c.AcceptsJobs("gone")
 		if c.max(t, "red", start) != 5 || takes || c.max(t, "gone", start) != 4 || len(c.Teams()) != 2 {
 			t.Errorf("with %v: %v, takes %v", base, c.Teams(), takes)
@@ -110,9 +110,9 @@
 		}
 		read := func(c *Config) {
 			for team, s := range store {
-				c.Learn(team, s.Entry, s.version)
+				c.ApplyEntry(team, s.Entry, s.version)
 			}
-			c.CaughtUp(revision, start)
+			c.MarkReadUpTo(revision, start)
 		}
 		for generation := range 1 + rng.IntN(3) {
 			saved, savedRevision := map[string]stored{}, revision
@@ -149,7 +149,7 @@
 				for _, from := range rng.Perm(3) {
 					for _, to := range rng.Perm(3) {
 						for _, x := range nodes[from].Unwritten() {
-							nodes[to].LearnRemembered(x.Team, x.Entry)
+							nodes[to].ApplyRemembered(x.Team, x.Entry)
 						}
 					}
 				}
@@ -176,7 +176,7 @@
 			for team, e := range known {
 				if s := store[team]; s.Number < e.Number {
 					t.Fatalf("seed %d: change %d of %s vanished", seed, e.Number, team)
-				} else if s.Number == e.Number && s.Change != e.Change {
+				} else if s.Number == e.Number && s.ChangeID != e.ChangeID {
 					overruled++
 					if !named(nodes, e) {
 						t.Fatalf("seed %d: change %d of %s was overruled and nobody says so", seed, e.Number, team)
@@ -204,9 +204,9 @@
 // TestLateStatuses: what arrives late or twice, of entries and of members, changes nothing.
 func TestLateStatuses(t *testing.T) {
 	c := New(nil, time.Second)
-	c.Learn("red", entry(1, "a", 8), 11)
-	c.Learn("red", entry(2, "b", 4), 12)
-	if c.Learn("red", entry(2, "b", 4), 12) || c.Learn("red", entry(1, "a", 8), 11) || len(c.Unwritten()) > 0 || c.Version("red") != 12 {
+	c.ApplyEntry("red", entry(1, "a", 8), 11)
+	c.ApplyEntry("red", entry(2, "b", 4), 12)
+	if c.ApplyEntry("red", entry(2, "b", 4), 12) || c.ApplyEntry("red", entry(1, "a", 8), 11) || len(c.Unwritten()) > 0 || c.Version("red") != 12 {
 		t.Errorf("a late entry: version %d, unwritten %v", c.Version("red"), c.Unwritten())
 	}
 	f := NewPropagation()
@@ -222,12 +222,12 @@
 // TestEntries: amounts out of range and names that are no part of a key are refused, a limit of 0 is none.
 func TestEntries(t *testing.T) {
 	for e, want := range map[Entry]string{
-		{Number: 1, Change: "a", CPUs: -1}:         "cpus",
-		{Number: 1, Change: "a", CPUsMax: 0.001}:   "cpus_max",
-		{Number: 1, Change: "a", GPUsMax: 1e10}:    "gpus_max",
-		{Number: 1, Change: "a", GPUs: math.NaN()}: "gpus",
-		{Number: 0, Change: "a"}:                   "number",
-		{Number: 1, Change: "a", CPUsMax: 8}:       "",
+		{Number: 1, ChangeID: "a", CPUs: -1}:         "cpus",
+		{Number: 1, ChangeID: "a", CPUsMax: 0.001}:   "cpus_max",
+		{Number: 1, ChangeID: "a", GPUsMax: 1e10}:    "gpus_max",
+		{Number: 1, ChangeID: "a", GPUs: math.NaN()}: "gpus",
+		{Number: 0, ChangeID: "a"}:                   "number",
+		{Number: 1, ChangeID: "a", CPUsMax: 8}:       "",
 	} {
 		if err := e.Check(); (err == nil) != (want == "") || err != nil && !strings.Contains(err.Error(), want) {
 			t.Errorf("%+v: %v, want %q", e, err, want)
@@ -239,7 +239,7 @@
 		}
 	}
 	e := entry(1, "a", 0)
-	if l := e.Limits(); !math.IsInf(l.CPUsMax, 1) || EntryOf(l.team("red")).CPUsMax != 0 {
+	if l := e.Limits(); !math.IsInf(l.CPUsMax, 1) || EntryFromSettings(l.team("red")).CPUsMax != 0 {
 		t.Errorf("%+v", l)
 	}
 }
@@ -247,14 +247,14 @@
 // TestFailoverNeedsKnownRevision: who takes a team over starts nothing before it knows all that was in force by then.
 func TestFailoverNeedsKnownRevision(t *testing.T) {
 	c := New(nil, time.Second)
-	c.CaughtUp(10, start)
+	c.MarkReadUpTo(10, start)
 	c.RequireRevision(15)
-	c.LearnMissing([]Change{{"red", entry(1, "a", 4), 14}}, 10, 20, 16, 15)
-	c.LearnMissing([]Change{{"red", entry(2, "b", 3), 17}}, 12, 20, 15, 15)
+	c.ApplyMissing([]Change{{"red", entry(1, "a", 4), 14}}, 10, 20, 16, 15)
+	c.ApplyMissing([]Change{{"red", entry(2, "b", 3), 17}}, 12, 20, 15, 15)
 	if c.Ready() || c.KnownRevision() != 10 {
 		t.Errorf("known up to %d", c.KnownRevision())
 	}
-	if c.CaughtUp(15, start); !c.Ready() {
+	if c.MarkReadUpTo(15, start); !c.Ready() {
 		t.Error("does not begin")
 	}
 	if c.StartEpoch(); c.KnownRevision() != 0 || len(c.Unwritten()) != 1 {
--- a/internal/teamstore/teamstore.go
+++ b/internal/teamstore/teamstore.go
@@ -80,13 +80,13 @@
 	for {
 		e, version, known, err := w.read(ctx, team)
 		if err == nil {
-			if e.Change == change { // an earlier try was carried out after all
+			if e.ChangeID == change { // an earlier try was carried out after all
 				return Committed{team, e, version}, nil
 			}
 			if err := edit(&e, known); err != nil {
 				return Committed{}, err
 			}
-			e.Number, e.Change = e.Number+1, change
+			e.Number, e.ChangeID = e.Number+1, change
 			if err := e.Check(); err != nil {
 				return Committed{}, err
 			}
@@ -99,7 +99,7 @@
 				return Committed{team, e, version}, nil
 			}
 		}
-		if errors.Is(err, kvstore.ErrUpdatesHeld) || errors.Is(err, kvstore.ErrRevisionWentBack) || errors.Is(err, kvstore.ErrInvalid) {
+		if errors.Is(err, kvstore.ErrUpdatesHeld) || errors.Is(err, kvstore.ErrRevisionDecreased) || errors.Is(err, kvstore.ErrInvalid) {
 			return Committed{}, err
 		}
 		select {
@@ -122,7 +122,7 @@
 	}
 	for _, t := range w.base {
 		if t.Name == team {
-			return teamconfig.EntryOf(t), 0, true, nil
+			return teamconfig.EntryFromSettings(t), 0, true, nil
 		}
 	}
 	return e, 0, false, nil
