--- a/internal/admission/fairshares.go
+++ b/internal/admission/fairshares.go
@@ -24,8 +24,8 @@
 	return cmp.Or(strings.Compare(k.Team, o.Team), strings.Compare(k.Class, o.Class))
 }
 
-// Need is what a key uses and asks for, in CPUs.
-type Need struct {
+// Demand is what a key uses and asks for, in CPUs.
+type Demand struct {
 	Key
 	Used       float64 // on machines
 	Waiting    float64 // could start now, within the team's quota
@@ -35,7 +35,7 @@
 	Rank       int     // of its priority; higher is more urgent
 }
 
-func (n *Need) total() float64 { return n.Used + n.Waiting }
+func (n *Demand) total() float64 { return n.Used + n.Waiting }
 
 // Weights are the operators' choices. What is not named has the weight 1.
 type Weights struct {
@@ -87,7 +87,7 @@
 
 // FairShares divides CPUs among the keys: first each team gets what it asks for within its guaranteed quota, then the
 // rest goes by weight, and within a team by weight among its classes.
-func FairShares(cpus float64, needs []Need, teams map[string]Quota, w *Weights) map[Key]float64 {
+func FairShares(cpus float64, needs []Demand, teams map[string]Quota, w *Weights) map[Key]float64 {
 	byTeam := needsByTeam(needs)
 	names := slices.Sorted(maps.Keys(byTeam))
 	ofTeams := teamShares(cpus, names, byTeam, teams, w)
@@ -106,8 +106,8 @@
 }
 
 // needsByTeam sorts the needs by team, those that are not empty.
-func needsByTeam(needs []Need) map[string][]Need {
-	byTeam := map[string][]Need{}
+func needsByTeam(needs []Demand) map[string][]Demand {
+	byTeam := map[string][]Demand{}
 	for _, n := range needs {
 		if n.total() > 0 {
 			byTeam[n.Team] = append(byTeam[n.Team], n)
@@ -117,7 +117,7 @@
 }
 
 // teamShares divides CPUs among teams: what they ask for within their guaranteed quotas first, the rest by weight.
-func teamShares(cpus float64, names []string, byTeam map[string][]Need, teams map[string]Quota, w *Weights) []float64 {
+func teamShares(cpus float64, names []string, byTeam map[string][]Demand, teams map[string]Quota, w *Weights) []float64 {
 	within, beyond := make([]float64, len(names)), make([]float64, len(names))
 	guaranteed, weights := make([]float64, len(names)), make([]float64, len(names))
 	for i, name := range names {
--- a/internal/admission/fairshares_test.go
+++ b/internal/admission/fairshares_test.go
@@ -14,7 +14,7 @@
 	for seed := range uint64(200) {
 		rng := rand.New(rand.NewPCG(seed, 3))
 		teams, w := map[string]Quota{}, &Weights{Team: map[string]float64{}, Class: map[string]float64{"c0": float64(1 + rng.IntN(3))}}
-		var needs []Need
+		var needs []Demand
 		for i := range 1 + rng.IntN(4) {
 			team := fmt.Sprint("t", i)
 			g := Quota{Guaranteed: float64(rng.IntN(4) * 20)}
@@ -24,7 +24,7 @@
 			teams[team] = g
 			w.Team[team] = float64(1 + rng.IntN(2))
 			for j := range 1 + rng.IntN(3) {
-				needs = append(needs, Need{Key: Key{team, fmt.Sprint("c", j)}, Used: float64(rng.IntN(30)), Waiting: float64(rng.IntN(60))})
+				needs = append(needs, Demand{Key: Key{team, fmt.Sprint("c", j)}, Used: float64(rng.IntN(30)), Waiting: float64(rng.IntN(60))})
 			}
 		}
 		cpus := float64(rng.IntN(250))
@@ -105,7 +105,7 @@
 func TestFloors(t *testing.T) {
 	w := &Weights{FloorShare: 0.5}
 	teams := map[string]Quota{"a": {Guaranteed: 100}, "b": {Guaranteed: 100, Limit: 60}}
-	needs := []Need{{Key: Key{"a", "flood"}, Waiting: 5000, Rate: 4000}, {Key: Key{"a", "calm"}, Waiting: 300, Rate: 200}, {Key: Key{"b", "calm"}, Waiting: 500, Rate: 400}}
+	needs := []Demand{{Key: Key{"a", "flood"}, Waiting: 5000, Rate: 4000}, {Key: Key{"a", "calm"}, Waiting: 300, Rate: 200}, {Key: Key{"b", "calm"}, Waiting: 500, Rate: 400}}
 	f := map[Key]float64{}
 	for _, g := range Floors(400, needs, teams, w) {
 		f[g.Key] = g.Floor
@@ -115,9 +115,9 @@
 	}
 	for seed := range uint64(100) {
 		rng := rand.New(rand.NewPCG(seed, 8))
-		var needs []Need
+		var needs []Demand
 		for i := range 1 + rng.IntN(6) {
-			needs = append(needs, Need{Key: Key{fmt.Sprint("t", i%3), fmt.Sprint("c", i)}, Used: float64(rng.IntN(50)), Waiting: float64(rng.IntN(200)), Rate: float64(rng.IntN(300))})
+			needs = append(needs, Demand{Key: Key{fmt.Sprint("t", i%3), fmt.Sprint("c", i)}, Used: float64(rng.IntN(50)), Waiting: float64(rng.IntN(200)), Rate: float64(rng.IntN(300))})
 		}
 		cpus := float64(rng.IntN(300))
 		sums, full := [2]float64{}, 0.0
--- a/internal/admission/floors.go
+++ b/internal/admission/floors.go
@@ -26,7 +26,7 @@
 // for as many as that is possible for, those first that need least for it. One for which it is not possible, as one
 // that floods, keeps leastFloorShare of its fair share. Of a team that asks for more than its limit, where that is less
 // than all machines, each class has such a floor within the limit, and one that asks for little a higher one.
-func Floors(cpus float64, needs []Need, teams map[string]Quota, w *Weights) []Group {
+func Floors(cpus float64, needs []Demand, teams map[string]Quota, w *Weights) []Group {
 	due := FairShares(cpus, needs, teams, w)
 	groups := groupFloors(cpus, needs, due, teams, w, func(k Key) Key { return Key{Class: k.Class} })
 	groups = append(groups, groupFloors(cpus, needs, due, teams, w, func(k Key) Key { return Key{Team: k.Team} })...)
@@ -61,13 +61,13 @@
 
 // teamsAtLimit gives the needs of each team that asks for more than its limit. Limits of more than so many CPUs of
 // machines hold nothing back.
-func teamsAtLimit(cpus float64, needs []Need, teams map[string]Quota) [][]Need {
-	byTeam, asked := map[string][]Need{}, map[string]float64{}
+func teamsAtLimit(cpus float64, needs []Demand, teams map[string]Quota) [][]Demand {
+	byTeam, asked := map[string][]Demand{}, map[string]float64{}
 	for _, n := range needs {
 		byTeam[n.Team] = append(byTeam[n.Team], n)
 		asked[n.Team] += n.total()
 	}
-	var over [][]Need
+	var over [][]Demand
 	for _, team := range slices.Sorted(maps.Keys(byTeam)) {
 		if most := teams[team].Limit; most > 0 && most < cpus && asked[team] > most {
 			over = append(over, byTeam[team])
@@ -77,14 +77,14 @@
 }
 
 // groupFloors divides so many CPUs into floors for the groups that needs belong to.
-func groupFloors(cpus float64, needs []Need, due map[Key]float64, teams map[string]Quota, w *Weights, groupOf func(Key) Key) []Group {
-	sums := map[Key]*Need{}
+func groupFloors(cpus float64, needs []Demand, due map[Key]float64, teams map[string]Quota, w *Weights, groupOf func(Key) Key) []Group {
+	sums := map[Key]*Demand{}
 	share := map[Key]float64{}
 	var keys []Key
 	for _, n := range needs {
 		g := groupOf(n.Key)
 		if sums[g] == nil {
-			sums[g] = &Need{Key: g}
+			sums[g] = &Demand{Key: g}
 			keys = append(keys, g)
 		}
 		x := sums[g]
--- a/internal/admission/floors_test.go
+++ b/internal/admission/floors_test.go
@@ -10,7 +10,7 @@
 	return &Inputs{
 		Teams:   map[string]Quota{"a": {Guaranteed: 100, Limit: 1000}, "b": {Guaranteed: 100}},
 		Weights: &Weights{FloorShare: 0.5, FloorAfter: time.Minute},
-		Needs: []Need{
+		Demands: []Demand{
 			{Key: Key{"a", "crowd"}, Used: 1000, Waiting: 3000, TaskCPUs: 4, Rate: 1200},
 			{Key: Key{"a", "small"}, Waiting: 400, TaskCPUs: 2, Rate: 200},
 			{Key: Key{"b", "small"}, Used: 400, Waiting: 100, TaskCPUs: 2, Rate: 400},
@@ -56,7 +56,7 @@
 	for _, most := range []float64{0, 10, 100, 1000, 3999, 4100, 5000} {
 		in.Teams["a"] = Quota{Guaranteed: 100, Limit: most}
 		sum, count := 0.0, 0
-		for _, g := range Floors(4000, in.Needs, in.Teams, in.Weights) {
+		for _, g := range Floors(4000, in.Demands, in.Teams, in.Weights) {
 			if g.withinLimit() {
 				sum += g.Floor
 				count++
--- a/internal/admission/needs.go
+++ b/internal/admission/needs.go
@@ -19,10 +19,10 @@
 	EstimateSeconds float64 // run time of a task
 }
 
-// Needs sums up what keys use and ask for.
-type Needs struct {
+// DemandCollector sums up what keys use and ask for.
+type DemandCollector struct {
 	window   time.Duration
-	byKey    map[Key]*Need
+	byKey    map[Key]*Demand
 	backlog  map[Key]float64 // CPU seconds that wait
 	arrivals map[Key]*arrivals
 }
@@ -33,21 +33,21 @@
 	oldest time.Duration // age of the first
 }
 
-// NewNeeds knows no need yet. Window is the time over which arrivals count.
-func NewNeeds(window time.Duration) *Needs {
-	return &Needs{window: window, byKey: map[Key]*Need{}, backlog: map[Key]float64{}, arrivals: map[Key]*arrivals{}}
+// NewDemandCollector knows no need yet. Window is the time over which arrivals count.
+func NewDemandCollector(window time.Duration) *DemandCollector {
+	return &DemandCollector{window: window, byKey: map[Key]*Demand{}, backlog: map[Key]float64{}, arrivals: map[Key]*arrivals{}}
 }
 
 // of finds or makes the need of a key.
-func (n *Needs) of(k Key) *Need {
+func (n *DemandCollector) of(k Key) *Demand {
 	if n.byKey[k] == nil {
-		n.byKey[k] = &Need{Key: k}
+		n.byKey[k] = &Demand{Key: k}
 	}
 	return n.byKey[k]
 }
 
 // AddWaiting adds what waits of a job.
-func (n *Needs) AddWaiting(k Key, w PendingWork) {
+func (n *DemandCollector) AddWaiting(k Key, w PendingWork) {
 	need := n.of(k)
 	need.Waiting += w.CPUs
 	need.Rank = w.Rank
@@ -57,10 +57,10 @@
 }
 
 // AddUsed adds CPUs that a task has on a machine.
-func (n *Needs) AddUsed(k Key, cpus float64) { n.of(k).Used += cpus }
+func (n *DemandCollector) AddUsed(k Key, cpus float64) { n.of(k).Used += cpus }
 
 // AddArrival adds a job that was submitted some time ago, by the CPU seconds that it takes in all.
-func (n *Needs) AddArrival(k Key, work float64, age time.Duration) {
+func (n *DemandCollector) AddArrival(k Key, work float64, age time.Duration) {
 	if age >= n.window {
 		return
 	}
@@ -74,8 +74,8 @@
 
 // List gives the needs in the order of their keys, with the rates that keep up with them: as work arrived lately. What
 // waits counts little, or a class that floods would have its floor raised by all that nobody could serve.
-func (n *Needs) List() []Need {
-	list := make([]Need, 0, len(n.byKey))
+func (n *DemandCollector) List() []Demand {
+	list := make([]Demand, 0, len(n.byKey))
 	for _, k := range slices.SortedFunc(maps.Keys(n.byKey), Key.Compare) {
 		need := *n.byKey[k]
 		need.Rate = max(n.arrivalRate(k), n.backlog[k]/backlogTime.Seconds())
@@ -86,7 +86,7 @@
 
 // arrivalRate is how many CPUs what arrives for a key keeps busy. A key for which the first work arrived just now
 // counts over a third of the window.
-func (n *Needs) arrivalRate(k Key) float64 {
+func (n *DemandCollector) arrivalRate(k Key) float64 {
 	a := n.arrivals[k]
 	if a == nil {
 		return 0
--- a/internal/admission/plan.go
+++ b/internal/admission/plan.go
@@ -53,8 +53,8 @@
 	return p.Reserved[machine]
 }
 
-// Same says whether two plans say the same, whatever their numbers.
-func (p *Plan) Same(o *Plan) bool {
+// EqualContents says whether two plans say the same, whatever their numbers.
+func (p *Plan) EqualContents(o *Plan) bool {
 	return slices.Equal(p.Floors, o.Floors) && maps.Equal(p.Reserved, o.Reserved)
 }
 
--- a/internal/admission/planner.go
+++ b/internal/admission/planner.go
@@ -18,7 +18,7 @@
 
 // Inputs are what a plan is made from.
 type Inputs struct {
-	Needs    []Need
+	Demands  []Demand
 	Machines []Machine
 	Teams    map[string]Quota
 	Weights  *Weights
@@ -91,7 +91,7 @@
 		return
 	}
 	p := m.plan(now, in)
-	if p.Same(m.inForce) {
+	if p.EqualContents(m.inForce) {
 		return
 	}
 	p.ID = ID{SinceTerm: m.sinceTerm, Number: m.inForce.Number + 1}
@@ -105,10 +105,10 @@
 	d := &reservationDemand{
 		smallestTask: math.Inf(1),
 		waiting:      map[string]bool{},
-		short:        map[string][]Need{},
+		short:        map[string][]Demand{},
 		floors:       map[string]float64{},
 	}
-	for _, n := range in.Needs {
+	for _, n := range in.Demands {
 		if n.Waiting <= 0 {
 			continue
 		}
@@ -144,7 +144,7 @@
 	}
 	floors := keyFloors{onMachines: map[Key]float64{}, withinLimit: map[Key]float64{}}
 	known := map[Key]bool{}
-	for _, g := range Floors(cpus, in.Needs, in.Teams, in.Weights) {
+	for _, g := range Floors(cpus, in.Demands, in.Teams, in.Weights) {
 		known[g.Key] = true
 		g.Floor = m.steadyFloor(&g)
 		m.updateBelow(&g, now)
@@ -185,7 +185,7 @@
 }
 
 // wholeTasks rounds a floor to tasks of the need, one at least.
-func (n *Need) wholeTasks(floor float64) float64 {
+func (n *Demand) wholeTasks(floor float64) float64 {
 	if n.TaskCPUs <= 0 {
 		return floor
 	}
@@ -195,9 +195,9 @@
 // divideGroupFloor divides a group's floor among its keys: that of a class among the teams by weight, that
 // of a team among its classes as they are urgent.
 func (m *Planner) divideGroupFloor(g Group, in *Inputs, floors map[Key]float64) {
-	var of []Need
+	var of []Demand
 	var wants, weights []float64
-	for _, n := range in.Needs {
+	for _, n := range in.Demands {
 		if g.Team == "" && n.Class == g.Class || g.Class == "" && n.Team == g.Team {
 			of, wants, weights = append(of, n), append(wants, n.total()), append(weights, weight(in.Weights.Team, n.Team))
 		}
@@ -208,7 +208,7 @@
 		}
 		return
 	}
-	slices.SortStableFunc(of, func(a, b Need) int { return b.Rank - a.Rank })
+	slices.SortStableFunc(of, func(a, b Demand) int { return b.Rank - a.Rank })
 	left := g.Floor
 	for _, n := range of {
 		x := min(left, n.total())
--- a/internal/admission/planner_test.go
+++ b/internal/admission/planner_test.go
@@ -36,7 +36,7 @@
 		}
 		for _, class := range []string{"large", "larger", "small"} {
 			each := map[string]float64{"large": 4, "larger": 8, "small": 1}[class]
-			in.Needs = append(in.Needs, Need{Key: Key{"t", class}, Used: float64(rng.IntN(4)), Waiting: waits[class], TaskCPUs: each, Rate: 30})
+			in.Demands = append(in.Demands, Demand{Key: Key{"t", class}, Used: float64(rng.IntN(4)), Waiting: waits[class], TaskCPUs: each, Rate: 30})
 		}
 		return in
 	}
@@ -209,7 +209,7 @@
 			}
 			in.Machines = append(in.Machines, Machine{Name: fmt.Sprint(i), CPUs: size, FreeCPUs: free[i], SecondsUntilIdle: left})
 		}
-		in.Needs = []Need{{Key: large, Used: held[large], Waiting: 2000, TaskCPUs: 16, Rate: 300}, {Key: small, Used: held[small], Waiting: 4000, TaskCPUs: 4, Rate: 1000}}
+		in.Demands = []Demand{{Key: large, Used: held[large], Waiting: 2000, TaskCPUs: 16, Rate: 300}, {Key: small, Used: held[small], Waiting: 4000, TaskCPUs: 4, Rate: 1000}}
 		if !floors {
 			in.Weights = &Weights{}
 		}
@@ -235,7 +235,7 @@
 		start(small, 4, math.Inf(1))
 		start(large, 16, math.Inf(1))
 		// Two tasks less than due: one is about to start, one does not fit evenly.
-		due := Floors(machines*size, in.Needs, in.Teams, w)[0].Floor - 32
+		due := Floors(machines*size, in.Demands, in.Teams, w)[0].Floor - 32
 		switch {
 		case held[large] >= due || now.Sub(began) < w.FloorAfter+45*time.Second:
 			since = time.Time{}
--- a/internal/admission/prioritize_test.go
+++ b/internal/admission/prioritize_test.go
@@ -38,7 +38,7 @@
 // ask for anything; what waits counts by the time in which a backlog is worked off.
 func TestNeeds(t *testing.T) {
 	team, other := Key{"a", "batch"}, Key{"b", "batch"}
-	needs := NewNeeds(time.Minute)
+	needs := NewDemandCollector(time.Minute)
 	needs.AddWaiting(team, PendingWork{CPUs: 8, Rank: 2, TaskCPUs: 2, TaskMemory: 3, EstimateSeconds: 30})
 	needs.AddWaiting(team, PendingWork{CPUs: 4, Rank: 1, TaskCPUs: 1, TaskMemory: 5, EstimateSeconds: 30})
 	needs.AddUsed(team, 6)
@@ -47,11 +47,11 @@
 	needs.AddArrival(team, 999, time.Minute)
 	needs.AddArrival(other, 100, time.Second)
 	list := needs.List()
-	want := Need{Key: team, Used: 6, Waiting: 12, TaskCPUs: 2, TaskMemory: 5, Rate: 20, Rank: 1}
+	want := Demand{Key: team, Used: 6, Waiting: 12, TaskCPUs: 2, TaskMemory: 5, Rate: 20, Rank: 1}
 	if len(list) != 1 || list[0] != want {
 		t.Errorf("needs %+v, want %+v", list, want)
 	}
-	needs = NewNeeds(time.Minute)
+	needs = NewDemandCollector(time.Minute)
 	needs.AddWaiting(other, PendingWork{CPUs: 600, TaskCPUs: 1, EstimateSeconds: 60})
 	if list := needs.List(); len(list) != 1 || list[0].Rate != 60 {
 		t.Errorf("a backlog of 36000 CPU seconds gives %+v", list)
--- a/internal/admission/reservation.go
+++ b/internal/admission/reservation.go
@@ -11,10 +11,10 @@
 
 // reservationDemand is what the reservation of machines goes by.
 type reservationDemand struct {
-	waiting      map[string]bool    // classes with tasks that wait
-	smallestTask float64            // CPUs of the smallest task that waits
-	short        map[string][]Need  // by class, the needs that have a floor
-	floors       map[string]float64 // by class, the sum of these floors
+	waiting      map[string]bool     // classes with tasks that wait
+	smallestTask float64             // CPUs of the smallest task that waits
+	short        map[string][]Demand // by class, the needs that have a floor
+	floors       map[string]float64  // by class, the sum of these floors
 }
 
 // reservations are the machines that a new plan reserves.
--- a/internal/cli/admission.go
+++ b/internal/cli/admission.go
@@ -56,9 +56,9 @@
 	var keys []admission.KeyStatus
 	for _, a := range all {
 		fmt.Fprintf(r.out, "%s: plan %d of term %d, machines held %v; acceptances wait %.1f s, %d refused may come back\n",
-			a.Node, a.Served.Plan.Number, a.Served.Plan.SinceTerm, a.Served.Reserved, a.Served.Pressure, a.Served.Refused)
+			a.Node, a.Served.Plan.Number, a.Served.Plan.SinceTerm, a.Served.Reserved, a.Served.AcceptanceWaitSeconds, a.Served.Refused)
 		for _, k := range a.Served.Keys {
-			if k.InTime+k.Late+k.Waiting+k.Done > 0 || k.Held > 0 { // of its owner
+			if k.InTime+k.Late+k.Waiting+k.Done > 0 || k.UsedCPUs > 0 { // of its owner
 				keys = append(keys, k)
 			}
 		}
@@ -68,7 +68,7 @@
 	fmt.Fprintln(w, "team\tclass\tin time\tdone\tlate\trefused\tCPUs\tfloor\twaiting\toldest\twhy")
 	for _, k := range keys {
 		fmt.Fprintf(w, "%s\t%s\t%.0f%%\t%d\t%d\t%d\t%.0f\t%.0f\t%d\t%.0f s\t%s\n",
-			k.Team, k.Class, 100*k.Share, k.Done, k.Late, k.Refused, k.Held, k.Floor, k.Waiting, k.Oldest, why(&k))
+			k.Team, k.Class, 100*k.Share, k.Done, k.Late, k.Refused, k.UsedCPUs, k.Floor, k.Waiting, k.OldestWaitSeconds, why(&k))
 	}
 	return w.Flush()
 }
@@ -87,11 +87,11 @@
 // why says in a few words what a key waits for.
 func why(k *admission.KeyStatus) string {
 	switch {
-	case k.Floor > 0 && k.Held < k.Floor:
+	case k.Floor > 0 && k.UsedCPUs < k.Floor:
 		return "short: it goes first until it has its floor"
 	case k.Floor > 0:
 		return "has its floor; the rest waits for room"
-	case k.Waiting > 0 && k.Held == 0:
+	case k.Waiting > 0 && k.UsedCPUs == 0:
 		return "has nothing: quota, machines or capacity, see the log"
 	case k.Waiting > 0:
 		return "waits for room"
--- a/internal/cli/config.go
+++ b/internal/cli/config.go
@@ -253,7 +253,7 @@
 			continue
 		}
 		for _, b := range x.Behind {
-			fmt.Fprintf(r.out, "  %s is behind: knows revision %d, for %.1f s\n", b.Node, b.Known, b.BehindSeconds)
+			fmt.Fprintf(r.out, "  %s is behind: knows revision %d, for %.1f s\n", b.Node, b.Known, b.LaggingSeconds)
 		}
 		for _, o := range x.Open {
 			fmt.Fprintf(r.out, "  change %d of team %s is not in force; its owner is %q\n", o.Number, o.Team, o.Owner)
--- a/internal/controller/admission.go
+++ b/internal/controller/admission.go
@@ -19,7 +19,7 @@
 
 // admissionState holds the admission plans and the counts they are judged by. Node.mu guards it.
 type admissionState struct {
-	agreement     admission.PlanState
+	planState     admission.PlanState
 	planner       *admission.Planner // while this controller owns the fleet
 	served        *admission.ServedCounts
 	rateLimiter   *admission.RateLimiter
@@ -47,7 +47,7 @@
 
 // classFloors returns the CPUs that the plan in force guarantees to each class of a shard's team.
 func (n *Node) classFloors(shard *shards.Owned) map[string]float64 {
-	plan := n.admission.agreement.InForce()
+	plan := n.admission.planState.InForce()
 	team, ok := shards.TeamOf(shard.Name())
 	if plan == nil || len(plan.Floors) == 0 || !ok {
 		return nil
@@ -70,7 +70,7 @@
 			prioritized[i] = d.Count
 		}
 	}
-	plan := n.admission.agreement.InForce()
+	plan := n.admission.planState.InForce()
 	if plan == nil || len(plan.Floors) == 0 {
 		return prioritized
 	}
@@ -109,7 +109,7 @@
 
 // planStatus returns the part of this controller's status that concerns admission plans.
 func (n *Node) planStatus() admission.PlanStatus {
-	w := admission.PlanStatus{Latest: n.admission.agreement.Latest()}
+	w := admission.PlanStatus{Latest: n.admission.planState.Latest()}
 	if n.admission.planner != nil && n.shards.OwnsFleet() {
 		w.InForce, w.Next = n.admission.planner.Plans()
 	}
@@ -124,16 +124,16 @@
 	}
 	record := n.leadership.Record()
 	if fleet := record.Shards[leadership.FleetShard]; fleet.Owner == node && record.IsMember(node, incarnation) {
-		before := n.admission.agreement.InForce()
-		n.admission.agreement.Apply(fleet.SinceTerm, *w)
+		before := n.admission.planState.InForce()
+		n.admission.planState.Apply(fleet.SinceTerm, *w)
 		n.logPlanInForce(before)
 	}
 }
 
 // logPlanInForce logs the plan in force here if it differs from the one before.
 func (n *Node) logPlanInForce(before *admission.Plan) {
-	now := n.admission.agreement.InForce()
-	if now == before || before != nil && now.Same(before) || before == nil && now.Same(&admission.Plan{}) {
+	now := n.admission.planState.InForce()
+	if now == before || before != nil && now.EqualContents(before) || before == nil && now.EqualContents(&admission.Plan{}) {
 		return
 	}
 	n.log.Info("plan in force", "since", now.SinceTerm, "number", now.Number, "floors", now.Floors,
@@ -155,13 +155,13 @@
 func (n *Node) updatePlan(machines []autoscaler.Machine, demands []autoscaler.Demand, now time.Time) {
 	fleet := n.leadership.Record().Shards[leadership.FleetShard]
 	if n.admission.planner == nil || n.admission.planner.SinceTerm() != fleet.SinceTerm {
-		n.admission.planner = admission.NewPlanner(fleet.SinceTerm, &n.admission.agreement)
+		n.admission.planner = admission.NewPlanner(fleet.SinceTerm, &n.admission.planState)
 	}
 	inputs := n.planInputs(machines, demands, now)
-	before := n.admission.agreement.InForce()
+	before := n.admission.planState.InForce()
 	n.admission.planner.Step(now, inputs, n.latestPlans())
 	force, next := n.admission.planner.Plans()
-	n.admission.agreement.Apply(fleet.SinceTerm, admission.PlanStatus{InForce: force, Next: next})
+	n.admission.planState.Apply(fleet.SinceTerm, admission.PlanStatus{InForce: force, Next: next})
 	n.logPlanInForce(before)
 	if next != nil {
 		n.requestStatus()
@@ -182,7 +182,7 @@
 // planInputs collects the teams' quotas, needs and machines that a plan is computed from.
 func (n *Node) planInputs(machines []autoscaler.Machine, demands []autoscaler.Demand, now time.Time) *admission.Inputs {
 	in := &admission.Inputs{Teams: n.quotas(), Weights: n.admission.weights}
-	needs := admission.NewNeeds(arrivalWindow)
+	needs := admission.NewDemandCollector(arrivalWindow)
 	addWaiting(needs, demands)
 	for i := range machines {
 		m := n.machines[machines[i].Name]
@@ -195,7 +195,7 @@
 		}
 	}
 	n.addArrivals(needs, now)
-	in.Needs = needs.List()
+	in.Demands = needs.List()
 	return in
 }
 
@@ -213,7 +213,7 @@
 }
 
 // addWaiting adds the waiting tasks to the needs.
-func addWaiting(needs *admission.Needs, demands []autoscaler.Demand) {
+func addWaiting(needs *admission.DemandCollector, demands []autoscaler.Demand) {
 	for i := range demands {
 		d := &demands[i]
 		needs.AddWaiting(admissionKey(d.Spec), admission.PendingWork{
@@ -227,7 +227,7 @@
 }
 
 // addUsed adds the CPUs of the tasks on a machine to the needs.
-func (n *Node) addUsed(needs *admission.Needs, m *machine) {
+func (n *Node) addUsed(needs *admission.DemandCollector, m *machine) {
 	for _, t := range m.status.Tasks {
 		if j := n.jobs[t.Job]; j != nil && t.State != protocol.Exited {
 			needs.AddUsed(admissionKey(j.spec), j.spec.CPUs)
@@ -250,7 +250,7 @@
 }
 
 // addArrivals adds the work of newly submitted jobs to the needs.
-func (n *Node) addArrivals(needs *admission.Needs, now time.Time) {
+func (n *Node) addArrivals(needs *admission.DemandCollector, now time.Time) {
 	for _, j := range n.jobs {
 		if j.spec.Kind != protocol.Service {
 			work := float64(j.spec.Tasks) * j.spec.CPUs * j.spec.EstimateSeconds
@@ -323,15 +323,15 @@
 	for _, k := range poorlyServed {
 		c := counts[k]
 		n.log.Info("less than half of the jobs in time", "team", k.Team, "class", k.Class, "in_time", c.InTime, "late", c.Late,
-			"started", c.Started, "floor", n.admission.agreement.InForce().Floor(k))
+			"started", c.Started, "floor", n.admission.planState.InForce().Floor(k))
 	}
 }
 
 // admissionStatus summarises admission for the overview.
 func (n *Node) admissionStatus(now time.Time) admission.Status {
 	wait, _ := n.kvStore.UrgentDelay()
-	status := admission.Status{Refused: n.admission.rateLimiter.Rejected(), Pressure: wait.Seconds()}
-	plan := n.admission.agreement.InForce()
+	status := admission.Status{Refused: n.admission.rateLimiter.Rejected(), AcceptanceWaitSeconds: wait.Seconds()}
+	plan := n.admission.planState.InForce()
 	if plan != nil {
 		status.Plan, status.Floors, status.Reserved = plan.ID, plan.Floors, reservedPerClass(plan)
 	}
@@ -368,13 +368,13 @@
 // addTeamStatus adds what the classes of a team owned here use, and the tasks that wait in them.
 func (n *Node) addTeamStatus(keys *keyStatuses, name string, team *jobstate.Team, now time.Time) {
 	for class, cpus := range team.Quota().CPUsByClass() {
-		keys.of(admission.Key{Team: name, Class: class}).Held = cpus
+		keys.of(admission.Key{Team: name, Class: class}).UsedCPUs = cpus
 	}
 	for _, d := range team.Quota().Demands(now) {
 		x := keys.of(admissionKey(d.Spec))
 		x.Waiting += d.Count + int(d.CPUsBeyondQuota/max(d.Spec.CPUs, 1e-9)+0.5)
 		if j := n.jobs[d.Spec.UID]; j != nil {
-			x.Oldest = max(x.Oldest, now.Sub(j.submittedAt).Seconds())
+			x.OldestWaitSeconds = max(x.OldestWaitSeconds, now.Sub(j.submittedAt).Seconds())
 		}
 	}
 }
--- a/internal/controller/scheduling.go
+++ b/internal/controller/scheduling.go
@@ -178,4 +178,4 @@
 }
 
 // Plan returns the admission plan in force; nil if there is none.
-func (s *schedulerSnapshot) Plan() *admission.Plan { return s.admission.agreement.InForce() }
+func (s *schedulerSnapshot) Plan() *admission.Plan { return s.admission.planState.InForce() }
--- a/internal/controller/teamconfig.go
+++ b/internal/controller/teamconfig.go
@@ -253,12 +253,12 @@
 		return
 	}
 	for _, member := range lagging {
-		if member.BehindSeconds <= laggingLogInterval.Seconds() {
+		if member.LaggingSeconds <= laggingLogInterval.Seconds() {
 			continue
 		}
 		n.teamConfig.laggingLoggedAt = now
 		n.log.Info("controller behind with the configuration", "controller", member.Node, "known", member.Known,
-			"latest", n.teamConfig.config.LatestVersion(), "for_s", member.BehindSeconds)
+			"latest", n.teamConfig.config.LatestVersion(), "for_s", member.LaggingSeconds)
 	}
 }
 
--- a/internal/kvstore/kvstore.go
+++ b/internal/kvstore/kvstore.go
@@ -50,10 +50,10 @@
 // Is makes it an ErrConflict.
 func (c *ConflictError) Is(target error) bool { return target == ErrConflict }
 
-// timeout bounds one call, LongPoll is how long a watch waits for a change.
+// timeout bounds one call, LongPollTimeout is how long a watch waits for a change.
 const (
-	timeout  = 2 * time.Second
-	LongPoll = 10 * time.Second
+	timeout         = 2 * time.Second
+	LongPollTimeout = 10 * time.Second
 )
 
 // Client talks to the key-value store.
@@ -232,7 +232,7 @@
 
 // Watch waits for changes below a prefix after a revision.
 func (c *Client) Watch(ctx context.Context, prefix string, after uint64) (*protocol.Changes, error) {
-	return c.changes(ctx, c.watch, prefix, after, LongPoll)
+	return c.changes(ctx, c.watch, prefix, after, LongPollTimeout)
 }
 
 // Changes reads the changes below a prefix from a revision until now.
--- a/internal/scheduler/objectives.go
+++ b/internal/scheduler/objectives.go
@@ -38,8 +38,8 @@
 		case o.Class != spec.Class:
 		case o.Kind == objectiveFinished && o.WithinSeconds > 0:
 			add(o.WithinSeconds)
-		case o.Kind == objectiveDeadline && o.Times > 0 && spec.DeadlineSeconds != nil:
-			add(o.Times * *spec.DeadlineSeconds)
+		case o.Kind == objectiveDeadline && o.DeadlineFactor > 0 && spec.DeadlineSeconds != nil:
+			add(o.DeadlineFactor * *spec.DeadlineSeconds)
 		}
 	}
 	slices.SortFunc(times, time.Time.Compare)
--- a/internal/scheduler/queue_test.go
+++ b/internal/scheduler/queue_test.go
@@ -10,8 +10,8 @@
 
 // testObjectives contains objectives of every kind.
 var testObjectives = ServiceLevels{
-	{Kind: "deadline", Class: "c", Times: 1},
-	{Kind: "deadline", Class: "c", Times: 2},
+	{Kind: "deadline", Class: "c", DeadlineFactor: 1},
+	{Kind: "deadline", Class: "c", DeadlineFactor: 2},
 	{Kind: "finished", Class: "d", WithinSeconds: 30},
 	{Kind: "wait", Class: "d", WithinSeconds: 60},
 	{Kind: "guarantee", WithinSeconds: 8},
--- a/internal/settings/check.go
+++ b/internal/settings/check.go
@@ -118,7 +118,7 @@
 
 func (s *Settings) checkObjectives() error {
 	for i, o := range s.Deployment.Objectives {
-		if o.WithinSeconds < 0 || o.Share < 0 || o.Share > 1 || o.Times < 0 {
+		if o.WithinSeconds < 0 || o.Share < 0 || o.Share > 1 || o.DeadlineFactor < 0 {
 			return fieldError(fmt.Sprintf("deployment.objectives[%d]", i), "negative amount or share above 1")
 		}
 	}
--- a/internal/settings/golden_test.go
+++ b/internal/settings/golden_test.go
@@ -42,7 +42,7 @@
 		{"teams.name", team.Name, "vision"}, {"teams.cpus", team.CPUs, 96}, {"teams.cpus_max", team.CPUsMax, 192.5}, {"teams.gpus", team.GPUs, 8}, {"teams.gpus_max", team.GPUsMax, 16},
 		{"teams.cpus_max 0", d.Teams[1].CPUsMax, "+Inf"}, {"teams.gpus_max 0", d.Teams[1].GPUsMax, "+Inf"},
 		{"objectives.kind", objective.Kind, "start"}, {"objectives.class", objective.Class, "train"}, {"objectives.within_s", objective.WithinSeconds, 30},
-		{"objectives.share", objective.Share, 0.95}, {"objectives.times", objective.Times, 1.5},
+		{"objectives.share", objective.Share, 0.95}, {"objectives.times", objective.DeadlineFactor, 1.5},
 		{"workers.report_s", d.Agents.HeartbeatSeconds, 3}, {"workers.lease_s", d.Agents.LeaseSeconds, 26}, {"workers.gang_wait_s", d.Agents.GangWaitSeconds, 35},
 		{"workers.gang_peer_s", d.Agents.GangPeerSeconds, 8}, {"workers.cancel_s", d.Agents.CancelSeconds, 56},
 		{"state.rps", d.KVStore.RequestsPerSecond, 150}, {"state.write_rps", d.KVStore.ChangesPerSecond, 30}, {"state.value_kb", d.KVStore.ValueKB, 9}, {"state.txn_ops", d.KVStore.ChangesPerTransaction, 24},
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -62,11 +62,11 @@
 
 // Objective is one service-level objective: a share of the jobs of a class is to be done within a time.
 type Objective struct {
-	Kind          string  `json:"kind"`
-	Class         string  `json:"class"`
-	WithinSeconds float64 `json:"within_s"`
-	Share         float64 `json:"share"`
-	Times         float64 `json:"times"`
+	Kind           string  `json:"kind"`
+	Class          string  `json:"class"`
+	WithinSeconds  float64 `json:"within_s"`
+	Share          float64 `json:"share"`
+	DeadlineFactor float64 `json:"times"`
 }
 
 // Agents holds the periods of the agents on the machines.
--- a/internal/teamconfig/propagation.go
+++ b/internal/teamconfig/propagation.go
@@ -93,9 +93,9 @@
 
 // LaggingMember is a member that does not know the last change, as far as its statuses say.
 type LaggingMember struct {
-	Node          string  `json:"node"`
-	Known         uint64  `json:"known"`
-	BehindSeconds float64 `json:"for_s"` // since when, in seconds
+	Node           string  `json:"node"`
+	Known          uint64  `json:"known"`
+	LaggingSeconds float64 `json:"for_s"` // since when, in seconds
 }
 
 // Lagging lists the members that are not known to know the changes up to a version, and since when.
