--- a/internal/admission/fairshares.go
+++ b/internal/admission/fairshares.go
@@ -1,7 +1,9 @@
-// Package admission decides who gets how much when CPUs are short: the fair shares of teams and their classes of jobs,
-// the floors that a numbered plan has all controllers keep, which submissions are admitted when the state service is
-// busy, and how many jobs were served in time. It does no I/O and reads no clock, and never places or stops a task. Its
-// types are not safe for concurrent use; the controller guards them.
+// Package admission decides how CPUs are shared while they are short. It computes the fair shares of teams and their
+// classes of jobs, plans the floors that all controllers enforce, decides which submissions are admitted while the
+// key-value store is busy, and counts how many jobs were served in time.
+//
+// The package does no I/O, reads no clock, and never places or stops a task. Its types are not safe for concurrent use;
+// the controller serializes access to them.
 package admission
 
 import (
@@ -13,36 +15,36 @@
 	"time"
 )
 
-// Key is one class of jobs of one team.
+// Key identifies one class of jobs of one team, the unit that CPUs are shared among.
 type Key struct {
 	Team  string `json:"team"`
 	Class string `json:"class"`
 }
 
-// Compare orders keys.
+// Compare orders keys by team, then by class.
 func (k Key) Compare(o Key) int {
 	return cmp.Or(strings.Compare(k.Team, o.Team), strings.Compare(k.Class, o.Class))
 }
 
-// Demand is what a key uses and asks for, in CPUs.
+// Demand is what a key uses and asks for. Amounts are in CPUs unless stated otherwise.
 type Demand struct {
 	Key
-	Used       float64 // on machines
-	Waiting    float64 // could start now, within the team's quota
-	TaskCPUs   float64 // of its largest task that waits
-	TaskMemory float64 // of the same, GB
-	Rate       float64 // that would keep up with what comes and what waits
+	Used       float64 // by tasks on machines
+	Waiting    float64 // of waiting tasks that could start within the team's quota
+	TaskCPUs   float64 // largest number of CPUs of a waiting task
+	TaskMemory float64 // largest memory of a waiting task, in GB
+	Rate       float64 // needed to keep up with arrivals and the backlog
 	Rank       int     // of its priority; higher is more urgent
 }
 
 func (n *Demand) total() float64 { return n.Used + n.Waiting }
 
-// Weights are the operators' choices. What is not named has the weight 1.
+// Weights are the operator's options for sharing. A team or class without an entry has weight 1.
 type Weights struct {
 	Team       map[string]float64
 	Class      map[string]float64
-	FloorShare float64       // part of what comes that each class and team is served at least; 0: no floors
-	FloorAfter time.Duration // for how long one is under its floor before the plan says so
+	FloorShare float64       // fraction of its arrivals that each class and team is guaranteed; 0: no floors
+	FloorAfter time.Duration // how long a group must be below its floor before a plan includes it
 }
 
 func weight(m map[string]float64, name string) float64 {
@@ -52,8 +54,8 @@
 	return 1
 }
 
-// maxMinShares divides an amount among wants by weight: nobody gets more than it wants, and what somebody leaves goes
-// to those who want more (weighted max-min fairness).
+// maxMinShares divides an amount among wants by weighted max-min fairness: no share exceeds its want, and what one
+// leaves unused is divided among those that want more.
 func maxMinShares(amount float64, wants, weights []float64) []float64 {
 	got := make([]float64, len(wants))
 	open := make([]int, 0, len(wants))
@@ -62,7 +64,7 @@
 			open = append(open, i)
 		}
 	}
-	// By what each wants of its weight: whoever wants least is content first.
+	// In order of want per weight: the smallest are satisfied first and free the rest of their shares.
 	slices.SortFunc(open, func(a, b int) int {
 		return cmp.Or(cmp.Compare(wants[a]/weights[a], wants[b]/weights[b]), a-b)
 	})
@@ -79,16 +81,16 @@
 	return got
 }
 
-// Quota is what a team is guaranteed and may use at most, in CPUs.
+// Quota is a team's guarantee and limit, in CPUs.
 type Quota struct {
 	Guaranteed float64
 	Limit      float64 // 0: none
 }
 
-// FairShares divides CPUs among the keys: first each team gets what it asks for within its guaranteed quota, then the
-// rest goes by weight, and within a team by weight among its classes.
-func FairShares(cpus float64, needs []Demand, teams map[string]Quota, w *Weights) map[Key]float64 {
-	byTeam := needsByTeam(needs)
+// FairShares divides CPUs among the keys. Each team first gets its demand up to its guarantee, then the rest is divided
+// by the teams' weights. Each team's share is divided by weight among its classes.
+func FairShares(cpus float64, demands []Demand, teams map[string]Quota, w *Weights) map[Key]float64 {
+	byTeam := demandsByTeam(demands)
 	names := slices.Sorted(maps.Keys(byTeam))
 	ofTeams := teamShares(cpus, names, byTeam, teams, w)
 	shares := map[Key]float64{}
@@ -105,10 +107,10 @@
 	return shares
 }
 
-// needsByTeam sorts the needs by team, those that are not empty.
-func needsByTeam(needs []Demand) map[string][]Demand {
+// demandsByTeam groups the demands that are not empty by team.
+func demandsByTeam(demands []Demand) map[string][]Demand {
 	byTeam := map[string][]Demand{}
-	for _, n := range needs {
+	for _, n := range demands {
 		if n.total() > 0 {
 			byTeam[n.Team] = append(byTeam[n.Team], n)
 		}
@@ -116,7 +118,7 @@
 	return byTeam
 }
 
-// teamShares divides CPUs among teams: what they ask for within their guaranteed quotas first, the rest by weight.
+// teamShares divides CPUs among teams: demand up to their guarantees first, the rest by weight.
 func teamShares(cpus float64, names []string, byTeam map[string][]Demand, teams map[string]Quota, w *Weights) []float64 {
 	within, beyond := make([]float64, len(names)), make([]float64, len(names))
 	guaranteed, weights := make([]float64, len(names)), make([]float64, len(names))
@@ -130,7 +132,7 @@
 		}
 		within[i] = min(asked, quota.Guaranteed)
 		beyond[i] = asked - within[i]
-		// Guaranteed quotas that there is not enough for are cut by what each team is guaranteed.
+		// If there are too few CPUs for all guarantees, they are divided in proportion to the guarantees.
 		guaranteed[i] = max(quota.Guaranteed, 1e-9)
 		weights[i] = weight(w.Team, name)
 	}
@@ -145,8 +147,8 @@
 	return shares
 }
 
-// JainIndex is Jain's fairness index of what was got of what was due: 1 if all got the same part
-// of it, 1/n if one of n got everything (Jain, Chiu and Hawe, 1984).
+// JainIndex returns Jain's fairness index of the fractions that each received of its due: 1 if all are equal, 1/n if
+// one of n received everything (Jain, Chiu and Hawe, 1984).
 func JainIndex(parts []float64) float64 {
 	sum, squares := 0.0, 0.0
 	for _, x := range parts {
@@ -159,7 +161,7 @@
 	return sum * sum / (float64(len(parts)) * squares)
 }
 
-// MinShare is the smallest of some parts; 1 if there are none.
+// MinShare returns the smallest of the fractions, 1 if there are none.
 func MinShare(parts []float64) float64 {
 	least := 1.0
 	for _, x := range parts {
--- a/internal/admission/floors_test.go
+++ b/internal/admission/floors_test.go
@@ -22,12 +22,12 @@
 // TestClassOfATeamAtItsLimitHasAFloor: a class starved within one team at its limit while other teams' jobs of the same class
 // ran, since neither the class as a whole nor the team had too little.
 func TestClassOfATeamAtItsLimitHasAFloor(t *testing.T) {
-	in, maker := crowdedTeam(), NewPlanner(1, &PlanState{})
+	in, planner := crowdedTeam(), NewPlanner(1, &PlanState{})
 	start := time.Unix(1000, 0)
 	after := func(d time.Duration) *Plan {
-		maker.Step(start.Add(d), in, nil)
-		maker.Step(start.Add(d+2*planInterval), in, nil)
-		force, _ := maker.Plans()
+		planner.Step(start.Add(d), in, nil)
+		planner.Step(start.Add(d+2*planInterval), in, nil)
+		force, _ := planner.Plans()
 		return force
 	}
 	if plan := after(0); len(plan.Floors) != 0 {
@@ -45,7 +45,7 @@
 	heir.Step(start.Add(3*time.Minute), in, nil)
 	heir.Step(start.Add(3*time.Minute+2*planInterval), in, nil)
 	if force, _ := heir.Plans(); len(force.Floors) != 1 || force.Floors[0] != want {
-		t.Errorf("a later maker's floors are %v, want %v", force.Floors, want)
+		t.Errorf("a later planner's floors are %v, want %v", force.Floors, want)
 	}
 }
 
--- a/internal/admission/plan.go
+++ b/internal/admission/plan.go
@@ -6,34 +6,34 @@
 	"slices"
 )
 
-// ID names a plan: who owns the fleet since a term numbers its plans, and a later owner's
-// come after all of an earlier one's.
+// ID identifies a plan by the term since which its author has owned the fleet shard and by a number that the author
+// counts up. All plans of a later owner are newer than those of an earlier one.
 type ID struct {
 	SinceTerm uint64 `json:"since"`
 	Number    uint64 `json:"number"`
 }
 
-// Compare orders plans.
+// Compare orders IDs from the oldest plan to the newest.
 func (a ID) Compare(b ID) int {
 	return cmp.Or(cmp.Compare(a.SinceTerm, b.SinceTerm), cmp.Compare(a.Number, b.Number))
 }
 
-// Floor is what a key is to have of the machines before others get more, in CPUs.
+// Floor is the number of CPUs that a key is guaranteed before other keys get more.
 type Floor struct {
 	Key
 	CPUs float64 `json:"cpus"`
-	// WithinLimit says that the floor orders what waits for the team's limit; no machines are reserved for it.
+	// WithinLimit marks a floor that only orders the tasks waiting for the team's limit. No machines are reserved for it.
 	WithinLimit bool `json:"within_limit,omitempty"`
 }
 
-// Plan is what all controllers keep to while something is short.
+// Plan holds the floors and reservations that all controllers enforce while CPUs are short.
 type Plan struct {
 	ID
-	Floors   []Floor           `json:"floors,omitempty"`   // of keys that got too little, in order
-	Reserved map[string]string `json:"reserved,omitempty"` // machine -> the only class that starts there
+	Floors   []Floor           `json:"floors,omitempty"`   // of keys below their floors, sorted by key
+	Reserved map[string]string `json:"reserved,omitempty"` // by machine, the only class whose tasks start there
 }
 
-// Floor is a key's floor on machines, 0 for none. Floors within a team's limit are none.
+// Floor returns a key's floor on machines, 0 if it has none. Floors within a team's limit do not count.
 func (p *Plan) Floor(k Key) float64 {
 	if p == nil {
 		return 0
@@ -45,7 +45,7 @@
 	return 0
 }
 
-// ReservedClass is the only class that may start on a machine, "" for any.
+// ReservedClass returns the only class whose tasks may start on a machine, "" if any class's may.
 func (p *Plan) ReservedClass(machine string) string {
 	if p == nil {
 		return ""
@@ -53,13 +53,13 @@
 	return p.Reserved[machine]
 }
 
-// EqualContents says whether two plans say the same, whatever their numbers.
+// EqualContents reports whether two plans have the same floors and reservations, regardless of their IDs.
 func (p *Plan) EqualContents(o *Plan) bool {
 	return slices.Equal(p.Floors, o.Floors) && maps.Equal(p.Reserved, o.Reserved)
 }
 
-// ConflictsWith says whether two controllers that act on these plans at the same time would
-// hold the same machine for different classes.
+// ConflictsWith reports whether two controllers that act on these plans at the same time would reserve the same machine
+// for different classes.
 func (p *Plan) ConflictsWith(o *Plan) bool {
 	if p == nil || o == nil {
 		return false
@@ -72,27 +72,28 @@
 	return false
 }
 
-// PlanStatus is what a status says of plans. Only the owner of the fleet shard sends plans: the one in force, and the
-// next one, which nobody acts on yet.
+// PlanStatus is the part of a controller's status message that concerns plans. Only the owner of the fleet shard sends
+// plans: the one in force and the next one, which no controller acts on yet.
 type PlanStatus struct {
-	Latest  ID    `json:"seen"` // the latest plan received, in force or not
+	Latest  ID    `json:"seen"` // latest plan that the sender has received, in force or not
 	InForce *Plan `json:"force,omitempty"`
 	Next    *Plan `json:"next,omitempty"`
 }
 
-// PlanState is a controller's part of the plans: what it acts on and what it has received. A
-// plan comes into force when every member has received it, and is sent only together with the
-// one in force, so that what any two controllers act on is at most one plan apart; and no
-// machine is held for one class in a plan and for another one in the next.
+// PlanState holds the plan that a controller acts on and the next one that it has received.
+//
+// A plan comes into force once every member has received it, and is sent only together with the plan in force, so the
+// plans that any two controllers act on are at most one apart. Two consecutive plans never reserve the same machine for
+// different classes.
 type PlanState struct {
 	inForce *Plan
 	next    *Plan
 }
 
-// InForce is the plan to act on; nil for none.
+// InForce returns the plan to act on, nil if there is none.
 func (a *PlanState) InForce() *Plan { return a.inForce }
 
-// Latest is the latest plan received.
+// Latest returns the ID of the latest plan received.
 func (a *PlanState) Latest() ID {
 	var id ID
 	for _, p := range []*Plan{a.inForce, a.next} {
@@ -103,8 +104,8 @@
 	return id
 }
 
-// Apply takes in what the owner of the fleet shard since a term sends. What an earlier owner sent is ignored if it
-// arrives late.
+// Apply processes the plans sent by the controller that has owned the fleet shard since a term. Late messages of an
+// earlier owner are ignored.
 func (a *PlanState) Apply(since uint64, w PlanStatus) {
 	if w.InForce == nil || w.InForce.SinceTerm > since || w.Next != nil && w.Next.SinceTerm != since {
 		return
--- a/internal/admission/planner.go
+++ b/internal/admission/planner.go
@@ -7,16 +7,16 @@
 	"time"
 )
 
-// Machine is a machine that work may be placed on, as the maker of plans sees it.
+// Machine is a machine that tasks may be placed on, as the planner sees it.
 type Machine struct {
 	Name             string
-	CPUs             float64 // in all
-	Memory           float64 // in all, GB
-	FreeCPUs         float64 // CPUs
-	SecondsUntilIdle float64 // seconds until what runs there has probably ended
+	CPUs             float64 // total
+	Memory           float64 // total, in GB
+	FreeCPUs         float64
+	SecondsUntilIdle float64 // estimated time until all running tasks have ended
 }
 
-// Inputs are what a plan is made from.
+// Inputs is what a plan is computed from.
 type Inputs struct {
 	Demands  []Demand
 	Machines []Machine
@@ -24,83 +24,84 @@
 	Weights  *Weights
 }
 
-// Planner makes the plans while its controller owns the fleet shard.
+// Planner computes the plans while its controller owns the fleet shard.
 type Planner struct {
-	sinceTerm  uint64
-	inForce    *Plan
-	next       *Plan
-	belowSince map[Key]time.Time // since when a class or team is under its floor
-	lastFloors map[Key]float64   // its floor in the last plan
-	idleSince  map[string]time.Time
-	proposedAt time.Time
+	sinceTerm       uint64
+	inForce         *Plan
+	next            *Plan
+	belowFloorSince map[Key]time.Time    // by group, when it fell below its floor
+	lastFloors      map[Key]float64      // by group, its floor in the last plan
+	idleSince       map[string]time.Time // by class with reserved machines, since when it has no waiting tasks
+	proposedAt      time.Time
 }
 
-// NewPlanner goes on with what its controller acts on and has received: others may act on
-// either. One that knows no plan begins with an empty one, which contradicts none.
+// NewPlanner returns a planner for a controller that has owned the fleet shard since a term. It continues from the
+// plan in force and the next plan that the controller knows, since other controllers may act on either. Without a
+// known plan it starts from an empty one, which conflicts with no other.
 func NewPlanner(since uint64, known *PlanState) *Planner {
-	m := &Planner{
-		sinceTerm:  since,
-		belowSince: map[Key]time.Time{},
-		lastFloors: map[Key]float64{},
-		idleSince:  map[string]time.Time{},
+	pl := &Planner{
+		sinceTerm:       since,
+		belowFloorSince: map[Key]time.Time{},
+		lastFloors:      map[Key]float64{},
+		idleSince:       map[string]time.Time{},
 	}
-	m.inForce = known.inForce
-	if m.inForce == nil {
-		m.inForce = &Plan{ID: ID{SinceTerm: since}}
+	pl.inForce = known.inForce
+	if pl.inForce == nil {
+		pl.inForce = &Plan{ID: ID{SinceTerm: since}}
 	}
-	last := m.inForce
+	last := pl.inForce
 	if known.next != nil {
 		last = known.next
 	}
-	m.next = &Plan{ID: ID{SinceTerm: since, Number: 1}, Floors: last.Floors, Reserved: last.Reserved}
-	for _, f := range last.Floors { // who was short has waited long enough already
+	pl.next = &Plan{ID: ID{SinceTerm: since, Number: 1}, Floors: last.Floors, Reserved: last.Reserved}
+	for _, f := range last.Floors { // these groups have already been below their floors for FloorAfter
 		group := Key{Class: f.Class}
 		if f.WithinLimit {
 			group = f.Key
 		}
-		m.belowSince[group] = time.Unix(1, 0)
-		m.lastFloors[group] += f.CPUs
+		pl.belowFloorSince[group] = time.Unix(1, 0)
+		pl.lastFloors[group] += f.CPUs
 	}
-	return m
+	return pl
 }
 
-// SinceTerm is the term since which the maker's controller owns the fleet.
-func (m *Planner) SinceTerm() uint64 { return m.sinceTerm }
+// SinceTerm returns the term since which the planner's controller has owned the fleet shard.
+func (pl *Planner) SinceTerm() uint64 { return pl.sinceTerm }
 
-// Plans is the plan in force and the next one, nil if there is none.
-func (m *Planner) Plans() (force, next *Plan) { return m.inForce, m.next }
+// Plans returns the plan in force and the next one, which is nil if there is none.
+func (pl *Planner) Plans() (force, next *Plan) { return pl.inForce, pl.next }
 
-// reservationGrace is how long a class has nothing that waits before its machines are free for all.
+// reservationGrace is how long a class keeps its reserved machines after its last task stopped waiting.
 const reservationGrace = 5 * time.Second
 
-// planInterval is the least time between two plans.
+// planInterval is the minimum time between two plans.
 const planInterval = time.Second
 
-// Step takes in which plans the members have received, brings the next plan into force once all
-// have, and then makes another one if what is due has changed.
-func (m *Planner) Step(now time.Time, in *Inputs, members map[string]ID) {
-	if m.next != nil {
+// Step puts the next plan into force once every member has received it, and then proposes another one if the floors or
+// reservations have changed. members maps each other member to the latest plan that it has received.
+func (pl *Planner) Step(now time.Time, in *Inputs, members map[string]ID) {
+	if pl.next != nil {
 		for _, seen := range members {
-			if seen.Compare(m.next.ID) < 0 {
-				return // an unreachable member keeps its plan until the record drops it
+			if seen.Compare(pl.next.ID) < 0 {
+				return // an unreachable member acts on its old plan until the membership record drops it
 			}
 		}
-		m.inForce, m.next = m.next, nil
+		pl.inForce, pl.next = pl.next, nil
 	}
-	if now.Sub(m.proposedAt) < planInterval {
+	if now.Sub(pl.proposedAt) < planInterval {
 		return
 	}
-	p := m.plan(now, in)
-	if p.EqualContents(m.inForce) {
+	p := pl.plan(now, in)
+	if p.EqualContents(pl.inForce) {
 		return
 	}
-	p.ID = ID{SinceTerm: m.sinceTerm, Number: m.inForce.Number + 1}
-	m.next, m.proposedAt = p, now
+	p.ID = ID{SinceTerm: pl.sinceTerm, Number: pl.inForce.Number + 1}
+	pl.next, pl.proposedAt = p, now
 }
 
-// plan is what should hold now, as far as it follows the plan in force.
-func (m *Planner) plan(now time.Time, in *Inputs) *Plan {
-	floors := m.currentFloors(now, in)
+// plan computes the floors and reservations for the present inputs, as a plan that may follow the one in force.
+func (pl *Planner) plan(now time.Time, in *Inputs) *Plan {
+	floors := pl.currentFloors(now, in)
 	p := &Plan{}
 	d := &reservationDemand{
 		smallestTask: math.Inf(1),
@@ -125,19 +126,19 @@
 		}
 	}
 	slices.SortFunc(p.Floors, func(a, b Floor) int { return a.Key.Compare(b.Key) })
-	p.Reserved = m.reserveMachines(now, in, d)
+	p.Reserved = pl.reserveMachines(now, in, d)
 	return p
 }
 
-// keyFloors are the floors in CPUs of keys that have been below them for long enough.
+// keyFloors holds the floors, in CPUs, of the keys whose groups have been below their floors for FloorAfter.
 type keyFloors struct {
 	onMachines  map[Key]float64
-	withinLimit map[Key]float64 // of a team
+	withinLimit map[Key]float64 // within the limit of the key's team
 }
 
-// currentFloors brings up to date which groups are below their floors, and divides the floors of those that have been
-// for long enough among their keys.
-func (m *Planner) currentFloors(now time.Time, in *Inputs) keyFloors {
+// currentFloors updates which groups are below their floors, and divides the floors of those that have been below for
+// FloorAfter among their keys.
+func (pl *Planner) currentFloors(now time.Time, in *Inputs) keyFloors {
 	cpus := 0.0
 	for _, x := range in.Machines {
 		cpus += x.CPUs
@@ -146,45 +147,47 @@
 	known := map[Key]bool{}
 	for _, g := range Floors(cpus, in.Demands, in.Teams, in.Weights) {
 		known[g.Key] = true
-		g.Floor = m.steadyFloor(&g)
-		m.updateBelow(&g, now)
-		if since, below := m.belowSince[g.Key]; !below || now.Sub(since) < in.Weights.FloorAfter {
-			delete(m.lastFloors, g.Key)
+		g.Floor = pl.dampedFloor(&g)
+		pl.updateBelowFloor(&g, now)
+		if since, below := pl.belowFloorSince[g.Key]; !below || now.Sub(since) < in.Weights.FloorAfter {
+			delete(pl.lastFloors, g.Key)
 			continue
 		}
-		m.lastFloors[g.Key] = g.Floor
+		pl.lastFloors[g.Key] = g.Floor
 		if g.withinLimit() {
 			floors.withinLimit[g.Key] = g.Floor
 			continue
 		}
-		m.divideGroupFloor(g, in, floors.onMachines)
+		pl.divideGroupFloor(g, in, floors.onMachines)
 	}
-	maps.DeleteFunc(m.belowSince, func(k Key, _ time.Time) bool { return !known[k] })
+	maps.DeleteFunc(pl.belowFloorSince, func(k Key, _ time.Time) bool { return !known[k] })
 	return floors
 }
 
-// steadyFloor is a group's floor, or that of the last plan if it is about the same: plans do not change for little.
-func (m *Planner) steadyFloor(g *Group) float64 {
-	last := m.lastFloors[g.Key]
+// dampedFloor returns the group's floor, or its floor in the last plan if the two differ by less than 10 %, so that
+// small changes cause no new plan.
+func (pl *Planner) dampedFloor(g *Group) float64 {
+	last := pl.lastFloors[g.Key]
 	if last > 0 && math.Abs(last-g.Floor) < max(last, g.Floor)/10 {
 		return last
 	}
 	return g.Floor
 }
 
-// updateBelow notes since when a group is below its floor. One that has a floor in the plan stays until nothing waits.
-func (m *Planner) updateBelow(g *Group, now time.Time) {
+// updateBelowFloor records when a group fell below its floor. A group with a floor in the last plan keeps it until none
+// of its tasks wait.
+func (pl *Planner) updateBelowFloor(g *Group, now time.Time) {
 	switch {
 	case !g.HasWaiting || g.Floor <= 0:
-		delete(m.belowSince, g.Key)
-	case g.Used < g.Floor && m.belowSince[g.Key].IsZero():
-		m.belowSince[g.Key] = now
-	case g.Used >= g.Floor && m.lastFloors[g.Key] == 0:
-		delete(m.belowSince, g.Key)
+		delete(pl.belowFloorSince, g.Key)
+	case g.Used < g.Floor && pl.belowFloorSince[g.Key].IsZero():
+		pl.belowFloorSince[g.Key] = now
+	case g.Used >= g.Floor && pl.lastFloors[g.Key] == 0:
+		delete(pl.belowFloorSince, g.Key)
 	}
 }
 
-// wholeTasks rounds a floor to tasks of the need, one at least.
+// wholeTasks rounds a floor to a multiple of the demand's largest waiting task, at least one task.
 func (n *Demand) wholeTasks(floor float64) float64 {
 	if n.TaskCPUs <= 0 {
 		return floor
@@ -192,9 +195,9 @@
 	return max(1, math.Round(floor/n.TaskCPUs)) * n.TaskCPUs
 }
 
-// divideGroupFloor divides a group's floor among its keys: that of a class among the teams by weight, that
-// of a team among its classes as they are urgent.
-func (m *Planner) divideGroupFloor(g Group, in *Inputs, floors map[Key]float64) {
+// divideGroupFloor divides a group's floor among its keys: the floor of a class among the teams by weight, and the
+// floor of a team among its classes in order of priority.
+func (pl *Planner) divideGroupFloor(g Group, in *Inputs, floors map[Key]float64) {
 	var of []Demand
 	var wants, weights []float64
 	for _, n := range in.Demands {
--- a/internal/admission/planner_test.go
+++ b/internal/admission/planner_test.go
@@ -51,12 +51,12 @@
 				s.owner, s.since = owner, since // it reads the record
 			}
 			if s.owner != n {
-				s.maker = nil
+				s.planner = nil
 			} else {
-				if s.maker == nil || s.maker.SinceTerm() != s.since {
-					s.maker = NewPlanner(s.since, &s.known)
+				if s.planner == nil || s.planner.SinceTerm() != s.since {
+					s.planner = NewPlanner(s.since, &s.known)
 					if l.afresh && rng.IntN(2) == 0 {
-						s.maker.inForce = &Plan{ID: ID{s.since, 0}, Reserved: map[string]string{"m1": "large", "m2": "larger"}}
+						s.planner.inForce = &Plan{ID: ID{s.since, 0}, Reserved: map[string]string{"m1": "large", "m2": "larger"}}
 					}
 				}
 				members := map[string]ID{}
@@ -68,9 +68,9 @@
 				if l.unconfirmed {
 					members = nil
 				}
-				was := s.maker.next
-				s.maker.Step(now, inputs(), members)
-				if next := s.maker.next; next != nil && next != was {
+				was := s.planner.next
+				s.planner.Step(now, inputs(), members)
+				if next := s.planner.next; next != nil && next != was {
 					made++
 					if l.direct && len(next.Reserved) > 0 {
 						for m := range next.Reserved {
@@ -78,12 +78,12 @@
 						}
 					}
 				}
-				force, next := s.maker.Plans()
+				force, next := s.planner.Plans()
 				s.known.Apply(s.since, PlanStatus{InForce: force, Next: next})
 			}
 			w := PlanStatus{Latest: s.known.Latest()}
-			if s.maker != nil {
-				w.InForce, w.Next = s.maker.Plans()
+			if s.planner != nil {
+				w.InForce, w.Next = s.planner.Plans()
 			}
 			for _, o := range names {
 				if o != n && o != out && rng.IntN(3) > 0 {
@@ -188,7 +188,7 @@
 	on := make([][]task, machines)
 	large, small := Key{"t", "large"}, Key{"t", "small"}
 	agreed := &PlanState{}
-	maker := NewPlanner(1, agreed)
+	planner := NewPlanner(1, agreed)
 	w := &Weights{FloorShare: 0.5, FloorAfter: 20 * time.Second}
 	now := time.Unix(1000, 0)
 	began := now
@@ -213,8 +213,8 @@
 		if !floors {
 			in.Weights = &Weights{}
 		}
-		maker.Step(now, in, nil)
-		force, next := maker.Plans()
+		planner.Step(now, in, nil)
+		force, next := planner.Plans()
 		agreed.Apply(1, PlanStatus{InForce: force, Next: next})
 		plan := agreed.InForce()
 		start := func(k Key, cpus, most float64) {
--- a/internal/admission/prioritize.go
+++ b/internal/admission/prioritize.go
@@ -5,40 +5,40 @@
 	"time"
 )
 
-// onTimeShare is the part of what a class lacks of its floor that goes to its jobs that can still be in time, those
-// first that must start soonest. The rest goes to its oldest jobs, so that none waits for ever.
+// onTimeShare is the fraction of a class's deficit that goes to jobs that can still meet their goals, in order of their
+// latest start time. The rest goes to the oldest jobs, so that none starves.
 const onTimeShare = 0.75
 
-// WaitingTasks are tasks of one job that wait.
+// WaitingTasks are the waiting tasks of one job.
 type WaitingTasks struct {
-	Index       int // the caller's
+	Index       int // for the caller's use
 	Class       string
 	Count       int
-	TaskCPUs    float64 // more than 0
-	Gang        bool    // they start together or not at all
-	Late        bool    // the job cannot meet its goal any more
-	StartBy     time.Time
+	TaskCPUs    float64   // of each task; greater than 0
+	Gang        bool      // the tasks start all together or not at all
+	Late        bool      // the job can no longer meet its goal
+	StartBy     time.Time // latest start time to meet the goal
 	SubmittedAt time.Time
 
-	// Prioritized is how many of the tasks go before more urgent work of other classes.
+	// Prioritized is how many of the tasks are scheduled before more urgent tasks of other classes.
 	Prioritized int
 }
 
-// Deficit is how many CPUs a key that uses so many has less than its floor; negative if it has more.
+// Deficit returns how many CPUs a key that uses the given number is below its floor, a negative number if it is above.
 func (p *Plan) Deficit(k Key, used float64) float64 { return p.Floor(k) - used }
 
-// PrioritizeTasks raises Prioritized of a team's waiting tasks by as many as their classes lack of their floors. Lacks
-// is by class, in CPUs.
-func PrioritizeTasks(waiting []*WaitingTasks, lacks map[string]float64) {
+// PrioritizeTasks raises Prioritized of a team's waiting tasks until they cover the deficits of their classes. deficits
+// holds the CPUs by class; the CPUs of the prioritized tasks are subtracted from it.
+func PrioritizeTasks(waiting []*WaitingTasks, deficits map[string]float64) {
 	order := slices.Clone(waiting)
-	slices.SortStableFunc(order, (*WaitingTasks).compareByStart)
-	fillFloors(order, lacks, onTimeShare)
+	slices.SortStableFunc(order, (*WaitingTasks).compareByStartBy)
+	fillFloors(order, deficits, onTimeShare)
 	slices.SortStableFunc(order, func(a, b *WaitingTasks) int { return a.SubmittedAt.Compare(b.SubmittedAt) })
-	fillFloors(order, lacks, 1)
+	fillFloors(order, deficits, 1)
 }
 
-// compareByStart orders tasks by when they must start to be in time, those that cannot be last.
-func (w *WaitingTasks) compareByStart(o *WaitingTasks) int {
+// compareByStartBy orders tasks by their latest start time. Late ones come last.
+func (w *WaitingTasks) compareByStartBy(o *WaitingTasks) int {
 	if w.Late != o.Late {
 		if w.Late {
 			return 1
@@ -48,11 +48,12 @@
 	return w.StartBy.Compare(o.StartBy)
 }
 
-// fillFloors gives a part of what each class lacks to its tasks in their order, and takes it off lacks.
-func fillFloors(order []*WaitingTasks, lacks map[string]float64, part float64) {
+// fillFloors prioritizes tasks in the given order until they cover a fraction of their classes' deficits, and subtracts
+// their CPUs from the deficits.
+func fillFloors(order []*WaitingTasks, deficits map[string]float64, fraction float64) {
 	left := map[string]float64{}
-	for class, cpus := range lacks {
-		left[class] = cpus * part
+	for class, cpus := range deficits {
+		left[class] = cpus * fraction
 	}
 	for _, w := range order {
 		count := min(w.Count-w.Prioritized, int(left[w.Class]/w.TaskCPUs+1e-9))
@@ -62,6 +63,6 @@
 		w.Prioritized += count
 		cpus := float64(count) * w.TaskCPUs
 		left[w.Class] -= cpus
-		lacks[w.Class] -= cpus
+		deficits[w.Class] -= cpus
 	}
 }
--- a/internal/admission/prioritize_test.go
+++ b/internal/admission/prioritize_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// TestPrioritizedTasks: three quarters of what a class lacks go to tasks that can still be in time, the rest to the oldest
+// TestPrioritizedTasks: three quarters of what a class deficits go to tasks that can still be in time, the rest to the oldest
 // job; a gang goes as a whole, and other classes' deficits are not touched.
 func TestPrioritizedTasks(t *testing.T) {
 	at := func(s int) time.Time { return time.Unix(1000+int64(s), 0) }
@@ -14,8 +14,8 @@
 	late := &WaitingTasks{Class: "batch", Count: 10, TaskCPUs: 1, Late: true, StartBy: at(-50), SubmittedAt: at(1)}
 	gang := &WaitingTasks{Class: "train", Count: 4, TaskCPUs: 2, Gang: true, SubmittedAt: at(0)}
 	begun := &WaitingTasks{Class: "train", Count: 1, TaskCPUs: 2, Prioritized: 1, SubmittedAt: at(0)}
-	lacks := map[string]float64{"batch": 16, "train": 7, "other": 5}
-	PrioritizeTasks([]*WaitingTasks{late, later, soon, gang, begun}, lacks)
+	deficits := map[string]float64{"batch": 16, "train": 7, "other": 5}
+	PrioritizeTasks([]*WaitingTasks{late, later, soon, gang, begun}, deficits)
 	for name, c := range map[string]struct {
 		tasks *WaitingTasks
 		want  int
@@ -24,13 +24,13 @@
 			t.Errorf("%s: %d tasks go first, want %d", name, c.tasks.Prioritized, c.want)
 		}
 	}
-	if lacks["batch"] != 0 || lacks["train"] != 7 || lacks["other"] != 5 {
-		t.Errorf("left: %v", lacks)
+	if deficits["batch"] != 0 || deficits["train"] != 7 || deficits["other"] != 5 {
+		t.Errorf("left: %v", deficits)
 	}
-	lacks = map[string]float64{"train": 16}
-	PrioritizeTasks([]*WaitingTasks{gang}, lacks)
-	if gang.Prioritized != 4 || lacks["train"] != 8 {
-		t.Errorf("gang within the floor: %d tasks go first, left %v", gang.Prioritized, lacks)
+	deficits = map[string]float64{"train": 16}
+	PrioritizeTasks([]*WaitingTasks{gang}, deficits)
+	if gang.Prioritized != 4 || deficits["train"] != 8 {
+		t.Errorf("gang within the floor: %d tasks go first, left %v", gang.Prioritized, deficits)
 	}
 }
 
@@ -38,22 +38,22 @@
 // ask for anything; what waits counts by the time in which a backlog is worked off.
 func TestNeeds(t *testing.T) {
 	team, other := Key{"a", "batch"}, Key{"b", "batch"}
-	needs := NewDemandCollector(time.Minute)
-	needs.AddWaiting(team, PendingWork{CPUs: 8, Rank: 2, TaskCPUs: 2, TaskMemory: 3, EstimateSeconds: 30})
-	needs.AddWaiting(team, PendingWork{CPUs: 4, Rank: 1, TaskCPUs: 1, TaskMemory: 5, EstimateSeconds: 30})
-	needs.AddUsed(team, 6)
-	needs.AddArrival(team, 120, 3*time.Second)
-	needs.AddArrival(team, 480, 30*time.Second)
-	needs.AddArrival(team, 999, time.Minute)
-	needs.AddArrival(other, 100, time.Second)
-	list := needs.List()
+	demands := NewDemandCollector(time.Minute)
+	demands.AddWaiting(team, PendingWork{CPUs: 8, Rank: 2, TaskCPUs: 2, TaskMemory: 3, EstimateSeconds: 30})
+	demands.AddWaiting(team, PendingWork{CPUs: 4, Rank: 1, TaskCPUs: 1, TaskMemory: 5, EstimateSeconds: 30})
+	demands.AddUsed(team, 6)
+	demands.AddArrival(team, 120, 3*time.Second)
+	demands.AddArrival(team, 480, 30*time.Second)
+	demands.AddArrival(team, 999, time.Minute)
+	demands.AddArrival(other, 100, time.Second)
+	list := demands.List()
 	want := Demand{Key: team, Used: 6, Waiting: 12, TaskCPUs: 2, TaskMemory: 5, Rate: 20, Rank: 1}
 	if len(list) != 1 || list[0] != want {
-		t.Errorf("needs %+v, want %+v", list, want)
+		t.Errorf("demands %+v, want %+v", list, want)
 	}
-	needs = NewDemandCollector(time.Minute)
-	needs.AddWaiting(other, PendingWork{CPUs: 600, TaskCPUs: 1, EstimateSeconds: 60})
-	if list := needs.List(); len(list) != 1 || list[0].Rate != 60 {
+	demands = NewDemandCollector(time.Minute)
+	demands.AddWaiting(other, PendingWork{CPUs: 600, TaskCPUs: 1, EstimateSeconds: 60})
+	if list := demands.List(); len(list) != 1 || list[0].Rate != 60 {
 		t.Errorf("a backlog of 36000 CPU seconds gives %+v", list)
 	}
 }
--- a/internal/admission/reservation.go
+++ b/internal/admission/reservation.go
@@ -9,11 +9,11 @@
 	"time"
 )
 
-// reservationDemand is what the reservation of machines goes by.
+// reservationDemand is the demand that machines are reserved for.
 type reservationDemand struct {
-	waiting      map[string]bool     // classes with tasks that wait
-	smallestTask float64             // CPUs of the smallest task that waits
-	short        map[string][]Demand // by class, the needs that have a floor
+	waiting      map[string]bool     // classes with waiting tasks
+	smallestTask float64             // smallest TaskCPUs of any demand
+	short        map[string][]Demand // by class, the demands that have a floor
 	floors       map[string]float64  // by class, the sum of these floors
 }
 
@@ -22,33 +22,33 @@
 	machines map[string]*Machine // those that there are
 	previous map[string]string   // reserved by the plan in force
 	reserved map[string]string
-	limit    int // how many machines may be reserved
+	limit    int // maximum number of reserved machines
 }
 
-// classReservation is what is still to be reserved for a class.
+// classReservation is what remains to be reserved for a class.
 type classReservation struct {
 	class    string
-	taskCPUs float64 // of its largest task that waits
-	memory   float64 // of the same, GB
-	left     float64 // CPUs
+	taskCPUs float64 // of its largest waiting task
+	memory   float64 // of its largest waiting task, in GB
+	left     float64 // CPUs still to be reserved
 }
 
-// reserveMachines says which machines are held for which class: for one that got too little though its
-// tasks are larger than others that wait, so that it finds no room where those take each
-// piece that comes free. A machine that was held for a class is first free for all.
-func (m *Planner) reserveMachines(now time.Time, in *Inputs, d *reservationDemand) map[string]string {
+// reserveMachines returns the class that each reserved machine is reserved for. A class below its floor gets
+// reservations if its tasks are larger than other waiting tasks, which would otherwise fill every gap before a large
+// one fits. A machine is unreserved for at least one plan before it is reserved for another class.
+func (pl *Planner) reserveMachines(now time.Time, in *Inputs, d *reservationDemand) map[string]string {
 	r := &reservations{
 		machines: map[string]*Machine{},
-		previous: m.inForce.Reserved,
+		previous: pl.inForce.Reserved,
 		reserved: map[string]string{},
 		limit:    len(in.Machines) / 2,
 	}
 	for i := range in.Machines {
 		r.machines[in.Machines[i].Name] = &in.Machines[i]
 	}
-	kept := m.keptReservations(now, r.machines, d.waiting)
+	kept := pl.keptReservations(now, r.machines, d.waiting)
 	for class, names := range kept {
-		if !d.waiting[class] { // for a moment, in case more comes
+		if !d.waiting[class] { // kept for reservationGrace, in case more tasks arrive
 			for _, name := range names {
 				r.reserved[name] = class
 			}
@@ -60,7 +60,7 @@
 			c.taskCPUs, c.memory = max(c.taskCPUs, n.TaskCPUs), max(c.memory, n.TaskMemory)
 		}
 		if c.taskCPUs <= d.smallestTask+1e-6 && len(kept[class]) == 0 {
-			continue // whatever comes free is large enough
+			continue // no waiting task is smaller, so its tasks fit into the same gaps
 		}
 		r.reserveFor(&c, kept[class])
 	}
@@ -70,23 +70,23 @@
 	return r.reserved
 }
 
-// keptReservations lists, by class, the machines that the plan in force reserves and that may stay reserved.
-func (m *Planner) keptReservations(now time.Time, machines map[string]*Machine, waiting map[string]bool) map[string][]string {
+// keptReservations returns, by class, the machines that the plan in force reserves and that may stay reserved.
+func (pl *Planner) keptReservations(now time.Time, machines map[string]*Machine, waiting map[string]bool) map[string][]string {
 	kept := map[string][]string{}
-	for _, name := range slices.Sorted(maps.Keys(m.inForce.Reserved)) {
-		class := m.inForce.Reserved[name]
-		if !waiting[class] && m.idleSince[class].IsZero() {
-			m.idleSince[class] = now
+	for _, name := range slices.Sorted(maps.Keys(pl.inForce.Reserved)) {
+		class := pl.inForce.Reserved[name]
+		if !waiting[class] && pl.idleSince[class].IsZero() {
+			pl.idleSince[class] = now
 		}
-		if machines[name] != nil && (waiting[class] || now.Sub(m.idleSince[class]) < reservationGrace) {
+		if machines[name] != nil && (waiting[class] || now.Sub(pl.idleSince[class]) < reservationGrace) {
 			kept[class] = append(kept[class], name)
 		}
 	}
-	maps.DeleteFunc(m.idleSince, func(class string, _ time.Time) bool { return waiting[class] })
+	maps.DeleteFunc(pl.idleSince, func(class string, _ time.Time) bool { return waiting[class] })
 	return kept
 }
 
-// reserveFor reserves machines for a class: those that it has first, then those that are empty soonest.
+// reserveFor reserves machines for a class: first those already reserved for it, then those expected to be idle soonest.
 func (r *reservations) reserveFor(c *classReservation, kept []string) {
 	for _, name := range kept {
 		r.add(c, r.machines[name])
@@ -102,8 +102,8 @@
 	}
 }
 
-// unreserved lists the machines that neither this plan nor the one in force reserves, those first that are empty
-// soonest.
+// unreserved returns the machines that neither this plan nor the one in force reserves, in order of when they are
+// expected to be idle.
 func (r *reservations) unreserved() []*Machine {
 	free := make([]*Machine, 0, len(r.machines))
 	for name, machine := range r.machines {
@@ -121,7 +121,8 @@
 	return free
 }
 
-// add reserves a machine for a class if that lacks any, a task has room there, and the plan may reserve one more.
+// add reserves a machine for a class if the class still needs CPUs, one of its tasks fits the machine, and the limit on
+// reservations is not reached.
 func (r *reservations) add(c *classReservation, machine *Machine) {
 	tasks := math.Floor(machine.CPUs/c.taskCPUs + 1e-9)
 	if c.memory > 0 {
--- a/internal/admission/served.go
+++ b/internal/admission/served.go
@@ -6,22 +6,22 @@
 	"time"
 )
 
-// Window is the time over which it is counted who was served, in parts.
+// Window is the sliding window of ServedCounts, which advances by windowStep.
 const (
 	Window      = 2 * time.Minute
 	windowStep  = 10 * time.Second
 	windowSteps = int(Window / windowStep)
 )
 
-// Count is what became of a key's jobs within the window, as far as one controller saw it.
+// Count holds what happened to a key's jobs within the window, as observed by one controller.
 type Count struct {
-	Asked    int `json:"asked"`    // submissions handed in, first tries
-	Accepted int `json:"accepted"` // of them here
-	Refused  int `json:"refused"`  // answers that said to come back
-	Started  int `json:"started"`  // tasks
-	Done     int `json:"done"`     // jobs
-	InTime   int `json:"in_time"`  // jobs done by their first goal
-	Late     int `json:"late"`     // jobs that were not
+	Asked    int `json:"asked"`    // submissions, without retries
+	Accepted int `json:"accepted"` // submissions accepted by this controller
+	Refused  int `json:"refused"`  // submissions rejected with a request to retry
+	Started  int `json:"started"`  // tasks started
+	Done     int `json:"done"`     // jobs completed
+	InTime   int `json:"in_time"`  // jobs that met their first goal
+	Late     int `json:"late"`     // jobs that missed their first goal
 }
 
 func (c *Count) add(o *Count) {
@@ -34,8 +34,8 @@
 	c.Late += o.Late
 }
 
-// InTimeShare is the part of the jobs whose first goal was decided that reached it; 1 if there
-// were none.
+// InTimeShare returns the fraction of jobs that met their first goal among those that met or missed it, 1 if there are
+// none.
 func (c *Count) InTimeShare() float64 {
 	if c.InTime+c.Late == 0 {
 		return 1
@@ -43,18 +43,19 @@
 	return float64(c.InTime) / float64(c.InTime+c.Late)
 }
 
-// ServedCounts counts who was served. What it keeps is bounded by the number of keys.
+// ServedCounts counts events by key over a sliding window. Its memory is bounded by the number of keys.
 type ServedCounts struct {
 	keys     map[Key]*[windowSteps]Count
-	step     int64 // part of time that is counted into
-	loggedAt map[Key]time.Time
+	step     int64             // number of the current window step
+	loggedAt map[Key]time.Time // when PoorlyServed last returned the key
 }
 
-// NewServedCounts has counted nothing.
+// NewServedCounts returns empty counts.
 func NewServedCounts() *ServedCounts {
 	return &ServedCounts{keys: map[Key]*[windowSteps]Count{}, loggedAt: map[Key]time.Time{}}
 }
 
+// advance moves the window to the present and clears the steps that have left it.
 func (s *ServedCounts) advance(now time.Time) {
 	at := now.UnixNano() / int64(windowStep)
 	for s.step < at {
@@ -67,18 +68,18 @@
 	}
 }
 
-// Record counts something for a key.
-func (s *ServedCounts) Record(k Key, now time.Time, what func(*Count)) {
+// Record has an update applied to the present counts of a key.
+func (s *ServedCounts) Record(k Key, now time.Time, update func(*Count)) {
 	s.advance(now)
 	c := s.keys[k]
 	if c == nil {
 		c = &[windowSteps]Count{}
 		s.keys[k] = c
 	}
-	what(&c[s.step%int64(windowSteps)])
+	update(&c[s.step%int64(windowSteps)])
 }
 
-// Counts sums up the window for each key that anything was counted for.
+// Counts returns the sums over the window for each key that has any.
 func (s *ServedCounts) Counts(now time.Time) map[Key]Count {
 	s.advance(now)
 	out := map[Key]Count{}
@@ -96,15 +97,13 @@
 	return out
 }
 
-// enough is how many jobs must have ended or missed their goals to say that a key is served
-// badly, and tellAgain after what time it is said again.
+// Conditions for PoorlyServed to return a key.
 const (
-	minDecidedJobs = 5
-	repeatAfter    = time.Minute
+	minDecidedJobs = 5           // jobs that met or missed their goals
+	repeatAfter    = time.Minute // since it last returned the same key
 )
 
-// PoorlyServed names the keys of whose jobs less than half were in time, those not named for a
-// while.
+// PoorlyServed returns the keys of which fewer than half of the jobs were in time, each at most once per repeatAfter.
 func (s *ServedCounts) PoorlyServed(now time.Time) (short []Key) {
 	counts := s.Counts(now)
 	for _, k := range slices.SortedFunc(maps.Keys(counts), Key.Compare) {
