--- a/internal/admission/reservation.go
+++ b/internal/admission/reservation.go
@@ -12,14 +12,14 @@
 // reservationDemand is the demand that machines are reserved for.
 type reservationDemand struct {
 	waiting      map[string]bool     // classes with waiting tasks
-	smallestTask float64             // smallest TaskCPUs of any demand
+	smallestTask float64             // smallest TaskCPUs of all waiting demands
 	short        map[string][]Demand // by class, the demands that have a floor
 	floors       map[string]float64  // by class, the sum of these floors
 }
 
-// reservations are the machines that a new plan reserves.
+// reservations holds the machines that a new plan reserves.
 type reservations struct {
-	machines map[string]*Machine // those that there are
+	machines map[string]*Machine // all machines, by name
 	previous map[string]string   // reserved by the plan in force
 	reserved map[string]string
 	limit    int // maximum number of reserved machines
@@ -28,8 +28,8 @@
 // classReservation is what remains to be reserved for a class.
 type classReservation struct {
 	class    string
-	taskCPUs float64 // of its largest waiting task
-	memory   float64 // of its largest waiting task, in GB
+	taskCPUs float64 // largest number of CPUs of a waiting task
+	memory   float64 // largest memory of a waiting task, in GB
 	left     float64 // CPUs still to be reserved
 }
 
--- a/internal/teamconfig/config.go
+++ b/internal/teamconfig/config.go
@@ -8,34 +8,34 @@
 	"topazhollow/internal/settings"
 )
 
-// Config is what one controller knows of the teams' configuration.
+// Config is one controller's copy of the teams' configuration.
 type Config struct {
 	base             map[string]settings.Team
-	maxAge           time.Duration // knowledge that is older is old
+	maxAge           time.Duration // after which the copy is stale
 	teams            map[string]*team
-	notInForce       map[string]*team // those whose entry is not known to be in force
-	latestVersion    uint64           // version of the last change known
-	knownRevision    uint64           // revision of the state service up to which every entry is known
-	readAt           time.Time        // when the read began that last showed that nothing is missing
-	requiredRevision uint64           // revision that must be known before a team that was taken over starts anything
-	// overruled are changes that were acknowledged and lost against another one of the same number.
+	notInForce       map[string]*team // teams whose entries are not known to be in force
+	latestVersion    uint64           // version of the last known change
+	knownRevision    uint64           // revision of the key-value store up to which every entry is known
+	readAt           time.Time        // start of the last read that confirmed that no entry is missing
+	requiredRevision uint64           // revision that must be known before a team that was taken over starts any task
+	// overruled holds acknowledged changes that lost against another change of the same number.
 	overruled []Change
 }
 
 // team is what is known of a team that has an entry.
 type team struct {
 	Entry
-	version       uint64 // of this entry's key in this epoch; 0: the state service does not have it
-	storedVersion uint64 // version of the key in this epoch, whatever it holds; 0: none
-	limitsInForce Limits // the last ones known to be in force everywhere, or to have been at the start
-	inForce       bool   // this entry is known to be in force everywhere
+	version       uint64 // of this entry's key in the present epoch; 0: the key-value store does not have the entry
+	storedVersion uint64 // of the key in the present epoch, whichever entry it holds; 0: the key does not exist
+	limitsInForce Limits // last limits known to be in force everywhere, or the first known limits
+	inForce       bool   // the entry is known to be in force everywhere
 }
 
-// New is a configuration by the settings file alone. Knowledge older than the bound counts as old.
-func New(base []settings.Team, bound time.Duration) *Config {
+// New returns a configuration that consists of the settings file's teams. It is stale once it is older than maxAge.
+func New(base []settings.Team, maxAge time.Duration) *Config {
 	c := &Config{
 		base:       map[string]settings.Team{},
-		maxAge:     bound,
+		maxAge:     maxAge,
 		teams:      map[string]*team{},
 		notInForce: map[string]*team{},
 	}
@@ -45,9 +45,9 @@
 	return c
 }
 
-// ApplyEntry takes in an entry that the state service holds, by the version of its key. A version that is not
-// newer than the one known changes nothing, so that late and repeated messages do no harm. It says whether
-// anything changed.
+// ApplyEntry applies an entry read from the key-value store with the version of its key, and reports whether it changed
+// the configuration. Versions that are not newer than the known one are ignored, so late and repeated messages have no
+// effect.
 func (c *Config) ApplyEntry(name string, e Entry, version uint64) bool {
 	t := c.teams[name]
 	if t == nil {
@@ -60,8 +60,8 @@
 	c.teams[name] = t
 	switch {
 	case e.Number < t.Number:
-		// A change that was acknowledged is missing, as after a loss of data: memory goes first until it is
-		// written back.
+		// A change that was acknowledged is missing from the store, as after a loss of data: the entry in memory
+		// holds until it is written back.
 		t.version = 0
 		return false
 	case e.Number == t.Number && e.ChangeID == t.ChangeID:
@@ -70,12 +70,12 @@
 	case e.Number == t.Number:
 		c.overruled = append(c.overruled, Change{Team: name, Entry: t.Entry})
 	}
-	c.adopt(name, t, e, version)
+	c.replaceEntry(name, t, e, version)
 	return true
 }
 
-// ApplyRemembered takes in an entry that a peer remembers and the state service may not have, as after a loss of data.
-// It says whether anything changed.
+// ApplyRemembered applies an entry that a peer has in memory and that the key-value store may lack, as after a loss of
+// data. It reports whether the entry changed the configuration.
 func (c *Config) ApplyRemembered(name string, e Entry) bool {
 	t := c.teams[name]
 	if t == nil {
@@ -85,30 +85,32 @@
 	case e.Number < t.Number, e.Number == t.Number && e.ChangeID == t.ChangeID:
 		return false
 	case e.Number == t.Number && (t.version > 0 || e.ChangeID < t.ChangeID):
-		c.noteOverruled(name, e) // what the state service holds holds, else the same one everywhere
+		// The stored entry wins; if neither is stored, every controller picks the one with the higher ChangeID.
+		c.addOverruled(name, e)
 		return false
 	case e.Number == t.Number:
-		c.noteOverruled(name, t.Entry)
+		c.addOverruled(name, t.Entry)
 	}
 	c.teams[name] = t
-	c.adopt(name, t, e, 0)
+	c.replaceEntry(name, t, e, 0)
 	return true
 }
 
-func (c *Config) noteOverruled(name string, e Entry) {
+// addOverruled records an overruled change once.
+func (c *Config) addOverruled(name string, e Entry) {
 	if !slices.ContainsFunc(c.overruled, func(x Change) bool { return x.Team == name && x.Entry == e }) {
 		c.overruled = append(c.overruled, Change{Team: name, Entry: e})
 	}
 }
 
-// adopt puts an entry in the place of what was known of a team.
-func (c *Config) adopt(name string, t *team, e Entry, version uint64) {
+// replaceEntry replaces what is known of a team by an entry.
+func (c *Config) replaceEntry(name string, t *team, e Entry, version uint64) {
 	before := t.limitsInForce
 	switch base, had := c.base[name]; {
 	case t.Number > 0 && t.inForce:
 		before = t.Limits()
 	case t.Number > 0:
-	case c.knownRevision == 0 || !had: // found at the start, or a new team: nothing smaller is known
+	case c.knownRevision == 0 || !had: // first read after the start, or a new team: no smaller limits are known
 		before = e.Limits()
 	default:
 		before = limitsOf(base)
@@ -117,27 +119,28 @@
 	c.notInForce[name] = t
 }
 
-// MarkReadUpTo notes that every entry up to a revision was taken in, by a read that began then.
-func (c *Config) MarkReadUpTo(revision uint64, asOf time.Time) {
+// MarkReadUpTo records that a read that began at readAt has applied every entry up to a revision.
+func (c *Config) MarkReadUpTo(revision uint64, readAt time.Time) {
 	c.knownRevision = max(c.knownRevision, revision)
-	if asOf.After(c.readAt) {
-		c.readAt = asOf
+	if readAt.After(c.readAt) {
+		c.readAt = readAt
 	}
 }
 
-// ApplyMissing takes in what a peer that knows more has sent: all changes after the revision known here up to its own.
-// record is the version of the membership record that it knew, own of that known here: revisions are known here only with
-// the records among them.
-func (c *Config) ApplyMissing(changes []Change, after, known, record, own uint64) {
+// ApplyMissing applies the changes that a peer sent because it knows more: all after one revision up to another, the
+// peer's known revision. The known revision advances only if there is no gap between, and if the membership record known
+// here (version ownRecord) is at least as new as the peer's (peerRecord), because a known revision covers the membership
+// records written up to it too.
+func (c *Config) ApplyMissing(changes []Change, after, upTo, peerRecord, ownRecord uint64) {
 	for _, x := range changes {
 		c.ApplyEntry(x.Team, x.Entry, x.Version)
 	}
-	if after <= c.knownRevision && own >= record {
-		c.knownRevision = max(c.knownRevision, known)
+	if after <= c.knownRevision && ownRecord >= peerRecord {
+		c.knownRevision = max(c.knownRevision, upTo)
 	}
 }
 
-// ChangesAfter lists the changes that a peer lacks that knows the entries up to a revision only.
+// ChangesAfter returns the changes that a peer lacks if it knows the entries only up to a revision.
 func (c *Config) ChangesAfter(after uint64) (changes []Change) {
 	for _, name := range slices.Sorted(maps.Keys(c.teams)) {
 		if t := c.teams[name]; t.version > after {
@@ -147,8 +150,8 @@
 	return changes
 }
 
-// StartEpoch begins a new epoch of the state service's data: versions and revisions of the one before are void, the
-// entries are kept.
+// StartEpoch starts a new epoch of the key-value store's data. It keeps the entries and discards all versions and
+// revisions of the previous epoch.
 func (c *Config) StartEpoch() {
 	c.knownRevision, c.requiredRevision, c.latestVersion, c.readAt = 0, 0, 0, time.Time{}
 	for name, t := range c.teams {
@@ -160,8 +163,8 @@
 	}
 }
 
-// Unwritten lists the entries that are remembered and that the state service does not have, with the versions
-// of the keys that are to be written over.
+// Unwritten returns the entries that are known here and missing from the key-value store, with the versions of the keys
+// to overwrite.
 func (c *Config) Unwritten() (changes []Change) {
 	for _, name := range slices.Sorted(maps.Keys(c.teams)) {
 		if t := c.teams[name]; t.version == 0 {
@@ -171,16 +174,16 @@
 	return changes
 }
 
-// Overruled lists the changes that were acknowledged and lost against others of the same numbers.
+// Overruled returns the acknowledged changes that lost against others of the same number.
 func (c *Config) Overruled() []Change { return c.overruled }
 
-// KnownRevision is the revision up to which every entry is known.
+// KnownRevision returns the revision up to which every entry is known.
 func (c *Config) KnownRevision() uint64 { return c.knownRevision }
 
-// LatestVersion is the version of the last change known.
+// LatestVersion returns the version of the last known change.
 func (c *Config) LatestVersion() uint64 { return c.latestVersion }
 
-// Versions gives the versions of the entries' keys by team.
+// Versions returns the versions of the entries' keys, by team.
 func (c *Config) Versions() map[string]uint64 {
 	v := map[string]uint64{}
 	for name, t := range c.teams {
@@ -189,7 +192,7 @@
 	return v
 }
 
-// Version is the version of a team's key, 0 if it has none.
+// Version returns the version of a team's key, 0 if the key does not exist.
 func (c *Config) Version(name string) uint64 {
 	if t := c.teams[name]; t != nil {
 		return t.storedVersion
@@ -197,7 +200,7 @@
 	return 0
 }
 
-// Entry is a team's entry, if it has one.
+// Entry returns a team's entry; ok is false if it has none.
 func (c *Config) Entry(name string) (e Entry, ok bool) {
 	t := c.teams[name]
 	if t == nil {
@@ -206,7 +209,7 @@
 	return t.Entry, true
 }
 
-// AcceptsJobs gives the limits of a team that takes new jobs.
+// AcceptsJobs returns a team's limits and whether the team accepts new jobs.
 func (c *Config) AcceptsJobs(name string) (settings.Team, bool) {
 	if t := c.teams[name]; t != nil {
 		return t.Limits().team(name), !t.Removed
@@ -215,7 +218,7 @@
 	return t, known
 }
 
-// Teams lists all teams that ever were, by name: a removed one has its limits until its jobs are over.
+// Teams returns all teams that ever existed, sorted by name. A removed team keeps its limits until its jobs have ended.
 func (c *Config) Teams() (all []settings.Team) {
 	for _, b := range c.base {
 		if c.teams[b.Name] == nil {
@@ -234,20 +237,20 @@
 	return all
 }
 
-// RequireRevision notes that a team was taken over under a membership record of a version: whoever owned it before may
-// have said that changes up to then are in force.
+// RequireRevision records that this controller took a team over under the membership record of the given version. The
+// previous owner may have reported changes up to that revision as in force.
 func (c *Config) RequireRevision(record uint64) { c.requiredRevision = max(c.requiredRevision, record) }
 
-// Ready says whether enough is known to start what was taken over.
+// Ready reports whether the known revision is high enough to start tasks of the teams that were taken over.
 func (c *Config) Ready() bool { return c.knownRevision >= c.requiredRevision }
 
-// Fresh says whether what is known is no older than the bound.
+// Fresh reports whether the configuration is no older than maxAge.
 func (c *Config) Fresh(now time.Time) bool {
 	return !c.readAt.IsZero() && now.Sub(c.readAt) <= c.maxAge
 }
 
-// Limits are those that a team's owner keeps to now. By old knowledge a change that raised them counts only
-// if it is known to be in force.
+// Limits returns the limits that a team's owner enforces now. While the configuration is stale, a change that raised
+// limits counts only if it is known to be in force.
 func (c *Config) Limits(name string, now time.Time) (l Limits, ok bool) {
 	t := c.teams[name]
 	if t == nil {
@@ -260,7 +263,7 @@
 	return minLimits(t.Limits(), t.limitsInForce), true
 }
 
-// MarkInForce notes that a team's change of a version is in force everywhere.
+// MarkInForce records that a team's change of the given version is in force everywhere.
 func (c *Config) MarkInForce(name string, version uint64) {
 	if t := c.teams[name]; t != nil && t.version == version && version > 0 {
 		t.inForce = true
@@ -268,7 +271,7 @@
 	}
 }
 
-// NotInForce lists the changes that are not known to be in force everywhere.
+// NotInForce returns the changes that are not known to be in force everywhere.
 func (c *Config) NotInForce() (changes []Change) {
 	for _, name := range slices.Sorted(maps.Keys(c.notInForce)) {
 		t := c.notInForce[name]
@@ -277,7 +280,7 @@
 	return changes
 }
 
-// InForce gives the numbers of the teams' changes that are known to be in force everywhere.
+// InForce returns, by team, the numbers of the changes that are known to be in force everywhere.
 func (c *Config) InForce() map[string]uint64 {
 	numbers := map[string]uint64{}
 	for name, t := range c.teams {
@@ -288,7 +291,7 @@
 	return numbers
 }
 
-// Age is how old what is known may be; known is false if nothing is.
+// Age returns the time since the start of the last complete read; known is false if there was none.
 func (c *Config) Age(now time.Time) (age time.Duration, known bool) {
 	return now.Sub(c.readAt), !c.readAt.IsZero()
 }
--- a/internal/teamconfig/entry.go
+++ b/internal/teamconfig/entry.go
@@ -1,10 +1,10 @@
-// Package teamconfig decides what a controller may do by what it knows of the teams' configuration, which can change
-// while the controllers run. It does no I/O and reads no clock: what the state service and the other controllers report
-// goes in, limits and verdicts come out. It never writes an entry. Its types are not safe for concurrent use; the
-// controller guards them. docs/configuration.md says why it is done so.
+// Package teamconfig tracks the teams' configuration, which can change while the controllers run, and decides which
+// limits a controller enforces. It is fed with what the key-value store and the other controllers report; it does no
+// I/O, reads no clock and never writes an entry. Its types are not safe for concurrent use; the controller serializes
+// access to them. docs/configuration.md gives the reasons for the design.
 //
-// The configuration is a base, which the settings file gives, and one Entry for each team that was ever changed.
-// An entry is written whole by each change, guarded by the version of its key, and is never deleted.
+// The configuration consists of a base, which is the settings file, and one Entry for each team that was ever changed.
+// Each change writes the whole entry, conditional on the version of its key. Entries are never deleted.
 package teamconfig
 
 import (
@@ -19,26 +19,26 @@
 	"topazhollow/internal/settings"
 )
 
-// Entry is a team's configuration as the state service has it.
+// Entry is a team's configuration as stored in the key-value store.
 type Entry struct {
-	// Number is that of the team's change, from 1. It goes on after a loss of the state service's data.
+	// Number counts the team's changes from 1. The count continues after a loss of the store's data.
 	Number   uint64  `json:"number"`
-	ChangeID string  `json:"change"`   // drawn name, by which whoever wrote the change knows it again
+	ChangeID string  `json:"change"`   // random ID, by which the writer recognizes its change
 	CPUs     float64 `json:"cpus"`     // guaranteed
 	CPUsMax  float64 `json:"cpus_max"` // limit; 0: none
 	GPUs     float64 `json:"gpus"`     // guaranteed
 	GPUsMax  float64 `json:"gpus_max"` // limit; 0: none
-	// Removed says that the team takes no new jobs. The accepted ones run to their end within these limits.
+	// Removed means that the team accepts no new jobs. Those already accepted run to completion within these limits.
 	Removed    bool `json:"removed,omitempty"`
-	StopExcess bool `json:"stop_excess,omitempty"`
+	StopExcess bool `json:"stop_excess,omitempty"` // running tasks beyond lowered limits are to be stopped
 }
 
-// Limits are what a team is guaranteed and what it may use at most, which is infinity without a limit.
+// Limits are a team's guarantees and limits. A limit is infinite if there is none.
 type Limits struct {
 	CPUs, CPUsMax, GPUs, GPUsMax float64
 }
 
-// Change is a team's entry and the version of its key, 0 if the state service does not have it.
+// Change is a team's entry with the version of its key, which is 0 if the key-value store does not have the entry.
 type Change struct {
 	Team    string `json:"team"`
 	Entry   Entry  `json:"entry"`
@@ -46,12 +46,13 @@
 }
 
 const (
-	maxNameBytes = 100  // bytes of a team's name, which is part of its key
+	maxNameBytes = 100  // of a team's name, which is part of its key
 	maxAmount    = 1e9  // CPUs or GPUs
-	minLimit     = 0.01 // below it a limit is a mistake: none at all is 0
+	minLimit     = 0.01 // a smaller limit other than 0, which means none, is taken for a mistake
 )
 
-// ValidTeam says whether a team can have an entry: letters, digits, points, dashes and underscores.
+// ValidTeam reports whether a team of this name can have an entry: 1 to 100 letters, digits, dots, hyphens and
+// underscores.
 func ValidTeam(name string) bool {
 	plain := func(r rune) bool {
 		return r >= 'a' && r <= 'z' || r >= 'A' && r <= 'Z' || r >= '0' && r <= '9' || strings.ContainsRune("._-", r)
@@ -59,7 +60,7 @@
 	return name != "" && len(name) <= maxNameBytes && strings.IndexFunc(name, func(r rune) bool { return !plain(r) }) < 0
 }
 
-// Check names the first field that is out of range.
+// Check returns a *protocol.FieldError for the first field that is missing or out of range, or nil.
 func (e *Entry) Check() error {
 	if e.Number == 0 || e.ChangeID == "" {
 		return &protocol.FieldError{Field: "number", Reason: "missing"}
@@ -77,7 +78,7 @@
 	return nil
 }
 
-// Limits are those that the entry sets.
+// Limits returns the limits that the entry sets.
 func (e *Entry) Limits() Limits {
 	l := Limits{e.CPUs, e.CPUsMax, e.GPUs, e.GPUsMax}
 	for _, limit := range []*float64{&l.CPUsMax, &l.GPUsMax} {
@@ -88,7 +89,7 @@
 	return l
 }
 
-// EntryFromSettings is an entry, without number and name, that sets what the settings file says of a team.
+// EntryFromSettings returns an entry with the settings file's amounts of a team, without Number and ChangeID.
 func EntryFromSettings(t settings.Team) Entry {
 	e := Entry{CPUs: t.CPUs, CPUsMax: t.CPUsMax, GPUs: t.GPUs, GPUsMax: t.GPUsMax}
 	for _, limit := range []*float64{&e.CPUsMax, &e.GPUsMax} {
@@ -101,7 +102,7 @@
 
 func limitsOf(t settings.Team) Limits { return Limits{t.CPUs, t.CPUsMax, t.GPUs, t.GPUsMax} }
 
-// minLimits is the least of both in each amount.
+// minLimits returns the smaller of both values for each amount.
 func minLimits(a, b Limits) Limits {
 	return Limits{min(a.CPUs, b.CPUs), min(a.CPUsMax, b.CPUsMax), min(a.GPUs, b.GPUs), min(a.GPUsMax, b.GPUsMax)}
 }
@@ -110,7 +111,8 @@
 	return settings.Team{Name: name, CPUs: l.CPUs, CPUsMax: l.CPUsMax, GPUs: l.GPUs, GPUsMax: l.GPUsMax}
 }
 
-// BaseDigest names the teams of a settings file, in any order: controllers with different files are distinguished.
+// BaseDigest returns a digest of the teams of a settings file, regardless of their order. It detects controllers with
+// different settings files.
 func BaseDigest(teams []settings.Team) uint64 {
 	lines := make([]string, len(teams))
 	for i, t := range teams {
--- a/internal/teamstore/teamstore.go
+++ b/internal/teamstore/teamstore.go
@@ -1,5 +1,5 @@
-// Package teamstore commits operators' changes of the teams' configuration to the state service, by the client that the
-// controllers use. internal/teamconfig decides what the controllers do by them.
+// Package teamstore commits operators' changes to the teams' configuration to the key-value store, through the same
+// client as the controllers. internal/teamconfig decides how controllers apply the changes.
 package teamstore
 
 import (
@@ -19,29 +19,30 @@
 	"topazhollow/internal/userapi"
 )
 
-// Prefix is that of the teams' keys, which every controller watches.
+// Prefix is the prefix of the teams' keys, which every controller watches.
 const Prefix = userapi.WatchedPrefix + "t/"
 
-// Errors that callers decide by.
+// Errors that callers distinguish with errors.Is.
 var (
-	ErrNoRecord = errors.New("the state service has no control record with its generation's key: no controller runs on it, or it lost data")
-	ErrTeamName = errors.New("a team's name has letters, digits, points, dashes and underscores only, 100 at the most")
+	ErrNoRecord = errors.New("the key-value store has no control record with the key of its epoch: no controller uses it, or it lost data")
+	ErrTeamName = errors.New("a team name must consist of 1 to 100 letters, digits, dots, hyphens and underscores")
 )
 
-// retryInterval is the pause before a change is tried again that met another one or had no answer.
+// retryInterval is the delay before a change is retried after a conflict or a request without an answer.
 const retryInterval = 200 * time.Millisecond
 
-// Writer commits changes. Its methods may be called at once by many; changes of different teams share transactions.
+// Writer commits changes. It is safe for concurrent use; changes of different teams share transactions.
 type Writer struct {
 	client *kvstore.Client
 	base   []settings.Team
 }
 
-// New is a writer to a deployment's state service, with an equal share of the rates beside the controllers. The
-// client's Run must be running.
+// New returns a writer that uses a client of a deployment's key-value store. The client has an equal share of the rate
+// limits beside the controllers, and its Run must be running.
 func New(client *kvstore.Client, base []settings.Team) *Writer { return &Writer{client, base} }
 
-// BindEpoch reads which epoch of the state service's data the changes are for. They fail in any other.
+// BindEpoch reads the present epoch of the key-value store's data and makes all changes conditional on it, so that they
+// fail in any other epoch.
 func (w *Writer) BindEpoch(ctx context.Context, controlKey string) error {
 	e, err := w.client.Get(ctx, controlKey)
 	if err != nil {
@@ -62,16 +63,16 @@
 	return nil
 }
 
-// Committed is a change that the state service acknowledged.
+// Committed is a change that the key-value store acknowledged.
 type Committed struct {
 	Team    string           `json:"team"`
 	Entry   teamconfig.Entry `json:"entry"`
 	Version uint64           `json:"version"`
 }
 
-// Change commits what edit makes of a team's entry, which is that of the settings file if the team has none yet, or
-// all zero for a new team; known says whether it is one. A conflict has edit tried again on what is there then; an
-// answer that did not come is settled by reading.
+// Change applies edit to a team's entry and commits the result. A team without an entry starts from its amounts in the
+// settings file, and a team that is not there either, for which known is false, from zero. After a conflict edit is
+// applied again to the entry read anew. If there was no answer, reading the entry shows whether the change was made.
 func (w *Writer) Change(ctx context.Context, team string, edit func(e *teamconfig.Entry, known bool) error) (Committed, error) {
 	if !teamconfig.ValidTeam(team) {
 		return Committed{}, fmt.Errorf("%w: %q", ErrTeamName, team)
@@ -80,7 +81,7 @@
 	for {
 		e, version, known, err := w.read(ctx, team)
 		if err == nil {
-			if e.ChangeID == change { // an earlier try was carried out after all
+			if e.ChangeID == change { // an earlier attempt without an answer was committed
 				return Committed{team, e, version}, nil
 			}
 			if err := edit(&e, known); err != nil {
@@ -104,13 +105,14 @@
 		}
 		select {
 		case <-ctx.Done():
-			return Committed{}, fmt.Errorf("not known to be committed: %w", err)
+			return Committed{}, fmt.Errorf("unknown whether the change was committed: %w", err)
 		case <-time.After(retryInterval):
 		}
 	}
 }
 
-// read gives a team's entry and the version of its key, 0 if it has none.
+// read returns a team's entry and the version of its key, which is 0 if the key does not exist. Without a key the entry
+// is that of the settings file; known is false if the team is not there either.
 func (w *Writer) read(ctx context.Context, team string) (e teamconfig.Entry, version uint64, known bool, err error) {
 	stored, err := w.client.Get(ctx, Prefix+team)
 	if err != nil {
@@ -128,7 +130,7 @@
 	return e, 0, false, nil
 }
 
-// List reads all entries.
+// List returns all entries.
 func (w *Writer) List(ctx context.Context) (all []Committed, err error) {
 	entries, _, err := w.client.List(ctx, Prefix)
 	if err != nil {
--- a/internal/userapi/cancel.go
+++ b/internal/userapi/cancel.go
@@ -10,13 +10,13 @@
 	"topazhollow/internal/protocol"
 )
 
-// cancelAttempts bounds how often a cancellation is tried when the job changes in the store meanwhile.
+// cancelAttempts bounds the attempts of a cancellation whose job changes in the store at the same time.
 const cancelAttempts = 4
 
-// retryWhenUnreadableSeconds is when to come back about a job whose entry in the store cannot be read.
+// retryWhenUnreadableSeconds is the retry delay for a job whose entry in the store cannot be decoded.
 const retryWhenUnreadableSeconds = 5
 
-// cancel ends a job by compare-and-swap on its entry. A job that has ended stays as it ended.
+// cancel ends a job by compare-and-swap on its entry. If the job has already ended, its end stays as it is.
 func (h *Handler) cancel(ctx context.Context, uid string) httpx.Answer {
 	if !protocol.ValidUID(uid) {
 		return httpx.Refuse(404, "no such job")
@@ -31,7 +31,7 @@
 	return tryAgain(1)
 }
 
-// tryCancel tries once; done is false if the job's entry changed between the read and the write.
+// tryCancel makes one attempt; done is false if the job's entry changed between the read and the write.
 func (h *Handler) tryCancel(ctx context.Context, uid string) (answer httpx.Answer, done bool) {
 	if end, ok := h.KnownEnd(uid); ok {
 		return h.answerEnded(uid, end), true
@@ -48,7 +48,7 @@
 	case entry == nil:
 		answer := h.answerNotInStore(ctx, uid)
 		if answer.Status == 200 {
-			return tryAgain(1), true // it is being written back, and can be cancelled then
+			return tryAgain(1), true // the job is being written back and can be cancelled after that
 		}
 		return answer, true
 	}
@@ -59,7 +59,8 @@
 	return h.writeCancellation(ctx, uid, entry.Version, NewJobEnd(job.Spec, protocol.Cancelled))
 }
 
-// writeCancellation replaces the entry of an active job by its end, if the entry has the version still.
+// writeCancellation replaces the entry of an active job by its end if the entry still has the given version; done is
+// false if it has not.
 func (h *Handler) writeCancellation(
 	ctx context.Context, uid string, version uint64, end JobEnd,
 ) (answer httpx.Answer, done bool) {
@@ -83,14 +84,14 @@
 	return h.answerEnded(uid, end), true
 }
 
-// answerEnded answers that a job is cancelled or done. Whoever renews the leases of its tasks must know of a
-// cancellation that any user was told of, whoever wrote it.
+// answerEnded answers that a job is cancelled or done. The controller that renews the leases of its tasks must know of
+// every cancellation that a user is told of, whichever controller wrote it.
 func (h *Handler) answerEnded(uid string, end JobEnd) httpx.Answer {
 	h.confirmCancellation(uid, end)
 	return httpx.Answer{Status: 200, Body: protocol.Encode(protocol.JobSummary{UID: uid, State: end.State})}
 }
 
-// confirmCancellation lets the controller take note of a cancellation before a user is told of it.
+// confirmCancellation notifies the controller of a cancellation before a user is told of it.
 func (h *Handler) confirmCancellation(uid string, end JobEnd) {
 	if end.State == protocol.Cancelled {
 		h.backend.ConfirmingCancellation(uid, end)
--- a/internal/userapi/ends.go
+++ b/internal/userapi/ends.go
@@ -8,8 +8,9 @@
 	"topazhollow/internal/protocol"
 )
 
-// JobEnd is the end of a job in the key-value store. What a task takes is kept with it, since tasks that are still on
-// machines use their team's quota and the job's description is gone; it is 0 where only memory tells of the end.
+// JobEnd is the stored form of the end of a job. It includes the resources of one task, because tasks that are still on
+// machines use their team's quota after the job's description is deleted. They are 0 if the end is known only from
+// memory.
 type JobEnd struct {
 	State    protocol.JobState `json:"state"`
 	Tasks    int               `json:"tasks"`
@@ -19,12 +20,12 @@
 	MemoryGB float64           `json:"memory,omitempty"` // GB
 }
 
-// NewJobEnd is the end of a job in a state, protocol.Done or protocol.Cancelled.
+// NewJobEnd returns the end of a job; state is protocol.Done or protocol.Cancelled.
 func NewJobEnd(spec *protocol.Submission, state protocol.JobState) JobEnd {
 	return JobEnd{State: state, Tasks: spec.Tasks, Team: spec.Team, CPUs: spec.CPUs, GPUs: spec.GPUs, MemoryGB: spec.MemoryGB}
 }
 
-// JobEndFrom is a remembered end in the form of the store; what a task takes is not known.
+// JobEndFrom converts an end in memory to the stored form, without the resources of a task.
 func JobEndFrom(x datarecovery.End) JobEnd {
 	end := JobEnd{State: protocol.Done, Tasks: x.Tasks, Team: x.Team}
 	if x.Cancelled {
@@ -33,14 +34,14 @@
 	return end
 }
 
-// RecordEnd remembers the end of a job. The first end that was recorded stays.
-func (h *Handler) RecordEnd(uid string, final JobEnd) {
+// RecordEnd keeps the end of a job in memory. The first end that is recorded for a job stays.
+func (h *Handler) RecordEnd(uid string, end JobEnd) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.ends.Add(datarecovery.End{UID: uid, Cancelled: final.State == protocol.Cancelled, Tasks: final.Tasks, Team: final.Team})
+	h.ends.Add(datarecovery.End{UID: uid, Cancelled: end.State == protocol.Cancelled, Tasks: end.Tasks, Team: end.Team})
 }
 
-// KnownEnd is the end of a job, if it is remembered.
+// KnownEnd returns the end of a job if it is in memory.
 func (h *Handler) KnownEnd(uid string) (JobEnd, bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -51,33 +52,33 @@
 	return JobEndFrom(x), true
 }
 
-// EndCount is how many ends are remembered.
+// EndCount returns the number of ends in memory.
 func (h *Handler) EndCount() int {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.ends.Len()
 }
 
-// EndsDigest is a digest of the ends that are remembered, to compare with another controller's.
+// EndsDigest returns a digest of the ends in memory, for comparison with another controller's.
 func (h *Handler) EndsDigest() datarecovery.Digest {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.ends.Digest()
 }
 
-// EndsMissingFrom lists the remembered ends that another controller's digest lacks. The error is about a malformed
-// digest.
+// EndsMissingFrom returns the ends in memory that another controller's digest lacks. It fails if the digest is
+// malformed.
 func (h *Handler) EndsMissingFrom(d datarecovery.Digest) ([]datarecovery.End, error) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.ends.MissingFrom(d)
 }
 
-// readJob reads what the store holds of a job: its active entry, or its end, or neither. The order of the two reads
-// matters: a job moves from active to ended in one transaction and never back.
+// readJob reads a job from the store: its active entry, its end, or neither. The active entry must be read first,
+// because a job moves from active to ended in one transaction and never back.
 func (h *Handler) readJob(ctx context.Context, uid string) (*protocol.Entry, *JobEnd, error) {
-	if final, ok := h.KnownEnd(uid); ok {
-		return nil, &final, nil
+	if end, ok := h.KnownEnd(uid); ok {
+		return nil, &end, nil
 	}
 	e, err := h.store.Get(ctx, ActiveJobPrefix+uid)
 	if e != nil || err != nil {
@@ -87,32 +88,32 @@
 	if e == nil || err != nil {
 		return nil, nil, err
 	}
-	var final JobEnd
-	if err := json.Unmarshal(e.Value, &final); err != nil {
+	var end JobEnd
+	if err := json.Unmarshal(e.Value, &end); err != nil {
 		return nil, nil, err
 	}
-	h.RecordEnd(uid, final)
-	h.backend.JobEnded(uid, final)
-	return nil, &final, nil
+	h.RecordEnd(uid, end)
+	h.backend.JobEnded(uid, end)
+	return nil, &end, nil
 }
 
-// LookUpEnd reads whether a job has ended and how. A job that nobody submitted has not.
+// LookUpEnd returns the end of a job, or false if the job has not ended, is unknown, or cannot be read.
 func (h *Handler) LookUpEnd(ctx context.Context, uid string) (JobEnd, bool) {
-	final, found, _ := h.LookUpEndOrAbsence(ctx, uid)
-	return final, found
+	end, found, _ := h.LookUpEndOrAbsence(ctx, uid)
+	return end, found
 }
 
-// LookUpEndOrAbsence is LookUpEnd; absent says that the store surely has neither the job nor its end.
+// LookUpEndOrAbsence is like LookUpEnd; absent reports that the store certainly has neither the job nor its end.
 func (h *Handler) LookUpEndOrAbsence(ctx context.Context, uid string) (end JobEnd, found, absent bool) {
-	e, final, err := h.readJob(ctx, uid)
-	if err != nil || final == nil {
+	e, stored, err := h.readJob(ctx, uid)
+	if err != nil || stored == nil {
 		return JobEnd{}, false, err == nil && e == nil && h.backend.StoreTrusted()
 	}
-	return *final, true, false
+	return *stored, true, false
 }
 
-// ReadEnd reads a job's end from the store, with what its tasks take; found is false if it is not there or the store
-// does not answer.
+// ReadEnd reads a job's end from the store, with the resources of a task. found is false if the end is not there or the
+// store does not answer.
 func (h *Handler) ReadEnd(ctx context.Context, uid string) (end JobEnd, found bool) {
 	e, err := h.store.Get(ctx, EndedJobPrefix+uid)
 	if err != nil || e == nil || json.Unmarshal(e.Value, &end) != nil {
--- a/internal/userapi/status.go
+++ b/internal/userapi/status.go
@@ -8,7 +8,7 @@
 	"topazhollow/internal/protocol"
 )
 
-// readTimeout bounds a request that only reads: the protocol's time for an answer less what the way takes.
+// readTimeout bounds a request that only reads. It is the protocol's time limit for an answer less the network delay.
 const readTimeout = 1800 * time.Millisecond
 
 // status answers with the state of a job.
@@ -18,8 +18,8 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, readTimeout)
 	defer cancel()
-	if final, ok := h.KnownEnd(uid); ok {
-		return h.answerStatus(uid, &final)
+	if end, ok := h.KnownEnd(uid); ok {
+		return h.answerStatus(uid, &end)
 	}
 	if h.backend.IsActive(ctx, uid) {
 		return h.answerStatus(uid, nil)
@@ -27,26 +27,26 @@
 	if !h.backend.StoreTrusted() {
 		return h.answerFromMemory(uid)
 	}
-	e, final, err := h.readJob(ctx, uid)
+	e, end, err := h.readJob(ctx, uid)
 	switch {
 	case err != nil && !h.backend.StoreTrusted():
 		return h.answerFromMemory(uid)
 	case err != nil:
 		return tryAgain(1)
-	case e == nil && final == nil:
+	case e == nil && end == nil:
 		return h.answerNotInStore(ctx, uid)
 	}
-	return h.answerStatus(uid, final)
+	return h.answerStatus(uid, end)
 }
 
-// answerStatus answers with the state of a job that has ended, or is active if final is nil.
-func (h *Handler) answerStatus(uid string, final *JobEnd) httpx.Answer {
+// answerStatus answers with the state of a job. The job is active if end is nil.
+func (h *Handler) answerStatus(uid string, end *JobEnd) httpx.Answer {
 	s := protocol.Status{UID: uid, State: protocol.Pending}
-	if final != nil {
-		h.confirmCancellation(uid, *final)
-		s.State = final.State
-		if final.State == protocol.Done {
-			s.Done = final.Tasks
+	if end != nil {
+		h.confirmCancellation(uid, *end)
+		s.State = end.State
+		if end.State == protocol.Done {
+			s.Done = end.Tasks
 		}
 	} else if s.Done, s.Running = h.backend.Progress(uid); s.Running > 0 || s.Done > 0 {
 		s.State = protocol.Running
@@ -54,11 +54,11 @@
 	return httpx.Answer{Status: 200, Body: protocol.Encode(s)}
 }
 
-// answerNotInStore answers about a job that the store does not have: it may be remembered all the same, or the store
-// may have lost it for good.
+// answerNotInStore answers about a job that the store does not have. The controllers may still have it in memory, or the
+// store may have lost it for good.
 func (h *Handler) answerNotInStore(ctx context.Context, uid string) httpx.Answer {
 	if _, version, ok := h.backend.KnownActiveJob(uid); ok {
-		if version > 0 { // it ended just now, or was lost: what is known here does not tell
+		if version > 0 { // it ended a moment ago or was lost; the copy in memory does not show which
 			h.backend.ReportMissing(uid)
 			return tryAgain(1)
 		}
@@ -67,8 +67,8 @@
 	if !h.backend.CertainlyNeverAccepted(ctx) {
 		return tryAgain(retryWhenUnsureSeconds)
 	}
-	if final, ok := h.KnownEnd(uid); ok { // learned meanwhile, as from a copy that was put back
-		return h.answerStatus(uid, &final)
+	if end, ok := h.KnownEnd(uid); ok { // recorded during the call above, for example from a restored copy
+		return h.answerStatus(uid, &end)
 	}
 	if _, _, ok := h.backend.KnownActiveJob(uid); ok {
 		return tryAgain(1)
@@ -76,15 +76,15 @@
 	return httpx.Refuse(404, "no such job")
 }
 
-// answerFromMemory answers about a job while the store cannot be relied on. An end that is known here is final, so it
-// can be told. That a job is still active cannot: another controller may have answered with its end a moment ago, and
-// nothing that is known here says so until the controllers' memories are gathered.
+// answerFromMemory answers about a job while the store cannot be trusted. A known end is final, so it is a safe answer.
+// "Active" is not: another controller may have answered with the job's end a moment ago, and this controller learns of
+// that only when the controllers' memories are gathered.
 func (h *Handler) answerFromMemory(uid string) httpx.Answer {
-	if final, ok := h.KnownEnd(uid); ok {
-		return h.answerStatus(uid, &final)
+	if end, ok := h.KnownEnd(uid); ok {
+		return h.answerStatus(uid, &end)
 	}
 	return tryAgain(1)
 }
 
-// retryWhenUnsureSeconds is when to come back, in seconds, to ask about a job that may have been lost.
+// retryWhenUnsureSeconds is the retry delay for a job that may have been lost.
 const retryWhenUnsureSeconds = 5
--- a/internal/userapi/submit.go
+++ b/internal/userapi/submit.go
@@ -12,14 +12,14 @@
 	"topazhollow/internal/settings"
 )
 
-// changeTimeout bounds a request that changes something, all its reads and writes of the store together.
+// changeTimeout bounds a submission or cancellation with all its reads and writes of the store.
 const changeTimeout = 4 * time.Second
 
-// amountSlack absorbs rounding where amounts of a job and of a limit or a machine are compared.
+// amountSlack absorbs rounding errors when the amounts of a job are compared with a limit or a machine.
 const amountSlack = 1e-6
 
-// submit accepts a job, or answers with its state if the id is known: a repeated submission is answered as the first
-// one, even if it could no longer be accepted.
+// submit accepts a job, or answers with its state if the ID is known: a repeated submission of an accepted job succeeds
+// even if the job could no longer be accepted.
 func (h *Handler) submit(ctx context.Context, body []byte) httpx.Answer {
 	ctx, cancel := context.WithTimeout(ctx, changeTimeout)
 	defer cancel()
@@ -27,8 +27,8 @@
 	if err != nil {
 		return h.refuseUnlessKnown(ctx, protocol.PeekUID(body), nil, httpx.Refuse(400, err.Error()))
 	}
-	conditions := h.teams.Conditions(spec.Team) // looked up before what is decided by it
-	if reason := h.whyImpossible(spec); reason != "" {
+	conditions := h.teams.Conditions(spec.Team) // before the team is looked up, so that no change in between is missed
+	if reason := h.infeasibleReason(spec); reason != "" {
 		return h.refuseUnlessKnown(ctx, spec.UID, spec, httpx.Refuse(422, reason))
 	}
 	if h.backend.MachineTypes() == nil {
@@ -37,14 +37,14 @@
 	if answer, decided := h.answerWithoutAccepting(ctx, spec.UID); decided {
 		return answer
 	}
-	if taken, retryAfter := h.backend.Admit(spec); !taken {
+	if admitted, retryAfter := h.backend.Admit(spec); !admitted {
 		return tryAgain(retryAfter)
 	}
 	return h.accept(ctx, spec, conditions)
 }
 
-// refuseUnlessKnown refuses a submission, unless a job with its id was accepted earlier. spec is nil if the body
-// could not be read, uid is "" if not even the id could.
+// refuseUnlessKnown refuses a submission, unless a job with its ID was accepted earlier. spec is nil if the body could
+// not be parsed, and uid is "" if the ID could not be read either.
 func (h *Handler) refuseUnlessKnown(
 	ctx context.Context, uid string, spec *protocol.Submission, refusal httpx.Answer,
 ) httpx.Answer {
@@ -66,14 +66,16 @@
 	if a := h.answerNotInStore(ctx, uid); a.Status != 404 {
 		return a
 	}
-	if spec != nil && h.whyImpossible(spec) == "" {
-		return tryAgain(1) // all is known up to the request by now, as that the team came
+	if spec != nil && h.infeasibleReason(spec) == "" {
+		// answerNotInStore has caught up with the store: a change that came before the request, such as the creation of
+		// the team, has made the job feasible.
+		return tryAgain(1)
 	}
 	return refusal
 }
 
-// answerWithoutAccepting answers a submission whose job is known to have ended or may have been accepted before the
-// store lost data; decided is false if it may be accepted.
+// answerWithoutAccepting answers a submission whose job has ended, or may have been accepted before the store lost data.
+// If decided is false, the job may be accepted.
 func (h *Handler) answerWithoutAccepting(ctx context.Context, uid string) (answer httpx.Answer, decided bool) {
 	if end, ok := h.KnownEnd(uid); ok {
 		return h.answerStatus(uid, &end), true
@@ -84,8 +86,8 @@
 	if _, version, ok := h.backend.KnownActiveJob(uid); !ok || version != 0 {
 		return httpx.Answer{}, false
 	}
-	// After a loss, not written back yet: its end may stand in the store all the same, and no change that is
-	// followed tells of it.
+	// The job was lost and is not written back yet. Its end may still be in the store; the watch does not report ends,
+	// since their keys are not below WatchedPrefix.
 	entry, end, err := h.readJob(ctx, uid)
 	switch {
 	case err != nil:
@@ -96,13 +98,13 @@
 	return h.answerStatus(uid, end), true
 }
 
-// accept writes the job to the store by compare-and-swap, while a peer takes a copy of it: the user is told only once
-// both are done.
+// accept writes the job to the store by compare-and-swap and copies it to a peer at the same time. The user gets the
+// answer once both are done.
 func (h *Handler) accept(ctx context.Context, spec *protocol.Submission, conditions []protocol.Condition) httpx.Answer {
 	uid := spec.UID
 	job := ActiveJob{Spec: spec, SubmittedAtMillis: time.Now().UnixMilli()}
 	copied := make(chan struct{})
-	go func() { // takes no longer than the store does
+	go func() { // bounded by the same context as the write to the store
 		defer close(copied)
 		h.backend.CopyToPeer(ctx, &job, "", JobEnd{})
 	}()
@@ -125,9 +127,9 @@
 	return tryAgain(1)
 }
 
-// whyImpossible says why a job can never run, or "". While the machine types are unknown, only the team's limits
-// count.
-func (h *Handler) whyImpossible(s *protocol.Submission) string {
+// infeasibleReason returns why a job can never run, or "" if it can. While the machine types are unknown, only the
+// team's limits are checked.
+func (h *Handler) infeasibleReason(s *protocol.Submission) string {
 	team, ok := h.teams.Team(s.Team)
 	if !ok {
 		return "field equipo: unknown team"
@@ -143,17 +145,17 @@
 	return ""
 }
 
-// exceedsLimit says whether what must run at the same time is beyond the team's limit: one task of an array, all
-// tasks of a gang or a service.
+// exceedsLimit reports whether the tasks that must run at the same time exceed the team's limit: one task of an array,
+// all tasks of a gang or a service.
 func exceedsLimit(s *protocol.Submission, team settings.Team) bool {
-	together := 1.0
+	concurrent := 1.0
 	if s.Kind != protocol.JobArray {
-		together = float64(s.Tasks)
+		concurrent = float64(s.Tasks)
 	}
-	return together*s.CPUs > team.CPUsMax+amountSlack || together*s.GPUs > team.GPUsMax+amountSlack
+	return concurrent*s.CPUs > team.CPUsMax+amountSlack || concurrent*s.GPUs > team.GPUsMax+amountSlack
 }
 
-// taskFits says whether a task fits an empty machine of a type that the job may use, in a zone that it may use.
+// taskFits reports whether a task fits an empty machine of the type, and the job may use the type in one of its zones.
 func taskFits(s *protocol.Submission, t protocol.MachineType) bool {
 	if t.CPUs+amountSlack < s.CPUs || t.GPUs+amountSlack < s.GPUs || t.MemoryGB+amountSlack < s.MemoryGB {
 		return false
--- a/internal/userapi/userapi.go
+++ b/internal/userapi/userapi.go
@@ -1,11 +1,10 @@
-// Package userapi answers the requests of users: submissions, cancellations and questions about a job. Any controller
-// can, because what it answers about a job rests on the key-value store, not on what it happens to own: a job is
-// accepted and cancelled by compare-and-swap there, and an end that was answered once stays the answer.
+// Package userapi handles users' requests: submissions, cancellations and status queries. Every controller can handle
+// every job, whichever shards it owns, because the answers rest on the key-value store: jobs are accepted and cancelled
+// by compare-and-swap there, and an end that a user was told of is final.
 //
-// The package decides which answer is safe to give while the store is slow, refuses or has lost data. It never
-// places or stops a task. What it needs of its controller it takes from Backend; its own state, the ends of jobs that
-// it has read, is guarded by Handler.mu. See submit.go, cancel.go and status.go for the three requests and ends.go
-// for the ends.
+// The package decides which answer is safe while the store is slow, refuses requests or has lost data. It never places
+// or stops a task. It calls its controller through Backend; its own state, the ends of jobs that it has read, is guarded
+// by Handler.mu. The three requests are in submit.go, cancel.go and status.go, the ends of jobs in ends.go.
 package userapi
 
 import (
@@ -20,21 +19,21 @@
 	"topazhollow/internal/settings"
 )
 
-// Prefixes of keys in the store. Those below WatchedPrefix are followed by every controller. Both of a job's keys end
-// with its id.
+// Key prefixes in the store. Every controller watches the keys below WatchedPrefix. The keys of a job are its ID behind
+// ActiveJobPrefix or EndedJobPrefix.
 const (
 	WatchedPrefix   = "w/"
 	ActiveJobPrefix = "w/a/" // active jobs
-	EndedJobPrefix  = "f/"   // jobs that are done or cancelled
+	EndedJobPrefix  = "f/"   // completed and cancelled jobs
 )
 
-// ActiveJob is an active job in the key-value store.
+// ActiveJob is the stored form of an active job.
 type ActiveJob struct {
 	Spec              *protocol.Submission `json:"spec"`
-	SubmittedAtMillis int64                `json:"at"` // time of day of the submission, in ms
+	SubmittedAtMillis int64                `json:"at"` // submission time as Unix time, in ms
 }
 
-// Handler answers the requests of users. Its methods may be called at the same time.
+// Handler handles users' requests. It is safe for concurrent use.
 type Handler struct {
 	store   *kvstore.Client
 	teams   Teams
@@ -44,7 +43,7 @@
 	ends *datarecovery.Ends
 }
 
-// New is a handler for a deployment.
+// New returns a handler that looks up the teams in the settings.
 func New(s *settings.Settings, st *kvstore.Client, backend Backend) *Handler {
 	teams := settingsTeams{}
 	for _, t := range s.Deployment.Teams {
@@ -53,17 +52,17 @@
 	return &Handler{store: st, teams: teams, backend: backend, ends: datarecovery.NewEnds()}
 }
 
-// UseTeams has the teams looked up elsewhere than in the settings.
+// UseTeams replaces the lookup of teams. It must be called before the first request.
 func (h *Handler) UseTeams(t Teams) { h.teams = t }
 
-// tryAgain is the answer to a request that cannot be decided now: it says after how many seconds to come back.
+// tryAgain returns the answer to a request that cannot be decided now, with the time after which to retry.
 func tryAgain(seconds int) httpx.Answer {
 	a := httpx.Refuse(503, "not now, try again")
 	a.RetryAfterSeconds = seconds
 	return a
 }
 
-// Handle answers a user's request; ok is false if the path is none of theirs.
+// Handle handles a user's request; ok is false if the path does not belong to the users' interface.
 func (h *Handler) Handle(ctx context.Context, r *httpx.Request) (a httpx.Answer, ok bool) {
 	switch {
 	case r.Path == protocol.PathHealth:
@@ -99,6 +98,7 @@
 	return h.status(ctx, uid), true
 }
 
+// notAllowed returns the answer to a request with a wrong method.
 func notAllowed(allow string) httpx.Answer {
 	a := httpx.Refuse(405, "method not allowed")
 	a.Allow = allow
