--- a/internal/kvstore/batch.go
+++ b/internal/kvstore/batch.go
@@ -14,31 +14,31 @@
 
 // Bounds of the batcher.
 const (
-	maxQueue               = 4096     // updates that wait; past it they are refused at once
-	maxTransactionBytes    = 48 << 10 // of the values and keys of one transaction
-	maxConditionsPerChange = 4        // conditions of a transaction, for each change that it may make
-	maxRetryBatches        = 16       // batches that wait to be queued again
+	maxQueue               = 4096     // waiting updates; further ones are refused
+	maxTransactionBytes    = 48 << 10 // keys and values of one transaction
+	maxConditionsPerChange = 4        // ratio of the limits on a transaction's conditions and changes
+	maxRetryBatches        = 16       // batches waiting to be requeued
 
-	// What a change and a condition take beside their text, in bytes.
+	// Encoding overhead of a change and a condition, in bytes.
 	changeOverhead    = 64
 	conditionOverhead = 48
 )
 
-// outcome is what became of an update.
+// outcome is the result of an update.
 type outcome struct {
 	revision uint64
 	err      error
 }
 
-// queuedUpdate is an update with its size in bytes and the channel that its caller waits at.
+// queuedUpdate is an update with its encoded size in bytes and the channel on which its caller waits.
 type queuedUpdate struct {
 	Update
 	size int
 	done chan outcome
 }
 
-// batcher is the group commit: it merges queued updates that touch different keys into shared transactions. When a
-// condition does not hold, only the updates that carry it get the conflict; the others go again.
+// batcher implements group commit: it merges queued updates that touch different keys into shared transactions. If a
+// condition fails, only the updates with that condition get the conflict; the others are queued again.
 type batcher struct {
 	client     *Client
 	maxChanges int
@@ -49,13 +49,14 @@
 	mu            sync.Mutex // guards what is below
 	arrived       int        // changes since measuredAt
 	waiting       int        // changes that are not sent yet
-	urgentWaiting int        // of them those that users wait for
-	measuredAt    time.Time  // when arrivalRate was last brought up to date
-	arrivalRate   float64    // changes a second that arrived of late
+	urgentWaiting int        // waiting changes of urgent updates
+	measuredAt    time.Time  // when arrivalRate was last updated
+	arrivalRate   float64    // changes per second, as a moving average
 }
 
-// wantedRate is how many changes a second arrived of late, and what waits as if it were to go within a second.
-func (b *batcher) wantedRate(now time.Time) float64 {
+// demandRate returns the recent arrival rate plus the waiting changes, as if they were sent within one second, in
+// changes per second.
+func (b *batcher) demandRate(now time.Time) float64 {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if passed := now.Sub(b.measuredAt).Seconds(); passed > 0 {
@@ -65,7 +66,7 @@
 	return b.arrivalRate + float64(b.waiting)
 }
 
-// count books changes that arrived, and the difference in how many wait to be sent.
+// count adds to the numbers of arrived and waiting changes.
 func (b *batcher) count(arrived, waiting int) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -73,7 +74,7 @@
 	b.waiting += waiting
 }
 
-// countUrgent books the changes of an update that a user waits for; sign is 1 when it is queued and -1 when it goes.
+// countUrgent counts the changes of an urgent update; sign is 1 when it is queued and -1 when it is sent.
 func (b *batcher) countUrgent(p *queuedUpdate, sign int) {
 	if p.Urgent {
 		b.mu.Lock()
@@ -83,8 +84,8 @@
 }
 
 func newBatcher(c *Client, limits settings.KVStore) *batcher {
-	// All controllers together may burst one second's worth: a transaction takes
-	// no more than this one's share of it.
+	// All controllers together may burst one second's worth of changes, so a transaction has at most this controller's
+	// share of that.
 	return &batcher{
 		client:     c,
 		maxChanges: min(limits.ChangesPerTransaction, c.writes.Burst()),
@@ -95,6 +96,7 @@
 	}
 }
 
+// commit implements Client.Commit.
 func (b *batcher) commit(ctx context.Context, u Update) (uint64, error) {
 	p := &queuedUpdate{Update: u, done: make(chan outcome, 1)}
 	for _, o := range u.Changes {
@@ -121,10 +123,10 @@
 	}
 }
 
-// maxInFlight is how many transactions may be on their way at the same time.
+// maxInFlight is the maximum number of concurrent transactions.
 const maxInFlight = 4
 
-// deferredCheckInterval is how often deferrable updates look for changes to spare.
+// deferredCheckInterval is how often the batcher checks whether the rate has changes to spare for deferrable updates.
 const deferredCheckInterval = 50 * time.Millisecond
 
 // run sends queued updates until the context ends.
@@ -156,11 +158,10 @@
 	}
 }
 
-// queues are the updates that wait: deferrable ones apart, the others with urgent ones first, each in order of
-// arrival.
+// queues holds the waiting updates. normal has the urgent ones first; otherwise updates are in order of arrival.
 type queues struct{ normal, deferrable []*queuedUpdate }
 
-// add puts updates behind those of their kind.
+// add inserts each update behind the others of its kind.
 func (q *queues) add(updates ...*queuedUpdate) {
 	for _, u := range updates {
 		switch {
@@ -178,8 +179,8 @@
 	}
 }
 
-// awaitUpdates waits until there is something to send, or until it is time to look whether deferrable updates may
-// go; it is false when the context has ended.
+// awaitUpdates waits until there are updates to send, or until the next check for deferrable updates is due. It returns
+// false if the context has ended.
 func (b *batcher) awaitUpdates(ctx context.Context, waiting *queues) bool {
 	if len(waiting.normal) > 0 {
 		return true
@@ -200,7 +201,7 @@
 	return true
 }
 
-// takeQueued takes what has been queued, without waiting.
+// takeQueued moves queued updates to waiting, without blocking.
 func (b *batcher) takeQueued(waiting *queues) {
 	for len(waiting.normal)+len(waiting.deferrable) < maxQueue {
 		select {
@@ -214,12 +215,13 @@
 	}
 }
 
-// nextBatch picks what goes into the next transaction, nothing if only deferrable updates wait and there are no
+// nextBatch picks the updates of the next transaction. It picks none if only deferrable updates wait and the rate has no
 // changes to spare.
 func (b *batcher) nextBatch(waiting *queues) (batch []*queuedUpdate) {
 	writes := b.client.writes
 	if len(waiting.normal) > 0 {
-		// No more than there is a rate for now: what is picked keeps what users wait for from going first.
+		// Pick no more than the rate allows now: a picked batch that waits for the rate would delay urgent updates that
+		// arrive later.
 		batch, waiting.normal = b.pickBatch(waiting.normal, min(b.maxChanges, int(writes.Tokens())))
 	} else if writes.Tokens() >= float64(writes.Burst())/2 {
 		batch, waiting.deferrable = b.pickBatch(waiting.deferrable, b.maxChanges)
@@ -227,7 +229,7 @@
 	return batch
 }
 
-// awaitRates waits until a batch may go by the rates; it is false when the context has ended.
+// awaitRates waits until the rates allow a batch to be sent. It returns false if the context has ended.
 func (b *batcher) awaitRates(ctx context.Context, batch []*queuedUpdate) bool {
 	changes := 0
 	for _, u := range batch {
@@ -241,19 +243,19 @@
 	return true
 }
 
-// pickBatch takes the updates, oldest first, that fit one transaction of so many changes; one at least. No two of them
-// change the same key, and none has a condition on a key that another changes.
-func (b *batcher) pickBatch(waiting []*queuedUpdate, most int) (batch, rest []*queuedUpdate) {
+// pickBatch picks updates in order that fit into one transaction of up to maxChanges changes, but at least one. No two
+// of them change the same key, and none has a condition on a key that another changes.
+func (b *batcher) pickBatch(waiting []*queuedUpdate, maxChanges int) (batch, rest []*queuedUpdate) {
 	picked := keySet{changed: map[string]bool{}, compared: map[string]uint64{}}
 	changes, conditions, size := 0, 0, 0
 	for i, u := range waiting {
-		fits := changes+len(u.Changes) <= most &&
+		fits := changes+len(u.Changes) <= maxChanges &&
 			conditions+len(u.Conditions) < maxConditionsPerChange*b.maxChanges &&
 			size+u.size <= b.maxBytes
 		if len(batch) > 0 && !fits {
 			return batch, append(rest, waiting[i:]...)
 		}
-		if picked.clashes(u) {
+		if picked.conflictsWith(u) {
 			rest = append(rest, u)
 			continue
 		}
@@ -264,14 +266,14 @@
 	return batch, rest
 }
 
-// keySet holds the keys that a transaction changes and compares, the latter with the versions.
+// keySet holds the keys that a transaction changes and compares.
 type keySet struct {
 	changed  map[string]bool
-	compared map[string]uint64
+	compared map[string]uint64 // version by key
 }
 
-// clashes says whether an update cannot share the transaction.
-func (k *keySet) clashes(u *queuedUpdate) bool {
+// conflictsWith reports whether an update cannot share the transaction.
+func (k *keySet) conflictsWith(u *queuedUpdate) bool {
 	for _, change := range u.Changes {
 		key := change.Set + change.Delete
 		if _, compared := k.compared[key]; compared || k.changed[key] {
@@ -296,8 +298,8 @@
 	}
 }
 
-// send commits a batch and gives each update its outcome. Updates whose conditions did not fail, in a transaction
-// where others' did, are queued again.
+// send commits a batch and sends each update its outcome. If the transaction fails on conditions, the updates whose own
+// conditions held are queued again.
 func (b *batcher) send(ctx context.Context, batch []*queuedUpdate) {
 	fence, open := b.client.fence.updateCondition()
 	if !open {
@@ -306,36 +308,37 @@
 	}
 	revision, failed, err := b.client.txn(ctx, b.client.calls, transactionOf(batch, fence))
 	if fence.Key != "" && errors.Is(err, ErrConflict) && slices.Contains(failed, fence.Key) {
-		err = ErrUpdatesHeld // not executed, and nothing under this fence will be
+		err = ErrUpdatesHeld // not executed, and no update with this fence will be
 		b.client.fence.reportDataLoss("the generation's key is gone")
 	}
-	var again []*queuedUpdate
+	var retry []*queuedUpdate
 	for _, u := range batch {
 		result := outcome{revision, err}
 		if errors.Is(err, ErrConflict) {
 			keys := u.failedKeys(failed)
 			if keys == nil {
-				again = append(again, u)
+				retry = append(retry, u)
 				continue
 			}
 			result.err = &ConflictError{keys}
 		}
 		u.done <- result
 	}
-	if len(again) == len(batch) {
-		answerAll(again, outcome{0, ErrInvalid}) // the answer names none of our conditions
+	if len(retry) == len(batch) {
+		answerAll(retry, outcome{0, ErrInvalid}) // the answer names no condition of the batch
 		return
 	}
-	b.queueAgain(ctx, again)
+	b.requeue(ctx, retry)
 }
 
+// answerAll sends all updates the same outcome.
 func answerAll(updates []*queuedUpdate, result outcome) {
 	for _, u := range updates {
 		u.done <- result
 	}
 }
 
-// transactionOf joins updates, each condition once, behind the fence if there is one.
+// transactionOf merges updates into a transaction with each condition once. The fence, if there is one, is the first.
 func transactionOf(batch []*queuedUpdate, fence protocol.Condition) protocol.Txn {
 	var t protocol.Txn
 	if fence.Key != "" {
@@ -354,7 +357,7 @@
 	return t
 }
 
-// failedKeys are the update's own keys among those whose conditions did not hold, nil if there is none.
+// failedKeys returns the keys of the update's own conditions that failed, nil if there are none.
 func (u *queuedUpdate) failedKeys(failed []string) (keys []string) {
 	for _, c := range u.Conditions {
 		if slices.Contains(failed, c.Key) {
@@ -364,17 +367,17 @@
 	return keys
 }
 
-// queueAgain queues updates that were not executed through no fault of theirs.
-func (b *batcher) queueAgain(ctx context.Context, again []*queuedUpdate) {
-	if len(again) == 0 {
+// requeue queues updates again that failed because of other updates in their transaction.
+func (b *batcher) requeue(ctx context.Context, updates []*queuedUpdate) {
+	if len(updates) == 0 {
 		return
 	}
-	for _, u := range again {
+	for _, u := range updates {
 		b.count(0, len(u.Changes))
 		b.countUrgent(u, 1)
 	}
 	select {
-	case b.retries <- again:
+	case b.retries <- updates:
 	case <-ctx.Done():
 	}
 }
--- a/internal/kvstore/fence.go
+++ b/internal/kvstore/fence.go
@@ -7,79 +7,80 @@
 	"topazhollow/internal/protocol"
 )
 
-// fence keeps a controller from relying on a store that has lost what it acknowledged. The store counts its changes:
-// the answer to a request that was sent after an answer with some revision carries that revision or a later one, or
-// the store went back. Updates made for an earlier epoch of the store's data fail on a condition on a key that only the
-// present one has.
+// fence detects a store that has lost acknowledged data, and keeps updates away from it. A store's revision never
+// decreases unless it loses data, so a request must be answered with at least the highest revision seen before it was
+// sent. Updates made for an earlier epoch of the store's data fail on a condition on a key that exists only in the
+// present epoch.
 type fence struct {
 	mu         sync.Mutex         // guards what is below
-	epoch      uint64             // counts the calls of ForgetRevisions
-	highest    uint64             // revision of any answer in this epoch
+	epoch      uint64             // number of calls of ForgetRevisions
+	highest    uint64             // highest revision of any answer in this epoch
 	held       bool               // all updates are refused
-	condition  protocol.Condition // of every update; no key if there is none
+	condition  protocol.Condition // carried by every update; Key is empty if there is none
 	onDataLoss func(reason string)
 }
 
 // revisionMark is the highest revision known when a request was sent.
 type revisionMark struct{ epoch, highest uint64 }
 
+// mark returns the present mark, to be taken before a request is sent.
 func (f *fence) mark() revisionMark {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return revisionMark{f.epoch, f.highest}
 }
 
-// observe takes in the revision of an answer.
+// observe checks the revision of an answer against the mark taken before its request, and records it.
 func (f *fence) observe(at revisionMark, revision uint64) error {
 	f.mu.Lock()
-	stale, wentBack := at.epoch != f.epoch, revision < at.highest
-	if !stale && !wentBack {
+	stale, decreased := at.epoch != f.epoch, revision < at.highest
+	if !stale && !decreased {
 		f.highest = max(f.highest, revision)
 	}
 	f.mu.Unlock()
 	switch {
 	case stale:
 		return ErrUnknown // the request was sent before ForgetRevisions
-	case wentBack:
+	case decreased:
 		f.reportDataLoss("revision lower than one seen")
 		return ErrRevisionDecreased
 	}
 	return nil
 }
 
-// reportDataLoss calls what OnDataLoss has set, without the lock.
-func (f *fence) reportDataLoss(sign string) {
+// reportDataLoss calls the function set by OnDataLoss, without holding the lock.
+func (f *fence) reportDataLoss(reason string) {
 	f.mu.Lock()
 	report := f.onDataLoss
 	f.mu.Unlock()
 	if report != nil {
-		report(sign)
+		report(reason)
 	}
 }
 
-// updateCondition is the condition that every update carries; open is false while all updates are held back.
+// updateCondition returns the condition that every update carries. open is false while updates are held.
 func (f *fence) updateCondition() (g protocol.Condition, open bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.condition, !f.held
 }
 
-// OnDataLoss has f called with the reason whenever an answer shows that the store lost data. f must not block.
-func (c *Client) OnDataLoss(f func(sign string)) {
+// OnDataLoss sets a function that is called whenever an answer shows that the store lost data. f must not block.
+func (c *Client) OnDataLoss(f func(reason string)) {
 	c.fence.mu.Lock()
 	defer c.fence.mu.Unlock()
 	c.fence.onDataLoss = f
 }
 
-// HoldUpdates has all updates refused with ErrUpdatesHeld until SetFence, or lets them go again.
+// HoldUpdates sets whether all updates are refused with ErrUpdatesHeld. SetFence ends the refusal too.
 func (c *Client) HoldUpdates(on bool) {
 	c.fence.mu.Lock()
 	defer c.fence.mu.Unlock()
 	c.fence.held = on
 }
 
-// ForgetRevisions forgets the highest revision, so that a store that went back can be read. Answers to requests sent
-// before count for nothing.
+// ForgetRevisions resets the highest revision, so that a store whose revision has decreased can be read. Answers to
+// requests sent before the call fail with ErrUnknown.
 func (c *Client) ForgetRevisions() {
 	c.fence.mu.Lock()
 	defer c.fence.mu.Unlock()
@@ -87,18 +88,18 @@
 	c.fence.highest = 0
 }
 
-// LastRevision is the highest revision of an answer.
+// LastRevision returns the highest revision of any answer since the last ForgetRevisions.
 func (c *Client) LastRevision() uint64 { return c.fence.mark().highest }
 
-// SetFence has every update carry a condition, and lets updates go.
+// SetFence sets the condition that every update carries, and stops holding updates.
 func (c *Client) SetFence(g protocol.Condition) {
 	c.fence.mu.Lock()
 	defer c.fence.mu.Unlock()
 	c.fence.condition, c.fence.held = g, false
 }
 
-// CompareVersions asks whether keys have these versions, and for the revision. It names those that do not, and is not
-// paced.
+// CompareVersions checks whether keys have the given versions. It returns the store's revision, or with ErrConflict the
+// keys that have other versions. The rate limit does not apply.
 func (c *Client) CompareVersions(
 	ctx context.Context, conditions []protocol.Condition,
 ) (revision uint64, failed []string, err error) {
--- a/internal/kvstore/kvstore.go
+++ b/internal/kvstore/kvstore.go
@@ -1,13 +1,12 @@
 // Package kvstore is the client of the region's consensus-backed key-value store.
 //
-// Reads and updates are paced by one controller's share of the store's rates; leases and the membership record have a
-// part of the rates kept for them and are not paced. Update is a compare-and-swap: it is committed whole or not at
-// all. Updates that touch different keys share transactions (batch.go, a group commit). Updates carry a fence, a
-// condition on a key that only the present epoch of the store's data has, and every answer's revision is compared
-// with those before it, so that a store that lost what it acknowledged is noticed and not written to (fence.go).
+// Reads and updates are limited to one controller's share of the store's rates. Leases and the membership record are not
+// limited; a part of the rates is reserved for them. An Update is a compare-and-swap that is committed as a whole or not
+// at all. Updates that touch different keys share transactions by group commit (batch.go). Every update carries a fence,
+// which is a condition on a key that exists only in the present epoch of the store's data, and every answer's revision
+// is compared with earlier ones, so that a store that lost acknowledged data is detected and not written to (fence.go).
 //
-// The package decides nothing about jobs or machines and keeps no copy of the data. A Client may be used by several
-// goroutines at once.
+// The package makes no decisions about jobs or machines and caches no data. A Client is safe for concurrent use.
 package kvstore
 
 import (
@@ -27,104 +26,104 @@
 	"topazhollow/internal/settings"
 )
 
-// Errors that callers tell apart, with errors.Is. After ErrUnknown and ErrRevisionDecreased a change may have been made
-// or be made later; after the others it was not.
+// Errors that callers distinguish with errors.Is. After ErrUnknown and ErrRevisionDecreased a change may have been made
+// or may still be made; after the others it was not.
 var (
-	ErrConflict          = errors.New("state: a guard did not hold")
-	ErrRefused           = errors.New("state: not executed")            // status 429 or 503, or never sent
-	ErrUnknown           = errors.New("state: no answer")               // may have been executed, or be executed yet
-	ErrLeaseExpired      = errors.New("state: no such lease")           // the lease has expired
-	ErrCompacted         = errors.New("state: watch fell too far back") // read the keys again
-	ErrInvalid           = errors.New("state: malformed request or answer")
-	ErrRevisionDecreased = fmt.Errorf("%w that counts: the service went back", ErrUnknown)
-	ErrUpdatesHeld       = fmt.Errorf("%w: held back here", ErrRefused)
+	ErrConflict          = errors.New("key-value store: condition failed")
+	ErrRefused           = errors.New("key-value store: not executed")       // status 429 or 503, or never sent
+	ErrUnknown           = errors.New("key-value store: outcome unknown")    // may have been or may still be executed
+	ErrLeaseExpired      = errors.New("key-value store: lease expired")      // or was never granted
+	ErrCompacted         = errors.New("key-value store: revision compacted") // the keys must be read again
+	ErrInvalid           = errors.New("key-value store: malformed request or answer")
+	ErrRevisionDecreased = fmt.Errorf("%w: revision decreased", ErrUnknown)
+	ErrUpdatesHeld       = fmt.Errorf("%w: updates are held", ErrRefused)
 )
 
-// ConflictError is an ErrConflict that names the keys whose conditions did not hold.
+// ConflictError is an ErrConflict with the keys whose conditions failed.
 type ConflictError struct{ Keys []string }
 
 func (c *ConflictError) Error() string {
 	return fmt.Sprintf("%v: %s", ErrConflict, strings.Join(c.Keys, " "))
 }
 
-// Is makes it an ErrConflict.
+// Is makes errors.Is report a ConflictError as ErrConflict.
 func (c *ConflictError) Is(target error) bool { return target == ErrConflict }
 
-// timeout bounds one call, LongPollTimeout is how long a watch waits for a change.
+// Timeouts of requests.
 const (
-	timeout         = 2 * time.Second
-	LongPollTimeout = 10 * time.Second
+	timeout         = 2 * time.Second  // of a request, in addition to the time that a watch waits
+	LongPollTimeout = 10 * time.Second // how long a watch waits for a change
 )
 
-// Client talks to the key-value store.
+// Client is a client of the key-value store.
 type Client struct {
-	calls    *httpx.Pool
-	control  *httpx.Pool
-	watch    *httpx.Pool
-	requests *rate.Limiter
-	writes   *rate.Limiter
-	evenRate float64 // changes a second, if all controllers had the same
-	batcher  *batcher
-	fence    fence
+	calls     *httpx.Pool
+	control   *httpx.Pool // for leases and the membership record
+	watch     *httpx.Pool
+	requests  *rate.Limiter
+	writes    *rate.Limiter // of changes
+	equalRate float64       // changes per second of each controller if all have the same
+	batcher   *batcher
+	fence     fence
 }
 
-// New is a client with one of n controllers' share of the rates. A tenth is
-// held back for leases and the membership record, which are not paced.
+// New returns a client with the share of one of n controllers in the rates. The shares leave 15 % of the rates free for
+// leases and the membership record, which are not limited.
 func New(addr string, limits settings.KVStore, n int) *Client {
 	share := 0.85 / float64(n)
 	c := &Client{
-		calls:    httpx.NewPool(addr, 1<<20, 16),
-		control:  httpx.NewPool(addr, 1<<20, 8),
-		watch:    httpx.NewPool(addr, 64<<20, 2),
-		requests: rate.NewLimiter(rate.Limit(limits.RequestsPerSecond*share), max(2, int(limits.RequestsPerSecond*share))),
-		writes:   rate.NewLimiter(rate.Limit(limits.ChangesPerSecond*share), max(2, int(limits.ChangesPerSecond*share))),
-		evenRate: limits.ChangesPerSecond * share,
+		calls:     httpx.NewPool(addr, 1<<20, 16),
+		control:   httpx.NewPool(addr, 1<<20, 8),
+		watch:     httpx.NewPool(addr, 64<<20, 2),
+		requests:  rate.NewLimiter(rate.Limit(limits.RequestsPerSecond*share), max(2, int(limits.RequestsPerSecond*share))),
+		writes:    rate.NewLimiter(rate.Limit(limits.ChangesPerSecond*share), max(2, int(limits.ChangesPerSecond*share))),
+		equalRate: limits.ChangesPerSecond * share,
 	}
 	c.batcher = newBatcher(c, limits)
 	return c
 }
 
-// DemandRate is how many changes a second this controller would make: those that came of late, and those that wait,
-// within a second. It is to be called regularly.
-func (c *Client) DemandRate(now time.Time) float64 { return c.batcher.wantedRate(now) }
+// DemandRate returns how many changes per second this controller would make without a limit: the recent arrival rate
+// plus the waiting changes, as if they were sent within one second. It must be called regularly.
+func (c *Client) DemandRate(now time.Time) float64 { return c.batcher.demandRate(now) }
 
-// UrgentDelay is how long what users wait for takes to be sent at the present rate, and that rate, in changes a
+// UrgentDelay returns the present queueing delay of urgent updates, and the rate that it is based on, in changes per
 // second.
 func (c *Client) UrgentDelay() (wait time.Duration, rate float64) {
 	c.batcher.mu.Lock()
-	soon := c.batcher.urgentWaiting
+	queued := c.batcher.urgentWaiting
 	c.batcher.mu.Unlock()
 	rate = float64(c.writes.Limit())
 	if rate <= 0 {
 		return 0, 0
 	}
-	return time.Duration(max(0, float64(soon)-max(0, c.writes.Tokens())) / rate * float64(time.Second)), rate
+	return time.Duration(max(0, float64(queued)-max(0, c.writes.Tokens())) / rate * float64(time.Second)), rate
 }
 
-// SetRateByDemand takes what the other controllers leave of the rate of changes: wanted is what each of them wants, in
-// changes a second, or a negative number if that is not known.
-func (c *Client) SetRateByDemand(wanted []float64) {
-	c.writes.SetLimit(rate.Limit(fairShare(c.evenRate, wanted)))
+// SetRateByDemand sets the rate of changes to an equal share plus a part of what the other controllers do not use.
+// demands holds their demand rates in changes per second, or a negative number where the rate is unknown.
+func (c *Client) SetRateByDemand(demands []float64) {
+	c.writes.SetLimit(rate.Limit(fairShare(c.equalRate, demands)))
 }
 
-// fairShare is an even share and what others leave of theirs, less a margin for what they may want before they say
-// so. Controllers that want more than an even share part what is left alike.
-func fairShare(even float64, wanted []float64) float64 {
-	left, needy := 0.0, 1.0
-	for _, w := range wanted {
-		if w > even {
-			needy++
-		} else if w >= 0 {
-			left += (even - w) * 3 / 4
+// fairShare returns the equal share plus a part of what the others leave unused. A quarter of that stays free for demand
+// that has not been reported yet. Controllers with more demand than the equal share divide the rest equally.
+func fairShare(equal float64, demands []float64) float64 {
+	unused, claimants := 0.0, 1.0
+	for _, demand := range demands {
+		if demand > equal {
+			claimants++
+		} else if demand >= 0 {
+			unused += (equal - demand) * 3 / 4
 		}
 	}
-	return even + left/needy
+	return equal + unused/claimants
 }
 
-// Run serves queued updates until the context ends.
+// Run sends queued updates until the context ends.
 func (c *Client) Run(ctx context.Context) error { return c.batcher.run(ctx) }
 
-// do sends a request and maps what went wrong to the errors above.
+// do sends a request and maps failures to ErrRefused and ErrUnknown.
 func (c *Client) do(
 	ctx context.Context, pool *httpx.Pool, method, target string, body []byte, wait time.Duration,
 ) (*httpx.Response, error) {
@@ -142,6 +141,7 @@
 	return resp, nil
 }
 
+// decode decodes a successful response and returns ErrInvalid for any other.
 func decode(resp *httpx.Response, v any) error {
 	if resp.Status != 200 {
 		return fmt.Errorf("%w: status %d %.200s", ErrInvalid, resp.Status, resp.Body)
@@ -152,7 +152,7 @@
 	return nil
 }
 
-// Get reads a key; nil means that it does not exist.
+// Get reads a key. The entry is nil if the key does not exist.
 func (c *Client) Get(ctx context.Context, key string) (*protocol.Entry, error) {
 	if err := c.requests.Wait(ctx); err != nil {
 		return nil, ErrRefused
@@ -160,7 +160,7 @@
 	return c.get(ctx, c.calls, key)
 }
 
-// GetControl reads a key without pacing, for leases and the membership record.
+// GetControl reads a key without the rate limit, for leases and the membership record.
 func (c *Client) GetControl(ctx context.Context, key string) (*protocol.Entry, error) {
 	return c.get(ctx, c.control, key)
 }
@@ -182,7 +182,7 @@
 	return &e, decode(resp, &e)
 }
 
-// List reads all keys below a prefix and the revision of its first page.
+// List reads all keys below a prefix. It returns the revision of the first page.
 func (c *Client) List(ctx context.Context, prefix string) (entries []protocol.Entry, revision uint64, err error) {
 	after := ""
 	for {
@@ -201,7 +201,7 @@
 	}
 }
 
-// Page reads up to 500 keys below a prefix, after one; more says whether there are others.
+// Page reads up to 500 keys below a prefix, starting after the key after. more reports whether there are others.
 func (c *Client) Page(ctx context.Context, prefix, after string) (entries []protocol.Entry, more bool, err error) {
 	page, err := c.page(ctx, prefix, after)
 	if err != nil {
@@ -230,12 +230,12 @@
 	return &page, c.fence.observe(at, page.Revision)
 }
 
-// Watch waits for changes below a prefix after a revision.
+// Watch waits up to LongPollTimeout for changes below a prefix after a revision.
 func (c *Client) Watch(ctx context.Context, prefix string, after uint64) (*protocol.Changes, error) {
 	return c.changes(ctx, c.watch, prefix, after, LongPollTimeout)
 }
 
-// Changes reads the changes below a prefix from a revision until now.
+// Changes reads the changes below a prefix after a revision without waiting.
 func (c *Client) Changes(ctx context.Context, prefix string, after uint64) (*protocol.Changes, error) {
 	return c.changes(ctx, c.calls, prefix, after, 0)
 }
@@ -263,9 +263,8 @@
 	return &ch, c.fence.observe(at, ch.Revision)
 }
 
-// CommitControl commits a transaction without pacing, for leases and the control
-// record. It gives the new revision, or with ErrConflict the
-// keys whose conditions did not hold.
+// CommitControl commits a transaction without the rate limit, for leases and the membership record. It returns the new
+// revision, or with ErrConflict the keys whose conditions failed.
 func (c *Client) CommitControl(ctx context.Context, t protocol.Txn) (uint64, []string, error) {
 	return c.txn(ctx, c.control, t)
 }
@@ -303,9 +302,9 @@
 	return 0, nil, fmt.Errorf("%w: status %d %.200s", ErrInvalid, resp.Status, resp.Body)
 }
 
-// GrantLease takes a lease that expires after a time unless it is renewed.
-func (c *Client) GrantLease(ctx context.Context, life time.Duration) (uint64, error) {
-	body := protocol.Encode(protocol.LeaseRequest{TTLMillis: life.Milliseconds()})
+// GrantLease creates a lease that expires after ttl unless it is renewed.
+func (c *Client) GrantLease(ctx context.Context, ttl time.Duration) (uint64, error) {
+	body := protocol.Encode(protocol.LeaseRequest{TTLMillis: ttl.Milliseconds()})
 	resp, err := c.do(ctx, c.control, "POST", "/grants", body, timeout)
 	if err != nil {
 		return 0, err
@@ -314,7 +313,7 @@
 	return g.Lease, decode(resp, &g)
 }
 
-// RenewLease renews a lease. ErrLeaseExpired means that it has ended.
+// RenewLease renews a lease. It returns ErrLeaseExpired if the lease no longer exists.
 func (c *Client) RenewLease(ctx context.Context, lease uint64) error {
 	resp, err := c.do(ctx, c.control, "POST", "/grants/"+strconv.FormatUint(lease, 10)+"/extend", []byte("{}"), timeout)
 	if err != nil {
@@ -329,17 +328,17 @@
 	return nil
 }
 
-// Update is a compare-and-swap: if its conditions hold, all its changes are made, else none. Other updates may share
-// its transaction.
+// Update is a compare-and-swap: either all its conditions hold and all its changes are made, or none is. It may share a
+// transaction with other updates.
 type Update struct {
 	Conditions []protocol.Condition
 	Changes    []protocol.Op
-	Urgent     bool // a user waits for it: it goes before others
-	Deferrable bool // it takes only changes of the rate that nothing else needs
+	Urgent     bool // a user waits for it; it is sent before updates that are not urgent
+	Deferrable bool // it is sent only while no other updates wait and the rate has changes to spare
 }
 
-// Commit queues an update and waits for its outcome: the revision, or an error of those above. A conflict is a
-// *ConflictError.
+// Commit queues an update and waits for its outcome. It returns the new revision, or one of the errors of this package;
+// a conflict is a *ConflictError.
 func (c *Client) Commit(ctx context.Context, u Update) (revision uint64, err error) {
 	return c.batcher.commit(ctx, u)
 }
