--- a/internal/controller/peerhandler.go
+++ b/internal/controller/peerhandler.go
@@ -20,7 +20,7 @@
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.peers[name].connected = true
-	n.peers[name].delivery.Connected(time.Now())
+	n.peers[name].halfOpen.Connected(time.Now())
 	n.shards.ForgetReplica(name)
 	for machine := range n.agents.All() {
 		n.agents.MarkChanged(machine)
@@ -153,7 +153,7 @@
 	if e := s.Received[n.name]; e.Incarnation == n.incarnation && e.SentAt > 0 {
 		received = uint64(e.SentAt)
 	}
-	if p := n.peers[node]; p.connected && p.delivery.StatusReceived(now, received) {
+	if p := n.peers[node]; p.connected && p.halfOpen.StatusReceived(now, received) {
 		n.log.Info("peer link is half-open", "peer", node)
 		n.links.Reset(node)
 	}
--- a/internal/controller/peerstate.go
+++ b/internal/controller/peerstate.go
@@ -11,7 +11,7 @@
 type peerState struct {
 	// The connection, and the process at its other end.
 	connected     bool
-	delivery      peer.HalfOpenDetector
+	halfOpen      peer.HalfOpenDetector
 	incarnation   uint64
 	lastMessageAt time.Time
 	statusSentAt  int64 // ms of the peer's clock, in its last status
