--- a/internal/peer/delivery_test.go
+++ b/internal/peer/halfopen_test.go
@@ -10,9 +10,9 @@
 	"time"
 )
 
-// TestDelivery: only a connection that has stood, and whose peer has been heard without a pause, for the whole time
+// TestHalfOpenDetector: only a connection that has stood, and whose peer has been heard without a pause, for the whole time
 // without any progress is half-open.
-func TestDelivery(t *testing.T) {
+func TestHalfOpenDetector(t *testing.T) {
 	const every = 500 * time.Millisecond
 	start := time.Unix(1000, 0)
 	tests := []struct {
@@ -51,8 +51,8 @@
 	}
 }
 
-// TestDeliveryIsResetOnce: a connection that was reset has the whole time again.
-func TestDeliveryIsResetOnce(t *testing.T) {
+// TestHalfOpenIsReportedOnce: a connection that was reset has the whole time again.
+func TestHalfOpenIsReportedOnce(t *testing.T) {
 	var d HalfOpenDetector
 	start, resets := time.Unix(1000, 0), 0
 	d.Connected(start)
@@ -80,8 +80,8 @@
 func (e *linkEvents) PeerDown(string)                            {}
 func (e *linkEvents) PeerMessage(string, uint64, string, []byte) {}
 
-// TestResetDialsAnew: a connection that nobody reads is replaced, and what is sent from then on arrives.
-func TestResetDialsAnew(t *testing.T) {
+// TestResetRedials: a connection that nobody reads is replaced, and what is sent from then on arrives.
+func TestResetRedials(t *testing.T) {
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
--- a/internal/peer/peer.go
+++ b/internal/peer/peer.go
@@ -1,7 +1,7 @@
-// Package peer carries messages between controllers, as lines of JSON. Each direction has a connection of its own,
-// which the sender dials. Messages of a connection arrive in order; once a newer connection of a peer exists, late
-// messages of an older one are dropped. A message may be lost, and is never sent again by this package. It decides
-// nothing by what a message says. Links is safe for concurrent use; Delivery is not.
+// Package peer exchanges messages between controllers as lines of JSON. Each direction uses its own connection, which
+// the sender dials. Messages on a connection arrive in order; once a newer connection of a peer exists, late messages of
+// older ones are dropped. Messages may be lost, and this package never resends them. It does not interpret their
+// contents. Links is safe for concurrent use; HalfOpenDetector is not.
 package peer
 
 import (
@@ -19,127 +19,129 @@
 	"topazhollow/internal/protocol"
 )
 
-// Limits of links, in bytes and connections.
+// Limits.
 const (
 	maxMessageBytes = 4 << 20
-	maxQueuedBytes  = 8 << 20 // unsent lines to one peer; more end the connection
-	maxConnections  = 64
-	maxKeptBuffer   = 1 << 20 // a larger buffer for writing is not kept
+	maxQueuedBytes  = 8 << 20 // of unsent lines to one peer; exceeding it ends the connection
+	maxConnections  = 64      // incoming
+	maxKeptBuffer   = 1 << 20 // bytes; a larger write buffer is released after use
 )
 
-// Times of links.
+// Timeouts and delays.
 const (
 	dialTimeout     = time.Second
 	redialDelay     = 300 * time.Millisecond
 	writeTimeout    = 4 * time.Second
 	greetingTimeout = 5 * time.Second
-	receiveTimeout  = 15 * time.Second // silence that ends an incoming connection
+	receiveTimeout  = 15 * time.Second // without a message, after which an incoming connection is closed
 )
 
-// Greeting is the first line of every connection.
+// Greeting is the first line on every connection. It identifies the sender and numbers its connections.
 type Greeting struct {
 	Node        string `json:"node"`
 	Incarnation uint64 `json:"incarnation"`
 	Connection  uint64 `json:"conn"`
 }
 
-// Envelope is a message, one line.
+// Envelope is a message, encoded as one line.
 type Envelope struct {
 	Kind string          `json:"kind"`
 	Body json.RawMessage `json:"body,omitempty"`
 }
 
-// Handler takes what comes from peers. It must not block for long.
+// Handler receives events from peers. Its methods must not block for long.
 type Handler interface {
-	// PeerUp says that there is a new connection to the peer. Nothing that was sent before is queued on it.
+	// PeerUp is called when a new connection to the peer is established. No earlier message is queued on it.
 	PeerUp(node string)
-	// PeerDown says that the connection to the peer was lost.
+	// PeerDown is called when the connection to the peer is lost, and after each failed dial.
 	PeerDown(node string)
-	// PeerMessage is one message from the peer's process of that incarnation.
+	// PeerMessage is called for each message, with the incarnation of the peer's process that sent it.
 	PeerMessage(node string, incarnation uint64, kind string, body []byte)
 }
 
-// Links are all connections between this controller and its peers.
+// Links holds all connections between this controller and its peers.
 type Links struct {
 	self        Greeting
 	log         *slog.Logger
 	handler     Handler
-	connections map[string]*connection
+	connections map[string]*connection // outgoing, by peer
 
-	mu     sync.Mutex
-	latest map[string]Greeting
+	mu     sync.Mutex          // guards latest
+	latest map[string]Greeting // of the newest incoming connection, by peer
 }
 
+// connection is the outgoing connection to a peer with its queue of unsent lines.
 type connection struct {
 	node, addr string
 
-	mu     sync.Mutex
-	up     bool
-	queue  [][]byte
-	queued int
-	signal chan struct{}
+	mu          sync.Mutex // guards what is below, except wakeup
+	up          bool
+	queue       [][]byte
+	queuedBytes int
+	wakeup      chan struct{}
 }
 
-// New makes links to peers given by name and address.
+// New returns links to peers, which are given as a map of names to addresses.
 func New(node string, incarnation uint64, peers map[string]string, handler Handler, log *slog.Logger) *Links {
 	l := &Links{self: Greeting{Node: node, Incarnation: incarnation}, log: log, handler: handler,
 		connections: map[string]*connection{}, latest: map[string]Greeting{}}
 	for name, addr := range peers {
-		l.connections[name] = &connection{node: name, addr: addr, signal: make(chan struct{}, 1)}
+		l.connections[name] = &connection{node: name, addr: addr, wakeup: make(chan struct{}, 1)}
 	}
 	return l
 }
 
-// Send queues a message. It returns false if there is no connection to the peer now, or too much is queued, which ends
-// the connection.
+// Send queues a message. It returns false if there is no connection to the peer. It also returns false, and ends the
+// connection, if the queue would exceed its limit.
 func (l *Links) Send(node, kind string, body any) bool {
 	return l.SendEncoded(node, Encode(kind, body))
 }
 
-// Encode gives a message the form that SendEncoded takes, so that it is encoded once for several peers.
+// Encode encodes a message for SendEncoded, so that a message to several peers is encoded only once.
 func Encode(kind string, body any) []byte {
 	return append(protocol.Encode(Envelope{Kind: kind, Body: protocol.Encode(body)}), '\n')
 }
 
-// SendEncoded is Send for a message that Encode made.
+// SendEncoded is like Send for a message encoded by Encode.
 func (l *Links) SendEncoded(node string, line []byte) bool {
-	s := l.connections[node]
-	if s == nil {
+	c := l.connections[node]
+	if c == nil {
 		return false
 	}
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	if !s.up {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if !c.up {
 		return false
 	}
-	if s.queued+len(line) > maxQueuedBytes {
-		s.abort()
+	if c.queuedBytes+len(line) > maxQueuedBytes {
+		c.abort()
 		return false
 	}
-	s.queue = append(s.queue, line)
-	s.queued += len(line)
-	s.wake()
+	c.queue = append(c.queue, line)
+	c.queuedBytes += len(line)
+	c.wake()
 	return true
 }
 
-func (s *connection) wake() {
+// wake notifies the goroutine that writes the queue of a change.
+func (c *connection) wake() {
 	select {
-	case s.signal <- struct{}{}:
+	case c.wakeup <- struct{}{}:
 	default:
 	}
 }
 
-// KeepConnected keeps up one connection to the peer until the context ends.
+// KeepConnected maintains a connection to the peer until the context ends, and dials again whenever it is lost.
 func (l *Links) KeepConnected(ctx context.Context, node string) error {
-	s := l.connections[node]
+	c := l.connections[node]
 	for n := uint64(1); ctx.Err() == nil; n++ {
-		err := l.connect(ctx, s, n)
-		s.mu.Lock()
-		was := s.up
-		s.up, s.queue, s.queued = false, nil, 0
-		s.mu.Unlock()
-		if was {
-			l.log.Info("peer link lost", "peer", node, "err", err)
+		err := l.connect(ctx, c, n)
+		c.mu.Lock()
+		wasUp := c.up
+		c.up, c.queue, c.queuedBytes = false, nil, 0
+		c.mu.Unlock()
+		if wasUp {
+			l.log.Info("connection to peer lost", "peer", node, "err", err)
 		}
 		l.handler.PeerDown(node)
 		select {
@@ -150,11 +152,11 @@
 	return nil
 }
 
-// connect connects to a peer, and sends what is queued until the connection ends. Number is
-// that of the connection.
-func (l *Links) connect(ctx context.Context, s *connection, number uint64) error {
+// connect dials a peer and sends queued messages until the connection ends. number is the connection's number in the
+// greeting.
+func (l *Links) connect(ctx context.Context, c *connection, number uint64) error {
 	d := net.Dialer{Timeout: dialTimeout, KeepAlive: -1}
-	conn, err := d.DialContext(ctx, "tcp4", s.addr)
+	conn, err := d.DialContext(ctx, "tcp4", c.addr)
 	if err != nil {
 		return err
 	}
@@ -166,15 +168,16 @@
 	if _, err := conn.Write(append(protocol.Encode(greeting), '\n')); err != nil {
 		return err
 	}
-	s.mu.Lock()
-	s.up, s.queue, s.queued = true, nil, 0
-	s.mu.Unlock()
-	l.handler.PeerUp(s.node)
-	return s.writeQueued(conn, whenClosed(conn))
+	c.mu.Lock()
+	c.up, c.queue, c.queuedBytes = true, nil, 0
+	c.mu.Unlock()
+	l.handler.PeerUp(c.node)
+	return c.writeQueued(conn, closedSignal(conn))
 }
 
-// whenClosed returns a channel that is closed when a connection ends on which the peer never writes.
-func whenClosed(conn net.Conn) <-chan struct{} {
+// closedSignal returns a channel that is closed when the connection ends. It reads from the connection, on which the
+// peer never writes.
+func closedSignal(conn net.Conn) <-chan struct{} {
 	closed := make(chan struct{})
 	go func() {
 		var b [1]byte
@@ -185,10 +188,10 @@
 }
 
 // writeQueued writes queued lines until the connection ends.
-func (s *connection) writeQueued(conn net.Conn, closed <-chan struct{}) error {
+func (c *connection) writeQueued(conn net.Conn, closed <-chan struct{}) error {
 	var buf []byte
 	for {
-		lines, err := s.takeQueued(closed)
+		lines, err := c.takeQueued(closed)
 		if err != nil {
 			return err
 		}
@@ -209,35 +212,34 @@
 	}
 }
 
-// takeQueued waits for queued lines and takes them, which may be none.
-func (s *connection) takeQueued(closed <-chan struct{}) ([][]byte, error) {
+// takeQueued waits for a wakeup and removes the queued lines, which may be none.
+func (c *connection) takeQueued(closed <-chan struct{}) ([][]byte, error) {
 	select {
-	case <-s.signal:
+	case <-c.wakeup:
 	case <-closed:
-		return nil, errors.New("closed by the peer")
+		return nil, errors.New("connection closed by the peer")
 	}
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	if !s.up {
-		return nil, errors.New("reset, or too much unsent")
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if !c.up {
+		return nil, errors.New("connection reset, or send queue full")
 	}
-	lines := s.queue
-	s.queue, s.queued = nil, 0
+	lines := c.queue
+	c.queue, c.queuedBytes = nil, 0
 	return lines, nil
 }
 
-// Listen takes the peers' connections until the context ends.
+// Listen accepts connections from peers until the context ends.
 func (l *Links) Listen(ctx context.Context, addr string) error {
 	return httpx.Listen(ctx, addr, maxConnections, 2*maxMessageBytes, func(c *httpx.Conn) {
 		c.Pin()
 		if err := l.receive(ctx, c); err != nil && ctx.Err() == nil {
-			l.log.Info("peer connection dropped", "from", c.Remote(), "err", err)
+			l.log.Info("incoming peer connection closed", "from", c.Remote(), "err", err)
 		}
 	})
 }
 
-// receive takes a peer's lines until the connection ends, or a newer one of the peer was
-// seen.
+// receive reads messages of a peer until the connection ends or the peer opens a newer one.
 func (l *Links) receive(ctx context.Context, c *httpx.Conn) error {
 	scan := bufio.NewScanner(c)
 	scan.Buffer(make([]byte, 0, 4<<10), maxMessageBytes)
@@ -247,7 +249,7 @@
 	}
 	var greeting Greeting
 	if err := protocol.Decode(scan.Bytes(), &greeting); err != nil || l.connections[greeting.Node] == nil {
-		return fmt.Errorf("no peer's hello: %.80q", scan.Bytes())
+		return fmt.Errorf("not the greeting of a peer: %.80q", scan.Bytes())
 	}
 	if !l.supersede(greeting) {
 		return errSuperseded
@@ -269,10 +271,10 @@
 	return nil
 }
 
-// errSuperseded ends a connection of a peer that has a newer one.
-var errSuperseded = errors.New("older connection")
+// errSuperseded ends a connection whose peer has opened a newer one.
+var errSuperseded = errors.New("superseded by a newer connection")
 
-// supersede makes a connection its peer's newest, unless a newer one was seen.
+// supersede records a connection as its peer's newest. It returns false if a newer one exists.
 func (l *Links) supersede(greeting Greeting) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -284,7 +286,7 @@
 	return true
 }
 
-// isNewest says whether a connection is still its peer's newest.
+// isNewest reports whether a connection is still its peer's newest.
 func (l *Links) isNewest(greeting Greeting) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
