--- a/cmd/topaz/main.go
+++ b/cmd/topaz/main.go
@@ -1,4 +1,4 @@
-// Command topaz is the deprecated name of topazhollowctl. It goes with the version after 0.1.0.
+// Command topaz is the deprecated name of topazhollowctl. It will be removed in the version after 0.1.0.
 package main
 
 import (
--- a/cmd/topazhollow/main.go
+++ b/cmd/topazhollow/main.go
@@ -1,4 +1,4 @@
-// Command topazhollow is one controller of the cluster scheduler.
+// Command topazhollow runs a controller of the cluster scheduler.
 package main
 
 import (
@@ -16,10 +16,10 @@
 )
 
 var cli struct {
-	Config  string           `required:"" placeholder:"FILE" help:"Settings file (JSON) that the platform hands over."`
-	Script  string           `placeholder:"FILE" help:"Operator's Starlark script with options (see README)."`
-	Check   bool             `help:"Check the settings and the script, then leave."`
-	Version kong.VersionFlag `help:"Print the version and leave."`
+	Config  string           `required:"" placeholder:"FILE" help:"Settings file (JSON) provided by the platform."`
+	Script  string           `placeholder:"FILE" help:"Starlark script with the operator's options (see README)."`
+	Check   bool             `help:"Check the settings and the script, then exit."`
+	Version kong.VersionFlag `help:"Print the version, then exit."`
 }
 
 func main() {
@@ -27,7 +27,7 @@
 		kong.Name("topazhollow"),
 		kong.Description("A cluster scheduler whose controllers replicate job progress among themselves."),
 		kong.Vars{"version": topazhollow.Version})
-	log, err := logger(os.Getenv("LOG_LEVEL"))
+	log, err := newLogger(os.Getenv("LOG_LEVEL"))
 	if err != nil {
 		fail(err)
 	}
@@ -46,12 +46,13 @@
 	ctx, cancel := signal.NotifyContext(context.Background(), syscall.SIGINT, syscall.SIGTERM)
 	defer cancel()
 	if err := topazhollow.Run(ctx, s, options, log); err != nil {
-		log.Error("ended", "err", err)
+		log.Error("controller failed", "err", err)
 		os.Exit(1)
 	}
 }
 
-func logger(level string) (*slog.Logger, error) {
+// newLogger returns a logger for a value of LOG_LEVEL.
+func newLogger(level string) (*slog.Logger, error) {
 	var l slog.Level
 	switch level {
 	case "", "info":
@@ -65,6 +66,7 @@
 	return slog.New(slog.NewTextHandler(os.Stderr, &slog.HandlerOptions{Level: l})), nil
 }
 
+// fail prints an error of the configuration and exits with status 2.
 func fail(err error) {
 	fmt.Fprintln(os.Stderr, "topazhollow:", err)
 	os.Exit(2)
--- a/cmd/topazhollowctl/main.go
+++ b/cmd/topazhollowctl/main.go
@@ -1,4 +1,4 @@
-// Command topazhollowctl is the command line for operators, users and build tools. What it does is in internal/cli.
+// Command topazhollowctl is the command-line client for operators, users and build tools. internal/cli implements it.
 package main
 
 import (
--- a/internal/cloud/cloud.go
+++ b/internal/cloud/cloud.go
@@ -1,6 +1,6 @@
 // Package cloud is the client of the cloud's rental interface: the catalog of machine types, scaling out and in, and the
-// list of machines. It is paced by one controller's share of the cloud's rate, and decides nothing: which machines to
-// rent is internal/autoscaler's and internal/provisioning's to say.
+// list of machines. It limits requests to one controller's share of the cloud's rate. internal/autoscaler and
+// internal/provisioning decide which machines to rent.
 package cloud
 
 import (
@@ -17,25 +17,26 @@
 	"topazhollow/internal/settings"
 )
 
-// Errors that callers tell apart, with errors.Is.
+// Errors that callers distinguish with errors.Is. After ErrRefused with a status of 500 or above, and after any error
+// other than these two, the request may have been carried out.
 var (
-	ErrNoCapacity = errors.New("cloud: no capacity") // of that machine type in that zone, now
-	ErrRefused    = errors.New("cloud: refused")     // with a status; with another error, or one of 500 and above, it may have been carried out
+	ErrNoCapacity = errors.New("cloud: no capacity") // of the machine type in the zone, at present
+	ErrRefused    = errors.New("cloud: refused")     // answered with a status other than 200
 )
 
 const (
 	timeout    = 6 * time.Second // of one request
-	maxScaleIn = 100
+	maxScaleIn = 100             // machines returned by one request
 )
 
-// Client talks to the cloud. It may be used by several goroutines at once.
+// Client is a client of the cloud. It is safe for concurrent use.
 type Client struct {
 	pool    *httpx.Pool
 	limiter *rate.Limiter
 }
 
-// New is a client of one of n controllers. Only the owner of the fleet sends much, so each may use most of the rate;
-// a single controller may use nearly all.
+// New returns a client for one of n controllers. Only the owner of the fleet shard sends many requests, so each
+// controller may use most of the rate, and a single controller nearly all of it.
 func New(addr string, limits settings.Cloud, n int) *Client {
 	share := limits.RequestsPerSecond * 0.6
 	if n == 1 {
@@ -44,6 +45,7 @@
 	return &Client{pool: httpx.NewPool(addr, 4<<20, 8), limiter: rate.NewLimiter(rate.Limit(share), max(1, int(share)))}
 }
 
+// do sends a request and decodes the answer into into unless that is nil.
 func (c *Client) do(ctx context.Context, method, target string, body any, into any) error {
 	if err := c.limiter.Wait(ctx); err != nil {
 		return err
@@ -70,7 +72,7 @@
 	return protocol.Decode(resp.Body, into)
 }
 
-// Catalog reads the machine types with their present prices.
+// Catalog returns the machine types with their present prices.
 func (c *Client) Catalog(ctx context.Context) ([]protocol.MachineType, error) {
 	var cat protocol.Catalog
 	if err := c.do(ctx, "GET", "/catalog", nil, &cat); err != nil {
@@ -79,15 +81,15 @@
 	seen := map[string]bool{}
 	for _, t := range cat.Types {
 		if t.Name == "" || seen[t.Name] || !(t.CPUs > 0) || !(t.MemoryGB >= 0) {
-			return nil, fmt.Errorf("cloud: catalog holds an impossible type %q", t.Name)
+			return nil, fmt.Errorf("cloud: catalog has an invalid or duplicate machine type %q", t.Name)
 		}
 		seen[t.Name] = true
 	}
 	return cat.Types, nil
 }
 
-// ScaleOut asks for machines and gives the names of those rented, which may be fewer. A repeated request by the same
-// r.Request is carried out once.
+// ScaleOut rents machines and returns their names, which may be fewer than requested. The cloud carries out repeated
+// requests with the same r.Request only once.
 func (c *Client) ScaleOut(ctx context.Context, r protocol.ScaleOutRequest) ([]string, error) {
 	r.Count = min(r.Count, protocol.MaxScaleOut)
 	var names protocol.MachineNames
@@ -95,15 +97,15 @@
 	return names.Machines, err
 }
 
-// ScaleIn gives machines back; when it succeeds, they and all on them are gone.
+// ScaleIn returns machines to the cloud. When it succeeds, the machines and everything on them are gone.
 func (c *Client) ScaleIn(ctx context.Context, machines []string) error {
 	if len(machines) > maxScaleIn {
-		return fmt.Errorf("cloud: %d machines in one return", len(machines))
+		return fmt.Errorf("cloud: %d machines in one scale-in request, at most %d are allowed", len(machines), maxScaleIn)
 	}
 	return c.do(ctx, "POST", "/hosts/return", protocol.MachineNames{Machines: machines}, nil)
 }
 
-// List reads the cloud's list of machines, which lags behind by the list_lag_s of the settings.
+// List returns the cloud's list of machines, which may be out of date by the setting cloud.list_lag_s.
 func (c *Client) List(ctx context.Context) ([]protocol.Host, error) {
 	var all []protocol.Host
 	after := ""
--- a/internal/protocol/agents.go
+++ b/internal/protocol/agents.go
@@ -1,55 +1,55 @@
 package protocol
 
-// TaskState is the state of a task on a machine, as the machine's agent lists it.
+// TaskState is the state of a task on a machine, as reported by the machine's agent.
 type TaskState string
 
-// The states of a task, beside Running.
+// States of a task, in addition to Running.
 const (
-	Pulling TaskState = "pulling" // its image is being fetched; the task holds its room already
+	Pulling TaskState = "pulling" // its image is being fetched; its resources are already allocated
 	Waiting TaskState = "waiting" // for the other tasks of its gang
-	Saving  TaskState = "saving"  // writes a checkpoint before it stops
-	Exited  TaskState = "exited"  // is over; listed until the controller says Forget
+	Saving  TaskState = "saving"  // writing a checkpoint before it stops
+	Exited  TaskState = "exited"  // listed until the controller sends Forget
 )
 
-// ExitReason says why a task is over.
+// ExitReason is the reason why a task exited or its start was refused.
 type ExitReason string
 
-// The reasons why a task exited or was refused.
+// Reasons why a task exited or its start was refused.
 const (
-	ReasonDone       ExitReason = "done"       // completed, the result is kept
-	ReasonStopped    ExitReason = "stopped"    // by command; TaskStatus.Checkpointed says whether progress was saved
-	ReasonPeers      ExitReason = "peers"      // other tasks of its gang were gone for too long
+	ReasonDone       ExitReason = "done"       // completed, its result is stored
+	ReasonStopped    ExitReason = "stopped"    // by command; TaskStatus.Checkpointed reports whether progress was saved
+	ReasonPeers      ExitReason = "peers"      // other tasks of its gang were unreachable for too long
 	ReasonIncomplete ExitReason = "incomplete" // its gang was not complete in time
 	ReasonError      ExitReason = "error"      // the task itself failed
-	ReasonFull       ExitReason = "full"       // start refused: not enough room on the machine
+	ReasonFull       ExitReason = "full"       // start refused: not enough free resources on the machine
 	ReasonInUse      ExitReason = "in_use"     // start refused: another attempt of the task is on the machine
 	ReasonNoSuch     ExitReason = "no_such"    // start refused: no such job or task
 )
 
-// CommandOp is what an agent is to do with an attempt.
+// CommandOp is the operation of a command to an agent.
 type CommandOp string
 
-// The commands to an agent.
+// Operations of commands to an agent.
 const (
 	Start  CommandOp = "start"
 	Stop   CommandOp = "stop"   // save a checkpoint within Command.GraceSeconds, then exit
-	Forget CommandOp = "forget" // drop an exited attempt from the heartbeats
+	Forget CommandOp = "forget" // remove an exited attempt from the heartbeats
 )
 
-// Paths between controllers and agents.
+// Paths of the interface between controllers and agents.
 const (
-	PathHeartbeat = "/v1/report" // at a controller
-	PathCommands  = "/do"        // at an agent: carry out commands
-	PathInspect   = "/inspect"   // at an agent: answer with a heartbeat
+	PathHeartbeat = "/v1/report" // on a controller
+	PathCommands  = "/do"        // on an agent: execute commands
+	PathInspect   = "/inspect"   // on an agent: answer with a heartbeat
 )
 
-// Redirect tells an agent which controller to send its heartbeats to.
+// Redirect is the answer that refers an agent to the controller to send its heartbeats to.
 type Redirect struct {
 	Controller string `json:"informar_a,omitempty"`
 }
 
-// Heartbeat is what an agent says of its machine and of all tasks on it. Seq rises within an incarnation, which is
-// one life of the agent's process; FencingToken is the highest that the agent has taken commands under.
+// Heartbeat is an agent's report on its machine and all tasks on it. Seq increases within an incarnation, which
+// identifies a run of the agent's process. FencingToken is the highest one under which the agent accepted commands.
 type Heartbeat struct {
 	Machine       string       `json:"estacion"`
 	Addr          string       `json:"address"`
@@ -63,7 +63,7 @@
 	Tasks         []TaskStatus `json:"tramos"`
 }
 
-// TaskStatus is one task in a heartbeat.
+// TaskStatus is the status of one task in a heartbeat.
 type TaskStatus struct {
 	Task         string     `json:"tramo"`
 	Attempt      uint64     `json:"intento"`
@@ -72,7 +72,7 @@
 	Checkpointed bool       `json:"kept,omitempty"`
 }
 
-// Command is what an agent is to do with one attempt of a task.
+// Command tells an agent to execute an operation on one attempt of a task.
 type Command struct {
 	Op           CommandOp `json:"orden"`
 	Task         string    `json:"tramo"`
@@ -80,15 +80,15 @@
 	GraceSeconds *float64  `json:"gracia_s,omitempty"`
 }
 
-// HeartbeatAnswer answers a heartbeat. It renews the leases of what the heartbeat listed; the agent refuses the
-// commands if it knows a higher fencing token.
+// HeartbeatAnswer answers a heartbeat and renews the leases of the tasks that the heartbeat listed. The agent refuses
+// the commands if it knows a higher fencing token.
 type HeartbeatAnswer struct {
 	FencingToken uint64    `json:"mando"`
 	Commands     []Command `json:"ordenes"`
 }
 
-// DirectCommands is the body of commands that a controller sends to an agent outside heartbeats. The agent refuses
-// them if its incarnation is another one or it knows a higher fencing token.
+// DirectCommands is the body of a request with commands outside the answers to heartbeats. The agent refuses them if it
+// has another incarnation or knows a higher fencing token.
 type DirectCommands struct {
 	FencingToken uint64    `json:"mando"`
 	Incarnation  uint64    `json:"jornada"`
--- a/internal/protocol/check.go
+++ b/internal/protocol/check.go
@@ -15,7 +15,7 @@
 
 func (e *FieldError) Error() string { return fmt.Sprintf("field %s: %s", e.Field, e.Reason) }
 
-// PeekUID reads only the id of a submission, for requests whose rest may be bad.
+// PeekUID returns the job ID of a submission that may otherwise be malformed, "" if there is no valid one.
 func PeekUID(body []byte) string {
 	var only struct {
 		UID string `json:"uid"`
@@ -26,11 +26,11 @@
 	return only.UID
 }
 
-// nullable are the fields that may be null or absent.
+// nullable holds the fields that may be null or absent.
 var nullable = map[string]bool{"modelos": true, "zona": true, "vence_s": true}
 
-// ParseSubmission reads and checks a submission. The error is a *FieldError where one field is wrong; an absent field
-// is wrong too unless it may be null.
+// ParseSubmission decodes and validates a submission. The error is a *FieldError if a field is missing or invalid. A
+// field that is not nullable must be present.
 func ParseSubmission(body []byte) (*Submission, error) {
 	trimmed := bytes.TrimSpace(body)
 	if len(trimmed) == 0 || trimmed[0] != '{' {
@@ -67,15 +67,15 @@
 	return &s, s.check()
 }
 
-// Bounds of what a submission says of itself.
+// Limits on the fields of a submission.
 const (
 	maxNameLength  = 200 // of the names of a class and a team, in bytes
 	maxImageLength = 500 // in bytes
 	maxTypes       = 1000
-	maxAmount      = 1e9 // of any amount, in its own unit
+	maxAmount      = 1e9 // of any quantity, in the unit of the field
 )
 
-// check is nil, or a *FieldError for the first wrong field.
+// check returns a *FieldError for the first invalid field, or nil.
 func (s *Submission) check() error {
 	for _, check := range []func() *FieldError{s.checkNames, s.checkTypes, s.checkAmounts} {
 		if err := check(); err != nil {
@@ -150,10 +150,10 @@
 	return nil
 }
 
-// maxMachineName is the longest name of a machine, in bytes.
+// maxMachineName is the maximum length of a machine's name, in bytes.
 const maxMachineName = 100
 
-// CheckHeartbeat is nil, or a *FieldError for the first field of a heartbeat that is missing or malformed.
+// CheckHeartbeat returns a *FieldError for the first field of a heartbeat that is missing or malformed, or nil.
 func CheckHeartbeat(h *Heartbeat) error {
 	switch {
 	case h.Machine == "" || len(h.Machine) > maxMachineName || strings.ContainsAny(h.Machine, " /\n"):
--- a/internal/protocol/cloud.go
+++ b/internal/protocol/cloud.go
@@ -3,22 +3,22 @@
 // HostState is the state of a machine in the cloud's list.
 type HostState string
 
-// The states of a machine.
+// States of a machine.
 const (
 	HostBooting HostState = "booting"
 	HostRunning HostState = "running"
-	HostFailed  HostState = "failed" // did not boot, or broke; it is still paid for
+	HostFailed  HostState = "failed" // failed to boot or broke down; it is billed until it is returned
 )
 
-// MaxScaleOut is the largest number of machines that one request rents.
+// MaxScaleOut is the maximum number of machines in one scale-out request.
 const MaxScaleOut = 50
 
-// Catalog lists the machine types that the cloud rents, with present prices.
+// Catalog lists the machine types that the cloud rents, with their present prices.
 type Catalog struct {
 	Types []MachineType `json:"modelos"`
 }
 
-// MachineType is one type that the cloud rents. Prices are per hour.
+// MachineType is a machine type that the cloud rents.
 type MachineType struct {
 	Name             string   `json:"name"`
 	CPUs             float64  `json:"cores"`
@@ -32,7 +32,8 @@
 	Zones            []string `json:"zonas"`
 }
 
-// ScaleOutRequest asks the cloud for machines. The cloud carries out a repeated Request once.
+// ScaleOutRequest asks the cloud to rent machines. Request identifies it: the cloud carries out repeated requests with
+// the same ID only once.
 type ScaleOutRequest struct {
 	Request string `json:"pedido"`
 	Type    string `json:"modelo"`
--- a/internal/protocol/protocol.go
+++ b/internal/protocol/protocol.go
@@ -1,33 +1,34 @@
-// Package protocol holds the messages between controllers and what is around them, one file for each interface:
+// Package protocol defines the messages that controllers exchange with users, agents and services, one file for each
+// interface:
 //
-//   - users.go: users submit jobs, read their state and cancel them
-//   - agents.go: agents on the machines send heartbeats and take commands
+//   - users.go: users submit jobs, query their state and cancel them
+//   - agents.go: agents on the machines send heartbeats and receive commands
 //   - cloud.go: the cloud rents machines
 //   - kvstore.go: the consensus-backed key-value store
 //
-// It is the one place where the words of the deployment stand, in JSON tags and in values of constants: the names of
-// types, fields and constants are the usual terms of the field. check.go refuses malformed submissions and heartbeats
-// before anything is decided by them. The package holds no state and does no I/O.
+// The names on the wire, which the deployment defines, occur only in JSON tags and constant values of this package. Go
+// identifiers use the common terms of the field instead. check.go validates submissions and heartbeats before they are
+// processed. The package has no state and does no I/O.
 //
-// Amounts on the wire are numbers with the unit in the name: fields called Seconds, GB or Millis are of that unit.
+// The names of fields with a quantity end in its unit: Seconds, GB or Millis.
 package protocol
 
 import "github.com/segmentio/encoding/json"
 
-// MaxBody is the largest body of a request, in bytes.
+// MaxBody is the maximum size of a request body, in bytes.
 const MaxBody = 64 << 10
 
-// Encode gives the JSON of a value of this package. It panics on a value that has no JSON form, which only a fault
-// of the program makes, such as a number that is not finite.
+// Encode returns the JSON encoding of a message. It panics if the value cannot be encoded, for example because a number
+// is not finite, which is a bug in the program.
 func Encode(v any) []byte {
 	data, err := json.Marshal(v)
 	if err != nil {
-		panic("protocol: value without JSON form: " + err.Error())
+		panic("protocol: cannot encode value as JSON: " + err.Error())
 	}
 	return data
 }
 
-// Decode reads JSON and ignores unknown fields.
+// Decode decodes JSON and ignores unknown fields.
 func Decode(data []byte, v any) error {
 	return json.Unmarshal(data, v)
 }
--- a/internal/protocol/users.go
+++ b/internal/protocol/users.go
@@ -7,20 +7,20 @@
 	"time"
 )
 
-// JobKind says how the tasks of a job run together.
+// JobKind determines how the tasks of a job are scheduled together.
 type JobKind string
 
-// The kinds of jobs.
+// Kinds of jobs.
 const (
-	JobArray JobKind = "batch"    // independent tasks, each runs as room comes free
+	JobArray JobKind = "batch"    // independent tasks, each of which starts when resources are free
 	Gang     JobKind = "ensemble" // all tasks run at the same time or none does
 	Service  JobKind = "service"  // tasks that run until the job is cancelled
 )
 
-// JobState is the state of a job as its user reads it.
+// JobState is the state of a job as reported to its user.
 type JobState string
 
-// The states of a job. Running is an untyped constant, since tasks and machines have a state of that name too.
+// States of a job. Running is an untyped constant because tasks and machines have a state of that name too.
 const (
 	Pending   JobState = "pending"
 	Done      JobState = "done"      // final
@@ -29,17 +29,17 @@
 	Running = "running"
 )
 
-// Paths of the users' interface. A job's own path is PathSubmit, a slash and its id.
+// Paths of the users' interface. The path of a job is PathSubmit, a slash and the job's ID.
 const (
 	PathSubmit = "/submissions"
 	PathHealth = "/healthz"
 )
 
-// MaxTasks is the largest number of tasks of one job.
+// MaxTasks is the maximum number of tasks of one job.
 const MaxTasks = 100000
 
-// Submission is a job as its user describes it. CPUs, GPUs and memory are what one task takes. Types are the
-// machine types that the job may use, all if nil; Zone is the only zone that it may use, any if nil.
+// Submission is a user's description of a job. CPUs, GPUs and MemoryGB are the resources of one task. Types lists the
+// machine types that the job may use, all if nil. Zone is the only zone that it may use, any if nil.
 type Submission struct {
 	UID                    string   `json:"uid"`
 	Class                  string   `json:"clase"`
@@ -63,7 +63,7 @@
 	DeadlineSeconds        *float64 `json:"vence_s,omitempty"`
 }
 
-// Status is the answer about a job, with how many of its tasks are done and how many run.
+// Status is the answer to a status query, with the numbers of tasks that are done and running.
 type Status struct {
 	UID     string   `json:"uid"`
 	State   JobState `json:"estado"`
@@ -77,19 +77,19 @@
 	State JobState `json:"estado"`
 }
 
-// Error is the body of a refusal, of every interface.
+// Error is the body of an error response in every interface.
 type Error struct {
 	Error string `json:"error"`
 }
 
-// RunTime is how long one of the job's tasks runs, as its owner estimates.
+// RunTime returns the user's estimate of the run time of a task.
 func (s *Submission) RunTime() time.Duration {
 	return time.Duration(s.EstimateSeconds * float64(time.Second))
 }
 
-// TasksThatFit is how many of the job's tasks fit into so many CPUs, GPUs and GB of memory.
+// TasksThatFit returns how many of the job's tasks fit into the given CPUs, GPUs and GB of memory.
 func (s *Submission) TasksThatFit(cpus, gpus, memory float64) int {
-	const slack = 1e-6 // absorbs rounding in sums of amounts
+	const slack = 1e-6 // absorbs rounding errors in sums of amounts
 	times := float64(MaxTasks)
 	for _, x := range [][2]float64{{cpus, s.CPUs}, {gpus, s.GPUs}, {memory, s.MemoryGB}} {
 		if x[1] > 0 {
@@ -102,15 +102,15 @@
 // priorities are the priorities of jobs, lowest first.
 var priorities = []string{"low", "standard", "high", "prod"}
 
-// Rank orders priorities: higher goes first. It is -1 for an unknown one.
+// Rank returns the rank of a priority, which is higher for more urgent ones, and -1 for an unknown priority.
 func Rank(priority string) int {
 	return slices.Index(priorities, priority)
 }
 
-// TaskName is the wire name of a task: the job's id, a slash and the index.
+// TaskName returns the name of a task on the wire: the job's ID, a slash and the task's index.
 func TaskName(job string, index int) string { return job + "/" + strconv.Itoa(index) }
 
-// SplitTask takes a task's wire name apart; ok is false if it is none.
+// SplitTask parses a name made by TaskName; ok is false if it is malformed.
 func SplitTask(name string) (job string, index int, ok bool) {
 	at := strings.LastIndexByte(name, '/')
 	if at <= 0 {
@@ -123,13 +123,13 @@
 	return name[:at], n, true
 }
 
-// ValidUID says whether a job id has the protocol's form: "job-" and up to 64 letters, digits, hyphens and underscores.
+// ValidUID reports whether a job ID is valid: "job-" and 1 to 64 letters, digits, hyphens and underscores.
 func ValidUID(uid string) bool {
-	digits, ok := strings.CutPrefix(uid, "job-")
-	if !ok || digits == "" || len(digits) > 64 {
+	suffix, ok := strings.CutPrefix(uid, "job-")
+	if !ok || suffix == "" || len(suffix) > 64 {
 		return false
 	}
-	for _, c := range digits {
+	for _, c := range suffix {
 		if (c < '0' || c > '9') && (c < 'a' || c > 'z') && (c < 'A' || c > 'Z') && c != '-' && c != '_' {
 			return false
 		}
--- a/topazhollow.go
+++ b/topazhollow.go
@@ -1,7 +1,6 @@
-// Package topazhollow is a cluster scheduler's controller as a library. Several
-// controllers run one deployment together: they replicate job progress in each
-// other's memory and keep what must outlive them in a small consistent key-value
-// store, as docs/design.md tells.
+// Package topazhollow provides the controller of a cluster scheduler as a library. The controllers of a deployment
+// replicate job progress in each other's memory, and keep in a small consistent key-value store what must outlive them;
+// see docs/design.md.
 package topazhollow
 
 import (
@@ -15,8 +14,8 @@
 // Version is the version of the program.
 const Version = controller.Version
 
-// Run serves as one controller until the context ends. It returns nil then, and
-// an error if a duty that it depends on failed for good.
+// Run runs a controller until the context ends, and returns nil then. It returns an error if one of the controller's
+// essential tasks fails permanently.
 func Run(ctx context.Context, s *settings.Settings, o *settings.Options, log *slog.Logger) error {
 	return controller.Run(ctx, s, o, log)
 }
