--- a/internal/settings/check.go
+++ b/internal/settings/check.go
@@ -6,15 +6,16 @@
 	"net/netip"
 )
 
-// maxQuota is the largest amount of a team's guarantee or limit.
+// maxQuota is the maximum of a team's guarantee or limit.
 const maxQuota = 1e9
 
-// fieldError names the field that is wrong, by its path in the file.
+// fieldError returns an error about a field, given by its path in the file.
 func fieldError(field, format string, args ...any) error {
 	return fmt.Errorf("field %s: %s", field, fmt.Sprintf(format, args...))
 }
 
-// check is nil, or an error for the first wrong field. It turns absent limits of teams into infinity.
+// check returns an error for the first invalid field, or nil. It converts team limits of 0, which mean none, to
+// infinity.
 func (s *Settings) check() error {
 	for _, check := range []func() error{
 		s.checkAddresses,
@@ -30,7 +31,7 @@
 	return nil
 }
 
-// address is a field that holds an IPv4 address and a port.
+// address is a field whose value must be an IPv4 address with a port.
 type address struct{ field, value string }
 
 func (s *Settings) checkAddresses() error {
@@ -63,18 +64,18 @@
 func (s *Settings) checkZones() error {
 	d := &s.Deployment
 	if d.Size != 0 && d.Size != len(s.Peers)+1 {
-		return fieldError("deployment.initial_size", "is %d, but with seeds there are %d controllers", d.Size, len(s.Peers)+1)
+		return fieldError("deployment.initial_size", "is %d, but there are %d controllers including the seeds", d.Size, len(s.Peers)+1)
 	}
 	if len(d.Zones) == 0 {
 		return fieldError("deployment.zones", "missing")
 	}
 	if i := duplicate(d.Zones); i >= 0 {
-		return fieldError(fmt.Sprintf("deployment.zones[%d]", i), "%q is given twice or empty", d.Zones[i])
+		return fieldError(fmt.Sprintf("deployment.zones[%d]", i), "%q is empty or a duplicate", d.Zones[i])
 	}
 	return nil
 }
 
-// checkTeams also turns a limit of 0, which is none, into infinity.
+// checkTeams also converts a limit of 0, which means none, to infinity.
 func (s *Settings) checkTeams() error {
 	teams := s.Deployment.Teams
 	if len(teams) == 0 {
@@ -93,12 +94,12 @@
 		}
 	}
 	if i := duplicate(names); i >= 0 {
-		return fieldError(fmt.Sprintf("deployment.teams[%d].name", i), "%q is given twice or empty", names[i])
+		return fieldError(fmt.Sprintf("deployment.teams[%d].name", i), "%q is empty or a duplicate", names[i])
 	}
 	return nil
 }
 
-// checkQuota checks a team's amounts; path is where the team stands in the file.
+// checkQuota checks a team's guarantees and limits. path is the path of the team in the file.
 func (t *Team) checkQuota(path string) error {
 	for _, amount := range []struct {
 		field string
@@ -119,18 +120,18 @@
 func (s *Settings) checkObjectives() error {
 	for i, o := range s.Deployment.Objectives {
 		if o.WithinSeconds < 0 || o.Share < 0 || o.Share > 1 || o.DeadlineFactor < 0 {
-			return fieldError(fmt.Sprintf("deployment.objectives[%d]", i), "negative amount or share above 1")
+			return fieldError(fmt.Sprintf("deployment.objectives[%d]", i), "has a negative number or a share above 1")
 		}
 	}
 	return nil
 }
 
-// checkAmounts checks the fields that must be within bounds. A number that is none is within no bounds.
+// checkAmounts checks the numeric fields that have bounds. NaN is always out of bounds.
 func (s *Settings) checkAmounts() error {
 	d := &s.Deployment
 	for _, amount := range []struct {
-		field         string
-		value, lo, hi float64
+		field           string
+		value, min, max float64
 	}{
 		{"workers.report_s", d.Agents.HeartbeatSeconds, 0.1, 600},
 		{"workers.lease_s", d.Agents.LeaseSeconds, 0.5, 3600},
@@ -148,14 +149,14 @@
 		{"limits.max_sockets", float64(d.Limits.MaxSockets), 64, 1 << 20},
 		{"clock_off_ms", d.ClockErrorMillis, 0, 60000},
 	} {
-		if !(amount.value >= amount.lo && amount.value <= amount.hi) {
-			return fieldError("deployment."+amount.field, "%g is not between %g and %g", amount.value, amount.lo, amount.hi)
+		if !(amount.value >= amount.min && amount.value <= amount.max) {
+			return fieldError("deployment."+amount.field, "%g is not between %g and %g", amount.value, amount.min, amount.max)
 		}
 	}
 	return nil
 }
 
-// duplicate is the index of the first empty or repeated name, or -1.
+// duplicate returns the index of the first empty or repeated name, or -1 if there is none.
 func duplicate(names []string) int {
 	seen := map[string]bool{}
 	for i, n := range names {
--- a/internal/settings/script.go
+++ b/internal/settings/script.go
@@ -10,33 +10,33 @@
 	"go.starlark.net/syntax"
 )
 
-// Options are the operator's own choices, set by a Starlark script: each is a global variable of the script with the
-// option's name, see optionTable and weightTable.
+// Options are the operator's options. A Starlark script sets each by a global variable with the option's name; see
+// optionTable and weightTable.
 type Options struct {
-	SampleSize        int     // machines looked at for one placement
-	IdleReturnSeconds float64 // for which an idle machine is kept
-	WarmMachines      int     // machines kept even when idle
-	SpotShare         float64 // largest share of spot machines when scaling out
-	SafetyRunTimes    float64 // estimated run times in hand before a job is due, when scaling out
-
-	ControllerLeaseSeconds float64 // of a controller's lease in the key-value store
-	BitmapIntervalSeconds  float64 // between writes of finished tasks
-
-	ClassFloor        float64            // part of its share that a class of a team is not kept under for long
-	FloorAfterSeconds float64            // under that part before a floor is kept
-	TeamWeights       map[string]float64 // of teams, where it is short; 1 if not given
-	ClassWeights      map[string]float64 // of classes, where it is short; 1 if not given
-
-	// ConfigMaxAgeSeconds is after which time what is known of the teams' configuration is too old to rely on; 0 if the
-	// configuration does not change.
+	SampleSize        int     // machines examined for one placement
+	IdleReturnSeconds float64 // how long an idle machine is kept
+	WarmMachines      int     // number of machines kept even when idle
+	SpotShare         float64 // maximum share of spot machines when scaling out
+	SafetyRunTimes    float64 // safety margin before a job is due when scaling out, in estimated run times
+
+	ControllerLeaseSeconds float64 // duration of a controller's lease in the key-value store
+	BitmapIntervalSeconds  float64 // between writes of the bitmaps of finished tasks
+
+	ClassFloor        float64            // fraction of its arrivals that each class and team is guaranteed; 0: none
+	FloorAfterSeconds float64            // how long a class or team must be below its floor before the floor is enforced
+	TeamWeights       map[string]float64 // weights of teams while CPUs are short; 1 if absent
+	ClassWeights      map[string]float64 // weights of classes while CPUs are short; 1 if absent
+
+	// ConfigMaxAgeSeconds is the age after which the known configuration of the teams is stale; 0 if the configuration
+	// never changes.
 	ConfigMaxAgeSeconds float64
 
-	// CopyWaitSeconds is for how long after a loss of the store's data the jobs that no controller remembers may come
-	// back with a copy; 0 until operators say that nothing more comes.
+	// CopyWaitSeconds is how long after a loss of the store's data a restored copy may bring back jobs that no
+	// controller has in memory; 0 waits until an operator declares that no copy will be restored.
 	CopyWaitSeconds float64
 }
 
-// DefaultOptions are the options without a script.
+// DefaultOptions returns the options that apply without a script.
 func DefaultOptions() *Options {
 	return &Options{
 		SampleSize:             32,
@@ -51,15 +51,15 @@
 	}
 }
 
-// option is an option that is a number, with its bounds.
+// option describes a numeric option.
 type option struct {
-	name   string
-	lo, hi float64
-	whole  bool
-	set    func(*Options, float64)
+	name     string
+	min, max float64
+	integer  bool
+	set      func(*Options, float64)
 }
 
-// optionTable has the options that are numbers.
+// optionTable holds the numeric options.
 var optionTable = []option{
 	{"sample_size", 1, 10000, true, func(o *Options, v float64) { o.SampleSize = int(v) }},
 	{"idle_return_s", 0, 86400, false, func(o *Options, v float64) { o.IdleReturnSeconds = v }},
@@ -74,7 +74,7 @@
 	{"bitmap_every_s", 0.1, 60, false, func(o *Options, v float64) { o.BitmapIntervalSeconds = v }},
 }
 
-// LoadScript runs the operator's script; no path means the defaults.
+// LoadScript runs the operator's script and returns its options. Without a path it returns the defaults.
 func LoadScript(path string) (*Options, error) {
 	if path == "" {
 		return DefaultOptions(), nil
@@ -86,15 +86,15 @@
 	return ParseScript(path, src)
 }
 
-// Bounds of a script.
+// Limits on a script.
 const (
 	maxScriptBytes = 64 << 10
 	maxScriptSteps = 1_000_000
 	maxScriptTime  = 5 * time.Second
 )
 
-// ParseScript runs a script, bounded in size, steps and time. It can load nothing and reach nothing outside itself.
-// The error names the line or the option.
+// ParseScript runs a script with limits on its size, steps and time, and returns its options. The script cannot load
+// modules or access anything outside itself. The error names the line or the option.
 func ParseScript(name string, src []byte) (*Options, error) {
 	globals, err := runScript(name, src)
 	if err != nil {
@@ -109,17 +109,17 @@
 	return o, nil
 }
 
-// runScript gives the script's global variables.
+// runScript runs a script and returns its global variables.
 func runScript(name string, src []byte) (starlark.StringDict, error) {
 	if len(src) > maxScriptBytes {
 		return nil, fmt.Errorf("script: %s: longer than 64 KiB", name)
 	}
 	thread := &starlark.Thread{Name: "script"}
 	thread.SetMaxExecutionSteps(maxScriptSteps)
-	timer := time.AfterFunc(maxScriptTime, func() { thread.Cancel("took too long") })
+	timer := time.AfterFunc(maxScriptTime, func() { thread.Cancel("time limit exceeded") })
 	defer timer.Stop()
-	dialect := &syntax.FileOptions{TopLevelControl: true, GlobalReassign: true}
-	globals, err := starlark.ExecFileOptions(dialect, thread, name, src, nil)
+	fileOptions := &syntax.FileOptions{TopLevelControl: true, GlobalReassign: true}
+	globals, err := starlark.ExecFileOptions(fileOptions, thread, name, src, nil)
 	if e, ok := err.(*starlark.EvalError); ok && len(e.CallStack) > 0 {
 		return nil, fmt.Errorf("script: %s: %s", e.CallStack.At(0).Pos, e.Msg)
 	}
@@ -129,7 +129,8 @@
 	return globals, nil
 }
 
-// set takes an option from a global variable. Functions and names that begin with _ are the script's helpers.
+// set sets an option from a global variable. Functions and names that start with _ are helpers of the script and are
+// ignored.
 func (o *Options) set(name string, value starlark.Value) error {
 	if set, ok := weightTable[name]; ok {
 		weights, err := readWeights(name, value)
@@ -149,34 +150,34 @@
 	opt := optionTable[at]
 	v, isNumber := starlark.AsFloat(value)
 	_, isInt := value.(starlark.Int)
-	if !isNumber || (opt.whole && !isInt) || !(v >= opt.lo && v <= opt.hi) {
-		return fmt.Errorf("script: %s: %s is not between %g and %g", name, value, opt.lo, opt.hi)
+	if !isNumber || (opt.integer && !isInt) || !(v >= opt.min && v <= opt.max) {
+		return fmt.Errorf("script: %s: %s is not between %g and %g", name, value, opt.min, opt.max)
 	}
 	opt.set(o, v)
 	return nil
 }
 
-// weightTable has the options that are dictionaries of names and weights.
+// weightTable holds the options that are dictionaries of weights by name.
 var weightTable = map[string]func(*Options, map[string]float64){
 	"team_weights":  func(o *Options, w map[string]float64) { o.TeamWeights = w },
 	"class_weights": func(o *Options, w map[string]float64) { o.ClassWeights = w },
 }
 
-// readWeights reads a dictionary of weights between 0.01 and 100.
+// readWeights converts a dictionary of weights, which must be between 0.01 and 100.
 func readWeights(name string, value starlark.Value) (map[string]float64, error) {
 	dict, ok := value.(*starlark.Dict)
 	if !ok {
-		return nil, fmt.Errorf("script: %s: a dictionary of names and weights is expected", name)
+		return nil, fmt.Errorf("script: %s: must be a dictionary of weights by name", name)
 	}
 	out := map[string]float64{}
 	for _, item := range dict.Items() {
 		key, ok := starlark.AsString(item[0])
 		if !ok {
-			return nil, fmt.Errorf("script: %s: %s is no name", name, item[0])
+			return nil, fmt.Errorf("script: %s: key %s is not a string", name, item[0])
 		}
 		v, ok := starlark.AsFloat(item[1])
 		if !ok || !(v >= 0.01 && v <= 100) {
-			return nil, fmt.Errorf("script: %s: %s of %q is not between 0.01 and 100", name, item[1], key)
+			return nil, fmt.Errorf("script: %s: weight %s of %q is not between 0.01 and 100", name, item[1], key)
 		}
 		out[key] = v
 	}
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -1,8 +1,8 @@
-// Package settings reads and checks the file that the platform hands to every controller (settings.go, check.go), and
-// the operator's own choices, a Starlark script (script.go). Unknown fields of the file are ignored; a wrong or missing
-// one is an error of one line that names it. Both are read once, at the start, and never change afterwards.
+// Package settings reads and checks the settings file that the platform provides to every controller (settings.go,
+// check.go), and the operator's options, which a Starlark script sets (script.go). Unknown fields of the file are
+// ignored; an invalid or missing one causes a one-line error that names it. Both files are read once at startup.
 //
-// Names of Go fields end in the unit where there is one; the names in the file are those of the platform.
+// The names of Go fields with a quantity end in its unit. The names in the file are defined by the platform.
 package settings
 
 import (
@@ -37,7 +37,7 @@
 	KVStore string `json:"state"`
 }
 
-// Deployment is what all controllers share.
+// Deployment holds the settings that all controllers share.
 type Deployment struct {
 	Size             int         `json:"initial_size"`
 	Zones            []string    `json:"zones"`
@@ -50,8 +50,8 @@
 	ClockErrorMillis float64     `json:"clock_off_ms"`
 }
 
-// Team is one tenant with its guarantee, which is its share when there is too little, and its limit, which is its
-// quota. In the file a limit of 0 means that there is none; here that is infinity.
+// Team is a tenant with its guarantees and limits. The guarantee is its share while resources are short, the limit is
+// its quota. A limit of 0 in the file means no limit, which is represented as infinity here.
 type Team struct {
 	Name    string  `json:"name"`
 	CPUs    float64 `json:"cpus"`
@@ -60,16 +60,17 @@
 	GPUsMax float64 `json:"gpus_max"`
 }
 
-// Objective is one service-level objective: a share of the jobs of a class is to be done within a time.
+// Objective is a service-level objective: a share of the jobs of a class must reach a goal, given by Kind, within a
+// time.
 type Objective struct {
 	Kind           string  `json:"kind"`
 	Class          string  `json:"class"`
 	WithinSeconds  float64 `json:"within_s"`
 	Share          float64 `json:"share"`
-	DeadlineFactor float64 `json:"times"`
+	DeadlineFactor float64 `json:"times"` // multiple of the deadline, for the kind "deadline"
 }
 
-// Agents holds the periods of the agents on the machines.
+// Agents holds the intervals and timeouts of the agents on the machines.
 type Agents struct {
 	HeartbeatSeconds float64 `json:"report_s"`
 	LeaseSeconds     float64 `json:"lease_s"`
@@ -92,17 +93,17 @@
 	ListLagSeconds    float64 `json:"list_lag_s"`
 }
 
-// Limits is what one controller may use of its own machine.
+// Limits are the resources of its machine that one controller may use.
 type Limits struct {
 	Cores      float64 `json:"cores"`
 	MemoryMB   float64 `json:"memory_mb"`
 	MaxSockets int     `json:"max_sockets"`
 }
 
-// Seconds turns an amount of seconds into a duration.
+// Seconds converts a number of seconds to a duration.
 func Seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
 
-// ControllerNames are the names of all controllers, in alphabetical order.
+// ControllerNames returns the names of all controllers in alphabetical order.
 func (s *Settings) ControllerNames() []string {
 	names := []string{s.Name}
 	for _, p := range s.Peers {
