--- a/internal/admission/fairshares_test.go
+++ b/internal/admission/fairshares_test.go
@@ -7,9 +7,9 @@
 	"testing"
 )
 
-// TestFairSharesModel compares the shares with a plain pouring: a little at a time to whoever has
-// least of its weight and wants more, guarantees first. It guards that nothing is left over
-// while anybody wants more, and that nobody gets more than it wants.
+// TestFairSharesModel compares FairShares with a simple model that repeatedly gives a small amount to the key with the
+// smallest share per weight and unmet demand, guarantees first. It also checks that no CPUs are left over while there is
+// unmet demand, and that no key gets more than its demand.
 func TestFairSharesModel(t *testing.T) {
 	for seed := range uint64(200) {
 		rng := rand.New(rand.NewPCG(seed, 3))
@@ -30,46 +30,46 @@
 		cpus := float64(rng.IntN(250))
 		due := FairShares(cpus, demands, teams, w)
 
-		const drop = 0.05
+		const increment = 0.05
 		got, team := map[Key]float64{}, map[string]float64{}
-		pour := func(left float64, within bool) float64 {
-			for ; left >= drop; left -= drop {
-				best, low := -1, math.Inf(1)
+		distribute := func(left float64, withinGuarantee bool) float64 {
+			for ; left >= increment; left -= increment {
+				best, lowest := -1, math.Inf(1)
 				for i, n := range demands {
 					g := teams[n.Team]
-					most := g.Limit
-					if most == 0 {
-						most = math.Inf(1)
+					limit := g.Limit
+					if limit == 0 {
+						limit = math.Inf(1)
 					}
 					level := (team[n.Team] - g.Guaranteed) / w.Team[n.Team]
-					if within {
-						most, level = g.Guaranteed, team[n.Team]/max(g.Guaranteed, 1e-9)
+					if withinGuarantee {
+						limit, level = g.Guaranteed, team[n.Team]/max(g.Guaranteed, 1e-9)
 					}
-					if got[n.Key]+drop/2 > n.total() || team[n.Team]+drop/2 > most {
+					if got[n.Key]+increment/2 > n.total() || team[n.Team]+increment/2 > limit {
 						continue
 					}
-					// Teams by what they have of their weight, within one the classes alike.
+					// Compare teams by share per weight first, then the classes of a team by share per weight.
 					level = level*1e6 + got[n.Key]/weight(w.Class, n.Class)
-					if level < low {
-						best, low = i, level
+					if level < lowest {
+						best, lowest = i, level
 					}
 				}
 				if best < 0 {
 					return left
 				}
-				got[demands[best].Key] += drop
-				team[demands[best].Team] += drop
+				got[demands[best].Key] += increment
+				team[demands[best].Team] += increment
 			}
 			return left
 		}
-		pour(pour(cpus, true), false)
+		distribute(distribute(cpus, true), false)
 		sum, wanted := 0.0, 0.0
 		byTeam := map[string]float64{}
 		for _, n := range demands {
 			sum += due[n.Key]
 			byTeam[n.Team] += due[n.Key]
 			if due[n.Key] > n.total()+1e-6 {
-				t.Fatalf("seed %d: %v gets %g of %g wanted", seed, n.Key, due[n.Key], n.total())
+				t.Fatalf("seed %d: %v gets %g CPUs for a demand of %g", seed, n.Key, due[n.Key], n.total())
 			}
 		}
 		for name, g := range teams {
@@ -84,24 +84,24 @@
 			}
 			wanted += all
 			if math.Abs(byTeam[name]-team[name]) > 1.5 {
-				t.Fatalf("seed %d: %s gets %g, plainly %g; %v of %g, %v", seed, name, byTeam[name], team[name], demands, cpus, teams)
+				t.Fatalf("seed %d: %s gets %g CPUs, %g in the model; demands %v, %g CPUs, teams %v", seed, name, byTeam[name], team[name], demands, cpus, teams)
 			}
 		}
 		if math.Abs(sum-min(cpus, wanted)) > 1e-6 {
-			t.Fatalf("seed %d: %g of %g given to those who want %g", seed, sum, cpus, wanted)
+			t.Fatalf("seed %d: %g of %g CPUs given for a total demand of %g", seed, sum, cpus, wanted)
 		}
-		for _, n := range demands { // within a team, whoever has less of its weight has all that it wants
+		for _, n := range demands { // within a team, a class with a smaller share per weight has its whole demand
 			for _, o := range demands {
 				if n.Team == o.Team && due[n.Key]/weight(w.Class, n.Class) < due[o.Key]/weight(w.Class, o.Class)-1e-6 && due[n.Key] < n.total()-1e-6 {
-					t.Fatalf("seed %d: %v has %g, %v %g", seed, n.Key, due[n.Key], o.Key, due[o.Key])
+					t.Fatalf("seed %d: %v gets %g CPUs, %v gets %g", seed, n.Key, due[n.Key], o.Key, due[o.Key])
 				}
 			}
 		}
 	}
 }
 
-// TestFloors: whoever demands least for the floor's part of what comes gets it first, a flood for
-// which there is not enough keeps minFloorShare, and never are more CPUs promised than there are.
+// TestFloors: floors are granted in ascending order of demand, a class that floods the system gets minFloorShare if its
+// floor does not fit, and the floors never exceed the CPUs that there are.
 func TestFloors(t *testing.T) {
 	w := &Weights{FloorShare: 0.5}
 	teams := map[string]Quota{"a": {Guaranteed: 100}, "b": {Guaranteed: 100, Limit: 60}}
@@ -133,29 +133,11 @@
 		}
 		for _, sum := range sums {
 			if sum > cpus+1e-6 {
-				t.Fatalf("seed %d: %g of %g promised", seed, sum, cpus)
+				t.Fatalf("seed %d: floors of %g CPUs, only %g exist", seed, sum, cpus)
 			}
 			if full <= cpus && math.Abs(sum-full) > 1e-6 {
-				t.Fatalf("seed %d: %g promised, %g would be enough for all", seed, sum, full)
+				t.Fatalf("seed %d: floors of %g CPUs, want %g, which fit", seed, sum, full)
 			}
 		}
 	}
 }
-
-// seat is a controller in the model of plans: what it knows of who owns the fleet, of plans,
-// and what the others told it.
-type seat struct {
-	name    string
-	life    int
-	owner   string
-	since   uint64
-	known   PlanState
-	planner *Planner
-	seen    map[string]ID
-}
-
-type letter struct {
-	from, to string
-	life     int // of the receiver when it was sent
-	word     PlanStatus
-}
--- a/internal/admission/floors_test.go
+++ b/internal/admission/floors_test.go
@@ -5,7 +5,8 @@
 	"time"
 )
 
-// crowdedTeam asks for more than its limit, nearly all of it by one class; another team's jobs of the other class run.
+// crowdedTeam returns inputs in which team a asks for more than its limit, nearly all of it for class crowd, while jobs
+// of class small of team b run.
 func crowdedTeam() *Inputs {
 	return &Inputs{
 		Teams:   map[string]Quota{"a": {Guaranteed: 100, Limit: 1000}, "b": {Guaranteed: 100}},
@@ -19,8 +20,8 @@
 	}
 }
 
-// TestClassOfATeamAtItsLimitHasAFloor: a class starved within one team at its limit while other teams' jobs of the same class
-// ran, since neither the class as a whole nor the team had too little.
+// TestClassOfATeamAtItsLimitHasAFloor guards against a class that starves within a team at its limit while other teams'
+// jobs of the same class run: neither the class as a whole nor the team is below its floor then.
 func TestClassOfATeamAtItsLimitHasAFloor(t *testing.T) {
 	in, planner := crowdedTeam(), NewPlanner(1, &PlanState{})
 	start := time.Unix(1000, 0)
@@ -31,7 +32,7 @@
 		return force
 	}
 	if plan := after(0); len(plan.Floors) != 0 {
-		t.Fatalf("floors %v before the class has waited", plan.Floors)
+		t.Fatalf("floors %v before FloorAfter has passed", plan.Floors)
 	}
 	plan := after(2 * time.Minute)
 	want := Floor{Key: Key{"a", "small"}, CPUs: 150, WithinLimit: true}
@@ -39,18 +40,18 @@
 		t.Fatalf("floors %v, want %v", plan.Floors, want)
 	}
 	if plan.Floor(want.Key) != 0 || len(plan.Reserved) != 0 {
-		t.Errorf("a floor within a limit has %g CPUs of machines and %v are held", plan.Floor(want.Key), plan.Reserved)
+		t.Errorf("a floor within a limit guarantees %g CPUs on machines and reserves %v", plan.Floor(want.Key), plan.Reserved)
 	}
-	heir := NewPlanner(2, &PlanState{inForce: plan})
-	heir.Step(start.Add(3*time.Minute), in, nil)
-	heir.Step(start.Add(3*time.Minute+2*planInterval), in, nil)
-	if force, _ := heir.Plans(); len(force.Floors) != 1 || force.Floors[0] != want {
-		t.Errorf("a later planner's floors are %v, want %v", force.Floors, want)
+	successor := NewPlanner(2, &PlanState{inForce: plan})
+	successor.Step(start.Add(3*time.Minute), in, nil)
+	successor.Step(start.Add(3*time.Minute+2*planInterval), in, nil)
+	if force, _ := successor.Plans(); len(force.Floors) != 1 || force.Floors[0] != want {
+		t.Errorf("the next owner's floors are %v, want %v", force.Floors, want)
 	}
 }
 
-// TestFloorsWithinALimitFitIt: what the classes of a team at its limit are not to be kept under is no more than the limit,
-// and a team that asks for less than its limit, or whose limit is beyond all machines, has no such floors.
+// TestFloorsWithinALimitFitIt: the floors of the classes of a team at its limit do not exceed the limit. A team that asks
+// for less than its limit, or whose limit is not below the CPUs of all machines, has no such floors.
 func TestFloorsWithinALimitFitIt(t *testing.T) {
 	in := crowdedTeam()
 	for _, most := range []float64{0, 10, 100, 1000, 3999, 4100, 5000} {
--- a/internal/admission/planner_test.go
+++ b/internal/admission/planner_test.go
@@ -9,70 +9,90 @@
 	"time"
 )
 
-// lapses are what the model leaves out to see that it is caught.
-type lapses struct{ unconfirmed, unheard, direct, afresh bool }
+// simController is a controller in the model of plans: the owner of the fleet shard, the plans, and the latest plans of
+// the other controllers, as it knows them.
+type simController struct {
+	name        string
+	incarnation int
+	owner       string
+	since       uint64
+	known       PlanState
+	planner     *Planner
+	seen        map[string]ID
+}
+
+// message is a status in transit between two controllers.
+type message struct {
+	from, to    string
+	incarnation int // of the receiver when the message was sent
+	status      PlanStatus
+}
+
+// omissions selects rules that the model leaves out, to check that the test detects it.
+type omissions struct{ unconfirmed, unreachable, direct, fresh bool }
 
-// playPlans draws a history of three controllers: words are late or lost, the fleet changes hands,
-// processes start anew, one is cut off and dropped. It tells the first contradiction.
-func playPlans(seed uint64, l lapses) (broken string, made uint64) {
+// simulatePlans runs a random history of three controllers: messages are late or lost, the fleet shard changes its owner,
+// processes restart, and a controller is isolated and dropped. It returns the first conflict of plans, if any, and the
+// number of plans made.
+func simulatePlans(seed uint64, omit omissions) (conflict string, made uint64) {
 	rng := rand.New(rand.NewPCG(seed, 11))
 	now := time.Unix(1000, 0)
 	names := []string{"a", "b", "c"}
-	seats := map[string]*seat{}
+	controllers := map[string]*simController{}
 	owner, since := "a", uint64(1)
-	out := "" // cut off and no member
+	isolated := "" // unreachable and not a member
 	for _, n := range names {
-		seats[n] = &seat{name: n, owner: owner, since: since, seen: map[string]ID{}}
+		controllers[n] = &simController{name: n, owner: owner, since: since, seen: map[string]ID{}}
 	}
-	var post []letter
-	waits := map[string]float64{}
+	var inFlight []message
+	waiting := map[string]float64{}
 	inputs := func() *Inputs {
 		if rng.IntN(30) == 0 {
-			waits[[]string{"large", "larger", "small"}[rng.IntN(3)]] = float64(rng.IntN(2)) * 40
+			waiting[[]string{"large", "larger", "small"}[rng.IntN(3)]] = float64(rng.IntN(2)) * 40
 		}
 		in := &Inputs{Teams: map[string]Quota{"t": {Guaranteed: 1e6}}, Weights: &Weights{FloorShare: 1, FloorAfter: 2 * time.Second}}
 		for i := range 6 {
 			in.Machines = append(in.Machines, Machine{Name: fmt.Sprint("m", i), CPUs: 8, FreeCPUs: float64(rng.IntN(8)), SecondsUntilIdle: float64(rng.IntN(40))})
 		}
 		for _, class := range []string{"large", "larger", "small"} {
-			each := map[string]float64{"large": 4, "larger": 8, "small": 1}[class]
-			in.Demands = append(in.Demands, Demand{Key: Key{"t", class}, Used: float64(rng.IntN(4)), Waiting: waits[class], TaskCPUs: each, Rate: 30})
+			taskCPUs := map[string]float64{"large": 4, "larger": 8, "small": 1}[class]
+			in.Demands = append(in.Demands, Demand{Key: Key{"t", class}, Used: float64(rng.IntN(4)), Waiting: waiting[class], TaskCPUs: taskCPUs, Rate: 30})
 		}
 		return in
 	}
 	for step := range 1500 {
 		now = now.Add(500 * time.Millisecond)
 		for _, n := range names {
-			s := seats[n]
-			if n == out {
+			s := controllers[n]
+			if n == isolated {
 				continue
 			}
 			if rng.IntN(4) == 0 {
-				s.owner, s.since = owner, since // it reads the record
+				s.owner, s.since = owner, since // it reads the membership record
 			}
 			if s.owner != n {
 				s.planner = nil
 			} else {
 				if s.planner == nil || s.planner.SinceTerm() != s.since {
 					s.planner = NewPlanner(s.since, &s.known)
-					if l.afresh && rng.IntN(2) == 0 {
+					if omit.fresh && rng.IntN(2) == 0 {
 						s.planner.inForce = &Plan{ID: ID{s.since, 0}, Reserved: map[string]string{"m1": "large", "m2": "larger"}}
 					}
 				}
 				members := map[string]ID{}
 				for _, o := range names {
-					if o != n && o != out && (!l.unheard || rng.IntN(3) > 0) {
+					if o != n && o != isolated && (!omit.unreachable || rng.IntN(3) > 0) {
 						members[o] = s.seen[o]
 					}
 				}
-				if l.unconfirmed {
+				if omit.unconfirmed {
 					members = nil
 				}
 				was := s.planner.next
 				s.planner.Step(now, inputs(), members)
 				if next := s.planner.next; next != nil && next != was {
 					made++
-					if l.direct && len(next.Reserved) > 0 {
+					if omit.direct && len(next.Reserved) > 0 {
 						for m := range next.Reserved {
 							next.Reserved[m] = []string{"large", "larger"}[rng.IntN(2)]
 						}
@@ -81,61 +101,61 @@
 				force, next := s.planner.Plans()
 				s.known.Apply(s.since, PlanStatus{InForce: force, Next: next})
 			}
-			w := PlanStatus{Latest: s.known.Latest()}
+			status := PlanStatus{Latest: s.known.Latest()}
 			if s.planner != nil {
-				w.InForce, w.Next = s.planner.Plans()
+				status.InForce, status.Next = s.planner.Plans()
 			}
 			for _, o := range names {
-				if o != n && o != out && rng.IntN(3) > 0 {
-					post = append(post, letter{n, o, seats[o].life, w})
+				if o != n && o != isolated && rng.IntN(3) > 0 {
+					inFlight = append(inFlight, message{n, o, controllers[o].incarnation, status})
 				}
 			}
 		}
-		for range rng.IntN(8) { // in order between two, late among all
-			if len(post) == 0 {
+		for range rng.IntN(8) { // in order between two controllers, in any order overall
+			if len(inFlight) == 0 {
 				break
 			}
-			at := rng.IntN(len(post))
-			at = slices.IndexFunc(post, func(x letter) bool { return x.from == post[at].from && x.to == post[at].to })
-			x := post[at]
-			post = slices.Delete(post, at, at+1)
-			s := seats[x.to]
-			if s.life != x.life || x.to == out {
+			at := rng.IntN(len(inFlight))
+			at = slices.IndexFunc(inFlight, func(x message) bool { return x.from == inFlight[at].from && x.to == inFlight[at].to })
+			x := inFlight[at]
+			inFlight = slices.Delete(inFlight, at, at+1)
+			s := controllers[x.to]
+			if s.incarnation != x.incarnation || x.to == isolated {
 				continue
 			}
-			s.seen[x.from] = x.word.Latest
+			s.seen[x.from] = x.status.Latest
 			if x.from == s.owner {
-				s.known.Apply(s.since, x.word)
+				s.known.Apply(s.since, x.status)
 			}
 		}
 		switch rng.IntN(120) {
 		case 0:
 			owner, since = names[rng.IntN(3)], since+1
-			if owner == out {
-				out = ""
+			if owner == isolated {
+				isolated = ""
 			}
 		case 1:
 			n := names[rng.IntN(3)]
-			life := seats[n].life + 1
-			seats[n] = &seat{name: n, life: life, owner: owner, since: since, seen: map[string]ID{}}
-			if n == owner { // nobody owns through its end
+			incarnation := controllers[n].incarnation + 1
+			controllers[n] = &simController{name: n, incarnation: incarnation, owner: owner, since: since, seen: map[string]ID{}}
+			if n == owner { // its ownership ends with the process
 				owner, since = names[rng.IntN(3)], since+1
 			}
 		case 2:
-			if out == "" {
-				if n := names[rng.IntN(3)]; n != owner { // once its lease has ended it places nothing
-					out = n
-					seats[n].known = PlanState{}
-					seats[n].life++
+			if isolated == "" {
+				if n := names[rng.IntN(3)]; n != owner { // a controller without a lease places nothing
+					isolated = n
+					controllers[n].known = PlanState{}
+					controllers[n].incarnation++
 				}
 			} else {
-				out = ""
+				isolated = ""
 			}
 		}
 		for i, n := range names {
 			for _, o := range names[i+1:] {
-				if seats[n].known.InForce().ConflictsWith(seats[o].known.InForce()) {
-					return fmt.Sprintf("step %d: %s acts on %+v, %s on %+v", step, n, seats[n].known.InForce(), o, seats[o].known.InForce()), made
+				if controllers[n].known.InForce().ConflictsWith(controllers[o].known.InForce()) {
+					return fmt.Sprintf("step %d: %s acts on %+v, %s on %+v", step, n, controllers[n].known.InForce(), o, controllers[o].known.InForce()), made
 				}
 			}
 		}
@@ -143,41 +163,41 @@
 	return "", made
 }
 
-// TestPlansNeverConflict: whatever is late, lost, restarted or changes hands, no two
-// controllers hold a machine for different classes; and plans go on being made.
+// TestPlansNeverConflict: with late and lost messages, restarts and changes of ownership, no two controllers reserve a
+// machine for different classes, and new plans are still made.
 func TestPlansNeverConflict(t *testing.T) {
 	made := uint64(0)
 	for seed := range uint64(60) {
-		broken, n := playPlans(seed, lapses{})
-		if broken != "" {
-			t.Fatalf("seed %d: %s", seed, broken)
+		conflict, n := simulatePlans(seed, omissions{})
+		if conflict != "" {
+			t.Fatalf("seed %d: %s", seed, conflict)
 		}
 		made += n
 	}
 	if made < 1000 {
-		t.Fatalf("%d plans are too few to show anything", made)
+		t.Fatalf("only %d plans were made, want at least 1000", made)
 	}
-	for name, l := range map[string]lapses{
-		"a plan is in force before all have heard of it":         {unconfirmed: true},
-		"who is not heard is passed over":                        {unheard: true},
-		"a machine passes from one class to another in one plan": {direct: true},
-		"a new owner of the fleet begins with plans of its own":  {afresh: true},
+	for name, omit := range map[string]omissions{
+		"a plan comes into force before all have received it": {unconfirmed: true},
+		"an unreachable member is skipped":                    {unreachable: true},
+		"a machine changes its class within one plan":         {direct: true},
+		"a new owner discards the plans of its predecessor":   {fresh: true},
 	} {
-		caught := false
-		for seed := uint64(0); seed < 200 && !caught; seed++ {
-			broken, _ := playPlans(seed, l)
-			caught = broken != ""
+		detected := false
+		for seed := uint64(0); seed < 200 && !detected; seed++ {
+			conflict, _ := simulatePlans(seed, omit)
+			detected = conflict != ""
 		}
-		if !caught {
-			t.Errorf("not caught: %s", name)
+		if !detected {
+			t.Errorf("not detected: %s", name)
 		}
 	}
 }
 
-// crowd plays a crowd of small urgent tasks over large ones of lower priority on a few machines,
-// placed strictly by priority but for the plan, and gives how long the large ones were under
-// their floor at a time, after the plan had time to work.
-func crowd(seed uint64, floors, reservations bool) (under time.Duration, ran, all int) {
+// simulateCrowd simulates many small urgent tasks and large tasks of lower priority on a few machines, placed by priority
+// except for the plan. It returns the longest time that the large tasks were below their floor, after the plan had time
+// to take effect, and the number of started tasks.
+func simulateCrowd(seed uint64, floors, reservations bool) (longestBelow time.Duration, ran, all int) {
 	rng := rand.New(rand.NewPCG(seed, 5))
 	type task struct {
 		class string
@@ -185,24 +205,24 @@
 		ends  time.Time
 	}
 	const machines, size = 12, 32.0
-	on := make([][]task, machines)
+	running := make([][]task, machines)
 	large, small := Key{"t", "large"}, Key{"t", "small"}
-	agreed := &PlanState{}
-	planner := NewPlanner(1, agreed)
+	state := &PlanState{}
+	planner := NewPlanner(1, state)
 	w := &Weights{FloorShare: 0.5, FloorAfter: 20 * time.Second}
 	now := time.Unix(1000, 0)
-	began := now
+	startedAt := now
 	var since time.Time
 	for range 3000 {
 		now = now.Add(100 * time.Millisecond)
 		free := make([]float64, machines)
 		held := map[Key]float64{}
 		in := &Inputs{Teams: map[string]Quota{"t": {Guaranteed: 100, Limit: 1000}}, Weights: w}
-		for i := range on {
-			on[i] = slices.DeleteFunc(on[i], func(x task) bool { return !now.Before(x.ends) })
+		for i := range running {
+			running[i] = slices.DeleteFunc(running[i], func(x task) bool { return !now.Before(x.ends) })
 			free[i] = size
 			left := 0.0
-			for _, x := range on[i] {
+			for _, x := range running[i] {
 				free[i] -= x.cpus
 				held[Key{"t", x.class}] += x.cpus
 				left = max(left, x.ends.Sub(now).Seconds())
@@ -215,17 +235,17 @@
 		}
 		planner.Step(now, in, nil)
 		force, next := planner.Plans()
-		agreed.Apply(1, PlanStatus{InForce: force, Next: next})
-		plan := agreed.InForce()
-		start := func(k Key, cpus, most float64) {
-			for i := range on {
+		state.Apply(1, PlanStatus{InForce: force, Next: next})
+		plan := state.InForce()
+		start := func(k Key, cpus, limit float64) {
+			for i := range running {
 				class := plan.ReservedClass(fmt.Sprint(i))
 				if !reservations {
 					class = ""
 				}
-				for free[i] >= cpus && most >= cpus && (class == "" || class == k.Class) {
-					on[i] = append(on[i], task{k.Class, cpus, now.Add(time.Duration(5000+rng.IntN(35000)) * time.Millisecond)})
-					free[i], most = free[i]-cpus, most-cpus
+				for free[i] >= cpus && limit >= cpus && (class == "" || class == k.Class) {
+					running[i] = append(running[i], task{k.Class, cpus, now.Add(time.Duration(5000+rng.IntN(35000)) * time.Millisecond)})
+					free[i], limit = free[i]-cpus, limit-cpus
 					held[k] += cpus
 					ran++
 				}
@@ -234,32 +254,32 @@
 		start(large, 16, plan.Floor(large)-held[large])
 		start(small, 4, math.Inf(1))
 		start(large, 16, math.Inf(1))
-		// Two tasks less than due: one is about to start, one does not fit evenly.
-		due := Floors(machines*size, in.Demands, in.Teams, w)[0].Floor - 32
+		// Tolerates two tasks less than the floor: one may be about to start, and one may not fit.
+		floor := Floors(machines*size, in.Demands, in.Teams, w)[0].Floor - 32
 		switch {
-		case held[large] >= due || now.Sub(began) < w.FloorAfter+45*time.Second:
+		case held[large] >= floor || now.Sub(startedAt) < w.FloorAfter+45*time.Second:
 			since = time.Time{}
 		case since.IsZero():
 			since = now
 		default:
-			under = max(under, now.Sub(since))
+			longestBelow = max(longestBelow, now.Sub(since))
 		}
 	}
-	return under, ran, 0
+	return longestBelow, ran, 0
 }
 
-// TestFloorHolds: however urgent the rest, what is due to a class is not kept from it for
-// longer than the plan's patience and what runs on the machines held for it; without floors, or
-// without machines held for large tasks, it gets nothing for minutes.
+// TestFloorHolds: a class is not below its floor for longer than FloorAfter and the run times of the tasks on the machines
+// reserved for it, however urgent the other tasks are. Without floors, or without reservations for large tasks, it gets
+// nothing for minutes.
 func TestFloorHolds(t *testing.T) {
 	for seed := range uint64(10) {
-		if under, ran, _ := crowd(seed, true, true); under > 15*time.Second || ran == 0 {
-			t.Errorf("seed %d: under its floor for %s", seed, under)
+		if below, ran, _ := simulateCrowd(seed, true, true); below > 15*time.Second || ran == 0 {
+			t.Errorf("seed %d: below its floor for %s", seed, below)
 		}
 	}
-	for name, x := range map[string][2]bool{"no floors": {false, true}, "no machines held": {true, false}} {
-		if under, _, _ := crowd(1, x[0], x[1]); under < time.Minute {
-			t.Errorf("%s: under its floor for %s only", name, under)
+	for name, x := range map[string][2]bool{"no floors": {false, true}, "no reservations": {true, false}} {
+		if below, _, _ := simulateCrowd(1, x[0], x[1]); below < time.Minute {
+			t.Errorf("%s: below its floor for only %s", name, below)
 		}
 	}
 }
--- a/internal/admission/prioritize_test.go
+++ b/internal/admission/prioritize_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// TestPrioritizedTasks: three quarters of what a class deficits go to tasks that can still be in time, the rest to the oldest
-// job; a gang goes as a whole, and other classes' deficits are not touched.
+// TestPrioritizedTasks: three quarters of a class's deficit go to tasks that can still be in time, the rest to the oldest
+// job. A gang is prioritized as a whole or not at all, and other classes' deficits do not change.
 func TestPrioritizedTasks(t *testing.T) {
 	at := func(s int) time.Time { return time.Unix(1000+int64(s), 0) }
 	soon := &WaitingTasks{Class: "batch", Count: 10, TaskCPUs: 1, StartBy: at(10), SubmittedAt: at(3)}
@@ -21,22 +21,22 @@
 		want  int
 	}{"soonest": {soon, 10}, "later": {later, 2}, "late": {late, 4}, "gang beyond the floor": {gang, 0}, "first task": {begun, 1}} {
 		if c.tasks.Prioritized != c.want {
-			t.Errorf("%s: %d tasks go first, want %d", name, c.tasks.Prioritized, c.want)
+			t.Errorf("%s: %d tasks prioritized, want %d", name, c.tasks.Prioritized, c.want)
 		}
 	}
 	if deficits["batch"] != 0 || deficits["train"] != 7 || deficits["other"] != 5 {
-		t.Errorf("left: %v", deficits)
+		t.Errorf("remaining deficits: %v", deficits)
 	}
 	deficits = map[string]float64{"train": 16}
 	PrioritizeTasks([]*WaitingTasks{gang}, deficits)
 	if gang.Prioritized != 4 || deficits["train"] != 8 {
-		t.Errorf("gang within the floor: %d tasks go first, left %v", gang.Prioritized, deficits)
+		t.Errorf("gang within the floor: %d tasks prioritized, remaining deficits %v", gang.Prioritized, deficits)
 	}
 }
 
-// TestNeeds: arrivals count over the window in which they came, a third of it at the least, and only for keys that use or
-// ask for anything; what waits counts by the time in which a backlog is worked off.
-func TestNeeds(t *testing.T) {
+// TestDemands: arrivals are averaged over the window, or over a third of it if they are all recent, and count only for
+// keys with used or waiting CPUs. The backlog counts by the time within which it should be worked off.
+func TestDemands(t *testing.T) {
 	team, other := Key{"a", "batch"}, Key{"b", "batch"}
 	demands := NewDemandCollector(time.Minute)
 	demands.AddWaiting(team, PendingWork{CPUs: 8, Rank: 2, TaskCPUs: 2, TaskMemory: 3, EstimateSeconds: 30})
--- a/internal/admission/ratelimit_test.go
+++ b/internal/admission/ratelimit_test.go
@@ -7,29 +7,29 @@
 	"time"
 )
 
-// TestRateLimiter: one team floods. What another one hands in is taken at its share, refused jobs come
-// before later ones, nobody is asked to come back after its patience, and what one leaves
-// the other gets.
+// TestRateLimiter: while one team floods the system, another team's submissions are admitted up to its share, retries of
+// rejected jobs have precedence over new submissions, no retry is requested after userTimeout, and unused shares go to
+// the other team.
 func TestRateLimiter(t *testing.T) {
 	for seed := range uint64(20) {
 		rng := rand.New(rand.NewPCG(seed, 7))
-		d := NewRateLimiter(RateLimits{MaxWait: 1500 * time.Millisecond, MaxRejections: 3000})
+		limiter := NewRateLimiter(RateLimits{MaxWait: 1500 * time.Millisecond, MaxRejections: 3000})
 		const rate = 10.0
 		flood, quiet := Key{"flood", "c"}, Key{"quiet", "c"}
 		queue := 0.0
-		taken, asked := map[Key]int{}, map[Key]int{}
+		admitted, asked := map[Key]int{}, map[Key]int{}
 		type user struct {
 			k     Key
 			uid   string
 			first time.Time
 		}
-		at := map[int64][]user{}
+		retries := map[int64][]user{}
 		now := time.Unix(1000, 0)
-		lost, passed, returned := map[Key]int{}, 0, 0
+		givenUp, overtook, returned := map[Key]int{}, 0, 0
 		for i := range 6000 {
 			now = now.Add(20 * time.Millisecond)
 			queue = max(0, queue-rate*0.02)
-			list := at[int64(i)]
+			list := retries[int64(i)]
 			if rng.Float64() < 0.8 {
 				list = append(list, user{flood, fmt.Sprint("f", i), now})
 			}
@@ -40,42 +40,42 @@
 				if u.first.Equal(now) {
 					asked[u.k]++
 				}
-				ok, back := d.Admit(u.k, u.uid, time.Duration(queue/rate*float64(time.Second)), rate, now)
+				ok, retryAfter := limiter.Admit(u.k, u.uid, time.Duration(queue/rate*float64(time.Second)), rate, now)
 				if ok {
 					if u.first.Equal(now) && queue > 0.75*rate+1 && u.k == flood {
-						passed++
+						overtook++
 					} else if !u.first.Equal(now) {
 						returned++
 					}
-					taken[u.k]++
+					admitted[u.k]++
 					queue++
 					continue
 				}
-				if back < time.Second || now.Add(back).Sub(u.first) > userTimeout {
-					t.Fatalf("seed %d: asked to come back after %s, %s after the first try", seed, back, now.Sub(u.first))
+				if retryAfter < time.Second || now.Add(retryAfter).Sub(u.first) > userTimeout {
+					t.Fatalf("seed %d: asked to retry after %s, %s after the first attempt", seed, retryAfter, now.Sub(u.first))
 				}
 				if now.Sub(u.first) > 55*time.Second {
-					lost[u.k]++
+					givenUp[u.k]++
 					continue
 				}
-				next := int64(i) + int64(back/(20*time.Millisecond))
-				at[next] = append(at[next], u)
+				next := int64(i) + int64(retryAfter/(20*time.Millisecond))
+				retries[next] = append(retries[next], u)
 			}
 			if queue > rate*1.5+1.001 {
-				t.Fatalf("seed %d: %g wait", seed, queue)
+				t.Fatalf("seed %d: %g submissions queued", seed, queue)
 			}
-			if d.Rejected() > 3000 {
-				t.Fatalf("seed %d: %d remembered", seed, d.Rejected())
+			if limiter.Rejected() > 3000 {
+				t.Fatalf("seed %d: %d rejections remembered", seed, limiter.Rejected())
 			}
 		}
-		if lost[quiet] > 0 || taken[quiet] < asked[quiet]*9/10 {
-			t.Errorf("seed %d: %d of %d taken of one that asks for less than its share, %d given up", seed, taken[quiet], asked[quiet], lost[quiet])
+		if givenUp[quiet] > 0 || admitted[quiet] < asked[quiet]*9/10 {
+			t.Errorf("seed %d: of a team below its share, %d of %d submissions were admitted, %d given up", seed, admitted[quiet], asked[quiet], givenUp[quiet])
 		}
-		if passed*10 > returned {
-			t.Errorf("seed %d: %d were taken before %d that had been refused", seed, passed, returned)
+		if overtook*10 > returned {
+			t.Errorf("seed %d: %d new submissions were admitted while the queue was long, %d retries", seed, overtook, returned)
 		}
-		if total := taken[quiet] + taken[flood]; float64(total) < 0.85*rate*120 {
-			t.Errorf("seed %d: %d taken in all, though %g could have been", seed, total, rate*120)
+		if total := admitted[quiet] + admitted[flood]; float64(total) < 0.85*rate*120 {
+			t.Errorf("seed %d: %d admitted in total, the capacity was %g", seed, total, rate*120)
 		}
 	}
 }
--- a/internal/admission/served_test.go
+++ b/internal/admission/served_test.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// TestServedCounts: shares are of the window only, and one that is served badly is named once in a while.
+// TestServedCounts: counts cover the window only, and a poorly served key is returned once per repeatAfter.
 func TestServedCounts(t *testing.T) {
 	s := NewServedCounts()
 	k, now := Key{"t", "c"}, time.Unix(1000, 0)
