--- a/internal/teamconfig/golden_test.go
+++ b/internal/teamconfig/golden_test.go
@@ -7,9 +7,11 @@
 	"topazhollow/internal/settings"
 )
 
-// The golden files of teams' entries in the state service, which outlive the process that wrote them: the forms may only grow.
-// The messages between controllers that carry this package's types are in the module's root.
+// The golden files hold teams' entries as stored in the key-value store. Entries outlive the process that wrote them, so
+// their format may only be extended. The tests of internal/controller cover the messages between controllers that carry
+// this package's types.
 
+// TestGoldenEntry checks the stored format of entries.
 func TestGoldenEntry(t *testing.T) {
 	goldentest.Wire.Check(t, []goldentest.Case{
 		{Name: "entry-full.json", Value: Entry{Number: 3, ChangeID: "drawn", CPUs: 96, CPUsMax: 192.5, GPUs: 8, GPUsMax: 16, Removed: true, StopExcess: true}, Full: true},
@@ -17,7 +19,7 @@
 	})
 }
 
-// TestGoldenBase: controllers compare the digests of their settings files' teams.
+// TestGoldenBase checks that the digest of the settings file's teams, which controllers compare, stays the same.
 func TestGoldenBase(t *testing.T) {
 	teams := []settings.Team{{Name: "vision", CPUs: 96, CPUsMax: 192.5, GPUs: 8, GPUsMax: 16}, {Name: "speech \u00e9", CPUs: 1e9, CPUsMax: 1e21, GPUs: 0.1}}
 	const want = uint64(8542704972940467863)
@@ -25,6 +27,6 @@
 		t.Errorf("digest %d, want %d", got, want)
 	}
 	if got := BaseDigest([]settings.Team{teams[1], teams[0]}); got != want {
-		t.Errorf("digest in another order %d, want %d", got, want)
+		t.Errorf("digest of the teams in another order %d, want %d", got, want)
 	}
 }
--- a/internal/teamconfig/model_test.go
+++ b/internal/teamconfig/model_test.go
@@ -11,45 +11,45 @@
 	"topazhollow/internal/settings"
 )
 
-// world is a plain model: a state service with entries and a membership record, controllers whose reads, words and
-// lessons arrive late, twice, in any order or never, and machines on which tasks of one CPU start late.
-type world struct {
-	rng      *rand.Rand
-	now      time.Time
-	revision uint64
-	record   record
-	history  map[string][]Change // every committed change of a team
-	nodes    [3]*node
-	flying   []func()
-	tasks    map[string]*account
-	said     map[string]uint64 // version of the last change of a team that was said to be in force
-	ended    uint64
+// model simulates a key-value store with entries and a membership record, controllers whose reads, statuses and missing
+// changes arrive late, twice, in any order or never, and machines on which tasks of one CPU start late.
+type model struct {
+	rng       *rand.Rand
+	now       time.Time
+	revision  uint64
+	record    record
+	history   map[string][]Change // every committed change of a team
+	nodes     [3]*node
+	inFlight  []func()
+	tasks     map[string]*teamTasks
+	reported  map[string]uint64 // by team, version of the last change reported to be in force
+	processes uint64
 
-	inForce, refused, taught, handed int // that it really happened
+	inForce, withdrawn, synced, handovers int // number of events of each kind
 }
 
 type record struct {
-	version uint64
-	members map[string]uint64
-	owners  map[string]string
-	blind   map[string]bool // the owner does not know what its predecessor started
+	version       uint64
+	members       map[string]uint64
+	owners        map[string]string
+	unknownStarts map[string]bool // teams whose owner does not know what the previous owner started
 }
 
-// account is what a team has on machines, and on the way there.
-type account struct{ coming, running int }
+// teamTasks counts a team's tasks whose start is under way, and those that run.
+type teamTasks struct{ starting, running int }
 
 type node struct {
-	name     string
-	process  uint64
-	conf     *Config
-	force    *Propagation
-	record   record
-	serial   uint64
-	entitled bool
-	mute     bool              // its reads fail for a while, though it holds its lease and hears of records
-	deaf     bool              // then it hears no peer's lessons either
-	since    map[string]uint64 // version of the record under which it took a team
-	ready    map[string]bool
+	name          string
+	process       uint64
+	config        *Config
+	propagation   *Propagation
+	record        record
+	serial        uint64
+	entitled      bool
+	readsFail     bool              // reads fail, but it keeps its lease and receives membership records
+	missesChanges bool              // while reads fail, missing changes from peers do not arrive either
+	since         map[string]uint64 // by team, version of the record under which it became the owner
+	ready         map[string]bool
 }
 
 var (
@@ -59,73 +59,74 @@
 
 const baseLimit = 6
 
-func newWorld(seed uint64) *world {
-	w := &world{rng: rand.New(rand.NewPCG(seed, 21)), now: time.Unix(1e6, 0), history: map[string][]Change{}, tasks: map[string]*account{}, said: map[string]uint64{}}
+func newModel(seed uint64) *model {
+	m := &model{rng: rand.New(rand.NewPCG(seed, 21)), now: time.Unix(1e6, 0), history: map[string][]Change{}, tasks: map[string]*teamTasks{}, reported: map[string]uint64{}}
 	for _, t := range teamNames {
-		w.tasks[t] = &account{}
+		m.tasks[t] = &teamTasks{}
 	}
-	w.record = record{members: map[string]uint64{}, owners: map[string]string{}, blind: map[string]bool{}}
-	for i := range w.nodes {
-		w.begin(i)
+	m.record = record{members: map[string]uint64{}, owners: map[string]string{}, unknownStarts: map[string]bool{}}
+	for i := range m.nodes {
+		m.restart(i)
 	}
-	return w
+	return m
 }
 
-// begin has a controller's process end and another one begin.
-func (w *world) begin(i int) {
-	w.ended++
+// restart replaces a controller's process by a new one.
+func (m *model) restart(i int) {
+	m.processes++
 	base := []settings.Team{{Name: "red", CPUsMax: baseLimit}, {Name: "blue", CPUsMax: baseLimit}}
-	w.nodes[i] = &node{name: nodeNames[i], process: w.ended, conf: New(base, 10*time.Second), force: NewPropagation(), since: map[string]uint64{}, ready: map[string]bool{}}
+	m.nodes[i] = &node{name: nodeNames[i], process: m.processes, config: New(base, 10*time.Second), propagation: NewPropagation(), since: map[string]uint64{}, ready: map[string]bool{}}
 }
 
-// later has something happen after other things, now and then twice or never.
-func (w *world) later(f func()) {
-	for range []int{1, 1, 1, 2, 0}[w.rng.IntN(5)] {
-		w.flying = append(w.flying, f)
+// deliverLater queues an event, sometimes twice or not at all.
+func (m *model) deliverLater(f func()) {
+	for range []int{1, 1, 1, 2, 0}[m.rng.IntN(5)] {
+		m.inFlight = append(m.inFlight, f)
 	}
 }
 
-func (w *world) arrive() {
-	if len(w.flying) == 0 {
+// deliverOne executes a random queued event.
+func (m *model) deliverOne() {
+	if len(m.inFlight) == 0 {
 		return
 	}
-	i := w.rng.IntN(len(w.flying))
-	f := w.flying[i]
-	w.flying = slices.Delete(w.flying, i, i+1)
+	i := m.rng.IntN(len(m.inFlight))
+	f := m.inFlight[i]
+	m.inFlight = slices.Delete(m.inFlight, i, i+1)
 	f()
 }
 
-// change commits a change of a team.
-func (w *world) change(team string) {
-	number := uint64(len(w.history[team]) + 1)
-	w.revision++
-	e := Entry{Number: number, ChangeID: fmt.Sprint(number), CPUsMax: float64(1 + w.rng.IntN(9))}
-	w.history[team] = append(w.history[team], Change{team, e, w.revision})
+// commitChange commits a change of a team.
+func (m *model) commitChange(team string) {
+	number := uint64(len(m.history[team]) + 1)
+	m.revision++
+	e := Entry{Number: number, ChangeID: fmt.Sprint(number), CPUsMax: float64(1 + m.rng.IntN(9))}
+	m.history[team] = append(m.history[team], Change{team, e, m.revision})
 }
 
-// read has a controller read all that is stored.
-func (w *world) read(n *node) {
-	began, revision, r := w.now, w.revision, w.record
+// readAll has a controller read all entries and the membership record.
+func (m *model) readAll(n *node) {
+	began, revision, r := m.now, m.revision, m.record
 	var all []Change
 	for _, t := range teamNames {
-		if h := w.history[t]; len(h) > 0 {
+		if h := m.history[t]; len(h) > 0 {
 			all = append(all, h[len(h)-1])
 		}
 	}
-	w.later(func() {
-		if n.mute {
+	m.deliverLater(func() {
+		if n.readsFail {
 			return
 		}
 		for _, x := range all {
-			n.conf.ApplyEntry(x.Team, x.Entry, x.Version)
+			n.config.ApplyEntry(x.Team, x.Entry, x.Version)
 		}
-		w.adopt(n, r)
-		n.conf.MarkReadUpTo(revision, began)
+		m.adoptRecord(n, r)
+		n.config.MarkReadUpTo(revision, began)
 	})
 }
 
-// adopt has a controller take up a membership record.
-func (w *world) adopt(n *node, r record) {
+// adoptRecord has a controller apply a membership record unless it knows a newer one.
+func (m *model) adoptRecord(n *node, r record) {
 	if r.version <= n.record.version {
 		return
 	}
@@ -137,54 +138,54 @@
 			continue
 		}
 		if _, had := n.since[t]; !had {
-			n.since[t], n.ready[t] = r.version, !r.blind[t]
-			n.conf.RequireRevision(r.version)
+			n.since[t], n.ready[t] = r.version, !r.unknownStarts[t]
+			n.config.RequireRevision(r.version)
 		}
 	}
 }
 
-// rewrite changes the membership record: members come and go, teams change hands.
-func (w *world) rewrite() {
-	next := record{version: w.revision + 1, members: map[string]uint64{}, owners: map[string]string{}, blind: map[string]bool{}}
-	for _, n := range w.nodes {
-		member := w.record.members[n.name] == n.process
-		out := member && w.rng.IntN(8) == 0 || n.mute && w.rng.IntN(4) > 0
+// changeRecord writes a new membership record in which some members and owners of teams have changed.
+func (m *model) changeRecord() {
+	next := record{version: m.revision + 1, members: map[string]uint64{}, owners: map[string]string{}, unknownStarts: map[string]bool{}}
+	for _, n := range m.nodes {
+		member := m.record.members[n.name] == n.process
+		out := member && m.rng.IntN(8) == 0 || n.readsFail && m.rng.IntN(4) > 0
 		if out {
-			n.entitled = false // its lease ended, or it could not be left out
+			n.entitled = false // its lease must have ended before it is removed
 		}
-		if !out && n.conf.KnownRevision() > 0 {
+		if !out && n.config.KnownRevision() > 0 {
 			next.members[n.name] = n.process
 		}
 	}
 	if len(next.members) == 0 {
 		return
 	}
-	w.revision++
+	m.revision++
 	names := slices.Sorted(maps.Keys(next.members))
 	for _, t := range teamNames {
-		owner := w.record.owners[t]
-		stays := w.record.members[owner] != 0 && w.record.members[owner] == next.members[owner]
-		if !stays || w.rng.IntN(2) == 0 {
-			owner = names[w.rng.IntN(len(names))]
-			next.blind[t] = w.record.members[owner] != next.members[owner]
-			w.handed++
+		owner := m.record.owners[t]
+		stays := m.record.members[owner] != 0 && m.record.members[owner] == next.members[owner]
+		if !stays || m.rng.IntN(2) == 0 {
+			owner = names[m.rng.IntN(len(names))]
+			next.unknownStarts[t] = m.record.members[owner] != next.members[owner]
+			m.handovers++
 		} else {
-			next.blind[t] = w.record.blind[t]
+			next.unknownStarts[t] = m.record.unknownStarts[t]
 		}
 		next.owners[t] = owner
 	}
-	w.record = next
+	m.record = next
 }
 
-// owner is the process that may start a team's tasks: the one that the record it knows names, unless the one
-// that a newer record names has begun, since that one no longer acknowledges what the former starts.
-func (w *world) owner(team string) *node {
-	for _, n := range w.nodes {
-		if n.entitled && n.record.owners[team] == n.name && n.record.version == w.record.version {
+// owner returns the process that may start a team's tasks: the one that the present record names if it knows that record,
+// otherwise one that an older record names, until the new owner starts and rejects the starts of the old one.
+func (m *model) owner(team string) *node {
+	for _, n := range m.nodes {
+		if n.entitled && n.record.owners[team] == n.name && n.record.version == m.record.version {
 			return n
 		}
 	}
-	for _, n := range w.nodes {
+	for _, n := range m.nodes {
 		if n.entitled && n.record.owners[team] == n.name {
 			return n
 		}
@@ -192,53 +193,53 @@
 	return nil
 }
 
-func (w *world) limit(n *node, team string) int {
-	l, _ := n.conf.Limits(team, w.now)
+func (m *model) limit(n *node, team string) int {
+	l, _ := n.config.Limits(team, m.now)
 	return int(l.CPUsMax)
 }
 
-// work has a team's owner start what fits, and take back what is on its way beyond its limit.
-func (w *world) work(team string) {
-	n, a := w.owner(team), w.tasks[team]
+// runOwner has a team's owner start a task within the limit, or withdraw a start under way beyond it.
+func (m *model) runOwner(team string) {
+	n, a := m.owner(team), m.tasks[team]
 	if n == nil {
 		return
 	}
-	if !n.ready[team] { // the barrier: all that was on its way has come or never will
-		if a.coming == 0 && n.conf.Ready() {
+	if !n.ready[team] { // the barrier: no start of the previous owner is under way any more
+		if a.starting == 0 && n.config.Ready() {
 			n.ready[team] = true
 		}
 		return
 	}
-	switch limit := w.limit(n, team); {
-	case !n.conf.Ready():
-	case a.coming+a.running < limit:
-		a.coming++
-	case a.coming+a.running > limit && a.coming > 0:
-		a.coming--
-		w.refused++
+	switch limit := m.limit(n, team); {
+	case !n.config.Ready():
+	case a.starting+a.running < limit:
+		a.starting++
+	case a.starting+a.running > limit && a.starting > 0:
+		a.starting--
+		m.withdrawn++
 	}
 }
 
-// land gets a task onto a machine. What is allowed is the most of what was committed since the change that was
-// last said to be in force.
-func (w *world) land(t *testing.T, seed uint64, team string) {
-	a := w.tasks[team]
-	if a.coming == 0 {
+// startTask has a task start whose start is under way. The number of running tasks must not exceed the largest limit
+// among the last change reported to be in force and the changes committed after it.
+func (m *model) startTask(t *testing.T, seed uint64, team string) {
+	a := m.tasks[team]
+	if a.starting == 0 {
 		return
 	}
-	a.coming--
+	a.starting--
 	a.running++
 	allowed := 0.0
-	if w.said[team] == 0 {
+	if m.reported[team] == 0 {
 		allowed = baseLimit
 	}
-	for _, x := range w.history[team] {
-		if x.Version >= w.said[team] {
+	for _, x := range m.history[team] {
+		if x.Version >= m.reported[team] {
 			allowed = max(allowed, x.Entry.CPUsMax)
 		}
 	}
 	if float64(a.running) > allowed {
-		t.Fatalf("seed %d: %d tasks of %s start, %g are allowed since change %d is in force", seed, a.running, team, allowed, w.said[team])
+		t.Fatalf("seed %d: %d tasks of %s run, the limit is %g since change %d is in force", seed, a.running, team, allowed, m.reported[team])
 	}
 }
 
@@ -246,36 +247,36 @@
 	return &MembershipRecord{Version: n.record.version, Members: n.record.members, Owner: func(team string) string { return n.record.owners[team] }}
 }
 
-// tell has a controller tell its word to all.
-func (w *world) tell(n *node) {
+// sendStatus has a controller send its status to all others, which answer with the changes that it lacks.
+func (m *model) sendStatus(n *node) {
 	n.serial++
-	word := Status{Serial: n.serial, RecordVersion: n.record.version, KnownRevision: n.conf.KnownRevision()}
+	status := Status{Serial: n.serial, RecordVersion: n.record.version, KnownRevision: n.config.KnownRevision()}
 	for _, t := range teamNames {
-		a := w.tasks[t]
-		over := a.coming+a.running > w.limit(n, t)
-		if n.record.owners[t] == n.name && (!n.ready[t] || over && a.coming > 0) {
-			word.Unsettled = append(word.Unsettled, t)
+		a := m.tasks[t]
+		over := a.starting+a.running > m.limit(n, t)
+		if n.record.owners[t] == n.name && (!n.ready[t] || over && a.starting > 0) {
+			status.Unsettled = append(status.Unsettled, t)
 		}
 	}
-	n.force.Apply(n.name, n.process, word)
+	n.propagation.Apply(n.name, n.process, status)
 	process := n.process
-	for i := range w.nodes {
-		to := w.nodes[i]
+	for i := range m.nodes {
+		to := m.nodes[i]
 		if to == n {
 			continue
 		}
-		w.later(func() {
-			to.force.Apply(n.name, process, word)
-			if word.KnownRevision < to.conf.LatestVersion() {
-				after, known, rec, lesson := word.KnownRevision, to.conf.KnownRevision(), to.record.version, to.conf.ChangesAfter(word.KnownRevision)
-				w.later(func() {
-					if n.mute && n.deaf {
+		m.deliverLater(func() {
+			to.propagation.Apply(n.name, process, status)
+			if status.KnownRevision < to.config.LatestVersion() {
+				after, known, rec, missing := status.KnownRevision, to.config.KnownRevision(), to.record.version, to.config.ChangesAfter(status.KnownRevision)
+				m.deliverLater(func() {
+					if n.readsFail && n.missesChanges {
 						return
 					}
-					before := n.conf.KnownRevision()
-					n.conf.ApplyMissing(lesson, after, known, rec, n.record.version)
-					if n.conf.KnownRevision() > before {
-						w.taught++
+					before := n.config.KnownRevision()
+					n.config.ApplyMissing(missing, after, known, rec, n.record.version)
+					if n.config.KnownRevision() > before {
+						m.synced++
 					}
 				})
 			}
@@ -283,95 +284,95 @@
 	}
 }
 
-// say has a controller find what is in force, and everybody rely on it.
-func (w *world) say(n *node) {
-	for _, x := range n.force.Propagated(n.asRecord(), n.conf.NotInForce()) {
-		n.conf.MarkInForce(x.Team, x.Version)
-		w.said[x.Team] = max(w.said[x.Team], x.Version)
-		w.inForce++
+// markInForce has a controller determine which changes are in force. From then on the model holds them to be.
+func (m *model) markInForce(n *node) {
+	for _, x := range n.propagation.Propagated(n.asRecord(), n.config.NotInForce()) {
+		n.config.MarkInForce(x.Team, x.Version)
+		m.reported[x.Team] = max(m.reported[x.Team], x.Version)
+		m.inForce++
 	}
 }
 
-// TestQuotaModel: over random events no task starts beyond what is allowed, and what is committed comes in force once
-// the troubles are over.
+// TestQuotaModel: under random events no task starts beyond the limits, and once the faults are over every committed
+// change comes into force.
 func TestQuotaModel(t *testing.T) {
-	var inForce, refused, taught, handed int
+	var inForce, withdrawn, synced, handovers int
 	for seed := range uint64(1500) {
-		w := newWorld(seed)
+		m := newModel(seed)
 		for range 1500 {
-			w.now = w.now.Add(time.Duration(w.rng.IntN(400)) * time.Millisecond)
-			n, team := w.nodes[w.rng.IntN(3)], teamNames[w.rng.IntN(2)]
-			switch x := w.rng.IntN(100); {
+			m.now = m.now.Add(time.Duration(m.rng.IntN(400)) * time.Millisecond)
+			n, team := m.nodes[m.rng.IntN(3)], teamNames[m.rng.IntN(2)]
+			switch x := m.rng.IntN(100); {
 			case x < 4:
-				w.change(team)
+				m.commitChange(team)
 			case x < 6:
-				if w.rng.IntN(2) == 0 {
-					w.rewrite()
+				if m.rng.IntN(2) == 0 {
+					m.changeRecord()
 				}
 			case x < 7:
-				w.begin(w.rng.IntN(3))
+				m.restart(m.rng.IntN(3))
 			case x < 14:
-				r := w.record // read alone, or told by a peer
-				w.later(func() { w.adopt(n, r) })
+				r := m.record // from a read of the record alone, or from a peer
+				m.deliverLater(func() { m.adoptRecord(n, r) })
 			case x < 15:
-				n.mute, n.deaf = !n.mute && w.rng.IntN(3) == 0, w.rng.IntN(2) == 0
+				n.readsFail, n.missesChanges = !n.readsFail && m.rng.IntN(3) == 0, m.rng.IntN(2) == 0
 			case x < 25:
-				w.read(n)
+				m.readAll(n)
 			case x < 37:
-				w.tell(n)
+				m.sendStatus(n)
 			case x < 46:
-				w.say(n)
+				m.markInForce(n)
 			case x < 65:
-				w.work(team)
+				m.runOwner(team)
 			case x < 75:
-				w.land(t, seed, team)
+				m.startTask(t, seed, team)
 			case x < 80:
-				w.tasks[team].running = max(0, w.tasks[team].running-1)
+				m.tasks[team].running = max(0, m.tasks[team].running-1)
 			default:
-				w.arrive()
+				m.deliverOne()
 			}
 		}
-		w.calm(t, seed)
-		inForce, refused, taught, handed = inForce+w.inForce, refused+w.refused, taught+w.taught, handed+w.handed
+		m.settle(t, seed)
+		inForce, withdrawn, synced, handovers = inForce+m.inForce, withdrawn+m.withdrawn, synced+m.synced, handovers+m.handovers
 	}
-	if min(inForce, refused, taught, handed) < 100 {
-		t.Errorf("too little happened: %d in force, %d taken back, %d taught, %d handed over", inForce, refused, taught, handed)
+	if min(inForce, withdrawn, synced, handovers) < 100 {
+		t.Errorf("too few events: %d changes in force, %d starts withdrawn, %d times missing changes applied, %d handovers", inForce, withdrawn, synced, handovers)
 	}
 }
 
-// calm has everything arrive, and sees that the last changes are in force.
-func (w *world) calm(t *testing.T, seed uint64) {
-	w.flying = nil
-	for _, n := range w.nodes {
-		n.mute = false
+// settle ends all faults, delivers all events and checks that the last change of each team is in force.
+func (m *model) settle(t *testing.T, seed uint64) {
+	m.inFlight = nil
+	for _, n := range m.nodes {
+		n.readsFail = false
 	}
 	for range 3 {
-		for _, n := range w.nodes {
-			w.read(n)
+		for _, n := range m.nodes {
+			m.readAll(n)
 		}
-		for len(w.flying) > 0 {
-			w.arrive()
+		for len(m.inFlight) > 0 {
+			m.deliverOne()
 		}
 	}
-	w.rewrite()
+	m.changeRecord()
 	for range 200 {
-		for _, n := range w.nodes {
-			w.read(n)
-			w.tell(n)
-			w.say(n)
+		for _, n := range m.nodes {
+			m.readAll(n)
+			m.sendStatus(n)
+			m.markInForce(n)
 		}
-		for len(w.flying) > 0 {
-			w.arrive()
+		for len(m.inFlight) > 0 {
+			m.deliverOne()
 		}
 		for _, team := range teamNames {
-			w.work(team)
-			w.land(t, seed, team)
+			m.runOwner(team)
+			m.startTask(t, seed, team)
 		}
 	}
 	for _, team := range teamNames {
-		h := w.history[team]
-		if len(h) > 0 && w.said[team] != h[len(h)-1].Version {
-			t.Fatalf("seed %d: the last change of %s, at %d, is not in force, but that of %d", seed, team, h[len(h)-1].Version, w.said[team])
+		h := m.history[team]
+		if len(h) > 0 && m.reported[team] != h[len(h)-1].Version {
+			t.Fatalf("seed %d: the last change of %s has version %d, but the last one in force has version %d", seed, team, h[len(h)-1].Version, m.reported[team])
 		}
 	}
 }
--- a/internal/teamconfig/teamconfig_test.go
+++ b/internal/teamconfig/teamconfig_test.go
@@ -25,30 +25,32 @@
 	return l.CPUsMax
 }
 
-// TestStaleConfigKeepsSmallerLimits: by knowledge older than the bound a raised quota counts only once it is in force, a lowered one at once.
+// TestStaleConfigKeepsSmallerLimits: in a stale configuration a raised limit counts only once it is in force, and a
+// lowered one at once.
 func TestStaleConfigKeepsSmallerLimits(t *testing.T) {
 	c := New([]settings.Team{{Name: "red", CPUsMax: 8}}, 4*time.Second)
 	c.MarkReadUpTo(10, start)
 	c.ApplyEntry("red", entry(1, "a", 20), 11)
 	c.MarkReadUpTo(11, start)
-	fresh, old := start.Add(4*time.Second), start.Add(5*time.Second)
-	if c.max(t, "red", fresh) != 20 || c.max(t, "red", old) != 8 {
-		t.Errorf("raised: %g by fresh and %g by old knowledge", c.max(t, "red", fresh), c.max(t, "red", old))
+	fresh, stale := start.Add(4*time.Second), start.Add(5*time.Second)
+	if c.max(t, "red", fresh) != 20 || c.max(t, "red", stale) != 8 {
+		t.Errorf("raised: %g in a fresh and %g in a stale configuration", c.max(t, "red", fresh), c.max(t, "red", stale))
 	}
 	c.MarkInForce("red", 11)
-	if c.max(t, "red", old) != 20 {
-		t.Errorf("raised and in force: %g", c.max(t, "red", old))
+	if c.max(t, "red", stale) != 20 {
+		t.Errorf("raised and in force: %g", c.max(t, "red", stale))
 	}
 	c.ApplyEntry("red", entry(2, "b", 3), 12)
-	if c.max(t, "red", fresh) != 3 || c.max(t, "red", old) != 3 {
+	if c.max(t, "red", fresh) != 3 || c.max(t, "red", stale) != 3 {
 		t.Errorf("lowered: %g", c.max(t, "red", fresh))
 	}
 	if c.MarkInForce("red", 11); len(c.NotInForce()) != 1 {
-		t.Error("an earlier change in force closes a later one")
+		t.Error("marking an earlier change in force removes a later one from NotInForce")
 	}
 }
 
-// TestControllerWithOtherSettingsFile: what was changed holds whatever a settings file says, and who has another file is named.
+// TestControllerWithOtherSettingsFile: changed entries take precedence over any settings file, and controllers with other
+// settings files are reported.
 func TestControllerWithOtherSettingsFile(t *testing.T) {
 	older := []settings.Team{{Name: "red", CPUsMax: 8}, {Name: "gone", CPUsMax: 4}}
 	newer := []settings.Team{{Name: "red", CPUsMax: 16}}
@@ -57,20 +59,20 @@
 		c.ApplyEntry("red", entry(3, "x", 5), 7)
 		c.ApplyEntry("gone", Entry{Number: 1, ChangeID: "y", CPUsMax: 4, Removed: true}, 8)
 		c.MarkReadUpTo(9, start)
-		_, takes := c.AcceptsJobs("gone")
-		if c.max(t, "red", start) != 5 || takes || c.max(t, "gone", start) != 4 || len(c.Teams()) != 2 {
-			t.Errorf("with %v: %v, takes %v", base, c.Teams(), takes)
+		_, accepts := c.AcceptsJobs("gone")
+		if c.max(t, "red", start) != 5 || accepts || c.max(t, "gone", start) != 4 || len(c.Teams()) != 2 {
+			t.Errorf("base %v: teams %v, removed team accepts jobs: %v", base, c.Teams(), accepts)
 		}
 	}
 	f := NewPropagation()
 	f.Apply("b", 1, Status{Serial: 1, BaseDigest: BaseDigest(newer)})
 	f.Apply("c", 1, Status{Serial: 1, BaseDigest: BaseDigest([]settings.Team{older[1], older[0]})})
 	if s := f.OtherSettings(BaseDigest(older)); len(s) != 1 || s[0] != "b" {
-		t.Errorf("other files at %v", s)
+		t.Errorf("controllers with other settings files: %v, want b", s)
 	}
 }
 
-// TestLaggingMembers: a member that knows less than the last change is named, with the time since when.
+// TestLaggingMembers: a member that does not know the last change is returned, with the time for which it has lagged.
 func TestLaggingMembers(t *testing.T) {
 	f := NewPropagation()
 	r := &MembershipRecord{Version: 5, Members: map[string]uint64{"a": 1, "b": 1}, Owner: func(string) string { return "a" }}
@@ -85,13 +87,13 @@
 	}
 	f.Apply("b", 2, Status{Serial: 1, RecordVersion: 5, KnownRevision: 9})
 	if l := f.Lagging(r, 9, start.Add(4*time.Second)); len(l) != 1 {
-		t.Error("a process that the record does not name counts")
+		t.Error("the status of a process that the record does not name counts")
 	}
 }
 
-// TestLossModel: a state service goes back, now and then with changes made in what it went back to, while controllers
-// live on with what they knew, some of which missed the last changes or began anew. After they told each other, all
-// agree, and every change that any of them knew is written back, or replaced by a later one, or named as overruled.
+// TestLossModel: the key-value store reverts to an older state, sometimes with new changes committed on top, while the
+// controllers keep what they knew, some without the last changes. After they have exchanged their entries, all agree, and
+// every change that any of them knew is written back, replaced by a later one, or returned as overruled.
 func TestLossModel(t *testing.T) {
 	overruled, written := 0, 0
 	for seed := range uint64(2000) {
@@ -114,7 +116,7 @@
 			}
 			c.MarkReadUpTo(revision, start)
 		}
-		for generation := range 1 + rng.IntN(3) {
+		for epoch := range 1 + rng.IntN(3) {
 			saved, savedRevision := map[string]stored{}, revision
 			for i := range 2 + rng.IntN(8) {
 				if i == 1 {
@@ -135,17 +137,17 @@
 				}
 			}
 			store, revision = saved, savedRevision
-			if generation == 0 && rng.IntN(3) == 0 {
+			if epoch == 0 && rng.IntN(3) == 0 {
 				store, revision = map[string]stored{}, 0
 			}
 			for range rng.IntN(3) {
-				commit() // by an operator whom nobody told yet
+				commit() // by an operator, before the controllers detect the loss
 			}
 			for _, c := range nodes {
 				c.StartEpoch()
 				read(c)
 			}
-			for range 2 { // in any order and twice
+			for range 2 { // in any order, and each twice
 				for _, from := range rng.Perm(3) {
 					for _, to := range rng.Perm(3) {
 						for _, x := range nodes[from].Unwritten() {
@@ -156,7 +158,7 @@
 			}
 			for _, x := range nodes[rng.IntN(3)].Unwritten() {
 				if store[x.Team].version != x.Version {
-					t.Fatalf("seed %d: %s is written over version %d, not %d", seed, x.Team, x.Version, store[x.Team].version)
+					t.Fatalf("seed %d: %s overwrites version %d, but the store has version %d", seed, x.Team, x.Version, store[x.Team].version)
 				}
 				revision++
 				written++
@@ -165,21 +167,21 @@
 			for i, c := range nodes {
 				read(c)
 				if len(c.Unwritten()) > 0 {
-					t.Fatalf("seed %d: %d still remembers %v", seed, i, c.Unwritten())
+					t.Fatalf("seed %d: controller %d still has unwritten changes %v", seed, i, c.Unwritten())
 				}
 				for team, s := range store {
 					if e, _ := c.Entry(team); e != s.Entry {
-						t.Fatalf("seed %d: %d knows %+v of %s, not %+v", seed, i, e, team, s.Entry)
+						t.Fatalf("seed %d: controller %d knows %+v for %s, want %+v", seed, i, e, team, s.Entry)
 					}
 				}
 			}
 			for team, e := range known {
 				if s := store[team]; s.Number < e.Number {
-					t.Fatalf("seed %d: change %d of %s vanished", seed, e.Number, team)
+					t.Fatalf("seed %d: change %d of %s was lost", seed, e.Number, team)
 				} else if s.Number == e.Number && s.ChangeID != e.ChangeID {
 					overruled++
-					if !named(nodes, e) {
-						t.Fatalf("seed %d: change %d of %s was overruled and nobody says so", seed, e.Number, team)
+					if !reportedOverruled(nodes, e) {
+						t.Fatalf("seed %d: change %d of %s was overruled and no controller returns it", seed, e.Number, team)
 					}
 				}
 			}
@@ -190,7 +192,8 @@
 	}
 }
 
-func named(nodes []*Config, e Entry) bool {
+// reportedOverruled reports whether any controller returns the entry as overruled.
+func reportedOverruled(nodes []*Config, e Entry) bool {
 	for _, c := range nodes {
 		for _, x := range c.Overruled() {
 			if x.Entry == e {
@@ -201,13 +204,13 @@
 	return false
 }
 
-// TestLateStatuses: what arrives late or twice, of entries and of members, changes nothing.
+// TestLateStatuses: entries and statuses that arrive late or twice have no effect.
 func TestLateStatuses(t *testing.T) {
 	c := New(nil, time.Second)
 	c.ApplyEntry("red", entry(1, "a", 8), 11)
 	c.ApplyEntry("red", entry(2, "b", 4), 12)
 	if c.ApplyEntry("red", entry(2, "b", 4), 12) || c.ApplyEntry("red", entry(1, "a", 8), 11) || len(c.Unwritten()) > 0 || c.Version("red") != 12 {
-		t.Errorf("a late entry: version %d, unwritten %v", c.Version("red"), c.Unwritten())
+		t.Errorf("after late entries: version %d, unwritten %v", c.Version("red"), c.Unwritten())
 	}
 	f := NewPropagation()
 	r := &MembershipRecord{Version: 5, Members: map[string]uint64{"a": 2}, Owner: func(string) string { return "a" }}
@@ -215,11 +218,11 @@
 	f.Apply("a", 2, Status{Serial: 6, RecordVersion: 5, KnownRevision: 9})
 	f.Apply("a", 1, Status{Serial: 8, RecordVersion: 5, KnownRevision: 20})
 	if f.KnownByAll(r) != 9 || len(f.Propagated(r, []Change{{Team: "red", Version: 8}})) > 0 {
-		t.Error("a late word of a member, or of its earlier process, counts")
+		t.Error("a late status of a member, or a status of its earlier process, counts")
 	}
 }
 
-// TestEntries: amounts out of range and names that are no part of a key are refused, a limit of 0 is none.
+// TestEntries: amounts out of range and names that are not valid in a key are rejected, and a limit of 0 means none.
 func TestEntries(t *testing.T) {
 	for e, want := range map[Entry]string{
 		{Number: 1, ChangeID: "a", CPUs: -1}:         "cpus",
@@ -235,16 +238,17 @@
 	}
 	for name, valid := range map[string]bool{"red": true, "a.b-c_9": true, "": false, "a/b": false, "a b": false, strings.Repeat("x", 101): false} {
 		if ValidTeam(name) != valid {
-			t.Errorf("%q", name)
+			t.Errorf("ValidTeam(%q) is not %v", name, valid)
 		}
 	}
 	e := entry(1, "a", 0)
 	if l := e.Limits(); !math.IsInf(l.CPUsMax, 1) || EntryFromSettings(l.team("red")).CPUsMax != 0 {
-		t.Errorf("%+v", l)
+		t.Errorf("limits of an entry without limits: %+v", l)
 	}
 }
 
-// TestFailoverNeedsKnownRevision: who takes a team over starts nothing before it knows all that was in force by then.
+// TestFailoverNeedsKnownRevision: a controller that takes a team over starts no tasks before it knows all changes that
+// were in force at that time.
 func TestFailoverNeedsKnownRevision(t *testing.T) {
 	c := New(nil, time.Second)
 	c.MarkReadUpTo(10, start)
@@ -252,12 +256,12 @@
 	c.ApplyMissing([]Change{{"red", entry(1, "a", 4), 14}}, 10, 20, 16, 15)
 	c.ApplyMissing([]Change{{"red", entry(2, "b", 3), 17}}, 12, 20, 15, 15)
 	if c.Ready() || c.KnownRevision() != 10 {
-		t.Errorf("known up to %d", c.KnownRevision())
+		t.Errorf("ready %v with known revision %d, want not ready with 10", c.Ready(), c.KnownRevision())
 	}
 	if c.MarkReadUpTo(15, start); !c.Ready() {
-		t.Error("does not begin")
+		t.Error("not ready although the required revision is known")
 	}
 	if c.StartEpoch(); c.KnownRevision() != 0 || len(c.Unwritten()) != 1 {
-		t.Errorf("after a loss known up to %d, remembered %v", c.KnownRevision(), c.Unwritten())
+		t.Errorf("after a loss: known revision %d, unwritten %v", c.KnownRevision(), c.Unwritten())
 	}
 }
