--- a/internal/cloud/golden_test.go
+++ b/internal/cloud/golden_test.go
@@ -8,7 +8,7 @@
 	"topazhollow/internal/settings"
 )
 
-// TestGoldenRequests: what the cloud is asked, in the form that is the cloud's own.
+// TestGoldenRequests checks the requests to the cloud, whose format the cloud defines.
 func TestGoldenRequests(t *testing.T) {
 	service := goldentest.NewService(t, map[string]string{"GET /hosts": `{"estaciones":[{"uid":"n-000231"}],"more":false}`, "POST /hosts": `{"estaciones":["n-000231"]}`})
 	c := New(service.Addr, settings.Cloud{RequestsPerSecond: 1000}, 1)
--- a/internal/kvstore/golden_test.go
+++ b/internal/kvstore/golden_test.go
@@ -10,7 +10,7 @@
 	"topazhollow/internal/settings"
 )
 
-// TestGoldenRequests: what the state service is asked, in the form that is the service's own.
+// TestGoldenRequests checks the requests to the key-value store, whose format the store defines.
 func TestGoldenRequests(t *testing.T) {
 	revision := `{"revision":432}`
 	service := goldentest.NewService(t, map[string]string{"POST /txn": revision, "POST /grants": `{"permiso":7}`, "GET /store": `{"entries":[],"more":false,"revision":432}`,
--- a/internal/kvstore/kvstore_test.go
+++ b/internal/kvstore/kvstore_test.go
@@ -14,8 +14,8 @@
 	"topazhollow/internal/simulation"
 )
 
-// TestSharedCommits: updates that share a transaction succeed or fail alone. A
-// conflict of one must not fail or repeat another, and no update is lost.
+// TestSharedCommits: updates that share a transaction succeed or fail independently. A conflict of one neither fails nor
+// repeats another, and no update is lost.
 func TestSharedCommits(t *testing.T) {
 	srv, err := simulation.NewKVStore(8, 16)
 	if err != nil {
@@ -53,13 +53,13 @@
 	}
 	srv.SetOutage(true)
 	if _, err := c.Commit(ctx, set("k/new")); !errors.Is(err, kvstore.ErrRefused) {
-		t.Fatalf("in an outage: %v", err)
+		t.Fatalf("commit during an outage: %v, want ErrRefused", err)
 	}
 }
 
-// TestConflictNamesItsKeys: who meets a conflict must know whether it was its own key or
-// another one that the update rests on. Taking a changed membership record for a lost job once
-// stopped a whole deployment for as long as jobs ended.
+// TestConflictNamesItsKeys: a conflict names the keys whose conditions failed, so that the caller can tell its own key from
+// another one that the update depends on. It guards against taking a changed membership record for a lost job, which
+// stopped the whole deployment as long as jobs ended.
 func TestConflictNamesItsKeys(t *testing.T) {
 	s, err := simulation.NewKVStore(16, 16)
 	if err != nil {
@@ -68,7 +68,7 @@
 	defer s.Close()
 	s.Put("w/c", "1")
 	s.Put("w/a/job", "1")
-	s.Put("w/c", "2") // changed meanwhile
+	s.Put("w/c", "2") // changed after it was read
 	c := kvstore.New(s.Addr(), settings.KVStore{RequestsPerSecond: 100, ChangesPerSecond: 100, ValueKB: 16, ChangesPerTransaction: 16}, 1)
 	ctx, stop := context.WithCancel(t.Context())
 	ended := make(chan error, 1)
@@ -77,7 +77,7 @@
 	_, err = c.Commit(ctx, kvstore.Update{Conditions: []protocol.Condition{{Key: "w/a/job", Version: 2}, {Key: "w/c", Version: 1}}, Changes: []protocol.Op{{Delete: "w/a/job"}}})
 	var conflict *kvstore.ConflictError
 	if !errors.Is(err, kvstore.ErrConflict) || !errors.As(err, &conflict) || !slices.Equal(conflict.Keys, []string{"w/c"}) {
-		t.Fatalf("%v", err)
+		t.Fatalf("error %v, want a conflict on w/c only", err)
 	}
 	if _, err := c.Commit(ctx, kvstore.Update{Conditions: []protocol.Condition{{Key: "w/a/job", Version: 2}, {Key: "w/c", Version: 3}}, Changes: []protocol.Op{{Delete: "w/a/job"}}}); err != nil {
 		t.Fatal(err)
--- a/internal/kvstore/share_test.go
+++ b/internal/kvstore/share_test.go
@@ -5,48 +5,48 @@
 	"testing"
 )
 
-// TestShares: the ends of one team's many small jobs are its owner's to write, and an
-// even share of the rate was too little for them while others had changes to spare.
-// Whatever is wanted, all together stay within the rate, nobody gets less than the
-// even share, and who is alone in need gets most of what others leave.
+// TestShares: for any demands, the controllers together stay within the rate, none gets less than the equal share, and a
+// single controller with more demand gets most of what the others leave. It guards against an owner that must write the
+// ends of many small jobs of a team with only an equal share, while others have changes to spare.
 func TestShares(t *testing.T) {
 	for seed := range uint64(500) {
 		rng := rand.New(rand.NewPCG(seed, 8))
-		even := 1 + 20*rng.Float64()
-		wants := make([]float64, 1+rng.IntN(5))
-		for i := range wants {
-			wants[i] = 3 * even * rng.Float64()
+		equal := 1 + 20*rng.Float64()
+		demands := make([]float64, 1+rng.IntN(5))
+		for i := range demands {
+			demands[i] = 3 * equal * rng.Float64()
 		}
 		total := 0.0
-		for i, mine := range wants {
+		for i, own := range demands {
 			var others []float64
-			for j, w := range wants {
+			for j, demand := range demands {
 				if j != i && rng.IntN(4) == 0 {
-					w = -1 // not heard of: it may want its even share
+					demand = -1 // unknown: it may use its equal share
 				}
 				if j != i {
-					others = append(others, w)
+					others = append(others, demand)
 				}
 			}
-			got := fairShare(even, others)
-			if got < even {
-				t.Fatalf("seed %d: %g is less than the even share of %g", seed, got, even)
+			got := fairShare(equal, others)
+			if got < equal {
+				t.Fatalf("seed %d: %g is less than the equal share of %g", seed, got, equal)
 			}
-			if mine > even { // alone in not hearing somebody it can only get less
-				total += fairShare(even, without(wants, i))
+			if own > equal { // with all demands known it gets at least as much as with some unknown
+				total += fairShare(equal, without(demands, i))
 			} else {
-				total += mine
+				total += own
 			}
 		}
-		if most := even * float64(len(wants)); total > most+1e-9 {
-			t.Fatalf("seed %d: %g changes a second in all, %g allowed, wanted %v", seed, total, most, wants)
+		if limit := equal * float64(len(demands)); total > limit+1e-9 {
+			t.Fatalf("seed %d: %g changes per second in total, limit %g, demands %v", seed, total, limit, demands)
 		}
 	}
 	if got := fairShare(10, []float64{2, 0}); got < 20 {
-		t.Errorf("%g of 30 changes a second for the only one in need", got)
+		t.Errorf("%g of 30 changes per second for the only controller with more demand, want at least 20", got)
 	}
 }
 
+// without returns the list without element i.
 func without(list []float64, i int) (rest []float64) {
 	for j, x := range list {
 		if j != i {
@@ -56,26 +56,27 @@
 	return rest
 }
 
-// TestUsersGoFirst: a user waits for an acceptance or a withdrawal; behind the ends of
-// hundreds of small jobs that took seconds. Among their kind updates keep their order.
-func TestUsersGoFirst(t *testing.T) {
+// TestUrgentUpdatesFirst: urgent updates, for which users wait, are queued before others, and updates of the same kind
+// keep their order. It guards against acceptances and cancellations that take seconds behind the ends of hundreds of
+// small jobs.
+func TestUrgentUpdatesFirst(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 9))
 	var waiting queues
-	came := map[*queuedUpdate]int{}
+	position := map[*queuedUpdate]int{}
 	for i := range 200 {
 		p := &queuedUpdate{Update: Update{Urgent: rng.IntN(3) == 0}}
 		p.Deferrable = !p.Urgent && rng.IntN(3) == 0
-		came[p] = i
+		position[p] = i
 		waiting.add(p)
 	}
-	urgent, later := waiting.normal, waiting.deferrable
-	if len(urgent)+len(later) != 200 || len(later) == 0 {
-		t.Fatalf("%d and %d of 200", len(urgent), len(later))
+	normal, deferrable := waiting.normal, waiting.deferrable
+	if len(normal)+len(deferrable) != 200 || len(deferrable) == 0 {
+		t.Fatalf("%d normal and %d deferrable updates of 200", len(normal), len(deferrable))
 	}
-	for i := range urgent[1:] {
-		p, q := urgent[i], urgent[i+1]
-		if (!p.Urgent && q.Urgent) || (p.Urgent == q.Urgent && came[p] > came[q]) || p.Deferrable || q.Deferrable {
-			t.Fatalf("update %d is before %d in the queue", came[p], came[q])
+	for i := range normal[1:] {
+		p, q := normal[i], normal[i+1]
+		if (!p.Urgent && q.Urgent) || (p.Urgent == q.Urgent && position[p] > position[q]) || p.Deferrable || q.Deferrable {
+			t.Fatalf("update %d is before update %d in the queue", position[p], position[q])
 		}
 	}
 }
--- a/internal/peer/golden_test.go
+++ b/internal/peer/golden_test.go
@@ -12,8 +12,8 @@
 	"topazhollow/internal/goldentest"
 )
 
-// The golden file is what a connection between controllers carries: a line that names the sender, then the messages.
-// Controllers of two versions run beside each other, so the form may only grow.
+// The golden file holds the data sent on a connection between controllers: the greeting and the messages. Controllers of
+// different versions run at the same time during an upgrade, so the format may only be extended.
 
 const connectionFile = "connection.jsonl"
 
@@ -21,14 +21,14 @@
 	Text string `json:"text"`
 }
 
-// message is what a handler was given.
+// message holds the arguments of a call of PeerMessage.
 type message struct {
 	node        string
 	incarnation uint64
 	kind, body  string
 }
 
-// collector takes the messages of a connection.
+// collector is a Handler that passes its calls to channels.
 type collector struct {
 	up       chan string
 	messages chan message
@@ -55,7 +55,7 @@
 	return l
 }
 
-// TestGoldenSending: what a controller writes to a peer.
+// TestGoldenSending checks what a controller sends to a peer.
 func TestGoldenSending(t *testing.T) {
 	l, c := listen(t), newCollector()
 	links := New("estacion-1", 1767225600000001, map[string]string{"estacion-2": l.Addr().String()}, c, slog.New(slog.DiscardHandler))
@@ -72,7 +72,7 @@
 	}
 	defer conn.Close()
 	<-c.up
-	links.Send("estacion-2", "first", text{"<a> & \u00e9 \u2028\n"}) // what JSON may write in several ways
+	links.Send("estacion-2", "first", text{"<a> & \u00e9 \u2028\n"}) // characters that JSON encoders may escape
 	links.SendEncoded("estacion-2", Encode("second", []int{1, 2}))
 	links.Send("estacion-2", "third", nil)
 	if err := conn.SetReadDeadline(time.Now().Add(10 * time.Second)); err != nil {
@@ -80,7 +80,7 @@
 	}
 	var got []byte
 	reader := bufio.NewReader(conn)
-	for range 4 { // the sender's name and three messages
+	for range 4 { // the greeting and three messages
 		line, err := reader.ReadBytes('\n')
 		if err != nil {
 			t.Fatal(err)
@@ -93,11 +93,11 @@
 	}
 	var timeout net.Error
 	if more, err := reader.Read(make([]byte, 1)); more > 0 || !errors.As(err, &timeout) {
-		t.Errorf("%d bytes more, error %v", more, err)
+		t.Errorf("%d unexpected bytes, error %v", more, err)
 	}
 }
 
-// TestGoldenReceiving: what a controller takes from a peer.
+// TestGoldenReceiving checks that a controller decodes the golden connection into the same messages.
 func TestGoldenReceiving(t *testing.T) {
 	l := listen(t)
 	addr := l.Addr().String()
@@ -123,12 +123,12 @@
 				t.Errorf("got %+v, want %+v", got, want)
 			}
 		case <-time.After(10 * time.Second):
-			t.Fatalf("%s did not come", want.kind)
+			t.Fatalf("message %s did not arrive", want.kind)
 		}
 	}
 }
 
-// dial connects to an address that is listened at soon.
+// dial connects to an address, retrying until a listener is there.
 func dial(t *testing.T, addr string) net.Conn {
 	t.Helper()
 	for deadline := time.Now().Add(10 * time.Second); ; time.Sleep(20 * time.Millisecond) {
--- a/internal/peer/halfopen_test.go
+++ b/internal/peer/halfopen_test.go
@@ -10,48 +10,48 @@
 	"time"
 )
 
-// TestHalfOpenDetector: only a connection that has stood, and whose peer has been heard without a pause, for the whole time
-// without any progress is half-open.
+// TestHalfOpenDetector: a connection is half-open only if it was open, and the peer's statuses arrived steadily, for the
+// whole of stallTimeout without any progress.
 func TestHalfOpenDetector(t *testing.T) {
-	const every = 500 * time.Millisecond
+	const interval = 500 * time.Millisecond // between statuses
 	start := time.Unix(1000, 0)
 	tests := []struct {
 		name     string
 		received func(now time.Duration) uint64
-		heard    func(now time.Duration) bool
-		up       time.Duration // when a new connection comes up, beside the one at the start
-		want     time.Duration // when it is first found to be half-open; 0: never
+		arrives  func(now time.Duration) bool // whether the peer's status arrives; nil: always
+		up       time.Duration                // when a second connection is opened; 0: never
+		want     time.Duration                // when the connection is first reported as half-open; 0: never
 	}{
-		{"all arrives", func(now time.Duration) uint64 { return uint64(now) }, nil, 0, 0},
-		{"nothing ever arrives", func(time.Duration) uint64 { return 0 }, nil, 0, stallTimeout},
-		{"what arrives ends", func(now time.Duration) uint64 { return uint64(min(now, 4*time.Second)) }, nil, 0, 4*time.Second + stallTimeout},
-		{"a new connection has its time", func(time.Duration) uint64 { return 0 }, nil, 10 * time.Second, 10*time.Second + stallTimeout},
-		{"progress within the time", func(now time.Duration) uint64 { return uint64(now / (stallTimeout - every)) }, nil, 0, 0},
-		{"the peer is silent now and then", func(time.Duration) uint64 { return 0 }, func(now time.Duration) bool { return now%(10*time.Second) < 7*time.Second }, 0, 0},
-		{"a cut both ways ends", func(now time.Duration) uint64 { return uint64(min(now, time.Second)) },
-			func(now time.Duration) bool { return now < time.Second || now > 30*time.Second }, 0, 30*time.Second + every + stallTimeout},
+		{"everything is received", func(now time.Duration) uint64 { return uint64(now) }, nil, 0, 0},
+		{"nothing is ever received", func(time.Duration) uint64 { return 0 }, nil, 0, stallTimeout},
+		{"receiving stops", func(now time.Duration) uint64 { return uint64(min(now, 4*time.Second)) }, nil, 0, 4*time.Second + stallTimeout},
+		{"the timeout starts again with a new connection", func(time.Duration) uint64 { return 0 }, nil, 10 * time.Second, 10*time.Second + stallTimeout},
+		{"progress within the timeout", func(now time.Duration) uint64 { return uint64(now / (stallTimeout - interval)) }, nil, 0, 0},
+		{"statuses arrive with gaps", func(time.Duration) uint64 { return 0 }, func(now time.Duration) bool { return now%(10*time.Second) < 7*time.Second }, 0, 0},
+		{"a failure of both directions ends", func(now time.Duration) uint64 { return uint64(min(now, time.Second)) },
+			func(now time.Duration) bool { return now < time.Second || now > 30*time.Second }, 0, 30*time.Second + interval + stallTimeout},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
 			var d HalfOpenDetector
 			d.Connected(start)
 			found := time.Duration(0)
-			for now := time.Duration(0); now < time.Minute && found == 0; now += every {
+			for now := time.Duration(0); now < time.Minute && found == 0; now += interval {
 				if test.up > 0 && now == test.up {
 					d.Connected(start.Add(now))
 				}
-				if (test.heard == nil || test.heard(now)) && d.StatusReceived(start.Add(now), test.received(now)) {
+				if (test.arrives == nil || test.arrives(now)) && d.StatusReceived(start.Add(now), test.received(now)) {
 					found = now
 				}
 			}
 			if found != test.want {
-				t.Errorf("half-open after %s, want %s", found, test.want)
+				t.Errorf("reported as half-open after %s, want %s", found, test.want)
 			}
 		})
 	}
 }
 
-// TestHalfOpenIsReportedOnce: a connection that was reset has the whole time again.
+// TestHalfOpenIsReportedOnce: after a report the whole of stallTimeout must pass before the next one.
 func TestHalfOpenIsReportedOnce(t *testing.T) {
 	var d HalfOpenDetector
 	start, resets := time.Unix(1000, 0), 0
@@ -62,11 +62,11 @@
 		}
 	}
 	if resets != 2 {
-		t.Errorf("%d resets within twice the time, want 2", resets)
+		t.Errorf("%d reports within twice stallTimeout, want 2", resets)
 	}
 }
 
-// linkEvents counts how often a link came up.
+// linkEvents is a Handler that counts calls of PeerUp.
 type linkEvents struct {
 	mu sync.Mutex
 	up int
@@ -80,7 +80,7 @@
 func (e *linkEvents) PeerDown(string)                            {}
 func (e *linkEvents) PeerMessage(string, uint64, string, []byte) {}
 
-// TestResetRedials: a connection that nobody reads is replaced, and what is sent from then on arrives.
+// TestResetRedials: Reset replaces a connection that is not read, and messages sent after that arrive.
 func TestResetRedials(t *testing.T) {
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
@@ -99,7 +99,7 @@
 		t.Fatal(err)
 	}
 	defer unread.Close()
-	for !links.Send("b", "status", 1) { // until the first connection counts as up
+	for !links.Send("b", "status", 1) { // until the first connection is up
 		time.Sleep(time.Millisecond)
 	}
 	links.Reset("b")
@@ -120,6 +120,6 @@
 	events.mu.Lock()
 	defer events.mu.Unlock()
 	if events.up != 2 {
-		t.Errorf("up %d times", events.up)
+		t.Errorf("PeerUp called %d times, want 2", events.up)
 	}
 }
--- a/internal/protocol/golden_test.go
+++ b/internal/protocol/golden_test.go
@@ -9,9 +9,10 @@
 	"topazhollow/internal/protocol"
 )
 
-// The golden files of the protocol with users, workers, the cloud and the state service. It is theirs: no name in it is this
-// program's to change.
+// The golden files hold the messages to and from users, agents, the cloud and the key-value store. Those interfaces are
+// defined outside this program, so no name in the files may change.
 
+// TestGoldenMessages checks the encoding and decoding of every message.
 func TestGoldenMessages(t *testing.T) {
 	number, value := 12.5, json.RawMessage(`{"a":[1,null]}`)
 	task := protocol.TaskStatus{Task: "job-000412/3", Attempt: 2, State: protocol.Exited, Reason: protocol.ReasonStopped, Checkpointed: true}
@@ -53,7 +54,7 @@
 	}
 }
 
-// TestGoldenParse: a submission is read field by field, which is to give what decoding gives.
+// TestGoldenParse: ParseSubmission decodes field by field, and must give the same result as decoding the whole message.
 func TestGoldenParse(t *testing.T) {
 	got, err := protocol.ParseSubmission(goldentest.Read(t, "submission-full.json"))
 	if err != nil {
@@ -62,7 +63,7 @@
 	goldentest.Bytes(t, "submission-full.json", protocol.Encode(got))
 }
 
-// joined lists words of one type, parted by blanks.
+// joined joins constants of one type by spaces.
 func joined[Word ~string](words ...Word) string {
 	var plain []string
 	for _, word := range words {
@@ -71,6 +72,7 @@
 	return strings.Join(plain, " ")
 }
 
+// TestGoldenWords checks the constant values on the wire and the order of priorities.
 func TestGoldenWords(t *testing.T) {
 	words := []string{
 		"kinds: " + joined(protocol.JobArray, protocol.Gang, protocol.Service),
--- a/internal/protocol/protocol_test.go
+++ b/internal/protocol/protocol_test.go
@@ -10,7 +10,7 @@
 "cores":8.0,"cards":1.0,"ram_gb":64.0,"imagen":"img-07","image_gb":6.2,"modelos":["g8"],"zona":null,"together":true,"apart":false,
 "prestadas":true,"estimado_s":240.0,"guardado_cada_s":30.0,"guardar_s":4.0,"vence_s":900.0,"nuevo":{"x":1}}`
 
-// TestSubmissions: what is taken and which field a refusal names.
+// TestSubmissions: valid submissions are accepted, and errors about invalid ones name the field.
 func TestSubmissions(t *testing.T) {
 	if s, err := ParseSubmission([]byte(good)); err != nil || s.Tasks != 16 || s.Zone != nil || *s.DeadlineSeconds != 900 {
 		t.Fatalf("%+v %v", s, err)
@@ -41,18 +41,19 @@
 	}
 	for _, body := range []string{"", "[]", "null", "{", "\"x\"", good + "x"} {
 		if _, err := ParseSubmission([]byte(body)); err == nil {
-			t.Errorf("took %.20q", body)
+			t.Errorf("accepted %.20q", body)
 		}
 	}
 }
 
+// TestTaskNames: SplitTask reverses TaskName and rejects other names.
 func TestTaskNames(t *testing.T) {
 	if job, i, ok := SplitTask(TaskName("job-1", 42)); !ok || job != "job-1" || i != 42 {
 		t.Fatal(job, i, ok)
 	}
 	for _, name := range []string{"", "/1", "job-1", "job-1/", "job-1/-1", "job-1/01", "job-1/100000", "job-1/x"} {
 		if _, _, ok := SplitTask(name); ok {
-			t.Errorf("took %q", name)
+			t.Errorf("accepted %q", name)
 		}
 	}
 }
--- a/internal/settings/golden_test.go
+++ b/internal/settings/golden_test.go
@@ -7,16 +7,16 @@
 	"topazhollow/internal/goldentest"
 )
 
-// The files that operators write: a name in them may be added, none may be renamed or taken away. Each value is compared by itself,
-// as the fields' names in Go are no form.
+// The golden files are files that operators write: names may be added to their formats, but not renamed or removed. The
+// tests compare each value separately, so that the names of Go fields are free to change.
 
-// value is what a setting was read as.
+// value is the decoded value of a setting.
 type value struct {
 	name      string
 	got, want any
 }
 
-// compare reports each value that is not as it should be.
+// compare reports each value that differs from the wanted one.
 func compare(t *testing.T, values []value) {
 	t.Helper()
 	for _, v := range values {
@@ -26,6 +26,7 @@
 	}
 }
 
+// TestGoldenSettings checks every field of the settings file.
 func TestGoldenSettings(t *testing.T) {
 	s, err := Parse(goldentest.Read(t, "settings.json"))
 	if err != nil {
@@ -51,6 +52,7 @@
 	})
 }
 
+// TestGoldenScript checks every option of the script.
 func TestGoldenScript(t *testing.T) {
 	o, err := ParseScript("options.star", goldentest.Read(t, "options.star"))
 	if err != nil {
@@ -64,7 +66,7 @@
 	})
 }
 
-// TestGoldenDefaults: what holds without a script.
+// TestGoldenDefaults checks the options that apply without a script.
 func TestGoldenDefaults(t *testing.T) {
 	o := DefaultOptions()
 	compare(t, []value{
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -13,7 +13,7 @@
 "state":{"rps":150,"write_rps":30,"value_kb":8,"txn_ops":24},"cloud":{"rps":6,"list_lag_s":3},
 "limits":{"cores":0.3,"memory_mb":234,"max_sockets":2500},"clock_off_ms":25},"nuevo":1}`
 
-// TestBadFieldIsNamed: a wrong setting ends the start with its name.
+// TestBadFieldIsNamed: the error about an invalid setting is one line that names the field.
 func TestBadFieldIsNamed(t *testing.T) {
 	if _, err := Parse([]byte(good)); err != nil {
 		t.Fatal(err)
@@ -40,8 +40,8 @@
 	}
 }
 
-// TestNoLimit: a limit of 0 is none. A team that joins without guarantee and limit
-// had every submission refused as needing more than its limit.
+// TestNoLimit: a limit of 0 means none. It guards against refusing every submission of a team without guarantee and limit
+// as needing more than the limit.
 func TestNoLimit(t *testing.T) {
 	s, err := Parse([]byte(strings.Replace(good, `"cpus":1,"cpus_max":2`, `"cpus":0,"cpus_max":0`, 1)))
 	if err != nil {
@@ -52,7 +52,7 @@
 	}
 }
 
-// TestScripts: options are bounded and checked, and a script cannot run for ever.
+// TestScripts: options are checked against their bounds, and a script cannot run forever.
 func TestScripts(t *testing.T) {
 	o, err := ParseScript("s.star", []byte("_n = [8 for _ in range(2)]\nwarm_machines = _n[0]\nidle_return_s = 1.5\n"))
 	if err != nil || o.WarmMachines != 8 || o.IdleReturnSeconds != 1.5 || o.SampleSize != DefaultOptions().SampleSize {
--- a/internal/teamstore/golden_test.go
+++ b/internal/teamstore/golden_test.go
@@ -8,8 +8,10 @@
 	"topazhollow/internal/teamconfig"
 )
 
-// The golden files of teams' keys in the state service, and of what the operator's tool prints: the forms may only grow.
+// The golden files hold the keys of teams in the key-value store and the output of the operators' tool. Their formats may
+// only be extended.
 
+// TestGoldenCommitted checks the key prefix and the format of committed changes.
 func TestGoldenCommitted(t *testing.T) {
 	goldentest.Bytes(t, "keys.txt", []byte(strings.Join([]string{"team: " + Prefix + "vision"}, "\n")+"\n"))
 	entry := teamconfig.Entry{Number: 3, ChangeID: "drawn", CPUs: 96, CPUsMax: 192.5, GPUs: 8, GPUsMax: 16, Removed: true, StopExcess: true}
--- a/internal/userapi/golden_test.go
+++ b/internal/userapi/golden_test.go
@@ -8,9 +8,10 @@
 	"topazhollow/internal/protocol"
 )
 
-// The golden files of jobs and their ends in the state service. They outlive the process that wrote them, so the forms may
-// only grow.
+// The golden files hold jobs and their ends as stored in the key-value store. They outlive the process that wrote them,
+// so their formats may only be extended.
 
+// TestGoldenStored checks the key prefixes and the stored formats.
 func TestGoldenStored(t *testing.T) {
 	goldentest.Bytes(t, "keys.txt", []byte(strings.Join([]string{
 		"all that is watched: " + WatchedPrefix,
