--- a/internal/admission/fairshares_test.go
+++ b/internal/admission/fairshares_test.go
@@ -8,8 +8,8 @@
 )
 
 // TestFairSharesModel compares FairShares with a simple model that repeatedly gives a small amount to the key with the
-// smallest share per weight and unmet demand, guarantees first. It also checks that no CPUs are left over while there is
-// unmet demand, and that no key gets more than its demand.
+// smallest share per weight and unmet demand, guarantees first. It also checks that no CPUs are left over while there
+// is unmet demand, and that no key gets more than its demand.
 func TestFairSharesModel(t *testing.T) {
 	for seed := range uint64(200) {
 		rng := rand.New(rand.NewPCG(seed, 3))
--- a/internal/admission/floors.go
+++ b/internal/admission/floors.go
@@ -78,7 +78,8 @@
 	return over
 }
 
-// groupFloors divides CPUs into floors for the groups that the demands belong to. due holds the fair shares of the keys.
+// groupFloors divides CPUs into floors for the groups that the demands belong to. due holds the fair shares of the
+// keys.
 func groupFloors(cpus float64, demands []Demand, due map[Key]float64, teams map[string]Quota, w *Weights, groupOf func(Key) Key) []Group {
 	sums := map[Key]*Demand{}
 	share := map[Key]float64{}
--- a/internal/admission/floors_test.go
+++ b/internal/admission/floors_test.go
@@ -50,8 +50,8 @@
 	}
 }
 
-// TestFloorsWithinALimitFitIt: the floors of the classes of a team at its limit do not exceed the limit. A team that asks
-// for less than its limit, or whose limit is not below the CPUs of all machines, has no such floors.
+// TestFloorsWithinALimitFitIt: the floors of the classes of a team at its limit do not exceed the limit. A team that
+// asks for less than its limit, or whose limit is not below the CPUs of all machines, has no such floors.
 func TestFloorsWithinALimitFitIt(t *testing.T) {
 	in := crowdedTeam()
 	for _, most := range []float64{0, 10, 100, 1000, 3999, 4100, 5000} {
--- a/internal/admission/plan.go
+++ b/internal/admission/plan.go
@@ -22,7 +22,8 @@
 type Floor struct {
 	Key
 	CPUs float64 `json:"cpus"`
-	// WithinLimit marks a floor that only orders the tasks waiting for the team's limit. No machines are reserved for it.
+	// WithinLimit marks a floor that only orders the tasks waiting for the team's limit. No machines are reserved for
+	// it.
 	WithinLimit bool `json:"within_limit,omitempty"`
 }
 
--- a/internal/admission/planner_test.go
+++ b/internal/admission/planner_test.go
@@ -31,9 +31,9 @@
 // omissions selects rules that the model leaves out, to check that the test detects it.
 type omissions struct{ unconfirmed, unreachable, direct, fresh bool }
 
-// simulatePlans runs a random history of three controllers: messages are late or lost, the fleet shard changes its owner,
-// processes restart, and a controller is isolated and dropped. It returns the first conflict of plans, if any, and the
-// number of plans made.
+// simulatePlans runs a random history of three controllers: messages are late or lost, the fleet shard changes its
+// owner, processes restart, and a controller is isolated and dropped. It returns the first conflict of plans, if any,
+// and the number of plans made.
 func simulatePlans(seed uint64, omit omissions) (conflict string, made uint64) {
 	rng := rand.New(rand.NewPCG(seed, 11))
 	now := time.Unix(1000, 0)
@@ -194,9 +194,9 @@
 	}
 }
 
-// simulateCrowd simulates many small urgent tasks and large tasks of lower priority on a few machines, placed by priority
-// except for the plan. It returns the longest time that the large tasks were below their floor, after the plan had time
-// to take effect, and the number of started tasks.
+// simulateCrowd simulates many small urgent tasks and large tasks of lower priority on a few machines, placed by
+// priority except for the plan. It returns the longest time that the large tasks were below their floor, after the plan
+// had time to take effect, and the number of started tasks.
 func simulateCrowd(seed uint64, floors, reservations bool) (longestBelow time.Duration, ran, all int) {
 	rng := rand.New(rand.NewPCG(seed, 5))
 	type task struct {
@@ -268,9 +268,9 @@
 	return longestBelow, ran, 0
 }
 
-// TestFloorHolds: a class is not below its floor for longer than FloorAfter and the run times of the tasks on the machines
-// reserved for it, however urgent the other tasks are. Without floors, or without reservations for large tasks, it gets
-// nothing for minutes.
+// TestFloorHolds: a class is not below its floor for longer than FloorAfter and the run times of the tasks on the
+// machines reserved for it, however urgent the other tasks are. Without floors, or without reservations for large
+// tasks, it gets nothing for minutes.
 func TestFloorHolds(t *testing.T) {
 	for seed := range uint64(10) {
 		if below, ran, _ := simulateCrowd(seed, true, true); below > 15*time.Second || ran == 0 {
--- a/internal/admission/prioritize_test.go
+++ b/internal/admission/prioritize_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// TestPrioritizedTasks: three quarters of a class's deficit go to tasks that can still be in time, the rest to the oldest
-// job. A gang is prioritized as a whole or not at all, and other classes' deficits do not change.
+// TestPrioritizedTasks: three quarters of a class's deficit go to tasks that can still be in time, the rest to the
+// oldest job. A gang is prioritized as a whole or not at all, and other classes' deficits do not change.
 func TestPrioritizedTasks(t *testing.T) {
 	at := func(s int) time.Time { return time.Unix(1000+int64(s), 0) }
 	soon := &WaitingTasks{Class: "batch", Count: 10, TaskCPUs: 1, StartBy: at(10), SubmittedAt: at(3)}
--- a/internal/admission/ratelimit_test.go
+++ b/internal/admission/ratelimit_test.go
@@ -7,9 +7,9 @@
 	"time"
 )
 
-// TestRateLimiter: while one team floods the system, another team's submissions are admitted up to its share, retries of
-// rejected jobs have precedence over new submissions, no retry is requested after userTimeout, and unused shares go to
-// the other team.
+// TestRateLimiter: while one team floods the system, another team's submissions are admitted up to its share, retries
+// of rejected jobs have precedence over new submissions, no retry is requested after userTimeout, and unused shares go
+// to the other team.
 func TestRateLimiter(t *testing.T) {
 	for seed := range uint64(20) {
 		rng := rand.New(rand.NewPCG(seed, 7))
--- a/internal/admission/reservation.go
+++ b/internal/admission/reservation.go
@@ -86,7 +86,8 @@
 	return kept
 }
 
-// reserveFor reserves machines for a class: first those already reserved for it, then those expected to be idle soonest.
+// reserveFor reserves machines for a class: first those already reserved for it, then those expected to be idle
+// soonest.
 func (r *reservations) reserveFor(c *classReservation, kept []string) {
 	for _, name := range kept {
 		r.add(c, r.machines[name])
--- a/internal/cloud/cloud.go
+++ b/internal/cloud/cloud.go
@@ -1,5 +1,5 @@
-// Package cloud is the client of the cloud's rental interface: the catalog of machine types, scaling out and in, and the
-// list of machines. It limits requests to one controller's share of the cloud's rate. internal/autoscaler and
+// Package cloud is the client of the cloud's rental interface: the catalog of machine types, scaling out and in, and
+// the list of machines. It limits requests to one controller's share of the cloud's rate. internal/autoscaler and
 // internal/provisioning decide which machines to rent.
 package cloud
 
--- a/internal/kvstore/batch.go
+++ b/internal/kvstore/batch.go
@@ -215,8 +215,8 @@
 	}
 }
 
-// nextBatch picks the updates of the next transaction. It picks none if only deferrable updates wait and the rate has no
-// changes to spare.
+// nextBatch picks the updates of the next transaction. It picks none if only deferrable updates wait and the rate has
+// no changes to spare.
 func (b *batcher) nextBatch(waiting *queues) (batch []*queuedUpdate) {
 	writes := b.client.writes
 	if len(waiting.normal) > 0 {
--- a/internal/kvstore/kvstore.go
+++ b/internal/kvstore/kvstore.go
@@ -1,10 +1,11 @@
 // Package kvstore is the client of the region's consensus-backed key-value store.
 //
-// Reads and updates are limited to one controller's share of the store's rates. Leases and the membership record are not
-// limited; a part of the rates is reserved for them. An Update is a compare-and-swap that is committed as a whole or not
-// at all. Updates that touch different keys share transactions by group commit (batch.go). Every update carries a fence,
-// which is a condition on a key that exists only in the present epoch of the store's data, and every answer's revision
-// is compared with earlier ones, so that a store that lost acknowledged data is detected and not written to (fence.go).
+// Reads and updates are limited to one controller's share of the store's rates. Leases and the membership record are
+// not limited; a part of the rates is reserved for them. An Update is a compare-and-swap that is committed as a whole
+// or not at all. Updates that touch different keys share transactions by group commit (batch.go). Every update carries
+// a fence, which is a condition on a key that exists only in the present epoch of the store's data, and every answer's
+// revision is compared with earlier ones, so that a store that lost acknowledged data is detected and not written to
+// (fence.go).
 //
 // The package makes no decisions about jobs or machines and caches no data. A Client is safe for concurrent use.
 package kvstore
@@ -106,8 +107,8 @@
 	c.writes.SetLimit(rate.Limit(fairShare(c.equalRate, demands)))
 }
 
-// fairShare returns the equal share plus a part of what the others leave unused. A quarter of that stays free for demand
-// that has not been reported yet. Controllers with more demand than the equal share divide the rest equally.
+// fairShare returns the equal share plus a part of what the others leave unused. A quarter of that stays free for
+// demand that has not been reported yet. Controllers with more demand than the equal share divide the rest equally.
 func fairShare(equal float64, demands []float64) float64 {
 	unused, claimants := 0.0, 1.0
 	for _, demand := range demands {
--- a/internal/kvstore/kvstore_test.go
+++ b/internal/kvstore/kvstore_test.go
@@ -14,8 +14,8 @@
 	"topazhollow/internal/simulation"
 )
 
-// TestSharedCommits: updates that share a transaction succeed or fail independently. A conflict of one neither fails nor
-// repeats another, and no update is lost.
+// TestSharedCommits: updates that share a transaction succeed or fail independently. A conflict of one neither fails
+// nor repeats another, and no update is lost.
 func TestSharedCommits(t *testing.T) {
 	srv, err := simulation.NewKVStore(8, 16)
 	if err != nil {
@@ -57,9 +57,9 @@
 	}
 }
 
-// TestConflictNamesItsKeys: a conflict names the keys whose conditions failed, so that the caller can tell its own key from
-// another one that the update depends on. It guards against taking a changed membership record for a lost job, which
-// stopped the whole deployment as long as jobs ended.
+// TestConflictNamesItsKeys: a conflict names the keys whose conditions failed, so that the caller can tell its own key
+// from another one that the update depends on. It guards against taking a changed membership record for a lost job,
+// which stopped the whole deployment as long as jobs ended.
 func TestConflictNamesItsKeys(t *testing.T) {
 	s, err := simulation.NewKVStore(16, 16)
 	if err != nil {
--- a/internal/kvstore/share_test.go
+++ b/internal/kvstore/share_test.go
@@ -5,9 +5,9 @@
 	"testing"
 )
 
-// TestShares: for any demands, the controllers together stay within the rate, none gets less than the equal share, and a
-// single controller with more demand gets most of what the others leave. It guards against an owner that must write the
-// ends of many small jobs of a team with only an equal share, while others have changes to spare.
+// TestShares: for any demands, the controllers together stay within the rate, none gets less than the equal share, and
+// a single controller with more demand gets most of what the others leave. It guards against an owner that must write
+// the ends of many small jobs of a team with only an equal share, while others have changes to spare.
 func TestShares(t *testing.T) {
 	for seed := range uint64(500) {
 		rng := rand.New(rand.NewPCG(seed, 8))
--- a/internal/peer/golden_test.go
+++ b/internal/peer/golden_test.go
@@ -12,8 +12,8 @@
 	"topazhollow/internal/goldentest"
 )
 
-// The golden file holds the data sent on a connection between controllers: the greeting and the messages. Controllers of
-// different versions run at the same time during an upgrade, so the format may only be extended.
+// The golden file holds the data sent on a connection between controllers: the greeting and the messages. Controllers
+// of different versions run at the same time during an upgrade, so the format may only be extended.
 
 const connectionFile = "connection.jsonl"
 
--- a/internal/peer/halfopen.go
+++ b/internal/peer/halfopen.go
@@ -11,9 +11,9 @@
 )
 
 // HalfOpenDetector detects a half-open connection: one on which this controller sends while the peer receives nothing,
-// as the peer's statuses on the connection of the other direction show. It occurs when the peer's machine or the network
-// loses the connection without notice, and the operating system may keep it open for many minutes. The zero value has no
-// connection.
+// as the peer's statuses on the connection of the other direction show. It occurs when the peer's machine or the
+// network loses the connection without notice, and the operating system may keep it open for many minutes. The zero
+// value has no connection.
 type HalfOpenDetector struct {
 	connectedAt  time.Time // start of the connection
 	lastStatusAt time.Time // arrival of the peer's last status
@@ -25,9 +25,9 @@
 // Connected records the start of a new connection to the peer.
 func (d *HalfOpenDetector) Connected(now time.Time) { d.connectedAt = now }
 
-// StatusReceived processes a status of the peer. received is the position of the last message from this process that the
-// peer acknowledges, in any increasing unit, 0 for none. It reports whether the connection is half-open and should be
-// reset; the detector then treats it as a new connection.
+// StatusReceived processes a status of the peer. received is the position of the last message from this process that
+// the peer acknowledges, in any increasing unit, 0 for none. It reports whether the connection is half-open and should
+// be reset; the detector then treats it as a new connection.
 func (d *HalfOpenDetector) StatusReceived(now time.Time, received uint64) (stalled bool) {
 	if now.Sub(d.lastStatusAt) > steadyGap {
 		d.steadySince = now
--- a/internal/peer/halfopen_test.go
+++ b/internal/peer/halfopen_test.go
@@ -10,8 +10,8 @@
 	"time"
 )
 
-// TestHalfOpenDetector: a connection is half-open only if it was open, and the peer's statuses arrived steadily, for the
-// whole of stallTimeout without any progress.
+// TestHalfOpenDetector: a connection is half-open only if it was open, and the peer's statuses arrived steadily, for
+// the whole of stallTimeout without any progress.
 func TestHalfOpenDetector(t *testing.T) {
 	const interval = 500 * time.Millisecond // between statuses
 	start := time.Unix(1000, 0)
--- a/internal/peer/peer.go
+++ b/internal/peer/peer.go
@@ -1,6 +1,6 @@
 // Package peer exchanges messages between controllers as lines of JSON. Each direction uses its own connection, which
-// the sender dials. Messages on a connection arrive in order; once a newer connection of a peer exists, late messages of
-// older ones are dropped. Messages may be lost, and this package never resends them. It does not interpret their
+// the sender dials. Messages on a connection arrive in order; once a newer connection of a peer exists, late messages
+// of older ones are dropped. Messages may be lost, and this package never resends them. It does not interpret their
 // contents. Links is safe for concurrent use; HalfOpenDetector is not.
 package peer
 
--- a/internal/protocol/kvstore.go
+++ b/internal/protocol/kvstore.go
@@ -4,8 +4,8 @@
 	stdjson "encoding/json"
 )
 
-// Entry is a key of the key-value store with its value. A key with a lease is deleted when the lease expires. Version is
-// the revision of the key's last change.
+// Entry is a key of the key-value store with its value. A key with a lease is deleted when the lease expires. Version
+// is the revision of the key's last change.
 type Entry struct {
 	Key     string             `json:"path"`
 	Value   stdjson.RawMessage `json:"v"`
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -40,8 +40,8 @@
 	}
 }
 
-// TestNoLimit: a limit of 0 means none. It guards against refusing every submission of a team without guarantee and limit
-// as needing more than the limit.
+// TestNoLimit: a limit of 0 means none. It guards against refusing every submission of a team without guarantee and
+// limit as needing more than the limit.
 func TestNoLimit(t *testing.T) {
 	s, err := Parse([]byte(strings.Replace(good, `"cpus":1,"cpus_max":2`, `"cpus":0,"cpus_max":0`, 1)))
 	if err != nil {
--- a/internal/teamconfig/config.go
+++ b/internal/teamconfig/config.go
@@ -128,9 +128,9 @@
 }
 
 // ApplyMissing applies the changes that a peer sent because it knows more: all after one revision up to another, the
-// peer's known revision. The known revision advances only if there is no gap between, and if the membership record known
-// here (version ownRecord) is at least as new as the peer's (peerRecord), because a known revision covers the membership
-// records written up to it too.
+// peer's known revision. The known revision advances only if there is no gap between, and if the membership record
+// known here (version ownRecord) is at least as new as the peer's (peerRecord), because a known revision covers the
+// membership records written up to it too.
 func (c *Config) ApplyMissing(changes []Change, after, upTo, peerRecord, ownRecord uint64) {
 	for _, x := range changes {
 		c.ApplyEntry(x.Team, x.Entry, x.Version)
--- a/internal/teamconfig/model_test.go
+++ b/internal/teamconfig/model_test.go
@@ -177,8 +177,8 @@
 	m.record = next
 }
 
-// owner returns the process that may start a team's tasks: the one that the present record names if it knows that record,
-// otherwise one that an older record names, until the new owner starts and rejects the starts of the old one.
+// owner returns the process that may start a team's tasks: the one that the present record names if it knows that
+// record, otherwise one that an older record names, until the new owner starts and rejects the starts of the old one.
 func (m *model) owner(team string) *node {
 	for _, n := range m.nodes {
 		if n.entitled && n.record.owners[team] == n.name && n.record.version == m.record.version {
--- a/internal/teamconfig/propagation.go
+++ b/internal/teamconfig/propagation.go
@@ -12,7 +12,7 @@
 	Epoch         uint64   `json:"generation"`          // of the key-value store's data
 	RecordVersion uint64   `json:"record"`              // version of the membership record that the status refers to
 	KnownRevision uint64   `json:"known"`               // revision up to which every entry is known
-	Unsettled     []string `json:"unsettled,omitempty"` // own teams that are not ready, or have starts under way beyond their limits
+	Unsettled     []string `json:"unsettled,omitempty"` // own teams not ready or with starts beyond limits
 	BaseDigest    uint64   `json:"base"`                // digest of the settings file's teams
 }
 
--- a/internal/teamconfig/teamconfig_test.go
+++ b/internal/teamconfig/teamconfig_test.go
@@ -49,8 +49,8 @@
 	}
 }
 
-// TestControllerWithOtherSettingsFile: changed entries take precedence over any settings file, and controllers with other
-// settings files are reported.
+// TestControllerWithOtherSettingsFile: changed entries take precedence over any settings file, and controllers with
+// other settings files are reported.
 func TestControllerWithOtherSettingsFile(t *testing.T) {
 	older := []settings.Team{{Name: "red", CPUsMax: 8}, {Name: "gone", CPUsMax: 4}}
 	newer := []settings.Team{{Name: "red", CPUsMax: 16}}
@@ -92,8 +92,8 @@
 }
 
 // TestLossModel: the key-value store reverts to an older state, sometimes with new changes committed on top, while the
-// controllers keep what they knew, some without the last changes. After they have exchanged their entries, all agree, and
-// every change that any of them knew is written back, replaced by a later one, or returned as overruled.
+// controllers keep what they knew, some without the last changes. After they have exchanged their entries, all agree,
+// and every change that any of them knew is written back, replaced by a later one, or returned as overruled.
 func TestLossModel(t *testing.T) {
 	overruled, written := 0, 0
 	for seed := range uint64(2000) {
--- a/internal/userapi/status.go
+++ b/internal/userapi/status.go
@@ -54,8 +54,8 @@
 	return httpx.Answer{Status: 200, Body: protocol.Encode(s)}
 }
 
-// answerNotInStore answers about a job that the store does not have. The controllers may still have it in memory, or the
-// store may have lost it for good.
+// answerNotInStore answers about a job that the store does not have. The controllers may still have it in memory, or
+// the store may have lost it for good.
 func (h *Handler) answerNotInStore(ctx context.Context, uid string) httpx.Answer {
 	if _, version, ok := h.backend.KnownActiveJob(uid); ok {
 		if version > 0 { // it ended a moment ago or was lost; the copy in memory does not show which
--- a/internal/userapi/submit.go
+++ b/internal/userapi/submit.go
@@ -74,8 +74,8 @@
 	return refusal
 }
 
-// answerWithoutAccepting answers a submission whose job has ended, or may have been accepted before the store lost data.
-// If decided is false, the job may be accepted.
+// answerWithoutAccepting answers a submission whose job has ended, or may have been accepted before the store lost
+// data. If decided is false, the job may be accepted.
 func (h *Handler) answerWithoutAccepting(ctx context.Context, uid string) (answer httpx.Answer, decided bool) {
 	if end, ok := h.KnownEnd(uid); ok {
 		return h.answerStatus(uid, &end), true
--- a/internal/userapi/tenants_test.go
+++ b/internal/userapi/tenants_test.go
@@ -12,8 +12,8 @@
 	"topazhollow/internal/simulation"
 )
 
-// laggingBackend is a controller that does not know the last change of a team. CertainlyNeverAccepted calls caughtUp, as
-// a controller catches up with the store there.
+// laggingBackend is a controller that does not know the last change of a team. CertainlyNeverAccepted calls caughtUp,
+// as a controller catches up with the store there.
 type laggingBackend struct {
 	Backend
 	teams    map[string]settings.Team
@@ -39,8 +39,8 @@
 func (b *laggingBackend) CopyToPeer(context.Context, *ActiveJob, string, JobEnd) {}
 func (b *laggingBackend) JobAccepted(ActiveJob, uint64)                          {}
 
-// TestTeamsKnownLate: a controller that does not know yet that a team was added does not refuse its jobs permanently, and
-// one that does not know yet that a team was removed does not accept its jobs.
+// TestTeamsKnownLate: a controller that does not know yet that a team was added does not refuse its jobs permanently,
+// and one that does not know yet that a team was removed does not accept its jobs.
 func TestTeamsKnownLate(t *testing.T) {
 	store, err := simulation.NewKVStore(16, 16)
 	if err != nil {
--- a/internal/userapi/userapi.go
+++ b/internal/userapi/userapi.go
@@ -3,8 +3,8 @@
 // by compare-and-swap there, and an end that a user was told of is final.
 //
 // The package decides which answer is safe while the store is slow, refuses requests or has lost data. It never places
-// or stops a task. It calls its controller through Backend; its own state, the ends of jobs that it has read, is guarded
-// by Handler.mu. The three requests are in submit.go, cancel.go and status.go, the ends of jobs in ends.go.
+// or stops a task. It calls its controller through Backend; its own state, the ends of jobs that it has read, is
+// guarded by Handler.mu. The three requests are in submit.go, cancel.go and status.go, the ends of jobs in ends.go.
 package userapi
 
 import (
