--- a/internal/admission/planner.go
+++ b/internal/admission/planner.go
@@ -69,7 +69,7 @@
 func (pl *Planner) SinceTerm() uint64 { return pl.sinceTerm }
 
 // Plans returns the plan in force and the next one, which is nil if there is none.
-func (pl *Planner) Plans() (force, next *Plan) { return pl.inForce, pl.next }
+func (pl *Planner) Plans() (inForce, next *Plan) { return pl.inForce, pl.next }
 
 // reservationGrace is how long a class keeps its reserved machines after its last task stopped waiting.
 const reservationGrace = 5 * time.Second
--- a/internal/teamstore/teamstore.go
+++ b/internal/teamstore/teamstore.go
@@ -71,8 +71,8 @@
 }
 
 // Change applies edit to a team's entry and commits the result. A team without an entry starts from its amounts in the
-// settings file, and a team that is not there either, for which known is false, from zero. After a conflict edit is
-// applied again to the entry read anew. If there was no answer, reading the entry shows whether the change was made.
+// settings file, and a team that is not there either, for which known is false, from zero. After a conflict Change reads
+// the entry again and retries. If there was no answer, reading the entry shows whether the change was made.
 func (w *Writer) Change(ctx context.Context, team string, edit func(e *teamconfig.Entry, known bool) error) (Committed, error) {
 	if !teamconfig.ValidTeam(team) {
 		return Committed{}, fmt.Errorf("%w: %q", ErrTeamName, team)
