--- a/internal/cli/config.go
+++ b/internal/cli/config.go
@@ -41,7 +41,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("%w: %w", errUsage, err)
 	}
-	client := kvstore.New(s.Outside.KVStore, s.Deployment.KVStore, len(s.Peers)+2)
+	client := kvstore.New(s.Services.KVStore, s.Deployment.KVStore, len(s.Peers)+2)
 	go client.Run(ctx)
 	w := teamstore.New(client, s.Deployment.Teams)
 	return w, w.BindEpoch(ctx, controlRecord)
@@ -253,7 +253,7 @@
 			continue
 		}
 		for _, b := range x.Behind {
-			fmt.Fprintf(r.out, "  %s is behind: knows revision %d, for %.1f s\n", b.Node, b.Known, b.BehindSeconds)
+			fmt.Fprintf(r.out, "  %s is behind: knows revision %d, for %.1f s\n", b.Node, b.Known, b.LaggingSeconds)
 		}
 		for _, o := range x.Open {
 			fmt.Fprintf(r.out, "  change %d of team %s is not in force; its owner is %q\n", o.Number, o.Team, o.Owner)
--- a/internal/settings/golden_test.go
+++ b/internal/settings/golden_test.go
@@ -7,16 +7,16 @@
 	"topazhollow/internal/goldentest"
 )
 
-// The files that operators write: a name in them may be added, none may be renamed or taken away. Each value is compared by itself,
-// as the fields' names in Go are no form.
+// The golden files are files that operators write: names may be added to their formats, but not renamed or removed. The
+// tests compare each value separately, so that the names of Go fields are free to change.
 
-// value is what a setting was read as.
+// value is the decoded value of a setting.
 type value struct {
 	name      string
 	got, want any
 }
 
-// compare reports each value that is not as it should be.
+// compare reports each value that differs from the wanted one.
 func compare(t *testing.T, values []value) {
 	t.Helper()
 	for _, v := range values {
@@ -26,6 +26,7 @@
 	}
 }
 
+// TestGoldenSettings checks every field of the settings file.
 func TestGoldenSettings(t *testing.T) {
 	s, err := Parse(goldentest.Read(t, "settings.json"))
 	if err != nil {
@@ -37,12 +38,12 @@
 	compare(t, []value{
 		{"host_name", s.Name, "estacion-1"}, {"zone", s.Zone, "a"}, {"serve_on", s.Listen, "10.0.0.1:8080"}, {"peer_listen", s.PeerListen, "10.0.0.1:8081"},
 		{"seeds.host_name", s.Peers[0].Name, "estacion-2"}, {"seeds.zone", s.Peers[0].Zone, "b"}, {"seeds.endpoint", s.Peers[0].Endpoint, "10.0.0.2:8081"},
-		{"outside.cloud", s.Outside.Cloud, "10.2.0.2:1"}, {"outside.state", s.Outside.KVStore, "10.2.0.1:2"},
+		{"outside.cloud", s.Services.Cloud, "10.2.0.2:1"}, {"outside.state", s.Services.KVStore, "10.2.0.1:2"},
 		{"initial_size", d.Size, 2}, {"zones", d.Zones, []string{"a", "b"}}, {"clock_off_ms", d.ClockErrorMillis, 25},
 		{"teams.name", team.Name, "vision"}, {"teams.cpus", team.CPUs, 96}, {"teams.cpus_max", team.CPUsMax, 192.5}, {"teams.gpus", team.GPUs, 8}, {"teams.gpus_max", team.GPUsMax, 16},
 		{"teams.cpus_max 0", d.Teams[1].CPUsMax, "+Inf"}, {"teams.gpus_max 0", d.Teams[1].GPUsMax, "+Inf"},
 		{"objectives.kind", objective.Kind, "start"}, {"objectives.class", objective.Class, "train"}, {"objectives.within_s", objective.WithinSeconds, 30},
-		{"objectives.share", objective.Share, 0.95}, {"objectives.times", objective.Times, 1.5},
+		{"objectives.share", objective.Share, 0.95}, {"objectives.times", objective.DeadlineFactor, 1.5},
 		{"workers.report_s", d.Agents.HeartbeatSeconds, 3}, {"workers.lease_s", d.Agents.LeaseSeconds, 26}, {"workers.gang_wait_s", d.Agents.GangWaitSeconds, 35},
 		{"workers.gang_peer_s", d.Agents.GangPeerSeconds, 8}, {"workers.cancel_s", d.Agents.CancelSeconds, 56},
 		{"state.rps", d.KVStore.RequestsPerSecond, 150}, {"state.write_rps", d.KVStore.ChangesPerSecond, 30}, {"state.value_kb", d.KVStore.ValueKB, 9}, {"state.txn_ops", d.KVStore.ChangesPerTransaction, 24},
@@ -51,6 +52,7 @@
 	})
 }
 
+// TestGoldenScript checks every option of the script.
 func TestGoldenScript(t *testing.T) {
 	o, err := ParseScript("options.star", goldentest.Read(t, "options.star"))
 	if err != nil {
@@ -58,18 +60,18 @@
 	}
 	goldentest.AllSet(t, *o)
 	compare(t, []value{
-		{"sample_size", o.SampleSize, 33}, {"idle_return_s", o.IdleReturnSeconds, 11.5}, {"warm_machines", o.WarmMachines, 2}, {"spot_share", o.SpotShare, 0.5}, {"haste", o.Haste, 3},
-		{"node_lease_s", o.ControllerLeaseSeconds, 6}, {"class_floor", o.ClassFloor, 0.25}, {"floor_after_s", o.FloorAfterSeconds, 91}, {"config_bound_s", o.ConfigBoundSeconds, 12}, {"copy_wait_s", o.CopyWaitSeconds, 13},
-		{"bitmap_every_s", o.BitmapEverySeconds, 1.5}, {"team_weights", o.TeamWeights, map[string]float64{"vision": 2}}, {"class_weights", o.ClassWeights, map[string]float64{"train": 0.5}},
+		{"sample_size", o.SampleSize, 33}, {"idle_return_s", o.IdleReturnSeconds, 11.5}, {"warm_machines", o.WarmMachines, 2}, {"spot_share", o.SpotShare, 0.5}, {"haste", o.SafetyRunTimes, 3},
+		{"node_lease_s", o.ControllerLeaseSeconds, 6}, {"class_floor", o.ClassFloor, 0.25}, {"floor_after_s", o.FloorAfterSeconds, 91}, {"config_bound_s", o.ConfigMaxAgeSeconds, 12}, {"copy_wait_s", o.CopyWaitSeconds, 13},
+		{"bitmap_every_s", o.BitmapIntervalSeconds, 1.5}, {"team_weights", o.TeamWeights, map[string]float64{"vision": 2}}, {"class_weights", o.ClassWeights, map[string]float64{"train": 0.5}},
 	})
 }
 
-// TestGoldenDefaults: what holds without a script.
+// TestGoldenDefaults checks the options that apply without a script.
 func TestGoldenDefaults(t *testing.T) {
 	o := DefaultOptions()
 	compare(t, []value{
-		{"sample_size", o.SampleSize, 32}, {"idle_return_s", o.IdleReturnSeconds, 10}, {"warm_machines", o.WarmMachines, 1}, {"spot_share", o.SpotShare, 1}, {"haste", o.Haste, 2},
-		{"node_lease_s", o.ControllerLeaseSeconds, 5}, {"class_floor", o.ClassFloor, 0.5}, {"floor_after_s", o.FloorAfterSeconds, 90}, {"config_bound_s", o.ConfigBoundSeconds, 0}, {"copy_wait_s", o.CopyWaitSeconds, 0},
-		{"bitmap_every_s", o.BitmapEverySeconds, 1}, {"team_weights", len(o.TeamWeights), 0}, {"class_weights", len(o.ClassWeights), 0},
+		{"sample_size", o.SampleSize, 32}, {"idle_return_s", o.IdleReturnSeconds, 10}, {"warm_machines", o.WarmMachines, 1}, {"spot_share", o.SpotShare, 1}, {"haste", o.SafetyRunTimes, 2},
+		{"node_lease_s", o.ControllerLeaseSeconds, 5}, {"class_floor", o.ClassFloor, 0.5}, {"floor_after_s", o.FloorAfterSeconds, 90}, {"config_bound_s", o.ConfigMaxAgeSeconds, 0}, {"copy_wait_s", o.CopyWaitSeconds, 0},
+		{"bitmap_every_s", o.BitmapIntervalSeconds, 1}, {"team_weights", len(o.TeamWeights), 0}, {"class_weights", len(o.ClassWeights), 0},
 	})
 }
