--- a/internal/artifactreplication/config.go
+++ b/internal/artifactreplication/config.go
@@ -19,23 +19,23 @@
 
 // Config is deploy/keep.toml.
 type Config struct {
-	Name         string  `toml:"name"`
-	Listen       string  `toml:"listen"`
-	Dir          string  `toml:"dir"`
-	QuotaGB      float64 `toml:"quota_gb"`
-	ReserveGB    float64 `toml:"reserve_gb"`
-	TenantGB     float64 `toml:"tenant_gb"`
-	KeepDays     float64 `toml:"keep_days"`
-	Policy       string  `toml:"policy"`
-	Revoked      string  `toml:"revoked"`
-	PartialHours float64 `toml:"partial_hours"`
-	LooseHours   float64 `toml:"loose_hours"`
-	DutyMinutes  float64 `toml:"duty_minutes"`
-	ScrubMB      float64 `toml:"scrub_mb_per_s"`
-	RepairMB     float64 `toml:"repair_mb_per_s"`
-	RepairSec    float64 `toml:"repair_seconds"`
-	PatienceSec  float64 `toml:"patience_seconds"`
-	TLS          struct {
+	Name               string  `toml:"name"`
+	Listen             string  `toml:"listen"`
+	Dir                string  `toml:"dir"`
+	QuotaGB            float64 `toml:"quota_gb"`
+	ReserveGB          float64 `toml:"reserve_gb"`
+	TenantGB           float64 `toml:"tenant_gb"`
+	KeepDays           float64 `toml:"keep_days"`
+	Policy             string  `toml:"policy"`
+	Revoked            string  `toml:"revoked"`
+	PartialHours       float64 `toml:"partial_hours"`
+	UnreferencedHours  float64 `toml:"loose_hours"`
+	MaintenanceMinutes float64 `toml:"duty_minutes"`
+	ScrubMB            float64 `toml:"scrub_mb_per_s"`
+	RepairMB           float64 `toml:"repair_mb_per_s"`
+	RepairSec          float64 `toml:"repair_seconds"`
+	PeerTimeoutSec     float64 `toml:"patience_seconds"`
+	TLS                struct {
 		Cert string `toml:"cert"`
 		Key  string `toml:"key"`
 		CA   string `toml:"ca"` // whose certificates the other replicas have; the system's if empty
@@ -45,8 +45,8 @@
 
 // DefaultConfig is what holds for what a file does not say.
 func DefaultConfig() Config {
-	return Config{Name: "keeper-1", RepairMB: 20, RepairSec: 30, PatienceSec: 5, Listen: "127.0.0.1:8800", Dir: "target/keep", QuotaGB: 10, ReserveGB: 0.5, TenantGB: 0, KeepDays: 30, PartialHours: 24,
-		LooseHours: 24, DutyMinutes: 10, ScrubMB: 5}
+	return Config{Name: "keeper-1", RepairMB: 20, RepairSec: 30, PeerTimeoutSec: 5, Listen: "127.0.0.1:8800", Dir: "target/keep", QuotaGB: 10, ReserveGB: 0.5, TenantGB: 0, KeepDays: 30, PartialHours: 24,
+		UnreferencedHours: 24, MaintenanceMinutes: 10, ScrubMB: 5}
 }
 
 // LoadConfig reads and checks a file. An unknown or impossible field is an error that
@@ -97,8 +97,8 @@
 	}
 	if err := tomlfile.CheckBounds(
 		tomlfile.In("quota_gb", c.QuotaGB, 0.01, 1e6), tomlfile.In("reserve_gb", c.ReserveGB, 0, c.QuotaGB/2), tomlfile.In("tenant_gb", c.TenantGB, 0, 1e6), tomlfile.In("keep_days", c.KeepDays, 0, 36500),
-		tomlfile.In("partial_hours", c.PartialHours, 0.1, 1e5), tomlfile.In("loose_hours", c.LooseHours, 0.1, 1e5), tomlfile.In("duty_minutes", c.DutyMinutes, 0.05, 1e4), tomlfile.In("scrub_mb_per_s", c.ScrubMB, 0, 1e4),
-		tomlfile.In("repair_mb_per_s", c.RepairMB, 0, 1e4), tomlfile.In("repair_seconds", c.RepairSec, 0.05, 1e5), tomlfile.In("patience_seconds", c.PatienceSec, 0.1, 600),
+		tomlfile.In("partial_hours", c.PartialHours, 0.1, 1e5), tomlfile.In("loose_hours", c.UnreferencedHours, 0.1, 1e5), tomlfile.In("duty_minutes", c.MaintenanceMinutes, 0.05, 1e4), tomlfile.In("scrub_mb_per_s", c.ScrubMB, 0, 1e4),
+		tomlfile.In("repair_mb_per_s", c.RepairMB, 0, 1e4), tomlfile.In("repair_seconds", c.RepairSec, 0.05, 1e5), tomlfile.In("patience_seconds", c.PeerTimeoutSec, 0.1, 600),
 	); err != nil {
 		return err
 	}
@@ -137,7 +137,7 @@
 // BackgroundWork is what the configuration says of it.
 func (c Config) BackgroundWork() BackgroundWork {
 	span := func(x float64, unit time.Duration) time.Duration { return time.Duration(x * float64(unit)) }
-	return BackgroundWork{Every: span(c.DutyMinutes, time.Minute), Partial: span(c.PartialHours, time.Hour), Loose: span(c.LooseHours, time.Hour), Scrub: c.ScrubMB * 1e6, Repair: span(c.RepairSec, time.Second)}
+	return BackgroundWork{Every: span(c.MaintenanceMinutes, time.Minute), Partial: span(c.PartialHours, time.Hour), Loose: span(c.UnreferencedHours, time.Hour), Scrub: c.ScrubMB * 1e6, Repair: span(c.RepairSec, time.Second)}
 }
 
 // KeyFromEnvironment reads the replica's key.
--- a/internal/artifactreplication/duty.go
+++ b/internal/artifactreplication/duty.go
@@ -56,7 +56,7 @@
 
 // RepairOnce looks again and again at what other replicas have and brings what is missing here,
 // until the context ends.
-func (d BackgroundWork) RepairOnce(ctx context.Context, n *Node) error {
+func (d BackgroundWork) RunRepair(ctx context.Context, n *Node) error {
 	for {
 		if err := n.Repair(ctx); err != nil && ctx.Err() == nil {
 			n.opt.Log.Warn("repair not done", "err", err)
--- a/internal/artifactreplication/golden_test.go
+++ b/internal/artifactreplication/golden_test.go
@@ -84,13 +84,13 @@
 	vote := artifactstore.Vote{Promised: artifactstore.Ballot{Round: 2, By: "a.1"}, Freeze: true, Accepted: artifactstore.Ballot{Round: 1, By: "b.1"}, Value: []byte("value")}
 	view := artifactstore.View{Claim: owner, Ended: digest, Partial: true, Exit: &artifactstore.Exit{Completed: true, Code: 3, Reason: "signal"}, Voted: true, Idle: 1.5,
 		Streams: map[string]artifactstore.Extent{"stdout": {Next: 9, Bytes: 100, Lost: 77}}, Files: map[string]string{"out/a": digest}}
-	status := Status{Name: "a", Zone: "zone 0", State: string(Joining), Epoch: 3, Disk: "00112233", Incarnation: 7, Open: 1, Bytes: 2, Blobs: 3, Left: 4, Oldest: 5.5, Mended: 6, Brought: 7, Short: 8, Strays: 9,
-		Away: map[string]string{"b": "timeout"}, Refused: map[string]int64{"busy": 10}}
+	status := Status{Name: "a", Zone: "zone 0", State: string(Joining), Epoch: 3, Disk: "00112233", Incarnation: 7, Open: 1, Bytes: 2, Blobs: 3, PendingRepairs: 4, OldestRepairSeconds: 5.5, RepairedTasks: 6, RepairedBytes: 7, UnderReplicated: 8, Misplaced: 9,
+		Unreachable: map[string]string{"b": "timeout"}, Refused: map[string]int64{"busy": 10}}
 	for _, message := range []struct {
 		name        string
 		full, empty any
 	}{
-		{"call", call{Op: "append", Claim: owner, Attempt: attempt, Stream: "stdout", First: 4, Records: []artifactstore.Record{{At: at, Data: []byte("line\n"), Hole: &artifactstore.Hole{Bytes: 77, From: at, To: at}}},
+		{"call", call{Op: "append", Claim: owner, Attempt: attempt, Stream: "stdout", First: 4, Records: []artifactstore.Record{{At: at, Data: []byte("line\n"), Dropped: &artifactstore.DroppedOutput{Bytes: 77, From: at, To: at}}},
 			Path: "out/a", Digest: digest, Ballot: artifactstore.Ballot{Round: 2, By: "a.1"}, Freeze: true, Value: []byte("value"), Buckets: []int{0, 7}, Count: true, From: "a", Identity: "3.00"}, call{}},
 		{"answer", answer{Next: 9, Promise: &artifactstore.Promise{Vote: vote, Decided: []byte("value"), Latest: 2, View: &view},
 			Task:  &artifactstore.TaskView{Attempts: []artifactstore.View{view}, Result: &artifactstore.Result{Tenant: "vision", Number: 2, Manifest: digest}, Voted: true},
--- a/internal/artifactreplication/group_test.go
+++ b/internal/artifactreplication/group_test.go
@@ -580,7 +580,7 @@
 	for range 3 {
 		g.repair()
 	}
-	if s := g.keepers["c"].Status(); s.State != string(Draining) || s.Strays != 0 {
+	if s := g.keepers["c"].Status(); s.State != string(Draining) || s.Misplaced != 0 {
 		t.Fatalf("c has not handed over: %+v", s)
 	}
 	if names, err := g.keepers["c"].k.Names("", 100); err != nil || len(names) > 0 || g.keepers["c"].k.Opened() > 0 {
--- a/internal/artifactreplication/known.go
+++ b/internal/artifactreplication/known.go
@@ -143,19 +143,19 @@
 	case m.Ended != "":
 		return artifactstore.StateSealed
 	}
-	return artifactstore.StateGoesOn
+	return artifactstore.StateOpen
 }
 
 // Attempts lists a task's attempts in their order. sure says whether enough replicas
 // answered for all that was ever acknowledged to be in it.
-func (n *Node) Attempts(ctx context.Context, job string, task int) (list []artifactstore.Known, sure bool, err error) {
+func (n *Node) Attempts(ctx context.Context, job string, task int) (list []artifactstore.AttemptSummary, sure bool, err error) {
 	v, err := n.task(ctx, job, task)
 	if err != nil {
 		return nil, false, err
 	}
 	for i := range v.attempts {
 		m := &v.attempts[i]
-		list = append(list, artifactstore.Known{Attempt: m.Attempt, Machine: m.Machine, State: v.state(m), Exit: m.Exit})
+		list = append(list, artifactstore.AttemptSummary{Attempt: m.Attempt, Machine: m.Machine, State: v.state(m), Exit: m.Exit})
 	}
 	return list, v.sure, nil
 }
--- a/internal/artifactreplication/one_test.go
+++ b/internal/artifactreplication/one_test.go
@@ -74,8 +74,8 @@
 	t.Helper()
 	var list []string
 	if _, _, err := k.Read(ctx, at, stream, 0, false, func(_ uint64, r artifactstore.Record) error {
-		if r.Hole != nil {
-			list = append(list, fmt.Sprint("hole ", r.Hole.Bytes))
+		if r.Dropped != nil {
+			list = append(list, fmt.Sprint("hole ", r.Dropped.Bytes))
 		} else {
 			list = append(list, string(r.Data))
 		}
@@ -106,7 +106,7 @@
 			t.Fatalf("%+v: next %d, %v", x, next, err)
 		}
 	}
-	if _, err := k.Append(ctx, c, "stdout", 6, []artifactstore.Record{{Hole: &artifactstore.Hole{Bytes: 77}}}); err != nil {
+	if _, err := k.Append(ctx, c, "stdout", 6, []artifactstore.Record{{Dropped: &artifactstore.DroppedOutput{Bytes: 77}}}); err != nil {
 		t.Fatal(err)
 	}
 	want := []string{"line 0", "line 1", "line 2", "line 3", "line 4", "line 5", "hole 77"}
@@ -192,7 +192,7 @@
 		if n == 60 {
 			want = artifactstore.StateFinal
 		} else if !sealed {
-			want = artifactstore.StateGoesOn
+			want = artifactstore.StateOpen
 		}
 		if a.Number != n || a.State != want {
 			t.Errorf("%+v", a)
--- a/internal/artifactreplication/status.go
+++ b/internal/artifactreplication/status.go
@@ -18,23 +18,23 @@
 
 // Status is what a replica says of itself.
 type Status struct {
-	Name        string            `json:"name"`
-	Zone        string            `json:"zone"`
-	State       string            `json:"state"` // serving, joining or draining
-	Epoch       uint64            `json:"epoch"`
-	Disk        string            `json:"disk"`
-	Incarnation uint64            `json:"incarnation"`
-	Open        int               `json:"open_attempts"`
-	Bytes       int64             `json:"bytes"`
-	Blobs       int               `json:"blobs"`
-	Left        int               `json:"repair_left"`    // tasks of which something is missing here
-	Oldest      float64           `json:"repair_oldest"`  // seconds since the first of them was noticed
-	Mended      int               `json:"repaired"`       // tasks, since the start
-	Brought     int64             `json:"repaired_bytes"` // since the start
-	Short       int               `json:"replicas_short"` // attempts and results that another replica lacks
-	Strays      int               `json:"to_hand_over"`   // tasks
-	Away        map[string]string `json:"away,omitempty"` // replicas that could not be asked, and why
-	Refused     map[string]int64  `json:"refused,omitempty"`
+	Name                string            `json:"name"`
+	Zone                string            `json:"zone"`
+	State               string            `json:"state"` // serving, joining or draining
+	Epoch               uint64            `json:"epoch"`
+	Disk                string            `json:"disk"`
+	Incarnation         uint64            `json:"incarnation"`
+	Open                int               `json:"open_attempts"`
+	Bytes               int64             `json:"bytes"`
+	Blobs               int               `json:"blobs"`
+	PendingRepairs      int               `json:"repair_left"`    // tasks of which something is missing here
+	OldestRepairSeconds float64           `json:"repair_oldest"`  // seconds since the first of them was noticed
+	RepairedTasks       int               `json:"repaired"`       // tasks, since the start
+	RepairedBytes       int64             `json:"repaired_bytes"` // since the start
+	UnderReplicated     int               `json:"replicas_short"` // attempts and results that another replica lacks
+	Misplaced           int               `json:"to_hand_over"`   // tasks
+	Unreachable         map[string]string `json:"away,omitempty"` // replicas that could not be asked, and why
+	Refused             map[string]int64  `json:"refused,omitempty"`
 }
 
 // Joining is the state of a replica that does not have all yet that it should.
@@ -56,9 +56,9 @@
 	}
 	s.Disk, s.Incarnation = n.id.Disk, n.id.Incarnation
 	r := &n.repair
-	s.Left, s.Mended, s.Brought, s.Short, s.Strays, s.Away = r.left, r.mended, r.bytes, r.short, r.strays, r.away
+	s.PendingRepairs, s.RepairedTasks, s.RepairedBytes, s.UnderReplicated, s.Misplaced, s.Unreachable = r.left, r.mended, r.bytes, r.short, r.strays, r.away
 	for _, since := range r.noticed {
-		s.Oldest = max(s.Oldest, n.opt.Now().Sub(since).Seconds())
+		s.OldestRepairSeconds = max(s.OldestRepairSeconds, n.opt.Now().Sub(since).Seconds())
 	}
 	return s
 }
@@ -118,12 +118,12 @@
 	}
 	gauge("open_attempts", "Attempts that have not ended.", func(s *Status) float64 { return float64(s.Open) })
 	gauge("bytes", "Disk in use, by the quotas' count.", func(s *Status) float64 { return float64(s.Bytes) })
-	gauge("repair_left", "Tasks of which something is missing here.", func(s *Status) float64 { return float64(s.Left) })
-	gauge("repair_oldest_seconds", "Since the first of them was noticed.", func(s *Status) float64 { return s.Oldest })
-	gauge("repaired_bytes", "Brought by repair since the start.", func(s *Status) float64 { return float64(s.Brought) })
-	gauge("replicas_short", "Attempts and results that another keeper lacks.", func(s *Status) float64 { return float64(s.Short) })
-	gauge("to_hand_over", "Tasks that do not belong here.", func(s *Status) float64 { return float64(s.Strays) })
-	gauge("keepers_away", "Keepers that could not be asked.", func(s *Status) float64 { return float64(len(s.Away)) })
+	gauge("repair_left", "Tasks of which something is missing here.", func(s *Status) float64 { return float64(s.PendingRepairs) })
+	gauge("repair_oldest_seconds", "Since the first of them was noticed.", func(s *Status) float64 { return s.OldestRepairSeconds })
+	gauge("repaired_bytes", "Brought by repair since the start.", func(s *Status) float64 { return float64(s.RepairedBytes) })
+	gauge("replicas_short", "Attempts and results that another keeper lacks.", func(s *Status) float64 { return float64(s.UnderReplicated) })
+	gauge("to_hand_over", "Tasks that do not belong here.", func(s *Status) float64 { return float64(s.Misplaced) })
+	gauge("keepers_away", "Keepers that could not be asked.", func(s *Status) float64 { return float64(len(s.Unreachable)) })
 	m.handler = promhttp.HandlerFor(reg, promhttp.HandlerOpts{})
 	return m
 }
--- a/internal/artifactstore/answer.go
+++ b/internal/artifactstore/answer.go
@@ -2,16 +2,16 @@
 
 // Answer is the JSON of everything that is not output itself.
 type Answer struct {
-	Error  string    `json:"error,omitempty"`
-	Code   string    `json:"code,omitempty"`   // the kind of error, for programs
-	Next   *uint64   `json:"next,omitempty"`   // record wanted next
-	Offset *int64    `json:"offset,omitempty"` // of an upload
-	Upload string    `json:"upload,omitempty"`
-	Done   bool      `json:"done,omitempty"`
-	Final  bool      `json:"final,omitempty"`
-	Sealed *Manifest `json:"sealed,omitempty"`
-	List   []Known   `json:"attempts,omitempty"`
-	Unsure bool      `json:"unsure,omitempty"` // fewer replicas answered than it takes to be sure
+	Error  string           `json:"error,omitempty"`
+	Code   string           `json:"code,omitempty"`   // the kind of error, for programs
+	Next   *uint64          `json:"next,omitempty"`   // record wanted next
+	Offset *int64           `json:"offset,omitempty"` // of an upload
+	Upload string           `json:"upload,omitempty"`
+	Done   bool             `json:"done,omitempty"`
+	Final  bool             `json:"final,omitempty"`
+	Sealed *Manifest        `json:"sealed,omitempty"`
+	List   []AttemptSummary `json:"attempts,omitempty"`
+	Unsure bool             `json:"unsure,omitempty"` // fewer replicas answered than it takes to be sure
 }
 
 // TaskList is the tasks of a job of which something is kept.
@@ -28,7 +28,7 @@
 }
 
 // Known is an attempt as a list of a task's attempts has it.
-type Known struct {
+type AttemptSummary struct {
 	Attempt
 	Machine string `json:"machine"`
 	State   string `json:"state"`
@@ -40,7 +40,7 @@
 	StateFinal   = "final"   // its task's result
 	StateSealed  = "sealed"  // ended, but another is the result, or none
 	StatePartial = "partial" // never sealed, and never will be
-	StateGoesOn  = "goes on" // may get more
+	StateOpen    = "goes on" // may get more
 	StateUnsure  = "unsure"  // too few replicas answered to tell
 )
 
--- a/internal/artifactstore/artifactstore.go
+++ b/internal/artifactstore/artifactstore.go
@@ -98,13 +98,13 @@
 
 // Record is one entry of a stream: data, or a hole where output was dropped.
 type Record struct {
-	At   time.Time `json:"at"`
-	Data []byte    `json:"data,omitempty"`
-	Hole *Hole     `json:"hole,omitempty"`
+	At      time.Time      `json:"at"`
+	Data    []byte         `json:"data,omitempty"`
+	Dropped *DroppedOutput `json:"hole,omitempty"`
 }
 
 // Hole marks output that an agent had no room to keep.
-type Hole struct {
+type DroppedOutput struct {
 	Bytes int64     `json:"bytes"`
 	From  time.Time `json:"from"`
 	To    time.Time `json:"to"`
@@ -360,7 +360,7 @@
 func (k *Store) sizeOf(records []Record) (size int64, err error) {
 	for _, r := range records {
 		size += int64(len(r.Data))
-		if len(r.Data) > k.opt.Record || (r.Hole != nil && (r.Hole.Bytes < 0 || len(r.Data) > 0)) {
+		if len(r.Data) > k.opt.Record || (r.Dropped != nil && (r.Dropped.Bytes < 0 || len(r.Data) > 0)) {
 			return 0, fmt.Errorf("%w: a record of %d bytes", ErrTooMuch, len(r.Data))
 		}
 	}
--- a/internal/artifactstore/client.go
+++ b/internal/artifactstore/client.go
@@ -122,7 +122,7 @@
 		switch {
 		case err != nil && !errors.Is(err, io.ErrUnexpectedEOF):
 			return Line{}, err
-		case err == nil && ((last.State != StateGoesOn && last.State != StateUnsure) || !q.Follow):
+		case err == nil && ((last.State != StateOpen && last.State != StateUnsure) || !q.Follow):
 			return last, nil
 		case ctx.Err() != nil:
 			return last, ctx.Err()
@@ -179,7 +179,7 @@
 }
 
 // Attempts lists a task's attempts. With ErrUnsure some may be missing.
-func (r *Reader) Attempts(ctx context.Context, job string, task int) ([]Known, error) {
+func (r *Reader) Attempts(ctx context.Context, job string, task int) ([]AttemptSummary, error) {
 	var a Answer
 	if err := r.decode(ctx, fmt.Sprintf("/attempts/%s/%d", url.PathEscape(job), task), &a); err != nil {
 		return nil, err
--- a/internal/artifactstore/golden_test.go
+++ b/internal/artifactstore/golden_test.go
@@ -20,7 +20,7 @@
 	goldenAt      = time.Date(2026, 1, 2, 3, 4, 5, 678000000, time.UTC)
 	goldenAttempt = Attempt{Job: "job-000412", Task: 3, Number: 2}
 	goldenClaim   = Claim{Attempt: goldenAttempt, Tenant: "vision", Machine: "n-000231", Session: 1, Class: "train"}
-	goldenRecord  = Record{At: goldenAt, Data: []byte("line\n"), Hole: &Hole{Bytes: 77, From: goldenAt, To: goldenAt.Add(time.Second)}}
+	goldenRecord  = Record{At: goldenAt, Data: []byte("line\n"), Dropped: &DroppedOutput{Bytes: 77, From: goldenAt, To: goldenAt.Add(time.Second)}}
 	goldenVote    = Vote{Promised: Ballot{Round: 2, By: "a.1"}, Freeze: true, Accepted: Ballot{Round: 1, By: "b.1"}, Value: []byte("value")}
 	goldenExit    = Exit{Completed: true, Code: 3, Reason: "signal"}
 	goldenResult  = Result{Tenant: "vision", Number: 2, Manifest: blob.Of([]byte("manifest")).String()}
@@ -97,7 +97,7 @@
 // TestGoldenLog: the log of an open attempt as it stands on a disk, and what a store that is started on it knows.
 func TestGoldenLog(t *testing.T) {
 	const segment = "00000001.log"
-	records := []Record{{At: goldenAt, Data: []byte("line\n")}, {At: goldenAt, Hole: goldenRecord.Hole}}
+	records := []Record{{At: goldenAt, Data: []byte("line\n")}, {At: goldenAt, Dropped: goldenRecord.Dropped}}
 	dir := t.TempDir()
 	k := openGolden(t, dir)
 	if err := k.Begin(t.Context(), goldenClaim); err != nil {
@@ -151,7 +151,7 @@
 		{"result", goldenResult, Result{}},
 		{"task-view", TaskView{Attempts: []View{goldenView}, Result: &goldenResult, Voted: true}, TaskView{}},
 		{"answer", Answer{Error: "gone", Code: "unknown", Next: &next, Offset: &offset, Upload: "u1", Done: true, Final: true, Sealed: manifest,
-			List: []Known{{Attempt: goldenAttempt, Machine: "n-000231", State: StateUnsure, Exit: &goldenExit}}, Unsure: true}, Answer{}},
+			List: []AttemptSummary{{Attempt: goldenAttempt, Machine: "n-000231", State: StateUnsure, Exit: &goldenExit}}, Unsure: true}, Answer{}},
 		{"task-list", TaskList{Tasks: []int{0, 3}, Unsure: true}, TaskList{}},
 		{"end", End{Exit: goldenExit, Records: map[string]uint64{"stdout": 9}, Files: map[string]string{"out/a": blob.Of([]byte("a")).String()}}, End{}},
 		{"line", Line{Number: 9, Record: &goldenRecord, State: StateUnsure, Attempt: 2}, Line{}},
--- a/internal/artifactstore/replay.go
+++ b/internal/artifactstore/replay.go
@@ -96,8 +96,8 @@
 	s.next = max(s.next, e.First+uint64(len(e.Records)))
 	for _, r := range e.Records {
 		s.bytes += int64(len(r.Data))
-		if r.Hole != nil {
-			s.lost += r.Hole.Bytes
+		if r.Dropped != nil {
+			s.lost += r.Dropped.Bytes
 		}
 	}
 }
--- a/internal/cli/artifactstore.go
+++ b/internal/cli/artifactstore.go
@@ -116,7 +116,7 @@
 		Store:       s.store,
 		Blobs:       s.blobs,
 		Key:         key,
-		PeerTimeout: time.Duration(set.PatienceSec * float64(time.Second)),
+		PeerTimeout: time.Duration(set.PeerTimeoutSec * float64(time.Second)),
 		Repair:      set.RepairMB * 1e6,
 		Retain:      retain,
 		Revoked:     revoked,
@@ -153,7 +153,7 @@
 	}
 	group, ctx := errgroup.WithContext(ctx)
 	group.Go(func() error { return s.set.BackgroundWork().Run(ctx, s.node) })
-	group.Go(func() error { return s.set.BackgroundWork().RepairOnce(ctx, s.node) })
+	group.Go(func() error { return s.set.BackgroundWork().RunRepair(ctx, s.node) })
 	group.Go(func() error { return s.serve(server) })
 	group.Go(func() error {
 		<-ctx.Done()
@@ -246,7 +246,7 @@
 	}
 	r.row(table, st, "%s\t%s\t%s\t%d\t%d\t%.2f\t%d\t%d\t%d\t%.0f s\t%d\t%d\t%s",
 		st.Name, st.Zone, st.State, st.Epoch, st.Incarnation, float64(st.Bytes)/1e9,
-		st.Open, st.Short, st.Left, st.Oldest, st.Strays, len(st.Away), cmp.Or(strings.Join(refused, ", "), "-"))
+		st.Open, st.UnderReplicated, st.PendingRepairs, st.OldestRepairSeconds, st.Misplaced, len(st.Unreachable), cmp.Or(strings.Join(refused, ", "), "-"))
 }
 
 // row prints a line of a table, or a JSON line.
--- a/internal/cli/cli.go
+++ b/internal/cli/cli.go
@@ -262,7 +262,7 @@
 	switch {
 	case err != nil:
 		return err
-	case end.State == artifactstore.StatePartial || end.State == artifactstore.StateGoesOn:
+	case end.State == artifactstore.StatePartial || end.State == artifactstore.StateOpen:
 		return fmt.Errorf("%w: attempt %d of %s/%d", artifactstore.ErrPartial, end.Attempt, c.Of.Job, c.Of.Task)
 	case end.State == artifactstore.StateUnsure:
 		return fmt.Errorf("%w: attempt %d of %s/%d", artifactstore.ErrUnsure, end.Attempt, c.Of.Job, c.Of.Task)
@@ -283,7 +283,7 @@
 		} else if err != nil {
 			return err
 		}
-		var last *artifactstore.Known
+		var last *artifactstore.AttemptSummary
 		for i, a := range list {
 			if a.State == artifactstore.StateFinal {
 				last = nil
@@ -314,8 +314,8 @@
 		switch {
 		case r.json:
 			return json.NewEncoder(r.out).Encode(&l)
-		case l.Record.Hole != nil:
-			h := l.Record.Hole
+		case l.Record.Dropped != nil:
+			h := l.Record.Dropped
 			_, err := fmt.Fprintf(r.out, "%s[%d bytes lost from %s to %s]\n", indent, h.Bytes, h.From.UTC().Format(time.TimeOnly), h.To.UTC().Format(time.TimeOnly))
 			return err
 		}
--- a/internal/faultinjection/faultinjection_test.go
+++ b/internal/faultinjection/faultinjection_test.go
@@ -22,7 +22,7 @@
 	os.Exit(m.Run())
 }
 
-func run(t *testing.T, kills int, spoil func(a *artifactstore.Known, lines []string, file string) ([]string, string)) *faultinjection.Report {
+func run(t *testing.T, kills int, spoil func(a *artifactstore.AttemptSummary, lines []string, file string) ([]string, string)) *faultinjection.Report {
 	t.Helper()
 	r, err := faultinjection.Run(context.Background(), faultinjection.Options{Program: os.Args[0], Dir: t.TempDir(), Seed: 3, Kills: kills, Key: []byte("0123456789abcdef"), Spoil: spoil})
 	if err != nil {
@@ -47,20 +47,25 @@
 // TestCheckCatches: the check sees a build that loses, doubles or mixes up a line, gives
 // an attempt another's file, takes a result back or has two.
 func TestCheckCatches(t *testing.T) {
-	for what, spoil := range map[string]func(a *artifactstore.Known, lines []string, file string) ([]string, string){
-		"loses the last line": func(_ *artifactstore.Known, l []string, f string) ([]string, string) { return l[:max(0, len(l)-1)], f },
-		"doubles a line": func(_ *artifactstore.Known, l []string, f string) ([]string, string) {
+	for what, spoil := range map[string]func(a *artifactstore.AttemptSummary, lines []string, file string) ([]string, string){
+		"loses the last line": func(_ *artifactstore.AttemptSummary, l []string, f string) ([]string, string) {
+			return l[:max(0, len(l)-1)], f
+		},
+		"doubles a line": func(_ *artifactstore.AttemptSummary, l []string, f string) ([]string, string) {
 			return append(slices.Clone(l[:min(1, len(l))]), l...), f
 		},
-		"mixes up lines": func(_ *artifactstore.Known, l []string, f string) ([]string, string) { slices.Reverse(l); return l, f },
-		"gives another's file": func(_ *artifactstore.Known, l []string, f string) ([]string, string) {
+		"mixes up lines": func(_ *artifactstore.AttemptSummary, l []string, f string) ([]string, string) {
+			slices.Reverse(l)
+			return l, f
+		},
+		"gives another's file": func(_ *artifactstore.AttemptSummary, l []string, f string) ([]string, string) {
 			return l, strings.Replace(f, "/", "/9", 1)
 		},
-		"takes a result back": func(a *artifactstore.Known, l []string, f string) ([]string, string) {
+		"takes a result back": func(a *artifactstore.AttemptSummary, l []string, f string) ([]string, string) {
 			a.State = artifactstore.StateSealed
 			return l, f
 		},
-		"has more than a result": func(a *artifactstore.Known, l []string, f string) ([]string, string) {
+		"has more than a result": func(a *artifactstore.AttemptSummary, l []string, f string) ([]string, string) {
 			a.State = artifactstore.StateFinal
 			return l, f
 		},
--- a/internal/faultinjection/killcheck.go
+++ b/internal/faultinjection/killcheck.go
@@ -49,7 +49,7 @@
 // check reads everything at each replica and holds it against the history.
 func (d *killTest) check(ctx context.Context) error {
 	for task := range d.report.Tasks {
-		var first []artifactstore.Known
+		var first []artifactstore.AttemptSummary
 		for i, url := range d.urls {
 			r := &artifactstore.Reader{URL: url, Token: artifactstore.Grant{Right: artifactstore.Read, Job: "job-000001", Until: time.Now().Add(time.Hour)}.Token(d.options.Key)}
 			list, err := r.Attempts(ctx, "job-000001", task)
@@ -95,7 +95,7 @@
 	return nil
 }
 
-func states(list []artifactstore.Known) (s []string) {
+func states(list []artifactstore.AttemptSummary) (s []string) {
 	for _, a := range list {
 		s = append(s, fmt.Sprintf("%d %s", a.Number, a.State))
 	}
@@ -103,7 +103,7 @@
 }
 
 // checkAttempt reads one attempt at one replica.
-func (d *killTest) checkAttempt(ctx context.Context, r *artifactstore.Reader, at string, a *artifactstore.Known) error {
+func (d *killTest) checkAttempt(ctx context.Context, r *artifactstore.Reader, at string, a *artifactstore.AttemptSummary) error {
 	acked, sealed, final, err := d.readHistory(a.Attempt)
 	if err != nil {
 		return err
@@ -166,7 +166,7 @@
 }
 
 // checkFile reads the file of an attempt that was sealed.
-func (d *killTest) checkFile(ctx context.Context, r *artifactstore.Reader, at string, a *artifactstore.Known) (string, error) {
+func (d *killTest) checkFile(ctx context.Context, r *artifactstore.Reader, at string, a *artifactstore.AttemptSummary) (string, error) {
 	m, _, err := r.Manifest(ctx, a.Job, a.Task, a.Number)
 	if err != nil {
 		return "", err
--- a/internal/faultinjection/killstores.go
+++ b/internal/faultinjection/killstores.go
@@ -118,7 +118,7 @@
 // awaitRepaired waits until each replica says that it serves and lacks nothing.
 func (d *killTest) awaitRepaired(ctx context.Context) error {
 	return d.awaitStatus(ctx, func(st *artifactreplication.Status) bool {
-		return st.State == string(artifactreplication.Serving) && st.Left == 0 && len(st.Away) == 0
+		return st.State == string(artifactreplication.Serving) && st.PendingRepairs == 0 && len(st.Unreachable) == 0
 	})
 }
 
--- a/internal/faultinjection/report.go
+++ b/internal/faultinjection/report.go
@@ -51,7 +51,7 @@
 
 // States sums up the killed attempts by their states.
 func (r *Report) States() []stateSum {
-	list := []stateSum{{State: artifactstore.StateFinal}, {State: artifactstore.StateSealed}, {State: artifactstore.StatePartial}, {State: artifactstore.StateGoesOn}, {State: "not begun"}}
+	list := []stateSum{{State: artifactstore.StateFinal}, {State: artifactstore.StateSealed}, {State: artifactstore.StatePartial}, {State: artifactstore.StateOpen}, {State: "not begun"}}
 	for _, k := range r.Kills {
 		state := k.State
 		if state == "" {
--- a/internal/taskrunner/golden_test.go
+++ b/internal/taskrunner/golden_test.go
@@ -15,7 +15,7 @@
 	task := Task{Claim: artifactstore.Claim{Attempt: attempt, Tenant: "vision", Machine: "n-000231", Session: 1, Class: "train"}, Token: "a.b", Command: []string{"run", "-x"},
 		Env: []string{"A=1"}, Dir: "/work", Files: []string{"out"}}
 	goldentest.Wire.Check(t, []goldentest.Case{
-		{Name: "entry-full.json", Full: true, Value: entry{Task: &task, Stream: "stdout", Record: &artifactstore.Record{At: at, Data: []byte("line\n"), Hole: &artifactstore.Hole{Bytes: 77, From: at, To: at}},
+		{Name: "entry-full.json", Full: true, Value: entry{Task: &task, Stream: "stdout", Record: &artifactstore.Record{At: at, Data: []byte("line\n"), Dropped: &artifactstore.DroppedOutput{Bytes: 77, From: at, To: at}},
 			Files: []string{"out/a"}, Exit: &artifactstore.Exit{Completed: true, Code: 3, Reason: "signal"}}},
 		{Name: "entry-empty.json", Value: entry{}},
 		{Name: "task-empty.json", Value: Task{}},
--- a/internal/taskrunner/taskrunner.go
+++ b/internal/taskrunner/taskrunner.go
@@ -72,7 +72,7 @@
 	waits   []unsentRecord // not brought yet
 	next    map[string]uint64
 	bytes   int64
-	holes   map[string]*artifactstore.Hole // by stream, open
+	holes   map[string]*artifactstore.DroppedOutput // by stream, open
 	files   []string
 	exit    *artifactstore.Exit
 	whole   bool // nothing more comes
@@ -122,7 +122,7 @@
 
 // open opens an attempt's spool and takes up what it holds.
 func open(opt Options, dir string) (*spool, error) {
-	s := &spool{opt: opt, dir: dir, next: map[string]uint64{}, holes: map[string]*artifactstore.Hole{}}
+	s := &spool{opt: opt, dir: dir, next: map[string]uint64{}, holes: map[string]*artifactstore.DroppedOutput{}}
 	s.more.L = &s.mu
 	log, err := wal.Open(dir, wal.Options{Step: opt.Step}, wal.Pos{}, func(at wal.Pos, b []byte) error {
 		var e entry
@@ -172,7 +172,7 @@
 	s.mu.Unlock()
 	if !full && h != nil {
 		// There is room again: the hole takes its place first.
-		if s.write(ctx, &entry{Stream: stream, Record: &artifactstore.Record{At: now, Hole: h}}) != nil {
+		if s.write(ctx, &entry{Stream: stream, Record: &artifactstore.Record{At: now, Dropped: h}}) != nil {
 			full = true
 		} else {
 			s.mu.Lock()
@@ -187,7 +187,7 @@
 	defer s.mu.Unlock()
 	s.dropped += int64(len(data))
 	if h = s.holes[stream]; h == nil {
-		h = &artifactstore.Hole{From: now}
+		h = &artifactstore.DroppedOutput{From: now}
 		s.holes[stream] = h
 	}
 	h.Bytes, h.To = h.Bytes+int64(len(data)), now
@@ -230,7 +230,7 @@
 		exit.Completed, exit.Reason = false, err.Error()
 	}
 	for stream, h := range s.holes { // what was dropped last has its mark before the end
-		if err := s.write(late, &entry{Stream: stream, Record: &artifactstore.Record{At: h.To, Hole: h}}); err != nil {
+		if err := s.write(late, &entry{Stream: stream, Record: &artifactstore.Record{At: h.To, Dropped: h}}); err != nil {
 			return Result{}, err
 		}
 	}
--- a/internal/taskrunner/taskrunner_test.go
+++ b/internal/taskrunner/taskrunner_test.go
@@ -71,7 +71,7 @@
 }
 
 // done says whether an attempt was sealed.
-func done(a artifactstore.Known) bool {
+func done(a artifactstore.AttemptSummary) bool {
 	return a.State == artifactstore.StateFinal || a.State == artifactstore.StateSealed
 }
 
@@ -84,8 +84,8 @@
 func (x *site) text(at artifactstore.Attempt, stream string) (list []string, lost int64) {
 	x.t.Helper()
 	if _, _, err := x.n.Read(ctx, at, stream, 0, false, func(_ uint64, r artifactstore.Record) error {
-		if r.Hole != nil {
-			lost += r.Hole.Bytes
+		if r.Dropped != nil {
+			lost += r.Dropped.Bytes
 			list = append(list, "[hole]")
 			return nil
 		}
