--- a/internal/artifactreplication/bench_test.go
+++ b/internal/artifactreplication/bench_test.go
@@ -20,7 +20,7 @@
 // benchGroup lets benchmarks use the tests' group of replicas.
 func benchGroup(b *testing.B, names ...string) *group {
 	t := &testing.T{}
-	g := &group{t: t, dir: b.TempDir(), members: Members{Epoch: 1, Copies: len(names), Acks: majority(len(names))}, keepers: map[string]*one{}}
+	g := &group{t: t, dir: b.TempDir(), members: Members{Epoch: 1, Copies: len(names), Acks: majority(len(names))}, replicas: map[string]*testReplica{}}
 	for i, name := range names {
 		g.add(name, fmt.Sprint("zone ", i%2))
 	}
@@ -29,7 +29,7 @@
 	}
 	g.repair()
 	b.Cleanup(func() {
-		for name, o := range g.keepers {
+		for name, o := range g.replicas {
 			g.stop(name)
 			o.srv.Close()
 		}
@@ -46,7 +46,7 @@
 		for _, streams := range []int{1, 100, 1000} {
 			b.Run(fmt.Sprintf("keepers=%d/streams=%d", len(names), streams), func(b *testing.B) {
 				g := benchGroup(b, names...)
-				n := g.any()
+				n := g.anyRunning()
 				for s := range streams {
 					if err := n.Begin(ctx, claim(1, s, 1)); err != nil {
 						b.Fatal(err)
@@ -112,7 +112,7 @@
 	}
 	g := benchGroup(b, "a", "b", "c")
 	c := claim(1, 0, 1)
-	n := g.any()
+	n := g.anyRunning()
 	if err := n.Begin(ctx, c); err != nil {
 		b.Fatal(err)
 	}
@@ -126,7 +126,7 @@
 	if err != nil {
 		b.Fatal(err)
 	}
-	r := &artifactstore.Reader{URL: g.keepers["a"].srv.URL, Token: artifactstore.Grant{Right: artifactstore.Read, Job: c.Job, Until: time.Now().Add(time.Hour)}.Token(key)}
+	r := &artifactstore.Reader{URL: g.replicas["a"].srv.URL, Token: artifactstore.Grant{Right: artifactstore.Read, Job: c.Job, Until: time.Now().Add(time.Hour)}.Token(key)}
 	dir := b.TempDir()
 	b.Run("keeper", func(b *testing.B) {
 		b.SetBytes(size)
@@ -174,7 +174,7 @@
 		wg.Add(1)
 		go func() {
 			defer wg.Done()
-			n := g.any()
+			n := g.anyRunning()
 			for i := w; i < attempts; i += 16 {
 				c := claim(1, i, 1)
 				err := n.Begin(ctx, c)
@@ -182,7 +182,7 @@
 					_, err = n.Append(ctx, c, "stdout", 0, lines(0, 50, "a line of some length to be kept, of attempt 1"))
 				}
 				if err == nil {
-					_, _, err = n.Seal(ctx, c, end(true, 50, nil))
+					_, _, err = n.Seal(ctx, c, endReport(true, 50, nil))
 				}
 				if err != nil {
 					b.Error(err)
@@ -193,7 +193,7 @@
 	wg.Wait()
 	for range b.N {
 		b.StopTimer()
-		g.lose("c")
+		g.loseDisk("c")
 		b.StartTimer()
 		g.start("c")
 		stop, waited := make(chan struct{}), make(chan []time.Duration)
@@ -207,14 +207,14 @@
 				default:
 				}
 				began := time.Now()
-				if _, _, err := g.keepers["a"].Read(ctx, claim(1, i%attempts, 1).Attempt, "stdout", 0, false, func(uint64, artifactstore.Record) error { return nil }); err != nil {
+				if _, _, err := g.replicas["a"].Read(ctx, claim(1, i%attempts, 1).Attempt, "stdout", 0, false, func(uint64, artifactstore.Record) error { return nil }); err != nil {
 					b.Error(err)
 				}
 				took = append(took, time.Since(began))
 			}
 		}()
-		for !g.keepers["c"].InSync() {
-			if err := g.keepers["c"].Repair(ctx); err != nil {
+		for !g.replicas["c"].InSync() {
+			if err := g.replicas["c"].Repair(ctx); err != nil {
 				b.Fatal(err)
 			}
 		}
--- a/internal/artifactreplication/config.go
+++ b/internal/artifactreplication/config.go
@@ -137,7 +137,7 @@
 // BackgroundWork is what the configuration says of it.
 func (c Config) BackgroundWork() BackgroundWork {
 	span := func(x float64, unit time.Duration) time.Duration { return time.Duration(x * float64(unit)) }
-	return BackgroundWork{Every: span(c.MaintenanceMinutes, time.Minute), Partial: span(c.PartialHours, time.Hour), Loose: span(c.UnreferencedHours, time.Hour), Scrub: c.ScrubMB * 1e6, Repair: span(c.RepairSec, time.Second)}
+	return BackgroundWork{Interval: span(c.MaintenanceMinutes, time.Minute), PartialAge: span(c.PartialHours, time.Hour), UnreferencedAge: span(c.UnreferencedHours, time.Hour), ScrubBytesPerSecond: c.ScrubMB * 1e6, RepairInterval: span(c.RepairSec, time.Second)}
 }
 
 // KeyFromEnvironment reads the replica's key.
--- a/internal/artifactreplication/decide.go
+++ b/internal/artifactreplication/decide.go
@@ -23,7 +23,7 @@
 // attempt had begun by then.
 func (n *Node) Seal(ctx context.Context, c artifactstore.Claim, end artifactstore.End) (m *artifactstore.Manifest, final bool, err error) {
 	value, err := n.decide(ctx, c.Attempt, true, func(promises []reply) ([]byte, error) {
-		return n.gather(ctx, c, &end, promises)
+		return n.buildManifest(ctx, c, &end, promises)
 	})
 	if err != nil {
 		return nil, false, err
@@ -38,7 +38,7 @@
 		return nil, false, artifactstore.ErrSealed
 	case m.Exit.Completed:
 		var r *artifactstore.Result
-		r, err = n.settle(ctx, c, blob.Of(value).String())
+		r, err = n.decideResult(ctx, c, blob.Of(value).String())
 		final = r != nil && r.Number == c.Number
 	}
 	return m, final, err
@@ -50,7 +50,7 @@
 // settle makes an attempt, sealed as completed, its task's result if there is none and no
 // later attempt has begun. It gives the task's result, nil if there is none: then the
 // attempt won't become it any more either.
-func (n *Node) settle(ctx context.Context, c artifactstore.Claim, manifest string) (*artifactstore.Result, error) {
+func (n *Node) decideResult(ctx context.Context, c artifactstore.Claim, manifest string) (*artifactstore.Result, error) {
 	want := protocol.Encode(&artifactstore.Result{Tenant: c.Tenant, Number: c.Number, Manifest: manifest})
 	value, err := n.decide(ctx, artifactstore.Attempt{Job: c.Job, Task: c.Task}, false, func(promises []reply) ([]byte, error) {
 		for _, p := range promises {
@@ -91,11 +91,11 @@
 	d := &decision{node: n, at: at, freeze: freeze, names: n.opt.Members.ReplicasOf(at.Job, at.Task)}
 	d.need = majority(len(d.names))
 	for try := range maxBallots {
-		if try > 0 && !wait.For(ctx, rand.N(ballotPause<<try)) { // somebody else is at it
+		if try > 0 && !wait.For(ctx, rand.N(ballotBackoff<<try)) { // somebody else is at it
 			return nil, ctx.Err()
 		}
 		value, err := d.tryBallot(ctx, propose)
-		if !errors.Is(err, errOutvoted) {
+		if !errors.Is(err, errHigherBallot) {
 			return value, err
 		}
 	}
@@ -103,8 +103,8 @@
 }
 
 const (
-	maxBallots  = 8                     // tries of one decision
-	ballotPause = 10 * time.Millisecond // doubled with each try, at most
+	maxBallots    = 8                     // tries of one decision
+	ballotBackoff = 10 * time.Millisecond // doubled with each try, at most
 )
 
 // decision is one node's tries to decide a register.
@@ -119,15 +119,15 @@
 // tryBallot tries once, in a ballot of its own. errOutvoted says that another ballot is ahead.
 func (d *decision) tryBallot(ctx context.Context, propose func(promises []reply) ([]byte, error)) ([]byte, error) {
 	n := d.node
-	b := artifactstore.Ballot{Round: n.round.Add(1), By: n.start}
+	b := artifactstore.Ballot{Round: n.round.Add(1), By: n.ballotID}
 	promises, failed := d.prepare(ctx, b)
-	if decided := d.decidedAmong(ctx, promises); decided != nil {
+	if decided := d.knownDecision(ctx, promises); decided != nil {
 		return decided, nil
 	}
 	if len(promises) < d.need {
-		return nil, d.whyFailed(failed)
+		return nil, d.failureCause(failed)
 	}
-	value := acceptedIn(promises)
+	value := highestAccepted(promises)
 	if value == nil {
 		var err error
 		if value, err = propose(promises); err != nil {
@@ -140,33 +140,33 @@
 	accepted, failed := d.accept(ctx, b, value)
 	for _, r := range accepted {
 		if r.Promise.Decided != nil {
-			d.teach(ctx, r.Promise.Decided)
+			d.announce(ctx, r.Promise.Decided)
 			return r.Promise.Decided, nil
 		}
 	}
 	if len(accepted) < d.need {
-		return nil, d.whyFailed(failed)
+		return nil, d.failureCause(failed)
 	}
-	d.teach(ctx, value)
+	d.announce(ctx, value)
 	return value, nil
 }
 
 // whyFailed is errOutvoted if another ballot is ahead, else why too few replicas answered.
-func (d *decision) whyFailed(failed []reply) error {
-	if outvoted(failed) {
-		return errOutvoted
+func (d *decision) failureCause(failed []reply) error {
+	if sawHigherBallot(failed) {
+		return errHigherBallot
 	}
-	return reason(failed)
+	return quorumError(failed)
 }
 
 // prepare asks the replicas to promise a ballot.
 func (d *decision) prepare(ctx context.Context, b artifactstore.Ballot) (promises, failed []reply) {
 	n := d.node
-	return n.callReplicas(ctx, d.names, d.need, func(ctx context.Context, _ string, r replica) (*answer, error) {
-		a, err := r.do(ctx, &call{Op: "prepare", Attempt: d.at, Ballot: b, Freeze: d.freeze, Count: true})
+	return n.callReplicas(ctx, d.names, d.need, func(ctx context.Context, _ string, r replica) (*peerResponse, error) {
+		a, err := r.do(ctx, &peerRequest{Op: "prepare", Attempt: d.at, Ballot: b, Freeze: d.freeze, Count: true})
 		if err == nil && a.Promise.Decided == nil && a.Promise.Promised != b {
 			n.advanceRound(a.Promise.Promised.Round)
-			return nil, errOutvoted
+			return nil, errHigherBallot
 		}
 		return a, err
 	})
@@ -175,26 +175,26 @@
 // accept asks the replicas to accept a value in a ballot.
 func (d *decision) accept(ctx context.Context, b artifactstore.Ballot, value []byte) (accepted, failed []reply) {
 	n := d.node
-	return n.callReplicas(ctx, d.names, d.need, func(ctx context.Context, _ string, r replica) (*answer, error) {
-		a, err := r.do(ctx, &call{Op: "accept", Attempt: d.at, Ballot: b, Value: value, Count: true, From: n.opt.Name})
+	return n.callReplicas(ctx, d.names, d.need, func(ctx context.Context, _ string, r replica) (*peerResponse, error) {
+		a, err := r.do(ctx, &peerRequest{Op: "accept", Attempt: d.at, Ballot: b, Value: value, Count: true, From: n.opt.Name})
 		if err == nil && a.Promise.Decided == nil && a.Promise.Accepted != b {
 			n.advanceRound(a.Promise.Promised.Round)
-			return nil, errOutvoted
+			return nil, errHigherBallot
 		}
 		return a, err
 	})
 }
 
 // teach tells the replicas what is decided. It is decided whether they learn of it now or later.
-func (d *decision) teach(ctx context.Context, value []byte) {
+func (d *decision) announce(ctx context.Context, value []byte) {
 	n := d.node
-	n.callReplicas(ctx, d.names, d.need, func(ctx context.Context, _ string, r replica) (*answer, error) {
-		return r.do(ctx, &call{Op: "learn", Attempt: d.at, Value: value, From: n.opt.Name})
+	n.callReplicas(ctx, d.names, d.need, func(ctx context.Context, _ string, r replica) (*peerResponse, error) {
+		return r.do(ctx, &peerRequest{Op: "learn", Attempt: d.at, Value: value, From: n.opt.Name})
 	})
 }
 
 // decidedAmong is what a replica knows to be decided, nil if none does. Those that do not know are told.
-func (d *decision) decidedAmong(ctx context.Context, promises []reply) []byte {
+func (d *decision) knownDecision(ctx context.Context, promises []reply) []byte {
 	knows := func(r reply) bool { return r.Promise.Decided != nil }
 	i := slices.IndexFunc(promises, knows)
 	if i < 0 {
@@ -202,13 +202,13 @@
 	}
 	decided := promises[i].Promise.Decided
 	if slices.ContainsFunc(promises, func(r reply) bool { return !knows(r) }) {
-		d.teach(ctx, decided)
+		d.announce(ctx, decided)
 	}
 	return decided
 }
 
 // acceptedIn is the value that was accepted in the highest ballot, nil if none was: it may have been decided.
-func acceptedIn(promises []reply) []byte {
+func highestAccepted(promises []reply) []byte {
 	var best *artifactstore.Promise
 	for _, r := range promises {
 		if p := r.Promise; p.Value != nil && (best == nil || p.Accepted.Compare(best.Accepted) > 0) {
@@ -221,10 +221,10 @@
 	return best.Value
 }
 
-var errOutvoted = errors.New("keepers: a higher ballot was promised")
+var errHigherBallot = errors.New("keepers: a higher ballot was promised")
 
-func outvoted(failed []reply) bool {
-	return slices.ContainsFunc(failed, func(r reply) bool { return errors.Is(r.err, errOutvoted) })
+func sawHigherBallot(failed []reply) bool {
+	return slices.ContainsFunc(failed, func(r reply) bool { return errors.Is(r.err, errHigherBallot) })
 }
 
 // advanceRound lets the next ballot be higher than one that was seen.
@@ -240,10 +240,10 @@
 // gather makes a manifest of what a majority of replicas has of an attempt, and has its
 // streams' content at hand. end is what its agent says of it, or nil if it is to be
 // shelved.
-func (n *Node) gather(
+func (n *Node) buildManifest(
 	ctx context.Context, c artifactstore.Claim, end *artifactstore.End, promises []reply,
 ) ([]byte, error) {
-	g, err := gatherViews(c, promises)
+	g, err := mergeViews(c, promises)
 	if err != nil {
 		return nil, err
 	}
@@ -257,7 +257,7 @@
 		m.Partial, m.Exit = true, artifactstore.Exit{Reason: "never sealed"}
 		m.Files = g.partialFiles()
 	} else {
-		if err := g.checkWhole(end); err != nil {
+		if err := g.checkComplete(end); err != nil {
 			return nil, err
 		}
 		m.Exit = end.Exit
@@ -276,15 +276,15 @@
 }
 
 // gathered is what replicas have of an attempt.
-type gathered struct {
+type mergedViews struct {
 	longest map[string]artifactstore.Extent // by stream
 	holder  map[string]string               // replica that has so much of a stream
 	files   map[string]map[string]bool      // digests by path
 }
 
 // gatherViews joins what replicas told with their promises.
-func gatherViews(c artifactstore.Claim, promises []reply) (*gathered, error) {
-	g := &gathered{
+func mergeViews(c artifactstore.Claim, promises []reply) (*mergedViews, error) {
+	g := &mergedViews{
 		longest: map[string]artifactstore.Extent{},
 		holder:  map[string]string{},
 		files:   map[string]map[string]bool{},
@@ -318,7 +318,7 @@
 }
 
 // partialFiles are the files of an attempt that was never sealed; of several contents the same one is taken each time.
-func (g *gathered) partialFiles() []artifactstore.FileInfo {
+func (g *mergedViews) partialFiles() []artifactstore.FileInfo {
 	files := []artifactstore.FileInfo{}
 	for _, path := range slices.Sorted(maps.Keys(g.files)) {
 		digest := slices.Min(slices.Collect(maps.Keys(g.files[path])))
@@ -328,26 +328,26 @@
 }
 
 // checkWhole is ErrNotWhole unless all that the agent says it put out is here, and nothing else.
-func (g *gathered) checkWhole(end *artifactstore.End) error {
+func (g *mergedViews) checkComplete(end *artifactstore.End) error {
 	for stream, want := range end.Records {
 		if have := g.longest[stream].Next; have != want {
 			gap := &artifactstore.GapError{Stream: stream, Want: have, Have: want}
-			return fmt.Errorf("%w: %w", artifactstore.ErrNotWhole, gap)
+			return fmt.Errorf("%w: %w", artifactstore.ErrIncomplete, gap)
 		}
 	}
 	for stream := range g.longest {
 		if _, said := end.Records[stream]; !said {
-			return fmt.Errorf("%w: nothing was said of stream %s", artifactstore.ErrNotWhole, stream)
+			return fmt.Errorf("%w: nothing was said of stream %s", artifactstore.ErrIncomplete, stream)
 		}
 	}
 	for path := range g.files {
 		if _, said := end.Files[path]; !said {
-			return fmt.Errorf("%w: nothing was said of file %s", artifactstore.ErrNotWhole, path)
+			return fmt.Errorf("%w: nothing was said of file %s", artifactstore.ErrIncomplete, path)
 		}
 	}
 	for _, path := range slices.Sorted(maps.Keys(end.Files)) {
 		if !g.files[path][end.Files[path]] {
-			return fmt.Errorf("%w: file %s is not here", artifactstore.ErrNotWhole, path)
+			return fmt.Errorf("%w: file %s is not here", artifactstore.ErrIncomplete, path)
 		}
 	}
 	return nil
@@ -364,7 +364,7 @@
 	}
 	next, _, err := n.peers[holder].read(ctx, c.Attempt, stream, 0, false, add)
 	if err == nil && next != extent.Next {
-		err = fmt.Errorf("%w: stream %s", artifactstore.ErrNotWhole, stream)
+		err = fmt.Errorf("%w: stream %s", artifactstore.ErrIncomplete, stream)
 	}
 	if err != nil {
 		return artifactstore.StreamInfo{}, err
--- a/internal/artifactreplication/golden_test.go
+++ b/internal/artifactreplication/golden_test.go
@@ -35,7 +35,7 @@
 		t.Fatal(err)
 	}
 	id, err := openIdentity(dir, &members)
-	if err != nil || id.Disk != "00112233" || id.Incarnation != 8 || !id.full(&members) {
+	if err != nil || id.Disk != "00112233" || id.Incarnation != 8 || !id.isSynced(&members) {
 		t.Errorf("identity %+v, error %v", id, err)
 	}
 }
@@ -56,7 +56,7 @@
 
 // TestGoldenSums: the names and sums by which replicas compare what they have.
 func TestGoldenSums(t *testing.T) {
-	n, _ := alone(t, t.TempDir(), nil)
+	n, _ := newSingleReplica(t, t.TempDir(), nil)
 	c := claim(1, 0, 1)
 	if err := n.Begin(ctx, c); err != nil {
 		t.Fatal(err)
@@ -65,7 +65,7 @@
 		t.Fatal(err)
 	}
 	bucket := bucketOf(c.Attempt)
-	names, err := n.names("a", []int{bucket})
+	names, err := n.namesInBuckets("a", []int{bucket})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -82,7 +82,7 @@
 	owner := artifactstore.Claim{Attempt: attempt, Tenant: "vision", Machine: "n-000231", Session: 1, Class: "train"}
 	digest := blob.Of([]byte("content")).String()
 	vote := artifactstore.Vote{Promised: artifactstore.Ballot{Round: 2, By: "a.1"}, Freeze: true, Accepted: artifactstore.Ballot{Round: 1, By: "b.1"}, Value: []byte("value")}
-	view := artifactstore.View{Claim: owner, Ended: digest, Partial: true, Exit: &artifactstore.Exit{Completed: true, Code: 3, Reason: "signal"}, Voted: true, Idle: 1.5,
+	view := artifactstore.AttemptView{Claim: owner, Ended: digest, Partial: true, Exit: &artifactstore.Exit{Completed: true, Code: 3, Reason: "signal"}, Voted: true, Idle: 1.5,
 		Streams: map[string]artifactstore.Extent{"stdout": {Next: 9, Bytes: 100, Lost: 77}}, Files: map[string]string{"out/a": digest}}
 	status := Status{Name: "a", Zone: "zone 0", State: string(Joining), Epoch: 3, Disk: "00112233", Incarnation: 7, Open: 1, Bytes: 2, Blobs: 3, PendingRepairs: 4, OldestRepairSeconds: 5.5, RepairedTasks: 6, RepairedBytes: 7, UnderReplicated: 8, Misplaced: 9,
 		Unreachable: map[string]string{"b": "timeout"}, Refused: map[string]int64{"busy": 10}}
@@ -90,11 +90,11 @@
 		name        string
 		full, empty any
 	}{
-		{"call", call{Op: "append", Claim: owner, Attempt: attempt, Stream: "stdout", First: 4, Records: []artifactstore.Record{{At: at, Data: []byte("line\n"), Dropped: &artifactstore.DroppedOutput{Bytes: 77, From: at, To: at}}},
-			Path: "out/a", Digest: digest, Ballot: artifactstore.Ballot{Round: 2, By: "a.1"}, Freeze: true, Value: []byte("value"), Buckets: []int{0, 7}, Count: true, From: "a", Identity: "3.00"}, call{}},
-		{"answer", answer{Next: 9, Promise: &artifactstore.Promise{Vote: vote, Decided: []byte("value"), Latest: 2, View: &view},
-			Task:  &artifactstore.TaskView{Attempts: []artifactstore.View{view}, Result: &artifactstore.Result{Tenant: "vision", Number: 2, Manifest: digest}, Voted: true},
-			Tasks: []int{0, 3}, Sums: []string{"00"}, Names: []string{"sealed/x"}, Votes: []boundTo{{At: attempt, Vote: vote}}, Status: &status}, answer{}},
+		{"call", peerRequest{Op: "append", Claim: owner, Attempt: attempt, Stream: "stdout", First: 4, Records: []artifactstore.Record{{At: at, Data: []byte("line\n"), Dropped: &artifactstore.DroppedOutput{Bytes: 77, From: at, To: at}}},
+			Path: "out/a", Digest: digest, Ballot: artifactstore.Ballot{Round: 2, By: "a.1"}, Freeze: true, Value: []byte("value"), Buckets: []int{0, 7}, Count: true, From: "a", Identity: "3.00"}, peerRequest{}},
+		{"answer", peerResponse{Next: 9, Promise: &artifactstore.Promise{Vote: vote, Decided: []byte("value"), Latest: 2, View: &view},
+			Task:  &artifactstore.TaskView{Attempts: []artifactstore.AttemptView{view}, Result: &artifactstore.Result{Tenant: "vision", Number: 2, Manifest: digest}, Voted: true},
+			Tasks: []int{0, 3}, Sums: []string{"00"}, Names: []string{"sealed/x"}, Votes: []registerVote{{At: attempt, Vote: vote}}, Status: &status}, peerResponse{}},
 		{"status", status, Status{}},
 	} {
 		goldentest.Wire.Check(t, []goldentest.Case{
@@ -107,7 +107,7 @@
 // TestGoldenCodes: the names of errors, with the status and the pause that go with each.
 func TestGoldenCodes(t *testing.T) {
 	var text []byte
-	for _, c := range codes {
+	for _, c := range errorCodes {
 		text = append(text, protocol.Encode(struct {
 			Code   string        `json:"code"`
 			Status int           `json:"status"`
--- a/internal/artifactreplication/group_test.go
+++ b/internal/artifactreplication/group_test.go
@@ -25,24 +25,24 @@
 // group is several replicas on loopback, of which each can be away, come back with its
 // disk or without.
 type group struct {
-	t       *testing.T
-	dir     string
-	members Members
-	keepers map[string]*one
+	t        *testing.T
+	dir      string
+	members  Members
+	replicas map[string]*testReplica
 }
 
 // one is a replica of a group. Its address outlives it.
-type one struct {
+type testReplica struct {
 	*Node
-	k    *artifactstore.Store
-	b    *blob.Store
-	srv  *httptest.Server
-	h    atomic.Pointer[http.Handler] // nil: away
-	held atomic.Int64                 // calls that are still to be held up, and then lost
+	store       *artifactstore.Store
+	blobs       *blob.Store
+	srv         *httptest.Server
+	handler     atomic.Pointer[http.Handler] // nil: away
+	callsToDrop atomic.Int64                 // calls that are still to be held up, and then lost
 }
 
 func newGroup(t *testing.T, names ...string) *group {
-	g := &group{t: t, dir: t.TempDir(), members: Members{Epoch: 1, Copies: min(3, len(names)), Acks: majority(min(3, len(names)))}, keepers: map[string]*one{}}
+	g := &group{t: t, dir: t.TempDir(), members: Members{Epoch: 1, Copies: min(3, len(names)), Acks: majority(min(3, len(names)))}, replicas: map[string]*testReplica{}}
 	for i, name := range names {
 		g.add(name, fmt.Sprint("zone ", i%2))
 	}
@@ -51,12 +51,12 @@
 	}
 	g.repair()
 	for _, name := range names {
-		if !g.keepers[name].InSync() {
-			t.Fatalf("%s is not full: %+v", name, g.keepers[name].Status())
+		if !g.replicas[name].InSync() {
+			t.Fatalf("%s is not full: %+v", name, g.replicas[name].Status())
 		}
 	}
 	t.Cleanup(func() {
-		for name, o := range g.keepers {
+		for name, o := range g.replicas {
 			g.stop(name)
 			o.srv.Close()
 		}
@@ -65,59 +65,59 @@
 }
 
 func (g *group) add(name, zone string) {
-	o := &one{}
+	o := &testReplica{}
 	o.srv = httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		h := o.h.Load()
-		if h == nil || o.held.Add(-1) >= 0 {
+		h := o.handler.Load()
+		if h == nil || o.callsToDrop.Add(-1) >= 0 {
 			panic(http.ErrAbortHandler)
 		}
 		(*h).ServeHTTP(w, r)
 	}))
-	g.keepers[name] = o
+	g.replicas[name] = o
 	g.members.List = append(g.members.List, Member{Name: name, Zone: zone, URL: o.srv.URL, State: Serving})
 }
 
 // start starts a replica on its directory, by the list that is in force now.
 func (g *group) start(name string) {
 	g.t.Helper()
-	o, dir := g.keepers[name], filepath.Join(g.dir, name)
+	o, dir := g.replicas[name], filepath.Join(g.dir, name)
 	var err error
-	o.b, err = blob.Open(blob.Options{Dir: filepath.Join(dir, "blobs"), Inline: 500, Repair: func(ctx context.Context, d blob.Digest) (io.ReadCloser, error) { return o.OpenVerified(ctx, d) }})
+	o.blobs, err = blob.Open(blob.Options{Dir: filepath.Join(dir, "blobs"), Inline: 500, Repair: func(ctx context.Context, d blob.Digest) (io.ReadCloser, error) { return o.OpenVerified(ctx, d) }})
 	if err != nil {
 		g.t.Fatal(err)
 	}
-	if o.k, err = artifactstore.Open(artifactstore.Options{Dir: filepath.Join(dir, "log"), Blobs: o.b, Key: key}); err != nil {
+	if o.store, err = artifactstore.Open(artifactstore.Options{Dir: filepath.Join(dir, "log"), Blobs: o.blobs, Key: key}); err != nil {
 		g.t.Fatal(err)
 	}
 	m := g.members
 	m.List = slices.Clone(m.List)
-	if o.Node, err = New(Options{Name: name, Dir: dir, Members: m, Store: o.k, Blobs: o.b, Key: key, PeerTimeout: 2 * time.Second}); err != nil {
+	if o.Node, err = New(Options{Name: name, Dir: dir, Members: m, Store: o.store, Blobs: o.blobs, Key: key, PeerTimeout: 2 * time.Second}); err != nil {
 		g.t.Fatal(err)
 	}
 	h := (&Server{Node: o.Node}).Handler()
-	o.h.Store(&h)
+	o.handler.Store(&h)
 }
 
 // cut takes a replica off the network; stop ends it too.
-func (g *group) cut(name string) { g.keepers[name].h.Store(nil) }
+func (g *group) disconnect(name string) { g.replicas[name].handler.Store(nil) }
 
-func (g *group) back(name string) {
-	h := (&Server{Node: g.keepers[name].Node}).Handler()
-	g.keepers[name].h.Store(&h)
+func (g *group) reconnect(name string) {
+	h := (&Server{Node: g.replicas[name].Node}).Handler()
+	g.replicas[name].handler.Store(&h)
 }
 
 func (g *group) stop(name string) {
-	o := g.keepers[name]
-	g.cut(name)
-	if o.k != nil {
-		o.k.Close()
-		o.b.Close()
-		o.k = nil
+	o := g.replicas[name]
+	g.disconnect(name)
+	if o.store != nil {
+		o.store.Close()
+		o.blobs.Close()
+		o.store = nil
 	}
 }
 
 // lose takes a replica's disk.
-func (g *group) lose(name string) {
+func (g *group) loseDisk(name string) {
 	g.stop(name)
 	if err := os.RemoveAll(filepath.Join(g.dir, name)); err != nil {
 		g.t.Fatal(err)
@@ -127,7 +127,7 @@
 // repair has all replicas that run look after themselves.
 func (g *group) repair() {
 	for _, name := range g.names() {
-		if o := g.keepers[name]; o.k != nil {
+		if o := g.replicas[name]; o.store != nil {
 			_ = o.Repair(ctx) // a replica that is away is no failure of the others
 		}
 	}
@@ -141,9 +141,9 @@
 }
 
 // any is a front that runs.
-func (g *group) any() *Node {
+func (g *group) anyRunning() *Node {
 	for _, name := range g.names() {
-		if o := g.keepers[name]; o.k != nil && o.h.Load() != nil {
+		if o := g.replicas[name]; o.store != nil && o.handler.Load() != nil {
 			return o.Node
 		}
 	}
@@ -152,7 +152,7 @@
 }
 
 // run plays an attempt of a task to its seal, at one front.
-func run(t *testing.T, n *Node, c artifactstore.Claim, records int, completed bool) (final bool) {
+func runAttempt(t *testing.T, n *Node, c artifactstore.Claim, records int, completed bool) (final bool) {
 	t.Helper()
 	if err := n.Begin(ctx, c); err != nil {
 		t.Fatal(err)
@@ -168,7 +168,7 @@
 	if err := n.Attach(ctx, c, "out.bin", d); err != nil {
 		t.Fatal(err)
 	}
-	_, final, err = n.Seal(ctx, c, end(completed, uint64(records), map[string]string{"out.bin": d.String()}))
+	_, final, err = n.Seal(ctx, c, endReport(completed, uint64(records), map[string]string{"out.bin": d.String()}))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -176,7 +176,7 @@
 }
 
 // whole checks that a front shows an attempt's output and file as run made them.
-func whole(t *testing.T, n *Node, c artifactstore.Claim, records int, state string) {
+func checkAttempt(t *testing.T, n *Node, c artifactstore.Claim, records int, state string) {
 	t.Helper()
 	got, i := 0, uint64(0)
 	next, st, err := n.Read(ctx, c.Attempt, "stdout", 0, false, func(k uint64, r artifactstore.Record) error {
@@ -198,7 +198,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	content, err := n.readWhole(ctx, c.Job, c.Task, c.Tenant, d)
+	content, err := n.readBlob(ctx, c.Job, c.Task, c.Tenant, d)
 	if err != nil || !bytes.HasPrefix(content, fmt.Appendf(nil, "file of %d of task %d;", c.Number, c.Task)) {
 		t.Fatalf("%s at %s: file %.40q, %v", c.Attempt, n.opt.Name, content, err)
 	}
@@ -213,7 +213,7 @@
 	all := map[int]int{}
 	one := func(n *Node) {
 		t.Helper()
-		if !run(t, n, claim(1, task, 1), 5+task, true) {
+		if !runAttempt(t, n, claim(1, task, 1), 5+task, true) {
 			t.Fatalf("task %d has no result", task)
 		}
 		all[task] = 5 + task
@@ -222,37 +222,37 @@
 	check := func() {
 		t.Helper()
 		for _, name := range g.names() {
-			if o := g.keepers[name]; o.k != nil && o.h.Load() != nil {
+			if o := g.replicas[name]; o.store != nil && o.handler.Load() != nil {
 				for i, records := range all {
-					whole(t, o.Node, claim(1, i, 1), records, artifactstore.StateFinal)
+					checkAttempt(t, o.Node, claim(1, i, 1), records, artifactstore.StateFinal)
 				}
 			}
 		}
 	}
 	for _, name := range g.names() {
-		one(g.keepers[name].Node)
+		one(g.replicas[name].Node)
 	}
 	check()
 	for _, gone := range g.names() {
-		g.cut(gone)
-		one(g.any())
+		g.disconnect(gone)
+		one(g.anyRunning())
 		check()
-		g.back(gone)
+		g.reconnect(gone)
 		g.stop(gone)
-		one(g.any())
+		one(g.anyRunning())
 		check()
 		g.start(gone) // after an hour, say
-		one(g.keepers[gone].Node)
+		one(g.replicas[gone].Node)
 		g.repair()
 		check()
-		g.lose(gone)
-		one(g.any())
+		g.loseDisk(gone)
+		one(g.anyRunning())
 		g.start(gone)
-		o := g.keepers[gone]
+		o := g.replicas[gone]
 		if o.InSync() || o.Status().State != string(Joining) {
 			t.Fatalf("%s lost its disk and says %+v", gone, o.Status())
 		}
-		if _, err := o.serve(ctx, &call{Op: "task", Attempt: claim(1, 0, 1).Attempt, Count: true}); !errors.Is(err, ErrJoining) {
+		if _, err := o.serve(ctx, &peerRequest{Op: "task", Attempt: claim(1, 0, 1).Attempt, Count: true}); !errors.Is(err, ErrJoining) {
 			t.Fatalf("%s lost its disk and is counted: %v", gone, err)
 		}
 		if err := o.Repair(ctx); err != nil || !o.InSync() {
@@ -262,25 +262,25 @@
 	}
 	for _, name := range g.names() { // each has all of it by itself
 		for i, records := range all {
-			v, err := g.keepers[name].k.Task("job-000001", i)
+			v, err := g.replicas[name].store.Task("job-000001", i)
 			if err != nil || len(v.Attempts) != 1 || v.Attempts[0].Ended == "" || v.Result == nil {
 				t.Errorf("%s has of task %d (%d records) %+v, %v", name, i, records, v, err)
 			}
 		}
 	}
 	// One that is left alone says that it is not sure, and takes nothing.
-	g.cut("a")
-	g.cut("b")
-	n := g.keepers["c"].Node
+	g.disconnect("a")
+	g.disconnect("b")
+	n := g.replicas["c"].Node
 	if _, sure, err := n.Attempts(ctx, "job-000001", 0); err != nil || sure {
 		t.Errorf("alone: sure %v, %v", sure, err)
 	}
-	if err := n.Begin(ctx, claim(1, 999, 1)); !errors.Is(err, ErrTooFew) {
+	if err := n.Begin(ctx, claim(1, 999, 1)); !errors.Is(err, ErrNoQuorum) {
 		t.Errorf("alone: %v", err)
 	}
-	whole(t, n, claim(1, 0, 1), 5, artifactstore.StateFinal) // what was decided stays so
-	g.back("a")                                              // two gone and back
-	g.back("b")
+	checkAttempt(t, n, claim(1, 0, 1), 5, artifactstore.StateFinal) // what was decided stays so
+	g.reconnect("a")                                                // two gone and back
+	g.reconnect("b")
 	one(n)
 	check()
 	// One is gone for good: the list says so, and the two that are left are enough.
@@ -292,7 +292,7 @@
 		g.start(name)
 	}
 	g.repair()
-	one(g.keepers["c"].Node)
+	one(g.replicas["c"].Node)
 	check()
 }
 
@@ -342,7 +342,7 @@
 	if got := fill(quiet); got != 8 {
 		t.Errorf("%d records of the other", got)
 	}
-	if _, final, err := n.Seal(ctx, chatty, end(true, 8, nil)); err != nil || !final {
+	if _, final, err := n.Seal(ctx, chatty, endReport(true, 8, nil)); err != nil || !final {
 		t.Errorf("a seal on a full disk: %v", err)
 	}
 }
@@ -394,7 +394,7 @@
 		finals := make([]bool, 3)
 		for i, name := range g.names() {
 			c := claim(1, task, uint64(i+1))
-			n := g.keepers[name].Node
+			n := g.replicas[name].Node
 			if err := n.Begin(ctx, c); err != nil {
 				t.Fatal(err)
 			}
@@ -424,8 +424,8 @@
 			t.Fatalf("task %d: %v were told to be the result", task, told)
 		}
 		for _, name := range g.names() {
-			v, err := g.keepers[name].task(ctx, "job-000001", task)
-			if err != nil || !v.sure {
+			v, err := g.replicas[name].taskState(ctx, "job-000001", task)
+			if err != nil || !v.hasQuorum {
 				t.Fatal(err)
 			}
 			if got := v.result; (got != nil) != (len(told) == 1) || (got != nil && got.Number != told[0]) {
@@ -440,33 +440,33 @@
 func TestLateAppend(t *testing.T) {
 	g := newGroup(t, "a", "b", "c")
 	c := claim(1, 0, 1)
-	n := g.keepers["a"].Node
+	n := g.replicas["a"].Node
 	if err := n.Begin(ctx, c); err != nil {
 		t.Fatal(err)
 	}
-	g.cut("b")
+	g.disconnect("b")
 	for i := 0; i < 10; i += 2 {
 		if _, err := n.Append(ctx, c, "stdout", uint64(i), lines(i, 2, "attempt 1")); err != nil {
 			t.Fatal(err)
 		}
 	}
-	g.back("b")
+	g.reconnect("b")
 	if _, err := n.Append(ctx, c, "stdout", 10, lines(10, 1, "attempt 1")); err != nil {
 		t.Fatal(err)
 	}
-	g.cut("c") // now b must have all of it
+	g.disconnect("c") // now b must have all of it
 	if next, err := n.Append(ctx, c, "stdout", 11, lines(11, 1, "attempt 1")); err != nil || next != 12 {
 		t.Fatalf("next %d, %v", next, err)
 	}
-	g.back("c")
-	if _, _, err := g.keepers["c"].Seal(ctx, c, end(true, 12, nil)); err != nil {
+	g.reconnect("c")
+	if _, _, err := g.replicas["c"].Seal(ctx, c, endReport(true, 12, nil)); err != nil {
 		t.Fatal(err)
 	}
 	for _, name := range g.names() {
-		if _, err := g.keepers[name].Append(ctx, c, "stdout", 12, lines(12, 1, "late")); !errors.Is(err, artifactstore.ErrSealed) {
+		if _, err := g.replicas[name].Append(ctx, c, "stdout", 12, lines(12, 1, "late")); !errors.Is(err, artifactstore.ErrSealed) {
 			t.Errorf("late at %s: %v", name, err)
 		}
-		if got := text(t, g.keepers[name].Node, c.Attempt, "stdout"); len(got) != 12 || got[11] != "attempt 1 11" {
+		if got := readLines(t, g.replicas[name].Node, c.Attempt, "stdout"); len(got) != 12 || got[11] != "attempt 1 11" {
 			t.Errorf("%s has %q", name, got)
 		}
 	}
@@ -477,7 +477,7 @@
 // accepted is seen through.
 func TestLeftHalfway(t *testing.T) {
 	g := newGroup(t, "a", "b", "c")
-	n := g.keepers["a"].Node
+	n := g.replicas["a"].Node
 	ballot := func() artifactstore.Ballot {
 		return artifactstore.Ballot{Round: n.round.Add(1), By: "a front that ended"}
 	}
@@ -492,41 +492,41 @@
 		b := ballot()
 		var promises []reply
 		for _, name := range g.names() {
-			a, err := n.peers[name].do(ctx, &call{Op: "prepare", Attempt: c.Attempt, Ballot: b, Freeze: true})
+			a, err := n.peers[name].do(ctx, &peerRequest{Op: "prepare", Attempt: c.Attempt, Ballot: b, Freeze: true})
 			if err != nil {
 				t.Fatal(err)
 			}
 			promises = append(promises, reply{name, a, nil})
 		}
-		value, err := n.gather(ctx, c, &artifactstore.End{Exit: artifactstore.Exit{Completed: true}, Records: map[string]uint64{"stdout": 3}}, promises)
+		value, err := n.buildManifest(ctx, c, &artifactstore.End{Exit: artifactstore.Exit{Completed: true}, Records: map[string]uint64{"stdout": 3}}, promises)
 		if err != nil {
 			t.Fatal(err)
 		}
 		for _, name := range g.names()[:task] {
-			if _, err := n.peers[name].do(ctx, &call{Op: "accept", Attempt: c.Attempt, Ballot: b, Value: value, From: "a"}); err != nil {
+			if _, err := n.peers[name].do(ctx, &peerRequest{Op: "accept", Attempt: c.Attempt, Ballot: b, Value: value, From: "a"}); err != nil {
 				t.Fatal(err)
 			}
 		}
 		switch step {
 		case "prepared":
-			if _, err := g.keepers["b"].Append(ctx, c, "stdout", 3, lines(3, 1, "attempt 1")); err != nil {
+			if _, err := g.replicas["b"].Append(ctx, c, "stdout", 3, lines(3, 1, "attempt 1")); err != nil {
 				t.Fatalf("the worker goes on: %v", err)
 			}
 			// The front comes back to life: too late.
-			if a, err := n.peers["b"].do(ctx, &call{Op: "accept", Attempt: c.Attempt, Ballot: b, Value: value, From: "a"}); err != nil || a.Promise.Accepted == b {
+			if a, err := n.peers["b"].do(ctx, &peerRequest{Op: "accept", Attempt: c.Attempt, Ballot: b, Value: value, From: "a"}); err != nil || a.Promise.Accepted == b {
 				t.Fatalf("a late accept was taken: %v", err)
 			}
-			if _, final, err := n.Seal(ctx, c, end(true, 4, nil)); err != nil || !final {
+			if _, final, err := n.Seal(ctx, c, endReport(true, 4, nil)); err != nil || !final {
 				t.Fatal(err)
 			}
 		default:
 			// What a majority may have decided is decided by whoever asks.
-			_, state, err := g.keepers["c"].Manifest(ctx, c.Job, c.Task, 1)
+			_, state, err := g.replicas["c"].Manifest(ctx, c.Job, c.Task, 1)
 			if step == "accepted by two" && (err != nil || state != artifactstore.StateFinal) { // never "sealed" first
 				t.Fatalf("%s: %s, %v", step, state, err)
 			}
 			if step == "accepted by one" {
-				if _, _, err := n.Seal(ctx, c, end(true, 3, nil)); err != nil {
+				if _, _, err := n.Seal(ctx, c, endReport(true, 3, nil)); err != nil {
 					t.Fatalf("%s: sealed again: %v", step, err)
 				}
 			}
@@ -544,13 +544,13 @@
 func TestDrain(t *testing.T) {
 	g := newGroup(t, "a", "b", "c")
 	for task := range 12 {
-		run(t, g.keepers["abc"[task%3:task%3+1]].Node, claim(1, task, 1), 4, true)
+		runAttempt(t, g.replicas["abc"[task%3:task%3+1]].Node, claim(1, task, 1), 4, true)
 	}
 	open := claim(1, 50, 1)
-	if err := g.any().Begin(ctx, open); err != nil {
+	if err := g.anyRunning().Begin(ctx, open); err != nil {
 		t.Fatal(err)
 	}
-	if _, err := g.any().Append(ctx, open, "stdout", 0, lines(0, 4, "attempt 1")); err != nil {
+	if _, err := g.anyRunning().Append(ctx, open, "stdout", 0, lines(0, 4, "attempt 1")); err != nil {
 		t.Fatal(err)
 	}
 	restart := func(names ...string) {
@@ -565,10 +565,10 @@
 	g.start("d")
 	restart("a", "b")
 	// c goes by the old list still: it is told so.
-	if err := g.keepers["c"].Begin(ctx, claim(1, 60, 1)); !errors.Is(err, ErrTooFew) {
+	if err := g.replicas["c"].Begin(ctx, claim(1, 60, 1)); !errors.Is(err, ErrNoQuorum) {
 		t.Fatalf("under an old list: %v", err)
 	}
-	if g.keepers["d"].Repair(ctx); g.keepers["d"].InSync() {
+	if g.replicas["d"].Repair(ctx); g.replicas["d"].InSync() {
 		t.Fatal("d is full without a word from c")
 	}
 	restart("c")
@@ -580,11 +580,11 @@
 	for range 3 {
 		g.repair()
 	}
-	if s := g.keepers["c"].Status(); s.State != string(Draining) || s.Misplaced != 0 {
+	if s := g.replicas["c"].Status(); s.State != string(Draining) || s.Misplaced != 0 {
 		t.Fatalf("c has not handed over: %+v", s)
 	}
-	if names, err := g.keepers["c"].k.Names("", 100); err != nil || len(names) > 0 || g.keepers["c"].k.Opened() > 0 {
-		t.Fatalf("c still has %q, %d open, %v", names, g.keepers["c"].k.Opened(), err)
+	if names, err := g.replicas["c"].store.RefNames("", 100); err != nil || len(names) > 0 || g.replicas["c"].store.OpenCount() > 0 {
+		t.Fatalf("c still has %q, %d open, %v", names, g.replicas["c"].store.OpenCount(), err)
 	}
 	g.members.Epoch++
 	g.members.List[2].State = Gone
@@ -592,20 +592,20 @@
 	restart("a", "b", "d")
 	g.repair()
 	for _, name := range []string{"a", "b", "d"} {
-		n := g.keepers[name].Node
+		n := g.replicas[name].Node
 		if !n.InSync() {
 			t.Errorf("%s: %+v", name, n.Status())
 		}
 		for task := range 12 {
-			whole(t, n, claim(1, task, 1), 4, artifactstore.StateFinal)
+			checkAttempt(t, n, claim(1, task, 1), 4, artifactstore.StateFinal)
 		}
-		if got := text(t, n, open.Attempt, "stdout"); len(got) != 4 {
+		if got := readLines(t, n, open.Attempt, "stdout"); len(got) != 4 {
 			t.Errorf("%s has %q of the open attempt", name, got)
 		}
 	}
 	g.members.Epoch += 2
 	restart("b")
-	if g.keepers["b"].counts("job-000001", 0) {
+	if g.replicas["b"].isComplete("job-000001", 0) {
 		t.Error("b skipped a list and is counted")
 	}
 	g.members.Epoch = 1
@@ -620,7 +620,7 @@
 func TestRotten(t *testing.T) {
 	g := newGroup(t, "a", "b", "c")
 	c := claim(1, 0, 1)
-	run(t, g.any(), c, 2, true)
+	runAttempt(t, g.anyRunning(), c, 2, true)
 	g.repair()
 	var object string
 	if err := filepath.WalkDir(filepath.Join(g.dir, "a", "blobs", "objects"), func(path string, d os.DirEntry, err error) error {
@@ -639,11 +639,11 @@
 	if err := os.WriteFile(object, data, 0o600); err != nil {
 		t.Fatal(err)
 	}
-	found, err := g.keepers["a"].b.Scrub(ctx, 1e9)
+	found, err := g.replicas["a"].blobs.Scrub(ctx, 1e9)
 	if err != nil || found.Bad != 1 || found.Repaired != 1 {
 		t.Fatalf("%+v %v", found, err)
 	}
-	whole(t, g.keepers["a"].Node, c, 2, artifactstore.StateFinal)
+	checkAttempt(t, g.replicas["a"].Node, c, 2, artifactstore.StateFinal)
 }
 
 // TestPlan: what the fewest others have comes first, of those what was noticed first.
@@ -651,7 +651,7 @@
 	at := time.Unix(1e9, 0)
 	name := func(task int) string { return "sealed/" + claim(1, task, 1).Attempt.String() }
 	have := map[string][]string{name(1): {"b", "c"}, name(2): {"c"}, name(3): {"b"}, name(4): {"b", "c"}, "open/" + claim(1, 4, 2).Attempt.String() + "/0011": {"b"}}
-	list := plan(have, func(task string) time.Time {
+	list := orderRepairs(have, func(task string) time.Time {
 		if task == "job-000001/3" || task == "job-000001/4" {
 			return at
 		}
@@ -659,7 +659,7 @@
 	})
 	var got []int
 	for _, l := range list {
-		got = append(got, l.at.Task)
+		got = append(got, l.task.Task)
 	}
 	if !slices.Equal(got, []int{3, 4, 2, 1}) {
 		t.Fatalf("%v", got)
--- a/internal/artifactreplication/handover.go
+++ b/internal/artifactreplication/handover.go
@@ -28,7 +28,7 @@
 	left := len(tasks)
 	defer func() {
 		n.mu.Lock()
-		n.repair.strays = left
+		n.repair.misplaced = left
 		n.mu.Unlock()
 	}()
 	for at := range tasks {
@@ -37,12 +37,12 @@
 			return err
 		}
 		names := n.opt.Members.ReplicasOf(at.Job, at.Task)
-		got, _ := n.callReplicas(ctx, names, len(names), func(ctx context.Context, _ string, r replica) (*answer, error) {
-			return r.do(ctx, &call{Op: "task", Attempt: at, Count: true})
+		got, _ := n.callReplicas(ctx, names, len(names), func(ctx context.Context, _ string, r replica) (*peerResponse, error) {
+			return r.do(ctx, &peerRequest{Op: "task", Attempt: at, Count: true})
 		})
 		whole := len(got) == len(names)
 		for _, r := range got {
-			whole = whole && covers(r.Task, mine)
+			whole = whole && hasAllOf(r.Task, mine)
 		}
 		if !whole {
 			continue // they bring it themselves
@@ -66,12 +66,12 @@
 }
 
 // covers says whether a replica has all that another has of a task.
-func covers(theirs, mine *artifactstore.TaskView) bool {
+func hasAllOf(theirs, mine *artifactstore.TaskView) bool {
 	if mine.Result != nil && (theirs.Result == nil || *theirs.Result != *mine.Result) {
 		return false
 	}
 	for _, v := range mine.Attempts {
-		i := slices.IndexFunc(theirs.Attempts, func(t artifactstore.View) bool { return t.Number == v.Number })
+		i := slices.IndexFunc(theirs.Attempts, func(t artifactstore.AttemptView) bool { return t.Number == v.Number })
 		if i < 0 {
 			return false
 		}
@@ -106,19 +106,19 @@
 		if v.Value == nil {
 			continue
 		}
-		if seen[at] = true; n.repair.voted[at] { // since the last round
+		if seen[at] = true; n.repair.undecided[at] { // since the last round
 			_, err := n.resolve(ctx, at)
 			errs = append(errs, err)
 		}
 	}
-	n.repair.voted = seen
+	n.repair.undecided = seen
 	for _, at := range n.store.Unsettled() {
-		m, err := n.store.Ended(at)
+		m, err := n.store.EndManifest(at)
 		if err == nil && n.opt.Members.IsReplica(n.opt.Name, at.Job, at.Task) {
-			_, err = n.settle(ctx, m.Claim, blob.Of(protocol.Encode(m)).String())
+			_, err = n.decideResult(ctx, m.Claim, blob.Of(protocol.Encode(m)).String())
 		}
 		if err == nil {
-			err = n.store.Settled(ctx, at)
+			err = n.store.MarkSettled(ctx, at)
 		}
 		errs = append(errs, err)
 	}
--- a/internal/artifactreplication/known.go
+++ b/internal/artifactreplication/known.go
@@ -12,47 +12,47 @@
 )
 
 // view is what all replicas together know of a task.
-type view struct {
-	attempts []merged
-	result   *artifactstore.Result
-	sure     bool // a majority answered
+type taskState struct {
+	attempts  []mergedAttempt
+	result    *artifactstore.Result
+	hasQuorum bool // a majority answered
 }
 
 // merged is an attempt as several replicas have it.
-type merged struct {
-	artifactstore.View
-	next  map[string]map[string]uint64 // of open ones: by stream and replica
-	voted bool
+type mergedAttempt struct {
+	artifactstore.AttemptView
+	nextRecord map[string]map[string]uint64 // of open ones: by stream and replica
+	voted      bool
 }
 
 // task asks a task's replicas what they have. What one of them accepted and nobody knows
 // to be decided is resolved first, so that what is told of stays true.
-func (n *Node) task(ctx context.Context, job string, task int) (_ *view, err error) {
+func (n *Node) taskState(ctx context.Context, job string, task int) (_ *taskState, err error) {
 	at := artifactstore.Attempt{Job: job, Task: task}
 	names := n.opt.Members.ReplicasOf(job, task)
 	for try := 0; ; try++ {
-		got, failed := n.callReplicas(ctx, names, majority(len(names)), func(ctx context.Context, _ string, r replica) (*answer, error) {
-			return r.do(ctx, &call{Op: "task", Attempt: at, Count: true})
+		got, failed := n.callReplicas(ctx, names, majority(len(names)), func(ctx context.Context, _ string, r replica) (*peerResponse, error) {
+			return r.do(ctx, &peerRequest{Op: "task", Attempt: at, Count: true})
 		})
-		v := &view{sure: len(got) >= majority(len(names))}
-		if !v.sure { // whoever is left, also one that is still joining
-			more, _ := n.callReplicas(ctx, n.sources(job, task), len(names)+len(n.peers), func(ctx context.Context, _ string, r replica) (*answer, error) {
-				return r.do(ctx, &call{Op: "task", Attempt: at})
+		v := &taskState{hasQuorum: len(got) >= majority(len(names))}
+		if !v.hasQuorum { // whoever is left, also one that is still joining
+			more, _ := n.callReplicas(ctx, n.sources(job, task), len(names)+len(n.peers), func(ctx context.Context, _ string, r replica) (*peerResponse, error) {
+				return r.do(ctx, &peerRequest{Op: "task", Attempt: at})
 			})
 			if got = append(got, more...); len(got) == 0 {
-				return nil, reason(failed)
+				return nil, quorumError(failed)
 			}
 		}
 		voted := v.merge(got)
-		if !v.sure || try > 2 {
+		if !v.hasQuorum || try > 2 {
 			return v, nil
 		}
 		if len(voted) == 0 {
 			// Between an attempt's seal and the word whether it is the result nobody
 			// must be told that it is not.
-			if last := v.completed(); v.result == nil && last != nil {
-				if v.result, err = n.settle(ctx, last.Claim, last.Ended); err != nil {
-					v.sure = false
+			if last := v.lastCompleted(); v.result == nil && last != nil {
+				if v.result, err = n.decideResult(ctx, last.Claim, last.Ended); err != nil {
+					v.hasQuorum = false
 				}
 			}
 			return v, nil
@@ -60,7 +60,7 @@
 		for _, x := range voted {
 			x.Job, x.Task = job, task
 			if _, err := n.resolve(ctx, x); err != nil {
-				v.sure = false
+				v.hasQuorum = false
 				return v, nil
 			}
 		}
@@ -69,8 +69,8 @@
 
 // merge puts together what replicas have, and lists the registers that may be decided
 // without one of them knowing.
-func (v *view) merge(got []reply) (voted []artifactstore.Attempt) {
-	by := map[uint64]*merged{}
+func (v *taskState) merge(got []reply) (voted []artifactstore.Attempt) {
+	by := map[uint64]*mergedAttempt{}
 	resultVoted := false
 	for _, r := range got {
 		if r.Task.Result != nil {
@@ -80,7 +80,7 @@
 		for _, a := range r.Task.Attempts {
 			m := by[a.Number]
 			if m == nil {
-				m = &merged{View: artifactstore.View{Claim: artifactstore.Claim{Attempt: a.Attempt}, Idle: a.Idle}, next: map[string]map[string]uint64{}}
+				m = &mergedAttempt{AttemptView: artifactstore.AttemptView{Claim: artifactstore.Claim{Attempt: a.Attempt}, Idle: a.Idle}, nextRecord: map[string]map[string]uint64{}}
 				by[a.Number] = m
 			}
 			if m.Machine == "" && a.Machine != "" {
@@ -92,10 +92,10 @@
 				m.Ended, m.Partial, m.Exit, m.Claim = a.Ended, a.Partial, a.Exit, a.Claim
 			}
 			for stream, x := range a.Streams {
-				if m.next[stream] == nil {
-					m.next[stream] = map[string]uint64{}
+				if m.nextRecord[stream] == nil {
+					m.nextRecord[stream] = map[string]uint64{}
 				}
-				m.next[stream][r.name] = x.Next
+				m.nextRecord[stream][r.name] = x.Next
 			}
 		}
 	}
@@ -113,7 +113,7 @@
 }
 
 // completed is the last attempt that was sealed as completed.
-func (v *view) completed() *merged {
+func (v *taskState) lastCompleted() *mergedAttempt {
 	for i := len(v.attempts) - 1; i >= 0; i-- {
 		if m := &v.attempts[i]; m.Ended != "" && !m.Partial && m.Exit.Completed {
 			return m
@@ -122,7 +122,7 @@
 	return nil
 }
 
-func (v *view) find(number uint64) *merged {
+func (v *taskState) find(number uint64) *mergedAttempt {
 	for i := range v.attempts {
 		if v.attempts[i].Number == number {
 			return &v.attempts[i]
@@ -132,13 +132,13 @@
 }
 
 // state is what an attempt is, as artifactstore.Line has it.
-func (v *view) state(m *merged) string {
+func (v *taskState) attemptState(m *mergedAttempt) string {
 	switch {
 	case v.result != nil && v.result.Number == m.Number:
 		return artifactstore.StateFinal
 	case m.Ended != "" && m.Partial:
 		return artifactstore.StatePartial
-	case !v.sure:
+	case !v.hasQuorum:
 		return artifactstore.StateUnsure
 	case m.Ended != "":
 		return artifactstore.StateSealed
@@ -149,27 +149,27 @@
 // Attempts lists a task's attempts in their order. sure says whether enough replicas
 // answered for all that was ever acknowledged to be in it.
 func (n *Node) Attempts(ctx context.Context, job string, task int) (list []artifactstore.AttemptSummary, sure bool, err error) {
-	v, err := n.task(ctx, job, task)
+	v, err := n.taskState(ctx, job, task)
 	if err != nil {
 		return nil, false, err
 	}
 	for i := range v.attempts {
 		m := &v.attempts[i]
-		list = append(list, artifactstore.AttemptSummary{Attempt: m.Attempt, Machine: m.Machine, State: v.state(m), Exit: m.Exit})
+		list = append(list, artifactstore.AttemptSummary{Attempt: m.Attempt, Machine: m.Machine, State: v.attemptState(m), Exit: m.Exit})
 	}
-	return list, v.sure, nil
+	return list, v.hasQuorum, nil
 }
 
 // choose finds an attempt by number; for 0 the final one, else the latest.
-func (n *Node) choose(ctx context.Context, job string, task int, number uint64) (*view, *merged, error) {
-	v, err := n.task(ctx, job, task)
+func (n *Node) findAttempt(ctx context.Context, job string, task int, number uint64) (*taskState, *mergedAttempt, error) {
+	v, err := n.taskState(ctx, job, task)
 	if err != nil {
 		return nil, nil, err
 	}
 	if number == 0 && v.result != nil {
 		number = v.result.Number
 	}
-	var m *merged
+	var m *mergedAttempt
 	if number > 0 {
 		m = v.find(number)
 	} else if len(v.attempts) > 0 {
@@ -178,8 +178,8 @@
 	switch {
 	case m != nil:
 		return v, m, nil
-	case !v.sure:
-		return nil, nil, ErrTooFew
+	case !v.hasQuorum:
+		return nil, nil, ErrNoQuorum
 	}
 	return nil, nil, artifactstore.ErrUnknown
 }
@@ -187,23 +187,23 @@
 // Manifest gives the manifest of an attempt that has ended, and its state; for number 0
 // the final one's, else the latest's.
 func (n *Node) Manifest(ctx context.Context, job string, task int, number uint64) (*artifactstore.Manifest, string, error) {
-	v, m, err := n.choose(ctx, job, task, number)
+	v, m, err := n.findAttempt(ctx, job, task, number)
 	if err != nil {
 		return nil, "", err
 	}
 	if m.Ended == "" {
 		return nil, "", fmt.Errorf("%w: attempt %d has not ended", artifactstore.ErrUnknown, m.Number)
 	}
-	man, err := n.manifest(ctx, m)
-	return man, v.state(m), err
+	man, err := n.readManifest(ctx, m)
+	return man, v.attemptState(m), err
 }
 
-func (n *Node) manifest(ctx context.Context, m *merged) (*artifactstore.Manifest, error) {
+func (n *Node) readManifest(ctx context.Context, m *mergedAttempt) (*artifactstore.Manifest, error) {
 	d, err := blob.Parse(m.Ended)
 	if err != nil {
 		return nil, err
 	}
-	b, err := n.readWhole(ctx, m.Job, m.Task, m.Tenant, d)
+	b, err := n.readBlob(ctx, m.Job, m.Task, m.Tenant, d)
 	if err != nil {
 		return nil, err
 	}
@@ -211,8 +211,8 @@
 }
 
 // readWhole reads a blob of a task from whoever has it.
-func (n *Node) readWhole(ctx context.Context, job string, task int, tenant string, d blob.Digest) ([]byte, error) {
-	r, err := n.open(ctx, n.sources(job, task), tenant, d, 0)
+func (n *Node) readBlob(ctx context.Context, job string, task int, tenant string, d blob.Digest) ([]byte, error) {
+	r, err := n.openBlob(ctx, n.sources(job, task), tenant, d, 0)
 	if err != nil {
 		return nil, err
 	}
@@ -228,11 +228,11 @@
 // replicas answered for none that was acknowledged to be missing.
 func (n *Node) Tasks(ctx context.Context, job string) (list []int, sure bool, err error) {
 	names := slices.Sorted(maps.Keys(n.peers))
-	got, failed := n.callReplicas(ctx, names, len(names), func(ctx context.Context, _ string, r replica) (*answer, error) {
-		return r.do(ctx, &call{Op: "tasks", Attempt: artifactstore.Attempt{Job: job}})
+	got, failed := n.callReplicas(ctx, names, len(names), func(ctx context.Context, _ string, r replica) (*peerResponse, error) {
+		return r.do(ctx, &peerRequest{Op: "tasks", Attempt: artifactstore.Attempt{Job: job}})
 	})
 	if len(got) == 0 {
-		return nil, false, reason(failed)
+		return nil, false, quorumError(failed)
 	}
 	found := map[int]bool{}
 	for _, r := range got {
--- a/internal/artifactreplication/members.go
+++ b/internal/artifactreplication/members.go
@@ -173,7 +173,7 @@
 
 // counts says whether the replica has all of a task that it should, and so may vote and
 // be counted by readers.
-func (id *identity) counts(self, job string, task int) bool {
+func (id *identity) isComplete(self, job string, task int) bool {
 	for i := range id.Lists {
 		if !id.Lists[i].IsReplica(self, job, task) {
 			return false
@@ -182,12 +182,12 @@
 	return len(id.Lists) > 0
 }
 
-func (id *identity) full(cur *Members) bool {
+func (id *identity) isSynced(cur *Members) bool {
 	return len(id.Lists) == 1 && id.Lists[0].Epoch == cur.Epoch
 }
 
 // synced notes that everything is here that should be by a list.
-func (id *identity) synced(cur *Members) error {
+func (id *identity) markSynced(cur *Members) error {
 	id.Lists = []Members{*cur}
 	return id.save()
 }
--- a/internal/artifactreplication/one_test.go
+++ b/internal/artifactreplication/one_test.go
@@ -27,7 +27,7 @@
 )
 
 // alone opens a replica that is the only one.
-func alone(t *testing.T, dir string, step func(string), tune ...func(*artifactstore.Options)) (*Node, *blob.Store) {
+func newSingleReplica(t *testing.T, dir string, step func(string), tune ...func(*artifactstore.Options)) (*Node, *blob.Store) {
 	t.Helper()
 	b, err := blob.Open(blob.Options{Dir: filepath.Join(dir, "blobs"), Step: step, Inline: 500})
 	if err != nil {
@@ -54,7 +54,7 @@
 }
 
 // end is what an agent says when it seals.
-func end(completed bool, stdout uint64, files map[string]string) artifactstore.End {
+func endReport(completed bool, stdout uint64, files map[string]string) artifactstore.End {
 	return artifactstore.End{Exit: artifactstore.Exit{Completed: completed}, Records: map[string]uint64{"stdout": stdout}, Files: files}
 }
 
@@ -70,7 +70,7 @@
 }
 
 // text reads a whole stream.
-func text(t *testing.T, k *Node, at artifactstore.Attempt, stream string) []string {
+func readLines(t *testing.T, k *Node, at artifactstore.Attempt, stream string) []string {
 	t.Helper()
 	var list []string
 	if _, _, err := k.Read(ctx, at, stream, 0, false, func(_ uint64, r artifactstore.Record) error {
@@ -89,7 +89,7 @@
 // TestAppends: a repeated or overlapping append has no second effect, a gap is refused
 // with what is wanted, holes keep their place, and all stays so once it is sealed.
 func TestAppends(t *testing.T) {
-	k, _ := alone(t, t.TempDir(), nil)
+	k, _ := newSingleReplica(t, t.TempDir(), nil)
 	c := claim(1, 0, 1)
 	if err := k.Begin(ctx, c); err != nil {
 		t.Fatal(err)
@@ -110,20 +110,20 @@
 		t.Fatal(err)
 	}
 	want := []string{"line 0", "line 1", "line 2", "line 3", "line 4", "line 5", "hole 77"}
-	if got := text(t, k, c.Attempt, "stdout"); !equal(got, want) {
+	if got := readLines(t, k, c.Attempt, "stdout"); !equalLines(got, want) {
 		t.Fatalf("%q", got)
 	}
-	if _, _, err := k.Seal(ctx, c, end(true, 8, nil)); !errors.Is(err, artifactstore.ErrNotWhole) {
+	if _, _, err := k.Seal(ctx, c, endReport(true, 8, nil)); !errors.Is(err, artifactstore.ErrIncomplete) {
 		t.Fatalf("sealed without the last record: %v", err)
 	}
-	if _, _, err := k.Seal(ctx, c, artifactstore.End{Exit: artifactstore.Exit{Completed: true}}); !errors.Is(err, artifactstore.ErrNotWhole) {
+	if _, _, err := k.Seal(ctx, c, artifactstore.End{Exit: artifactstore.Exit{Completed: true}}); !errors.Is(err, artifactstore.ErrIncomplete) {
 		t.Fatalf("sealed without a word of a stream: %v", err)
 	}
-	m, final, err := k.Seal(ctx, c, end(true, 7, nil))
+	m, final, err := k.Seal(ctx, c, endReport(true, 7, nil))
 	if err != nil || !final || m.Streams[0].Records != 7 || m.Streams[0].Lost != 77 {
 		t.Fatalf("%+v, final %v, %v", m, final, err)
 	}
-	if got := text(t, k, c.Attempt, "stdout"); !equal(got, want) {
+	if got := readLines(t, k, c.Attempt, "stdout"); !equalLines(got, want) {
 		t.Fatalf("sealed: %q", got)
 	}
 	if _, err := k.Append(ctx, c, "stdout", 7, lines(7, 1, "late")); !errors.Is(err, artifactstore.ErrSealed) {
@@ -134,17 +134,17 @@
 	}
 }
 
-func equal(a, b []string) bool { return strings.Join(a, "\n") == strings.Join(b, "\n") }
+func equalLines(a, b []string) bool { return strings.Join(a, "\n") == strings.Join(b, "\n") }
 
 // TestOneFinal: of a task's attempts the first sealed one that completed is the
 // result, unless a later one had begun; each keeps its own streams and files, and what
 // is not sealed is partial for ever.
 func TestOneFinal(t *testing.T) {
 	dir := t.TempDir()
-	k, b := alone(t, dir, nil)
+	k, b := newSingleReplica(t, dir, nil)
 	seal := func(c artifactstore.Claim, completed, want bool) {
 		t.Helper()
-		if _, final, err := k.Seal(ctx, c, end(completed, 1, map[string]string{"out/grades.bin": blob.Of([]byte(fmt.Sprint("file of ", c.Number))).String()})); err != nil || final != want {
+		if _, final, err := k.Seal(ctx, c, endReport(completed, 1, map[string]string{"out/grades.bin": blob.Of([]byte(fmt.Sprint("file of ", c.Number))).String()})); err != nil || final != want {
 			t.Fatalf("attempt %d: final %v, %v", c.Number, final, err)
 		}
 	}
@@ -176,7 +176,7 @@
 	seal(claim(1, 0, 20), true, false)
 	k.store.Close()
 	b.Close()
-	k, b = alone(t, dir, nil)
+	k, b = newSingleReplica(t, dir, nil)
 	m, state, err := k.Manifest(ctx, "job-000001", 0, 0)
 	if err != nil || state != artifactstore.StateFinal || m.Number != 60 || m.Files[0].Path != "out/grades.bin" {
 		t.Fatalf("%+v %v", m, err)
@@ -197,7 +197,7 @@
 		if a.Number != n || a.State != want {
 			t.Errorf("%+v", a)
 		}
-		if got := text(t, k, a.Attempt, "stdout"); !equal(got, []string{fmt.Sprintf("attempt %d 0", n)}) {
+		if got := readLines(t, k, a.Attempt, "stdout"); !equalLines(got, []string{fmt.Sprintf("attempt %d 0", n)}) {
 			t.Errorf("attempt %d has %q", n, got)
 		}
 		if !sealed {
@@ -218,17 +218,17 @@
 	if _, _, err := b.Collect(ctx, -time.Hour); err != nil {
 		t.Fatal(err)
 	}
-	if got := text(t, k, claim(1, 0, 60).Attempt, "stdout"); len(got) != 1 {
+	if got := readLines(t, k, claim(1, 0, 60).Attempt, "stdout"); len(got) != 1 {
 		t.Errorf("after collecting: %q", got)
 	}
 	// Shelved ones stay readable, and can't be sealed any more.
-	if n, err := k.Shelve(ctx, -time.Hour); err != nil || n != 2 {
+	if n, err := k.EndIdleAttempts(ctx, -time.Hour); err != nil || n != 2 {
 		t.Fatalf("%d shelved, %v", n, err)
 	}
-	if _, _, err := k.Seal(ctx, claim(1, 0, 30), end(true, 1, nil)); !errors.Is(err, artifactstore.ErrSealed) {
+	if _, _, err := k.Seal(ctx, claim(1, 0, 30), endReport(true, 1, nil)); !errors.Is(err, artifactstore.ErrSealed) {
 		t.Error("a shelved attempt was sealed")
 	}
-	if got := text(t, k, claim(1, 0, 30).Attempt, "stdout"); !equal(got, []string{"attempt 30 0"}) {
+	if got := readLines(t, k, claim(1, 0, 30).Attempt, "stdout"); !equalLines(got, []string{"attempt 30 0"}) {
 		t.Errorf("shelved: %q", got)
 	}
 	if list, _, err := k.Attempts(ctx, "job-000001", 0); err != nil || len(list) != 7 || list[2].State != artifactstore.StatePartial {
@@ -239,7 +239,7 @@
 // TestRefused: names that climb out, foreign machines and sessions, forged manifests
 // and what goes beyond a bound get a clear error and leave nothing.
 func TestRefused(t *testing.T) {
-	k, b := alone(t, t.TempDir(), nil)
+	k, b := newSingleReplica(t, t.TempDir(), nil)
 	c := claim(1, 0, 1)
 	if err := k.Begin(ctx, c); err != nil {
 		t.Fatal(err)
@@ -273,7 +273,7 @@
 			t.Errorf("%+v: %v", x, err)
 		}
 	}
-	if _, err := k.Append(ctx, c, "stdout", 0, []artifactstore.Record{{Data: make([]byte, 1<<20)}}); !errors.Is(err, artifactstore.ErrTooMuch) {
+	if _, err := k.Append(ctx, c, "stdout", 0, []artifactstore.Record{{Data: make([]byte, 1<<20)}}); !errors.Is(err, artifactstore.ErrLimit) {
 		t.Errorf("a record of a megabyte: %v", err)
 	}
 	if err := k.Attach(ctx, c, "a", blob.Of([]byte("not here"))); !errors.Is(err, blob.ErrNotFound) {
@@ -284,7 +284,7 @@
 			t.Fatal(err)
 		}
 	}
-	if _, err := k.Append(ctx, c, "one-more", 0, lines(0, 1, "x")); !errors.Is(err, artifactstore.ErrTooMuch) {
+	if _, err := k.Append(ctx, c, "one-more", 0, lines(0, 1, "x")); !errors.Is(err, artifactstore.ErrLimit) {
 		t.Errorf("a seventeenth stream: %v", err)
 	}
 	m := &artifactstore.Manifest{Claim: c, Exit: artifactstore.Exit{Completed: true}}
@@ -306,8 +306,8 @@
 // find what was moved.
 func TestTrim(t *testing.T) {
 	dir := t.TempDir()
-	short := func(o *artifactstore.Options) { o.Segment = 4000 }
-	n, b := alone(t, dir, nil, short)
+	short := func(o *artifactstore.Options) { o.SegmentBytes = 4000 }
+	n, b := newSingleReplica(t, dir, nil, short)
 	long := claim(9, 0, 1)
 	if err := n.Begin(ctx, long); err != nil {
 		t.Fatal(err)
@@ -323,11 +323,11 @@
 		if _, err := n.Append(ctx, c, "stdout", 0, lines(0, 10, "short")); err != nil {
 			t.Fatal(err)
 		}
-		if _, _, err := n.Seal(ctx, c, end(true, 10, nil)); err != nil {
+		if _, _, err := n.Seal(ctx, c, endReport(true, 10, nil)); err != nil {
 			t.Fatal(err)
 		}
 		if i%5 == 0 {
-			if err := n.store.Trim(ctx); err != nil {
+			if err := n.store.Compact(ctx); err != nil {
 				t.Fatal(err)
 			}
 		}
@@ -337,7 +337,7 @@
 	}
 	check := func() {
 		t.Helper()
-		got := text(t, n, long.Attempt, "stdout")
+		got := readLines(t, n, long.Attempt, "stdout")
 		if len(got) != 40 || got[0] != "long 0" || got[39] != "long 39" {
 			t.Fatalf("%q", got)
 		}
@@ -345,14 +345,14 @@
 	check()
 	n.store.Close()
 	b.Close()
-	n, _ = alone(t, dir, nil, short)
+	n, _ = newSingleReplica(t, dir, nil, short)
 	check()
 }
 
 // TestFollow: a reader of an open attempt sees each record once, in order, and the
 // end when it is sealed.
 func TestFollow(t *testing.T) {
-	k, _ := alone(t, t.TempDir(), nil)
+	k, _ := newSingleReplica(t, t.TempDir(), nil)
 	c := claim(1, 0, 1)
 	if err := k.Begin(ctx, c); err != nil {
 		t.Fatal(err)
@@ -372,10 +372,10 @@
 		}
 		want = append(want, fmt.Sprint("line ", i))
 	}
-	if _, _, err := k.Seal(ctx, c, end(false, 50, nil)); err != nil {
+	if _, _, err := k.Seal(ctx, c, endReport(false, 50, nil)); err != nil {
 		t.Fatal(err)
 	}
-	if list := <-got; !equal(list, want) {
+	if list := <-got; !equalLines(list, want) {
 		t.Fatalf("%q", list)
 	}
 }
@@ -390,7 +390,7 @@
 		dir, at, _ := strings.Cut(spec, "|")
 		left, _ := strconv.Atoi(at)
 		var mu sync.Mutex
-		k, b := alone(t, dir, func(string) {
+		k, b := newSingleReplica(t, dir, func(string) {
 			mu.Lock()
 			defer mu.Unlock()
 			if left--; left < 0 {
@@ -398,7 +398,7 @@
 				select {}
 			}
 		})
-		play(k, b, func(what string, c artifactstore.Claim, n uint64) { fmt.Println(what, c.Task, c.Number, n) })
+		runAgents(k, b, func(what string, c artifactstore.Claim, n uint64) { fmt.Println(what, c.Task, c.Number, n) })
 		os.Exit(0)
 	}
 	var done atomic.Bool
@@ -407,7 +407,7 @@
 			for at := batch; at < batch+16; at++ {
 				t.Run(strconv.Itoa(at), func(t *testing.T) {
 					t.Parallel()
-					if !killedAt(t, at) {
+					if !runKilledAt(t, at) {
 						if done.Store(true); at < 60 {
 							t.Fatalf("only %d steps", at)
 						}
@@ -419,7 +419,7 @@
 }
 
 // killedAt is TestKilled at one step; it says whether the process came so far.
-func killedAt(t *testing.T, at int) bool {
+func runKilledAt(t *testing.T, at int) bool {
 	dir := t.TempDir()
 	cmd := exec.Command(os.Args[0], "-test.run=^TestKilled$")
 	cmd.Env = append(os.Environ(), fmt.Sprintf("KEEPER_KILL=%s|%d", dir, at))
@@ -429,9 +429,9 @@
 	if err != nil && !killed {
 		t.Fatalf("step %d: the process ended by itself: %v\n%s", at, err, out)
 	}
-	k, b := alone(t, dir, nil)
-	finals := check(t, at, k, string(out))
-	play(k, b, func(string, artifactstore.Claim, uint64) {}) // the agents try again
+	k, b := newSingleReplica(t, dir, nil)
+	finals := checkHistory(t, at, k, string(out))
+	runAgents(k, b, func(string, artifactstore.Claim, uint64) {}) // the agents try again
 	for task, number := range finals {
 		if m, state, err := k.Manifest(ctx, "job-000001", task, 0); err != nil || state != artifactstore.StateFinal || m.Number != number {
 			t.Fatalf("step %d: the result of task %d was attempt %d and is %+v, %v", at, task, number, m, err)
@@ -442,7 +442,7 @@
 			t.Fatalf("step %d: no result of task %d in the end: %s, %v", at, task, state, err)
 		}
 		for n := uint64(1); n <= 2; n++ {
-			if got := text(t, k, claim(1, task, n).Attempt, "stdout"); len(got) != 6 || got[5] != fmt.Sprintf("attempt %d 5", n) {
+			if got := readLines(t, k, claim(1, task, n).Attempt, "stdout"); len(got) != 6 || got[5] != fmt.Sprintf("attempt %d 5", n) {
 				t.Fatalf("step %d: attempt %d has %q", at, n, got)
 			}
 		}
@@ -458,11 +458,11 @@
 		dir, at, _ := strings.Cut(spec, "|")
 		limit, _ := strconv.ParseUint(at, 10, 64)
 		signal.Ignore(syscall.SIGXFSZ)
-		k, b := alone(t, dir, nil)
+		k, b := newSingleReplica(t, dir, nil)
 		if err := syscall.Setrlimit(syscall.RLIMIT_FSIZE, &syscall.Rlimit{Cur: limit, Max: limit}); err != nil {
 			t.Fatal(err)
 		}
-		play(k, b, func(what string, c artifactstore.Claim, n uint64) { fmt.Println(what, c.Task, c.Number, n) })
+		runAgents(k, b, func(what string, c artifactstore.Claim, n uint64) { fmt.Println(what, c.Task, c.Number, n) })
 		os.Exit(0)
 	}
 	var refused atomic.Int32
@@ -480,9 +480,9 @@
 				if !strings.Contains(string(out), "final 2 2") {
 					refused.Add(1)
 				}
-				k, b := alone(t, dir, nil)
-				check(t, limit, k, string(out))
-				play(k, b, func(string, artifactstore.Claim, uint64) {})
+				k, b := newSingleReplica(t, dir, nil)
+				checkHistory(t, limit, k, string(out))
+				runAgents(k, b, func(string, artifactstore.Claim, uint64) {})
 				for task := range 3 {
 					if m, state, err := k.Manifest(ctx, "job-000001", task, 0); err != nil || state != artifactstore.StateFinal || len(m.Files) != 1 {
 						t.Fatalf("no result of task %d in the end: %s, %v", task, state, err)
@@ -498,7 +498,7 @@
 
 // play is what agents do: of each of three tasks a first attempt that fails, or in
 // task 2 is never sealed, and a second that completes.
-func play(k *Node, b *blob.Store, acked func(what string, c artifactstore.Claim, n uint64)) {
+func runAgents(k *Node, b *blob.Store, acked func(what string, c artifactstore.Claim, n uint64)) {
 	for task := range 3 {
 		for n := uint64(1); n <= 2; n++ {
 			c := claim(1, task, n)
@@ -517,7 +517,7 @@
 			if n == 1 && task == 2 {
 				continue
 			}
-			if _, final, err := k.Seal(ctx, c, end(n == 2, 6, map[string]string{"out.bin": d.String()})); err == nil {
+			if _, final, err := k.Seal(ctx, c, endReport(n == 2, 6, map[string]string{"out.bin": d.String()})); err == nil {
 				acked("seal", c, 0)
 				if final {
 					acked("final", c, 0)
@@ -529,7 +529,7 @@
 
 // check holds a replica against the history of what it acknowledged, and gives the
 // results that it told of.
-func check(t *testing.T, at int, k *Node, history string) map[int]uint64 {
+func checkHistory(t *testing.T, at int, k *Node, history string) map[int]uint64 {
 	t.Helper()
 	finals := map[int]uint64{}
 	for _, line := range strings.Split(strings.TrimSpace(history), "\n") {
@@ -540,7 +540,7 @@
 			continue
 		}
 		c := claim(1, task, number)
-		got := text(t, k, c.Attempt, "stdout")
+		got := readLines(t, k, c.Attempt, "stdout")
 		if uint64(len(got)) < n {
 			t.Fatalf("step %d: %d records acknowledged of attempt %d of task %d, %d are there", at, n, number, task, len(got))
 		}
@@ -564,9 +564,9 @@
 // or mixed up what it acknowledged.
 func TestHistoryCatches(t *testing.T) {
 	if os.Getenv("HISTORY") != "" {
-		k, b := alone(t, t.TempDir(), nil)
-		play(k, b, func(string, artifactstore.Claim, uint64) {})
-		check(t, 0, k, os.Getenv("HISTORY"))
+		k, b := newSingleReplica(t, t.TempDir(), nil)
+		runAgents(k, b, func(string, artifactstore.Claim, uint64) {})
+		checkHistory(t, 0, k, os.Getenv("HISTORY"))
 		return
 	}
 	for history, good := range map[string]bool{"append 0 1 6\nseal 1 2 0\nfinal 1 2 0": true, "append 0 1 7": false, "seal 2 1 0": false, "final 0 1 0": false} {
--- a/internal/artifactreplication/pace.go
+++ b/internal/artifactreplication/pace.go
@@ -18,17 +18,17 @@
 		if err != nil {
 			return nil, err
 		}
-		return &pacedReader{ctx, r, n}, nil
+		return &rateLimitedReader{ctx, r, n}, nil
 	}
 }
 
-type pacedReader struct {
+type rateLimitedReader struct {
 	ctx context.Context
 	io.ReadCloser
 	n *Node
 }
 
-func (p *pacedReader) Read(b []byte) (int, error) {
+func (p *rateLimitedReader) Read(b []byte) (int, error) {
 	got, err := p.ReadCloser.Read(b[:min(len(b), 64<<10)])
 	return got, errors.Join(err, p.n.waitForRate(p.ctx, got))
 }
@@ -36,15 +36,15 @@
 // waitForRate waits until repair may have brought so many bytes more.
 func (n *Node) waitForRate(ctx context.Context, bytes int) error {
 	n.mu.Lock()
-	n.repair.bytes += int64(bytes)
+	n.repair.repairedBytes += int64(bytes)
 	n.mu.Unlock()
-	if n.limit == nil {
+	if n.repairLimiter == nil {
 		return nil
 	}
-	return n.limit.WaitN(ctx, min(bytes, n.limit.Burst()))
+	return n.repairLimiter.WaitN(ctx, min(bytes, n.repairLimiter.Burst()))
 }
 
-func newLimit(bytesPerSecond float64) *rate.Limiter {
+func newRateLimiter(bytesPerSecond float64) *rate.Limiter {
 	if bytesPerSecond <= 0 {
 		return nil
 	}
@@ -52,12 +52,12 @@
 }
 
 // pacedSource is a replica whose records are read at repair's rate.
-type pacedSource struct {
+type rateLimitedReplica struct {
 	replica
 	n *Node
 }
 
-func (p pacedSource) read(ctx context.Context, at artifactstore.Attempt, stream string, from uint64, follow bool, each func(artifactstore.Record) error) (uint64, bool, error) {
+func (p rateLimitedReplica) read(ctx context.Context, at artifactstore.Attempt, stream string, from uint64, follow bool, each func(artifactstore.Record) error) (uint64, bool, error) {
 	return p.replica.read(ctx, at, stream, from, follow, func(r artifactstore.Record) error {
 		if err := p.n.waitForRate(ctx, len(r.Data)); err != nil {
 			return err
--- a/internal/artifactreplication/repair.go
+++ b/internal/artifactreplication/repair.go
@@ -24,11 +24,11 @@
 
 // maxRepairs is how many tasks are brought at a time: most of what one takes is waiting
 // for disks.
-const maxRepairs = 8
+const maxConcurrentRepairs = 8
 
 // lack is a task of which something is missing here.
-type lack struct {
-	at      artifactstore.Attempt // its task
+type missingTask struct {
+	task    artifactstore.Attempt // its task
 	peers   []string              // who has something of it that is missing here
 	copies  int                   // fewest replicas that have the same missing thing
 	noticed time.Time
@@ -36,8 +36,8 @@
 
 // plan puts what is missing into the order in which it is brought: what the fewest
 // others have first, of those what was noticed first. have tells by name who has it.
-func plan(have map[string][]string, noticed func(task string) time.Time) []lack {
-	by := map[string]*lack{}
+func orderRepairs(have map[string][]string, noticed func(task string) time.Time) []missingTask {
+	by := map[string]*missingTask{}
 	for _, name := range slices.Sorted(maps.Keys(have)) {
 		at, err := taskOf(name)
 		if err != nil {
@@ -46,7 +46,7 @@
 		key := fmt.Sprintf("%s/%d", at.Job, at.Task)
 		l := by[key]
 		if l == nil {
-			l = &lack{at: at, copies: len(have[name]), noticed: noticed(key)}
+			l = &missingTask{task: at, copies: len(have[name]), noticed: noticed(key)}
 			by[key] = l
 		}
 		l.copies = min(l.copies, len(have[name]))
@@ -56,11 +56,11 @@
 			}
 		}
 	}
-	list := make([]lack, 0, len(by))
+	list := make([]missingTask, 0, len(by))
 	for _, key := range slices.Sorted(maps.Keys(by)) {
 		list = append(list, *by[key])
 	}
-	slices.SortStableFunc(list, func(a, b lack) int {
+	slices.SortStableFunc(list, func(a, b missingTask) int {
 		return cmp.Or(cmp.Compare(a.copies, b.copies), a.noticed.Compare(b.noticed))
 	})
 	return list
@@ -68,21 +68,21 @@
 
 // repairState is what is known of the last look at what others have.
 type repairState struct {
-	noticed map[string]time.Time // tasks of which something is missing here, since when
-	left    int                  // tasks
-	short   int                  // names that another lacks
-	strays  int                  // tasks that are to be handed over
-	away    map[string]string    // replicas that could not be asked, and why
-	voted   map[artifactstore.Attempt]bool
-	mended  int
-	bytes   int64
+	firstMissing    map[string]time.Time // tasks of which something is missing here, since when
+	pending         int                  // tasks
+	underReplicated int                  // names that another lacks
+	misplaced       int                  // tasks that are to be handed over
+	unreachable     map[string]string    // replicas that could not be asked, and why
+	undecided       map[artifactstore.Attempt]bool
+	repairedTasks   int
+	repairedBytes   int64
 }
 
 // InSync says whether all is here that should be by the list in force.
 func (n *Node) InSync() bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return n.id.full(&n.opt.Members)
+	return n.id.isSynced(&n.opt.Members)
 }
 
 // Repair looks at what the other replicas have, brings what is missing here, hands over
@@ -101,49 +101,49 @@
 		n.opt.Log.Info("repaired", "keeper", n.opt.Name, "tasks", len(list)-len(errs), "failed", len(errs),
 			"took", n.opt.Now().Sub(began))
 	}
-	if !inSync && len(found.away) == 0 && len(errs) == 0 {
-		if err := n.becomeSynced(ctx, found.bound); err != nil {
+	if !inSync && len(found.unreachable) == 0 && len(errs) == 0 {
+		if err := n.becomeSynced(ctx, found.votes); err != nil {
 			return err
 		}
 	}
 	errs = append(errs, n.handOver(ctx), n.finishDecisions(ctx))
-	return errors.Join(errs[:min(len(errs), maxErrors)]...)
+	return errors.Join(errs[:min(len(errs), maxReportedErrors)]...)
 }
 
 // maxErrors bounds the errors that one repair gives.
-const maxErrors = 10
+const maxReportedErrors = 10
 
 // comparison is what comparing with the other replicas found.
 type comparison struct {
-	have  map[string][]string // replicas that have what is not here, by task
-	away  map[string]string   // why a replica did not answer, by its name
-	bound []boundTo           // votes of others that this one lost
-	short int
+	missing         map[string][]string // replicas that have what is not here, by task
+	unreachable     map[string]string   // why a replica did not answer, by its name
+	votes           []registerVote      // votes of others that this one lost
+	underReplicated int
 }
 
 // compareAll compares with every other replica, of votes only while this one is not in sync.
 func (n *Node) compareAll(ctx context.Context, votes bool) *comparison {
-	found := &comparison{have: map[string][]string{}, away: map[string]string{}}
+	found := &comparison{missing: map[string][]string{}, unreachable: map[string]string{}}
 	for _, name := range slices.Sorted(maps.Keys(n.peers)) {
 		if name == n.opt.Name {
 			continue
 		}
-		bound, short, err := n.compare(ctx, name, votes, found.have)
+		bound, short, err := n.compare(ctx, name, votes, found.missing)
 		if err != nil {
-			found.away[name] = err.Error()
+			found.unreachable[name] = err.Error()
 		}
-		found.bound, found.short = append(found.bound, bound...), found.short+short
+		found.votes, found.underReplicated = append(found.votes, bound...), found.underReplicated+short
 	}
 	return found
 }
 
 // planRepairs lists what is to be restored, in the order of plan, and notes it for the status.
-func (n *Node) planRepairs(found *comparison, now time.Time) []lack {
+func (n *Node) planRepairs(found *comparison, now time.Time) []missingTask {
 	noticed := map[string]time.Time{}
-	list := plan(found.have, func(task string) time.Time {
+	list := orderRepairs(found.missing, func(task string) time.Time {
 		n.mu.Lock()
 		defer n.mu.Unlock()
-		since, ok := n.repair.noticed[task]
+		since, ok := n.repair.firstMissing[task]
 		if !ok {
 			since = now
 		}
@@ -152,27 +152,27 @@
 	})
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.repair.noticed, n.repair.left, n.repair.short, n.repair.away = noticed, len(list), found.short, found.away
+	n.repair.firstMissing, n.repair.pending, n.repair.underReplicated, n.repair.unreachable = noticed, len(list), found.underReplicated, found.unreachable
 	return list
 }
 
 // restoreAll restores what is listed, several at a time, and gives what failed.
-func (n *Node) restoreAll(ctx context.Context, list []lack) (errs []error) {
+func (n *Node) restoreAll(ctx context.Context, list []missingTask) (errs []error) {
 	var repairs errgroup.Group
-	repairs.SetLimit(maxRepairs)
+	repairs.SetLimit(maxConcurrentRepairs)
 	for _, l := range list {
 		repairs.Go(func() error {
 			err := ctx.Err()
 			if err == nil {
-				err = n.restoreCopy(ctx, l)
+				err = n.restoreTask(ctx, l)
 			}
 			n.mu.Lock()
 			defer n.mu.Unlock()
 			if err != nil {
-				errs = append(errs, fmt.Errorf("%s/%d: %w", l.at.Job, l.at.Task, err))
+				errs = append(errs, fmt.Errorf("%s/%d: %w", l.task.Job, l.task.Task, err))
 			} else {
-				n.repair.left--
-				n.repair.mended++
+				n.repair.pending--
+				n.repair.repairedTasks++
 			}
 			return nil
 		})
@@ -183,14 +183,14 @@
 
 // becomeSynced takes over the votes that the others know of, and notes that all is here that should be: from then on
 // this replica counts.
-func (n *Node) becomeSynced(ctx context.Context, bound []boundTo) error {
+func (n *Node) becomeSynced(ctx context.Context, bound []registerVote) error {
 	for _, b := range bound {
 		if err := n.store.Adopt(ctx, b.At, &b.Vote, n.limitRate(n.fetch(b.At, ""))); err != nil {
 			return err
 		}
 	}
 	n.mu.Lock()
-	err := n.id.synced(&n.opt.Members)
+	err := n.id.markSynced(&n.opt.Members)
 	n.mu.Unlock()
 	if err != nil {
 		return err
@@ -203,21 +203,21 @@
 // compare adds what a replica has and this one lacks, and counts what it lacks itself.
 // What it is bound to in registers is read before its names: what is decided meanwhile
 // is among those.
-func (n *Node) compare(ctx context.Context, name string, votes bool, have map[string][]string) (bound []boundTo, short int, err error) {
+func (n *Node) compare(ctx context.Context, name string, votes bool, have map[string][]string) (bound []registerVote, short int, err error) {
 	p := n.peers[name]
-	ask := func(c *call) (*answer, error) {
+	ask := func(c *peerRequest) (*peerResponse, error) {
 		ctx, cancel := context.WithTimeout(ctx, 4*n.opt.PeerTimeout)
 		defer cancel()
 		return p.do(ctx, c)
 	}
 	if votes {
-		a, err := ask(&call{Op: "votes"})
+		a, err := ask(&peerRequest{Op: "votes"})
 		if err != nil {
 			return nil, 0, err
 		}
 		bound = a.Votes
 	}
-	a, err := ask(&call{Op: "sums"})
+	a, err := ask(&peerRequest{Op: "sums"})
 	if err != nil {
 		return nil, 0, err
 	}
@@ -225,10 +225,10 @@
 	if err != nil {
 		return nil, 0, err
 	}
-	if len(a.Sums) != buckets {
-		return nil, 0, fmt.Errorf("%w: %d sums", errBody, len(a.Sums))
+	if len(a.Sums) != bucketCount {
+		return nil, 0, fmt.Errorf("%w: %d sums", errMalformedRequest, len(a.Sums))
 	}
-	differ := []int{strayNames}
+	differ := []int{misplacedBucket}
 	for i := range mine {
 		if mine[i] != a.Sums[i] {
 			differ = append(differ, i)
@@ -243,14 +243,14 @@
 		return nil, 0, err
 	}
 	there := map[string]bool{}
-	for of := range slices.Chunk(differ, maxBuckets) {
-		a, err := ask(&call{Op: "names", Buckets: of})
+	for of := range slices.Chunk(differ, maxBucketsPerCall) {
+		a, err := ask(&peerRequest{Op: "names", Buckets: of})
 		if err != nil {
 			return nil, 0, err
 		}
 		for _, x := range a.Names {
 			there[x] = true
-			if !here[x] && !n.isMember(x) {
+			if !here[x] && !n.isPresent(x) {
 				have[x] = append(have[x], name)
 			}
 		}
@@ -264,7 +264,7 @@
 }
 
 // isMember says whether a name that another replica has needs nothing to be done here.
-func (n *Node) isMember(name string) bool {
+func (n *Node) isPresent(name string) bool {
 	if _, _, ok := n.blobs.Ref(name); ok {
 		return true
 	}
@@ -277,20 +277,20 @@
 	if err != nil {
 		return true
 	}
-	_, err = n.store.Ended(at)
+	_, err = n.store.EndManifest(at)
 	return err == nil
 }
 
 // restoreCopy brings what is missing here of a task.
-func (n *Node) restoreCopy(ctx context.Context, l lack) error {
+func (n *Node) restoreTask(ctx context.Context, l missingTask) error {
 	var errs []error
 	for _, name := range l.peers {
 		p := n.peers[name]
 		asked, cancel := context.WithTimeout(ctx, n.opt.PeerTimeout)
-		a, err := p.do(asked, &call{Op: "task", Attempt: l.at})
+		a, err := p.do(asked, &peerRequest{Op: "task", Attempt: l.task})
 		cancel()
 		if err == nil {
-			err = n.take(ctx, l.at, name, a.Task)
+			err = n.restoreFrom(ctx, l.task, name, a.Task)
 		}
 		errs = append(errs, err)
 	}
@@ -298,17 +298,17 @@
 }
 
 // take brings what another replica's view of a task shows and this one lacks.
-func (n *Node) take(ctx context.Context, task artifactstore.Attempt, name string, t *artifactstore.TaskView) error {
-	over := n.opt.Retain.IsExpired(n.opt.Now())
-	src := pacedSource{n.peers[name], n}
+func (n *Node) restoreFrom(ctx context.Context, task artifactstore.Attempt, name string, t *artifactstore.TaskView) error {
+	over := n.opt.Retention.IsExpired(n.opt.Now())
+	src := rateLimitedReplica{n.peers[name], n}
 	expired := map[uint64]bool{}
 	for _, v := range t.Attempts {
-		if _, err := n.store.Ended(v.Attempt); err == nil || v.Machine == "" {
+		if _, err := n.store.EndManifest(v.Attempt); err == nil || v.Machine == "" {
 			continue
 		}
 		fetch := n.limitRate(n.fetch(v.Attempt, name))
 		if v.Ended == "" {
-			if err := n.takeOpen(ctx, src, v, fetch); err != nil {
+			if err := n.restoreOpenAttempt(ctx, src, v, fetch); err != nil {
 				return err
 			}
 			continue
@@ -317,7 +317,7 @@
 		if err != nil {
 			return err
 		}
-		value, err := n.readWhole(ctx, v.Job, v.Task, v.Tenant, d)
+		value, err := n.readBlob(ctx, v.Job, v.Task, v.Tenant, d)
 		if err != nil {
 			return err
 		}
@@ -339,7 +339,7 @@
 	return n.store.Learn(ctx, task, protocol.Encode(t.Result), n.limitRate(n.fetch(task, name)))
 }
 
-func (n *Node) takeOpen(ctx context.Context, src replica, v artifactstore.View, fetch artifactstore.Fetch) error {
+func (n *Node) restoreOpenAttempt(ctx context.Context, src replica, v artifactstore.AttemptView, fetch artifactstore.Fetch) error {
 	err := n.store.Begin(ctx, v.Claim)
 	if errors.Is(err, artifactstore.ErrSealed) {
 		return nil
@@ -349,7 +349,7 @@
 	}
 	mine := map[string]artifactstore.Extent{}
 	files := map[string]string{}
-	for _, o := range n.store.Open() {
+	for _, o := range n.store.OpenAttempts() {
 		if o.Attempt == v.Attempt {
 			mine, files = o.Streams, o.Files
 		}
--- a/internal/artifactreplication/replica.go
+++ b/internal/artifactreplication/replica.go
@@ -27,12 +27,12 @@
 	// ErrEpoch says that two replicas go by different lists.
 	ErrEpoch = errors.New("keepers: another list of keepers is in force there")
 	// ErrTooFew says that too few of a task's replicas answered.
-	ErrTooFew = errors.New("keepers: too few of the task's keepers answered")
+	ErrNoQuorum = errors.New("keepers: too few of the task's keepers answered")
 )
 
 // call is what one replica asks another; answer what it gets. Each operation uses a few
 // of the fields.
-type call struct {
+type peerRequest struct {
 	Op       string                 `json:"op"`
 	Claim    artifactstore.Claim    `json:"claim"`
 	Attempt  artifactstore.Attempt  `json:"at"`
@@ -50,25 +50,25 @@
 	Identity string                 `json:"identity"` // list in force
 }
 
-type answer struct {
+type peerResponse struct {
 	Next    uint64                  `json:"next,omitempty"`
 	Promise *artifactstore.Promise  `json:"promise,omitempty"`
 	Task    *artifactstore.TaskView `json:"task,omitempty"`
 	Tasks   []int                   `json:"tasks,omitempty"`
 	Sums    []string                `json:"sums,omitempty"`
 	Names   []string                `json:"names,omitempty"`
-	Votes   []boundTo               `json:"votes,omitempty"`
+	Votes   []registerVote          `json:"votes,omitempty"`
 	Status  *Status                 `json:"status,omitempty"`
 }
 
-type boundTo struct {
+type registerVote struct {
 	At   artifactstore.Attempt `json:"at"`
 	Vote artifactstore.Vote    `json:"vote"`
 }
 
 // replica is a replica as another sees it; the own one is called like the others.
 type replica interface {
-	do(ctx context.Context, c *call) (*answer, error)
+	do(ctx context.Context, c *peerRequest) (*peerResponse, error)
 	// read hands over records from a number on, for as long as the context allows if it
 	// follows. ended says that no more can come.
 	read(ctx context.Context, at artifactstore.Attempt, stream string, from uint64, follow bool, each func(artifactstore.Record) error) (next uint64, ended bool, err error)
@@ -78,7 +78,7 @@
 
 // codes names the errors that are told apart across a connection, and maps them to
 // HTTP, in this one place.
-var codes = []struct {
+var errorCodes = []struct {
 	code   string
 	err    error
 	status int
@@ -88,28 +88,28 @@
 	{"claim", artifactstore.ErrClaim, http.StatusForbidden, 0},
 	{"tenant", blob.ErrTenant, http.StatusForbidden, 0},
 	{"sealed", artifactstore.ErrSealed, http.StatusConflict, 0},
-	{"not whole", artifactstore.ErrNotWhole, http.StatusConflict, 0},
+	{"not whole", artifactstore.ErrIncomplete, http.StatusConflict, 0},
 	{"unknown", artifactstore.ErrUnknown, http.StatusNotFound, 0},
 	{"no blob", blob.ErrNotFound, http.StatusNotFound, 0},
 	{"no upload", blob.ErrUpload, http.StatusNotFound, 0},
 	{"offset", blob.ErrGap, http.StatusConflict, 0},
-	{"too much", artifactstore.ErrTooMuch, http.StatusRequestEntityTooLarge, 0},
+	{"too much", artifactstore.ErrLimit, http.StatusRequestEntityTooLarge, 0},
 	{"name", artifactstore.ErrName, http.StatusBadRequest, 0},
 	{"digest", blob.ErrDigest, http.StatusBadRequest, 0},
 	{"mismatch", blob.ErrMismatch, http.StatusBadRequest, 0},
-	{"body", errBody, http.StatusBadRequest, 0},
+	{"body", errMalformedRequest, http.StatusBadRequest, 0},
 	{"forged", artifactstore.ErrForged, http.StatusBadRequest, 0},
 	{"frozen", artifactstore.ErrFrozen, http.StatusServiceUnavailable, time.Second},
 	{"joining", ErrJoining, http.StatusServiceUnavailable, time.Second},
 	{"epoch", ErrEpoch, http.StatusServiceUnavailable, time.Second},
-	{"too few", ErrTooFew, http.StatusServiceUnavailable, time.Second},
+	{"too few", ErrNoQuorum, http.StatusServiceUnavailable, time.Second},
 	{"busy", errBusy, http.StatusTooManyRequests, time.Second},
 	{"rotten", blob.ErrRotten, http.StatusServiceUnavailable, 10 * time.Second},
 }
 
 var (
-	errBody = errors.New("keepers: malformed request")
-	errBusy = errors.New("keepers: too much at a time")
+	errMalformedRequest = errors.New("keepers: malformed request")
+	errBusy             = errors.New("keepers: too much at a time")
 )
 
 // remote is another replica, over HTTP.
@@ -161,7 +161,7 @@
 		seconds, _ := strconv.Atoi(resp.Header.Get("Retry-After"))
 		return &blob.FullError{Retry: time.Duration(seconds) * time.Second}
 	}
-	for _, c := range codes {
+	for _, c := range errorCodes {
 		if c.code == a.Code {
 			return fmt.Errorf("%w (%s)", c.err, a.Error)
 		}
@@ -169,7 +169,7 @@
 	return fmt.Errorf("%s %s", resp.Status, a.Error)
 }
 
-func (r *remote) do(ctx context.Context, c *call) (*answer, error) {
+func (r *remote) do(ctx context.Context, c *peerRequest) (*peerResponse, error) {
 	cc := *c
 	cc.From, cc.Identity = r.n.opt.Name, r.n.opt.Members.digest()
 	resp, err := r.request(ctx, "POST", "/peer/call", bytes.NewReader(protocol.Encode(&cc)))
@@ -177,7 +177,7 @@
 		return nil, err
 	}
 	defer resp.Body.Close()
-	a := &answer{}
+	a := &peerResponse{}
 	return a, json.NewDecoder(resp.Body).Decode(a)
 }
 
@@ -198,7 +198,7 @@
 			return next, false, fmt.Errorf("keeper %s: records broke off: %w", r.name, err)
 		}
 		if l.State != "" {
-			return next, l.State == ended, nil
+			return next, l.State == streamEnded, nil
 		}
 		if l.Record == nil || l.Number != next {
 			return next, false, fmt.Errorf("keeper %s: record %d in place of %d", r.name, l.Number, next)
@@ -211,7 +211,7 @@
 }
 
 // ended is the state of the last line among replicas where no more can come.
-const ended = "ended"
+const streamEnded = "ended"
 
 func (r *remote) blob(ctx context.Context, tenant string, d blob.Digest, offset int64) (io.ReadCloser, error) {
 	q := url.Values{"tenant": {tenant}, "blob": {d.String()}, "offset": {strconv.FormatInt(offset, 10)}}
@@ -234,14 +234,16 @@
 // local is the own replica.
 type local struct{ n *Node }
 
-func (l local) do(ctx context.Context, c *call) (*answer, error) { return l.n.serve(ctx, c) }
+func (l local) do(ctx context.Context, c *peerRequest) (*peerResponse, error) {
+	return l.n.serve(ctx, c)
+}
 
 func (l local) read(ctx context.Context, at artifactstore.Attempt, stream string, from uint64, follow bool, each func(artifactstore.Record) error) (next uint64, over bool, err error) {
 	for next = from; ; {
 		if next, over, err = l.n.store.Read(at, stream, next, each); err != nil || over || !follow {
 			return next, over, err
 		}
-		if l.n.store.Wait(ctx, at, stream, next) != nil {
+		if l.n.store.WaitForRecords(ctx, at, stream, next) != nil {
 			return next, false, nil
 		}
 	}
@@ -256,20 +258,20 @@
 }
 
 // serve carries out what a replica, this one or another, asks of this one alone.
-func (n *Node) serve(ctx context.Context, c *call) (*answer, error) {
-	k, a := n.store, &answer{}
+func (n *Node) serve(ctx context.Context, c *peerRequest) (*peerResponse, error) {
+	store, a := n.store, &peerResponse{}
 	var err error
-	if c.Count && !n.counts(c.Attempt.Job, c.Attempt.Task) {
+	if c.Count && !n.isComplete(c.Attempt.Job, c.Attempt.Task) {
 		return nil, ErrJoining
 	}
 	switch c.Op {
 	case "begin":
-		err = k.Begin(ctx, c.Claim)
+		err = store.Begin(ctx, c.Claim)
 	case "append":
-		a.Next, err = k.Append(ctx, c.Claim, c.Stream, c.First, c.Records)
+		a.Next, err = store.Append(ctx, c.Claim, c.Stream, c.First, c.Records)
 		if errors.Is(err, artifactstore.ErrUnknown) { // it was not there when the attempt began
-			if err = k.Begin(ctx, c.Claim); err == nil {
-				a.Next, err = k.Append(ctx, c.Claim, c.Stream, c.First, c.Records)
+			if err = store.Begin(ctx, c.Claim); err == nil {
+				a.Next, err = store.Append(ctx, c.Claim, c.Stream, c.First, c.Records)
 			}
 		}
 	case "attach":
@@ -277,39 +279,39 @@
 		if d, err = blob.Parse(c.Digest); err != nil {
 			return nil, err
 		}
-		err = k.Attach(ctx, c.Claim, c.Path, d)
+		err = store.Attach(ctx, c.Claim, c.Path, d)
 		if errors.Is(err, artifactstore.ErrUnknown) {
-			if err = k.Begin(ctx, c.Claim); err == nil {
-				err = k.Attach(ctx, c.Claim, c.Path, d)
+			if err = store.Begin(ctx, c.Claim); err == nil {
+				err = store.Attach(ctx, c.Claim, c.Path, d)
 			}
 		}
 	case "prepare":
-		a.Promise, err = k.Prepare(ctx, c.Attempt, c.Ballot, c.Freeze)
+		a.Promise, err = store.Prepare(ctx, c.Attempt, c.Ballot, c.Freeze)
 	case "accept":
-		a.Promise, err = k.Accept(ctx, c.Attempt, c.Ballot, c.Value, n.fetch(c.Attempt, c.From))
+		a.Promise, err = store.Accept(ctx, c.Attempt, c.Ballot, c.Value, n.fetch(c.Attempt, c.From))
 	case "learn":
-		err = k.Learn(ctx, c.Attempt, c.Value, n.fetch(c.Attempt, c.From))
-		if errors.Is(err, artifactstore.ErrSplit) {
+		err = store.Learn(ctx, c.Attempt, c.Value, n.fetch(c.Attempt, c.From))
+		if errors.Is(err, artifactstore.ErrConflictingDecisions) {
 			n.opt.Log.Error("a register has two values", "job", c.Attempt.Job, "task", c.Attempt.Task, "attempt", c.Attempt.Number, "keeper", c.From)
 		}
 	case "task":
-		a.Task, err = k.Task(c.Attempt.Job, c.Attempt.Task)
+		a.Task, err = store.Task(c.Attempt.Job, c.Attempt.Task)
 	case "tasks":
-		a.Tasks, err = k.Tasks(c.Attempt.Job)
+		a.Tasks, err = store.Tasks(c.Attempt.Job)
 	case "sums":
 		a.Sums, err = n.checksums(c.From)
 	case "names":
-		a.Names, err = n.names(c.From, c.Buckets)
+		a.Names, err = n.namesInBuckets(c.From, c.Buckets)
 	case "votes":
-		for at, v := range k.Votes() {
+		for at, v := range store.Votes() {
 			if n.opt.Members.IsReplica(c.From, at.Job, at.Task) {
-				a.Votes = append(a.Votes, boundTo{at, v})
+				a.Votes = append(a.Votes, registerVote{at, v})
 			}
 		}
 	case "status":
 		a.Status = n.Status()
 	default:
-		err = fmt.Errorf("%w: op %.40q", errBody, c.Op)
+		err = fmt.Errorf("%w: op %.40q", errMalformedRequest, c.Op)
 	}
 	if err != nil {
 		return nil, err
@@ -321,7 +323,7 @@
 // to be there.
 func (n *Node) fetch(at artifactstore.Attempt, first string) artifactstore.Fetch {
 	return func(ctx context.Context, tenant string, d blob.Digest) (io.ReadCloser, error) {
-		return n.open(ctx, append([]string{first}, n.sources(at.Job, at.Task)...), tenant, d, 0)
+		return n.openBlob(ctx, append([]string{first}, n.sources(at.Job, at.Task)...), tenant, d, 0)
 	}
 }
 
@@ -338,7 +340,7 @@
 }
 
 // open reads a blob from the first replica that has it, the own one before all others.
-func (n *Node) open(ctx context.Context, names []string, tenant string, d blob.Digest, offset int64) (io.ReadCloser, error) {
+func (n *Node) openBlob(ctx context.Context, names []string, tenant string, d blob.Digest, offset int64) (io.ReadCloser, error) {
 	r, err := n.blobs.Open(tenant, d, offset)
 	if err == nil {
 		return r, nil
--- a/internal/artifactreplication/retain.go
+++ b/internal/artifactreplication/retain.go
@@ -20,15 +20,15 @@
 // and gives a number of days; 0 is for ever. It can load nothing and reach nothing
 // outside itself, and each answer is bounded in steps.
 type Retention struct {
-	Days float64 // without a script, and where it fails; 0: for ever
-	mu   sync.Mutex
-	ask  starlark.Callable
+	Days     float64 // without a script, and where it fails; 0: for ever
+	mu       sync.Mutex
+	keepDays starlark.Callable
 }
 
 const (
-	scriptBytes = 64 << 10
-	scriptSteps = 100_000
-	maxDays     = 36500
+	maxScriptBytes = 64 << 10
+	maxScriptSteps = 100_000
+	maxKeepDays    = 36500
 )
 
 // LoadRetention reads and tries a script; no path means days for all.
@@ -41,11 +41,11 @@
 	if err != nil {
 		return nil, err
 	}
-	if len(src) > scriptBytes {
-		return nil, fmt.Errorf("%s: longer than %d bytes", path, scriptBytes)
+	if len(src) > maxScriptBytes {
+		return nil, fmt.Errorf("%s: longer than %d bytes", path, maxScriptBytes)
 	}
 	thread := &starlark.Thread{Name: path}
-	thread.SetMaxExecutionSteps(scriptSteps)
+	thread.SetMaxExecutionSteps(maxScriptSteps)
 	globals, err := starlark.ExecFileOptions(&syntax.FileOptions{}, thread, path, src, nil)
 	if err != nil {
 		return nil, err
@@ -55,7 +55,7 @@
 	if !ok {
 		return nil, fmt.Errorf("%s: a function keep_days(cls, team, completed, partial, mb) is expected", path)
 	}
-	r.ask = ask
+	r.keepDays = ask
 	for _, m := range []*artifactstore.Manifest{{}, {Exit: artifactstore.Exit{Completed: true}}, {Partial: true}} {
 		if _, err := r.days(m); err != nil {
 			return nil, err
@@ -66,7 +66,7 @@
 
 // days asks the script.
 func (r *Retention) days(m *artifactstore.Manifest) (float64, error) {
-	if r.ask == nil {
+	if r.keepDays == nil {
 		return r.Days, nil
 	}
 	var size int64
@@ -76,15 +76,15 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	thread := &starlark.Thread{Name: "keep_days"}
-	thread.SetMaxExecutionSteps(scriptSteps)
-	v, err := starlark.Call(thread, r.ask, starlark.Tuple{starlark.String(m.Class), starlark.String(m.Tenant), starlark.Bool(m.Exit.Completed),
+	thread.SetMaxExecutionSteps(maxScriptSteps)
+	v, err := starlark.Call(thread, r.keepDays, starlark.Tuple{starlark.String(m.Class), starlark.String(m.Tenant), starlark.Bool(m.Exit.Completed),
 		starlark.Bool(m.Partial), starlark.Float(float64(size) / 1e6)}, nil)
 	if err != nil {
 		return r.Days, fmt.Errorf("keep_days: %w", err)
 	}
 	days, ok := starlark.AsFloat(v)
-	if !ok || !(days >= 0 && days <= maxDays) {
-		return r.Days, fmt.Errorf("keep_days: %s is not between 0 and %d", v, maxDays)
+	if !ok || !(days >= 0 && days <= maxKeepDays) {
+		return r.Days, fmt.Errorf("keep_days: %s is not between 0 and %d", v, maxKeepDays)
 	}
 	return days, nil
 }
--- a/internal/artifactreplication/revoked.go
+++ b/internal/artifactreplication/revoked.go
@@ -17,15 +17,15 @@
 // that is read again when it changes: a line each, "write JOB/TASK/ATTEMPT", or
 // "write JOB/TASK", "write JOB", "read JOB" for all of them below; # begins a comment.
 type RevocationList struct {
-	path   string
-	mu     sync.Mutex
-	looked time.Time
-	stamp  time.Time
-	lines  map[string]bool
+	path     string
+	mu       sync.Mutex
+	checked  time.Time
+	modified time.Time
+	revoked  map[string]bool
 }
 
 // maxRevoked bounds the file, in bytes.
-const maxRevoked = 16 << 20
+const maxRevocationListBytes = 16 << 20
 
 // LoadRevoked reads a list; no path means none.
 func LoadRevoked(path string) (*RevocationList, error) {
@@ -33,16 +33,16 @@
 		return nil, nil
 	}
 	r := &RevocationList{path: path}
-	return r, r.read()
+	return r, r.load()
 }
 
-func (r *RevocationList) read() error {
+func (r *RevocationList) load() error {
 	info, err := os.Stat(r.path)
 	if err != nil {
 		return err
 	}
-	if info.Size() > maxRevoked {
-		return fmt.Errorf("%s: longer than %d bytes", r.path, maxRevoked)
+	if info.Size() > maxRevocationListBytes {
+		return fmt.Errorf("%s: longer than %d bytes", r.path, maxRevocationListBytes)
 	}
 	b, err := os.ReadFile(r.path)
 	if err != nil {
@@ -56,17 +56,17 @@
 		if len(words) == 0 {
 			continue
 		}
-		if len(words) != 2 || (words[0] != "write" && words[0] != "read") || !names(words[1], words[0] == "read") {
+		if len(words) != 2 || (words[0] != "write" && words[0] != "read") || !isTarget(words[1], words[0] == "read") {
 			return fmt.Errorf("%s: line %d: write JOB[/TASK[/ATTEMPT]] or read JOB is expected", r.path, n)
 		}
 		lines[words[0]+" "+words[1]] = true
 	}
-	r.lines, r.stamp = lines, info.ModTime()
+	r.revoked, r.modified = lines, info.ModTime()
 	return in.Err()
 }
 
 // names says whether a text names a job, or what is below it.
-func names(text string, job bool) bool {
+func isTarget(text string, job bool) bool {
 	parts := strings.Split(text, "/")
 	for _, p := range parts[1:] {
 		if _, err := strconv.ParseUint(p, 10, 64); err != nil {
@@ -78,22 +78,22 @@
 
 // has says whether what a token stands for was revoked. A file that can't be read any
 // more leaves the last list in force.
-func (r *RevocationList) has(g *artifactstore.Grant) bool {
+func (r *RevocationList) isRevoked(g *artifactstore.Grant) bool {
 	if r == nil || (g.Right != artifactstore.Write && g.Right != artifactstore.Read) {
 		return false
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if now := time.Now(); now.Sub(r.looked) > time.Second {
-		r.looked = now
-		if info, err := os.Stat(r.path); err == nil && !info.ModTime().Equal(r.stamp) {
-			_ = r.read()
+	if now := time.Now(); now.Sub(r.checked) > time.Second {
+		r.checked = now
+		if info, err := os.Stat(r.path); err == nil && !info.ModTime().Equal(r.modified) {
+			_ = r.load()
 		}
 	}
 	name := string(g.Right) + " " + g.Job
-	if r.lines[name] || g.Right == artifactstore.Read || g.Task == nil {
-		return r.lines[name]
+	if r.revoked[name] || g.Right == artifactstore.Read || g.Task == nil {
+		return r.revoked[name]
 	}
 	name += "/" + strconv.Itoa(*g.Task)
-	return r.lines[name] || r.lines[name+"/"+strconv.FormatUint(g.Number, 10)]
+	return r.revoked[name] || r.revoked[name+"/"+strconv.FormatUint(g.Number, 10)]
 }
--- a/internal/artifactreplication/serve.go
+++ b/internal/artifactreplication/serve.go
@@ -19,24 +19,24 @@
 type Server struct {
 	Node *Node
 	// Follow bounds how long a reader may follow at a time; 1 h if 0.
-	Follow time.Duration
+	MaxFollow time.Duration
 }
 
 // Bounds of a request's body, in bytes.
 const (
-	maxBody     = 4 << 20  // some records, or a piece of a blob
-	maxPeer     = 32 << 20 // what one replica sends another
-	maxPeerBlob = 1 << 40  // a blob that one replica sends another
+	maxBodyBytes     = 4 << 20  // some records, or a piece of a blob
+	maxPeerCallBytes = 32 << 20 // what one replica sends another
+	maxPeerBlobBytes = 1 << 40  // a blob that one replica sends another
 )
 
 // status maps errors to HTTP.
-func status(err error) (code string, status int, retry time.Duration) {
+func httpStatus(err error) (code string, status int, retry time.Duration) {
 	var gap *artifactstore.GapError
 	var full *blob.FullError
 	switch {
 	case errors.As(err, &full):
 		return "full", http.StatusInsufficientStorage, full.Retry
-	case errors.Is(err, artifactstore.ErrNotWhole):
+	case errors.Is(err, artifactstore.ErrIncomplete):
 		return "not whole", http.StatusConflict, 0
 	case errors.As(err, &gap):
 		return "gap", http.StatusConflict, 0
@@ -45,7 +45,7 @@
 	case errors.Is(err, wal.ErrBroken):
 		return "broken", http.StatusServiceUnavailable, 10 * time.Second
 	}
-	for _, c := range codes {
+	for _, c := range errorCodes {
 		if errors.Is(err, c.err) {
 			return c.code, c.status, c.retry
 		}
@@ -55,11 +55,11 @@
 
 // Handler is the replica's interface as docs/replica.md lists it.
 func (s *Server) Handler() http.Handler {
-	if s.Follow <= 0 {
-		s.Follow = time.Hour
+	if s.MaxFollow <= 0 {
+		s.MaxFollow = time.Hour
 	}
 	mux := http.NewServeMux()
-	mux.HandleFunc("GET /healthz", func(w http.ResponseWriter, _ *http.Request) { send(w, 200, artifactstore.Answer{}) })
+	mux.HandleFunc("GET /healthz", func(w http.ResponseWriter, _ *http.Request) { writeJSON(w, 200, artifactstore.Answer{}) })
 	s.routeAgents(mux)
 	s.routeReaders(mux)
 	s.routePeers(mux)
@@ -70,11 +70,11 @@
 // routeOperators adds what operators ask.
 func (s *Server) routeOperators(mux *http.ServeMux) {
 	s.handleRight(mux, "GET /status", 0, artifactstore.Operate, func(w http.ResponseWriter, _ *http.Request) error {
-		send(w, 200, s.Node.Status())
+		writeJSON(w, 200, s.Node.Status())
 		return nil
 	})
 	s.handleRight(mux, "GET /metrics", 0, artifactstore.Operate, func(w http.ResponseWriter, r *http.Request) error {
-		s.Node.meters.handler.ServeHTTP(w, r)
+		s.Node.metrics.handler.ServeHTTP(w, r)
 		return nil
 	})
 }
@@ -83,11 +83,11 @@
 func (s *Server) handle(mux *http.ServeMux, pattern string, most int64, f func(w http.ResponseWriter, r *http.Request, g *artifactstore.Grant) error) {
 	mux.HandleFunc(pattern, func(w http.ResponseWriter, r *http.Request) {
 		r.Body = http.MaxBytesReader(w, r.Body, most)
-		g, err := s.grant(r)
+		g, err := s.authenticate(r)
 		if err == nil {
 			err = f(w, r, g)
 		}
-		s.refuse(w, r, err)
+		s.writeError(w, r, err)
 	})
 }
 
@@ -101,30 +101,30 @@
 	})
 }
 
-func (s *Server) grant(r *http.Request) (*artifactstore.Grant, error) {
+func (s *Server) authenticate(r *http.Request) (*artifactstore.Grant, error) {
 	token, ok := strings.CutPrefix(r.Header.Get("Authorization"), "Bearer ")
 	if !ok {
 		return nil, fmt.Errorf("%w: none was given", artifactstore.ErrToken)
 	}
 	g, err := artifactstore.ParseToken(s.Node.opt.Key, token, s.Node.opt.Now())
-	if err == nil && s.Node.opt.Revoked.has(g) {
+	if err == nil && s.Node.opt.Revoked.isRevoked(g) {
 		return nil, fmt.Errorf("%w: it was revoked", artifactstore.ErrToken)
 	}
 	return g, err
 }
 
-func send(w http.ResponseWriter, code int, a any) {
+func writeJSON(w http.ResponseWriter, code int, a any) {
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(code)
 	_ = json.NewEncoder(w).Encode(a) // the caller is gone if this fails
 }
 
-func (s *Server) refuse(w http.ResponseWriter, r *http.Request, err error) {
+func (s *Server) writeError(w http.ResponseWriter, r *http.Request, err error) {
 	if err == nil {
 		return
 	}
-	code, status, retry := status(err)
-	s.Node.meters.refused(code, status)
+	code, status, retry := httpStatus(err)
+	s.Node.metrics.refused(code, status)
 	if status == 500 || errors.Is(err, wal.ErrBroken) {
 		s.Node.opt.Log.Error("request failed", "method", r.Method, "path", r.URL.Path, "err", err)
 	}
@@ -136,26 +136,26 @@
 	if errors.As(err, &gap) {
 		a.Next = &gap.Want
 	}
-	send(w, status, a)
+	writeJSON(w, status, a)
 }
 
-func decode(r *http.Request, v any) error {
+func decodeBody(r *http.Request, v any) error {
 	d := json.NewDecoder(r.Body)
 	d.DisallowUnknownFields()
 	if err := d.Decode(v); err != nil {
-		return fmt.Errorf("%w: %v", errBody, err)
+		return fmt.Errorf("%w: %v", errMalformedRequest, err)
 	}
 	return nil
 }
 
-func number(r *http.Request, name string) (uint64, error) {
+func queryNumber(r *http.Request, name string) (uint64, error) {
 	text := r.URL.Query().Get(name)
 	if text == "" {
 		return 0, nil
 	}
 	n, err := strconv.ParseUint(text, 10, 64)
 	if err != nil {
-		return 0, fmt.Errorf("%w: %s=%.40q", errBody, name, text)
+		return 0, fmt.Errorf("%w: %s=%.40q", errMalformedRequest, name, text)
 	}
 	return n, nil
 }
--- a/internal/artifactreplication/serve_agents.go
+++ b/internal/artifactreplication/serve_agents.go
@@ -13,7 +13,7 @@
 // routeAgents adds what agents send of their attempts.
 func (s *Server) routeAgents(mux *http.ServeMux) {
 	route := func(pattern string, f func(w http.ResponseWriter, r *http.Request, c artifactstore.Claim) error) {
-		s.handle(mux, pattern, maxBody, func(w http.ResponseWriter, r *http.Request, g *artifactstore.Grant) error {
+		s.handle(mux, pattern, maxBodyBytes, func(w http.ResponseWriter, r *http.Request, g *artifactstore.Grant) error {
 			c, err := g.Claim()
 			if err != nil {
 				return err
@@ -25,7 +25,7 @@
 	route("POST /streams/{name}", s.append)
 	route("POST /files/{path...}", s.attach)
 	route("POST /seal", s.seal)
-	route("POST /uploads", s.begin)
+	route("POST /uploads", s.beginUpload)
 	route("POST /uploads/{id}", s.uploadPiece)
 }
 
@@ -34,7 +34,7 @@
 	if err := s.Node.Begin(r.Context(), c); err != nil {
 		return err
 	}
-	send(w, 200, artifactstore.Answer{})
+	writeJSON(w, 200, artifactstore.Answer{})
 	return nil
 }
 
@@ -47,14 +47,14 @@
 	if err := s.Node.Attach(r.Context(), c, r.PathValue("path"), d); err != nil {
 		return err
 	}
-	send(w, 200, artifactstore.Answer{})
+	writeJSON(w, 200, artifactstore.Answer{})
 	return nil
 }
 
 // seal ends an attempt.
 func (s *Server) seal(w http.ResponseWriter, r *http.Request, c artifactstore.Claim) error {
 	var end artifactstore.End
-	if err := decode(r, &end); err != nil {
+	if err := decodeBody(r, &end); err != nil {
 		return err
 	}
 	m, final, err := s.Node.Seal(r.Context(), c, end)
@@ -62,29 +62,29 @@
 		return err
 	}
 	s.Node.opt.Log.Info("attempt sealed", "job", c.Job, "task", c.Task, "attempt", c.Number, "machine", c.Machine, "completed", m.Exit.Completed, "final", final)
-	s.Node.meters.seals.Inc()
-	send(w, 200, artifactstore.Answer{Sealed: m, Final: final})
+	s.Node.metrics.seals.Inc()
+	writeJSON(w, 200, artifactstore.Answer{Sealed: m, Final: final})
 	return nil
 }
 
 func (s *Server) append(w http.ResponseWriter, r *http.Request, c artifactstore.Claim) error {
-	first, err := number(r, "first")
+	first, err := queryNumber(r, "first")
 	if err != nil {
 		return err
 	}
 	var records []artifactstore.Record
-	if err := decode(r, &records); err != nil {
+	if err := decodeBody(r, &records); err != nil {
 		return err
 	}
 	next, err := s.Node.Append(r.Context(), c, r.PathValue("name"), first, records)
 	if err != nil {
 		return err
 	}
-	send(w, 200, artifactstore.Answer{Next: &next})
+	writeJSON(w, 200, artifactstore.Answer{Next: &next})
 	return nil
 }
 
-func (s *Server) begin(w http.ResponseWriter, r *http.Request, c artifactstore.Claim) error {
+func (s *Server) beginUpload(w http.ResponseWriter, r *http.Request, c artifactstore.Claim) error {
 	d, err := blob.Parse(r.URL.Query().Get("blob"))
 	if err != nil {
 		return err
@@ -94,11 +94,11 @@
 		return err
 	}
 	if done {
-		send(w, 200, artifactstore.Answer{Done: true})
+		writeJSON(w, 200, artifactstore.Answer{Done: true})
 		return nil
 	}
 	offset := u.Offset()
-	send(w, 200, artifactstore.Answer{Upload: u.ID(), Offset: &offset})
+	writeJSON(w, 200, artifactstore.Answer{Upload: u.ID(), Offset: &offset})
 	return nil
 }
 
@@ -107,19 +107,19 @@
 	if err != nil {
 		return err
 	}
-	at, err := number(r, "offset")
+	at, err := queryNumber(r, "offset")
 	if err != nil {
 		return err
 	}
 	body, err := io.ReadAll(r.Body)
 	if err != nil {
-		return fmt.Errorf("%w: %v", errBody, err)
+		return fmt.Errorf("%w: %v", errMalformedRequest, err)
 	}
 	offset := u.Offset()
 	if len(body) > 0 {
 		if err := u.Write(int64(at), body); err != nil {
 			if errors.Is(err, blob.ErrGap) {
-				send(w, http.StatusConflict, artifactstore.Answer{Error: err.Error(), Offset: &offset})
+				writeJSON(w, http.StatusConflict, artifactstore.Answer{Error: err.Error(), Offset: &offset})
 				return nil
 			}
 			return err
@@ -127,13 +127,13 @@
 		offset = u.Offset()
 	}
 	if offset < u.Digest().Size {
-		send(w, 200, artifactstore.Answer{Upload: u.ID(), Offset: &offset})
+		writeJSON(w, 200, artifactstore.Answer{Upload: u.ID(), Offset: &offset})
 		return nil
 	}
 	if err := u.Commit(r.Context()); err != nil {
 		return err
 	}
-	s.Node.meters.uploaded(u.Digest().Size)
-	send(w, 200, artifactstore.Answer{Done: true})
+	s.Node.metrics.uploaded(u.Digest().Size)
+	writeJSON(w, 200, artifactstore.Answer{Done: true})
 	return nil
 }
--- a/internal/artifactreplication/serve_peers.go
+++ b/internal/artifactreplication/serve_peers.go
@@ -13,10 +13,10 @@
 
 // routePeers adds what replicas send each other.
 func (s *Server) routePeers(mux *http.ServeMux) {
-	s.handleRight(mux, "POST /peer/call", maxPeer, artifactstore.Peer, s.peerCall)
+	s.handleRight(mux, "POST /peer/call", maxPeerCallBytes, artifactstore.Peer, s.peerCall)
 	s.handleRight(mux, "GET /peer/records", 0, artifactstore.Peer, s.peerRecords)
 	s.handleRight(mux, "GET /peer/blob", 0, artifactstore.Peer, s.peerBlob)
-	s.handleRight(mux, "PUT /peer/blob", maxPeerBlob, artifactstore.Peer, s.takePeerBlob)
+	s.handleRight(mux, "PUT /peer/blob", maxPeerBlobBytes, artifactstore.Peer, s.putPeerBlob)
 }
 
 // peerBlob hands a blob to another replica.
@@ -25,7 +25,7 @@
 	if err != nil {
 		return err
 	}
-	offset, err := number(r, "offset")
+	offset, err := queryNumber(r, "offset")
 	if err != nil {
 		return err
 	}
@@ -45,7 +45,7 @@
 }
 
 // takePeerBlob takes a blob from another replica.
-func (s *Server) takePeerBlob(w http.ResponseWriter, r *http.Request) error {
+func (s *Server) putPeerBlob(w http.ResponseWriter, r *http.Request) error {
 	d, err := blob.Parse(r.URL.Query().Get("blob"))
 	if err != nil {
 		return err
@@ -53,14 +53,14 @@
 	if err := s.Node.blobs.Take(r.Context(), r.URL.Query().Get("tenant"), d, r.Body); err != nil {
 		return err
 	}
-	send(w, 200, artifactstore.Answer{Done: true})
+	writeJSON(w, 200, artifactstore.Answer{Done: true})
 	return nil
 }
 
 // peerCall answers another replica, if both go by the same list of replicas.
 func (s *Server) peerCall(w http.ResponseWriter, r *http.Request) error {
-	var c call
-	if err := decode(r, &c); err != nil {
+	var c peerRequest
+	if err := decodeBody(r, &c); err != nil {
 		return err
 	}
 	if mine := s.Node.opt.Members.digest(); c.Identity != mine && c.Op != "status" {
@@ -70,7 +70,7 @@
 	if err != nil {
 		return err
 	}
-	send(w, 200, a)
+	writeJSON(w, 200, a)
 	return nil
 }
 
@@ -80,13 +80,13 @@
 	q := r.URL.Query()
 	task, err := strconv.Atoi(q.Get("task"))
 	if err != nil {
-		return fmt.Errorf("%w: task", errBody)
+		return fmt.Errorf("%w: task", errMalformedRequest)
 	}
-	attempt, err := number(r, "attempt")
+	attempt, err := queryNumber(r, "attempt")
 	if err != nil {
 		return err
 	}
-	next, err := number(r, "from")
+	next, err := queryNumber(r, "from")
 	if err != nil {
 		return err
 	}
@@ -110,12 +110,12 @@
 		if over || q.Get("follow") != "1" {
 			state := "open"
 			if over {
-				state = ended
+				state = streamEnded
 			}
 			_ = enc.Encode(&artifactstore.Line{Number: next, State: state})
 			return nil
 		}
-		if flush.Flush() != nil || s.Node.store.Wait(r.Context(), at, q.Get("stream"), next) != nil {
+		if flush.Flush() != nil || s.Node.store.WaitForRecords(r.Context(), at, q.Get("stream"), next) != nil {
 			return nil
 		}
 	}
--- a/internal/artifactreplication/serve_readers.go
+++ b/internal/artifactreplication/serve_readers.go
@@ -56,7 +56,7 @@
 	if err != nil {
 		return err
 	}
-	send(w, 200, artifactstore.Answer{List: list, Unsure: !sure})
+	writeJSON(w, 200, artifactstore.Answer{List: list, Unsure: !sure})
 	return nil
 }
 
@@ -66,14 +66,14 @@
 	if err != nil {
 		return err
 	}
-	send(w, 200, artifactstore.TaskList{Tasks: list, Unsure: !sure})
+	writeJSON(w, 200, artifactstore.TaskList{Tasks: list, Unsure: !sure})
 	return nil
 }
 
 // endOf finds the end of the attempt that a request asks for, the latest if it names none, and
 // its state.
 func (s *Server) endOf(r *http.Request, job string, task int) (*artifactstore.Manifest, string, error) {
-	attempt, err := number(r, "attempt")
+	attempt, err := queryNumber(r, "attempt")
 	if err != nil {
 		return nil, "", err
 	}
@@ -86,24 +86,24 @@
 	if err != nil {
 		return err
 	}
-	send(w, 200, artifactstore.Answer{Sealed: m, Final: state == artifactstore.StateFinal})
+	writeJSON(w, 200, artifactstore.Answer{Sealed: m, Final: state == artifactstore.StateFinal})
 	return nil
 }
 
 // logs answers with a stream's records, a JSON line each.
 func (s *Server) logs(w http.ResponseWriter, r *http.Request, job string, task int) error {
-	attempt, err := number(r, "attempt")
+	attempt, err := queryNumber(r, "attempt")
 	if err != nil {
 		return err
 	}
-	from, err := number(r, "from")
+	from, err := queryNumber(r, "from")
 	if err != nil {
 		return err
 	}
 	var since time.Time
 	if text := r.URL.Query().Get("since"); text != "" {
 		if since, err = time.Parse(time.RFC3339, text); err != nil {
-			return fmt.Errorf("%w: since=%.40q", errBody, text)
+			return fmt.Errorf("%w: since=%.40q", errMalformedRequest, text)
 		}
 	}
 	name := r.URL.Query().Get("stream")
@@ -113,11 +113,11 @@
 	if err := artifactstore.CheckStream(name); err != nil {
 		return err
 	}
-	_, m, err := s.Node.choose(r.Context(), job, task, attempt)
+	_, m, err := s.Node.findAttempt(r.Context(), job, task, attempt)
 	if err != nil {
 		return err
 	}
-	ctx, cancel := context.WithTimeout(r.Context(), s.Follow)
+	ctx, cancel := context.WithTimeout(r.Context(), s.MaxFollow)
 	defer cancel()
 	w.Header().Set("Content-Type", "application/x-ndjson")
 	enc, flush := json.NewEncoder(w), http.NewResponseController(w)
@@ -159,11 +159,11 @@
 		if err != nil {
 			return err
 		}
-		offset, err := number(r, "offset")
+		offset, err := queryNumber(r, "offset")
 		if err != nil {
 			return err
 		}
-		content, err := s.Node.open(r.Context(), s.Node.sources(job, task), m.Tenant, d, int64(offset))
+		content, err := s.Node.openBlob(r.Context(), s.Node.sources(job, task), m.Tenant, d, int64(offset))
 		if err != nil {
 			return err
 		}
--- a/internal/artifactreplication/serve_test.go
+++ b/internal/artifactreplication/serve_test.go
@@ -17,16 +17,16 @@
 )
 
 // site is a replica behind HTTP, and a caller.
-type site struct {
+type testServer struct {
 	t    *testing.T
 	url  string
 	now  time.Time
 	node *Node
 }
 
-func newSite(t *testing.T) *site {
-	n, _ := alone(t, t.TempDir(), nil)
-	x := &site{t: t, now: time.Unix(1e9, 0), node: n}
+func newTestServer(t *testing.T) *testServer {
+	n, _ := newSingleReplica(t, t.TempDir(), nil)
+	x := &testServer{t: t, now: time.Unix(1e9, 0), node: n}
 	n.opt.Now = func() time.Time { return x.now }
 	srv := httptest.NewServer((&Server{Node: n}).Handler())
 	t.Cleanup(srv.Close)
@@ -34,15 +34,15 @@
 	return x
 }
 
-func (x *site) writer(c artifactstore.Claim) string {
+func (x *testServer) writeToken(c artifactstore.Claim) string {
 	return artifactstore.Grant{Right: artifactstore.Write, Tenant: c.Tenant, Job: c.Job, Task: &c.Task, Number: c.Number, Machine: c.Machine, Session: c.Session, Until: x.now.Add(time.Hour)}.Token(key)
 }
 
-func (x *site) reader(job string) string {
+func (x *testServer) readToken(job string) string {
 	return artifactstore.Grant{Right: artifactstore.Read, Job: job, Until: x.now.Add(time.Hour)}.Token(key)
 }
 
-func (x *site) call(token, method, path string, body []byte) (int, artifactstore.Answer, string) {
+func (x *testServer) call(token, method, path string, body []byte) (int, artifactstore.Answer, string) {
 	x.t.Helper()
 	req, err := http.NewRequest(method, x.url+path, bytes.NewReader(body))
 	if err != nil {
@@ -66,9 +66,9 @@
 // TestOverHTTP: an attempt from its beginning to its seal, a file in pieces of which
 // one is repeated, and what readers then get.
 func TestOverHTTP(t *testing.T) {
-	x := newSite(t)
+	x := newTestServer(t)
 	c := claim(1, 3, 7)
-	w, r := x.writer(c), x.reader(c.Job)
+	w, r := x.writeToken(c), x.readToken(c.Job)
 	must := func(code int, a artifactstore.Answer, text string) artifactstore.Answer {
 		t.Helper()
 		if code != 200 {
@@ -121,9 +121,9 @@
 // TestTokens: a token that is forged, too old, for another job, attempt or right
 // opens nothing.
 func TestTokens(t *testing.T) {
-	x := newSite(t)
+	x := newTestServer(t)
 	c := claim(1, 0, 1)
-	w, r := x.writer(c), x.reader(c.Job)
+	w, r := x.writeToken(c), x.readToken(c.Job)
 	if code, _, text := x.call(w, "POST", "/attempt", nil); code != 200 {
 		t.Fatal(text)
 	}
@@ -131,7 +131,7 @@
 	other := artifactstore.Grant{Right: artifactstore.Read, Job: c.Job, Task: &task, Until: x.now.Add(time.Hour)}.Token(key)
 	forged := artifactstore.Grant{Right: artifactstore.Read, Job: c.Job, Until: x.now.Add(time.Hour)}.Token([]byte("another key 0000"))
 	body, _, _ := strings.Cut(r, ".")
-	for what, token := range map[string]string{"none": "", "a writer's": w, "another task's": other, "another job's": x.reader("job-000002"), "forged": forged,
+	for what, token := range map[string]string{"none": "", "a writer's": w, "another task's": other, "another job's": x.readToken("job-000002"), "forged": forged,
 		"without a code": body, "with a short code": r[:len(r)-2], "of a wrong code": body + "." + strings.Repeat("A", 43), "long": strings.Repeat("A", 5000) + ".A"} {
 		if code, _, text := x.call(token, "GET", "/attempts/job-000001/0", nil); code != 401 {
 			t.Errorf("a token that is %s: %d %s", what, code, text)
@@ -144,7 +144,7 @@
 	}
 	old := c
 	old.Session = 0
-	if code, _, text := x.call(x.writer(old), "POST", "/seal", []byte(`{"exit":{"completed":true},"records":{}}`)); code != 403 {
+	if code, _, text := x.call(x.writeToken(old), "POST", "/seal", []byte(`{"exit":{"completed":true},"records":{}}`)); code != 403 {
 		t.Errorf("a worker of an older session: %d %s", code, text)
 	}
 	x.now = x.now.Add(2 * time.Hour)
@@ -179,28 +179,28 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	x := newSite(t)
+	x := newTestServer(t)
 	x.node.opt.Revoked = r
 	for _, c := range []struct {
 		claim artifactstore.Claim
 		code  int
 	}{{claim(1, 0, 1), 401}, {claim(1, 0, 2), 200}, {claim(2, 0, 1), 200}} {
-		if code, _, text := x.call(x.writer(c.claim), "POST", "/attempt", nil); code != c.code {
+		if code, _, text := x.call(x.writeToken(c.claim), "POST", "/attempt", nil); code != c.code {
 			t.Errorf("%s: %d %s", c.claim.Attempt, code, text)
 		}
 	}
-	again := func() { r.looked = time.Time{} } // a second later
+	again := func() { r.checked = time.Time{} } // a second later
 	write("write job-000001\nread job-000002\n", time.Minute)
 	again()
-	if code, _, _ := x.call(x.writer(claim(1, 0, 2)), "POST", "/seal", []byte("{}")); code != 401 {
+	if code, _, _ := x.call(x.writeToken(claim(1, 0, 2)), "POST", "/seal", []byte("{}")); code != 401 {
 		t.Errorf("a job's workers: %d", code)
 	}
-	if code, _, _ := x.call(x.reader("job-000002"), "GET", "/attempts/job-000002/0", nil); code != 401 {
+	if code, _, _ := x.call(x.readToken("job-000002"), "GET", "/attempts/job-000002/0", nil); code != 401 {
 		t.Errorf("a job's readers: %d", code)
 	}
 	write("nonsense", 2*time.Minute)
 	again()
-	if code, _, _ := x.call(x.reader("job-000002"), "GET", "/attempts/job-000002/0", nil); code != 401 {
+	if code, _, _ := x.call(x.readToken("job-000002"), "GET", "/attempts/job-000002/0", nil); code != 401 {
 		t.Errorf("with nonsense in the file: %d", code)
 	}
 	if _, err := LoadRevoked(path); err == nil || !strings.Contains(err.Error(), "line 1") {
--- a/internal/artifactreplication/status.go
+++ b/internal/artifactreplication/status.go
@@ -43,7 +43,7 @@
 // Status tells how this replica is.
 func (n *Node) Status() *Status {
 	st := n.blobs.Stats()
-	s := &Status{Name: n.opt.Name, Epoch: n.opt.Members.Epoch, Open: n.store.Opened(), Bytes: st.Bytes, Blobs: st.Blobs, Refused: n.meters.reasons()}
+	s := &Status{Name: n.opt.Name, Epoch: n.opt.Members.Epoch, Open: n.store.OpenCount(), Bytes: st.Bytes, Blobs: st.Blobs, Refused: n.metrics.refusalsByReason()}
 	for _, m := range n.opt.Members.List {
 		if m.Name == n.opt.Name {
 			s.Zone, s.State = m.Zone, string(m.State)
@@ -51,13 +51,13 @@
 	}
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if m := &n.opt.Members; s.State == string(Serving) && !n.id.full(m) {
+	if m := &n.opt.Members; s.State == string(Serving) && !n.id.isSynced(m) {
 		s.State = string(Joining)
 	}
 	s.Disk, s.Incarnation = n.id.Disk, n.id.Incarnation
 	r := &n.repair
-	s.PendingRepairs, s.RepairedTasks, s.RepairedBytes, s.UnderReplicated, s.Misplaced, s.Unreachable = r.left, r.mended, r.bytes, r.short, r.strays, r.away
-	for _, since := range r.noticed {
+	s.PendingRepairs, s.RepairedTasks, s.RepairedBytes, s.UnderReplicated, s.Misplaced, s.Unreachable = r.pending, r.repairedTasks, r.repairedBytes, r.underReplicated, r.misplaced, r.unreachable
+	for _, since := range r.firstMissing {
 		s.OldestRepairSeconds = max(s.OldestRepairSeconds, n.opt.Now().Sub(since).Seconds())
 	}
 	return s
@@ -83,34 +83,34 @@
 }
 
 // meters are a replica's metrics.
-type meters struct {
-	handler  http.Handler
-	records  prometheus.Counter
-	bytes    prometheus.Counter
-	uploads  prometheus.Counter
-	seals    prometheus.Counter
-	appends  prometheus.Histogram
-	refusals *prometheus.CounterVec
-	mu       sync.Mutex
-	counts   map[string]int64 // the same for Status
+type metrics struct {
+	handler       http.Handler
+	records       prometheus.Counter
+	bytes         prometheus.Counter
+	uploads       prometheus.Counter
+	seals         prometheus.Counter
+	appends       prometheus.Histogram
+	refusals      *prometheus.CounterVec
+	mu            sync.Mutex
+	refusalCounts map[string]int64 // the same for Status
 }
 
-func newMeters(n *Node) *meters {
+func newMetrics(n *Node) *metrics {
 	reg := prometheus.NewRegistry()
 	counter := func(name, help string) prometheus.Counter {
 		c := prometheus.NewCounter(prometheus.CounterOpts{Namespace: "topaz_keep", Name: name, Help: help})
 		reg.MustRegister(c)
 		return c
 	}
-	m := &meters{
+	m := &metrics{
 		records: counter("records_total", "Records acknowledged by this front."),
 		bytes:   counter("record_bytes_total", "Bytes of output acknowledged by this front."),
 		uploads: counter("upload_bytes_total", "Bytes of files taken in here."),
 		seals:   counter("seals_total", "Seals answered."),
 		appends: prometheus.NewHistogram(prometheus.HistogramOpts{Namespace: "topaz_keep", Name: "append_seconds", Help: "Time until enough keepers had an append.",
 			Buckets: prometheus.ExponentialBuckets(0.0005, 2, 16)}),
-		refusals: prometheus.NewCounterVec(prometheus.CounterOpts{Namespace: "topaz_keep", Name: "refusals_total", Help: "Requests refused, by reason."}, []string{"reason"}),
-		counts:   map[string]int64{},
+		refusals:      prometheus.NewCounterVec(prometheus.CounterOpts{Namespace: "topaz_keep", Name: "refusals_total", Help: "Requests refused, by reason."}, []string{"reason"}),
+		refusalCounts: map[string]int64{},
 	}
 	reg.MustRegister(m.appends, m.refusals)
 	gauge := func(name, help string, f func(*Status) float64) {
@@ -128,7 +128,7 @@
 	return m
 }
 
-func (m *meters) appended(records []artifactstore.Record, took time.Duration) {
+func (m *metrics) appended(records []artifactstore.Record, took time.Duration) {
 	m.records.Add(float64(len(records)))
 	for _, r := range records {
 		m.bytes.Add(float64(len(r.Data)))
@@ -136,11 +136,11 @@
 	m.appends.Observe(took.Seconds())
 }
 
-func (m *meters) uploaded(bytes int64) { m.uploads.Add(float64(bytes)) }
+func (m *metrics) uploaded(bytes int64) { m.uploads.Add(float64(bytes)) }
 
 // refused counts a refusal. What a reader or agent did wrong in its own words counts
 // by its status alone.
-func (m *meters) refused(code string, status int) {
+func (m *metrics) refused(code string, status int) {
 	if code == "" {
 		code = "internal"
 		if status < 500 {
@@ -150,11 +150,11 @@
 	m.refusals.WithLabelValues(code).Inc()
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.counts[code]++
+	m.refusalCounts[code]++
 }
 
-func (m *meters) reasons() map[string]int64 {
+func (m *metrics) refusalsByReason() map[string]int64 {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return maps.Clone(m.counts)
+	return maps.Clone(m.refusalCounts)
 }
--- a/internal/artifactreplication/streams.go
+++ b/internal/artifactreplication/streams.go
@@ -17,8 +17,8 @@
 // Begin opens an attempt for its machine and session. Repeated by the same it has no
 // effect.
 func (n *Node) Begin(ctx context.Context, c artifactstore.Claim) error {
-	_, err := n.writeToQuorum(ctx, c.Attempt, func(ctx context.Context, _ string, r replica) (*answer, error) {
-		return r.do(ctx, &call{Op: "begin", Claim: c})
+	_, err := n.writeToQuorum(ctx, c.Attempt, func(ctx context.Context, _ string, r replica) (*peerResponse, error) {
+		return r.do(ctx, &peerRequest{Op: "begin", Claim: c})
 	})
 	return err
 }
@@ -27,11 +27,11 @@
 // of the record wanted next; all before it are durable on enough replicas.
 func (n *Node) Append(ctx context.Context, c artifactstore.Claim, stream string, first uint64, records []artifactstore.Record) (next uint64, err error) {
 	begun := n.opt.Now()
-	got, err := n.writeToQuorum(ctx, c.Attempt, func(ctx context.Context, name string, r replica) (*answer, error) {
-		a, err := r.do(ctx, &call{Op: "append", Claim: c, Stream: stream, First: first, Records: records})
+	got, err := n.writeToQuorum(ctx, c.Attempt, func(ctx context.Context, name string, r replica) (*peerResponse, error) {
+		a, err := r.do(ctx, &peerRequest{Op: "append", Claim: c, Stream: stream, First: first, Records: records})
 		var gap *artifactstore.GapError
-		if errors.As(err, &gap) && n.fill(ctx, c, stream, gap.Want, first, name, r) {
-			a, err = r.do(ctx, &call{Op: "append", Claim: c, Stream: stream, First: first, Records: records})
+		if errors.As(err, &gap) && n.fillGap(ctx, c, stream, gap.Want, first, name, r) {
+			a, err = r.do(ctx, &peerRequest{Op: "append", Claim: c, Stream: stream, First: first, Records: records})
 		}
 		return a, err
 	})
@@ -42,7 +42,7 @@
 		}
 		return next, err
 	}
-	n.meters.appended(records, n.opt.Now().Sub(begun))
+	n.metrics.appended(records, n.opt.Now().Sub(begun))
 	nexts := make([]uint64, 0, len(got))
 	for _, r := range got {
 		nexts = append(nexts, r.Next)
@@ -52,7 +52,7 @@
 
 // fill brings a replica the records of a stream that it missed, from another that has
 // them.
-func (n *Node) fill(ctx context.Context, c artifactstore.Claim, stream string, from, to uint64, name string, r replica) bool {
+func (n *Node) fillGap(ctx context.Context, c artifactstore.Claim, stream string, from, to uint64, name string, r replica) bool {
 	for _, other := range n.opt.Members.ReplicasOf(c.Job, c.Task) {
 		p := n.peers[other]
 		if other == name || p == nil || from >= to {
@@ -67,8 +67,8 @@
 
 // atOnce bounds the records that go from one replica to another in one call.
 const (
-	atOnce      = 500
-	atOnceBytes = 1 << 20
+	maxBatchRecords = 500
+	maxBatchBytes   = 1 << 20
 )
 
 // copyRecords brings records from one replica to another, up to a number, or all if it
@@ -80,7 +80,7 @@
 		if len(batch) == 0 {
 			return nil
 		}
-		_, err := dst.do(ctx, &call{Op: "append", Claim: c, Stream: stream, First: from, Records: batch})
+		_, err := dst.do(ctx, &peerRequest{Op: "append", Claim: c, Stream: stream, First: from, Records: batch})
 		if err == nil {
 			from += uint64(len(batch))
 			batch, size = nil, 0
@@ -92,7 +92,7 @@
 			return nil
 		}
 		batch = append(batch, rec)
-		if size += len(rec.Data); len(batch) < atOnce && size < atOnceBytes {
+		if size += len(rec.Data); len(batch) < maxBatchRecords && size < maxBatchBytes {
 			return nil
 		}
 		return send()
@@ -103,13 +103,13 @@
 // Attach adds a file, whose content one of the replicas has from the same tenant. A path
 // that was attached before gets the new content.
 func (n *Node) Attach(ctx context.Context, c artifactstore.Claim, path string, d blob.Digest) error {
-	_, err := n.writeToQuorum(ctx, c.Attempt, func(ctx context.Context, name string, r replica) (*answer, error) {
-		ask := &call{Op: "attach", Claim: c, Path: path, Digest: d.String()}
+	_, err := n.writeToQuorum(ctx, c.Attempt, func(ctx context.Context, name string, r replica) (*peerResponse, error) {
+		ask := &peerRequest{Op: "attach", Claim: c, Path: path, Digest: d.String()}
 		a, err := r.do(ctx, ask)
 		if !errors.Is(err, blob.ErrNotFound) && !errors.Is(err, blob.ErrTenant) {
 			return a, err
 		}
-		content, oerr := n.open(ctx, n.sources(c.Job, c.Task), c.Tenant, d, 0)
+		content, oerr := n.openBlob(ctx, n.sources(c.Job, c.Task), c.Tenant, d, 0)
 		if oerr != nil {
 			return nil, oerr
 		}
@@ -124,7 +124,7 @@
 
 // repairTurn is for how long a follower stays with one replica before it looks whether another
 // has more.
-const repairTurn = 5 * time.Second
+const followTurn = 5 * time.Second
 
 // Read hands over the records of an attempt's stream from a number on, and gives the
 // number of the next and the attempt's state. A follower is served for as long as the
@@ -141,17 +141,17 @@
 	}
 	failures := 0
 	for {
-		v, m, err := n.choose(ctx, at.Job, at.Task, at.Number)
+		v, m, err := n.findAttempt(ctx, at.Job, at.Task, at.Number)
 		if err != nil {
 			return next, "", err
 		}
-		state = v.state(m)
+		state = v.attemptState(m)
 		names := n.sources(at.Job, at.Task)
-		rank := func(name string) uint64 { return m.next[stream][name] }
+		rank := func(name string) uint64 { return m.nextRecord[stream][name] }
 		slices.SortStableFunc(names, func(a, b string) int { return cmp.Compare(rank(b), rank(a)) })
 		want := uint64(0) // records that must come before this is whole
 		if m.Ended != "" {
-			man, err := n.manifest(ctx, m)
+			man, err := n.readManifest(ctx, m)
 			if err != nil {
 				return next, "", err
 			}
@@ -172,7 +172,7 @@
 			}
 			slice, cancel := ctx, context.CancelFunc(func() {})
 			if following {
-				slice, cancel = context.WithTimeout(ctx, repairTurn)
+				slice, cancel = context.WithTimeout(ctx, followTurn)
 			}
 			_, _, last = p.read(slice, m.Attempt, stream, next, following, pass)
 			over := slice.Err() != nil
@@ -191,7 +191,7 @@
 		case last == nil && !following && next >= want:
 			return next, state, nil
 		case last == nil && !following:
-			last = fmt.Errorf("%w: %d of %d records", artifactstore.ErrNotWhole, next, want)
+			last = fmt.Errorf("%w: %d of %d records", artifactstore.ErrIncomplete, next, want)
 		}
 		if last != nil {
 			if failures++; failures > 3 {
--- a/internal/artifactreplication/sums.go
+++ b/internal/artifactreplication/sums.go
@@ -13,18 +13,18 @@
 	"topazhollow/internal/protocol"
 )
 
-const buckets = 1024
+const bucketCount = 1024
 
 // maxBuckets is how many buckets one call lists: each call walks over all names.
-const maxBuckets = 256
+const maxBucketsPerCall = 256
 
 // strayNames is the bucket of what a replica has though it is not its replica (any more).
-const strayNames = -1
+const misplacedBucket = -1
 
 // bucketOf is the bucket of a task's names.
 func bucketOf(at artifactstore.Attempt) int {
 	h := blake3.Sum256(fmt.Appendf(nil, "%s/%d", at.Job, at.Task))
-	return int(binary.LittleEndian.Uint32(h[:])) % buckets
+	return int(binary.LittleEndian.Uint32(h[:])) % bucketCount
 }
 
 // eachName walks over the names of what is here of tasks that another replica is to have too.
@@ -41,7 +41,7 @@
 		}
 	}
 	for after := ""; ; {
-		names, err := n.store.Names(after, 2000)
+		names, err := n.store.RefNames(after, 2000)
 		if err != nil {
 			return err
 		}
@@ -57,7 +57,7 @@
 		}
 		after = names[len(names)-1]
 	}
-	for _, v := range n.store.Open() {
+	for _, v := range n.store.OpenAttempts() {
 		v.Idle = 0
 		h := blake3.Sum256(protocol.Encode(&struct {
 			S map[string]artifactstore.Extent
@@ -70,7 +70,7 @@
 
 // checksums gives each bucket's sum of hashes, of what another replica is to have too.
 func (n *Node) checksums(other string) ([]string, error) {
-	var sums [buckets][2]uint64
+	var sums [bucketCount][2]uint64
 	err := n.eachName(other, func(name string, at artifactstore.Attempt, stray bool) {
 		if stray {
 			return
@@ -80,7 +80,7 @@
 		s[0] += binary.LittleEndian.Uint64(h[:])
 		s[1] += binary.LittleEndian.Uint64(h[8:])
 	})
-	list := make([]string, buckets)
+	list := make([]string, bucketCount)
 	for i, s := range sums {
 		b := binary.LittleEndian.AppendUint64(nil, s[0])
 		list[i] = hex.EncodeToString(binary.LittleEndian.AppendUint64(b, s[1]))
@@ -89,9 +89,9 @@
 }
 
 // names lists some buckets, in one walk.
-func (n *Node) names(other string, of []int) (list []string, err error) {
+func (n *Node) namesInBuckets(other string, of []int) (list []string, err error) {
 	err = n.eachName(other, func(name string, at artifactstore.Attempt, stray bool) {
-		b := strayNames
+		b := misplacedBucket
 		if !stray {
 			b = bucketOf(at)
 		}
--- a/internal/artifactstore/artifactstore.go
+++ b/internal/artifactstore/artifactstore.go
@@ -16,17 +16,17 @@
 
 // Options are a store's choices.
 type Options struct {
-	Dir       string
-	Blobs     *blob.Store
-	Key       []byte // of the manifests' codes; 16 bytes or more
-	Streams   int    // of one attempt; 16 if 0
-	Files     int    // of one attempt; 10,000 if 0
-	Record    int    // bytes of one record; 64 KiB if 0
-	StreamMax int64  // bytes of one stream; 1 GiB if 0
-	Segment   int64  // bytes of the log's segments; as package wal has it if 0
-	Open      int    // attempts that are not sealed; 100,000 if 0
-	Now       func() time.Time
-	Step      func(step string) // told of each durable step, for tests
+	Dir             string
+	Blobs           *blob.Store
+	Key             []byte // of the manifests' codes; 16 bytes or more
+	MaxStreams      int    // of one attempt; 16 if 0
+	MaxFiles        int    // of one attempt; 10,000 if 0
+	MaxRecordBytes  int    // bytes of one record; 64 KiB if 0
+	MaxStreamBytes  int64  // bytes of one stream; 1 GiB if 0
+	SegmentBytes    int64  // bytes of the log's segments; as package wal has it if 0
+	MaxOpenAttempts int    // attempts that are not sealed; 100,000 if 0
+	Now             func() time.Time
+	Step            func(step string) // told of each durable step, for tests
 }
 
 // Store is one store's own part: what it holds on its disk, and its votes. Its
@@ -38,60 +38,60 @@
 
 	mu        sync.Mutex
 	changed   sync.Cond
-	open      map[Attempt]*attempt
+	open      map[Attempt]*openAttempt
 	votes     map[Attempt]*Vote // of what is not decided; Number 0 stands for the task's result
 	latest    map[string]uint64 // highest attempt begun, of tasks with open attempts
 	unsettled map[Attempt]bool  // sealed and completed, and not known whether they are the result
-	gates     map[Attempt]*gate
+	locks     map[Attempt]*attemptLock
 	closed    bool
 }
 
 // gate is held while something is written for an attempt, so that order is kept.
-type gate struct {
+type attemptLock struct {
 	sync.Mutex
 	users int
 }
 
 // enter takes an attempt's gate; leave gives it back.
-func (k *Store) enter(at Attempt) (leave func()) {
-	k.mu.Lock()
-	g := k.gates[at]
+func (st *Store) lockAttempt(at Attempt) (leave func()) {
+	st.mu.Lock()
+	g := st.locks[at]
 	if g == nil {
-		g = &gate{}
-		k.gates[at] = g
+		g = &attemptLock{}
+		st.locks[at] = g
 	}
 	g.users++
-	k.mu.Unlock()
+	st.mu.Unlock()
 	g.Lock()
 	return func() {
 		g.Unlock()
-		k.mu.Lock()
-		defer k.mu.Unlock()
+		st.mu.Lock()
+		defer st.mu.Unlock()
 		if g.users--; g.users == 0 {
-			delete(k.gates, at)
+			delete(st.locks, at)
 		}
 	}
 }
 
 // attempt is one that has not ended.
-type attempt struct {
-	claim   Claim
-	streams map[string]*stream
-	files   map[string]blob.Digest
-	touched time.Time // when something last came for it
-	held    int64     // room kept for it in the store of blobs
+type openAttempt struct {
+	claim     Claim
+	streams   map[string]*openStream
+	files     map[string]blob.Digest
+	lastWrite time.Time // when something last came for it
+	reserved  int64     // room kept for it in the store of blobs
 }
 
 // stream is what is known of an open attempt's stream.
-type stream struct {
-	next   uint64 // number of the next record
-	bytes  int64
-	lost   int64
-	pieces []piece
+type openStream struct {
+	next    uint64 // number of the next record
+	bytes   int64
+	lost    int64
+	batches []recordBatch
 }
 
 // piece is records that came together.
-type piece struct {
+type recordBatch struct {
 	first, count uint64
 	at           wal.Pos
 }
@@ -138,26 +138,26 @@
 // seen through.
 func Open(opt Options) (*Store, error) {
 	if len(opt.Key) < minKeyBytes {
-		return nil, fmt.Errorf("%w: a key of %d bytes, 16 are needed", ErrTooMuch, len(opt.Key))
+		return nil, fmt.Errorf("%w: a key of %d bytes, 16 are needed", ErrLimit, len(opt.Key))
 	}
 	opt.setDefaults()
-	k := &Store{
+	st := &Store{
 		opt:       opt,
-		open:      map[Attempt]*attempt{},
+		open:      map[Attempt]*openAttempt{},
 		votes:     map[Attempt]*Vote{},
 		latest:    map[string]uint64{},
 		unsettled: map[Attempt]bool{},
-		gates:     map[Attempt]*gate{},
+		locks:     map[Attempt]*attemptLock{},
 	}
-	k.changed.L = &k.mu
-	if err := k.replay(); err != nil {
+	st.changed.L = &st.mu
+	if err := st.replay(); err != nil {
 		return nil, err
 	}
-	if err := k.tidy(context.Background()); err != nil {
-		k.log.Close()
+	if err := st.finishInterrupted(context.Background()); err != nil {
+		st.log.Close()
 		return nil, err
 	}
-	return k, nil
+	return st, nil
 }
 
 // minKeyBytes is the shortest key that tokens may be made with.
@@ -169,17 +169,17 @@
 		value     *int
 		unlessSet int
 	}{
-		{&o.Streams, 16},
-		{&o.Files, 10_000},
-		{&o.Record, 64 << 10},
-		{&o.Open, 100_000},
+		{&o.MaxStreams, 16},
+		{&o.MaxFiles, 10_000},
+		{&o.MaxRecordBytes, 64 << 10},
+		{&o.MaxOpenAttempts, 100_000},
 	} {
 		if *bound.value <= 0 {
 			*bound.value = bound.unlessSet
 		}
 	}
-	if o.StreamMax <= 0 {
-		o.StreamMax = 1 << 30
+	if o.MaxStreamBytes <= 0 {
+		o.MaxStreamBytes = 1 << 30
 	}
 	if o.Now == nil {
 		o.Now = time.Now
@@ -190,53 +190,53 @@
 }
 
 // tidy sees through what a process that ended had begun.
-func (k *Store) tidy(ctx context.Context) error {
-	for at := range k.votes {
-		if _, there, err := k.decided(at); err != nil {
+func (st *Store) finishInterrupted(ctx context.Context) error {
+	for at := range st.votes {
+		if _, there, err := st.decidedValue(at); err != nil {
 			return err
 		} else if there && at.Number == 0 {
-			delete(k.votes, at)
-		} else if there && k.open[at] == nil {
-			if err := k.close(ctx, at); err != nil {
+			delete(st.votes, at)
+		} else if there && st.open[at] == nil {
+			if err := st.closeAttempt(ctx, at); err != nil {
 				return err
 			}
 		}
 	}
-	for _, at := range slices.Collect(maps.Keys(k.open)) {
-		if k.over(at) {
-			if err := k.close(ctx, at); err != nil {
+	for _, at := range slices.Collect(maps.Keys(st.open)) {
+		if st.hasEnded(at) {
+			if err := st.closeAttempt(ctx, at); err != nil {
 				return err
 			}
 			continue
 		}
-		a := k.open[at]
+		a := st.open[at]
 		for _, s := range a.streams {
-			a.held += s.bytes
+			a.reserved += s.bytes
 		}
-		k.opt.Blobs.Held(a.claim.Tenant, a.held)
+		st.opt.Blobs.Held(a.claim.Tenant, a.reserved)
 	}
 	return nil
 }
 
 // Close ends the store.
-func (k *Store) Close() error {
-	k.mu.Lock()
-	k.closed = true
-	k.mu.Unlock()
-	k.changed.Broadcast()
-	return k.log.Close()
+func (st *Store) Close() error {
+	st.mu.Lock()
+	st.closed = true
+	st.mu.Unlock()
+	st.changed.Broadcast()
+	return st.log.Close()
 }
 
 // write makes an entry durable and carries it over.
-func (k *Store) write(ctx context.Context, e *entry) error {
-	at, err := k.log.Append(context.WithoutCancel(ctx), protocol.Encode(e))
+func (st *Store) logEntry(ctx context.Context, e *entry) error {
+	at, err := st.log.Append(context.WithoutCancel(ctx), protocol.Encode(e))
 	if err != nil {
 		return err
 	}
-	k.mu.Lock()
-	k.apply(e, at[0])
-	k.mu.Unlock()
-	k.changed.Broadcast()
+	st.mu.Lock()
+	st.apply(e, at[0])
+	st.mu.Unlock()
+	st.changed.Broadcast()
 	return nil
 }
 
@@ -245,7 +245,7 @@
 // A shelved one is kept like a sealed one, but can't be sealed any more.
 func sealedName(a Attempt) string { return "sealed/" + a.String() }
 
-func shelvedName(a Attempt) string { return "partial/" + a.String() }
+func partialName(a Attempt) string { return "partial/" + a.String() }
 
 func finalName(a Attempt) string { return "final/" + a.task() }
 
@@ -254,41 +254,41 @@
 
 // Begin opens an attempt for its machine. Repeated by the same it has no effect.
 // The files and streams of an earlier attempt stay that attempt's.
-func (k *Store) Begin(ctx context.Context, c Claim) error {
+func (st *Store) Begin(ctx context.Context, c Claim) error {
 	if err := c.check(); err != nil {
 		return err
 	}
 	if c.Tenant == "" || c.Machine == "" || len(c.Tenant)+len(c.Machine) > 400 {
 		return fmt.Errorf("%w: tenant %.100q, machine %.100q", ErrName, c.Tenant, c.Machine)
 	}
-	defer k.enter(c.Attempt)()
-	k.mu.Lock()
-	a, n := k.open[c.Attempt], len(k.open)
-	k.mu.Unlock()
+	defer st.lockAttempt(c.Attempt)()
+	st.mu.Lock()
+	a, n := st.open[c.Attempt], len(st.open)
+	st.mu.Unlock()
 	if a != nil {
 		if a.claim != c {
 			return ErrClaim
 		}
 		return nil
 	}
-	if k.over(c.Attempt) {
+	if st.hasEnded(c.Attempt) {
 		return ErrSealed
 	}
-	if n >= k.opt.Open {
-		return fmt.Errorf("%w: %d open attempts", ErrTooMuch, n)
+	if n >= st.opt.MaxOpenAttempts {
+		return fmt.Errorf("%w: %d open attempts", ErrLimit, n)
 	}
-	return k.write(ctx, &entry{Kind: kindBegin, Claim: &c, Attempt: c.Attempt})
+	return st.logEntry(ctx, &entry{Kind: kindBegin, Claim: &c, Attempt: c.Attempt})
 }
 
 // mine finds an open attempt, for the machine and session that began it. Its gate is
 // held.
-func (k *Store) mine(c Claim) (*attempt, error) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	a := k.open[c.Attempt]
-	switch v := k.votes[c.Attempt]; {
+func (st *Store) writableAttempt(c Claim) (*openAttempt, error) {
+	st.mu.Lock()
+	defer st.mu.Unlock()
+	a := st.open[c.Attempt]
+	switch v := st.votes[c.Attempt]; {
 	case a == nil:
-		if k.over(c.Attempt) {
+		if st.hasEnded(c.Attempt) {
 			return nil, ErrSealed
 		}
 		return nil, ErrUnknown
@@ -297,38 +297,38 @@
 	case v.frozen():
 		return nil, ErrFrozen
 	}
-	a.touched = k.opt.Now()
+	a.lastWrite = st.opt.Now()
 	return a, nil
 }
 
 // over says whether an attempt is sealed or shelved.
-func (k *Store) over(at Attempt) bool {
-	_, _, sealed := k.opt.Blobs.Ref(sealedName(at))
-	_, _, shelved := k.opt.Blobs.Ref(shelvedName(at))
+func (st *Store) hasEnded(at Attempt) bool {
+	_, _, sealed := st.opt.Blobs.Ref(sealedName(at))
+	_, _, shelved := st.opt.Blobs.Ref(partialName(at))
 	return sealed || shelved
 }
 
 // Append adds records to a stream, the first of them under a number. Records that
 // are there already have no second effect; a number behind the end is a GapError.
 // next is the number of the record wanted next; all before it are durable.
-func (k *Store) Append(ctx context.Context, c Claim, name string, first uint64, records []Record) (next uint64, err error) {
+func (st *Store) Append(ctx context.Context, c Claim, name string, first uint64, records []Record) (next uint64, err error) {
 	if err := CheckStream(name); err != nil {
 		return 0, err
 	}
-	defer k.enter(c.Attempt)()
-	a, err := k.mine(c)
+	defer st.lockAttempt(c.Attempt)()
+	a, err := st.writableAttempt(c)
 	if err != nil {
 		return 0, err
 	}
-	k.mu.Lock()
+	st.mu.Lock()
 	s := a.streams[name]
 	count, size := len(a.streams), int64(0)
 	if s != nil {
 		next, size = s.next, s.bytes
 	}
-	k.mu.Unlock()
-	if s == nil && count >= k.opt.Streams {
-		return 0, fmt.Errorf("%w: %d streams", ErrTooMuch, count)
+	st.mu.Unlock()
+	if s == nil && count >= st.opt.MaxStreams {
+		return 0, fmt.Errorf("%w: %d streams", ErrLimit, count)
 	}
 	if first > next {
 		return next, &GapError{Stream: name, Want: next, Have: first}
@@ -337,31 +337,31 @@
 		return next, nil
 	}
 	records = records[next-first:]
-	more, err := k.sizeOf(records)
+	more, err := st.checkRecords(records)
 	if err != nil {
 		return next, err
 	}
-	if size+more > k.opt.StreamMax {
-		return next, fmt.Errorf("%w: stream %s of %d bytes", ErrTooMuch, name, size+more)
+	if size+more > st.opt.MaxStreamBytes {
+		return next, fmt.Errorf("%w: stream %s of %d bytes", ErrLimit, name, size+more)
 	}
-	if err := k.opt.Blobs.Hold(c.Tenant, more); err != nil {
+	if err := st.opt.Blobs.Hold(c.Tenant, more); err != nil {
 		return next, err
 	}
 	added := &entry{Kind: kindAppend, Attempt: c.Attempt, Stream: name, First: next, Records: records}
-	if err := k.write(ctx, added); err != nil {
-		k.opt.Blobs.Release(c.Tenant, more)
+	if err := st.logEntry(ctx, added); err != nil {
+		st.opt.Blobs.Release(c.Tenant, more)
 		return next, err
 	}
-	a.held += more
+	a.reserved += more
 	return next + uint64(len(records)), nil
 }
 
 // sizeOf is how many bytes records have; ErrTooMuch says that one is too long or malformed.
-func (k *Store) sizeOf(records []Record) (size int64, err error) {
+func (st *Store) checkRecords(records []Record) (size int64, err error) {
 	for _, r := range records {
 		size += int64(len(r.Data))
-		if len(r.Data) > k.opt.Record || (r.Dropped != nil && (r.Dropped.Bytes < 0 || len(r.Data) > 0)) {
-			return 0, fmt.Errorf("%w: a record of %d bytes", ErrTooMuch, len(r.Data))
+		if len(r.Data) > st.opt.MaxRecordBytes || (r.Dropped != nil && (r.Dropped.Bytes < 0 || len(r.Data) > 0)) {
+			return 0, fmt.Errorf("%w: a record of %d bytes", ErrLimit, len(r.Data))
 		}
 	}
 	return size, nil
@@ -369,51 +369,51 @@
 
 // Attach adds a file, whose content the store of blobs has from the same tenant. A
 // path that was attached before gets the new content.
-func (k *Store) Attach(ctx context.Context, c Claim, path string, d blob.Digest) error {
+func (st *Store) Attach(ctx context.Context, c Claim, path string, d blob.Digest) error {
 	if err := CheckPath(path); err != nil {
 		return err
 	}
-	defer k.enter(c.Attempt)()
-	a, err := k.mine(c)
+	defer st.lockAttempt(c.Attempt)()
+	a, err := st.writableAttempt(c)
 	if err != nil {
 		return err
 	}
-	k.mu.Lock()
+	st.mu.Lock()
 	_, again := a.files[path]
 	count := len(a.files)
-	k.mu.Unlock()
-	if !again && count >= k.opt.Files {
-		return fmt.Errorf("%w: %d files", ErrTooMuch, count)
+	st.mu.Unlock()
+	if !again && count >= st.opt.MaxFiles {
+		return fmt.Errorf("%w: %d files", ErrLimit, count)
 	}
 	// Until the seal a reference of its own keeps the content.
-	if err := k.opt.Blobs.SetRef(ctx, c.Tenant, openName(c.Attempt, path), d); err != nil {
+	if err := st.opt.Blobs.SetRef(ctx, c.Tenant, openName(c.Attempt, path), d); err != nil {
 		return err
 	}
-	return k.write(ctx, &entry{Kind: kindFile, Attempt: c.Attempt, Path: path, Digest: d.String()})
+	return st.logEntry(ctx, &entry{Kind: kindFile, Attempt: c.Attempt, Path: path, Digest: d.String()})
 }
 
 // Trim gives back the log's space that closed attempts took: first segments of which
 // at most half lives on, which is written again at the end.
-func (k *Store) Trim(ctx context.Context) error {
-	return k.log.Compact(ctx, func(_ wal.Pos, b []byte) (func() error, error) {
+func (st *Store) Compact(ctx context.Context) error {
+	return st.log.Compact(ctx, func(_ wal.Pos, b []byte) (func() error, error) {
 		var e entry
 		if err := json.Unmarshal(b, &e); err != nil {
 			return nil, err
 		}
-		k.mu.Lock()
-		defer k.mu.Unlock()
-		alive := k.open[e.Attempt] != nil
+		st.mu.Lock()
+		defer st.mu.Unlock()
+		alive := st.open[e.Attempt] != nil
 		switch e.Kind {
 		case kindClosed:
-			alive = k.unsettled[e.Attempt]
+			alive = st.unsettled[e.Attempt]
 		case kindVote:
-			alive = k.votes[e.Attempt].needs(e.Vote)
+			alive = st.votes[e.Attempt].isCurrent(e.Vote)
 		case kindSettle:
 			alive = false
 		}
 		if !alive {
 			return nil, nil
 		}
-		return func() error { return k.write(ctx, &e) }, nil
+		return func() error { return st.logEntry(ctx, &e) }, nil
 	}, nil)
 }
--- a/internal/artifactstore/client.go
+++ b/internal/artifactstore/client.go
@@ -25,7 +25,7 @@
 // ErrUnsure says that too few replicas answered to tell whether more was kept.
 var ErrUnsure = errors.New("keeper: too few keepers answered to be sure")
 
-var errAnswer = errors.New("keeper: malformed answer")
+var errMalformedAnswer = errors.New("keeper: malformed answer")
 
 // Reader reads from a store.
 type Reader struct {
@@ -173,7 +173,7 @@
 	defer resp.Body.Close()
 	var a Answer
 	if err := json.NewDecoder(resp.Body).Decode(&a); err != nil || a.Sealed == nil {
-		return nil, false, fmt.Errorf("%w: %v", errAnswer, err)
+		return nil, false, fmt.Errorf("%w: %v", errMalformedAnswer, err)
 	}
 	return a.Sealed, a.Final, nil
 }
@@ -184,7 +184,7 @@
 	if err := r.decode(ctx, fmt.Sprintf("/attempts/%s/%d", url.PathEscape(job), task), &a); err != nil {
 		return nil, err
 	}
-	return whole(a.List, a.Unsure)
+	return checkList(a.List, a.Unsure)
 }
 
 // Tasks lists the tasks of a job of which something is kept. With ErrUnsure some may be
@@ -194,7 +194,7 @@
 	if err := r.decode(ctx, "/tasks/"+url.PathEscape(job), &t); err != nil {
 		return nil, err
 	}
-	return whole(t.Tasks, t.Unsure)
+	return checkList(t.Tasks, t.Unsure)
 }
 
 // decode reads an answer.
@@ -205,14 +205,14 @@
 	}
 	defer resp.Body.Close()
 	if err := json.NewDecoder(resp.Body).Decode(to); err != nil {
-		return fmt.Errorf("%w: %v", errAnswer, err)
+		return fmt.Errorf("%w: %v", errMalformedAnswer, err)
 	}
 	return nil
 }
 
 // whole is a list with ErrUnsure if some of it may be missing, or ErrUnknown if nothing is
 // there.
-func whole[T any](list []T, unsure bool) ([]T, error) {
+func checkList[T any](list []T, unsure bool) ([]T, error) {
 	switch {
 	case unsure:
 		return list, ErrUnsure
@@ -248,7 +248,7 @@
 		if err != nil {
 			return err
 		}
-		n, err := io.Copy(io.MultiWriter(f, sum, counter{&done, d.Size, progress}), io.LimitReader(resp.Body, d.Size-done))
+		n, err := io.Copy(io.MultiWriter(f, sum, progressWriter{&done, d.Size, progress}), io.LimitReader(resp.Body, d.Size-done))
 		resp.Body.Close()
 		if failures++; n > 0 {
 			failures = 0
@@ -267,16 +267,16 @@
 }
 
 // counter counts what is written and tells of it.
-type counter struct {
-	done *int64
-	all  int64
-	tell func(done, all int64)
+type progressWriter struct {
+	done   *int64
+	total  int64
+	report func(done, all int64)
 }
 
-func (c counter) Write(p []byte) (int, error) {
+func (c progressWriter) Write(p []byte) (int, error) {
 	*c.done += int64(len(p))
-	if c.tell != nil {
-		c.tell(*c.done, c.all)
+	if c.report != nil {
+		c.report(*c.done, c.total)
 	}
 	return len(p), nil
 }
--- a/internal/artifactstore/decision.go
+++ b/internal/artifactstore/decision.go
@@ -11,21 +11,21 @@
 )
 
 // decided gives a register's value, if it is known here.
-func (k *Store) decided(at Attempt) (value []byte, ok bool, err error) {
+func (st *Store) decidedValue(at Attempt) (value []byte, ok bool, err error) {
 	name := finalName(at)
 	if at.Number > 0 {
-		if name = sealedName(at); !k.there(name) {
-			name = shelvedName(at)
+		if name = sealedName(at); !st.hasRef(name) {
+			name = partialName(at)
 		}
 	}
-	tenant, ds, ok := k.opt.Blobs.Ref(name)
+	tenant, ds, ok := st.opt.Blobs.Ref(name)
 	if !ok {
 		return nil, false, nil
 	}
-	value, err = k.opt.Blobs.Get(tenant, ds[0], maxManifest)
+	value, err = st.opt.Blobs.Get(tenant, ds[0], maxManifestBytes)
 	if err == nil && at.Number == 0 {
 		var m *Manifest
-		if m, err = Verify(k.opt.Key, value); err == nil {
+		if m, err = Verify(st.opt.Key, value); err == nil {
 			value = protocol.Encode(&Result{tenant, m.Number, ds[0].String()})
 		}
 	}
@@ -33,30 +33,30 @@
 }
 
 // Learn carries out what was decided: the attempt ends, or its task has its result.
-func (k *Store) Learn(ctx context.Context, at Attempt, value []byte, fetch Fetch) error {
+func (st *Store) Learn(ctx context.Context, at Attempt, value []byte, fetch Fetch) error {
 	if at.Number == 0 {
-		return k.learnResult(ctx, at, value, fetch)
+		return st.learnResult(ctx, at, value, fetch)
 	}
-	if err := k.hold(ctx, at, value, fetch); err != nil {
+	if err := st.pinBlobs(ctx, at, value, fetch); err != nil {
 		return err
 	}
-	defer k.enter(at)()
-	err := k.keepDecision(at, "end", value, func() error { return k.keepEnd(ctx, at, value) })
+	defer st.lockAttempt(at)()
+	err := st.recordDecision(at, "end", value, func() error { return st.recordEnd(ctx, at, value) })
 	if err != nil {
 		return err
 	}
-	return k.close(ctx, at)
+	return st.closeAttempt(ctx, at)
 }
 
 // keepDecision keeps what was decided of an attempt or a task, if it is not kept already.
 // Another decision of the same is ErrSplit. The attempt's gate is held.
-func (k *Store) keepDecision(at Attempt, what string, value []byte, keep func() error) error {
-	was, there, err := k.decided(at)
+func (st *Store) recordDecision(at Attempt, what string, value []byte, keep func() error) error {
+	was, there, err := st.decidedValue(at)
 	switch {
 	case err != nil:
 		return err
 	case there && !bytes.Equal(was, value):
-		return fmt.Errorf("%w: %s of %s", ErrSplit, what, at)
+		return fmt.Errorf("%w: %s of %s", ErrConflictingDecisions, what, at)
 	case there:
 		return nil
 	}
@@ -64,96 +64,96 @@
 }
 
 // keepEnd makes the end of an attempt durable.
-func (k *Store) keepEnd(ctx context.Context, at Attempt, value []byte) error {
-	m, err := Verify(k.opt.Key, value)
+func (st *Store) recordEnd(ctx context.Context, at Attempt, value []byte) error {
+	m, err := Verify(st.opt.Key, value)
 	if err != nil {
 		return err
 	}
-	keep, err := m.keeps(value)
+	keep, err := m.blobDigests(value)
 	if err != nil {
 		return err
 	}
 	name := sealedName(at)
 	if m.Partial {
-		name = shelvedName(at)
+		name = partialName(at)
 	}
-	k.opt.Step("learn")
-	return k.opt.Blobs.SetRef(ctx, m.Tenant, name, keep...)
+	st.opt.Step("learn")
+	return st.opt.Blobs.SetRef(ctx, m.Tenant, name, keep...)
 }
 
 // learnResult keeps the result of a task, and settles the attempt that it came from.
-func (k *Store) learnResult(ctx context.Context, at Attempt, value []byte, fetch Fetch) error {
+func (st *Store) learnResult(ctx context.Context, at Attempt, value []byte, fetch Fetch) error {
 	var r Result
 	if err := json.Unmarshal(value, &r); err != nil {
 		return fmt.Errorf("%w: %v", ErrForged, err)
 	}
 	d, err := blob.Parse(r.Manifest)
-	if err == nil && !k.opt.Blobs.Has(r.Tenant, d) {
-		err = k.bring(ctx, r.Tenant, d, fetch)
+	if err == nil && !st.opt.Blobs.Has(r.Tenant, d) {
+		err = st.fetchBlob(ctx, r.Tenant, d, fetch)
 	}
 	if err != nil {
 		return err
 	}
-	defer k.enter(at)()
-	err = k.keepDecision(at, "result", value, func() error {
-		k.opt.Step("learn")
-		return k.opt.Blobs.SetRef(ctx, r.Tenant, finalName(at), d)
+	defer st.lockAttempt(at)()
+	err = st.recordDecision(at, "result", value, func() error {
+		st.opt.Step("learn")
+		return st.opt.Blobs.SetRef(ctx, r.Tenant, finalName(at), d)
 	})
 	if err != nil {
 		return err
 	}
-	k.mu.Lock()
-	delete(k.votes, at)
-	k.mu.Unlock()
-	return k.Settled(ctx, Attempt{at.Job, at.Task, r.Number})
+	st.mu.Lock()
+	delete(st.votes, at)
+	st.mu.Unlock()
+	return st.MarkSettled(ctx, Attempt{at.Job, at.Task, r.Number})
 }
 
 // close takes an attempt that has ended out of what is open. Its gate is held, or the
 // store is being opened.
-func (k *Store) close(ctx context.Context, at Attempt) error {
-	k.mu.Lock()
-	a, v := k.open[at], k.votes[at]
-	k.mu.Unlock()
+func (st *Store) closeAttempt(ctx context.Context, at Attempt) error {
+	st.mu.Lock()
+	a, v := st.open[at], st.votes[at]
+	st.mu.Unlock()
 	settle := false
-	if m, err := k.Ended(at); err == nil && !m.Partial && m.Exit.Completed {
-		settle = !k.there(finalName(at))
+	if m, err := st.EndManifest(at); err == nil && !m.Partial && m.Exit.Completed {
+		settle = !st.hasRef(finalName(at))
 	}
 	if a == nil && v == nil && !settle {
 		return nil
 	}
-	k.opt.Step("close")
-	if err := k.write(ctx, &entry{Kind: kindClosed, Attempt: at, Settle: settle}); err != nil {
+	st.opt.Step("close")
+	if err := st.logEntry(ctx, &entry{Kind: kindClosed, Attempt: at, Settle: settle}); err != nil {
 		return err
 	}
 	if a != nil {
 		for path := range a.files {
-			if err := k.opt.Blobs.DropRef(ctx, openName(at, path)); err != nil {
+			if err := st.opt.Blobs.DropRef(ctx, openName(at, path)); err != nil {
 				return err
 			}
 		}
 	}
-	return k.opt.Blobs.DropRef(ctx, voteName(at))
+	return st.opt.Blobs.DropRef(ctx, voteName(at))
 }
 
 // Unsettled lists the attempts that were sealed as completed, and of which it is not
 // known here whether they are their tasks' results.
-func (k *Store) Unsettled() []Attempt {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	list := make([]Attempt, 0, len(k.unsettled))
-	for at := range k.unsettled {
+func (st *Store) Unsettled() []Attempt {
+	st.mu.Lock()
+	defer st.mu.Unlock()
+	list := make([]Attempt, 0, len(st.unsettled))
+	for at := range st.unsettled {
 		list = append(list, at)
 	}
 	return list
 }
 
 // Settled says that it is known whether an attempt is its task's result.
-func (k *Store) Settled(ctx context.Context, at Attempt) error {
-	k.mu.Lock()
-	there := k.unsettled[at]
-	k.mu.Unlock()
+func (st *Store) MarkSettled(ctx context.Context, at Attempt) error {
+	st.mu.Lock()
+	there := st.unsettled[at]
+	st.mu.Unlock()
 	if !there {
 		return nil
 	}
-	return k.write(ctx, &entry{Kind: kindSettle, Attempt: at})
+	return st.logEntry(ctx, &entry{Kind: kindSettle, Attempt: at})
 }
--- a/internal/artifactstore/expire.go
+++ b/internal/artifactstore/expire.go
@@ -8,28 +8,28 @@
 )
 
 // Opened counts the attempts that have not ended.
-func (k *Store) Opened() int {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	return len(k.open)
+func (st *Store) OpenCount() int {
+	st.mu.Lock()
+	defer st.mu.Unlock()
+	return len(st.open)
 }
 
 // Expire lets go of attempts that have ended and are over by what it is told of them, the
 // results of their tasks with them. It gives how many.
-func (k *Store) Expire(ctx context.Context, over func(*Manifest) bool) (count int, err error) {
+func (st *Store) Expire(ctx context.Context, over func(*Manifest) bool) (count int, err error) {
 	for _, kind := range []string{"sealed/", "partial/"} {
 		after := ""
 		for ctx.Err() == nil {
-			names, err := k.opt.Blobs.Refs(kind, after, 500)
+			names, err := st.opt.Blobs.Refs(kind, after, 500)
 			if err != nil {
 				return count, err
 			}
 			for _, name := range names {
-				tenant, ds, ok := k.opt.Blobs.Ref(name)
+				tenant, ds, ok := st.opt.Blobs.Ref(name)
 				if !ok {
 					continue
 				}
-				m, err := k.manifest(tenant, ds[0])
+				m, err := st.readManifest(tenant, ds[0])
 				if errors.Is(err, blob.ErrRotten) {
 					continue // a scrub mends or tells of it
 				}
@@ -40,12 +40,12 @@
 					continue
 				}
 				final := Attempt{Job: m.Job, Task: m.Task}
-				if _, f, ok := k.opt.Blobs.Ref(finalName(final)); !ok || f[0] == ds[0] {
-					if err := k.Forget(ctx, final); err != nil {
+				if _, f, ok := st.opt.Blobs.Ref(finalName(final)); !ok || f[0] == ds[0] {
+					if err := st.Forget(ctx, final); err != nil {
 						return count, err
 					}
 				}
-				if err := k.Forget(ctx, m.Attempt); err != nil {
+				if err := st.Forget(ctx, m.Attempt); err != nil {
 					return count, err
 				}
 				count++
--- a/internal/artifactstore/golden_test.go
+++ b/internal/artifactstore/golden_test.go
@@ -24,7 +24,7 @@
 	goldenVote    = Vote{Promised: Ballot{Round: 2, By: "a.1"}, Freeze: true, Accepted: Ballot{Round: 1, By: "b.1"}, Value: []byte("value")}
 	goldenExit    = Exit{Completed: true, Code: 3, Reason: "signal"}
 	goldenResult  = Result{Tenant: "vision", Number: 2, Manifest: blob.Of([]byte("manifest")).String()}
-	goldenView    = View{Claim: goldenClaim, Ended: goldenResult.Manifest, Partial: true, Exit: &goldenExit, Voted: true, Idle: 1.5,
+	goldenView    = AttemptView{Claim: goldenClaim, Ended: goldenResult.Manifest, Partial: true, Exit: &goldenExit, Voted: true, Idle: 1.5,
 		Streams: map[string]Extent{"stdout": {Next: 9, Bytes: 100, Lost: 77}}, Files: map[string]string{"out/a": blob.Of([]byte("a")).String()}}
 )
 
@@ -69,7 +69,7 @@
 }
 
 func TestGoldenNames(t *testing.T) {
-	goldentest.Bytes(t, "names.txt", []byte(strings.Join([]string{sealedName(goldenAttempt), shelvedName(goldenAttempt), finalName(goldenAttempt), openName(goldenAttempt, "out/a")}, "\n")+"\n"))
+	goldentest.Bytes(t, "names.txt", []byte(strings.Join([]string{sealedName(goldenAttempt), partialName(goldenAttempt), finalName(goldenAttempt), openName(goldenAttempt, "out/a")}, "\n")+"\n"))
 }
 
 // openGolden opens a store whose log is in a directory.
@@ -79,19 +79,19 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	k, err := Open(Options{Dir: dir, Blobs: blobs, Key: goldenCode, Now: func() time.Time { return goldenAt }})
+	st, err := Open(Options{Dir: dir, Blobs: blobs, Key: goldenCode, Now: func() time.Time { return goldenAt }})
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() {
-		if err := k.Close(); err != nil {
+		if err := st.Close(); err != nil {
 			t.Error(err)
 		}
 		if err := blobs.Close(); err != nil {
 			t.Error(err)
 		}
 	})
-	return k
+	return st
 }
 
 // TestGoldenLog: the log of an open attempt as it stands on a disk, and what a store that is started on it knows.
@@ -99,11 +99,11 @@
 	const segment = "00000001.log"
 	records := []Record{{At: goldenAt, Data: []byte("line\n")}, {At: goldenAt, Dropped: goldenRecord.Dropped}}
 	dir := t.TempDir()
-	k := openGolden(t, dir)
-	if err := k.Begin(t.Context(), goldenClaim); err != nil {
+	st := openGolden(t, dir)
+	if err := st.Begin(t.Context(), goldenClaim); err != nil {
 		t.Fatal(err)
 	}
-	if _, err := k.Append(t.Context(), goldenClaim, "stdout", 0, records); err != nil {
+	if _, err := st.Append(t.Context(), goldenClaim, "stdout", 0, records); err != nil {
 		t.Fatal(err)
 	}
 	written, err := os.ReadFile(filepath.Join(dir, segment))
@@ -149,7 +149,7 @@
 		{"vote", goldenVote, Vote{}},
 		{"promise", Promise{Vote: goldenVote, Decided: []byte("value"), Latest: 2, View: &goldenView}, Promise{}},
 		{"result", goldenResult, Result{}},
-		{"task-view", TaskView{Attempts: []View{goldenView}, Result: &goldenResult, Voted: true}, TaskView{}},
+		{"task-view", TaskView{Attempts: []AttemptView{goldenView}, Result: &goldenResult, Voted: true}, TaskView{}},
 		{"answer", Answer{Error: "gone", Code: "unknown", Next: &next, Offset: &offset, Upload: "u1", Done: true, Final: true, Sealed: manifest,
 			List: []AttemptSummary{{Attempt: goldenAttempt, Machine: "n-000231", State: StateUnsure, Exit: &goldenExit}}, Unsure: true}, Answer{}},
 		{"task-list", TaskList{Tasks: []int{0, 3}, Unsure: true}, TaskList{}},
--- a/internal/artifactstore/inventory.go
+++ b/internal/artifactstore/inventory.go
@@ -16,7 +16,7 @@
 }
 
 // View is what one store has of an attempt.
-type View struct {
+type AttemptView struct {
 	Claim
 	Ended   string            `json:"ended,omitempty"` // digest of its manifest; empty: open
 	Partial bool              `json:"partial,omitempty"`
@@ -29,15 +29,15 @@
 
 // TaskView is what one store has of a task.
 type TaskView struct {
-	Attempts []View  `json:"attempts"`
-	Result   *Result `json:"result,omitempty"`
-	Voted    bool    `json:"voted,omitempty"` // a result was accepted, and perhaps decided
+	Attempts []AttemptView `json:"attempts"`
+	Result   *Result       `json:"result,omitempty"`
+	Voted    bool          `json:"voted,omitempty"` // a result was accepted, and perhaps decided
 }
 
 // view is what is here of an open attempt. k.mu is held.
-func (k *Store) view(at Attempt, a *attempt) *View {
-	v := &View{Claim: a.claim, Idle: k.opt.Now().Sub(a.touched).Seconds(), Streams: map[string]Extent{}, Files: map[string]string{}}
-	v.Voted = k.votes[at] != nil && k.votes[at].Value != nil
+func (st *Store) viewOf(at Attempt, a *openAttempt) *AttemptView {
+	v := &AttemptView{Claim: a.claim, Idle: st.opt.Now().Sub(a.lastWrite).Seconds(), Streams: map[string]Extent{}, Files: map[string]string{}}
+	v.Voted = st.votes[at] != nil && st.votes[at].Value != nil
 	for name, s := range a.streams {
 		v.Streams[name] = Extent{s.next, s.bytes, s.lost}
 	}
@@ -48,25 +48,25 @@
 }
 
 // Task gives what is here of a task, its attempts in their order.
-func (k *Store) Task(job string, task int) (*TaskView, error) {
+func (st *Store) Task(job string, task int) (*TaskView, error) {
 	at := Attempt{Job: job, Task: task}
 	t := &TaskView{}
-	k.mu.Lock()
-	open := map[uint64]*View{}
-	for x, a := range k.open {
+	st.mu.Lock()
+	open := map[uint64]*AttemptView{}
+	for x, a := range st.open {
 		if x.Job == job && x.Task == task {
-			open[x.Number] = k.view(x, a)
+			open[x.Number] = st.viewOf(x, a)
 		}
 	}
-	for x, v := range k.votes { // an end may be accepted of an attempt that is not known else
+	for x, v := range st.votes { // an end may be accepted of an attempt that is not known else
 		if x.Job == job && x.Task == task && x.Number > 0 && open[x.Number] == nil && v.Value != nil {
-			open[x.Number] = &View{Claim: Claim{Attempt: x}, Voted: true}
+			open[x.Number] = &AttemptView{Claim: Claim{Attempt: x}, Voted: true}
 		}
 	}
-	t.Voted = k.votes[at] != nil && k.votes[at].Value != nil
-	k.mu.Unlock()
+	t.Voted = st.votes[at] != nil && st.votes[at].Value != nil
+	st.mu.Unlock()
 	for _, kind := range []string{"sealed/", "partial/"} {
-		names, err := k.opt.Blobs.Refs(kind+at.task(), "", 100_000)
+		names, err := st.opt.Blobs.Refs(kind+at.task(), "", 100_000)
 		if err != nil {
 			return nil, err
 		}
@@ -75,23 +75,23 @@
 			if err != nil {
 				return nil, err
 			}
-			tenant, ds, ok := k.opt.Blobs.Ref(name)
+			tenant, ds, ok := st.opt.Blobs.Ref(name)
 			if !ok {
 				continue
 			}
-			m, err := k.manifest(tenant, ds[0])
+			m, err := st.readManifest(tenant, ds[0])
 			if err != nil {
 				return nil, err
 			}
 			delete(open, x.Number)
-			t.Attempts = append(t.Attempts, View{Claim: m.Claim, Ended: ds[0].String(), Partial: m.Partial, Exit: &m.Exit})
+			t.Attempts = append(t.Attempts, AttemptView{Claim: m.Claim, Ended: ds[0].String(), Partial: m.Partial, Exit: &m.Exit})
 		}
 	}
 	for _, v := range open {
 		t.Attempts = append(t.Attempts, *v)
 	}
-	slices.SortFunc(t.Attempts, func(a, b View) int { return cmp.Compare(a.Number, b.Number) })
-	value, there, err := k.decided(at)
+	slices.SortFunc(t.Attempts, func(a, b AttemptView) int { return cmp.Compare(a.Number, b.Number) })
+	value, there, err := st.decidedValue(at)
 	if err != nil || !there {
 		return t, err
 	}
@@ -100,21 +100,21 @@
 }
 
 // Open lists the attempts that have not ended here, with what is there of them.
-func (k *Store) Open() []View {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	list := make([]View, 0, len(k.open))
-	for at, a := range k.open {
-		list = append(list, *k.view(at, a))
+func (st *Store) OpenAttempts() []AttemptView {
+	st.mu.Lock()
+	defer st.mu.Unlock()
+	list := make([]AttemptView, 0, len(st.open))
+	for at, a := range st.open {
+		list = append(list, *st.viewOf(at, a))
 	}
 	return list
 }
 
 // Names lists the references of ended attempts and results, in order, after a name.
-func (k *Store) Names(after string, most int) ([]string, error) {
+func (st *Store) RefNames(after string, most int) ([]string, error) {
 	var list []string
 	for _, kind := range []string{"final/", "partial/", "sealed/"} { // in the order of names
-		names, err := k.opt.Blobs.Refs(kind, after, most-len(list))
+		names, err := st.opt.Blobs.Refs(kind, after, most-len(list))
 		if list = append(list, names...); err != nil || len(list) >= most {
 			return list, err
 		}
@@ -123,11 +123,11 @@
 }
 
 // Tasks lists the tasks of a job of which something is here.
-func (k *Store) Tasks(job string) ([]int, error) {
+func (st *Store) Tasks(job string) ([]int, error) {
 	found := map[int]bool{}
 	for _, kind := range []string{"partial/", "sealed/"} {
 		for after := ""; ; {
-			names, err := k.opt.Blobs.Refs(kind+job+"/", after, 1000)
+			names, err := st.opt.Blobs.Refs(kind+job+"/", after, 1000)
 			if err != nil {
 				return nil, err
 			}
@@ -144,9 +144,9 @@
 			after = names[len(names)-1]
 		}
 	}
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	for at := range k.open {
+	st.mu.Lock()
+	defer st.mu.Unlock()
+	for at := range st.open {
 		if at.Job == job {
 			found[at.Task] = true
 		}
--- a/internal/artifactstore/manifest.go
+++ b/internal/artifactstore/manifest.go
@@ -22,13 +22,13 @@
 
 // Errors that callers decide by.
 var (
-	ErrName     = errors.New("keeper: name not allowed")
-	ErrClaim    = errors.New("keeper: the attempt belongs to another machine or session")
-	ErrSealed   = errors.New("keeper: the attempt is sealed")
-	ErrUnknown  = errors.New("keeper: no such attempt")
-	ErrForged   = errors.New("keeper: the manifest's code does not fit")
-	ErrTooMuch  = errors.New("keeper: beyond a bound")
-	ErrNotWhole = errors.New("keeper: what the worker put out is not all here")
+	ErrName       = errors.New("keeper: name not allowed")
+	ErrClaim      = errors.New("keeper: the attempt belongs to another machine or session")
+	ErrSealed     = errors.New("keeper: the attempt is sealed")
+	ErrUnknown    = errors.New("keeper: no such attempt")
+	ErrForged     = errors.New("keeper: the manifest's code does not fit")
+	ErrLimit      = errors.New("keeper: beyond a bound")
+	ErrIncomplete = errors.New("keeper: what the worker put out is not all here")
 )
 
 // GapError says which record of a stream is wanted next.
@@ -108,10 +108,10 @@
 }
 
 // maxManifest bounds a manifest, in bytes.
-const maxManifest = 8 << 20
+const maxManifestBytes = 8 << 20
 
 // keeps lists the blobs that must be kept for a signed manifest, itself first.
-func (m *Manifest) keeps(signed []byte) ([]blob.Digest, error) {
+func (m *Manifest) blobDigests(signed []byte) ([]blob.Digest, error) {
 	keep := []blob.Digest{blob.Of(signed)}
 	for _, s := range m.Streams {
 		keep = append(keep, s.Blob)
@@ -164,13 +164,13 @@
 
 // Bounds of names, in bytes.
 const (
-	maxStream = 64
-	maxPath   = 1024
+	maxStreamNameBytes = 64
+	maxPathBytes       = 1024
 )
 
 // CheckStream allows short printable names without a slash.
 func CheckStream(name string) error {
-	if name == "" || len(name) > maxStream || strings.ContainsFunc(name, func(r rune) bool {
+	if name == "" || len(name) > maxStreamNameBytes || strings.ContainsFunc(name, func(r rune) bool {
 		return !(r >= 'a' && r <= 'z' || r >= 'A' && r <= 'Z' || r >= '0' && r <= '9' || r == '-' || r == '_' || r == '.')
 	}) || strings.HasPrefix(name, ".") {
 		return fmt.Errorf("%w: stream %.100q", ErrName, name)
@@ -191,7 +191,7 @@
 // segments parted by single slashes, none of them empty, "." or "..", no
 // backslash and no control character.
 func CheckPath(path string) error {
-	bad := path == "" || len(path) > maxPath || !utf8.ValidString(path) || strings.ContainsFunc(path, func(r rune) bool { return r < 0x20 || r == 0x7f || r == '\\' })
+	bad := path == "" || len(path) > maxPathBytes || !utf8.ValidString(path) || strings.ContainsFunc(path, func(r rune) bool { return r < 0x20 || r == 0x7f || r == '\\' })
 	if bad || slices.ContainsFunc(strings.Split(path, "/"), func(s string) bool { return s == "" || s == "." || s == ".." }) {
 		return fmt.Errorf("%w: path %.100q", ErrName, path)
 	}
--- a/internal/artifactstore/register.go
+++ b/internal/artifactstore/register.go
@@ -37,7 +37,7 @@
 }
 
 // add is a vote with what another, later or earlier one binds to.
-func (v *Vote) add(o *Vote) *Vote {
+func (v *Vote) merge(o *Vote) *Vote {
 	if v == nil {
 		v = &Vote{}
 	}
@@ -52,7 +52,7 @@
 }
 
 // needs says whether a vote read from the log still counts.
-func (v *Vote) needs(o *Vote) bool {
+func (v *Vote) isCurrent(o *Vote) bool {
 	return v != nil && o != nil && (o.Promised == v.Promised || (o.Value != nil && o.Accepted == v.Accepted))
 }
 
@@ -64,15 +64,15 @@
 	// that through or undoes it.
 	ErrFrozen = errors.New("keeper: the attempt is about to end")
 	// ErrSplit says that a register was decided twice. It must never be seen.
-	ErrSplit = errors.New("keeper: a register has two values")
+	ErrConflictingDecisions = errors.New("keeper: a register has two values")
 )
 
 // Promise is a store's answer in a register.
 type Promise struct {
-	Vote           // what it is bound to; Promised above the ballot asked for is a refusal
-	Decided []byte `json:"d,omitempty"` // the register's value, if it is known here
-	Latest  uint64 `json:"l,omitempty"` // for a result: the highest attempt of the task known here
-	View    *View  `json:"w,omitempty"` // for an end: what is here of the attempt
+	Vote                 // what it is bound to; Promised above the ballot asked for is a refusal
+	Decided []byte       `json:"d,omitempty"` // the register's value, if it is known here
+	Latest  uint64       `json:"l,omitempty"` // for a result: the highest attempt of the task known here
+	View    *AttemptView `json:"w,omitempty"` // for an end: what is here of the attempt
 }
 
 // Result is the value of a task's result.
@@ -88,32 +88,32 @@
 // voteName is the reference that keeps what an accepted value needs.
 func voteName(at Attempt) string { return "vote/" + at.String() }
 
-func (k *Store) there(name string) bool {
-	_, _, ok := k.opt.Blobs.Ref(name)
+func (st *Store) hasRef(name string) bool {
+	_, _, ok := st.opt.Blobs.Ref(name)
 	return ok
 }
 
 // promise is what is to be answered in a register now. Its gate is held.
-func (k *Store) promise(at Attempt) (*Promise, error) {
+func (st *Store) currentPromise(at Attempt) (*Promise, error) {
 	p := &Promise{}
 	var err error
-	if p.Decided, _, err = k.decided(at); err != nil || p.Decided != nil {
+	if p.Decided, _, err = st.decidedValue(at); err != nil || p.Decided != nil {
 		return p, err
 	}
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	if v := k.votes[at]; v != nil {
+	st.mu.Lock()
+	defer st.mu.Unlock()
+	if v := st.votes[at]; v != nil {
 		p.Vote = *v
 	}
 	if at.Number > 0 {
-		if a := k.open[at]; a != nil {
-			p.View = k.view(at, a)
+		if a := st.open[at]; a != nil {
+			p.View = st.viewOf(at, a)
 		}
 		return p, nil
 	}
-	p.Latest = k.latest[at.task()]
+	p.Latest = st.latest[at.task()]
 	for _, kind := range []string{"sealed/", "partial/"} {
-		names, err := k.opt.Blobs.Refs(kind+at.task(), "", 100_000)
+		names, err := st.opt.Blobs.Refs(kind+at.task(), "", 100_000)
 		if err != nil {
 			return nil, err
 		}
@@ -129,118 +129,118 @@
 }
 
 // vote makes a vote durable.
-func (k *Store) vote(ctx context.Context, at Attempt, v *Vote) error {
-	return k.write(ctx, &entry{Kind: kindVote, Attempt: at, Vote: v})
+func (st *Store) logVote(ctx context.Context, at Attempt, v *Vote) error {
+	return st.logEntry(ctx, &entry{Kind: kindVote, Attempt: at, Vote: v})
 }
 
 // Prepare promises that nothing of a lower ballot is accepted in a register any more,
 // unless a higher one was promised already. While a promise with freeze is the highest,
 // nothing is added to the attempt, so that what the answers show of it is all that a
 // majority ever acknowledged.
-func (k *Store) Prepare(ctx context.Context, at Attempt, b Ballot, freeze bool) (*Promise, error) {
-	defer k.enter(at)()
-	p, err := k.promise(at)
+func (st *Store) Prepare(ctx context.Context, at Attempt, b Ballot, freeze bool) (*Promise, error) {
+	defer st.lockAttempt(at)()
+	p, err := st.currentPromise(at)
 	if err != nil || p.Decided != nil || b.Compare(p.Promised) <= 0 {
 		return p, err
 	}
-	k.opt.Step("promise")
-	if err := k.vote(ctx, at, &Vote{Promised: b, Freeze: freeze}); err != nil {
+	st.opt.Step("promise")
+	if err := st.logVote(ctx, at, &Vote{Promised: b, Freeze: freeze}); err != nil {
 		return nil, err
 	}
-	return k.promise(at)
+	return st.currentPromise(at)
 }
 
 // Accept takes a value in a ballot, unless a higher one was promised. Of an end it
 // first gets hold of all that the manifest names.
-func (k *Store) Accept(ctx context.Context, at Attempt, b Ballot, value []byte, fetch Fetch) (*Promise, error) {
+func (st *Store) Accept(ctx context.Context, at Attempt, b Ballot, value []byte, fetch Fetch) (*Promise, error) {
 	if at.Number > 0 {
-		if err := k.hold(ctx, at, value, fetch); err != nil {
+		if err := st.pinBlobs(ctx, at, value, fetch); err != nil {
 			return nil, err
 		}
 	}
-	defer k.enter(at)()
-	p, err := k.promise(at)
+	defer st.lockAttempt(at)()
+	p, err := st.currentPromise(at)
 	if err != nil || p.Decided != nil || b.Compare(p.Promised) < 0 {
 		return p, err
 	}
-	k.opt.Step("accept")
-	if err := k.vote(ctx, at, &Vote{Promised: b, Freeze: at.Number > 0, Accepted: b, Value: value}); err != nil {
+	st.opt.Step("accept")
+	if err := st.logVote(ctx, at, &Vote{Promised: b, Freeze: at.Number > 0, Accepted: b, Value: value}); err != nil {
 		return nil, err
 	}
-	return k.promise(at)
+	return st.currentPromise(at)
 }
 
 // Adopt binds the store to what others are bound to, after its disk was lost.
-func (k *Store) Adopt(ctx context.Context, at Attempt, v *Vote, fetch Fetch) error {
+func (st *Store) Adopt(ctx context.Context, at Attempt, v *Vote, fetch Fetch) error {
 	if at.Number > 0 && v.Value != nil {
-		if err := k.hold(ctx, at, v.Value, fetch); err != nil {
+		if err := st.pinBlobs(ctx, at, v.Value, fetch); err != nil {
 			return err
 		}
 	}
-	defer k.enter(at)()
-	if p, err := k.promise(at); err != nil || p.Decided != nil {
+	defer st.lockAttempt(at)()
+	if p, err := st.currentPromise(at); err != nil || p.Decided != nil {
 		return err
 	}
-	return k.vote(ctx, at, v)
+	return st.logVote(ctx, at, v)
 }
 
 // Votes lists what the store is bound to in registers that are not decided here.
-func (k *Store) Votes() map[Attempt]Vote {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	m := make(map[Attempt]Vote, len(k.votes))
-	for at, v := range k.votes {
+func (st *Store) Votes() map[Attempt]Vote {
+	st.mu.Lock()
+	defer st.mu.Unlock()
+	m := make(map[Attempt]Vote, len(st.votes))
+	for at, v := range st.votes {
 		m[at] = *v
 	}
 	return m
 }
 
 // hold gets hold of all that a manifest names, and keeps it from being collected.
-func (k *Store) hold(ctx context.Context, at Attempt, value []byte, fetch Fetch) error {
-	if k.over(at) {
+func (st *Store) pinBlobs(ctx context.Context, at Attempt, value []byte, fetch Fetch) error {
+	if st.hasEnded(at) {
 		return nil
 	}
-	m, err := Verify(k.opt.Key, value)
+	m, err := Verify(st.opt.Key, value)
 	if err != nil {
 		return err
 	}
 	if m.Attempt != at {
 		return fmt.Errorf("%w: %s for %s", ErrForged, m.Attempt, at)
 	}
-	keep, err := m.keeps(value)
+	keep, err := m.blobDigests(value)
 	if err != nil {
 		return err
 	}
 	for _, s := range m.Streams {
-		if k.opt.Blobs.Has(m.Tenant, s.Blob) {
+		if st.opt.Blobs.Has(m.Tenant, s.Blob) {
 			continue
 		}
-		content, err := k.Content(at, s.Name)
+		content, err := st.StreamContent(at, s.Name)
 		if err == nil && blob.Of(content) == s.Blob {
-			_, err = k.opt.Blobs.Put(ctx, m.Tenant, content, blob.Urgent)
+			_, err = st.opt.Blobs.Put(ctx, m.Tenant, content, blob.Urgent)
 		} else { // not all of it is here
-			err = k.bring(ctx, m.Tenant, s.Blob, fetch)
+			err = st.fetchBlob(ctx, m.Tenant, s.Blob, fetch)
 		}
 		if err != nil {
 			return err
 		}
 	}
 	for _, d := range keep[1:] {
-		if !k.opt.Blobs.Has(m.Tenant, d) {
-			if err := k.bring(ctx, m.Tenant, d, fetch); err != nil {
+		if !st.opt.Blobs.Has(m.Tenant, d) {
+			if err := st.fetchBlob(ctx, m.Tenant, d, fetch); err != nil {
 				return err
 			}
 		}
 	}
-	if _, err := k.opt.Blobs.Put(ctx, m.Tenant, value, blob.Urgent); err != nil {
+	if _, err := st.opt.Blobs.Put(ctx, m.Tenant, value, blob.Urgent); err != nil {
 		return err
 	}
-	k.opt.Step("hold")
-	return k.opt.Blobs.SetRef(ctx, m.Tenant, voteName(at), keep...)
+	st.opt.Step("hold")
+	return st.opt.Blobs.SetRef(ctx, m.Tenant, voteName(at), keep...)
 }
 
 // bring fetches a blob.
-func (k *Store) bring(ctx context.Context, tenant string, d blob.Digest, fetch Fetch) error {
+func (st *Store) fetchBlob(ctx context.Context, tenant string, d blob.Digest, fetch Fetch) error {
 	if fetch == nil {
 		return fmt.Errorf("%w: %s", blob.ErrNotFound, d)
 	}
@@ -249,38 +249,38 @@
 		return err
 	}
 	defer r.Close()
-	return k.opt.Blobs.Take(ctx, tenant, d, r, blob.Urgent)
+	return st.opt.Blobs.Take(ctx, tenant, d, r, blob.Urgent)
 }
 
 // Forget lets go of an ended attempt or a result (Number 0), which others keep.
-func (k *Store) Forget(ctx context.Context, at Attempt) error {
-	defer k.enter(at)()
-	k.mu.Lock()
-	delete(k.votes, at) // else what was promised of tasks without a result stayed for ever
-	k.mu.Unlock()
+func (st *Store) Forget(ctx context.Context, at Attempt) error {
+	defer st.lockAttempt(at)()
+	st.mu.Lock()
+	delete(st.votes, at) // else what was promised of tasks without a result stayed for ever
+	st.mu.Unlock()
 	if at.Number == 0 {
-		return k.opt.Blobs.DropRef(ctx, finalName(at))
+		return st.opt.Blobs.DropRef(ctx, finalName(at))
 	}
-	if err := k.Settled(ctx, at); err != nil {
+	if err := st.MarkSettled(ctx, at); err != nil {
 		return err
 	}
-	return errors.Join(k.opt.Blobs.DropRef(ctx, sealedName(at)), k.opt.Blobs.DropRef(ctx, shelvedName(at)))
+	return errors.Join(st.opt.Blobs.DropRef(ctx, sealedName(at)), st.opt.Blobs.DropRef(ctx, partialName(at)))
 }
 
 // Abandon lets go of an open attempt, which others keep.
-func (k *Store) Abandon(ctx context.Context, at Attempt) error {
-	defer k.enter(at)()
-	k.mu.Lock()
-	a := k.open[at]
-	k.mu.Unlock()
+func (st *Store) Abandon(ctx context.Context, at Attempt) error {
+	defer st.lockAttempt(at)()
+	st.mu.Lock()
+	a := st.open[at]
+	st.mu.Unlock()
 	if a == nil {
 		return nil
 	}
-	if err := k.write(ctx, &entry{Kind: kindClosed, Attempt: at}); err != nil {
+	if err := st.logEntry(ctx, &entry{Kind: kindClosed, Attempt: at}); err != nil {
 		return err
 	}
 	for path := range a.files {
-		if err := k.opt.Blobs.DropRef(ctx, openName(at, path)); err != nil {
+		if err := st.opt.Blobs.DropRef(ctx, openName(at, path)); err != nil {
 			return err
 		}
 	}
--- a/internal/artifactstore/replay.go
+++ b/internal/artifactstore/replay.go
@@ -11,11 +11,11 @@
 )
 
 // replay opens the log and applies its entries.
-func (k *Store) replay() (err error) {
+func (st *Store) replay() (err error) {
 	// An open attempt's beginning may have been written again behind entries that belong to it.
 	early := map[Attempt][]func(){}
-	options := wal.Options{Step: k.opt.Step, SegmentBytes: k.opt.Segment}
-	k.log, err = wal.Open(k.opt.Dir, options, wal.Pos{}, func(at wal.Pos, b []byte) error {
+	options := wal.Options{Step: st.opt.Step, SegmentBytes: st.opt.SegmentBytes}
+	st.log, err = wal.Open(st.opt.Dir, options, wal.Pos{}, func(at wal.Pos, b []byte) error {
 		var e entry
 		if err := json.Unmarshal(b, &e); err != nil {
 			return fmt.Errorf("keeper: entry at %v: %w", at, err)
@@ -23,11 +23,11 @@
 		switch {
 		case e.Kind == kindClosed:
 			delete(early, e.Attempt)
-		case (e.Kind == kindAppend || e.Kind == kindFile) && k.open[e.Attempt] == nil:
-			early[e.Attempt] = append(early[e.Attempt], func() { k.apply(&e, at) })
+		case (e.Kind == kindAppend || e.Kind == kindFile) && st.open[e.Attempt] == nil:
+			early[e.Attempt] = append(early[e.Attempt], func() { st.apply(&e, at) })
 			return nil
 		}
-		k.apply(&e, at)
+		st.apply(&e, at)
 		for _, late := range early[e.Attempt] {
 			late()
 		}
@@ -39,18 +39,18 @@
 
 // apply carries an entry over to what is known. k.mu is held, or the store is
 // being opened.
-func (k *Store) apply(e *entry, at wal.Pos) {
-	a := k.open[e.Attempt]
+func (st *Store) apply(e *entry, at wal.Pos) {
+	a := st.open[e.Attempt]
 	switch e.Kind {
 	case kindBegin:
 		if a == nil && e.Claim != nil {
-			k.open[e.Attempt] = &attempt{
-				claim:   *e.Claim,
-				touched: k.opt.Now(),
-				streams: map[string]*stream{},
-				files:   map[string]blob.Digest{},
+			st.open[e.Attempt] = &openAttempt{
+				claim:     *e.Claim,
+				lastWrite: st.opt.Now(),
+				streams:   map[string]*openStream{},
+				files:     map[string]blob.Digest{},
 			}
-			k.latest[e.Attempt.task()] = max(k.latest[e.Attempt.task()], e.Attempt.Number)
+			st.latest[e.Attempt.task()] = max(st.latest[e.Attempt.task()], e.Attempt.Number)
 		}
 	case kindAppend:
 		if a != nil {
@@ -62,37 +62,37 @@
 		}
 	case kindVote:
 		if e.Vote != nil {
-			k.votes[e.Attempt] = k.votes[e.Attempt].add(e.Vote)
+			st.votes[e.Attempt] = st.votes[e.Attempt].merge(e.Vote)
 		}
 	case kindClosed:
 		if a != nil {
-			k.opt.Blobs.Release(a.claim.Tenant, a.held)
+			st.opt.Blobs.Release(a.claim.Tenant, a.reserved)
 		}
-		delete(k.open, e.Attempt)
-		delete(k.votes, e.Attempt)
+		delete(st.open, e.Attempt)
+		delete(st.votes, e.Attempt)
 		if e.Settle {
-			k.unsettled[e.Attempt] = true
+			st.unsettled[e.Attempt] = true
 		}
 	case kindSettle:
-		delete(k.unsettled, e.Attempt)
+		delete(st.unsettled, e.Attempt)
 	}
 }
 
 // applyRecords adds an entry's records to their stream. An entry may have been written again further on in the log,
 // behind later ones.
-func (a *attempt) applyRecords(e *entry, at wal.Pos) {
+func (a *openAttempt) applyRecords(e *entry, at wal.Pos) {
 	s := a.streams[e.Stream]
 	if s == nil {
-		s = &stream{}
+		s = &openStream{}
 		a.streams[e.Stream] = s
 	}
-	byFirst := func(p piece, first uint64) int { return cmp.Compare(p.first, first) }
-	i, again := slices.BinarySearchFunc(s.pieces, e.First, byFirst)
+	byFirst := func(p recordBatch, first uint64) int { return cmp.Compare(p.first, first) }
+	i, again := slices.BinarySearchFunc(s.batches, e.First, byFirst)
 	if again {
-		s.pieces[i].at = at
+		s.batches[i].at = at
 		return
 	}
-	s.pieces = slices.Insert(s.pieces, i, piece{e.First, uint64(len(e.Records)), at})
+	s.batches = slices.Insert(s.batches, i, recordBatch{e.First, uint64(len(e.Records)), at})
 	s.next = max(s.next, e.First+uint64(len(e.Records)))
 	for _, r := range e.Records {
 		s.bytes += int64(len(r.Data))
--- a/internal/artifactstore/token.go
+++ b/internal/artifactstore/token.go
@@ -47,7 +47,7 @@
 }
 
 // maxToken bounds a token's text.
-const maxToken = 2048
+const maxTokenBytes = 2048
 
 // Token is a grant as text: its JSON and an HMAC-SHA256 over that, both in base64url
 // without padding, with a dot between them.
@@ -63,7 +63,7 @@
 // ParseToken checks a token and gives what it stands for.
 func ParseToken(key []byte, token string, now time.Time) (*Grant, error) {
 	body, code, ok := strings.Cut(token, ".")
-	if !ok || len(token) > maxToken {
+	if !ok || len(token) > maxTokenBytes {
 		return nil, fmt.Errorf("%w: malformed", ErrToken)
 	}
 	enc := base64.RawURLEncoding.Strict()
--- a/internal/cli/artifactstore.go
+++ b/internal/cli/artifactstore.go
@@ -110,18 +110,18 @@
 		return err
 	}
 	s.node, err = artifactreplication.New(artifactreplication.Options{
-		Name:        set.Name,
-		Dir:         set.Dir,
-		Members:     set.Members,
-		Store:       s.store,
-		Blobs:       s.blobs,
-		Key:         key,
-		PeerTimeout: time.Duration(set.PeerTimeoutSec * float64(time.Second)),
-		Repair:      set.RepairMB * 1e6,
-		Retain:      retain,
-		Revoked:     revoked,
-		HTTP:        client,
-		Log:         s.log,
+		Name:                 set.Name,
+		Dir:                  set.Dir,
+		Members:              set.Members,
+		Store:                s.store,
+		Blobs:                s.blobs,
+		Key:                  key,
+		PeerTimeout:          time.Duration(set.PeerTimeoutSec * float64(time.Second)),
+		RepairBytesPerSecond: set.RepairMB * 1e6,
+		Retention:            retain,
+		Revoked:              revoked,
+		HTTP:                 client,
+		Log:                  s.log,
 	})
 	return err
 }
