--- a/internal/artifactreplication/duty.go
+++ b/internal/artifactreplication/background.go
@@ -8,22 +8,22 @@
 	"topazhollow/internal/wait"
 )
 
-// BackgroundWork is what a replica does by itself now and then.
+// BackgroundWork configures the periodic work of a replica.
 type BackgroundWork struct {
-	Interval            time.Duration // between two rounds
-	PartialAge          time.Duration // partial attempts that nothing came for in so long are shelved
-	UnreferencedAge     time.Duration // blobs that nothing refers to are kept for so long
-	ScrubBytesPerSecond float64       // bytes a second read to find what went bad; 0: none
-	RepairInterval      time.Duration // between two looks at what other replicas have
+	Interval            time.Duration // pause between two rounds of maintenance
+	PartialAge          time.Duration // attempts without a write for this long are ended as partial
+	UnreferencedAge     time.Duration // blobs without a reference are collected after this time
+	ScrubBytesPerSecond float64       // rate at which blobs are read and verified; 0: no scrub
+	RepairInterval      time.Duration // mean pause between two repair runs
 }
 
-// Run carries out the duty until the context ends. What fails is told of and tried
-// again in the next round.
+// Run performs maintenance until the context ends: it ends idle attempts, drops expired ones, compacts the log,
+// collects unreferenced blobs and scrubs the rest. Failures are logged; the work is repeated in the next round.
 func (d BackgroundWork) Run(ctx context.Context, n *Node) error {
 	log := n.opt.Log
 	for {
 		began := time.Now()
-		shelved, err := n.EndIdleAttempts(ctx, d.PartialAge)
+		ended, err := n.EndIdleAttempts(ctx, d.PartialAge)
 		expired := 0
 		if err == nil {
 			expired, err = n.store.Expire(ctx, n.opt.Retention.IsExpired(n.opt.Now()))
@@ -31,22 +31,22 @@
 		if err == nil {
 			err = n.store.Compact(ctx)
 		}
-		var blobs int
+		var collected int
 		var freed int64
 		if err == nil {
-			blobs, freed, err = n.blobs.Collect(ctx, d.UnreferencedAge)
+			collected, freed, err = n.blobs.Collect(ctx, d.UnreferencedAge)
 		}
 		if ctx.Err() != nil {
 			return nil
 		}
-		log.Info("kept in order", "shelved", shelved, "expired", expired, "blobs_collected", blobs, "bytes_freed", freed,
+		log.Info("maintenance round finished", "shelved", ended, "expired", expired, "blobs_collected", collected, "bytes_freed", freed,
 			"bytes", n.blobs.Stats().Bytes, "open_attempts", n.store.OpenCount(), "took", time.Since(began), "err", err)
 		if err == nil && d.ScrubBytesPerSecond > 0 {
 			found, err := n.blobs.Scrub(ctx, d.ScrubBytesPerSecond)
 			if ctx.Err() != nil {
 				return nil
 			}
-			log.Info("scrubbed", "blobs", found.Blobs, "bad", found.Bad, "repaired", found.Repaired, "rotten", found.Rotten, "strays", found.Strays, "err", err)
+			log.Info("scrub finished", "blobs", found.Blobs, "bad", found.Bad, "repaired", found.Repaired, "rotten", found.Rotten, "strays", found.Strays, "err", err)
 		}
 		if !wait.For(ctx, d.Interval) {
 			return nil
@@ -54,15 +54,14 @@
 	}
 }
 
-// RepairOnce looks again and again at what other replicas have and brings what is missing here,
-// until the context ends.
+// RunRepair repeats Repair until the context ends.
 func (d BackgroundWork) RunRepair(ctx context.Context, n *Node) error {
 	for {
 		if err := n.Repair(ctx); err != nil && ctx.Err() == nil {
-			n.opt.Log.Warn("repair not done", "err", err)
+			n.opt.Log.Warn("repair failed", "err", err)
 		}
 		every := d.RepairInterval
-		if !n.InSync() { // until then it can't vote
+		if !n.InSync() { // a replica that is not in sync can't vote
 			every = min(every, time.Second)
 		}
 		if !wait.For(ctx, every/2+rand.N(every)) {
@@ -71,19 +70,19 @@
 	}
 }
 
-// Shelve ends partial attempts that nothing came for in an age: their output stays
-// readable, and they can never be sealed any more. It gives how many. The replicas of a
-// task are in turn at it, the first of them first.
+// EndIdleAttempts ends the open attempts that had no write for longer than age as partial: their output stays
+// readable, but they can't be sealed any more. It returns how many it ended. The replicas of a task wait for
+// different times, in the order of their rank, so that usually only the first one acts.
 func (n *Node) EndIdleAttempts(ctx context.Context, age time.Duration) (count int, err error) {
 	for _, v := range n.store.OpenAttempts() {
 		names := n.opt.Members.ReplicasOf(v.Job, v.Task)
-		wait := age
+		idleLimit := age
 		for i, name := range names {
 			if name == n.opt.Name {
-				wait += time.Duration(i) * age / 10
+				idleLimit += time.Duration(i) * age / 10
 			}
 		}
-		if v.Idle <= wait.Seconds() {
+		if v.Idle <= idleLimit.Seconds() {
 			continue
 		}
 		t, err := n.taskState(ctx, v.Job, v.Task)
--- a/internal/artifactreplication/sums.go
+++ b/internal/artifactreplication/checksums.go
@@ -15,29 +15,31 @@
 
 const bucketCount = 1024
 
-// maxBuckets is how many buckets one call lists: each call walks over all names.
+// maxBucketsPerCall is how many buckets one call lists. Each call iterates over all names.
 const maxBucketsPerCall = 256
 
-// strayNames is the bucket of what a replica has though it is not its replica (any more).
+// misplacedBucket is the bucket of the names that a replica has although it is not a replica of their task (any
+// more).
 const misplacedBucket = -1
 
-// bucketOf is the bucket of a task's names.
+// bucketOf returns the bucket of a task's names.
 func bucketOf(at artifactstore.Attempt) int {
 	h := blake3.Sum256(fmt.Appendf(nil, "%s/%d", at.Job, at.Task))
 	return int(binary.LittleEndian.Uint32(h[:])) % bucketCount
 }
 
-// eachName walks over the names of what is here of tasks that another replica is to have too.
-func (n *Node) eachName(other string, f func(name string, at artifactstore.Attempt, stray bool)) error {
+// eachName calls f for the names of everything that this replica has of tasks that another replica should have too.
+// misplaced reports that this replica is not one of the task's.
+func (n *Node) eachName(other string, f func(name string, at artifactstore.Attempt, misplaced bool)) error {
 	var last artifactstore.Attempt
-	var theirs, mine bool
+	var theirs, ours bool
 	visit := func(name string, at artifactstore.Attempt) {
 		if last.Job != at.Job || last.Task != at.Task {
-			place := n.opt.Members.ReplicasOf(at.Job, at.Task)
-			theirs, mine, last = slices.Contains(place, other), slices.Contains(place, n.opt.Name), at
+			replicas := n.opt.Members.ReplicasOf(at.Job, at.Task)
+			theirs, ours, last = slices.Contains(replicas, other), slices.Contains(replicas, n.opt.Name), at
 		}
 		if theirs {
-			f(name, at, !mine)
+			f(name, at, !ours)
 		}
 	}
 	for after := ""; ; {
@@ -68,11 +70,12 @@
 	return nil
 }
 
-// checksums gives each bucket's sum of hashes, of what another replica is to have too.
+// checksums returns for each bucket the sum of the hashes of its names, over the tasks that another replica should
+// have too. A sum does not depend on the order of the names.
 func (n *Node) checksums(other string) ([]string, error) {
 	var sums [bucketCount][2]uint64
-	err := n.eachName(other, func(name string, at artifactstore.Attempt, stray bool) {
-		if stray {
+	err := n.eachName(other, func(name string, at artifactstore.Attempt, misplaced bool) {
+		if misplaced {
 			return
 		}
 		h := blake3.Sum256([]byte(name))
@@ -88,11 +91,11 @@
 	return list, err
 }
 
-// names lists some buckets, in one walk.
+// namesInBuckets lists the names in the given buckets, in one iteration over all names.
 func (n *Node) namesInBuckets(other string, of []int) (list []string, err error) {
-	err = n.eachName(other, func(name string, at artifactstore.Attempt, stray bool) {
+	err = n.eachName(other, func(name string, at artifactstore.Attempt, misplaced bool) {
 		b := misplacedBucket
-		if !stray {
+		if !misplaced {
 			b = bucketOf(at)
 		}
 		if slices.Contains(of, b) {
@@ -102,7 +105,7 @@
 	return list, err
 }
 
-// taskOf is the task that a name belongs to.
+// taskOf returns the task that a name belongs to.
 func taskOf(name string) (artifactstore.Attempt, error) {
 	if rest, ok := strings.CutPrefix(name, "open/"); ok {
 		if i := strings.LastIndexByte(rest, '/'); i >= 0 {
--- a/internal/artifactreplication/config.go
+++ b/internal/artifactreplication/config.go
@@ -13,11 +13,11 @@
 	"topazhollow/internal/tomlfile"
 )
 
-// KeyVariable is the environment variable with the replica's key, in hexadecimal. Secrets
-// have no place in a file.
+// KeyVariable is the environment variable with the signing key in hexadecimal. Secrets are not read from the
+// configuration file.
 const KeyVariable = "TOPAZ_KEEP_KEY"
 
-// Config is deploy/keep.toml.
+// Config is the configuration file; deploy/keep.toml describes its fields.
 type Config struct {
 	Name               string  `toml:"name"`
 	Listen             string  `toml:"listen"`
@@ -38,28 +38,28 @@
 	TLS                struct {
 		Cert string `toml:"cert"`
 		Key  string `toml:"key"`
-		CA   string `toml:"ca"` // whose certificates the other replicas have; the system's if empty
+		CA   string `toml:"ca"` // certificate authority of the other replicas; the system's if empty
 	} `toml:"tls"`
 	Members Members `toml:"members"`
 }
 
-// DefaultConfig is what holds for what a file does not say.
+// DefaultConfig returns the values of the fields that a file leaves out.
 func DefaultConfig() Config {
 	return Config{Name: "keeper-1", RepairMB: 20, RepairSec: 30, PeerTimeoutSec: 5, Listen: "127.0.0.1:8800", Dir: "target/keep", QuotaGB: 10, ReserveGB: 0.5, TenantGB: 0, KeepDays: 30, PartialHours: 24,
 		UnreferencedHours: 24, MaintenanceMinutes: 10, ScrubMB: 5}
 }
 
-// LoadConfig reads and checks a file. An unknown or impossible field is an error that
-// names file, field and what was expected.
+// LoadConfig reads and validates a file. The error for an unknown or invalid field names the file, the field and what
+// is expected.
 func LoadConfig(path string) (Config, error) {
 	c := DefaultConfig()
 	if err := tomlfile.Load(path, &c); err != nil {
 		return c, err
 	}
 	c.FillDefaults()
-	for _, beside := range []*string{&c.Policy, &c.Revoked} {
-		if *beside != "" && !filepath.IsAbs(*beside) {
-			*beside = filepath.Join(filepath.Dir(path), *beside)
+	for _, relative := range []*string{&c.Policy, &c.Revoked} {
+		if *relative != "" && !filepath.IsAbs(*relative) {
+			*relative = filepath.Join(filepath.Dir(path), *relative)
 		}
 	}
 	if err := c.check(); err != nil {
@@ -68,8 +68,8 @@
 	return c, nil
 }
 
-// FillDefaults makes a list of this replica alone where there is none, and puts in what a list
-// leaves out.
+// FillDefaults lists this replica as the only member if there is no list, and fills in the fields that a list leaves
+// out.
 func (c *Config) FillDefaults() {
 	m := &c.Members
 	if len(m.List) == 0 {
@@ -114,7 +114,7 @@
 	return c.Members.check(c.Name)
 }
 
-// Client is what the other replicas are called with.
+// Client returns the HTTP client for calls to other replicas.
 func (c *Config) Client() (*http.Client, error) {
 	t := http.DefaultTransport.(*http.Transport).Clone()
 	t.MaxIdleConnsPerHost = 64
@@ -125,22 +125,22 @@
 		}
 		t.TLSClientConfig = &tls.Config{MinVersion: tls.VersionTLS12, RootCAs: x509.NewCertPool()}
 		if !t.TLSClientConfig.RootCAs.AppendCertsFromPEM(pem) {
-			return nil, fmt.Errorf("%s: no certificate in it", c.TLS.CA)
+			return nil, fmt.Errorf("%s: no certificate found", c.TLS.CA)
 		}
 	}
 	return &http.Client{Transport: t}, nil
 }
 
-// String is the configuration as a file.
+// String returns the configuration as TOML.
 func (c Config) String() string { return tomlfile.String(c) }
 
-// BackgroundWork is what the configuration says of it.
+// BackgroundWork returns the configured periodic work.
 func (c Config) BackgroundWork() BackgroundWork {
 	span := func(x float64, unit time.Duration) time.Duration { return time.Duration(x * float64(unit)) }
 	return BackgroundWork{Interval: span(c.MaintenanceMinutes, time.Minute), PartialAge: span(c.PartialHours, time.Hour), UnreferencedAge: span(c.UnreferencedHours, time.Hour), ScrubBytesPerSecond: c.ScrubMB * 1e6, RepairInterval: span(c.RepairSec, time.Second)}
 }
 
-// KeyFromEnvironment reads the replica's key.
+// KeyFromEnvironment returns the signing key.
 func KeyFromEnvironment() ([]byte, error) {
 	key, err := hex.DecodeString(os.Getenv(KeyVariable))
 	if err != nil || len(key) < 16 {
--- a/internal/artifactreplication/decide.go
+++ b/internal/artifactreplication/decide.go
@@ -16,11 +16,10 @@
 	"topazhollow/internal/wait"
 )
 
-// Seal closes an attempt with what its agent says of its end; if that is not all here,
-// it is refused with what is wanted. A repeated seal gives the manifest again. When it
-// returns without an error the manifest is decided and durable, and final says whether
-// the attempt is the task's result: the first of the completed ones, unless a later
-// attempt had begun by then.
+// Seal ends an attempt with the manifest of its output. It fails with ErrIncomplete if the replicas don't hold
+// exactly the output that the agent reports. Sealing again returns the same manifest. On success the manifest is
+// decided and durable, and final reports whether the attempt is the task's result: the first one sealed as completed,
+// unless a later attempt had begun by then.
 func (n *Node) Seal(ctx context.Context, c artifactstore.Claim, end artifactstore.End) (m *artifactstore.Manifest, final bool, err error) {
 	value, err := n.decide(ctx, c.Attempt, true, func(promises []reply) ([]byte, error) {
 		return n.buildManifest(ctx, c, &end, promises)
@@ -44,21 +43,21 @@
 	return m, final, err
 }
 
-// errLaterAttempt says that a later attempt had begun.
-var errLaterAttempt = errors.New("keepers: a later attempt has begun")
+// errLaterAttempt reports that a later attempt of the task has begun.
+var errLaterAttempt = errors.New("artifactreplication: a later attempt has begun")
 
-// settle makes an attempt, sealed as completed, its task's result if there is none and no
-// later attempt has begun. It gives the task's result, nil if there is none: then the
-// attempt won't become it any more either.
+// decideResult makes an attempt that was sealed as completed the task's result, if there is none and no later attempt
+// has begun. It returns the task's result. It returns nil if there is none; the attempt can't become the result any
+// more in that case.
 func (n *Node) decideResult(ctx context.Context, c artifactstore.Claim, manifest string) (*artifactstore.Result, error) {
-	want := protocol.Encode(&artifactstore.Result{Tenant: c.Tenant, Number: c.Number, Manifest: manifest})
+	proposal := protocol.Encode(&artifactstore.Result{Tenant: c.Tenant, Number: c.Number, Manifest: manifest})
 	value, err := n.decide(ctx, artifactstore.Attempt{Job: c.Job, Task: c.Task}, false, func(promises []reply) ([]byte, error) {
 		for _, p := range promises {
 			if p.Promise.Latest > c.Number {
 				return nil, errLaterAttempt
 			}
 		}
-		return want, nil
+		return proposal, nil
 	})
 	if errors.Is(err, errLaterAttempt) {
 		return nil, nil
@@ -70,11 +69,11 @@
 	return r, json.Unmarshal(value, r)
 }
 
-// errNothingDecided says that a register has no value.
-var errNothingDecided = errors.New("keepers: nothing is decided")
+// errNothingDecided reports that a register has no value.
+var errNothingDecided = errors.New("artifactreplication: no value is decided")
 
-// resolve sees through what somebody began to decide, or undoes it: then there is no
-// value, and an attempt that was about to end is not frozen any more.
+// resolve completes a decision that another node may have left unfinished. If no value can have been decided, it
+// returns nil, and its ballot lifts the freeze of an attempt that was about to end.
 func (n *Node) resolve(ctx context.Context, at artifactstore.Attempt) (value []byte, err error) {
 	value, err = n.decide(ctx, at, false, func([]reply) ([]byte, error) { return nil, errNothingDecided })
 	if errors.Is(err, errNothingDecided) {
@@ -83,15 +82,15 @@
 	return value, err
 }
 
-// decide has a register's value decided, if it is not yet, and gives it. propose is
-// asked for one only while no majority could have decided another.
+// decide returns the value of a register and decides one if there is none yet. It calls propose for a value only if
+// no majority can have accepted another one.
 func (n *Node) decide(
 	ctx context.Context, at artifactstore.Attempt, freeze bool, propose func(promises []reply) ([]byte, error),
 ) ([]byte, error) {
 	d := &decision{node: n, at: at, freeze: freeze, names: n.opt.Members.ReplicasOf(at.Job, at.Task)}
 	d.need = majority(len(d.names))
 	for try := range maxBallots {
-		if try > 0 && !wait.For(ctx, rand.N(ballotBackoff<<try)) { // somebody else is at it
+		if try > 0 && !wait.For(ctx, rand.N(ballotBackoff<<try)) { // another node is deciding the same register
 			return nil, ctx.Err()
 		}
 		value, err := d.tryBallot(ctx, propose)
@@ -99,24 +98,24 @@
 			return value, err
 		}
 	}
-	return nil, fmt.Errorf("%w: others decide it", errBusy)
+	return nil, fmt.Errorf("%w: outbid by other nodes in every ballot", errBusy)
 }
 
 const (
-	maxBallots    = 8                     // tries of one decision
-	ballotBackoff = 10 * time.Millisecond // doubled with each try, at most
+	maxBallots    = 8                     // ballots tried for one decision
+	ballotBackoff = 10 * time.Millisecond // upper bound of the random pause, doubled with each ballot
 )
 
-// decision is one node's tries to decide a register.
+// decision is one node's attempt to decide a register.
 type decision struct {
 	node   *Node
 	at     artifactstore.Attempt
 	freeze bool
-	names  []string // of the replicas
-	need   int      // of them, for a majority
+	names  []string // of the register's replicas
+	need   int      // size of a majority of them
 }
 
-// tryBallot tries once, in a ballot of its own. errOutvoted says that another ballot is ahead.
+// tryBallot runs one ballot. It returns errHigherBallot if a replica has promised a higher ballot.
 func (d *decision) tryBallot(ctx context.Context, propose func(promises []reply) ([]byte, error)) ([]byte, error) {
 	n := d.node
 	b := artifactstore.Ballot{Round: n.round.Add(1), By: n.ballotID}
@@ -131,8 +130,8 @@
 	if value == nil {
 		var err error
 		if value, err = propose(promises); err != nil {
-			if d.freeze { // it may go on
-				_, _ = n.resolve(ctx, d.at) // else whoever adds to it does
+			if d.freeze { // lift the freeze, so that the attempt can go on
+				_, _ = n.resolve(ctx, d.at) // if this fails, the next write to the attempt resolves it
 			}
 			return nil, err
 		}
@@ -151,7 +150,7 @@
 	return value, nil
 }
 
-// whyFailed is errOutvoted if another ballot is ahead, else why too few replicas answered.
+// failureCause returns errHigherBallot if a higher ballot was promised, else why too few replicas answered.
 func (d *decision) failureCause(failed []reply) error {
 	if sawHigherBallot(failed) {
 		return errHigherBallot
@@ -159,7 +158,7 @@
 	return quorumError(failed)
 }
 
-// prepare asks the replicas to promise a ballot.
+// prepare requests a promise for a ballot from the replicas.
 func (d *decision) prepare(ctx context.Context, b artifactstore.Ballot) (promises, failed []reply) {
 	n := d.node
 	return n.callReplicas(ctx, d.names, d.need, func(ctx context.Context, _ string, r replica) (*peerResponse, error) {
@@ -172,7 +171,7 @@
 	})
 }
 
-// accept asks the replicas to accept a value in a ballot.
+// accept requests the replicas to accept a value in a ballot.
 func (d *decision) accept(ctx context.Context, b artifactstore.Ballot, value []byte) (accepted, failed []reply) {
 	n := d.node
 	return n.callReplicas(ctx, d.names, d.need, func(ctx context.Context, _ string, r replica) (*peerResponse, error) {
@@ -185,7 +184,8 @@
 	})
 }
 
-// teach tells the replicas what is decided. It is decided whether they learn of it now or later.
+// announce sends a decision to the replicas. Failures are ignored: the value is decided already, and a replica that
+// misses it learns it later.
 func (d *decision) announce(ctx context.Context, value []byte) {
 	n := d.node
 	n.callReplicas(ctx, d.names, d.need, func(ctx context.Context, _ string, r replica) (*peerResponse, error) {
@@ -193,7 +193,8 @@
 	})
 }
 
-// decidedAmong is what a replica knows to be decided, nil if none does. Those that do not know are told.
+// knownDecision returns the value that one of the replicas knows to be decided, or nil, and sends it to the replicas
+// that don't know it.
 func (d *decision) knownDecision(ctx context.Context, promises []reply) []byte {
 	knows := func(r reply) bool { return r.Promise.Decided != nil }
 	i := slices.IndexFunc(promises, knows)
@@ -207,7 +208,8 @@
 	return decided
 }
 
-// acceptedIn is the value that was accepted in the highest ballot, nil if none was: it may have been decided.
+// highestAccepted returns the value accepted in the highest ballot among the promises, or nil. That value may have
+// been decided, so it must be proposed again.
 func highestAccepted(promises []reply) []byte {
 	var best *artifactstore.Promise
 	for _, r := range promises {
@@ -221,13 +223,13 @@
 	return best.Value
 }
 
-var errHigherBallot = errors.New("keepers: a higher ballot was promised")
+var errHigherBallot = errors.New("artifactreplication: a higher ballot was promised")
 
 func sawHigherBallot(failed []reply) bool {
 	return slices.ContainsFunc(failed, func(r reply) bool { return errors.Is(r.err, errHigherBallot) })
 }
 
-// advanceRound lets the next ballot be higher than one that was seen.
+// advanceRound raises the round, so that the next ballot is higher than one that was seen.
 func (n *Node) advanceRound(round uint64) {
 	for {
 		old := n.round.Load()
@@ -237,9 +239,8 @@
 	}
 }
 
-// gather makes a manifest of what a majority of replicas has of an attempt, and has its
-// streams' content at hand. end is what its agent says of it, or nil if it is to be
-// shelved.
+// buildManifest builds the manifest of an attempt from the views of a majority of its replicas, and stores the
+// content of its streams as blobs. end is the agent's report; nil ends the attempt as partial.
 func (n *Node) buildManifest(
 	ctx context.Context, c artifactstore.Claim, end *artifactstore.End, promises []reply,
 ) ([]byte, error) {
@@ -275,14 +276,14 @@
 	return m.Sign(n.opt.Key), nil
 }
 
-// gathered is what replicas have of an attempt.
+// mergedViews combines the replicas' views of an attempt.
 type mergedViews struct {
-	longest map[string]artifactstore.Extent // by stream
-	holder  map[string]string               // replica that has so much of a stream
-	files   map[string]map[string]bool      // digests by path
+	longest map[string]artifactstore.Extent // longest extent by stream
+	holder  map[string]string               // replica that has the longest extent, by stream
+	files   map[string]map[string]bool      // digests reported, by path
 }
 
-// gatherViews joins what replicas told with their promises.
+// mergeViews merges the views in the replicas' promises.
 func mergeViews(c artifactstore.Claim, promises []reply) (*mergedViews, error) {
 	g := &mergedViews{
 		longest: map[string]artifactstore.Extent{},
@@ -317,7 +318,8 @@
 	return g, nil
 }
 
-// partialFiles are the files of an attempt that was never sealed; of several contents the same one is taken each time.
+// partialFiles lists the files of an attempt that ends without a seal. If replicas have different contents for a
+// path, the lowest digest is chosen, so that the choice is deterministic.
 func (g *mergedViews) partialFiles() []artifactstore.FileInfo {
 	files := []artifactstore.FileInfo{}
 	for _, path := range slices.Sorted(maps.Keys(g.files)) {
@@ -327,7 +329,7 @@
 	return files
 }
 
-// checkWhole is ErrNotWhole unless all that the agent says it put out is here, and nothing else.
+// checkComplete returns ErrIncomplete unless the replicas hold exactly the output that the agent reported.
 func (g *mergedViews) checkComplete(end *artifactstore.End) error {
 	for stream, want := range end.Records {
 		if have := g.longest[stream].Next; have != want {
@@ -336,24 +338,24 @@
 		}
 	}
 	for stream := range g.longest {
-		if _, said := end.Records[stream]; !said {
-			return fmt.Errorf("%w: nothing was said of stream %s", artifactstore.ErrIncomplete, stream)
+		if _, reported := end.Records[stream]; !reported {
+			return fmt.Errorf("%w: the seal does not list stream %s", artifactstore.ErrIncomplete, stream)
 		}
 	}
 	for path := range g.files {
-		if _, said := end.Files[path]; !said {
-			return fmt.Errorf("%w: nothing was said of file %s", artifactstore.ErrIncomplete, path)
+		if _, reported := end.Files[path]; !reported {
+			return fmt.Errorf("%w: the seal does not list file %s", artifactstore.ErrIncomplete, path)
 		}
 	}
 	for _, path := range slices.Sorted(maps.Keys(end.Files)) {
 		if !g.files[path][end.Files[path]] {
-			return fmt.Errorf("%w: file %s is not here", artifactstore.ErrIncomplete, path)
+			return fmt.Errorf("%w: file %s is missing", artifactstore.ErrIncomplete, path)
 		}
 	}
 	return nil
 }
 
-// sealStream puts a stream's content into the store of blobs, as a replica has it.
+// sealStream reads a stream from the replica that has all of it and stores its content as a blob.
 func (n *Node) sealStream(
 	ctx context.Context, c artifactstore.Claim, stream string, extent artifactstore.Extent, holder string,
 ) (artifactstore.StreamInfo, error) {
@@ -364,7 +366,7 @@
 	}
 	next, _, err := n.peers[holder].read(ctx, c.Attempt, stream, 0, false, add)
 	if err == nil && next != extent.Next {
-		err = fmt.Errorf("%w: stream %s", artifactstore.ErrIncomplete, stream)
+		err = fmt.Errorf("%w: replica %s has %d of %d records of stream %s", artifactstore.ErrIncomplete, holder, next, extent.Next, stream)
 	}
 	if err != nil {
 		return artifactstore.StreamInfo{}, err
--- a/internal/artifactreplication/handover.go
+++ b/internal/artifactreplication/handover.go
@@ -10,7 +10,8 @@
 	"topazhollow/internal/protocol"
 )
 
-// handOver lets go of what does not belong here once all of its replicas have it.
+// handOver drops the tasks that this replica no longer belongs to, once all replicas of the task have everything that
+// it has.
 func (n *Node) handOver(ctx context.Context) error {
 	tasks := map[artifactstore.Attempt]bool{}
 	for _, m := range n.opt.Members.List {
@@ -25,10 +26,10 @@
 			return err
 		}
 	}
-	left := len(tasks)
+	remaining := len(tasks)
 	defer func() {
 		n.mu.Lock()
-		n.repair.misplaced = left
+		n.repair.misplaced = remaining
 		n.mu.Unlock()
 	}()
 	for at := range tasks {
@@ -40,12 +41,12 @@
 		got, _ := n.callReplicas(ctx, names, len(names), func(ctx context.Context, _ string, r replica) (*peerResponse, error) {
 			return r.do(ctx, &peerRequest{Op: "task", Attempt: at, Count: true})
 		})
-		whole := len(got) == len(names)
+		complete := len(got) == len(names)
 		for _, r := range got {
-			whole = whole && hasAllOf(r.Task, mine)
+			complete = complete && hasAllOf(r.Task, mine)
 		}
-		if !whole {
-			continue // they bring it themselves
+		if !complete {
+			continue // the replicas copy it by their own repair
 		}
 		for _, v := range mine.Attempts {
 			if v.Ended == "" {
@@ -60,12 +61,12 @@
 		if err := n.store.Forget(ctx, at); err != nil {
 			return err
 		}
-		left--
+		remaining--
 	}
 	return nil
 }
 
-// covers says whether a replica has all that another has of a task.
+// hasAllOf reports whether a replica has everything that another one has of a task.
 func hasAllOf(theirs, mine *artifactstore.TaskView) bool {
 	if mine.Result != nil && (theirs.Result == nil || *theirs.Result != *mine.Result) {
 		return false
@@ -96,9 +97,8 @@
 	return true
 }
 
-// finishDecisions finishes what somebody left half decided: ends and results that were
-// accepted here, and completed attempts of which nobody said whether they are the
-// result.
+// finishDecisions completes decisions that another node left unfinished: ends and results that were accepted here,
+// and completed attempts for which it is not known whether they are the task's result.
 func (n *Node) finishDecisions(ctx context.Context) error {
 	var errs []error
 	seen := map[artifactstore.Attempt]bool{}
@@ -106,7 +106,7 @@
 		if v.Value == nil {
 			continue
 		}
-		if seen[at] = true; n.repair.undecided[at] { // since the last round
+		if seen[at] = true; n.repair.undecided[at] { // undecided since the previous round, so its proposer has probably failed
 			_, err := n.resolve(ctx, at)
 			errs = append(errs, err)
 		}
--- a/internal/artifactreplication/members.go
+++ b/internal/artifactreplication/members.go
@@ -1,6 +1,6 @@
-// Package artifactreplication makes several replicas one: it places tasks on them, has what
-// agents put out acknowledged by enough of them, decides what must be decided once, and
-// repairs what one of them lacks. docs/replica.md says what is promised.
+// Package artifactreplication replicates the artifact store: it assigns tasks to replicas, writes the output of
+// agents to a quorum of them, decides by consensus what must be decided only once, and repairs replicas that lack
+// data. docs/keeper.md describes its guarantees.
 package artifactreplication
 
 import (
@@ -22,18 +22,18 @@
 	"topazhollow/internal/wal"
 )
 
-// State is what the settings say of a replica.
+// State is the configured state of a replica.
 type State string
 
-// States of replicas. One that serves but does not have all yet that it should is
-// joining by itself; no word in the settings is needed for it.
+// States of replicas. Joining is not configured: a serving replica reports it until it has all data that it should
+// have.
 const (
 	Serving  State = "serving"
-	Draining State = "draining" // gets nothing new and hands over what it has
-	Gone     State = "gone"     // what it had is not coming back
+	Draining State = "draining" // gets no new tasks and hands over those that it has
+	Gone     State = "gone"     // removed for good, with its data
 )
 
-// Member is a replica in the settings.
+// Member is a replica in the configuration.
 type Member struct {
 	Name  string `toml:"name"`
 	Zone  string `toml:"zone"`
@@ -41,11 +41,12 @@
 	State State  `toml:"state"`
 }
 
-// Members is the settings' list of replicas. Whoever changes it raises the epoch by one.
+// Members is the configured list of replicas. Every change of the list must raise the epoch by one. JSON uses the
+// names of the fields.
 type Members struct {
 	Epoch  uint64   `toml:"epoch"`
-	Copies int      `toml:"copies"` // of each task
-	Acks   int      `toml:"acks"`   // copies that are durable before a write is acknowledged
+	Copies int      `toml:"copies"` // replicas of each task
+	Acks   int      `toml:"acks"`   // replicas that must hold a write durably before it is acknowledged
 	List   []Member `toml:"keeper"`
 }
 
@@ -57,9 +58,9 @@
 		return fmt.Errorf("field members.copies: %d is not between 1 and 7", m.Copies)
 	}
 	if m.Acks <= m.Copies/2 || m.Acks > m.Copies {
-		return fmt.Errorf("field members.acks: %d is no majority of %d copies", m.Acks, m.Copies)
+		return fmt.Errorf("field members.acks: %d is not a majority of %d copies", m.Acks, m.Copies)
 	}
-	seen, serving, mine := map[string]bool{}, 0, false
+	seen, serving, listed := map[string]bool{}, 0, false
 	for i, x := range m.List {
 		field := fmt.Sprintf("field members.keeper[%d]", i)
 		u, err := url.Parse(x.URL)
@@ -67,9 +68,9 @@
 		case x.Name == "" || len(x.Name) > 64:
 			return fmt.Errorf("%s.name: 1 to 64 bytes are expected", field)
 		case seen[x.Name]:
-			return fmt.Errorf("%s.name: %s is there twice", field, x.Name)
+			return fmt.Errorf("%s.name: %s is listed twice", field, x.Name)
 		case err != nil || u.Host == "" || (u.Scheme != "http" && u.Scheme != "https"):
-			return fmt.Errorf("%s.url: %q is no address as https://host:port", field, x.URL)
+			return fmt.Errorf("%s.url: %q is not an address like https://host:port", field, x.URL)
 		case x.State != Serving && x.State != Draining && x.State != Gone:
 			return fmt.Errorf("%s.state: %q is not serving, draining or gone", field, x.State)
 		}
@@ -77,10 +78,10 @@
 		if x.State == Serving {
 			serving++
 		}
-		mine = mine || (x.Name == self && x.State != Gone)
+		listed = listed || (x.Name == self && x.State != Gone)
 	}
-	if !mine {
-		return fmt.Errorf("field name: %q is not in members.keeper, or gone", self)
+	if !listed {
+		return fmt.Errorf("field name: %q is not listed in members.keeper, or gone", self)
 	}
 	if serving == 0 {
 		return errors.New("field members.keeper: none is serving")
@@ -88,8 +89,8 @@
 	return nil
 }
 
-// ReplicasOf lists the replicas of a task in their rank: by rendezvous hashing (Thaler and
-// Ravishankar, 1998), zones that have none yet first.
+// ReplicasOf lists the replicas of a task in the order of their rank. It uses rendezvous hashing (Thaler and
+// Ravishankar, 1998) and prefers zones that hold no replica of the task yet.
 func (m *Members) ReplicasOf(job string, task int) []string {
 	type ranked struct {
 		*Member
@@ -104,9 +105,9 @@
 	slices.SortFunc(all, func(a, b ranked) int { return cmp.Or(cmp.Compare(b.weight, a.weight), cmp.Compare(a.Name, b.Name)) })
 	var names []string
 	used := map[string]bool{}
-	for _, again := range []bool{false, true} {
+	for _, reuseZones := range []bool{false, true} {
 		for _, x := range all {
-			if len(names) < m.Copies && !slices.Contains(names, x.Name) && (again || !used[x.Zone]) {
+			if len(names) < m.Copies && !slices.Contains(names, x.Name) && (reuseZones || !used[x.Zone]) {
 				names = append(names, x.Name)
 				used[x.Zone] = true
 			}
@@ -115,28 +116,28 @@
 	return names
 }
 
-// IsReplica says whether a replica is one of a task's.
+// IsReplica reports whether a replica is one of a task's.
 func (m *Members) IsReplica(self, job string, task int) bool {
 	return slices.Contains(m.ReplicasOf(job, task), self)
 }
 
-// majority of so many replicas.
+// majority returns the size of a majority of n replicas.
 func majority(n int) int { return n/2 + 1 }
 
-// acknowledgementsNeeded is how many of a task's replicas must have a write.
+// acknowledgementsNeeded returns how many of a task's n replicas must acknowledge a write.
 func (m *Members) acknowledgementsNeeded(n int) int { return min(n, max(m.Acks, majority(n))) }
 
-// digest tells lists of the same epoch apart.
+// digest identifies a list; it differs between different lists of the same epoch.
 func (m *Members) digest() string {
 	return fmt.Sprintf("%d.%016x", m.Epoch, xxhash.Sum64(protocol.Encode(m)))
 }
 
-// identity is what a replica knows of itself across starts. A replica whose directory
-// is empty has a new one, and so knows that it has lost what it had, or never had any.
+// identity is the state of a replica that survives restarts. A replica with an empty directory creates a new
+// identity, by which it knows that it has lost its data or never had any.
 type identity struct {
 	Disk        string    `json:"disk"`
-	Incarnation uint64    `json:"incarnation"` // starts of this directory
-	Lists       []Members `json:"lists"`       // from the one whose tasks are all here on; empty: none is
+	Incarnation uint64    `json:"incarnation"` // number of starts on this directory
+	Lists       []Members `json:"lists"`       // lists in force since the last one whose tasks are all here; empty if there is none
 	path        string
 }
 
@@ -159,20 +160,20 @@
 	if n := len(id.Lists); n > 0 {
 		switch last := &id.Lists[n-1]; {
 		case cur.Epoch < last.Epoch:
-			return nil, fmt.Errorf("field members.epoch: %d, but %d was in force here", cur.Epoch, last.Epoch)
+			return nil, fmt.Errorf("field members.epoch: %d is lower than %d, which was in force here", cur.Epoch, last.Epoch)
 		case cur.Epoch == last.Epoch && cur.digest() != last.digest():
 			return nil, fmt.Errorf("field members.epoch: the list was changed without raising it above %d", cur.Epoch)
 		case cur.Epoch == last.Epoch+1:
 			id.Lists = append(id.Lists, *cur)
-		case cur.Epoch > last.Epoch: // what was written under the lists between is not known here
+		case cur.Epoch > last.Epoch: // this replica may lack writes made under the lists in between
 			id.Lists = nil
 		}
 	}
 	return id, id.save()
 }
 
-// counts says whether the replica has all of a task that it should, and so may vote and
-// be counted by readers.
+// isComplete reports whether the replica has everything that it should have of a task, so that it may vote and be
+// counted by readers.
 func (id *identity) isComplete(self, job string, task int) bool {
 	for i := range id.Lists {
 		if !id.Lists[i].IsReplica(self, job, task) {
@@ -186,13 +187,13 @@
 	return len(id.Lists) == 1 && id.Lists[0].Epoch == cur.Epoch
 }
 
-// synced notes that everything is here that should be by a list.
+// markSynced records that the replica has everything that it should have by a list.
 func (id *identity) markSynced(cur *Members) error {
 	id.Lists = []Members{*cur}
 	return id.save()
 }
 
-// save makes it durable.
+// save writes the identity durably.
 func (id *identity) save() error {
 	dir := filepath.Dir(id.path)
 	if err := os.MkdirAll(dir, 0o700); err != nil {
--- a/internal/artifactreplication/front.go
+++ b/internal/artifactreplication/node.go
@@ -17,41 +17,42 @@
 	"topazhollow/internal/blob"
 )
 
-// Options are a node's choices.
+// Options configures a Node.
 type Options struct {
-	Name                 string // the own one among Members
-	Dir                  string // for what it must know of itself across starts
+	Name                 string // name of this replica in Members
+	Dir                  string // directory of identity.json
 	Members              Members
 	Store                *artifactstore.Store
 	Blobs                *blob.Store
 	Key                  []byte
-	PeerTimeout          time.Duration   // for another replica's answer; 5 s if 0
-	RepairBytesPerSecond float64         // bytes a second that repair may bring; no bound if 0
-	Retention            *Retention      // how long what is kept; nil: for ever
-	Revoked              *RevocationList // tokens that are refused; nil: none
-	HTTP                 *http.Client    // for the other replicas; http.DefaultClient if nil
+	PeerTimeout          time.Duration   // of calls to other replicas; 5 s if 0
+	RepairBytesPerSecond float64         // maximum rate of repair; unlimited if 0
+	Retention            *Retention      // how long attempts are kept; nil: for ever
+	Revoked              *RevocationList // revoked tokens; nil: none
+	HTTP                 *http.Client    // client for calls to other replicas; http.DefaultClient if nil
 	Log                  *slog.Logger
 	Now                  func() time.Time
 }
 
-// Node is one replica among several. Whichever is asked answers for all of them.
+// Node is one replica of the artifact store. Any node can serve a client: it coordinates the replicas of the task
+// concerned.
 type Node struct {
 	opt      Options
 	store    *artifactstore.Store
 	blobs    *blob.Store
-	peers    map[string]replica // all that are not gone, the own one too
-	ballotID string             // names this process in ballots
+	peers    map[string]replica // by name, including this one, without those that are gone
+	ballotID string             // identifies this process in ballots
 	round    atomic.Uint64
-	inFlight map[string]chan struct{} // what goes on behind callers' backs, by replica
+	inFlight map[string]chan struct{} // calls in progress, also those that no caller waits for any more, by replica
 
 	mu            sync.Mutex
 	id            *identity
 	repair        repairState
 	metrics       *metrics
-	repairLimiter *rate.Limiter // of repair; nil: none
+	repairLimiter *rate.Limiter // limits repair traffic; nil: unlimited
 }
 
-// New makes a node of a replica and its store.
+// New creates the node of a replica and registers the start in the replica's identity file.
 func New(opt Options) (*Node, error) {
 	if opt.PeerTimeout <= 0 {
 		opt.PeerTimeout = 5 * time.Second
--- a/internal/artifactreplication/quorum.go
+++ b/internal/artifactreplication/quorum.go
@@ -9,23 +9,23 @@
 	"topazhollow/internal/blob"
 )
 
-// maxCalls bounds the calls that one replica has open to another. Beyond it that one
-// counts as failed for the call; if enough do, the caller is told to come back.
+// maxCallsPerPeer is the maximum number of calls in progress from one replica to another. Further calls fail with
+// errBusy; if too few replicas are left for a quorum, the client is told to retry.
 const maxCallsPerPeer = 4096
 
-// reply is one replica's.
+// reply is one replica's response to a call, or its error.
 type reply struct {
 	name string
 	*peerResponse
 	err error
 }
 
-// callReplicas puts a call to some replicas at once and gives the answers as soon as so many are
-// there, or all have answered. What is still on its way then is seen through behind
-// the caller's back; a replica that lets too much of that pile up is left to repair.
+// callReplicas calls several replicas concurrently and returns as soon as need of them succeeded or all have
+// answered. Calls that are still in progress then continue in the background. A replica with too many of them is
+// skipped and catches up by repair.
 func (n *Node) callReplicas(ctx context.Context, names []string, need int, do func(ctx context.Context, name string, r replica) (*peerResponse, error)) (got []reply, failed []reply) {
 	replies := make(chan reply, len(names))
-	late := context.WithoutCancel(ctx)
+	background := context.WithoutCancel(ctx)
 	for _, name := range names {
 		p := n.peers[name]
 		if p == nil {
@@ -40,7 +40,7 @@
 		}
 		go func() {
 			defer func() { <-n.inFlight[name] }()
-			ctx, cancel := context.WithTimeout(late, n.opt.PeerTimeout)
+			ctx, cancel := context.WithTimeout(background, n.opt.PeerTimeout)
 			defer cancel()
 			a, err := do(ctx, name, p)
 			replies <- reply{name, a, err}
@@ -62,7 +62,7 @@
 	return got, failed
 }
 
-// reason is the error that says most about why too few replicas did something.
+// quorumError returns the most specific error among the failed calls.
 func quorumError(failed []reply) error {
 	var errs []error
 	for _, f := range failed {
@@ -85,8 +85,8 @@
 	return fmt.Errorf("%w: %w", ErrNoQuorum, errors.Join(errs...))
 }
 
-// writeToQuorum has a call carried out by as many of a task's replicas as must have it. An end
-// that somebody began and left open is seen through or undone first.
+// writeToQuorum performs a write on as many of a task's replicas as must acknowledge it. If the attempt is frozen, it
+// first completes or undoes the end that another node has begun.
 func (n *Node) writeToQuorum(ctx context.Context, at artifactstore.Attempt, do func(ctx context.Context, name string, r replica) (*peerResponse, error)) ([]reply, error) {
 	names := n.opt.Members.ReplicasOf(at.Job, at.Task)
 	need := n.opt.Members.acknowledgementsNeeded(len(names))
--- a/internal/artifactreplication/pace.go
+++ b/internal/artifactreplication/ratelimit.go
@@ -11,7 +11,7 @@
 	"topazhollow/internal/blob"
 )
 
-// limitRate makes a fetch keep to the rate that repair may take, so that it starves nobody.
+// limitRate limits a fetch to the rate of repair, so that repair leaves bandwidth to other work.
 func (n *Node) limitRate(f artifactstore.Fetch) artifactstore.Fetch {
 	return func(ctx context.Context, tenant string, d blob.Digest) (io.ReadCloser, error) {
 		r, err := f(ctx, tenant, d)
@@ -33,7 +33,7 @@
 	return got, errors.Join(err, p.n.waitForRate(p.ctx, got))
 }
 
-// waitForRate waits until repair may have brought so many bytes more.
+// waitForRate counts bytes that repair transferred and waits as long as its rate limit demands.
 func (n *Node) waitForRate(ctx context.Context, bytes int) error {
 	n.mu.Lock()
 	n.repair.repairedBytes += int64(bytes)
@@ -51,7 +51,7 @@
 	return rate.NewLimiter(rate.Limit(bytesPerSecond), 1<<20)
 }
 
-// pacedSource is a replica whose records are read at repair's rate.
+// rateLimitedReplica limits reads of records from a replica to the rate of repair.
 type rateLimitedReplica struct {
 	replica
 	n *Node
--- a/internal/artifactreplication/repair.go
+++ b/internal/artifactreplication/repair.go
@@ -18,30 +18,29 @@
 	"topazhollow/internal/protocol"
 )
 
-// Two replicas find out what one of them lacks by names: of ended attempts, of results,
-// and of open attempts with how much of them is there. Names fall into buckets by their
-// tasks; equal sums of hashes mean equal buckets, and only the names of others are sent.
+// Two replicas compare names to find what one of them lacks: names of ended attempts, of results, and of open
+// attempts with their extents. Names are grouped into buckets by task. Buckets with equal sums of hashes are equal;
+// only the names of the other buckets are transferred.
 
-// maxRepairs is how many tasks are brought at a time: most of what one takes is waiting
-// for disks.
+// maxConcurrentRepairs is the number of tasks restored at a time. A repair mostly waits for disks.
 const maxConcurrentRepairs = 8
 
-// lack is a task of which something is missing here.
+// missingTask is a task of which this replica lacks something.
 type missingTask struct {
-	task    artifactstore.Attempt // its task
-	peers   []string              // who has something of it that is missing here
-	copies  int                   // fewest replicas that have the same missing thing
+	task    artifactstore.Attempt // the task; Number is 0
+	peers   []string              // replicas that have something of it that is missing here
+	copies  int                   // number of replicas that have the rarest missing item
 	noticed time.Time
 }
 
-// plan puts what is missing into the order in which it is brought: what the fewest
-// others have first, of those what was noticed first. have tells by name who has it.
+// orderRepairs groups the missing names by task and orders the tasks: those with the fewest copies first, then those
+// noticed first. have lists by name the replicas that have it.
 func orderRepairs(have map[string][]string, noticed func(task string) time.Time) []missingTask {
 	by := map[string]*missingTask{}
 	for _, name := range slices.Sorted(maps.Keys(have)) {
 		at, err := taskOf(name)
 		if err != nil {
-			continue // not a name of ours
+			continue // not a name of an attempt or a result
 		}
 		key := fmt.Sprintf("%s/%d", at.Job, at.Task)
 		l := by[key]
@@ -66,28 +65,28 @@
 	return list
 }
 
-// repairState is what is known of the last look at what others have.
+// repairState is the result of the last comparison with the other replicas.
 type repairState struct {
-	firstMissing    map[string]time.Time // tasks of which something is missing here, since when
-	pending         int                  // tasks
-	underReplicated int                  // names that another lacks
-	misplaced       int                  // tasks that are to be handed over
-	unreachable     map[string]string    // replicas that could not be asked, and why
+	firstMissing    map[string]time.Time // when a task was first found to be incomplete here
+	pending         int                  // number of tasks still to be restored
+	underReplicated int                  // names that another replica lacks
+	misplaced       int                  // tasks to hand over
+	unreachable     map[string]string    // errors of the replicas that could not be compared with, by name
 	undecided       map[artifactstore.Attempt]bool
 	repairedTasks   int
 	repairedBytes   int64
 }
 
-// InSync says whether all is here that should be by the list in force.
+// InSync reports whether this replica has everything that it should have by the current list.
 func (n *Node) InSync() bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.id.isSynced(&n.opt.Members)
 }
 
-// Repair looks at what the other replicas have, brings what is missing here, hands over
-// what does not belong here, and sees through what was left half decided. A replica that
-// has had an answer of all others, and all that they have for it, is full from then on.
+// Repair compares this replica with all others, restores what is missing here, hands over tasks that don't belong
+// here, and completes unfinished decisions. A replica becomes in sync once all others have answered and everything
+// missing was restored.
 func (n *Node) Repair(ctx context.Context) error {
 	inSync := n.InSync()
 	found := n.compareAll(ctx, !inSync)
@@ -98,7 +97,7 @@
 		return ctx.Err()
 	}
 	if len(list) > 0 {
-		n.opt.Log.Info("repaired", "keeper", n.opt.Name, "tasks", len(list)-len(errs), "failed", len(errs),
+		n.opt.Log.Info("repair finished", "keeper", n.opt.Name, "tasks", len(list)-len(errs), "failed", len(errs),
 			"took", n.opt.Now().Sub(began))
 	}
 	if !inSync && len(found.unreachable) == 0 && len(errs) == 0 {
@@ -110,18 +109,18 @@
 	return errors.Join(errs[:min(len(errs), maxReportedErrors)]...)
 }
 
-// maxErrors bounds the errors that one repair gives.
+// maxReportedErrors is the maximum number of errors that one repair returns.
 const maxReportedErrors = 10
 
-// comparison is what comparing with the other replicas found.
+// comparison is the result of comparing this replica with the others.
 type comparison struct {
-	missing         map[string][]string // replicas that have what is not here, by task
-	unreachable     map[string]string   // why a replica did not answer, by its name
-	votes           []registerVote      // votes of others that this one lost
+	missing         map[string][]string // replicas that have a name that is missing here, by name
+	unreachable     map[string]string   // errors of the replicas that could not be compared with, by name
+	votes           []registerVote      // votes of the others, to adopt if this replica lost its disk
 	underReplicated int
 }
 
-// compareAll compares with every other replica, of votes only while this one is not in sync.
+// compareAll compares with every other replica. It requests the votes only while this replica is not in sync.
 func (n *Node) compareAll(ctx context.Context, votes bool) *comparison {
 	found := &comparison{missing: map[string][]string{}, unreachable: map[string]string{}}
 	for _, name := range slices.Sorted(maps.Keys(n.peers)) {
@@ -137,7 +136,7 @@
 	return found
 }
 
-// planRepairs lists what is to be restored, in the order of plan, and notes it for the status.
+// planRepairs returns the tasks to restore in the order of orderRepairs, and updates the status.
 func (n *Node) planRepairs(found *comparison, now time.Time) []missingTask {
 	noticed := map[string]time.Time{}
 	list := orderRepairs(found.missing, func(task string) time.Time {
@@ -156,7 +155,7 @@
 	return list
 }
 
-// restoreAll restores what is listed, several at a time, and gives what failed.
+// restoreAll restores the listed tasks concurrently and returns the errors.
 func (n *Node) restoreAll(ctx context.Context, list []missingTask) (errs []error) {
 	var repairs errgroup.Group
 	repairs.SetLimit(maxConcurrentRepairs)
@@ -177,12 +176,12 @@
 			return nil
 		})
 	}
-	_ = repairs.Wait() // what failed is in errs
+	_ = repairs.Wait() // the errors are in errs
 	return errs
 }
 
-// becomeSynced takes over the votes that the others know of, and notes that all is here that should be: from then on
-// this replica counts.
+// becomeSynced adopts the votes that the others reported and records that this replica has everything that it should
+// have. From then on it votes and is counted.
 func (n *Node) becomeSynced(ctx context.Context, bound []registerVote) error {
 	for _, b := range bound {
 		if err := n.store.Adopt(ctx, b.At, &b.Vote, n.limitRate(n.fetch(b.At, ""))); err != nil {
@@ -195,56 +194,55 @@
 	if err != nil {
 		return err
 	}
-	n.opt.Log.Info("all is here that should be", "keeper", n.opt.Name,
+	n.opt.Log.Info("replica in sync", "keeper", n.opt.Name,
 		"epoch", n.opt.Members.Epoch, "disk", n.id.Disk, "incarnation", n.id.Incarnation)
 	return nil
 }
 
-// compare adds what a replica has and this one lacks, and counts what it lacks itself.
-// What it is bound to in registers is read before its names: what is decided meanwhile
-// is among those.
+// compare adds the names that another replica has and this one lacks to have, and counts the names that the other one
+// lacks. It requests the other's votes before its names, so that a register decided in between shows up in the names.
 func (n *Node) compare(ctx context.Context, name string, votes bool, have map[string][]string) (bound []registerVote, short int, err error) {
 	p := n.peers[name]
-	ask := func(c *peerRequest) (*peerResponse, error) {
+	do := func(c *peerRequest) (*peerResponse, error) {
 		ctx, cancel := context.WithTimeout(ctx, 4*n.opt.PeerTimeout)
 		defer cancel()
 		return p.do(ctx, c)
 	}
 	if votes {
-		a, err := ask(&peerRequest{Op: "votes"})
+		a, err := do(&peerRequest{Op: "votes"})
 		if err != nil {
 			return nil, 0, err
 		}
 		bound = a.Votes
 	}
-	a, err := ask(&peerRequest{Op: "sums"})
+	a, err := do(&peerRequest{Op: "sums"})
 	if err != nil {
 		return nil, 0, err
 	}
-	mine, err := n.checksums(name)
+	sums, err := n.checksums(name)
 	if err != nil {
 		return nil, 0, err
 	}
 	if len(a.Sums) != bucketCount {
-		return nil, 0, fmt.Errorf("%w: %d sums", errMalformedRequest, len(a.Sums))
+		return nil, 0, fmt.Errorf("%w: %d bucket sums", errMalformedRequest, len(a.Sums))
 	}
 	differ := []int{misplacedBucket}
-	for i := range mine {
-		if mine[i] != a.Sums[i] {
+	for i := range sums {
+		if sums[i] != a.Sums[i] {
 			differ = append(differ, i)
 		}
 	}
-	here := map[string]bool{} // whether both are to have it, by name
-	if err := n.eachName(name, func(x string, at artifactstore.Attempt, stray bool) {
-		if b := bucketOf(at); stray || mine[b] != a.Sums[b] {
-			here[x] = !stray
+	here := map[string]bool{} // names here; true if both replicas should have it
+	if err := n.eachName(name, func(x string, at artifactstore.Attempt, misplaced bool) {
+		if b := bucketOf(at); misplaced || sums[b] != a.Sums[b] {
+			here[x] = !misplaced
 		}
 	}); err != nil {
 		return nil, 0, err
 	}
 	there := map[string]bool{}
 	for of := range slices.Chunk(differ, maxBucketsPerCall) {
-		a, err := ask(&peerRequest{Op: "names", Buckets: of})
+		a, err := do(&peerRequest{Op: "names", Buckets: of})
 		if err != nil {
 			return nil, 0, err
 		}
@@ -263,7 +261,7 @@
 	return bound, short, nil
 }
 
-// isMember says whether a name that another replica has needs nothing to be done here.
+// isPresent reports whether a name that another replica has needs no repair here.
 func (n *Node) isPresent(name string) bool {
 	if _, _, ok := n.blobs.Ref(name); ok {
 		return true
@@ -281,7 +279,7 @@
 	return err == nil
 }
 
-// restoreCopy brings what is missing here of a task.
+// restoreTask restores what this replica lacks of a task.
 func (n *Node) restoreTask(ctx context.Context, l missingTask) error {
 	var errs []error
 	for _, name := range l.peers {
@@ -297,9 +295,9 @@
 	return errors.Join(errs...)
 }
 
-// take brings what another replica's view of a task shows and this one lacks.
+// restoreFrom restores what another replica's view of a task shows and this replica lacks.
 func (n *Node) restoreFrom(ctx context.Context, task artifactstore.Attempt, name string, t *artifactstore.TaskView) error {
-	over := n.opt.Retention.IsExpired(n.opt.Now())
+	isExpired := n.opt.Retention.IsExpired(n.opt.Now())
 	src := rateLimitedReplica{n.peers[name], n}
 	expired := map[uint64]bool{}
 	for _, v := range t.Attempts {
@@ -325,7 +323,7 @@
 		if err != nil {
 			return err
 		}
-		if over(m) { // it is about to go there too
+		if isExpired(m) { // the other replica is about to drop it too
 			expired[m.Number] = true
 			continue
 		}
@@ -383,16 +381,16 @@
 		}
 	}
 	switch {
-	case errors.Is(err, artifactstore.ErrSealed): // meanwhile
+	case errors.Is(err, artifactstore.ErrSealed): // ended in the meantime
 		return nil
-	case errors.Is(err, artifactstore.ErrFrozen): // somebody began to end it
+	case errors.Is(err, artifactstore.ErrFrozen): // another node has begun to end it
 		_, rerr := n.resolve(ctx, v.Attempt)
 		return errors.Join(err, rerr)
 	}
 	return err
 }
 
-// OpenVerified gives a copy of a blob that went bad here, from a replica that has a good one.
+// OpenVerified opens a blob that is corrupt here on a replica that has an intact copy.
 func (n *Node) OpenVerified(ctx context.Context, d blob.Digest) (io.ReadCloser, error) {
 	errs := []error{blob.ErrRotten}
 	for _, name := range slices.Sorted(maps.Keys(n.peers)) {
--- a/internal/artifactreplication/replica.go
+++ b/internal/artifactreplication/replica.go
@@ -19,19 +19,17 @@
 	"topazhollow/internal/protocol"
 )
 
-// Errors between replicas.
+// Errors of calls between replicas.
 var (
-	// ErrJoining says that a replica does not have all yet that it should, and so
-	// can't vote or be counted.
-	ErrJoining = errors.New("keepers: still joining")
-	// ErrEpoch says that two replicas go by different lists.
-	ErrEpoch = errors.New("keepers: another list of keepers is in force there")
-	// ErrTooFew says that too few of a task's replicas answered.
-	ErrNoQuorum = errors.New("keepers: too few of the task's keepers answered")
+	// ErrJoining reports that a replica does not have all its data yet, so that it can't vote or be counted.
+	ErrJoining = errors.New("artifactreplication: replica is still joining")
+	// ErrEpoch reports that two replicas use different lists of members.
+	ErrEpoch = errors.New("artifactreplication: the replica uses a different list of members")
+	// ErrNoQuorum reports that too few of a task's replicas answered.
+	ErrNoQuorum = errors.New("artifactreplication: too few of the task's replicas answered")
 )
 
-// call is what one replica asks another; answer what it gets. Each operation uses a few
-// of the fields.
+// peerRequest is a request from one replica to another. Each operation uses some of the fields.
 type peerRequest struct {
 	Op       string                 `json:"op"`
 	Claim    artifactstore.Claim    `json:"claim"`
@@ -45,11 +43,12 @@
 	Freeze   bool                   `json:"freeze,omitempty"`
 	Value    []byte                 `json:"value,omitempty"`
 	Buckets  []int                  `json:"buckets,omitempty"`
-	Count    bool                   `json:"count,omitempty"` // the answer counts, so it must come from a replica that has all
+	Count    bool                   `json:"count,omitempty"` // fail with ErrJoining unless the replica has everything of the task
 	From     string                 `json:"from"`
-	Identity string                 `json:"identity"` // list in force
+	Identity string                 `json:"identity"` // digest of the sender's member list
 }
 
+// peerResponse is the response to a peerRequest. Each operation sets some of the fields.
 type peerResponse struct {
 	Next    uint64                  `json:"next,omitempty"`
 	Promise *artifactstore.Promise  `json:"promise,omitempty"`
@@ -61,23 +60,24 @@
 	Status  *Status                 `json:"status,omitempty"`
 }
 
+// registerVote is a replica's vote in a register.
 type registerVote struct {
 	At   artifactstore.Attempt `json:"at"`
 	Vote artifactstore.Vote    `json:"vote"`
 }
 
-// replica is a replica as another sees it; the own one is called like the others.
+// replica is the interface by which a node calls a replica, itself or another one.
 type replica interface {
 	do(ctx context.Context, c *peerRequest) (*peerResponse, error)
-	// read hands over records from a number on, for as long as the context allows if it
-	// follows. ended says that no more can come.
+	// read calls each for the records of a stream, beginning with number from. If follow is set, it waits for more
+	// until the context ends. ended reports that the attempt has ended.
 	read(ctx context.Context, at artifactstore.Attempt, stream string, from uint64, follow bool, each func(artifactstore.Record) error) (next uint64, ended bool, err error)
 	blob(ctx context.Context, tenant string, d blob.Digest, offset int64) (io.ReadCloser, error)
 	put(ctx context.Context, tenant string, d blob.Digest, content io.Reader) error
 }
 
-// codes names the errors that are told apart across a connection, and maps them to
-// HTTP, in this one place.
+// errorCodes maps errors to the codes by which clients and replicas tell them apart, and to the HTTP status and
+// Retry-After of the response.
 var errorCodes = []struct {
 	code   string
 	err    error
@@ -108,11 +108,11 @@
 }
 
 var (
-	errMalformedRequest = errors.New("keepers: malformed request")
-	errBusy             = errors.New("keepers: too much at a time")
+	errMalformedRequest = errors.New("artifactreplication: malformed request")
+	errBusy             = errors.New("artifactreplication: too many concurrent calls")
 )
 
-// remote is another replica, over HTTP.
+// remote is another replica, called over HTTP.
 type remote struct {
 	n    *Node
 	name string
@@ -147,12 +147,12 @@
 	defer resp.Body.Close()
 	var a artifactstore.Answer
 	if err := json.NewDecoder(io.LimitReader(resp.Body, 64<<10)).Decode(&a); err != nil {
-		return nil, fmt.Errorf("keeper %s: %s", r.name, resp.Status)
+		return nil, fmt.Errorf("replica %s: %s", r.name, resp.Status)
 	}
-	return nil, fmt.Errorf("keeper %s: %w", r.name, errorOf(&a, resp))
+	return nil, fmt.Errorf("replica %s: %w", r.name, errorOf(&a, resp))
 }
 
-// errorOf is the error that an answer stands for.
+// errorOf returns the error that an error response stands for.
 func errorOf(a *artifactstore.Answer, resp *http.Response) error {
 	if a.Code == "gap" && a.Next != nil {
 		return &artifactstore.GapError{Want: *a.Next}
@@ -195,13 +195,13 @@
 	for next := from; ; {
 		var l artifactstore.Line
 		if err := d.Decode(&l); err != nil {
-			return next, false, fmt.Errorf("keeper %s: records broke off: %w", r.name, err)
+			return next, false, fmt.Errorf("replica %s: stream of records interrupted: %w", r.name, err)
 		}
 		if l.State != "" {
 			return next, l.State == streamEnded, nil
 		}
 		if l.Record == nil || l.Number != next {
-			return next, false, fmt.Errorf("keeper %s: record %d in place of %d", r.name, l.Number, next)
+			return next, false, fmt.Errorf("replica %s: got record %d, expected %d", r.name, l.Number, next)
 		}
 		if err := each(*l.Record); err != nil {
 			return next, false, err
@@ -210,7 +210,7 @@
 	}
 }
 
-// ended is the state of the last line among replicas where no more can come.
+// streamEnded is the State of the last line between replicas if the attempt has ended.
 const streamEnded = "ended"
 
 func (r *remote) blob(ctx context.Context, tenant string, d blob.Digest, offset int64) (io.ReadCloser, error) {
@@ -231,7 +231,7 @@
 	return resp.Body.Close()
 }
 
-// local is the own replica.
+// local is the node's own replica.
 type local struct{ n *Node }
 
 func (l local) do(ctx context.Context, c *peerRequest) (*peerResponse, error) {
@@ -257,7 +257,7 @@
 	return l.n.blobs.Take(ctx, tenant, d, content)
 }
 
-// serve carries out what a replica, this one or another, asks of this one alone.
+// serve performs an operation on this replica alone, for this node or another one.
 func (n *Node) serve(ctx context.Context, c *peerRequest) (*peerResponse, error) {
 	store, a := n.store, &peerResponse{}
 	var err error
@@ -269,7 +269,7 @@
 		err = store.Begin(ctx, c.Claim)
 	case "append":
 		a.Next, err = store.Append(ctx, c.Claim, c.Stream, c.First, c.Records)
-		if errors.Is(err, artifactstore.ErrUnknown) { // it was not there when the attempt began
+		if errors.Is(err, artifactstore.ErrUnknown) { // this replica missed the begin of the attempt
 			if err = store.Begin(ctx, c.Claim); err == nil {
 				a.Next, err = store.Append(ctx, c.Claim, c.Stream, c.First, c.Records)
 			}
@@ -292,7 +292,7 @@
 	case "learn":
 		err = store.Learn(ctx, c.Attempt, c.Value, n.fetch(c.Attempt, c.From))
 		if errors.Is(err, artifactstore.ErrConflictingDecisions) {
-			n.opt.Log.Error("a register has two values", "job", c.Attempt.Job, "task", c.Attempt.Task, "attempt", c.Attempt.Number, "keeper", c.From)
+			n.opt.Log.Error("two values decided in a register", "job", c.Attempt.Job, "task", c.Attempt.Task, "attempt", c.Attempt.Number, "keeper", c.From)
 		}
 	case "task":
 		a.Task, err = store.Task(c.Attempt.Job, c.Attempt.Task)
@@ -311,7 +311,7 @@
 	case "status":
 		a.Status = n.Status()
 	default:
-		err = fmt.Errorf("%w: op %.40q", errMalformedRequest, c.Op)
+		err = fmt.Errorf("%w: unknown operation %.40q", errMalformedRequest, c.Op)
 	}
 	if err != nil {
 		return nil, err
@@ -319,16 +319,15 @@
 	return a, nil
 }
 
-// fetch gets a blob of an attempt from another replica, the one first that asks for it
-// to be there.
+// fetch returns a Fetch for the blobs of an attempt. It tries the replica named first before the others.
 func (n *Node) fetch(at artifactstore.Attempt, first string) artifactstore.Fetch {
 	return func(ctx context.Context, tenant string, d blob.Digest) (io.ReadCloser, error) {
 		return n.openBlob(ctx, append([]string{first}, n.sources(at.Job, at.Task)...), tenant, d, 0)
 	}
 }
 
-// sources lists whoever may have something of a task: its replicas first, then those
-// that were its replicas, perhaps.
+// sources lists the replicas that may have data of a task: its replicas, then the draining ones, which may have been
+// its replicas.
 func (n *Node) sources(job string, task int) []string {
 	names := n.opt.Members.ReplicasOf(job, task)
 	for _, m := range n.opt.Members.List {
@@ -339,7 +338,7 @@
 	return names
 }
 
-// open reads a blob from the first replica that has it, the own one before all others.
+// openBlob opens a blob on the first replica that has it, trying this one before all others.
 func (n *Node) openBlob(ctx context.Context, names []string, tenant string, d blob.Digest, offset int64) (io.ReadCloser, error) {
 	r, err := n.blobs.Open(tenant, d, offset)
 	if err == nil {
@@ -355,7 +354,7 @@
 			errs = append(errs, err)
 		}
 	}
-	for _, err := range errs { // a replica that answered says more than one that did not
+	for _, err := range errs { // a definite answer tells more than a failed call
 		if errors.Is(err, blob.ErrNotFound) {
 			return nil, err
 		}
--- a/internal/artifactreplication/retain.go
+++ b/internal/artifactreplication/retention.go
@@ -12,15 +12,15 @@
 	"topazhollow/internal/artifactstore"
 )
 
-// Retention says how long attempts are kept after their end: so many days, or what an
-// operators' script says of each class. The script defines
+// Retention decides how long attempts are kept after their end: a fixed number of days, or the result of an
+// operator's Starlark script. The script defines
 //
 //	def keep_days(cls, team, completed, partial, mb):
 //
-// and gives a number of days; 0 is for ever. It can load nothing and reach nothing
-// outside itself, and each answer is bounded in steps.
+// and returns a number of days; 0 is for ever. It can't load modules or access anything outside itself, and the steps
+// of each call are limited.
 type Retention struct {
-	Days     float64 // without a script, and where it fails; 0: for ever
+	Days     float64 // used without a script and when the script fails; 0: for ever
 	mu       sync.Mutex
 	keepDays starlark.Callable
 }
@@ -31,7 +31,8 @@
 	maxKeepDays    = 36500
 )
 
-// LoadRetention reads and tries a script; no path means days for all.
+// LoadRetention loads a script and calls it once for each kind of attempt to validate it. Without a path, days
+// applies to all attempts.
 func LoadRetention(path string, days float64) (*Retention, error) {
 	r := &Retention{Days: days}
 	if path == "" {
@@ -42,7 +43,7 @@
 		return nil, err
 	}
 	if len(src) > maxScriptBytes {
-		return nil, fmt.Errorf("%s: longer than %d bytes", path, maxScriptBytes)
+		return nil, fmt.Errorf("%s: larger than %d bytes", path, maxScriptBytes)
 	}
 	thread := &starlark.Thread{Name: path}
 	thread.SetMaxExecutionSteps(maxScriptSteps)
@@ -64,7 +65,7 @@
 	return r, nil
 }
 
-// days asks the script.
+// days returns how long to keep an attempt.
 func (r *Retention) days(m *artifactstore.Manifest) (float64, error) {
 	if r.keepDays == nil {
 		return r.Days, nil
@@ -89,8 +90,8 @@
 	return days, nil
 }
 
-// IsExpired says of an attempt that has ended whether it need not be kept any more. A script
-// that fails on one leaves it to Days.
+// IsExpired returns a function that reports whether an ended attempt need not be kept any more. Days applies if the
+// script fails.
 func (r *Retention) IsExpired(now time.Time) func(*artifactstore.Manifest) bool {
 	return func(m *artifactstore.Manifest) bool {
 		if r == nil {
--- a/internal/artifactreplication/revoked.go
+++ b/internal/artifactreplication/revoked.go
@@ -13,9 +13,9 @@
 	"topazhollow/internal/artifactstore"
 )
 
-// RevocationList is the list of tokens that are refused before their time is over, in a file
-// that is read again when it changes: a line each, "write JOB/TASK/ATTEMPT", or
-// "write JOB/TASK", "write JOB", "read JOB" for all of them below; # begins a comment.
+// RevocationList is a list of tokens that are refused before they expire. It is loaded from a file, and again when
+// the file changes. Each line is "write JOB/TASK/ATTEMPT", or one of "write JOB/TASK", "write JOB" and "read JOB" for
+// all tokens below; # begins a comment.
 type RevocationList struct {
 	path     string
 	mu       sync.Mutex
@@ -24,10 +24,10 @@
 	revoked  map[string]bool
 }
 
-// maxRevoked bounds the file, in bytes.
+// maxRevocationListBytes is the maximum size of the file.
 const maxRevocationListBytes = 16 << 20
 
-// LoadRevoked reads a list; no path means none.
+// LoadRevoked loads a list; without a path it returns nil, which revokes nothing.
 func LoadRevoked(path string) (*RevocationList, error) {
 	if path == "" {
 		return nil, nil
@@ -42,7 +42,7 @@
 		return err
 	}
 	if info.Size() > maxRevocationListBytes {
-		return fmt.Errorf("%s: longer than %d bytes", r.path, maxRevocationListBytes)
+		return fmt.Errorf("%s: larger than %d bytes", r.path, maxRevocationListBytes)
 	}
 	b, err := os.ReadFile(r.path)
 	if err != nil {
@@ -57,7 +57,7 @@
 			continue
 		}
 		if len(words) != 2 || (words[0] != "write" && words[0] != "read") || !isTarget(words[1], words[0] == "read") {
-			return fmt.Errorf("%s: line %d: write JOB[/TASK[/ATTEMPT]] or read JOB is expected", r.path, n)
+			return fmt.Errorf("%s: line %d: expected write JOB[/TASK[/ATTEMPT]] or read JOB", r.path, n)
 		}
 		lines[words[0]+" "+words[1]] = true
 	}
@@ -65,19 +65,19 @@
 	return in.Err()
 }
 
-// names says whether a text names a job, or what is below it.
-func isTarget(text string, job bool) bool {
+// isTarget reports whether a text is JOB, JOB/TASK or JOB/TASK/ATTEMPT, or only JOB if jobOnly is set.
+func isTarget(text string, jobOnly bool) bool {
 	parts := strings.Split(text, "/")
 	for _, p := range parts[1:] {
 		if _, err := strconv.ParseUint(p, 10, 64); err != nil {
 			return false
 		}
 	}
-	return parts[0] != "" && len(parts) <= 3 && (!job || len(parts) == 1)
+	return parts[0] != "" && len(parts) <= 3 && (!jobOnly || len(parts) == 1)
 }
 
-// has says whether what a token stands for was revoked. A file that can't be read any
-// more leaves the last list in force.
+// isRevoked reports whether a grant was revoked. It reloads a changed file at most once a second; if that fails, the
+// previous list stays in force.
 func (r *RevocationList) isRevoked(g *artifactstore.Grant) bool {
 	if r == nil || (g.Right != artifactstore.Write && g.Right != artifactstore.Read) {
 		return false
--- a/internal/artifactreplication/serve.go
+++ b/internal/artifactreplication/serve.go
@@ -14,22 +14,22 @@
 	"topazhollow/internal/wal"
 )
 
-// Server answers for a node over HTTP. Everything but /healthz needs a token in the
-// Authorization header, as "Bearer TOKEN".
+// Server serves a node over HTTP. Everything but /healthz requires a token in the Authorization header, as "Bearer
+// TOKEN".
 type Server struct {
 	Node *Node
-	// Follow bounds how long a reader may follow at a time; 1 h if 0.
+	// MaxFollow is the maximum duration of one follow request; 1 h if 0.
 	MaxFollow time.Duration
 }
 
-// Bounds of a request's body, in bytes.
+// Maximum sizes of request bodies.
 const (
-	maxBodyBytes     = 4 << 20  // some records, or a piece of a blob
-	maxPeerCallBytes = 32 << 20 // what one replica sends another
-	maxPeerBlobBytes = 1 << 40  // a blob that one replica sends another
+	maxBodyBytes     = 4 << 20  // a batch of records, or a piece of a blob
+	maxPeerCallBytes = 32 << 20 // a call from another replica
+	maxPeerBlobBytes = 1 << 40  // a blob from another replica
 )
 
-// status maps errors to HTTP.
+// httpStatus returns the code, HTTP status and Retry-After for an error.
 func httpStatus(err error) (code string, status int, retry time.Duration) {
 	var gap *artifactstore.GapError
 	var full *blob.FullError
@@ -53,7 +53,7 @@
 	return "", http.StatusInternalServerError, time.Second
 }
 
-// Handler is the replica's interface as docs/replica.md lists it.
+// Handler returns the HTTP interface of the replica, which docs/keeper.md describes.
 func (s *Server) Handler() http.Handler {
 	if s.MaxFollow <= 0 {
 		s.MaxFollow = time.Hour
@@ -67,7 +67,7 @@
 	return mux
 }
 
-// routeOperators adds what operators ask.
+// routeOperators adds the routes for operators.
 func (s *Server) routeOperators(mux *http.ServeMux) {
 	s.handleRight(mux, "GET /status", 0, artifactstore.Operate, func(w http.ResponseWriter, _ *http.Request) error {
 		writeJSON(w, 200, s.Node.Status())
@@ -79,10 +79,10 @@
 	})
 }
 
-// handle adds a route for requests with a token and a body of at most so many bytes.
-func (s *Server) handle(mux *http.ServeMux, pattern string, most int64, f func(w http.ResponseWriter, r *http.Request, g *artifactstore.Grant) error) {
+// handle adds a route for authenticated requests whose body has at most maxBytes bytes.
+func (s *Server) handle(mux *http.ServeMux, pattern string, maxBytes int64, f func(w http.ResponseWriter, r *http.Request, g *artifactstore.Grant) error) {
 	mux.HandleFunc(pattern, func(w http.ResponseWriter, r *http.Request) {
-		r.Body = http.MaxBytesReader(w, r.Body, most)
+		r.Body = http.MaxBytesReader(w, r.Body, maxBytes)
 		g, err := s.authenticate(r)
 		if err == nil {
 			err = f(w, r, g)
@@ -91,11 +91,11 @@
 	})
 }
 
-// handleRight adds a route for requests whose token has a right.
-func (s *Server) handleRight(mux *http.ServeMux, pattern string, most int64, right artifactstore.Right, f func(w http.ResponseWriter, r *http.Request) error) {
-	s.handle(mux, pattern, most, func(w http.ResponseWriter, r *http.Request, g *artifactstore.Grant) error {
+// handleRight adds a route for requests whose token grants the given right.
+func (s *Server) handleRight(mux *http.ServeMux, pattern string, maxBytes int64, right artifactstore.Right, f func(w http.ResponseWriter, r *http.Request) error) {
+	s.handle(mux, pattern, maxBytes, func(w http.ResponseWriter, r *http.Request, g *artifactstore.Grant) error {
 		if g.Right != right {
-			return fmt.Errorf("%w: not for that", artifactstore.ErrToken)
+			return fmt.Errorf("%w: not a %s token", artifactstore.ErrToken, right)
 		}
 		return f(w, r)
 	})
@@ -104,11 +104,11 @@
 func (s *Server) authenticate(r *http.Request) (*artifactstore.Grant, error) {
 	token, ok := strings.CutPrefix(r.Header.Get("Authorization"), "Bearer ")
 	if !ok {
-		return nil, fmt.Errorf("%w: none was given", artifactstore.ErrToken)
+		return nil, fmt.Errorf("%w: missing bearer token", artifactstore.ErrToken)
 	}
 	g, err := artifactstore.ParseToken(s.Node.opt.Key, token, s.Node.opt.Now())
 	if err == nil && s.Node.opt.Revoked.isRevoked(g) {
-		return nil, fmt.Errorf("%w: it was revoked", artifactstore.ErrToken)
+		return nil, fmt.Errorf("%w: revoked", artifactstore.ErrToken)
 	}
 	return g, err
 }
@@ -116,7 +116,7 @@
 func writeJSON(w http.ResponseWriter, code int, a any) {
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(code)
-	_ = json.NewEncoder(w).Encode(a) // the caller is gone if this fails
+	_ = json.NewEncoder(w).Encode(a) // fails only if the client has disconnected
 }
 
 func (s *Server) writeError(w http.ResponseWriter, r *http.Request, err error) {
--- a/internal/artifactreplication/serve_agents.go
+++ b/internal/artifactreplication/serve_agents.go
@@ -10,7 +10,7 @@
 	"topazhollow/internal/blob"
 )
 
-// routeAgents adds what agents send of their attempts.
+// routeAgents adds the routes by which agents write the output of their attempts.
 func (s *Server) routeAgents(mux *http.ServeMux) {
 	route := func(pattern string, f func(w http.ResponseWriter, r *http.Request, c artifactstore.Claim) error) {
 		s.handle(mux, pattern, maxBodyBytes, func(w http.ResponseWriter, r *http.Request, g *artifactstore.Grant) error {
@@ -29,7 +29,7 @@
 	route("POST /uploads/{id}", s.uploadPiece)
 }
 
-// beginAttempt opens an agent's attempt.
+// beginAttempt begins an attempt.
 func (s *Server) beginAttempt(w http.ResponseWriter, r *http.Request, c artifactstore.Claim) error {
 	if err := s.Node.Begin(r.Context(), c); err != nil {
 		return err
@@ -38,7 +38,7 @@
 	return nil
 }
 
-// attach names a blob as a file of an attempt.
+// attach adds an uploaded blob as a file of an attempt.
 func (s *Server) attach(w http.ResponseWriter, r *http.Request, c artifactstore.Claim) error {
 	d, err := blob.Parse(r.URL.Query().Get("blob"))
 	if err != nil {
@@ -51,7 +51,7 @@
 	return nil
 }
 
-// seal ends an attempt.
+// seal ends an attempt with its agent's report.
 func (s *Server) seal(w http.ResponseWriter, r *http.Request, c artifactstore.Claim) error {
 	var end artifactstore.End
 	if err := decodeBody(r, &end); err != nil {
--- a/internal/artifactreplication/serve_peers.go
+++ b/internal/artifactreplication/serve_peers.go
@@ -11,7 +11,7 @@
 	"topazhollow/internal/blob"
 )
 
-// routePeers adds what replicas send each other.
+// routePeers adds the routes for calls between replicas.
 func (s *Server) routePeers(mux *http.ServeMux) {
 	s.handleRight(mux, "POST /peer/call", maxPeerCallBytes, artifactstore.Peer, s.peerCall)
 	s.handleRight(mux, "GET /peer/records", 0, artifactstore.Peer, s.peerRecords)
@@ -19,7 +19,7 @@
 	s.handleRight(mux, "PUT /peer/blob", maxPeerBlobBytes, artifactstore.Peer, s.putPeerBlob)
 }
 
-// peerBlob hands a blob to another replica.
+// peerBlob sends a blob to another replica.
 func (s *Server) peerBlob(w http.ResponseWriter, r *http.Request) error {
 	d, err := blob.Parse(r.URL.Query().Get("blob"))
 	if err != nil {
@@ -32,7 +32,7 @@
 	var content *blob.Reader
 	if tenant := r.URL.Query().Get("tenant"); tenant != "" {
 		content, err = s.Node.blobs.Open(tenant, d, int64(offset))
-	} else { // to repair what went bad
+	} else { // to repair a corrupt copy, whose tenant the caller does not know
 		content, err = s.Node.blobs.OpenAny(d, int64(offset))
 	}
 	if err != nil {
@@ -40,11 +40,11 @@
 	}
 	defer content.Close()
 	w.Header().Set("Content-Length", strconv.FormatInt(d.Size-int64(offset), 10))
-	_, _ = io.Copy(w, content) // the length tells a reader that it was cut short
+	_, _ = io.Copy(w, content) // the client detects a truncated body by its Content-Length
 	return nil
 }
 
-// takePeerBlob takes a blob from another replica.
+// putPeerBlob stores a blob sent by another replica.
 func (s *Server) putPeerBlob(w http.ResponseWriter, r *http.Request) error {
 	d, err := blob.Parse(r.URL.Query().Get("blob"))
 	if err != nil {
@@ -57,14 +57,14 @@
 	return nil
 }
 
-// peerCall answers another replica, if both go by the same list of replicas.
+// peerCall performs an operation for another replica. Except for the status, both must use the same list of members.
 func (s *Server) peerCall(w http.ResponseWriter, r *http.Request) error {
 	var c peerRequest
 	if err := decodeBody(r, &c); err != nil {
 		return err
 	}
-	if mine := s.Node.opt.Members.digest(); c.Identity != mine && c.Op != "status" {
-		return fmt.Errorf("%w: %s, not %.40q", ErrEpoch, mine, c.Identity)
+	if ours := s.Node.opt.Members.digest(); c.Identity != ours && c.Op != "status" {
+		return fmt.Errorf("%w: it has %s, the caller %.40q", ErrEpoch, ours, c.Identity)
 	}
 	a, err := s.Node.serve(r.Context(), &c)
 	if err != nil {
@@ -74,13 +74,13 @@
 	return nil
 }
 
-// peerRecords hands records to another replica, a JSON line each, and at the end a line
-// that says whether more can come.
+// peerRecords sends records to another replica, one JSON line each, and a last line that tells whether the attempt
+// has ended.
 func (s *Server) peerRecords(w http.ResponseWriter, r *http.Request) error {
 	q := r.URL.Query()
 	task, err := strconv.Atoi(q.Get("task"))
 	if err != nil {
-		return fmt.Errorf("%w: task", errMalformedRequest)
+		return fmt.Errorf("%w: invalid task number", errMalformedRequest)
 	}
 	attempt, err := queryNumber(r, "attempt")
 	if err != nil {
@@ -103,7 +103,7 @@
 		})
 		if err != nil {
 			if sent || r.Context().Err() != nil {
-				return nil // the missing last line tells
+				return nil // the client detects the error by the missing last line
 			}
 			return err
 		}
--- a/internal/artifactreplication/serve_readers.go
+++ b/internal/artifactreplication/serve_readers.go
@@ -14,7 +14,7 @@
 	"topazhollow/internal/protocol"
 )
 
-// routeReaders adds what may be read of a job or one of its tasks.
+// routeReaders adds the routes for reading the output of a job or a task.
 func (s *Server) routeReaders(mux *http.ServeMux) {
 	route := func(pattern string, f func(w http.ResponseWriter, r *http.Request, job string, task int) error) {
 		s.handle(mux, pattern, 0, func(w http.ResponseWriter, r *http.Request, g *artifactstore.Grant) error {
@@ -32,8 +32,8 @@
 	route("GET /files/{job}/{task}/{path...}", s.file)
 }
 
-// readTarget is the job and the task that a request names, -1 for all its tasks, if the token
-// is for it.
+// readTarget returns the job and the task that a request names, -1 for all tasks of the job, if the token allows
+// reading them.
 func readTarget(r *http.Request, g *artifactstore.Grant) (job string, task int, err error) {
 	job, task = r.PathValue("job"), -1
 	if text := r.PathValue("task"); text != "" {
@@ -45,7 +45,7 @@
 		return "", 0, fmt.Errorf("%w: job %.40q", artifactstore.ErrName, job)
 	}
 	if !g.Allows(job, task) {
-		return "", 0, fmt.Errorf("%w: not for task %d of %.40q", artifactstore.ErrToken, task, job)
+		return "", 0, fmt.Errorf("%w: not valid for task %d of job %.40q", artifactstore.ErrToken, task, job)
 	}
 	return job, task, nil
 }
@@ -70,8 +70,8 @@
 	return nil
 }
 
-// endOf finds the end of the attempt that a request asks for, the latest if it names none, and
-// its state.
+// endOf returns the manifest and state of the attempt that a request selects; without a number the task's result, or
+// the latest attempt if there is none.
 func (s *Server) endOf(r *http.Request, job string, task int) (*artifactstore.Manifest, string, error) {
 	attempt, err := queryNumber(r, "attempt")
 	if err != nil {
@@ -80,7 +80,7 @@
 	return s.Node.Manifest(r.Context(), job, task, attempt)
 }
 
-// manifest shows the end of a task's attempt.
+// manifest responds with the manifest of an attempt.
 func (s *Server) manifest(w http.ResponseWriter, r *http.Request, job string, task int) error {
 	m, state, err := s.endOf(r, job, task)
 	if err != nil {
@@ -90,7 +90,7 @@
 	return nil
 }
 
-// logs answers with a stream's records, a JSON line each.
+// logs responds with a stream's records, one JSON line each.
 func (s *Server) logs(w http.ResponseWriter, r *http.Request, job string, task int) error {
 	attempt, err := queryNumber(r, "attempt")
 	if err != nil {
@@ -121,7 +121,7 @@
 	defer cancel()
 	w.Header().Set("Content-Type", "application/x-ndjson")
 	enc, flush := json.NewEncoder(w), http.NewResponseController(w)
-	var told time.Time
+	var lastFlush time.Time
 	next, state, err := s.Node.Read(ctx, m.Attempt, name, from, r.URL.Query().Get("follow") == "1", func(n uint64, rec artifactstore.Record) error {
 		if rec.At.Before(since) {
 			return nil
@@ -129,23 +129,22 @@
 		if err := enc.Encode(&artifactstore.Line{Number: n, Record: &rec}); err != nil {
 			return err
 		}
-		if now := time.Now(); now.Sub(told) > 50*time.Millisecond { // a follower sees it soon, a long log is not sent line by line
-			told = now
+		if now := time.Now(); now.Sub(lastFlush) > 50*time.Millisecond { // keeps the delay of followers short without a flush for every line of a long log
+			lastFlush = now
 			return flush.Flush()
 		}
 		return nil
 	})
 	if err != nil {
-		// Output went out already: the missing last line tells that it is not whole.
-		s.Node.opt.Log.Warn("log not read", "job", job, "task", task, "attempt", m.Number, "err", err)
+		// Some output may have been sent already. The client detects the error by the missing last line.
+		s.Node.opt.Log.Warn("reading log failed", "job", job, "task", task, "attempt", m.Number, "err", err)
 		return nil
 	}
 	_ = enc.Encode(&artifactstore.Line{Number: next, State: state, Attempt: m.Number})
 	return nil
 }
 
-// file answers with a file of an attempt that has ended, with what kind of attempt it is
-// in headers.
+// file responds with a file of an attempt that has ended; headers describe the attempt.
 func (s *Server) file(w http.ResponseWriter, r *http.Request, job string, task int) error {
 	m, state, err := s.endOf(r, job, task)
 	if err != nil {
@@ -173,8 +172,8 @@
 		w.Header().Set("Digest", d.String())
 		w.Header().Set("Attempt", strconv.FormatUint(m.Number, 10))
 		w.Header().Set("State", state)
-		_, _ = io.Copy(w, content) // the length tells a reader that it was cut short
+		_, _ = io.Copy(w, content) // the client detects a truncated body by its Content-Length
 		return nil
 	}
-	return fmt.Errorf("%w: no file %.100q", artifactstore.ErrUnknown, r.PathValue("path"))
+	return fmt.Errorf("%w: file %.100q does not exist", artifactstore.ErrUnknown, r.PathValue("path"))
 }
--- a/internal/artifactreplication/status.go
+++ b/internal/artifactreplication/status.go
@@ -16,7 +16,7 @@
 	"topazhollow/internal/artifactstore"
 )
 
-// Status is what a replica says of itself.
+// Status is the status that a replica reports.
 type Status struct {
 	Name                string            `json:"name"`
 	Zone                string            `json:"zone"`
@@ -27,20 +27,20 @@
 	Open                int               `json:"open_attempts"`
 	Bytes               int64             `json:"bytes"`
 	Blobs               int               `json:"blobs"`
-	PendingRepairs      int               `json:"repair_left"`    // tasks of which something is missing here
-	OldestRepairSeconds float64           `json:"repair_oldest"`  // seconds since the first of them was noticed
-	RepairedTasks       int               `json:"repaired"`       // tasks, since the start
-	RepairedBytes       int64             `json:"repaired_bytes"` // since the start
+	PendingRepairs      int               `json:"repair_left"`    // tasks of which this replica lacks something
+	OldestRepairSeconds float64           `json:"repair_oldest"`  // seconds since the oldest of them was noticed
+	RepairedTasks       int               `json:"repaired"`       // tasks repaired since the start
+	RepairedBytes       int64             `json:"repaired_bytes"` // bytes transferred by repair since the start
 	UnderReplicated     int               `json:"replicas_short"` // attempts and results that another replica lacks
-	Misplaced           int               `json:"to_hand_over"`   // tasks
-	Unreachable         map[string]string `json:"away,omitempty"` // replicas that could not be asked, and why
+	Misplaced           int               `json:"to_hand_over"`   // tasks that this replica no longer belongs to
+	Unreachable         map[string]string `json:"away,omitempty"` // errors of the replicas that could not be compared with, by name
 	Refused             map[string]int64  `json:"refused,omitempty"`
 }
 
-// Joining is the state of a replica that does not have all yet that it should.
+// Joining is the state of a serving replica that does not have all its data yet.
 const Joining State = "joining"
 
-// Status tells how this replica is.
+// Status returns the status of this replica.
 func (n *Node) Status() *Status {
 	st := n.blobs.Stats()
 	s := &Status{Name: n.opt.Name, Epoch: n.opt.Members.Epoch, Open: n.store.OpenCount(), Bytes: st.Bytes, Blobs: st.Blobs, Refused: n.metrics.refusalsByReason()}
@@ -63,7 +63,7 @@
 	return s
 }
 
-// AskStatus asks a replica how it is.
+// AskStatus requests the status of a replica.
 func AskStatus(ctx context.Context, client *http.Client, url string, key []byte) (*Status, error) {
 	req, err := http.NewRequestWithContext(ctx, "GET", strings.TrimSuffix(url, "/")+"/status", nil)
 	if err != nil {
@@ -82,7 +82,7 @@
 	return st, json.NewDecoder(resp.Body).Decode(st)
 }
 
-// meters are a replica's metrics.
+// metrics are a replica's Prometheus metrics.
 type metrics struct {
 	handler       http.Handler
 	records       prometheus.Counter
@@ -92,7 +92,7 @@
 	appends       prometheus.Histogram
 	refusals      *prometheus.CounterVec
 	mu            sync.Mutex
-	refusalCounts map[string]int64 // the same for Status
+	refusalCounts map[string]int64 // refusals by reason, for Status
 }
 
 func newMetrics(n *Node) *metrics {
@@ -138,8 +138,8 @@
 
 func (m *metrics) uploaded(bytes int64) { m.uploads.Add(float64(bytes)) }
 
-// refused counts a refusal. What a reader or agent did wrong in its own words counts
-// by its status alone.
+// refused counts a refused request by its error code. Errors without a code are counted as "request" or "internal",
+// by their HTTP status.
 func (m *metrics) refused(code string, status int) {
 	if code == "" {
 		code = "internal"
--- a/internal/artifactreplication/streams.go
+++ b/internal/artifactreplication/streams.go
@@ -14,8 +14,7 @@
 	"topazhollow/internal/wait"
 )
 
-// Begin opens an attempt for its machine and session. Repeated by the same it has no
-// effect.
+// Begin opens an attempt for a machine and session. Repeating it with the same claim has no effect.
 func (n *Node) Begin(ctx context.Context, c artifactstore.Claim) error {
 	_, err := n.writeToQuorum(ctx, c.Attempt, func(ctx context.Context, _ string, r replica) (*peerResponse, error) {
 		return r.do(ctx, &peerRequest{Op: "begin", Claim: c})
@@ -23,8 +22,8 @@
 	return err
 }
 
-// Append adds records to a stream, the first of them under a number. next is the number
-// of the record wanted next; all before it are durable on enough replicas.
+// Append adds records to a stream; first is the number of the first of them. next is the number of the next record
+// expected; all records before it are durable on enough replicas.
 func (n *Node) Append(ctx context.Context, c artifactstore.Claim, stream string, first uint64, records []artifactstore.Record) (next uint64, err error) {
 	begun := n.opt.Now()
 	got, err := n.writeToQuorum(ctx, c.Attempt, func(ctx context.Context, name string, r replica) (*peerResponse, error) {
@@ -50,8 +49,7 @@
 	return slices.Min(nexts), nil
 }
 
-// fill brings a replica the records of a stream that it missed, from another that has
-// them.
+// fillGap copies the records of a stream that a replica has missed to it from the other replicas.
 func (n *Node) fillGap(ctx context.Context, c artifactstore.Claim, stream string, from, to uint64, name string, r replica) bool {
 	for _, other := range n.opt.Members.ReplicasOf(c.Job, c.Task) {
 		p := n.peers[other]
@@ -65,14 +63,14 @@
 	return from >= to
 }
 
-// atOnce bounds the records that go from one replica to another in one call.
+// Maximum size of a batch of records copied between replicas in one call.
 const (
 	maxBatchRecords = 500
 	maxBatchBytes   = 1 << 20
 )
 
-// copyRecords brings records from one replica to another, up to a number, or all if it
-// is 0, and gives the number of the next.
+// copyRecords copies records of a stream from one replica to another, up to number to, or all if to is 0. It returns
+// the number of the next record.
 func (n *Node) copyRecords(ctx context.Context, c artifactstore.Claim, stream string, from, to uint64, src, dst replica) (uint64, error) {
 	var batch []artifactstore.Record
 	size := 0
@@ -100,12 +98,12 @@
 	return from, errors.Join(err, send())
 }
 
-// Attach adds a file, whose content one of the replicas has from the same tenant. A path
-// that was attached before gets the new content.
+// Attach adds a file whose content one of the replicas holds for the same tenant. If the path is attached already,
+// its content is replaced.
 func (n *Node) Attach(ctx context.Context, c artifactstore.Claim, path string, d blob.Digest) error {
 	_, err := n.writeToQuorum(ctx, c.Attempt, func(ctx context.Context, name string, r replica) (*peerResponse, error) {
-		ask := &peerRequest{Op: "attach", Claim: c, Path: path, Digest: d.String()}
-		a, err := r.do(ctx, ask)
+		attach := &peerRequest{Op: "attach", Claim: c, Path: path, Digest: d.String()}
+		a, err := r.do(ctx, attach)
 		if !errors.Is(err, blob.ErrNotFound) && !errors.Is(err, blob.ErrTenant) {
 			return a, err
 		}
@@ -117,27 +115,25 @@
 		if err := r.put(ctx, c.Tenant, d, content); err != nil {
 			return nil, err
 		}
-		return r.do(ctx, ask)
+		return r.do(ctx, attach)
 	})
 	return err
 }
 
-// repairTurn is for how long a follower stays with one replica before it looks whether another
-// has more.
+// followTurn is how long a follower reads from one replica before it checks whether another has more records.
 const followTurn = 5 * time.Second
 
-// Read hands over the records of an attempt's stream from a number on, and gives the
-// number of the next and the attempt's state. A follower is served for as long as the
-// attempt goes on and the context allows. A replica that fails meanwhile is replaced by
-// another.
+// Read calls each for the records of a stream, beginning with number from, and returns the number of the next record
+// and the attempt's state. If follow is set, it waits for more records until the attempt or the context ends. If a
+// replica fails, it continues with another.
 func (n *Node) Read(ctx context.Context, at artifactstore.Attempt, stream string, from uint64, follow bool, each func(uint64, artifactstore.Record) error) (next uint64, state string, err error) {
 	next = from
-	var broken error // each's own
+	var eachErr error // error returned by each
 	pass := func(r artifactstore.Record) error {
-		if broken = each(next, r); broken == nil {
+		if eachErr = each(next, r); eachErr == nil {
 			next++
 		}
-		return broken
+		return eachErr
 	}
 	failures := 0
 	for {
@@ -149,7 +145,7 @@
 		names := n.sources(at.Job, at.Task)
 		rank := func(name string) uint64 { return m.nextRecord[stream][name] }
 		slices.SortStableFunc(names, func(a, b string) int { return cmp.Compare(rank(b), rank(a)) })
-		want := uint64(0) // records that must come before this is whole
+		want := uint64(0) // number of records that the reader must receive
 		if m.Ended != "" {
 			man, err := n.readManifest(ctx, m)
 			if err != nil {
@@ -170,17 +166,17 @@
 			if p == nil || (next >= want && !following) {
 				continue
 			}
-			slice, cancel := ctx, context.CancelFunc(func() {})
+			turn, cancel := ctx, context.CancelFunc(func() {})
 			if following {
-				slice, cancel = context.WithTimeout(ctx, followTurn)
+				turn, cancel = context.WithTimeout(ctx, followTurn)
 			}
-			_, _, last = p.read(slice, m.Attempt, stream, next, following, pass)
-			over := slice.Err() != nil
+			_, _, last = p.read(turn, m.Attempt, stream, next, following, pass)
+			turnOver := turn.Err() != nil
 			cancel()
-			if broken != nil {
-				return next, "", broken
+			if eachErr != nil {
+				return next, "", eachErr
 			}
-			if over || (last == nil && (following || next >= want)) {
+			if turnOver || (last == nil && (following || next >= want)) {
 				last = nil
 				break
 			}
@@ -191,13 +187,13 @@
 		case last == nil && !following && next >= want:
 			return next, state, nil
 		case last == nil && !following:
-			last = fmt.Errorf("%w: %d of %d records", artifactstore.ErrIncomplete, next, want)
+			last = fmt.Errorf("%w: only %d of %d records could be read", artifactstore.ErrIncomplete, next, want)
 		}
 		if last != nil {
 			if failures++; failures > 3 {
 				return next, "", last
 			}
-			wait.For(ctx, rand.N(100*time.Millisecond<<failures)) // the next try sees whether the context ended
+			wait.For(ctx, rand.N(100*time.Millisecond<<failures)) // the next iteration checks the context
 		}
 	}
 }
--- a/internal/artifactreplication/known.go
+++ b/internal/artifactreplication/taskstate.go
@@ -11,22 +11,22 @@
 	"topazhollow/internal/blob"
 )
 
-// view is what all replicas together know of a task.
+// taskState is the merged state of a task over its replicas.
 type taskState struct {
 	attempts  []mergedAttempt
 	result    *artifactstore.Result
-	hasQuorum bool // a majority answered
+	hasQuorum bool // a majority of the replicas answered
 }
 
-// merged is an attempt as several replicas have it.
+// mergedAttempt is the merged state of an attempt over several replicas.
 type mergedAttempt struct {
 	artifactstore.AttemptView
-	nextRecord map[string]map[string]uint64 // of open ones: by stream and replica
+	nextRecord map[string]map[string]uint64 // while the attempt is open: number of the next record, by stream and replica
 	voted      bool
 }
 
-// task asks a task's replicas what they have. What one of them accepted and nobody knows
-// to be decided is resolved first, so that what is told of stays true.
+// taskState merges what the replicas of a task have of it. A value that one replica accepted without knowing a
+// decision is resolved first, so that an answer given to a client stays true.
 func (n *Node) taskState(ctx context.Context, job string, task int) (_ *taskState, err error) {
 	at := artifactstore.Attempt{Job: job, Task: task}
 	names := n.opt.Members.ReplicasOf(job, task)
@@ -35,7 +35,7 @@
 			return r.do(ctx, &peerRequest{Op: "task", Attempt: at, Count: true})
 		})
 		v := &taskState{hasQuorum: len(got) >= majority(len(names))}
-		if !v.hasQuorum { // whoever is left, also one that is still joining
+		if !v.hasQuorum { // ask all others too, also replicas that are still joining
 			more, _ := n.callReplicas(ctx, n.sources(job, task), len(names)+len(n.peers), func(ctx context.Context, _ string, r replica) (*peerResponse, error) {
 				return r.do(ctx, &peerRequest{Op: "task", Attempt: at})
 			})
@@ -48,8 +48,8 @@
 			return v, nil
 		}
 		if len(voted) == 0 {
-			// Between an attempt's seal and the word whether it is the result nobody
-			// must be told that it is not.
+			// After an attempt was sealed and before its result is decided, no reader may be told that it is not the
+			// result.
 			if last := v.lastCompleted(); v.result == nil && last != nil {
 				if v.result, err = n.decideResult(ctx, last.Claim, last.Ended); err != nil {
 					v.hasQuorum = false
@@ -67,8 +67,8 @@
 	}
 }
 
-// merge puts together what replicas have, and lists the registers that may be decided
-// without one of them knowing.
+// merge merges the replicas' answers. It returns the registers in which a value was accepted but no replica knows a
+// decision.
 func (v *taskState) merge(got []reply) (voted []artifactstore.Attempt) {
 	by := map[uint64]*mergedAttempt{}
 	resultVoted := false
@@ -112,7 +112,7 @@
 	return voted
 }
 
-// completed is the last attempt that was sealed as completed.
+// lastCompleted returns the last attempt that was sealed as completed, or nil.
 func (v *taskState) lastCompleted() *mergedAttempt {
 	for i := len(v.attempts) - 1; i >= 0; i-- {
 		if m := &v.attempts[i]; m.Ended != "" && !m.Partial && m.Exit.Completed {
@@ -131,7 +131,7 @@
 	return nil
 }
 
-// state is what an attempt is, as artifactstore.Line has it.
+// attemptState returns the state of an attempt, as in artifactstore.Line.
 func (v *taskState) attemptState(m *mergedAttempt) string {
 	switch {
 	case v.result != nil && v.result.Number == m.Number:
@@ -146,8 +146,8 @@
 	return artifactstore.StateOpen
 }
 
-// Attempts lists a task's attempts in their order. sure says whether enough replicas
-// answered for all that was ever acknowledged to be in it.
+// Attempts lists a task's attempts, ordered by number. sure reports whether a majority answered, so that the list
+// holds every acknowledged attempt.
 func (n *Node) Attempts(ctx context.Context, job string, task int) (list []artifactstore.AttemptSummary, sure bool, err error) {
 	v, err := n.taskState(ctx, job, task)
 	if err != nil {
@@ -160,7 +160,8 @@
 	return list, v.hasQuorum, nil
 }
 
-// choose finds an attempt by number; for 0 the final one, else the latest.
+// findAttempt returns an attempt by number; number 0 selects the task's result, or the latest attempt if there is
+// none.
 func (n *Node) findAttempt(ctx context.Context, job string, task int, number uint64) (*taskState, *mergedAttempt, error) {
 	v, err := n.taskState(ctx, job, task)
 	if err != nil {
@@ -184,8 +185,8 @@
 	return nil, nil, artifactstore.ErrUnknown
 }
 
-// Manifest gives the manifest of an attempt that has ended, and its state; for number 0
-// the final one's, else the latest's.
+// Manifest returns the manifest and state of an attempt that has ended; number 0 selects the task's result, or the
+// latest attempt if there is none.
 func (n *Node) Manifest(ctx context.Context, job string, task int, number uint64) (*artifactstore.Manifest, string, error) {
 	v, m, err := n.findAttempt(ctx, job, task, number)
 	if err != nil {
@@ -210,7 +211,7 @@
 	return artifactstore.Verify(n.opt.Key, b)
 }
 
-// readWhole reads a blob of a task from whoever has it.
+// readBlob reads a blob of a task from any replica that has it and verifies it.
 func (n *Node) readBlob(ctx context.Context, job string, task int, tenant string, d blob.Digest) ([]byte, error) {
 	r, err := n.openBlob(ctx, n.sources(job, task), tenant, d, 0)
 	if err != nil {
@@ -224,8 +225,8 @@
 	return b, err
 }
 
-// Tasks lists the tasks of a job of which something is kept. sure says whether enough
-// replicas answered for none that was acknowledged to be missing.
+// Tasks lists the tasks of a job of which a replica has an attempt. sure reports whether enough replicas answered for
+// the list to hold every acknowledged task.
 func (n *Node) Tasks(ctx context.Context, job string) (list []int, sure bool, err error) {
 	names := slices.Sorted(maps.Keys(n.peers))
 	got, failed := n.callReplicas(ctx, names, len(names), func(ctx context.Context, _ string, r replica) (*peerResponse, error) {
