--- a/deploy/retention.star
+++ b/deploy/retention.star
@@ -1,9 +1,9 @@
-# How long a keeper keeps an attempt after its end, in days; 0 is for ever. It is
-# called with the job's class, the team, whether the attempt completed, whether it was
-# never sealed, and how many megabytes it put out.
+# Returns how many days an attempt is kept after its end; 0 is for ever. The arguments are the job's class, the
+# team, whether the attempt completed, whether it ended without a seal from its agent, and the size of its output
+# in megabytes.
 def keep_days(cls, team, completed, partial, mb):
     if partial:
-        return 7  # somebody asks within the week why it was cut off, or never
+        return 7  # a cut-off attempt is investigated within the week or never
     if mb > 1000:
         return 14
     return 30
--- a/internal/artifactreplication/bench_test.go
+++ b/internal/artifactreplication/bench_test.go
@@ -17,10 +17,10 @@
 	"topazhollow/internal/blob"
 )
 
-// benchGroup lets benchmarks use the tests' group of replicas.
-func benchGroup(b *testing.B, names ...string) *group {
+// newBenchCluster returns a testCluster for benchmarks.
+func newBenchCluster(b *testing.B, names ...string) *testCluster {
 	t := &testing.T{}
-	g := &group{t: t, dir: b.TempDir(), members: Members{Epoch: 1, Copies: len(names), Acks: majority(len(names))}, replicas: map[string]*testReplica{}}
+	g := &testCluster{t: t, dir: b.TempDir(), members: Members{Epoch: 1, Copies: len(names), Acks: majority(len(names))}, replicas: map[string]*testReplica{}}
 	for i, name := range names {
 		g.add(name, fmt.Sprint("zone ", i%2))
 	}
@@ -38,14 +38,13 @@
 	return g
 }
 
-// BenchmarkAppend sets appends of a record of 120 bytes, at one replica and at three of
-// which two must have it, beside a plain file with an fsync for each record and one with
-// none.
+// BenchmarkAppend measures appends of a record of 120 bytes to one replica, and to a quorum of two of three. For
+// comparison it writes to a plain file with and without an fsync per record.
 func BenchmarkAppend(b *testing.B) {
 	for _, names := range [][]string{{"a"}, {"a", "b", "c"}} {
 		for _, streams := range []int{1, 100, 1000} {
 			b.Run(fmt.Sprintf("keepers=%d/streams=%d", len(names), streams), func(b *testing.B) {
-				g := benchGroup(b, names...)
+				g := newBenchCluster(b, names...)
 				n := g.anyRunning()
 				for s := range streams {
 					if err := n.Begin(ctx, claim(1, s, 1)); err != nil {
@@ -102,15 +101,15 @@
 	}
 }
 
-// BenchmarkFetch sets reading a file of 64 MiB from a replica, over HTTP and verified,
-// beside a plain copy with a sha256.
+// BenchmarkFetch measures reading a file of 64 MiB from a replica over HTTP, with verification. For comparison it
+// copies a plain file with a SHA-256.
 func BenchmarkFetch(b *testing.B) {
 	const size = 64 << 20
 	content := make([]byte, size)
 	for i := range content {
 		content[i] = byte(i * i >> 7)
 	}
-	g := benchGroup(b, "a", "b", "c")
+	g := newBenchCluster(b, "a", "b", "c")
 	c := claim(1, 0, 1)
 	n := g.anyRunning()
 	if err := n.Begin(ctx, c); err != nil {
@@ -164,11 +163,11 @@
 	})
 }
 
-// BenchmarkRefill takes a replica's disk and measures until it has all again, and what
-// readers at the others wait meanwhile.
+// BenchmarkRefill deletes a replica's disk and measures the time until it is in sync again, and the latency of reads
+// at another replica in the meantime.
 func BenchmarkRefill(b *testing.B) {
 	const attempts = 2000
-	g := benchGroup(b, "a", "b", "c")
+	g := newBenchCluster(b, "a", "b", "c")
 	var wg sync.WaitGroup
 	for w := range 16 {
 		wg.Add(1)
@@ -226,8 +225,7 @@
 	}
 }
 
-// BenchmarkOpenStreams measures the memory of 10,000 open streams of ten records each, at
-// one replica.
+// BenchmarkOpenStreams measures the memory of 10,000 open streams of ten records each at one replica.
 func BenchmarkOpenStreams(b *testing.B) {
 	const streams = 10_000
 	for range b.N {
@@ -236,7 +234,7 @@
 		if err != nil {
 			b.Fatal(err)
 		}
-		k, err := artifactstore.Open(artifactstore.Options{Dir: filepath.Join(dir, "log"), Blobs: bl, Key: key})
+		store, err := artifactstore.Open(artifactstore.Options{Dir: filepath.Join(dir, "log"), Blobs: bl, Key: key})
 		if err != nil {
 			b.Fatal(err)
 		}
@@ -250,11 +248,11 @@
 				defer wg.Done()
 				for i := w; i < streams; i += 64 {
 					c := claim(1, i, 1)
-					if err := k.Begin(ctx, c); err != nil {
+					if err := store.Begin(ctx, c); err != nil {
 						b.Error(err)
 					}
 					for r := range 10 {
-						if _, err := k.Append(ctx, c, "stdout", uint64(r), lines(r, 1, "line")); err != nil {
+						if _, err := store.Append(ctx, c, "stdout", uint64(r), lines(r, 1, "line")); err != nil {
 							b.Error(err)
 						}
 					}
@@ -265,7 +263,7 @@
 		runtime.GC()
 		runtime.ReadMemStats(&after)
 		b.ReportMetric(float64(after.HeapAlloc-before.HeapAlloc)/streams, "B/stream")
-		k.Close()
+		store.Close()
 		bl.Close()
 	}
 }
--- a/internal/artifactreplication/config_test.go
+++ b/internal/artifactreplication/config_test.go
@@ -8,8 +8,8 @@
 	"testing"
 )
 
-// TestConfig: each unknown or impossible field is named, with what was expected, and
-// the file that comes with the project is good.
+// TestConfig checks that the error for an unknown or invalid field names it and says what is expected, that
+// deploy/keep.toml is valid, and that a printed configuration can be read again.
 func TestConfig(t *testing.T) {
 	dir := t.TempDir()
 	for text, want := range map[string]string{
@@ -40,12 +40,12 @@
 	if err != nil || !reflect.DeepEqual(c, want) {
 		t.Errorf("%+v, %v", c, err)
 	}
-	c.Policy = "" // lies elsewhere
-	path := filepath.Join(dir, "again.toml")
+	c.Policy = "" // the path is relative to another directory
+	path := filepath.Join(dir, "printed.toml")
 	if err := os.WriteFile(path, []byte(c.String()), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	if again, err := LoadConfig(path); err != nil || !reflect.DeepEqual(again, c) {
-		t.Errorf("printed and read again: %+v, %v", again, err)
+	if reread, err := LoadConfig(path); err != nil || !reflect.DeepEqual(reread, c) {
+		t.Errorf("printed and read again: %+v, %v", reread, err)
 	}
 }
--- a/internal/artifactreplication/golden_test.go
+++ b/internal/artifactreplication/golden_test.go
@@ -13,11 +13,11 @@
 	"topazhollow/internal/protocol"
 )
 
-// The golden files of what replicas tell each other and keep of themselves. Replicas of two versions run beside each other, so the forms
-// may only grow. Members and Member have no JSON names of their own, nor has what is summed up of an open attempt: there the names in Go
-// are the form.
+// The golden files fix the encodings of messages between replicas and of their local state. Replicas of two versions
+// run side by side, so the encodings may only be extended. Members, Member and the summary of an open attempt have no
+// JSON tags: there the names of the Go fields are part of the encoding.
 
-// goldenMembers has every field set.
+// goldenMembers returns a list with every field set.
 func goldenMembers() Members {
 	return Members{Epoch: 3, Copies: 3, Acks: 2, List: []Member{{Name: "a", Zone: "zone 0", URL: "http://10.0.0.1:7000", State: Serving}, {Name: "b", Zone: "zone 1", URL: "http://10.0.0.2:7000", State: Draining},
 		{Name: "c", Zone: "zone 1", URL: "http://10.0.0.3:7000", State: Gone}, {Name: "d", Zone: "zone 0", URL: "http://10.0.0.4:7000", State: Serving}}}
@@ -40,8 +40,8 @@
 	}
 }
 
-// TestGoldenPlaces: replicas of all versions must find the same places and buckets for a task.
-func TestGoldenPlaces(t *testing.T) {
+// TestGoldenPlacement checks that all versions compute the same replicas and bucket for a task.
+func TestGoldenPlacement(t *testing.T) {
 	members := goldenMembers()
 	var text []byte
 	for _, at := range []artifactstore.Attempt{{Job: "job-000412", Task: 3, Number: 2}, {Job: "job-000398", Number: 1}} {
@@ -54,8 +54,8 @@
 	goldentest.Bytes(t, "places.jsonl", text)
 }
 
-// TestGoldenSums: the names and sums by which replicas compare what they have.
-func TestGoldenSums(t *testing.T) {
+// TestGoldenChecksums fixes the names and sums by which replicas compare their data.
+func TestGoldenChecksums(t *testing.T) {
 	n, _ := newSingleReplica(t, t.TempDir(), nil)
 	c := claim(1, 0, 1)
 	if err := n.Begin(ctx, c); err != nil {
@@ -104,7 +104,7 @@
 	}
 }
 
-// TestGoldenCodes: the names of errors, with the status and the pause that go with each.
+// TestGoldenCodes fixes the error codes with their HTTP status and Retry-After.
 func TestGoldenCodes(t *testing.T) {
 	var text []byte
 	for _, c := range errorCodes {
--- a/internal/artifactreplication/group_test.go
+++ b/internal/artifactreplication/group_test.go
@@ -22,27 +22,27 @@
 	"topazhollow/internal/blob"
 )
 
-// group is several replicas on loopback, of which each can be away, come back with its
-// disk or without.
-type group struct {
+// testCluster is several replicas on loopback. Each can be disconnected, stopped, and restarted with or without its
+// disk.
+type testCluster struct {
 	t        *testing.T
 	dir      string
 	members  Members
 	replicas map[string]*testReplica
 }
 
-// one is a replica of a group. Its address outlives it.
+// testReplica is a replica of a testCluster. Its address stays the same across restarts.
 type testReplica struct {
 	*Node
 	store       *artifactstore.Store
 	blobs       *blob.Store
 	srv         *httptest.Server
-	handler     atomic.Pointer[http.Handler] // nil: away
-	callsToDrop atomic.Int64                 // calls that are still to be held up, and then lost
+	handler     atomic.Pointer[http.Handler] // nil while disconnected
+	callsToDrop atomic.Int64                 // number of calls still to be dropped
 }
 
-func newGroup(t *testing.T, names ...string) *group {
-	g := &group{t: t, dir: t.TempDir(), members: Members{Epoch: 1, Copies: min(3, len(names)), Acks: majority(min(3, len(names)))}, replicas: map[string]*testReplica{}}
+func newTestCluster(t *testing.T, names ...string) *testCluster {
+	g := &testCluster{t: t, dir: t.TempDir(), members: Members{Epoch: 1, Copies: min(3, len(names)), Acks: majority(min(3, len(names)))}, replicas: map[string]*testReplica{}}
 	for i, name := range names {
 		g.add(name, fmt.Sprint("zone ", i%2))
 	}
@@ -52,7 +52,7 @@
 	g.repair()
 	for _, name := range names {
 		if !g.replicas[name].InSync() {
-			t.Fatalf("%s is not full: %+v", name, g.replicas[name].Status())
+			t.Fatalf("%s is not in sync: %+v", name, g.replicas[name].Status())
 		}
 	}
 	t.Cleanup(func() {
@@ -64,7 +64,7 @@
 	return g
 }
 
-func (g *group) add(name, zone string) {
+func (g *testCluster) add(name, zone string) {
 	o := &testReplica{}
 	o.srv = httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		h := o.handler.Load()
@@ -77,8 +77,8 @@
 	g.members.List = append(g.members.List, Member{Name: name, Zone: zone, URL: o.srv.URL, State: Serving})
 }
 
-// start starts a replica on its directory, by the list that is in force now.
-func (g *group) start(name string) {
+// start starts a replica on its directory with the current list of members.
+func (g *testCluster) start(name string) {
 	g.t.Helper()
 	o, dir := g.replicas[name], filepath.Join(g.dir, name)
 	var err error
@@ -98,15 +98,15 @@
 	o.handler.Store(&h)
 }
 
-// cut takes a replica off the network; stop ends it too.
-func (g *group) disconnect(name string) { g.replicas[name].handler.Store(nil) }
+// disconnect makes a replica unreachable; stop also closes it.
+func (g *testCluster) disconnect(name string) { g.replicas[name].handler.Store(nil) }
 
-func (g *group) reconnect(name string) {
+func (g *testCluster) reconnect(name string) {
 	h := (&Server{Node: g.replicas[name].Node}).Handler()
 	g.replicas[name].handler.Store(&h)
 }
 
-func (g *group) stop(name string) {
+func (g *testCluster) stop(name string) {
 	o := g.replicas[name]
 	g.disconnect(name)
 	if o.store != nil {
@@ -116,42 +116,42 @@
 	}
 }
 
-// lose takes a replica's disk.
-func (g *group) loseDisk(name string) {
+// loseDisk stops a replica and deletes its directory.
+func (g *testCluster) loseDisk(name string) {
 	g.stop(name)
 	if err := os.RemoveAll(filepath.Join(g.dir, name)); err != nil {
 		g.t.Fatal(err)
 	}
 }
 
-// repair has all replicas that run look after themselves.
-func (g *group) repair() {
+// repair runs one repair on each running replica.
+func (g *testCluster) repair() {
 	for _, name := range g.names() {
 		if o := g.replicas[name]; o.store != nil {
-			_ = o.Repair(ctx) // a replica that is away is no failure of the others
+			_ = o.Repair(ctx) // errors about unreachable replicas are expected
 		}
 	}
 }
 
-func (g *group) names() (list []string) {
+func (g *testCluster) names() (list []string) {
 	for _, m := range g.members.List {
 		list = append(list, m.Name)
 	}
 	return list
 }
 
-// any is a front that runs.
-func (g *group) anyRunning() *Node {
+// anyRunning returns a node that runs and is connected.
+func (g *testCluster) anyRunning() *Node {
 	for _, name := range g.names() {
 		if o := g.replicas[name]; o.store != nil && o.handler.Load() != nil {
 			return o.Node
 		}
 	}
-	g.t.Fatal("no keeper is left")
+	g.t.Fatal("no replica is running")
 	return nil
 }
 
-// run plays an attempt of a task to its seal, at one front.
+// runAttempt runs an attempt from its begin to its seal through one node.
 func runAttempt(t *testing.T, n *Node, c artifactstore.Claim, records int, completed bool) (final bool) {
 	t.Helper()
 	if err := n.Begin(ctx, c); err != nil {
@@ -175,20 +175,20 @@
 	return final
 }
 
-// whole checks that a front shows an attempt's output and file as run made them.
+// checkAttempt checks that a node returns an attempt's output and file as runAttempt wrote them.
 func checkAttempt(t *testing.T, n *Node, c artifactstore.Claim, records int, state string) {
 	t.Helper()
 	got, i := 0, uint64(0)
-	next, st, err := n.Read(ctx, c.Attempt, "stdout", 0, false, func(k uint64, r artifactstore.Record) error {
-		if k != i || string(r.Data) != fmt.Sprintf("attempt %d %d", c.Number, k) {
-			return fmt.Errorf("record %d is %d: %q", i, k, r.Data)
+	next, st, err := n.Read(ctx, c.Attempt, "stdout", 0, false, func(number uint64, r artifactstore.Record) error {
+		if number != i || string(r.Data) != fmt.Sprintf("attempt %d %d", c.Number, number) {
+			return fmt.Errorf("record %d is %d: %q", i, number, r.Data)
 		}
 		i++
 		got++
 		return nil
 	})
 	if err != nil || got != records || next != uint64(records) || st != state {
-		t.Fatalf("%s at %s: %d of %d records, %q, not %q, %v", c.Attempt, n.opt.Name, got, records, st, state, err)
+		t.Fatalf("%s at %s: %d of %d records, state %q, want %q, %v", c.Attempt, n.opt.Name, got, records, st, state, err)
 	}
 	m, st, err := n.Manifest(ctx, c.Job, c.Task, c.Number)
 	if err != nil || len(m.Files) != 1 || st != state {
@@ -204,86 +204,87 @@
 	}
 }
 
-// TestAnyOneGone: with any one of three replicas away, cut off or its disk lost, what was
-// acknowledged is read from the others, and new attempts go through; one that comes back
-// catches up, one with an empty disk is refilled and does not vote before.
-func TestAnyOneGone(t *testing.T) {
-	g := newGroup(t, "a", "b", "c")
+// TestOneReplicaUnavailable makes each of three replicas unavailable in turn: disconnected, stopped, and with its
+// disk lost. What was acknowledged stays readable at the others and new attempts succeed. A replica that returns
+// catches up; one with an empty disk is refilled and is not counted before. It also checks a replica without a
+// quorum, and a member that is removed for good.
+func TestOneReplicaUnavailable(t *testing.T) {
+	g := newTestCluster(t, "a", "b", "c")
 	task := 0
-	all := map[int]int{}
-	one := func(n *Node) {
+	recordsByTask := map[int]int{}
+	runOne := func(n *Node) {
 		t.Helper()
 		if !runAttempt(t, n, claim(1, task, 1), 5+task, true) {
 			t.Fatalf("task %d has no result", task)
 		}
-		all[task] = 5 + task
+		recordsByTask[task] = 5 + task
 		task++
 	}
 	check := func() {
 		t.Helper()
 		for _, name := range g.names() {
 			if o := g.replicas[name]; o.store != nil && o.handler.Load() != nil {
-				for i, records := range all {
+				for i, records := range recordsByTask {
 					checkAttempt(t, o.Node, claim(1, i, 1), records, artifactstore.StateFinal)
 				}
 			}
 		}
 	}
 	for _, name := range g.names() {
-		one(g.replicas[name].Node)
+		runOne(g.replicas[name].Node)
 	}
 	check()
 	for _, gone := range g.names() {
 		g.disconnect(gone)
-		one(g.anyRunning())
+		runOne(g.anyRunning())
 		check()
 		g.reconnect(gone)
 		g.stop(gone)
-		one(g.anyRunning())
+		runOne(g.anyRunning())
 		check()
-		g.start(gone) // after an hour, say
-		one(g.replicas[gone].Node)
+		g.start(gone) // it has missed the attempts of the meantime
+		runOne(g.replicas[gone].Node)
 		g.repair()
 		check()
 		g.loseDisk(gone)
-		one(g.anyRunning())
+		runOne(g.anyRunning())
 		g.start(gone)
 		o := g.replicas[gone]
 		if o.InSync() || o.Status().State != string(Joining) {
-			t.Fatalf("%s lost its disk and says %+v", gone, o.Status())
+			t.Fatalf("%s lost its disk but reports %+v", gone, o.Status())
 		}
 		if _, err := o.serve(ctx, &peerRequest{Op: "task", Attempt: claim(1, 0, 1).Attempt, Count: true}); !errors.Is(err, ErrJoining) {
-			t.Fatalf("%s lost its disk and is counted: %v", gone, err)
+			t.Fatalf("%s lost its disk but is counted: %v", gone, err)
 		}
 		if err := o.Repair(ctx); err != nil || !o.InSync() {
-			t.Fatalf("%s is not refilled: %v, %+v", gone, err, o.Status())
+			t.Fatalf("%s was not refilled: %v, %+v", gone, err, o.Status())
 		}
 		check()
 	}
-	for _, name := range g.names() { // each has all of it by itself
-		for i, records := range all {
+	for _, name := range g.names() { // each replica has everything on its own disk
+		for i, records := range recordsByTask {
 			v, err := g.replicas[name].store.Task("job-000001", i)
 			if err != nil || len(v.Attempts) != 1 || v.Attempts[0].Ended == "" || v.Result == nil {
 				t.Errorf("%s has of task %d (%d records) %+v, %v", name, i, records, v, err)
 			}
 		}
 	}
-	// One that is left alone says that it is not sure, and takes nothing.
+	// A single replica reports that it has no quorum and refuses writes.
 	g.disconnect("a")
 	g.disconnect("b")
 	n := g.replicas["c"].Node
 	if _, sure, err := n.Attempts(ctx, "job-000001", 0); err != nil || sure {
-		t.Errorf("alone: sure %v, %v", sure, err)
+		t.Errorf("without quorum: sure %v, %v", sure, err)
 	}
 	if err := n.Begin(ctx, claim(1, 999, 1)); !errors.Is(err, ErrNoQuorum) {
-		t.Errorf("alone: %v", err)
+		t.Errorf("write without quorum: %v", err)
 	}
-	checkAttempt(t, n, claim(1, 0, 1), 5, artifactstore.StateFinal) // what was decided stays so
-	g.reconnect("a")                                                // two gone and back
+	checkAttempt(t, n, claim(1, 0, 1), 5, artifactstore.StateFinal) // a decided result stays readable
+	g.reconnect("a")                                                // both replicas return
 	g.reconnect("b")
-	one(n)
+	runOne(n)
 	check()
-	// One is gone for good: the list says so, and the two that are left are enough.
+	// One replica is removed for good by the list of members; the remaining two are enough.
 	g.stop("b")
 	g.members.Epoch++
 	g.members.List[1].State = Gone
@@ -292,26 +293,26 @@
 		g.start(name)
 	}
 	g.repair()
-	one(g.replicas["c"].Node)
+	runOne(g.replicas["c"].Node)
 	check()
 }
 
-// TestFull: a team that has used up its room is refused and told when to come back, the
-// others and what must not fail are not; open attempts count.
-func TestFull(t *testing.T) {
+// TestTenantQuota checks that a tenant that has used up its quota, also by open attempts, is refused with a time to
+// retry, while other tenants and seals are not.
+func TestTenantQuota(t *testing.T) {
 	dir := t.TempDir()
 	b, err := blob.Open(blob.Options{Dir: filepath.Join(dir, "blobs"), Quota: 40_000, Reserve: 20_000, Tenant: func(string) int64 { return 8_000 }})
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer b.Close()
-	k, err := artifactstore.Open(artifactstore.Options{Dir: filepath.Join(dir, "log"), Blobs: b, Key: key})
+	store, err := artifactstore.Open(artifactstore.Options{Dir: filepath.Join(dir, "log"), Blobs: b, Key: key})
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer k.Close()
+	defer store.Close()
 	m := Members{Epoch: 1, Copies: 1, Acks: 1, List: []Member{{Name: "a", URL: "http://127.0.0.1:1", State: Serving}}}
-	n, err := New(Options{Name: "a", Dir: dir, Members: m, Store: k, Blobs: b, Key: key})
+	n, err := New(Options{Name: "a", Dir: dir, Members: m, Store: store, Blobs: b, Key: key})
 	if err == nil {
 		err = n.Repair(ctx)
 	}
@@ -334,21 +335,21 @@
 			}
 		}
 	}
-	chatty, quiet := claim(1, 0, 1), claim(2, 0, 1)
-	quiet.Tenant = "blue"
-	if got := fill(chatty); got != 8 {
-		t.Errorf("%d records of one team", got)
+	first, second := claim(1, 0, 1), claim(2, 0, 1)
+	second.Tenant = "blue"
+	if got := fill(first); got != 8 {
+		t.Errorf("%d records of the first tenant", got)
 	}
-	if got := fill(quiet); got != 8 {
-		t.Errorf("%d records of the other", got)
+	if got := fill(second); got != 8 {
+		t.Errorf("%d records of the second tenant", got)
 	}
-	if _, final, err := n.Seal(ctx, chatty, endReport(true, 8, nil)); err != nil || !final {
-		t.Errorf("a seal on a full disk: %v", err)
+	if _, final, err := n.Seal(ctx, first, endReport(true, 8, nil)); err != nil || !final {
+		t.Errorf("seal with the quota used up: %v", err)
 	}
 }
 
-// TestRetention: the operators' script says how long what is kept; a bad one is told of at
-// the start, with its line.
+// TestRetention checks that the operators' script determines the retention, and that an invalid script is rejected
+// when it is loaded, with the cause and, for a syntax error, the line.
 func TestRetention(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "r.star")
 	for src, want := range map[string]string{
@@ -375,20 +376,19 @@
 		class     string
 		completed bool
 		days      int
-		over      bool
+		expired   bool
 	}{{"", true, 2, false}, {"", true, 4, true}, {"", false, 2, true}, {"grades", false, 1000, false}} {
 		m := &artifactstore.Manifest{Claim: artifactstore.Claim{Class: x.class}, Exit: artifactstore.Exit{Completed: x.completed}, Sealed: now.AddDate(0, 0, -x.days)}
-		if got := r.IsExpired(now)(m); got != x.over {
-			t.Errorf("%+v: over %v", x, got)
+		if got := r.IsExpired(now)(m); got != x.expired {
+			t.Errorf("%+v: expired %v", x, got)
 		}
 	}
 }
 
-// TestTwoBelieve: two attempts that both believe that they are the last, sealed through
-// different fronts at the same time, again and again: one result, the same at all, and
-// what each front told stays true.
-func TestTwoBelieve(t *testing.T) {
-	g := newGroup(t, "a", "b", "c")
+// TestConcurrentSealsHaveOneResult seals concurrent attempts of a task through different nodes. At most one may be
+// reported as the result, none if a later attempt is still open, and all nodes must agree on it afterwards.
+func TestConcurrentSealsHaveOneResult(t *testing.T) {
+	g := newTestCluster(t, "a", "b", "c")
 	for task := range 20 {
 		var wg sync.WaitGroup
 		finals := make([]bool, 3)
@@ -399,13 +399,13 @@
 				t.Fatal(err)
 			}
 			if task%2 == 0 && i == 2 {
-				continue // the last one runs on: the others are overtaken
+				continue // the last attempt stays open, so the others can't become the result
 			}
 			wg.Add(1)
 			go func() {
 				defer wg.Done()
 				var err error
-				for range 20 { // as an agent does
+				for range 20 { // agents retry too
 					if _, finals[i], err = n.Seal(ctx, c, artifactstore.End{Exit: artifactstore.Exit{Completed: true}}); err == nil {
 						return
 					}
@@ -414,31 +414,31 @@
 			}()
 		}
 		wg.Wait()
-		var told []uint64
+		var results []uint64
 		for i, f := range finals {
 			if f {
-				told = append(told, uint64(i+1))
+				results = append(results, uint64(i+1))
 			}
 		}
-		if len(told) > 1 || (task%2 == 0 && len(told) > 0) {
-			t.Fatalf("task %d: %v were told to be the result", task, told)
+		if len(results) > 1 || (task%2 == 0 && len(results) > 0) {
+			t.Fatalf("task %d: attempts %v were reported as the result", task, results)
 		}
 		for _, name := range g.names() {
 			v, err := g.replicas[name].taskState(ctx, "job-000001", task)
 			if err != nil || !v.hasQuorum {
 				t.Fatal(err)
 			}
-			if got := v.result; (got != nil) != (len(told) == 1) || (got != nil && got.Number != told[0]) {
-				t.Fatalf("task %d: %v was told, %s has %+v", task, told, name, got)
+			if got := v.result; (got != nil) != (len(results) == 1) || (got != nil && got.Number != results[0]) {
+				t.Fatalf("task %d: attempt %v was reported, %s has %+v", task, results, name, got)
 			}
 		}
 	}
 }
 
-// TestLateAppend: a link that delivers an append minutes late, after the seal, changes
-// nothing; a replica that missed records gets them from the others.
-func TestLateAppend(t *testing.T) {
-	g := newGroup(t, "a", "b", "c")
+// TestAppendAfterSeal checks that an append delivered after the seal changes nothing, and that a replica that missed
+// records gets them from the others.
+func TestAppendAfterSeal(t *testing.T) {
+	g := newTestCluster(t, "a", "b", "c")
 	c := claim(1, 0, 1)
 	n := g.replicas["a"].Node
 	if err := n.Begin(ctx, c); err != nil {
@@ -454,7 +454,7 @@
 	if _, err := n.Append(ctx, c, "stdout", 10, lines(10, 1, "attempt 1")); err != nil {
 		t.Fatal(err)
 	}
-	g.disconnect("c") // now b must have all of it
+	g.disconnect("c") // the quorum now needs b, which must have all records
 	if next, err := n.Append(ctx, c, "stdout", 11, lines(11, 1, "attempt 1")); err != nil || next != 12 {
 		t.Fatalf("next %d, %v", next, err)
 	}
@@ -464,7 +464,7 @@
 	}
 	for _, name := range g.names() {
 		if _, err := g.replicas[name].Append(ctx, c, "stdout", 12, lines(12, 1, "late")); !errors.Is(err, artifactstore.ErrSealed) {
-			t.Errorf("late at %s: %v", name, err)
+			t.Errorf("append after the seal at %s: %v", name, err)
 		}
 		if got := readLines(t, g.replicas[name].Node, c.Attempt, "stdout"); len(got) != 12 || got[11] != "attempt 1 11" {
 			t.Errorf("%s has %q", name, got)
@@ -472,14 +472,13 @@
 	}
 }
 
-// TestLeftHalfway: a front that ends between the steps of a seal leaves nothing that
-// blocks: an agent that goes on is let, one that seals again gets its seal, and what was
-// accepted is seen through.
-func TestLeftHalfway(t *testing.T) {
-	g := newGroup(t, "a", "b", "c")
+// TestInterruptedSeal checks a seal whose coordinating node fails between its steps. The agent can go on writing or
+// seal again, and a value that a majority may have accepted is decided.
+func TestInterruptedSeal(t *testing.T) {
+	g := newTestCluster(t, "a", "b", "c")
 	n := g.replicas["a"].Node
 	ballot := func() artifactstore.Ballot {
-		return artifactstore.Ballot{Round: n.round.Add(1), By: "a front that ended"}
+		return artifactstore.Ballot{Round: n.round.Add(1), By: "a node that failed"}
 	}
 	for task, step := range []string{"prepared", "accepted by one", "accepted by two"} {
 		c := claim(1, task, 1)
@@ -510,24 +509,24 @@
 		switch step {
 		case "prepared":
 			if _, err := g.replicas["b"].Append(ctx, c, "stdout", 3, lines(3, 1, "attempt 1")); err != nil {
-				t.Fatalf("the worker goes on: %v", err)
+				t.Fatalf("append after an interrupted seal: %v", err)
 			}
-			// The front comes back to life: too late.
+			// The failed node sends its accept after all: the ballot is outdated.
 			if a, err := n.peers["b"].do(ctx, &peerRequest{Op: "accept", Attempt: c.Attempt, Ballot: b, Value: value, From: "a"}); err != nil || a.Promise.Accepted == b {
-				t.Fatalf("a late accept was taken: %v", err)
+				t.Fatalf("an outdated accept was accepted: %v", err)
 			}
 			if _, final, err := n.Seal(ctx, c, endReport(true, 4, nil)); err != nil || !final {
 				t.Fatal(err)
 			}
 		default:
-			// What a majority may have decided is decided by whoever asks.
+			// The next reader decides a value that a majority may have accepted.
 			_, state, err := g.replicas["c"].Manifest(ctx, c.Job, c.Task, 1)
-			if step == "accepted by two" && (err != nil || state != artifactstore.StateFinal) { // never "sealed" first
+			if step == "accepted by two" && (err != nil || state != artifactstore.StateFinal) { // the state must not be "sealed" in between
 				t.Fatalf("%s: %s, %v", step, state, err)
 			}
 			if step == "accepted by one" {
 				if _, _, err := n.Seal(ctx, c, endReport(true, 3, nil)); err != nil {
-					t.Fatalf("%s: sealed again: %v", step, err)
+					t.Fatalf("%s: repeated seal: %v", step, err)
 				}
 			}
 			g.repair()
@@ -539,10 +538,10 @@
 	}
 }
 
-// TestDrain: a replica joins and another drains, list by list; nothing is lost, no list
-// skips what was written under another, and in the end the drained one holds nothing.
+// TestDrain adds a replica and drains another, with one change of the list at a time. Nothing is lost, a replica on
+// an old list is refused, one that skipped a list is not counted, and the drained replica ends up empty.
 func TestDrain(t *testing.T) {
-	g := newGroup(t, "a", "b", "c")
+	g := newTestCluster(t, "a", "b", "c")
 	for task := range 12 {
 		runAttempt(t, g.replicas["abc"[task%3:task%3+1]].Node, claim(1, task, 1), 4, true)
 	}
@@ -564,12 +563,12 @@
 	g.members.Epoch++
 	g.start("d")
 	restart("a", "b")
-	// c goes by the old list still: it is told so.
+	// c still uses the old list and is refused by the others.
 	if err := g.replicas["c"].Begin(ctx, claim(1, 60, 1)); !errors.Is(err, ErrNoQuorum) {
-		t.Fatalf("under an old list: %v", err)
+		t.Fatalf("write with an old list: %v", err)
 	}
 	if g.replicas["d"].Repair(ctx); g.replicas["d"].InSync() {
-		t.Fatal("d is full without a word from c")
+		t.Fatal("d is in sync without an answer from c")
 	}
 	restart("c")
 	g.repair()
@@ -606,19 +605,18 @@
 	g.members.Epoch += 2
 	restart("b")
 	if g.replicas["b"].isComplete("job-000001", 0) {
-		t.Error("b skipped a list and is counted")
+		t.Error("b skipped a list but is counted")
 	}
 	g.members.Epoch = 1
 	g.stop("a")
 	if _, err := New(Options{Name: "a", Dir: filepath.Join(g.dir, "a"), Members: g.members, Key: key}); err == nil {
-		t.Error("an older list was taken")
+		t.Error("an older list was accepted")
 	}
 }
 
-// TestRotten: a bit that turned is found by a scrub and mended from another replica; what
-// one can't read is read from the others.
-func TestRotten(t *testing.T) {
-	g := newGroup(t, "a", "b", "c")
+// TestCorruptBlobIsRepaired flips a bit of a blob on disk: a scrub finds it and repairs it from another replica.
+func TestCorruptBlobIsRepaired(t *testing.T) {
+	g := newTestCluster(t, "a", "b", "c")
 	c := claim(1, 0, 1)
 	runAttempt(t, g.anyRunning(), c, 2, true)
 	g.repair()
@@ -646,8 +644,9 @@
 	checkAttempt(t, g.replicas["a"].Node, c, 2, artifactstore.StateFinal)
 }
 
-// TestPlan: what the fewest others have comes first, of those what was noticed first.
-func TestPlan(t *testing.T) {
+// TestRepairOrder checks that tasks with the fewest copies are repaired first, and among those the ones noticed
+// first.
+func TestRepairOrder(t *testing.T) {
 	at := time.Unix(1e9, 0)
 	name := func(task int) string { return "sealed/" + claim(1, task, 1).Attempt.String() }
 	have := map[string][]string{name(1): {"b", "c"}, name(2): {"c"}, name(3): {"b"}, name(4): {"b", "c"}, "open/" + claim(1, 4, 2).Attempt.String() + "/0011": {"b"}}
@@ -666,9 +665,9 @@
 	}
 }
 
-// TestPlace: every replica takes its part, the zones too, and a replica that comes or goes
-// changes at most one of a task's.
-func TestPlace(t *testing.T) {
+// TestReplicaPlacement checks that a task has the configured number of replicas in as many zones as possible, and
+// that draining one replica changes at most one of them.
+func TestReplicaPlacement(t *testing.T) {
 	r := rand.New(rand.NewPCG(1, 2))
 	for range 300 {
 		m := Members{Epoch: 1, Copies: 1 + r.IntN(4)}
@@ -676,28 +675,28 @@
 			m.List = append(m.List, Member{Name: fmt.Sprint("k", i), Zone: fmt.Sprint("z", r.IntN(4)), State: Serving})
 		}
 		job, task := fmt.Sprint("job-", r.IntN(100)), r.IntN(1000)
-		was := m.ReplicasOf(job, task)
+		before := m.ReplicasOf(job, task)
 		zones := map[string]bool{}
 		for _, x := range m.List {
 			zones[x.Zone] = true
 		}
 		used := map[string]bool{}
-		for _, name := range was {
+		for _, name := range before {
 			used[m.List[slices.IndexFunc(m.List, func(x Member) bool { return x.Name == name })].Zone] = true
 		}
-		if len(was) != min(m.Copies, len(m.List)) || len(used) != min(len(was), len(zones)) {
-			t.Fatalf("%+v: %v in %d zones", m, was, len(used))
+		if len(before) != min(m.Copies, len(m.List)) || len(used) != min(len(before), len(zones)) {
+			t.Fatalf("%+v: %v in %d zones", m, before, len(used))
 		}
-		gone := r.IntN(len(m.List))
-		m.List[gone].State = Draining
+		drained := r.IntN(len(m.List))
+		m.List[drained].State = Draining
 		changed := 0
 		for _, name := range m.ReplicasOf(job, task) {
-			if !slices.Contains(was, name) {
+			if !slices.Contains(before, name) {
 				changed++
 			}
 		}
 		if changed > 1 {
-			t.Fatalf("%+v without %d: %d changed", m, gone, changed)
+			t.Fatalf("%+v without %d: %d replicas changed", m, drained, changed)
 		}
 	}
 }
--- a/internal/artifactreplication/serve_test.go
+++ b/internal/artifactreplication/serve_test.go
@@ -16,7 +16,7 @@
 	"topazhollow/internal/blob"
 )
 
-// site is a replica behind HTTP, and a caller.
+// testServer is a replica behind an HTTP server, with a settable clock.
 type testServer struct {
 	t    *testing.T
 	url  string
@@ -59,12 +59,12 @@
 		x.t.Fatal(err)
 	}
 	var a artifactstore.Answer
-	_ = json.Unmarshal(text, &a) // not all answers are of this kind
+	_ = json.Unmarshal(text, &a) // not all responses are an Answer
 	return resp.StatusCode, a, string(text)
 }
 
-// TestOverHTTP: an attempt from its beginning to its seal, a file in pieces of which
-// one is repeated, and what readers then get.
+// TestOverHTTP runs an attempt over HTTP from its begin to its seal, with a file uploaded in pieces of which one is
+// repeated, and checks what readers get.
 func TestOverHTTP(t *testing.T) {
 	x := newTestServer(t)
 	c := claim(1, 3, 7)
@@ -82,7 +82,7 @@
 		t.Fatalf("next %d", *a.Next)
 	}
 	if code, a, _ := x.call(w, "POST", "/streams/stdout?first=9", records); code != 409 || *a.Next != 3 {
-		t.Fatalf("a gap: %d, next %v", code, a.Next)
+		t.Fatalf("append with a gap: %d, next %v", code, a.Next)
 	}
 	content := bytes.Repeat([]byte("grades "), 1000)
 	d := blob.Of(content)
@@ -90,17 +90,17 @@
 	must(x.call(w, "POST", "/uploads/"+a.Upload+"?offset=0", content[:4000]))
 	must(x.call(w, "POST", "/uploads/"+a.Upload+"?offset=0", content[:4000]))
 	if code, b, _ := x.call(w, "POST", "/uploads/"+a.Upload+"?offset=6000", content[6000:]); code != 409 || *b.Offset != 4000 {
-		t.Fatalf("a gap in a file: %d %v", code, b.Offset)
+		t.Fatalf("upload with a gap: %d %v", code, b.Offset)
 	}
 	if a := must(x.call(w, "POST", "/uploads/"+a.Upload+"?offset=4000", content[4000:])); !a.Done {
-		t.Fatal("not done")
+		t.Fatal("upload not done")
 	}
 	must(x.call(w, "POST", "/files/out/grades.bin?blob="+d.String(), nil))
 	if _, _, text := x.call(r, "GET", "/logs/job-000001/3", nil); !strings.Contains(text, `"goes on"`) || strings.Count(text, "\n") != 4 {
 		t.Fatalf("log of an open attempt: %s", text)
 	}
 	if a := must(x.call(w, "POST", "/seal", []byte(`{"exit":{"completed":true},"records":{"stdout":3},"files":{"out/grades.bin":"`+d.String()+`"}}`))); !a.Final {
-		t.Fatal("not the result")
+		t.Fatal("the sealed attempt is not the result")
 	}
 	code, _, text := x.call(r, "GET", "/logs/job-000001/3?from=1&follow=1", nil)
 	want := `"n":1,` // then 2, then the end
@@ -118,8 +118,7 @@
 	}
 }
 
-// TestTokens: a token that is forged, too old, for another job, attempt or right
-// opens nothing.
+// TestTokens checks that a token that is forged, expired or for another job, attempt or right is refused.
 func TestTokens(t *testing.T) {
 	x := newTestServer(t)
 	c := claim(1, 0, 1)
@@ -131,25 +130,25 @@
 	other := artifactstore.Grant{Right: artifactstore.Read, Job: c.Job, Task: &task, Until: x.now.Add(time.Hour)}.Token(key)
 	forged := artifactstore.Grant{Right: artifactstore.Read, Job: c.Job, Until: x.now.Add(time.Hour)}.Token([]byte("another key 0000"))
 	body, _, _ := strings.Cut(r, ".")
-	for what, token := range map[string]string{"none": "", "a writer's": w, "another task's": other, "another job's": x.readToken("job-000002"), "forged": forged,
-		"without a code": body, "with a short code": r[:len(r)-2], "of a wrong code": body + "." + strings.Repeat("A", 43), "long": strings.Repeat("A", 5000) + ".A"} {
+	for what, token := range map[string]string{"none": "", "for writing": w, "of another task": other, "of another job": x.readToken("job-000002"), "forged": forged,
+		"without a code": body, "with a short code": r[:len(r)-2], "with a wrong code": body + "." + strings.Repeat("A", 43), "too long": strings.Repeat("A", 5000) + ".A"} {
 		if code, _, text := x.call(token, "GET", "/attempts/job-000001/0", nil); code != 401 {
-			t.Errorf("a token that is %s: %d %s", what, code, text)
+			t.Errorf("token %s: %d %s", what, code, text)
 		}
 	}
 	for _, path := range []string{"/attempt", "/streams/stdout", "/seal", "/uploads?blob=x", "/files/a"} {
 		if code, _, text := x.call(r, "POST", path, nil); code != 401 {
-			t.Errorf("%s with a reader's token: %d %s", path, code, text)
+			t.Errorf("%s with a read token: %d %s", path, code, text)
 		}
 	}
 	old := c
 	old.Session = 0
 	if code, _, text := x.call(x.writeToken(old), "POST", "/seal", []byte(`{"exit":{"completed":true},"records":{}}`)); code != 403 {
-		t.Errorf("a worker of an older session: %d %s", code, text)
+		t.Errorf("agent of an older session: %d %s", code, text)
 	}
 	x.now = x.now.Add(2 * time.Hour)
 	if code, _, _ := x.call(r, "GET", "/attempts/job-000001/0", nil); code != 401 {
-		t.Errorf("a token that ended: %d", code)
+		t.Errorf("expired token: %d", code)
 	}
 	x.now = x.now.Add(-2 * time.Hour)
 	for path, want := range map[string]int{"/attempts/job-000001/x": 400, "/logs/job-000001/0?stream=../x": 400, "/logs/job-000001/0?from=-1": 400,
@@ -160,8 +159,8 @@
 	}
 }
 
-// TestRevoked: an agent or reader whose token was revoked is refused, others are not, and
-// the list is read again when it changes; one with nonsense leaves the last in force.
+// TestRevoked checks that revoked tokens are refused and others are not, that the list is reloaded when it changes,
+// and that an invalid list leaves the previous one in force.
 func TestRevoked(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "revoked")
 	now := time.Now()
@@ -189,26 +188,26 @@
 			t.Errorf("%s: %d %s", c.claim.Attempt, code, text)
 		}
 	}
-	again := func() { r.checked = time.Time{} } // a second later
+	expireCheck := func() { r.checked = time.Time{} } // the file is checked again only after a second
 	write("write job-000001\nread job-000002\n", time.Minute)
-	again()
+	expireCheck()
 	if code, _, _ := x.call(x.writeToken(claim(1, 0, 2)), "POST", "/seal", []byte("{}")); code != 401 {
-		t.Errorf("a job's workers: %d", code)
+		t.Errorf("write token of a revoked job: %d", code)
 	}
 	if code, _, _ := x.call(x.readToken("job-000002"), "GET", "/attempts/job-000002/0", nil); code != 401 {
-		t.Errorf("a job's readers: %d", code)
+		t.Errorf("read token of a revoked job: %d", code)
 	}
 	write("nonsense", 2*time.Minute)
-	again()
+	expireCheck()
 	if code, _, _ := x.call(x.readToken("job-000002"), "GET", "/attempts/job-000002/0", nil); code != 401 {
-		t.Errorf("with nonsense in the file: %d", code)
+		t.Errorf("revoked token with an invalid list: %d", code)
 	}
 	if _, err := LoadRevoked(path); err == nil || !strings.Contains(err.Error(), "line 1") {
-		t.Errorf("nonsense at the start: %v", err)
+		t.Errorf("loading an invalid list: %v", err)
 	}
 }
 
-// FuzzToken: no text that was not given out is taken for a token.
+// FuzzToken checks that ParseToken accepts no text that Token did not make.
 func FuzzToken(f *testing.F) {
 	now := time.Unix(1e9, 0)
 	good := artifactstore.Grant{Right: artifactstore.Read, Job: "job-000001", Until: now.Add(time.Hour)}.Token(key)
@@ -216,7 +215,7 @@
 	f.Add("e30.AAAA")
 	f.Fuzz(func(t *testing.T, text string) {
 		if g, err := artifactstore.ParseToken(key, text, now); err == nil && text != good && g.Token(key) != text {
-			t.Fatalf("%q is %+v", text, g)
+			t.Fatalf("%q was accepted as %+v", text, g)
 		}
 	})
 }
