--- a/internal/artifactreplication/background.go
+++ b/internal/artifactreplication/background.go
@@ -19,11 +19,11 @@
 
 // Run performs maintenance until the context ends: it ends idle attempts, drops expired ones, compacts the log,
 // collects unreferenced blobs and scrubs the rest. Failures are logged; the work is repeated in the next round.
-func (d BackgroundWork) Run(ctx context.Context, n *Node) error {
+func (w BackgroundWork) Run(ctx context.Context, n *Node) error {
 	log := n.opt.Log
 	for {
 		began := time.Now()
-		ended, err := n.EndIdleAttempts(ctx, d.PartialAge)
+		ended, err := n.EndIdleAttempts(ctx, w.PartialAge)
 		expired := 0
 		if err == nil {
 			expired, err = n.store.Expire(ctx, n.opt.Retention.IsExpired(n.opt.Now()))
@@ -34,33 +34,33 @@
 		var collected int
 		var freed int64
 		if err == nil {
-			collected, freed, err = n.blobs.Collect(ctx, d.UnreferencedAge)
+			collected, freed, err = n.blobs.Collect(ctx, w.UnreferencedAge)
 		}
 		if ctx.Err() != nil {
 			return nil
 		}
 		log.Info("maintenance round finished", "shelved", ended, "expired", expired, "blobs_collected", collected, "bytes_freed", freed,
 			"bytes", n.blobs.Stats().Bytes, "open_attempts", n.store.OpenCount(), "took", time.Since(began), "err", err)
-		if err == nil && d.ScrubBytesPerSecond > 0 {
-			found, err := n.blobs.Scrub(ctx, d.ScrubBytesPerSecond)
+		if err == nil && w.ScrubBytesPerSecond > 0 {
+			found, err := n.blobs.Scrub(ctx, w.ScrubBytesPerSecond)
 			if ctx.Err() != nil {
 				return nil
 			}
 			log.Info("scrub finished", "blobs", found.Blobs, "bad", found.Bad, "repaired", found.Repaired, "rotten", found.Rotten, "strays", found.Strays, "err", err)
 		}
-		if !wait.For(ctx, d.Interval) {
+		if !wait.For(ctx, w.Interval) {
 			return nil
 		}
 	}
 }
 
 // RunRepair repeats Repair until the context ends.
-func (d BackgroundWork) RunRepair(ctx context.Context, n *Node) error {
+func (w BackgroundWork) RunRepair(ctx context.Context, n *Node) error {
 	for {
 		if err := n.Repair(ctx); err != nil && ctx.Err() == nil {
 			n.opt.Log.Warn("repair failed", "err", err)
 		}
-		every := d.RepairInterval
+		every := w.RepairInterval
 		if !n.InSync() { // a replica that is not in sync can't vote
 			every = min(every, time.Second)
 		}
--- a/internal/artifactreplication/checksums.go
+++ b/internal/artifactreplication/checksums.go
@@ -13,6 +13,7 @@
 	"topazhollow/internal/protocol"
 )
 
+// bucketCount is the number of buckets, which must be the same on all replicas.
 const bucketCount = 1024
 
 // maxBucketsPerCall is how many buckets one call lists. Each call iterates over all names.
@@ -92,13 +93,13 @@
 }
 
 // namesInBuckets lists the names in the given buckets, in one iteration over all names.
-func (n *Node) namesInBuckets(other string, of []int) (list []string, err error) {
+func (n *Node) namesInBuckets(other string, buckets []int) (list []string, err error) {
 	err = n.eachName(other, func(name string, at artifactstore.Attempt, misplaced bool) {
 		b := misplacedBucket
 		if !misplaced {
 			b = bucketOf(at)
 		}
-		if slices.Contains(of, b) {
+		if slices.Contains(buckets, b) {
 			list = append(list, name)
 		}
 	})
--- a/internal/artifactreplication/decide.go
+++ b/internal/artifactreplication/decide.go
@@ -301,7 +301,7 @@
 		}
 		known = true
 		for name, x := range v.Streams {
-			if old, there := g.longest[name]; !there || x.Next > old.Next {
+			if old, found := g.longest[name]; !found || x.Next > old.Next {
 				g.longest[name], g.holder[name] = x, p.name
 			}
 		}
@@ -333,7 +333,7 @@
 func (g *mergedViews) checkComplete(end *artifactstore.End) error {
 	for stream, want := range end.Records {
 		if have := g.longest[stream].Next; have != want {
-			gap := &artifactstore.GapError{Stream: stream, Want: have, Have: want}
+			gap := &artifactstore.GapError{Stream: stream, Expected: have, Received: want}
 			return fmt.Errorf("%w: %w", artifactstore.ErrIncomplete, gap)
 		}
 	}
--- a/internal/artifactreplication/group_test.go
+++ b/internal/artifactreplication/group_test.go
@@ -127,8 +127,8 @@
 // repair runs one repair on each running replica.
 func (g *testCluster) repair() {
 	for _, name := range g.names() {
-		if o := g.replicas[name]; o.store != nil {
-			_ = o.Repair(ctx) // errors about unreachable replicas are expected
+		if r := g.replicas[name]; r.store != nil {
+			_ = r.Repair(ctx) // errors about unreachable replicas are expected
 		}
 	}
 }
--- a/internal/artifactreplication/handover.go
+++ b/internal/artifactreplication/handover.go
@@ -18,8 +18,8 @@
 		if m.State != Serving || m.Name == n.opt.Name {
 			continue
 		}
-		if err := n.eachName(m.Name, func(_ string, at artifactstore.Attempt, stray bool) {
-			if stray {
+		if err := n.eachName(m.Name, func(_ string, at artifactstore.Attempt, misplaced bool) {
+			if misplaced {
 				tasks[artifactstore.Attempt{Job: at.Job, Task: at.Task}] = true
 			}
 		}); err != nil {
@@ -33,7 +33,7 @@
 		n.mu.Unlock()
 	}()
 	for at := range tasks {
-		mine, err := n.store.Task(at.Job, at.Task)
+		ours, err := n.store.Task(at.Job, at.Task)
 		if err != nil {
 			return err
 		}
@@ -43,12 +43,12 @@
 		})
 		complete := len(got) == len(names)
 		for _, r := range got {
-			complete = complete && hasAllOf(r.Task, mine)
+			complete = complete && hasAllOf(r.Task, ours)
 		}
 		if !complete {
 			continue // the replicas copy it by their own repair
 		}
-		for _, v := range mine.Attempts {
+		for _, v := range ours.Attempts {
 			if v.Ended == "" {
 				err = n.store.Abandon(ctx, v.Attempt)
 			} else {
@@ -67,11 +67,11 @@
 }
 
 // hasAllOf reports whether a replica has everything that another one has of a task.
-func hasAllOf(theirs, mine *artifactstore.TaskView) bool {
-	if mine.Result != nil && (theirs.Result == nil || *theirs.Result != *mine.Result) {
+func hasAllOf(theirs, ours *artifactstore.TaskView) bool {
+	if ours.Result != nil && (theirs.Result == nil || *theirs.Result != *ours.Result) {
 		return false
 	}
-	for _, v := range mine.Attempts {
+	for _, v := range ours.Attempts {
 		i := slices.IndexFunc(theirs.Attempts, func(t artifactstore.AttemptView) bool { return t.Number == v.Number })
 		if i < 0 {
 			return false
@@ -106,7 +106,7 @@
 		if v.Value == nil {
 			continue
 		}
-		if seen[at] = true; n.repair.undecided[at] { // undecided since the previous round, so its proposer has probably failed
+		if seen[at] = true; n.repair.undecided[at] { // undecided for a whole round: its proposer may have failed
 			_, err := n.resolve(ctx, at)
 			errs = append(errs, err)
 		}
--- a/internal/artifactreplication/quorum.go
+++ b/internal/artifactreplication/quorum.go
@@ -20,9 +20,9 @@
 	err error
 }
 
-// callReplicas calls several replicas concurrently and returns as soon as need of them succeeded or all have
-// answered. Calls that are still in progress then continue in the background. A replica with too many of them is
-// skipped and catches up by repair.
+// callReplicas calls several replicas concurrently and returns as soon as enough of them have succeeded, as given by
+// need, or all have answered. Calls that are still in progress then continue in the background. A replica with too
+// many of them is skipped and catches up by repair.
 func (n *Node) callReplicas(ctx context.Context, names []string, need int, do func(ctx context.Context, name string, r replica) (*peerResponse, error)) (got []reply, failed []reply) {
 	replies := make(chan reply, len(names))
 	background := context.WithoutCancel(ctx)
--- a/internal/artifactreplication/ratelimit.go
+++ b/internal/artifactreplication/ratelimit.go
@@ -28,9 +28,9 @@
 	n *Node
 }
 
-func (p *rateLimitedReader) Read(b []byte) (int, error) {
-	got, err := p.ReadCloser.Read(b[:min(len(b), 64<<10)])
-	return got, errors.Join(err, p.n.waitForRate(p.ctx, got))
+func (l *rateLimitedReader) Read(b []byte) (int, error) {
+	got, err := l.ReadCloser.Read(b[:min(len(b), 64<<10)])
+	return got, errors.Join(err, l.n.waitForRate(l.ctx, got))
 }
 
 // waitForRate counts bytes that repair transferred and waits as long as its rate limit demands.
@@ -57,9 +57,9 @@
 	n *Node
 }
 
-func (p rateLimitedReplica) read(ctx context.Context, at artifactstore.Attempt, stream string, from uint64, follow bool, each func(artifactstore.Record) error) (uint64, bool, error) {
-	return p.replica.read(ctx, at, stream, from, follow, func(r artifactstore.Record) error {
-		if err := p.n.waitForRate(ctx, len(r.Data)); err != nil {
+func (l rateLimitedReplica) read(ctx context.Context, at artifactstore.Attempt, stream string, from uint64, follow bool, each func(artifactstore.Record) error) (uint64, bool, error) {
+	return l.replica.read(ctx, at, stream, from, follow, func(r artifactstore.Record) error {
+		if err := l.n.waitForRate(ctx, len(r.Data)); err != nil {
 			return err
 		}
 		return each(r)
--- a/internal/artifactreplication/repair.go
+++ b/internal/artifactreplication/repair.go
@@ -36,28 +36,28 @@
 // orderRepairs groups the missing names by task and orders the tasks: those with the fewest copies first, then those
 // noticed first. have lists by name the replicas that have it.
 func orderRepairs(have map[string][]string, noticed func(task string) time.Time) []missingTask {
-	by := map[string]*missingTask{}
+	byTask := map[string]*missingTask{}
 	for _, name := range slices.Sorted(maps.Keys(have)) {
 		at, err := taskOf(name)
 		if err != nil {
 			continue // not a name of an attempt or a result
 		}
 		key := fmt.Sprintf("%s/%d", at.Job, at.Task)
-		l := by[key]
-		if l == nil {
-			l = &missingTask{task: at, copies: len(have[name]), noticed: noticed(key)}
-			by[key] = l
+		missing := byTask[key]
+		if missing == nil {
+			missing = &missingTask{task: at, copies: len(have[name]), noticed: noticed(key)}
+			byTask[key] = missing
 		}
-		l.copies = min(l.copies, len(have[name]))
+		missing.copies = min(missing.copies, len(have[name]))
 		for _, p := range have[name] {
-			if !slices.Contains(l.peers, p) {
-				l.peers = append(l.peers, p)
+			if !slices.Contains(missing.peers, p) {
+				missing.peers = append(missing.peers, p)
 			}
 		}
 	}
-	list := make([]missingTask, 0, len(by))
-	for _, key := range slices.Sorted(maps.Keys(by)) {
-		list = append(list, *by[key])
+	list := make([]missingTask, 0, len(byTask))
+	for _, key := range slices.Sorted(maps.Keys(byTask)) {
+		list = append(list, *byTask[key])
 	}
 	slices.SortStableFunc(list, func(a, b missingTask) int {
 		return cmp.Or(cmp.Compare(a.copies, b.copies), a.noticed.Compare(b.noticed))
@@ -127,11 +127,11 @@
 		if name == n.opt.Name {
 			continue
 		}
-		bound, short, err := n.compare(ctx, name, votes, found.missing)
+		theirVotes, underReplicated, err := n.compare(ctx, name, votes, found.missing)
 		if err != nil {
 			found.unreachable[name] = err.Error()
 		}
-		found.votes, found.underReplicated = append(found.votes, bound...), found.underReplicated+short
+		found.votes, found.underReplicated = append(found.votes, theirVotes...), found.underReplicated+underReplicated
 	}
 	return found
 }
@@ -182,8 +182,8 @@
 
 // becomeSynced adopts the votes that the others reported and records that this replica has everything that it should
 // have. From then on it votes and is counted.
-func (n *Node) becomeSynced(ctx context.Context, bound []registerVote) error {
-	for _, b := range bound {
+func (n *Node) becomeSynced(ctx context.Context, votes []registerVote) error {
+	for _, b := range votes {
 		if err := n.store.Adopt(ctx, b.At, &b.Vote, n.limitRate(n.fetch(b.At, ""))); err != nil {
 			return err
 		}
@@ -199,9 +199,10 @@
 	return nil
 }
 
-// compare adds the names that another replica has and this one lacks to have, and counts the names that the other one
-// lacks. It requests the other's votes before its names, so that a register decided in between shows up in the names.
-func (n *Node) compare(ctx context.Context, name string, votes bool, have map[string][]string) (bound []registerVote, short int, err error) {
+// compare compares this replica with another one. It adds the names that only the other one has to have, and counts
+// the names that the other one lacks. It requests the other's votes before its names, so that a register decided in
+// between shows up in the names.
+func (n *Node) compare(ctx context.Context, name string, votes bool, have map[string][]string) (theirVotes []registerVote, underReplicated int, err error) {
 	p := n.peers[name]
 	do := func(c *peerRequest) (*peerResponse, error) {
 		ctx, cancel := context.WithTimeout(ctx, 4*n.opt.PeerTimeout)
@@ -213,7 +214,7 @@
 		if err != nil {
 			return nil, 0, err
 		}
-		bound = a.Votes
+		theirVotes = a.Votes
 	}
 	a, err := do(&peerRequest{Op: "sums"})
 	if err != nil {
@@ -232,33 +233,33 @@
 			differ = append(differ, i)
 		}
 	}
-	here := map[string]bool{} // names here; true if both replicas should have it
+	ourNames := map[string]bool{} // names here; true if both replicas should have it
 	if err := n.eachName(name, func(x string, at artifactstore.Attempt, misplaced bool) {
 		if b := bucketOf(at); misplaced || sums[b] != a.Sums[b] {
-			here[x] = !misplaced
+			ourNames[x] = !misplaced
 		}
 	}); err != nil {
 		return nil, 0, err
 	}
-	there := map[string]bool{}
-	for of := range slices.Chunk(differ, maxBucketsPerCall) {
-		a, err := do(&peerRequest{Op: "names", Buckets: of})
+	theirNames := map[string]bool{}
+	for chunk := range slices.Chunk(differ, maxBucketsPerCall) {
+		a, err := do(&peerRequest{Op: "names", Buckets: chunk})
 		if err != nil {
 			return nil, 0, err
 		}
 		for _, x := range a.Names {
-			there[x] = true
-			if !here[x] && !n.isPresent(x) {
+			theirNames[x] = true
+			if !ourNames[x] && !n.isPresent(x) {
 				have[x] = append(have[x], name)
 			}
 		}
 	}
-	for x, belongs := range here {
-		if belongs && !there[x] && !strings.HasPrefix(x, "open/") {
-			short++
+	for x, belongs := range ourNames {
+		if belongs && !theirNames[x] && !strings.HasPrefix(x, "open/") {
+			underReplicated++
 		}
 	}
-	return bound, short, nil
+	return theirVotes, underReplicated, nil
 }
 
 // isPresent reports whether a name that another replica has needs no repair here.
@@ -280,15 +281,15 @@
 }
 
 // restoreTask restores what this replica lacks of a task.
-func (n *Node) restoreTask(ctx context.Context, l missingTask) error {
+func (n *Node) restoreTask(ctx context.Context, missing missingTask) error {
 	var errs []error
-	for _, name := range l.peers {
+	for _, name := range missing.peers {
 		p := n.peers[name]
-		asked, cancel := context.WithTimeout(ctx, n.opt.PeerTimeout)
-		a, err := p.do(asked, &peerRequest{Op: "task", Attempt: l.task})
+		callCtx, cancel := context.WithTimeout(ctx, n.opt.PeerTimeout)
+		a, err := p.do(callCtx, &peerRequest{Op: "task", Attempt: missing.task})
 		cancel()
 		if err == nil {
-			err = n.restoreFrom(ctx, l.task, name, a.Task)
+			err = n.restoreFrom(ctx, missing.task, name, a.Task)
 		}
 		errs = append(errs, err)
 	}
@@ -345,16 +346,16 @@
 	if err != nil {
 		return err
 	}
-	mine := map[string]artifactstore.Extent{}
+	ours := map[string]artifactstore.Extent{}
 	files := map[string]string{}
 	for _, o := range n.store.OpenAttempts() {
 		if o.Attempt == v.Attempt {
-			mine, files = o.Streams, o.Files
+			ours, files = o.Streams, o.Files
 		}
 	}
 	for _, stream := range slices.Sorted(maps.Keys(v.Streams)) {
-		if mine[stream].Next < v.Streams[stream].Next {
-			_, err = n.copyRecords(ctx, v.Claim, stream, mine[stream].Next, 0, src, local{n})
+		if ours[stream].Next < v.Streams[stream].Next {
+			_, err = n.copyRecords(ctx, v.Claim, stream, ours[stream].Next, 0, src, local{n})
 		}
 		if err != nil {
 			break
--- a/internal/artifactreplication/replica.go
+++ b/internal/artifactreplication/replica.go
@@ -155,7 +155,7 @@
 // errorOf returns the error that an error response stands for.
 func errorOf(a *artifactstore.Answer, resp *http.Response) error {
 	if a.Code == "gap" && a.Next != nil {
-		return &artifactstore.GapError{Want: *a.Next}
+		return &artifactstore.GapError{Expected: *a.Next}
 	}
 	if a.Code == "full" {
 		seconds, _ := strconv.Atoi(resp.Header.Get("Retry-After"))
@@ -238,10 +238,10 @@
 	return l.n.serve(ctx, c)
 }
 
-func (l local) read(ctx context.Context, at artifactstore.Attempt, stream string, from uint64, follow bool, each func(artifactstore.Record) error) (next uint64, over bool, err error) {
+func (l local) read(ctx context.Context, at artifactstore.Attempt, stream string, from uint64, follow bool, each func(artifactstore.Record) error) (next uint64, ended bool, err error) {
 	for next = from; ; {
-		if next, over, err = l.n.store.Read(at, stream, next, each); err != nil || over || !follow {
-			return next, over, err
+		if next, ended, err = l.n.store.Read(at, stream, next, each); err != nil || ended || !follow {
+			return next, ended, err
 		}
 		if l.n.store.WaitForRecords(ctx, at, stream, next) != nil {
 			return next, false, nil
--- a/internal/artifactreplication/revoked.go
+++ b/internal/artifactreplication/revoked.go
@@ -19,9 +19,9 @@
 type RevocationList struct {
 	path     string
 	mu       sync.Mutex
-	checked  time.Time
-	modified time.Time
-	revoked  map[string]bool
+	checked  time.Time       // when the file was last checked for a change
+	modified time.Time       // modification time of the loaded file
+	revoked  map[string]bool // by right and target, as in the file
 }
 
 // maxRevocationListBytes is the maximum size of the file.
@@ -49,9 +49,9 @@
 		return err
 	}
 	lines := map[string]bool{}
-	in := bufio.NewScanner(bytes.NewReader(b))
-	for n := 1; in.Scan(); n++ {
-		text, _, _ := strings.Cut(in.Text(), "#")
+	scanner := bufio.NewScanner(bytes.NewReader(b))
+	for n := 1; scanner.Scan(); n++ {
+		text, _, _ := strings.Cut(scanner.Text(), "#")
 		words := strings.Fields(text)
 		if len(words) == 0 {
 			continue
@@ -62,7 +62,7 @@
 		lines[words[0]+" "+words[1]] = true
 	}
 	r.revoked, r.modified = lines, info.ModTime()
-	return in.Err()
+	return scanner.Err()
 }
 
 // isTarget reports whether a text is JOB, JOB/TASK or JOB/TASK/ATTEMPT, or only JOB if jobOnly is set.
--- a/internal/artifactreplication/serve.go
+++ b/internal/artifactreplication/serve.go
@@ -134,7 +134,7 @@
 	a := artifactstore.Answer{Error: err.Error(), Code: code}
 	var gap *artifactstore.GapError
 	if errors.As(err, &gap) {
-		a.Next = &gap.Want
+		a.Next = &gap.Expected
 	}
 	writeJSON(w, status, a)
 }
--- a/internal/artifactreplication/serve_peers.go
+++ b/internal/artifactreplication/serve_peers.go
@@ -94,8 +94,8 @@
 	enc, flush := json.NewEncoder(w), http.NewResponseController(w)
 	for sent := false; ; {
 		n := next
-		var over bool
-		next, over, err = s.Node.store.Read(at, q.Get("stream"), next, func(rec artifactstore.Record) error {
+		var sealed bool
+		next, sealed, err = s.Node.store.Read(at, q.Get("stream"), next, func(rec artifactstore.Record) error {
 			line := artifactstore.Line{Number: n, Record: &rec}
 			n++
 			sent = true
@@ -107,9 +107,9 @@
 			}
 			return err
 		}
-		if over || q.Get("follow") != "1" {
+		if sealed || q.Get("follow") != "1" {
 			state := "open"
-			if over {
+			if sealed {
 				state = streamEnded
 			}
 			_ = enc.Encode(&artifactstore.Line{Number: next, State: state})
--- a/internal/artifactreplication/serve_readers.go
+++ b/internal/artifactreplication/serve_readers.go
@@ -129,7 +129,7 @@
 		if err := enc.Encode(&artifactstore.Line{Number: n, Record: &rec}); err != nil {
 			return err
 		}
-		if now := time.Now(); now.Sub(lastFlush) > 50*time.Millisecond { // keeps the delay of followers short without a flush for every line of a long log
+		if now := time.Now(); now.Sub(lastFlush) > 50*time.Millisecond { // limits both the followers' delay and the number of flushes
 			lastFlush = now
 			return flush.Flush()
 		}
--- a/internal/artifactreplication/single_test.go
+++ b/internal/artifactreplication/single_test.go
@@ -102,7 +102,7 @@
 	}{{0, 3, 3, false}, {0, 3, 3, false}, {1, 4, 5, false}, {7, 1, 5, true}, {5, 1, 6, false}} {
 		next, err := node.Append(ctx, c, "stdout", x.first, lines(int(x.first), x.n, "line"))
 		var gap *artifactstore.GapError
-		if next != x.next || errors.As(err, &gap) != x.gap || (gap != nil && gap.Want != 5) || (gap == nil && err != nil) {
+		if next != x.next || errors.As(err, &gap) != x.gap || (gap != nil && gap.Expected != 5) || (gap == nil && err != nil) {
 			t.Fatalf("%+v: next %d, %v", x, next, err)
 		}
 	}
--- a/internal/artifactreplication/streams.go
+++ b/internal/artifactreplication/streams.go
@@ -29,7 +29,7 @@
 	got, err := n.writeToQuorum(ctx, c.Attempt, func(ctx context.Context, name string, r replica) (*peerResponse, error) {
 		a, err := r.do(ctx, &peerRequest{Op: "append", Claim: c, Stream: stream, First: first, Records: records})
 		var gap *artifactstore.GapError
-		if errors.As(err, &gap) && n.fillGap(ctx, c, stream, gap.Want, first, name, r) {
+		if errors.As(err, &gap) && n.fillGap(ctx, c, stream, gap.Expected, first, name, r) {
 			a, err = r.do(ctx, &peerRequest{Op: "append", Claim: c, Stream: stream, First: first, Records: records})
 		}
 		return a, err
@@ -37,7 +37,7 @@
 	if err != nil {
 		var gap *artifactstore.GapError
 		if errors.As(err, &gap) {
-			next = gap.Want
+			next = gap.Expected
 		}
 		return next, err
 	}
@@ -49,7 +49,8 @@
 	return slices.Min(nexts), nil
 }
 
-// fillGap copies the records of a stream that a replica has missed to it from the other replicas.
+// fillGap copies the records that a replica has missed of a stream from the other replicas to it, and reports whether
+// it now has all of them.
 func (n *Node) fillGap(ctx context.Context, c artifactstore.Claim, stream string, from, to uint64, name string, r replica) bool {
 	for _, other := range n.opt.Members.ReplicasOf(c.Job, c.Task) {
 		p := n.peers[other]
@@ -129,7 +130,7 @@
 func (n *Node) Read(ctx context.Context, at artifactstore.Attempt, stream string, from uint64, follow bool, each func(uint64, artifactstore.Record) error) (next uint64, state string, err error) {
 	next = from
 	var eachErr error // error returned by each
-	pass := func(r artifactstore.Record) error {
+	deliver := func(r artifactstore.Record) error {
 		if eachErr = each(next, r); eachErr == nil {
 			next++
 		}
@@ -137,15 +138,15 @@
 	}
 	failures := 0
 	for {
-		v, m, err := n.findAttempt(ctx, at.Job, at.Task, at.Number)
+		ts, m, err := n.findAttempt(ctx, at.Job, at.Task, at.Number)
 		if err != nil {
 			return next, "", err
 		}
-		state = v.attemptState(m)
+		state = ts.attemptState(m)
 		names := n.sources(at.Job, at.Task)
 		rank := func(name string) uint64 { return m.nextRecord[stream][name] }
 		slices.SortStableFunc(names, func(a, b string) int { return cmp.Compare(rank(b), rank(a)) })
-		want := uint64(0) // number of records that the reader must receive
+		needed := uint64(0) // number of records that the reader must receive
 		if m.Ended != "" {
 			man, err := n.readManifest(ctx, m)
 			if err != nil {
@@ -153,45 +154,45 @@
 			}
 			for _, s := range man.Streams {
 				if s.Name == stream {
-					want = s.Records
+					needed = s.Records
 				}
 			}
 		} else if len(names) > 0 {
-			want = rank(names[0])
+			needed = rank(names[0])
 		}
 		following := follow && m.Ended == ""
-		var last error
+		var readErr error
 		for _, name := range names {
 			p := n.peers[name]
-			if p == nil || (next >= want && !following) {
+			if p == nil || (next >= needed && !following) {
 				continue
 			}
 			turn, cancel := ctx, context.CancelFunc(func() {})
 			if following {
 				turn, cancel = context.WithTimeout(ctx, followTurn)
 			}
-			_, _, last = p.read(turn, m.Attempt, stream, next, following, pass)
+			_, _, readErr = p.read(turn, m.Attempt, stream, next, following, deliver)
 			turnOver := turn.Err() != nil
 			cancel()
 			if eachErr != nil {
 				return next, "", eachErr
 			}
-			if turnOver || (last == nil && (following || next >= want)) {
-				last = nil
+			if turnOver || (readErr == nil && (following || next >= needed)) {
+				readErr = nil
 				break
 			}
 		}
 		switch {
 		case ctx.Err() != nil:
 			return next, state, nil
-		case last == nil && !following && next >= want:
+		case readErr == nil && !following && next >= needed:
 			return next, state, nil
-		case last == nil && !following:
-			last = fmt.Errorf("%w: only %d of %d records could be read", artifactstore.ErrIncomplete, next, want)
+		case readErr == nil && !following:
+			readErr = fmt.Errorf("%w: only %d of %d records could be read", artifactstore.ErrIncomplete, next, needed)
 		}
-		if last != nil {
+		if readErr != nil {
 			if failures++; failures > 3 {
-				return next, "", last
+				return next, "", readErr
 			}
 			wait.For(ctx, rand.N(100*time.Millisecond<<failures)) // the next iteration checks the context
 		}
--- a/internal/artifactreplication/taskstate.go
+++ b/internal/artifactreplication/taskstate.go
@@ -34,8 +34,8 @@
 		got, failed := n.callReplicas(ctx, names, majority(len(names)), func(ctx context.Context, _ string, r replica) (*peerResponse, error) {
 			return r.do(ctx, &peerRequest{Op: "task", Attempt: at, Count: true})
 		})
-		v := &taskState{hasQuorum: len(got) >= majority(len(names))}
-		if !v.hasQuorum { // ask all others too, also replicas that are still joining
+		ts := &taskState{hasQuorum: len(got) >= majority(len(names))}
+		if !ts.hasQuorum { // ask all others too, also replicas that are still joining
 			more, _ := n.callReplicas(ctx, n.sources(job, task), len(names)+len(n.peers), func(ctx context.Context, _ string, r replica) (*peerResponse, error) {
 				return r.do(ctx, &peerRequest{Op: "task", Attempt: at})
 			})
@@ -43,25 +43,25 @@
 				return nil, quorumError(failed)
 			}
 		}
-		voted := v.merge(got)
-		if !v.hasQuorum || try > 2 {
-			return v, nil
+		unresolved := ts.merge(got)
+		if !ts.hasQuorum || try > 2 {
+			return ts, nil
 		}
-		if len(voted) == 0 {
+		if len(unresolved) == 0 {
 			// After an attempt was sealed and before its result is decided, no reader may be told that it is not the
 			// result.
-			if last := v.lastCompleted(); v.result == nil && last != nil {
-				if v.result, err = n.decideResult(ctx, last.Claim, last.Ended); err != nil {
-					v.hasQuorum = false
+			if last := ts.lastCompleted(); ts.result == nil && last != nil {
+				if ts.result, err = n.decideResult(ctx, last.Claim, last.Ended); err != nil {
+					ts.hasQuorum = false
 				}
 			}
-			return v, nil
+			return ts, nil
 		}
-		for _, x := range voted {
+		for _, x := range unresolved {
 			x.Job, x.Task = job, task
 			if _, err := n.resolve(ctx, x); err != nil {
-				v.hasQuorum = false
-				return v, nil
+				ts.hasQuorum = false
+				return ts, nil
 			}
 		}
 	}
@@ -69,19 +69,19 @@
 
 // merge merges the replicas' answers. It returns the registers in which a value was accepted but no replica knows a
 // decision.
-func (v *taskState) merge(got []reply) (voted []artifactstore.Attempt) {
-	by := map[uint64]*mergedAttempt{}
+func (ts *taskState) merge(got []reply) (unresolved []artifactstore.Attempt) {
+	byNumber := map[uint64]*mergedAttempt{}
 	resultVoted := false
 	for _, r := range got {
 		if r.Task.Result != nil {
-			v.result = r.Task.Result
+			ts.result = r.Task.Result
 		}
 		resultVoted = resultVoted || r.Task.Voted
 		for _, a := range r.Task.Attempts {
-			m := by[a.Number]
+			m := byNumber[a.Number]
 			if m == nil {
 				m = &mergedAttempt{AttemptView: artifactstore.AttemptView{Claim: artifactstore.Claim{Attempt: a.Attempt}, Idle: a.Idle}, nextRecord: map[string]map[string]uint64{}}
-				by[a.Number] = m
+				byNumber[a.Number] = m
 			}
 			if m.Machine == "" && a.Machine != "" {
 				m.Claim = a.Claim
@@ -99,46 +99,46 @@
 			}
 		}
 	}
-	for _, number := range slices.Sorted(maps.Keys(by)) {
-		m := by[number]
+	for _, number := range slices.Sorted(maps.Keys(byNumber)) {
+		m := byNumber[number]
 		if m.Ended == "" && m.voted {
-			voted = append(voted, m.Attempt)
+			unresolved = append(unresolved, m.Attempt)
 		}
-		v.attempts = append(v.attempts, *m)
+		ts.attempts = append(ts.attempts, *m)
 	}
-	if v.result == nil && resultVoted {
-		voted = append(voted, artifactstore.Attempt{})
+	if ts.result == nil && resultVoted {
+		unresolved = append(unresolved, artifactstore.Attempt{})
 	}
-	return voted
+	return unresolved
 }
 
 // lastCompleted returns the last attempt that was sealed as completed, or nil.
-func (v *taskState) lastCompleted() *mergedAttempt {
-	for i := len(v.attempts) - 1; i >= 0; i-- {
-		if m := &v.attempts[i]; m.Ended != "" && !m.Partial && m.Exit.Completed {
+func (ts *taskState) lastCompleted() *mergedAttempt {
+	for i := len(ts.attempts) - 1; i >= 0; i-- {
+		if m := &ts.attempts[i]; m.Ended != "" && !m.Partial && m.Exit.Completed {
 			return m
 		}
 	}
 	return nil
 }
 
-func (v *taskState) find(number uint64) *mergedAttempt {
-	for i := range v.attempts {
-		if v.attempts[i].Number == number {
-			return &v.attempts[i]
+func (ts *taskState) find(number uint64) *mergedAttempt {
+	for i := range ts.attempts {
+		if ts.attempts[i].Number == number {
+			return &ts.attempts[i]
 		}
 	}
 	return nil
 }
 
 // attemptState returns the state of an attempt, as in artifactstore.Line.
-func (v *taskState) attemptState(m *mergedAttempt) string {
+func (ts *taskState) attemptState(m *mergedAttempt) string {
 	switch {
-	case v.result != nil && v.result.Number == m.Number:
+	case ts.result != nil && ts.result.Number == m.Number:
 		return artifactstore.StateFinal
 	case m.Ended != "" && m.Partial:
 		return artifactstore.StatePartial
-	case !v.hasQuorum:
+	case !ts.hasQuorum:
 		return artifactstore.StateUnsure
 	case m.Ended != "":
 		return artifactstore.StateSealed
@@ -149,37 +149,37 @@
 // Attempts lists a task's attempts, ordered by number. sure reports whether a majority answered, so that the list
 // holds every acknowledged attempt.
 func (n *Node) Attempts(ctx context.Context, job string, task int) (list []artifactstore.AttemptSummary, sure bool, err error) {
-	v, err := n.taskState(ctx, job, task)
+	ts, err := n.taskState(ctx, job, task)
 	if err != nil {
 		return nil, false, err
 	}
-	for i := range v.attempts {
-		m := &v.attempts[i]
-		list = append(list, artifactstore.AttemptSummary{Attempt: m.Attempt, Machine: m.Machine, State: v.attemptState(m), Exit: m.Exit})
+	for i := range ts.attempts {
+		m := &ts.attempts[i]
+		list = append(list, artifactstore.AttemptSummary{Attempt: m.Attempt, Machine: m.Machine, State: ts.attemptState(m), Exit: m.Exit})
 	}
-	return list, v.hasQuorum, nil
+	return list, ts.hasQuorum, nil
 }
 
 // findAttempt returns an attempt by number; number 0 selects the task's result, or the latest attempt if there is
 // none.
 func (n *Node) findAttempt(ctx context.Context, job string, task int, number uint64) (*taskState, *mergedAttempt, error) {
-	v, err := n.taskState(ctx, job, task)
+	ts, err := n.taskState(ctx, job, task)
 	if err != nil {
 		return nil, nil, err
 	}
-	if number == 0 && v.result != nil {
-		number = v.result.Number
+	if number == 0 && ts.result != nil {
+		number = ts.result.Number
 	}
 	var m *mergedAttempt
 	if number > 0 {
-		m = v.find(number)
-	} else if len(v.attempts) > 0 {
-		m = &v.attempts[len(v.attempts)-1]
+		m = ts.find(number)
+	} else if len(ts.attempts) > 0 {
+		m = &ts.attempts[len(ts.attempts)-1]
 	}
 	switch {
 	case m != nil:
-		return v, m, nil
-	case !v.hasQuorum:
+		return ts, m, nil
+	case !ts.hasQuorum:
 		return nil, nil, ErrNoQuorum
 	}
 	return nil, nil, artifactstore.ErrUnknown
@@ -188,7 +188,7 @@
 // Manifest returns the manifest and state of an attempt that has ended; number 0 selects the task's result, or the
 // latest attempt if there is none.
 func (n *Node) Manifest(ctx context.Context, job string, task int, number uint64) (*artifactstore.Manifest, string, error) {
-	v, m, err := n.findAttempt(ctx, job, task, number)
+	ts, m, err := n.findAttempt(ctx, job, task, number)
 	if err != nil {
 		return nil, "", err
 	}
@@ -196,7 +196,7 @@
 		return nil, "", fmt.Errorf("%w: attempt %d has not ended", artifactstore.ErrUnknown, m.Number)
 	}
 	man, err := n.readManifest(ctx, m)
-	return man, v.attemptState(m), err
+	return man, ts.attemptState(m), err
 }
 
 func (n *Node) readManifest(ctx context.Context, m *mergedAttempt) (*artifactstore.Manifest, error) {
--- a/internal/artifactstore/artifactstore.go
+++ b/internal/artifactstore/artifactstore.go
@@ -333,7 +333,7 @@
 		return 0, fmt.Errorf("%w: the attempt has %d streams", ErrLimit, count)
 	}
 	if first > next {
-		return next, &GapError{Stream: name, Want: next, Have: first}
+		return next, &GapError{Stream: name, Expected: next, Received: first}
 	}
 	if first+uint64(len(records)) <= next {
 		return next, nil
--- a/internal/artifactstore/client.go
+++ b/internal/artifactstore/client.go
@@ -116,15 +116,15 @@
 			return Line{}, err
 		}
 		before := q.From
-		last, err := readLines(resp.Body, &q, each)
+		end, err := readLines(resp.Body, &q, each)
 		resp.Body.Close()
 		switch {
 		case err != nil && !errors.Is(err, io.ErrUnexpectedEOF):
 			return Line{}, err
-		case err == nil && ((last.State != StateOpen && last.State != StateUnsure) || !q.Follow):
-			return last, nil
+		case err == nil && ((end.State != StateOpen && end.State != StateUnsure) || !q.Follow):
+			return end, nil
 		case ctx.Err() != nil:
-			return last, ctx.Err()
+			return end, ctx.Err()
 		}
 		if failures++; q.From > before || err == nil {
 			failures = 0
--- a/internal/artifactstore/decision.go
+++ b/internal/artifactstore/decision.go
@@ -18,15 +18,15 @@
 			name = partialName(at)
 		}
 	}
-	tenant, ds, ok := st.opt.Blobs.Ref(name)
+	tenant, digests, ok := st.opt.Blobs.Ref(name)
 	if !ok {
 		return nil, false, nil
 	}
-	value, err = st.opt.Blobs.Get(tenant, ds[0], maxManifestBytes)
+	value, err = st.opt.Blobs.Get(tenant, digests[0], maxManifestBytes)
 	if err == nil && at.Number == 0 {
 		var m *Manifest
 		if m, err = Verify(st.opt.Key, value); err == nil {
-			value = protocol.Encode(&Result{tenant, m.Number, ds[0].String()})
+			value = protocol.Encode(&Result{tenant, m.Number, digests[0].String()})
 		}
 	}
 	return value, true, err
--- a/internal/artifactstore/expire.go
+++ b/internal/artifactstore/expire.go
@@ -25,11 +25,11 @@
 				return count, err
 			}
 			for _, name := range names {
-				tenant, ds, ok := st.opt.Blobs.Ref(name)
+				tenant, digests, ok := st.opt.Blobs.Ref(name)
 				if !ok {
 					continue
 				}
-				m, err := st.readManifest(tenant, ds[0])
+				m, err := st.readManifest(tenant, digests[0])
 				if errors.Is(err, blob.ErrRotten) {
 					continue // the scrub repairs or reports it
 				}
@@ -40,7 +40,7 @@
 					continue
 				}
 				final := Attempt{Job: m.Job, Task: m.Task}
-				if _, f, ok := st.opt.Blobs.Ref(finalName(final)); !ok || f[0] == ds[0] {
+				if _, f, ok := st.opt.Blobs.Ref(finalName(final)); !ok || f[0] == digests[0] {
 					if err := st.Forget(ctx, final); err != nil {
 						return count, err
 					}
--- a/internal/artifactstore/inventory.go
+++ b/internal/artifactstore/inventory.go
@@ -75,16 +75,16 @@
 			if err != nil {
 				return nil, err
 			}
-			tenant, ds, ok := st.opt.Blobs.Ref(name)
+			tenant, digests, ok := st.opt.Blobs.Ref(name)
 			if !ok {
 				continue
 			}
-			m, err := st.readManifest(tenant, ds[0])
+			m, err := st.readManifest(tenant, digests[0])
 			if err != nil {
 				return nil, err
 			}
 			delete(open, x.Number)
-			t.Attempts = append(t.Attempts, AttemptView{Claim: m.Claim, Ended: ds[0].String(), Partial: m.Partial, Exit: &m.Exit})
+			t.Attempts = append(t.Attempts, AttemptView{Claim: m.Claim, Ended: digests[0].String(), Partial: m.Partial, Exit: &m.Exit})
 		}
 	}
 	for _, v := range open {
--- a/internal/artifactstore/manifest.go
+++ b/internal/artifactstore/manifest.go
@@ -33,12 +33,12 @@
 
 // GapError reports records whose number is not the next one of the stream.
 type GapError struct {
-	Stream     string
-	Want, Have uint64 // the number expected next, and the one received
+	Stream             string
+	Expected, Received uint64 // the number expected next, and the one received
 }
 
 func (e *GapError) Error() string {
-	return fmt.Sprintf("artifactstore: stream %s: expected record %d, got %d", e.Stream, e.Want, e.Have)
+	return fmt.Sprintf("artifactstore: stream %s: expected record %d, got %d", e.Stream, e.Expected, e.Received)
 }
 
 // Attempt identifies one attempt of a task. The scheduler numbers the attempts of a task in increasing order and
--- a/internal/artifactstore/read.go
+++ b/internal/artifactstore/read.go
@@ -21,11 +21,11 @@
 	return Verify(st.opt.Key, data)
 }
 
-// EndManifest returns the manifest of an attempt that has ended.
+// EndManifest returns the manifest of an attempt that has ended, or ErrUnknown.
 func (st *Store) EndManifest(at Attempt) (*Manifest, error) {
 	for _, name := range []string{sealedName(at), partialName(at)} {
-		if tenant, ds, ok := st.opt.Blobs.Ref(name); ok {
-			return st.readManifest(tenant, ds[0])
+		if tenant, digests, ok := st.opt.Blobs.Ref(name); ok {
+			return st.readManifest(tenant, digests[0])
 		}
 	}
 	return nil, ErrUnknown
@@ -57,7 +57,7 @@
 // readOpen calls each for the records of an open attempt's stream, beginning with number from.
 func (st *Store) readOpen(a *openAttempt, name string, from uint64, each func(Record) error) error {
 	for i := 0; ; i++ {
-		var p recordBatch
+		var batch recordBatch
 		var b []byte
 		for try := 0; ; try++ {
 			st.mu.Lock()
@@ -66,16 +66,16 @@
 				st.mu.Unlock()
 				return nil
 			}
-			p = s.batches[i]
+			batch = s.batches[i]
 			st.mu.Unlock()
-			if p.first+p.count <= from {
+			if batch.first+batch.count <= from {
 				break
 			}
 			var err error
-			if b, err = st.log.Read(p.at); err == nil {
+			if b, err = st.log.Read(batch.at); err == nil {
 				break
 			}
-			if try > 0 || !errors.Is(err, fs.ErrNotExist) { // a concurrent compaction may have moved the entry; look up its position again
+			if try > 0 || !errors.Is(err, fs.ErrNotExist) { // retry once: a compaction may have moved the entry
 				return err
 			}
 		}
@@ -84,10 +84,10 @@
 		}
 		var e entry
 		if err := json.Unmarshal(b, &e); err != nil {
-			return fmt.Errorf("artifactstore: malformed log entry at %v: %w", p.at, err)
+			return fmt.Errorf("artifactstore: malformed log entry at %v: %w", batch.at, err)
 		}
 		for n, r := range e.Records {
-			if p.first+uint64(n) < from {
+			if batch.first+uint64(n) < from {
 				continue
 			}
 			if err := each(r); err != nil {
--- a/internal/artifactstore/token.go
+++ b/internal/artifactstore/token.go
@@ -61,14 +61,14 @@
 
 // ParseToken verifies a token and returns its grant.
 func ParseToken(key []byte, token string, now time.Time) (*Grant, error) {
-	body, code, ok := strings.Cut(token, ".")
+	body, encodedSignature, ok := strings.Cut(token, ".")
 	if !ok || len(token) > maxTokenBytes {
 		return nil, fmt.Errorf("%w: malformed", ErrToken)
 	}
 	enc := base64.RawURLEncoding.Strict()
 	b, err := enc.DecodeString(body)
-	c, cerr := enc.DecodeString(code)
-	if err != nil || cerr != nil || !hmac.Equal(c, mac(tokenKey(key), b)) {
+	signature, signatureErr := enc.DecodeString(encodedSignature)
+	if err != nil || signatureErr != nil || !hmac.Equal(signature, mac(tokenKey(key), b)) {
 		return nil, fmt.Errorf("%w: wrong signature", ErrToken)
 	}
 	var g Grant
