--- a/internal/artifactreplication/sums.go
+++ b/internal/artifactreplication/checksums.go
@@ -13,35 +13,38 @@
 	"topazhollow/internal/protocol"
 )
 
-const buckets = 1024
+// bucketCount is the number of buckets, which must be the same on all replicas.
+const bucketCount = 1024
 
-// maxBuckets is how many buckets one call lists: each call walks over all names.
-const maxBuckets = 256
+// maxBucketsPerCall is how many buckets one call lists. Each call iterates over all names.
+const maxBucketsPerCall = 256
 
-// strayNames is the bucket of what a replica has though it is not its replica (any more).
-const strayNames = -1
+// misplacedBucket is the bucket of the names that a replica has although it is not a replica of their task (any
+// more).
+const misplacedBucket = -1
 
-// bucketOf is the bucket of a task's names.
+// bucketOf returns the bucket of a task's names.
 func bucketOf(at artifactstore.Attempt) int {
 	h := blake3.Sum256(fmt.Appendf(nil, "%s/%d", at.Job, at.Task))
-	return int(binary.LittleEndian.Uint32(h[:])) % buckets
+	return int(binary.LittleEndian.Uint32(h[:])) % bucketCount
 }
 
-// eachName walks over the names of what is here of tasks that another replica is to have too.
-func (n *Node) eachName(other string, f func(name string, at artifactstore.Attempt, stray bool)) error {
+// eachName calls f for the names of everything that this replica has of tasks that another replica should have too.
+// misplaced reports that this replica is not one of the task's.
+func (n *Node) eachName(other string, f func(name string, at artifactstore.Attempt, misplaced bool)) error {
 	var last artifactstore.Attempt
-	var theirs, mine bool
+	var theirs, ours bool
 	visit := func(name string, at artifactstore.Attempt) {
 		if last.Job != at.Job || last.Task != at.Task {
-			place := n.opt.Members.ReplicasOf(at.Job, at.Task)
-			theirs, mine, last = slices.Contains(place, other), slices.Contains(place, n.opt.Name), at
+			replicas := n.opt.Members.ReplicasOf(at.Job, at.Task)
+			theirs, ours, last = slices.Contains(replicas, other), slices.Contains(replicas, n.opt.Name), at
 		}
 		if theirs {
-			f(name, at, !mine)
+			f(name, at, !ours)
 		}
 	}
 	for after := ""; ; {
-		names, err := n.store.Names(after, 2000)
+		names, err := n.store.RefNames(after, 2000)
 		if err != nil {
 			return err
 		}
@@ -57,7 +60,7 @@
 		}
 		after = names[len(names)-1]
 	}
-	for _, v := range n.store.Open() {
+	for _, v := range n.store.OpenAttempts() {
 		v.Idle = 0
 		h := blake3.Sum256(protocol.Encode(&struct {
 			S map[string]artifactstore.Extent
@@ -68,11 +71,12 @@
 	return nil
 }
 
-// checksums gives each bucket's sum of hashes, of what another replica is to have too.
+// checksums returns for each bucket the sum of the hashes of its names, over the tasks that another replica should
+// have too. A sum does not depend on the order of the names.
 func (n *Node) checksums(other string) ([]string, error) {
-	var sums [buckets][2]uint64
-	err := n.eachName(other, func(name string, at artifactstore.Attempt, stray bool) {
-		if stray {
+	var sums [bucketCount][2]uint64
+	err := n.eachName(other, func(name string, at artifactstore.Attempt, misplaced bool) {
+		if misplaced {
 			return
 		}
 		h := blake3.Sum256([]byte(name))
@@ -80,7 +84,7 @@
 		s[0] += binary.LittleEndian.Uint64(h[:])
 		s[1] += binary.LittleEndian.Uint64(h[8:])
 	})
-	list := make([]string, buckets)
+	list := make([]string, bucketCount)
 	for i, s := range sums {
 		b := binary.LittleEndian.AppendUint64(nil, s[0])
 		list[i] = hex.EncodeToString(binary.LittleEndian.AppendUint64(b, s[1]))
@@ -88,21 +92,21 @@
 	return list, err
 }
 
-// names lists some buckets, in one walk.
-func (n *Node) names(other string, of []int) (list []string, err error) {
-	err = n.eachName(other, func(name string, at artifactstore.Attempt, stray bool) {
-		b := strayNames
-		if !stray {
+// namesInBuckets lists the names in the given buckets, in one iteration over all names.
+func (n *Node) namesInBuckets(other string, buckets []int) (list []string, err error) {
+	err = n.eachName(other, func(name string, at artifactstore.Attempt, misplaced bool) {
+		b := misplacedBucket
+		if !misplaced {
 			b = bucketOf(at)
 		}
-		if slices.Contains(of, b) {
+		if slices.Contains(buckets, b) {
 			list = append(list, name)
 		}
 	})
 	return list, err
 }
 
-// taskOf is the task that a name belongs to.
+// taskOf returns the task that a name belongs to.
 func taskOf(name string) (artifactstore.Attempt, error) {
 	if rest, ok := strings.CutPrefix(name, "open/"); ok {
 		if i := strings.LastIndexByte(rest, '/'); i >= 0 {
--- a/internal/artifactreplication/handover.go
+++ b/internal/artifactreplication/handover.go
@@ -10,44 +10,45 @@
 	"topazhollow/internal/protocol"
 )
 
-// handOver lets go of what does not belong here once all of its replicas have it.
+// handOver drops the tasks that this replica no longer belongs to, once all replicas of the task have everything that
+// it has.
 func (n *Node) handOver(ctx context.Context) error {
 	tasks := map[artifactstore.Attempt]bool{}
 	for _, m := range n.opt.Members.List {
 		if m.State != Serving || m.Name == n.opt.Name {
 			continue
 		}
-		if err := n.eachName(m.Name, func(_ string, at artifactstore.Attempt, stray bool) {
-			if stray {
+		if err := n.eachName(m.Name, func(_ string, at artifactstore.Attempt, misplaced bool) {
+			if misplaced {
 				tasks[artifactstore.Attempt{Job: at.Job, Task: at.Task}] = true
 			}
 		}); err != nil {
 			return err
 		}
 	}
-	left := len(tasks)
+	remaining := len(tasks)
 	defer func() {
 		n.mu.Lock()
-		n.repair.strays = left
+		n.repair.misplaced = remaining
 		n.mu.Unlock()
 	}()
 	for at := range tasks {
-		mine, err := n.store.Task(at.Job, at.Task)
+		ours, err := n.store.Task(at.Job, at.Task)
 		if err != nil {
 			return err
 		}
 		names := n.opt.Members.ReplicasOf(at.Job, at.Task)
-		got, _ := n.callReplicas(ctx, names, len(names), func(ctx context.Context, _ string, r replica) (*answer, error) {
-			return r.do(ctx, &call{Op: "task", Attempt: at, Count: true})
+		got, _ := n.callReplicas(ctx, names, len(names), func(ctx context.Context, _ string, r replica) (*peerResponse, error) {
+			return r.do(ctx, &peerRequest{Op: "task", Attempt: at, Count: true})
 		})
-		whole := len(got) == len(names)
+		complete := len(got) == len(names)
 		for _, r := range got {
-			whole = whole && covers(r.Task, mine)
+			complete = complete && hasAllOf(r.Task, ours)
 		}
-		if !whole {
-			continue // they bring it themselves
+		if !complete {
+			continue // the replicas copy it by their own repair
 		}
-		for _, v := range mine.Attempts {
+		for _, v := range ours.Attempts {
 			if v.Ended == "" {
 				err = n.store.Abandon(ctx, v.Attempt)
 			} else {
@@ -60,18 +61,18 @@
 		if err := n.store.Forget(ctx, at); err != nil {
 			return err
 		}
-		left--
+		remaining--
 	}
 	return nil
 }
 
-// covers says whether a replica has all that another has of a task.
-func covers(theirs, mine *artifactstore.TaskView) bool {
-	if mine.Result != nil && (theirs.Result == nil || *theirs.Result != *mine.Result) {
+// hasAllOf reports whether a replica has everything that another one has of a task.
+func hasAllOf(theirs, ours *artifactstore.TaskView) bool {
+	if ours.Result != nil && (theirs.Result == nil || *theirs.Result != *ours.Result) {
 		return false
 	}
-	for _, v := range mine.Attempts {
-		i := slices.IndexFunc(theirs.Attempts, func(t artifactstore.View) bool { return t.Number == v.Number })
+	for _, v := range ours.Attempts {
+		i := slices.IndexFunc(theirs.Attempts, func(t artifactstore.AttemptView) bool { return t.Number == v.Number })
 		if i < 0 {
 			return false
 		}
@@ -96,9 +97,8 @@
 	return true
 }
 
-// finishDecisions finishes what somebody left half decided: ends and results that were
-// accepted here, and completed attempts of which nobody said whether they are the
-// result.
+// finishDecisions completes decisions that another node left unfinished: ends and results that were accepted here,
+// and completed attempts for which it is not known whether they are the task's result.
 func (n *Node) finishDecisions(ctx context.Context) error {
 	var errs []error
 	seen := map[artifactstore.Attempt]bool{}
@@ -106,19 +106,19 @@
 		if v.Value == nil {
 			continue
 		}
-		if seen[at] = true; n.repair.voted[at] { // since the last round
+		if seen[at] = true; n.repair.undecided[at] { // undecided for a whole round: its proposer may have failed
 			_, err := n.resolve(ctx, at)
 			errs = append(errs, err)
 		}
 	}
-	n.repair.voted = seen
+	n.repair.undecided = seen
 	for _, at := range n.store.Unsettled() {
-		m, err := n.store.Ended(at)
+		m, err := n.store.EndManifest(at)
 		if err == nil && n.opt.Members.IsReplica(n.opt.Name, at.Job, at.Task) {
-			_, err = n.settle(ctx, m.Claim, blob.Of(protocol.Encode(m)).String())
+			_, err = n.decideResult(ctx, m.Claim, blob.Of(protocol.Encode(m)).String())
 		}
 		if err == nil {
-			err = n.store.Settled(ctx, at)
+			err = n.store.MarkSettled(ctx, at)
 		}
 		errs = append(errs, err)
 	}
--- a/internal/artifactreplication/repair.go
+++ b/internal/artifactreplication/repair.go
@@ -18,76 +18,75 @@
 	"topazhollow/internal/protocol"
 )
 
-// Two replicas find out what one of them lacks by names: of ended attempts, of results,
-// and of open attempts with how much of them is there. Names fall into buckets by their
-// tasks; equal sums of hashes mean equal buckets, and only the names of others are sent.
+// Two replicas compare names to find what one of them lacks: names of ended attempts, of results, and of open
+// attempts with their extents. Names are grouped into buckets by task. Buckets with equal sums of hashes are equal;
+// only the names of the other buckets are transferred.
 
-// maxRepairs is how many tasks are brought at a time: most of what one takes is waiting
-// for disks.
-const maxRepairs = 8
+// maxConcurrentRepairs is the number of tasks restored at a time. A repair mostly waits for disks.
+const maxConcurrentRepairs = 8
 
-// lack is a task of which something is missing here.
-type lack struct {
-	at      artifactstore.Attempt // its task
-	peers   []string              // who has something of it that is missing here
-	copies  int                   // fewest replicas that have the same missing thing
+// missingTask is a task of which this replica lacks something.
+type missingTask struct {
+	task    artifactstore.Attempt // the task; Number is 0
+	peers   []string              // replicas that have something of it that is missing here
+	copies  int                   // number of replicas that have the rarest missing item
 	noticed time.Time
 }
 
-// plan puts what is missing into the order in which it is brought: what the fewest
-// others have first, of those what was noticed first. have tells by name who has it.
-func plan(have map[string][]string, noticed func(task string) time.Time) []lack {
-	by := map[string]*lack{}
+// orderRepairs groups the missing names by task and orders the tasks: those with the fewest copies first, then those
+// noticed first. have lists by name the replicas that have it.
+func orderRepairs(have map[string][]string, noticed func(task string) time.Time) []missingTask {
+	byTask := map[string]*missingTask{}
 	for _, name := range slices.Sorted(maps.Keys(have)) {
 		at, err := taskOf(name)
 		if err != nil {
-			continue // not a name of ours
+			continue // not a name of an attempt or a result
 		}
 		key := fmt.Sprintf("%s/%d", at.Job, at.Task)
-		l := by[key]
-		if l == nil {
-			l = &lack{at: at, copies: len(have[name]), noticed: noticed(key)}
-			by[key] = l
+		missing := byTask[key]
+		if missing == nil {
+			missing = &missingTask{task: at, copies: len(have[name]), noticed: noticed(key)}
+			byTask[key] = missing
 		}
-		l.copies = min(l.copies, len(have[name]))
+		missing.copies = min(missing.copies, len(have[name]))
 		for _, p := range have[name] {
-			if !slices.Contains(l.peers, p) {
-				l.peers = append(l.peers, p)
+			if !slices.Contains(missing.peers, p) {
+				missing.peers = append(missing.peers, p)
 			}
 		}
 	}
-	list := make([]lack, 0, len(by))
-	for _, key := range slices.Sorted(maps.Keys(by)) {
-		list = append(list, *by[key])
+	list := make([]missingTask, 0, len(byTask))
+	for _, key := range slices.Sorted(maps.Keys(byTask)) {
+		list = append(list, *byTask[key])
 	}
-	slices.SortStableFunc(list, func(a, b lack) int {
+	slices.SortStableFunc(list, func(a, b missingTask) int {
 		return cmp.Or(cmp.Compare(a.copies, b.copies), a.noticed.Compare(b.noticed))
 	})
 	return list
 }
 
-// repairState is what is known of the last look at what others have.
+// repairState is the result of the last comparison with the other replicas.
 type repairState struct {
-	noticed map[string]time.Time // tasks of which something is missing here, since when
-	left    int                  // tasks
-	short   int                  // names that another lacks
-	strays  int                  // tasks that are to be handed over
-	away    map[string]string    // replicas that could not be asked, and why
-	voted   map[artifactstore.Attempt]bool
-	mended  int
-	bytes   int64
+	firstMissing    map[string]time.Time // when a task was first found to be incomplete here
+	pending         int                  // number of tasks still to be restored
+	underReplicated int                  // names that another replica lacks
+	misplaced       int                  // tasks to hand over
+	unreachable     map[string]string    // errors of the replicas that could not be compared with, by name
+	undecided       map[artifactstore.Attempt]bool
+	repairedTasks   int
+	repairedBytes   int64
 }
 
-// InSync says whether all is here that should be by the list in force.
+// InSync reports whether this replica has everything that it should have by the current list.
 func (n *Node) InSync() bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return n.id.full(&n.opt.Members)
+	return n.id.isSynced(&n.opt.Members)
 }
 
-// Repair looks at what the other replicas have, brings what is missing here, hands over
-// what does not belong here, and sees through what was left half decided. A replica that
-// has had an answer of all others, and all that they have for it, is full from then on.
+// Repair compares this replica with all others, restores what is missing here, hands over tasks that don't belong
+// here, and completes unfinished decisions. A replica becomes in sync once all others have answered and everything
+// missing was restored.
 func (n *Node) Repair(ctx context.Context) error {
 	inSync := n.InSync()
 	found := n.compareAll(ctx, !inSync)
@@ -98,52 +97,52 @@
 		return ctx.Err()
 	}
 	if len(list) > 0 {
-		n.opt.Log.Info("repaired", "keeper", n.opt.Name, "tasks", len(list)-len(errs), "failed", len(errs),
+		n.opt.Log.Info("repair finished", "keeper", n.opt.Name, "tasks", len(list)-len(errs), "failed", len(errs),
 			"took", n.opt.Now().Sub(began))
 	}
-	if !inSync && len(found.away) == 0 && len(errs) == 0 {
-		if err := n.becomeSynced(ctx, found.bound); err != nil {
+	if !inSync && len(found.unreachable) == 0 && len(errs) == 0 {
+		if err := n.becomeSynced(ctx, found.votes); err != nil {
 			return err
 		}
 	}
 	errs = append(errs, n.handOver(ctx), n.finishDecisions(ctx))
-	return errors.Join(errs[:min(len(errs), maxErrors)]...)
+	return errors.Join(errs[:min(len(errs), maxReportedErrors)]...)
 }
 
-// maxErrors bounds the errors that one repair gives.
-const maxErrors = 10
+// maxReportedErrors is the maximum number of errors that one repair returns.
+const maxReportedErrors = 10
 
-// comparison is what comparing with the other replicas found.
+// comparison is the result of comparing this replica with the others.
 type comparison struct {
-	have  map[string][]string // replicas that have what is not here, by task
-	away  map[string]string   // why a replica did not answer, by its name
-	bound []boundTo           // votes of others that this one lost
-	short int
+	missing         map[string][]string // replicas that have a name that is missing here, by name
+	unreachable     map[string]string   // errors of the replicas that could not be compared with, by name
+	votes           []registerVote      // votes of the others, to adopt if this replica lost its disk
+	underReplicated int
 }
 
-// compareAll compares with every other replica, of votes only while this one is not in sync.
+// compareAll compares with every other replica. It requests the votes only while this replica is not in sync.
 func (n *Node) compareAll(ctx context.Context, votes bool) *comparison {
-	found := &comparison{have: map[string][]string{}, away: map[string]string{}}
+	found := &comparison{missing: map[string][]string{}, unreachable: map[string]string{}}
 	for _, name := range slices.Sorted(maps.Keys(n.peers)) {
 		if name == n.opt.Name {
 			continue
 		}
-		bound, short, err := n.compare(ctx, name, votes, found.have)
+		theirVotes, underReplicated, err := n.compare(ctx, name, votes, found.missing)
 		if err != nil {
-			found.away[name] = err.Error()
+			found.unreachable[name] = err.Error()
 		}
-		found.bound, found.short = append(found.bound, bound...), found.short+short
+		found.votes, found.underReplicated = append(found.votes, theirVotes...), found.underReplicated+underReplicated
 	}
 	return found
 }
 
-// planRepairs lists what is to be restored, in the order of plan, and notes it for the status.
-func (n *Node) planRepairs(found *comparison, now time.Time) []lack {
+// planRepairs returns the tasks to restore in the order of orderRepairs, and updates the status.
+func (n *Node) planRepairs(found *comparison, now time.Time) []missingTask {
 	noticed := map[string]time.Time{}
-	list := plan(found.have, func(task string) time.Time {
+	list := orderRepairs(found.missing, func(task string) time.Time {
 		n.mu.Lock()
 		defer n.mu.Unlock()
-		since, ok := n.repair.noticed[task]
+		since, ok := n.repair.firstMissing[task]
 		if !ok {
 			since = now
 		}
@@ -152,119 +151,119 @@
 	})
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.repair.noticed, n.repair.left, n.repair.short, n.repair.away = noticed, len(list), found.short, found.away
+	n.repair.firstMissing, n.repair.pending, n.repair.underReplicated, n.repair.unreachable = noticed, len(list), found.underReplicated, found.unreachable
 	return list
 }
 
-// restoreAll restores what is listed, several at a time, and gives what failed.
-func (n *Node) restoreAll(ctx context.Context, list []lack) (errs []error) {
+// restoreAll restores the listed tasks concurrently and returns the errors.
+func (n *Node) restoreAll(ctx context.Context, list []missingTask) (errs []error) {
 	var repairs errgroup.Group
-	repairs.SetLimit(maxRepairs)
+	repairs.SetLimit(maxConcurrentRepairs)
 	for _, l := range list {
 		repairs.Go(func() error {
 			err := ctx.Err()
 			if err == nil {
-				err = n.restoreCopy(ctx, l)
+				err = n.restoreTask(ctx, l)
 			}
 			n.mu.Lock()
 			defer n.mu.Unlock()
 			if err != nil {
-				errs = append(errs, fmt.Errorf("%s/%d: %w", l.at.Job, l.at.Task, err))
+				errs = append(errs, fmt.Errorf("%s/%d: %w", l.task.Job, l.task.Task, err))
 			} else {
-				n.repair.left--
-				n.repair.mended++
+				n.repair.pending--
+				n.repair.repairedTasks++
 			}
 			return nil
 		})
 	}
-	_ = repairs.Wait() // what failed is in errs
+	_ = repairs.Wait() // the errors are in errs
 	return errs
 }
 
-// becomeSynced takes over the votes that the others know of, and notes that all is here that should be: from then on
-// this replica counts.
-func (n *Node) becomeSynced(ctx context.Context, bound []boundTo) error {
-	for _, b := range bound {
+// becomeSynced adopts the votes that the others reported and records that this replica has everything that it should
+// have. From then on it votes and is counted.
+func (n *Node) becomeSynced(ctx context.Context, votes []registerVote) error {
+	for _, b := range votes {
 		if err := n.store.Adopt(ctx, b.At, &b.Vote, n.limitRate(n.fetch(b.At, ""))); err != nil {
 			return err
 		}
 	}
 	n.mu.Lock()
-	err := n.id.synced(&n.opt.Members)
+	err := n.id.markSynced(&n.opt.Members)
 	n.mu.Unlock()
 	if err != nil {
 		return err
 	}
-	n.opt.Log.Info("all is here that should be", "keeper", n.opt.Name,
+	n.opt.Log.Info("replica in sync", "keeper", n.opt.Name,
 		"epoch", n.opt.Members.Epoch, "disk", n.id.Disk, "incarnation", n.id.Incarnation)
 	return nil
 }
 
-// compare adds what a replica has and this one lacks, and counts what it lacks itself.
-// What it is bound to in registers is read before its names: what is decided meanwhile
-// is among those.
-func (n *Node) compare(ctx context.Context, name string, votes bool, have map[string][]string) (bound []boundTo, short int, err error) {
+// compare compares this replica with another one. It adds the names that only the other one has to have, and counts
+// the names that the other one lacks. It requests the other's votes before its names, so that a register decided in
+// between shows up in the names.
+func (n *Node) compare(ctx context.Context, name string, votes bool, have map[string][]string) (theirVotes []registerVote, underReplicated int, err error) {
 	p := n.peers[name]
-	ask := func(c *call) (*answer, error) {
+	do := func(c *peerRequest) (*peerResponse, error) {
 		ctx, cancel := context.WithTimeout(ctx, 4*n.opt.PeerTimeout)
 		defer cancel()
 		return p.do(ctx, c)
 	}
 	if votes {
-		a, err := ask(&call{Op: "votes"})
+		a, err := do(&peerRequest{Op: "votes"})
 		if err != nil {
 			return nil, 0, err
 		}
-		bound = a.Votes
+		theirVotes = a.Votes
 	}
-	a, err := ask(&call{Op: "sums"})
+	a, err := do(&peerRequest{Op: "sums"})
 	if err != nil {
 		return nil, 0, err
 	}
-	mine, err := n.checksums(name)
+	sums, err := n.checksums(name)
 	if err != nil {
 		return nil, 0, err
 	}
-	if len(a.Sums) != buckets {
-		return nil, 0, fmt.Errorf("%w: %d sums", errBody, len(a.Sums))
+	if len(a.Sums) != bucketCount {
+		return nil, 0, fmt.Errorf("%w: %d bucket sums", errMalformedRequest, len(a.Sums))
 	}
-	differ := []int{strayNames}
-	for i := range mine {
-		if mine[i] != a.Sums[i] {
+	differ := []int{misplacedBucket}
+	for i := range sums {
+		if sums[i] != a.Sums[i] {
 			differ = append(differ, i)
 		}
 	}
-	here := map[string]bool{} // whether both are to have it, by name
-	if err := n.eachName(name, func(x string, at artifactstore.Attempt, stray bool) {
-		if b := bucketOf(at); stray || mine[b] != a.Sums[b] {
-			here[x] = !stray
+	ourNames := map[string]bool{} // names here; true if both replicas should have it
+	if err := n.eachName(name, func(x string, at artifactstore.Attempt, misplaced bool) {
+		if b := bucketOf(at); misplaced || sums[b] != a.Sums[b] {
+			ourNames[x] = !misplaced
 		}
 	}); err != nil {
 		return nil, 0, err
 	}
-	there := map[string]bool{}
-	for of := range slices.Chunk(differ, maxBuckets) {
-		a, err := ask(&call{Op: "names", Buckets: of})
+	theirNames := map[string]bool{}
+	for chunk := range slices.Chunk(differ, maxBucketsPerCall) {
+		a, err := do(&peerRequest{Op: "names", Buckets: chunk})
 		if err != nil {
 			return nil, 0, err
 		}
 		for _, x := range a.Names {
-			there[x] = true
-			if !here[x] && !n.isMember(x) {
+			theirNames[x] = true
+			if !ourNames[x] && !n.isPresent(x) {
 				have[x] = append(have[x], name)
 			}
 		}
 	}
-	for x, belongs := range here {
-		if belongs && !there[x] && !strings.HasPrefix(x, "open/") {
-			short++
+	for x, belongs := range ourNames {
+		if belongs && !theirNames[x] && !strings.HasPrefix(x, "open/") {
+			underReplicated++
 		}
 	}
-	return bound, short, nil
+	return theirVotes, underReplicated, nil
 }
 
-// isMember says whether a name that another replica has needs nothing to be done here.
-func (n *Node) isMember(name string) bool {
+// isPresent reports whether a name that another replica has needs no repair here.
+func (n *Node) isPresent(name string) bool {
 	if _, _, ok := n.blobs.Ref(name); ok {
 		return true
 	}
@@ -277,38 +276,38 @@
 	if err != nil {
 		return true
 	}
-	_, err = n.store.Ended(at)
+	_, err = n.store.EndManifest(at)
 	return err == nil
 }
 
-// restoreCopy brings what is missing here of a task.
-func (n *Node) restoreCopy(ctx context.Context, l lack) error {
+// restoreTask restores what this replica lacks of a task.
+func (n *Node) restoreTask(ctx context.Context, missing missingTask) error {
 	var errs []error
-	for _, name := range l.peers {
+	for _, name := range missing.peers {
 		p := n.peers[name]
-		asked, cancel := context.WithTimeout(ctx, n.opt.PeerTimeout)
-		a, err := p.do(asked, &call{Op: "task", Attempt: l.at})
+		callCtx, cancel := context.WithTimeout(ctx, n.opt.PeerTimeout)
+		a, err := p.do(callCtx, &peerRequest{Op: "task", Attempt: missing.task})
 		cancel()
 		if err == nil {
-			err = n.take(ctx, l.at, name, a.Task)
+			err = n.restoreFrom(ctx, missing.task, name, a.Task)
 		}
 		errs = append(errs, err)
 	}
 	return errors.Join(errs...)
 }
 
-// take brings what another replica's view of a task shows and this one lacks.
-func (n *Node) take(ctx context.Context, task artifactstore.Attempt, name string, t *artifactstore.TaskView) error {
-	over := n.opt.Retain.IsExpired(n.opt.Now())
-	src := pacedSource{n.peers[name], n}
+// restoreFrom restores what another replica's view of a task shows and this replica lacks.
+func (n *Node) restoreFrom(ctx context.Context, task artifactstore.Attempt, name string, t *artifactstore.TaskView) error {
+	isExpired := n.opt.Retention.IsExpired(n.opt.Now())
+	src := rateLimitedReplica{n.peers[name], n}
 	expired := map[uint64]bool{}
 	for _, v := range t.Attempts {
-		if _, err := n.store.Ended(v.Attempt); err == nil || v.Machine == "" {
+		if _, err := n.store.EndManifest(v.Attempt); err == nil || v.Machine == "" {
 			continue
 		}
 		fetch := n.limitRate(n.fetch(v.Attempt, name))
 		if v.Ended == "" {
-			if err := n.takeOpen(ctx, src, v, fetch); err != nil {
+			if err := n.restoreOpenAttempt(ctx, src, v, fetch); err != nil {
 				return err
 			}
 			continue
@@ -317,7 +316,7 @@
 		if err != nil {
 			return err
 		}
-		value, err := n.readWhole(ctx, v.Job, v.Task, v.Tenant, d)
+		value, err := n.readBlob(ctx, v.Job, v.Task, v.Tenant, d)
 		if err != nil {
 			return err
 		}
@@ -325,7 +324,7 @@
 		if err != nil {
 			return err
 		}
-		if over(m) { // it is about to go there too
+		if isExpired(m) { // the other replica is about to drop it too
 			expired[m.Number] = true
 			continue
 		}
@@ -339,7 +338,7 @@
 	return n.store.Learn(ctx, task, protocol.Encode(t.Result), n.limitRate(n.fetch(task, name)))
 }
 
-func (n *Node) takeOpen(ctx context.Context, src replica, v artifactstore.View, fetch artifactstore.Fetch) error {
+func (n *Node) restoreOpenAttempt(ctx context.Context, src replica, v artifactstore.AttemptView, fetch artifactstore.Fetch) error {
 	err := n.store.Begin(ctx, v.Claim)
 	if errors.Is(err, artifactstore.ErrSealed) {
 		return nil
@@ -347,16 +346,16 @@
 	if err != nil {
 		return err
 	}
-	mine := map[string]artifactstore.Extent{}
+	ours := map[string]artifactstore.Extent{}
 	files := map[string]string{}
-	for _, o := range n.store.Open() {
+	for _, o := range n.store.OpenAttempts() {
 		if o.Attempt == v.Attempt {
-			mine, files = o.Streams, o.Files
+			ours, files = o.Streams, o.Files
 		}
 	}
 	for _, stream := range slices.Sorted(maps.Keys(v.Streams)) {
-		if mine[stream].Next < v.Streams[stream].Next {
-			_, err = n.copyRecords(ctx, v.Claim, stream, mine[stream].Next, 0, src, local{n})
+		if ours[stream].Next < v.Streams[stream].Next {
+			_, err = n.copyRecords(ctx, v.Claim, stream, ours[stream].Next, 0, src, local{n})
 		}
 		if err != nil {
 			break
@@ -383,16 +382,16 @@
 		}
 	}
 	switch {
-	case errors.Is(err, artifactstore.ErrSealed): // meanwhile
+	case errors.Is(err, artifactstore.ErrSealed): // ended in the meantime
 		return nil
-	case errors.Is(err, artifactstore.ErrFrozen): // somebody began to end it
+	case errors.Is(err, artifactstore.ErrFrozen): // another node has begun to end it
 		_, rerr := n.resolve(ctx, v.Attempt)
 		return errors.Join(err, rerr)
 	}
 	return err
 }
 
-// OpenVerified gives a copy of a blob that went bad here, from a replica that has a good one.
+// OpenVerified opens a blob that is corrupt here on a replica that has an intact copy.
 func (n *Node) OpenVerified(ctx context.Context, d blob.Digest) (io.ReadCloser, error) {
 	errs := []error{blob.ErrRotten}
 	for _, name := range slices.Sorted(maps.Keys(n.peers)) {
--- a/internal/artifactreplication/replica.go
+++ b/internal/artifactreplication/replica.go
@@ -19,20 +19,18 @@
 	"topazhollow/internal/protocol"
 )
 
-// Errors between replicas.
+// Errors of calls between replicas.
 var (
-	// ErrJoining says that a replica does not have all yet that it should, and so
-	// can't vote or be counted.
-	ErrJoining = errors.New("keepers: still joining")
-	// ErrEpoch says that two replicas go by different lists.
-	ErrEpoch = errors.New("keepers: another list of keepers is in force there")
-	// ErrTooFew says that too few of a task's replicas answered.
-	ErrTooFew = errors.New("keepers: too few of the task's keepers answered")
+	// ErrJoining reports that a replica does not have all its data yet, so that it can't vote or be counted.
+	ErrJoining = errors.New("artifactreplication: replica is still joining")
+	// ErrEpoch reports that two replicas use different lists of members.
+	ErrEpoch = errors.New("artifactreplication: the replica uses a different list of members")
+	// ErrNoQuorum reports that too few of a task's replicas answered.
+	ErrNoQuorum = errors.New("artifactreplication: too few of the task's replicas answered")
 )
 
-// call is what one replica asks another; answer what it gets. Each operation uses a few
-// of the fields.
-type call struct {
+// peerRequest is a request from one replica to another. Each operation uses some of the fields.
+type peerRequest struct {
 	Op       string                 `json:"op"`
 	Claim    artifactstore.Claim    `json:"claim"`
 	Attempt  artifactstore.Attempt  `json:"at"`
@@ -45,40 +43,42 @@
 	Freeze   bool                   `json:"freeze,omitempty"`
 	Value    []byte                 `json:"value,omitempty"`
 	Buckets  []int                  `json:"buckets,omitempty"`
-	Count    bool                   `json:"count,omitempty"` // the answer counts, so it must come from a replica that has all
+	Count    bool                   `json:"count,omitempty"` // fail with ErrJoining unless the replica has everything of the task
 	From     string                 `json:"from"`
-	Identity string                 `json:"identity"` // list in force
+	Identity string                 `json:"identity"` // digest of the sender's member list
 }
 
-type answer struct {
+// peerResponse is the response to a peerRequest. Each operation sets some of the fields.
+type peerResponse struct {
 	Next    uint64                  `json:"next,omitempty"`
 	Promise *artifactstore.Promise  `json:"promise,omitempty"`
 	Task    *artifactstore.TaskView `json:"task,omitempty"`
 	Tasks   []int                   `json:"tasks,omitempty"`
 	Sums    []string                `json:"sums,omitempty"`
 	Names   []string                `json:"names,omitempty"`
-	Votes   []boundTo               `json:"votes,omitempty"`
+	Votes   []registerVote          `json:"votes,omitempty"`
 	Status  *Status                 `json:"status,omitempty"`
 }
 
-type boundTo struct {
+// registerVote is a replica's vote in a register.
+type registerVote struct {
 	At   artifactstore.Attempt `json:"at"`
 	Vote artifactstore.Vote    `json:"vote"`
 }
 
-// replica is a replica as another sees it; the own one is called like the others.
+// replica is the interface by which a node calls a replica, itself or another one.
 type replica interface {
-	do(ctx context.Context, c *call) (*answer, error)
-	// read hands over records from a number on, for as long as the context allows if it
-	// follows. ended says that no more can come.
+	do(ctx context.Context, c *peerRequest) (*peerResponse, error)
+	// read calls each for the records of a stream, beginning with number from. If follow is set, it waits for more
+	// until the context ends. ended reports that the attempt has ended.
 	read(ctx context.Context, at artifactstore.Attempt, stream string, from uint64, follow bool, each func(artifactstore.Record) error) (next uint64, ended bool, err error)
 	blob(ctx context.Context, tenant string, d blob.Digest, offset int64) (io.ReadCloser, error)
 	put(ctx context.Context, tenant string, d blob.Digest, content io.Reader) error
 }
 
-// codes names the errors that are told apart across a connection, and maps them to
-// HTTP, in this one place.
-var codes = []struct {
+// errorCodes maps errors to the codes by which clients and replicas tell them apart, and to the HTTP status and
+// Retry-After of the response.
+var errorCodes = []struct {
 	code   string
 	err    error
 	status int
@@ -88,31 +88,31 @@
 	{"claim", artifactstore.ErrClaim, http.StatusForbidden, 0},
 	{"tenant", blob.ErrTenant, http.StatusForbidden, 0},
 	{"sealed", artifactstore.ErrSealed, http.StatusConflict, 0},
-	{"not whole", artifactstore.ErrNotWhole, http.StatusConflict, 0},
+	{"not whole", artifactstore.ErrIncomplete, http.StatusConflict, 0},
 	{"unknown", artifactstore.ErrUnknown, http.StatusNotFound, 0},
 	{"no blob", blob.ErrNotFound, http.StatusNotFound, 0},
 	{"no upload", blob.ErrUpload, http.StatusNotFound, 0},
 	{"offset", blob.ErrGap, http.StatusConflict, 0},
-	{"too much", artifactstore.ErrTooMuch, http.StatusRequestEntityTooLarge, 0},
+	{"too much", artifactstore.ErrLimit, http.StatusRequestEntityTooLarge, 0},
 	{"name", artifactstore.ErrName, http.StatusBadRequest, 0},
 	{"digest", blob.ErrDigest, http.StatusBadRequest, 0},
 	{"mismatch", blob.ErrMismatch, http.StatusBadRequest, 0},
-	{"body", errBody, http.StatusBadRequest, 0},
+	{"body", errMalformedRequest, http.StatusBadRequest, 0},
 	{"forged", artifactstore.ErrForged, http.StatusBadRequest, 0},
 	{"frozen", artifactstore.ErrFrozen, http.StatusServiceUnavailable, time.Second},
 	{"joining", ErrJoining, http.StatusServiceUnavailable, time.Second},
 	{"epoch", ErrEpoch, http.StatusServiceUnavailable, time.Second},
-	{"too few", ErrTooFew, http.StatusServiceUnavailable, time.Second},
+	{"too few", ErrNoQuorum, http.StatusServiceUnavailable, time.Second},
 	{"busy", errBusy, http.StatusTooManyRequests, time.Second},
 	{"rotten", blob.ErrRotten, http.StatusServiceUnavailable, 10 * time.Second},
 }
 
 var (
-	errBody = errors.New("keepers: malformed request")
-	errBusy = errors.New("keepers: too much at a time")
+	errMalformedRequest = errors.New("artifactreplication: malformed request")
+	errBusy             = errors.New("artifactreplication: too many concurrent calls")
 )
 
-// remote is another replica, over HTTP.
+// remote is another replica, called over HTTP.
 type remote struct {
 	n    *Node
 	name string
@@ -147,21 +147,21 @@
 	defer resp.Body.Close()
 	var a artifactstore.Answer
 	if err := json.NewDecoder(io.LimitReader(resp.Body, 64<<10)).Decode(&a); err != nil {
-		return nil, fmt.Errorf("keeper %s: %s", r.name, resp.Status)
+		return nil, fmt.Errorf("replica %s: %s", r.name, resp.Status)
 	}
-	return nil, fmt.Errorf("keeper %s: %w", r.name, errorOf(&a, resp))
+	return nil, fmt.Errorf("replica %s: %w", r.name, errorOf(&a, resp))
 }
 
-// errorOf is the error that an answer stands for.
+// errorOf returns the error that an error response stands for.
 func errorOf(a *artifactstore.Answer, resp *http.Response) error {
 	if a.Code == "gap" && a.Next != nil {
-		return &artifactstore.GapError{Want: *a.Next}
+		return &artifactstore.GapError{Expected: *a.Next}
 	}
 	if a.Code == "full" {
 		seconds, _ := strconv.Atoi(resp.Header.Get("Retry-After"))
 		return &blob.FullError{Retry: time.Duration(seconds) * time.Second}
 	}
-	for _, c := range codes {
+	for _, c := range errorCodes {
 		if c.code == a.Code {
 			return fmt.Errorf("%w (%s)", c.err, a.Error)
 		}
@@ -169,7 +169,7 @@
 	return fmt.Errorf("%s %s", resp.Status, a.Error)
 }
 
-func (r *remote) do(ctx context.Context, c *call) (*answer, error) {
+func (r *remote) do(ctx context.Context, c *peerRequest) (*peerResponse, error) {
 	cc := *c
 	cc.From, cc.Identity = r.n.opt.Name, r.n.opt.Members.digest()
 	resp, err := r.request(ctx, "POST", "/peer/call", bytes.NewReader(protocol.Encode(&cc)))
@@ -177,7 +177,7 @@
 		return nil, err
 	}
 	defer resp.Body.Close()
-	a := &answer{}
+	a := &peerResponse{}
 	return a, json.NewDecoder(resp.Body).Decode(a)
 }
 
@@ -195,13 +195,13 @@
 	for next := from; ; {
 		var l artifactstore.Line
 		if err := d.Decode(&l); err != nil {
-			return next, false, fmt.Errorf("keeper %s: records broke off: %w", r.name, err)
+			return next, false, fmt.Errorf("replica %s: stream of records interrupted: %w", r.name, err)
 		}
 		if l.State != "" {
-			return next, l.State == ended, nil
+			return next, l.State == streamEnded, nil
 		}
 		if l.Record == nil || l.Number != next {
-			return next, false, fmt.Errorf("keeper %s: record %d in place of %d", r.name, l.Number, next)
+			return next, false, fmt.Errorf("replica %s: got record %d, expected %d", r.name, l.Number, next)
 		}
 		if err := each(*l.Record); err != nil {
 			return next, false, err
@@ -210,8 +210,8 @@
 	}
 }
 
-// ended is the state of the last line among replicas where no more can come.
-const ended = "ended"
+// streamEnded is the State of the last line between replicas if the attempt has ended.
+const streamEnded = "ended"
 
 func (r *remote) blob(ctx context.Context, tenant string, d blob.Digest, offset int64) (io.ReadCloser, error) {
 	q := url.Values{"tenant": {tenant}, "blob": {d.String()}, "offset": {strconv.FormatInt(offset, 10)}}
@@ -231,17 +231,19 @@
 	return resp.Body.Close()
 }
 
-// local is the own replica.
+// local is the node's own replica.
 type local struct{ n *Node }
 
-func (l local) do(ctx context.Context, c *call) (*answer, error) { return l.n.serve(ctx, c) }
+func (l local) do(ctx context.Context, c *peerRequest) (*peerResponse, error) {
+	return l.n.serve(ctx, c)
+}
 
-func (l local) read(ctx context.Context, at artifactstore.Attempt, stream string, from uint64, follow bool, each func(artifactstore.Record) error) (next uint64, over bool, err error) {
+func (l local) read(ctx context.Context, at artifactstore.Attempt, stream string, from uint64, follow bool, each func(artifactstore.Record) error) (next uint64, ended bool, err error) {
 	for next = from; ; {
-		if next, over, err = l.n.store.Read(at, stream, next, each); err != nil || over || !follow {
-			return next, over, err
+		if next, ended, err = l.n.store.Read(at, stream, next, each); err != nil || ended || !follow {
+			return next, ended, err
 		}
-		if l.n.store.Wait(ctx, at, stream, next) != nil {
+		if l.n.store.WaitForRecords(ctx, at, stream, next) != nil {
 			return next, false, nil
 		}
 	}
@@ -255,21 +257,21 @@
 	return l.n.blobs.Take(ctx, tenant, d, content)
 }
 
-// serve carries out what a replica, this one or another, asks of this one alone.
-func (n *Node) serve(ctx context.Context, c *call) (*answer, error) {
-	k, a := n.store, &answer{}
+// serve performs an operation on this replica alone, for this node or another one.
+func (n *Node) serve(ctx context.Context, c *peerRequest) (*peerResponse, error) {
+	store, a := n.store, &peerResponse{}
 	var err error
-	if c.Count && !n.counts(c.Attempt.Job, c.Attempt.Task) {
+	if c.Count && !n.isComplete(c.Attempt.Job, c.Attempt.Task) {
 		return nil, ErrJoining
 	}
 	switch c.Op {
 	case "begin":
-		err = k.Begin(ctx, c.Claim)
+		err = store.Begin(ctx, c.Claim)
 	case "append":
-		a.Next, err = k.Append(ctx, c.Claim, c.Stream, c.First, c.Records)
-		if errors.Is(err, artifactstore.ErrUnknown) { // it was not there when the attempt began
-			if err = k.Begin(ctx, c.Claim); err == nil {
-				a.Next, err = k.Append(ctx, c.Claim, c.Stream, c.First, c.Records)
+		a.Next, err = store.Append(ctx, c.Claim, c.Stream, c.First, c.Records)
+		if errors.Is(err, artifactstore.ErrUnknown) { // this replica missed the begin of the attempt
+			if err = store.Begin(ctx, c.Claim); err == nil {
+				a.Next, err = store.Append(ctx, c.Claim, c.Stream, c.First, c.Records)
 			}
 		}
 	case "attach":
@@ -277,39 +279,39 @@
 		if d, err = blob.Parse(c.Digest); err != nil {
 			return nil, err
 		}
-		err = k.Attach(ctx, c.Claim, c.Path, d)
+		err = store.Attach(ctx, c.Claim, c.Path, d)
 		if errors.Is(err, artifactstore.ErrUnknown) {
-			if err = k.Begin(ctx, c.Claim); err == nil {
-				err = k.Attach(ctx, c.Claim, c.Path, d)
+			if err = store.Begin(ctx, c.Claim); err == nil {
+				err = store.Attach(ctx, c.Claim, c.Path, d)
 			}
 		}
 	case "prepare":
-		a.Promise, err = k.Prepare(ctx, c.Attempt, c.Ballot, c.Freeze)
+		a.Promise, err = store.Prepare(ctx, c.Attempt, c.Ballot, c.Freeze)
 	case "accept":
-		a.Promise, err = k.Accept(ctx, c.Attempt, c.Ballot, c.Value, n.fetch(c.Attempt, c.From))
+		a.Promise, err = store.Accept(ctx, c.Attempt, c.Ballot, c.Value, n.fetch(c.Attempt, c.From))
 	case "learn":
-		err = k.Learn(ctx, c.Attempt, c.Value, n.fetch(c.Attempt, c.From))
-		if errors.Is(err, artifactstore.ErrSplit) {
-			n.opt.Log.Error("a register has two values", "job", c.Attempt.Job, "task", c.Attempt.Task, "attempt", c.Attempt.Number, "keeper", c.From)
+		err = store.Learn(ctx, c.Attempt, c.Value, n.fetch(c.Attempt, c.From))
+		if errors.Is(err, artifactstore.ErrConflictingDecisions) {
+			n.opt.Log.Error("two values decided in a register", "job", c.Attempt.Job, "task", c.Attempt.Task, "attempt", c.Attempt.Number, "keeper", c.From)
 		}
 	case "task":
-		a.Task, err = k.Task(c.Attempt.Job, c.Attempt.Task)
+		a.Task, err = store.Task(c.Attempt.Job, c.Attempt.Task)
 	case "tasks":
-		a.Tasks, err = k.Tasks(c.Attempt.Job)
+		a.Tasks, err = store.Tasks(c.Attempt.Job)
 	case "sums":
 		a.Sums, err = n.checksums(c.From)
 	case "names":
-		a.Names, err = n.names(c.From, c.Buckets)
+		a.Names, err = n.namesInBuckets(c.From, c.Buckets)
 	case "votes":
-		for at, v := range k.Votes() {
+		for at, v := range store.Votes() {
 			if n.opt.Members.IsReplica(c.From, at.Job, at.Task) {
-				a.Votes = append(a.Votes, boundTo{at, v})
+				a.Votes = append(a.Votes, registerVote{at, v})
 			}
 		}
 	case "status":
 		a.Status = n.Status()
 	default:
-		err = fmt.Errorf("%w: op %.40q", errBody, c.Op)
+		err = fmt.Errorf("%w: unknown operation %.40q", errMalformedRequest, c.Op)
 	}
 	if err != nil {
 		return nil, err
@@ -317,16 +319,15 @@
 	return a, nil
 }
 
-// fetch gets a blob of an attempt from another replica, the one first that asks for it
-// to be there.
+// fetch returns a Fetch for the blobs of an attempt. It tries the replica named first before the others.
 func (n *Node) fetch(at artifactstore.Attempt, first string) artifactstore.Fetch {
 	return func(ctx context.Context, tenant string, d blob.Digest) (io.ReadCloser, error) {
-		return n.open(ctx, append([]string{first}, n.sources(at.Job, at.Task)...), tenant, d, 0)
+		return n.openBlob(ctx, append([]string{first}, n.sources(at.Job, at.Task)...), tenant, d, 0)
 	}
 }
 
-// sources lists whoever may have something of a task: its replicas first, then those
-// that were its replicas, perhaps.
+// sources lists the replicas that may have data of a task: its replicas, then the draining ones, which may have been
+// its replicas.
 func (n *Node) sources(job string, task int) []string {
 	names := n.opt.Members.ReplicasOf(job, task)
 	for _, m := range n.opt.Members.List {
@@ -337,8 +338,8 @@
 	return names
 }
 
-// open reads a blob from the first replica that has it, the own one before all others.
-func (n *Node) open(ctx context.Context, names []string, tenant string, d blob.Digest, offset int64) (io.ReadCloser, error) {
+// openBlob opens a blob on the first replica that has it, trying this one before all others.
+func (n *Node) openBlob(ctx context.Context, names []string, tenant string, d blob.Digest, offset int64) (io.ReadCloser, error) {
 	r, err := n.blobs.Open(tenant, d, offset)
 	if err == nil {
 		return r, nil
@@ -353,7 +354,7 @@
 			errs = append(errs, err)
 		}
 	}
-	for _, err := range errs { // a replica that answered says more than one that did not
+	for _, err := range errs { // a definite answer tells more than a failed call
 		if errors.Is(err, blob.ErrNotFound) {
 			return nil, err
 		}
--- a/internal/artifactreplication/serve_readers.go
+++ b/internal/artifactreplication/serve_readers.go
@@ -14,7 +14,7 @@
 	"topazhollow/internal/protocol"
 )
 
-// routeReaders adds what may be read of a job or one of its tasks.
+// routeReaders adds the routes for reading the output of a job or a task.
 func (s *Server) routeReaders(mux *http.ServeMux) {
 	route := func(pattern string, f func(w http.ResponseWriter, r *http.Request, job string, task int) error) {
 		s.handle(mux, pattern, 0, func(w http.ResponseWriter, r *http.Request, g *artifactstore.Grant) error {
@@ -32,8 +32,8 @@
 	route("GET /files/{job}/{task}/{path...}", s.file)
 }
 
-// readTarget is the job and the task that a request names, -1 for all its tasks, if the token
-// is for it.
+// readTarget returns the job and the task that a request names, -1 for all tasks of the job, if the token allows
+// reading them.
 func readTarget(r *http.Request, g *artifactstore.Grant) (job string, task int, err error) {
 	job, task = r.PathValue("job"), -1
 	if text := r.PathValue("task"); text != "" {
@@ -45,7 +45,7 @@
 		return "", 0, fmt.Errorf("%w: job %.40q", artifactstore.ErrName, job)
 	}
 	if !g.Allows(job, task) {
-		return "", 0, fmt.Errorf("%w: not for task %d of %.40q", artifactstore.ErrToken, task, job)
+		return "", 0, fmt.Errorf("%w: not valid for task %d of job %.40q", artifactstore.ErrToken, task, job)
 	}
 	return job, task, nil
 }
@@ -56,7 +56,7 @@
 	if err != nil {
 		return err
 	}
-	send(w, 200, artifactstore.Answer{List: list, Unsure: !sure})
+	writeJSON(w, 200, artifactstore.Answer{List: list, Unsure: !sure})
 	return nil
 }
 
@@ -66,44 +66,44 @@
 	if err != nil {
 		return err
 	}
-	send(w, 200, artifactstore.TaskList{Tasks: list, Unsure: !sure})
+	writeJSON(w, 200, artifactstore.TaskList{Tasks: list, Unsure: !sure})
 	return nil
 }
 
-// endOf finds the end of the attempt that a request asks for, the latest if it names none, and
-// its state.
+// endOf returns the manifest and state of the attempt that a request selects; without a number the task's result, or
+// the latest attempt if there is none.
 func (s *Server) endOf(r *http.Request, job string, task int) (*artifactstore.Manifest, string, error) {
-	attempt, err := number(r, "attempt")
+	attempt, err := queryNumber(r, "attempt")
 	if err != nil {
 		return nil, "", err
 	}
 	return s.Node.Manifest(r.Context(), job, task, attempt)
 }
 
-// manifest shows the end of a task's attempt.
+// manifest responds with the manifest of an attempt.
 func (s *Server) manifest(w http.ResponseWriter, r *http.Request, job string, task int) error {
 	m, state, err := s.endOf(r, job, task)
 	if err != nil {
 		return err
 	}
-	send(w, 200, artifactstore.Answer{Sealed: m, Final: state == artifactstore.StateFinal})
+	writeJSON(w, 200, artifactstore.Answer{Sealed: m, Final: state == artifactstore.StateFinal})
 	return nil
 }
 
-// logs answers with a stream's records, a JSON line each.
+// logs responds with a stream's records, one JSON line each.
 func (s *Server) logs(w http.ResponseWriter, r *http.Request, job string, task int) error {
-	attempt, err := number(r, "attempt")
+	attempt, err := queryNumber(r, "attempt")
 	if err != nil {
 		return err
 	}
-	from, err := number(r, "from")
+	from, err := queryNumber(r, "from")
 	if err != nil {
 		return err
 	}
 	var since time.Time
 	if text := r.URL.Query().Get("since"); text != "" {
 		if since, err = time.Parse(time.RFC3339, text); err != nil {
-			return fmt.Errorf("%w: since=%.40q", errBody, text)
+			return fmt.Errorf("%w: since=%.40q", errMalformedRequest, text)
 		}
 	}
 	name := r.URL.Query().Get("stream")
@@ -113,15 +113,15 @@
 	if err := artifactstore.CheckStream(name); err != nil {
 		return err
 	}
-	_, m, err := s.Node.choose(r.Context(), job, task, attempt)
+	_, m, err := s.Node.findAttempt(r.Context(), job, task, attempt)
 	if err != nil {
 		return err
 	}
-	ctx, cancel := context.WithTimeout(r.Context(), s.Follow)
+	ctx, cancel := context.WithTimeout(r.Context(), s.MaxFollow)
 	defer cancel()
 	w.Header().Set("Content-Type", "application/x-ndjson")
 	enc, flush := json.NewEncoder(w), http.NewResponseController(w)
-	var told time.Time
+	var lastFlush time.Time
 	next, state, err := s.Node.Read(ctx, m.Attempt, name, from, r.URL.Query().Get("follow") == "1", func(n uint64, rec artifactstore.Record) error {
 		if rec.At.Before(since) {
 			return nil
@@ -129,23 +129,22 @@
 		if err := enc.Encode(&artifactstore.Line{Number: n, Record: &rec}); err != nil {
 			return err
 		}
-		if now := time.Now(); now.Sub(told) > 50*time.Millisecond { // a follower sees it soon, a long log is not sent line by line
-			told = now
+		if now := time.Now(); now.Sub(lastFlush) > 50*time.Millisecond { // limits both the followers' delay and the number of flushes
+			lastFlush = now
 			return flush.Flush()
 		}
 		return nil
 	})
 	if err != nil {
-		// Output went out already: the missing last line tells that it is not whole.
-		s.Node.opt.Log.Warn("log not read", "job", job, "task", task, "attempt", m.Number, "err", err)
+		// Some output may have been sent already. The client detects the error by the missing last line.
+		s.Node.opt.Log.Warn("reading log failed", "job", job, "task", task, "attempt", m.Number, "err", err)
 		return nil
 	}
 	_ = enc.Encode(&artifactstore.Line{Number: next, State: state, Attempt: m.Number})
 	return nil
 }
 
-// file answers with a file of an attempt that has ended, with what kind of attempt it is
-// in headers.
+// file responds with a file of an attempt that has ended; headers describe the attempt.
 func (s *Server) file(w http.ResponseWriter, r *http.Request, job string, task int) error {
 	m, state, err := s.endOf(r, job, task)
 	if err != nil {
@@ -159,11 +158,11 @@
 		if err != nil {
 			return err
 		}
-		offset, err := number(r, "offset")
+		offset, err := queryNumber(r, "offset")
 		if err != nil {
 			return err
 		}
-		content, err := s.Node.open(r.Context(), s.Node.sources(job, task), m.Tenant, d, int64(offset))
+		content, err := s.Node.openBlob(r.Context(), s.Node.sources(job, task), m.Tenant, d, int64(offset))
 		if err != nil {
 			return err
 		}
@@ -173,8 +172,8 @@
 		w.Header().Set("Digest", d.String())
 		w.Header().Set("Attempt", strconv.FormatUint(m.Number, 10))
 		w.Header().Set("State", state)
-		_, _ = io.Copy(w, content) // the length tells a reader that it was cut short
+		_, _ = io.Copy(w, content) // the client detects a truncated body by its Content-Length
 		return nil
 	}
-	return fmt.Errorf("%w: no file %.100q", artifactstore.ErrUnknown, r.PathValue("path"))
+	return fmt.Errorf("%w: file %.100q does not exist", artifactstore.ErrUnknown, r.PathValue("path"))
 }
--- a/internal/artifactreplication/streams.go
+++ b/internal/artifactreplication/streams.go
@@ -14,35 +14,34 @@
 	"topazhollow/internal/wait"
 )
 
-// Begin opens an attempt for its machine and session. Repeated by the same it has no
-// effect.
+// Begin opens an attempt for a machine and session. Repeating it with the same claim has no effect.
 func (n *Node) Begin(ctx context.Context, c artifactstore.Claim) error {
-	_, err := n.writeToQuorum(ctx, c.Attempt, func(ctx context.Context, _ string, r replica) (*answer, error) {
-		return r.do(ctx, &call{Op: "begin", Claim: c})
+	_, err := n.writeToQuorum(ctx, c.Attempt, func(ctx context.Context, _ string, r replica) (*peerResponse, error) {
+		return r.do(ctx, &peerRequest{Op: "begin", Claim: c})
 	})
 	return err
 }
 
-// Append adds records to a stream, the first of them under a number. next is the number
-// of the record wanted next; all before it are durable on enough replicas.
+// Append adds records to a stream; first is the number of the first of them. next is the number of the next record
+// expected; all records before it are durable on enough replicas.
 func (n *Node) Append(ctx context.Context, c artifactstore.Claim, stream string, first uint64, records []artifactstore.Record) (next uint64, err error) {
 	begun := n.opt.Now()
-	got, err := n.writeToQuorum(ctx, c.Attempt, func(ctx context.Context, name string, r replica) (*answer, error) {
-		a, err := r.do(ctx, &call{Op: "append", Claim: c, Stream: stream, First: first, Records: records})
+	got, err := n.writeToQuorum(ctx, c.Attempt, func(ctx context.Context, name string, r replica) (*peerResponse, error) {
+		a, err := r.do(ctx, &peerRequest{Op: "append", Claim: c, Stream: stream, First: first, Records: records})
 		var gap *artifactstore.GapError
-		if errors.As(err, &gap) && n.fill(ctx, c, stream, gap.Want, first, name, r) {
-			a, err = r.do(ctx, &call{Op: "append", Claim: c, Stream: stream, First: first, Records: records})
+		if errors.As(err, &gap) && n.fillGap(ctx, c, stream, gap.Expected, first, name, r) {
+			a, err = r.do(ctx, &peerRequest{Op: "append", Claim: c, Stream: stream, First: first, Records: records})
 		}
 		return a, err
 	})
 	if err != nil {
 		var gap *artifactstore.GapError
 		if errors.As(err, &gap) {
-			next = gap.Want
+			next = gap.Expected
 		}
 		return next, err
 	}
-	n.meters.appended(records, n.opt.Now().Sub(begun))
+	n.metrics.appended(records, n.opt.Now().Sub(begun))
 	nexts := make([]uint64, 0, len(got))
 	for _, r := range got {
 		nexts = append(nexts, r.Next)
@@ -50,9 +49,9 @@
 	return slices.Min(nexts), nil
 }
 
-// fill brings a replica the records of a stream that it missed, from another that has
-// them.
-func (n *Node) fill(ctx context.Context, c artifactstore.Claim, stream string, from, to uint64, name string, r replica) bool {
+// fillGap copies the records that a replica has missed of a stream from the other replicas to it, and reports whether
+// it now has all of them.
+func (n *Node) fillGap(ctx context.Context, c artifactstore.Claim, stream string, from, to uint64, name string, r replica) bool {
 	for _, other := range n.opt.Members.ReplicasOf(c.Job, c.Task) {
 		p := n.peers[other]
 		if other == name || p == nil || from >= to {
@@ -65,14 +64,14 @@
 	return from >= to
 }
 
-// atOnce bounds the records that go from one replica to another in one call.
+// Maximum size of a batch of records copied between replicas in one call.
 const (
-	atOnce      = 500
-	atOnceBytes = 1 << 20
+	maxBatchRecords = 500
+	maxBatchBytes   = 1 << 20
 )
 
-// copyRecords brings records from one replica to another, up to a number, or all if it
-// is 0, and gives the number of the next.
+// copyRecords copies records of a stream from one replica to another, up to number to, or all if to is 0. It returns
+// the number of the next record.
 func (n *Node) copyRecords(ctx context.Context, c artifactstore.Claim, stream string, from, to uint64, src, dst replica) (uint64, error) {
 	var batch []artifactstore.Record
 	size := 0
@@ -80,7 +79,7 @@
 		if len(batch) == 0 {
 			return nil
 		}
-		_, err := dst.do(ctx, &call{Op: "append", Claim: c, Stream: stream, First: from, Records: batch})
+		_, err := dst.do(ctx, &peerRequest{Op: "append", Claim: c, Stream: stream, First: from, Records: batch})
 		if err == nil {
 			from += uint64(len(batch))
 			batch, size = nil, 0
@@ -92,7 +91,7 @@
 			return nil
 		}
 		batch = append(batch, rec)
-		if size += len(rec.Data); len(batch) < atOnce && size < atOnceBytes {
+		if size += len(rec.Data); len(batch) < maxBatchRecords && size < maxBatchBytes {
 			return nil
 		}
 		return send()
@@ -100,16 +99,16 @@
 	return from, errors.Join(err, send())
 }
 
-// Attach adds a file, whose content one of the replicas has from the same tenant. A path
-// that was attached before gets the new content.
+// Attach adds a file whose content one of the replicas holds for the same tenant. If the path is attached already,
+// its content is replaced.
 func (n *Node) Attach(ctx context.Context, c artifactstore.Claim, path string, d blob.Digest) error {
-	_, err := n.writeToQuorum(ctx, c.Attempt, func(ctx context.Context, name string, r replica) (*answer, error) {
-		ask := &call{Op: "attach", Claim: c, Path: path, Digest: d.String()}
-		a, err := r.do(ctx, ask)
+	_, err := n.writeToQuorum(ctx, c.Attempt, func(ctx context.Context, name string, r replica) (*peerResponse, error) {
+		attach := &peerRequest{Op: "attach", Claim: c, Path: path, Digest: d.String()}
+		a, err := r.do(ctx, attach)
 		if !errors.Is(err, blob.ErrNotFound) && !errors.Is(err, blob.ErrTenant) {
 			return a, err
 		}
-		content, oerr := n.open(ctx, n.sources(c.Job, c.Task), c.Tenant, d, 0)
+		content, oerr := n.openBlob(ctx, n.sources(c.Job, c.Task), c.Tenant, d, 0)
 		if oerr != nil {
 			return nil, oerr
 		}
@@ -117,87 +116,85 @@
 		if err := r.put(ctx, c.Tenant, d, content); err != nil {
 			return nil, err
 		}
-		return r.do(ctx, ask)
+		return r.do(ctx, attach)
 	})
 	return err
 }
 
-// repairTurn is for how long a follower stays with one replica before it looks whether another
-// has more.
-const repairTurn = 5 * time.Second
+// followTurn is how long a follower reads from one replica before it checks whether another has more records.
+const followTurn = 5 * time.Second
 
-// Read hands over the records of an attempt's stream from a number on, and gives the
-// number of the next and the attempt's state. A follower is served for as long as the
-// attempt goes on and the context allows. A replica that fails meanwhile is replaced by
-// another.
+// Read calls each for the records of a stream, beginning with number from, and returns the number of the next record
+// and the attempt's state. If follow is set, it waits for more records until the attempt or the context ends. If a
+// replica fails, it continues with another.
 func (n *Node) Read(ctx context.Context, at artifactstore.Attempt, stream string, from uint64, follow bool, each func(uint64, artifactstore.Record) error) (next uint64, state string, err error) {
 	next = from
-	var broken error // each's own
-	pass := func(r artifactstore.Record) error {
-		if broken = each(next, r); broken == nil {
+	var eachErr error // error returned by each
+	deliver := func(r artifactstore.Record) error {
+		if eachErr = each(next, r); eachErr == nil {
 			next++
 		}
-		return broken
+		return eachErr
 	}
 	failures := 0
 	for {
-		v, m, err := n.choose(ctx, at.Job, at.Task, at.Number)
+		ts, m, err := n.findAttempt(ctx, at.Job, at.Task, at.Number)
 		if err != nil {
 			return next, "", err
 		}
-		state = v.state(m)
+		state = ts.attemptState(m)
 		names := n.sources(at.Job, at.Task)
-		rank := func(name string) uint64 { return m.next[stream][name] }
+		rank := func(name string) uint64 { return m.nextRecord[stream][name] }
 		slices.SortStableFunc(names, func(a, b string) int { return cmp.Compare(rank(b), rank(a)) })
-		want := uint64(0) // records that must come before this is whole
+		needed := uint64(0) // number of records that the reader must receive
 		if m.Ended != "" {
-			man, err := n.manifest(ctx, m)
+			man, err := n.readManifest(ctx, m)
 			if err != nil {
 				return next, "", err
 			}
 			for _, s := range man.Streams {
 				if s.Name == stream {
-					want = s.Records
+					needed = s.Records
 				}
 			}
 		} else if len(names) > 0 {
-			want = rank(names[0])
+			needed = rank(names[0])
 		}
 		following := follow && m.Ended == ""
-		var last error
+		var readErr error
 		for _, name := range names {
 			p := n.peers[name]
-			if p == nil || (next >= want && !following) {
+			if p == nil || (next >= needed && !following) {
 				continue
 			}
-			slice, cancel := ctx, context.CancelFunc(func() {})
+			turn, cancel := ctx, context.CancelFunc(func() {})
 			if following {
-				slice, cancel = context.WithTimeout(ctx, repairTurn)
+				turn, cancel = context.WithTimeout(ctx, followTurn)
 			}
-			_, _, last = p.read(slice, m.Attempt, stream, next, following, pass)
-			over := slice.Err() != nil
+			_, _, readErr = p.read(turn, m.Attempt, stream, next, following, deliver)
+			turnOver := turn.Err() != nil
 			cancel()
-			if broken != nil {
-				return next, "", broken
+			if eachErr != nil {
+				return next, "", eachErr
 			}
-			if over || (last == nil && (following || next >= want)) {
-				last = nil
+			if turnOver || (readErr == nil && (following || next >= needed)) {
+				readErr = nil
 				break
 			}
 		}
 		switch {
 		case ctx.Err() != nil:
 			return next, state, nil
-		case last == nil && !following && next >= want:
+		case readErr == nil && !following && next >= needed:
 			return next, state, nil
-		case last == nil && !following:
-			last = fmt.Errorf("%w: %d of %d records", artifactstore.ErrNotWhole, next, want)
+		case readErr == nil && !following:
+			readErr = fmt.Errorf("%w: only %d of %d records could be read", artifactstore.ErrIncomplete, next, needed)
 		}
-		if last != nil {
+		if readErr != nil {
 			if failures++; failures > 3 {
-				return next, "", last
+				return next, "", readErr
 			}
-			wait.For(ctx, rand.N(100*time.Millisecond<<failures)) // the next try sees whether the context ended
+			wait.For(ctx, rand.N(100*time.Millisecond<<failures)) // the next iteration checks the context
 		}
 	}
 }
--- a/internal/artifactstore/expire.go
+++ b/internal/artifactstore/expire.go
@@ -7,45 +7,45 @@
 	"topazhollow/internal/blob"
 )
 
-// Opened counts the attempts that have not ended.
-func (k *Store) Opened() int {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	return len(k.open)
+// OpenCount returns the number of attempts that have not ended.
+func (st *Store) OpenCount() int {
+	st.mu.Lock()
+	defer st.mu.Unlock()
+	return len(st.open)
 }
 
-// Expire lets go of attempts that have ended and are over by what it is told of them, the
-// results of their tasks with them. It gives how many.
-func (k *Store) Expire(ctx context.Context, over func(*Manifest) bool) (count int, err error) {
+// Expire forgets the ended attempts that expired reports, and the result of a task together with the attempt that it
+// is. It returns the number of attempts forgotten.
+func (st *Store) Expire(ctx context.Context, expired func(*Manifest) bool) (count int, err error) {
 	for _, kind := range []string{"sealed/", "partial/"} {
 		after := ""
 		for ctx.Err() == nil {
-			names, err := k.opt.Blobs.Refs(kind, after, 500)
+			names, err := st.opt.Blobs.Refs(kind, after, 500)
 			if err != nil {
 				return count, err
 			}
 			for _, name := range names {
-				tenant, ds, ok := k.opt.Blobs.Ref(name)
+				tenant, digests, ok := st.opt.Blobs.Ref(name)
 				if !ok {
 					continue
 				}
-				m, err := k.manifest(tenant, ds[0])
+				m, err := st.readManifest(tenant, digests[0])
 				if errors.Is(err, blob.ErrRotten) {
-					continue // a scrub mends or tells of it
+					continue // the scrub repairs or reports it
 				}
 				if err != nil {
 					return count, err
 				}
-				if !over(m) {
+				if !expired(m) {
 					continue
 				}
 				final := Attempt{Job: m.Job, Task: m.Task}
-				if _, f, ok := k.opt.Blobs.Ref(finalName(final)); !ok || f[0] == ds[0] {
-					if err := k.Forget(ctx, final); err != nil {
+				if _, f, ok := st.opt.Blobs.Ref(finalName(final)); !ok || f[0] == digests[0] {
+					if err := st.Forget(ctx, final); err != nil {
 						return count, err
 					}
 				}
-				if err := k.Forget(ctx, m.Attempt); err != nil {
+				if err := st.Forget(ctx, m.Attempt); err != nil {
 					return count, err
 				}
 				count++
--- a/internal/artifactstore/inventory.go
+++ b/internal/artifactstore/inventory.go
@@ -8,36 +8,36 @@
 	"strings"
 )
 
-// Extent is how much of a stream is there.
+// Extent is the length of a stream as far as a store has it.
 type Extent struct {
 	Next  uint64 `json:"next"` // number of the next record
 	Bytes int64  `json:"bytes"`
 	Lost  int64  `json:"lost,omitempty"`
 }
 
-// View is what one store has of an attempt.
-type View struct {
+// AttemptView is what one store has of an attempt.
+type AttemptView struct {
 	Claim
-	Ended   string            `json:"ended,omitempty"` // digest of its manifest; empty: open
+	Ended   string            `json:"ended,omitempty"` // digest of its manifest; empty while the attempt is open
 	Partial bool              `json:"partial,omitempty"`
 	Exit    *Exit             `json:"exit,omitempty"`
-	Voted   bool              `json:"voted,omitempty"` // an end was accepted, and perhaps decided
-	Idle    float64           `json:"idle,omitempty"`  // seconds since something came for it
+	Voted   bool              `json:"voted,omitempty"` // a value of its end was accepted here, and may be decided
+	Idle    float64           `json:"idle,omitempty"`  // seconds since the last write to it
 	Streams map[string]Extent `json:"streams,omitempty"`
 	Files   map[string]string `json:"files,omitempty"`
 }
 
 // TaskView is what one store has of a task.
 type TaskView struct {
-	Attempts []View  `json:"attempts"`
-	Result   *Result `json:"result,omitempty"`
-	Voted    bool    `json:"voted,omitempty"` // a result was accepted, and perhaps decided
+	Attempts []AttemptView `json:"attempts"`
+	Result   *Result       `json:"result,omitempty"`
+	Voted    bool          `json:"voted,omitempty"` // a result was accepted here, and may be decided
 }
 
-// view is what is here of an open attempt. k.mu is held.
-func (k *Store) view(at Attempt, a *attempt) *View {
-	v := &View{Claim: a.claim, Idle: k.opt.Now().Sub(a.touched).Seconds(), Streams: map[string]Extent{}, Files: map[string]string{}}
-	v.Voted = k.votes[at] != nil && k.votes[at].Value != nil
+// viewOf returns the view of an open attempt. The caller holds st.mu.
+func (st *Store) viewOf(at Attempt, a *openAttempt) *AttemptView {
+	v := &AttemptView{Claim: a.claim, Idle: st.opt.Now().Sub(a.lastWrite).Seconds(), Streams: map[string]Extent{}, Files: map[string]string{}}
+	v.Voted = st.votes[at] != nil && st.votes[at].Value != nil
 	for name, s := range a.streams {
 		v.Streams[name] = Extent{s.next, s.bytes, s.lost}
 	}
@@ -47,26 +47,26 @@
 	return v
 }
 
-// Task gives what is here of a task, its attempts in their order.
-func (k *Store) Task(job string, task int) (*TaskView, error) {
+// Task returns what this store has of a task, its attempts ordered by number.
+func (st *Store) Task(job string, task int) (*TaskView, error) {
 	at := Attempt{Job: job, Task: task}
 	t := &TaskView{}
-	k.mu.Lock()
-	open := map[uint64]*View{}
-	for x, a := range k.open {
+	st.mu.Lock()
+	open := map[uint64]*AttemptView{}
+	for x, a := range st.open {
 		if x.Job == job && x.Task == task {
-			open[x.Number] = k.view(x, a)
+			open[x.Number] = st.viewOf(x, a)
 		}
 	}
-	for x, v := range k.votes { // an end may be accepted of an attempt that is not known else
+	for x, v := range st.votes { // an end may have been accepted for an attempt that this store does not have
 		if x.Job == job && x.Task == task && x.Number > 0 && open[x.Number] == nil && v.Value != nil {
-			open[x.Number] = &View{Claim: Claim{Attempt: x}, Voted: true}
+			open[x.Number] = &AttemptView{Claim: Claim{Attempt: x}, Voted: true}
 		}
 	}
-	t.Voted = k.votes[at] != nil && k.votes[at].Value != nil
-	k.mu.Unlock()
+	t.Voted = st.votes[at] != nil && st.votes[at].Value != nil
+	st.mu.Unlock()
 	for _, kind := range []string{"sealed/", "partial/"} {
-		names, err := k.opt.Blobs.Refs(kind+at.task(), "", 100_000)
+		names, err := st.opt.Blobs.Refs(kind+at.task(), "", 100_000)
 		if err != nil {
 			return nil, err
 		}
@@ -75,23 +75,23 @@
 			if err != nil {
 				return nil, err
 			}
-			tenant, ds, ok := k.opt.Blobs.Ref(name)
+			tenant, digests, ok := st.opt.Blobs.Ref(name)
 			if !ok {
 				continue
 			}
-			m, err := k.manifest(tenant, ds[0])
+			m, err := st.readManifest(tenant, digests[0])
 			if err != nil {
 				return nil, err
 			}
 			delete(open, x.Number)
-			t.Attempts = append(t.Attempts, View{Claim: m.Claim, Ended: ds[0].String(), Partial: m.Partial, Exit: &m.Exit})
+			t.Attempts = append(t.Attempts, AttemptView{Claim: m.Claim, Ended: digests[0].String(), Partial: m.Partial, Exit: &m.Exit})
 		}
 	}
 	for _, v := range open {
 		t.Attempts = append(t.Attempts, *v)
 	}
-	slices.SortFunc(t.Attempts, func(a, b View) int { return cmp.Compare(a.Number, b.Number) })
-	value, there, err := k.decided(at)
+	slices.SortFunc(t.Attempts, func(a, b AttemptView) int { return cmp.Compare(a.Number, b.Number) })
+	value, there, err := st.decidedValue(at)
 	if err != nil || !there {
 		return t, err
 	}
@@ -99,35 +99,36 @@
 	return t, json.Unmarshal(value, t.Result)
 }
 
-// Open lists the attempts that have not ended here, with what is there of them.
-func (k *Store) Open() []View {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	list := make([]View, 0, len(k.open))
-	for at, a := range k.open {
-		list = append(list, *k.view(at, a))
+// OpenAttempts lists the attempts that have not ended here.
+func (st *Store) OpenAttempts() []AttemptView {
+	st.mu.Lock()
+	defer st.mu.Unlock()
+	list := make([]AttemptView, 0, len(st.open))
+	for at, a := range st.open {
+		list = append(list, *st.viewOf(at, a))
 	}
 	return list
 }
 
-// Names lists the references of ended attempts and results, in order, after a name.
-func (k *Store) Names(after string, most int) ([]string, error) {
+// RefNames lists up to limit names of references of ended attempts and results, in order, beginning after the given
+// name.
+func (st *Store) RefNames(after string, limit int) ([]string, error) {
 	var list []string
-	for _, kind := range []string{"final/", "partial/", "sealed/"} { // in the order of names
-		names, err := k.opt.Blobs.Refs(kind, after, most-len(list))
-		if list = append(list, names...); err != nil || len(list) >= most {
+	for _, kind := range []string{"final/", "partial/", "sealed/"} { // sorted
+		names, err := st.opt.Blobs.Refs(kind, after, limit-len(list))
+		if list = append(list, names...); err != nil || len(list) >= limit {
 			return list, err
 		}
 	}
 	return list, nil
 }
 
-// Tasks lists the tasks of a job of which something is here.
-func (k *Store) Tasks(job string) ([]int, error) {
+// Tasks lists the tasks of a job of which this store has an attempt.
+func (st *Store) Tasks(job string) ([]int, error) {
 	found := map[int]bool{}
 	for _, kind := range []string{"partial/", "sealed/"} {
 		for after := ""; ; {
-			names, err := k.opt.Blobs.Refs(kind+job+"/", after, 1000)
+			names, err := st.opt.Blobs.Refs(kind+job+"/", after, 1000)
 			if err != nil {
 				return nil, err
 			}
@@ -144,9 +145,9 @@
 			after = names[len(names)-1]
 		}
 	}
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	for at := range k.open {
+	st.mu.Lock()
+	defer st.mu.Unlock()
+	for at := range st.open {
 		if at.Job == job {
 			found[at.Task] = true
 		}
@@ -159,7 +160,7 @@
 	return list, nil
 }
 
-// ParseName reads the name of a reference, as Names gives them.
+// ParseName returns the attempt that a reference name, as listed by RefNames, belongs to.
 func ParseName(name string) (Attempt, error) {
 	parts := strings.Split(name, "/")
 	var at Attempt
--- a/internal/artifactstore/read.go
+++ b/internal/artifactstore/read.go
@@ -13,68 +13,69 @@
 	"topazhollow/internal/protocol"
 )
 
-func (k *Store) manifest(tenant string, d blob.Digest) (*Manifest, error) {
-	data, err := k.opt.Blobs.Get(tenant, d, maxManifest)
+func (st *Store) readManifest(tenant string, d blob.Digest) (*Manifest, error) {
+	data, err := st.opt.Blobs.Get(tenant, d, maxManifestBytes)
 	if err != nil {
 		return nil, err
 	}
-	return Verify(k.opt.Key, data)
+	return Verify(st.opt.Key, data)
 }
 
-// Ended gives the manifest of an attempt that is over.
-func (k *Store) Ended(at Attempt) (*Manifest, error) {
-	for _, name := range []string{sealedName(at), shelvedName(at)} {
-		if tenant, ds, ok := k.opt.Blobs.Ref(name); ok {
-			return k.manifest(tenant, ds[0])
+// EndManifest returns the manifest of an attempt that has ended, or ErrUnknown.
+func (st *Store) EndManifest(at Attempt) (*Manifest, error) {
+	for _, name := range []string{sealedName(at), partialName(at)} {
+		if tenant, digests, ok := st.opt.Blobs.Ref(name); ok {
+			return st.readManifest(tenant, digests[0])
 		}
 	}
 	return nil, ErrUnknown
 }
 
-// Content gives what is here of a stream of an open attempt as it is kept once the
-// attempt has ended: see AppendRecord.
-func (k *Store) Content(at Attempt, name string) (content []byte, err error) {
-	k.mu.Lock()
-	a := k.open[at]
-	k.mu.Unlock()
+// StreamContent returns the records that this store has of a stream of an open attempt, encoded as in the blob that
+// is kept after the end: see AppendRecord.
+func (st *Store) StreamContent(at Attempt, name string) (content []byte, err error) {
+	st.mu.Lock()
+	a := st.open[at]
+	st.mu.Unlock()
 	if a == nil {
 		return nil, ErrUnknown
 	}
-	err = k.pieces(a, name, 0, func(r Record) error {
+	err = st.readOpen(a, name, 0, func(r Record) error {
 		content = AppendRecord(content, r)
 		return nil
 	})
 	return content, err
 }
 
-// AppendRecord adds a record to a stream's content: its JSON behind its length.
+// AppendRecord appends a record to a stream's encoded content: its JSON, preceded by the length as an unsigned
+// varint.
 func AppendRecord(content []byte, r Record) []byte {
 	b := protocol.Encode(&r)
 	return append(binary.AppendUvarint(content, uint64(len(b))), b...)
 }
 
-// pieces hands over the records of an open attempt's stream from a number on.
-func (k *Store) pieces(a *attempt, name string, from uint64, each func(Record) error) error {
+// readOpen calls each for the records of an open attempt's stream, beginning with number from.
+func (st *Store) readOpen(a *openAttempt, name string, from uint64, each func(Record) error) error {
 	for i := 0; ; i++ {
-		var p piece
+		var batch recordBatch
 		var b []byte
 		for try := 0; ; try++ {
-			k.mu.Lock()
+			st.mu.Lock()
 			s := a.streams[name]
-			if s == nil || i >= len(s.pieces) {
-				k.mu.Unlock()
+			if s == nil || i >= len(s.batches) {
+				st.mu.Unlock()
 				return nil
 			}
-			p = s.pieces[i]
-			k.mu.Unlock()
-			if p.first+p.count <= from {
+			batch = s.batches[i]
+			st.mu.Unlock()
+			if batch.first+batch.count <= from {
 				break
 			}
 			var err error
-			if b, err = k.log.Read(p.at); err == nil {
+			if b, err = st.log.Read(batch.at); err == nil {
 				break
 			}
-			if try > 0 || !errors.Is(err, fs.ErrNotExist) { // it may just have moved on in the log
+			if try > 0 || !errors.Is(err, fs.ErrNotExist) { // retry once: a compaction may have moved the entry
 				return err
 			}
 		}
@@ -83,10 +84,10 @@
 		}
 		var e entry
 		if err := json.Unmarshal(b, &e); err != nil {
-			return fmt.Errorf("keeper: entry at %v: %w", p.at, err)
+			return fmt.Errorf("artifactstore: malformed log entry at %v: %w", batch.at, err)
 		}
 		for n, r := range e.Records {
-			if p.first+uint64(n) < from {
+			if batch.first+uint64(n) < from {
 				continue
 			}
 			if err := each(r); err != nil {
@@ -96,23 +97,23 @@
 	}
 }
 
-// Read hands over the records of an attempt's stream from a number on, of open and
-// of sealed attempts alike, and gives the number of the next. sealed says that no more
-// can come.
-func (k *Store) Read(at Attempt, name string, from uint64, each func(Record) error) (next uint64, sealed bool, err error) {
+// Read calls each for the records of a stream, beginning with number from, whether the attempt is open or has ended.
+// It returns the number of the next record. sealed reports that the attempt has ended, so that no more records can
+// follow.
+func (st *Store) Read(at Attempt, name string, from uint64, each func(Record) error) (next uint64, sealed bool, err error) {
 	next = from
 	count := func(r Record) error {
 		next++
 		return each(r)
 	}
-	k.mu.Lock()
-	a := k.open[at]
-	k.mu.Unlock()
+	st.mu.Lock()
+	a := st.open[at]
+	st.mu.Unlock()
 	if a != nil {
-		err = k.pieces(a, name, from, count)
+		err = st.readOpen(a, name, from, count)
 		return next, false, err
 	}
-	m, err := k.Ended(at)
+	m, err := st.EndManifest(at)
 	if err != nil {
 		return next, false, err
 	}
@@ -120,14 +121,14 @@
 	if i < 0 {
 		return next, true, nil
 	}
-	data, err := k.opt.Blobs.Get(m.Tenant, m.Streams[i].Blob, 4<<30)
+	data, err := st.opt.Blobs.Get(m.Tenant, m.Streams[i].Blob, 4<<30)
 	if err != nil {
 		return next, true, err
 	}
 	for n := uint64(0); len(data) > 0; n++ {
 		size, used := binary.Uvarint(data)
 		if used <= 0 || size > uint64(len(data)-used) {
-			return next, true, fmt.Errorf("%w: stream %s", ErrNotWhole, name)
+			return next, true, fmt.Errorf("%w: the content of stream %s is truncated", ErrIncomplete, name)
 		}
 		b := data[used : used+int(size)]
 		data = data[used+int(size):]
@@ -136,7 +137,7 @@
 		}
 		var r Record
 		if err := json.Unmarshal(b, &r); err != nil {
-			return next, true, fmt.Errorf("%w: stream %s: %v", ErrNotWhole, name, err)
+			return next, true, fmt.Errorf("%w: malformed record in stream %s: %v", ErrIncomplete, name, err)
 		}
 		if err := count(r); err != nil {
 			return next, true, err
@@ -145,25 +146,25 @@
 	return next, true, nil
 }
 
-// Wait returns once something changed that may concern a reader of an open attempt,
-// or the context ended.
-func (k *Store) Wait(ctx context.Context, at Attempt, name string, next uint64) error {
+// WaitForRecords returns when the stream of an open attempt has a record with number next, the attempt or the store
+// is closed, or the context ends.
+func (st *Store) WaitForRecords(ctx context.Context, at Attempt, name string, next uint64) error {
 	stop := context.AfterFunc(ctx, func() {
-		k.mu.Lock()
-		defer k.mu.Unlock()
-		k.changed.Broadcast()
+		st.mu.Lock()
+		defer st.mu.Unlock()
+		st.changed.Broadcast()
 	})
 	defer stop()
-	k.mu.Lock()
-	defer k.mu.Unlock()
+	st.mu.Lock()
+	defer st.mu.Unlock()
 	for {
-		a := k.open[at]
-		if a == nil || k.closed || (a.streams[name] != nil && a.streams[name].next > next) {
+		a := st.open[at]
+		if a == nil || st.closed || (a.streams[name] != nil && a.streams[name].next > next) {
 			return nil
 		}
 		if ctx.Err() != nil {
 			return ctx.Err()
 		}
-		k.changed.Wait()
+		st.changed.Wait()
 	}
 }
