--- a/internal/artifactreplication/decide.go
+++ b/internal/artifactreplication/decide.go
@@ -38,7 +38,7 @@
 		return nil, false, artifactstore.ErrSealed
 	case m.Exit.Completed:
 		var r *artifactstore.Result
-		r, err = n.settle(ctx, c, blob.Of(value).String())
+		r, err = n.settle(ctx, c, blob.DigestOf(value).String())
 		final = r != nil && r.Number == c.Number
 	}
 	return m, final, err
@@ -369,7 +369,7 @@
 	if err != nil {
 		return artifactstore.StreamInfo{}, err
 	}
-	d, err := n.blobs.Put(ctx, c.Tenant, content, blob.Urgent)
+	d, err := n.blobs.Put(ctx, c.Tenant, content, blob.UseReserve)
 	if err != nil {
 		return artifactstore.StreamInfo{}, err
 	}
--- a/internal/artifactreplication/duty.go
+++ b/internal/artifactreplication/duty.go
@@ -46,7 +46,7 @@
 			if ctx.Err() != nil {
 				return nil
 			}
-			log.Info("scrubbed", "blobs", found.Blobs, "bad", found.Bad, "repaired", found.Repaired, "rotten", found.Rotten, "strays", found.Strays, "err", err)
+			log.Info("scrubbed", "blobs", found.Blobs, "bad", found.Bad, "repaired", found.Repaired, "rotten", found.Unrepaired, "strays", found.Orphans, "err", err)
 		}
 		if !wait.For(ctx, d.Every) {
 			return nil
--- a/internal/artifactreplication/golden_test.go
+++ b/internal/artifactreplication/golden_test.go
@@ -80,7 +80,7 @@
 	at := time.Date(2026, 1, 2, 3, 4, 5, 678000000, time.UTC)
 	attempt := artifactstore.Attempt{Job: "job-000412", Task: 3, Number: 2}
 	owner := artifactstore.Claim{Attempt: attempt, Tenant: "vision", Machine: "n-000231", Session: 1, Class: "train"}
-	digest := blob.Of([]byte("content")).String()
+	digest := blob.DigestOf([]byte("content")).String()
 	vote := artifactstore.Vote{Promised: artifactstore.Ballot{Round: 2, By: "a.1"}, Freeze: true, Accepted: artifactstore.Ballot{Round: 1, By: "b.1"}, Value: []byte("value")}
 	view := artifactstore.View{Claim: owner, Ended: digest, Partial: true, Exit: &artifactstore.Exit{Completed: true, Code: 3, Reason: "signal"}, Voted: true, Idle: 1.5,
 		Streams: map[string]artifactstore.Extent{"stdout": {Next: 9, Bytes: 100, Lost: 77}}, Files: map[string]string{"out/a": digest}}
--- a/internal/artifactreplication/group_test.go
+++ b/internal/artifactreplication/group_test.go
@@ -82,7 +82,7 @@
 	g.t.Helper()
 	o, dir := g.keepers[name], filepath.Join(g.dir, name)
 	var err error
-	o.b, err = blob.Open(blob.Options{Dir: filepath.Join(dir, "blobs"), Inline: 500, Repair: func(ctx context.Context, d blob.Digest) (io.ReadCloser, error) { return o.OpenVerified(ctx, d) }})
+	o.b, err = blob.Open(blob.Options{Dir: filepath.Join(dir, "blobs"), MaxInline: 500, Repair: func(ctx context.Context, d blob.Digest) (io.ReadCloser, error) { return o.OpenVerified(ctx, d) }})
 	if err != nil {
 		g.t.Fatal(err)
 	}
@@ -300,7 +300,7 @@
 // others and what must not fail are not; open attempts count.
 func TestFull(t *testing.T) {
 	dir := t.TempDir()
-	b, err := blob.Open(blob.Options{Dir: filepath.Join(dir, "blobs"), Quota: 40_000, Reserve: 20_000, Tenant: func(string) int64 { return 8_000 }})
+	b, err := blob.Open(blob.Options{Dir: filepath.Join(dir, "blobs"), Quota: 40_000, Reserve: 20_000, TenantQuota: func(string) int64 { return 8_000 }})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/artifactreplication/handover.go
+++ b/internal/artifactreplication/handover.go
@@ -115,7 +115,7 @@
 	for _, at := range n.store.Unsettled() {
 		m, err := n.store.Ended(at)
 		if err == nil && n.opt.Members.IsReplica(n.opt.Name, at.Job, at.Task) {
-			_, err = n.settle(ctx, m.Claim, blob.Of(protocol.Encode(m)).String())
+			_, err = n.settle(ctx, m.Claim, blob.DigestOf(protocol.Encode(m)).String())
 		}
 		if err == nil {
 			err = n.store.Settled(ctx, at)
--- a/internal/artifactreplication/known.go
+++ b/internal/artifactreplication/known.go
@@ -218,7 +218,7 @@
 	}
 	defer r.Close()
 	b, err := io.ReadAll(io.LimitReader(r, d.Size+1))
-	if err == nil && blob.Of(b) != d {
+	if err == nil && blob.DigestOf(b) != d {
 		err = fmt.Errorf("%w: %s", blob.ErrMismatch, d)
 	}
 	return b, err
--- a/internal/artifactreplication/one_test.go
+++ b/internal/artifactreplication/one_test.go
@@ -29,7 +29,7 @@
 // alone opens a replica that is the only one.
 func alone(t *testing.T, dir string, step func(string), tune ...func(*artifactstore.Options)) (*Node, *blob.Store) {
 	t.Helper()
-	b, err := blob.Open(blob.Options{Dir: filepath.Join(dir, "blobs"), Step: step, Inline: 500})
+	b, err := blob.Open(blob.Options{Dir: filepath.Join(dir, "blobs"), Step: step, MaxInline: 500})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -144,7 +144,7 @@
 	k, b := alone(t, dir, nil)
 	seal := func(c artifactstore.Claim, completed, want bool) {
 		t.Helper()
-		if _, final, err := k.Seal(ctx, c, end(completed, 1, map[string]string{"out/grades.bin": blob.Of([]byte(fmt.Sprint("file of ", c.Number))).String()})); err != nil || final != want {
+		if _, final, err := k.Seal(ctx, c, end(completed, 1, map[string]string{"out/grades.bin": blob.DigestOf([]byte(fmt.Sprint("file of ", c.Number))).String()})); err != nil || final != want {
 			t.Fatalf("attempt %d: final %v, %v", c.Number, final, err)
 		}
 	}
@@ -276,7 +276,7 @@
 	if _, err := k.Append(ctx, c, "stdout", 0, []artifactstore.Record{{Data: make([]byte, 1<<20)}}); !errors.Is(err, artifactstore.ErrTooMuch) {
 		t.Errorf("a record of a megabyte: %v", err)
 	}
-	if err := k.Attach(ctx, c, "a", blob.Of([]byte("not here"))); !errors.Is(err, blob.ErrNotFound) {
+	if err := k.Attach(ctx, c, "a", blob.DigestOf([]byte("not here"))); !errors.Is(err, blob.ErrNotFound) {
 		t.Errorf("a file that is not here: %v", err)
 	}
 	for i := range 16 {
--- a/internal/artifactreplication/repair.go
+++ b/internal/artifactreplication/repair.go
@@ -375,7 +375,7 @@
 			if r, err = fetch(ctx, v.Tenant, d); err != nil {
 				break
 			}
-			err = n.blobs.Take(ctx, v.Tenant, d, r)
+			err = n.blobs.PutReader(ctx, v.Tenant, d, r)
 			r.Close()
 		}
 		if err == nil {
@@ -394,7 +394,7 @@
 
 // OpenVerified gives a copy of a blob that went bad here, from a replica that has a good one.
 func (n *Node) OpenVerified(ctx context.Context, d blob.Digest) (io.ReadCloser, error) {
-	errs := []error{blob.ErrRotten}
+	errs := []error{blob.ErrCorrupt}
 	for _, name := range slices.Sorted(maps.Keys(n.peers)) {
 		if name == n.opt.Name {
 			continue
--- a/internal/artifactreplication/replica.go
+++ b/internal/artifactreplication/replica.go
@@ -92,7 +92,7 @@
 	{"unknown", artifactstore.ErrUnknown, http.StatusNotFound, 0},
 	{"no blob", blob.ErrNotFound, http.StatusNotFound, 0},
 	{"no upload", blob.ErrUpload, http.StatusNotFound, 0},
-	{"offset", blob.ErrGap, http.StatusConflict, 0},
+	{"offset", blob.ErrOffset, http.StatusConflict, 0},
 	{"too much", artifactstore.ErrTooMuch, http.StatusRequestEntityTooLarge, 0},
 	{"name", artifactstore.ErrName, http.StatusBadRequest, 0},
 	{"digest", blob.ErrDigest, http.StatusBadRequest, 0},
@@ -104,7 +104,7 @@
 	{"epoch", ErrEpoch, http.StatusServiceUnavailable, time.Second},
 	{"too few", ErrTooFew, http.StatusServiceUnavailable, time.Second},
 	{"busy", errBusy, http.StatusTooManyRequests, time.Second},
-	{"rotten", blob.ErrRotten, http.StatusServiceUnavailable, 10 * time.Second},
+	{"rotten", blob.ErrCorrupt, http.StatusServiceUnavailable, 10 * time.Second},
 }
 
 var (
@@ -252,7 +252,7 @@
 }
 
 func (l local) put(ctx context.Context, tenant string, d blob.Digest, content io.Reader) error {
-	return l.n.blobs.Take(ctx, tenant, d, content)
+	return l.n.blobs.PutReader(ctx, tenant, d, content)
 }
 
 // serve carries out what a replica, this one or another, asks of this one alone.
--- a/internal/artifactreplication/serve_agents.go
+++ b/internal/artifactreplication/serve_agents.go
@@ -118,7 +118,7 @@
 	offset := u.Offset()
 	if len(body) > 0 {
 		if err := u.Write(int64(at), body); err != nil {
-			if errors.Is(err, blob.ErrGap) {
+			if errors.Is(err, blob.ErrOffset) {
 				send(w, http.StatusConflict, artifactstore.Answer{Error: err.Error(), Offset: &offset})
 				return nil
 			}
--- a/internal/artifactreplication/serve_peers.go
+++ b/internal/artifactreplication/serve_peers.go
@@ -50,7 +50,7 @@
 	if err != nil {
 		return err
 	}
-	if err := s.Node.blobs.Take(r.Context(), r.URL.Query().Get("tenant"), d, r.Body); err != nil {
+	if err := s.Node.blobs.PutReader(r.Context(), r.URL.Query().Get("tenant"), d, r.Body); err != nil {
 		return err
 	}
 	send(w, 200, artifactstore.Answer{Done: true})
--- a/internal/artifactreplication/serve_test.go
+++ b/internal/artifactreplication/serve_test.go
@@ -85,7 +85,7 @@
 		t.Fatalf("a gap: %d, next %v", code, a.Next)
 	}
 	content := bytes.Repeat([]byte("grades "), 1000)
-	d := blob.Of(content)
+	d := blob.DigestOf(content)
 	a := must(x.call(w, "POST", "/uploads?blob="+d.String(), nil))
 	must(x.call(w, "POST", "/uploads/"+a.Upload+"?offset=0", content[:4000]))
 	must(x.call(w, "POST", "/uploads/"+a.Upload+"?offset=0", content[:4000]))
--- a/internal/artifactstore/artifactstore.go
+++ b/internal/artifactstore/artifactstore.go
@@ -213,7 +213,7 @@
 		for _, s := range a.streams {
 			a.held += s.bytes
 		}
-		k.opt.Blobs.Held(a.claim.Tenant, a.held)
+		k.opt.Blobs.AccountSpace(a.claim.Tenant, a.held)
 	}
 	return nil
 }
@@ -344,12 +344,12 @@
 	if size+more > k.opt.StreamMax {
 		return next, fmt.Errorf("%w: stream %s of %d bytes", ErrTooMuch, name, size+more)
 	}
-	if err := k.opt.Blobs.Hold(c.Tenant, more); err != nil {
+	if err := k.opt.Blobs.ReserveSpace(c.Tenant, more); err != nil {
 		return next, err
 	}
 	added := &entry{Kind: kindAppend, Attempt: c.Attempt, Stream: name, First: next, Records: records}
 	if err := k.write(ctx, added); err != nil {
-		k.opt.Blobs.Release(c.Tenant, more)
+		k.opt.Blobs.ReleaseSpace(c.Tenant, more)
 		return next, err
 	}
 	a.held += more
--- a/internal/artifactstore/expire.go
+++ b/internal/artifactstore/expire.go
@@ -30,7 +30,7 @@
 					continue
 				}
 				m, err := k.manifest(tenant, ds[0])
-				if errors.Is(err, blob.ErrRotten) {
+				if errors.Is(err, blob.ErrCorrupt) {
 					continue // a scrub mends or tells of it
 				}
 				if err != nil {
--- a/internal/artifactstore/golden_test.go
+++ b/internal/artifactstore/golden_test.go
@@ -23,14 +23,14 @@
 	goldenRecord  = Record{At: goldenAt, Data: []byte("line\n"), Hole: &Hole{Bytes: 77, From: goldenAt, To: goldenAt.Add(time.Second)}}
 	goldenVote    = Vote{Promised: Ballot{Round: 2, By: "a.1"}, Freeze: true, Accepted: Ballot{Round: 1, By: "b.1"}, Value: []byte("value")}
 	goldenExit    = Exit{Completed: true, Code: 3, Reason: "signal"}
-	goldenResult  = Result{Tenant: "vision", Number: 2, Manifest: blob.Of([]byte("manifest")).String()}
+	goldenResult  = Result{Tenant: "vision", Number: 2, Manifest: blob.DigestOf([]byte("manifest")).String()}
 	goldenView    = View{Claim: goldenClaim, Ended: goldenResult.Manifest, Partial: true, Exit: &goldenExit, Voted: true, Idle: 1.5,
-		Streams: map[string]Extent{"stdout": {Next: 9, Bytes: 100, Lost: 77}}, Files: map[string]string{"out/a": blob.Of([]byte("a")).String()}}
+		Streams: map[string]Extent{"stdout": {Next: 9, Bytes: 100, Lost: 77}}, Files: map[string]string{"out/a": blob.DigestOf([]byte("a")).String()}}
 )
 
 // goldenManifest has every field set but the code.
 func goldenManifest() *Manifest {
-	stream, file := blob.Of([]byte("stream")), blob.Of([]byte("a"))
+	stream, file := blob.DigestOf([]byte("stream")), blob.DigestOf([]byte("a"))
 	return &Manifest{Claim: goldenClaim, Sealed: goldenAt, Partial: true, Exit: goldenExit,
 		Streams: []StreamInfo{{Name: "stdout", Records: 9, Bytes: 100, Lost: 77, Blob: stream, Digest: stream.String()}},
 		Files:   []FileInfo{{Path: "out/a", Digest: file.String()}}}
@@ -129,7 +129,7 @@
 func TestGoldenEntries(t *testing.T) {
 	cases := []goldentest.Case{
 		{Name: "entry-full.json", Full: true, Value: entry{Kind: "any", Claim: &goldenClaim, Attempt: goldenAttempt, Stream: "stdout", First: 4, Records: []Record{goldenRecord}, Path: "out/a",
-			Digest: blob.Of([]byte("a")).String(), Vote: &goldenVote, Settle: true}},
+			Digest: blob.DigestOf([]byte("a")).String(), Vote: &goldenVote, Settle: true}},
 		{Name: "entry-empty.json", Value: entry{}},
 	}
 	for _, kind := range []string{kindBegin, kindAppend, kindFile, kindVote, kindClosed, kindSettle} {
@@ -153,7 +153,7 @@
 		{"answer", Answer{Error: "gone", Code: "unknown", Next: &next, Offset: &offset, Upload: "u1", Done: true, Final: true, Sealed: manifest,
 			List: []Known{{Attempt: goldenAttempt, Machine: "n-000231", State: StateUnsure, Exit: &goldenExit}}, Unsure: true}, Answer{}},
 		{"task-list", TaskList{Tasks: []int{0, 3}, Unsure: true}, TaskList{}},
-		{"end", End{Exit: goldenExit, Records: map[string]uint64{"stdout": 9}, Files: map[string]string{"out/a": blob.Of([]byte("a")).String()}}, End{}},
+		{"end", End{Exit: goldenExit, Records: map[string]uint64{"stdout": 9}, Files: map[string]string{"out/a": blob.DigestOf([]byte("a")).String()}}, End{}},
 		{"line", Line{Number: 9, Record: &goldenRecord, State: StateUnsure, Attempt: 2}, Line{}},
 	} {
 		goldentest.Wire.Check(t, []goldentest.Case{
--- a/internal/artifactstore/manifest.go
+++ b/internal/artifactstore/manifest.go
@@ -112,7 +112,7 @@
 
 // keeps lists the blobs that must be kept for a signed manifest, itself first.
 func (m *Manifest) keeps(signed []byte) ([]blob.Digest, error) {
-	keep := []blob.Digest{blob.Of(signed)}
+	keep := []blob.Digest{blob.DigestOf(signed)}
 	for _, s := range m.Streams {
 		keep = append(keep, s.Blob)
 	}
--- a/internal/artifactstore/register.go
+++ b/internal/artifactstore/register.go
@@ -216,8 +216,8 @@
 			continue
 		}
 		content, err := k.Content(at, s.Name)
-		if err == nil && blob.Of(content) == s.Blob {
-			_, err = k.opt.Blobs.Put(ctx, m.Tenant, content, blob.Urgent)
+		if err == nil && blob.DigestOf(content) == s.Blob {
+			_, err = k.opt.Blobs.Put(ctx, m.Tenant, content, blob.UseReserve)
 		} else { // not all of it is here
 			err = k.bring(ctx, m.Tenant, s.Blob, fetch)
 		}
@@ -232,7 +232,7 @@
 			}
 		}
 	}
-	if _, err := k.opt.Blobs.Put(ctx, m.Tenant, value, blob.Urgent); err != nil {
+	if _, err := k.opt.Blobs.Put(ctx, m.Tenant, value, blob.UseReserve); err != nil {
 		return err
 	}
 	k.opt.Step("hold")
@@ -249,7 +249,7 @@
 		return err
 	}
 	defer r.Close()
-	return k.opt.Blobs.Take(ctx, tenant, d, r, blob.Urgent)
+	return k.opt.Blobs.PutReader(ctx, tenant, d, r, blob.UseReserve)
 }
 
 // Forget lets go of an ended attempt or a result (Number 0), which others keep.
--- a/internal/artifactstore/replay.go
+++ b/internal/artifactstore/replay.go
@@ -66,7 +66,7 @@
 		}
 	case kindClosed:
 		if a != nil {
-			k.opt.Blobs.Release(a.claim.Tenant, a.held)
+			k.opt.Blobs.ReleaseSpace(a.claim.Tenant, a.held)
 		}
 		delete(k.open, e.Attempt)
 		delete(k.votes, e.Attempt)
--- a/internal/blob/blob_test.go
+++ b/internal/blob/blob_test.go
@@ -58,7 +58,7 @@
 	for seed := range uint64(12) {
 		rng := rand.New(rand.NewPCG(seed, 2))
 		now := time.Unix(1e9, 0)
-		opt := Options{Dir: t.TempDir(), Inline: 2000, Now: func() time.Time { return now }}
+		opt := Options{Dir: t.TempDir(), MaxInline: 2000, Now: func() time.Time { return now }}
 		s := open(t, opt)
 		want := map[Digest]*kept{}
 		refs := map[string][]Digest{}
@@ -202,7 +202,7 @@
 		dir, at, _ := strings.Cut(spec, "|")
 		left, _ := strconv.Atoi(at)
 		var mu sync.Mutex
-		s, err := Open(Options{Dir: dir, Inline: 2000, Step: func(string) {
+		s, err := Open(Options{Dir: dir, MaxInline: 2000, Step: func(string) {
 			mu.Lock()
 			defer mu.Unlock()
 			if left--; left < 0 {
@@ -238,7 +238,7 @@
 		if at%2 == 1 { // and the index is lost with it
 			_ = os.Remove(filepath.Join(dir, "index"))
 		}
-		s := open(t, Options{Dir: dir, Inline: 2000, Now: func() time.Time { return time.Now().Add(48 * time.Hour) }})
+		s := open(t, Options{Dir: dir, MaxInline: 2000, Now: func() time.Time { return time.Now().Add(48 * time.Hour) }})
 		acked, refs := 0, 0
 		for _, line := range strings.Split(strings.TrimSpace(string(out)), "\n") {
 			kind, name, ok := strings.Cut(line, " ")
@@ -280,10 +280,10 @@
 func TestUploads(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 3))
 	now := time.Unix(1e9, 0)
-	opt := Options{Dir: t.TempDir(), Inline: 1000, Uploads: 3, Now: func() time.Time { return now }}
+	opt := Options{Dir: t.TempDir(), MaxInline: 1000, MaxUploads: 3, Now: func() time.Time { return now }}
 	s := open(t, opt)
 	data := content(rng, 10000)
-	d := Of(data)
+	d := DigestOf(data)
 	u, done, err := s.Begin("red", d)
 	if err != nil || done {
 		t.Fatal(done, err)
@@ -291,13 +291,13 @@
 	for _, x := range []struct {
 		at, n int
 		want  error
-	}{{0, 4000, nil}, {0, 4000, nil}, {2000, 3000, nil}, {6000, 10, ErrGap}, {-1, 10, ErrGap}} {
+	}{{0, 4000, nil}, {0, 4000, nil}, {2000, 3000, nil}, {6000, 10, ErrOffset}, {-1, 10, ErrOffset}} {
 		p := data[max(0, x.at):][:x.n]
 		if err := u.Write(int64(x.at), p); !errors.Is(err, x.want) {
 			t.Fatalf("%d bytes at %d: %v", x.n, x.at, err)
 		}
 	}
-	if err := u.Commit(ctx); !errors.Is(err, ErrGap) || u.Offset() != 5000 {
+	if err := u.Commit(ctx); !errors.Is(err, ErrOffset) || u.Offset() != 5000 {
 		t.Fatalf("committed half an upload: %v at %d", err, u.Offset())
 	}
 	if s.Has("red", d) {
@@ -329,7 +329,7 @@
 		r.Close()
 	}
 	// Wrong content, too much of it, too many at a time, and one that is given up.
-	bad := Of(content(rng, 5000))
+	bad := DigestOf(content(rng, 5000))
 	for range 2 {
 		u, _, err := s.Begin("red", bad)
 		if err != nil {
@@ -370,8 +370,8 @@
 // all; what must not fail has a reserve; collecting makes room again.
 func TestQuotas(t *testing.T) {
 	rng := rand.New(rand.NewPCG(2, 3))
-	s := open(t, Options{Dir: t.TempDir(), Quota: 100000, Reserve: 20000, Inline: 1000,
-		Tenant: func(tenant string) int64 { return map[string]int64{"loud": 30000}[tenant] }})
+	s := open(t, Options{Dir: t.TempDir(), Quota: 100000, Reserve: 20000, MaxInline: 1000,
+		TenantQuota: func(tenant string) int64 { return map[string]int64{"loud": 30000}[tenant] }})
 	random := func(n int) []byte {
 		b := make([]byte, n)
 		for i := range b {
@@ -379,7 +379,7 @@
 		}
 		return b
 	}
-	put := func(tenant string, n int, c ...Choice) *FullError {
+	put := func(tenant string, n int, c ...UploadOption) *FullError {
 		_, err := s.Put(ctx, tenant, random(n), c...)
 		var full *FullError
 		if err != nil && !errors.As(err, &full) {
@@ -399,10 +399,10 @@
 	if f := put("quiet", 10000); f == nil || f.Tenant != "" || f.Free != 5000 {
 		t.Fatalf("beyond the store's quota: %v", f)
 	}
-	if f := put("quiet", 15000, Urgent); f != nil {
+	if f := put("quiet", 15000, UseReserve); f != nil {
 		t.Fatalf("the reserve: %v", f)
 	}
-	if f := put("quiet", 15000, Urgent); f == nil {
+	if f := put("quiet", 15000, UseReserve); f == nil {
 		t.Fatal("beyond the reserve")
 	}
 	if n, _, err := s.Collect(ctx, -time.Hour); err != nil || n != 3 {
@@ -446,7 +446,7 @@
 // and a blob that is asked for is not collected before its age.
 func TestHeld(t *testing.T) {
 	now := time.Unix(1e9, 0)
-	s := open(t, Options{Dir: t.TempDir(), Inline: 1000, Now: func() time.Time { return now }})
+	s := open(t, Options{Dir: t.TempDir(), MaxInline: 1000, Now: func() time.Time { return now }})
 	for _, size := range []int{500, 50000} {
 		data := content(rand.New(rand.NewPCG(4, uint64(size))), size)
 		d, err := s.Put(ctx, "red", data)
@@ -495,7 +495,7 @@
 		for _, replica := range []bool{true, false} {
 			data := content(rand.New(rand.NewPCG(5, 1)), 60001)
 			var good []byte
-			opt := Options{Dir: t.TempDir(), Inline: 1000, Repair: func(context.Context, Digest) (io.ReadCloser, error) {
+			opt := Options{Dir: t.TempDir(), MaxInline: 1000, Repair: func(context.Context, Digest) (io.ReadCloser, error) {
 				if good == nil {
 					return nil, io.EOF
 				}
@@ -530,11 +530,11 @@
 			if replica {
 				good = data
 			}
-			if _, err := s.Get("red", d, 1<<20); !errors.Is(err, ErrRotten) {
+			if _, err := s.Get("red", d, 1<<20); !errors.Is(err, ErrCorrupt) {
 				t.Fatalf("%s: read %v", how, err)
 			}
 			f, err := s.Scrub(ctx, 1e12)
-			if err != nil || f.Bad != 1 || (f.Repaired == 1) != replica || (len(f.Rotten) == 0) != replica {
+			if err != nil || f.Bad != 1 || (f.Repaired == 1) != replica || (len(f.Unrepaired) == 0) != replica {
 				t.Fatalf("%s, replica %v: %+v, %v", how, replica, f, err)
 			}
 			if s.Has("red", d) != replica {
@@ -559,13 +559,13 @@
 // there is room, and what went out before is not written twice.
 func TestFullDisk(t *testing.T) {
 	full := false
-	opt := Options{Dir: t.TempDir(), Inline: 100, OpenFile: func(p string) (File, error) {
+	opt := Options{Dir: t.TempDir(), MaxInline: 100, OpenFile: func(p string) (File, error) {
 		f, err := os.OpenFile(p, os.O_RDWR|os.O_CREATE, 0o600)
 		return &fullFile{f, &full}, err
 	}}
 	s := open(t, opt)
 	data := content(rand.New(rand.NewPCG(6, 1)), 9000)
-	u, _, err := s.Begin("red", Of(data))
+	u, _, err := s.Begin("red", DigestOf(data))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -583,7 +583,7 @@
 	if err := u.Commit(ctx); err != nil {
 		t.Fatal(err)
 	}
-	if got, err := s.Get("red", Of(data), 1<<20); err != nil || !bytes.Equal(got, data) {
+	if got, err := s.Get("red", DigestOf(data), 1<<20); err != nil || !bytes.Equal(got, data) {
 		t.Fatal(err)
 	}
 }
@@ -603,7 +603,7 @@
 
 // FuzzRecord: no record of the log, however bad, is taken for what it is not.
 func FuzzRecord(f *testing.F) {
-	r := &record{kind: recRef, digest: Of([]byte("x")), tenant: "t", name: "n", keys: []string{Of(nil).key()}, data: []byte("d")}
+	r := &record{kind: recRef, digest: DigestOf([]byte("x")), tenant: "t", name: "n", keys: []string{DigestOf(nil).key()}, data: []byte("d")}
 	f.Add(r.encode())
 	e := entry{codec: zstdc, small: true, stored: 9, used: 8, tenants: []string{"a", "b"}}
 	f.Add(e.encode())
@@ -629,7 +629,7 @@
 // file, is told of as rotten after little more than the blob's size was read; and what is
 // packed well takes the room that its sender named only until it is in.
 func TestBomb(t *testing.T) {
-	s := open(t, Options{Dir: t.TempDir(), Inline: 1000, Quota: 1 << 20})
+	s := open(t, Options{Dir: t.TempDir(), MaxInline: 1000, Quota: 1 << 20})
 	d, err := s.Put(ctx, "red", bytes.Repeat([]byte("line of a log\n"), 10_000))
 	if err != nil {
 		t.Fatal(err)
@@ -653,7 +653,7 @@
 	if err := os.WriteFile(s.objectPath(d), bomb.Bytes(), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	if b, err := s.Get("red", d, 1<<20); !errors.Is(err, ErrRotten) || len(b) > 0 {
+	if b, err := s.Get("red", d, 1<<20); !errors.Is(err, ErrCorrupt) || len(b) > 0 {
 		t.Errorf("%d bytes, %v", len(b), err)
 	}
 	if f, err := s.Scrub(ctx, 1e12); err != nil || f.Bad != 1 {
@@ -668,7 +668,7 @@
 // TestDropWhileCommitting: uploads are committed while abandoned ones are looked for. The
 // two once waited for each other's locks, and a keeper stood still for good.
 func TestDropWhileCommitting(t *testing.T) {
-	s, err := Open(Options{Dir: t.TempDir(), Inline: 1})
+	s, err := Open(Options{Dir: t.TempDir(), MaxInline: 1})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/blob/collect.go
+++ b/internal/blob/collect.go
@@ -233,19 +233,19 @@
 	return s.commit(ctx, rs...)
 }
 
-// Scrubbed is what a scrub found.
-type Scrubbed struct {
+// ScrubResult is what a scrub found.
+type ScrubResult struct {
 	Blobs, Bad, Repaired int
 	Bytes                int64
-	Rotten               []Digest // went bad and could not be repaired, at most 1000
-	Strays               int      // files that belong to no blob, removed
+	Unrepaired           []Digest // went bad and could not be repaired, at most 1000
+	Orphans              int      // files that belong to no blob, removed
 }
 
 // Scrub reads every blob and compares it with its digest, at most so many bytes a
 // second. What went bad is repaired by Options.Repair; else it is put aside, counts
 // as missing and can be uploaded again. Files that belong to no blob are removed.
-func (s *Store) Scrub(ctx context.Context, bytesPerSecond float64) (Scrubbed, error) {
-	var found Scrubbed
+func (s *Store) Scrub(ctx context.Context, bytesPerSecond float64) (ScrubResult, error) {
+	var found ScrubResult
 	limit := rate.NewLimiter(rate.Limit(bytesPerSecond), 1<<20)
 	err := s.each(ctx, "", func(key string, _ *entry) error {
 		d := digestOf(key)
@@ -272,13 +272,13 @@
 		found.Bad++
 		if s.repair(ctx, d) {
 			found.Repaired++
-		} else if len(found.Rotten) < 1000 {
-			found.Rotten = append(found.Rotten, d)
+		} else if len(found.Unrepaired) < 1000 {
+			found.Unrepaired = append(found.Unrepaired, d)
 		}
 		return nil
 	})
 	if err == nil {
-		found.Strays, err = s.sweep(ctx)
+		found.Orphans, err = s.sweep(ctx)
 	}
 	return found, err
 }
@@ -316,7 +316,7 @@
 		return false
 	}
 	defer good.Close()
-	u, done, err := s.Begin(tenants[0], d, Urgent)
+	u, done, err := s.Begin(tenants[0], d, UseReserve)
 	if err != nil || done {
 		return false
 	}
--- a/internal/blob/digest.go
+++ b/internal/blob/digest.go
@@ -16,8 +16,8 @@
 	Size int64
 }
 
-// Of is the digest of data.
-func Of(data []byte) Digest { return Digest{sha256.Sum256(data), int64(len(data))} }
+// DigestOf is the digest of data.
+func DigestOf(data []byte) Digest { return Digest{sha256.Sum256(data), int64(len(data))} }
 
 // String is the digest as hash/size, as Parse reads it.
 func (d Digest) String() string {
--- a/internal/blob/golden_test.go
+++ b/internal/blob/golden_test.go
@@ -14,7 +14,7 @@
 const digestFile = "digest.txt"
 
 func TestGoldenDigest(t *testing.T) {
-	d := Of([]byte("content"))
+	d := DigestOf([]byte("content"))
 	text := goldentest.Bytes(t, digestFile, []byte(d.String()))
 	if got, err := Parse(string(text)); err != nil || got != d {
 		t.Errorf("parsed %v, error %v, want %v", got, err, d)
@@ -27,7 +27,7 @@
 }
 
 func TestGoldenRecords(t *testing.T) {
-	d, other := Of([]byte("content")), Of([]byte("other"))
+	d, other := DigestOf([]byte("content")), DigestOf([]byte("other"))
 	form := goldentest.Form{
 		Encode: func(value any) ([]byte, error) { return value.(*record).encode(), nil },
 		Decode: func(data []byte, into any) error {
@@ -54,7 +54,7 @@
 }
 
 func TestGoldenIndex(t *testing.T) {
-	d := Of([]byte("content"))
+	d := DigestOf([]byte("content"))
 	entries := goldentest.Form{
 		Encode: func(value any) ([]byte, error) { return value.(*entry).encode(), nil },
 		Decode: func(data []byte, into any) error {
--- a/internal/blob/read.go
+++ b/internal/blob/read.go
@@ -64,7 +64,7 @@
 			case e == nil:
 				return nil, fmt.Errorf("%w: %s", ErrNotFound, d)
 			case e.rotten:
-				return nil, fmt.Errorf("%w: %s", ErrRotten, d)
+				return nil, fmt.Errorf("%w: %s", ErrCorrupt, d)
 			}
 			return nil, fmt.Errorf("%w: %s", ErrTenant, d)
 		}
@@ -80,10 +80,10 @@
 		}
 		s.unpin(key)
 		if !errors.Is(err, fs.ErrNotExist) {
-			return nil, fmt.Errorf("%w: %s: %v", ErrRotten, d, err)
+			return nil, fmt.Errorf("%w: %s: %v", ErrCorrupt, d, err)
 		}
 	}
-	return nil, fmt.Errorf("%w: %s", ErrRotten, d)
+	return nil, fmt.Errorf("%w: %s", ErrCorrupt, d)
 }
 
 func (s *Store) unpin(key string) {
@@ -147,8 +147,8 @@
 	}
 	defer r.Close()
 	b, err := io.ReadAll(io.LimitReader(r, d.Size+1))
-	if err != nil || Of(b) != d {
-		return nil, fmt.Errorf("%w: %s", ErrRotten, d)
+	if err != nil || DigestOf(b) != d {
+		return nil, fmt.Errorf("%w: %s", ErrCorrupt, d)
 	}
 	return b, nil
 }
--- a/internal/blob/store.go
+++ b/internal/blob/store.go
@@ -28,9 +28,9 @@
 var (
 	ErrDigest   = errors.New("blob: malformed digest")
 	ErrNotFound = errors.New("blob: not here")
-	ErrRotten   = errors.New("blob: went bad on the disk")
+	ErrCorrupt  = errors.New("blob: went bad on the disk")
 	ErrMismatch = errors.New("blob: content does not have that digest")
-	ErrGap      = errors.New("blob: upload goes on at another offset")
+	ErrOffset   = errors.New("blob: upload goes on at another offset")
 	ErrUpload   = errors.New("blob: no such upload")
 	ErrTenant   = errors.New("blob: this tenant does not have it")
 	ErrBusy     = errors.New("blob: too many uploads")
@@ -54,16 +54,16 @@
 
 // Options are a store's choices.
 type Options struct {
-	Dir       string
-	Inline    int64                      // blobs up to so many bytes lie in the log; 16 KiB if 0
-	Quota     int64                      // bytes on disk in all; 0: no bound
-	Reserve   int64                      // of these, kept for what must not fail (see Urgent)
-	Tenant    func(tenant string) int64  // a tenant's bytes; nil or 0: no bound of its own
-	Uploads   int                        // open at a time; 1024 if 0
-	Abandoned time.Duration              // uploads that nobody touched for so long are dropped; 1 h if 0
-	Now       func() time.Time           // for ages; time.Now if nil
-	Step      func(step string)          // told of each durable step, for tests
-	OpenFile  func(string) (File, error) // opens upload files, for tests
+	Dir           string
+	MaxInline     int64                      // blobs up to so many bytes lie in the log; 16 KiB if 0
+	Quota         int64                      // bytes on disk in all; 0: no bound
+	Reserve       int64                      // of these, kept for what must not fail (see Urgent)
+	TenantQuota   func(tenant string) int64  // a tenant's bytes; nil or 0: no bound of its own
+	MaxUploads    int                        // open at a time; 1024 if 0
+	UploadTimeout time.Duration              // uploads that nobody touched for so long are dropped; 1 h if 0
+	Now           func() time.Time           // for ages; time.Now if nil
+	Step          func(step string)          // told of each durable step, for tests
+	OpenFile      func(string) (File, error) // opens upload files, for tests
 	// Repair gives a good copy of a blob that went bad here, as from a replica.
 	Repair func(ctx context.Context, d Digest) (io.ReadCloser, error)
 }
@@ -119,14 +119,14 @@
 // Open opens the store in a directory, which it makes if need be. An index that is
 // missing or can't be read is made again from the log.
 func Open(opt Options) (*Store, error) {
-	if opt.Inline <= 0 {
-		opt.Inline = 16 << 10
+	if opt.MaxInline <= 0 {
+		opt.MaxInline = 16 << 10
 	}
-	if opt.Uploads <= 0 {
-		opt.Uploads = 1024
+	if opt.MaxUploads <= 0 {
+		opt.MaxUploads = 1024
 	}
-	if opt.Abandoned <= 0 {
-		opt.Abandoned = time.Hour
+	if opt.UploadTimeout <= 0 {
+		opt.UploadTimeout = time.Hour
 	}
 	if opt.Now == nil {
 		opt.Now = time.Now
--- a/internal/blob/upload.go
+++ b/internal/blob/upload.go
@@ -40,25 +40,25 @@
 // retryFull is when to come back to a store without room.
 const retryFull = 10 * time.Second
 
-// Choice is an option of an upload.
-type Choice int
+// UploadOption is an option of an upload.
+type UploadOption int
 
-// Urgent uploads may use the reserve: what must not fail once it was begun, as the
+// UseReserve uploads may use the reserve: what must not fail once it was begun, as the
 // seal of an attempt.
-const Urgent Choice = 1
+const UseReserve UploadOption = 1
 
 // Begin starts an upload for a tenant. Room for it is kept until it ends. done says
 // that the tenant has the blob already. Another tenant's blob does not count: who
 // has no content to show gets none.
-func (s *Store) Begin(tenant string, d Digest, choices ...Choice) (u *Upload, done bool, err error) {
+func (s *Store) Begin(tenant string, d Digest, choices ...UploadOption) (u *Upload, done bool, err error) {
 	var id [16]byte
 	_, _ = rand.Read(id[:]) // never fails
-	return s.BeginAs(id, tenant, d, choices...)
+	return s.BeginWithID(id, tenant, d, choices...)
 }
 
-// BeginAs is Begin under an id of the caller's choice, so that it can find the upload
+// BeginWithID is Begin under an id of the caller's choice, so that it can find the upload
 // again after a restart. One that is under way under that id is gone on with.
-func (s *Store) BeginAs(id [16]byte, tenant string, d Digest, choices ...Choice) (u *Upload, done bool, err error) {
+func (s *Store) BeginWithID(id [16]byte, tenant string, d Digest, choices ...UploadOption) (u *Upload, done bool, err error) {
 	if s.Has(tenant, d) {
 		return nil, true, nil
 	}
@@ -69,7 +69,7 @@
 	u = &Upload{s: s, id: hex.EncodeToString(id[:]), tenant: tenant, d: d, urgent: urgent, sum: NewSum(), used: s.opt.Now()}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if len(s.uploads) >= s.opt.Uploads {
+	if len(s.uploads) >= s.opt.MaxUploads {
 		return nil, false, ErrBusy
 	}
 	if err := s.hold(tenant, d.Size, urgent); err != nil {
@@ -97,8 +97,8 @@
 	if bytes > free {
 		return &FullError{Want: bytes, Free: max(0, free), Retry: retryFull}
 	}
-	if s.opt.Tenant != nil && !urgent {
-		if quota := s.opt.Tenant(tenant); quota > 0 && s.used[tenant]+s.held[tenant]+bytes > quota {
+	if s.opt.TenantQuota != nil && !urgent {
+		if quota := s.opt.TenantQuota(tenant); quota > 0 && s.used[tenant]+s.held[tenant]+bytes > quota {
 			return &FullError{Tenant: tenant, Want: bytes, Free: max(0, quota-s.used[tenant]-s.held[tenant]), Retry: retryFull}
 		}
 	}
@@ -107,24 +107,24 @@
 	return nil
 }
 
-// Hold keeps room for bytes that are written elsewhere on the same disk, as to the log
+// ReserveSpace keeps room for bytes that are written elsewhere on the same disk, as to the log
 // of what is not sealed yet; Release gives it back. It is a FullError if there is none.
-func (s *Store) Hold(tenant string, bytes int64) error {
+func (s *Store) ReserveSpace(tenant string, bytes int64) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.hold(tenant, bytes, false)
 }
 
-// Held is Hold for what is on the disk already: it can't be refused.
-func (s *Store) Held(tenant string, bytes int64) {
+// AccountSpace is Hold for what is on the disk already: it can't be refused.
+func (s *Store) AccountSpace(tenant string, bytes int64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.held[""] += bytes
 	s.held[tenant] += bytes
 }
 
-// Release gives back what Hold or Held kept.
-func (s *Store) Release(tenant string, bytes int64) {
+// ReleaseSpace gives back what Hold or Held kept.
+func (s *Store) ReleaseSpace(tenant string, bytes int64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.release(tenant, bytes)
@@ -198,7 +198,7 @@
 	s.mu.Unlock()
 	for _, u := range uploads {
 		u.mu.Lock()
-		if s.opt.Now().Sub(u.used) > s.opt.Abandoned {
+		if s.opt.Now().Sub(u.used) > s.opt.UploadTimeout {
 			u.end()
 		}
 		u.mu.Unlock()
@@ -228,7 +228,7 @@
 	case u.ended:
 		return ErrUpload
 	case offset < 0 || offset > u.at:
-		return fmt.Errorf("%w: at %d, wanted at %d", ErrGap, offset, u.at)
+		return fmt.Errorf("%w: at %d, wanted at %d", ErrOffset, offset, u.at)
 	case offset+int64(len(p)) > u.d.Size:
 		return fmt.Errorf("%w: more than %d bytes", ErrMismatch, u.d.Size)
 	case offset+int64(len(p)) <= u.at:
@@ -280,7 +280,7 @@
 	case u.ended:
 		return ErrUpload
 	case u.at < u.d.Size:
-		return fmt.Errorf("%w: %d of %d bytes are here", ErrGap, u.at, u.d.Size)
+		return fmt.Errorf("%w: %d of %d bytes are here", ErrOffset, u.at, u.d.Size)
 	}
 	if u.sum.Hash == nil { // taken up after a restart
 		sum := NewSum()
@@ -313,7 +313,7 @@
 	if s.known(d.key()) {
 		return s.commit(ctx, &record{kind: recTenant, digest: d, tenant: tenant})
 	}
-	if d.Size > s.opt.Inline {
+	if d.Size > s.opt.MaxInline {
 		return s.takeFile(ctx, tenant, d, file, path)
 	}
 	data := make([]byte, d.Size)
@@ -431,9 +431,9 @@
 }
 
 // Put uploads a whole blob and gives its digest.
-func (s *Store) Put(ctx context.Context, tenant string, data []byte, choices ...Choice) (Digest, error) {
-	d := Of(data)
-	if d.Size <= s.opt.Inline { // no file needed
+func (s *Store) Put(ctx context.Context, tenant string, data []byte, choices ...UploadOption) (Digest, error) {
+	d := DigestOf(data)
+	if d.Size <= s.opt.MaxInline { // no file needed
 		if s.Has(tenant, d) {
 			return d, nil
 		}
@@ -468,8 +468,8 @@
 	return d, nil
 }
 
-// Take uploads a whole blob from a reader.
-func (s *Store) Take(ctx context.Context, tenant string, d Digest, r io.Reader, choices ...Choice) error {
+// PutReader uploads a whole blob from a reader.
+func (s *Store) PutReader(ctx context.Context, tenant string, d Digest, r io.Reader, choices ...UploadOption) error {
 	u, done, err := s.Begin(tenant, d, choices...)
 	if err != nil || done {
 		return err
--- a/internal/cli/artifactstore.go
+++ b/internal/cli/artifactstore.go
@@ -79,10 +79,10 @@
 	set := &s.set
 	gb := func(x float64) int64 { return int64(x * 1e9) }
 	if s.blobs, err = blob.Open(blob.Options{
-		Dir:     filepath.Join(set.Dir, "blobs"),
-		Quota:   gb(set.QuotaGB),
-		Reserve: gb(set.ReserveGB),
-		Tenant:  func(string) int64 { return gb(set.TenantGB) },
+		Dir:         filepath.Join(set.Dir, "blobs"),
+		Quota:       gb(set.QuotaGB),
+		Reserve:     gb(set.ReserveGB),
+		TenantQuota: func(string) int64 { return gb(set.TenantGB) },
 		Repair: func(ctx context.Context, d blob.Digest) (io.ReadCloser, error) {
 			return s.node.OpenVerified(ctx, d)
 		},
--- a/internal/cli/snapshot.go
+++ b/internal/cli/snapshot.go
@@ -68,13 +68,13 @@
 	}
 	for _, x := range a.Copies() {
 		state := "whole"
-		if !x.Whole {
+		if !x.Complete {
 			state = "cut short"
 		}
-		if x.Lost != "" {
-			state += "; after it the service lost data: " + x.Lost
+		if x.LossReason != "" {
+			state += "; after it the service lost data: " + x.LossReason
 		}
-		r.print(x, "%6d  %s to %s  revisions %d to %d  %d keys, %d changes  %s", x.ID, x.At.Format(time.RFC3339), x.Until.Format(time.RFC3339), x.Revision, x.Last, x.Keys, x.Changes, state)
+		r.print(x, "%6d  %s to %s  revisions %d to %d  %d keys, %d changes  %s", x.ID, x.At.Format(time.RFC3339), x.Until.Format(time.RFC3339), x.Revision, x.LastRevision, x.Keys, x.Changes, state)
 	}
 	return a.Close()
 }
@@ -112,7 +112,7 @@
 	defer cancel()
 	if c.Copy == 0 {
 		for _, x := range a.Copies() {
-			if x.Whole && x.Lost != "" {
+			if x.Complete && x.LossReason != "" {
 				c.Copy = x.ID
 			}
 		}
--- a/internal/faultinjection/agent.go
+++ b/internal/faultinjection/agent.go
@@ -31,7 +31,7 @@
 			panic(fmt.Sprintf("history not written: %v", err)) // the test would be worth nothing
 		}
 	}
-	opt := taskrunner.Options{Spool: job.Spool, Keepers: job.Keepers, Pause: 50 * time.Millisecond, Acked: note}
+	opt := taskrunner.Options{Spool: job.Spool, Keepers: job.Keepers, RetryDelay: 50 * time.Millisecond, Acked: note}
 	if job.Recover {
 		_, err := taskrunner.Recover(ctx, opt)
 		return err
--- a/internal/reapi/bytestream.go
+++ b/internal/reapi/bytestream.go
@@ -164,7 +164,7 @@
 	if r.digest == empty {
 		return there()
 	}
-	u, done, err := s.Blobs.BeginAs(r.id(in.Team), in.Team, r.digest)
+	u, done, err := s.Blobs.BeginWithID(r.id(in.Team), in.Team, r.digest)
 	if err != nil {
 		return fail(err)
 	}
--- a/internal/reapi/cas.go
+++ b/internal/reapi/cas.go
@@ -15,7 +15,7 @@
 )
 
 // empty is the digest of nothing, which is always there.
-var empty = blob.Of(nil)
+var empty = blob.DigestOf(nil)
 
 // FindMissingBlobs lists those of some blobs that the instance's team does not have. The
 // others count as used now, so that they stay for as long as unused blobs do.
@@ -91,7 +91,7 @@
 	default:
 		return status.Errorf(codes.InvalidArgument, "compressor %s is not supported", q.Compressor)
 	}
-	if blob.Of(data) != d {
+	if blob.DigestOf(data) != d {
 		return blob.ErrMismatch
 	}
 	_, err = s.Blobs.Put(ctx, team, data)
--- a/internal/reapi/config.go
+++ b/internal/reapi/config.go
@@ -99,7 +99,7 @@
 // answers.
 func Serve(ctx context.Context, c Config, key []byte, log *slog.Logger, ready func(addr string)) error {
 	gb := func(x float64) int64 { return int64(x * 1e9) }
-	blobs, err := blob.Open(blob.Options{Dir: c.Dir, Quota: gb(c.QuotaGB), Tenant: func(string) int64 { return gb(c.TeamGB) }})
+	blobs, err := blob.Open(blob.Options{Dir: c.Dir, Quota: gb(c.QuotaGB), TenantQuota: func(string) int64 { return gb(c.TeamGB) }})
 	if err != nil {
 		return err
 	}
@@ -149,7 +149,7 @@
 		if c.ScrubMB > 0 {
 			found, err := blobs.Scrub(ctx, c.ScrubMB*1e6)
 			if ctx.Err() == nil {
-				log.Info("scrubbed", "blobs", found.Blobs, "bad", found.Bad, "rotten", found.Rotten, "err", err)
+				log.Info("scrubbed", "blobs", found.Blobs, "bad", found.Bad, "rotten", found.Unrepaired, "err", err)
 			}
 		}
 		wait.For(ctx, time.Duration(c.DutyMinutes*float64(time.Minute)))
--- a/internal/reapi/reapi.go
+++ b/internal/reapi/reapi.go
@@ -107,11 +107,11 @@
 		return later(codes.Unavailable, err, time.Second)
 	case errors.Is(err, wal.ErrBroken):
 		return later(codes.Unavailable, err, 10*time.Second)
-	case errors.Is(err, blob.ErrNotFound), errors.Is(err, blob.ErrTenant), errors.Is(err, blob.ErrRotten), errors.Is(err, blob.ErrUpload):
+	case errors.Is(err, blob.ErrNotFound), errors.Is(err, blob.ErrTenant), errors.Is(err, blob.ErrCorrupt), errors.Is(err, blob.ErrUpload):
 		return status.Error(codes.NotFound, err.Error())
 	case errors.Is(err, blob.ErrDigest), errors.Is(err, blob.ErrMismatch):
 		return status.Error(codes.InvalidArgument, err.Error())
-	case errors.Is(err, blob.ErrGap):
+	case errors.Is(err, blob.ErrOffset):
 		return status.Error(codes.OutOfRange, err.Error())
 	case errors.Is(err, context.DeadlineExceeded):
 		return status.Error(codes.DeadlineExceeded, err.Error())
--- a/internal/reapi/reapi_test.go
+++ b/internal/reapi/reapi_test.go
@@ -147,7 +147,7 @@
 	dir := t.TempDir()
 	x := serve(t, dir, nil)
 	data := noise(700_000, 1)
-	d := blob.Of(data)
+	d := blob.DigestOf(data)
 	name := "main/uploads/0e0f/blobs/" + d.String()
 	if _, err := x.send(x.ctx, name, 0, [][]byte{data[:300_000]}, false); err == nil {
 		t.Fatal("a write without an end was answered")
@@ -181,7 +181,7 @@
 	wants(t, "beyond the end", err, codes.OutOfRange)
 
 	text := bytes.Repeat([]byte("a line of output\n"), 50_000)
-	td := blob.Of(text)
+	td := blob.DigestOf(text)
 	var packed bytes.Buffer
 	z, _ := zstd.NewWriter(&packed)
 	if _, err := z.Write(text); err != nil {
@@ -203,13 +203,13 @@
 	wrong := blob.Digest{Hash: td.Hash, Size: 100}
 	_, err = x.send(x.ctx, "main/uploads/2/compressed-blobs/zstd/"+wrong.String(), 0, [][]byte{p}, true)
 	wants(t, "a bomb", err, codes.InvalidArgument)
-	_, err = x.send(x.ctx, "main/uploads/3/compressed-blobs/zstd/"+blob.Of([]byte("x")).String(), 0, [][]byte{[]byte("nonsense")}, true)
+	_, err = x.send(x.ctx, "main/uploads/3/compressed-blobs/zstd/"+blob.DigestOf([]byte("x")).String(), 0, [][]byte{[]byte("nonsense")}, true)
 	wants(t, "nonsense", err, codes.InvalidArgument)
-	_, err = x.send(x.ctx, "main/uploads/4/blobs/"+blob.Of([]byte("abc")).String(), 0, [][]byte{[]byte("abd")}, true)
+	_, err = x.send(x.ctx, "main/uploads/4/blobs/"+blob.DigestOf([]byte("abc")).String(), 0, [][]byte{[]byte("abd")}, true)
 	wants(t, "a wrong digest", err, codes.InvalidArgument)
-	_, err = x.send(x.ctx, "main/uploads/5/blobs/"+blob.Of([]byte("abc")).String(), 0, [][]byte{[]byte("abcd")}, true)
+	_, err = x.send(x.ctx, "main/uploads/5/blobs/"+blob.DigestOf([]byte("abc")).String(), 0, [][]byte{[]byte("abcd")}, true)
 	wants(t, "too long", err, codes.InvalidArgument)
-	_, err = x.send(x.ctx, "main/uploads/6/blobs/"+blob.Of([]byte("abc")).String(), 0, [][]byte{[]byte("ab")}, true)
+	_, err = x.send(x.ctx, "main/uploads/6/blobs/"+blob.DigestOf([]byte("abc")).String(), 0, [][]byte{[]byte("ab")}, true)
 	wants(t, "too short", err, codes.InvalidArgument)
 	for _, name := range []string{"", "main/blobs/x/3", "main/blobs/" + d.String() + "/more", "main/uploads/u/blobs/" + d.String(), "main/compressed-blobs/deflate/" + d.String(), strings.Repeat("a", 2000)} {
 		_, err := x.read(x.ctx, name, 0, 0)
@@ -222,7 +222,7 @@
 func TestInstances(t *testing.T) {
 	x := serve(t, t.TempDir(), nil)
 	data := []byte("a team's own")
-	d := digestProto(blob.Of(data))
+	d := digestProto(blob.DigestOf(data))
 	up, err := x.cas.BatchUpdateBlobs(x.ctx, &re.BatchUpdateBlobsRequest{InstanceName: "main", Requests: []*re.BatchUpdateBlobsRequest_Request{{Digest: d, Data: data}}})
 	if err != nil || up.Responses[0].Status.GetCode() != 0 {
 		t.Fatalf("%v %v", up, err)
@@ -262,7 +262,7 @@
 	x := serve(t, t.TempDir(), func(c *Config) { c.BatchMB, c.QuotaGB, c.Digests = 0.1, 0.01, 50 })
 	good, bad, big := []byte("good"), []byte("bad"), noise(20_000_000, 2)
 	up, err := x.cas.BatchUpdateBlobs(x.ctx, &re.BatchUpdateBlobsRequest{InstanceName: "main", Requests: []*re.BatchUpdateBlobsRequest_Request{
-		{Digest: digestProto(blob.Of(good)), Data: good}, {Digest: digestProto(blob.Of(good)), Data: bad}, {Digest: &re.Digest{Hash: "x"}}, {Digest: digestProto(blob.Of(bad)), Data: bad, Compressor: re.Compressor_BROTLI}}})
+		{Digest: digestProto(blob.DigestOf(good)), Data: good}, {Digest: digestProto(blob.DigestOf(good)), Data: bad}, {Digest: &re.Digest{Hash: "x"}}, {Digest: digestProto(blob.DigestOf(bad)), Data: bad, Compressor: re.Compressor_BROTLI}}})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -271,13 +271,13 @@
 			t.Errorf("blob %d: %v, not %v", i, up.Responses[i].Status, want)
 		}
 	}
-	_, err = x.cas.BatchUpdateBlobs(x.ctx, &re.BatchUpdateBlobsRequest{InstanceName: "main", Requests: []*re.BatchUpdateBlobsRequest_Request{{Digest: digestProto(blob.Of(big)), Data: big[:200_000]}}})
+	_, err = x.cas.BatchUpdateBlobs(x.ctx, &re.BatchUpdateBlobsRequest{InstanceName: "main", Requests: []*re.BatchUpdateBlobsRequest_Request{{Digest: digestProto(blob.DigestOf(big)), Data: big[:200_000]}}})
 	wants(t, "a large batch", err, codes.InvalidArgument)
 	_, err = x.cas.FindMissingBlobs(x.ctx, &re.FindMissingBlobsRequest{InstanceName: "main", BlobDigests: make([]*re.Digest, 51)})
 	wants(t, "many digests", err, codes.InvalidArgument)
 	_, err = x.cas.FindMissingBlobs(x.ctx, &re.FindMissingBlobsRequest{InstanceName: "main", DigestFunction: re.DigestFunction_MD5})
 	wants(t, "MD5", err, codes.InvalidArgument)
-	_, err = x.send(x.ctx, "main/uploads/1/blobs/"+blob.Of(big).String(), 0, [][]byte{big[:10]}, true)
+	_, err = x.send(x.ctx, "main/uploads/1/blobs/"+blob.DigestOf(big).String(), 0, [][]byte{big[:10]}, true)
 	wants(t, "a full store", err, codes.ResourceExhausted)
 	retry := false
 	for _, detail := range status.Convert(err).Details() {
@@ -302,16 +302,16 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		d := digestProto(blob.Of(data))
+		d := digestProto(blob.DigestOf(data))
 		if _, err := x.cas.BatchUpdateBlobs(x.ctx, &re.BatchUpdateBlobsRequest{InstanceName: "main", Requests: []*re.BatchUpdateBlobsRequest_Request{{Digest: d, Data: data}}}); err != nil {
 			t.Fatal(err)
 		}
 		return d
 	}
-	leaf := put(&re.Directory{Files: []*re.FileNode{{Name: "f", Digest: digestProto(blob.Of([]byte("f")))}}})
+	leaf := put(&re.Directory{Files: []*re.FileNode{{Name: "f", Digest: digestProto(blob.DigestOf([]byte("f")))}}})
 	dir := &re.Directory{}
 	for i := range 20 {
-		d := put(&re.Directory{Directories: []*re.DirectoryNode{{Name: "shared", Digest: leaf}}, Files: []*re.FileNode{{Name: fmt.Sprint(i), Digest: digestProto(blob.Of([]byte("f")))}}})
+		d := put(&re.Directory{Directories: []*re.DirectoryNode{{Name: "shared", Digest: leaf}}, Files: []*re.FileNode{{Name: fmt.Sprint(i), Digest: digestProto(blob.DigestOf([]byte("f")))}}})
 		dir.Directories = append(dir.Directories, &re.DirectoryNode{Name: fmt.Sprint(i), Digest: d})
 	}
 	root := put(dir)
@@ -354,7 +354,7 @@
 		_, err = r.Recv()
 	}
 	wants(t, "a large tree", err, codes.InvalidArgument)
-	r, err = x.cas.GetTree(x.ctx, &re.GetTreeRequest{InstanceName: "main", RootDigest: digestProto(blob.Of([]byte("nowhere")))})
+	r, err = x.cas.GetTree(x.ctx, &re.GetTreeRequest{InstanceName: "main", RootDigest: digestProto(blob.DigestOf([]byte("nowhere")))})
 	if err == nil {
 		_, err = r.Recv()
 	}
@@ -366,9 +366,9 @@
 func TestActionCache(t *testing.T) {
 	dir := t.TempDir()
 	x := serve(t, dir, func(c *Config) { c.LooseHours = 0.1 })
-	action := digestProto(blob.Of([]byte("an action")))
+	action := digestProto(blob.DigestOf([]byte("an action")))
 	out := noise(50_000, 3)
-	result := &re.ActionResult{ExitCode: 3, OutputFiles: []*re.OutputFile{{Path: "out", Digest: digestProto(blob.Of(out))}}, StdoutDigest: digestProto(blob.Of(nil))}
+	result := &re.ActionResult{ExitCode: 3, OutputFiles: []*re.OutputFile{{Path: "out", Digest: digestProto(blob.DigestOf(out))}}, StdoutDigest: digestProto(blob.DigestOf(nil))}
 	_, err := x.ac.GetActionResult(x.ctx, &re.GetActionResultRequest{InstanceName: "main", ActionDigest: action})
 	wants(t, "nothing yet", err, codes.NotFound)
 	update := &re.UpdateActionResultRequest{InstanceName: "main", ActionDigest: action, ActionResult: result}
@@ -376,14 +376,14 @@
 	wants(t, "without its blobs", err, codes.FailedPrecondition)
 	named := false
 	for _, detail := range status.Convert(err).Details() {
-		if p, ok := detail.(*errdetails.PreconditionFailure); ok && len(p.Violations) == 1 && p.Violations[0].Type == "MISSING" && p.Violations[0].Subject == "blobs/"+blob.Of(out).String() {
+		if p, ok := detail.(*errdetails.PreconditionFailure); ok && len(p.Violations) == 1 && p.Violations[0].Type == "MISSING" && p.Violations[0].Subject == "blobs/"+blob.DigestOf(out).String() {
 			named = true
 		}
 	}
 	if !named {
 		t.Errorf("what is missing is not named: %v", err)
 	}
-	if _, err := x.send(x.ctx, "main/uploads/1/blobs/"+blob.Of(out).String(), 0, [][]byte{out}, true); err != nil {
+	if _, err := x.send(x.ctx, "main/uploads/1/blobs/"+blob.DigestOf(out).String(), 0, [][]byte{out}, true); err != nil {
 		t.Fatal(err)
 	}
 	if _, err := x.ac.UpdateActionResult(x.ctx, update); err != nil {
@@ -411,7 +411,7 @@
 		t.Fatalf("%v %v", got, err)
 	}
 	x.stop()
-	hash, _, _ := strings.Cut(blob.Of(out).String(), "/")
+	hash, _, _ := strings.Cut(blob.DigestOf(out).String(), "/")
 	files, err := filepath.Glob(filepath.Join(dir, "objects", hash[:2], hash+"*"))
 	if err != nil || len(files) != 1 {
 		t.Fatalf("%v %v", files, err)
@@ -452,7 +452,7 @@
 // FuzzResource: whatever is taken for a resource's name has a digest that is its own, and
 // an instance that does not hold what follows it.
 func FuzzResource(f *testing.F) {
-	d := blob.Of([]byte("x")).String()
+	d := blob.DigestOf([]byte("x")).String()
 	for _, name := range []string{"blobs/" + d, "a/b/blobs/" + d, "a/uploads/u/blobs/" + d + "/name", "compressed-blobs/zstd/" + d, "uploads//blobs/" + d} {
 		f.Add(name, true)
 		f.Add(name, false)
--- a/internal/snapshot/archive.go
+++ b/internal/snapshot/archive.go
@@ -40,8 +40,8 @@
 	Key     string `cbor:"k"`
 	Value   []byte `cbor:"v,omitempty"`
 	Version uint64 `cbor:"r"`
-	Gone    bool   `cbor:"d,omitempty"` // a change that deleted it
-	Held    bool   `cbor:"l,omitempty"` // by a lease
+	Deleted bool   `cbor:"d,omitempty"` // a change that deleted it
+	Leased  bool   `cbor:"l,omitempty"` // by a lease
 }
 
 // record is one entry of the log: a CBOR map (RFC 8949), compressed with Zstandard.
@@ -69,16 +69,16 @@
 
 // Copy is a full copy with the changes that were kept after it.
 type Copy struct {
-	ID       uint64    `json:"id"`
-	At       time.Time `json:"at"`
-	Until    time.Time `json:"until"` // of the last change kept
-	Revision uint64    `json:"revision"`
-	Last     uint64    `json:"last_revision"`
-	Keys     int       `json:"keys"`
-	Changes  int       `json:"changes"`
-	Sum      string    `json:"sha256"`
-	Whole    bool      `json:"whole"`
-	Lost     string    `json:"service_lost,omitempty"` // why the service was held to have lost data after it
+	ID           uint64    `json:"id"`
+	At           time.Time `json:"at"`
+	Until        time.Time `json:"until"` // of the last change kept
+	Revision     uint64    `json:"revision"`
+	LastRevision uint64    `json:"last_revision"`
+	Keys         int       `json:"keys"`
+	Changes      int       `json:"changes"`
+	Sum          string    `json:"sha256"`
+	Complete     bool      `json:"whole"`
+	LossReason   string    `json:"service_lost,omitempty"` // why the service was held to have lost data after it
 
 	from wal.Pos
 }
@@ -213,7 +213,7 @@
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if r.Kind == kindBegin {
-		a.copies = append(a.copies, &Copy{ID: r.Copy, At: time.UnixMilli(r.At), Until: time.UnixMilli(r.At), Revision: r.From, Last: r.From, from: at})
+		a.copies = append(a.copies, &Copy{ID: r.Copy, At: time.UnixMilli(r.At), Until: time.UnixMilli(r.At), Revision: r.From, LastRevision: r.From, from: at})
 		a.next = max(a.next, r.Copy+1)
 		return
 	}
@@ -223,12 +223,12 @@
 	}
 	switch r.Kind {
 	case kindEnd:
-		c.Whole, c.Keys, c.Revision, c.Last, c.Sum = true, r.Keys, r.To, r.To, hex.EncodeToString(r.Sum)
+		c.Complete, c.Keys, c.Revision, c.LastRevision, c.Sum = true, r.Keys, r.To, r.To, hex.EncodeToString(r.Sum)
 		c.Until = time.UnixMilli(r.At)
 	case kindChanges:
-		c.Last, c.Changes, c.Until = r.To, c.Changes+len(r.Entries), time.UnixMilli(r.At)
+		c.LastRevision, c.Changes, c.Until = r.To, c.Changes+len(r.Entries), time.UnixMilli(r.At)
 	case kindLost:
-		c.Lost = r.Why
+		c.LossReason = r.Why
 	}
 }
 
@@ -264,8 +264,8 @@
 // part is how many keys a record of a full copy has at most.
 const part = 500
 
-// Put writes a full copy as of a revision and gives its number.
-func (a *Archive) Put(ctx context.Context, keys map[string]Entry, revision uint64, now time.Time) (uint64, error) {
+// PutCopy writes a full copy as of a revision and gives its number.
+func (a *Archive) PutCopy(ctx context.Context, keys map[string]Entry, revision uint64, now time.Time) (uint64, error) {
 	a.mu.Lock()
 	id := a.next
 	a.next++
@@ -298,14 +298,14 @@
 	return h.Sum(nil)
 }
 
-// Change adds changes to a copy.
-func (a *Archive) Change(ctx context.Context, id uint64, from, to uint64, entries []Entry, now time.Time) error {
+// AppendChanges adds changes to a copy.
+func (a *Archive) AppendChanges(ctx context.Context, id uint64, from, to uint64, entries []Entry, now time.Time) error {
 	return a.append(ctx, &record{Kind: kindChanges, Copy: id, At: now.UnixMilli(), From: from, To: to, Entries: entries})
 }
 
-// Lost books that the service lost data after a copy, which is kept from then on until
+// MarkLost books that the service lost data after a copy, which is kept from then on until
 // it is pruned by name.
-func (a *Archive) Lost(ctx context.Context, id uint64, why string, now time.Time) error {
+func (a *Archive) MarkLost(ctx context.Context, id uint64, why string, now time.Time) error {
 	return a.append(ctx, &record{Kind: kindLost, Copy: id, At: now.UnixMilli(), Why: why})
 }
 
@@ -324,7 +324,7 @@
 func (a *Archive) Latest() (Copy, bool) {
 	copies := a.Copies()
 	for i := len(copies) - 1; i >= 0; i-- {
-		if copies[i].Whole {
+		if copies[i].Complete {
 			return copies[i], true
 		}
 	}
@@ -341,7 +341,7 @@
 		c = *found
 	}
 	a.mu.Unlock()
-	if found == nil || !c.Whole {
+	if found == nil || !c.Complete {
 		return nil, 0, fmt.Errorf("%w: %d", ErrNone, id)
 	}
 	if upTo != 0 && upTo < c.Revision {
@@ -393,7 +393,7 @@
 	if old, ok := keys[e.Key]; ok && old.Version > e.Version {
 		return
 	}
-	if e.Gone {
+	if e.Deleted {
 		delete(keys, e.Key)
 	} else {
 		keys[e.Key] = e
@@ -414,7 +414,7 @@
 // Verify reads every whole copy that is kept and checks it.
 func (a *Archive) Verify() (copies, keys int, err error) {
 	for _, c := range a.Copies() {
-		if !c.Whole {
+		if !c.Complete {
 			continue
 		}
 		k, _, err := a.Load(c.ID, 0)
@@ -435,7 +435,7 @@
 	}
 	a.mu.Lock()
 	keep := slices.IndexFunc(a.copies, func(c *Copy) bool {
-		old := c.At.Before(before) && c.Lost == "" || !c.Whole && c.ID < latest.ID || slices.Contains(named, c.ID)
+		old := c.At.Before(before) && c.LossReason == "" || !c.Complete && c.ID < latest.ID || slices.Contains(named, c.ID)
 		return c.ID == latest.ID || !old
 	})
 	if keep < 0 {
@@ -452,5 +452,5 @@
 
 // entryOf is a listed key as it is kept.
 func entryOf(e protocol.Entry) Entry {
-	return Entry{Key: e.Key, Value: e.Value, Version: e.Version, Held: e.Lease != 0}
+	return Entry{Key: e.Key, Value: e.Value, Version: e.Version, Leased: e.Lease != 0}
 }
--- a/internal/snapshot/follow.go
+++ b/internal/snapshot/follow.go
@@ -141,8 +141,8 @@
 func (f *Follower) take(ctx context.Context, ch *protocol.Changes) error {
 	var entries []Entry
 	for _, e := range ch.Events {
-		x := Entry{Key: e.Set + e.Delete, Value: e.Value, Version: e.Version, Gone: e.Delete != ""}
-		if x.Key == f.set.Control && !x.Gone {
+		x := Entry{Key: e.Set + e.Delete, Value: e.Value, Version: e.Version, Deleted: e.Delete != ""}
+		if x.Key == f.set.Control && !x.Deleted {
 			// What belongs to a new generation is not added to the copy of an earlier one.
 			if store := f.storeOf(map[string]Entry{x.Key: x}); f.store != "" && store != f.store {
 				return f.lost(ctx, "the controllers began a new generation")
@@ -150,7 +150,7 @@
 		}
 		entries = append(entries, x)
 	}
-	if err := f.a.Change(ctx, f.id, f.revision, ch.Revision, entries, time.Now()); err != nil {
+	if err := f.a.AppendChanges(ctx, f.id, f.revision, ch.Revision, entries, time.Now()); err != nil {
 		return archiveErr(err)
 	}
 	for _, x := range entries {
@@ -180,7 +180,7 @@
 	if err := f.compareWithKept(ctx, keys, revision); err != nil {
 		return err
 	}
-	id, err := f.a.Put(ctx, keys, revision, time.Now())
+	id, err := f.a.PutCopy(ctx, keys, revision, time.Now())
 	if err != nil {
 		return archiveErr(err)
 	}
@@ -200,7 +200,7 @@
 		return 0, err
 	}
 	for _, e := range ch.Events {
-		apply(keys, Entry{Key: e.Set + e.Delete, Value: e.Value, Version: e.Version, Gone: e.Delete != ""})
+		apply(keys, Entry{Key: e.Set + e.Delete, Value: e.Value, Version: e.Version, Deleted: e.Delete != ""})
 	}
 	return ch.Revision, nil
 }
@@ -221,8 +221,8 @@
 		f.log.Error("the newest copy can't be read", "copy", last.ID, "err", err)
 		return nil
 	}
-	reason := f.wentBack(old, last.Last, keys, revision)
-	if reason == "" || last.Lost != "" {
+	reason := f.wentBack(old, last.LastRevision, keys, revision)
+	if reason == "" || last.LossReason != "" {
 		return nil
 	}
 	f.id = last.ID
@@ -269,7 +269,7 @@
 func (f *Follower) lost(ctx context.Context, why string) error {
 	f.log.Error("state service lost data; the copy before that is kept until it is pruned by its number", "copy", f.id, "why", why)
 	if f.id != 0 {
-		if err := f.a.Lost(ctx, f.id, why, time.Now()); err != nil {
+		if err := f.a.MarkLost(ctx, f.id, why, time.Now()); err != nil {
 			return archiveErr(err)
 		}
 	}
--- a/internal/snapshot/golden_test.go
+++ b/internal/snapshot/golden_test.go
@@ -18,7 +18,7 @@
 // grow.
 
 func TestGoldenRecords(t *testing.T) {
-	entry := Entry{Key: "w/a/job-000412", Value: []byte(`{"a":1}`), Version: 412, Gone: true, Held: true}
+	entry := Entry{Key: "w/a/job-000412", Value: []byte(`{"a":1}`), Version: 412, Deleted: true, Leased: true}
 	form := goldentest.Form{Encode: cbor.Marshal, Decode: cbor.Unmarshal}
 	form.Check(t, []goldentest.Case{
 		{Name: "record-full.cbor", Full: true, Value: record{Format: format, Kind: kindBegin, Copy: 7, At: 1767225600123, From: 411, To: 412, Entries: []Entry{entry}, Keys: 1,
@@ -35,21 +35,21 @@
 func TestGoldenArchive(t *testing.T) {
 	const segment = "00000001.log"
 	at := time.UnixMilli(1767225600123)
-	keys := map[string]Entry{"w/c": {Key: "w/c", Value: []byte(`{"term":41}`), Version: 300}, "w/n/estacion-1": {Key: "w/n/estacion-1", Value: []byte("{}"), Version: 301, Held: true}}
+	keys := map[string]Entry{"w/c": {Key: "w/c", Value: []byte(`{"term":41}`), Version: 300}, "w/n/estacion-1": {Key: "w/n/estacion-1", Value: []byte("{}"), Version: 301, Leased: true}}
 	dir := t.TempDir()
 	a, err := Open(dir, Options{})
 	if err != nil {
 		t.Fatal(err)
 	}
-	id, err := a.Put(t.Context(), keys, 411, at)
+	id, err := a.PutCopy(t.Context(), keys, 411, at)
 	if err != nil {
 		t.Fatal(err)
 	}
-	changes := []Entry{{Key: "f/job-000412", Value: []byte("{}"), Version: 412}, {Key: "w/n/estacion-1", Version: 413, Gone: true}}
-	if err := a.Change(t.Context(), id, 411, 413, changes, at.Add(time.Second)); err != nil {
+	changes := []Entry{{Key: "f/job-000412", Value: []byte("{}"), Version: 412}, {Key: "w/n/estacion-1", Version: 413, Deleted: true}}
+	if err := a.AppendChanges(t.Context(), id, 411, 413, changes, at.Add(time.Second)); err != nil {
 		t.Fatal(err)
 	}
-	if err := a.Lost(t.Context(), id, "set back", at.Add(2*time.Second)); err != nil {
+	if err := a.MarkLost(t.Context(), id, "set back", at.Add(2*time.Second)); err != nil {
 		t.Fatal(err)
 	}
 	if err := a.Close(); err != nil {
@@ -69,7 +69,7 @@
 	}
 	defer a.Close()
 	c, whole := a.Latest()
-	if !whole || c.ID != 1 || !c.At.Equal(at) || !c.Until.Equal(at.Add(time.Second)) || c.Revision != 411 || c.Last != 413 || c.Keys != 2 || c.Changes != 2 || c.Lost != "set back" ||
+	if !whole || c.ID != 1 || !c.At.Equal(at) || !c.Until.Equal(at.Add(time.Second)) || c.Revision != 411 || c.LastRevision != 413 || c.Keys != 2 || c.Changes != 2 || c.LossReason != "set back" ||
 		c.Sum != strings.TrimSpace(string(goldentest.Bytes(t, "archive-sum.txt", []byte(c.Sum+"\n")))) {
 		t.Errorf("copy %+v", c)
 	}
@@ -78,7 +78,7 @@
 		t.Errorf("read %+v at %d, error %v", read, revision, err)
 	}
 	read, _, err = a.Load(1, 411)
-	if err != nil || !read["w/n/estacion-1"].Held {
+	if err != nil || !read["w/n/estacion-1"].Leased {
 		t.Errorf("read %+v before the changes, error %v", read, err)
 	}
 }
@@ -97,7 +97,7 @@
 func TestGoldenCopies(t *testing.T) {
 	at := time.Date(2026, 1, 2, 3, 4, 5, 678000000, time.UTC)
 	goldentest.Wire.Check(t, []goldentest.Case{
-		{Name: "copy-full.json", Full: true, Value: Copy{ID: 7, At: at, Until: at.Add(time.Second), Revision: 411, Last: 413, Keys: 2, Changes: 3, Sum: "00", Whole: true, Lost: "set back"}},
+		{Name: "copy-full.json", Full: true, Value: Copy{ID: 7, At: at, Until: at.Add(time.Second), Revision: 411, LastRevision: 413, Keys: 2, Changes: 3, Sum: "00", Complete: true, LossReason: "set back"}},
 		{Name: "copy-empty.json", Value: Copy{}},
 		{Name: "plan-full.json", Full: true, Value: Plan{Copy: 7, Revision: 411, Generation: 2, Jobs: 1, Ends: 2, Done: 3, Teams: 4, Newer: 5, Changes: 6}},
 		{Name: "plan-empty.json", Value: Plan{}},
--- a/internal/snapshot/snapshot_test.go
+++ b/internal/snapshot/snapshot_test.go
@@ -59,7 +59,7 @@
 			switch {
 			case id == 0 || rng.IntN(8) == 0:
 				var made uint64
-				if made, err = a.Put(ctx, keys, revision, time.UnixMilli(int64(revision))); err == nil {
+				if made, err = a.PutCopy(ctx, keys, revision, time.UnixMilli(int64(revision))); err == nil {
 					id = made
 				}
 			case rng.IntN(12) == 0:
@@ -73,10 +73,10 @@
 			default:
 				revision++
 				e := Entry{Key: fmt.Sprint("k", rng.IntN(9)), Value: []byte(fmt.Sprint(rng.IntN(1000))), Version: revision}
-				if e.Gone = rng.IntN(3) == 0; e.Gone {
+				if e.Deleted = rng.IntN(3) == 0; e.Deleted {
 					e.Value = nil
 				}
-				if err = a.Change(ctx, id, revision-1, revision, []Entry{e}, time.UnixMilli(int64(revision))); err == nil {
+				if err = a.AppendChanges(ctx, id, revision-1, revision, []Entry{e}, time.UnixMilli(int64(revision))); err == nil {
 					apply(keys, e)
 				} else {
 					revision--
@@ -235,7 +235,7 @@
 				var lost Copy
 				until("the loss is noticed", func() bool {
 					for _, c := range a.Copies() {
-						if c.Lost != "" {
+						if c.LossReason != "" {
 							lost = c
 						}
 					}
@@ -306,8 +306,8 @@
 		}
 		defer a.Close()
 		if copied {
-			if keys, rev, err := a.Load(last.ID, last.Last); err != nil || rev != last.Last || uint64(len(keys)) != last.Last {
-				t.Fatalf("room %d: %d keys at %d of %d, %v", room, len(keys), rev, last.Last, err)
+			if keys, rev, err := a.Load(last.ID, last.LastRevision); err != nil || rev != last.LastRevision || uint64(len(keys)) != last.LastRevision {
+				t.Fatalf("room %d: %d keys at %d of %d, %v", room, len(keys), rev, last.LastRevision, err)
 			}
 		}
 		s.LosePrefix("f/job-00000") // while nobody looked
@@ -317,7 +317,7 @@
 			now, ok := a.Latest()
 			noticed := !copied
 			for _, c := range a.Copies() {
-				noticed = noticed || c.ID == last.ID && c.Lost != ""
+				noticed = noticed || c.ID == last.ID && c.LossReason != ""
 			}
 			if ok && noticed && now.ID != last.ID {
 				break
--- a/internal/taskrunner/taskrunner.go
+++ b/internal/taskrunner/taskrunner.go
@@ -40,13 +40,13 @@
 
 // Options are a runner's choices.
 type Options struct {
-	Spool   string   // directory
-	Keepers []string // addresses; another is tried when one fails
-	Room    int64    // bytes of output of one attempt that may wait in the spool; 64 MiB if 0
-	Line    int      // longest record; 32 KiB if 0
-	Pause   time.Duration
-	Log     *slog.Logger
-	Step    func(step string) // told of each durable step, for tests
+	Spool          string   // directory
+	Keepers        []string // addresses; another is tried when one fails
+	MaxSpoolBytes  int64    // bytes of output of one attempt that may wait in the spool; 64 MiB if 0
+	MaxRecordBytes int      // longest record; 32 KiB if 0
+	RetryDelay     time.Duration
+	Log            *slog.Logger
+	Step           func(step string) // told of each durable step, for tests
 	// Acked is told what a replica acknowledged: the number of the next record of a stream.
 	Acked func(stream string, next uint64)
 }
@@ -90,20 +90,20 @@
 
 // Result is how an attempt ended.
 type Result struct {
-	Exit  artifactstore.Exit
-	Final bool  // it is its task's result
-	Lost  int64 // bytes of output that the spool had no room for
+	Exit         artifactstore.Exit
+	Final        bool  // it is its task's result
+	DroppedBytes int64 // bytes of output that the spool had no room for
 }
 
 func (o *Options) defaults() {
-	if o.Room <= 0 {
-		o.Room = 64 << 20
+	if o.MaxSpoolBytes <= 0 {
+		o.MaxSpoolBytes = 64 << 20
 	}
-	if o.Line <= 0 {
-		o.Line = 32 << 10
+	if o.MaxRecordBytes <= 0 {
+		o.MaxRecordBytes = 32 << 10
 	}
-	if o.Pause <= 0 {
-		o.Pause = 500 * time.Millisecond
+	if o.RetryDelay <= 0 {
+		o.RetryDelay = 500 * time.Millisecond
 	}
 	if o.Log == nil {
 		o.Log = slog.New(slog.DiscardHandler)
@@ -167,7 +167,7 @@
 func (s *spool) appendRecord(ctx context.Context, stream string, data []byte) {
 	now := time.Now().UTC()
 	s.mu.Lock()
-	full := s.bytes+int64(len(data)) > s.opt.Room
+	full := s.bytes+int64(len(data)) > s.opt.MaxSpoolBytes
 	h := s.holes[stream]
 	s.mu.Unlock()
 	if !full && h != nil {
@@ -238,7 +238,7 @@
 		return Result{}, err
 	}
 	err = <-brought
-	result.Exit, result.Lost = exit, s.dropped
+	result.Exit, result.DroppedBytes = exit, s.dropped
 	return result, err
 }
 
@@ -279,7 +279,7 @@
 
 // readStream splits a stream into lines, or pieces of long ones.
 func (s *spool) readStream(ctx context.Context, stream string, r io.Reader) {
-	in := bufio.NewReaderSize(r, s.opt.Line)
+	in := bufio.NewReaderSize(r, s.opt.MaxRecordBytes)
 	for {
 		line, err := in.ReadSlice('\n')
 		if len(line) > 0 {
--- a/internal/taskrunner/taskrunner_test.go
+++ b/internal/taskrunner/taskrunner_test.go
@@ -67,7 +67,7 @@
 }
 
 func (x *site) options(spool string) Options {
-	return Options{Spool: spool, Keepers: []string{x.url}, Pause: 5 * time.Millisecond}
+	return Options{Spool: spool, Keepers: []string{x.url}, RetryDelay: 5 * time.Millisecond}
 }
 
 // done says whether an attempt was sealed.
@@ -158,7 +158,7 @@
 	x := newSite(t)
 	x.away.Store(true)
 	opt := x.options(t.TempDir())
-	opt.Room = 2000
+	opt.MaxSpoolBytes = 2000
 	opt.defaults()
 	tk := task(t.TempDir(), 1, "true")
 	s, err := open(opt, spoolDir(opt.Spool, tk.Claim.Attempt))
@@ -195,10 +195,10 @@
 	if err := <-brought; err != nil || !got.Final {
 		t.Fatalf("%+v %v", got, err)
 	}
-	got.Lost = s.dropped
+	got.DroppedBytes = s.dropped
 	list, lost := x.text(tk.Claim.Attempt, "stdout")
-	if lost != got.Lost || lost != 4*(1000-500) {
-		t.Errorf("%d bytes marked as lost, %d were, %d should be", lost, got.Lost, 4*(1000-500))
+	if lost != got.DroppedBytes || lost != 4*(1000-500) {
+		t.Errorf("%d bytes marked as lost, %d were, %d should be", lost, got.DroppedBytes, 4*(1000-500))
 	}
 	for i, s := range list[:500] {
 		if s != strconv.Itoa(1000+i) {
@@ -254,7 +254,7 @@
 		var mu sync.Mutex
 		tk := task(parts[2], 1, command, "out")
 		tk.Env = append(tk.Env, "A=1")
-		_, err := Run(ctx, Options{Spool: parts[0], Keepers: []string{parts[1]}, Pause: 5 * time.Millisecond, Step: func(string) {
+		_, err := Run(ctx, Options{Spool: parts[0], Keepers: []string{parts[1]}, RetryDelay: 5 * time.Millisecond, Step: func(string) {
 			mu.Lock()
 			defer mu.Unlock()
 			if left--; left < 0 {
--- a/internal/taskrunner/upload.go
+++ b/internal/taskrunner/upload.go
@@ -35,7 +35,7 @@
 // call makes a request until it is answered, of one replica after another, with jittered
 // pauses that grow, for as long as the context allows.
 func (s *spool) call(ctx context.Context, path string, body []byte) (*artifactstore.Answer, error) {
-	for pause := s.opt.Pause; ; pause = min(2*pause, 30*time.Second) {
+	for pause := s.opt.RetryDelay; ; pause = min(2*pause, 30*time.Second) {
 		a, after, err := s.callOnce(ctx, s.opt.Keepers[s.at], path, body)
 		var no *refusal
 		if err == nil || errors.As(err, &no) {
