--- a/internal/blob/blob_test.go
+++ b/internal/blob/blob_test.go
@@ -176,7 +176,7 @@
 					t.Fatalf("seed %d step %d: %d blobs, plainly %d", seed, step, st.Blobs, len(want))
 				}
 				for d, k := range want {
-					if e := s.find(d.key()); e == nil || len(e.tenants) != len(k.tenants) {
+					if e := s.lookup(d.key()); e == nil || len(e.tenants) != len(k.tenants) {
 						t.Fatalf("seed %d step %d: entry %+v", seed, step, e)
 					} else {
 						size += e.stored
@@ -358,8 +358,8 @@
 	}
 	now = now.Add(2 * time.Hour)
 	s.dropAbandoned()
-	if st := s.Stats(); st.Uploads != 0 || s.held[""] != 0 {
-		t.Fatalf("abandoned uploads stay: %+v, %d bytes held", st, s.held[""])
+	if st := s.Stats(); st.Uploads != 0 || s.reservedBytes[""] != 0 {
+		t.Fatalf("abandoned uploads stay: %+v, %d bytes held", st, s.reservedBytes[""])
 	}
 	if left, err := os.ReadDir(filepath.Join(opt.Dir, "uploads")); err != nil || len(left) != 0 {
 		t.Fatalf("files left over: %v %v", left, err)
@@ -442,9 +442,9 @@
 	}
 }
 
-// TestHeld: neither a reader nor an upload loses what it has open to a collection,
+// TestCollectKeepsOpenBlobs: neither a reader nor an upload loses what it has open to a collection,
 // and a blob that is asked for is not collected before its age.
-func TestHeld(t *testing.T) {
+func TestCollectKeepsOpenBlobs(t *testing.T) {
 	now := time.Unix(1e9, 0)
 	s := open(t, Options{Dir: t.TempDir(), MaxInline: 1000, Now: func() time.Time { return now }})
 	for _, size := range []int{500, 50000} {
@@ -487,10 +487,10 @@
 	}
 }
 
-// TestRot turns one bit of a blob on the disk, or cuts its file short, or removes it:
+// TestCorruption turns one bit of a blob on the disk, or cuts its file short, or removes it:
 // a scrub finds it, a replica repairs it, without one it counts as missing and can
 // be uploaded again. Its good neighbours stay as they are.
-func TestRot(t *testing.T) {
+func TestCorruption(t *testing.T) {
 	for _, how := range []string{"bit", "cut", "gone"} {
 		for _, replica := range []bool{true, false} {
 			data := content(rand.New(rand.NewPCG(5, 1)), 60001)
@@ -605,7 +605,7 @@
 func FuzzRecord(f *testing.F) {
 	r := &record{kind: recRef, digest: DigestOf([]byte("x")), tenant: "t", name: "n", keys: []string{DigestOf(nil).key()}, data: []byte("d")}
 	f.Add(r.encode())
-	e := entry{codec: zstdc, small: true, stored: 9, used: 8, tenants: []string{"a", "b"}}
+	e := entry{codec: codecZstd, inline: true, stored: 9, lastUsed: 8, tenants: []string{"a", "b"}}
 	f.Add(e.encode())
 	f.Fuzz(func(t *testing.T, b []byte) {
 		if r, err := decodeRecord(b); err == nil {
@@ -615,7 +615,7 @@
 			}
 		}
 		if e, err := decodeEntry(b); err == nil {
-			if again, err := decodeEntry(e.encode()); err != nil || again.at != e.at || again.refs != e.refs {
+			if again, err := decodeEntry(e.encode()); err != nil || again.pos != e.pos || again.refs != e.refs {
 				t.Fatalf("%+v became %+v, %v", e, again, err)
 			}
 		}
@@ -625,10 +625,10 @@
 	})
 }
 
-// TestBomb: content that unpacks to far more than its digest says, put under a blob's
+// TestDecompressionBomb: content that unpacks to far more than its digest says, put under a blob's
 // file, is told of as rotten after little more than the blob's size was read; and what is
 // packed well takes the room that its sender named only until it is in.
-func TestBomb(t *testing.T) {
+func TestDecompressionBomb(t *testing.T) {
 	s := open(t, Options{Dir: t.TempDir(), MaxInline: 1000, Quota: 1 << 20})
 	d, err := s.Put(ctx, "red", bytes.Repeat([]byte("line of a log\n"), 10_000))
 	if err != nil {
@@ -665,9 +665,9 @@
 	}
 }
 
-// TestDropWhileCommitting: uploads are committed while abandoned ones are looked for. The
+// TestDropAbandonedWhileCommitting: uploads are committed while abandoned ones are looked for. The
 // two once waited for each other's locks, and a keeper stood still for good.
-func TestDropWhileCommitting(t *testing.T) {
+func TestDropAbandonedWhileCommitting(t *testing.T) {
 	s, err := Open(Options{Dir: t.TempDir(), MaxInline: 1})
 	if err != nil {
 		t.Fatal(err)
--- a/internal/blob/collect.go
+++ b/internal/blob/collect.go
@@ -47,7 +47,7 @@
 // DropRef takes a reference back. One that is not there is no error.
 func (s *Store) DropRef(ctx context.Context, name string) error {
 	s.mu.Lock()
-	r := s.findRef(name)
+	r := s.lookupRef(name)
 	s.mu.Unlock()
 	if r == nil {
 		return nil
@@ -59,12 +59,12 @@
 func (s *Store) Ref(name string) (tenant string, ds []Digest, ok bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	r := s.findRef(name)
+	r := s.lookupRef(name)
 	if r == nil {
 		return "", nil, false
 	}
 	for _, k := range r.keys {
-		ds = append(ds, digestOf(k))
+		ds = append(ds, digestFromKey(k))
 	}
 	return r.tenant, ds, true
 }
@@ -75,7 +75,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	changed := map[string]bool{}
-	for name, r := range s.refs {
+	for name, r := range s.dirtyRefs {
 		if strings.HasPrefix(name, prefix) && name > after {
 			changed[name] = r != nil
 		}
@@ -103,9 +103,9 @@
 	return names[:min(most, len(names))], nil
 }
 
-// each walks over all blobs in order of their digests, in pieces, so that the store
+// forEachBlob walks over all blobs in order of their digests, in pieces, so that the store
 // stays usable meanwhile. Blobs that come or go during the walk may be missed.
-func (s *Store) each(ctx context.Context, from string, f func(key string, e *entry) error) error {
+func (s *Store) forEachBlob(ctx context.Context, from string, f func(key string, e *entry) error) error {
 	if err := s.checkpoint(); err != nil {
 		return err
 	}
@@ -144,8 +144,8 @@
 // dropped blobs took. It gives how many blobs and bytes went.
 func (s *Store) Collect(ctx context.Context, age time.Duration) (blobs int, freed int64, err error) {
 	limit := s.opt.Now().Add(-age).Unix()
-	err = s.each(ctx, "", func(key string, _ *entry) error {
-		ok, size, err := s.drop(ctx, key, limit)
+	err = s.forEachBlob(ctx, "", func(key string, _ *entry) error {
+		ok, size, err := s.deleteIfUnused(ctx, key, limit)
 		if ok {
 			blobs++
 			freed += size
@@ -158,26 +158,26 @@
 	return blobs, freed, err
 }
 
-// drop takes one blob out if nothing holds it.
-func (s *Store) drop(ctx context.Context, key string, limit int64) (ok bool, size int64, err error) {
+// deleteIfUnused takes one blob out if nothing holds it.
+func (s *Store) deleteIfUnused(ctx context.Context, key string, limit int64) (ok bool, size int64, err error) {
 	s.mu.Lock()
-	e := s.find(key)
-	if e == nil || e.refs > 0 || e.used > limit || s.pins[key] > 0 || s.deleting[key] {
+	e := s.lookup(key)
+	if e == nil || e.refs > 0 || e.lastUsed > limit || s.pins[key] > 0 || s.deleting[key] {
 		s.mu.Unlock()
 		return false, 0, nil
 	}
 	s.deleting[key] = true // nobody opens or takes it from now on
-	size, small := e.stored, e.small
+	size, small := e.stored, e.inline
 	s.mu.Unlock()
-	err = s.commit(ctx, &record{kind: recDrop, digest: digestOf(key)})
+	err = s.commit(ctx, &record{kind: recDrop, digest: digestFromKey(key)})
 	if err == nil && !small {
 		// A file that stays behind is found by the next Sweep.
-		_ = os.Remove(s.objectPath(digestOf(key)))
+		_ = os.Remove(s.objectPath(digestFromKey(key)))
 	}
 	s.mu.Lock()
 	delete(s.deleting, key)
 	s.mu.Unlock()
-	s.changed.Broadcast()
+	s.deleted.Broadcast()
 	return err == nil, size, err
 }
 
@@ -186,42 +186,42 @@
 func (s *Store) compact(ctx context.Context) error {
 	return s.log.Compact(ctx, func(at wal.Pos, b []byte) (func() error, error) {
 		r, err := decodeRecord(b)
-		if err != nil || !s.lives(r, at) {
+		if err != nil || !s.isLive(r, at) {
 			return nil, err
 		}
 		r.data = slices.Clone(r.data)
-		return func() error { return s.move(ctx, r, at) }, nil
+		return func() error { return s.rewrite(ctx, r, at) }, nil
 	}, s.checkpoint) // the index must know the new places before the old ones go
 }
 
-// lives says whether a record is still needed to make the index again. A tenant's
+// isLive says whether a record is still needed to make the index again. A tenant's
 // record is moved with its blob's, and a drop's blob was in an earlier segment,
 // which is gone.
-func (s *Store) lives(r *record, at wal.Pos) bool {
+func (s *Store) isLive(r *record, at wal.Pos) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	switch r.kind {
-	case recSmall, recFile:
-		e := s.find(r.digest.key())
-		return e != nil && e.at == at
+	case recInline, recFile:
+		e := s.lookup(r.digest.key())
+		return e != nil && e.pos == at
 	case recTenant:
-		return s.find(r.digest.key()) != nil
+		return s.lookup(r.digest.key()) != nil
 	case recRef:
-		f := s.findRef(r.name)
-		return f != nil && f.at == at
+		f := s.lookupRef(r.name)
+		return f != nil && f.pos == at
 	}
 	return false
 }
 
-// move writes a record again at the end of the log, unless it died meanwhile.
-func (s *Store) move(ctx context.Context, r *record, was wal.Pos) error {
-	if !s.lives(r, was) {
+// rewrite writes a record again at the end of the log, unless it died meanwhile.
+func (s *Store) rewrite(ctx context.Context, r *record, was wal.Pos) error {
+	if !s.isLive(r, was) {
 		return nil
 	}
 	rs := []*record{r}
-	if r.kind == recSmall || r.kind == recFile {
+	if r.kind == recInline || r.kind == recFile {
 		s.mu.Lock()
-		if e := s.find(r.digest.key()); e != nil {
+		if e := s.lookup(r.digest.key()); e != nil {
 			for _, t := range e.tenants {
 				if t != r.tenant {
 					rs = append(rs, &record{kind: recTenant, digest: r.digest, tenant: t})
@@ -247,8 +247,8 @@
 func (s *Store) Scrub(ctx context.Context, bytesPerSecond float64) (ScrubResult, error) {
 	var found ScrubResult
 	limit := rate.NewLimiter(rate.Limit(bytesPerSecond), 1<<20)
-	err := s.each(ctx, "", func(key string, _ *entry) error {
-		d := digestOf(key)
+	err := s.forEachBlob(ctx, "", func(key string, _ *entry) error {
+		d := digestFromKey(key)
 		found.Blobs++
 		found.Bytes += d.Size
 		for left := d.Size; left > 0; left -= 1 << 20 {
@@ -260,10 +260,10 @@
 			return nil
 		}
 		s.mu.Lock()
-		e := s.find(key)
+		e := s.lookup(key)
 		bad := e != nil && !s.deleting[key]
-		if bad && !e.rotten {
-			s.change(key).rotten = true
+		if bad && !e.corrupt {
+			s.lookupForUpdate(key).corrupt = true
 		}
 		s.mu.Unlock()
 		if !bad {
@@ -278,14 +278,14 @@
 		return nil
 	})
 	if err == nil {
-		found.Orphans, err = s.sweep(ctx)
+		found.Orphans, err = s.removeOrphans(ctx)
 	}
 	return found, err
 }
 
 // verify reads a blob and says whether it is what it should be.
 func (s *Store) verify(d Digest) bool {
-	r, err := s.open(d, 0, s.find)
+	r, err := s.open(d, 0, s.lookup)
 	if err != nil {
 		return errors.Is(err, ErrNotFound) // collected meanwhile
 	}
@@ -299,7 +299,7 @@
 func (s *Store) repair(ctx context.Context, d Digest) bool {
 	key := d.key()
 	s.mu.Lock()
-	e := s.find(key)
+	e := s.lookup(key)
 	if e == nil {
 		s.mu.Unlock()
 		return false
@@ -341,10 +341,10 @@
 	return false
 }
 
-// sweep removes object files that the index does not know: a process that ended
+// removeOrphans removes object files that the index does not know: a process that ended
 // between moving a file and writing its record leaves one, as does one that ended
 // before it removed a collected blob's.
-func (s *Store) sweep(ctx context.Context) (strays int, err error) {
+func (s *Store) removeOrphans(ctx context.Context) (strays int, err error) {
 	dirs, err := os.ReadDir(filepath.Join(s.opt.Dir, "objects"))
 	if err != nil {
 		return 0, fmt.Errorf("blob: %w", err)
@@ -363,10 +363,10 @@
 			if err != nil || s.opt.Now().Sub(info.ModTime()) < time.Hour {
 				continue // perhaps on its way in
 			}
-			d, derr := parseObject(f.Name())
+			d, derr := parseObjectName(f.Name())
 			s.mu.Lock()
-			e := s.find(d.key())
-			stray := derr != nil || ((e == nil || e.small) && s.pins[d.key()] == 0)
+			e := s.lookup(d.key())
+			stray := derr != nil || ((e == nil || e.inline) && s.pins[d.key()] == 0)
 			if stray {
 				err = os.Remove(path)
 			}
--- a/internal/blob/digest.go
+++ b/internal/blob/digest.go
@@ -47,15 +47,15 @@
 	return string(binary.BigEndian.AppendUint64(d.Hash[:], uint64(d.Size)))
 }
 
-func digestOf(key string) Digest {
+func digestFromKey(key string) Digest {
 	var d Digest
 	copy(d.Hash[:], key)
 	d.Size = int64(binary.BigEndian.Uint64([]byte(key[sha256.Size:])))
 	return d
 }
 
-// parseObject reads a large blob's file name.
-func parseObject(name string) (Digest, error) {
+// parseObjectName reads a large blob's file name.
+func parseObjectName(name string) (Digest, error) {
 	i := strings.IndexByte(name, '-')
 	if i < 0 {
 		return Digest{}, fmt.Errorf("%w: %.100q", ErrDigest, name)
--- a/internal/blob/golden_test.go
+++ b/internal/blob/golden_test.go
@@ -19,7 +19,7 @@
 	if got, err := Parse(string(text)); err != nil || got != d {
 		t.Errorf("parsed %v, error %v, want %v", got, err, d)
 	}
-	if got := digestOf(d.key()); got != d {
+	if got := digestFromKey(d.key()); got != d {
 		t.Errorf("digest %v by its key, want %v", got, d)
 	}
 	s := &Store{opt: Options{Dir: "/store"}}
@@ -39,8 +39,8 @@
 		},
 	}
 	form.Check(t, []goldentest.Case{
-		{Name: "record-small.bin", Value: record{kind: recSmall, codec: plain, digest: d, stored: 7, tenant: "vision", data: []byte("content")}},
-		{Name: "record-file.bin", Value: record{kind: recFile, codec: zstdc, digest: d, stored: 300, tenant: "vision"}},
+		{Name: "record-small.bin", Value: record{kind: recInline, codec: codecNone, digest: d, stored: 7, tenant: "vision", data: []byte("content")}},
+		{Name: "record-file.bin", Value: record{kind: recFile, codec: codecZstd, digest: d, stored: 300, tenant: "vision"}},
 		{Name: "record-tenant.bin", Value: record{kind: recTenant, digest: d, tenant: "speech"}},
 		{Name: "record-drop.bin", Value: record{kind: recDrop, digest: d}},
 		{Name: "record-reference.bin", Value: record{kind: recRef, tenant: "vision", name: "sealed/job-000412/000003/00000000000000000002", keys: []string{d.key(), other.key()}}},
@@ -48,7 +48,7 @@
 		{Name: "record-empty.bin", Value: record{}},
 	})
 	r, err := decodeRecord(goldentest.Read(t, "record-reference.bin"))
-	if err != nil || r.kind != recRef || r.tenant != "vision" || len(r.keys) != 2 || digestOf(r.keys[1]) != other {
+	if err != nil || r.kind != recRef || r.tenant != "vision" || len(r.keys) != 2 || digestFromKey(r.keys[1]) != other {
 		t.Errorf("reference %+v, error %v", r, err)
 	}
 }
@@ -66,7 +66,7 @@
 		},
 	}
 	entries.Check(t, []goldentest.Case{
-		{Name: "entry-full.bin", Value: entry{codec: zstdc, rotten: true, small: true, stored: 300, used: 1767225600, at: wal.Pos{Segment: 2, Offset: 4096}, refs: 3, tenants: []string{"vision", "speech"}}},
+		{Name: "entry-full.bin", Value: entry{codec: codecZstd, corrupt: true, inline: true, stored: 300, lastUsed: 1767225600, pos: wal.Pos{Segment: 2, Offset: 4096}, refs: 3, tenants: []string{"vision", "speech"}}},
 		{Name: "entry-empty.bin", Value: entry{}},
 	})
 	refs := goldentest.Form{
@@ -76,5 +76,5 @@
 			return nil
 		},
 	}
-	refs.Check(t, []goldentest.Case{{Name: "reference-full.bin", Value: ref{tenant: "vision", keys: []string{d.key()}, at: wal.Pos{Segment: 2, Offset: 4096}}}})
+	refs.Check(t, []goldentest.Case{{Name: "reference-full.bin", Value: ref{tenant: "vision", keys: []string{d.key()}, pos: wal.Pos{Segment: 2, Offset: 4096}}}})
 }
--- a/internal/blob/index.go
+++ b/internal/blob/index.go
@@ -19,17 +19,17 @@
 	"topazhollow/internal/wal"
 )
 
-// lockWait is how long a store waits for the lock of its index. The kernel lets go of a killed process's files some time after
+// indexLockTimeout is how long a store waits for the lock of its index. The kernel lets go of a killed process's files some time after
 // the process has ended, more than a second on a busy machine, and the next one may be started at once.
-const lockWait = 15 * time.Second
+const indexLockTimeout = 15 * time.Second
 
-var errStale = errors.New("blob: index is ahead of the log")
+var errIndexAhead = errors.New("blob: index is ahead of the log")
 
 func (s *Store) indexPath() string { return filepath.Join(s.opt.Dir, "index") }
 
 func (s *Store) openIndex() error {
 	open := func() error {
-		db, err := bolt.Open(s.indexPath(), 0o600, &bolt.Options{Timeout: lockWait})
+		db, err := bolt.Open(s.indexPath(), 0o600, &bolt.Options{Timeout: indexLockTimeout})
 		if err != nil {
 			return err
 		}
@@ -43,7 +43,7 @@
 				s.applied = wal.Pos{Segment: binary.BigEndian.Uint32(pos), Offset: int64(binary.BigEndian.Uint64(pos[4:]))}
 			}
 			return tx.Bucket(bucketUsed).ForEach(func(k, v []byte) error {
-				s.used[strings.TrimPrefix(string(k), "/")] = int64(binary.BigEndian.Uint64(v))
+				s.usedBytes[strings.TrimPrefix(string(k), "/")] = int64(binary.BigEndian.Uint64(v))
 				return nil
 			})
 		})
@@ -62,7 +62,7 @@
 		if rerr := os.Rename(s.indexPath(), s.indexPath()+".bad"); rerr != nil && !errors.Is(rerr, fs.ErrNotExist) {
 			return fmt.Errorf("blob: %w", rerr)
 		}
-		s.applied, s.used = wal.Pos{}, map[string]int64{}
+		s.applied, s.usedBytes = wal.Pos{}, map[string]int64{}
 		err = open()
 	}
 	if err != nil {
@@ -71,17 +71,17 @@
 	return nil
 }
 
-func (s *Store) dropIndex() error {
+func (s *Store) resetIndex() error {
 	s.db.Close()
 	if err := os.Remove(s.indexPath()); err != nil {
 		return fmt.Errorf("blob: %w", err)
 	}
-	s.applied, s.used, s.fresh, s.refs = wal.Pos{}, map[string]int64{}, map[string]*entry{}, map[string]*ref{}
+	s.applied, s.usedBytes, s.dirtyBlobs, s.dirtyRefs = wal.Pos{}, map[string]int64{}, map[string]*entry{}, map[string]*ref{}
 	return s.openIndex()
 }
 
-// keep brings the index up to date now and then, and drops abandoned uploads.
-func (s *Store) keep(ctx context.Context) {
+// runMaintenance brings the index up to date now and then, and drops abandoned uploads.
+func (s *Store) runMaintenance(ctx context.Context) {
 	defer close(s.done)
 	t := time.NewTicker(checkpointEvery)
 	defer t.Stop()
@@ -100,9 +100,9 @@
 
 // checkpoint writes what changed to the index.
 func (s *Store) checkpoint() error {
-	s.commits.Lock()
+	s.commitLock.Lock()
 	end := s.log.End() // everything before it is applied
-	s.commits.Unlock()
+	s.commitLock.Unlock()
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.applied = end
@@ -120,16 +120,16 @@
 			return b.Put([]byte(key), value)
 		}
 		blobs := tx.Bucket(bucketBlobs)
-		for _, key := range slices.Sorted(maps.Keys(s.fresh)) {
+		for _, key := range slices.Sorted(maps.Keys(s.dirtyBlobs)) {
 			var value []byte
-			if e := s.fresh[key]; e != nil {
+			if e := s.dirtyBlobs[key]; e != nil {
 				value = e.encode()
 			}
 			if err := put(blobs, key, value); err != nil {
 				return err
 			}
 		}
-		for name, r := range s.refs {
+		for name, r := range s.dirtyRefs {
 			var value []byte
 			if r != nil {
 				value = r.encode()
@@ -138,7 +138,7 @@
 				return err
 			}
 		}
-		for tenant, n := range s.used {
+		for tenant, n := range s.usedBytes {
 			if err := tx.Bucket(bucketUsed).Put([]byte("/"+tenant), binary.BigEndian.AppendUint64(nil, uint64(n))); err != nil {
 				return err
 			}
@@ -149,6 +149,6 @@
 	if err != nil {
 		return fmt.Errorf("blob: index: %w", err)
 	}
-	s.fresh, s.refs = map[string]*entry{}, map[string]*ref{}
+	s.dirtyBlobs, s.dirtyRefs = map[string]*entry{}, map[string]*ref{}
 	return nil
 }
--- a/internal/blob/read.go
+++ b/internal/blob/read.go
@@ -45,7 +45,7 @@
 		return nil, fmt.Errorf("%w: offset %d of %d", ErrNotFound, offset, d.Size)
 	}
 	return s.open(d, offset, func(key string) *entry {
-		if e := s.find(key); e != nil && !e.rotten && !s.deleting[key] {
+		if e := s.lookup(key); e != nil && !e.corrupt && !s.deleting[key] {
 			return e
 		}
 		return nil
@@ -58,20 +58,20 @@
 		s.mu.Lock()
 		e := find(key)
 		if e == nil {
-			e := s.find(key)
+			e := s.lookup(key)
 			s.mu.Unlock()
 			switch {
 			case e == nil:
 				return nil, fmt.Errorf("%w: %s", ErrNotFound, d)
-			case e.rotten:
+			case e.corrupt:
 				return nil, fmt.Errorf("%w: %s", ErrCorrupt, d)
 			}
 			return nil, fmt.Errorf("%w: %s", ErrTenant, d)
 		}
-		e = &entry{codec: e.codec, small: e.small, at: e.at}
+		e = &entry{codec: e.codec, inline: e.inline, pos: e.pos}
 		s.pins[key]++
 		s.mu.Unlock()
-		r, err := s.content(d, e)
+		r, err := s.openContent(d, e)
 		if err == nil {
 			if _, err = io.CopyN(io.Discard, r, offset); err == nil {
 				return &Reader{Reader: r, d: d, close: func() { r.Close(); s.unpin(key) }}, nil
@@ -94,11 +94,11 @@
 	}
 }
 
-// content opens what lies on the disk.
-func (s *Store) content(d Digest, e *entry) (io.ReadCloser, error) {
+// openContent opens what lies on the disk.
+func (s *Store) openContent(d Digest, e *entry) (io.ReadCloser, error) {
 	var raw io.ReadCloser
-	if e.small {
-		b, err := s.log.Read(e.at)
+	if e.inline {
+		b, err := s.log.Read(e.pos)
 		if err != nil {
 			return nil, err
 		}
@@ -114,7 +114,7 @@
 		}
 		raw = f
 	}
-	if e.codec == plain {
+	if e.codec == codecNone {
 		return raw, nil
 	}
 	z, err := zstd.NewReader(raw, zstd.WithDecoderConcurrency(1), zstd.WithDecoderMaxMemory(64<<20))
@@ -122,16 +122,16 @@
 		raw.Close()
 		return nil, err
 	}
-	return &unpacked{z, raw}, nil
+	return &zstdReader{z, raw}, nil
 }
 
-// unpacked is a decompressed file.
-type unpacked struct {
+// zstdReader is a decompressed file.
+type zstdReader struct {
 	*zstd.Decoder
 	raw io.Closer
 }
 
-func (u *unpacked) Close() error {
+func (u *zstdReader) Close() error {
 	u.Decoder.Close()
 	return u.raw.Close()
 }
--- a/internal/blob/record.go
+++ b/internal/blob/record.go
@@ -10,7 +10,7 @@
 // Kinds of records in the log. Everything that the index holds can be made again
 // from them and the files of large blobs.
 const (
-	recSmall  = 'S' // a small blob with its content
+	recInline = 'S' // a small blob with its content
 	recFile   = 'F' // a large blob, whose file was durable before
 	recTenant = 'T' // another tenant proved that it has a blob
 	recDrop   = 'D' // a blob was collected
@@ -20,8 +20,8 @@
 
 // How a blob's content is stored.
 const (
-	plain = 0
-	zstdc = 1
+	codecNone = 0
+	codecZstd = 1
 )
 
 // record is one entry of the log.
@@ -58,13 +58,13 @@
 
 // decoder reads what encode wrote; bad is set once something does not fit.
 type decoder struct {
-	b   []byte
-	bad bool
+	b      []byte
+	failed bool
 }
 
 func (d *decoder) take(n uint64) []byte {
 	if n > uint64(len(d.b)) {
-		d.bad, d.b = true, nil
+		d.failed, d.b = true, nil
 		return nil
 	}
 	p := d.b[:n]
@@ -72,10 +72,10 @@
 	return p
 }
 
-func (d *decoder) number() uint64 {
+func (d *decoder) uvarint() uint64 {
 	n, used := binary.Uvarint(d.b)
 	if used <= 0 {
-		d.bad, d.b = true, nil
+		d.failed, d.b = true, nil
 		return 0
 	}
 	d.b = d.b[used:]
@@ -85,18 +85,18 @@
 func decodeRecord(b []byte) (*record, error) {
 	d := &decoder{b: b}
 	r := &record{}
-	if head := d.take(2 + keySize); !d.bad {
+	if head := d.take(2 + keySize); !d.failed {
 		r.kind, r.codec = head[0], head[1]
-		r.digest = digestOf(string(head[2:]))
+		r.digest = digestFromKey(string(head[2:]))
 	}
-	r.stored = int64(d.number())
-	r.tenant = string(d.take(d.number()))
-	r.name = string(d.take(d.number()))
-	for n := d.number(); n > 0 && !d.bad; n-- {
+	r.stored = int64(d.uvarint())
+	r.tenant = string(d.take(d.uvarint()))
+	r.name = string(d.take(d.uvarint()))
+	for n := d.uvarint(); n > 0 && !d.failed; n-- {
 		r.keys = append(r.keys, string(d.take(keySize)))
 	}
 	r.data = d.b
-	if d.bad || r.digest.Size < 0 || r.stored < 0 {
+	if d.failed || r.digest.Size < 0 || r.stored < 0 {
 		return nil, errRecord
 	}
 	return r, nil
@@ -104,29 +104,29 @@
 
 // entry is what the index holds of a blob.
 type entry struct {
-	codec   byte
-	rotten  bool // its content went bad and could not be repaired yet
-	small   bool // its content is in the log
-	stored  int64
-	used    int64 // last use, seconds of the epoch; roughly
-	at      wal.Pos
-	refs    uint32
-	tenants []string
+	codec    byte
+	corrupt  bool // its content went bad and could not be repaired yet
+	inline   bool // its content is in the log
+	stored   int64
+	lastUsed int64 // last use, seconds of the epoch; roughly
+	pos      wal.Pos
+	refs     uint32
+	tenants  []string
 }
 
 func (e *entry) encode() []byte {
 	flags := e.codec
-	if e.rotten {
+	if e.corrupt {
 		flags |= 0x80
 	}
-	if e.small {
+	if e.inline {
 		flags |= 0x40
 	}
 	b := append(make([]byte, 0, 64), flags)
 	b = binary.AppendUvarint(b, uint64(e.stored))
-	b = binary.AppendUvarint(b, uint64(e.used))
-	b = binary.AppendUvarint(b, uint64(e.at.Segment))
-	b = binary.AppendUvarint(b, uint64(e.at.Offset))
+	b = binary.AppendUvarint(b, uint64(e.lastUsed))
+	b = binary.AppendUvarint(b, uint64(e.pos.Segment))
+	b = binary.AppendUvarint(b, uint64(e.pos.Offset))
 	b = binary.AppendUvarint(b, uint64(e.refs))
 	b = binary.AppendUvarint(b, uint64(len(e.tenants)))
 	for _, t := range e.tenants {
@@ -138,16 +138,16 @@
 func decodeEntry(b []byte) (*entry, error) {
 	d := &decoder{b: b}
 	e := &entry{}
-	if head := d.take(1); !d.bad {
-		e.codec, e.rotten, e.small = head[0]&0x3f, head[0]&0x80 != 0, head[0]&0x40 != 0
+	if head := d.take(1); !d.failed {
+		e.codec, e.corrupt, e.inline = head[0]&0x3f, head[0]&0x80 != 0, head[0]&0x40 != 0
 	}
-	e.stored, e.used = int64(d.number()), int64(d.number())
-	e.at = wal.Pos{Segment: uint32(d.number()), Offset: int64(d.number())}
-	e.refs = uint32(d.number())
-	for n := d.number(); n > 0 && !d.bad; n-- {
-		e.tenants = append(e.tenants, string(d.take(d.number())))
+	e.stored, e.lastUsed = int64(d.uvarint()), int64(d.uvarint())
+	e.pos = wal.Pos{Segment: uint32(d.uvarint()), Offset: int64(d.uvarint())}
+	e.refs = uint32(d.uvarint())
+	for n := d.uvarint(); n > 0 && !d.failed; n-- {
+		e.tenants = append(e.tenants, string(d.take(d.uvarint())))
 	}
-	if d.bad {
+	if d.failed {
 		return nil, errRecord
 	}
 	return e, nil
--- a/internal/blob/store.go
+++ b/internal/blob/store.go
@@ -79,25 +79,25 @@
 	stop context.CancelFunc
 	done chan struct{}
 
-	commits  sync.RWMutex // held for reading from before a record is written until it is applied
-	mu       sync.Mutex
-	changed  sync.Cond
-	fresh    map[string]*entry // changed since the last checkpoint; nil: gone
-	refs     map[string]*ref   // the same for references
-	used     map[string]int64  // bytes on disk by tenant, "" for all
-	held     map[string]int64  // the same, promised to uploads
-	pins     map[string]int    // readers and uploads of a blob
-	deleting map[string]bool
-	uploads  map[string]*Upload
-	applied  wal.Pos // behind the last record that fresh has
-	closed   bool
+	commitLock    sync.RWMutex // held for reading from before a record is written until it is applied
+	mu            sync.Mutex
+	deleted       sync.Cond
+	dirtyBlobs    map[string]*entry // changed since the last checkpoint; nil: gone
+	dirtyRefs     map[string]*ref   // the same for references
+	usedBytes     map[string]int64  // bytes on disk by tenant, "" for all
+	reservedBytes map[string]int64  // the same, promised to uploads
+	pins          map[string]int    // readers and uploads of a blob
+	deleting      map[string]bool
+	uploads       map[string]*Upload
+	applied       wal.Pos // behind the last record that fresh has
+	closed        bool
 }
 
 // ref is a named reference to blobs.
 type ref struct {
 	tenant string
 	keys   []string
-	at     wal.Pos
+	pos    wal.Pos
 }
 
 var (
@@ -143,18 +143,18 @@
 		}
 	}
 	ctx, stop := context.WithCancel(context.Background())
-	s := &Store{opt: opt, stop: stop, done: make(chan struct{}), fresh: map[string]*entry{}, refs: map[string]*ref{}, used: map[string]int64{},
-		held: map[string]int64{}, pins: map[string]int{}, deleting: map[string]bool{}, uploads: map[string]*Upload{}}
-	s.changed.L = &s.mu
+	s := &Store{opt: opt, stop: stop, done: make(chan struct{}), dirtyBlobs: map[string]*entry{}, dirtyRefs: map[string]*ref{}, usedBytes: map[string]int64{},
+		reservedBytes: map[string]int64{}, pins: map[string]int{}, deleting: map[string]bool{}, uploads: map[string]*Upload{}}
+	s.deleted.L = &s.mu
 	if err := s.openIndex(); err != nil {
 		stop()
 		return nil, err
 	}
 	err := s.openLog()
-	if errors.Is(err, errStale) {
+	if errors.Is(err, errIndexAhead) {
 		// The log does not reach as far as the index: it was put back from a copy, say.
 		// The log is the truth.
-		if err = s.dropIndex(); err == nil {
+		if err = s.resetIndex(); err == nil {
 			err = s.openLog()
 		}
 	}
@@ -169,7 +169,7 @@
 		s.db.Close()
 		return nil, err
 	}
-	go s.keep(ctx)
+	go s.runMaintenance(ctx)
 	return s, nil
 }
 
@@ -187,7 +187,7 @@
 		return nil
 	})
 	if errors.Is(err, wal.ErrBehind) {
-		return errStale
+		return errIndexAhead
 	}
 	if err != nil {
 		return err
@@ -197,9 +197,9 @@
 	return s.checkpoint()
 }
 
-// find gives what is known of a blob; nil if it is not here. s.mu is held.
-func (s *Store) find(key string) *entry {
-	if e, ok := s.fresh[key]; ok {
+// lookup gives what is known of a blob; nil if it is not here. s.mu is held.
+func (s *Store) lookup(key string) *entry {
+	if e, ok := s.dirtyBlobs[key]; ok {
 		return e
 	}
 	var e *entry
@@ -213,20 +213,20 @@
 	return e
 }
 
-// change gives the entry of a blob to be changed, nil if it is not here. s.mu is held.
-func (s *Store) change(key string) *entry {
-	e := s.find(key)
+// lookupForUpdate gives the entry of a blob to be changed, nil if it is not here. s.mu is held.
+func (s *Store) lookupForUpdate(key string) *entry {
+	e := s.lookup(key)
 	if e == nil {
 		return nil
 	}
-	if _, ok := s.fresh[key]; !ok {
-		s.fresh[key] = e
+	if _, ok := s.dirtyBlobs[key]; !ok {
+		s.dirtyBlobs[key] = e
 	}
 	return e
 }
 
-func (s *Store) findRef(name string) *ref {
-	if r, ok := s.refs[name]; ok {
+func (s *Store) lookupRef(name string) *ref {
+	if r, ok := s.dirtyRefs[name]; ok {
 		return r
 	}
 	var r *ref
@@ -240,8 +240,8 @@
 }
 
 func (r *ref) encode() []byte {
-	b := binary.BigEndian.AppendUint32(nil, r.at.Segment)
-	b = binary.BigEndian.AppendUint64(b, uint64(r.at.Offset))
+	b := binary.BigEndian.AppendUint32(nil, r.pos.Segment)
+	b = binary.BigEndian.AppendUint64(b, uint64(r.pos.Offset))
 	b = appendString(b, r.tenant)
 	return append(b, strings.Join(r.keys, "")...)
 }
@@ -249,10 +249,10 @@
 func decodeRef(b []byte) *ref {
 	d := &decoder{b: b}
 	r := &ref{}
-	if head := d.take(12); !d.bad {
-		r.at = wal.Pos{Segment: binary.BigEndian.Uint32(head), Offset: int64(binary.BigEndian.Uint64(head[4:]))}
+	if head := d.take(12); !d.failed {
+		r.pos = wal.Pos{Segment: binary.BigEndian.Uint32(head), Offset: int64(binary.BigEndian.Uint64(head[4:]))}
 	}
-	r.tenant = string(d.take(d.number()))
+	r.tenant = string(d.take(d.uvarint()))
 	for len(d.b) >= keySize {
 		r.keys = append(r.keys, string(d.take(keySize)))
 	}
@@ -265,60 +265,60 @@
 func (s *Store) apply(r *record, at wal.Pos) {
 	key := r.digest.key()
 	switch r.kind {
-	case recSmall, recFile:
-		e := s.change(key)
+	case recInline, recFile:
+		e := s.lookupForUpdate(key)
 		if e == nil {
-			e = &entry{codec: r.codec, small: r.kind == recSmall, stored: r.stored, used: s.opt.Now().Unix()}
-			s.fresh[key] = e
-			s.used[""] += r.stored
-		} else if e.rotten || e.at != at { // repaired, or moved on in the log
-			s.charge(e, r.stored-e.stored)
-			e.codec, e.small, e.stored, e.rotten = r.codec, r.kind == recSmall, r.stored, false
+			e = &entry{codec: r.codec, inline: r.kind == recInline, stored: r.stored, lastUsed: s.opt.Now().Unix()}
+			s.dirtyBlobs[key] = e
+			s.usedBytes[""] += r.stored
+		} else if e.corrupt || e.pos != at { // repaired, or moved on in the log
+			s.adjustUsage(e, r.stored-e.stored)
+			e.codec, e.inline, e.stored, e.corrupt = r.codec, r.kind == recInline, r.stored, false
 		}
-		e.at = at
-		s.give(e, r.tenant)
+		e.pos = at
+		s.addTenant(e, r.tenant)
 	case recTenant:
-		if e := s.change(key); e != nil {
-			s.give(e, r.tenant)
-			if now := s.opt.Now().Unix(); now-e.used > 60 {
-				e.used = now
+		if e := s.lookupForUpdate(key); e != nil {
+			s.addTenant(e, r.tenant)
+			if now := s.opt.Now().Unix(); now-e.lastUsed > 60 {
+				e.lastUsed = now
 			}
 		}
 	case recDrop:
-		if e := s.change(key); e != nil {
-			s.charge(e, -e.stored)
-			s.fresh[key] = nil
+		if e := s.lookupForUpdate(key); e != nil {
+			s.adjustUsage(e, -e.stored)
+			s.dirtyBlobs[key] = nil
 		}
 	case recRef, recUnref:
-		if old := s.findRef(r.name); old != nil {
-			s.count(old.keys, -1)
+		if old := s.lookupRef(r.name); old != nil {
+			s.adjustRefCounts(old.keys, -1)
 		}
-		s.refs[r.name] = nil
+		s.dirtyRefs[r.name] = nil
 		if r.kind == recRef {
-			s.refs[r.name] = &ref{tenant: r.tenant, keys: r.keys, at: at}
-			s.count(r.keys, 1)
+			s.dirtyRefs[r.name] = &ref{tenant: r.tenant, keys: r.keys, pos: at}
+			s.adjustRefCounts(r.keys, 1)
 		}
 	}
 }
 
-// charge adds to what a blob takes of all quotas that it is counted in.
-func (s *Store) charge(e *entry, bytes int64) {
-	s.used[""] += bytes
+// adjustUsage adds to what a blob takes of all quotas that it is counted in.
+func (s *Store) adjustUsage(e *entry, bytes int64) {
+	s.usedBytes[""] += bytes
 	for _, t := range e.tenants {
-		s.used[t] += bytes
+		s.usedBytes[t] += bytes
 	}
 }
 
-func (s *Store) give(e *entry, tenant string) {
+func (s *Store) addTenant(e *entry, tenant string) {
 	if !slices.Contains(e.tenants, tenant) {
 		e.tenants = append(slices.Clone(e.tenants), tenant)
-		s.used[tenant] += e.stored
+		s.usedBytes[tenant] += e.stored
 	}
 }
 
-func (s *Store) count(keys []string, by int) {
+func (s *Store) adjustRefCounts(keys []string, by int) {
 	for _, k := range keys {
-		if e := s.change(k); e != nil {
+		if e := s.lookupForUpdate(k); e != nil {
 			e.refs = uint32(max(0, int(e.refs)+by))
 		}
 	}
@@ -332,8 +332,8 @@
 	}
 	// What was begun is seen through: a caller that gives up must not leave it open
 	// whether the records are there.
-	s.commits.RLock()
-	defer s.commits.RUnlock()
+	s.commitLock.RLock()
+	defer s.commitLock.RUnlock()
 	at, err := s.log.Append(context.WithoutCancel(ctx), data...)
 	if err != nil {
 		return err
@@ -391,12 +391,12 @@
 }
 
 func (s *Store) touch(tenant, key string) *entry {
-	e := s.find(key)
-	if e == nil || e.rotten || s.deleting[key] || !slices.Contains(e.tenants, tenant) {
+	e := s.lookup(key)
+	if e == nil || e.corrupt || s.deleting[key] || !slices.Contains(e.tenants, tenant) {
 		return nil
 	}
-	if now := s.opt.Now().Unix(); now-e.used > 60 {
-		s.change(key).used = now
+	if now := s.opt.Now().Unix(); now-e.lastUsed > 60 {
+		s.lookupForUpdate(key).lastUsed = now
 	}
 	return e
 }
@@ -413,7 +413,7 @@
 func (s *Store) Stats() Stats {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	st := Stats{Bytes: s.used[""], Tenants: maps.Clone(s.used), Uploads: len(s.uploads)}
+	st := Stats{Bytes: s.usedBytes[""], Tenants: maps.Clone(s.usedBytes), Uploads: len(s.uploads)}
 	delete(st.Tenants, "")
 	_ = s.db.View(func(tx *bolt.Tx) error {
 		st.Blobs = tx.Bucket(bucketBlobs).Stats().KeyN
--- a/internal/blob/upload.go
+++ b/internal/blob/upload.go
@@ -23,22 +23,22 @@
 // Upload is a blob on its way in. What was written is kept across a restart of the
 // store, but is durable, and seen by anybody, only once Commit returned.
 type Upload struct {
-	s      *Store
+	store  *Store
 	id     string
 	tenant string
-	d      Digest
+	digest Digest
 	urgent bool
 	file   File
 
-	mu    sync.Mutex
-	sum   Sum // of the first bytes; the zero Sum: to be read again
-	at    int64
-	used  time.Time
-	ended bool
+	mu       sync.Mutex
+	sum      Sum // of the first bytes; the zero Sum: to be read again
+	written  int64
+	lastUsed time.Time
+	ended    bool
 }
 
-// retryFull is when to come back to a store without room.
-const retryFull = 10 * time.Second
+// quotaRetryDelay is when to come back to a store without room.
+const quotaRetryDelay = 10 * time.Second
 
 // UploadOption is an option of an upload.
 type UploadOption int
@@ -62,22 +62,22 @@
 	if s.Has(tenant, d) {
 		return nil, true, nil
 	}
-	if u, err := s.Resume(tenant, hex.EncodeToString(id[:])); err == nil && u.d == d {
+	if u, err := s.Resume(tenant, hex.EncodeToString(id[:])); err == nil && u.digest == d {
 		return u, false, nil
 	}
 	urgent := len(choices) > 0
-	u = &Upload{s: s, id: hex.EncodeToString(id[:]), tenant: tenant, d: d, urgent: urgent, sum: NewSum(), used: s.opt.Now()}
+	u = &Upload{store: s, id: hex.EncodeToString(id[:]), tenant: tenant, digest: d, urgent: urgent, sum: NewSum(), lastUsed: s.opt.Now()}
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if len(s.uploads) >= s.opt.MaxUploads {
 		return nil, false, ErrBusy
 	}
-	if err := s.hold(tenant, d.Size, urgent); err != nil {
+	if err := s.reserveSpace(tenant, d.Size, urgent); err != nil {
 		return nil, false, err
 	}
 	u.file, err = s.opt.OpenFile(s.uploadPath(u))
 	if err != nil {
-		s.release(tenant, d.Size)
+		s.releaseSpace(tenant, d.Size)
 		return nil, false, fmt.Errorf("blob: %w", err)
 	}
 	s.uploads[u.id] = u
@@ -85,25 +85,25 @@
 	return u, false, nil
 }
 
-// hold keeps room for so many bytes. s.mu is held.
-func (s *Store) hold(tenant string, bytes int64, urgent bool) error {
+// reserveSpace keeps room for so many bytes. s.mu is held.
+func (s *Store) reserveSpace(tenant string, bytes int64, urgent bool) error {
 	free := int64(1) << 62
 	if s.opt.Quota > 0 {
-		free = s.opt.Quota - s.used[""] - s.held[""]
+		free = s.opt.Quota - s.usedBytes[""] - s.reservedBytes[""]
 		if !urgent {
 			free -= s.opt.Reserve
 		}
 	}
 	if bytes > free {
-		return &FullError{Want: bytes, Free: max(0, free), Retry: retryFull}
+		return &FullError{Want: bytes, Free: max(0, free), Retry: quotaRetryDelay}
 	}
 	if s.opt.TenantQuota != nil && !urgent {
-		if quota := s.opt.TenantQuota(tenant); quota > 0 && s.used[tenant]+s.held[tenant]+bytes > quota {
-			return &FullError{Tenant: tenant, Want: bytes, Free: max(0, quota-s.used[tenant]-s.held[tenant]), Retry: retryFull}
+		if quota := s.opt.TenantQuota(tenant); quota > 0 && s.usedBytes[tenant]+s.reservedBytes[tenant]+bytes > quota {
+			return &FullError{Tenant: tenant, Want: bytes, Free: max(0, quota-s.usedBytes[tenant]-s.reservedBytes[tenant]), Retry: quotaRetryDelay}
 		}
 	}
-	s.held[""] += bytes
-	s.held[tenant] += bytes
+	s.reservedBytes[""] += bytes
+	s.reservedBytes[tenant] += bytes
 	return nil
 }
 
@@ -112,35 +112,35 @@
 func (s *Store) ReserveSpace(tenant string, bytes int64) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.hold(tenant, bytes, false)
+	return s.reserveSpace(tenant, bytes, false)
 }
 
 // AccountSpace is Hold for what is on the disk already: it can't be refused.
 func (s *Store) AccountSpace(tenant string, bytes int64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.held[""] += bytes
-	s.held[tenant] += bytes
+	s.reservedBytes[""] += bytes
+	s.reservedBytes[tenant] += bytes
 }
 
 // ReleaseSpace gives back what Hold or Held kept.
 func (s *Store) ReleaseSpace(tenant string, bytes int64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.release(tenant, bytes)
+	s.releaseSpace(tenant, bytes)
 }
 
-func (s *Store) release(tenant string, bytes int64) {
-	s.held[""] -= bytes
-	if s.held[tenant] -= bytes; s.held[tenant] <= 0 {
-		delete(s.held, tenant)
+func (s *Store) releaseSpace(tenant string, bytes int64) {
+	s.reservedBytes[""] -= bytes
+	if s.reservedBytes[tenant] -= bytes; s.reservedBytes[tenant] <= 0 {
+		delete(s.reservedBytes, tenant)
 	}
 }
 
 // uploadPath names an upload's file by all that a restart must know of it.
 func (s *Store) uploadPath(u *Upload) string {
-	hash := hex.EncodeToString(u.d.Hash[:])
-	return filepath.Join(s.opt.Dir, "uploads", fmt.Sprintf("%s-%s-%d-%s", u.id, hash, u.d.Size, hex.EncodeToString([]byte(u.tenant))))
+	hash := hex.EncodeToString(u.digest.Hash[:])
+	return filepath.Join(s.opt.Dir, "uploads", fmt.Sprintf("%s-%s-%d-%s", u.id, hash, u.digest.Size, hex.EncodeToString([]byte(u.tenant))))
 }
 
 // openUploads takes up the uploads that were on their way when the store ended.
@@ -153,16 +153,16 @@
 		path := filepath.Join(s.opt.Dir, "uploads", e.Name())
 		parts := bytes.SplitN([]byte(e.Name()), []byte("-"), 4)
 		info, err := e.Info()
-		u := &Upload{s: s}
+		u := &Upload{store: s}
 		if err == nil && len(parts) == 4 && len(parts[0]) == 32 {
 			u.id = string(parts[0])
-			u.d, err = Parse(string(parts[1]) + "/" + string(parts[2]))
+			u.digest, err = Parse(string(parts[1]) + "/" + string(parts[2]))
 			tenant, terr := hex.DecodeString(string(parts[3]))
 			u.tenant, err = string(tenant), errors.Join(err, terr)
 		} else {
 			err = ErrUpload // left over from packing a blob
 		}
-		if err != nil || info.Size() > u.d.Size || s.hold(u.tenant, u.d.Size, false) != nil {
+		if err != nil || info.Size() > u.digest.Size || s.reserveSpace(u.tenant, u.digest.Size, false) != nil {
 			if err := os.Remove(path); err != nil {
 				return fmt.Errorf("blob: %w", err)
 			}
@@ -171,9 +171,9 @@
 		if u.file, err = s.opt.OpenFile(path); err != nil {
 			return fmt.Errorf("blob: %w", err)
 		}
-		u.at, u.used = info.Size(), s.opt.Now()
+		u.written, u.lastUsed = info.Size(), s.opt.Now()
 		s.uploads[u.id] = u
-		s.pins[u.d.key()]++
+		s.pins[u.digest.key()]++
 	}
 	return nil
 }
@@ -198,7 +198,7 @@
 	s.mu.Unlock()
 	for _, u := range uploads {
 		u.mu.Lock()
-		if s.opt.Now().Sub(u.used) > s.opt.UploadTimeout {
+		if s.opt.Now().Sub(u.lastUsed) > s.opt.UploadTimeout {
 			u.end()
 		}
 		u.mu.Unlock()
@@ -209,13 +209,13 @@
 func (u *Upload) ID() string { return u.id }
 
 // Digest is what is to come.
-func (u *Upload) Digest() Digest { return u.d }
+func (u *Upload) Digest() Digest { return u.digest }
 
 // Offset is how many bytes are there.
 func (u *Upload) Offset() int64 {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	return u.at
+	return u.written
 }
 
 // Write adds content at an offset. What is there already is passed over, so that a
@@ -223,26 +223,26 @@
 func (u *Upload) Write(offset int64, p []byte) error {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	u.used = u.s.opt.Now()
+	u.lastUsed = u.store.opt.Now()
 	switch {
 	case u.ended:
 		return ErrUpload
-	case offset < 0 || offset > u.at:
-		return fmt.Errorf("%w: at %d, wanted at %d", ErrOffset, offset, u.at)
-	case offset+int64(len(p)) > u.d.Size:
-		return fmt.Errorf("%w: more than %d bytes", ErrMismatch, u.d.Size)
-	case offset+int64(len(p)) <= u.at:
+	case offset < 0 || offset > u.written:
+		return fmt.Errorf("%w: at %d, wanted at %d", ErrOffset, offset, u.written)
+	case offset+int64(len(p)) > u.digest.Size:
+		return fmt.Errorf("%w: more than %d bytes", ErrMismatch, u.digest.Size)
+	case offset+int64(len(p)) <= u.written:
 		return nil
 	}
-	p = p[u.at-offset:]
-	if _, err := u.file.WriteAt(p, u.at); err != nil {
+	p = p[u.written-offset:]
+	if _, err := u.file.WriteAt(p, u.written); err != nil {
 		// What went out is passed over by the next try.
 		return fmt.Errorf("blob: %w", err)
 	}
 	if u.sum.Hash != nil {
 		u.sum.Write(p)
 	}
-	u.at += int64(len(p))
+	u.written += int64(len(p))
 	return nil
 }
 
@@ -260,13 +260,13 @@
 	}
 	u.ended = true
 	u.file.Close()
-	_ = os.Remove(u.s.uploadPath(u)) // moved away, or dropped at the next start
-	s := u.s
+	_ = os.Remove(u.store.uploadPath(u)) // moved away, or dropped at the next start
+	s := u.store
 	s.mu.Lock()
 	delete(s.uploads, u.id)
-	s.release(u.tenant, u.d.Size)
+	s.releaseSpace(u.tenant, u.digest.Size)
 	s.mu.Unlock()
-	s.unpin(u.d.key())
+	s.unpin(u.digest.key())
 }
 
 // Commit verifies what was written and makes it visible. When it returns without an
@@ -275,104 +275,104 @@
 func (u *Upload) Commit(ctx context.Context) error {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	u.used = u.s.opt.Now()
+	u.lastUsed = u.store.opt.Now()
 	switch {
 	case u.ended:
 		return ErrUpload
-	case u.at < u.d.Size:
-		return fmt.Errorf("%w: %d of %d bytes are here", ErrOffset, u.at, u.d.Size)
+	case u.written < u.digest.Size:
+		return fmt.Errorf("%w: %d of %d bytes are here", ErrOffset, u.written, u.digest.Size)
 	}
 	if u.sum.Hash == nil { // taken up after a restart
 		sum := NewSum()
-		if _, err := io.Copy(sum, io.NewSectionReader(u.file, 0, u.d.Size)); err != nil {
+		if _, err := io.Copy(sum, io.NewSectionReader(u.file, 0, u.digest.Size)); err != nil {
 			return fmt.Errorf("blob: %w", err)
 		}
 		u.sum = sum
 	}
-	if !u.sum.Is(u.d) {
+	if !u.sum.Is(u.digest) {
 		u.end()
-		return fmt.Errorf("%w: %s", ErrMismatch, u.d)
+		return fmt.Errorf("%w: %s", ErrMismatch, u.digest)
 	}
-	if err := u.s.take(ctx, u.tenant, u.d, u.file, u.s.uploadPath(u)); err != nil {
+	if err := u.store.storeContent(ctx, u.tenant, u.digest, u.file, u.store.uploadPath(u)); err != nil {
 		return err
 	}
 	u.end()
 	return nil
 }
 
-// packSample is how much of a blob is packed to see whether that pays, and pays the
+// compressSampleBytes is how much of a blob is packed to see whether that maxCompressedRatio, and maxCompressedRatio the
 // part of its size that it must come down to.
 const (
-	packSample = 64 << 10
-	pays       = 0.8
+	compressSampleBytes = 64 << 10
+	maxCompressedRatio  = 0.8
 )
 
-// take makes verified content durable and visible for a tenant. A large blob's file
+// storeContent makes verified content durable and visible for a tenant. A large blob's file
 // is moved from path.
-func (s *Store) take(ctx context.Context, tenant string, d Digest, file File, path string) error {
-	if s.known(d.key()) {
+func (s *Store) storeContent(ctx context.Context, tenant string, d Digest, file File, path string) error {
+	if s.hasIntact(d.key()) {
 		return s.commit(ctx, &record{kind: recTenant, digest: d, tenant: tenant})
 	}
 	if d.Size > s.opt.MaxInline {
-		return s.takeFile(ctx, tenant, d, file, path)
+		return s.storeFile(ctx, tenant, d, file, path)
 	}
 	data := make([]byte, d.Size)
 	if _, err := file.ReadAt(data, 0); err != nil && err != io.EOF {
 		return fmt.Errorf("blob: %w", err)
 	}
-	return s.commit(ctx, smallRecord(tenant, d, data))
+	return s.commit(ctx, inlineRecord(tenant, d, data))
 }
 
-// known waits while a blob is being deleted, and says whether it is there and sound.
-func (s *Store) known(key string) bool {
+// hasIntact waits while a blob is being deleted, and says whether it is there and sound.
+func (s *Store) hasIntact(key string) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for s.deleting[key] {
-		s.changed.Wait()
+		s.deleted.Wait()
 	}
-	e := s.find(key)
-	return e != nil && !e.rotten
+	e := s.lookup(key)
+	return e != nil && !e.corrupt
 }
 
-// smallRecord is a blob that lies in the log, packed if that pays.
-func smallRecord(tenant string, d Digest, data []byte) *record {
-	r := &record{kind: recSmall, digest: d, tenant: tenant, data: data}
-	if packed := pack(data); packed != nil {
-		r.codec, r.data = zstdc, packed
+// inlineRecord is a blob that lies in the log, packed if that pays.
+func inlineRecord(tenant string, d Digest, data []byte) *record {
+	r := &record{kind: recInline, digest: d, tenant: tenant, data: data}
+	if packed := compress(data); packed != nil {
+		r.codec, r.data = codecZstd, packed
 	}
 	r.stored = int64(len(r.data)) + keySize + 32
 	return r
 }
 
-// takeFile makes a large blob's file durable, packed if that pays, and moves it to its place.
-func (s *Store) takeFile(ctx context.Context, tenant string, d Digest, file File, path string) error {
+// storeFile makes a large blob's file durable, packed if that pays, and moves it to its place.
+func (s *Store) storeFile(ctx context.Context, tenant string, d Digest, file File, path string) error {
 	r := &record{kind: recFile, digest: d, tenant: tenant, stored: d.Size}
-	sample := make([]byte, min(d.Size, packSample))
+	sample := make([]byte, min(d.Size, compressSampleBytes))
 	if _, err := file.ReadAt(sample, 0); err != nil && err != io.EOF {
 		return fmt.Errorf("blob: %w", err)
 	}
-	if pack(sample) != nil {
-		if packed, err := s.packFile(d, file, path+".zst"); err == nil && float64(packed) <= pays*float64(d.Size) {
-			path, r.codec, r.stored = path+".zst", zstdc, packed
+	if compress(sample) != nil {
+		if packed, err := s.compressFile(d, file, path+".zst"); err == nil && float64(packed) <= maxCompressedRatio*float64(d.Size) {
+			path, r.codec, r.stored = path+".zst", codecZstd, packed
 		} else {
 			_ = os.Remove(path + ".zst")
 		}
 	}
-	if r.codec == plain {
+	if r.codec == codecNone {
 		s.opt.Step("sync file")
 		if err := file.Sync(); err != nil {
 			return fmt.Errorf("blob: %w", err)
 		}
 	}
-	if err := s.moveIn(path, s.objectPath(d)); err != nil {
+	if err := s.moveToObjects(path, s.objectPath(d)); err != nil {
 		return fmt.Errorf("blob: %w", err)
 	}
 	return s.commit(ctx, r)
 }
 
-// moveIn moves a durable file to its place among the objects, so that it is there after a
+// moveToObjects moves a durable file to its place among the objects, so that it is there after a
 // crash.
-func (s *Store) moveIn(from, to string) error {
+func (s *Store) moveToObjects(from, to string) error {
 	if err := os.MkdirAll(filepath.Dir(to), 0o700); err != nil {
 		return err
 	}
@@ -392,21 +392,21 @@
 	return e
 })
 
-// pack compresses data, or gives nil if that does not pay.
-func pack(data []byte) []byte {
+// compress compresses data, or gives nil if that does not pay.
+func compress(data []byte) []byte {
 	if len(data) < 256 {
 		return nil
 	}
 	packed := encoder().EncodeAll(data, make([]byte, 0, len(data)))
-	if float64(len(packed)) > pays*float64(len(data)) {
+	if float64(len(packed)) > maxCompressedRatio*float64(len(data)) {
 		return nil
 	}
 	return packed
 }
 
-// packFile compresses a file into another, which is durable afterwards, and gives
+// compressFile compresses a file into another, which is durable afterwards, and gives
 // its size. The last step verifies that the content comes back.
-func (s *Store) packFile(d Digest, file File, path string) (int64, error) {
+func (s *Store) compressFile(d Digest, file File, path string) (int64, error) {
 	out, err := os.OpenFile(path, os.O_RDWR|os.O_CREATE|os.O_TRUNC, 0o600)
 	if err != nil {
 		return 0, err
@@ -438,7 +438,7 @@
 			return d, nil
 		}
 		s.mu.Lock()
-		err := s.hold(tenant, d.Size, len(choices) > 0)
+		err := s.reserveSpace(tenant, d.Size, len(choices) > 0)
 		if err == nil {
 			s.pins[d.key()]++
 		}
@@ -446,9 +446,9 @@
 		if err != nil {
 			return d, err
 		}
-		err = s.take(ctx, tenant, d, memory{bytes.NewReader(data)}, "")
+		err = s.storeContent(ctx, tenant, d, memoryFile{bytes.NewReader(data)}, "")
 		s.mu.Lock()
-		s.release(tenant, d.Size)
+		s.releaseSpace(tenant, d.Size)
 		s.mu.Unlock()
 		s.unpin(d.key())
 		return d, err
@@ -491,10 +491,10 @@
 	return err
 }
 
-// memory is a small blob's content, read like a file.
-type memory struct{ *bytes.Reader }
+// memoryFile is a small blob's content, read like a file.
+type memoryFile struct{ *bytes.Reader }
 
-func (memory) WriteAt([]byte, int64) (int, error) { return 0, errors.ErrUnsupported }
-func (memory) Sync() error                        { return nil }
-func (memory) Truncate(int64) error               { return errors.ErrUnsupported }
-func (memory) Close() error                       { return nil }
+func (memoryFile) WriteAt([]byte, int64) (int, error) { return 0, errors.ErrUnsupported }
+func (memoryFile) Sync() error                        { return nil }
+func (memoryFile) Truncate(int64) error               { return errors.ErrUnsupported }
+func (memoryFile) Close() error                       { return nil }
--- a/internal/history/check.go
+++ b/internal/history/check.go
@@ -46,8 +46,8 @@
 type level int
 
 const (
-	silent  level = iota // says nothing, as 503
-	unknown              // never accepted
+	inconclusive level = iota // says nothing, as 503
+	unknown                   // never accepted
 	active
 	final
 )
@@ -57,7 +57,7 @@
 	refused := c.Status == 404 || c.Kind == Submit && (c.Status == 400 || c.Status == 422)
 	switch {
 	case c.Returned == 0:
-		return silent
+		return inconclusive
 	case refused:
 		return unknown
 	case success && (c.State == protocol.Done || c.State == protocol.Cancelled):
@@ -65,7 +65,7 @@
 	case success:
 		return active
 	}
-	return silent
+	return inconclusive
 }
 
 // Check gives the answers that contradict earlier ones, at most one violation an answer, by job and then in the
@@ -91,69 +91,69 @@
 	return names
 }
 
-// known is what users were told of a job by some position.
-type known struct {
-	best      Call // the first answer of the highest level
+// knowledge is what users were told of a job by some position.
+type knowledge struct {
+	latest    Call // the first answer of the highest level
 	submitted bool
 	cancelled bool
 }
 
-// moment is the sending or the return of a call.
-type moment struct {
+// event is the sending or the return of a call.
+type event struct {
 	at      uint64
 	call    *Call
 	returns bool
 }
 
-func moments(calls []Call) []moment {
-	var all []moment
+func events(calls []Call) []event {
+	var all []event
 	for i := range calls {
 		c := &calls[i]
-		all = append(all, moment{at: c.Invoked, call: c})
+		all = append(all, event{at: c.Invoked, call: c})
 		if c.Returned > 0 {
-			all = append(all, moment{at: c.Returned, call: c, returns: true})
+			all = append(all, event{at: c.Returned, call: c, returns: true})
 		}
 	}
-	slices.SortFunc(all, func(a, b moment) int { return cmp.Compare(a.at, b.at) })
+	slices.SortFunc(all, func(a, b event) int { return cmp.Compare(a.at, b.at) })
 	return all
 }
 
 // checkJob goes once through a job's requests and answers in their order.
 func checkJob(calls []Call) []Violation {
 	var found []Violation
-	var now known
+	var now knowledge
 	ended := Call{} // the first final answer
 	before := map[*Call]Call{}
-	for _, m := range moments(calls) {
+	for _, m := range events(calls) {
 		c := m.call
 		if !m.returns {
 			now.submitted = now.submitted || c.Kind == Submit
 			now.cancelled = now.cancelled || c.Kind == Cancel
-			before[c] = now.best
+			before[c] = now.latest
 			continue
 		}
-		if v, broken := judge(c, before[c], ended, now); broken {
+		if v, broken := checkAnswer(c, before[c], ended, now); broken {
 			found = append(found, v)
 		}
 		if c.level() == final && ended.Invoked == 0 {
 			ended = *c
 		}
-		if l := c.level(); l > unknown && l > now.best.level() {
-			now.best = *c
+		if l := c.level(); l > unknown && l > now.latest.level() {
+			now.latest = *c
 		}
 	}
 	return found
 }
 
-// judge compares an answer with the best that had arrived when its request was sent, with the first final answer,
+// checkAnswer compares an answer with the best that had arrived when its request was sent, with the first final answer,
 // and with what was asked for until it arrived.
-func judge(c *Call, before, ended Call, now known) (Violation, bool) {
+func checkAnswer(c *Call, before, ended Call, now knowledge) (Violation, bool) {
 	broken := func(rule string, earlier Call) (Violation, bool) {
 		return Violation{Rule: rule, Answer: *c, Before: earlier}, true
 	}
 	l := c.level()
 	switch {
-	case l == silent:
+	case l == inconclusive:
 	case l == unknown && before.level() > unknown:
 		return broken(Forgotten, before)
 	case l == unknown:
--- a/internal/history/history_test.go
+++ b/internal/history/history_test.go
@@ -9,14 +9,14 @@
 	"topazhollow/internal/protocol"
 )
 
-// slowCheck is the plain model: it compares every answer with every other one.
-func slowCheck(calls []Call) map[uint64]string {
+// modelCheck is the plain model: it compares every answer with every other one.
+func modelCheck(calls []Call) map[uint64]string {
 	broken := map[uint64]string{}
 	for _, c := range calls {
 		if c.Returned == 0 {
 			continue
 		}
-		if rule := slowRule(c, calls); rule != "" {
+		if rule := modelRule(c, calls); rule != "" {
 			broken[c.Returned] = rule
 		}
 	}
@@ -32,7 +32,7 @@
 	return c.Returned > 0 && (c.Status == 404 || c.Kind == Submit && (c.Status == 400 || c.Status == 422))
 }
 
-func slowRule(c Call, calls []Call) string {
+func modelRule(c Call, calls []Call) string {
 	some := func(holds func(other Call) bool) bool {
 		return slices.ContainsFunc(calls, func(o Call) bool { return o.Job == c.Job && holds(o) })
 	}
@@ -46,7 +46,7 @@
 		return Invented
 	case isActive(c) && some(func(o Call) bool { return earlier(o) && isFinal(o) }):
 		return WentBack
-	case isFinal(c) && slowFirstFinal(c, calls) != c.State:
+	case isFinal(c) && modelFirstFinal(c, calls) != c.State:
 		return WentBack
 	case isFinal(c) && c.State == protocol.Cancelled && !some(func(o Call) bool { return o.Kind == Cancel && o.Invoked < c.Returned }):
 		return WentBack
@@ -58,8 +58,8 @@
 	return ""
 }
 
-// slowFirstFinal is the state of the job's first final answer.
-func slowFirstFinal(c Call, calls []Call) protocol.JobState {
+// modelFirstFinal is the state of the job's first final answer.
+func modelFirstFinal(c Call, calls []Call) protocol.JobState {
 	first := c
 	for _, o := range calls {
 		if o.Job == c.Job && isFinal(o) && o.Returned < first.Returned {
@@ -69,8 +69,8 @@
 	return first.State
 }
 
-// drawCalls records overlapping requests with answers drawn at random.
-func drawCalls(rng *rand.Rand) []Call {
+// randomCalls records overlapping requests with answers drawn at random.
+func randomCalls(rng *rand.Rand) []Call {
 	var log Log
 	var open []int
 	statuses := []int{200, 200, 200, 201, 404, 422, 503}
@@ -93,8 +93,8 @@
 	rng := rand.New(rand.NewPCG(3, 14))
 	seen := map[string]int{}
 	for round := range 20000 {
-		calls := drawCalls(rng)
-		want, got := slowCheck(calls), map[uint64]string{}
+		calls := randomCalls(rng)
+		want, got := modelCheck(calls), map[uint64]string{}
 		for _, v := range Check(calls) {
 			got[v.Answer.Returned] = v.Rule
 			seen[v.Rule]++
@@ -138,8 +138,8 @@
 	}
 }
 
-// TestOlderAnswersOfOtherNodes: each kind of older answer is found, whichever controller gives it.
-func TestOlderAnswersOfOtherNodes(t *testing.T) {
+// TestStaleAnswersOfOtherNodes: each kind of older answer is found, whichever controller gives it.
+func TestStaleAnswersOfOtherNodes(t *testing.T) {
 	accepted := Call{Node: 0, Kind: Submit, Status: 201, State: protocol.Pending}
 	cancelled := Call{Node: 1, Kind: Cancel, Status: 200, State: protocol.Cancelled}
 	for rule, calls := range map[string][]Call{
--- a/internal/snapshot/archive.go
+++ b/internal/snapshot/archive.go
@@ -85,14 +85,14 @@
 
 // Archive is a directory of copies.
 type Archive struct {
-	log    *wal.Log
-	lock   *os.File // held by the only process that writes; nil for one that reads
-	enc    *zstd.Encoder
-	dec    *zstd.Decoder
-	mode   cbor.DecMode
-	mu     sync.Mutex
-	copies []*Copy
-	next   uint64
+	log     *wal.Log
+	lock    *os.File // held by the only process that writes; nil for one that reads
+	enc     *zstd.Encoder
+	dec     *zstd.Decoder
+	decMode cbor.DecMode
+	mu      sync.Mutex
+	copies  []*Copy
+	nextID  uint64
 }
 
 // Options are an archive's choices; the zero value is usable.
@@ -111,8 +111,8 @@
 func (readOnly) Truncate(int64) error               { return nil }
 func (readOnly) WriteAt([]byte, int64) (int, error) { return 0, os.ErrPermission }
 
-// take makes this process the only one that writes, or has the log opened for reading.
-func (a *Archive) take(dir string, opt *Options) error {
+// acquire makes this process the only one that writes, or has the log opened for reading.
+func (a *Archive) acquire(dir string, opt *Options) error {
 	if opt.ReadOnly {
 		if _, err := os.Stat(dir); err != nil {
 			return err
@@ -139,7 +139,7 @@
 
 // Open opens an archive, which it makes if need be, and reads what copies it has.
 func Open(dir string, opt Options) (*Archive, error) {
-	a := &Archive{next: 1}
+	a := &Archive{nextID: 1}
 	var err error
 	if a.enc, err = zstd.NewWriter(nil, zstd.WithEncoderConcurrency(1)); err != nil {
 		return nil, fmt.Errorf("snapshot: %w", err)
@@ -147,13 +147,13 @@
 	if a.dec, err = zstd.NewReader(nil, zstd.WithDecoderConcurrency(1), zstd.WithDecoderMaxMemory(256<<20)); err != nil {
 		return nil, fmt.Errorf("snapshot: %w", err)
 	}
-	if a.mode, err = (cbor.DecOptions{MaxArrayElements: 1 << 20, DupMapKey: cbor.DupMapKeyEnforcedAPF}).DecMode(); err != nil {
+	if a.decMode, err = (cbor.DecOptions{MaxArrayElements: 1 << 20, DupMapKey: cbor.DupMapKeyEnforcedAPF}).DecMode(); err != nil {
 		return nil, fmt.Errorf("snapshot: %w", err)
 	}
 	if opt.WAL.SegmentBytes == 0 {
 		opt.WAL.SegmentBytes = 4 << 20 // what goes with a copy goes by segments
 	}
-	if err := a.take(dir, &opt); err != nil {
+	if err := a.acquire(dir, &opt); err != nil {
 		return nil, fmt.Errorf("snapshot: %w", err)
 	}
 	a.log, err = wal.Open(dir, opt.WAL, wal.Pos{}, func(at wal.Pos, data []byte) error {
@@ -190,7 +190,7 @@
 		return nil, fmt.Errorf("snapshot: %w", err)
 	}
 	var r record
-	if err := a.mode.Unmarshal(plain, &r); err != nil {
+	if err := a.decMode.Unmarshal(plain, &r); err != nil {
 		return nil, fmt.Errorf("snapshot: %w", err)
 	}
 	if r.Format > format {
@@ -214,10 +214,10 @@
 	defer a.mu.Unlock()
 	if r.Kind == kindBegin {
 		a.copies = append(a.copies, &Copy{ID: r.Copy, At: time.UnixMilli(r.At), Until: time.UnixMilli(r.At), Revision: r.From, LastRevision: r.From, from: at})
-		a.next = max(a.next, r.Copy+1)
+		a.nextID = max(a.nextID, r.Copy+1)
 		return
 	}
-	c := a.find(r.Copy)
+	c := a.findCopy(r.Copy)
 	if c == nil {
 		return // its beginning is gone already
 	}
@@ -232,7 +232,7 @@
 	}
 }
 
-func (a *Archive) find(id uint64) *Copy {
+func (a *Archive) findCopy(id uint64) *Copy {
 	for _, c := range a.copies {
 		if c.ID == id {
 			return c
@@ -261,25 +261,25 @@
 	return nil
 }
 
-// part is how many keys a record of a full copy has at most.
-const part = 500
+// maxPartKeys is how many keys a record of a full copy has at most.
+const maxPartKeys = 500
 
 // PutCopy writes a full copy as of a revision and gives its number.
 func (a *Archive) PutCopy(ctx context.Context, keys map[string]Entry, revision uint64, now time.Time) (uint64, error) {
 	a.mu.Lock()
-	id := a.next
-	a.next++
+	id := a.nextID
+	a.nextID++
 	a.mu.Unlock()
 	records := []*record{{Kind: kindBegin, Copy: id, At: now.UnixMilli(), From: revision}}
 	names := slices.Sorted(maps.Keys(keys))
-	for chunk := range slices.Chunk(names, part) {
+	for chunk := range slices.Chunk(names, maxPartKeys) {
 		r := &record{Kind: kindPart, Copy: id}
 		for _, name := range chunk {
 			r.Entries = append(r.Entries, keys[name])
 		}
 		records = append(records, r)
 	}
-	records = append(records, &record{Kind: kindEnd, Copy: id, At: now.UnixMilli(), To: revision, Keys: len(keys), Sum: sum(keys)})
+	records = append(records, &record{Kind: kindEnd, Copy: id, At: now.UnixMilli(), To: revision, Keys: len(keys), Sum: contentSum(keys)})
 	for chunk := range slices.Chunk(records, 64) { // a kill in between leaves a copy without its end, which is none
 		if err := a.append(ctx, chunk...); err != nil {
 			return 0, err
@@ -288,8 +288,8 @@
 	return id, nil
 }
 
-// sum is over keys and values in the order of keys.
-func sum(keys map[string]Entry) []byte {
+// contentSum is over keys and values in the order of keys.
+func contentSum(keys map[string]Entry) []byte {
 	h := sha256.New()
 	for _, name := range slices.Sorted(maps.Keys(keys)) {
 		fmt.Fprintf(h, "%d %s %d ", len(name), name, len(keys[name].Value))
@@ -335,7 +335,7 @@
 // copy's sum and that no change is missing between.
 func (a *Archive) Load(id, upTo uint64) (keys map[string]Entry, revision uint64, err error) {
 	a.mu.Lock()
-	found := a.find(id)
+	found := a.findCopy(id)
 	var c Copy
 	if found != nil {
 		c = *found
@@ -360,7 +360,7 @@
 			}
 		case kindEnd:
 			ended, revision = true, r.To
-			if !bytes.Equal(sum(keys), r.Sum) || len(keys) != r.Keys {
+			if !bytes.Equal(contentSum(keys), r.Sum) || len(keys) != r.Keys {
 				return fmt.Errorf("%w: copy %d is not what was written", wal.ErrCorrupt, id)
 			}
 		case kindChanges:
--- a/internal/snapshot/follow.go
+++ b/internal/snapshot/follow.go
@@ -73,21 +73,21 @@
 
 // Follower copies the state service into an archive for as long as it runs.
 type Follower struct {
-	set *Config
-	a   *Archive
-	c   *kvstore.Client
-	log *slog.Logger
+	config  *Config
+	archive *Archive
+	client  *kvstore.Client
+	log     *slog.Logger
 
-	keys     map[string]Entry // the service as followed; nil before the first copy
-	id       uint64           // of the copy that changes are added to
-	revision uint64
-	store    string // the generation's name
-	full     time.Time
+	keys         map[string]Entry // the service as followed; nil before the first copy
+	copyID       uint64           // of the copy that changes are added to
+	revision     uint64
+	storeID      string // the generation's name
+	lastFullCopy time.Time
 }
 
 // NewFollower is a follower that has read nothing yet.
 func NewFollower(set *Config, a *Archive, log *slog.Logger) *Follower {
-	return &Follower{set: set, a: a, c: set.client(), log: log}
+	return &Follower{config: set, archive: a, client: set.client(), log: log}
 }
 
 // Run follows until the context ends or the archive can't be written.
@@ -102,12 +102,12 @@
 		case errors.Is(err, errArchive):
 			return err
 		case errors.Is(err, kvstore.ErrRevisionWentBack):
-			if err := f.lost(ctx, "its revision went back"); err != nil {
+			if err := f.recordLoss(ctx, "its revision went back"); err != nil {
 				return err
 			}
 		case errors.Is(err, kvstore.ErrCompacted):
 			f.log.Info("fell behind the service's changes: all is read again")
-			f.id = 0
+			f.copyID = 0
 		default:
 			f.log.Info("state service not read", "err", err)
 		}
@@ -128,43 +128,43 @@
 
 // step makes a full copy when one is due, or takes in the next changes.
 func (f *Follower) step(ctx context.Context) error {
-	if f.id == 0 || time.Since(f.full) > settings.Seconds(f.set.FullEvery*60) {
-		return f.copy(ctx)
+	if f.copyID == 0 || time.Since(f.lastFullCopy) > settings.Seconds(f.config.FullEvery*60) {
+		return f.fullCopy(ctx)
 	}
-	ch, err := f.c.Watch(ctx, "", f.revision)
+	ch, err := f.client.Watch(ctx, "", f.revision)
 	if err != nil || ch.Revision == f.revision {
 		return err
 	}
-	return f.take(ctx, ch)
+	return f.appendChanges(ctx, ch)
 }
 
-func (f *Follower) take(ctx context.Context, ch *protocol.Changes) error {
+func (f *Follower) appendChanges(ctx context.Context, ch *protocol.Changes) error {
 	var entries []Entry
 	for _, e := range ch.Events {
 		x := Entry{Key: e.Set + e.Delete, Value: e.Value, Version: e.Version, Deleted: e.Delete != ""}
-		if x.Key == f.set.Control && !x.Deleted {
+		if x.Key == f.config.Control && !x.Deleted {
 			// What belongs to a new generation is not added to the copy of an earlier one.
-			if store := f.storeOf(map[string]Entry{x.Key: x}); f.store != "" && store != f.store {
-				return f.lost(ctx, "the controllers began a new generation")
+			if store := f.storeIDOf(map[string]Entry{x.Key: x}); f.storeID != "" && store != f.storeID {
+				return f.recordLoss(ctx, "the controllers began a new generation")
 			}
 		}
 		entries = append(entries, x)
 	}
-	if err := f.a.AppendChanges(ctx, f.id, f.revision, ch.Revision, entries, time.Now()); err != nil {
+	if err := f.archive.AppendChanges(ctx, f.copyID, f.revision, ch.Revision, entries, time.Now()); err != nil {
 		return archiveErr(err)
 	}
 	for _, x := range entries {
 		apply(f.keys, x)
 	}
 	f.revision = ch.Revision
-	f.store = f.storeOf(f.keys)
+	f.storeID = f.storeIDOf(f.keys)
 	return nil
 }
 
-// copy reads everything, and what changed meanwhile, and writes it as a full copy. What
+// fullCopy reads everything, and what changed meanwhile, and writes it as a full fullCopy. What
 // was followed and is not there, though no change took it away, was lost in silence.
-func (f *Follower) copy(ctx context.Context) error {
-	listed, revision, err := f.c.List(ctx, "")
+func (f *Follower) fullCopy(ctx context.Context) error {
+	listed, revision, err := f.client.List(ctx, "")
 	if err != nil {
 		return err
 	}
@@ -180,12 +180,12 @@
 	if err := f.compareWithKept(ctx, keys, revision); err != nil {
 		return err
 	}
-	id, err := f.a.PutCopy(ctx, keys, revision, time.Now())
+	id, err := f.archive.PutCopy(ctx, keys, revision, time.Now())
 	if err != nil {
 		return archiveErr(err)
 	}
-	f.keys, f.id, f.revision, f.full, f.store = keys, id, revision, time.Now(), f.storeOf(keys)
-	dropped, err := f.a.Prune(time.Now().Add(-settings.Seconds(f.set.Keep * 3600)))
+	f.keys, f.copyID, f.revision, f.lastFullCopy, f.storeID = keys, id, revision, time.Now(), f.storeIDOf(keys)
+	dropped, err := f.archive.Prune(time.Now().Add(-settings.Seconds(f.config.Keep * 3600)))
 	if err != nil {
 		return archiveErr(err)
 	}
@@ -195,7 +195,7 @@
 
 // catchUp applies the changes after a revision to keys, and gives the revision that they are of then.
 func (f *Follower) catchUp(ctx context.Context, keys map[string]Entry, after uint64) (uint64, error) {
-	ch, err := f.c.Changes(ctx, "", after)
+	ch, err := f.client.Changes(ctx, "", after)
 	if err != nil {
 		return 0, err
 	}
@@ -208,25 +208,25 @@
 // compareWithKept looks whether the store lost something that was kept, by this process or by the last one, and notes
 // the loss.
 func (f *Follower) compareWithKept(ctx context.Context, keys map[string]Entry, revision uint64) error {
-	if f.id != 0 {
+	if f.copyID != 0 {
 		return f.compareWithFollowed(ctx, keys, revision)
 	}
-	last, ok := f.a.Latest()
+	last, ok := f.archive.Latest()
 	if !ok || f.keys != nil {
 		return nil
 	}
 	// A follower that starts compares with what the last one kept.
-	old, _, err := f.a.Load(last.ID, 0)
+	old, _, err := f.archive.Load(last.ID, 0)
 	if err != nil {
 		f.log.Error("the newest copy can't be read", "copy", last.ID, "err", err)
 		return nil
 	}
-	reason := f.wentBack(old, last.LastRevision, keys, revision)
+	reason := f.lossReason(old, last.LastRevision, keys, revision)
 	if reason == "" || last.LossReason != "" {
 		return nil
 	}
-	f.id = last.ID
-	return f.lost(ctx, reason)
+	f.copyID = last.ID
+	return f.recordLoss(ctx, reason)
 }
 
 // compareWithFollowed looks for keys that were followed and are gone though nobody deleted them.
@@ -243,12 +243,12 @@
 	if missing == 0 {
 		return nil
 	}
-	return f.lost(ctx, fmt.Sprintf("%d keys are gone that nobody deleted", missing))
+	return f.recordLoss(ctx, fmt.Sprintf("%d keys are gone that nobody deleted", missing))
 }
 
-// wentBack says why a store can't be the one that a copy was made of, or "".
-func (f *Follower) wentBack(old map[string]Entry, last uint64, keys map[string]Entry, revision uint64) string {
-	before, now := f.storeOf(old), f.storeOf(keys)
+// lossReason says why a store can't be the one that a copy was made of, or "".
+func (f *Follower) lossReason(old map[string]Entry, last uint64, keys map[string]Entry, revision uint64) string {
+	before, now := f.storeIDOf(old), f.storeIDOf(keys)
 	switch {
 	case revision < last:
 		return "its revision went back"
@@ -264,17 +264,17 @@
 	return ""
 }
 
-// lost marks what was kept before the service lost data; a copy of what it has now
+// recordLoss marks what was kept before the service recordLoss data; a copy of what it has now
 // follows, beside it.
-func (f *Follower) lost(ctx context.Context, why string) error {
-	f.log.Error("state service lost data; the copy before that is kept until it is pruned by its number", "copy", f.id, "why", why)
-	if f.id != 0 {
-		if err := f.a.MarkLost(ctx, f.id, why, time.Now()); err != nil {
+func (f *Follower) recordLoss(ctx context.Context, why string) error {
+	f.log.Error("state service lost data; the copy before that is kept until it is pruned by its number", "copy", f.copyID, "why", why)
+	if f.copyID != 0 {
+		if err := f.archive.MarkLost(ctx, f.copyID, why, time.Now()); err != nil {
 			return archiveErr(err)
 		}
 	}
-	f.c.ForgetRevisions()
-	f.id, f.revision, f.store = 0, 0, ""
+	f.client.ForgetRevisions()
+	f.copyID, f.revision, f.storeID = 0, 0, ""
 	f.keys = map[string]Entry{}
 	return nil
 }
@@ -286,16 +286,16 @@
 	PageKey  = "b/"
 )
 
-// storeOf is the name of the generation's store, "" without a record.
-func (f *Follower) storeOf(keys map[string]Entry) string {
-	r, err := recordOf(keys, f.set.Control)
+// storeIDOf is the name of the generation's store, "" without a record.
+func (f *Follower) storeIDOf(keys map[string]Entry) string {
+	r, err := controlRecord(keys, f.config.Control)
 	if err != nil || r == nil {
 		return ""
 	}
 	return r.StoreID
 }
 
-func recordOf(keys map[string]Entry, control string) (*leadership.Record, error) {
+func controlRecord(keys map[string]Entry, control string) (*leadership.Record, error) {
 	e, ok := keys[control]
 	if !ok {
 		return nil, nil
@@ -307,5 +307,5 @@
 	return &r, nil
 }
 
-// marker is the generation's own key, which every change of a restore rests on.
-func marker(r *leadership.Record) string { return datarecovery.EpochKey + r.StoreID }
+// epochKey is the generation's own key, which every change of a restore rests on.
+func epochKey(r *leadership.Record) string { return datarecovery.EpochKey + r.StoreID }
--- a/internal/snapshot/restore.go
+++ b/internal/snapshot/restore.go
@@ -56,8 +56,8 @@
 	done   map[string]*bitset.BitSet
 }
 
-// read takes the controllers' keys apart.
-func read(keys map[string]Entry) (*contents, error) {
+// parseKeys takes the controllers' keys apart.
+func parseKeys(keys map[string]Entry) (*contents, error) {
 	c := &contents{active: map[string]userapi.ActiveJob{}, ends: datarecovery.NewEnds(), done: map[string]*bitset.BitSet{}}
 	pages := map[string]map[string]string{}
 	for name, e := range keys {
@@ -111,12 +111,12 @@
 
 // Restorer puts a copy back into the state service.
 type Restorer struct {
-	set *Config
-	c   *kvstore.Client
+	config *Config
+	client *kvstore.Client
 }
 
 // NewRestorer is a restorer with the rates of the settings.
-func NewRestorer(set *Config) *Restorer { return &Restorer{set: set, c: set.client()} }
+func NewRestorer(set *Config) *Restorer { return &Restorer{config: set, client: set.client()} }
 
 // Plan compares a copy with what the service has. It writes nothing. Without force it
 // refuses when the controllers say that nothing was lost for good.
@@ -125,7 +125,7 @@
 	if err != nil {
 		return nil, err
 	}
-	old, err := read(keys)
+	old, err := parseKeys(keys)
 	if err != nil {
 		return nil, err
 	}
@@ -137,7 +137,7 @@
 	if err != nil {
 		return nil, err
 	}
-	have, err := read(now)
+	have, err := parseKeys(now)
 	if err != nil {
 		return nil, err
 	}
@@ -146,24 +146,24 @@
 		Revision:   revision,
 		Generation: record.Epoch,
 		record:     record,
-		fence:      protocol.Condition{Key: marker(record), Version: now[marker(record)].Version},
+		fence:      protocol.Condition{Key: epochKey(record), Version: now[epochKey(record)].Version},
 		done:       map[string]*bitset.BitSet{},
 		pages:      countEndPages(now),
 	}
 	p.addJobs(old, have)
-	lacking := endsLacking(old, have)
-	p.ends = datarecovery.Pages(lacking, r.valueRoom())
-	if p.teams, err = teamsLacking(keys, now); err != nil {
+	lacking := missingEnds(old, have)
+	p.ends = datarecovery.Pages(lacking, r.maxValueBytes())
+	if p.teams, err = missingTeams(keys, now); err != nil {
 		return nil, err
 	}
 	p.Jobs, p.Ends, p.Teams = len(p.jobs), len(lacking), len(p.teams)
-	p.Changes = p.Teams + p.Jobs + len(p.ends) + 2*len(donePages(p.done, r.valueRoom()))
+	p.Changes = p.Teams + p.Jobs + len(p.ends) + 2*len(donePages(p.done, r.maxValueBytes()))
 	return p, nil
 }
 
 // listStore reads all that the store has.
 func (r *Restorer) listStore(ctx context.Context) (map[string]Entry, error) {
-	listed, _, err := r.c.List(ctx, "")
+	listed, _, err := r.client.List(ctx, "")
 	if err != nil {
 		return nil, err
 	}
@@ -177,11 +177,11 @@
 // lossRecord is the control record of the epoch that the controllers began after a loss. Without force it is
 // ErrNotLost if they say that nothing was lost for good.
 func (r *Restorer) lossRecord(now map[string]Entry, force bool) (*leadership.Record, error) {
-	record, err := recordOf(now, r.set.Control)
+	record, err := controlRecord(now, r.config.Control)
 	switch {
 	case err != nil:
 		return nil, err
-	case record == nil || now[marker(record)].Version == 0:
+	case record == nil || now[epochKey(record)].Version == 0:
 		return nil, ErrNoGeneration
 	case !record.DataLost && !force:
 		return nil, ErrNotLost
@@ -192,11 +192,11 @@
 // valueOverhead is what a value takes beside its content, in bytes.
 const valueOverhead = 64
 
-// valueRoom is how many bytes of content a value of the store may have.
-func (r *Restorer) valueRoom() int { return int(r.set.ValueKB*1024) - valueOverhead }
+// maxValueBytes is how many bytes of content a value of the store may have.
+func (r *Restorer) maxValueBytes() int { return int(r.config.ValueKB*1024) - valueOverhead }
 
-// endsLacking are the ends of the copy that the store lacks; an end beats whatever the store has of the job.
-func endsLacking(old, have *contents) (lacking []datarecovery.End) {
+// missingEnds are the ends of the copy that the store lacks; an end beats whatever the store has of the job.
+func missingEnds(old, have *contents) (lacking []datarecovery.End) {
 	for _, x := range old.ends.All() {
 		if _, ended := have.ends.Get(x.UID); !ended {
 			lacking = append(lacking, x)
@@ -257,12 +257,12 @@
 	ran := make(chan struct{})
 	go func() {
 		defer close(ran)
-		_ = r.c.Run(ctx) // ends with the context
+		_ = r.client.Run(ctx) // ends with the context
 	}()
 	defer func() { cancel(); <-ran }()
-	r.c.SetFence(p.fence)
+	r.client.SetFence(p.fence)
 	count := 0
-	for _, u := range p.updates(r.valueRoom()) {
+	for _, u := range p.updates(r.maxValueBytes()) {
 		if err := r.put(ctx, u); err != nil {
 			return err
 		}
@@ -302,14 +302,14 @@
 	return all
 }
 
-// restorePause is between tries of an update while the store refuses or does not answer.
-const restorePause = 300 * time.Millisecond
+// restoreRetryDelay is between tries of an update while the store refuses or does not answer.
+const restoreRetryDelay = 300 * time.Millisecond
 
 // put commits an update, again and again through outages. A conflict means that the store has something newer, which
 // stays.
 func (r *Restorer) put(ctx context.Context, u kvstore.Update) error {
 	for {
-		_, err := r.c.Commit(ctx, u)
+		_, err := r.client.Commit(ctx, u)
 		switch {
 		case errors.Is(err, kvstore.ErrUpdatesHeld), errors.Is(err, kvstore.ErrRevisionWentBack):
 			return fmt.Errorf("%w: the state service lost data again", ErrNoGeneration)
@@ -320,7 +320,7 @@
 		case errors.Is(err, kvstore.ErrInvalid):
 			return err
 		}
-		if !wait.For(ctx, restorePause) {
+		if !wait.For(ctx, restoreRetryDelay) {
 			return ctx.Err()
 		}
 	}
@@ -330,14 +330,14 @@
 // is told to be unknown. It says whether that changed anything.
 func (r *Restorer) Declare(ctx context.Context) (changed bool, err error) {
 	for range 5 {
-		e, err := r.c.GetControl(ctx, r.set.Control)
+		e, err := r.client.GetControl(ctx, r.config.Control)
 		if err != nil {
 			return false, err
 		}
 		if e == nil {
 			return false, ErrNoGeneration
 		}
-		record, err := recordOf(map[string]Entry{r.set.Control: entryOf(*e)}, r.set.Control)
+		record, err := controlRecord(map[string]Entry{r.config.Control: entryOf(*e)}, r.config.Control)
 		if err != nil {
 			return false, err
 		}
@@ -345,15 +345,15 @@
 			return false, nil
 		}
 		record.DataLost, record.PreviousVersion = false, e.Version
-		m, err := r.c.GetControl(ctx, marker(record))
+		m, err := r.client.GetControl(ctx, epochKey(record))
 		if err != nil {
 			return false, err
 		}
 		if m == nil {
 			return false, ErrNoGeneration
 		}
-		_, _, err = r.c.CommitControl(ctx, protocol.Txn{Conditions: []protocol.Condition{{Key: r.set.Control, Version: e.Version}, {Key: m.Key, Version: m.Version}},
-			Then: []protocol.Op{{Set: r.set.Control, Value: protocol.Encode(record)}}})
+		_, _, err = r.client.CommitControl(ctx, protocol.Txn{Conditions: []protocol.Condition{{Key: r.config.Control, Version: e.Version}, {Key: m.Key, Version: m.Version}},
+			Then: []protocol.Op{{Set: r.config.Control, Value: protocol.Encode(record)}}})
 		if err == nil {
 			return true, nil
 		} else if !errors.Is(err, kvstore.ErrConflict) {
--- a/internal/snapshot/snapshot_test.go
+++ b/internal/snapshot/snapshot_test.go
@@ -30,7 +30,7 @@
 		left := 1 << 30 // steps until the disk fails
 		opt := Options{WAL: wal.Options{SegmentBytes: 2000, OpenFile: func(path string) (wal.File, error) {
 			f, err := wal.OpenFile(path)
-			return &failing{File: f, left: &left}, err
+			return &failingFile{File: f, left: &left}, err
 		}}}
 		a, err := Open(dir, opt)
 		if err != nil {
@@ -132,13 +132,13 @@
 	}
 }
 
-// failing is a file on a disk that fails after some steps and stays so.
-type failing struct {
+// failingFile is a file on a disk that fails after some steps and stays so.
+type failingFile struct {
 	wal.File
 	left *int
 }
 
-func (f *failing) WriteAt(p []byte, off int64) (int, error) {
+func (f *failingFile) WriteAt(p []byte, off int64) (int, error) {
 	if *f.left--; *f.left < 0 {
 		n, _ := f.File.WriteAt(p[:len(p)/2], off) // torn
 		return n, io.ErrShortWrite
@@ -146,24 +146,24 @@
 	return f.File.WriteAt(p, off)
 }
 
-func (f *failing) Truncate(size int64) error {
+func (f *failingFile) Truncate(size int64) error {
 	if *f.left < 0 {
 		return io.ErrShortWrite
 	}
 	return f.File.Truncate(size)
 }
 
-func (f *failing) Sync() error {
+func (f *failingFile) Sync() error {
 	if *f.left--; *f.left < 0 {
 		return io.ErrShortWrite
 	}
 	return f.File.Sync()
 }
 
-// TestFollowerKeepsWhatWasLost: the service goes back, loses everything, or a few keys in
+// TestFollowerKeepsCopyBeforeLoss: the service goes back, loses everything, or a few keys in
 // silence, while it is followed or between two followers. What was there before is kept
 // and can be read, and an empty copy never takes its place.
-func TestFollowerKeepsWhatWasLost(t *testing.T) {
+func TestFollowerKeepsCopyBeforeLoss(t *testing.T) {
 	for name, lose := range map[string]func(*simulation.KVStore, simulation.StoreSnapshot){
 		"back": func(s *simulation.KVStore, old simulation.StoreSnapshot) { s.RollBack(old) },
 		"all":  func(s *simulation.KVStore, _ simulation.StoreSnapshot) { s.LoseAll() },
@@ -274,7 +274,7 @@
 		left := room
 		a, err := Open(set.Dir, Options{WAL: wal.Options{OpenFile: func(path string) (wal.File, error) {
 			f, err := wal.OpenFile(path)
-			return &small{File: f, left: &left}, err
+			return &boundedFile{File: f, left: &left}, err
 		}}})
 		if err != nil {
 			t.Fatal(err)
@@ -336,13 +336,13 @@
 	}
 }
 
-// small is a file on a disk with so many bytes left.
-type small struct {
+// boundedFile is a file on a disk with so many bytes left.
+type boundedFile struct {
 	wal.File
 	left *int64
 }
 
-func (f *small) WriteAt(p []byte, off int64) (int, error) {
+func (f *boundedFile) WriteAt(p []byte, off int64) (int, error) {
 	if *f.left -= int64(len(p)); *f.left < 0 {
 		n, _ := f.File.WriteAt(p[:max(0, int64(len(p))+*f.left)], off) // what fits
 		*f.left = 0
--- a/internal/snapshot/teams.go
+++ b/internal/snapshot/teams.go
@@ -13,9 +13,9 @@
 	"topazhollow/internal/teamstore"
 )
 
-// teamsLacking gives the changes that put back the entries of teams' configuration of a copy of which the service has none
+// missingTeams gives the changes that put back the entries of teams' configuration of a copy of which the service has none
 // or an earlier one.
-func teamsLacking(old, now map[string]Entry) (updates []kvstore.Update, err error) {
+func missingTeams(old, now map[string]Entry) (updates []kvstore.Update, err error) {
 	for _, key := range slices.Sorted(maps.Keys(old)) {
 		if !strings.HasPrefix(key, teamstore.Prefix) {
 			continue
--- a/internal/snapshot/teams_test.go
+++ b/internal/snapshot/teams_test.go
@@ -2,14 +2,14 @@
 
 import "testing"
 
-// TestTeamsPutBack: of the teams' configuration a copy puts back what the service lacks, and nothing older than it has.
-func TestTeamsPutBack(t *testing.T) {
+// TestMissingTeams: of the teams' configuration a copy puts back what the service lacks, and nothing older than it has.
+func TestMissingTeams(t *testing.T) {
 	entry := func(number string, version uint64) Entry {
 		return Entry{Value: []byte(`{"number":` + number + `,"change":"x"}`), Version: version}
 	}
 	old := map[string]Entry{"w/t/lost": entry("3", 90), "w/t/older": entry("3", 91), "w/t/newer": entry("1", 92), "w/c": entry("9", 93)}
 	now := map[string]Entry{"w/t/older": entry("2", 7), "w/t/newer": entry("1", 8)}
-	updates, err := teamsLacking(old, now)
+	updates, err := missingTeams(old, now)
 	if err != nil || len(updates) != 2 {
 		t.Fatalf("%+v, %v", updates, err)
 	}
@@ -22,7 +22,7 @@
 		}
 	}
 	old["w/t/bad"] = Entry{Value: []byte(`{`)}
-	if _, err := teamsLacking(old, now); err == nil {
+	if _, err := missingTeams(old, now); err == nil {
 		t.Error("an unreadable entry is put back")
 	}
 }
--- a/internal/taskrunner/taskrunner.go
+++ b/internal/taskrunner/taskrunner.go
@@ -67,24 +67,24 @@
 	task Task
 	log  *wal.Log
 
-	mu      sync.Mutex
-	more    sync.Cond
-	waits   []unsentRecord // not brought yet
-	next    map[string]uint64
-	bytes   int64
-	holes   map[string]*artifactstore.Hole // by stream, open
-	files   []string
-	exit    *artifactstore.Exit
-	whole   bool // nothing more comes
-	dropped int64
-	at      int // replica in use
+	mu           sync.Mutex
+	changed      sync.Cond
+	unsent       []unsentRecord // not brought yet
+	nextNumber   map[string]uint64
+	unsentBytes  int64
+	openHoles    map[string]*artifactstore.Hole // by stream, open
+	files        []string
+	exit         *artifactstore.Exit
+	complete     bool // nothing more comes
+	droppedBytes int64
+	replica      int // replica in use
 }
 
 // unsentRecord is a record that is still to be brought.
 type unsentRecord struct {
 	stream string
 	number uint64
-	at     wal.Pos
+	pos    wal.Pos
 	size   int
 }
 
@@ -95,7 +95,7 @@
 	DroppedBytes int64 // bytes of output that the spool had no room for
 }
 
-func (o *Options) defaults() {
+func (o *Options) setDefaults() {
 	if o.MaxSpoolBytes <= 0 {
 		o.MaxSpoolBytes = 64 << 20
 	}
@@ -122,8 +122,8 @@
 
 // open opens an attempt's spool and takes up what it holds.
 func open(opt Options, dir string) (*spool, error) {
-	s := &spool{opt: opt, dir: dir, next: map[string]uint64{}, holes: map[string]*artifactstore.Hole{}}
-	s.more.L = &s.mu
+	s := &spool{opt: opt, dir: dir, nextNumber: map[string]uint64{}, openHoles: map[string]*artifactstore.Hole{}}
+	s.changed.L = &s.mu
 	log, err := wal.Open(dir, wal.Options{Step: opt.Step}, wal.Pos{}, func(at wal.Pos, b []byte) error {
 		var e entry
 		if err := json.Unmarshal(b, &e); err != nil {
@@ -141,11 +141,11 @@
 	case e.Task != nil:
 		s.task = *e.Task
 	case e.Record != nil:
-		s.waits = append(s.waits, unsentRecord{e.Stream, s.next[e.Stream], at, len(e.Record.Data)})
-		s.next[e.Stream]++
-		s.bytes += int64(len(e.Record.Data))
+		s.unsent = append(s.unsent, unsentRecord{e.Stream, s.nextNumber[e.Stream], at, len(e.Record.Data)})
+		s.nextNumber[e.Stream]++
+		s.unsentBytes += int64(len(e.Record.Data))
 	case e.Exit != nil:
-		s.files, s.exit, s.whole = e.Files, e.Exit, true
+		s.files, s.exit, s.complete = e.Files, e.Exit, true
 	}
 }
 
@@ -158,7 +158,7 @@
 	s.mu.Lock()
 	s.apply(e, at[0])
 	s.mu.Unlock()
-	s.more.Broadcast()
+	s.changed.Broadcast()
 	return nil
 }
 
@@ -167,8 +167,8 @@
 func (s *spool) appendRecord(ctx context.Context, stream string, data []byte) {
 	now := time.Now().UTC()
 	s.mu.Lock()
-	full := s.bytes+int64(len(data)) > s.opt.MaxSpoolBytes
-	h := s.holes[stream]
+	full := s.unsentBytes+int64(len(data)) > s.opt.MaxSpoolBytes
+	h := s.openHoles[stream]
 	s.mu.Unlock()
 	if !full && h != nil {
 		// There is room again: the hole takes its place first.
@@ -176,7 +176,7 @@
 			full = true
 		} else {
 			s.mu.Lock()
-			delete(s.holes, stream)
+			delete(s.openHoles, stream)
 			s.mu.Unlock()
 		}
 	}
@@ -185,10 +185,10 @@
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.dropped += int64(len(data))
-	if h = s.holes[stream]; h == nil {
+	s.droppedBytes += int64(len(data))
+	if h = s.openHoles[stream]; h == nil {
 		h = &artifactstore.Hole{From: now}
-		s.holes[stream] = h
+		s.openHoles[stream] = h
 	}
 	h.Bytes, h.To = h.Bytes+int64(len(data)), now
 }
@@ -197,7 +197,7 @@
 // context's end kills the command's whole process group; what it had put out until
 // then is still brought and sealed as not completed, for as long as grace allows.
 func Run(ctx context.Context, opt Options, t Task, grace time.Duration) (Result, error) {
-	opt.defaults()
+	opt.setDefaults()
 	if len(t.Command) == 0 || len(opt.Keepers) == 0 {
 		return Result{}, errors.New("runner: a task without a command, or no keeper")
 	}
@@ -229,7 +229,7 @@
 	if err != nil { // what it should have left is not there, or is no plain file
 		exit.Completed, exit.Reason = false, err.Error()
 	}
-	for stream, h := range s.holes { // what was dropped last has its mark before the end
+	for stream, h := range s.openHoles { // what was dropped last has its mark before the end
 		if err := s.write(late, &entry{Stream: stream, Record: &artifactstore.Record{At: h.To, Hole: h}}); err != nil {
 			return Result{}, err
 		}
@@ -238,7 +238,7 @@
 		return Result{}, err
 	}
 	err = <-brought
-	result.Exit, result.DroppedBytes = exit, s.dropped
+	result.Exit, result.DroppedBytes = exit, s.droppedBytes
 	return result, err
 }
 
@@ -334,7 +334,7 @@
 // up. Spools that could not be brought, be it within the context's time or since a
 // replica refuses them, stay and hold up no others; the error tells of them.
 func Recover(ctx context.Context, opt Options) (count int, err error) {
-	opt.defaults()
+	opt.setDefaults()
 	if len(opt.Keepers) == 0 {
 		return 0, errors.New("runner: no keeper")
 	}
@@ -359,8 +359,8 @@
 			}
 			continue
 		}
-		partial := !s.whole
-		s.whole = true
+		partial := !s.complete
+		s.complete = true
 		_, err = s.upload(ctx)
 		s.log.Close()
 		if err != nil {
--- a/internal/taskrunner/taskrunner_test.go
+++ b/internal/taskrunner/taskrunner_test.go
@@ -27,17 +27,17 @@
 	key = []byte("0123456789abcdef")
 )
 
-// site is a replica that can be away.
-type site struct {
-	t    *testing.T
-	n    *artifactreplication.Node
-	b    *blob.Store
-	url  string
-	away atomic.Bool
+// testReplica is a replica that can be away.
+type testReplica struct {
+	t           *testing.T
+	n           *artifactreplication.Node
+	b           *blob.Store
+	url         string
+	unreachable atomic.Bool
 }
 
-func newSite(t *testing.T) *site {
-	x := &site{t: t}
+func newTestReplica(t *testing.T) *testReplica {
+	x := &testReplica{t: t}
 	dir := t.TempDir()
 	var err error
 	if x.b, err = blob.Open(blob.Options{Dir: filepath.Join(dir, "blobs")}); err != nil {
@@ -56,7 +56,7 @@
 	}
 	h := (&artifactreplication.Server{Node: x.n}).Handler()
 	srv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		if x.away.Load() {
+		if x.unreachable.Load() {
 			panic(http.ErrAbortHandler)
 		}
 		h.ServeHTTP(w, r)
@@ -66,12 +66,12 @@
 	return x
 }
 
-func (x *site) options(spool string) Options {
+func (x *testReplica) options(spool string) Options {
 	return Options{Spool: spool, Keepers: []string{x.url}, RetryDelay: 5 * time.Millisecond}
 }
 
-// done says whether an attempt was sealed.
-func done(a artifactstore.Known) bool {
+// isSealedState says whether an attempt was sealed.
+func isSealedState(a artifactstore.Known) bool {
 	return a.State == artifactstore.StateFinal || a.State == artifactstore.StateSealed
 }
 
@@ -81,7 +81,7 @@
 	return Task{Claim: c, Token: g.Token(key), Command: []string{"/bin/sh", "-c", command}, Env: []string{"PATH=/usr/bin:/bin"}, Dir: dir, Files: files}
 }
 
-func (x *site) text(at artifactstore.Attempt, stream string) (list []string, lost int64) {
+func (x *testReplica) readText(at artifactstore.Attempt, stream string) (list []string, lost int64) {
 	x.t.Helper()
 	if _, _, err := x.n.Read(ctx, at, stream, 0, false, func(_ uint64, r artifactstore.Record) error {
 		if r.Hole != nil {
@@ -100,7 +100,7 @@
 // TestRun: output by stream, files, the exit; what is no plain file, climbs out or is
 // missing makes the attempt fail with a reason; a stopped one is killed with its children.
 func TestRun(t *testing.T) {
-	x := newSite(t)
+	x := newTestReplica(t)
 	spool := t.TempDir()
 	for i, c := range []struct {
 		command   string
@@ -133,7 +133,7 @@
 		if err != nil || len(m.Files) != c.kept || m.Exit != got.Exit {
 			t.Errorf("%q: %+v %v", c.command, m, err)
 		}
-		if list, _ := x.text(tk.Claim.Attempt, "stdout"); len(list) != c.stdout {
+		if list, _ := x.readText(tk.Claim.Attempt, "stdout"); len(list) != c.stdout {
 			t.Errorf("%q put out %d records", c.command, len(list))
 		}
 	}
@@ -151,15 +151,15 @@
 	}
 }
 
-// TestKeeperAway: while the replica can't be reached output waits in the spool up to a
+// TestReplicaUnreachable: while the replica can't be reached output waits in the spool up to a
 // bound; beyond it what is dropped is marked with how much it was, and the attempt is
 // sealed all the same.
-func TestKeeperAway(t *testing.T) {
-	x := newSite(t)
-	x.away.Store(true)
+func TestReplicaUnreachable(t *testing.T) {
+	x := newTestReplica(t)
+	x.unreachable.Store(true)
 	opt := x.options(t.TempDir())
 	opt.MaxSpoolBytes = 2000
-	opt.defaults()
+	opt.setDefaults()
 	tk := task(t.TempDir(), 1, "true")
 	s, err := open(opt, spoolDir(opt.Spool, tk.Claim.Attempt))
 	if err != nil {
@@ -178,10 +178,10 @@
 	for i := 1000; i < 2000; i++ {
 		s.appendRecord(ctx, "stdout", []byte(strconv.Itoa(i)))
 	}
-	x.away.Store(false)
+	x.unreachable.Store(false)
 	for { // until the spool is empty
 		s.mu.Lock()
-		left := s.bytes
+		left := s.unsentBytes
 		s.mu.Unlock()
 		if left == 0 {
 			break
@@ -195,8 +195,8 @@
 	if err := <-brought; err != nil || !got.Final {
 		t.Fatalf("%+v %v", got, err)
 	}
-	got.DroppedBytes = s.dropped
-	list, lost := x.text(tk.Claim.Attempt, "stdout")
+	got.DroppedBytes = s.droppedBytes
+	list, lost := x.readText(tk.Claim.Attempt, "stdout")
 	if lost != got.DroppedBytes || lost != 4*(1000-500) {
 		t.Errorf("%d bytes marked as lost, %d were, %d should be", lost, got.DroppedBytes, 4*(1000-500))
 	}
@@ -212,9 +212,9 @@
 
 // TestRefusedSpool: a spool whose token has ended stays, and holds up no other.
 func TestRefusedSpool(t *testing.T) {
-	x := newSite(t)
+	x := newTestReplica(t)
 	opt := x.options(t.TempDir())
-	opt.defaults()
+	opt.setDefaults()
 	for number := uint64(1); number <= 2; number++ {
 		tk := task(t.TempDir(), number, "true")
 		if number == 1 {
@@ -269,7 +269,7 @@
 		os.Exit(0)
 	}
 	for at := 0; ; at++ {
-		x := newSite(t)
+		x := newTestReplica(t)
 		spool, dir := t.TempDir(), t.TempDir()
 		cmd := exec.Command(os.Args[0], "-test.run=^TestKilled$")
 		cmd.Env = append(os.Environ(), fmt.Sprintf("RUNNER_KILL=%s|%s|%s|%d", spool, x.url, dir, at))
@@ -292,12 +292,12 @@
 		}
 		whole := []string{"attempt 1", "line 1 of 1", "line 2 of 1", "line 3 of 1", "line 4 of 1", "line 5 of 1"}
 		if len(list) > 0 {
-			got, _ := x.text(first, "stdout")
-			if len(got) > len(whole) || strings.Join(got, "|") != strings.Join(whole[:len(got)], "|") || (done(list[0]) && len(got) != len(whole)) {
-				t.Fatalf("step %d: sealed %v with %q", at, done(list[0]), got)
+			got, _ := x.readText(first, "stdout")
+			if len(got) > len(whole) || strings.Join(got, "|") != strings.Join(whole[:len(got)], "|") || (isSealedState(list[0]) && len(got) != len(whole)) {
+				t.Fatalf("step %d: sealed %v with %q", at, isSealedState(list[0]), got)
 			}
 		}
-		sealed := len(list) > 0 && done(list[0])
+		sealed := len(list) > 0 && isSealedState(list[0])
 		tk := task(t.TempDir(), 2, command, "out")
 		tk.Env = append(tk.Env, "A=2")
 		got, err := Run(ctx, x.options(spool), tk, time.Minute)
--- a/internal/taskrunner/upload.go
+++ b/internal/taskrunner/upload.go
@@ -21,8 +21,8 @@
 	"topazhollow/internal/wait"
 )
 
-// refusal is an answer that trying again does not change.
-type refusal struct {
+// rejection is an answer that trying again does not change.
+type rejection struct {
 	status int
 	code   string
 	reason string
@@ -30,18 +30,20 @@
 	offset *int64
 }
 
-func (r *refusal) Error() string { return fmt.Sprintf("runner: keeper says %d %s", r.status, r.reason) }
+func (r *rejection) Error() string {
+	return fmt.Sprintf("runner: keeper says %d %s", r.status, r.reason)
+}
 
 // call makes a request until it is answered, of one replica after another, with jittered
 // pauses that grow, for as long as the context allows.
 func (s *spool) call(ctx context.Context, path string, body []byte) (*artifactstore.Answer, error) {
 	for pause := s.opt.RetryDelay; ; pause = min(2*pause, 30*time.Second) {
-		a, after, err := s.callOnce(ctx, s.opt.Keepers[s.at], path, body)
-		var no *refusal
+		a, after, err := s.callOnce(ctx, s.opt.Keepers[s.replica], path, body)
+		var no *rejection
 		if err == nil || errors.As(err, &no) {
 			return a, err
 		}
-		s.at = (s.at + 1) % len(s.opt.Keepers)
+		s.replica = (s.replica + 1) % len(s.opt.Keepers)
 		if !wait.For(ctx, max(after, time.Duration(rand.Int64N(int64(pause))))) {
 			return nil, errors.Join(ctx.Err(), err)
 		}
@@ -53,7 +55,7 @@
 	defer cancel()
 	req, err := http.NewRequestWithContext(ctx, "POST", strings.TrimSuffix(at, "/")+path, bytes.NewReader(body))
 	if err != nil {
-		return nil, 0, &refusal{reason: err.Error()}
+		return nil, 0, &rejection{reason: err.Error()}
 	}
 	req.Header.Set("Authorization", "Bearer "+s.task.Token)
 	resp, err := http.DefaultClient.Do(req)
@@ -72,20 +74,20 @@
 		seconds, _ := strconv.Atoi(resp.Header.Get("Retry-After"))
 		return nil, time.Duration(min(seconds, 60)) * time.Second, fmt.Errorf("%s %s", resp.Status, a.Error)
 	}
-	return nil, 0, &refusal{resp.StatusCode, a.Code, a.Error, a.Next, a.Offset}
+	return nil, 0, &rejection{resp.StatusCode, a.Code, a.Error, a.Next, a.Offset}
 }
 
-// sealed says that a replica refused something since the attempt is sealed: an earlier
+// isSealed says that a replica refused something since the attempt is isSealed: an earlier
 // process ended before it removed the spool, and all of it is there.
-func sealed(err error) bool {
-	var no *refusal
+func isSealed(err error) bool {
+	var no *rejection
 	return errors.As(err, &no) && no.code == "sealed"
 }
 
-// atOnce bounds the records of one request, in number and bytes.
+// maxBatchRecords bounds the records of one request, in number and bytes.
 const (
-	atOnce      = 500
-	atOnceBytes = 1 << 20
+	maxBatchRecords = 500
+	maxBatchBytes   = 1 << 20
 )
 
 // upload carries the spool over to a replica and removes it when that is done. Every step
@@ -94,11 +96,11 @@
 	stop := context.AfterFunc(ctx, func() {
 		s.mu.Lock()
 		defer s.mu.Unlock()
-		s.more.Broadcast()
+		s.changed.Broadcast()
 	})
 	defer stop()
 	var result Result
-	if _, err := s.call(ctx, "/attempt", nil); err != nil && !sealed(err) {
+	if _, err := s.call(ctx, "/attempt", nil); err != nil && !isSealed(err) {
 		return result, err
 	}
 	for {
@@ -128,32 +130,32 @@
 func (s *spool) nextBatch(ctx context.Context) (batch []unsentRecord, more bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for len(s.waits) == 0 && !s.whole && ctx.Err() == nil {
-		s.more.Wait()
+	for len(s.unsent) == 0 && !s.complete && ctx.Err() == nil {
+		s.changed.Wait()
 	}
 	size := 0
-	for _, w := range s.waits {
-		if w.stream == s.waits[0].stream && len(batch) < atOnce && size < atOnceBytes {
+	for _, w := range s.unsent {
+		if w.stream == s.unsent[0].stream && len(batch) < maxBatchRecords && size < maxBatchBytes {
 			batch = append(batch, w)
 			size += w.size
 		}
 	}
-	return batch, len(batch) > 0 || !s.whole
+	return batch, len(batch) > 0 || !s.complete
 }
 
-// fileTries is how often the upload of a file is begun anew.
-const fileTries = 3
+// maxFileRetries is how often the upload of a file is begun anew.
+const maxFileRetries = 3
 
 // seal uploads the files and seals the attempt; final says whether it is the task's result.
 func (s *spool) seal(ctx context.Context) (final bool, err error) {
-	end := artifactstore.End{Exit: *s.exit, Records: maps.Clone(s.next), Files: map[string]string{}}
+	end := artifactstore.End{Exit: *s.exit, Records: maps.Clone(s.nextNumber), Files: map[string]string{}}
 	for _, path := range s.files {
 		d, err := s.uploadFile(ctx, path)
-		var no *refusal
-		for try := 0; try < fileTries && errors.As(err, &no) && no.status == http.StatusNotFound; try++ {
+		var no *rejection
+		for try := 0; try < maxFileRetries && errors.As(err, &no) && no.status == http.StatusNotFound; try++ {
 			d, err = s.uploadFile(ctx, path) // the replica gave the upload up meanwhile, or another is asked now
 		}
-		if err != nil && !sealed(err) {
+		if err != nil && !isSealed(err) {
 			return false, err
 		}
 		end.Files[path] = d.String()
@@ -174,7 +176,7 @@
 func (s *spool) sendBatch(ctx context.Context, batch []unsentRecord) error {
 	var records []artifactstore.Record
 	for _, w := range batch {
-		b, err := s.log.Read(w.at)
+		b, err := s.log.Read(w.pos)
 		if err != nil {
 			return err
 		}
@@ -190,36 +192,36 @@
 	}
 	s.opt.Step("append")
 	a, err := s.call(ctx, fmt.Sprintf("/streams/%s?first=%d", batch[0].stream, batch[0].number), body)
-	if err != nil && !sealed(err) {
+	if err != nil && !isSealed(err) {
 		return err
 	}
 	if err == nil && a.Next != nil {
 		s.opt.Acked(batch[0].stream, *a.Next)
 	}
-	s.forget(batch)
+	s.removeSent(batch)
 	return nil
 }
 
-// forget drops records that the replica has.
-func (s *spool) forget(batch []unsentRecord) {
+// removeSent drops records that the replica has.
+func (s *spool) removeSent(batch []unsentRecord) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	sent := map[uint64]bool{}
 	for _, w := range batch {
 		sent[w.number] = true
-		s.bytes -= int64(w.size)
+		s.unsentBytes -= int64(w.size)
 	}
-	kept := s.waits[:0]
-	for _, w := range s.waits {
+	kept := s.unsent[:0]
+	for _, w := range s.unsent {
 		if w.stream != batch[0].stream || !sent[w.number] {
 			kept = append(kept, w)
 		}
 	}
-	s.waits = kept
+	s.unsent = kept
 }
 
-// pieceBytes is how much of a file goes in one request.
-const pieceBytes = 1 << 20
+// chunkBytes is how much of a file goes in one request.
+const chunkBytes = 1 << 20
 
 // uploadFile uploads one file in pieces and attaches it.
 func (s *spool) uploadFile(ctx context.Context, path string) (d blob.Digest, err error) {
@@ -244,13 +246,13 @@
 	if err != nil {
 		return d, err
 	}
-	buf := make([]byte, pieceBytes)
+	buf := make([]byte, chunkBytes)
 	for id := a.Upload; !a.Done; {
 		offset := int64(0)
 		if a.Offset != nil {
 			offset = *a.Offset
 		}
-		n, err := f.ReadAt(buf[:min(pieceBytes, size-offset)], offset)
+		n, err := f.ReadAt(buf[:min(chunkBytes, size-offset)], offset)
 		if err != nil && err != io.EOF {
 			return d, err
 		}
--- a/internal/wal/append.go
+++ b/internal/wal/append.go
@@ -10,10 +10,10 @@
 
 // batch is the records of one Append.
 type batch struct {
-	data []byte
-	offs []int64 // of each record within data
-	at   []Pos
-	done chan error
+	data      []byte
+	offsets   []int64 // of each record within data
+	positions []Pos
+	done      chan error
 }
 
 // Append writes records, all of them or, with an error, perhaps some. When it
@@ -32,7 +32,7 @@
 	}
 	b.data = make([]byte, 0, size)
 	for _, r := range records {
-		b.offs = append(b.offs, int64(len(b.data)))
+		b.offsets = append(b.offsets, int64(len(b.data)))
 		b.data = binary.LittleEndian.AppendUint32(b.data, uint32(len(r)))
 		b.data = binary.LittleEndian.AppendUint32(b.data, crc32.Checksum(r, checksumTable))
 		b.data = append(b.data, r...)
@@ -45,38 +45,38 @@
 	case l.broken != nil:
 		l.mu.Unlock()
 		return nil, l.broken
-	case l.bytes > 0 && l.bytes+len(b.data) > l.opt.MaxWaiting:
+	case l.pendingBytes > 0 && l.pendingBytes+len(b.data) > l.opt.MaxPendingBytes:
 		l.mu.Unlock()
 		return nil, ErrBusy
 	}
-	l.wait = append(l.wait, b)
-	l.bytes += len(b.data)
+	l.pending = append(l.pending, b)
+	l.pendingBytes += len(b.data)
 	l.mu.Unlock()
-	l.signal()
+	l.wakeWriter()
 	select {
 	case err := <-b.done:
-		return b.at, err
+		return b.positions, err
 	case <-ctx.Done():
 		return nil, ctx.Err()
 	}
 }
 
-func (l *Log) signal() {
+func (l *Log) wakeWriter() {
 	select {
-	case l.queue <- struct{}{}:
+	case l.wake <- struct{}{}:
 	default:
 	}
 }
 
 // writeLoop carries out what waits, all of it with one fsync, until the log is closed.
 func (l *Log) writeLoop() {
-	defer close(l.ended)
-	for range l.queue {
+	defer close(l.writerDone)
+	for range l.wake {
 		for {
 			l.mu.Lock()
-			group, closed := l.wait, l.closed
-			l.wait = nil
-			f, n, size := l.files[l.last], l.last, l.size
+			group, closed := l.pending, l.closed
+			l.pending = nil
+			f, n, size := l.files[l.last], l.last, l.lastSize
 			l.mu.Unlock()
 			if len(group) == 0 {
 				if closed {
@@ -92,8 +92,8 @@
 func (l *Log) writeGroup(group []*batch, f File, n uint32, size int64) {
 	var data []byte
 	for _, b := range group {
-		for _, off := range b.offs {
-			b.at = append(b.at, Pos{n, size + int64(len(data)) + off})
+		for _, off := range b.offsets {
+			b.positions = append(b.positions, Pos{n, size + int64(len(data)) + off})
 		}
 		data = append(data, b.data...)
 	}
@@ -106,9 +106,9 @@
 	l.mu.Lock()
 	if err == nil {
 		size += int64(len(data))
-		l.size = size
+		l.lastSize = size
 	}
-	l.bytes -= len(data)
+	l.pendingBytes -= len(data)
 	l.mu.Unlock()
 	if err == nil && size >= l.opt.SegmentBytes {
 		// A segment that can't be begun is tried again after the next append.
@@ -125,19 +125,19 @@
 	if _, err := f.WriteAt(data, size); err != nil {
 		// A full disk, say: what went out is taken back, and the log goes on.
 		if undo := f.Truncate(size); undo != nil {
-			_ = l.fail(undo)
+			_ = l.markBroken(undo)
 		}
 		return fmt.Errorf("wal: %w", err)
 	}
 	l.opt.Step("sync")
 	if err := f.Sync(); err != nil {
-		return l.fail(err) // what the system did with the pages is not known any more
+		return l.markBroken(err) // what the system did with the pages is not known any more
 	}
 	l.opt.Step("synced")
 	return nil
 }
 
-func (l *Log) fail(cause error) error {
+func (l *Log) markBroken(cause error) error {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.broken == nil {
@@ -161,6 +161,6 @@
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.files[n], l.last, l.size = f, n, 0
+	l.files[n], l.last, l.lastSize = f, n, 0
 	return nil
 }
--- a/internal/wal/read.go
+++ b/internal/wal/read.go
@@ -11,10 +11,10 @@
 
 var errTorn = errors.New("wal: torn record")
 
-// scan hands over the whole records of a file from an offset on and gives the
+// scanRecords hands over the whole records of a file from an offset on and gives the
 // offset behind the last of them.
-func scan(f io.ReaderAt, at int64, each func(off int64, rec []byte) error) (int64, error) {
-	r := &countingReader{r: io.NewSectionReader(f, at, 1<<62), buf: make([]byte, 0, 64<<10)}
+func scanRecords(f io.ReaderAt, at int64, each func(off int64, rec []byte) error) (int64, error) {
+	r := &recordReader{r: io.NewSectionReader(f, at, 1<<62), buf: make([]byte, 0, 64<<10)}
 	for {
 		head, err := r.next(headerBytes)
 		if err == io.EOF {
@@ -38,8 +38,8 @@
 	}
 }
 
-// countingReader reads ahead in large pieces.
-type countingReader struct {
+// recordReader reads ahead in large pieces.
+type recordReader struct {
 	r   io.Reader
 	buf []byte
 	pos int
@@ -47,7 +47,7 @@
 
 // next gives the next n bytes, valid until the next call; io.EOF only if there are
 // none at all.
-func (c *countingReader) next(n int) ([]byte, error) {
+func (c *recordReader) next(n int) ([]byte, error) {
 	if len(c.buf)-c.pos < n {
 		rest := append(make([]byte, 0, max(n, 64<<10)), c.buf[c.pos:]...)
 		m, err := io.ReadAtLeast(c.r, rest[len(rest):cap(rest)], n-len(rest))
@@ -99,7 +99,7 @@
 	if f == nil || segment >= last {
 		return fmt.Errorf("wal: no finished segment %d", segment)
 	}
-	end, err := scan(f, 0, func(off int64, rec []byte) error { return each(Pos{segment, off}, rec) })
+	end, err := scanRecords(f, 0, func(off int64, rec []byte) error { return each(Pos{segment, off}, rec) })
 	if errors.Is(err, errTorn) {
 		return fmt.Errorf("%w: segment %d at %d", ErrCorrupt, segment, end)
 	}
@@ -123,7 +123,7 @@
 		if n == end.Segment {
 			size = end.Offset
 		}
-		stop, err := scan(io.NewSectionReader(f, 0, size), at, func(off int64, rec []byte) error { return each(Pos{n, off}, rec) })
+		stop, err := scanRecords(io.NewSectionReader(f, 0, size), at, func(off int64, rec []byte) error { return each(Pos{n, off}, rec) })
 		if errors.Is(err, errTorn) {
 			err = fmt.Errorf("%w: segment %d at %d", ErrCorrupt, n, stop)
 		}
--- a/internal/wal/wal.go
+++ b/internal/wal/wal.go
@@ -56,8 +56,8 @@
 
 // Options are a log's choices; the zero value is usable.
 type Options struct {
-	SegmentBytes int64 // a segment that has grown so far is followed by the next; 64 MiB if 0
-	MaxWaiting   int   // bytes that may wait for the disk; 32 MiB if 0
+	SegmentBytes    int64 // a segment that has grown so far is followed by the next; 64 MiB if 0
+	MaxPendingBytes int   // bytes that may wait for the disk; 32 MiB if 0
 	// OpenFile opens a segment; OpenFile of this package if nil. Tests put failing
 	// disks here.
 	OpenFile func(path string) (File, error)
@@ -71,17 +71,17 @@
 	dir string
 	opt Options
 
-	queue  chan struct{} // signals the writer
-	ended  chan struct{}
-	mu     sync.Mutex
-	files  map[uint32]File
-	first  uint32
-	last   uint32
-	size   int64 // of the last segment
-	closed bool
-	broken error
-	wait   []*batch
-	bytes  int // waiting
+	wake         chan struct{} // signals the writer
+	writerDone   chan struct{}
+	mu           sync.Mutex
+	files        map[uint32]File
+	first        uint32
+	last         uint32
+	lastSize     int64 // of the last segment
+	closed       bool
+	broken       error
+	pending      []*batch
+	pendingBytes int // waiting
 }
 
 // Open opens the log in a directory, which it makes if need be, and hands every
@@ -101,15 +101,15 @@
 		numbers = []uint32{1}
 	}
 	l := &Log{
-		dir:   dir,
-		opt:   opt,
-		queue: make(chan struct{}, 1),
-		ended: make(chan struct{}),
-		files: map[uint32]File{},
-		first: numbers[0],
-		last:  numbers[len(numbers)-1],
-	}
-	if err := l.checkReaches(from); err != nil {
+		dir:        dir,
+		opt:        opt,
+		wake:       make(chan struct{}, 1),
+		writerDone: make(chan struct{}),
+		files:      map[uint32]File{},
+		first:      numbers[0],
+		last:       numbers[len(numbers)-1],
+	}
+	if err := l.checkPosition(from); err != nil {
 		return nil, err
 	}
 	for _, n := range numbers {
@@ -131,8 +131,8 @@
 	if o.SegmentBytes <= 0 {
 		o.SegmentBytes = 64 << 20
 	}
-	if o.MaxWaiting <= 0 {
-		o.MaxWaiting = 32 << 20
+	if o.MaxPendingBytes <= 0 {
+		o.MaxPendingBytes = 32 << 20
 	}
 	if o.OpenFile == nil {
 		o.OpenFile = OpenFile
@@ -142,8 +142,8 @@
 	}
 }
 
-// checkReaches is ErrBehind if the log ends before a position that its owner knows to be written.
-func (l *Log) checkReaches(from Pos) error {
+// checkPosition is ErrBehind if the log ends before a position that its owner knows to be written.
+func (l *Log) checkPosition(from Pos) error {
 	if from == (Pos{}) {
 		return nil
 	}
@@ -172,11 +172,11 @@
 	if n == from.Segment {
 		begin = from.Offset
 	}
-	end, err := scan(f, begin, func(off int64, rec []byte) error { return replay(Pos{n, off}, rec) })
+	end, err := scanRecords(f, begin, func(off int64, rec []byte) error { return replay(Pos{n, off}, rec) })
 	torn := errors.Is(err, errTorn)
 	switch {
 	case n == l.last && (err == nil || torn):
-		l.size = end
+		l.lastSize = end
 		return f.Truncate(end)
 	case torn:
 		return fmt.Errorf("%w: segment %d at %d", ErrCorrupt, n, end)
@@ -188,7 +188,7 @@
 func (l *Log) End() Pos {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return Pos{l.last, l.size}
+	return Pos{l.last, l.lastSize}
 }
 
 // Close ends the log after what waits was written.
@@ -200,8 +200,8 @@
 	}
 	l.closed = true
 	l.mu.Unlock()
-	l.signal()
-	<-l.ended
+	l.wakeWriter()
+	<-l.writerDone
 	l.closeFiles()
 	return nil
 }
--- a/internal/wal/wal_test.go
+++ b/internal/wal/wal_test.go
@@ -140,13 +140,13 @@
 	}
 }
 
-// faulty is a disk that fails at a step.
-type faulty struct {
+// faultyFile is a disk that fails at a step.
+type faultyFile struct {
 	*os.File
 	fail func(op string) (part float64, err error)
 }
 
-func (f *faulty) WriteAt(p []byte, off int64) (int, error) {
+func (f *faultyFile) WriteAt(p []byte, off int64) (int, error) {
 	if part, err := f.fail("write"); err != nil {
 		n, _ := f.File.WriteAt(p[:int(part*float64(len(p)))], off)
 		return n, err
@@ -154,7 +154,7 @@
 	return f.File.WriteAt(p, off)
 }
 
-func (f *faulty) Sync() error {
+func (f *faultyFile) Sync() error {
 	if _, err := f.fail("sync"); err != nil {
 		return err
 	}
@@ -169,7 +169,7 @@
 		dir, failing := t.TempDir(), false
 		opt := Options{OpenFile: func(path string) (File, error) {
 			f, err := os.OpenFile(path, os.O_RDWR|os.O_CREATE, 0o600)
-			return &faulty{f, func(o string) (float64, error) {
+			return &faultyFile{f, func(o string) (float64, error) {
 				if failing && o == op {
 					return 0.5, syscall.ENOSPC
 				}
@@ -255,7 +255,7 @@
 func TestBusyAndClosed(t *testing.T) {
 	hold := make(chan struct{})
 	var once sync.Once
-	l, _ := open(t, t.TempDir(), Options{MaxWaiting: 1000, Step: func(s string) {
+	l, _ := open(t, t.TempDir(), Options{MaxPendingBytes: 1000, Step: func(s string) {
 		if s == "write" {
 			once.Do(func() { <-hold })
 		}
@@ -292,7 +292,7 @@
 	f.Add([]byte{})
 	f.Add([]byte{3, 0, 0, 0, 1, 2, 3, 4, 'a', 'b', 'c'})
 	f.Fuzz(func(t *testing.T, data []byte) {
-		end, err := scan(bytes.NewReader(data), 0, func(_ int64, rec []byte) error {
+		end, err := scanRecords(bytes.NewReader(data), 0, func(_ int64, rec []byte) error {
 			if len(rec) == 0 {
 				t.Fatal("an empty record")
 			}
