--- a/internal/snapshot/restore.go
+++ b/internal/snapshot/restore.go
@@ -24,8 +24,8 @@
 
 // Errors of a restore that callers decide by.
 var (
-	ErrNoGeneration = errors.New("snapshot: the controllers have not begun a generation after a loss")
-	ErrNotLost      = errors.New("snapshot: the controllers miss nothing")
+	ErrNoEpoch = errors.New("snapshot: the controllers have not begun a generation after a loss")
+	ErrNotLost = errors.New("snapshot: the controllers miss nothing")
 )
 
 // Plan is what a restore would put back.
@@ -182,7 +182,7 @@
 	case err != nil:
 		return nil, err
 	case record == nil || now[epochKey(record)].Version == 0:
-		return nil, ErrNoGeneration
+		return nil, ErrNoEpoch
 	case !record.DataLost && !force:
 		return nil, ErrNotLost
 	}
@@ -312,7 +312,7 @@
 		_, err := r.client.Commit(ctx, u)
 		switch {
 		case errors.Is(err, kvstore.ErrUpdatesHeld), errors.Is(err, kvstore.ErrRevisionWentBack):
-			return fmt.Errorf("%w: the state service lost data again", ErrNoGeneration)
+			return fmt.Errorf("%w: the state service lost data again", ErrNoEpoch)
 		case err == nil || errors.Is(err, kvstore.ErrConflict):
 			return nil
 		case ctx.Err() != nil:
@@ -335,7 +335,7 @@
 			return false, err
 		}
 		if e == nil {
-			return false, ErrNoGeneration
+			return false, ErrNoEpoch
 		}
 		record, err := controlRecord(map[string]Entry{r.config.Control: entryOf(*e)}, r.config.Control)
 		if err != nil {
@@ -350,7 +350,7 @@
 			return false, err
 		}
 		if m == nil {
-			return false, ErrNoGeneration
+			return false, ErrNoEpoch
 		}
 		_, _, err = r.client.CommitControl(ctx, protocol.Txn{Conditions: []protocol.Condition{{Key: r.config.Control, Version: e.Version}, {Key: m.Key, Version: m.Version}},
 			Then: []protocol.Op{{Set: r.config.Control, Value: protocol.Encode(record)}}})
