--- a/internal/blob/blob_test.go
+++ b/internal/blob/blob_test.go
@@ -34,7 +34,7 @@
 
 func content(rng *rand.Rand, size int) []byte {
 	b := make([]byte, size)
-	if rng.IntN(2) == 0 { // packs well
+	if rng.IntN(2) == 0 { // compresses well
 		for i := range b {
 			b[i] = byte('a' + i/64%7)
 		}
@@ -47,8 +47,8 @@
 	return b
 }
 
-// TestStoreModel compares the store with a plain map while it is filled, collected,
-// scrubbed, closed and opened again, now and then without its index.
+// TestStoreModel compares the store with a map under random uploads, reads, references,
+// collections, scrubs and restarts, some of them without the index.
 func TestStoreModel(t *testing.T) {
 	type kept struct {
 		data    []byte
@@ -71,7 +71,7 @@
 			switch rng.IntN(14) {
 			case 0, 1, 2, 3, 4:
 				data := content(rng, rng.IntN(5000))
-				if len(all) > 0 && rng.IntN(4) == 0 { // one that was there before
+				if len(all) > 0 && rng.IntN(4) == 0 { // upload an existing blob again
 					if k := want[all[rng.IntN(len(all))]]; k != nil {
 						data = k.data
 					}
@@ -105,10 +105,10 @@
 					}
 				case k != nil:
 					if !errors.Is(err, ErrTenant) {
-						t.Fatalf("seed %d: another tenant's blob: %v", seed, err)
+						t.Fatalf("seed %d: read of another tenant's blob: %v", seed, err)
 					}
 				case !errors.Is(err, ErrNotFound):
-					t.Fatalf("seed %d: collected blob: %v", seed, err)
+					t.Fatalf("seed %d: read of a collected blob: %v", seed, err)
 				}
 			case 8:
 				name := fmt.Sprint("ref", rng.IntN(4))
@@ -147,12 +147,12 @@
 					}
 				}
 				if n, _, err := s.Collect(ctx, age); err != nil || n != gone {
-					t.Fatalf("seed %d step %d: collected %d, %d had to go: %v", seed, step, n, gone, err)
+					t.Fatalf("seed %d step %d: collected %d, want %d: %v", seed, step, n, gone, err)
 				}
 				collected += gone
 			case 11:
 				if f, err := s.Scrub(ctx, 1e12); err != nil || f.Bad != 0 || f.Blobs != len(want) {
-					t.Fatalf("seed %d: scrubbed %+v of %d: %v", seed, f, len(want), err)
+					t.Fatalf("seed %d: scrub found %+v, want %d blobs: %v", seed, f, len(want), err)
 				}
 			default:
 				if err := s.Close(); err != nil {
@@ -162,7 +162,7 @@
 					if err := os.Remove(filepath.Join(opt.Dir, "index")); err != nil {
 						t.Fatal(err)
 					}
-					for _, k := range want { // made again now
+					for _, k := range want { // a rebuilt index takes all blobs as used now
 						k.used = now
 					}
 				}
@@ -173,7 +173,7 @@
 				_ = s.checkpoint()
 				st := s.Stats()
 				if st.Blobs != len(want) {
-					t.Fatalf("seed %d step %d: %d blobs, plainly %d", seed, step, st.Blobs, len(want))
+					t.Fatalf("seed %d step %d: %d blobs, want %d", seed, step, st.Blobs, len(want))
 				}
 				for d, k := range want {
 					if e := s.lookup(d.key()); e == nil || len(e.tenants) != len(k.tenants) {
@@ -193,9 +193,9 @@
 	}
 }
 
-// TestKilled ends the process for good at each durable step. What was said to be
-// there is, whole; nothing else is visible but whole blobs; references that were
-// acknowledged hold.
+// TestKilled kills a process at each durable step and reopens its store. Acknowledged
+// blobs and references must be there, all visible blobs must be intact, and a collection
+// must keep the referenced ones.
 func TestKilled(t *testing.T) {
 	sizes := []int{100, 30000, 1500, 80000}
 	if spec := os.Getenv("BLOB_KILL"); spec != "" {
@@ -233,9 +233,9 @@
 		out, err := cmd.Output()
 		var ended *exec.ExitError
 		if !errors.As(err, &ended) || ended.Sys().(syscall.WaitStatus).Signal() != syscall.SIGKILL {
-			t.Fatalf("step %d: the process ended by itself: %v", at, err)
+			t.Fatalf("step %d: the process was not killed: %v", at, err)
 		}
-		if at%2 == 1 { // and the index is lost with it
+		if at%2 == 1 { // also lose the index
 			_ = os.Remove(filepath.Join(dir, "index"))
 		}
 		s := open(t, Options{Dir: dir, MaxInline: 2000, Now: func() time.Time { return time.Now().Add(48 * time.Hour) }})
@@ -250,7 +250,7 @@
 				t.Fatal(err)
 			}
 			if _, err := s.Get("red", d, 1<<20); err != nil {
-				t.Fatalf("step %d: acknowledged %s %s: %v", at, kind, d, err)
+				t.Fatalf("step %d: read of acknowledged %s %s: %v", at, kind, d, err)
 			}
 			if kind == "blob" {
 				acked++
@@ -262,21 +262,21 @@
 		}
 		f, err := s.Scrub(ctx, 1e12)
 		if err != nil || f.Bad != 0 || f.Blobs < acked || f.Blobs > acked+1 {
-			t.Fatalf("step %d: %d acknowledged, scrub %+v, %v", at, acked, f, err)
+			t.Fatalf("step %d: %d blobs acknowledged, scrub found %+v, %v", at, acked, f, err)
 		}
 		if _, _, err := s.Collect(ctx, 0); err != nil {
 			t.Fatal(err)
 		}
 		if st := s.Stats(); st.Blobs < refs {
-			t.Fatalf("step %d: %d references, %d blobs left", at, refs, st.Blobs)
+			t.Fatalf("step %d: %d references, %d blobs after a collection", at, refs, st.Blobs)
 		}
 		s.Close()
 	}
 }
 
-// TestUploads: pieces that are repeated or overlap have no second effect, a gap is
-// refused with what is wanted, an upload goes on after a restart, and nothing is
-// visible before it was verified.
+// TestUploads: repeated and overlapping writes must have no further effect, a gap must be
+// rejected, an upload must continue after a restart, and nothing may be visible before it
+// was verified.
 func TestUploads(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 3))
 	now := time.Unix(1e9, 0)
@@ -298,19 +298,19 @@
 		}
 	}
 	if err := u.Commit(ctx); !errors.Is(err, ErrOffset) || u.Offset() != 5000 {
-		t.Fatalf("committed half an upload: %v at %d", err, u.Offset())
+		t.Fatalf("commit of an incomplete upload: %v at %d", err, u.Offset())
 	}
 	if s.Has("red", d) {
-		t.Fatal("visible before it is whole")
+		t.Fatal("blob visible before its upload is complete")
 	}
 	s.Close()
 	s = open(t, opt)
 	if _, err := s.Resume("blue", u.ID()); !errors.Is(err, ErrUpload) {
-		t.Fatalf("another tenant goes on with an upload: %v", err)
+		t.Fatalf("upload resumed by another tenant: %v", err)
 	}
 	u, err = s.Resume("red", u.ID())
 	if err != nil || u.Offset() != 5000 {
-		t.Fatalf("after a restart: %v", err)
+		t.Fatalf("resume after a restart: %v", err)
 	}
 	if err := u.Write(4000, data[4000:]); err != nil {
 		t.Fatal(err)
@@ -324,11 +324,11 @@
 	if r, err := s.Open("red", d, 9990); err != nil {
 		t.Fatal(err)
 	} else if rest, _ := io.ReadAll(r); !bytes.Equal(rest, data[9990:]) {
-		t.Fatal("wrong rest")
+		t.Fatal("wrong content at an offset")
 	} else {
 		r.Close()
 	}
-	// Wrong content, too much of it, too many at a time, and one that is given up.
+	// Wrong content, too much content, too many uploads at a time, and abandoned ones.
 	bad := DigestOf(content(rng, 5000))
 	for range 2 {
 		u, _, err := s.Begin("red", bad)
@@ -336,16 +336,16 @@
 			t.Fatal(err)
 		}
 		if err := u.Write(0, make([]byte, 5001)); !errors.Is(err, ErrMismatch) {
-			t.Fatalf("more than announced: %v", err)
+			t.Fatalf("write beyond the size: %v", err)
 		}
 		if err := u.Write(0, make([]byte, 5000)); err != nil {
 			t.Fatal(err)
 		}
 		if err := u.Commit(ctx); !errors.Is(err, ErrMismatch) {
-			t.Fatalf("wrong content: %v", err)
+			t.Fatalf("commit of wrong content: %v", err)
 		}
 		if err := u.Commit(ctx); !errors.Is(err, ErrUpload) {
-			t.Fatalf("after that: %v", err)
+			t.Fatalf("commit of an ended upload: %v", err)
 		}
 	}
 	for range 3 {
@@ -354,20 +354,20 @@
 		}
 	}
 	if _, _, err := s.Begin("red", bad); !errors.Is(err, ErrBusy) {
-		t.Fatalf("a fourth upload: %v", err)
+		t.Fatalf("upload beyond MaxUploads: %v", err)
 	}
 	now = now.Add(2 * time.Hour)
 	s.dropAbandoned()
 	if st := s.Stats(); st.Uploads != 0 || s.reservedBytes[""] != 0 {
-		t.Fatalf("abandoned uploads stay: %+v, %d bytes held", st, s.reservedBytes[""])
+		t.Fatalf("after dropping abandoned uploads: %+v, %d bytes reserved", st, s.reservedBytes[""])
 	}
 	if left, err := os.ReadDir(filepath.Join(opt.Dir, "uploads")); err != nil || len(left) != 0 {
-		t.Fatalf("files left over: %v %v", left, err)
+		t.Fatalf("remaining upload files: %v %v", left, err)
 	}
 }
 
-// TestQuotas: what does not fit is refused with when to come back, by tenant and in
-// all; what must not fail has a reserve; collecting makes room again.
+// TestQuotas: uploads beyond the quota of a tenant or of the store must be refused with a
+// retry delay, UseReserve uploads may take the reserve, and a collection frees space.
 func TestQuotas(t *testing.T) {
 	rng := rand.New(rand.NewPCG(2, 3))
 	s := open(t, Options{Dir: t.TempDir(), Quota: 100000, Reserve: 20000, MaxInline: 1000,
@@ -391,30 +391,30 @@
 		t.Fatal(f)
 	}
 	if f := put("loud", 10000); f == nil || f.Tenant != "loud" || f.Free != 5000 || f.Retry <= 0 {
-		t.Fatalf("beyond a tenant's quota: %v", f)
+		t.Fatalf("upload beyond a tenant's quota: %v", f)
 	}
 	if f := put("quiet", 50000); f != nil {
-		t.Fatalf("a loud tenant fills the disk of others: %v", f)
+		t.Fatalf("upload of a tenant without a quota: %v", f)
 	}
 	if f := put("quiet", 10000); f == nil || f.Tenant != "" || f.Free != 5000 {
-		t.Fatalf("beyond the store's quota: %v", f)
+		t.Fatalf("upload beyond the store's quota: %v", f)
 	}
 	if f := put("quiet", 15000, UseReserve); f != nil {
-		t.Fatalf("the reserve: %v", f)
+		t.Fatalf("upload within the reserve: %v", f)
 	}
 	if f := put("quiet", 15000, UseReserve); f == nil {
-		t.Fatal("beyond the reserve")
+		t.Fatal("upload beyond the reserve accepted")
 	}
 	if n, _, err := s.Collect(ctx, -time.Hour); err != nil || n != 3 {
 		t.Fatal(n, err)
 	}
 	if f := put("loud", 25000); f != nil {
-		t.Fatalf("after collecting: %v", f)
+		t.Fatalf("upload after a collection: %v", f)
 	}
 }
 
-// TestTenants: who knows a digest has no right to the content; who shows the content
-// has, without a second copy.
+// TestTenants: knowing a digest must not give a tenant access to the content. Uploading the
+// content must, without storing it twice.
 func TestTenants(t *testing.T) {
 	s := open(t, Options{Dir: t.TempDir()})
 	for _, size := range []int{10, 100000} {
@@ -424,26 +424,26 @@
 			t.Fatal(err)
 		}
 		if _, err := s.Open("blue", d, 0); !errors.Is(err, ErrTenant) {
-			t.Fatalf("guessed digest: %v", err)
+			t.Fatalf("read by a tenant that knows only the digest: %v", err)
 		}
 		if m := s.Missing("blue", []Digest{d}); len(m) != 1 {
-			t.Fatal("a tenant learns what others have")
+			t.Fatal("Missing reveals blobs of other tenants")
 		}
 		if err := s.SetRef(ctx, "blue", "x", d); !errors.Is(err, ErrNotFound) {
-			t.Fatalf("a reference to another tenant's blob: %v", err)
+			t.Fatalf("reference to another tenant's blob: %v", err)
 		}
 		before := s.Stats().Bytes
 		if _, err := s.Put(ctx, "blue", data); err != nil {
 			t.Fatal(err)
 		}
 		if _, err := s.Get("blue", d, 1<<20); err != nil || s.Stats().Bytes != before {
-			t.Fatalf("%v, %d bytes and then %d", err, before, s.Stats().Bytes)
+			t.Fatalf("%v, %d bytes before the second upload, %d after", err, before, s.Stats().Bytes)
 		}
 	}
 }
 
-// TestCollectKeepsOpenBlobs: neither a reader nor an upload loses what it has open to a collection,
-// and a blob that is asked for is not collected before its age.
+// TestCollectKeepsOpenBlobs: a collection must not delete blobs with an open reader or
+// upload, nor blobs that Missing has just reported as present.
 func TestCollectKeepsOpenBlobs(t *testing.T) {
 	now := time.Unix(1e9, 0)
 	s := open(t, Options{Dir: t.TempDir(), MaxInline: 1000, Now: func() time.Time { return now }})
@@ -455,10 +455,10 @@
 		}
 		now = now.Add(time.Hour)
 		if m := s.Missing("red", []Digest{d}); len(m) != 0 {
-			t.Fatal("missing")
+			t.Fatal("blob reported as missing")
 		}
 		if n, _, err := s.Collect(ctx, 30*time.Minute); n != 0 || err != nil {
-			t.Fatalf("%d collected right after they were asked for, %v", n, err)
+			t.Fatalf("%d blobs collected right after Missing, %v", n, err)
 		}
 		now = now.Add(time.Hour)
 		r, err := s.Open("red", d, 0)
@@ -467,7 +467,7 @@
 		}
 		now = now.Add(time.Hour)
 		if n, _, err := s.Collect(ctx, 0); n != 0 || err != nil {
-			t.Fatalf("%d collected from under a reader, %v", n, err)
+			t.Fatalf("%d blobs collected with an open reader, %v", n, err)
 		}
 		if got, err := io.ReadAll(r); err != nil || !bytes.Equal(got, data) {
 			t.Fatal(err)
@@ -478,18 +478,18 @@
 			t.Fatal(err)
 		}
 		if n, _, err := s.Collect(ctx, 0); n != 0 || err != nil {
-			t.Fatalf("%d collected under an upload of the same, %v", n, err)
+			t.Fatalf("%d blobs collected with an open upload, %v", n, err)
 		}
 		u.Abort()
 		if n, _, err := s.Collect(ctx, 0); n != 1 || err != nil {
-			t.Fatalf("%d collected that nobody holds, %v", n, err)
+			t.Fatalf("%d unused blobs collected, want 1, %v", n, err)
 		}
 	}
 }
 
-// TestCorruption turns one bit of a blob on the disk, or cuts its file short, or removes it:
-// a scrub finds it, a replica repairs it, without one it counts as missing and can
-// be uploaded again. Its good neighbours stay as they are.
+// TestCorruption flips a bit in a blob's file, truncates it or removes it. A scrub must
+// detect that and repair the blob from a replica; without a replica, the blob must count
+// as missing and can be uploaded again. Other blobs must stay readable.
 func TestCorruption(t *testing.T) {
 	for _, how := range []string{"bit", "cut", "gone"} {
 		for _, replica := range []bool{true, false} {
@@ -531,14 +531,14 @@
 				good = data
 			}
 			if _, err := s.Get("red", d, 1<<20); !errors.Is(err, ErrCorrupt) {
-				t.Fatalf("%s: read %v", how, err)
+				t.Fatalf("%s: read of a corrupt blob: %v", how, err)
 			}
 			f, err := s.Scrub(ctx, 1e12)
 			if err != nil || f.Bad != 1 || (f.Repaired == 1) != replica || (len(f.Unrepaired) == 0) != replica {
-				t.Fatalf("%s, replica %v: %+v, %v", how, replica, f, err)
+				t.Fatalf("%s, replica %v: scrub found %+v, %v", how, replica, f, err)
 			}
 			if s.Has("red", d) != replica {
-				t.Fatalf("%s, replica %v: here: %v", how, replica, s.Has("red", d))
+				t.Fatalf("%s, replica %v: Has returned %v", how, replica, s.Has("red", d))
 			}
 			if _, err := s.Put(ctx, "red", data); err != nil {
 				t.Fatal(err)
@@ -546,17 +546,17 @@
 			s.Close()
 			s = open(t, opt)
 			if got, err := s.Get("red", d, 1<<20); err != nil || !bytes.Equal(got, data) {
-				t.Fatalf("%s, replica %v: after mending %v", how, replica, err)
+				t.Fatalf("%s, replica %v: read after the repair: %v", how, replica, err)
 			}
 			if _, err := s.Get("red", other, 100); err != nil {
-				t.Fatalf("%s: neighbour: %v", how, err)
+				t.Fatalf("%s: read of another blob: %v", how, err)
 			}
 		}
 	}
 }
 
-// TestFullDisk: the disk refuses a piece in the middle; the upload goes on once
-// there is room, and what went out before is not written twice.
+// TestFullDisk: a write that fails on a full disk must leave the upload at its offset, and
+// the upload must succeed once there is space.
 func TestFullDisk(t *testing.T) {
 	full := false
 	opt := Options{Dir: t.TempDir(), MaxInline: 100, OpenFile: func(p string) (File, error) {
@@ -601,7 +601,7 @@
 	return f.File.WriteAt(p, off)
 }
 
-// FuzzRecord: no record of the log, however bad, is taken for what it is not.
+// FuzzRecord: any record, entry or digest that decodes must stay the same when it is encoded and decoded again.
 func FuzzRecord(f *testing.F) {
 	r := &record{kind: recRef, digest: DigestOf([]byte("x")), tenant: "t", name: "n", keys: []string{DigestOf(nil).key()}, data: []byte("d")}
 	f.Add(r.encode())
@@ -625,9 +625,10 @@
 	})
 }
 
-// TestDecompressionBomb: content that unpacks to far more than its digest says, put under a blob's
-// file, is told of as rotten after little more than the blob's size was read; and what is
-// packed well takes the room that its sender named only until it is in.
+// TestDecompressionBomb replaces a blob's file by one that decompresses to far more than the
+// digest's size: reads and scrubs must report corruption after reading little more than that
+// size. It also checks that a stored blob is charged its compressed size, while its full size
+// must be free when the upload begins.
 func TestDecompressionBomb(t *testing.T) {
 	s := open(t, Options{Dir: t.TempDir(), MaxInline: 1000, Quota: 1 << 20})
 	d, err := s.Put(ctx, "red", bytes.Repeat([]byte("line of a log\n"), 10_000))
@@ -635,7 +636,7 @@
 		t.Fatal(err)
 	}
 	if used := s.Stats().Bytes; used > 20_000 {
-		t.Errorf("%d bytes taken", used)
+		t.Errorf("%d bytes used by a compressible blob", used)
 	}
 	var bomb bytes.Buffer
 	z, err := zstd.NewWriter(&bomb)
@@ -661,12 +662,12 @@
 	}
 	var full *FullError
 	if _, _, err := s.Begin("red", Digest{Size: 1 << 40}); !errors.As(err, &full) {
-		t.Errorf("a terabyte was let begin: %v", err)
+		t.Errorf("an upload of 1 TiB was not refused: %v", err)
 	}
 }
 
-// TestDropAbandonedWhileCommitting: uploads are committed while abandoned ones are looked for. The
-// two once waited for each other's locks, and a keeper stood still for good.
+// TestDropAbandonedWhileCommitting commits uploads while dropAbandoned runs. Taking the locks
+// of store and upload in different orders once deadlocked a keeper here.
 func TestDropAbandonedWhileCommitting(t *testing.T) {
 	s, err := Open(Options{Dir: t.TempDir(), MaxInline: 1})
 	if err != nil {
@@ -702,12 +703,12 @@
 	close(stop)
 	<-dropped
 	if n := len(s.uploads); n > 0 {
-		t.Errorf("%d uploads are left open", n)
+		t.Errorf("%d uploads are still open", n)
 	}
 }
 
-// BenchmarkPut sets the store beside a plain file each, synced and not; the store
-// verifies and indexes what it takes.
+// BenchmarkPut compares the store, which verifies and indexes blobs, with writing each blob
+// to a plain file, synced or not.
 func BenchmarkPut(b *testing.B) {
 	for _, size := range []int{1000, 1 << 20} {
 		rng := rand.New(rand.NewPCG(1, 1))
@@ -762,7 +763,7 @@
 	}
 }
 
-// BenchmarkOpen opens a store that was closed in order, by its number of blobs.
+// BenchmarkOpen opens cleanly closed stores of different sizes, with and without their index.
 func BenchmarkOpen(b *testing.B) {
 	for _, n := range []int{10_000, 1_000_000} {
 		dir := b.TempDir()
--- a/internal/blob/collect.go
+++ b/internal/blob/collect.go
@@ -18,9 +18,9 @@
 	"topazhollow/internal/wal"
 )
 
-// SetRef keeps blobs from being collected under a name, in place of what the name
-// stood for before. All of them must be there for the tenant. It is durable when it
-// returns.
+// SetRef sets a named reference to blobs, which protects them from collection. It
+// replaces an earlier reference of that name. The tenant must own all the blobs. The
+// reference is durable when SetRef returns.
 func (s *Store) SetRef(ctx context.Context, tenant, name string, ds ...Digest) error {
 	r := &record{kind: recRef, tenant: tenant, name: name}
 	s.mu.Lock()
@@ -30,7 +30,7 @@
 			s.unpinAll(r.keys)
 			return fmt.Errorf("%w: %s", ErrNotFound, d)
 		}
-		s.pins[d.key()]++ // until the reference counts
+		s.pins[d.key()]++ // until the reference is applied
 		r.keys = append(r.keys, d.key())
 	}
 	s.mu.Unlock()
@@ -44,7 +44,7 @@
 	}
 }
 
-// DropRef takes a reference back. One that is not there is no error.
+// DropRef removes a reference. It is no error if there is none.
 func (s *Store) DropRef(ctx context.Context, name string) error {
 	s.mu.Lock()
 	r := s.lookupRef(name)
@@ -55,7 +55,7 @@
 	return s.commit(ctx, &record{kind: recUnref, name: name})
 }
 
-// Ref gives what a name stands for.
+// Ref returns the tenant and the blobs of a reference.
 func (s *Store) Ref(name string) (tenant string, ds []Digest, ok bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -69,8 +69,8 @@
 	return r.tenant, ds, true
 }
 
-// Refs lists the names of references with a prefix, in order, after a name, at most
-// so many.
+// Refs returns up to most names of references with a prefix that sort after a given
+// name, in order.
 func (s *Store) Refs(prefix, after string, most int) ([]string, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -103,8 +103,9 @@
 	return names[:min(most, len(names))], nil
 }
 
-// forEachBlob walks over all blobs in order of their digests, in pieces, so that the store
-// stays usable meanwhile. Blobs that come or go during the walk may be missed.
+// forEachBlob calls f for all blobs in order of their digests. It reads the index in
+// pages, so that it does not block the store. Blobs that are added or deleted
+// meanwhile may be missed.
 func (s *Store) forEachBlob(ctx context.Context, from string, f func(key string, e *entry) error) error {
 	if err := s.checkpoint(); err != nil {
 		return err
@@ -139,9 +140,9 @@
 	return ctx.Err()
 }
 
-// Collect drops blobs that no reference holds and that were not used for an age.
-// What a reader or an upload has open stays. It also gives back the log's space that
-// dropped blobs took. It gives how many blobs and bytes went.
+// Collect deletes blobs that have no reference, no open reader or upload, and were
+// not used for the given age. It also compacts the log. It returns the number of
+// deleted blobs and their bytes.
 func (s *Store) Collect(ctx context.Context, age time.Duration) (blobs int, freed int64, err error) {
 	limit := s.opt.Now().Add(-age).Unix()
 	err = s.forEachBlob(ctx, "", func(key string, _ *entry) error {
@@ -158,7 +159,7 @@
 	return blobs, freed, err
 }
 
-// deleteIfUnused takes one blob out if nothing holds it.
+// deleteIfUnused deletes a blob that has no reference, reader or upload and was not used after limit.
 func (s *Store) deleteIfUnused(ctx context.Context, key string, limit int64) (ok bool, size int64, err error) {
 	s.mu.Lock()
 	e := s.lookup(key)
@@ -166,12 +167,12 @@
 		s.mu.Unlock()
 		return false, 0, nil
 	}
-	s.deleting[key] = true // nobody opens or takes it from now on
+	s.deleting[key] = true // from now on it can be neither opened nor stored
 	size, small := e.stored, e.inline
 	s.mu.Unlock()
 	err = s.commit(ctx, &record{kind: recDrop, digest: digestFromKey(key)})
 	if err == nil && !small {
-		// A file that stays behind is found by the next Sweep.
+		// A file that remains is removed by the next scrub.
 		_ = os.Remove(s.objectPath(digestFromKey(key)))
 	}
 	s.mu.Lock()
@@ -181,8 +182,8 @@
 	return err == nil, size, err
 }
 
-// compact moves what lives on in the log's first segments to its end while that
-// gives back at least half of them.
+// compact rewrites the live records of the log's oldest segments at its end, as long
+// as that frees at least half of a segment.
 func (s *Store) compact(ctx context.Context) error {
 	return s.log.Compact(ctx, func(at wal.Pos, b []byte) (func() error, error) {
 		r, err := decodeRecord(b)
@@ -191,12 +192,12 @@
 		}
 		r.data = slices.Clone(r.data)
 		return func() error { return s.rewrite(ctx, r, at) }, nil
-	}, s.checkpoint) // the index must know the new places before the old ones go
+	}, s.checkpoint) // the index must have the new positions before the old segment is removed
 }
 
-// isLive says whether a record is still needed to make the index again. A tenant's
-// record is moved with its blob's, and a drop's blob was in an earlier segment,
-// which is gone.
+// isLive reports whether a record is still needed to rebuild the index. A tenant's
+// record is rewritten along with its blob's record. A drop record is never needed, since
+// the record of its blob is removed before it or with it.
 func (s *Store) isLive(r *record, at wal.Pos) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -213,7 +214,7 @@
 	return false
 }
 
-// rewrite writes a record again at the end of the log, unless it died meanwhile.
+// rewrite appends a record again at the end of the log, unless it is no longer live.
 func (s *Store) rewrite(ctx context.Context, r *record, was wal.Pos) error {
 	if !s.isLive(r, was) {
 		return nil
@@ -233,17 +234,17 @@
 	return s.commit(ctx, rs...)
 }
 
-// ScrubResult is what a scrub found.
+// ScrubResult is the result of a scrub.
 type ScrubResult struct {
 	Blobs, Bad, Repaired int
 	Bytes                int64
-	Unrepaired           []Digest // went bad and could not be repaired, at most 1000
-	Orphans              int      // files that belong to no blob, removed
+	Unrepaired           []Digest // corrupt blobs that could not be repaired, at most 1000
+	Orphans              int      // removed files that belong to no blob
 }
 
-// Scrub reads every blob and compares it with its digest, at most so many bytes a
-// second. What went bad is repaired by Options.Repair; else it is put aside, counts
-// as missing and can be uploaded again. Files that belong to no blob are removed.
+// Scrub reads every blob at a limited rate and verifies its digest. A corrupt blob is
+// replaced by a copy from Options.Repair; if there is none, the blob counts as missing
+// and can be uploaded again. Files that belong to no blob are removed.
 func (s *Store) Scrub(ctx context.Context, bytesPerSecond float64) (ScrubResult, error) {
 	var found ScrubResult
 	limit := rate.NewLimiter(rate.Limit(bytesPerSecond), 1<<20)
@@ -283,7 +284,7 @@
 	return found, err
 }
 
-// verify reads a blob and says whether it is what it should be.
+// verify reads a blob and reports whether its content matches its digest.
 func (s *Store) verify(d Digest) bool {
 	r, err := s.open(d, 0, s.lookup)
 	if err != nil {
@@ -295,7 +296,7 @@
 	return err == nil && n == d.Size && sum.Is(d)
 }
 
-// repair puts a good copy in place of a bad one.
+// repair replaces a corrupt blob by a copy from Options.Repair.
 func (s *Store) repair(ctx context.Context, d Digest) bool {
 	key := d.key()
 	s.mu.Lock()
@@ -341,9 +342,9 @@
 	return false
 }
 
-// removeOrphans removes object files that the index does not know: a process that ended
-// between moving a file and writing its record leaves one, as does one that ended
-// before it removed a collected blob's.
+// removeOrphans removes object files without an entry in the index. A process leaves
+// one if it ends after it renamed the file and before it wrote the record, or before
+// it removed the file of a deleted blob.
 func (s *Store) removeOrphans(ctx context.Context) (strays int, err error) {
 	dirs, err := os.ReadDir(filepath.Join(s.opt.Dir, "objects"))
 	if err != nil {
@@ -361,7 +362,7 @@
 			path := filepath.Join(s.opt.Dir, "objects", dir.Name(), f.Name())
 			info, err := f.Info()
 			if err != nil || s.opt.Now().Sub(info.ModTime()) < time.Hour {
-				continue // perhaps on its way in
+				continue // may be of an upload that is being committed
 			}
 			d, derr := parseObjectName(f.Name())
 			s.mu.Lock()
--- a/internal/blob/digest.go
+++ b/internal/blob/digest.go
@@ -10,21 +10,21 @@
 	"strings"
 )
 
-// Digest names a blob: its sha256 and its size in bytes.
+// Digest identifies a blob by its sha256 and its size in bytes.
 type Digest struct {
 	Hash [sha256.Size]byte
 	Size int64
 }
 
-// DigestOf is the digest of data.
+// DigestOf returns the digest of data.
 func DigestOf(data []byte) Digest { return Digest{sha256.Sum256(data), int64(len(data))} }
 
-// String is the digest as hash/size, as Parse reads it.
+// String returns the digest as hash/size, the form that Parse reads.
 func (d Digest) String() string {
 	return hex.EncodeToString(d.Hash[:]) + "/" + strconv.FormatInt(d.Size, 10)
 }
 
-// Parse reads a digest written as hash/size: 64 lower-case hexadecimal digits and
+// Parse parses a digest written as hash/size: 64 lower-case hexadecimal digits and
 // a decimal number without sign or leading zeros.
 func Parse(s string) (Digest, error) {
 	hash, size, ok := strings.Cut(s, "/")
@@ -42,7 +42,7 @@
 
 const keySize = sha256.Size + 8
 
-// key is the digest as the index has it.
+// key returns the digest as a key of the index: the hash and the big-endian size.
 func (d Digest) key() string {
 	return string(binary.BigEndian.AppendUint64(d.Hash[:], uint64(d.Size)))
 }
@@ -54,7 +54,7 @@
 	return d
 }
 
-// parseObjectName reads a large blob's file name.
+// parseObjectName parses the name of a large blob's file.
 func parseObjectName(name string) (Digest, error) {
 	i := strings.IndexByte(name, '-')
 	if i < 0 {
@@ -66,11 +66,11 @@
 // Sum is a running sha256.
 type Sum struct{ hash.Hash }
 
-// NewSum is the sum of nothing yet.
+// NewSum returns an empty Sum.
 func NewSum() Sum { return Sum{sha256.New()} }
 
-// Digest is what was written, so many bytes, as a digest.
+// Digest returns the digest of the size bytes written so far.
 func (s Sum) Digest(size int64) Digest { return Digest{[sha256.Size]byte(s.Sum(nil)), size} }
 
-// Is says whether what was written has the hash of a digest.
+// Is reports whether the hash of the bytes written so far is that of a digest.
 func (s Sum) Is(d Digest) bool { return [sha256.Size]byte(s.Sum(nil)) == d.Hash }
--- a/internal/blob/golden_test.go
+++ b/internal/blob/golden_test.go
@@ -7,10 +7,10 @@
 	"topazhollow/internal/wal"
 )
 
-// The golden files of the store's records in its log and of its index. Both outlive the process that wrote them, so the forms may
-// only grow.
+// These tests compare the records of the log and the entries of the index with their golden files. Both outlive the
+// process that wrote them, so the formats may only be extended.
 
-// digestFile is a blob's name in manifests and on disks.
+// digestFile is the golden file of a digest as it is written in manifests.
 const digestFile = "digest.txt"
 
 func TestGoldenDigest(t *testing.T) {
@@ -20,7 +20,7 @@
 		t.Errorf("parsed %v, error %v, want %v", got, err, d)
 	}
 	if got := digestFromKey(d.key()); got != d {
-		t.Errorf("digest %v by its key, want %v", got, d)
+		t.Errorf("digest %v from its key, want %v", got, d)
 	}
 	s := &Store{opt: Options{Dir: "/store"}}
 	goldentest.Bytes(t, "paths.txt", []byte("large blob: "+s.objectPath(d)+"\nindex: "+s.indexPath()+"\n"))
--- a/internal/blob/index.go
+++ b/internal/blob/index.go
@@ -19,8 +19,8 @@
 	"topazhollow/internal/wal"
 )
 
-// indexLockTimeout is how long a store waits for the lock of its index. The kernel lets go of a killed process's files some time after
-// the process has ended, more than a second on a busy machine, and the next one may be started at once.
+// indexLockTimeout is how long a store waits for the lock of its index. The kernel may release the lock of a killed
+// process more than a second after it has ended on a busy machine, and its successor may start at once.
 const indexLockTimeout = 15 * time.Second
 
 var errIndexAhead = errors.New("blob: index is ahead of the log")
@@ -58,7 +58,7 @@
 	if errors.Is(err, bolterrors.ErrTimeout) {
 		return fmt.Errorf("blob: another process has %s open: %w", s.opt.Dir, err)
 	}
-	if err != nil { // unreadable: the log has it all
+	if err != nil { // unreadable: rebuild it from the log
 		if rerr := os.Rename(s.indexPath(), s.indexPath()+".bad"); rerr != nil && !errors.Is(rerr, fs.ErrNotExist) {
 			return fmt.Errorf("blob: %w", rerr)
 		}
@@ -80,7 +80,7 @@
 	return s.openIndex()
 }
 
-// runMaintenance brings the index up to date now and then, and drops abandoned uploads.
+// runMaintenance periodically writes the index and drops abandoned uploads.
 func (s *Store) runMaintenance(ctx context.Context) {
 	defer close(s.done)
 	t := time.NewTicker(checkpointEvery)
@@ -90,18 +90,17 @@
 		case <-ctx.Done():
 			return
 		case <-t.C:
-			// If the index can't be written, the log has it all, and the next start
-			// reads more of it.
+			// A failure loses no data: the next start replays more of the log.
 			_ = s.checkpoint()
 			s.dropAbandoned()
 		}
 	}
 }
 
-// checkpoint writes what changed to the index.
+// checkpoint writes the changes since the last checkpoint to the index.
 func (s *Store) checkpoint() error {
 	s.commitLock.Lock()
-	end := s.log.End() // everything before it is applied
+	end := s.log.End() // all records before it are applied
 	s.commitLock.Unlock()
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -109,8 +108,8 @@
 	return s.writeIndex(end)
 }
 
-// writeIndex is checkpoint with s.mu held: the index then holds all records before
-// a position.
+// writeIndex writes the changes to the index together with upTo, the position before
+// which all records are included. s.mu is held.
 func (s *Store) writeIndex(upTo wal.Pos) error {
 	err := s.db.Update(func(tx *bolt.Tx) error {
 		put := func(b *bolt.Bucket, key string, value []byte) error {
--- a/internal/blob/read.go
+++ b/internal/blob/read.go
@@ -12,8 +12,8 @@
 	"github.com/klauspost/compress/zstd"
 )
 
-// Reader reads a blob from its beginning on. It must be closed; until then the blob
-// is not collected.
+// Reader reads the content of a blob. The blob is not collected until the reader is
+// closed.
 type Reader struct {
 	io.Reader
 	d     Digest
@@ -21,17 +21,17 @@
 	once  sync.Once
 }
 
-// Digest is what is read.
+// Digest returns the digest of the blob being read.
 func (r *Reader) Digest() Digest { return r.d }
 
-// Close lets the blob go.
+// Close releases the blob.
 func (r *Reader) Close() error {
 	r.once.Do(r.close)
 	return nil
 }
 
-// Open reads a blob that a tenant has, from an offset on. What is read is not
-// verified as a whole; see Scrub.
+// Open opens a blob that a tenant owns, starting at an offset. The content is not
+// verified against the digest; Get and Scrub do that.
 func (s *Store) Open(tenant string, d Digest, offset int64) (*Reader, error) {
 	if offset < 0 || offset > d.Size {
 		return nil, fmt.Errorf("%w: offset %d of %d", ErrNotFound, offset, d.Size)
@@ -39,7 +39,7 @@
 	return s.open(d, offset, func(key string) *entry { return s.touch(tenant, key) })
 }
 
-// OpenAny is Open for whoever may read all tenants' blobs.
+// OpenAny is Open without the check of the tenant, for callers that may read all blobs.
 func (s *Store) OpenAny(d Digest, offset int64) (*Reader, error) {
 	if offset < 0 || offset > d.Size {
 		return nil, fmt.Errorf("%w: offset %d of %d", ErrNotFound, offset, d.Size)
@@ -54,7 +54,7 @@
 
 func (s *Store) open(d Digest, offset int64, find func(key string) *entry) (*Reader, error) {
 	key := d.key()
-	for range 3 { // a small blob may move on in the log meanwhile
+	for range 3 { // compaction may move a small blob in the log meanwhile
 		s.mu.Lock()
 		e := find(key)
 		if e == nil {
@@ -94,7 +94,7 @@
 	}
 }
 
-// openContent opens what lies on the disk.
+// openContent opens the stored content of a blob, decompressed.
 func (s *Store) openContent(d Digest, e *entry) (io.ReadCloser, error) {
 	var raw io.ReadCloser
 	if e.inline {
@@ -125,7 +125,7 @@
 	return &zstdReader{z, raw}, nil
 }
 
-// zstdReader is a decompressed file.
+// zstdReader decompresses a file and closes it.
 type zstdReader struct {
 	*zstd.Decoder
 	raw io.Closer
@@ -136,10 +136,10 @@
 	return u.raw.Close()
 }
 
-// Get reads a whole blob of at most max bytes.
+// Get reads a whole blob of at most max bytes and verifies its digest.
 func (s *Store) Get(tenant string, d Digest, max int64) ([]byte, error) {
 	if d.Size > max {
-		return nil, fmt.Errorf("%w: %s is longer than %d bytes", ErrNotFound, d, max)
+		return nil, fmt.Errorf("%w: %s exceeds %d bytes", ErrNotFound, d, max)
 	}
 	r, err := s.Open(tenant, d, 0)
 	if err != nil {
--- a/internal/blob/record.go
+++ b/internal/blob/record.go
@@ -7,18 +7,18 @@
 	"topazhollow/internal/wal"
 )
 
-// Kinds of records in the log. Everything that the index holds can be made again
-// from them and the files of large blobs.
+// Kinds of records in the log. The index can be rebuilt from them and the files of
+// large blobs.
 const (
 	recInline = 'S' // a small blob with its content
-	recFile   = 'F' // a large blob, whose file was durable before
-	recTenant = 'T' // another tenant proved that it has a blob
-	recDrop   = 'D' // a blob was collected
+	recFile   = 'F' // a large blob, whose file is durable before the record
+	recTenant = 'T' // another tenant uploaded the content of an existing blob
+	recDrop   = 'D' // a blob was deleted
 	recRef    = 'R' // a reference, replacing one of the same name
-	recUnref  = 'U' // a reference was taken back
+	recUnref  = 'U' // a reference was dropped
 )
 
-// How a blob's content is stored.
+// Codecs of stored content.
 const (
 	codecNone = 0
 	codecZstd = 1
@@ -30,7 +30,7 @@
 	codec  byte
 	digest Digest
 	stored int64    // bytes on disk
-	tenant string   // or the tenant of a reference
+	tenant string   // owner of the blob or of the reference
 	name   string   // of a reference
 	keys   []string // of a reference
 	data   []byte
@@ -56,7 +56,7 @@
 	return append(b, r.data...)
 }
 
-// decoder reads what encode wrote; bad is set once something does not fit.
+// decoder reads fields that encode wrote; failed is set at the first malformed field.
 type decoder struct {
 	b      []byte
 	failed bool
@@ -102,13 +102,13 @@
 	return r, nil
 }
 
-// entry is what the index holds of a blob.
+// entry is a blob's entry in the index.
 type entry struct {
 	codec    byte
-	corrupt  bool // its content went bad and could not be repaired yet
-	inline   bool // its content is in the log
+	corrupt  bool // the content on disk is damaged and not repaired yet
+	inline   bool // the content is stored in the log
 	stored   int64
-	lastUsed int64 // last use, seconds of the epoch; roughly
+	lastUsed int64 // Unix time in seconds, at a resolution of a minute
 	pos      wal.Pos
 	refs     uint32
 	tenants  []string
--- a/internal/blob/store.go
+++ b/internal/blob/store.go
@@ -1,8 +1,8 @@
-// Package blob keeps content under its sha256 on a local disk: for logs, artefacts
-// and build actions alike. Small blobs lie in a log (package wal), large ones in
-// files of their own; whatever a caller was told to be there is durable before.
-// Everything that the index holds can be made again from the log, so that an index
-// that is lost costs time only.
+// Package blob is a content-addressed store on a local disk, used for logs,
+// artefacts and build actions. Small blobs are stored in a write-ahead log (package
+// wal), large ones in files of their own. A blob is durable before its upload is
+// acknowledged. The index can be rebuilt from the log, so losing it costs only the
+// time to read the log again.
 package blob
 
 import (
@@ -24,20 +24,20 @@
 	"topazhollow/internal/wal"
 )
 
-// Errors that callers decide by.
+// Errors that callers test for.
 var (
 	ErrDigest   = errors.New("blob: malformed digest")
-	ErrNotFound = errors.New("blob: not here")
-	ErrCorrupt  = errors.New("blob: went bad on the disk")
-	ErrMismatch = errors.New("blob: content does not have that digest")
-	ErrOffset   = errors.New("blob: upload goes on at another offset")
+	ErrNotFound = errors.New("blob: not found")
+	ErrCorrupt  = errors.New("blob: content is corrupt on disk")
+	ErrMismatch = errors.New("blob: content does not match its digest")
+	ErrOffset   = errors.New("blob: wrong upload offset")
 	ErrUpload   = errors.New("blob: no such upload")
-	ErrTenant   = errors.New("blob: this tenant does not have it")
-	ErrBusy     = errors.New("blob: too many uploads")
+	ErrTenant   = errors.New("blob: tenant does not own the blob")
+	ErrBusy     = errors.New("blob: too many open uploads")
 )
 
-// FullError says that a quota leaves no room; try again once something was
-// collected.
+// FullError reports that a write exceeds a quota. The caller may retry after Retry,
+// when a collection may have freed space.
 type FullError struct {
 	Tenant     string // "" for the store as a whole
 	Want, Free int64
@@ -49,29 +49,29 @@
 	if e.Tenant != "" {
 		whose = "tenant " + e.Tenant
 	}
-	return fmt.Sprintf("blob: %s has room for %d bytes, not for %d; try again in %s", whose, e.Free, e.Want, e.Retry)
+	return fmt.Sprintf("blob: %s has %d bytes free, %d needed; retry in %s", whose, e.Free, e.Want, e.Retry)
 }
 
-// Options are a store's choices.
+// Options configures a store.
 type Options struct {
 	Dir           string
-	MaxInline     int64                      // blobs up to so many bytes lie in the log; 16 KiB if 0
-	Quota         int64                      // bytes on disk in all; 0: no bound
-	Reserve       int64                      // of these, kept for what must not fail (see Urgent)
-	TenantQuota   func(tenant string) int64  // a tenant's bytes; nil or 0: no bound of its own
-	MaxUploads    int                        // open at a time; 1024 if 0
-	UploadTimeout time.Duration              // uploads that nobody touched for so long are dropped; 1 h if 0
-	Now           func() time.Time           // for ages; time.Now if nil
-	Step          func(step string)          // told of each durable step, for tests
+	MaxInline     int64                      // largest blob that is stored in the log, in bytes; 16 KiB if 0
+	Quota         int64                      // bytes on disk; 0: unlimited
+	Reserve       int64                      // bytes of Quota that only UseReserve uploads may take
+	TenantQuota   func(tenant string) int64  // quota of a tenant in bytes; nil or 0: unlimited
+	MaxUploads    int                        // uploads open at a time; 1024 if 0
+	UploadTimeout time.Duration              // idle uploads are dropped after this time; 1 h if 0
+	Now           func() time.Time           // clock for ages of blobs and uploads; time.Now if nil
+	Step          func(step string)          // called at each durable step, for tests
 	OpenFile      func(string) (File, error) // opens upload files, for tests
-	// Repair gives a good copy of a blob that went bad here, as from a replica.
+	// Repair reads an intact copy of a corrupt blob, for example from a replica.
 	Repair func(ctx context.Context, d Digest) (io.ReadCloser, error)
 }
 
-// File is an open upload file, as the log's files are.
+// File is an open upload file.
 type File = wal.File
 
-// Store is an open store. Its methods may be called at the same time.
+// Store is an open store. It is safe for concurrent use.
 type Store struct {
 	opt  Options
 	log  *wal.Log
@@ -79,21 +79,21 @@
 	stop context.CancelFunc
 	done chan struct{}
 
-	commitLock    sync.RWMutex // held for reading from before a record is written until it is applied
+	commitLock    sync.RWMutex // read-locked while a record is written and applied
 	mu            sync.Mutex
 	deleted       sync.Cond
-	dirtyBlobs    map[string]*entry // changed since the last checkpoint; nil: gone
-	dirtyRefs     map[string]*ref   // the same for references
-	usedBytes     map[string]int64  // bytes on disk by tenant, "" for all
-	reservedBytes map[string]int64  // the same, promised to uploads
-	pins          map[string]int    // readers and uploads of a blob
+	dirtyBlobs    map[string]*entry // blobs changed since the last checkpoint; nil: deleted
+	dirtyRefs     map[string]*ref   // references changed since the last checkpoint; nil: deleted
+	usedBytes     map[string]int64  // bytes on disk by tenant; "" is the total
+	reservedBytes map[string]int64  // bytes reserved for uploads, keyed in the same way
+	pins          map[string]int    // number of readers and uploads of a blob, which must not be deleted
 	deleting      map[string]bool
 	uploads       map[string]*Upload
-	applied       wal.Pos // behind the last record that fresh has
+	applied       wal.Pos // end of the records that dirtyBlobs and dirtyRefs include
 	closed        bool
 }
 
-// ref is a named reference to blobs.
+// ref is a named reference to blobs, which protects them from collection.
 type ref struct {
 	tenant string
 	keys   []string
@@ -108,16 +108,15 @@
 	keyPos      = []byte("applied")
 )
 
-// checkpointEvery is how often the index is brought up to date on disk, and
-// checkpointAt how many changes make it sooner. Both bound what a start reads of
-// the log again.
+// The index is written to disk every checkpointEvery, and during replay after every
+// checkpointAt records. This limits how much of the log the next start replays.
 const (
 	checkpointEvery = 2 * time.Second
 	checkpointAt    = 8192
 )
 
-// Open opens the store in a directory, which it makes if need be. An index that is
-// missing or can't be read is made again from the log.
+// Open opens the store in a directory, which it creates if needed. An index that is
+// missing or unreadable is rebuilt from the log.
 func Open(opt Options) (*Store, error) {
 	if opt.MaxInline <= 0 {
 		opt.MaxInline = 16 << 10
@@ -152,8 +151,8 @@
 	}
 	err := s.openLog()
 	if errors.Is(err, errIndexAhead) {
-		// The log does not reach as far as the index: it was put back from a copy, say.
-		// The log is the truth.
+		// The log ends before the index does, for example after it was restored from
+		// a backup. The log is authoritative.
 		if err = s.resetIndex(); err == nil {
 			err = s.openLog()
 		}
@@ -182,7 +181,7 @@
 		}
 		s.apply(r, at)
 		if replayed++; replayed%checkpointAt == 0 {
-			return s.writeIndex(at) // this record is then read again, which changes nothing
+			return s.writeIndex(at) // replayed again at the next start, which has no effect
 		}
 		return nil
 	})
@@ -197,13 +196,13 @@
 	return s.checkpoint()
 }
 
-// lookup gives what is known of a blob; nil if it is not here. s.mu is held.
+// lookup returns the entry of a blob, or nil if there is none. s.mu is held.
 func (s *Store) lookup(key string) *entry {
 	if e, ok := s.dirtyBlobs[key]; ok {
 		return e
 	}
 	var e *entry
-	// A read of the index fails only if its file is unreadable.
+	// Reading the index fails only if its file is unreadable.
 	_ = s.db.View(func(tx *bolt.Tx) (err error) {
 		if b := tx.Bucket(bucketBlobs).Get([]byte(key)); b != nil {
 			e, err = decodeEntry(b)
@@ -213,7 +212,7 @@
 	return e
 }
 
-// lookupForUpdate gives the entry of a blob to be changed, nil if it is not here. s.mu is held.
+// lookupForUpdate returns the entry of a blob for modification, or nil if there is none. s.mu is held.
 func (s *Store) lookupForUpdate(key string) *entry {
 	e := s.lookup(key)
 	if e == nil {
@@ -259,9 +258,9 @@
 	return r
 }
 
-// apply carries a record of the log over to the index. s.mu is held, or the store
-// is being opened. It must give the same for the same records however often it is
-// done from a position on.
+// apply applies a log record to the index. s.mu is held, or the store is being
+// opened. Applying is idempotent: replaying the records from a position again yields
+// the same index.
 func (s *Store) apply(r *record, at wal.Pos) {
 	key := r.digest.key()
 	switch r.kind {
@@ -271,7 +270,7 @@
 			e = &entry{codec: r.codec, inline: r.kind == recInline, stored: r.stored, lastUsed: s.opt.Now().Unix()}
 			s.dirtyBlobs[key] = e
 			s.usedBytes[""] += r.stored
-		} else if e.corrupt || e.pos != at { // repaired, or moved on in the log
+		} else if e.corrupt || e.pos != at { // repaired, or rewritten later in the log
 			s.adjustUsage(e, r.stored-e.stored)
 			e.codec, e.inline, e.stored, e.corrupt = r.codec, r.kind == recInline, r.stored, false
 		}
@@ -301,7 +300,7 @@
 	}
 }
 
-// adjustUsage adds to what a blob takes of all quotas that it is counted in.
+// adjustUsage adds bytes to the usage of the store and of every tenant that owns the blob.
 func (s *Store) adjustUsage(e *entry, bytes int64) {
 	s.usedBytes[""] += bytes
 	for _, t := range e.tenants {
@@ -324,14 +323,14 @@
 	}
 }
 
-// commit writes records to the log and carries them over to the index.
+// commit appends records to the log and applies them to the index.
 func (s *Store) commit(ctx context.Context, rs ...*record) error {
 	var data [][]byte
 	for _, r := range rs {
 		data = append(data, r.encode())
 	}
-	// What was begun is seen through: a caller that gives up must not leave it open
-	// whether the records are there.
+	// The context's cancellation is ignored: a cancelled append could still be written
+	// to the log without being applied to the index.
 	s.commitLock.RLock()
 	defer s.commitLock.RUnlock()
 	at, err := s.log.Append(context.WithoutCancel(ctx), data...)
@@ -346,8 +345,7 @@
 	return nil
 }
 
-// Close brings the index up to date and ends the store. Open readers may be read
-// to their end.
+// Close writes the index and closes the store. Open readers stay usable.
 func (s *Store) Close() error {
 	s.mu.Lock()
 	if s.closed {
@@ -364,21 +362,21 @@
 	return errors.Join(s.log.Close(), s.checkpoint(), s.db.Close())
 }
 
-// objectPath is the file of a large blob.
+// objectPath is the path of a large blob's file.
 func (s *Store) objectPath(d Digest) string {
 	hash, size, _ := strings.Cut(d.String(), "/")
 	return filepath.Join(s.opt.Dir, "objects", hash[:2], hash+"-"+size)
 }
 
-// Has says whether a tenant has a blob here, and counts it as used now.
+// Has reports whether a tenant owns a blob, and marks the blob as used now.
 func (s *Store) Has(tenant string, d Digest) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.touch(tenant, d.key()) != nil
 }
 
-// Missing lists those of some blobs that a tenant does not have here. The others
-// count as used now, so that they are not collected before they have an age again.
+// Missing returns those of the given blobs that a tenant does not own. The others are
+// marked as used now, so that they are not collected before they reach the age again.
 func (s *Store) Missing(tenant string, ds []Digest) (missing []Digest) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -401,15 +399,15 @@
 	return e
 }
 
-// Stats is what a store holds.
+// Stats describes the contents of a store.
 type Stats struct {
 	Blobs   int
-	Bytes   int64            // on disk, by the quotas' count
-	Tenants map[string]int64 // the same by tenant; what several have counts for each
+	Bytes   int64            // on disk, as counted for quotas
+	Tenants map[string]int64 // by tenant; a blob counts for each tenant that owns it
 	Uploads int
 }
 
-// Stats counts what is here. Blobs are those of the last checkpoint.
+// Stats returns the current usage. The number of blobs is that of the last checkpoint.
 func (s *Store) Stats() Stats {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/blob/upload.go
+++ b/internal/blob/upload.go
@@ -20,8 +20,8 @@
 	"topazhollow/internal/wal"
 )
 
-// Upload is a blob on its way in. What was written is kept across a restart of the
-// store, but is durable, and seen by anybody, only once Commit returned.
+// Upload is an upload in progress. Written bytes survive a restart of the store, but
+// the blob is durable and visible only after Commit has returned.
 type Upload struct {
 	store  *Store
 	id     string
@@ -31,41 +31,41 @@
 	file   File
 
 	mu       sync.Mutex
-	sum      Sum // of the first bytes; the zero Sum: to be read again
+	sum      Sum // of the written bytes; zero after a restart, when the file must be read
 	written  int64
 	lastUsed time.Time
 	ended    bool
 }
 
-// quotaRetryDelay is when to come back to a store without room.
+// quotaRetryDelay is the retry delay that a FullError suggests.
 const quotaRetryDelay = 10 * time.Second
 
 // UploadOption is an option of an upload.
 type UploadOption int
 
-// UseReserve uploads may use the reserve: what must not fail once it was begun, as the
-// seal of an attempt.
+// UseReserve lets an upload use Options.Reserve and exceed the tenant's quota. It is
+// for data that must not be refused, such as the seal of an attempt.
 const UseReserve UploadOption = 1
 
-// Begin starts an upload for a tenant. Room for it is kept until it ends. done says
-// that the tenant has the blob already. Another tenant's blob does not count: who
-// has no content to show gets none.
-func (s *Store) Begin(tenant string, d Digest, choices ...UploadOption) (u *Upload, done bool, err error) {
+// Begin starts an upload for a tenant and reserves space for it until it ends. done
+// reports that the tenant owns the blob already. If only other tenants own it, the
+// content must be uploaded again, as proof that this tenant has it.
+func (s *Store) Begin(tenant string, d Digest, options ...UploadOption) (u *Upload, done bool, err error) {
 	var id [16]byte
 	_, _ = rand.Read(id[:]) // never fails
-	return s.BeginWithID(id, tenant, d, choices...)
+	return s.BeginWithID(id, tenant, d, options...)
 }
 
-// BeginWithID is Begin under an id of the caller's choice, so that it can find the upload
-// again after a restart. One that is under way under that id is gone on with.
-func (s *Store) BeginWithID(id [16]byte, tenant string, d Digest, choices ...UploadOption) (u *Upload, done bool, err error) {
+// BeginWithID is Begin with an id chosen by the caller, which can so find the upload after a
+// restart. An open upload of the same blob with that id is continued.
+func (s *Store) BeginWithID(id [16]byte, tenant string, d Digest, options ...UploadOption) (u *Upload, done bool, err error) {
 	if s.Has(tenant, d) {
 		return nil, true, nil
 	}
 	if u, err := s.Resume(tenant, hex.EncodeToString(id[:])); err == nil && u.digest == d {
 		return u, false, nil
 	}
-	urgent := len(choices) > 0
+	urgent := len(options) > 0
 	u = &Upload{store: s, id: hex.EncodeToString(id[:]), tenant: tenant, digest: d, urgent: urgent, sum: NewSum(), lastUsed: s.opt.Now()}
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -85,7 +85,7 @@
 	return u, false, nil
 }
 
-// reserveSpace keeps room for so many bytes. s.mu is held.
+// reserveSpace reserves bytes within the quotas. s.mu is held.
 func (s *Store) reserveSpace(tenant string, bytes int64, urgent bool) error {
 	free := int64(1) << 62
 	if s.opt.Quota > 0 {
@@ -107,15 +107,15 @@
 	return nil
 }
 
-// ReserveSpace keeps room for bytes that are written elsewhere on the same disk, as to the log
-// of what is not sealed yet; Release gives it back. It is a FullError if there is none.
+// ReserveSpace reserves bytes that are written elsewhere on the same disk, such as to the
+// log of unsealed attempts, until ReleaseSpace. It returns a FullError beyond a quota.
 func (s *Store) ReserveSpace(tenant string, bytes int64) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.reserveSpace(tenant, bytes, false)
 }
 
-// AccountSpace is Hold for what is on the disk already: it can't be refused.
+// AccountSpace is ReserveSpace for bytes that are on the disk already: it never fails.
 func (s *Store) AccountSpace(tenant string, bytes int64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -123,7 +123,7 @@
 	s.reservedBytes[tenant] += bytes
 }
 
-// ReleaseSpace gives back what Hold or Held kept.
+// ReleaseSpace releases bytes that ReserveSpace or AccountSpace reserved.
 func (s *Store) ReleaseSpace(tenant string, bytes int64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -137,13 +137,13 @@
 	}
 }
 
-// uploadPath names an upload's file by all that a restart must know of it.
+// uploadPath returns the path of an upload's file. Its name holds all that a restart needs.
 func (s *Store) uploadPath(u *Upload) string {
 	hash := hex.EncodeToString(u.digest.Hash[:])
 	return filepath.Join(s.opt.Dir, "uploads", fmt.Sprintf("%s-%s-%d-%s", u.id, hash, u.digest.Size, hex.EncodeToString([]byte(u.tenant))))
 }
 
-// openUploads takes up the uploads that were on their way when the store ended.
+// openUploads restores the uploads that were open when the store was last closed.
 func (s *Store) openUploads() error {
 	entries, err := os.ReadDir(filepath.Join(s.opt.Dir, "uploads"))
 	if err != nil {
@@ -160,7 +160,7 @@
 			tenant, terr := hex.DecodeString(string(parts[3]))
 			u.tenant, err = string(tenant), errors.Join(err, terr)
 		} else {
-			err = ErrUpload // left over from packing a blob
+			err = ErrUpload // left over from compressing a blob
 		}
 		if err != nil || info.Size() > u.digest.Size || s.reserveSpace(u.tenant, u.digest.Size, false) != nil {
 			if err := os.Remove(path); err != nil {
@@ -178,7 +178,7 @@
 	return nil
 }
 
-// Resume finds an upload again by its id, for the tenant that began it.
+// Resume returns an open upload by its id, for the tenant that began it.
 func (s *Store) Resume(tenant, id string) (*Upload, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -189,9 +189,9 @@
 	return u, nil
 }
 
-// dropAbandoned ends uploads that nobody touched for long. An upload's lock is never
-// waited for with the store's held: a commit takes them the other way round, and the two
-// would wait for each other for good.
+// dropAbandoned ends uploads that were idle for Options.UploadTimeout. The lock order is
+// the upload's lock before the store's, as in Commit: locking an upload while s.mu is held
+// would deadlock with it.
 func (s *Store) dropAbandoned() {
 	s.mu.Lock()
 	uploads := slices.Collect(maps.Values(s.uploads))
@@ -205,21 +205,21 @@
 	}
 }
 
-// ID names the upload, for Resume.
+// ID returns the id of the upload, for Resume.
 func (u *Upload) ID() string { return u.id }
 
-// Digest is what is to come.
+// Digest returns the digest of the blob being uploaded.
 func (u *Upload) Digest() Digest { return u.digest }
 
-// Offset is how many bytes are there.
+// Offset returns the number of bytes written.
 func (u *Upload) Offset() int64 {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	return u.written
 }
 
-// Write adds content at an offset. What is there already is passed over, so that a
-// repeated piece has no second effect; a piece that begins behind the end is ErrGap.
+// Write writes content at an offset. Bytes that were written before are skipped, so that a
+// repeated write has no effect. It returns ErrOffset for an offset beyond the end.
 func (u *Upload) Write(offset int64, p []byte) error {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -228,7 +228,7 @@
 	case u.ended:
 		return ErrUpload
 	case offset < 0 || offset > u.written:
-		return fmt.Errorf("%w: at %d, wanted at %d", ErrOffset, offset, u.written)
+		return fmt.Errorf("%w: %d, want at most %d", ErrOffset, offset, u.written)
 	case offset+int64(len(p)) > u.digest.Size:
 		return fmt.Errorf("%w: more than %d bytes", ErrMismatch, u.digest.Size)
 	case offset+int64(len(p)) <= u.written:
@@ -236,7 +236,7 @@
 	}
 	p = p[u.written-offset:]
 	if _, err := u.file.WriteAt(p, u.written); err != nil {
-		// What went out is passed over by the next try.
+		// u.written stays: a retry overwrites what was written.
 		return fmt.Errorf("blob: %w", err)
 	}
 	if u.sum.Hash != nil {
@@ -246,21 +246,21 @@
 	return nil
 }
 
-// Abort ends the upload and drops what was written.
+// Abort ends the upload and removes what was written.
 func (u *Upload) Abort() {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	u.end()
 }
 
-// end drops the upload's file. u.mu is held.
+// end closes the upload, removes its file and releases its space. u.mu is held.
 func (u *Upload) end() {
 	if u.ended {
 		return
 	}
 	u.ended = true
 	u.file.Close()
-	_ = os.Remove(u.store.uploadPath(u)) // moved away, or dropped at the next start
+	_ = os.Remove(u.store.uploadPath(u)) // renamed already, or handled at the next start
 	s := u.store
 	s.mu.Lock()
 	delete(s.uploads, u.id)
@@ -269,9 +269,8 @@
 	s.unpin(u.digest.key())
 }
 
-// Commit verifies what was written and makes it visible. When it returns without an
-// error the blob is durable. After ErrMismatch the upload is gone; after any other
-// error it can be tried again.
+// Commit verifies the content and makes the blob durable and visible. After ErrMismatch
+// the upload has ended; after any other error Commit can be called again.
 func (u *Upload) Commit(ctx context.Context) error {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -280,9 +279,9 @@
 	case u.ended:
 		return ErrUpload
 	case u.written < u.digest.Size:
-		return fmt.Errorf("%w: %d of %d bytes are here", ErrOffset, u.written, u.digest.Size)
+		return fmt.Errorf("%w: %d of %d bytes written", ErrOffset, u.written, u.digest.Size)
 	}
-	if u.sum.Hash == nil { // taken up after a restart
+	if u.sum.Hash == nil { // resumed after a restart
 		sum := NewSum()
 		if _, err := io.Copy(sum, io.NewSectionReader(u.file, 0, u.digest.Size)); err != nil {
 			return fmt.Errorf("blob: %w", err)
@@ -300,15 +299,15 @@
 	return nil
 }
 
-// compressSampleBytes is how much of a blob is packed to see whether that maxCompressedRatio, and maxCompressedRatio the
-// part of its size that it must come down to.
+// A blob is stored compressed if that reduces it to maxCompressedRatio of its size or
+// less. A large blob is compressed only if that holds for a sample from its beginning.
 const (
 	compressSampleBytes = 64 << 10
 	maxCompressedRatio  = 0.8
 )
 
-// storeContent makes verified content durable and visible for a tenant. A large blob's file
-// is moved from path.
+// storeContent makes verified content durable and visible for a tenant. The file of a
+// large blob is renamed from path.
 func (s *Store) storeContent(ctx context.Context, tenant string, d Digest, file File, path string) error {
 	if s.hasIntact(d.key()) {
 		return s.commit(ctx, &record{kind: recTenant, digest: d, tenant: tenant})
@@ -323,7 +322,7 @@
 	return s.commit(ctx, inlineRecord(tenant, d, data))
 }
 
-// hasIntact waits while a blob is being deleted, and says whether it is there and sound.
+// hasIntact reports whether a blob is stored and not corrupt. It waits for a deletion in progress.
 func (s *Store) hasIntact(key string) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -334,7 +333,7 @@
 	return e != nil && !e.corrupt
 }
 
-// inlineRecord is a blob that lies in the log, packed if that pays.
+// inlineRecord returns the record of a blob that is stored in the log.
 func inlineRecord(tenant string, d Digest, data []byte) *record {
 	r := &record{kind: recInline, digest: d, tenant: tenant, data: data}
 	if packed := compress(data); packed != nil {
@@ -344,7 +343,7 @@
 	return r
 }
 
-// storeFile makes a large blob's file durable, packed if that pays, and moves it to its place.
+// storeFile makes a large blob's file durable, compressed if that pays off, and renames it to its final path.
 func (s *Store) storeFile(ctx context.Context, tenant string, d Digest, file File, path string) error {
 	r := &record{kind: recFile, digest: d, tenant: tenant, stored: d.Size}
 	sample := make([]byte, min(d.Size, compressSampleBytes))
@@ -370,8 +369,8 @@
 	return s.commit(ctx, r)
 }
 
-// moveToObjects moves a durable file to its place among the objects, so that it is there after a
-// crash.
+// moveToObjects renames a synced file to its final path and syncs the directories, so that
+// the name survives a crash.
 func (s *Store) moveToObjects(from, to string) error {
 	if err := os.MkdirAll(filepath.Dir(to), 0o700); err != nil {
 		return err
@@ -387,12 +386,12 @@
 var encoder = sync.OnceValue(func() *zstd.Encoder {
 	e, err := zstd.NewWriter(nil, zstd.WithEncoderLevel(zstd.SpeedFastest), zstd.WithEncoderConcurrency(2))
 	if err != nil {
-		panic(fmt.Sprintf("blob: zstd without an encoder: %v", err))
+		panic(fmt.Sprintf("blob: zstd encoder: %v", err))
 	}
 	return e
 })
 
-// compress compresses data, or gives nil if that does not pay.
+// compress compresses data. It returns nil if that does not pay off.
 func compress(data []byte) []byte {
 	if len(data) < 256 {
 		return nil
@@ -404,8 +403,7 @@
 	return packed
 }
 
-// compressFile compresses a file into another, which is durable afterwards, and gives
-// its size. The last step verifies that the content comes back.
+// compressFile compresses a file into a new one at path, syncs it and returns its size.
 func (s *Store) compressFile(d Digest, file File, path string) (int64, error) {
 	out, err := os.OpenFile(path, os.O_RDWR|os.O_CREATE|os.O_TRUNC, 0o600)
 	if err != nil {
@@ -430,15 +428,15 @@
 	return out.Seek(0, io.SeekCurrent)
 }
 
-// Put uploads a whole blob and gives its digest.
-func (s *Store) Put(ctx context.Context, tenant string, data []byte, choices ...UploadOption) (Digest, error) {
+// Put uploads a whole blob and returns its digest.
+func (s *Store) Put(ctx context.Context, tenant string, data []byte, options ...UploadOption) (Digest, error) {
 	d := DigestOf(data)
 	if d.Size <= s.opt.MaxInline { // no file needed
 		if s.Has(tenant, d) {
 			return d, nil
 		}
 		s.mu.Lock()
-		err := s.reserveSpace(tenant, d.Size, len(choices) > 0)
+		err := s.reserveSpace(tenant, d.Size, len(options) > 0)
 		if err == nil {
 			s.pins[d.key()]++
 		}
@@ -453,7 +451,7 @@
 		s.unpin(d.key())
 		return d, err
 	}
-	u, done, err := s.Begin(tenant, d, choices...)
+	u, done, err := s.Begin(tenant, d, options...)
 	if err != nil || done {
 		return d, err
 	}
@@ -469,8 +467,8 @@
 }
 
 // PutReader uploads a whole blob from a reader.
-func (s *Store) PutReader(ctx context.Context, tenant string, d Digest, r io.Reader, choices ...UploadOption) error {
-	u, done, err := s.Begin(tenant, d, choices...)
+func (s *Store) PutReader(ctx context.Context, tenant string, d Digest, r io.Reader, options ...UploadOption) error {
+	u, done, err := s.Begin(tenant, d, options...)
 	if err != nil || done {
 		return err
 	}
@@ -491,7 +489,7 @@
 	return err
 }
 
-// memoryFile is a small blob's content, read like a file.
+// memoryFile is the content of a small blob as a File.
 type memoryFile struct{ *bytes.Reader }
 
 func (memoryFile) WriteAt([]byte, int64) (int, error) { return 0, errors.ErrUnsupported }
--- a/internal/history/check.go
+++ b/internal/history/check.go
@@ -8,33 +8,34 @@
 	"topazhollow/internal/protocol"
 )
 
-// The rules that an answer can break.
+// The rules that an answer can violate.
 const (
-	// Forgotten: a job that was known to some user is answered as unknown, or its repeated submission is refused.
+	// Forgotten: a job that an earlier answer reported as known is unknown, or its repeated submission is refused.
 	Forgotten = "forgotten"
-	// WentBack: an ended job is called active, or done and cancelled, or cancelled though nobody asked for that.
+	// WentBack: an ended job is reported as active, as done and also as cancelled, or as cancelled without a request to
+	// cancel.
 	WentBack = "went_back"
-	// AcceptedTwice: a submission counts as the first one after the job was known.
+	// AcceptedTwice: a submission is accepted as new although the job was known.
 	AcceptedTwice = "accepted_twice"
-	// Invented: a job is known before anybody submitted it.
+	// Invented: a job is reported as known before it was submitted.
 	Invented = "invented"
-	// Unsettled: a cancellation is answered with a state that is not final.
+	// Unsettled: the answer to a cancellation holds a state that is not final.
 	Unsettled = "unsettled"
 )
 
-// Violation is an answer that contradicts what came before.
+// Violation is an answer that violates a rule.
 type Violation struct {
 	Rule   string
 	Answer Call
 	Before Call // the answer that it contradicts, if any
 }
 
-// String tells both answers.
+// String formats the rule and both answers.
 func (v Violation) String() string {
 	return fmt.Sprintf("%s: %s after %s", v.Rule, v.Answer, v.Before)
 }
 
-// String tells request and answer.
+// String formats the request and its answer.
 func (c Call) String() string {
 	if c.Invoked == 0 {
 		return "nothing"
@@ -42,11 +43,11 @@
 	return fmt.Sprintf("%s %s at %d [%d,%d] %d %s", c.Kind, c.Job, c.Node, c.Invoked, c.Returned, c.Status, c.State)
 }
 
-// level orders what answers say of a job; an answer of a lower level is older.
+// level is the stage of a job that an answer reports, in the order in which a job passes through the stages.
 type level int
 
 const (
-	inconclusive level = iota // says nothing, as 503
+	inconclusive level = iota // no answer, or one without information on the job, such as 503
 	unknown                   // never accepted
 	active
 	final
@@ -68,8 +69,7 @@
 	return inconclusive
 }
 
-// Check gives the answers that contradict earlier ones, at most one violation an answer, by job and then in the
-// order in which the answers arrived.
+// Check returns the violations, at most one for each answer, ordered by job and then by the position of the answer.
 func Check(calls []Call) []Violation {
 	jobs := map[string][]Call{}
 	for _, c := range calls {
@@ -91,14 +91,14 @@
 	return names
 }
 
-// knowledge is what users were told of a job by some position.
+// knowledge is what answers and requests have established on a job up to a position.
 type knowledge struct {
 	latest    Call // the first answer of the highest level
 	submitted bool
 	cancelled bool
 }
 
-// event is the sending or the return of a call.
+// event is the sending of a request or the arrival of its answer.
 type event struct {
 	at      uint64
 	call    *Call
@@ -118,7 +118,7 @@
 	return all
 }
 
-// checkJob goes once through a job's requests and answers in their order.
+// checkJob checks the answers on one job in a single pass over its events.
 func checkJob(calls []Call) []Violation {
 	var found []Violation
 	var now knowledge
@@ -145,8 +145,8 @@
 	return found
 }
 
-// checkAnswer compares an answer with the best that had arrived when its request was sent, with the first final answer,
-// and with what was asked for until it arrived.
+// checkAnswer compares an answer with the answer of the highest level that had arrived when its request was sent, with
+// the first final answer, and with the requests that were sent before it arrived.
 func checkAnswer(c *Call, before, ended Call, now knowledge) (Violation, bool) {
 	broken := func(rule string, earlier Call) (Violation, bool) {
 		return Violation{Rule: rule, Answer: *c, Before: earlier}, true
--- a/internal/history/history.go
+++ b/internal/history/history.go
@@ -1,6 +1,6 @@
-// Package history records what users asked the controllers and what they were answered, and finds answers that
-// contradict an earlier one. Requests may overlap: only an answer that arrived before another request was sent
-// binds that request's answer. Order is by position in the record; no clock is read.
+// Package history records the requests of users to the controllers and their answers, and finds answers that
+// contradict earlier ones. Requests may overlap: an answer constrains only the answers to requests that were sent
+// after it arrived. Order is by position in the log; no clock is read.
 package history
 
 import (
@@ -9,10 +9,10 @@
 	"topazhollow/internal/protocol"
 )
 
-// Kind is what a request asks for.
+// Kind is the kind of a request.
 type Kind string
 
-// The requests of the users' protocol.
+// The kinds of requests in the users' protocol.
 const (
 	Submit Kind = "submit"
 	Ask    Kind = "ask"
@@ -21,13 +21,13 @@
 
 // Call is one request and its answer.
 type Call struct {
-	Node     int // the controller that was asked
+	Node     int // index of the controller that received the request
 	Kind     Kind
 	Job      string
-	Invoked  uint64            // position at which the request was sent; counts from 1
+	Invoked  uint64            // position at which the request was sent, from 1
 	Returned uint64            // position at which its answer arrived; 0: no answer
 	Status   int               // HTTP status
-	State    protocol.JobState // the job's state, as the answer tells it
+	State    protocol.JobState // the job's state in the answer
 }
 
 // Log records calls in the order in which they are sent and answered. It is safe for concurrent use.
@@ -37,7 +37,7 @@
 	calls    []Call
 }
 
-// Invoke records that a request is about to be sent and gives its index for Return.
+// Invoke records that a request is about to be sent. It returns the index to pass to Return.
 func (l *Log) Invoke(node int, kind Kind, job string) (index int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -46,7 +46,7 @@
 	return len(l.calls) - 1
 }
 
-// Return records the answer to a request. A request that gets none is never returned.
+// Return records the answer to a request. It is not called for a request without an answer.
 func (l *Log) Return(index, status int, state protocol.JobState) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -55,7 +55,7 @@
 	c.Returned, c.Status, c.State = l.position, status, state
 }
 
-// Calls copies what was recorded so far.
+// Calls returns a copy of the calls recorded so far.
 func (l *Log) Calls() []Call {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/history/history_test.go
+++ b/internal/history/history_test.go
@@ -9,7 +9,7 @@
 	"topazhollow/internal/protocol"
 )
 
-// modelCheck is the plain model: it compares every answer with every other one.
+// modelCheck is the reference model of Check: it compares every answer with every other one.
 func modelCheck(calls []Call) map[uint64]string {
 	broken := map[uint64]string{}
 	for _, c := range calls {
@@ -58,7 +58,7 @@
 	return ""
 }
 
-// modelFirstFinal is the state of the job's first final answer.
+// modelFirstFinal returns the state of the job's first final answer.
 func modelFirstFinal(c Call, calls []Call) protocol.JobState {
 	first := c
 	for _, o := range calls {
@@ -69,7 +69,7 @@
 	return first.State
 }
 
-// randomCalls records overlapping requests with answers drawn at random.
+// randomCalls records overlapping requests with random answers.
 func randomCalls(rng *rand.Rand) []Call {
 	var log Log
 	var open []int
@@ -88,7 +88,7 @@
 	return log.Calls()
 }
 
-// TestCheckAgreesWithModel: drawn histories, most of which break something, are judged as by the plain model.
+// TestCheckAgreesWithModel: on random histories, most of which violate a rule, Check must find what the model finds.
 func TestCheckAgreesWithModel(t *testing.T) {
 	rng := rand.New(rand.NewPCG(3, 14))
 	seen := map[string]int{}
@@ -100,7 +100,7 @@
 			seen[v.Rule]++
 		}
 		if fmt.Sprint(got) != fmt.Sprint(want) {
-			t.Fatalf("round %d: %v, the model says %v, of\n%v", round, got, want, calls)
+			t.Fatalf("round %d: found %v, the model found %v, in\n%v", round, got, want, calls)
 		}
 		if len(want) == 0 {
 			seen[""]++
@@ -108,7 +108,7 @@
 	}
 	for _, rule := range []string{Forgotten, WentBack, AcceptedTwice, Invented, Unsettled, ""} {
 		if seen[rule] == 0 {
-			t.Errorf("no history with %q was drawn", rule)
+			t.Errorf("no history with %q was generated", rule)
 		}
 	}
 }
@@ -122,7 +122,7 @@
 	return log.Calls()
 }
 
-// TestOverlappingAnswersMayDiffer: an answer binds only requests sent after it arrived.
+// TestOverlappingAnswersMayDiffer: an answer must constrain only requests that were sent after it arrived.
 func TestOverlappingAnswersMayDiffer(t *testing.T) {
 	var log Log
 	submit := log.Invoke(0, Submit, "job-1")
@@ -130,15 +130,15 @@
 	log.Return(submit, 201, protocol.Pending)
 	log.Return(early, 404, "")
 	if found := Check(log.Calls()); len(found) > 0 {
-		t.Errorf("a question sent before the acceptance arrived is bound by it: %v", found)
+		t.Errorf("violation for a request that was sent before the acceptance arrived: %v", found)
 	}
 	log.Return(log.Invoke(2, Ask, "job-1"), 404, "")
 	if found := Check(log.Calls()); len(found) != 1 || found[0].Rule != Forgotten {
-		t.Errorf("a question sent after it is not: %v", found)
+		t.Errorf("want one violation for a request that was sent after the acceptance arrived: %v", found)
 	}
 }
 
-// TestStaleAnswersOfOtherNodes: each kind of older answer is found, whichever controller gives it.
+// TestStaleAnswersOfOtherNodes: each kind of violation must be found, whichever controller gave the answer.
 func TestStaleAnswersOfOtherNodes(t *testing.T) {
 	accepted := Call{Node: 0, Kind: Submit, Status: 201, State: protocol.Pending}
 	cancelled := Call{Node: 1, Kind: Cancel, Status: 200, State: protocol.Cancelled}
--- a/internal/snapshot/archive.go
+++ b/internal/snapshot/archive.go
@@ -1,7 +1,7 @@
-// Package snapshot keeps copies of the state service on a disk, read by its published
-// protocol: full copies and the changes between them, in a log with checksums. It notices
-// when the service lost what it had, keeps what was there before, and puts a chosen moment
-// back into the generation that the controllers made after the loss.
+// Package snapshot backs up the state service to a local disk, through its published
+// protocol: full copies and the changes between them, in a log with checksums. It detects
+// that the service lost data and then keeps the copy from before the loss. It can restore
+// a copy, as of a chosen revision, into the epoch that the controllers began after a loss.
 package snapshot
 
 import (
@@ -26,31 +26,31 @@
 	"topazhollow/internal/wal"
 )
 
-// Errors that callers decide by.
+// Errors that callers test for.
 var (
-	ErrNone    = errors.New("snapshot: there is no such copy")
-	ErrVersion = errors.New("snapshot: written by a later version")
+	ErrNone    = errors.New("snapshot: no such copy")
+	ErrVersion = errors.New("snapshot: record of a later format version")
 )
 
-// format is the version of records; readers refuse later ones.
+// format is the format version of records; readers reject later ones.
 const format = 1
 
-// Entry is a key with its value.
+// Entry is a key with its value, or a change of it.
 type Entry struct {
 	Key     string `cbor:"k"`
 	Value   []byte `cbor:"v,omitempty"`
 	Version uint64 `cbor:"r"`
-	Deleted bool   `cbor:"d,omitempty"` // a change that deleted it
-	Leased  bool   `cbor:"l,omitempty"` // by a lease
+	Deleted bool   `cbor:"d,omitempty"` // the change deleted the key
+	Leased  bool   `cbor:"l,omitempty"` // the key is attached to a lease
 }
 
-// record is one entry of the log: a CBOR map (RFC 8949), compressed with Zstandard.
+// record is one record of the log: a CBOR map (RFC 8949), compressed with Zstandard.
 type record struct {
 	Format  int     `cbor:"f"`
 	Kind    string  `cbor:"t"` // begin, part, end, changes, lost
 	Copy    uint64  `cbor:"c"`
-	At      int64   `cbor:"a,omitempty"` // time of day, ms
-	From    uint64  `cbor:"x,omitempty"` // revisions
+	At      int64   `cbor:"a,omitempty"` // Unix time in ms
+	From    uint64  `cbor:"x,omitempty"` // revisions before and after the changes
 	To      uint64  `cbor:"y,omitempty"`
 	Entries []Entry `cbor:"e,omitempty"`
 	Keys    int     `cbor:"n,omitempty"`
@@ -67,18 +67,18 @@
 	kindLost    = "lost"
 )
 
-// Copy is a full copy with the changes that were kept after it.
+// Copy describes a full copy and the changes recorded after it.
 type Copy struct {
 	ID           uint64    `json:"id"`
 	At           time.Time `json:"at"`
-	Until        time.Time `json:"until"` // of the last change kept
+	Until        time.Time `json:"until"` // time of the last recorded change
 	Revision     uint64    `json:"revision"`
 	LastRevision uint64    `json:"last_revision"`
 	Keys         int       `json:"keys"`
 	Changes      int       `json:"changes"`
 	Sum          string    `json:"sha256"`
 	Complete     bool      `json:"whole"`
-	LossReason   string    `json:"service_lost,omitempty"` // why the service was held to have lost data after it
+	LossReason   string    `json:"service_lost,omitempty"` // why the follower concluded that the service lost data after it
 
 	from wal.Pos
 }
@@ -86,7 +86,7 @@
 // Archive is a directory of copies.
 type Archive struct {
 	log     *wal.Log
-	lock    *os.File // held by the only process that writes; nil for one that reads
+	lock    *os.File // file lock of the only writer; nil in a read-only archive
 	enc     *zstd.Encoder
 	dec     *zstd.Decoder
 	decMode cbor.DecMode
@@ -95,23 +95,23 @@
 	nextID  uint64
 }
 
-// Options are an archive's choices; the zero value is usable.
+// Options configures an archive; the zero value is usable.
 type Options struct {
-	WAL      wal.Options // of the log below
-	ReadOnly bool        // as while another process follows
+	WAL      wal.Options // options of the log
+	ReadOnly bool        // required while another process writes the archive
 }
 
-// ErrInUse says that another process writes the archive.
+// ErrInUse is returned by Open when another process writes the archive.
 var ErrInUse = errors.New("snapshot: another process writes this archive")
 
-// readOnly is a segment that another process may be writing: what is half written at its
-// end is left there.
+// readOnly is a segment that another process may be writing. A partially written record at
+// its end is not truncated.
 type readOnly struct{ *os.File }
 
 func (readOnly) Truncate(int64) error               { return nil }
 func (readOnly) WriteAt([]byte, int64) (int, error) { return 0, os.ErrPermission }
 
-// acquire makes this process the only one that writes, or has the log opened for reading.
+// acquire locks the archive for writing, or makes the log open its segments read-only.
 func (a *Archive) acquire(dir string, opt *Options) error {
 	if opt.ReadOnly {
 		if _, err := os.Stat(dir); err != nil {
@@ -137,7 +137,7 @@
 	return nil
 }
 
-// Open opens an archive, which it makes if need be, and reads what copies it has.
+// Open opens an archive, which it creates if needed, and reads the list of its copies.
 func Open(dir string, opt Options) (*Archive, error) {
 	a := &Archive{nextID: 1}
 	var err error
@@ -151,7 +151,7 @@
 		return nil, fmt.Errorf("snapshot: %w", err)
 	}
 	if opt.WAL.SegmentBytes == 0 {
-		opt.WAL.SegmentBytes = 4 << 20 // what goes with a copy goes by segments
+		opt.WAL.SegmentBytes = 4 << 20 // small, since pruning frees space by whole segments
 	}
 	if err := a.acquire(dir, &opt); err != nil {
 		return nil, fmt.Errorf("snapshot: %w", err)
@@ -159,7 +159,7 @@
 	a.log, err = wal.Open(dir, opt.WAL, wal.Pos{}, func(at wal.Pos, data []byte) error {
 		r, err := a.decode(data)
 		if err != nil {
-			return fmt.Errorf("%w: record in segment %d at %d", err, at.Segment, at.Offset)
+			return fmt.Errorf("%w: record in segment %d at offset %d", err, at.Segment, at.Offset)
 		}
 		a.index(at, r)
 		return nil
@@ -173,7 +173,7 @@
 	return a, nil
 }
 
-// Close ends the archive.
+// Close closes the archive.
 func (a *Archive) Close() error {
 	err := a.log.Close()
 	a.enc.Close()
@@ -208,7 +208,7 @@
 	return a.enc.EncodeAll(plain, nil), nil
 }
 
-// index books what a record adds to what is known of the copies.
+// index updates the list of copies by a record.
 func (a *Archive) index(at wal.Pos, r *record) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -219,7 +219,7 @@
 	}
 	c := a.findCopy(r.Copy)
 	if c == nil {
-		return // its beginning is gone already
+		return // its begin record is pruned already
 	}
 	switch r.Kind {
 	case kindEnd:
@@ -241,7 +241,7 @@
 	return nil
 }
 
-// append writes records, which are durable when it returns.
+// append appends records to the log. They are durable when it returns.
 func (a *Archive) append(ctx context.Context, records ...*record) error {
 	var data [][]byte
 	for _, r := range records {
@@ -261,10 +261,10 @@
 	return nil
 }
 
-// maxPartKeys is how many keys a record of a full copy has at most.
+// maxPartKeys is the largest number of keys in one record of a full copy.
 const maxPartKeys = 500
 
-// PutCopy writes a full copy as of a revision and gives its number.
+// PutCopy writes a full copy as of a revision and returns its ID.
 func (a *Archive) PutCopy(ctx context.Context, keys map[string]Entry, revision uint64, now time.Time) (uint64, error) {
 	a.mu.Lock()
 	id := a.nextID
@@ -280,7 +280,7 @@
 		records = append(records, r)
 	}
 	records = append(records, &record{Kind: kindEnd, Copy: id, At: now.UnixMilli(), To: revision, Keys: len(keys), Sum: contentSum(keys)})
-	for chunk := range slices.Chunk(records, 64) { // a kill in between leaves a copy without its end, which is none
+	for chunk := range slices.Chunk(records, 64) { // a process killed in between leaves an incomplete copy, which is ignored
 		if err := a.append(ctx, chunk...); err != nil {
 			return 0, err
 		}
@@ -288,7 +288,7 @@
 	return id, nil
 }
 
-// contentSum is over keys and values in the order of keys.
+// contentSum returns the sha256 of keys and values in the order of keys.
 func contentSum(keys map[string]Entry) []byte {
 	h := sha256.New()
 	for _, name := range slices.Sorted(maps.Keys(keys)) {
@@ -298,18 +298,18 @@
 	return h.Sum(nil)
 }
 
-// AppendChanges adds changes to a copy.
+// AppendChanges adds the changes after revision from, up to revision to, to a copy.
 func (a *Archive) AppendChanges(ctx context.Context, id uint64, from, to uint64, entries []Entry, now time.Time) error {
 	return a.append(ctx, &record{Kind: kindChanges, Copy: id, At: now.UnixMilli(), From: from, To: to, Entries: entries})
 }
 
-// MarkLost books that the service lost data after a copy, which is kept from then on until
-// it is pruned by name.
+// MarkLost records that the service lost data after a copy. From then on the copy is kept
+// until it is pruned by its ID.
 func (a *Archive) MarkLost(ctx context.Context, id uint64, why string, now time.Time) error {
 	return a.append(ctx, &record{Kind: kindLost, Copy: id, At: now.UnixMilli(), Why: why})
 }
 
-// Copies lists the copies, oldest first; those without an end among them.
+// Copies returns the copies, oldest first, including incomplete ones.
 func (a *Archive) Copies() []Copy {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -320,7 +320,7 @@
 	return out
 }
 
-// Latest is the newest whole copy.
+// Latest returns the newest complete copy.
 func (a *Archive) Latest() (Copy, bool) {
 	copies := a.Copies()
 	for i := len(copies) - 1; i >= 0; i-- {
@@ -331,8 +331,8 @@
 	return Copy{}, false
 }
 
-// Load reads a copy with its changes up to a revision; 0 is all of them. It checks the
-// copy's sum and that no change is missing between.
+// Load reads a copy and applies its changes up to a revision, or all of them if upTo is 0.
+// It verifies the checksum of the copy and that no changes are missing.
 func (a *Archive) Load(id, upTo uint64) (keys map[string]Entry, revision uint64, err error) {
 	a.mu.Lock()
 	found := a.findCopy(id)
@@ -361,11 +361,11 @@
 		case kindEnd:
 			ended, revision = true, r.To
 			if !bytes.Equal(contentSum(keys), r.Sum) || len(keys) != r.Keys {
-				return fmt.Errorf("%w: copy %d is not what was written", wal.ErrCorrupt, id)
+				return fmt.Errorf("%w: copy %d does not match its checksum", wal.ErrCorrupt, id)
 			}
 		case kindChanges:
 			if r.From != revision {
-				return fmt.Errorf("%w: copy %d: changes from %d after %d", wal.ErrCorrupt, id, r.From, revision)
+				return fmt.Errorf("%w: copy %d: changes start at revision %d, want %d", wal.ErrCorrupt, id, r.From, revision)
 			}
 			for _, e := range r.Entries {
 				if upTo == 0 || e.Version <= upTo {
@@ -377,7 +377,7 @@
 		return nil
 	})
 	if err == nil && !ended {
-		err = fmt.Errorf("%w: copy %d has no end", wal.ErrCorrupt, id)
+		err = fmt.Errorf("%w: copy %d has no end record", wal.ErrCorrupt, id)
 	}
 	if err != nil {
 		return nil, 0, err
@@ -388,7 +388,7 @@
 	return keys, revision, nil
 }
 
-// apply carries out a change; an older one than is known is ignored.
+// apply applies a change to keys, unless they hold a later version of the key.
 func apply(keys map[string]Entry, e Entry) {
 	if old, ok := keys[e.Key]; ok && old.Version > e.Version {
 		return
@@ -400,7 +400,7 @@
 	}
 }
 
-// scan hands over the records from a position on.
+// scan calls each for the records from a position on.
 func (a *Archive) scan(from wal.Pos, each func(*record) error) error {
 	return a.log.Replay(from, func(_ wal.Pos, data []byte) error {
 		r, err := a.decode(data)
@@ -411,7 +411,7 @@
 	})
 }
 
-// Verify reads every whole copy that is kept and checks it.
+// Verify loads every complete copy, which verifies it. It returns the number of copies and keys.
 func (a *Archive) Verify() (copies, keys int, err error) {
 	for _, c := range a.Copies() {
 		if !c.Complete {
@@ -426,8 +426,10 @@
 	return copies, keys, nil
 }
 
-// Prune drops copies that began before a time. Kept are the newest whole one, and each
-// after which the service lost data unless it is named. Space is given back by segments.
+// Prune removes the oldest copies, up to the first one that must be kept: the newest
+// complete copy, one that began at or after the given time, or one after which the service
+// lost data. An incomplete copy before the newest complete one is not kept, nor is one
+// whose ID is in named. Space is freed by whole segments.
 func (a *Archive) Prune(before time.Time, named ...uint64) (dropped []uint64, err error) {
 	latest, ok := a.Latest()
 	if !ok {
@@ -450,7 +452,7 @@
 	return dropped, a.log.Drop(first)
 }
 
-// entryOf is a listed key as it is kept.
+// entryOf converts a listed key to an Entry.
 func entryOf(e protocol.Entry) Entry {
 	return Entry{Key: e.Key, Value: e.Value, Version: e.Version, Leased: e.Lease != 0}
 }
--- a/internal/snapshot/follow.go
+++ b/internal/snapshot/follow.go
@@ -21,22 +21,22 @@
 // Config is the settings file of topazhollowctl snapshot.
 type Config struct {
 	State     string  `toml:"state"`          // address of the state service
-	Dir       string  `toml:"dir"`            // of the archive
-	RPS       float64 `toml:"rps"`            // requests a second that it may take of the service's rate
-	WriteRPS  float64 `toml:"write_rps"`      // changes a second of a restore
-	ValueKB   float64 `toml:"value_kb"`       // the service's bounds, as in the controllers' settings
-	TxnOps    int     `toml:"txn_ops"`        //
-	FullEvery float64 `toml:"full_minutes"`   // between full copies, which also find what was lost in silence
-	Keep      float64 `toml:"keep_hours"`     // copies older than that go, but for the newest and those before a loss
-	Control   string  `toml:"control_record"` // key of the controllers' record
+	Dir       string  `toml:"dir"`            // directory of the archive
+	RPS       float64 `toml:"rps"`            // requests a second
+	WriteRPS  float64 `toml:"write_rps"`      // changes a second during a restore
+	ValueKB   float64 `toml:"value_kb"`       // largest value of the service, as in the controllers' settings
+	TxnOps    int     `toml:"txn_ops"`        // most operations in a transaction of the service
+	FullEvery float64 `toml:"full_minutes"`   // interval of full copies, which also detect keys that disappeared without a delete
+	Keep      float64 `toml:"keep_hours"`     // older copies are removed, except the newest and those from before a loss
+	Control   string  `toml:"control_record"` // key of the controllers' control record
 }
 
-// DefaultConfig holds where the file says nothing.
+// DefaultConfig returns the values of settings that the file leaves out.
 func DefaultConfig() *Config {
 	return &Config{State: "127.0.0.1:2379", Dir: "target/snapshot", RPS: 5, WriteRPS: 10, ValueKB: 8, TxnOps: 12, FullEvery: 30, Keep: 48, Control: "w/c"}
 }
 
-// LoadConfig reads and checks a settings file.
+// LoadConfig reads and validates a settings file.
 func LoadConfig(path string) (*Config, error) {
 	c := DefaultConfig()
 	if err := tomlfile.Load(path, c); err != nil {
@@ -62,35 +62,35 @@
 		tomlfile.In("full_minutes", c.FullEvery, 0.01, 1e5), tomlfile.In("keep_hours", c.Keep, 0, 1e5))
 }
 
-// String is the settings as a file.
+// String formats the settings as a file.
 func (c *Config) String() string { return tomlfile.String(c) }
 
-// client is one with all of the stated rate.
+// client returns a client that uses the full configured rates.
 func (c *Config) client() *kvstore.Client {
-	const held = 0.85 // of the rates is what kvstore.New gives a single controller
+	const held = 0.85 // share of the rates that kvstore.New gives a single controller
 	return kvstore.New(c.State, settings.KVStore{RequestsPerSecond: c.RPS / held, ChangesPerSecond: c.WriteRPS / held, ValueKB: c.ValueKB, ChangesPerTransaction: c.TxnOps}, 1)
 }
 
-// Follower copies the state service into an archive for as long as it runs.
+// Follower continuously copies the state service into an archive.
 type Follower struct {
 	config  *Config
 	archive *Archive
 	client  *kvstore.Client
 	log     *slog.Logger
 
-	keys         map[string]Entry // the service as followed; nil before the first copy
-	copyID       uint64           // of the copy that changes are added to
+	keys         map[string]Entry // contents of the service as followed; nil before the first copy
+	copyID       uint64           // copy that changes are appended to; 0: a full copy is needed
 	revision     uint64
-	storeID      string // the generation's name
+	storeID      string // store ID in the control record; it changes with each epoch after a loss
 	lastFullCopy time.Time
 }
 
-// NewFollower is a follower that has read nothing yet.
+// NewFollower returns a follower that has not read the service yet.
 func NewFollower(set *Config, a *Archive, log *slog.Logger) *Follower {
 	return &Follower{config: set, archive: a, client: set.client(), log: log}
 }
 
-// Run follows until the context ends or the archive can't be written.
+// Run follows the service until the context ends or writing to the archive fails.
 func (f *Follower) Run(ctx context.Context) error {
 	for ctx.Err() == nil {
 		err := f.step(ctx)
@@ -106,18 +106,18 @@
 				return err
 			}
 		case errors.Is(err, kvstore.ErrCompacted):
-			f.log.Info("fell behind the service's changes: all is read again")
+			f.log.Info("changes since the last read were compacted; making a full copy")
 			f.copyID = 0
 		default:
-			f.log.Info("state service not read", "err", err)
+			f.log.Info("reading the state service failed", "err", err)
 		}
 		wait.For(ctx, 300*time.Millisecond)
 	}
 	return nil
 }
 
-// errArchive marks what the disk refused: who runs the follower is to know.
-var errArchive = errors.New("snapshot: archive not written")
+// errArchive marks a failed write to the archive, which ends the follower.
+var errArchive = errors.New("snapshot: writing the archive failed")
 
 func archiveErr(err error) error {
 	if err != nil {
@@ -126,7 +126,7 @@
 	return nil
 }
 
-// step makes a full copy when one is due, or takes in the next changes.
+// step makes a full copy if one is due, and otherwise appends the next changes.
 func (f *Follower) step(ctx context.Context) error {
 	if f.copyID == 0 || time.Since(f.lastFullCopy) > settings.Seconds(f.config.FullEvery*60) {
 		return f.fullCopy(ctx)
@@ -143,9 +143,9 @@
 	for _, e := range ch.Events {
 		x := Entry{Key: e.Set + e.Delete, Value: e.Value, Version: e.Version, Deleted: e.Delete != ""}
 		if x.Key == f.config.Control && !x.Deleted {
-			// What belongs to a new generation is not added to the copy of an earlier one.
+			// Changes of a new epoch must not be added to a copy of an earlier one.
 			if store := f.storeIDOf(map[string]Entry{x.Key: x}); f.storeID != "" && store != f.storeID {
-				return f.recordLoss(ctx, "the controllers began a new generation")
+				return f.recordLoss(ctx, "the controllers began a new epoch after a data loss")
 			}
 		}
 		entries = append(entries, x)
@@ -161,8 +161,9 @@
 	return nil
 }
 
-// fullCopy reads everything, and what changed meanwhile, and writes it as a full fullCopy. What
-// was followed and is not there, though no change took it away, was lost in silence.
+// fullCopy lists all keys, applies the changes made meanwhile and writes the result as a
+// full copy. Before that it compares the keys with those followed so far: a key that
+// disappeared without a delete shows a loss of data.
 func (f *Follower) fullCopy(ctx context.Context) error {
 	listed, revision, err := f.client.List(ctx, "")
 	if err != nil {
@@ -172,8 +173,8 @@
 	for _, e := range listed {
 		keys[e.Key] = entryOf(e)
 	}
-	// The pages were read one after the other: from the first one's revision on, the changes
-	// bring all of them to one moment.
+	// The pages of the list were read at different revisions. Applying the changes since the
+	// first page makes them consistent.
 	if revision, err = f.catchUp(ctx, keys, revision); err != nil {
 		return err
 	}
@@ -189,11 +190,11 @@
 	if err != nil {
 		return archiveErr(err)
 	}
-	f.log.Info("full copy kept", "copy", id, "keys", len(keys), "revision", revision, "dropped", len(dropped))
+	f.log.Info("full copy written", "copy", id, "keys", len(keys), "revision", revision, "dropped", len(dropped))
 	return nil
 }
 
-// catchUp applies the changes after a revision to keys, and gives the revision that they are of then.
+// catchUp applies the changes after a revision to keys and returns their new revision.
 func (f *Follower) catchUp(ctx context.Context, keys map[string]Entry, after uint64) (uint64, error) {
 	ch, err := f.client.Changes(ctx, "", after)
 	if err != nil {
@@ -205,8 +206,8 @@
 	return ch.Revision, nil
 }
 
-// compareWithKept looks whether the store lost something that was kept, by this process or by the last one, and notes
-// the loss.
+// compareWithKept checks whether the service lost data that this process or an earlier one has copied, and records the
+// loss.
 func (f *Follower) compareWithKept(ctx context.Context, keys map[string]Entry, revision uint64) error {
 	if f.copyID != 0 {
 		return f.compareWithFollowed(ctx, keys, revision)
@@ -215,10 +216,10 @@
 	if !ok || f.keys != nil {
 		return nil
 	}
-	// A follower that starts compares with what the last one kept.
+	// The first full copy after a start is compared with the newest copy in the archive.
 	old, _, err := f.archive.Load(last.ID, 0)
 	if err != nil {
-		f.log.Error("the newest copy can't be read", "copy", last.ID, "err", err)
+		f.log.Error("reading the newest copy failed", "copy", last.ID, "err", err)
 		return nil
 	}
 	reason := f.lossReason(old, last.LastRevision, keys, revision)
@@ -229,7 +230,7 @@
 	return f.recordLoss(ctx, reason)
 }
 
-// compareWithFollowed looks for keys that were followed and are gone though nobody deleted them.
+// compareWithFollowed checks for followed keys that are missing or older without a change that explains it.
 func (f *Follower) compareWithFollowed(ctx context.Context, keys map[string]Entry, revision uint64) error {
 	if _, err := f.catchUp(ctx, f.keys, f.revision); err != nil {
 		return err
@@ -243,31 +244,31 @@
 	if missing == 0 {
 		return nil
 	}
-	return f.recordLoss(ctx, fmt.Sprintf("%d keys are gone that nobody deleted", missing))
+	return f.recordLoss(ctx, fmt.Sprintf("%d keys disappeared or went back without a change", missing))
 }
 
-// lossReason says why a store can't be the one that a copy was made of, or "".
+// lossReason returns why the service must have lost data since a copy, or "" if there is no sign of that.
 func (f *Follower) lossReason(old map[string]Entry, last uint64, keys map[string]Entry, revision uint64) string {
 	before, now := f.storeIDOf(old), f.storeIDOf(keys)
 	switch {
 	case revision < last:
 		return "its revision went back"
 	case before != "" && before != now:
-		return "the controllers began a new generation"
+		return "the controllers began a new epoch after a data loss"
 	}
 	for name := range old {
 		_, there := keys[name]
 		if uid, final := strings.CutPrefix(name, FinalKey); final && !there && uid != "" {
-			return "an end is gone, which is for ever"
+			return "the record of an ended job is missing, which is never deleted"
 		}
 	}
 	return ""
 }
 
-// recordLoss marks what was kept before the service recordLoss data; a copy of what it has now
-// follows, beside it.
+// recordLoss marks the current copy as the one before a loss of data. The next step makes
+// a full copy of what the service still has, in addition to it.
 func (f *Follower) recordLoss(ctx context.Context, why string) error {
-	f.log.Error("state service lost data; the copy before that is kept until it is pruned by its number", "copy", f.copyID, "why", why)
+	f.log.Error("state service lost data; the copy from before the loss is kept until it is pruned by its ID", "copy", f.copyID, "why", why)
 	if f.copyID != 0 {
 		if err := f.archive.MarkLost(ctx, f.copyID, why, time.Now()); err != nil {
 			return archiveErr(err)
@@ -279,14 +280,14 @@
 	return nil
 }
 
-// Prefixes of the controllers' keys, as docs/data-recovery.md tells.
+// Prefixes of the controllers' keys, as described in docs/data-recovery.md.
 const (
 	JobKey   = "w/a/"
 	FinalKey = "f/"
 	PageKey  = "b/"
 )
 
-// storeIDOf is the name of the generation's store, "" without a record.
+// storeIDOf returns the store ID in the control record, or "" if there is none.
 func (f *Follower) storeIDOf(keys map[string]Entry) string {
 	r, err := controlRecord(keys, f.config.Control)
 	if err != nil || r == nil {
@@ -307,5 +308,5 @@
 	return &r, nil
 }
 
-// epochKey is the generation's own key, which every change of a restore rests on.
+// epochKey is the key of the record's epoch. Every update of a restore is conditional on it.
 func epochKey(r *leadership.Record) string { return datarecovery.EpochKey + r.StoreID }
--- a/internal/snapshot/golden_test.go
+++ b/internal/snapshot/golden_test.go
@@ -14,8 +14,8 @@
 	"topazhollow/internal/goldentest"
 )
 
-// The golden files of archives and of what a restore writes. Archives outlive the process that wrote them, so the forms may only
-// grow.
+// These tests compare the records of archives and the pages that a restore writes with their golden files. Archives
+// outlive the process that wrote them, so the formats may only be extended.
 
 func TestGoldenRecords(t *testing.T) {
 	entry := Entry{Key: "w/a/job-000412", Value: []byte(`{"a":1}`), Version: 412, Deleted: true, Leased: true}
@@ -30,8 +30,8 @@
 	})
 }
 
-// TestGoldenArchive: an archive that was written by an earlier version is read. Its bytes are not compared with those written today,
-// as the library for compression may do better; what is in them is compared by TestGoldenRecords.
+// TestGoldenArchive reads an archive that an earlier version wrote. Its bytes are not compared with those written now,
+// since the output of the compression library may change; TestGoldenRecords compares the uncompressed records.
 func TestGoldenArchive(t *testing.T) {
 	const segment = "00000001.log"
 	at := time.UnixMilli(1767225600123)
@@ -83,7 +83,7 @@
 	}
 }
 
-// TestGoldenRestore: the pages of finished tasks that a restore writes for the controllers, and the keys that it reads.
+// TestGoldenRestore compares the pages of finished tasks that a restore writes, and the keys that it reads.
 func TestGoldenRestore(t *testing.T) {
 	pages := donePages(map[string]*bitset.BitSet{"job-000398": bitset.New(0).Set(0).Set(70), "job-000412": bitset.New(0).Set(1)}, 60)
 	if len(pages) != 2 {
@@ -93,7 +93,7 @@
 	goldentest.Bytes(t, "keys.txt", []byte(strings.Join([]string{"jobs: " + JobKey, "ends: " + FinalKey, "pages of finished tasks: " + PageKey, "control record: " + DefaultConfig().Control}, "\n")+"\n"))
 }
 
-// TestGoldenCopies: what the operator's tool prints of copies and of plans to restore them.
+// TestGoldenCopies compares the copies and restore plans that the operator's tool prints.
 func TestGoldenCopies(t *testing.T) {
 	at := time.Date(2026, 1, 2, 3, 4, 5, 678000000, time.UTC)
 	goldentest.Wire.Check(t, []goldentest.Case{
--- a/internal/snapshot/restore.go
+++ b/internal/snapshot/restore.go
@@ -22,23 +22,23 @@
 	"topazhollow/internal/wait"
 )
 
-// Errors of a restore that callers decide by.
+// Errors of a restore that callers test for.
 var (
-	ErrNoEpoch = errors.New("snapshot: the controllers have not begun a generation after a loss")
-	ErrNotLost = errors.New("snapshot: the controllers miss nothing")
+	ErrNoEpoch = errors.New("snapshot: the controllers have not begun an epoch after a data loss")
+	ErrNotLost = errors.New("snapshot: the controllers report no lost data")
 )
 
-// Plan is what a restore would put back.
+// Plan describes what a restore would write.
 type Plan struct {
 	Copy       uint64 `json:"copy"`
 	Revision   uint64 `json:"revision"`
 	Generation uint64 `json:"generation"`
-	Jobs       int    `json:"jobs"`           // active ones that the service lacks
-	Ends       int    `json:"ends"`           // ends that it lacks
-	Done       int    `json:"finished_tasks"` // of those jobs
-	Teams      int    `json:"teams"`          // whose configuration it lacks
-	Newer      int    `json:"newer_there"`    // jobs of the copy of which the service knows more
-	Changes    int    `json:"changes"`        // of the service
+	Jobs       int    `json:"jobs"`           // active jobs that the service lacks
+	Ends       int    `json:"ends"`           // ended jobs whose end the service lacks
+	Done       int    `json:"finished_tasks"` // finished tasks of those active jobs
+	Teams      int    `json:"teams"`          // teams whose configuration is missing or older
+	Newer      int    `json:"newer_there"`    // active jobs of the copy that the service has already, active or ended
+	Changes    int    `json:"changes"`        // updates of the service that the restore makes
 
 	record *leadership.Record
 	fence  protocol.Condition
@@ -49,14 +49,14 @@
 	teams  []kvstore.Update
 }
 
-// contents are a copy's jobs as the controllers' keys hold them.
+// contents holds the jobs that are stored under the controllers' keys.
 type contents struct {
 	active map[string]userapi.ActiveJob
 	ends   *datarecovery.Ends
 	done   map[string]*bitset.BitSet
 }
 
-// parseKeys takes the controllers' keys apart.
+// parseKeys parses the controllers' keys.
 func parseKeys(keys map[string]Entry) (*contents, error) {
 	c := &contents{active: map[string]userapi.ActiveJob{}, ends: datarecovery.NewEnds(), done: map[string]*bitset.BitSet{}}
 	pages := map[string]map[string]string{}
@@ -65,7 +65,7 @@
 		if uid, ok := strings.CutPrefix(name, JobKey); ok {
 			var s userapi.ActiveJob
 			if err := json.Unmarshal(e.Value, &s); err != nil || s.Spec == nil || s.Spec.UID != uid {
-				return nil, bad(errors.Join(errors.New("no job"), err))
+				return nil, bad(errors.Join(errors.New("not a valid job"), err))
 			}
 			c.active[uid] = s
 		} else if uid, ok := strings.CutPrefix(name, FinalKey); ok {
@@ -93,7 +93,7 @@
 	return c, c.readDone(pages)
 }
 
-// readDone reads the pages of finished tasks of the active jobs.
+// readDone parses the pages with the finished tasks of the active jobs.
 func (c *contents) readDone(pages map[string]map[string]string) error {
 	tasks := func(uid string) int {
 		if s, ok := c.active[uid]; ok {
@@ -109,17 +109,17 @@
 	return nil
 }
 
-// Restorer puts a copy back into the state service.
+// Restorer restores copies into the state service.
 type Restorer struct {
 	config *Config
 	client *kvstore.Client
 }
 
-// NewRestorer is a restorer with the rates of the settings.
+// NewRestorer returns a restorer with the rates of the settings.
 func NewRestorer(set *Config) *Restorer { return &Restorer{config: set, client: set.client()} }
 
-// Plan compares a copy with what the service has. It writes nothing. Without force it
-// refuses when the controllers say that nothing was lost for good.
+// Plan compares a copy with the contents of the service and writes nothing. Without force
+// it returns ErrNotLost if the controllers report no lost data.
 func (r *Restorer) Plan(ctx context.Context, a *Archive, id, upTo uint64, force bool) (*Plan, error) {
 	keys, revision, err := a.Load(id, upTo)
 	if err != nil {
@@ -161,7 +161,7 @@
 	return p, nil
 }
 
-// listStore reads all that the store has.
+// listStore reads all keys of the service.
 func (r *Restorer) listStore(ctx context.Context) (map[string]Entry, error) {
 	listed, _, err := r.client.List(ctx, "")
 	if err != nil {
@@ -174,8 +174,8 @@
 	return now, nil
 }
 
-// lossRecord is the control record of the epoch that the controllers began after a loss. Without force it is
-// ErrNotLost if they say that nothing was lost for good.
+// lossRecord returns the control record of the epoch that the controllers began after a loss. Without force it returns
+// ErrNotLost if the record reports no lost data.
 func (r *Restorer) lossRecord(now map[string]Entry, force bool) (*leadership.Record, error) {
 	record, err := controlRecord(now, r.config.Control)
 	switch {
@@ -189,13 +189,14 @@
 	return record, nil
 }
 
-// valueOverhead is what a value takes beside its content, in bytes.
+// valueOverhead is the size of a value beside its content, in bytes.
 const valueOverhead = 64
 
-// maxValueBytes is how many bytes of content a value of the store may have.
+// maxValueBytes returns the largest size of the content of a value in the service.
 func (r *Restorer) maxValueBytes() int { return int(r.config.ValueKB*1024) - valueOverhead }
 
-// missingEnds are the ends of the copy that the store lacks; an end beats whatever the store has of the job.
+// missingEnds returns the ends in the copy that the service lacks. An end takes precedence over an active job in the
+// service.
 func missingEnds(old, have *contents) (lacking []datarecovery.End) {
 	for _, x := range old.ends.All() {
 		if _, ended := have.ends.Get(x.UID); !ended {
@@ -205,7 +206,7 @@
 	return lacking
 }
 
-// addJobs plans the active jobs of the copy, with their finished tasks, of which the store has nothing newer.
+// addJobs adds to the plan the active jobs of the copy that the service lacks, with their finished tasks.
 func (p *Plan) addJobs(old, have *contents) {
 	for _, uid := range slices.Sorted(maps.Keys(old.active)) {
 		_, active := have.active[uid]
@@ -222,7 +223,7 @@
 	}
 }
 
-// countEndPages is the number behind that of the last page of ends in the store.
+// countEndPages returns the number that follows that of the last page of ends in the service.
 func countEndPages(now map[string]Entry) (pages int) {
 	for name := range now {
 		text, isPage := strings.CutPrefix(name, datarecovery.EndsKey)
@@ -233,7 +234,7 @@
 	return pages
 }
 
-// donePages parts finished tasks into values of a size.
+// donePages splits finished tasks into pages of at most room bytes each.
 func donePages(done map[string]*bitset.BitSet, room int) (pages []map[string]*bitset.BitSet) {
 	size := room + 1
 	for _, uid := range slices.Sorted(maps.Keys(done)) {
@@ -248,9 +249,10 @@
 	return pages
 }
 
-// Apply carries out a plan: ends first, so that nothing that ended runs again, then
-// finished tasks, then jobs. Every change rests on the generation's key and on the
-// service lacking the job, so that what came meanwhile stays; it can be repeated.
+// Apply writes a plan to the service: teams, then ends, so that no ended job runs again,
+// then finished tasks, then jobs. Every update is conditional on the key of the epoch, and
+// that of a job also on the service lacking the job, so that newer data is not
+// overwritten. Apply can be repeated.
 func (r *Restorer) Apply(ctx context.Context, p *Plan, tell func(done, all int)) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -273,7 +275,7 @@
 	return nil
 }
 
-// updates are the plan's updates in the order in which they are made.
+// updates returns the updates of a plan in the order in which Apply makes them.
 func (p *Plan) updates(room int) []kvstore.Update {
 	all := slices.Clone(p.teams) // before the jobs, so that none starts beyond a lowered quota
 	for i, page := range p.ends {
@@ -296,17 +298,16 @@
 			Changes:    []protocol.Op{{Set: JobKey + uid, Value: protocol.Encode(s)}},
 		})
 	}
-	for _, key := range finished { // every controller that lives has read it, and the owners write it to their pages
+	for _, key := range finished { // by now every live controller has read the page, and the owners of the jobs write it to their own pages
 		all = append(all, kvstore.Update{Changes: []protocol.Op{{Delete: key}}})
 	}
 	return all
 }
 
-// restoreRetryDelay is between tries of an update while the store refuses or does not answer.
+// restoreRetryDelay is the delay before an update is retried that the service refused or did not answer.
 const restoreRetryDelay = 300 * time.Millisecond
 
-// put commits an update, again and again through outages. A conflict means that the store has something newer, which
-// stays.
+// put commits an update and retries it during outages. A conflict means that the service has newer data, which is kept.
 func (r *Restorer) put(ctx context.Context, u kvstore.Update) error {
 	for {
 		_, err := r.client.Commit(ctx, u)
@@ -326,8 +327,8 @@
 	}
 }
 
-// Declare ends the search for what nobody remembers: from then on a job that is not known
-// is told to be unknown. It says whether that changed anything.
+// Declare clears DataLost in the control record: from then on the controllers report a job
+// that none of them remembers as unknown. changed reports whether DataLost was set.
 func (r *Restorer) Declare(ctx context.Context) (changed bool, err error) {
 	for range 5 {
 		e, err := r.client.GetControl(ctx, r.config.Control)
--- a/internal/snapshot/snapshot_test.go
+++ b/internal/snapshot/snapshot_test.go
@@ -17,10 +17,10 @@
 	"topazhollow/internal/wal"
 )
 
-// TestArchiveModel drives copies and changes against a plain list of states, over a disk
-// that fails at a drawn step, after which the archive is opened anew as after a kill. It
-// guards that whatever was acknowledged can be read as it was, at every revision that was
-// kept, that a copy without its end is none, and that pruning leaves the newest.
+// TestArchiveModel compares an archive with a list of states under random copies, changes
+// and prunes. The disk fails at a random step, after which the archive is reopened as after
+// a kill. Every acknowledged state must be readable at its revision, an incomplete copy must
+// be ignored, and pruning must keep the newest copy.
 func TestArchiveModel(t *testing.T) {
 	ctx := t.Context()
 	failed, pruned := 0, 0
@@ -82,7 +82,7 @@
 					revision--
 				}
 			}
-			if err != nil { // killed: the process starts again and copies anew
+			if err != nil { // reopen as after a kill, and make a new full copy
 				failed++
 				left = 1 << 30
 				_ = a.Close()
@@ -99,7 +99,7 @@
 				model = append(model, kept{id, revision, state()})
 			}
 		}
-		reader, err := Open(dir, Options{ReadOnly: true}) // beside the one that writes
+		reader, err := Open(dir, Options{ReadOnly: true}) // while the writer has it open
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -116,7 +116,7 @@
 				plain[k] = string(e.Value)
 			}
 			if m.revision != 0 && !reflect.DeepEqual(plain, m.keys) {
-				t.Fatalf("seed %d: copy %d at %d is %v, not %v", seed, m.id, m.revision, plain, m.keys)
+				t.Fatalf("seed %d: copy %d at revision %d is %v, want %v", seed, m.id, m.revision, plain, m.keys)
 			}
 		}
 		if _, _, err := reader.Verify(); err != nil {
@@ -128,11 +128,11 @@
 		_, _ = reader.Close(), a.Close()
 	}
 	if failed < 20 || pruned < 20 {
-		t.Fatalf("%d failures and %d copies pruned are too few to show anything", failed, pruned)
+		t.Fatalf("%d failures and %d pruned copies, want at least 20 each", failed, pruned)
 	}
 }
 
-// failingFile is a file on a disk that fails after some steps and stays so.
+// failingFile is a file on a disk that fails for good after a number of steps.
 type failingFile struct {
 	wal.File
 	left *int
@@ -140,7 +140,7 @@
 
 func (f *failingFile) WriteAt(p []byte, off int64) (int, error) {
 	if *f.left--; *f.left < 0 {
-		n, _ := f.File.WriteAt(p[:len(p)/2], off) // torn
+		n, _ := f.File.WriteAt(p[:len(p)/2], off) // partial write
 		return n, io.ErrShortWrite
 	}
 	return f.File.WriteAt(p, off)
@@ -160,9 +160,9 @@
 	return f.File.Sync()
 }
 
-// TestFollowerKeepsCopyBeforeLoss: the service goes back, loses everything, or a few keys in
-// silence, while it is followed or between two followers. What was there before is kept
-// and can be read, and an empty copy never takes its place.
+// TestFollowerKeepsCopyBeforeLoss: the service is rolled back, loses everything or loses some
+// keys without a change, while it is followed or between two followers. The copy from before
+// the loss must be kept and be readable, also after the next copy and a prune.
 func TestFollowerKeepsCopyBeforeLoss(t *testing.T) {
 	for name, lose := range map[string]func(*simulation.KVStore, simulation.StoreSnapshot){
 		"back": func(s *simulation.KVStore, old simulation.StoreSnapshot) { s.RollBack(old) },
@@ -204,7 +204,7 @@
 					t.Helper()
 					for end := time.Now().Add(30 * time.Second); !holds(); time.Sleep(20 * time.Millisecond) {
 						if time.Now().After(end) {
-							t.Fatalf("never came true: %s: %+v", what, a.Copies())
+							t.Fatalf("timeout waiting for %s: %+v", what, a.Copies())
 						}
 					}
 				}
@@ -219,11 +219,11 @@
 					}
 				}
 				stop := follow()
-				until("copied", has(20))
+				until("the first copy", has(20))
 				for i := 20; i < 30; i++ {
 					put(i)
 				}
-				until("followed", has(30))
+				until("the changes", has(30))
 				if restarted {
 					stop()
 				}
@@ -233,7 +233,7 @@
 				}
 				defer stop()
 				var lost Copy
-				until("the loss is noticed", func() bool {
+				until("detection of the loss", func() bool {
 					for _, c := range a.Copies() {
 						if c.LossReason != "" {
 							lost = c
@@ -241,22 +241,22 @@
 					}
 					return lost.ID != 0
 				})
-				until("what is left is copied beside it", func() bool { c, _ := a.Latest(); return c.ID > lost.ID })
+				until("a copy after the loss", func() bool { c, _ := a.Latest(); return c.ID > lost.ID })
 				if _, err := a.Prune(time.Now().Add(time.Hour)); err != nil {
 					t.Fatal(err)
 				}
 				if keys, _, err := a.Load(lost.ID, 0); err != nil || len(keys) != 30 {
-					t.Fatalf("%d keys from before the loss, %v", len(keys), err)
+					t.Fatalf("%d keys in the copy from before the loss, %v", len(keys), err)
 				}
 			})
 		}
 	}
 }
 
-// TestFollowerOnAFullDisk: the disk has no room left while the service is followed, at one
-// step after another. The follower ends with an error instead of going on with holes; what
-// it had acknowledged can be read; and once there is room again the next one goes on, and
-// knows what was lost meanwhile.
+// TestFollowerOnAFullDisk: the disk becomes full at different points while the service is
+// followed. The follower must end with an error rather than continue with missing changes,
+// the copies it wrote must be readable, and once there is space, the next follower must
+// continue and detect what the service lost meanwhile.
 func TestFollowerOnAFullDisk(t *testing.T) {
 	stopped := 0
 	for _, room := range []int64{100, 900, 1500, 2500, 4000} {
@@ -295,7 +295,7 @@
 			case <-time.After(5 * time.Millisecond):
 			}
 			if known > 2000 {
-				t.Fatalf("room %d: never full", room)
+				t.Fatalf("room %d: the disk did not become full", room)
 			}
 		}
 		cancel()
@@ -310,7 +310,7 @@
 				t.Fatalf("room %d: %d keys at %d of %d, %v", room, len(keys), rev, last.LastRevision, err)
 			}
 		}
-		s.LosePrefix("f/job-00000") // while nobody looked
+		s.LosePrefix("f/job-00000") // while no follower runs
 		ctx, cancel = context.WithCancel(t.Context())
 		go func() { ended <- NewFollower(set, a, slog.New(slog.DiscardHandler)).Run(ctx) }()
 		for end := time.Now().Add(30 * time.Second); ; time.Sleep(10 * time.Millisecond) {
@@ -323,7 +323,7 @@
 				break
 			}
 			if time.Now().After(end) {
-				t.Fatalf("room %d: the next follower did not go on: %+v", room, a.Copies())
+				t.Fatalf("room %d: the next follower did not continue: %+v", room, a.Copies())
 			}
 		}
 		cancel()
@@ -332,11 +332,11 @@
 		}
 	}
 	if stopped != 5 {
-		t.Fatalf("%d of 5 disks were full", stopped)
+		t.Fatalf("%d of 5 disks became full", stopped)
 	}
 }
 
-// boundedFile is a file on a disk with so many bytes left.
+// boundedFile is a file on a disk with a limited number of bytes left.
 type boundedFile struct {
 	wal.File
 	left *int64
--- a/internal/snapshot/teams.go
+++ b/internal/snapshot/teams.go
@@ -13,8 +13,8 @@
 	"topazhollow/internal/teamstore"
 )
 
-// missingTeams gives the changes that put back the entries of teams' configuration of a copy of which the service has none
-// or an earlier one.
+// missingTeams returns the updates that restore the team configuration entries of a copy that the service lacks or has
+// in an earlier version.
 func missingTeams(old, now map[string]Entry) (updates []kvstore.Update, err error) {
 	for _, key := range slices.Sorted(maps.Keys(old)) {
 		if !strings.HasPrefix(key, teamstore.Prefix) {
--- a/internal/snapshot/teams_test.go
+++ b/internal/snapshot/teams_test.go
@@ -2,7 +2,8 @@
 
 import "testing"
 
-// TestMissingTeams: of the teams' configuration a copy puts back what the service lacks, and nothing older than it has.
+// TestMissingTeams: a restore must write the team configuration that the service lacks or has in an earlier version,
+// and must not replace the same or a later version.
 func TestMissingTeams(t *testing.T) {
 	entry := func(number string, version uint64) Entry {
 		return Entry{Value: []byte(`{"number":` + number + `,"change":"x"}`), Version: version}
@@ -23,6 +24,6 @@
 	}
 	old["w/t/bad"] = Entry{Value: []byte(`{`)}
 	if _, err := missingTeams(old, now); err == nil {
-		t.Error("an unreadable entry is put back")
+		t.Error("no error for an unreadable entry")
 	}
 }
--- a/internal/taskrunner/golden_test.go
+++ b/internal/taskrunner/golden_test.go
@@ -8,7 +8,8 @@
 	"topazhollow/internal/goldentest"
 )
 
-// TestGoldenSpool: the records of a spool, which outlives the process that wrote it: the forms may only grow.
+// TestGoldenSpool compares the entries of a spool with their golden files. A spool outlives the process that wrote it,
+// so the format may only be extended.
 func TestGoldenSpool(t *testing.T) {
 	at := time.Date(2026, 1, 2, 3, 4, 5, 678000000, time.UTC)
 	attempt := artifactstore.Attempt{Job: "job-000412", Task: 3, Number: 2}
--- a/internal/taskrunner/taskrunner.go
+++ b/internal/taskrunner/taskrunner.go
@@ -1,8 +1,8 @@
-// Package taskrunner is an agent's side of keeping output: it runs a task's command, takes
-// in what it puts out and the files that it leaves, and brings all of it to a replica.
-// Between the two lies a spool on the agent's disk, so that neither a replica that
-// can't be reached nor the end of the agent's own process loses what was put out. What
-// the spool has no room for is dropped and marked; the seal never is.
+// Package taskrunner runs a task's command for an agent and uploads its output streams
+// and files to a replica of the artifact store. The output passes through a spool on the
+// agent's disk, so that neither an unreachable replica nor a restart of the agent loses
+// it. Output beyond the spool's limit is dropped and replaced by a hole record; the seal
+// is never dropped.
 package taskrunner
 
 import (
@@ -28,39 +28,39 @@
 	"topazhollow/internal/wal"
 )
 
-// Task is one attempt to run.
+// Task is one attempt to run a task.
 type Task struct {
 	Claim   artifactstore.Claim `json:"claim"`
-	Token   string              `json:"token"` // to write for the claim
+	Token   string              `json:"token"` // authorizes uploads for the claim
 	Command []string            `json:"command"`
 	Env     []string            `json:"env"`
-	Dir     string              `json:"dir"`   // where it runs; its files are below it
-	Files   []string            `json:"files"` // paths that it should leave; a directory stands for all below it
+	Dir     string              `json:"dir"`   // working directory, which contains the output files
+	Files   []string            `json:"files"` // paths of the output files; a directory stands for all files below it
 }
 
-// Options are a runner's choices.
+// Options configures a runner.
 type Options struct {
-	Spool          string   // directory
-	Keepers        []string // addresses; another is tried when one fails
-	MaxSpoolBytes  int64    // bytes of output of one attempt that may wait in the spool; 64 MiB if 0
-	MaxRecordBytes int      // longest record; 32 KiB if 0
+	Spool          string   // directory of the spools
+	Keepers        []string // addresses of replicas; the next one is tried when one fails
+	MaxSpoolBytes  int64    // bytes of unsent output in the spool of one attempt; 64 MiB if 0
+	MaxRecordBytes int      // longest record in bytes, longer lines are split; 32 KiB if 0
 	RetryDelay     time.Duration
 	Log            *slog.Logger
-	Step           func(step string) // told of each durable step, for tests
-	// Acked is told what a replica acknowledged: the number of the next record of a stream.
+	Step           func(step string) // called at each durable step, for tests
+	// Acked is called when a replica has acknowledged records, with the number of the next record of the stream.
 	Acked func(stream string, next uint64)
 }
 
-// entry is a record of an attempt's spool.
+// entry is one entry in the log of an attempt's spool.
 type entry struct {
 	Task   *Task                 `json:"task,omitempty"`
 	Stream string                `json:"s,omitempty"`
 	Record *artifactstore.Record `json:"r,omitempty"`
-	Files  []string              `json:"f,omitempty"` // to be brought, relative to the task's directory
+	Files  []string              `json:"f,omitempty"` // to upload, relative to the task's directory
 	Exit   *artifactstore.Exit   `json:"x,omitempty"`
 }
 
-// spool is an attempt's way to the replica.
+// spool buffers the output of an attempt on disk until a replica has acknowledged it.
 type spool struct {
 	opt  Options
 	dir  string
@@ -69,18 +69,18 @@
 
 	mu           sync.Mutex
 	changed      sync.Cond
-	unsent       []unsentRecord // not brought yet
+	unsent       []unsentRecord // records not acknowledged yet
 	nextNumber   map[string]uint64
 	unsentBytes  int64
-	openHoles    map[string]*artifactstore.Hole // by stream, open
+	openHoles    map[string]*artifactstore.Hole // holes that are not written to the spool yet, by stream
 	files        []string
 	exit         *artifactstore.Exit
-	complete     bool // nothing more comes
+	complete     bool // no more records will be added
 	droppedBytes int64
-	replica      int // replica in use
+	replica      int // index in opt.Keepers of the replica in use
 }
 
-// unsentRecord is a record that is still to be brought.
+// unsentRecord is a record that no replica has acknowledged yet.
 type unsentRecord struct {
 	stream string
 	number uint64
@@ -88,11 +88,11 @@
 	size   int
 }
 
-// Result is how an attempt ended.
+// Result describes how an attempt ended.
 type Result struct {
 	Exit         artifactstore.Exit
-	Final        bool  // it is its task's result
-	DroppedBytes int64 // bytes of output that the spool had no room for
+	Final        bool  // the attempt is the result of its task
+	DroppedBytes int64 // bytes of output dropped because the spool was full
 }
 
 func (o *Options) setDefaults() {
@@ -120,14 +120,14 @@
 	return filepath.Join(root, fmt.Sprintf("%s-%d-%d", at.Job, at.Task, at.Number))
 }
 
-// open opens an attempt's spool and takes up what it holds.
+// open opens an attempt's spool and restores its state from its log.
 func open(opt Options, dir string) (*spool, error) {
 	s := &spool{opt: opt, dir: dir, nextNumber: map[string]uint64{}, openHoles: map[string]*artifactstore.Hole{}}
 	s.changed.L = &s.mu
 	log, err := wal.Open(dir, wal.Options{Step: opt.Step}, wal.Pos{}, func(at wal.Pos, b []byte) error {
 		var e entry
 		if err := json.Unmarshal(b, &e); err != nil {
-			return fmt.Errorf("runner: spool %s at %v: %w", dir, at, err)
+			return fmt.Errorf("runner: spool %s: entry at %v: %w", dir, at, err)
 		}
 		s.apply(&e, at)
 		return nil
@@ -149,7 +149,7 @@
 	}
 }
 
-// write makes an entry durable in the spool.
+// write writes an entry to the spool. It is durable when write returns.
 func (s *spool) write(ctx context.Context, e *entry) error {
 	at, err := s.log.Append(context.WithoutCancel(ctx), protocol.Encode(e))
 	if err != nil {
@@ -162,8 +162,8 @@
 	return nil
 }
 
-// appendRecord takes a record in; if the spool is full, or its disk is, it becomes part of a
-// hole. One stream is put by one goroutine.
+// appendRecord adds a record to the spool. If the spool or its disk is full, the record is
+// dropped and counted in a hole. Only one goroutine may append to a stream.
 func (s *spool) appendRecord(ctx context.Context, stream string, data []byte) {
 	now := time.Now().UTC()
 	s.mu.Lock()
@@ -171,7 +171,7 @@
 	h := s.openHoles[stream]
 	s.mu.Unlock()
 	if !full && h != nil {
-		// There is room again: the hole takes its place first.
+		// There is space again: write the hole before the next record.
 		if s.write(ctx, &entry{Stream: stream, Record: &artifactstore.Record{At: now, Hole: h}}) != nil {
 			full = true
 		} else {
@@ -193,13 +193,13 @@
 	h.Bytes, h.To = h.Bytes+int64(len(data)), now
 }
 
-// Run runs a task's command to its end and brings what it put out to a replica. The
-// context's end kills the command's whole process group; what it had put out until
-// then is still brought and sealed as not completed, for as long as grace allows.
+// Run runs a task's command to its end and uploads its output to a replica. Cancelling
+// the context kills the command's process group; its output so far is still uploaded and
+// sealed as not completed, within the grace period.
 func Run(ctx context.Context, opt Options, t Task, grace time.Duration) (Result, error) {
 	opt.setDefaults()
 	if len(t.Command) == 0 || len(opt.Keepers) == 0 {
-		return Result{}, errors.New("runner: a task without a command, or no keeper")
+		return Result{}, errors.New("runner: no command or no keeper given")
 	}
 	dir := spoolDir(opt.Spool, t.Claim.Attempt)
 	s, err := open(opt, dir)
@@ -208,7 +208,7 @@
 	}
 	defer s.log.Close()
 	if s.task.Command != nil {
-		return Result{}, fmt.Errorf("runner: attempt %s has a spool already: %w", t.Claim.Attempt, fs.ErrExist)
+		return Result{}, fmt.Errorf("runner: attempt %s already has a spool: %w", t.Claim.Attempt, fs.ErrExist)
 	}
 	if err := s.write(ctx, &entry{Task: &t}); err != nil {
 		return Result{}, err
@@ -226,10 +226,10 @@
 	}()
 	exit := s.execute(ctx, t)
 	files, err := collectFiles(t)
-	if err != nil { // what it should have left is not there, or is no plain file
+	if err != nil { // an output file is missing or not a regular file
 		exit.Completed, exit.Reason = false, err.Error()
 	}
-	for stream, h := range s.openHoles { // what was dropped last has its mark before the end
+	for stream, h := range s.openHoles { // the holes at the end of the streams
 		if err := s.write(late, &entry{Stream: stream, Record: &artifactstore.Record{At: h.To, Hole: h}}); err != nil {
 			return Result{}, err
 		}
@@ -242,7 +242,7 @@
 	return result, err
 }
 
-// execute runs the command.
+// execute runs the command and appends its output to the spool.
 func (s *spool) execute(ctx context.Context, t Task) artifactstore.Exit {
 	cmd := exec.Command(t.Command[0], t.Command[1:]...)
 	cmd.Dir, cmd.Env = t.Dir, t.Env
@@ -255,7 +255,7 @@
 	if err != nil {
 		return artifactstore.Exit{Code: -1, Reason: err.Error()}
 	}
-	kill := context.AfterFunc(ctx, func() { _ = syscall.Kill(-cmd.Process.Pid, syscall.SIGKILL) }) // it may have ended just now
+	kill := context.AfterFunc(ctx, func() { _ = syscall.Kill(-cmd.Process.Pid, syscall.SIGKILL) }) // fails if the process has just ended
 	defer kill()
 	var wg sync.WaitGroup
 	for stream, r := range map[string]io.Reader{"stdout": out, "stderr": errs} {
@@ -277,7 +277,7 @@
 	return exit
 }
 
-// readStream splits a stream into lines, or pieces of long ones.
+// readStream appends a stream to the spool as one record for each line. Lines longer than MaxRecordBytes are split.
 func (s *spool) readStream(ctx context.Context, stream string, r io.Reader) {
 	in := bufio.NewReaderSize(r, s.opt.MaxRecordBytes)
 	for {
@@ -286,13 +286,14 @@
 			s.appendRecord(ctx, stream, bytes.Clone(bytes.TrimSuffix(line, []byte("\n"))))
 		}
 		if err != nil && !errors.Is(err, bufio.ErrBufferFull) {
-			return // the process ended, or closed it
+			return // the process ended or closed the stream
 		}
 	}
 }
 
-// collectFiles lists the plain files that a task was to leave, as paths below its
-// directory. Links are not followed: they could lead anywhere.
+// collectFiles returns the paths of a task's output files, relative to its directory.
+// Anything but a regular file is an error. Symbolic links are not followed, since they
+// could point outside the directory.
 func collectFiles(t Task) (files []string, err error) {
 	root, err := os.OpenRoot(t.Dir)
 	if err != nil {
@@ -328,15 +329,15 @@
 	return slices.Compact(files), nil
 }
 
-// Recover takes up the spools that an agent's earlier process left: what is whole is
-// brought and sealed, and of what is not, the output that is there is brought; its
-// attempt stays partial, since nobody knows how it ended. It gives how many were taken
-// up. Spools that could not be brought, be it within the context's time or since a
-// replica refuses them, stay and hold up no others; the error tells of them.
+// Recover uploads the spools that an earlier process of the agent left. An attempt whose
+// spool is complete is sealed. For an incomplete one, the spooled output is uploaded and
+// the attempt stays partial, since its exit is unknown. Recover returns the number of
+// uploaded spools. A spool that could not be uploaded, because the context ended or a
+// replica rejected it, is kept and reported in the error; the others are still uploaded.
 func Recover(ctx context.Context, opt Options) (count int, err error) {
 	opt.setDefaults()
 	if len(opt.Keepers) == 0 {
-		return 0, errors.New("runner: no keeper")
+		return 0, errors.New("runner: no keeper given")
 	}
 	entries, err := os.ReadDir(opt.Spool)
 	if errors.Is(err, fs.ErrNotExist) {
@@ -352,7 +353,7 @@
 			errs = append(errs, err)
 			continue
 		}
-		if s.task.Command == nil { // it ended before anything was in it
+		if s.task.Command == nil { // the process ended before it wrote the task
 			s.log.Close()
 			if err := os.RemoveAll(s.dir); err != nil {
 				return count, err
@@ -368,7 +369,7 @@
 			continue
 		}
 		count++
-		opt.Log.Info("spool of an earlier process brought", "job", s.task.Claim.Job, "task", s.task.Claim.Task, "attempt", s.task.Claim.Number, "partial", partial)
+		opt.Log.Info("uploaded spool of an earlier process", "job", s.task.Claim.Job, "task", s.task.Claim.Task, "attempt", s.task.Claim.Number, "partial", partial)
 	}
 	return count, errors.Join(errs...)
 }
--- a/internal/taskrunner/taskrunner_test.go
+++ b/internal/taskrunner/taskrunner_test.go
@@ -27,7 +27,7 @@
 	key = []byte("0123456789abcdef")
 )
 
-// testReplica is a replica that can be away.
+// testReplica is a replica that can be made unreachable.
 type testReplica struct {
 	t           *testing.T
 	n           *artifactreplication.Node
@@ -70,7 +70,7 @@
 	return Options{Spool: spool, Keepers: []string{x.url}, RetryDelay: 5 * time.Millisecond}
 }
 
-// isSealedState says whether an attempt was sealed.
+// isSealedState reports whether an attempt is sealed.
 func isSealedState(a artifactstore.Known) bool {
 	return a.State == artifactstore.StateFinal || a.State == artifactstore.StateSealed
 }
@@ -97,8 +97,9 @@
 	return list, lost
 }
 
-// TestRun: output by stream, files, the exit; what is no plain file, climbs out or is
-// missing makes the attempt fail with a reason; a stopped one is killed with its children.
+// TestRun checks the uploaded streams, files and exit of commands. An output file that is
+// missing, not regular or outside the directory must fail the attempt with a reason. A
+// stopped command must be killed with its child processes.
 func TestRun(t *testing.T) {
 	x := newTestReplica(t)
 	spool := t.TempDir()
@@ -134,11 +135,11 @@
 			t.Errorf("%q: %+v %v", c.command, m, err)
 		}
 		if list, _ := x.readText(tk.Claim.Attempt, "stdout"); len(list) != c.stdout {
-			t.Errorf("%q put out %d records", c.command, len(list))
+			t.Errorf("%q: %d records of output", c.command, len(list))
 		}
 	}
 	if m, state, err := x.n.Manifest(ctx, "job-000001", 0, 0); err != nil || state != artifactstore.StateFinal || m.Number != 1 {
-		t.Errorf("the result is %+v, %v", m, err)
+		t.Errorf("result %+v, %v", m, err)
 	}
 	stopped, stop := context.WithCancel(ctx)
 	time.AfterFunc(100*time.Millisecond, stop)
@@ -147,13 +148,13 @@
 		t.Errorf("stopped: %+v %v", got, err)
 	}
 	if left, err := os.ReadDir(spool); err != nil || len(left) != 0 {
-		t.Errorf("spools left: %v %v", left, err)
+		t.Errorf("remaining spools: %v %v", left, err)
 	}
 }
 
-// TestReplicaUnreachable: while the replica can't be reached output waits in the spool up to a
-// bound; beyond it what is dropped is marked with how much it was, and the attempt is
-// sealed all the same.
+// TestReplicaUnreachable: while the replica is unreachable, output must be kept in the spool
+// up to MaxSpoolBytes. Output beyond that must be replaced by a hole with its size, and the
+// attempt must still be sealed.
 func TestReplicaUnreachable(t *testing.T) {
 	x := newTestReplica(t)
 	x.unreachable.Store(true)
@@ -198,7 +199,7 @@
 	got.DroppedBytes = s.droppedBytes
 	list, lost := x.readText(tk.Claim.Attempt, "stdout")
 	if lost != got.DroppedBytes || lost != 4*(1000-500) {
-		t.Errorf("%d bytes marked as lost, %d were, %d should be", lost, got.DroppedBytes, 4*(1000-500))
+		t.Errorf("holes of %d bytes, %d bytes dropped, want %d", lost, got.DroppedBytes, 4*(1000-500))
 	}
 	for i, s := range list[:500] {
 		if s != strconv.Itoa(1000+i) {
@@ -206,11 +207,11 @@
 		}
 	}
 	if rest := list[500:]; len(rest) != 2 || rest[0] != "[hole]" || rest[1] != "last" {
-		t.Errorf("behind that %q", rest)
+		t.Errorf("after the spooled records: %q", rest)
 	}
 }
 
-// TestRefusedSpool: a spool whose token has ended stays, and holds up no other.
+// TestRefusedSpool: a spool whose token has expired must be kept and must not stop the upload of others.
 func TestRefusedSpool(t *testing.T) {
 	x := newTestReplica(t)
 	opt := x.options(t.TempDir())
@@ -232,20 +233,20 @@
 		s.log.Close()
 	}
 	if n, err := Recover(ctx, opt); n != 1 || err == nil || !strings.Contains(err.Error(), "job-000001-0-1") {
-		t.Fatalf("%d taken up, %v", n, err)
+		t.Fatalf("%d spools uploaded, %v", n, err)
 	}
 	if left, err := os.ReadDir(opt.Spool); err != nil || len(left) != 1 {
-		t.Errorf("left: %v %v", left, err)
+		t.Errorf("remaining spools: %v %v", left, err)
 	}
 	if m, state, err := x.n.Manifest(ctx, "job-000001", 0, 0); err != nil || state != artifactstore.StateFinal || m.Number != 2 {
 		t.Errorf("%+v %s %v", m, state, err)
 	}
 }
 
-// TestKilled ends the runner's process for good at each of its steps, takes its spool
-// up in another, and runs the task again as its next attempt. Every line that survives is
-// once there, in order, under the attempt that put it out; an attempt that was not whole
-// stays partial, and is never the result; one that was whole is sealed.
+// TestKilled kills the runner's process at each durable step, recovers its spool in another
+// process and runs the next attempt of the task. Every surviving line must be stored once,
+// in order, under its own attempt. An attempt with an incomplete spool must stay partial
+// and must not be the result; one with a complete spool must be sealed.
 func TestKilled(t *testing.T) {
 	const command = "echo attempt $A; for i in 1 2 3 4 5; do echo line $i of $A; done; printf 'file of %s' $A > out"
 	if spec := os.Getenv("RUNNER_KILL"); spec != "" {
@@ -283,7 +284,7 @@
 			t.Fatalf("step %d: %v", at, err)
 		}
 		if left, err := os.ReadDir(spool); err != nil || len(left) != 0 {
-			t.Fatalf("step %d: spools left: %v %v", at, left, err)
+			t.Fatalf("step %d: remaining spools: %v %v", at, left, err)
 		}
 		first := artifactstore.Attempt{Job: "job-000001", Task: 0, Number: 1}
 		list, _, err := x.n.Attempts(ctx, "job-000001", 0)
@@ -294,7 +295,7 @@
 		if len(list) > 0 {
 			got, _ := x.readText(first, "stdout")
 			if len(got) > len(whole) || strings.Join(got, "|") != strings.Join(whole[:len(got)], "|") || (isSealedState(list[0]) && len(got) != len(whole)) {
-				t.Fatalf("step %d: sealed %v with %q", at, isSealedState(list[0]), got)
+				t.Fatalf("step %d: sealed %v with output %q", at, isSealedState(list[0]), got)
 			}
 		}
 		sealed := len(list) > 0 && isSealedState(list[0])
@@ -306,18 +307,18 @@
 		}
 		m, state, err := x.n.Manifest(ctx, "job-000001", 0, 0)
 		if err != nil || state != artifactstore.StateFinal || (m.Number == 1) != sealed {
-			t.Fatalf("step %d: the result is %+v, %v", at, m, err)
+			t.Fatalf("step %d: result %+v, %v", at, m, err)
 		}
 		d, err := blob.Parse(m.Files[0].Digest)
 		if err != nil {
 			t.Fatal(err)
 		}
 		if content, err := x.b.Get("red", d, 100); err != nil || string(content) != fmt.Sprint("file of ", m.Number) {
-			t.Fatalf("step %d: attempt %d has %q, %v", at, m.Number, content, err)
+			t.Fatalf("step %d: file of attempt %d is %q, %v", at, m.Number, content, err)
 		}
 		if !killed {
 			if at < 15 {
-				t.Fatalf("only %d steps", at)
+				t.Fatalf("only %d durable steps", at)
 			}
 			return
 		}
--- a/internal/taskrunner/upload.go
+++ b/internal/taskrunner/upload.go
@@ -21,7 +21,7 @@
 	"topazhollow/internal/wait"
 )
 
-// rejection is an answer that trying again does not change.
+// rejection is an error answer for which a retry is pointless.
 type rejection struct {
 	status int
 	code   string
@@ -31,11 +31,11 @@
 }
 
 func (r *rejection) Error() string {
-	return fmt.Sprintf("runner: keeper says %d %s", r.status, r.reason)
+	return fmt.Sprintf("runner: keeper answered %d %s", r.status, r.reason)
 }
 
-// call makes a request until it is answered, of one replica after another, with jittered
-// pauses that grow, for as long as the context allows.
+// call sends a request until a replica accepts or rejects it or the context ends. It tries
+// the replicas in turn, with jittered exponential backoff.
 func (s *spool) call(ctx context.Context, path string, body []byte) (*artifactstore.Answer, error) {
 	for pause := s.opt.RetryDelay; ; pause = min(2*pause, 30*time.Second) {
 		a, after, err := s.callOnce(ctx, s.opt.Keepers[s.replica], path, body)
@@ -70,28 +70,28 @@
 	switch {
 	case resp.StatusCode == 200:
 		return a, 0, nil
-	case resp.StatusCode == 429, resp.StatusCode >= 500: // busy, full or broken: perhaps not for long
+	case resp.StatusCode == 429, resp.StatusCode >= 500: // overloaded, full or failing: may be temporary
 		seconds, _ := strconv.Atoi(resp.Header.Get("Retry-After"))
 		return nil, time.Duration(min(seconds, 60)) * time.Second, fmt.Errorf("%s %s", resp.Status, a.Error)
 	}
 	return nil, 0, &rejection{resp.StatusCode, a.Code, a.Error, a.Next, a.Offset}
 }
 
-// isSealed says that a replica refused something since the attempt is isSealed: an earlier
-// process ended before it removed the spool, and all of it is there.
+// isSealed reports whether a replica rejected a request because the attempt is sealed. Then
+// an earlier process ended before it removed the spool, and the replica has all of it.
 func isSealed(err error) bool {
 	var no *rejection
 	return errors.As(err, &no) && no.code == "sealed"
 }
 
-// maxBatchRecords bounds the records of one request, in number and bytes.
+// Limits of the records in one request. A batch exceeds maxBatchBytes by at most one record.
 const (
 	maxBatchRecords = 500
 	maxBatchBytes   = 1 << 20
 )
 
-// upload carries the spool over to a replica and removes it when that is done. Every step
-// may be taken again after a restart: the replica knows what it has.
+// upload uploads the spool to a replica and then removes it. Every step can be repeated
+// after a restart, since the replica ignores what it has already.
 func (s *spool) upload(ctx context.Context) (Result, error) {
 	stop := context.AfterFunc(ctx, func() {
 		s.mu.Lock()
@@ -126,7 +126,8 @@
 	return result, os.RemoveAll(s.dir)
 }
 
-// nextBatch waits for records of one stream; more is false once all have been sent and no others can come.
+// nextBatch waits for unsent records and returns some of one stream. more is false when all records have been sent and
+// the spool is complete.
 func (s *spool) nextBatch(ctx context.Context) (batch []unsentRecord, more bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -143,17 +144,17 @@
 	return batch, len(batch) > 0 || !s.complete
 }
 
-// maxFileRetries is how often the upload of a file is begun anew.
+// maxFileRetries is how often a file's upload is restarted after the replica has dropped it.
 const maxFileRetries = 3
 
-// seal uploads the files and seals the attempt; final says whether it is the task's result.
+// seal uploads the files and seals the attempt; final reports whether the attempt is the task's result.
 func (s *spool) seal(ctx context.Context) (final bool, err error) {
 	end := artifactstore.End{Exit: *s.exit, Records: maps.Clone(s.nextNumber), Files: map[string]string{}}
 	for _, path := range s.files {
 		d, err := s.uploadFile(ctx, path)
 		var no *rejection
 		for try := 0; try < maxFileRetries && errors.As(err, &no) && no.status == http.StatusNotFound; try++ {
-			d, err = s.uploadFile(ctx, path) // the replica gave the upload up meanwhile, or another is asked now
+			d, err = s.uploadFile(ctx, path) // the replica dropped the upload, or this is another replica
 		}
 		if err != nil && !isSealed(err) {
 			return false, err
@@ -172,7 +173,7 @@
 	return a.Final, nil
 }
 
-// sendBatch brings records of one stream.
+// sendBatch sends records of one stream to a replica.
 func (s *spool) sendBatch(ctx context.Context, batch []unsentRecord) error {
 	var records []artifactstore.Record
 	for _, w := range batch {
@@ -202,7 +203,7 @@
 	return nil
 }
 
-// removeSent drops records that the replica has.
+// removeSent removes acknowledged records from the unsent ones.
 func (s *spool) removeSent(batch []unsentRecord) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -220,10 +221,10 @@
 	s.unsent = kept
 }
 
-// chunkBytes is how much of a file goes in one request.
+// chunkBytes is the size of the part of a file that one request uploads.
 const chunkBytes = 1 << 20
 
-// uploadFile uploads one file in pieces and attaches it.
+// uploadFile uploads one file in chunks and attaches it to the attempt.
 func (s *spool) uploadFile(ctx context.Context, path string) (d blob.Digest, err error) {
 	root, err := os.OpenRoot(s.task.Dir)
 	if err != nil {
--- a/internal/wal/append.go
+++ b/internal/wal/append.go
@@ -8,19 +8,18 @@
 	"path/filepath"
 )
 
-// batch is the records of one Append.
+// batch holds the records of one Append.
 type batch struct {
 	data      []byte
-	offsets   []int64 // of each record within data
+	offsets   []int64 // of each record in data
 	positions []Pos
 	done      chan error
 }
 
-// Append writes records, all of them or, with an error, perhaps some. When it
-// returns without an error they are on the disk, in this order and together, and
-// at says where each begins. ErrBusy says that too much waits; nothing of the call
-// was or will be written then. A call given up by its context may yet be carried
-// out.
+// Append appends records. When it returns without an error, they are on the disk,
+// consecutive and in this order, and at holds their positions. With an error, some of
+// them may have been written. After ErrBusy none is or will be written. When the
+// context is cancelled, the records may still be written later.
 func (l *Log) Append(ctx context.Context, records ...[]byte) (at []Pos, err error) {
 	b := &batch{done: make(chan error, 1)}
 	size := 0
@@ -68,7 +67,7 @@
 	}
 }
 
-// writeLoop carries out what waits, all of it with one fsync, until the log is closed.
+// writeLoop writes the pending batches, all of them with one fsync, until the log is closed.
 func (l *Log) writeLoop() {
 	defer close(l.writerDone)
 	for range l.wake {
@@ -111,7 +110,7 @@
 	l.pendingBytes -= len(data)
 	l.mu.Unlock()
 	if err == nil && size >= l.opt.SegmentBytes {
-		// A segment that can't be begun is tried again after the next append.
+		// If the next segment can't be created, the next append tries again.
 		_ = l.rotate()
 	}
 	for _, b := range group {
@@ -119,11 +118,11 @@
 	}
 }
 
-// writeAndSync puts data at the end of a segment of a size, and waits until it is on the disk.
+// writeAndSync writes data at the end of a segment, at offset size, and syncs the file.
 func (l *Log) writeAndSync(f File, data []byte, size int64) error {
 	l.opt.Step("write")
 	if _, err := f.WriteAt(data, size); err != nil {
-		// A full disk, say: what went out is taken back, and the log goes on.
+		// For example a full disk: remove the partial write, so that the log stays usable.
 		if undo := f.Truncate(size); undo != nil {
 			_ = l.markBroken(undo)
 		}
@@ -131,7 +130,7 @@
 	}
 	l.opt.Step("sync")
 	if err := f.Sync(); err != nil {
-		return l.markBroken(err) // what the system did with the pages is not known any more
+		return l.markBroken(err) // after a failed fsync it is unknown which pages are on the disk
 	}
 	l.opt.Step("synced")
 	return nil
@@ -146,7 +145,7 @@
 	return l.broken
 }
 
-// rotate begins the next segment.
+// rotate creates the next segment.
 func (l *Log) rotate() error {
 	l.mu.Lock()
 	n := l.last + 1
--- a/internal/wal/compact.go
+++ b/internal/wal/compact.go
@@ -9,7 +9,7 @@
 	"path/filepath"
 )
 
-// Drop removes finished segments before a number. Nobody may read them any more.
+// Drop removes the finished segments before a number. They must not be read any more.
 func (l *Log) Drop(before uint32) error {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -25,11 +25,11 @@
 	return nil
 }
 
-// Compact gives back the space of the first segments, one after the other, as long as
-// at most half of the next one lives on. live is handed each record, valid until it
-// returns, and gives how to write it again at the end, or nil if it is needed no more.
-// settle, if given, is called before a segment goes: whoever keeps positions must have
-// the new ones by then.
+// Compact frees the oldest segments, one after the other, as long as at most half of the
+// bytes of a segment are live. It calls live for each record, which is valid until live
+// returns; live returns a function that appends the record again, or nil if the record
+// is no longer needed. settle, if not nil, is called before a segment is removed; it must
+// make sure that stored positions refer to the new records.
 func (l *Log) Compact(ctx context.Context, live func(at Pos, record []byte) (again func() error, err error), settle func() error) error {
 	for ctx.Err() == nil {
 		first, last := l.Segments()
--- a/internal/wal/golden_test.go
+++ b/internal/wal/golden_test.go
@@ -9,7 +9,8 @@
 	"topazhollow/internal/goldentest"
 )
 
-// TestGoldenSegment: a segment of a log as it stands on disks. Logs outlive the process that wrote them, so the form may only grow.
+// TestGoldenSegment compares a segment with its golden file and reads that file. Logs outlive the process that wrote
+// them, so the format may only be extended.
 func TestGoldenSegment(t *testing.T) {
 	records := []string{"a", "second record", string([]byte{0, 255, 10})}
 	dir := t.TempDir()
--- a/internal/wal/read.go
+++ b/internal/wal/read.go
@@ -11,8 +11,9 @@
 
 var errTorn = errors.New("wal: torn record")
 
-// scanRecords hands over the whole records of a file from an offset on and gives the
-// offset behind the last of them.
+// scanRecords calls each for every whole record of a file from an offset on. It returns
+// the offset after the last of them, with errTorn if another record begins there that is
+// incomplete or has a wrong checksum.
 func scanRecords(f io.ReaderAt, at int64, each func(off int64, rec []byte) error) (int64, error) {
 	r := &recordReader{r: io.NewSectionReader(f, at, 1<<62), buf: make([]byte, 0, 64<<10)}
 	for {
@@ -38,15 +39,15 @@
 	}
 }
 
-// recordReader reads ahead in large pieces.
+// recordReader reads a segment with read-ahead.
 type recordReader struct {
 	r   io.Reader
 	buf []byte
 	pos int
 }
 
-// next gives the next n bytes, valid until the next call; io.EOF only if there are
-// none at all.
+// next returns the next n bytes, valid until the next call. At the end of the file it
+// returns io.EOF, and io.ErrUnexpectedEOF if only some bytes are left.
 func (c *recordReader) next(n int) ([]byte, error) {
 	if len(c.buf)-c.pos < n {
 		rest := append(make([]byte, 0, max(n, 64<<10)), c.buf[c.pos:]...)
@@ -64,7 +65,7 @@
 	return p, nil
 }
 
-// Read gives the record at a position.
+// Read returns the record at a position.
 func (l *Log) Read(at Pos) ([]byte, error) {
 	l.mu.Lock()
 	f := l.files[at.Segment]
@@ -85,19 +86,19 @@
 		return nil, fmt.Errorf("%w: segment %d at %d: %v", ErrCorrupt, at.Segment, at.Offset, err)
 	}
 	if crc32.Checksum(rec, checksumTable) != binary.LittleEndian.Uint32(head[4:]) {
-		return nil, fmt.Errorf("%w: segment %d at %d: checksum", ErrCorrupt, at.Segment, at.Offset)
+		return nil, fmt.Errorf("%w: segment %d at %d: wrong checksum", ErrCorrupt, at.Segment, at.Offset)
 	}
 	return rec, nil
 }
 
-// Scan hands over the whole records of one finished segment, as when what lives on
-// in it is moved elsewhere before it is dropped.
+// Scan calls each for the records of one finished segment, for example to rewrite the
+// live ones before the segment is dropped.
 func (l *Log) Scan(segment uint32, each func(at Pos, record []byte) error) error {
 	l.mu.Lock()
 	f, last := l.files[segment], l.last
 	l.mu.Unlock()
 	if f == nil || segment >= last {
-		return fmt.Errorf("wal: no finished segment %d", segment)
+		return fmt.Errorf("wal: segment %d does not exist or is not finished", segment)
 	}
 	end, err := scanRecords(f, 0, func(off int64, rec []byte) error { return each(Pos{segment, off}, rec) })
 	if errors.Is(err, errTorn) {
@@ -106,7 +107,7 @@
 	return err
 }
 
-// Replay hands over the records from a position to the end as it is now, in order.
+// Replay calls each for the records from a position to the current end, in order.
 func (l *Log) Replay(from Pos, each func(at Pos, record []byte) error) error {
 	end := l.End()
 	for n := from.Segment; n <= end.Segment; n++ {
--- a/internal/wal/segments.go
+++ b/internal/wal/segments.go
@@ -10,7 +10,7 @@
 
 func segmentName(n uint32) string { return fmt.Sprintf("%08d.log", n) }
 
-// Segments lists the numbers of the segments in a directory, in order.
+// segments returns the numbers of the segments in a directory, in order.
 func segments(dir string) ([]uint32, error) {
 	entries, err := os.ReadDir(dir)
 	if err != nil {
@@ -24,7 +24,7 @@
 		}
 		n, err := strconv.ParseUint(name, 10, 32)
 		if err != nil || segmentName(uint32(n)) != e.Name() {
-			return nil, fmt.Errorf("wal: %s is no segment", e.Name())
+			return nil, fmt.Errorf("wal: %s is not the name of a segment", e.Name())
 		}
 		list = append(list, uint32(n))
 	}
@@ -32,7 +32,7 @@
 	return list, nil
 }
 
-// SyncDir makes durable what was made, moved or removed in a directory.
+// SyncDir syncs a directory, so that created, renamed and removed entries are durable.
 func SyncDir(dir string) error {
 	d, err := os.Open(dir)
 	if err != nil {
@@ -42,7 +42,7 @@
 	return d.Sync()
 }
 
-// Segments gives the numbers of the first segment and of the one written to.
+// Segments returns the numbers of the first segment and of the one being written.
 func (l *Log) Segments() (first, last uint32) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/wal/wal.go
+++ b/internal/wal/wal.go
@@ -1,7 +1,7 @@
-// Package wal is a log on a local disk: records are appended in order and are
-// durable once Append returns. Appends that come while the disk is busy share one
-// fsync. A record that was only half written when the process or the machine ended
-// is taken off when the log is opened again; one that went bad later is told of.
+// Package wal is a write-ahead log on a local disk. Records are appended in order and
+// are durable once Append returns; concurrent appends share one fsync. A record that
+// was partially written when the process or the machine stopped is truncated when the
+// log is opened again. A record that was damaged later is reported as corrupt.
 package wal
 
 import (
@@ -14,35 +14,35 @@
 	"sync"
 )
 
-// Errors that callers decide by.
+// Errors that callers test for.
 var (
 	ErrClosed  = errors.New("wal: closed")
-	ErrBroken  = errors.New("wal: the disk failed, open the log anew") // what was not acknowledged may or may not be there
-	ErrBusy    = errors.New("wal: too much waits for the disk")
-	ErrCorrupt = errors.New("wal: a record went bad")
+	ErrBroken  = errors.New("wal: disk failed, the log must be reopened") // unacknowledged records may or may not be in the log
+	ErrBusy    = errors.New("wal: too many bytes wait for the disk")
+	ErrCorrupt = errors.New("wal: corrupt record")
 	ErrTooLong = errors.New("wal: record too long")
-	ErrBehind  = errors.New("wal: the log ends before that position")
+	ErrBehind  = errors.New("wal: the log ends before the position")
 )
 
-// MaxRecord bounds one record, in bytes.
+// MaxRecord is the largest size of a record in bytes.
 const MaxRecord = 16 << 20
 
-const headerBytes = 8 // length and checksum of a record
+const headerBytes = 8 // length and checksum, 4 bytes each
 
 var checksumTable = crc32.MakeTable(crc32.Castagnoli)
 
-// Pos is where a record begins. Later records have greater positions.
+// Pos is the position of a record in the log. Later records have greater positions.
 type Pos struct {
 	Segment uint32
 	Offset  int64
 }
 
-// Before says whether p is earlier than o.
+// Before reports whether p is earlier than o.
 func (p Pos) Before(o Pos) bool {
 	return p.Segment < o.Segment || (p.Segment == o.Segment && p.Offset < o.Offset)
 }
 
-// File is what the log needs of an open file. *os.File is one.
+// File is an open segment file. *os.File implements it.
 type File interface {
 	io.ReaderAt
 	io.WriterAt
@@ -51,43 +51,43 @@
 	Close() error
 }
 
-// OpenFile opens a file of the system's for reading and writing, making it if need be.
+// OpenFile opens a file for reading and writing and creates it if needed.
 func OpenFile(path string) (File, error) { return os.OpenFile(path, os.O_RDWR|os.O_CREATE, 0o600) }
 
-// Options are a log's choices; the zero value is usable.
+// Options configures a log; the zero value is usable.
 type Options struct {
-	SegmentBytes    int64 // a segment that has grown so far is followed by the next; 64 MiB if 0
-	MaxPendingBytes int   // bytes that may wait for the disk; 32 MiB if 0
-	// OpenFile opens a segment; OpenFile of this package if nil. Tests put failing
-	// disks here.
+	SegmentBytes    int64 // size at which the next segment is started; 64 MiB if 0
+	MaxPendingBytes int   // bytes that may wait to be written, beyond which Append returns ErrBusy; 32 MiB if 0
+	// OpenFile opens a segment; OpenFile of this package if nil. Tests simulate failing
+	// disks with it.
 	OpenFile func(path string) (File, error)
-	// Step is told each durable step before ("write", "sync") and after ("synced")
-	// it is taken. Tests end the process here.
+	// Step is called before each write ("write") and fsync ("sync") and after each fsync
+	// ("synced"). Tests kill the process in it.
 	Step func(step string)
 }
 
-// Log is an open log. Its methods may be called at the same time.
+// Log is an open log. It is safe for concurrent use.
 type Log struct {
 	dir string
 	opt Options
 
-	wake         chan struct{} // signals the writer
+	wake         chan struct{} // wakes writeLoop
 	writerDone   chan struct{}
 	mu           sync.Mutex
 	files        map[uint32]File
 	first        uint32
 	last         uint32
-	lastSize     int64 // of the last segment
+	lastSize     int64 // bytes written to the last segment
 	closed       bool
 	broken       error
 	pending      []*batch
-	pendingBytes int // waiting
+	pendingBytes int // bytes of the pending batches
 }
 
-// Open opens the log in a directory, which it makes if need be, and hands every
-// whole record from a position on to replay, in order. What was half written at
-// the end is taken off. A bad record before the end is ErrCorrupt with its
-// position: everything before it was handed over.
+// Open opens the log in a directory, which it creates if needed, and calls replay for
+// every record from a position on, in order. A partially written record at the end is
+// truncated. For a corrupt record before that it returns ErrCorrupt with the position,
+// after replaying all earlier records.
 func Open(dir string, opt Options, from Pos, replay func(at Pos, record []byte) error) (*Log, error) {
 	opt.setDefaults()
 	if err := os.MkdirAll(dir, 0o700); err != nil {
@@ -126,7 +126,7 @@
 	return l, nil
 }
 
-// setDefaults replaces what is not given.
+// setDefaults sets the defaults of unset options.
 func (o *Options) setDefaults() {
 	if o.SegmentBytes <= 0 {
 		o.SegmentBytes = 64 << 20
@@ -142,7 +142,7 @@
 	}
 }
 
-// checkPosition is ErrBehind if the log ends before a position that its owner knows to be written.
+// checkPosition returns ErrBehind if the log ends before a position that its owner knows to be written.
 func (l *Log) checkPosition(from Pos) error {
 	if from == (Pos{}) {
 		return nil
@@ -157,8 +157,8 @@
 	return nil
 }
 
-// openSegment opens a segment and replays its records from a position on. Of the last segment it takes off what was
-// half written.
+// openSegment opens a segment and replays its records from a position on. In the last segment it truncates a partially
+// written record.
 func (l *Log) openSegment(n uint32, from Pos, replay func(at Pos, record []byte) error) error {
 	f, err := l.opt.OpenFile(filepath.Join(l.dir, segmentName(n)))
 	if err != nil {
@@ -184,14 +184,14 @@
 	return err
 }
 
-// End is where the next record will begin, at the earliest.
+// End returns the end of the written records. The next record begins there, or in a new segment.
 func (l *Log) End() Pos {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return Pos{l.last, l.lastSize}
 }
 
-// Close ends the log after what waits was written.
+// Close writes pending records and closes the log.
 func (l *Log) Close() error {
 	l.mu.Lock()
 	if l.closed {
--- a/internal/wal/wal_test.go
+++ b/internal/wal/wal_test.go
@@ -32,8 +32,8 @@
 	return l, got
 }
 
-// TestLogModel compares the log, closed and opened again at random, with a plain
-// list of records; each must also be found at its position.
+// TestLogModel compares a log, which is closed and reopened at random, with a list of
+// the appended records. Each record must be readable at its position.
 func TestLogModel(t *testing.T) {
 	for seed := range uint64(20) {
 		rng := rand.New(rand.NewPCG(seed, 1))
@@ -73,14 +73,14 @@
 			}
 		}
 		if first, last := l.Segments(); first == last {
-			t.Fatalf("seed %d: all in one segment", seed)
+			t.Fatalf("seed %d: all records are in one segment", seed)
 		}
 	}
 }
 
-// TestTornTail cuts the last segment off at each byte: every record that was whole
-// comes back, nothing else does, and the log goes on behind it. A byte turned
-// earlier is told of, whatever it makes of the length.
+// TestTornTail truncates the last segment at each byte: exactly the whole records must
+// be replayed, and the log must stay writable. It also flips a bit in each byte of a
+// finished segment, also in lengths: opening must return ErrCorrupt.
 func TestTornTail(t *testing.T) {
 	dir := t.TempDir()
 	l, _ := open(t, dir, Options{})
@@ -109,14 +109,14 @@
 		}
 		l, got := open(t, dir, Options{})
 		if len(got) != whole {
-			t.Fatalf("cut at %d: %d records, %d were whole", cut, len(got), whole)
+			t.Fatalf("truncated at %d: %d records replayed, %d were whole", cut, len(got), whole)
 		}
 		if _, err := l.Append(ctx, []byte("next")); err != nil {
 			t.Fatal(err)
 		}
 		l.Close()
 		if _, got := open(t, dir, Options{}); len(got) != whole+1 || string(got[whole]) != "next" {
-			t.Fatalf("cut at %d: after going on %q", cut, got)
+			t.Fatalf("truncated at %d: after another append: %q", cut, got)
 		}
 	}
 	for at := range data {
@@ -132,15 +132,15 @@
 		count := 0
 		_, err := Open(dir, Options{}, Pos{}, func(Pos, []byte) error { count++; return nil })
 		if !errors.Is(err, ErrCorrupt) {
-			t.Fatalf("bit turned at %d of a finished segment: %v", at, err)
+			t.Fatalf("bit flipped at %d of a finished segment: %v", at, err)
 		}
 		if wrong := ends[0]; int64(at) >= wrong && count == 0 {
-			t.Fatalf("bit turned at %d: nothing before it was handed over", at)
+			t.Fatalf("bit flipped at %d: the records before it were not replayed", at)
 		}
 	}
 }
 
-// faultyFile is a disk that fails at a step.
+// faultyFile is a file whose writes or syncs fail when fail returns an error; a failing write writes part of its data.
 type faultyFile struct {
 	*os.File
 	fail func(op string) (part float64, err error)
@@ -161,9 +161,9 @@
 	return f.File.Sync()
 }
 
-// TestDiskFails: with a full disk an append fails and leaves nothing behind, and the
-// log goes on once there is room. When the disk does not take what it was given,
-// nothing is acknowledged any more until the log is opened anew.
+// TestDiskFails: on a full disk an append must fail without a trace, and later appends
+// must succeed once there is space. After a failed fsync no append may be acknowledged
+// until the log is reopened.
 func TestDiskFails(t *testing.T) {
 	for _, op := range []string{"write", "sync"} {
 		dir, failing := t.TempDir(), false
@@ -182,7 +182,7 @@
 		}
 		failing = true
 		if _, err := l.Append(ctx, []byte("lost")); err == nil {
-			t.Fatalf("%s: acknowledged on a failing disk", op)
+			t.Fatalf("%s: append acknowledged on a failing disk", op)
 		}
 		failing = false
 		_, err := l.Append(ctx, []byte("two"))
@@ -198,13 +198,13 @@
 			t.Fatalf("after a full disk the log holds %q", got)
 		}
 		if string(got[0]) != "one" {
-			t.Fatalf("%s: an acknowledged record is gone: %q", op, got)
+			t.Fatalf("%s: an acknowledged record is missing: %q", op, got)
 		}
 	}
 }
 
-// TestKilled ends the process for good (SIGKILL) at each step and opens its
-// directory anew: what it said was durable is there, whole and in order.
+// TestKilled kills a process (SIGKILL) at each durable step and reopens its log: all
+// acknowledged records must be there, whole and in order.
 func TestKilled(t *testing.T) {
 	if spec := os.Getenv("WAL_KILL"); spec != "" {
 		dir, at, _ := strings.Cut(spec, "|")
@@ -235,7 +235,7 @@
 		out, err := cmd.Output()
 		var ended *exec.ExitError
 		if !errors.As(err, &ended) || ended.Sys().(syscall.WaitStatus).Signal() != syscall.SIGKILL {
-			t.Fatalf("step %d: the process ended by itself: %v", at, err)
+			t.Fatalf("step %d: the process was not killed: %v", at, err)
 		}
 		acked := strings.Count(string(out), "\n")
 		_, got := open(t, dir, Options{})
@@ -250,8 +250,8 @@
 	}
 }
 
-// TestBusyAndClosed: what waits for the disk is bounded and refused at once beyond
-// that; many at a time are all written.
+// TestBusyAndClosed: appends beyond MaxPendingBytes must fail at once with ErrBusy,
+// accepted ones must all be written, and appends to a closed log must fail.
 func TestBusyAndClosed(t *testing.T) {
 	hold := make(chan struct{})
 	var once sync.Once
@@ -279,22 +279,22 @@
 	}
 	l.Close()
 	if _, err := l.Append(ctx, []byte("x")); !errors.Is(err, ErrClosed) {
-		t.Fatalf("after closing: %v", err)
+		t.Fatalf("append after Close: %v", err)
 	}
 	if _, err := l.Append(ctx, nil); !errors.Is(err, ErrTooLong) {
-		t.Fatalf("an empty record: %v", err)
+		t.Fatalf("append of an empty record: %v", err)
 	}
 }
 
-// FuzzScan: whatever a segment holds, opening neither fails by anything but the
-// log's own errors nor hands over a record whose checksum is wrong.
+// FuzzScan: for any content of a segment, scanRecords must return an end within the data,
+// no other error than errTorn, and no empty record.
 func FuzzScan(f *testing.F) {
 	f.Add([]byte{})
 	f.Add([]byte{3, 0, 0, 0, 1, 2, 3, 4, 'a', 'b', 'c'})
 	f.Fuzz(func(t *testing.T, data []byte) {
 		end, err := scanRecords(bytes.NewReader(data), 0, func(_ int64, rec []byte) error {
 			if len(rec) == 0 {
-				t.Fatal("an empty record")
+				t.Fatal("empty record")
 			}
 			return nil
 		})
@@ -304,7 +304,7 @@
 	})
 }
 
-// BenchmarkAppend sets the log beside a plain file with an fsync for each record.
+// BenchmarkAppend compares the log with a plain file that is synced after each record.
 func BenchmarkAppend(b *testing.B) {
 	for _, streams := range []int{1, 100, 1000} {
 		b.Run(fmt.Sprintf("log/%d", streams), func(b *testing.B) {
