--- a/internal/history/check.go
+++ b/internal/history/check.go
@@ -121,25 +121,25 @@
 // checkJob checks the answers on one job in a single pass over its events.
 func checkJob(calls []Call) []Violation {
 	var found []Violation
-	var now knowledge
+	var known knowledge
 	ended := Call{} // the first final answer
 	before := map[*Call]Call{}
 	for _, m := range events(calls) {
 		c := m.call
 		if !m.returns {
-			now.submitted = now.submitted || c.Kind == Submit
-			now.cancelled = now.cancelled || c.Kind == Cancel
-			before[c] = now.latest
+			known.submitted = known.submitted || c.Kind == Submit
+			known.cancelled = known.cancelled || c.Kind == Cancel
+			before[c] = known.latest
 			continue
 		}
-		if v, broken := checkAnswer(c, before[c], ended, now); broken {
+		if v, violation := checkAnswer(c, before[c], ended, known); violation {
 			found = append(found, v)
 		}
 		if c.level() == final && ended.Invoked == 0 {
 			ended = *c
 		}
-		if l := c.level(); l > unknown && l > now.latest.level() {
-			now.latest = *c
+		if l := c.level(); l > unknown && l > known.latest.level() {
+			known.latest = *c
 		}
 	}
 	return found
@@ -147,28 +147,28 @@
 
 // checkAnswer compares an answer with the answer of the highest level that had arrived when its request was sent, with
 // the first final answer, and with the requests that were sent before it arrived.
-func checkAnswer(c *Call, before, ended Call, now knowledge) (Violation, bool) {
-	broken := func(rule string, earlier Call) (Violation, bool) {
+func checkAnswer(c *Call, before, ended Call, known knowledge) (Violation, bool) {
+	violation := func(rule string, earlier Call) (Violation, bool) {
 		return Violation{Rule: rule, Answer: *c, Before: earlier}, true
 	}
 	l := c.level()
 	switch {
 	case l == inconclusive:
 	case l == unknown && before.level() > unknown:
-		return broken(Forgotten, before)
+		return violation(Forgotten, before)
 	case l == unknown:
-	case !now.submitted:
-		return broken(Invented, Call{})
+	case !known.submitted:
+		return violation(Invented, Call{})
 	case l == active && before.level() == final:
-		return broken(WentBack, before)
+		return violation(WentBack, before)
 	case l == final && ended.Invoked > 0 && ended.State != c.State:
-		return broken(WentBack, ended)
-	case l == final && c.State == protocol.Cancelled && !now.cancelled:
-		return broken(WentBack, Call{})
+		return violation(WentBack, ended)
+	case l == final && c.State == protocol.Cancelled && !known.cancelled:
+		return violation(WentBack, Call{})
 	case l == active && c.Kind == Cancel:
-		return broken(Unsettled, Call{})
+		return violation(Unsettled, Call{})
 	case c.Status == 201 && before.level() > unknown:
-		return broken(AcceptedTwice, before)
+		return violation(AcceptedTwice, before)
 	}
 	return Violation{}, false
 }
--- a/internal/snapshot/restore.go
+++ b/internal/snapshot/restore.go
@@ -129,15 +129,15 @@
 	if err != nil {
 		return nil, err
 	}
-	now, err := r.listStore(ctx)
+	current, err := r.listStore(ctx)
 	if err != nil {
 		return nil, err
 	}
-	record, err := r.lossRecord(now, force)
+	record, err := r.lossRecord(current, force)
 	if err != nil {
 		return nil, err
 	}
-	have, err := parseKeys(now)
+	have, err := parseKeys(current)
 	if err != nil {
 		return nil, err
 	}
@@ -146,14 +146,14 @@
 		Revision:   revision,
 		Generation: record.Epoch,
 		record:     record,
-		fence:      protocol.Condition{Key: epochKey(record), Version: now[epochKey(record)].Version},
+		fence:      protocol.Condition{Key: epochKey(record), Version: current[epochKey(record)].Version},
 		done:       map[string]*bitset.BitSet{},
-		pages:      countEndPages(now),
+		pages:      countEndPages(current),
 	}
 	p.addJobs(old, have)
 	lacking := missingEnds(old, have)
 	p.ends = datarecovery.Pages(lacking, r.maxValueBytes())
-	if p.teams, err = missingTeams(keys, now); err != nil {
+	if p.teams, err = missingTeams(keys, current); err != nil {
 		return nil, err
 	}
 	p.Jobs, p.Ends, p.Teams = len(p.jobs), len(lacking), len(p.teams)
@@ -167,21 +167,21 @@
 	if err != nil {
 		return nil, err
 	}
-	now := map[string]Entry{}
+	current := map[string]Entry{}
 	for _, e := range listed {
-		now[e.Key] = entryOf(e)
+		current[e.Key] = entryOf(e)
 	}
-	return now, nil
+	return current, nil
 }
 
 // lossRecord returns the control record of the epoch that the controllers began after a loss. Without force it returns
 // ErrNotLost if the record reports no lost data.
-func (r *Restorer) lossRecord(now map[string]Entry, force bool) (*leadership.Record, error) {
-	record, err := controlRecord(now, r.config.Control)
+func (r *Restorer) lossRecord(current map[string]Entry, force bool) (*leadership.Record, error) {
+	record, err := controlRecord(current, r.config.Control)
 	switch {
 	case err != nil:
 		return nil, err
-	case record == nil || now[epochKey(record)].Version == 0:
+	case record == nil || current[epochKey(record)].Version == 0:
 		return nil, ErrNoEpoch
 	case !record.DataLost && !force:
 		return nil, ErrNotLost
@@ -224,8 +224,8 @@
 }
 
 // countEndPages returns the number that follows that of the last page of ends in the service.
-func countEndPages(now map[string]Entry) (pages int) {
-	for name := range now {
+func countEndPages(current map[string]Entry) (pages int) {
+	for name := range current {
 		text, isPage := strings.CutPrefix(name, datarecovery.EndsKey)
 		if number, err := strconv.Atoi(text); isPage && err == nil {
 			pages = max(pages, number+1)
--- a/internal/snapshot/teams.go
+++ b/internal/snapshot/teams.go
@@ -15,22 +15,22 @@
 
 // missingTeams returns the updates that restore the team configuration entries of a copy that the service lacks or has
 // in an earlier version.
-func missingTeams(old, now map[string]Entry) (updates []kvstore.Update, err error) {
+func missingTeams(old, current map[string]Entry) (updates []kvstore.Update, err error) {
 	for _, key := range slices.Sorted(maps.Keys(old)) {
 		if !strings.HasPrefix(key, teamstore.Prefix) {
 			continue
 		}
-		var had, has teamconfig.Entry
-		if err := json.Unmarshal(old[key].Value, &had); err != nil {
+		var saved, present teamconfig.Entry
+		if err := json.Unmarshal(old[key].Value, &saved); err != nil {
 			return nil, fmt.Errorf("snapshot: key %s: %w", key, err)
 		}
-		if there, ok := now[key]; ok {
-			if err := json.Unmarshal(there.Value, &has); err != nil {
+		if there, ok := current[key]; ok {
+			if err := json.Unmarshal(there.Value, &present); err != nil {
 				return nil, fmt.Errorf("snapshot: key %s: %w", key, err)
 			}
 		}
-		if has.Number < had.Number {
-			updates = append(updates, kvstore.Update{Conditions: []protocol.Condition{{Key: key, Version: now[key].Version}},
+		if present.Number < saved.Number {
+			updates = append(updates, kvstore.Update{Conditions: []protocol.Condition{{Key: key, Version: current[key].Version}},
 				Changes: []protocol.Op{{Set: key, Value: old[key].Value}}})
 		}
 	}
--- a/internal/taskrunner/taskrunner.go
+++ b/internal/taskrunner/taskrunner.go
@@ -213,16 +213,16 @@
 	if err := s.write(ctx, &entry{Task: &t}); err != nil {
 		return Result{}, err
 	}
-	late, stop := context.WithCancel(context.WithoutCancel(ctx))
+	uploadCtx, stop := context.WithCancel(context.WithoutCancel(ctx))
 	defer stop()
-	ended := context.AfterFunc(ctx, func() { time.AfterFunc(grace, stop) })
-	defer ended()
-	brought := make(chan error, 1)
+	cancelGrace := context.AfterFunc(ctx, func() { time.AfterFunc(grace, stop) })
+	defer cancelGrace()
+	uploaded := make(chan error, 1)
 	var result Result
 	go func() {
 		var err error
-		result, err = s.upload(late)
-		brought <- err
+		result, err = s.upload(uploadCtx)
+		uploaded <- err
 	}()
 	exit := s.execute(ctx, t)
 	files, err := collectFiles(t)
@@ -230,14 +230,14 @@
 		exit.Completed, exit.Reason = false, err.Error()
 	}
 	for stream, h := range s.openHoles { // the holes at the end of the streams
-		if err := s.write(late, &entry{Stream: stream, Record: &artifactstore.Record{At: h.To, Hole: h}}); err != nil {
+		if err := s.write(uploadCtx, &entry{Stream: stream, Record: &artifactstore.Record{At: h.To, Hole: h}}); err != nil {
 			return Result{}, err
 		}
 	}
-	if err := s.write(late, &entry{Files: files, Exit: &exit}); err != nil {
+	if err := s.write(uploadCtx, &entry{Files: files, Exit: &exit}); err != nil {
 		return Result{}, err
 	}
-	err = <-brought
+	err = <-uploaded
 	result.Exit, result.DroppedBytes = exit, s.droppedBytes
 	return result, err
 }
@@ -307,7 +307,7 @@
 		if st, err := root.Lstat(want); err != nil {
 			return nil, err
 		} else if !st.IsDir() && !st.Mode().IsRegular() {
-			return nil, fmt.Errorf("runner: %s is no plain file", want)
+			return nil, fmt.Errorf("runner: %s is not a regular file", want)
 		}
 		err := fs.WalkDir(root.FS(), want, func(path string, d fs.DirEntry, err error) error {
 			switch {
@@ -316,7 +316,7 @@
 			case d.IsDir():
 				return nil
 			case !d.Type().IsRegular():
-				return fmt.Errorf("runner: %s is no plain file", path)
+				return fmt.Errorf("runner: %s is not a regular file", path)
 			}
 			files = append(files, path)
 			return artifactstore.CheckPath(path)
--- a/internal/taskrunner/taskrunner_test.go
+++ b/internal/taskrunner/taskrunner_test.go
@@ -115,10 +115,10 @@
 		{"echo one; echo two >&2; mkdir -p out; printf grades > out/a; printf more > out/b", []string{"out"}, true, 0, "", 1, 2},
 		{"echo x; exit 3", nil, false, 3, "exit status 3", 1, 0},
 		{"true", []string{"missing"}, false, 0, "missing", 0, 0},
-		{"ln -s /etc/passwd link", []string{"link"}, false, 0, "no plain file", 0, 0},
-		{"echo x > a; ln -s a link", []string{"link"}, false, 0, "no plain file", 0, 0},
-		{"mkdir d && ln -s /etc d/etc", []string{"d"}, false, 0, "no plain file", 0, 0},
-		{"mkfifo pipe", []string{"pipe"}, false, 0, "no plain file", 0, 0},
+		{"ln -s /etc/passwd link", []string{"link"}, false, 0, "not a regular file", 0, 0},
+		{"echo x > a; ln -s a link", []string{"link"}, false, 0, "not a regular file", 0, 0},
+		{"mkdir d && ln -s /etc d/etc", []string{"d"}, false, 0, "not a regular file", 0, 0},
+		{"mkfifo pipe", []string{"pipe"}, false, 0, "not a regular file", 0, 0},
 		{"true", []string{"../up"}, false, 0, "not allowed", 0, 0},
 		{"head -c 100000 /dev/zero | tr '\\0' x", nil, true, 0, "", 4, 0},
 	} {
@@ -169,12 +169,12 @@
 	if err := s.write(ctx, &entry{Task: &tk}); err != nil {
 		t.Fatal(err)
 	}
-	brought := make(chan error, 1)
+	uploaded := make(chan error, 1)
 	var got Result
 	go func() {
 		var err error
 		got, err = s.upload(ctx)
-		brought <- err
+		uploaded <- err
 	}()
 	for i := 1000; i < 2000; i++ {
 		s.appendRecord(ctx, "stdout", []byte(strconv.Itoa(i)))
@@ -193,7 +193,7 @@
 	if err := s.write(ctx, &entry{Exit: &artifactstore.Exit{Completed: true}}); err != nil {
 		t.Fatal(err)
 	}
-	if err := <-brought; err != nil || !got.Final {
+	if err := <-uploaded; err != nil || !got.Final {
 		t.Fatalf("%+v %v", got, err)
 	}
 	got.DroppedBytes = s.droppedBytes
--- a/internal/taskrunner/upload.go
+++ b/internal/taskrunner/upload.go
@@ -39,8 +39,8 @@
 func (s *spool) call(ctx context.Context, path string, body []byte) (*artifactstore.Answer, error) {
 	for pause := s.opt.RetryDelay; ; pause = min(2*pause, 30*time.Second) {
 		a, after, err := s.callOnce(ctx, s.opt.Keepers[s.replica], path, body)
-		var no *rejection
-		if err == nil || errors.As(err, &no) {
+		var rejected *rejection
+		if err == nil || errors.As(err, &rejected) {
 			return a, err
 		}
 		s.replica = (s.replica + 1) % len(s.opt.Keepers)
@@ -80,8 +80,8 @@
 // isSealed reports whether a replica rejected a request because the attempt is sealed. Then
 // an earlier process ended before it removed the spool, and the replica has all of it.
 func isSealed(err error) bool {
-	var no *rejection
-	return errors.As(err, &no) && no.code == "sealed"
+	var rejected *rejection
+	return errors.As(err, &rejected) && rejected.code == "sealed"
 }
 
 // Limits of the records in one request. A batch exceeds maxBatchBytes by at most one record.
@@ -152,8 +152,8 @@
 	end := artifactstore.End{Exit: *s.exit, Records: maps.Clone(s.nextNumber), Files: map[string]string{}}
 	for _, path := range s.files {
 		d, err := s.uploadFile(ctx, path)
-		var no *rejection
-		for try := 0; try < maxFileRetries && errors.As(err, &no) && no.status == http.StatusNotFound; try++ {
+		var rejected *rejection
+		for try := 0; try < maxFileRetries && errors.As(err, &rejected) && rejected.status == http.StatusNotFound; try++ {
 			d, err = s.uploadFile(ctx, path) // the replica dropped the upload, or this is another replica
 		}
 		if err != nil && !isSealed(err) {
