--- a/internal/blob/index.go
+++ b/internal/blob/index.go
@@ -27,6 +27,8 @@
 
 func (s *Store) indexPath() string { return filepath.Join(s.opt.Dir, "index") }
 
+// openIndex opens the index and reads its position and quotas. An unreadable index is
+// renamed and replaced by an empty one.
 func (s *Store) openIndex() error {
 	open := func() error {
 		db, err := bolt.Open(s.indexPath(), 0o600, &bolt.Options{Timeout: indexLockTimeout})
@@ -71,6 +73,7 @@
 	return nil
 }
 
+// resetIndex replaces the index by an empty one.
 func (s *Store) resetIndex() error {
 	s.db.Close()
 	if err := os.Remove(s.indexPath()); err != nil {
--- a/internal/blob/record.go
+++ b/internal/blob/record.go
@@ -82,6 +82,7 @@
 	return n
 }
 
+// decodeRecord decodes a record of the log. Its data refers to b.
 func decodeRecord(b []byte) (*record, error) {
 	d := &decoder{b: b}
 	r := &record{}
--- a/internal/blob/store.go
+++ b/internal/blob/store.go
@@ -81,13 +81,13 @@
 
 	commitLock    sync.RWMutex // read-locked while a record is written and applied
 	mu            sync.Mutex
-	deleted       sync.Cond
+	deleted       sync.Cond         // signalled when a deletion has ended; uses mu
 	dirtyBlobs    map[string]*entry // blobs changed since the last checkpoint; nil: deleted
 	dirtyRefs     map[string]*ref   // references changed since the last checkpoint; nil: deleted
 	usedBytes     map[string]int64  // bytes on disk by tenant; "" is the total
 	reservedBytes map[string]int64  // bytes reserved for uploads, keyed in the same way
 	pins          map[string]int    // number of readers and uploads of a blob, which must not be deleted
-	deleting      map[string]bool
+	deleting      map[string]bool   // blobs that are being deleted
 	uploads       map[string]*Upload
 	applied       wal.Pos // end of the records that dirtyBlobs and dirtyRefs include
 	closed        bool
@@ -172,6 +172,7 @@
 	return s, nil
 }
 
+// openLog opens the log and applies the records after the index's position.
 func (s *Store) openLog() error {
 	from, replayed := s.applied, 0
 	log, err := wal.Open(filepath.Join(s.opt.Dir, "log"), wal.Options{Step: s.opt.Step}, from, func(at wal.Pos, b []byte) error {
@@ -308,6 +309,7 @@
 	}
 }
 
+// addTenant makes a tenant an owner of a blob and charges the blob to it.
 func (s *Store) addTenant(e *entry, tenant string) {
 	if !slices.Contains(e.tenants, tenant) {
 		e.tenants = append(slices.Clone(e.tenants), tenant)
@@ -388,6 +390,8 @@
 	return missing
 }
 
+// touch returns the entry of an intact blob that a tenant owns and marks it as used now, or
+// returns nil. s.mu is held.
 func (s *Store) touch(tenant, key string) *entry {
 	e := s.lookup(key)
 	if e == nil || e.corrupt || s.deleting[key] || !slices.Contains(e.tenants, tenant) {
--- a/internal/blob/upload.go
+++ b/internal/blob/upload.go
@@ -56,8 +56,8 @@
 	return s.BeginWithID(id, tenant, d, options...)
 }
 
-// BeginWithID is Begin with an id chosen by the caller, which can so find the upload after a
-// restart. An open upload of the same blob with that id is continued.
+// BeginWithID is Begin with an id chosen by the caller, so that it can find the upload after
+// a restart. An open upload of the same blob with that id is continued.
 func (s *Store) BeginWithID(id [16]byte, tenant string, d Digest, options ...UploadOption) (u *Upload, done bool, err error) {
 	if s.Has(tenant, d) {
 		return nil, true, nil
--- a/internal/history/check.go
+++ b/internal/history/check.go
@@ -93,7 +93,7 @@
 
 // knowledge is what answers and requests have established on a job up to a position.
 type knowledge struct {
-	latest    Call // the first answer of the highest level
+	highest   Call // the first answer of the highest level
 	submitted bool
 	cancelled bool
 }
@@ -129,7 +129,7 @@
 		if !m.returns {
 			known.submitted = known.submitted || c.Kind == Submit
 			known.cancelled = known.cancelled || c.Kind == Cancel
-			before[c] = known.latest
+			before[c] = known.highest
 			continue
 		}
 		if v, violation := checkAnswer(c, before[c], ended, known); violation {
@@ -138,8 +138,8 @@
 		if c.level() == final && ended.Invoked == 0 {
 			ended = *c
 		}
-		if l := c.level(); l > unknown && l > known.latest.level() {
-			known.latest = *c
+		if l := c.level(); l > unknown && l > known.highest.level() {
+			known.highest = *c
 		}
 	}
 	return found
--- a/internal/snapshot/follow.go
+++ b/internal/snapshot/follow.go
@@ -67,8 +67,8 @@
 
 // client returns a client that uses the full configured rates.
 func (c *Config) client() *kvstore.Client {
-	const held = 0.85 // share of the rates that kvstore.New gives a single controller
-	return kvstore.New(c.State, settings.KVStore{RequestsPerSecond: c.RPS / held, ChangesPerSecond: c.WriteRPS / held, ValueKB: c.ValueKB, ChangesPerTransaction: c.TxnOps}, 1)
+	const singleControllerShare = 0.85 // share of the rates that kvstore.New gives a single controller
+	return kvstore.New(c.State, settings.KVStore{RequestsPerSecond: c.RPS / singleControllerShare, ChangesPerSecond: c.WriteRPS / singleControllerShare, ValueKB: c.ValueKB, ChangesPerTransaction: c.TxnOps}, 1)
 }
 
 // Follower continuously copies the state service into an archive.
--- a/internal/snapshot/restore.go
+++ b/internal/snapshot/restore.go
@@ -90,11 +90,11 @@
 			pages[name] = parts
 		}
 	}
-	return c, c.readDone(pages)
+	return c, c.parseDone(pages)
 }
 
-// readDone parses the pages with the finished tasks of the active jobs.
-func (c *contents) readDone(pages map[string]map[string]string) error {
+// parseDone parses the pages with the finished tasks of the active jobs.
+func (c *contents) parseDone(pages map[string]map[string]string) error {
 	tasks := func(uid string) int {
 		if s, ok := c.active[uid]; ok {
 			return s.Spec.Tasks
@@ -189,11 +189,11 @@
 	return record, nil
 }
 
-// valueOverhead is the size of a value beside its content, in bytes.
-const valueOverhead = 64
+// valueOverheadBytes is the size of a value beside its content, in bytes.
+const valueOverheadBytes = 64
 
 // maxValueBytes returns the largest size of the content of a value in the service.
-func (r *Restorer) maxValueBytes() int { return int(r.config.ValueKB*1024) - valueOverhead }
+func (r *Restorer) maxValueBytes() int { return int(r.config.ValueKB*1024) - valueOverheadBytes }
 
 // missingEnds returns the ends in the copy that the service lacks. An end takes precedence over an active job in the
 // service.
--- a/internal/taskrunner/upload.go
+++ b/internal/taskrunner/upload.go
@@ -38,22 +38,24 @@
 // the replicas in turn, with jittered exponential backoff.
 func (s *spool) call(ctx context.Context, path string, body []byte) (*artifactstore.Answer, error) {
 	for pause := s.opt.RetryDelay; ; pause = min(2*pause, 30*time.Second) {
-		a, after, err := s.callOnce(ctx, s.opt.Keepers[s.replica], path, body)
+		a, retryAfter, err := s.callOnce(ctx, s.opt.Keepers[s.replica], path, body)
 		var rejected *rejection
 		if err == nil || errors.As(err, &rejected) {
 			return a, err
 		}
 		s.replica = (s.replica + 1) % len(s.opt.Keepers)
-		if !wait.For(ctx, max(after, time.Duration(rand.Int64N(int64(pause))))) {
+		if !wait.For(ctx, max(retryAfter, time.Duration(rand.Int64N(int64(pause))))) {
 			return nil, errors.Join(ctx.Err(), err)
 		}
 	}
 }
 
-func (s *spool) callOnce(ctx context.Context, at, path string, body []byte) (a *artifactstore.Answer, after time.Duration, err error) {
+// callOnce sends a request to one replica. After a temporary failure, retryAfter is the delay
+// that the replica asks for.
+func (s *spool) callOnce(ctx context.Context, address, path string, body []byte) (a *artifactstore.Answer, retryAfter time.Duration, err error) {
 	ctx, cancel := context.WithTimeout(ctx, time.Minute)
 	defer cancel()
-	req, err := http.NewRequestWithContext(ctx, "POST", strings.TrimSuffix(at, "/")+path, bytes.NewReader(body))
+	req, err := http.NewRequestWithContext(ctx, "POST", strings.TrimSuffix(address, "/")+path, bytes.NewReader(body))
 	if err != nil {
 		return nil, 0, &rejection{reason: err.Error()}
 	}
