--- a/internal/artifactreplication/background.go
+++ b/internal/artifactreplication/background.go
@@ -46,7 +46,7 @@
 			if ctx.Err() != nil {
 				return nil
 			}
-			log.Info("scrub finished", "blobs", found.Blobs, "bad", found.Bad, "repaired", found.Repaired, "rotten", found.Rotten, "strays", found.Strays, "err", err)
+			log.Info("scrub finished", "blobs", found.Blobs, "bad", found.Bad, "repaired", found.Repaired, "rotten", found.Unrepaired, "strays", found.Orphans, "err", err)
 		}
 		if !wait.For(ctx, w.Interval) {
 			return nil
--- a/internal/artifactreplication/group_test.go
+++ b/internal/artifactreplication/group_test.go
@@ -82,7 +82,7 @@
 	g.t.Helper()
 	o, dir := g.replicas[name], filepath.Join(g.dir, name)
 	var err error
-	o.blobs, err = blob.Open(blob.Options{Dir: filepath.Join(dir, "blobs"), Inline: 500, Repair: func(ctx context.Context, d blob.Digest) (io.ReadCloser, error) { return o.OpenVerified(ctx, d) }})
+	o.blobs, err = blob.Open(blob.Options{Dir: filepath.Join(dir, "blobs"), MaxInline: 500, Repair: func(ctx context.Context, d blob.Digest) (io.ReadCloser, error) { return o.OpenVerified(ctx, d) }})
 	if err != nil {
 		g.t.Fatal(err)
 	}
@@ -301,7 +301,7 @@
 // retry, while other tenants and seals are not.
 func TestTenantQuota(t *testing.T) {
 	dir := t.TempDir()
-	b, err := blob.Open(blob.Options{Dir: filepath.Join(dir, "blobs"), Quota: 40_000, Reserve: 20_000, Tenant: func(string) int64 { return 8_000 }})
+	b, err := blob.Open(blob.Options{Dir: filepath.Join(dir, "blobs"), Quota: 40_000, Reserve: 20_000, TenantQuota: func(string) int64 { return 8_000 }})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/artifactreplication/repair.go
+++ b/internal/artifactreplication/repair.go
@@ -374,7 +374,7 @@
 			if r, err = fetch(ctx, v.Tenant, d); err != nil {
 				break
 			}
-			err = n.blobs.Take(ctx, v.Tenant, d, r)
+			err = n.blobs.PutReader(ctx, v.Tenant, d, r)
 			r.Close()
 		}
 		if err == nil {
@@ -393,7 +393,7 @@
 
 // OpenVerified opens a blob that is corrupt here on a replica that has an intact copy.
 func (n *Node) OpenVerified(ctx context.Context, d blob.Digest) (io.ReadCloser, error) {
-	errs := []error{blob.ErrRotten}
+	errs := []error{blob.ErrCorrupt}
 	for _, name := range slices.Sorted(maps.Keys(n.peers)) {
 		if name == n.opt.Name {
 			continue
--- a/internal/artifactreplication/single_test.go
+++ b/internal/artifactreplication/single_test.go
@@ -29,7 +29,7 @@
 // newSingleReplica opens a replica that is the only member. step is called before each durable step.
 func newSingleReplica(t *testing.T, dir string, step func(string), tune ...func(*artifactstore.Options)) (*Node, *blob.Store) {
 	t.Helper()
-	b, err := blob.Open(blob.Options{Dir: filepath.Join(dir, "blobs"), Step: step, Inline: 500})
+	b, err := blob.Open(blob.Options{Dir: filepath.Join(dir, "blobs"), Step: step, MaxInline: 500})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -144,7 +144,7 @@
 	node, b := newSingleReplica(t, dir, nil)
 	seal := func(c artifactstore.Claim, completed, want bool) {
 		t.Helper()
-		if _, final, err := node.Seal(ctx, c, endReport(completed, 1, map[string]string{"out/grades.bin": blob.Of([]byte(fmt.Sprint("file of ", c.Number))).String()})); err != nil || final != want {
+		if _, final, err := node.Seal(ctx, c, endReport(completed, 1, map[string]string{"out/grades.bin": blob.DigestOf([]byte(fmt.Sprint("file of ", c.Number))).String()})); err != nil || final != want {
 			t.Fatalf("attempt %d: final %v, %v", c.Number, final, err)
 		}
 	}
@@ -276,7 +276,7 @@
 	if _, err := node.Append(ctx, c, "stdout", 0, []artifactstore.Record{{Data: make([]byte, 1<<20)}}); !errors.Is(err, artifactstore.ErrLimit) {
 		t.Errorf("record of 1 MiB: %v", err)
 	}
-	if err := node.Attach(ctx, c, "a", blob.Of([]byte("not here"))); !errors.Is(err, blob.ErrNotFound) {
+	if err := node.Attach(ctx, c, "a", blob.DigestOf([]byte("not here"))); !errors.Is(err, blob.ErrNotFound) {
 		t.Errorf("file without content: %v", err)
 	}
 	for i := range 16 {
--- a/internal/artifactstore/artifactstore.go
+++ b/internal/artifactstore/artifactstore.go
@@ -215,7 +215,7 @@
 		for _, s := range a.streams {
 			a.reserved += s.bytes
 		}
-		st.opt.Blobs.Held(a.claim.Tenant, a.reserved)
+		st.opt.Blobs.AccountSpace(a.claim.Tenant, a.reserved)
 	}
 	return nil
 }
@@ -346,12 +346,12 @@
 	if size+more > st.opt.MaxStreamBytes {
 		return next, fmt.Errorf("%w: stream %s would have %d bytes", ErrLimit, name, size+more)
 	}
-	if err := st.opt.Blobs.Hold(c.Tenant, more); err != nil {
+	if err := st.opt.Blobs.ReserveSpace(c.Tenant, more); err != nil {
 		return next, err
 	}
 	added := &entry{Kind: kindAppend, Attempt: c.Attempt, Stream: name, First: next, Records: records}
 	if err := st.logEntry(ctx, added); err != nil {
-		st.opt.Blobs.Release(c.Tenant, more)
+		st.opt.Blobs.ReleaseSpace(c.Tenant, more)
 		return next, err
 	}
 	a.reserved += more
--- a/internal/artifactstore/expire.go
+++ b/internal/artifactstore/expire.go
@@ -30,7 +30,7 @@
 					continue
 				}
 				m, err := st.readManifest(tenant, digests[0])
-				if errors.Is(err, blob.ErrRotten) {
+				if errors.Is(err, blob.ErrCorrupt) {
 					continue // the scrub repairs or reports it
 				}
 				if err != nil {
--- a/internal/artifactstore/manifest.go
+++ b/internal/artifactstore/manifest.go
@@ -112,7 +112,7 @@
 
 // blobDigests lists the blobs that a signed manifest needs, the manifest itself first.
 func (m *Manifest) blobDigests(signed []byte) ([]blob.Digest, error) {
-	digests := []blob.Digest{blob.Of(signed)}
+	digests := []blob.Digest{blob.DigestOf(signed)}
 	for _, s := range m.Streams {
 		digests = append(digests, s.Blob)
 	}
--- a/internal/artifactstore/register.go
+++ b/internal/artifactstore/register.go
@@ -216,8 +216,8 @@
 			continue
 		}
 		content, err := st.StreamContent(at, s.Name)
-		if err == nil && blob.Of(content) == s.Blob {
-			_, err = st.opt.Blobs.Put(ctx, m.Tenant, content, blob.Urgent)
+		if err == nil && blob.DigestOf(content) == s.Blob {
+			_, err = st.opt.Blobs.Put(ctx, m.Tenant, content, blob.UseReserve)
 		} else { // this store lacks some of the records
 			err = st.fetchBlob(ctx, m.Tenant, s.Blob, fetch)
 		}
@@ -232,7 +232,7 @@
 			}
 		}
 	}
-	if _, err := st.opt.Blobs.Put(ctx, m.Tenant, value, blob.Urgent); err != nil {
+	if _, err := st.opt.Blobs.Put(ctx, m.Tenant, value, blob.UseReserve); err != nil {
 		return err
 	}
 	st.opt.Step("hold")
@@ -249,7 +249,7 @@
 		return err
 	}
 	defer r.Close()
-	return st.opt.Blobs.Take(ctx, tenant, d, r, blob.Urgent)
+	return st.opt.Blobs.PutReader(ctx, tenant, d, r, blob.UseReserve)
 }
 
 // Forget drops an ended attempt, or a result (Number 0), that has expired or that other replicas keep.
--- a/internal/artifactstore/replay.go
+++ b/internal/artifactstore/replay.go
@@ -66,7 +66,7 @@
 		}
 	case kindClosed:
 		if a != nil {
-			st.opt.Blobs.Release(a.claim.Tenant, a.reserved)
+			st.opt.Blobs.ReleaseSpace(a.claim.Tenant, a.reserved)
 		}
 		delete(st.open, e.Attempt)
 		delete(st.votes, e.Attempt)
--- a/internal/blob/collect.go
+++ b/internal/blob/collect.go
@@ -18,9 +18,9 @@
 	"topazhollow/internal/wal"
 )
 
-// SetRef keeps blobs from being collected under a name, in place of what the name
-// stood for before. All of them must be there for the tenant. It is durable when it
-// returns.
+// SetRef sets a named reference to blobs, which protects them from collection. It
+// replaces an earlier reference of that name. The tenant must own all the blobs. The
+// reference is durable when SetRef returns.
 func (s *Store) SetRef(ctx context.Context, tenant, name string, ds ...Digest) error {
 	r := &record{kind: recRef, tenant: tenant, name: name}
 	s.mu.Lock()
@@ -30,7 +30,7 @@
 			s.unpinAll(r.keys)
 			return fmt.Errorf("%w: %s", ErrNotFound, d)
 		}
-		s.pins[d.key()]++ // until the reference counts
+		s.pins[d.key()]++ // until the reference is applied
 		r.keys = append(r.keys, d.key())
 	}
 	s.mu.Unlock()
@@ -44,10 +44,10 @@
 	}
 }
 
-// DropRef takes a reference back. One that is not there is no error.
+// DropRef removes a reference. It is no error if there is none.
 func (s *Store) DropRef(ctx context.Context, name string) error {
 	s.mu.Lock()
-	r := s.findRef(name)
+	r := s.lookupRef(name)
 	s.mu.Unlock()
 	if r == nil {
 		return nil
@@ -55,27 +55,27 @@
 	return s.commit(ctx, &record{kind: recUnref, name: name})
 }
 
-// Ref gives what a name stands for.
+// Ref returns the tenant and the blobs of a reference.
 func (s *Store) Ref(name string) (tenant string, ds []Digest, ok bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	r := s.findRef(name)
+	r := s.lookupRef(name)
 	if r == nil {
 		return "", nil, false
 	}
 	for _, k := range r.keys {
-		ds = append(ds, digestOf(k))
+		ds = append(ds, digestFromKey(k))
 	}
 	return r.tenant, ds, true
 }
 
-// Refs lists the names of references with a prefix, in order, after a name, at most
-// so many.
+// Refs returns up to most names of references with a prefix that sort after a given
+// name, in order.
 func (s *Store) Refs(prefix, after string, most int) ([]string, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	changed := map[string]bool{}
-	for name, r := range s.refs {
+	for name, r := range s.dirtyRefs {
 		if strings.HasPrefix(name, prefix) && name > after {
 			changed[name] = r != nil
 		}
@@ -103,9 +103,10 @@
 	return names[:min(most, len(names))], nil
 }
 
-// each walks over all blobs in order of their digests, in pieces, so that the store
-// stays usable meanwhile. Blobs that come or go during the walk may be missed.
-func (s *Store) each(ctx context.Context, from string, f func(key string, e *entry) error) error {
+// forEachBlob calls f for all blobs in order of their digests. It reads the index in
+// pages, so that it does not block the store. Blobs that are added or deleted
+// meanwhile may be missed.
+func (s *Store) forEachBlob(ctx context.Context, from string, f func(key string, e *entry) error) error {
 	if err := s.checkpoint(); err != nil {
 		return err
 	}
@@ -139,13 +140,13 @@
 	return ctx.Err()
 }
 
-// Collect drops blobs that no reference holds and that were not used for an age.
-// What a reader or an upload has open stays. It also gives back the log's space that
-// dropped blobs took. It gives how many blobs and bytes went.
+// Collect deletes blobs that have no reference, no open reader or upload, and were
+// not used for the given age. It also compacts the log. It returns the number of
+// deleted blobs and their bytes.
 func (s *Store) Collect(ctx context.Context, age time.Duration) (blobs int, freed int64, err error) {
 	limit := s.opt.Now().Add(-age).Unix()
-	err = s.each(ctx, "", func(key string, _ *entry) error {
-		ok, size, err := s.drop(ctx, key, limit)
+	err = s.forEachBlob(ctx, "", func(key string, _ *entry) error {
+		ok, size, err := s.deleteIfUnused(ctx, key, limit)
 		if ok {
 			blobs++
 			freed += size
@@ -158,70 +159,70 @@
 	return blobs, freed, err
 }
 
-// drop takes one blob out if nothing holds it.
-func (s *Store) drop(ctx context.Context, key string, limit int64) (ok bool, size int64, err error) {
+// deleteIfUnused deletes a blob that has no reference, reader or upload and was not used after limit.
+func (s *Store) deleteIfUnused(ctx context.Context, key string, limit int64) (ok bool, size int64, err error) {
 	s.mu.Lock()
-	e := s.find(key)
-	if e == nil || e.refs > 0 || e.used > limit || s.pins[key] > 0 || s.deleting[key] {
+	e := s.lookup(key)
+	if e == nil || e.refs > 0 || e.lastUsed > limit || s.pins[key] > 0 || s.deleting[key] {
 		s.mu.Unlock()
 		return false, 0, nil
 	}
-	s.deleting[key] = true // nobody opens or takes it from now on
-	size, small := e.stored, e.small
+	s.deleting[key] = true // from now on it can be neither opened nor stored
+	size, small := e.stored, e.inline
 	s.mu.Unlock()
-	err = s.commit(ctx, &record{kind: recDrop, digest: digestOf(key)})
+	err = s.commit(ctx, &record{kind: recDrop, digest: digestFromKey(key)})
 	if err == nil && !small {
-		// A file that stays behind is found by the next Sweep.
-		_ = os.Remove(s.objectPath(digestOf(key)))
+		// A file that remains is removed by the next scrub.
+		_ = os.Remove(s.objectPath(digestFromKey(key)))
 	}
 	s.mu.Lock()
 	delete(s.deleting, key)
 	s.mu.Unlock()
-	s.changed.Broadcast()
+	s.deleted.Broadcast()
 	return err == nil, size, err
 }
 
-// compact moves what lives on in the log's first segments to its end while that
-// gives back at least half of them.
+// compact rewrites the live records of the log's oldest segments at its end, as long
+// as that frees at least half of a segment.
 func (s *Store) compact(ctx context.Context) error {
 	return s.log.Compact(ctx, func(at wal.Pos, b []byte) (func() error, error) {
 		r, err := decodeRecord(b)
-		if err != nil || !s.lives(r, at) {
+		if err != nil || !s.isLive(r, at) {
 			return nil, err
 		}
 		r.data = slices.Clone(r.data)
-		return func() error { return s.move(ctx, r, at) }, nil
-	}, s.checkpoint) // the index must know the new places before the old ones go
+		return func() error { return s.rewrite(ctx, r, at) }, nil
+	}, s.checkpoint) // the index must have the new positions before the old segment is removed
 }
 
-// lives says whether a record is still needed to make the index again. A tenant's
-// record is moved with its blob's, and a drop's blob was in an earlier segment,
-// which is gone.
-func (s *Store) lives(r *record, at wal.Pos) bool {
+// isLive reports whether a record is still needed to rebuild the index. A tenant's
+// record is rewritten along with its blob's record. A drop record is never needed, since
+// the record of its blob is removed before it or with it.
+func (s *Store) isLive(r *record, at wal.Pos) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	switch r.kind {
-	case recSmall, recFile:
-		e := s.find(r.digest.key())
-		return e != nil && e.at == at
+	case recInline, recFile:
+		e := s.lookup(r.digest.key())
+		return e != nil && e.pos == at
 	case recTenant:
-		return s.find(r.digest.key()) != nil
+		return s.lookup(r.digest.key()) != nil
 	case recRef:
-		f := s.findRef(r.name)
-		return f != nil && f.at == at
+		f := s.lookupRef(r.name)
+		return f != nil && f.pos == at
 	}
 	return false
 }
 
-// move writes a record again at the end of the log, unless it died meanwhile.
-func (s *Store) move(ctx context.Context, r *record, was wal.Pos) error {
-	if !s.lives(r, was) {
+// rewrite appends a record again at the end of the log, unless it is no longer live.
+func (s *Store) rewrite(ctx context.Context, r *record, was wal.Pos) error {
+	if !s.isLive(r, was) {
 		return nil
 	}
 	rs := []*record{r}
-	if r.kind == recSmall || r.kind == recFile {
+	if r.kind == recInline || r.kind == recFile {
 		s.mu.Lock()
-		if e := s.find(r.digest.key()); e != nil {
+		if e := s.lookup(r.digest.key()); e != nil {
 			for _, t := range e.tenants {
 				if t != r.tenant {
 					rs = append(rs, &record{kind: recTenant, digest: r.digest, tenant: t})
@@ -233,22 +234,22 @@
 	return s.commit(ctx, rs...)
 }
 
-// Scrubbed is what a scrub found.
-type Scrubbed struct {
+// ScrubResult is the result of a scrub.
+type ScrubResult struct {
 	Blobs, Bad, Repaired int
 	Bytes                int64
-	Rotten               []Digest // went bad and could not be repaired, at most 1000
-	Strays               int      // files that belong to no blob, removed
+	Unrepaired           []Digest // corrupt blobs that could not be repaired, at most 1000
+	Orphans              int      // removed files that belong to no blob
 }
 
-// Scrub reads every blob and compares it with its digest, at most so many bytes a
-// second. What went bad is repaired by Options.Repair; else it is put aside, counts
-// as missing and can be uploaded again. Files that belong to no blob are removed.
-func (s *Store) Scrub(ctx context.Context, bytesPerSecond float64) (Scrubbed, error) {
-	var found Scrubbed
+// Scrub reads every blob at a limited rate and verifies its digest. A corrupt blob is
+// replaced by a copy from Options.Repair; if there is none, the blob counts as missing
+// and can be uploaded again. Files that belong to no blob are removed.
+func (s *Store) Scrub(ctx context.Context, bytesPerSecond float64) (ScrubResult, error) {
+	var found ScrubResult
 	limit := rate.NewLimiter(rate.Limit(bytesPerSecond), 1<<20)
-	err := s.each(ctx, "", func(key string, _ *entry) error {
-		d := digestOf(key)
+	err := s.forEachBlob(ctx, "", func(key string, _ *entry) error {
+		d := digestFromKey(key)
 		found.Blobs++
 		found.Bytes += d.Size
 		for left := d.Size; left > 0; left -= 1 << 20 {
@@ -260,10 +261,10 @@
 			return nil
 		}
 		s.mu.Lock()
-		e := s.find(key)
+		e := s.lookup(key)
 		bad := e != nil && !s.deleting[key]
-		if bad && !e.rotten {
-			s.change(key).rotten = true
+		if bad && !e.corrupt {
+			s.lookupForUpdate(key).corrupt = true
 		}
 		s.mu.Unlock()
 		if !bad {
@@ -272,20 +273,20 @@
 		found.Bad++
 		if s.repair(ctx, d) {
 			found.Repaired++
-		} else if len(found.Rotten) < 1000 {
-			found.Rotten = append(found.Rotten, d)
+		} else if len(found.Unrepaired) < 1000 {
+			found.Unrepaired = append(found.Unrepaired, d)
 		}
 		return nil
 	})
 	if err == nil {
-		found.Strays, err = s.sweep(ctx)
+		found.Orphans, err = s.removeOrphans(ctx)
 	}
 	return found, err
 }
 
-// verify reads a blob and says whether it is what it should be.
+// verify reads a blob and reports whether its content matches its digest.
 func (s *Store) verify(d Digest) bool {
-	r, err := s.open(d, 0, s.find)
+	r, err := s.open(d, 0, s.lookup)
 	if err != nil {
 		return errors.Is(err, ErrNotFound) // collected meanwhile
 	}
@@ -295,11 +296,11 @@
 	return err == nil && n == d.Size && sum.Is(d)
 }
 
-// repair puts a good copy in place of a bad one.
+// repair replaces a corrupt blob by a copy from Options.Repair.
 func (s *Store) repair(ctx context.Context, d Digest) bool {
 	key := d.key()
 	s.mu.Lock()
-	e := s.find(key)
+	e := s.lookup(key)
 	if e == nil {
 		s.mu.Unlock()
 		return false
@@ -316,7 +317,7 @@
 		return false
 	}
 	defer good.Close()
-	u, done, err := s.Begin(tenants[0], d, Urgent)
+	u, done, err := s.Begin(tenants[0], d, UseReserve)
 	if err != nil || done {
 		return false
 	}
@@ -341,10 +342,10 @@
 	return false
 }
 
-// sweep removes object files that the index does not know: a process that ended
-// between moving a file and writing its record leaves one, as does one that ended
-// before it removed a collected blob's.
-func (s *Store) sweep(ctx context.Context) (strays int, err error) {
+// removeOrphans removes object files without an entry in the index. A process leaves
+// one if it ends after it renamed the file and before it wrote the record, or before
+// it removed the file of a deleted blob.
+func (s *Store) removeOrphans(ctx context.Context) (strays int, err error) {
 	dirs, err := os.ReadDir(filepath.Join(s.opt.Dir, "objects"))
 	if err != nil {
 		return 0, fmt.Errorf("blob: %w", err)
@@ -361,12 +362,12 @@
 			path := filepath.Join(s.opt.Dir, "objects", dir.Name(), f.Name())
 			info, err := f.Info()
 			if err != nil || s.opt.Now().Sub(info.ModTime()) < time.Hour {
-				continue // perhaps on its way in
+				continue // may be of an upload that is being committed
 			}
-			d, derr := parseObject(f.Name())
+			d, derr := parseObjectName(f.Name())
 			s.mu.Lock()
-			e := s.find(d.key())
-			stray := derr != nil || ((e == nil || e.small) && s.pins[d.key()] == 0)
+			e := s.lookup(d.key())
+			stray := derr != nil || ((e == nil || e.inline) && s.pins[d.key()] == 0)
 			if stray {
 				err = os.Remove(path)
 			}
--- a/internal/blob/index.go
+++ b/internal/blob/index.go
@@ -19,17 +19,19 @@
 	"topazhollow/internal/wal"
 )
 
-// lockWait is how long a store waits for the lock of its index. The kernel lets go of a killed process's files some time after
-// the process has ended, more than a second on a busy machine, and the next one may be started at once.
-const lockWait = 15 * time.Second
+// indexLockTimeout is how long a store waits for the lock of its index. The kernel may release the lock of a killed
+// process more than a second after it has ended on a busy machine, and its successor may start at once.
+const indexLockTimeout = 15 * time.Second
 
-var errStale = errors.New("blob: index is ahead of the log")
+var errIndexAhead = errors.New("blob: index is ahead of the log")
 
 func (s *Store) indexPath() string { return filepath.Join(s.opt.Dir, "index") }
 
+// openIndex opens the index and reads its position and quotas. An unreadable index is
+// renamed and replaced by an empty one.
 func (s *Store) openIndex() error {
 	open := func() error {
-		db, err := bolt.Open(s.indexPath(), 0o600, &bolt.Options{Timeout: lockWait})
+		db, err := bolt.Open(s.indexPath(), 0o600, &bolt.Options{Timeout: indexLockTimeout})
 		if err != nil {
 			return err
 		}
@@ -43,7 +45,7 @@
 				s.applied = wal.Pos{Segment: binary.BigEndian.Uint32(pos), Offset: int64(binary.BigEndian.Uint64(pos[4:]))}
 			}
 			return tx.Bucket(bucketUsed).ForEach(func(k, v []byte) error {
-				s.used[strings.TrimPrefix(string(k), "/")] = int64(binary.BigEndian.Uint64(v))
+				s.usedBytes[strings.TrimPrefix(string(k), "/")] = int64(binary.BigEndian.Uint64(v))
 				return nil
 			})
 		})
@@ -58,11 +60,11 @@
 	if errors.Is(err, bolterrors.ErrTimeout) {
 		return fmt.Errorf("blob: another process has %s open: %w", s.opt.Dir, err)
 	}
-	if err != nil { // unreadable: the log has it all
+	if err != nil { // unreadable: rebuild it from the log
 		if rerr := os.Rename(s.indexPath(), s.indexPath()+".bad"); rerr != nil && !errors.Is(rerr, fs.ErrNotExist) {
 			return fmt.Errorf("blob: %w", rerr)
 		}
-		s.applied, s.used = wal.Pos{}, map[string]int64{}
+		s.applied, s.usedBytes = wal.Pos{}, map[string]int64{}
 		err = open()
 	}
 	if err != nil {
@@ -71,17 +73,18 @@
 	return nil
 }
 
-func (s *Store) dropIndex() error {
+// resetIndex replaces the index by an empty one.
+func (s *Store) resetIndex() error {
 	s.db.Close()
 	if err := os.Remove(s.indexPath()); err != nil {
 		return fmt.Errorf("blob: %w", err)
 	}
-	s.applied, s.used, s.fresh, s.refs = wal.Pos{}, map[string]int64{}, map[string]*entry{}, map[string]*ref{}
+	s.applied, s.usedBytes, s.dirtyBlobs, s.dirtyRefs = wal.Pos{}, map[string]int64{}, map[string]*entry{}, map[string]*ref{}
 	return s.openIndex()
 }
 
-// keep brings the index up to date now and then, and drops abandoned uploads.
-func (s *Store) keep(ctx context.Context) {
+// runMaintenance periodically writes the index and drops abandoned uploads.
+func (s *Store) runMaintenance(ctx context.Context) {
 	defer close(s.done)
 	t := time.NewTicker(checkpointEvery)
 	defer t.Stop()
@@ -90,27 +93,26 @@
 		case <-ctx.Done():
 			return
 		case <-t.C:
-			// If the index can't be written, the log has it all, and the next start
-			// reads more of it.
+			// A failure loses no data: the next start replays more of the log.
 			_ = s.checkpoint()
 			s.dropAbandoned()
 		}
 	}
 }
 
-// checkpoint writes what changed to the index.
+// checkpoint writes the changes since the last checkpoint to the index.
 func (s *Store) checkpoint() error {
-	s.commits.Lock()
-	end := s.log.End() // everything before it is applied
-	s.commits.Unlock()
+	s.commitLock.Lock()
+	end := s.log.End() // all records before it are applied
+	s.commitLock.Unlock()
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.applied = end
 	return s.writeIndex(end)
 }
 
-// writeIndex is checkpoint with s.mu held: the index then holds all records before
-// a position.
+// writeIndex writes the changes to the index together with upTo, the position before
+// which all records are included. s.mu is held.
 func (s *Store) writeIndex(upTo wal.Pos) error {
 	err := s.db.Update(func(tx *bolt.Tx) error {
 		put := func(b *bolt.Bucket, key string, value []byte) error {
@@ -120,16 +122,16 @@
 			return b.Put([]byte(key), value)
 		}
 		blobs := tx.Bucket(bucketBlobs)
-		for _, key := range slices.Sorted(maps.Keys(s.fresh)) {
+		for _, key := range slices.Sorted(maps.Keys(s.dirtyBlobs)) {
 			var value []byte
-			if e := s.fresh[key]; e != nil {
+			if e := s.dirtyBlobs[key]; e != nil {
 				value = e.encode()
 			}
 			if err := put(blobs, key, value); err != nil {
 				return err
 			}
 		}
-		for name, r := range s.refs {
+		for name, r := range s.dirtyRefs {
 			var value []byte
 			if r != nil {
 				value = r.encode()
@@ -138,7 +140,7 @@
 				return err
 			}
 		}
-		for tenant, n := range s.used {
+		for tenant, n := range s.usedBytes {
 			if err := tx.Bucket(bucketUsed).Put([]byte("/"+tenant), binary.BigEndian.AppendUint64(nil, uint64(n))); err != nil {
 				return err
 			}
@@ -149,6 +151,6 @@
 	if err != nil {
 		return fmt.Errorf("blob: index: %w", err)
 	}
-	s.fresh, s.refs = map[string]*entry{}, map[string]*ref{}
+	s.dirtyBlobs, s.dirtyRefs = map[string]*entry{}, map[string]*ref{}
 	return nil
 }
--- a/internal/blob/read.go
+++ b/internal/blob/read.go
@@ -12,8 +12,8 @@
 	"github.com/klauspost/compress/zstd"
 )
 
-// Reader reads a blob from its beginning on. It must be closed; until then the blob
-// is not collected.
+// Reader reads the content of a blob. The blob is not collected until the reader is
+// closed.
 type Reader struct {
 	io.Reader
 	d     Digest
@@ -21,17 +21,17 @@
 	once  sync.Once
 }
 
-// Digest is what is read.
+// Digest returns the digest of the blob being read.
 func (r *Reader) Digest() Digest { return r.d }
 
-// Close lets the blob go.
+// Close releases the blob.
 func (r *Reader) Close() error {
 	r.once.Do(r.close)
 	return nil
 }
 
-// Open reads a blob that a tenant has, from an offset on. What is read is not
-// verified as a whole; see Scrub.
+// Open opens a blob that a tenant owns, starting at an offset. The content is not
+// verified against the digest; Get and Scrub do that.
 func (s *Store) Open(tenant string, d Digest, offset int64) (*Reader, error) {
 	if offset < 0 || offset > d.Size {
 		return nil, fmt.Errorf("%w: offset %d of %d", ErrNotFound, offset, d.Size)
@@ -39,13 +39,13 @@
 	return s.open(d, offset, func(key string) *entry { return s.touch(tenant, key) })
 }
 
-// OpenAny is Open for whoever may read all tenants' blobs.
+// OpenAny is Open without the check of the tenant, for callers that may read all blobs.
 func (s *Store) OpenAny(d Digest, offset int64) (*Reader, error) {
 	if offset < 0 || offset > d.Size {
 		return nil, fmt.Errorf("%w: offset %d of %d", ErrNotFound, offset, d.Size)
 	}
 	return s.open(d, offset, func(key string) *entry {
-		if e := s.find(key); e != nil && !e.rotten && !s.deleting[key] {
+		if e := s.lookup(key); e != nil && !e.corrupt && !s.deleting[key] {
 			return e
 		}
 		return nil
@@ -54,24 +54,24 @@
 
 func (s *Store) open(d Digest, offset int64, find func(key string) *entry) (*Reader, error) {
 	key := d.key()
-	for range 3 { // a small blob may move on in the log meanwhile
+	for range 3 { // compaction may move a small blob in the log meanwhile
 		s.mu.Lock()
 		e := find(key)
 		if e == nil {
-			e := s.find(key)
+			e := s.lookup(key)
 			s.mu.Unlock()
 			switch {
 			case e == nil:
 				return nil, fmt.Errorf("%w: %s", ErrNotFound, d)
-			case e.rotten:
-				return nil, fmt.Errorf("%w: %s", ErrRotten, d)
+			case e.corrupt:
+				return nil, fmt.Errorf("%w: %s", ErrCorrupt, d)
 			}
 			return nil, fmt.Errorf("%w: %s", ErrTenant, d)
 		}
-		e = &entry{codec: e.codec, small: e.small, at: e.at}
+		e = &entry{codec: e.codec, inline: e.inline, pos: e.pos}
 		s.pins[key]++
 		s.mu.Unlock()
-		r, err := s.content(d, e)
+		r, err := s.openContent(d, e)
 		if err == nil {
 			if _, err = io.CopyN(io.Discard, r, offset); err == nil {
 				return &Reader{Reader: r, d: d, close: func() { r.Close(); s.unpin(key) }}, nil
@@ -80,10 +80,10 @@
 		}
 		s.unpin(key)
 		if !errors.Is(err, fs.ErrNotExist) {
-			return nil, fmt.Errorf("%w: %s: %v", ErrRotten, d, err)
+			return nil, fmt.Errorf("%w: %s: %v", ErrCorrupt, d, err)
 		}
 	}
-	return nil, fmt.Errorf("%w: %s", ErrRotten, d)
+	return nil, fmt.Errorf("%w: %s", ErrCorrupt, d)
 }
 
 func (s *Store) unpin(key string) {
@@ -94,11 +94,11 @@
 	}
 }
 
-// content opens what lies on the disk.
-func (s *Store) content(d Digest, e *entry) (io.ReadCloser, error) {
+// openContent opens the stored content of a blob, decompressed.
+func (s *Store) openContent(d Digest, e *entry) (io.ReadCloser, error) {
 	var raw io.ReadCloser
-	if e.small {
-		b, err := s.log.Read(e.at)
+	if e.inline {
+		b, err := s.log.Read(e.pos)
 		if err != nil {
 			return nil, err
 		}
@@ -114,7 +114,7 @@
 		}
 		raw = f
 	}
-	if e.codec == plain {
+	if e.codec == codecNone {
 		return raw, nil
 	}
 	z, err := zstd.NewReader(raw, zstd.WithDecoderConcurrency(1), zstd.WithDecoderMaxMemory(64<<20))
@@ -122,24 +122,24 @@
 		raw.Close()
 		return nil, err
 	}
-	return &unpacked{z, raw}, nil
+	return &zstdReader{z, raw}, nil
 }
 
-// unpacked is a decompressed file.
-type unpacked struct {
+// zstdReader decompresses a file and closes it.
+type zstdReader struct {
 	*zstd.Decoder
 	raw io.Closer
 }
 
-func (u *unpacked) Close() error {
+func (u *zstdReader) Close() error {
 	u.Decoder.Close()
 	return u.raw.Close()
 }
 
-// Get reads a whole blob of at most max bytes.
+// Get reads a whole blob of at most max bytes and verifies its digest.
 func (s *Store) Get(tenant string, d Digest, max int64) ([]byte, error) {
 	if d.Size > max {
-		return nil, fmt.Errorf("%w: %s is longer than %d bytes", ErrNotFound, d, max)
+		return nil, fmt.Errorf("%w: %s exceeds %d bytes", ErrNotFound, d, max)
 	}
 	r, err := s.Open(tenant, d, 0)
 	if err != nil {
@@ -147,8 +147,8 @@
 	}
 	defer r.Close()
 	b, err := io.ReadAll(io.LimitReader(r, d.Size+1))
-	if err != nil || Of(b) != d {
-		return nil, fmt.Errorf("%w: %s", ErrRotten, d)
+	if err != nil || DigestOf(b) != d {
+		return nil, fmt.Errorf("%w: %s", ErrCorrupt, d)
 	}
 	return b, nil
 }
--- a/internal/blob/store.go
+++ b/internal/blob/store.go
@@ -1,8 +1,8 @@
-// Package blob keeps content under its sha256 on a local disk: for logs, artefacts
-// and build actions alike. Small blobs lie in a log (package wal), large ones in
-// files of their own; whatever a caller was told to be there is durable before.
-// Everything that the index holds can be made again from the log, so that an index
-// that is lost costs time only.
+// Package blob is a content-addressed store on a local disk, used for logs,
+// artefacts and build actions. Small blobs are stored in a write-ahead log (package
+// wal), large ones in files of their own. A blob is durable before its upload is
+// acknowledged. The index can be rebuilt from the log, so losing it costs only the
+// time to read the log again.
 package blob
 
 import (
@@ -24,20 +24,20 @@
 	"topazhollow/internal/wal"
 )
 
-// Errors that callers decide by.
+// Errors that callers test for.
 var (
 	ErrDigest   = errors.New("blob: malformed digest")
-	ErrNotFound = errors.New("blob: not here")
-	ErrRotten   = errors.New("blob: went bad on the disk")
-	ErrMismatch = errors.New("blob: content does not have that digest")
-	ErrGap      = errors.New("blob: upload goes on at another offset")
+	ErrNotFound = errors.New("blob: not found")
+	ErrCorrupt  = errors.New("blob: content is corrupt on disk")
+	ErrMismatch = errors.New("blob: content does not match its digest")
+	ErrOffset   = errors.New("blob: wrong upload offset")
 	ErrUpload   = errors.New("blob: no such upload")
-	ErrTenant   = errors.New("blob: this tenant does not have it")
-	ErrBusy     = errors.New("blob: too many uploads")
+	ErrTenant   = errors.New("blob: tenant does not own the blob")
+	ErrBusy     = errors.New("blob: too many open uploads")
 )
 
-// FullError says that a quota leaves no room; try again once something was
-// collected.
+// FullError reports that a write exceeds a quota. The caller may retry after Retry,
+// when a collection may have freed space.
 type FullError struct {
 	Tenant     string // "" for the store as a whole
 	Want, Free int64
@@ -49,29 +49,29 @@
 	if e.Tenant != "" {
 		whose = "tenant " + e.Tenant
 	}
-	return fmt.Sprintf("blob: %s has room for %d bytes, not for %d; try again in %s", whose, e.Free, e.Want, e.Retry)
+	return fmt.Sprintf("blob: %s has %d bytes free, %d needed; retry in %s", whose, e.Free, e.Want, e.Retry)
 }
 
-// Options are a store's choices.
+// Options configures a store.
 type Options struct {
-	Dir       string
-	Inline    int64                      // blobs up to so many bytes lie in the log; 16 KiB if 0
-	Quota     int64                      // bytes on disk in all; 0: no bound
-	Reserve   int64                      // of these, kept for what must not fail (see Urgent)
-	Tenant    func(tenant string) int64  // a tenant's bytes; nil or 0: no bound of its own
-	Uploads   int                        // open at a time; 1024 if 0
-	Abandoned time.Duration              // uploads that nobody touched for so long are dropped; 1 h if 0
-	Now       func() time.Time           // for ages; time.Now if nil
-	Step      func(step string)          // told of each durable step, for tests
-	OpenFile  func(string) (File, error) // opens upload files, for tests
-	// Repair gives a good copy of a blob that went bad here, as from a replica.
+	Dir           string
+	MaxInline     int64                      // largest blob that is stored in the log, in bytes; 16 KiB if 0
+	Quota         int64                      // bytes on disk; 0: unlimited
+	Reserve       int64                      // bytes of Quota that only UseReserve uploads may take
+	TenantQuota   func(tenant string) int64  // quota of a tenant in bytes; nil or 0: unlimited
+	MaxUploads    int                        // uploads open at a time; 1024 if 0
+	UploadTimeout time.Duration              // idle uploads are dropped after this time; 1 h if 0
+	Now           func() time.Time           // clock for ages of blobs and uploads; time.Now if nil
+	Step          func(step string)          // called at each durable step, for tests
+	OpenFile      func(string) (File, error) // opens upload files, for tests
+	// Repair reads an intact copy of a corrupt blob, for example from a replica.
 	Repair func(ctx context.Context, d Digest) (io.ReadCloser, error)
 }
 
-// File is an open upload file, as the log's files are.
+// File is an open upload file.
 type File = wal.File
 
-// Store is an open store. Its methods may be called at the same time.
+// Store is an open store. It is safe for concurrent use.
 type Store struct {
 	opt  Options
 	log  *wal.Log
@@ -79,25 +79,25 @@
 	stop context.CancelFunc
 	done chan struct{}
 
-	commits  sync.RWMutex // held for reading from before a record is written until it is applied
-	mu       sync.Mutex
-	changed  sync.Cond
-	fresh    map[string]*entry // changed since the last checkpoint; nil: gone
-	refs     map[string]*ref   // the same for references
-	used     map[string]int64  // bytes on disk by tenant, "" for all
-	held     map[string]int64  // the same, promised to uploads
-	pins     map[string]int    // readers and uploads of a blob
-	deleting map[string]bool
-	uploads  map[string]*Upload
-	applied  wal.Pos // behind the last record that fresh has
-	closed   bool
+	commitLock    sync.RWMutex // read-locked while a record is written and applied
+	mu            sync.Mutex
+	deleted       sync.Cond         // signalled when a deletion has ended; uses mu
+	dirtyBlobs    map[string]*entry // blobs changed since the last checkpoint; nil: deleted
+	dirtyRefs     map[string]*ref   // references changed since the last checkpoint; nil: deleted
+	usedBytes     map[string]int64  // bytes on disk by tenant; "" is the total
+	reservedBytes map[string]int64  // bytes reserved for uploads, keyed in the same way
+	pins          map[string]int    // number of readers and uploads of a blob, which must not be deleted
+	deleting      map[string]bool   // blobs that are being deleted
+	uploads       map[string]*Upload
+	applied       wal.Pos // end of the records that dirtyBlobs and dirtyRefs include
+	closed        bool
 }
 
-// ref is a named reference to blobs.
+// ref is a named reference to blobs, which protects them from collection.
 type ref struct {
 	tenant string
 	keys   []string
-	at     wal.Pos
+	pos    wal.Pos
 }
 
 var (
@@ -108,25 +108,24 @@
 	keyPos      = []byte("applied")
 )
 
-// checkpointEvery is how often the index is brought up to date on disk, and
-// checkpointAt how many changes make it sooner. Both bound what a start reads of
-// the log again.
+// The index is written to disk every checkpointEvery, and during replay after every
+// checkpointAt records. This limits how much of the log the next start replays.
 const (
 	checkpointEvery = 2 * time.Second
 	checkpointAt    = 8192
 )
 
-// Open opens the store in a directory, which it makes if need be. An index that is
-// missing or can't be read is made again from the log.
+// Open opens the store in a directory, which it creates if needed. An index that is
+// missing or unreadable is rebuilt from the log.
 func Open(opt Options) (*Store, error) {
-	if opt.Inline <= 0 {
-		opt.Inline = 16 << 10
+	if opt.MaxInline <= 0 {
+		opt.MaxInline = 16 << 10
 	}
-	if opt.Uploads <= 0 {
-		opt.Uploads = 1024
+	if opt.MaxUploads <= 0 {
+		opt.MaxUploads = 1024
 	}
-	if opt.Abandoned <= 0 {
-		opt.Abandoned = time.Hour
+	if opt.UploadTimeout <= 0 {
+		opt.UploadTimeout = time.Hour
 	}
 	if opt.Now == nil {
 		opt.Now = time.Now
@@ -143,18 +142,18 @@
 		}
 	}
 	ctx, stop := context.WithCancel(context.Background())
-	s := &Store{opt: opt, stop: stop, done: make(chan struct{}), fresh: map[string]*entry{}, refs: map[string]*ref{}, used: map[string]int64{},
-		held: map[string]int64{}, pins: map[string]int{}, deleting: map[string]bool{}, uploads: map[string]*Upload{}}
-	s.changed.L = &s.mu
+	s := &Store{opt: opt, stop: stop, done: make(chan struct{}), dirtyBlobs: map[string]*entry{}, dirtyRefs: map[string]*ref{}, usedBytes: map[string]int64{},
+		reservedBytes: map[string]int64{}, pins: map[string]int{}, deleting: map[string]bool{}, uploads: map[string]*Upload{}}
+	s.deleted.L = &s.mu
 	if err := s.openIndex(); err != nil {
 		stop()
 		return nil, err
 	}
 	err := s.openLog()
-	if errors.Is(err, errStale) {
-		// The log does not reach as far as the index: it was put back from a copy, say.
-		// The log is the truth.
-		if err = s.dropIndex(); err == nil {
+	if errors.Is(err, errIndexAhead) {
+		// The log ends before the index does, for example after it was restored from
+		// a backup. The log is authoritative.
+		if err = s.resetIndex(); err == nil {
 			err = s.openLog()
 		}
 	}
@@ -169,10 +168,11 @@
 		s.db.Close()
 		return nil, err
 	}
-	go s.keep(ctx)
+	go s.runMaintenance(ctx)
 	return s, nil
 }
 
+// openLog opens the log and applies the records after the index's position.
 func (s *Store) openLog() error {
 	from, replayed := s.applied, 0
 	log, err := wal.Open(filepath.Join(s.opt.Dir, "log"), wal.Options{Step: s.opt.Step}, from, func(at wal.Pos, b []byte) error {
@@ -182,12 +182,12 @@
 		}
 		s.apply(r, at)
 		if replayed++; replayed%checkpointAt == 0 {
-			return s.writeIndex(at) // this record is then read again, which changes nothing
+			return s.writeIndex(at) // replayed again at the next start, which has no effect
 		}
 		return nil
 	})
 	if errors.Is(err, wal.ErrBehind) {
-		return errStale
+		return errIndexAhead
 	}
 	if err != nil {
 		return err
@@ -197,13 +197,13 @@
 	return s.checkpoint()
 }
 
-// find gives what is known of a blob; nil if it is not here. s.mu is held.
-func (s *Store) find(key string) *entry {
-	if e, ok := s.fresh[key]; ok {
+// lookup returns the entry of a blob, or nil if there is none. s.mu is held.
+func (s *Store) lookup(key string) *entry {
+	if e, ok := s.dirtyBlobs[key]; ok {
 		return e
 	}
 	var e *entry
-	// A read of the index fails only if its file is unreadable.
+	// Reading the index fails only if its file is unreadable.
 	_ = s.db.View(func(tx *bolt.Tx) (err error) {
 		if b := tx.Bucket(bucketBlobs).Get([]byte(key)); b != nil {
 			e, err = decodeEntry(b)
@@ -213,20 +213,20 @@
 	return e
 }
 
-// change gives the entry of a blob to be changed, nil if it is not here. s.mu is held.
-func (s *Store) change(key string) *entry {
-	e := s.find(key)
+// lookupForUpdate returns the entry of a blob for modification, or nil if there is none. s.mu is held.
+func (s *Store) lookupForUpdate(key string) *entry {
+	e := s.lookup(key)
 	if e == nil {
 		return nil
 	}
-	if _, ok := s.fresh[key]; !ok {
-		s.fresh[key] = e
+	if _, ok := s.dirtyBlobs[key]; !ok {
+		s.dirtyBlobs[key] = e
 	}
 	return e
 }
 
-func (s *Store) findRef(name string) *ref {
-	if r, ok := s.refs[name]; ok {
+func (s *Store) lookupRef(name string) *ref {
+	if r, ok := s.dirtyRefs[name]; ok {
 		return r
 	}
 	var r *ref
@@ -240,8 +240,8 @@
 }
 
 func (r *ref) encode() []byte {
-	b := binary.BigEndian.AppendUint32(nil, r.at.Segment)
-	b = binary.BigEndian.AppendUint64(b, uint64(r.at.Offset))
+	b := binary.BigEndian.AppendUint32(nil, r.pos.Segment)
+	b = binary.BigEndian.AppendUint64(b, uint64(r.pos.Offset))
 	b = appendString(b, r.tenant)
 	return append(b, strings.Join(r.keys, "")...)
 }
@@ -249,91 +249,92 @@
 func decodeRef(b []byte) *ref {
 	d := &decoder{b: b}
 	r := &ref{}
-	if head := d.take(12); !d.bad {
-		r.at = wal.Pos{Segment: binary.BigEndian.Uint32(head), Offset: int64(binary.BigEndian.Uint64(head[4:]))}
+	if head := d.take(12); !d.failed {
+		r.pos = wal.Pos{Segment: binary.BigEndian.Uint32(head), Offset: int64(binary.BigEndian.Uint64(head[4:]))}
 	}
-	r.tenant = string(d.take(d.number()))
+	r.tenant = string(d.take(d.uvarint()))
 	for len(d.b) >= keySize {
 		r.keys = append(r.keys, string(d.take(keySize)))
 	}
 	return r
 }
 
-// apply carries a record of the log over to the index. s.mu is held, or the store
-// is being opened. It must give the same for the same records however often it is
-// done from a position on.
+// apply applies a log record to the index. s.mu is held, or the store is being
+// opened. Applying is idempotent: replaying the records from a position again yields
+// the same index.
 func (s *Store) apply(r *record, at wal.Pos) {
 	key := r.digest.key()
 	switch r.kind {
-	case recSmall, recFile:
-		e := s.change(key)
+	case recInline, recFile:
+		e := s.lookupForUpdate(key)
 		if e == nil {
-			e = &entry{codec: r.codec, small: r.kind == recSmall, stored: r.stored, used: s.opt.Now().Unix()}
-			s.fresh[key] = e
-			s.used[""] += r.stored
-		} else if e.rotten || e.at != at { // repaired, or moved on in the log
-			s.charge(e, r.stored-e.stored)
-			e.codec, e.small, e.stored, e.rotten = r.codec, r.kind == recSmall, r.stored, false
+			e = &entry{codec: r.codec, inline: r.kind == recInline, stored: r.stored, lastUsed: s.opt.Now().Unix()}
+			s.dirtyBlobs[key] = e
+			s.usedBytes[""] += r.stored
+		} else if e.corrupt || e.pos != at { // repaired, or rewritten later in the log
+			s.adjustUsage(e, r.stored-e.stored)
+			e.codec, e.inline, e.stored, e.corrupt = r.codec, r.kind == recInline, r.stored, false
 		}
-		e.at = at
-		s.give(e, r.tenant)
+		e.pos = at
+		s.addTenant(e, r.tenant)
 	case recTenant:
-		if e := s.change(key); e != nil {
-			s.give(e, r.tenant)
-			if now := s.opt.Now().Unix(); now-e.used > 60 {
-				e.used = now
+		if e := s.lookupForUpdate(key); e != nil {
+			s.addTenant(e, r.tenant)
+			if now := s.opt.Now().Unix(); now-e.lastUsed > 60 {
+				e.lastUsed = now
 			}
 		}
 	case recDrop:
-		if e := s.change(key); e != nil {
-			s.charge(e, -e.stored)
-			s.fresh[key] = nil
+		if e := s.lookupForUpdate(key); e != nil {
+			s.adjustUsage(e, -e.stored)
+			s.dirtyBlobs[key] = nil
 		}
 	case recRef, recUnref:
-		if old := s.findRef(r.name); old != nil {
-			s.count(old.keys, -1)
+		if old := s.lookupRef(r.name); old != nil {
+			s.adjustRefCounts(old.keys, -1)
 		}
-		s.refs[r.name] = nil
+		s.dirtyRefs[r.name] = nil
 		if r.kind == recRef {
-			s.refs[r.name] = &ref{tenant: r.tenant, keys: r.keys, at: at}
-			s.count(r.keys, 1)
+			s.dirtyRefs[r.name] = &ref{tenant: r.tenant, keys: r.keys, pos: at}
+			s.adjustRefCounts(r.keys, 1)
 		}
 	}
 }
 
-// charge adds to what a blob takes of all quotas that it is counted in.
-func (s *Store) charge(e *entry, bytes int64) {
-	s.used[""] += bytes
+// adjustUsage adds bytes to the usage of the store and of every tenant that owns the blob.
+func (s *Store) adjustUsage(e *entry, bytes int64) {
+	s.usedBytes[""] += bytes
 	for _, t := range e.tenants {
-		s.used[t] += bytes
+		s.usedBytes[t] += bytes
 	}
 }
 
-func (s *Store) give(e *entry, tenant string) {
+// addTenant makes a tenant an owner of a blob and charges the blob to it.
+func (s *Store) addTenant(e *entry, tenant string) {
 	if !slices.Contains(e.tenants, tenant) {
 		e.tenants = append(slices.Clone(e.tenants), tenant)
-		s.used[tenant] += e.stored
+		s.usedBytes[tenant] += e.stored
 	}
 }
 
-func (s *Store) count(keys []string, by int) {
+func (s *Store) adjustRefCounts(keys []string, by int) {
 	for _, k := range keys {
-		if e := s.change(k); e != nil {
+		if e := s.lookupForUpdate(k); e != nil {
 			e.refs = uint32(max(0, int(e.refs)+by))
 		}
 	}
 }
 
-// commit writes records to the log and carries them over to the index.
+// commit appends records to the log and applies them to the index.
 func (s *Store) commit(ctx context.Context, rs ...*record) error {
 	var data [][]byte
 	for _, r := range rs {
 		data = append(data, r.encode())
 	}
-	// What was begun is seen through: a caller that gives up must not leave it open
-	// whether the records are there.
-	s.commits.RLock()
-	defer s.commits.RUnlock()
+	// The context's cancellation is ignored: a cancelled append could still be written
+	// to the log without being applied to the index.
+	s.commitLock.RLock()
+	defer s.commitLock.RUnlock()
 	at, err := s.log.Append(context.WithoutCancel(ctx), data...)
 	if err != nil {
 		return err
@@ -346,8 +347,7 @@
 	return nil
 }
 
-// Close brings the index up to date and ends the store. Open readers may be read
-// to their end.
+// Close writes the index and closes the store. Open readers stay usable.
 func (s *Store) Close() error {
 	s.mu.Lock()
 	if s.closed {
@@ -364,21 +364,21 @@
 	return errors.Join(s.log.Close(), s.checkpoint(), s.db.Close())
 }
 
-// objectPath is the file of a large blob.
+// objectPath is the path of a large blob's file.
 func (s *Store) objectPath(d Digest) string {
 	hash, size, _ := strings.Cut(d.String(), "/")
 	return filepath.Join(s.opt.Dir, "objects", hash[:2], hash+"-"+size)
 }
 
-// Has says whether a tenant has a blob here, and counts it as used now.
+// Has reports whether a tenant owns a blob, and marks the blob as used now.
 func (s *Store) Has(tenant string, d Digest) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.touch(tenant, d.key()) != nil
 }
 
-// Missing lists those of some blobs that a tenant does not have here. The others
-// count as used now, so that they are not collected before they have an age again.
+// Missing returns those of the given blobs that a tenant does not own. The others are
+// marked as used now, so that they are not collected before they reach the age again.
 func (s *Store) Missing(tenant string, ds []Digest) (missing []Digest) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -390,30 +390,32 @@
 	return missing
 }
 
+// touch returns the entry of an intact blob that a tenant owns and marks it as used now, or
+// returns nil. s.mu is held.
 func (s *Store) touch(tenant, key string) *entry {
-	e := s.find(key)
-	if e == nil || e.rotten || s.deleting[key] || !slices.Contains(e.tenants, tenant) {
+	e := s.lookup(key)
+	if e == nil || e.corrupt || s.deleting[key] || !slices.Contains(e.tenants, tenant) {
 		return nil
 	}
-	if now := s.opt.Now().Unix(); now-e.used > 60 {
-		s.change(key).used = now
+	if now := s.opt.Now().Unix(); now-e.lastUsed > 60 {
+		s.lookupForUpdate(key).lastUsed = now
 	}
 	return e
 }
 
-// Stats is what a store holds.
+// Stats describes the contents of a store.
 type Stats struct {
 	Blobs   int
-	Bytes   int64            // on disk, by the quotas' count
-	Tenants map[string]int64 // the same by tenant; what several have counts for each
+	Bytes   int64            // on disk, as counted for quotas
+	Tenants map[string]int64 // by tenant; a blob counts for each tenant that owns it
 	Uploads int
 }
 
-// Stats counts what is here. Blobs are those of the last checkpoint.
+// Stats returns the current usage. The number of blobs is that of the last checkpoint.
 func (s *Store) Stats() Stats {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	st := Stats{Bytes: s.used[""], Tenants: maps.Clone(s.used), Uploads: len(s.uploads)}
+	st := Stats{Bytes: s.usedBytes[""], Tenants: maps.Clone(s.usedBytes), Uploads: len(s.uploads)}
 	delete(st.Tenants, "")
 	_ = s.db.View(func(tx *bolt.Tx) error {
 		st.Blobs = tx.Bucket(bucketBlobs).Stats().KeyN
--- a/internal/blob/upload.go
+++ b/internal/blob/upload.go
@@ -20,64 +20,64 @@
 	"topazhollow/internal/wal"
 )
 
-// Upload is a blob on its way in. What was written is kept across a restart of the
-// store, but is durable, and seen by anybody, only once Commit returned.
+// Upload is an upload in progress. Written bytes survive a restart of the store, but
+// the blob is durable and visible only after Commit has returned.
 type Upload struct {
-	s      *Store
+	store  *Store
 	id     string
 	tenant string
-	d      Digest
+	digest Digest
 	urgent bool
 	file   File
 
-	mu    sync.Mutex
-	sum   Sum // of the first bytes; the zero Sum: to be read again
-	at    int64
-	used  time.Time
-	ended bool
+	mu       sync.Mutex
+	sum      Sum // of the written bytes; zero after a restart, when the file must be read
+	written  int64
+	lastUsed time.Time
+	ended    bool
 }
 
-// retryFull is when to come back to a store without room.
-const retryFull = 10 * time.Second
+// quotaRetryDelay is the retry delay that a FullError suggests.
+const quotaRetryDelay = 10 * time.Second
 
-// Choice is an option of an upload.
-type Choice int
+// UploadOption is an option of an upload.
+type UploadOption int
 
-// Urgent uploads may use the reserve: what must not fail once it was begun, as the
-// seal of an attempt.
-const Urgent Choice = 1
+// UseReserve lets an upload use Options.Reserve and exceed the tenant's quota. It is
+// for data that must not be refused, such as the seal of an attempt.
+const UseReserve UploadOption = 1
 
-// Begin starts an upload for a tenant. Room for it is kept until it ends. done says
-// that the tenant has the blob already. Another tenant's blob does not count: who
-// has no content to show gets none.
-func (s *Store) Begin(tenant string, d Digest, choices ...Choice) (u *Upload, done bool, err error) {
+// Begin starts an upload for a tenant and reserves space for it until it ends. done
+// reports that the tenant owns the blob already. If only other tenants own it, the
+// content must be uploaded again, as proof that this tenant has it.
+func (s *Store) Begin(tenant string, d Digest, options ...UploadOption) (u *Upload, done bool, err error) {
 	var id [16]byte
 	_, _ = rand.Read(id[:]) // never fails
-	return s.BeginAs(id, tenant, d, choices...)
+	return s.BeginWithID(id, tenant, d, options...)
 }
 
-// BeginAs is Begin under an id of the caller's choice, so that it can find the upload
-// again after a restart. One that is under way under that id is gone on with.
-func (s *Store) BeginAs(id [16]byte, tenant string, d Digest, choices ...Choice) (u *Upload, done bool, err error) {
+// BeginWithID is Begin with an id chosen by the caller, so that it can find the upload after
+// a restart. An open upload of the same blob with that id is continued.
+func (s *Store) BeginWithID(id [16]byte, tenant string, d Digest, options ...UploadOption) (u *Upload, done bool, err error) {
 	if s.Has(tenant, d) {
 		return nil, true, nil
 	}
-	if u, err := s.Resume(tenant, hex.EncodeToString(id[:])); err == nil && u.d == d {
+	if u, err := s.Resume(tenant, hex.EncodeToString(id[:])); err == nil && u.digest == d {
 		return u, false, nil
 	}
-	urgent := len(choices) > 0
-	u = &Upload{s: s, id: hex.EncodeToString(id[:]), tenant: tenant, d: d, urgent: urgent, sum: NewSum(), used: s.opt.Now()}
+	urgent := len(options) > 0
+	u = &Upload{store: s, id: hex.EncodeToString(id[:]), tenant: tenant, digest: d, urgent: urgent, sum: NewSum(), lastUsed: s.opt.Now()}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if len(s.uploads) >= s.opt.Uploads {
+	if len(s.uploads) >= s.opt.MaxUploads {
 		return nil, false, ErrBusy
 	}
-	if err := s.hold(tenant, d.Size, urgent); err != nil {
+	if err := s.reserveSpace(tenant, d.Size, urgent); err != nil {
 		return nil, false, err
 	}
 	u.file, err = s.opt.OpenFile(s.uploadPath(u))
 	if err != nil {
-		s.release(tenant, d.Size)
+		s.releaseSpace(tenant, d.Size)
 		return nil, false, fmt.Errorf("blob: %w", err)
 	}
 	s.uploads[u.id] = u
@@ -85,65 +85,65 @@
 	return u, false, nil
 }
 
-// hold keeps room for so many bytes. s.mu is held.
-func (s *Store) hold(tenant string, bytes int64, urgent bool) error {
+// reserveSpace reserves bytes within the quotas. s.mu is held.
+func (s *Store) reserveSpace(tenant string, bytes int64, urgent bool) error {
 	free := int64(1) << 62
 	if s.opt.Quota > 0 {
-		free = s.opt.Quota - s.used[""] - s.held[""]
+		free = s.opt.Quota - s.usedBytes[""] - s.reservedBytes[""]
 		if !urgent {
 			free -= s.opt.Reserve
 		}
 	}
 	if bytes > free {
-		return &FullError{Want: bytes, Free: max(0, free), Retry: retryFull}
+		return &FullError{Want: bytes, Free: max(0, free), Retry: quotaRetryDelay}
 	}
-	if s.opt.Tenant != nil && !urgent {
-		if quota := s.opt.Tenant(tenant); quota > 0 && s.used[tenant]+s.held[tenant]+bytes > quota {
-			return &FullError{Tenant: tenant, Want: bytes, Free: max(0, quota-s.used[tenant]-s.held[tenant]), Retry: retryFull}
+	if s.opt.TenantQuota != nil && !urgent {
+		if quota := s.opt.TenantQuota(tenant); quota > 0 && s.usedBytes[tenant]+s.reservedBytes[tenant]+bytes > quota {
+			return &FullError{Tenant: tenant, Want: bytes, Free: max(0, quota-s.usedBytes[tenant]-s.reservedBytes[tenant]), Retry: quotaRetryDelay}
 		}
 	}
-	s.held[""] += bytes
-	s.held[tenant] += bytes
+	s.reservedBytes[""] += bytes
+	s.reservedBytes[tenant] += bytes
 	return nil
 }
 
-// Hold keeps room for bytes that are written elsewhere on the same disk, as to the log
-// of what is not sealed yet; Release gives it back. It is a FullError if there is none.
-func (s *Store) Hold(tenant string, bytes int64) error {
+// ReserveSpace reserves bytes that are written elsewhere on the same disk, such as to the
+// log of unsealed attempts, until ReleaseSpace. It returns a FullError beyond a quota.
+func (s *Store) ReserveSpace(tenant string, bytes int64) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.hold(tenant, bytes, false)
+	return s.reserveSpace(tenant, bytes, false)
 }
 
-// Held is Hold for what is on the disk already: it can't be refused.
-func (s *Store) Held(tenant string, bytes int64) {
+// AccountSpace is ReserveSpace for bytes that are on the disk already: it never fails.
+func (s *Store) AccountSpace(tenant string, bytes int64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.held[""] += bytes
-	s.held[tenant] += bytes
+	s.reservedBytes[""] += bytes
+	s.reservedBytes[tenant] += bytes
 }
 
-// Release gives back what Hold or Held kept.
-func (s *Store) Release(tenant string, bytes int64) {
+// ReleaseSpace releases bytes that ReserveSpace or AccountSpace reserved.
+func (s *Store) ReleaseSpace(tenant string, bytes int64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.release(tenant, bytes)
+	s.releaseSpace(tenant, bytes)
 }
 
-func (s *Store) release(tenant string, bytes int64) {
-	s.held[""] -= bytes
-	if s.held[tenant] -= bytes; s.held[tenant] <= 0 {
-		delete(s.held, tenant)
+func (s *Store) releaseSpace(tenant string, bytes int64) {
+	s.reservedBytes[""] -= bytes
+	if s.reservedBytes[tenant] -= bytes; s.reservedBytes[tenant] <= 0 {
+		delete(s.reservedBytes, tenant)
 	}
 }
 
-// uploadPath names an upload's file by all that a restart must know of it.
+// uploadPath returns the path of an upload's file. Its name holds all that a restart needs.
 func (s *Store) uploadPath(u *Upload) string {
-	hash := hex.EncodeToString(u.d.Hash[:])
-	return filepath.Join(s.opt.Dir, "uploads", fmt.Sprintf("%s-%s-%d-%s", u.id, hash, u.d.Size, hex.EncodeToString([]byte(u.tenant))))
+	hash := hex.EncodeToString(u.digest.Hash[:])
+	return filepath.Join(s.opt.Dir, "uploads", fmt.Sprintf("%s-%s-%d-%s", u.id, hash, u.digest.Size, hex.EncodeToString([]byte(u.tenant))))
 }
 
-// openUploads takes up the uploads that were on their way when the store ended.
+// openUploads restores the uploads that were open when the store was last closed.
 func (s *Store) openUploads() error {
 	entries, err := os.ReadDir(filepath.Join(s.opt.Dir, "uploads"))
 	if err != nil {
@@ -153,16 +153,16 @@
 		path := filepath.Join(s.opt.Dir, "uploads", e.Name())
 		parts := bytes.SplitN([]byte(e.Name()), []byte("-"), 4)
 		info, err := e.Info()
-		u := &Upload{s: s}
+		u := &Upload{store: s}
 		if err == nil && len(parts) == 4 && len(parts[0]) == 32 {
 			u.id = string(parts[0])
-			u.d, err = Parse(string(parts[1]) + "/" + string(parts[2]))
+			u.digest, err = Parse(string(parts[1]) + "/" + string(parts[2]))
 			tenant, terr := hex.DecodeString(string(parts[3]))
 			u.tenant, err = string(tenant), errors.Join(err, terr)
 		} else {
-			err = ErrUpload // left over from packing a blob
+			err = ErrUpload // left over from compressing a blob
 		}
-		if err != nil || info.Size() > u.d.Size || s.hold(u.tenant, u.d.Size, false) != nil {
+		if err != nil || info.Size() > u.digest.Size || s.reserveSpace(u.tenant, u.digest.Size, false) != nil {
 			if err := os.Remove(path); err != nil {
 				return fmt.Errorf("blob: %w", err)
 			}
@@ -171,14 +171,14 @@
 		if u.file, err = s.opt.OpenFile(path); err != nil {
 			return fmt.Errorf("blob: %w", err)
 		}
-		u.at, u.used = info.Size(), s.opt.Now()
+		u.written, u.lastUsed = info.Size(), s.opt.Now()
 		s.uploads[u.id] = u
-		s.pins[u.d.key()]++
+		s.pins[u.digest.key()]++
 	}
 	return nil
 }
 
-// Resume finds an upload again by its id, for the tenant that began it.
+// Resume returns an open upload by its id, for the tenant that began it.
 func (s *Store) Resume(tenant, id string) (*Upload, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -189,190 +189,189 @@
 	return u, nil
 }
 
-// dropAbandoned ends uploads that nobody touched for long. An upload's lock is never
-// waited for with the store's held: a commit takes them the other way round, and the two
-// would wait for each other for good.
+// dropAbandoned ends uploads that were idle for Options.UploadTimeout. The lock order is
+// the upload's lock before the store's, as in Commit: locking an upload while s.mu is held
+// would deadlock with it.
 func (s *Store) dropAbandoned() {
 	s.mu.Lock()
 	uploads := slices.Collect(maps.Values(s.uploads))
 	s.mu.Unlock()
 	for _, u := range uploads {
 		u.mu.Lock()
-		if s.opt.Now().Sub(u.used) > s.opt.Abandoned {
+		if s.opt.Now().Sub(u.lastUsed) > s.opt.UploadTimeout {
 			u.end()
 		}
 		u.mu.Unlock()
 	}
 }
 
-// ID names the upload, for Resume.
+// ID returns the id of the upload, for Resume.
 func (u *Upload) ID() string { return u.id }
 
-// Digest is what is to come.
-func (u *Upload) Digest() Digest { return u.d }
+// Digest returns the digest of the blob being uploaded.
+func (u *Upload) Digest() Digest { return u.digest }
 
-// Offset is how many bytes are there.
+// Offset returns the number of bytes written.
 func (u *Upload) Offset() int64 {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	return u.at
+	return u.written
 }
 
-// Write adds content at an offset. What is there already is passed over, so that a
-// repeated piece has no second effect; a piece that begins behind the end is ErrGap.
+// Write writes content at an offset. Bytes that were written before are skipped, so that a
+// repeated write has no effect. It returns ErrOffset for an offset beyond the end.
 func (u *Upload) Write(offset int64, p []byte) error {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	u.used = u.s.opt.Now()
+	u.lastUsed = u.store.opt.Now()
 	switch {
 	case u.ended:
 		return ErrUpload
-	case offset < 0 || offset > u.at:
-		return fmt.Errorf("%w: at %d, wanted at %d", ErrGap, offset, u.at)
-	case offset+int64(len(p)) > u.d.Size:
-		return fmt.Errorf("%w: more than %d bytes", ErrMismatch, u.d.Size)
-	case offset+int64(len(p)) <= u.at:
+	case offset < 0 || offset > u.written:
+		return fmt.Errorf("%w: %d, want at most %d", ErrOffset, offset, u.written)
+	case offset+int64(len(p)) > u.digest.Size:
+		return fmt.Errorf("%w: more than %d bytes", ErrMismatch, u.digest.Size)
+	case offset+int64(len(p)) <= u.written:
 		return nil
 	}
-	p = p[u.at-offset:]
-	if _, err := u.file.WriteAt(p, u.at); err != nil {
-		// What went out is passed over by the next try.
+	p = p[u.written-offset:]
+	if _, err := u.file.WriteAt(p, u.written); err != nil {
+		// u.written stays: a retry overwrites what was written.
 		return fmt.Errorf("blob: %w", err)
 	}
 	if u.sum.Hash != nil {
 		u.sum.Write(p)
 	}
-	u.at += int64(len(p))
+	u.written += int64(len(p))
 	return nil
 }
 
-// Abort ends the upload and drops what was written.
+// Abort ends the upload and removes what was written.
 func (u *Upload) Abort() {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	u.end()
 }
 
-// end drops the upload's file. u.mu is held.
+// end closes the upload, removes its file and releases its space. u.mu is held.
 func (u *Upload) end() {
 	if u.ended {
 		return
 	}
 	u.ended = true
 	u.file.Close()
-	_ = os.Remove(u.s.uploadPath(u)) // moved away, or dropped at the next start
-	s := u.s
+	_ = os.Remove(u.store.uploadPath(u)) // renamed already, or handled at the next start
+	s := u.store
 	s.mu.Lock()
 	delete(s.uploads, u.id)
-	s.release(u.tenant, u.d.Size)
+	s.releaseSpace(u.tenant, u.digest.Size)
 	s.mu.Unlock()
-	s.unpin(u.d.key())
+	s.unpin(u.digest.key())
 }
 
-// Commit verifies what was written and makes it visible. When it returns without an
-// error the blob is durable. After ErrMismatch the upload is gone; after any other
-// error it can be tried again.
+// Commit verifies the content and makes the blob durable and visible. After ErrMismatch
+// the upload has ended; after any other error Commit can be called again.
 func (u *Upload) Commit(ctx context.Context) error {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	u.used = u.s.opt.Now()
+	u.lastUsed = u.store.opt.Now()
 	switch {
 	case u.ended:
 		return ErrUpload
-	case u.at < u.d.Size:
-		return fmt.Errorf("%w: %d of %d bytes are here", ErrGap, u.at, u.d.Size)
+	case u.written < u.digest.Size:
+		return fmt.Errorf("%w: %d of %d bytes written", ErrOffset, u.written, u.digest.Size)
 	}
-	if u.sum.Hash == nil { // taken up after a restart
+	if u.sum.Hash == nil { // resumed after a restart
 		sum := NewSum()
-		if _, err := io.Copy(sum, io.NewSectionReader(u.file, 0, u.d.Size)); err != nil {
+		if _, err := io.Copy(sum, io.NewSectionReader(u.file, 0, u.digest.Size)); err != nil {
 			return fmt.Errorf("blob: %w", err)
 		}
 		u.sum = sum
 	}
-	if !u.sum.Is(u.d) {
+	if !u.sum.Is(u.digest) {
 		u.end()
-		return fmt.Errorf("%w: %s", ErrMismatch, u.d)
+		return fmt.Errorf("%w: %s", ErrMismatch, u.digest)
 	}
-	if err := u.s.take(ctx, u.tenant, u.d, u.file, u.s.uploadPath(u)); err != nil {
+	if err := u.store.storeContent(ctx, u.tenant, u.digest, u.file, u.store.uploadPath(u)); err != nil {
 		return err
 	}
 	u.end()
 	return nil
 }
 
-// packSample is how much of a blob is packed to see whether that pays, and pays the
-// part of its size that it must come down to.
+// A blob is stored compressed if that reduces it to maxCompressedRatio of its size or
+// less. A large blob is compressed only if that holds for a sample from its beginning.
 const (
-	packSample = 64 << 10
-	pays       = 0.8
+	compressSampleBytes = 64 << 10
+	maxCompressedRatio  = 0.8
 )
 
-// take makes verified content durable and visible for a tenant. A large blob's file
-// is moved from path.
-func (s *Store) take(ctx context.Context, tenant string, d Digest, file File, path string) error {
-	if s.known(d.key()) {
+// storeContent makes verified content durable and visible for a tenant. The file of a
+// large blob is renamed from path.
+func (s *Store) storeContent(ctx context.Context, tenant string, d Digest, file File, path string) error {
+	if s.hasIntact(d.key()) {
 		return s.commit(ctx, &record{kind: recTenant, digest: d, tenant: tenant})
 	}
-	if d.Size > s.opt.Inline {
-		return s.takeFile(ctx, tenant, d, file, path)
+	if d.Size > s.opt.MaxInline {
+		return s.storeFile(ctx, tenant, d, file, path)
 	}
 	data := make([]byte, d.Size)
 	if _, err := file.ReadAt(data, 0); err != nil && err != io.EOF {
 		return fmt.Errorf("blob: %w", err)
 	}
-	return s.commit(ctx, smallRecord(tenant, d, data))
+	return s.commit(ctx, inlineRecord(tenant, d, data))
 }
 
-// known waits while a blob is being deleted, and says whether it is there and sound.
-func (s *Store) known(key string) bool {
+// hasIntact reports whether a blob is stored and not corrupt. It waits for a deletion in progress.
+func (s *Store) hasIntact(key string) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for s.deleting[key] {
-		s.changed.Wait()
+		s.deleted.Wait()
 	}
-	e := s.find(key)
-	return e != nil && !e.rotten
+	e := s.lookup(key)
+	return e != nil && !e.corrupt
 }
 
-// smallRecord is a blob that lies in the log, packed if that pays.
-func smallRecord(tenant string, d Digest, data []byte) *record {
-	r := &record{kind: recSmall, digest: d, tenant: tenant, data: data}
-	if packed := pack(data); packed != nil {
-		r.codec, r.data = zstdc, packed
+// inlineRecord returns the record of a blob that is stored in the log.
+func inlineRecord(tenant string, d Digest, data []byte) *record {
+	r := &record{kind: recInline, digest: d, tenant: tenant, data: data}
+	if packed := compress(data); packed != nil {
+		r.codec, r.data = codecZstd, packed
 	}
 	r.stored = int64(len(r.data)) + keySize + 32
 	return r
 }
 
-// takeFile makes a large blob's file durable, packed if that pays, and moves it to its place.
-func (s *Store) takeFile(ctx context.Context, tenant string, d Digest, file File, path string) error {
+// storeFile makes a large blob's file durable, compressed if that pays off, and renames it to its final path.
+func (s *Store) storeFile(ctx context.Context, tenant string, d Digest, file File, path string) error {
 	r := &record{kind: recFile, digest: d, tenant: tenant, stored: d.Size}
-	sample := make([]byte, min(d.Size, packSample))
+	sample := make([]byte, min(d.Size, compressSampleBytes))
 	if _, err := file.ReadAt(sample, 0); err != nil && err != io.EOF {
 		return fmt.Errorf("blob: %w", err)
 	}
-	if pack(sample) != nil {
-		if packed, err := s.packFile(d, file, path+".zst"); err == nil && float64(packed) <= pays*float64(d.Size) {
-			path, r.codec, r.stored = path+".zst", zstdc, packed
+	if compress(sample) != nil {
+		if packed, err := s.compressFile(d, file, path+".zst"); err == nil && float64(packed) <= maxCompressedRatio*float64(d.Size) {
+			path, r.codec, r.stored = path+".zst", codecZstd, packed
 		} else {
 			_ = os.Remove(path + ".zst")
 		}
 	}
-	if r.codec == plain {
+	if r.codec == codecNone {
 		s.opt.Step("sync file")
 		if err := file.Sync(); err != nil {
 			return fmt.Errorf("blob: %w", err)
 		}
 	}
-	if err := s.moveIn(path, s.objectPath(d)); err != nil {
+	if err := s.moveToObjects(path, s.objectPath(d)); err != nil {
 		return fmt.Errorf("blob: %w", err)
 	}
 	return s.commit(ctx, r)
 }
 
-// moveIn moves a durable file to its place among the objects, so that it is there after a
-// crash.
-func (s *Store) moveIn(from, to string) error {
+// moveToObjects renames a synced file to its final path and syncs the directories, so that
+// the name survives a crash.
+func (s *Store) moveToObjects(from, to string) error {
 	if err := os.MkdirAll(filepath.Dir(to), 0o700); err != nil {
 		return err
 	}
@@ -387,26 +386,25 @@
 var encoder = sync.OnceValue(func() *zstd.Encoder {
 	e, err := zstd.NewWriter(nil, zstd.WithEncoderLevel(zstd.SpeedFastest), zstd.WithEncoderConcurrency(2))
 	if err != nil {
-		panic(fmt.Sprintf("blob: zstd without an encoder: %v", err))
+		panic(fmt.Sprintf("blob: zstd encoder: %v", err))
 	}
 	return e
 })
 
-// pack compresses data, or gives nil if that does not pay.
-func pack(data []byte) []byte {
+// compress compresses data. It returns nil if that does not pay off.
+func compress(data []byte) []byte {
 	if len(data) < 256 {
 		return nil
 	}
 	packed := encoder().EncodeAll(data, make([]byte, 0, len(data)))
-	if float64(len(packed)) > pays*float64(len(data)) {
+	if float64(len(packed)) > maxCompressedRatio*float64(len(data)) {
 		return nil
 	}
 	return packed
 }
 
-// packFile compresses a file into another, which is durable afterwards, and gives
-// its size. The last step verifies that the content comes back.
-func (s *Store) packFile(d Digest, file File, path string) (int64, error) {
+// compressFile compresses a file into a new one at path, syncs it and returns its size.
+func (s *Store) compressFile(d Digest, file File, path string) (int64, error) {
 	out, err := os.OpenFile(path, os.O_RDWR|os.O_CREATE|os.O_TRUNC, 0o600)
 	if err != nil {
 		return 0, err
@@ -430,15 +428,15 @@
 	return out.Seek(0, io.SeekCurrent)
 }
 
-// Put uploads a whole blob and gives its digest.
-func (s *Store) Put(ctx context.Context, tenant string, data []byte, choices ...Choice) (Digest, error) {
-	d := Of(data)
-	if d.Size <= s.opt.Inline { // no file needed
+// Put uploads a whole blob and returns its digest.
+func (s *Store) Put(ctx context.Context, tenant string, data []byte, options ...UploadOption) (Digest, error) {
+	d := DigestOf(data)
+	if d.Size <= s.opt.MaxInline { // no file needed
 		if s.Has(tenant, d) {
 			return d, nil
 		}
 		s.mu.Lock()
-		err := s.hold(tenant, d.Size, len(choices) > 0)
+		err := s.reserveSpace(tenant, d.Size, len(options) > 0)
 		if err == nil {
 			s.pins[d.key()]++
 		}
@@ -446,14 +444,14 @@
 		if err != nil {
 			return d, err
 		}
-		err = s.take(ctx, tenant, d, memory{bytes.NewReader(data)}, "")
+		err = s.storeContent(ctx, tenant, d, memoryFile{bytes.NewReader(data)}, "")
 		s.mu.Lock()
-		s.release(tenant, d.Size)
+		s.releaseSpace(tenant, d.Size)
 		s.mu.Unlock()
 		s.unpin(d.key())
 		return d, err
 	}
-	u, done, err := s.Begin(tenant, d, choices...)
+	u, done, err := s.Begin(tenant, d, options...)
 	if err != nil || done {
 		return d, err
 	}
@@ -468,9 +466,9 @@
 	return d, nil
 }
 
-// Take uploads a whole blob from a reader.
-func (s *Store) Take(ctx context.Context, tenant string, d Digest, r io.Reader, choices ...Choice) error {
-	u, done, err := s.Begin(tenant, d, choices...)
+// PutReader uploads a whole blob from a reader.
+func (s *Store) PutReader(ctx context.Context, tenant string, d Digest, r io.Reader, options ...UploadOption) error {
+	u, done, err := s.Begin(tenant, d, options...)
 	if err != nil || done {
 		return err
 	}
@@ -491,10 +489,10 @@
 	return err
 }
 
-// memory is a small blob's content, read like a file.
-type memory struct{ *bytes.Reader }
+// memoryFile is the content of a small blob as a File.
+type memoryFile struct{ *bytes.Reader }
 
-func (memory) WriteAt([]byte, int64) (int, error) { return 0, errors.ErrUnsupported }
-func (memory) Sync() error                        { return nil }
-func (memory) Truncate(int64) error               { return errors.ErrUnsupported }
-func (memory) Close() error                       { return nil }
+func (memoryFile) WriteAt([]byte, int64) (int, error) { return 0, errors.ErrUnsupported }
+func (memoryFile) Sync() error                        { return nil }
+func (memoryFile) Truncate(int64) error               { return errors.ErrUnsupported }
+func (memoryFile) Close() error                       { return nil }
--- a/internal/history/check.go
+++ b/internal/history/check.go
@@ -8,33 +8,34 @@
 	"topazhollow/internal/protocol"
 )
 
-// The rules that an answer can break.
+// The rules that an answer can violate.
 const (
-	// Forgotten: a job that was known to some user is answered as unknown, or its repeated submission is refused.
+	// Forgotten: a job that an earlier answer reported as known is unknown, or its repeated submission is refused.
 	Forgotten = "forgotten"
-	// WentBack: an ended job is called active, or done and cancelled, or cancelled though nobody asked for that.
+	// WentBack: an ended job is reported as active, as done and also as cancelled, or as cancelled without a request to
+	// cancel.
 	WentBack = "went_back"
-	// AcceptedTwice: a submission counts as the first one after the job was known.
+	// AcceptedTwice: a submission is accepted as new although the job was known.
 	AcceptedTwice = "accepted_twice"
-	// Invented: a job is known before anybody submitted it.
+	// Invented: a job is reported as known before it was submitted.
 	Invented = "invented"
-	// Unsettled: a cancellation is answered with a state that is not final.
+	// Unsettled: the answer to a cancellation holds a state that is not final.
 	Unsettled = "unsettled"
 )
 
-// Violation is an answer that contradicts what came before.
+// Violation is an answer that violates a rule.
 type Violation struct {
 	Rule   string
 	Answer Call
 	Before Call // the answer that it contradicts, if any
 }
 
-// String tells both answers.
+// String formats the rule and both answers.
 func (v Violation) String() string {
 	return fmt.Sprintf("%s: %s after %s", v.Rule, v.Answer, v.Before)
 }
 
-// String tells request and answer.
+// String formats the request and its answer.
 func (c Call) String() string {
 	if c.Invoked == 0 {
 		return "nothing"
@@ -42,12 +43,12 @@
 	return fmt.Sprintf("%s %s at %d [%d,%d] %d %s", c.Kind, c.Job, c.Node, c.Invoked, c.Returned, c.Status, c.State)
 }
 
-// level orders what answers say of a job; an answer of a lower level is older.
+// level is the stage of a job that an answer reports, in the order in which a job passes through the stages.
 type level int
 
 const (
-	silent  level = iota // says nothing, as 503
-	unknown              // never accepted
+	inconclusive level = iota // no answer, or one without information on the job, such as 503
+	unknown                   // never accepted
 	active
 	final
 )
@@ -57,7 +58,7 @@
 	refused := c.Status == 404 || c.Kind == Submit && (c.Status == 400 || c.Status == 422)
 	switch {
 	case c.Returned == 0:
-		return silent
+		return inconclusive
 	case refused:
 		return unknown
 	case success && (c.State == protocol.Done || c.State == protocol.Cancelled):
@@ -65,11 +66,10 @@
 	case success:
 		return active
 	}
-	return silent
+	return inconclusive
 }
 
-// Check gives the answers that contradict earlier ones, at most one violation an answer, by job and then in the
-// order in which the answers arrived.
+// Check returns the violations, at most one for each answer, ordered by job and then by the position of the answer.
 func Check(calls []Call) []Violation {
 	jobs := map[string][]Call{}
 	for _, c := range calls {
@@ -91,84 +91,84 @@
 	return names
 }
 
-// known is what users were told of a job by some position.
-type known struct {
-	best      Call // the first answer of the highest level
+// knowledge is what answers and requests have established on a job up to a position.
+type knowledge struct {
+	highest   Call // the first answer of the highest level
 	submitted bool
 	cancelled bool
 }
 
-// moment is the sending or the return of a call.
-type moment struct {
+// event is the sending of a request or the arrival of its answer.
+type event struct {
 	at      uint64
 	call    *Call
 	returns bool
 }
 
-func moments(calls []Call) []moment {
-	var all []moment
+func events(calls []Call) []event {
+	var all []event
 	for i := range calls {
 		c := &calls[i]
-		all = append(all, moment{at: c.Invoked, call: c})
+		all = append(all, event{at: c.Invoked, call: c})
 		if c.Returned > 0 {
-			all = append(all, moment{at: c.Returned, call: c, returns: true})
+			all = append(all, event{at: c.Returned, call: c, returns: true})
 		}
 	}
-	slices.SortFunc(all, func(a, b moment) int { return cmp.Compare(a.at, b.at) })
+	slices.SortFunc(all, func(a, b event) int { return cmp.Compare(a.at, b.at) })
 	return all
 }
 
-// checkJob goes once through a job's requests and answers in their order.
+// checkJob checks the answers on one job in a single pass over its events.
 func checkJob(calls []Call) []Violation {
 	var found []Violation
-	var now known
+	var known knowledge
 	ended := Call{} // the first final answer
 	before := map[*Call]Call{}
-	for _, m := range moments(calls) {
+	for _, m := range events(calls) {
 		c := m.call
 		if !m.returns {
-			now.submitted = now.submitted || c.Kind == Submit
-			now.cancelled = now.cancelled || c.Kind == Cancel
-			before[c] = now.best
+			known.submitted = known.submitted || c.Kind == Submit
+			known.cancelled = known.cancelled || c.Kind == Cancel
+			before[c] = known.highest
 			continue
 		}
-		if v, broken := judge(c, before[c], ended, now); broken {
+		if v, violation := checkAnswer(c, before[c], ended, known); violation {
 			found = append(found, v)
 		}
 		if c.level() == final && ended.Invoked == 0 {
 			ended = *c
 		}
-		if l := c.level(); l > unknown && l > now.best.level() {
-			now.best = *c
+		if l := c.level(); l > unknown && l > known.highest.level() {
+			known.highest = *c
 		}
 	}
 	return found
 }
 
-// judge compares an answer with the best that had arrived when its request was sent, with the first final answer,
-// and with what was asked for until it arrived.
-func judge(c *Call, before, ended Call, now known) (Violation, bool) {
-	broken := func(rule string, earlier Call) (Violation, bool) {
+// checkAnswer compares an answer with the answer of the highest level that had arrived when its request was sent, with
+// the first final answer, and with the requests that were sent before it arrived.
+func checkAnswer(c *Call, before, ended Call, known knowledge) (Violation, bool) {
+	violation := func(rule string, earlier Call) (Violation, bool) {
 		return Violation{Rule: rule, Answer: *c, Before: earlier}, true
 	}
 	l := c.level()
 	switch {
-	case l == silent:
+	case l == inconclusive:
 	case l == unknown && before.level() > unknown:
-		return broken(Forgotten, before)
+		return violation(Forgotten, before)
 	case l == unknown:
-	case !now.submitted:
-		return broken(Invented, Call{})
+	case !known.submitted:
+		return violation(Invented, Call{})
 	case l == active && before.level() == final:
-		return broken(WentBack, before)
+		return violation(WentBack, before)
 	case l == final && ended.Invoked > 0 && ended.State != c.State:
-		return broken(WentBack, ended)
-	case l == final && c.State == protocol.Cancelled && !now.cancelled:
-		return broken(WentBack, Call{})
+		return violation(WentBack, ended)
+	case l == final && c.State == protocol.Cancelled && !known.cancelled:
+		return violation(WentBack, Call{})
 	case l == active && c.Kind == Cancel:
-		return broken(Unsettled, Call{})
+		return violation(Unsettled, Call{})
 	case c.Status == 201 && before.level() > unknown:
-		return broken(AcceptedTwice, before)
+		return violation(AcceptedTwice, before)
 	}
 	return Violation{}, false
 }
--- a/internal/snapshot/restore.go
+++ b/internal/snapshot/restore.go
@@ -22,23 +22,23 @@
 	"topazhollow/internal/wait"
 )
 
-// Errors of a restore that callers decide by.
+// Errors of a restore that callers test for.
 var (
-	ErrNoGeneration = errors.New("snapshot: the controllers have not begun a generation after a loss")
-	ErrNotLost      = errors.New("snapshot: the controllers miss nothing")
+	ErrNoEpoch = errors.New("snapshot: the controllers have not begun an epoch after a data loss")
+	ErrNotLost = errors.New("snapshot: the controllers report no lost data")
 )
 
-// Plan is what a restore would put back.
+// Plan describes what a restore would write.
 type Plan struct {
 	Copy       uint64 `json:"copy"`
 	Revision   uint64 `json:"revision"`
 	Generation uint64 `json:"generation"`
-	Jobs       int    `json:"jobs"`           // active ones that the service lacks
-	Ends       int    `json:"ends"`           // ends that it lacks
-	Done       int    `json:"finished_tasks"` // of those jobs
-	Teams      int    `json:"teams"`          // whose configuration it lacks
-	Newer      int    `json:"newer_there"`    // jobs of the copy of which the service knows more
-	Changes    int    `json:"changes"`        // of the service
+	Jobs       int    `json:"jobs"`           // active jobs that the service lacks
+	Ends       int    `json:"ends"`           // ended jobs whose end the service lacks
+	Done       int    `json:"finished_tasks"` // finished tasks of those active jobs
+	Teams      int    `json:"teams"`          // teams whose configuration is missing or older
+	Newer      int    `json:"newer_there"`    // active jobs of the copy that the service has already, active or ended
+	Changes    int    `json:"changes"`        // updates of the service that the restore makes
 
 	record *leadership.Record
 	fence  protocol.Condition
@@ -49,15 +49,15 @@
 	teams  []kvstore.Update
 }
 
-// contents are a copy's jobs as the controllers' keys hold them.
+// contents holds the jobs that are stored under the controllers' keys.
 type contents struct {
 	active map[string]userapi.ActiveJob
 	ends   *datarecovery.Ends
 	done   map[string]*bitset.BitSet
 }
 
-// read takes the controllers' keys apart.
-func read(keys map[string]Entry) (*contents, error) {
+// parseKeys parses the controllers' keys.
+func parseKeys(keys map[string]Entry) (*contents, error) {
 	c := &contents{active: map[string]userapi.ActiveJob{}, ends: datarecovery.NewEnds(), done: map[string]*bitset.BitSet{}}
 	pages := map[string]map[string]string{}
 	for name, e := range keys {
@@ -65,7 +65,7 @@
 		if uid, ok := strings.CutPrefix(name, JobKey); ok {
 			var s userapi.ActiveJob
 			if err := json.Unmarshal(e.Value, &s); err != nil || s.Spec == nil || s.Spec.UID != uid {
-				return nil, bad(errors.Join(errors.New("no job"), err))
+				return nil, bad(errors.Join(errors.New("not a valid job"), err))
 			}
 			c.active[uid] = s
 		} else if uid, ok := strings.CutPrefix(name, FinalKey); ok {
@@ -90,11 +90,11 @@
 			pages[name] = parts
 		}
 	}
-	return c, c.readDone(pages)
+	return c, c.parseDone(pages)
 }
 
-// readDone reads the pages of finished tasks of the active jobs.
-func (c *contents) readDone(pages map[string]map[string]string) error {
+// parseDone parses the pages with the finished tasks of the active jobs.
+func (c *contents) parseDone(pages map[string]map[string]string) error {
 	tasks := func(uid string) int {
 		if s, ok := c.active[uid]; ok {
 			return s.Spec.Tasks
@@ -109,35 +109,35 @@
 	return nil
 }
 
-// Restorer puts a copy back into the state service.
+// Restorer restores copies into the state service.
 type Restorer struct {
-	set *Config
-	c   *kvstore.Client
+	config *Config
+	client *kvstore.Client
 }
 
-// NewRestorer is a restorer with the rates of the settings.
-func NewRestorer(set *Config) *Restorer { return &Restorer{set: set, c: set.client()} }
+// NewRestorer returns a restorer with the rates of the settings.
+func NewRestorer(set *Config) *Restorer { return &Restorer{config: set, client: set.client()} }
 
-// Plan compares a copy with what the service has. It writes nothing. Without force it
-// refuses when the controllers say that nothing was lost for good.
+// Plan compares a copy with the contents of the service and writes nothing. Without force
+// it returns ErrNotLost if the controllers report no lost data.
 func (r *Restorer) Plan(ctx context.Context, a *Archive, id, upTo uint64, force bool) (*Plan, error) {
 	keys, revision, err := a.Load(id, upTo)
 	if err != nil {
 		return nil, err
 	}
-	old, err := read(keys)
+	old, err := parseKeys(keys)
 	if err != nil {
 		return nil, err
 	}
-	now, err := r.listStore(ctx)
+	current, err := r.listStore(ctx)
 	if err != nil {
 		return nil, err
 	}
-	record, err := r.lossRecord(now, force)
+	record, err := r.lossRecord(current, force)
 	if err != nil {
 		return nil, err
 	}
-	have, err := read(now)
+	have, err := parseKeys(current)
 	if err != nil {
 		return nil, err
 	}
@@ -146,57 +146,58 @@
 		Revision:   revision,
 		Generation: record.Epoch,
 		record:     record,
-		fence:      protocol.Condition{Key: marker(record), Version: now[marker(record)].Version},
+		fence:      protocol.Condition{Key: epochKey(record), Version: current[epochKey(record)].Version},
 		done:       map[string]*bitset.BitSet{},
-		pages:      countEndPages(now),
+		pages:      countEndPages(current),
 	}
 	p.addJobs(old, have)
-	lacking := endsLacking(old, have)
-	p.ends = datarecovery.Pages(lacking, r.valueRoom())
-	if p.teams, err = teamsLacking(keys, now); err != nil {
+	lacking := missingEnds(old, have)
+	p.ends = datarecovery.Pages(lacking, r.maxValueBytes())
+	if p.teams, err = missingTeams(keys, current); err != nil {
 		return nil, err
 	}
 	p.Jobs, p.Ends, p.Teams = len(p.jobs), len(lacking), len(p.teams)
-	p.Changes = p.Teams + p.Jobs + len(p.ends) + 2*len(donePages(p.done, r.valueRoom()))
+	p.Changes = p.Teams + p.Jobs + len(p.ends) + 2*len(donePages(p.done, r.maxValueBytes()))
 	return p, nil
 }
 
-// listStore reads all that the store has.
+// listStore reads all keys of the service.
 func (r *Restorer) listStore(ctx context.Context) (map[string]Entry, error) {
-	listed, _, err := r.c.List(ctx, "")
+	listed, _, err := r.client.List(ctx, "")
 	if err != nil {
 		return nil, err
 	}
-	now := map[string]Entry{}
+	current := map[string]Entry{}
 	for _, e := range listed {
-		now[e.Key] = entryOf(e)
+		current[e.Key] = entryOf(e)
 	}
-	return now, nil
+	return current, nil
 }
 
-// lossRecord is the control record of the epoch that the controllers began after a loss. Without force it is
-// ErrNotLost if they say that nothing was lost for good.
-func (r *Restorer) lossRecord(now map[string]Entry, force bool) (*leadership.Record, error) {
-	record, err := recordOf(now, r.set.Control)
+// lossRecord returns the control record of the epoch that the controllers began after a loss. Without force it returns
+// ErrNotLost if the record reports no lost data.
+func (r *Restorer) lossRecord(current map[string]Entry, force bool) (*leadership.Record, error) {
+	record, err := controlRecord(current, r.config.Control)
 	switch {
 	case err != nil:
 		return nil, err
-	case record == nil || now[marker(record)].Version == 0:
-		return nil, ErrNoGeneration
+	case record == nil || current[epochKey(record)].Version == 0:
+		return nil, ErrNoEpoch
 	case !record.DataLost && !force:
 		return nil, ErrNotLost
 	}
 	return record, nil
 }
 
-// valueOverhead is what a value takes beside its content, in bytes.
-const valueOverhead = 64
+// valueOverheadBytes is the size of a value beside its content, in bytes.
+const valueOverheadBytes = 64
 
-// valueRoom is how many bytes of content a value of the store may have.
-func (r *Restorer) valueRoom() int { return int(r.set.ValueKB*1024) - valueOverhead }
+// maxValueBytes returns the largest size of the content of a value in the service.
+func (r *Restorer) maxValueBytes() int { return int(r.config.ValueKB*1024) - valueOverheadBytes }
 
-// endsLacking are the ends of the copy that the store lacks; an end beats whatever the store has of the job.
-func endsLacking(old, have *contents) (lacking []datarecovery.End) {
+// missingEnds returns the ends in the copy that the service lacks. An end takes precedence over an active job in the
+// service.
+func missingEnds(old, have *contents) (lacking []datarecovery.End) {
 	for _, x := range old.ends.All() {
 		if _, ended := have.ends.Get(x.UID); !ended {
 			lacking = append(lacking, x)
@@ -205,7 +206,7 @@
 	return lacking
 }
 
-// addJobs plans the active jobs of the copy, with their finished tasks, of which the store has nothing newer.
+// addJobs adds to the plan the active jobs of the copy that the service lacks, with their finished tasks.
 func (p *Plan) addJobs(old, have *contents) {
 	for _, uid := range slices.Sorted(maps.Keys(old.active)) {
 		_, active := have.active[uid]
@@ -222,9 +223,9 @@
 	}
 }
 
-// countEndPages is the number behind that of the last page of ends in the store.
-func countEndPages(now map[string]Entry) (pages int) {
-	for name := range now {
+// countEndPages returns the number that follows that of the last page of ends in the service.
+func countEndPages(current map[string]Entry) (pages int) {
+	for name := range current {
 		text, isPage := strings.CutPrefix(name, datarecovery.EndsKey)
 		if number, err := strconv.Atoi(text); isPage && err == nil {
 			pages = max(pages, number+1)
@@ -233,7 +234,7 @@
 	return pages
 }
 
-// donePages parts finished tasks into values of a size.
+// donePages splits finished tasks into pages of at most room bytes each.
 func donePages(done map[string]*bitset.BitSet, room int) (pages []map[string]*bitset.BitSet) {
 	size := room + 1
 	for _, uid := range slices.Sorted(maps.Keys(done)) {
@@ -248,21 +249,22 @@
 	return pages
 }
 
-// Apply carries out a plan: ends first, so that nothing that ended runs again, then
-// finished tasks, then jobs. Every change rests on the generation's key and on the
-// service lacking the job, so that what came meanwhile stays; it can be repeated.
+// Apply writes a plan to the service: teams, then ends, so that no ended job runs again,
+// then finished tasks, then jobs. Every update is conditional on the key of the epoch, and
+// that of a job also on the service lacking the job, so that newer data is not
+// overwritten. Apply can be repeated.
 func (r *Restorer) Apply(ctx context.Context, p *Plan, tell func(done, all int)) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	ran := make(chan struct{})
 	go func() {
 		defer close(ran)
-		_ = r.c.Run(ctx) // ends with the context
+		_ = r.client.Run(ctx) // ends with the context
 	}()
 	defer func() { cancel(); <-ran }()
-	r.c.SetFence(p.fence)
+	r.client.SetFence(p.fence)
 	count := 0
-	for _, u := range p.updates(r.valueRoom()) {
+	for _, u := range p.updates(r.maxValueBytes()) {
 		if err := r.put(ctx, u); err != nil {
 			return err
 		}
@@ -273,7 +275,7 @@
 	return nil
 }
 
-// updates are the plan's updates in the order in which they are made.
+// updates returns the updates of a plan in the order in which Apply makes them.
 func (p *Plan) updates(room int) []kvstore.Update {
 	all := slices.Clone(p.teams) // before the jobs, so that none starts beyond a lowered quota
 	for i, page := range p.ends {
@@ -296,23 +298,22 @@
 			Changes:    []protocol.Op{{Set: JobKey + uid, Value: protocol.Encode(s)}},
 		})
 	}
-	for _, key := range finished { // every controller that lives has read it, and the owners write it to their pages
+	for _, key := range finished { // by now every live controller has read the page, and the owners of the jobs write it to their own pages
 		all = append(all, kvstore.Update{Changes: []protocol.Op{{Delete: key}}})
 	}
 	return all
 }
 
-// restorePause is between tries of an update while the store refuses or does not answer.
-const restorePause = 300 * time.Millisecond
+// restoreRetryDelay is the delay before an update is retried that the service refused or did not answer.
+const restoreRetryDelay = 300 * time.Millisecond
 
-// put commits an update, again and again through outages. A conflict means that the store has something newer, which
-// stays.
+// put commits an update and retries it during outages. A conflict means that the service has newer data, which is kept.
 func (r *Restorer) put(ctx context.Context, u kvstore.Update) error {
 	for {
-		_, err := r.c.Commit(ctx, u)
+		_, err := r.client.Commit(ctx, u)
 		switch {
 		case errors.Is(err, kvstore.ErrUpdatesHeld), errors.Is(err, kvstore.ErrRevisionDecreased):
-			return fmt.Errorf("%w: the state service lost data again", ErrNoGeneration)
+			return fmt.Errorf("%w: the state service lost data again", ErrNoEpoch)
 		case err == nil || errors.Is(err, kvstore.ErrConflict):
 			return nil
 		case ctx.Err() != nil:
@@ -320,24 +321,24 @@
 		case errors.Is(err, kvstore.ErrInvalid):
 			return err
 		}
-		if !wait.For(ctx, restorePause) {
+		if !wait.For(ctx, restoreRetryDelay) {
 			return ctx.Err()
 		}
 	}
 }
 
-// Declare ends the search for what nobody remembers: from then on a job that is not known
-// is told to be unknown. It says whether that changed anything.
+// Declare clears DataLost in the control record: from then on the controllers report a job
+// that none of them remembers as unknown. changed reports whether DataLost was set.
 func (r *Restorer) Declare(ctx context.Context) (changed bool, err error) {
 	for range 5 {
-		e, err := r.c.GetControl(ctx, r.set.Control)
+		e, err := r.client.GetControl(ctx, r.config.Control)
 		if err != nil {
 			return false, err
 		}
 		if e == nil {
-			return false, ErrNoGeneration
+			return false, ErrNoEpoch
 		}
-		record, err := recordOf(map[string]Entry{r.set.Control: entryOf(*e)}, r.set.Control)
+		record, err := controlRecord(map[string]Entry{r.config.Control: entryOf(*e)}, r.config.Control)
 		if err != nil {
 			return false, err
 		}
@@ -345,15 +346,15 @@
 			return false, nil
 		}
 		record.DataLost, record.PreviousVersion = false, e.Version
-		m, err := r.c.GetControl(ctx, marker(record))
+		m, err := r.client.GetControl(ctx, epochKey(record))
 		if err != nil {
 			return false, err
 		}
 		if m == nil {
-			return false, ErrNoGeneration
+			return false, ErrNoEpoch
 		}
-		_, _, err = r.c.CommitControl(ctx, protocol.Txn{Conditions: []protocol.Condition{{Key: r.set.Control, Version: e.Version}, {Key: m.Key, Version: m.Version}},
-			Then: []protocol.Op{{Set: r.set.Control, Value: protocol.Encode(record)}}})
+		_, _, err = r.client.CommitControl(ctx, protocol.Txn{Conditions: []protocol.Condition{{Key: r.config.Control, Version: e.Version}, {Key: m.Key, Version: m.Version}},
+			Then: []protocol.Op{{Set: r.config.Control, Value: protocol.Encode(record)}}})
 		if err == nil {
 			return true, nil
 		} else if !errors.Is(err, kvstore.ErrConflict) {
--- a/internal/snapshot/snapshot_test.go
+++ b/internal/snapshot/snapshot_test.go
@@ -17,10 +17,10 @@
 	"topazhollow/internal/wal"
 )
 
-// TestArchiveModel drives copies and changes against a plain list of states, over a disk
-// that fails at a drawn step, after which the archive is opened anew as after a kill. It
-// guards that whatever was acknowledged can be read as it was, at every revision that was
-// kept, that a copy without its end is none, and that pruning leaves the newest.
+// TestArchiveModel compares an archive with a list of states under random copies, changes
+// and prunes. The disk fails at a random step, after which the archive is reopened as after
+// a kill. Every acknowledged state must be readable at its revision, an incomplete copy must
+// be ignored, and pruning must keep the newest copy.
 func TestArchiveModel(t *testing.T) {
 	ctx := t.Context()
 	failed, pruned := 0, 0
@@ -30,7 +30,7 @@
 		left := 1 << 30 // steps until the disk fails
 		opt := Options{WAL: wal.Options{SegmentBytes: 2000, OpenFile: func(path string) (wal.File, error) {
 			f, err := wal.OpenFile(path)
-			return &failing{File: f, left: &left}, err
+			return &failingFile{File: f, left: &left}, err
 		}}}
 		a, err := Open(dir, opt)
 		if err != nil {
@@ -59,7 +59,7 @@
 			switch {
 			case id == 0 || rng.IntN(8) == 0:
 				var made uint64
-				if made, err = a.Put(ctx, keys, revision, time.UnixMilli(int64(revision))); err == nil {
+				if made, err = a.PutCopy(ctx, keys, revision, time.UnixMilli(int64(revision))); err == nil {
 					id = made
 				}
 			case rng.IntN(12) == 0:
@@ -73,16 +73,16 @@
 			default:
 				revision++
 				e := Entry{Key: fmt.Sprint("k", rng.IntN(9)), Value: []byte(fmt.Sprint(rng.IntN(1000))), Version: revision}
-				if e.Gone = rng.IntN(3) == 0; e.Gone {
+				if e.Deleted = rng.IntN(3) == 0; e.Deleted {
 					e.Value = nil
 				}
-				if err = a.Change(ctx, id, revision-1, revision, []Entry{e}, time.UnixMilli(int64(revision))); err == nil {
+				if err = a.AppendChanges(ctx, id, revision-1, revision, []Entry{e}, time.UnixMilli(int64(revision))); err == nil {
 					apply(keys, e)
 				} else {
 					revision--
 				}
 			}
-			if err != nil { // killed: the process starts again and copies anew
+			if err != nil { // reopen as after a kill, and make a new full copy
 				failed++
 				left = 1 << 30
 				_ = a.Close()
@@ -99,7 +99,7 @@
 				model = append(model, kept{id, revision, state()})
 			}
 		}
-		reader, err := Open(dir, Options{ReadOnly: true}) // beside the one that writes
+		reader, err := Open(dir, Options{ReadOnly: true}) // while the writer has it open
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -116,7 +116,7 @@
 				plain[k] = string(e.Value)
 			}
 			if m.revision != 0 && !reflect.DeepEqual(plain, m.keys) {
-				t.Fatalf("seed %d: copy %d at %d is %v, not %v", seed, m.id, m.revision, plain, m.keys)
+				t.Fatalf("seed %d: copy %d at revision %d is %v, want %v", seed, m.id, m.revision, plain, m.keys)
 			}
 		}
 		if _, _, err := reader.Verify(); err != nil {
@@ -128,42 +128,42 @@
 		_, _ = reader.Close(), a.Close()
 	}
 	if failed < 20 || pruned < 20 {
-		t.Fatalf("%d failures and %d copies pruned are too few to show anything", failed, pruned)
+		t.Fatalf("%d failures and %d pruned copies, want at least 20 each", failed, pruned)
 	}
 }
 
-// failing is a file on a disk that fails after some steps and stays so.
-type failing struct {
+// failingFile is a file on a disk that fails for good after a number of steps.
+type failingFile struct {
 	wal.File
 	left *int
 }
 
-func (f *failing) WriteAt(p []byte, off int64) (int, error) {
+func (f *failingFile) WriteAt(p []byte, off int64) (int, error) {
 	if *f.left--; *f.left < 0 {
-		n, _ := f.File.WriteAt(p[:len(p)/2], off) // torn
+		n, _ := f.File.WriteAt(p[:len(p)/2], off) // partial write
 		return n, io.ErrShortWrite
 	}
 	return f.File.WriteAt(p, off)
 }
 
-func (f *failing) Truncate(size int64) error {
+func (f *failingFile) Truncate(size int64) error {
 	if *f.left < 0 {
 		return io.ErrShortWrite
 	}
 	return f.File.Truncate(size)
 }
 
-func (f *failing) Sync() error {
+func (f *failingFile) Sync() error {
 	if *f.left--; *f.left < 0 {
 		return io.ErrShortWrite
 	}
 	return f.File.Sync()
 }
 
-// TestFollowerKeepsWhatWasLost: the service goes back, loses everything, or a few keys in
-// silence, while it is followed or between two followers. What was there before is kept
-// and can be read, and an empty copy never takes its place.
-func TestFollowerKeepsWhatWasLost(t *testing.T) {
+// TestFollowerKeepsCopyBeforeLoss: the service is rolled back, loses everything or loses some
+// keys without a change, while it is followed or between two followers. The copy from before
+// the loss must be kept and be readable, also after the next copy and a prune.
+func TestFollowerKeepsCopyBeforeLoss(t *testing.T) {
 	for name, lose := range map[string]func(*simulation.KVStore, simulation.StoreSnapshot){
 		"back": func(s *simulation.KVStore, old simulation.StoreSnapshot) { s.RollBack(old) },
 		"all":  func(s *simulation.KVStore, _ simulation.StoreSnapshot) { s.LoseAll() },
@@ -204,7 +204,7 @@
 					t.Helper()
 					for end := time.Now().Add(30 * time.Second); !holds(); time.Sleep(20 * time.Millisecond) {
 						if time.Now().After(end) {
-							t.Fatalf("never came true: %s: %+v", what, a.Copies())
+							t.Fatalf("timeout waiting for %s: %+v", what, a.Copies())
 						}
 					}
 				}
@@ -219,11 +219,11 @@
 					}
 				}
 				stop := follow()
-				until("copied", has(20))
+				until("the first copy", has(20))
 				for i := 20; i < 30; i++ {
 					put(i)
 				}
-				until("followed", has(30))
+				until("the changes", has(30))
 				if restarted {
 					stop()
 				}
@@ -233,30 +233,30 @@
 				}
 				defer stop()
 				var lost Copy
-				until("the loss is noticed", func() bool {
+				until("detection of the loss", func() bool {
 					for _, c := range a.Copies() {
-						if c.Lost != "" {
+						if c.LossReason != "" {
 							lost = c
 						}
 					}
 					return lost.ID != 0
 				})
-				until("what is left is copied beside it", func() bool { c, _ := a.Latest(); return c.ID > lost.ID })
+				until("a copy after the loss", func() bool { c, _ := a.Latest(); return c.ID > lost.ID })
 				if _, err := a.Prune(time.Now().Add(time.Hour)); err != nil {
 					t.Fatal(err)
 				}
 				if keys, _, err := a.Load(lost.ID, 0); err != nil || len(keys) != 30 {
-					t.Fatalf("%d keys from before the loss, %v", len(keys), err)
+					t.Fatalf("%d keys in the copy from before the loss, %v", len(keys), err)
 				}
 			})
 		}
 	}
 }
 
-// TestFollowerOnAFullDisk: the disk has no room left while the service is followed, at one
-// step after another. The follower ends with an error instead of going on with holes; what
-// it had acknowledged can be read; and once there is room again the next one goes on, and
-// knows what was lost meanwhile.
+// TestFollowerOnAFullDisk: the disk becomes full at different points while the service is
+// followed. The follower must end with an error rather than continue with missing changes,
+// the copies it wrote must be readable, and once there is space, the next follower must
+// continue and detect what the service lost meanwhile.
 func TestFollowerOnAFullDisk(t *testing.T) {
 	stopped := 0
 	for _, room := range []int64{100, 900, 1500, 2500, 4000} {
@@ -274,7 +274,7 @@
 		left := room
 		a, err := Open(set.Dir, Options{WAL: wal.Options{OpenFile: func(path string) (wal.File, error) {
 			f, err := wal.OpenFile(path)
-			return &small{File: f, left: &left}, err
+			return &boundedFile{File: f, left: &left}, err
 		}}})
 		if err != nil {
 			t.Fatal(err)
@@ -295,7 +295,7 @@
 			case <-time.After(5 * time.Millisecond):
 			}
 			if known > 2000 {
-				t.Fatalf("room %d: never full", room)
+				t.Fatalf("room %d: the disk did not become full", room)
 			}
 		}
 		cancel()
@@ -306,24 +306,24 @@
 		}
 		defer a.Close()
 		if copied {
-			if keys, rev, err := a.Load(last.ID, last.Last); err != nil || rev != last.Last || uint64(len(keys)) != last.Last {
-				t.Fatalf("room %d: %d keys at %d of %d, %v", room, len(keys), rev, last.Last, err)
+			if keys, rev, err := a.Load(last.ID, last.LastRevision); err != nil || rev != last.LastRevision || uint64(len(keys)) != last.LastRevision {
+				t.Fatalf("room %d: %d keys at %d of %d, %v", room, len(keys), rev, last.LastRevision, err)
 			}
 		}
-		s.LosePrefix("f/job-00000") // while nobody looked
+		s.LosePrefix("f/job-00000") // while no follower runs
 		ctx, cancel = context.WithCancel(t.Context())
 		go func() { ended <- NewFollower(set, a, slog.New(slog.DiscardHandler)).Run(ctx) }()
 		for end := time.Now().Add(30 * time.Second); ; time.Sleep(10 * time.Millisecond) {
 			now, ok := a.Latest()
 			noticed := !copied
 			for _, c := range a.Copies() {
-				noticed = noticed || c.ID == last.ID && c.Lost != ""
+				noticed = noticed || c.ID == last.ID && c.LossReason != ""
 			}
 			if ok && noticed && now.ID != last.ID {
 				break
 			}
 			if time.Now().After(end) {
-				t.Fatalf("room %d: the next follower did not go on: %+v", room, a.Copies())
+				t.Fatalf("room %d: the next follower did not continue: %+v", room, a.Copies())
 			}
 		}
 		cancel()
@@ -332,17 +332,17 @@
 		}
 	}
 	if stopped != 5 {
-		t.Fatalf("%d of 5 disks were full", stopped)
+		t.Fatalf("%d of 5 disks became full", stopped)
 	}
 }
 
-// small is a file on a disk with so many bytes left.
-type small struct {
+// boundedFile is a file on a disk with a limited number of bytes left.
+type boundedFile struct {
 	wal.File
 	left *int64
 }
 
-func (f *small) WriteAt(p []byte, off int64) (int, error) {
+func (f *boundedFile) WriteAt(p []byte, off int64) (int, error) {
 	if *f.left -= int64(len(p)); *f.left < 0 {
 		n, _ := f.File.WriteAt(p[:max(0, int64(len(p))+*f.left)], off) // what fits
 		*f.left = 0
--- a/internal/taskrunner/taskrunner_test.go
+++ b/internal/taskrunner/taskrunner_test.go
@@ -27,17 +27,17 @@
 	key = []byte("0123456789abcdef")
 )
 
-// site is a replica that can be away.
-type site struct {
-	t    *testing.T
-	n    *artifactreplication.Node
-	b    *blob.Store
-	url  string
-	away atomic.Bool
+// testReplica is a replica that can be made unreachable.
+type testReplica struct {
+	t           *testing.T
+	n           *artifactreplication.Node
+	b           *blob.Store
+	url         string
+	unreachable atomic.Bool
 }
 
-func newSite(t *testing.T) *site {
-	x := &site{t: t}
+func newTestReplica(t *testing.T) *testReplica {
+	x := &testReplica{t: t}
 	dir := t.TempDir()
 	var err error
 	if x.b, err = blob.Open(blob.Options{Dir: filepath.Join(dir, "blobs")}); err != nil {
@@ -56,7 +56,7 @@
 	}
 	h := (&artifactreplication.Server{Node: x.n}).Handler()
 	srv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		if x.away.Load() {
+		if x.unreachable.Load() {
 			panic(http.ErrAbortHandler)
 		}
 		h.ServeHTTP(w, r)
@@ -66,12 +66,12 @@
 	return x
 }
 
-func (x *site) options(spool string) Options {
-	return Options{Spool: spool, Keepers: []string{x.url}, Pause: 5 * time.Millisecond}
+func (x *testReplica) options(spool string) Options {
+	return Options{Spool: spool, Keepers: []string{x.url}, RetryDelay: 5 * time.Millisecond}
 }
 
-// done says whether an attempt was sealed.
-func done(a artifactstore.AttemptSummary) bool {
+// isSealedState reports whether an attempt is sealed.
+func isSealedState(a artifactstore.AttemptSummary) bool {
 	return a.State == artifactstore.StateFinal || a.State == artifactstore.StateSealed
 }
 
@@ -81,7 +81,7 @@
 	return Task{Claim: c, Token: g.Token(key), Command: []string{"/bin/sh", "-c", command}, Env: []string{"PATH=/usr/bin:/bin"}, Dir: dir, Files: files}
 }
 
-func (x *site) text(at artifactstore.Attempt, stream string) (list []string, lost int64) {
+func (x *testReplica) readText(at artifactstore.Attempt, stream string) (list []string, lost int64) {
 	x.t.Helper()
 	if _, _, err := x.n.Read(ctx, at, stream, 0, false, func(_ uint64, r artifactstore.Record) error {
 		if r.Dropped != nil {
@@ -97,10 +97,11 @@
 	return list, lost
 }
 
-// TestRun: output by stream, files, the exit; what is no plain file, climbs out or is
-// missing makes the attempt fail with a reason; a stopped one is killed with its children.
+// TestRun checks the uploaded streams, files and exit of commands. An output file that is
+// missing, not regular or outside the directory must fail the attempt with a reason. A
+// stopped command must be killed with its child processes.
 func TestRun(t *testing.T) {
-	x := newSite(t)
+	x := newTestReplica(t)
 	spool := t.TempDir()
 	for i, c := range []struct {
 		command   string
@@ -114,10 +115,10 @@
 		{"echo one; echo two >&2; mkdir -p out; printf grades > out/a; printf more > out/b", []string{"out"}, true, 0, "", 1, 2},
 		{"echo x; exit 3", nil, false, 3, "exit status 3", 1, 0},
 		{"true", []string{"missing"}, false, 0, "missing", 0, 0},
-		{"ln -s /etc/passwd link", []string{"link"}, false, 0, "no plain file", 0, 0},
-		{"echo x > a; ln -s a link", []string{"link"}, false, 0, "no plain file", 0, 0},
-		{"mkdir d && ln -s /etc d/etc", []string{"d"}, false, 0, "no plain file", 0, 0},
-		{"mkfifo pipe", []string{"pipe"}, false, 0, "no plain file", 0, 0},
+		{"ln -s /etc/passwd link", []string{"link"}, false, 0, "not a regular file", 0, 0},
+		{"echo x > a; ln -s a link", []string{"link"}, false, 0, "not a regular file", 0, 0},
+		{"mkdir d && ln -s /etc d/etc", []string{"d"}, false, 0, "not a regular file", 0, 0},
+		{"mkfifo pipe", []string{"pipe"}, false, 0, "not a regular file", 0, 0},
 		{"true", []string{"../up"}, false, 0, "not allowed", 0, 0},
 		{"head -c 100000 /dev/zero | tr '\\0' x", nil, true, 0, "", 4, 0},
 	} {
@@ -133,12 +134,12 @@
 		if err != nil || len(m.Files) != c.kept || m.Exit != got.Exit {
 			t.Errorf("%q: %+v %v", c.command, m, err)
 		}
-		if list, _ := x.text(tk.Claim.Attempt, "stdout"); len(list) != c.stdout {
-			t.Errorf("%q put out %d records", c.command, len(list))
+		if list, _ := x.readText(tk.Claim.Attempt, "stdout"); len(list) != c.stdout {
+			t.Errorf("%q: %d records of output", c.command, len(list))
 		}
 	}
 	if m, state, err := x.n.Manifest(ctx, "job-000001", 0, 0); err != nil || state != artifactstore.StateFinal || m.Number != 1 {
-		t.Errorf("the result is %+v, %v", m, err)
+		t.Errorf("result %+v, %v", m, err)
 	}
 	stopped, stop := context.WithCancel(ctx)
 	time.AfterFunc(100*time.Millisecond, stop)
@@ -147,19 +148,19 @@
 		t.Errorf("stopped: %+v %v", got, err)
 	}
 	if left, err := os.ReadDir(spool); err != nil || len(left) != 0 {
-		t.Errorf("spools left: %v %v", left, err)
+		t.Errorf("remaining spools: %v %v", left, err)
 	}
 }
 
-// TestKeeperAway: while the replica can't be reached output waits in the spool up to a
-// bound; beyond it what is dropped is marked with how much it was, and the attempt is
-// sealed all the same.
-func TestKeeperAway(t *testing.T) {
-	x := newSite(t)
-	x.away.Store(true)
+// TestReplicaUnreachable: while the replica is unreachable, output must be kept in the spool
+// up to MaxSpoolBytes. Output beyond that must be replaced by a hole with its size, and the
+// attempt must still be sealed.
+func TestReplicaUnreachable(t *testing.T) {
+	x := newTestReplica(t)
+	x.unreachable.Store(true)
 	opt := x.options(t.TempDir())
-	opt.Room = 2000
-	opt.defaults()
+	opt.MaxSpoolBytes = 2000
+	opt.setDefaults()
 	tk := task(t.TempDir(), 1, "true")
 	s, err := open(opt, spoolDir(opt.Spool, tk.Claim.Attempt))
 	if err != nil {
@@ -168,20 +169,20 @@
 	if err := s.write(ctx, &entry{Task: &tk}); err != nil {
 		t.Fatal(err)
 	}
-	brought := make(chan error, 1)
+	uploaded := make(chan error, 1)
 	var got Result
 	go func() {
 		var err error
 		got, err = s.upload(ctx)
-		brought <- err
+		uploaded <- err
 	}()
 	for i := 1000; i < 2000; i++ {
 		s.appendRecord(ctx, "stdout", []byte(strconv.Itoa(i)))
 	}
-	x.away.Store(false)
+	x.unreachable.Store(false)
 	for { // until the spool is empty
 		s.mu.Lock()
-		left := s.bytes
+		left := s.unsentBytes
 		s.mu.Unlock()
 		if left == 0 {
 			break
@@ -192,13 +193,13 @@
 	if err := s.write(ctx, &entry{Exit: &artifactstore.Exit{Completed: true}}); err != nil {
 		t.Fatal(err)
 	}
-	if err := <-brought; err != nil || !got.Final {
+	if err := <-uploaded; err != nil || !got.Final {
 		t.Fatalf("%+v %v", got, err)
 	}
-	got.Lost = s.dropped
-	list, lost := x.text(tk.Claim.Attempt, "stdout")
-	if lost != got.Lost || lost != 4*(1000-500) {
-		t.Errorf("%d bytes marked as lost, %d were, %d should be", lost, got.Lost, 4*(1000-500))
+	got.DroppedBytes = s.droppedBytes
+	list, lost := x.readText(tk.Claim.Attempt, "stdout")
+	if lost != got.DroppedBytes || lost != 4*(1000-500) {
+		t.Errorf("holes of %d bytes, %d bytes dropped, want %d", lost, got.DroppedBytes, 4*(1000-500))
 	}
 	for i, s := range list[:500] {
 		if s != strconv.Itoa(1000+i) {
@@ -206,15 +207,15 @@
 		}
 	}
 	if rest := list[500:]; len(rest) != 2 || rest[0] != "[hole]" || rest[1] != "last" {
-		t.Errorf("behind that %q", rest)
+		t.Errorf("after the spooled records: %q", rest)
 	}
 }
 
-// TestRefusedSpool: a spool whose token has ended stays, and holds up no other.
+// TestRefusedSpool: a spool whose token has expired must be kept and must not stop the upload of others.
 func TestRefusedSpool(t *testing.T) {
-	x := newSite(t)
+	x := newTestReplica(t)
 	opt := x.options(t.TempDir())
-	opt.defaults()
+	opt.setDefaults()
 	for number := uint64(1); number <= 2; number++ {
 		tk := task(t.TempDir(), number, "true")
 		if number == 1 {
@@ -232,20 +233,20 @@
 		s.log.Close()
 	}
 	if n, err := Recover(ctx, opt); n != 1 || err == nil || !strings.Contains(err.Error(), "job-000001-0-1") {
-		t.Fatalf("%d taken up, %v", n, err)
+		t.Fatalf("%d spools uploaded, %v", n, err)
 	}
 	if left, err := os.ReadDir(opt.Spool); err != nil || len(left) != 1 {
-		t.Errorf("left: %v %v", left, err)
+		t.Errorf("remaining spools: %v %v", left, err)
 	}
 	if m, state, err := x.n.Manifest(ctx, "job-000001", 0, 0); err != nil || state != artifactstore.StateFinal || m.Number != 2 {
 		t.Errorf("%+v %s %v", m, state, err)
 	}
 }
 
-// TestKilled ends the runner's process for good at each of its steps, takes its spool
-// up in another, and runs the task again as its next attempt. Every line that survives is
-// once there, in order, under the attempt that put it out; an attempt that was not whole
-// stays partial, and is never the result; one that was whole is sealed.
+// TestKilled kills the runner's process at each durable step, recovers its spool in another
+// process and runs the next attempt of the task. Every surviving line must be stored once,
+// in order, under its own attempt. An attempt with an incomplete spool must stay partial
+// and must not be the result; one with a complete spool must be sealed.
 func TestKilled(t *testing.T) {
 	const command = "echo attempt $A; for i in 1 2 3 4 5; do echo line $i of $A; done; printf 'file of %s' $A > out"
 	if spec := os.Getenv("RUNNER_KILL"); spec != "" {
@@ -254,7 +255,7 @@
 		var mu sync.Mutex
 		tk := task(parts[2], 1, command, "out")
 		tk.Env = append(tk.Env, "A=1")
-		_, err := Run(ctx, Options{Spool: parts[0], Keepers: []string{parts[1]}, Pause: 5 * time.Millisecond, Step: func(string) {
+		_, err := Run(ctx, Options{Spool: parts[0], Keepers: []string{parts[1]}, RetryDelay: 5 * time.Millisecond, Step: func(string) {
 			mu.Lock()
 			defer mu.Unlock()
 			if left--; left < 0 {
@@ -269,7 +270,7 @@
 		os.Exit(0)
 	}
 	for at := 0; ; at++ {
-		x := newSite(t)
+		x := newTestReplica(t)
 		spool, dir := t.TempDir(), t.TempDir()
 		cmd := exec.Command(os.Args[0], "-test.run=^TestKilled$")
 		cmd.Env = append(os.Environ(), fmt.Sprintf("RUNNER_KILL=%s|%s|%s|%d", spool, x.url, dir, at))
@@ -283,7 +284,7 @@
 			t.Fatalf("step %d: %v", at, err)
 		}
 		if left, err := os.ReadDir(spool); err != nil || len(left) != 0 {
-			t.Fatalf("step %d: spools left: %v %v", at, left, err)
+			t.Fatalf("step %d: remaining spools: %v %v", at, left, err)
 		}
 		first := artifactstore.Attempt{Job: "job-000001", Task: 0, Number: 1}
 		list, _, err := x.n.Attempts(ctx, "job-000001", 0)
@@ -292,12 +293,12 @@
 		}
 		whole := []string{"attempt 1", "line 1 of 1", "line 2 of 1", "line 3 of 1", "line 4 of 1", "line 5 of 1"}
 		if len(list) > 0 {
-			got, _ := x.text(first, "stdout")
-			if len(got) > len(whole) || strings.Join(got, "|") != strings.Join(whole[:len(got)], "|") || (done(list[0]) && len(got) != len(whole)) {
-				t.Fatalf("step %d: sealed %v with %q", at, done(list[0]), got)
+			got, _ := x.readText(first, "stdout")
+			if len(got) > len(whole) || strings.Join(got, "|") != strings.Join(whole[:len(got)], "|") || (isSealedState(list[0]) && len(got) != len(whole)) {
+				t.Fatalf("step %d: sealed %v with output %q", at, isSealedState(list[0]), got)
 			}
 		}
-		sealed := len(list) > 0 && done(list[0])
+		sealed := len(list) > 0 && isSealedState(list[0])
 		tk := task(t.TempDir(), 2, command, "out")
 		tk.Env = append(tk.Env, "A=2")
 		got, err := Run(ctx, x.options(spool), tk, time.Minute)
@@ -306,18 +307,18 @@
 		}
 		m, state, err := x.n.Manifest(ctx, "job-000001", 0, 0)
 		if err != nil || state != artifactstore.StateFinal || (m.Number == 1) != sealed {
-			t.Fatalf("step %d: the result is %+v, %v", at, m, err)
+			t.Fatalf("step %d: result %+v, %v", at, m, err)
 		}
 		d, err := blob.Parse(m.Files[0].Digest)
 		if err != nil {
 			t.Fatal(err)
 		}
 		if content, err := x.b.Get("red", d, 100); err != nil || string(content) != fmt.Sprint("file of ", m.Number) {
-			t.Fatalf("step %d: attempt %d has %q, %v", at, m.Number, content, err)
+			t.Fatalf("step %d: file of attempt %d is %q, %v", at, m.Number, content, err)
 		}
 		if !killed {
 			if at < 15 {
-				t.Fatalf("only %d steps", at)
+				t.Fatalf("only %d durable steps", at)
 			}
 			return
 		}
--- a/internal/wal/read.go
+++ b/internal/wal/read.go
@@ -11,10 +11,11 @@
 
 var errTorn = errors.New("wal: torn record")
 
-// scan hands over the whole records of a file from an offset on and gives the
-// offset behind the last of them.
-func scan(f io.ReaderAt, at int64, each func(off int64, rec []byte) error) (int64, error) {
-	r := &countingReader{r: io.NewSectionReader(f, at, 1<<62), buf: make([]byte, 0, 64<<10)}
+// scanRecords calls each for every whole record of a file from an offset on. It returns
+// the offset after the last of them, with errTorn if another record begins there that is
+// incomplete or has a wrong checksum.
+func scanRecords(f io.ReaderAt, at int64, each func(off int64, rec []byte) error) (int64, error) {
+	r := &recordReader{r: io.NewSectionReader(f, at, 1<<62), buf: make([]byte, 0, 64<<10)}
 	for {
 		head, err := r.next(headerBytes)
 		if err == io.EOF {
@@ -38,16 +39,16 @@
 	}
 }
 
-// countingReader reads ahead in large pieces.
-type countingReader struct {
+// recordReader reads a segment with read-ahead.
+type recordReader struct {
 	r   io.Reader
 	buf []byte
 	pos int
 }
 
-// next gives the next n bytes, valid until the next call; io.EOF only if there are
-// none at all.
-func (c *countingReader) next(n int) ([]byte, error) {
+// next returns the next n bytes, valid until the next call. At the end of the file it
+// returns io.EOF, and io.ErrUnexpectedEOF if only some bytes are left.
+func (c *recordReader) next(n int) ([]byte, error) {
 	if len(c.buf)-c.pos < n {
 		rest := append(make([]byte, 0, max(n, 64<<10)), c.buf[c.pos:]...)
 		m, err := io.ReadAtLeast(c.r, rest[len(rest):cap(rest)], n-len(rest))
@@ -64,7 +65,7 @@
 	return p, nil
 }
 
-// Read gives the record at a position.
+// Read returns the record at a position.
 func (l *Log) Read(at Pos) ([]byte, error) {
 	l.mu.Lock()
 	f := l.files[at.Segment]
@@ -85,28 +86,28 @@
 		return nil, fmt.Errorf("%w: segment %d at %d: %v", ErrCorrupt, at.Segment, at.Offset, err)
 	}
 	if crc32.Checksum(rec, checksumTable) != binary.LittleEndian.Uint32(head[4:]) {
-		return nil, fmt.Errorf("%w: segment %d at %d: checksum", ErrCorrupt, at.Segment, at.Offset)
+		return nil, fmt.Errorf("%w: segment %d at %d: wrong checksum", ErrCorrupt, at.Segment, at.Offset)
 	}
 	return rec, nil
 }
 
-// Scan hands over the whole records of one finished segment, as when what lives on
-// in it is moved elsewhere before it is dropped.
+// Scan calls each for the records of one finished segment, for example to rewrite the
+// live ones before the segment is dropped.
 func (l *Log) Scan(segment uint32, each func(at Pos, record []byte) error) error {
 	l.mu.Lock()
 	f, last := l.files[segment], l.last
 	l.mu.Unlock()
 	if f == nil || segment >= last {
-		return fmt.Errorf("wal: no finished segment %d", segment)
+		return fmt.Errorf("wal: segment %d does not exist or is not finished", segment)
 	}
-	end, err := scan(f, 0, func(off int64, rec []byte) error { return each(Pos{segment, off}, rec) })
+	end, err := scanRecords(f, 0, func(off int64, rec []byte) error { return each(Pos{segment, off}, rec) })
 	if errors.Is(err, errTorn) {
 		return fmt.Errorf("%w: segment %d at %d", ErrCorrupt, segment, end)
 	}
 	return err
 }
 
-// Replay hands over the records from a position to the end as it is now, in order.
+// Replay calls each for the records from a position to the current end, in order.
 func (l *Log) Replay(from Pos, each func(at Pos, record []byte) error) error {
 	end := l.End()
 	for n := from.Segment; n <= end.Segment; n++ {
@@ -123,7 +124,7 @@
 		if n == end.Segment {
 			size = end.Offset
 		}
-		stop, err := scan(io.NewSectionReader(f, 0, size), at, func(off int64, rec []byte) error { return each(Pos{n, off}, rec) })
+		stop, err := scanRecords(io.NewSectionReader(f, 0, size), at, func(off int64, rec []byte) error { return each(Pos{n, off}, rec) })
 		if errors.Is(err, errTorn) {
 			err = fmt.Errorf("%w: segment %d at %d", ErrCorrupt, n, stop)
 		}
