--- a/internal/cli/admission.go
+++ b/internal/cli/admission.go
@@ -116,7 +116,7 @@
 	}
 	defer cancel()
 	trials, err := faultinjection.Overloads(ctx, faultinjection.OverloadOptions{Floor: c.Floor,
-		DrawnTrials: faultinjection.DrawnTrials{Program: program, Dir: dir, Seed: c.Seed, Trials: c.Trials, AtOnce: c.AtOnce, Out: r.err}})
+		TrialOptions: faultinjection.TrialOptions{Program: program, Dir: dir, Seed: c.Seed, Trials: c.Trials, AtOnce: c.AtOnce, Out: r.err}})
 	if err != nil {
 		return err
 	}
--- a/internal/cli/region.go
+++ b/internal/cli/region.go
@@ -142,7 +142,7 @@
 
 // startCloud starts a cloud whose machines run the example's command for each task.
 func (g *region) startCloud(listen map[string]string) (err error) {
-	periods := simulation.Periods{Heartbeat: demoHeartbeat, Lease: demoLease, Exec: g.execute}
+	periods := simulation.AgentConfig{Heartbeat: demoHeartbeat, Lease: demoLease, Exec: g.execute}
 	types := []protocol.MachineType{{
 		Name: "m8", CPUs: 8, MemoryGB: 64,
 		PricePerHour: 2, SpotPricePerHour: 1, BootSeconds: 1,
--- a/internal/cli/scale.go
+++ b/internal/cli/scale.go
@@ -49,8 +49,8 @@
 	if err != nil {
 		return fmt.Errorf("%w; the controllers' logs are in %s", err, dir)
 	}
-	if result.Breaks > 0 {
-		return fmt.Errorf("%d rules broken, as %v; the controllers' logs are in %s", result.Breaks, result.Broken[0], dir)
+	if result.BrokenCount > 0 {
+		return fmt.Errorf("%d rules broken, as %v; the controllers' logs are in %s", result.BrokenCount, result.Broken[0], dir)
 	}
 	if c.KeepLogs {
 		fmt.Fprintln(r.err, "settings and logs are in", dir)
@@ -81,7 +81,7 @@
 	if c.Report == "" {
 		return nil
 	}
-	return writePage(c.Report, []*loadtest.Result{result}, loadtest.Workers)
+	return writePage(c.Report, []*loadtest.Result{result}, loadtest.Agents)
 }
 
 // writePage writes a page about results to a file.
@@ -124,4 +124,4 @@
 type simulatedAgentsCmd struct{}
 
 // Run is a process of simulated agents, for simulate scale.
-func (c *simulatedAgentsCmd) Run(r *run) error { return loadtest.Work(r.ctx, os.Stdin, r.out) }
+func (c *simulatedAgentsCmd) Run(r *run) error { return loadtest.RunAgentPool(r.ctx, os.Stdin, r.out) }
--- a/internal/cli/simulate.go
+++ b/internal/cli/simulate.go
@@ -43,13 +43,13 @@
 }
 
 // playDrawn plays drawn trials; what they are goes by its plural.
-func playDrawn[T any](r *run, c *drawnCmd, name, what string, play func(context.Context, faultinjection.DrawnTrials) ([]T, error), broke func(T) bool) error {
+func playDrawn[T any](r *run, c *drawnCmd, name, what string, play func(context.Context, faultinjection.TrialOptions) ([]T, error), broke func(T) bool) error {
 	ctx, cancel, program, dir, err := r.simulation(name, c.Most)
 	if err != nil {
 		return err
 	}
 	defer cancel()
-	trials, err := play(ctx, faultinjection.DrawnTrials{Program: program, Dir: dir, Seed: c.Seed, Trials: c.Trials, AtOnce: c.AtOnce, Out: r.err})
+	trials, err := play(ctx, faultinjection.TrialOptions{Program: program, Dir: dir, Seed: c.Seed, Trials: c.Trials, AtOnce: c.AtOnce, Out: r.err})
 	if err != nil {
 		return err
 	}
@@ -104,7 +104,7 @@
 		return err
 	}
 	defer cancel()
-	m, err := faultinjection.MeasureLoss(ctx, faultinjection.MeasureOptions{Program: program, Dir: dir, Machines: c.Machines, Jobs: c.Jobs, Ends: c.Ends, Gone: c.Gone, Copy: c.Copy, Out: r.err})
+	m, err := faultinjection.MeasureLoss(ctx, faultinjection.MeasureOptions{Program: program, Dir: dir, Machines: c.Machines, ActiveJobs: c.Jobs, EndedJobs: c.Ends, KilledControllers: c.Gone, KeepSnapshot: c.Copy, Out: r.err})
 	if err != nil {
 		return fmt.Errorf("%w; so far %+v, the logs are in %s", err, m, dir)
 	}
--- a/internal/controller/barrierprobe_test.go
+++ b/internal/controller/barrierprobe_test.go
@@ -21,7 +21,7 @@
 // other homes are not probed, and a controller that is not entitled probes none.
 func TestBarrierProbe(t *testing.T) {
 	check := simulation.NewChecker(map[string]float64{"red": 8})
-	per := simulation.Periods{Heartbeat: time.Hour, Lease: time.Hour, Run: func(string) time.Duration { return time.Hour }}
+	per := simulation.AgentConfig{Heartbeat: time.Hour, Lease: time.Hour, Run: func(string) time.Duration { return time.Hour }}
 	addrs := map[string]string{}
 	workers := map[string]*simulation.Agent{}
 	for i := range 12 {
--- a/internal/controller/dataloss_test.go
+++ b/internal/controller/dataloss_test.go
@@ -47,7 +47,7 @@
 		}
 		return false
 	})
-	l.waitUntil("tasks run", func() bool { return l.checker.CountOnMachines() > 4 })
+	l.waitUntil("tasks run", func() bool { return l.checker.CountRunning() > 4 })
 	return l
 }
 
--- a/internal/controller/faults_answers_test.go
+++ b/internal/controller/faults_answers_test.go
@@ -129,7 +129,7 @@
 			s.awaitMembers(3)
 			s.submitUntilAccepted(endlessJob(1, 4, "red"))
 			s.submitUntilAccepted(endlessJob(2, 4, "blue"))
-			s.waitUntil("all tasks run", func() bool { return s.checker.CountOnMachines() == 8 })
+			s.waitUntil("all tasks run", func() bool { return s.checker.CountRunning() == 8 })
 			machines := s.cloud.Agents()
 			for i, w := range machines {
 				rng := newRand(uint64(i))
--- a/internal/controller/faults_heartbeats_test.go
+++ b/internal/controller/faults_heartbeats_test.go
@@ -20,7 +20,7 @@
 	for i := range 2 {
 		s.submitUntilAccepted(arrayJob(i, 4, []string{"red", "blue"}[i%2]))
 	}
-	s.waitUntil("tasks run", func() bool { return s.checker.CountOnMachines() >= 8 })
+	s.waitUntil("tasks run", func() bool { return s.checker.CountRunning() >= 8 })
 	return s
 }
 
@@ -70,7 +70,7 @@
 			gone := endlessJob(0, 2, "red")
 			s.waitUntil("heartbeats are kept", func() bool { return machines[0].CountHeld() > 2 && machines[1].CountHeld() > 2 })
 			s.cancelUntilAnswered(gone.UID) // which the kept heartbeats list as running
-			s.cloud.TakeMachine(machines[1].Name())
+			s.cloud.TerminateMachine(machines[1].Name())
 			s.waitUntil("the machine is known to be gone", func() bool { return s.knownMachines() == len(s.cloud.Agents()) })
 			machines[0].BeginIncarnation()
 			s.submitUntilAccepted(arrayJob(20, 4, "red"))
@@ -120,7 +120,7 @@
 				s.start(owner)
 			}
 			s.waitUntil("the machines' leases have expired", func() bool { return len(s.runningOn(silent)) == 0 })
-			s.waitUntil("their tasks run again", func() bool { return s.checker.CountOnMachines() >= 6 })
+			s.waitUntil("their tasks run again", func() bool { return s.checker.CountRunning() >= 6 })
 			for _, w := range silent {
 				w.DropHeartbeats(false)
 			}
@@ -177,7 +177,7 @@
 				applied, conflicted := s.storeEndpoints[i].CountDelayed()
 				lagged += applied + conflicted
 			}
-			s.waitUntil("tasks run again", func() bool { return s.checker.CountOnMachines() >= 8 })
+			s.waitUntil("tasks run again", func() bool { return s.checker.CountRunning() >= 8 })
 			for _, d := range s.storeEndpoints {
 				d.DelayTransactions(nil)
 			}
--- a/internal/controller/faults_isolation_test.go
+++ b/internal/controller/faults_isolation_test.go
@@ -99,7 +99,7 @@
 		}
 	}
 	s.mu.Unlock()
-	s.waitUntil("the outage outlasts a cancellation", func() bool { return time.Since(began) > s.checker.Cancel+2*time.Second })
+	s.waitUntil("the outage outlasts a cancellation", func() bool { return time.Since(began) > s.checker.CancelTimeout+2*time.Second })
 	s.state.SetOutage(false)
 	s.storeEndpoints[owner].RefuseAll(false)
 	if confirmed == 0 {
--- a/internal/controller/faults_ownerchange_test.go
+++ b/internal/controller/faults_ownerchange_test.go
@@ -90,7 +90,7 @@
 	for i := range s.nodes {
 		s.crash(i)
 	}
-	s.waitUntil("all leases have expired", func() bool { return s.checker.CountOnMachines() == 0 })
+	s.waitUntil("all leases have expired", func() bool { return s.checker.CountRunning() == 0 })
 	for i := range s.nodes {
 		s.start(i)
 		if i == 0 {
@@ -161,7 +161,7 @@
 			s.crash(owner)
 			s.start(owner)
 		case jobs / 2:
-			s.cloud.TakeMachine(s.cloud.Agents()[0].Name())
+			s.cloud.TerminateMachine(s.cloud.Agents()[0].Name())
 		}
 		time.Sleep(every)
 	}
@@ -199,7 +199,7 @@
 				jobs = append(jobs, job)
 				s.submitUntilAccepted(job)
 			}
-			s.waitUntil("all run", func() bool { return s.checker.CountOnMachines() == 12 })
+			s.waitUntil("all run", func() bool { return s.checker.CountRunning() == 12 })
 			for round := range 3 {
 				started := s.checker.Starts()
 				machines := s.machinesOf(jobs[round%2].UID)
@@ -210,14 +210,14 @@
 					machines[0].DisconnectNetwork(true)
 					defer machines[0].DisconnectNetwork(false)
 				} else {
-					s.cloud.TakeMachine(machines[0].Name())
+					s.cloud.TerminateMachine(machines[0].Name())
 				}
 				if ends {
 					owner := s.awaitReadyOwner(shards.ForTeam("red"))
 					s.crash(owner)
 					s.start(owner)
 				}
-				s.waitUntil("all run again", func() bool { return s.checker.Starts() > started && s.checker.CountOnMachines() == 12 })
+				s.waitUntil("all run again", func() bool { return s.checker.Starts() > started && s.checker.CountRunning() == 12 })
 			}
 			s.awaitEndAndCheck()
 		})
@@ -251,7 +251,7 @@
 			}
 		})
 	}
-	s.waitUntil("the machines are full", func() bool { return s.checker.CountOnMachines() >= 16 })
+	s.waitUntil("the machines are full", func() bool { return s.checker.CountRunning() >= 16 })
 	owner := s.awaitReadyOwner(shards.ForTeam("red"))
 	s.crash(owner)
 	s.start(owner)
--- a/internal/controller/faults_queries_test.go
+++ b/internal/controller/faults_queries_test.go
@@ -136,8 +136,8 @@
 		job := arrayJob(i, 1+i%2, []string{"red", "blue"}[i%2])
 		s.inBackground(func() {
 			s.submitUntilAccepted(job)
-			s.waitUntil(job.UID+" is on a machine", func() bool { return s.checker.CountOfJob(job.UID) > 0 })
-			s.waitUntil(job.UID+" leaves its machine", func() bool { return s.checker.CountOfJob(job.UID) == 0 })
+			s.waitUntil(job.UID+" is on a machine", func() bool { return s.checker.CountRunningOfJob(job.UID) > 0 })
+			s.waitUntil(job.UID+" leaves its machine", func() bool { return s.checker.CountRunningOfJob(job.UID) == 0 })
 			s.inBackground(func() { s.users.AskEveryController(job, queriesPerController) })
 			s.cancelUntilAnswered(job.UID)
 		})
--- a/internal/controller/faults_quota_test.go
+++ b/internal/controller/faults_quota_test.go
@@ -47,7 +47,7 @@
 	defer s.mu.Unlock()
 	for _, job := range s.accepted {
 		if job.Team == team {
-			cpus += job.CPUs * float64(s.checker.CountOfJob(job.UID))
+			cpus += job.CPUs * float64(s.checker.CountRunningOfJob(job.UID))
 		}
 	}
 	return cpus
--- a/internal/controller/faults_starts_test.go
+++ b/internal/controller/faults_starts_test.go
@@ -62,7 +62,7 @@
 			for _, w := range machines {
 				w.DelayCommands(delayStarts)
 			}
-			first := slices.IndexFunc(jobs, func(j *protocol.Submission) bool { return j.Team == "red" && s.checker.CountOfJob(j.UID) > 0 })
+			first := slices.IndexFunc(jobs, func(j *protocol.Submission) bool { return j.Team == "red" && s.checker.CountRunningOfJob(j.UID) > 0 })
 			s.cancelUntilAnswered(jobs[first].UID) // a waiting job takes its share of the quota
 			impaired, job := s.awaitStartInFlight("red")
 			impaired.DropAnswers(true)
--- a/internal/controller/faults_test.go
+++ b/internal/controller/faults_test.go
@@ -26,7 +26,7 @@
 // newLongTaskCluster starts a cluster with short timeouts, whose tasks run far longer than a cancellation may take.
 func newLongTaskCluster(t *testing.T) *testCluster {
 	r := newTestClusterWith(t, time.Hour, settings.Agents{HeartbeatSeconds: 0.2, LeaseSeconds: 4, GangWaitSeconds: 10, GangPeerSeconds: 4, CancelSeconds: 10})
-	r.checker.Cancel = 10 * time.Second
+	r.checker.CancelTimeout = 10 * time.Second
 	return r
 }
 
@@ -126,7 +126,7 @@
 		t.Fatal("the machine ran no task when the outage began")
 	}
 	r.waitUntil("its tasks gone", func() bool { return len(w.RunningTasks()) == 0 })
-	r.waitUntil("the time of the cancellation over", func() bool { return time.Since(confirmedAt) > r.checker.Cancel+time.Second })
+	r.waitUntil("the time of the cancellation over", func() bool { return time.Since(confirmedAt) > r.checker.CancelTimeout+time.Second })
 	r.state.SetOutage(false)
 	r.storeEndpoints[a].RefuseAll(false)
 	w.LimitReach()
@@ -148,7 +148,7 @@
 	confirmedAt := r.cancelAt((a+1)%3, job.UID)
 	r.state.SetOutage(true)
 	r.peerPaths.Isolate(a, false)
-	r.waitUntil("the outage outlasts lease and cancellation", func() bool { return time.Since(confirmedAt) > r.checker.Cancel+4*time.Second })
+	r.waitUntil("the outage outlasts lease and cancellation", func() bool { return time.Since(confirmedAt) > r.checker.CancelTimeout+4*time.Second })
 	if !runsJob(w, other.UID) || runsJob(w, job.UID) {
 		t.Errorf("after the outage the machine runs %v, not just the job that was not cancelled", w.RunningTasks())
 	}
@@ -222,7 +222,7 @@
 		healthy = status == 200
 		return !runsJob(w, job.UID) && !healthy
 	})
-	if time.Since(confirmedAt) > r.checker.Cancel || answers == 0 {
+	if time.Since(confirmedAt) > r.checker.CancelTimeout || answers == 0 {
 		t.Errorf("gone %v after the confirmation, %d queries answered with 503", time.Since(confirmedAt), answers)
 	}
 	for i := range r.nodeSettings {
@@ -377,7 +377,7 @@
 // that have ended, and at restarted controllers that know none of them.
 func TestLateHeartbeats(t *testing.T) {
 	r := newTestClusterWith(t, time.Second, settings.Agents{HeartbeatSeconds: 0.2, LeaseSeconds: 3, GangWaitSeconds: 10, GangPeerSeconds: 4, CancelSeconds: 10})
-	r.checker.Cancel = 10 * time.Second
+	r.checker.CancelTimeout = 10 * time.Second
 	var mu sync.Mutex
 	rng := rand.New(rand.NewPCG(8, 8))
 	again := func() time.Duration {
@@ -399,7 +399,7 @@
 		j := arrayJob(650+2*i, 8, []string{"red", "blue"}[i%2])
 		jobs = append(jobs, j)
 		r.submit(j)
-		r.waitUntil("tasks run", func() bool { return r.checker.CountOnMachines() > 0 })
+		r.waitUntil("tasks run", func() bool { return r.checker.CountRunning() > 0 })
 		ws := r.cloud.Agents()
 		for _, w := range ws {
 			w.RepeatHeartbeats(again)
@@ -423,7 +423,7 @@
 // and the machine's other job continues elsewhere once its tasks there are proven to have ended.
 func TestMachineWithoutAnswersAcrossCrash(t *testing.T) {
 	r := newTestClusterWith(t, 6*time.Second, settings.Agents{HeartbeatSeconds: 0.2, LeaseSeconds: 4, GangWaitSeconds: 10, GangPeerSeconds: 4, CancelSeconds: 10})
-	r.checker.Cancel = 10 * time.Second
+	r.checker.CancelTimeout = 10 * time.Second
 	gone, stays := arrayJob(660, 7, "red"), arrayJob(662, 5, "red")
 	r.submit(gone)
 	r.submit(stays)
--- a/internal/controller/faultscenario_test.go
+++ b/internal/controller/faultscenario_test.go
@@ -64,7 +64,7 @@
 // newFaultScenarioWith starts a cluster with other timeouts of agents.
 func newFaultScenarioWith(t *testing.T, run func(task string) time.Duration, workers settings.Agents) *faultScenario {
 	r := newTestClusterRunning(t, run, workers)
-	r.checker.Cancel = settings.Seconds(workers.CancelSeconds)
+	r.checker.CancelTimeout = settings.Seconds(workers.CancelSeconds)
 	s := &faultScenario{testCluster: r, cancelled: map[string]bool{}}
 	var listen []string
 	for _, set := range r.nodeSettings {
@@ -136,10 +136,10 @@
 			})
 		}
 	}
-	s.waitUntil("nothing is left on machines", func() bool { return s.checker.CountOnMachines() == 0 })
+	s.waitUntil("nothing is left on machines", func() bool { return s.checker.CountRunning() == 0 })
 	starts := s.checker.Starts()
 	time.Sleep(quietPeriod)
-	if s.checker.CountOnMachines() > 0 || s.checker.Starts() > starts {
+	if s.checker.CountRunning() > 0 || s.checker.Starts() > starts {
 		s.t.Errorf("%d tasks started after all jobs were over", s.checker.Starts()-starts)
 	}
 }
@@ -250,6 +250,6 @@
 		s.t.Logf("%s: term %d, entitled %v, members %v, owners %v, shards %+v, machines %+v", o.Node, o.Term, o.Entitled, o.Members, o.Owners, o.Shards, o.Machines)
 	}
 	for _, job := range s.accepted {
-		s.t.Logf("%s of %s: %d of %d tasks on machines", job.UID, job.Team, s.checker.CountOfJob(job.UID), job.Tasks)
+		s.t.Logf("%s of %s: %d of %d tasks on machines", job.UID, job.Team, s.checker.CountRunningOfJob(job.UID), job.Tasks)
 	}
 }
--- a/internal/controller/node_test.go
+++ b/internal/controller/node_test.go
@@ -72,7 +72,7 @@
 			}
 		}
 	}
-	per := simulation.Periods{Heartbeat: settings.Seconds(workers.HeartbeatSeconds), Lease: settings.Seconds(workers.LeaseSeconds), Run: run}
+	per := simulation.AgentConfig{Heartbeat: settings.Seconds(workers.HeartbeatSeconds), Lease: settings.Seconds(workers.LeaseSeconds), Run: run}
 	types := []protocol.MachineType{{Name: "m8", CPUs: 8, MemoryGB: 64, PricePerHour: 2, SpotPricePerHour: 1, BootSeconds: 1, Zones: []string{"east", "west"}}}
 	r.cloud, err = simulation.NewCloud(types, 6, func(name, typ, zone string, spot bool) (*simulation.Agent, error) {
 		return simulation.NewAgent(name, typ, zone, spot, listen, names, per, r.checker)
@@ -265,12 +265,12 @@
 		jobs = append(jobs, arrayJob(100+i, 10, []string{"red", "blue"}[i%2]))
 		r.submit(jobs[i])
 	}
-	r.waitUntil("tasks run", func() bool { return r.checker.CountOnMachines() > 4 })
+	r.waitUntil("tasks run", func() bool { return r.checker.CountRunning() > 4 })
 	for i := range r.nodes {
 		r.crash(i)
 		r.queryState(jobs[0].UID)
 		r.start(i)
-		r.waitUntil("tasks run again", func() bool { return r.checker.CountOnMachines() > 2 })
+		r.waitUntil("tasks run again", func() bool { return r.checker.CountRunning() > 2 })
 	}
 	for i := range r.nodes {
 		r.crash(i)
@@ -289,7 +289,7 @@
 	for _, j := range jobs {
 		r.submit(j)
 	}
-	r.waitUntil("tasks run", func() bool { return r.checker.CountOnMachines() > 4 })
+	r.waitUntil("tasks run", func() bool { return r.checker.CountRunning() > 4 })
 	r.state.SetOutage(true)
 	ws := r.cloud.Agents()
 	ws[0].DisconnectNetwork(true)
@@ -305,7 +305,7 @@
 		return status == 200 && st.State == protocol.Cancelled
 	})
 	r.awaitAllDone(jobs)
-	r.waitUntil("nothing is left on machines", func() bool { return r.checker.CountOnMachines() == 0 })
+	r.waitUntil("nothing is left on machines", func() bool { return r.checker.CountRunning() == 0 })
 	if st := r.queryState(long.UID); st != protocol.Cancelled && st != "" {
 		t.Fatalf("cancelled job is %s", st)
 	}
--- a/internal/controller/quota_test.go
+++ b/internal/controller/quota_test.go
@@ -41,9 +41,9 @@
 	r := newTestClusterWith(t, time.Hour, settings.Agents{HeartbeatSeconds: 0.2, LeaseSeconds: 12, GangWaitSeconds: 10, GangPeerSeconds: 4, CancelSeconds: 30})
 	first, next, other := arrayJob(700, 12, "red"), arrayJob(702, 12, "red"), arrayJob(704, 5, "blue")
 	r.submit(first)
-	r.waitUntil("the first job fills the limit", func() bool { return r.checker.CountOfJob(first.UID) == 12 })
+	r.waitUntil("the first job fills the limit", func() bool { return r.checker.CountRunningOfJob(first.UID) == 12 })
 	r.submit(other) // its machines have room for tasks that must not start yet
-	r.waitUntil("another team's job runs", func() bool { return r.checker.CountOfJob(other.UID) == 5 })
+	r.waitUntil("another team's job runs", func() bool { return r.checker.CountRunningOfJob(other.UID) == 5 })
 	r.submit(next)
 	var hung *simulation.Agent
 	for _, w := range r.cloud.Agents() {
@@ -63,7 +63,7 @@
 		r.start(i)
 	}
 	r.waitUntil("the next job runs beside tasks of the cancelled one", func() bool {
-		return r.checker.CountOfJob(next.UID) == 12-left && r.checker.CountOfJob(first.UID) == left
+		return r.checker.CountRunningOfJob(next.UID) == 12-left && r.checker.CountRunningOfJob(first.UID) == left
 	})
-	r.waitUntil("the next job has the whole limit", func() bool { return r.checker.CountOfJob(next.UID) == 12 })
+	r.waitUntil("the next job has the whole limit", func() bool { return r.checker.CountRunningOfJob(next.UID) == 12 })
 }
--- a/internal/faultinjection/faultinjection.go
+++ b/internal/faultinjection/faultinjection.go
@@ -29,7 +29,7 @@
 	Out     io.Writer // is told how it goes
 	// Spoil may change what a reader got before it is checked, to show that the check
 	// sees that.
-	Spoil func(a *artifactstore.Known, lines []string, file string) ([]string, string)
+	CorruptRead func(a *artifactstore.Known, lines []string, file string) ([]string, string)
 }
 
 // Killed is one kill of an agent and what was left of its attempt.
--- a/internal/faultinjection/faultinjection_test.go
+++ b/internal/faultinjection/faultinjection_test.go
@@ -24,7 +24,7 @@
 
 func run(t *testing.T, kills int, spoil func(a *artifactstore.Known, lines []string, file string) ([]string, string)) *faultinjection.Report {
 	t.Helper()
-	r, err := faultinjection.Run(context.Background(), faultinjection.Options{Program: os.Args[0], Dir: t.TempDir(), Seed: 3, Kills: kills, Key: []byte("0123456789abcdef"), Spoil: spoil})
+	r, err := faultinjection.Run(context.Background(), faultinjection.Options{Program: os.Args[0], Dir: t.TempDir(), Seed: 3, Kills: kills, Key: []byte("0123456789abcdef"), CorruptRead: spoil})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/faultinjection/killcheck.go
+++ b/internal/faultinjection/killcheck.go
@@ -127,8 +127,8 @@
 		}
 	}
 	shown := a.State
-	if d.options.Spoil != nil {
-		got, file = d.options.Spoil(a, got, file)
+	if d.options.CorruptRead != nil {
+		got, file = d.options.CorruptRead(a, got, file)
 	}
 	over = a.State == artifactstore.StateFinal || a.State == artifactstore.StateSealed
 	switch {
--- a/internal/faultinjection/loss.go
+++ b/internal/faultinjection/loss.go
@@ -31,7 +31,7 @@
 
 // Losses simulates drawn losses of the key-value store's data against real controller
 // processes on loopback, each in a region of its own. The trials come in the order of their seeds.
-func Losses(ctx context.Context, o DrawnTrials) ([]LossTrial, error) {
+func Losses(ctx context.Context, o TrialOptions) ([]LossTrial, error) {
 	trials := make([]LossTrial, o.Trials)
 	err := runTrials(ctx, o.Trials, o.AtOnce, o.Out, func(ctx context.Context, i int) (string, error) {
 		t := &trials[i]
--- a/internal/faultinjection/loss_test.go
+++ b/internal/faultinjection/loss_test.go
@@ -13,7 +13,7 @@
 // or cancelled is forgotten, and nothing runs twice.
 func TestLosses(t *testing.T) {
 	hold(t, 3, 4, func(t *testing.T, group uint64) ([]faultinjection.LossTrial, error) {
-		return faultinjection.Losses(t.Context(), faultinjection.DrawnTrials{Program: os.Args[0], Dir: t.TempDir(), Seed: 100 * group, Trials: 4, Out: io.Discard})
+		return faultinjection.Losses(t.Context(), faultinjection.TrialOptions{Program: os.Args[0], Dir: t.TempDir(), Seed: 100 * group, Trials: 4, Out: io.Discard})
 	}, func(t *testing.T, x faultinjection.LossTrial) {
 		if x.Broken != "" {
 			t.Errorf("seed %d: %s, %s: %s", x.Seed, x.Loss, x.Trouble, x.Broken)
--- a/internal/faultinjection/measure.go
+++ b/internal/faultinjection/measure.go
@@ -25,10 +25,10 @@
 	Program  string
 	Dir      string
 	Machines int
-	Jobs     int  // active ones
-	Ends     int  // jobs that ended before
-	Gone     int  // controllers that are killed with the loss, and start again 3 s later
-	Copy     bool // the service is followed, and put back if nobody remembers
+	ActiveJobs     int  // active ones
+	EndedJobs     int  // jobs that ended before
+	KilledControllers     int  // controllers that are killed with the loss, and start again 3 s later
+	KeepSnapshot     bool // the service is followed, and put back if nobody remembers
 	Out      io.Writer
 }
 
@@ -84,21 +84,21 @@
 	defer g.close()
 	// Half of the CPUs are kept busy, so that there is room for a first start.
 	busyTasks := int(float64(o.Machines) * measuredCPUs / 2 / measuredTaskCPUs)
-	l := &lossMeasurement{region: g, options: o, tasks: max(1, busyTasks/o.Jobs)}
+	l := &lossMeasurement{region: g, options: o, tasks: max(1, busyTasks/o.ActiveJobs)}
 	if err := l.submitAll(ctx); err != nil {
 		return nil, err
 	}
 	if err := l.awaitBusy(ctx); err != nil {
 		return nil, err
 	}
-	if o.Copy {
+	if o.KeepSnapshot {
 		if l.copies, err = g.follow(ctx); err != nil {
 			return nil, err
 		}
 		defer l.copies.close()
 	}
 	wait.For(ctx, 10*time.Second)
-	l.result = &Measured{On: [2]int{g.check.CountOnMachines(), 0}}
+	l.result = &Measured{On: [2]int{g.check.CountRunning(), 0}}
 	l.loseEverything()
 	awaitRestore := l.restoreInBackground(ctx)
 	l.restartInBackground()
@@ -137,7 +137,7 @@
 		return nil, err
 	}
 	g.state.LimitRates(limits.RequestsPerSecond, limits.ChangesPerSecond)
-	for i := range o.Ends {
+	for i := range o.EndedJobs {
 		g.state.Put(fmt.Sprintf("f/job-%06d", firstEndedJob+i), `{"state":"done","tasks":1,"team":"red"}`)
 	}
 	if err := g.open(); err != nil {
@@ -160,7 +160,7 @@
 			own := *l.region
 			own.rng = rand.New(rand.NewPCG(3, uint64(i)))
 			var err error
-			for j := i; j < l.options.Jobs && err == nil; j += measuredSubmitter {
+			for j := i; j < l.options.ActiveJobs && err == nil; j += measuredSubmitter {
 				err = own.submit(ctx, l.job(j))
 			}
 			ended <- err
@@ -171,7 +171,7 @@
 			return err
 		}
 	}
-	fmt.Fprintf(l.options.Out, "%d jobs of %d tasks accepted, %d ends\n", l.options.Jobs, l.tasks, l.options.Ends)
+	fmt.Fprintf(l.options.Out, "%d jobs of %d tasks accepted, %d ends\n", l.options.ActiveJobs, l.tasks, l.options.EndedJobs)
 	return nil
 }
 
@@ -184,10 +184,10 @@
 		for _, x := range views {
 			whole = whole && x.Store.HistoryComplete
 		}
-		return whole && l.check.CountOnMachines() >= l.options.Jobs*l.tasks*9/10
+		return whole && l.check.CountRunning() >= l.options.ActiveJobs*l.tasks*9/10
 	})
 	if err != nil {
-		return fmt.Errorf("%w: %d tasks run; controllers %+v", err, l.check.CountOnMachines(), last)
+		return fmt.Errorf("%w: %d tasks run; controllers %+v", err, l.check.CountRunning(), last)
 	}
 	return nil
 }
@@ -195,7 +195,7 @@
 // loseEverything kills the controllers that are to go and drops the store's data, and notes where things stood.
 func (l *lossMeasurement) loseEverything() {
 	l.started = l.check.Starts()
-	for i := range l.options.Gone {
+	for i := range l.options.KilledControllers {
 		l.kill(i)
 	}
 	l.spent = make([]float64, len(l.nodes))
@@ -211,7 +211,7 @@
 
 // restoreInBackground puts the copy back if no controller is left to remember. What it gives waits for that.
 func (l *lossMeasurement) restoreInBackground(ctx context.Context) (await func() error) {
-	if !l.options.Copy || l.options.Gone != len(l.nodes) {
+	if !l.options.KeepSnapshot || l.options.KilledControllers != len(l.nodes) {
 		return func() error { return nil }
 	}
 	restored := make(chan error, 1)
@@ -227,11 +227,11 @@
 
 // restartInBackground starts the killed controllers after a while.
 func (l *lossMeasurement) restartInBackground() {
-	if l.options.Gone == 0 {
+	if l.options.KilledControllers == 0 {
 		return
 	}
 	time.AfterFunc(restartAfter, func() {
-		for i := range l.options.Gone {
+		for i := range l.options.KilledControllers {
 			_ = l.start(i) // seen by what follows
 		}
 	})
@@ -245,7 +245,7 @@
 			*d = time.Since(l.began)
 		}
 	}
-	forgotten := o.Gone == len(l.nodes) && !o.Copy
+	forgotten := o.KilledControllers == len(l.nodes) && !o.KeepSnapshot
 	late := l.job(firstNewJob)
 	l.check.RecordSubmission(late)
 	return l.awaitSteady(ctx, func(views []storeView) bool {
@@ -259,7 +259,7 @@
 		})
 		first(&m.Started, func() bool { return l.check.Starts() > l.started })
 		first(&m.Written, func() bool {
-			return written && (l.state.CountKeys("w/e/") > 0 || o.Ends == 0 || forgotten)
+			return written && (l.state.CountKeys("w/e/") > 0 || o.EndedJobs == 0 || forgotten)
 		})
 		return m.Noticed > 0 && m.Entered > 0 && (m.Polled > 0 || forgotten) && m.Taken > 0 && m.Started > 0 && m.Written > 0
 	})
@@ -281,7 +281,7 @@
 func (l *lossMeasurement) answersRightly() bool {
 	activeStatus, active := l.ask("GET", protocol.PathSubmit+"/job-000001", nil)
 	endedStatus, ended := l.ask("GET", fmt.Sprintf("%s/job-%06d", protocol.PathSubmit, firstEndedJob+1), nil)
-	if l.options.Ends == 0 {
+	if l.options.EndedJobs == 0 {
 		return true
 	}
 	return activeStatus == 200 && active.State != protocol.Done && endedStatus == 200 && ended.State == protocol.Done
@@ -292,14 +292,14 @@
 	m := l.result
 	for i, p := range l.nodes {
 		cpu, memory := p.used()
-		if m.Memory = append(m.Memory, memory); i < l.options.Gone {
+		if m.Memory = append(m.Memory, memory); i < l.options.KilledControllers {
 			l.spent[i] = 0 // a new process
 		}
 		m.CPU = append(m.CPU, cpu-l.spent[i])
 	}
 	m.Refused = l.state.CountRefused() - l.refused
 	m.Changes, m.Bytes = l.state.Size()
-	m.On[1], m.Broken = l.check.CountOnMachines(), l.check.BrokenRules()
+	m.On[1], m.Broken = l.check.CountRunning(), l.check.BrokenRules()
 }
 
 // snapshotFollower is a follower of the key-value store, and what puts its copy back.
--- a/internal/faultinjection/meetings.go
+++ b/internal/faultinjection/meetings.go
@@ -21,7 +21,7 @@
 // CombinedTrial is two or three troubles around one moment and what came of them.
 type CombinedTrial struct {
 	Seed    uint64        `json:"seed"`
-	Met     []string      `json:"met"`
+	Faults     []string      `json:"met"`
 	Broken  string        `json:"broken,omitempty"`
 	Settled time.Duration `json:"settled_ns"` // from the end of the troubles until all that was accepted was done
 }
@@ -38,7 +38,7 @@
 
 // CombinedFaults simulates drawn troubles that overlap against real controller processes on loopback, each meeting in a region of
 // its own, with jobs whose tasks end far apart and jobs of long tasks that are cancelled meanwhile.
-func CombinedFaults(ctx context.Context, o DrawnTrials) ([]CombinedTrial, error) {
+func CombinedFaults(ctx context.Context, o TrialOptions) ([]CombinedTrial, error) {
 	trials := make([]CombinedTrial, o.Trials)
 	err := runTrials(ctx, o.Trials, o.AtOnce, o.Out, func(ctx context.Context, i int) (string, error) {
 		t := &trials[i]
@@ -47,13 +47,13 @@
 		rng := rand.New(rand.NewPCG(t.Seed, 29))
 		g := &region{dir: dir, program: o.Program, rng: rng, size: meetingRegion(), client: &http.Client{Timeout: 3 * time.Second},
 			check: simulation.NewChecker(map[string]float64{"red": 24, "blue": 16}), run: meetingRun}
-		g.check.Cancel = time.Duration(g.size.cancel*float64(time.Second)) + checkSlack
+		g.check.CancelTimeout = time.Duration(g.size.cancel*float64(time.Second)) + checkSlack
 		var err error
 		if t.Broken, err = g.runTrial(ctx, func() error { return g.runCombined(ctx, t) }); err != nil {
 			return "", err
 		}
 		verdict, err := verdictOf(dir, t.Broken)
-		return fmt.Sprintf("seed %d: %s: settled after %s, %s", t.Seed, strings.Join(t.Met, " + "), t.Settled.Round(100*time.Millisecond), verdict), err
+		return fmt.Sprintf("seed %d: %s: settled after %s, %s", t.Seed, strings.Join(t.Faults, " + "), t.Settled.Round(100*time.Millisecond), verdict), err
 	})
 	if err != nil {
 		return nil, err
@@ -85,7 +85,7 @@
 			return err
 		}
 	}
-	if err := g.await(ctx, "tasks run", func() bool { return g.check.CountOnMachines() > 6 }); err != nil {
+	if err := g.await(ctx, "tasks run", func() bool { return g.check.CountRunning() > 6 }); err != nil {
 		return err
 	}
 	if err := m.trouble(ctx, t); err != nil {
@@ -96,7 +96,7 @@
 		return err
 	}
 	t.Settled = time.Since(began)
-	if err := g.await(ctx, "nothing is left on machines", func() bool { return g.check.CountOnMachines() == 0 }); err != nil {
+	if err := g.await(ctx, "nothing is left on machines", func() bool { return g.check.CountRunning() == 0 }); err != nil {
 		return err
 	}
 	if found := history.Check(m.users.Log().Calls()); len(found) > 0 {
@@ -142,7 +142,7 @@
 	count := 2 + draw.IntN(2)
 	for _, k := range draw.Perm(len(combinedFaultKinds))[:count] {
 		x := combinedFaultKinds[k]
-		t.Met = append(t.Met, x.name)
+		t.Faults = append(t.Faults, x.name)
 		own := rand.New(rand.NewPCG(m.seed, uint64(k)))
 		// The same controller for most of them: troubles of one meet there.
 		one, after := int(m.seed%3), time.Duration(own.IntN(4000))*time.Millisecond
--- a/internal/faultinjection/overload.go
+++ b/internal/faultinjection/overload.go
@@ -25,7 +25,7 @@
 
 // OverloadOptions are the choices of a simulation of overload.
 type OverloadOptions struct {
-	DrawnTrials
+	TrialOptions
 	Floor float64 // the controllers' class_floor
 }
 
@@ -33,12 +33,12 @@
 type OverloadTrial struct {
 	Seed     uint64             `json:"seed"`
 	Trouble  string             `json:"trouble"`
-	Crowd    float64            `json:"crowd"`            // CPUs that it asks for, of all there are
-	Wanted   map[string]float64 `json:"wanted_cpus"`      // that would keep up with what comes, by class
-	Got      map[string]float64 `json:"got_cpus"`         // in the mean, once floors had time to work
-	Least    float64            `json:"least_large_cpus"` // of the large class, over any five seconds of that time without trouble
+	LoadFactor    float64            `json:"crowd"`            // CPUs that it asks for, of all there are
+	DemandCPUs   map[string]float64 `json:"wanted_cpus"`      // that would keep up with what comes, by class
+	MeanCPUs      map[string]float64 `json:"got_cpus"`         // in the mean, once floors had time to work
+	MinLargeCPUs    float64            `json:"least_large_cpus"` // of the large class, over any five seconds of that time without trouble
 	Jain     float64            `json:"jain"`             // of what each class got of what it wanted
-	Smallest float64            `json:"smallest_share"`   // of what a class wanted
+	MinShare float64            `json:"smallest_share"`   // of what a class wanted
 	Refused  int                `json:"refused"`          // answers that said to come back
 	Broken   string             `json:"broken,omitempty"`
 
@@ -75,8 +75,8 @@
 			return "", err
 		}
 		verdict, err := verdictOf(dir, t.Broken)
-		return fmt.Sprintf("seed %d: %.1f times, %s: large %.0f of %.0f CPUs wanted, %.0f at least; small %.0f of %.0f; Jain %.2f; %d refused; %s", t.Seed, t.Crowd, t.Trouble,
-			t.Got[large], t.Wanted[large], t.Least, t.Got[small], t.Wanted[small], t.Jain, t.Refused, verdict), err
+		return fmt.Sprintf("seed %d: %.1f times, %s: large %.0f of %.0f CPUs wanted, %.0f at least; small %.0f of %.0f; Jain %.2f; %d refused; %s", t.Seed, t.LoadFactor, t.Trouble,
+			t.MeanCPUs[large], t.DemandCPUs[large], t.MinLargeCPUs, t.MeanCPUs[small], t.DemandCPUs[small], t.Jain, t.Refused, verdict), err
 	})
 	if err != nil {
 		return nil, err
@@ -105,15 +105,15 @@
 // room for beside large ones, and takes down who runs.
 func (g *region) runOverload(ctx context.Context, rng *rand.Rand, t *OverloadTrial) error {
 	cpus := float64(g.size.machines) * g.size.cpus
-	t.Crowd = 2 + 2*rng.Float64()
-	t.Wanted = map[string]float64{small: t.Crowd * cpus, large: 6 * 6 * 3 / 2}
+	t.LoadFactor = 2 + 2*rng.Float64()
+	t.DemandCPUs = map[string]float64{small: t.LoadFactor * cpus, large: 6 * 6 * 3 / 2}
 	c := &crowd{
 		region: g,
 		trial:  t,
 		saved:  g.state.Snapshot(),
 		failed: make(chan error, 1),
 		// jobs of 12 tasks of a CPU and two seconds
-		rates: map[string]float64{small: t.Crowd * cpus / 24, large: 0.5},
+		rates: map[string]float64{small: t.LoadFactor * cpus / 24, large: 0.5},
 	}
 	if err := c.submitAll(ctx, rng); err != nil {
 		return err
@@ -121,8 +121,8 @@
 	if err := c.awaitDone(ctx); err != nil {
 		return err
 	}
-	if floor := 0.5 * t.Wanted[large] * 0.7; t.Least < floor { // whole tasks, and the gap between two of them
-		return fmt.Errorf("the large class had %.1f CPUs for five seconds, %.1f are due", t.Least, floor)
+	if floor := 0.5 * t.DemandCPUs[large] * 0.7; t.MinLargeCPUs < floor { // whole tasks, and the gap between two of them
+		return fmt.Errorf("the large class had %.1f CPUs for five seconds, %.1f are due", t.MinLargeCPUs, floor)
 	}
 	return nil
 }
@@ -262,12 +262,12 @@
 // sum sums up who had how much once floors had time to work, apart from a trouble and the
 // time to recover from it.
 func (t *OverloadTrial) sum(struck, over time.Duration) {
-	t.Got = map[string]float64{}
+	t.MeanCPUs = map[string]float64{}
 	counted := func(at time.Duration) bool {
 		return at > t.from && (t.Trouble == "none" || at < struck || at > over+recoverAfter)
 	}
 	n, window := 0.0, []float64{}
-	t.Least = -1
+	t.MinLargeCPUs = -1
 	for _, x := range t.samples {
 		if !counted(x.at) {
 			window = window[:0]
@@ -275,7 +275,7 @@
 		}
 		n++
 		for _, class := range []string{small, large} {
-			t.Got[class] += x.using[class]
+			t.MeanCPUs[class] += x.using[class]
 		}
 		if window = append(window, x.using[large]); len(window) > 50 {
 			window = window[1:]
@@ -284,17 +284,17 @@
 			for _, v := range window {
 				mean += v / 50
 			}
-			if t.Least < 0 || mean < t.Least {
-				t.Least = mean
+			if t.MinLargeCPUs < 0 || mean < t.MinLargeCPUs {
+				t.MinLargeCPUs = mean
 			}
 		}
 	}
 	var parts []float64
-	for class := range t.Wanted {
-		t.Got[class] /= max(n, 1)
-		parts = append(parts, t.Got[class]/t.Wanted[class])
+	for class := range t.DemandCPUs {
+		t.MeanCPUs[class] /= max(n, 1)
+		parts = append(parts, t.MeanCPUs[class]/t.DemandCPUs[class])
 	}
-	t.Jain, t.Smallest = admission.JainIndex(parts), admission.Smallest(parts)
+	t.Jain, t.MinShare = admission.JainIndex(parts), admission.Smallest(parts)
 }
 
 var overloadPage = template.Must(template.New("overload").Parse(`<!doctype html>
@@ -304,9 +304,9 @@
 <h1>Rehearsal of overload</h1>
 <p>A crowd of small urgent tasks over large ones of lower priority, on a dozen stand-in machines and three real controllers. The
 large class is to have half of what comes, whatever the crowd.</p>
-{{range .}}<h2{{if .T.Broken}} class="bad"{{end}}>Seed {{.T.Seed}}: crowd of {{printf "%.1f" .T.Crowd}} times the machines; {{.T.Trouble}}</h2>
+{{range .}}<h2{{if .T.Broken}} class="bad"{{end}}>Seed {{.T.Seed}}: crowd of {{printf "%.1f" .T.LoadFactor}} times the machines; {{.T.Trouble}}</h2>
 {{if .T.Broken}}<p class="bad">{{.T.Broken}}</p>{{end}}
-<p>Large tasks had {{printf "%.0f" (index .T.Got "large")}} CPUs of {{printf "%.0f" (index .T.Wanted "large")}} wanted, {{printf "%.0f" .T.Least}} at least over five seconds; small ones {{printf "%.0f" (index .T.Got "small")}} of {{printf "%.0f" (index .T.Wanted "small")}}. Jain's index {{printf "%.2f" .T.Jain}}. {{.T.Refused}} answers said to come back.</p>
+<p>Large tasks had {{printf "%.0f" (index .T.MeanCPUs "large")}} CPUs of {{printf "%.0f" (index .T.DemandCPUs "large")}} wanted, {{printf "%.0f" .T.MinLargeCPUs}} at least over five seconds; small ones {{printf "%.0f" (index .T.MeanCPUs "small")}} of {{printf "%.0f" (index .T.DemandCPUs "small")}}. Jain's index {{printf "%.2f" .T.Jain}}. {{.T.Refused}} answers said to come back.</p>
 {{.Plot}}{{end}}
 </body></html>
 `))
--- a/internal/faultinjection/overload_test.go
+++ b/internal/faultinjection/overload_test.go
@@ -22,13 +22,13 @@
 	}{"alone": {0, 0.5}, "all end": {2, 0.5}, "no floors": {0, 0}} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			trials, err := faultinjection.Overloads(context.Background(), faultinjection.OverloadOptions{DrawnTrials: faultinjection.DrawnTrials{Program: os.Args[0], Dir: t.TempDir(), Seed: x.seed, Trials: 1, Out: io.Discard}, Floor: x.floor})
+			trials, err := faultinjection.Overloads(context.Background(), faultinjection.OverloadOptions{TrialOptions: faultinjection.TrialOptions{Program: os.Args[0], Dir: t.TempDir(), Seed: x.seed, Trials: 1, Out: io.Discard}, Floor: x.floor})
 			if err != nil {
 				t.Fatal(err)
 			}
-			got, broken := trials[0].Got["large"], trials[0].Broken
+			got, broken := trials[0].MeanCPUs["large"], trials[0].Broken
 			if strings.Contains(broken, "rules") || x.floor > 0 && got < 12 || x.floor == 0 && (got > 8 || broken == "") {
-				t.Errorf("%+v: %s", trials[0].Got, broken)
+				t.Errorf("%+v: %s", trials[0].MeanCPUs, broken)
 			}
 			var page bytes.Buffer
 			if err := faultinjection.OverloadReport(&page, trials); err != nil || strings.Count(page.String(), "<svg") != 1 {
--- a/internal/faultinjection/region.go
+++ b/internal/faultinjection/region.go
@@ -124,7 +124,7 @@
 
 // openCloud starts a cloud whose machines have simulated agents.
 func (g *region) openCloud(listen map[string]string) (err error) {
-	periods := simulation.Periods{
+	periods := simulation.AgentConfig{
 		Heartbeat: settings.Seconds(g.size.report),
 		Lease:     settings.Seconds(g.size.lease),
 		Run:       g.run,
--- a/internal/faultinjection/trials.go
+++ b/internal/faultinjection/trials.go
@@ -12,8 +12,8 @@
 	"topazhollow/internal/protocol"
 )
 
-// DrawnTrials is the choices of a simulation of drawn trials.
-type DrawnTrials struct {
+// TrialOptions is the choices of a simulation of drawn trials.
+type TrialOptions struct {
 	Program string // that runs a controller by "controller --config FILE --script FILE"
 	Dir     string
 	Seed    uint64
--- a/internal/faultinjection/troubles.go
+++ b/internal/faultinjection/troubles.go
@@ -117,7 +117,7 @@
 	{"machine hangs", machineFault(func(w *simulation.Agent, _ int, on bool) { w.Hang(on) })},
 	{"machine gone", func(_ context.Context, g *region, rng *rand.Rand, _ int, _ time.Duration) error {
 		if ws := g.cloud.Agents(); len(ws) > 0 {
-			g.cloud.TakeMachine(ws[rng.IntN(len(ws))].Name())
+			g.cloud.TerminateMachine(ws[rng.IntN(len(ws))].Name())
 		}
 		return nil
 	}},
--- a/internal/loadtest/config.go
+++ b/internal/loadtest/config.go
@@ -15,21 +15,21 @@
 type Config struct {
 	Seed              uint64  `toml:"seed" json:"seed"`                               // draws zones, teams and run times
 	Duration          float64 `toml:"duration_s" json:"duration_s"`                   // measured time, after the region has settled
-	Settle            float64 `toml:"settle_s" json:"settle_s"`                       // the most that settling may take
+	SettleTimeout            float64 `toml:"settle_s" json:"settle_s"`                       // the most that settling may take
 	Controllers       int     `toml:"controllers" json:"controllers"`                 //
-	Workers           int     `toml:"workers" json:"workers"`                         //
-	WorkersPerProcess int     `toml:"workers_per_process" json:"workers_per_process"` //
+	Agents           int     `toml:"workers" json:"workers"`                         //
+	AgentsPerProcess int     `toml:"workers_per_process" json:"workers_per_process"` //
 	Zones             int     `toml:"zones" json:"zones"`                             //
 	Teams             int     `toml:"teams" json:"teams"`                             //
-	TasksPerWorker    float64 `toml:"tasks_per_worker" json:"tasks_per_worker"`       // replicas of services, which run throughout
+	TasksPerAgent    float64 `toml:"tasks_per_worker" json:"tasks_per_worker"`       // replicas of services, which run throughout
 	StartsPerSecond   float64 `toml:"starts_per_s" json:"starts_per_s"`               // of tasks of arrays, beside them
 	TasksPerJob       int     `toml:"tasks_per_job" json:"tasks_per_job"`             // of an array
 	TaskRun           float64 `toml:"task_run_s" json:"task_run_s"`                   // mean run time of an array's task
-	TeamRoom          float64 `toml:"team_room" json:"team_room"`                     // a team's limit beyond its services, in times of what its arrays take on average
+	TeamHeadroom          float64 `toml:"team_room" json:"team_room"`                     // a team's limit beyond its services, in times of what its arrays take on average
 	UrgentShare       float64 `toml:"urgent_share" json:"urgent_share"`               // of the arrays
 	UrgentWithin      float64 `toml:"urgent_within_s" json:"urgent_within_s"`         // objective for their starts
-	Report            float64 `toml:"report_s" json:"report_s"`                       // period of an agent's reports
-	WorkerLease       float64 `toml:"worker_lease_s" json:"worker_lease_s"`           //
+	HeartbeatInterval            float64 `toml:"report_s" json:"report_s"`                       // period of an agent's reports
+	AgentLease       float64 `toml:"worker_lease_s" json:"worker_lease_s"`           //
 	Cancel            float64 `toml:"cancel_s" json:"cancel_s"`                       //
 	CountPeerLines    bool    `toml:"count_peer_lines" json:"count_peer_lines"`       // lines between controllers pass a counter
 
@@ -40,9 +40,9 @@
 
 // Faults are troubles at seconds of the measured time; 0 stands for none.
 type Faults struct {
-	ControllerEnds float64 `toml:"controller_ends_s" json:"controller_ends_s"` // the first controller is killed
-	AllEnd         float64 `toml:"all_end_s" json:"all_end_s"`                 // all controllers are killed
-	Back           float64 `toml:"back_after_s" json:"back_after_s"`           // those killed start again after this
+	KillOneAt float64 `toml:"controller_ends_s" json:"controller_ends_s"` // the first controller is killed
+	KillAllAt         float64 `toml:"all_end_s" json:"all_end_s"`                 // all controllers are killed
+	RestartAfter           float64 `toml:"back_after_s" json:"back_after_s"`           // those killed start again after this
 }
 
 // Store is the limits of the key-value store, which all controllers share.
@@ -65,10 +65,10 @@
 // Default is an experiment that a newcomer's machine carries in under two minutes.
 func Default() *Config {
 	return &Config{
-		Seed: 1, Duration: 30, Settle: 40, Controllers: 3, Workers: 500, WorkersPerProcess: 2500, Zones: 23, Teams: 8,
-		TasksPerWorker: 1, StartsPerSecond: 20, TasksPerJob: 10, TaskRun: 10, TeamRoom: 3, UrgentShare: 0.1, UrgentWithin: 3.1,
-		Report: 5, WorkerLease: 26.5, Cancel: 46.5, CountPeerLines: true,
-		Faults: Faults{Back: 3},
+		Seed: 1, Duration: 30, SettleTimeout: 40, Controllers: 3, Agents: 500, AgentsPerProcess: 2500, Zones: 23, Teams: 8,
+		TasksPerAgent: 1, StartsPerSecond: 20, TasksPerJob: 10, TaskRun: 10, TeamHeadroom: 3, UrgentShare: 0.1, UrgentWithin: 3.1,
+		HeartbeatInterval: 5, AgentLease: 26.5, Cancel: 46.5, CountPeerLines: true,
+		Faults: Faults{RestartAfter: 3},
 		Store:  Store{RPS: 6000, WriteRPS: 1200, ValueKB: 64, TxnOps: 48},
 		Limits: Limits{Processes: 64, MemoryMB: 6000, Seconds: 110, ControllerMemoryMB: 2048, ControllerSockets: 20000},
 	}
@@ -97,25 +97,25 @@
 	in := tomlfile.In
 	err := tomlfile.CheckBounds(
 		in("duration_s", c.Duration, 1, 3600),
-		in("settle_s", c.Settle, 1, 3600),
+		in("settle_s", c.SettleTimeout, 1, 3600),
 		in("controllers", float64(c.Controllers), 1, 64),
-		in("workers", float64(c.Workers), 1, 50000),
-		in("workers_per_process", float64(c.WorkersPerProcess), 1, 5000),
+		in("workers", float64(c.Agents), 1, 50000),
+		in("workers_per_process", float64(c.AgentsPerProcess), 1, 5000),
 		in("zones", float64(c.Zones), 1, 200),
 		in("teams", float64(c.Teams), 1, 5000),
-		in("tasks_per_worker", c.TasksPerWorker, 0, 200),
+		in("tasks_per_worker", c.TasksPerAgent, 0, 200),
 		in("starts_per_s", c.StartsPerSecond, 0, 20000),
 		in("tasks_per_job", float64(c.TasksPerJob), 1, 1000),
 		in("task_run_s", c.TaskRun, 0.1, 3600),
-		in("team_room", c.TeamRoom, 1, 1000),
+		in("team_room", c.TeamHeadroom, 1, 1000),
 		in("urgent_share", c.UrgentShare, 0, 1),
 		in("urgent_within_s", c.UrgentWithin, 0.1, 600),
-		in("report_s", c.Report, 0.1, 600),
-		in("worker_lease_s", c.WorkerLease, 0.5, 3600),
+		in("report_s", c.HeartbeatInterval, 0.1, 600),
+		in("worker_lease_s", c.AgentLease, 0.5, 3600),
 		in("cancel_s", c.Cancel, 1, 3600),
-		in("faults.controller_ends_s", c.Faults.ControllerEnds, 0, c.Duration),
-		in("faults.all_end_s", c.Faults.AllEnd, 0, c.Duration),
-		in("faults.back_after_s", c.Faults.Back, 0, 600),
+		in("faults.controller_ends_s", c.Faults.KillOneAt, 0, c.Duration),
+		in("faults.all_end_s", c.Faults.KillAllAt, 0, c.Duration),
+		in("faults.back_after_s", c.Faults.RestartAfter, 0, 600),
 		in("store.rps", c.Store.RPS, 1, 1e6),
 		in("store.write_rps", c.Store.WriteRPS, 1, 1e6),
 		in("store.value_kb", c.Store.ValueKB, 1, 1<<10),
@@ -136,22 +136,22 @@
 
 // processes is how many processes hold the agents.
 func (c *Config) processes() int {
-	return (c.Workers + c.WorkersPerProcess - 1) / c.WorkersPerProcess
+	return (c.Agents + c.AgentsPerProcess - 1) / c.AgentsPerProcess
 }
 
 // standing is how many tasks run throughout.
-func (c *Config) standing() int { return int(float64(c.Workers) * c.TasksPerWorker) }
+func (c *Config) standing() int { return int(float64(c.Agents) * c.TasksPerAgent) }
 
 // passing is how many tasks of arrays run at a time, on average.
 func (c *Config) passing() float64 { return c.StartsPerSecond * c.TaskRun }
 
 // machineCores is the size of a machine: room for what stands and three times what passes.
 func (c *Config) machineCores() float64 {
-	return float64(int(c.TasksPerWorker)) + 3 + float64(int(3*c.passing()/float64(c.Workers)))
+	return float64(int(c.TasksPerAgent)) + 3 + float64(int(3*c.passing()/float64(c.Agents)))
 }
 
 // teamLimit is a team's limit in cores, of which every task takes one.
 func (c *Config) teamLimit() float64 {
-	spread := max(c.TeamRoom*c.passing()/float64(c.Teams), 2*float64(c.TasksPerJob))
+	spread := max(c.TeamHeadroom*c.passing()/float64(c.Teams), 2*float64(c.TasksPerJob))
 	return float64(c.standing()/c.Teams+1) + spread
 }
--- a/internal/loadtest/events.go
+++ b/internal/loadtest/events.go
@@ -18,12 +18,12 @@
 
 // Counts are what agents sent and got since their process began.
 type Counts struct {
-	Reports      int64 `json:"reports"`
+	Heartbeats      int64 `json:"reports"`
 	Answered     int64 `json:"answered"` // with 200
-	Moved        int64 `json:"moved"`    // sent to another controller
+	Redirected        int64 `json:"moved"`    // sent to another controller
 	Failed       int64 `json:"failed"`   // any other status, or none
 	Expired      int64 `json:"expired"`  // leases of agents that ended
-	ReportBytes  int64 `json:"report_bytes"`
+	HeartbeatBytes  int64 `json:"report_bytes"`
 	AnswerBytes  int64 `json:"answer_bytes"`
 	Commands     int64 `json:"commands"` // direct requests with commands
 	CommandBytes int64 `json:"command_bytes"`
@@ -31,12 +31,12 @@
 }
 
 func (c *Counts) add(o Counts, sign int64) {
-	c.Reports += sign * o.Reports
+	c.Heartbeats += sign * o.Heartbeats
 	c.Answered += sign * o.Answered
-	c.Moved += sign * o.Moved
+	c.Redirected += sign * o.Redirected
 	c.Failed += sign * o.Failed
 	c.Expired += sign * o.Expired
-	c.ReportBytes += sign * o.ReportBytes
+	c.HeartbeatBytes += sign * o.HeartbeatBytes
 	c.AnswerBytes += sign * o.AnswerBytes
 	c.Commands += sign * o.Commands
 	c.CommandBytes += sign * o.CommandBytes
@@ -48,8 +48,8 @@
 	Until   int64   `json:"until"` // all events before this moment are told
 	Events  []Event `json:"events,omitempty"`
 	Counts  Counts  `json:"counts"`
-	Waits   []int64 `json:"waits,omitempty"` // from a report to its answer, µs
-	Homed   int     `json:"homed"`           // agents whose last report was answered
+	Latencies   []int64 `json:"waits,omitempty"` // from a report to its answer, µs
+	Connected   int     `json:"homed"`           // agents whose last report was answered
 	Removed int     `json:"removed"`         // machines taken away so far
 }
 
@@ -80,7 +80,7 @@
 func (r *recorder) waited(d time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.next.Waits = append(r.next.Waits, d.Microseconds())
+	r.next.Latencies = append(r.next.Latencies, d.Microseconds())
 }
 
 func (r *recorder) home(by int) {
@@ -100,7 +100,7 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	b := r.next
-	b.Until, b.Counts, b.Homed, b.Removed = time.Now().UnixNano(), r.counts, r.homed, r.removed
+	b.Until, b.Counts, b.Connected, b.Removed = time.Now().UnixNano(), r.counts, r.homed, r.removed
 	r.next = Batch{}
 	return b
 }
--- a/internal/loadtest/fit.go
+++ b/internal/loadtest/fit.go
@@ -12,7 +12,7 @@
 
 // The axes.
 const (
-	Workers     Axis = "workers"
+	Agents     Axis = "workers"
 	Starts      Axis = "starts"
 	Teams       Axis = "teams"
 	Controllers Axis = "controllers"
@@ -29,9 +29,9 @@
 	case Controllers:
 		return float64(r.Config.Controllers)
 	case Tasks:
-		return r.Config.TasksPerWorker
+		return r.Config.TasksPerAgent
 	}
-	return float64(r.Config.Workers)
+	return float64(r.Config.Agents)
 }
 
 // figure is one thing that a run measured.
@@ -67,21 +67,21 @@
 	{"store: requests", "/s", func(r *Result) float64 { return r.messages("store", "", count) }},
 	{"store: transactions", "/s", func(r *Result) float64 { return r.messages("store", "write", count) }},
 	{"store: bytes", "KB/s", func(r *Result) float64 { return r.messages("store", "", size) / 1024 }},
-	{"reports", "/s", func(r *Result) float64 { return r.Reports }},
+	{"reports", "/s", func(r *Result) float64 { return r.Heartbeats }},
 	{"starts", "/s", func(r *Result) float64 { return r.Starts }},
-	{"report to answer, p99", "ms", func(r *Result) float64 { return float64(r.ReportTrip.P99) / 1000 }},
+	{"report to answer, p99", "ms", func(r *Result) float64 { return float64(r.HeartbeatLatency.P99) / 1000 }},
 	{"urgent start, p50", "ms", func(r *Result) float64 { return float64(r.UrgentWait.P50) }},
 	{"urgent start, p99", "ms", func(r *Result) float64 { return float64(r.UrgentWait.P99) }},
 	{"usual start, p99", "ms", func(r *Result) float64 { return float64(r.UsualWait.P99) }},
-	{"one worker: bodies", "KB/s", func(r *Result) float64 { return r.WorkerBytes / 1024 }},
+	{"one worker: bodies", "KB/s", func(r *Result) float64 { return r.BytesPerAgent / 1024 }},
 	{"one worker: processor", "% of a core", func(r *Result) float64 {
-		return 100 * mean(r.Workers, cores) * float64(len(r.Workers)) / float64(r.Config.Workers)
+		return 100 * mean(r.AgentProcesses, cores) * float64(len(r.AgentProcesses)) / float64(r.Config.Agents)
 	}},
 	{"one worker: memory", "MB", func(r *Result) float64 {
-		return mean(r.Workers, memory) * float64(len(r.Workers)) / float64(r.Config.Workers)
+		return mean(r.AgentProcesses, memory) * float64(len(r.AgentProcesses)) / float64(r.Config.Agents)
 	}},
 	{"stand-ins and users: processor", "cores", func(r *Result) float64 { return r.StandIns.Cores }},
-	{"workers' processes: processor", "cores", func(r *Result) float64 { return mean(r.Workers, cores) * float64(len(r.Workers)) }},
+	{"workers' processes: processor", "cores", func(r *Result) float64 { return mean(r.AgentProcesses, cores) * float64(len(r.AgentProcesses)) }},
 	{"other programs on the machine", "cores", func(r *Result) float64 { return r.OthersBusy }},
 }
 
@@ -235,9 +235,9 @@
   a controller: %.2f cores (most %.2f), %.0f MB, %.0f KB/s read and written, %.0f KB/s to peers
   store %.0f requests/s, %.1f transactions/s, %d refused; a worker: %.2f KB/s; stand-ins %.2f cores, workers' processes %.2f, other programs %.2f
   rules broken: %d`,
-		r.Config.Workers, r.Config.Controllers, r.Config.Teams, state, r.SettledIn, r.Measured,
-		r.Reports, r.Config.StartsPerSecond, r.Starts, r.Running, r.UrgentWait.P99, r.UsualWait.P99, float64(r.ReportTrip.P99)/1000,
+		r.Config.Agents, r.Config.Controllers, r.Config.Teams, state, r.SettledIn, r.Measured,
+		r.Heartbeats, r.Config.StartsPerSecond, r.Starts, r.Running, r.UrgentWait.P99, r.UsualWait.P99, float64(r.HeartbeatLatency.P99)/1000,
 		mean(r.Controllers, cores), most(r.Controllers, cores), most(r.Controllers, memory), mean(r.Controllers, traffics), perController(r, ""),
-		r.messages("store", "", count), r.messages("store", "write", count), r.StoreRefused, r.WorkerBytes/1024,
-		r.StandIns.Cores, mean(r.Workers, cores)*float64(len(r.Workers)), r.OthersBusy, r.Breaks)
+		r.messages("store", "", count), r.messages("store", "write", count), r.StoreRefused, r.BytesPerAgent/1024,
+		r.StandIns.Cores, mean(r.AgentProcesses, cores)*float64(len(r.AgentProcesses)), r.OthersBusy, r.BrokenCount)
 }
--- a/internal/loadtest/hollow.go
+++ b/internal/loadtest/hollow.go
@@ -246,7 +246,7 @@
 // instead, or -1.
 func (h *simulatedAgent) send(ctx context.Context, link *httpx.ClientConn, body []byte, session uint64, sent time.Time) (to int, good bool) {
 	resp, _, err := link.Do(ctx, http.MethodPost, protocol.PathHeartbeat, body, answerTimeout)
-	c := Counts{Reports: 1, ReportBytes: int64(len(body))}
+	c := Counts{Heartbeats: 1, HeartbeatBytes: int64(len(body))}
 	defer func() { h.pool.rec.count(c) }()
 	if err != nil {
 		c.Failed = 1
@@ -266,7 +266,7 @@
 		return -1, true
 	case http.StatusMisdirectedRequest:
 		var m protocol.Redirect
-		c.Moved = 1
+		c.Redirected = 1
 		if protocol.Decode(resp.Body, &m) == nil {
 			return slices.Index(h.pool.names, m.Controller), false
 		}
--- a/internal/loadtest/loadtest_test.go
+++ b/internal/loadtest/loadtest_test.go
@@ -24,9 +24,9 @@
 
 func small() *loadtest.Config {
 	c := loadtest.Default()
-	c.Workers, c.WorkersPerProcess, c.Teams, c.Zones = 30, 20, 3, 5
-	c.Report, c.StartsPerSecond, c.TasksPerJob, c.TaskRun = 0.5, 20, 5, 0.5
-	c.Duration, c.Settle = 6, 60
+	c.Agents, c.AgentsPerProcess, c.Teams, c.Zones = 30, 20, 3, 5
+	c.HeartbeatInterval, c.StartsPerSecond, c.TasksPerJob, c.TaskRun = 0.5, 20, 5, 0.5
+	c.Duration, c.SettleTimeout = 6, 60
 	return c
 }
 
@@ -43,9 +43,9 @@
 // controller is killed, measures every part, breaks no rule and gives a page.
 func TestRun(t *testing.T) {
 	c := small()
-	c.Faults.ControllerEnds, c.Faults.Back = 1, 1
+	c.Faults.KillOneAt, c.Faults.RestartAfter = 1, 1
 	r := play(t, c)
-	if r.Breaks > 0 || !r.Settled || r.Starts == 0 || r.Reports == 0 || len(r.Controllers) != 3 || len(r.Workers) != 2 || r.MachinesTaken > 0 {
+	if r.BrokenCount > 0 || !r.Settled || r.Starts == 0 || r.Heartbeats == 0 || len(r.Controllers) != 3 || len(r.AgentProcesses) != 2 || r.MachinesReturned > 0 {
 		t.Fatalf("%+v", r)
 	}
 	for _, kind := range []string{"report", "command", "status", "views", "write", "watch", "lease"} {
@@ -62,7 +62,7 @@
 		t.Fatalf("%v: %+v", err, again)
 	}
 	var page bytes.Buffer
-	if err := loadtest.WritePage(&page, []*loadtest.Result{r, again}, loadtest.Workers); err != nil || !strings.Contains(page.String(), "<svg") {
+	if err := loadtest.WritePage(&page, []*loadtest.Result{r, again}, loadtest.Agents); err != nil || !strings.Contains(page.String(), "<svg") {
 		t.Errorf("%v\n%.1000s", err, page.String())
 	}
 }
--- a/internal/loadtest/page.go
+++ b/internal/loadtest/page.go
@@ -21,12 +21,12 @@
 .bad{color:#a00}svg{max-width:100%;height:auto}pre{white-space:pre-wrap}</style></head><body>
 <h1>Scale run</h1>
 <p>Real controllers on one machine, with hollow workers and stand-ins for the state service, the cloud and the users.</p>
-{{range .Results}}<h2>{{.Config.Workers}} workers, {{.Config.Controllers}} controllers, {{.Config.Teams}} teams</h2>
+{{range .Results}}<h2>{{.Config.Agents}} workers, {{.Config.Controllers}} controllers, {{.Config.Teams}} teams</h2>
 {{if .Stopped}}<p class="bad">It ended before its time: {{.Stopped}}</p>{{end}}
-{{if .Breaks}}<p class="bad">{{.Breaks}} rules broken: {{range .Broken}}{{.}}; {{end}}</p>{{else}}<p>No rule was broken.</p>{{end}}
+{{if .BrokenCount}}<p class="bad">{{.BrokenCount}} rules broken: {{range .Broken}}{{.}}; {{end}}</p>{{else}}<p>No rule was broken.</p>{{end}}
 <pre>{{.Summary}}</pre>
 <table><tr><th>process</th><th>cores</th><th>MB</th><th>open files</th><th>bytes/s read</th><th>bytes/s written</th></tr>
-{{range .Controllers}}{{template "use" .}}{{end}}{{range .Workers}}{{template "use" .}}{{end}}{{template "use" .StandIns}}</table>
+{{range .Controllers}}{{template "use" .}}{{end}}{{range .AgentProcesses}}{{template "use" .}}{{end}}{{template "use" .StandIns}}</table>
 <table><tr><th>between</th><th>kind</th><th>messages</th><th>bytes</th><th>bytes of answers</th></tr>
 {{range .Traffic}}<tr><td>{{.Between}}</td><td>{{.Kind}}</td><td>{{.Messages}}</td><td>{{.Bytes}}</td><td>{{.Answers}}</td></tr>{{end}}</table>
 {{end}}
--- a/internal/loadtest/pool.go
+++ b/internal/loadtest/pool.go
@@ -25,8 +25,8 @@
 	Zones  int      `json:"zones"`
 	Names  []string `json:"names"` // of the controllers
 	Addrs  []string `json:"addrs"` // of the controllers, in the same order
-	Report float64  `json:"report_s"`
-	Lease  float64  `json:"lease_s"`
+	HeartbeatSeconds float64  `json:"report_s"`
+	LeaseSeconds  float64  `json:"lease_s"`
 }
 
 // PoolReady is the first line that a process of agents writes: its machines are up.
@@ -35,7 +35,7 @@
 }
 
 // PoolOrder is each further line that it reads. The end of its input ends the process.
-type PoolOrder struct {
+type PoolRequest struct {
 	Remove []string `json:"remove"` // machines to take away
 }
 
@@ -51,14 +51,14 @@
 
 // Work is the main function of a process of agents: it reads its configuration and orders
 // from in, and writes what happens to out, until in or the context ends.
-func Work(ctx context.Context, in io.Reader, out io.Writer) error {
+func RunAgentPool(ctx context.Context, in io.Reader, out io.Writer) error {
 	lines := bufio.NewReader(in)
 	decoder := json.NewDecoder(lines)
 	var c PoolConfig
 	if err := decoder.Decode(&c); err != nil {
 		return fmt.Errorf("scale: configuration of a process of workers: %w", err)
 	}
-	p := &pool{names: c.Names, addrs: c.Addrs, report: settings.Seconds(c.Report), lease: settings.Seconds(c.Lease),
+	p := &pool{names: c.Names, addrs: c.Addrs, report: settings.Seconds(c.HeartbeatSeconds), lease: settings.Seconds(c.LeaseSeconds),
 		byAddr: map[string]*simulatedAgent{}, byName: map[string]*simulatedAgent{}}
 	server := &http.Server{Handler: http.HandlerFunc(p.serve), ReadHeaderTimeout: time.Minute, IdleTimeout: 2 * time.Minute}
 	defer server.Close()
@@ -103,7 +103,7 @@
 func (p *pool) obey(in *json.Decoder, cancel context.CancelFunc) {
 	defer cancel()
 	for {
-		var o PoolOrder
+		var o PoolRequest
 		if err := in.Decode(&o); err != nil {
 			return
 		}
--- a/internal/loadtest/region.go
+++ b/internal/loadtest/region.go
@@ -166,7 +166,7 @@
 		Outside: settings.Outside{Cloud: g.cloud.addr, KVStore: door.Addr()},
 		Deployment: settings.Deployment{Size: g.c.Controllers, Zones: g.zones(), Teams: g.teams(),
 			Objectives: []settings.Objective{{Kind: "wait", Class: urgentClass, WithinSeconds: g.c.UrgentWithin, Share: 0.99}},
-			Agents:     settings.Agents{HeartbeatSeconds: g.c.Report, LeaseSeconds: g.c.WorkerLease, GangWaitSeconds: 10, GangPeerSeconds: 4, CancelSeconds: g.c.Cancel},
+			Agents:     settings.Agents{HeartbeatSeconds: g.c.HeartbeatInterval, LeaseSeconds: g.c.AgentLease, GangWaitSeconds: 10, GangPeerSeconds: 4, CancelSeconds: g.c.Cancel},
 			KVStore:    settings.KVStore{RequestsPerSecond: g.c.Store.RPS, ChangesPerSecond: g.c.Store.WriteRPS, ValueKB: g.c.Store.ValueKB, ChangesPerTransaction: g.c.Store.TxnOps},
 			Cloud:      settings.Cloud{RequestsPerSecond: cloudRPS, ListLagSeconds: cloudLag},
 			Limits:     settings.Limits{Cores: 1, MemoryMB: g.c.Limits.ControllerMemoryMB, MaxSockets: g.c.Limits.ControllerSockets}}}
@@ -258,9 +258,9 @@
 	}
 	rng := rand.New(rand.NewPCG(g.c.Seed, 1))
 	for i := range g.c.processes() {
-		first := i * g.c.WorkersPerProcess
+		first := i * g.c.AgentsPerProcess
 		pc := PoolConfig{Seed: g.c.Seed, IP: fmt.Sprintf("127.%d.%d.%d", 1+rng.IntN(254), os.Getpid()%256, 1+i), First: first,
-			Count: min(g.c.WorkersPerProcess, g.c.Workers-first), Zones: g.c.Zones, Names: names, Addrs: addrs, Report: g.c.Report, Lease: g.c.WorkerLease}
+			Count: min(g.c.AgentsPerProcess, g.c.Agents-first), Zones: g.c.Zones, Names: names, Addrs: addrs, HeartbeatSeconds: g.c.HeartbeatInterval, LeaseSeconds: g.c.AgentLease}
 		p, ready, err := g.startPool(&pc)
 		if p != nil {
 			g.pools = append(g.pools, p)
@@ -319,8 +319,8 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.queues[i] = append(g.queues[i], b.Events...)
-	g.until[i], g.counts[i], g.homed[i], g.removed[i] = b.Until, b.Counts, b.Homed, b.Removed
-	for _, us := range b.Waits {
+	g.until[i], g.counts[i], g.homed[i], g.removed[i] = b.Until, b.Counts, b.Connected, b.Removed
+	for _, us := range b.Latencies {
 		_ = g.trips.RecordValue(min(max(us, 1), answerTimeout.Microseconds())) // bounded: it is in range
 	}
 	until := slices.Min(g.until)
@@ -343,7 +343,7 @@
 	g.ordered += len(names)
 	g.mu.Unlock()
 	for _, p := range g.pools {
-		_ = json.NewEncoder(p.in).Encode(PoolOrder{Remove: names}) // a process that ended has none
+		_ = json.NewEncoder(p.in).Encode(PoolRequest{Remove: names}) // a process that ended has none
 	}
 	for range 100 {
 		g.mu.Lock()
@@ -385,7 +385,7 @@
 	for _, x := range list {
 		x.kill()
 	}
-	if !wait.For(ctx, settings.Seconds(g.c.Faults.Back)) {
+	if !wait.For(ctx, settings.Seconds(g.c.Faults.RestartAfter)) {
 		return
 	}
 	for _, x := range list {
--- a/internal/loadtest/result.go
+++ b/internal/loadtest/result.go
@@ -35,12 +35,12 @@
 	return Machine{Cores: countCPUs(), Memory: field("/proc/meminfo", "MemTotal:") / 1024, Go: runtime.Version(), Allowed: runtime.NumCPU()}
 }
 
-// Seen is what a controller's overview said at the end.
-type Seen struct {
+// ControllerOverview is what a controller's overview said at the end.
+type ControllerOverview struct {
 	Node     string   `json:"node"`
 	Entitled bool     `json:"entitled"`
-	Unheard  []string `json:"unheard_peers,omitempty"`
-	Still    float64  `json:"last_stood_still_s,omitempty"`
+	UnheardPeers  []string `json:"unheard_peers,omitempty"`
+	LastStandstill    float64  `json:"last_stood_still_s,omitempty"`
 	Machines struct {
 		Known  int `json:"known"`
 		Homed  int `json:"homed_here"`
@@ -49,24 +49,24 @@
 	Jobs int `json:"active_jobs"`
 
 	Items    int `json:"items_owned"`
-	Unbacked int `json:"items_without_backup"` // whose owner has no backup in sync
+	WithoutBackup int `json:"items_without_backup"` // whose owner has no backup in sync
 }
 
-// overview is the part of a controller's overview that Seen is made of.
+// overview is the part of a controller's overview that ControllerOverview is made of.
 type overview struct {
-	Seen
+	ControllerOverview
 	Items map[string]struct {
 		InSync []string `json:"in_sync"`
 	} `json:"items"`
 }
 
 // seen counts the items.
-func (o *overview) seen() Seen {
-	s := o.Seen
+func (o *overview) seen() ControllerOverview {
+	s := o.ControllerOverview
 	s.Items = len(o.Items)
 	for _, item := range o.Items {
 		if len(item.InSync) == 0 {
-			s.Unbacked++
+			s.WithoutBackup++
 		}
 	}
 	return s
@@ -86,32 +86,32 @@
 	OthersBusy  float64   `json:"others_busy_cores"`  // of it, what was not of this run
 
 	Controllers []Usage `json:"controllers"`
-	Workers     []Usage `json:"worker_processes"`
+	AgentProcesses     []Usage `json:"worker_processes"`
 	StandIns    Usage   `json:"stand_ins_and_users"`
 
-	Reports       float64   `json:"reports_per_s"`
+	Heartbeats       float64   `json:"reports_per_s"`
 	Starts        float64   `json:"starts_per_s"`
 	Ends          float64   `json:"ends_per_s"`
 	Running       int       `json:"tasks_running"` // at the end
-	Homed         int       `json:"workers_answered"`
-	Expired       int64     `json:"worker_leases_ended"`
-	Moved         int64     `json:"reports_moved"`
-	Failed        int64     `json:"reports_failed"`
-	WorkerBytes   float64   `json:"worker_bytes_per_s"` // per agent, both directions, bodies only
+	Connected         int       `json:"workers_answered"`
+	LeasesExpired       int64     `json:"worker_leases_ended"`
+	Redirected         int64     `json:"reports_moved"`
+	HeartbeatsFailed        int64     `json:"reports_failed"`
+	BytesPerAgent   float64   `json:"worker_bytes_per_s"` // per agent, both directions, bodies only
 	UrgentWait    Quantiles `json:"urgent_start_wait_ms"`
 	UsualWait     Quantiles `json:"usual_start_wait_ms"`
-	ReportTrip    Quantiles `json:"report_to_answer_us"`
+	HeartbeatLatency    Quantiles `json:"report_to_answer_us"`
 	LongestGap    float64   `json:"longest_gap_between_starts_s"`
-	QuotaMost     float64   `json:"most_used_of_a_limit"` // 1: a team was at its limit
+	MaxQuotaUse     float64   `json:"most_used_of_a_limit"` // 1: a team was at its limit
 	Polls         float64   `json:"polls_per_s"`
 	UsersRetried  int64     `json:"submissions_retried"`
 	NotSubmitted  int64     `json:"jobs_not_submitted"`
 	Traffic       []Traffic `json:"traffic"`
 	StoreRefused  int       `json:"store_refused"`
-	MachinesTaken int       `json:"machines_returned"`
-	Seen          []Seen    `json:"seen"`
+	MachinesReturned int       `json:"machines_returned"`
+	Overviews          []ControllerOverview    `json:"seen"`
 	Broken        []string  `json:"broken,omitempty"`
-	Breaks        int       `json:"breaks"`
+	BrokenCount        int       `json:"breaks"`
 }
 
 // Write writes the result as a file.
--- a/internal/loadtest/run.go
+++ b/internal/loadtest/run.go
@@ -128,15 +128,15 @@
 	wait.For(ctx, 2*batchEvery) // what users were told last is checked against what happened before
 	x.g.mu.Lock()
 	defer x.g.mu.Unlock()
-	x.r.Broken, x.r.Breaks = slices.Clone(x.g.rules.broken), x.g.rules.breaks
+	x.r.Broken, x.r.BrokenCount = slices.Clone(x.g.rules.broken), x.g.rules.breaks
 }
 
 // settle waits until agents are answered and services run.
 func (x *run) settle(ctx context.Context) {
 	began := time.Now()
-	ctx, cancel := context.WithTimeout(ctx, settings.Seconds(x.c.Settle))
+	ctx, cancel := context.WithTimeout(ctx, settings.Seconds(x.c.SettleTimeout))
 	defer cancel()
-	wanted, standing := settledShare*float64(x.c.Workers), settledShare*float64(x.c.standing())
+	wanted, standing := settledShare*float64(x.c.Agents), settledShare*float64(x.c.standing())
 	for {
 		homed, _ := x.g.reached()
 		if float64(homed) >= wanted {
@@ -160,7 +160,7 @@
 	}
 	x.r.SettledIn = time.Since(began).Seconds()
 	if x.r.Settled {
-		wait.For(ctx, settings.Seconds(x.c.Report)) // what the starts brought about
+		wait.For(ctx, settings.Seconds(x.c.HeartbeatInterval)) // what the starts brought about
 	}
 }
 
@@ -169,10 +169,10 @@
 	over := make(chan struct{})
 	go func() {
 		defer close(over)
-		if at := x.c.Faults.ControllerEnds; at > 0 && wait.For(ctx, settings.Seconds(at)) {
+		if at := x.c.Faults.KillOneAt; at > 0 && wait.For(ctx, settings.Seconds(at)) {
 			x.g.end(ctx, x.g.controllers[:1])
 		}
-		if at := x.c.Faults.AllEnd; at > 0 && wait.For(ctx, time.Until(x.began.Add(settings.Seconds(at)))) {
+		if at := x.c.Faults.KillAllAt; at > 0 && wait.For(ctx, time.Until(x.began.Add(settings.Seconds(at)))) {
 			x.g.end(ctx, x.g.controllers)
 		}
 	}()
@@ -218,7 +218,7 @@
 	x.g.mu.Lock()
 	starts, breaks := x.g.rules.starts, x.g.rules.breaks
 	x.g.mu.Unlock()
-	fmt.Fprintf(x.o.Out, "%s: %d of %d workers answered, %d tasks run, %d starts so far, %d rules broken\n", doing, homed, x.c.Workers, on, starts, breaks)
+	fmt.Fprintf(x.o.Out, "%s: %d of %d workers answered, %d tasks run, %d starts so far, %d rules broken\n", doing, homed, x.c.Agents, on, starts, breaks)
 }
 
 // sumUp fills in the result.
@@ -236,24 +236,24 @@
 		case i < len(g.controllers):
 			r.Controllers = append(r.Controllers, w.use)
 		case i < len(g.controllers)+len(g.pools):
-			r.Workers = append(r.Workers, w.use)
+			r.AgentProcesses = append(r.AgentProcesses, w.use)
 		default:
 			r.StandIns = w.use
 		}
 	}
 	r.MachineBusy = (machineBusy() - x.busy) / r.Measured
 	r.OthersBusy = max(0, r.MachineBusy-own)
-	r.Reports, r.Expired, r.Moved, r.Failed = float64(counts.Reports)/r.Measured, counts.Expired, counts.Moved, counts.Failed
-	bytes := counts.ReportBytes + counts.AnswerBytes + counts.CommandBytes + counts.ResultBytes
-	r.WorkerBytes = float64(bytes) / r.Measured / float64(x.c.Workers)
-	r.Homed, r.Running = g.reached()
+	r.Heartbeats, r.LeasesExpired, r.Redirected, r.HeartbeatsFailed = float64(counts.Heartbeats)/r.Measured, counts.Expired, counts.Redirected, counts.Failed
+	bytes := counts.HeartbeatBytes + counts.AnswerBytes + counts.CommandBytes + counts.ResultBytes
+	r.BytesPerAgent = float64(bytes) / r.Measured / float64(x.c.Agents)
+	r.Connected, r.Running = g.reached()
 	r.Polls, r.UsersRetried, r.NotSubmitted = float64(x.u.polls.Load()-x.polls)/r.Measured, x.u.failed.Load(), x.u.left.Load()
 	r.StoreRefused = g.state.CountRefused()
 	g.cloud.mu.Lock()
-	r.MachinesTaken = g.cloud.returned
+	r.MachinesReturned = g.cloud.returned
 	g.cloud.mu.Unlock()
 	x.sumUpStarts()
-	r.Seen = x.seen()
+	r.Overviews = x.seen()
 }
 
 // sumUpStarts fills in what is known of starts.
@@ -262,20 +262,20 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	r.Starts, r.Ends = float64(g.rules.starts-x.starts)/r.Measured, float64(g.rules.ends-x.ends)/r.Measured
-	r.UrgentWait, r.UsualWait, r.ReportTrip = quantiles(g.rules.urgent), quantiles(g.rules.others), quantiles(g.trips)
-	r.LongestGap, r.QuotaMost = max(g.rules.gap, time.Since(g.rules.last)).Seconds(), g.rules.most
+	r.UrgentWait, r.UsualWait, r.HeartbeatLatency = quantiles(g.rules.urgent), quantiles(g.rules.others), quantiles(g.trips)
+	r.LongestGap, r.MaxQuotaUse = max(g.rules.gap, time.Since(g.rules.last)).Seconds(), g.rules.most
 }
 
 // workerTraffic is what agents sent and got, as other messages are counted.
 func workerTraffic(c Counts) []Traffic {
 	return []Traffic{
-		{"workers", "report", c.Reports, c.ReportBytes, c.AnswerBytes},
+		{"workers", "report", c.Heartbeats, c.HeartbeatBytes, c.AnswerBytes},
 		{"workers", "command", c.Commands, c.CommandBytes, c.ResultBytes},
 	}
 }
 
 // seen asks the controllers what they see; one that does not answer is left out.
-func (x *run) seen() (all []Seen) {
+func (x *run) seen() (all []ControllerOverview) {
 	client := &http.Client{Timeout: 2 * time.Second}
 	defer client.CloseIdleConnections()
 	for _, p := range x.g.controllers {
--- a/internal/simulation/agent.go
+++ b/internal/simulation/agent.go
@@ -15,7 +15,7 @@
 )
 
 // Periods are an agent's times.
-type Periods struct {
+type AgentConfig struct {
 	Heartbeat, Lease time.Duration
 	Run              func(task string) time.Duration
 	// Exec, if given, is what a task does instead of waiting for Run's time; it says
@@ -29,7 +29,7 @@
 	spot            bool
 	nodes           map[string]string // controller -> address
 	order           []string
-	periods         Periods
+	periods         AgentConfig
 	check           *Checker
 	server          *http.Server
 	addr            string
@@ -49,7 +49,7 @@
 }
 
 // NewAgent starts an agent that reports to one of the controllers.
-func NewAgent(name, typ, zone string, spot bool, nodes map[string]string, order []string, per Periods, check *Checker) (*Agent, error) {
+func NewAgent(name, typ, zone string, spot bool, nodes map[string]string, order []string, per AgentConfig, check *Checker) (*Agent, error) {
 	w := &Agent{name: name, typ: typ, zone: zone, spot: spot, nodes: nodes, order: order, periods: per, check: check,
 		session: 1, tasks: map[string]*protocol.TaskStatus{}, ended: map[string]bool{}, alive: time.Now(),
 		timers: map[string]*time.Timer{}, stops: map[string]context.CancelFunc{}, wake: make(chan struct{}, 1)}
--- a/internal/simulation/check.go
+++ b/internal/simulation/check.go
@@ -12,7 +12,7 @@
 type Checker struct {
 	// Cancel is how long after a user was told that a job is cancelled its tasks may be on machines; 0:
 	// for ever.
-	Cancel time.Duration
+	CancelTimeout time.Duration
 
 	mu      sync.Mutex
 	limits  map[string]float64 // CPUs by team
@@ -62,7 +62,7 @@
 
 // late says whether a job was cancelled so long ago that no task of it may be on a machine.
 func (c *Checker) late(t *jobRecord) bool {
-	return c.Cancel > 0 && t.final == protocol.Cancelled && time.Since(t.told) > c.Cancel
+	return c.CancelTimeout > 0 && t.final == protocol.Cancelled && time.Since(t.told) > c.CancelTimeout
 }
 
 // RecordSubmission notes that a user is about to submit a job.
@@ -238,7 +238,7 @@
 }
 
 // CountOfJob counts a job's tasks that are on machines.
-func (c *Checker) CountOfJob(uid string) (count int) {
+func (c *Checker) CountRunningOfJob(uid string) (count int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for task := range c.on {
@@ -250,7 +250,7 @@
 }
 
 // CountOnMachines counts the tasks that are on machines.
-func (c *Checker) CountOnMachines() int {
+func (c *Checker) CountRunning() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return len(c.on)
--- a/internal/simulation/check_test.go
+++ b/internal/simulation/check_test.go
@@ -14,7 +14,7 @@
 	zone := "east"
 	spec := &protocol.Submission{UID: "job-1", Team: "red", Tasks: 3, CPUs: 4, Zone: &zone}
 	withdrawn := func(c *Checker) {
-		c.Cancel = time.Nanosecond
+		c.CancelTimeout = time.Nanosecond
 		c.RecordCancellation("job-1")
 		c.RecordAnswer("job-1", 200, protocol.Cancelled, false)
 		time.Sleep(time.Microsecond)
--- a/internal/simulation/cloud.go
+++ b/internal/simulation/cloud.go
@@ -66,7 +66,7 @@
 }
 
 // TakeMachine takes a machine away without notice, with everything on it.
-func (c *Cloud) TakeMachine(name string) {
+func (c *Cloud) TerminateMachine(name string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if h := c.hosts[name]; h != nil {
--- a/internal/simulation/faults_test.go
+++ b/internal/simulation/faults_test.go
@@ -27,7 +27,7 @@
 		b.reports <- report
 		reply(w, 200, protocol.HeartbeatAnswer{FencingToken: 1})
 	}))
-	per := Periods{Heartbeat: 20 * time.Millisecond, Lease: lease, Run: func(string) time.Duration { return time.Hour }}
+	per := AgentConfig{Heartbeat: 20 * time.Millisecond, Lease: lease, Run: func(string) time.Duration { return time.Hour }}
 	addr := controller.Listener.Addr().String()
 	w, err := NewAgent("n-1", "m8", "east", false, map[string]string{"a": addr}, []string{"a"}, per, b.check)
 	if err != nil {
@@ -72,10 +72,10 @@
 func TestSlowCommandsAreExecutedOnce(t *testing.T) {
 	b := newBench(t, time.Hour)
 	b.w.DelayCommands(func(*protocol.DirectCommands) time.Duration { return 200 * time.Millisecond })
-	if b.command(protocol.Start, 0, 0) || b.check.CountOnMachines() != 0 {
+	if b.command(protocol.Start, 0, 0) || b.check.CountRunning() != 0 {
 		t.Fatal("a command that is held up was answered or executed at once")
 	}
-	b.until("executed", func() bool { return b.check.CountOnMachines() == 1 })
+	b.until("executed", func() bool { return b.check.CountRunning() == 1 })
 	b.w.DelayCommands(nil)
 	if _, obeyed, outdated := b.w.CountDelayedCommands(); obeyed != 1 || outdated != 0 || b.check.Starts() != 1 {
 		t.Errorf("obeyed %d, outdated %d, started %d", obeyed, outdated, b.check.Starts())
@@ -97,8 +97,8 @@
 			}
 			b.w.Hang(false)
 			_, obeyed, outdated := b.w.CountDelayedCommands()
-			if want := lease == time.Hour; (obeyed == 1) != want || (outdated == 1) == want || (b.check.CountOnMachines() == 1) != want {
-				t.Errorf("obeyed %d, outdated %d, on the machine %d", obeyed, outdated, b.check.CountOnMachines())
+			if want := lease == time.Hour; (obeyed == 1) != want || (outdated == 1) == want || (b.check.CountRunning() == 1) != want {
+				t.Errorf("obeyed %d, outdated %d, on the machine %d", obeyed, outdated, b.check.CountRunning())
 			}
 		})
 	}
@@ -110,7 +110,7 @@
 	b.until("reported", func() bool { return len(b.reports) > 2 })
 	b.w.DropHeartbeats(true)
 	b.until("it obeys", func() bool { return b.command(protocol.Start, 0, 0) && b.check.Starts() > 0 })
-	b.until("its lease ends", func() bool { return b.check.CountOnMachines() == 0 })
+	b.until("its lease ends", func() bool { return b.check.CountRunning() == 0 })
 }
 
 // TestSavingTaskCounts: a task that saves is on its machine and counts for its team until it has saved.
@@ -118,16 +118,16 @@
 	b := newBench(t, time.Hour)
 	b.command(protocol.Start, 0, 0)
 	b.command(protocol.Stop, 0, 5)
-	if b.check.CountOnMachines() != 1 {
+	if b.check.CountRunning() != 1 {
 		t.Fatal("a task that can save and may is gone at once")
 	}
 	b.command(protocol.Start, 1, 0)
 	if rules := b.check.BrokenRules(); len(rules) != 1 {
 		t.Errorf("a start beside a task that saves is beyond the limit: %v", rules)
 	}
-	b.until("saved", func() bool { return b.check.CountOnMachines() == 1 })
+	b.until("saved", func() bool { return b.check.CountRunning() == 1 })
 	b.command(protocol.Stop, 1, 0)
-	if b.check.CountOnMachines() != 0 {
+	if b.check.CountRunning() != 0 {
 		t.Error("a stop without grace does not end a task at once")
 	}
 }
