--- a/internal/faultinjection/agent.go
+++ b/internal/faultinjection/agent.go
@@ -10,8 +10,8 @@
 	"topazhollow/internal/taskrunner"
 )
 
-// RunAgent is an agent's process: it takes up the spool that an earlier one left, or runs
-// an attempt. What replicas acknowledge goes to the history before anything else happens.
+// RunAgent is the main function of an agent's process: it recovers the spool that an earlier process left, or runs an
+// attempt. It writes each acknowledgement of a replica to the history file before it continues.
 func RunAgent(ctx context.Context, path string) error {
 	b, err := os.ReadFile(path)
 	if err != nil {
@@ -28,7 +28,7 @@
 	defer history.Close()
 	note := func(what string, n uint64) {
 		if _, err := fmt.Fprintf(history, "%s %d\n", what, n); err != nil {
-			panic(fmt.Sprintf("history not written: %v", err)) // the test would be worth nothing
+			panic(fmt.Sprintf("write the history: %v", err)) // without the history the test proves nothing
 		}
 	}
 	opt := taskrunner.Options{Spool: job.Spool, Keepers: job.Keepers, Pause: 50 * time.Millisecond, Acked: note}
--- /dev/null
+++ b/internal/faultinjection/combinedfaults.go
@@ -0,0 +1,197 @@
+package faultinjection
+
+import (
+	"context"
+	"errors"
+	"fmt"
+	"math/rand/v2"
+	"net/http"
+	"path/filepath"
+	"strings"
+	"time"
+
+	"golang.org/x/sync/errgroup"
+
+	"topazhollow/internal/history"
+	"topazhollow/internal/protocol"
+	"topazhollow/internal/simulation"
+	"topazhollow/internal/wait"
+)
+
+// CombinedTrial is two or three overlapping faults and their outcome.
+type CombinedTrial struct {
+	Seed    uint64        `json:"seed"`
+	Faults  []string      `json:"met"`
+	Broken  string        `json:"broken,omitempty"`
+	Settled time.Duration `json:"settled_ns"` // from the end of the faults until all accepted jobs had ended
+}
+
+// combinedFaultRegion returns a small region with short timeouts, so that a trial takes about half a minute.
+func combinedFaultRegion() regionSize {
+	size := smallRegion
+	size.leaseSeconds, size.cancelSeconds = 4, 12
+	return size
+}
+
+// cancelSlack is how much a busy machine may exceed the cancel timeout before the checker records a violation.
+const cancelSlack = time.Second
+
+// CombinedFaults runs trials of random overlapping faults against real controller processes on loopback, each in a
+// region of its own, with jobs whose tasks end at different times and jobs of long tasks that are cancelled meanwhile.
+func CombinedFaults(ctx context.Context, o TrialOptions) ([]CombinedTrial, error) {
+	trials := make([]CombinedTrial, o.Trials)
+	err := runTrials(ctx, o.Trials, o.AtOnce, o.Out, func(ctx context.Context, i int) (string, error) {
+		t := &trials[i]
+		t.Seed = o.Seed + uint64(i)
+		dir := filepath.Join(o.Dir, fmt.Sprint(t.Seed))
+		rng := rand.New(rand.NewPCG(t.Seed, 29))
+		g := &region{dir: dir, program: o.Program, rng: rng, size: combinedFaultRegion(), client: &http.Client{Timeout: 3 * time.Second},
+			checker: simulation.NewChecker(map[string]float64{"red": 24, "blue": 16}), taskDuration: combinedTaskDuration}
+		g.checker.CancelTimeout = time.Duration(g.size.cancelSeconds*float64(time.Second)) + cancelSlack
+		var err error
+		if t.Broken, err = g.runTrial(ctx, func() error { return g.runCombined(ctx, t) }); err != nil {
+			return "", err
+		}
+		verdict, err := trialVerdict(dir, t.Broken)
+		return fmt.Sprintf("seed %d: %s: settled after %s, %s", t.Seed, strings.Join(t.Faults, " + "), t.Settled.Round(100*time.Millisecond), verdict), err
+	})
+	if err != nil {
+		return nil, err
+	}
+	return trials, nil
+}
+
+// firstLongJob is the lowest number of a job whose tasks run until they are stopped.
+const firstLongJob = 500
+
+// combinedTaskDuration returns a task's duration. The tasks of a short job end at different times.
+func combinedTaskDuration(task string) time.Duration {
+	uid, index, _ := protocol.SplitTask(task)
+	var number int
+	if _, err := fmt.Sscanf(uid, "job-%d", &number); err == nil && number >= firstLongJob {
+		return time.Hour
+	}
+	return time.Second + time.Duration(index%3)*4*time.Second
+}
+
+// runCombined submits jobs, injects overlapping faults while users cancel and query jobs, waits until all jobs have
+// ended, and checks the answers against each other.
+func (g *region) runCombined(ctx context.Context, t *CombinedTrial) error {
+	m := &combinedFaults{region: g, users: simulation.NewUsers(g.listen, g.checker), seed: t.Seed}
+	defer m.users.Close()
+	for i := range 4 {
+		m.short, m.long = append(m.short, arrayJob(i, 2+i%2)), append(m.long, arrayJob(firstLongJob+i, 2))
+		if err := errors.Join(m.submitUntilAccepted(ctx, m.long[i]), m.submitUntilAccepted(ctx, m.short[i])); err != nil {
+			return err
+		}
+	}
+	if err := g.await(ctx, "seven tasks are running", func() bool { return g.checker.CountRunning() > 6 }); err != nil {
+		return err
+	}
+	if err := m.injectFaults(ctx, t); err != nil {
+		return err
+	}
+	began := time.Now()
+	if err := m.awaitAllEnded(ctx); err != nil {
+		return err
+	}
+	t.Settled = time.Since(began)
+	if err := g.await(ctx, "no task is left on a machine", func() bool { return g.checker.CountRunning() == 0 }); err != nil {
+		return err
+	}
+	if found := history.Check(m.users.Log().Calls()); len(found) > 0 {
+		return fmt.Errorf("%d answers contradict earlier ones, for example %v", len(found), found[0])
+	}
+	return nil
+}
+
+// combinedFaults is a trial while it runs.
+type combinedFaults struct {
+	*region
+	users       *simulation.Users
+	seed        uint64
+	short, long []*protocol.Submission // jobs that end by themselves, and jobs that are cancelled
+}
+
+// userTimeout bounds how long a user repeats a request.
+const userTimeout = 90 * time.Second
+
+// userRand returns a random source for one user. A shared one would depend on how often other users made requests
+// before, and therefore on the machine's speed.
+func (m *combinedFaults) userRand(user uint64) *rand.Rand {
+	return rand.New(rand.NewPCG(m.seed, 100+user))
+}
+
+// withUserTimeout runs a function that repeats a request until it is answered, for at most userTimeout.
+func (m *combinedFaults) withUserTimeout(ctx context.Context, what string, until func(ctx context.Context) bool) error {
+	ctx, cancel := context.WithTimeout(ctx, userTimeout)
+	defer cancel()
+	if !until(ctx) {
+		return fmt.Errorf("timed out waiting until: %s", what)
+	}
+	return nil
+}
+
+func (m *combinedFaults) submitUntilAccepted(ctx context.Context, job *protocol.Submission) error {
+	return m.withUserTimeout(ctx, job.UID+" accepted", func(ctx context.Context) bool { return m.users.SubmitUntil(ctx, m.rng, job) })
+}
+
+// injectFaults injects two or three random overlapping faults while users cancel the long jobs and query all
+// controllers.
+func (m *combinedFaults) injectFaults(ctx context.Context, t *CombinedTrial) error {
+	group, during := errgroup.WithContext(ctx)
+	draw := rand.New(rand.NewPCG(m.seed, 37))
+	count := 2 + draw.IntN(2)
+	for _, k := range draw.Perm(len(combinedFaultKinds))[:count] {
+		x := combinedFaultKinds[k]
+		t.Faults = append(t.Faults, x.name)
+		own := rand.New(rand.NewPCG(m.seed, uint64(k)))
+		// Most faults affect the same controller, so that they overlap there.
+		one, after := int(m.seed%3), time.Duration(own.IntN(4000))*time.Millisecond
+		if own.IntN(4) == 0 {
+			one = own.IntN(3)
+		}
+		lasts := time.Duration(3000+own.IntN(9000)) * time.Millisecond
+		group.Go(func() error {
+			wait.For(during, after)
+			return x.play(during, m.region, own, one, lasts)
+		})
+	}
+	for i, job := range m.long {
+		after := time.Duration(draw.IntN(8000)) * time.Millisecond
+		group.Go(func() error {
+			wait.For(during, after)
+			return m.cancelAndQuery(during, uint64(i), job)
+		})
+	}
+	return group.Wait()
+}
+
+// queriesPerController is how often each controller is queried in immediate succession.
+const queriesPerController = 3
+
+// cancelAndQuery cancels a job and then queries all controllers concurrently about it and about a short job.
+func (m *combinedFaults) cancelAndQuery(ctx context.Context, user uint64, job *protocol.Submission) error {
+	if err := m.withUserTimeout(ctx, job.UID+" cancelled", func(ctx context.Context) bool { return m.users.CancelUntil(ctx, m.userRand(user), job.UID) }); err != nil {
+		return err
+	}
+	m.users.AskEveryController(job, queriesPerController)
+	m.users.AskEveryController(m.short[user], queriesPerController)
+	return nil
+}
+
+// awaitAllEnded submits one more job after the faults and waits until all jobs have ended.
+func (m *combinedFaults) awaitAllEnded(ctx context.Context) error {
+	late := arrayJob(90, 3)
+	if err := m.submitUntilAccepted(ctx, late); err != nil {
+		return err
+	}
+	for i, job := range append(append(m.short, late), m.long...) {
+		rng := m.userRand(uint64(20 + i))
+		if err := m.withUserTimeout(ctx, job.UID+" ends", func(ctx context.Context) bool { return m.users.AwaitEnd(ctx, rng, job.UID) }); err != nil {
+			return err
+		}
+		m.users.AskEveryController(job, 1)
+	}
+	return nil
+}
--- a/internal/faultinjection/faultinjection.go
+++ b/internal/faultinjection/faultinjection.go
@@ -1,6 +1,6 @@
-// Package faultinjection simulates what replicas and agents promise: processes are killed at
-// drawn moments, hundreds of times, and everything that is read afterwards is held
-// against what was acknowledged to whom.
+// Package faultinjection tests the guarantees of controllers, agents and artifact-store replicas with real processes:
+// it injects faults at random moments, such as killing processes, and compares everything that is read afterwards with
+// what was acknowledged before.
 package faultinjection
 
 import (
@@ -18,31 +18,30 @@
 	"topazhollow/internal/artifactstore"
 )
 
-// Options are a test's choices.
+// Options are the parameters of a kill test.
 type Options struct {
-	Program string // the command topazhollowctl
-	Dir     string // for everything; it must be empty
+	Program string // path of topazhollowctl
+	Dir     string // for all files of the test; it must be empty
 	Seed    uint64
-	Kills   int // of agents
-	AtOnce  int // tasks at a time; 8 if 0
+	Kills   int // number of agents to kill
+	AtOnce  int // concurrent tasks; 8 if 0
 	Key     []byte
-	Out     io.Writer // is told how it goes
-	// Spoil may change what a reader got before it is checked, to show that the check
-	// sees that.
+	Out     io.Writer // receives the progress; may be nil
+	// CorruptRead, if set, may change what a reader got before it is checked, to prove that the check detects it.
 	CorruptRead func(a *artifactstore.Known, lines []string, file string) ([]string, string)
 }
 
-// Killed is one kill of an agent and what was left of its attempt.
+// Killed is one killed agent and what remained of its attempt.
 type Killed struct {
 	Attempt artifactstore.Attempt
-	After   time.Duration // of the process's start
-	Back    bool          // its spool was taken up by another process
-	Acked   uint64        // records that were acknowledged to it
-	Lines   int           // that a reader sees in the end
-	State   string        // of the attempt in the end; "" if no replica heard of it
+	After   time.Duration // time from the process's start to the kill
+	Back    bool          // its spool was recovered by another process
+	Acked   uint64        // records acknowledged to it
+	Lines   int           // readable at the end
+	State   string        // of the attempt at the end; "" if no replica knows it
 }
 
-// Report is what a test saw.
+// Report is the result of a kill test.
 type Report struct {
 	Seed          uint64
 	Tasks         int
@@ -50,19 +49,19 @@
 	Kills         []Killed
 	KeeperKills   int
 	DisksLost     int
-	Lines, Files  int // that were read and found where they belong, at each of the replicas
+	Lines, Files  int // read and checked, summed over the replicas
 	Took          time.Duration
-	Broken        []string // promises
+	Broken        []string // violated guarantees, at most 100
 	BrokenInTotal int
 }
 
-// storeNames of the test's replicas.
+// storeNames are the names of the test's artifact-store replicas.
 var storeNames = []string{"keeper-1", "keeper-2", "keeper-3"}
 
-// linesPerAttempt that each attempt puts out.
+// linesPerAttempt is how many lines each attempt prints.
 const linesPerAttempt = 40
 
-// script is what each attempt runs: lines that name it, and a file that does.
+// script is each attempt's command. It prints lines and writes a file, all of which contain the attempt's name.
 const script = `i=0
 while [ $i -lt 40 ]; do
   echo "$ATTEMPT line $i"
@@ -81,8 +80,7 @@
 	report    Report
 }
 
-// Run carries out a test and gives what it saw. An error is one of the test itself;
-// broken promises are in the report.
+// Run executes a kill test. Violated guarantees are in the report; an error means that the test itself failed.
 func Run(ctx context.Context, opt Options) (*Report, error) {
 	if opt.AtOnce <= 0 {
 		opt.AtOnce = 8
@@ -103,21 +101,21 @@
 	began := time.Now()
 	killing, stop := context.WithCancel(ctx)
 	defer stop()
-	var keepersKilled errgroup.Group
-	keepersKilled.Go(func() error { return d.killStores(killing, rand.New(rand.NewPCG(opt.Seed, 1))) })
+	var storeKiller errgroup.Group
+	storeKiller.Go(func() error { return d.killStores(killing, rand.New(rand.NewPCG(opt.Seed, 1))) })
 	group, working := errgroup.WithContext(ctx)
 	group.SetLimit(opt.AtOnce)
 	for d.countKilled() < opt.Kills && working.Err() == nil {
 		task := d.report.Tasks
 		d.report.Tasks++
 		group.Go(func() error { return d.runTask(working, task, rand.New(rand.NewPCG(opt.Seed, uint64(task)+2))) })
-		if d.report.Tasks > 4*opt.Kills+opt.AtOnce { // most attempts are killed; if none is, the draws are wrong
+		if d.report.Tasks > 4*opt.Kills+opt.AtOnce { // most attempts are killed; far fewer means a wrong distribution
 			break
 		}
 	}
 	err := group.Wait()
 	stop()
-	if err = errors.Join(err, keepersKilled.Wait()); err != nil {
+	if err = errors.Join(err, storeKiller.Wait()); err != nil {
 		return nil, err
 	}
 	if err := d.awaitRepaired(ctx); err != nil {
--- a/internal/faultinjection/faultinjection_test.go
+++ b/internal/faultinjection/faultinjection_test.go
@@ -13,8 +13,7 @@
 	"topazhollow/internal/faultinjection"
 )
 
-// TestMain lets the tests' program be the command topazhollowctl for the processes that a test
-// starts.
+// TestMain runs the test binary as topazhollowctl in the processes that a test starts.
 func TestMain(m *testing.M) {
 	if len(os.Args) > 1 && slices.Contains([]string{"artifact-store", "fault-injection-agent", "controller"}, os.Args[1]) {
 		os.Exit(cli.Main(context.Background(), os.Args[1:], os.Stdout, os.Stderr))
@@ -31,8 +30,8 @@
 	return r
 }
 
-// TestKills: agents and replicas are killed at drawn moments; all that is read afterwards
-// at each replica is where it belongs, and the report shows it.
+// TestKills kills agents and replicas at random moments. All acknowledged data must then be readable from each replica
+// under its own attempt, and the report must show no violation.
 func TestKills(t *testing.T) {
 	r := run(t, 40, nil)
 	if r.BrokenInTotal > 0 || len(r.Kills) < 40 || r.Lines == 0 || r.Files == 0 {
@@ -44,9 +43,10 @@
 	}
 }
 
-// TestCheckCatches: the check sees a build that loses, doubles or mixes up a line, gives
-// an attempt another's file, takes a result back or has two.
-func TestCheckCatches(t *testing.T) {
+// TestCheckDetectsCorruption corrupts what readers get: lost, duplicated or reordered lines, another attempt's file,
+// and a result that is withdrawn or doubled. The check must detect each; otherwise TestKills would pass on a faulty
+// build.
+func TestCheckDetectsCorruption(t *testing.T) {
 	for what, spoil := range map[string]func(a *artifactstore.Known, lines []string, file string) ([]string, string){
 		"loses the last line": func(_ *artifactstore.Known, l []string, f string) ([]string, string) { return l[:max(0, len(l)-1)], f },
 		"doubles a line": func(_ *artifactstore.Known, l []string, f string) ([]string, string) {
@@ -68,7 +68,7 @@
 		t.Run(what, func(t *testing.T) {
 			t.Parallel()
 			if r := run(t, 2, spoil); r.BrokenInTotal == 0 {
-				t.Errorf("a build that %s was not caught", what)
+				t.Errorf("a build that %s was not detected", what)
 			}
 		})
 	}
--- a/internal/faultinjection/troubles.go
+++ b/internal/faultinjection/faultkinds.go
@@ -12,7 +12,8 @@
 	"topazhollow/internal/wait"
 )
 
-// combinedFaultKinds are what is drawn: each begins, lasts for a time, and ends.
+// combinedFaultKinds are the faults that a trial draws from. play injects the fault, waits for its duration and removes
+// it; one is the index of the affected controller.
 var combinedFaultKinds = []struct {
 	name string
 	play func(ctx context.Context, g *region, rng *rand.Rand, one int, lasts time.Duration) error
@@ -32,7 +33,7 @@
 		return nil
 	}},
 	{"links refused", func(ctx context.Context, g *region, _ *rand.Rand, _ int, lasts time.Duration) error {
-		for i := range g.nodes {
+		for i := range g.processes {
 			g.pipes.Isolate(i, true)
 			defer g.pipes.Isolate(i, false)
 		}
@@ -40,8 +41,8 @@
 		return nil
 	}},
 	{"outage", func(ctx context.Context, g *region, _ *rand.Rand, _ int, lasts time.Duration) error {
-		g.state.SetOutage(true)
-		defer g.state.SetOutage(false)
+		g.store.SetOutage(true)
+		defer g.store.SetOutage(false)
 		wait.For(ctx, 2*lasts)
 		return nil
 	}},
@@ -75,7 +76,7 @@
 		return nil
 	}},
 	{"lost answers", func(ctx context.Context, g *region, rng *rand.Rand, _ int, lasts time.Duration) error {
-		drawn := oneInTurn(rng, 4)
+		drawn := drawOneIn(rng, 4)
 		for _, d := range g.endpoints {
 			d.DropAnswers(func(*protocol.Txn) bool { return drawn() })
 			defer d.DropAnswers(nil)
@@ -84,7 +85,7 @@
 		return nil
 	}},
 	{"late commands", func(ctx context.Context, g *region, rng *rand.Rand, _ int, lasts time.Duration) error {
-		drawn, held := oneInTurn(rng, 2), time.Duration(500+rng.IntN(5000))*time.Millisecond
+		drawn, held := drawOneIn(rng, 2), time.Duration(500+rng.IntN(5000))*time.Millisecond
 		for _, w := range g.cloud.Agents() {
 			w.DelayCommands(func(*protocol.DirectCommands) time.Duration {
 				if drawn() {
@@ -109,7 +110,7 @@
 		for _, w := range machines {
 			w.CopyHeartbeats(false)
 			w.HoldHeartbeats(0)
-			w.DeliverHeld(regionNames...)
+			w.DeliverHeld(controllerNames...)
 		}
 		return g.start(one)
 	}},
@@ -125,7 +126,7 @@
 	{"machine cut", machineFault(func(w *simulation.Agent, _ int, on bool) { w.DisconnectNetwork(on) })},
 	{"machine heard by one only", machineFault(func(w *simulation.Agent, one int, on bool) {
 		if on {
-			w.LimitReach(regionNames[one])
+			w.LimitReach(controllerNames[one])
 		} else {
 			w.LimitReach()
 		}
@@ -136,11 +137,11 @@
 		return g.start(one)
 	}},
 	{"all end", func(ctx context.Context, g *region, rng *rand.Rand, _ int, _ time.Duration) error {
-		for i := range g.nodes {
+		for i := range g.processes {
 			g.kill(i)
 		}
 		wait.For(ctx, time.Duration(rng.IntN(1000))*time.Millisecond)
-		for i := range g.nodes {
+		for i := range g.processes {
 			if err := g.start(i); err != nil {
 				return err
 			}
@@ -159,9 +160,9 @@
 		return nil
 	}},
 	{"standstill", func(ctx context.Context, g *region, _ *rand.Rand, one int, lasts time.Duration) error {
-		p := g.node(one)
+		p := g.process(one)
 		if err := p.cmd.Process.Signal(syscall.SIGSTOP); err != nil {
-			return nil // another trouble has ended it
+			return nil // another fault killed the process
 		}
 		wait.For(ctx, lasts)
 		_ = p.cmd.Process.Signal(syscall.SIGCONT) // as above
@@ -169,7 +170,7 @@
 	}},
 }
 
-// machineFault is a trouble of one drawn machine, if there is any.
+// machineFault returns a fault that set activates and deactivates on one random machine, if there is any.
 func machineFault(set func(w *simulation.Agent, one int, on bool)) func(context.Context, *region, *rand.Rand, int, time.Duration) error {
 	return func(ctx context.Context, g *region, rng *rand.Rand, one int, lasts time.Duration) error {
 		if ws := g.cloud.Agents(); len(ws) > 0 {
@@ -182,8 +183,9 @@
 	}
 }
 
-// oneInTurn draws one of so many, for concurrent use.
-func oneInTurn(rng *rand.Rand, of int) func() bool {
+// drawOneIn returns a function that is true once in the given number of calls on average. It is safe for concurrent
+// use.
+func drawOneIn(rng *rand.Rand, of int) func() bool {
 	var mu sync.Mutex
 	return func() bool {
 		mu.Lock()
--- a/internal/faultinjection/killagents.go
+++ b/internal/faultinjection/killagents.go
@@ -15,12 +15,12 @@
 	"topazhollow/internal/wait"
 )
 
-// Job is what an agent's process is told to do.
+// Job is the input of an agent's process.
 type Job struct {
 	Spool   string   `json:"spool"`
 	Keepers []string `json:"keepers"`
-	History string   `json:"history"` // file that gets what is acknowledged
-	Recover bool     `json:"recover"` // take up the spool only
+	History string   `json:"history"` // file for acknowledgements
+	Recover bool     `json:"recover"` // only recover the spool
 	Claim   artifactstore.Claim
 	Token   string   `json:"token"`
 	Command []string `json:"command"`
@@ -29,8 +29,8 @@
 	Files   []string `json:"files"`
 }
 
-// runTask runs a task's attempts one after another, as a scheduler does once the earlier is
-// proven off, until one was not killed.
+// runTask runs a task's attempts one after another until one is not killed. It starts an attempt only after the
+// previous one has exited, as a scheduler does.
 func (d *killTest) runTask(ctx context.Context, task int, r *rand.Rand) error {
 	for number := uint64(1); ; number++ {
 		at := artifactstore.Attempt{Job: "job-000001", Task: task, Number: number}
@@ -52,7 +52,7 @@
 		d.report.Attempts++
 		d.mu.Unlock()
 		var after time.Duration
-		if number <= 2 || r.IntN(3) == 0 { // the first two are killed, if they live long enough
+		if number <= 2 || r.IntN(3) == 0 { // the first two are killed, unless they finish earlier
 			after = time.Duration(r.IntN(450_000)) * time.Microsecond
 		}
 		killed, err := d.runAgent(ctx, &job, after, number == 1)
@@ -66,7 +66,7 @@
 		if k.Back {
 			job.Recover = true
 			if _, err := d.runAgent(ctx, &job, 0, false); err != nil {
-				return fmt.Errorf("%s taken up: %w", at, err)
+				return fmt.Errorf("recover the spool of %s: %w", at, err)
 			}
 		}
 		d.mu.Lock()
@@ -74,16 +74,15 @@
 		n := len(d.report.Kills)
 		d.mu.Unlock()
 		if n%50 == 0 {
-			d.printf("%d workers killed", n)
+			d.printf("%d agents killed", n)
 		}
 	}
 }
 
-// runAgent runs an agent's process, kills it after a while if that is not 0, and says
-// whether that was before its end. The while begins with the process or, if heard, with
-// the first thing that was acknowledged to it, so that however slowly processes start here
-// some of those killed have left something behind.
-func (d *killTest) runAgent(ctx context.Context, job *Job, after time.Duration, heard bool) (killed bool, err error) {
+// runAgent runs an agent's process and reports whether it was killed before it exited. If after is not 0, it kills the
+// process after that time, counted from the process's start or, if afterAck, from its first acknowledgement. With
+// afterAck some killed agents have acknowledged records even on a machine where processes start slowly.
+func (d *killTest) runAgent(ctx context.Context, job *Job, after time.Duration, afterAck bool) (killed bool, err error) {
 	path := filepath.Join(d.options.Dir, "history", filepath.Base(job.History)+".json")
 	if err := os.WriteFile(path, protocol.Encode(job), 0o600); err != nil {
 		return false, err
@@ -100,10 +99,10 @@
 		kill, stop := context.WithCancel(ctx)
 		defer stop()
 		go func() {
-			for heard && !nonEmpty(job.History) && wait.For(kill, 2*time.Millisecond) {
+			for afterAck && !nonEmpty(job.History) && wait.For(kill, 2*time.Millisecond) {
 			}
 			if wait.For(kill, after) {
-				_ = cmd.Process.Kill() // it may have ended just now
+				_ = cmd.Process.Kill() // it may have exited already
 			}
 		}()
 	}
--- a/internal/faultinjection/killcheck.go
+++ b/internal/faultinjection/killcheck.go
@@ -12,7 +12,7 @@
 	"topazhollow/internal/artifactstore"
 )
 
-// readHistory reads what was acknowledged to an attempt's agent.
+// readHistory reads the acknowledgements that an attempt's agent received.
 func (d *killTest) readHistory(at artifactstore.Attempt) (acked uint64, sealed, final bool, err error) {
 	f, err := os.Open(filepath.Join(d.options.Dir, "history", fmt.Sprintf("%s-%d-%d", at.Job, at.Task, at.Number)))
 	if errors.Is(err, os.ErrNotExist) {
@@ -26,7 +26,7 @@
 		var what string
 		var n uint64
 		if _, err := fmt.Sscan(in.Text(), &what, &n); err != nil {
-			continue // cut short by a kill: it was not acknowledged to anybody
+			continue // truncated by a kill: nobody has seen this acknowledgement
 		}
 		switch what {
 		case "stdout":
@@ -39,14 +39,14 @@
 	return acked, sealed, final, nil
 }
 
-// breakPromise notes a promise that was not kept.
-func (d *killTest) breakPromise(format string, args ...any) {
+// reportViolation records a violated guarantee.
+func (d *killTest) reportViolation(format string, args ...any) {
 	if d.report.BrokenInTotal++; len(d.report.Broken) < 100 {
 		d.report.Broken = append(d.report.Broken, fmt.Sprintf(format, args...))
 	}
 }
 
-// check reads everything at each replica and holds it against the history.
+// check reads everything from each replica and compares it with the history.
 func (d *killTest) check(ctx context.Context) error {
 	for task := range d.report.Tasks {
 		var first []artifactstore.Known
@@ -66,12 +66,12 @@
 				}
 			}
 			if results != 1 {
-				d.breakPromise("task %d has %d results at %s", task, results, storeNames[i])
+				d.reportViolation("task %d has %d results at %s", task, results, storeNames[i])
 			}
 			if i == 0 {
 				first = list
-			} else if fmt.Sprint(states(first)) != fmt.Sprint(states(list)) {
-				d.breakPromise("task %d: %s shows %v, %s %v", task, storeNames[0], states(first), storeNames[i], states(list))
+			} else if fmt.Sprint(attemptStates(first)) != fmt.Sprint(attemptStates(list)) {
+				d.reportViolation("task %d: %s shows %v, %s %v", task, storeNames[0], attemptStates(first), storeNames[i], attemptStates(list))
 			}
 		}
 		for _, a := range first {
@@ -89,20 +89,20 @@
 			return err
 		}
 		if k.Acked = acked; k.State == "" && (acked > 0 || sealed) {
-			d.breakPromise("%s is gone: %d records were acknowledged, sealed %v", k.Attempt, acked, sealed)
+			d.reportViolation("%s is lost: %d records were acknowledged, sealed %v", k.Attempt, acked, sealed)
 		}
 	}
 	return nil
 }
 
-func states(list []artifactstore.Known) (s []string) {
+func attemptStates(list []artifactstore.Known) (s []string) {
 	for _, a := range list {
 		s = append(s, fmt.Sprintf("%d %s", a.Number, a.State))
 	}
 	return s
 }
 
-// checkAttempt reads one attempt at one replica.
+// checkAttempt reads one attempt from one replica and checks it against the history.
 func (d *killTest) checkAttempt(ctx context.Context, r *artifactstore.Reader, at string, a *artifactstore.Known) error {
 	acked, sealed, final, err := d.readHistory(a.Attempt)
 	if err != nil {
@@ -111,7 +111,7 @@
 	var got []string
 	end, err := r.Logs(ctx, a.Job, a.Task, artifactstore.Query{Attempt: a.Number}, func(l artifactstore.Line) error {
 		if l.Number != uint64(len(got)) {
-			d.breakPromise("%s at %s: record %d comes as number %d", a.Attempt, at, len(got), l.Number)
+			d.reportViolation("%s at %s: record %d has number %d", a.Attempt, at, len(got), l.Number)
 		}
 		got = append(got, string(l.Record.Data))
 		return nil
@@ -133,21 +133,21 @@
 	over = a.State == artifactstore.StateFinal || a.State == artifactstore.StateSealed
 	switch {
 	case end.State != shown:
-		d.breakPromise("%s at %s is %q in the list and %q in its log", a.Attempt, at, shown, end.State)
+		d.reportViolation("%s at %s is %q in the list and %q in its log", a.Attempt, at, shown, end.State)
 	case uint64(len(got)) < acked:
-		d.breakPromise("%s at %s: %d records were acknowledged, %d are there", a.Attempt, at, acked, len(got))
+		d.reportViolation("%s at %s: %d records were acknowledged, %d are readable", a.Attempt, at, acked, len(got))
 	case sealed && !over:
-		d.breakPromise("%s at %s: its seal was acknowledged, it is %q", a.Attempt, at, a.State)
+		d.reportViolation("%s at %s: its seal was acknowledged, its state is %q", a.Attempt, at, a.State)
 	case final && a.State != artifactstore.StateFinal:
-		d.breakPromise("%s at %s was told to be the result, it is %q", a.Attempt, at, a.State)
+		d.reportViolation("%s at %s was acknowledged as the result, its state is %q", a.Attempt, at, a.State)
 	case over && len(got) != linesPerAttempt:
-		d.breakPromise("%s at %s: sealed with %d of %d lines", a.Attempt, at, len(got), linesPerAttempt)
+		d.reportViolation("%s at %s: sealed with %d of %d lines", a.Attempt, at, len(got), linesPerAttempt)
 	case len(got) > linesPerAttempt:
-		d.breakPromise("%s at %s: %d lines", a.Attempt, at, len(got))
+		d.reportViolation("%s at %s: %d lines", a.Attempt, at, len(got))
 	}
 	for i, line := range got {
 		if line != fmt.Sprintf("%s line %d", a.Attempt, i) {
-			d.breakPromise("%s at %s: line %d is %q", a.Attempt, at, i, line)
+			d.reportViolation("%s at %s: line %d is %q", a.Attempt, at, i, line)
 			break
 		}
 	}
@@ -159,20 +159,20 @@
 	}
 	if over {
 		if d.report.Files++; file != "file of "+a.Attempt.String() {
-			d.breakPromise("%s at %s: its file says %q", a.Attempt, at, file)
+			d.reportViolation("%s at %s: its file contains %q", a.Attempt, at, file)
 		}
 	}
 	return nil
 }
 
-// checkFile reads the file of an attempt that was sealed.
+// checkFile reads the file of a sealed attempt.
 func (d *killTest) checkFile(ctx context.Context, r *artifactstore.Reader, at string, a *artifactstore.Known) (string, error) {
 	m, _, err := r.Manifest(ctx, a.Job, a.Task, a.Number)
 	if err != nil {
 		return "", err
 	}
 	if len(m.Files) != 1 || m.Files[0].Path != "out/result" {
-		d.breakPromise("%s at %s has the files %v", a.Attempt, at, m.Files)
+		d.reportViolation("%s at %s has the files %v", a.Attempt, at, m.Files)
 		return "", nil
 	}
 	to := filepath.Join(d.options.Dir, "fetched")
--- a/internal/faultinjection/killstores.go
+++ b/internal/faultinjection/killstores.go
@@ -16,7 +16,7 @@
 	"topazhollow/internal/wait"
 )
 
-// configure writes the replicas' settings.
+// configure writes the replicas' settings files.
 func (d *killTest) configure() error {
 	var list strings.Builder
 	listen, host := map[string]string{}, simulation.NewHost()
@@ -59,14 +59,14 @@
 	return nil
 }
 
-// kill ends a replica for good.
+// kill kills a replica's process with SIGKILL and waits until it has exited.
 func (d *killTest) kill(name string) {
 	d.mu.Lock()
 	cmd := d.processes[name]
 	delete(d.processes, name)
 	d.mu.Unlock()
 	if cmd != nil {
-		_ = cmd.Process.Kill() // it may have ended by itself
+		_ = cmd.Process.Kill() // it may have exited already
 		_ = cmd.Wait()
 	}
 }
@@ -77,9 +77,9 @@
 	}
 }
 
-// killStores kills one replica after another at drawn moments, until the context ends.
-// Each seventh time it loses its disk too. It comes back after a drawn pause, and the
-// next is killed only once it has all that it should.
+// killStores kills one random replica after another at random moments until the context ends, and restarts each after a
+// random pause. Every seventh kill also deletes the replica's disk; the next replica is then killed only once this one
+// serves again.
 func (d *killTest) killStores(ctx context.Context, r *rand.Rand) error {
 	for ctx.Err() == nil {
 		if !wait.For(ctx, time.Duration(200+r.IntN(1500))*time.Millisecond) {
@@ -104,7 +104,7 @@
 			return err
 		}
 		if lost {
-			// A second disk lost before the first is filled again is beyond what is promised.
+			// The store does not guarantee to survive the loss of a second disk before the first is repaired.
 			if err := d.awaitStatus(context.WithoutCancel(ctx), func(st *artifactreplication.Status) bool {
 				return st.Name != name || st.State == string(artifactreplication.Serving)
 			}); err != nil {
@@ -115,14 +115,14 @@
 	return nil
 }
 
-// awaitRepaired waits until each replica says that it serves and lacks nothing.
+// awaitRepaired waits until each replica reports that it serves and that nothing is left to repair.
 func (d *killTest) awaitRepaired(ctx context.Context) error {
 	return d.awaitStatus(ctx, func(st *artifactreplication.Status) bool {
 		return st.State == string(artifactreplication.Serving) && st.Left == 0 && len(st.Away) == 0
 	})
 }
 
-// awaitStatus waits until something holds for what each replica says of itself.
+// awaitStatus waits until a condition holds for the status that each replica reports.
 func (d *killTest) awaitStatus(ctx context.Context, holds func(*artifactreplication.Status) bool) error {
 	ctx, cancel := context.WithTimeout(ctx, 2*time.Minute)
 	defer cancel()
@@ -137,7 +137,7 @@
 			return nil
 		}
 		if !wait.For(ctx, 100*time.Millisecond) {
-			return fmt.Errorf("the keepers did not come to rest; their logs are in %s", d.options.Dir)
+			return fmt.Errorf("timed out waiting for the artifact-store replicas; their logs are in %s", d.options.Dir)
 		}
 	}
 }
--- a/internal/faultinjection/loss.go
+++ b/internal/faultinjection/loss.go
@@ -14,36 +14,36 @@
 	"topazhollow/internal/wait"
 )
 
-// LossTrial is one drawn loss and what came of it.
+// LossTrial is one random data loss and its outcome.
 type LossTrial struct {
 	Seed    uint64        `json:"seed"`
 	Loss    string        `json:"loss"`
-	Trouble string        `json:"trouble"`
+	Fault   string        `json:"trouble"`
 	Broken  string        `json:"broken,omitempty"`
-	Settled time.Duration `json:"settled_ns"` // from the loss until all that was accepted was done
+	Settled time.Duration `json:"settled_ns"` // from the loss until all accepted jobs were done
 }
 
-// The losses and troubles that are drawn.
+// The kinds of losses, and of faults beside them, that trials draw from.
 var (
-	losses   = []string{"all", "back", "seconds", "jobs", "roster", "record", "leases"}
-	troubles = []string{"none", "one ends", "one is killed while rebuilding", "machine cut", "outage", "loses twice"}
+	lossKinds  = []string{"all", "back", "seconds", "jobs", "roster", "record", "leases"}
+	lossFaults = []string{"none", "one ends", "one is killed while rebuilding", "machine cut", "outage", "loses twice"}
 )
 
-// Losses simulates drawn losses of the key-value store's data against real controller
-// processes on loopback, each in a region of its own. The trials come in the order of their seeds.
+// Losses runs trials of random losses of the key-value store's data against real controller processes on loopback, each
+// in a region of its own. The trials are returned in the order of their seeds.
 func Losses(ctx context.Context, o TrialOptions) ([]LossTrial, error) {
 	trials := make([]LossTrial, o.Trials)
 	err := runTrials(ctx, o.Trials, o.AtOnce, o.Out, func(ctx context.Context, i int) (string, error) {
 		t := &trials[i]
 		t.Seed = o.Seed + uint64(i)
 		rng := rand.New(rand.NewPCG(t.Seed, 23))
-		t.Loss, t.Trouble = losses[rng.IntN(len(losses))], troubles[rng.IntN(len(troubles))]
+		t.Loss, t.Fault = lossKinds[rng.IntN(len(lossKinds))], lossFaults[rng.IntN(len(lossFaults))]
 		dir := filepath.Join(o.Dir, fmt.Sprint(t.Seed))
 		if err := lossTrial(ctx, o.Program, dir, rng, t); err != nil {
 			return "", err
 		}
-		verdict, err := verdictOf(dir, t.Broken)
-		return fmt.Sprintf("seed %d: %s, %s: settled after %s, %s", t.Seed, t.Loss, t.Trouble, t.Settled.Round(100*time.Millisecond), verdict), err
+		verdict, err := trialVerdict(dir, t.Broken)
+		return fmt.Sprintf("seed %d: %s, %s: settled after %s, %s", t.Seed, t.Loss, t.Fault, t.Settled.Round(100*time.Millisecond), verdict), err
 	})
 	if err != nil {
 		return nil, err
@@ -52,17 +52,17 @@
 }
 
 func lossTrial(ctx context.Context, program, dir string, rng *rand.Rand, t *LossTrial) (err error) {
-	g := &region{dir: dir, program: program, rng: rng, size: smallRegion, client: &http.Client{Timeout: 4 * time.Second}, check: simulation.NewChecker(map[string]float64{"red": 24, "blue": 16})}
+	g := &region{dir: dir, program: program, rng: rng, size: smallRegion, client: &http.Client{Timeout: 4 * time.Second}, checker: simulation.NewChecker(map[string]float64{"red": 24, "blue": 16})}
 	t.Broken, err = g.runTrial(ctx, func() error { return g.runLossTrial(ctx, t) })
 	return err
 }
 
-var smallRegion = regionSize{machines: 6, cpus: 8, run: time.Second, report: 0.2, lease: 26.5, cancel: 60, memory: 256,
+var smallRegion = regionSize{machines: 6, cpus: 8, taskDuration: time.Second, heartbeatSeconds: 0.2, leaseSeconds: 26.5, cancelSeconds: 60, memoryMB: 256,
 	teams: []settings.Team{{Name: "red", CPUs: 16, CPUsMax: 24}, {Name: "blue", CPUs: 8, CPUsMax: 16}},
-	state: settings.KVStore{RequestsPerSecond: 400, ChangesPerSecond: 200, ValueKB: 16, ChangesPerTransaction: 16}, cloud: settings.Cloud{RequestsPerSecond: 20, ListLagSeconds: 0.2}}
+	store: settings.KVStore{RequestsPerSecond: 400, ChangesPerSecond: 200, ValueKB: 16, ChangesPerTransaction: 16}, cloud: settings.Cloud{RequestsPerSecond: 20, ListLagSeconds: 0.2}}
 
-// runLossTrial has jobs accepted, one cancelled and some done, takes data away with a trouble
-// beside it, and sees that everything comes to its end.
+// runLossTrial submits jobs, cancels one, and lets some complete. It then loses data while another fault is active, and
+// waits until all jobs have ended.
 func (g *region) runLossTrial(ctx context.Context, t *LossTrial) error {
 	job := func(i int) *protocol.Submission {
 		s := arrayJob(i, 4+g.rng.IntN(8))
@@ -77,23 +77,23 @@
 			return err
 		}
 		if jobs = append(jobs, j); i == 3 {
-			saved = g.state.Snapshot()
+			saved = g.store.Snapshot()
 		}
 	}
-	gone := job(90)
-	if err := g.submit(ctx, gone); err != nil {
+	cancelled := job(90)
+	if err := g.submit(ctx, cancelled); err != nil {
 		return err
 	}
-	g.check.RecordCancellation(gone.UID)
-	if err := g.await(ctx, "withdrawn", func() bool {
-		status, st := g.ask("POST", protocol.PathSubmit+"/"+gone.UID+"/withdraw", struct{}{})
-		g.check.RecordAnswer(gone.UID, status, st.State, false)
+	g.checker.RecordCancellation(cancelled.UID)
+	if err := g.await(ctx, cancelled.UID+" cancelled", func() bool {
+		status, st := g.request("POST", protocol.PathSubmit+"/"+cancelled.UID+"/withdraw", struct{}{})
+		g.checker.RecordAnswer(cancelled.UID, status, st.State, false)
 		return status == 200
 	}); err != nil {
 		return err
 	}
 	if t.Loss == "seconds" {
-		saved = g.state.Snapshot()
+		saved = g.store.Snapshot()
 	}
 	wait.For(ctx, time.Duration(g.rng.IntN(3000))*time.Millisecond)
 	began := time.Now()
@@ -110,33 +110,33 @@
 		}
 	}
 	t.Settled = time.Since(began)
-	for _, j := range append(jobs, late) { // and stays so
+	for _, j := range append(jobs, late) { // the state must not change any more
 		if err := g.awaitState(ctx, j.UID, protocol.Done); err != nil {
 			return err
 		}
 	}
-	return g.awaitState(ctx, gone.UID, protocol.Cancelled)
+	return g.awaitState(ctx, cancelled.UID, protocol.Cancelled)
 }
 
 func (g *region) loseData(ctx context.Context, t *LossTrial, saved simulation.StoreSnapshot) error {
 	drop := func() {
 		switch t.Loss {
 		case "all":
-			g.state.LoseAll()
+			g.store.LoseAll()
 		case "back", "seconds":
-			g.state.RollBack(saved)
+			g.store.RollBack(saved)
 		case "jobs":
-			g.state.LosePrefix("w/a/")
+			g.store.LosePrefix("w/a/")
 		case "roster":
-			g.state.LosePrefix("w/m/")
+			g.store.LosePrefix("w/m/")
 		case "record":
-			g.state.LosePrefix("w/c")
+			g.store.LosePrefix("w/c")
 		case "leases":
-			g.state.LoseLeases()
+			g.store.LoseLeases()
 		}
 	}
-	i := g.rng.IntN(len(g.nodes))
-	switch t.Trouble {
+	i := g.rng.IntN(len(g.processes))
+	switch t.Fault {
 	case "one ends":
 		g.kill(i)
 		drop()
@@ -155,10 +155,10 @@
 		drop()
 		wait.For(ctx, 4*time.Second)
 	case "outage":
-		g.state.SetOutage(true)
+		g.store.SetOutage(true)
 		wait.For(ctx, time.Duration(g.rng.IntN(4000))*time.Millisecond)
 		drop()
-		g.state.SetOutage(false)
+		g.store.SetOutage(false)
 	case "loses twice":
 		drop()
 		wait.For(ctx, time.Duration(g.rng.IntN(3000))*time.Millisecond)
--- a/internal/faultinjection/measure.go
+++ b/internal/faultinjection/measure.go
@@ -20,69 +20,70 @@
 	"topazhollow/internal/wait"
 )
 
-// MeasureOptions are the choices of a measurement of one loss at size.
+// MeasureOptions are the parameters of the measurement of one data loss in a region of a given size.
 type MeasureOptions struct {
-	Program  string
-	Dir      string
-	Machines int
-	ActiveJobs     int  // active ones
-	EndedJobs     int  // jobs that ended before
-	KilledControllers     int  // controllers that are killed with the loss, and start again 3 s later
-	KeepSnapshot     bool // the service is followed, and put back if nobody remembers
-	Out      io.Writer
+	Program           string
+	Dir               string
+	Machines          int
+	ActiveJobs        int  // active at the loss
+	EndedJobs         int  // jobs that ended before the loss
+	KilledControllers int  // controllers that are killed at the loss and restarted 3 s later
+	KeepSnapshot      bool // keep a snapshot of the store, and restore it if all controllers are killed
+	Out               io.Writer
 }
 
-// Measured is how long after the loss each step was reached, in real time, with stand-ins
-// and three controller processes on one machine whose processor they share unbounded.
+// Measured holds the time from the loss to each step of the recovery. The simulations and the three controller
+// processes share one machine's processors without limits.
 type Measured struct {
-	Noticed time.Duration `json:"noticed_ns"`        // by the first controller
-	Entered time.Duration `json:"generation_ns"`     // all that live are in the next generation
-	Polled  time.Duration `json:"polled_ns"`         // an active job and one that ended are told rightly; 0: nobody remembers
-	Taken   time.Duration `json:"accepted_ns"`       // the first new job
-	Started time.Duration `json:"started_ns"`        // the first start of a task
-	Written time.Duration `json:"written_back_ns"`   // all jobs and ends
-	Changes int           `json:"changes"`           // of the key-value store until then, with what comes meanwhile
-	Bytes   int           `json:"bytes"`             // that its keys take then
-	On      [2]int        `json:"tasks_on_machines"` // before and after
-	Back    time.Duration `json:"copy_back_ns"`      // a copy was put back; 0 without
-	CPU     []float64     `json:"processor_s"`       // of each controller from the loss until all was written back
-	Memory  []float64     `json:"memory_mb"`         // of each, the most it held
-	Refused int           `json:"refused"`           // requests and changes beyond the service's rates
+	Noticed time.Duration `json:"noticed_ns"`        // the first controller noticed the loss
+	Entered time.Duration `json:"generation_ns"`     // all running controllers are in the next epoch
+	Polled  time.Duration `json:"polled_ns"`         // an active and an ended job are answered correctly; 0: no controller has the data
+	Taken   time.Duration `json:"accepted_ns"`       // the first new job was accepted
+	Started time.Duration `json:"started_ns"`        // the first task started
+	Written time.Duration `json:"written_back_ns"`   // all active and ended jobs are in the store again
+	Changes int           `json:"changes"`           // the store's revision then, with other changes meanwhile
+	Bytes   int           `json:"bytes"`             // size of the store's keys and values then
+	On      [2]int        `json:"tasks_on_machines"` // before the loss and after the recovery
+	Back    time.Duration `json:"copy_back_ns"`      // the snapshot was restored; 0: none was
+	CPU     []float64     `json:"processor_s"`       // of each controller, from the loss until all was written back
+	Memory  []float64     `json:"memory_mb"`         // peak of each controller
+	Refused int           `json:"refused"`           // requests and transactions refused by the store's rate limits
 	Broken  []string      `json:"broken,omitempty"`
 }
 
-// What a measured region is made of.
+// The parameters of a measured region.
 const (
-	measuredCPUs      = 16 // of each machine
+	measuredCPUs      = 16 // per machine
 	measuredTaskCPUs  = 4
-	measuredSubmitter = 16 // users that submit at the same time
+	measuredSubmitter = 16 // concurrent users that submit jobs
 	firstEndedJob     = 500000
 	firstNewJob       = 400000
 	restartAfter      = 3 * time.Second // of killed controllers
 )
 
-// lossMeasurement is one measurement while it runs.
+// lossMeasurement is a measurement while it runs.
 type lossMeasurement struct {
 	*region
-	options MeasureOptions
-	tasks   int // of each job
-	copies  *snapshotFollower
-	result  *Measured
+	options   MeasureOptions
+	tasks     int // per job
+	snapshots *snapshotFollower
+	result    *Measured
 
-	began   time.Time // of the loss
-	started int       // tasks until then
-	refused int       // requests until then
-	spent   []float64 // processor time of each controller until then, in seconds
+	lostAt        time.Time // time of the loss
+	startsBefore  int       // task starts until the loss
+	refusedBefore int       // refused requests until the loss
+	cpuBefore     []float64 // processor time of each controller until the loss, in seconds
 }
 
-// MeasureLoss has a region of a size lose all of the key-value store's data. With an error the result may be partial.
+// MeasureLoss measures how a region recovers from the loss of all of the key-value store's data. With an error it may
+// return a partial result.
 func MeasureLoss(ctx context.Context, o MeasureOptions) (m *Measured, err error) {
-	g, err := openMeasured(o)
+	g, err := openMeasuredRegion(o)
 	if err != nil {
 		return nil, err
 	}
 	defer g.close()
-	// Half of the CPUs are kept busy, so that there is room for a first start.
+	// Half of the CPUs are kept busy, so that a new task has room to start.
 	busyTasks := int(float64(o.Machines) * measuredCPUs / 2 / measuredTaskCPUs)
 	l := &lossMeasurement{region: g, options: o, tasks: max(1, busyTasks/o.ActiveJobs)}
 	if err := l.submitAll(ctx); err != nil {
@@ -92,23 +93,23 @@
 		return nil, err
 	}
 	if o.KeepSnapshot {
-		if l.copies, err = g.follow(ctx); err != nil {
+		if l.snapshots, err = g.startSnapshots(ctx); err != nil {
 			return nil, err
 		}
-		defer l.copies.close()
+		defer l.snapshots.close()
 	}
 	wait.For(ctx, 10*time.Second)
-	l.result = &Measured{On: [2]int{g.check.CountRunning(), 0}}
-	l.loseEverything()
-	awaitRestore := l.restoreInBackground(ctx)
+	l.result = &Measured{On: [2]int{g.checker.CountRunning(), 0}}
+	l.loseAllData()
+	waitRestored := l.restoreInBackground(ctx)
 	l.restartInBackground()
 	err = l.awaitSteps(ctx)
-	l.sumUp()
-	return l.result, errors.Join(err, awaitRestore())
+	l.summarize()
+	return l.result, errors.Join(err, waitRestored())
 }
 
-// openMeasured starts the region, with the ends of jobs that are over already in the store.
-func openMeasured(o MeasureOptions) (g *region, err error) {
+// openMeasuredRegion starts the region. The store already contains the jobs that ended before.
+func openMeasuredRegion(o MeasureOptions) (g *region, err error) {
 	quota := float64(o.Machines) * measuredCPUs
 	team := func(name string) settings.Team { return settings.Team{Name: name, CPUs: quota / 2, CPUsMax: quota} }
 	g = &region{
@@ -116,12 +117,12 @@
 		program: o.Program,
 		rng:     rand.New(rand.NewPCG(1, 2)),
 		client:  &http.Client{Timeout: 4 * time.Second},
-		check:   simulation.NewChecker(map[string]float64{"red": quota, "blue": quota}),
+		checker: simulation.NewChecker(map[string]float64{"red": quota, "blue": quota}),
 		size: regionSize{
-			machines: o.Machines, cpus: measuredCPUs, run: 10 * time.Minute, memory: 356,
-			report: 5, lease: 26.5, cancel: 46.5,
+			machines: o.Machines, cpus: measuredCPUs, taskDuration: 10 * time.Minute, memoryMB: 356,
+			heartbeatSeconds: 5, leaseSeconds: 26.5, cancelSeconds: 46.5,
 			teams: []settings.Team{team("red"), team("blue")},
-			state: settings.KVStore{
+			store: settings.KVStore{
 				RequestsPerSecond: 600, ChangesPerSecond: 120, ValueKB: 16, ChangesPerTransaction: 12,
 			},
 			cloud: settings.Cloud{RequestsPerSecond: 15, ListLagSeconds: 4},
@@ -132,13 +133,13 @@
 			g.close()
 		}
 	}()
-	limits := g.size.state
-	if g.state, err = simulation.NewKVStore(limits.ChangesPerTransaction, int(limits.ValueKB)); err != nil {
+	limits := g.size.store
+	if g.store, err = simulation.NewKVStore(limits.ChangesPerTransaction, int(limits.ValueKB)); err != nil {
 		return nil, err
 	}
-	g.state.LimitRates(limits.RequestsPerSecond, limits.ChangesPerSecond)
+	g.store.LimitRates(limits.RequestsPerSecond, limits.ChangesPerSecond)
 	for i := range o.EndedJobs {
-		g.state.Put(fmt.Sprintf("f/job-%06d", firstEndedJob+i), `{"state":"done","tasks":1,"team":"red"}`)
+		g.store.Put(fmt.Sprintf("f/job-%06d", firstEndedJob+i), `{"state":"done","tasks":1,"team":"red"}`)
 	}
 	if err := g.open(); err != nil {
 		return nil, err
@@ -152,7 +153,7 @@
 	return s
 }
 
-// submitAll has all jobs accepted, by several users at the same time.
+// submitAll submits all jobs with several concurrent users and returns once all are accepted.
 func (l *lossMeasurement) submitAll(ctx context.Context) error {
 	ended := make(chan error, measuredSubmitter)
 	for i := range measuredSubmitter {
@@ -175,100 +176,101 @@
 	return nil
 }
 
-// awaitBusy waits until nine tenths of the tasks run and all controllers remember all that the store has.
+// awaitBusy waits until nine tenths of the tasks run and all controllers have the store's complete history in memory.
 func (l *lossMeasurement) awaitBusy(ctx context.Context) error {
 	var last []storeView
-	err := l.awaitSteady(ctx, func(views []storeView) bool {
+	err := l.pollOverviews(ctx, func(views []storeView) bool {
 		last = views
-		whole := len(views) == len(regionNames)
+		whole := len(views) == len(controllerNames)
 		for _, x := range views {
 			whole = whole && x.Store.HistoryComplete
 		}
-		return whole && l.check.CountRunning() >= l.options.ActiveJobs*l.tasks*9/10
+		return whole && l.checker.CountRunning() >= l.options.ActiveJobs*l.tasks*9/10
 	})
 	if err != nil {
-		return fmt.Errorf("%w: %d tasks run; controllers %+v", err, l.check.CountRunning(), last)
+		return fmt.Errorf("%w: %d tasks are running; controllers %+v", err, l.checker.CountRunning(), last)
 	}
 	return nil
 }
 
-// loseEverything kills the controllers that are to go and drops the store's data, and notes where things stood.
-func (l *lossMeasurement) loseEverything() {
-	l.started = l.check.Starts()
+// loseAllData records the counters, kills the configured controllers and drops the store's data.
+func (l *lossMeasurement) loseAllData() {
+	l.startsBefore = l.checker.Starts()
 	for i := range l.options.KilledControllers {
 		l.kill(i)
 	}
-	l.spent = make([]float64, len(l.nodes))
-	for i, p := range l.nodes {
+	l.cpuBefore = make([]float64, len(l.processes))
+	for i, p := range l.processes {
 		if !p.killed {
-			l.spent[i], _ = p.used()
+			l.cpuBefore[i], _ = p.usage()
 		}
 	}
-	l.refused = l.state.CountRefused()
-	l.state.LoseAll()
-	l.began = time.Now()
+	l.refusedBefore = l.store.CountRefused()
+	l.store.LoseAll()
+	l.lostAt = time.Now()
 }
 
-// restoreInBackground puts the copy back if no controller is left to remember. What it gives waits for that.
+// restoreInBackground starts to restore the snapshot if all controllers are killed, because then none has the data in
+// memory. The returned function waits for the restore.
 func (l *lossMeasurement) restoreInBackground(ctx context.Context) (await func() error) {
-	if !l.options.KeepSnapshot || l.options.KilledControllers != len(l.nodes) {
+	if !l.options.KeepSnapshot || l.options.KilledControllers != len(l.processes) {
 		return func() error { return nil }
 	}
 	restored := make(chan error, 1)
-	go func() { restored <- l.copies.restore(ctx) }()
+	go func() { restored <- l.snapshots.restore(ctx) }()
 	return func() error {
 		err := <-restored
 		if err == nil {
-			l.result.Back = l.copies.back.Sub(l.began)
+			l.result.Back = l.snapshots.restoredAt.Sub(l.lostAt)
 		}
 		return err
 	}
 }
 
-// restartInBackground starts the killed controllers after a while.
+// restartInBackground starts the killed controllers after restartAfter.
 func (l *lossMeasurement) restartInBackground() {
 	if l.options.KilledControllers == 0 {
 		return
 	}
 	time.AfterFunc(restartAfter, func() {
 		for i := range l.options.KilledControllers {
-			_ = l.start(i) // seen by what follows
+			_ = l.start(i) // a failure shows in the steps that are never reached
 		}
 	})
 }
 
-// awaitSteps notes when each step is reached first, until all are.
+// awaitSteps records when each step is first reached and returns once all are.
 func (l *lossMeasurement) awaitSteps(ctx context.Context) error {
 	m, o := l.result, l.options
 	first := func(d *time.Duration, holds func() bool) {
 		if *d == 0 && holds() {
-			*d = time.Since(l.began)
+			*d = time.Since(l.lostAt)
 		}
 	}
-	forgotten := o.KilledControllers == len(l.nodes) && !o.KeepSnapshot
+	forgotten := o.KilledControllers == len(l.processes) && !o.KeepSnapshot
 	late := l.job(firstNewJob)
-	l.check.RecordSubmission(late)
-	return l.awaitSteady(ctx, func(views []storeView) bool {
-		noticed, entered, written := recoveryOf(views)
+	l.checker.RecordSubmission(late)
+	return l.pollOverviews(ctx, func(views []storeView) bool {
+		noticed, entered, written := recoveryProgress(views)
 		first(&m.Noticed, func() bool { return noticed })
 		first(&m.Entered, func() bool { return entered })
-		first(&m.Polled, l.answersRightly)
+		first(&m.Polled, l.answersCorrectly)
 		first(&m.Taken, func() bool {
-			status, _ := l.ask("POST", protocol.PathSubmit, late)
+			status, _ := l.request("POST", protocol.PathSubmit, late)
 			return status == 201 || status == 200
 		})
-		first(&m.Started, func() bool { return l.check.Starts() > l.started })
+		first(&m.Started, func() bool { return l.checker.Starts() > l.startsBefore })
 		first(&m.Written, func() bool {
-			return written && (l.state.CountKeys("w/e/") > 0 || o.EndedJobs == 0 || forgotten)
+			return written && (l.store.CountKeys("w/e/") > 0 || o.EndedJobs == 0 || forgotten)
 		})
 		return m.Noticed > 0 && m.Entered > 0 && (m.Polled > 0 || forgotten) && m.Taken > 0 && m.Started > 0 && m.Written > 0
 	})
 }
 
-// recoveryOf says whether any controller noticed the loss, all that answer are in the next epoch, and all three have
-// written everything back.
-func recoveryOf(views []storeView) (noticed, entered, written bool) {
-	entered, written = len(views) > 0, len(views) == len(regionNames)
+// recoveryProgress reports whether any controller noticed the loss, whether all that answer are in the next epoch, and
+// whether all three have written everything back.
+func recoveryProgress(views []storeView) (noticed, entered, written bool) {
+	entered, written = len(views) > 0, len(views) == len(controllerNames)
 	for _, x := range views {
 		noticed = noticed || x.Store.Phase == "doubted" || x.Store.Phase == "lost" || x.Store.Epoch > 1
 		entered = entered && x.Store.Epoch > 1 && x.Store.Phase == "known"
@@ -277,56 +279,58 @@
 	return noticed, entered, written
 }
 
-// answersRightly says whether users are told of an active job and of one that ended.
-func (l *lossMeasurement) answersRightly() bool {
-	activeStatus, active := l.ask("GET", protocol.PathSubmit+"/job-000001", nil)
-	endedStatus, ended := l.ask("GET", fmt.Sprintf("%s/job-%06d", protocol.PathSubmit, firstEndedJob+1), nil)
+// answersCorrectly reports whether users get correct answers about an active job and about one that ended.
+func (l *lossMeasurement) answersCorrectly() bool {
+	activeStatus, active := l.request("GET", protocol.PathSubmit+"/job-000001", nil)
+	endedStatus, ended := l.request("GET", fmt.Sprintf("%s/job-%06d", protocol.PathSubmit, firstEndedJob+1), nil)
 	if l.options.EndedJobs == 0 {
 		return true
 	}
 	return activeStatus == 200 && active.State != protocol.Done && endedStatus == 200 && ended.State == protocol.Done
 }
 
-// sumUp notes what it took.
-func (l *lossMeasurement) sumUp() {
+// summarize fills in the resource use and the final state.
+func (l *lossMeasurement) summarize() {
 	m := l.result
-	for i, p := range l.nodes {
-		cpu, memory := p.used()
+	for i, p := range l.processes {
+		cpu, memory := p.usage()
 		if m.Memory = append(m.Memory, memory); i < l.options.KilledControllers {
-			l.spent[i] = 0 // a new process
+			l.cpuBefore[i] = 0 // the process was started after the loss
 		}
-		m.CPU = append(m.CPU, cpu-l.spent[i])
+		m.CPU = append(m.CPU, cpu-l.cpuBefore[i])
 	}
-	m.Refused = l.state.CountRefused() - l.refused
-	m.Changes, m.Bytes = l.state.Size()
-	m.On[1], m.Broken = l.check.CountRunning(), l.check.BrokenRules()
+	m.Refused = l.store.CountRefused() - l.refusedBefore
+	m.Changes, m.Bytes = l.store.Size()
+	m.On[1], m.Broken = l.checker.CountRunning(), l.checker.BrokenRules()
 }
 
-// snapshotFollower is a follower of the key-value store, and what puts its copy back.
+// snapshotFollower follows the key-value store into a snapshot archive and restores the store from it.
 type snapshotFollower struct {
-	set   *snapshot.Config
-	a     *snapshot.Archive
-	stop  context.CancelFunc
-	ended chan error
-	back  time.Time
+	config     *snapshot.Config
+	archive    *snapshot.Archive
+	stop       context.CancelFunc
+	done       chan error
+	restoredAt time.Time
 }
 
-// follow begins to copy the key-value store, and returns once there is a copy. It takes as
-// much of the rates as a tenth of each.
-func (g *region) follow(ctx context.Context) (*snapshotFollower, error) {
-	c := &snapshotFollower{set: snapshot.DefaultConfig(), ended: make(chan error, 1)}
-	c.set.State, c.set.Dir = g.state.Addr(), filepath.Join(g.dir, "copies")
-	c.set.RPS, c.set.WriteRPS = g.size.state.RequestsPerSecond/10, g.size.state.ChangesPerSecond*2/3
-	c.set.ValueKB, c.set.TxnOps = g.size.state.ValueKB, g.size.state.ChangesPerTransaction
+// startSnapshots starts to follow the key-value store and returns once there is a snapshot. The follower may use a
+// tenth of the request rate; a restore may use two thirds of the change rate.
+func (g *region) startSnapshots(ctx context.Context) (*snapshotFollower, error) {
+	c := &snapshotFollower{config: snapshot.DefaultConfig(), done: make(chan error, 1)}
+	c.config.State, c.config.Dir = g.store.Addr(), filepath.Join(g.dir, "copies")
+	c.config.RPS, c.config.WriteRPS = g.size.store.RequestsPerSecond/10, g.size.store.ChangesPerSecond*2/3
+	c.config.ValueKB, c.config.TxnOps = g.size.store.ValueKB, g.size.store.ChangesPerTransaction
 	var err error
-	if c.a, err = snapshot.Open(c.set.Dir, snapshot.Options{}); err != nil {
+	if c.archive, err = snapshot.Open(c.config.Dir, snapshot.Options{}); err != nil {
 		return nil, err
 	}
 	following, stop := context.WithCancel(ctx)
 	c.stop = stop
-	go func() { c.ended <- snapshot.NewFollower(c.set, c.a, slog.New(slog.DiscardHandler)).Run(following) }()
+	go func() {
+		c.done <- snapshot.NewFollower(c.config, c.archive, slog.New(slog.DiscardHandler)).Run(following)
+	}()
 	for {
-		if _, ok := c.a.Latest(); ok {
+		if _, ok := c.archive.Latest(); ok {
 			return c, nil
 		}
 		if !wait.For(ctx, 50*time.Millisecond) {
@@ -338,24 +342,23 @@
 
 func (c *snapshotFollower) close() {
 	c.stop()
-	<-c.ended
-	_ = c.a.Close() // everything in it was read already
+	<-c.done
+	_ = c.archive.Close() // the archive is not read any more
 }
 
-// restore puts the copy from before the loss back once the controllers began the next
-// generation, and tells them that there is nothing more to come.
+// restore restores the last snapshot once the controllers began the next epoch, and declares the restore complete.
 func (c *snapshotFollower) restore(ctx context.Context) error {
-	last, _ := c.a.Latest()
-	r := snapshot.NewRestorer(c.set)
+	last, _ := c.archive.Latest()
+	r := snapshot.NewRestorer(c.config)
 	for {
-		plan, err := r.Plan(ctx, c.a, last.ID, 0, false)
+		plan, err := r.Plan(ctx, c.archive, last.ID, 0, false)
 		if err == nil {
 			if err = r.Apply(ctx, plan, nil); err == nil {
 				_, err = r.Declare(ctx)
 			}
 		}
 		if err == nil {
-			c.back = time.Now()
+			c.restoredAt = time.Now()
 			return nil
 		}
 		if !wait.For(ctx, 100*time.Millisecond) {
@@ -364,13 +367,13 @@
 	}
 }
 
-// storeView is what a controller's overview says of the store.
+// storeView is the part of a controller's overview about the store.
 type storeView struct {
 	Store datarecovery.Status `json:"store"`
 }
 
-// awaitSteady looks at the controllers' overviews until something holds.
-func (g *region) awaitSteady(ctx context.Context, holds func([]storeView) bool) error {
+// pollOverviews reads the controllers' overviews repeatedly until a condition holds for them.
+func (g *region) pollOverviews(ctx context.Context, holds func([]storeView) bool) error {
 	for {
 		var all []storeView
 		for _, addr := range g.listen {
--- a/internal/faultinjection/overload.go
+++ b/internal/faultinjection/overload.go
@@ -23,60 +23,61 @@
 	"topazhollow/internal/wait"
 )
 
-// OverloadOptions are the choices of a simulation of overload.
+// OverloadOptions are the parameters of a series of overload trials.
 type OverloadOptions struct {
 	TrialOptions
 	Floor float64 // the controllers' class_floor
 }
 
-// OverloadTrial is one crowd of urgent work over a class of large tasks, and who was served.
+// OverloadTrial is an overload of urgent small tasks that compete with a class of large tasks, and the CPUs that each
+// class got.
 type OverloadTrial struct {
-	Seed     uint64             `json:"seed"`
-	Trouble  string             `json:"trouble"`
-	LoadFactor    float64            `json:"crowd"`            // CPUs that it asks for, of all there are
-	DemandCPUs   map[string]float64 `json:"wanted_cpus"`      // that would keep up with what comes, by class
-	MeanCPUs      map[string]float64 `json:"got_cpus"`         // in the mean, once floors had time to work
-	MinLargeCPUs    float64            `json:"least_large_cpus"` // of the large class, over any five seconds of that time without trouble
-	Jain     float64            `json:"jain"`             // of what each class got of what it wanted
-	MinShare float64            `json:"smallest_share"`   // of what a class wanted
-	Refused  int                `json:"refused"`          // answers that said to come back
-	Broken   string             `json:"broken,omitempty"`
+	Seed         uint64             `json:"seed"`
+	Fault        string             `json:"trouble"`
+	LoadFactor   float64            `json:"crowd"`            // CPUs requested by small tasks, as a multiple of all CPUs
+	DemandCPUs   map[string]float64 `json:"wanted_cpus"`      // CPUs that would keep up with the submitted load, by class
+	MeanCPUs     map[string]float64 `json:"got_cpus"`         // mean by class, after the floors had time to take effect
+	MinLargeCPUs float64            `json:"least_large_cpus"` // minimum mean of the large class over five seconds of that time without a fault
+	Jain         float64            `json:"jain"`             // Jain's index of each class's mean CPUs relative to its demand
+	MinShare     float64            `json:"smallest_share"`   // smallest mean CPUs of a class relative to its demand
+	Refused      int                `json:"refused"`          // submissions that were not accepted and had to be retried
+	Broken       string             `json:"broken,omitempty"`
 
-	samples []sample
-	from    time.Duration // when floors had time to work
+	samples      []usageSample
+	measuredFrom time.Duration // the floors have taken effect by then
 }
 
-type sample struct {
-	at    time.Duration
-	using map[string]float64
+type usageSample struct {
+	at   time.Duration
+	cpus map[string]float64
 }
 
-var overloads = []string{"none", "one ends", "all end", "outage", "goes back"}
+var overloadFaults = []string{"none", "one ends", "all end", "outage", "goes back"}
 
-// The classes of the simulation. Large tasks take three quarters of a machine, so that they
-// find no room where small ones take each piece that comes free.
+// The classes and times of the simulation. Large tasks need three quarters of a machine, so they find no room if small
+// ones occupy each freed CPU.
 const (
-	small, large = "small", "large"
-	crowdFor     = 40 * time.Second
-	floorAfter   = 3 * time.Second
-	settleAfter  = 19 * time.Second // until the crowd is noticed and what ran on the machines held has ended
-	recoverAfter = 12 * time.Second
+	smallClass, largeClass = "small", "large"
+	loadDuration           = 40 * time.Second
+	floorDelay             = 3 * time.Second
+	settleTime             = 19 * time.Second // until the overload is detected and the tasks on reserved machines have ended
+	recoveryTime           = 12 * time.Second
 )
 
-// Overloads simulates crowds with troubles against real controller processes on loopback.
+// Overloads runs overload trials with faults against real controller processes on loopback.
 func Overloads(ctx context.Context, o OverloadOptions) ([]OverloadTrial, error) {
 	trials := make([]OverloadTrial, o.Trials)
 	err := runTrials(ctx, o.Trials, o.AtOnce, o.Out, func(ctx context.Context, i int) (string, error) {
 		t := &trials[i]
 		t.Seed = o.Seed + uint64(i)
-		t.Trouble = overloads[t.Seed%uint64(len(overloads))]
+		t.Fault = overloadFaults[t.Seed%uint64(len(overloadFaults))]
 		dir := filepath.Join(o.Dir, fmt.Sprint(t.Seed))
 		if err := overloadTrial(ctx, &o, dir, t); err != nil {
 			return "", err
 		}
-		verdict, err := verdictOf(dir, t.Broken)
-		return fmt.Sprintf("seed %d: %.1f times, %s: large %.0f of %.0f CPUs wanted, %.0f at least; small %.0f of %.0f; Jain %.2f; %d refused; %s", t.Seed, t.LoadFactor, t.Trouble,
-			t.MeanCPUs[large], t.DemandCPUs[large], t.MinLargeCPUs, t.MeanCPUs[small], t.DemandCPUs[small], t.Jain, t.Refused, verdict), err
+		verdict, err := trialVerdict(dir, t.Broken)
+		return fmt.Sprintf("seed %d: %.1f times, %s: large %.0f of %.0f CPUs wanted, %.0f at least; small %.0f of %.0f; Jain %.2f; %d refused; %s", t.Seed, t.LoadFactor, t.Fault,
+			t.MeanCPUs[largeClass], t.DemandCPUs[largeClass], t.MinLargeCPUs, t.MeanCPUs[smallClass], t.DemandCPUs[smallClass], t.Jain, t.Refused, verdict), err
 	})
 	if err != nil {
 		return nil, err
@@ -89,10 +90,10 @@
 	size := smallRegion
 	size.machines = 12
 	size.teams = []settings.Team{{Name: "red", CPUs: 48, CPUsMax: 96}, {Name: "blue", CPUs: 48, CPUsMax: 96}}
-	g := &region{dir: dir, program: o.Program, rng: rng, size: size, client: &http.Client{Timeout: 4 * time.Second}, check: simulation.NewChecker(map[string]float64{"red": 96, "blue": 96}),
-		script: fmt.Sprintf("class_floor = %g\nfloor_after_s = %g\n", o.Floor, floorAfter.Seconds())}
-	g.run = func(task string) time.Duration {
-		if uid, _, _ := protocol.SplitTask(task); g.check.Spec(uid) != nil && g.check.Spec(uid).Class == large {
+	g := &region{dir: dir, program: o.Program, rng: rng, size: size, client: &http.Client{Timeout: 4 * time.Second}, checker: simulation.NewChecker(map[string]float64{"red": 96, "blue": 96}),
+		script: fmt.Sprintf("class_floor = %g\nfloor_after_s = %g\n", o.Floor, floorDelay.Seconds())}
+	g.taskDuration = func(task string) time.Duration {
+		if uid, _, _ := protocol.SplitTask(task); g.checker.Spec(uid) != nil && g.checker.Spec(uid).Class == largeClass {
 			return 3 * time.Second
 		}
 		return 2 * time.Second
@@ -101,19 +102,19 @@
 	return err
 }
 
-// runOverload hands in work for a while, several times more small and urgent tasks than there is
-// room for beside large ones, and takes down who runs.
+// runOverload submits large tasks and several times more urgent small tasks than there is room for, and samples which
+// class runs.
 func (g *region) runOverload(ctx context.Context, rng *rand.Rand, t *OverloadTrial) error {
 	cpus := float64(g.size.machines) * g.size.cpus
 	t.LoadFactor = 2 + 2*rng.Float64()
-	t.DemandCPUs = map[string]float64{small: t.LoadFactor * cpus, large: 6 * 6 * 3 / 2}
-	c := &crowd{
+	t.DemandCPUs = map[string]float64{smallClass: t.LoadFactor * cpus, largeClass: 6 * 6 * 3 / 2}
+	c := &overloadRun{
 		region: g,
 		trial:  t,
-		saved:  g.state.Snapshot(),
+		saved:  g.store.Snapshot(),
 		failed: make(chan error, 1),
-		// jobs of 12 tasks of a CPU and two seconds
-		rates: map[string]float64{small: t.LoadFactor * cpus / 24, large: 0.5},
+		// a small job has 12 tasks of one CPU and two seconds
+		rates: map[string]float64{smallClass: t.LoadFactor * cpus / 24, largeClass: 0.5},
 	}
 	if err := c.submitAll(ctx, rng); err != nil {
 		return err
@@ -121,49 +122,50 @@
 	if err := c.awaitDone(ctx); err != nil {
 		return err
 	}
-	if floor := 0.5 * t.DemandCPUs[large] * 0.7; t.MinLargeCPUs < floor { // whole tasks, and the gap between two of them
-		return fmt.Errorf("the large class had %.1f CPUs for five seconds, %.1f are due", t.MinLargeCPUs, floor)
+	// The floor is half of the demand. 0.7 of it allows for whole tasks and the gap between two of them.
+	if floor := 0.5 * t.DemandCPUs[largeClass] * 0.7; t.MinLargeCPUs < floor {
+		return fmt.Errorf("the large class got %.1f CPUs over five seconds, expected at least %.1f", t.MinLargeCPUs, floor)
 	}
 	return nil
 }
 
-// crowd is the users of an overload trial and what they submitted.
-type crowd struct {
+// overloadRun is an overload trial while it runs.
+type overloadRun struct {
 	*region
 	trial  *OverloadTrial
 	saved  simulation.StoreSnapshot
-	rates  map[string]float64 // jobs a second by class
+	rates  map[string]float64 // jobs per second by class
 	jobs   []*protocol.Submission
 	users  sync.WaitGroup
-	failed chan error // the first job that was never accepted
+	failed chan error // receives the first job that was not accepted in time
 
 	mu sync.Mutex // guards trial.Refused while users run
 }
 
-// submitAll has jobs submitted at their rates, injects the trial's fault in between and samples who is served. It
-// returns once all jobs are accepted.
-func (c *crowd) submitAll(ctx context.Context, rng *rand.Rand) error {
+// submitAll submits jobs at their rates, injects the trial's fault at a random moment and samples the CPUs of each
+// class. It returns once all jobs are accepted.
+func (c *overloadRun) submitAll(ctx context.Context, rng *rand.Rand) error {
 	t := c.trial
 	began := time.Now()
-	trouble := time.Duration(4+rng.IntN(8)) * time.Second
-	t.from = floorAfter + settleAfter
+	faultAt := time.Duration(4+rng.IntN(8)) * time.Second
+	t.measuredFrom = floorDelay + settleTime
 	due := map[string]float64{}
-	struck, over := false, time.Duration(0)
-	for passed := time.Duration(0); passed < crowdFor; passed = time.Since(began) {
+	injected, faultEnded := false, time.Duration(0)
+	for passed := time.Duration(0); passed < loadDuration; passed = time.Since(began) {
 		for class, perSecond := range c.rates {
 			for due[class] < perSecond*passed.Seconds()+1 {
 				due[class]++
 				c.submitOne(ctx, class)
 			}
 		}
-		if !struck && passed > trouble {
-			struck = true
-			if err := c.injectFault(ctx, rng, t.Trouble, c.saved); err != nil {
+		if !injected && passed > faultAt {
+			injected = true
+			if err := c.injectFault(ctx, rng, t.Fault, c.saved); err != nil {
 				return err
 			}
-			over = time.Since(began)
+			faultEnded = time.Since(began)
 		}
-		t.samples = append(t.samples, sample{passed, c.check.CPUsByClass()})
+		t.samples = append(t.samples, usageSample{passed, c.checker.CPUsByClass()})
 		if !wait.For(ctx, 100*time.Millisecond) {
 			return ctx.Err()
 		}
@@ -174,12 +176,12 @@
 		return err
 	default:
 	}
-	t.sum(trouble, over)
+	t.summarize(faultAt, faultEnded)
 	return nil
 }
 
-// submitOne has a user submit the next job until it is accepted.
-func (c *crowd) submitOne(ctx context.Context, class string) {
+// submitOne starts a user that submits the next job until it is accepted.
+func (c *overloadRun) submitOne(ctx context.Context, class string) {
 	s := &protocol.Submission{
 		UID:      fmt.Sprintf("job-%06d", len(c.jobs)+1),
 		Class:    class,
@@ -188,7 +190,7 @@
 		Priority: "high",
 		Tasks:    12, CPUs: 1, MemoryGB: 1, Image: "img", EstimateSeconds: 2, Spot: true,
 	}
-	if class == large {
+	if class == largeClass {
 		s.Priority, s.Tasks, s.CPUs, s.EstimateSeconds = "standard", 6, 6, 3
 	}
 	c.jobs = append(c.jobs, s)
@@ -197,14 +199,14 @@
 	c.users.Go(func() { c.submitUntilAccepted(ctx, &user, s) })
 }
 
-// acceptedWithin is how long a user goes on submitting a job.
-const acceptedWithin = 60 * time.Second
+// submitTimeout is how long a user retries a submission.
+const submitTimeout = 60 * time.Second
 
-func (c *crowd) submitUntilAccepted(ctx context.Context, user *region, s *protocol.Submission) {
-	c.check.RecordSubmission(s)
-	for end := time.Now().Add(acceptedWithin); ; {
-		status, st := user.ask("POST", protocol.PathSubmit, s)
-		c.check.RecordAnswer(s.UID, status, st.State, false)
+func (c *overloadRun) submitUntilAccepted(ctx context.Context, user *region, s *protocol.Submission) {
+	c.checker.RecordSubmission(s)
+	for end := time.Now().Add(submitTimeout); ; {
+		status, st := user.request("POST", protocol.PathSubmit, s)
+		c.checker.RecordAnswer(s.UID, status, st.State, false)
 		if status == 200 || status == 201 {
 			return
 		}
@@ -213,7 +215,7 @@
 		c.mu.Unlock()
 		if time.Now().After(end) || !wait.For(ctx, time.Second) {
 			select {
-			case c.failed <- fmt.Errorf("%s never accepted", s.UID):
+			case c.failed <- fmt.Errorf("%s was not accepted in time", s.UID):
 			default:
 			}
 			return
@@ -221,8 +223,8 @@
 	}
 }
 
-// awaitDone waits for a quarter of the jobs: the rest of the crowd would take minutes, and shows nothing more.
-func (c *crowd) awaitDone(ctx context.Context) error {
+// awaitDone waits until a quarter of the jobs are done. The rest would take minutes and prove nothing more.
+func (c *overloadRun) awaitDone(ctx context.Context) error {
 	for i, j := range c.jobs {
 		if i > len(c.jobs)/4 {
 			break
@@ -234,37 +236,37 @@
 	return nil
 }
 
-func (g *region) injectFault(ctx context.Context, rng *rand.Rand, trouble string, saved simulation.StoreSnapshot) error {
-	switch trouble {
+func (g *region) injectFault(ctx context.Context, rng *rand.Rand, fault string, saved simulation.StoreSnapshot) error {
+	switch fault {
 	case "one ends":
-		i := rng.IntN(len(g.nodes))
+		i := rng.IntN(len(g.processes))
 		g.kill(i)
 		return g.start(i)
 	case "all end":
-		for i := range g.nodes {
+		for i := range g.processes {
 			g.kill(i)
 		}
-		for i := range g.nodes {
+		for i := range g.processes {
 			if err := g.start(i); err != nil {
 				return err
 			}
 		}
 	case "outage":
-		g.state.SetOutage(true)
+		g.store.SetOutage(true)
 		wait.For(ctx, 3*time.Second)
-		g.state.SetOutage(false)
+		g.store.SetOutage(false)
 	case "goes back":
-		g.state.RollBack(saved)
+		g.store.RollBack(saved)
 	}
 	return nil
 }
 
-// sum sums up who had how much once floors had time to work, apart from a trouble and the
-// time to recover from it.
-func (t *OverloadTrial) sum(struck, over time.Duration) {
+// summarize computes each class's CPUs after the floors had time to take effect, without the time of the fault and of
+// the recovery from it.
+func (t *OverloadTrial) summarize(faultAt, faultEnded time.Duration) {
 	t.MeanCPUs = map[string]float64{}
 	counted := func(at time.Duration) bool {
-		return at > t.from && (t.Trouble == "none" || at < struck || at > over+recoverAfter)
+		return at > t.measuredFrom && (t.Fault == "none" || at < faultAt || at > faultEnded+recoveryTime)
 	}
 	n, window := 0.0, []float64{}
 	t.MinLargeCPUs = -1
@@ -274,10 +276,10 @@
 			continue
 		}
 		n++
-		for _, class := range []string{small, large} {
-			t.MeanCPUs[class] += x.using[class]
+		for _, class := range []string{smallClass, largeClass} {
+			t.MeanCPUs[class] += x.cpus[class]
 		}
-		if window = append(window, x.using[large]); len(window) > 50 {
+		if window = append(window, x.cpus[largeClass]); len(window) > 50 {
 			window = window[1:]
 		}
 		if mean := 0.0; len(window) == 50 {
@@ -298,20 +300,20 @@
 }
 
 var overloadPage = template.Must(template.New("overload").Parse(`<!doctype html>
-<html lang="en"><head><meta charset="utf-8"><title>Rehearsal of overload</title>
+<html lang="en"><head><meta charset="utf-8"><title>Fault injection: overload</title>
 <style>body{font:15px/1.5 system-ui,sans-serif;max-width:54rem;margin:2rem auto;padding:0 1rem;color:#222}
 .bad{color:#a00}svg{max-width:100%;height:auto}</style></head><body>
-<h1>Rehearsal of overload</h1>
-<p>A crowd of small urgent tasks over large ones of lower priority, on a dozen stand-in machines and three real controllers. The
-large class is to have half of what comes, whatever the crowd.</p>
-{{range .}}<h2{{if .T.Broken}} class="bad"{{end}}>Seed {{.T.Seed}}: crowd of {{printf "%.1f" .T.LoadFactor}} times the machines; {{.T.Trouble}}</h2>
+<h1>Fault injection: overload</h1>
+<p>Many small urgent tasks compete with large ones of lower priority, on a dozen simulated machines and three real controllers. The
+large class must get half of its demand, however great the overload.</p>
+{{range .}}<h2{{if .T.Broken}} class="bad"{{end}}>Seed {{.T.Seed}}: small tasks request {{printf "%.1f" .T.LoadFactor}} times the machines' CPUs; fault: {{.T.Fault}}</h2>
 {{if .T.Broken}}<p class="bad">{{.T.Broken}}</p>{{end}}
-<p>Large tasks had {{printf "%.0f" (index .T.MeanCPUs "large")}} CPUs of {{printf "%.0f" (index .T.DemandCPUs "large")}} wanted, {{printf "%.0f" .T.MinLargeCPUs}} at least over five seconds; small ones {{printf "%.0f" (index .T.MeanCPUs "small")}} of {{printf "%.0f" (index .T.DemandCPUs "small")}}. Jain's index {{printf "%.2f" .T.Jain}}. {{.T.Refused}} answers said to come back.</p>
+<p>Large tasks got {{printf "%.0f" (index .T.MeanCPUs "large")}} of {{printf "%.0f" (index .T.DemandCPUs "large")}} CPUs requested, {{printf "%.0f" .T.MinLargeCPUs}} at least over five seconds; small ones {{printf "%.0f" (index .T.MeanCPUs "small")}} of {{printf "%.0f" (index .T.DemandCPUs "small")}}. Jain's index {{printf "%.2f" .T.Jain}}. {{.T.Refused}} submissions had to be retried.</p>
 {{.Plot}}{{end}}
 </body></html>
 `))
 
-// OverloadReport writes the trials as one page that fetches nothing.
+// OverloadReport writes the trials as a self-contained page.
 func OverloadReport(w io.Writer, trials []OverloadTrial) error {
 	type row struct {
 		T    *OverloadTrial
@@ -323,10 +325,10 @@
 		p := plot.New()
 		p.X.Label.Text, p.Y.Label.Text = "s", "CPUs"
 		p.Legend.Top = true
-		for k, class := range []string{small, large} {
+		for k, class := range []string{smallClass, largeClass} {
 			var points plotter.XYs
 			for _, x := range t.samples {
-				points = append(points, plotter.XY{X: x.at.Seconds(), Y: x.using[class]})
+				points = append(points, plotter.XY{X: x.at.Seconds(), Y: x.cpus[class]})
 			}
 			l, err := plotter.NewLine(points)
 			if err != nil {
--- a/internal/faultinjection/overload_test.go
+++ b/internal/faultinjection/overload_test.go
@@ -11,10 +11,10 @@
 	"topazhollow/internal/faultinjection"
 )
 
-// TestOverloads: a crowd of small urgent tasks over large ones, alone and while controllers
-// really end. The large class goes on and no rule is broken; without floors it gets next to
-// nothing, which the check sees. How close to its floor it comes on a machine that is as slow as it
-// may be here is left to the simulation.
+// TestOverloads submits many small urgent tasks beside large ones, with and without killed controllers. The large class
+// must keep running and no rule may be broken. Without floors the large class gets almost nothing, which the trial must
+// report. The bound is loose because the test may run on a slow machine; the simulate command checks how close the
+// class comes to its floor.
 func TestOverloads(t *testing.T) {
 	for name, x := range map[string]struct {
 		seed  uint64
--- a/internal/faultinjection/process.go
+++ b/internal/faultinjection/process.go
@@ -10,18 +10,18 @@
 	"strings"
 )
 
-// process is a controller that runs, or ran.
+// process is a controller's process.
 type process struct {
 	cmd    *exec.Cmd
 	killed bool
-	ended  chan struct{} // closed once it is gone
+	ended  chan struct{} // closed when the process has exited
 }
 
 func (g *region) start(i int) error {
-	g.turns.Lock()
-	defer g.turns.Unlock()
-	if p := g.nodes[i]; p != nil && p.runs() {
-		return nil // two troubles that both ended it must not start it twice: a platform runs one process of a controller
+	g.processMu.Lock()
+	defer g.processMu.Unlock()
+	if p := g.processes[i]; p != nil && p.running() {
+		return nil // two faults that both killed it must not start it twice: a platform runs one process per controller
 	}
 	log, err := os.OpenFile(filepath.Join(g.dir, fmt.Sprintf("node-%d.log", i)), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
 	if err != nil {
@@ -33,24 +33,22 @@
 	if err := p.cmd.Start(); err != nil {
 		return err
 	}
-	g.nodes[i] = p
+	g.processes[i] = p
 	go func() {
 		defer close(p.ended)
-		_ = p.cmd.Wait() // how it ended does not matter, only that it did
+		_ = p.cmd.Wait() // only the exit matters, not its status
 	}()
 	return nil
 }
 
-// ticksPerSecond is the unit of processor time in /proc/PID/stat (proc(5)): always 100 for
-// programs on Linux.
+// ticksPerSecond is USER_HZ, the unit of processor time in /proc/PID/stat (proc(5)); it is always 100 on Linux.
 const ticksPerSecond = 100
 
-// used tells a process's processor time so far, in seconds, and the most memory that it
-// held, in MB; zeros if the system does not tell.
-func (p *process) used() (cpu, memory float64) {
+// usage returns a process's processor time in seconds and its peak memory in MB. Values that cannot be read are 0.
+func (p *process) usage() (cpu, memory float64) {
 	pid := p.cmd.Process.Pid
 	stat, _ := os.ReadFile(fmt.Sprintf("/proc/%d/stat", pid))
-	// After the name, which may hold anything and ends with the last parenthesis.
+	// The fields follow the process name, which may contain any character and ends with the last parenthesis.
 	if fields := strings.Fields(string(stat[bytes.LastIndexByte(stat, ')')+1:])); len(fields) > 12 {
 		for _, f := range fields[11:13] {
 			ticks, _ := strconv.ParseFloat(f, 64)
@@ -67,19 +65,19 @@
 	return cpu, memory
 }
 
-// kill ends a controller without a word.
+// kill kills a controller's process with SIGKILL and waits until it has exited.
 func (g *region) kill(i int) {
-	g.turns.Lock()
-	defer g.turns.Unlock()
-	if p := g.nodes[i]; p != nil && p.runs() {
+	g.processMu.Lock()
+	defer g.processMu.Unlock()
+	if p := g.processes[i]; p != nil && p.running() {
 		p.killed = true
-		_ = p.cmd.Process.Kill() // it may have ended just now
+		_ = p.cmd.Process.Kill() // it may have exited already
 		<-p.ended
 	}
 }
 
-// runs says whether the process has not ended, and was not ended.
-func (p *process) runs() bool {
+// running reports whether the process has neither exited nor been killed.
+func (p *process) running() bool {
 	select {
 	case <-p.ended:
 		return false
@@ -88,9 +86,9 @@
 	}
 }
 
-// node is a controller's process, the latest if there were several.
-func (g *region) node(i int) *process {
-	g.turns.Lock()
-	defer g.turns.Unlock()
-	return g.nodes[i]
+// process returns a controller's latest process.
+func (g *region) process(i int) *process {
+	g.processMu.Lock()
+	defer g.processMu.Unlock()
+	return g.processes[i]
 }
--- a/internal/faultinjection/region.go
+++ b/internal/faultinjection/region.go
@@ -19,57 +19,57 @@
 	"topazhollow/internal/wait"
 )
 
-// region is three controllers as processes with stand-ins for everything around.
+// region is three controller processes with a simulated store, cloud, agents and users.
 type region struct {
 	size         regionSize
 	dir, program string
-	script       string                          // the controllers' options, a file's text
-	run          func(task string) time.Duration // how long tasks run, if not all alike
-	state        *simulation.KVStore
-	endpoints    []*simulation.Endpoint // each controller's way to the key-value store
+	script       string                          // text of the controllers' options file
+	taskDuration func(task string) time.Duration // overrides size.taskDuration if set
+	store        *simulation.KVStore
+	endpoints    []*simulation.Endpoint // each controller's endpoint of the key-value store
 	pipes        simulation.Paths       // from one controller to another
 	cloud        *simulation.Cloud
-	check        *simulation.Checker
+	checker      *simulation.Checker
 	listen       []string
-	turns        *sync.Mutex // of who ends or starts a controller
-	nodes        []*process
+	processMu    *sync.Mutex // guards starting and killing controllers
+	processes    []*process
 	rng          *rand.Rand
 	client       *http.Client
 }
 
-// regionNames are the controllers'.
-var regionNames = []string{"node-a", "node-b", "node-c"}
+// controllerNames are the names of the controllers.
+var controllerNames = []string{"node-a", "node-b", "node-c"}
 
-// regionSize is what differs between a small region and a large one.
+// regionSize holds the parameters that depend on a region's size.
 type regionSize struct {
-	machines int
-	cpus     float64 // of a machine
-	run      time.Duration
-	report   float64 // seconds between an agent's reports
-	teams    []settings.Team
-	state    settings.KVStore
-	cloud    settings.Cloud
-	lease    float64
-	cancel   float64
-	memory   float64 // of a controller, MB
+	machines         int
+	cpus             float64 // per machine
+	taskDuration     time.Duration
+	heartbeatSeconds float64 // between an agent's heartbeats
+	teams            []settings.Team
+	store            settings.KVStore
+	cloud            settings.Cloud
+	leaseSeconds     float64
+	cancelSeconds    float64
+	memoryMB         float64 // limit of a controller
 }
 
-// runTrial opens a region, has something played in it and closes it. What broke is told; an
-// error is one of the simulation itself.
+// runTrial opens a region, runs play in it and closes it. It returns violations as text; an error means that the
+// simulation itself failed.
 func (g *region) runTrial(ctx context.Context, play func() error) (broken string, err error) {
 	defer g.close()
 	if err := g.open(); err != nil {
 		return "", err
 	}
-	broke := errors.Join(play(), g.ended())
+	violations := errors.Join(play(), g.checkExited())
 	if ctx.Err() != nil {
 		return "", ctx.Err()
 	}
-	if rules := g.check.BrokenRules(); len(rules) > 0 {
-		broke = errors.Join(broke, fmt.Errorf("rules %v", rules))
+	if rules := g.checker.BrokenRules(); len(rules) > 0 {
+		violations = errors.Join(violations, fmt.Errorf("rules %v", rules))
 	}
-	if broke != nil {
-		broken = fmt.Sprintf("%v (the controllers' logs are in %s)", broke, g.dir)
+	if violations != nil {
+		broken = fmt.Sprintf("%v (the controllers' logs are in %s)", violations, g.dir)
 	}
 	return broken, nil
 }
@@ -78,10 +78,10 @@
 	if err := os.MkdirAll(g.dir, 0o700); err != nil {
 		return err
 	}
-	g.turns = &sync.Mutex{}
-	if g.state == nil {
-		changes, valueKB := g.size.state.ChangesPerTransaction, int(g.size.state.ValueKB)
-		if g.state, err = simulation.NewKVStore(changes, valueKB); err != nil {
+	g.processMu = &sync.Mutex{}
+	if g.store == nil {
+		changes, valueKB := g.size.store.ChangesPerTransaction, int(g.size.store.ValueKB)
+		if g.store, err = simulation.NewKVStore(changes, valueKB); err != nil {
 			return err
 		}
 	}
@@ -89,8 +89,8 @@
 	if err != nil {
 		return err
 	}
-	if g.run == nil {
-		g.run = func(string) time.Duration { return g.size.run }
+	if g.taskDuration == nil {
+		g.taskDuration = func(string) time.Duration { return g.size.taskDuration }
 	}
 	if err := os.WriteFile(filepath.Join(g.dir, "options.star"), []byte(g.script), 0o600); err != nil {
 		return err
@@ -99,7 +99,7 @@
 		return err
 	}
 	g.pipes = simulation.Paths{}
-	for i := range regionNames {
+	for i := range controllerNames {
 		if err := g.openController(i, listen, peers); err != nil {
 			return err
 		}
@@ -107,11 +107,11 @@
 	return nil
 }
 
-// drawAddresses gives each controller an address for users and agents, and one for its peers.
+// drawAddresses allocates for each controller one address for users and agents, and one for its peers.
 func (g *region) drawAddresses() (listen, peers map[string]string, err error) {
 	host := simulation.NewHost()
 	listen, peers = map[string]string{}, map[string]string{}
-	for _, name := range regionNames {
+	for _, name := range controllerNames {
 		for _, addresses := range []map[string]string{listen, peers} {
 			if addresses[name], err = host.Listen(); err != nil {
 				return nil, nil, err
@@ -122,12 +122,12 @@
 	return listen, peers, nil
 }
 
-// openCloud starts a cloud whose machines have simulated agents.
+// openCloud starts a cloud whose machines run simulated agents.
 func (g *region) openCloud(listen map[string]string) (err error) {
 	periods := simulation.AgentConfig{
-		Heartbeat: settings.Seconds(g.size.report),
-		Lease:     settings.Seconds(g.size.lease),
-		Run:       g.run,
+		Heartbeat: settings.Seconds(g.size.heartbeatSeconds),
+		Lease:     settings.Seconds(g.size.leaseSeconds),
+		Run:       g.taskDuration,
 	}
 	types := []protocol.MachineType{{
 		Name: "m8", CPUs: g.size.cpus, MemoryGB: 8 * g.size.cpus,
@@ -135,23 +135,23 @@
 		Zones: []string{"east", "west"},
 	}}
 	boot := func(name, typ, zone string, spot bool) (*simulation.Agent, error) {
-		return simulation.NewAgent(name, typ, zone, spot, listen, regionNames, periods, g.check)
+		return simulation.NewAgent(name, typ, zone, spot, listen, controllerNames, periods, g.checker)
 	}
 	g.cloud, err = simulation.NewCloud(types, g.size.machines, boot)
 	return err
 }
 
-// openController writes a controller's settings, with an endpoint of the store and a pipe to each peer of its own, and
-// starts it.
+// openController gives a controller its own endpoint of the store and its own pipe to each peer, writes its settings
+// file and starts it.
 func (g *region) openController(i int, listen, peers map[string]string) error {
-	name := regionNames[i]
-	endpoint, err := g.state.NewEndpoint()
+	name := controllerNames[i]
+	endpoint, err := g.store.NewEndpoint()
 	if err != nil {
 		return err
 	}
 	g.endpoints = append(g.endpoints, endpoint)
 	s := g.settingsOf(name, listen[name], peers[name], endpoint.Addr())
-	for k, p := range regionNames {
+	for k, p := range controllerNames {
 		if p == name {
 			continue
 		}
@@ -165,11 +165,11 @@
 	if err := os.WriteFile(g.config(i), protocol.Encode(s), 0o600); err != nil {
 		return err
 	}
-	g.nodes = append(g.nodes, nil)
+	g.processes = append(g.processes, nil)
 	return g.start(i)
 }
 
-// settingsOf are a controller's settings but for its peers.
+// settingsOf returns a controller's settings without its peers.
 func (g *region) settingsOf(name, listen, peerListen, store string) *settings.Settings {
 	return &settings.Settings{
 		Name:       name,
@@ -178,16 +178,16 @@
 		PeerListen: peerListen,
 		Outside:    settings.Outside{Cloud: g.cloud.Addr(), KVStore: store},
 		Deployment: settings.Deployment{
-			Size:  len(regionNames),
+			Size:  len(controllerNames),
 			Zones: []string{"east", "west"},
 			Teams: g.size.teams,
 			Agents: settings.Agents{
-				HeartbeatSeconds: g.size.report, LeaseSeconds: g.size.lease,
-				GangWaitSeconds: 10, GangPeerSeconds: 4, CancelSeconds: g.size.cancel,
+				HeartbeatSeconds: g.size.heartbeatSeconds, LeaseSeconds: g.size.leaseSeconds,
+				GangWaitSeconds: 10, GangPeerSeconds: 4, CancelSeconds: g.size.cancelSeconds,
 			},
-			KVStore: g.size.state,
+			KVStore: g.size.store,
 			Cloud:   g.size.cloud,
-			Limits:  settings.Limits{Cores: 1, MemoryMB: g.size.memory, MaxSockets: 4000},
+			Limits:  settings.Limits{Cores: 1, MemoryMB: g.size.memoryMB, MaxSockets: 4000},
 		},
 	}
 }
@@ -196,17 +196,17 @@
 	return filepath.Join(g.dir, fmt.Sprintf("node-%d.json", i))
 }
 
-// ended names a controller that ended by itself.
-func (g *region) ended() error {
-	g.turns.Lock()
-	defer g.turns.Unlock()
-	for i, p := range g.nodes {
+// checkExited returns an error that names a controller that exited unexpectedly, if any.
+func (g *region) checkExited() error {
+	g.processMu.Lock()
+	defer g.processMu.Unlock()
+	for i, p := range g.processes {
 		if p == nil || p.killed {
 			continue
 		}
 		select {
 		case <-p.ended:
-			return fmt.Errorf("controller %d ended by itself", i)
+			return fmt.Errorf("controller %d exited unexpectedly", i)
 		default:
 		}
 	}
@@ -214,24 +214,24 @@
 }
 
 func (g *region) close() {
-	for i := range g.nodes {
+	for i := range g.processes {
 		g.kill(i)
 	}
 	g.pipes.Close()
 	if g.cloud != nil {
 		g.cloud.Close()
 	}
-	if g.state != nil {
-		g.state.Close()
+	if g.store != nil {
+		g.store.Close()
 	}
 }
 
-func (g *region) ask(method, path string, body any) (int, protocol.Status) {
-	return g.askOf(g.rng, method, path, body)
+func (g *region) request(method, path string, body any) (int, protocol.Status) {
+	return g.requestDrawn(g.rng, method, path, body)
 }
 
-// askOf asks one of the controllers, drawn from a sequence of the caller's own.
-func (g *region) askOf(rng *rand.Rand, method, path string, body any) (int, protocol.Status) {
+// requestDrawn sends a request to a controller drawn from the caller's random source.
+func (g *region) requestDrawn(rng *rand.Rand, method, path string, body any) (int, protocol.Status) {
 	var st protocol.Status
 	var data []byte
 	if body != nil {
@@ -246,7 +246,7 @@
 		return 0, st
 	}
 	defer resp.Body.Close()
-	_ = json.NewDecoder(resp.Body).Decode(&st) // the status says the most of it
+	_ = json.NewDecoder(resp.Body).Decode(&st) // the status code suffices if the body is malformed
 	return resp.StatusCode, st
 }
 
@@ -254,29 +254,29 @@
 	ctx, cancel := context.WithTimeout(ctx, 90*time.Second)
 	defer cancel()
 	for !holds() {
-		if rules := g.check.BrokenRules(); len(rules) > 0 {
-			return nil // told by the caller
+		if rules := g.checker.BrokenRules(); len(rules) > 0 {
+			return nil // runTrial reports the violations
 		}
 		if !wait.For(ctx, 50*time.Millisecond) {
-			return fmt.Errorf("never came true: %s", what)
+			return fmt.Errorf("timed out waiting until: %s", what)
 		}
 	}
 	return nil
 }
 
 func (g *region) submit(ctx context.Context, s *protocol.Submission) error {
-	g.check.RecordSubmission(s)
+	g.checker.RecordSubmission(s)
 	return g.await(ctx, s.UID+" accepted", func() bool {
-		status, st := g.ask("POST", protocol.PathSubmit, s)
-		g.check.RecordAnswer(s.UID, status, st.State, false)
+		status, st := g.request("POST", protocol.PathSubmit, s)
+		g.checker.RecordAnswer(s.UID, status, st.State, false)
 		return status == 200 || status == 201
 	})
 }
 
 func (g *region) awaitState(ctx context.Context, uid string, state protocol.JobState) error {
 	return g.await(ctx, uid+" "+string(state), func() bool {
-		status, st := g.ask("GET", protocol.PathSubmit+"/"+uid, nil)
-		g.check.RecordAnswer(uid, status, st.State, false)
+		status, st := g.request("GET", protocol.PathSubmit+"/"+uid, nil)
+		g.checker.RecordAnswer(uid, status, st.State, false)
 		return status == 200 && st.State == state
 	})
 }
--- a/internal/faultinjection/trials_test.go
+++ b/internal/faultinjection/trials_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// hold plays groups of trials at the same time, each from a seed of its own, and fails for each that broke something.
-func hold[T any](t *testing.T, groups, trials int, play func(t *testing.T, group uint64) ([]T, error), judge func(t *testing.T, trial T)) {
+// runTrialGroups runs groups of trials in parallel, each with its own seed, and passes each trial to judge.
+func runTrialGroups[T any](t *testing.T, groups, trials int, play func(t *testing.T, group uint64) ([]T, error), judge func(t *testing.T, trial T)) {
 	for i := range uint64(groups) {
 		t.Run(fmt.Sprint(i), func(t *testing.T) {
 			t.Parallel()
--- a/internal/goldentest/goldentest.go
+++ b/internal/goldentest/goldentest.go
@@ -1,7 +1,8 @@
-// Package goldentest compares encoded values with files that are committed beside the tests, in testdata/golden. What
-// controllers tell each other, keep in the state service and on disk, and answer to workers and users outlives the
-// process that wrote it: a changed Go name must not change it, and what an earlier version wrote must be read. The forms
-// may only grow: a golden file is written anew only for a field or a kind that was added, by `go test -run Golden -update`.
+// Package goldentest compares encoded values with golden files in testdata/golden. Messages between controllers,
+// answers to agents and users, and data in the key-value store and on disk outlive the process that wrote them:
+// renaming a Go identifier must not change the encoding, and what an earlier version wrote must remain readable.
+// Encodings may only be extended: rewrite a golden file only for an added field or kind, with
+// `go test -run Golden -update`.
 package goldentest
 
 import (
@@ -16,34 +17,34 @@
 	"topazhollow/internal/protocol"
 )
 
-var update = flag.Bool("update", false, "write the golden files anew instead of comparing with them")
+var update = flag.Bool("update", false, "rewrite the golden files instead of comparing with them")
 
-// directory holds a package's golden files.
+// directory is where a package keeps its golden files.
 var directory = filepath.Join("testdata", "golden")
 
 // Case is a value and the name of its golden file.
 type Case struct {
 	Name  string
 	Value any // not a pointer
-	// Full says that every field is set, at every depth, which is checked: a field left at zero may be missing in the
-	// golden file, which then shows nothing about its name.
+	// Full requires that every field is set at every depth, and Check verifies it. A zero field may be omitted from the
+	// golden file, which then does not pin its name.
 	Full bool
 }
 
-// Form is how values are written and read.
+// Form is an encoding of values.
 type Form struct {
-	Encode func(value any) ([]byte, error) // gets a pointer to the value
+	Encode func(value any) ([]byte, error) // receives a pointer to the value
 	Decode func(data []byte, into any) error
 }
 
-// Wire is the form of the protocol's messages, and of most others.
+// Wire is the encoding of the protocol's messages and of most other data.
 var Wire = Form{
 	Encode: func(value any) ([]byte, error) { return protocol.Encode(value), nil },
 	Decode: protocol.Decode,
 }
 
-// Check compares what each value is written as with its golden file, and checks that what is read from the file is
-// written as the same bytes again. It needs values whose written form has one order.
+// Check compares the encoding of each value with its golden file, and checks that decoding the file and encoding the
+// result gives the same bytes. The encoding must be deterministic.
 func (f Form) Check(t *testing.T, cases []Case) {
 	t.Helper()
 	for _, c := range cases {
@@ -65,16 +66,16 @@
 			}
 			again, err := f.Encode(read.Interface())
 			if err != nil {
-				t.Fatalf("encode what was read: %v", err)
+				t.Fatalf("encode the decoded value: %v", err)
 			}
 			if !bytes.Equal(again, want) {
-				t.Errorf("read and written again:\n%q\nwant\n%q", again, want)
+				t.Errorf("decoded and encoded again:\n%q\nwant\n%q", again, want)
 			}
 		})
 	}
 }
 
-// Bytes compares bytes with a golden file, whose content it returns.
+// Bytes compares bytes with a golden file and returns the file's content.
 func Bytes(t testing.TB, name string, got []byte) []byte {
 	t.Helper()
 	want := Sample(t, name, got)
@@ -84,8 +85,8 @@
 	return want
 }
 
-// Sample returns the content of a golden file without comparing it, for a form that may be written in several ways and need
-// only be read. What is written today goes into the file when it is written anew.
+// Sample returns the content of a golden file without comparing it, for data that has several valid encodings and only
+// needs to be decoded. With -update it first writes the current encoding to the file.
 func Sample(t testing.TB, name string, today []byte) []byte {
 	t.Helper()
 	if *update {
@@ -99,7 +100,7 @@
 	return Read(t, name)
 }
 
-// Read reads a golden file.
+// Read returns the content of a golden file.
 func Read(t testing.TB, name string) []byte {
 	t.Helper()
 	data, err := os.ReadFile(filepath.Join(directory, name))
@@ -117,7 +118,7 @@
 	}
 }
 
-// unset lists the zero fields of a value.
+// unset returns the paths of a value's exported zero fields.
 func unset(v reflect.Value, path string) (paths []string) {
 	switch v.Kind() {
 	case reflect.Pointer, reflect.Interface:
@@ -149,7 +150,7 @@
 	return paths
 }
 
-// empty says whether a value is zero or has no elements.
+// empty reports whether a value is zero or has no elements.
 func empty(v reflect.Value) bool {
 	if v.Kind() == reflect.Slice || v.Kind() == reflect.Map {
 		return v.Len() == 0
@@ -157,7 +158,7 @@
 	return v.IsZero()
 }
 
-// Submission is a job with every field set.
+// Submission returns a job submission with every field set.
 func Submission() *protocol.Submission {
 	zone, deadline := "a", 900.5
 	return &protocol.Submission{UID: "job-000412", Class: "train", Team: "vision", Kind: protocol.Gang, Priority: "high", Tasks: 16,
--- a/internal/goldentest/goldentest_test.go
+++ b/internal/goldentest/goldentest_test.go
@@ -21,7 +21,7 @@
 	private int
 }
 
-// TestUnset shows that a field left at zero is found at every depth.
+// TestUnset: zero fields must be found at every depth.
 func TestUnset(t *testing.T) {
 	full := sample{inner: inner{"a"}, Count: 1, Pointer: &inner{"b"}, List: []inner{{"c"}}, Map: map[string]int{"d": 1}}
 	AllSet(t, full)
@@ -33,7 +33,7 @@
 	}
 }
 
-// recorder takes a failed comparison in place of the test.
+// recorder records a failed comparison instead of failing the test.
 type recorder struct {
 	testing.TB
 	failed bool
@@ -42,7 +42,7 @@
 func (r *recorder) Helper()               {}
 func (r *recorder) Errorf(string, ...any) { r.failed = true }
 
-// TestBytes shows that other bytes than the file's fail, and that comparing does not write.
+// TestBytes: bytes that differ from the file must fail the test, and comparing must not write the file.
 func TestBytes(t *testing.T) {
 	writes := *update
 	*update = false
--- a/internal/goldentest/service.go
+++ b/internal/goldentest/service.go
@@ -9,17 +9,17 @@
 	"testing"
 )
 
-// Service stands for a service of the region: it answers by method and path, and notes what it was asked.
+// Service simulates an HTTP service: it answers by method and path, and records the requests.
 type Service struct {
-	// Addr is where it listens, until the test ends.
+	// Addr is the address on which the service listens until the test ends.
 	Addr string
 
 	mu       sync.Mutex
 	requests []byte
 }
 
-// NewService opens a service. An answer is the body for a method and a path, as in "GET /catalog"; anything else is answered
-// with an empty object. The status is always 200.
+// NewService starts a service. The keys of answers are a method and a path, as in "GET /catalog", the values are
+// bodies. All other requests are answered with an empty object. The status is always 200.
 func NewService(t testing.TB, answers map[string]string) *Service {
 	t.Helper()
 	s := &Service{}
@@ -44,7 +44,7 @@
 	return s
 }
 
-// Requests are those received so far: method and target on a line, the body on the next.
+// Requests returns the requests received so far: method and target on one line, the body on the next.
 func (s *Service) Requests() []byte {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/loadtest/config.go
+++ b/internal/loadtest/config.go
@@ -1,8 +1,7 @@
-// Package loadtest measures how the controllers' cost grows with the fleet: it runs real
-// controller processes on this machine against thousands of simulated agents, which speak
-// the agents' protocol and run nothing, and against stand-ins for the key-value store, the
-// cloud and the users. One run plays one experiment and gives one Result; several results
-// give slopes.
+// Package loadtest measures how the controllers' cost grows with the fleet. It runs real controller processes on this
+// machine against thousands of simulated agents, which implement the agent protocol but execute nothing, and against
+// simulations of the key-value store, the cloud and the users. One run executes one experiment and produces one Result;
+// several results are fitted to slopes.
 package loadtest
 
 import (
@@ -13,39 +12,39 @@
 
 // Config describes an experiment.
 type Config struct {
-	Seed              uint64  `toml:"seed" json:"seed"`                               // draws zones, teams and run times
-	Duration          float64 `toml:"duration_s" json:"duration_s"`                   // measured time, after the region has settled
-	SettleTimeout            float64 `toml:"settle_s" json:"settle_s"`                       // the most that settling may take
+	Seed              uint64  `toml:"seed" json:"seed"`                               // of all random choices
+	Duration          float64 `toml:"duration_s" json:"duration_s"`                   // measuring time, after the region has settled
+	SettleTimeout     float64 `toml:"settle_s" json:"settle_s"`                       // limit for settling
 	Controllers       int     `toml:"controllers" json:"controllers"`                 //
-	Agents           int     `toml:"workers" json:"workers"`                         //
-	AgentsPerProcess int     `toml:"workers_per_process" json:"workers_per_process"` //
+	Agents            int     `toml:"workers" json:"workers"`                         //
+	AgentsPerProcess  int     `toml:"workers_per_process" json:"workers_per_process"` //
 	Zones             int     `toml:"zones" json:"zones"`                             //
 	Teams             int     `toml:"teams" json:"teams"`                             //
-	TasksPerAgent    float64 `toml:"tasks_per_worker" json:"tasks_per_worker"`       // replicas of services, which run throughout
-	StartsPerSecond   float64 `toml:"starts_per_s" json:"starts_per_s"`               // of tasks of arrays, beside them
+	TasksPerAgent     float64 `toml:"tasks_per_worker" json:"tasks_per_worker"`       // service replicas, which run during the whole experiment
+	StartsPerSecond   float64 `toml:"starts_per_s" json:"starts_per_s"`               // of array tasks, in addition to the services
 	TasksPerJob       int     `toml:"tasks_per_job" json:"tasks_per_job"`             // of an array
 	TaskRun           float64 `toml:"task_run_s" json:"task_run_s"`                   // mean run time of an array's task
-	TeamHeadroom          float64 `toml:"team_room" json:"team_room"`                     // a team's limit beyond its services, in times of what its arrays take on average
-	UrgentShare       float64 `toml:"urgent_share" json:"urgent_share"`               // of the arrays
-	UrgentWithin      float64 `toml:"urgent_within_s" json:"urgent_within_s"`         // objective for their starts
-	HeartbeatInterval            float64 `toml:"report_s" json:"report_s"`                       // period of an agent's reports
-	AgentLease       float64 `toml:"worker_lease_s" json:"worker_lease_s"`           //
+	TeamHeadroom      float64 `toml:"team_room" json:"team_room"`                     // a team's limit beyond its services, as a multiple of its arrays' mean use
+	UrgentShare       float64 `toml:"urgent_share" json:"urgent_share"`               // share of the arrays in the urgent class
+	UrgentWithin      float64 `toml:"urgent_within_s" json:"urgent_within_s"`         // objective for the start of urgent tasks
+	HeartbeatInterval float64 `toml:"report_s" json:"report_s"`                       // between an agent's heartbeats
+	AgentLease        float64 `toml:"worker_lease_s" json:"worker_lease_s"`           //
 	Cancel            float64 `toml:"cancel_s" json:"cancel_s"`                       //
-	CountPeerLines    bool    `toml:"count_peer_lines" json:"count_peer_lines"`       // lines between controllers pass a counter
+	CountPeerLines    bool    `toml:"count_peer_lines" json:"count_peer_lines"`       // route controller-to-controller connections through a counting proxy
 
 	Faults Faults `toml:"faults" json:"faults"`
 	Store  Store  `toml:"store" json:"store"`
 	Limits Limits `toml:"limits" json:"limits"`
 }
 
-// Faults are troubles at seconds of the measured time; 0 stands for none.
+// Faults are faults to inject, in seconds after measuring began; 0: none.
 type Faults struct {
-	KillOneAt float64 `toml:"controller_ends_s" json:"controller_ends_s"` // the first controller is killed
-	KillAllAt         float64 `toml:"all_end_s" json:"all_end_s"`                 // all controllers are killed
-	RestartAfter           float64 `toml:"back_after_s" json:"back_after_s"`           // those killed start again after this
+	KillOneAt    float64 `toml:"controller_ends_s" json:"controller_ends_s"` // the first controller is killed
+	KillAllAt    float64 `toml:"all_end_s" json:"all_end_s"`                 // all controllers are killed
+	RestartAfter float64 `toml:"back_after_s" json:"back_after_s"`           // delay until killed controllers are restarted
 }
 
-// Store is the limits of the key-value store, which all controllers share.
+// Store holds the limits of the key-value store, which all controllers share.
 type Store struct {
 	RPS      float64 `toml:"rps" json:"rps"`
 	WriteRPS float64 `toml:"write_rps" json:"write_rps"`
@@ -53,16 +52,16 @@
 	TxnOps   int     `toml:"txn_ops" json:"txn_ops"`
 }
 
-// Limits bound the run itself and what each controller is told it may use.
+// Limits bound the run itself and set the resource limits in each controller's settings.
 type Limits struct {
-	Processes          int     `toml:"processes" json:"processes"`                       // that the run may start
-	MemoryMB           float64 `toml:"memory_mb" json:"memory_mb"`                       // of all processes together; the run ends above
-	Seconds            float64 `toml:"seconds" json:"seconds"`                           // the run ends after this
+	Processes          int     `toml:"processes" json:"processes"`                       // controllers and agent processes together
+	MemoryMB           float64 `toml:"memory_mb" json:"memory_mb"`                       // of all processes together; the run aborts beyond it
+	Seconds            float64 `toml:"seconds" json:"seconds"`                           // the run aborts after this time
 	ControllerMemoryMB float64 `toml:"controller_memory_mb" json:"controller_memory_mb"` // limits.memory_mb of its settings
 	ControllerSockets  int     `toml:"controller_sockets" json:"controller_sockets"`     // limits.max_sockets of its settings
 }
 
-// Default is an experiment that a newcomer's machine carries in under two minutes.
+// Default returns a small experiment that an ordinary machine completes in under two minutes.
 func Default() *Config {
 	return &Config{
 		Seed: 1, Duration: 30, SettleTimeout: 40, Controllers: 3, Agents: 500, AgentsPerProcess: 2500, Zones: 23, Teams: 8,
@@ -74,7 +73,7 @@
 	}
 }
 
-// Load reads an experiment from a TOML file over the defaults. Errors name file and field.
+// Load reads an experiment from a TOML file; missing fields keep their defaults. Errors name the file and the field.
 func Load(path string) (*Config, error) {
 	c := Default()
 	if path == "" {
@@ -89,10 +88,10 @@
 	return c, nil
 }
 
-// String is the experiment as a file.
+// String formats the experiment as a TOML file.
 func (c *Config) String() string { return tomlfile.String(c) }
 
-// Check says which field is out of range and what was expected.
+// Check returns an error that names the first field out of range and the expected range.
 func (c *Config) Check() error {
 	in := tomlfile.In
 	err := tomlfile.CheckBounds(
@@ -129,29 +128,29 @@
 		return err
 	}
 	if need := c.Controllers + c.processes(); need > c.Limits.Processes {
-		return fmt.Errorf("field limits.processes: %d is too few, %d controllers and %d processes of workers need %d", c.Limits.Processes, c.Controllers, c.processes(), need)
+		return fmt.Errorf("field limits.processes: %d is too few, %d controllers and %d agent processes need %d", c.Limits.Processes, c.Controllers, c.processes(), need)
 	}
 	return nil
 }
 
-// processes is how many processes hold the agents.
+// processes returns the number of agent processes.
 func (c *Config) processes() int {
 	return (c.Agents + c.AgentsPerProcess - 1) / c.AgentsPerProcess
 }
 
-// standing is how many tasks run throughout.
-func (c *Config) standing() int { return int(float64(c.Agents) * c.TasksPerAgent) }
+// serviceTasks returns the number of service replicas.
+func (c *Config) serviceTasks() int { return int(float64(c.Agents) * c.TasksPerAgent) }
 
-// passing is how many tasks of arrays run at a time, on average.
-func (c *Config) passing() float64 { return c.StartsPerSecond * c.TaskRun }
+// meanArrayTasks returns how many array tasks run at the same time on average.
+func (c *Config) meanArrayTasks() float64 { return c.StartsPerSecond * c.TaskRun }
 
-// machineCores is the size of a machine: room for what stands and three times what passes.
+// machineCores returns the cores of a machine: enough for its services and three times its mean array tasks.
 func (c *Config) machineCores() float64 {
-	return float64(int(c.TasksPerAgent)) + 3 + float64(int(3*c.passing()/float64(c.Agents)))
+	return float64(int(c.TasksPerAgent)) + 3 + float64(int(3*c.meanArrayTasks()/float64(c.Agents)))
 }
 
-// teamLimit is a team's limit in cores, of which every task takes one.
+// teamLimit returns a team's limit in cores. Every task takes one core.
 func (c *Config) teamLimit() float64 {
-	spread := max(c.TeamHeadroom*c.passing()/float64(c.Teams), 2*float64(c.TasksPerJob))
-	return float64(c.standing()/c.Teams+1) + spread
+	headroom := max(c.TeamHeadroom*c.meanArrayTasks()/float64(c.Teams), 2*float64(c.TasksPerJob))
+	return float64(c.serviceTasks()/c.Teams+1) + headroom
 }
--- a/internal/loadtest/events.go
+++ b/internal/loadtest/events.go
@@ -7,27 +7,27 @@
 	"time"
 )
 
-// Event is a task that got onto a machine or left it.
+// Event is the start of a task on a machine or its end.
 type Event struct {
-	At      int64  `json:"at"` // time of day, ns
+	At      int64  `json:"at"` // Unix time, ns
 	Start   bool   `json:"start,omitempty"`
 	Task    string `json:"task"`
 	Machine string `json:"machine"`
-	Done    bool   `json:"done,omitempty"` // it left because it completed
+	Done    bool   `json:"done,omitempty"` // an end because the task completed
 }
 
-// Counts are what agents sent and got since their process began.
+// Counts are the messages of a process's agents since the process started.
 type Counts struct {
-	Heartbeats      int64 `json:"reports"`
-	Answered     int64 `json:"answered"` // with 200
-	Redirected        int64 `json:"moved"`    // sent to another controller
-	Failed       int64 `json:"failed"`   // any other status, or none
-	Expired      int64 `json:"expired"`  // leases of agents that ended
-	HeartbeatBytes  int64 `json:"report_bytes"`
-	AnswerBytes  int64 `json:"answer_bytes"`
-	Commands     int64 `json:"commands"` // direct requests with commands
-	CommandBytes int64 `json:"command_bytes"`
-	ResultBytes  int64 `json:"result_bytes"` // of their answers
+	Heartbeats     int64 `json:"reports"`
+	Answered       int64 `json:"answered"` // with 200
+	Redirected     int64 `json:"moved"`    // redirected to another controller
+	Failed         int64 `json:"failed"`   // any other status, or no answer
+	Expired        int64 `json:"expired"`  // agents' leases
+	HeartbeatBytes int64 `json:"report_bytes"`
+	AnswerBytes    int64 `json:"answer_bytes"`
+	Commands       int64 `json:"commands"` // direct requests with commands
+	CommandBytes   int64 `json:"command_bytes"`
+	ResultBytes    int64 `json:"result_bytes"` // of the answers to commands
 }
 
 func (c *Counts) add(o Counts, sign int64) {
@@ -43,80 +43,80 @@
 	c.ResultBytes += sign * o.ResultBytes
 }
 
-// Batch is what a process of agents tells since its last one.
+// Batch is what happened in an agent process since its previous batch.
 type Batch struct {
-	Until   int64   `json:"until"` // all events before this moment are told
-	Events  []Event `json:"events,omitempty"`
-	Counts  Counts  `json:"counts"`
-	Latencies   []int64 `json:"waits,omitempty"` // from a report to its answer, µs
-	Connected   int     `json:"homed"`           // agents whose last report was answered
-	Removed int     `json:"removed"`         // machines taken away so far
+	Until     int64   `json:"until"` // all events before this time have been reported
+	Events    []Event `json:"events,omitempty"`
+	Counts    Counts  `json:"counts"`
+	Latencies []int64 `json:"waits,omitempty"` // from a heartbeat to its answer, µs
+	Connected int     `json:"homed"`           // agents whose last heartbeat was answered
+	Removed   int     `json:"removed"`         // machines removed so far
 }
 
-// batchEvery is how often a process of agents tells a batch.
-const batchEvery = 200 * time.Millisecond
+// batchInterval is how often an agent process writes a batch.
+const batchInterval = 200 * time.Millisecond
 
-// recorder collects what a process of agents tells.
+// recorder collects an agent process's next batch.
 type recorder struct {
-	mu      sync.Mutex
-	next    Batch
-	counts  Counts
-	homed   int
-	removed int
+	mu        sync.Mutex
+	next      Batch
+	counts    Counts
+	connected int
+	removed   int
 }
 
-func (r *recorder) event(start bool, task, machine string, done bool) {
+func (r *recorder) recordEvent(start bool, task, machine string, done bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.next.Events = append(r.next.Events, Event{At: time.Now().UnixNano(), Start: start, Task: task, Machine: machine, Done: done})
 }
 
-func (r *recorder) count(c Counts) {
+func (r *recorder) addCounts(c Counts) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.counts.add(c, 1)
 }
 
-func (r *recorder) waited(d time.Duration) {
+func (r *recorder) recordLatency(d time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.next.Latencies = append(r.next.Latencies, d.Microseconds())
 }
 
-func (r *recorder) home(by int) {
+func (r *recorder) addConnected(by int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.homed += by
+	r.connected += by
 }
 
-func (r *recorder) remove() {
+func (r *recorder) countRemoved() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.removed++
 }
 
-// take gives the batch up to now and begins the next.
-func (r *recorder) take() Batch {
+// takeBatch returns the batch up to now and begins the next.
+func (r *recorder) takeBatch() Batch {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	b := r.next
-	b.Until, b.Counts, b.Connected, b.Removed = time.Now().UnixNano(), r.counts, r.homed, r.removed
+	b.Until, b.Counts, b.Connected, b.Removed = time.Now().UnixNano(), r.counts, r.connected, r.removed
 	r.next = Batch{}
 	return b
 }
 
-// tell writes batches until stopped, and one more then.
-func (r *recorder) tell(w io.Writer, stop <-chan struct{}) error {
+// writeBatches writes batches until stop closes, and then a last one.
+func (r *recorder) writeBatches(w io.Writer, stop <-chan struct{}) error {
 	out := json.NewEncoder(w)
-	ticker := time.NewTicker(batchEvery)
+	ticker := time.NewTicker(batchInterval)
 	defer ticker.Stop()
 	for {
 		select {
 		case <-ticker.C:
 		case <-stop:
-			return out.Encode(r.take())
+			return out.Encode(r.takeBatch())
 		}
-		if err := out.Encode(r.take()); err != nil {
+		if err := out.Encode(r.takeBatch()); err != nil {
 			return err
 		}
 	}
--- a/internal/loadtest/jobname.go
+++ b/internal/loadtest/jobname.go
@@ -7,19 +7,19 @@
 	"time"
 )
 
-// jobName is what a job's id tells, so that simulated agents need no description of it.
+// jobName is what a job's ID encodes, so that simulated agents need no job specification.
 type jobName struct {
 	Number int
 	Team   int
 	Run    time.Duration // of each task; 0: until it is stopped
 }
 
-// String is the id.
+// String returns the job's ID.
 func (n jobName) String() string {
 	return fmt.Sprintf("job-%06d-t%d-r%d", n.Number, n.Team, n.Run.Milliseconds())
 }
 
-// parseJobName reads an id; ok is false for one of another form.
+// parseJobName parses a job's ID; ok is false if it has another form.
 func parseJobName(uid string) (n jobName, ok bool) {
 	parts := strings.Split(uid, "-")
 	if len(parts) != 4 || parts[0] != "job" || !strings.HasPrefix(parts[2], "t") || !strings.HasPrefix(parts[3], "r") {
@@ -34,14 +34,14 @@
 	return jobName{number, team, time.Duration(run) * time.Millisecond}, true
 }
 
-// teamName is a team's name.
+// teamName returns the name of team i.
 func teamName(i int) string { return fmt.Sprintf("team-%03d", i) }
 
-// zoneName is a zone's name.
+// zoneName returns the name of zone i.
 func zoneName(i int) string { return fmt.Sprintf("zone-%02d", i) }
 
-// machineName is a machine's name.
+// machineName returns the name of machine i.
 func machineName(i int) string { return fmt.Sprintf("n-%06d", i) }
 
-// machineType is the one type of machine that the stand-in for the cloud has.
+// machineType is the only machine type of the simulated cloud.
 const machineType = "hollow"
--- a/internal/loadtest/loadtest_test.go
+++ b/internal/loadtest/loadtest_test.go
@@ -14,7 +14,7 @@
 	"topazhollow/internal/loadtest"
 )
 
-// TestMain lets the tests' program be the command topazhollowctl for the processes that a run starts.
+// TestMain runs the test binary as topazhollowctl in the processes that a run starts.
 func TestMain(m *testing.M) {
 	if len(os.Args) > 1 && slices.Contains([]string{"controller", loadtest.PoolCommand}, os.Args[1]) {
 		os.Exit(cli.Main(context.Background(), os.Args[1:], os.Stdout, os.Stderr))
@@ -22,7 +22,7 @@
 	os.Exit(m.Run())
 }
 
-func small() *loadtest.Config {
+func smallConfig() *loadtest.Config {
 	c := loadtest.Default()
 	c.Agents, c.AgentsPerProcess, c.Teams, c.Zones = 30, 20, 3, 5
 	c.HeartbeatInterval, c.StartsPerSecond, c.TasksPerJob, c.TaskRun = 0.5, 20, 5, 0.5
@@ -30,21 +30,21 @@
 	return c
 }
 
-func play(t *testing.T, c *loadtest.Config) *loadtest.Result {
+func runExperiment(t *testing.T, c *loadtest.Config) *loadtest.Result {
 	t.Helper()
 	r, err := loadtest.Run(t.Context(), c, loadtest.Options{Program: os.Args[0], Controller: []string{os.Args[0], "controller"}, Dir: t.TempDir(), Out: io.Discard})
 	if err != nil {
-		t.Fatalf("%v; so far %+v", err, r)
+		t.Fatalf("%v; partial result %+v", err, r)
 	}
 	return r
 }
 
-// TestRun: a small run of three real controllers and two processes of agents, in which one
-// controller is killed, measures every part, breaks no rule and gives a page.
+// TestRun executes a small run of three real controllers and two agent processes, in which one controller is killed. It
+// must measure every part, break no rule and render a page.
 func TestRun(t *testing.T) {
-	c := small()
+	c := smallConfig()
 	c.Faults.KillOneAt, c.Faults.RestartAfter = 1, 1
-	r := play(t, c)
+	r := runExperiment(t, c)
 	if r.BrokenCount > 0 || !r.Settled || r.Starts == 0 || r.Heartbeats == 0 || len(r.Controllers) != 3 || len(r.AgentProcesses) != 2 || r.MachinesReturned > 0 {
 		t.Fatalf("%+v", r)
 	}
@@ -67,9 +67,9 @@
 	}
 }
 
-// TestLimit: a run that holds more memory than it may ends by itself and says so.
-func TestLimit(t *testing.T) {
-	c := small()
+// TestMemoryLimit: a run that exceeds its memory limit must be aborted and name the limit.
+func TestMemoryLimit(t *testing.T) {
+	c := smallConfig()
 	c.Limits.MemoryMB, c.Duration = 64, 60
 	r, err := loadtest.Run(t.Context(), c, loadtest.Options{Program: os.Args[0], Controller: []string{os.Args[0], "controller"}, Dir: t.TempDir(), Out: io.Discard})
 	if err == nil || r == nil || !strings.Contains(r.Stopped, "memory_mb") {
@@ -77,9 +77,9 @@
 	}
 }
 
-// TestWrongFields: a mistake in an experiment's file is told with file, field and what was
-// expected, by the command too, with exit code 2.
-func TestWrongFields(t *testing.T) {
+// TestInvalidConfig: an invalid experiment file must make the command exit with code 2 and name the file, the field and
+// the expected value.
+func TestInvalidConfig(t *testing.T) {
 	for text, wanted := range map[string]string{
 		"workers = 0":                   "field workers: 0 is not between 1 and 50000",
 		"wrokers = 5":                   "field wrokers: no such field",
@@ -99,7 +99,7 @@
 	}
 }
 
-// TestPrintConfig: what --print-config prints is an experiment's file with every default.
+// TestPrintConfig: the output of --print-config must be an experiment file with all defaults.
 func TestPrintConfig(t *testing.T) {
 	var out, errs bytes.Buffer
 	if code := cli.Main(t.Context(), []string{"rehearse", "scale", "--print-config"}, &out, &errs); code != 0 {
--- a/internal/loadtest/page.go
+++ b/internal/loadtest/page.go
@@ -15,14 +15,14 @@
 )
 
 var page = template.Must(template.New("page").Parse(`<!doctype html>
-<html lang="en"><head><meta charset="utf-8"><title>Scale run</title>
+<html lang="en"><head><meta charset="utf-8"><title>Load test</title>
 <style>body{font:15px/1.5 system-ui,sans-serif;max-width:64rem;margin:2rem auto;padding:0 1rem;color:#222}
 table{border-collapse:collapse}td,th{border-bottom:1px solid #ddd;padding:.2rem .8rem;text-align:left}
 .bad{color:#a00}svg{max-width:100%;height:auto}pre{white-space:pre-wrap}</style></head><body>
-<h1>Scale run</h1>
-<p>Real controllers on one machine, with hollow workers and stand-ins for the state service, the cloud and the users.</p>
-{{range .Results}}<h2>{{.Config.Agents}} workers, {{.Config.Controllers}} controllers, {{.Config.Teams}} teams</h2>
-{{if .Stopped}}<p class="bad">It ended before its time: {{.Stopped}}</p>{{end}}
+<h1>Load test</h1>
+<p>Real controllers on one machine, with simulated agents, key-value store, cloud and users.</p>
+{{range .Results}}<h2>{{.Config.Agents}} agents, {{.Config.Controllers}} controllers, {{.Config.Teams}} teams</h2>
+{{if .Stopped}}<p class="bad">The run was aborted: {{.Stopped}}</p>{{end}}
 {{if .BrokenCount}}<p class="bad">{{.BrokenCount}} rules broken: {{range .Broken}}{{.}}; {{end}}</p>{{else}}<p>No rule was broken.</p>{{end}}
 <pre>{{.Summary}}</pre>
 <table><tr><th>process</th><th>cores</th><th>MB</th><th>open files</th><th>bytes/s read</th><th>bytes/s written</th></tr>
@@ -37,29 +37,28 @@
 {{define "use"}}<tr><td>{{.Name}}</td><td>{{printf "%.3f" .Cores}}</td><td>{{printf "%.0f" .Memory}}</td><td>{{.Files}}</td><td>{{printf "%.0f" .In}}</td><td>{{printf "%.0f" .Out}}</td></tr>{{end}}
 `))
 
-// drawn is a slope with its plot.
-type drawn struct {
+// plottedSlope is a slope with its plot.
+type plottedSlope struct {
 	Slope Slope
 	Plot  template.HTML
 }
 
-// WritePage writes results as one page that fetches nothing; slopes are in it if there are
-// several results.
+// WritePage writes results as a self-contained HTML page, with slopes if there are several results.
 func WritePage(w io.Writer, results []*Result, over Axis) error {
-	var slopes []drawn
+	var slopes []plottedSlope
 	if len(results) > 1 {
 		for _, s := range Slopes(results, over) {
 			svg, err := s.plot(over)
 			if err != nil {
 				return err
 			}
-			slopes = append(slopes, drawn{s, svg})
+			slopes = append(slopes, plottedSlope{s, svg})
 		}
 	}
 	return page.Execute(w, map[string]any{"Results": results, "Slopes": slopes})
 }
 
-// plot draws a slope's points and its line.
+// plot draws a slope's points and fitted line as SVG.
 func (s *Slope) plot(over Axis) (template.HTML, error) {
 	p := plot.New()
 	p.X.Label.Text, p.Y.Label.Text = string(over), s.Unit
@@ -87,7 +86,7 @@
 	}
 	at := bytes.Index(b.Bytes(), []byte("<svg"))
 	if at < 0 {
-		return "", fmt.Errorf("scale: the plot is no SVG")
+		return "", fmt.Errorf("loadtest: the rendered plot contains no <svg element")
 	}
 	return template.HTML(b.Bytes()[at:]), nil
 }
--- a/internal/loadtest/pool.go
+++ b/internal/loadtest/pool.go
@@ -16,53 +16,53 @@
 	"topazhollow/internal/settings"
 )
 
-// PoolConfig is the first line that a process of agents reads.
+// PoolConfig configures an agent process. It is the first line of the process's input.
 type PoolConfig struct {
-	Seed   uint64   `json:"seed"`
-	IP     string   `json:"ip"`    // loopback address that the agents listen on
-	First  int      `json:"first"` // number of the first agent
-	Count  int      `json:"count"`
-	Zones  int      `json:"zones"`
-	Names  []string `json:"names"` // of the controllers
-	Addrs  []string `json:"addrs"` // of the controllers, in the same order
+	Seed             uint64   `json:"seed"`
+	IP               string   `json:"ip"`    // loopback address that the agents listen on
+	First            int      `json:"first"` // number of the first agent
+	Count            int      `json:"count"`
+	Zones            int      `json:"zones"`
+	Names            []string `json:"names"` // of the controllers
+	Addrs            []string `json:"addrs"` // of the controllers, in the same order
 	HeartbeatSeconds float64  `json:"report_s"`
-	LeaseSeconds  float64  `json:"lease_s"`
+	LeaseSeconds     float64  `json:"lease_s"`
 }
 
-// PoolReady is the first line that a process of agents writes: its machines are up.
+// PoolReady is the first line that an agent process writes, once its machines are up.
 type PoolReady struct {
 	Machines []protocol.Host `json:"machines"`
 }
 
-// PoolOrder is each further line that it reads. The end of its input ends the process.
+// PoolRequest is each further line of an agent process's input. The process exits at the end of its input.
 type PoolRequest struct {
-	Remove []string `json:"remove"` // machines to take away
+	Remove []string `json:"remove"` // machines to remove
 }
 
-// pool is many simulated agents in one process.
+// pool runs many simulated agents in one process.
 type pool struct {
-	names, addrs  []string
-	report, lease time.Duration
-	rec           recorder
+	names, addrs             []string
+	heartbeatInterval, lease time.Duration
+	recorder                 recorder
 
 	byAddr map[string]*simulatedAgent
 	byName map[string]*simulatedAgent
 }
 
-// Work is the main function of a process of agents: it reads its configuration and orders
-// from in, and writes what happens to out, until in or the context ends.
+// RunAgentPool is the main function of an agent process. It reads its configuration and requests from in and writes
+// batches of events to out, until in or the context ends.
 func RunAgentPool(ctx context.Context, in io.Reader, out io.Writer) error {
 	lines := bufio.NewReader(in)
 	decoder := json.NewDecoder(lines)
 	var c PoolConfig
 	if err := decoder.Decode(&c); err != nil {
-		return fmt.Errorf("scale: configuration of a process of workers: %w", err)
+		return fmt.Errorf("loadtest: read the configuration of an agent process: %w", err)
 	}
-	p := &pool{names: c.Names, addrs: c.Addrs, report: settings.Seconds(c.HeartbeatSeconds), lease: settings.Seconds(c.LeaseSeconds),
+	p := &pool{names: c.Names, addrs: c.Addrs, heartbeatInterval: settings.Seconds(c.HeartbeatSeconds), lease: settings.Seconds(c.LeaseSeconds),
 		byAddr: map[string]*simulatedAgent{}, byName: map[string]*simulatedAgent{}}
 	server := &http.Server{Handler: http.HandlerFunc(p.serve), ReadHeaderTimeout: time.Minute, IdleTimeout: 2 * time.Minute}
 	defer server.Close()
-	ready, err := p.open(&c, server)
+	ready, err := p.listen(&c, server)
 	if err != nil {
 		return err
 	}
@@ -74,16 +74,16 @@
 	for _, h := range p.byName {
 		go h.run(ctx)
 	}
-	stop, told := make(chan struct{}), make(chan error, 1)
-	go func() { told <- p.rec.tell(out, stop) }()
-	go p.obey(decoder, cancel)
+	stop, written := make(chan struct{}), make(chan error, 1)
+	go func() { written <- p.recorder.writeBatches(out, stop) }()
+	go p.handleRequests(decoder, cancel)
 	<-ctx.Done()
 	close(stop)
-	return <-told
+	return <-written
 }
 
-// open starts to listen for each agent.
-func (p *pool) open(c *PoolConfig, server *http.Server) (*PoolReady, error) {
+// listen creates the agents and starts to listen on an address for each.
+func (p *pool) listen(c *PoolConfig, server *http.Server) (*PoolReady, error) {
 	ready := &PoolReady{}
 	for i := c.First; i < c.First+c.Count; i++ {
 		l, err := net.Listen("tcp4", net.JoinHostPort(c.IP, "0"))
@@ -91,16 +91,16 @@
 			return nil, err
 		}
 		h := &simulatedAgent{pool: p, name: machineName(i), zone: zoneName(i % c.Zones), addr: l.Addr().String(), listener: l,
-			rng: rand.New(rand.NewPCG(c.Seed, uint64(i))), wake: make(chan struct{}, 1), session: 1, alive: time.Now(), timers: map[string]*time.Timer{}}
+			rng: rand.New(rand.NewPCG(c.Seed, uint64(i))), wake: make(chan struct{}, 1), incarnation: 1, lastAnswered: time.Now(), timers: map[string]*time.Timer{}}
 		p.byAddr[h.addr], p.byName[h.name] = h, h
 		ready.Machines = append(ready.Machines, protocol.Host{UID: h.name, Addr: h.addr, Type: machineType, Zone: h.zone, State: protocol.HostRunning})
-		go func() { _ = server.Serve(l) }() // ends with the machine or the server
+		go func() { _ = server.Serve(l) }() // returns when the machine is removed or the server closes
 	}
 	return ready, nil
 }
 
-// obey carries out orders until there are no more.
-func (p *pool) obey(in *json.Decoder, cancel context.CancelFunc) {
+// handleRequests executes requests until the input ends.
+func (p *pool) handleRequests(in *json.Decoder, cancel context.CancelFunc) {
 	defer cancel()
 	for {
 		var o PoolRequest
@@ -115,7 +115,7 @@
 	}
 }
 
-// serve passes a request to the agent at whose address it arrived.
+// serve dispatches an HTTP request to the agent that owns the local address.
 func (p *pool) serve(w http.ResponseWriter, r *http.Request) {
 	addr, ok := r.Context().Value(http.LocalAddrContextKey).(net.Addr)
 	if !ok {
@@ -127,13 +127,13 @@
 	case h == nil:
 		http.NotFound(w, r)
 	case r.URL.Path == protocol.PathCommands && r.Method == http.MethodPost:
-		h.do(w, r)
+		h.handleCommands(w, r)
 	case r.URL.Path == protocol.PathInspect:
-		h.inspect(w)
+		h.handleInspect(w)
 	default:
 		http.NotFound(w, r)
 	}
 }
 
-// errPool says that a process of agents ended by itself.
-var errPool = errors.New("scale: a process of workers ended")
+// errAgentProcess reports that an agent process exited unexpectedly.
+var errAgentProcess = errors.New("loadtest: an agent process exited unexpectedly")
--- a/internal/loadtest/procfs.go
+++ b/internal/loadtest/procfs.go
@@ -10,11 +10,10 @@
 	"time"
 )
 
-// ticksPerSecond is the unit of processor time in /proc (proc(5)): always 100 for programs
-// on Linux.
+// ticksPerSecond is USER_HZ, the unit of processor time in /proc (proc(5)); it is always 100 on Linux.
 const ticksPerSecond = 100
 
-// ProcessSample is what a process had used at a moment.
+// ProcessSample is a process's resource use at one moment.
 type ProcessSample struct {
 	CPU     float64 // seconds of processor time
 	Memory  float64 // resident, MB
@@ -22,57 +21,56 @@
 	In, Out float64 // bytes read and written, sockets included
 }
 
-// sampleProcess reads what a process has used so far. A process that is gone has used nothing.
+// sampleProcess reads a process's resource use so far. It returns zeros for a process that has exited.
 func sampleProcess(pid int) ProcessSample {
 	dir := filepath.Join("/proc", strconv.Itoa(pid))
 	var s ProcessSample
 	stat, _ := os.ReadFile(filepath.Join(dir, "stat")) // gone: zeros
-	// After the name, which may hold anything and ends with the last parenthesis.
+	// The fields follow the process name, which may contain any character and ends with the last parenthesis.
 	if fields := strings.Fields(string(stat[bytes.LastIndexByte(stat, ')')+1:])); len(fields) > 12 {
-		s.CPU = (number(fields[11]) + number(fields[12])) / ticksPerSecond
+		s.CPU = (parseNumber(fields[11]) + parseNumber(fields[12])) / ticksPerSecond
 	}
-	s.Memory = field(filepath.Join(dir, "status"), "VmRSS:") / 1024
-	s.In, s.Out = field(filepath.Join(dir, "io"), "rchar:"), field(filepath.Join(dir, "io"), "wchar:")
+	s.Memory = readField(filepath.Join(dir, "status"), "VmRSS:") / 1024
+	s.In, s.Out = readField(filepath.Join(dir, "io"), "rchar:"), readField(filepath.Join(dir, "io"), "wchar:")
 	if fds, err := os.ReadDir(filepath.Join(dir, "fd")); err == nil {
 		s.Files = len(fds)
 	}
 	return s
 }
 
-// number reads a number; a malformed one counts as 0.
-func number(s string) float64 {
+// parseNumber parses a number; a malformed one counts as 0.
+func parseNumber(s string) float64 {
 	x, _ := strconv.ParseFloat(s, 64)
 	return x
 }
 
-// field reads the number after a word at the beginning of a line, or 0.
-func field(path, word string) float64 {
+// readField returns the number in the first line of a file that begins with a word, or 0.
+func readField(path, word string) float64 {
 	data, _ := os.ReadFile(path)
 	for line := range strings.Lines(string(data)) {
 		if rest, ok := strings.CutPrefix(line, word); ok {
 			if f := strings.Fields(rest); len(f) > 0 {
-				return number(f[0])
+				return parseNumber(f[0])
 			}
 		}
 	}
 	return 0
 }
 
-// machineBusy is how many seconds of processor time the whole machine has spent since it
-// started.
-func machineBusy() float64 {
+// machineBusySeconds returns the processor time in seconds that the whole machine has spent since boot.
+func machineBusySeconds() float64 {
 	data, _ := os.ReadFile("/proc/stat")
 	line, _, _ := strings.Cut(string(data), "\n")
 	busy := 0.0
 	for i, f := range strings.Fields(line) {
-		if i > 0 && i != 4 && i != 5 && i < 9 { // idle and waiting for disks aside
-			busy += number(f)
+		if i > 0 && i != 4 && i != 5 && i < 9 { // without idle and iowait; guest time is part of user time
+			busy += parseNumber(f)
 		}
 	}
 	return busy / ticksPerSecond
 }
 
-// Usage is what a process used over the measured time.
+// Usage is a process's resource use over the measured time.
 type Usage struct {
 	Name   string  `json:"name"`
 	Cores  float64 `json:"cores"`         // mean
@@ -82,42 +80,42 @@
 	Out    float64 `json:"written_per_s"` // bytes
 }
 
-// watched is a process that is sampled.
-type watched struct {
+// processMonitor samples a process's resource use.
+type processMonitor struct {
 	name  string
 	pid   int
 	first ProcessSample
 	began time.Time
 	use   Usage
-	now   ProcessSample
-	// What earlier processes of the same name used, after a kill.
+	last  ProcessSample
+	// Use of earlier processes that this one replaced after a kill.
 	earlier ProcessSample
 }
 
-// begin starts to measure.
-func (w *watched) begin() {
+// start begins to measure.
+func (w *processMonitor) start() {
 	w.first, w.began = sampleProcess(w.pid), time.Now()
-	w.now, w.earlier, w.use = w.first, ProcessSample{}, Usage{Name: w.name}
+	w.last, w.earlier, w.use = w.first, ProcessSample{}, Usage{Name: w.name}
 }
 
-// replaced follows another process in place of the one that ended.
-func (w *watched) replaced(pid int) {
+// follow continues with a process that replaced the monitored one.
+func (w *processMonitor) follow(pid int) {
 	if w.pid != pid {
-		w.earlier.CPU += w.now.CPU - w.first.CPU
-		w.earlier.In += w.now.In - w.first.In
-		w.earlier.Out += w.now.Out - w.first.Out
+		w.earlier.CPU += w.last.CPU - w.first.CPU
+		w.earlier.In += w.last.In - w.first.In
+		w.earlier.Out += w.last.Out - w.first.Out
 		w.pid, w.first = pid, ProcessSample{}
-		w.now = ProcessSample{}
+		w.last = ProcessSample{}
 	}
 }
 
-// sample measures what was used until now.
-func (w *watched) sample() {
+// sample updates the use until now.
+func (w *processMonitor) sample() {
 	s := sampleProcess(w.pid)
-	if s.CPU < w.now.CPU {
-		return // it has ended
+	if s.CPU < w.last.CPU {
+		return // the process has exited
 	}
-	w.now = s
+	w.last = s
 	seconds := max(time.Since(w.began).Seconds(), 1e-3)
 	w.use.Name = w.name
 	w.use.Cores = (w.earlier.CPU + s.CPU - w.first.CPU) / seconds
@@ -131,7 +129,7 @@
 	return fmt.Sprintf("%s %.2f cores %.0f MB %d files", u.Name, u.Cores, u.Memory, u.Files)
 }
 
-// countCPUs is how many processors the machine has, whichever this process may use.
+// countCPUs returns the number of processors of the machine, including those that this process may not use.
 func countCPUs() (count int) {
 	data, _ := os.ReadFile("/proc/cpuinfo")
 	for line := range strings.Lines(string(data)) {
--- a/internal/loadtest/region.go
+++ b/internal/loadtest/region.go
@@ -24,35 +24,35 @@
 	"topazhollow/internal/wait"
 )
 
-// Options are what a run needs beside its experiment.
+// Options are a run's settings beside its experiment.
 type Options struct {
-	Program    string    // that becomes a process of agents by the argument PoolCommand
-	Controller []string  // command line of a controller, to which its --config and --script are added
+	Program    string    // runs an agent process when called with the argument PoolCommand
+	Controller []string  // command line of a controller, without --config and --script
 	Dir        string    // for settings and logs
-	Out        io.Writer // told how the run goes
+	Out        io.Writer // receives the run's progress
 }
 
-// script is the controllers' options: the fleet is as large as the experiment says, so no
-// machine goes back for being idle.
+// script sets the controllers' options. The experiment fixes the size of the fleet, so no machine is returned for being
+// idle.
 const script = "idle_return_s = 86400\nwarm_machines = 10000\n"
 
-// cloudRPS and cloudLag are the cloud's limit of requests a second and its list's age in seconds.
+// cloudRPS is the cloud's limit of requests per second, cloudLag the maximum age of its list in seconds.
 const (
 	cloudRPS = 50
 	cloudLag = 4
 )
 
-// controller is one controller's process, and where it serves.
+// controller is one controller's process with its addresses and files.
 type controller struct {
 	name, listen, peers, config, log string
 
 	mu     sync.Mutex
 	cmd    *exec.Cmd
 	killed bool
-	ended  chan struct{}
+	exited chan struct{}
 }
 
-// poolProcess is a process of agents.
+// poolProcess is an agent process.
 type poolProcess struct {
 	cmd   *exec.Cmd
 	in    io.WriteCloser
@@ -61,54 +61,54 @@
 	count int
 }
 
-// region is a whole deployment on loopback.
+// region is a complete deployment on loopback.
 type region struct {
-	c           *Config
-	o           Options
-	state       *simulation.KVStore
-	cloud       *cloud
-	traffic     *traffic
-	lines       []*lineCounter
-	controllers []*controller
-	pools       []*poolProcess
-	failed      chan error // a process ended by itself
-	closing     chan struct{}
-	readers     sync.WaitGroup
-
-	mu      sync.Mutex
-	rules   *rules
-	queues  [][]Event
-	until   []int64
-	counts  []Counts
-	homed   []int
-	removed []int
-	ordered int // machines to be taken away so far
-	trips   *hdrhistogram.Histogram
+	config       *Config
+	options      Options
+	store        *simulation.KVStore
+	cloud        *cloud
+	traffic      *traffic
+	lineCounters []*lineCounter
+	controllers  []*controller
+	pools        []*poolProcess
+	failed       chan error // unexpected exits of processes
+	closing      chan struct{}
+	readers      sync.WaitGroup
+
+	mu                sync.Mutex
+	rules             *rules
+	queues            [][]Event
+	completeUntil     []int64
+	counts            []Counts
+	connected         []int
+	removed           []int
+	removalsRequested int // machines whose removal was requested so far
+	latencies         *hdrhistogram.Histogram
 }
 
 func newRegion(c *Config, o Options) *region {
 	n := c.processes()
-	return &region{c: c, o: o, traffic: newTraffic(), failed: make(chan error, c.Limits.Processes+1), closing: make(chan struct{}),
-		rules: newRules(c.Teams, c.teamLimit()), queues: make([][]Event, n), until: make([]int64, n), counts: make([]Counts, n),
-		homed: make([]int, n), removed: make([]int, n), trips: newTrips()}
+	return &region{config: c, options: o, traffic: newTraffic(), failed: make(chan error, c.Limits.Processes+1), closing: make(chan struct{}),
+		rules: newRules(c.Teams, c.teamLimit()), queues: make([][]Event, n), completeUntil: make([]int64, n), counts: make([]Counts, n),
+		connected: make([]int, n), removed: make([]int, n), latencies: newLatencyHistogram()}
 }
 
-// newTrips holds times from a report to its answer, in µs.
-func newTrips() *hdrhistogram.Histogram {
+// newLatencyHistogram returns a histogram of the times from a heartbeat to its answer, in µs.
+func newLatencyHistogram() *hdrhistogram.Histogram {
 	return hdrhistogram.New(1, answerTimeout.Microseconds(), 3)
 }
 
-// open starts everything.
+// open starts the store, the agents, the cloud and the controllers.
 func (g *region) open(ctx context.Context) error {
 	var err error
-	if g.state, err = simulation.NewKVStore(g.c.Store.TxnOps, int(g.c.Store.ValueKB)); err != nil {
+	if g.store, err = simulation.NewKVStore(g.config.Store.TxnOps, int(g.config.Store.ValueKB)); err != nil {
 		return err
 	}
-	g.state.LimitRates(g.c.Store.RPS, g.c.Store.WriteRPS)
+	g.store.LimitRates(g.config.Store.RPS, g.config.Store.WriteRPS)
 	host := simulation.NewHost()
-	for i := range g.c.Controllers {
-		x := &controller{name: fmt.Sprintf("controller-%02d", i), config: filepath.Join(g.o.Dir, fmt.Sprintf("controller-%02d.json", i)),
-			log: filepath.Join(g.o.Dir, fmt.Sprintf("controller-%02d.log", i))}
+	for i := range g.config.Controllers {
+		x := &controller{name: fmt.Sprintf("controller-%02d", i), config: filepath.Join(g.options.Dir, fmt.Sprintf("controller-%02d.json", i)),
+			log: filepath.Join(g.options.Dir, fmt.Sprintf("controller-%02d.log", i))}
 		for _, addr := range []*string{&x.listen, &x.peers} {
 			if *addr, err = host.Listen(); err != nil {
 				return err
@@ -120,11 +120,11 @@
 	if err != nil {
 		return err
 	}
-	types := []protocol.MachineType{{Name: machineType, CPUs: g.c.machineCores(), MemoryGB: g.c.machineCores(), PricePerHour: 1, SpotPricePerHour: 1, BootSeconds: 1, Zones: g.zones()}}
-	if g.cloud, err = newCloud(types, hosts, g.remove); err != nil {
+	types := []protocol.MachineType{{Name: machineType, CPUs: g.config.machineCores(), MemoryGB: g.config.machineCores(), PricePerHour: 1, SpotPricePerHour: 1, BootSeconds: 1, Zones: g.zones()}}
+	if g.cloud, err = newCloud(types, hosts, g.removeMachines); err != nil {
 		return err
 	}
-	if err := os.WriteFile(filepath.Join(g.o.Dir, "options.star"), []byte(script), 0o600); err != nil {
+	if err := os.WriteFile(filepath.Join(g.options.Dir, "options.star"), []byte(script), 0o600); err != nil {
 		return err
 	}
 	for i := range g.controllers {
@@ -141,76 +141,76 @@
 }
 
 func (g *region) zones() (names []string) {
-	for i := range g.c.Zones {
+	for i := range g.config.Zones {
 		names = append(names, zoneName(i))
 	}
 	return names
 }
 
 func (g *region) teams() (teams []settings.Team) {
-	limit := g.c.teamLimit()
-	for i := range g.c.Teams {
+	limit := g.config.teamLimit()
+	for i := range g.config.Teams {
 		teams = append(teams, settings.Team{Name: teamName(i), CPUs: limit, CPUsMax: limit})
 	}
 	return teams
 }
 
-// configure writes a controller's settings.
+// configure writes a controller's settings file.
 func (g *region) configure(i int) error {
 	x := g.controllers[i]
-	door, err := g.state.NewEndpointVia(g.traffic.countStore)
+	storeEndpoint, err := g.store.NewEndpointVia(g.traffic.countStore)
 	if err != nil {
 		return err
 	}
-	s := &settings.Settings{Name: x.name, Zone: zoneName(i % g.c.Zones), Listen: x.listen, PeerListen: x.peers,
-		Outside: settings.Outside{Cloud: g.cloud.addr, KVStore: door.Addr()},
-		Deployment: settings.Deployment{Size: g.c.Controllers, Zones: g.zones(), Teams: g.teams(),
-			Objectives: []settings.Objective{{Kind: "wait", Class: urgentClass, WithinSeconds: g.c.UrgentWithin, Share: 0.99}},
-			Agents:     settings.Agents{HeartbeatSeconds: g.c.HeartbeatInterval, LeaseSeconds: g.c.AgentLease, GangWaitSeconds: 10, GangPeerSeconds: 4, CancelSeconds: g.c.Cancel},
-			KVStore:    settings.KVStore{RequestsPerSecond: g.c.Store.RPS, ChangesPerSecond: g.c.Store.WriteRPS, ValueKB: g.c.Store.ValueKB, ChangesPerTransaction: g.c.Store.TxnOps},
+	s := &settings.Settings{Name: x.name, Zone: zoneName(i % g.config.Zones), Listen: x.listen, PeerListen: x.peers,
+		Outside: settings.Outside{Cloud: g.cloud.addr, KVStore: storeEndpoint.Addr()},
+		Deployment: settings.Deployment{Size: g.config.Controllers, Zones: g.zones(), Teams: g.teams(),
+			Objectives: []settings.Objective{{Kind: "wait", Class: urgentClass, WithinSeconds: g.config.UrgentWithin, Share: 0.99}},
+			Agents:     settings.Agents{HeartbeatSeconds: g.config.HeartbeatInterval, LeaseSeconds: g.config.AgentLease, GangWaitSeconds: 10, GangPeerSeconds: 4, CancelSeconds: g.config.Cancel},
+			KVStore:    settings.KVStore{RequestsPerSecond: g.config.Store.RPS, ChangesPerSecond: g.config.Store.WriteRPS, ValueKB: g.config.Store.ValueKB, ChangesPerTransaction: g.config.Store.TxnOps},
 			Cloud:      settings.Cloud{RequestsPerSecond: cloudRPS, ListLagSeconds: cloudLag},
-			Limits:     settings.Limits{Cores: 1, MemoryMB: g.c.Limits.ControllerMemoryMB, MaxSockets: g.c.Limits.ControllerSockets}}}
+			Limits:     settings.Limits{Cores: 1, MemoryMB: g.config.Limits.ControllerMemoryMB, MaxSockets: g.config.Limits.ControllerSockets}}}
 	for k, p := range g.controllers {
 		if k == i {
 			continue
 		}
 		endpoint := p.peers
-		if g.c.CountPeerLines {
+		if g.config.CountPeerLines {
 			counter, err := newLineCounter(p.peers, g.traffic)
 			if err != nil {
 				return err
 			}
-			g.lines = append(g.lines, counter)
+			g.lineCounters = append(g.lineCounters, counter)
 			endpoint = counter.addr()
 		}
-		s.Peers = append(s.Peers, settings.Peer{Name: p.name, Zone: zoneName(k % g.c.Zones), Endpoint: endpoint})
+		s.Peers = append(s.Peers, settings.Peer{Name: p.name, Zone: zoneName(k % g.config.Zones), Endpoint: endpoint})
 	}
 	return os.WriteFile(x.config, protocol.Encode(s), 0o600)
 }
 
-// child is a command whose process the system kills if this one is killed before it could.
-func child(program string, args ...string) *exec.Cmd {
+// childCommand returns a command whose process the kernel kills if this process dies first.
+func childCommand(program string, args ...string) *exec.Cmd {
 	cmd := exec.Command(program, args...)
 	cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
 	return cmd
 }
 
-// start runs a controller's process.
+// start starts a controller's process and reports its unexpected exit.
 func (g *region) start(x *controller) error {
 	log, err := os.OpenFile(x.log, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
 	if err != nil {
 		return err
 	}
 	defer log.Close()
-	args := append(slices.Clone(g.o.Controller[1:]), "--config", x.config, "--script", filepath.Join(g.o.Dir, "options.star"))
-	cmd := child(g.o.Controller[0], args...)
+	args := append(slices.Clone(g.options.Controller[1:]), "--config", x.config, "--script", filepath.Join(g.options.Dir, "options.star"))
+	cmd := childCommand(g.options.Controller[0], args...)
 	cmd.Stderr = log
 	if err := cmd.Start(); err != nil {
 		return err
 	}
 	ended := make(chan struct{})
 	x.mu.Lock()
-	x.cmd, x.killed, x.ended = cmd, false, ended
+	x.cmd, x.killed, x.exited = cmd, false, ended
 	x.mu.Unlock()
 	go func() {
 		err := cmd.Wait()
@@ -219,27 +219,27 @@
 		killed := x.killed
 		x.mu.Unlock()
 		if !killed {
-			g.fail(fmt.Errorf("%s ended by itself: %v; its log is %s", x.name, err, x.log))
+			g.reportFailure(fmt.Errorf("%s exited unexpectedly: %v; its log is %s", x.name, err, x.log))
 		}
 	}()
 	return nil
 }
 
-func (g *region) fail(err error) {
+func (g *region) reportFailure(err error) {
 	select {
 	case g.failed <- err:
-	default: // others failed before
+	default: // enough failures were reported before
 	}
 }
 
-// kill ends a controller without a word and waits until it is gone.
+// kill kills a controller's process with SIGKILL and waits until it has exited.
 func (x *controller) kill() {
 	x.mu.Lock()
-	cmd, ended := x.cmd, x.ended
+	cmd, ended := x.cmd, x.exited
 	x.killed = true
 	x.mu.Unlock()
 	if cmd != nil {
-		_ = cmd.Process.Kill() // it may have ended just now
+		_ = cmd.Process.Kill() // it may have exited already
 		<-ended
 	}
 }
@@ -250,17 +250,17 @@
 	return x.cmd.Process.Pid
 }
 
-// startPools starts the processes of agents and lists their machines.
+// startPools starts the agent processes and returns their machines.
 func (g *region) startPools() (hosts []protocol.Host, err error) {
 	var names, addrs []string
 	for _, x := range g.controllers {
 		names, addrs = append(names, x.name), append(addrs, x.listen)
 	}
-	rng := rand.New(rand.NewPCG(g.c.Seed, 1))
-	for i := range g.c.processes() {
-		first := i * g.c.AgentsPerProcess
-		pc := PoolConfig{Seed: g.c.Seed, IP: fmt.Sprintf("127.%d.%d.%d", 1+rng.IntN(254), os.Getpid()%256, 1+i), First: first,
-			Count: min(g.c.AgentsPerProcess, g.c.Agents-first), Zones: g.c.Zones, Names: names, Addrs: addrs, HeartbeatSeconds: g.c.HeartbeatInterval, LeaseSeconds: g.c.AgentLease}
+	rng := rand.New(rand.NewPCG(g.config.Seed, 1))
+	for i := range g.config.processes() {
+		first := i * g.config.AgentsPerProcess
+		pc := PoolConfig{Seed: g.config.Seed, IP: fmt.Sprintf("127.%d.%d.%d", 1+rng.IntN(254), os.Getpid()%256, 1+i), First: first,
+			Count: min(g.config.AgentsPerProcess, g.config.Agents-first), Zones: g.config.Zones, Names: names, Addrs: addrs, HeartbeatSeconds: g.config.HeartbeatInterval, LeaseSeconds: g.config.AgentLease}
 		p, ready, err := g.startPool(&pc)
 		if p != nil {
 			g.pools = append(g.pools, p)
@@ -270,13 +270,13 @@
 		}
 		hosts = append(hosts, ready.Machines...)
 		g.readers.Add(1)
-		go g.read(i, p)
+		go g.readBatches(i, p)
 	}
 	return hosts, nil
 }
 
 func (g *region) startPool(c *PoolConfig) (*poolProcess, *PoolReady, error) {
-	cmd := child(g.o.Program, PoolCommand)
+	cmd := childCommand(g.options.Program, PoolCommand)
 	cmd.Stderr = os.Stderr
 	in, err1 := cmd.StdinPipe()
 	out, err2 := cmd.StdoutPipe()
@@ -294,11 +294,11 @@
 	return p, &ready, p.lines.Decode(&ready)
 }
 
-// PoolCommand is the argument by which Options.Program becomes a process of agents.
+// PoolCommand is the argument that makes Options.Program run an agent process.
 const PoolCommand = "simulated-agents"
 
-// read takes in what a process of agents tells until it ends.
-func (g *region) read(i int, p *poolProcess) {
+// readBatches applies an agent process's batches until the process exits.
+func (g *region) readBatches(i int, p *poolProcess) {
 	defer g.readers.Done()
 	for {
 		var b Batch
@@ -306,24 +306,25 @@
 			select {
 			case <-g.closing:
 			default:
-				g.fail(fmt.Errorf("%w: %v", errPool, err))
+				g.reportFailure(fmt.Errorf("%w: %v", errAgentProcess, err))
 			}
 			return
 		}
-		g.batch(i, &b)
+		g.applyBatch(i, &b)
 	}
 }
 
-// batch takes in a batch and everything that is known by it, in the order of time.
-func (g *region) batch(i int, b *Batch) {
+// applyBatch queues a batch's events and applies, in the order of time, all events up to the time that every agent
+// process has reported.
+func (g *region) applyBatch(i int, b *Batch) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.queues[i] = append(g.queues[i], b.Events...)
-	g.until[i], g.counts[i], g.homed[i], g.removed[i] = b.Until, b.Counts, b.Connected, b.Removed
+	g.completeUntil[i], g.counts[i], g.connected[i], g.removed[i] = b.Until, b.Counts, b.Connected, b.Removed
 	for _, us := range b.Latencies {
-		_ = g.trips.RecordValue(min(max(us, 1), answerTimeout.Microseconds())) // bounded: it is in range
+		_ = g.latencies.RecordValue(min(max(us, 1), answerTimeout.Microseconds())) // clamped to the histogram's range
 	}
-	until := slices.Min(g.until)
+	until := slices.Min(g.completeUntil)
 	var events []Event
 	for k, q := range g.queues {
 		at, _ := slices.BinarySearchFunc(q, until, func(e Event, t int64) int { return int(min(max(e.At-t, -1), 1)) })
@@ -332,18 +333,19 @@
 	}
 	slices.SortStableFunc(events, func(a, b Event) int { return int(min(max(a.At-b.At, -1), 1)) })
 	for k := range events {
-		g.rules.event(&events[k])
+		g.rules.applyEvent(&events[k])
 	}
-	g.rules.known(until)
+	g.rules.advance(until)
 }
 
-// remove takes machines away for the cloud and waits until they are gone.
-func (g *region) remove(names []string) {
+// removeMachines removes machines on behalf of the cloud and waits until the agent processes report them removed, for
+// at most 5 s.
+func (g *region) removeMachines(names []string) {
 	g.mu.Lock()
-	g.ordered += len(names)
+	g.removalsRequested += len(names)
 	g.mu.Unlock()
 	for _, p := range g.pools {
-		_ = json.NewEncoder(p.in).Encode(PoolRequest{Remove: names}) // a process that ended has none
+		_ = json.NewEncoder(p.in).Encode(PoolRequest{Remove: names}) // a process that exited has no machines
 	}
 	for range 100 {
 		g.mu.Lock()
@@ -351,27 +353,27 @@
 		for _, x := range g.removed {
 			removed += x
 		}
-		gone := removed >= g.ordered
+		gone := removed >= g.removalsRequested
 		g.mu.Unlock()
 		if gone {
 			return
 		}
-		time.Sleep(batchEvery / 4)
+		time.Sleep(batchInterval / 4)
 	}
 }
 
-// reached is how many agents are answered and how many tasks are on machines.
-func (g *region) reached() (homed, on int) {
+// progress returns how many agents are connected and how many tasks are on machines.
+func (g *region) progress() (connected, running int) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	for _, x := range g.homed {
-		homed += x
+	for _, x := range g.connected {
+		connected += x
 	}
-	return homed, len(g.rules.on)
+	return connected, len(g.rules.running)
 }
 
-// total is what all agents sent and got.
-func (g *region) total() (c Counts) {
+// totalCounts returns the sum of all agents' counts.
+func (g *region) totalCounts() (c Counts) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	for _, x := range g.counts {
@@ -380,42 +382,42 @@
 	return c
 }
 
-// end kills controllers and starts them again later.
-func (g *region) end(ctx context.Context, list []*controller) {
+// restartControllers kills controllers and starts them again after Faults.RestartAfter.
+func (g *region) restartControllers(ctx context.Context, list []*controller) {
 	for _, x := range list {
 		x.kill()
 	}
-	if !wait.For(ctx, settings.Seconds(g.c.Faults.RestartAfter)) {
+	if !wait.For(ctx, settings.Seconds(g.config.Faults.RestartAfter)) {
 		return
 	}
 	for _, x := range list {
 		if err := g.start(x); err != nil {
-			g.fail(err)
+			g.reportFailure(err)
 		}
 	}
 }
 
-// close ends every process that was started, and the stand-ins.
+// close stops all processes, the store and the cloud.
 func (g *region) close() {
 	close(g.closing)
 	for _, x := range g.controllers {
 		x.kill()
 	}
 	for _, p := range g.pools {
-		_ = p.in.Close() // ends it
+		_ = p.in.Close() // the process exits at the end of its input
 	}
 	g.readers.Wait()
 	for _, p := range g.pools {
-		_ = p.cmd.Process.Kill() // if it did not end
+		_ = p.cmd.Process.Kill() // in case it did not exit
 		_ = p.cmd.Wait()
 	}
-	for _, c := range g.lines {
+	for _, c := range g.lineCounters {
 		c.close()
 	}
 	if g.cloud != nil {
 		g.cloud.close()
 	}
-	if g.state != nil {
-		g.state.Close()
+	if g.store != nil {
+		g.store.Close()
 	}
 }
--- a/internal/loadtest/result.go
+++ b/internal/loadtest/result.go
@@ -10,7 +10,7 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// Quantiles sums up a histogram.
+// Quantiles summarizes a histogram.
 type Quantiles struct {
 	Count int64 `json:"count"`
 	P50   int64 `json:"p50"`
@@ -23,36 +23,36 @@
 	return Quantiles{h.TotalCount(), h.ValueAtQuantile(50), h.ValueAtQuantile(90), h.ValueAtQuantile(99), h.Max()}
 }
 
-// Machine is where a run took place.
+// Machine describes the machine on which a run took place.
 type Machine struct {
 	Cores   int     `json:"cores"`
 	Memory  float64 `json:"memory_mb"`
 	Go      string  `json:"go"`
-	Allowed int     `json:"cores_allowed"` // that the run's processes may use
+	Allowed int     `json:"cores_allowed"` // usable by the run's processes
 }
 
 func thisMachine() Machine {
-	return Machine{Cores: countCPUs(), Memory: field("/proc/meminfo", "MemTotal:") / 1024, Go: runtime.Version(), Allowed: runtime.NumCPU()}
+	return Machine{Cores: countCPUs(), Memory: readField("/proc/meminfo", "MemTotal:") / 1024, Go: runtime.Version(), Allowed: runtime.NumCPU()}
 }
 
-// ControllerOverview is what a controller's overview said at the end.
+// ControllerOverview is a part of a controller's overview at the end of the run.
 type ControllerOverview struct {
-	Node     string   `json:"node"`
-	Entitled bool     `json:"entitled"`
-	UnheardPeers  []string `json:"unheard_peers,omitempty"`
-	LastStandstill    float64  `json:"last_stood_still_s,omitempty"`
-	Machines struct {
+	Node           string   `json:"node"`
+	Entitled       bool     `json:"entitled"`
+	UnheardPeers   []string `json:"unheard_peers,omitempty"`
+	LastStandstill float64  `json:"last_stood_still_s,omitempty"`
+	Machines       struct {
 		Known  int `json:"known"`
 		Homed  int `json:"homed_here"`
 		Silent int `json:"silent"`
 	} `json:"machines"`
 	Jobs int `json:"active_jobs"`
 
-	Items    int `json:"items_owned"`
-	WithoutBackup int `json:"items_without_backup"` // whose owner has no backup in sync
+	Items         int `json:"items_owned"`
+	WithoutBackup int `json:"items_without_backup"` // without a backup in sync
 }
 
-// overview is the part of a controller's overview that ControllerOverview is made of.
+// overview is a controller's overview as it is read; the items are only counted.
 type overview struct {
 	ControllerOverview
 	Items map[string]struct {
@@ -60,7 +60,7 @@
 	} `json:"items"`
 }
 
-// seen counts the items.
+// seen returns the overview with its items counted.
 func (o *overview) seen() ControllerOverview {
 	s := o.ControllerOverview
 	s.Items = len(o.Items)
@@ -72,49 +72,49 @@
 	return s
 }
 
-// Result is what one run measured. Rates are means over the measured time.
+// Result holds the measurements of one run. Rates are means over the measured time.
 type Result struct {
 	Began       time.Time `json:"began"`
 	Controller  string    `json:"controller"` // the program's name
 	Machine     Machine   `json:"machine"`
 	Config      Config    `json:"config"`
-	Stopped     string    `json:"stopped,omitempty"` // why the run ended before its time
-	Settled     bool      `json:"settled"`           // all agents were answered and all services ran before the measuring began
+	Stopped     string    `json:"stopped,omitempty"` // why the run was aborted
+	Settled     bool      `json:"settled"`           // agents were connected and services ran before measuring began
 	SettledIn   float64   `json:"settled_in_s"`
 	Measured    float64   `json:"measured_s"`
-	MachineBusy float64   `json:"machine_busy_cores"` // of the whole machine, other programs included
-	OthersBusy  float64   `json:"others_busy_cores"`  // of it, what was not of this run
-
-	Controllers []Usage `json:"controllers"`
-	AgentProcesses     []Usage `json:"worker_processes"`
-	StandIns    Usage   `json:"stand_ins_and_users"`
-
-	Heartbeats       float64   `json:"reports_per_s"`
-	Starts        float64   `json:"starts_per_s"`
-	Ends          float64   `json:"ends_per_s"`
-	Running       int       `json:"tasks_running"` // at the end
-	Connected         int       `json:"workers_answered"`
-	LeasesExpired       int64     `json:"worker_leases_ended"`
-	Redirected         int64     `json:"reports_moved"`
-	HeartbeatsFailed        int64     `json:"reports_failed"`
-	BytesPerAgent   float64   `json:"worker_bytes_per_s"` // per agent, both directions, bodies only
-	UrgentWait    Quantiles `json:"urgent_start_wait_ms"`
-	UsualWait     Quantiles `json:"usual_start_wait_ms"`
-	HeartbeatLatency    Quantiles `json:"report_to_answer_us"`
-	LongestGap    float64   `json:"longest_gap_between_starts_s"`
-	MaxQuotaUse     float64   `json:"most_used_of_a_limit"` // 1: a team was at its limit
-	Polls         float64   `json:"polls_per_s"`
-	UsersRetried  int64     `json:"submissions_retried"`
-	NotSubmitted  int64     `json:"jobs_not_submitted"`
-	Traffic       []Traffic `json:"traffic"`
-	StoreRefused  int       `json:"store_refused"`
-	MachinesReturned int       `json:"machines_returned"`
-	Overviews          []ControllerOverview    `json:"seen"`
-	Broken        []string  `json:"broken,omitempty"`
-	BrokenCount        int       `json:"breaks"`
+	MachineBusy float64   `json:"machine_busy_cores"` // whole machine, including other programs
+	OthersBusy  float64   `json:"others_busy_cores"`  // programs that are not part of the run
+
+	Controllers    []Usage `json:"controllers"`
+	AgentProcesses []Usage `json:"worker_processes"`
+	StandIns       Usage   `json:"stand_ins_and_users"`
+
+	Heartbeats       float64              `json:"reports_per_s"`
+	Starts           float64              `json:"starts_per_s"`
+	Ends             float64              `json:"ends_per_s"`
+	Running          int                  `json:"tasks_running"` // at the end
+	Connected        int                  `json:"workers_answered"`
+	LeasesExpired    int64                `json:"worker_leases_ended"`
+	Redirected       int64                `json:"reports_moved"`
+	HeartbeatsFailed int64                `json:"reports_failed"`
+	BytesPerAgent    float64              `json:"worker_bytes_per_s"` // per agent, both directions, bodies only
+	UrgentWait       Quantiles            `json:"urgent_start_wait_ms"`
+	UsualWait        Quantiles            `json:"usual_start_wait_ms"`
+	HeartbeatLatency Quantiles            `json:"report_to_answer_us"`
+	LongestGap       float64              `json:"longest_gap_between_starts_s"`
+	MaxQuotaUse      float64              `json:"most_used_of_a_limit"` // greatest share; 1: a team reached its limit
+	Polls            float64              `json:"polls_per_s"`
+	UsersRetried     int64                `json:"submissions_retried"`
+	NotSubmitted     int64                `json:"jobs_not_submitted"`
+	Traffic          []Traffic            `json:"traffic"`
+	StoreRefused     int                  `json:"store_refused"`
+	MachinesReturned int                  `json:"machines_returned"`
+	Overviews        []ControllerOverview `json:"seen"`
+	Broken           []string             `json:"broken,omitempty"`
+	BrokenCount      int                  `json:"breaks"`
 }
 
-// Write writes the result as a file.
+// Write writes the result to a JSON file.
 func (r *Result) Write(path string) error {
 	data, err := json.MarshalIndent(r, "", " ")
 	if err != nil {
@@ -136,8 +136,8 @@
 	return r, nil
 }
 
-// mean is the mean of one figure over processes.
-func mean(list []Usage, of func(Usage) float64) float64 {
+// meanOf returns the mean of one figure over processes.
+func meanOf(list []Usage, of func(Usage) float64) float64 {
 	sum := 0.0
 	for _, u := range list {
 		sum += of(u)
@@ -145,8 +145,8 @@
 	return sum / float64(max(1, len(list)))
 }
 
-// most is the greatest of one figure over processes.
-func most(list []Usage, of func(Usage) float64) float64 {
+// maxOf returns the maximum of one figure over processes.
+func maxOf(list []Usage, of func(Usage) float64) float64 {
 	top := 0.0
 	for _, u := range list {
 		top = max(top, of(u))
@@ -154,8 +154,8 @@
 	return top
 }
 
-// messages is the rate of one kind of messages.
-func (r *Result) messages(between, kind string, of func(Traffic) int64) float64 {
+// messageRate returns the rate per second of a count over the messages of one kind; an empty kind means all kinds.
+func (r *Result) messageRate(between, kind string, of func(Traffic) int64) float64 {
 	sum := int64(0)
 	for _, t := range r.Traffic {
 		if t.Between == between && (kind == "" || t.Kind == kind) {
--- a/internal/loadtest/run.go
+++ b/internal/loadtest/run.go
@@ -15,42 +15,42 @@
 	"topazhollow/internal/wait"
 )
 
-// Reasons for which a run ends before its time.
+// Reasons for which a run is aborted.
 var (
-	errMemory = errors.New("the run's processes hold more than limits.memory_mb")
-	errTime   = errors.New("limits.seconds are over")
+	errMemory = errors.New("the run's processes use more than limits.memory_mb")
+	errTime   = errors.New("the run exceeded limits.seconds")
 )
 
-// Times of a run.
+// Intervals of a run.
 const (
-	sampleEvery = time.Second
-	tellEvery   = 5 * time.Second
-	mostRamp    = 15 * time.Second // from the first array until measuring begins
+	sampleInterval   = time.Second
+	progressInterval = 5 * time.Second
+	maxRampUp        = 15 * time.Second // from the first array until measuring begins
 )
 
-// settledShare is which part of agents and services is to be up before measuring begins.
+// settledShare is the share of agents and services that must be up before measuring begins.
 const settledShare = 0.995
 
-// run is one experiment under way.
+// run is the state of one running experiment.
 type run struct {
-	c        *Config
-	o        Options
-	g        *region
-	u        *users
-	r        *Result
-	watched  []*watched // controllers, then processes of agents, then this process
-	counts   Counts     // as measuring began
-	before   []Traffic
-	busy     float64
-	starts   int64
-	ends     int64
-	polls    int64
-	began    time.Time // of measuring
-	lastTold time.Time
+	config        *Config
+	options       Options
+	region        *region
+	users         *users
+	result        *Result
+	monitors      []*processMonitor // controllers, then agent processes, then this process
+	countsBefore  Counts            // when measuring began, as are the other fields named Before
+	trafficBefore []Traffic
+	busyBefore    float64
+	startsBefore  int64
+	endsBefore    int64
+	pollsBefore   int64
+	began         time.Time // time when measuring began
+	lastPrinted   time.Time
 }
 
-// Run plays an experiment. A result comes with the error if the run ended before its time;
-// broken rules are in the result and are no error.
+// Run executes an experiment. If the run is aborted, it returns the partial result with the error. Broken rules are
+// part of the result and not an error.
 func Run(ctx context.Context, c *Config, o Options) (*Result, error) {
 	if err := c.Check(); err != nil {
 		return nil, err
@@ -59,178 +59,178 @@
 	defer cancel(nil)
 	timer := time.AfterFunc(settings.Seconds(c.Limits.Seconds), func() { cancel(errTime) })
 	defer timer.Stop()
-	x := &run{c: c, o: o, g: newRegion(c, o), r: &Result{Began: time.Now().UTC(), Controller: filepath.Base(o.Controller[0]), Machine: thisMachine(), Config: *c}}
-	defer x.g.close()
-	if err := x.g.open(ctx); err != nil {
+	x := &run{config: c, options: o, region: newRegion(c, o), result: &Result{Began: time.Now().UTC(), Controller: filepath.Base(o.Controller[0]), Machine: thisMachine(), Config: *c}}
+	defer x.region.close()
+	if err := x.region.open(ctx); err != nil {
 		return nil, err
 	}
-	go x.guard(ctx, cancel)
-	x.u = newUsers(x.g)
-	x.play(ctx)
+	go x.watchLimits(ctx, cancel)
+	x.users = newUsers(x.region)
+	x.execute(ctx)
 	err := context.Cause(ctx)
 	if err != nil {
-		x.r.Stopped = err.Error()
+		x.result.Stopped = err.Error()
 	}
 	cancel(nil)
-	x.u.all.Wait()
-	x.u.client.CloseIdleConnections()
-	return x.r, err
+	x.users.wg.Wait()
+	x.users.client.CloseIdleConnections()
+	return x.result, err
 }
 
-// guard ends the run if a process ended by itself or too much memory is held.
-func (x *run) guard(ctx context.Context, cancel context.CancelCauseFunc) {
-	ticker := time.NewTicker(sampleEvery)
+// watchLimits aborts the run if a process exits unexpectedly or the processes use too much memory.
+func (x *run) watchLimits(ctx context.Context, cancel context.CancelCauseFunc) {
+	ticker := time.NewTicker(sampleInterval)
 	defer ticker.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case err := <-x.g.failed:
+		case err := <-x.region.failed:
 			cancel(err)
 			return
 		case <-ticker.C:
 		}
 		held := sampleProcess(os.Getpid()).Memory
-		for _, p := range x.g.controllers {
+		for _, p := range x.region.controllers {
 			held += sampleProcess(p.pid()).Memory
 		}
-		for _, p := range x.g.pools {
+		for _, p := range x.region.pools {
 			held += sampleProcess(p.cmd.Process.Pid).Memory
 		}
-		if held > x.c.Limits.MemoryMB {
+		if held > x.config.Limits.MemoryMB {
 			cancel(fmt.Errorf("%w: %.0f", errMemory, held))
 			return
 		}
 	}
 }
 
-// play lets the region settle, measures, and sums up.
-func (x *run) play(ctx context.Context) {
-	x.settle(ctx)
+// execute lets the region settle, measures it and fills in the result.
+func (x *run) execute(ctx context.Context) {
+	x.awaitSettled(ctx)
 	load, stop := context.WithCancel(ctx)
 	defer stop()
-	if x.c.StartsPerSecond > 0 {
-		go x.u.arrays(load)
-		wait.For(ctx, min(2*settings.Seconds(x.c.TaskRun), mostRamp))
+	if x.config.StartsPerSecond > 0 {
+		go x.users.submitArrays(load)
+		wait.For(ctx, min(2*settings.Seconds(x.config.TaskRun), maxRampUp))
 	}
 	if ctx.Err() != nil {
 		return
 	}
-	x.begin()
-	faults := x.faults(load)
-	for time.Since(x.began) < settings.Seconds(x.c.Duration) && wait.For(ctx, sampleEvery) {
+	x.beginMeasuring()
+	faults := x.injectFaults(load)
+	for time.Since(x.began) < settings.Seconds(x.config.Duration) && wait.For(ctx, sampleInterval) {
 		x.sample()
-		x.tell("measuring")
+		x.printProgress("measuring")
 	}
-	x.sumUp()
+	x.summarize()
 	stop()
 	<-faults
-	wait.For(ctx, 2*batchEvery) // what users were told last is checked against what happened before
-	x.g.mu.Lock()
-	defer x.g.mu.Unlock()
-	x.r.Broken, x.r.BrokenCount = slices.Clone(x.g.rules.broken), x.g.rules.breaks
+	wait.For(ctx, 2*batchInterval) // the last answers to users are checked once all earlier events are in
+	x.region.mu.Lock()
+	defer x.region.mu.Unlock()
+	x.result.Broken, x.result.BrokenCount = slices.Clone(x.region.rules.broken), x.region.rules.brokenCount
 }
 
-// settle waits until agents are answered and services run.
-func (x *run) settle(ctx context.Context) {
+// awaitSettled waits until agents are connected and services run.
+func (x *run) awaitSettled(ctx context.Context) {
 	began := time.Now()
-	ctx, cancel := context.WithTimeout(ctx, settings.Seconds(x.c.SettleTimeout))
+	ctx, cancel := context.WithTimeout(ctx, settings.Seconds(x.config.SettleTimeout))
 	defer cancel()
-	wanted, standing := settledShare*float64(x.c.Agents), settledShare*float64(x.c.standing())
+	wanted, standing := settledShare*float64(x.config.Agents), settledShare*float64(x.config.serviceTasks())
 	for {
-		homed, _ := x.g.reached()
-		if float64(homed) >= wanted {
+		connected, _ := x.region.progress()
+		if float64(connected) >= wanted {
 			break
 		}
-		x.tell("workers come in")
-		if !wait.For(ctx, batchEvery) {
+		x.printProgress("waiting for agents to connect")
+		if !wait.For(ctx, batchInterval) {
 			break
 		}
 	}
-	x.u.stand(ctx)
+	x.users.submitServices(ctx)
 	for {
-		homed, on := x.g.reached()
-		if x.r.Settled = float64(homed) >= wanted && float64(on) >= standing; x.r.Settled {
+		connected, running := x.region.progress()
+		if x.result.Settled = float64(connected) >= wanted && float64(running) >= standing; x.result.Settled {
 			break
 		}
-		x.tell("services start")
-		if !wait.For(ctx, batchEvery) {
+		x.printProgress("waiting for services to start")
+		if !wait.For(ctx, batchInterval) {
 			break
 		}
 	}
-	x.r.SettledIn = time.Since(began).Seconds()
-	if x.r.Settled {
-		wait.For(ctx, settings.Seconds(x.c.HeartbeatInterval)) // what the starts brought about
+	x.result.SettledIn = time.Since(began).Seconds()
+	if x.result.Settled {
+		wait.For(ctx, settings.Seconds(x.config.HeartbeatInterval)) // one heartbeat interval for the effects of the starts to end
 	}
 }
 
-// faults ends controllers at their times. The channel closes once that is over.
-func (x *run) faults(ctx context.Context) <-chan struct{} {
+// injectFaults kills controllers at the configured times. The returned channel closes after the last fault.
+func (x *run) injectFaults(ctx context.Context) <-chan struct{} {
 	over := make(chan struct{})
 	go func() {
 		defer close(over)
-		if at := x.c.Faults.KillOneAt; at > 0 && wait.For(ctx, settings.Seconds(at)) {
-			x.g.end(ctx, x.g.controllers[:1])
+		if at := x.config.Faults.KillOneAt; at > 0 && wait.For(ctx, settings.Seconds(at)) {
+			x.region.restartControllers(ctx, x.region.controllers[:1])
 		}
-		if at := x.c.Faults.KillAllAt; at > 0 && wait.For(ctx, time.Until(x.began.Add(settings.Seconds(at)))) {
-			x.g.end(ctx, x.g.controllers)
+		if at := x.config.Faults.KillAllAt; at > 0 && wait.For(ctx, time.Until(x.began.Add(settings.Seconds(at)))) {
+			x.region.restartControllers(ctx, x.region.controllers)
 		}
 	}()
 	return over
 }
 
-// begin starts to measure.
-func (x *run) begin() {
-	for _, p := range x.g.controllers {
-		x.watched = append(x.watched, &watched{name: p.name, pid: p.pid()})
+// beginMeasuring resets the counters and starts to measure.
+func (x *run) beginMeasuring() {
+	for _, p := range x.region.controllers {
+		x.monitors = append(x.monitors, &processMonitor{name: p.name, pid: p.pid()})
 	}
-	for i, p := range x.g.pools {
-		x.watched = append(x.watched, &watched{name: fmt.Sprintf("workers-%d", i), pid: p.cmd.Process.Pid})
+	for i, p := range x.region.pools {
+		x.monitors = append(x.monitors, &processMonitor{name: fmt.Sprintf("workers-%d", i), pid: p.cmd.Process.Pid})
 	}
-	x.watched = append(x.watched, &watched{name: "stand-ins and users", pid: os.Getpid()})
-	for _, w := range x.watched {
-		w.begin()
+	x.monitors = append(x.monitors, &processMonitor{name: "stand-ins and users", pid: os.Getpid()})
+	for _, w := range x.monitors {
+		w.start()
 	}
-	x.counts, x.before, x.busy, x.polls = x.g.total(), x.g.traffic.list(nil), machineBusy(), x.u.polls.Load()
-	x.g.mu.Lock()
-	defer x.g.mu.Unlock()
-	rules := x.g.rules
-	rules.urgent, rules.others, rules.gap, rules.last, x.g.trips = newWaits(), newWaits(), 0, time.Now(), newTrips()
-	x.starts, x.ends, x.began = rules.starts, rules.ends, time.Now()
+	x.countsBefore, x.trafficBefore, x.busyBefore, x.pollsBefore = x.region.totalCounts(), x.region.traffic.list(nil), machineBusySeconds(), x.users.polls.Load()
+	x.region.mu.Lock()
+	defer x.region.mu.Unlock()
+	rules := x.region.rules
+	rules.urgentWaits, rules.usualWaits, rules.longestGap, rules.lastStart, x.region.latencies = newWaitHistogram(), newWaitHistogram(), 0, time.Now(), newLatencyHistogram()
+	x.startsBefore, x.endsBefore, x.began = rules.starts, rules.ends, time.Now()
 }
 
 func (x *run) sample() {
-	for i, w := range x.watched {
-		if i < len(x.g.controllers) {
-			w.replaced(x.g.controllers[i].pid())
+	for i, w := range x.monitors {
+		if i < len(x.region.controllers) {
+			w.follow(x.region.controllers[i].pid())
 		}
 		w.sample()
 	}
 }
 
-// tell says how the run goes, every few seconds.
-func (x *run) tell(doing string) {
-	if time.Since(x.lastTold) < tellEvery {
+// printProgress prints the run's progress, at most once per progressInterval.
+func (x *run) printProgress(doing string) {
+	if time.Since(x.lastPrinted) < progressInterval {
 		return
 	}
-	x.lastTold = time.Now()
-	homed, on := x.g.reached()
-	x.g.mu.Lock()
-	starts, breaks := x.g.rules.starts, x.g.rules.breaks
-	x.g.mu.Unlock()
-	fmt.Fprintf(x.o.Out, "%s: %d of %d workers answered, %d tasks run, %d starts so far, %d rules broken\n", doing, homed, x.c.Agents, on, starts, breaks)
+	x.lastPrinted = time.Now()
+	connected, running := x.region.progress()
+	x.region.mu.Lock()
+	starts, breaks := x.region.rules.starts, x.region.rules.brokenCount
+	x.region.mu.Unlock()
+	fmt.Fprintf(x.options.Out, "%s: %d of %d agents connected, %d tasks running, %d starts so far, %d rules broken\n", doing, connected, x.config.Agents, running, starts, breaks)
 }
 
-// sumUp fills in the result.
-func (x *run) sumUp() {
+// summarize fills in the result.
+func (x *run) summarize() {
 	x.sample()
-	r, g := x.r, x.g
+	r, g := x.result, x.region
 	r.Measured = time.Since(x.began).Seconds()
-	counts := g.total()
-	counts.add(x.counts, -1)
-	r.Traffic = append(g.traffic.list(x.before), workerTraffic(counts)...)
+	counts := g.totalCounts()
+	counts.add(x.countsBefore, -1)
+	r.Traffic = append(g.traffic.list(x.trafficBefore), workerTraffic(counts)...)
 	own := 0.0
-	for i, w := range x.watched {
+	for i, w := range x.monitors {
 		own += w.use.Cores
 		switch {
 		case i < len(g.controllers):
@@ -241,32 +241,32 @@
 			r.StandIns = w.use
 		}
 	}
-	r.MachineBusy = (machineBusy() - x.busy) / r.Measured
+	r.MachineBusy = (machineBusySeconds() - x.busyBefore) / r.Measured
 	r.OthersBusy = max(0, r.MachineBusy-own)
 	r.Heartbeats, r.LeasesExpired, r.Redirected, r.HeartbeatsFailed = float64(counts.Heartbeats)/r.Measured, counts.Expired, counts.Redirected, counts.Failed
 	bytes := counts.HeartbeatBytes + counts.AnswerBytes + counts.CommandBytes + counts.ResultBytes
-	r.BytesPerAgent = float64(bytes) / r.Measured / float64(x.c.Agents)
-	r.Connected, r.Running = g.reached()
-	r.Polls, r.UsersRetried, r.NotSubmitted = float64(x.u.polls.Load()-x.polls)/r.Measured, x.u.failed.Load(), x.u.left.Load()
-	r.StoreRefused = g.state.CountRefused()
+	r.BytesPerAgent = float64(bytes) / r.Measured / float64(x.config.Agents)
+	r.Connected, r.Running = g.progress()
+	r.Polls, r.UsersRetried, r.NotSubmitted = float64(x.users.polls.Load()-x.pollsBefore)/r.Measured, x.users.failedRequests.Load(), x.users.skipped.Load()
+	r.StoreRefused = g.store.CountRefused()
 	g.cloud.mu.Lock()
-	r.MachinesReturned = g.cloud.returned
+	r.MachinesReturned = g.cloud.machinesReturned
 	g.cloud.mu.Unlock()
-	x.sumUpStarts()
-	r.Overviews = x.seen()
+	x.summarizeStarts()
+	r.Overviews = x.queryOverviews()
 }
 
-// sumUpStarts fills in what is known of starts.
-func (x *run) sumUpStarts() {
-	r, g := x.r, x.g
+// summarizeStarts fills in the part of the result about starts and waits.
+func (x *run) summarizeStarts() {
+	r, g := x.result, x.region
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	r.Starts, r.Ends = float64(g.rules.starts-x.starts)/r.Measured, float64(g.rules.ends-x.ends)/r.Measured
-	r.UrgentWait, r.UsualWait, r.HeartbeatLatency = quantiles(g.rules.urgent), quantiles(g.rules.others), quantiles(g.trips)
-	r.LongestGap, r.MaxQuotaUse = max(g.rules.gap, time.Since(g.rules.last)).Seconds(), g.rules.most
+	r.Starts, r.Ends = float64(g.rules.starts-x.startsBefore)/r.Measured, float64(g.rules.ends-x.endsBefore)/r.Measured
+	r.UrgentWait, r.UsualWait, r.HeartbeatLatency = quantiles(g.rules.urgentWaits), quantiles(g.rules.usualWaits), quantiles(g.latencies)
+	r.LongestGap, r.MaxQuotaUse = max(g.rules.longestGap, time.Since(g.rules.lastStart)).Seconds(), g.rules.maxUse
 }
 
-// workerTraffic is what agents sent and got, as other messages are counted.
+// workerTraffic returns the agents' messages in the form of the other traffic counts.
 func workerTraffic(c Counts) []Traffic {
 	return []Traffic{
 		{"workers", "report", c.Heartbeats, c.HeartbeatBytes, c.AnswerBytes},
@@ -274,11 +274,11 @@
 	}
 }
 
-// seen asks the controllers what they see; one that does not answer is left out.
-func (x *run) seen() (all []ControllerOverview) {
+// queryOverviews reads the controllers' overviews. A controller that does not answer is left out.
+func (x *run) queryOverviews() (all []ControllerOverview) {
 	client := &http.Client{Timeout: 2 * time.Second}
 	defer client.CloseIdleConnections()
-	for _, p := range x.g.controllers {
+	for _, p := range x.region.controllers {
 		resp, err := client.Get("http://" + p.listen + "/overview")
 		if err != nil {
 			continue
@@ -287,7 +287,7 @@
 		if json.NewDecoder(resp.Body).Decode(&o) == nil {
 			all = append(all, o.seen())
 		}
-		_ = resp.Body.Close() // it was read
+		_ = resp.Body.Close() // the body was read
 	}
 	return all
 }
--- a/internal/loadtest/fit.go
+++ b/internal/loadtest/slopes.go
@@ -7,20 +7,20 @@
 	"strings"
 )
 
-// Axis is what several runs differ in.
+// Axis is the parameter in which several runs differ.
 type Axis string
 
 // The axes.
 const (
-	Agents     Axis = "workers"
+	Agents      Axis = "workers"
 	Starts      Axis = "starts"
 	Teams       Axis = "teams"
 	Controllers Axis = "controllers"
 	Tasks       Axis = "tasks"
 )
 
-// of is a run's place on the axis.
-func (a Axis) of(r *Result) float64 {
+// value returns a run's value on the axis.
+func (a Axis) value(r *Result) float64 {
 	switch a {
 	case Starts:
 		return r.Starts
@@ -34,39 +34,41 @@
 	return float64(r.Config.Agents)
 }
 
-// figure is one thing that a run measured.
+// figure is one measured quantity of a run.
 type figure struct {
 	name, unit string
-	of         func(*Result) float64
+	value      func(*Result) float64
 }
 
-func cores(u Usage) float64    { return u.Cores }
-func memory(u Usage) float64   { return u.Memory }
-func files(u Usage) float64    { return float64(u.Files) }
-func traffics(u Usage) float64 { return (u.In + u.Out) / 1024 }
+func cores(u Usage) float64     { return u.Cores }
+func memory(u Usage) float64    { return u.Memory }
+func files(u Usage) float64     { return float64(u.Files) }
+func trafficKB(u Usage) float64 { return (u.In + u.Out) / 1024 }
 
-func count(t Traffic) int64 { return t.Messages }
-func size(t Traffic) int64  { return t.Bytes + t.Answers }
+func messageCount(t Traffic) int64 { return t.Messages }
+func messageBytes(t Traffic) int64 { return t.Bytes + t.Answers }
 
-func perController(r *Result, kind string) float64 {
-	return r.messages("peers", kind, size) / 1024 / float64(r.Config.Controllers)
+func kbPerController(r *Result, kind string) float64 {
+	return r.messageRate("peers", kind, messageBytes) / 1024 / float64(r.Config.Controllers)
 }
 
-// figures are what slopes are told of.
+// figures are the quantities for which slopes are fitted.
 var figures = []figure{
-	{"controller: processor, mean", "cores", func(r *Result) float64 { return mean(r.Controllers, cores) }},
-	{"controller: processor, most", "cores", func(r *Result) float64 { return most(r.Controllers, cores) }},
-	{"controller: memory, most", "MB", func(r *Result) float64 { return most(r.Controllers, memory) }},
-	{"controller: open files, most", "", func(r *Result) float64 { return most(r.Controllers, files) }},
-	{"controller: read and written", "KB/s", func(r *Result) float64 { return mean(r.Controllers, traffics) }},
-	{"peers: lines from one controller", "/s", func(r *Result) float64 { return r.messages("peers", "", count) / float64(r.Config.Controllers) }},
-	{"peers: bytes from one controller", "KB/s", func(r *Result) float64 { return perController(r, "") }},
-	{"peers: of it statuses", "KB/s", func(r *Result) float64 { return perController(r, "status") }},
-	{"peers: of it views", "KB/s", func(r *Result) float64 { return perController(r, "views") }},
-	{"peers: of it deltas", "KB/s", func(r *Result) float64 { return perController(r, "deltas") }},
-	{"store: requests", "/s", func(r *Result) float64 { return r.messages("store", "", count) }},
-	{"store: transactions", "/s", func(r *Result) float64 { return r.messages("store", "write", count) }},
-	{"store: bytes", "KB/s", func(r *Result) float64 { return r.messages("store", "", size) / 1024 }},
+	{"controller: processor, mean", "cores", func(r *Result) float64 { return meanOf(r.Controllers, cores) }},
+	{"controller: processor, most", "cores", func(r *Result) float64 { return maxOf(r.Controllers, cores) }},
+	{"controller: memory, most", "MB", func(r *Result) float64 { return maxOf(r.Controllers, memory) }},
+	{"controller: open files, most", "", func(r *Result) float64 { return maxOf(r.Controllers, files) }},
+	{"controller: read and written", "KB/s", func(r *Result) float64 { return meanOf(r.Controllers, trafficKB) }},
+	{"peers: lines from one controller", "/s", func(r *Result) float64 {
+		return r.messageRate("peers", "", messageCount) / float64(r.Config.Controllers)
+	}},
+	{"peers: bytes from one controller", "KB/s", func(r *Result) float64 { return kbPerController(r, "") }},
+	{"peers: of it statuses", "KB/s", func(r *Result) float64 { return kbPerController(r, "status") }},
+	{"peers: of it views", "KB/s", func(r *Result) float64 { return kbPerController(r, "views") }},
+	{"peers: of it deltas", "KB/s", func(r *Result) float64 { return kbPerController(r, "deltas") }},
+	{"store: requests", "/s", func(r *Result) float64 { return r.messageRate("store", "", messageCount) }},
+	{"store: transactions", "/s", func(r *Result) float64 { return r.messageRate("store", "write", messageCount) }},
+	{"store: bytes", "KB/s", func(r *Result) float64 { return r.messageRate("store", "", messageBytes) / 1024 }},
 	{"reports", "/s", func(r *Result) float64 { return r.Heartbeats }},
 	{"starts", "/s", func(r *Result) float64 { return r.Starts }},
 	{"report to answer, p99", "ms", func(r *Result) float64 { return float64(r.HeartbeatLatency.P99) / 1000 }},
@@ -75,17 +77,17 @@
 	{"usual start, p99", "ms", func(r *Result) float64 { return float64(r.UsualWait.P99) }},
 	{"one worker: bodies", "KB/s", func(r *Result) float64 { return r.BytesPerAgent / 1024 }},
 	{"one worker: processor", "% of a core", func(r *Result) float64 {
-		return 100 * mean(r.AgentProcesses, cores) * float64(len(r.AgentProcesses)) / float64(r.Config.Agents)
+		return 100 * meanOf(r.AgentProcesses, cores) * float64(len(r.AgentProcesses)) / float64(r.Config.Agents)
 	}},
 	{"one worker: memory", "MB", func(r *Result) float64 {
-		return mean(r.AgentProcesses, memory) * float64(len(r.AgentProcesses)) / float64(r.Config.Agents)
+		return meanOf(r.AgentProcesses, memory) * float64(len(r.AgentProcesses)) / float64(r.Config.Agents)
 	}},
 	{"stand-ins and users: processor", "cores", func(r *Result) float64 { return r.StandIns.Cores }},
-	{"workers' processes: processor", "cores", func(r *Result) float64 { return mean(r.AgentProcesses, cores) * float64(len(r.AgentProcesses)) }},
+	{"workers' processes: processor", "cores", func(r *Result) float64 { return meanOf(r.AgentProcesses, cores) * float64(len(r.AgentProcesses)) }},
 	{"other programs on the machine", "cores", func(r *Result) float64 { return r.OthersBusy }},
 }
 
-// Point is one run's figure.
+// Point is one run's figure at its value on the axis.
 type Point struct {
 	X float64 `json:"x"`
 	Y float64 `json:"y"`
@@ -97,21 +99,21 @@
 	Intercept float64 `json:"intercept"`
 }
 
-// At is the line's value.
+// At returns the line's value at x.
 func (l Line) At(x float64) float64 { return l.Intercept + l.Slope*x }
 
-// Slope is how one figure grows along an axis.
+// Slope describes how one figure grows along an axis.
 type Slope struct {
 	Figure   string  `json:"figure"`
 	Unit     string  `json:"unit"`
 	Points   []Point `json:"points"`
 	Line     Line    `json:"line"`
-	Residual float64 `json:"worst_residual"` // as a part of the greatest value
-	Spread   float64 `json:"worst_spread"`   // between runs of one size, as a part of their mean
-	Bend     float64 `json:"bend"`           // slope of the upper half of the sizes over that of the lower half; 0: not told
+	Residual float64 `json:"worst_residual"` // relative to the greatest value
+	Spread   float64 `json:"worst_spread"`   // between runs of one size, relative to their mean
+	Bend     float64 `json:"bend"`           // slope of the upper half of the sizes over that of the lower half; 0: undefined
 }
 
-// fit is the least-squares line through points; level if they share one place.
+// fit returns the least-squares line through points. It is horizontal if all points share one X.
 func fit(points []Point) Line {
 	n, sx, sy := float64(len(points)), 0.0, 0.0
 	for _, p := range points {
@@ -134,7 +136,7 @@
 	for _, f := range figures {
 		s := Slope{Figure: f.name, Unit: f.unit}
 		for _, r := range results {
-			s.Points = append(s.Points, Point{over.of(r), f.of(r)})
+			s.Points = append(s.Points, Point{over.value(r), f.value(r)})
 		}
 		if len(s.Points) == 0 {
 			continue
@@ -152,7 +154,7 @@
 	return all
 }
 
-// residual is the greatest distance from the line, as a part of the greatest value.
+// residual returns the greatest distance from the line relative to the greatest value.
 func residual(points []Point, l Line) float64 {
 	worst, top := 0.0, 0.0
 	for _, p := range points {
@@ -164,15 +166,15 @@
 	return worst / top
 }
 
-// sameSize is within what part of each other two places count as one size.
-const sameSize = 0.03
+// sizeTolerance is the relative difference within which two X values count as one size.
+const sizeTolerance = 0.03
 
-// spread is how far runs of one size lie apart.
+// spread returns the greatest relative difference between runs of one size.
 func spread(points []Point) float64 {
 	worst := 0.0
 	for i := 0; i < len(points); {
 		lo, hi, sum, k := points[i].Y, points[i].Y, 0.0, i
-		for ; k < len(points) && points[k].X <= points[i].X*(1+sameSize); k++ {
+		for ; k < len(points) && points[k].X <= points[i].X*(1+sizeTolerance); k++ {
 			lo, hi, sum = min(lo, points[k].Y), max(hi, points[k].Y), sum+points[k].Y
 		}
 		if mean := sum / float64(k-i); mean > 0 {
@@ -183,11 +185,12 @@
 	return worst
 }
 
-// bend compares the slopes of both halves of the sizes. The size in the middle belongs to both.
+// bend returns the ratio of the slopes of the upper and the lower half of the sizes. The middle size belongs to both.
+// It returns 0 for fewer than four sizes.
 func bend(points []Point) float64 {
 	var sizes []float64
 	for _, p := range points {
-		if len(sizes) == 0 || p.X > sizes[len(sizes)-1]*(1+sameSize) {
+		if len(sizes) == 0 || p.X > sizes[len(sizes)-1]*(1+sizeTolerance) {
 			sizes = append(sizes, p.X)
 		}
 	}
@@ -197,7 +200,7 @@
 	middle := sizes[len(sizes)/2]
 	var lower, upper []Point
 	for _, p := range points {
-		if p.X <= middle*(1+sameSize) {
+		if p.X <= middle*(1+sizeTolerance) {
 			lower = append(lower, p)
 		}
 		if p.X >= middle {
@@ -210,7 +213,7 @@
 	return 0
 }
 
-// SlopesText is slopes as a table.
+// SlopesText formats slopes as a Markdown table.
 func SlopesText(slopes []Slope, over Axis) string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "| figure | values by %s | line | worst residual | spread | bend |\n|---|---|---|---|---|---|\n", over)
@@ -224,20 +227,20 @@
 	return b.String()
 }
 
-// Summary is a result in a few lines.
+// Summary formats a result in a few lines.
 func (r *Result) Summary() string {
 	state := "settled"
 	if !r.Settled {
 		state = "NOT settled"
 	}
-	return fmt.Sprintf(`%d workers, %d controllers, %d teams: %s in %.0f s, measured %.0f s
-  %.0f reports/s, %.1f starts/s asked, %.1f got, %d tasks run; urgent starts p99 %d ms, others p99 %d ms; report to answer p99 %.1f ms
-  a controller: %.2f cores (most %.2f), %.0f MB, %.0f KB/s read and written, %.0f KB/s to peers
-  store %.0f requests/s, %.1f transactions/s, %d refused; a worker: %.2f KB/s; stand-ins %.2f cores, workers' processes %.2f, other programs %.2f
+	return fmt.Sprintf(`%d agents, %d controllers, %d teams: %s in %.0f s, measured %.0f s
+  %.0f heartbeats/s, %.1f starts/s requested, %.1f measured, %d tasks running; urgent starts p99 %d ms, others p99 %d ms; heartbeat to answer p99 %.1f ms
+  per controller: %.2f cores (max %.2f), %.0f MB, %.0f KB/s read and written, %.0f KB/s to peers
+  store %.0f requests/s, %.1f transactions/s, %d refused; per agent: %.2f KB/s; simulations %.2f cores, agent processes %.2f, other programs %.2f
   rules broken: %d`,
 		r.Config.Agents, r.Config.Controllers, r.Config.Teams, state, r.SettledIn, r.Measured,
 		r.Heartbeats, r.Config.StartsPerSecond, r.Starts, r.Running, r.UrgentWait.P99, r.UsualWait.P99, float64(r.HeartbeatLatency.P99)/1000,
-		mean(r.Controllers, cores), most(r.Controllers, cores), most(r.Controllers, memory), mean(r.Controllers, traffics), perController(r, ""),
-		r.messages("store", "", count), r.messages("store", "write", count), r.StoreRefused, r.BytesPerAgent/1024,
-		r.StandIns.Cores, mean(r.AgentProcesses, cores)*float64(len(r.AgentProcesses)), r.OthersBusy, r.BrokenCount)
+		meanOf(r.Controllers, cores), maxOf(r.Controllers, cores), maxOf(r.Controllers, memory), meanOf(r.Controllers, trafficKB), kbPerController(r, ""),
+		r.messageRate("store", "", messageCount), r.messageRate("store", "write", messageCount), r.StoreRefused, r.BytesPerAgent/1024,
+		r.StandIns.Cores, meanOf(r.AgentProcesses, cores)*float64(len(r.AgentProcesses)), r.OthersBusy, r.BrokenCount)
 }
