--- a/internal/loadtest/count.go
+++ b/internal/loadtest/traffic.go
@@ -12,43 +12,43 @@
 	"sync"
 )
 
-// Traffic is the messages of one kind between two sides.
+// Traffic counts the messages of one kind between two parties.
 type Traffic struct {
 	Between  string `json:"between"`
 	Kind     string `json:"kind"`
 	Messages int64  `json:"messages"`
-	Bytes    int64  `json:"bytes"`           // of requests, or of lines
-	Answers  int64  `json:"bytes_of_answer"` // of their answers
+	Bytes    int64  `json:"bytes"`           // requests or lines
+	Answers  int64  `json:"bytes_of_answer"` // answers to them
 }
 
 type trafficKey struct{ between, kind string }
 
 // traffic counts messages by kind.
 type traffic struct {
-	mu sync.Mutex
-	by map[trafficKey]Traffic
+	mu     sync.Mutex
+	counts map[trafficKey]Traffic
 }
 
-func newTraffic() *traffic { return &traffic{by: map[trafficKey]Traffic{}} }
+func newTraffic() *traffic { return &traffic{counts: map[trafficKey]Traffic{}} }
 
 func (t *traffic) add(between, kind string, bytes, answer int64) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	k := trafficKey{between, kind}
-	x := t.by[k]
+	x := t.counts[k]
 	x.Between, x.Kind = between, kind
 	x.Messages++
 	x.Bytes += bytes
 	x.Answers += answer
-	t.by[k] = x
+	t.counts[k] = x
 }
 
-// list gives the counts so far, less those of an earlier list.
+// list returns the counts so far minus those of an earlier list.
 func (t *traffic) list(before []Traffic) []Traffic {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	var out []Traffic
-	for _, x := range t.by {
+	for _, x := range t.counts {
 		for _, b := range before {
 			if b.Between == x.Between && b.Kind == x.Kind {
 				x.Messages, x.Bytes, x.Answers = x.Messages-b.Messages, x.Bytes-b.Bytes, x.Answers-b.Answers
@@ -62,7 +62,7 @@
 	return out
 }
 
-// storeKind names a request to the key-value store.
+// storeKind returns the kind of a request to the key-value store.
 func storeKind(r *http.Request) string {
 	switch {
 	case r.URL.Path == "/txn":
@@ -79,7 +79,7 @@
 	return "read key"
 }
 
-// countStore counts the requests that a handler of the key-value store gets.
+// countStore wraps a handler of the key-value store and counts its requests.
 func (t *traffic) countStore(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		counted := &countingWriter{ResponseWriter: w}
@@ -99,14 +99,14 @@
 	return n, err
 }
 
-// lineCounter carries a controller's connections to a peer and counts their lines by kind.
+// lineCounter is a proxy for a controller's connections to a peer that counts their lines by kind.
 type lineCounter struct {
 	listener net.Listener
 	to       string
 	count    *traffic
 }
 
-// newLineCounter listens in a peer's place.
+// newLineCounter starts a proxy to a peer's address.
 func newLineCounter(to string, count *traffic) (*lineCounter, error) {
 	l, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
@@ -131,7 +131,7 @@
 	}
 }
 
-// carry passes lines on until either side ends. The peer never writes back.
+// carry forwards lines until either side closes. The peer never writes back.
 func (c *lineCounter) carry(in net.Conn) {
 	defer in.Close()
 	out, err := net.Dial("tcp4", c.to)
@@ -140,7 +140,7 @@
 	}
 	defer out.Close()
 	go func() {
-		_, _ = io.Copy(in, out) // only its end matters
+		_, _ = io.Copy(in, out) // only detects that the peer closed
 		_ = in.Close()
 	}()
 	lines := bufio.NewReaderSize(in, 64<<10)
@@ -163,7 +163,7 @@
 	}
 }
 
-// lineKind reads the kind at the beginning of a line.
+// lineKind returns the kind at the beginning of a line. The first line of a connection has none and counts as "hello".
 func lineKind(line []byte) string {
 	rest, ok := bytes.CutPrefix(line, []byte(`{"kind":"`))
 	if end := bytes.IndexByte(rest, '"'); ok && end > 0 {
--- a/internal/loadtest/users.go
+++ b/internal/loadtest/users.go
@@ -14,48 +14,48 @@
 	"topazhollow/internal/wait"
 )
 
-// Times of the users' protocol.
+// Intervals and timeouts of the users' requests.
 const (
-	pollEvery   = 5 * time.Second
-	pollTimeout = 2 * time.Second
-	sendTimeout = 5 * time.Second
-	sendRetry   = time.Second
+	pollInterval     = 5 * time.Second
+	pollTimeout      = 2 * time.Second
+	submitTimeout    = 5 * time.Second
+	submitRetryDelay = time.Second
 )
 
 const (
 	urgentClass = "urgent"
 	usualClass  = "usual"
 
-	mostUnfinished = 20000 // jobs that users follow at a time
-	mostReplicas   = 250   // of a service
-	sendersAtOnce  = 64    // services that are submitted at a time
+	maxUnfinishedJobs        = 20000 // jobs that users submit and poll at the same time
+	maxReplicas              = 250   // of a service
+	maxConcurrentSubmissions = 64    // services that are submitted at the same time
 )
 
-// users submit jobs and ask for them until they are done.
+// users submits jobs and polls their states until they are done.
 type users struct {
-	g      *region
-	client *http.Client
-	rng    *rand.Rand
-	next   int
-	busy   atomic.Int64
-	polls  atomic.Int64
-	failed atomic.Int64 // requests without an answer, or refused for now
-	left   atomic.Int64 // jobs not submitted as too many were unfinished
-	all    sync.WaitGroup
+	region         *region
+	client         *http.Client
+	rng            *rand.Rand
+	lastNumber     int
+	unfinished     atomic.Int64
+	polls          atomic.Int64
+	failedRequests atomic.Int64 // submissions that were unanswered or refused
+	skipped        atomic.Int64 // jobs not submitted because too many were unfinished
+	wg             sync.WaitGroup
 }
 
 func newUsers(g *region) *users {
-	return &users{g: g, rng: rand.New(rand.NewPCG(g.c.Seed, 2)),
+	return &users{region: g, rng: rand.New(rand.NewPCG(g.config.Seed, 2)),
 		client: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 64, MaxConnsPerHost: 256}}}
 }
 
-// make draws the next job.
-func (u *users) make(team, tasks int, run time.Duration, urgent bool) *job {
-	u.next++
-	return &job{name: jobName{u.next, team, run}, tasks: tasks, urgent: urgent, done: map[int]bool{}}
+// newJob creates the next job.
+func (u *users) newJob(team, tasks int, run time.Duration, urgent bool) *job {
+	u.lastNumber++
+	return &job{name: jobName{u.lastNumber, team, run}, tasks: tasks, urgent: urgent, done: map[int]bool{}}
 }
 
-// submission is a job as its user describes it.
+// submission returns a job as its user submits it.
 func (j *job) submission() *protocol.Submission {
 	s := &protocol.Submission{UID: j.name.String(), Class: usualClass, Team: teamName(j.name.Team), Kind: protocol.JobArray, Priority: "standard",
 		Tasks: j.tasks, CPUs: 1, MemoryGB: 1, Image: "image", Spot: true, EstimateSeconds: j.name.Run.Seconds()}
@@ -68,22 +68,22 @@
 	return s
 }
 
-// stand submits the services, whose replicas run throughout, and returns once all were
+// submitServices submits the services, whose replicas run during the whole experiment, and returns once all are
 // accepted.
-func (u *users) stand(ctx context.Context) {
-	senders := make(chan struct{}, sendersAtOnce)
+func (u *users) submitServices(ctx context.Context) {
+	senders := make(chan struct{}, maxConcurrentSubmissions)
 	var accepted sync.WaitGroup
-	all := u.g.c.standing()
-	for team := range u.g.c.Teams {
-		left := all * (team + 1) / u.g.c.Teams
-		for left -= all * team / u.g.c.Teams; left > 0; left -= mostReplicas {
-			j := u.make(team, min(left, mostReplicas), 0, false)
+	all := u.region.config.serviceTasks()
+	for team := range u.region.config.Teams {
+		left := all * (team + 1) / u.region.config.Teams
+		for left -= all * team / u.region.config.Teams; left > 0; left -= maxReplicas {
+			j := u.newJob(team, min(left, maxReplicas), 0, false)
 			senders <- struct{}{}
 			accepted.Add(1)
-			u.all.Add(1)
+			u.wg.Add(1)
 			go func() {
-				defer u.all.Done()
-				u.submit(ctx, j, rand.New(rand.NewPCG(u.g.c.Seed, uint64(j.name.Number))))
+				defer u.wg.Done()
+				u.submit(ctx, j, rand.New(rand.NewPCG(u.region.config.Seed, uint64(j.name.Number))))
 				<-senders
 				accepted.Done()
 			}()
@@ -92,66 +92,66 @@
 	accepted.Wait()
 }
 
-// arrays submits arrays at the rate of the experiment until the context ends.
-func (u *users) arrays(ctx context.Context) {
+// submitArrays submits arrays at the configured rate until the context ends.
+func (u *users) submitArrays(ctx context.Context) {
 	const step = 20 * time.Millisecond
 	due, began, sent := 0.0, time.Now(), 0
 	for wait.For(ctx, step) {
-		due = time.Since(began).Seconds() * u.g.c.StartsPerSecond / float64(u.g.c.TasksPerJob)
+		due = time.Since(began).Seconds() * u.region.config.StartsPerSecond / float64(u.region.config.TasksPerJob)
 		for ; float64(sent) < due; sent++ {
-			if u.busy.Load() >= mostUnfinished {
-				u.left.Add(1)
+			if u.unfinished.Load() >= maxUnfinishedJobs {
+				u.skipped.Add(1)
 				continue
 			}
-			run := time.Duration((0.5 + u.rng.Float64()) * u.g.c.TaskRun * float64(time.Second))
-			j := u.make(u.rng.IntN(u.g.c.Teams), u.g.c.TasksPerJob, run, u.rng.Float64() < u.g.c.UrgentShare)
-			u.all.Add(1)
-			u.busy.Add(1)
+			run := time.Duration((0.5 + u.rng.Float64()) * u.region.config.TaskRun * float64(time.Second))
+			j := u.newJob(u.rng.IntN(u.region.config.Teams), u.region.config.TasksPerJob, run, u.rng.Float64() < u.region.config.UrgentShare)
+			u.wg.Add(1)
+			u.unfinished.Add(1)
 			go u.follow(ctx, j)
 		}
 	}
 }
 
-// follow submits a job and asks for it until it is done.
+// follow submits a job and polls its state until it is done.
 func (u *users) follow(ctx context.Context, j *job) {
-	defer u.all.Done()
-	defer u.busy.Add(-1)
-	rng := rand.New(rand.NewPCG(u.g.c.Seed, uint64(j.name.Number)))
+	defer u.wg.Done()
+	defer u.unfinished.Add(-1)
+	rng := rand.New(rand.NewPCG(u.region.config.Seed, uint64(j.name.Number)))
 	if !u.submit(ctx, j, rng) {
 		return
 	}
-	for wait.For(ctx, pollEvery) {
+	for wait.For(ctx, pollInterval) {
 		u.polls.Add(1)
-		if _, state := u.ask(ctx, rng, http.MethodGet, protocol.PathSubmit+"/"+j.name.String(), nil, pollTimeout); state == protocol.Done {
+		if _, state := u.request(ctx, rng, http.MethodGet, protocol.PathSubmit+"/"+j.name.String(), nil, pollTimeout); state == protocol.Done {
 			return
 		}
 	}
 }
 
-// submit repeats a submission until it is accepted; false if the context ended before.
+// submit repeats a submission until it is accepted. It returns false if the context ended first.
 func (u *users) submit(ctx context.Context, j *job, rng *rand.Rand) bool {
 	j.submitted = time.Now()
-	u.g.mu.Lock()
-	u.g.rules.jobs[j.name.String()] = j
-	u.g.mu.Unlock()
+	u.region.mu.Lock()
+	u.region.rules.jobs[j.name.String()] = j
+	u.region.mu.Unlock()
 	body := protocol.Encode(j.submission())
 	for {
-		status, _ := u.ask(ctx, rng, http.MethodPost, protocol.PathSubmit, body, sendTimeout)
+		status, _ := u.request(ctx, rng, http.MethodPost, protocol.PathSubmit, body, submitTimeout)
 		if status == http.StatusOK || status == http.StatusCreated {
 			return true
 		}
-		u.failed.Add(1)
-		if !wait.For(ctx, sendRetry) {
+		u.failedRequests.Add(1)
+		if !wait.For(ctx, submitRetryDelay) {
 			return false
 		}
 	}
 }
 
-// ask sends a request to a drawn controller and has the rules see the answer.
-func (u *users) ask(ctx context.Context, rng *rand.Rand, method, path string, body []byte, within time.Duration) (int, protocol.JobState) {
+// request sends a request to a randomly chosen controller and applies the answer to the rules.
+func (u *users) request(ctx context.Context, rng *rand.Rand, method, path string, body []byte, within time.Duration) (int, protocol.JobState) {
 	ctx, cancel := context.WithTimeout(ctx, within)
 	defer cancel()
-	to := u.g.controllers[rng.IntN(len(u.g.controllers))].listen
+	to := u.region.controllers[rng.IntN(len(u.region.controllers))].listen
 	req, err := http.NewRequestWithContext(ctx, method, "http://"+to+path, bytes.NewReader(body))
 	if err != nil {
 		return 0, ""
@@ -166,9 +166,9 @@
 		return resp.StatusCode, ""
 	}
 	if s.UID != "" {
-		u.g.mu.Lock()
-		u.g.rules.answer(s.UID, resp.StatusCode, s.State, time.Now())
-		u.g.mu.Unlock()
+		u.region.mu.Lock()
+		u.region.rules.applyAnswer(s.UID, resp.StatusCode, s.State, time.Now())
+		u.region.mu.Unlock()
 	}
 	return resp.StatusCode, s.State
 }
--- a/internal/simulation/agent.go
+++ b/internal/simulation/agent.go
@@ -14,45 +14,45 @@
 	"topazhollow/internal/settings"
 )
 
-// Periods are an agent's times.
+// AgentConfig holds an agent's intervals and what its tasks do.
 type AgentConfig struct {
 	Heartbeat, Lease time.Duration
 	Run              func(task string) time.Duration
-	// Exec, if given, is what a task does instead of waiting for Run's time; it says
-	// whether it completed. Its context ends when the task is stopped or lost.
-	Exec func(ctx context.Context, machine string, session uint64, task string, attempt uint64) (done bool)
+	// Exec, if set, executes a task instead of waiting for the duration from Run, and returns whether the task
+	// completed. Its context ends when the task is stopped or lost.
+	Exec func(ctx context.Context, machine string, incarnation uint64, task string, attempt uint64) (done bool)
 }
 
-// Agent is a stand-in for a machine's agent.
+// Agent simulates a machine and its agent.
 type Agent struct {
-	name, typ, zone string
-	spot            bool
-	nodes           map[string]string // controller -> address
-	order           []string
-	periods         AgentConfig
-	check           *Checker
-	server          *http.Server
-	addr            string
-	stop            context.CancelFunc
-	wake            chan struct{}
+	name, machineType, zone string
+	spot                    bool
+	controllers             map[string]string // controller -> address
+	controllerOrder         []string
+	config                  AgentConfig
+	checker                 *Checker
+	server                  *http.Server
+	addr                    string
+	stop                    context.CancelFunc
+	wake                    chan struct{}
 
-	mu      sync.Mutex
-	faults  faults
-	session uint64
-	seq     uint64
-	token   uint64
-	tasks   map[string]*protocol.TaskStatus // by task, the newest attempt first known
-	ended   map[string]bool                 // results that are kept
-	alive   time.Time                       // when the last answered report was sent
-	timers  map[string]*time.Timer
-	stops   map[string]context.CancelFunc // of what runs for real
+	mu           sync.Mutex
+	faults       faults
+	incarnation  uint64
+	seq          uint64
+	fencingToken uint64
+	tasks        map[string]*protocol.TaskStatus // the attempt on the machine, or its kept exit status, by task
+	completed    map[string]bool                 // tasks that completed here
+	lastAnswered time.Time                       // when the last answered heartbeat was sent
+	timers       map[string]*time.Timer
+	execCancels  map[string]context.CancelFunc // stop tasks that run in Exec
 }
 
-// NewAgent starts an agent that reports to one of the controllers.
+// NewAgent starts an agent that sends heartbeats to one of the controllers.
 func NewAgent(name, typ, zone string, spot bool, nodes map[string]string, order []string, per AgentConfig, check *Checker) (*Agent, error) {
-	w := &Agent{name: name, typ: typ, zone: zone, spot: spot, nodes: nodes, order: order, periods: per, check: check,
-		session: 1, tasks: map[string]*protocol.TaskStatus{}, ended: map[string]bool{}, alive: time.Now(),
-		timers: map[string]*time.Timer{}, stops: map[string]context.CancelFunc{}, wake: make(chan struct{}, 1)}
+	w := &Agent{name: name, machineType: typ, zone: zone, spot: spot, controllers: nodes, controllerOrder: order, config: per, checker: check,
+		incarnation: 1, tasks: map[string]*protocol.TaskStatus{}, completed: map[string]bool{}, lastAnswered: time.Now(),
+		timers: map[string]*time.Timer{}, execCancels: map[string]context.CancelFunc{}, wake: make(chan struct{}, 1)}
 	l, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
 		return nil, err
@@ -65,29 +65,29 @@
 	go w.server.Serve(l)
 	ctx, cancel := context.WithCancel(context.Background())
 	w.stop = cancel
-	go w.run(ctx)
+	go w.sendHeartbeats(ctx)
 	go w.watchLease(ctx)
 	return w, nil
 }
 
-// Name is the machine's name.
+// Name returns the machine's name.
 func (w *Agent) Name() string { return w.name }
 
-// Place gives the machine's zone and whether it is a spot machine.
+// Place returns the machine's zone and whether it is a spot machine.
 func (w *Agent) Place() (zone string, spot bool) { return w.zone, w.spot }
 
-// Addr is where the agent takes commands.
+// Addr returns the address on which the agent receives direct commands.
 func (w *Agent) Addr() string { return w.addr }
 
-// BeginIncarnation begins the next session, as an agent does whose lease ended.
+// BeginIncarnation kills all tasks and begins the next incarnation, as an agent does whose lease expired.
 func (w *Agent) BeginIncarnation() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.killAll()
-	w.session++
+	w.incarnation++
 }
 
-// RunningTasks lists the tasks on the machine.
+// RunningTasks returns the tasks on the machine that have not exited.
 func (w *Agent) RunningTasks() (tasks []string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -99,25 +99,25 @@
 	return tasks
 }
 
-// RemoveMachine takes the machine away with everything on it.
+// RemoveMachine stops the agent and kills everything on its machine.
 func (w *Agent) RemoveMachine() {
 	w.stop()
 	w.server.Close()
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.killAll()
-	w.faults.gone = true
+	w.faults.removed = true
 }
 
 func (w *Agent) killAll() {
 	for task, t := range w.tasks {
 		if t.State != protocol.Exited {
-			w.check.RecordEnd(task, false)
+			w.checker.RecordEnd(task, false)
 		}
 		if timer := w.timers[task]; timer != nil {
 			timer.Stop()
 		}
-		if stop := w.stops[task]; stop != nil {
+		if stop := w.execCancels[task]; stop != nil {
 			stop()
 		}
 	}
@@ -126,9 +126,9 @@
 
 func (w *Agent) heartbeat() protocol.Heartbeat {
 	w.seq++
-	r := protocol.Heartbeat{Machine: w.name, Addr: w.addr, Type: w.typ, Zone: w.zone, Spot: w.spot, Incarnation: w.session, Seq: w.seq, FencingToken: w.token, Tasks: []protocol.TaskStatus{}}
-	if w.faults.taken > 0 {
-		r.NoticeSeconds = new(w.faults.taken)
+	r := protocol.Heartbeat{Machine: w.name, Addr: w.addr, Type: w.machineType, Zone: w.zone, Spot: w.spot, Incarnation: w.incarnation, Seq: w.seq, FencingToken: w.fencingToken, Tasks: []protocol.TaskStatus{}}
+	if w.faults.evictionSeconds > 0 {
+		r.NoticeSeconds = new(w.faults.evictionSeconds)
 	}
 	for _, t := range w.tasks {
 		r.Tasks = append(r.Tasks, *t)
@@ -142,12 +142,12 @@
 		reply(rw, 400, protocol.Error{Error: "malformed"})
 		return
 	}
-	if !w.passes(&d) {
-		giveNoAnswer(r)
+	if !w.admitCommands(&d) {
+		leaveUnanswered(r)
 	}
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if w.faults.unreached() {
+	if w.faults.commandsBlocked() {
 		panic(http.ErrAbortHandler)
 	}
 	if !w.applyCommands(&d) {
@@ -157,23 +157,23 @@
 	reply(rw, 200, w.heartbeat())
 }
 
-// applyCommands executes direct commands if their token and session match.
+// applyCommands executes direct commands if their fencing token and incarnation match.
 func (w *Agent) applyCommands(d *protocol.DirectCommands) bool {
-	if d.FencingToken < w.token || d.Incarnation != w.session {
+	if d.FencingToken < w.fencingToken || d.Incarnation != w.incarnation {
 		return false
 	}
-	w.token = d.FencingToken
+	w.fencingToken = d.FencingToken
 	w.execute(d.Commands)
 	return true
 }
 
 func (w *Agent) handleInspect(rw http.ResponseWriter, r *http.Request) {
 	if w.isHanging() {
-		giveNoAnswer(r)
+		leaveUnanswered(r)
 	}
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if w.faults.unreached() {
+	if w.faults.commandsBlocked() {
 		panic(http.ErrAbortHandler)
 	}
 	reply(rw, 200, w.heartbeat())
@@ -188,12 +188,12 @@
 			switch {
 			case t != nil && t.Attempt == c.Attempt:
 			case t != nil && t.State != protocol.Exited:
-				continue // refused as in_use; the listed attempt stays
-			case w.check.Spec(uid) == nil:
+				continue // refused as in_use; the current attempt stays
+			case w.checker.Spec(uid) == nil:
 				w.tasks[c.Task] = &protocol.TaskStatus{Task: c.Task, Attempt: c.Attempt, State: protocol.Exited, Reason: protocol.ReasonNoSuch}
 			default:
 				w.tasks[c.Task] = &protocol.TaskStatus{Task: c.Task, Attempt: c.Attempt, State: protocol.Running}
-				w.check.RecordStart(c.Task, w.name, w.typ, w.zone, w.spot)
+				w.checker.RecordStart(c.Task, w.name, w.machineType, w.zone, w.spot)
 				w.finishLater(c.Task, c.Attempt)
 			}
 		case protocol.Stop:
@@ -208,32 +208,32 @@
 	}
 }
 
-// stopTask ends a task, or has it save first if it can and is given the time. A task that saves ends at once by a
-// second stop without grace.
+// stopTask ends a task. If the task supports checkpoints and the grace period suffices, it saves one first; a second
+// stop without grace ends a task that is saving immediately.
 func (w *Agent) stopTask(t *protocol.TaskStatus, grace *float64) {
 	given := 0.0
 	if grace != nil {
 		given = *grace
 	}
 	uid, _, _ := protocol.SplitTask(t.Task)
-	spec := w.check.Spec(uid)
+	spec := w.checker.Spec(uid)
 	saves := spec != nil && spec.Kind != protocol.Gang && spec.CheckpointEverySeconds > 0 && spec.CheckpointSeconds > 0
 	switch {
 	case t.State == protocol.Saving && given > 0:
 	case t.State == protocol.Running && saves && given >= spec.CheckpointSeconds:
-		w.save(t, settings.Seconds(spec.CheckpointSeconds))
+		w.saveCheckpoint(t, settings.Seconds(spec.CheckpointSeconds))
 	default:
 		w.exit(t, protocol.ReasonStopped)
 	}
 }
 
-// save has a task save its progress, after which it exits.
-func (w *Agent) save(t *protocol.TaskStatus, takes time.Duration) {
+// saveCheckpoint lets a task save a checkpoint, after which it exits.
+func (w *Agent) saveCheckpoint(t *protocol.TaskStatus, duration time.Duration) {
 	t.State = protocol.Saving
 	if timer := w.timers[t.Task]; timer != nil {
 		timer.Stop()
 	}
-	w.after(t.Task, t.Attempt, takes, func(t *protocol.TaskStatus) {
+	w.schedule(t.Task, t.Attempt, duration, func(t *protocol.TaskStatus) {
 		if t.State == protocol.Saving {
 			t.Checkpointed = true
 			w.exit(t, protocol.ReasonStopped)
@@ -241,17 +241,17 @@
 	})
 }
 
-// after does something with an attempt after a time, unless it is gone by then. A machine that hangs does it once
-// it goes on.
-func (w *Agent) after(task string, attempt uint64, passes time.Duration, do func(t *protocol.TaskStatus)) {
-	w.timers[task] = time.AfterFunc(passes, func() {
+// schedule runs a function on an attempt after a delay, unless the attempt is gone by then. On a hanging machine the
+// function runs once the machine resumes.
+func (w *Agent) schedule(task string, attempt uint64, delay time.Duration, do func(t *protocol.TaskStatus)) {
+	w.timers[task] = time.AfterFunc(delay, func() {
 		w.mu.Lock()
 		defer w.mu.Unlock()
 		t := w.tasks[task]
 		switch {
 		case t == nil || t.Attempt != attempt:
-		case w.faults.hung:
-			w.after(task, attempt, hungStep, do)
+		case w.faults.hanging:
+			w.schedule(task, attempt, hangPollInterval, do)
 		default:
 			do(t)
 		}
@@ -260,11 +260,11 @@
 
 func (w *Agent) exit(t *protocol.TaskStatus, why protocol.ExitReason) {
 	t.State, t.Reason = protocol.Exited, why
-	w.check.RecordEnd(t.Task, why == protocol.ReasonDone)
+	w.checker.RecordEnd(t.Task, why == protocol.ReasonDone)
 	if timer := w.timers[t.Task]; timer != nil {
 		timer.Stop()
 	}
-	if stop := w.stops[t.Task]; stop != nil {
+	if stop := w.execCancels[t.Task]; stop != nil {
 		stop()
 	}
 	select {
@@ -274,17 +274,17 @@
 }
 
 func (w *Agent) finishLater(task string, attempt uint64) {
-	if w.periods.Exec != nil {
+	if w.config.Exec != nil {
 		ctx, stop := context.WithCancel(context.Background())
-		w.stops[task] = stop
-		session := w.session
+		w.execCancels[task] = stop
+		incarnation := w.incarnation
 		go func() {
 			defer stop()
-			done := w.periods.Exec(ctx, w.name, session, task, attempt)
+			done := w.config.Exec(ctx, w.name, incarnation, task, attempt)
 			w.mu.Lock()
 			defer w.mu.Unlock()
-			if t := w.tasks[task]; t != nil && t.Attempt == attempt && t.State == protocol.Running && w.session == session {
-				if w.ended[task] = done; done {
+			if t := w.tasks[task]; t != nil && t.Attempt == attempt && t.State == protocol.Running && w.incarnation == incarnation {
+				if w.completed[task] = done; done {
 					w.exit(t, protocol.ReasonDone)
 				} else {
 					w.exit(t, protocol.ReasonError)
@@ -293,25 +293,25 @@
 		}()
 		return
 	}
-	run := w.periods.Run(task)
-	if w.ended[task] {
+	run := w.config.Run(task)
+	if w.completed[task] {
 		run = 0
 	}
-	w.after(task, attempt, run, func(t *protocol.TaskStatus) {
+	w.schedule(task, attempt, run, func(t *protocol.TaskStatus) {
 		if t.State == protocol.Running {
-			w.ended[task] = true
+			w.completed[task] = true
 			w.exit(t, protocol.ReasonDone)
 		}
 	})
 }
 
-// run sends reports to one controller after the other until one answers, and stays there.
-func (w *Agent) run(ctx context.Context) {
+// sendHeartbeats sends heartbeats to one controller after another until one answers, and stays with that one.
+func (w *Agent) sendHeartbeats(ctx context.Context) {
 	client := &http.Client{Timeout: 2 * time.Second, Transport: &http.Transport{}}
 	defer client.CloseIdleConnections()
 	at := 0
 	for ctx.Err() == nil {
-		next := hungStep
+		next := hangPollInterval
 		if !w.isHanging() {
 			at, next = w.sendHeartbeat(client, at)
 		}
@@ -324,49 +324,51 @@
 	}
 }
 
-// sendHeartbeat sends one report to a controller, by its index, and gives to whom and when the next one goes.
+// sendHeartbeat sends one heartbeat to the controller with an index. It returns the index of the next heartbeat's
+// controller and the delay until then.
 func (w *Agent) sendHeartbeat(client *http.Client, at int) (to int, next time.Duration) {
-	node := w.order[at]
+	node := w.controllerOrder[at]
 	sent := time.Now()
-	body, session, arrives := w.nextHeartbeat(client, node)
-	to, next = (at+1)%len(w.order), w.periods.Heartbeat
+	body, incarnation, arrives := w.nextHeartbeat(client, node)
+	to, next = (at+1)%len(w.controllerOrder), w.config.Heartbeat
 	if !arrives {
 		return to, next
 	}
-	resp, err := client.Post("http://"+w.nodes[node]+protocol.PathHeartbeat, "application/json", bytes.NewReader(body))
+	resp, err := client.Post("http://"+w.controllers[node]+protocol.PathHeartbeat, "application/json", bytes.NewReader(body))
 	if err != nil {
 		return to, next
 	}
 	defer resp.Body.Close()
 	switch {
-	case !w.receives():
+	case !w.receivesAnswers():
 	case resp.StatusCode == http.StatusOK:
 		var a protocol.HeartbeatAnswer
-		_ = json.NewDecoder(resp.Body).Decode(&a) // without a token it is dropped
-		w.takeAnswer(&a, session, sent)
+		_ = json.NewDecoder(resp.Body).Decode(&a) // an undecodable answer has no token and is ignored
+		w.handleAnswer(&a, incarnation, sent)
 		return at, next
 	case resp.StatusCode == http.StatusMisdirectedRequest:
 		var m protocol.Redirect
-		_ = json.NewDecoder(resp.Body).Decode(&m) // without a name the next one is tried
-		if i := slices.Index(w.order, m.Controller); i >= 0 {
+		_ = json.NewDecoder(resp.Body).Decode(&m) // an undecodable answer names no controller; the next one is tried
+		if i := slices.Index(w.controllerOrder, m.Controller); i >= 0 {
 			return i, 10 * time.Millisecond
 		}
 	}
 	return to, next
 }
 
-// takeAnswer renews the lease and executes commands, unless the answer is to be dropped.
-func (w *Agent) takeAnswer(a *protocol.HeartbeatAnswer, session uint64, sent time.Time) {
+// handleAnswer renews the lease and executes commands, unless the answer is stale or the network is disconnected.
+func (w *Agent) handleAnswer(a *protocol.HeartbeatAnswer, incarnation uint64, sent time.Time) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if a.FencingToken >= w.token && a.FencingToken > 0 && w.session == session && !w.faults.cut {
-		w.token = a.FencingToken
-		w.alive = sent
+	if a.FencingToken >= w.fencingToken && a.FencingToken > 0 && w.incarnation == incarnation && !w.faults.disconnected {
+		w.fencingToken = a.FencingToken
+		w.lastAnswered = sent
 		w.execute(a.Commands)
 	}
 }
 
-// watchLease ends all tasks and the session once the last answered report was sent too long ago.
+// watchLease kills all tasks and begins a new incarnation when the lease expires: when the last answered heartbeat was
+// sent too long ago.
 func (w *Agent) watchLease(ctx context.Context) {
 	tick := time.NewTicker(20 * time.Millisecond)
 	defer tick.Stop()
@@ -382,9 +384,9 @@
 func (w *Agent) checkLease() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if time.Since(w.alive) > w.periods.Lease && !w.faults.gone {
+	if time.Since(w.lastAnswered) > w.config.Lease && !w.faults.removed {
 		w.killAll()
-		w.session++
-		w.alive = time.Now()
+		w.incarnation++
+		w.lastAnswered = time.Now()
 	}
 }
--- a/internal/simulation/check.go
+++ b/internal/simulation/check.go
@@ -8,64 +8,64 @@
 	"topazhollow/internal/protocol"
 )
 
-// Checker follows what happens and notes every broken rule of the protocol.
+// Checker records submissions, answers, starts and ends, and every violation of the protocol's rules.
 type Checker struct {
-	// Cancel is how long after a user was told that a job is cancelled its tasks may be on machines; 0:
-	// for ever.
+	// CancelTimeout is how long a job's tasks may stay on machines after a user received the answer that the job is
+	// cancelled; 0: no limit.
 	CancelTimeout time.Duration
 
 	mu      sync.Mutex
 	limits  map[string]float64 // CPUs by team
 	jobs    map[string]*jobRecord
-	on      map[string]place // what is on machines, by task
+	running map[string]placement // tasks on machines
 	Broken  []string
 	Started int
 }
 
-// place is where a task is.
-type place struct {
+// placement is the machine that a task is on.
+type placement struct {
 	machine, zone string
 }
 
 type jobRecord struct {
-	spec      *protocol.Submission
-	accepted  bool
-	final     protocol.JobState // as a user was told
-	told      time.Time
-	overdue   bool // noted
-	withdrawn bool // its user asked
-	done      map[int]bool
+	spec            *protocol.Submission
+	accepted        bool
+	final           protocol.JobState // as answered to a user
+	finalAt         time.Time
+	overdueReported bool // a task past the cancel timeout was recorded
+	cancelRequested bool // by its user
+	done            map[int]bool
 }
 
-// NewChecker is a checker with the teams' limits.
+// NewChecker returns a checker with the teams' CPU limits.
 func NewChecker(limits map[string]float64) *Checker {
-	return &Checker{limits: limits, jobs: map[string]*jobRecord{}, on: map[string]place{}}
+	return &Checker{limits: limits, jobs: map[string]*jobRecord{}, running: map[string]placement{}}
 }
 
 func (c *Checker) breakRule(rule, format string, args ...any) {
 	c.Broken = append(c.Broken, rule+": "+fmt.Sprintf(format, args...))
 }
 
-// BrokenRules gives the rules broken so far.
+// BrokenRules returns the violations recorded so far.
 func (c *Checker) BrokenRules() []string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	for task, at := range c.on {
+	for task, at := range c.running {
 		uid, _, _ := protocol.SplitTask(task)
-		if t := c.jobs[uid]; t != nil && c.late(t) && !t.overdue {
-			t.overdue = true
+		if t := c.jobs[uid]; t != nil && c.pastCancelTimeout(t) && !t.overdueReported {
+			t.overdueReported = true
 			c.breakRule("ran_cancelled", "%s is on %s", task, at.machine)
 		}
 	}
 	return append([]string(nil), c.Broken...)
 }
 
-// late says whether a job was cancelled so long ago that no task of it may be on a machine.
-func (c *Checker) late(t *jobRecord) bool {
-	return c.CancelTimeout > 0 && t.final == protocol.Cancelled && time.Since(t.told) > c.CancelTimeout
+// pastCancelTimeout reports whether a job was cancelled so long ago that no task of it may be on a machine.
+func (c *Checker) pastCancelTimeout(t *jobRecord) bool {
+	return c.CancelTimeout > 0 && t.final == protocol.Cancelled && time.Since(t.finalAt) > c.CancelTimeout
 }
 
-// RecordSubmission notes that a user is about to submit a job.
+// RecordSubmission records that a user is about to submit a job.
 func (c *Checker) RecordSubmission(spec *protocol.Submission) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -74,7 +74,7 @@
 	}
 }
 
-// Spec finds a submitted job, as agents do.
+// Spec returns a submitted job, or nil. Simulated agents use it to look up what they run.
 func (c *Checker) Spec(uid string) *protocol.Submission {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -84,20 +84,22 @@
 	return nil
 }
 
-// KnownAnswer is what users had been told of a job when a request was sent; only that binds its answer.
+// KnownAnswer is what users had been answered about a job when a request was sent. Only that binds the request's
+// answer.
 type KnownAnswer struct {
 	accepted bool
 	final    protocol.JobState
 }
 
-// KnownSoFar gives what users were told of a job so far, for the answer to a request that is sent now.
+// KnownSoFar returns what users have been answered about a job so far, to check the answer to a request that is sent
+// now.
 func (c *Checker) KnownSoFar(uid string) KnownAnswer {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.known(uid)
+	return c.knownAnswer(uid)
 }
 
-func (c *Checker) known(uid string) KnownAnswer {
+func (c *Checker) knownAnswer(uid string) KnownAnswer {
 	t := c.jobs[uid]
 	if t == nil {
 		return KnownAnswer{}
@@ -105,22 +107,23 @@
 	return KnownAnswer{accepted: t.accepted, final: t.final}
 }
 
-// RecordAnswer notes what a user was told of a job by a status code and a state, in answer to a request that no other one
-// about the job overlapped.
+// RecordAnswer records the status code and state that a user received about a job. No other request about the job
+// overlapped this one; repeat says that the request was a submission that was sent before.
 func (c *Checker) RecordAnswer(uid string, status int, state protocol.JobState, repeat bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.answered(uid, c.known(uid), status, state, repeat)
+	c.recordAnswer(uid, c.knownAnswer(uid), status, state, repeat)
 }
 
-// RecordOverlappingAnswer is Told for requests that may overlap: before is what Asking gave when this one was sent.
+// RecordOverlappingAnswer is RecordAnswer for requests that may overlap: before is what KnownSoFar returned when this
+// request was sent.
 func (c *Checker) RecordOverlappingAnswer(uid string, before KnownAnswer, status int, state protocol.JobState, repeat bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.answered(uid, before, status, state, repeat)
+	c.recordAnswer(uid, before, status, state, repeat)
 }
 
-func (c *Checker) answered(uid string, before KnownAnswer, status int, state protocol.JobState, repeat bool) {
+func (c *Checker) recordAnswer(uid string, before KnownAnswer, status int, state protocol.JobState, repeat bool) {
 	final := state == protocol.Done || state == protocol.Cancelled
 	t := c.jobs[uid]
 	switch {
@@ -136,12 +139,12 @@
 		if before.final != "" && state != before.final || final && t.final != "" && state != t.final {
 			c.breakRule("went_back", "%s: %s after %s", uid, state, t.final)
 		}
-		if state == protocol.Cancelled && !t.withdrawn {
-			c.breakRule("went_back", "%s withdrawn, but not by its user", uid)
+		if state == protocol.Cancelled && !t.cancelRequested {
+			c.breakRule("went_back", "%s was cancelled, but not by its user", uid)
 		}
 		if final {
 			if t.final == "" {
-				t.told = time.Now()
+				t.finalAt = time.Now()
 			}
 			t.final = state
 		}
@@ -151,31 +154,31 @@
 	}
 }
 
-// RecordCancellation notes that a job's user asks to cancel it.
+// RecordCancellation records that a job's user requests its cancellation.
 func (c *Checker) RecordCancellation(uid string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if t := c.jobs[uid]; t != nil {
-		t.withdrawn = true
+		t.cancelRequested = true
 	}
 }
 
-// RecordStart notes that a task got onto a machine.
+// RecordStart records that a task started on a machine, and checks the rules about placement and quota.
 func (c *Checker) RecordStart(task, machine, typ, zone string, spot bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.Started++
 	uid, _, _ := protocol.SplitTask(task)
 	t := c.jobs[uid]
-	if other, there := c.on[task]; there {
+	if other, there := c.running[task]; there {
 		c.breakRule("ran_twice", "%s on %s and %s", task, other.machine, machine)
 	}
-	c.on[task] = place{machine, zone}
+	c.running[task] = placement{machine, zone}
 	if t == nil {
 		c.breakRule("invented", "%s runs", task)
 		return
 	}
-	if c.late(t) {
+	if c.pastCancelTimeout(t) {
 		c.breakRule("ran_cancelled", "%s on %s", task, machine)
 	}
 	if (spot && !t.spec.Spot) || (t.spec.Zone != nil && *t.spec.Zone != zone) || (t.spec.Types != nil && !contains(t.spec.Types, typ)) {
@@ -183,7 +186,7 @@
 	}
 	c.checkZones(t.spec, zone)
 	used := 0.0
-	for other := range c.on {
+	for other := range c.running {
 		u, _, _ := protocol.SplitTask(other)
 		if o := c.jobs[u]; o != nil && o.spec.Team == t.spec.Team {
 			used += o.spec.CPUs
@@ -194,10 +197,10 @@
 	}
 }
 
-// checkZones checks a job's tasks on machines against its wishes for zones, after one started in a zone.
+// checkZones checks a job's running tasks against its zone constraints after a task started in a zone.
 func (c *Checker) checkZones(spec *protocol.Submission, zone string) {
 	zones := map[string]int{}
-	for task, at := range c.on {
+	for task, at := range c.running {
 		if uid, _, _ := protocol.SplitTask(task); uid == spec.UID {
 			zones[at.zone]++
 		}
@@ -219,29 +222,29 @@
 	return false
 }
 
-// RecordEnd notes that a task left its machine; done says that it completed.
+// RecordEnd records that a task left its machine; done says that it completed.
 func (c *Checker) RecordEnd(task string, done bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	delete(c.on, task)
+	delete(c.running, task)
 	uid, index, _ := protocol.SplitTask(task)
 	if t := c.jobs[uid]; t != nil && done {
 		t.done[index] = true
 	}
 }
 
-// Starts counts the tasks that got onto a machine so far.
+// Starts returns the number of task starts so far.
 func (c *Checker) Starts() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.Started
 }
 
-// CountOfJob counts a job's tasks that are on machines.
+// CountRunningOfJob returns how many of a job's tasks are on machines.
 func (c *Checker) CountRunningOfJob(uid string) (count int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	for task := range c.on {
+	for task := range c.running {
 		if job, _, _ := protocol.SplitTask(task); job == uid {
 			count++
 		}
@@ -249,19 +252,19 @@
 	return count
 }
 
-// CountOnMachines counts the tasks that are on machines.
+// CountRunning returns how many tasks are on machines.
 func (c *Checker) CountRunning() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return len(c.on)
+	return len(c.running)
 }
 
-// CPUsByClass sums up the CPUs of the tasks on machines, by class of their jobs.
+// CPUsByClass returns the CPUs of the tasks on machines, by the class of their jobs.
 func (c *Checker) CPUsByClass() map[string]float64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	sum := map[string]float64{}
-	for task := range c.on {
+	for task := range c.running {
 		uid, _, _ := protocol.SplitTask(task)
 		if t := c.jobs[uid]; t != nil {
 			sum[t.spec.Class] += t.spec.CPUs
--- a/internal/simulation/check_test.go
+++ b/internal/simulation/check_test.go
@@ -8,9 +8,9 @@
 	"topazhollow/internal/protocol"
 )
 
-// TestCheckerCatches shows that the checker fails on a break of each rule, so
-// that a run without findings means something.
-func TestCheckerCatches(t *testing.T) {
+// TestCheckerDetectsViolations breaks each rule once and expects the checker to record it. A checker that misses a
+// violation would let faulty runs pass.
+func TestCheckerDetectsViolations(t *testing.T) {
 	zone := "east"
 	spec := &protocol.Submission{UID: "job-1", Team: "red", Tasks: 3, CPUs: 4, Zone: &zone}
 	withdrawn := func(c *Checker) {
@@ -65,11 +65,11 @@
 		c := NewChecker(map[string]float64{"red": 8})
 		c.RecordSubmission(spec)
 		if len(c.BrokenRules()) != 0 {
-			t.Fatalf("%s: broken before anything happened", rule)
+			t.Fatalf("%s: the checker recorded a violation before anything happened", rule)
 		}
 		breaks(c)
 		if got := c.BrokenRules(); len(got) == 0 || !strings.HasPrefix(got[0], strings.Split(rule, ":")[0]) {
-			t.Errorf("%s: checker says %v", rule, got)
+			t.Errorf("%s: the checker recorded %v", rule, got)
 		}
 	}
 }
--- a/internal/simulation/cloud.go
+++ b/internal/simulation/cloud.go
@@ -11,13 +11,13 @@
 	"topazhollow/internal/protocol"
 )
 
-// Cloud is a stand-in for the cloud; its machines run simulated agents.
+// Cloud simulates the cloud's API; its machines run simulated agents.
 type Cloud struct {
 	mu       sync.Mutex
 	types    []protocol.MachineType
-	hosts    map[string]*rented
-	asked    map[string][]string
-	next     int
+	machines map[string]*cloudMachine
+	requests map[string][]string
+	lastID   int
 	capacity int
 	boot     func(name, typ, zone string, spot bool) (*Agent, error)
 	server   *http.Server
@@ -25,15 +25,16 @@
 	closed   bool
 }
 
-type rented struct {
-	host   protocol.Host
-	since  time.Time
-	worker *Agent
+type cloudMachine struct {
+	host        protocol.Host
+	requestedAt time.Time
+	agent       *Agent
 }
 
-// NewCloud starts the stand-in with some types and room for so many machines.
+// NewCloud starts a cloud with the given machine types and a limit on the number of machines. boot starts a machine's
+// agent.
 func NewCloud(types []protocol.MachineType, capacity int, boot func(name, typ, zone string, spot bool) (*Agent, error)) (*Cloud, error) {
-	c := &Cloud{types: types, capacity: capacity, boot: boot, hosts: map[string]*rented{}, asked: map[string][]string{}}
+	c := &Cloud{types: types, capacity: capacity, boot: boot, machines: map[string]*cloudMachine{}, requests: map[string][]string{}}
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /catalog", func(w http.ResponseWriter, _ *http.Request) { reply(w, 200, protocol.Catalog{Types: c.types}) })
 	mux.HandleFunc("POST /hosts", c.scaleOut)
@@ -49,48 +50,48 @@
 	return c, nil
 }
 
-// Addr is the stand-in's address.
+// Addr returns the address of the API.
 func (c *Cloud) Addr() string { return c.addr }
 
-// Close ends the stand-in and its machines.
+// Close shuts down the API and removes all machines.
 func (c *Cloud) Close() {
 	c.server.Close()
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.closed = true
-	for _, h := range c.hosts {
-		if h.worker != nil {
-			h.worker.RemoveMachine()
+	for _, h := range c.machines {
+		if h.agent != nil {
+			h.agent.RemoveMachine()
 		}
 	}
 }
 
-// TakeMachine takes a machine away without notice, with everything on it.
+// TerminateMachine removes a machine and everything on it without notice.
 func (c *Cloud) TerminateMachine(name string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if h := c.hosts[name]; h != nil {
-		if h.worker != nil {
-			h.worker.RemoveMachine()
+	if h := c.machines[name]; h != nil {
+		if h.agent != nil {
+			h.agent.RemoveMachine()
 		}
-		delete(c.hosts, name)
+		delete(c.machines, name)
 	}
 }
 
-// Agents lists the machines that are up.
+// Agents returns the agents of the running machines, sorted by machine name.
 func (c *Cloud) Agents() []*Agent {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	var names []string
-	for name, h := range c.hosts {
-		if h.worker != nil {
+	for name, h := range c.machines {
+		if h.agent != nil {
 			names = append(names, name)
 		}
 	}
 	sort.Strings(names)
 	var out []*Agent
 	for _, name := range names {
-		out = append(out, c.hosts[name].worker)
+		out = append(out, c.machines[name].agent)
 	}
 	return out
 }
@@ -103,36 +104,36 @@
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	names, again := c.asked[req.Request]
-	for !again && len(names) < req.Count && len(c.hosts) < c.capacity {
-		c.next++
-		name := fmt.Sprintf("n-%06d", c.next)
-		h := &rented{host: protocol.Host{UID: name, Type: req.Type, Zone: req.Zone, Spot: req.Spot, State: protocol.HostBooting}, since: time.Now()}
-		c.hosts[name] = h
+	names, again := c.requests[req.Request]
+	for !again && len(names) < req.Count && len(c.machines) < c.capacity {
+		c.lastID++
+		name := fmt.Sprintf("n-%06d", c.lastID)
+		h := &cloudMachine{host: protocol.Host{UID: name, Type: req.Type, Zone: req.Zone, Spot: req.Spot, State: protocol.HostBooting}, requestedAt: time.Now()}
+		c.machines[name] = h
 		names = append(names, name)
-		time.AfterFunc(100*time.Millisecond, func() { c.up(name) })
+		time.AfterFunc(100*time.Millisecond, func() { c.bootMachine(name) })
 	}
 	if len(names) == 0 {
 		reply(w, 503, protocol.Error{Error: "no capacity"})
 		return
 	}
-	c.asked[req.Request] = names
+	c.requests[req.Request] = names
 	reply(w, 200, protocol.MachineNames{Machines: names})
 }
 
-func (c *Cloud) up(name string) {
+func (c *Cloud) bootMachine(name string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	h := c.hosts[name]
+	h := c.machines[name]
 	if h == nil || c.closed {
 		return
 	}
-	worker, err := c.boot(name, h.host.Type, h.host.Zone, h.host.Spot)
+	agent, err := c.boot(name, h.host.Type, h.host.Zone, h.host.Spot)
 	if err != nil {
 		h.host.State = protocol.HostFailed
 		return
 	}
-	h.worker, h.host.State, h.host.Addr = worker, protocol.HostRunning, worker.Addr()
+	h.agent, h.host.State, h.host.Addr = agent, protocol.HostRunning, agent.Addr()
 }
 
 func (c *Cloud) scaleIn(w http.ResponseWriter, r *http.Request) {
@@ -144,11 +145,11 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for _, name := range names.Machines {
-		if h := c.hosts[name]; h != nil {
-			if h.worker != nil {
-				h.worker.RemoveMachine()
+		if h := c.machines[name]; h != nil {
+			if h.agent != nil {
+				h.agent.RemoveMachine()
 			}
-			delete(c.hosts, name)
+			delete(c.machines, name)
 		}
 	}
 	reply(w, 200, struct{}{})
@@ -159,10 +160,10 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	page := protocol.HostList{Hosts: []protocol.Host{}}
-	for name, h := range c.hosts {
+	for name, h := range c.machines {
 		if name > after {
 			x := h.host
-			x.AgeSeconds = time.Since(h.since).Seconds()
+			x.AgeSeconds = time.Since(h.requestedAt).Seconds()
 			page.Hosts = append(page.Hosts, x)
 		}
 	}
--- a/internal/simulation/endpoint.go
+++ b/internal/simulation/endpoint.go
@@ -12,29 +12,29 @@
 	"topazhollow/internal/protocol"
 )
 
-// Endpoint is an address of the stand-in of its own, as for one controller that the service
-// serves otherwise than the rest.
+// Endpoint is a separate address of a KVStore with faults of its own, for example for one controller that cannot reach
+// the store while the others can.
 type Endpoint struct {
-	store      *KVStore
-	addr       string
-	refused    bool
-	late       func() time.Duration // for how long a transaction is held up; 0: not at all
-	applied    int                  // transactions that were carried out late
-	conflicted int                  // late ones whose guards did not hold any more
-
-	slow       time.Duration              // that answers take longer
-	unanswered func(t *protocol.Txn) bool // picks transactions whose answer is lost
-	lost       []protocol.Txn             // that changed something, and whose answer was lost
+	store            *KVStore
+	addr             string
+	refusing         bool
+	transactionDelay func() time.Duration // draws a transaction's delay; 0: none
+	delayedApplied   int                  // delayed transactions that changed something
+	delayedConflicts int                  // delayed transactions whose conditions no longer held
+
+	answerDelay time.Duration              // added to each answer
+	dropAnswer  func(t *protocol.Txn) bool // selects transactions whose answer is lost; nil: none
+	unanswered  []protocol.Txn             // applied transactions whose answer was lost
 }
 
 type endpointKey struct{}
 
-// NewEndpoint opens one.
+// NewEndpoint starts an endpoint on a free loopback port.
 func (s *KVStore) NewEndpoint() (*Endpoint, error) {
 	return s.NewEndpointVia(func(h http.Handler) http.Handler { return h })
 }
 
-// NewEndpointVia opens one whose requests pass through what wrap makes of its handler, as to count them.
+// NewEndpointVia starts an endpoint whose handler is wrapped by the given function, for example to count requests.
 func (s *KVStore) NewEndpointVia(wrap func(http.Handler) http.Handler) (*Endpoint, error) {
 	l, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
@@ -44,10 +44,10 @@
 	server := &http.Server{Handler: wrap(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		s.mu.Lock()
 		s.expire()
-		out := s.outage || d.refused
-		over := !out && s.requests != nil && !s.requests.Allow()
+		out := s.outage || d.refusing
+		over := !out && s.requestLimiter != nil && !s.requestLimiter.Allow()
 		if over {
-			s.refused++
+			s.rateLimited++
 		}
 		s.mu.Unlock()
 		switch {
@@ -67,106 +67,109 @@
 	return d, nil
 }
 
-// Addr is the endpoint's address.
+// Addr returns the endpoint's address.
 func (d *Endpoint) Addr() string { return d.addr }
 
-// RefuseAll has all requests at the endpoint refused, and its open watches wait.
+// RefuseAll makes the endpoint refuse all new requests and keeps its open watches from reporting changes, or ends that.
 func (d *Endpoint) RefuseAll(on bool) {
 	d.store.mu.Lock()
 	defer d.store.mu.Unlock()
-	d.refused = on
+	d.refusing = on
 	d.store.changed.Broadcast()
 }
 
-// DelayTransactions has transactions at the endpoint carried out after a time, without an answer; nil: none.
-func (d *Endpoint) DelayTransactions(hold func() time.Duration) {
+// DelayTransactions makes the endpoint apply transactions only after a drawn delay and leave them unanswered. A delay
+// of 0 applies the transaction normally; nil ends the fault.
+func (d *Endpoint) DelayTransactions(delay func() time.Duration) {
 	d.store.mu.Lock()
 	defer d.store.mu.Unlock()
-	d.late = hold
+	d.transactionDelay = delay
 }
 
-// CountDelayed counts the late transactions that changed something, and those that newer ones had overtaken.
-func (d *Endpoint) CountDelayed() (applied, met int) {
+// CountDelayed returns how many delayed transactions changed something, and how many failed because newer transactions
+// had overtaken them.
+func (d *Endpoint) CountDelayed() (applied, conflicted int) {
 	d.store.mu.Lock()
 	defer d.store.mu.Unlock()
-	return d.applied, d.conflicted
+	return d.delayedApplied, d.delayedConflicts
 }
 
-// DelayAnswers has answers at the endpoint take so much longer; what is asked for is done at once. 0: none.
+// DelayAnswers delays the endpoint's answers; the requests themselves are executed immediately. 0: none.
 func (d *Endpoint) DelayAnswers(by time.Duration) {
 	d.store.mu.Lock()
 	defer d.store.mu.Unlock()
-	d.slow = by
+	d.answerDelay = by
 }
 
-// answer is one that is not sent yet.
-type answer struct {
+// bufferedAnswer collects an answer that is sent later.
+type bufferedAnswer struct {
 	header http.Header
 	status int
 	body   bytes.Buffer
 }
 
-func (a *answer) Header() http.Header         { return a.header }
-func (a *answer) WriteHeader(status int)      { a.status = status }
-func (a *answer) Write(b []byte) (int, error) { return a.body.Write(b) }
+func (a *bufferedAnswer) Header() http.Header         { return a.header }
+func (a *bufferedAnswer) WriteHeader(status int)      { a.status = status }
+func (a *bufferedAnswer) Write(b []byte) (int, error) { return a.body.Write(b) }
 
-// serve answers a request, at the endpoint's pace.
+// serve answers a request after the endpoint's delay.
 func (d *Endpoint) serve(w http.ResponseWriter, r *http.Request) {
-	a := &answer{header: http.Header{}, status: http.StatusOK}
+	a := &bufferedAnswer{header: http.Header{}, status: http.StatusOK}
 	d.store.mux.ServeHTTP(a, r)
 	d.store.mu.Lock()
-	slow := d.slow
+	slow := d.answerDelay
 	d.store.mu.Unlock()
 	time.Sleep(slow)
 	maps.Copy(w.Header(), a.header)
 	w.WriteHeader(a.status)
-	_, _ = w.Write(a.body.Bytes()) // whom it does not reach asks again
+	_, _ = w.Write(a.body.Bytes()) // a client that gets no answer retries
 }
 
-// DropAnswers has the transactions that a function picks carried out at once, but their answers lost; nil: none.
+// DropAnswers makes the endpoint apply the selected transactions immediately but never answer them; nil: none.
 func (d *Endpoint) DropAnswers(pick func(t *protocol.Txn) bool) {
 	d.store.mu.Lock()
 	defer d.store.mu.Unlock()
-	d.unanswered = pick
+	d.dropAnswer = pick
 }
 
-// UnansweredTransactions lists the transactions that changed something, and whose answer was lost.
+// UnansweredTransactions returns the transactions that were applied with at least one operation and whose answer was
+// lost.
 func (d *Endpoint) UnansweredTransactions() []protocol.Txn {
 	d.store.mu.Lock()
 	defer d.store.mu.Unlock()
-	return slices.Clone(d.lost)
+	return slices.Clone(d.unanswered)
 }
 
-// hold draws for how long the next transaction is held up.
-func (d *Endpoint) hold() time.Duration {
+// drawTransactionDelay draws the delay of the next transaction.
+func (d *Endpoint) drawTransactionDelay() time.Duration {
 	d.store.mu.Lock()
 	defer d.store.mu.Unlock()
-	if d.late == nil {
+	if d.transactionDelay == nil {
 		return 0
 	}
-	return d.late()
+	return d.transactionDelay()
 }
 
-// applyLate carries a transaction out that was held up.
-func (d *Endpoint) applyLate(t *protocol.Txn) {
+// applyDelayed applies a delayed transaction.
+func (d *Endpoint) applyDelayed(t *protocol.Txn) {
 	d.store.mu.Lock()
 	defer d.store.mu.Unlock()
 	switch status, _ := d.store.apply(t); {
 	case status == 200 && len(t.Then) > 0:
-		d.applied++
+		d.delayedApplied++
 	case status == 409:
-		d.conflicted++
+		d.delayedConflicts++
 	}
 }
 
-// apply carries a transaction out and says whether its answer is lost.
+// apply applies a transaction and reports whether its answer is lost.
 func (d *Endpoint) apply(t *protocol.Txn) (status int, answer any, lost bool) {
 	d.store.mu.Lock()
 	defer d.store.mu.Unlock()
-	lost = d.unanswered != nil && d.unanswered(t)
+	lost = d.dropAnswer != nil && d.dropAnswer(t)
 	status, answer = d.store.apply(t)
 	if lost && status == 200 && len(t.Then) > 0 {
-		d.lost = append(d.lost, *t)
+		d.unanswered = append(d.unanswered, *t)
 	}
 	return status, answer, lost
 }
--- a/internal/simulation/host.go
+++ b/internal/simulation/host.go
@@ -7,22 +7,20 @@
 	"net"
 )
 
-// Host is a loopback address that no other region uses, of this process or of another one: a
-// port that is free there now stays free while a process that had it starts again, and no
-// process of another region answers in its place.
+// Host is a loopback address that no other region uses, neither in this process nor in another. A free port of it
+// therefore stays free while the process that used it restarts, and no process of another region answers on it.
 type Host struct {
 	ip   string
 	port int
 }
 
-// NewHost draws one.
+// NewHost draws a random loopback address and first port.
 func NewHost() *Host {
 	return &Host{fmt.Sprintf("127.%d.%d.%d", 1+rand.IntN(254), rand.IntN(256), 1+rand.IntN(254)), 10000 + rand.IntN(10000)}
 }
 
-// Listen gives a port of the host, another one at each call, to be listened on by a process
-// that starts later. It is below those that the system gives to outgoing connections, which
-// may come from the same address.
+// Listen returns an address with a free port for a process that starts later, a different one at each call. The ports
+// are below the system's ephemeral range, because outgoing connections may use the same address.
 func (h *Host) Listen() (addr string, err error) {
 	for range 1000 {
 		h.port++
@@ -31,5 +29,5 @@
 			return addr, l.Close()
 		}
 	}
-	return "", errors.New("rehearse: no free port")
+	return "", errors.New("simulation: no free port")
 }
--- a/internal/simulation/kvstore.go
+++ b/internal/simulation/kvstore.go
@@ -1,7 +1,6 @@
-// Package simulation holds stand-ins for everything around the controllers,
-// written from the protocol: the key-value store, the cloud, agents and users,
-// with faults and a checker of the protocol's rules. It is the ground of the
-// project's own simulations and tests.
+// Package simulation implements everything that surrounds the controllers for simulations and tests: the key-value
+// store, the cloud, agents and users. All are written from the protocol and support fault injection. A checker records
+// violations of the protocol's rules.
 package simulation
 
 import (
@@ -20,25 +19,25 @@
 	"topazhollow/internal/protocol"
 )
 
-// KVStore is a stand-in for the key-value store.
+// KVStore simulates the key-value store over HTTP.
 type KVStore struct {
-	mu        sync.Mutex
-	changed   *sync.Cond
-	revision  uint64
-	keys      map[string]entry
-	log       []event
-	leases    map[uint64]*lease
-	nextLease uint64
-	outage    bool
-	ops       int
-	valueMax  int
-	mux       *http.ServeMux
-	servers   []*http.Server
-	addr      string
-	requests  *rate.Limiter // nil: no bound
-	writes    *rate.Limiter
-	refused   int            // beyond a rate
-	carried   []protocol.Txn // that changed something
+	mu             sync.Mutex
+	changed        *sync.Cond
+	revision       uint64
+	keys           map[string]entry
+	log            []event
+	leases         map[uint64]*lease
+	nextLease      uint64
+	outage         bool
+	maxOps         int
+	maxValueBytes  int
+	mux            *http.ServeMux
+	servers        []*http.Server
+	addr           string
+	requestLimiter *rate.Limiter // nil: unlimited
+	writeLimiter   *rate.Limiter
+	rateLimited    int            // requests and transactions refused with 429
+	applied        []protocol.Txn // transactions with at least one operation, in order
 }
 
 type entry struct {
@@ -55,13 +54,13 @@
 }
 
 type lease struct {
-	life time.Duration
-	ends time.Time
+	ttl       time.Duration
+	expiresAt time.Time
 }
 
-// NewKVStore starts the stand-in on a free port of loopback.
+// NewKVStore starts a store on a free loopback port. It bounds the operations of a transaction and the size of a value.
 func NewKVStore(txnOps, valueKB int) (*KVStore, error) {
-	s := &KVStore{keys: map[string]entry{}, leases: map[uint64]*lease{}, ops: txnOps, valueMax: valueKB << 10}
+	s := &KVStore{keys: map[string]entry{}, leases: map[uint64]*lease{}, maxOps: txnOps, maxValueBytes: valueKB << 10}
 	s.changed = sync.NewCond(&s.mu)
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /store/", s.get)
@@ -71,19 +70,19 @@
 	mux.HandleFunc("POST /grants/{id}/extend", s.renewLease)
 	mux.HandleFunc("GET /changes", s.watch)
 	s.mux = mux
-	d, err := s.NewEndpoint()
+	endpoint, err := s.NewEndpoint()
 	if err != nil {
 		return nil, err
 	}
-	s.addr = d.addr
+	s.addr = endpoint.addr
 	go s.expireLeases()
 	return s, nil
 }
 
-// Addr is the stand-in's address.
+// Addr returns the address of the store's first endpoint.
 func (s *KVStore) Addr() string { return s.addr }
 
-// Close ends the stand-in.
+// Close shuts down all endpoints.
 func (s *KVStore) Close() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -92,35 +91,36 @@
 	}
 }
 
-// LimitRates has requests and changes beyond a rate a second refused with 429; both rates allow
-// bursts of one second's worth.
+// LimitRates limits requests and changes to the given rates per second, each with a burst of one second's worth.
+// Requests beyond a limit are refused with 429.
 func (s *KVStore) LimitRates(rps, changes float64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.requests = rate.NewLimiter(rate.Limit(rps), int(rps))
-	s.writes = rate.NewLimiter(rate.Limit(changes), int(changes))
+	s.requestLimiter = rate.NewLimiter(rate.Limit(rps), int(rps))
+	s.writeLimiter = rate.NewLimiter(rate.Limit(changes), int(changes))
 }
 
-// CountRefused counts what was refused beyond a rate.
+// CountRefused returns how many requests and transactions the rate limits refused.
 func (s *KVStore) CountRefused() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.refused
+	return s.rateLimited
 }
 
-// SetOutage begins or ends an outage; after one, all leases get their full time.
+// SetOutage begins or ends an outage, during which all requests are refused. When it ends, all leases get their full
+// duration again.
 func (s *KVStore) SetOutage(on bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.outage && !on {
 		for _, l := range s.leases {
-			l.ends = time.Now().Add(l.life)
+			l.expiresAt = time.Now().Add(l.ttl)
 		}
 	}
 	s.outage = on
 }
 
-// StoreSnapshot is what the stand-in held at a moment.
+// StoreSnapshot is the content of a store at one moment.
 type StoreSnapshot struct {
 	revision, next uint64
 	keys           map[string]entry
@@ -128,7 +128,7 @@
 	leases         map[uint64]lease
 }
 
-// Snapshot takes down what the stand-in holds now.
+// Snapshot returns the current content.
 func (s *KVStore) Snapshot() StoreSnapshot {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -139,23 +139,23 @@
 	return x
 }
 
-// RollBack sets the stand-in back to what it held, its revision included, without telling
-// anybody. Leases that it had go on from now.
+// RollBack restores an earlier content, including its revision, without publishing events. The restored leases get
+// their full duration again.
 func (s *KVStore) RollBack(x StoreSnapshot) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.revision, s.nextLease, s.keys, s.log = x.revision, x.next, maps.Clone(x.keys), s.log[:min(x.log, len(s.log))]
 	s.leases = map[uint64]*lease{}
 	for id, l := range x.leases {
-		s.leases[id] = &lease{l.life, time.Now().Add(l.life)}
+		s.leases[id] = &lease{l.ttl, time.Now().Add(l.ttl)}
 	}
 	s.changed.Broadcast()
 }
 
-// LoseAll drops every key and lease and begins to count anew.
+// LoseAll drops every key and lease and resets the revision to 0.
 func (s *KVStore) LoseAll() { s.RollBack(StoreSnapshot{}) }
 
-// LosePrefix drops the keys below a prefix and tells nobody.
+// LosePrefix drops the keys with a prefix without publishing events.
 func (s *KVStore) LosePrefix(prefix string) (lost int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -168,7 +168,7 @@
 	return lost
 }
 
-// LoseLeases drops the leases and the keys that they hold.
+// LoseLeases drops all leases and the keys attached to them.
 func (s *KVStore) LoseLeases() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -181,7 +181,7 @@
 	s.leases = map[uint64]*lease{}
 }
 
-// Put sets a key, as one who is not rehearsed would.
+// Put sets a key unconditionally, as a client outside the simulation would.
 func (s *KVStore) Put(key, value string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -194,7 +194,7 @@
 	s.changed.Broadcast()
 }
 
-// Size gives the revision and the bytes that keys and values take.
+// Size returns the revision and the total size of keys and values.
 func (s *KVStore) Size() (revision, bytes int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -204,7 +204,7 @@
 	return int(s.revision), bytes
 }
 
-// CountKeys counts the keys below a prefix.
+// CountKeys returns the number of keys with a prefix.
 func (s *KVStore) CountKeys(prefix string) (count int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -229,7 +229,7 @@
 		return
 	}
 	for id, l := range s.leases {
-		if time.Now().After(l.ends) {
+		if time.Now().After(l.expiresAt) {
 			delete(s.leases, id)
 			for key, e := range s.keys {
 				if e.lease == id {
@@ -297,37 +297,37 @@
 
 func (s *KVStore) txn(w http.ResponseWriter, r *http.Request) {
 	var t protocol.Txn
-	if !read(r, &t) || len(t.Then) > s.ops || len(t.Conditions) > 4*s.ops {
+	if !read(r, &t) || len(t.Then) > s.maxOps || len(t.Conditions) > 4*s.maxOps {
 		reply(w, 400, protocol.Error{Error: "malformed"})
 		return
 	}
-	door, _ := r.Context().Value(endpointKey{}).(*Endpoint)
-	if hold := door.hold(); hold > 0 {
-		time.AfterFunc(hold, func() { door.applyLate(&t) })
-		giveNoAnswer(r)
+	endpoint, _ := r.Context().Value(endpointKey{}).(*Endpoint)
+	if delay := endpoint.drawTransactionDelay(); delay > 0 {
+		time.AfterFunc(delay, func() { endpoint.applyDelayed(&t) })
+		leaveUnanswered(r)
 	}
-	status, answer, lost := door.apply(&t)
+	status, answer, lost := endpoint.apply(&t)
 	if lost {
-		giveNoAnswer(r)
+		leaveUnanswered(r)
 	}
 	reply(w, status, answer)
 }
 
-// giveNoAnswer leaves a request open until the other side gives up.
-func giveNoAnswer(r *http.Request) {
+// leaveUnanswered keeps a request open until the client gives up.
+func leaveUnanswered(r *http.Request) {
 	<-r.Context().Done()
 	panic(http.ErrAbortHandler)
 }
 
-// AppliedTransactions lists the transactions that changed something, in their order.
+// AppliedTransactions returns the transactions that were applied with at least one operation, in order.
 func (s *KVStore) AppliedTransactions() []protocol.Txn {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return slices.Clone(s.carried)
+	return slices.Clone(s.applied)
 }
 
-// RepeatTransaction carries a transaction out once more, as one that was held up on its way, and says whether it
-// changed anything.
+// RepeatTransaction applies a transaction once more, like a duplicate that the network delivers late, and reports
+// whether it changed anything.
 func (s *KVStore) RepeatTransaction(t protocol.Txn) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -335,17 +335,17 @@
 	return status == 200 && len(t.Then) > 0
 }
 
-// apply carries a transaction out.
+// apply checks a transaction's limits, leases and conditions and applies its operations. The caller holds the lock.
 func (s *KVStore) apply(t *protocol.Txn) (status int, answer any) {
-	if s.writes != nil && len(t.Then) > 0 && !s.writes.AllowN(time.Now(), len(t.Then)) {
-		s.refused++
+	if s.writeLimiter != nil && len(t.Then) > 0 && !s.writeLimiter.AllowN(time.Now(), len(t.Then)) {
+		s.rateLimited++
 		return 429, protocol.Error{Error: "too many changes"}
 	}
 	for _, o := range t.Then {
 		if o.Lease != 0 && s.leases[o.Lease] == nil {
 			return 400, protocol.Error{Error: "no such lease"}
 		}
-		if len(o.Value) > s.valueMax || (o.Set == "") == (o.Delete == "") {
+		if len(o.Value) > s.maxValueBytes || (o.Set == "") == (o.Delete == "") {
 			return 400, protocol.Error{Error: "malformed"}
 		}
 	}
@@ -360,7 +360,7 @@
 	}
 	if len(t.Then) > 0 {
 		s.revision++
-		s.carried = append(s.carried, *t)
+		s.applied = append(s.applied, *t)
 	}
 	for _, o := range t.Then {
 		if o.Delete != "" {
@@ -400,7 +400,7 @@
 		reply(w, 404, protocol.Error{Error: "no such lease"})
 		return
 	}
-	l.ends = time.Now().Add(l.life)
+	l.expiresAt = time.Now().Add(l.ttl)
 	reply(w, 200, protocol.LeaseGrant{Lease: id})
 }
 
@@ -420,7 +420,7 @@
 		case <-stop:
 		}
 	}()
-	door, _ := r.Context().Value(endpointKey{}).(*Endpoint)
+	endpoint, _ := r.Context().Value(endpointKey{}).(*Endpoint)
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for {
@@ -436,7 +436,7 @@
 			}
 			ch.Events = append(ch.Events, c)
 		}
-		if (len(ch.Events) > 0 && !s.outage && !door.refused) || time.Now().After(until) || r.Context().Err() != nil {
+		if (len(ch.Events) > 0 && !s.outage && !endpoint.refusing) || time.Now().After(until) || r.Context().Err() != nil {
 			reply(w, 200, ch)
 			return
 		}
--- a/internal/simulation/pipe.go
+++ b/internal/simulation/pipe.go
@@ -7,18 +7,18 @@
 	"time"
 )
 
-// Pipe carries connections to an address and can be cut, as the path from one controller to another.
+// Pipe is a TCP proxy to one address that can be cut and slowed down, such as the path from one controller to another.
 type Pipe struct {
 	listener net.Listener
 	to       string
 
 	mu    sync.Mutex
 	cut   bool
-	slow  time.Duration // that each piece of what is carried takes longer
+	delay time.Duration // added to each read
 	conns map[net.Conn]bool
 }
 
-// NewPipe opens a pipe to an address.
+// NewPipe starts a proxy to an address.
 func NewPipe(to string) (*Pipe, error) {
 	l, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
@@ -29,10 +29,10 @@
 	return p, nil
 }
 
-// Addr is where the pipe begins.
+// Addr returns the address that the proxy listens on.
 func (p *Pipe) Addr() string { return p.listener.Addr().String() }
 
-// Cut ends what the pipe carries and refuses connections, or carries them again.
+// Cut closes all connections and refuses new ones, or accepts them again.
 func (p *Pipe) Cut(on bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -44,30 +44,30 @@
 	}
 }
 
-// Delay has each piece of what is carried take so much longer; 0: none.
+// Delay adds a delay to each read of forwarded data; 0: none.
 func (p *Pipe) Delay(by time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.slow = by
+	p.delay = by
 }
 
-// slowReader reads a connection at the pipe's pace.
-type slowReader struct {
+// delayedReader reads from a connection with the pipe's delay.
+type delayedReader struct {
 	p *Pipe
 	net.Conn
 }
 
-// Read reads one piece, after the pipe's delay.
-func (r slowReader) Read(b []byte) (int, error) {
+// Read reads once and returns after the pipe's delay.
+func (r delayedReader) Read(b []byte) (int, error) {
 	n, err := r.Conn.Read(b)
 	r.p.mu.Lock()
-	slow := r.p.slow
+	slow := r.p.delay
 	r.p.mu.Unlock()
 	time.Sleep(slow)
 	return n, err
 }
 
-// Close ends the pipe.
+// Close stops the proxy and closes its connections.
 func (p *Pipe) Close() {
 	p.listener.Close()
 	p.Cut(true)
@@ -79,12 +79,13 @@
 		if err != nil {
 			return
 		}
-		go p.carry(c)
+		go p.forward(c)
 	}
 }
 
-// keep notes a connection to be ended with the pipe; false if that is cut.
-func (p *Pipe) keep(c net.Conn) bool {
+// addConn registers a connection to be closed with the pipe. If the pipe is cut, it closes the connection and returns
+// false.
+func (p *Pipe) addConn(c net.Conn) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.cut {
@@ -95,34 +96,34 @@
 	return true
 }
 
-func (p *Pipe) drop(c net.Conn) {
+func (p *Pipe) removeConn(c net.Conn) {
 	c.Close()
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	delete(p.conns, c)
 }
 
-func (p *Pipe) carry(in net.Conn) {
-	if !p.keep(in) {
+func (p *Pipe) forward(in net.Conn) {
+	if !p.addConn(in) {
 		return
 	}
-	defer p.drop(in)
+	defer p.removeConn(in)
 	out, err := net.Dial("tcp4", p.to)
-	if err != nil || !p.keep(out) {
+	if err != nil || !p.addConn(out) {
 		return
 	}
-	defer p.drop(out)
+	defer p.removeConn(out)
 	go func() {
-		_, _ = io.Copy(in, slowReader{p, out}) // ends with either side
+		_, _ = io.Copy(in, delayedReader{p, out}) // ends when either side closes
 		in.Close()
 	}()
-	_, _ = io.Copy(out, slowReader{p, in})
+	_, _ = io.Copy(out, delayedReader{p, in})
 }
 
-// Paths are the pipes between controllers, by the numbers of where they come from and lead to.
+// Paths are the pipes between controllers, keyed by the indices of source and destination.
 type Paths map[[2]int]*Pipe
 
-// Isolate cuts a controller from its peers, or ends that.
+// Isolate cuts all paths from and to a controller, or restores them.
 func (p Paths) Isolate(i int, on bool) {
 	for path, pipe := range p {
 		if path[0] == i || path[1] == i {
@@ -131,14 +132,14 @@
 	}
 }
 
-// Delay has all paths take so much longer for each piece that they carry; 0: none.
+// Delay adds a delay to each read on all paths; 0: none.
 func (p Paths) Delay(by time.Duration) {
 	for _, pipe := range p {
 		pipe.Delay(by)
 	}
 }
 
-// Close ends all of them.
+// Close closes all paths.
 func (p Paths) Close() {
 	for _, pipe := range p {
 		pipe.Close()
