--- a/internal/faultinjection/faultinjection_test.go
+++ b/internal/faultinjection/faultinjection_test.go
@@ -48,7 +48,9 @@
 // build.
 func TestCheckDetectsCorruption(t *testing.T) {
 	for what, spoil := range map[string]func(a *artifactstore.AttemptSummary, lines []string, file string) ([]string, string){
-		"loses the last line": func(_ *artifactstore.AttemptSummary, l []string, f string) ([]string, string) { return l[:max(0, len(l)-1)], f },
+		"loses the last line": func(_ *artifactstore.AttemptSummary, l []string, f string) ([]string, string) {
+			return l[:max(0, len(l)-1)], f
+		},
 		"doubles a line": func(_ *artifactstore.AttemptSummary, l []string, f string) ([]string, string) {
 			return append(slices.Clone(l[:min(1, len(l))]), l...), f
 		},
