--- a/internal/controller/barrier.go
+++ b/internal/controller/barrier.go
@@ -38,15 +38,16 @@
 	}
 }
 
-// machineReported removes a machine that reported from those that a shard's barrier awaits.
+// machineReported removes a machine that reported from those that a shard's barrier awaits, and ends the barrier if it
+// awaits nothing else.
 func (n *Node) machineReported(shard *shards.Owned, v *jobstate.MachineStatus) {
 	if shard.MachineAnswered(v.Machine, v.FencingToken) {
 		n.passBarrier(shard)
 	}
 }
 
-// releaseUnregistered releases assignments to machines that were removed from the roster before this controller
-// followed it. This is safe because no start is sent to an unregistered machine, and a machine is removed only after
+// releaseUnregistered releases assignments to machines that were removed from the roster before this controller first
+// read it. This is safe because no start is sent to an unregistered machine, and a machine is removed only after
 // the cloud confirmed that it is gone. The caller must have read the roster up to the time when the shard was taken
 // over.
 func (n *Node) releaseUnregistered(shard *shards.Owned) {
--- a/internal/controller/barrierprobe.go
+++ b/internal/controller/barrierprobe.go
@@ -12,9 +12,9 @@
 
 // Probes shorten the full barrier after a restart of all controllers, when it awaits every registered machine. Each
 // machine sends its next report over a connection that is closed, and then to a controller that redirects it to its
-// home; the last of a thousand machines took six seconds. The cloud's list has the machines' addresses, so the fleet's
-// owner sends these to the home controllers, which probe the machines: a /do request without commands carries the term
-// to an agent, and its answer is a report under that term, which is what the barrier awaits.
+// home; the last of a thousand machines reported after six seconds. The cloud's list has the machines' addresses, so
+// the fleet's owner sends these to the home controllers, which probe the machines: a /do request without commands
+// carries the term to an agent, and its answer is a report under that term, which is what the barrier awaits.
 
 const (
 	// maxConcurrentProbes is how many machines a controller probes at the same time.
--- a/internal/controller/barrierprobe_test.go
+++ b/internal/controller/barrierprobe_test.go
@@ -70,14 +70,14 @@
 			t.Errorf("%s: homed here %v, known under the term %v", name, mine, known)
 		}
 	}
-	var mute []string
+	var unanswered []string
 	for _, name := range []string{"n-000098", "n-000099"} { // another machine's address, and nobody's
 		if n.leadership.Record().Home(name) == n.name {
-			mute = append(mute, name)
+			unanswered = append(unanswered, name)
 		}
 	}
-	if got := n.unansweredProbes(); !slices.Equal(got, mute) {
-		t.Errorf("unanswered are %v, not %v", got, mute)
+	if got := n.unansweredProbes(); !slices.Equal(got, unanswered) {
+		t.Errorf("unanswered probes are of %v, want %v", got, unanswered)
 	}
 	seq := map[string]uint64{}
 	for name, m := range n.machines {
--- a/internal/controller/cancellations.go
+++ b/internal/controller/cancellations.go
@@ -30,8 +30,8 @@
 // maxResentCancellations is the maximum number of cancellations in one resent message.
 const maxResentCancellations = 500
 
-// resendCancellations sends a peer again the cancellations confirmed here that it has not acknowledged, for example
-// because the connection was lost.
+// resendCancellations sends the cancellations confirmed here that a peer has not acknowledged to that peer again. A
+// lost connection, for example, loses messages.
 func (n *Node) resendCancellations(name string, now time.Time) {
 	from, uids := n.cancelWatermark.TakeUnacknowledged(name, now, maxResentCancellations)
 	if len(uids) == 0 {
@@ -45,7 +45,8 @@
 	n.links.Send(name, kindReplicateFact, m)
 }
 
-// onPeerCancellations applies what a peer's status contains about cancellations.
+// onPeerCancellations records from a peer's status which cancellations the peer has confirmed to users and which of
+// this controller's it has received, and sends it those that it lacks.
 func (n *Node) onPeerCancellations(name string, s *statusMsg, now time.Time) {
 	received, sent, ok := n.ownStatusIn(s, now)
 	if !ok || s.Cancellations == nil {
@@ -58,11 +59,12 @@
 	n.resendCancellations(name, now)
 }
 
-// maxReadAge is the age of the last read of the key-value store after which a new read is requested.
+// maxReadAge is the age of the last read of the state service after which a new read is requested, unless something
+// else requests one before.
 const maxReadAge = 3 * time.Second
 
-// requestReadIfStale requests a read of the key-value store if the last one is too old, so that the watermark advances:
-// a watch alone may wait for ten seconds, and hangs where the store refuses this controller.
+// requestReadIfStale requests a read of the state service if the last one is too old, so that the watermark advances:
+// a watch alone may wait for ten seconds, and hangs if the state service refuses this controller.
 func (n *Node) requestReadIfStale(now time.Time) {
 	if now.Sub(n.cancelWatermark.LastRead()) >= maxReadAge {
 		n.changeReads.request()
--- a/internal/controller/dataloss_cases_test.go
+++ b/internal/controller/dataloss_cases_test.go
@@ -11,7 +11,7 @@
 	"topazhollow/internal/userapi"
 )
 
-// Scenarios of a data loss that take more than one line.
+// Data loss scenarios of TestDataLossWhileControllersRun that take more than one line.
 
 // rentAndReturnLate: requests to the cloud from before the loss are executed after it. A machine disappears that the
 // controllers remember, and one appears that no controller rented in this epoch.
--- a/internal/controller/dataloss_test.go
+++ b/internal/controller/dataloss_test.go
@@ -16,7 +16,7 @@
 	"topazhollow/internal/userapi"
 )
 
-// dataLoss is a region with running jobs, a cancelled job and done ones, whose state service then loses data.
+// dataLoss is a test cluster with running jobs, a cancelled job and done ones, whose state service then loses data.
 type dataLoss struct {
 	*testCluster
 	jobs      []*protocol.Submission
@@ -80,12 +80,12 @@
 }
 
 // recovered reports whether all controllers have nothing left to recover and are in the same epoch: a later one than
-// the first if after is true, the first otherwise.
-func (r *testCluster) recovered(after bool) bool {
+// the first if laterEpoch is true, the first otherwise.
+func (r *testCluster) recovered(laterEpoch bool) bool {
 	all := r.overviews()
 	for _, o := range all {
 		s := o.Store
-		if s.Phase != "known" || s.Epoch != all[0].Store.Epoch || s.Epoch > 1 != after || s.Unwritten+s.StaleActive+len(s.AwaitedMembers) > 0 || s.RosterIncomplete {
+		if s.Phase != "known" || s.Epoch != all[0].Store.Epoch || s.Epoch > 1 != laterEpoch || s.Unwritten+s.StaleActive+len(s.AwaitedMembers) > 0 || s.RosterIncomplete {
 			return false
 		}
 	}
@@ -119,7 +119,7 @@
 		"twice":     func(l *dataLoss) { l.state.LoseAll(); time.Sleep(700 * time.Millisecond); l.state.LoseAll() },
 		"in_outage": (*dataLoss).loseInAnOutage,
 		"one_ends":  func(l *dataLoss) { l.crash(0); l.state.LoseAll(); l.start(0) },
-		// A controller that starts without the roster lists writes its own list anew. The others must not treat the
+		// A controller that starts without the roster lists writes its own list again. The others must not treat the
 		// machines that it lacks as removed together with the tasks on them.
 		"roster_one_ends":                 func(l *dataLoss) { l.crash(0); l.state.LosePrefix("w/m/"); l.start(0) },
 		"jobs_one_ends":                   func(l *dataLoss) { l.crash(0); l.state.LosePrefix("w/a/"); l.start(0) },
@@ -158,7 +158,7 @@
 // the record until the store passed the revision that the others had seen. Every key that they compare then exists
 // again or was changed. Only the broken chain of records is a sign of the loss.
 func TestRecordOutOfChainIsSuspected(t *testing.T) {
-	for after, want := range map[uint64]datarecovery.Phase{12: datarecovery.Suspected, 17: datarecovery.Trusted, 18: datarecovery.Trusted} {
+	for previous, want := range map[uint64]datarecovery.Phase{12: datarecovery.Suspected, 17: datarecovery.Trusted, 18: datarecovery.Trusted} {
 		n := newNodeHarness(2, 1).n
 		record := n.leadership.Record().Clone()
 		record.Epoch = 1
@@ -166,10 +166,10 @@
 		n.recovery.detection = datarecovery.NewDetection("node-a", n.incarnation, nil, time.Second)
 		n.recovery.detection.Entered(1, time.Now())
 		next := n.leadership.Record().Clone()
-		next.Term, next.PreviousVersion = next.Term+1, after
+		next.Term, next.PreviousVersion = next.Term+1, previous
 		n.applyChange(protocol.Change{Set: recordKey, Value: protocol.Encode(next), Version: 19})
 		if phase, _, _ := n.recovery.detection.Phase(); phase != want || (n.leadership.RecordVersion() == 19) != (want == datarecovery.Trusted) {
-			t.Errorf("after %d: %s, version %d", after, phase, n.leadership.RecordVersion())
+			t.Errorf("record that follows version %d: %s, version %d", previous, phase, n.leadership.RecordVersion())
 		}
 	}
 }
@@ -181,7 +181,7 @@
 	for i := range l.nodes {
 		l.crash(i)
 	}
-	l.state.LoseAll() // no controller runs, so this is a new store
+	l.state.LoseAll() // no controller runs that could notice it: to them, this is a new store
 	l.start(0)        // waits for its peers before it writes the first record, and has read everything by then
 	l.waitUntil("there is a record", func() bool { all := l.overviews(); return len(all) > 0 && all[0].Term > 0 })
 	l.start(1)
@@ -201,24 +201,24 @@
 func TestLateTransactionsChangeNothing(t *testing.T) {
 	l := newDataLoss(t)
 	l.newEpoch = true
-	var marker protocol.Entry
+	var epochKey protocol.Entry
 	for _, e := range l.keys(datarecovery.EpochKey) {
-		marker = e
+		epochKey = e
 	}
-	if marker.Version == 0 {
+	if epochKey.Version == 0 {
 		t.Fatal("there is no epoch key")
 	}
 	l.state.RollBack(l.saved)
 	l.waitUntil("an epoch begins", func() bool { return l.recovered(true) })
-	ghost := arrayJob(398, 1, "red")
-	late := protocol.Txn{Conditions: []protocol.Condition{{Key: marker.Key, Version: marker.Version}, {Key: snapshot.JobKey + ghost.UID}},
-		Then: []protocol.Op{{Set: snapshot.JobKey + ghost.UID, Value: protocol.Encode(userapi.ActiveJob{Spec: ghost})}}}
+	lateJob := arrayJob(398, 1, "red")
+	late := protocol.Txn{Conditions: []protocol.Condition{{Key: epochKey.Key, Version: epochKey.Version}, {Key: snapshot.JobKey + lateJob.UID}},
+		Then: []protocol.Op{{Set: snapshot.JobKey + lateJob.UID, Value: protocol.Encode(userapi.ActiveJob{Spec: lateJob})}}}
 	resp, err := l.httpc.Post("http://"+l.state.Addr()+"/txn", "application/json", bytes.NewReader(protocol.Encode(late)))
 	if err != nil {
 		t.Fatal(err)
 	}
 	resp.Body.Close()
-	if resp.StatusCode != http.StatusConflict || l.state.CountKeys(snapshot.JobKey+ghost.UID) != 0 {
+	if resp.StatusCode != http.StatusConflict || l.state.CountKeys(snapshot.JobKey+lateJob.UID) != 0 {
 		t.Fatalf("a late acceptance got %d", resp.StatusCode)
 	}
 	l.checkRecovered()
--- a/internal/controller/keepalive_test.go
+++ b/internal/controller/keepalive_test.go
@@ -11,10 +11,10 @@
 	"topazhollow/internal/settings"
 )
 
-// TestAgentsOfACutZoneAreKeptAlive: a controller that is cut off together with its zone loses its lease, and so did the
-// agents in that zone: a cut longer than their lease ended everything that ran there. Such agents must be kept alive,
-// but no longer than the deadline for a cancellation that this controller cannot learn of, and not if they run a job
-// that had ended before.
+// TestAgentsOfACutZoneAreKeptAlive: a controller that is cut off together with its zone loses its lease. The agents in
+// that zone lost theirs too: a cut longer than their lease ended everything that ran there. Such agents must be kept
+// alive, but no longer than the deadline for a cancellation that this controller cannot learn of, and not if they run a
+// job that had ended before.
 func TestAgentsOfACutZoneAreKeptAlive(t *testing.T) {
 	g := newNodeHarness(8, 1)
 	n := g.n
@@ -79,7 +79,7 @@
 	}
 	n.peers["node-b"].lastMessageAt, n.peers["node-b"].entitled = later, true
 	if got := answer(later, name, 1, protocol.Exited, "job-000001/0"); got != 421 {
-		t.Errorf("with a reachable entitled peer the answer is %d", got)
+		t.Errorf("with a reachable entitled peer the answer is %d, not a redirect", got)
 	}
 }
 
--- a/internal/controller/lease.go
+++ b/internal/controller/lease.go
@@ -41,7 +41,7 @@
 func (n *Node) renewLease(ctx context.Context) time.Duration {
 	n.mu.Lock()
 	lease, written := n.leadership.LeaseID(), n.recovery.ownKeyWritten
-	n.recovery.ownKeyWritten = true // unless rewriteOwnKey resets it meanwhile
+	n.recovery.ownKeyWritten = true // set before the requests, so that a reset by rewriteOwnKey meanwhile is kept
 	n.mu.Unlock()
 	sent := time.Now()
 	lease, written, err := n.ensureLease(ctx, lease, written)
--- a/internal/controller/leaserenewal.go
+++ b/internal/controller/leaserenewal.go
@@ -16,15 +16,15 @@
 // the answer must then contain.
 func (n *Node) leaseGrant(r *protocol.Heartbeat, now time.Time) (stops []protocol.Command, ok bool) {
 	home := n.agents.Get(r.Machine)
-	standing := leasegrant.ControllerRole{
+	role := leasegrant.ControllerRole{
 		IsHome:        n.homeOf(r.Machine) == n.name && n.leadership.IsMember(),
 		LeaseValid:    n.leadership.HoldsLease(now) && n.entitled(now),
 		HomeWatermark: n.machine(r.Machine).HomeWatermark,
 	}
 	if home != nil {
-		standing.InFlightWatermark = home.InFlightWatermark(n.jobEnded)
+		role.InFlightWatermark = home.InFlightWatermark(n.jobEnded)
 	}
-	grant := leasegrant.Decide(r, now, standing, &leaseKnowledge{n, home})
+	grant := leasegrant.Decide(r, now, role, &leaseKnowledge{n, home})
 	if grant.Unknown != nil {
 		n.lookUpEnd(grant.Unknown.Job, grant.Unknown.Attempt)
 	}
@@ -47,7 +47,7 @@
 	return leasegrant.Unknown
 }
 
-// StartOrdered reports whether the owner's order to start an attempt can be relied on. It can until the key-value store
+// StartOrdered reports whether the owner's order to start an attempt can be relied on. It can until the state service
 // was read after the order: a job that is unknown after that read has ended, since it was accepted before the order.
 func (k *leaseKnowledge) StartOrdered(attempt jobstate.AttemptRef) bool {
 	if k.home == nil {
@@ -57,6 +57,8 @@
 	return ok && (sent.IsZero() || !k.n.cancelWatermark.LastRead().After(sent))
 }
 
+// MayBeLost reports whether the job of an attempt may be one that the state service lost: the attempt was started
+// before the current epoch began.
 func (k *leaseKnowledge) MayBeLost(attempt uint64) bool {
 	return k.n.leadership.Epoch() > 1 && jobstate.TermOf(attempt) < k.n.leadership.Record().FirstTerm
 }
--- a/internal/controller/leaserenewal_test.go
+++ b/internal/controller/leaserenewal_test.go
@@ -40,7 +40,7 @@
 	o.n.agents.QueueOrders(1, o.name, []jobstate.Order{{Op: op, TaskID: jobstate.TaskID{Job: "job-000001"}, Attempt: 1, Incarnation: 1, CPUs: 1, MemoryGB: 1}})
 }
 
-// TestNoStartOfAnEndedJob: an owner that the key-value store refuses may order starts of a job that the machine's home
+// TestNoStartOfAnEndedJob: an owner that the state service refuses may order starts of a job that the machine's home
 // knows to be cancelled. The home sent them nevertheless.
 func TestNoStartOfAnEndedJob(t *testing.T) {
 	o := newOrderedMachine()
@@ -70,7 +70,7 @@
 	n := o.n
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	reach := settings.Seconds(n.settings.Deployment.Agents.CancelSeconds-n.settings.Deployment.Agents.LeaseSeconds) - 2*time.Second
+	renewLimit := settings.Seconds(n.settings.Deployment.Agents.CancelSeconds-n.settings.Deployment.Agents.LeaseSeconds) - 2*time.Second
 	o.report(o.now)
 	o.order(protocol.Start)
 	m := n.agents.Get(o.name)
@@ -83,23 +83,23 @@
 		status, _ := o.report(at)
 		return status == 200
 	}
-	if !renews(reach + 5*time.Second) {
+	if !renews(renewLimit + 5*time.Second) {
 		t.Error("a start in flight of an active job bounds renewals")
 	}
 	n.endJob("job-000001")
-	if renews(reach + 6*time.Second) {
+	if renews(renewLimit + 6*time.Second) {
 		t.Error("a machine is kept alive although a start of a cancelled job may arrive there")
 	}
-	at := o.now.Add(reach + 7*time.Second)
+	at := o.now.Add(renewLimit + 7*time.Second)
 	s := n.status(at)
-	if age, ok := s.InFlightAges[o.name]; !ok || age < (reach+7*time.Second).Milliseconds() {
+	if age, ok := s.InFlightAges[o.name]; !ok || age < (renewLimit+7*time.Second).Milliseconds() {
 		t.Errorf("the home reports the ages %v", s.InFlightAges)
 	}
 	n.agents.SetTerm(2, func(string) bool { return true })
 	next := n.leadership.Record().Clone()
 	next.Term = 2
 	learnRecord(n, next)
-	if !renews(reach + 8*time.Second) {
+	if !renews(renewLimit + 8*time.Second) {
 		t.Error("a machine is not kept alive although a raised term invalidates the start")
 	}
 	n.leadership.Record().Nodes[n.name]++ // an earlier process was its home
--- a/internal/controller/record.go
+++ b/internal/controller/record.go
@@ -50,7 +50,7 @@
 		n.reloadShards()
 	}
 	n.followOwners(r, n.leadership.IsMember())
-	if changes.TermChanged { // followOwners has applied the shards of this record
+	if changes.TermChanged { // only now, after followOwners applied the shards of this record
 		n.publishAllStatuses()
 	}
 	n.wake()
--- a/internal/controller/recordchange.go
+++ b/internal/controller/recordchange.go
@@ -80,7 +80,7 @@
 	if !n.watchedKeysRead || !n.trusted() {
 		return nil
 	}
-	change := n.leadership.NextChange(time.Now(), started, recordSurroundings{n})
+	change := n.leadership.NextChange(time.Now(), started, recordChangeView{n})
 	if change == nil {
 		return nil
 	}
@@ -148,32 +148,32 @@
 	return err
 }
 
-// recordSurroundings implements leadership.Surroundings, the view of the controller that leadership.NextChange uses.
-type recordSurroundings struct{ node *Node }
+// recordChangeView implements leadership.ControllerView, the view of the controller that NextChange uses.
+type recordChangeView struct{ node *Node }
 
-var _ leadership.ControllerView = recordSurroundings{}
+var _ leadership.ControllerView = recordChangeView{}
 
-func (r recordSurroundings) Controllers() int      { return len(r.node.settings.Peers) + 1 }
-func (r recordSurroundings) ShardNames() []string  { return r.node.shardNames() }
-func (r recordSurroundings) OwnsFleet() bool       { return r.node.shards.OwnsFleet() }
-func (r recordSurroundings) RosterComplete() bool  { return r.node.rosterComplete() }
-func (r recordSurroundings) RandomStoreID() string { return randomStoreID() }
+func (r recordChangeView) Controllers() int      { return len(r.node.settings.Peers) + 1 }
+func (r recordChangeView) ShardNames() []string  { return r.node.shardNames() }
+func (r recordChangeView) OwnsFleet() bool       { return r.node.shards.OwnsFleet() }
+func (r recordChangeView) RosterComplete() bool  { return r.node.rosterComplete() }
+func (r recordChangeView) RandomStoreID() string { return randomStoreID() }
 
-func (r recordSurroundings) RandomTerm() uint64 { return 1<<10 + r.node.rng.Uint64N(1<<20) }
+func (r recordChangeView) RandomTerm() uint64 { return 1<<10 + r.node.rng.Uint64N(1<<20) }
 
-func (r recordSurroundings) ShardStatuses(now time.Time) map[string]leadership.ShardStatus {
+func (r recordChangeView) ShardStatuses(now time.Time) map[string]leadership.ShardStatus {
 	return r.node.syncStates(now)
 }
 
-func (r recordSurroundings) UnreachableMember(now time.Time) string {
+func (r recordChangeView) UnreachableMember(now time.Time) string {
 	return r.node.unreachableHomes.Find(homesView{r.node}, now)
 }
 
-func (r recordSurroundings) GiveUpSearch(record *leadership.Record, now time.Time) *leadership.Record {
+func (r recordChangeView) GiveUpSearch(record *leadership.Record, now time.Time) *leadership.Record {
 	copyWait := settings.Seconds(r.node.options.CopyWaitSeconds)
 	return datarecovery.GiveUpSearch(record, now.Sub(r.node.recovery.census.EnteredAt()), copyWait)
 }
 
-func (r recordSurroundings) NeedsRaisedTerm(now time.Time) bool {
+func (r recordChangeView) NeedsRaisedTerm(now time.Time) bool {
 	return r.node.shards.NeedsRaisedTerm(now)
 }
--- a/internal/controller/recovery.go
+++ b/internal/controller/recovery.go
@@ -101,8 +101,8 @@
 	}
 }
 
-// continueRecovery performs the remaining steps in an epoch that followed a loss, and bounds what is remembered for the
-// next one.
+// continueRecovery performs the remaining steps in an epoch that followed a loss, and limits how much is retained in
+// case of another loss.
 func (n *Node) continueRecovery(now time.Time) {
 	if !n.trusted() || n.leadership.Record() == nil {
 		return
--- a/internal/controller/recovery_detect.go
+++ b/internal/controller/recovery_detect.go
@@ -48,14 +48,14 @@
 	}
 }
 
-// observeFencingToken checks a worker's fencing token: a token that the store never issued proves a loss.
+// observeFencingToken checks a worker's fencing token: a token from before the store's first term proves a loss.
 func (n *Node) observeFencingToken(token uint64) {
 	if proof := n.recovery.detection.ObserveFencingToken(token, n.leadership.Record()); proof != "" {
 		n.proveLoss(proof)
 	}
 }
 
-// verifyUnlistedJob looks up the end of a job whose key is not in a full list. The job has one, unless the store lost
+// verifyUnlistedJob looks up the end of a job whose key is not in a full list. If the store has no end either, it lost
 // the job.
 func (n *Node) verifyUnlistedJob(uid string, j *job) {
 	n.group.Go(func() error {
@@ -94,11 +94,11 @@
 		defer link.Close()
 		resp, _, err := link.Do(n.ctx, "GET", protocol.PathInspect, nil, probeTimeout)
 		var r protocol.Heartbeat
-		there := err == nil && resp.Status == 200 && protocol.Decode(resp.Body, &r) == nil && r.Machine == name
+		exists := err == nil && resp.Status == 200 && protocol.Decode(resp.Body, &r) == nil && r.Machine == name
 		n.mu.Lock()
 		defer n.mu.Unlock()
 		unregistered := n.machines[name] == m && !m.gone && !n.roster.Has(name) && m.unregistered.Suspected()
-		if there && unregistered && n.runsTasksOfThisStore(&r) {
+		if exists && unregistered && n.runsTasksOfThisStore(&r) {
 			n.proveLoss(datarecovery.ProofUnlistedMachine)
 		}
 		return nil
@@ -135,8 +135,8 @@
 	n.recovery.detection.PeriodicCompared(outcome)
 }
 
-// checkLaterTerm reads the membership record again when somebody knows a later term. The record known here may just be
-// out of date; a read that begins now settles that.
+// checkLaterTerm reads the membership record again when a worker or peer knows a later term. The record known here may
+// just be out of date; a read that begins now settles that.
 func (n *Node) checkLaterTerm(ctx context.Context) {
 	if n.readRecord(ctx) != nil {
 		return
@@ -192,8 +192,8 @@
 	return 0
 }
 
-// compareAcknowledged compares acknowledged keys with the store. A key with another version must have been changed,
-// which a read of the changes shows.
+// compareAcknowledged compares acknowledged keys with the store. If a key has another version, it must have been
+// changed since: the changes are read, and if they do not show that, the key is missing.
 func (n *Node) compareAcknowledged(ctx context.Context) datarecovery.Comparison {
 	plan, outcome, ready := n.planComparison()
 	if !ready {
--- a/internal/controller/recovery_epoch.go
+++ b/internal/controller/recovery_epoch.go
@@ -67,14 +67,14 @@
 // whether it is.
 func (n *Node) applyFullList(entries []protocol.Entry, revision uint64) bool {
 	contents := parseStoreContents(entries)
-	judgement := n.recovery.detection.EvaluateList(contents, n.leadership.Record(), n.leadership.RecordVersion())
-	if judgement.Proof != "" {
-		n.proveLoss(judgement.Proof)
+	evaluation := n.recovery.detection.EvaluateList(contents, n.leadership.Record(), n.leadership.RecordVersion())
+	if evaluation.Proof != "" {
+		n.proveLoss(evaluation.Proof)
 	}
-	if judgement.Suspicion != "" {
-		n.suspectLoss(judgement.Suspicion)
+	if evaluation.Suspicion != "" {
+		n.suspectLoss(evaluation.Suspicion)
 	}
-	switch judgement.Verdict {
+	switch evaluation.Verdict {
 	case datarecovery.ListOfOtherEpoch:
 		n.enterEpoch(entries, contents, revision)
 		return true
--- a/internal/controller/recovery_gather.go
+++ b/internal/controller/recovery_gather.go
@@ -46,8 +46,8 @@
 const (
 	// jobsPerMessage is the maximum number of jobs in one retainedStateMsg.
 	jobsPerMessage = 400
-	// endsPerMessage is the maximum size in bytes of the ends in one missingEndsMsg.
-	endsPerMessage = 256 << 10
+	// maxEndsBytes is the maximum size of the ends in one missingEndsMsg.
+	maxEndsBytes = 256 << 10
 	// startupGrace is how long a process that has just started treats every peer as possibly reachable. Without it, a
 	// peer that had not connected yet counted as gone, and its retained state was not awaited.
 	startupGrace = unreachableAfter + 500*time.Millisecond
@@ -59,8 +59,8 @@
 // that of this controller.
 func (n *Node) retainedStateGathered(now time.Time) bool {
 	member := func(name string) bool {
-		_, there := n.leadership.Record().Nodes[name]
-		return there
+		_, ok := n.leadership.Record().Nodes[name]
+		return ok
 	}
 	progress := n.recovery.gathering.Progress(member, func(name string) bool { return n.mayBeReachable(name, now) })
 	if progress.Completed {
@@ -69,8 +69,8 @@
 	return progress.Ready
 }
 
-// allPeersExchanged reports whether every peer that may be reachable has sent its retained state since this process
-// started to watch the store, and the jobs named there were looked up.
+// allPeersExchanged reports whether every peer that may be reachable has sent all of its retained state since this
+// process started. The look-ups of jobs that are named there and unknown here have at least begun by then.
 func (n *Node) allPeersExchanged(now time.Time) bool {
 	for name := range n.peers {
 		if n.mayBeReachable(name, now) && !n.recovery.gathering.ExchangedWith(name) {
@@ -170,7 +170,7 @@
 		n.log.Error("unreadable line", "peer", from, "kind", kindRetainedState, "err", err)
 		return
 	}
-	for _, page := range datarecovery.Pages(missing, endsPerMessage) {
+	for _, page := range datarecovery.Pages(missing, maxEndsBytes) {
 		n.links.Send(from, kindMissingEnds, missingEndsMsg{Epoch: m.Epoch, Ends: &page})
 	}
 	n.links.Send(from, kindMissingEnds, missingEndsMsg{Epoch: m.Epoch, Last: true})
--- a/internal/controller/recovery_replicate.go
+++ b/internal/controller/recovery_replicate.go
@@ -10,8 +10,9 @@
 	"topazhollow/internal/userapi"
 )
 
-// Replication of facts before they are acknowledged: a peer knows what a user is told, so that a crash of a single
-// controller together with a loss of the store's data does not lose it.
+// Replication of facts, that is, of accepted jobs and job ends: before a controller acknowledges a fact to a user, a
+// peer has to remember it, so that the crash of a single controller together with a loss of the store's data does not
+// lose it.
 
 // Message kinds for the replication of facts. The values are part of the protocol.
 const (
--- a/internal/controller/recovery_writeback.go
+++ b/internal/controller/recovery_writeback.go
@@ -131,11 +131,11 @@
 		return false
 	}
 	written, next := n.readEndPages(entries)
-	left, err := n.userAPI.EndsMissingFrom(written.Digest())
+	missing, err := n.userAPI.EndsMissingFrom(written.Digest())
 	if err != nil {
 		return false
 	}
-	pages := datarecovery.Pages(left, maxValueBytes(n.settings.Deployment.KVStore)-pageOverhead)
+	pages := datarecovery.Pages(missing, maxValueBytes(n.settings.Deployment.KVStore)-pageOverhead)
 	for i, page := range pages {
 		key := datarecovery.EndsKey + strconv.Itoa(next+i)
 		_, err := n.kvStore.Commit(ctx, kvstore.Update{Deferrable: true,
@@ -145,7 +145,7 @@
 			return false // the caller tries again from the start
 		}
 	}
-	n.log.Info("ends written back", "ends", len(left), "pages", len(pages))
+	n.log.Info("ends written back", "ends", len(missing), "pages", len(pages))
 	return true
 }
 
--- a/internal/datarecovery/agreement.go
+++ b/internal/datarecovery/agreement.go
@@ -9,9 +9,9 @@
 // Phase is how far a controller trusts the state service (the store).
 type Phase int
 
-// The phases. A controller acknowledges, starts, rents and returns only in Trusted.
+// The phases. Only in Trusted does a controller acknowledge requests, start tasks, and rent or return machines.
 const (
-	Starting      Phase = iota // the store was not read yet
+	Starting      Phase = iota // the store has not been read yet
 	AwaitingPeers              // the store was read; peers may still report that it lost data before that
 	Trusted                    // no sign of loss is known
 	Suspected                  // a sign of loss was seen and is being checked
@@ -48,8 +48,8 @@
 type Assessment struct {
 	Epoch           uint64 `json:"generation"`
 	Term            uint64 `json:"term"`
-	Incarnation     uint64 `json:"incarnation"`
-	Revision        uint64 `json:"seen"` // highest revision that the store named in this epoch
+	Incarnation     uint64 `json:"incarnation"` // of the sender's process
+	Revision        uint64 `json:"seen"`        // highest revision in an answer of the store in this epoch
 	SuspectsLoss    bool   `json:"doubt,omitempty"`
 	ConfirmedLoss   bool   `json:"lost,omitempty"`  // comparisons confirmed the loss
 	HistoryComplete bool   `json:"whole,omitempty"` // the sender saw the loss and has a complete history of job ends
@@ -168,7 +168,7 @@
 	}
 	for _, assessment := range a.Assessments(now) {
 		if assessment.ConfirmedLoss && assessment.Epoch == a.epoch {
-			outcome = Missing // keys found here are only the rest after the loss
+			outcome = Missing // the peer confirmed a loss: the keys found are only those left after it
 		}
 	}
 	switch outcome {
@@ -250,8 +250,8 @@
 }
 
 // stepAwaitingPeers requests a comparison once all peers have reported or the wait for them has timed out. A read that
-// begins then must return everything that they have seen. If no comparison completes within three times that wait, the
-// store is trusted.
+// begins then must return everything that the peers had seen. If no comparison completes within three times that wait,
+// the store is trusted.
 func (a *Agreement) stepAwaitingPeers(now time.Time) Action {
 	switch passed := now.Sub(a.since); {
 	case passed > 3*peerWaitTimeout:
@@ -287,8 +287,8 @@
 	return true
 }
 
-// peersAgree reports whether no reachable peer in this epoch contradicts the suspicion. If a peer finds every
-// acknowledged key, this controller reads different data than that peer does.
+// peersAgree reports whether every reachable peer in this epoch suspects a loss too. A peer that suspects none still
+// finds every key that it compares, so it reads other data than this controller does.
 func (a *Agreement) peersAgree(reachable map[string]Assessment) bool {
 	for _, assessment := range reachable {
 		if !assessment.SuspectsLoss && assessment.Epoch == a.epoch {
@@ -299,8 +299,8 @@
 }
 
 // stepLost decides when this controller creates the next epoch. An unreachable peer may still act under its lease, so
-// the proposal waits until that lease has expired on any clock. A controller that knows a later term proposes first;
-// among several, proposals are staggered in the order of names.
+// the proposal waits until that lease has expired on any clock: clocks may differ in rate, so a hundredth is added. A
+// controller that knows a later term proposes first; among several, proposals are staggered in the order of names.
 func (a *Agreement) stepLost(
 	now time.Time, term uint64, reachable map[string]Assessment, present func(name string) bool,
 ) Action {
--- a/internal/datarecovery/census.go
+++ b/internal/datarecovery/census.go
@@ -27,8 +27,8 @@
 // EnteredAt returns when this controller entered the epoch.
 func (c *Census) EnteredAt() time.Time { return c.enteredAt }
 
-// Due reports whether to read the cloud's list now. The list may be up to listLag old, and it must name every machine
-// that was rented before the epoch began.
+// Due reports whether to read the cloud's list now. The list may be up to listLag old. It is read only after twice that
+// time in the epoch, since it must name every machine that was rented before the epoch began.
 func (c *Census) Due(now time.Time, listLag time.Duration) bool {
 	return c.listed == nil && now.Sub(c.enteredAt) > 2*listLag
 }
--- a/internal/datarecovery/detection.go
+++ b/internal/datarecovery/detection.go
@@ -183,7 +183,8 @@
 	}
 }
 
-// Suspect records a sign of loss. It returns false if the store was not trusted anyway.
+// Suspect records a sign of loss. It returns false, and records nothing, if the store is not trusted: then it is being
+// checked already.
 func (d *Detection) Suspect(sign Sign, now time.Time) bool {
 	if !d.Trusted() {
 		return false
@@ -204,7 +205,7 @@
 }
 
 // ObserveFencingToken records a worker's fencing token. It returns a proof of loss if the token is from before this
-// store's first term, and "" otherwise.
+// store's first term, and "" otherwise. In later epochs such tokens prove nothing: they are from before the known loss.
 func (d *Detection) ObserveFencingToken(token uint64, record *leadership.Record) (proof Sign) {
 	if token >= termLimit || record == nil {
 		return ""
@@ -219,8 +220,8 @@
 	return ""
 }
 
-// RecordRefreshed is called after the membership record was read again because somebody knows a later term. It returns
-// a proof of loss if the store still lacks that term, and "" otherwise.
+// RecordRefreshed is called after the membership record was read again because a worker or peer knows a later term. It
+// returns a proof of loss if the store still lacks that term, and "" otherwise.
 func (d *Detection) RecordRefreshed(record *leadership.Record) (proof Sign) {
 	if record != nil && d.laterTerm > record.Term {
 		proof = ProofLaterTerm
@@ -314,14 +315,14 @@
 // presenceListed reports whether the last unreliable list has a controller's presence key. For this controller, the key
 // must be of this process.
 func (d *Detection) presenceListed(name string) bool {
-	presence, there := d.contents.Presences[name]
-	return there && (name != d.self || presence.Incarnation == d.incarnation)
+	presence, found := d.contents.Presences[name]
+	return found && (name != d.self || presence.Incarnation == d.incarnation)
 }
 
-// PlanComparison returns the keys to compare: the followed ones, the epoch keys and the suspect keys. If ready is
-// false, outcome is known without a request to the store. listed reports whether all watched keys were read.
+// PlanComparison returns the keys to compare: the given acknowledged ones, the epoch keys and the suspect keys. If
+// ready is false, outcome is known without a request to the store. listed reports whether all watched keys were read.
 func (d *Detection) PlanComparison(
-	followed map[string]uint64, listed bool,
+	acknowledged map[string]uint64, listed bool,
 ) (plan ComparisonPlan, outcome Comparison, ready bool) {
 	if d.proof != "" || d.brokenChain {
 		return plan, Missing, false
@@ -331,7 +332,7 @@
 	}
 	plan.Keys = maps.Clone(d.suspectKeys)
 	maps.Copy(plan.Keys, d.epochKeys)
-	maps.Copy(plan.Keys, followed)
+	maps.Copy(plan.Keys, acknowledged)
 	plan.SeenRevision = d.agreement.PeersRevision()
 	return plan, Unanswered, true
 }
@@ -379,22 +380,22 @@
 func (d *Detection) EvaluateList(contents StoreContents, record *leadership.Record, recordVersion uint64) ListEvaluation {
 	stored := contents.Record
 	newer := stored != nil && stored.Epoch > epochOf(record)
-	judgement := ListEvaluation{}
+	evaluation := ListEvaluation{}
 	switch {
 	case newer && contents.EpochKeys[EpochKey+stored.StoreID] == 0:
 		// The key of its epoch is gone: the store has lost data since, and its contents are only evidence.
-		judgement.Proof = ProofEpochKeyGone
+		evaluation.Proof = ProofEpochKeyGone
 	case record == nil || newer:
 		return ListEvaluation{Verdict: ListOfOtherEpoch}
-	case d.agreement.phase == Lost:
+	case d.agreement.phase == Lost: // the list is only evidence, and the loss is known
 	case stored == nil || stored.Term < record.Term || contents.RecordVersion < recordVersion ||
 		contents.EpochKeys[EpochKey+record.StoreID] == 0:
-		judgement.Suspicion = SignListLacks
+		evaluation.Suspicion = SignListLacks
 	default:
 		return ListEvaluation{Verdict: ListCurrent, Proof: d.proofByPeers(record, contents.ReadAt)}
 	}
 	d.contents = contents
-	return judgement
+	return evaluation
 }
 
 // proofByPeers returns a proof of loss if a peer knows a later epoch than a list that was just read.
--- a/internal/datarecovery/doc.go
+++ b/internal/datarecovery/doc.go
@@ -9,14 +9,14 @@
 //     tasks from before the loss is known.
 //   - Ends is the set of all known job ends, that is, how each job ended.
 //
-// The package never contacts the state service or a peer and places no task. While no loss is suspected, it only
-// selects the keys to compare. It does no I/O, takes no lock and reads no clock: the controller guards each type by its
-// own lock and passes the time in.
+// The package never contacts the state service or a peer and places no task. While no loss is suspected, its only
+// decision is which keys to compare. It does no I/O, takes no lock and reads no clock: the controller guards each type
+// by its own lock and passes the time in.
 package datarecovery
 
 // Keys and key prefixes in the state service that data recovery adds. All controllers watch them.
 const (
 	EpochKey    = "w/g/" // prefix of the epoch keys; followed by the random ID of the epoch's store
 	EndsKey     = "w/e/" // prefix of the pages of job ends that were written back
-	FinishedKey = "w/d/" // prefix of finished tasks by job, written by a restore and read by the shard owners
+	FinishedKey = "w/d/" // prefix of finished tasks by job, written by a restore for the owners of the shards
 )
--- a/internal/datarecovery/epoch.go
+++ b/internal/datarecovery/epoch.go
@@ -33,8 +33,8 @@
 // NextEpoch builds the membership record of the next epoch. Its term is above every fencing token that a worker may
 // have seen. Owners keep their shards and need no barrier only if every controller of the deployment is reachable, is
 // the process named in the latest record, and knows no later record: then nobody can have acted under a record that is
-// unknown here. If no controller has a complete history, as when all of them stopped together with the loss, an earlier
-// record that nobody knows was in effect, so the barrier is needed.
+// unknown here. If no controller has a complete history, as when all of them stopped together with the loss, machines
+// may run tasks that were started under a record that nobody knows, so the barrier is needed.
 func (e *Evidence) NextEpoch() NextEpoch {
 	base := (&leadership.Record{}).Clone()
 	if e.Record != nil {
@@ -70,8 +70,8 @@
 	return term, epoch
 }
 
-// historyComplete reports whether this controller, or a peer that saw a loss in the given epoch, has a complete
-// history.
+// historyComplete reports whether this controller, or a peer that suspects or confirmed a loss in the given epoch, has
+// a complete history.
 func (e *Evidence) historyComplete(epoch uint64) bool {
 	if e.Own.HistoryComplete {
 		return true
@@ -144,8 +144,9 @@
 	return txn
 }
 
-// GiveUpSearch returns the membership record that ends the search for lost data once the configured wait for a copy is
-// over, and nil while the search goes on. With maxWait 0 there is no limit: only an operator ends the search.
+// GiveUpSearch returns the membership record that ends the search for lost data once the configured wait for a restore
+// from a copy of the data is over, and nil while the search goes on. With maxWait 0 there is no limit: only an operator
+// ends the search.
 func GiveUpSearch(r *leadership.Record, waited, maxWait time.Duration) *leadership.Record {
 	if !r.DataLost || maxWait <= 0 || waited < maxWait {
 		return nil
--- a/internal/datarecovery/exchange.go
+++ b/internal/datarecovery/exchange.go
@@ -6,8 +6,8 @@
 )
 
 // Exchange tracks what a controller still awaits after it entered an epoch that follows a loss: the retained state of
-// every other member, and that member's answer to the state sent to it. No team is ready before, since a cancellation
-// may be known to a single controller.
+// every other member, and that member's answer to the state sent to it. No team starts tasks before, since a
+// cancellation may be known to a single controller.
 type Exchange struct {
 	Epoch   uint64
 	members map[string]*memberProgress
@@ -45,7 +45,7 @@
 }
 
 // Awaited returns the members whose retained state or answer is awaited; a nil exchange awaits nobody. An unreachable
-// one does not delay the start of teams, but is asked again as long as it is a member: if its process was only
+// member does not delay the start of teams, but is asked again as long as it is a member: if its process was only
 // suspended, it still has its state.
 func (x *Exchange) Awaited() []string {
 	if x == nil {
--- a/internal/datarecovery/gathering.go
+++ b/internal/datarecovery/gathering.go
@@ -29,9 +29,9 @@
 	proposedAt time.Time
 }
 
-// Gathering holds the state that controllers exchange, both after a loss of data and before it, so that more than one
-// of them retains it: finished tasks, jobs that a peer was about to accept, and whose retained state is still awaited.
-// It does no I/O and reads no clock; the caller guards it by a lock.
+// Gathering holds state that controllers send each other, both after a loss of data and before it, so that more than
+// one of them retains it: finished tasks and jobs that a peer was about to accept. It also tracks the peers whose
+// retained state is still awaited. It does no I/O and reads no clock; the caller guards it by a lock.
 type Gathering struct {
 	exchange      *Exchange                 // in progress; nil: none
 	exchangedWith map[string]bool           // peers that sent their retained state since this process started
--- a/internal/datarecovery/model_controller_test.go
+++ b/internal/datarecovery/model_controller_test.go
@@ -58,7 +58,8 @@
 	return n.up && n.listed && p == Trusted
 }
 
-// wentBack checks the revision of an answer.
+// wentBack reports whether the store's revision is lower than one that a controller saw before, and makes the
+// controller suspect a loss then.
 func (w *world) wentBack(n *controllerModel) bool {
 	if w.guards.revisions && w.store.revision < n.seenRevision {
 		n.agreement.Suspect("revision", w.now)
--- a/internal/datarecovery/model_store_test.go
+++ b/internal/datarecovery/model_store_test.go
@@ -16,7 +16,7 @@
 	version uint64
 }
 
-// modelStore is a simple key-value store.
+// modelStore is a simple model of the state service.
 type modelStore struct {
 	keys     map[string]modelEntry
 	revision uint64
@@ -88,7 +88,7 @@
 func (w *world) loseData(saved *modelStore) {
 	w.losses++
 	for _, n := range w.nodes {
-		if w.partitioned { // changes that no peer could retain have at least been read by the watch
+		if w.partitioned { // no peer retains its changes, so its watch must have read them before the loss
 			w.follow(n)
 		}
 	}
--- a/internal/datarecovery/model_test.go
+++ b/internal/datarecovery/model_test.go
@@ -8,7 +8,7 @@
 )
 
 // The model consists of a simple store that loses data, two controllers, three machines, and jobs of one task each. It
-// is slow and straightforward. The controllers take all decisions from the code under test, that is, from this
+// is kept simple rather than fast. The controllers take all decisions from the code under test, that is, from this
 // package and from leadership alone.
 
 // guards are the safety mechanisms of the controllers. A test disables one at a time to show that the model detects it.
@@ -28,9 +28,9 @@
 	saved          *modelStore       // contents of the backup
 	faultsFrom     time.Time         // no fault is injected earlier, so that both controllers retain the state again
 	violation      string            // the first violation found; empty: none
-	started        int
+	started        int               // starts that machines executed
 	losses         int
-	jobs           int
+	jobs           int // submitted
 }
 
 const modelShard = "team/a"
@@ -67,7 +67,7 @@
 }
 
 // runHistory runs a random history and returns the first violation, "" for none.
-func runHistory(seed uint64, g guards) (broken string, w *world) {
+func runHistory(seed uint64, g guards) (violation string, w *world) {
 	w = newWorld(seed, g)
 	for range faultSteps {
 		w.now = w.now.Add(modelStep)
@@ -160,22 +160,22 @@
 // TestRecoveryModel runs random histories of losses, restarts and partitions. As long as one controller stays up, no
 // job that was accepted, done or cancelled may be forgotten or change its state, and no task may run twice.
 func TestRecoveryModel(t *testing.T) {
-	losses, started, generations := 0, 0, uint64(0)
+	losses, started, epochs := 0, 0, uint64(0)
 	for seed := range uint64(15) {
-		broken, w := runHistory(seed, allGuards)
-		if broken != "" {
-			t.Fatalf("seed %d: %s", seed, broken)
+		violation, w := runHistory(seed, allGuards)
+		if violation != "" {
+			t.Fatalf("seed %d: %s", seed, violation)
 		}
-		losses, started, generations = losses+w.losses, started+w.started, generations+w.nodes[0].epoch()
+		losses, started, epochs = losses+w.losses, started+w.started, epochs+w.nodes[0].epoch()
 	}
-	if losses < 30 || started < 100 || generations < 30 {
-		t.Fatalf("only %d losses, %d starts and %d epochs", losses, started, generations)
+	if losses < 30 || started < 100 || epochs < 30 {
+		t.Fatalf("only %d losses, %d starts and %d epochs", losses, started, epochs)
 	}
 }
 
 // TestRecoveryModelCatches disables one guard at a time and checks that the model finds a violation.
 func TestRecoveryModelCatches(t *testing.T) {
-	for name, leave := range map[string]func(*guards){
+	for name, disable := range map[string]func(*guards){
 		"answers of a lower revision are accepted, and keys are not compared":        func(g *guards) { g.revisions, g.compare = false, false },
 		"changes are not conditional on the epoch key":                               func(g *guards) { g.fence, g.compare, g.revisions = false, false, false },
 		"retained state of the peers is not awaited":                                 func(g *guards) { g.exchange = false },
@@ -188,8 +188,8 @@
 		caught, tries := false, uint64(0)
 		for seed := uint64(0); seed < 200 && !caught; seed++ {
 			// The first seed is one after which the rarest violation is found soon.
-			broken, _ := runHistory(70+seed, func() guards { g := allGuards; leave(&g); return g }())
-			caught = broken != ""
+			violation, _ := runHistory(70+seed, func() guards { g := allGuards; disable(&g); return g }())
+			caught = violation != ""
 			tries = seed + 1
 		}
 		t.Logf("%s: detected in history %d", name, tries)
--- a/internal/datarecovery/model_users_test.go
+++ b/internal/datarecovery/model_users_test.go
@@ -6,6 +6,7 @@
 	"time"
 )
 
+// finish writes the end of a done job with the given version of its active key.
 func (w *world) finish(n *controllerModel, uid string, v uint64) {
 	if w.commit(n, map[string]uint64{"w/a/" + uid: v, "w/c": n.recordVersion}, map[string]string{"w/a/" + uid: "", "f/" + uid: "done"}) {
 		w.learnEnd(n, uid, false)
@@ -23,12 +24,12 @@
 }
 
 // recordAnswer records an answer to a user, which must not contradict an earlier one.
-func (w *world) recordAnswer(uid, what string) {
-	was := w.answers[uid]
-	if (was == "done" || was == "withdrawn") && was != what {
-		w.fail("%s was %s and is %s", uid, was, what)
+func (w *world) recordAnswer(uid, state string) {
+	earlier := w.answers[uid]
+	if (earlier == "done" || earlier == "withdrawn") && earlier != state {
+		w.fail("%s was answered as %s before and as %s now", uid, earlier, state)
 	}
-	w.answers[uid] = what
+	w.answers[uid] = state
 }
 
 // actAsUser submits, polls or cancels a job.
@@ -60,6 +61,7 @@
 	}
 }
 
+// cancel cancels a job whose active key the controller knows.
 func (w *world) cancel(n *controllerModel) {
 	uid := w.anyJob()
 	if uid == "" || n.jobs[uid] == 0 {
--- a/internal/datarecovery/pages.go
+++ b/internal/datarecovery/pages.go
@@ -18,13 +18,13 @@
 	Others []End    `json:"others,omitempty"`
 }
 
-// Upper bounds of the sizes of parts of an encoded page, in bytes.
+// Upper bounds of the sizes of the parts of an encoded page, in bytes.
 const (
-	pageFrameSize       = 64 // an empty page
-	packedEndMax        = 20 // a packed end
-	otherEndFrame       = 80 // an end in JSON, without its names
-	teamNameFrame       = 3  // quotes and comma of a team name
-	base64In, base64Out = 3, 4
+	pageFrameSize       = 64   // an empty page
+	packedEndMax        = 20   // a packed end
+	otherEndFrame       = 80   // an end in JSON, without its job id and team name
+	teamNameFrame       = 3    // quotes and comma of a team name
+	base64In, base64Out = 3, 4 // base64 encodes 3 bytes as 4
 )
 
 // Pages encodes ends as pages of at most maxBytes each.
@@ -72,7 +72,7 @@
 	if !usual {
 		need = len(end.UID) + len(end.Team) + otherEndFrame
 	}
-	if _, there := w.team[end.Team]; !there {
+	if _, known := w.team[end.Team]; !known {
 		need += len(end.Team) + teamNameFrame
 	}
 	if w.size+need > w.maxBytes || (usual && id < w.last) {
@@ -89,8 +89,8 @@
 // pack appends an end with a usual id: the difference to the previous id, then the number of tasks, the team's index
 // and whether the job was cancelled.
 func (w *pageWriter) pack(id uint32, end End) {
-	team, there := w.team[end.Team]
-	if !there {
+	team, known := w.team[end.Team]
+	if !known {
 		team = len(w.teams)
 		w.team[end.Team] = team
 		w.teams = append(w.teams, end.Team)
--- a/internal/datarecovery/writeback_test.go
+++ b/internal/datarecovery/writeback_test.go
@@ -38,9 +38,9 @@
 	w, due := NewWriteBack(), testStart.Add(staleKeyDelay)
 	w.EndedKeyActive("job-000001", 5, testStart)
 	for name, started := range map[string][]StaleKey{
-		"early":       w.StartStaleKeys(due.Add(-1), 9, always, always),
-		"not owned":   w.StartStaleKeys(due, 9, never, always),
-		"at no limit": w.StartStaleKeys(due, 0, always, always),
+		"early":      w.StartStaleKeys(due.Add(-1), 9, always, always),
+		"not owned":  w.StartStaleKeys(due, 9, never, always),
+		"limit of 0": w.StartStaleKeys(due, 0, always, always),
 	} {
 		if len(started) != 0 || w.StaleKeys() != 1 {
 			t.Errorf("%s: started %v, %d left", name, started, w.StaleKeys())
