--- a/internal/controller/barrierprobe_test.go
+++ b/internal/controller/barrierprobe_test.go
@@ -71,7 +71,7 @@
 		}
 	}
 	var unanswered []string
-	for _, name := range []string{"n-000098", "n-000099"} { // another machine's address, and nobody's
+	for _, name := range []string{"n-000098", "n-000099"} { // another machine's address, and one where nothing listens
 		if n.leadership.Record().Home(name) == n.name {
 			unanswered = append(unanswered, name)
 		}
--- a/internal/datarecovery/detection_test.go
+++ b/internal/datarecovery/detection_test.go
@@ -181,8 +181,8 @@
 	}
 }
 
-// TestLaterTermIsCheckedOnce: after the record was read again, a later term that somebody knows is either a proof or
-// settled.
+// TestLaterTermIsCheckedOnce: after the record was read again, a later term that a worker or peer knows is either a
+// proof or settled.
 func TestLaterTermIsCheckedOnce(t *testing.T) {
 	for term, prove := range map[uint64]bool{120: true, 125: false, 130: false} {
 		d := trustedDetection(testRecord(1, 120, "s"))
