--- a/internal/controller/admission.go
+++ b/internal/controller/admission.go
@@ -17,7 +17,8 @@
 
 // The controller's side of internal/admission, which makes the decisions; docs/admission.md states its guarantees.
 
-// admissionState holds the admission plans and the counts they are judged by. Node.mu guards it.
+// admissionState holds the admission plans, the weights and rate limits, and counts of how jobs are served. Node.mu
+// guards it.
 type admissionState struct {
 	planState     admission.PlanState
 	planner       *admission.Planner // while this controller owns the fleet
@@ -61,8 +62,9 @@
 	return floors
 }
 
-// prioritizedTasks returns for each of a team's demands how many of its tasks are placed before more urgent work: as
-// many as fit into what its class lacks of its floor, and the first task of an array that has waited long.
+// prioritizedTasks returns for each of a team's demands how many of its tasks are placed before more urgent work: the
+// first task of a large array that has waited long, and as many tasks as fit into the CPUs that the class still lacks
+// to reach its floor.
 func (n *Node) prioritizedTasks(shard *shards.Owned, list []jobstate.Demand, now time.Time) []int {
 	prioritized := make([]int, len(list))
 	for i, d := range list {
@@ -130,7 +132,8 @@
 	}
 }
 
-// logPlanInForce logs the plan in force here if it differs from the one before.
+// logPlanInForce logs the plan in force here and wakes the main loop, if the plan's contents differ from those of the
+// one before.
 func (n *Node) logPlanInForce(before *admission.Plan) {
 	now := n.admission.planState.InForce()
 	if now == before || before != nil && now.EqualContents(before) || before == nil && now.EqualContents(&admission.Plan{}) {
@@ -150,8 +153,8 @@
 	return count
 }
 
-// updatePlan makes or advances the admission plan, as the fleet's owner does, from the status of all machines and the
-// demands of all teams.
+// updatePlan, which the fleet's owner calls, puts the next admission plan into force once all members have received it,
+// and then computes another one from the status of all machines and the demands of all teams.
 func (n *Node) updatePlan(machines []autoscaler.Machine, demands []autoscaler.Demand, now time.Time) {
 	fleet := n.leadership.Record().Shards[leadership.FleetShard]
 	if n.admission.planner == nil || n.admission.planner.SinceTerm() != fleet.SinceTerm {
@@ -179,23 +182,23 @@
 	return members
 }
 
-// planInputs collects the teams' quotas, needs and machines that a plan is computed from.
+// planInputs collects the quotas, demands and machines that a plan is computed from.
 func (n *Node) planInputs(machines []autoscaler.Machine, demands []autoscaler.Demand, now time.Time) *admission.Inputs {
 	in := &admission.Inputs{Teams: n.quotas(), Weights: n.admission.weights}
-	needs := admission.NewDemandCollector(arrivalWindow)
-	addWaiting(needs, demands)
+	collector := admission.NewDemandCollector(arrivalWindow)
+	addWaiting(collector, demands)
 	for i := range machines {
 		m := n.machines[machines[i].Name]
 		if m == nil || m.status == nil || m.gone {
 			continue
 		}
-		n.addUsed(needs, m)
+		n.addUsed(collector, m)
 		if planned, ok := n.admissionMachine(&machines[i], m, now); ok {
 			in.Machines = append(in.Machines, planned)
 		}
 	}
-	n.addArrivals(needs, now)
-	in.Demands = needs.List()
+	n.addArrivals(collector, now)
+	in.Demands = collector.List()
 	return in
 }
 
@@ -212,11 +215,11 @@
 	return teams
 }
 
-// addWaiting adds the waiting tasks to the needs.
-func addWaiting(needs *admission.DemandCollector, demands []autoscaler.Demand) {
+// addWaiting adds the waiting tasks to the demands of a plan.
+func addWaiting(collector *admission.DemandCollector, demands []autoscaler.Demand) {
 	for i := range demands {
 		d := &demands[i]
-		needs.AddWaiting(admissionKey(d.Spec), admission.PendingWork{
+		collector.AddWaiting(admissionKey(d.Spec), admission.PendingWork{
 			CPUs:            float64(d.Count)*d.Spec.CPUs + d.CPUsBeyondQuota,
 			Rank:            protocol.Rank(d.Spec.Priority),
 			TaskCPUs:        d.Spec.CPUs,
@@ -226,11 +229,11 @@
 	}
 }
 
-// addUsed adds the CPUs of the tasks on a machine to the needs.
-func (n *Node) addUsed(needs *admission.DemandCollector, m *machine) {
+// addUsed adds the CPUs of the tasks on a machine to the demands of a plan.
+func (n *Node) addUsed(collector *admission.DemandCollector, m *machine) {
 	for _, t := range m.status.Tasks {
 		if j := n.jobs[t.Job]; j != nil && t.State != protocol.Exited {
-			needs.AddUsed(admissionKey(j.spec), j.spec.CPUs)
+			collector.AddUsed(admissionKey(j.spec), j.spec.CPUs)
 		}
 	}
 }
@@ -249,12 +252,12 @@
 	return planned, true
 }
 
-// addArrivals adds the work of newly submitted jobs to the needs.
-func (n *Node) addArrivals(needs *admission.DemandCollector, now time.Time) {
+// addArrivals adds the work of newly submitted jobs to the demands of a plan.
+func (n *Node) addArrivals(collector *admission.DemandCollector, now time.Time) {
 	for _, j := range n.jobs {
 		if j.spec.Kind != protocol.Service {
 			work := float64(j.spec.Tasks) * j.spec.CPUs * j.spec.EstimateSeconds
-			needs.AddArrival(admissionKey(j.spec), work, now.Sub(j.submittedAt))
+			collector.AddArrival(admissionKey(j.spec), work, now.Sub(j.submittedAt))
 		}
 	}
 }
@@ -271,7 +274,7 @@
 	n.recordServed(s, now, func(c *admission.Count) { c.Started++ })
 }
 
-// recordCompleted counts a completed job as in time or late, unless it was counted as late before.
+// recordCompleted counts a completed job, and also whether it was in time, unless countLateJobs has counted it as late.
 func (n *Node) recordCompleted(s *protocol.Submission, now time.Time) {
 	j := n.jobs[s.UID]
 	n.recordServed(s, now, func(c *admission.Count) {
@@ -292,8 +295,8 @@
 // lateCountInterval is the least time between two counts of late jobs.
 const lateCountInterval = 2 * time.Second
 
-// countLateJobs counts the jobs of teams owned here that have missed their first objective, and logs the keys that are
-// poorly served.
+// countLateJobs counts the jobs of teams owned here that have missed their first objective, and logs the teams' classes
+// that are poorly served.
 func (n *Node) countLateJobs(now time.Time) {
 	if now.Sub(n.admission.lateCountedAt) < lateCountInterval {
 		return
@@ -313,7 +316,7 @@
 	n.logPoorlyServed(now)
 }
 
-// logPoorlyServed logs the keys with less than half of their jobs in time.
+// logPoorlyServed logs the teams' classes with less than half of their jobs in time.
 func (n *Node) logPoorlyServed(now time.Time) {
 	poorlyServed := n.admission.served.PoorlyServed(now)
 	if len(poorlyServed) == 0 {
--- a/internal/controller/autoscaling.go
+++ b/internal/controller/autoscaling.go
@@ -18,8 +18,8 @@
 const provisionInterval = 500 * time.Millisecond
 
 // maxOpenRequests is how many scale-out requests wait for the rate limit or are in flight at a time. The others wait
-// for a slot, and are dropped when they get one if the cloud has refused a request for the same place meanwhile: they
-// would delay more urgent requests.
+// for a slot. When they get one, they are dropped if the cloud has refused a request for the same pool meanwhile, as
+// they would delay more urgent requests.
 const maxOpenRequests = 2
 
 // heartbeatAnswerTimeout is how long an agent waits for the answer to a heartbeat, plus the pause until it tries the
@@ -41,8 +41,8 @@
 	return p.account.Draining()
 }
 
-// slowPlaces returns the places where machines come up late; none if there is no provisioner.
-func (p *provisioner) slowPlaces() []string {
+// slowBootLocations returns the locations where machines boot late; none if there is no provisioner.
+func (p *provisioner) slowBootLocations() []string {
 	if p == nil {
 		return nil
 	}
@@ -91,7 +91,7 @@
 	}, now)
 	before := p.account.SlowBootLocations()
 	if p.account.UpdateSlowBootLocations(actions.SlowBootLocations) {
-		n.log.Info("slow places changed", "before", before, "now", actions.SlowBootLocations)
+		n.log.Info("slow boot locations changed", "before", before, "now", actions.SlowBootLocations)
 	}
 	n.logFleet(p, machines, demands, actions.Retired, now)
 	n.updatePlan(machines, demands, now)
@@ -111,7 +111,8 @@
 	}
 }
 
-// newProvisioner creates a provisioner for a term of ownership, which continues the account of an earlier one.
+// newProvisioner creates a provisioner for a term of ownership. It takes over what this controller's earlier one knew
+// of the machines.
 func (n *Node) newProvisioner(sinceTerm uint64, now time.Time) *provisioner {
 	options := provisioning.Options{
 		SinceTerm:  sinceTerm,
--- a/internal/controller/autoscaling_inputs.go
+++ b/internal/controller/autoscaling_inputs.go
@@ -45,7 +45,7 @@
 	return account.Describe(observations, now)
 }
 
-// observeMachine describes a machine by its last known status, the room left on it, and its running tasks.
+// observeMachine describes a machine by its last known status, its free capacity, and the tasks on it.
 func (n *Node) observeMachine(m *machine, name string, now time.Time) provisioning.Observation {
 	observed := provisioning.Observation{Reported: m.status != nil, Machine: autoscaler.Machine{
 		Name:          name,
@@ -168,17 +168,19 @@
 	return in
 }
 
-// dueTime returns when a job should be complete, by which the autoscaler decides how many machines to acquire. A job
-// that is already late is due a minute later than its safety time: more machines at once would not help it, as a new
-// machine takes about that long to come up.
+// dueTime returns when a job should be complete, by which the autoscaler decides how many machines to acquire. The
+// safety time is the job's estimated run time multiplied by the option SafetyRunTimes. A job without an objective is
+// due 5 s and its safety time after its submission. A job that is already late is due in a minute and its safety time:
+// an earlier due time would acquire more machines without helping the job, as a new machine takes about a minute to
+// come up.
 func (n *Node) dueTime(j *job, now time.Time) time.Time {
 	objective, late := n.nextObjective(j, now)
-	haste := time.Duration(n.options.SafetyRunTimes * float64(j.spec.RunTime()))
+	safetyTime := time.Duration(n.options.SafetyRunTimes * float64(j.spec.RunTime()))
 	switch {
 	case late:
-		return now.Add(haste + time.Minute)
+		return now.Add(safetyTime + time.Minute)
 	case len(n.objectives(j)) == 0:
-		return j.submittedAt.Add(haste + 5*time.Second)
+		return j.submittedAt.Add(safetyTime + 5*time.Second)
 	}
 	return objective
 }
--- a/internal/controller/capacity_bench_test.go
+++ b/internal/controller/capacity_bench_test.go
@@ -39,7 +39,7 @@
 	b.ReportMetric(float64(spent()-began)/float64(b.N), "processor-ns/op")
 }
 
-// busyTasks lists so many running tasks of a team's job on a machine.
+// busyTasks lists count running tasks of one job, as in a machine's status.
 func busyTasks(count int) (tasks []jobstate.TaskStatus) {
 	for i := range count {
 		tasks = append(tasks, jobstate.TaskStatus{TaskID: jobstate.TaskID{Job: "job-000001", Index: i}, Attempt: 1 << 24, State: protocol.Running})
@@ -142,11 +142,11 @@
 	for _, machines := range fleetSizes {
 		b.Run(fmt.Sprintf("machines=%d", machines), func(b *testing.B) {
 			g := newNodeHarness(machines, 3)
-			ask := &placement.Request{CPUs: 1, MemoryGB: 1, Zone: -1, Spot: true, Image: "img-0", RunSeconds: 40}
+			request := &placement.Request{CPUs: 1, MemoryGB: 1, Zone: -1, Spot: true, Image: "img-0", RunSeconds: 40}
 			g.n.mu.Lock()
 			defer g.n.mu.Unlock()
 			processorTime(b, func() {
-				if placement.Choose(g.n.rng, g.n.scheduler.Hosts((*schedulerSnapshot)(g.n), g.now, ask), ask, g.n.options.SampleSize, func(*placement.Host) bool { return false }) == nil {
+				if placement.Choose(g.n.rng, g.n.scheduler.Hosts((*schedulerSnapshot)(g.n), g.now, request), request, g.n.options.SampleSize, func(*placement.Host) bool { return false }) == nil {
 					b.Fatal("nothing was placed")
 				}
 			})
--- a/internal/controller/catalog.go
+++ b/internal/controller/catalog.go
@@ -12,7 +12,7 @@
 	catalogRetry     = time.Second      // after a read that failed
 )
 
-// readCatalog reads the cloud's catalog of machine types again and again until the context ends.
+// readCatalog reads the cloud's catalog of machine types periodically until the context ends.
 func (n *Node) readCatalog(ctx context.Context) error {
 	for ctx.Err() == nil {
 		types, err := n.cloud.Catalog(ctx)
@@ -36,7 +36,7 @@
 	return nil
 }
 
-// taskSize returns what a task of a job takes; zeros if the job is not known.
+// taskSize returns the resources that a task of a job takes; zeros if the job is not known.
 func (n *Node) taskSize(uid string) (cpus, gpus, memory float64) {
 	if j := n.jobs[uid]; j != nil {
 		return j.spec.CPUs, j.spec.GPUs, j.spec.MemoryGB
--- a/internal/controller/changesync.go
+++ b/internal/controller/changesync.go
@@ -131,7 +131,8 @@
 }
 
 // recordFullRead records that everything in the state service at the start of a read is now known here. After a loss of
-// data that does not include all confirmed cancellations until the memories of all controllers are gathered.
+// data, the state service lacks some confirmed cancellations, so that the watermark advances only once the state that
+// all controllers retained has been gathered.
 func (n *Node) recordFullRead(began time.Time) {
 	n.recordConfigRead(began)
 	if n.trusted() && n.retainedStateGathered(time.Now()) {
--- a/internal/controller/changesync_test.go
+++ b/internal/controller/changesync_test.go
@@ -54,7 +54,7 @@
 			defer wg.Done()
 			spec := arrayJob(i, 1, "red")
 			key := userapi.ActiveJobPrefix + spec.UID
-			know := func(want bool) {
+			expectActive := func(want bool) {
 				if err := n.waitForChanges(ctx); err != nil {
 					t.Error(err)
 				}
@@ -64,15 +64,15 @@
 					t.Errorf("%s active: %v, want %v", spec.UID, !want, want)
 				}
 			}
-			know(false)
+			expectActive(false)
 			if _, err := other.Commit(ctx, kvstore.Update{Changes: []protocol.Op{{Set: key, Value: protocol.Encode(userapi.ActiveJob{Spec: spec})}}}); err != nil {
 				t.Error(err)
 			}
-			know(true)
+			expectActive(true)
 			if _, err := other.Commit(ctx, kvstore.Update{Changes: []protocol.Op{{Delete: key}}}); err != nil {
 				t.Error(err)
 			}
-			know(false)
+			expectActive(false)
 		}()
 	}
 	wg.Wait()
--- a/internal/controller/commands.go
+++ b/internal/controller/commands.go
@@ -24,7 +24,7 @@
 	conn    *httpx.ClientConn // used by the goroutine alone
 }
 
-// commandRequest is a request with commands that is in flight.
+// commandRequest is a request with commands for one agent.
 type commandRequest struct {
 	agent    *agents.Agent
 	commands []protocol.Command
@@ -73,8 +73,8 @@
 		return false
 	}
 	s.connect(r.addr)
-	resp, left, err := s.conn.Do(ctx, "POST", protocol.PathCommands, r.body, commandTimeout)
-	return n.finishCommands(s.machine, r, resp, left, err)
+	resp, sent, err := s.conn.Do(ctx, "POST", protocol.PathCommands, r.body, commandTimeout)
+	return n.finishCommands(s.machine, r, resp, sent, err)
 }
 
 // takeDueCommands takes the commands to send to an agent now. It returns nil if there are none, if this controller may
@@ -95,9 +95,10 @@
 	return &commandRequest{agent: a, commands: commands, addr: a.Heartbeat.Addr, body: protocol.Encode(body)}
 }
 
-// finishCommands applies an agent's response, or records that there was none. Left is true if the request may have
-// reached the agent.
-func (n *Node) finishCommands(machine string, r *commandRequest, resp *httpx.Response, left bool, err error) bool {
+// finishCommands applies an agent's response, or records that there was none, and returns whether there was one. Sent
+// is true if the request may have reached the agent; the agent may then execute the commands although it did not
+// respond.
+func (n *Node) finishCommands(machine string, r *commandRequest, resp *httpx.Response, sent bool, err error) bool {
 	now := time.Now()
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -110,13 +111,13 @@
 	if !answered {
 		n.log.Info("no answer to commands", "machine", machine, "commands", len(r.commands), "err", err)
 	}
-	r.agent.FinishRequest(r.commands, answered, left && (err != nil || resp.Status == 200))
+	r.agent.FinishRequest(r.commands, answered, sent && (err != nil || resp.Status == 200))
 	n.publishStatus(machine)
 	n.sendChangedStatuses()
 	return answered
 }
 
-// connect opens a connection to an address unless the present one leads there.
+// connect opens a connection to an address, unless the present connection is to that address.
 func (s *commandSender) connect(addr string) {
 	if s.conn != nil && s.conn.Addr() == addr {
 		return
--- a/internal/controller/config_test.go
+++ b/internal/controller/config_test.go
@@ -36,7 +36,7 @@
 	client := kvstore.New(c.state.Addr(), c.nodeSettings[0].Deployment.KVStore, 4)
 	go client.Run(ctx)
 	w := teamstore.New(client, c.nodeSettings[0].Deployment.Teams)
-	c.waitUntil("the operator's command knows the store", func() bool { return w.BindEpoch(ctx, recordKey) == nil })
+	c.waitUntil("the operator's command knows the state service's epoch", func() bool { return w.BindEpoch(ctx, recordKey) == nil })
 	return w
 }
 
@@ -78,7 +78,7 @@
 	}
 	most := 24.0
 	for i, cpus := range []float64{8, 24, 2, 12, 4, 24} {
-		c.waitUntil("the team is at work", func() bool { return c.checker.CPUsOfTeam("red") > 0 })
+		c.waitUntil("the team's tasks run", func() bool { return c.checker.CPUsOfTeam("red") > 0 })
 		if cpus > most {
 			c.checker.SetLimit("red", cpus)
 		}
@@ -114,7 +114,7 @@
 	}
 	c.awaitInForce("green", number)
 	c.submit(first)
-	c.waitUntil("it runs", func() bool { return c.checker.CPUsOfTeam("green") > 0 })
+	c.waitUntil("the team's job runs", func() bool { return c.checker.CPUsOfTeam("green") > 0 })
 	number = c.changeTeam("green", func(e *teamconfig.Entry) { e.Removed = true })
 	late := arrayJob(719, 1, "green")
 	c.checker.RecordSubmission(late)
@@ -156,7 +156,7 @@
 		c.peerPaths.Isolate(0, on)
 	}
 	for name, fault := range map[string]func(c *configCluster) (change uint64){
-		"one refused by the store": func(c *configCluster) uint64 {
+		"the state service refuses one controller": func(c *configCluster) uint64 {
 			c.storeEndpoints[0].RefuseAll(true)
 			number := c.changeTeam("red", setLimit(4))
 			c.awaitInForce("red", number)
@@ -164,7 +164,7 @@
 			c.storeEndpoints[0].RefuseAll(false)
 			return number
 		},
-		"one cut off": func(c *configCluster) uint64 {
+		"one controller is isolated": func(c *configCluster) uint64 {
 			isolate(c, true)
 			number := c.changeTeam("red", setLimit(4))
 			c.awaitInForce("red", number)
@@ -173,7 +173,7 @@
 			isolate(c, false)
 			return number
 		},
-		"all end at once": func(c *configCluster) uint64 {
+		"all controllers crash at once": func(c *configCluster) uint64 {
 			number := c.changeTeam("red", setLimit(4))
 			for i := range c.nodes {
 				c.crash(i)
@@ -183,7 +183,7 @@
 			}
 			return number
 		},
-		"each ends as it learns": func(c *configCluster) (number uint64) {
+		"each controller crashes after a change": func(c *configCluster) (number uint64) {
 			for i, cpus := range []float64{10, 6, 4} {
 				number = c.changeTeam("red", setLimit(cpus))
 				c.crash(i)
@@ -192,7 +192,7 @@
 			}
 			return number
 		},
-		"one returns with an old settings file": func(c *configCluster) uint64 {
+		"one controller restarts with an old settings file": func(c *configCluster) uint64 {
 			number := c.changeTeam("red", setLimit(4))
 			c.awaitInForce("red", number)
 			c.checker.SetLimit("red", 4)
@@ -213,7 +213,7 @@
 			})
 			return number
 		},
-		"the store goes back": func(c *configCluster) uint64 {
+		"the state service is rolled back": func(c *configCluster) uint64 {
 			saved := c.state.Snapshot()
 			number := c.changeTeam("red", setLimit(4))
 			c.awaitInForce("red", number)
@@ -223,7 +223,7 @@
 			c.operator = c.writer()
 			return number
 		},
-		"the store loses all and one ends": func(c *configCluster) uint64 {
+		"the state service loses all data and one controller crashes": func(c *configCluster) uint64 {
 			number := c.changeTeam("red", setLimit(4))
 			c.awaitInForce("red", number)
 			c.checker.SetLimit("red", 4)
@@ -234,7 +234,7 @@
 			c.operator = c.writer()
 			return number
 		},
-		"the store loses the changes": func(c *configCluster) uint64 {
+		"the state service loses the changes": func(c *configCluster) uint64 {
 			number := c.changeTeam("red", setLimit(4))
 			c.awaitInForce("red", number)
 			c.checker.SetLimit("red", 4)
@@ -249,7 +249,7 @@
 			c := newConfigCluster(t, 600*time.Millisecond)
 			job := arrayJob(730, 40, "red")
 			c.submit(job)
-			c.waitUntil("the team is at work", func() bool { return c.checker.CPUsOfTeam("red") > 8 })
+			c.waitUntil("the team's tasks run", func() bool { return c.checker.CPUsOfTeam("red") > 8 })
 			number := fault(c)
 			c.awaitInForce("red", number)
 			c.checker.SetLimit("red", 4)
@@ -268,37 +268,37 @@
 // newer ones. The last acknowledged change must remain.
 func TestLateConfigurationChanges(t *testing.T) {
 	c := newConfigCluster(t, 400*time.Millisecond)
-	door, err := c.state.NewEndpoint()
+	endpoint, err := c.state.NewEndpoint()
 	if err != nil {
 		t.Fatal(err)
 	}
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
-	client := kvstore.New(door.Addr(), c.nodeSettings[0].Deployment.KVStore, 4)
+	client := kvstore.New(endpoint.Addr(), c.nodeSettings[0].Deployment.KVStore, 4)
 	go client.Run(ctx)
-	held := teamstore.New(client, nil)
-	c.waitUntil("it knows the store", func() bool { return held.BindEpoch(ctx, recordKey) == nil })
+	delayed := teamstore.New(client, nil)
+	c.waitUntil("the writer knows the state service's epoch", func() bool { return delayed.BindEpoch(ctx, recordKey) == nil })
 	first := true
-	door.DelayTransactions(func() time.Duration { // the change is applied, but its answer is lost
+	endpoint.DelayTransactions(func() time.Duration { // the change is applied, but its answer is lost
 		if !first {
 			return 0
 		}
 		first = false
 		return 100 * time.Millisecond
 	})
-	done, err := held.Change(ctx, "red", func(e *teamconfig.Entry, _ bool) error { e.CPUsMax = 20; return nil })
+	done, err := delayed.Change(ctx, "red", func(e *teamconfig.Entry, _ bool) error { e.CPUsMax = 20; return nil })
 	if err != nil || done.Entry.Number != 1 {
 		t.Fatalf("%+v, %v: want one change that is known to be committed", done, err)
 	}
-	door.DelayTransactions(func() time.Duration { return 3 * time.Second })
-	gone, end := context.WithTimeout(ctx, 2500*time.Millisecond) // the command ends before the answer
-	if _, err := held.Change(gone, "red", setLimitEdit(2)); err == nil {
+	endpoint.DelayTransactions(func() time.Duration { return 3 * time.Second })
+	short, end := context.WithTimeout(ctx, 2500*time.Millisecond) // the command ends before the answer
+	if _, err := delayed.Change(short, "red", setLimitEdit(2)); err == nil {
 		t.Error("a change without an answer counts as committed")
 	}
 	end()
 	number := c.changeTeam("red", setLimit(16))
 	c.awaitInForce("red", number)
-	c.waitUntil("the late change conflicted with the newer one", func() bool { _, conflicted := door.CountDelayed(); return conflicted > 0 })
+	c.waitUntil("the late change conflicted with the newer one", func() bool { _, conflicted := endpoint.CountDelayed(); return conflicted > 0 })
 	for _, txn := range c.state.AppliedTransactions() {
 		for _, o := range txn.Then {
 			if len(o.Set) > len(teamstore.Prefix) && o.Set[:len(teamstore.Prefix)] == teamstore.Prefix && c.state.RepeatTransaction(txn) {
@@ -306,9 +306,9 @@
 			}
 		}
 	}
-	all, err := held.List(ctx)
+	all, err := delayed.List(ctx)
 	if err != nil || len(all) != 1 || all[0].Entry.CPUsMax != 16 {
-		t.Errorf("%+v, %v", all, err)
+		t.Errorf("the writer lists %+v, %v: want one entry with the last acknowledged limit", all, err)
 	}
 }
 
--- a/internal/controller/configtenants.go
+++ b/internal/controller/configtenants.go
@@ -8,13 +8,14 @@
 	"topazhollow/internal/userapi"
 )
 
-// configTenants gives the user API the teams' configuration; it implements userapi.Teams. Its methods take Node.mu.
-type configTenants struct{ node *Node }
+// configuredTeams looks up teams in the configuration for the user API; it implements userapi.Teams. Its methods take
+// Node.mu.
+type configuredTeams struct{ node *Node }
 
-var _ userapi.Teams = configTenants{}
+var _ userapi.Teams = configuredTeams{}
 
 // Team returns a team and its limits, as known here, if the team accepts new jobs.
-func (t configTenants) Team(name string) (settings.Team, bool) {
+func (t configuredTeams) Team(name string) (settings.Team, bool) {
 	n := t.node
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -23,7 +24,7 @@
 
 // Conditions returns the condition that the acceptance of a team's job is written under: the team's configuration must
 // still be the one known here.
-func (t configTenants) Conditions(name string) []protocol.Condition {
+func (t configuredTeams) Conditions(name string) []protocol.Condition {
 	n := t.node
 	n.mu.Lock()
 	defer n.mu.Unlock()
--- a/internal/controller/eviction.go
+++ b/internal/controller/eviction.go
@@ -6,7 +6,7 @@
 	"topazhollow/internal/shards"
 )
 
-// evictFromNoticedMachines stops tasks on machines that the cloud has announced to take away, so that they start
+// evictFromNoticedMachines stops tasks on machines whose eviction the cloud has announced, so that the tasks start
 // elsewhere: tasks with checkpoints, gangs as a whole, and replicas of services. Other tasks may still complete in
 // time.
 func (n *Node) evictFromNoticedMachines(shard *shards.Owned) {
--- a/internal/controller/faults_answers_test.go
+++ b/internal/controller/faults_answers_test.go
@@ -113,11 +113,11 @@
 func TestCommandsOfFormerOwner(t *testing.T) {
 	t.Parallel()
 	for name, removeOwner := range map[string]func(s *faultScenario, owner int) (undo func()){
-		"ends": func(s *faultScenario, owner int) func() {
+		"the owner crashes": func(s *faultScenario, owner int) func() {
 			s.crash(owner)
 			return func() { s.start(owner) }
 		},
-		"is refused": func(s *faultScenario, owner int) func() {
+		"the state service refuses the owner": func(s *faultScenario, owner int) func() {
 			s.storeEndpoints[owner].RefuseAll(true)
 			s.peerPaths.Isolate(owner, true)
 			return func() { s.storeEndpoints[owner].RefuseAll(false); s.peerPaths.Isolate(owner, false) }
@@ -141,7 +141,7 @@
 				s.inBackground(func() { s.submitUntilAccepted(arrayJob(10+i, 2, []string{"red", "blue"}[i%2])) })
 			}
 			s.cancelUntilAnswered(endlessJob(1, 4, "red").UID)
-			s.waitUntil("commands are in flight", func() bool { held, _ := countDelayedCommands(machines); return held > 0 })
+			s.waitUntil("commands are in flight", func() bool { delayed, _ := countDelayedCommands(machines); return delayed > 0 })
 			owner, before := s.awaitReadyOwner(shards.ForTeam("red")), s.term()
 			undo := removeOwner(s, owner)
 			for _, w := range machines {
@@ -158,10 +158,10 @@
 
 // countDelayedCommands counts the requests with commands to some machines that were delayed, and those of them that
 // arrived.
-func countDelayedCommands(machines []*simulation.Agent) (held, arrived int) {
+func countDelayedCommands(machines []*simulation.Agent) (delayed, arrived int) {
 	for _, w := range machines {
-		h, obeyed, outdated := w.CountDelayedCommands()
-		held, arrived = held+h, arrived+obeyed+outdated
+		d, executed, outdated := w.CountDelayedCommands()
+		delayed, arrived = delayed+d, arrived+executed+outdated
 	}
-	return held, arrived
+	return delayed, arrived
 }
--- a/internal/controller/faults_heartbeats_test.go
+++ b/internal/controller/faults_heartbeats_test.go
@@ -67,9 +67,9 @@
 			for _, w := range machines {
 				keep(w)
 			}
-			gone := endlessJob(0, 2, "red")
+			cancelled := endlessJob(0, 2, "red")
 			s.waitUntil("heartbeats are kept", func() bool { return machines[0].CountHeld() > 2 && machines[1].CountHeld() > 2 })
-			s.cancelUntilAnswered(gone.UID) // which the kept heartbeats list as running
+			s.cancelUntilAnswered(cancelled.UID) // which the kept heartbeats list as running
 			s.cloud.TakeMachine(machines[1].Name())
 			s.waitUntil("the machine is known to be gone", func() bool { return s.knownMachines() == len(s.cloud.Agents()) })
 			machines[0].BeginIncarnation()
@@ -99,7 +99,7 @@
 // before they run elsewhere.
 func TestMachinesWithoutHeartbeats(t *testing.T) {
 	t.Parallel()
-	for name, ends := range map[string]bool{"owner lives": false, "owner crashes": true} {
+	for name, crashes := range map[string]bool{"the owner does not crash": false, "the owner crashes": true} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			s := newBusyScenario(t)
@@ -114,7 +114,7 @@
 				t.Fatal("the machines without heartbeats run no endless job")
 			}
 			s.cancelUntilAnswered(on[0])
-			if ends {
+			if crashes {
 				owner := s.awaitReadyOwner(shards.ForTeam("red"))
 				s.crash(owner)
 				s.start(owner)
@@ -147,7 +147,7 @@
 // the owner, or all controllers, crash just then. The successor must know every machine that may run a task.
 func TestNewMachinesWhileWritesLag(t *testing.T) {
 	t.Parallel()
-	for name, all := range map[string]bool{"the owner crashes": false, "all end": true} {
+	for name, all := range map[string]bool{"the owner crashes": false, "all controllers crash": true} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			s := newFaultScenario(t, taskRunTime)
--- a/internal/controller/faults_isolation_test.go
+++ b/internal/controller/faults_isolation_test.go
@@ -17,16 +17,16 @@
 	s.awaitMembers(3)
 	saturateQuotas(s)
 	inside, cut := s.awaitReadyOwner(shards.ForTeam("red")), s.cloud.Agents()[:2]
-	gone := s.runningOn(cut)[0]
+	cancelled := s.runningOn(cut)[0]
 	for _, w := range cut {
 		w.LimitReach(s.names[inside])
 	}
 	s.storeEndpoints[inside].RefuseAll(true)
 	s.peerPaths.Isolate(inside, true)
 	began := time.Now()
-	s.cancelUntilAnswered(gone)
+	s.cancelUntilAnswered(cancelled)
 	s.waitUntil("the cut outlasts a lease", func() bool { return time.Since(began) > 5*time.Second })
-	if living := s.runningOn(cut); len(living) == 0 || slices.Contains(living, gone) && len(living) == 1 {
+	if living := s.runningOn(cut); len(living) == 0 || slices.Contains(living, cancelled) && len(living) == 1 {
 		t.Errorf("no uncancelled job continues in the isolated zone, which runs %v", living)
 	}
 	s.storeEndpoints[inside].RefuseAll(false)
@@ -44,7 +44,7 @@
 // task of a cancelled job remains.
 func TestMachineResumesWithinItsLease(t *testing.T) {
 	t.Parallel()
-	for name, ends := range map[string]bool{"owner lives": false, "owner crashes": true} {
+	for name, crashes := range map[string]bool{"the owner does not crash": false, "the owner crashes": true} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			s := newBusyScenario(t)
@@ -52,13 +52,13 @@
 			for _, w := range machines {
 				w.Hang(true)
 			}
-			gone := s.runningOn(machines)[0]
-			s.inBackground(func() { s.cancelUntilAnswered(gone) })
+			cancelled := s.runningOn(machines)[0]
+			s.inBackground(func() { s.cancelUntilAnswered(cancelled) })
 			for i := range 2 {
 				s.inBackground(func() { s.submitUntilAccepted(arrayJob(40+i, 3, []string{"red", "blue"}[i])) })
 			}
-			s.waitUntil("commands wait at machines", func() bool { held, _ := countDelayedCommands(machines); return held > 0 })
-			if ends {
+			s.waitUntil("commands wait at machines", func() bool { delayed, _ := countDelayedCommands(machines); return delayed > 0 })
+			if crashes {
 				owner := s.awaitReadyOwner(shards.ForTeam("red"))
 				s.crash(owner)
 				s.start(owner)
@@ -91,18 +91,18 @@
 	time.Sleep(time.Second)
 	s.state.SetOutage(true)
 	began := time.Now()
-	confirmed := 0
+	requested := 0
 	s.mu.Lock()
 	for _, job := range jobs {
 		if s.cancelled[job.UID] {
-			confirmed++
+			requested++
 		}
 	}
 	s.mu.Unlock()
 	s.waitUntil("the outage outlasts a cancellation", func() bool { return time.Since(began) > s.checker.Cancel+2*time.Second })
 	s.state.SetOutage(false)
 	s.storeEndpoints[owner].RefuseAll(false)
-	if confirmed == 0 {
+	if requested == 0 {
 		t.Error("no cancellation was requested before the outage")
 	}
 	s.background.Wait()
--- a/internal/controller/faults_ownerchange_test.go
+++ b/internal/controller/faults_ownerchange_test.go
@@ -21,24 +21,24 @@
 			s.awaitMembers(3)
 			jobs := saturateQuotas(s)
 			owner := s.awaitReadyOwner(shards.ForTeam("red"))
-			var between atomic.Int64 // cancellations confirmed while another controller or none owned the team
+			var answered atomic.Int64 // cancellations
 			rng := newRand(9)
 			for _, job := range jobs {
 				after := time.Duration(rng.IntN(8000)) * time.Millisecond
 				s.inBackground(func() {
 					time.Sleep(after)
 					s.cancelUntilAnswered(job.UID)
-					between.Add(1)
+					answered.Add(1)
 				})
 			}
-			begun := between.Load()
+			before := answered.Load()
 			s.crash(owner)
 			time.Sleep(pause)
 			s.start(owner)
 			s.waitUntil("it owns the team again", func() bool { return s.ownsReadyShard(s.names[owner], shards.ForTeam("red")) })
-			confirmed := between.Load() - begun
+			during := answered.Load() - before // while another controller or none owned the team
 			s.awaitEndAndCheck()
-			if confirmed == 0 {
+			if during == 0 {
 				t.Error("no job was cancelled during the change of ownership")
 			}
 		})
@@ -49,13 +49,13 @@
 // state service, while jobs are accepted, run and cancelled.
 func TestRepeatedOwnerChanges(t *testing.T) {
 	t.Parallel()
-	for name, outage := range map[string]bool{"the service answers": false, "inside an outage": true} {
+	for name, outage := range map[string]bool{"without an outage": false, "during outages": true} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			s := newFaultScenario(t, taskRunTime)
 			s.awaitMembers(3)
 			rng := newRand(11)
-			ended := map[int]int{}
+			crashes := map[int]int{}
 			for round := range 10 {
 				job, gone := unevenJob(round, 3, []string{"red", "blue"}[round%2]), endlessJob(round, 2, []string{"red", "blue"}[round%2])
 				s.inBackground(func() { s.submitUntilAccepted(job) })
@@ -64,7 +64,7 @@
 				out := outage && round%2 == 1
 				s.state.SetOutage(out)
 				s.crash(owner)
-				ended[owner]++
+				crashes[owner]++
 				time.Sleep(time.Duration(rng.IntN(700)) * time.Millisecond)
 				s.start(owner)
 				if out {
@@ -73,8 +73,8 @@
 				}
 			}
 			s.awaitEndAndCheck()
-			if len(ended) < 2 {
-				t.Errorf("owners crashed only at the controllers %v", ended)
+			if len(crashes) < 2 {
+				t.Errorf("owners crashed only at the controllers %v", crashes)
 			}
 		})
 	}
@@ -181,7 +181,7 @@
 // other, in one case with a change of owner each time. No task may start in another zone while one is on a machine.
 func TestOneZoneJobsLoseMachines(t *testing.T) {
 	t.Parallel()
-	for name, ends := range map[string]bool{"owner lives": false, "owner crashes": true} {
+	for name, crashes := range map[string]bool{"the owner does not crash": false, "the owner crashes": true} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			s := newFaultScenario(t, taskRunTime)
@@ -212,7 +212,7 @@
 				} else {
 					s.cloud.TakeMachine(machines[0].Name())
 				}
-				if ends {
+				if crashes {
 					owner := s.awaitReadyOwner(shards.ForTeam("red"))
 					s.crash(owner)
 					s.start(owner)
--- a/internal/controller/faults_queries_test.go
+++ b/internal/controller/faults_queries_test.go
@@ -52,13 +52,13 @@
 	t.Parallel()
 	for name, fault := range map[string]func(s *faultScenario){
 		"no fault": func(*faultScenario) {},
-		"answers of the service are lost": func(s *faultScenario) {
+		"answers of the state service are lost": func(s *faultScenario) {
 			for i, d := range s.storeEndpoints {
 				rng := newRand(uint64(i))
 				d.DropAnswers(func(*protocol.Txn) bool { return rng.IntN(6) == 0 })
 			}
 		},
-		"the service answers slowly": func(s *faultScenario) {
+		"the state service answers slowly": func(s *faultScenario) {
 			for i, d := range s.storeEndpoints {
 				d.DelayAnswers(time.Duration(100*i) * time.Millisecond)
 			}
@@ -84,7 +84,7 @@
 			owner := s.awaitReadyOwner(shards.ForTeam("red"))
 			s.inBackground(func() { s.crash(owner); s.start(owner) })
 		},
-		"the service refuses the owner": func(s *faultScenario) {
+		"the state service refuses the owner": func(s *faultScenario) {
 			owner := s.awaitReadyOwner(shards.ForTeam("red"))
 			s.inBackground(func() {
 				s.storeEndpoints[owner].RefuseAll(true)
@@ -161,10 +161,10 @@
 	t.Parallel()
 	s := newFaultScenario(t, taskRunTime)
 	s.awaitMembers(3)
-	running, over := endlessJob(1, 2, "red"), arrayJob(2, 1, "blue")
+	running, completed := endlessJob(1, 2, "red"), arrayJob(2, 1, "blue")
 	s.submitUntilAccepted(running)
-	s.submitUntilAccepted(over)
-	s.waitUntil("one is over", func() bool { _, state := s.users.Ask(0, over.UID); return state == protocol.Done })
+	s.submitUntilAccepted(completed)
+	s.waitUntil("the short job is done", func() bool { _, state := s.users.Ask(0, completed.UID); return state == protocol.Done })
 	check := func() {
 		for node := range s.nodeSettings {
 			s.checkRejections(node)
@@ -175,7 +175,7 @@
 				return status == 200 && state != protocol.Cancelled
 			})
 			s.waitUntil("a job that is done can't be cancelled", func() bool {
-				status, state := s.users.Cancel(node, over.UID)
+				status, state := s.users.Cancel(node, completed.UID)
 				return status == 200 && state == protocol.Done
 			})
 		}
@@ -193,8 +193,8 @@
 func (s *faultScenario) checkRejections(node int) {
 	far := "nowhere"
 	for what, c := range map[string]struct {
-		spoil func(*protocol.Submission)
-		want  int
+		change func(*protocol.Submission)
+		want   int
 	}{
 		"unknown team":          {func(j *protocol.Submission) { j.Team = "nobody" }, 422},
 		"too large a task":      {func(j *protocol.Submission) { j.CPUs = 9 }, 422},
@@ -206,7 +206,7 @@
 		"no tasks":              {func(j *protocol.Submission) { j.Tasks = 0 }, 400},
 	} {
 		job := arrayJob(900+node, 2, "red")
-		c.spoil(job)
+		c.change(job)
 		s.waitUntil(what+" is refused", func() bool {
 			status, _ := s.users.Submit(node, job)
 			if status == 200 || status == 201 {
--- a/internal/controller/faults_quota_test.go
+++ b/internal/controller/faults_quota_test.go
@@ -82,8 +82,8 @@
 		w.DropHeartbeats(true)
 		return "heartbeats dropped", func() { w.DropHeartbeats(false) }
 	}
-	held := time.Duration(500+rng.IntN(4000)) * time.Millisecond
-	w.DelayCommands(func(*protocol.DirectCommands) time.Duration { return held })
+	delay := time.Duration(500+rng.IntN(4000)) * time.Millisecond
+	w.DelayCommands(func(*protocol.DirectCommands) time.Duration { return delay })
 	return "slow commands", func() { w.DelayCommands(nil) }
 }
 
--- a/internal/controller/faults_starts_test.go
+++ b/internal/controller/faults_starts_test.go
@@ -52,7 +52,7 @@
 // meanwhile.
 func TestLateStartAtMachineWithoutAnswers(t *testing.T) {
 	t.Parallel()
-	for name, cancels := range map[string]bool{"the job lives": false, "the job is cancelled": true} {
+	for name, cancels := range map[string]bool{"the job is not cancelled": false, "the job is cancelled": true} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			s := newFaultScenarioWith(t, taskRunTime, settings.Agents{HeartbeatSeconds: 0.2, LeaseSeconds: 10, GangWaitSeconds: 10, GangPeerSeconds: 4, CancelSeconds: 25})
@@ -81,7 +81,7 @@
 				_, now := countDelayedCommands([]*simulation.Agent{impaired})
 				return now > arrived && len(impaired.StartsInFlight()) == 0
 			})
-			if _, obeyed, _ := impaired.CountDelayedCommands(); obeyed == 0 {
+			if _, executed, _ := impaired.CountDelayedCommands(); executed == 0 {
 				t.Error("the machine did not execute the late start")
 			}
 			impaired.DropAnswers(false)
--- a/internal/controller/faults_test.go
+++ b/internal/controller/faults_test.go
@@ -119,14 +119,14 @@
 	r.writeCancellation(job) // only the controller that confirms it can send it to the first one
 	confirmedAt := r.cancelAt(b, job.UID)
 	if !slices.ContainsFunc(r.overviews(), func(o overview) bool { return o.Node == r.nodeSettings[b].Name && o.Cancellations == 1 }) {
-		t.Error("a cancellation that another controller wrote is confirmed without a number")
+		t.Error("the overview does not count a confirmed cancellation that another controller had written")
 	}
 	r.state.SetOutage(true)
 	if len(w.RunningTasks()) == 0 {
 		t.Fatal("the machine ran no task when the outage began")
 	}
-	r.waitUntil("its tasks gone", func() bool { return len(w.RunningTasks()) == 0 })
-	r.waitUntil("the time of the cancellation over", func() bool { return time.Since(confirmedAt) > r.checker.Cancel+time.Second })
+	r.waitUntil("its tasks have ended", func() bool { return len(w.RunningTasks()) == 0 })
+	r.waitUntil("the time that a cancellation may take has passed", func() bool { return time.Since(confirmedAt) > r.checker.Cancel+time.Second })
 	r.state.SetOutage(false)
 	r.storeEndpoints[a].RefuseAll(false)
 	w.LimitReach()
@@ -182,7 +182,7 @@
 		"a later one": {promise(version(8)), false}, "none named": {promise(nil), false},
 	} {
 		if got[0] != got[1] {
-			t.Errorf("a promise under %s entitles: %v", what, got[0])
+			t.Errorf("a promise for %s entitles: %v", what, got[0])
 		}
 	}
 	// A promise that acknowledges a status that this process has not sent yet must not count, as it would hold for
@@ -190,7 +190,7 @@
 	noPromises()
 	n.applyPromise("node-b", &statusMsg{Promise: true, RecordVersion: version(7), Received: map[string]receivedStatus{n.name: {Incarnation: n.incarnation, SentAt: 1 << 50}}}, now)
 	if n.entitled(now) {
-		t.Error("a promise from the future entitles")
+		t.Error("a promise that acknowledges a status that was never sent entitles")
 	}
 }
 
@@ -212,7 +212,7 @@
 	}
 	r.state.SetOutage(true) // so that no fleet owner returns the machine to the cloud
 	answers, healthy := 0, true
-	r.waitUntil("its tasks gone and the controller unhealthy", func() bool {
+	r.waitUntil("its tasks have ended and the controller is unhealthy", func() bool {
 		status, st := r.requestAt(a, "GET", protocol.PathSubmit+"/"+job.UID, nil)
 		r.checker.RecordAnswer(job.UID, status, st.State, false)
 		if status == 503 {
@@ -223,7 +223,7 @@
 		return !runsJob(w, job.UID) && !healthy
 	})
 	if time.Since(confirmedAt) > r.checker.Cancel || answers == 0 {
-		t.Errorf("gone %v after the confirmation, %d queries answered with 503", time.Since(confirmedAt), answers)
+		t.Errorf("the tasks ended %v after the confirmation, %d queries were answered with 503", time.Since(confirmedAt), answers)
 	}
 	for i := range r.nodeSettings {
 		if status, _ := r.requestAt(i, "GET", protocol.PathHealth, nil); i != a && status != 200 {
@@ -248,7 +248,7 @@
 	r := newTestClusterWith(t, 400*time.Millisecond, settings.Agents{HeartbeatSeconds: 0.2, LeaseSeconds: 20, GangWaitSeconds: 10, GangPeerSeconds: 4, CancelSeconds: 60})
 	for _, d := range r.storeEndpoints {
 		count := 0
-		d.DelayTransactions(func() time.Duration { // one shortly, before any newer one, and the next one long after
+		d.DelayTransactions(func() time.Duration { // alternately short, before any newer transaction, and long, after newer ones
 			if count++; count%4 > 0 {
 				return 0
 			}
@@ -360,7 +360,7 @@
 	}
 	for prefix, n := range kinds {
 		if n == 0 {
-			t.Errorf("no write of %s was there to be repeated", prefix)
+			t.Errorf("no write of %s could be repeated", prefix)
 		}
 	}
 	for range 2 {
--- a/internal/controller/faultscenario_test.go
+++ b/internal/controller/faultscenario_test.go
@@ -61,10 +61,10 @@
 	return newFaultScenarioWith(t, run, settings.Agents{HeartbeatSeconds: 0.2, LeaseSeconds: 4, GangWaitSeconds: 10, GangPeerSeconds: 4, CancelSeconds: 10})
 }
 
-// newFaultScenarioWith starts a cluster with other timeouts of agents.
-func newFaultScenarioWith(t *testing.T, run func(task string) time.Duration, workers settings.Agents) *faultScenario {
-	r := newTestClusterRunning(t, run, workers)
-	r.checker.Cancel = settings.Seconds(workers.CancelSeconds)
+// newFaultScenarioWith starts a cluster with the given timeouts of agents.
+func newFaultScenarioWith(t *testing.T, run func(task string) time.Duration, timeouts settings.Agents) *faultScenario {
+	r := newTestClusterRunning(t, run, timeouts)
+	r.checker.Cancel = settings.Seconds(timeouts.CancelSeconds)
 	s := &faultScenario{testCluster: r, cancelled: map[string]bool{}}
 	var listen []string
 	for _, set := range r.nodeSettings {
--- a/internal/controller/followedkeys.go
+++ b/internal/controller/followedkeys.go
@@ -48,21 +48,21 @@
 }
 
 // listAll reads all watched keys, and returns whether the state service that listed them can be trusted.
-func (n *Node) listAll(ctx context.Context) (relied bool, err error) {
+func (n *Node) listAll(ctx context.Context) (trusted bool, err error) {
 	began := time.Now()
 	entries, revision, err := n.kvStore.List(ctx, userapi.WatchedPrefix)
 	if err != nil {
 		return false, err
 	}
 	n.mu.Lock()
-	if relied = n.applyFullList(entries, revision); relied {
+	if trusted = n.applyFullList(entries, revision); trusted {
 		n.recordFullRead(began)
 	}
 	n.mu.Unlock()
-	if !relied {
+	if !trusted {
 		sleep(ctx, followRetryAfter)
 	}
-	return relied, nil
+	return trusted, nil
 }
 
 // watchChanges waits for changes of the watched keys and applies them.
@@ -104,7 +104,8 @@
 	n.scheduler.InvalidateAllMachines() // jobs that machines listed earlier may be known now
 }
 
-// endUnlistedJobs ends the active jobs that are missing from a full list of the given revision.
+// endUnlistedJobs ends the active jobs that are missing from a full list of the given revision, and has it verified
+// that the state service did not lose them.
 func (n *Node) endUnlistedJobs(seen map[string]bool, revision uint64) {
 	for uid, j := range n.jobs {
 		// A job that was accepted after the list began may be missing from it.
--- a/internal/controller/golden_overview_test.go
+++ b/internal/controller/golden_overview_test.go
@@ -17,7 +17,7 @@
 	key := admission.Key{Team: "vision", Class: "train"}
 	full := overview{
 		Node: "estacion-1", Version: "1.2.3", Term: 41, Entitled: true, CancellationLag: &behind, Cancellations: 7, Members: []string{"estacion-1", "estacion-2"}, Unreachable: []string{"estacion-2"},
-		UnreachablePeers: []string{"estacion-3"}, LastStall: 0.5, FaultyJobs: 1, SlowPlaces: []string{"n-000007"}, Owners: map[string]string{shards.ForTeam("vision"): "estacion-1"},
+		UnreachablePeers: []string{"estacion-3"}, LastStall: 0.5, FaultyJobs: 1, SlowBoots: []string{"n-000007"}, Owners: map[string]string{shards.ForTeam("vision"): "estacion-1"},
 		Shards: map[string]shardOverview{shards.ForTeam("vision"): {Phase: shards.Barrier.String(), SinceTerm: 40, InSync: []string{"estacion-2"}, Awaited: 2, Jobs: 3, Waiting: 4, Assigned: 5, Unproven: 6,
 			CPUs: 96.5, GPUs: 8.5}},
 		Machines: machinesOverview{Known: 9, Here: 3, Silent: 2, Idle: 1}, ActiveJobs: 12, StartLatencies: map[string]int64{"count": 3, "p50": 100, "p90": 200, "p99": 300, "max": 400},
--- a/internal/controller/jobend.go
+++ b/internal/controller/jobend.go
@@ -23,9 +23,9 @@
 			return // lost by the state service: the active job is written back first
 		}
 		j.Finishing = true
-		version, written := n.leadership.RecordVersion(), j.Version
+		recordVersion, jobVersion := n.leadership.RecordVersion(), j.Version
 		n.group.Go(func() error {
-			n.commitJobEnd(n.ctx, shard, j, version, written)
+			n.commitJobEnd(n.ctx, shard, j, recordVersion, jobVersion)
 			return nil
 		})
 	})
@@ -42,7 +42,9 @@
 	end := userapi.NewJobEnd(j.Spec, protocol.Done)
 	_, err := n.kvStore.Commit(ctx, jobEndUpdate(uid, end, recordVersion, jobVersion))
 	if c := (*kvstore.ConflictError)(nil); errors.As(err, &c) && slices.Contains(c.Keys, userapi.ActiveJobPrefix+uid) {
-		userBackend{n}.ReportMissing(uid) // may also have been cancelled just now; a changed record proves nothing
+		// The job was cancelled just now, or the state service has lost it. A conflict of the record's key alone is
+		// no sign of a loss: the record may have changed.
+		userBackend{n}.ReportMissing(uid)
 	}
 	if err == nil {
 		n.replicateFact(ctx, replicateFactMsg{Ends: []jobEnd{{uid, end}}})
--- a/internal/controller/jobs.go
+++ b/internal/controller/jobs.go
@@ -94,8 +94,8 @@
 	n.wake()
 }
 
-// progressInterval is the least time between two statuses that contain the jobs' progress. It is the longest part of a
-// status, and users may see it a few seconds late.
+// progressInterval is the least time between two statuses that contain the jobs' progress. The progress is the longest
+// part of a status, and users may see it a few seconds late.
 const progressInterval = 900 * time.Millisecond
 
 // dueProgress returns the progress of the jobs of teams owned here if it is due to be sent, and nil otherwise.
--- a/internal/controller/machinestatus.go
+++ b/internal/controller/machinestatus.go
@@ -162,15 +162,16 @@
 	}
 }
 
-// concerns returns whether a status concerns a shard: tasks of the shard's team are listed in it, or may be. Unknown is
-// the earliest term of the listed attempts whose jobs are not known here.
+// concerns returns whether a status concerns a shard: tasks of the shard's team are listed in it, or may be, or the
+// shard has assigned tasks to the machine. Unknown is the earliest term of the listed attempts whose jobs are not known
+// here; an attempt that is older than the ownership of the shard may be one of its team's.
 func concerns(shard *shards.Owned, v *jobstate.MachineStatus, teams []string, unknown uint64) bool {
-	team, _ := shards.TeamOf(shard.Name())
-	account := shard.Team()
-	return slices.Contains(teams, team) ||
-		account.Assignments().AnyOn(v.Machine) ||
-		account.Quota().HasOrphansOn(v.Machine) ||
-		unknown < account.FirstTerm()
+	name, _ := shards.TeamOf(shard.Name())
+	team := shard.Team()
+	return slices.Contains(teams, name) ||
+		team.Assignments().AnyOn(v.Machine) ||
+		team.Quota().HasOrphansOn(v.Machine) ||
+		unknown < team.FirstTerm()
 }
 
 // teamsOn lists the teams of the jobs whose tasks a status lists.
--- a/internal/controller/node.go
+++ b/internal/controller/node.go
@@ -115,10 +115,10 @@
 }
 
 // logMilestone logs the first time that this process reaches a milestone, with the time since its start.
-func (n *Node) logMilestone(step string, now time.Time) {
-	if !n.loggedMilestones[step] {
-		n.loggedMilestones[step] = true
-		n.log.Info(step, "after", now.Sub(n.startedAt))
+func (n *Node) logMilestone(milestone string, now time.Time) {
+	if !n.loggedMilestones[milestone] {
+		n.loggedMilestones[milestone] = true
+		n.log.Info(milestone, "after", now.Sub(n.startedAt))
 	}
 }
 
@@ -127,7 +127,7 @@
 	agents.Liveness
 
 	status       *jobstate.MachineStatus
-	home         string // cached for homeRecord
+	home         string // according to homeRecord; cached by homeFor
 	homeRecord   *leadership.Record
 	unregistered agents.Unregistered // while the machine is missing from the roster
 	gone         bool
@@ -174,10 +174,10 @@
 // newClients creates the clients of the state service and the cloud.
 func (n *Node) newClients() {
 	controllers := len(n.settings.Peers) + 1
-	outside, deployment := &n.settings.Services, &n.settings.Deployment
-	n.kvStore = kvstore.New(outside.KVStore, deployment.KVStore, controllers)
+	services, deployment := &n.settings.Services, &n.settings.Deployment
+	n.kvStore = kvstore.New(services.KVStore, deployment.KVStore, controllers)
 	n.kvStore.OnDataLoss(n.storeReportsLoss)
-	n.cloud = cloud.New(outside.Cloud, deployment.Cloud, controllers)
+	n.cloud = cloud.New(services.Cloud, deployment.Cloud, controllers)
 }
 
 // newMachineState creates the empty state of machines and agents.
@@ -232,7 +232,7 @@
 	n.userAPI = userapi.New(n.settings, n.kvStore, userBackend{n})
 	n.teamConfig = newTeamConfigState(n.settings, n.options)
 	if n.teamConfig != nil {
-		n.userAPI.UseTeams(configTenants{n})
+		n.userAPI.UseTeams(configuredTeams{n})
 	}
 }
 
@@ -259,8 +259,8 @@
 	return group.Wait()
 }
 
-// limitMemory trades memory for processor time: the garbage collector runs half as often as by default, and more often
-// again only when memory use approaches three quarters of the limit, as most of the allowed memory is unused.
+// limitMemory trades memory for processor time, as most of the allowed memory is unused: the garbage collector runs
+// half as often as by default, and more often again only when memory use approaches three quarters of the limit.
 func limitMemory(megabytes float64) {
 	debug.SetGCPercent(200)
 	debug.SetMemoryLimit(int64(megabytes * 0.75 * (1 << 20)))
--- a/internal/controller/node_test.go
+++ b/internal/controller/node_test.go
@@ -31,7 +31,7 @@
 	rng            *rand.Rand
 	httpc          *http.Client
 
-	copyWait    float64 // options of the controllers that start afterwards
+	copyWait    float64 // options of the controllers that are started after they are set
 	configBound float64
 }
 
@@ -47,12 +47,12 @@
 }
 
 // newTestClusterWith starts a cluster with the given timeouts of agents.
-func newTestClusterWith(t *testing.T, run time.Duration, workers settings.Agents, prepare ...func(*testCluster)) *testCluster {
-	return newTestClusterRunning(t, func(string) time.Duration { return run }, workers, prepare...)
+func newTestClusterWith(t *testing.T, run time.Duration, timeouts settings.Agents, prepare ...func(*testCluster)) *testCluster {
+	return newTestClusterRunning(t, func(string) time.Duration { return run }, timeouts, prepare...)
 }
 
 // newTestClusterRunning starts a cluster in which each task has a run time of its own.
-func newTestClusterRunning(t *testing.T, run func(task string) time.Duration, workers settings.Agents, prepare ...func(*testCluster)) *testCluster {
+func newTestClusterRunning(t *testing.T, run func(task string) time.Duration, timeouts settings.Agents, prepare ...func(*testCluster)) *testCluster {
 	r := &testCluster{t: t, peerPaths: simulation.Paths{}, rng: rand.New(rand.NewPCG(1, 2)), httpc: &http.Client{Timeout: 4 * time.Second}}
 	r.checker = simulation.NewChecker(map[string]float64{"red": 24, "blue": 16})
 	for _, p := range prepare {
@@ -72,7 +72,7 @@
 			}
 		}
 	}
-	per := simulation.Periods{Heartbeat: settings.Seconds(workers.HeartbeatSeconds), Lease: settings.Seconds(workers.LeaseSeconds), Run: run}
+	per := simulation.Periods{Heartbeat: settings.Seconds(timeouts.HeartbeatSeconds), Lease: settings.Seconds(timeouts.LeaseSeconds), Run: run}
 	types := []protocol.MachineType{{Name: "m8", CPUs: 8, MemoryGB: 64, PricePerHour: 2, SpotPricePerHour: 1, BootSeconds: 1, Zones: []string{"east", "west"}}}
 	r.cloud, err = simulation.NewCloud(types, 6, func(name, typ, zone string, spot bool) (*simulation.Agent, error) {
 		return simulation.NewAgent(name, typ, zone, spot, listen, names, per, r.checker)
@@ -81,16 +81,16 @@
 		t.Fatal(err)
 	}
 	for i, n := range names {
-		door, err := r.state.NewEndpoint()
+		endpoint, err := r.state.NewEndpoint()
 		if err != nil {
 			t.Fatal(err)
 		}
-		r.storeEndpoints = append(r.storeEndpoints, door)
+		r.storeEndpoints = append(r.storeEndpoints, endpoint)
 		s := &settings.Settings{Name: n, Zone: "east", Listen: listen[n], PeerListen: peers[n],
-			Services: settings.ServiceAddrs{Cloud: r.cloud.Addr(), KVStore: door.Addr()},
+			Services: settings.ServiceAddrs{Cloud: r.cloud.Addr(), KVStore: endpoint.Addr()},
 			Deployment: settings.Deployment{Size: 3, Zones: []string{"east", "west"},
 				Teams:   []settings.Team{{Name: "red", CPUs: 16, CPUsMax: 24}, {Name: "blue", CPUs: 8, CPUsMax: 16}},
-				Agents:  workers,
+				Agents:  timeouts,
 				KVStore: settings.KVStore{RequestsPerSecond: 400, ChangesPerSecond: 200, ValueKB: 16, ChangesPerTransaction: 16},
 				Cloud:   settings.Cloud{RequestsPerSecond: 20, ListLagSeconds: 0.2}, Limits: settings.Limits{Cores: 1, MemoryMB: 256, MaxSockets: 512}}}
 		for k, p := range names {
--- a/internal/controller/nodeharness_test.go
+++ b/internal/controller/nodeharness_test.go
@@ -61,7 +61,7 @@
 		readyShard(n, name, 1)
 	}
 	learnRecord(n, record)
-	n.leadership.ResetForNewEpoch() // with no known version of the record: no check of the state service
+	n.leadership.ResetForNewEpoch() // the record's version is unknown, so that no check of the state service begins
 	ended, cancel := context.WithCancel(context.Background())
 	cancel() // no request is sent
 	n.group, n.ctx = &errgroup.Group{}, ended
--- a/internal/controller/overview.go
+++ b/internal/controller/overview.go
@@ -20,11 +20,11 @@
 	CancellationLag  *float64                 `json:"horizon_behind_s"` // age of the cancellation watermark; nil: unknown
 	Cancellations    uint64                   `json:"withdrawals_told"` // cancellations that this process confirmed to users
 	Members          []string                 `json:"members"`
-	Unreachable      []string                 `json:"deaf,omitempty"`
+	Unreachable      []string                 `json:"deaf,omitempty"` // controllers that agents cannot reach
 	UnreachablePeers []string                 `json:"unheard_peers,omitempty"`
 	LastStall        float64                  `json:"last_stood_still_s,omitempty"`
 	FaultyJobs       int                      `json:"faulty_jobs,omitempty"`
-	SlowPlaces       []string                 `json:"late_machines,omitempty"`
+	SlowBoots        []string                 `json:"late_machines,omitempty"` // locations where machines boot late
 	Owners           map[string]string        `json:"owners"`
 	Shards           map[string]shardOverview `json:"items"`
 	Machines         machinesOverview         `json:"machines"`
@@ -78,7 +78,7 @@
 		Config:           n.configStatus(now),
 		UnreachablePeers: n.unreachablePeers(now),
 		LastStall:        n.lastStall.Seconds(),
-		SlowPlaces:       n.provisioner.slowPlaces(),
+		SlowBoots:        n.provisioner.slowBootLocations(),
 	}
 	n.addLeadership(&o, now)
 	for shard := range n.shards.All() {
--- a/internal/controller/peerhandler.go
+++ b/internal/controller/peerhandler.go
@@ -14,7 +14,8 @@
 
 var _ peer.Handler = peerHandler{}
 
-// PeerUp records a new connection to a peer, which must be sent all replicas, machine statuses and memories again.
+// PeerUp records a new connection to a peer, which must be sent all replicas and machine statuses and the retained
+// state again.
 func (h peerHandler) PeerUp(name string) {
 	n := h.node
 	n.mu.Lock()
--- a/internal/controller/peerstate.go
+++ b/internal/controller/peerstate.go
@@ -38,8 +38,8 @@
 	return now.Sub(p.lastMessageAt) <= unreachableAfter
 }
 
-// recordMessage records that a message of a process of the peer arrived. A new process discards the acknowledgement of
-// its predecessor's last status.
+// recordMessage records that a message of a process of the peer arrived. After a restart of the peer, the last status
+// of its earlier process is no longer acknowledged.
 func (p *peerState) recordMessage(incarnation uint64, now time.Time) {
 	if p.incarnation != incarnation {
 		p.incarnation, p.statusSentAt = incarnation, 0
--- a/internal/controller/reconcile.go
+++ b/internal/controller/reconcile.go
@@ -10,11 +10,11 @@
 	"topazhollow/internal/userapi"
 )
 
-// Reconciliation of orphaned tasks: tasks that a machine lists although no team's account placed them there, or
-// although their job has ended. The accounts count them against the quota (internal/jobstate). The code here stops
+// Reconciliation of orphaned tasks: tasks that a machine lists although no team's state has them assigned to it, or
+// although their job has ended. The team's state counts them against the quota (internal/jobstate). The code here stops
 // them, and looks up in the state service the ends of jobs that this controller does not know.
 
-// teamJobs describes jobs and machines, as known to this controller, to the account of a team.
+// teamJobs describes jobs and machines, as known to this controller, to the state of a team.
 type teamJobs struct {
 	n    *Node
 	team string
@@ -70,8 +70,8 @@
 	return oldest
 }
 
-// reobserveReserved reconciles again the machines where accounts reserve quota for orphaned tasks of a job that has
-// become known.
+// reobserveReserved reconciles the machines that list tasks of a job again, once the job has become known. Until then
+// quota is reserved for the job's orphaned tasks as tasks of unknown size.
 func (n *Node) reobserveReserved(uid string) {
 	for _, name := range n.taskIndex.Machines(uid) {
 		for shard := range n.shards.All() {
--- a/internal/controller/registration.go
+++ b/internal/controller/registration.go
@@ -31,8 +31,8 @@
 	}
 	added, removed, err := n.roster.ApplyList(key, version, list)
 	if err != nil {
-		// As written by a process that started after a loss of data. A machine's absence from such a list must never
-		// count as proof that its tasks have ended.
+		// The list lacks changes that are known here, as when a process wrote it that started after a loss of data. A
+		// machine's absence from such a list must never count as proof that its tasks have ended.
 		n.suspectLoss(datarecovery.Sign(err.Error()))
 		return
 	}
--- a/internal/controller/scheduling.go
+++ b/internal/controller/scheduling.go
@@ -13,7 +13,8 @@
 
 // The controller's side of internal/scheduler, which decides about placement and preemption.
 
-// place runs a scheduling pass, which places waiting tasks, and has the tasks stopped that the pass chose to preempt.
+// place runs a scheduling pass, which places waiting tasks, and asks the owners of the tasks that the pass preempts to
+// stop them.
 func (n *Node) place(now time.Time) {
 	result := n.scheduler.Pass((*schedulerSnapshot)(n), now)
 	for _, e := range result.Evictions {
--- a/internal/controller/scheduling_test.go
+++ b/internal/controller/scheduling_test.go
@@ -45,7 +45,7 @@
 		tasks    int
 		priority string
 		quota    float64
-		kept     bool
+		reserved bool
 	}{{8, "high", 1000, true}, {9, "high", 1000, false}, {8, "low", 1000, false}, {8, "high", 48, false}} {
 		g := newNodeHarness(8, 2) // two of them on-demand, in one zone
 		n := g.n
@@ -54,7 +54,7 @@
 			spec.MemoryGB, spec.Image, spec.EstimateSeconds, spec.OneZone = 1, "img", 40, spec.Kind == protocol.Gang
 			n.learnJob(userapi.ActiveJob{SubmittedAtMillis: g.now.UnixMilli(), Spec: &spec}, 1)
 		}
-		held := func(uid string) (count int) {
+		placed := func(uid string) (count int) {
 			for shard := range n.shards.All() {
 				for key := range shard.Team().Replica().Assignments {
 					if key.Job == uid {
@@ -73,10 +73,10 @@
 		submit(protocol.Submission{UID: "job-000002", Team: "team-0", Kind: protocol.Gang, Priority: c.priority, Tasks: c.tasks, CPUs: 8})
 		submit(protocol.Submission{UID: "job-000003", Team: "team-1", Kind: protocol.JobArray, Priority: "standard", Tasks: 40, CPUs: 1})
 		n.place(g.now)
-		if held("job-000001") != 1 || held("job-000002") != 0 {
-			t.Fatalf("%+v: the gang has %d tasks placed beside what runs", c, held("job-000002"))
+		if placed("job-000001") != 1 || placed("job-000002") != 0 {
+			t.Fatalf("%+v: the gang has %d tasks placed, or the first job has none", c, placed("job-000002"))
 		}
-		if got := held("job-000003"); got != 0 && c.kept || got != 40 && !c.kept {
+		if got := placed("job-000003"); got != 0 && c.reserved || got != 40 && !c.reserved {
 			t.Errorf("%+v: %d of 40 tasks of the array were placed", c, got)
 		}
 		n.mu.Unlock()
@@ -84,8 +84,8 @@
 			g.advanceSecond(1) // the running tasks end
 		}
 		n.mu.Lock()
-		if done, _ := n.shards.OfTeam("team-0").Team().Progress("job-000002"); done == 0 && held("job-000002") == 0 && c.tasks == 8 && c.quota > 64 {
-			t.Errorf("%+v: the gang did not start in the room that came free", c)
+		if done, _ := n.shards.OfTeam("team-0").Team().Progress("job-000002"); done == 0 && placed("job-000002") == 0 && c.tasks == 8 && c.quota > 64 {
+			t.Errorf("%+v: the gang did not start in the room that became free", c)
 		}
 		n.mu.Unlock()
 	}
--- a/internal/controller/status.go
+++ b/internal/controller/status.go
@@ -107,7 +107,7 @@
 	return s
 }
 
-// receivedStatuses acknowledges the last status of each peer that arrived within leadership.PromiseLife.
+// receivedStatuses acknowledges the last status of each peer that arrived within leadership.PromiseDuration.
 func (n *Node) receivedStatuses(now time.Time) map[string]receivedStatus {
 	received := map[string]receivedStatus{}
 	for name, p := range n.peers {
--- a/internal/controller/step.go
+++ b/internal/controller/step.go
@@ -82,7 +82,7 @@
 }
 
 // stepShard runs the part of a step that follows placement for one shard: it replicates the shard's changes, and then
-// sends the orders that the replicas have acknowledged.
+// sends the orders whose changes all required replicas have acknowledged.
 func (n *Node) stepShard(shard *shards.Owned, cluster *shards.Cluster, now time.Time, reviewRunning bool) {
 	if shard.Phase() == shards.Barrier {
 		n.passBarrier(shard)
--- a/internal/controller/teamconfig.go
+++ b/internal/controller/teamconfig.go
@@ -169,7 +169,8 @@
 // configReady returns whether the configuration is known far enough to start tasks of the teams taken over.
 func (n *Node) configReady() bool { return n.teamConfig == nil || n.teamConfig.config.Ready() }
 
-// applyTeamLimits sets the limits that hold now in the accounts of the teams owned here.
+// applyTeamLimits sets the limits that hold now for the quotas of the teams owned here. It has tasks beyond the limits
+// stopped: those that have not started yet, and with StopExcess also the running ones.
 func (n *Node) applyTeamLimits(now time.Time) {
 	if n.teamConfig == nil {
 		return
@@ -201,7 +202,8 @@
 }
 
 // teamConfigStatus returns the part of this controller's status that concerns the configuration, nil if there is none.
-// The limits that the status acknowledges are applied first, as the status is binding.
+// The limits that the status acknowledges are applied first, as from then on peers rely on this controller to keep
+// them.
 func (n *Node) teamConfigStatus(now time.Time) *teamconfig.Status {
 	if n.teamConfig == nil || n.leadership.Record() == nil || !n.trusted() {
 		return nil
@@ -221,8 +223,8 @@
 	return &status
 }
 
-// unsettledTeams lists the teams owned here that have a change that is not in force and whose tasks still exceed the
-// changed limits.
+// unsettledTeams lists the teams owned here with a change that cannot be in force yet: further tasks could still start
+// beyond the changed limits, or the team's shard is not ready.
 func (n *Node) unsettledTeams() (unsettled []string) {
 	for _, x := range n.teamConfig.config.NotInForce() {
 		if n.leadership.Record().OwnerOf(shards.ForTeam(x.Team)) != n.name {
--- a/internal/controller/teamconfig_overview.go
+++ b/internal/controller/teamconfig_overview.go
@@ -35,7 +35,7 @@
 	if n.teamConfig == nil {
 		return nil
 	}
-	n.teamConfigStatus(now) // counts this controller's own status, which a deployment of one controller needs
+	n.teamConfigStatus(now) // applies this controller's own status, so that a deployment of one is up to date too
 	r, c := n.configRecord(), n.teamConfig.config
 	lost := n.leadership.Record() != nil && n.leadership.Record().DataLost
 	propagation := n.teamConfig.propagation
--- a/internal/controller/unreachablehomes_test.go
+++ b/internal/controller/unreachablehomes_test.go
@@ -66,21 +66,21 @@
 		failed, recovered := start.Add(20*time.Second), start.Add(60*time.Second)
 		w := &roamingAgent{name: "n-000001", next: start, answered: start}
 		down := func(now time.Time) bool { return !now.Before(failed) && now.Before(recovered) }
-		play := func(until time.Time) {
+		runUntil := func(until time.Time) {
 			w.run(n, "node-b", until, func(now time.Time) bool { return !down(now) }, func(now time.Time) {
 				if !silent || !down(now) {
 					n.peers["node-b"].lastMessageAt = now
 				}
 			})
 		}
-		play(recovered.Add(-time.Second))
+		runUntil(recovered.Add(-time.Second))
 		if w.longestUnanswered >= lease {
 			t.Errorf("silent %v: unanswered for %v, its lease is %v", silent, w.longestUnanswered, lease)
 		}
 		if !w.here {
 			t.Fatalf("silent %v: sends its heartbeats to a home that does not answer", silent)
 		}
-		play(recovered.Add(lease + 6*time.Second))
+		runUntil(recovered.Add(lease + 6*time.Second))
 		if w.here {
 			t.Errorf("silent %v: still not back at its home %v after the home answers again", silent, lease)
 		}
@@ -144,7 +144,7 @@
 			g.reportStatus(name, func(v *jobstate.MachineStatus) { v.Tasks = nil })
 		}
 	}
-	held := func() int { h, _ := shard.Team().Assignments().Count(); return h }
+	placed := func() int { h, _ := shard.Team().Assignments().Count(); return h }
 	step := func(after time.Duration) {
 		g.now = g.now.Add(after)
 		n.leadership.LeaseRenewed(g.now)
@@ -154,14 +154,14 @@
 		n.step(g.now)
 	}
 	step(time.Second)
-	if held() != 40 {
-		t.Fatalf("%d of 40 placed at first", held())
+	if placed() != 40 {
+		t.Fatalf("%d of 40 placed at first", placed())
 	}
 	end(protocol.ReasonError)
 	for i := range 4 {
 		step(2 * time.Minute)
-		if held() > 1 {
-			t.Fatalf("try %d: %d tasks placed of a faulty job", i, held())
+		if placed() > 1 {
+			t.Fatalf("try %d: %d tasks placed of a faulty job", i, placed())
 		}
 		if list := n.demands(g.now); len(list) != 0 {
 			t.Fatalf("a faulty job has demands: %v", list)
@@ -170,7 +170,7 @@
 			end(protocol.ReasonError)
 		}
 	}
-	if held() != 1 {
+	if placed() != 1 {
 		t.Fatal("no task of a faulty job is tried any more")
 	}
 	if got := len(n.scheduler.Hosts((*schedulerSnapshot)(n), g.now, nil)); got != 12 {
@@ -178,8 +178,8 @@
 	}
 	end(protocol.ReasonDone)
 	step(time.Second)
-	if held() != 39 {
-		t.Fatalf("%d of 39 placed after a success", held())
+	if placed() != 39 {
+		t.Fatalf("%d of 39 placed after a success", placed())
 	}
 }
 
@@ -197,13 +197,13 @@
 	n.handleHeartbeat(protocol.Encode(r))
 	s := n.status(at)
 	if !slices.Equal(s.Misdirected, []string{name}) || len(n.status(at).Misdirected) != 0 {
-		t.Fatalf("the first status lists %v, or the second lists more", s.Misdirected)
+		t.Fatalf("the first status lists %v as misdirected, or the second status repeats them", s.Misdirected)
 	}
 	m := fleetOwner.machine(name)
 	before := m.LastSeenAt()
 	fleetOwner.applyPeerStatus(&peerState{}, &s, at)
 	if got := m.LastSeenAt(); got != at || before == at {
-		t.Errorf("the fleet's owner has the machine's last sign of life at %v, not %v", got, at)
+		t.Errorf("the fleet's owner has last seen the machine at %v, want %v", got, at)
 	}
 	if m.HomeHeardAt == at {
 		t.Error("a home that received no heartbeat counts as having received one")
@@ -234,16 +234,16 @@
 	if held, _ := team.Assignments().Count(); held == 0 {
 		t.Fatal("no task was placed that a heartbeat could affect")
 	}
-	for field, spoil := range map[string]func(*protocol.Heartbeat){
+	for field, invalidate := range map[string]func(*protocol.Heartbeat){
 		"estacion": func(r *protocol.Heartbeat) { r.Machine = "n 1" },
 		"address":  func(r *protocol.Heartbeat) { r.Addr = "" },
 		"jornada":  func(r *protocol.Heartbeat) { r.Incarnation = 0 },
 		"modelo":   func(r *protocol.Heartbeat) { r.Type = "" },
 	} {
 		r := good
-		spoil(&r)
+		invalidate(&r)
 		if a := n.handleHeartbeat(protocol.Encode(r)); a.Status != 400 || !strings.Contains(string(a.Body), field) {
-			t.Errorf("%s spoiled: %d %s", field, a.Status, a.Body)
+			t.Errorf("invalid %s: answered with %d %s", field, a.Status, a.Body)
 		}
 	}
 	for _, body := range []string{"", "{", "[]", `{"estacion":7}`, `{"tramos":{}}`} {
--- a/internal/controller/userbackend.go
+++ b/internal/controller/userbackend.go
@@ -57,8 +57,9 @@
 	}
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	// If the state service has lost a job's keys, the watched keys never show the job's end. And before the memories
-	// are gathered, a peer may know the end of a job that the state service has as active.
+	// If the state service has lost a job's keys, the watched keys never show the job's end. And until the state that
+	// all controllers retained has been gathered, a peer may know the end of a job that the state service has as
+	// active.
 	return j.active && j.version > 0 && n.trusted() && n.retainedStateGathered(time.Now())
 }
 
@@ -151,7 +152,7 @@
 }
 
 // Healthy returns whether load balancers should send users to this controller: it holds its lease, or no reachable
-// controller does.
+// controller does and this one seems not to be cut off alone.
 func (b userBackend) Healthy() bool {
 	n := b.node
 	n.mu.Lock()
@@ -176,7 +177,7 @@
 	return !alone && now.Sub(n.startedAt) > startupTime
 }
 
-// When a controller without a lease reports that it is not healthy.
+// When a controller without a lease reports that it is not healthy although no reachable controller holds a lease.
 const (
 	aloneAfter  = 5 * time.Second // after all peers have been silent for this long
 	startupTime = 5 * time.Second // for this long after its start, in any case
