--- a/internal/controller/autoscaling.go
+++ b/internal/controller/autoscaling.go
@@ -26,9 +26,9 @@
 // next controller.
 const heartbeatAnswerTimeout = 6 * time.Second
 
-// provisioner sends the cloud the requests that a provisioning.Provisioner decides on.
+// provisioner sends the cloud the requests that its provisioning.Provisioner decides on.
 type provisioner struct {
-	account  *provisioning.Provisioner
+	state    *provisioning.Provisioner
 	slots    chan struct{} // holds one element for each open scale-out request
 	loggedAt time.Time     // when the log last described the whole fleet
 }
@@ -38,7 +38,7 @@
 	if p == nil {
 		return nil
 	}
-	return p.account.Draining()
+	return p.state.Draining()
 }
 
 // slowBootLocations returns the locations where machines boot late; none if there is no provisioner.
@@ -46,7 +46,7 @@
 	if p == nil {
 		return nil
 	}
-	return p.account.SlowBootLocations()
+	return p.state.SlowBootLocations()
 }
 
 // runFleet runs provision at every interval until the context ends.
@@ -71,17 +71,17 @@
 	if !n.entitled(now) || n.scheduler.MachineTypes() == nil {
 		return
 	}
-	if n.provisioner == nil || n.provisioner.account.SinceTerm() != shard.SinceTerm() {
+	if n.provisioner == nil || n.provisioner.state.SinceTerm() != shard.SinceTerm() {
 		n.provisioner = n.newProvisioner(shard.SinceTerm(), now)
 	}
 	p := n.provisioner
-	n.readCloudList(p.account, now)
-	if !p.account.Ready() {
+	n.readCloudList(p.state, now)
+	if !p.state.Ready() {
 		return
 	}
-	machines := n.fleetMachines(p.account, now)
+	machines := n.fleetMachines(p.state, now)
 	demands := n.fleetDemands(now)
-	actions := p.account.Decide(&provisioning.Inputs{
+	actions := p.state.Decide(&provisioning.Inputs{
 		Types:     n.scheduler.MachineTypes(),
 		Machines:  machines,
 		Demands:   demands,
@@ -89,8 +89,8 @@
 		SettledAt: n.leadership.StableSince(),
 		TakenOver: shard.SinceTerm() > n.leadership.Record().FirstTerm || n.leadership.Epoch() > 1,
 	}, now)
-	before := p.account.SlowBootLocations()
-	if p.account.UpdateSlowBootLocations(actions.SlowBootLocations) {
+	before := p.state.SlowBootLocations()
+	if p.state.UpdateSlowBootLocations(actions.SlowBootLocations) {
 		n.log.Info("slow boot locations changed", "before", before, "now", actions.SlowBootLocations)
 	}
 	n.logFleet(p, machines, demands, actions.Retired, now)
@@ -100,8 +100,8 @@
 
 // startActions starts the requests and removals that were decided.
 func (n *Node) startActions(p *provisioner, actions *provisioning.Actions) {
-	p.account.StartDraining(actions.Drain)
-	n.requestScaleIn(p.account, actions.ScaleIn)
+	p.state.StartDraining(actions.Drain)
+	n.requestScaleIn(p.state, actions.ScaleIn)
 	n.removeGoneMachines()
 	for _, request := range actions.ScaleOut {
 		n.group.Go(func() error {
@@ -121,11 +121,11 @@
 		Autoscaler: n.fleetOptions(),
 	}
 	p := &provisioner{
-		account: provisioning.New(options, now),
-		slots:   make(chan struct{}, maxOpenRequests),
+		state: provisioning.New(options, now),
+		slots: make(chan struct{}, maxOpenRequests),
 	}
 	if n.provisioner != nil {
-		p.account.Continue(n.provisioner.account)
+		p.state.Continue(n.provisioner.state)
 	}
 	return p
 }
@@ -151,8 +151,8 @@
 }
 
 // readCloudList reads the cloud's list of machines if it is due, and then probes the machines that barriers wait for.
-func (n *Node) readCloudList(account *provisioning.Provisioner, now time.Time) {
-	if !account.BeginListing(now) {
+func (n *Node) readCloudList(state *provisioning.Provisioner, now time.Time) {
+	if !state.BeginListing(now) {
 		return
 	}
 	n.group.Go(func() error {
@@ -160,14 +160,14 @@
 		n.mu.Lock()
 		defer n.mu.Unlock()
 		if err != nil {
-			account.ListingFailed()
+			state.ListingFailed()
 			n.log.Info("cloud list not read", "err", err)
 			return nil
 		}
 		read := time.Now()
-		account.ListingRead(hosts, func(name string) bool { return n.machine(name).gone }, read)
+		state.ListingRead(hosts, func(name string) bool { return n.machine(name).gone }, read)
 		awaited, _ := n.awaited(read)
-		n.probeAwaited(account.Hosts(), awaited)
+		n.probeAwaited(state.Hosts(), awaited)
 		return nil
 	})
 }
@@ -181,7 +181,7 @@
 		return
 	}
 	n.mu.Lock()
-	dropped := p.account.DropObsolete(request, time.Now())
+	dropped := p.state.DropObsolete(request, time.Now())
 	n.mu.Unlock()
 	if dropped {
 		return
@@ -191,12 +191,12 @@
 	defer n.mu.Unlock()
 	n.log.Info("scale-out request completed", "request", request.Request, "type", request.Type, "zone", request.Zone, "spot", request.Spot,
 		"count", request.Count, "got", len(names), "err", err)
-	p.account.ScaleOutAnswered(request, names, err == nil || errors.Is(err, cloud.ErrNoCapacity), time.Now())
+	p.state.ScaleOutAnswered(request, names, err == nil || errors.Is(err, cloud.ErrNoCapacity), time.Now())
 }
 
 // requestScaleIn asks the cloud to take machines back. Only the cloud's confirmation proves that no task runs on them
 // any more.
-func (n *Node) requestScaleIn(account *provisioning.Provisioner, names []string) {
+func (n *Node) requestScaleIn(state *provisioning.Provisioner, names []string) {
 	if len(names) == 0 {
 		return
 	}
@@ -206,10 +206,10 @@
 		n.mu.Lock()
 		defer n.mu.Unlock()
 		if err != nil {
-			account.ScaleInFailed(names)
+			state.ScaleInFailed(names)
 			return nil
 		}
-		account.ScaleInConfirmed(names)
+		state.ScaleInConfirmed(names)
 		for _, name := range names {
 			n.machineGone(name)
 		}
--- a/internal/controller/autoscaling_inputs.go
+++ b/internal/controller/autoscaling_inputs.go
@@ -21,7 +21,7 @@
 const peerStatusLife = 3 * time.Second
 
 // fleetMachines describes every machine that is listed by the cloud, registered, sending heartbeats, or newly acquired.
-func (n *Node) fleetMachines(account *provisioning.Provisioner, now time.Time) []autoscaler.Machine {
+func (n *Node) fleetMachines(state *provisioning.Provisioner, now time.Time) []autoscaler.Machine {
 	n.scheduler.InvalidateMachines((*schedulerSnapshot)(n).TakeChangedMachines())
 	known := func(yield func(string) bool) {
 		for name, m := range n.machines {
@@ -31,7 +31,7 @@
 		}
 	}
 	awaited, unanswered := n.awaited(now)
-	candidates := account.Candidates(known)
+	candidates := state.Candidates(known)
 	observations := make([]provisioning.Observation, 0, len(candidates))
 	for _, name := range candidates {
 		m := n.machine(name)
@@ -42,7 +42,7 @@
 		observed.Machine.AwaitedByBarrier, observed.Machine.ProbeUnanswered = awaited[name], unanswered[name]
 		observations = append(observations, observed)
 	}
-	return account.Describe(observations, now)
+	return state.Describe(observations, now)
 }
 
 // observeMachine describes a machine by its last known status, its free capacity, and the tasks on it.
--- a/internal/controller/capacity_bench_test.go
+++ b/internal/controller/capacity_bench_test.go
@@ -163,12 +163,12 @@
 				g.submit(100, 8)
 			}
 			g.advanceSecond(10)
-			account := provisioning.New(provisioning.Options{}, g.now)
+			state := provisioning.New(provisioning.Options{}, g.now)
 			f := autoscaler.New("b", autoscaler.Options{IdleTimeout: 24 * time.Hour, SpotShare: 1, SilenceTimeout: 30 * time.Second, SafetyRunTimes: 2})
 			g.n.mu.Lock()
 			defer g.n.mu.Unlock()
 			processorTime(b, func() {
-				f.Decide(g.n.scheduler.MachineTypes(), g.n.fleetMachines(account, g.now), nil, nil, g.now, g.now)
+				f.Decide(g.n.scheduler.MachineTypes(), g.n.fleetMachines(state, g.now), nil, nil, g.now, g.now)
 			})
 		})
 	}
--- a/internal/controller/config_test.go
+++ b/internal/controller/config_test.go
@@ -84,7 +84,7 @@
 		}
 		number := c.changeTeam("red", setLimit(cpus))
 		c.awaitInForce("red", number)
-		c.checker.SetLimit("red", cpus) // from here on no start goes beyond it
+		c.checker.SetLimit("red", cpus) // from here on no start may exceed it
 		most = cpus
 		if i%2 == 1 {
 			c.waitUntil("the raised quota is used", func() bool { return c.checker.CPUsOfTeam("red") > cpus/2 || c.queryState(jobs[1].UID) == protocol.Done })
--- a/internal/controller/faults_ownerchange_test.go
+++ b/internal/controller/faults_ownerchange_test.go
@@ -57,9 +57,9 @@
 			rng := newRand(11)
 			crashes := map[int]int{}
 			for round := range 10 {
-				job, gone := unevenJob(round, 3, []string{"red", "blue"}[round%2]), endlessJob(round, 2, []string{"red", "blue"}[round%2])
+				job, cancelled := unevenJob(round, 3, []string{"red", "blue"}[round%2]), endlessJob(round, 2, []string{"red", "blue"}[round%2])
 				s.inBackground(func() { s.submitUntilAccepted(job) })
-				s.inBackground(func() { s.submitUntilAccepted(gone); s.cancelUntilAnswered(gone.UID) })
+				s.inBackground(func() { s.submitUntilAccepted(cancelled); s.cancelUntilAnswered(cancelled.UID) })
 				owner := s.awaitReadyOwner(shards.ForTeam([]string{"red", "blue"}[round%2]))
 				out := outage && round%2 == 1
 				s.state.SetOutage(out)
--- a/internal/controller/faults_test.go
+++ b/internal/controller/faults_test.go
@@ -424,18 +424,18 @@
 func TestMachineWithoutAnswersAcrossCrash(t *testing.T) {
 	r := newTestClusterWith(t, 6*time.Second, settings.Agents{HeartbeatSeconds: 0.2, LeaseSeconds: 4, GangWaitSeconds: 10, GangPeerSeconds: 4, CancelSeconds: 10})
 	r.checker.Cancel = 10 * time.Second
-	gone, stays := arrayJob(660, 7, "red"), arrayJob(662, 5, "red")
-	r.submit(gone)
-	r.submit(stays)
-	w, a := r.awaitRunningAtOtherHome(gone, stays)
+	cancelled, other := arrayJob(660, 7, "red"), arrayJob(662, 5, "red")
+	r.submit(cancelled)
+	r.submit(other)
+	w, a := r.awaitRunningAtOtherHome(cancelled, other)
 	w.DropAnswers(true)
 	r.crash(a)
-	r.cancelAt((a+1)%3, gone.UID)
+	r.cancelAt((a+1)%3, cancelled.UID)
 	r.start(a)
-	r.waitUntil("no task of the cancelled job runs", func() bool { return !runsJob(w, gone.UID) })
-	r.awaitAllDone([]*protocol.Submission{stays})
+	r.waitUntil("no task of the cancelled job runs", func() bool { return !runsJob(w, cancelled.UID) })
+	r.awaitAllDone([]*protocol.Submission{other})
 	w.DropAnswers(false)
-	r.waitUntil("still cancelled", func() bool { return r.queryState(gone.UID) == protocol.Cancelled })
+	r.waitUntil("still cancelled", func() bool { return r.queryState(cancelled.UID) == protocol.Cancelled })
 }
 
 // TestOldHeartbeatsProveNoLoss: two late copies of the heartbeats of a machine that is gone by now reach a controller
--- a/internal/controller/faultscenario_test.go
+++ b/internal/controller/faultscenario_test.go
@@ -130,7 +130,7 @@
 			s.cancelUntilAnswered(job.UID)
 		}
 		for node := range s.nodeSettings {
-			s.waitUntil(fmt.Sprintf("%s is over at %s", job.UID, s.names[node]), func() bool {
+			s.waitUntil(fmt.Sprintf("%s has ended at %s", job.UID, s.names[node]), func() bool {
 				status, state := s.users.Ask(node, job.UID)
 				return status == 200 && (state == protocol.Done || state == protocol.Cancelled && s.cancelled[job.UID])
 			})
@@ -140,7 +140,7 @@
 	starts := s.checker.Starts()
 	time.Sleep(quietPeriod)
 	if s.checker.CountOnMachines() > 0 || s.checker.Starts() > starts {
-		s.t.Errorf("%d tasks started after all jobs were over", s.checker.Starts()-starts)
+		s.t.Errorf("%d tasks started after all jobs had ended", s.checker.Starts()-starts)
 	}
 }
 
--- a/internal/controller/machinestatus.go
+++ b/internal/controller/machinestatus.go
@@ -24,7 +24,8 @@
 	return m
 }
 
-// machineGone records that the cloud has confirmed the end of a machine, and releases everything kept for it.
+// machineGone records that the cloud has confirmed the end of a machine, removes everything else that is known of it,
+// and has the teams owned here release its assignments.
 func (n *Node) machineGone(name string) {
 	m := n.machine(name)
 	if m.gone {
--- a/internal/controller/nodeharness_test.go
+++ b/internal/controller/nodeharness_test.go
@@ -239,10 +239,10 @@
 				g.submit(100, 8)
 			}
 			g.advanceSecond(10)
-			account := provisioning.New(provisioning.Options{}, g.now)
+			state := provisioning.New(provisioning.Options{}, g.now)
 			f := autoscaler.New("b", autoscaler.Options{IdleTimeout: 10 * time.Second, SpotShare: 1, SilenceTimeout: 30 * time.Second, SafetyRunTimes: 2})
 			for b.Loop() {
-				machines := g.n.fleetMachines(account, g.now)
+				machines := g.n.fleetMachines(state, g.now)
 				var demands []autoscaler.Demand
 				for _, d := range g.n.demands(g.now) {
 					j := g.n.jobs[d.Job]
--- a/internal/controller/scheduling_test.go
+++ b/internal/controller/scheduling_test.go
@@ -91,8 +91,8 @@
 	}
 }
 
-// TestEvictionsReachTheOwner: each task that a scheduling pass preempts gets an order to stop from its own team's
-// account.
+// TestEvictionsReachTheOwner: each task that a scheduling pass preempts gets an order to stop from the state of
+// its own team.
 func TestEvictionsReachTheOwner(t *testing.T) {
 	g := newNodeHarness(1, 2) // of 32 CPUs
 	n := g.n
--- a/internal/controller/userbackend.go
+++ b/internal/controller/userbackend.go
@@ -10,8 +10,8 @@
 	"topazhollow/internal/userapi"
 )
 
-// userBackend is the controller as the user API sees it; it implements userapi.Backend. Its methods take Node.mu, and
-// release it during I/O.
+// userBackend is the user API's interface to the controller; it implements userapi.Backend. Its methods take Node.mu,
+// and release it during I/O.
 type userBackend struct{ node *Node }
 
 var _ userapi.Backend = userBackend{}
