--- a/internal/controller/faults_heartbeats_test.go
+++ b/internal/controller/faults_heartbeats_test.go
@@ -143,8 +143,9 @@
 	return jobs
 }
 
-// TestNewMachinesWhileWritesLag: new machines are given tasks while writes to the state service are applied late, and
-// the owner, or all controllers, crash just then. The successor must know every machine that may run a task.
+// TestNewMachinesWhileWritesLag: new machines, which boot at once, are given tasks while writes to the state service
+// are applied late, and the owner, or all controllers, crash just then. The successor must know every machine that may
+// run a task.
 func TestNewMachinesWhileWritesLag(t *testing.T) {
 	t.Parallel()
 	for name, all := range map[string]bool{"the owner crashes": false, "all controllers crash": true} {
--- a/internal/controller/messages.go
+++ b/internal/controller/messages.go
@@ -33,7 +33,7 @@
 	Term       uint64 `json:"term"`             // of the membership record that the sender knows; 0 if none
 	Entitled   bool   `json:"entitled"`         // the sender may act
 	HoldsLease bool   `json:"leased,omitempty"` // the sender's lease in the state service is valid
-	SentAt     int64  `json:"at"`               // ms since the start of the sender's process
+	SentAt     int64  `json:"at"`               // ms since the start of the sender's process, by its monotonic clock
 	// Received acknowledges the last status of each peer that the sender received lately.
 	Received map[string]receivedStatus `json:"heard,omitempty"`
 	// Promise is the sender's promise to raise no term for leadership.PromiseDuration.
