--- a/internal/controller/faultscenario_test.go
+++ b/internal/controller/faultscenario_test.go
@@ -61,10 +61,10 @@
 	return newFaultScenarioWith(t, run, settings.Agents{HeartbeatSeconds: 0.2, LeaseSeconds: 4, GangWaitSeconds: 10, GangPeerSeconds: 4, CancelSeconds: 10})
 }
 
-// newFaultScenarioWith starts a cluster with other timeouts of agents.
-func newFaultScenarioWith(t *testing.T, run func(task string) time.Duration, workers settings.Agents) *faultScenario {
-	r := newTestClusterRunning(t, run, workers)
-	r.checker.CancelTimeout = settings.Seconds(workers.CancelSeconds)
+// newFaultScenarioWith starts a cluster with the given timeouts of agents.
+func newFaultScenarioWith(t *testing.T, run func(task string) time.Duration, timeouts settings.Agents) *faultScenario {
+	r := newTestClusterRunning(t, run, timeouts)
+	r.checker.CancelTimeout = settings.Seconds(timeouts.CancelSeconds)
 	s := &faultScenario{testCluster: r, cancelled: map[string]bool{}}
 	var listen []string
 	for _, set := range r.nodeSettings {
@@ -130,7 +130,7 @@
 			s.cancelUntilAnswered(job.UID)
 		}
 		for node := range s.nodeSettings {
-			s.waitUntil(fmt.Sprintf("%s is over at %s", job.UID, s.names[node]), func() bool {
+			s.waitUntil(fmt.Sprintf("%s has ended at %s", job.UID, s.names[node]), func() bool {
 				status, state := s.users.Ask(node, job.UID)
 				return status == 200 && (state == protocol.Done || state == protocol.Cancelled && s.cancelled[job.UID])
 			})
@@ -140,7 +140,7 @@
 	starts := s.checker.Starts()
 	time.Sleep(quietPeriod)
 	if s.checker.CountRunning() > 0 || s.checker.Starts() > starts {
-		s.t.Errorf("%d tasks started after all jobs were over", s.checker.Starts()-starts)
+		s.t.Errorf("%d tasks started after all jobs had ended", s.checker.Starts()-starts)
 	}
 }
 
--- a/internal/controller/nodeharness_test.go
+++ b/internal/controller/nodeharness_test.go
@@ -61,7 +61,7 @@
 		readyShard(n, name, 1)
 	}
 	learnRecord(n, record)
-	n.leadership.ResetForNewEpoch() // with no known version of the record: no check of the state service
+	n.leadership.ResetForNewEpoch() // the record's version is unknown, so that no check of the state service begins
 	ended, cancel := context.WithCancel(context.Background())
 	cancel() // no request is sent
 	n.group, n.ctx = &errgroup.Group{}, ended
@@ -239,10 +239,10 @@
 				g.submit(100, 8)
 			}
 			g.advanceSecond(10)
-			account := provisioning.New(provisioning.Options{}, g.now)
+			state := provisioning.New(provisioning.Options{}, g.now)
 			f := autoscaler.New("b", autoscaler.Options{IdleTimeout: 10 * time.Second, SpotShare: 1, SilenceTimeout: 30 * time.Second, SafetyRunTimes: 2})
 			for b.Loop() {
-				machines := g.n.fleetMachines(account, g.now)
+				machines := g.n.fleetMachines(state, g.now)
 				var demands []autoscaler.Demand
 				for _, d := range g.n.demands(g.now) {
 					j := g.n.jobs[d.Job]
