--- a/internal/admission/demand.go
+++ b/internal/admission/demand.go
@@ -38,8 +38,8 @@
 	return &DemandCollector{window: window, byKey: map[Key]*Demand{}, backlog: map[Key]float64{}, arrivals: map[Key]*arrivals{}}
 }
 
-// of returns the demand of a key and adds an empty one if there is none.
-func (n *DemandCollector) of(k Key) *Demand {
+// demandOf returns the demand of a key and adds an empty one if there is none.
+func (n *DemandCollector) demandOf(k Key) *Demand {
 	if n.byKey[k] == nil {
 		n.byKey[k] = &Demand{Key: k}
 	}
@@ -48,7 +48,7 @@
 
 // AddWaiting adds the waiting tasks of a job.
 func (n *DemandCollector) AddWaiting(k Key, w PendingWork) {
-	demand := n.of(k)
+	demand := n.demandOf(k)
 	demand.Waiting += w.CPUs
 	demand.Rank = w.Rank
 	demand.TaskCPUs = max(demand.TaskCPUs, w.TaskCPUs)
@@ -57,7 +57,7 @@
 }
 
 // AddUsed adds the CPUs of a task that is on a machine.
-func (n *DemandCollector) AddUsed(k Key, cpus float64) { n.of(k).Used += cpus }
+func (n *DemandCollector) AddUsed(k Key, cpus float64) { n.demandOf(k).Used += cpus }
 
 // AddArrival adds a submitted job with its total work in CPU seconds and the time since its submission.
 func (n *DemandCollector) AddArrival(k Key, work float64, age time.Duration) {
--- a/internal/admission/fairshares.go
+++ b/internal/admission/fairshares.go
@@ -1,6 +1,6 @@
 // Package admission decides how CPUs are shared while they are short. It computes the fair shares of teams and their
 // classes of jobs, plans the floors that all controllers enforce, decides which submissions are admitted while the
-// key-value store is busy, and counts how many jobs were served in time.
+// state service is busy, and counts how many jobs were served in time.
 //
 // The package does no I/O, reads no clock, and never places or stops a task. Its types are not safe for concurrent use;
 // the controller serializes access to them.
@@ -37,6 +37,7 @@
 	Rank       int     // of its priority; higher is more urgent
 }
 
+// total returns the CPUs that the key uses and asks for.
 func (n *Demand) total() float64 { return n.Used + n.Waiting }
 
 // Weights are the operator's options for sharing. A team or class without an entry has weight 1.
@@ -47,6 +48,7 @@
 	FloorAfter time.Duration // how long a group must be below its floor before a plan includes it
 }
 
+// weight returns the weight of a team or class, 1 if it has no entry.
 func weight(m map[string]float64, name string) float64 {
 	if w, ok := m[name]; ok {
 		return w
--- a/internal/admission/floors.go
+++ b/internal/admission/floors.go
@@ -8,7 +8,7 @@
 )
 
 // minFloorShare is the fraction of its fair share that a class or team is guaranteed if its full floor does not fit. It
-// keeps making progress without taking much from groups whose floors do fit.
+// lets the class or team make progress without taking much from groups whose floors do fit.
 const minFloorShare = 0.1
 
 // Group is a set of keys that has a floor: a class across all teams, a team with all its classes, or a class of one
@@ -47,7 +47,7 @@
 	if w.FloorShare <= 0 {
 		return
 	}
-	raise := (1 + w.FloorShare) / 2 / w.FloorShare
+	raise := (1 + w.FloorShare) / 2 / w.FloorShare // from FloorShare of the demand halfway to all of it
 	left := limit
 	for i := range within {
 		left -= within[i].Floor
--- a/internal/admission/ratelimit.go
+++ b/internal/admission/ratelimit.go
@@ -8,7 +8,7 @@
 
 // RateLimits bound a RateLimiter.
 type RateLimits struct {
-	MaxWait       time.Duration // longest queueing delay of an acceptance at the key-value store
+	MaxWait       time.Duration // longest queueing delay of an acceptance at the state service
 	MaxRejections int           // maximum number of rejected jobs whose first attempt is remembered
 }
 
@@ -22,12 +22,13 @@
 	maxRetryDelay = 20 * time.Second
 )
 
-// RateLimiter decides which submissions are admitted when more arrive than the key-value store can accept. Every key
-// with recent submissions has a token bucket with an equal share of the store's rate; a key with a full bucket leaves
-// its share to the others. A retry of a rejected job has precedence over new submissions of its key.
+// RateLimiter decides which submissions are admitted when more arrive than the state service can accept. Every key with
+// recent submissions has a token bucket with an equal share of the store's rate; a key with a full bucket leaves its
+// share to the others. A retry of a rejected job has precedence over new submissions of its key, so that later ones do
+// not overtake it.
 type RateLimiter struct {
 	limits          RateLimits
-	rate            float64 // acceptances per second that the key-value store has capacity for
+	rate            float64 // acceptances per second that the state service has capacity for
 	updatedAt       time.Time
 	tokens          map[Key]float64
 	lastAsked       map[Key]time.Time
@@ -60,7 +61,7 @@
 func (l *RateLimiter) Rejected() int { return l.rejections.Len() }
 
 // Admit reports whether a submission is admitted and, if not, after what time to retry. wait is the present queueing
-// delay of an acceptance at the key-value store, and rate the number of acceptances per second.
+// delay of an acceptance at the state service, and rate the number of acceptances per second.
 func (l *RateLimiter) Admit(k Key, uid string, wait time.Duration, rate float64, now time.Time) (admitted bool, retryAfter time.Duration) {
 	l.refill(now, rate)
 	l.lastAsked[k] = now
@@ -95,7 +96,8 @@
 }
 
 // reject remembers a rejected job and returns its retry delay: the time until the queue has drained to half of MaxWait
-// and all remembered rejections have been admitted.
+// and all remembered rejections have been admitted, but at most maxRetryDelay and 5 s less than what is left of
+// userTimeout.
 func (l *RateLimiter) reject(k Key, uid string, wait time.Duration, now time.Time) time.Duration {
 	e := l.rejected[uid]
 	if e == nil {
--- a/internal/admission/status.go
+++ b/internal/admission/status.go
@@ -6,7 +6,7 @@
 	Floors                []Floor        `json:"floors,omitempty"`
 	Reserved              map[string]int `json:"machines_held,omitempty"`    // number of reserved machines, by class
 	Refused               int            `json:"refused_that_may_come_back"` // rejected jobs that may be submitted again
-	AcceptanceWaitSeconds float64        `json:"acceptance_wait_s"`          // queueing delay at the key-value store
+	AcceptanceWaitSeconds float64        `json:"acceptance_wait_s"`          // queueing delay at the state service
 	Keys                  []KeyStatus    `json:"served"`                     // of the controller's own teams
 }
 
--- a/internal/agents/commands.go
+++ b/internal/agents/commands.go
@@ -135,12 +135,12 @@
 	return cpus >= -sizeTolerance && gpus >= -sizeTolerance && memory >= -sizeTolerance
 }
 
-// settled reports that no start command for the attempt can still arrive.
+// settled reports whether it is certain that no start command for the attempt can still arrive.
 func (a *Agent) settled(s *start) bool {
 	return !s.inRequest && !s.unanswered && !a.inOpenAnswer(s)
 }
 
-// inOpenAnswer reports that the start was sent in the answer to a heartbeat that may still be in transit.
+// inOpenAnswer reports whether the start was sent in an answer to a heartbeat and that answer may still be in transit.
 func (a *Agent) inOpenAnswer(s *start) bool { return s.inAnswer && a.lastOwnSeq <= s.answeredSeq }
 
 // StartOrdered reports whether an owner ordered the start of an attempt in this term, and when the start was first
@@ -196,8 +196,8 @@
 	return commands
 }
 
-// FinishRequest records the outcome of a request. If it was answered, ApplyResponse must be called first. If not, its
-// commands may still be executed when left is true, that is, when they may have left this machine.
+// FinishRequest records the outcome of a request. If it was answered, ApplyResponse must be called first. left reports
+// whether the request may have been sent; if so and it was not answered, its commands may still be executed.
 func (a *Agent) FinishRequest(commands []protocol.Command, answered, left bool) {
 	a.requestOpen = false
 	a.unresponsive = !answered
--- a/internal/agents/golden_test.go
+++ b/internal/agents/golden_test.go
@@ -11,7 +11,7 @@
 	"topazhollow/internal/protocol"
 )
 
-// The golden files of this package include lists of machines in the key-value store. Stored lists outlive the process
+// The golden files of this package include lists of machines in the state service. Stored lists outlive the process
 // that wrote them, so their format may only be extended.
 
 // TestGoldenRoster: the stored form of machine lists, and the older forms that must remain readable.
--- a/internal/agents/joblookups.go
+++ b/internal/agents/joblookups.go
@@ -3,7 +3,7 @@
 import "time"
 
 const (
-	// lookupRetryDelay is the delay before a job is looked up again that was not found or whose size was not found.
+	// lookupRetryDelay is the delay before a job is looked up again if the job or its size was not found.
 	lookupRetryDelay = 10 * time.Second
 	// maxOpenLookups bounds the number of concurrent lookups.
 	maxOpenLookups = 64
--- a/internal/agents/machinestatus_test.go
+++ b/internal/agents/machinestatus_test.go
@@ -26,8 +26,8 @@
 	}
 	machines := maxStatusesPerMessage/(1+tasks) + 1
 	message := protocol.Encode(status)
-	const linkTakes = 4 << 20
-	if size := machines * (len(message) + 1); size > linkTakes/4 {
+	const maxLinkMessageBytes = 4 << 20
+	if size := machines * (len(message) + 1); size > maxLinkMessageBytes/4 {
 		t.Errorf("a message with %d machines of %d tasks has %d bytes", machines, tasks, size)
 	}
 }
--- a/internal/agents/registration.go
+++ b/internal/agents/registration.go
@@ -6,7 +6,7 @@
 )
 
 // Registration decides which machines to register in the roster and when to remove those that are gone. A machine is
-// registered in the key-value store before it may get a start, so that an owner that has lost its state knows which
+// registered in the state service before it may get a start, so that an owner that has lost its state knows which
 // machines to wait for.
 type Registration struct {
 	wanted   map[string]bool // machines to be registered
--- a/internal/agents/registry.go
+++ b/internal/agents/registry.go
@@ -3,8 +3,8 @@
 //
 // Registry and Agent decide which heartbeat is the newest, which orders of owners become commands, when a command is
 // sent and whether it may still arrive. UnreachableHomes decides whether this controller renews the lease of an agent
-// whose home does not answer it. Roster holds the machines that are registered in the key-value store. The package
-// knows no quotas and places no tasks.
+// whose home does not answer it. Roster holds the machines that are registered in the state service. The package knows
+// no quotas and places no tasks.
 //
 // It does no I/O and reads no clock: the time is passed in. Its types are not safe for concurrent use; the controller's
 // lock guards them.
--- a/internal/agents/registry_test.go
+++ b/internal/agents/registry_test.go
@@ -58,8 +58,8 @@
 	}
 }
 
-// TestRefusedStartIsNeverSent: a stop for a start that has not been sent cancels it permanently, and the owner is told
-// so.
+// TestRefusedStartIsNeverSent: a stop for a start that has not been sent cancels it permanently, and the machine's
+// status reports that to the owner.
 func TestRefusedStartIsNeverSent(t *testing.T) {
 	h, m := newTestRegistry(t)
 	o := startOf("job-1")
--- a/internal/agents/roster.go
+++ b/internal/agents/roster.go
@@ -9,9 +9,9 @@
 	"strconv"
 )
 
-// Roster is a controller's view of the machines registered in the key-value store. Each key lists many machines, so
-// that a batch of acquired or released machines takes few writes. A controller registers machines only under its own
-// keys. Any controller may deregister machines that are confirmed by the cloud to be gone.
+// Roster is a controller's view of the machines registered in the state service. Each key lists many machines, so that
+// a batch of acquired or released machines takes few writes. A controller registers machines only under its own keys.
+// Any controller may deregister machines that are confirmed by the cloud to be gone.
 type Roster struct {
 	maxValueSize int // maximum size of a key's value in bytes
 	lists        map[string]*list
@@ -35,9 +35,9 @@
 // Value returns the value to be written.
 func (w *RosterWrite) Value() RosterValue { return RosterValue{After: w.Version, Names: w.Names} }
 
-// RosterValue is a key's value: the machines, and the version of the key that it replaced. Keys are never deleted. A
-// value that replaced an older version than one seen by another controller was therefore written after the store had
-// lost the later version, and machines missing from it have not been deregistered.
+// RosterValue is a key's value: the machines, and the version of the key that it replaced. Keys are never deleted. If
+// that version is older than one that a controller knows, the store had lost the later version before this value was
+// written, and machines missing from the value have not been deregistered.
 type RosterValue struct {
 	After uint64   `json:"after"`
 	Names []string `json:"names"`
@@ -56,7 +56,7 @@
 // emptyValueSize is the maximum size in bytes of an encoded value without names.
 const emptyValueSize = len(`{"after":18446744073709551615,"names":[]}`)
 
-// ErrRosterDataLost means that a list of machines was written after the store had lost the list known here.
+// ErrRosterDataLost means that the state service had lost the list known here before another one was written.
 var ErrRosterDataLost = errors.New("roster: list of machines replaces an older version than the known one")
 
 // NewRoster returns an empty Roster whose encoded values are limited to maxValueSize bytes.
--- a/internal/agents/roster_test.go
+++ b/internal/agents/roster_test.go
@@ -111,9 +111,9 @@
 	}
 }
 
-// TestLostListDeregistersNobody: if the store loses a list and a process that started afterwards writes a new one, the
-// machines missing from the new list have not been deregistered.
-func TestLostListDeregistersNobody(t *testing.T) {
+// TestLostListDeregistersNoMachine: if the store loses a list and a process that started afterwards writes a new one,
+// the machines missing from the new list have not been deregistered.
+func TestLostListDeregistersNoMachine(t *testing.T) {
 	r := NewRoster(200)
 	if _, _, err := r.ApplyList("m/a/0", 5, RosterValue{Names: []string{"n-1", "n-2"}}); err != nil {
 		t.Fatal(err)
--- a/internal/agents/unreachablehomes.go
+++ b/internal/agents/unreachablehomes.go
@@ -18,8 +18,8 @@
 // Timing holds the durations on which decisions about unreachable homes are based.
 type Timing struct {
 	HeartbeatOverdue time.Duration // time without a heartbeat after which an agent is overdue at its home
-	// RedirectTimeout is the maximum time between two heartbeats of an agent here, with an attempt to reach its home in
-	// between.
+	// RedirectTimeout is the maximum time between two misdirected heartbeats of an agent that tried to reach its home
+	// in between. After a longer time a new series of attempts begins.
 	RedirectTimeout time.Duration
 	Lease           time.Duration // duration of an agent's lease
 }
@@ -166,7 +166,8 @@
 	return ""
 }
 
-// countUnreachable returns the number of agents that have been failing to reach a home for some time.
+// countUnreachable returns the number of agents that have been failing to reach a home for more than half of
+// HeartbeatOverdue. It drops attempts that are no longer current.
 func (u *UnreachableHomes) countUnreachable(home string, homes Homes, now time.Time) (count int) {
 	for machine, a := range u.attempts[home] {
 		switch {
--- a/internal/agents/unregistered.go
+++ b/internal/agents/unregistered.go
@@ -3,7 +3,7 @@
 import "time"
 
 // Unregistered tracks an agent that sends heartbeats with tasks although its machine is not registered. Since a machine
-// is registered before its first start, this indicates that the key-value store has lost a list of machines. A single
+// is registered before its first start, this indicates that the state service has lost a list of machines. A single
 // heartbeat proves nothing, because it may be a delayed one from a machine that is gone by now.
 type Unregistered struct {
 	since    time.Time // when the first such heartbeat was received; zero if none
--- a/internal/autoscaler/autoscaler.go
+++ b/internal/autoscaler/autoscaler.go
@@ -76,14 +76,14 @@
 
 // delayFactor returns the factor by which work of a rank starts later than forecast, because the forecast only contains
 // work already submitted and future work of a higher rank will be placed first.
-func (in Arrivals) delayFactor(rank int, room float64) float64 {
+func (in Arrivals) delayFactor(rank int, totalCPUs float64) float64 {
 	before := 0.0
 	for r, cpus := range in {
 		if r > rank {
 			before += cpus
 		}
 	}
-	return 1 / (1 - min(before/max(room, 1), maxArrivalShare))
+	return 1 / (1 - min(before/max(totalCPUs, 1), maxArrivalShare))
 }
 
 // Plan lists the actions to carry out now.
@@ -133,7 +133,8 @@
 // ForgetUnsent forgets pending requests that the caller did not send.
 func (a *Autoscaler) ForgetUnsent() { clear(a.pending) }
 
-// RecordScaleOut records the outcome of a scale-out request.
+// RecordScaleOut records the outcome of a scale-out request, which acquired got machines. If the pool refused the rest,
+// no machines are requested from it during a backoff.
 func (a *Autoscaler) RecordScaleOut(r protocol.ScaleOutRequest, got int, now time.Time, refused bool) {
 	p := pool{r.Type, r.Zone, r.Spot}
 	a.pending[p] -= r.Count
@@ -183,7 +184,7 @@
 	barrierTimeout   time.Duration                    // silence after which a machine that a barrier waits for is lost
 	partitionedZones map[string]bool                  // zones that are probably cut off from the network
 	now              time.Time
-	settled          time.Time
+	settled          time.Time // when the set of controllers last changed
 }
 
 // Decide returns the actions that follow from the given state. settled is when the set of controllers last changed; the
@@ -248,7 +249,7 @@
 	return operating
 }
 
-// retiredMachines returns the names of the retired machines.
+// retiredMachines returns the names of the operating machines that are retired.
 func (a *Autoscaler) retiredMachines(live []*Machine) (names []string) {
 	for _, m := range live {
 		if a.retired[m.Name] {
--- a/internal/autoscaler/autoscaler_test.go
+++ b/internal/autoscaler/autoscaler_test.go
@@ -425,9 +425,10 @@
 	}
 }
 
-// TestScaleOutRequestsGoByUrgency: scale-out requests are rate-limited, so they must be ordered by urgency, and
-// requests to a pool that has refused another one in the meantime must be recognized as obsolete.
-func TestScaleOutRequestsGoByUrgency(t *testing.T) {
+// TestScaleOutRequestsAreOrderedByUrgency: scale-out requests are rate-limited, so they must be ordered by urgency, and
+// requests to a pool that has refused another one in the meantime must be recognized as obsolete. Otherwise requests
+// for machines that are needed sooner wait behind them.
+func TestScaleOutRequestsAreOrderedByUrgency(t *testing.T) {
 	for range 20 { // map iteration order is random
 		a, types, now := setup()
 		types = append(types, protocol.MachineType{Name: "g8", CPUs: 8, GPUs: 2, MemoryGB: 64, PricePerHour: 9, SpotPricePerHour: 5, BootSeconds: 10, Zones: []string{"a"}})
--- a/internal/autoscaler/bin.go
+++ b/internal/autoscaler/bin.go
@@ -65,7 +65,7 @@
 	return start
 }
 
-// tasksThatFit returns how many tasks there is permanently room for from a time on.
+// tasksThatFit returns how many tasks the bin has room for permanently from a time on.
 func (b *bin) tasksThatFit(s *protocol.Submission, from float64) int {
 	count := protocol.MaxTasks
 	cpus, gpus, mem := 0.0, 0.0, 0.0
--- a/internal/autoscaler/boot.go
+++ b/internal/autoscaler/boot.go
@@ -7,8 +7,8 @@
 	"topazhollow/internal/protocol"
 )
 
-// bootHistory records how long recent machines of a type in a zone, spot or on-demand, took from acquisition to the
-// first heartbeat.
+// bootHistory records how long recent machines of a type in a zone, spot and on-demand together, took from acquisition
+// to the first heartbeat.
 type bootHistory struct {
 	seconds      []float64 // most recent boot times in seconds
 	p75          float64   // 75th percentile of these
@@ -110,7 +110,8 @@
 	return max(1, expected-age)
 }
 
-// bootTimedOut reports whether a machine has been booting for so long that it is given up.
+// bootTimedOut reports whether a machine has been booting for so long that it is given up. A machine that others have
+// overtaken gets half the time.
 func (a *Autoscaler) bootTimedOut(m *Machine, t *protocol.MachineType, now time.Time) bool {
 	typical := 60.0
 	if t != nil {
--- a/internal/autoscaler/retire.go
+++ b/internal/autoscaler/retire.go
@@ -39,8 +39,8 @@
 	return max(0, least)
 }
 
-// hasCheaperSpot reports whether a machine is on-demand and spot machines of its type are in use and cheaper, so that
-// its work should move to other machines that have room.
+// hasCheaperSpot reports whether a machine is on-demand, spot machines may be acquired, and those of its type are
+// cheaper, so that its work should move to other machines that have room.
 func (a *Autoscaler) hasCheaperSpot(m *Machine, t *protocol.MachineType) bool {
 	return !m.Spot && a.options.SpotShare > 0 && t.SpotPricePerHour < t.PricePerHour
 }
@@ -50,7 +50,8 @@
 // machine is retired once the others have room for its work plus the reserve, and returned to service as soon as that
 // no longer holds. Tasks on retired machines count as work that the others are about to get.
 func (a *Autoscaler) retire(live []*Machine, types map[string]*protocol.MachineType, demands []Demand, now time.Time) {
-	// While work that may not use spot machines waits, it is unknown which on-demand machines it needs: retire none.
+	// While work that may not use spot machines waits, it is unknown which on-demand machines it needs: retire none,
+	// and return all retired ones to service.
 	onDemandOnly := slices.ContainsFunc(demands, func(d Demand) bool { return !d.Spec.Spot })
 	byType := map[string][]*Machine{}
 	isLive := map[string]bool{}
@@ -72,7 +73,8 @@
 	}
 }
 
-// waitingByType returns for each type the capacity, in machines, of the waiting tasks that may run on it.
+// waitingByType returns for each type the capacity, in machines, of the waiting tasks that may run on it. Tasks that
+// must run in a given zone count for every type.
 func waitingByType(types map[string]*protocol.MachineType, demands []Demand) map[string]float64 {
 	waiting := map[string]float64{}
 	for _, d := range demands {
--- a/internal/autoscaler/scalein.go
+++ b/internal/autoscaler/scalein.go
@@ -21,7 +21,8 @@
 
 // scaleInIdle releases machines that have been idle longer than the idle timeout, the most expensive first, but keeps
 // Options.Warm machines. Spot machines may not be available again, so they are kept longer while at most a tenth of all
-// machines is idle; more idle machines than that are not a short lull.
+// machines is idle; more idle machines than that are not a short lull. Retired machines have no idle
+// timeout.
 func (a *Autoscaler) scaleInIdle(plan *Plan, types map[string]*protocol.MachineType, idle []*Machine, total int, now time.Time) {
 	slices.SortFunc(idle, func(a, b *Machine) int {
 		if d := cmp.Compare(b.price(types), a.price(types)); d != 0 {
--- a/internal/autoscaler/silence.go
+++ b/internal/autoscaler/silence.go
@@ -6,9 +6,10 @@
 
 // silenceTimeout returns how long a machine may be silent before it is released:
 //   - A machine that the cloud no longer lists is already gone, so it gets a shorter timeout. The list is ordered by
-//     acquisition: a missing machine that precedes a listed one is not merely too new to be listed, and gets the
-//     shortest timeout if a barrier waits for it.
-//   - A machine that an owner's barrier waits for gets barrierTimeout.
+//     acquisition: a missing machine that precedes a listed one is not merely too new to be listed, and gets one second
+//     if a barrier waits for it.
+//   - A machine that an owner's barrier waits for gets barrierTimeout, or one second if it did not answer its home's
+//     probe and few machines are overdue.
 //   - Machines in a zone that is partitioned from the network keep running their tasks and return with their images
 //     and results, so they get longer.
 func (a *Autoscaler) silenceTimeout(m *Machine, barrierTimeout time.Duration, partitioned bool) time.Duration {
@@ -26,9 +27,9 @@
 }
 
 // barrierTimeout returns how long a machine that a barrier waits for may be silent. Waiting blocks a whole team, which
-// costs more than a new machine. If at most 2 % of the machines are overdue, these are probably gone and get the
-// shortest timeout. If more are, they get the time that an agent needs to find another controller. If more than a tenth
-// are silent even after that, they are probably cut off and get the regular timeout.
+// costs more than a new machine. If at most 2 % of the machines are overdue, these are probably gone and get
+// OverdueTimeout. If more are, they get BarrierTimeout, the time that an agent needs to find another controller. If
+// more than a tenth are silent even after that, they are probably cut off and get SilenceTimeout.
 func (a *Autoscaler) barrierTimeout(machines []Machine, now, settled time.Time) time.Duration {
 	overdue, silent := 0, 0
 	for i := range machines {
--- a/internal/cloud/cloud.go
+++ b/internal/cloud/cloud.go
@@ -26,7 +26,7 @@
 
 const (
 	timeout    = 6 * time.Second // of one request
-	maxScaleIn = 100             // machines returned by one request
+	maxScaleIn = 100             // machines released by one request
 )
 
 // Client is a client of the cloud. It is safe for concurrent use.
@@ -45,8 +45,8 @@
 	return &Client{pool: httpx.NewPool(addr, 4<<20, 8), limiter: rate.NewLimiter(rate.Limit(share), max(1, int(share)))}
 }
 
-// do sends a request and decodes the answer into into unless that is nil.
-func (c *Client) do(ctx context.Context, method, target string, body any, into any) error {
+// do sends a request and decodes the answer into result unless result is nil.
+func (c *Client) do(ctx context.Context, method, target string, body any, result any) error {
 	if err := c.limiter.Wait(ctx); err != nil {
 		return err
 	}
@@ -66,10 +66,10 @@
 		}
 		return fmt.Errorf("%w: status %d %s", ErrRefused, resp.Status, e.Error)
 	}
-	if into == nil {
+	if result == nil {
 		return nil
 	}
-	return protocol.Decode(resp.Body, into)
+	return protocol.Decode(resp.Body, result)
 }
 
 // Catalog returns the machine types with their present prices.
@@ -97,7 +97,7 @@
 	return names.Machines, err
 }
 
-// ScaleIn returns machines to the cloud. When it succeeds, the machines and everything on them are gone.
+// ScaleIn releases machines to the cloud. When it succeeds, the machines and everything on them are gone.
 func (c *Client) ScaleIn(ctx context.Context, machines []string) error {
 	if len(machines) > maxScaleIn {
 		return fmt.Errorf("cloud: %d machines in one scale-in request, at most %d are allowed", len(machines), maxScaleIn)
--- a/internal/kvstore/batch.go
+++ b/internal/kvstore/batch.go
@@ -106,7 +106,7 @@
 		p.size += len(g.Key) + conditionOverhead
 	}
 	if len(u.Changes) > b.maxChanges || len(u.Conditions) >= maxConditionsPerChange*b.maxChanges {
-		return 0, fmt.Errorf("%w: update of %d changes", ErrInvalid, len(u.Changes))
+		return 0, fmt.Errorf("%w: update with %d changes and %d conditions does not fit into a transaction", ErrInvalid, len(u.Changes), len(u.Conditions))
 	}
 	select {
 	case b.queue <- p:
--- a/internal/kvstore/fence.go
+++ b/internal/kvstore/fence.go
@@ -13,27 +13,27 @@
 // present epoch.
 type fence struct {
 	mu         sync.Mutex         // guards what is below
-	epoch      uint64             // number of calls of ForgetRevisions
-	highest    uint64             // highest revision of any answer in this epoch
+	resets     uint64             // number of calls of ForgetRevisions
+	highest    uint64             // highest revision of any answer since the last of these calls
 	held       bool               // all updates are refused
 	condition  protocol.Condition // carried by every update; Key is empty if there is none
 	onDataLoss func(reason string)
 }
 
 // revisionMark is the highest revision known when a request was sent.
-type revisionMark struct{ epoch, highest uint64 }
+type revisionMark struct{ resets, highest uint64 }
 
 // mark returns the present mark, to be taken before a request is sent.
 func (f *fence) mark() revisionMark {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return revisionMark{f.epoch, f.highest}
+	return revisionMark{f.resets, f.highest}
 }
 
 // observe checks the revision of an answer against the mark taken before its request, and records it.
 func (f *fence) observe(at revisionMark, revision uint64) error {
 	f.mu.Lock()
-	stale, decreased := at.epoch != f.epoch, revision < at.highest
+	stale, decreased := at.resets != f.resets, revision < at.highest
 	if !stale && !decreased {
 		f.highest = max(f.highest, revision)
 	}
@@ -84,7 +84,7 @@
 func (c *Client) ForgetRevisions() {
 	c.fence.mu.Lock()
 	defer c.fence.mu.Unlock()
-	c.fence.epoch++
+	c.fence.resets++
 	c.fence.highest = 0
 }
 
--- a/internal/kvstore/golden_test.go
+++ b/internal/kvstore/golden_test.go
@@ -10,7 +10,7 @@
 	"topazhollow/internal/settings"
 )
 
-// TestGoldenRequests checks the requests to the key-value store, whose format the store defines.
+// TestGoldenRequests checks the requests to the state service, whose format the store defines.
 func TestGoldenRequests(t *testing.T) {
 	revision := `{"revision":432}`
 	service := goldentest.NewService(t, map[string]string{"POST /txn": revision, "POST /grants": `{"permiso":7}`, "GET /store": `{"entries":[],"more":false,"revision":432}`,
--- a/internal/kvstore/kvstore.go
+++ b/internal/kvstore/kvstore.go
@@ -1,11 +1,11 @@
-// Package kvstore is the client of the region's consensus-backed key-value store.
+// Package kvstore is the client of the state service, the region's consensus-backed key-value store.
 //
-// Reads and updates are limited to one controller's share of the store's rates. Leases and the membership record are
-// not limited; a part of the rates is reserved for them. An Update is a compare-and-swap that is committed as a whole
-// or not at all. Updates that touch different keys share transactions by group commit (batch.go). Every update carries
-// a fence, which is a condition on a key that exists only in the present epoch of the store's data, and every answer's
-// revision is compared with earlier ones, so that a store that lost acknowledged data is detected and not written to
-// (fence.go).
+// Reads and updates are limited to one controller's share of the store's rates. Requests for leases and the membership
+// record are not limited; a part of the rates is reserved for them. An Update is a compare-and-swap that is committed
+// as a whole or not at all. Updates that touch different keys share transactions by group commit (batch.go). Every
+// update carries a fence, which is a condition on a key that exists only in the present epoch of the store's data, and
+// every answer's revision is compared with earlier ones, so that a store that lost acknowledged data is detected and
+// not written to (fence.go).
 //
 // The package makes no decisions about jobs or machines and caches no data. A Client is safe for concurrent use.
 package kvstore
@@ -30,12 +30,12 @@
 // Errors that callers distinguish with errors.Is. After ErrUnknown and ErrRevisionDecreased a change may have been made
 // or may still be made; after the others it was not.
 var (
-	ErrConflict          = errors.New("key-value store: condition failed")
-	ErrRefused           = errors.New("key-value store: not executed")       // status 429 or 503, or never sent
-	ErrUnknown           = errors.New("key-value store: outcome unknown")    // may have been or may still be executed
-	ErrLeaseExpired      = errors.New("key-value store: lease expired")      // or was never granted
-	ErrCompacted         = errors.New("key-value store: revision compacted") // the keys must be read again
-	ErrInvalid           = errors.New("key-value store: malformed request or answer")
+	ErrConflict          = errors.New("state service: condition failed")
+	ErrRefused           = errors.New("state service: not executed")       // status 429 or 503, or never sent
+	ErrUnknown           = errors.New("state service: outcome unknown")    // may have been or may still be executed
+	ErrLeaseExpired      = errors.New("state service: lease expired")      // or was never granted
+	ErrCompacted         = errors.New("state service: revision compacted") // the keys must be read again
+	ErrInvalid           = errors.New("state service: malformed request or answer")
 	ErrRevisionDecreased = fmt.Errorf("%w: revision decreased", ErrUnknown)
 	ErrUpdatesHeld       = fmt.Errorf("%w: updates are held", ErrRefused)
 )
@@ -56,7 +56,7 @@
 	LongPollTimeout = 10 * time.Second // how long a watch waits for a change
 )
 
-// Client is a client of the key-value store.
+// Client is a client of the state service.
 type Client struct {
 	calls     *httpx.Pool
 	control   *httpx.Pool // for leases and the membership record
@@ -202,7 +202,7 @@
 	}
 }
 
-// Page reads up to 500 keys below a prefix, starting after the key after. more reports whether there are others.
+// Page reads up to 500 keys below a prefix that sort behind the key given by after. more reports whether others follow.
 func (c *Client) Page(ctx context.Context, prefix, after string) (entries []protocol.Entry, more bool, err error) {
 	page, err := c.page(ctx, prefix, after)
 	if err != nil {
--- a/internal/kvstore/kvstore_test.go
+++ b/internal/kvstore/kvstore_test.go
@@ -57,9 +57,9 @@
 	}
 }
 
-// TestConflictNamesItsKeys: a conflict names the keys whose conditions failed, so that the caller can tell its own key
-// from another one that the update depends on. It guards against taking a changed membership record for a lost job,
-// which stopped the whole deployment as long as jobs ended.
+// TestConflictNamesItsKeys: a conflict names the keys whose conditions failed, so that the caller can distinguish its
+// own key from another one that the update depends on. It guards against taking a changed membership record for a lost
+// job, which stopped the whole deployment for as long as jobs kept ending.
 func TestConflictNamesItsKeys(t *testing.T) {
 	s, err := simulation.NewKVStore(16, 16)
 	if err != nil {
--- a/internal/peer/halfopen.go
+++ b/internal/peer/halfopen.go
@@ -10,10 +10,10 @@
 	steadyGap    = 2 * time.Second // longest interval between two statuses that arrive steadily
 )
 
-// HalfOpenDetector detects a half-open connection: one on which this controller sends while the peer receives nothing,
-// as the peer's statuses on the connection of the other direction show. It occurs when the peer's machine or the
-// network loses the connection without notice, and the operating system may keep it open for many minutes. The zero
-// value has no connection.
+// HalfOpenDetector detects a half-open connection to a peer: one on which the peer receives nothing that this
+// controller sends. The peer's statuses, which arrive on the connection of the other direction, show what it has
+// received. It occurs when the peer's machine or the network loses the connection without notice, and the operating
+// system may keep it open for many minutes. The zero value has no connection.
 type HalfOpenDetector struct {
 	connectedAt  time.Time // start of the connection
 	lastStatusAt time.Time // arrival of the peer's last status
--- a/internal/protocol/agents.go
+++ b/internal/protocol/agents.go
@@ -50,6 +50,7 @@
 
 // Heartbeat is an agent's report on its machine and all tasks on it. Seq increases within an incarnation, which
 // identifies a run of the agent's process. FencingToken is the highest one under which the agent accepted commands.
+// NoticeSeconds is set once the cloud has announced that it will reclaim the machine.
 type Heartbeat struct {
 	Machine       string       `json:"estacion"`
 	Addr          string       `json:"address"`
@@ -72,7 +73,7 @@
 	Checkpointed bool       `json:"kept,omitempty"`
 }
 
-// Command tells an agent to execute an operation on one attempt of a task.
+// Command orders an agent to execute an operation on one attempt of a task.
 type Command struct {
 	Op           CommandOp `json:"orden"`
 	Task         string    `json:"tramo"`
--- a/internal/protocol/golden_test.go
+++ b/internal/protocol/golden_test.go
@@ -9,7 +9,7 @@
 	"topazhollow/internal/protocol"
 )
 
-// The golden files hold the messages to and from users, agents, the cloud and the key-value store. Those interfaces are
+// The golden files hold the messages to and from users, agents, the cloud and the state service. Those interfaces are
 // defined outside this program, so no name in the files may change.
 
 // TestGoldenMessages checks the encoding and decoding of every message.
--- a/internal/protocol/kvstore.go
+++ b/internal/protocol/kvstore.go
@@ -4,8 +4,8 @@
 	stdjson "encoding/json"
 )
 
-// Entry is a key of the key-value store with its value. A key with a lease is deleted when the lease expires. Version
-// is the revision of the key's last change.
+// Entry is a key of the state service with its value. A key with a lease is deleted when the lease expires. Version is
+// the revision of the key's last change.
 type Entry struct {
 	Key     string             `json:"path"`
 	Value   stdjson.RawMessage `json:"v"`
@@ -34,7 +34,7 @@
 	Delete string             `json:"delete,omitempty"`
 }
 
-// Txn is a transaction of the key-value store, a compare-and-swap: if all conditions hold, all changes are made,
+// Txn is a transaction of the state service, a compare-and-swap: if all conditions hold, all changes are made,
 // otherwise none.
 type Txn struct {
 	Conditions []Condition `json:"guards"`
@@ -47,7 +47,7 @@
 	Failed   []string `json:"failed"`
 }
 
-// LeaseRequest is a request for a lease of the key-value store.
+// LeaseRequest is a request for a lease of the state service.
 type LeaseRequest struct {
 	TTLMillis int64 `json:"life_ms"`
 }
--- a/internal/protocol/protocol.go
+++ b/internal/protocol/protocol.go
@@ -4,7 +4,7 @@
 //   - users.go: users submit jobs, query their state and cancel them
 //   - agents.go: agents on the machines send heartbeats and receive commands
 //   - cloud.go: the cloud rents machines
-//   - kvstore.go: the consensus-backed key-value store
+//   - kvstore.go: the state service, a consensus-backed key-value store
 //
 // The names on the wire, which the deployment defines, occur only in JSON tags and constant values of this package. Go
 // identifiers use the common terms of the field instead. check.go validates submissions and heartbeats before they are
--- a/internal/provisioning/decide.go
+++ b/internal/provisioning/decide.go
@@ -31,7 +31,8 @@
 	Retired           int                        // number of machines that will be released once idle
 }
 
-// Decide returns the machines to acquire, release and drain. The caller must then call StartDraining.
+// Decide returns the machines to acquire, release and drain. The caller must then call StartDraining. After a takeover
+// no machines are acquired for ListLag, until the list must contain those that the earlier owner acquired.
 func (p *Provisioner) Decide(in *Inputs, now time.Time) Actions {
 	settled := in.SettledAt
 	if p.startedAt.After(settled) {
@@ -64,9 +65,9 @@
 }
 
 // drainSet returns the set of machines that are released now or once they are idle.
-func drainSet(returned, retired []string) map[string]bool {
+func drainSet(released, retired []string) map[string]bool {
 	set := map[string]bool{}
-	for _, machine := range returned {
+	for _, machine := range released {
 		set[machine] = true
 	}
 	for _, machine := range retired {
--- a/internal/scheduler/gangpreemption.go
+++ b/internal/scheduler/gangpreemption.go
@@ -15,7 +15,7 @@
 func (p *pass) preemptForGangs() {
 	for _, team := range p.teams {
 		if !team.Quota().ReservesCapacityForGangs() || !team.Quota().ReservesForGangs() {
-			continue
+			continue // the team's gangs did not use capacity or quota that was reserved for them
 		}
 		w := p.firstGang(team)
 		if w != nil && p.now.Sub(w.submittedAt) > preemptionDelay && protocol.Rank(w.spec.Priority) > 0 && !w.spec.Spread {
@@ -61,7 +61,7 @@
 	if len(missing) == 0 || len(p.scheduler.gangSlots(w.spec.UID)) > 0 {
 		return
 	}
-	ownOnly := w.borrowed || w.count < len(missing)
+	ownOnly := w.borrowed || w.count < len(missing) // all or part of the gang exceeds its team's guarantee
 	search := p.searchGangRoom(w, ownOnly)
 	left := w.team.Quota().Left()
 	stops, ok := gangpreemption.Plan(gangpreemption.Gang{
--- a/internal/scheduler/machines.go
+++ b/internal/scheduler/machines.go
@@ -10,7 +10,7 @@
 	"topazhollow/internal/protocol"
 )
 
-// maxImages bounds the number of images recorded per machine.
+// maxImages is the number of images recorded per machine above which they are discarded and recorded again.
 const maxImages = 64
 
 // machine is the cached state of a machine that has reported.
@@ -18,7 +18,7 @@
 	status       *jobstate.MachineStatus
 	host         placement.Host                    // valid if roomCurrent
 	roomCurrent  bool                              // host's free capacity is up to date
-	images       map[string]bool                   // images used by its tasks
+	images       map[string]bool                   // images of its present and earlier tasks
 	runningSince map[jobstate.AttemptRef]time.Time // when each running task was first seen running
 }
 
@@ -69,7 +69,8 @@
 	return observed
 }
 
-// rememberImages records the images of the listed tasks.
+// rememberImages records the images of the listed tasks. If there are more than maxImages already, it first discards
+// them.
 func (m *machine) rememberImages(jobs Jobs) {
 	if len(m.images) > maxImages {
 		clear(m.images)
@@ -127,8 +128,8 @@
 
 // Hosts returns the machines that accept tasks, with their free capacity as known to this controller. If least is not
 // nil, machines without room for it are left out. Stale data is safe: the machine's home refuses a task that does not
-// fit. Only machines with changes are recomputed. The result is valid until the next call of the same kind, with or
-// without least.
+// fit. Only machines with changes are recomputed. Calls with and without least use separate buffers; the result is
+// valid until the next call that uses the same one.
 func (s *Scheduler) Hosts(snapshot Snapshot, now time.Time, least *placement.Request) []*placement.Host {
 	s.InvalidateMachines(snapshot.TakeChangedMachines())
 	accepts, plan := snapshot.AcceptingMachines(now), snapshot.Plan()
--- a/internal/scheduler/pass.go
+++ b/internal/scheduler/pass.go
@@ -148,8 +148,8 @@
 	})
 }
 
-// choose returns a host that has room for a task and is not skipped, or nil. If no host was skipped, the request is
-// recorded in unplaceableAsks, so that larger ones fail without another search.
+// choose returns a host that has room for a task and is not skipped, or nil. If no host has room and none was skipped,
+// the request is recorded in unplaceableAsks, so that larger ones fail without another search.
 func (p *pass) choose(ask *placement.Request, skip func(*placement.Host) bool) *placement.Host {
 	if slices.ContainsFunc(p.unplaceableAsks, ask.Exceeds) {
 		return nil
@@ -176,8 +176,8 @@
 	return jobstate.Location{Machine: h.Name, Zone: s.machines[h.Name].status.Zone, Incarnation: h.Incarnation}
 }
 
-// hasNoSlack reports whether the tasks would miss their objective if they took three times their estimated run time
-// after fetching the image.
+// hasNoSlack reports whether array tasks would miss their objective if they waited for preemptionDelay, fetched their
+// image and then ran three times as long as estimated. It is false for late and for borrowed work.
 func (s *Scheduler) hasNoSlack(w *waitingTasks, now time.Time) bool {
 	if w.spec.Kind != protocol.JobArray || w.late || w.borrowed {
 		return false
--- a/internal/scheduler/pass_test.go
+++ b/internal/scheduler/pass_test.go
@@ -11,7 +11,8 @@
 )
 
 // TestNoSlackMinimizesTime guards against placing a task that is almost due on a cheap machine that must fetch its
-// image first, although a more expensive machine has the image. Tasks with enough time are placed at the lowest cost.
+// image first, which may take longer than the time left, although a more expensive machine has the image. Tasks with
+// enough time are placed at the lowest cost.
 func TestNoSlackMinimizesTime(t *testing.T) {
 	for _, deadline := range []float64{30, 300} {
 		c := newCluster(t, 8, 1)
--- a/internal/scheduler/preemption.go
+++ b/internal/scheduler/preemption.go
@@ -75,8 +75,8 @@
 }
 
 // bookCompletions returns how many of a job's tasks, at most need, will fit within preemptionDelay into capacity that
-// completing tasks free, and books that capacity. Capacity freed by smaller tasks does not count: other small tasks
-// take it first.
+// completing tasks free, and books that capacity: it goes to the most urgent tasks without any eviction. Capacity freed
+// by smaller tasks does not count: other small tasks take it first.
 func (r *preemption) bookCompletions(spec *protocol.Submission, need int) (count int) {
 	if r.completions == nil {
 		r.completions = r.pass.scheduler.estimateCompletions(r.pass.snapshot, r.pass.now)
@@ -99,7 +99,7 @@
 func (r *preemption) stop(chosen evictionSet, job string) {
 	for i, v := range chosen.victims {
 		e := eviction{job: job, at: r.pass.now}
-		if i == 0 {
+		if i == 0 { // the victims together make room for one task
 			e.tasks = 1
 		}
 		chosen.host.Release(v.spec.CPUs, v.spec.GPUs, v.spec.MemoryGB)
@@ -111,7 +111,8 @@
 // completionRate is the number of CPUs per second that completing tasks of one size are expected to free.
 type completionRate struct{ taskCPUs, rate float64 }
 
-// estimateCompletions estimates the completion rate of each job's running tasks and updates runningCPUs.
+// estimateCompletions estimates the completion rate of each job's running tasks and updates runningCPUs. Within
+// completionsInterval it returns the previous estimate.
 func (s *Scheduler) estimateCompletions(jobs Jobs, now time.Time) []completionRate {
 	if s.completions != nil && now.Sub(s.completionsAt) < completionsInterval {
 		return s.completions
@@ -144,7 +145,7 @@
 }
 
 // keepsFloorWithout reports whether the class of a task would still reach its floor in the admission plan if the task
-// and another stopped CPUs of the class were gone.
+// were stopped. stopped is the number of CPUs of the class that are to be stopped besides it.
 func (p *pass) keepsFloorWithout(spec *protocol.Submission, stopped float64) bool {
 	key := admissionKey(spec)
 	floor := p.snapshot.Plan().Floor(key)
--- a/internal/scheduler/queue.go
+++ b/internal/scheduler/queue.go
@@ -18,7 +18,7 @@
 	count       int
 	borrowed    bool      // uses capacity beyond the team's guarantee
 	probe       bool      // belongs to a job that fails on all machines
-	surplus     bool      // beyond the team's demands, in limit and capacity that these leave unused for lack of room
+	surplus     bool      // uses limit and capacity that the team's demands leave unused because they do not fit
 	prioritized bool      // placed before more urgent work; see Team.PrioritizedTasks
 	late        bool      // can no longer meet any completion objective
 	lateStart   bool      // late, and has missed its start objective as well
@@ -80,7 +80,7 @@
 	}
 }
 
-// setUrgency derives the latest start of a job's tasks from its objectives.
+// setUrgency derives from a job's objectives the latest start of its tasks and whether they are late.
 func (w *waitingTasks) setUrgency(levels ServiceLevels, j *Job, now time.Time) {
 	by, late := j.NextObjective(now)
 	w.latestStart, w.late = by.Add(-j.Spec.RunTime()), late
@@ -106,9 +106,9 @@
 	return -1
 }
 
-// compareClass compares the urgency classes of two entries. Entries of different classes are never interleaved: work
-// within its team's guarantee precedes borrowed work, then the higher priority precedes the lower. Prioritized tasks
-// precede both, surplus tasks follow them, and probes of faulty jobs come last.
+// compareClass compares the urgency classes of two entries. Entries of different classes are never interleaved.
+// Prioritized tasks come first, then work within its team's guarantee, then borrowed work, each in descending order of
+// priority. Surplus tasks follow, and probes of faulty jobs come last.
 func (w *waitingTasks) compareClass(o *waitingTasks) int {
 	if w.probe != o.probe {
 		return falseFirst(w.probe)
--- a/internal/scheduler/scheduler.go
+++ b/internal/scheduler/scheduler.go
@@ -131,7 +131,7 @@
 type Result struct {
 	Evictions []Eviction
 	Queued    bool // own tasks were waiting when the pass began
-	Unplaced  bool // some own tasks are still waiting
+	Unplaced  bool // some own tasks, other than surplus ones, are still waiting
 }
 
 // SetMachineTypes replaces the catalog of machine types.
--- a/internal/scheduler/zones.go
+++ b/internal/scheduler/zones.go
@@ -6,7 +6,7 @@
 	"topazhollow/internal/placement"
 )
 
-// anyZone means all zones where a zone index is expected.
+// anyZone is used in place of a zone index and stands for all zones.
 const anyZone = -1
 
 // unknownZone is the index of zones that are not part of the deployment. It matches no machine's zone.
--- a/internal/settings/script.go
+++ b/internal/settings/script.go
@@ -16,10 +16,10 @@
 	SampleSize        int     // machines examined for one placement
 	IdleReturnSeconds float64 // how long an idle machine is kept
 	WarmMachines      int     // number of machines kept even when idle
-	SpotShare         float64 // maximum share of spot machines when scaling out
+	SpotShare         float64 // 0 excludes spot machines when scaling out; any other value allows them
 	SafetyRunTimes    float64 // safety margin before a job is due when scaling out, in estimated run times
 
-	ControllerLeaseSeconds float64 // duration of a controller's lease in the key-value store
+	ControllerLeaseSeconds float64 // duration of a controller's lease in the state service
 	BitmapIntervalSeconds  float64 // between writes of the bitmaps of finished tasks
 
 	ClassFloor        float64            // fraction of its arrivals that each class and team is guaranteed; 0: none
@@ -32,7 +32,7 @@
 	ConfigMaxAgeSeconds float64
 
 	// CopyWaitSeconds is how long after a loss of the store's data a restored copy may bring back jobs that no
-	// controller has in memory; 0 waits until an operator declares that no copy will be restored.
+	// controller has in memory; with 0 the controllers wait until an operator declares that no copy will be restored.
 	CopyWaitSeconds float64
 }
 
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -79,7 +79,7 @@
 	CancelSeconds    float64 `json:"cancel_s"`
 }
 
-// KVStore holds the limits of the key-value store, shared by all controllers.
+// KVStore holds the limits of the state service, shared by all controllers.
 type KVStore struct {
 	RequestsPerSecond     float64 `json:"rps"`
 	ChangesPerSecond      float64 `json:"write_rps"`
--- a/internal/teamconfig/config.go
+++ b/internal/teamconfig/config.go
@@ -15,7 +15,7 @@
 	teams            map[string]*team
 	notInForce       map[string]*team // teams whose entries are not known to be in force
 	latestVersion    uint64           // version of the last known change
-	knownRevision    uint64           // revision of the key-value store up to which every entry is known
+	knownRevision    uint64           // revision of the state service up to which every entry is known
 	readAt           time.Time        // start of the last read that confirmed that no entry is missing
 	requiredRevision uint64           // revision that must be known before a team that was taken over starts any task
 	// overruled holds acknowledged changes that lost against another change of the same number.
@@ -25,7 +25,7 @@
 // team is what is known of a team that has an entry.
 type team struct {
 	Entry
-	version       uint64 // of this entry's key in the present epoch; 0: the key-value store does not have the entry
+	version       uint64 // of this entry's key in the present epoch; 0: the state service does not have the entry
 	storedVersion uint64 // of the key in the present epoch, whichever entry it holds; 0: the key does not exist
 	limitsInForce Limits // last limits known to be in force everywhere, or the first known limits
 	inForce       bool   // the entry is known to be in force everywhere
@@ -45,7 +45,7 @@
 	return c
 }
 
-// ApplyEntry applies an entry read from the key-value store with the version of its key, and reports whether it changed
+// ApplyEntry applies an entry read from the state service with the version of its key, and reports whether it changed
 // the configuration. Versions that are not newer than the known one are ignored, so late and repeated messages have no
 // effect.
 func (c *Config) ApplyEntry(name string, e Entry, version uint64) bool {
@@ -74,7 +74,7 @@
 	return true
 }
 
-// ApplyRemembered applies an entry that a peer has in memory and that the key-value store may lack, as after a loss of
+// ApplyRemembered applies an entry that a peer has in memory and that the state service may lack, as after a loss of
 // data. It reports whether the entry changed the configuration.
 func (c *Config) ApplyRemembered(name string, e Entry) bool {
 	t := c.teams[name]
@@ -103,7 +103,9 @@
 	}
 }
 
-// replaceEntry replaces what is known of a team by an entry.
+// replaceEntry replaces a team's entry. The limits of the replaced entry become limitsInForce if they were in force
+// everywhere; otherwise limitsInForce stays as it was. For a team's first entry limitsInForce is set to the limits of
+// the settings file, or to those of the entry itself if no earlier ones are known.
 func (c *Config) replaceEntry(name string, t *team, e Entry, version uint64) {
 	before := t.limitsInForce
 	switch base, had := c.base[name]; {
@@ -127,10 +129,10 @@
 	}
 }
 
-// ApplyMissing applies the changes that a peer sent because it knows more: all after one revision up to another, the
-// peer's known revision. The known revision advances only if there is no gap between, and if the membership record
-// known here (version ownRecord) is at least as new as the peer's (peerRecord), because a known revision covers the
-// membership records written up to it too.
+// ApplyMissing applies the changes that a peer sent because it knows more: all after the revision after, up to the
+// peer's known revision upTo. The known revision advances to upTo only if it is not below after, so that no change in
+// between is missing, and if the membership record known here (version ownRecord) is at least as new as the peer's
+// (peerRecord), because a known revision also covers the membership records written up to it.
 func (c *Config) ApplyMissing(changes []Change, after, upTo, peerRecord, ownRecord uint64) {
 	for _, x := range changes {
 		c.ApplyEntry(x.Team, x.Entry, x.Version)
@@ -150,7 +152,7 @@
 	return changes
 }
 
-// StartEpoch starts a new epoch of the key-value store's data. It keeps the entries and discards all versions and
+// StartEpoch starts a new epoch of the state service's data. It keeps the entries and discards all versions and
 // revisions of the previous epoch.
 func (c *Config) StartEpoch() {
 	c.knownRevision, c.requiredRevision, c.latestVersion, c.readAt = 0, 0, 0, time.Time{}
@@ -163,7 +165,7 @@
 	}
 }
 
-// Unwritten returns the entries that are known here and missing from the key-value store, with the versions of the keys
+// Unwritten returns the entries that are known here and missing from the state service, with the versions of the keys
 // to overwrite.
 func (c *Config) Unwritten() (changes []Change) {
 	for _, name := range slices.Sorted(maps.Keys(c.teams)) {
--- a/internal/teamconfig/entry.go
+++ b/internal/teamconfig/entry.go
@@ -1,7 +1,7 @@
 // Package teamconfig tracks the teams' configuration, which can change while the controllers run, and decides which
-// limits a controller enforces. It is fed with what the key-value store and the other controllers report; it does no
-// I/O, reads no clock and never writes an entry. Its types are not safe for concurrent use; the controller serializes
-// access to them. docs/configuration.md gives the reasons for the design.
+// limits a controller enforces. Callers pass in what they read from the state service and receive from other
+// controllers. The package does no I/O, reads no clock and never writes an entry. Its types are not safe for concurrent
+// use; the controller serializes access to them. docs/configuration.md gives the reasons for the design.
 //
 // The configuration consists of a base, which is the settings file, and one Entry for each team that was ever changed.
 // Each change writes the whole entry, conditional on the version of its key. Entries are never deleted.
@@ -19,7 +19,7 @@
 	"topazhollow/internal/settings"
 )
 
-// Entry is a team's configuration as stored in the key-value store.
+// Entry is a team's configuration as stored in the state service.
 type Entry struct {
 	// Number counts the team's changes from 1. The count continues after a loss of the store's data.
 	Number   uint64  `json:"number"`
@@ -38,7 +38,7 @@
 	CPUs, CPUsMax, GPUs, GPUsMax float64
 }
 
-// Change is a team's entry with the version of its key, which is 0 if the key-value store does not have the entry.
+// Change is a team's entry with the version of its key, which is 0 if the state service does not have the entry.
 type Change struct {
 	Team    string `json:"team"`
 	Entry   Entry  `json:"entry"`
--- a/internal/teamconfig/golden_test.go
+++ b/internal/teamconfig/golden_test.go
@@ -7,9 +7,9 @@
 	"topazhollow/internal/settings"
 )
 
-// The golden files hold teams' entries as stored in the key-value store. Entries outlive the process that wrote them,
-// so their format may only be extended. The tests of internal/controller cover the messages between controllers that
-// carry this package's types.
+// The golden files hold teams' entries as stored in the state service. Entries outlive the process that wrote them, so
+// their format may only be extended. The tests of internal/controller cover the messages between controllers that carry
+// this package's types.
 
 // TestGoldenEntry checks the stored format of entries.
 func TestGoldenEntry(t *testing.T) {
--- a/internal/teamconfig/model_test.go
+++ b/internal/teamconfig/model_test.go
@@ -11,7 +11,7 @@
 	"topazhollow/internal/settings"
 )
 
-// model simulates a key-value store with entries and a membership record, controllers whose reads, statuses and missing
+// model simulates a state service with entries and a membership record, controllers whose reads, statuses and missing
 // changes arrive late, twice, in any order or never, and machines on which tasks of one CPU start late.
 type model struct {
 	rng       *rand.Rand
--- a/internal/teamconfig/propagation.go
+++ b/internal/teamconfig/propagation.go
@@ -9,7 +9,7 @@
 // Status is the part of a controller's heartbeat that reports which configuration it knows.
 type Status struct {
 	Serial        uint64   `json:"serial"`              // increases with each status of the process
-	Epoch         uint64   `json:"generation"`          // of the key-value store's data
+	Epoch         uint64   `json:"generation"`          // of the state service's data
 	RecordVersion uint64   `json:"record"`              // version of the membership record that the status refers to
 	KnownRevision uint64   `json:"known"`               // revision up to which every entry is known
 	Unsettled     []string `json:"unsettled,omitempty"` // own teams not ready or with starts beyond limits
--- a/internal/teamconfig/teamconfig_test.go
+++ b/internal/teamconfig/teamconfig_test.go
@@ -91,7 +91,7 @@
 	}
 }
 
-// TestLossModel: the key-value store reverts to an older state, sometimes with new changes committed on top, while the
+// TestLossModel: the state service reverts to an older state, sometimes with new changes committed on top, while the
 // controllers keep what they knew, some without the last changes. After they have exchanged their entries, all agree,
 // and every change that any of them knew is written back, replaced by a later one, or returned as overruled.
 func TestLossModel(t *testing.T) {
--- a/internal/teamstore/golden_test.go
+++ b/internal/teamstore/golden_test.go
@@ -8,8 +8,8 @@
 	"topazhollow/internal/teamconfig"
 )
 
-// The golden files hold the keys of teams in the key-value store and the output of the operators' tool. Their formats
-// may only be extended.
+// The golden files hold the keys of teams in the state service and the output of the operators' tool. Their formats may
+// only be extended.
 
 // TestGoldenCommitted checks the key prefix and the format of committed changes.
 func TestGoldenCommitted(t *testing.T) {
--- a/internal/teamstore/teamstore.go
+++ b/internal/teamstore/teamstore.go
@@ -1,4 +1,4 @@
-// Package teamstore commits operators' changes to the teams' configuration to the key-value store, through the same
+// Package teamstore commits operators' changes to the teams' configuration to the state service, through the same
 // client as the controllers. internal/teamconfig decides how controllers apply the changes.
 package teamstore
 
@@ -24,7 +24,7 @@
 
 // Errors that callers distinguish with errors.Is.
 var (
-	ErrNoRecord = errors.New("the key-value store has no control record with the key of its epoch: no controller uses it, or it lost data")
+	ErrNoRecord = errors.New("the state service has no control record with the key of its epoch: no controller uses it, or it lost data")
 	ErrTeamName = errors.New("a team name must consist of 1 to 100 letters, digits, dots, hyphens and underscores")
 )
 
@@ -37,11 +37,11 @@
 	base   []settings.Team
 }
 
-// New returns a writer that uses a client of a deployment's key-value store. The client has an equal share of the rate
-// limits beside the controllers, and its Run must be running.
+// New returns a writer that uses a client of a deployment's state service. The client must have the share of the rate
+// limits of one more controller, and its Run must be running.
 func New(client *kvstore.Client, base []settings.Team) *Writer { return &Writer{client, base} }
 
-// BindEpoch reads the present epoch of the key-value store's data and makes all changes conditional on it, so that they
+// BindEpoch reads the present epoch of the state service's data and makes all changes conditional on it, so that they
 // fail in any other epoch.
 func (w *Writer) BindEpoch(ctx context.Context, controlKey string) error {
 	e, err := w.client.Get(ctx, controlKey)
@@ -63,7 +63,7 @@
 	return nil
 }
 
-// Committed is a change that the key-value store acknowledged.
+// Committed is a change that the state service acknowledged.
 type Committed struct {
 	Team    string           `json:"team"`
 	Entry   teamconfig.Entry `json:"entry"`
@@ -71,8 +71,8 @@
 }
 
 // Change applies edit to a team's entry and commits the result. A team without an entry starts from its amounts in the
-// settings file, and a team that is not there either, for which known is false, from zero. After a conflict Change reads
-// the entry again and retries. If there was no answer, reading the entry shows whether the change was made.
+// settings file, and a team that is not there either, for which known is false, from zero. After a conflict Change
+// reads the entry again and retries. If there was no answer, reading the entry shows whether the change was made.
 func (w *Writer) Change(ctx context.Context, team string, edit func(e *teamconfig.Entry, known bool) error) (Committed, error) {
 	if !teamconfig.ValidTeam(team) {
 		return Committed{}, fmt.Errorf("%w: %q", ErrTeamName, team)
--- a/internal/userapi/backend.go
+++ b/internal/userapi/backend.go
@@ -44,10 +44,11 @@
 	// ReportMissing is called when the store lacks a job that it may have acknowledged.
 	ReportMissing(uid string)
 
-	// CopyToPeer sends a copy of a job, or of an end if job is nil, to a peer, before a user is told of it.
+	// CopyToPeer sends a copy of a job, or of an end if job is nil, to a peer. It is called before the user's request
+	// is answered.
 	CopyToPeer(ctx context.Context, job *ActiveJob, uid string, end JobEnd)
 
-	// ConfirmingCancellation is called before a user is told that a job is cancelled.
+	// ConfirmingCancellation is called before an answer to a user confirms that a job is cancelled.
 	ConfirmingCancellation(uid string, end JobEnd)
 }
 
--- a/internal/userapi/cancel.go
+++ b/internal/userapi/cancel.go
@@ -84,14 +84,14 @@
 	return h.answerEnded(uid, end), true
 }
 
-// answerEnded answers that a job is cancelled or done. The controller that renews the leases of its tasks must know of
-// every cancellation that a user is told of, whichever controller wrote it.
+// answerEnded answers that a job is cancelled or done. The controller that renews the leases of its tasks must know
+// every cancellation that was confirmed to a user, whichever controller wrote it.
 func (h *Handler) answerEnded(uid string, end JobEnd) httpx.Answer {
 	h.confirmCancellation(uid, end)
 	return httpx.Answer{Status: 200, Body: protocol.Encode(protocol.JobSummary{UID: uid, State: end.State})}
 }
 
-// confirmCancellation notifies the controller of a cancellation before a user is told of it.
+// confirmCancellation notifies the controller of a cancellation before it is confirmed to a user.
 func (h *Handler) confirmCancellation(uid string, end JobEnd) {
 	if end.State == protocol.Cancelled {
 		h.backend.ConfirmingCancellation(uid, end)
--- a/internal/userapi/golden_test.go
+++ b/internal/userapi/golden_test.go
@@ -8,7 +8,7 @@
 	"topazhollow/internal/protocol"
 )
 
-// The golden files hold jobs and their ends as stored in the key-value store. They outlive the process that wrote them,
+// The golden files hold jobs and their ends as stored in the state service. They outlive the process that wrote them,
 // so their formats may only be extended.
 
 // TestGoldenStored checks the key prefixes and the stored formats.
--- a/internal/userapi/status.go
+++ b/internal/userapi/status.go
@@ -77,8 +77,8 @@
 }
 
 // answerFromMemory answers about a job while the store cannot be trusted. A known end is final, so it is a safe answer.
-// "Active" is not: another controller may have answered with the job's end a moment ago, and this controller learns of
-// that only when the controllers' memories are gathered.
+// "Active" is not: another controller may have answered with the job's end a moment ago, and this controller receives
+// that end only when the controllers gather what they have in memory.
 func (h *Handler) answerFromMemory(uid string) httpx.Answer {
 	if end, ok := h.KnownEnd(uid); ok {
 		return h.answerStatus(uid, &end)
--- a/internal/userapi/userapi.go
+++ b/internal/userapi/userapi.go
@@ -1,6 +1,6 @@
 // Package userapi handles users' requests: submissions, cancellations and status queries. Every controller can handle
-// every job, whichever shards it owns, because the answers rest on the key-value store: jobs are accepted and cancelled
-// by compare-and-swap there, and an end that a user was told of is final.
+// every job, whichever shards it owns, because the answers rest on the state service: jobs are accepted and cancelled
+// by compare-and-swap there, and an end that was reported to a user is final.
 //
 // The package decides which answer is safe while the store is slow, refuses requests or has lost data. It never places
 // or stops a task. It calls its controller through Backend; its own state, the ends of jobs that it has read, is
--- a/topazhollow.go
+++ b/topazhollow.go
@@ -1,6 +1,6 @@
 // Package topazhollow provides the controller of a cluster scheduler as a library. The controllers of a deployment
-// replicate job progress in each other's memory, and keep in a small consistent key-value store what must outlive them;
-// see docs/design.md.
+// replicate job progress in each other's memory, and keep what must outlive them in the state service, a small
+// consistent key-value store; see docs/design.md.
 package topazhollow
 
 import (
