--- a/internal/admission/demand.go
+++ b/internal/admission/demand.go
@@ -39,46 +39,46 @@
 }
 
 // demandOf returns the demand of a key and adds an empty one if there is none.
-func (n *DemandCollector) demandOf(k Key) *Demand {
-	if n.byKey[k] == nil {
-		n.byKey[k] = &Demand{Key: k}
+func (c *DemandCollector) demandOf(k Key) *Demand {
+	if c.byKey[k] == nil {
+		c.byKey[k] = &Demand{Key: k}
 	}
-	return n.byKey[k]
+	return c.byKey[k]
 }
 
 // AddWaiting adds the waiting tasks of a job.
-func (n *DemandCollector) AddWaiting(k Key, w PendingWork) {
-	demand := n.demandOf(k)
+func (c *DemandCollector) AddWaiting(k Key, w PendingWork) {
+	demand := c.demandOf(k)
 	demand.Waiting += w.CPUs
 	demand.Rank = w.Rank
 	demand.TaskCPUs = max(demand.TaskCPUs, w.TaskCPUs)
 	demand.TaskMemory = max(demand.TaskMemory, w.TaskMemory)
-	n.backlog[k] += w.CPUs * w.EstimateSeconds
+	c.backlog[k] += w.CPUs * w.EstimateSeconds
 }
 
 // AddUsed adds the CPUs of a task that is on a machine.
-func (n *DemandCollector) AddUsed(k Key, cpus float64) { n.demandOf(k).Used += cpus }
+func (c *DemandCollector) AddUsed(k Key, cpus float64) { c.demandOf(k).Used += cpus }
 
 // AddArrival adds a submitted job with its total work in CPU seconds and the time since its submission.
-func (n *DemandCollector) AddArrival(k Key, work float64, age time.Duration) {
-	if age >= n.window {
+func (c *DemandCollector) AddArrival(k Key, work float64, age time.Duration) {
+	if age >= c.window {
 		return
 	}
-	if n.arrivals[k] == nil {
-		n.arrivals[k] = &arrivals{}
+	if c.arrivals[k] == nil {
+		c.arrivals[k] = &arrivals{}
 	}
-	a := n.arrivals[k]
+	a := c.arrivals[k]
 	a.work += work
 	a.oldest = max(a.oldest, age)
 }
 
 // List returns the demands sorted by key, each with the rate needed to keep up with its recent arrivals. The backlog
 // counts little, because otherwise the floor of a class that floods the system would grow with the excess.
-func (n *DemandCollector) List() []Demand {
-	list := make([]Demand, 0, len(n.byKey))
-	for _, k := range slices.SortedFunc(maps.Keys(n.byKey), Key.Compare) {
-		demand := *n.byKey[k]
-		demand.Rate = max(n.arrivalRate(k), n.backlog[k]/backlogTime.Seconds())
+func (c *DemandCollector) List() []Demand {
+	list := make([]Demand, 0, len(c.byKey))
+	for _, k := range slices.SortedFunc(maps.Keys(c.byKey), Key.Compare) {
+		demand := *c.byKey[k]
+		demand.Rate = max(c.arrivalRate(k), c.backlog[k]/backlogTime.Seconds())
 		list = append(list, demand)
 	}
 	return list
@@ -86,10 +86,10 @@
 
 // arrivalRate returns how many CPUs a key's arrivals keep busy on average. If its oldest arrival is recent, the average
 // is taken over a third of the window.
-func (n *DemandCollector) arrivalRate(k Key) float64 {
-	a := n.arrivals[k]
+func (c *DemandCollector) arrivalRate(k Key) float64 {
+	a := c.arrivals[k]
 	if a == nil {
 		return 0
 	}
-	return a.work / min(max(a.oldest, n.window/3), n.window).Seconds()
+	return a.work / min(max(a.oldest, c.window/3), c.window).Seconds()
 }
--- a/internal/admission/fairshares.go
+++ b/internal/admission/fairshares.go
@@ -38,7 +38,7 @@
 }
 
 // total returns the CPUs that the key uses and asks for.
-func (n *Demand) total() float64 { return n.Used + n.Waiting }
+func (d *Demand) total() float64 { return d.Used + d.Waiting }
 
 // Weights are the operator's options for sharing. A team or class without an entry has weight 1.
 type Weights struct {
--- a/internal/admission/floors_test.go
+++ b/internal/admission/floors_test.go
@@ -28,8 +28,8 @@
 	after := func(d time.Duration) *Plan {
 		planner.Step(start.Add(d), in, nil)
 		planner.Step(start.Add(d+2*planInterval), in, nil)
-		force, _ := planner.Plans()
-		return force
+		inForce, _ := planner.Plans()
+		return inForce
 	}
 	if plan := after(0); len(plan.Floors) != 0 {
 		t.Fatalf("floors %v before FloorAfter has passed", plan.Floors)
@@ -45,8 +45,8 @@
 	successor := NewPlanner(2, &PlanState{inForce: plan})
 	successor.Step(start.Add(3*time.Minute), in, nil)
 	successor.Step(start.Add(3*time.Minute+2*planInterval), in, nil)
-	if force, _ := successor.Plans(); len(force.Floors) != 1 || force.Floors[0] != want {
-		t.Errorf("the next owner's floors are %v, want %v", force.Floors, want)
+	if inForce, _ := successor.Plans(); len(inForce.Floors) != 1 || inForce.Floors[0] != want {
+		t.Errorf("the next owner's floors are %v, want %v", inForce.Floors, want)
 	}
 }
 
--- a/internal/admission/plan.go
+++ b/internal/admission/plan.go
@@ -92,12 +92,12 @@
 }
 
 // InForce returns the plan to act on, nil if there is none.
-func (a *PlanState) InForce() *Plan { return a.inForce }
+func (s *PlanState) InForce() *Plan { return s.inForce }
 
 // Latest returns the ID of the latest plan received.
-func (a *PlanState) Latest() ID {
+func (s *PlanState) Latest() ID {
 	var id ID
-	for _, p := range []*Plan{a.inForce, a.next} {
+	for _, p := range []*Plan{s.inForce, s.next} {
 		if p != nil && p.ID.Compare(id) > 0 {
 			id = p.ID
 		}
@@ -107,17 +107,17 @@
 
 // Apply processes the plans sent by the controller that has owned the fleet shard since a term. Late messages of an
 // earlier owner are ignored.
-func (a *PlanState) Apply(since uint64, w PlanStatus) {
-	if w.InForce == nil || w.InForce.SinceTerm > since || w.Next != nil && w.Next.SinceTerm != since {
+func (s *PlanState) Apply(since uint64, status PlanStatus) {
+	if status.InForce == nil || status.InForce.SinceTerm > since || status.Next != nil && status.Next.SinceTerm != since {
 		return
 	}
-	if a.inForce == nil || w.InForce.ID.Compare(a.inForce.ID) > 0 {
-		a.inForce = w.InForce
+	if s.inForce == nil || status.InForce.ID.Compare(s.inForce.ID) > 0 {
+		s.inForce = status.InForce
 	}
-	if w.Next != nil && w.Next.ID.Compare(a.Latest()) > 0 {
-		a.next = w.Next
+	if status.Next != nil && status.Next.ID.Compare(s.Latest()) > 0 {
+		s.next = status.Next
 	}
-	if a.next != nil && a.inForce != nil && a.next.ID.Compare(a.inForce.ID) <= 0 {
-		a.next = nil
+	if s.next != nil && s.inForce != nil && s.next.ID.Compare(s.inForce.ID) <= 0 {
+		s.next = nil
 	}
 }
--- a/internal/admission/planner.go
+++ b/internal/admission/planner.go
@@ -188,11 +188,11 @@
 }
 
 // wholeTasks rounds a floor to a multiple of the demand's largest waiting task, at least one task.
-func (n *Demand) wholeTasks(floor float64) float64 {
-	if n.TaskCPUs <= 0 {
+func (d *Demand) wholeTasks(floor float64) float64 {
+	if d.TaskCPUs <= 0 {
 		return floor
 	}
-	return max(1, math.Round(floor/n.TaskCPUs)) * n.TaskCPUs
+	return max(1, math.Round(floor/d.TaskCPUs)) * d.TaskCPUs
 }
 
 // divideGroupFloor divides a group's floor among its keys: the floor of a class among the teams by weight, and the
--- a/internal/admission/planner_test.go
+++ b/internal/admission/planner_test.go
@@ -98,8 +98,8 @@
 						}
 					}
 				}
-				force, next := s.planner.Plans()
-				s.known.Apply(s.since, PlanStatus{InForce: force, Next: next})
+				inForce, next := s.planner.Plans()
+				s.known.Apply(s.since, PlanStatus{InForce: inForce, Next: next})
 			}
 			status := PlanStatus{Latest: s.known.Latest()}
 			if s.planner != nil {
@@ -234,8 +234,8 @@
 			in.Weights = &Weights{}
 		}
 		planner.Step(now, in, nil)
-		force, next := planner.Plans()
-		state.Apply(1, PlanStatus{InForce: force, Next: next})
+		inForce, next := planner.Plans()
+		state.Apply(1, PlanStatus{InForce: inForce, Next: next})
 		plan := state.InForce()
 		start := func(k Key, cpus, limit float64) {
 			for i := range running {
--- a/internal/agents/golden_test.go
+++ b/internal/agents/golden_test.go
@@ -48,12 +48,12 @@
 
 // TestGoldenCommands: the commands in a heartbeat answer that result from owners' orders.
 func TestGoldenCommands(t *testing.T) {
-	h, m := newTestRegistry(t)
-	h.ApplyHeartbeat(testHeartbeat(2, protocol.TaskStatus{Task: "job-1/1", Attempt: 5, State: protocol.Running}, protocol.TaskStatus{Task: "job-1/2", Attempt: 5, State: protocol.Exited, Reason: protocol.ReasonDone},
+	registry, agent := newTestRegistry(t)
+	registry.ApplyHeartbeat(testHeartbeat(2, protocol.TaskStatus{Task: "job-1/1", Attempt: 5, State: protocol.Running}, protocol.TaskStatus{Task: "job-1/2", Attempt: 5, State: protocol.Exited, Reason: protocol.ReasonDone},
 		protocol.TaskStatus{Task: "job-1/3", Attempt: 5, State: protocol.Running}), time.Unix(2, 0))
 	stop := func(index int, grace float64) jobstate.Order {
 		return jobstate.Order{Op: protocol.Stop, TaskID: jobstate.TaskID{Job: "job-1", Index: index}, Attempt: 5, Incarnation: 1, GraceSeconds: grace}
 	}
-	h.QueueOrders(1, "m", []jobstate.Order{startOf("job-1"), stop(1, 10.5), {Op: protocol.Forget, TaskID: jobstate.TaskID{Job: "job-1", Index: 2}, Attempt: 5, Incarnation: 1}, stop(3, 0)})
-	goldentest.Bytes(t, "answer.json", protocol.Encode(protocol.HeartbeatAnswer{FencingToken: 1, Commands: m.TakeForAnswer()}))
+	registry.QueueOrders(1, "m", []jobstate.Order{startOf("job-1"), stop(1, 10.5), {Op: protocol.Forget, TaskID: jobstate.TaskID{Job: "job-1", Index: 2}, Attempt: 5, Incarnation: 1}, stop(3, 0)})
+	goldentest.Bytes(t, "answer.json", protocol.Encode(protocol.HeartbeatAnswer{FencingToken: 1, Commands: agent.TakeForAnswer()}))
 }
--- a/internal/agents/registration.go
+++ b/internal/agents/registration.go
@@ -17,26 +17,26 @@
 func NewRegistration() *Registration { return &Registration{wanted: map[string]bool{}} }
 
 // Want requests the registration of a machine.
-func (g *Registration) Want(machine string) { g.wanted[machine] = true }
+func (r *Registration) Want(machine string) { r.wanted[machine] = true }
 
 // Done drops the request for a machine that has been registered.
-func (g *Registration) Done(machine string) { delete(g.wanted, machine) }
+func (r *Registration) Done(machine string) { delete(r.wanted, machine) }
 
 // Next returns a write that registers as many of the requested machines as fit, in a key under a prefix to which only
 // this controller adds. due is false if no machine is to be registered. Requests for machines that are registered or
 // gone are dropped.
-func (g *Registration) Next(roster *Roster, prefix string, isGone func(machine string) bool) (w RosterWrite, due bool) {
-	maps.DeleteFunc(g.wanted, func(machine string, _ bool) bool { return roster.Has(machine) || isGone(machine) })
-	if len(g.wanted) == 0 {
+func (r *Registration) Next(roster *Roster, prefix string, isGone func(machine string) bool) (w RosterWrite, due bool) {
+	maps.DeleteFunc(r.wanted, func(machine string, _ bool) bool { return roster.Has(machine) || isGone(machine) })
+	if len(r.wanted) == 0 {
 		return RosterWrite{}, false
 	}
-	return roster.PlanRegistration(prefix, slices.Sorted(maps.Keys(g.wanted))), true
+	return roster.PlanRegistration(prefix, slices.Sorted(maps.Keys(r.wanted))), true
 }
 
 // BeginRemoval returns the writes that remove the machines that are gone from the roster. It returns none until
 // FinishRemoval has been called for the writes of an earlier call.
-func (g *Registration) BeginRemoval(roster *Roster, isGone func(machine string) bool) []RosterWrite {
-	if g.removing {
+func (r *Registration) BeginRemoval(roster *Roster, isGone func(machine string) bool) []RosterWrite {
+	if r.removing {
 		return nil
 	}
 	gone := map[string]bool{}
@@ -49,9 +49,9 @@
 		return nil
 	}
 	writes := roster.PlanDeregistration(gone)
-	g.removing = len(writes) > 0
+	r.removing = len(writes) > 0
 	return writes
 }
 
 // FinishRemoval records that the writes of BeginRemoval have completed or failed.
-func (g *Registration) FinishRemoval() { g.removing = false }
+func (r *Registration) FinishRemoval() { r.removing = false }
--- a/internal/autoscaler/autoscaler.go
+++ b/internal/autoscaler/autoscaler.go
@@ -76,9 +76,9 @@
 
 // delayFactor returns the factor by which work of a rank starts later than forecast, because the forecast only contains
 // work already submitted and future work of a higher rank will be placed first.
-func (in Arrivals) delayFactor(rank int, totalCPUs float64) float64 {
+func (arrivals Arrivals) delayFactor(rank int, totalCPUs float64) float64 {
 	before := 0.0
-	for r, cpus := range in {
+	for r, cpus := range arrivals {
 		if r > rank {
 			before += cpus
 		}
--- a/internal/autoscaler/autoscaler_test.go
+++ b/internal/autoscaler/autoscaler_test.go
@@ -171,7 +171,7 @@
 				all.bins = append(all.bins, b)
 				reference = append(reference, &bin{changes: slices.Clone(b.changes)})
 			}
-			l := all.queueFor(s, false)
+			queue := all.queueFor(s, false)
 			for range 5 {
 				var best *bin
 				want := math.Inf(1)
@@ -180,14 +180,14 @@
 						best, want = b, at
 					}
 				}
-				if got := l.earliestStart(); got != want {
+				if got := queue.earliestStart(); got != want {
 					t.Fatalf("seed %d: earliest start %g, want %g", seed, got, want)
 				}
 				if best == nil {
 					break
 				}
 				// reserve may place several tasks at once; the linear search places them one by one.
-				for took := l.reserve(run, 1+rng.IntN(4)); took > 0; took-- {
+				for took := queue.reserve(run, 1+rng.IntN(4)); took > 0; took-- {
 					best, want = nil, math.Inf(1)
 					for _, b := range reference {
 						if at := b.earliestStart(s, math.Inf(1)); at < want {
@@ -387,24 +387,24 @@
 	}
 }
 
-// TestEarliestStartModel compares gangZone.earliestStart with a linear scan over time.
-func TestEarliestStartModel(t *testing.T) {
+// TestEarliestStartOfGangModel compares gangZone.earliestStart with a linear scan over time.
+func TestEarliestStartOfGangModel(t *testing.T) {
 	for seed := range uint64(300) {
 		rng := rand.New(rand.NewPCG(seed, 17))
-		var l forecast
+		var f forecast
 		for range 1 + rng.IntN(4) {
 			b := &bin{pool: pool{"m8", []string{"a", "b"}[rng.IntN(2)], false}, changes: []capacityChange{{float64(rng.IntN(4)), float64(rng.IntN(9)), 0, 100}}}
 			for range rng.IntN(4) {
 				b.add(capacityChange{at: float64(4 + rng.IntN(10)), cpus: float64(rng.IntN(4))})
 			}
-			l.bins = append(l.bins, b)
+			f.bins = append(f.bins, b)
 		}
 		zone, count := "a", 1+rng.IntN(5)
 		s := &protocol.Submission{CPUs: float64(1 + rng.IntN(4))}
 		want := math.Inf(1)
 		for at := 0.0; at <= 20 && math.IsInf(want, 1); at++ {
 			room := 0
-			for _, b := range l.bins {
+			for _, b := range f.bins {
 				cpus := 0.0
 				for _, r := range b.changes {
 					if r.at <= at {
@@ -419,7 +419,7 @@
 				want = at
 			}
 		}
-		if got := l.gangZones([]protocol.MachineType{{Zones: []string{zone}}}, s, count)[0].at; got != want {
+		if got := f.gangZones([]protocol.MachineType{{Zones: []string{zone}}}, s, count)[0].at; got != want {
 			t.Fatalf("seed %d: %d tasks of %g CPUs start at %g, want %g", seed, count, s.CPUs, got, want)
 		}
 	}
--- a/internal/kvstore/batch.go
+++ b/internal/kvstore/batch.go
@@ -75,10 +75,10 @@
 }
 
 // countUrgent counts the changes of an urgent update; sign is 1 when it is queued and -1 when it is sent.
-func (b *batcher) countUrgent(p *queuedUpdate, sign int) {
-	if p.Urgent {
+func (b *batcher) countUrgent(u *queuedUpdate, sign int) {
+	if u.Urgent {
 		b.mu.Lock()
-		b.urgentWaiting += sign * len(p.Changes)
+		b.urgentWaiting += sign * len(u.Changes)
 		b.mu.Unlock()
 	}
 }
@@ -98,25 +98,25 @@
 
 // commit implements Client.Commit.
 func (b *batcher) commit(ctx context.Context, u Update) (uint64, error) {
-	p := &queuedUpdate{Update: u, done: make(chan outcome, 1)}
+	queued := &queuedUpdate{Update: u, done: make(chan outcome, 1)}
 	for _, o := range u.Changes {
-		p.size += len(o.Value) + len(o.Set) + len(o.Delete) + changeOverhead
+		queued.size += len(o.Value) + len(o.Set) + len(o.Delete) + changeOverhead
 	}
-	for _, g := range u.Conditions {
-		p.size += len(g.Key) + conditionOverhead
+	for _, c := range u.Conditions {
+		queued.size += len(c.Key) + conditionOverhead
 	}
 	if len(u.Changes) > b.maxChanges || len(u.Conditions) >= maxConditionsPerChange*b.maxChanges {
 		return 0, fmt.Errorf("%w: update with %d changes and %d conditions does not fit into a transaction", ErrInvalid, len(u.Changes), len(u.Conditions))
 	}
 	select {
-	case b.queue <- p:
+	case b.queue <- queued:
 		b.count(len(u.Changes), len(u.Changes))
-		b.countUrgent(p, 1)
+		b.countUrgent(queued, 1)
 	default:
 		return 0, fmt.Errorf("%w: queue full", ErrRefused)
 	}
 	select {
-	case o := <-p.done:
+	case o := <-queued.done:
 		return o.revision, o.err
 	case <-ctx.Done():
 		return 0, ErrUnknown
--- a/internal/kvstore/fence.go
+++ b/internal/kvstore/fence.go
@@ -59,7 +59,7 @@
 }
 
 // updateCondition returns the condition that every update carries. open is false while updates are held.
-func (f *fence) updateCondition() (g protocol.Condition, open bool) {
+func (f *fence) updateCondition() (condition protocol.Condition, open bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.condition, !f.held
@@ -92,10 +92,10 @@
 func (c *Client) LastRevision() uint64 { return c.fence.mark().highest }
 
 // SetFence sets the condition that every update carries, and stops holding updates.
-func (c *Client) SetFence(g protocol.Condition) {
+func (c *Client) SetFence(condition protocol.Condition) {
 	c.fence.mu.Lock()
 	defer c.fence.mu.Unlock()
-	c.fence.condition, c.fence.held = g, false
+	c.fence.condition, c.fence.held = condition, false
 }
 
 // CompareVersions checks whether keys have the given versions. It returns the store's revision, or with ErrConflict the
--- a/internal/teamconfig/teamconfig_test.go
+++ b/internal/teamconfig/teamconfig_test.go
@@ -64,29 +64,29 @@
 			t.Errorf("base %v: teams %v, removed team accepts jobs: %v", base, c.Teams(), accepts)
 		}
 	}
-	f := NewPropagation()
-	f.Apply("b", 1, Status{Serial: 1, BaseDigest: BaseDigest(newer)})
-	f.Apply("c", 1, Status{Serial: 1, BaseDigest: BaseDigest([]settings.Team{older[1], older[0]})})
-	if s := f.OtherSettings(BaseDigest(older)); len(s) != 1 || s[0] != "b" {
+	propagation := NewPropagation()
+	propagation.Apply("b", 1, Status{Serial: 1, BaseDigest: BaseDigest(newer)})
+	propagation.Apply("c", 1, Status{Serial: 1, BaseDigest: BaseDigest([]settings.Team{older[1], older[0]})})
+	if s := propagation.OtherSettings(BaseDigest(older)); len(s) != 1 || s[0] != "b" {
 		t.Errorf("controllers with other settings files: %v, want b", s)
 	}
 }
 
 // TestLaggingMembers: a member that does not know the last change is returned, with the time for which it has lagged.
 func TestLaggingMembers(t *testing.T) {
-	f := NewPropagation()
+	propagation := NewPropagation()
 	r := &MembershipRecord{Version: 5, Members: map[string]uint64{"a": 1, "b": 1}, Owner: func(string) string { return "a" }}
-	f.Apply("a", 1, Status{Serial: 1, RecordVersion: 5, KnownRevision: 9})
-	f.Apply("b", 1, Status{Serial: 1, RecordVersion: 5, KnownRevision: 8})
-	if l := f.Lagging(r, 8, start); len(l) != 0 {
+	propagation.Apply("a", 1, Status{Serial: 1, RecordVersion: 5, KnownRevision: 9})
+	propagation.Apply("b", 1, Status{Serial: 1, RecordVersion: 5, KnownRevision: 8})
+	if l := propagation.Lagging(r, 8, start); len(l) != 0 {
 		t.Errorf("behind: %v", l)
 	}
-	f.Lagging(r, 9, start)
-	if l := f.Lagging(r, 9, start.Add(3*time.Second)); len(l) != 1 || l[0] != (LaggingMember{"b", 8, 3}) {
+	propagation.Lagging(r, 9, start)
+	if l := propagation.Lagging(r, 9, start.Add(3*time.Second)); len(l) != 1 || l[0] != (LaggingMember{"b", 8, 3}) {
 		t.Errorf("behind: %v", l)
 	}
-	f.Apply("b", 2, Status{Serial: 1, RecordVersion: 5, KnownRevision: 9})
-	if l := f.Lagging(r, 9, start.Add(4*time.Second)); len(l) != 1 {
+	propagation.Apply("b", 2, Status{Serial: 1, RecordVersion: 5, KnownRevision: 9})
+	if l := propagation.Lagging(r, 9, start.Add(4*time.Second)); len(l) != 1 {
 		t.Error("the status of a process that the record does not name counts")
 	}
 }
@@ -212,12 +212,12 @@
 	if c.ApplyEntry("red", entry(2, "b", 4), 12) || c.ApplyEntry("red", entry(1, "a", 8), 11) || len(c.Unwritten()) > 0 || c.Version("red") != 12 {
 		t.Errorf("after late entries: version %d, unwritten %v", c.Version("red"), c.Unwritten())
 	}
-	f := NewPropagation()
+	propagation := NewPropagation()
 	r := &MembershipRecord{Version: 5, Members: map[string]uint64{"a": 2}, Owner: func(string) string { return "a" }}
-	f.Apply("a", 2, Status{Serial: 7, RecordVersion: 5, KnownRevision: 9, Unsettled: []string{"red"}})
-	f.Apply("a", 2, Status{Serial: 6, RecordVersion: 5, KnownRevision: 9})
-	f.Apply("a", 1, Status{Serial: 8, RecordVersion: 5, KnownRevision: 20})
-	if f.KnownByAll(r) != 9 || len(f.Propagated(r, []Change{{Team: "red", Version: 8}})) > 0 {
+	propagation.Apply("a", 2, Status{Serial: 7, RecordVersion: 5, KnownRevision: 9, Unsettled: []string{"red"}})
+	propagation.Apply("a", 2, Status{Serial: 6, RecordVersion: 5, KnownRevision: 9})
+	propagation.Apply("a", 1, Status{Serial: 8, RecordVersion: 5, KnownRevision: 20})
+	if propagation.KnownByAll(r) != 9 || len(propagation.Propagated(r, []Change{{Team: "red", Version: 8}})) > 0 {
 		t.Error("a late status of a member, or a status of its earlier process, counts")
 	}
 }
