--- a/internal/faultinjection/combinedfaults.go
+++ b/internal/faultinjection/combinedfaults.go
@@ -151,10 +151,10 @@
 		if own.IntN(4) == 0 {
 			one = own.IntN(3)
 		}
-		lasts := time.Duration(3000+own.IntN(9000)) * time.Millisecond
+		duration := time.Duration(3000+own.IntN(9000)) * time.Millisecond
 		group.Go(func() error {
 			wait.For(during, after)
-			return x.play(during, m.region, own, one, lasts)
+			return x.play(during, m.region, own, one, duration)
 		})
 	}
 	for i, job := range m.long {
--- a/internal/faultinjection/faultkinds.go
+++ b/internal/faultinjection/faultkinds.go
@@ -16,37 +16,37 @@
 // it; one is the index of the affected controller.
 var combinedFaultKinds = []struct {
 	name string
-	play func(ctx context.Context, g *region, rng *rand.Rand, one int, lasts time.Duration) error
+	play func(ctx context.Context, g *region, rng *rand.Rand, one int, duration time.Duration) error
 }{
-	{"refused", func(ctx context.Context, g *region, _ *rand.Rand, one int, lasts time.Duration) error {
+	{"refused", func(ctx context.Context, g *region, _ *rand.Rand, one int, duration time.Duration) error {
 		g.endpoints[one].RefuseAll(true)
 		defer g.endpoints[one].RefuseAll(false)
-		wait.For(ctx, lasts)
+		wait.For(ctx, duration)
 		return nil
 	}},
-	{"no state, no peers", func(ctx context.Context, g *region, _ *rand.Rand, one int, lasts time.Duration) error {
+	{"no state, no peers", func(ctx context.Context, g *region, _ *rand.Rand, one int, duration time.Duration) error {
 		g.endpoints[one].RefuseAll(true)
 		g.pipes.Isolate(one, true)
 		defer g.endpoints[one].RefuseAll(false)
 		defer g.pipes.Isolate(one, false)
-		wait.For(ctx, lasts)
+		wait.For(ctx, duration)
 		return nil
 	}},
-	{"links refused", func(ctx context.Context, g *region, _ *rand.Rand, _ int, lasts time.Duration) error {
+	{"links refused", func(ctx context.Context, g *region, _ *rand.Rand, _ int, duration time.Duration) error {
 		for i := range g.processes {
 			g.pipes.Isolate(i, true)
 			defer g.pipes.Isolate(i, false)
 		}
-		wait.For(ctx, lasts)
+		wait.For(ctx, duration)
 		return nil
 	}},
-	{"outage", func(ctx context.Context, g *region, _ *rand.Rand, _ int, lasts time.Duration) error {
+	{"outage", func(ctx context.Context, g *region, _ *rand.Rand, _ int, duration time.Duration) error {
 		g.store.SetOutage(true)
 		defer g.store.SetOutage(false)
-		wait.For(ctx, 2*lasts)
+		wait.For(ctx, 2*duration)
 		return nil
 	}},
-	{"late writes", func(ctx context.Context, g *region, rng *rand.Rand, _ int, lasts time.Duration) error {
+	{"late writes", func(ctx context.Context, g *region, rng *rand.Rand, _ int, duration time.Duration) error {
 		var mu sync.Mutex
 		for _, d := range g.endpoints {
 			d.DelayTransactions(func() time.Duration {
@@ -59,10 +59,10 @@
 			})
 			defer d.DelayTransactions(nil)
 		}
-		wait.For(ctx, lasts)
+		wait.For(ctx, duration)
 		return nil
 	}},
-	{"late reports", func(ctx context.Context, g *region, rng *rand.Rand, _ int, lasts time.Duration) error {
+	{"late reports", func(ctx context.Context, g *region, rng *rand.Rand, _ int, duration time.Duration) error {
 		var mu sync.Mutex
 		for _, w := range g.cloud.Agents() {
 			w.RepeatHeartbeats(func() time.Duration {
@@ -72,19 +72,19 @@
 			})
 			defer w.RepeatHeartbeats(nil)
 		}
-		wait.For(ctx, lasts)
+		wait.For(ctx, duration)
 		return nil
 	}},
-	{"lost answers", func(ctx context.Context, g *region, rng *rand.Rand, _ int, lasts time.Duration) error {
+	{"lost answers", func(ctx context.Context, g *region, rng *rand.Rand, _ int, duration time.Duration) error {
 		drawn := drawOneIn(rng, 4)
 		for _, d := range g.endpoints {
 			d.DropAnswers(func(*protocol.Txn) bool { return drawn() })
 			defer d.DropAnswers(nil)
 		}
-		wait.For(ctx, lasts)
+		wait.For(ctx, duration)
 		return nil
 	}},
-	{"late commands", func(ctx context.Context, g *region, rng *rand.Rand, _ int, lasts time.Duration) error {
+	{"late commands", func(ctx context.Context, g *region, rng *rand.Rand, _ int, duration time.Duration) error {
 		drawn, held := drawOneIn(rng, 2), time.Duration(500+rng.IntN(5000))*time.Millisecond
 		for _, w := range g.cloud.Agents() {
 			w.DelayCommands(func(*protocol.DirectCommands) time.Duration {
@@ -95,7 +95,7 @@
 			})
 			defer w.DelayCommands(nil)
 		}
-		wait.For(ctx, lasts)
+		wait.For(ctx, duration)
 		return nil
 	}},
 	{"reports for the next leader", func(ctx context.Context, g *region, rng *rand.Rand, one int, _ time.Duration) error {
@@ -159,26 +159,26 @@
 		}
 		return nil
 	}},
-	{"standstill", func(ctx context.Context, g *region, _ *rand.Rand, one int, lasts time.Duration) error {
+	{"standstill", func(ctx context.Context, g *region, _ *rand.Rand, one int, duration time.Duration) error {
 		p := g.process(one)
 		if err := p.cmd.Process.Signal(syscall.SIGSTOP); err != nil {
 			return nil // another fault killed the process
 		}
-		wait.For(ctx, lasts)
-		_ = p.cmd.Process.Signal(syscall.SIGCONT) // as above
+		wait.For(ctx, duration)
+		_ = p.cmd.Process.Signal(syscall.SIGCONT) // the process may have been killed meanwhile
 		return nil
 	}},
 }
 
 // machineFault returns a fault that set activates and deactivates on one random machine, if there is any.
 func machineFault(set func(w *simulation.Agent, one int, on bool)) func(context.Context, *region, *rand.Rand, int, time.Duration) error {
-	return func(ctx context.Context, g *region, rng *rand.Rand, one int, lasts time.Duration) error {
+	return func(ctx context.Context, g *region, rng *rand.Rand, one int, duration time.Duration) error {
 		if ws := g.cloud.Agents(); len(ws) > 0 {
 			w := ws[rng.IntN(len(ws))]
 			set(w, one, true)
 			defer set(w, one, false)
 		}
-		wait.For(ctx, lasts)
+		wait.For(ctx, duration)
 		return nil
 	}
 }
--- a/internal/faultinjection/measure.go
+++ b/internal/faultinjection/measure.go
@@ -53,12 +53,12 @@
 
 // The parameters of a measured region.
 const (
-	measuredCPUs      = 16 // per machine
-	measuredTaskCPUs  = 4
-	measuredSubmitter = 16 // concurrent users that submit jobs
-	firstEndedJob     = 500000
-	firstNewJob       = 400000
-	restartAfter      = 3 * time.Second // of killed controllers
+	measuredCPUs       = 16 // per machine
+	measuredTaskCPUs   = 4
+	measuredSubmitters = 16 // concurrent users that submit jobs
+	firstEndedJob      = 500000
+	firstNewJob        = 400000
+	restartAfter       = 3 * time.Second // of killed controllers
 )
 
 // lossMeasurement is a measurement while it runs.
@@ -155,24 +155,24 @@
 
 // submitAll submits all jobs with several concurrent users and returns once all are accepted.
 func (l *lossMeasurement) submitAll(ctx context.Context) error {
-	ended := make(chan error, measuredSubmitter)
-	for i := range measuredSubmitter {
+	done := make(chan error, measuredSubmitters)
+	for i := range measuredSubmitters {
 		go func() {
 			own := *l.region
 			own.rng = rand.New(rand.NewPCG(3, uint64(i)))
 			var err error
-			for j := i; j < l.options.ActiveJobs && err == nil; j += measuredSubmitter {
+			for j := i; j < l.options.ActiveJobs && err == nil; j += measuredSubmitters {
 				err = own.submit(ctx, l.job(j))
 			}
-			ended <- err
+			done <- err
 		}()
 	}
-	for range measuredSubmitter {
-		if err := <-ended; err != nil {
+	for range measuredSubmitters {
+		if err := <-done; err != nil {
 			return err
 		}
 	}
-	fmt.Fprintf(l.options.Out, "%d jobs of %d tasks accepted, %d ends\n", l.options.ActiveJobs, l.tasks, l.options.EndedJobs)
+	fmt.Fprintf(l.options.Out, "%d jobs of %d tasks accepted, %d ended jobs\n", l.options.ActiveJobs, l.tasks, l.options.EndedJobs)
 	return nil
 }
 
@@ -181,11 +181,11 @@
 	var last []storeView
 	err := l.pollOverviews(ctx, func(views []storeView) bool {
 		last = views
-		whole := len(views) == len(controllerNames)
+		complete := len(views) == len(controllerNames)
 		for _, x := range views {
-			whole = whole && x.Store.HistoryComplete
+			complete = complete && x.Store.HistoryComplete
 		}
-		return whole && l.checker.CountRunning() >= l.options.ActiveJobs*l.tasks*9/10
+		return complete && l.checker.CountRunning() >= l.options.ActiveJobs*l.tasks*9/10
 	})
 	if err != nil {
 		return fmt.Errorf("%w: %d tasks are running; controllers %+v", err, l.checker.CountRunning(), last)
--- a/internal/loadtest/config.go
+++ b/internal/loadtest/config.go
@@ -12,25 +12,25 @@
 
 // Config describes an experiment.
 type Config struct {
-	Seed              uint64  `toml:"seed" json:"seed"`                               // of all random choices
-	Duration          float64 `toml:"duration_s" json:"duration_s"`                   // measuring time, after the region has settled
-	SettleTimeout     float64 `toml:"settle_s" json:"settle_s"`                       // limit for settling
-	Controllers       int     `toml:"controllers" json:"controllers"`                 //
-	Agents            int     `toml:"workers" json:"workers"`                         //
-	AgentsPerProcess  int     `toml:"workers_per_process" json:"workers_per_process"` //
-	Zones             int     `toml:"zones" json:"zones"`                             //
-	Teams             int     `toml:"teams" json:"teams"`                             //
-	TasksPerAgent     float64 `toml:"tasks_per_worker" json:"tasks_per_worker"`       // service replicas, which run during the whole experiment
-	StartsPerSecond   float64 `toml:"starts_per_s" json:"starts_per_s"`               // of array tasks, in addition to the services
-	TasksPerJob       int     `toml:"tasks_per_job" json:"tasks_per_job"`             // of an array
-	TaskRun           float64 `toml:"task_run_s" json:"task_run_s"`                   // mean run time of an array's task
-	TeamHeadroom      float64 `toml:"team_room" json:"team_room"`                     // a team's limit beyond its services, as a multiple of its arrays' mean use
-	UrgentShare       float64 `toml:"urgent_share" json:"urgent_share"`               // share of the arrays in the urgent class
-	UrgentWithin      float64 `toml:"urgent_within_s" json:"urgent_within_s"`         // objective for the start of urgent tasks
-	HeartbeatInterval float64 `toml:"report_s" json:"report_s"`                       // between an agent's heartbeats
-	AgentLease        float64 `toml:"worker_lease_s" json:"worker_lease_s"`           //
-	Cancel            float64 `toml:"cancel_s" json:"cancel_s"`                       //
-	CountPeerLines    bool    `toml:"count_peer_lines" json:"count_peer_lines"`       // route controller-to-controller connections through a counting proxy
+	Seed              uint64  `toml:"seed" json:"seed"`             // of all random choices
+	Duration          float64 `toml:"duration_s" json:"duration_s"` // measuring time, after the region has settled
+	SettleTimeout     float64 `toml:"settle_s" json:"settle_s"`     // limit for settling
+	Controllers       int     `toml:"controllers" json:"controllers"`
+	Agents            int     `toml:"workers" json:"workers"`
+	AgentsPerProcess  int     `toml:"workers_per_process" json:"workers_per_process"`
+	Zones             int     `toml:"zones" json:"zones"`
+	Teams             int     `toml:"teams" json:"teams"`
+	TasksPerAgent     float64 `toml:"tasks_per_worker" json:"tasks_per_worker"` // service replicas, which run during the whole experiment
+	StartsPerSecond   float64 `toml:"starts_per_s" json:"starts_per_s"`         // of array tasks, in addition to the services
+	TasksPerJob       int     `toml:"tasks_per_job" json:"tasks_per_job"`       // of an array
+	TaskRun           float64 `toml:"task_run_s" json:"task_run_s"`             // mean run time of an array's task
+	TeamHeadroom      float64 `toml:"team_room" json:"team_room"`               // a team's limit beyond its services, as a multiple of its arrays' mean use
+	UrgentShare       float64 `toml:"urgent_share" json:"urgent_share"`         // share of the arrays in the urgent class
+	UrgentWithin      float64 `toml:"urgent_within_s" json:"urgent_within_s"`   // objective for the start of urgent tasks
+	HeartbeatInterval float64 `toml:"report_s" json:"report_s"`                 // between an agent's heartbeats
+	AgentLease        float64 `toml:"worker_lease_s" json:"worker_lease_s"`
+	Cancel            float64 `toml:"cancel_s" json:"cancel_s"`
+	CountPeerLines    bool    `toml:"count_peer_lines" json:"count_peer_lines"` // route controller-to-controller connections through a counting proxy
 
 	Faults Faults `toml:"faults" json:"faults"`
 	Store  Store  `toml:"store" json:"store"`
--- a/internal/loadtest/region.go
+++ b/internal/loadtest/region.go
@@ -77,8 +77,8 @@
 
 	mu                sync.Mutex
 	rules             *rules
-	queues            [][]Event
-	completeUntil     []int64
+	queues            [][]Event // events not applied yet; this and the next four by agent process
+	completeUntil     []int64   // Batch.Until of the last batch
 	counts            []Counts
 	connected         []int
 	removed           []int
--- a/internal/loadtest/run.go
+++ b/internal/loadtest/run.go
@@ -228,7 +228,7 @@
 	r.Measured = time.Since(x.began).Seconds()
 	counts := g.totalCounts()
 	counts.add(x.countsBefore, -1)
-	r.Traffic = append(g.traffic.list(x.trafficBefore), workerTraffic(counts)...)
+	r.Traffic = append(g.traffic.list(x.trafficBefore), agentTraffic(counts)...)
 	own := 0.0
 	for i, w := range x.monitors {
 		own += w.use.Cores
@@ -266,8 +266,8 @@
 	r.LongestGap, r.MaxQuotaUse = max(g.rules.longestGap, time.Since(g.rules.lastStart)).Seconds(), g.rules.maxUse
 }
 
-// workerTraffic returns the agents' messages in the form of the other traffic counts.
-func workerTraffic(c Counts) []Traffic {
+// agentTraffic returns the agents' messages in the form of the other traffic counts.
+func agentTraffic(c Counts) []Traffic {
 	return []Traffic{
 		{"workers", "report", c.Heartbeats, c.HeartbeatBytes, c.AnswerBytes},
 		{"workers", "command", c.Commands, c.CommandBytes, c.ResultBytes},
--- a/internal/simulation/agentfaults.go
+++ b/internal/simulation/agentfaults.go
@@ -90,10 +90,10 @@
 	if on {
 		return
 	}
-	waiting := w.faults.hangCommands
+	commands := w.faults.hangCommands
 	w.faults.hangCommands = nil
-	for i := range waiting {
-		w.applyDelayed(&waiting[i])
+	for i := range commands {
+		w.applyDelayed(&commands[i])
 	}
 }
 
@@ -224,13 +224,13 @@
 	if w.faults.commandDelay == nil {
 		return true
 	}
-	held := w.faults.commandDelay(d)
-	if held > 0 {
+	delay := w.faults.commandDelay(d)
+	if delay > 0 {
 		w.faults.delayedCount++
 		w.faults.delayedCommands = append(w.faults.delayedCommands, d)
-		time.AfterFunc(held, func() { w.releaseCommands(d) })
+		time.AfterFunc(delay, func() { w.releaseCommands(d) })
 	}
-	return held <= 0
+	return delay <= 0
 }
 
 // releaseCommands executes delayed commands, or queues them if the machine hangs.
@@ -286,9 +286,9 @@
 // deliverCopy sends a copy of an earlier heartbeat and ignores the answer.
 func (w *Agent) deliverCopy(client *http.Client, url string, body []byte) (arrived bool) {
 	w.mu.Lock()
-	cut := w.faults.disconnected
+	disconnected := w.faults.disconnected
 	w.mu.Unlock()
-	if cut {
+	if disconnected {
 		return false
 	}
 	resp, err := client.Post(url, "application/json", bytes.NewReader(body))
