--- a/internal/cli/admission.go
+++ b/internal/cli/admission.go
@@ -12,26 +12,26 @@
 )
 
 type admissionCmd struct {
-	Show admissionShowCmd `cmd:"" help:"Tell who is served, who is short and why."`
+	Show admissionShowCmd `cmd:"" help:"Show for each team and class what it is served, what it lacks and why."`
 }
 
 type admissionShowCmd struct {
 	Controllers []string `arg:"" name:"host:port" help:"Public addresses of the controllers."`
 }
 
-// admissionAnswer is what a controller says of admission.
-type admissionAnswer struct {
+// admissionOverview is the part of a controller's overview about admission.
+type admissionOverview struct {
 	Node   string           `json:"node"`
-	Served admission.Status `json:"admission"`
+	Status admission.Status `json:"admission"`
 }
 
-// Run asks each controller and prints one table, who is served worst first.
-func (c *admissionShowCmd) Run(r *run) error {
-	var all []admissionAnswer
+// Run prints one table for all controllers, the worst served teams and classes first.
+func (c *admissionShowCmd) Run(r *commandContext) error {
+	var all []admissionOverview
 	failed := 0
 	for _, addr := range c.Controllers {
-		var a admissionAnswer
-		if err := overviewOf(r.ctx, addr, &a); err != nil {
+		var a admissionOverview
+		if err := fetchOverview(r.ctx, addr, &a); err != nil {
 			failed++
 			fmt.Fprintf(r.err, programName+": %s: %v\n", addr, err)
 			continue
@@ -51,30 +51,30 @@
 	return nil
 }
 
-// printAdmission prints a line for each controller and a table of teams and classes, each as its owner says.
-func (r *run) printAdmission(all []admissionAnswer) error {
+// printAdmission prints a line for each controller and a table of teams and classes, each as reported by its owner.
+func (r *commandContext) printAdmission(all []admissionOverview) error {
 	var keys []admission.KeyStatus
 	for _, a := range all {
-		fmt.Fprintf(r.out, "%s: plan %d of term %d, machines held %v; acceptances wait %.1f s, %d refused may come back\n",
-			a.Node, a.Served.Plan.Number, a.Served.Plan.SinceTerm, a.Served.Reserved, a.Served.AcceptanceWaitSeconds, a.Served.Refused)
-		for _, k := range a.Served.Keys {
-			if k.InTime+k.Late+k.Waiting+k.Done > 0 || k.UsedCPUs > 0 { // of its owner
+		fmt.Fprintf(r.out, "%s: plan %d of term %d, machines reserved %v; acceptances wait %.1f s, %d refused submissions may be retried\n",
+			a.Node, a.Status.Plan.Number, a.Status.Plan.SinceTerm, a.Status.Reserved, a.Status.AcceptanceWaitSeconds, a.Status.Refused)
+		for _, k := range a.Status.Keys {
+			if k.InTime+k.Late+k.Waiting+k.Done > 0 || k.UsedCPUs > 0 { // only the owner reports counts
 				keys = append(keys, k)
 			}
 		}
 	}
-	slices.SortStableFunc(keys, compareServed)
+	slices.SortStableFunc(keys, compareByShare)
 	w := tabwriter.NewWriter(r.out, 0, 4, 2, ' ', 0)
 	fmt.Fprintln(w, "team\tclass\tin time\tdone\tlate\trefused\tCPUs\tfloor\twaiting\toldest\twhy")
 	for _, k := range keys {
 		fmt.Fprintf(w, "%s\t%s\t%.0f%%\t%d\t%d\t%d\t%.0f\t%.0f\t%d\t%.0f s\t%s\n",
-			k.Team, k.Class, 100*k.Share, k.Done, k.Late, k.Refused, k.UsedCPUs, k.Floor, k.Waiting, k.OldestWaitSeconds, why(&k))
+			k.Team, k.Class, 100*k.Share, k.Done, k.Late, k.Refused, k.UsedCPUs, k.Floor, k.Waiting, k.OldestWaitSeconds, waitReason(&k))
 	}
 	return w.Flush()
 }
 
-// compareServed orders who is served worst first, then by name.
-func compareServed(a, b admission.KeyStatus) int {
+// compareByShare orders teams and classes by the share served in time, smallest first, then by name.
+func compareByShare(a, b admission.KeyStatus) int {
 	switch {
 	case a.Share < b.Share:
 		return -1
@@ -84,33 +84,33 @@
 	return a.Compare(b.Key)
 }
 
-// why says in a few words what a key waits for.
-func why(k *admission.KeyStatus) string {
+// waitReason returns a short text on what a team and class waits for, "" if for nothing.
+func waitReason(k *admission.KeyStatus) string {
 	switch {
 	case k.Floor > 0 && k.UsedCPUs < k.Floor:
-		return "short: it goes first until it has its floor"
+		return "below its floor: served first until it reaches it"
 	case k.Floor > 0:
-		return "has its floor; the rest waits for room"
+		return "at its floor; the rest waits for capacity"
 	case k.Waiting > 0 && k.UsedCPUs == 0:
-		return "has nothing: quota, machines or capacity, see the log"
+		return "nothing runs: quota, machines or capacity, see the log"
 	case k.Waiting > 0:
-		return "waits for room"
+		return "waits for capacity"
 	}
 	return ""
 }
 
 type simulateOverloadCmd struct {
-	Trials int           `default:"5" help:"How many crowds, each with another trouble."`
-	Seed   uint64        `default:"1" help:"Draws them."`
-	AtOnce int           `default:"2" help:"Regions at the same time, of three controller processes each."`
-	Floor  float64       `default:"0.5" help:"The controllers' class_floor; 0 shows what it is for."`
-	Report string        `help:"Write a page (HTML) to this file."`
-	Most   time.Duration `default:"1h" help:"Give up after this."`
+	Trials  int           `default:"5" help:"Number of load bursts, each with a different fault."`
+	Seed    uint64        `default:"1" help:"Seed of the random trials."`
+	AtOnce  int           `default:"2" help:"Deployments to run in parallel, of three controller processes each."`
+	Floor   float64       `default:"0.5" help:"The controllers' class_floor; 0 disables it for comparison."`
+	Report  string        `help:"Write an HTML report to this file."`
+	Timeout time.Duration `name:"most" default:"1h" help:"Give up after this time."`
 }
 
-// Run simulates overload; a broken rule, or a class that starves, makes the exit code 1.
-func (c *simulateOverloadCmd) Run(r *run) error {
-	ctx, cancel, program, dir, err := r.simulation("overload", c.Most)
+// Run simulates overload; a violated rule, or a class that starves, makes the exit code 1.
+func (c *simulateOverloadCmd) Run(r *commandContext) error {
+	ctx, cancel, program, dir, err := r.simulation("overload", c.Timeout)
 	if err != nil {
 		return err
 	}
@@ -132,5 +132,5 @@
 			return err
 		}
 	}
-	return verdict(r, "crowds", dir, trials, func(t faultinjection.OverloadTrial) bool { return t.Broken != "" })
+	return reportTrials(r, "load bursts", dir, trials, func(t faultinjection.OverloadTrial) bool { return t.Broken != "" })
 }
--- a/internal/cli/artifactstore.go
+++ b/internal/cli/artifactstore.go
@@ -24,7 +24,7 @@
 
 type artifactStoreCmd struct {
 	Run    artifactStoreRunCmd    `cmd:"" default:"withargs" help:"Run a replica of the artifact store until it is stopped."`
-	Status artifactStoreStatusCmd `cmd:"" help:"Tell how each replica is: copies short, repair left, disk, refusals by reason."`
+	Status artifactStoreStatusCmd `cmd:"" help:"Show the state of each replica: missing copies, pending repairs, disk, refusals by reason."`
 }
 
 type artifactStoreRunCmd struct {
@@ -32,7 +32,7 @@
 	serverFlags
 }
 
-func (c *artifactStoreRunCmd) Run(r *run) error {
+func (c *artifactStoreRunCmd) Run(r *commandContext) error {
 	set, err := artifactreplication.LoadConfig(c.Config)
 	key, err := c.key(r, set, err)
 	if key == nil {
@@ -41,14 +41,15 @@
 	return RunArtifactStore(r.ctx, set, key, r.err, nil)
 }
 
-// RunArtifactStore runs an artifact store until the context ends. ready is told the address once it answers.
+// RunArtifactStore runs a replica of the artifact store until the context ends. It calls ready, unless that is nil, with
+// the address it listens on once it serves requests.
 func RunArtifactStore(ctx context.Context, set artifactreplication.Config, key []byte, log io.Writer, ready func(addr string)) error {
 	listener, err := net.Listen("tcp", set.Listen)
 	if err != nil {
 		return err
 	}
 	defer listener.Close()
-	if len(set.Members.List) == 0 { // alone, perhaps at an address that only now is known
+	if len(set.Members.List) == 0 { // a single replica, whose port the system may have chosen
 		set.Listen = listener.Addr().String()
 		set.FillDefaults()
 	}
@@ -64,7 +65,7 @@
 	return s.run(ctx, ready)
 }
 
-// artifactServer is one replica of the artifact store, with all that it is made of.
+// artifactServer is one replica of the artifact store with its listener and its stores.
 type artifactServer struct {
 	set      artifactreplication.Config
 	listener net.Listener
@@ -74,7 +75,7 @@
 	node     *artifactreplication.Node
 }
 
-// open opens what is on the disk.
+// open opens the stores on disk.
 func (s *artifactServer) open(key []byte) (err error) {
 	set := &s.set
 	gb := func(x float64) int64 { return int64(x * 1e9) }
@@ -94,7 +95,7 @@
 	return err
 }
 
-// join makes it a replica of the group in the settings.
+// join makes the server a replica of the group in the settings.
 func (s *artifactServer) join(key []byte) error {
 	set := &s.set
 	retain, err := artifactreplication.LoadRetention(set.Policy, set.KeepDays)
@@ -126,7 +127,7 @@
 	return err
 }
 
-// close closes what is open, the attempts before the blobs that they refer to. What was acknowledged is on the disk.
+// close closes the stores, the attempts before the blobs that they refer to. Acknowledged data is on disk already.
 func (s *artifactServer) close() {
 	if s.store != nil {
 		s.store.Close()
@@ -138,12 +139,12 @@
 
 func (s *artifactServer) logStart() {
 	st := s.node.Status()
-	s.log.Info("keeping", "keeper", st.Name, "listen", s.listener.Addr().String(), "dir", s.set.Dir,
+	s.log.Info("artifact store started", "keeper", st.Name, "listen", s.listener.Addr().String(), "dir", s.set.Dir,
 		"epoch", st.Epoch, "disk", st.Disk, "incarnation", st.Incarnation,
 		"state", st.State, "open_attempts", st.Open, "bytes", st.Bytes)
 }
 
-// run serves requests and works in the background until the context ends.
+// run serves requests and runs the background work until the context ends.
 func (s *artifactServer) run(ctx context.Context, ready func(addr string)) error {
 	server := &http.Server{
 		Handler:           (&artifactreplication.Server{Node: s.node}).Handler(),
@@ -179,7 +180,7 @@
 	return err
 }
 
-// shutdownTimeout is how long requests may take to end; those of readers that follow a log do not end by themselves.
+// shutdownTimeout bounds the wait for requests in flight; requests that follow a log don't end by themselves.
 const shutdownTimeout = 3 * time.Second
 
 func shutDown(server *http.Server) error {
@@ -195,9 +196,8 @@
 	Config string `default:"deploy/keep.toml" help:"Settings file (TOML) with the list of replicas."`
 }
 
-// Run asks every keeper of the settings' list. One that does not answer is told of, and
-// makes the exit code 1.
-func (c *artifactStoreStatusCmd) Run(r *run) error {
+// Run prints the status of every replica in the settings. A replica that does not answer makes the exit code 1.
+func (c *artifactStoreStatusCmd) Run(r *commandContext) error {
 	set, err := artifactreplication.LoadConfig(c.Config)
 	if err != nil {
 		return fmt.Errorf("%w: %w", errUsage, err)
@@ -215,14 +215,14 @@
 	if !r.json {
 		fmt.Fprintln(table, "KEEPER\tZONE\tSTATE\tEPOCH\tSTARTS\tGB\tOPEN\tSHORT\tREPAIR LEFT\tOLDEST\tHAND OVER\tAWAY\tREFUSED")
 	}
-	var silent []string
+	var unreachable []string
 	for _, m := range set.Members.List {
 		if m.State == artifactreplication.Gone {
 			continue
 		}
 		st, err := artifactreplication.AskStatus(r.ctx, client, m.URL, key)
 		if err != nil {
-			silent = append(silent, m.Name)
+			unreachable = append(unreachable, m.Name)
 			answer := map[string]any{"name": m.Name, "zone": m.Zone, "state": "no answer", "error": err.Error()}
 			r.row(table, answer, "%s\t%s\tno answer: %v", m.Name, m.Zone, err)
 			continue
@@ -232,14 +232,14 @@
 	if err := table.Flush(); err != nil {
 		return err
 	}
-	if len(silent) > 0 {
-		return fmt.Errorf("no answer from %s", strings.Join(silent, ", "))
+	if len(unreachable) > 0 {
+		return fmt.Errorf("no answer from %s", strings.Join(unreachable, ", "))
 	}
 	return nil
 }
 
-// statusRow prints how a replica is.
-func (r *run) statusRow(table io.Writer, st *artifactreplication.Status) {
+// statusRow prints the status of a replica.
+func (r *commandContext) statusRow(table io.Writer, st *artifactreplication.Status) {
 	var refused []string
 	for reason, n := range st.Refused {
 		refused = append(refused, fmt.Sprintf("%s %d", reason, n))
@@ -249,8 +249,8 @@
 		st.Open, st.UnderReplicated, st.PendingRepairs, st.OldestRepairSeconds, st.Misplaced, len(st.Unreachable), cmp.Or(strings.Join(refused, ", "), "-"))
 }
 
-// row prints a line of a table, or a JSON line.
-func (r *run) row(table io.Writer, v any, format string, args ...any) {
+// row prints a table row, or a JSON line.
+func (r *commandContext) row(table io.Writer, v any, format string, args ...any) {
 	if r.json {
 		r.print(v, "")
 		return
--- a/internal/cli/build.go
+++ b/internal/cli/build.go
@@ -9,7 +9,7 @@
 	serverFlags
 }
 
-func (c *buildCmd) Run(r *run) error {
+func (c *buildCmd) Run(r *commandContext) error {
 	set, err := reapi.LoadConfig(c.Config)
 	key, err := c.key(r, set, err)
 	if key == nil {
--- a/internal/cli/cli.go
+++ b/internal/cli/cli.go
@@ -1,5 +1,5 @@
-// Package cli is what the command topazhollowctl does: it reads the command line, calls the packages that do the work,
-// prints what they give and maps their errors to exit codes, here and nowhere else.
+// Package cli implements the command topazhollowctl: it parses the command line, calls the packages that do the work,
+// prints their results and maps their errors to exit codes. No other package sets an exit code.
 package cli
 
 import (
@@ -22,10 +22,10 @@
 	"topazhollow/internal/snapshot"
 )
 
-// programName stands in the help and before its errors.
+// programName appears in the help and prefixes error messages.
 const programName = "topazhollowctl"
 
-// Exit codes, as --help lists them.
+// Exit codes; --help lists them too.
 const (
 	ExitFailed  = 1
 	ExitUsage   = 2
@@ -37,67 +37,67 @@
 
 const about = `Operators' and users' command line of topazhollow.
 
-Exit codes: 0 done; 1 failed; 2 wrong arguments or settings; 3 what was read is partial, its agent never sealed it; 4 there is no such task, attempt or file; 5 the token was refused; 6 too few replicas answered to be sure.`
+Exit codes: 0 done; 1 failed; 2 invalid arguments or settings; 3 the output is partial because its agent never sealed it; 4 no such task, attempt or file; 5 the token was refused; 6 too few replicas answered for a definite result.`
 
 type cli struct {
 	Output string `enum:"text,json" default:"text" help:"Print text or JSON lines."`
 
-	Demo       demoCmd       `cmd:"" help:"Run a whole region on this machine, with a job, and show its output."`
-	Controller controllerCmd `cmd:"" hidden:"" help:"Run a controller, for demo."`
+	Demo       demoCmd       `cmd:"" help:"Run a complete deployment on this machine, submit a job and show its output."`
+	Controller controllerCmd `cmd:"" hidden:"" help:"Run a controller (used by demo and simulate)."`
 
-	Snapshot snapshotCmd `cmd:"" help:"Keep copies of the key-value store, and put one back after it lost data (see docs/data-recovery.md)."`
-	Rebuild  recoveryCmd `cmd:"" name:"recovery" aliases:"rebuild" help:"See how the controllers rebuild what the key-value store lost (see docs/data-recovery.md)."`
+	Snapshot snapshotCmd `cmd:"" help:"Keep copies of the key-value store, and restore one after data loss (see docs/data-recovery.md)."`
+	Recovery recoveryCmd `cmd:"" name:"recovery" aliases:"rebuild" help:"Show how the controllers restore data that the key-value store lost (see docs/data-recovery.md)."`
 
-	Admission admissionCmd `cmd:"" help:"See who gets how much of what is short (see docs/admission.md)."`
+	Admission admissionCmd `cmd:"" help:"Show how scarce capacity is divided among teams and classes (see docs/admission.md)."`
 
 	Config configCmd `cmd:"" help:"Change the teams' configuration while the controllers run (see docs/configuration.md)."`
 
-	Rehearse    simulateCmd            `cmd:"" name:"simulate" aliases:"rehearse" help:"Simulate failures and load on this machine."`
-	DrillWorker faultInjectionAgentCmd `cmd:"" name:"fault-injection-agent" aliases:"drill-worker" hidden:"" help:"An agent's process, for simulate kills."`
+	Simulate            simulateCmd            `cmd:"" name:"simulate" aliases:"rehearse" help:"Simulate failures and load on this machine."`
+	FaultInjectionAgent faultInjectionAgentCmd `cmd:"" name:"fault-injection-agent" aliases:"drill-worker" hidden:"" help:"Run an agent process (used by simulate kills)."`
 
-	HollowWorkers simulatedAgentsCmd `cmd:"" name:"simulated-agents" aliases:"hollow-workers" hidden:"" help:"A process of simulated agents, for simulate scale."`
+	SimulatedAgents simulatedAgentsCmd `cmd:"" name:"simulated-agents" aliases:"hollow-workers" hidden:"" help:"Run a process of simulated agents (used by simulate scale)."`
 
-	Build buildCmd         `cmd:"" help:"Serve build tools: store and action cache of the Remote Execution API (see docs/remote-execution.md)."`
-	Keep  artifactStoreCmd `cmd:"" name:"artifact-store" aliases:"keep" help:"Store tasks' output and files (see docs/keeper.md)."`
-	Token tokenCmd         `cmd:"" help:"Print a token to read a job's output, or to use an instance for builds, made with the artifact store's key."`
-	Tries attemptsCmd      `cmd:"" name:"attempts" help:"List a task's attempts."`
-	Logs  logsCmd          `cmd:"" help:"Print a task's output."`
-	Fetch fetchCmd         `cmd:"" help:"Copy the files that a task's attempt produced."`
+	Build         buildCmd         `cmd:"" help:"Serve build tools: content-addressable store and action cache of the Remote Execution API (see docs/remote-execution.md)."`
+	ArtifactStore artifactStoreCmd `cmd:"" name:"artifact-store" aliases:"keep" help:"Store the output and files of tasks (see docs/keeper.md)."`
+	Token         tokenCmd         `cmd:"" help:"Print a token for reading a job's output or for using a build instance, signed with the artifact store's key."`
+	Attempts      attemptsCmd      `cmd:"" name:"attempts" help:"List a task's attempts."`
+	Logs          logsCmd          `cmd:"" help:"Print a task's output."`
+	Fetch         fetchCmd         `cmd:"" help:"Download the files that an attempt of a task produced."`
 }
 
-// run is what a command has at hand.
-type run struct {
+// commandContext holds what every command needs: its context, its output streams and the output format.
+type commandContext struct {
 	ctx      context.Context
 	out, err io.Writer
 	json     bool
 }
 
-func (r *run) print(v any, format string, args ...any) {
+func (r *commandContext) print(v any, format string, args ...any) {
 	if r.json {
-		_ = json.NewEncoder(r.out).Encode(v) // nobody to tell that nobody reads
+		_ = json.NewEncoder(r.out).Encode(v) // a failed write to the output can't be reported
 		return
 	}
 	fmt.Fprintf(r.out, format+"\n", args...)
 }
 
-// Main carries out a command line and gives the exit code.
+// Main runs a command line and returns the exit code.
 func Main(ctx context.Context, args []string, out, errs io.Writer) (code int) {
 	var c cli
-	ended := -1
-	parser, err := kong.New(&c, kong.Name(programName), kong.Description(about), kong.Writers(out, errs), kong.Exit(func(code int) { ended = code }))
+	exitCode := -1 // set by kong for --help
+	parser, err := kong.New(&c, kong.Name(programName), kong.Description(about), kong.Writers(out, errs), kong.Exit(func(code int) { exitCode = code }))
 	if err != nil {
 		fmt.Fprintln(errs, programName+":", err)
 		return ExitUsage
 	}
-	k, err := parser.Parse(args)
-	if ended >= 0 { // --help
-		return ended
+	parsed, err := parser.Parse(args)
+	if exitCode >= 0 {
+		return exitCode
 	}
 	if err != nil {
 		fmt.Fprintln(errs, programName+":", err)
 		return ExitUsage
 	}
-	err = k.Run(&run{ctx: ctx, out: out, err: errs, json: c.Output == "json"})
+	err = parsed.Run(&commandContext{ctx: ctx, out: out, err: errs, json: c.Output == "json"})
 	if err == nil {
 		return 0
 	}
@@ -117,17 +117,17 @@
 	return ExitFailed
 }
 
-var errUsage = errors.New("wrong arguments or settings")
+var errUsage = errors.New("invalid arguments or settings")
 
-// serverFlags are those of commands that run a server by a settings file.
+// serverFlags are the flags of commands that run a server from a settings file.
 type serverFlags struct {
-	Check       bool `help:"Check the settings, then leave."`
-	PrintConfig bool `help:"Print the settings in force, with defaults, then leave."`
+	Check       bool `help:"Check the settings, then exit."`
+	PrintConfig bool `help:"Print the effective settings, including defaults, then exit."`
 }
 
-// key gives the key to run a server with, or nil if there is no more to do, with the error
-// if that is why; err is the one of reading the settings.
-func (f serverFlags) key(r *run, set fmt.Stringer, err error) ([]byte, error) {
+// key returns the key to run a server with. It returns nil if the server must not run: with an error, or without one
+// after it has printed or checked the settings. err is the error of reading the settings.
+func (f serverFlags) key(r *commandContext, set fmt.Stringer, err error) ([]byte, error) {
 	if err != nil {
 		return nil, fmt.Errorf("%w: %w", errUsage, err)
 	}
@@ -146,7 +146,7 @@
 	return key, nil
 }
 
-// logger is the programs' common log.
+// logger returns a logger that writes text to w, at the level in LOG_LEVEL.
 func logger(w io.Writer) *slog.Logger {
 	level := slog.LevelInfo
 	switch os.Getenv("LOG_LEVEL") {
@@ -158,60 +158,60 @@
 	return slog.New(slog.NewTextHandler(w, &slog.HandlerOptions{Level: level}))
 }
 
-// taskName is JOB/TASK on the command line.
+// taskName is a task given as JOB/TASK on the command line.
 type taskName struct {
 	Job  string
 	Task int
 }
 
-// UnmarshalText reads JOB/TASK.
+// UnmarshalText parses JOB/TASK.
 func (t *taskName) UnmarshalText(b []byte) error {
 	job, task, ok := strings.Cut(string(b), "/")
 	n, err := strconv.Atoi(task)
 	if !ok || job == "" || err != nil || n < 0 {
-		return fmt.Errorf("%q is not JOB/TASK, as job-000412/3", b)
+		return fmt.Errorf("%q is not JOB/TASK, for example job-000412/3", b)
 	}
 	t.Job, t.Task = job, n
 	return nil
 }
 
-// taskOrJob is JOB/TASK, or JOB, whose Task is -1.
+// taskOrJob is JOB/TASK, or JOB with Task -1.
 type taskOrJob struct{ taskName }
 
-// UnmarshalText reads JOB/TASK or JOB.
+// UnmarshalText parses JOB/TASK or JOB.
 func (t *taskOrJob) UnmarshalText(b []byte) error {
 	if strings.Contains(string(b), "/") {
 		return t.taskName.UnmarshalText(b)
 	}
 	if t.Job, t.Task = string(b), -1; t.Job == "" {
-		return errors.New("a job is expected")
+		return errors.New("the job name is empty")
 	}
 	return nil
 }
 
-// from says which keeper to ask, and with what right.
-type from struct {
-	Keeper string `env:"TOPAZ_KEEPER" default:"http://127.0.0.1:8800" placeholder:"URL" help:"A replica's address, or several with commas between (${env})."`
-	Token  string `env:"TOPAZ_TOKEN" required:"" help:"Token to read with (${env})."`
+// readerFlags select the replicas of the artifact store to read from and the token to read with.
+type readerFlags struct {
+	Keeper string `env:"TOPAZ_KEEPER" default:"http://127.0.0.1:8800" placeholder:"URL" help:"Address of a replica of the artifact store, or several separated by commas (${env})."`
+	Token  string `env:"TOPAZ_TOKEN" required:"" help:"Token for reading (${env})."`
 }
 
-func (f from) reader() *artifactstore.Reader {
+func (f readerFlags) reader() *artifactstore.Reader {
 	return &artifactstore.Reader{URL: f.Keeper, Token: f.Token}
 }
 
 type tokenCmd struct {
-	Job   string        `arg:"" help:"Job, as job-000412; with --build an instance."`
-	Task  *int          `help:"Only this task."`
-	Build bool          `help:"For an instance of the front for build tools."`
-	For   time.Duration `default:"12h" help:"For how long it holds."`
+	Job      string        `arg:"" help:"Job, for example job-000412; with --build an instance."`
+	Task     *int          `help:"Restrict the token to this task."`
+	Build    bool          `help:"Make a token for an instance of the build server."`
+	ValidFor time.Duration `name:"for" default:"12h" help:"How long the token is valid."`
 }
 
-func (c *tokenCmd) Run(r *run) error {
+func (c *tokenCmd) Run(r *commandContext) error {
 	key, err := artifactreplication.KeyFromEnvironment()
 	if err != nil {
 		return fmt.Errorf("%w: %w", errUsage, err)
 	}
-	g := artifactstore.Grant{Right: artifactstore.Read, Job: c.Job, Task: c.Task, Until: time.Now().Add(c.For).UTC()}
+	g := artifactstore.Grant{Right: artifactstore.Read, Job: c.Job, Task: c.Task, Until: time.Now().Add(c.ValidFor).UTC()}
 	if c.Build {
 		g.Right, g.Task = artifactstore.Build, nil
 	}
@@ -221,63 +221,64 @@
 }
 
 type attemptsCmd struct {
-	Of taskName `arg:"" name:"task" help:"Task, as job-000412/3."`
-	from
+	Target taskName `arg:"" name:"task" help:"Task, for example job-000412/3."`
+	readerFlags
 }
 
-func (c *attemptsCmd) Run(r *run) error {
-	list, err := c.reader().Attempts(r.ctx, c.Of.Job, c.Of.Task)
+func (c *attemptsCmd) Run(r *commandContext) error {
+	list, err := c.reader().Attempts(r.ctx, c.Target.Job, c.Target.Task)
 	if err != nil && !errors.Is(err, artifactstore.ErrUnsure) {
 		return err
 	}
 	for _, a := range list {
-		how := ""
+		exit := ""
 		if a.Exit != nil {
-			how = fmt.Sprintf("exit %d %s", a.Exit.Code, a.Exit.Reason)
+			exit = fmt.Sprintf("exit %d %s", a.Exit.Code, a.Exit.Reason)
 		}
-		r.print(a, "%-22d %-8s %-16s %s", a.Number, a.State, a.Machine, how)
+		r.print(a, "%-22d %-8s %-16s %s", a.Number, a.State, a.Machine, exit)
 	}
 	return err
 }
 
 type logsCmd struct {
-	Of      taskOrJob     `arg:"" name:"task" help:"Task, as job-000412/3; with --failed a job."`
-	Attempt uint64        `help:"Which attempt; the final one, else the latest, if not given."`
-	Stream  string        `default:"stdout" help:"Which of its streams."`
-	Since   time.Duration `help:"Only what was put out in this time until now, as 10m."`
-	Follow  bool          `help:"Go on while the attempt does."`
-	Failed  bool          `help:"Of each of a job's tasks without a result, the last attempt that is over."`
-	from
+	Target  taskOrJob     `arg:"" name:"task" help:"Task, for example job-000412/3; with --failed a job."`
+	Attempt uint64        `help:"Attempt to print; by default the final one, or the latest if none is final."`
+	Stream  string        `default:"stdout" help:"Output stream to print."`
+	Since   time.Duration `help:"Print only output newer than this, for example 10m."`
+	Follow  bool          `help:"Keep printing until the attempt ends."`
+	Failed  bool          `help:"Print the last ended attempt of each of the job's tasks that has no result."`
+	readerFlags
 }
 
-// Run prints one task's output, or that of a job's failed ones.
-func (c *logsCmd) Run(r *run) error {
-	if c.Failed != (c.Of.Task < 0) {
+// Run prints the output of one task, or of all failed tasks of a job.
+func (c *logsCmd) Run(r *commandContext) error {
+	if c.Failed != (c.Target.Task < 0) {
 		return fmt.Errorf("%w: JOB/TASK is expected, or JOB with --failed", errUsage)
 	}
 	if c.Failed {
-		return c.failed(r)
+		return c.printFailed(r)
 	}
-	end, err := c.one(r, c.Of.Task, c.Attempt, "")
+	end, err := c.printStream(r, c.Target.Task, c.Attempt, "")
 	switch {
 	case err != nil:
 		return err
 	case end.State == artifactstore.StatePartial || end.State == artifactstore.StateOpen:
-		return fmt.Errorf("%w: attempt %d of %s/%d", artifactstore.ErrPartial, end.Attempt, c.Of.Job, c.Of.Task)
+		return fmt.Errorf("%w: attempt %d of %s/%d", artifactstore.ErrPartial, end.Attempt, c.Target.Job, c.Target.Task)
 	case end.State == artifactstore.StateUnsure:
-		return fmt.Errorf("%w: attempt %d of %s/%d", artifactstore.ErrUnsure, end.Attempt, c.Of.Job, c.Of.Task)
+		return fmt.Errorf("%w: attempt %d of %s/%d", artifactstore.ErrUnsure, end.Attempt, c.Target.Job, c.Target.Task)
 	}
 	return nil
 }
 
-// failed prints why a job's tasks have no result.
-func (c *logsCmd) failed(r *run) error {
-	tasks, unsure := c.reader().Tasks(r.ctx, c.Of.Job)
+// printFailed prints, for each task of the job without a final attempt, the output and exit of its last ended attempt.
+// It reads on when too few replicas answer, and returns that error at the end.
+func (c *logsCmd) printFailed(r *commandContext) error {
+	tasks, unsure := c.reader().Tasks(r.ctx, c.Target.Job)
 	if unsure != nil && !errors.Is(unsure, artifactstore.ErrUnsure) {
 		return unsure
 	}
 	for _, task := range tasks {
-		list, err := c.reader().Attempts(r.ctx, c.Of.Job, task)
+		list, err := c.reader().Attempts(r.ctx, c.Target.Job, task)
 		if errors.Is(err, artifactstore.ErrUnsure) {
 			unsure = err
 		} else if err != nil {
@@ -297,26 +298,27 @@
 			continue
 		}
 		r.print(last, "== %s/%d attempt %d on %s: %s, exit %d %s", last.Job, last.Task, last.Number, last.Machine, last.State, last.Exit.Code, last.Exit.Reason)
-		if _, err := c.one(r, task, last.Number, "   "); err != nil {
+		if _, err := c.printStream(r, task, last.Number, "   "); err != nil {
 			return err
 		}
 	}
 	return unsure
 }
 
-// one prints an attempt's stream.
-func (c *logsCmd) one(r *run, task int, attempt uint64, indent string) (artifactstore.Line, error) {
+// printStream prints one output stream of an attempt and returns the line that ends it. Attempt 0 selects the final or
+// latest attempt.
+func (c *logsCmd) printStream(r *commandContext, task int, attempt uint64, indent string) (artifactstore.Line, error) {
 	q := artifactstore.Query{Attempt: attempt, Stream: c.Stream, Follow: c.Follow}
 	if c.Since > 0 {
 		q.Since = time.Now().Add(-c.Since)
 	}
-	end, err := c.reader().Logs(r.ctx, c.Of.Job, task, q, func(l artifactstore.Line) error {
+	end, err := c.reader().Logs(r.ctx, c.Target.Job, task, q, func(l artifactstore.Line) error {
 		switch {
 		case r.json:
 			return json.NewEncoder(r.out).Encode(&l)
 		case l.Record.Dropped != nil:
-			h := l.Record.Dropped
-			_, err := fmt.Fprintf(r.out, "%s[%d bytes lost from %s to %s]\n", indent, h.Bytes, h.From.UTC().Format(time.TimeOnly), h.To.UTC().Format(time.TimeOnly))
+			gap := l.Record.Dropped
+			_, err := fmt.Fprintf(r.out, "%s[%d bytes lost from %s to %s]\n", indent, gap.Bytes, gap.From.UTC().Format(time.TimeOnly), gap.To.UTC().Format(time.TimeOnly))
 			return err
 		}
 		_, err := fmt.Fprintf(r.out, "%s%s\n", indent, l.Record.Data)
@@ -328,33 +330,33 @@
 	return end, err
 }
 
-// longTransfer is from how many bytes on a file's transfer is shown as a bar.
-const longTransfer = 8 << 20
+// progressBarMinBytes is the file size from which a download shows a progress bar.
+const progressBarMinBytes = 8 << 20
 
 type fetchCmd struct {
-	Of      taskName `arg:"" name:"task" help:"Task, as job-000412/3."`
-	Dir     string   `arg:"" optional:"" default:"." help:"Directory to copy to."`
-	Attempt uint64   `help:"Which attempt; the final one, else the latest, if not given."`
-	from
+	Target  taskName `arg:"" name:"task" help:"Task, for example job-000412/3."`
+	Dir     string   `arg:"" optional:"" default:"." help:"Directory to download to."`
+	Attempt uint64   `help:"Attempt to download from; by default the final one, or the latest if none is final."`
+	readerFlags
 }
 
-func (c *fetchCmd) Run(r *run) error {
-	k := c.reader()
-	m, final, err := k.Manifest(r.ctx, c.Of.Job, c.Of.Task, c.Attempt)
+func (c *fetchCmd) Run(r *commandContext) error {
+	reader := c.reader()
+	m, final, err := reader.Manifest(r.ctx, c.Target.Job, c.Target.Task, c.Attempt)
 	if err != nil {
 		return err
 	}
 	for _, f := range m.Files {
 		var bar *progressbar.ProgressBar
-		err := k.Fetch(r.ctx, m, f, c.Dir+"/"+f.Path, func(done, all int64) {
-			if r.json || all < longTransfer {
+		err := reader.Fetch(r.ctx, m, f, c.Dir+"/"+f.Path, func(done, all int64) {
+			if r.json || all < progressBarMinBytes {
 				return
 			}
 			if bar == nil {
 				bar = progressbar.NewOptions64(all, progressbar.OptionSetWriter(r.err), progressbar.OptionSetDescription(f.Path), progressbar.OptionShowBytes(true),
 					progressbar.OptionThrottle(200*time.Millisecond), progressbar.OptionClearOnFinish())
 			}
-			_ = bar.Set64(done) // a bar that can't be drawn is no reason to stop
+			_ = bar.Set64(done) // a failure to draw the bar does not stop the download
 		})
 		if err != nil {
 			return err
--- a/internal/cli/cli_test.go
+++ b/internal/cli/cli_test.go
@@ -17,8 +17,7 @@
 	"topazhollow/internal/artifactstore"
 )
 
-// TestMain lets the tests' program be the command topazhollowctl for the processes that demo
-// starts.
+// TestMain lets the test binary act as topazhollowctl, since demo starts its processes from its own executable.
 func TestMain(m *testing.M) {
 	if len(os.Args) > 1 && slices.Contains([]string{"controller", "artifact-store", "fault-injection-agent"}, os.Args[1]) {
 		os.Exit(Main(context.Background(), os.Args[1:], os.Stdout, os.Stderr))
@@ -26,18 +25,18 @@
 	os.Exit(m.Run())
 }
 
-func topaz(args ...string) (int, string, string) {
+func runCommand(args ...string) (int, string, string) {
 	var out, errs bytes.Buffer
 	code := Main(context.Background(), args, &out, &errs)
 	return code, out.String(), errs.String()
 }
 
-// TestDemo: one command runs a region with three controllers as processes, a job whose
-// output is followed, and leaves nothing behind.
+// TestDemo checks that demo runs a job on three controller processes, follows its output, fetches its files and leaves
+// no files behind.
 func TestDemo(t *testing.T) {
 	tmp := t.TempDir()
 	t.Setenv("TMPDIR", tmp)
-	code, out, errs := topaz("demo", "--job", "../../examples/grades.toml", "--most", "5m")
+	code, out, errs := runCommand("demo", "--job", "../../examples/grades.toml", "--most", "5m")
 	if code != 0 {
 		t.Fatalf("%d\n%s%s", code, out, errs)
 	}
@@ -51,7 +50,7 @@
 	}
 }
 
-// TestExitCodes: what a script decides by.
+// TestExitCodes checks the exit codes and output that scripts rely on.
 func TestExitCodes(t *testing.T) {
 	dir := t.TempDir()
 	key := bytes.Repeat([]byte{7}, 16)
@@ -62,7 +61,7 @@
 	go func() { ended <- RunArtifactStore(ctx, set, key, &bytes.Buffer{}, func(addr string) { ready <- addr }) }()
 	t.Setenv("TOPAZ_KEEPER", "http://"+<-ready)
 	t.Setenv(artifactreplication.KeyVariable, strings.Repeat("07", 16))
-	code, token, errs := topaz("token", "job-000001")
+	code, token, errs := runCommand("token", "job-000001")
 	if code != 0 {
 		t.Fatal(errs)
 	}
@@ -96,7 +95,7 @@
 		{[]string{"build", "--config", "../../deploy/keep.toml", "--check"}, ExitUsage, ""},
 		{[]string{"--help"}, 0, "Exit codes"},
 	} {
-		if code, out, errs := topaz(x.args...); code != x.code || !strings.Contains(out, x.out) {
+		if code, out, errs := runCommand(x.args...); code != x.code || !strings.Contains(out, x.out) {
 			t.Errorf("%q: %d, %q, %q", x.args, code, out, errs)
 		}
 	}
@@ -106,17 +105,17 @@
 	post("/attempt", "")
 	post("/streams/stdout?first=0", `[{"at":"2026-01-01T00:00:00Z","data":"bm8="}]`)
 	post("/seal", `{"exit":{"completed":false,"code":3,"reason":"no terrain"},"records":{"stdout":1}}`)
-	if code, out, errs := topaz("logs", "job-000001", "--failed"); code != 0 || out != "== job-000001/1 attempt 2 on m: sealed, exit 3 no terrain\n   no\n" {
-		t.Errorf("failed ones: %d %q %s", code, out, errs)
+	if code, out, errs := runCommand("logs", "job-000001", "--failed"); code != 0 || out != "== job-000001/1 attempt 2 on m: sealed, exit 3 no terrain\n   no\n" {
+		t.Errorf("failed tasks: %d %q %s", code, out, errs)
 	}
 	config := filepath.Join(dir, "keep.toml")
 	if err := os.WriteFile(config, []byte("listen = \""+strings.TrimPrefix(os.Getenv("TOPAZ_KEEPER"), "http://")+"\""), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	if code, out, errs := topaz("keep", "status", "--config", config); code != 0 || !strings.Contains(out, "keeper-1") || !strings.Contains(out, "serving") {
+	if code, out, errs := runCommand("keep", "status", "--config", config); code != 0 || !strings.Contains(out, "keeper-1") || !strings.Contains(out, "serving") {
 		t.Errorf("status: %d %s %s", code, out, errs)
 	}
-	if code, out, errs := topaz("--output", "json", "logs", "job-000001/0"); code != 0 || !strings.Contains(out, `"state":"final"`) {
+	if code, out, errs := runCommand("--output", "json", "logs", "job-000001/0"); code != 0 || !strings.Contains(out, `"state":"final"`) {
 		t.Errorf("sealed: %d %s %s", code, out, errs)
 	}
 	cancel()
@@ -125,19 +124,19 @@
 	}
 }
 
-// TestLinksOfTheController: the platform's program must stay as small as it was
-// measured: it links nothing of the keeper and what that needs.
-func TestLinksOfTheController(t *testing.T) {
+// TestControllerDependencies keeps the controller program small: it must not link the artifact store, the tools or the
+// modules that only they need.
+func TestControllerDependencies(t *testing.T) {
 	out, err := exec.Command("go", "list", "-deps", "topazhollow/cmd/topazhollow").Output()
 	if err != nil {
 		t.Fatal(err)
 	}
 	if !strings.Contains(string(out), "topazhollow/internal/leadership\n") {
-		t.Fatal("the list of what the controller links is not to be trusted")
+		t.Fatal("the list of the controller's dependencies lacks a package that it must have")
 	}
-	for _, no := range []string{"bbolt", "klauspost", "BurntSushi", "grpc", "prometheus", "topazhollow/internal/artifactstore", "topazhollow/internal/blob", "topazhollow/internal/snapshot", "fxamacker", "topazhollow/internal/simulation", "topazhollow/internal/loadtest", "gonum"} {
-		if strings.Contains(string(out), no) {
-			t.Errorf("the controller links %s", no)
+	for _, forbidden := range []string{"bbolt", "klauspost", "BurntSushi", "grpc", "prometheus", "topazhollow/internal/artifactstore", "topazhollow/internal/blob", "topazhollow/internal/snapshot", "fxamacker", "topazhollow/internal/simulation", "topazhollow/internal/loadtest", "gonum"} {
+		if strings.Contains(string(out), forbidden) {
+			t.Errorf("the controller links %s", forbidden)
 		}
 	}
 }
--- a/internal/cli/config.go
+++ b/internal/cli/config.go
@@ -17,25 +17,25 @@
 	"topazhollow/internal/tomlfile"
 )
 
-// controlRecord is the key of the controllers' record.
-const controlRecord = "w/c"
+// controlRecordKey is the store key of the controllers' control record.
+const controlRecordKey = "w/c"
 
 type configCmd struct {
-	SetTeam    configSetCmd    `cmd:"" help:"Change a team's guarantee and limit, or bring a new or removed team."`
-	RemoveTeam configRemoveCmd `cmd:"" help:"Have a team take no new jobs. Its accepted jobs run to their end within its limit."`
-	Apply      configApplyCmd  `cmd:"" help:"Make many changes, given by a TOML file."`
-	List       configListCmd   `cmd:"" help:"List the teams that were changed since the settings file."`
-	Status     configStatusCmd `cmd:"" help:"Tell which changes are in force everywhere and which controllers are behind."`
+	SetTeam    configSetCmd    `cmd:"" help:"Change a team's guarantee and limit, or add a new or removed team."`
+	RemoveTeam configRemoveCmd `cmd:"" help:"Stop accepting jobs of a team. Its accepted jobs run to completion within its limit."`
+	Apply      configApplyCmd  `cmd:"" help:"Make the changes listed in a TOML file."`
+	List       configListCmd   `cmd:"" help:"List the teams whose configuration differs from the settings file."`
+	Status     configStatusCmd `cmd:"" help:"Show which changes are in force everywhere and which controllers are behind."`
 }
 
-// configStore says where changes go and whether to wait for them.
+// configStore holds the flags that select the key-value store to write to and the controllers to wait for.
 type configStore struct {
-	Settings string        `required:"" placeholder:"FILE" help:"Settings file of a controller, which names the key-value store, its limits and the teams."`
-	Wait     []string      `placeholder:"HOST:PORT" help:"Wait until one of these controllers says that it is in force everywhere."`
-	Most     time.Duration `default:"1m" help:"Give up after this."`
+	Settings string        `required:"" placeholder:"FILE" help:"Settings file of a controller. It names the key-value store, its limits and the teams."`
+	Wait     []string      `placeholder:"HOST:PORT" help:"Wait until one of these controllers reports the changes as in force everywhere."`
+	Timeout  time.Duration `name:"most" default:"1m" help:"Give up after this time."`
 }
 
-// open begins to write; the writer works until the context ends.
+// open returns a writer to the key-value store. The writer works until the context ends.
 func (c *configStore) open(ctx context.Context) (*teamstore.Writer, error) {
 	s, err := settings.Load(c.Settings)
 	if err != nil {
@@ -44,16 +44,16 @@
 	client := kvstore.New(s.Services.KVStore, s.Deployment.KVStore, len(s.Peers)+2)
 	go client.Run(ctx)
 	w := teamstore.New(client, s.Deployment.Teams)
-	return w, w.BindEpoch(ctx, controlRecord)
+	return w, w.BindEpoch(ctx, controlRecordKey)
 }
 
-// teamChange is what is to be changed of a team; nil stays as it is.
+// teamChange holds new values for a team's configuration; fields that are nil stay unchanged.
 type teamChange struct {
 	CPUs       *float64 `name:"cpus" help:"Guaranteed CPUs." toml:"cpus"`
-	CPUsMax    *float64 `name:"cpus-max" help:"Limit of CPUs; 0: none." toml:"cpus_max"`
+	CPUsMax    *float64 `name:"cpus-max" help:"Limit of CPUs; 0 for none." toml:"cpus_max"`
 	GPUs       *float64 `name:"gpus" help:"Guaranteed GPUs." toml:"gpus"`
-	GPUsMax    *float64 `name:"gpus-max" help:"Limit of GPUs; 0: none." toml:"gpus_max"`
-	StopExcess bool     `help:"Stop what runs beyond a lowered limit, least urgent first; without it that runs to its end." toml:"stop_excess"`
+	GPUsMax    *float64 `name:"gpus-max" help:"Limit of GPUs; 0 for none." toml:"gpus_max"`
+	StopExcess bool     `help:"Stop tasks beyond a lowered limit, least urgent first; otherwise they run to completion." toml:"stop_excess"`
 	Removed    bool     `kong:"-" toml:"removed"`
 }
 
@@ -70,25 +70,25 @@
 	return nil
 }
 
-// change is one for a team, as a file lists them.
-type change struct {
+// namedChange is a change of one team, as a file of changes lists it.
+type namedChange struct {
 	Name string `toml:"name"`
 	teamChange
 }
 
-// commit makes changes, those of different teams at once, and waits for them if asked to.
-func (c *configStore) commit(r *run, changes []change) error {
-	ctx, cancel := context.WithTimeout(r.ctx, c.Most)
+// commit commits changes, up to maxConcurrent at once, and waits until they are in force if the flags ask for that.
+func (c *configStore) commit(r *commandContext, changes []namedChange) error {
+	ctx, cancel := context.WithTimeout(r.ctx, c.Timeout)
 	defer cancel()
 	w, err := c.open(ctx)
 	if err != nil {
 		return err
 	}
-	const atOnce = 64
+	const maxConcurrent = 64
 	var mu sync.Mutex
 	var group sync.WaitGroup
 	numbers, failed := map[string]uint64{}, []error(nil)
-	slots := make(chan struct{}, atOnce)
+	slots := make(chan struct{}, maxConcurrent)
 	for _, x := range changes {
 		slots <- struct{}{}
 		group.Go(func() {
@@ -106,27 +106,27 @@
 	}
 	group.Wait()
 	if len(c.Wait) > 0 && len(numbers) > 0 {
-		failed = append(failed, c.await(ctx, r, numbers))
+		failed = append(failed, c.awaitInForce(ctx, r, numbers))
 	}
 	return errors.Join(failed...)
 }
 
-// configAnswer is what a controller says of the configuration.
-type configAnswer struct {
+// configOverview is the part of a controller's overview about the team configuration.
+type configOverview struct {
 	Node   string `json:"node"`
 	Config *struct {
-		Known     uint64                     `json:"known_revision"`
-		Age       *float64                   `json:"age_s"`
-		Fresh     bool                       `json:"fresh"`
-		Latest    uint64                     `json:"latest_change"`
-		Reached   uint64                     `json:"known_by_all"`
-		Behind    []teamconfig.LaggingMember `json:"behind"`
-		Unwritten int                        `json:"unwritten"`
-		Lacks     bool                       `json:"may_lack_changes"`
-		Overruled []teamconfig.Change        `json:"overruled"`
-		Strangers []string                   `json:"other_settings_file"`
-		Changes   map[string]uint64          `json:"in_force"`
-		Open      []struct {
+		Known          uint64                     `json:"known_revision"`
+		Age            *float64                   `json:"age_s"`
+		Fresh          bool                       `json:"fresh"`
+		Latest         uint64                     `json:"latest_change"`
+		KnownByAll     uint64                     `json:"known_by_all"`
+		Behind         []teamconfig.LaggingMember `json:"behind"`
+		Unwritten      int                        `json:"unwritten"`
+		MayLackChanges bool                       `json:"may_lack_changes"`
+		Overruled      []teamconfig.Change        `json:"overruled"`
+		OtherSettings  []string                   `json:"other_settings_file"`
+		InForce        map[string]uint64          `json:"in_force"`
+		NotInForce     []struct {
 			Team   string `json:"team"`
 			Number uint64 `json:"number"`
 			Owner  string `json:"owner"`
@@ -134,28 +134,28 @@
 	} `json:"configuration"`
 }
 
-// askEvery is how often controllers are asked whether changes are in force.
-const askEvery = 250 * time.Millisecond
+// inForcePollInterval is how often controllers are asked whether changes are in force.
+const inForcePollInterval = 250 * time.Millisecond
 
-// await waits until a controller says that changes are in force everywhere.
-func (c *configStore) await(ctx context.Context, r *run, numbers map[string]uint64) error {
+// awaitInForce waits until controllers report each team's change, given by its number, as in force everywhere.
+func (c *configStore) awaitInForce(ctx context.Context, r *commandContext, numbers map[string]uint64) error {
 	began := time.Now()
 	for {
 		for _, addr := range c.Wait {
-			var a configAnswer
-			if overviewOf(ctx, addr, &a) != nil || a.Config == nil {
+			var a configOverview
+			if fetchOverview(ctx, addr, &a) != nil || a.Config == nil {
 				continue
 			}
-			maps.DeleteFunc(numbers, func(team string, number uint64) bool { return a.Config.Changes[team] >= number })
+			maps.DeleteFunc(numbers, func(team string, number uint64) bool { return a.Config.InForce[team] >= number })
 			if len(numbers) == 0 {
-				r.print(map[string]any{"in_force": true, "after_s": time.Since(began).Seconds(), "said_by": a.Node}, "in force everywhere, says %s", a.Node)
+				r.print(map[string]any{"in_force": true, "after_s": time.Since(began).Seconds(), "said_by": a.Node}, "in force everywhere, reported by %s", a.Node)
 				return nil
 			}
 		}
 		select {
 		case <-ctx.Done():
-			return fmt.Errorf("committed, and not known to be in force everywhere: %s", strings.Join(slices.Sorted(maps.Keys(numbers)), " "))
-		case <-time.After(askEvery):
+			return fmt.Errorf("committed, but not known to be in force everywhere: %s", strings.Join(slices.Sorted(maps.Keys(numbers)), " "))
+		case <-time.After(inForcePollInterval):
 		}
 	}
 }
@@ -167,7 +167,9 @@
 }
 
 // Run commits the change.
-func (c *configSetCmd) Run(r *run) error { return c.commit(r, []change{{c.Team, c.teamChange}}) }
+func (c *configSetCmd) Run(r *commandContext) error {
+	return c.commit(r, []namedChange{{c.Team, c.teamChange}})
+}
 
 type configRemoveCmd struct {
 	Team string `arg:"" help:"Team's name."`
@@ -175,19 +177,19 @@
 }
 
 // Run commits the removal.
-func (c *configRemoveCmd) Run(r *run) error {
-	return c.commit(r, []change{{c.Team, teamChange{Removed: true}}})
+func (c *configRemoveCmd) Run(r *commandContext) error {
+	return c.commit(r, []namedChange{{c.Team, teamChange{Removed: true}}})
 }
 
 type configApplyCmd struct {
-	File string `arg:"" help:"File with a table [[team]] for each change: name, cpus, cpus_max, gpus, gpus_max, stop_excess, removed."`
+	File string `arg:"" help:"TOML file with a table [[team]] for each change: name, cpus, cpus_max, gpus, gpus_max, stop_excess, removed."`
 	configStore
 }
 
 // Run commits the file's changes.
-func (c *configApplyCmd) Run(r *run) error {
+func (c *configApplyCmd) Run(r *commandContext) error {
 	var file struct {
-		Team []change `toml:"team"`
+		Team []namedChange `toml:"team"`
 	}
 	if err := tomlfile.Load(c.File, &file); err != nil {
 		return fmt.Errorf("%w: %w", errUsage, err)
@@ -195,7 +197,7 @@
 	named := map[string]bool{}
 	for _, x := range file.Team {
 		if named[x.Name] || !teamconfig.ValidTeam(x.Name) {
-			return fmt.Errorf("%w: %s: team %q is named twice or has no such name", errUsage, c.File, x.Name)
+			return fmt.Errorf("%w: %s: team %q is listed twice or its name is invalid", errUsage, c.File, x.Name)
 		}
 		named[x.Name] = true
 	}
@@ -204,9 +206,9 @@
 
 type configListCmd struct{ configStore }
 
-// Run prints the entries.
-func (c *configListCmd) Run(r *run) error {
-	ctx, cancel := context.WithTimeout(r.ctx, c.Most)
+// Run prints the teams' entries in the key-value store.
+func (c *configListCmd) Run(r *commandContext) error {
+	ctx, cancel := context.WithTimeout(r.ctx, c.Timeout)
 	defer cancel()
 	w, err := c.open(ctx)
 	if err != nil {
@@ -228,14 +230,14 @@
 	Controllers []string `arg:"" name:"host:port" help:"Public addresses of the controllers."`
 }
 
-// Run asks each controller.
-func (c *configStatusCmd) Run(r *run) error {
+// Run prints the state of the configuration at each controller; one that does not report it makes the exit code 1.
+func (c *configStatusCmd) Run(r *commandContext) error {
 	failed := 0
 	for _, addr := range c.Controllers {
-		var a configAnswer
-		err := overviewOf(r.ctx, addr, &a)
+		var a configOverview
+		err := fetchOverview(r.ctx, addr, &a)
 		if err == nil && a.Config == nil {
-			err = errors.New("does not follow the configuration (config_bound_s)")
+			err = errors.New("configuration changes are not enabled (config_bound_s)")
 		}
 		if err != nil {
 			failed++
@@ -243,24 +245,24 @@
 			continue
 		}
 		x := a.Config
-		age := "nothing is known"
+		age := "of unknown age"
 		if x.Age != nil {
 			age = fmt.Sprintf("%.1f s old", *x.Age)
 		}
-		r.print(a, "%s: knows revision %d, %s (fresh: %t); last change %d, known by all up to %d; %d changes in force, %d not; %d to write back, may lack changes: %t, overruled %d, other settings files %v",
-			a.Node, x.Known, age, x.Fresh, x.Latest, x.Reached, len(x.Changes), len(x.Open), x.Unwritten, x.Lacks, len(x.Overruled), x.Strangers)
+		r.print(a, "%s: knows revision %d, %s (fresh: %t); last change %d, known by all up to %d; %d changes in force, %d not; %d to write back, may lack changes: %t, %d overruled, controllers with another settings file %v",
+			a.Node, x.Known, age, x.Fresh, x.Latest, x.KnownByAll, len(x.InForce), len(x.NotInForce), x.Unwritten, x.MayLackChanges, len(x.Overruled), x.OtherSettings)
 		if r.json {
 			continue
 		}
 		for _, b := range x.Behind {
-			fmt.Fprintf(r.out, "  %s is behind: knows revision %d, for %.1f s\n", b.Node, b.Known, b.LaggingSeconds)
+			fmt.Fprintf(r.out, "  %s is behind: at revision %d, lagging for %.1f s\n", b.Node, b.Known, b.LaggingSeconds)
 		}
-		for _, o := range x.Open {
+		for _, o := range x.NotInForce {
 			fmt.Fprintf(r.out, "  change %d of team %s is not in force; its owner is %q\n", o.Number, o.Team, o.Owner)
 		}
 	}
 	if failed > 0 {
-		return fmt.Errorf("%d of %d controllers did not tell", failed, len(c.Controllers))
+		return fmt.Errorf("%d of %d controllers did not report their configuration", failed, len(c.Controllers))
 	}
 	return nil
 }
--- a/internal/cli/config_test.go
+++ b/internal/cli/config_test.go
@@ -15,8 +15,8 @@
 	"topazhollow/internal/simulation"
 )
 
-// TestConfigCommands: changes are committed on top of the settings file and of each other, wrong ones are refused with
-// a name, and nothing is written where no controller keeps its record.
+// TestConfigCommands checks that changes are committed on top of the settings file and of each other, that invalid
+// changes are refused with the team or field named, and that nothing is written to a store without a control record.
 func TestConfigCommands(t *testing.T) {
 	store, err := simulation.NewKVStore(16, 16)
 	if err != nil {
@@ -36,12 +36,12 @@
 	if err := os.WriteFile(file, data, 0o600); err != nil {
 		t.Fatal(err)
 	}
-	topaz := func(args ...string) (int, string) {
+	runCommand := func(args ...string) (int, string) {
 		var out, errs bytes.Buffer
 		code := Main(t.Context(), append([]string{"config"}, args...), &out, &errs)
 		return code, out.String() + errs.String()
 	}
-	if code, said := topaz("set-team", "red", "--settings", file, "--cpus-max", "2"); code != ExitFailed || !strings.Contains(said, "no control record") || store.CountKeys("w/t/") > 0 {
+	if code, said := runCommand("set-team", "red", "--settings", file, "--cpus-max", "2"); code != ExitFailed || !strings.Contains(said, "no control record") || store.CountKeys("w/t/") > 0 {
 		t.Errorf("without a control record: %d %s", code, said)
 	}
 	store.Put("w/c", `{"term":1,"generation":1,"store":"drawn"}`)
@@ -68,7 +68,7 @@
 		{[]string{"list"}, 0, "cpus 4 of 6"},
 		{[]string{"list"}, 0, "cpus 1 of 3.5  gpus 0 of 0  removed"},
 	} {
-		if code, said := topaz(append(c.args, "--settings", file)...); code != c.code || !strings.Contains(said, c.want) {
+		if code, said := runCommand(append(c.args, "--settings", file)...); code != c.code || !strings.Contains(said, c.want) {
 			t.Errorf("%v: %d %s", c.args, code, said)
 		}
 	}
@@ -83,13 +83,13 @@
 	}))
 	defer controller.Close()
 	addr := strings.TrimPrefix(controller.URL, "http://")
-	if code, said := topaz("set-team", "red", "--settings", file, "--cpus-max", "5", "--wait", addr); code != 0 || asked != 3 || !strings.Contains(said, "in force everywhere, says node-a") {
+	if code, said := runCommand("set-team", "red", "--settings", file, "--cpus-max", "5", "--wait", addr); code != 0 || asked != 3 || !strings.Contains(said, "in force everywhere, reported by node-a") {
 		t.Errorf("asked %d times: %d %s", asked, code, said)
 	}
-	if code, said := topaz("status", addr); code != 0 || !strings.Contains(said, "node-b is behind") || !strings.Contains(said, "change 3 of team red is not in force") {
+	if code, said := runCommand("status", addr); code != 0 || !strings.Contains(said, "node-b is behind") || !strings.Contains(said, "change 3 of team red is not in force") {
 		t.Errorf("%d %s", code, said)
 	}
-	if code, said := topaz("set-team", "red", "--settings", file, "--cpus-max", "7", "--wait", addr, "--most", "700ms"); code != ExitFailed || !strings.Contains(said, "not known to be in force") {
+	if code, said := runCommand("set-team", "red", "--settings", file, "--cpus-max", "7", "--wait", addr, "--most", "700ms"); code != ExitFailed || !strings.Contains(said, "not known to be in force") {
 		t.Errorf("%d %s", code, said)
 	}
 }
--- a/internal/cli/demo.go
+++ b/internal/cli/demo.go
@@ -18,14 +18,13 @@
 	"topazhollow/internal/tomlfile"
 )
 
-// controllerCmd runs a controller as the platform's program does, so that demo needs no
-// other program than its own.
+// controllerCmd runs a controller as cmd/topazhollow does, so that demo needs no other program than its own.
 type controllerCmd struct {
 	Config string `required:""`
 	Script string
 }
 
-func (c *controllerCmd) Run(r *run) error {
+func (c *controllerCmd) Run(r *commandContext) error {
 	s, err := settings.Load(c.Config)
 	if err != nil {
 		return fmt.Errorf("%w: %w", errUsage, err)
@@ -38,12 +37,12 @@
 }
 
 type demoCmd struct {
-	Job  string        `default:"examples/grades.toml" help:"What to run (TOML)."`
-	Stay bool          `help:"Stay up afterwards, and print the addresses and what to try."`
-	Most time.Duration `default:"2m" help:"Give up after this."`
+	Job         string        `default:"examples/grades.toml" help:"Job to run (TOML)."`
+	KeepRunning bool          `name:"stay" help:"Keep running afterwards, and print addresses and commands to try."`
+	Timeout     time.Duration `name:"most" default:"2m" help:"Give up after this time."`
 }
 
-// example is a job for demo.
+// example is a job that demo runs.
 type example struct {
 	Name     string   `toml:"name"`
 	Tasks    int      `toml:"tasks"`
@@ -68,41 +67,41 @@
 	return e, nil
 }
 
-// Run runs the example's job and shows what a user would look at, in the order in which it comes.
-func (c *demoCmd) Run(r *run) (err error) {
+// Run runs the example's job and shows its acceptance, output, end and files as a user would see them.
+func (c *demoCmd) Run(r *commandContext) (err error) {
 	e, err := loadExample(c.Job)
 	if err != nil {
 		return err
 	}
-	ctx, cancel := context.WithTimeout(r.ctx, c.Most)
+	ctx, cancel := context.WithTimeout(r.ctx, c.Timeout)
 	defer cancel()
-	g, err := newRegion(ctx, e)
+	region, err := newRegion(ctx, e)
 	if err != nil {
 		return err
 	}
-	defer func() { err = errors.Join(err, g.close()) }()
-	fmt.Fprintf(r.out, "three controllers at %s, a keeper at %s\n", strings.Join(g.listen, ", "), g.keeper)
+	defer func() { err = errors.Join(err, region.close()) }()
+	fmt.Fprintf(r.out, "three controllers at %s, artifact store at %s\n", strings.Join(region.listen, ", "), region.storeURL)
 	spec := e.submission()
 	read := artifactstore.Grant{Right: artifactstore.Read, Job: spec.UID, Until: time.Now().Add(24 * time.Hour)}
-	reader := &artifactstore.Reader{URL: g.keeper, Token: read.Token(g.key)}
-	d := demo{region: g, out: r.out, spec: spec, reader: reader}
-	for _, step := range []func(context.Context) error{d.submit, d.showLog, d.awaitEnd, d.showFiles} {
+	reader := &artifactstore.Reader{URL: region.storeURL, Token: read.Token(region.key)}
+	d := demo{region: region, out: r.out, spec: spec, reader: reader}
+	for _, step := range []func(context.Context) error{d.submit, d.showLog, d.waitUntilDone, d.showFiles} {
 		if err := step(ctx); err != nil {
 			return err
 		}
 	}
-	if broken := g.check.BrokenRules(); len(broken) > 0 {
-		return fmt.Errorf("rules broken: %v", broken)
+	if violations := region.check.BrokenRules(); len(violations) > 0 {
+		return fmt.Errorf("rules violated: %v", violations)
 	}
-	if c.Stay {
+	if c.KeepRunning {
 		cancel()
-		d.suggest()
+		d.printNextSteps()
 		<-r.ctx.Done()
 	}
 	return nil
 }
 
-// submission is the example as a user submits it.
+// submission returns the example as a user submits it.
 func (e *example) submission() *protocol.Submission {
 	return &protocol.Submission{
 		UID:             "job-000001",
@@ -119,7 +118,7 @@
 	}
 }
 
-// demo is a job in a region, with what reads its output.
+// demo is a job in a region, with a reader of its output.
 type demo struct {
 	region *region
 	out    io.Writer
@@ -130,8 +129,8 @@
 // submit submits the job and waits until a controller has accepted it.
 func (d *demo) submit(ctx context.Context) error {
 	d.region.check.RecordSubmission(d.spec)
-	if err := d.region.until(ctx, "the job to be accepted", func() bool {
-		status, _ := d.region.ask(ctx, "POST", protocol.PathSubmit, d.spec)
+	if err := d.region.waitUntil(ctx, "the job to be accepted", func() bool {
+		status, _ := d.region.request(ctx, "POST", protocol.PathSubmit, d.spec)
 		return status == 200 || status == 201
 	}); err != nil {
 		return err
@@ -140,9 +139,9 @@
 	return nil
 }
 
-// showLog follows the output of the job's first task to its end.
+// showLog prints the output of the job's first task until the task ends.
 func (d *demo) showLog(ctx context.Context) error {
-	if err := d.region.until(ctx, "output of its first task", func() bool {
+	if err := d.region.waitUntil(ctx, "output of its first task", func() bool {
 		list, err := d.reader.Attempts(ctx, d.spec.UID, 0)
 		return err == nil && len(list) > 0
 	}); err != nil {
@@ -156,14 +155,14 @@
 	if err != nil {
 		return err
 	}
-	fmt.Fprintf(d.out, "its log ends: attempt %d is %s\n", end.Attempt, end.State)
+	fmt.Fprintf(d.out, "end of its log: attempt %d is %s\n", end.Attempt, end.State)
 	return nil
 }
 
-// awaitEnd waits until a controller says that the job is done.
-func (d *demo) awaitEnd(ctx context.Context) error {
-	if err := d.region.until(ctx, "the job to be done", func() bool {
-		status, st := d.region.ask(ctx, "GET", protocol.PathSubmit+"/"+d.spec.UID, nil)
+// waitUntilDone waits until a controller reports the job as done.
+func (d *demo) waitUntilDone(ctx context.Context) error {
+	if err := d.region.waitUntil(ctx, "the job to be done", func() bool {
+		status, st := d.region.request(ctx, "GET", protocol.PathSubmit+"/"+d.spec.UID, nil)
 		return status == 200 && st.State == protocol.Done
 	}); err != nil {
 		return err
@@ -197,11 +196,11 @@
 	return nil
 }
 
-// suggest prints what to try while the region stays up.
-func (d *demo) suggest() {
+// printNextSteps prints commands to try while the region keeps running.
+func (d *demo) printNextSteps() {
 	uid := d.spec.UID
-	fmt.Fprintf(d.out, "\nstill up; Ctrl-C ends it. To try next:\n  export TOPAZ_KEEPER=%s TOPAZ_TOKEN=%s\n",
-		d.region.keeper, d.reader.Token)
+	fmt.Fprintf(d.out, "\nstill running; stop with Ctrl-C. Commands to try:\n  export TOPAZ_KEEPER=%s TOPAZ_TOKEN=%s\n",
+		d.region.storeURL, d.reader.Token)
 	fmt.Fprintf(d.out, "  topazhollowctl logs %s/1\n  topazhollowctl attempts %s/1\n", uid, uid)
 	fmt.Fprintf(d.out, "  topazhollowctl fetch %s/1 /tmp/profiles\n  curl http://%s/overview\n", uid, d.region.listen[0])
 }
--- a/internal/cli/region.go
+++ b/internal/cli/region.go
@@ -26,25 +26,25 @@
 	"topazhollow/internal/wait"
 )
 
-// region is a whole deployment on loopback: simulated services around it, three
-// controllers as processes and an artifact store.
+// region is a complete deployment on loopback: a simulated cloud and key-value store, three controller processes and an
+// artifact store.
 type region struct {
 	dir       string
 	key       []byte
 	log       *slog.Logger
-	keeper    string // its address
+	storeURL  string // of the artifact store
 	listen    []string
 	check     *simulation.Checker
-	state     *simulation.KVStore
+	kvStore   *simulation.KVStore
 	cloud     *simulation.Cloud
 	processes []*exec.Cmd
 	example   *example
-	stop      context.CancelFunc
-	ended     chan error
+	stopStore context.CancelFunc // stops the artifact store
+	storeDone chan error         // receives the artifact store's error when it has ended
 	tasks     sync.WaitGroup
 }
 
-// freeAddr is a loopback address that nobody listens on.
+// freeAddr returns a loopback address that nobody listens on.
 func freeAddr() (string, error) {
 	l, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
@@ -54,12 +54,12 @@
 	return l.Addr().String(), nil
 }
 
-// What the region of the demo is made of.
+// Size and timing of the demo's region.
 const (
 	demoTeam          = "red"
 	demoTeamCPUs      = 32
 	demoTeamMaxCPUs   = 64
-	demoMachines      = 4 // at most
+	demoMaxMachines   = 4
 	demoHeartbeat     = 300 * time.Millisecond
 	demoLease         = 20 * time.Second
 	demoTxnChanges    = 24
@@ -71,14 +71,14 @@
 	demoZones       = []string{"east", "west"}
 )
 
-// newRegion starts a region that runs an example's tasks. With an error nothing of it is left.
+// newRegion starts a region that runs an example's tasks. If it returns an error, it has stopped and removed everything.
 func newRegion(ctx context.Context, e *example) (g *region, err error) {
 	g = &region{
-		example: e,
-		key:     make([]byte, 32),
-		log:     slog.New(slog.DiscardHandler),
-		ended:   make(chan error, 1),
-		check:   simulation.NewChecker(map[string]float64{demoTeam: demoTeamMaxCPUs}),
+		example:   e,
+		key:       make([]byte, 32),
+		log:       slog.New(slog.DiscardHandler),
+		storeDone: make(chan error, 1),
+		check:     simulation.NewChecker(map[string]float64{demoTeam: demoTeamMaxCPUs}),
 	}
 	_, _ = rand.Read(g.key) // never fails
 	if g.dir, err = os.MkdirTemp("", "topaz-demo-"); err != nil {
@@ -92,10 +92,10 @@
 	if err := g.startArtifactStore(ctx); err != nil {
 		return g, err
 	}
-	if g.state, err = simulation.NewKVStore(demoTxnChanges, demoStoreValuesKB); err != nil {
+	if g.kvStore, err = simulation.NewKVStore(demoTxnChanges, demoStoreValuesKB); err != nil {
 		return g, err
 	}
-	listen, peers, err := g.drawAddresses()
+	listen, peers, err := g.allocateAddresses()
 	if err != nil {
 		return g, err
 	}
@@ -105,28 +105,28 @@
 	return g, g.startControllers(listen, peers)
 }
 
-// startArtifactStore runs a store of output and files until close, and waits until it answers.
+// startArtifactStore starts the artifact store, which runs until close, and waits until it serves requests.
 func (g *region) startArtifactStore(ctx context.Context) error {
 	set := artifactreplication.DefaultConfig()
 	set.Listen, set.Dir = "127.0.0.1:0", filepath.Join(g.dir, "keep")
 	running, stop := context.WithCancel(context.WithoutCancel(ctx))
-	g.stop = stop
+	g.stopStore = stop
 	ready := make(chan string, 1)
 	go func() {
-		g.ended <- RunArtifactStore(running, set, g.key, io.Discard, func(addr string) { ready <- addr })
+		g.storeDone <- RunArtifactStore(running, set, g.key, io.Discard, func(addr string) { ready <- addr })
 	}()
 	select {
 	case addr := <-ready:
-		g.keeper = "http://" + addr
+		g.storeURL = "http://" + addr
 		return nil
-	case err := <-g.ended:
-		g.ended <- nil
+	case err := <-g.storeDone:
+		g.storeDone <- nil // for close
 		return err
 	}
 }
 
-// drawAddresses gives each controller an address for users and agents, and one for its peers.
-func (g *region) drawAddresses() (listen, peers map[string]string, err error) {
+// allocateAddresses returns for each controller a free address for users and agents, and one for its peers.
+func (g *region) allocateAddresses() (listen, peers map[string]string, err error) {
 	listen, peers = map[string]string{}, map[string]string{}
 	for _, n := range demoControllers {
 		var err, err2 error
@@ -140,7 +140,7 @@
 	return listen, peers, nil
 }
 
-// startCloud starts a cloud whose machines run the example's command for each task.
+// startCloud starts a simulated cloud whose machines run the example's command for each task.
 func (g *region) startCloud(listen map[string]string) (err error) {
 	periods := simulation.Periods{Heartbeat: demoHeartbeat, Lease: demoLease, Exec: g.execute}
 	types := []protocol.MachineType{{
@@ -151,18 +151,18 @@
 	boot := func(name, typ, zone string, spot bool) (*simulation.Agent, error) {
 		return simulation.NewAgent(name, typ, zone, spot, listen, demoControllers, periods, g.check)
 	}
-	g.cloud, err = simulation.NewCloud(types, demoMachines, boot)
+	g.cloud, err = simulation.NewCloud(types, demoMaxMachines, boot)
 	return err
 }
 
-// startControllers starts a process for each controller, of this program.
+// startControllers starts a process of this program for each controller.
 func (g *region) startControllers(listen, peers map[string]string) error {
 	program, err := os.Executable()
 	if err != nil {
 		return err
 	}
 	for i, n := range demoControllers {
-		s := g.settingsOf(n, demoZones[i%2], listen[n], peers)
+		s := g.controllerSettings(n, demoZones[i%2], listen[n], peers)
 		path := filepath.Join(g.dir, n+".json")
 		if err := os.WriteFile(path, protocol.Encode(s), 0o600); err != nil {
 			return err
@@ -183,14 +183,14 @@
 	return nil
 }
 
-// settingsOf are a controller's settings.
-func (g *region) settingsOf(name, zone, listen string, peers map[string]string) *settings.Settings {
+// controllerSettings returns the settings of one controller.
+func (g *region) controllerSettings(name, zone, listen string, peers map[string]string) *settings.Settings {
 	s := &settings.Settings{
 		Name:       name,
 		Zone:       zone,
 		Listen:     listen,
 		PeerListen: peers[name],
-		Services:   settings.ServiceAddrs{Cloud: g.cloud.Addr(), KVStore: g.state.Addr()},
+		Services:   settings.ServiceAddrs{Cloud: g.cloud.Addr(), KVStore: g.kvStore.Addr()},
 		Deployment: settings.Deployment{
 			Size:  len(demoControllers),
 			Zones: demoZones,
@@ -215,8 +215,8 @@
 	return s
 }
 
-// execute is what a simulated agent does with a task: it runs the example's command for real and uploads its output to
-// the artifact store. It says whether the task completed.
+// execute runs a task on behalf of a simulated agent: it runs the example's command as a real process and uploads its
+// output to the artifact store. It reports whether the task completed.
 func (g *region) execute(ctx context.Context, machine string, session uint64, name string, attempt uint64) bool {
 	g.tasks.Add(1)
 	defer g.tasks.Done()
@@ -231,13 +231,14 @@
 	if err := os.MkdirAll(dir, 0o700); err != nil {
 		return false
 	}
-	got, err := taskrunner.Run(ctx, taskrunner.Options{Spool: filepath.Join(g.dir, "spool", machine), Keepers: []string{g.keeper}, Log: g.log},
+	got, err := taskrunner.Run(ctx, taskrunner.Options{Spool: filepath.Join(g.dir, "spool", machine), Keepers: []string{g.storeURL}, Log: g.log},
 		taskrunner.Task{Claim: c, Token: token, Command: g.example.Command, Env: []string{"PATH=" + os.Getenv("PATH"), fmt.Sprint("TASK=", index)}, Dir: dir, Files: g.example.Files}, 2*time.Second)
 	return err == nil && got.Exit.Completed
 }
 
-// ask sends a request to the first controller that answers.
-func (g *region) ask(ctx context.Context, method, path string, body any) (int, protocol.Status) {
+// request sends a request to the controllers in turn until one answers with a status below 500. It returns status 0 if
+// none does.
+func (g *region) request(ctx context.Context, method, path string, body any) (int, protocol.Status) {
 	var st protocol.Status
 	var data []byte
 	if body != nil {
@@ -252,7 +253,7 @@
 		if err != nil {
 			continue
 		}
-		_ = json.NewDecoder(resp.Body).Decode(&st) // the status says the most of it
+		_ = json.NewDecoder(resp.Body).Decode(&st) // the HTTP status decides; a body that is no status leaves st empty
 		resp.Body.Close()
 		if resp.StatusCode < 500 {
 			return resp.StatusCode, st
@@ -261,34 +262,33 @@
 	return 0, st
 }
 
-// until tries until something holds.
-func (g *region) until(ctx context.Context, what string, holds func() bool) error {
-	for !holds() {
+// waitUntil waits until a condition holds. what describes the condition in the error.
+func (g *region) waitUntil(ctx context.Context, what string, condition func() bool) error {
+	for !condition() {
 		if !wait.For(ctx, 100*time.Millisecond) {
-			return fmt.Errorf("waited in vain for %s; the controllers' logs are in %s: %w", what, g.dir, ctx.Err())
+			return fmt.Errorf("timed out waiting for %s; the controllers' logs are in %s: %w", what, g.dir, ctx.Err())
 		}
 	}
 	return nil
 }
 
-// close ends everything and leaves nothing behind but, after a failure, the directory
-// that the error names.
+// close stops everything and removes the directory.
 func (g *region) close() error {
 	for _, p := range g.processes {
-		_ = p.Process.Kill() // it may have ended by itself
+		_ = p.Process.Kill() // it may have exited already
 		_ = p.Wait()
 	}
 	if g.cloud != nil {
 		g.cloud.Close()
 	}
-	if g.state != nil {
-		g.state.Close()
+	if g.kvStore != nil {
+		g.kvStore.Close()
 	}
 	g.tasks.Wait()
 	var err error
-	if g.stop != nil {
-		g.stop()
-		err = <-g.ended
+	if g.stopStore != nil {
+		g.stopStore()
+		err = <-g.storeDone
 	}
 	return errors.Join(err, os.RemoveAll(g.dir))
 }
--- a/internal/cli/scale.go
+++ b/internal/cli/scale.go
@@ -10,16 +10,16 @@
 )
 
 type simulateScaleCmd struct {
-	Config      string `placeholder:"FILE" help:"The experiment (TOML); what it does not say has the default."`
-	PrintConfig bool   `help:"Print the experiment with defaults, then leave."`
-	Controller  string `placeholder:"PROGRAM" help:"Controller to run, as target/topazhollow; this program's own otherwise."`
-	Result      string `placeholder:"FILE" help:"Write what was measured to this file (JSON)."`
-	Report      string `placeholder:"FILE" help:"Write a page (HTML) to this file."`
+	Config      string `placeholder:"FILE" help:"Experiment (TOML); settings it leaves out have their defaults."`
+	PrintConfig bool   `help:"Print the experiment with defaults, then exit."`
+	Controller  string `placeholder:"PROGRAM" help:"Controller program to run, for example target/topazhollow; by default this program."`
+	Result      string `placeholder:"FILE" help:"Write the measurements to this file (JSON)."`
+	Report      string `placeholder:"FILE" help:"Write an HTML report to this file."`
 	KeepLogs    bool   `help:"Keep the controllers' settings and logs."`
 }
 
-// Run plays one experiment; a broken rule, or an end before its time, makes the exit code 1.
-func (c *simulateScaleCmd) Run(r *run) error {
+// Run runs one experiment; a violated rule, or an experiment that ends early, makes the exit code 1.
+func (c *simulateScaleCmd) Run(r *commandContext) error {
 	set, err := loadtest.Load(c.Config)
 	if err != nil {
 		return fmt.Errorf("%w: %w", errUsage, err)
@@ -50,7 +50,7 @@
 		return fmt.Errorf("%w; the controllers' logs are in %s", err, dir)
 	}
 	if result.Breaks > 0 {
-		return fmt.Errorf("%d rules broken, as %v; the controllers' logs are in %s", result.Breaks, result.Broken[0], dir)
+		return fmt.Errorf("%d rules violated, for example %v; the controllers' logs are in %s", result.Breaks, result.Broken[0], dir)
 	}
 	if c.KeepLogs {
 		fmt.Fprintln(r.err, "settings and logs are in", dir)
@@ -59,7 +59,7 @@
 	return os.RemoveAll(dir)
 }
 
-// controller is the command line of a controller: the program that was asked for, or this one.
+// controller returns the command line that starts a controller: of the program in the flags, or of this one.
 func (c *simulateScaleCmd) controller(program string) ([]string, error) {
 	if c.Controller == "" {
 		return []string{program, "controller"}, nil
@@ -71,7 +71,7 @@
 	return []string{path}, nil
 }
 
-// write writes the files that were asked for.
+// write writes the result and report files that the flags name.
 func (c *simulateScaleCmd) write(result *loadtest.Result) error {
 	if c.Result != "" {
 		if err := result.Write(c.Result); err != nil {
@@ -84,14 +84,14 @@
 	return writePage(c.Report, []*loadtest.Result{result}, loadtest.Workers)
 }
 
-// writePage writes a page about results to a file.
+// writePage writes an HTML report on results to a file.
 func writePage(path string, results []*loadtest.Result, over loadtest.Axis) error {
 	f, err := os.Create(path)
 	if err != nil {
 		return err
 	}
 	if err := loadtest.WritePage(f, results, over); err != nil {
-		_ = f.Close() // the first error says more
+		_ = f.Close() // the earlier error is the cause
 		return err
 	}
 	return f.Close()
@@ -99,12 +99,12 @@
 
 type simulateSlopesCmd struct {
 	Results []string `arg:"" name:"result" help:"Result files of simulate scale."`
-	Over    string   `enum:"workers,starts,teams,controllers,tasks" default:"workers" help:"What the runs differ in: ${enum}."`
-	Report  string   `placeholder:"FILE" help:"Write a page (HTML) to this file."`
+	Over    string   `enum:"workers,starts,teams,controllers,tasks" default:"workers" help:"Quantity in which the runs differ: ${enum}."`
+	Report  string   `placeholder:"FILE" help:"Write an HTML report to this file."`
 }
 
-// Run fits lines through the figures of several results and prints them.
-func (c *simulateSlopesCmd) Run(r *run) error {
+// Run fits lines through the measurements of several results and prints their slopes.
+func (c *simulateSlopesCmd) Run(r *commandContext) error {
 	var results []*loadtest.Result
 	for _, path := range c.Results {
 		x, err := loadtest.ReadResult(path)
@@ -123,5 +123,7 @@
 
 type simulatedAgentsCmd struct{}
 
-// Run is a process of simulated agents, for simulate scale.
-func (c *simulatedAgentsCmd) Run(r *run) error { return loadtest.Work(r.ctx, os.Stdin, r.out) }
+// Run runs simulated agents on behalf of simulate scale, which drives it over standard input and output.
+func (c *simulatedAgentsCmd) Run(r *commandContext) error {
+	return loadtest.Work(r.ctx, os.Stdin, r.out)
+}
--- a/internal/cli/simulate.go
+++ b/internal/cli/simulate.go
@@ -12,76 +12,77 @@
 )
 
 type simulateCmd struct {
-	Overload simulateOverloadCmd `cmd:"" help:"Hand in crowds of urgent work, with troubles beside them, and check that no class starves."`
-	Kills    simulateKillsCmd    `cmd:"" help:"Kill agents and artifact stores at drawn moments, and check all that is read afterwards."`
-	Size     simulateSizeCmd     `cmd:"" name:"loss-at-size" help:"Measure how long after one loss of everything each step is reached."`
-	Meetings simulateMeetingsCmd `cmd:"" help:"Have troubles meet at drawn moments, with cancellations in between, and check that no rule breaks."`
-	Scale    simulateScaleCmd    `cmd:"" help:"Measure what controllers take for a fleet of simulated agents (see docs/CAPACITY.md)."`
-	Slopes   simulateSlopesCmd   `cmd:"" name:"scale-slopes" help:"Fit lines through the results of several runs of scale."`
-	Loss     simulateLossCmd     `cmd:"" help:"Take data away from the key-value store at drawn moments, with troubles beside it, and check that nothing is forgotten or run twice."`
+	Overload simulateOverloadCmd `cmd:"" help:"Submit bursts of urgent jobs while faults occur, and check that no class starves."`
+	Kills    simulateKillsCmd    `cmd:"" help:"Kill agents and artifact stores at random times, and check everything read afterwards."`
+	Size     simulateSizeCmd     `cmd:"" name:"loss-at-size" help:"Measure how long recovery takes, step by step, after the key-value store loses all data."`
+	Meetings simulateMeetingsCmd `cmd:"" help:"Combine faults at random times with cancellations in between, and check that no rule is violated."`
+	Scale    simulateScaleCmd    `cmd:"" help:"Measure the resources that controllers use for a fleet of simulated agents (see docs/CAPACITY.md)."`
+	Slopes   simulateSlopesCmd   `cmd:"" name:"scale-slopes" help:"Fit lines through the results of several scale runs."`
+	Loss     simulateLossCmd     `cmd:"" help:"Remove data from the key-value store at random times while other faults occur, and check that nothing is lost or run twice."`
 }
 
-// simulation is what each simulation begins with: a deadline, this program for the processes that
-// it starts, and a directory for all that they write.
-func (r *run) simulation(what string, most time.Duration) (ctx context.Context, cancel context.CancelFunc, program, dir string, err error) {
+// simulation prepares a simulation: it returns a context with a deadline, the path of this program, which the simulation
+// starts as its processes, and a new directory for their files.
+func (r *commandContext) simulation(name string, timeout time.Duration) (ctx context.Context, cancel context.CancelFunc, program, dir string, err error) {
 	if program, err = os.Executable(); err != nil {
 		return nil, nil, "", "", err
 	}
-	if dir, err = os.MkdirTemp("", "topaz-"+what+"-"); err != nil {
+	if dir, err = os.MkdirTemp("", "topaz-"+name+"-"); err != nil {
 		return nil, nil, "", "", err
 	}
-	ctx, cancel = context.WithTimeout(r.ctx, most)
+	ctx, cancel = context.WithTimeout(r.ctx, timeout)
 	return ctx, cancel, program, dir, nil
 }
 
-// drawnCmd is what simulations of drawn trials have in common.
-type drawnCmd struct {
-	Trials int           `default:"12" help:"How many are drawn."`
-	Seed   uint64        `default:"1" help:"Draws them: trial N has the seed plus N."`
-	AtOnce int           `default:"4" help:"Regions at the same time, of three controller processes each."`
-	Most   time.Duration `default:"1h" help:"Give up after this."`
+// trialsCmd holds the flags of simulations that run random trials.
+type trialsCmd struct {
+	Trials  int           `default:"12" help:"Number of trials."`
+	Seed    uint64        `default:"1" help:"Seed: trial N uses the seed plus N."`
+	AtOnce  int           `default:"4" help:"Deployments to run in parallel, of three controller processes each."`
+	Timeout time.Duration `name:"most" default:"1h" help:"Give up after this time."`
 }
 
-// playDrawn plays drawn trials; what they are goes by its plural.
-func playDrawn[T any](r *run, c *drawnCmd, name, what string, play func(context.Context, faultinjection.DrawnTrials) ([]T, error), broke func(T) bool) error {
-	ctx, cancel, program, dir, err := r.simulation(name, c.Most)
+// runTrials runs random trials and reports them. name goes into the name of their directory, plural is the noun for
+// trials in the output, and failed reports whether a trial failed.
+func runTrials[T any](r *commandContext, c *trialsCmd, name, plural string, runAll func(context.Context, faultinjection.DrawnTrials) ([]T, error), failed func(T) bool) error {
+	ctx, cancel, program, dir, err := r.simulation(name, c.Timeout)
 	if err != nil {
 		return err
 	}
 	defer cancel()
-	trials, err := play(ctx, faultinjection.DrawnTrials{Program: program, Dir: dir, Seed: c.Seed, Trials: c.Trials, AtOnce: c.AtOnce, Out: r.err})
+	trials, err := runAll(ctx, faultinjection.DrawnTrials{Program: program, Dir: dir, Seed: c.Seed, Trials: c.Trials, AtOnce: c.AtOnce, Out: r.err})
 	if err != nil {
 		return err
 	}
-	return verdict(r, what, dir, trials, broke)
+	return reportTrials(r, plural, dir, trials, failed)
 }
 
-type simulateLossCmd struct{ drawnCmd }
+type simulateLossCmd struct{ trialsCmd }
 
-// Run rehearses losses; a broken rule or a job that never ends makes the exit code 1.
-func (c *simulateLossCmd) Run(r *run) error {
-	return playDrawn(r, &c.drawnCmd, "loss", "losses", faultinjection.Losses, func(t faultinjection.LossTrial) bool { return t.Broken != "" })
+// Run simulates data losses; a violated rule or a job that never ends makes the exit code 1.
+func (c *simulateLossCmd) Run(r *commandContext) error {
+	return runTrials(r, &c.trialsCmd, "loss", "data losses", faultinjection.Losses, func(t faultinjection.LossTrial) bool { return t.Broken != "" })
 }
 
-type simulateMeetingsCmd struct{ drawnCmd }
+type simulateMeetingsCmd struct{ trialsCmd }
 
-// Run rehearses meetings; a broken rule or a job that never ends makes the exit code 1.
-func (c *simulateMeetingsCmd) Run(r *run) error {
-	return playDrawn(r, &c.drawnCmd, "meetings", "meetings", faultinjection.CombinedFaults, func(t faultinjection.CombinedTrial) bool { return t.Broken != "" })
+// Run simulates combined faults; a violated rule or a job that never ends makes the exit code 1.
+func (c *simulateMeetingsCmd) Run(r *commandContext) error {
+	return runTrials(r, &c.trialsCmd, "meetings", "combined faults", faultinjection.CombinedFaults, func(t faultinjection.CombinedTrial) bool { return t.Broken != "" })
 }
 
-// verdict prints what came of a rehearsal's trials. If any broke something that is the error,
-// and all that was written stays.
-func verdict[T any](r *run, what, dir string, trials []T, broke func(T) bool) error {
-	broken := 0
+// reportTrials prints the results of trials. If any failed, it returns an error and keeps the directory; otherwise it
+// removes the directory.
+func reportTrials[T any](r *commandContext, plural, dir string, trials []T, failed func(T) bool) error {
+	failures := 0
 	for _, t := range trials {
-		if broke(t) {
-			broken++
+		if failed(t) {
+			failures++
 		}
 	}
-	r.print(map[string]any{"trials": trials, "broken": broken}, "%d %s rehearsed, %d broken", len(trials), what, broken)
-	if broken > 0 {
-		return fmt.Errorf("%d %s broke something; the logs are in %s", broken, what, dir)
+	r.print(map[string]any{"trials": trials, "broken": failures}, "%d %s simulated, %d failed", len(trials), plural, failures)
+	if failures > 0 {
+		return fmt.Errorf("%d %s failed; the logs are in %s", failures, plural, dir)
 	}
 	return os.RemoveAll(dir)
 }
@@ -89,44 +90,44 @@
 type simulateSizeCmd struct {
 	Machines int           `default:"300" help:"Simulated agents."`
 	Jobs     int           `default:"500" help:"Active jobs."`
-	Ends     int           `default:"25000" help:"Jobs that ended before."`
-	Gone     int           `default:"0" help:"Controllers that end with the loss and come back 3 s later; 3 at most."`
-	Copy     bool          `help:"Follow the store with topazhollowctl snapshot, and put the copy back if all three end."`
-	Most     time.Duration `default:"15m" help:"Give up after this."`
+	Ends     int           `default:"25000" help:"Jobs that ended before the loss."`
+	Gone     int           `default:"0" help:"Controllers that crash with the loss and restart 3 s later; at most 3."`
+	Copy     bool          `help:"Follow the store with topazhollowctl snapshot, and restore the copy if all three controllers crash."`
+	Timeout  time.Duration `name:"most" default:"15m" help:"Give up after this time."`
 }
 
-func (c *simulateSizeCmd) Run(r *run) error {
+func (c *simulateSizeCmd) Run(r *commandContext) error {
 	if c.Machines < 1 || c.Jobs < 1 || c.Ends < 0 || c.Gone < 0 || c.Gone > 3 {
-		return fmt.Errorf("%w: a machine, a job, and three controllers to end at most are expected", errUsage)
+		return fmt.Errorf("%w: at least one machine and one job, and at most three crashed controllers, are expected", errUsage)
 	}
-	ctx, cancel, program, dir, err := r.simulation("loss", c.Most)
+	ctx, cancel, program, dir, err := r.simulation("loss", c.Timeout)
 	if err != nil {
 		return err
 	}
 	defer cancel()
 	m, err := faultinjection.MeasureLoss(ctx, faultinjection.MeasureOptions{Program: program, Dir: dir, Machines: c.Machines, Jobs: c.Jobs, Ends: c.Ends, Gone: c.Gone, Copy: c.Copy, Out: r.err})
 	if err != nil {
-		return fmt.Errorf("%w; so far %+v, the logs are in %s", err, m, dir)
+		return fmt.Errorf("%w; measured so far: %+v; the logs are in %s", err, m, dir)
 	}
 	ms := func(d time.Duration) string { return d.Round(10 * time.Millisecond).String() }
-	r.print(m, "noticed %s, next generation %s, polls right %s, first job accepted %s, first start %s, all written back %s, copy back %s; %d changes, %d bytes; tasks on machines %d before, %d after; each controller %.1f s of processor, %.0f MB; %d refused",
+	r.print(m, "loss noticed %s, next generation %s, polls correct %s, first job accepted %s, first start %s, all written back %s, copy restored %s; %d changes, %d bytes; tasks on machines %d before, %d after; %.1f s of CPU and %.0f MB per controller; %d refused",
 		ms(m.Noticed), ms(m.Entered), ms(m.Polled), ms(m.Taken), ms(m.Started), ms(m.Written), ms(m.Back), m.Changes, m.Bytes, m.On[0], m.On[1], m.CPU, m.Memory, m.Refused)
 	if len(m.Broken) > 0 {
-		return fmt.Errorf("rules broken: %v", m.Broken)
+		return fmt.Errorf("rules violated: %v", m.Broken)
 	}
 	return os.RemoveAll(dir)
 }
 
 type simulateKillsCmd struct {
-	Kills  int           `default:"300" help:"How many workers are killed."`
-	Seed   uint64        `default:"1" help:"Draws the moments."`
-	Report string        `help:"Write a page (HTML) to this file."`
-	Most   time.Duration `default:"15m" help:"Give up after this."`
+	Kills   int           `default:"300" help:"Number of agent processes to kill."`
+	Seed    uint64        `default:"1" help:"Seed of the random kill times."`
+	Report  string        `help:"Write an HTML report to this file."`
+	Timeout time.Duration `name:"most" default:"15m" help:"Give up after this time."`
 }
 
-// Run rehearses kills; a broken promise makes the exit code 1.
-func (c *simulateKillsCmd) Run(r *run) (err error) {
-	ctx, cancel, program, dir, err := r.simulation("kills", c.Most)
+// Run simulates kills; a violated guarantee makes the exit code 1.
+func (c *simulateKillsCmd) Run(r *commandContext) (err error) {
+	ctx, cancel, program, dir, err := r.simulation("kills", c.Timeout)
 	if err != nil {
 		return err
 	}
@@ -135,7 +136,7 @@
 	_, _ = rand.Read(key) // never fails
 	rep, err := faultinjection.Run(ctx, faultinjection.Options{Program: program, Dir: dir, Seed: c.Seed, Kills: c.Kills, Key: key, Out: r.err})
 	if err != nil {
-		return fmt.Errorf("%w (all of it is in %s)", err, dir)
+		return fmt.Errorf("%w (all files are in %s)", err, dir)
 	}
 	if c.Report != "" {
 		f, err := os.Create(c.Report)
@@ -148,18 +149,18 @@
 	}
 	r.print(map[string]any{"seed": rep.Seed, "workers_killed": len(rep.Kills), "keepers_killed": rep.KeeperKills, "disks_lost": rep.DisksLost, "tasks": rep.Tasks, "attempts": rep.Attempts,
 		"lines": rep.Lines, "files": rep.Files, "broken": rep.Broken, "seconds": rep.Took.Seconds()},
-		"%d workers and %d keepers killed, %d disks lost; %d tasks, %d attempts; %d lines and %d files read at three keepers, in %s",
+		"%d agents and %d artifact stores killed, %d disks lost; %d tasks, %d attempts; %d lines and %d files read from three artifact stores, in %s",
 		len(rep.Kills), rep.KeeperKills, rep.DisksLost, rep.Tasks, rep.Attempts, rep.Lines, rep.Files, rep.Took.Round(time.Second))
 	for _, s := range rep.States() {
 		if !r.json {
-			fmt.Fprintf(r.out, "  %4d killed attempts %-10s %6d lines acknowledged, %6d kept\n", s.Count, s.State, s.Acked, s.Lines)
+			fmt.Fprintf(r.out, "  %4d killed attempts %-10s %6d lines acknowledged, %6d stored\n", s.Count, s.State, s.Acked, s.Lines)
 		}
 	}
 	if rep.BrokenInTotal > 0 {
 		for _, b := range rep.Broken {
-			fmt.Fprintln(r.err, "broken:", b)
+			fmt.Fprintln(r.err, "violated:", b)
 		}
-		return fmt.Errorf("%d promises broken; all of it is in %s", rep.BrokenInTotal, dir)
+		return fmt.Errorf("%d guarantees violated; all files are in %s", rep.BrokenInTotal, dir)
 	}
 	return os.RemoveAll(dir)
 }
@@ -168,4 +169,6 @@
 	Job string `arg:""`
 }
 
-func (c *faultInjectionAgentCmd) Run(r *run) error { return faultinjection.RunAgent(r.ctx, c.Job) }
+func (c *faultInjectionAgentCmd) Run(r *commandContext) error {
+	return faultinjection.RunAgent(r.ctx, c.Job)
+}
--- a/internal/cli/snapshot.go
+++ b/internal/cli/snapshot.go
@@ -20,11 +20,11 @@
 	Follow  snapshotFollowCmd  `cmd:"" help:"Copy the key-value store for as long as this runs."`
 	List    snapshotListCmd    `cmd:"" help:"List the copies."`
 	Verify  snapshotVerifyCmd  `cmd:"" help:"Read every copy and check it."`
-	Restore snapshotRestoreCmd `cmd:"" help:"Put a copy back into the generation that the controllers began after a loss. What the service has is newer and stays."`
-	Prune   snapshotPruneCmd   `cmd:"" help:"Drop old copies; never the newest, nor one before a loss unless it is named."`
+	Restore snapshotRestoreCmd `cmd:"" help:"Restore a copy into the generation that the controllers began after a loss. Entries present in the store are newer and stay."`
+	Prune   snapshotPruneCmd   `cmd:"" help:"Delete old copies; never the newest, and one from before a loss only if --copy names it."`
 }
 
-// open reads the settings and opens the archive, to write it if nobody else does.
+// open reads the settings and opens the archive, for writing if write is set.
 func (c *snapshotCmd) open(write bool) (*snapshot.Config, *snapshot.Archive, error) {
 	set, err := snapshot.LoadConfig(c.Config)
 	if err != nil {
@@ -38,7 +38,7 @@
 	serverFlags
 }
 
-func (c *snapshotFollowCmd) Run(r *run, all *cli) error {
+func (c *snapshotFollowCmd) Run(r *commandContext, all *cli) error {
 	if c.Check || c.PrintConfig {
 		set, err := snapshot.LoadConfig(all.Snapshot.Config)
 		if err != nil {
@@ -61,18 +61,18 @@
 
 type snapshotListCmd struct{}
 
-func (c *snapshotListCmd) Run(r *run, all *cli) error {
+func (c *snapshotListCmd) Run(r *commandContext, all *cli) error {
 	_, a, err := all.Snapshot.open(false)
 	if err != nil {
 		return err
 	}
 	for _, x := range a.Copies() {
-		state := "whole"
+		state := "complete"
 		if !x.Whole {
-			state = "cut short"
+			state = "truncated"
 		}
 		if x.Lost != "" {
-			state += "; after it the service lost data: " + x.Lost
+			state += "; data loss after it: " + x.Lost
 		}
 		r.print(x, "%6d  %s to %s  revisions %d to %d  %d keys, %d changes  %s", x.ID, x.At.Format(time.RFC3339), x.Until.Format(time.RFC3339), x.Revision, x.Last, x.Keys, x.Changes, state)
 	}
@@ -81,34 +81,34 @@
 
 type snapshotVerifyCmd struct{}
 
-func (c *snapshotVerifyCmd) Run(r *run, all *cli) error {
+func (c *snapshotVerifyCmd) Run(r *commandContext, all *cli) error {
 	_, a, err := all.Snapshot.open(false)
 	if err != nil {
 		return err
 	}
 	copies, keys, err := a.Verify()
 	if err == nil {
-		r.print(map[string]int{"copies": copies, "keys": keys}, "%d copies with %d keys are as they were written", copies, keys)
+		r.print(map[string]int{"copies": copies, "keys": keys}, "%d copies with %d keys verified", copies, keys)
 	}
 	return errors.Join(err, a.Close())
 }
 
 type snapshotRestoreCmd struct {
-	Copy     uint64        `help:"Number of the copy; the newest before the loss if it is not given."`
-	Revision uint64        `help:"Put back what there was at this revision; all of the copy if it is not given."`
-	Apply    bool          `help:"Write; without it only what would be written is told."`
-	Declare  bool          `help:"Say afterwards that no more will be found: jobs that are not known then are told to be unknown."`
-	Force    bool          `help:"Put back even if the controllers miss nothing."`
-	Most     time.Duration `default:"1h" help:"Give up after this."`
+	Copy     uint64        `help:"Number of the copy; by default the newest before the loss."`
+	Revision uint64        `help:"Restore the state at this revision; by default all of the copy."`
+	Apply    bool          `help:"Write; without it the command only prints what it would write."`
+	Declare  bool          `help:"Declare afterwards that no more data will be recovered: controllers then answer that jobs they don't know don't exist."`
+	Force    bool          `help:"Restore even if the controllers miss nothing."`
+	Timeout  time.Duration `name:"most" default:"1h" help:"Give up after this time."`
 }
 
-func (c *snapshotRestoreCmd) Run(r *run, all *cli) (err error) {
+func (c *snapshotRestoreCmd) Run(r *commandContext, all *cli) (err error) {
 	set, a, err := all.Snapshot.open(false)
 	if err != nil {
 		return err
 	}
 	defer func() { err = errors.Join(err, a.Close()) }()
-	ctx, cancel := context.WithTimeout(r.ctx, c.Most)
+	ctx, cancel := context.WithTimeout(r.ctx, c.Timeout)
 	defer cancel()
 	if c.Copy == 0 {
 		for _, x := range a.Copies() {
@@ -120,63 +120,64 @@
 			c.Copy = latest.ID
 		}
 	}
-	res := snapshot.NewRestorer(set)
-	p, err := res.Plan(ctx, a, c.Copy, c.Revision, c.Force)
+	restorer := snapshot.NewRestorer(set)
+	plan, err := restorer.Plan(ctx, a, c.Copy, c.Revision, c.Force)
 	if err != nil {
 		return err
 	}
-	what := "would put back"
+	action := "would restore"
 	if c.Apply {
 		began := time.Now()
-		if err := res.Apply(ctx, p, nil); err != nil {
-			return fmt.Errorf("%w; what was written stays, and the same command goes on", err)
+		if err := restorer.Apply(ctx, plan, nil); err != nil {
+			return fmt.Errorf("%w; what was written stays, and running the same command again continues", err)
 		}
-		what = fmt.Sprintf("put back in %s", time.Since(began).Round(10*time.Millisecond))
+		action = fmt.Sprintf("restored in %s", time.Since(began).Round(10*time.Millisecond))
 	}
-	r.print(p, "copy %d as of revision %d, into generation %d: %s the configuration of %d teams, %d jobs with %d finished tasks and %d ends, by %d changes; of %d jobs the service knows more",
-		p.Copy, p.Revision, p.Generation, what, p.Teams, p.Jobs, p.Done, p.Ends, p.Changes, p.Newer)
+	r.print(plan, "copy %d as of revision %d, into generation %d: %s the configuration of %d teams, %d jobs with %d finished tasks and %d ended jobs, by %d changes; of %d jobs the store has newer entries",
+		plan.Copy, plan.Revision, plan.Generation, action, plan.Teams, plan.Jobs, plan.Done, plan.Ends, plan.Changes, plan.Newer)
 	if c.Apply && c.Declare {
-		return declare(ctx, r, res)
+		return declareLost(ctx, r, restorer)
 	}
 	return nil
 }
 
-func declare(ctx context.Context, r *run, res *snapshot.Restorer) error {
-	changed, err := res.Declare(ctx)
+// declareLost declares that no more data will be recovered.
+func declareLost(ctx context.Context, r *commandContext, restorer *snapshot.Restorer) error {
+	changed, err := restorer.Declare(ctx)
 	if err != nil {
 		return err
 	}
-	r.print(map[string]bool{"changed": changed}, "what nobody remembers is lost for good (changed: %t)", changed)
+	r.print(map[string]bool{"changed": changed}, "data that no controller or copy has is declared lost (changed: %t)", changed)
 	return nil
 }
 
 type snapshotPruneCmd struct {
-	Older time.Duration `default:"48h" help:"Drop copies that began before this long ago."`
-	Copy  []uint64      `help:"Drop these even if they are from before a loss."`
+	MinAge time.Duration `name:"older" default:"48h" help:"Delete copies that were begun longer ago than this."`
+	Copy   []uint64      `help:"Delete these copies even if they are from before a loss."`
 }
 
-func (c *snapshotPruneCmd) Run(r *run, all *cli) error {
+func (c *snapshotPruneCmd) Run(r *commandContext, all *cli) error {
 	_, a, err := all.Snapshot.open(true)
 	if err != nil {
 		return err
 	}
-	dropped, err := a.Prune(time.Now().Add(-c.Older), c.Copy...)
+	dropped, err := a.Prune(time.Now().Add(-c.MinAge), c.Copy...)
 	if err == nil {
-		r.print(map[string]any{"dropped": dropped}, "dropped %d copies %v", len(dropped), dropped)
+		r.print(map[string]any{"dropped": dropped}, "deleted %d copies %v", len(dropped), dropped)
 	}
 	return errors.Join(err, a.Close())
 }
 
 type recoveryCmd struct {
-	Status  rebuildStatusCmd  `cmd:"" help:"Ask controllers what they hold of the key-value store and what is left to do."`
-	Declare rebuildDeclareCmd `cmd:"" name:"declare-lost" help:"Say that nobody will remember more: jobs that are not known are told to be unknown from then on."`
+	Status  recoveryStatusCmd `cmd:"" help:"Show what controllers hold of the key-value store's data and which recovery work is left."`
+	Declare declareLostCmd    `cmd:"" name:"declare-lost" help:"Declare that no more data will be recovered: from then on controllers answer that jobs they don't know don't exist."`
 }
 
-type rebuildStatusCmd struct {
+type recoveryStatusCmd struct {
 	Controllers []string `arg:"" help:"Public addresses of the controllers."`
 }
 
-// storeStatus is the part of a controller's overview that tells of the store.
+// storeStatus is the part of a controller's overview about the key-value store.
 type storeStatus struct {
 	Node     string              `json:"node"`
 	Entitled bool                `json:"entitled"`
@@ -184,24 +185,24 @@
 	Store    datarecovery.Status `json:"store"`
 }
 
-func (c *rebuildStatusCmd) Run(r *run) error {
+func (c *recoveryStatusCmd) Run(r *commandContext) error {
 	failed := 0
 	for _, addr := range c.Controllers {
 		var s storeStatus
-		if err := overviewOf(r.ctx, addr, &s); err != nil {
+		if err := fetchOverview(r.ctx, addr, &s); err != nil {
 			failed++
 			fmt.Fprintf(r.err, programName+": %s: %v\n", addr, err)
 			continue
 		}
 		left := "nothing is left to do"
 		if x := s.Store; x.RosterIncomplete || len(x.AwaitedMembers) > 0 || x.Unwritten+x.StaleActive > 0 {
-			left = fmt.Sprintf("left: %d jobs to write back, %d ends to write again, memory of %v, roster incomplete: %t", x.Unwritten, x.StaleActive, x.AwaitedMembers, x.RosterIncomplete)
+			left = fmt.Sprintf("left: %d jobs to write back, %d ends to rewrite, data of controllers %v to receive, roster incomplete: %t", x.Unwritten, x.StaleActive, x.AwaitedMembers, x.RosterIncomplete)
 		}
-		lost := "nothing is lost for good"
+		lost := "no data is declared lost"
 		if s.Store.DataLost {
-			lost = fmt.Sprintf("jobs may be lost that nobody remembers; machines run tasks of %d that nobody can describe %s", len(s.Store.Undescribed), strings.Join(s.Store.Undescribed, " "))
+			lost = fmt.Sprintf("jobs may be lost; machines run tasks of %d jobs without a description %s", len(s.Store.Undescribed), strings.Join(s.Store.Undescribed, " "))
 		}
-		r.print(s, "%s: store %s %s, generation %d, term %d; %s; %s; remembers %d ends (all: %t)",
+		r.print(s, "%s: store %s %s, generation %d, term %d; %s; %s; has %d ended jobs in memory (all: %t)",
 			s.Node, s.Store.Phase, s.Store.Sign, s.Store.Epoch, s.Term, left, lost, s.Store.Ends, s.Store.HistoryComplete)
 	}
 	if failed > 0 {
@@ -210,8 +211,8 @@
 	return nil
 }
 
-// overviewOf reads the part of a controller's overview that to has fields for.
-func overviewOf(ctx context.Context, addr string, to any) error {
+// fetchOverview reads a controller's overview into to, which has fields for the parts of interest.
+func fetchOverview(ctx context.Context, addr string, to any) error {
 	ctx, cancel := context.WithTimeout(ctx, 5*time.Second)
 	defer cancel()
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+addr+"/overview", nil)
@@ -229,14 +230,14 @@
 	return nil
 }
 
-type rebuildDeclareCmd struct {
+type declareLostCmd struct {
 	Config string `default:"deploy/snapshot.toml" help:"Settings file that names the key-value store."`
 }
 
-func (c *rebuildDeclareCmd) Run(r *run) error {
+func (c *declareLostCmd) Run(r *commandContext) error {
 	set, err := snapshot.LoadConfig(c.Config)
 	if err != nil {
 		return fmt.Errorf("%w: %w", errUsage, err)
 	}
-	return declare(r.ctx, r, snapshot.NewRestorer(set))
+	return declareLost(r.ctx, r, snapshot.NewRestorer(set))
 }
