--- a/internal/reapi/bytestream.go
+++ b/internal/reapi/bytestream.go
@@ -17,24 +17,24 @@
 	"topazhollow/internal/blob"
 )
 
-// resource is a name of ByteStream: [INSTANCE/][uploads/UUID/]blobs/HASH/SIZE, or
-// compressed-blobs/zstd/HASH/SIZE; whatever follows an upload's size is not looked at.
+// resource is a parsed ByteStream resource name: [INSTANCE/][uploads/UUID/]blobs/HASH/SIZE, or
+// compressed-blobs/zstd/HASH/SIZE in place of blobs/HASH/SIZE. What follows the size of an upload is ignored.
 type resource struct {
-	instance string
-	upload   string // UUID
-	digest   blob.Digest
-	packed   bool
+	instance   string
+	upload     string // UUID, "" for a read
+	digest     blob.Digest
+	compressed bool // with zstd
 }
 
-// maxName bounds a resource's name, in bytes.
-const maxName = 1024
+// maxResourceNameBytes bounds the length of a resource name.
+const maxResourceNameBytes = 1024
 
 func parseResource(name string, upload bool) (*resource, error) {
-	bad := func(why string) (*resource, error) {
-		return nil, status.Errorf(codes.InvalidArgument, "resource name %.200q: %s", name, why)
+	invalid := func(reason string) (*resource, error) {
+		return nil, status.Errorf(codes.InvalidArgument, "resource name %.200q: %s", name, reason)
 	}
-	if len(name) > maxName {
-		return bad("too long")
+	if len(name) > maxResourceNameBytes {
+		return invalid("too long")
 	}
 	parts := strings.Split(name, "/")
 	i := 0
@@ -44,44 +44,45 @@
 	r := &resource{instance: strings.Join(parts[:i], "/")}
 	parts = parts[i:]
 	if len(parts) > 0 && (parts[0] == "uploads") != upload {
-		return bad("uploads/UUID is for writing only, and needed there")
+		return invalid("uploads/UUID is required for writes and not allowed for reads")
 	}
 	if upload {
 		if len(parts) < 2 || parts[1] == "" || len(parts[1]) > 64 {
-			return bad("a UUID is expected")
+			return invalid("a UUID is expected")
 		}
 		r.upload, parts = parts[1], parts[2:]
 	}
 	if len(parts) > 1 && parts[0] == "compressed-blobs" {
 		if parts[1] != "zstd" {
-			return bad("of compressors zstd is supported")
+			return invalid("unsupported compressor, only zstd is supported")
 		}
-		r.packed, parts = true, parts[1:]
+		r.compressed, parts = true, parts[1:]
 	}
 	if len(parts) < 3 || (!upload && len(parts) > 3) {
-		return bad("blobs/HASH/SIZE is expected")
+		return invalid("blobs/HASH/SIZE is expected")
 	}
-	if !r.packed && parts[0] != "blobs" {
-		return bad("blobs/HASH/SIZE is expected")
+	if !r.compressed && parts[0] != "blobs" {
+		return invalid("blobs/HASH/SIZE is expected")
 	}
 	var err error
 	if r.digest, err = blob.Parse(parts[1] + "/" + parts[2]); err != nil {
-		return bad(err.Error())
+		return invalid(err.Error())
 	}
 	return r, nil
 }
 
-// id names an upload, the same after a restart. A team can't meet another's.
-func (r *resource) id(team string) [16]byte {
+// uploadID returns the ID of an upload, which is the same after a restart. It covers the team, so that one team can't
+// continue another's upload.
+func (r *resource) uploadID(team string) [16]byte {
 	h := sha256.Sum256([]byte(team + "\x00" + r.instance + "\x00" + r.upload + "\x00" + r.digest.String()))
 	return [16]byte(h[:16])
 }
 
-// pieceBytes is how much of a blob goes in one message.
-const pieceBytes = 256 << 10
+// chunkBytes is the size of the blob data in one message of a read.
+const chunkBytes = 256 << 10
 
-// Read gives a blob from an offset on, packed if its name says so. The offset of a
-// packed read counts unpacked bytes, as the API has it.
+// Read sends a blob from an offset on, compressed if the resource name asks for that. The API counts the offset of a
+// compressed read in uncompressed bytes.
 func (s *Server) Read(q *bytestream.ReadRequest, stream bytestream.ByteStream_ReadServer) error {
 	r, err := parseResource(q.ResourceName, false)
 	if err != nil {
@@ -93,50 +94,50 @@
 	}
 	switch {
 	case q.ReadOffset < 0 || q.ReadOffset > r.digest.Size:
-		return status.Errorf(codes.OutOfRange, "offset %d of %d", q.ReadOffset, r.digest.Size)
-	case q.ReadLimit < 0 || (r.packed && q.ReadLimit != 0):
-		return status.Error(codes.InvalidArgument, "read_limit is not negative, and 0 for packed reads")
+		return status.Errorf(codes.OutOfRange, "offset %d is outside the blob of %d bytes", q.ReadOffset, r.digest.Size)
+	case q.ReadLimit < 0 || (r.compressed && q.ReadLimit != 0):
+		return status.Error(codes.InvalidArgument, "read_limit must not be negative, and must be 0 for compressed reads")
 	case r.digest == empty:
 		return nil
 	}
 	content, err := s.Blobs.Open(in.Team, r.digest, q.ReadOffset)
 	if err != nil {
-		return fail(err)
+		return statusError(err)
 	}
 	defer content.Close()
 	var from io.Reader = content
 	if q.ReadLimit > 0 {
 		from = io.LimitReader(content, q.ReadLimit)
 	}
-	out := &messages{stream: stream}
-	if !r.packed {
-		_, err = io.CopyBuffer(out, struct{ io.Reader }{from}, make([]byte, pieceBytes))
-		return fail(err)
+	out := &chunkWriter{stream: stream}
+	if !r.compressed {
+		_, err = io.CopyBuffer(out, struct{ io.Reader }{from}, make([]byte, chunkBytes))
+		return statusError(err)
 	}
 	z, err := zstd.NewWriter(out, zstd.WithEncoderLevel(zstd.SpeedFastest), zstd.WithEncoderConcurrency(1))
 	if err != nil {
-		return fail(err)
+		return statusError(err)
 	}
 	_, err = io.Copy(z, from)
-	return fail(errors.Join(err, z.Close()))
+	return statusError(errors.Join(err, z.Close()))
 }
 
-// messages sends what is written as messages of a read.
-type messages struct {
+// chunkWriter sends the data written to it as messages of a read, of at most chunkBytes each.
+type chunkWriter struct {
 	stream bytestream.ByteStream_ReadServer
 }
 
-func (m *messages) Write(p []byte) (int, error) {
-	for n := 0; n < len(p); n += pieceBytes {
-		if err := m.stream.Send(&bytestream.ReadResponse{Data: p[n:min(n+pieceBytes, len(p))]}); err != nil {
+func (w *chunkWriter) Write(p []byte) (int, error) {
+	for n := 0; n < len(p); n += chunkBytes {
+		if err := w.stream.Send(&bytestream.ReadResponse{Data: p[n:min(n+chunkBytes, len(p))]}); err != nil {
 			return n, err
 		}
 	}
 	return len(p), nil
 }
 
-// Write takes a blob. One that broke off goes on at the offset that QueryWriteStatus
-// gives, also after a restart; a packed one begins anew. A blob that is there already is
+// Write receives a blob. An interrupted write can be resumed at the offset that QueryWriteStatus returns, also after a
+// restart of the server; an interrupted compressed write must start over. A write of a blob that the team already has is
 // answered at once.
 func (s *Server) Write(stream bytestream.ByteStream_WriteServer) error {
 	q, err := stream.Recv()
@@ -151,64 +152,65 @@
 	if err != nil {
 		return err
 	}
-	if r.digest.Size > s.Limits.Blob {
-		return status.Errorf(codes.InvalidArgument, "a blob of %d bytes, %d are the most", r.digest.Size, s.Limits.Blob)
+	if r.digest.Size > s.Limits.BlobBytes {
+		return status.Errorf(codes.InvalidArgument, "a blob of %d bytes exceeds the limit of %d", r.digest.Size, s.Limits.BlobBytes)
 	}
-	there := func() error {
+	answerStored := func() error {
 		size := r.digest.Size
-		if r.packed {
-			size = -1 // as the API has it
+		if r.compressed {
+			size = -1 // the API's value for a compressed blob that is already stored
 		}
 		return stream.SendAndClose(&bytestream.WriteResponse{CommittedSize: size})
 	}
 	if r.digest == empty {
-		return there()
+		return answerStored()
 	}
-	u, done, err := s.Blobs.BeginAs(r.id(in.Team), in.Team, r.digest)
+	u, done, err := s.Blobs.BeginAs(r.uploadID(in.Team), in.Team, r.digest)
 	if err != nil {
-		return fail(err)
+		return statusError(err)
 	}
 	if done {
-		return there()
+		return answerStored()
 	}
 	var written int64
-	if r.packed {
-		written, err = s.writePacked(u, q, stream)
+	if r.compressed {
+		written, err = s.writeCompressed(u, q, stream)
 	} else {
-		written, err = s.writePlain(u, q, stream)
+		written, err = s.writeUncompressed(u, q, stream)
 	}
 	if err != nil {
-		return fail(err)
+		return statusError(err)
 	}
 	if u.Offset() < r.digest.Size {
-		return status.Errorf(codes.InvalidArgument, "finished at %d of %d bytes", u.Offset(), r.digest.Size)
+		return status.Errorf(codes.InvalidArgument, "the write finished after %d of %d bytes", u.Offset(), r.digest.Size)
 	}
 	if err := u.Commit(stream.Context()); err != nil && !(errors.Is(err, blob.ErrUpload) && s.Blobs.Has(in.Team, r.digest)) {
-		return fail(err)
+		return statusError(err)
 	}
 	return stream.SendAndClose(&bytestream.WriteResponse{CommittedSize: written})
 }
 
-// next gets the following message of a write; nil at its end.
-func next(q *bytestream.WriteRequest, stream bytestream.ByteStream_WriteServer) (*bytestream.WriteRequest, error) {
+// nextRequest returns the message of a write that follows q, nil if q is the last.
+func nextRequest(q *bytestream.WriteRequest, stream bytestream.ByteStream_WriteServer) (*bytestream.WriteRequest, error) {
 	if q.FinishWrite {
 		return nil, nil
 	}
 	n, err := stream.Recv()
 	if err == io.EOF {
-		return nil, status.Error(codes.Canceled, "the write ended without finish_write")
+		return nil, status.Error(codes.Canceled, "the write ended before finish_write")
 	}
 	if err != nil {
 		return nil, err
 	}
 	if n.ResourceName != "" && n.ResourceName != q.ResourceName && q.ResourceName != "" {
-		return nil, status.Error(codes.InvalidArgument, "the resource name changed")
+		return nil, status.Error(codes.InvalidArgument, "the resource name changed within a write")
 	}
 	n.ResourceName = q.ResourceName
 	return n, nil
 }
 
-func (s *Server) writePlain(u *blob.Upload, q *bytestream.WriteRequest, stream bytestream.ByteStream_WriteServer) (int64, error) {
+// writeUncompressed writes the messages' data to an upload and returns the blob's size.
+func (s *Server) writeUncompressed(u *blob.Upload, q *bytestream.WriteRequest, stream bytestream.ByteStream_WriteServer) (int64, error) {
 	at := q.WriteOffset
 	for q != nil {
 		if q.WriteOffset != at {
@@ -219,17 +221,18 @@
 		}
 		at += int64(len(q.Data))
 		var err error
-		if q, err = next(q, stream); err != nil {
+		if q, err = nextRequest(q, stream); err != nil {
 			return 0, err
 		}
 	}
 	return u.Digest().Size, nil
 }
 
-// writePacked unpacks what comes. More than the digest's size is refused by the upload.
-func (s *Server) writePacked(u *blob.Upload, q *bytestream.WriteRequest, stream bytestream.ByteStream_WriteServer) (int64, error) {
+// writeCompressed decompresses the messages' data into an upload and returns the number of compressed bytes received.
+// The upload refuses more bytes than the digest's size.
+func (s *Server) writeCompressed(u *blob.Upload, q *bytestream.WriteRequest, stream bytestream.ByteStream_WriteServer) (int64, error) {
 	if q.WriteOffset != 0 {
-		return 0, status.Error(codes.InvalidArgument, "a packed write begins at 0")
+		return 0, status.Error(codes.InvalidArgument, "a compressed write must start at offset 0")
 	}
 	out, in := io.Pipe()
 	received := make(chan int64, 1)
@@ -245,15 +248,15 @@
 				break
 			}
 			at += int64(len(q.Data))
-			q, err = next(q, stream)
+			q, err = nextRequest(q, stream)
 		}
-		in.CloseWithError(err) // nil is the end
+		in.CloseWithError(err) // nil means end of data
 		received <- at
 	}()
 	z, err := zstd.NewReader(out, zstd.WithDecoderConcurrency(1), zstd.WithDecoderMaxMemory(64<<20))
 	if err == nil {
 		defer z.Close()
-		buf := make([]byte, pieceBytes)
+		buf := make([]byte, chunkBytes)
 		for at := int64(0); err == nil; {
 			var n int
 			n, err = z.Read(buf)
@@ -266,7 +269,7 @@
 			err = nil
 		}
 	}
-	out.CloseWithError(errors.New("not wanted any more"))
+	out.CloseWithError(errors.New("decompression has ended"))
 	at := <-received
 	if err != nil {
 		if _, ok := status.FromError(err); !ok && !errors.Is(err, blob.ErrMismatch) {
@@ -277,7 +280,7 @@
 	return at, nil
 }
 
-// QueryWriteStatus tells how far a write has come.
+// QueryWriteStatus returns the offset up to which a write is stored; 0 for a compressed one, which can't be resumed.
 func (s *Server) QueryWriteStatus(ctx context.Context, q *bytestream.QueryWriteStatusRequest) (*bytestream.QueryWriteStatusResponse, error) {
 	r, err := parseResource(q.ResourceName, true)
 	if err != nil {
@@ -290,27 +293,28 @@
 	if r.digest == empty || s.Blobs.Has(in.Team, r.digest) {
 		return &bytestream.QueryWriteStatusResponse{CommittedSize: r.digest.Size, Complete: true}, nil
 	}
-	id := r.id(in.Team)
+	id := r.uploadID(in.Team)
 	u, err := s.Blobs.Resume(in.Team, fmt.Sprintf("%x", id[:]))
 	if err != nil {
-		return nil, fail(err)
+		return nil, statusError(err)
 	}
-	if r.packed {
+	if r.compressed {
 		return &bytestream.QueryWriteStatusResponse{}, nil
 	}
 	return &bytestream.QueryWriteStatusResponse{CommittedSize: u.Offset()}, nil
 }
 
-// pageOf and token are page tokens: how many were given before.
-func pageOf(t string) (int, error) {
+// parsePageToken parses a page token: the number of items on the pages before it.
+func parsePageToken(t string) (int, error) {
 	if t == "" {
 		return 0, nil
 	}
 	n, err := strconv.Atoi(t)
 	if err != nil || n < 0 {
-		return 0, status.Errorf(codes.InvalidArgument, "page token %.40q", t)
+		return 0, status.Errorf(codes.InvalidArgument, "invalid page token %.40q", t)
 	}
 	return n, nil
 }
 
-func token(n int) string { return strconv.Itoa(n) }
+// pageToken returns the page token for the page after n items.
+func pageToken(n int) string { return strconv.Itoa(n) }
--- a/internal/reapi/cas.go
+++ b/internal/reapi/cas.go
@@ -14,22 +14,22 @@
 	"topazhollow/internal/blob"
 )
 
-// empty is the digest of nothing, which is always there.
+// empty is the digest of the empty blob, which every team has without storing it.
 var empty = blob.Of(nil)
 
-// FindMissingBlobs lists those of some blobs that the instance's team does not have. The
-// others count as used now, so that they stay for as long as unused blobs do.
+// FindMissingBlobs lists the requested blobs that the instance's team does not have. It marks the others as just used,
+// which restarts their retention time.
 func (s *Server) FindMissingBlobs(ctx context.Context, r *re.FindMissingBlobsRequest) (*re.FindMissingBlobsResponse, error) {
-	in, err := s.using(ctx, r.InstanceName, r.DigestFunction)
+	in, err := s.instanceForDigest(ctx, r.InstanceName, r.DigestFunction)
 	if err != nil {
 		return nil, err
 	}
 	if len(r.BlobDigests) > s.Limits.Digests {
-		return nil, status.Errorf(codes.InvalidArgument, "%d digests, %d are the most", len(r.BlobDigests), s.Limits.Digests)
+		return nil, status.Errorf(codes.InvalidArgument, "%d digests exceed the limit of %d", len(r.BlobDigests), s.Limits.Digests)
 	}
 	ds := make([]blob.Digest, 0, len(r.BlobDigests))
 	for _, d := range r.BlobDigests {
-		b, err := s.digest(d)
+		b, err := s.parseDigest(d)
 		if err != nil {
 			return nil, err
 		}
@@ -44,17 +44,17 @@
 	return out, nil
 }
 
-// fits refuses a batch beyond the limits.
-func (s *Server) fits(blobs int, bytes int64) error {
-	if bytes > s.Limits.Batch || blobs > s.Limits.Digests {
-		return status.Errorf(codes.InvalidArgument, "a batch of %d blobs and %d bytes, %d bytes are the most", blobs, bytes, s.Limits.Batch)
+// checkBatch returns an error if a batch exceeds the limits.
+func (s *Server) checkBatch(blobs int, bytes int64) error {
+	if bytes > s.Limits.BatchBytes || blobs > s.Limits.Digests {
+		return status.Errorf(codes.InvalidArgument, "a batch of %d blobs and %d bytes exceeds the limit of %d blobs and %d bytes", blobs, bytes, s.Limits.Digests, s.Limits.BatchBytes)
 	}
 	return nil
 }
 
-// BatchUpdateBlobs takes small blobs; each has its own status.
+// BatchUpdateBlobs stores small blobs. The response has a status for each.
 func (s *Server) BatchUpdateBlobs(ctx context.Context, r *re.BatchUpdateBlobsRequest) (*re.BatchUpdateBlobsResponse, error) {
-	in, err := s.using(ctx, r.InstanceName, r.DigestFunction)
+	in, err := s.instanceForDigest(ctx, r.InstanceName, r.DigestFunction)
 	if err != nil {
 		return nil, err
 	}
@@ -62,19 +62,20 @@
 	for _, q := range r.Requests {
 		total += int64(len(q.Data))
 	}
-	if err := s.fits(len(r.Requests), total); err != nil {
+	if err := s.checkBatch(len(r.Requests), total); err != nil {
 		return nil, err
 	}
 	out := &re.BatchUpdateBlobsResponse{}
 	for _, q := range r.Requests {
 		err := s.update(ctx, in.Team, q)
-		out.Responses = append(out.Responses, &re.BatchUpdateBlobsResponse_Response{Digest: q.Digest, Status: status.Convert(fail(err)).Proto()})
+		out.Responses = append(out.Responses, &re.BatchUpdateBlobsResponse_Response{Digest: q.Digest, Status: status.Convert(statusError(err)).Proto()})
 	}
 	return out, nil
 }
 
+// update stores one blob of a batch.
 func (s *Server) update(ctx context.Context, team string, q *re.BatchUpdateBlobsRequest_Request) error {
-	d, err := s.digest(q.Digest)
+	d, err := s.parseDigest(q.Digest)
 	if err != nil {
 		return err
 	}
@@ -82,10 +83,10 @@
 	switch q.Compressor {
 	case re.Compressor_IDENTITY:
 	case re.Compressor_ZSTD:
-		if d.Size > s.Limits.Batch {
-			return status.Errorf(codes.InvalidArgument, "unpacked %d bytes, %d are the most", d.Size, s.Limits.Batch)
+		if d.Size > s.Limits.BatchBytes {
+			return status.Errorf(codes.InvalidArgument, "%d uncompressed bytes exceed the limit of %d", d.Size, s.Limits.BatchBytes)
 		}
-		if data, err = unpack(data, d.Size); err != nil {
+		if data, err = decompress(data, d.Size); err != nil {
 			return err
 		}
 	default:
@@ -98,9 +99,9 @@
 	return err
 }
 
-// unpack gives what zstd packed, if that is of a size; never more than one byte more is
-// read.
-func unpack(data []byte, size int64) ([]byte, error) {
+// decompress returns zstd-compressed data decompressed. It returns at most one byte more than size, so that an oversized
+// blob fails the digest check without taking up memory.
+func decompress(data []byte, size int64) ([]byte, error) {
 	z, err := zstd.NewReader(bytes.NewReader(data), zstd.WithDecoderConcurrency(1), zstd.WithDecoderMaxMemory(64<<20))
 	if err != nil {
 		return nil, err
@@ -113,65 +114,66 @@
 	return b, nil
 }
 
-// BatchReadBlobs gives small blobs; each has its own status.
+// BatchReadBlobs returns small blobs. The response has a status for each.
 func (s *Server) BatchReadBlobs(ctx context.Context, r *re.BatchReadBlobsRequest) (*re.BatchReadBlobsResponse, error) {
-	in, err := s.using(ctx, r.InstanceName, r.DigestFunction)
+	in, err := s.instanceForDigest(ctx, r.InstanceName, r.DigestFunction)
 	if err != nil {
 		return nil, err
 	}
 	total := int64(0)
 	for _, d := range r.Digests {
-		b, err := s.digest(d)
+		b, err := s.parseDigest(d)
 		if err != nil {
 			return nil, err
 		}
 		total += b.Size
 	}
-	if err := s.fits(len(r.Digests), total); err != nil {
+	if err := s.checkBatch(len(r.Digests), total); err != nil {
 		return nil, err
 	}
 	out := &re.BatchReadBlobsResponse{}
 	for _, q := range r.Digests {
-		d, err := s.digest(q)
+		d, err := s.parseDigest(q)
 		var data []byte
 		if err == nil {
-			data, err = s.whole(in.Team, d)
+			data, err = s.readBlob(in.Team, d)
 		}
-		out.Responses = append(out.Responses, &re.BatchReadBlobsResponse_Response{Digest: q, Data: data, Status: status.Convert(fail(err)).Proto()})
+		out.Responses = append(out.Responses, &re.BatchReadBlobsResponse_Response{Digest: q, Data: data, Status: status.Convert(statusError(err)).Proto()})
 	}
 	return out, nil
 }
 
-func (s *Server) whole(team string, d blob.Digest) ([]byte, error) {
+// readBlob returns the content of a blob.
+func (s *Server) readBlob(team string, d blob.Digest) ([]byte, error) {
 	if d == empty {
 		return nil, nil
 	}
-	return s.Blobs.Get(team, d, s.Limits.Blob)
+	return s.Blobs.Get(team, d, s.Limits.BlobBytes)
 }
 
-// GetTree gives a directory and all below it, each once, in pages of at most a batch. The
-// page token is how many were given before.
+// GetTree sends a directory and all directories below it, each once, in pages of at most half a batch's bytes. The page
+// token is the number of directories on the pages before.
 func (s *Server) GetTree(r *re.GetTreeRequest, stream re.ContentAddressableStorage_GetTreeServer) error {
-	in, err := s.using(stream.Context(), r.InstanceName, r.DigestFunction)
+	in, err := s.instanceForDigest(stream.Context(), r.InstanceName, r.DigestFunction)
 	if err != nil {
 		return err
 	}
-	root, err := s.digest(r.RootDigest)
+	root, err := s.parseDigest(r.RootDigest)
 	if err != nil {
 		return err
 	}
-	skip, err := pageOf(r.PageToken)
+	skip, err := parsePageToken(r.PageToken)
 	if err != nil {
 		return err
 	}
 	page := &re.GetTreeResponse{}
-	size, given := 0, 0
-	err = s.tree(in.Team, root, func(dir *re.Directory, bytes int) error {
-		if given++; given <= skip {
+	size, visited := 0, 0
+	err = s.walkTree(in.Team, root, func(dir *re.Directory, bytes int) error {
+		if visited++; visited <= skip {
 			return nil
 		}
-		if len(page.Directories) > 0 && (int64(size+bytes) > s.Limits.Batch/2 || (r.PageSize > 0 && len(page.Directories) >= int(r.PageSize))) {
-			page.NextPageToken = token(given - 1)
+		if len(page.Directories) > 0 && (int64(size+bytes) > s.Limits.BatchBytes/2 || (r.PageSize > 0 && len(page.Directories) >= int(r.PageSize))) {
+			page.NextPageToken = pageToken(visited - 1)
 			if err := stream.Send(page); err != nil {
 				return err
 			}
@@ -182,34 +184,35 @@
 		return nil
 	})
 	if err != nil {
-		return fail(err)
+		return statusError(err)
 	}
 	return stream.Send(page)
 }
 
-// tree walks over a directory and all below it, breadth first, each once.
-func (s *Server) tree(team string, root blob.Digest, each func(d *re.Directory, bytes int) error) error {
+// walkTree calls visit for a directory and all directories below it, breadth first, each once. bytes is the size of the
+// encoded directory.
+func (s *Server) walkTree(team string, root blob.Digest, visit func(d *re.Directory, bytes int) error) error {
 	seen := map[blob.Digest]bool{root: true}
 	for queue := []blob.Digest{root}; len(queue) > 0; queue = queue[1:] {
-		data, err := s.whole(team, queue[0])
+		data, err := s.readBlob(team, queue[0])
 		if err != nil {
 			return err
 		}
 		dir := &re.Directory{}
 		if err := proto.Unmarshal(data, dir); err != nil {
-			return status.Errorf(codes.InvalidArgument, "%s is no directory: %v", queue[0], err)
+			return status.Errorf(codes.InvalidArgument, "blob %s is not a valid Directory: %v", queue[0], err)
 		}
-		if err := each(dir, len(data)); err != nil {
+		if err := visit(dir, len(data)); err != nil {
 			return err
 		}
 		for _, n := range dir.Directories {
-			d, err := s.digest(n.Digest)
+			d, err := s.parseDigest(n.Digest)
 			if err != nil {
 				return err
 			}
 			if !seen[d] {
-				if seen[d] = true; len(seen) > s.Limits.Tree {
-					return status.Errorf(codes.InvalidArgument, "a tree of more than %d directories", s.Limits.Tree)
+				if seen[d] = true; len(seen) > s.Limits.TreeDirectories {
+					return status.Errorf(codes.InvalidArgument, "the tree has more than %d directories", s.Limits.TreeDirectories)
 				}
 				queue = append(queue, d)
 			}
@@ -218,12 +221,12 @@
 	return nil
 }
 
-// SplitBlob is not supported, and the capabilities say so.
+// SplitBlob is not supported, as the capabilities state.
 func (s *Server) SplitBlob(context.Context, *re.SplitBlobRequest) (*re.SplitBlobResponse, error) {
 	return nil, status.Error(codes.Unimplemented, "SplitBlob is not supported")
 }
 
-// SpliceBlob is not supported, and the capabilities say so.
+// SpliceBlob is not supported, as the capabilities state.
 func (s *Server) SpliceBlob(context.Context, *re.SpliceBlobRequest) (*re.SpliceBlobResponse, error) {
 	return nil, status.Error(codes.Unimplemented, "SpliceBlob is not supported")
 }
--- a/internal/reapi/reapi.go
+++ b/internal/reapi/reapi.go
@@ -1,6 +1,6 @@
-// Package reapi is the front for build tools: the Remote Execution API v2
-// (build.bazel.remote.execution.v2) and ByteStream over the store of blobs that the
-// keepers use. docs/remote-execution.md lists each call and what is done with it.
+// Package reapi is a server for build tools: it serves the Remote Execution API v2 (build.bazel.remote.execution.v2) and
+// ByteStream from a blob store of the kind that the artifact store uses. docs/remote-execution.md lists each call and
+// how it is handled.
 package reapi
 
 import (
@@ -26,24 +26,23 @@
 	"topazhollow/internal/wal"
 )
 
-// Instance is a name that build tools use the service under. Its blobs are its team's:
-// two instances of a team share them, and those of another team can't be read by guessing
-// their digests.
+// Instance is an instance name of the API. Its blobs belong to its team: instances of the same team share them, and
+// another team can't read them by guessing their digests.
 type Instance struct {
 	Name        string `toml:"name"`
 	Team        string `toml:"team"`
-	CacheWrites bool   `toml:"cache_writes"` // clients may write results to the action cache
+	CacheWrites bool   `toml:"cache_writes"` // whether clients may write results to the action cache
 }
 
-// Limits bound what one request may ask for.
+// Limits bounds single requests.
 type Limits struct {
-	Batch   int64 // bytes of blobs in one batch request or answer
-	Digests int   // in one request
-	Blob    int64 // bytes of one blob
-	Tree    int   // directories of one tree
+	BatchBytes      int64 // of blobs in one batch request or response
+	Digests         int   // in one request
+	BlobBytes       int64 // of one blob
+	TreeDirectories int   // of one tree
 }
 
-// Server answers build tools.
+// Server implements the services for build tools.
 type Server struct {
 	re.UnimplementedContentAddressableStorageServer
 	re.UnimplementedActionCacheServer
@@ -68,8 +67,8 @@
 	bytestream.RegisterByteStreamServer(g, s)
 }
 
-// instance finds an instance that the caller may use, by its token: a grant to build
-// names the instance in place of a job.
+// instance returns the named instance if the caller's token allows its use. A token for builds has the instance's name
+// in place of a job.
 func (s *Server) instance(ctx context.Context, name string) (*Instance, error) {
 	md, _ := metadata.FromIncomingContext(ctx)
 	var token string
@@ -88,11 +87,11 @@
 			return &s.Instances[i], nil
 		}
 	}
-	return nil, status.Errorf(codes.NotFound, "there is no instance %.64q", name)
+	return nil, status.Errorf(codes.NotFound, "instance %.64q does not exist", name)
 }
 
-// fail maps the store's errors to those of the API, in this one place.
-func fail(err error) error {
+// statusError maps errors of the blob store to gRPC status errors. Errors that have a status already stay as they are.
+func statusError(err error) error {
 	if err == nil {
 		return nil
 	}
@@ -102,11 +101,11 @@
 	var full *blob.FullError
 	switch {
 	case errors.As(err, &full):
-		return later(codes.ResourceExhausted, err, full.Retry)
+		return retryableError(codes.ResourceExhausted, err, full.Retry)
 	case errors.Is(err, blob.ErrBusy), errors.Is(err, wal.ErrBusy):
-		return later(codes.Unavailable, err, time.Second)
+		return retryableError(codes.Unavailable, err, time.Second)
 	case errors.Is(err, wal.ErrBroken):
-		return later(codes.Unavailable, err, 10*time.Second)
+		return retryableError(codes.Unavailable, err, 10*time.Second)
 	case errors.Is(err, blob.ErrNotFound), errors.Is(err, blob.ErrTenant), errors.Is(err, blob.ErrRotten), errors.Is(err, blob.ErrUpload):
 		return status.Error(codes.NotFound, err.Error())
 	case errors.Is(err, blob.ErrDigest), errors.Is(err, blob.ErrMismatch):
@@ -121,8 +120,8 @@
 	return status.Error(codes.Internal, err.Error())
 }
 
-// later is an error that says when to come back.
-func later(code codes.Code, err error, after time.Duration) error {
+// retryableError returns a status error with the delay after which the client should retry.
+func retryableError(code codes.Code, err error, after time.Duration) error {
 	st, derr := status.New(code, err.Error()).WithDetails(&errdetails.RetryInfo{RetryDelay: durationpb.New(after)})
 	if derr != nil {
 		return status.Error(code, err.Error())
@@ -130,37 +129,37 @@
 	return st.Err()
 }
 
-// digest reads a digest of the API.
-func (s *Server) digest(d *re.Digest) (blob.Digest, error) {
+// parseDigest converts a digest of the API and checks it against the limits.
+func (s *Server) parseDigest(d *re.Digest) (blob.Digest, error) {
 	if d == nil {
-		return blob.Digest{}, status.Error(codes.InvalidArgument, "a digest is missing")
+		return blob.Digest{}, status.Error(codes.InvalidArgument, "the request lacks a digest")
 	}
 	b, err := blob.Parse(fmt.Sprintf("%s/%d", d.Hash, d.SizeBytes))
 	if err != nil {
-		return b, fail(err)
+		return b, statusError(err)
 	}
-	if b.Size > s.Limits.Blob {
-		return b, status.Errorf(codes.InvalidArgument, "a blob of %d bytes, %d are the most", b.Size, s.Limits.Blob)
+	if b.Size > s.Limits.BlobBytes {
+		return b, status.Errorf(codes.InvalidArgument, "a blob of %d bytes exceeds the limit of %d", b.Size, s.Limits.BlobBytes)
 	}
 	return b, nil
 }
 
+// digestProto converts a digest to the API's form.
 func digestProto(d blob.Digest) *re.Digest {
 	hash, _, _ := strings.Cut(d.String(), "/")
 	return &re.Digest{Hash: hash, SizeBytes: d.Size}
 }
 
-// using finds an instance for a call that names a digest function. Others than sha256 are
-// refused by name.
-func (s *Server) using(ctx context.Context, name string, f re.DigestFunction_Value) (*Instance, error) {
+// instanceForDigest returns an instance for a call that names a digest function. Only SHA-256 is supported.
+func (s *Server) instanceForDigest(ctx context.Context, name string, f re.DigestFunction_Value) (*Instance, error) {
 	in, err := s.instance(ctx, name)
 	if err == nil && f != re.DigestFunction_UNKNOWN && f != re.DigestFunction_SHA256 {
-		err = status.Errorf(codes.InvalidArgument, "digest function %s is not supported, SHA256 is", f)
+		err = status.Errorf(codes.InvalidArgument, "digest function %s is not supported, only SHA256 is", f)
 	}
 	return in, err
 }
 
-// GetCapabilities tells what is there. Execution is not yet.
+// GetCapabilities returns the capabilities of an instance. Execution is not supported yet.
 func (s *Server) GetCapabilities(ctx context.Context, r *re.GetCapabilitiesRequest) (*re.ServerCapabilities, error) {
 	in, err := s.instance(ctx, r.InstanceName)
 	if err != nil {
@@ -171,8 +170,8 @@
 		CacheCapabilities: &re.CacheCapabilities{
 			DigestFunctions:                 []re.DigestFunction_Value{re.DigestFunction_SHA256},
 			ActionCacheUpdateCapabilities:   &re.ActionCacheUpdateCapabilities{UpdateEnabled: in.CacheWrites},
-			MaxBatchTotalSizeBytes:          s.Limits.Batch,
-			MaxCasBlobSizeBytes:             s.Limits.Blob,
+			MaxBatchTotalSizeBytes:          s.Limits.BatchBytes,
+			MaxCasBlobSizeBytes:             s.Limits.BlobBytes,
 			SymlinkAbsolutePathStrategy:     re.SymlinkAbsolutePathStrategy_DISALLOWED,
 			SupportedCompressors:            zstd,
 			SupportedBatchUpdateCompressors: zstd,
--- a/internal/reapi/reapi_test.go
+++ b/internal/reapi/reapi_test.go
@@ -30,7 +30,7 @@
 
 var key = []byte("0123456789abcdef")
 
-// client is a build tool: the real protocol over loopback.
+// client is a build tool's client, which uses the gRPC protocol over loopback.
 type client struct {
 	t    *testing.T
 	ctx  context.Context
@@ -43,11 +43,13 @@
 	exec re.ExecutionClient
 }
 
-func as(instance string) context.Context {
+// authorized returns a context with a token for an instance.
+func authorized(instance string) context.Context {
 	g := artifactstore.Grant{Right: artifactstore.Build, Job: instance, Until: time.Now().Add(time.Hour)}
 	return metadata.AppendToOutgoingContext(context.Background(), "authorization", "Bearer "+g.Token(key))
 }
 
+// serve runs a server on a directory, with settings that tune may change, and returns a client of instance main.
 func serve(t *testing.T, dir string, tune func(*Config)) *client {
 	t.Helper()
 	c := DefaultConfig()
@@ -73,7 +75,7 @@
 		t.Fatal(err)
 	}
 	stopped := false
-	x := &client{t: t, ctx: as("main"), conn: conn, cas: re.NewContentAddressableStorageClient(conn), ac: re.NewActionCacheClient(conn),
+	x := &client{t: t, ctx: authorized("main"), conn: conn, cas: re.NewContentAddressableStorageClient(conn), ac: re.NewActionCacheClient(conn),
 		bs: bytestream.NewByteStreamClient(conn), caps: re.NewCapabilitiesClient(conn), exec: re.NewExecutionClient(conn)}
 	x.stop = func() {
 		if stopped {
@@ -90,7 +92,8 @@
 	return x
 }
 
-func noise(n int, seed uint64) []byte {
+// randomBytes returns n pseudorandom bytes, which do not compress.
+func randomBytes(n int, seed uint64) []byte {
 	r := rand.New(rand.NewPCG(seed, 1))
 	b := make([]byte, n)
 	for i := range b {
@@ -99,15 +102,15 @@
 	return b
 }
 
-// send writes messages of a ByteStream write and gives its answer.
-func (x *client) send(ctx context.Context, name string, offset int64, pieces [][]byte, finish bool) (int64, error) {
+// send sends the messages of a ByteStream write and returns the committed size.
+func (x *client) send(ctx context.Context, name string, offset int64, chunks [][]byte, finish bool) (int64, error) {
 	w, err := x.bs.Write(ctx)
 	if err != nil {
 		return 0, err
 	}
-	for i, p := range pieces {
-		if err := w.Send(&bytestream.WriteRequest{ResourceName: name, WriteOffset: offset, Data: p, FinishWrite: finish && i == len(pieces)-1}); err != nil {
-			break // the answer says why
+	for i, p := range chunks {
+		if err := w.Send(&bytestream.WriteRequest{ResourceName: name, WriteOffset: offset, Data: p, FinishWrite: finish && i == len(chunks)-1}); err != nil {
+			break // the response has the reason
 		}
 		offset += int64(len(p))
 	}
@@ -115,6 +118,7 @@
 	return a.GetCommittedSize(), err
 }
 
+// read reads a resource from an offset on and returns its data.
 func (x *client) read(ctx context.Context, name string, offset, limit int64) ([]byte, error) {
 	r, err := x.bs.Read(ctx, &bytestream.ReadRequest{ResourceName: name, ReadOffset: offset, ReadLimit: limit})
 	if err != nil {
@@ -133,43 +137,43 @@
 	}
 }
 
-func wants(t *testing.T, what string, err error, code codes.Code) {
+// expectCode checks the status code of a call.
+func expectCode(t *testing.T, what string, err error, code codes.Code) {
 	t.Helper()
 	if status.Code(err) != code {
 		t.Errorf("%s: %v, not %v", what, err, code)
 	}
 }
 
-// TestByteStream: a write that breaks off goes on where it was, also after the front was
-// stopped and started again; a packed one is unpacked; what does not fit is refused, and
-// nothing of it is seen.
+// TestByteStream checks that an interrupted write resumes at its offset, also after a restart of the server, that a
+// compressed write is decompressed, and that data that doesn't match its digest is refused and can't be read.
 func TestByteStream(t *testing.T) {
 	dir := t.TempDir()
 	x := serve(t, dir, nil)
-	data := noise(700_000, 1)
+	data := randomBytes(700_000, 1)
 	d := blob.Of(data)
 	name := "main/uploads/0e0f/blobs/" + d.String()
 	if _, err := x.send(x.ctx, name, 0, [][]byte{data[:300_000]}, false); err == nil {
-		t.Fatal("a write without an end was answered")
+		t.Fatal("a write without finish_write was answered")
 	}
 	st, err := x.bs.QueryWriteStatus(x.ctx, &bytestream.QueryWriteStatusRequest{ResourceName: name})
 	if err != nil || st.CommittedSize != 300_000 || st.Complete {
 		t.Fatalf("%+v %v", st, err)
 	}
 	_, err = x.read(x.ctx, "main/blobs/"+d.String(), 0, 0)
-	wants(t, "half a blob", err, codes.NotFound)
+	expectCode(t, "half a blob", err, codes.NotFound)
 	x.stop()
 	x = serve(t, dir, nil)
 	if st, err := x.bs.QueryWriteStatus(x.ctx, &bytestream.QueryWriteStatusRequest{ResourceName: name}); err != nil || st.CommittedSize != 300_000 {
-		t.Fatalf("started again: %+v %v", st, err)
+		t.Fatalf("after a restart: %+v %v", st, err)
 	}
 	_, err = x.send(x.ctx, name, 400_000, [][]byte{data[400_000:]}, true)
-	wants(t, "a gap", err, codes.OutOfRange)
+	expectCode(t, "a gap", err, codes.OutOfRange)
 	if n, err := x.send(x.ctx, name, 300_000, [][]byte{data[300_000:500_000], data[500_000:]}, true); err != nil || n != d.Size {
 		t.Fatalf("%d %v", n, err)
 	}
 	if n, err := x.send(x.ctx, "main/uploads/another/blobs/"+d.String(), 0, [][]byte{data[:10]}, false); err != nil || n != d.Size {
-		t.Fatalf("what is there: %d %v", n, err)
+		t.Fatalf("write of a stored blob: %d %v", n, err)
 	}
 	for _, c := range []struct{ offset, limit, from, to int64 }{{0, 0, 0, 700_000}, {10, 0, 10, 700_000}, {10, 5, 10, 15}, {700_000, 0, 0, 0}} {
 		got, err := x.read(x.ctx, "main/blobs/"+d.String(), c.offset, c.limit)
@@ -178,7 +182,7 @@
 		}
 	}
 	_, err = x.read(x.ctx, "main/blobs/"+d.String(), 700_001, 0)
-	wants(t, "beyond the end", err, codes.OutOfRange)
+	expectCode(t, "beyond the end", err, codes.OutOfRange)
 
 	text := bytes.Repeat([]byte("a line of output\n"), 50_000)
 	td := blob.Of(text)
@@ -190,35 +194,35 @@
 	z.Close()
 	p := packed.Bytes()
 	if n, err := x.send(x.ctx, "main/uploads/1/compressed-blobs/zstd/"+td.String(), 0, [][]byte{p[:10], p[10:]}, true); err != nil || n != int64(len(p)) {
-		t.Fatalf("packed: %d %v", n, err)
+		t.Fatalf("compressed write: %d %v", n, err)
 	}
 	got, err := x.read(x.ctx, "main/compressed-blobs/zstd/"+td.String(), 17, 0)
 	if err == nil {
-		got, err = unpack(got, td.Size)
+		got, err = decompress(got, td.Size)
 	}
 	if err != nil || !bytes.Equal(got, text[17:]) {
-		t.Fatalf("packed and read: %d bytes, %v", len(got), err)
+		t.Fatalf("compressed read: %d bytes, %v", len(got), err)
 	}
-	// Wrong digest, wrong size, a bomb, nonsense.
+	// A blob larger than its digest says once decompressed, invalid zstd data, a wrong digest and wrong sizes.
 	wrong := blob.Digest{Hash: td.Hash, Size: 100}
 	_, err = x.send(x.ctx, "main/uploads/2/compressed-blobs/zstd/"+wrong.String(), 0, [][]byte{p}, true)
-	wants(t, "a bomb", err, codes.InvalidArgument)
+	expectCode(t, "a decompression bomb", err, codes.InvalidArgument)
 	_, err = x.send(x.ctx, "main/uploads/3/compressed-blobs/zstd/"+blob.Of([]byte("x")).String(), 0, [][]byte{[]byte("nonsense")}, true)
-	wants(t, "nonsense", err, codes.InvalidArgument)
+	expectCode(t, "invalid zstd data", err, codes.InvalidArgument)
 	_, err = x.send(x.ctx, "main/uploads/4/blobs/"+blob.Of([]byte("abc")).String(), 0, [][]byte{[]byte("abd")}, true)
-	wants(t, "a wrong digest", err, codes.InvalidArgument)
+	expectCode(t, "a wrong digest", err, codes.InvalidArgument)
 	_, err = x.send(x.ctx, "main/uploads/5/blobs/"+blob.Of([]byte("abc")).String(), 0, [][]byte{[]byte("abcd")}, true)
-	wants(t, "too long", err, codes.InvalidArgument)
+	expectCode(t, "too long", err, codes.InvalidArgument)
 	_, err = x.send(x.ctx, "main/uploads/6/blobs/"+blob.Of([]byte("abc")).String(), 0, [][]byte{[]byte("ab")}, true)
-	wants(t, "too short", err, codes.InvalidArgument)
+	expectCode(t, "too short", err, codes.InvalidArgument)
 	for _, name := range []string{"", "main/blobs/x/3", "main/blobs/" + d.String() + "/more", "main/uploads/u/blobs/" + d.String(), "main/compressed-blobs/deflate/" + d.String(), strings.Repeat("a", 2000)} {
 		_, err := x.read(x.ctx, name, 0, 0)
-		wants(t, fmt.Sprintf("name %.40q", name), err, codes.InvalidArgument)
+		expectCode(t, fmt.Sprintf("name %.40q", name), err, codes.InvalidArgument)
 	}
 }
 
-// TestInstances: a token opens its own instance only, and a team's blobs can't be had by
-// naming their digests.
+// TestInstances checks that a token is valid for its own instance only, and that a team can't read another team's blobs
+// by naming their digests.
 func TestInstances(t *testing.T) {
 	x := serve(t, t.TempDir(), nil)
 	data := []byte("a team's own")
@@ -227,7 +231,7 @@
 	if err != nil || up.Responses[0].Status.GetCode() != 0 {
 		t.Fatalf("%v %v", up, err)
 	}
-	blue := as("toll/blue")
+	blue := authorized("toll/blue")
 	m, err := x.cas.FindMissingBlobs(blue, &re.FindMissingBlobsRequest{InstanceName: "toll/blue", BlobDigests: []*re.Digest{d}})
 	if err != nil || len(m.MissingBlobDigests) != 1 {
 		t.Fatalf("%v %v", m, err)
@@ -237,14 +241,14 @@
 		t.Fatalf("%v %v", r, err)
 	}
 	_, err = x.cas.FindMissingBlobs(blue, &re.FindMissingBlobsRequest{InstanceName: "main"})
-	wants(t, "another's instance", err, codes.PermissionDenied)
-	_, err = x.cas.FindMissingBlobs(as("none"), &re.FindMissingBlobsRequest{InstanceName: "none"})
-	wants(t, "no such instance", err, codes.NotFound)
+	expectCode(t, "another team's instance", err, codes.PermissionDenied)
+	_, err = x.cas.FindMissingBlobs(authorized("none"), &re.FindMissingBlobsRequest{InstanceName: "none"})
+	expectCode(t, "no such instance", err, codes.NotFound)
 	_, err = x.cas.FindMissingBlobs(context.Background(), &re.FindMissingBlobsRequest{InstanceName: "main"})
-	wants(t, "no token", err, codes.Unauthenticated)
+	expectCode(t, "no token", err, codes.Unauthenticated)
 	read := artifactstore.Grant{Right: artifactstore.Read, Job: "main", Until: time.Now().Add(time.Hour)}.Token(key)
 	_, err = x.caps.GetCapabilities(metadata.AppendToOutgoingContext(context.Background(), "authorization", "Bearer "+read), &re.GetCapabilitiesRequest{InstanceName: "main"})
-	wants(t, "a token for something else", err, codes.PermissionDenied)
+	expectCode(t, "a token without the right to build", err, codes.PermissionDenied)
 	c, err := x.caps.GetCapabilities(x.ctx, &re.GetCapabilitiesRequest{InstanceName: "main"})
 	if err != nil || !c.CacheCapabilities.ActionCacheUpdateCapabilities.UpdateEnabled || c.ExecutionCapabilities.GetExecEnabled() {
 		t.Errorf("%v %v", c, err)
@@ -253,14 +257,14 @@
 	if err == nil {
 		_, err = e.Recv()
 	}
-	wants(t, "execution", err, codes.Unimplemented)
+	expectCode(t, "execution", err, codes.Unimplemented)
 }
 
-// TestBatches: each blob of a batch has its own status; what goes beyond a bound or is not
-// supported is refused by name; a full store says when to come back.
+// TestBatches checks that each blob of a batch has its own status, that requests beyond a limit or for an unsupported
+// feature are refused, and that the error of a full store has a retry delay.
 func TestBatches(t *testing.T) {
-	x := serve(t, t.TempDir(), func(c *Config) { c.BatchMB, c.QuotaGB, c.Digests = 0.1, 0.01, 50 })
-	good, bad, big := []byte("good"), []byte("bad"), noise(20_000_000, 2)
+	x := serve(t, t.TempDir(), func(c *Config) { c.MaxBatchMB, c.QuotaGB, c.MaxDigests = 0.1, 0.01, 50 })
+	good, bad, big := []byte("good"), []byte("bad"), randomBytes(20_000_000, 2)
 	up, err := x.cas.BatchUpdateBlobs(x.ctx, &re.BatchUpdateBlobsRequest{InstanceName: "main", Requests: []*re.BatchUpdateBlobsRequest_Request{
 		{Digest: digestProto(blob.Of(good)), Data: good}, {Digest: digestProto(blob.Of(good)), Data: bad}, {Digest: &re.Digest{Hash: "x"}}, {Digest: digestProto(blob.Of(bad)), Data: bad, Compressor: re.Compressor_BROTLI}}})
 	if err != nil {
@@ -272,13 +276,13 @@
 		}
 	}
 	_, err = x.cas.BatchUpdateBlobs(x.ctx, &re.BatchUpdateBlobsRequest{InstanceName: "main", Requests: []*re.BatchUpdateBlobsRequest_Request{{Digest: digestProto(blob.Of(big)), Data: big[:200_000]}}})
-	wants(t, "a large batch", err, codes.InvalidArgument)
+	expectCode(t, "a large batch", err, codes.InvalidArgument)
 	_, err = x.cas.FindMissingBlobs(x.ctx, &re.FindMissingBlobsRequest{InstanceName: "main", BlobDigests: make([]*re.Digest, 51)})
-	wants(t, "many digests", err, codes.InvalidArgument)
+	expectCode(t, "many digests", err, codes.InvalidArgument)
 	_, err = x.cas.FindMissingBlobs(x.ctx, &re.FindMissingBlobsRequest{InstanceName: "main", DigestFunction: re.DigestFunction_MD5})
-	wants(t, "MD5", err, codes.InvalidArgument)
+	expectCode(t, "MD5", err, codes.InvalidArgument)
 	_, err = x.send(x.ctx, "main/uploads/1/blobs/"+blob.Of(big).String(), 0, [][]byte{big[:10]}, true)
-	wants(t, "a full store", err, codes.ResourceExhausted)
+	expectCode(t, "a full store", err, codes.ResourceExhausted)
 	retry := false
 	for _, detail := range status.Convert(err).Details() {
 		if r, ok := detail.(*errdetails.RetryInfo); ok && r.RetryDelay.AsDuration() > 0 {
@@ -286,16 +290,16 @@
 		}
 	}
 	if !retry {
-		t.Error("a full store does not say when to come back")
+		t.Error("the error of a full store has no retry delay")
 	}
 	_, err = x.cas.SplitBlob(x.ctx, &re.SplitBlobRequest{InstanceName: "main"})
-	wants(t, "SplitBlob", err, codes.Unimplemented)
+	expectCode(t, "SplitBlob", err, codes.Unimplemented)
 }
 
-// TestTree: a directory and all below it, each once, in pages; one that names itself by
-// way of a shared child is no endless walk, and one beyond the bound is refused.
+// TestTree checks that GetTree returns a directory and all below it in pages, with a shared child only once, and refuses
+// a tree beyond the limit.
 func TestTree(t *testing.T) {
-	x := serve(t, t.TempDir(), func(c *Config) { c.Tree = 30 })
+	x := serve(t, t.TempDir(), func(c *Config) { c.MaxTreeDirectories = 30 })
 	put := func(m proto.Message) *re.Digest {
 		t.Helper()
 		data, err := proto.Marshal(m)
@@ -338,7 +342,7 @@
 		}
 	}
 	token := walk("")
-	if pages != 5 || seen != 22 { // the root, 20 and the one leaf that they share
+	if pages != 5 || seen != 22 { // the root, 20 children and the leaf that they share
 		t.Errorf("%d directories in %d pages", seen, pages)
 	}
 	seen = 0
@@ -353,27 +357,27 @@
 	for err == nil {
 		_, err = r.Recv()
 	}
-	wants(t, "a large tree", err, codes.InvalidArgument)
+	expectCode(t, "a large tree", err, codes.InvalidArgument)
 	r, err = x.cas.GetTree(x.ctx, &re.GetTreeRequest{InstanceName: "main", RootDigest: digestProto(blob.Of([]byte("nowhere")))})
 	if err == nil {
 		_, err = r.Recv()
 	}
-	wants(t, "no such tree", err, codes.NotFound)
+	expectCode(t, "no such tree", err, codes.NotFound)
 }
 
-// TestActionCache: a result is kept only once all that it names is there, and given only
-// while it is; what it names is not collected, and a result whose blob went bad is none.
+// TestActionCache checks that a result is cached only when all blobs that it names are stored, that these blobs are not
+// garbage-collected, and that a result whose blob was lost is not returned.
 func TestActionCache(t *testing.T) {
 	dir := t.TempDir()
-	x := serve(t, dir, func(c *Config) { c.LooseHours = 0.1 })
+	x := serve(t, dir, func(c *Config) { c.UnreferencedHours = 0.1 })
 	action := digestProto(blob.Of([]byte("an action")))
-	out := noise(50_000, 3)
+	out := randomBytes(50_000, 3)
 	result := &re.ActionResult{ExitCode: 3, OutputFiles: []*re.OutputFile{{Path: "out", Digest: digestProto(blob.Of(out))}}, StdoutDigest: digestProto(blob.Of(nil))}
 	_, err := x.ac.GetActionResult(x.ctx, &re.GetActionResultRequest{InstanceName: "main", ActionDigest: action})
-	wants(t, "nothing yet", err, codes.NotFound)
+	expectCode(t, "an action without a result", err, codes.NotFound)
 	update := &re.UpdateActionResultRequest{InstanceName: "main", ActionDigest: action, ActionResult: result}
 	_, err = x.ac.UpdateActionResult(x.ctx, update)
-	wants(t, "without its blobs", err, codes.FailedPrecondition)
+	expectCode(t, "a result without its blobs", err, codes.FailedPrecondition)
 	named := false
 	for _, detail := range status.Convert(err).Details() {
 		if p, ok := detail.(*errdetails.PreconditionFailure); ok && len(p.Violations) == 1 && p.Violations[0].Type == "MISSING" && p.Violations[0].Subject == "blobs/"+blob.Of(out).String() {
@@ -381,7 +385,7 @@
 		}
 	}
 	if !named {
-		t.Errorf("what is missing is not named: %v", err)
+		t.Errorf("the error does not name the missing blob: %v", err)
 	}
 	if _, err := x.send(x.ctx, "main/uploads/1/blobs/"+blob.Of(out).String(), 0, [][]byte{out}, true); err != nil {
 		t.Fatal(err)
@@ -389,13 +393,13 @@
 	if _, err := x.ac.UpdateActionResult(x.ctx, update); err != nil {
 		t.Fatal(err)
 	}
-	blue := as("toll/blue")
+	blue := authorized("toll/blue")
 	_, err = x.ac.GetActionResult(blue, &re.GetActionResultRequest{InstanceName: "toll/blue", ActionDigest: action})
-	wants(t, "another's result", err, codes.NotFound)
+	expectCode(t, "another instance's result", err, codes.NotFound)
 	_, err = x.ac.UpdateActionResult(blue, &re.UpdateActionResultRequest{InstanceName: "toll/blue", ActionDigest: action, ActionResult: &re.ActionResult{}})
-	wants(t, "an instance without writes", err, codes.PermissionDenied)
+	expectCode(t, "an instance without cache writes", err, codes.PermissionDenied)
 	x.stop()
-	// Nobody used it for long: what the result names stays all the same.
+	// A collection long after the last use keeps the blobs that the result names.
 	later := func() time.Time { return time.Now().Add(24 * time.Hour) }
 	s, err := blob.Open(blob.Options{Dir: dir, Now: later})
 	if err != nil {
@@ -428,10 +432,10 @@
 	s.Close()
 	x = serve(t, dir, nil)
 	_, err = x.ac.GetActionResult(x.ctx, &re.GetActionResultRequest{InstanceName: "main", ActionDigest: action})
-	wants(t, "a result whose blob is gone", err, codes.NotFound)
+	expectCode(t, "a result whose blob is gone", err, codes.NotFound)
 }
 
-// TestConfig: each impossible field is named.
+// TestConfig checks that the error for an invalid setting names the field.
 func TestConfig(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "build.toml")
 	const in = "[[instance]]\nname = \"a\"\nteam = \"red\"\n"
@@ -449,8 +453,8 @@
 	}
 }
 
-// FuzzResource: whatever is taken for a resource's name has a digest that is its own, and
-// an instance that does not hold what follows it.
+// FuzzResource checks that a name that parses contains the parsed digest, and that its instance does not contain the
+// parts that follow it.
 func FuzzResource(f *testing.F) {
 	d := blob.Of([]byte("x")).String()
 	for _, name := range []string{"blobs/" + d, "a/b/blobs/" + d, "a/uploads/u/blobs/" + d + "/name", "compressed-blobs/zstd/" + d, "uploads//blobs/" + d} {
