--- a/internal/arch/arch.go
+++ b/internal/arch/arch.go
@@ -1,20 +1,19 @@
-// Package arch states the layers of the program. Its test fails when a package imports
-// one that stands above it.
+// Package arch defines the layers of the program and size limits for its code. Its tests fail when a package imports one
+// from a higher layer or exceeds a limit.
 package arch
 
 // Module is the path of this module, which is also the import path of the library.
 const Module = "topazhollow"
 
-// Layer is a group of packages at one height.
+// Layer is a group of packages at the same level.
 type Layer struct {
 	Name string
-	// Packages are import paths below the module, "" for the module's root, lowest first.
+	// Packages are import paths relative to the module, "" for its root, lowest first.
 	Packages []string
 }
 
-// Layers lists all packages, lowest first. A package may import packages of lower layers
-// and those that stand before it in its own layer, and no others. A new package is entered
-// here.
+// Layers lists all packages of the module, lowest first. A package may import only packages listed before it. A new
+// package must be added here.
 var Layers = []Layer{
 	{"protocol and data", []string{
 		"internal/protocol",
@@ -71,11 +70,11 @@
 	}},
 }
 
-// Controller is the program that runs on the platform. It links the library and what is
-// below it: nothing of the tools, and none of the modules in HeavyModules.
+// Controller is the program that runs in production. It may link the library and the layers below it, but no tools and
+// none of the modules in HeavyModules.
 const Controller = "cmd/topazhollow"
 
-// HeavyModules are modules that only tools may use.
+// HeavyModules are large modules that only tools may use.
 var HeavyModules = []string{
 	"go.etcd.io/bbolt",
 	"gonum.org/v1/plot",
--- a/internal/arch/arch_test.go
+++ b/internal/arch/arch_test.go
@@ -8,7 +8,7 @@
 	"testing"
 )
 
-// goList runs go list over packages of this module and returns its lines.
+// goList runs go list in the module's root and returns its output lines.
 func goList(t *testing.T, args ...string) []string {
 	t.Helper()
 	cmd := exec.Command("go", append([]string{"list"}, args...)...)
@@ -20,7 +20,7 @@
 	return strings.Split(strings.TrimSpace(string(out)), "\n")
 }
 
-// imports returns what each package of this module imports outside its tests.
+// imports returns the imports of each package of this module, without those of its tests.
 func imports(t *testing.T) map[string][]string {
 	t.Helper()
 	found := map[string][]string{}
@@ -31,65 +31,66 @@
 	return found
 }
 
-// path is a listed package's import path.
+// path returns the full import path of a package in Layers.
 func path(listed string) string { return strings.TrimSuffix(Module+"/"+listed, "/") }
 
-// inModule says whether an import path belongs to this module.
+// inModule reports whether an import path belongs to this module.
 func inModule(importPath string) bool {
 	return importPath == Module || strings.HasPrefix(importPath, Module+"/")
 }
 
-// heights numbers the listed packages from the lowest up.
-func heights() (map[string]int, error) {
-	height := map[string]int{}
+// levels numbers the packages in Layers, from the lowest up.
+func levels() (map[string]int, error) {
+	level := map[string]int{}
 	for _, layer := range Layers {
 		for _, listed := range layer.Packages {
-			if _, twice := height[path(listed)]; twice {
+			if _, duplicate := level[path(listed)]; duplicate {
 				return nil, fmt.Errorf("%s is listed twice", path(listed))
 			}
-			height[path(listed)] = len(height)
+			level[path(listed)] = len(level)
 		}
 	}
-	return height, nil
+	return level, nil
 }
 
-// violations lists what is wrong with the imports by the list of layers.
-func violations(height map[string]int, imports map[string][]string) (wrong []string) {
+// violations lists the imports that the levels don't allow and the packages without a level.
+func violations(level map[string]int, imports map[string][]string) (found []string) {
 	for importer, list := range imports {
-		at, known := height[importer]
+		importerLevel, known := level[importer]
 		if !known {
-			wrong = append(wrong, importer+" is in no layer")
+			found = append(found, importer+" is in no layer")
 			continue
 		}
 		for _, imported := range list {
-			if inModule(imported) && height[imported] >= at {
-				wrong = append(wrong, fmt.Sprintf("%s imports %s, which does not stand below it", importer, imported))
+			if inModule(imported) && level[imported] >= importerLevel {
+				found = append(found, fmt.Sprintf("%s imports %s, which is not on a lower level", importer, imported))
 			}
 		}
 	}
-	slices.Sort(wrong)
-	return wrong
+	slices.Sort(found)
+	return found
 }
 
-func TestImportsRunDown(t *testing.T) {
-	height, err := heights()
+// TestImportsFollowLayers checks that every package is listed in Layers and imports only packages listed before it.
+func TestImportsFollowLayers(t *testing.T) {
+	level, err := levels()
 	if err != nil {
 		t.Fatal(err)
 	}
 	found := imports(t)
-	for _, wrong := range violations(height, found) {
-		t.Error(wrong)
+	for _, violation := range violations(level, found) {
+		t.Error(violation)
 	}
-	for listed := range height {
-		if _, there := found[listed]; !there {
-			t.Errorf("%s is listed and does not exist", listed)
+	for listed := range level {
+		if _, exists := found[listed]; !exists {
+			t.Errorf("%s is listed but does not exist", listed)
 		}
 	}
 }
 
-// TestViolationsAreFound shows that the check above sees imports that run up or across.
+// TestViolationsAreFound checks that violations reports imports of higher or the same level and unlisted packages.
 func TestViolationsAreFound(t *testing.T) {
-	height := map[string]int{Module + "/internal/protocol": 0, Module + "/internal/autoscaler": 1, Module: 2}
+	level := map[string]int{Module + "/internal/protocol": 0, Module + "/internal/autoscaler": 1, Module: 2}
 	found := map[string][]string{
 		Module:                          {"fmt", Module + "/internal/autoscaler"},
 		Module + "/internal/autoscaler": {Module + "/internal/protocol", Module},
@@ -97,30 +98,30 @@
 		Module + "/internal/new":        nil,
 	}
 	want := []string{
-		"topazhollow/internal/autoscaler imports topazhollow, which does not stand below it",
+		"topazhollow/internal/autoscaler imports topazhollow, which is not on a lower level",
 		"topazhollow/internal/new is in no layer",
-		"topazhollow/internal/protocol imports topazhollow/internal/protocol, which does not stand below it",
+		"topazhollow/internal/protocol imports topazhollow/internal/protocol, which is not on a lower level",
 	}
-	if got := violations(height, found); !slices.Equal(got, want) {
+	if got := violations(level, found); !slices.Equal(got, want) {
 		t.Errorf("got %q, want %q", got, want)
 	}
 }
 
-// TestControllerLinks shows that the controller links no tool and no heavy module.
+// TestControllerLinks checks that the controller links no tool and no heavy module.
 func TestControllerLinks(t *testing.T) {
 	forbidden := slices.Clone(HeavyModules)
-	above := false
+	aboveLibrary := false
 	for _, layer := range Layers {
 		for _, listed := range layer.Packages {
-			if above && listed != Controller {
+			if aboveLibrary && listed != Controller {
 				forbidden = append(forbidden, path(listed))
 			}
 		}
-		above = above || slices.Contains(layer.Packages, "")
+		aboveLibrary = aboveLibrary || slices.Contains(layer.Packages, "")
 	}
 	linked := goList(t, "-deps", path(Controller))
 	if !slices.Contains(linked, Module) {
-		t.Fatal("the list of what the controller links lacks the library")
+		t.Fatal("the list of the controller's dependencies lacks the library")
 	}
 	for _, dependency := range linked {
 		for _, module := range forbidden {
--- a/internal/arch/shape.go
+++ b/internal/arch/shape.go
@@ -1,15 +1,16 @@
 package arch
 
-// Bounds of the code of a package listed in Shaped. Test files are not counted.
+// Size limits for the code of packages in SizeLimited. Test files are not checked.
 const (
 	MaxFileLines     = 500
-	MaxFunctionLines = 45 // most stay under 40
+	MaxFunctionLines = 45
 	MaxTypeMethods   = 40
 	MaxTypeFields    = 25
 )
 
-// Shaped lists the packages that keep to the bounds above. A package is entered once it does, and stays.
-var Shaped = []string{
+// SizeLimited lists the packages that must keep within the limits above. A package is added once it does, and is not
+// removed again.
+var SizeLimited = []string{
 	"",
 	"internal/admission",
 	"internal/agents",
--- a/internal/arch/shape_test.go
+++ b/internal/arch/shape_test.go
@@ -11,7 +11,7 @@
 	"testing"
 )
 
-// parsePackage parses the files of a listed package, tests left out.
+// parsePackage parses the files of a listed package without its tests.
 func parsePackage(t *testing.T, listed string) (*token.FileSet, []*ast.File) {
 	t.Helper()
 	names, err := filepath.Glob(filepath.Join("..", "..", listed, "*.go"))
@@ -33,16 +33,17 @@
 	return files, parsed
 }
 
-func TestShapedPackagesKeepTheirBounds(t *testing.T) {
-	for _, listed := range Shaped {
-		for _, problem := range shapeProblems(parsePackage(t, listed)) {
+// TestPackagesKeepSizeLimits checks that the packages in SizeLimited keep within the limits.
+func TestPackagesKeepSizeLimits(t *testing.T) {
+	for _, listed := range SizeLimited {
+		for _, problem := range sizeViolations(parsePackage(t, listed)) {
 			t.Errorf("%s: %s", path(listed), problem)
 		}
 	}
 }
 
-// TestShapeProblemsAreFound shows that the check above sees each kind of excess.
-func TestShapeProblemsAreFound(t *testing.T) {
+// TestSizeViolationsAreFound checks that sizeViolations reports each kind of excess.
+func TestSizeViolationsAreFound(t *testing.T) {
 	var source strings.Builder
 	source.WriteString("package large\ntype Large struct {\n")
 	for i := range MaxTypeFields + 1 {
@@ -58,7 +59,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	got := shapeProblems(files, []*ast.File{file})
+	got := sizeViolations(files, []*ast.File{file})
 	want := []string{
 		"large.go has 572 lines",
 		"large.go: type Large has 26 fields",
@@ -70,8 +71,8 @@
 	}
 }
 
-// shapeProblems lists what exceeds the bounds in the files of one package.
-func shapeProblems(files *token.FileSet, parsed []*ast.File) (problems []string) {
+// sizeViolations lists what exceeds the size limits in the files of one package.
+func sizeViolations(files *token.FileSet, parsed []*ast.File) (problems []string) {
 	methods := map[string]int{}
 	for _, file := range parsed {
 		name := files.Position(file.Package).Filename
@@ -99,7 +100,7 @@
 	return problems
 }
 
-// largeStructs lists the struct types of a declaration that have too many fields.
+// largeStructs lists the struct types of a declaration that have more than MaxTypeFields fields.
 func largeStructs(file string, declared *ast.GenDecl) (problems []string) {
 	for _, spec := range declared.Specs {
 		named, isType := spec.(*ast.TypeSpec)
@@ -114,7 +115,7 @@
 	return problems
 }
 
-// receiverType is the name of the type that a method belongs to, "" for a function.
+// receiverType returns the name of the type that a method belongs to, "" for a function.
 func receiverType(declared *ast.FuncDecl) string {
 	if declared.Recv == nil || len(declared.Recv.List) == 0 {
 		return ""
@@ -132,7 +133,7 @@
 	return ""
 }
 
-// linesOf is how many lines a function takes, its first and last included.
+// linesOf returns the number of lines of a function, including the first and the last.
 func linesOf(files *token.FileSet, declared *ast.FuncDecl) int {
 	return files.Position(declared.End()).Line - files.Position(declared.Pos()).Line + 1
 }
--- a/internal/certs/certs.go
+++ b/internal/certs/certs.go
@@ -1,4 +1,4 @@
-// Package certs keeps certificates that files hold up to date.
+// Package certs loads TLS certificates from files and reloads them when the files change.
 package certs
 
 import (
@@ -8,25 +8,25 @@
 	"time"
 )
 
-// Reloaded gives a TLS configuration that takes up new files without a restart:
-// they are looked at again at most once in a second. Files that do not fit together
-// leave the old ones in use.
+// Reloaded returns a TLS configuration that picks up new files without a restart. It checks the certificate file's
+// modification time at most once a second. While the files are invalid or don't match, the last valid certificate stays
+// in use.
 func Reloaded(cert, key string) *tls.Config {
 	var mu sync.Mutex
 	var current *tls.Certificate
-	var looked, stamp time.Time
+	var checkedAt, modifiedAt time.Time
 	return &tls.Config{MinVersion: tls.VersionTLS12, GetCertificate: func(*tls.ClientHelloInfo) (*tls.Certificate, error) {
 		mu.Lock()
 		defer mu.Unlock()
-		if current != nil && time.Since(looked) < time.Second {
+		if current != nil && time.Since(checkedAt) < time.Second {
 			return current, nil
 		}
-		looked = time.Now()
+		checkedAt = time.Now()
 		st, err := os.Stat(cert)
-		if err == nil && (current == nil || !st.ModTime().Equal(stamp)) {
+		if err == nil && (current == nil || !st.ModTime().Equal(modifiedAt)) {
 			var c tls.Certificate
 			if c, err = tls.LoadX509KeyPair(cert, key); err == nil {
-				current, stamp = &c, st.ModTime()
+				current, modifiedAt = &c, st.ModTime()
 			}
 		}
 		if current == nil {
--- a/internal/certs/certs_test.go
+++ b/internal/certs/certs_test.go
@@ -16,8 +16,8 @@
 	"time"
 )
 
-// certificate writes a self-signed one with a serial number.
-func certificate(t *testing.T, cert, key string, serial int64, at time.Time) {
+// writeCertificate writes a self-signed certificate with a serial number, and its key.
+func writeCertificate(t *testing.T, cert, key string, serial int64, at time.Time) {
 	t.Helper()
 	k, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	if err != nil {
@@ -42,13 +42,13 @@
 	}
 }
 
-// TestCertificatesReload: a new certificate is taken up without a restart; files that do
-// not fit together leave the old one in use.
+// TestCertificatesReload checks that a new certificate is used without a restart, and that an invalid file leaves the last
+// valid one in use.
 func TestCertificatesReload(t *testing.T) {
 	dir := t.TempDir()
 	cert, key := filepath.Join(dir, "cert.pem"), filepath.Join(dir, "key.pem")
 	now := time.Now()
-	certificate(t, cert, key, 1, now)
+	writeCertificate(t, cert, key, 1, now)
 	l, err := tls.Listen("tcp", "127.0.0.1:0", Reloaded(cert, key))
 	if err != nil {
 		t.Fatal(err)
@@ -71,7 +71,7 @@
 		defer c.Close()
 		return c.ConnectionState().PeerCertificates[0].SerialNumber.Int64()
 	}
-	until := func(want int64) {
+	waitForSerial := func(want int64) {
 		t.Helper()
 		for end := now.Add(30 * time.Second); serial() != want; time.Sleep(50 * time.Millisecond) {
 			if time.Now().After(end) { // only keeps a hung test from running for ever
@@ -79,19 +79,19 @@
 			}
 		}
 	}
-	until(1)
-	certificate(t, cert, key, 2, now.Add(time.Minute))
-	until(2)
+	waitForSerial(1)
+	writeCertificate(t, cert, key, 2, now.Add(time.Minute))
+	waitForSerial(2)
 	if err := os.WriteFile(cert, []byte("nonsense"), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	if err := os.Chtimes(cert, now.Add(2*time.Minute), now.Add(2*time.Minute)); err != nil {
 		t.Fatal(err)
 	}
-	time.Sleep(1100 * time.Millisecond) // it is looked at again
+	time.Sleep(1100 * time.Millisecond) // longer than the interval between checks
 	if got := serial(); got != 2 {
-		t.Fatalf("with nonsense in its file: certificate %d", got)
+		t.Fatalf("with an invalid file: certificate %d", got)
 	}
-	certificate(t, cert, key, 3, now.Add(3*time.Minute))
-	until(3)
+	writeCertificate(t, cert, key, 3, now.Add(3*time.Minute))
+	waitForSerial(3)
 }
--- a/internal/httpx/client.go
+++ b/internal/httpx/client.go
@@ -8,8 +8,8 @@
 	"time"
 )
 
-// ClientConn is one ordered client connection: requests go out one after another,
-// and the next only after the answer to the last.
+// ClientConn is a client connection that sends one request at a time: the next only after the response to the last. It
+// connects on the first request, and again after an error or close.
 type ClientConn struct {
 	addr    string
 	maxBody int
@@ -17,63 +17,64 @@
 	reader  *bufio.Reader
 }
 
-// NewClientConn is a connection to an address with a bound for response bodies.
+// NewClientConn returns a ClientConn to an address. Response bodies are limited to maxBody bytes.
 func NewClientConn(addr string, maxBody int) *ClientConn {
 	return &ClientConn{addr: addr, maxBody: maxBody}
 }
 
-// Addr is the address that the link goes to.
-func (l *ClientConn) Addr() string { return l.addr }
+// Addr returns the address of the server.
+func (c *ClientConn) Addr() string { return c.addr }
 
-// Open says whether a connection stands.
-func (l *ClientConn) Open() bool { return l.conn != nil }
+// Open reports whether the connection is established.
+func (c *ClientConn) Open() bool { return c.conn != nil }
 
-// Close ends the connection.
-func (l *ClientConn) Close() {
-	if l.conn != nil {
-		_ = l.conn.Close()
-		l.conn, l.reader = nil, nil
+// Close closes the connection. The next request opens a new one.
+func (c *ClientConn) Close() {
+	if c.conn != nil {
+		_ = c.conn.Close()
+		c.conn, c.reader = nil, nil
 	}
 }
 
-// Do sends a request and waits for its answer. sent says whether a byte of the
-// request may have left: after an error the request may still be carried out.
-func (l *ClientConn) Do(ctx context.Context, method, target string, body []byte, timeout time.Duration) (resp *Response, sent bool, err error) {
+// Do sends a request and waits for the response. sent reports whether any byte of the request may have been sent: if so,
+// the server may carry out the request even though Do returns an error.
+func (c *ClientConn) Do(ctx context.Context, method, target string, body []byte, timeout time.Duration) (resp *Response, sent bool, err error) {
 	deadline := time.Now().Add(timeout)
-	if l.conn == nil {
+	if c.conn == nil {
 		d := net.Dialer{Deadline: deadline, KeepAlive: -1}
-		conn, err := d.DialContext(ctx, "tcp4", l.addr)
+		conn, err := d.DialContext(ctx, "tcp4", c.addr)
 		if err != nil {
 			return nil, false, err
 		}
-		l.conn, l.reader = conn, bufio.NewReaderSize(conn, 8<<10)
+		c.conn, c.reader = conn, bufio.NewReaderSize(conn, 8<<10)
 	}
-	stop := context.AfterFunc(ctx, func() { _ = l.abort() })
+	stop := context.AfterFunc(ctx, func() { _ = c.abort() })
 	defer stop()
-	_ = l.conn.SetDeadline(deadline)
-	if _, err = l.conn.Write(AppendRequest(make([]byte, 0, len(body)+160), method, l.addr, target, body)); err != nil {
-		l.Close()
+	_ = c.conn.SetDeadline(deadline)
+	if _, err = c.conn.Write(AppendRequest(make([]byte, 0, len(body)+160), method, c.addr, target, body)); err != nil {
+		c.Close()
 		return nil, true, err
 	}
-	resp, err = ReadResponse(l.reader, l.maxBody)
+	resp, err = ReadResponse(c.reader, c.maxBody)
 	if err != nil {
-		l.Close()
+		c.Close()
 		return nil, true, err
 	}
 	if resp.Close {
-		l.Close()
+		c.Close()
 	}
 	return resp, true, nil
 }
 
-func (l *ClientConn) abort() error {
-	if conn := l.conn; conn != nil {
+// abort makes pending reads and writes fail at once.
+func (c *ClientConn) abort() error {
+	if conn := c.conn; conn != nil {
 		return conn.SetDeadline(time.Unix(1, 0))
 	}
 	return nil
 }
 
-// Pool sends independent requests to one address over a few kept connections.
+// Pool sends independent requests to one address over a bounded number of persistent connections.
 type Pool struct {
 	addr    string
 	maxBody int
@@ -82,12 +83,12 @@
 	slots   chan struct{}
 }
 
-// NewPool is a pool with a bound of connections in use at once.
+// NewPool returns a pool that uses at most maxConns connections at the same time.
 func NewPool(addr string, maxBody, maxConns int) *Pool {
 	return &Pool{addr: addr, maxBody: maxBody, slots: make(chan struct{}, maxConns)}
 }
 
-// Do sends one request on a free connection.
+// Do sends a request on an idle connection, or on a new one if none is idle. It waits while maxConns are in use.
 func (p *Pool) Do(ctx context.Context, method, target string, body []byte, timeout time.Duration) (resp *Response, sent bool, err error) {
 	select {
 	case p.slots <- struct{}{}:
@@ -96,20 +97,20 @@
 	}
 	defer func() { <-p.slots }()
 	p.mu.Lock()
-	var l *ClientConn
+	var c *ClientConn
 	if n := len(p.idle); n > 0 {
-		l, p.idle = p.idle[n-1], p.idle[:n-1]
+		c, p.idle = p.idle[n-1], p.idle[:n-1]
 	} else {
-		l = NewClientConn(p.addr, p.maxBody)
+		c = NewClientConn(p.addr, p.maxBody)
 	}
 	p.mu.Unlock()
-	resp, sent, err = l.Do(ctx, method, target, body, timeout)
+	resp, sent, err = c.Do(ctx, method, target, body, timeout)
 	if err != nil {
 		return nil, sent, err
 	}
-	if l.Open() {
+	if c.Open() {
 		p.mu.Lock()
-		p.idle = append(p.idle, l)
+		p.idle = append(p.idle, c)
 		p.mu.Unlock()
 	}
 	return resp, sent, nil
--- a/internal/httpx/listen.go
+++ b/internal/httpx/listen.go
@@ -13,8 +13,8 @@
 	"github.com/panjf2000/gnet/v2/pkg/logging"
 )
 
-// Conn is a connection accepted by gnet. One goroutine, that of Listen's serve, reads it; gnet's event loop hands over
-// what has arrived. Write and Close may be called from any goroutine.
+// Conn is a connection accepted by gnet. Only the goroutine that runs Listen's serve function reads from it; gnet's event
+// loop appends received data to unread. Write and Close may be called from any goroutine.
 type Conn struct {
 	raw      gnet.Conn
 	remote   string
@@ -29,19 +29,20 @@
 	readDeadline time.Time
 }
 
-// Remote is the peer's address.
+// Remote returns the peer's address.
 func (c *Conn) Remote() string { return c.remote }
 
-// SetReadDeadline bounds the following reads.
+// SetReadDeadline sets the deadline of later reads.
 func (c *Conn) SetReadDeadline(t time.Time) { c.readDeadline = t }
 
-// Pin keeps the connection from being dropped in favour of new ones.
+// Pin exempts the connection from being closed to make room for new ones.
 func (c *Conn) Pin() {
 	c.mu.Lock()
 	c.pinned = true
 	c.mu.Unlock()
 }
 
+// Read reads received data. It blocks until there is some, the connection closes or the read deadline passes.
 func (c *Conn) Read(p []byte) (int, error) {
 	for {
 		c.mu.Lock()
@@ -54,9 +55,9 @@
 			c.mu.Unlock()
 			return n, nil
 		}
-		ended := c.closed
+		closed := c.closed
 		c.mu.Unlock()
-		if ended {
+		if closed {
 			return 0, io.EOF
 		}
 		wait := time.Until(c.readDeadline)
@@ -77,12 +78,13 @@
 	}
 }
 
+// Write queues data to be sent by the event loop.
 func (c *Conn) Write(p []byte) (int, error) {
 	c.mu.Lock()
-	ended := c.closed
+	closed := c.closed
 	c.lastUsedAt = time.Now()
 	c.mu.Unlock()
-	if ended {
+	if closed {
 		return 0, net.ErrClosed
 	}
 	if err := c.raw.AsyncWrite(p, nil); err != nil {
@@ -91,12 +93,12 @@
 	return len(p), nil
 }
 
-// Close ends the connection after what was written has gone out.
+// Close closes the connection after the data queued by Write has been sent.
 func (c *Conn) Close() {
 	c.mu.Lock()
-	ended := c.closed
+	closed := c.closed
 	c.mu.Unlock()
-	if !ended {
+	if !closed {
 		_ = c.raw.AsyncWrite(nil, func(raw gnet.Conn, _ error) error { return raw.Close() })
 	}
 }
@@ -108,7 +110,7 @@
 	}
 }
 
-// listener is what gnet calls back.
+// listener handles gnet's events.
 type listener struct {
 	gnet.BuiltinEventEngine
 	maxConns  int
@@ -122,12 +124,15 @@
 	conns map[*Conn]struct{}
 }
 
+// OnBoot signals that the listener accepts connections.
 func (l *listener) OnBoot(eng gnet.Engine) gnet.Action {
 	l.engine = eng
 	close(l.booted)
 	return gnet.None
 }
 
+// OnOpen starts the goroutine of a new connection. At maxConns connections it closes the longest idle one; since that
+// takes effect later, up to an eighth more are accepted.
 func (l *listener) OnOpen(raw gnet.Conn) ([]byte, gnet.Action) {
 	c := &Conn{raw: raw, readable: make(chan struct{}, 1), lastUsedAt: time.Now()}
 	if a := raw.RemoteAddr(); a != nil {
@@ -156,7 +161,7 @@
 	return nil, gnet.None
 }
 
-// longestIdle is the connection that was silent for longest, of those not pinned.
+// longestIdle returns the connection that has been unused for longest, nil if all are pinned or closed. l.mu must be held.
 func (l *listener) longestIdle() *Conn {
 	var found *Conn
 	var used time.Time
@@ -170,6 +175,7 @@
 	return found
 }
 
+// OnTraffic appends received data to the connection's unread data, and closes a connection that exceeds maxUnread.
 func (l *listener) OnTraffic(raw gnet.Conn) gnet.Action {
 	c := raw.Context().(*Conn)
 	data, err := raw.Next(-1)
@@ -188,6 +194,7 @@
 	return gnet.None
 }
 
+// OnClose wakes the connection's reader, which then returns io.EOF once it has read the rest.
 func (l *listener) OnClose(raw gnet.Conn, _ error) gnet.Action {
 	c, ok := raw.Context().(*Conn)
 	if !ok {
@@ -203,11 +210,11 @@
 	return gnet.None
 }
 
-// Listen accepts connections until the context ends, at most max at once, and
-// gives each to serve in a goroutine of its own. A connection that sends more
-// than unread bytes ahead of its goroutine is closed.
-func Listen(ctx context.Context, addr string, max, unread int, serve func(*Conn)) error {
-	l := &listener{maxConns: max, maxUnread: unread, serve: serve, booted: make(chan struct{}), conns: map[*Conn]struct{}{}}
+// Listen accepts connections until the context ends and runs serve for each in its own goroutine. When maxConns are open,
+// a new connection replaces the longest idle one. A connection with more than maxUnread bytes received but not yet read
+// is closed.
+func Listen(ctx context.Context, addr string, maxConns, maxUnread int, serve func(*Conn)) error {
+	l := &listener{maxConns: maxConns, maxUnread: maxUnread, serve: serve, booted: make(chan struct{}), conns: map[*Conn]struct{}{}}
 	failed := make(chan error, 1)
 	go func() {
 		failed <- gnet.Run(l, "tcp://"+addr,
@@ -242,7 +249,7 @@
 	return nil
 }
 
-// discardLogger keeps gnet's own log out of ours; failures come back as errors.
+// discardLogger drops gnet's log messages; failures are returned as errors.
 type discardLogger struct{}
 
 func (discardLogger) Debugf(string, ...any) {}
--- a/internal/httpx/parse.go
+++ b/internal/httpx/parse.go
@@ -1,6 +1,7 @@
-// Package httpx is the project's own HTTP/1.1, as much as the protocol needs: a parser with bounds (parse.go), a server
-// on gnet with a goroutine for each connection (listen.go, serve.go) and a client over kept connections (client.go).
-// It exists because a controller holds thousands of connections in little memory. It knows no path of the protocol.
+// Package httpx implements the subset of HTTP/1.1 that the controllers' protocol needs: a parser with size limits
+// (parse.go), a server on gnet with one goroutine per connection (listen.go, serve.go) and a client with persistent
+// connections (client.go). It is used in place of net/http because a controller must hold thousands of connections in
+// little memory. It does not depend on the protocol's paths.
 package httpx
 
 import (
@@ -13,17 +14,17 @@
 	"strings"
 )
 
-// Bounds of the parser.
+// Limits of the parser.
 const (
-	MaxLine    = 8 << 10 // of the request line or a header, in bytes
+	MaxLine    = 8 << 10 // bytes of the request line or of one header
 	MaxHeaders = 64
-	MaxHead    = 32 << 10 // of all headers, in bytes
+	MaxHead    = 32 << 10 // bytes of all headers
 )
 
-// ErrTooLarge says that a response was longer than its reader allows.
+// ErrTooLarge is returned for a body larger than the reader's limit.
 var ErrTooLarge = errors.New("httpx: body too large")
 
-// BadRequest is a request that gets a refusal and a closed connection.
+// BadRequest is the error for a malformed or oversized message. A server answers it with Status and closes the connection.
 type BadRequest struct {
 	Status int
 	Reason string
@@ -46,15 +47,15 @@
 	RetryAfterSeconds int // seconds of Retry-After, 0 if absent
 }
 
-// head is what the headers say; length is -1 if they give none, retryAfter is in seconds.
+// head holds the values of the headers that matter here.
 type head struct {
-	length     int64
+	length     int64 // Content-Length, -1 if absent
 	chunked    bool
 	close      bool
-	retryAfter int
+	retryAfter int // seconds, 0 if absent
 }
 
-// readLine reads a line without its end; a longer one than MaxLine is refused.
+// readLine reads a line and strips its line ending. A line longer than MaxLine is an error.
 func readLine(r *bufio.Reader) (string, error) {
 	line, err := r.ReadSlice('\n')
 	if errors.Is(err, bufio.ErrBufferFull) || len(line) > MaxLine {
@@ -70,7 +71,7 @@
 	return string(line), nil
 }
 
-// isToken says whether a text may be a method or the name of a header.
+// isToken reports whether a string is valid as a method or header name.
 func isToken(s string) bool {
 	if s == "" {
 		return false
@@ -84,7 +85,7 @@
 	return true
 }
 
-// readHead reads the headers up to the empty line. Those that mean nothing here are checked and dropped.
+// readHead reads the headers up to the empty line. Headers without meaning here are checked for syntax and ignored.
 func readHead(r *bufio.Reader) (head, error) {
 	h := head{length: -1}
 	total := 0
@@ -110,7 +111,7 @@
 	}
 }
 
-// parseHeader takes a header's line apart.
+// parseHeader splits a header line into name and value.
 func parseHeader(line string) (name, value string, err error) {
 	name, value, ok := strings.Cut(line, ":")
 	if !ok || !isToken(name) {
@@ -123,7 +124,8 @@
 	return name, value, nil
 }
 
-// set takes in a header. A repeated length must be the same, since two readers could part the stream differently.
+// set records a header. A repeated Content-Length must have the same value: otherwise another reader of the stream, such
+// as a proxy, could see different message boundaries.
 func (h *head) set(name, value string) error {
 	switch strings.ToLower(name) {
 	case "content-length":
@@ -151,8 +153,8 @@
 	return nil
 }
 
-// ReadRequest reads one request. io.EOF means that the peer closed between requests; a *BadRequest is to be answered,
-// and the connection closed.
+// ReadRequest reads one request. io.EOF means that the peer closed the connection between requests. A *BadRequest must be
+// answered with its status, and the connection closed.
 func ReadRequest(r *bufio.Reader, maxBody int) (*Request, error) {
 	line, err := readLine(r)
 	if err != nil {
@@ -175,7 +177,7 @@
 		return nil, err
 	}
 	if h.chunked && h.length >= 0 {
-		return nil, &BadRequest{400, "both length and chunks"}
+		return nil, &BadRequest{400, "both content-length and chunked"}
 	}
 	req := &Request{Method: parts[0], Close: h.close || parts[2] == "HTTP/1.0"}
 	req.Path, req.Query, _ = strings.Cut(parts[1], "?")
@@ -186,7 +188,7 @@
 	return req, err
 }
 
-// ReadResponse reads one response. ErrTooLarge means that its body has more than maxBody bytes.
+// ReadResponse reads one response. It returns ErrTooLarge if the body has more than maxBody bytes.
 func ReadResponse(r *bufio.Reader, maxBody int) (*Response, error) {
 	line, err := readLine(r)
 	if err != nil {
@@ -214,9 +216,9 @@
 	return resp, err
 }
 
-// readBody reads a body by its length or chunks; toEnd allows a body that ends
-// with its connection.
-func readBody(r *bufio.Reader, h head, max int, toEnd bool) ([]byte, error) {
+// readBody reads a body of known length or in chunks. With untilClose, a body without either extends to the end of the
+// connection.
+func readBody(r *bufio.Reader, h head, max int, untilClose bool) ([]byte, error) {
 	switch {
 	case h.chunked:
 		return readChunks(r, max)
@@ -224,7 +226,7 @@
 		return nil, ErrTooLarge
 	case h.length > 0:
 		return readN(r, nil, int(h.length))
-	case h.length < 0 && toEnd:
+	case h.length < 0 && untilClose:
 		body, err := io.ReadAll(io.LimitReader(r, int64(max)+1))
 		if err == nil && len(body) > max {
 			err = ErrTooLarge
@@ -234,8 +236,8 @@
 	return nil, nil
 }
 
-// readN appends n bytes, growing with what has really come, so that a length
-// alone takes no memory.
+// readN reads n bytes and appends them to body. It allocates as data arrives, so that a large Content-Length alone takes
+// no memory.
 func readN(r *bufio.Reader, body []byte, n int) ([]byte, error) {
 	for n > 0 {
 		step := min(n, 16<<10)
@@ -252,7 +254,7 @@
 	return body, nil
 }
 
-// readChunks reads a body in chunks, of max bytes at most, and skips the trailers.
+// readChunks reads a chunked body of at most max bytes and skips the trailers.
 func readChunks(r *bufio.Reader, max int) ([]byte, error) {
 	var body []byte
 	for {
@@ -285,28 +287,28 @@
 	}
 }
 
-// reasons are the texts of the statuses that are used.
-var reasons = map[int]string{
+// reasonPhrases are the reason phrases of the status codes in use.
+var reasonPhrases = map[int]string{
 	200: "OK", 201: "Created", 400: "Bad Request", 404: "Not Found", 405: "Method Not Allowed",
 	408: "Request Timeout", 409: "Conflict", 413: "Content Too Large", 421: "Misdirected Request",
 	422: "Unprocessable Content", 429: "Too Many Requests", 431: "Request Header Fields Too Large",
 	500: "Internal Server Error", 503: "Service Unavailable",
 }
 
-// Answer is what a handler gives back: a status, a body in JSON and for a 405 the methods that are allowed.
+// Answer is a handler's response.
 type Answer struct {
 	Status            int
-	Body              []byte
-	Allow             string
-	RetryAfterSeconds int // seconds of Retry-After, 0 for none
+	Body              []byte // JSON
+	Allow             string // allowed methods, for status 405
+	RetryAfterSeconds int    // seconds of Retry-After, 0 for none
 }
 
-// AppendAnswer writes an answer in wire form.
-func AppendAnswer(b []byte, a Answer, closing bool) []byte {
+// AppendAnswer appends an answer in wire format to b. With closeConn it announces that the connection will be closed.
+func AppendAnswer(b []byte, a Answer, closeConn bool) []byte {
 	b = append(b, "HTTP/1.1 "...)
 	b = strconv.AppendInt(b, int64(a.Status), 10)
 	b = append(b, ' ')
-	b = append(b, reasons[a.Status]...)
+	b = append(b, reasonPhrases[a.Status]...)
 	b = append(b, "\r\nContent-Type: application/json\r\nContent-Length: "...)
 	b = strconv.AppendInt(b, int64(len(a.Body)), 10)
 	if a.Allow != "" {
@@ -315,14 +317,14 @@
 	if a.RetryAfterSeconds > 0 {
 		b = strconv.AppendInt(append(b, "\r\nRetry-After: "...), int64(a.RetryAfterSeconds), 10)
 	}
-	if closing {
+	if closeConn {
 		b = append(b, "\r\nConnection: close"...)
 	}
 	b = append(b, "\r\n\r\n"...)
 	return append(b, a.Body...)
 }
 
-// AppendRequest writes a request in wire form.
+// AppendRequest appends a request in wire format to b.
 func AppendRequest(b []byte, method, host, target string, body []byte) []byte {
 	b = append(append(append(b, method...), ' '), target...)
 	b = append(append(b, " HTTP/1.1\r\nHost: "...), host...)
--- a/internal/httpx/parse_test.go
+++ b/internal/httpx/parse_test.go
@@ -12,7 +12,7 @@
 	return ReadRequest(bufio.NewReaderSize(strings.NewReader(text), 4<<10), 64)
 }
 
-// TestRefusals: what a request is refused with.
+// TestRefusals checks the status with which malformed and oversized requests are refused.
 func TestRefusals(t *testing.T) {
 	for text, status := range map[string]int{
 		"GET\r\n\r\n":                                                         400,
@@ -39,7 +39,7 @@
 	}
 }
 
-// TestRoundTrip: what we write, we read.
+// TestRoundTrip checks that the parser reads requests and responses as this package writes them, and chunked requests.
 func TestRoundTrip(t *testing.T) {
 	r, err := parse(string(AppendRequest(nil, "POST", "host", "/a/b?c=d", []byte("{}"))))
 	if err != nil || r.Path != "/a/b" || r.Query != "c=d" || string(r.Body) != "{}" || r.Close {
@@ -56,6 +56,7 @@
 	}
 }
 
+// FuzzReadRequest checks that an accepted request is within the limits and the same after being written and read again.
 func FuzzReadRequest(f *testing.F) {
 	f.Add([]byte("GET / HTTP/1.1\r\nHost: a\r\n\r\n"))
 	f.Add([]byte("POST /x HTTP/1.1\r\nContent-Length: 3\r\n\r\nabc"))
@@ -79,6 +80,7 @@
 	})
 }
 
+// FuzzReadResponse checks that an accepted response is within the limits.
 func FuzzReadResponse(f *testing.F) {
 	f.Add([]byte("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n{}"))
 	f.Add([]byte("HTTP/1.1 204 No Content\r\n\r\n"))
--- a/internal/httpx/serve.go
+++ b/internal/httpx/serve.go
@@ -9,34 +9,35 @@
 	"topazhollow/internal/protocol"
 )
 
-// Timeouts bounds slow and idle clients.
+// Timeouts bounds how long a connection may stay idle and how long a request may take to arrive.
 type Timeouts struct {
 	Idle    time.Duration // between requests
-	Request time.Duration // for the rest of a request once it began
+	Request time.Duration // from the first byte of a request to its last
 }
 
-// Handler answers requests. It may pin the connection.
+// Handler answers a request. It may pin the connection.
 type Handler func(ctx context.Context, c *Conn, r *Request) Answer
 
-// Refuse is an answer with an error text.
+// Refuse returns an answer with an error message.
 func Refuse(status int, reason string) Answer {
 	return Answer{Status: status, Body: protocol.Encode(protocol.Error{Error: reason})}
 }
 
-// Serve answers HTTP requests at an address until the context ends.
-func Serve(ctx context.Context, addr string, max int, p Timeouts, handle Handler) error {
-	return Listen(ctx, addr, max, 2*protocol.MaxBody, func(c *Conn) { serveConn(ctx, c, p, handle) })
+// Serve answers HTTP requests at an address, over at most maxConns connections, until the context ends.
+func Serve(ctx context.Context, addr string, maxConns int, timeouts Timeouts, handle Handler) error {
+	return Listen(ctx, addr, maxConns, 2*protocol.MaxBody, func(c *Conn) { serveConn(ctx, c, timeouts, handle) })
 }
 
-func serveConn(ctx context.Context, c *Conn, p Timeouts, handle Handler) {
+// serveConn answers the requests of one connection, one after another.
+func serveConn(ctx context.Context, c *Conn, timeouts Timeouts, handle Handler) {
 	r := bufio.NewReaderSize(c, 4<<10)
 	var out []byte
 	for ctx.Err() == nil {
-		c.SetReadDeadline(time.Now().Add(p.Idle))
+		c.SetReadDeadline(time.Now().Add(timeouts.Idle))
 		if _, err := r.Peek(1); err != nil {
 			return
 		}
-		c.SetReadDeadline(time.Now().Add(p.Request))
+		c.SetReadDeadline(time.Now().Add(timeouts.Request))
 		req, err := ReadRequest(r, protocol.MaxBody)
 		if err != nil {
 			var bad *BadRequest
--- a/internal/tomlfile/tomlfile.go
+++ b/internal/tomlfile/tomlfile.go
@@ -1,5 +1,4 @@
-// Package tomlfile reads settings from TOML files, so that every mistake is told in the
-// same words.
+// Package tomlfile reads settings from TOML files and checks them, with uniform error messages.
 package tomlfile
 
 import (
@@ -12,8 +11,8 @@
 	"github.com/BurntSushi/toml"
 )
 
-// Load reads a file into v, which keeps its values where the file says nothing. An
-// error names the file and the line, or the field that v does not have.
+// Load reads a file into v. Fields that the file leaves out keep their values. The error for invalid TOML names the file
+// and the line; the error for an unknown field names the file and the field.
 func Load(path string, v any) error {
 	meta, err := toml.DecodeFile(path, v)
 	var bad toml.ParseError
@@ -29,24 +28,24 @@
 	return nil
 }
 
-// String is settings as a file.
+// String returns settings as TOML.
 func String(v any) string {
 	var b strings.Builder
-	// Writing to memory does not fail, and all kinds of settings have a form in TOML.
+	// Writing to memory does not fail, and every type of settings can be encoded.
 	_ = toml.NewEncoder(&b).Encode(v)
 	return b.String()
 }
 
-// Bound says between what a field must lie.
+// Bound is the range that a field's value must be in.
 type Bound struct {
 	Field         string
 	Value, Lo, Hi float64
 }
 
-// In is a Bound.
+// In returns a Bound with the range lo to hi, both included.
 func In(field string, value, lo, hi float64) Bound { return Bound{field, value, lo, hi} }
 
-// CheckBounds names the first field that does not lie where it must.
+// CheckBounds returns an error that names the first field whose value is outside its range.
 func CheckBounds(list ...Bound) error {
 	for _, x := range list {
 		if !(x.Value >= x.Lo && x.Value <= x.Hi) {
@@ -56,20 +55,20 @@
 	return nil
 }
 
-// CheckServer checks what every server's settings have: the fields listen, dir, and cert
-// and key of tls, which are needed beyond this machine.
+// CheckServer checks the settings that all servers have: listen, dir, and tls.cert and tls.key. The TLS files are required
+// if listen is not a loopback address.
 func CheckServer(listen, dir, cert, key string) error {
 	if _, _, err := net.SplitHostPort(listen); err != nil {
 		return fmt.Errorf("field listen: %q is not an address with a port", listen)
 	}
 	if dir == "" {
-		return errors.New("field dir: a directory is expected")
+		return errors.New("field dir: must not be empty")
 	}
 	if (cert == "") != (key == "") {
-		return errors.New("field tls: cert and key are expected together")
+		return errors.New("field tls: cert and key must be set together")
 	}
 	if cert == "" && !strings.HasPrefix(listen, "127.") && !strings.HasPrefix(listen, "[::1]") && !strings.HasPrefix(listen, "localhost:") {
-		return fmt.Errorf("field listen: beyond this machine (%s) tls.cert and tls.key are needed", listen)
+		return fmt.Errorf("field listen: %s is not a loopback address: tls.cert and tls.key are needed", listen)
 	}
 	if cert != "" {
 		if _, err := tls.LoadX509KeyPair(cert, key); err != nil {
--- a/internal/wait/wait.go
+++ b/internal/wait/wait.go
@@ -1,4 +1,4 @@
-// Package wait has a pause that the end of a context cuts short.
+// Package wait provides a sleep that ends early when a context ends.
 package wait
 
 import (
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// For pauses for d, or until the context ends; it is false if the context has ended.
+// For waits for d or until the context ends. It returns false if the context ended first.
 func For(ctx context.Context, d time.Duration) bool {
 	t := time.NewTimer(d)
 	defer t.Stop()
