--- a/test.sh
+++ b/test.sh
@@ -1,18 +1,19 @@
 #!/usr/bin/env bash
-# The whole check: formatting, vet, staticcheck, dead code, the deploy file's build, tests.
+# Runs all checks: formatting, vet, staticcheck, dead code, mutants' guards, the build of deploy/service.toml, tests.
 set -eu
 cd "$(dirname "$0")"
 unformatted=$(gofmt -l .)
-if [ -n "$unformatted" ]; then echo "not gofmt'ed: $unformatted" >&2; exit 1; fi
+if [ -n "$unformatted" ]; then echo "not formatted with gofmt: $unformatted" >&2; exit 1; fi
 go vet ./...
 go tool staticcheck ./...
-# Functions that nothing reaches. Only tests use all of internal/simulation (stand-ins) and internal/goldentest.
+# Unreachable functions. Some of internal/simulation (simulated services) and internal/goldentest are used by tests only.
 unreached=$(go tool deadcode -test ./...; go tool deadcode ./... | grep -vE '^internal/(simulation|goldentest)/' || true)
-if [ -n "$unreached" ]; then echo "not reached: $unreached" >&2; exit 1; fi
+if [ -n "$unreached" ]; then echo "unreachable functions: $unreached" >&2; exit 1; fi
 scripts/mutants --check
 sh -c "$(sed -n 's/^build = "\(.*\)"$/\1/p' deploy/service.toml)"
 target/topazhollow --version
-# The race detector makes the explored model of internal/leasegrant many times slower; its unit tests run under it.
+# The model checker's test in internal/leasegrant is many times slower under the race detector, so only the unit tests of
+# that package run under it.
 model=topazhollow/internal/leasegrant
 go test -race -count=1 -timeout 40m $(go list ./... | grep -v "^$model\$")
 go test -race -count=1 -run TestDecide "$model"
