--- a/internal/cli/artifactstore.go
+++ b/internal/cli/artifactstore.go
@@ -213,7 +213,7 @@
 	client.Timeout = 10 * time.Second
 	table := tabwriter.NewWriter(r.out, 0, 0, 2, ' ', 0)
 	if !r.json {
-		fmt.Fprintln(table, "KEEPER\tZONE\tSTATE\tEPOCH\tSTARTS\tGB\tOPEN\tSHORT\tREPAIR LEFT\tOLDEST\tHAND OVER\tAWAY\tREFUSED")
+		fmt.Fprintln(table, "REPLICA\tZONE\tSTATE\tEPOCH\tINCARNATION\tGB\tOPEN\tUNDER-REPLICATED\tREPAIRS\tOLDEST REPAIR\tMISPLACED\tUNREACHABLE\tREFUSED")
 	}
 	var unreachable []string
 	for _, m := range set.Members.List {
--- a/internal/cli/cli.go
+++ b/internal/cli/cli.go
@@ -72,6 +72,7 @@
 	json     bool
 }
 
+// print prints a result: v as a line of JSON, or the formatted text, by the flag --output.
 func (r *commandContext) print(v any, format string, args ...any) {
 	if r.json {
 		_ = json.NewEncoder(r.out).Encode(v) // a failed write to the output can't be reported
--- a/internal/cli/config_test.go
+++ b/internal/cli/config_test.go
@@ -41,8 +41,8 @@
 		code := Main(t.Context(), append([]string{"config"}, args...), &out, &errs)
 		return code, out.String() + errs.String()
 	}
-	if code, said := runCommand("set-team", "red", "--settings", file, "--cpus-max", "2"); code != ExitFailed || !strings.Contains(said, "no control record") || store.CountKeys("w/t/") > 0 {
-		t.Errorf("without a control record: %d %s", code, said)
+	if code, output := runCommand("set-team", "red", "--settings", file, "--cpus-max", "2"); code != ExitFailed || !strings.Contains(output, "no control record") || store.CountKeys("w/t/") > 0 {
+		t.Errorf("without a control record: %d %s", code, output)
 	}
 	store.Put("w/c", `{"term":1,"generation":1,"store":"drawn"}`)
 	store.Put("w/g/drawn", `{}`)
@@ -68,8 +68,8 @@
 		{[]string{"list"}, 0, "cpus 4 of 6"},
 		{[]string{"list"}, 0, "cpus 1 of 3.5  gpus 0 of 0  removed"},
 	} {
-		if code, said := runCommand(append(c.args, "--settings", file)...); code != c.code || !strings.Contains(said, c.want) {
-			t.Errorf("%v: %d %s", c.args, code, said)
+		if code, output := runCommand(append(c.args, "--settings", file)...); code != c.code || !strings.Contains(output, c.want) {
+			t.Errorf("%v: %d %s", c.args, code, output)
 		}
 	}
 	if store.CountKeys("w/t/") != 2 {
@@ -83,13 +83,13 @@
 	}))
 	defer controller.Close()
 	addr := strings.TrimPrefix(controller.URL, "http://")
-	if code, said := runCommand("set-team", "red", "--settings", file, "--cpus-max", "5", "--wait", addr); code != 0 || asked != 3 || !strings.Contains(said, "in force everywhere, reported by node-a") {
-		t.Errorf("asked %d times: %d %s", asked, code, said)
+	if code, output := runCommand("set-team", "red", "--settings", file, "--cpus-max", "5", "--wait", addr); code != 0 || asked != 3 || !strings.Contains(output, "in force everywhere, reported by node-a") {
+		t.Errorf("asked %d times: %d %s", asked, code, output)
 	}
-	if code, said := runCommand("status", addr); code != 0 || !strings.Contains(said, "node-b is behind") || !strings.Contains(said, "change 3 of team red is not in force") {
-		t.Errorf("%d %s", code, said)
+	if code, output := runCommand("status", addr); code != 0 || !strings.Contains(output, "node-b is behind") || !strings.Contains(output, "change 3 of team red is not in force") {
+		t.Errorf("%d %s", code, output)
 	}
-	if code, said := runCommand("set-team", "red", "--settings", file, "--cpus-max", "7", "--wait", addr, "--most", "700ms"); code != ExitFailed || !strings.Contains(said, "not known to be in force") {
-		t.Errorf("%d %s", code, said)
+	if code, output := runCommand("set-team", "red", "--settings", file, "--cpus-max", "7", "--wait", addr, "--most", "700ms"); code != ExitFailed || !strings.Contains(output, "not known to be in force") {
+		t.Errorf("%d %s", code, output)
 	}
 }
--- a/internal/cli/demo.go
+++ b/internal/cli/demo.go
@@ -90,7 +90,7 @@
 			return err
 		}
 	}
-	if violations := region.check.BrokenRules(); len(violations) > 0 {
+	if violations := region.checker.BrokenRules(); len(violations) > 0 {
 		return fmt.Errorf("rules violated: %v", violations)
 	}
 	if c.KeepRunning {
@@ -128,7 +128,7 @@
 
 // submit submits the job and waits until a controller has accepted it.
 func (d *demo) submit(ctx context.Context) error {
-	d.region.check.RecordSubmission(d.spec)
+	d.region.checker.RecordSubmission(d.spec)
 	if err := d.region.waitUntil(ctx, "the job to be accepted", func() bool {
 		status, _ := d.region.request(ctx, "POST", protocol.PathSubmit, d.spec)
 		return status == 200 || status == 201
--- a/internal/cli/region.go
+++ b/internal/cli/region.go
@@ -34,7 +34,7 @@
 	log       *slog.Logger
 	storeURL  string // of the artifact store
 	listen    []string
-	check     *simulation.Checker
+	checker   *simulation.Checker
 	kvStore   *simulation.KVStore
 	cloud     *simulation.Cloud
 	processes []*exec.Cmd
@@ -78,7 +78,7 @@
 		key:       make([]byte, 32),
 		log:       slog.New(slog.DiscardHandler),
 		storeDone: make(chan error, 1),
-		check:     simulation.NewChecker(map[string]float64{demoTeam: demoTeamMaxCPUs}),
+		checker:   simulation.NewChecker(map[string]float64{demoTeam: demoTeamMaxCPUs}),
 	}
 	_, _ = rand.Read(g.key) // never fails
 	if g.dir, err = os.MkdirTemp("", "topaz-demo-"); err != nil {
@@ -149,7 +149,7 @@
 		Zones: demoZones,
 	}}
 	boot := func(name, typ, zone string, spot bool) (*simulation.Agent, error) {
-		return simulation.NewAgent(name, typ, zone, spot, listen, demoControllers, periods, g.check)
+		return simulation.NewAgent(name, typ, zone, spot, listen, demoControllers, periods, g.checker)
 	}
 	g.cloud, err = simulation.NewCloud(types, demoMaxMachines, boot)
 	return err
--- a/internal/cli/simulate.go
+++ b/internal/cli/simulate.go
@@ -88,16 +88,16 @@
 }
 
 type simulateSizeCmd struct {
-	Machines int           `default:"300" help:"Simulated agents."`
-	Jobs     int           `default:"500" help:"Active jobs."`
-	Ends     int           `default:"25000" help:"Jobs that ended before the loss."`
-	Gone     int           `default:"0" help:"Controllers that crash with the loss and restart 3 s later; at most 3."`
-	Copy     bool          `help:"Follow the store with topazhollowctl snapshot, and restore the copy if all three controllers crash."`
-	Timeout  time.Duration `name:"most" default:"15m" help:"Give up after this time."`
+	Machines  int           `default:"300" help:"Simulated agents."`
+	Jobs      int           `default:"500" help:"Active jobs."`
+	EndedJobs int           `name:"ends" default:"25000" help:"Jobs that ended before the loss."`
+	Crashes   int           `name:"gone" default:"0" help:"Controllers that crash with the loss and restart 3 s later; at most 3."`
+	Copy      bool          `help:"Follow the store with topazhollowctl snapshot, and restore the copy if all three controllers crash."`
+	Timeout   time.Duration `name:"most" default:"15m" help:"Give up after this time."`
 }
 
 func (c *simulateSizeCmd) Run(r *commandContext) error {
-	if c.Machines < 1 || c.Jobs < 1 || c.Ends < 0 || c.Gone < 0 || c.Gone > 3 {
+	if c.Machines < 1 || c.Jobs < 1 || c.EndedJobs < 0 || c.Crashes < 0 || c.Crashes > 3 {
 		return fmt.Errorf("%w: at least one machine and one job, and at most three crashed controllers, are expected", errUsage)
 	}
 	ctx, cancel, program, dir, err := r.simulation("loss", c.Timeout)
@@ -105,7 +105,7 @@
 		return err
 	}
 	defer cancel()
-	m, err := faultinjection.MeasureLoss(ctx, faultinjection.MeasureOptions{Program: program, Dir: dir, Machines: c.Machines, Jobs: c.Jobs, Ends: c.Ends, Gone: c.Gone, Copy: c.Copy, Out: r.err})
+	m, err := faultinjection.MeasureLoss(ctx, faultinjection.MeasureOptions{Program: program, Dir: dir, Machines: c.Machines, Jobs: c.Jobs, Ends: c.EndedJobs, Gone: c.Crashes, Copy: c.Copy, Out: r.err})
 	if err != nil {
 		return fmt.Errorf("%w; measured so far: %+v; the logs are in %s", err, m, dir)
 	}
--- a/internal/reapi/bytestream.go
+++ b/internal/reapi/bytestream.go
@@ -29,6 +29,7 @@
 // maxResourceNameBytes bounds the length of a resource name.
 const maxResourceNameBytes = 1024
 
+// parseResource parses the resource name of a write (upload) or a read.
 func parseResource(name string, upload bool) (*resource, error) {
 	invalid := func(reason string) (*resource, error) {
 		return nil, status.Errorf(codes.InvalidArgument, "resource name %.200q: %s", name, reason)
