--- a/internal/artifactreplication/checksums.go
+++ b/internal/artifactreplication/checksums.go
@@ -16,7 +16,8 @@
 // bucketCount is the number of buckets, which must be the same on all replicas.
 const bucketCount = 1024
 
-// maxBucketsPerCall is how many buckets one call lists. Each call iterates over all names.
+// maxBucketsPerCall is how many buckets one call lists. Large calls are cheaper in total, since each call iterates over
+// all names.
 const maxBucketsPerCall = 256
 
 // misplacedBucket is the bucket of the names that a replica has although it is not a replica of their task (any
@@ -29,8 +30,9 @@
 	return int(binary.LittleEndian.Uint32(h[:])) % bucketCount
 }
 
-// eachName calls f for the names of everything that this replica has of tasks that another replica should have too.
-// misplaced reports that this replica is not one of the task's.
+// eachName calls f for the names of the ended attempts, results and open attempts that this replica has of those tasks
+// of which the other one is a replica. The name of an open attempt holds a hash of its extents and files. misplaced
+// reports that this replica is not one of the task's replicas.
 func (n *Node) eachName(other string, f func(name string, at artifactstore.Attempt, misplaced bool)) error {
 	var last artifactstore.Attempt
 	var theirs, ours bool
@@ -71,8 +73,8 @@
 	return nil
 }
 
-// checksums returns for each bucket the sum of the hashes of its names, over the tasks that another replica should
-// have too. A sum does not depend on the order of the names.
+// checksums returns for each bucket the sum of the hashes of its names, over the tasks that this replica and the other
+// one should both have. A sum does not depend on the order of the names.
 func (n *Node) checksums(other string) ([]string, error) {
 	var sums [bucketCount][2]uint64
 	err := n.eachName(other, func(name string, at artifactstore.Attempt, misplaced bool) {
--- a/internal/artifactreplication/decide.go
+++ b/internal/artifactreplication/decide.go
@@ -98,7 +98,7 @@
 			return value, err
 		}
 	}
-	return nil, fmt.Errorf("%w: outbid by other nodes in every ballot", errBusy)
+	return nil, fmt.Errorf("%w: other nodes had a higher ballot in all %d tries", errBusy, maxBallots)
 }
 
 const (
@@ -106,7 +106,7 @@
 	ballotBackoff = 10 * time.Millisecond // upper bound of the random pause, doubled with each ballot
 )
 
-// decision is one node's attempt to decide a register.
+// decision holds what one node needs to decide a register.
 type decision struct {
 	node   *Node
 	at     artifactstore.Attempt
@@ -185,7 +185,7 @@
 }
 
 // announce sends a decision to the replicas. Failures are ignored: the value is decided already, and a replica that
-// misses it learns it later.
+// misses it gets it by repair or in the next ballot.
 func (d *decision) announce(ctx context.Context, value []byte) {
 	n := d.node
 	n.callReplicas(ctx, d.names, d.need, func(ctx context.Context, _ string, r replica) (*peerResponse, error) {
@@ -355,7 +355,7 @@
 	return nil
 }
 
-// sealStream reads a stream from the replica that has all of it and stores its content as a blob.
+// sealStream reads a stream from the replica that reported its longest extent and stores its content as a blob.
 func (n *Node) sealStream(
 	ctx context.Context, c artifactstore.Claim, stream string, extent artifactstore.Extent, holder string,
 ) (artifactstore.StreamInfo, error) {
--- a/internal/artifactreplication/group_test.go
+++ b/internal/artifactreplication/group_test.go
@@ -206,8 +206,8 @@
 
 // TestOneReplicaUnavailable makes each of three replicas unavailable in turn: disconnected, stopped, and with its
 // disk lost. What was acknowledged stays readable at the others and new attempts succeed. A replica that returns
-// catches up; one with an empty disk is refilled and is not counted before. It also checks a replica without a
-// quorum, and a member that is removed for good.
+// catches up; one with an empty disk is refilled and is not counted until then. The test also covers a replica
+// without a quorum, and a member that is removed for good.
 func TestOneReplicaUnavailable(t *testing.T) {
 	g := newTestCluster(t, "a", "b", "c")
 	task := 0
--- a/internal/artifactreplication/handover.go
+++ b/internal/artifactreplication/handover.go
@@ -10,8 +10,8 @@
 	"topazhollow/internal/protocol"
 )
 
-// handOver drops the tasks that this replica no longer belongs to, once all replicas of the task have everything that
-// it has.
+// handOver drops the tasks of which this one is no longer a replica, each once all of its replicas have everything that
+// this one has of it.
 func (n *Node) handOver(ctx context.Context) error {
 	tasks := map[artifactstore.Attempt]bool{}
 	for _, m := range n.opt.Members.List {
@@ -46,7 +46,7 @@
 			complete = complete && hasAllOf(r.Task, ours)
 		}
 		if !complete {
-			continue // the replicas copy it by their own repair
+			continue // the task's replicas copy what they lack by their own repair
 		}
 		for _, v := range ours.Attempts {
 			if v.Ended == "" {
@@ -66,7 +66,7 @@
 	return nil
 }
 
-// hasAllOf reports whether a replica has everything that another one has of a task.
+// hasAllOf reports whether theirs, the view of another replica, holds everything of a task that ours holds.
 func hasAllOf(theirs, ours *artifactstore.TaskView) bool {
 	if ours.Result != nil && (theirs.Result == nil || *theirs.Result != *ours.Result) {
 		return false
--- a/internal/artifactreplication/members.go
+++ b/internal/artifactreplication/members.go
@@ -41,8 +41,8 @@
 	State State  `toml:"state"`
 }
 
-// Members is the configured list of replicas. Every change of the list must raise the epoch by one. JSON uses the
-// names of the fields.
+// Members is the configured list of replicas. Every change of the list must raise the epoch by one. The digest and
+// identity.json encode it as JSON under the names of its Go fields, so these names must stay.
 type Members struct {
 	Epoch  uint64   `toml:"epoch"`
 	Copies int      `toml:"copies"` // replicas of each task
@@ -132,12 +132,14 @@
 	return fmt.Sprintf("%d.%016x", m.Epoch, xxhash.Sum64(protocol.Encode(m)))
 }
 
-// identity is the state of a replica that survives restarts. A replica with an empty directory creates a new
-// identity, by which it knows that it has lost its data or never had any.
+// identity is the state of a replica that survives restarts. Lists begins with the list for which the replica last had
+// all data; the later ones are those in force since then. It is empty if the replica never had all data, lost its disk
+// or skipped a list. A replica with an empty directory creates a new identity without lists, and so is not counted until
+// it has all data that it should have.
 type identity struct {
 	Disk        string    `json:"disk"`
 	Incarnation uint64    `json:"incarnation"` // number of starts on this directory
-	Lists       []Members `json:"lists"`       // lists in force since the last one whose tasks are all here; empty if there is none
+	Lists       []Members `json:"lists"`
 	path        string
 }
 
--- a/internal/artifactreplication/node.go
+++ b/internal/artifactreplication/node.go
@@ -52,7 +52,7 @@
 	repairLimiter *rate.Limiter // limits repair traffic; nil: unlimited
 }
 
-// New creates the node of a replica and registers the start in the replica's identity file.
+// New creates the node of a replica and counts the start in the replica's identity file.
 func New(opt Options) (*Node, error) {
 	if opt.PeerTimeout <= 0 {
 		opt.PeerTimeout = 5 * time.Second
--- a/internal/artifactreplication/quorum.go
+++ b/internal/artifactreplication/quorum.go
@@ -10,7 +10,7 @@
 )
 
 // maxCallsPerPeer is the maximum number of calls in progress from one replica to another. Further calls fail with
-// errBusy; if too few replicas are left for a quorum, the client is told to retry.
+// errBusy; if too few replicas are left for a quorum, the client gets a response with Retry-After.
 const maxCallsPerPeer = 4096
 
 // reply is one replica's response to a call, or its error.
@@ -20,9 +20,9 @@
 	err error
 }
 
-// callReplicas calls several replicas concurrently and returns as soon as enough of them have succeeded, as given by
-// need, or all have answered. Calls that are still in progress then continue in the background. A replica with too
-// many of them is skipped and catches up by repair.
+// callReplicas calls several replicas concurrently and returns as soon as need of them have succeeded, all have
+// answered, or the context has ended. Calls that are still in progress then continue in the background. A replica with
+// too many of them is skipped and catches up by repair.
 func (n *Node) callReplicas(ctx context.Context, names []string, need int, do func(ctx context.Context, name string, r replica) (*peerResponse, error)) (got []reply, failed []reply) {
 	replies := make(chan reply, len(names))
 	background := context.WithoutCancel(ctx)
@@ -85,8 +85,8 @@
 	return fmt.Errorf("%w: %w", ErrNoQuorum, errors.Join(errs...))
 }
 
-// writeToQuorum performs a write on as many of a task's replicas as must acknowledge it. If the attempt is frozen, it
-// first completes or undoes the end that another node has begun.
+// writeToQuorum sends a write to all replicas of a task and returns once as many as needed have acknowledged it. If the
+// attempt is frozen, it first completes or undoes the end that another node has begun.
 func (n *Node) writeToQuorum(ctx context.Context, at artifactstore.Attempt, do func(ctx context.Context, name string, r replica) (*peerResponse, error)) ([]reply, error) {
 	names := n.opt.Members.ReplicasOf(at.Job, at.Task)
 	need := n.opt.Members.acknowledgementsNeeded(len(names))
--- a/internal/artifactreplication/repair.go
+++ b/internal/artifactreplication/repair.go
@@ -19,8 +19,8 @@
 )
 
 // Two replicas compare names to find what one of them lacks: names of ended attempts, of results, and of open
-// attempts with their extents. Names are grouped into buckets by task. Buckets with equal sums of hashes are equal;
-// only the names of the other buckets are transferred.
+// attempts with their extents. Names are grouped into buckets by task. Buckets with equal sums of hashes are taken as
+// equal; only the names of the other buckets are transferred.
 
 // maxConcurrentRepairs is the number of tasks restored at a time. A repair mostly waits for disks.
 const maxConcurrentRepairs = 8
@@ -34,10 +34,10 @@
 }
 
 // orderRepairs groups the missing names by task and orders the tasks: those with the fewest copies first, then those
-// noticed first. have lists by name the replicas that have it.
-func orderRepairs(have map[string][]string, noticed func(task string) time.Time) []missingTask {
+// noticed first. holders lists, by missing name, the replicas that have it.
+func orderRepairs(holders map[string][]string, noticed func(task string) time.Time) []missingTask {
 	byTask := map[string]*missingTask{}
-	for _, name := range slices.Sorted(maps.Keys(have)) {
+	for _, name := range slices.Sorted(maps.Keys(holders)) {
 		at, err := taskOf(name)
 		if err != nil {
 			continue // not a name of an attempt or a result
@@ -45,11 +45,11 @@
 		key := fmt.Sprintf("%s/%d", at.Job, at.Task)
 		missing := byTask[key]
 		if missing == nil {
-			missing = &missingTask{task: at, copies: len(have[name]), noticed: noticed(key)}
+			missing = &missingTask{task: at, copies: len(holders[name]), noticed: noticed(key)}
 			byTask[key] = missing
 		}
-		missing.copies = min(missing.copies, len(have[name]))
-		for _, p := range have[name] {
+		missing.copies = min(missing.copies, len(holders[name]))
+		for _, p := range holders[name] {
 			if !slices.Contains(missing.peers, p) {
 				missing.peers = append(missing.peers, p)
 			}
@@ -183,8 +183,8 @@
 // becomeSynced adopts the votes that the others reported and records that this replica has everything that it should
 // have. From then on it votes and is counted.
 func (n *Node) becomeSynced(ctx context.Context, votes []registerVote) error {
-	for _, b := range votes {
-		if err := n.store.Adopt(ctx, b.At, &b.Vote, n.limitRate(n.fetch(b.At, ""))); err != nil {
+	for _, v := range votes {
+		if err := n.store.Adopt(ctx, v.At, &v.Vote, n.limitRate(n.fetch(v.At, ""))); err != nil {
 			return err
 		}
 	}
@@ -199,10 +199,10 @@
 	return nil
 }
 
-// compare compares this replica with another one. It adds the names that only the other one has to have, and counts
-// the names that the other one lacks. It requests the other's votes before its names, so that a register decided in
-// between shows up in the names.
-func (n *Node) compare(ctx context.Context, name string, votes bool, have map[string][]string) (theirVotes []registerVote, underReplicated int, err error) {
+// compare compares this replica with another one. It adds to holders the names that are missing here and that the other
+// one has, and counts the names that the other one lacks. It requests the other's votes before its names, so that a
+// register decided in between shows up in the names.
+func (n *Node) compare(ctx context.Context, name string, votes bool, holders map[string][]string) (theirVotes []registerVote, underReplicated int, err error) {
 	p := n.peers[name]
 	do := func(c *peerRequest) (*peerResponse, error) {
 		ctx, cancel := context.WithTimeout(ctx, 4*n.opt.PeerTimeout)
@@ -250,7 +250,7 @@
 		for _, x := range a.Names {
 			theirNames[x] = true
 			if !ourNames[x] && !n.isPresent(x) {
-				have[x] = append(have[x], name)
+				holders[x] = append(holders[x], name)
 			}
 		}
 	}
@@ -338,6 +338,8 @@
 	return n.store.Learn(ctx, task, protocol.Encode(t.Result), n.limitRate(n.fetch(task, name)))
 }
 
+// restoreOpenAttempt begins an open attempt here, if needed, and copies the records and files of it that this replica
+// lacks.
 func (n *Node) restoreOpenAttempt(ctx context.Context, src replica, v artifactstore.AttemptView, fetch artifactstore.Fetch) error {
 	err := n.store.Begin(ctx, v.Claim)
 	if errors.Is(err, artifactstore.ErrSealed) {
--- a/internal/artifactreplication/replica.go
+++ b/internal/artifactreplication/replica.go
@@ -354,7 +354,7 @@
 			errs = append(errs, err)
 		}
 	}
-	for _, err := range errs { // a definite answer tells more than a failed call
+	for _, err := range errs { // report that a replica lacks the blob rather than that a call failed
 		if errors.Is(err, blob.ErrNotFound) {
 			return nil, err
 		}
--- a/internal/artifactreplication/retention.go
+++ b/internal/artifactreplication/retention.go
@@ -52,11 +52,11 @@
 		return nil, err
 	}
 	globals.Freeze()
-	ask, ok := globals["keep_days"].(starlark.Callable)
+	keepDays, ok := globals["keep_days"].(starlark.Callable)
 	if !ok {
 		return nil, fmt.Errorf("%s: a function keep_days(cls, team, completed, partial, mb) is expected", path)
 	}
-	r.keepDays = ask
+	r.keepDays = keepDays
 	for _, m := range []*artifactstore.Manifest{{}, {Exit: artifactstore.Exit{Completed: true}}, {Partial: true}} {
 		if _, err := r.days(m); err != nil {
 			return nil, err
--- a/internal/artifactreplication/serve_agents.go
+++ b/internal/artifactreplication/serve_agents.go
@@ -67,6 +67,7 @@
 	return nil
 }
 
+// append adds records to a stream of an attempt.
 func (s *Server) append(w http.ResponseWriter, r *http.Request, c artifactstore.Claim) error {
 	first, err := queryNumber(r, "first")
 	if err != nil {
@@ -84,6 +85,7 @@
 	return nil
 }
 
+// beginUpload begins the upload of a blob, unless the tenant owns the blob already.
 func (s *Server) beginUpload(w http.ResponseWriter, r *http.Request, c artifactstore.Claim) error {
 	d, err := blob.Parse(r.URL.Query().Get("blob"))
 	if err != nil {
@@ -102,6 +104,7 @@
 	return nil
 }
 
+// uploadPiece writes a piece of a blob, and commits the upload once its content is complete.
 func (s *Server) uploadPiece(w http.ResponseWriter, r *http.Request, c artifactstore.Claim) error {
 	u, err := s.Node.blobs.Resume(c.Tenant, r.PathValue("id"))
 	if err != nil {
--- a/internal/artifactreplication/serve_peers.go
+++ b/internal/artifactreplication/serve_peers.go
@@ -57,7 +57,8 @@
 	return nil
 }
 
-// peerCall performs an operation for another replica. Except for the status, both must use the same list of members.
+// peerCall performs an operation for another replica. Except for the status, both replicas must use the same list
+// of members.
 func (s *Server) peerCall(w http.ResponseWriter, r *http.Request) error {
 	var c peerRequest
 	if err := decodeBody(r, &c); err != nil {
@@ -74,8 +75,8 @@
 	return nil
 }
 
-// peerRecords sends records to another replica, one JSON line each, and a last line that tells whether the attempt
-// has ended.
+// peerRecords sends records to another replica, one JSON line each, and a last line that reports whether the
+// attempt has ended.
 func (s *Server) peerRecords(w http.ResponseWriter, r *http.Request) error {
 	q := r.URL.Query()
 	task, err := strconv.Atoi(q.Get("task"))
--- a/internal/artifactreplication/serve_readers.go
+++ b/internal/artifactreplication/serve_readers.go
@@ -129,7 +129,8 @@
 		if err := enc.Encode(&artifactstore.Line{Number: n, Record: &rec}); err != nil {
 			return err
 		}
-		if now := time.Now(); now.Sub(lastFlush) > 50*time.Millisecond { // limits both the followers' delay and the number of flushes
+		// Not after every record of a long log. Records in between stay buffered until the next flush.
+		if now := time.Now(); now.Sub(lastFlush) > 50*time.Millisecond {
 			lastFlush = now
 			return flush.Flush()
 		}
--- a/internal/artifactreplication/serve_test.go
+++ b/internal/artifactreplication/serve_test.go
@@ -131,7 +131,7 @@
 	forged := artifactstore.Grant{Right: artifactstore.Read, Job: c.Job, Until: x.now.Add(time.Hour)}.Token([]byte("another key 0000"))
 	body, _, _ := strings.Cut(r, ".")
 	for what, token := range map[string]string{"none": "", "for writing": w, "of another task": other, "of another job": x.readToken("job-000002"), "forged": forged,
-		"without a code": body, "with a short code": r[:len(r)-2], "with a wrong code": body + "." + strings.Repeat("A", 43), "too long": strings.Repeat("A", 5000) + ".A"} {
+		"without a signature": body, "with a short signature": r[:len(r)-2], "with a wrong signature": body + "." + strings.Repeat("A", 43), "too long": strings.Repeat("A", 5000) + ".A"} {
 		if code, _, text := x.call(token, "GET", "/attempts/job-000001/0", nil); code != 401 {
 			t.Errorf("token %s: %d %s", what, code, text)
 		}
--- a/internal/artifactreplication/streams.go
+++ b/internal/artifactreplication/streams.go
@@ -49,8 +49,8 @@
 	return slices.Min(nexts), nil
 }
 
-// fillGap copies the records that a replica has missed of a stream from the other replicas to it, and reports whether
-// it now has all of them.
+// fillGap copies the records of a stream that the replica r, called name, has missed, numbers from to to-1, to it from
+// the task's other replicas. It reports whether r now has all of them.
 func (n *Node) fillGap(ctx context.Context, c artifactstore.Claim, stream string, from, to uint64, name string, r replica) bool {
 	for _, other := range n.opt.Members.ReplicasOf(c.Job, c.Task) {
 		p := n.peers[other]
--- a/internal/artifactreplication/taskstate.go
+++ b/internal/artifactreplication/taskstate.go
@@ -48,8 +48,8 @@
 			return ts, nil
 		}
 		if len(unresolved) == 0 {
-			// After an attempt was sealed and before its result is decided, no reader may be told that it is not the
-			// result.
+			// Between the seal of an attempt and the decision on the task's result, readers must not be told that the
+			// attempt is not the result.
 			if last := ts.lastCompleted(); ts.result == nil && last != nil {
 				if ts.result, err = n.decideResult(ctx, last.Claim, last.Ended); err != nil {
 					ts.hasQuorum = false
@@ -68,7 +68,7 @@
 }
 
 // merge merges the replicas' answers. It returns the registers in which a value was accepted but no replica knows a
-// decision.
+// decision; the zero Attempt is the register of the result.
 func (ts *taskState) merge(got []reply) (unresolved []artifactstore.Attempt) {
 	byNumber := map[uint64]*mergedAttempt{}
 	resultVoted := false
--- a/internal/artifactstore/artifactstore.go
+++ b/internal/artifactstore/artifactstore.go
@@ -16,15 +16,15 @@
 
 // Options configures a Store.
 type Options struct {
-	Dir             string
-	Blobs           *blob.Store
-	Key             []byte // signs manifests and tokens; 16 bytes or more
-	MaxStreams      int    // per attempt; 16 if 0
-	MaxFiles        int    // per attempt; 10,000 if 0
-	MaxRecordBytes  int    // 64 KiB if 0
-	MaxStreamBytes  int64  // 1 GiB if 0
-	SegmentBytes    int64  // size of a log segment; the default of package wal if 0
-	MaxOpenAttempts int    // 100,000 if 0
+	Dir             string      // directory of the log
+	Blobs           *blob.Store // holds manifests, files and the streams of ended attempts
+	Key             []byte      // signs manifests and tokens; 16 bytes or more
+	MaxStreams      int         // per attempt; 16 if 0
+	MaxFiles        int         // per attempt; 10,000 if 0
+	MaxRecordBytes  int         // 64 KiB if 0
+	MaxStreamBytes  int64       // 1 GiB if 0
+	SegmentBytes    int64       // size of a log segment; the default of package wal if 0
+	MaxOpenAttempts int         // 100,000 if 0
 	Now             func() time.Time
 	Step            func(step string) // called before each durable step; for tests
 }
@@ -39,7 +39,7 @@
 	changed   sync.Cond
 	open      map[Attempt]*openAttempt
 	votes     map[Attempt]*Vote // of undecided registers; Number 0 is the register of the task's result
-	latest    map[string]uint64 // highest attempt of a task for which the log had a begin entry, by task prefix
+	latest    map[string]uint64 // highest attempt that was begun here, by task prefix
 	unsettled map[Attempt]bool  // sealed as completed, not yet known whether they are the task's result
 	locks     map[Attempt]*attemptLock
 	closed    bool
@@ -49,26 +49,26 @@
 // were checked.
 type attemptLock struct {
 	sync.Mutex
-	users int
+	users int // operations that hold the lock or wait for it
 }
 
 // lockAttempt locks an attempt and returns the function that unlocks it. A lock is removed from the map when its last
 // user unlocks it.
 func (st *Store) lockAttempt(at Attempt) (unlock func()) {
 	st.mu.Lock()
-	g := st.locks[at]
-	if g == nil {
-		g = &attemptLock{}
-		st.locks[at] = g
+	l := st.locks[at]
+	if l == nil {
+		l = &attemptLock{}
+		st.locks[at] = l
 	}
-	g.users++
+	l.users++
 	st.mu.Unlock()
-	g.Lock()
+	l.Lock()
 	return func() {
-		g.Unlock()
+		l.Unlock()
 		st.mu.Lock()
 		defer st.mu.Unlock()
-		if g.users--; g.users == 0 {
+		if l.users--; l.users == 0 {
 			delete(st.locks, at)
 		}
 	}
@@ -79,7 +79,7 @@
 	claim     Claim
 	streams   map[string]*openStream
 	files     map[string]blob.Digest
-	lastWrite time.Time // time of the last write to it
+	lastWrite time.Time // after a restart the time of the replay, until the next write
 	reserved  int64     // bytes reserved for it in the blob store
 }
 
@@ -282,8 +282,8 @@
 	return st.logEntry(ctx, &entry{Kind: kindBegin, Claim: &c, Attempt: c.Attempt})
 }
 
-// writableAttempt returns an open attempt if the claim is the one that began it and the attempt is not frozen. The
-// caller holds the attempt's lock.
+// writableAttempt returns an open attempt, and sets the time of its last write, if the claim is the one that began it
+// and the attempt is not frozen. The caller holds the attempt's lock.
 func (st *Store) writableAttempt(c Claim) (*openAttempt, error) {
 	st.mu.Lock()
 	defer st.mu.Unlock()
@@ -306,13 +306,13 @@
 // hasEnded reports whether an attempt has ended here, sealed or partial.
 func (st *Store) hasEnded(at Attempt) bool {
 	_, _, sealed := st.opt.Blobs.Ref(sealedName(at))
-	_, _, shelved := st.opt.Blobs.Ref(partialName(at))
-	return sealed || shelved
+	_, _, partial := st.opt.Blobs.Ref(partialName(at))
+	return sealed || partial
 }
 
 // Append adds records to a stream; first is the number of the first of them. Records that the stream already has are
-// skipped. A first number beyond the end of the stream is a GapError. next is the number of the next record expected;
-// all records before it are durable.
+// skipped. If first is beyond the end of the stream, Append returns a GapError. next is the number of the next
+// record expected; all records before it are durable.
 func (st *Store) Append(ctx context.Context, c Claim, name string, first uint64, records []Record) (next uint64, err error) {
 	if err := CheckStream(name); err != nil {
 		return 0, err
@@ -394,8 +394,8 @@
 	return st.logEntry(ctx, &entry{Kind: kindFile, Attempt: c.Attempt, Path: path, Digest: d.String()})
 }
 
-// Compact frees the log space of closed attempts. It rewrites the live entries of leading segments, of which at most
-// half is live, at the end of the log.
+// Compact frees the log space of closed attempts: as long as at most half of the oldest segment is live, it appends the
+// live entries of that segment to the log again and removes the segment.
 func (st *Store) Compact(ctx context.Context) error {
 	return st.log.Compact(ctx, func(_ wal.Pos, b []byte) (func() error, error) {
 		var e entry
--- a/internal/artifactstore/client.go
+++ b/internal/artifactstore/client.go
@@ -35,8 +35,8 @@
 	Tries int          // attempts of a request that fails temporarily; 5 if 0
 }
 
-// get sends a GET request. It retries with jittered, growing pauses while the server can't be reached or refuses
-// requests for lack of capacity.
+// get sends a GET request. While the server can't be reached or responds with status 429 or 503, get retries with
+// jittered, growing pauses, each time at the next of the addresses.
 func (r *Reader) get(ctx context.Context, path string, q url.Values) (*http.Response, error) {
 	c, tries := r.HTTP, r.Tries
 	if c == nil {
@@ -135,6 +135,8 @@
 	}
 }
 
+// readLines calls each for the lines of one response and returns the last line, which has a State. It updates q, so
+// that a repeated request continues after the lines delivered.
 func readLines(body io.Reader, q *Query, each func(Line) error) (Line, error) {
 	d := json.NewDecoder(body)
 	for {
--- a/internal/artifactstore/expire.go
+++ b/internal/artifactstore/expire.go
@@ -14,8 +14,8 @@
 	return len(st.open)
 }
 
-// Expire forgets the ended attempts that expired reports, and the result of a task together with the attempt that it
-// is. It returns the number of attempts forgotten.
+// Expire drops the ended attempts for which expired returns true. Together with an attempt it drops the result of its
+// task, unless another attempt is the result. It returns the number of attempts dropped.
 func (st *Store) Expire(ctx context.Context, expired func(*Manifest) bool) (count int, err error) {
 	for _, kind := range []string{"sealed/", "partial/"} {
 		after := ""
--- a/internal/artifactstore/manifest.go
+++ b/internal/artifactstore/manifest.go
@@ -57,7 +57,7 @@
 
 func (a Attempt) check() error {
 	if !protocol.ValidUID(a.Job) || a.Task < 0 || a.Task >= 1_000_000 || a.Number == 0 {
-		return fmt.Errorf("%w: attempt %.100q of task %d", ErrName, a.Job, a.Task)
+		return fmt.Errorf("%w: attempt %d of task %d of job %.100q", ErrName, a.Number, a.Task, a.Job)
 	}
 	return nil
 }
@@ -99,7 +99,7 @@
 // that is decided after the seal.
 type Manifest struct {
 	Claim
-	Sealed  time.Time    `json:"sealed"`
+	Sealed  time.Time    `json:"sealed"`            // time at which a node built the manifest, also of a partial attempt
 	Partial bool         `json:"partial,omitempty"` // ended without a seal from its agent
 	Exit    Exit         `json:"exit"`
 	Streams []StreamInfo `json:"streams"`
--- a/internal/artifactstore/messages.go
+++ b/internal/artifactstore/messages.go
@@ -6,10 +6,10 @@
 	Code   string           `json:"code,omitempty"`   // machine-readable kind of the error
 	Next   *uint64          `json:"next,omitempty"`   // number of the next record expected
 	Offset *int64           `json:"offset,omitempty"` // bytes of an upload received so far
-	Upload string           `json:"upload,omitempty"`
-	Done   bool             `json:"done,omitempty"`
-	Final  bool             `json:"final,omitempty"`
-	Sealed *Manifest        `json:"sealed,omitempty"`
+	Upload string           `json:"upload,omitempty"` // ID of an upload
+	Done   bool             `json:"done,omitempty"`   // the blob is stored, no more content is needed
+	Final  bool             `json:"final,omitempty"`  // the attempt is the task's result
+	Sealed *Manifest        `json:"sealed,omitempty"` // manifest of the ended attempt, which may be partial
 	List   []AttemptSummary `json:"attempts,omitempty"`
 	Unsure bool             `json:"unsure,omitempty"` // too few replicas answered; the list may be incomplete
 }
--- a/internal/artifactstore/register.go
+++ b/internal/artifactstore/register.go
@@ -59,8 +59,8 @@
 
 // Errors of registers.
 var (
-	// ErrFrozen reports that a node is about to end the attempt. The replicas' coordinating node completes or undoes
-	// that, and then retries the write.
+	// ErrFrozen reports that a node is about to end the attempt. The node that coordinates the refused write completes
+	// or undoes that, and then retries the write.
 	ErrFrozen = errors.New("artifactstore: the attempt is about to end")
 	// ErrConflictingDecisions reports that two different values were decided in a register, which the protocol must
 	// never allow.
@@ -133,9 +133,9 @@
 	return st.logEntry(ctx, &entry{Kind: kindVote, Attempt: at, Vote: v})
 }
 
-// Prepare promises not to accept values of lower ballots in a register, unless a higher ballot was promised already.
-// While a promise with freeze is the highest, the attempt accepts no writes, so that the promises of a majority show
-// everything that was ever acknowledged of the attempt.
+// Prepare promises not to accept values of lower ballots than b in a register, unless b or a higher ballot was promised
+// already. While a promise with freeze is the highest, the attempt accepts no writes, so that the promises of a
+// majority show everything that was ever acknowledged of the attempt.
 func (st *Store) Prepare(ctx context.Context, at Attempt, b Ballot, freeze bool) (*Promise, error) {
 	defer st.lockAttempt(at)()
 	p, err := st.currentPromise(at)
--- a/internal/artifactstore/replay.go
+++ b/internal/artifactstore/replay.go
@@ -12,7 +12,7 @@
 
 // replay opens the log and applies its entries.
 func (st *Store) replay() (err error) {
-	// Compaction may have rewritten the begin entry of an open attempt behind other entries of the attempt. Those are
+	// Compaction may have moved the begin entry of an open attempt behind other entries of the attempt. Those are
 	// deferred until the begin entry is read.
 	deferred := map[Attempt][]func(){}
 	options := wal.Options{Step: st.opt.Step, SegmentBytes: st.opt.SegmentBytes}
@@ -38,7 +38,7 @@
 	return err
 }
 
-// apply updates the state in memory by a log entry. The caller holds st.mu, or the store is being opened.
+// apply applies a log entry to the state in memory. The caller holds st.mu, or the store is being opened.
 func (st *Store) apply(e *entry, at wal.Pos) {
 	a := st.open[e.Attempt]
 	switch e.Kind {
@@ -78,8 +78,8 @@
 	}
 }
 
-// applyRecords adds the batch of an append entry to its stream. Compaction may have rewritten the entry further on in
-// the log, behind later ones; then only its position changes.
+// applyRecords adds the batch of an append entry to its stream. Compaction may have appended the entry to
+// the log again, behind later ones; then only its position changes.
 func (a *openAttempt) applyRecords(e *entry, at wal.Pos) {
 	s := a.streams[e.Stream]
 	if s == nil {
--- a/internal/blob/blob_test.go
+++ b/internal/blob/blob_test.go
@@ -666,8 +666,8 @@
 	}
 }
 
-// TestDropAbandonedWhileCommitting commits uploads while dropAbandoned runs. Taking the locks
-// of store and upload in different orders once deadlocked a keeper here.
+// TestDropAbandonedWhileCommitting commits uploads while dropAbandoned runs. The two once took
+// the locks of store and upload in different orders and deadlocked.
 func TestDropAbandonedWhileCommitting(t *testing.T) {
 	s, err := Open(Options{Dir: t.TempDir(), MaxInline: 1})
 	if err != nil {
--- a/internal/blob/collect.go
+++ b/internal/blob/collect.go
@@ -69,8 +69,8 @@
 	return r.tenant, ds, true
 }
 
-// Refs returns up to most names of references with a prefix that sort after a given
-// name, in order.
+// Refs returns, in order, the names of references that begin with a prefix and sort
+// after a given name, at most as many as most.
 func (s *Store) Refs(prefix, after string, most int) ([]string, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -168,10 +168,10 @@
 		return false, 0, nil
 	}
 	s.deleting[key] = true // from now on it can be neither opened nor stored
-	size, small := e.stored, e.inline
+	size, inline := e.stored, e.inline
 	s.mu.Unlock()
 	err = s.commit(ctx, &record{kind: recDrop, digest: digestFromKey(key)})
-	if err == nil && !small {
+	if err == nil && !inline {
 		// A file that remains is removed by the next scrub.
 		_ = os.Remove(s.objectPath(digestFromKey(key)))
 	}
@@ -345,7 +345,7 @@
 // removeOrphans removes object files without an entry in the index. A process leaves
 // one if it ends after it renamed the file and before it wrote the record, or before
 // it removed the file of a deleted blob.
-func (s *Store) removeOrphans(ctx context.Context) (strays int, err error) {
+func (s *Store) removeOrphans(ctx context.Context) (orphans int, err error) {
 	dirs, err := os.ReadDir(filepath.Join(s.opt.Dir, "objects"))
 	if err != nil {
 		return 0, fmt.Errorf("blob: %w", err)
@@ -353,29 +353,29 @@
 	for _, dir := range dirs {
 		files, err := os.ReadDir(filepath.Join(s.opt.Dir, "objects", dir.Name()))
 		if err != nil {
-			return strays, fmt.Errorf("blob: %w", err)
+			return orphans, fmt.Errorf("blob: %w", err)
 		}
 		for _, f := range files {
 			if ctx.Err() != nil {
-				return strays, ctx.Err()
+				return orphans, ctx.Err()
 			}
 			path := filepath.Join(s.opt.Dir, "objects", dir.Name(), f.Name())
 			info, err := f.Info()
 			if err != nil || s.opt.Now().Sub(info.ModTime()) < time.Hour {
-				continue // may be of an upload that is being committed
+				continue // the file may belong to an upload that is being committed
 			}
 			d, derr := parseObjectName(f.Name())
 			s.mu.Lock()
 			e := s.lookup(d.key())
-			stray := derr != nil || ((e == nil || e.inline) && s.pins[d.key()] == 0)
-			if stray {
+			orphan := derr != nil || ((e == nil || e.inline) && s.pins[d.key()] == 0)
+			if orphan {
 				err = os.Remove(path)
 			}
 			s.mu.Unlock()
-			if stray && err == nil {
-				strays++
+			if orphan && err == nil {
+				orphans++
 			}
 		}
 	}
-	return strays, nil
+	return orphans, nil
 }
--- a/internal/blob/digest.go
+++ b/internal/blob/digest.go
@@ -40,6 +40,7 @@
 	return d, nil
 }
 
+// keySize is the length of a key of the index, in bytes.
 const keySize = sha256.Size + 8
 
 // key returns the digest as a key of the index: the hash and the big-endian size.
--- a/internal/blob/read.go
+++ b/internal/blob/read.go
@@ -52,6 +52,8 @@
 	})
 }
 
+// open opens a blob, starting at an offset, if find returns its entry. Otherwise the error says why the blob can't be
+// read.
 func (s *Store) open(d Digest, offset int64, find func(key string) *entry) (*Reader, error) {
 	key := d.key()
 	for range 3 { // compaction may move a small blob in the log meanwhile
@@ -125,15 +127,15 @@
 	return &zstdReader{z, raw}, nil
 }
 
-// zstdReader decompresses a file and closes it.
+// zstdReader decompresses raw and closes it.
 type zstdReader struct {
 	*zstd.Decoder
 	raw io.Closer
 }
 
-func (u *zstdReader) Close() error {
-	u.Decoder.Close()
-	return u.raw.Close()
+func (z *zstdReader) Close() error {
+	z.Decoder.Close()
+	return z.raw.Close()
 }
 
 // Get reads a whole blob of at most max bytes and verifies its digest.
--- a/internal/blob/store.go
+++ b/internal/blob/store.go
@@ -1,5 +1,5 @@
 // Package blob is a content-addressed store on a local disk, used for logs,
-// artefacts and build actions. Small blobs are stored in a write-ahead log (package
+// artifacts and build actions. Small blobs are stored in a write-ahead log (package
 // wal), large ones in files of their own. A blob is durable before its upload is
 // acknowledged. The index can be rebuilt from the log, so losing it costs only the
 // time to read the log again.
@@ -89,7 +89,7 @@
 	pins          map[string]int    // number of readers and uploads of a blob, which must not be deleted
 	deleting      map[string]bool   // blobs that are being deleted
 	uploads       map[string]*Upload
-	applied       wal.Pos // end of the records that dirtyBlobs and dirtyRefs include
+	applied       wal.Pos // the index, with dirtyBlobs and dirtyRefs, includes all records before it
 	closed        bool
 }
 
@@ -109,10 +109,10 @@
 )
 
 // The index is written to disk every checkpointEvery, and during replay after every
-// checkpointAt records. This limits how much of the log the next start replays.
+// checkpointRecords records. This limits how much of the log the next start replays.
 const (
-	checkpointEvery = 2 * time.Second
-	checkpointAt    = 8192
+	checkpointEvery   = 2 * time.Second
+	checkpointRecords = 8192
 )
 
 // Open opens the store in a directory, which it creates if needed. An index that is
@@ -181,8 +181,8 @@
 			return fmt.Errorf("%w at %v", err, at)
 		}
 		s.apply(r, at)
-		if replayed++; replayed%checkpointAt == 0 {
-			return s.writeIndex(at) // replayed again at the next start, which has no effect
+		if replayed++; replayed%checkpointRecords == 0 {
+			return s.writeIndex(at) // the next start replays the record at this position again, which has no effect
 		}
 		return nil
 	})
@@ -203,7 +203,7 @@
 		return e
 	}
 	var e *entry
-	// Reading the index fails only if its file is unreadable.
+	// Reading the index fails only if its file is unreadable; the blob then counts as missing.
 	_ = s.db.View(func(tx *bolt.Tx) (err error) {
 		if b := tx.Bucket(bucketBlobs).Get([]byte(key)); b != nil {
 			e, err = decodeEntry(b)
@@ -225,6 +225,7 @@
 	return e
 }
 
+// lookupRef returns a reference, or nil if there is none. s.mu is held.
 func (s *Store) lookupRef(name string) *ref {
 	if r, ok := s.dirtyRefs[name]; ok {
 		return r
--- a/internal/blob/upload.go
+++ b/internal/blob/upload.go
@@ -27,7 +27,7 @@
 	id     string
 	tenant string
 	digest Digest
-	urgent bool
+	urgent bool // begun with UseReserve
 	file   File
 
 	mu       sync.Mutex
@@ -85,7 +85,8 @@
 	return u, false, nil
 }
 
-// reserveSpace reserves bytes within the quotas. s.mu is held.
+// reserveSpace reserves bytes within the quotas; urgent bytes may take the reserve and exceed the tenant's quota. s.mu
+// is held.
 func (s *Store) reserveSpace(tenant string, bytes int64, urgent bool) error {
 	free := int64(1) << 62
 	if s.opt.Quota > 0 {
@@ -160,7 +161,7 @@
 			tenant, terr := hex.DecodeString(string(parts[3]))
 			u.tenant, err = string(tenant), errors.Join(err, terr)
 		} else {
-			err = ErrUpload // left over from compressing a blob
+			err = ErrUpload // the file is left over from compressing a blob
 		}
 		if err != nil || info.Size() > u.digest.Size || s.reserveSpace(u.tenant, u.digest.Size, false) != nil {
 			if err := os.Remove(path); err != nil {
@@ -343,7 +344,7 @@
 	return r
 }
 
-// storeFile makes a large blob's file durable, compressed if that pays off, and renames it to its final path.
+// storeFile makes a large blob's file durable, compressed if that saves enough space, and renames it to its final path.
 func (s *Store) storeFile(ctx context.Context, tenant string, d Digest, file File, path string) error {
 	r := &record{kind: recFile, digest: d, tenant: tenant, stored: d.Size}
 	sample := make([]byte, min(d.Size, compressSampleBytes))
@@ -391,7 +392,7 @@
 	return e
 })
 
-// compress compresses data. It returns nil if that does not pay off.
+// compress compresses data. It returns nil if that does not save enough space.
 func compress(data []byte) []byte {
 	if len(data) < 256 {
 		return nil
--- a/internal/history/check.go
+++ b/internal/history/check.go
@@ -100,9 +100,9 @@
 
 // event is the sending of a request or the arrival of its answer.
 type event struct {
-	at      uint64
+	at      uint64 // position in the log
 	call    *Call
-	returns bool
+	returns bool // the answer arrives
 }
 
 func events(calls []Call) []event {
@@ -122,11 +122,11 @@
 func checkJob(calls []Call) []Violation {
 	var found []Violation
 	var known knowledge
-	ended := Call{} // the first final answer
-	before := map[*Call]Call{}
-	for _, m := range events(calls) {
-		c := m.call
-		if !m.returns {
+	ended := Call{}            // the first final answer
+	before := map[*Call]Call{} // the highest answer that had arrived when the call was sent
+	for _, e := range events(calls) {
+		c := e.call
+		if !e.returns {
 			known.submitted = known.submitted || c.Kind == Submit
 			known.cancelled = known.cancelled || c.Kind == Cancel
 			before[c] = known.highest
--- a/internal/history/history_test.go
+++ b/internal/history/history_test.go
@@ -9,7 +9,8 @@
 	"topazhollow/internal/protocol"
 )
 
-// modelCheck is the reference model of Check: it compares every answer with every other one.
+// modelCheck is the reference model of Check: it compares every answer with every other one, and returns the violated
+// rules by the position of the answer.
 func modelCheck(calls []Call) map[uint64]string {
 	broken := map[uint64]string{}
 	for _, c := range calls {
--- a/internal/snapshot/archive.go
+++ b/internal/snapshot/archive.go
@@ -208,7 +208,7 @@
 	return a.enc.EncodeAll(plain, nil), nil
 }
 
-// index updates the list of copies by a record.
+// index updates the list of copies with a record.
 func (a *Archive) index(at wal.Pos, r *record) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
--- a/internal/snapshot/follow.go
+++ b/internal/snapshot/follow.go
@@ -78,7 +78,7 @@
 	client  *kvstore.Client
 	log     *slog.Logger
 
-	keys         map[string]Entry // contents of the service as followed; nil before the first copy
+	keys         map[string]Entry // contents of the service as followed; nil before the first copy, empty after a loss
 	copyID       uint64           // copy that changes are appended to; 0: a full copy is needed
 	revision     uint64
 	storeID      string // store ID in the control record; it changes with each epoch after a loss
@@ -86,8 +86,8 @@
 }
 
 // NewFollower returns a follower that has not read the service yet.
-func NewFollower(set *Config, a *Archive, log *slog.Logger) *Follower {
-	return &Follower{config: set, archive: a, client: set.client(), log: log}
+func NewFollower(config *Config, a *Archive, log *slog.Logger) *Follower {
+	return &Follower{config: config, archive: a, client: config.client(), log: log}
 }
 
 // Run follows the service until the context ends or writing to the archive fails.
--- a/internal/snapshot/restore.go
+++ b/internal/snapshot/restore.go
@@ -45,7 +45,7 @@
 	jobs   []userapi.ActiveJob
 	ends   []datarecovery.Page
 	done   map[string]*bitset.BitSet
-	pages  int
+	pages  int // number of the first page that the restore adds for ends
 	teams  []kvstore.Update
 }
 
@@ -116,7 +116,9 @@
 }
 
 // NewRestorer returns a restorer with the rates of the settings.
-func NewRestorer(set *Config) *Restorer { return &Restorer{config: set, client: set.client()} }
+func NewRestorer(config *Config) *Restorer {
+	return &Restorer{config: config, client: config.client()}
+}
 
 // Plan compares a copy with the contents of the service and writes nothing. Without force
 // it returns ErrNotLost if the controllers report no lost data.
@@ -148,7 +150,7 @@
 		record:     record,
 		fence:      protocol.Condition{Key: epochKey(record), Version: current[epochKey(record)].Version},
 		done:       map[string]*bitset.BitSet{},
-		pages:      countEndPages(current),
+		pages:      nextEndPage(current),
 	}
 	p.addJobs(old, have)
 	lacking := missingEnds(old, have)
@@ -223,23 +225,23 @@
 	}
 }
 
-// countEndPages returns the number that follows that of the last page of ends in the service.
-func countEndPages(current map[string]Entry) (pages int) {
+// nextEndPage returns the number of the page after the last page of ends in the service.
+func nextEndPage(current map[string]Entry) (next int) {
 	for name := range current {
 		text, isPage := strings.CutPrefix(name, datarecovery.EndsKey)
 		if number, err := strconv.Atoi(text); isPage && err == nil {
-			pages = max(pages, number+1)
+			next = max(next, number+1)
 		}
 	}
-	return pages
+	return next
 }
 
-// donePages splits finished tasks into pages of at most room bytes each.
-func donePages(done map[string]*bitset.BitSet, room int) (pages []map[string]*bitset.BitSet) {
-	size := room + 1
+// donePages splits finished tasks into pages of at most maxBytes bytes each; a larger job gets a page of its own.
+func donePages(done map[string]*bitset.BitSet, maxBytes int) (pages []map[string]*bitset.BitSet) {
+	size := maxBytes + 1 // begins the first page
 	for _, uid := range slices.Sorted(maps.Keys(done)) {
 		n := len(protocol.Encode(map[string]*bitset.BitSet{uid: done[uid]}))
-		if size+n > room {
+		if size+n > maxBytes {
 			pages = append(pages, map[string]*bitset.BitSet{})
 			size = 2
 		}
@@ -251,32 +253,32 @@
 
 // Apply writes a plan to the service: teams, then ends, so that no ended job runs again,
 // then finished tasks, then jobs. Every update is conditional on the key of the epoch, and
-// that of a job also on the service lacking the job, so that newer data is not
-// overwritten. Apply can be repeated.
-func (r *Restorer) Apply(ctx context.Context, p *Plan, tell func(done, all int)) error {
+// the update that adds a job also on the service lacking that job, so that newer data is
+// not overwritten. Apply can be repeated and calls progress, if not nil, after each update.
+func (r *Restorer) Apply(ctx context.Context, p *Plan, progress func(done, all int)) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	ran := make(chan struct{})
+	stopped := make(chan struct{})
 	go func() {
-		defer close(ran)
+		defer close(stopped)
 		_ = r.client.Run(ctx) // ends with the context
 	}()
-	defer func() { cancel(); <-ran }()
+	defer func() { cancel(); <-stopped }()
 	r.client.SetFence(p.fence)
 	count := 0
 	for _, u := range p.updates(r.maxValueBytes()) {
 		if err := r.put(ctx, u); err != nil {
 			return err
 		}
-		if count++; tell != nil {
-			tell(count, p.Changes)
+		if count++; progress != nil {
+			progress(count, p.Changes)
 		}
 	}
 	return nil
 }
 
 // updates returns the updates of a plan in the order in which Apply makes them.
-func (p *Plan) updates(room int) []kvstore.Update {
+func (p *Plan) updates(maxBytes int) []kvstore.Update {
 	all := slices.Clone(p.teams) // before the jobs, so that none starts beyond a lowered quota
 	for i, page := range p.ends {
 		key := datarecovery.EndsKey + strconv.Itoa(p.pages+i)
@@ -286,7 +288,7 @@
 		})
 	}
 	var finished []string
-	for i, page := range donePages(p.done, room) {
+	for i, page := range donePages(p.done, maxBytes) {
 		key := fmt.Sprintf("%s%d-%d", datarecovery.FinishedKey, p.Copy, i)
 		all = append(all, kvstore.Update{Changes: []protocol.Op{{Set: key, Value: protocol.Encode(page)}}})
 		finished = append(finished, key)
--- a/internal/taskrunner/taskrunner.go
+++ b/internal/taskrunner/taskrunner.go
@@ -1,8 +1,8 @@
 // Package taskrunner runs a task's command for an agent and uploads its output streams
 // and files to a replica of the artifact store. The output passes through a spool on the
 // agent's disk, so that neither an unreachable replica nor a restart of the agent loses
-// it. Output beyond the spool's limit is dropped and replaced by a hole record; the seal
-// is never dropped.
+// it. Output beyond the spool's limit is dropped and replaced by a record that marks the gap;
+// the seal is never dropped.
 package taskrunner
 
 import (
@@ -72,7 +72,7 @@
 	unsent       []unsentRecord // records not acknowledged yet
 	nextNumber   map[string]uint64
 	unsentBytes  int64
-	openHoles    map[string]*artifactstore.DroppedOutput // holes that are not written to the spool yet, by stream
+	dropped      map[string]*artifactstore.DroppedOutput // output dropped since the last record of a stream, by stream
 	files        []string
 	exit         *artifactstore.Exit
 	complete     bool // no more records will be added
@@ -122,7 +122,7 @@
 
 // open opens an attempt's spool and restores its state from its log.
 func open(opt Options, dir string) (*spool, error) {
-	s := &spool{opt: opt, dir: dir, nextNumber: map[string]uint64{}, openHoles: map[string]*artifactstore.DroppedOutput{}}
+	s := &spool{opt: opt, dir: dir, nextNumber: map[string]uint64{}, dropped: map[string]*artifactstore.DroppedOutput{}}
 	s.changed.L = &s.mu
 	log, err := wal.Open(dir, wal.Options{Step: opt.Step}, wal.Pos{}, func(at wal.Pos, b []byte) error {
 		var e entry
@@ -163,20 +163,20 @@
 }
 
 // appendRecord adds a record to the spool. If the spool or its disk is full, the record is
-// dropped and counted in a hole. Only one goroutine may append to a stream.
+// dropped and counted in s.dropped. Only one goroutine may append to a stream.
 func (s *spool) appendRecord(ctx context.Context, stream string, data []byte) {
 	now := time.Now().UTC()
 	s.mu.Lock()
 	full := s.unsentBytes+int64(len(data)) > s.opt.MaxSpoolBytes
-	h := s.openHoles[stream]
+	d := s.dropped[stream]
 	s.mu.Unlock()
-	if !full && h != nil {
-		// There is space again: write the hole before the next record.
-		if s.write(ctx, &entry{Stream: stream, Record: &artifactstore.Record{At: now, Dropped: h}}) != nil {
+	if !full && d != nil {
+		// There is space again: mark the dropped output before the next record.
+		if s.write(ctx, &entry{Stream: stream, Record: &artifactstore.Record{At: now, Dropped: d}}) != nil {
 			full = true
 		} else {
 			s.mu.Lock()
-			delete(s.openHoles, stream)
+			delete(s.dropped, stream)
 			s.mu.Unlock()
 		}
 	}
@@ -186,11 +186,11 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.droppedBytes += int64(len(data))
-	if h = s.openHoles[stream]; h == nil {
-		h = &artifactstore.DroppedOutput{From: now}
-		s.openHoles[stream] = h
+	if d = s.dropped[stream]; d == nil {
+		d = &artifactstore.DroppedOutput{From: now}
+		s.dropped[stream] = d
 	}
-	h.Bytes, h.To = h.Bytes+int64(len(data)), now
+	d.Bytes, d.To = d.Bytes+int64(len(data)), now
 }
 
 // Run runs a task's command to its end and uploads its output to a replica. Cancelling
@@ -199,7 +199,7 @@
 func Run(ctx context.Context, opt Options, t Task, grace time.Duration) (Result, error) {
 	opt.setDefaults()
 	if len(t.Command) == 0 || len(opt.Keepers) == 0 {
-		return Result{}, errors.New("runner: no command or no keeper given")
+		return Result{}, errors.New("runner: no command or no replica address given")
 	}
 	dir := spoolDir(opt.Spool, t.Claim.Attempt)
 	s, err := open(opt, dir)
@@ -229,8 +229,8 @@
 	if err != nil { // an output file is missing or not a regular file
 		exit.Completed, exit.Reason = false, err.Error()
 	}
-	for stream, h := range s.openHoles { // the holes at the end of the streams
-		if err := s.write(uploadCtx, &entry{Stream: stream, Record: &artifactstore.Record{At: h.To, Dropped: h}}); err != nil {
+	for stream, d := range s.dropped { // output dropped at the end of the streams
+		if err := s.write(uploadCtx, &entry{Stream: stream, Record: &artifactstore.Record{At: d.To, Dropped: d}}); err != nil {
 			return Result{}, err
 		}
 	}
@@ -337,7 +337,7 @@
 func Recover(ctx context.Context, opt Options) (count int, err error) {
 	opt.setDefaults()
 	if len(opt.Keepers) == 0 {
-		return 0, errors.New("runner: no keeper given")
+		return 0, errors.New("runner: no replica address given")
 	}
 	entries, err := os.ReadDir(opt.Spool)
 	if errors.Is(err, fs.ErrNotExist) {
--- a/internal/taskrunner/taskrunner_test.go
+++ b/internal/taskrunner/taskrunner_test.go
@@ -86,7 +86,7 @@
 	if _, _, err := x.n.Read(ctx, at, stream, 0, false, func(_ uint64, r artifactstore.Record) error {
 		if r.Dropped != nil {
 			lost += r.Dropped.Bytes
-			list = append(list, "[hole]")
+			list = append(list, "[dropped]")
 			return nil
 		}
 		list = append(list, string(r.Data))
@@ -153,7 +153,7 @@
 }
 
 // TestReplicaUnreachable: while the replica is unreachable, output must be kept in the spool
-// up to MaxSpoolBytes. Output beyond that must be replaced by a hole with its size, and the
+// up to MaxSpoolBytes. Output beyond that must be replaced by a marker with its size, and the
 // attempt must still be sealed.
 func TestReplicaUnreachable(t *testing.T) {
 	x := newTestReplica(t)
@@ -199,14 +199,14 @@
 	got.DroppedBytes = s.droppedBytes
 	list, lost := x.readText(tk.Claim.Attempt, "stdout")
 	if lost != got.DroppedBytes || lost != 4*(1000-500) {
-		t.Errorf("holes of %d bytes, %d bytes dropped, want %d", lost, got.DroppedBytes, 4*(1000-500))
+		t.Errorf("markers of %d bytes, %d bytes dropped, want %d", lost, got.DroppedBytes, 4*(1000-500))
 	}
 	for i, s := range list[:500] {
 		if s != strconv.Itoa(1000+i) {
 			t.Fatalf("record %d is %q", i, s)
 		}
 	}
-	if rest := list[500:]; len(rest) != 2 || rest[0] != "[hole]" || rest[1] != "last" {
+	if rest := list[500:]; len(rest) != 2 || rest[0] != "[dropped]" || rest[1] != "last" {
 		t.Errorf("after the spooled records: %q", rest)
 	}
 }
--- a/internal/taskrunner/upload.go
+++ b/internal/taskrunner/upload.go
@@ -21,7 +21,7 @@
 	"topazhollow/internal/wait"
 )
 
-// rejection is an error answer for which a retry is pointless.
+// rejection is an error response that a retry would not change.
 type rejection struct {
 	status int
 	code   string
@@ -31,7 +31,7 @@
 }
 
 func (r *rejection) Error() string {
-	return fmt.Sprintf("runner: keeper answered %d %s", r.status, r.reason)
+	return fmt.Sprintf("runner: replica responded with %d %s", r.status, r.reason)
 }
 
 // call sends a request until a replica accepts or rejects it or the context ends. It tries
--- a/internal/wal/append.go
+++ b/internal/wal/append.go
@@ -88,6 +88,8 @@
 	}
 }
 
+// writeGroup writes batches at the end of a segment, at offset size, syncs the segment once and acknowledges the
+// batches. It begins the next segment if this one is full.
 func (l *Log) writeGroup(group []*batch, f File, n uint32, size int64) {
 	var data []byte
 	for _, b := range group {
--- a/internal/wal/compact.go
+++ b/internal/wal/compact.go
@@ -28,9 +28,9 @@
 // Compact frees the oldest segments, one after the other, as long as at most half of the
 // bytes of a segment are live. It calls live for each record, which is valid until live
 // returns; live returns a function that appends the record again, or nil if the record
-// is no longer needed. settle, if not nil, is called before a segment is removed; it must
-// make sure that stored positions refer to the new records.
-func (l *Log) Compact(ctx context.Context, live func(at Pos, record []byte) (again func() error, err error), settle func() error) error {
+// is no longer needed. beforeDrop, if not nil, is called before a segment is removed; it
+// must make sure that stored positions refer to the new records.
+func (l *Log) Compact(ctx context.Context, live func(at Pos, record []byte) (again func() error, err error), beforeDrop func() error) error {
 	for ctx.Err() == nil {
 		first, last := l.Segments()
 		if first >= last {
@@ -53,8 +53,8 @@
 		if err != nil || 2*kept > all {
 			return err
 		}
-		if settle != nil {
-			moves = append(moves, settle)
+		if beforeDrop != nil {
+			moves = append(moves, beforeDrop)
 		}
 		for _, move := range moves {
 			if err := move(); err != nil {
--- a/internal/wal/wal.go
+++ b/internal/wal/wal.go
@@ -75,11 +75,11 @@
 	writerDone   chan struct{}
 	mu           sync.Mutex
 	files        map[uint32]File
-	first        uint32
-	last         uint32
-	lastSize     int64 // bytes written to the last segment
+	first        uint32 // number of the oldest segment
+	last         uint32 // number of the segment being written
+	lastSize     int64  // bytes written to the last segment
 	closed       bool
-	broken       error
+	broken       error // set by markBroken; Append returns it until the log is reopened
 	pending      []*batch
 	pendingBytes int // bytes of the pending batches
 }
