--- a/internal/artifactreplication/config_test.go
+++ b/internal/artifactreplication/config_test.go
@@ -8,7 +8,7 @@
 	"testing"
 )
 
-// TestConfig checks that the error for an unknown or invalid field names it and says what is expected, that
+// TestConfig checks that the error for an unknown or invalid field names it and what is expected, that
 // deploy/keep.toml is valid, and that a printed configuration can be read again.
 func TestConfig(t *testing.T) {
 	dir := t.TempDir()
--- a/internal/artifactreplication/decide.go
+++ b/internal/artifactreplication/decide.go
@@ -130,7 +130,7 @@
 	if value == nil {
 		var err error
 		if value, err = propose(promises); err != nil {
-			if d.freeze { // lift the freeze, so that the attempt can go on
+			if d.freeze { // lift the freeze, so that the agent can write to the attempt again
 				_, _ = n.resolve(ctx, d.at) // if this fails, the next write to the attempt resolves it
 			}
 			return nil, err
--- a/internal/artifactreplication/group_test.go
+++ b/internal/artifactreplication/group_test.go
@@ -472,7 +472,7 @@
 	}
 }
 
-// TestInterruptedSeal checks a seal whose coordinating node fails between its steps. The agent can go on writing or
+// TestInterruptedSeal checks a seal whose coordinating node fails between its steps. The agent can write more or
 // seal again, and a value that a majority may have accepted is decided.
 func TestInterruptedSeal(t *testing.T) {
 	g := newTestCluster(t, "a", "b", "c")
--- a/internal/artifactreplication/handover.go
+++ b/internal/artifactreplication/handover.go
@@ -97,7 +97,7 @@
 	return true
 }
 
-// finishDecisions completes decisions that another node left unfinished: ends and results that were accepted here,
+// finishDecisions completes decisions that another node left unfinished: ends and results that this replica accepted,
 // and completed attempts for which it is not known whether they are the task's result.
 func (n *Node) finishDecisions(ctx context.Context) error {
 	var errs []error
--- a/internal/artifactreplication/members.go
+++ b/internal/artifactreplication/members.go
@@ -134,8 +134,8 @@
 
 // identity is the state of a replica that survives restarts. Lists begins with the list for which the replica last had
 // all data; the later ones are those in force since then. It is empty if the replica never had all data, lost its disk
-// or skipped a list. A replica with an empty directory creates a new identity without lists, and so is not counted until
-// it has all data that it should have.
+// or skipped a list. A replica with an empty directory creates a new identity without lists, and so is not counted
+// until it has all data that it should have.
 type identity struct {
 	Disk        string    `json:"disk"`
 	Incarnation uint64    `json:"incarnation"` // number of starts on this directory
--- a/internal/artifactreplication/repair.go
+++ b/internal/artifactreplication/repair.go
@@ -67,14 +67,14 @@
 
 // repairState is the result of the last comparison with the other replicas.
 type repairState struct {
-	firstMissing    map[string]time.Time // when a task was first found to be incomplete here
-	pending         int                  // number of tasks still to be restored
-	underReplicated int                  // names that another replica lacks
-	misplaced       int                  // tasks to hand over
-	unreachable     map[string]string    // errors of the replicas that could not be compared with, by name
-	undecided       map[artifactstore.Attempt]bool
-	repairedTasks   int
-	repairedBytes   int64
+	firstMissing    map[string]time.Time           // when a task was first found to be incomplete here
+	pending         int                            // number of tasks still to be restored
+	underReplicated int                            // names that another replica lacks
+	misplaced       int                            // tasks to hand over
+	unreachable     map[string]string              // errors of the replicas that could not be compared with, by name
+	undecided       map[artifactstore.Attempt]bool // registers in which a value was accepted here, but none known to be decided
+	repairedTasks   int                            // since the start
+	repairedBytes   int64                          // since the start
 }
 
 // InSync reports whether this replica has everything that it should have by the current list.
@@ -84,9 +84,9 @@
 	return n.id.isSynced(&n.opt.Members)
 }
 
-// Repair compares this replica with all others, restores what is missing here, hands over tasks that don't belong
-// here, and completes unfinished decisions. A replica becomes in sync once all others have answered and everything
-// missing was restored.
+// Repair compares this replica with all others, restores what is missing here, hands over tasks of which it is not a
+// replica, and completes unfinished decisions. A replica that was not in sync is so again once all others
+// have answered and everything missing was restored.
 func (n *Node) Repair(ctx context.Context) error {
 	inSync := n.InSync()
 	found := n.compareAll(ctx, !inSync)
--- a/internal/artifactreplication/replica.go
+++ b/internal/artifactreplication/replica.go
@@ -76,7 +76,7 @@
 	put(ctx context.Context, tenant string, d blob.Digest, content io.Reader) error
 }
 
-// errorCodes maps errors to the codes by which clients and replicas tell them apart, and to the HTTP status and
+// errorCodes maps errors to the codes by which clients and replicas distinguish them, and to the HTTP status and
 // Retry-After of the response.
 var errorCodes = []struct {
 	code   string
--- a/internal/artifactreplication/serve_readers.go
+++ b/internal/artifactreplication/serve_readers.go
@@ -138,7 +138,7 @@
 	})
 	if err != nil {
 		// Some output may have been sent already. The client detects the error by the missing last line.
-		s.Node.opt.Log.Warn("reading log failed", "job", job, "task", task, "attempt", m.Number, "err", err)
+		s.Node.opt.Log.Warn("reading the log of a task failed", "job", job, "task", task, "attempt", m.Number, "err", err)
 		return nil
 	}
 	_ = enc.Encode(&artifactstore.Line{Number: next, State: state, Attempt: m.Number})
--- a/internal/artifactreplication/status.go
+++ b/internal/artifactreplication/status.go
@@ -27,14 +27,14 @@
 	Open                int               `json:"open_attempts"`
 	Bytes               int64             `json:"bytes"`
 	Blobs               int               `json:"blobs"`
-	PendingRepairs      int               `json:"repair_left"`    // tasks of which this replica lacks something
-	OldestRepairSeconds float64           `json:"repair_oldest"`  // seconds since the oldest of them was noticed
-	RepairedTasks       int               `json:"repaired"`       // tasks repaired since the start
-	RepairedBytes       int64             `json:"repaired_bytes"` // bytes transferred by repair since the start
-	UnderReplicated     int               `json:"replicas_short"` // attempts and results that another replica lacks
-	Misplaced           int               `json:"to_hand_over"`   // tasks that this replica no longer belongs to
-	Unreachable         map[string]string `json:"away,omitempty"` // errors of the replicas that could not be compared with, by name
-	Refused             map[string]int64  `json:"refused,omitempty"`
+	PendingRepairs      int               `json:"repair_left"`       // tasks of which this replica lacks something
+	OldestRepairSeconds float64           `json:"repair_oldest"`     // seconds since the oldest of them was noticed
+	RepairedTasks       int               `json:"repaired"`          // tasks repaired since the start
+	RepairedBytes       int64             `json:"repaired_bytes"`    // bytes transferred by repair since the start
+	UnderReplicated     int               `json:"replicas_short"`    // attempts and results that another replica lacks
+	Misplaced           int               `json:"to_hand_over"`      // tasks of which this is no longer a replica
+	Unreachable         map[string]string `json:"away,omitempty"`    // errors of the replicas that could not be compared with, by name
+	Refused             map[string]int64  `json:"refused,omitempty"` // requests refused since the start, by reason
 }
 
 // Joining is the state of a serving replica that does not have all its data yet.
--- a/internal/artifactstore/artifactstore.go
+++ b/internal/artifactstore/artifactstore.go
@@ -39,7 +39,7 @@
 	changed   sync.Cond
 	open      map[Attempt]*openAttempt
 	votes     map[Attempt]*Vote // of undecided registers; Number 0 is the register of the task's result
-	latest    map[string]uint64 // highest attempt that was begun here, by task prefix
+	latest    map[string]uint64 // highest attempt begun in this store, by task prefix
 	unsettled map[Attempt]bool  // sealed as completed, not yet known whether they are the task's result
 	locks     map[Attempt]*attemptLock
 	closed    bool
@@ -87,7 +87,7 @@
 type openStream struct {
 	next    uint64 // number of the next record
 	bytes   int64
-	lost    int64
+	lost    int64 // bytes of dropped output
 	batches []recordBatch
 }
 
@@ -303,7 +303,7 @@
 	return a, nil
 }
 
-// hasEnded reports whether an attempt has ended here, sealed or partial.
+// hasEnded reports whether this store has the end of an attempt, sealed or partial.
 func (st *Store) hasEnded(at Attempt) bool {
 	_, _, sealed := st.opt.Blobs.Ref(sealedName(at))
 	_, _, partial := st.opt.Blobs.Ref(partialName(at))
--- a/internal/artifactstore/decision.go
+++ b/internal/artifactstore/decision.go
@@ -10,7 +10,7 @@
 	"topazhollow/internal/protocol"
 )
 
-// decidedValue returns a register's value if it is known here.
+// decidedValue returns a register's value if this store knows it.
 func (st *Store) decidedValue(at Attempt) (value []byte, ok bool, err error) {
 	name := finalName(at)
 	if at.Number > 0 {
@@ -135,8 +135,8 @@
 	return st.opt.Blobs.DropRef(ctx, voteName(at))
 }
 
-// Unsettled lists the attempts that were sealed as completed and for which it is not yet known here whether they are
-// their tasks' results.
+// Unsettled lists the attempts that were sealed as completed and for which this store does not know yet whether
+// they are their tasks' results.
 func (st *Store) Unsettled() []Attempt {
 	st.mu.Lock()
 	defer st.mu.Unlock()
@@ -147,7 +147,8 @@
 	return list
 }
 
-// MarkSettled records that it is known whether an attempt is its task's result.
+// MarkSettled records that this store knows whether an attempt is its task's result, so that Unsettled no longer lists
+// the attempt.
 func (st *Store) MarkSettled(ctx context.Context, at Attempt) error {
 	st.mu.Lock()
 	unsettled := st.unsettled[at]
--- a/internal/artifactstore/inventory.go
+++ b/internal/artifactstore/inventory.go
@@ -12,7 +12,7 @@
 type Extent struct {
 	Next  uint64 `json:"next"` // number of the next record
 	Bytes int64  `json:"bytes"`
-	Lost  int64  `json:"lost,omitempty"`
+	Lost  int64  `json:"lost,omitempty"` // bytes of dropped output
 }
 
 // AttemptView is what one store has of an attempt.
@@ -21,17 +21,17 @@
 	Ended   string            `json:"ended,omitempty"` // digest of its manifest; empty while the attempt is open
 	Partial bool              `json:"partial,omitempty"`
 	Exit    *Exit             `json:"exit,omitempty"`
-	Voted   bool              `json:"voted,omitempty"` // a value of its end was accepted here, and may be decided
+	Voted   bool              `json:"voted,omitempty"` // this store accepted a value for its end, which may be decided
 	Idle    float64           `json:"idle,omitempty"`  // seconds since the last write to it
 	Streams map[string]Extent `json:"streams,omitempty"`
-	Files   map[string]string `json:"files,omitempty"`
+	Files   map[string]string `json:"files,omitempty"` // digests by path
 }
 
 // TaskView is what one store has of a task.
 type TaskView struct {
 	Attempts []AttemptView `json:"attempts"`
 	Result   *Result       `json:"result,omitempty"`
-	Voted    bool          `json:"voted,omitempty"` // a result was accepted here, and may be decided
+	Voted    bool          `json:"voted,omitempty"` // this store accepted a result, which may be decided
 }
 
 // viewOf returns the view of an open attempt. The caller holds st.mu.
@@ -99,7 +99,7 @@
 	return t, json.Unmarshal(value, t.Result)
 }
 
-// OpenAttempts lists the attempts that have not ended here.
+// OpenAttempts lists the attempts that are open in this store.
 func (st *Store) OpenAttempts() []AttemptView {
 	st.mu.Lock()
 	defer st.mu.Unlock()
@@ -160,7 +160,7 @@
 	return list, nil
 }
 
-// ParseName returns the attempt that a reference name, as listed by RefNames, belongs to.
+// ParseName parses a reference name as listed by RefNames. The name of a result gives an Attempt with Number 0.
 func ParseName(name string) (Attempt, error) {
 	parts := strings.Split(name, "/")
 	var at Attempt
--- a/internal/artifactstore/manifest.go
+++ b/internal/artifactstore/manifest.go
@@ -134,6 +134,7 @@
 	return protocol.Encode(m)
 }
 
+// mac returns the HMAC-SHA256 of data.
 func mac(key, data []byte) []byte {
 	h := hmac.New(sha256.New, key)
 	h.Write(data)
--- a/internal/artifactstore/register.go
+++ b/internal/artifactstore/register.go
@@ -70,8 +70,8 @@
 // Promise is a store's answer to Prepare and Accept.
 type Promise struct {
 	Vote                 // the store's vote; a Promised above the requested ballot is a refusal
-	Decided []byte       `json:"d,omitempty"` // the decided value, if it is known here
-	Latest  uint64       `json:"l,omitempty"` // in the register of a result: the highest attempt of the task known here
+	Decided []byte       `json:"d,omitempty"` // the decided value, if this store knows it
+	Latest  uint64       `json:"l,omitempty"` // in the register of a result: the highest attempt of the task that this store knows
 	View    *AttemptView `json:"w,omitempty"` // in the register of an end: what this store has of the attempt
 }
 
@@ -183,7 +183,7 @@
 	return st.logVote(ctx, at, v)
 }
 
-// Votes returns the store's votes in registers that are not decided here.
+// Votes returns the store's votes in registers of which it knows no decided value.
 func (st *Store) Votes() map[Attempt]Vote {
 	st.mu.Lock()
 	defer st.mu.Unlock()
--- a/internal/artifactstore/token.go
+++ b/internal/artifactstore/token.go
@@ -40,7 +40,7 @@
 	Task    *int      `json:"k,omitempty"` // nil: all tasks of the job
 	Number  uint64    `json:"a,omitempty"` // attempt, for Write
 	Machine string    `json:"m,omitempty"` // for Write
-	Session uint64    `json:"s,omitempty"`
+	Session uint64    `json:"s,omitempty"` // for Write
 	Class   string    `json:"c,omitempty"` // class of the job, for Write
 	Until   time.Time `json:"u"`
 }
--- a/internal/blob/blob_test.go
+++ b/internal/blob/blob_test.go
@@ -162,7 +162,7 @@
 					if err := os.Remove(filepath.Join(opt.Dir, "index")); err != nil {
 						t.Fatal(err)
 					}
-					for _, k := range want { // a rebuilt index takes all blobs as used now
+					for _, k := range want { // in a rebuilt index all blobs count as used now
 						k.used = now
 					}
 				}
@@ -667,7 +667,7 @@
 }
 
 // TestDropAbandonedWhileCommitting commits uploads while dropAbandoned runs. The two once took
-// the locks of store and upload in different orders and deadlocked.
+// the locks of store and upload in different orders, which deadlocked a replica for good.
 func TestDropAbandonedWhileCommitting(t *testing.T) {
 	s, err := Open(Options{Dir: t.TempDir(), MaxInline: 1})
 	if err != nil {
--- a/internal/blob/collect.go
+++ b/internal/blob/collect.go
@@ -214,9 +214,9 @@
 	return false
 }
 
-// rewrite appends a record again at the end of the log, unless it is no longer live.
-func (s *Store) rewrite(ctx context.Context, r *record, was wal.Pos) error {
-	if !s.isLive(r, was) {
+// rewrite appends the record at a position again at the end of the log, unless it is no longer live.
+func (s *Store) rewrite(ctx context.Context, r *record, at wal.Pos) error {
+	if !s.isLive(r, at) {
 		return nil
 	}
 	rs := []*record{r}
--- a/internal/blob/record.go
+++ b/internal/blob/record.go
@@ -32,7 +32,7 @@
 	stored int64    // bytes on disk
 	tenant string   // owner of the blob or of the reference
 	name   string   // of a reference
-	keys   []string // of a reference
+	keys   []string // keys of the blobs of a reference
 	data   []byte
 }
 
@@ -106,13 +106,13 @@
 // entry is a blob's entry in the index.
 type entry struct {
 	codec    byte
-	corrupt  bool // the content on disk is damaged and not repaired yet
-	inline   bool // the content is stored in the log
-	stored   int64
+	corrupt  bool  // the content on disk is damaged and not repaired yet
+	inline   bool  // the content is stored in the log
+	stored   int64 // bytes on disk
 	lastUsed int64 // Unix time in seconds, at a resolution of a minute
 	pos      wal.Pos
-	refs     uint32
-	tenants  []string
+	refs     uint32   // number of references to the blob
+	tenants  []string // owners
 }
 
 func (e *entry) encode() []byte {
--- a/internal/history/history_test.go
+++ b/internal/history/history_test.go
@@ -139,7 +139,8 @@
 	}
 }
 
-// TestStaleAnswersOfOtherNodes: each kind of violation must be found, whichever controller gave the answer.
+// TestStaleAnswersOfOtherNodes: each kind of violation must be found, also in the answer of another controller than the
+// one that gave the earlier answer.
 func TestStaleAnswersOfOtherNodes(t *testing.T) {
 	accepted := Call{Node: 0, Kind: Submit, Status: 201, State: protocol.Pending}
 	cancelled := Call{Node: 1, Kind: Cancel, Status: 200, State: protocol.Cancelled}
--- a/internal/snapshot/archive.go
+++ b/internal/snapshot/archive.go
@@ -47,15 +47,15 @@
 // record is one record of the log: a CBOR map (RFC 8949), compressed with Zstandard.
 type record struct {
 	Format  int     `cbor:"f"`
-	Kind    string  `cbor:"t"` // begin, part, end, changes, lost
-	Copy    uint64  `cbor:"c"`
+	Kind    string  `cbor:"t"`           // begin, part, end, changes, lost
+	Copy    uint64  `cbor:"c"`           // ID of the copy
 	At      int64   `cbor:"a,omitempty"` // Unix time in ms
-	From    uint64  `cbor:"x,omitempty"` // revisions before and after the changes
-	To      uint64  `cbor:"y,omitempty"`
+	From    uint64  `cbor:"x,omitempty"` // changes: revision before them; begin: revision of the copy
+	To      uint64  `cbor:"y,omitempty"` // changes: revision after them; end: revision of the copy
 	Entries []Entry `cbor:"e,omitempty"`
-	Keys    int     `cbor:"n,omitempty"`
-	Sum     []byte  `cbor:"h,omitempty"`
-	Why     string  `cbor:"w,omitempty"`
+	Keys    int     `cbor:"n,omitempty"` // end: number of keys
+	Sum     []byte  `cbor:"h,omitempty"` // end: contentSum of the keys
+	Why     string  `cbor:"w,omitempty"` // lost: reason
 }
 
 // The kinds of records.
@@ -80,7 +80,7 @@
 	Complete     bool      `json:"whole"`
 	LossReason   string    `json:"service_lost,omitempty"` // why the follower concluded that the service lost data after it
 
-	from wal.Pos
+	from wal.Pos // position of the begin record
 }
 
 // Archive is a directory of copies.
--- a/internal/snapshot/restore.go
+++ b/internal/snapshot/restore.go
@@ -32,7 +32,7 @@
 type Plan struct {
 	Copy       uint64 `json:"copy"`
 	Revision   uint64 `json:"revision"`
-	Generation uint64 `json:"generation"`
+	Generation uint64 `json:"generation"`     // epoch that the restore writes to
 	Jobs       int    `json:"jobs"`           // active jobs that the service lacks
 	Ends       int    `json:"ends"`           // ended jobs whose end the service lacks
 	Done       int    `json:"finished_tasks"` // finished tasks of those active jobs
@@ -41,7 +41,7 @@
 	Changes    int    `json:"changes"`        // updates of the service that the restore makes
 
 	record *leadership.Record
-	fence  protocol.Condition
+	fence  protocol.Condition // condition of every update: the key of the epoch is unchanged
 	jobs   []userapi.ActiveJob
 	ends   []datarecovery.Page
 	done   map[string]*bitset.BitSet
--- a/internal/taskrunner/taskrunner.go
+++ b/internal/taskrunner/taskrunner.go
@@ -40,11 +40,11 @@
 
 // Options configures a runner.
 type Options struct {
-	Spool          string   // directory of the spools
-	Keepers        []string // addresses of replicas; the next one is tried when one fails
-	MaxSpoolBytes  int64    // bytes of unsent output in the spool of one attempt; 64 MiB if 0
-	MaxRecordBytes int      // longest record in bytes, longer lines are split; 32 KiB if 0
-	RetryDelay     time.Duration
+	Spool          string        // directory of the spools
+	Keepers        []string      // addresses of replicas; the next one is tried when one fails
+	MaxSpoolBytes  int64         // bytes of unsent output in the spool of one attempt; 64 MiB if 0
+	MaxRecordBytes int           // longest record in bytes, longer lines are split; 32 KiB if 0
+	RetryDelay     time.Duration // upper bound of the first pause between retries, which doubles up to 30 s; 500 ms if 0
 	Log            *slog.Logger
 	Step           func(step string) // called at each durable step, for tests
 	// Acked is called when a replica has acknowledged records, with the number of the next record of the stream.
@@ -69,8 +69,8 @@
 
 	mu           sync.Mutex
 	changed      sync.Cond
-	unsent       []unsentRecord // records not acknowledged yet
-	nextNumber   map[string]uint64
+	unsent       []unsentRecord    // records not acknowledged yet
+	nextNumber   map[string]uint64 // number of the next record, by stream
 	unsentBytes  int64
 	dropped      map[string]*artifactstore.DroppedOutput // output dropped since the last record of a stream, by stream
 	files        []string
