--- a/internal/artifactreplication/repair.go
+++ b/internal/artifactreplication/repair.go
@@ -85,7 +85,7 @@
 }
 
 // Repair compares this replica with all others, restores what is missing here, hands over tasks of which it is not a
-// replica, and completes unfinished decisions. A replica that was not in sync is so again once all others
+// replica, and completes unfinished decisions. A replica that is not in sync becomes so once all others
 // have answered and everything missing was restored.
 func (n *Node) Repair(ctx context.Context) error {
 	inSync := n.InSync()
--- a/internal/artifactstore/messages.go
+++ b/internal/artifactstore/messages.go
@@ -39,7 +39,7 @@
 const (
 	StateFinal   = "final"   // the task's result
 	StateSealed  = "sealed"  // sealed, but not the task's result
-	StatePartial = "partial" // ended without a seal from its agent
+	StatePartial = "partial" // ended without a seal from its agent, and can't be sealed any more
 	StateOpen    = "goes on" // not ended; may receive more output
 	StateUnsure  = "unsure"  // too few replicas answered to determine the state
 )
