--- a/internal/artifactreplication/replica.go
+++ b/internal/artifactreplication/replica.go
@@ -76,7 +76,7 @@
 	put(ctx context.Context, tenant string, d blob.Digest, content io.Reader) error
 }
 
-// errorCodes maps errors to the codes by which clients and replicas tell them apart, and to the HTTP status and
+// errorCodes maps errors to the codes by which clients and replicas distinguish them, and to the HTTP status and
 // Retry-After of the response.
 var errorCodes = []struct {
 	code   string
@@ -354,7 +354,7 @@
 			errs = append(errs, err)
 		}
 	}
-	for _, err := range errs { // a definite answer tells more than a failed call
+	for _, err := range errs { // report that a replica lacks the blob rather than that a call failed
 		if errors.Is(err, blob.ErrNotFound) {
 			return nil, err
 		}
--- a/internal/artifactreplication/serve_readers.go
+++ b/internal/artifactreplication/serve_readers.go
@@ -129,7 +129,8 @@
 		if err := enc.Encode(&artifactstore.Line{Number: n, Record: &rec}); err != nil {
 			return err
 		}
-		if now := time.Now(); now.Sub(lastFlush) > 50*time.Millisecond { // limits both the followers' delay and the number of flushes
+		// Not after every record of a long log. Records in between stay buffered until the next flush.
+		if now := time.Now(); now.Sub(lastFlush) > 50*time.Millisecond {
 			lastFlush = now
 			return flush.Flush()
 		}
@@ -137,7 +138,7 @@
 	})
 	if err != nil {
 		// Some output may have been sent already. The client detects the error by the missing last line.
-		s.Node.opt.Log.Warn("reading log failed", "job", job, "task", task, "attempt", m.Number, "err", err)
+		s.Node.opt.Log.Warn("reading the log of a task failed", "job", job, "task", task, "attempt", m.Number, "err", err)
 		return nil
 	}
 	_ = enc.Encode(&artifactstore.Line{Number: next, State: state, Attempt: m.Number})
