--- a/internal/faultinjection/agent.go
+++ b/internal/faultinjection/agent.go
@@ -11,7 +11,8 @@
 )
 
 // RunAgent is the main function of an agent's process: it recovers the spool that an earlier process left, or runs an
-// attempt. It writes each acknowledgement of a replica to the history file before it continues.
+// attempt. It writes each acknowledgement that it receives from a replica to the history file before it continues, so
+// that the test knows what the replicas promised to a killed agent.
 func RunAgent(ctx context.Context, path string) error {
 	b, err := os.ReadFile(path)
 	if err != nil {
--- a/internal/faultinjection/combinedfaults.go
+++ b/internal/faultinjection/combinedfaults.go
@@ -64,7 +64,7 @@
 // firstLongJob is the lowest number of a job whose tasks run until they are stopped.
 const firstLongJob = 500
 
-// combinedTaskDuration returns a task's duration. The tasks of a short job end at different times.
+// combinedTaskDuration returns a task's duration. The tasks of a short job end four seconds apart.
 func combinedTaskDuration(task string) time.Duration {
 	uid, index, _ := protocol.SplitTask(task)
 	var number int
@@ -133,7 +133,7 @@
 }
 
 func (m *combinedFaults) submitUntilAccepted(ctx context.Context, job *protocol.Submission) error {
-	return m.withUserTimeout(ctx, job.UID+" accepted", func(ctx context.Context) bool { return m.users.SubmitUntil(ctx, m.rng, job) })
+	return m.withUserTimeout(ctx, job.UID+" is accepted", func(ctx context.Context) bool { return m.users.SubmitUntil(ctx, m.rng, job) })
 }
 
 // injectFaults injects two or three random overlapping faults while users cancel the long jobs and query all
@@ -170,9 +170,9 @@
 // queriesPerController is how often each controller is queried in immediate succession.
 const queriesPerController = 3
 
-// cancelAndQuery cancels a job and then queries all controllers concurrently about it and about a short job.
+// cancelAndQuery cancels a long job and then queries all controllers concurrently about it and about a short job.
 func (m *combinedFaults) cancelAndQuery(ctx context.Context, user uint64, job *protocol.Submission) error {
-	if err := m.withUserTimeout(ctx, job.UID+" cancelled", func(ctx context.Context) bool { return m.users.CancelUntil(ctx, m.userRand(user), job.UID) }); err != nil {
+	if err := m.withUserTimeout(ctx, job.UID+" is cancelled", func(ctx context.Context) bool { return m.users.CancelUntil(ctx, m.userRand(user), job.UID) }); err != nil {
 		return err
 	}
 	m.users.AskEveryController(job, queriesPerController)
--- a/internal/faultinjection/faultinjection.go
+++ b/internal/faultinjection/faultinjection.go
@@ -1,6 +1,6 @@
 // Package faultinjection tests the guarantees of controllers, agents and artifact-store replicas with real processes:
-// it injects faults at random moments, such as killing processes, and compares everything that is read afterwards with
-// what was acknowledged before.
+// it injects faults at random moments, such as killing processes hundreds of times, and compares everything that is
+// read afterwards with what was acknowledged before.
 package faultinjection
 
 import (
@@ -35,7 +35,7 @@
 type Killed struct {
 	Attempt artifactstore.Attempt
 	After   time.Duration // time from the process's start to the kill
-	Back    bool          // its spool was recovered by another process
+	Back    bool          // another process recovered its spool
 	Acked   uint64        // records acknowledged to it
 	Lines   int           // readable at the end
 	State   string        // of the attempt at the end; "" if no replica knows it
@@ -61,7 +61,8 @@
 // linesPerAttempt is how many lines each attempt prints.
 const linesPerAttempt = 40
 
-// script is each attempt's command. It prints lines and writes a file, all of which contain the attempt's name.
+// script is each attempt's command. It prints linesPerAttempt lines and writes a file, all of which contain the
+// attempt's name.
 const script = `i=0
 while [ $i -lt 40 ]; do
   echo "$ATTEMPT line $i"
@@ -71,12 +72,13 @@
 mkdir -p out
 printf 'file of %s' "$ATTEMPT" > out/result`
 
+// killTest is a kill test while it runs.
 type killTest struct {
 	options   Options
-	urls      []string
-	configs   map[string]string
-	mu        sync.Mutex
-	processes map[string]*exec.Cmd
+	urls      []string             // of the replicas, in the order of storeNames
+	configs   map[string]string    // paths of the replicas' settings files, by name
+	mu        sync.Mutex           // guards processes and, while tasks run, report
+	processes map[string]*exec.Cmd // of the running replicas, by name
 	report    Report
 }
 
@@ -109,7 +111,7 @@
 		task := d.report.Tasks
 		d.report.Tasks++
 		group.Go(func() error { return d.runTask(working, task, rand.New(rand.NewPCG(opt.Seed, uint64(task)+2))) })
-		if d.report.Tasks > 4*opt.Kills+opt.AtOnce { // most attempts are killed; far fewer means a wrong distribution
+		if d.report.Tasks > 4*opt.Kills+opt.AtOnce { // most attempts are killed; with too few kills by now, the delays are drawn wrong
 			break
 		}
 	}
--- a/internal/faultinjection/faultinjection_test.go
+++ b/internal/faultinjection/faultinjection_test.go
@@ -21,9 +21,9 @@
 	os.Exit(m.Run())
 }
 
-func run(t *testing.T, kills int, spoil func(a *artifactstore.AttemptSummary, lines []string, file string) ([]string, string)) *faultinjection.Report {
+func run(t *testing.T, kills int, corrupt func(a *artifactstore.AttemptSummary, lines []string, file string) ([]string, string)) *faultinjection.Report {
 	t.Helper()
-	r, err := faultinjection.Run(context.Background(), faultinjection.Options{Program: os.Args[0], Dir: t.TempDir(), Seed: 3, Kills: kills, Key: []byte("0123456789abcdef"), CorruptRead: spoil})
+	r, err := faultinjection.Run(context.Background(), faultinjection.Options{Program: os.Args[0], Dir: t.TempDir(), Seed: 3, Kills: kills, Key: []byte("0123456789abcdef"), CorruptRead: corrupt})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -44,35 +44,35 @@
 }
 
 // TestCheckDetectsCorruption corrupts what readers get: lost, duplicated or reordered lines, another attempt's file,
-// and a result that is withdrawn or doubled. The check must detect each; otherwise TestKills would pass on a faulty
-// build.
+// and a result that is withdrawn or occurs twice. The check must detect each; otherwise TestKills would pass on a
+// faulty build.
 func TestCheckDetectsCorruption(t *testing.T) {
-	for what, spoil := range map[string]func(a *artifactstore.AttemptSummary, lines []string, file string) ([]string, string){
+	for what, corrupt := range map[string]func(a *artifactstore.AttemptSummary, lines []string, file string) ([]string, string){
 		"loses the last line": func(_ *artifactstore.AttemptSummary, l []string, f string) ([]string, string) {
 			return l[:max(0, len(l)-1)], f
 		},
-		"doubles a line": func(_ *artifactstore.AttemptSummary, l []string, f string) ([]string, string) {
+		"duplicates a line": func(_ *artifactstore.AttemptSummary, l []string, f string) ([]string, string) {
 			return append(slices.Clone(l[:min(1, len(l))]), l...), f
 		},
-		"mixes up lines": func(_ *artifactstore.AttemptSummary, l []string, f string) ([]string, string) {
+		"reorders lines": func(_ *artifactstore.AttemptSummary, l []string, f string) ([]string, string) {
 			slices.Reverse(l)
 			return l, f
 		},
-		"gives another's file": func(_ *artifactstore.AttemptSummary, l []string, f string) ([]string, string) {
+		"returns another attempt's file": func(_ *artifactstore.AttemptSummary, l []string, f string) ([]string, string) {
 			return l, strings.Replace(f, "/", "/9", 1)
 		},
-		"takes a result back": func(a *artifactstore.AttemptSummary, l []string, f string) ([]string, string) {
+		"withdraws a result": func(a *artifactstore.AttemptSummary, l []string, f string) ([]string, string) {
 			a.State = artifactstore.StateSealed
 			return l, f
 		},
-		"has more than a result": func(a *artifactstore.AttemptSummary, l []string, f string) ([]string, string) {
+		"returns a second result": func(a *artifactstore.AttemptSummary, l []string, f string) ([]string, string) {
 			a.State = artifactstore.StateFinal
 			return l, f
 		},
 	} {
 		t.Run(what, func(t *testing.T) {
 			t.Parallel()
-			if r := run(t, 2, spoil); r.BrokenInTotal == 0 {
+			if r := run(t, 2, corrupt); r.BrokenInTotal == 0 {
 				t.Errorf("a build that %s was not detected", what)
 			}
 		})
--- a/internal/faultinjection/faultkinds.go
+++ b/internal/faultinjection/faultkinds.go
@@ -13,7 +13,7 @@
 )
 
 // combinedFaultKinds are the faults that a trial draws from. play injects the fault, waits for its duration and removes
-// it; one is the index of the affected controller.
+// it; one is the index of the affected controller. Some faults have a duration of their own or affect all controllers.
 var combinedFaultKinds = []struct {
 	name string
 	play func(ctx context.Context, g *region, rng *rand.Rand, one int, lasts time.Duration) error
@@ -165,7 +165,7 @@
 			return nil // another fault killed the process
 		}
 		wait.For(ctx, lasts)
-		_ = p.cmd.Process.Signal(syscall.SIGCONT) // as above
+		_ = p.cmd.Process.Signal(syscall.SIGCONT) // another fault may have killed the process meanwhile
 		return nil
 	}},
 }
@@ -183,8 +183,8 @@
 	}
 }
 
-// drawOneIn returns a function that is true once in the given number of calls on average. It is safe for concurrent
-// use.
+// drawOneIn returns a function that returns true in one of the given number of calls on average. The function is safe
+// for concurrent use.
 func drawOneIn(rng *rand.Rand, of int) func() bool {
 	var mu sync.Mutex
 	return func() bool {
--- a/internal/faultinjection/killagents.go
+++ b/internal/faultinjection/killagents.go
@@ -52,7 +52,7 @@
 		d.report.Attempts++
 		d.mu.Unlock()
 		var after time.Duration
-		if number <= 2 || r.IntN(3) == 0 { // the first two are killed, unless they finish earlier
+		if number <= 2 || r.IntN(3) == 0 { // the first two attempts are killed, unless they exit earlier
 			after = time.Duration(r.IntN(450_000)) * time.Microsecond
 		}
 		killed, err := d.runAgent(ctx, &job, after, number == 1)
@@ -79,9 +79,10 @@
 	}
 }
 
-// runAgent runs an agent's process and reports whether it was killed before it exited. If after is not 0, it kills the
-// process after that time, counted from the process's start or, if afterAck, from its first acknowledgement. With
-// afterAck some killed agents have acknowledged records even on a machine where processes start slowly.
+// runAgent runs an agent's process and reports whether it was killed before it exited. If after is not 0, runAgent
+// kills the process after that time, counted from the process's start or, with afterAck, from the first acknowledgement
+// that it received. afterAck ensures that some killed agents have acknowledged records even where processes start
+// slowly.
 func (d *killTest) runAgent(ctx context.Context, job *Job, after time.Duration, afterAck bool) (killed bool, err error) {
 	path := filepath.Join(d.options.Dir, "history", filepath.Base(job.History)+".json")
 	if err := os.WriteFile(path, protocol.Encode(job), 0o600); err != nil {
--- a/internal/faultinjection/killcheck.go
+++ b/internal/faultinjection/killcheck.go
@@ -26,7 +26,7 @@
 		var what string
 		var n uint64
 		if _, err := fmt.Sscan(in.Text(), &what, &n); err != nil {
-			continue // truncated by a kill: nobody has seen this acknowledgement
+			continue // a kill truncated the line, so the agent had not acted on this acknowledgement
 		}
 		switch what {
 		case "stdout":
@@ -95,6 +95,7 @@
 	return nil
 }
 
+// attemptStates formats the number and state of each attempt.
 func attemptStates(list []artifactstore.AttemptSummary) (s []string) {
 	for _, a := range list {
 		s = append(s, fmt.Sprintf("%d %s", a.Number, a.State))
@@ -165,7 +166,7 @@
 	return nil
 }
 
-// checkFile reads the file of a sealed attempt.
+// checkFile reads the file of a sealed attempt and checks that it is the only one.
 func (d *killTest) checkFile(ctx context.Context, r *artifactstore.Reader, at string, a *artifactstore.AttemptSummary) (string, error) {
 	m, _, err := r.Manifest(ctx, a.Job, a.Task, a.Number)
 	if err != nil {
--- a/internal/faultinjection/killstores.go
+++ b/internal/faultinjection/killstores.go
@@ -71,6 +71,7 @@
 	}
 }
 
+// stopAll kills all replicas.
 func (d *killTest) stopAll() {
 	for _, name := range storeNames {
 		d.kill(name)
@@ -104,7 +105,7 @@
 			return err
 		}
 		if lost {
-			// The store does not guarantee to survive the loss of a second disk before the first is repaired.
+			// The store does not guarantee to survive the loss of a second disk before the first one's data is replicated again.
 			if err := d.awaitStatus(context.WithoutCancel(ctx), func(st *artifactreplication.Status) bool {
 				return st.Name != name || st.State == string(artifactreplication.Serving)
 			}); err != nil {
--- a/internal/faultinjection/loss.go
+++ b/internal/faultinjection/loss.go
@@ -23,13 +23,15 @@
 	Settled time.Duration `json:"settled_ns"` // from the loss until all accepted jobs were done
 }
 
-// The kinds of losses, and of faults beside them, that trials draw from.
+// The kinds of losses, and of faults that are active during the loss, that trials draw from. The losses are: all keys;
+// a rollback to a moment between two submissions ("back") or shortly before the loss ("seconds"); the active jobs'
+// keys; the lists of machines ("roster"); the control record ("record"); and the leases.
 var (
 	lossKinds  = []string{"all", "back", "seconds", "jobs", "roster", "record", "leases"}
 	lossFaults = []string{"none", "one ends", "one is killed while rebuilding", "machine cut", "outage", "loses twice"}
 )
 
-// Losses runs trials of random losses of the key-value store's data against real controller processes on loopback, each
+// Losses runs trials of random losses of the state service's data against real controller processes on loopback, each
 // in a region of its own. The trials are returned in the order of their seeds.
 func Losses(ctx context.Context, o TrialOptions) ([]LossTrial, error) {
 	trials := make([]LossTrial, o.Trials)
@@ -85,7 +87,7 @@
 		return err
 	}
 	g.checker.RecordCancellation(cancelled.UID)
-	if err := g.await(ctx, cancelled.UID+" cancelled", func() bool {
+	if err := g.await(ctx, cancelled.UID+" is cancelled", func() bool {
 		status, st := g.request("POST", protocol.PathSubmit+"/"+cancelled.UID+"/withdraw", struct{}{})
 		g.checker.RecordAnswer(cancelled.UID, status, st.State, false)
 		return status == 200
@@ -118,6 +120,7 @@
 	return g.awaitState(ctx, cancelled.UID, protocol.Cancelled)
 }
 
+// loseData drops the data of the trial's loss while the trial's fault is active. It returns after the fault has ended.
 func (g *region) loseData(ctx context.Context, t *LossTrial, saved simulation.StoreSnapshot) error {
 	drop := func() {
 		switch t.Loss {
--- a/internal/faultinjection/loss_test.go
+++ b/internal/faultinjection/loss_test.go
@@ -8,7 +8,7 @@
 	"topazhollow/internal/faultinjection"
 )
 
-// TestLosses loses data of the key-value store in a dozen random trials with other faults, such as killed controller
+// TestLosses loses data of the state service in a dozen random trials with other faults, such as killed controller
 // processes. No accepted, done or cancelled job may be forgotten, and no task may run twice.
 func TestLosses(t *testing.T) {
 	runTrialGroups(t, 3, 4, func(t *testing.T, group uint64) ([]faultinjection.LossTrial, error) {
--- a/internal/faultinjection/measure.go
+++ b/internal/faultinjection/measure.go
@@ -37,7 +37,7 @@
 type Measured struct {
 	Noticed time.Duration `json:"noticed_ns"`        // the first controller noticed the loss
 	Entered time.Duration `json:"generation_ns"`     // all running controllers are in the next epoch
-	Polled  time.Duration `json:"polled_ns"`         // an active and an ended job are answered correctly; 0: no controller has the data
+	Polled  time.Duration `json:"polled_ns"`         // an active and an ended job are answered correctly; 0: neither a controller nor a snapshot has the data
 	Taken   time.Duration `json:"accepted_ns"`       // the first new job was accepted
 	Started time.Duration `json:"started_ns"`        // the first task started
 	Written time.Duration `json:"written_back_ns"`   // all active and ended jobs are in the store again
@@ -53,12 +53,12 @@
 
 // The parameters of a measured region.
 const (
-	measuredCPUs      = 16 // per machine
-	measuredTaskCPUs  = 4
-	measuredSubmitter = 16 // concurrent users that submit jobs
-	firstEndedJob     = 500000
-	firstNewJob       = 400000
-	restartAfter      = 3 * time.Second // of killed controllers
+	measuredCPUs       = 16 // per machine
+	measuredTaskCPUs   = 4
+	measuredSubmitters = 16              // concurrent users that submit jobs
+	firstEndedJob      = 500000          // number of the first job that ended before the loss
+	firstNewJob        = 400000          // number of the job that is submitted after the loss
+	restartAfter       = 3 * time.Second // from the loss until the killed controllers are restarted
 )
 
 // lossMeasurement is a measurement while it runs.
@@ -75,7 +75,7 @@
 	cpuBefore     []float64 // processor time of each controller until the loss, in seconds
 }
 
-// MeasureLoss measures how a region recovers from the loss of all of the key-value store's data. With an error it may
+// MeasureLoss measures how a region recovers from the loss of all of the state service's data. With an error it may
 // return a partial result.
 func MeasureLoss(ctx context.Context, o MeasureOptions) (m *Measured, err error) {
 	g, err := openMeasuredRegion(o)
@@ -147,6 +147,7 @@
 	return g, nil
 }
 
+// job returns an active job with a number.
 func (l *lossMeasurement) job(i int) *protocol.Submission {
 	s := arrayJob(i, l.tasks)
 	s.CPUs, s.MemoryGB, s.EstimateSeconds = measuredTaskCPUs, 8, 600
@@ -155,24 +156,24 @@
 
 // submitAll submits all jobs with several concurrent users and returns once all are accepted.
 func (l *lossMeasurement) submitAll(ctx context.Context) error {
-	ended := make(chan error, measuredSubmitter)
-	for i := range measuredSubmitter {
+	ended := make(chan error, measuredSubmitters)
+	for i := range measuredSubmitters {
 		go func() {
 			own := *l.region
 			own.rng = rand.New(rand.NewPCG(3, uint64(i)))
 			var err error
-			for j := i; j < l.options.ActiveJobs && err == nil; j += measuredSubmitter {
+			for j := i; j < l.options.ActiveJobs && err == nil; j += measuredSubmitters {
 				err = own.submit(ctx, l.job(j))
 			}
 			ended <- err
 		}()
 	}
-	for range measuredSubmitter {
+	for range measuredSubmitters {
 		if err := <-ended; err != nil {
 			return err
 		}
 	}
-	fmt.Fprintf(l.options.Out, "%d jobs of %d tasks accepted, %d ends\n", l.options.ActiveJobs, l.tasks, l.options.EndedJobs)
+	fmt.Fprintf(l.options.Out, "%d jobs of %d tasks accepted, %d jobs ended before\n", l.options.ActiveJobs, l.tasks, l.options.EndedJobs)
 	return nil
 }
 
@@ -239,7 +240,7 @@
 	})
 }
 
-// awaitSteps records when each step is first reached and returns once all are.
+// awaitSteps records when each step of the recovery is first reached and returns once all are.
 func (l *lossMeasurement) awaitSteps(ctx context.Context) error {
 	m, o := l.result, l.options
 	first := func(d *time.Duration, holds func() bool) {
@@ -247,7 +248,7 @@
 			*d = time.Since(l.lostAt)
 		}
 	}
-	forgotten := o.KilledControllers == len(l.processes) && !o.KeepSnapshot
+	forgotten := o.KilledControllers == len(l.processes) && !o.KeepSnapshot // neither a controller nor a snapshot has the data
 	late := l.job(firstNewJob)
 	l.checker.RecordSubmission(late)
 	return l.pollOverviews(ctx, func(views []storeView) bool {
@@ -279,7 +280,8 @@
 	return noticed, entered, written
 }
 
-// answersCorrectly reports whether users get correct answers about an active job and about one that ended.
+// answersCorrectly reports whether users get correct answers about an active job and about one that ended. It is always
+// true without ended jobs.
 func (l *lossMeasurement) answersCorrectly() bool {
 	activeStatus, active := l.request("GET", protocol.PathSubmit+"/job-000001", nil)
 	endedStatus, ended := l.request("GET", fmt.Sprintf("%s/job-%06d", protocol.PathSubmit, firstEndedJob+1), nil)
@@ -304,7 +306,7 @@
 	m.On[1], m.Broken = l.checker.CountRunning(), l.checker.BrokenRules()
 }
 
-// snapshotFollower follows the key-value store into a snapshot archive and restores the store from it.
+// snapshotFollower copies the state service's changes into a snapshot archive and restores the store from it.
 type snapshotFollower struct {
 	config     *snapshot.Config
 	archive    *snapshot.Archive
@@ -313,8 +315,8 @@
 	restoredAt time.Time
 }
 
-// startSnapshots starts to follow the key-value store and returns once there is a snapshot. The follower may use a
-// tenth of the request rate; a restore may use two thirds of the change rate.
+// startSnapshots starts to copy the state service's changes and returns once there is a snapshot. The follower may use
+// a tenth of the request rate; a restore may use two thirds of the change rate.
 func (g *region) startSnapshots(ctx context.Context) (*snapshotFollower, error) {
 	c := &snapshotFollower{config: snapshot.DefaultConfig(), done: make(chan error, 1)}
 	c.config.State, c.config.Dir = g.store.Addr(), filepath.Join(g.dir, "copies")
@@ -346,7 +348,8 @@
 	_ = c.archive.Close() // the archive is not read any more
 }
 
-// restore restores the last snapshot once the controllers began the next epoch, and declares the restore complete.
+// restore restores the last snapshot once the controllers have begun the next epoch, which makes Plan succeed, and then
+// declares to them that the restore is complete.
 func (c *snapshotFollower) restore(ctx context.Context) error {
 	last, _ := c.archive.Latest()
 	r := snapshot.NewRestorer(c.config)
--- a/internal/faultinjection/overload.go
+++ b/internal/faultinjection/overload.go
@@ -37,31 +37,33 @@
 	LoadFactor   float64            `json:"crowd"`            // CPUs requested by small tasks, as a multiple of all CPUs
 	DemandCPUs   map[string]float64 `json:"wanted_cpus"`      // CPUs that would keep up with the submitted load, by class
 	MeanCPUs     map[string]float64 `json:"got_cpus"`         // mean by class, after the floors had time to take effect
-	MinLargeCPUs float64            `json:"least_large_cpus"` // minimum mean of the large class over five seconds of that time without a fault
+	MinLargeCPUs float64            `json:"least_large_cpus"` // lowest mean of the large class over any five seconds of that time, without the fault and the recovery from it
 	Jain         float64            `json:"jain"`             // Jain's index of each class's mean CPUs relative to its demand
 	MinShare     float64            `json:"smallest_share"`   // smallest mean CPUs of a class relative to its demand
 	Refused      int                `json:"refused"`          // submissions that were not accepted and had to be retried
 	Broken       string             `json:"broken,omitempty"`
 
-	samples      []usageSample
-	measuredFrom time.Duration // the floors have taken effect by then
+	samples      []usageSample // of the whole trial, about ten per second
+	measuredFrom time.Duration // from the beginning until the floors have taken effect
 }
 
+// usageSample is the CPUs of each class's tasks on machines at one moment.
 type usageSample struct {
-	at   time.Duration
+	at   time.Duration // since the beginning of the trial
 	cpus map[string]float64
 }
 
+// overloadFaults are the faults that trials inject in turn.
 var overloadFaults = []string{"none", "one ends", "all end", "outage", "goes back"}
 
 // The classes and times of the simulation. Large tasks need three quarters of a machine, so they find no room if small
 // ones occupy each freed CPU.
 const (
 	smallClass, largeClass = "small", "large"
-	loadDuration           = 40 * time.Second
-	floorDelay             = 3 * time.Second
+	loadDuration           = 40 * time.Second // how long jobs are submitted
+	floorDelay             = 3 * time.Second  // the controllers' floor_after_s
 	settleTime             = 19 * time.Second // until the overload is detected and the tasks on reserved machines have ended
-	recoveryTime           = 12 * time.Second
+	recoveryTime           = 12 * time.Second // after a fault, not measured
 )
 
 // Overloads runs overload trials with faults against real controller processes on loopback.
@@ -76,7 +78,7 @@
 			return "", err
 		}
 		verdict, err := trialVerdict(dir, t.Broken)
-		return fmt.Sprintf("seed %d: %.1f times, %s: large %.0f of %.0f CPUs wanted, %.0f at least; small %.0f of %.0f; Jain %.2f; %d refused; %s", t.Seed, t.LoadFactor, t.Fault,
+		return fmt.Sprintf("seed %d: load factor %.1f, %s: large %.0f of %.0f CPUs wanted, %.0f at least; small %.0f of %.0f; Jain %.2f; %d refused; %s", t.Seed, t.LoadFactor, t.Fault,
 			t.MeanCPUs[largeClass], t.DemandCPUs[largeClass], t.MinLargeCPUs, t.MeanCPUs[smallClass], t.DemandCPUs[smallClass], t.Jain, t.Refused, verdict), err
 	})
 	if err != nil {
@@ -102,8 +104,8 @@
 	return err
 }
 
-// runOverload submits large tasks and several times more urgent small tasks than there is room for, and samples which
-// class runs.
+// runOverload submits large tasks and several times more urgent small tasks than the machines can run, samples the CPUs
+// of each class, and checks that the large class got its floor.
 func (g *region) runOverload(ctx context.Context, rng *rand.Rand, t *OverloadTrial) error {
 	cpus := float64(g.size.machines) * g.size.cpus
 	t.LoadFactor = 2 + 2*rng.Float64()
@@ -113,7 +115,7 @@
 		trial:  t,
 		saved:  g.store.Snapshot(),
 		failed: make(chan error, 1),
-		// a small job has 12 tasks of one CPU and two seconds
+		// A small job has 12 tasks of one CPU and two seconds. A large one has 6 tasks of 6 CPUs and three seconds.
 		rates: map[string]float64{smallClass: t.LoadFactor * cpus / 24, largeClass: 0.5},
 	}
 	if err := c.submitAll(ctx, rng); err != nil {
@@ -122,7 +124,8 @@
 	if err := c.awaitDone(ctx); err != nil {
 		return err
 	}
-	// The floor is half of the demand. 0.7 of it allows for whole tasks and the gap between two of them.
+	// The floor is half of the demand. 0.7 of it suffices, because tasks are not divisible and CPUs idle between two
+	// tasks.
 	if floor := 0.5 * t.DemandCPUs[largeClass] * 0.7; t.MinLargeCPUs < floor {
 		return fmt.Errorf("the large class got %.1f CPUs over five seconds, expected at least %.1f", t.MinLargeCPUs, floor)
 	}
@@ -202,6 +205,7 @@
 // submitTimeout is how long a user retries a submission.
 const submitTimeout = 60 * time.Second
 
+// submitUntilAccepted repeats a submission until it is accepted or submitTimeout has passed, and counts the refusals.
 func (c *overloadRun) submitUntilAccepted(ctx context.Context, user *region, s *protocol.Submission) {
 	c.checker.RecordSubmission(s)
 	for end := time.Now().Add(submitTimeout); ; {
@@ -236,6 +240,7 @@
 	return nil
 }
 
+// injectFault injects an overload trial's fault and returns after it has ended.
 func (g *region) injectFault(ctx context.Context, rng *rand.Rand, fault string, saved simulation.StoreSnapshot) error {
 	switch fault {
 	case "one ends":
--- a/internal/faultinjection/process.go
+++ b/internal/faultinjection/process.go
@@ -17,6 +17,7 @@
 	ended  chan struct{} // closed when the process has exited
 }
 
+// start starts a controller's process, unless it is running.
 func (g *region) start(i int) error {
 	g.processMu.Lock()
 	defer g.processMu.Unlock()
@@ -44,7 +45,7 @@
 // ticksPerSecond is USER_HZ, the unit of processor time in /proc/PID/stat (proc(5)); it is always 100 on Linux.
 const ticksPerSecond = 100
 
-// usage returns a process's processor time in seconds and its peak memory in MB. Values that cannot be read are 0.
+// usage returns the process's processor time in seconds and its peak memory in MB. Values that cannot be read are 0.
 func (p *process) usage() (cpu, memory float64) {
 	pid := p.cmd.Process.Pid
 	stat, _ := os.ReadFile(fmt.Sprintf("/proc/%d/stat", pid))
@@ -65,7 +66,7 @@
 	return cpu, memory
 }
 
-// kill kills a controller's process with SIGKILL and waits until it has exited.
+// kill kills a controller's process with SIGKILL, if it is running, and waits until it has exited.
 func (g *region) kill(i int) {
 	g.processMu.Lock()
 	defer g.processMu.Unlock()
--- a/internal/faultinjection/region.go
+++ b/internal/faultinjection/region.go
@@ -23,15 +23,15 @@
 type region struct {
 	size         regionSize
 	dir, program string
-	script       string                          // text of the controllers' options file
+	script       string                          // content of the controllers' options file
 	taskDuration func(task string) time.Duration // overrides size.taskDuration if set
 	store        *simulation.KVStore
-	endpoints    []*simulation.Endpoint // each controller's endpoint of the key-value store
+	endpoints    []*simulation.Endpoint // each controller's endpoint of the state service
 	pipes        simulation.Paths       // from one controller to another
 	cloud        *simulation.Cloud
 	checker      *simulation.Checker
-	listen       []string
-	processMu    *sync.Mutex // guards starting and killing controllers
+	listen       []string    // the controllers' addresses for users and agents
+	processMu    *sync.Mutex // serializes starting and killing controllers; a pointer, because users work with copies of the region
 	processes    []*process
 	rng          *rand.Rand
 	client       *http.Client
@@ -74,6 +74,7 @@
 	return broken, nil
 }
 
+// open starts the cloud, the controllers and, unless the region already has one, the store.
 func (g *region) open() (err error) {
 	if err := os.MkdirAll(g.dir, 0o700); err != nil {
 		return err
@@ -192,6 +193,7 @@
 	}
 }
 
+// config returns the path of a controller's settings file.
 func (g *region) config(i int) string {
 	return filepath.Join(g.dir, fmt.Sprintf("node-%d.json", i))
 }
@@ -226,11 +228,12 @@
 	}
 }
 
+// request sends a request to a random controller. It returns status code 0 if there is no answer.
 func (g *region) request(method, path string, body any) (int, protocol.Status) {
 	return g.requestDrawn(g.rng, method, path, body)
 }
 
-// requestDrawn sends a request to a controller drawn from the caller's random source.
+// requestDrawn is request with the caller's random source.
 func (g *region) requestDrawn(rng *rand.Rand, method, path string, body any) (int, protocol.Status) {
 	var st protocol.Status
 	var data []byte
@@ -250,6 +253,8 @@
 	return resp.StatusCode, st
 }
 
+// await waits up to 90 s until a condition holds. It returns early, without an error, once a rule is violated, because
+// the trial has failed then.
 func (g *region) await(ctx context.Context, what string, holds func() bool) error {
 	ctx, cancel := context.WithTimeout(ctx, 90*time.Second)
 	defer cancel()
@@ -264,17 +269,19 @@
 	return nil
 }
 
+// submit repeats a submission until it is accepted.
 func (g *region) submit(ctx context.Context, s *protocol.Submission) error {
 	g.checker.RecordSubmission(s)
-	return g.await(ctx, s.UID+" accepted", func() bool {
+	return g.await(ctx, s.UID+" is accepted", func() bool {
 		status, st := g.request("POST", protocol.PathSubmit, s)
 		g.checker.RecordAnswer(s.UID, status, st.State, false)
 		return status == 200 || status == 201
 	})
 }
 
+// awaitState queries a job until it is in a state.
 func (g *region) awaitState(ctx context.Context, uid string, state protocol.JobState) error {
-	return g.await(ctx, uid+" "+string(state), func() bool {
+	return g.await(ctx, uid+" is "+string(state), func() bool {
 		status, st := g.request("GET", protocol.PathSubmit+"/"+uid, nil)
 		g.checker.RecordAnswer(uid, status, st.State, false)
 		return status == 200 && st.State == state
--- a/internal/goldentest/goldentest.go
+++ b/internal/goldentest/goldentest.go
@@ -1,7 +1,7 @@
 // Package goldentest compares encoded values with golden files in testdata/golden. Messages between controllers,
-// answers to agents and users, and data in the key-value store and on disk outlive the process that wrote them:
-// renaming a Go identifier must not change the encoding, and what an earlier version wrote must remain readable.
-// Encodings may only be extended: rewrite a golden file only for an added field or kind, with
+// answers to agents and users, and data in the state service and on disk are read by processes of other versions than
+// the one that wrote them: renaming a Go identifier must not change the encoding, and what an earlier version wrote
+// must remain readable. Encodings may only be extended: rewrite a golden file only for an added field or kind, with
 // `go test -run Golden -update`.
 package goldentest
 
@@ -87,13 +87,13 @@
 
 // Sample returns the content of a golden file without comparing it, for data that has several valid encodings and only
 // needs to be decoded. With -update it first writes the current encoding to the file.
-func Sample(t testing.TB, name string, today []byte) []byte {
+func Sample(t testing.TB, name string, current []byte) []byte {
 	t.Helper()
 	if *update {
 		if err := os.MkdirAll(directory, 0o755); err != nil {
 			t.Fatal(err)
 		}
-		if err := os.WriteFile(filepath.Join(directory, name), today, 0o644); err != nil {
+		if err := os.WriteFile(filepath.Join(directory, name), current, 0o644); err != nil {
 			t.Fatal(err)
 		}
 	}
--- a/internal/goldentest/goldentest_test.go
+++ b/internal/goldentest/goldentest_test.go
@@ -44,9 +44,9 @@
 
 // TestBytes: bytes that differ from the file must fail the test, and comparing must not write the file.
 func TestBytes(t *testing.T) {
-	writes := *update
+	updating := *update
 	*update = false
-	t.Cleanup(func() { *update = writes })
+	t.Cleanup(func() { *update = updating })
 	t.Chdir(t.TempDir())
 	path := filepath.Join(directory, "x")
 	if err := os.MkdirAll(directory, 0o755); err != nil {
--- a/internal/loadtest/agent.go
+++ b/internal/loadtest/agent.go
@@ -32,12 +32,12 @@
 	addr       string
 	listener   net.Listener
 	rng        *rand.Rand
-	wake       chan struct{} // a change is to be sent in a heartbeat
+	wake       chan struct{} // requests an early heartbeat, because something changed
 
 	mu              sync.Mutex
 	incarnation     uint64
 	seq             uint64
-	fencingToken    uint64
+	fencingToken    uint64                // highest token received
 	tasks           []protocol.TaskStatus // in the order of their starts
 	timers          map[string]*time.Timer
 	lastAnswered    time.Time // when the last answered heartbeat was sent
@@ -52,6 +52,7 @@
 		Tasks: append([]protocol.TaskStatus{}, h.tasks...)}
 }
 
+// requestHeartbeat makes the agent send its next heartbeat early.
 func (h *simulatedAgent) requestHeartbeat() {
 	select {
 	case h.wake <- struct{}{}:
@@ -131,7 +132,7 @@
 	h.requestHeartbeat()
 }
 
-// killAll ends all tasks without a result.
+// killAll kills all tasks and drops their exit statuses.
 func (h *simulatedAgent) killAll() {
 	for i := range h.tasks {
 		if h.tasks[i].State != protocol.Exited {
@@ -154,8 +155,8 @@
 	h.pool.recorder.countRemoved()
 }
 
-// prepareHeartbeat creates a heartbeat, after the tasks were killed if the lease expired. ok is false once the machine
-// is removed.
+// prepareHeartbeat creates a heartbeat. If the lease expired, it first kills all tasks and begins a new incarnation. ok
+// is false once the machine is removed.
 func (h *simulatedAgent) prepareHeartbeat() (body []byte, incarnation uint64, ok bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -176,7 +177,8 @@
 	return protocol.Encode(h.heartbeat()), h.incarnation, true
 }
 
-// handleAnswer applies the answer to a heartbeat that was sent at a time in an incarnation.
+// handleAnswer renews the lease and executes the commands in the answer to a heartbeat, unless the answer has an old
+// token or the incarnation that sent the heartbeat has ended. sent is when the heartbeat was sent.
 func (h *simulatedAgent) handleAnswer(a *protocol.HeartbeatAnswer, sent time.Time, incarnation uint64) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -201,13 +203,13 @@
 			return
 		}
 		sent := time.Now()
-		to, good := h.sendHeartbeat(ctx, link, body, incarnation, sent)
-		if good != connected {
-			connected = good
-			h.pool.recorder.addConnected(map[bool]int{true: 1, false: -1}[good])
+		to, answered := h.sendHeartbeat(ctx, link, body, incarnation, sent)
+		if answered != connected {
+			connected = answered
+			h.pool.recorder.addConnected(map[bool]int{true: 1, false: -1}[answered])
 		}
 		switch {
-		case good:
+		case answered:
 			pause = time.Duration((0.75 + h.rng.Float64()/2) * float64(h.pool.heartbeatInterval))
 			continue
 		case to >= 0 && to != at:
@@ -244,8 +246,9 @@
 	}
 }
 
-// sendHeartbeat sends a heartbeat and applies its answer; to is the index of the controller named in a redirect, or -1.
-func (h *simulatedAgent) sendHeartbeat(ctx context.Context, link *httpx.ClientConn, body []byte, incarnation uint64, sent time.Time) (to int, good bool) {
+// sendHeartbeat sends a heartbeat and applies its answer. to is the index of the controller named in a redirect, or -1;
+// answered is true only for status 200.
+func (h *simulatedAgent) sendHeartbeat(ctx context.Context, link *httpx.ClientConn, body []byte, incarnation uint64, sent time.Time) (to int, answered bool) {
 	resp, _, err := link.Do(ctx, http.MethodPost, protocol.PathHeartbeat, body, answerTimeout)
 	c := Counts{Heartbeats: 1, HeartbeatBytes: int64(len(body))}
 	defer func() { h.pool.recorder.addCounts(c) }()
@@ -301,10 +304,10 @@
 	h.pool.recorder.addCounts(Counts{Commands: 1, CommandBytes: max(r.ContentLength, 0), ResultBytes: int64(len(answer))})
 }
 
-// handleInspect answers with a heartbeat.
+// handleInspect answers with a heartbeat, without executing anything.
 func (h *simulatedAgent) handleInspect(w http.ResponseWriter) {
 	h.mu.Lock()
 	answer := protocol.Encode(h.heartbeat())
 	h.mu.Unlock()
-	_, _ = w.Write(answer) // as above
+	_, _ = w.Write(answer) // if it fails, the controller counts the request as unanswered
 }
--- a/internal/loadtest/cloud.go
+++ b/internal/loadtest/cloud.go
@@ -15,8 +15,8 @@
 // maxListed bounds the machines in one page of the cloud's list.
 const maxListed = 500
 
-// cloud simulates the cloud's API with a fixed set of machines that run from the beginning. It refuses to rent further
-// ones and accepts returns.
+// cloud simulates the cloud's API with a fixed set of machines that run from the beginning. It refuses all requests for
+// further machines and accepts returns.
 type cloud struct {
 	types  []protocol.MachineType
 	remove func(names []string) // removes machines and waits until they are gone
@@ -24,7 +24,7 @@
 	addr   string
 
 	mu               sync.Mutex
-	hosts            []protocol.Host // by name
+	hosts            []protocol.Host // sorted by name
 	began            time.Time
 	pagesListed      int
 	machinesReturned int
--- a/internal/loadtest/config.go
+++ b/internal/loadtest/config.go
@@ -1,7 +1,7 @@
 // Package loadtest measures how the controllers' cost grows with the fleet. It runs real controller processes on this
 // machine against thousands of simulated agents, which implement the agent protocol but execute nothing, and against
-// simulations of the key-value store, the cloud and the users. One run executes one experiment and produces one Result;
-// several results are fitted to slopes.
+// simulations of the state service, the cloud and the users. One run executes one experiment and produces one Result. A
+// line is fitted through each figure of several results; its slope shows how the figure grows.
 package loadtest
 
 import (
@@ -15,21 +15,21 @@
 	Seed              uint64  `toml:"seed" json:"seed"`                               // of all random choices
 	Duration          float64 `toml:"duration_s" json:"duration_s"`                   // measuring time, after the region has settled
 	SettleTimeout     float64 `toml:"settle_s" json:"settle_s"`                       // limit for settling
-	Controllers       int     `toml:"controllers" json:"controllers"`                 //
-	Agents            int     `toml:"workers" json:"workers"`                         //
-	AgentsPerProcess  int     `toml:"workers_per_process" json:"workers_per_process"` //
-	Zones             int     `toml:"zones" json:"zones"`                             //
-	Teams             int     `toml:"teams" json:"teams"`                             //
+	Controllers       int     `toml:"controllers" json:"controllers"`                 // controller processes
+	Agents            int     `toml:"workers" json:"workers"`                         // simulated agents, one per machine
+	AgentsPerProcess  int     `toml:"workers_per_process" json:"workers_per_process"` // agents in one agent process, at most
+	Zones             int     `toml:"zones" json:"zones"`                             // zones of the machines and controllers
+	Teams             int     `toml:"teams" json:"teams"`                             // teams, all with the same limit
 	TasksPerAgent     float64 `toml:"tasks_per_worker" json:"tasks_per_worker"`       // service replicas, which run during the whole experiment
-	StartsPerSecond   float64 `toml:"starts_per_s" json:"starts_per_s"`               // of array tasks, in addition to the services
-	TasksPerJob       int     `toml:"tasks_per_job" json:"tasks_per_job"`             // of an array
+	StartsPerSecond   float64 `toml:"starts_per_s" json:"starts_per_s"`               // starts of array tasks, in addition to the services
+	TasksPerJob       int     `toml:"tasks_per_job" json:"tasks_per_job"`             // tasks of an array
 	TaskRun           float64 `toml:"task_run_s" json:"task_run_s"`                   // mean run time of an array's task
-	TeamHeadroom      float64 `toml:"team_room" json:"team_room"`                     // a team's limit beyond its services, as a multiple of its arrays' mean use
+	TeamHeadroom      float64 `toml:"team_room" json:"team_room"`                     // a team's limit beyond its services, as a multiple of its arrays' mean use; at least two array jobs fit
 	UrgentShare       float64 `toml:"urgent_share" json:"urgent_share"`               // share of the arrays in the urgent class
-	UrgentWithin      float64 `toml:"urgent_within_s" json:"urgent_within_s"`         // objective for the start of urgent tasks
-	HeartbeatInterval float64 `toml:"report_s" json:"report_s"`                       // between an agent's heartbeats
-	AgentLease        float64 `toml:"worker_lease_s" json:"worker_lease_s"`           //
-	Cancel            float64 `toml:"cancel_s" json:"cancel_s"`                       //
+	UrgentWithin      float64 `toml:"urgent_within_s" json:"urgent_within_s"`         // objective for the wait of urgent tasks until their start
+	HeartbeatInterval float64 `toml:"report_s" json:"report_s"`                       // interval between an agent's heartbeats
+	AgentLease        float64 `toml:"worker_lease_s" json:"worker_lease_s"`           // after its last answered heartbeat, an agent may run tasks for this long
+	Cancel            float64 `toml:"cancel_s" json:"cancel_s"`                       // cancel_s of the controllers' settings
 	CountPeerLines    bool    `toml:"count_peer_lines" json:"count_peer_lines"`       // route controller-to-controller connections through a counting proxy
 
 	Faults Faults `toml:"faults" json:"faults"`
@@ -44,7 +44,7 @@
 	RestartAfter float64 `toml:"back_after_s" json:"back_after_s"`           // delay until killed controllers are restarted
 }
 
-// Store holds the limits of the key-value store, which all controllers share.
+// Store holds the limits of the state service, which all controllers share.
 type Store struct {
 	RPS      float64 `toml:"rps" json:"rps"`
 	WriteRPS float64 `toml:"write_rps" json:"write_rps"`
@@ -144,7 +144,8 @@
 // meanArrayTasks returns how many array tasks run at the same time on average.
 func (c *Config) meanArrayTasks() float64 { return c.StartsPerSecond * c.TaskRun }
 
-// machineCores returns the cores of a machine: enough for its services and three times its mean array tasks.
+// machineCores returns the cores of a machine: enough for its services and three times its mean array tasks, plus
+// three.
 func (c *Config) machineCores() float64 {
 	return float64(int(c.TasksPerAgent)) + 3 + float64(int(3*c.meanArrayTasks()/float64(c.Agents)))
 }
--- a/internal/loadtest/events.go
+++ b/internal/loadtest/events.go
@@ -16,16 +16,16 @@
 	Done    bool   `json:"done,omitempty"` // an end because the task completed
 }
 
-// Counts are the messages of a process's agents since the process started.
+// Counts counts the messages of an agent process's agents, and their expired leases, since the process started.
 type Counts struct {
 	Heartbeats     int64 `json:"reports"`
 	Answered       int64 `json:"answered"` // with 200
 	Redirected     int64 `json:"moved"`    // redirected to another controller
 	Failed         int64 `json:"failed"`   // any other status, or no answer
-	Expired        int64 `json:"expired"`  // agents' leases
+	Expired        int64 `json:"expired"`  // agents' leases that expired
 	HeartbeatBytes int64 `json:"report_bytes"`
 	AnswerBytes    int64 `json:"answer_bytes"`
-	Commands       int64 `json:"commands"` // direct requests with commands
+	Commands       int64 `json:"commands"` // requests with direct commands
 	CommandBytes   int64 `json:"command_bytes"`
 	ResultBytes    int64 `json:"result_bytes"` // of the answers to commands
 }
--- a/internal/loadtest/jobname.go
+++ b/internal/loadtest/jobname.go
@@ -10,7 +10,7 @@
 // jobName is what a job's ID encodes, so that simulated agents need no job specification.
 type jobName struct {
 	Number int
-	Team   int
+	Team   int           // index
 	Run    time.Duration // of each task; 0: until it is stopped
 }
 
--- a/internal/loadtest/loadtest_test.go
+++ b/internal/loadtest/loadtest_test.go
@@ -77,7 +77,7 @@
 	}
 }
 
-// TestInvalidConfig: an invalid experiment file must make the command exit with code 2 and name the file, the field and
+// TestInvalidConfig: for an invalid experiment file, the command must exit with code 2 and name the file, the field and
 // the expected value.
 func TestInvalidConfig(t *testing.T) {
 	for text, wanted := range map[string]string{
--- a/internal/loadtest/page.go
+++ b/internal/loadtest/page.go
@@ -20,7 +20,7 @@
 table{border-collapse:collapse}td,th{border-bottom:1px solid #ddd;padding:.2rem .8rem;text-align:left}
 .bad{color:#a00}svg{max-width:100%;height:auto}pre{white-space:pre-wrap}</style></head><body>
 <h1>Load test</h1>
-<p>Real controllers on one machine, with simulated agents, key-value store, cloud and users.</p>
+<p>Real controllers on one machine, with simulated agents, state service, cloud and users.</p>
 {{range .Results}}<h2>{{.Config.Agents}} agents, {{.Config.Controllers}} controllers, {{.Config.Teams}} teams</h2>
 {{if .Stopped}}<p class="bad">The run was aborted: {{.Stopped}}</p>{{end}}
 {{if .BrokenCount}}<p class="bad">{{.BrokenCount}} rules broken: {{range .Broken}}{{.}}; {{end}}</p>{{else}}<p>No rule was broken.</p>{{end}}
--- a/internal/loadtest/pool.go
+++ b/internal/loadtest/pool.go
@@ -45,8 +45,8 @@
 	heartbeatInterval, lease time.Duration
 	recorder                 recorder
 
-	byAddr map[string]*simulatedAgent
-	byName map[string]*simulatedAgent
+	byAddr map[string]*simulatedAgent // by the address that the agent listens on
+	byName map[string]*simulatedAgent // by machine name
 }
 
 // RunAgentPool is the main function of an agent process. It reads its configuration and requests from in and writes
--- a/internal/loadtest/procfs.go
+++ b/internal/loadtest/procfs.go
@@ -74,8 +74,8 @@
 type Usage struct {
 	Name   string  `json:"name"`
 	Cores  float64 `json:"cores"`         // mean
-	Memory float64 `json:"memory_mb"`     // most
-	Files  int     `json:"open_files"`    // most
+	Memory float64 `json:"memory_mb"`     // maximum
+	Files  int     `json:"open_files"`    // maximum
 	In     float64 `json:"read_per_s"`    // bytes
 	Out    float64 `json:"written_per_s"` // bytes
 }
@@ -88,11 +88,11 @@
 	began time.Time
 	use   Usage
 	last  ProcessSample
-	// Use of earlier processes that this one replaced after a kill.
+	// Use of killed processes of the same controller that were monitored before this one.
 	earlier ProcessSample
 }
 
-// start begins to measure.
+// start resets the monitor and takes the first sample.
 func (w *processMonitor) start() {
 	w.first, w.began = sampleProcess(w.pid), time.Now()
 	w.last, w.earlier, w.use = w.first, ProcessSample{}, Usage{Name: w.name}
--- a/internal/loadtest/region.go
+++ b/internal/loadtest/region.go
@@ -24,7 +24,7 @@
 	"topazhollow/internal/wait"
 )
 
-// Options are a run's settings beside its experiment.
+// Options are the settings of a run that are not part of its experiment.
 type Options struct {
 	Program    string    // runs an agent process when called with the argument PoolCommand
 	Controller []string  // command line of a controller, without --config and --script
@@ -36,10 +36,10 @@
 // idle.
 const script = "idle_return_s = 86400\nwarm_machines = 10000\n"
 
-// cloudRPS is the cloud's limit of requests per second, cloudLag the maximum age of its list in seconds.
+// Limits of the cloud that the controllers' settings name.
 const (
-	cloudRPS = 50
-	cloudLag = 4
+	cloudRPS = 50 // requests per second
+	cloudLag = 4  // maximum age of the cloud's list, in seconds
 )
 
 // controller is one controller's process with its addresses and files.
@@ -77,12 +77,12 @@
 
 	mu                sync.Mutex
 	rules             *rules
-	queues            [][]Event
-	completeUntil     []int64
+	queues            [][]Event // by agent process, as are the next four: events that are not yet applied
+	completeUntil     []int64   // time before which all events have been reported, in Unix nanoseconds
 	counts            []Counts
-	connected         []int
-	removed           []int
-	removalsRequested int // machines whose removal was requested so far
+	connected         []int // agents whose last heartbeat was answered
+	removed           []int // machines removed so far
+	removalsRequested int   // machines whose removal was requested so far
 	latencies         *hdrhistogram.Histogram
 }
 
@@ -228,7 +228,7 @@
 func (g *region) reportFailure(err error) {
 	select {
 	case g.failed <- err:
-	default: // enough failures were reported before
+	default: // the first failure in the channel aborts the run
 	}
 }
 
@@ -275,6 +275,7 @@
 	return hosts, nil
 }
 
+// startPool starts an agent process and returns its machines once they are up.
 func (g *region) startPool(c *PoolConfig) (*poolProcess, *PoolReady, error) {
 	cmd := childCommand(g.options.Program, PoolCommand)
 	cmd.Stderr = os.Stderr
@@ -314,8 +315,8 @@
 	}
 }
 
-// applyBatch queues a batch's events and applies, in the order of time, all events up to the time that every agent
-// process has reported.
+// applyBatch queues a batch's events. It then applies, in the order of their times, all queued events from before the
+// time up to which every agent process has reported its events.
 func (g *region) applyBatch(i int, b *Batch) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
--- a/internal/loadtest/result.go
+++ b/internal/loadtest/result.go
@@ -52,7 +52,7 @@
 	WithoutBackup int `json:"items_without_backup"` // without a backup in sync
 }
 
-// overview is a controller's overview as it is read; the items are only counted.
+// overview is a controller's overview as decoded. Only the numbers of its items are kept.
 type overview struct {
 	ControllerOverview
 	Items map[string]struct {
@@ -60,8 +60,8 @@
 	} `json:"items"`
 }
 
-// seen returns the overview with its items counted.
-func (o *overview) seen() ControllerOverview {
+// withItemCounts returns the part of the overview that is kept, with the numbers of items.
+func (o *overview) withItemCounts() ControllerOverview {
 	s := o.ControllerOverview
 	s.Items = len(o.Items)
 	for _, item := range o.Items {
--- a/internal/loadtest/rules.go
+++ b/internal/loadtest/rules.go
@@ -24,23 +24,23 @@
 	final     protocol.JobState // as answered to a user
 }
 
-// rules checks every start and end, in the order of their times, and records each violation of the protocol. Callers
-// hold region.mu.
+// rules checks every start and end of a task, in the order of their times, and users' answers, and records each
+// violation of the protocol. Callers hold region.mu.
 type rules struct {
 	limit       float64 // of each team, in tasks
 	jobs        map[string]*job
 	running     map[string]string // task -> machine
-	usedByTeam  []float64         // by team
+	usedByTeam  []float64         // tasks on machines, by team
 	broken      []string
 	brokenCount int
 	starts      int64
 	ends        int64
-	maxUse      float64   // greatest share of its limit that a team used
-	lastStart   time.Time // time of the latest start
-	longestGap  time.Duration
+	maxUse      float64                 // greatest share of its limit that a team used
+	lastStart   time.Time               // of any task
+	longestGap  time.Duration           // between two successive starts
 	urgentWaits *hdrhistogram.Histogram // ms from submission to start
 	usualWaits  *hdrhistogram.Histogram
-	pendingDone []doneAnswer // to be checked once all earlier events are known
+	pendingDone []doneAnswer // not checked yet, because earlier events may not have arrived
 }
 
 // doneAnswer is an answer to a user that a job is done, and its time in Unix nanoseconds.
@@ -57,7 +57,7 @@
 	return &rules{limit: limit, jobs: map[string]*job{}, running: map[string]string{}, usedByTeam: make([]float64, teams), urgentWaits: newWaitHistogram(), usualWaits: newWaitHistogram()}
 }
 
-func (r *rules) breakRule(rule, format string, args ...any) {
+func (r *rules) recordViolation(rule, format string, args ...any) {
 	r.brokenCount++
 	if len(r.broken) < maxBroken {
 		r.broken = append(r.broken, rule+": "+fmt.Sprintf(format, args...))
@@ -69,7 +69,7 @@
 	uid, index, _ := protocol.SplitTask(e.Task)
 	j := r.jobs[uid]
 	if j == nil {
-		r.breakRule("invented", "%s on %s", e.Task, e.Machine)
+		r.recordViolation("invented", "%s on %s", e.Task, e.Machine)
 		return
 	}
 	if e.Start {
@@ -89,7 +89,7 @@
 
 func (r *rules) start(e *Event, j *job) {
 	if other, there := r.running[e.Task]; there {
-		r.breakRule("ran_twice", "%s on %s and %s", e.Task, other, e.Machine)
+		r.recordViolation("ran_twice", "%s on %s and %s", e.Task, other, e.Machine)
 		r.usedByTeam[j.name.Team]--
 	}
 	r.running[e.Task] = e.Machine
@@ -97,7 +97,7 @@
 	r.usedByTeam[j.name.Team]++
 	r.maxUse = max(r.maxUse, r.usedByTeam[j.name.Team]/r.limit)
 	if r.usedByTeam[j.name.Team] > r.limit+1e-6 {
-		r.breakRule("quota", "team %d uses %g of %g", j.name.Team, r.usedByTeam[j.name.Team], r.limit)
+		r.recordViolation("quota", "team %d uses %g of %g", j.name.Team, r.usedByTeam[j.name.Team], r.limit)
 	}
 	at := time.Unix(0, e.At)
 	if !r.lastStart.IsZero() {
@@ -120,13 +120,13 @@
 	j := r.jobs[uid]
 	switch {
 	case status == 404 && j.accepted:
-		r.breakRule("forgotten", "%s got 404", uid)
+		r.recordViolation("forgotten", "%s got 404", uid)
 	case status != 200 && status != 201:
 		return
 	case j.final != "" && state != j.final:
-		r.breakRule("went_back", "%s: %s after %s", uid, state, j.final)
+		r.recordViolation("went_back", "%s: %s after %s", uid, state, j.final)
 	case state == protocol.Cancelled:
-		r.breakRule("went_back", "%s was cancelled, but not by its user", uid)
+		r.recordViolation("went_back", "%s was cancelled, but not by its user", uid)
 	case state == protocol.Done && j.final == "":
 		r.pendingDone = append(r.pendingDone, doneAnswer{uid, now.UnixNano()})
 	}
@@ -143,7 +143,7 @@
 			return false
 		}
 		if j := r.jobs[t.uid]; len(j.done) < j.tasks {
-			r.breakRule("not_done", "%s: %d of %d tasks", t.uid, len(j.done), j.tasks)
+			r.recordViolation("not_done", "%s: %d of %d tasks", t.uid, len(j.done), j.tasks)
 		}
 		return true
 	})
--- a/internal/loadtest/rules_test.go
+++ b/internal/loadtest/rules_test.go
@@ -39,7 +39,7 @@
 	r := newRules(1, 2)
 	r.jobs[uid] = &job{name: name, tasks: 1, done: map[int]bool{}}
 	start(r, 0, "a")
-	r.applyAnswer(uid, 200, protocol.Done, now) // the task's end is reported after the answer
+	r.applyAnswer(uid, 200, protocol.Done, now) // the task's end arrives after the answer, although it is earlier
 	r.applyEvent(&Event{At: 5, Task: task(0), Machine: "a", Done: true})
 	if r.advance(11); r.brokenCount != 0 || r.usedByTeam[0] != 0 {
 		t.Errorf("%v, %g used", r.broken, r.usedByTeam[0])
--- a/internal/loadtest/run.go
+++ b/internal/loadtest/run.go
@@ -25,7 +25,7 @@
 const (
 	sampleInterval   = time.Second
 	progressInterval = 5 * time.Second
-	maxRampUp        = 15 * time.Second // from the first array until measuring begins
+	maxRampUp        = 15 * time.Second // limit for the time from the first array until measuring begins
 )
 
 // settledShare is the share of agents and services that must be up before measuring begins.
@@ -39,7 +39,7 @@
 	users         *users
 	result        *Result
 	monitors      []*processMonitor // controllers, then agent processes, then this process
-	countsBefore  Counts            // when measuring began, as are the other fields named Before
+	countsBefore  Counts            // value when measuring began, as in the other fields whose names end in Before
 	trafficBefore []Traffic
 	busyBefore    float64
 	startsBefore  int64
@@ -90,15 +90,15 @@
 			return
 		case <-ticker.C:
 		}
-		held := sampleProcess(os.Getpid()).Memory
+		memoryMB := sampleProcess(os.Getpid()).Memory
 		for _, p := range x.region.controllers {
-			held += sampleProcess(p.pid()).Memory
+			memoryMB += sampleProcess(p.pid()).Memory
 		}
 		for _, p := range x.region.pools {
-			held += sampleProcess(p.cmd.Process.Pid).Memory
+			memoryMB += sampleProcess(p.cmd.Process.Pid).Memory
 		}
-		if held > x.config.Limits.MemoryMB {
-			cancel(fmt.Errorf("%w: %.0f", errMemory, held))
+		if memoryMB > x.config.Limits.MemoryMB {
+			cancel(fmt.Errorf("%w: %.0f MB", errMemory, memoryMB))
 			return
 		}
 	}
@@ -125,13 +125,13 @@
 	x.summarize()
 	stop()
 	<-faults
-	wait.For(ctx, 2*batchInterval) // the last answers to users are checked once all earlier events are in
+	wait.For(ctx, 2*batchInterval) // the last answers to users are checked once all earlier events have arrived
 	x.region.mu.Lock()
 	defer x.region.mu.Unlock()
 	x.result.Broken, x.result.BrokenCount = slices.Clone(x.region.rules.broken), x.region.rules.brokenCount
 }
 
-// awaitSettled waits until agents are connected and services run.
+// awaitSettled waits until the agents are connected and the services run, up to the experiment's settle timeout.
 func (x *run) awaitSettled(ctx context.Context) {
 	began := time.Now()
 	ctx, cancel := context.WithTimeout(ctx, settings.Seconds(x.config.SettleTimeout))
@@ -199,6 +199,7 @@
 	x.startsBefore, x.endsBefore, x.began = rules.starts, rules.ends, time.Now()
 }
 
+// sample samples all processes, with the current process of each controller.
 func (x *run) sample() {
 	for i, w := range x.monitors {
 		if i < len(x.region.controllers) {
@@ -247,7 +248,7 @@
 	bytes := counts.HeartbeatBytes + counts.AnswerBytes + counts.CommandBytes + counts.ResultBytes
 	r.BytesPerAgent = float64(bytes) / r.Measured / float64(x.config.Agents)
 	r.Connected, r.Running = g.progress()
-	r.Polls, r.UsersRetried, r.NotSubmitted = float64(x.users.polls.Load()-x.pollsBefore)/r.Measured, x.users.failedRequests.Load(), x.users.skipped.Load()
+	r.Polls, r.UsersRetried, r.NotSubmitted = float64(x.users.polls.Load()-x.pollsBefore)/r.Measured, x.users.failedSubmissions.Load(), x.users.skipped.Load()
 	r.StoreRefused = g.store.CountRefused()
 	g.cloud.mu.Lock()
 	r.MachinesReturned = g.cloud.machinesReturned
@@ -285,7 +286,7 @@
 		}
 		var o overview
 		if json.NewDecoder(resp.Body).Decode(&o) == nil {
-			all = append(all, o.seen())
+			all = append(all, o.withItemCounts())
 		}
 		_ = resp.Body.Close() // the body was read
 	}
--- a/internal/loadtest/slopes.go
+++ b/internal/loadtest/slopes.go
@@ -87,7 +87,7 @@
 	{"other programs on the machine", "cores", func(r *Result) float64 { return r.OthersBusy }},
 }
 
-// Point is one run's figure at its value on the axis.
+// Point is a figure of one run (Y) at the run's value on the axis (X).
 type Point struct {
 	X float64 `json:"x"`
 	Y float64 `json:"y"`
@@ -154,7 +154,7 @@
 	return all
 }
 
-// residual returns the greatest distance from the line relative to the greatest value.
+// residual returns the greatest vertical distance of a point from the line, relative to the greatest value.
 func residual(points []Point, l Line) float64 {
 	worst, top := 0.0, 0.0
 	for _, p := range points {
--- a/internal/loadtest/traffic.go
+++ b/internal/loadtest/traffic.go
@@ -23,7 +23,7 @@
 
 type trafficKey struct{ between, kind string }
 
-// traffic counts messages by kind.
+// traffic counts messages by parties and kind.
 type traffic struct {
 	mu     sync.Mutex
 	counts map[trafficKey]Traffic
@@ -62,7 +62,7 @@
 	return out
 }
 
-// storeKind returns the kind of a request to the key-value store.
+// storeKind returns the kind of a request to the state service.
 func storeKind(r *http.Request) string {
 	switch {
 	case r.URL.Path == "/txn":
@@ -79,7 +79,7 @@
 	return "read key"
 }
 
-// countStore wraps a handler of the key-value store and counts its requests.
+// countStore wraps a handler of the state service and counts its requests.
 func (t *traffic) countStore(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		counted := &countingWriter{ResponseWriter: w}
@@ -127,12 +127,12 @@
 		if err != nil {
 			return
 		}
-		go c.carry(in)
+		go c.forward(in)
 	}
 }
 
-// carry forwards lines until either side closes. The peer never writes back.
-func (c *lineCounter) carry(in net.Conn) {
+// forward forwards lines until either side closes. The peer never writes back.
+func (c *lineCounter) forward(in net.Conn) {
 	defer in.Close()
 	out, err := net.Dial("tcp4", c.to)
 	if err != nil {
--- a/internal/loadtest/users.go
+++ b/internal/loadtest/users.go
@@ -26,22 +26,22 @@
 	urgentClass = "urgent"
 	usualClass  = "usual"
 
-	maxUnfinishedJobs        = 20000 // jobs that users submit and poll at the same time
-	maxReplicas              = 250   // of a service
+	maxUnfinishedJobs        = 20000 // arrays that users submit or poll at the same time; further ones are skipped
+	maxReplicas              = 250   // of one service
 	maxConcurrentSubmissions = 64    // services that are submitted at the same time
 )
 
 // users submits jobs and polls their states until they are done.
 type users struct {
-	region         *region
-	client         *http.Client
-	rng            *rand.Rand
-	lastNumber     int
-	unfinished     atomic.Int64
-	polls          atomic.Int64
-	failedRequests atomic.Int64 // submissions that were unanswered or refused
-	skipped        atomic.Int64 // jobs not submitted because too many were unfinished
-	wg             sync.WaitGroup
+	region            *region
+	client            *http.Client
+	rng               *rand.Rand
+	lastNumber        int
+	unfinished        atomic.Int64
+	polls             atomic.Int64 // requests for a job's state
+	failedSubmissions atomic.Int64 // submissions that were unanswered or refused
+	skipped           atomic.Int64 // jobs not submitted because too many were unfinished
+	wg                sync.WaitGroup
 }
 
 func newUsers(g *region) *users {
@@ -71,20 +71,20 @@
 // submitServices submits the services, whose replicas run during the whole experiment, and returns once all are
 // accepted.
 func (u *users) submitServices(ctx context.Context) {
-	senders := make(chan struct{}, maxConcurrentSubmissions)
+	slots := make(chan struct{}, maxConcurrentSubmissions)
 	var accepted sync.WaitGroup
 	all := u.region.config.serviceTasks()
-	for team := range u.region.config.Teams {
+	for team := range u.region.config.Teams { // the teams' shares differ by at most one replica
 		left := all * (team + 1) / u.region.config.Teams
 		for left -= all * team / u.region.config.Teams; left > 0; left -= maxReplicas {
 			j := u.newJob(team, min(left, maxReplicas), 0, false)
-			senders <- struct{}{}
+			slots <- struct{}{}
 			accepted.Add(1)
 			u.wg.Add(1)
 			go func() {
 				defer u.wg.Done()
 				u.submit(ctx, j, rand.New(rand.NewPCG(u.region.config.Seed, uint64(j.name.Number))))
-				<-senders
+				<-slots
 				accepted.Done()
 			}()
 		}
@@ -140,14 +140,14 @@
 		if status == http.StatusOK || status == http.StatusCreated {
 			return true
 		}
-		u.failedRequests.Add(1)
+		u.failedSubmissions.Add(1)
 		if !wait.For(ctx, submitRetryDelay) {
 			return false
 		}
 	}
 }
 
-// request sends a request to a randomly chosen controller and applies the answer to the rules.
+// request sends a request to a randomly chosen controller and checks the answer against the rules.
 func (u *users) request(ctx context.Context, rng *rand.Rand, method, path string, body []byte, within time.Duration) (int, protocol.JobState) {
 	ctx, cancel := context.WithTimeout(ctx, within)
 	defer cancel()
--- a/internal/simulation/agent.go
+++ b/internal/simulation/agent.go
@@ -14,10 +14,10 @@
 	"topazhollow/internal/settings"
 )
 
-// AgentConfig holds an agent's intervals and what its tasks do.
+// AgentConfig holds an agent's timing and what its tasks do.
 type AgentConfig struct {
-	Heartbeat, Lease time.Duration
-	Run              func(task string) time.Duration
+	Heartbeat, Lease time.Duration                   // interval between heartbeats, and duration of the lease
+	Run              func(task string) time.Duration // returns how long a task runs
 	// Exec, if set, executes a task instead of waiting for the duration from Run, and returns whether the task
 	// completed. Its context ends when the task is stopped or lost.
 	Exec func(ctx context.Context, machine string, incarnation uint64, task string, attempt uint64) (done bool)
@@ -28,7 +28,7 @@
 	name, machineType, zone string
 	spot                    bool
 	controllers             map[string]string // controller -> address
-	controllerOrder         []string
+	controllerOrder         []string          // the order in which they are tried
 	config                  AgentConfig
 	checker                 *Checker
 	server                  *http.Server
@@ -40,7 +40,7 @@
 	faults       faults
 	incarnation  uint64
 	seq          uint64
-	fencingToken uint64
+	fencingToken uint64                          // highest token received
 	tasks        map[string]*protocol.TaskStatus // the attempt on the machine, or its kept exit status, by task
 	completed    map[string]bool                 // tasks that completed here
 	lastAnswered time.Time                       // when the last answered heartbeat was sent
@@ -48,7 +48,8 @@
 	execCancels  map[string]context.CancelFunc // stop tasks that run in Exec
 }
 
-// NewAgent starts an agent that sends heartbeats to one of the controllers.
+// NewAgent starts an agent that sends heartbeats to one of the controllers. nodes holds the controllers' addresses by
+// name, and order the names in the order in which the agent tries them.
 func NewAgent(name, typ, zone string, spot bool, nodes map[string]string, order []string, per AgentConfig, check *Checker) (*Agent, error) {
 	w := &Agent{name: name, machineType: typ, zone: zone, spot: spot, controllers: nodes, controllerOrder: order, config: per, checker: check,
 		incarnation: 1, tasks: map[string]*protocol.TaskStatus{}, completed: map[string]bool{}, lastAnswered: time.Now(),
@@ -109,6 +110,7 @@
 	w.faults.removed = true
 }
 
+// killAll kills all tasks and drops their exit statuses. The caller holds the lock.
 func (w *Agent) killAll() {
 	for task, t := range w.tasks {
 		if t.State != protocol.Exited {
@@ -179,6 +181,7 @@
 	reply(rw, 200, w.heartbeat())
 }
 
+// execute executes commands; one that does not match a task's state has no effect.
 func (w *Agent) execute(cmds []protocol.Command) {
 	for _, c := range cmds {
 		t := w.tasks[c.Task]
@@ -186,7 +189,7 @@
 		case protocol.Start:
 			uid, _, _ := protocol.SplitTask(c.Task)
 			switch {
-			case t != nil && t.Attempt == c.Attempt:
+			case t != nil && t.Attempt == c.Attempt: // a repeated command
 			case t != nil && t.State != protocol.Exited:
 				continue // refused as in_use; the current attempt stays
 			case w.checker.Spec(uid) == nil:
@@ -273,6 +276,8 @@
 	}
 }
 
+// finishLater ends a task when its run time has passed, or when Exec returns. A task that completed on this agent
+// before ends at once.
 func (w *Agent) finishLater(task string, attempt uint64) {
 	if w.config.Exec != nil {
 		ctx, stop := context.WithCancel(context.Background())
@@ -305,7 +310,8 @@
 	})
 }
 
-// sendHeartbeats sends heartbeats to one controller after another until one answers, and stays with that one.
+// sendHeartbeats sends heartbeats to one controller after another until one answers, and then only to that one until it
+// fails to answer or redirects the agent.
 func (w *Agent) sendHeartbeats(ctx context.Context) {
 	client := &http.Client{Timeout: 2 * time.Second, Transport: &http.Transport{}}
 	defer client.CloseIdleConnections()
@@ -324,8 +330,8 @@
 	}
 }
 
-// sendHeartbeat sends one heartbeat to the controller with an index. It returns the index of the next heartbeat's
-// controller and the delay until then.
+// sendHeartbeat sends one heartbeat to the controller with index at. It returns the index of the controller that gets
+// the next heartbeat, and the delay until then.
 func (w *Agent) sendHeartbeat(client *http.Client, at int) (to int, next time.Duration) {
 	node := w.controllerOrder[at]
 	sent := time.Now()
@@ -367,8 +373,8 @@
 	}
 }
 
-// watchLease kills all tasks and begins a new incarnation when the lease expires: when the last answered heartbeat was
-// sent too long ago.
+// watchLease kills all tasks and begins a new incarnation when the lease expires, which runs from the moment when the
+// last answered heartbeat was sent.
 func (w *Agent) watchLease(ctx context.Context) {
 	tick := time.NewTicker(20 * time.Millisecond)
 	defer tick.Stop()
--- a/internal/simulation/agentfaults.go
+++ b/internal/simulation/agentfaults.go
@@ -9,7 +9,7 @@
 	"topazhollow/internal/protocol"
 )
 
-// hangPollInterval is how often a hanging machine checks whether it resumes.
+// hangPollInterval is how often a hanging machine checks whether it has been resumed.
 const hangPollInterval = 20 * time.Millisecond
 
 // deliveryInterval is the pause between two held heartbeats that DeliverHeld sends.
@@ -29,7 +29,7 @@
 	reachable       map[string]bool // the controllers that receive its heartbeats; nil: all
 
 	repeatDelay    func() time.Duration // draws after what delay a heartbeat is delivered again
-	repeatCount    int                  // repeated heartbeats that were delivered
+	repeatCount    int                  // copies of heartbeats that were delivered, by RepeatHeartbeats or DeliverHeld
 	copyHeartbeats bool                 // keep a copy of each heartbeat in heldHeartbeats
 	holdNext       int                  // number of next heartbeats that are kept instead of sent
 	heldHeartbeats [][]byte
@@ -97,8 +97,8 @@
 	}
 }
 
-// LimitReach restricts the agent's heartbeats to the given controllers; none given: all. Direct commands may come from
-// any controller, so a restriction blocks all of them.
+// LimitReach restricts the agent's heartbeats to the given controllers; without arguments it lifts the restriction. The
+// agent cannot tell which controller sent a direct command, so a restriction blocks all direct commands.
 func (w *Agent) LimitReach(nodes ...string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -118,7 +118,7 @@
 	w.faults.repeatDelay = after
 }
 
-// CountRepeated returns how many copies of heartbeats were delivered.
+// CountRepeated returns how many copies of heartbeats were delivered, by RepeatHeartbeats or DeliverHeld.
 func (w *Agent) CountRepeated() int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -132,7 +132,7 @@
 	w.faults.copyHeartbeats = on
 }
 
-// HoldHeartbeats withholds the next heartbeats until DeliverHeld.
+// HoldHeartbeats withholds the next count heartbeats until DeliverHeld sends them.
 func (w *Agent) HoldHeartbeats(count int) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -247,6 +247,7 @@
 	}
 }
 
+// applyDelayed executes or rejects delayed commands and counts the outcome. The caller holds the lock.
 func (w *Agent) applyDelayed(d *protocol.DirectCommands) {
 	if w.applyCommands(d) {
 		w.faults.executedCount++
@@ -283,7 +284,7 @@
 	}
 }
 
-// deliverCopy sends a copy of an earlier heartbeat and ignores the answer.
+// deliverCopy sends a copy of an earlier heartbeat, unless the network is disconnected, and ignores the answer.
 func (w *Agent) deliverCopy(client *http.Client, url string, body []byte) (arrived bool) {
 	w.mu.Lock()
 	cut := w.faults.disconnected
--- a/internal/simulation/agentfaults_test.go
+++ b/internal/simulation/agentfaults_test.go
@@ -22,9 +22,9 @@
 func newAgentTest(t *testing.T, lease time.Duration) *agentTest {
 	b := &agentTest{t: t, checker: NewChecker(map[string]float64{"red": 4}), heartbeats: make(chan protocol.Heartbeat, 1000)}
 	controller := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		var report protocol.Heartbeat
-		read(r, &report)
-		b.heartbeats <- report
+		var heartbeat protocol.Heartbeat
+		read(r, &heartbeat)
+		b.heartbeats <- heartbeat
 		reply(w, 200, protocol.HeartbeatAnswer{FencingToken: 1})
 	}))
 	per := AgentConfig{Heartbeat: 20 * time.Millisecond, Lease: lease, Run: func(string) time.Duration { return time.Hour }}
@@ -59,6 +59,7 @@
 	return resp.StatusCode == http.StatusOK
 }
 
+// until waits for a condition and fails the test after 20 s; what describes the condition.
 func (b *agentTest) until(what string, holds func() bool) {
 	b.t.Helper()
 	for end := time.Now().Add(20 * time.Second); !holds(); time.Sleep(5 * time.Millisecond) {
--- a/internal/simulation/check.go
+++ b/internal/simulation/check.go
@@ -32,7 +32,7 @@
 	accepted        bool
 	final           protocol.JobState // as answered to a user
 	finalAt         time.Time
-	overdueReported bool // a task past the cancel timeout was recorded
+	overdueReported bool // a task on a machine past the cancel timeout was recorded as a violation
 	cancelRequested bool // by its user
 	done            map[int]bool
 }
@@ -42,7 +42,8 @@
 	return &Checker{limits: limits, jobs: map[string]*jobRecord{}, running: map[string]placement{}}
 }
 
-func (c *Checker) breakRule(rule, format string, args ...any) {
+// recordViolation records a violation of a rule. The caller holds the lock.
+func (c *Checker) recordViolation(rule, format string, args ...any) {
 	c.Broken = append(c.Broken, rule+": "+fmt.Sprintf(format, args...))
 }
 
@@ -54,7 +55,7 @@
 		uid, _, _ := protocol.SplitTask(task)
 		if t := c.jobs[uid]; t != nil && c.pastCancelTimeout(t) && !t.overdueReported {
 			t.overdueReported = true
-			c.breakRule("ran_cancelled", "%s is on %s", task, at.machine)
+			c.recordViolation("ran_cancelled", "%s is on %s", task, at.machine)
 		}
 	}
 	return append([]string(nil), c.Broken...)
@@ -84,8 +85,8 @@
 	return nil
 }
 
-// KnownAnswer is what users had been answered about a job when a request was sent. Only that binds the request's
-// answer.
+// KnownAnswer is what users had been answered about a job when a request was sent. The request's answer must not be
+// older than that; it may be older than what other users are answered while the request is under way.
 type KnownAnswer struct {
 	accepted bool
 	final    protocol.JobState
@@ -107,8 +108,8 @@
 	return KnownAnswer{accepted: t.accepted, final: t.final}
 }
 
-// RecordAnswer records the status code and state that a user received about a job. No other request about the job
-// overlapped this one; repeat says that the request was a submission that was sent before.
+// RecordAnswer records the status code and state that a user received about a job, for requests that no other request
+// about the job overlaps. With repeat, the request was a submission: once the job is accepted, it must not be rejected.
 func (c *Checker) RecordAnswer(uid string, status int, state protocol.JobState, repeat bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -128,19 +129,19 @@
 	t := c.jobs[uid]
 	switch {
 	case t == nil && status == 200:
-		c.breakRule("invented", "%s", uid)
+		c.recordViolation("invented", "%s", uid)
 		return
 	case t == nil:
 		return
 	case status == 404 && before.accepted, repeat && before.accepted && (status == 400 || status == 422):
-		c.breakRule("forgotten", "%s got %d", uid, status)
+		c.recordViolation("forgotten", "%s got %d", uid, status)
 	case status == 200 || status == 201:
 		t.accepted = true
 		if before.final != "" && state != before.final || final && t.final != "" && state != t.final {
-			c.breakRule("went_back", "%s: %s after %s", uid, state, t.final)
+			c.recordViolation("went_back", "%s: %s after %s", uid, state, t.final)
 		}
 		if state == protocol.Cancelled && !t.cancelRequested {
-			c.breakRule("went_back", "%s was cancelled, but not by its user", uid)
+			c.recordViolation("went_back", "%s was cancelled, but not by its user", uid)
 		}
 		if final {
 			if t.final == "" {
@@ -149,7 +150,7 @@
 			t.final = state
 		}
 		if state == protocol.Done && len(t.done) < t.spec.Tasks {
-			c.breakRule("not_done", "%s: %d of %d tasks", uid, len(t.done), t.spec.Tasks)
+			c.recordViolation("not_done", "%s: %d of %d tasks", uid, len(t.done), t.spec.Tasks)
 		}
 	}
 }
@@ -163,7 +164,8 @@
 	}
 }
 
-// RecordStart records that a task started on a machine, and checks the rules about placement and quota.
+// RecordStart records that a task started on a machine, and checks the rules about duplicates, cancellation, placement
+// and quota.
 func (c *Checker) RecordStart(task, machine, typ, zone string, spot bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -171,18 +173,18 @@
 	uid, _, _ := protocol.SplitTask(task)
 	t := c.jobs[uid]
 	if other, there := c.running[task]; there {
-		c.breakRule("ran_twice", "%s on %s and %s", task, other.machine, machine)
+		c.recordViolation("ran_twice", "%s on %s and %s", task, other.machine, machine)
 	}
 	c.running[task] = placement{machine, zone}
 	if t == nil {
-		c.breakRule("invented", "%s runs", task)
+		c.recordViolation("invented", "%s runs", task)
 		return
 	}
 	if c.pastCancelTimeout(t) {
-		c.breakRule("ran_cancelled", "%s on %s", task, machine)
+		c.recordViolation("ran_cancelled", "%s on %s", task, machine)
 	}
 	if (spot && !t.spec.Spot) || (t.spec.Zone != nil && *t.spec.Zone != zone) || (t.spec.Types != nil && !contains(t.spec.Types, typ)) {
-		c.breakRule("wrong_place", "%s on %s", task, machine)
+		c.recordViolation("wrong_place", "%s on %s", task, machine)
 	}
 	c.checkZones(t.spec, zone)
 	used := 0.0
@@ -193,7 +195,7 @@
 		}
 	}
 	if used > c.limits[t.spec.Team]+1e-6 {
-		c.breakRule("quota", "%s uses %g", t.spec.Team, used)
+		c.recordViolation("quota", "%s uses %g", t.spec.Team, used)
 	}
 }
 
@@ -206,10 +208,10 @@
 		}
 	}
 	if spec.OneZone && len(zones) > 1 {
-		c.breakRule("wrong_place", "%s is in %d zones at a time", spec.UID, len(zones))
+		c.recordViolation("wrong_place", "%s is in %d zones at a time", spec.UID, len(zones))
 	}
 	if most := (spec.Tasks + 1) / 2; spec.Spread && zones[zone] > most {
-		c.breakRule("wrong_place", "%s has %d of %d tasks in one zone", spec.UID, zones[zone], spec.Tasks)
+		c.recordViolation("wrong_place", "%s has %d of %d tasks in one zone", spec.UID, zones[zone], spec.Tasks)
 	}
 }
 
--- a/internal/simulation/check_test.go
+++ b/internal/simulation/check_test.go
@@ -13,7 +13,7 @@
 func TestCheckerDetectsViolations(t *testing.T) {
 	zone := "east"
 	spec := &protocol.Submission{UID: "job-1", Team: "red", Tasks: 3, CPUs: 4, Zone: &zone}
-	withdrawn := func(c *Checker) {
+	cancelled := func(c *Checker) {
 		c.CancelTimeout = time.Nanosecond
 		c.RecordCancellation("job-1")
 		c.RecordAnswer("job-1", 200, protocol.Cancelled, false)
@@ -31,14 +31,14 @@
 		},
 		"wrong_place": func(c *Checker) { c.RecordStart("job-1/0", "m1", "t", "west", false) },
 		"wrong_place: two zones": func(c *Checker) {
-			together := &protocol.Submission{UID: "job-2", Team: "red", Tasks: 3, CPUs: 1, OneZone: true}
-			c.RecordSubmission(together)
+			oneZone := &protocol.Submission{UID: "job-2", Team: "red", Tasks: 3, CPUs: 1, OneZone: true}
+			c.RecordSubmission(oneZone)
 			c.RecordStart("job-2/0", "m1", "t", "east", false)
 			c.RecordStart("job-2/1", "m2", "t", "west", false)
 		},
-		"wrong_place: not apart": func(c *Checker) {
-			apart := &protocol.Submission{UID: "job-2", Team: "red", Tasks: 3, CPUs: 1, Spread: true}
-			c.RecordSubmission(apart)
+		"wrong_place: not spread": func(c *Checker) {
+			spread := &protocol.Submission{UID: "job-2", Team: "red", Tasks: 3, CPUs: 1, Spread: true}
+			c.RecordSubmission(spread)
 			for i, machine := range []string{"m1", "m1", "m2"} {
 				c.RecordStart(protocol.TaskName("job-2", i), machine, "t", "east", false)
 			}
@@ -52,8 +52,8 @@
 			c.RecordOverlappingAnswer("job-1", before, 200, protocol.Cancelled, false)
 			c.RecordOverlappingAnswer("job-1", before, 200, protocol.Done, false)
 		},
-		"ran_cancelled":        func(c *Checker) { withdrawn(c); c.RecordStart("job-1/0", "m1", "t", "east", false) },
-		"ran_cancelled: stays": func(c *Checker) { c.RecordStart("job-1/0", "m1", "t", "east", false); withdrawn(c) },
+		"ran_cancelled":        func(c *Checker) { cancelled(c); c.RecordStart("job-1/0", "m1", "t", "east", false) },
+		"ran_cancelled: stays": func(c *Checker) { c.RecordStart("job-1/0", "m1", "t", "east", false); cancelled(c) },
 		"forgotten": func(c *Checker) {
 			c.RecordAnswer("job-1", 201, protocol.Pending, false)
 			c.RecordAnswer("job-1", 404, "", false)
--- a/internal/simulation/cloud.go
+++ b/internal/simulation/cloud.go
@@ -16,9 +16,9 @@
 	mu       sync.Mutex
 	types    []protocol.MachineType
 	machines map[string]*cloudMachine
-	requests map[string][]string
-	lastID   int
-	capacity int
+	requests map[string][]string // names of the machines granted to each scale-out request, by request ID
+	lastID   int                 // number in the name of the newest machine
+	capacity int                 // maximum number of machines
 	boot     func(name, typ, zone string, spot bool) (*Agent, error)
 	server   *http.Server
 	addr     string
@@ -28,7 +28,7 @@
 type cloudMachine struct {
 	host        protocol.Host
 	requestedAt time.Time
-	agent       *Agent
+	agent       *Agent // nil until the machine has booted
 }
 
 // NewCloud starts a cloud with the given machine types and a limit on the number of machines. boot starts a machine's
@@ -96,6 +96,8 @@
 	return out
 }
 
+// scaleOut grants machines up to the capacity. A repeated request with the same ID gets the same machines and no
+// further ones.
 func (c *Cloud) scaleOut(w http.ResponseWriter, r *http.Request) {
 	var req protocol.ScaleOutRequest
 	if !read(r, &req) || req.Count < 1 || req.Count > 50 || req.Request == "" {
--- a/internal/simulation/endpoint.go
+++ b/internal/simulation/endpoint.go
@@ -12,8 +12,8 @@
 	"topazhollow/internal/protocol"
 )
 
-// Endpoint is a separate address of a KVStore with faults of its own, for example for one controller that cannot reach
-// the store while the others can.
+// Endpoint is a separate address of a KVStore with its own faults, so that for example one controller cannot reach the
+// store while the others can.
 type Endpoint struct {
 	store            *KVStore
 	addr             string
@@ -24,7 +24,7 @@
 
 	answerDelay time.Duration              // added to each answer
 	dropAnswer  func(t *protocol.Txn) bool // selects transactions whose answer is lost; nil: none
-	unanswered  []protocol.Txn             // applied transactions whose answer was lost
+	unanswered  []protocol.Txn             // transactions that changed something and whose answer was lost
 }
 
 type endpointKey struct{}
@@ -70,7 +70,8 @@
 // Addr returns the endpoint's address.
 func (d *Endpoint) Addr() string { return d.addr }
 
-// RefuseAll makes the endpoint refuse all new requests and keeps its open watches from reporting changes, or ends that.
+// RefuseAll makes the endpoint refuse all new requests, or accept them again. While it refuses, its open watches are
+// not answered before their time has passed.
 func (d *Endpoint) RefuseAll(on bool) {
 	d.store.mu.Lock()
 	defer d.store.mu.Unlock()
@@ -117,9 +118,9 @@
 	a := &bufferedAnswer{header: http.Header{}, status: http.StatusOK}
 	d.store.mux.ServeHTTP(a, r)
 	d.store.mu.Lock()
-	slow := d.answerDelay
+	delay := d.answerDelay
 	d.store.mu.Unlock()
-	time.Sleep(slow)
+	time.Sleep(delay)
 	maps.Copy(w.Header(), a.header)
 	w.WriteHeader(a.status)
 	_, _ = w.Write(a.body.Bytes()) // a client that gets no answer retries
--- a/internal/simulation/host.go
+++ b/internal/simulation/host.go
@@ -7,8 +7,9 @@
 	"net"
 )
 
-// Host is a loopback address that no other region uses, neither in this process nor in another. A free port of it
-// therefore stays free while the process that used it restarts, and no process of another region answers on it.
+// Host is a random loopback address. It is drawn from millions, so that practically no other region uses it, neither in
+// this process nor in another: a port of it stays free while the process that used it restarts, and no process of
+// another region answers there instead.
 type Host struct {
 	ip   string
 	port int
--- a/internal/simulation/kvstore.go
+++ b/internal/simulation/kvstore.go
@@ -1,6 +1,6 @@
-// Package simulation implements everything that surrounds the controllers for simulations and tests: the key-value
-// store, the cloud, agents and users. All are written from the protocol and support fault injection. A checker records
-// violations of the protocol's rules.
+// Package simulation implements everything that surrounds the controllers for simulations and tests: the state service,
+// the cloud, agents and users. They implement the protocol independently of the controllers' code and support fault
+// injection. A checker records violations of the protocol's rules.
 package simulation
 
 import (
@@ -19,14 +19,14 @@
 	"topazhollow/internal/protocol"
 )
 
-// KVStore simulates the key-value store over HTTP.
+// KVStore simulates the state service over HTTP. All its endpoints serve the same data.
 type KVStore struct {
 	mu             sync.Mutex
 	changed        *sync.Cond
 	revision       uint64
 	keys           map[string]entry
-	log            []event
-	leases         map[uint64]*lease
+	log            []event           // published changes, in the order of their revisions
+	leases         map[uint64]*lease // by ID
 	nextLease      uint64
 	outage         bool
 	maxOps         int
@@ -34,8 +34,8 @@
 	mux            *http.ServeMux
 	servers        []*http.Server
 	addr           string
-	requestLimiter *rate.Limiter // nil: unlimited
-	writeLimiter   *rate.Limiter
+	requestLimiter *rate.Limiter  // nil: unlimited
+	writeLimiter   *rate.Limiter  // of the operations in transactions; nil: unlimited
 	rateLimited    int            // requests and transactions refused with 429
 	applied        []protocol.Txn // transactions with at least one operation, in order
 }
@@ -43,7 +43,7 @@
 type entry struct {
 	value   json.RawMessage
 	version uint64
-	lease   uint64
+	lease   uint64 // ID of the lease that the key is attached to; 0: none
 }
 
 type event struct {
@@ -58,7 +58,8 @@
 	expiresAt time.Time
 }
 
-// NewKVStore starts a store on a free loopback port. It bounds the operations of a transaction and the size of a value.
+// NewKVStore starts a store on a free loopback port. The store rejects transactions with more than txnOps operations
+// and values larger than valueKB.
 func NewKVStore(txnOps, valueKB int) (*KVStore, error) {
 	s := &KVStore{keys: map[string]entry{}, leases: map[uint64]*lease{}, maxOps: txnOps, maxValueBytes: valueKB << 10}
 	s.changed = sync.NewCond(&s.mu)
@@ -91,8 +92,8 @@
 	}
 }
 
-// LimitRates limits requests and changes to the given rates per second, each with a burst of one second's worth.
-// Requests beyond a limit are refused with 429.
+// LimitRates limits requests, and the operations of transactions, to the given rates per second, each with a burst of
+// one second's worth. Requests beyond a limit are refused with 429.
 func (s *KVStore) LimitRates(rps, changes float64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -107,8 +108,8 @@
 	return s.rateLimited
 }
 
-// SetOutage begins or ends an outage, during which all requests are refused. When it ends, all leases get their full
-// duration again.
+// SetOutage begins or ends an outage, during which all endpoints refuse all requests and no lease expires. When it
+// ends, all leases get their full duration again.
 func (s *KVStore) SetOutage(on bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -122,9 +123,9 @@
 
 // StoreSnapshot is the content of a store at one moment.
 type StoreSnapshot struct {
-	revision, next uint64
+	revision, next uint64 // next: ID of the lease granted last
 	keys           map[string]entry
-	log            int
+	log            int // number of published changes
 	leases         map[uint64]lease
 }
 
@@ -139,8 +140,8 @@
 	return x
 }
 
-// RollBack restores an earlier content, including its revision, without publishing events. The restored leases get
-// their full duration again.
+// RollBack restores an earlier content, including its revision, without publishing events; events published since are
+// dropped. The restored leases get their full duration again.
 func (s *KVStore) RollBack(x StoreSnapshot) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -168,7 +169,7 @@
 	return lost
 }
 
-// LoseLeases drops all leases and the keys attached to them.
+// LoseLeases drops all leases and the keys attached to them, and publishes the deletions.
 func (s *KVStore) LoseLeases() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -194,7 +195,7 @@
 	s.changed.Broadcast()
 }
 
-// Size returns the revision and the total size of keys and values.
+// Size returns the revision and the total size of keys and values in bytes.
 func (s *KVStore) Size() (revision, bytes int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -216,6 +217,7 @@
 	return count
 }
 
+// expireLeases removes expired leases periodically, as long as the process runs.
 func (s *KVStore) expireLeases() {
 	for range time.Tick(20 * time.Millisecond) {
 		s.mu.Lock()
@@ -224,6 +226,7 @@
 	}
 }
 
+// expire removes the expired leases and the keys attached to them. The caller holds the lock.
 func (s *KVStore) expire() {
 	if s.outage {
 		return
@@ -241,6 +244,7 @@
 	}
 }
 
+// remove deletes a key and publishes the deletion with the current revision. The caller holds the lock.
 func (s *KVStore) remove(key string) {
 	if _, ok := s.keys[key]; ok {
 		delete(s.keys, key)
@@ -404,6 +408,7 @@
 	reply(w, 200, protocol.LeaseGrant{Lease: id})
 }
 
+// watch answers with the changes after a revision, once there are any or the requested time has passed.
 func (s *KVStore) watch(w http.ResponseWriter, r *http.Request) {
 	q := r.URL.Query()
 	after, _ := strconv.ParseUint(q.Get("after"), 10, 64)
--- a/internal/simulation/pipe.go
+++ b/internal/simulation/pipe.go
@@ -7,7 +7,8 @@
 	"time"
 )
 
-// Pipe is a TCP proxy to one address that can be cut and slowed down, such as the path from one controller to another.
+// Pipe is a TCP proxy to one address that can be cut and slowed down. It simulates a network path, such as the one from
+// a controller to another.
 type Pipe struct {
 	listener net.Listener
 	to       string
@@ -32,7 +33,8 @@
 // Addr returns the address that the proxy listens on.
 func (p *Pipe) Addr() string { return p.listener.Addr().String() }
 
-// Cut closes all connections and refuses new ones, or accepts them again.
+// Cut cuts or restores the path. While it is cut, all connections are closed, and new ones as soon as they are
+// accepted.
 func (p *Pipe) Cut(on bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -61,9 +63,9 @@
 func (r delayedReader) Read(b []byte) (int, error) {
 	n, err := r.Conn.Read(b)
 	r.p.mu.Lock()
-	slow := r.p.delay
+	delay := r.p.delay
 	r.p.mu.Unlock()
-	time.Sleep(slow)
+	time.Sleep(delay)
 	return n, err
 }
 
@@ -83,8 +85,8 @@
 	}
 }
 
-// addConn registers a connection to be closed with the pipe. If the pipe is cut, it closes the connection and returns
-// false.
+// addConn registers a connection, which Cut then closes. If the pipe is already cut, it closes the connection at once
+// and returns false.
 func (p *Pipe) addConn(c net.Conn) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/simulation/users.go
+++ b/internal/simulation/users.go
@@ -17,8 +17,8 @@
 // userTimeout bounds a user's request.
 const userTimeout = 5 * time.Second
 
-// Users sends users' requests to the controllers and records every answer. It is safe for concurrent use, also by
-// requests about the same job.
+// Users sends users' requests to the controllers and records every answer. Its methods may be called concurrently, also
+// for the same job.
 type Users struct {
 	controllers []string // addresses
 	checker     *Checker
@@ -38,7 +38,7 @@
 // Log returns the history of all requests and answers.
 func (u *Users) Log() *history.Log { return u.log }
 
-// Submit sends a submission to a controller. It may be sent again.
+// Submit sends a submission to a controller. The same submission may be sent several times.
 func (u *Users) Submit(node int, spec *protocol.Submission) (status int, state protocol.JobState) {
 	u.checker.RecordSubmission(spec)
 	return u.call(node, history.Submit, spec.UID, "POST", protocol.PathSubmit, protocol.Encode(spec))
@@ -101,6 +101,7 @@
 	})
 }
 
+// retryUntil repeats a request until it is answered as desired. It returns false if the context ended first.
 func (u *Users) retryUntil(ctx context.Context, answered func() bool) bool {
 	for !answered() {
 		if !wait.For(ctx, 20*time.Millisecond) {
