--- a/internal/cancelwatermark/cancelwatermark.go
+++ b/internal/cancelwatermark/cancelwatermark.go
@@ -5,7 +5,7 @@
 // beyond the time by which these tasks must be gone. It therefore keeps a watermark, a moment such that every
 // cancellation that any controller confirmed to a user before it is known here. Two sources advance the watermark:
 //
-//   - a read of the key-value store, up to the moment at which the read began;
+//   - a read of the state service, up to the moment at which the read began;
 //   - without the store, the peers: each peer numbers the cancellations that it confirms, sends them, and reports in
 //     its status how many it has confirmed. A controller that received all of them knows everything that this peer
 //     had confirmed by then.
@@ -68,7 +68,7 @@
 	return w
 }
 
-// RecordRead records that everything the key-value store held when a read began is known here.
+// RecordRead records that everything the state service held when a read began is known here.
 func (w *Watermark) RecordRead(began time.Time) {
 	if began.After(w.lastRead) {
 		w.lastRead = began
--- a/internal/cancelwatermark/cancelwatermark_test.go
+++ b/internal/cancelwatermark/cancelwatermark_test.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// world models three controllers and a key-value store: which cancellation was confirmed when, what each process knows,
+// world models three controllers and a state service: which cancellation was confirmed when, what each process knows,
 // and messages that arrive late or are lost with their connection.
 type world struct {
 	rng         *rand.Rand
@@ -232,7 +232,7 @@
 
 // TestWatermarkModel guards that every cancellation confirmed by any controller before another controller's watermark
 // is known to that controller, whatever messages are lost or late, processes restart or requests are refused. Renewals
-// based on anything else kept tasks alive past their time when the key-value store refused first one controller and
+// based on anything else kept tasks alive past their time when the state service refused first one controller and
 // then all.
 func TestWatermarkModel(t *testing.T) {
 	var sum world
--- a/internal/cli/cli.go
+++ b/internal/cli/cli.go
@@ -45,8 +45,8 @@
 	Demo       demoCmd       `cmd:"" help:"Run a complete deployment on this machine, submit a job and show its output."`
 	Controller controllerCmd `cmd:"" hidden:"" help:"Run a controller (used by demo and simulate)."`
 
-	Snapshot snapshotCmd `cmd:"" help:"Keep copies of the key-value store, and restore one after data loss (see docs/data-recovery.md)."`
-	Recovery recoveryCmd `cmd:"" name:"recovery" aliases:"rebuild" help:"Show how the controllers restore data that the key-value store lost (see docs/data-recovery.md)."`
+	Snapshot snapshotCmd `cmd:"" help:"Keep copies of the state service, and restore one after data loss (see docs/data-recovery.md)."`
+	Recovery recoveryCmd `cmd:"" name:"recovery" aliases:"rebuild" help:"Show how the controllers restore data that the state service lost (see docs/data-recovery.md)."`
 
 	Admission admissionCmd `cmd:"" help:"Show how scarce capacity is divided among teams and classes (see docs/admission.md)."`
 
--- a/internal/cli/config.go
+++ b/internal/cli/config.go
@@ -28,14 +28,14 @@
 	Status     configStatusCmd `cmd:"" help:"Show which changes are in force everywhere and which controllers are behind."`
 }
 
-// configStore holds the flags that select the key-value store to write to and the controllers to wait for.
+// configStore holds the flags that select the state service to write to and the controllers to wait for.
 type configStore struct {
-	Settings string        `required:"" placeholder:"FILE" help:"Settings file of a controller. It names the key-value store, its limits and the teams."`
+	Settings string        `required:"" placeholder:"FILE" help:"Settings file of a controller. It names the state service, its limits and the teams."`
 	Wait     []string      `placeholder:"HOST:PORT" help:"Wait until one of these controllers reports the changes as in force everywhere."`
 	Timeout  time.Duration `name:"most" default:"1m" help:"Give up after this time."`
 }
 
-// open returns a writer to the key-value store. The writer works until the context ends.
+// open returns a writer to the state service. The writer works until the context ends.
 func (c *configStore) open(ctx context.Context) (*teamstore.Writer, error) {
 	s, err := settings.Load(c.Settings)
 	if err != nil {
@@ -206,7 +206,7 @@
 
 type configListCmd struct{ configStore }
 
-// Run prints the teams' entries in the key-value store.
+// Run prints the teams' entries in the state service.
 func (c *configListCmd) Run(r *commandContext) error {
 	ctx, cancel := context.WithTimeout(r.ctx, c.Timeout)
 	defer cancel()
--- a/internal/cli/region.go
+++ b/internal/cli/region.go
@@ -26,7 +26,7 @@
 	"topazhollow/internal/wait"
 )
 
-// region is a complete deployment on loopback: a simulated cloud and key-value store, three controller processes and an
+// region is a complete deployment on loopback: a simulated cloud and state service, three controller processes and an
 // artifact store.
 type region struct {
 	dir       string
--- a/internal/cli/simulate.go
+++ b/internal/cli/simulate.go
@@ -14,11 +14,11 @@
 type simulateCmd struct {
 	Overload simulateOverloadCmd `cmd:"" help:"Submit bursts of urgent jobs while faults occur, and check that no class starves."`
 	Kills    simulateKillsCmd    `cmd:"" help:"Kill agents and artifact stores at random times, and check everything read afterwards."`
-	Size     simulateSizeCmd     `cmd:"" name:"loss-at-size" help:"Measure how long recovery takes, step by step, after the key-value store loses all data."`
+	Size     simulateSizeCmd     `cmd:"" name:"loss-at-size" help:"Measure how long recovery takes, step by step, after the state service loses all data."`
 	Meetings simulateMeetingsCmd `cmd:"" help:"Combine faults at random times with cancellations in between, and check that no rule is violated."`
 	Scale    simulateScaleCmd    `cmd:"" help:"Measure the resources that controllers use for a fleet of simulated agents (see docs/CAPACITY.md)."`
 	Slopes   simulateSlopesCmd   `cmd:"" name:"scale-slopes" help:"Fit lines through the results of several scale runs."`
-	Loss     simulateLossCmd     `cmd:"" help:"Remove data from the key-value store at random times while other faults occur, and check that nothing is lost or run twice."`
+	Loss     simulateLossCmd     `cmd:"" help:"Remove data from the state service at random times while other faults occur, and check that nothing is lost or run twice."`
 }
 
 // simulation prepares a simulation: it returns a context with a deadline, the path of this program, which the simulation
--- a/internal/cli/snapshot.go
+++ b/internal/cli/snapshot.go
@@ -17,7 +17,7 @@
 type snapshotCmd struct {
 	Config string `default:"deploy/snapshot.toml" help:"Settings file."`
 
-	Follow  snapshotFollowCmd  `cmd:"" help:"Copy the key-value store for as long as this runs."`
+	Follow  snapshotFollowCmd  `cmd:"" help:"Copy the state service for as long as this runs."`
 	List    snapshotListCmd    `cmd:"" help:"List the copies."`
 	Verify  snapshotVerifyCmd  `cmd:"" help:"Read every copy and check it."`
 	Restore snapshotRestoreCmd `cmd:"" help:"Restore a copy into the generation that the controllers began after a loss. Entries present in the store are newer and stay."`
@@ -169,7 +169,7 @@
 }
 
 type recoveryCmd struct {
-	Status  recoveryStatusCmd `cmd:"" help:"Show what controllers hold of the key-value store's data and which recovery work is left."`
+	Status  recoveryStatusCmd `cmd:"" help:"Show what controllers hold of the state service's data and which recovery work is left."`
 	Declare declareLostCmd    `cmd:"" name:"declare-lost" help:"Declare that no more data will be recovered: from then on controllers answer that jobs they don't know don't exist."`
 }
 
@@ -177,7 +177,7 @@
 	Controllers []string `arg:"" help:"Public addresses of the controllers."`
 }
 
-// storeStatus is the part of a controller's overview about the key-value store.
+// storeStatus is the part of a controller's overview about the state service.
 type storeStatus struct {
 	Node     string              `json:"node"`
 	Entitled bool                `json:"entitled"`
@@ -231,7 +231,7 @@
 }
 
 type declareLostCmd struct {
-	Config string `default:"deploy/snapshot.toml" help:"Settings file that names the key-value store."`
+	Config string `default:"deploy/snapshot.toml" help:"Settings file that names the state service."`
 }
 
 func (c *declareLostCmd) Run(r *commandContext) error {
--- a/internal/leasegrant/leasegrant.go
+++ b/internal/leasegrant/leasegrant.go
@@ -44,9 +44,9 @@
 	// JobState returns what is known about a job.
 	JobState(uid string) JobState
 	// StartOrdered reports whether the job's owner ordered the start of an attempt through this controller in this
-	// term, and the key-value store has not been read since.
+	// term, and the state service has not been read since.
 	StartOrdered(attempt jobstate.AttemptRef) bool
-	// MayBeLost reports whether the job of an attempt may be missing because the key-value store lost data.
+	// MayBeLost reports whether the job of an attempt may be missing because the state service lost data.
 	MayBeLost(attempt uint64) bool
 	// MayRenew reports whether a lease may start now if nothing later than bound counts as known. A zero bound imposes
 	// no limit.
--- a/internal/leasegrant/model_test.go
+++ b/internal/leasegrant/model_test.go
@@ -10,7 +10,7 @@
 	"topazhollow/internal/protocol"
 )
 
-// The model consists of three controllers, the key-value store, two machines and one job with one task. It uses the
+// The model consists of three controllers, the state service, two machines and one job with one task. It uses the
 // real watermark, membership record and its reconciliation, controller leases, team state of the owner, agent registry
 // of the homes, and renewal decision. The work of internal/controller between them is reimplemented here in a simple
 // form: in a step of time every controller reads the store, sends its peers two statuses and acts as owner and as home,
@@ -58,7 +58,7 @@
 	broken        string // violated invariant; empty if none
 }
 
-// store models the key-value store.
+// store models the state service.
 type store struct {
 	revision uint64
 	changes  []change
