--- a/internal/cli/admission.go
+++ b/internal/cli/admission.go
@@ -12,7 +12,7 @@
 )
 
 type admissionCmd struct {
-	Show admissionShowCmd `cmd:"" help:"Show for each team and class what it is served, what it lacks and why."`
+	Show admissionShowCmd `cmd:"" help:"Show for each team and class how much work was done in time, the CPUs it uses, its floor, and why tasks wait."`
 }
 
 type admissionShowCmd struct {
@@ -84,15 +84,15 @@
 	return a.Compare(b.Key)
 }
 
-// waitReason returns a short text on what a team and class waits for, "" if for nothing.
+// waitReason returns a short text on why tasks of a team and class wait, "" if none wait and it has no floor.
 func waitReason(k *admission.KeyStatus) string {
 	switch {
 	case k.Floor > 0 && k.UsedCPUs < k.Floor:
-		return "below its floor: served first until it reaches it"
+		return "below its floor: scheduled first until it reaches it"
 	case k.Floor > 0:
 		return "at its floor; the rest waits for capacity"
 	case k.Waiting > 0 && k.UsedCPUs == 0:
-		return "nothing runs: quota, machines or capacity, see the log"
+		return "nothing runs, for lack of quota, machines or capacity; see the controller's log"
 	case k.Waiting > 0:
 		return "waits for capacity"
 	}
@@ -102,7 +102,7 @@
 type simulateOverloadCmd struct {
 	Trials  int           `default:"5" help:"Number of load bursts, each with a different fault."`
 	Seed    uint64        `default:"1" help:"Seed of the random trials."`
-	AtOnce  int           `default:"2" help:"Deployments to run in parallel, of three controller processes each."`
+	AtOnce  int           `default:"2" help:"Number of deployments, of three controller processes each, to run in parallel."`
 	Floor   float64       `default:"0.5" help:"The controllers' class_floor; 0 disables it for comparison."`
 	Report  string        `help:"Write an HTML report to this file."`
 	Timeout time.Duration `name:"most" default:"1h" help:"Give up after this time."`
--- a/internal/cli/cli.go
+++ b/internal/cli/cli.go
@@ -45,7 +45,7 @@
 	Demo       demoCmd       `cmd:"" help:"Run a complete deployment on this machine, submit a job and show its output."`
 	Controller controllerCmd `cmd:"" hidden:"" help:"Run a controller (used by demo and simulate)."`
 
-	Snapshot snapshotCmd `cmd:"" help:"Keep copies of the state service, and restore one after data loss (see docs/data-recovery.md)."`
+	Snapshot snapshotCmd `cmd:"" help:"Keep copies of the state service's data, and restore one after data loss (see docs/data-recovery.md)."`
 	Recovery recoveryCmd `cmd:"" name:"recovery" aliases:"rebuild" help:"Show how the controllers restore data that the state service lost (see docs/data-recovery.md)."`
 
 	Admission admissionCmd `cmd:"" help:"Show how scarce capacity is divided among teams and classes (see docs/admission.md)."`
@@ -126,8 +126,10 @@
 	PrintConfig bool `help:"Print the effective settings, including defaults, then exit."`
 }
 
-// key returns the key to run a server with. It returns nil if the server must not run: with an error, or without one
-// after it has printed or checked the settings. err is the error of reading the settings.
+// key returns the key in the environment, with which the caller runs its server. If key returns nil, the caller must
+// not run the server: either the settings or the key are invalid, and key returns an error, or --print-config or
+// --check was given, and key has printed the settings or the result of the check. err is the error of reading the
+// settings.
 func (f serverFlags) key(r *commandContext, set fmt.Stringer, err error) ([]byte, error) {
 	if err != nil {
 		return nil, fmt.Errorf("%w: %w", errUsage, err)
@@ -201,7 +203,7 @@
 }
 
 type tokenCmd struct {
-	Job      string        `arg:"" help:"Job, for example job-000412; with --build an instance."`
+	Job      string        `arg:"" help:"Job whose output the token is for, for example job-000412; with --build the name of an instance."`
 	Task     *int          `help:"Restrict the token to this task."`
 	Build    bool          `help:"Make a token for an instance of the build server."`
 	ValidFor time.Duration `name:"for" default:"12h" help:"How long the token is valid."`
@@ -272,7 +274,8 @@
 }
 
 // printFailed prints, for each task of the job without a final attempt, the output and exit of its last ended attempt.
-// It reads on when too few replicas answer, and returns that error at the end.
+// When too few replicas answer for a definite result, it continues with what they reported and returns the error at the
+// end.
 func (c *logsCmd) printFailed(r *commandContext) error {
 	tasks, unsure := c.reader().Tasks(r.ctx, c.Target.Job)
 	if unsure != nil && !errors.Is(unsure, artifactstore.ErrUnsure) {
--- a/internal/cli/config.go
+++ b/internal/cli/config.go
@@ -17,11 +17,11 @@
 	"topazhollow/internal/tomlfile"
 )
 
-// controlRecordKey is the store key of the controllers' control record.
+// controlRecordKey is the key of the controllers' control record in the state service.
 const controlRecordKey = "w/c"
 
 type configCmd struct {
-	SetTeam    configSetCmd    `cmd:"" help:"Change a team's guarantee and limit, or add a new or removed team."`
+	SetTeam    configSetCmd    `cmd:"" help:"Change a team's guarantee and limit, or add a team that is new or was removed."`
 	RemoveTeam configRemoveCmd `cmd:"" help:"Stop accepting jobs of a team. Its accepted jobs run to completion within its limit."`
 	Apply      configApplyCmd  `cmd:"" help:"Make the changes listed in a TOML file."`
 	List       configListCmd   `cmd:"" help:"List the teams whose configuration differs from the settings file."`
@@ -57,6 +57,7 @@
 	Removed    bool     `kong:"-" toml:"removed"`
 }
 
+// edit applies the change to a team's entry. Its signature is the one that teamstore.Writer.Change calls.
 func (c teamChange) edit(e *teamconfig.Entry, _ bool) error {
 	for _, x := range []struct {
 		to   *float64
--- a/internal/cli/config_test.go
+++ b/internal/cli/config_test.go
@@ -16,7 +16,8 @@
 )
 
 // TestConfigCommands checks that changes are committed on top of the settings file and of each other, that invalid
-// changes are refused with the team or field named, and that nothing is written to a store without a control record.
+// changes are refused with the team or field named, and that nothing is written to a state service without a control
+// record.
 func TestConfigCommands(t *testing.T) {
 	store, err := simulation.NewKVStore(16, 16)
 	if err != nil {
--- a/internal/cli/region.go
+++ b/internal/cli/region.go
@@ -120,7 +120,7 @@
 		g.storeURL = "http://" + addr
 		return nil
 	case err := <-g.storeDone:
-		g.storeDone <- nil // for close
+		g.storeDone <- nil // close receives once more
 		return err
 	}
 }
--- a/internal/cli/simulate.go
+++ b/internal/cli/simulate.go
@@ -13,7 +13,7 @@
 
 type simulateCmd struct {
 	Overload simulateOverloadCmd `cmd:"" help:"Submit bursts of urgent jobs while faults occur, and check that no class starves."`
-	Kills    simulateKillsCmd    `cmd:"" help:"Kill agents and artifact stores at random times, and check everything read afterwards."`
+	Kills    simulateKillsCmd    `cmd:"" help:"Kill agents and artifact stores at random times, and check all output and files read afterwards."`
 	Size     simulateSizeCmd     `cmd:"" name:"loss-at-size" help:"Measure how long recovery takes, step by step, after the state service loses all data."`
 	Meetings simulateMeetingsCmd `cmd:"" help:"Combine faults at random times with cancellations in between, and check that no rule is violated."`
 	Scale    simulateScaleCmd    `cmd:"" help:"Measure the resources that controllers use for a fleet of simulated agents (see docs/CAPACITY.md)."`
@@ -38,7 +38,7 @@
 type trialsCmd struct {
 	Trials  int           `default:"12" help:"Number of trials."`
 	Seed    uint64        `default:"1" help:"Seed: trial N uses the seed plus N."`
-	AtOnce  int           `default:"4" help:"Deployments to run in parallel, of three controller processes each."`
+	AtOnce  int           `default:"4" help:"Number of deployments, of three controller processes each, to run in parallel."`
 	Timeout time.Duration `name:"most" default:"1h" help:"Give up after this time."`
 }
 
@@ -92,7 +92,7 @@
 	Jobs      int           `default:"500" help:"Active jobs."`
 	EndedJobs int           `name:"ends" default:"25000" help:"Jobs that ended before the loss."`
 	Crashes   int           `name:"gone" default:"0" help:"Controllers that crash with the loss and restart 3 s later; at most 3."`
-	Copy      bool          `help:"Follow the store with topazhollowctl snapshot, and restore the copy if all three controllers crash."`
+	Copy      bool          `help:"Follow the state service with topazhollowctl snapshot, and restore the copy if all three controllers crash."`
 	Timeout   time.Duration `name:"most" default:"15m" help:"Give up after this time."`
 }
 
--- a/internal/cli/snapshot.go
+++ b/internal/cli/snapshot.go
@@ -17,14 +17,15 @@
 type snapshotCmd struct {
 	Config string `default:"deploy/snapshot.toml" help:"Settings file."`
 
-	Follow  snapshotFollowCmd  `cmd:"" help:"Copy the state service for as long as this runs."`
+	Follow  snapshotFollowCmd  `cmd:"" help:"Copy the state service's data and all later changes until this command is stopped."`
 	List    snapshotListCmd    `cmd:"" help:"List the copies."`
 	Verify  snapshotVerifyCmd  `cmd:"" help:"Read every copy and check it."`
-	Restore snapshotRestoreCmd `cmd:"" help:"Restore a copy into the generation that the controllers began after a loss. Entries present in the store are newer and stay."`
-	Prune   snapshotPruneCmd   `cmd:"" help:"Delete old copies; never the newest, and one from before a loss only if --copy names it."`
+	Restore snapshotRestoreCmd `cmd:"" help:"Restore a copy into the generation that the controllers began after a loss. Entries that the state service has already are newer and stay."`
+	Prune   snapshotPruneCmd   `cmd:"" help:"Delete the oldest copies, up to the first one that must stay: the newest, one younger than --older, or one from before a loss, unless --copy names it."`
 }
 
-// open reads the settings and opens the archive, for writing if write is set.
+// open reads the settings and opens the archive, for writing if write is set: then it fails while another process has
+// the archive open for writing.
 func (c *snapshotCmd) open(write bool) (*snapshot.Config, *snapshot.Archive, error) {
 	set, err := snapshot.LoadConfig(c.Config)
 	if err != nil {
@@ -94,7 +95,7 @@
 }
 
 type snapshotRestoreCmd struct {
-	Copy     uint64        `help:"Number of the copy; by default the newest before the loss."`
+	Copy     uint64        `help:"Number of the copy; by default the newest complete one from before a loss, or the newest complete one if there was no loss."`
 	Revision uint64        `help:"Restore the state at this revision; by default all of the copy."`
 	Apply    bool          `help:"Write; without it the command only prints what it would write."`
 	Declare  bool          `help:"Declare afterwards that no more data will be recovered: controllers then answer that jobs they don't know don't exist."`
@@ -133,7 +134,7 @@
 		}
 		action = fmt.Sprintf("restored in %s", time.Since(began).Round(10*time.Millisecond))
 	}
-	r.print(plan, "copy %d as of revision %d, into generation %d: %s the configuration of %d teams, %d jobs with %d finished tasks and %d ended jobs, by %d changes; of %d jobs the store has newer entries",
+	r.print(plan, "copy %d as of revision %d, into generation %d: %s the configuration of %d teams, %d jobs with %d finished tasks and %d ended jobs, by %d changes; of %d jobs the state service has newer entries",
 		plan.Copy, plan.Revision, plan.Generation, action, plan.Teams, plan.Jobs, plan.Done, plan.Ends, plan.Changes, plan.Newer)
 	if c.Apply && c.Declare {
 		return declareLost(ctx, r, restorer)
@@ -202,7 +203,7 @@
 		if s.Store.DataLost {
 			lost = fmt.Sprintf("jobs may be lost; machines run tasks of %d jobs without a description %s", len(s.Store.Undescribed), strings.Join(s.Store.Undescribed, " "))
 		}
-		r.print(s, "%s: store %s %s, generation %d, term %d; %s; %s; has %d ended jobs in memory (all: %t)",
+		r.print(s, "%s: state service %s %s, generation %d, term %d; %s; %s; has %d ended jobs in memory (all: %t)",
 			s.Node, s.Store.Phase, s.Store.Sign, s.Store.Epoch, s.Term, left, lost, s.Store.Ends, s.Store.HistoryComplete)
 	}
 	if failed > 0 {
@@ -211,7 +212,8 @@
 	return nil
 }
 
-// fetchOverview reads a controller's overview into to, which has fields for the parts of interest.
+// fetchOverview reads a controller's overview into the struct that to points to. Parts of the overview without a field
+// in the struct are ignored.
 func fetchOverview(ctx context.Context, addr string, to any) error {
 	ctx, cancel := context.WithTimeout(ctx, 5*time.Second)
 	defer cancel()
--- a/internal/httpx/listen.go
+++ b/internal/httpx/listen.go
@@ -32,7 +32,7 @@
 // Remote returns the peer's address.
 func (c *Conn) Remote() string { return c.remote }
 
-// SetReadDeadline sets the deadline of later reads.
+// SetReadDeadline sets the deadline of later reads. Only the goroutine that reads may call it.
 func (c *Conn) SetReadDeadline(t time.Time) { c.readDeadline = t }
 
 // Pin exempts the connection from being closed to make room for new ones.
@@ -211,8 +211,8 @@
 }
 
 // Listen accepts connections until the context ends and runs serve for each in its own goroutine. When maxConns are open,
-// a new connection replaces the longest idle one. A connection with more than maxUnread bytes received but not yet read
-// is closed.
+// a new connection replaces the longest idle one; until that one is closed, up to an eighth more may be open. A
+// connection with more than maxUnread bytes received but not yet read is closed.
 func Listen(ctx context.Context, addr string, maxConns, maxUnread int, serve func(*Conn)) error {
 	l := &listener{maxConns: maxConns, maxUnread: maxUnread, serve: serve, booted: make(chan struct{}), conns: map[*Conn]struct{}{}}
 	failed := make(chan error, 1)
--- a/internal/httpx/parse.go
+++ b/internal/httpx/parse.go
@@ -16,8 +16,8 @@
 
 // Limits of the parser.
 const (
-	MaxLine    = 8 << 10 // bytes of the request line or of one header
-	MaxHeaders = 64
+	MaxLine    = 8 << 10  // bytes of the request line or of one header
+	MaxHeaders = 64       // headers, and trailers, of one message
 	MaxHead    = 32 << 10 // bytes of all headers
 )
 
--- a/internal/httpx/parse_test.go
+++ b/internal/httpx/parse_test.go
@@ -8,6 +8,7 @@
 	"testing"
 )
 
+// parse reads a request of at most 64 bytes of body from a text.
 func parse(text string) (*Request, error) {
 	return ReadRequest(bufio.NewReaderSize(strings.NewReader(text), 4<<10), 64)
 }
--- a/internal/httpx/serve.go
+++ b/internal/httpx/serve.go
@@ -23,7 +23,7 @@
 	return Answer{Status: status, Body: protocol.Encode(protocol.Error{Error: reason})}
 }
 
-// Serve answers HTTP requests at an address, over at most maxConns connections, until the context ends.
+// Serve answers HTTP requests at an address until the context ends. maxConns bounds the connections as in Listen.
 func Serve(ctx context.Context, addr string, maxConns int, timeouts Timeouts, handle Handler) error {
 	return Listen(ctx, addr, maxConns, 2*protocol.MaxBody, func(c *Conn) { serveConn(ctx, c, timeouts, handle) })
 }
--- a/internal/reapi/bytestream.go
+++ b/internal/reapi/bytestream.go
@@ -305,7 +305,7 @@
 	return &bytestream.QueryWriteStatusResponse{CommittedSize: u.Offset()}, nil
 }
 
-// parsePageToken parses a page token: the number of items on the pages before it.
+// parsePageToken parses a page token of GetTree: the number of directories on the pages before it.
 func parsePageToken(t string) (int, error) {
 	if t == "" {
 		return 0, nil
@@ -317,5 +317,5 @@
 	return n, nil
 }
 
-// pageToken returns the page token for the page after n items.
+// pageToken returns the page token of GetTree for the page after n directories.
 func pageToken(n int) string { return strconv.Itoa(n) }
--- a/internal/reapi/config.go
+++ b/internal/reapi/config.go
@@ -137,8 +137,9 @@
 	return group.Wait()
 }
 
-// runMaintenance removes blobs that no result references and nobody used for UnreferencedHours, and scrubs the others, in
-// rounds until the context ends.
+// runMaintenance runs rounds of maintenance until the context ends, with a pause of MaintenanceMinutes after each. A
+// round removes the blobs that no cached result references and no client used for UnreferencedHours, and scrubs the
+// others.
 func (c *Config) runMaintenance(ctx context.Context, blobs *blob.Store, log *slog.Logger) {
 	for ctx.Err() == nil {
 		n, freed, err := blobs.Collect(ctx, time.Duration(c.UnreferencedHours*float64(time.Hour)))
--- a/internal/reapi/reapi.go
+++ b/internal/reapi/reapi.go
@@ -26,8 +26,8 @@
 	"topazhollow/internal/wal"
 )
 
-// Instance is an instance name of the API. Its blobs belong to its team: instances of the same team share them, and
-// another team can't read them by guessing their digests.
+// Instance is an instance name that clients of the API may use. The blobs stored under it belong to its team: instances
+// of the same team share them, and another team can't read them by guessing their digests.
 type Instance struct {
 	Name        string `toml:"name"`
 	Team        string `toml:"team"`
@@ -52,7 +52,7 @@
 
 	Blobs     *blob.Store
 	Instances []Instance
-	Key       []byte // of the tokens
+	Key       []byte // verifies the callers' tokens
 	Limits    Limits
 	Log       *slog.Logger
 	Now       func() time.Time
--- a/test.sh
+++ b/test.sh
@@ -1,12 +1,14 @@
 #!/usr/bin/env bash
-# Runs all checks: formatting, vet, staticcheck, dead code, mutants' guards, the build of deploy/service.toml, tests.
+# Runs all checks: formatting, vet, staticcheck, dead code, whether scripts/mutants finds its guards, the build command
+# of deploy/service.toml, and the tests.
 set -eu
 cd "$(dirname "$0")"
 unformatted=$(gofmt -l .)
 if [ -n "$unformatted" ]; then echo "not formatted with gofmt: $unformatted" >&2; exit 1; fi
 go vet ./...
 go tool staticcheck ./...
-# Unreachable functions. Some of internal/simulation (simulated services) and internal/goldentest are used by tests only.
+# No function may be unreachable from both the programs and the tests. Functions that only tests reach are allowed in
+# internal/simulation (simulated services) and internal/goldentest only.
 unreached=$(go tool deadcode -test ./...; go tool deadcode ./... | grep -vE '^internal/(simulation|goldentest)/' || true)
 if [ -n "$unreached" ]; then echo "unreachable functions: $unreached" >&2; exit 1; fi
 scripts/mutants --check
