--- a/internal/cli/config.go
+++ b/internal/cli/config.go
@@ -17,25 +17,25 @@
 	"topazhollow/internal/tomlfile"
 )
 
-// controlRecordKey is the store key of the controllers' control record.
+// controlRecordKey is the key of the controllers' control record in the state service.
 const controlRecordKey = "w/c"
 
 type configCmd struct {
-	SetTeam    configSetCmd    `cmd:"" help:"Change a team's guarantee and limit, or add a new or removed team."`
+	SetTeam    configSetCmd    `cmd:"" help:"Change a team's guarantee and limit, or add a team that is new or was removed."`
 	RemoveTeam configRemoveCmd `cmd:"" help:"Stop accepting jobs of a team. Its accepted jobs run to completion within its limit."`
 	Apply      configApplyCmd  `cmd:"" help:"Make the changes listed in a TOML file."`
 	List       configListCmd   `cmd:"" help:"List the teams whose configuration differs from the settings file."`
 	Status     configStatusCmd `cmd:"" help:"Show which changes are in force everywhere and which controllers are behind."`
 }
 
-// configStore holds the flags that select the key-value store to write to and the controllers to wait for.
+// configStore holds the flags that select the state service to write to and the controllers to wait for.
 type configStore struct {
-	Settings string        `required:"" placeholder:"FILE" help:"Settings file of a controller. It names the key-value store, its limits and the teams."`
+	Settings string        `required:"" placeholder:"FILE" help:"Settings file of a controller. It names the state service, its limits and the teams."`
 	Wait     []string      `placeholder:"HOST:PORT" help:"Wait until one of these controllers reports the changes as in force everywhere."`
 	Timeout  time.Duration `name:"most" default:"1m" help:"Give up after this time."`
 }
 
-// open returns a writer to the key-value store. The writer works until the context ends.
+// open returns a writer to the state service. The writer works until the context ends.
 func (c *configStore) open(ctx context.Context) (*teamstore.Writer, error) {
 	s, err := settings.Load(c.Settings)
 	if err != nil {
@@ -57,6 +57,7 @@
 	Removed    bool     `kong:"-" toml:"removed"`
 }
 
+// edit applies the change to a team's entry. Its signature is the one that teamstore.Writer.Change calls.
 func (c teamChange) edit(e *teamconfig.Entry, _ bool) error {
 	for _, x := range []struct {
 		to   *float64
@@ -206,7 +207,7 @@
 
 type configListCmd struct{ configStore }
 
-// Run prints the teams' entries in the key-value store.
+// Run prints the teams' entries in the state service.
 func (c *configListCmd) Run(r *commandContext) error {
 	ctx, cancel := context.WithTimeout(r.ctx, c.Timeout)
 	defer cancel()
--- a/internal/cli/region.go
+++ b/internal/cli/region.go
@@ -26,7 +26,7 @@
 	"topazhollow/internal/wait"
 )
 
-// region is a complete deployment on loopback: a simulated cloud and key-value store, three controller processes and an
+// region is a complete deployment on loopback: a simulated cloud and state service, three controller processes and an
 // artifact store.
 type region struct {
 	dir       string
@@ -120,7 +120,7 @@
 		g.storeURL = "http://" + addr
 		return nil
 	case err := <-g.storeDone:
-		g.storeDone <- nil // for close
+		g.storeDone <- nil // close receives once more
 		return err
 	}
 }
