--- a/internal/taskrunner/taskrunner.go
+++ b/internal/taskrunner/taskrunner.go
@@ -127,7 +127,7 @@
 	log, err := wal.Open(dir, wal.Options{Step: opt.Step}, wal.Pos{}, func(at wal.Pos, b []byte) error {
 		var e entry
 		if err := json.Unmarshal(b, &e); err != nil {
-			return fmt.Errorf("runner: spool %s: entry at %v: %w", dir, at, err)
+			return fmt.Errorf("taskrunner: spool %s: entry at %v: %w", dir, at, err)
 		}
 		s.apply(&e, at)
 		return nil
@@ -199,7 +199,7 @@
 func Run(ctx context.Context, opt Options, t Task, grace time.Duration) (Result, error) {
 	opt.setDefaults()
 	if len(t.Command) == 0 || len(opt.Keepers) == 0 {
-		return Result{}, errors.New("runner: no command or no replica address given")
+		return Result{}, errors.New("taskrunner: no command or no replica address given")
 	}
 	dir := spoolDir(opt.Spool, t.Claim.Attempt)
 	s, err := open(opt, dir)
@@ -208,7 +208,7 @@
 	}
 	defer s.log.Close()
 	if s.task.Command != nil {
-		return Result{}, fmt.Errorf("runner: attempt %s already has a spool: %w", t.Claim.Attempt, fs.ErrExist)
+		return Result{}, fmt.Errorf("taskrunner: attempt %s already has a spool: %w", t.Claim.Attempt, fs.ErrExist)
 	}
 	if err := s.write(ctx, &entry{Task: &t}); err != nil {
 		return Result{}, err
@@ -307,7 +307,7 @@
 		if st, err := root.Lstat(want); err != nil {
 			return nil, err
 		} else if !st.IsDir() && !st.Mode().IsRegular() {
-			return nil, fmt.Errorf("runner: %s is not a regular file", want)
+			return nil, fmt.Errorf("taskrunner: %s is not a regular file", want)
 		}
 		err := fs.WalkDir(root.FS(), want, func(path string, d fs.DirEntry, err error) error {
 			switch {
@@ -316,7 +316,7 @@
 			case d.IsDir():
 				return nil
 			case !d.Type().IsRegular():
-				return fmt.Errorf("runner: %s is not a regular file", path)
+				return fmt.Errorf("taskrunner: %s is not a regular file", path)
 			}
 			files = append(files, path)
 			return artifactstore.CheckPath(path)
@@ -337,7 +337,7 @@
 func Recover(ctx context.Context, opt Options) (count int, err error) {
 	opt.setDefaults()
 	if len(opt.Keepers) == 0 {
-		return 0, errors.New("runner: no replica address given")
+		return 0, errors.New("taskrunner: no replica address given")
 	}
 	entries, err := os.ReadDir(opt.Spool)
 	if errors.Is(err, fs.ErrNotExist) {
@@ -365,7 +365,7 @@
 		_, err = s.upload(ctx)
 		s.log.Close()
 		if err != nil {
-			errs = append(errs, fmt.Errorf("runner: spool %s: %w", e.Name(), err))
+			errs = append(errs, fmt.Errorf("taskrunner: spool %s: %w", e.Name(), err))
 			continue
 		}
 		count++
--- a/internal/taskrunner/upload.go
+++ b/internal/taskrunner/upload.go
@@ -31,7 +31,7 @@
 }
 
 func (r *rejection) Error() string {
-	return fmt.Sprintf("runner: replica responded with %d %s", r.status, r.reason)
+	return fmt.Sprintf("taskrunner: replica responded with %d %s", r.status, r.reason)
 }
 
 // call sends a request until a replica accepts or rejects it or the context ends. It tries
