--- a/internal/faultinjection/combinedfaults.go
+++ b/internal/faultinjection/combinedfaults.go
@@ -77,29 +77,29 @@
 // runCombined submits jobs, injects overlapping faults while users cancel and query jobs, waits until all jobs have
 // ended, and checks the answers against each other.
 func (g *region) runCombined(ctx context.Context, t *CombinedTrial) error {
-	m := &combinedFaults{region: g, users: simulation.NewUsers(g.listen, g.checker), seed: t.Seed}
-	defer m.users.Close()
+	f := &combinedFaults{region: g, users: simulation.NewUsers(g.listen, g.checker), seed: t.Seed}
+	defer f.users.Close()
 	for i := range 4 {
-		m.short, m.long = append(m.short, arrayJob(i, 2+i%2)), append(m.long, arrayJob(firstLongJob+i, 2))
-		if err := errors.Join(m.submitUntilAccepted(ctx, m.long[i]), m.submitUntilAccepted(ctx, m.short[i])); err != nil {
+		f.short, f.long = append(f.short, arrayJob(i, 2+i%2)), append(f.long, arrayJob(firstLongJob+i, 2))
+		if err := errors.Join(f.submitUntilAccepted(ctx, f.long[i]), f.submitUntilAccepted(ctx, f.short[i])); err != nil {
 			return err
 		}
 	}
 	if err := g.await(ctx, "seven tasks are running", func() bool { return g.checker.CountRunning() > 6 }); err != nil {
 		return err
 	}
-	if err := m.injectFaults(ctx, t); err != nil {
+	if err := f.injectFaults(ctx, t); err != nil {
 		return err
 	}
 	began := time.Now()
-	if err := m.awaitAllEnded(ctx); err != nil {
+	if err := f.awaitAllEnded(ctx); err != nil {
 		return err
 	}
 	t.Settled = time.Since(began)
 	if err := g.await(ctx, "no task is left on a machine", func() bool { return g.checker.CountRunning() == 0 }); err != nil {
 		return err
 	}
-	if found := history.Check(m.users.Log().Calls()); len(found) > 0 {
+	if found := history.Check(f.users.Log().Calls()); len(found) > 0 {
 		return fmt.Errorf("%d answers contradict earlier ones, for example %v", len(found), found[0])
 	}
 	return nil
@@ -118,12 +118,12 @@
 
 // userRand returns a random source for one user. A shared one would depend on how often other users made requests
 // before, and therefore on the machine's speed.
-func (m *combinedFaults) userRand(user uint64) *rand.Rand {
-	return rand.New(rand.NewPCG(m.seed, 100+user))
+func (f *combinedFaults) userRand(user uint64) *rand.Rand {
+	return rand.New(rand.NewPCG(f.seed, 100+user))
 }
 
 // withUserTimeout runs a function that repeats a request until it is answered, for at most userTimeout.
-func (m *combinedFaults) withUserTimeout(ctx context.Context, what string, until func(ctx context.Context) bool) error {
+func (f *combinedFaults) withUserTimeout(ctx context.Context, what string, until func(ctx context.Context) bool) error {
 	ctx, cancel := context.WithTimeout(ctx, userTimeout)
 	defer cancel()
 	if !until(ctx) {
@@ -132,36 +132,36 @@
 	return nil
 }
 
-func (m *combinedFaults) submitUntilAccepted(ctx context.Context, job *protocol.Submission) error {
-	return m.withUserTimeout(ctx, job.UID+" is accepted", func(ctx context.Context) bool { return m.users.SubmitUntil(ctx, m.rng, job) })
+func (f *combinedFaults) submitUntilAccepted(ctx context.Context, job *protocol.Submission) error {
+	return f.withUserTimeout(ctx, job.UID+" is accepted", func(ctx context.Context) bool { return f.users.SubmitUntil(ctx, f.rng, job) })
 }
 
 // injectFaults injects two or three random overlapping faults while users cancel the long jobs and query all
 // controllers.
-func (m *combinedFaults) injectFaults(ctx context.Context, t *CombinedTrial) error {
+func (f *combinedFaults) injectFaults(ctx context.Context, t *CombinedTrial) error {
 	group, during := errgroup.WithContext(ctx)
-	draw := rand.New(rand.NewPCG(m.seed, 37))
+	draw := rand.New(rand.NewPCG(f.seed, 37))
 	count := 2 + draw.IntN(2)
 	for _, k := range draw.Perm(len(combinedFaultKinds))[:count] {
 		x := combinedFaultKinds[k]
 		t.Faults = append(t.Faults, x.name)
-		own := rand.New(rand.NewPCG(m.seed, uint64(k)))
+		own := rand.New(rand.NewPCG(f.seed, uint64(k)))
 		// Most faults affect the same controller, so that they overlap there.
-		one, after := int(m.seed%3), time.Duration(own.IntN(4000))*time.Millisecond
+		one, after := int(f.seed%3), time.Duration(own.IntN(4000))*time.Millisecond
 		if own.IntN(4) == 0 {
 			one = own.IntN(3)
 		}
 		duration := time.Duration(3000+own.IntN(9000)) * time.Millisecond
 		group.Go(func() error {
 			wait.For(during, after)
-			return x.play(during, m.region, own, one, duration)
+			return x.play(during, f.region, own, one, duration)
 		})
 	}
-	for i, job := range m.long {
+	for i, job := range f.long {
 		after := time.Duration(draw.IntN(8000)) * time.Millisecond
 		group.Go(func() error {
 			wait.For(during, after)
-			return m.cancelAndQuery(during, uint64(i), job)
+			return f.cancelAndQuery(during, uint64(i), job)
 		})
 	}
 	return group.Wait()
@@ -171,27 +171,27 @@
 const queriesPerController = 3
 
 // cancelAndQuery cancels a long job and then queries all controllers concurrently about it and about a short job.
-func (m *combinedFaults) cancelAndQuery(ctx context.Context, user uint64, job *protocol.Submission) error {
-	if err := m.withUserTimeout(ctx, job.UID+" is cancelled", func(ctx context.Context) bool { return m.users.CancelUntil(ctx, m.userRand(user), job.UID) }); err != nil {
+func (f *combinedFaults) cancelAndQuery(ctx context.Context, user uint64, job *protocol.Submission) error {
+	if err := f.withUserTimeout(ctx, job.UID+" is cancelled", func(ctx context.Context) bool { return f.users.CancelUntil(ctx, f.userRand(user), job.UID) }); err != nil {
 		return err
 	}
-	m.users.AskEveryController(job, queriesPerController)
-	m.users.AskEveryController(m.short[user], queriesPerController)
+	f.users.AskEveryController(job, queriesPerController)
+	f.users.AskEveryController(f.short[user], queriesPerController)
 	return nil
 }
 
 // awaitAllEnded submits one more job after the faults and waits until all jobs have ended.
-func (m *combinedFaults) awaitAllEnded(ctx context.Context) error {
+func (f *combinedFaults) awaitAllEnded(ctx context.Context) error {
 	late := arrayJob(90, 3)
-	if err := m.submitUntilAccepted(ctx, late); err != nil {
+	if err := f.submitUntilAccepted(ctx, late); err != nil {
 		return err
 	}
-	for i, job := range append(append(m.short, late), m.long...) {
-		rng := m.userRand(uint64(20 + i))
-		if err := m.withUserTimeout(ctx, job.UID+" ends", func(ctx context.Context) bool { return m.users.AwaitEnd(ctx, rng, job.UID) }); err != nil {
+	for i, job := range append(append(f.short, late), f.long...) {
+		rng := f.userRand(uint64(20 + i))
+		if err := f.withUserTimeout(ctx, job.UID+" ends", func(ctx context.Context) bool { return f.users.AwaitEnd(ctx, rng, job.UID) }); err != nil {
 			return err
 		}
-		m.users.AskEveryController(job, 1)
+		f.users.AskEveryController(job, 1)
 	}
 	return nil
 }
--- a/internal/faultinjection/faultinjection.go
+++ b/internal/faultinjection/faultinjection.go
@@ -87,31 +87,31 @@
 	if opt.AtOnce <= 0 {
 		opt.AtOnce = 8
 	}
-	d := &killTest{options: opt, configs: map[string]string{}, processes: map[string]*exec.Cmd{}, report: Report{Seed: opt.Seed}}
-	defer d.stopAll()
-	if err := d.configure(); err != nil {
+	k := &killTest{options: opt, configs: map[string]string{}, processes: map[string]*exec.Cmd{}, report: Report{Seed: opt.Seed}}
+	defer k.stopAll()
+	if err := k.configure(); err != nil {
 		return nil, err
 	}
 	for _, name := range storeNames {
-		if err := d.start(name); err != nil {
+		if err := k.start(name); err != nil {
 			return nil, err
 		}
 	}
-	if err := d.awaitRepaired(ctx); err != nil {
+	if err := k.awaitRepaired(ctx); err != nil {
 		return nil, err
 	}
 	began := time.Now()
 	killing, stop := context.WithCancel(ctx)
 	defer stop()
 	var storeKiller errgroup.Group
-	storeKiller.Go(func() error { return d.killStores(killing, rand.New(rand.NewPCG(opt.Seed, 1))) })
+	storeKiller.Go(func() error { return k.killStores(killing, rand.New(rand.NewPCG(opt.Seed, 1))) })
 	group, working := errgroup.WithContext(ctx)
 	group.SetLimit(opt.AtOnce)
-	for d.countKilled() < opt.Kills && working.Err() == nil {
-		task := d.report.Tasks
-		d.report.Tasks++
-		group.Go(func() error { return d.runTask(working, task, rand.New(rand.NewPCG(opt.Seed, uint64(task)+2))) })
-		if d.report.Tasks > 4*opt.Kills+opt.AtOnce { // most attempts are killed; with too few kills by now, the delays are drawn wrong
+	for k.countKilled() < opt.Kills && working.Err() == nil {
+		task := k.report.Tasks
+		k.report.Tasks++
+		group.Go(func() error { return k.runTask(working, task, rand.New(rand.NewPCG(opt.Seed, uint64(task)+2))) })
+		if k.report.Tasks > 4*opt.Kills+opt.AtOnce { // most attempts are killed; with too few kills by now, the delays are drawn wrong
 			break
 		}
 	}
@@ -120,24 +120,24 @@
 	if err = errors.Join(err, storeKiller.Wait()); err != nil {
 		return nil, err
 	}
-	if err := d.awaitRepaired(ctx); err != nil {
+	if err := k.awaitRepaired(ctx); err != nil {
 		return nil, err
 	}
-	if err := d.check(ctx); err != nil {
+	if err := k.check(ctx); err != nil {
 		return nil, err
 	}
-	d.report.Took = time.Since(began)
-	return &d.report, nil
+	k.report.Took = time.Since(began)
+	return &k.report, nil
 }
 
-func (d *killTest) countKilled() int {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	return len(d.report.Kills)
+func (k *killTest) countKilled() int {
+	k.mu.Lock()
+	defer k.mu.Unlock()
+	return len(k.report.Kills)
 }
 
-func (d *killTest) printf(format string, args ...any) {
-	if d.options.Out != nil {
-		fmt.Fprintf(d.options.Out, format+"\n", args...)
+func (k *killTest) printf(format string, args ...any) {
+	if k.options.Out != nil {
+		fmt.Fprintf(k.options.Out, format+"\n", args...)
 	}
 }
--- a/internal/faultinjection/killcheck.go
+++ b/internal/faultinjection/killcheck.go
@@ -13,8 +13,8 @@
 )
 
 // readHistory reads the acknowledgements that an attempt's agent received.
-func (d *killTest) readHistory(at artifactstore.Attempt) (acked uint64, sealed, final bool, err error) {
-	f, err := os.Open(filepath.Join(d.options.Dir, "history", fmt.Sprintf("%s-%d-%d", at.Job, at.Task, at.Number)))
+func (k *killTest) readHistory(at artifactstore.Attempt) (acked uint64, sealed, final bool, err error) {
+	f, err := os.Open(filepath.Join(k.options.Dir, "history", fmt.Sprintf("%s-%d-%d", at.Job, at.Task, at.Number)))
 	if errors.Is(err, os.ErrNotExist) {
 		return 0, false, false, nil
 	}
@@ -40,56 +40,56 @@
 }
 
 // reportViolation records a violated guarantee.
-func (d *killTest) reportViolation(format string, args ...any) {
-	if d.report.BrokenInTotal++; len(d.report.Broken) < 100 {
-		d.report.Broken = append(d.report.Broken, fmt.Sprintf(format, args...))
+func (k *killTest) reportViolation(format string, args ...any) {
+	if k.report.BrokenInTotal++; len(k.report.Broken) < 100 {
+		k.report.Broken = append(k.report.Broken, fmt.Sprintf(format, args...))
 	}
 }
 
 // check reads everything from each replica and compares it with the history.
-func (d *killTest) check(ctx context.Context) error {
-	for task := range d.report.Tasks {
+func (k *killTest) check(ctx context.Context) error {
+	for task := range k.report.Tasks {
 		var first []artifactstore.AttemptSummary
-		for i, url := range d.urls {
-			r := &artifactstore.Reader{URL: url, Token: artifactstore.Grant{Right: artifactstore.Read, Job: "job-000001", Until: time.Now().Add(time.Hour)}.Token(d.options.Key)}
+		for i, url := range k.urls {
+			r := &artifactstore.Reader{URL: url, Token: artifactstore.Grant{Right: artifactstore.Read, Job: "job-000001", Until: time.Now().Add(time.Hour)}.Token(k.options.Key)}
 			list, err := r.Attempts(ctx, "job-000001", task)
 			if err != nil {
 				return fmt.Errorf("task %d at %s: %w", task, storeNames[i], err)
 			}
 			results := 0
-			for k := range list {
-				if err := d.checkAttempt(ctx, r, storeNames[i], &list[k]); err != nil {
+			for index := range list {
+				if err := k.checkAttempt(ctx, r, storeNames[i], &list[index]); err != nil {
 					return err
 				}
-				if list[k].State == artifactstore.StateFinal {
+				if list[index].State == artifactstore.StateFinal {
 					results++
 				}
 			}
 			if results != 1 {
-				d.reportViolation("task %d has %d results at %s", task, results, storeNames[i])
+				k.reportViolation("task %d has %d results at %s", task, results, storeNames[i])
 			}
 			if i == 0 {
 				first = list
 			} else if fmt.Sprint(attemptStates(first)) != fmt.Sprint(attemptStates(list)) {
-				d.reportViolation("task %d: %s shows %v, %s %v", task, storeNames[0], attemptStates(first), storeNames[i], attemptStates(list))
+				k.reportViolation("task %d: %s shows %v, %s %v", task, storeNames[0], attemptStates(first), storeNames[i], attemptStates(list))
 			}
 		}
 		for _, a := range first {
-			for k := range d.report.Kills {
-				if x := &d.report.Kills[k]; x.Attempt == a.Attempt {
+			for index := range k.report.Kills {
+				if x := &k.report.Kills[index]; x.Attempt == a.Attempt {
 					x.State = a.State
 				}
 			}
 		}
 	}
-	for i := range d.report.Kills {
-		k := &d.report.Kills[i]
-		acked, sealed, _, err := d.readHistory(k.Attempt)
+	for i := range k.report.Kills {
+		kill := &k.report.Kills[i]
+		acked, sealed, _, err := k.readHistory(kill.Attempt)
 		if err != nil {
 			return err
 		}
-		if k.Acked = acked; k.State == "" && (acked > 0 || sealed) {
-			d.reportViolation("%s is lost: %d records were acknowledged, sealed %v", k.Attempt, acked, sealed)
+		if kill.Acked = acked; kill.State == "" && (acked > 0 || sealed) {
+			k.reportViolation("%s is lost: %d records were acknowledged, sealed %v", kill.Attempt, acked, sealed)
 		}
 	}
 	return nil
@@ -104,15 +104,15 @@
 }
 
 // checkAttempt reads one attempt from one replica and checks it against the history.
-func (d *killTest) checkAttempt(ctx context.Context, r *artifactstore.Reader, at string, a *artifactstore.AttemptSummary) error {
-	acked, sealed, final, err := d.readHistory(a.Attempt)
+func (k *killTest) checkAttempt(ctx context.Context, r *artifactstore.Reader, at string, a *artifactstore.AttemptSummary) error {
+	acked, sealed, final, err := k.readHistory(a.Attempt)
 	if err != nil {
 		return err
 	}
 	var got []string
 	end, err := r.Logs(ctx, a.Job, a.Task, artifactstore.Query{Attempt: a.Number}, func(l artifactstore.Line) error {
 		if l.Number != uint64(len(got)) {
-			d.reportViolation("%s at %s: record %d has number %d", a.Attempt, at, len(got), l.Number)
+			k.reportViolation("%s at %s: record %d has number %d", a.Attempt, at, len(got), l.Number)
 		}
 		got = append(got, string(l.Record.Data))
 		return nil
@@ -123,60 +123,60 @@
 	over := a.State == artifactstore.StateFinal || a.State == artifactstore.StateSealed
 	var file string
 	if over {
-		if file, err = d.checkFile(ctx, r, at, a); err != nil {
+		if file, err = k.checkFile(ctx, r, at, a); err != nil {
 			return fmt.Errorf("%s at %s: %w", a.Attempt, at, err)
 		}
 	}
 	shown := a.State
-	if d.options.CorruptRead != nil {
-		got, file = d.options.CorruptRead(a, got, file)
+	if k.options.CorruptRead != nil {
+		got, file = k.options.CorruptRead(a, got, file)
 	}
 	over = a.State == artifactstore.StateFinal || a.State == artifactstore.StateSealed
 	switch {
 	case end.State != shown:
-		d.reportViolation("%s at %s is %q in the list and %q in its log", a.Attempt, at, shown, end.State)
+		k.reportViolation("%s at %s is %q in the list and %q in its log", a.Attempt, at, shown, end.State)
 	case uint64(len(got)) < acked:
-		d.reportViolation("%s at %s: %d records were acknowledged, %d are readable", a.Attempt, at, acked, len(got))
+		k.reportViolation("%s at %s: %d records were acknowledged, %d are readable", a.Attempt, at, acked, len(got))
 	case sealed && !over:
-		d.reportViolation("%s at %s: its seal was acknowledged, its state is %q", a.Attempt, at, a.State)
+		k.reportViolation("%s at %s: its seal was acknowledged, its state is %q", a.Attempt, at, a.State)
 	case final && a.State != artifactstore.StateFinal:
-		d.reportViolation("%s at %s was acknowledged as the result, its state is %q", a.Attempt, at, a.State)
+		k.reportViolation("%s at %s was acknowledged as the result, its state is %q", a.Attempt, at, a.State)
 	case over && len(got) != linesPerAttempt:
-		d.reportViolation("%s at %s: sealed with %d of %d lines", a.Attempt, at, len(got), linesPerAttempt)
+		k.reportViolation("%s at %s: sealed with %d of %d lines", a.Attempt, at, len(got), linesPerAttempt)
 	case len(got) > linesPerAttempt:
-		d.reportViolation("%s at %s: %d lines", a.Attempt, at, len(got))
+		k.reportViolation("%s at %s: %d lines", a.Attempt, at, len(got))
 	}
 	for i, line := range got {
 		if line != fmt.Sprintf("%s line %d", a.Attempt, i) {
-			d.reportViolation("%s at %s: line %d is %q", a.Attempt, at, i, line)
+			k.reportViolation("%s at %s: line %d is %q", a.Attempt, at, i, line)
 			break
 		}
 	}
-	d.report.Lines += len(got)
-	for k := range d.report.Kills {
-		if x := &d.report.Kills[k]; x.Attempt == a.Attempt {
+	k.report.Lines += len(got)
+	for index := range k.report.Kills {
+		if x := &k.report.Kills[index]; x.Attempt == a.Attempt {
 			x.Lines = len(got)
 		}
 	}
 	if over {
-		if d.report.Files++; file != "file of "+a.Attempt.String() {
-			d.reportViolation("%s at %s: its file contains %q", a.Attempt, at, file)
+		if k.report.Files++; file != "file of "+a.Attempt.String() {
+			k.reportViolation("%s at %s: its file contains %q", a.Attempt, at, file)
 		}
 	}
 	return nil
 }
 
 // checkFile reads the file of a sealed attempt and checks that it is the only one.
-func (d *killTest) checkFile(ctx context.Context, r *artifactstore.Reader, at string, a *artifactstore.AttemptSummary) (string, error) {
+func (k *killTest) checkFile(ctx context.Context, r *artifactstore.Reader, at string, a *artifactstore.AttemptSummary) (string, error) {
 	m, _, err := r.Manifest(ctx, a.Job, a.Task, a.Number)
 	if err != nil {
 		return "", err
 	}
 	if len(m.Files) != 1 || m.Files[0].Path != "out/result" {
-		d.reportViolation("%s at %s has the files %v", a.Attempt, at, m.Files)
+		k.reportViolation("%s at %s has the files %v", a.Attempt, at, m.Files)
 		return "", nil
 	}
-	to := filepath.Join(d.options.Dir, "fetched")
+	to := filepath.Join(k.options.Dir, "fetched")
 	if err := r.Fetch(ctx, m, m.Files[0], to, nil); err != nil {
 		return "", err
 	}
--- a/internal/faultinjection/measure.go
+++ b/internal/faultinjection/measure.go
@@ -318,50 +318,50 @@
 // startSnapshots starts to copy the state service's changes and returns once there is a snapshot. The follower may use
 // a tenth of the request rate; a restore may use two thirds of the change rate.
 func (g *region) startSnapshots(ctx context.Context) (*snapshotFollower, error) {
-	c := &snapshotFollower{config: snapshot.DefaultConfig(), done: make(chan error, 1)}
-	c.config.State, c.config.Dir = g.store.Addr(), filepath.Join(g.dir, "copies")
-	c.config.RPS, c.config.WriteRPS = g.size.store.RequestsPerSecond/10, g.size.store.ChangesPerSecond*2/3
-	c.config.ValueKB, c.config.TxnOps = g.size.store.ValueKB, g.size.store.ChangesPerTransaction
+	s := &snapshotFollower{config: snapshot.DefaultConfig(), done: make(chan error, 1)}
+	s.config.State, s.config.Dir = g.store.Addr(), filepath.Join(g.dir, "copies")
+	s.config.RPS, s.config.WriteRPS = g.size.store.RequestsPerSecond/10, g.size.store.ChangesPerSecond*2/3
+	s.config.ValueKB, s.config.TxnOps = g.size.store.ValueKB, g.size.store.ChangesPerTransaction
 	var err error
-	if c.archive, err = snapshot.Open(c.config.Dir, snapshot.Options{}); err != nil {
+	if s.archive, err = snapshot.Open(s.config.Dir, snapshot.Options{}); err != nil {
 		return nil, err
 	}
 	following, stop := context.WithCancel(ctx)
-	c.stop = stop
+	s.stop = stop
 	go func() {
-		c.done <- snapshot.NewFollower(c.config, c.archive, slog.New(slog.DiscardHandler)).Run(following)
+		s.done <- snapshot.NewFollower(s.config, s.archive, slog.New(slog.DiscardHandler)).Run(following)
 	}()
 	for {
-		if _, ok := c.archive.Latest(); ok {
-			return c, nil
+		if _, ok := s.archive.Latest(); ok {
+			return s, nil
 		}
 		if !wait.For(ctx, 50*time.Millisecond) {
-			c.close()
+			s.close()
 			return nil, ctx.Err()
 		}
 	}
 }
 
-func (c *snapshotFollower) close() {
-	c.stop()
-	<-c.done
-	_ = c.archive.Close() // the archive is not read any more
+func (s *snapshotFollower) close() {
+	s.stop()
+	<-s.done
+	_ = s.archive.Close() // the archive is not read any more
 }
 
 // restore restores the last snapshot once the controllers have begun the next epoch, which makes Plan succeed, and then
 // declares to them that the restore is complete.
-func (c *snapshotFollower) restore(ctx context.Context) error {
-	last, _ := c.archive.Latest()
-	r := snapshot.NewRestorer(c.config)
+func (s *snapshotFollower) restore(ctx context.Context) error {
+	last, _ := s.archive.Latest()
+	r := snapshot.NewRestorer(s.config)
 	for {
-		plan, err := r.Plan(ctx, c.archive, last.ID, 0, false)
+		plan, err := r.Plan(ctx, s.archive, last.ID, 0, false)
 		if err == nil {
 			if err = r.Apply(ctx, plan, nil); err == nil {
 				_, err = r.Declare(ctx)
 			}
 		}
 		if err == nil {
-			c.restoredAt = time.Now()
+			s.restoredAt = time.Now()
 			return nil
 		}
 		if !wait.For(ctx, 100*time.Millisecond) {
--- a/internal/faultinjection/overload.go
+++ b/internal/faultinjection/overload.go
@@ -110,7 +110,7 @@
 	cpus := float64(g.size.machines) * g.size.cpus
 	t.LoadFactor = 2 + 2*rng.Float64()
 	t.DemandCPUs = map[string]float64{smallClass: t.LoadFactor * cpus, largeClass: 6 * 6 * 3 / 2}
-	c := &overloadRun{
+	o := &overloadRun{
 		region: g,
 		trial:  t,
 		saved:  g.store.Snapshot(),
@@ -118,10 +118,10 @@
 		// A small job has 12 tasks of one CPU and two seconds. A large one has 6 tasks of 6 CPUs and three seconds.
 		rates: map[string]float64{smallClass: t.LoadFactor * cpus / 24, largeClass: 0.5},
 	}
-	if err := c.submitAll(ctx, rng); err != nil {
+	if err := o.submitAll(ctx, rng); err != nil {
 		return err
 	}
-	if err := c.awaitDone(ctx); err != nil {
+	if err := o.awaitDone(ctx); err != nil {
 		return err
 	}
 	// The floor is half of the demand. 0.7 of it suffices, because tasks are not divisible and CPUs idle between two
@@ -147,35 +147,35 @@
 
 // submitAll submits jobs at their rates, injects the trial's fault at a random moment and samples the CPUs of each
 // class. It returns once all jobs are accepted.
-func (c *overloadRun) submitAll(ctx context.Context, rng *rand.Rand) error {
-	t := c.trial
+func (o *overloadRun) submitAll(ctx context.Context, rng *rand.Rand) error {
+	t := o.trial
 	began := time.Now()
 	faultAt := time.Duration(4+rng.IntN(8)) * time.Second
 	t.measuredFrom = floorDelay + settleTime
 	due := map[string]float64{}
 	injected, faultEnded := false, time.Duration(0)
 	for passed := time.Duration(0); passed < loadDuration; passed = time.Since(began) {
-		for class, perSecond := range c.rates {
+		for class, perSecond := range o.rates {
 			for due[class] < perSecond*passed.Seconds()+1 {
 				due[class]++
-				c.submitOne(ctx, class)
+				o.submitOne(ctx, class)
 			}
 		}
 		if !injected && passed > faultAt {
 			injected = true
-			if err := c.injectFault(ctx, rng, t.Fault, c.saved); err != nil {
+			if err := o.injectFault(ctx, rng, t.Fault, o.saved); err != nil {
 				return err
 			}
 			faultEnded = time.Since(began)
 		}
-		t.samples = append(t.samples, usageSample{passed, c.checker.CPUsByClass()})
+		t.samples = append(t.samples, usageSample{passed, o.checker.CPUsByClass()})
 		if !wait.For(ctx, 100*time.Millisecond) {
 			return ctx.Err()
 		}
 	}
-	c.users.Wait()
+	o.users.Wait()
 	select {
-	case err := <-c.failed:
+	case err := <-o.failed:
 		return err
 	default:
 	}
@@ -184,11 +184,11 @@
 }
 
 // submitOne starts a user that submits the next job until it is accepted.
-func (c *overloadRun) submitOne(ctx context.Context, class string) {
+func (o *overloadRun) submitOne(ctx context.Context, class string) {
 	s := &protocol.Submission{
-		UID:      fmt.Sprintf("job-%06d", len(c.jobs)+1),
+		UID:      fmt.Sprintf("job-%06d", len(o.jobs)+1),
 		Class:    class,
-		Team:     []string{"red", "blue"}[len(c.jobs)%2],
+		Team:     []string{"red", "blue"}[len(o.jobs)%2],
 		Kind:     protocol.JobArray,
 		Priority: "high",
 		Tasks:    12, CPUs: 1, MemoryGB: 1, Image: "img", EstimateSeconds: 2, Spot: true,
@@ -196,30 +196,30 @@
 	if class == largeClass {
 		s.Priority, s.Tasks, s.CPUs, s.EstimateSeconds = "standard", 6, 6, 3
 	}
-	c.jobs = append(c.jobs, s)
-	user := *c.region
-	user.rng = rand.New(rand.NewPCG(c.trial.Seed, uint64(len(c.jobs))))
-	c.users.Go(func() { c.submitUntilAccepted(ctx, &user, s) })
+	o.jobs = append(o.jobs, s)
+	user := *o.region
+	user.rng = rand.New(rand.NewPCG(o.trial.Seed, uint64(len(o.jobs))))
+	o.users.Go(func() { o.submitUntilAccepted(ctx, &user, s) })
 }
 
 // submitTimeout is how long a user retries a submission.
 const submitTimeout = 60 * time.Second
 
 // submitUntilAccepted repeats a submission until it is accepted or submitTimeout has passed, and counts the refusals.
-func (c *overloadRun) submitUntilAccepted(ctx context.Context, user *region, s *protocol.Submission) {
-	c.checker.RecordSubmission(s)
+func (o *overloadRun) submitUntilAccepted(ctx context.Context, user *region, s *protocol.Submission) {
+	o.checker.RecordSubmission(s)
 	for end := time.Now().Add(submitTimeout); ; {
 		status, st := user.request("POST", protocol.PathSubmit, s)
-		c.checker.RecordAnswer(s.UID, status, st.State, false)
+		o.checker.RecordAnswer(s.UID, status, st.State, false)
 		if status == 200 || status == 201 {
 			return
 		}
-		c.mu.Lock()
-		c.trial.Refused++
-		c.mu.Unlock()
+		o.mu.Lock()
+		o.trial.Refused++
+		o.mu.Unlock()
 		if time.Now().After(end) || !wait.For(ctx, time.Second) {
 			select {
-			case c.failed <- fmt.Errorf("%s was not accepted in time", s.UID):
+			case o.failed <- fmt.Errorf("%s was not accepted in time", s.UID):
 			default:
 			}
 			return
@@ -228,12 +228,12 @@
 }
 
 // awaitDone waits until a quarter of the jobs are done. The rest would take minutes and prove nothing more.
-func (c *overloadRun) awaitDone(ctx context.Context) error {
-	for i, j := range c.jobs {
-		if i > len(c.jobs)/4 {
+func (o *overloadRun) awaitDone(ctx context.Context) error {
+	for i, j := range o.jobs {
+		if i > len(o.jobs)/4 {
 			break
 		}
-		if err := c.awaitState(ctx, j.UID, protocol.Done); err != nil {
+		if err := o.awaitState(ctx, j.UID, protocol.Done); err != nil {
 			return err
 		}
 	}
--- a/internal/loadtest/agent.go
+++ b/internal/loadtest/agent.go
@@ -46,184 +46,184 @@
 	removed         bool
 }
 
-func (h *simulatedAgent) heartbeat() protocol.Heartbeat {
-	h.seq++
-	return protocol.Heartbeat{Machine: h.name, Addr: h.addr, Type: machineType, Zone: h.zone, Incarnation: h.incarnation, Seq: h.seq, FencingToken: h.fencingToken,
-		Tasks: append([]protocol.TaskStatus{}, h.tasks...)}
+func (a *simulatedAgent) heartbeat() protocol.Heartbeat {
+	a.seq++
+	return protocol.Heartbeat{Machine: a.name, Addr: a.addr, Type: machineType, Zone: a.zone, Incarnation: a.incarnation, Seq: a.seq, FencingToken: a.fencingToken,
+		Tasks: append([]protocol.TaskStatus{}, a.tasks...)}
 }
 
 // requestHeartbeat makes the agent send its next heartbeat early.
-func (h *simulatedAgent) requestHeartbeat() {
+func (a *simulatedAgent) requestHeartbeat() {
 	select {
-	case h.wake <- struct{}{}:
+	case a.wake <- struct{}{}:
 	default:
 	}
 }
 
 // updateToken stores a fencing token, which must not be lower than the current one. A higher token triggers a
 // heartbeat, at most once per half lease.
-func (h *simulatedAgent) updateToken(token uint64) {
-	if token > h.fencingToken && time.Since(h.tokenReportedAt) > h.pool.lease/2 {
-		h.tokenReportedAt = time.Now()
-		h.requestHeartbeat()
+func (a *simulatedAgent) updateToken(token uint64) {
+	if token > a.fencingToken && time.Since(a.tokenReportedAt) > a.pool.lease/2 {
+		a.tokenReportedAt = time.Now()
+		a.requestHeartbeat()
 	}
-	h.fencingToken = token
+	a.fencingToken = token
 }
 
-func (h *simulatedAgent) find(task string) int {
-	return slices.IndexFunc(h.tasks, func(t protocol.TaskStatus) bool { return t.Task == task })
+func (a *simulatedAgent) find(task string) int {
+	return slices.IndexFunc(a.tasks, func(t protocol.TaskStatus) bool { return t.Task == task })
 }
 
-func (h *simulatedAgent) execute(commands []protocol.Command) {
+func (a *simulatedAgent) execute(commands []protocol.Command) {
 	for _, c := range commands {
-		at := h.find(c.Task)
-		known := at >= 0 && h.tasks[at].Attempt == c.Attempt
+		at := a.find(c.Task)
+		known := at >= 0 && a.tasks[at].Attempt == c.Attempt
 		switch {
 		case c.Op == protocol.Start && !known:
-			h.start(c, at)
-		case c.Op == protocol.Stop && known && h.tasks[at].State != protocol.Exited:
-			h.exit(at, protocol.ReasonStopped)
-		case c.Op == protocol.Forget && known && h.tasks[at].State == protocol.Exited:
-			h.tasks = slices.Delete(h.tasks, at, at+1)
-			h.requestHeartbeat()
+			a.start(c, at)
+		case c.Op == protocol.Stop && known && a.tasks[at].State != protocol.Exited:
+			a.exit(at, protocol.ReasonStopped)
+		case c.Op == protocol.Forget && known && a.tasks[at].State == protocol.Exited:
+			a.tasks = slices.Delete(a.tasks, at, at+1)
+			a.requestHeartbeat()
 		}
 	}
 }
 
 // start starts a task. It replaces an exited attempt at the index, if there is one.
-func (h *simulatedAgent) start(c protocol.Command, at int) {
-	if at >= 0 && h.tasks[at].State != protocol.Exited {
+func (a *simulatedAgent) start(c protocol.Command, at int) {
+	if at >= 0 && a.tasks[at].State != protocol.Exited {
 		return // another attempt of the task is running
 	}
 	if at >= 0 {
-		h.tasks = slices.Delete(h.tasks, at, at+1)
+		a.tasks = slices.Delete(a.tasks, at, at+1)
 	}
 	uid, _, _ := protocol.SplitTask(c.Task)
 	name, ok := parseJobName(uid)
 	if !ok {
-		h.tasks = append(h.tasks, protocol.TaskStatus{Task: c.Task, Attempt: c.Attempt, State: protocol.Exited, Reason: protocol.ReasonNoSuch})
-		h.requestHeartbeat()
+		a.tasks = append(a.tasks, protocol.TaskStatus{Task: c.Task, Attempt: c.Attempt, State: protocol.Exited, Reason: protocol.ReasonNoSuch})
+		a.requestHeartbeat()
 		return
 	}
-	h.tasks = append(h.tasks, protocol.TaskStatus{Task: c.Task, Attempt: c.Attempt, State: protocol.Running})
-	h.pool.recorder.recordEvent(true, c.Task, h.name, false)
-	h.requestHeartbeat()
+	a.tasks = append(a.tasks, protocol.TaskStatus{Task: c.Task, Attempt: c.Attempt, State: protocol.Running})
+	a.pool.recorder.recordEvent(true, c.Task, a.name, false)
+	a.requestHeartbeat()
 	if name.Run > 0 {
-		h.timers[c.Task] = time.AfterFunc(name.Run, func() { h.complete(c.Task, c.Attempt) })
+		a.timers[c.Task] = time.AfterFunc(name.Run, func() { a.complete(c.Task, c.Attempt) })
 	}
 }
 
-func (h *simulatedAgent) complete(task string, attempt uint64) {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	if at := h.find(task); at >= 0 && h.tasks[at].Attempt == attempt && h.tasks[at].State == protocol.Running {
-		h.exit(at, protocol.ReasonDone)
+func (a *simulatedAgent) complete(task string, attempt uint64) {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	if at := a.find(task); at >= 0 && a.tasks[at].Attempt == attempt && a.tasks[at].State == protocol.Running {
+		a.exit(at, protocol.ReasonDone)
 	}
 }
 
-func (h *simulatedAgent) exit(at int, why protocol.ExitReason) {
-	t := &h.tasks[at]
+func (a *simulatedAgent) exit(at int, why protocol.ExitReason) {
+	t := &a.tasks[at]
 	t.State, t.Reason = protocol.Exited, why
-	h.pool.recorder.recordEvent(false, t.Task, h.name, why == protocol.ReasonDone)
-	if timer := h.timers[t.Task]; timer != nil {
+	a.pool.recorder.recordEvent(false, t.Task, a.name, why == protocol.ReasonDone)
+	if timer := a.timers[t.Task]; timer != nil {
 		timer.Stop()
-		delete(h.timers, t.Task)
+		delete(a.timers, t.Task)
 	}
-	h.requestHeartbeat()
+	a.requestHeartbeat()
 }
 
 // killAll kills all tasks and drops their exit statuses.
-func (h *simulatedAgent) killAll() {
-	for i := range h.tasks {
-		if h.tasks[i].State != protocol.Exited {
-			h.exit(i, protocol.ReasonStopped)
+func (a *simulatedAgent) killAll() {
+	for i := range a.tasks {
+		if a.tasks[i].State != protocol.Exited {
+			a.exit(i, protocol.ReasonStopped)
 		}
 	}
-	h.tasks = nil
+	a.tasks = nil
 }
 
 // remove removes the machine with everything on it.
-func (h *simulatedAgent) remove() {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	if h.removed {
+func (a *simulatedAgent) remove() {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	if a.removed {
 		return
 	}
-	h.removed = true
-	h.killAll()
-	_ = h.listener.Close() // its address is no longer needed
-	h.pool.recorder.countRemoved()
+	a.removed = true
+	a.killAll()
+	_ = a.listener.Close() // its address is no longer needed
+	a.pool.recorder.countRemoved()
 }
 
 // prepareHeartbeat creates a heartbeat. If the lease expired, it first kills all tasks and begins a new incarnation. ok
 // is false once the machine is removed.
-func (h *simulatedAgent) prepareHeartbeat() (body []byte, incarnation uint64, ok bool) {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	if h.removed {
+func (a *simulatedAgent) prepareHeartbeat() (body []byte, incarnation uint64, ok bool) {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	if a.removed {
 		return nil, 0, false
 	}
-	if time.Since(h.lastAnswered) > h.pool.lease {
-		h.killAll()
-		h.incarnation++
-		h.lastAnswered = time.Now()
-		h.pool.recorder.addCounts(Counts{Expired: 1})
+	if time.Since(a.lastAnswered) > a.pool.lease {
+		a.killAll()
+		a.incarnation++
+		a.lastAnswered = time.Now()
+		a.pool.recorder.addCounts(Counts{Expired: 1})
 	}
 	select {
-	case <-h.wake: // this heartbeat includes all changes until now
+	case <-a.wake: // this heartbeat includes all changes until now
 	default:
 	}
-	h.lastSent = time.Now()
-	return protocol.Encode(h.heartbeat()), h.incarnation, true
+	a.lastSent = time.Now()
+	return protocol.Encode(a.heartbeat()), a.incarnation, true
 }
 
 // handleAnswer renews the lease and executes the commands in the answer to a heartbeat, unless the answer has an old
 // token or the incarnation that sent the heartbeat has ended. sent is when the heartbeat was sent.
-func (h *simulatedAgent) handleAnswer(a *protocol.HeartbeatAnswer, sent time.Time, incarnation uint64) {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	if a.FencingToken == 0 || a.FencingToken < h.fencingToken || incarnation != h.incarnation || h.removed {
+func (a *simulatedAgent) handleAnswer(answer *protocol.HeartbeatAnswer, sent time.Time, incarnation uint64) {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	if answer.FencingToken == 0 || answer.FencingToken < a.fencingToken || incarnation != a.incarnation || a.removed {
 		return
 	}
-	h.lastAnswered = sent
-	h.updateToken(a.FencingToken)
-	h.execute(a.Commands)
+	a.lastAnswered = sent
+	a.updateToken(answer.FencingToken)
+	a.execute(answer.Commands)
 }
 
 // run sends heartbeats until the context ends or the machine is removed.
-func (h *simulatedAgent) run(ctx context.Context) {
-	at := h.rng.IntN(len(h.pool.names))
-	link := httpx.NewClientConn(h.pool.addrs[at], maxAnswer)
+func (a *simulatedAgent) run(ctx context.Context) {
+	at := a.rng.IntN(len(a.pool.names))
+	link := httpx.NewClientConn(a.pool.addrs[at], maxAnswer)
 	defer func() { link.Close() }()
 	connected := false
-	pause := time.Duration(h.rng.Float64() * float64(h.pool.heartbeatInterval))
-	for h.pause(ctx, pause) {
-		body, incarnation, ok := h.prepareHeartbeat()
+	pause := time.Duration(a.rng.Float64() * float64(a.pool.heartbeatInterval))
+	for a.pause(ctx, pause) {
+		body, incarnation, ok := a.prepareHeartbeat()
 		if !ok {
 			return
 		}
 		sent := time.Now()
-		to, answered := h.sendHeartbeat(ctx, link, body, incarnation, sent)
+		to, answered := a.sendHeartbeat(ctx, link, body, incarnation, sent)
 		if answered != connected {
 			connected = answered
-			h.pool.recorder.addConnected(map[bool]int{true: 1, false: -1}[answered])
+			a.pool.recorder.addConnected(map[bool]int{true: 1, false: -1}[answered])
 		}
 		switch {
 		case answered:
-			pause = time.Duration((0.75 + h.rng.Float64()/2) * float64(h.pool.heartbeatInterval))
+			pause = time.Duration((0.75 + a.rng.Float64()/2) * float64(a.pool.heartbeatInterval))
 			continue
 		case to >= 0 && to != at:
 			at, pause = to, redirectDelay
 		default:
-			at, pause = (at+1)%len(h.pool.names), retryDelay
+			at, pause = (at+1)%len(a.pool.names), retryDelay
 		}
 		link.Close()
-		link = httpx.NewClientConn(h.pool.addrs[at], maxAnswer)
+		link = httpx.NewClientConn(a.pool.addrs[at], maxAnswer)
 	}
 }
 
 // pause waits until the next heartbeat is due: for the given time, or less if something changed.
-func (h *simulatedAgent) pause(ctx context.Context, d time.Duration) bool {
+func (a *simulatedAgent) pause(ctx context.Context, d time.Duration) bool {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
 	select {
@@ -231,11 +231,11 @@
 		return false
 	case <-timer.C:
 		return true
-	case <-h.wake:
+	case <-a.wake:
 	}
-	h.mu.Lock()
-	left := min(d, minHeartbeatInterval-time.Since(h.lastSent))
-	h.mu.Unlock()
+	a.mu.Lock()
+	left := min(d, minHeartbeatInterval-time.Since(a.lastSent))
+	a.mu.Unlock()
 	least := time.NewTimer(left)
 	defer least.Stop()
 	select {
@@ -248,10 +248,10 @@
 
 // sendHeartbeat sends a heartbeat and applies its answer. to is the index of the controller named in a redirect, or -1;
 // answered is true only for status 200.
-func (h *simulatedAgent) sendHeartbeat(ctx context.Context, link *httpx.ClientConn, body []byte, incarnation uint64, sent time.Time) (to int, answered bool) {
+func (a *simulatedAgent) sendHeartbeat(ctx context.Context, link *httpx.ClientConn, body []byte, incarnation uint64, sent time.Time) (to int, answered bool) {
 	resp, _, err := link.Do(ctx, http.MethodPost, protocol.PathHeartbeat, body, answerTimeout)
 	c := Counts{Heartbeats: 1, HeartbeatBytes: int64(len(body))}
-	defer func() { h.pool.recorder.addCounts(c) }()
+	defer func() { a.pool.recorder.addCounts(c) }()
 	if err != nil {
 		c.Failed = 1
 		return -1, false
@@ -259,20 +259,20 @@
 	c.AnswerBytes = int64(len(resp.Body))
 	switch resp.Status {
 	case http.StatusOK:
-		var a protocol.HeartbeatAnswer
-		if protocol.Decode(resp.Body, &a) != nil {
+		var answer protocol.HeartbeatAnswer
+		if protocol.Decode(resp.Body, &answer) != nil {
 			c.Failed = 1
 			return -1, false
 		}
 		c.Answered = 1
-		h.pool.recorder.recordLatency(time.Since(sent))
-		h.handleAnswer(&a, sent, incarnation)
+		a.pool.recorder.recordLatency(time.Since(sent))
+		a.handleAnswer(&answer, sent, incarnation)
 		return -1, true
 	case http.StatusMisdirectedRequest:
 		var m protocol.Redirect
 		c.Redirected = 1
 		if protocol.Decode(resp.Body, &m) == nil {
-			return slices.Index(h.pool.names, m.Controller), false
+			return slices.Index(a.pool.names, m.Controller), false
 		}
 	default:
 		c.Failed = 1
@@ -281,7 +281,7 @@
 }
 
 // handleCommands executes direct commands.
-func (h *simulatedAgent) handleCommands(w http.ResponseWriter, r *http.Request) {
+func (a *simulatedAgent) handleCommands(w http.ResponseWriter, r *http.Request) {
 	var d protocol.DirectCommands
 	body := http.MaxBytesReader(w, r.Body, protocol.MaxBody)
 	if json.NewDecoder(body).Decode(&d) != nil || d.FencingToken == 0 || d.Incarnation == 0 {
@@ -289,25 +289,25 @@
 		return
 	}
 	status := http.StatusOK
-	h.mu.Lock()
-	if d.FencingToken < h.fencingToken || d.Incarnation != h.incarnation || h.removed {
+	a.mu.Lock()
+	if d.FencingToken < a.fencingToken || d.Incarnation != a.incarnation || a.removed {
 		status = http.StatusConflict
 	} else {
-		h.updateToken(d.FencingToken)
-		h.execute(d.Commands)
+		a.updateToken(d.FencingToken)
+		a.execute(d.Commands)
 	}
-	answer := protocol.Encode(h.heartbeat())
-	h.mu.Unlock()
+	answer := protocol.Encode(a.heartbeat())
+	a.mu.Unlock()
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(status)
 	_, _ = w.Write(answer) // if it fails, the controller counts the request as unanswered
-	h.pool.recorder.addCounts(Counts{Commands: 1, CommandBytes: max(r.ContentLength, 0), ResultBytes: int64(len(answer))})
+	a.pool.recorder.addCounts(Counts{Commands: 1, CommandBytes: max(r.ContentLength, 0), ResultBytes: int64(len(answer))})
 }
 
 // handleInspect answers with a heartbeat, without executing anything.
-func (h *simulatedAgent) handleInspect(w http.ResponseWriter) {
-	h.mu.Lock()
-	answer := protocol.Encode(h.heartbeat())
-	h.mu.Unlock()
+func (a *simulatedAgent) handleInspect(w http.ResponseWriter) {
+	a.mu.Lock()
+	answer := protocol.Encode(a.heartbeat())
+	a.mu.Unlock()
 	_, _ = w.Write(answer) // if it fails, the controller counts the request as unanswered
 }
--- a/internal/loadtest/pool.go
+++ b/internal/loadtest/pool.go
@@ -90,10 +90,10 @@
 		if err != nil {
 			return nil, err
 		}
-		h := &simulatedAgent{pool: p, name: machineName(i), zone: zoneName(i % c.Zones), addr: l.Addr().String(), listener: l,
+		a := &simulatedAgent{pool: p, name: machineName(i), zone: zoneName(i % c.Zones), addr: l.Addr().String(), listener: l,
 			rng: rand.New(rand.NewPCG(c.Seed, uint64(i))), wake: make(chan struct{}, 1), incarnation: 1, lastAnswered: time.Now(), timers: map[string]*time.Timer{}}
-		p.byAddr[h.addr], p.byName[h.name] = h, h
-		ready.Machines = append(ready.Machines, protocol.Host{UID: h.name, Addr: h.addr, Type: machineType, Zone: h.zone, State: protocol.HostRunning})
+		p.byAddr[a.addr], p.byName[a.name] = a, a
+		ready.Machines = append(ready.Machines, protocol.Host{UID: a.name, Addr: a.addr, Type: machineType, Zone: a.zone, State: protocol.HostRunning})
 		go func() { _ = server.Serve(l) }() // returns when the machine is removed or the server closes
 	}
 	return ready, nil
--- a/internal/loadtest/procfs.go
+++ b/internal/loadtest/procfs.go
@@ -93,36 +93,36 @@
 }
 
 // start resets the monitor and takes the first sample.
-func (w *processMonitor) start() {
-	w.first, w.began = sampleProcess(w.pid), time.Now()
-	w.last, w.earlier, w.use = w.first, ProcessSample{}, Usage{Name: w.name}
+func (m *processMonitor) start() {
+	m.first, m.began = sampleProcess(m.pid), time.Now()
+	m.last, m.earlier, m.use = m.first, ProcessSample{}, Usage{Name: m.name}
 }
 
 // follow continues with a process that replaced the monitored one.
-func (w *processMonitor) follow(pid int) {
-	if w.pid != pid {
-		w.earlier.CPU += w.last.CPU - w.first.CPU
-		w.earlier.In += w.last.In - w.first.In
-		w.earlier.Out += w.last.Out - w.first.Out
-		w.pid, w.first = pid, ProcessSample{}
-		w.last = ProcessSample{}
+func (m *processMonitor) follow(pid int) {
+	if m.pid != pid {
+		m.earlier.CPU += m.last.CPU - m.first.CPU
+		m.earlier.In += m.last.In - m.first.In
+		m.earlier.Out += m.last.Out - m.first.Out
+		m.pid, m.first = pid, ProcessSample{}
+		m.last = ProcessSample{}
 	}
 }
 
 // sample updates the use until now.
-func (w *processMonitor) sample() {
-	s := sampleProcess(w.pid)
-	if s.CPU < w.last.CPU {
+func (m *processMonitor) sample() {
+	s := sampleProcess(m.pid)
+	if s.CPU < m.last.CPU {
 		return // the process has exited
 	}
-	w.last = s
-	seconds := max(time.Since(w.began).Seconds(), 1e-3)
-	w.use.Name = w.name
-	w.use.Cores = (w.earlier.CPU + s.CPU - w.first.CPU) / seconds
-	w.use.In = (w.earlier.In + s.In - w.first.In) / seconds
-	w.use.Out = (w.earlier.Out + s.Out - w.first.Out) / seconds
-	w.use.Memory = max(w.use.Memory, s.Memory)
-	w.use.Files = max(w.use.Files, s.Files)
+	m.last = s
+	seconds := max(time.Since(m.began).Seconds(), 1e-3)
+	m.use.Name = m.name
+	m.use.Cores = (m.earlier.CPU + s.CPU - m.first.CPU) / seconds
+	m.use.In = (m.earlier.In + s.In - m.first.In) / seconds
+	m.use.Out = (m.earlier.Out + s.Out - m.first.Out) / seconds
+	m.use.Memory = max(m.use.Memory, s.Memory)
+	m.use.Files = max(m.use.Files, s.Files)
 }
 
 func (u Usage) String() string {
--- a/internal/loadtest/region.go
+++ b/internal/loadtest/region.go
@@ -107,14 +107,14 @@
 	g.store.LimitRates(g.config.Store.RPS, g.config.Store.WriteRPS)
 	host := simulation.NewHost()
 	for i := range g.config.Controllers {
-		x := &controller{name: fmt.Sprintf("controller-%02d", i), config: filepath.Join(g.options.Dir, fmt.Sprintf("controller-%02d.json", i)),
+		c := &controller{name: fmt.Sprintf("controller-%02d", i), config: filepath.Join(g.options.Dir, fmt.Sprintf("controller-%02d.json", i)),
 			log: filepath.Join(g.options.Dir, fmt.Sprintf("controller-%02d.log", i))}
-		for _, addr := range []*string{&x.listen, &x.peers} {
+		for _, addr := range []*string{&c.listen, &c.peers} {
 			if *addr, err = host.Listen(); err != nil {
 				return err
 			}
 		}
-		g.controllers = append(g.controllers, x)
+		g.controllers = append(g.controllers, c)
 	}
 	hosts, err := g.startPools()
 	if err != nil {
@@ -233,21 +233,21 @@
 }
 
 // kill kills a controller's process with SIGKILL and waits until it has exited.
-func (x *controller) kill() {
-	x.mu.Lock()
-	cmd, ended := x.cmd, x.exited
-	x.killed = true
-	x.mu.Unlock()
+func (c *controller) kill() {
+	c.mu.Lock()
+	cmd, ended := c.cmd, c.exited
+	c.killed = true
+	c.mu.Unlock()
 	if cmd != nil {
 		_ = cmd.Process.Kill() // it may have exited already
 		<-ended
 	}
 }
 
-func (x *controller) pid() int {
-	x.mu.Lock()
-	defer x.mu.Unlock()
-	return x.cmd.Process.Pid
+func (c *controller) pid() int {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.cmd.Process.Pid
 }
 
 // startPools starts the agent processes and returns their machines.
--- a/internal/simulation/agentfaults.go
+++ b/internal/simulation/agentfaults.go
@@ -53,111 +53,111 @@
 }
 
 // DisconnectNetwork disconnects the agent from all controllers, or reconnects it.
-func (w *Agent) DisconnectNetwork(on bool) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.faults.disconnected = on
+func (a *Agent) DisconnectNetwork(on bool) {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	a.faults.disconnected = on
 }
 
 // DropAnswers drops the answers to the agent's heartbeats and all direct commands; its heartbeats still arrive.
-func (w *Agent) DropAnswers(on bool) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.faults.dropAnswers = on
+func (a *Agent) DropAnswers(on bool) {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	a.faults.dropAnswers = on
 }
 
 // DropHeartbeats drops the agent's heartbeats; direct commands still reach it.
-func (w *Agent) DropHeartbeats(on bool) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.faults.dropHeartbeats = on
+func (a *Agent) DropHeartbeats(on bool) {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	a.faults.dropHeartbeats = on
 }
 
 // AnnounceEviction makes the agent's heartbeats announce that the cloud reclaims the machine after a time; 0: no
 // notice.
-func (w *Agent) AnnounceEviction(in time.Duration) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.faults.evictionSeconds = in.Seconds()
+func (a *Agent) AnnounceEviction(in time.Duration) {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	a.faults.evictionSeconds = in.Seconds()
 }
 
 // Hang suspends or resumes the machine. A hanging machine sends no heartbeats, its tasks do not end, and direct
 // commands stay unanswered. It executes these commands when it resumes, unless its lease expired meanwhile.
-func (w *Agent) Hang(on bool) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.faults.hanging = on
+func (a *Agent) Hang(on bool) {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	a.faults.hanging = on
 	if on {
 		return
 	}
-	commands := w.faults.hangCommands
-	w.faults.hangCommands = nil
+	commands := a.faults.hangCommands
+	a.faults.hangCommands = nil
 	for i := range commands {
-		w.applyDelayed(&commands[i])
+		a.applyDelayed(&commands[i])
 	}
 }
 
 // LimitReach restricts the agent's heartbeats to the given controllers; without arguments it lifts the restriction. The
 // agent cannot tell which controller sent a direct command, so a restriction blocks all direct commands.
-func (w *Agent) LimitReach(nodes ...string) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.faults.reachable = nil
+func (a *Agent) LimitReach(nodes ...string) {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	a.faults.reachable = nil
 	for _, n := range nodes {
-		if w.faults.reachable == nil {
-			w.faults.reachable = map[string]bool{}
+		if a.faults.reachable == nil {
+			a.faults.reachable = map[string]bool{}
 		}
-		w.faults.reachable[n] = true
+		a.faults.reachable[n] = true
 	}
 }
 
 // RepeatHeartbeats delivers heartbeats a second time after a drawn delay; 0: not this one, nil: none.
-func (w *Agent) RepeatHeartbeats(after func() time.Duration) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.faults.repeatDelay = after
+func (a *Agent) RepeatHeartbeats(after func() time.Duration) {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	a.faults.repeatDelay = after
 }
 
 // CountRepeated returns how many copies of heartbeats were delivered, by RepeatHeartbeats or DeliverHeld.
-func (w *Agent) CountRepeated() int {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	return w.faults.repeatCount
+func (a *Agent) CountRepeated() int {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	return a.faults.repeatCount
 }
 
 // CopyHeartbeats keeps a copy of each heartbeat sent from now on, for DeliverHeld.
-func (w *Agent) CopyHeartbeats(on bool) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.faults.copyHeartbeats = on
+func (a *Agent) CopyHeartbeats(on bool) {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	a.faults.copyHeartbeats = on
 }
 
 // HoldHeartbeats withholds the next count heartbeats until DeliverHeld sends them.
-func (w *Agent) HoldHeartbeats(count int) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.faults.holdNext = count
+func (a *Agent) HoldHeartbeats(count int) {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	a.faults.holdNext = count
 }
 
 // CountHeld returns how many heartbeats wait for DeliverHeld.
-func (w *Agent) CountHeld() int {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	return len(w.faults.heldHeartbeats)
+func (a *Agent) CountHeld() int {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	return len(a.faults.heldHeartbeats)
 }
 
 // DeliverHeld sends the held heartbeats to each of the given controllers in their original order and ignores the
 // answers. It returns how many arrived.
-func (w *Agent) DeliverHeld(nodes ...string) (arrived int) {
-	w.mu.Lock()
-	kept := w.faults.heldHeartbeats
-	w.faults.heldHeartbeats = nil
-	w.mu.Unlock()
+func (a *Agent) DeliverHeld(nodes ...string) (arrived int) {
+	a.mu.Lock()
+	kept := a.faults.heldHeartbeats
+	a.faults.heldHeartbeats = nil
+	a.mu.Unlock()
 	client := &http.Client{Timeout: 2 * time.Second, Transport: &http.Transport{}}
 	defer client.CloseIdleConnections()
 	for _, node := range nodes {
 		for _, body := range kept {
-			if w.deliverCopy(client, "http://"+w.controllers[node]+protocol.PathHeartbeat, body) {
+			if a.deliverCopy(client, "http://"+a.controllers[node]+protocol.PathHeartbeat, body) {
 				arrived++
 			}
 			time.Sleep(deliveryInterval)
@@ -168,25 +168,25 @@
 
 // DelayCommands delays direct commands by a drawn time and leaves them unanswered. They are then executed once if token
 // and incarnation match. 0: not this request, nil: none.
-func (w *Agent) DelayCommands(delay func(d *protocol.DirectCommands) time.Duration) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.faults.commandDelay = delay
+func (a *Agent) DelayCommands(delay func(d *protocol.DirectCommands) time.Duration) {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	a.faults.commandDelay = delay
 }
 
 // CountDelayedCommands returns how many requests with commands were delayed, by DelayCommands or by a hanging machine,
 // and how many of these were executed and rejected later.
-func (w *Agent) CountDelayedCommands() (delayed, executed, rejected int) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	return w.faults.delayedCount, w.faults.executedCount, w.faults.rejectedCount
+func (a *Agent) CountDelayedCommands() (delayed, executed, rejected int) {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	return a.faults.delayedCount, a.faults.executedCount, a.faults.rejectedCount
 }
 
 // StartsInFlight returns the tasks whose start commands are currently delayed.
-func (w *Agent) StartsInFlight() (tasks []string) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	for _, d := range w.faults.delayedCommands {
+func (a *Agent) StartsInFlight() (tasks []string) {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	for _, d := range a.faults.delayedCommands {
 		for _, c := range d.Commands {
 			if c.Op == protocol.Start {
 				tasks = append(tasks, c.Task)
@@ -196,99 +196,99 @@
 	return tasks
 }
 
-func (w *Agent) isHanging() bool {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	return w.faults.hanging
+func (a *Agent) isHanging() bool {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	return a.faults.hanging
 }
 
 // receivesAnswers reports whether the answer to a heartbeat reaches the agent.
-func (w *Agent) receivesAnswers() bool {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	return !w.faults.dropAnswers && !w.faults.hanging
+func (a *Agent) receivesAnswers() bool {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	return !a.faults.dropAnswers && !a.faults.hanging
 }
 
 // admitCommands reports whether direct commands are executed now. Otherwise it queues or delays them.
-func (w *Agent) admitCommands(d *protocol.DirectCommands) bool {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	if w.faults.commandsBlocked() {
+func (a *Agent) admitCommands(d *protocol.DirectCommands) bool {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	if a.faults.commandsBlocked() {
 		return true // the caller aborts the request
 	}
-	if w.faults.hanging {
-		w.faults.hangCommands = append(w.faults.hangCommands, *d)
-		w.faults.delayedCount++
+	if a.faults.hanging {
+		a.faults.hangCommands = append(a.faults.hangCommands, *d)
+		a.faults.delayedCount++
 		return false
 	}
-	if w.faults.commandDelay == nil {
+	if a.faults.commandDelay == nil {
 		return true
 	}
-	delay := w.faults.commandDelay(d)
+	delay := a.faults.commandDelay(d)
 	if delay > 0 {
-		w.faults.delayedCount++
-		w.faults.delayedCommands = append(w.faults.delayedCommands, d)
-		time.AfterFunc(delay, func() { w.releaseCommands(d) })
+		a.faults.delayedCount++
+		a.faults.delayedCommands = append(a.faults.delayedCommands, d)
+		time.AfterFunc(delay, func() { a.releaseCommands(d) })
 	}
 	return delay <= 0
 }
 
 // releaseCommands executes delayed commands, or queues them if the machine hangs.
-func (w *Agent) releaseCommands(d *protocol.DirectCommands) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.faults.delayedCommands = slices.DeleteFunc(w.faults.delayedCommands, func(other *protocol.DirectCommands) bool { return other == d })
+func (a *Agent) releaseCommands(d *protocol.DirectCommands) {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	a.faults.delayedCommands = slices.DeleteFunc(a.faults.delayedCommands, func(other *protocol.DirectCommands) bool { return other == d })
 	switch {
-	case w.faults.removed:
-	case w.faults.hanging:
-		w.faults.hangCommands = append(w.faults.hangCommands, *d)
+	case a.faults.removed:
+	case a.faults.hanging:
+		a.faults.hangCommands = append(a.faults.hangCommands, *d)
 	default:
-		w.applyDelayed(d)
+		a.applyDelayed(d)
 	}
 }
 
 // applyDelayed executes or rejects delayed commands and counts the outcome. The caller holds the lock.
-func (w *Agent) applyDelayed(d *protocol.DirectCommands) {
-	if w.applyCommands(d) {
-		w.faults.executedCount++
+func (a *Agent) applyDelayed(d *protocol.DirectCommands) {
+	if a.applyCommands(d) {
+		a.faults.executedCount++
 	} else {
-		w.faults.rejectedCount++
+		a.faults.rejectedCount++
 	}
 }
 
 // nextHeartbeat creates a heartbeat for a controller and reports whether it arrives there now.
-func (w *Agent) nextHeartbeat(client *http.Client, node string) (body []byte, incarnation uint64, arrives bool) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	body = protocol.Encode(w.heartbeat())
-	arrives = !w.faults.heartbeatsBlocked(node)
-	held := arrives && w.faults.holdNext > 0
+func (a *Agent) nextHeartbeat(client *http.Client, node string) (body []byte, incarnation uint64, arrives bool) {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	body = protocol.Encode(a.heartbeat())
+	arrives = !a.faults.heartbeatsBlocked(node)
+	held := arrives && a.faults.holdNext > 0
 	if held {
-		w.faults.holdNext--
+		a.faults.holdNext--
 	}
-	if (held || arrives && w.faults.copyHeartbeats) && len(w.faults.heldHeartbeats) < maxHeldHeartbeats {
-		w.faults.heldHeartbeats = append(w.faults.heldHeartbeats, body)
+	if (held || arrives && a.faults.copyHeartbeats) && len(a.faults.heldHeartbeats) < maxHeldHeartbeats {
+		a.faults.heldHeartbeats = append(a.faults.heldHeartbeats, body)
 	}
-	w.scheduleCopy(client, node, body)
-	return body, w.incarnation, arrives && !held
+	a.scheduleCopy(client, node, body)
+	return body, a.incarnation, arrives && !held
 }
 
 // scheduleCopy schedules the repeated delivery of a heartbeat, if the fault is active.
-func (w *Agent) scheduleCopy(client *http.Client, node string, body []byte) {
-	if w.faults.repeatDelay == nil || w.faults.heartbeatsBlocked(node) {
+func (a *Agent) scheduleCopy(client *http.Client, node string, body []byte) {
+	if a.faults.repeatDelay == nil || a.faults.heartbeatsBlocked(node) {
 		return
 	}
-	if after := w.faults.repeatDelay(); after > 0 {
-		url := "http://" + w.controllers[node] + protocol.PathHeartbeat
-		time.AfterFunc(after, func() { w.deliverCopy(client, url, body) })
+	if after := a.faults.repeatDelay(); after > 0 {
+		url := "http://" + a.controllers[node] + protocol.PathHeartbeat
+		time.AfterFunc(after, func() { a.deliverCopy(client, url, body) })
 	}
 }
 
 // deliverCopy sends a copy of an earlier heartbeat, unless the network is disconnected, and ignores the answer.
-func (w *Agent) deliverCopy(client *http.Client, url string, body []byte) (arrived bool) {
-	w.mu.Lock()
-	disconnected := w.faults.disconnected
-	w.mu.Unlock()
+func (a *Agent) deliverCopy(client *http.Client, url string, body []byte) (arrived bool) {
+	a.mu.Lock()
+	disconnected := a.faults.disconnected
+	a.mu.Unlock()
 	if disconnected {
 		return false
 	}
@@ -297,8 +297,8 @@
 		return false
 	}
 	resp.Body.Close()
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.faults.repeatCount++
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	a.faults.repeatCount++
 	return true
 }
--- a/internal/simulation/agentfaults_test.go
+++ b/internal/simulation/agentfaults_test.go
@@ -20,36 +20,36 @@
 }
 
 func newAgentTest(t *testing.T, lease time.Duration) *agentTest {
-	b := &agentTest{t: t, checker: NewChecker(map[string]float64{"red": 4}), heartbeats: make(chan protocol.Heartbeat, 1000)}
+	a := &agentTest{t: t, checker: NewChecker(map[string]float64{"red": 4}), heartbeats: make(chan protocol.Heartbeat, 1000)}
 	controller := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		var heartbeat protocol.Heartbeat
 		read(r, &heartbeat)
-		b.heartbeats <- heartbeat
+		a.heartbeats <- heartbeat
 		reply(w, 200, protocol.HeartbeatAnswer{FencingToken: 1})
 	}))
 	per := AgentConfig{Heartbeat: 20 * time.Millisecond, Lease: lease, Run: func(string) time.Duration { return time.Hour }}
 	addr := controller.Listener.Addr().String()
-	w, err := NewAgent("n-1", "m8", "east", false, map[string]string{"a": addr}, []string{"a"}, per, b.checker)
+	agent, err := NewAgent("n-1", "m8", "east", false, map[string]string{"a": addr}, []string{"a"}, per, a.checker)
 	if err != nil {
 		t.Fatal(err)
 	}
-	b.agent = w
-	t.Cleanup(func() { w.RemoveMachine(); controller.Close() })
-	b.checker.RecordSubmission(&protocol.Submission{UID: "job-1", Team: "red", Kind: protocol.JobArray, Tasks: 2, CPUs: 4, CheckpointEverySeconds: 1, CheckpointSeconds: 0.2})
-	return b
+	a.agent = agent
+	t.Cleanup(func() { agent.RemoveMachine(); controller.Close() })
+	a.checker.RecordSubmission(&protocol.Submission{UID: "job-1", Team: "red", Kind: protocol.JobArray, Tasks: 2, CPUs: 4, CheckpointEverySeconds: 1, CheckpointSeconds: 0.2})
+	return a
 }
 
 // command sends one direct command and reports whether it was answered with 200 within 50 ms.
-func (b *agentTest) command(op protocol.CommandOp, index int, grace float64) (answered bool) {
-	b.agent.mu.Lock()
-	incarnation := b.agent.incarnation
-	b.agent.mu.Unlock()
+func (a *agentTest) command(op protocol.CommandOp, index int, grace float64) (answered bool) {
+	a.agent.mu.Lock()
+	incarnation := a.agent.incarnation
+	a.agent.mu.Unlock()
 	d := protocol.DirectCommands{FencingToken: 1, Incarnation: incarnation, Commands: []protocol.Command{{Op: op, Task: protocol.TaskName("job-1", index), Attempt: 1, GraceSeconds: &grace}}}
-	ctx, cancel := context.WithTimeout(b.t.Context(), 50*time.Millisecond)
+	ctx, cancel := context.WithTimeout(a.t.Context(), 50*time.Millisecond)
 	defer cancel()
-	req, err := http.NewRequestWithContext(ctx, "POST", "http://"+b.agent.Addr()+protocol.PathCommands, bytes.NewReader(protocol.Encode(d)))
+	req, err := http.NewRequestWithContext(ctx, "POST", "http://"+a.agent.Addr()+protocol.PathCommands, bytes.NewReader(protocol.Encode(d)))
 	if err != nil {
-		b.t.Fatal(err)
+		a.t.Fatal(err)
 	}
 	resp, err := http.DefaultClient.Do(req)
 	if err != nil {
@@ -60,11 +60,11 @@
 }
 
 // until waits for a condition and fails the test after 20 s; what describes the condition.
-func (b *agentTest) until(what string, holds func() bool) {
-	b.t.Helper()
+func (a *agentTest) until(what string, holds func() bool) {
+	a.t.Helper()
 	for end := time.Now().Add(20 * time.Second); !holds(); time.Sleep(5 * time.Millisecond) {
 		if time.Now().After(end) {
-			b.t.Fatalf("timed out waiting until: %s", what)
+			a.t.Fatalf("timed out waiting until: %s", what)
 		}
 	}
 }
--- a/internal/simulation/endpoint.go
+++ b/internal/simulation/endpoint.go
@@ -40,11 +40,11 @@
 	if err != nil {
 		return nil, err
 	}
-	d := &Endpoint{store: s, addr: l.Addr().String()}
+	e := &Endpoint{store: s, addr: l.Addr().String()}
 	server := &http.Server{Handler: wrap(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		s.mu.Lock()
 		s.expire()
-		out := s.outage || d.refusing
+		out := s.outage || e.refusing
 		over := !out && s.requestLimiter != nil && !s.requestLimiter.Allow()
 		if over {
 			s.rateLimited++
@@ -58,48 +58,48 @@
 			reply(w, 429, protocol.Error{Error: "too many requests"})
 			return
 		}
-		d.serve(w, r.WithContext(context.WithValue(r.Context(), endpointKey{}, d)))
+		e.serve(w, r.WithContext(context.WithValue(r.Context(), endpointKey{}, e)))
 	}))}
 	s.mu.Lock()
 	s.servers = append(s.servers, server)
 	s.mu.Unlock()
 	go server.Serve(l)
-	return d, nil
+	return e, nil
 }
 
 // Addr returns the endpoint's address.
-func (d *Endpoint) Addr() string { return d.addr }
+func (e *Endpoint) Addr() string { return e.addr }
 
 // RefuseAll makes the endpoint refuse all new requests, or accept them again. While it refuses, its open watches are
 // not answered before their time has passed.
-func (d *Endpoint) RefuseAll(on bool) {
-	d.store.mu.Lock()
-	defer d.store.mu.Unlock()
-	d.refusing = on
-	d.store.changed.Broadcast()
+func (e *Endpoint) RefuseAll(on bool) {
+	e.store.mu.Lock()
+	defer e.store.mu.Unlock()
+	e.refusing = on
+	e.store.changed.Broadcast()
 }
 
 // DelayTransactions makes the endpoint apply transactions only after a drawn delay and leave them unanswered. A delay
 // of 0 applies the transaction normally; nil ends the fault.
-func (d *Endpoint) DelayTransactions(delay func() time.Duration) {
-	d.store.mu.Lock()
-	defer d.store.mu.Unlock()
-	d.transactionDelay = delay
+func (e *Endpoint) DelayTransactions(delay func() time.Duration) {
+	e.store.mu.Lock()
+	defer e.store.mu.Unlock()
+	e.transactionDelay = delay
 }
 
 // CountDelayed returns how many delayed transactions changed something, and how many failed because newer transactions
 // had overtaken them.
-func (d *Endpoint) CountDelayed() (applied, conflicted int) {
-	d.store.mu.Lock()
-	defer d.store.mu.Unlock()
-	return d.delayedApplied, d.delayedConflicts
+func (e *Endpoint) CountDelayed() (applied, conflicted int) {
+	e.store.mu.Lock()
+	defer e.store.mu.Unlock()
+	return e.delayedApplied, e.delayedConflicts
 }
 
 // DelayAnswers delays the endpoint's answers; the requests themselves are executed immediately. 0: none.
-func (d *Endpoint) DelayAnswers(by time.Duration) {
-	d.store.mu.Lock()
-	defer d.store.mu.Unlock()
-	d.answerDelay = by
+func (e *Endpoint) DelayAnswers(by time.Duration) {
+	e.store.mu.Lock()
+	defer e.store.mu.Unlock()
+	e.answerDelay = by
 }
 
 // bufferedAnswer collects an answer that is sent later.
@@ -114,12 +114,12 @@
 func (a *bufferedAnswer) Write(b []byte) (int, error) { return a.body.Write(b) }
 
 // serve answers a request after the endpoint's delay.
-func (d *Endpoint) serve(w http.ResponseWriter, r *http.Request) {
+func (e *Endpoint) serve(w http.ResponseWriter, r *http.Request) {
 	a := &bufferedAnswer{header: http.Header{}, status: http.StatusOK}
-	d.store.mux.ServeHTTP(a, r)
-	d.store.mu.Lock()
-	delay := d.answerDelay
-	d.store.mu.Unlock()
+	e.store.mux.ServeHTTP(a, r)
+	e.store.mu.Lock()
+	delay := e.answerDelay
+	e.store.mu.Unlock()
 	time.Sleep(delay)
 	maps.Copy(w.Header(), a.header)
 	w.WriteHeader(a.status)
@@ -127,50 +127,50 @@
 }
 
 // DropAnswers makes the endpoint apply the selected transactions immediately but never answer them; nil: none.
-func (d *Endpoint) DropAnswers(pick func(t *protocol.Txn) bool) {
-	d.store.mu.Lock()
-	defer d.store.mu.Unlock()
-	d.dropAnswer = pick
+func (e *Endpoint) DropAnswers(pick func(t *protocol.Txn) bool) {
+	e.store.mu.Lock()
+	defer e.store.mu.Unlock()
+	e.dropAnswer = pick
 }
 
 // UnansweredTransactions returns the transactions that were applied with at least one operation and whose answer was
 // lost.
-func (d *Endpoint) UnansweredTransactions() []protocol.Txn {
-	d.store.mu.Lock()
-	defer d.store.mu.Unlock()
-	return slices.Clone(d.unanswered)
+func (e *Endpoint) UnansweredTransactions() []protocol.Txn {
+	e.store.mu.Lock()
+	defer e.store.mu.Unlock()
+	return slices.Clone(e.unanswered)
 }
 
 // drawTransactionDelay draws the delay of the next transaction.
-func (d *Endpoint) drawTransactionDelay() time.Duration {
-	d.store.mu.Lock()
-	defer d.store.mu.Unlock()
-	if d.transactionDelay == nil {
+func (e *Endpoint) drawTransactionDelay() time.Duration {
+	e.store.mu.Lock()
+	defer e.store.mu.Unlock()
+	if e.transactionDelay == nil {
 		return 0
 	}
-	return d.transactionDelay()
+	return e.transactionDelay()
 }
 
 // applyDelayed applies a delayed transaction.
-func (d *Endpoint) applyDelayed(t *protocol.Txn) {
-	d.store.mu.Lock()
-	defer d.store.mu.Unlock()
-	switch status, _ := d.store.apply(t); {
+func (e *Endpoint) applyDelayed(t *protocol.Txn) {
+	e.store.mu.Lock()
+	defer e.store.mu.Unlock()
+	switch status, _ := e.store.apply(t); {
 	case status == 200 && len(t.Then) > 0:
-		d.delayedApplied++
+		e.delayedApplied++
 	case status == 409:
-		d.delayedConflicts++
+		e.delayedConflicts++
 	}
 }
 
 // apply applies a transaction and reports whether its answer is lost.
-func (d *Endpoint) apply(t *protocol.Txn) (status int, answer any, lost bool) {
-	d.store.mu.Lock()
-	defer d.store.mu.Unlock()
-	lost = d.dropAnswer != nil && d.dropAnswer(t)
-	status, answer = d.store.apply(t)
+func (e *Endpoint) apply(t *protocol.Txn) (status int, answer any, lost bool) {
+	e.store.mu.Lock()
+	defer e.store.mu.Unlock()
+	lost = e.dropAnswer != nil && e.dropAnswer(t)
+	status, answer = e.store.apply(t)
 	if lost && status == 200 && len(t.Then) > 0 {
-		d.unanswered = append(d.unanswered, *t)
+		e.unanswered = append(e.unanswered, *t)
 	}
 	return status, answer, lost
 }
