--- a/internal/arch/arch.go
+++ b/internal/arch/arch.go
@@ -35,6 +35,7 @@
 		"internal/autoscaler",
 		"internal/provisioning",
 		"internal/jobstate",
+		"internal/dependencies",
 		"internal/shards",
 		"internal/scheduler",
 		"internal/agents",
--- a/internal/controller/admission.go
+++ b/internal/controller/admission.go
@@ -104,7 +104,7 @@
 		Gang:        d.Spec.Kind == protocol.Gang,
 		Late:        late,
 		StartBy:     objective.Add(-d.Spec.RunTime()),
-		SubmittedAt: j.submittedAt,
+		SubmittedAt: j.waitingSince,
 		Prioritized: prioritized,
 	}
 }
@@ -255,9 +255,9 @@
 // addArrivals adds the work of newly submitted jobs to the demands of a plan.
 func (n *Node) addArrivals(collector *admission.DemandCollector, now time.Time) {
 	for _, j := range n.jobs {
-		if j.spec.Kind != protocol.Service {
+		if j.spec.Kind != protocol.Service && !j.waits {
 			work := float64(j.spec.Tasks) * j.spec.CPUs * j.spec.EstimateSeconds
-			collector.AddArrival(admissionKey(j.spec), work, now.Sub(j.submittedAt))
+			collector.AddArrival(admissionKey(j.spec), work, now.Sub(j.waitingSince))
 		}
 	}
 }
@@ -377,7 +377,7 @@
 		x := keys.of(admissionKey(d.Spec))
 		x.Waiting += d.Count + int(d.CPUsBeyondQuota/max(d.Spec.CPUs, 1e-9)+0.5)
 		if j := n.jobs[d.Spec.UID]; j != nil {
-			x.OldestWaitSeconds = max(x.OldestWaitSeconds, now.Sub(j.submittedAt).Seconds())
+			x.OldestWaitSeconds = max(x.OldestWaitSeconds, now.Sub(j.waitingSince).Seconds())
 		}
 	}
 }
--- a/internal/controller/autoscaling_inputs.go
+++ b/internal/controller/autoscaling_inputs.go
@@ -160,7 +160,7 @@
 func (n *Node) arrivals(now time.Time) autoscaler.Arrivals {
 	in := autoscaler.Arrivals{}
 	for _, j := range n.jobs {
-		if j.spec.Kind != protocol.Service && !j.submittedAt.IsZero() && now.Sub(j.submittedAt) < arrivalWindow {
+		if j.spec.Kind != protocol.Service && !j.waits && !j.waitingSince.IsZero() && now.Sub(j.waitingSince) < arrivalWindow {
 			work := float64(j.spec.Tasks) * j.spec.CPUs * j.spec.EstimateSeconds
 			in[protocol.Rank(j.spec.Priority)] += work / arrivalWindow.Seconds()
 		}
@@ -180,7 +180,7 @@
 	case late:
 		return now.Add(safetyTime + time.Minute)
 	case len(n.objectives(j)) == 0:
-		return j.submittedAt.Add(safetyTime + 5*time.Second)
+		return j.waitingSince.Add(safetyTime + 5*time.Second)
 	}
 	return objective
 }
--- a/internal/controller/followedkeys.go
+++ b/internal/controller/followedkeys.go
@@ -93,6 +93,11 @@
 		n.applyChange(protocol.Change{Set: e.Key, Value: e.Value, Version: e.Version})
 	}
 	n.leadership.RetainPresences(func(name string) bool { return seen[presencePrefix+name] })
+	for name := range n.peers {
+		if !seen[presencePrefix+name] {
+			n.recordProtocol(name, protocolDependencies)
+		}
+	}
 	n.endUnlistedJobs(seen, revision)
 	for _, key := range n.roster.Keys() {
 		if !seen[key] {
@@ -172,6 +177,7 @@
 func (n *Node) applyPresenceKey(name string, c protocol.Change) error {
 	if c.Delete != "" {
 		n.leadership.LearnAbsence(name, c.Version)
+		n.recordProtocol(name, protocolDependencies)
 		return nil
 	}
 	var value presenceValue
@@ -179,9 +185,17 @@
 		return err
 	}
 	n.leadership.LearnPresence(name, leadership.Presence{Incarnation: value.Incarnation, Version: c.Version})
+	n.recordProtocol(name, value.Protocol)
 	return nil
 }
 
+// recordProtocol records what a controller's process understands. One that is absent ignores nothing.
+func (n *Node) recordProtocol(name string, protocol int) {
+	if p := n.peers[name]; p != nil {
+		p.ignoresDependencies = protocol < protocolDependencies
+	}
+}
+
 // errNoSpecification is returned for the key of an active job whose value has no specification.
 var errNoSpecification = errors.New("active job without a specification")
 
--- a/internal/controller/jobs.go
+++ b/internal/controller/jobs.go
@@ -11,9 +11,11 @@
 
 // job holds what a controller knows of a job that is or was active, whoever owns its team.
 type job struct {
-	spec          *protocol.Submission
-	submittedAt   time.Time
-	version       uint64 // of the job's key in the state service; 0: not written there
+	accepted      userapi.ActiveJob    // as its user submitted it; empty if only its end is known
+	spec          *protocol.Submission // the same with the priority and deadline that it is scheduled under
+	waitingSince  time.Time            // since when its tasks may start: its submission, or the end of the last job it needs
+	waits         bool                 // for jobs that it needs, or is cancelled with one of them; no task may start
+	version       uint64               // of the job's key in the state service; 0: not written there
 	active        bool
 	endedAt       time.Time
 	countedLate   bool                // counted as late by countLateJobs
@@ -29,7 +31,8 @@
 	j := n.jobs[uid]
 	n.recovery.gathering.JobKnown(uid)
 	if j == nil && n.hasEnded(uid) {
-		j = &job{spec: s.Spec, submittedAt: time.UnixMilli(s.SubmittedAtMillis), endedAt: time.Now()}
+		j = newJob(s)
+		j.endedAt = time.Now()
 		n.jobs[uid] = j
 	}
 	if j != nil && !j.active {
@@ -39,9 +42,11 @@
 		return
 	}
 	if j == nil {
-		j = &job{spec: s.Spec, submittedAt: time.UnixMilli(s.SubmittedAtMillis), active: true}
-		n.jobs[s.Spec.UID] = j
-		n.reobserveReserved(s.Spec.UID)
+		j = newJob(s)
+		j.active = true
+		n.jobs[uid] = j
+		n.trackDependencies(j)
+		n.reobserveReserved(uid)
 	}
 	j.version = max(j.version, version)
 	if shard := n.shards.OfTeam(s.Spec.Team); shard != nil {
@@ -49,14 +54,22 @@
 	}
 }
 
-// addOrUpdateJob adds an active job to the shard of its team. If the shard has the job already, or is still loading, it
-// only updates the job's version there.
+// newJob returns a job that was accepted, with no dependencies considered yet.
+func newJob(s userapi.ActiveJob) *job {
+	return &job{accepted: s, spec: s.Spec, waitingSince: time.UnixMilli(s.SubmittedAtMillis)}
+}
+
+// addOrUpdateJob adds an active job to the shard of its team, unless it waits for other jobs. If the shard has the job
+// already, or is still loading, it only updates the job's version there.
 func (n *Node) addOrUpdateJob(shard *shards.Owned, j *job) {
 	uid, team := j.spec.UID, shard.Team()
 	if shard.Phase() == shards.Loading || team.Job(uid) != nil {
 		team.Job(uid).RecordVersion(j.version)
 		return
 	}
+	if j.waits {
+		return
+	}
 	n.addJob(shard, j, nil)
 	if done := n.recovery.gathering.Finished(uid); done != nil {
 		team.MergeDone(uid, done)
@@ -86,6 +99,7 @@
 		return
 	}
 	j.active, j.endedAt = false, time.Now()
+	n.dependencies.graph.Ended(uid)
 	n.recovery.gathering.ForgetFinished(uid)
 	if shard := n.shards.OfTeam(j.spec.Team); shard != nil {
 		shard.Team().EndJob(uid)
--- a/internal/controller/lease.go
+++ b/internal/controller/lease.go
@@ -20,8 +20,12 @@
 // presenceValue is the value of a controller's presence key, which is bound to its lease.
 type presenceValue struct {
 	Incarnation uint64 `json:"incarnation"`
+	Protocol    int    `json:"protocol,omitempty"` // version of what the process understands; see protocolDependencies
 }
 
+// Values of presenceValue.Protocol. A process of an earlier version writes none.
+const protocolDependencies = 1 // jobs may have dependencies
+
 // maintainLease is the background task that keeps this controller's lease at the state service and its presence key.
 func (n *Node) maintainLease(ctx context.Context) error {
 	for ctx.Err() == nil {
@@ -112,7 +116,7 @@
 	if e != nil {
 		guard.Version = e.Version
 	}
-	value := protocol.Encode(presenceValue{n.incarnation})
+	value := protocol.Encode(presenceValue{Incarnation: n.incarnation, Protocol: protocolDependencies})
 	_, _, err = n.kvStore.CommitControl(ctx, protocol.Txn{
 		Conditions: []protocol.Condition{guard},
 		Then:       []protocol.Op{{Set: key, Value: value, Lease: lease}},
--- a/internal/controller/machinestatus.go
+++ b/internal/controller/machinestatus.go
@@ -85,6 +85,7 @@
 		return
 	}
 	n.replaceStatus(m, v)
+	n.recordStartedTasks(v)
 	m.HeardAt = now
 	n.recordRunTimes(n.scheduler.ObserveMachine(v, (*schedulerSnapshot)(n), now), now)
 	n.recordTasks(m, v, now)
@@ -121,11 +122,11 @@
 // recordFirstRun records the start latency of a task that was first reported running.
 func (n *Node) recordFirstRun(uid string, now time.Time) {
 	j := n.jobs[uid]
-	if j == nil || j.submittedAt.IsZero() {
+	if j == nil || j.waitingSince.IsZero() {
 		return
 	}
 	n.recordStarted(j.spec, now)
-	latency := max(now.Sub(j.submittedAt).Milliseconds(), 1)
+	latency := max(now.Sub(j.waitingSince).Milliseconds(), 1)
 	_ = n.startLatency.RecordValue(min(latency, maxStartLatency.Milliseconds()))
 }
 
--- a/internal/controller/node.go
+++ b/internal/controller/node.go
@@ -89,6 +89,7 @@
 	// Jobs, and the shards of teams that this controller owns or holds a replica of.
 	shards       *shards.Registry // owned shards, and replicas of other owners' shards
 	jobs         map[string]*job
+	dependencies *dependencyState
 	startLatency *hdrhistogram.Histogram // ms from submission until a task is first reported running
 
 	// Machines, and the agents that send their heartbeats to this controller.
@@ -196,6 +197,7 @@
 func (n *Node) newScheduling() {
 	n.shards = shards.NewRegistry()
 	n.jobs = map[string]*job{}
+	n.dependencies = newDependencyState(n)
 	n.endLookUps = agents.NewJobLookups()
 	n.scheduler = scheduler.New(scheduler.Config{Deployment: &n.settings.Deployment, Options: n.options, Random: n.rng})
 	n.admission = newAdmissionState(n.options)
--- a/internal/controller/owner.go
+++ b/internal/controller/owner.go
@@ -152,6 +152,7 @@
 		return
 	}
 	n.releaseUnregistered(shard)
+	n.recordStartedJobs(shard, done)
 	for uid, done := range done {
 		if tj := shard.Team().Job(uid); tj != nil {
 			shard.Team().AddJob(tj.Spec, tj.Version, tj.Submitted, done)
@@ -168,8 +169,9 @@
 		return
 	}
 	team, _ := shards.TeamOf(shard.Name())
+	n.recordStartedJobs(shard, done)
 	for _, j := range n.jobs {
-		if j.active && j.spec.Team == team {
+		if j.active && !j.waits && j.spec.Team == team {
 			n.addJob(shard, j, done[j.spec.UID])
 		}
 	}
@@ -198,7 +200,7 @@
 
 // addJob adds an active job to the team of an owned shard; done are its finished tasks in the state service.
 func (n *Node) addJob(shard *shards.Owned, j *job, done *bitset.BitSet) {
-	shard.Team().AddJob(j.spec, j.version, j.submittedAt, done)
+	shard.Team().AddJob(j.spec, j.version, j.waitingSince, done)
 	shard.Team().Job(j.spec.UID).SetObjectives(n.objectives(j))
 	shard.Team().Job(j.spec.UID).SetFaulty(n.quarantine.IsJobFaulty(j.spec.UID))
 }
--- a/internal/controller/peerstate.go
+++ b/internal/controller/peerstate.go
@@ -16,6 +16,8 @@
 	lastMessageAt time.Time
 	statusSentAt  int64 // ms of the peer's clock, in its last status
 
+	ignoresDependencies bool // according to its presence key, its version of the program knows no dependencies of jobs
+
 	// The peer's rights, as of its last status.
 	entitled   bool
 	holdsLease bool
--- a/internal/controller/recovery_detect.go
+++ b/internal/controller/recovery_detect.go
@@ -64,7 +64,8 @@
 		defer n.mu.Unlock()
 		if absent && n.jobs[uid] == j && !j.active {
 			j.active, j.endedAt = true, time.Time{}
-			n.learnJob(userapi.ActiveJob{Spec: j.spec, SubmittedAtMillis: j.submittedAt.UnixMilli()}, 0)
+			n.trackDependencies(j)
+			n.learnJob(j.accepted, 0)
 			n.proveLoss(datarecovery.ProofJobGone)
 		}
 		return nil
--- a/internal/controller/recovery_gather.go
+++ b/internal/controller/recovery_gather.go
@@ -119,7 +119,7 @@
 func (n *Node) activeJobs() (unwritten []userapi.ActiveJob, written []string) {
 	for _, uid := range slices.Sorted(maps.Keys(n.jobs)) {
 		if j := n.jobs[uid]; j.active && j.version == 0 {
-			unwritten = append(unwritten, userapi.ActiveJob{Spec: j.spec, SubmittedAtMillis: j.submittedAt.UnixMilli()})
+			unwritten = append(unwritten, j.accepted)
 		} else if j.active {
 			written = append(written, uid)
 		}
--- a/internal/controller/recovery_writeback.go
+++ b/internal/controller/recovery_writeback.go
@@ -56,7 +56,7 @@
 			continue
 		}
 		if shard := n.shards.OfTeam(j.spec.Team); shard != nil && shard.IsReady() {
-			jobs = append(jobs, datarecovery.RememberedJob{Spec: j.spec, SubmittedAtMillis: j.submittedAt.UnixMilli()})
+			jobs = append(jobs, datarecovery.RememberedJob(j.accepted))
 		}
 	}
 	return jobs
--- a/internal/controller/scheduling.go
+++ b/internal/controller/scheduling.go
@@ -56,14 +56,15 @@
 // objectives returns the times by which a job should be complete; it is empty if the job has no objective.
 func (n *Node) objectives(j *job) jobstate.Objectives {
 	if j.objectives == nil {
-		j.objectives = scheduler.ServiceLevels(n.settings.Deployment.Objectives).CompletionTimes(j.spec, j.submittedAt)
+		levels := scheduler.ServiceLevels(n.settings.Deployment.Objectives)
+		j.objectives = levels.CompletionTimes(j.spec.Class, j.waitingSince, n.deadline(j))
 	}
 	return j.objectives
 }
 
 // nextObjective returns the next of a job's objectives that it can still meet; late is true if there is none.
 func (n *Node) nextObjective(j *job, now time.Time) (by time.Time, late bool) {
-	scheduled := scheduler.Job{Spec: j.spec, SubmittedAt: j.submittedAt, Objectives: n.objectives(j)}
+	scheduled := scheduler.Job{Spec: j.spec, SubmittedAt: j.waitingSince, Objectives: n.objectives(j)}
 	return scheduled.NextObjective(now)
 }
 
@@ -76,7 +77,7 @@
 	if j == nil {
 		return scheduler.Job{}, false
 	}
-	scheduled := scheduler.Job{Spec: j.spec, SubmittedAt: j.submittedAt, Active: j.active}
+	scheduled := scheduler.Job{Spec: j.spec, SubmittedAt: j.waitingSince, Active: j.active}
 	if j.active {
 		scheduled.Objectives = (*Node)(s).objectives(j)
 	}
--- a/internal/controller/step.go
+++ b/internal/controller/step.go
@@ -60,9 +60,11 @@
 
 // step runs one pass of the main loop over all shards that this controller owns.
 func (n *Node) step(now time.Time) {
+	n.followDependencies(now)
 	if !n.entitled(now) {
 		return
 	}
+	n.cancelDependents(now)
 	n.applyTeamLimits(now)
 	for shard := range n.shards.All() {
 		shard.Team().Quota().SetFloors(n.classFloors(shard))
--- a/internal/controller/userbackend.go
+++ b/internal/controller/userbackend.go
@@ -44,23 +44,62 @@
 	return 0, 0
 }
 
-// IsActive returns whether a job is active, according to a read of the state service that began after the call; false
-// if that is uncertain.
-func (b userBackend) IsActive(ctx context.Context, uid string) bool {
+// Activity returns whether a job is active, according to a read of the state service that began after the call.
+func (b userBackend) Activity(ctx context.Context, uid string) userapi.Activity {
 	n := b.node
 	n.mu.Lock()
 	j := n.jobs[uid]
 	likely := j != nil && j.active && j.version > 0
 	n.mu.Unlock()
 	if !likely || n.waitForChanges(ctx) != nil {
-		return false
+		return userapi.Uncertain
 	}
+	for range maxDependencyReads {
+		activity, unsettled := n.activity(j)
+		if len(unsettled) == 0 {
+			return activity
+		}
+		for _, dependency := range unsettled {
+			if _, ended := n.userAPI.LookUpEnd(ctx, dependency); !ended {
+				return userapi.Uncertain
+			}
+		}
+	}
+	return userapi.Uncertain
+}
+
+// maxDependencyReads is how often the ends of a job's dependencies are read for one answer. Reading an end may reveal
+// others that have to be read.
+const maxDependencyReads = 3
+
+// activity returns whether a job is active according to the changes known here. If that depends on the ends of jobs
+// that are not known here, it returns these jobs.
+func (n *Node) activity(j *job) (activity userapi.Activity, unsettled []string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	// If the state service has lost a job's keys, the watched keys never show the job's end. And until the state that
 	// all controllers retained has been gathered, a peer may know the end of a job that the state service has as
 	// active.
-	return j.active && j.version > 0 && n.trusted() && n.retainedStateGathered(time.Now())
+	if !j.active || j.version == 0 || !n.trusted() || !n.retainedStateGathered(time.Now()) {
+		return userapi.Uncertain, nil
+	}
+	return n.dependencyActivity(j.spec.UID)
+}
+
+// CatchUp returns once all changes of the state service that were made before the call are known here.
+func (b userBackend) CatchUp(ctx context.Context) error { return b.node.waitForChanges(ctx) }
+
+// AcceptsDependencies returns whether no controller runs a version of the program that ignores dependencies.
+func (b userBackend) AcceptsDependencies() bool {
+	n := b.node
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	for _, p := range n.peers {
+		if p.ignoresDependencies {
+			return false
+		}
+	}
+	return true
 }
 
 // StoreTrusted returns whether the state service has all that it acknowledged, as far as known.
@@ -83,7 +122,7 @@
 	if j == nil || !j.active {
 		return userapi.ActiveJob{}, 0, false
 	}
-	return userapi.ActiveJob{Spec: j.spec, SubmittedAtMillis: j.submittedAt.UnixMilli()}, j.version, true
+	return j.accepted, j.version, true
 }
 
 // CertainlyNeverAccepted returns whether a job that neither the state service nor this controller knows was certainly
--- a/internal/goldentest/goldentest.go
+++ b/internal/goldentest/goldentest.go
@@ -163,5 +163,5 @@
 	zone, deadline := "a", 900.5
 	return &protocol.Submission{UID: "job-000412", Class: "train", Team: "vision", Kind: protocol.Gang, Priority: "high", Tasks: 16,
 		CPUs: 8, GPUs: 1.5, MemoryGB: 64, Image: "img-07", ImageGB: 6.2, Types: []string{"g8", "g4"}, Zone: &zone, OneZone: true, Spread: true,
-		Spot: true, EstimateSeconds: 240, CheckpointEverySeconds: 30, CheckpointSeconds: 4, DeadlineSeconds: &deadline}
+		Spot: true, EstimateSeconds: 240, CheckpointEverySeconds: 30, CheckpointSeconds: 4, DeadlineSeconds: &deadline, Dependencies: []string{"job-000398", "job-000405"}}
 }
--- a/internal/jobstate/objectives.go
+++ b/internal/jobstate/objectives.go
@@ -20,3 +20,17 @@
 	}
 	return o[len(o)-1], true
 }
+
+// Deadline is the time by which a job should be complete according to a user: the user who submitted it, or the one of
+// a job that needs it.
+type Deadline struct {
+	SubmittedAt time.Time     // of the job whose user set the deadline
+	Allowed     time.Duration // from then on
+	Class       string        // of that job
+	Reserve     time.Duration // for the jobs that have to run afterwards
+}
+
+// At returns the deadline after a multiple of the allowed time.
+func (d *Deadline) At(factor float64) time.Time {
+	return d.SubmittedAt.Add(time.Duration(factor*float64(d.Allowed)) - d.Reserve)
+}
--- a/internal/jobstate/team.go
+++ b/internal/jobstate/team.go
@@ -108,6 +108,17 @@
 	}
 }
 
+// Reschedule changes the priority and the deadline of an active job, and since when it waits.
+func (t *Team) Reschedule(spec *protocol.Submission, waitingSince time.Time) {
+	j := t.Job(spec.UID)
+	if j == nil {
+		return
+	}
+	t.jobs.remove(j)
+	j.Spec, j.Submitted = spec, waitingSince
+	t.jobs.add(j)
+}
+
 // attachAttempts adds the attempts that are already assigned to a new job.
 func (t *Team) attachAttempts(j *Job) {
 	for id, a := range t.assignments.byTask {
--- a/internal/protocol/check.go
+++ b/internal/protocol/check.go
@@ -27,7 +27,7 @@
 }
 
 // nullable holds the fields that may be null or absent.
-var nullable = map[string]bool{"modelos": true, "zona": true, "vence_s": true}
+var nullable = map[string]bool{"modelos": true, "zona": true, "vence_s": true, "espera_a": true}
 
 // ParseSubmission decodes and validates a submission. The error is a *FieldError if a field is missing or invalid. A
 // field that is not nullable must be present.
@@ -50,7 +50,7 @@
 		{"ram_gb", &s.MemoryGB}, {"imagen", &s.Image}, {"image_gb", &s.ImageGB}, {"modelos", &s.Types},
 		{"zona", &s.Zone}, {"together", &s.OneZone}, {"apart", &s.Spread}, {"prestadas", &s.Spot},
 		{"estimado_s", &s.EstimateSeconds}, {"guardado_cada_s", &s.CheckpointEverySeconds}, {"guardar_s", &s.CheckpointSeconds},
-		{"vence_s", &s.DeadlineSeconds},
+		{"vence_s", &s.DeadlineSeconds}, {"espera_a", &s.Dependencies},
 	}
 	for _, f := range fields {
 		value, present := raw[f.name]
@@ -64,9 +64,22 @@
 			return nil, &FieldError{f.name, "wrong type or out of range"}
 		}
 	}
+	s.Dependencies = withoutDuplicates(s.Dependencies)
 	return &s, s.check()
 }
 
+// withoutDuplicates returns the names in their order, each once; nil if there are none.
+func withoutDuplicates(names []string) (unique []string) {
+	seen := make(map[string]bool, len(names))
+	for _, name := range names {
+		if !seen[name] {
+			seen[name] = true
+			unique = append(unique, name)
+		}
+	}
+	return unique
+}
+
 // Limits on the fields of a submission.
 const (
 	maxNameLength  = 200 // of the names of a class and a team, in bytes
@@ -77,7 +90,7 @@
 
 // check returns a *FieldError for the first invalid field, or nil.
 func (s *Submission) check() error {
-	for _, check := range []func() *FieldError{s.checkNames, s.checkTypes, s.checkAmounts} {
+	for _, check := range []func() *FieldError{s.checkNames, s.checkTypes, s.checkAmounts, s.checkDependencies} {
 		if err := check(); err != nil {
 			return err
 		}
@@ -150,6 +163,18 @@
 	return nil
 }
 
+func (s *Submission) checkDependencies() *FieldError {
+	for _, uid := range s.Dependencies {
+		switch {
+		case !ValidUID(uid):
+			return &FieldError{"espera_a", "not a list of job IDs"}
+		case uid == s.UID:
+			return &FieldError{"espera_a", "names the job itself"}
+		}
+	}
+	return nil
+}
+
 // maxMachineName is the maximum length of a machine's name, in bytes.
 const maxMachineName = 100
 
--- a/internal/protocol/users.go
+++ b/internal/protocol/users.go
@@ -61,6 +61,8 @@
 	CheckpointEverySeconds float64  `json:"guardado_cada_s"`
 	CheckpointSeconds      float64  `json:"guardar_s"`
 	DeadlineSeconds        *float64 `json:"vence_s,omitempty"`
+	// Dependencies are the IDs of the jobs that must be done before any task of this one starts, each once.
+	Dependencies []string `json:"espera_a,omitempty"`
 }
 
 // Status is the answer to a status query, with the numbers of tasks that are done and running.
@@ -107,6 +109,9 @@
 	return slices.Index(priorities, priority)
 }
 
+// Priority returns the priority with a rank.
+func Priority(rank int) string { return priorities[rank] }
+
 // TaskName returns the name of a task on the wire: the job's ID, a slash and the task's index.
 func TaskName(job string, index int) string { return job + "/" + strconv.Itoa(index) }
 
--- a/internal/scheduler/fixture_test.go
+++ b/internal/scheduler/fixture_test.go
@@ -71,7 +71,7 @@
 func (c *cluster) submit(team int, age time.Duration, spec protocol.Submission) {
 	spec.Team = fmt.Sprintf("team-%d", team)
 	j := &Job{Spec: &spec, SubmittedAt: c.now.Add(-age), Active: true}
-	j.Objectives = ServiceLevels(c.settings.Objectives).CompletionTimes(j.Spec, j.SubmittedAt)
+	j.Objectives = ServiceLevels(c.settings.Objectives).CompletionTimes(j.Spec.Class, j.SubmittedAt, DeadlineOf(j.Spec, j.SubmittedAt))
 	c.jobs[spec.UID] = j
 	c.teams[team].AddJob(j.Spec, 1, j.SubmittedAt, nil)
 	c.teams[team].Job(spec.UID).SetObjectives(j.Objectives)
--- a/internal/scheduler/objectives.go
+++ b/internal/scheduler/objectives.go
@@ -26,26 +26,33 @@
 func (s *Scheduler) serviceLevels() ServiceLevels { return s.config.Deployment.Objectives }
 
 // CompletionTimes returns the target completion times of a job from its deadline and the objectives of its class,
-// sorted by time. It returns an empty slice, not nil, if there are none.
-func (levels ServiceLevels) CompletionTimes(spec *protocol.Submission, submittedAt time.Time) jobstate.Objectives {
+// sorted by time. waitingSince is when its tasks could first start. deadline is nil if there is none; it may be that of
+// a job that needs this one. It returns an empty slice, not nil, if there are none.
+func (levels ServiceLevels) CompletionTimes(class string, waitingSince time.Time, deadline *jobstate.Deadline) jobstate.Objectives {
 	times := jobstate.Objectives{}
-	add := func(seconds float64) { times = append(times, submittedAt.Add(settings.Seconds(seconds))) }
-	if spec.DeadlineSeconds != nil {
-		add(*spec.DeadlineSeconds)
+	if deadline != nil {
+		times = append(times, deadline.At(1))
 	}
 	for _, o := range levels {
 		switch {
-		case o.Class != spec.Class:
-		case o.Kind == objectiveFinished && o.WithinSeconds > 0:
-			add(o.WithinSeconds)
-		case o.Kind == objectiveDeadline && o.DeadlineFactor > 0 && spec.DeadlineSeconds != nil:
-			add(o.DeadlineFactor * *spec.DeadlineSeconds)
+		case o.Kind == objectiveFinished && o.Class == class && o.WithinSeconds > 0:
+			times = append(times, waitingSince.Add(settings.Seconds(o.WithinSeconds)))
+		case o.Kind == objectiveDeadline && o.DeadlineFactor > 0 && deadline != nil && o.Class == deadline.Class:
+			times = append(times, deadline.At(o.DeadlineFactor))
 		}
 	}
 	slices.SortFunc(times, time.Time.Compare)
 	return times
 }
 
+// DeadlineOf returns the deadline that a job's own user has set; nil if there is none.
+func DeadlineOf(spec *protocol.Submission, submittedAt time.Time) *jobstate.Deadline {
+	if spec.DeadlineSeconds == nil {
+		return nil
+	}
+	return &jobstate.Deadline{SubmittedAt: submittedAt, Allowed: settings.Seconds(*spec.DeadlineSeconds), Class: spec.Class}
+}
+
 // NextObjective returns the next target completion time that a job can still meet. late is true if there is none.
 func (j *Job) NextObjective(now time.Time) (by time.Time, late bool) {
 	if len(j.Objectives) == 0 {
--- a/internal/scheduler/queue_test.go
+++ b/internal/scheduler/queue_test.go
@@ -43,7 +43,7 @@
 			spec.DeadlineSeconds = &x.deadline
 		}
 		j := &Job{Spec: spec, SubmittedAt: now.Add(-time.Duration(x.age) * time.Second)}
-		j.Objectives = testObjectives.CompletionTimes(spec, j.SubmittedAt)
+		j.Objectives = testObjectives.CompletionTimes(spec.Class, j.SubmittedAt, DeadlineOf(spec, j.SubmittedAt))
 		goal, late := j.NextObjective(now)
 		if goal.Sub(j.SubmittedAt) != time.Duration(x.goal)*time.Second || late != x.late {
 			t.Errorf("%+v: goal after %v, late %v", x, goal.Sub(j.SubmittedAt), late)
--- a/internal/settings/check.go
+++ b/internal/settings/check.go
@@ -126,36 +126,59 @@
 	return nil
 }
 
+// bounds is a numeric field with the least and the largest value that it may have.
+type bounds struct {
+	field           string
+	value, min, max float64
+}
+
 // checkAmounts checks the numeric fields that have bounds. NaN is always out of bounds.
 func (s *Settings) checkAmounts() error {
 	d := &s.Deployment
-	for _, amount := range []struct {
-		field           string
-		value, min, max float64
-	}{
+	fields := []bounds{
 		{"workers.report_s", d.Agents.HeartbeatSeconds, 0.1, 600},
 		{"workers.lease_s", d.Agents.LeaseSeconds, 0.5, 3600},
 		{"workers.gang_wait_s", d.Agents.GangWaitSeconds, 0, 3600},
 		{"workers.gang_peer_s", d.Agents.GangPeerSeconds, 0, 3600},
 		{"workers.cancel_s", d.Agents.CancelSeconds, 1, 3600},
-		{"state.rps", d.KVStore.RequestsPerSecond, 1, 1e6},
-		{"state.write_rps", d.KVStore.ChangesPerSecond, 1, 1e6},
-		{"state.value_kb", d.KVStore.ValueKB, 1, 1 << 16},
-		{"state.txn_ops", float64(d.KVStore.ChangesPerTransaction), 4, 1e4},
 		{"cloud.rps", d.Cloud.RequestsPerSecond, 0.1, 1e6},
 		{"cloud.list_lag_s", d.Cloud.ListLagSeconds, 0, 600},
 		{"limits.cores", d.Limits.Cores, 0.01, 1024},
 		{"limits.memory_mb", d.Limits.MemoryMB, 32, 1 << 20},
 		{"limits.max_sockets", float64(d.Limits.MaxSockets), 64, 1 << 20},
 		{"clock_off_ms", d.ClockErrorMillis, 0, 60000},
-	} {
-		if !(amount.value >= amount.min && amount.value <= amount.max) {
-			return fieldError("deployment."+amount.field, "%g is not between %g and %g", amount.value, amount.min, amount.max)
+	}
+	fields = append(fields, storeBounds("state.", d.KVStore.limits())...)
+	if d.KVStore.Announced != nil {
+		for _, b := range storeBounds("state.next.", *d.KVStore.Announced) {
+			if b.value != 0 {
+				fields = append(fields, b)
+			}
+		}
+	}
+	for _, b := range fields {
+		if !(b.value >= b.min && b.value <= b.max) {
+			return fieldError("deployment."+b.field, "%g is not between %g and %g", b.value, b.min, b.max)
 		}
 	}
 	return nil
 }
 
+// limits returns the limits without the announced ones.
+func (l *KVStore) limits() AnnouncedLimits {
+	return AnnouncedLimits{l.RequestsPerSecond, l.ChangesPerSecond, l.ValueKB, l.ChangesPerTransaction}
+}
+
+// storeBounds returns the bounds of limits of the state service; path is the path of their fields in the file.
+func storeBounds(path string, l AnnouncedLimits) []bounds {
+	return []bounds{
+		{path + "rps", l.RequestsPerSecond, 1, 1e6},
+		{path + "write_rps", l.ChangesPerSecond, 1, 1e6},
+		{path + "value_kb", l.ValueKB, 1, 1 << 16},
+		{path + "txn_ops", float64(l.ChangesPerTransaction), 4, 1e4},
+	}
+}
+
 // duplicate returns the index of the first empty or repeated name, or -1 if there is none.
 func duplicate(names []string) int {
 	seen := map[string]bool{}
--- a/internal/settings/golden_test.go
+++ b/internal/settings/golden_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"fmt"
+	"strings"
 	"testing"
 
 	"topazhollow/internal/goldentest"
@@ -35,7 +36,10 @@
 	goldentest.AllSet(t, *s)
 	d := s.Deployment
 	team, objective := d.Teams[0], d.Objectives[0]
+	next := d.KVStore.Announced
 	compare(t, []value{
+		{"state.next.rps", next.RequestsPerSecond, 151}, {"state.next.write_rps", next.ChangesPerSecond, 31},
+		{"state.next.value_kb", next.ValueKB, 10}, {"state.next.txn_ops", next.ChangesPerTransaction, 25},
 		{"host_name", s.Name, "estacion-1"}, {"zone", s.Zone, "a"}, {"serve_on", s.Listen, "10.0.0.1:8080"}, {"peer_listen", s.PeerListen, "10.0.0.1:8081"},
 		{"seeds.host_name", s.Peers[0].Name, "estacion-2"}, {"seeds.zone", s.Peers[0].Zone, "b"}, {"seeds.endpoint", s.Peers[0].Endpoint, "10.0.0.2:8081"},
 		{"outside.cloud", s.Services.Cloud, "10.2.0.2:1"}, {"outside.state", s.Services.KVStore, "10.2.0.1:2"},
@@ -52,6 +56,52 @@
 	})
 }
 
+// TestSettingsOfEarlierVersions checks that a file without the announced limits is read as before.
+func TestSettingsOfEarlierVersions(t *testing.T) {
+	s, err := Parse(goldentest.Read(t, "settings-without-next.json"))
+	if err != nil {
+		t.Fatal(err)
+	}
+	want := KVStore{RequestsPerSecond: 150, ChangesPerSecond: 30, ValueKB: 9, ChangesPerTransaction: 24}
+	if got := s.Deployment.KVStore; got != want {
+		t.Errorf("limits %+v, want %+v", got, want)
+	}
+}
+
+// TestAnnouncedLimits: of the present and the announced limits the lower one applies, and limits that are not announced
+// stay as they are.
+func TestAnnouncedLimits(t *testing.T) {
+	const present = `"txn_ops":24},`
+	file := string(goldentest.Read(t, "settings-without-next.json"))
+	for _, c := range []struct {
+		next string
+		want KVStore
+	}{
+		{`{"rps":90,"write_rps":21,"value_kb":2,"txn_ops":8}`, KVStore{RequestsPerSecond: 90, ChangesPerSecond: 21, ValueKB: 2, ChangesPerTransaction: 8}},
+		{`{"rps":900,"write_rps":210,"value_kb":20,"txn_ops":80}`, KVStore{RequestsPerSecond: 150, ChangesPerSecond: 30, ValueKB: 9, ChangesPerTransaction: 24}},
+		{`{"value_kb":2}`, KVStore{RequestsPerSecond: 150, ChangesPerSecond: 30, ValueKB: 2, ChangesPerTransaction: 24}},
+		{`null`, KVStore{RequestsPerSecond: 150, ChangesPerSecond: 30, ValueKB: 9, ChangesPerTransaction: 24}},
+	} {
+		s, err := Parse([]byte(strings.Replace(file, present, `"txn_ops":24,"next":`+c.next+`},`, 1)))
+		if err != nil {
+			t.Fatalf("%s: %v", c.next, err)
+		}
+		got := s.Deployment.KVStore
+		if got.PresentValueKB() != 9 {
+			t.Errorf("%s: present limit on values %g KB, want 9", c.next, got.PresentValueKB())
+		}
+		got.Announced, got.presentValueKB = nil, 0
+		if got != c.want {
+			t.Errorf("%s: limits %+v, want %+v", c.next, got, c.want)
+		}
+	}
+	for _, next := range []string{`{"value_kb":0.5}`, `{"txn_ops":3}`, `{"rps":-1}`} {
+		if _, err := Parse([]byte(strings.Replace(file, present, `"txn_ops":24,"next":`+next+`},`, 1))); err == nil {
+			t.Errorf("accepted the announced limits %s", next)
+		}
+	}
+}
+
 // TestGoldenScript checks every option of the script.
 func TestGoldenScript(t *testing.T) {
 	o, err := ParseScript("options.star", goldentest.Read(t, "options.star"))
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -79,14 +79,34 @@
 	CancelSeconds    float64 `json:"cancel_s"`
 }
 
-// KVStore holds the limits of the state service, shared by all controllers.
+// KVStore holds the limits of the state service, shared by all controllers. The service may replace its present limits
+// by the announced ones at any time and without notice, so that after Parse the limits are the lower ones of both.
 type KVStore struct {
+	RequestsPerSecond     float64          `json:"rps"`
+	ChangesPerSecond      float64          `json:"write_rps"`
+	ValueKB               float64          `json:"value_kb"`
+	ChangesPerTransaction int              `json:"txn_ops"`
+	Announced             *AnnouncedLimits `json:"next,omitempty"` // nil if no change is announced
+
+	presentValueKB float64 // the limit on values before the announced limits apply; 0 if none are announced
+}
+
+// AnnouncedLimits are limits that the state service will have. A limit of 0 stays as it is.
+type AnnouncedLimits struct {
 	RequestsPerSecond     float64 `json:"rps"`
 	ChangesPerSecond      float64 `json:"write_rps"`
 	ValueKB               float64 `json:"value_kb"`
 	ChangesPerTransaction int     `json:"txn_ops"`
 }
 
+// PresentValueKB returns the limit on values before the announced limits apply.
+func (l *KVStore) PresentValueKB() float64 {
+	if l.presentValueKB > 0 {
+		return l.presentValueKB
+	}
+	return l.ValueKB
+}
+
 // Cloud holds the limits of the cloud, shared by all controllers.
 type Cloud struct {
 	RequestsPerSecond float64 `json:"rps"`
@@ -131,5 +151,27 @@
 	if err := s.check(); err != nil {
 		return nil, fmt.Errorf("settings: %w", err)
 	}
+	s.Deployment.KVStore.applyAnnounced()
 	return &s, nil
 }
+
+// applyAnnounced replaces each limit by the announced one if that is lower.
+func (l *KVStore) applyAnnounced() {
+	next := l.Announced
+	if next == nil {
+		return
+	}
+	l.presentValueKB = l.ValueKB
+	if next.RequestsPerSecond > 0 {
+		l.RequestsPerSecond = min(l.RequestsPerSecond, next.RequestsPerSecond)
+	}
+	if next.ChangesPerSecond > 0 {
+		l.ChangesPerSecond = min(l.ChangesPerSecond, next.ChangesPerSecond)
+	}
+	if next.ValueKB > 0 {
+		l.ValueKB = min(l.ValueKB, next.ValueKB)
+	}
+	if next.ChangesPerTransaction > 0 {
+		l.ChangesPerTransaction = min(l.ChangesPerTransaction, next.ChangesPerTransaction)
+	}
+}
--- a/internal/userapi/backend.go
+++ b/internal/userapi/backend.go
@@ -18,9 +18,15 @@
 	// Progress returns how many tasks of a job are done and how many are running, for display.
 	Progress(uid string) (done, running int)
 
-	// IsActive reports whether the store has the job as active, according to a read that started after the call. It
-	// returns false if this is unknown.
-	IsActive(ctx context.Context, uid string) bool
+	// Activity returns whether a job is active, according to a read of the store that started after the call.
+	Activity(ctx context.Context, uid string) Activity
+
+	// CatchUp returns once the controller knows all changes of the store that were made before the call.
+	CatchUp(ctx context.Context) error
+
+	// AcceptsDependencies reports whether jobs with dependencies may be accepted now. That is not so while a controller
+	// runs a version of the program that ignores dependencies.
+	AcceptsDependencies() bool
 
 	// Admit reports whether a new job can be accepted now and, if not, after how many seconds to retry.
 	Admit(spec *protocol.Submission) (admitted bool, retryAfterSeconds int)
@@ -52,6 +58,16 @@
 	ConfirmingCancellation(uid string, end JobEnd)
 }
 
+// Activity is what a controller knows of a job that the store may have as active.
+type Activity int
+
+// Values of Activity.
+const (
+	Uncertain     Activity = iota // the job is not active, or that is unknown
+	Active                        // neither ended nor cancelled with a job that it needs
+	CancelledWith                 // the store has it as active, but a job that it needs was cancelled
+)
+
 // Teams looks up the teams' configuration.
 type Teams interface {
 	// Team returns a team that accepts new jobs.
--- a/internal/userapi/golden_answers_test.go
+++ b/internal/userapi/golden_answers_test.go
@@ -17,13 +17,17 @@
 type stubBackend struct {
 	Backend
 	untrusted, unhealthy bool
+	outdatedPeer         bool // a peer ignores dependencies
+	activity             Activity
 	running              int
 }
 
 func (s *stubBackend) MachineTypes() []protocol.MachineType {
 	return []protocol.MachineType{{Name: "g8", CPUs: 96, GPUs: 8, MemoryGB: 768, Zones: []string{"a", "b"}}}
 }
-func (s *stubBackend) IsActive(context.Context, string) bool                  { return false }
+func (s *stubBackend) Activity(context.Context, string) Activity              { return s.activity }
+func (s *stubBackend) CatchUp(context.Context) error                          { return nil }
+func (s *stubBackend) AcceptsDependencies() bool                              { return !s.outdatedPeer }
 func (s *stubBackend) Progress(string) (done, running int)                    { return s.running / 4, s.running }
 func (s *stubBackend) StoreTrusted() bool                                     { return !s.untrusted }
 func (s *stubBackend) Healthy() bool                                          { return !s.unhealthy }
@@ -49,9 +53,10 @@
 	go func() { ended <- client.Run(ctx) }()
 	defer func() { cancel(); <-ended }()
 	backend := &stubBackend{}
-	handler := New(&settings.Settings{Deployment: settings.Deployment{Teams: []settings.Team{{Name: "vision", CPUsMax: 192, GPUsMax: 32}}}}, client, backend)
+	handler := New(&settings.Settings{Deployment: settings.Deployment{KVStore: settings.KVStore{ValueKB: 16}, Teams: []settings.Team{{Name: "vision", CPUsMax: 192, GPUsMax: 32}}}}, client, backend)
 	job := func(change func(*protocol.Submission)) []byte {
 		spec := goldentest.Submission()
+		spec.Dependencies = nil
 		change(spec)
 		return protocol.Encode(spec)
 	}
@@ -87,6 +92,26 @@
 	ask("wrong method", "GET", "/submissions", nil)
 	ask("no such path", "POST", path+"/more", nil)
 	ask("not the users'", "GET", "/overview", nil)
+	dependent := func(needed ...string) []byte {
+		return job(func(s *protocol.Submission) { s.UID, s.Dependencies = "job-000413", needed })
+	}
+	ask("needs a job that was never accepted", "POST", "/submissions", dependent("job-000398", "job-000399"))
+	ask("needs itself", "POST", "/submissions", dependent("job-000413"))
+	backend.outdatedPeer = true
+	ask("dependent job beside an earlier version", "POST", "/submissions", dependent("job-000398"))
+	backend.outdatedPeer = false
+	ask("needs a job that is done and a cancelled one", "POST", "/submissions", dependent("job-000398", "job-000412"))
+	ask("repeated, its state is uncertain", "POST", "/submissions", dependent("job-000398", "job-000412"))
+	backend.activity = CancelledWith
+	ask("repeated, it is cancelled with the other", "POST", "/submissions", dependent("job-000398", "job-000412"))
+	ask("poll of a job that is cancelled with another", "GET", "/submissions/job-000413", nil)
+	backend.activity = Uncertain
+	ask("larger than a value", "POST", "/submissions", job(func(s *protocol.Submission) {
+		s.UID = "job-000414"
+		for i := range 2000 {
+			s.Dependencies = append(s.Dependencies, fmt.Sprintf("job-1%06d", i))
+		}
+	}))
 	backend.untrusted, backend.unhealthy = true, true
 	ask("not healthy", "GET", "/healthz", nil)
 	ask("not trusted", "GET", "/submissions/job-000500", nil)
--- a/internal/userapi/status.go
+++ b/internal/userapi/status.go
@@ -2,6 +2,7 @@
 
 import (
 	"context"
+	"encoding/json"
 	"time"
 
 	"topazhollow/internal/httpx"
@@ -21,8 +22,8 @@
 	if end, ok := h.KnownEnd(uid); ok {
 		return h.answerStatus(uid, &end)
 	}
-	if h.backend.IsActive(ctx, uid) {
-		return h.answerStatus(uid, nil)
+	if activity := h.backend.Activity(ctx, uid); activity != Uncertain {
+		return h.answerActivity(uid, activity)
 	}
 	if !h.backend.StoreTrusted() {
 		return h.answerFromMemory(uid)
@@ -36,7 +37,38 @@
 	case e == nil && end == nil:
 		return h.answerNotInStore(ctx, uid)
 	}
-	return h.answerStatus(uid, end)
+	return h.answerRead(ctx, uid, e, end)
+}
+
+// answerRead answers with the state of a job whose active entry or end was read from the store.
+func (h *Handler) answerRead(ctx context.Context, uid string, entry *protocol.Entry, end *JobEnd) httpx.Answer {
+	if end != nil {
+		return h.answerStatus(uid, end)
+	}
+	var job ActiveJob
+	if err := json.Unmarshal(entry.Value, &job); err != nil || job.Spec == nil {
+		return tryAgain(retryWhenUnreadableSeconds)
+	}
+	if len(job.Spec.Dependencies) == 0 {
+		return h.answerStatus(uid, nil)
+	}
+	if h.backend.CatchUp(ctx) != nil { // the controller may not know the job yet
+		return tryAgain(1)
+	}
+	return h.answerActivity(uid, h.backend.Activity(ctx, uid))
+}
+
+// answerActivity answers with the state of a job that the store has as active. A job that is cancelled with one that it
+// needs counts as cancelled before its own end is written: every controller derives the same from the stored end of the
+// other job.
+func (h *Handler) answerActivity(uid string, activity Activity) httpx.Answer {
+	switch activity {
+	case Active:
+		return h.answerStatus(uid, nil)
+	case CancelledWith:
+		return httpx.Answer{Status: 200, Body: protocol.Encode(protocol.Status{UID: uid, State: protocol.Cancelled})}
+	}
+	return tryAgain(1)
 }
 
 // answerStatus answers with the state of a job. The job is active if end is nil.
@@ -57,11 +89,14 @@
 // answerNotInStore answers about a job that the store does not have. The controllers may still have it in memory, or
 // the store may have lost it for good.
 func (h *Handler) answerNotInStore(ctx context.Context, uid string) httpx.Answer {
-	if _, version, ok := h.backend.KnownActiveJob(uid); ok {
+	if job, version, ok := h.backend.KnownActiveJob(uid); ok {
 		if version > 0 { // it ended a moment ago or was lost; the copy in memory does not show which
 			h.backend.ReportMissing(uid)
 			return tryAgain(1)
 		}
+		if len(job.Spec.Dependencies) > 0 {
+			return tryAgain(1) // whether it is cancelled is known once it is written back
+		}
 		return h.answerStatus(uid, nil)
 	}
 	if !h.backend.CertainlyNeverAccepted(ctx) {
--- a/internal/userapi/submit.go
+++ b/internal/userapi/submit.go
@@ -15,6 +15,9 @@
 // changeTimeout bounds a submission or cancellation with all its reads and writes of the store.
 const changeTimeout = 4 * time.Second
 
+// jobOverheadBytes is the size of a stored job without its specification, rounded up.
+const jobOverheadBytes = 64
+
 // amountSlack absorbs rounding errors when the amounts of a job are compared with a limit or a machine.
 const amountSlack = 1e-6
 
@@ -31,12 +34,18 @@
 	if reason := h.infeasibleReason(spec); reason != "" {
 		return h.refuseUnlessKnown(ctx, spec.UID, spec, httpx.Refuse(422, reason))
 	}
+	if len(protocol.Encode(spec))+jobOverheadBytes > h.maxValueBytes {
+		return h.refuseUnlessKnown(ctx, spec.UID, nil, httpx.Refuse(422, "larger than the state service can store"))
+	}
 	if h.backend.MachineTypes() == nil {
 		return tryAgain(1)
 	}
 	if answer, decided := h.answerWithoutAccepting(ctx, spec.UID); decided {
 		return answer
 	}
+	if refusal, refused := h.checkDependencies(ctx, spec); refused {
+		return refusal
+	}
 	if admitted, retryAfter := h.backend.Admit(spec); !admitted {
 		return tryAgain(retryAfter)
 	}
@@ -59,7 +68,7 @@
 	case err != nil:
 		return tryAgain(1)
 	case entry != nil || end != nil:
-		return h.answerStatus(uid, end)
+		return h.answerRead(ctx, uid, entry, end)
 	case spec != nil && h.backend.MachineTypes() == nil:
 		return tryAgain(1)
 	}
@@ -95,7 +104,7 @@
 	case entry == nil && end == nil:
 		return h.answerNotInStore(ctx, uid), true
 	}
-	return h.answerStatus(uid, end), true
+	return h.answerRead(ctx, uid, entry, end), true
 }
 
 // accept writes the job to the store by compare-and-swap and copies it to a peer at the same time. The user gets the
@@ -121,7 +130,7 @@
 	if errors.Is(err, kvstore.ErrConflict) {
 		entry, end, err := h.readJob(ctx, uid)
 		if err == nil && (entry != nil || end != nil) {
-			return h.answerStatus(uid, end)
+			return h.answerRead(ctx, uid, entry, end)
 		}
 	}
 	return tryAgain(1)
--- a/internal/userapi/tenants_test.go
+++ b/internal/userapi/tenants_test.go
@@ -53,7 +53,7 @@
 	client := kvstore.New(store.Addr(), limits, 1)
 	go client.Run(ctx)
 	b := &laggingBackend{teams: map[string]settings.Team{"known": {Name: "known", CPUsMax: 8}}, caughtUp: func() {}}
-	handler := New(&settings.Settings{}, client, b)
+	handler := New(&settings.Settings{Deployment: settings.Deployment{KVStore: limits}}, client, b)
 	handler.UseTeams(b)
 	submit := func(uid, team string) int {
 		job := &protocol.Submission{UID: uid, Class: "c", Team: team, Kind: protocol.JobArray, Priority: "standard", Tasks: 1, CPUs: 2, MemoryGB: 4, Image: "img"}
--- a/internal/userapi/userapi.go
+++ b/internal/userapi/userapi.go
@@ -35,9 +35,10 @@
 
 // Handler handles users' requests. It is safe for concurrent use.
 type Handler struct {
-	store   *kvstore.Client
-	teams   Teams
-	backend Backend
+	store         *kvstore.Client
+	maxValueBytes int // in the store
+	teams         Teams
+	backend       Backend
 
 	mu   sync.Mutex // guards ends
 	ends *datarecovery.Ends
@@ -49,7 +50,13 @@
 	for _, t := range s.Deployment.Teams {
 		teams[t.Name] = t
 	}
-	return &Handler{store: st, teams: teams, backend: backend, ends: datarecovery.NewEnds()}
+	return &Handler{
+		store:         st,
+		maxValueBytes: int(s.Deployment.KVStore.ValueKB * 1024),
+		teams:         teams,
+		backend:       backend,
+		ends:          datarecovery.NewEnds(),
+	}
 }
 
 // UseTeams replaces the lookup of teams. It must be called before the first request.
