--- a/internal/controller/dependencies.go
+++ b/internal/controller/dependencies.go
@@ -271,6 +271,9 @@
 
 // recordStartedTasks records the jobs whose tasks a machine lists.
 func (n *Node) recordStartedTasks(v *jobstate.MachineStatus) {
+	if n.dependencies.graph.Empty() {
+		return
+	}
 	for _, t := range v.Tasks {
 		n.recordStartedJob(t.Job)
 	}
--- a/internal/controller/golden_test.go
+++ b/internal/controller/golden_test.go
@@ -4,6 +4,7 @@
 	"bytes"
 	"fmt"
 	"log/slog"
+	"reflect"
 	"strings"
 	"testing"
 
@@ -170,3 +171,23 @@
 	checkLines(t, "hold", replicateFactMsg{ID: 9, From: 7, Job: &goldenStored, Ends: []jobEnd{{"job-000398", goldenFinal}}}, replicateFactMsg{Ends: []jobEnd{{}}})
 	checkLines(t, "held", factReplicatedMsg{ID: 9}, factReplicatedMsg{})
 }
+
+// TestLinesWithoutDependencies reads the messages of versions of the program whose jobs had no dependencies.
+func TestLinesWithoutDependencies(t *testing.T) {
+	want := *goldenStored.Spec
+	want.Dependencies = nil
+	var hold replicateFactMsg
+	if err := line("hold").Decode(goldentest.Read(t, "hold-full-before-dependencies.json"), &hold); err != nil {
+		t.Fatal(err)
+	}
+	if !reflect.DeepEqual(*hold.Job.Spec, want) {
+		t.Errorf("job %+v, want %+v", *hold.Job.Spec, want)
+	}
+	var recall retainedStateMsg
+	if err := line("recall").Decode(goldentest.Read(t, "recall-full-before-dependencies.json"), &recall); err != nil {
+		t.Fatal(err)
+	}
+	if !reflect.DeepEqual(*recall.Jobs[0].Spec, want) {
+		t.Errorf("job %+v, want %+v", *recall.Jobs[0].Spec, want)
+	}
+}
--- a/internal/dependencies/dependencies.go
+++ b/internal/dependencies/dependencies.go
@@ -261,6 +261,9 @@
 	return Ready
 }
 
+// Empty reports whether no active job has dependencies.
+func (g *Graph) Empty() bool { return len(g.nodes) == 0 }
+
 // Tracks reports whether a job has dependencies or is needed by an active job.
 func (g *Graph) Tracks(uid string) bool { return g.nodes[uid] != nil }
 
