--- a/internal/controller/faults_answers_test.go
+++ b/internal/controller/faults_answers_test.go
@@ -3,6 +3,7 @@
 import (
 	"strings"
 	"sync"
+	"sync/atomic"
 	"testing"
 	"time"
 
@@ -131,10 +132,13 @@
 			s.submitUntilAccepted(endlessJob(2, 4, "blue"))
 			s.waitUntil("all tasks run", func() bool { return s.checker.CountRunning() == 8 })
 			machines := s.cloud.Agents()
-			for i, w := range machines {
-				rng := newRand(uint64(i))
-				w.DelayCommands(func(*protocol.DirectCommands) time.Duration {
-					return time.Duration(4000+rng.IntN(3000)) * time.Millisecond
+			var formerTerm atomic.Uint64 // the owner's when it is removed; 0: not yet
+			for _, w := range machines {
+				w.DelayCommands(func(d *protocol.DirectCommands) time.Duration {
+					if former := formerTerm.Load(); former > 0 && d.FencingToken > former {
+						return 0 // those of the next owner are not delayed
+					}
+					return simulation.UntilReleased
 				})
 			}
 			for i := range 4 {
@@ -142,14 +146,21 @@
 			}
 			s.cancelUntilAnswered(endlessJob(1, 4, "red").UID)
 			s.waitUntil("commands are in flight", func() bool { delayed, _ := countDelayedCommands(machines); return delayed > 0 })
-			owner, before := s.awaitReadyOwner(shards.ForTeam("red")), s.term()
+			owner := s.awaitReadyOwner(shards.ForTeam("red"))
+			before := s.term()
+			formerTerm.Store(before)
 			undo := removeOwner(s, owner)
+			s.waitUntil("a higher term", func() bool { return s.term() > before })
+			if _, early := countDelayedCommands(machines); early > 0 {
+				t.Errorf("%d requests with commands arrived before the higher term", early)
+			}
 			for _, w := range machines {
-				w.DelayCommands(nil) // those of the next owner are not delayed
+				w.DelayCommands(nil)
+				w.ReleaseCommands()
+			}
+			if _, late := countDelayedCommands(machines); late == 0 {
+				t.Error("no commands arrived after the higher term")
 			}
-			s.waitUntil("a higher term", func() bool { return s.term() > before })
-			_, atTerm := countDelayedCommands(machines)
-			s.waitUntil("commands arrived after it", func() bool { _, late := countDelayedCommands(machines); return late > atTerm })
 			undo()
 			s.awaitEndAndCheck()
 		})
--- a/internal/controller/faults_heartbeats_test.go
+++ b/internal/controller/faults_heartbeats_test.go
@@ -8,6 +8,7 @@
 	"topazhollow/internal/protocol"
 	"topazhollow/internal/shards"
 	"topazhollow/internal/simulation"
+	"topazhollow/internal/userapi"
 )
 
 // newBusyScenario starts a scenario in which both teams run endless and short jobs.
@@ -143,9 +144,57 @@
 	return jobs
 }
 
+// firstWriteDelay is the delay of each controller's first write, so that a write is certain to be applied late.
+const firstWriteDelay = 300 * time.Millisecond
+
+// delayWrites makes the state service apply the first write of each controller, and a random half of the others, late.
+func (s *faultScenario) delayWrites() {
+	for i, d := range s.storeEndpoints {
+		rng := newRand(uint64(i))
+		first := true
+		d.DelayTransactions(func() time.Duration {
+			if first {
+				first = false
+				return firstWriteDelay
+			}
+			return time.Duration(rng.IntN(2)) * time.Duration(300+rng.IntN(2500)) * time.Millisecond
+		})
+	}
+}
+
+// countLateWrites counts the delayed writes that the state service has applied, or rejected because of newer ones.
+func (s *faultScenario) countLateWrites() (late int) {
+	for _, d := range s.storeEndpoints {
+		applied, conflicted := d.CountDelayed()
+		late += applied + conflicted
+	}
+	return late
+}
+
+// crashBeforeWrite crashes controllers while the first of them accepts a job. The state service applies the acceptance
+// once they have ended.
+func (s *faultScenario) crashBeforeWrite(job *protocol.Submission, crashing ...int) {
+	s.t.Helper()
+	first := crashing[0]
+	endpoint := s.storeEndpoints[first]
+	endpoint.HoldTransactions(func(txn *protocol.Txn) bool { return writesKey(txn, userapi.ActiveJobPrefix+job.UID) })
+	s.waitUntil("the acceptance is under way", func() bool {
+		s.inBackground(func() { s.users.Submit(first, job) })
+		return endpoint.CountHeld() > 0
+	})
+	for _, i := range crashing {
+		s.crash(i)
+	}
+	endpoint.HoldTransactions(nil)
+	if endpoint.ReleaseTransactions() == 0 {
+		s.t.Error("no write was applied late after the owner crashed")
+	}
+	s.inBackground(func() { s.submitUntilAccepted(job) })
+}
+
 // TestNewMachinesWhileWritesLag: new machines, which boot at once, are given tasks while writes to the state service
-// are applied late, and the owner, or all controllers, crash just then. The successor must know every machine that may
-// run a task.
+// are applied late, and the owner, or all controllers, crash just then, before a write of the owner is applied. The
+// successor must know every machine that may run a task.
 func TestNewMachinesWhileWritesLag(t *testing.T) {
 	t.Parallel()
 	for name, all := range map[string]bool{"the owner crashes": false, "all controllers crash": true} {
@@ -153,39 +202,29 @@
 			t.Parallel()
 			s := newFaultScenario(t, taskRunTime)
 			s.awaitMembers(3)
-			for i, d := range s.storeEndpoints {
-				rng := newRand(uint64(i))
-				d.DelayTransactions(func() time.Duration {
-					return time.Duration(rng.IntN(2)) * time.Duration(300+rng.IntN(2500)) * time.Millisecond
-				})
-			}
+			s.delayWrites()
 			for i := range 4 {
 				s.inBackground(func() { s.submitUntilAccepted(endlessJob(i, 3, []string{"red", "blue"}[i%2])) })
 				s.inBackground(func() { s.submitUntilAccepted(arrayJob(i, 3, []string{"red", "blue"}[i%2])) })
 			}
-			s.waitUntil("tasks run on new machines", func() bool { return s.checker.Starts() > 0 })
-			owner := s.owner(shards.ForTeam("red"))
-			for i := range s.nodes {
-				if all || i == owner {
-					s.crash(i)
-				}
+			s.waitUntil("tasks run on new machines and a write was applied late", func() bool {
+				return s.checker.Starts() > 0 && s.countLateWrites() > 0
+			})
+			owner := s.awaitReadyOwner(shards.ForTeam("red"))
+			crashing := []int{owner}
+			if all {
+				crashing = append(crashing, (owner+1)%3, (owner+2)%3)
 			}
-			lagged := 0
-			for i := range s.nodes {
-				if s.nodes[i] == nil {
-					s.start(i)
-				}
-				applied, conflicted := s.storeEndpoints[i].CountDelayed()
-				lagged += applied + conflicted
+			s.crashBeforeWrite(arrayJob(4, 3, "red"), crashing...)
+			s.delayWrites()
+			for _, i := range crashing {
+				s.start(i)
 			}
 			s.waitUntil("tasks run again", func() bool { return s.checker.CountRunning() >= 8 })
 			for _, d := range s.storeEndpoints {
 				d.DelayTransactions(nil)
 			}
 			s.awaitEndAndCheck()
-			if lagged == 0 {
-				t.Error("no write was applied late before the owner crashed")
-			}
 		})
 	}
 }
--- a/internal/controller/faults_ownerchange_test.go
+++ b/internal/controller/faults_ownerchange_test.go
@@ -5,8 +5,10 @@
 	"testing"
 	"time"
 
+	"topazhollow/internal/history"
 	"topazhollow/internal/protocol"
 	"topazhollow/internal/shards"
+	"topazhollow/internal/wait"
 )
 
 // TestCancellationDuringOwnershipChange: jobs are cancelled in the seconds in which a controller's teams are taken over
@@ -137,24 +139,72 @@
 	s.awaitEndAndCheck()
 }
 
+// cancelOnMachine submits an endless job and cancels it once its task is on a machine.
+func (s *faultScenario) cancelOnMachine(job *protocol.Submission) {
+	s.submitUntilAccepted(job)
+	s.awaitOrFail("a task of "+job.UID+" is on a machine", func() bool { return s.checker.CountRunningOfJob(job.UID) > 0 })
+	s.cancelUntilAnswered(job.UID)
+}
+
+// cancelWhenDone submits a job and requests its cancellation once a controller has answered that it is done.
+func (s *faultScenario) cancelWhenDone(job *protocol.Submission) {
+	s.submitUntilAccepted(job)
+	s.awaitOrFail(job.UID+" is done", func() bool {
+		status, state := s.users.Ask(0, job.UID)
+		return status == 200 && state == protocol.Done
+	})
+	s.cancelUntilAnswered(job.UID)
+}
+
+// awaitOrFail waits in the background until a condition holds, and fails the test if a user would no longer wait.
+func (s *faultScenario) awaitOrFail(what string, holds func() bool) {
+	ctx, cancel := userDeadline(s.t)
+	defer cancel()
+	for !holds() {
+		if !wait.For(ctx, 20*time.Millisecond) {
+			s.t.Errorf("timed out waiting for: %s", what)
+			return
+		}
+	}
+}
+
+// cancellationAnswers returns the states with which the cancellations of some jobs were answered, and their numbers.
+func (s *faultScenario) cancellationAnswers(of func(uid string) bool) map[protocol.JobState]int {
+	answers := map[protocol.JobState]int{}
+	for _, c := range s.users.Log().Calls() {
+		if c.Kind == history.Cancel && c.Status == 200 && of(c.Job) {
+			answers[c.State]++
+		}
+	}
+	return answers
+}
+
 // TestManySmallJobs: jobs of one task are submitted in quick succession, and a quarter of them are cancelled at random
-// times, while the owner crashes once and the cloud takes a machine away.
+// times, while the owner crashes once and the cloud takes a machine away. Some more are cancelled when they are done,
+// and endless ones when they are on a machine.
 func TestManySmallJobs(t *testing.T) {
 	t.Parallel()
 	const jobs, every = 240, 40 * time.Millisecond
 	s := newFaultScenario(t, taskRunTime)
 	s.awaitMembers(3)
 	rng := newRand(12)
+	done := map[string]bool{} // jobs that are cancelled when they are done
 	for i := range jobs {
 		job, cancels := arrayJob(i, 1, []string{"red", "blue"}[i%2]), i%4 == 0
 		after := time.Duration(rng.IntN(900)) * time.Millisecond
-		s.inBackground(func() {
-			s.submitUntilAccepted(job)
-			if cancels {
-				time.Sleep(after)
-				s.cancelUntilAnswered(job.UID)
-			}
-		})
+		switch {
+		case i%24 == 1:
+			done[job.UID] = true
+			s.inBackground(func() { s.cancelWhenDone(job) })
+		default:
+			s.inBackground(func() {
+				s.submitUntilAccepted(job)
+				if cancels {
+					time.Sleep(after)
+					s.cancelUntilAnswered(job.UID)
+				}
+			})
+		}
 		switch i {
 		case jobs / 3:
 			owner := s.awaitReadyOwner(shards.ForTeam("red"))
@@ -163,17 +213,18 @@
 		case jobs / 2:
 			s.cloud.TerminateMachine(s.cloud.Agents()[0].Name())
 		}
+		if i%24 == 13 {
+			s.inBackground(func() { s.cancelOnMachine(endlessJob(i, 1, "blue")) })
+		}
 		time.Sleep(every)
 	}
 	s.awaitEndAndCheck()
-	ends := map[protocol.JobState]int{}
-	for _, c := range s.users.Log().Calls() {
-		if c.Kind == "cancel" && c.Status == 200 {
-			ends[c.State]++
-		}
+	endless := func(uid string) bool { return jobNumber(uid) >= firstEndlessJob }
+	if got := s.cancellationAnswers(endless); got[protocol.Cancelled] < jobs/24 || len(got) != 1 {
+		t.Errorf("the cancellations of jobs with a task on a machine were answered with %v", got)
 	}
-	if ends[protocol.Cancelled] == 0 || ends[protocol.Done] == 0 {
-		t.Errorf("all cancellations were answered with the same state: %v", ends)
+	if got := s.cancellationAnswers(func(uid string) bool { return done[uid] }); got[protocol.Done] < jobs/24 || len(got) != 1 {
+		t.Errorf("the cancellations of jobs that were done were answered with %v", got)
 	}
 }
 
--- a/internal/simulation/agentfaults.go
+++ b/internal/simulation/agentfaults.go
@@ -2,6 +2,7 @@
 
 import (
 	"bytes"
+	"math"
 	"net/http"
 	"slices"
 	"time"
@@ -166,14 +167,27 @@
 	return arrived
 }
 
+// UntilReleased is the delay of direct commands that are held until ReleaseCommands.
+const UntilReleased time.Duration = math.MaxInt64
+
 // DelayCommands delays direct commands by a drawn time and leaves them unanswered. They are then executed once if token
-// and incarnation match. 0: not this request, nil: none.
+// and incarnation match. 0: not this request, UntilReleased: until ReleaseCommands, nil: none.
 func (a *Agent) DelayCommands(delay func(d *protocol.DirectCommands) time.Duration) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.faults.commandDelay = delay
 }
 
+// ReleaseCommands executes or rejects all commands that are currently delayed.
+func (a *Agent) ReleaseCommands() {
+	a.mu.Lock()
+	delayed := slices.Clone(a.faults.delayedCommands)
+	a.mu.Unlock()
+	for _, d := range delayed {
+		a.releaseCommands(d)
+	}
+}
+
 // CountDelayedCommands returns how many requests with commands were delayed, by DelayCommands or by a hanging machine,
 // and how many of these were executed and rejected later.
 func (a *Agent) CountDelayedCommands() (delayed, executed, rejected int) {
@@ -228,16 +242,23 @@
 	if delay > 0 {
 		a.faults.delayedCount++
 		a.faults.delayedCommands = append(a.faults.delayedCommands, d)
+	}
+	if delay > 0 && delay < UntilReleased {
 		time.AfterFunc(delay, func() { a.releaseCommands(d) })
 	}
 	return delay <= 0
 }
 
-// releaseCommands executes delayed commands, or queues them if the machine hangs.
+// releaseCommands executes delayed commands, or queues them if the machine hangs. It has no effect on commands that were
+// released before.
 func (a *Agent) releaseCommands(d *protocol.DirectCommands) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.faults.delayedCommands = slices.DeleteFunc(a.faults.delayedCommands, func(other *protocol.DirectCommands) bool { return other == d })
+	index := slices.Index(a.faults.delayedCommands, d)
+	if index < 0 {
+		return
+	}
+	a.faults.delayedCommands = slices.Delete(a.faults.delayedCommands, index, index+1)
 	switch {
 	case a.faults.removed:
 	case a.faults.hanging:
--- a/internal/simulation/endpoint.go
+++ b/internal/simulation/endpoint.go
@@ -22,6 +22,9 @@
 	delayedApplied   int                  // delayed transactions that changed something
 	delayedConflicts int                  // delayed transactions whose conditions no longer held
 
+	holdTransaction  func(t *protocol.Txn) bool // selects transactions to hold; nil: none
+	heldTransactions []*protocol.Txn            // in the order in which they arrived
+
 	answerDelay time.Duration              // added to each answer
 	dropAnswer  func(t *protocol.Txn) bool // selects transactions whose answer is lost; nil: none
 	unanswered  []protocol.Txn             // transactions that changed something and whose answer was lost
@@ -87,6 +90,34 @@
 	e.transactionDelay = delay
 }
 
+// HoldTransactions makes the endpoint hold the selected transactions, unanswered, until ReleaseTransactions; nil: none
+// from now on.
+func (e *Endpoint) HoldTransactions(pick func(t *protocol.Txn) bool) {
+	e.store.mu.Lock()
+	defer e.store.mu.Unlock()
+	e.holdTransaction = pick
+}
+
+// CountHeld returns how many transactions wait for ReleaseTransactions.
+func (e *Endpoint) CountHeld() int {
+	e.store.mu.Lock()
+	defer e.store.mu.Unlock()
+	return len(e.heldTransactions)
+}
+
+// ReleaseTransactions applies the held transactions in the order in which they arrived. It returns how many changed
+// something or failed because newer transactions had overtaken them; CountDelayed counts these too.
+func (e *Endpoint) ReleaseTransactions() (late int) {
+	e.store.mu.Lock()
+	defer e.store.mu.Unlock()
+	before := e.delayedApplied + e.delayedConflicts
+	for _, t := range e.heldTransactions {
+		e.applyDelayed(t)
+	}
+	e.heldTransactions = nil
+	return e.delayedApplied + e.delayedConflicts - before
+}
+
 // CountDelayed returns how many delayed transactions changed something, and how many failed because newer transactions
 // had overtaken them.
 func (e *Endpoint) CountDelayed() (applied, conflicted int) {
@@ -141,20 +172,30 @@
 	return slices.Clone(e.unanswered)
 }
 
-// drawTransactionDelay draws the delay of the next transaction.
-func (e *Endpoint) drawTransactionDelay() time.Duration {
+// delayTransaction reports whether a transaction is held or delayed by a drawn time. It is then applied later.
+func (e *Endpoint) delayTransaction(t *protocol.Txn) (delayed bool) {
 	e.store.mu.Lock()
 	defer e.store.mu.Unlock()
+	if e.holdTransaction != nil && e.holdTransaction(t) {
+		e.heldTransactions = append(e.heldTransactions, t)
+		return true
+	}
 	if e.transactionDelay == nil {
-		return 0
+		return false
+	}
+	delay := e.transactionDelay()
+	if delay > 0 {
+		time.AfterFunc(delay, func() {
+			e.store.mu.Lock()
+			defer e.store.mu.Unlock()
+			e.applyDelayed(t)
+		})
 	}
-	return e.transactionDelay()
+	return delay > 0
 }
 
-// applyDelayed applies a delayed transaction.
+// applyDelayed applies a delayed transaction. The caller holds the store's lock.
 func (e *Endpoint) applyDelayed(t *protocol.Txn) {
-	e.store.mu.Lock()
-	defer e.store.mu.Unlock()
 	switch status, _ := e.store.apply(t); {
 	case status == 200 && len(t.Then) > 0:
 		e.delayedApplied++
--- a/internal/simulation/kvstore.go
+++ b/internal/simulation/kvstore.go
@@ -306,8 +306,7 @@
 		return
 	}
 	endpoint, _ := r.Context().Value(endpointKey{}).(*Endpoint)
-	if delay := endpoint.drawTransactionDelay(); delay > 0 {
-		time.AfterFunc(delay, func() { endpoint.applyDelayed(&t) })
+	if endpoint.delayTransaction(&t) {
 		leaveUnanswered(r)
 	}
 	status, answer, lost := endpoint.apply(&t)
