--- a/test.sh
+++ b/test.sh
@@ -1,6 +1,6 @@
 #!/usr/bin/env bash
-# Runs all checks: formatting, vet, staticcheck, dead code, whether scripts/mutants finds its guards, the build command
-# of deploy/service.toml, and the tests.
+# Runs all checks: formatting, vet, staticcheck, dead code, whether scripts/mutants finds its guards and its mutants build,
+# the build command of deploy/service.toml, and the tests.
 set -eu
 cd "$(dirname "$0")"
 unformatted=$(gofmt -l .)
