--- a/internal/controller/golden_state_test.go
+++ b/internal/controller/golden_state_test.go
@@ -27,11 +27,16 @@
 
 func TestGoldenPresence(t *testing.T) {
 	goldentest.Wire.Check(t, []goldentest.Case{
-		{Name: "presence-full.json", Value: presenceValue{Incarnation: 1767225600000001}, Full: true},
+		{Name: "presence-full.json", Value: presenceValue{Incarnation: 1767225600000001, Protocol: protocolDependencies}, Full: true},
 		{Name: "presence-empty.json", Value: presenceValue{}},
 	})
 }
 
+// TestPresenceOfEarlierVersions checks that the presence of a process that names no protocol version is read as such.
+func TestPresenceOfEarlierVersions(t *testing.T) {
+	goldentest.Wire.CheckEarlier(t, "presence-full-before-protocol.json", presenceValue{Incarnation: 1767225600000001, Protocol: 0})
+}
+
 // goldenRecord is a membership record with every field set.
 func goldenRecord() *leadership.Record {
 	return &leadership.Record{Term: 41, Nodes: map[string]uint64{"estacion-1": 1767225600000001, "estacion-2": 1767225600000002},
--- a/internal/controller/golden_test.go
+++ b/internal/controller/golden_test.go
@@ -155,18 +155,32 @@
 // unusualEnd is an end that a page of ends cannot pack, and stores separately.
 var unusualEnd = datarecovery.End{UID: "job-x", Cancelled: true, Tasks: 4, Team: "speech"}
 
+// goldenStoredEarlier returns goldenStored as known to versions before jobs could wait for others.
+func goldenStoredEarlier() userapi.ActiveJob {
+	spec := *goldenStored.Spec
+	spec.Dependencies = nil
+	return userapi.ActiveJob{Spec: &spec, SubmittedAtMillis: goldenStored.SubmittedAtMillis}
+}
+
 func TestGoldenRecall(t *testing.T) {
 	ends := datarecovery.NewEnds()
 	for _, end := range []datarecovery.End{{UID: "job-000398", Cancelled: true, Tasks: 16, Team: "vision"}, {UID: "job-000400", Tasks: 1, Team: "speech"}, unusualEnd} {
 		ends.Add(end)
 	}
-	checkLines(t, "recall", retainedStateMsg{Epoch: 2, Jobs: []userapi.ActiveJob{goldenStored}, Active: []string{"job-000500"}, Finished: map[string]*bitset.BitSet{"job-000412": finishedTasks()},
-		Ends: ends.Digest(), Last: true, Ask: true, Config: []teamconfig.Change{goldenChange}}, retainedStateMsg{Ends: datarecovery.NewEnds().Digest()})
+	full := retainedStateMsg{Epoch: 2, Jobs: []userapi.ActiveJob{goldenStored}, Active: []string{"job-000500"}, Finished: map[string]*bitset.BitSet{"job-000412": finishedTasks()},
+		Ends: ends.Digest(), Last: true, Ask: true, Config: []teamconfig.Change{goldenChange}}
+	checkLines(t, "recall", full, retainedStateMsg{Ends: datarecovery.NewEnds().Digest()})
+	full.Jobs = []userapi.ActiveJob{goldenStoredEarlier()}
+	line("recall").CheckEarlier(t, "recall-full-before-dependencies.json", full)
 	pages := datarecovery.Pages(ends.All(), 1<<10)
 	checkLines(t, "recalled", missingEndsMsg{Epoch: 2, Ends: &pages[0], Last: true}, missingEndsMsg{})
 }
 
 func TestGoldenHold(t *testing.T) {
-	checkLines(t, "hold", replicateFactMsg{ID: 9, From: 7, Job: &goldenStored, Ends: []jobEnd{{"job-000398", goldenFinal}}}, replicateFactMsg{Ends: []jobEnd{{}}})
+	full := replicateFactMsg{ID: 9, From: 7, Job: &goldenStored, Ends: []jobEnd{{"job-000398", goldenFinal}}}
+	checkLines(t, "hold", full, replicateFactMsg{Ends: []jobEnd{{}}})
+	earlier := goldenStoredEarlier()
+	full.Job = &earlier
+	line("hold").CheckEarlier(t, "hold-full-before-dependencies.json", full)
 	checkLines(t, "held", factReplicatedMsg{ID: 9}, factReplicatedMsg{})
 }
--- a/internal/goldentest/goldentest.go
+++ b/internal/goldentest/goldentest.go
@@ -75,6 +75,19 @@
 	}
 }
 
+// CheckEarlier checks that decoding a golden file gives a value, not a pointer. The file holds the encoding of an earlier
+// version, and -update doesn't rewrite it.
+func (f Form) CheckEarlier(t *testing.T, name string, want any) {
+	t.Helper()
+	got := reflect.New(reflect.TypeOf(want))
+	if err := f.Decode(Read(t, name), got.Interface()); err != nil {
+		t.Fatalf("decode %s: %v", name, err)
+	}
+	if !reflect.DeepEqual(got.Elem().Interface(), want) {
+		t.Errorf("%s decoded:\n%+v\nwant\n%+v", name, got.Elem(), want)
+	}
+}
+
 // Bytes compares bytes with a golden file and returns the file's content.
 func Bytes(t testing.TB, name string, got []byte) []byte {
 	t.Helper()
--- a/internal/protocol/golden_test.go
+++ b/internal/protocol/golden_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"encoding/json"
+	"reflect"
 	"strings"
 	"testing"
 
@@ -63,6 +64,22 @@
 	goldentest.Bytes(t, "submission-full.json", protocol.Encode(got))
 }
 
+// TestSubmissionOfEarlierVersions checks that a submission as encoded before jobs could wait for others is read as one
+// without dependencies, in both ways of decoding.
+func TestSubmissionOfEarlierVersions(t *testing.T) {
+	const name = "submission-full-before-dependencies.json"
+	want := goldentest.Submission()
+	want.Dependencies = nil
+	goldentest.Wire.CheckEarlier(t, name, *want)
+	got, err := protocol.ParseSubmission(goldentest.Read(t, name))
+	if err != nil {
+		t.Fatal(err)
+	}
+	if !reflect.DeepEqual(got, want) {
+		t.Errorf("parsed %+v, want %+v", got, want)
+	}
+}
+
 // joined joins constants of one type by spaces.
 func joined[Word ~string](words ...Word) string {
 	var plain []string
--- a/internal/userapi/golden_test.go
+++ b/internal/userapi/golden_test.go
@@ -28,3 +28,11 @@
 		{Name: "end-empty.json", Value: JobEnd{}},
 	})
 }
+
+// TestJobOfEarlierVersions checks that a job as stored before jobs could wait for others is read as one without
+// dependencies.
+func TestJobOfEarlierVersions(t *testing.T) {
+	want := ActiveJob{Spec: goldentest.Submission(), SubmittedAtMillis: 1767225600123}
+	want.Spec.Dependencies = nil
+	goldentest.Wire.CheckEarlier(t, "job-full-before-dependencies.json", want)
+}
