--- a/internal/controller/dependencies.go
+++ b/internal/controller/dependencies.go
@@ -109,7 +109,7 @@
 // and its longest task.
 func (n *Node) expectedDuration(spec *protocol.Submission) time.Duration {
 	fetch := autoscaler.ImageFetchSeconds(n.scheduler.MachineTypes(), spec)
-	return settings.Seconds(fetch + spreadOfRunTimes*spec.EstimateSeconds)
+	return settings.Seconds(min(fetch+spreadOfRunTimes*spec.EstimateSeconds, dependencies.MaxDuration.Seconds()))
 }
 
 // trackDependencies adds a job that became active to the graph, if it needs others or is needed.
--- a/internal/dependencies/dependencies.go
+++ b/internal/dependencies/dependencies.go
@@ -38,9 +38,9 @@
 // Job describes an active job.
 type Job struct {
 	UID          string
-	Dependencies []string // each once
-	Urgency      Urgency  // by its own description
-	// Duration is the expected time from the end of the last job that it needs to its own end.
+	Dependencies []string
+	Urgency      Urgency // by its own description
+	// Duration is the expected time from the end of the last job that it needs to its own end, at most MaxDuration.
 	Duration time.Duration
 }
 
@@ -98,19 +98,26 @@
 	}
 	g.activate(n, job)
 	for _, uid := range job.Dependencies {
-		d := g.dependency(uid)
-		n.dependencies = append(n.dependencies, d)
-		d.dependents[n] = true
-		if d.outcome != Done {
-			n.open++
-		}
-		g.inherit(d, n)
-		if d.cancelled {
-			g.cancel(n)
-		}
+		g.connect(n, g.dependency(uid))
 	}
 }
 
+// connect records that an active job needs another one.
+func (g *Graph) connect(n, dependency *node) {
+	if dependency.dependents[n] {
+		return
+	}
+	n.dependencies = append(n.dependencies, dependency)
+	dependency.dependents[n] = true
+	if dependency.outcome != Done {
+		n.open++
+	}
+	if dependency.cancelled {
+		g.cancel(n)
+	}
+	g.inherit(dependency, n)
+}
+
 // add adds a node for a job that is not active as far as known.
 func (g *Graph) add(uid string) *node {
 	n := &node{uid: uid, dependents: map[*node]bool{}}
@@ -121,7 +128,7 @@
 // activate makes a node that of an active job without dependencies.
 func (g *Graph) activate(n *node, job Job) {
 	delete(g.unsettled, n.uid)
-	n.active, n.duration, n.own = true, job.Duration, job.Urgency
+	n.active, n.duration, n.own = true, min(max(job.Duration, 0), MaxDuration), job.Urgency
 	g.recompute(n)
 	g.changed[n.uid] = true
 }
@@ -149,6 +156,7 @@
 		g.unsettled[n.uid] = n
 		return
 	case Done:
+		n.cancelled = false // it takes precedence over what was derived
 		for d := range n.dependents {
 			if d.open--; d.open == 0 {
 				g.changed[d.uid] = true
@@ -162,6 +170,7 @@
 
 // cancel records that a job is cancelled, and with it those that need it.
 func (g *Graph) cancel(n *node) {
+	var needed []*node
 	for stack := []*node{n}; len(stack) > 0; {
 		n, stack = stack[len(stack)-1], stack[:len(stack)-1]
 		if n.cancelled || n.active && n.started {
@@ -170,10 +179,9 @@
 		n.cancelled = true
 		g.changed[n.uid] = true
 		stack = slices.AppendSeq(stack, maps.Keys(n.dependents))
-		for _, d := range n.dependencies {
-			g.recompute(d) // what is cancelled makes nothing else urgent
-		}
+		needed = append(needed, n.dependencies...)
 	}
+	g.recompute(needed...) // what is cancelled makes nothing else urgent
 }
 
 // Ended records that a job is no longer active. Its outcome may become known later.
@@ -184,10 +192,12 @@
 	}
 	n.active = false
 	dependencies := n.dependencies
-	n.dependencies = nil
+	n.dependencies, n.open = nil, 0
 	for _, d := range dependencies {
 		delete(d.dependents, n)
-		g.recompute(d)
+	}
+	g.recompute(dependencies...)
+	for _, d := range dependencies {
 		g.removeIfUnused(d)
 	}
 	if !g.removeIfUnused(n) {
