--- a/internal/dependencies/benchmark_test.go
+++ b/internal/dependencies/benchmark_test.go
@@ -49,6 +49,20 @@
 	}
 }
 
+// endDependents tracks the jobs and ends all but the first two, while these are active.
+func endDependents(m *model, g graphUnderTest, jobs []Job) {
+	for _, job := range jobs {
+		m.active[job.UID] = true
+		g.Track(job)
+	}
+	for _, job := range jobs[2:] {
+		m.recorded[job.UID], m.active[job.UID] = Cancelled, false
+		g.Ended(job.UID)
+		g.Settle()
+		g.read(job.UID)
+	}
+}
+
 // cancelLast tracks the jobs, cancels the first one and ends those that are cancelled with it, the last one first.
 func cancelLast(m *model, g graphUnderTest, jobs []Job) {
 	for _, job := range jobs {
@@ -119,6 +133,7 @@
 	{"cancelled chain", chain, cancelLast},
 	{"cancelled fan", fan, cancelLast},
 	{"cancelled fan behind a chain", fanBehindChain, cancelLast},
+	{"fan behind a chain, ended before it", fanBehindChain, endDependents},
 }
 
 func BenchmarkGraph(b *testing.B) {
--- a/internal/dependencies/dependencies.go
+++ b/internal/dependencies/dependencies.go
@@ -129,7 +129,7 @@
 func (g *Graph) activate(n *node, job Job) {
 	delete(g.unsettled, n.uid)
 	n.active, n.duration, n.own = true, min(max(job.Duration, 0), MaxDuration), job.Urgency
-	g.recompute(n)
+	g.setUrgency(n, n.derivedUrgency())
 	g.changed[n.uid] = true
 }
 
@@ -196,7 +196,9 @@
 	for _, d := range dependencies {
 		delete(d.dependents, n)
 	}
-	g.recompute(dependencies...)
+	if !n.cancelled {
+		g.recompute(dependencies...)
+	}
 	for _, d := range dependencies {
 		g.removeIfUnused(d)
 	}
--- a/internal/dependencies/urgency.go
+++ b/internal/dependencies/urgency.go
@@ -84,6 +84,24 @@
 	return u
 }
 
+// isOutdated reports whether an active job's urgency, which was right before, has become less because of a dependent. It
+// stops at the dependents that still require the recorded urgency: often the first of many.
+func (n *node) isOutdated() bool {
+	if !n.active {
+		return false
+	}
+	u := n.own
+	for d := range n.dependents {
+		if u.equal(n.effective) {
+			return false
+		}
+		if required, requires := d.required(); requires {
+			u = u.combined(required)
+		}
+	}
+	return !u.equal(n.effective)
+}
+
 // setUrgency records a job's urgency, and reports whether it differs from that before.
 func (g *Graph) setUrgency(n *node, u Urgency) bool {
 	if n.effective.equal(u) {
@@ -119,8 +137,8 @@
 	return n.active && requires && g.setUrgency(n, n.effective.combined(required))
 }
 
-// recompute derives the urgency of some jobs from all their dependents, and that of the jobs that they need if it
-// changes.
+// recompute derives the urgency of some jobs anew after dependents of theirs require less, and that of the jobs that they
+// need if it changes.
 func (g *Graph) recompute(nodes ...*node) {
 	var first []*node
 	outdated := make(map[*node]bool, len(nodes))
@@ -128,7 +146,7 @@
 		if _, checked := outdated[n]; checked {
 			continue
 		}
-		outdated[n] = n.active && !n.effective.equal(n.derivedUrgency())
+		outdated[n] = n.isOutdated()
 		if outdated[n] {
 			first = append(first, n)
 		}
