--- a/internal/dependencies/benchmark_test.go
+++ b/internal/dependencies/benchmark_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"fmt"
+	"slices"
 	"testing"
 	"time"
 )
@@ -116,6 +117,25 @@
 	return jobs
 }
 
+// chainOfDeadlines returns a chain in which each job makes all before it more urgent.
+func chainOfDeadlines(count int) []Job {
+	jobs := chain(count)
+	for i := range jobs {
+		jobs[i].Urgency.Deadline = deadlineIn(time.Hour)
+	}
+	return jobs
+}
+
+// fanOfDeadlines returns a chain of two jobs, and jobs that need the second and have different deadlines.
+func fanOfDeadlines(count int) []Job {
+	jobs := fanBehindChain(count)
+	jobs[1].Urgency.Deadline = nil
+	for i := range jobs[2:] {
+		jobs[i+2].Urgency.Deadline = deadlineIn(time.Hour + time.Duration(i)*time.Second)
+	}
+	return jobs
+}
+
 // workload is a graph and what happens to it.
 type workload struct {
 	name string
@@ -136,8 +156,14 @@
 	{"fan behind a chain, ended before it", fanBehindChain, endDependents},
 }
 
+// quadraticWorkloads change the urgency of many jobs at each event, or take away the most urgent of many each time.
+var quadraticWorkloads = []workload{
+	{"chain of deadlines", chainOfDeadlines, runThrough},
+	{"fan of deadlines, ended before the job that it needs", fanOfDeadlines, endDependents},
+}
+
 func BenchmarkGraph(b *testing.B) {
-	for _, w := range workloads {
+	for _, w := range slices.Concat(workloads, quadraticWorkloads) {
 		for _, count := range []int{200, 500, 1000, 2000} {
 			jobs := w.jobs(count)
 			b.Run(fmt.Sprintf("%s/%d", w.name, count), func(b *testing.B) {
--- a/internal/dependencies/dependencies.go
+++ b/internal/dependencies/dependencies.go
@@ -74,6 +74,7 @@
 	duration  time.Duration
 	own       Urgency // by the job's description
 	effective Urgency // including what it takes over from its dependents
+	required  Urgency // of the jobs that it needs, unless it is cancelled
 }
 
 // New returns an empty graph.
@@ -129,7 +130,8 @@
 func (g *Graph) activate(n *node, job Job) {
 	delete(g.unsettled, n.uid)
 	n.active, n.duration, n.own = true, min(max(job.Duration, 0), MaxDuration), job.Urgency
-	g.setUrgency(n, n.derivedUrgency())
+	n.effective = n.derivedUrgency()
+	n.required = n.effective.before(n.duration)
 	g.changed[n.uid] = true
 }
 
--- a/internal/dependencies/urgency.go
+++ b/internal/dependencies/urgency.go
@@ -68,17 +68,12 @@
 	return n.effective, true
 }
 
-// required returns the urgency that an active job requires of those that it needs. A cancelled one requires none.
-func (n *node) required() (u Urgency, requires bool) {
-	return n.effective.before(n.duration), !n.cancelled
-}
-
 // derivedUrgency returns a job's urgency according to that of its dependents.
 func (n *node) derivedUrgency() Urgency {
 	u := n.own
 	for d := range n.dependents {
-		if required, requires := d.required(); requires {
-			u = u.combined(required)
+		if !d.cancelled {
+			u = u.combined(d.required)
 		}
 	}
 	return u
@@ -95,8 +90,8 @@
 		if u.equal(n.effective) {
 			return false
 		}
-		if required, requires := d.required(); requires {
-			u = u.combined(required)
+		if !d.cancelled {
+			u = u.combined(d.required)
 		}
 	}
 	return !u.equal(n.effective)
@@ -107,7 +102,7 @@
 	if n.effective.equal(u) {
 		return false
 	}
-	n.effective = u
+	n.effective, n.required = u, u.before(n.duration)
 	g.changed[n.uid] = true
 	return true
 }
@@ -133,8 +128,7 @@
 
 // raise makes an active job at least as urgent as one dependent requires, and reports whether it was less urgent.
 func (g *Graph) raise(n, dependent *node) bool {
-	required, requires := dependent.required()
-	return n.active && requires && g.setUrgency(n, n.effective.combined(required))
+	return n.active && !dependent.cancelled && g.setUrgency(n, n.effective.combined(dependent.required))
 }
 
 // recompute derives the urgency of some jobs anew after dependents of theirs require less, and that of the jobs that they
