--- a/internal/controller/jobs.go
+++ b/internal/controller/jobs.go
@@ -129,3 +129,20 @@
 	}
 	return progress
 }
+
+// progress returns how many tasks of a job are done and running, as far as known here.
+func (n *Node) progress(uid string) (done, running int) {
+	j := n.jobs[uid]
+	if j == nil {
+		return 0, 0
+	}
+	if shard := n.shards.OfTeam(j.spec.Team); shard != nil {
+		return shard.Team().Progress(uid)
+	}
+	for _, p := range n.peers {
+		if v, ok := p.progress[uid]; ok {
+			return v[0], v[1]
+		}
+	}
+	return 0, 0
+}
--- a/internal/controller/node.go
+++ b/internal/controller/node.go
@@ -10,6 +10,7 @@
 	"math/rand/v2"
 	"runtime/debug"
 	"slices"
+	"strings"
 	"sync"
 	"time"
 
@@ -319,27 +320,34 @@
 // entitled returns whether this controller may act: start and stop tasks, and renew agents' leases.
 func (n *Node) entitled(now time.Time) bool { return n.leadership.Entitled(now, n.trusted()) }
 
-// serveHTTP answers a request to the public address: a heartbeat, the overview, or a call of the user API.
+// serveHTTP answers a request to the public address: a heartbeat, the overview, a pipeline, or a call of
+// the user API.
 func (n *Node) serveHTTP(ctx context.Context, c *httpx.Conn, r *httpx.Request) httpx.Answer {
 	if r.Path == protocol.PathHeartbeat {
 		if r.Method != "POST" {
-			a := httpx.Refuse(405, "method not allowed")
-			a.Allow = "POST"
-			return a
+			return methodNotAllowed("POST")
 		}
 		c.Pin()
 		return n.handleHeartbeat(r.Body)
 	}
 	if r.Path == "/overview" {
 		if r.Method != "GET" {
-			a := httpx.Refuse(405, "method not allowed")
-			a.Allow = "GET"
-			return a
+			return methodNotAllowed("GET")
 		}
 		return httpx.Answer{Status: 200, Body: protocol.Encode(n.overview(time.Now()))}
 	}
+	if strings.HasPrefix(r.Path, pathPipelines+"/") {
+		return n.handlePipeline(r)
+	}
 	if a, ok := n.userAPI.Handle(ctx, r); ok {
 		return a
 	}
 	return httpx.Refuse(404, "no such path")
 }
+
+// methodNotAllowed refuses a request whose path has only the given method.
+func methodNotAllowed(allowed string) httpx.Answer {
+	a := httpx.Refuse(405, "method not allowed")
+	a.Allow = allowed
+	return a
+}
--- a/internal/controller/overview.go
+++ b/internal/controller/overview.go
@@ -7,6 +7,7 @@
 
 	"topazhollow/internal/admission"
 	"topazhollow/internal/datarecovery"
+	"topazhollow/internal/dependencies"
 	"topazhollow/internal/jobstate"
 	"topazhollow/internal/shards"
 )
@@ -29,6 +30,7 @@
 	Shards           map[string]shardOverview `json:"items"`
 	Machines         machinesOverview         `json:"machines"`
 	ActiveJobs       int                      `json:"active_jobs"`
+	WaitingJobs      map[string]int           `json:"waiting_jobs,omitempty"` // active jobs that wait for others, by team
 	StartLatencies   map[string]int64         `json:"start_wait_ms"`
 	Admission        admission.Status         `json:"admission"`
 	Store            datarecovery.Status      `json:"store"`
@@ -84,6 +86,12 @@
 	for shard := range n.shards.All() {
 		o.Shards[shard.Name()] = n.shardOverview(shard)
 	}
+	n.countJobs(&o)
+	return o
+}
+
+// countJobs adds the numbers of active jobs.
+func (n *Node) countJobs(o *overview) {
 	for uid, j := range n.jobs {
 		if !j.active {
 			continue
@@ -92,8 +100,13 @@
 		if n.quarantine.IsJobFaulty(uid) {
 			o.FaultyJobs++
 		}
+		if j.waits && n.dependencies.graph.State(uid) == dependencies.Waiting {
+			if o.WaitingJobs == nil {
+				o.WaitingJobs = map[string]int{}
+			}
+			o.WaitingJobs[j.spec.Team]++
+		}
 	}
-	return o
 }
 
 // addLeadership adds the contents of the membership record and the cancellation lag.
--- a/internal/controller/userbackend.go
+++ b/internal/controller/userbackend.go
@@ -29,19 +29,7 @@
 	n := b.node
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	j := n.jobs[uid]
-	if j == nil {
-		return 0, 0
-	}
-	if shard := n.shards.OfTeam(j.spec.Team); shard != nil {
-		return shard.Team().Progress(uid)
-	}
-	for _, p := range n.peers {
-		if v, ok := p.progress[uid]; ok {
-			return v[0], v[1]
-		}
-	}
-	return 0, 0
+	return n.progress(uid)
 }
 
 // Activity returns whether a job is active, according to a read of the state service that began after the call.
