--- a/internal/cli/cli.go
+++ b/internal/cli/cli.go
@@ -37,7 +37,7 @@
 
 const about = `Operators' and users' command line of topazhollow.
 
-Exit codes: 0 done; 1 failed; 2 invalid arguments or settings; 3 the output is partial because its agent never sealed it; 4 no such task, attempt or file; 5 the token was refused; 6 too few replicas answered for a definite result.`
+Exit codes: 0 done; 1 failed; 2 invalid arguments or settings; 3 the output is partial because its agent never sealed it; 4 no such job, task, attempt or file; 5 the token was refused; 6 too few replicas answered for a definite result.`
 
 type cli struct {
 	Output string `enum:"text,json" default:"text" help:"Print text or JSON lines."`
@@ -50,6 +50,8 @@
 
 	Admission admissionCmd `cmd:"" help:"Show how scarce capacity is divided among teams and classes (see docs/admission.md)."`
 
+	Pipeline pipelineCmd `cmd:"" help:"Show jobs that wait for others (see docs/pipelines.md)."`
+
 	Config configCmd `cmd:"" help:"Change the teams' configuration while the controllers run (see docs/configuration.md)."`
 
 	Simulate            simulateCmd            `cmd:"" name:"simulate" aliases:"rehearse" help:"Simulate failures and load on this machine."`
@@ -108,7 +110,7 @@
 		return ExitUsage
 	case errors.Is(err, artifactstore.ErrPartial):
 		return ExitPartial
-	case errors.Is(err, artifactstore.ErrUnknown), errors.Is(err, snapshot.ErrNone):
+	case errors.Is(err, artifactstore.ErrUnknown), errors.Is(err, snapshot.ErrNone), errors.Is(err, errUnknownJob):
 		return ExitUnknown
 	case errors.Is(err, artifactstore.ErrToken):
 		return ExitRefused
