--- a/internal/cli/cli.go
+++ b/internal/cli/cli.go
@@ -42,7 +42,7 @@
 type cli struct {
 	Output string `enum:"text,json" default:"text" help:"Print text or JSON lines."`
 
-	Demo       demoCmd       `cmd:"" help:"Run a complete deployment on this machine, submit a job and show its output."`
+	Demo       demoCmd       `cmd:"" help:"Run a complete deployment on this machine, submit a job and show its output, then a pipeline of three jobs."`
 	Controller controllerCmd `cmd:"" hidden:"" help:"Run a controller (used by demo and simulate)."`
 
 	Snapshot snapshotCmd `cmd:"" help:"Keep copies of the state service's data, and restore one after data loss (see docs/data-recovery.md)."`
--- a/internal/cli/cli_test.go
+++ b/internal/cli/cli_test.go
@@ -15,6 +15,7 @@
 
 	"topazhollow/internal/artifactreplication"
 	"topazhollow/internal/artifactstore"
+	"topazhollow/internal/protocol"
 )
 
 // TestMain lets the test binary act as topazhollowctl, since demo starts its processes from its own executable.
@@ -31,8 +32,8 @@
 	return code, out.String(), errs.String()
 }
 
-// TestDemo checks that demo runs a job on three controller processes, follows its output, fetches its files and leaves
-// no files behind.
+// TestDemo checks that demo runs a job on three controller processes, follows its output, fetches its files, runs a
+// pipeline in order and leaves no files behind.
 func TestDemo(t *testing.T) {
 	tmp := t.TempDir()
 	t.Setenv("TMPDIR", tmp)
@@ -45,11 +46,50 @@
 			t.Errorf("no %q in\n%s", want, out)
 		}
 	}
+	checkDemoPipeline(t, out)
 	if left, err := os.ReadDir(tmp); err != nil || len(left) != 0 {
 		t.Errorf("left behind: %v %v", left, err)
 	}
 }
 
+// checkDemoPipeline checks the part of demo's output about its pipeline: the steps in order, whatever lies between.
+func checkDemoPipeline(t *testing.T, out string) {
+	t.Helper()
+	rest := out
+	for _, want := range []string{"job-000002 accepted", "job-000003 accepted", "job-000004 accepted", "job-000002 fetch: done\n", "job-000003 clean: done\n",
+		"job-000004 publish: done\n", "each began only when the one before was done\n", "job-000004/0 | published tile 1,tile 2,tile 3\n", "attempt"} {
+		_, after, found := strings.Cut(rest, want)
+		if !found {
+			t.Errorf("no %q, or not in order, in\n%s", want, out)
+			continue
+		}
+		rest = after
+	}
+}
+
+// TestCheckOrder checks that demo notices a job that begins too early or is cancelled.
+func TestCheckOrder(t *testing.T) {
+	var jobs []*demo
+	for i := range 3 {
+		jobs = append(jobs, &demo{spec: pipelineExamples[i].submission(pipelineJob(i))})
+	}
+	for _, x := range []struct {
+		states []protocol.JobState
+		want   string
+	}{
+		{[]protocol.JobState{protocol.Pending, protocol.Pending, protocol.Pending}, ""},
+		{[]protocol.JobState{protocol.Done, protocol.Running, protocol.Pending}, ""},
+		{[]protocol.JobState{protocol.Done, protocol.Done, protocol.Done}, ""},
+		{[]protocol.JobState{protocol.Running, protocol.Running, protocol.Pending}, "job-000003 is running before job-000002 is done"},
+		{[]protocol.JobState{protocol.Done, protocol.Running, protocol.Done}, "job-000004 is done before job-000003 is done"},
+		{[]protocol.JobState{protocol.Done, protocol.Pending, protocol.Cancelled}, "job-000004 is withdrawn, but nobody cancelled it"},
+	} {
+		if err := checkOrder(jobs, x.states); err == nil && x.want != "" || err != nil && err.Error() != x.want {
+			t.Errorf("%q: %v, want %q", x.states, err, x.want)
+		}
+	}
+}
+
 // TestExitCodes checks the exit codes and output that scripts rely on.
 func TestExitCodes(t *testing.T) {
 	dir := t.TempDir()
--- a/internal/cli/demo.go
+++ b/internal/cli/demo.go
@@ -67,7 +67,8 @@
 	return e, nil
 }
 
-// Run runs the example's job and shows its acceptance, output, end and files as a user would see them.
+// Run runs the example's job and shows its acceptance, output, end and files as a user would see them, and then a
+// pipeline of small jobs.
 func (c *demoCmd) Run(r *commandContext) (err error) {
 	e, err := loadExample(c.Job)
 	if err != nil {
@@ -75,17 +76,14 @@
 	}
 	ctx, cancel := context.WithTimeout(r.ctx, c.Timeout)
 	defer cancel()
-	region, err := newRegion(ctx, e)
+	region, err := newRegion(ctx, demoExamples(e))
 	if err != nil {
 		return err
 	}
 	defer func() { err = errors.Join(err, region.close()) }()
 	fmt.Fprintf(r.out, "three controllers at %s, artifact store at %s\n", strings.Join(region.listen, ", "), region.storeURL)
-	spec := e.submission()
-	read := artifactstore.Grant{Right: artifactstore.Read, Job: spec.UID, Until: time.Now().Add(24 * time.Hour)}
-	reader := &artifactstore.Reader{URL: region.storeURL, Token: read.Token(region.key)}
-	d := demo{region: region, out: r.out, spec: spec, reader: reader}
-	for _, step := range []func(context.Context) error{d.submit, d.showLog, d.waitUntilDone, d.showFiles} {
+	d, pipeline := newDemo(region, r.out, e.submission(demoJob)), newDemoPipeline(region, r.out)
+	for _, step := range []func(context.Context) error{d.submit, d.showLog, d.waitUntilDone, d.showFiles, pipeline.run} {
 		if err := step(ctx); err != nil {
 			return err
 		}
@@ -101,10 +99,25 @@
 	return nil
 }
 
+// IDs of demo's jobs.
+const (
+	demoJob          = "job-000001"
+	firstPipelineJob = 2 // the number in the ID
+)
+
+// demoExamples returns what demo's jobs run, by their IDs: the given example, then those of the pipeline.
+func demoExamples(e *example) map[string]*example {
+	examples := map[string]*example{demoJob: e}
+	for i, step := range pipelineExamples {
+		examples[pipelineJob(i)] = step
+	}
+	return examples
+}
+
 // submission returns the example as a user submits it.
-func (e *example) submission() *protocol.Submission {
+func (e *example) submission(uid string) *protocol.Submission {
 	return &protocol.Submission{
-		UID:             "job-000001",
+		UID:             uid,
 		Class:           e.Name,
 		Team:            demoTeam,
 		Kind:            protocol.JobArray,
@@ -126,6 +139,13 @@
 	reader *artifactstore.Reader
 }
 
+// newDemo returns a job in a region, with a token to read its output.
+func newDemo(region *region, out io.Writer, spec *protocol.Submission) *demo {
+	read := artifactstore.Grant{Right: artifactstore.Read, Job: spec.UID, Until: time.Now().Add(24 * time.Hour)}
+	reader := &artifactstore.Reader{URL: region.storeURL, Token: read.Token(region.key)}
+	return &demo{region: region, out: out, spec: spec, reader: reader}
+}
+
 // submit submits the job and waits until a controller has accepted it.
 func (d *demo) submit(ctx context.Context) error {
 	d.region.checker.RecordSubmission(d.spec)
@@ -202,5 +222,6 @@
 	fmt.Fprintf(d.out, "\nstill running; stop with Ctrl-C. Commands to try:\n  export TOPAZ_KEEPER=%s TOPAZ_TOKEN=%s\n",
 		d.region.storeURL, d.reader.Token)
 	fmt.Fprintf(d.out, "  topazhollowctl logs %s/1\n  topazhollowctl attempts %s/1\n", uid, uid)
-	fmt.Fprintf(d.out, "  topazhollowctl fetch %s/1 /tmp/profiles\n  curl http://%s/overview\n", uid, d.region.listen[0])
+	fmt.Fprintf(d.out, "  topazhollowctl fetch %s/1 /tmp/profiles\n  topazhollowctl pipeline show %s %s\n  curl http://%s/overview\n",
+		uid, pipelineJob(1), d.region.listen[0], d.region.listen[0])
 }
--- a/internal/cli/pipeline_test.go
+++ b/internal/cli/pipeline_test.go
@@ -30,8 +30,8 @@
 	return server.Listener.Addr().String()
 }
 
-// pipelineExample is a -> b -> d and a -> c -> d, asked for b, so that c is not listed.
-func pipelineExample() controller.PipelineView {
+// shownPipeline is a -> b -> d and a -> c -> d, asked for b, so that c is not listed.
+func shownPipeline() controller.PipelineView {
 	deadline := time.Date(2026, 12, 3, 20, 0, 0, 0, time.UTC)
 	end := deadline.Add(-time.Minute)
 	return controller.PipelineView{Node: "estacion-1", Job: "job-b", Jobs: []controller.PipelineJob{
@@ -43,7 +43,7 @@
 
 // TestPipelineShow checks the text: a line for each job after those that it needs.
 func TestPipelineShow(t *testing.T) {
-	view := pipelineExample()
+	view := shownPipeline()
 	addr := newPipelineServer(t, 200, string(protocol.Encode(view)))
 	code, out, errs := runCommand("pipeline", "show", "job-b", addr)
 	want := strings.Join([]string{
--- a/internal/cli/region.go
+++ b/internal/cli/region.go
@@ -38,9 +38,9 @@
 	kvStore   *simulation.KVStore
 	cloud     *simulation.Cloud
 	processes []*exec.Cmd
-	example   *example
-	stopStore context.CancelFunc // stops the artifact store
-	storeDone chan error         // receives the artifact store's error when it has ended
+	examples  map[string]*example // what jobs run, by their IDs
+	stopStore context.CancelFunc  // stops the artifact store
+	storeDone chan error          // receives the artifact store's error when it has ended
 	tasks     sync.WaitGroup
 }
 
@@ -71,10 +71,11 @@
 	demoZones       = []string{"east", "west"}
 )
 
-// newRegion starts a region that runs an example's tasks. If it returns an error, it has stopped and removed everything.
-func newRegion(ctx context.Context, e *example) (g *region, err error) {
+// newRegion starts a region that runs the tasks of examples, given by the IDs of their jobs. If it returns
+// an error, it has stopped and removed everything.
+func newRegion(ctx context.Context, examples map[string]*example) (g *region, err error) {
 	g = &region{
-		example:   e,
+		examples:  examples,
 		key:       make([]byte, 32),
 		log:       slog.New(slog.DiscardHandler),
 		storeDone: make(chan error, 1),
@@ -89,6 +90,9 @@
 			err = errors.Join(err, g.close())
 		}
 	}()
+	if err := os.Mkdir(g.sharedDir(), 0o700); err != nil {
+		return g, err
+	}
 	if err := g.startArtifactStore(ctx); err != nil {
 		return g, err
 	}
@@ -105,6 +109,9 @@
 	return g, g.startControllers(listen, peers)
 }
 
+// sharedDir is a directory that all tasks share; the environment variable SHARED names it.
+func (g *region) sharedDir() string { return filepath.Join(g.dir, "shared") }
+
 // startArtifactStore starts the artifact store, which runs until close, and waits until it serves requests.
 func (g *region) startArtifactStore(ctx context.Context) error {
 	set := artifactreplication.DefaultConfig()
@@ -140,7 +147,7 @@
 	return listen, peers, nil
 }
 
-// startCloud starts a simulated cloud whose machines run the example's command for each task.
+// startCloud starts a simulated cloud whose machines run the examples' commands for their tasks.
 func (g *region) startCloud(listen map[string]string) (err error) {
 	periods := simulation.AgentConfig{Heartbeat: demoHeartbeat, Lease: demoLease, Exec: g.execute}
 	types := []protocol.MachineType{{
@@ -221,18 +228,20 @@
 	g.tasks.Add(1)
 	defer g.tasks.Done()
 	job, index, ok := protocol.SplitTask(name)
-	if !ok {
+	e := g.examples[job]
+	if !ok || e == nil {
 		return false
 	}
-	c := artifactstore.Claim{Attempt: artifactstore.Attempt{Job: job, Task: index, Number: attempt}, Tenant: "red", Machine: machine, Session: session, Class: g.example.Name}
+	c := artifactstore.Claim{Attempt: artifactstore.Attempt{Job: job, Task: index, Number: attempt}, Tenant: "red", Machine: machine, Session: session, Class: e.Name}
 	token := artifactstore.Grant{Right: artifactstore.Write, Tenant: c.Tenant, Job: job, Task: &index, Number: attempt, Machine: machine, Session: session, Class: c.Class,
 		Until: time.Now().Add(time.Hour)}.Token(g.key)
 	dir := filepath.Join(g.dir, "work", fmt.Sprintf("%s-%d-%d", job, index, attempt))
 	if err := os.MkdirAll(dir, 0o700); err != nil {
 		return false
 	}
+	environment := []string{"PATH=" + os.Getenv("PATH"), fmt.Sprint("TASK=", index), "SHARED=" + g.sharedDir()}
 	got, err := taskrunner.Run(ctx, taskrunner.Options{Spool: filepath.Join(g.dir, "spool", machine), Keepers: []string{g.storeURL}, Log: g.log},
-		taskrunner.Task{Claim: c, Token: token, Command: g.example.Command, Env: []string{"PATH=" + os.Getenv("PATH"), fmt.Sprint("TASK=", index)}, Dir: dir, Files: g.example.Files}, 2*time.Second)
+		taskrunner.Task{Claim: c, Token: token, Command: e.Command, Env: environment, Dir: dir, Files: e.Files}, 2*time.Second)
 	return err == nil && got.Exit.Completed
 }
 
