--- a/internal/datarecovery/writeback.go
+++ b/internal/datarecovery/writeback.go
@@ -36,8 +36,9 @@
 	inFlight map[string]bool     // jobs whose key is being written
 	stale    map[string]staleKey // by job
 
-	pagesWritten bool // all known ends are on pages in this epoch
-	pagesWriting bool
+	pagesWritten  bool // all known ends are on pages in this epoch
+	pagesWriting  bool
+	pagesOutdated bool // ends became known, or an epoch was entered, since the write in progress began
 }
 
 // NewWriteBack returns a write-back with nothing to write.
@@ -46,7 +47,7 @@
 }
 
 // Begin requests that the pages of ends are checked again, in an epoch that is entered now.
-func (w *WriteBack) Begin() { w.pagesWritten = false }
+func (w *WriteBack) Begin() { w.pagesWritten, w.pagesOutdated = false, true }
 
 // RoundDue reports whether to check now for what to write back; if so, it restarts the interval.
 func (w *WriteBack) RoundDue(now time.Time) bool {
@@ -111,15 +112,18 @@
 	if w.pagesWritten || w.pagesWriting {
 		return false
 	}
-	w.pagesWriting = true
+	w.pagesWriting, w.pagesOutdated = true, false
 	return true
 }
 
-// PagesDone records the outcome of writing the pages.
-func (w *WriteBack) PagesDone(complete bool) { w.pagesWriting, w.pagesWritten = false, complete }
+// PagesDone records the outcome of writing the pages. Ends that became known since the write began may be on no page.
+func (w *WriteBack) PagesDone(complete bool) {
+	w.pagesWriting = false
+	w.pagesWritten = complete && !w.pagesOutdated
+}
 
 // EndsLearned records that ends became known that may be on no page.
-func (w *WriteBack) EndsLearned() { w.pagesWritten = false }
+func (w *WriteBack) EndsLearned() { w.pagesWritten, w.pagesOutdated = false, true }
 
 // SortForWriteBack sorts jobs in the order in which they are written back: by priority, highest first, then by
 // submission time, oldest first.
--- a/internal/datarecovery/writeback_test.go
+++ b/internal/datarecovery/writeback_test.go
@@ -84,6 +84,24 @@
 	}
 }
 
+// TestEndsLearnedDuringAWrite: ends that become known while pages are being written may be on none of them. They counted
+// as written once that write was complete, and were on no page for the rest of the epoch.
+func TestEndsLearnedDuringAWrite(t *testing.T) {
+	for name, again := range map[string]func(*WriteBack){"ends learned": (*WriteBack).EndsLearned, "epoch entered": (*WriteBack).Begin} {
+		w := NewWriteBack()
+		w.StartPages()
+		if again(w); w.StartPages() {
+			t.Errorf("%s: a second write started beside the first", name)
+		}
+		if w.PagesDone(true); !w.StartPages() {
+			t.Errorf("%s during a write: pages are not written again", name)
+		}
+		if w.PagesDone(true); w.StartPages() {
+			t.Errorf("%s: started again although everything is written", name)
+		}
+	}
+}
+
 // TestRounds: write-back is checked at most once per interval.
 func TestRounds(t *testing.T) {
 	w := NewWriteBack()
