--- a/internal/datarecovery/agreement.go
+++ b/internal/datarecovery/agreement.go
@@ -94,6 +94,8 @@
 	epoch      uint64
 	newerEpoch uint64 // highest later epoch in a record seen; 0: none
 
+	peersAwaitedSince time.Time // when the wait for the peers' assessments began; zero: it is over
+
 	comparing    bool
 	comparedAt   time.Time
 	missingInRow int // comparisons since the phase began that found something missing
@@ -123,6 +125,12 @@
 func (a *Agreement) enterPhase(phase Phase, now time.Time) {
 	a.phase, a.since = phase, now
 	a.missingInRow, a.comparing, a.comparedAt = 0, false, time.Time{}
+	switch phase {
+	case AwaitingPeers:
+		a.peersAwaitedSince = now
+	case Trusted, Lost:
+		a.peersAwaitedSince = time.Time{}
+	}
 }
 
 // Entered records that all watched keys of an epoch were read.
@@ -146,14 +154,16 @@
 // NewerEpochSeen records that a membership record of a later epoch was seen.
 func (a *Agreement) NewerEpochSeen(epoch uint64) { a.newerEpoch = max(a.newerEpoch, epoch) }
 
-// Suspect records a sign of loss. A false alarm costs one comparison.
-func (a *Agreement) Suspect(sign Sign, now time.Time) {
+// Suspect records a sign of loss. A false alarm costs one comparison. It returns false, and records nothing, if the
+// store was not read yet or is being checked already.
+func (a *Agreement) Suspect(sign Sign, now time.Time) bool {
 	if a.phase != Trusted && a.phase != AwaitingPeers {
-		return
+		return false
 	}
 	a.suspicions++
 	a.sign = sign
 	a.enterPhase(Suspected, now)
+	return true
 }
 
 // Compared records the outcome of a comparison that Step requested.
@@ -173,7 +183,7 @@
 	}
 	switch outcome {
 	case Intact:
-		a.enterPhase(Trusted, now)
+		a.suspicionRuledOut(now)
 	case Missing:
 		if a.phase == AwaitingPeers {
 			a.Suspect(SignPeersRevision, now)
@@ -182,6 +192,16 @@
 	}
 }
 
+// suspicionRuledOut ends a check that found every key. If the suspicion arose while peers were awaited, the comparison
+// may have begun before they reported, so the wait for them continues.
+func (a *Agreement) suspicionRuledOut(now time.Time) {
+	if a.phase == Suspected && !a.peersAwaitedSince.IsZero() {
+		a.enterPhase(AwaitingPeers, a.peersAwaitedSince)
+		return
+	}
+	a.enterPhase(Trusted, now)
+}
+
 // PeerAssessed records a peer's assessment.
 func (a *Agreement) PeerAssessed(name string, assessment Assessment, now time.Time) {
 	p := a.peers[name]
--- a/internal/datarecovery/detection.go
+++ b/internal/datarecovery/detection.go
@@ -183,15 +183,9 @@
 	}
 }
 
-// Suspect records a sign of loss. It returns false, and records nothing, if the store is not trusted: then it is being
+// Suspect records a sign of loss. It returns false, and records nothing, if the store was not read yet or is being
 // checked already.
-func (d *Detection) Suspect(sign Sign, now time.Time) bool {
-	if !d.Trusted() {
-		return false
-	}
-	d.agreement.Suspect(sign, now)
-	return true
-}
+func (d *Detection) Suspect(sign Sign, now time.Time) bool { return d.agreement.Suspect(sign, now) }
 
 // Prove records a proof of a loss that the store's own answers do not show. It returns true for the first proof: the
 // store lost data before this process read it, so the history here is incomplete and the caller has to call Suspect.
--- a/internal/datarecovery/detection_test.go
+++ b/internal/datarecovery/detection_test.go
@@ -125,6 +125,61 @@
 	}
 }
 
+// awaitingDetection returns the detection of a controller with one peer that entered the record's epoch and awaits it.
+func awaitingDetection(record *leadership.Record) *Detection {
+	d := NewDetection("a", 7, []string{"b"}, 4*time.Second)
+	d.Entered(record.Epoch, testStart)
+	return d
+}
+
+// TestSignWhileAwaitingPeers: a sign of loss that was seen while peers were awaited was dropped. The store was trusted
+// once a comparison that began before the sign found every key, or after the wait without any comparison.
+func TestSignWhileAwaitingPeers(t *testing.T) {
+	known := testRecord(1, 120, "s")
+	d := awaitingDetection(known)
+	d.PeerAssessed("b", Assessment{Epoch: 1, Term: 120}, known, testStart)
+	if task := d.Decide(testStart, known).Task; task != TaskConfirmSuspicion {
+		t.Fatalf("task %d although all peers reported", task)
+	}
+	if !d.Suspect("a test", testStart) {
+		t.Error("the sign is not recorded")
+	}
+	if d.Compared(Intact, testStart) {
+		t.Error("trusted after a comparison that began before the sign")
+	}
+
+	d = awaitingDetection(known)
+	d.Suspect("a test", testStart)
+	if phase := d.Decide(testStart.Add(3*peerWaitTimeout+1), known).Phase; phase != Suspected {
+		t.Errorf("phase %s although no comparison checked the sign", phase)
+	}
+}
+
+// TestSuspicionDoesNotEndTheWaitForPeers: a suspicion that a comparison rules out before the peers have reported does
+// not end the wait for them, and does not restart it either.
+func TestSuspicionDoesNotEndTheWaitForPeers(t *testing.T) {
+	known := testRecord(1, 120, "s")
+	d := awaitingDetection(known)
+	d.Suspect("a test", testStart)
+	now := testStart.Add(compareInterval)
+	if task := d.Decide(now, known).Task; task != TaskConfirmSuspicion {
+		t.Fatalf("task %d after a sign", task)
+	}
+	if d.Compared(Intact, now) {
+		t.Error("trusted although no peer has reported")
+	}
+	if decision := d.Decide(testStart.Add(peerWaitTimeout), known); decision.Phase != AwaitingPeers || decision.Task != TaskNone {
+		t.Errorf("within the wait: %+v", decision)
+	}
+	now = testStart.Add(peerWaitTimeout + 1)
+	if task := d.Decide(now, known).Task; task != TaskConfirmSuspicion {
+		t.Errorf("task %d after the wait", task)
+	}
+	if !d.Compared(Intact, now) {
+		t.Error("not trusted after the wait")
+	}
+}
+
 // TestProposalWaitsForACompleteHistory: a controller with an incomplete history delays its proposal, so that a peer
 // with a complete one may propose first.
 func TestProposalWaitsForACompleteHistory(t *testing.T) {
