--- a/internal/placement/placement.go
+++ b/internal/placement/placement.go
@@ -73,10 +73,10 @@
 }
 
 // Exceeds reports whether the request is of the same class as o, needs at least as much of each resource, and may run
-// in no zone, on no machine type and on no spot machine that o may not run on. The scheduler searches no host for such
-// a request once it found none for o. A request that may not use leftovers does not exceed one that may.
+// in no zone, on no machine type, on no spot machine and on no leftovers that o may not run on. The scheduler searches
+// no host for such a request once it found none for o.
 func (r *Request) Exceeds(o *Request) bool {
-	return r.Class == o.Class && (r.MayUseLeftover || !o.MayUseLeftover) &&
+	return r.Class == o.Class && (o.MayUseLeftover || !r.MayUseLeftover) &&
 		r.CPUs >= o.CPUs && r.GPUs >= o.GPUs && r.MemoryGB >= o.MemoryGB && (o.Spot || !r.Spot) &&
 		(o.Zone < 0 || o.Zone == r.Zone) && (o.Types == nil || slices.Equal(o.Types, r.Types))
 }
--- a/internal/placement/placement_test.go
+++ b/internal/placement/placement_test.go
@@ -71,7 +71,48 @@
 		}
 	}
 	leftover, regular := &Request{Class: "b", MayUseLeftover: true}, &Request{Class: "b"}
-	if regular.Exceeds(leftover) || !leftover.Exceeds(regular) {
-		t.Error("a request that may use leftovers must exceed one that may not, and not vice versa")
+	if leftover.Exceeds(regular) || !regular.Exceeds(leftover) {
+		t.Error("a request that may not use leftovers must exceed one that may, and not vice versa")
+	}
+}
+
+// TestExceedingRequestsFitNoOtherHost: the scheduler searches no host for a request that exceeds one without a host, so
+// every host that suits the exceeding request must suit the other one. Requests that may use leftovers were skipped
+// because none was found for one that may not.
+func TestExceedingRequestsFitNoOtherHost(t *testing.T) {
+	suits := func(h *Host, r *Request) bool { return r.Fits(h) && r.Allows(h) }
+	exceeding := 0
+	for seed := range uint64(200) {
+		rng := rand.New(rand.NewPCG(seed, 5))
+		class := func() string { return []string{"", "a", "b"}[rng.IntN(3)] }
+		request := func() *Request {
+			r := &Request{CPUs: float64(rng.IntN(4)), GPUs: float64(rng.IntN(2)), MemoryGB: float64(rng.IntN(3)),
+				Zone: rng.IntN(3) - 1, Spot: rng.IntN(2) == 0, Class: class(), MayUseLeftover: rng.IntN(2) == 0}
+			if rng.IntN(2) == 0 {
+				r.Types = []int{rng.IntN(2)}
+			}
+			return r
+		}
+		var hosts []*Host
+		for range 50 {
+			hosts = append(hosts, &Host{Type: rng.IntN(2), Zone: rng.IntN(2), Spot: rng.IntN(2) == 0, CPUs: float64(rng.IntN(5)),
+				GPUs: float64(rng.IntN(2)), MemoryGB: float64(rng.IntN(4)), ReservedClass: class(),
+				SmallestReserved: Resources{CPUs: float64(rng.IntN(5)), MemoryGB: float64(rng.IntN(4))}})
+		}
+		for range 200 {
+			r, o := request(), request()
+			if !r.Exceeds(o) {
+				continue
+			}
+			exceeding++
+			for _, h := range hosts {
+				if suits(h, r) && !suits(h, o) {
+					t.Fatalf("seed %d: %+v exceeds %+v, but only the former suits %+v", seed, r, o, h)
+				}
+			}
+		}
+	}
+	if exceeding < 100 {
+		t.Errorf("only %d pairs of exceeding requests", exceeding)
 	}
 }
--- a/internal/scheduler/pass_test.go
+++ b/internal/scheduler/pass_test.go
@@ -107,6 +107,31 @@
 	}
 }
 
+// TestLeftoverAfterAnUnplacedJob guards against a job past leftoverDelay not getting capacity that no reserved class can
+// use, because a more urgent job of its class that may not use it yet found none in the same pass.
+func TestLeftoverAfterAnUnplacedJob(t *testing.T) {
+	c := newCluster(t, 1, 1)
+	team := c.teams[0]
+	submit := func(uid, class, priority string, tasks int, cpus float64, age time.Duration) {
+		c.submit(0, age, protocol.Submission{UID: uid, Class: class, Kind: protocol.JobArray, Priority: priority,
+			Tasks: tasks, CPUs: cpus, MemoryGB: 1, Image: "img", EstimateSeconds: 40, Spot: true})
+	}
+	submit("job-000001", "small", "standard", 15, 2, 0) // leaves 2 of 32 CPUs free
+	c.pass()
+	c.plan = &admission.Plan{ID: admission.ID{SinceTerm: 1, Number: 1}, Reserved: map[string]string{c.machines[0]: "large"}}
+	team.Job("job-000001").Finishing = true // it requests no more tasks
+	submit("job-000002", "small", "high", 1, 2, time.Second)
+	submit("job-000003", "small", "standard", 1, 2, leftoverDelay+time.Second)
+	submit("job-000004", "large", "standard", 1, 4, 0)
+	c.pass()
+	if team.Job("job-000002").Unstarted() != 1 {
+		t.Error("the job before the delay was placed")
+	}
+	if team.Job("job-000003").Unstarted() != 0 {
+		t.Error("the job past the delay was not placed")
+	}
+}
+
 // TestSurplusUsesRoomThatDemandsCannot guards against small tasks without a deadline waiting beside capacity that they
 // fit into, because larger tasks that do not fit request all that is left of the team's limit.
 func TestSurplusUsesRoomThatDemandsCannot(t *testing.T) {
