--- a/internal/shards/held.go
+++ b/internal/shards/held.go
@@ -13,7 +13,7 @@
 
 // heldReplica is a replica of a team's progress, held on behalf of the shard's owner.
 type heldReplica struct {
-	sinceTerm         uint64             // term in which the owner acquired the shard
+	sinceTerm         uint64             // term in which the owner that sent it acquired the shard; 0: no owner sent it
 	replica           *jobstate.Replica  // nil if there is no complete one yet
 	incoming          *jobstate.Incoming // the replica being received in parts; nil if none
 	incomingSinceTerm uint64
@@ -49,6 +49,12 @@
 	h.replicas[shard] = &heldReplica{sinceTerm: sinceTerm, replica: replica}
 }
 
+// Keep stores the state that this controller had of a shard that it gave up. It may have changes that the new owner
+// lacks, so no delta of that owner follows it: the next message that is applied is a copy.
+func (h *Held) Keep(shard string, replica *jobstate.Replica) {
+	h.replicas[shard] = &heldReplica{replica: replica}
+}
+
 // Drop discards the replica of a shard.
 func (h *Held) Drop(shard string) { delete(h.replicas, shard) }
 
--- a/internal/shards/registry.go
+++ b/internal/shards/registry.go
@@ -133,7 +133,7 @@
 		owned := member && entry.Owner == self
 		if o != nil && (!owned || o.sinceTerm != entry.SinceTerm) {
 			if o.phase == Ready && member {
-				r.held.Put(name, entry.SinceTerm, o.team.Replica())
+				r.held.Keep(name, o.team.Replica())
 			}
 			r.Remove(name)
 			c.GivenUp = append(c.GivenUp, o)
--- a/internal/shards/registry_test.go
+++ b/internal/shards/registry_test.go
@@ -110,6 +110,36 @@
 	}
 }
 
+// TestKeptReplicaFollowsNoDelta: an owner that gave a shard up kept its state as a replica under the new owner's term. A
+// copy of the new owner that arrives before the record is refused; a delta that follows it was then acknowledged if its
+// sequence number was not higher than the kept one, and applied to the wrong state if it was the next one.
+func TestKeptReplicaFollowsNoDelta(t *testing.T) {
+	const newTerm = 9
+	for _, seq := range []uint64{1, 2} {
+		r := NewRegistry()
+		previous := testOwned(jobstate.NewReplica(), time.Unix(1000, 0))
+		r.Add(previous)
+		kept := jobstate.TaskID{Job: "job-1"}
+		if err := previous.Team().Replica().Apply(jobstate.Delta{Seq: 1, Done: []jobstate.TaskID{kept}}); err != nil {
+			t.Fatal(err) // a change that the new owner did not receive
+		}
+		r.ApplyRecord(recordWithShard(3, 1, leadership.Shard{Owner: "node-b", SinceTerm: newTerm}), "node-a", true)
+		delta := jobstate.Delta{Seq: seq, Done: []jobstate.TaskID{{Job: "job-2"}}}
+		answer, due := r.Held().ReceiveDeltas(&Deltas{Shard: testShard, SinceTerm: newTerm, Deltas: []jobstate.Delta{delta}})
+		if !due || !answer.NeedsCopy {
+			t.Errorf("delta %d: answer %+v, due %v, instead of a request for a copy", seq, answer, due)
+		}
+		if done := r.Held().Replica(testShard).Done; done["job-2"] != nil || done["job-1"] == nil {
+			t.Errorf("delta %d: the kept state was changed: %v", seq, done)
+		}
+		r.Held().ReceiveCopy(&Copy{Shard: testShard, SinceTerm: newTerm, Copy: jobstate.Copy{Seq: seq}})
+		delta.Seq++
+		if answer, due := r.Held().ReceiveDeltas(&Deltas{Shard: testShard, SinceTerm: newTerm, Deltas: []jobstate.Delta{delta}}); !due || answer.NeedsCopy || answer.Seq != seq+1 {
+			t.Errorf("delta %d after a copy: answer %+v, due %v", seq+1, answer, due)
+		}
+	}
+}
+
 // TestBarrierWaitsForMachines guards that the barrier of an owner that was not in sync waits for each machine until it
 // has reported under the owner's term or is gone, and that an owner in sync waits for none.
 func TestBarrierWaitsForMachines(t *testing.T) {
