--- a/internal/blob/blob_test.go
+++ b/internal/blob/blob_test.go
@@ -666,6 +666,63 @@
 	}
 }
 
+// TestAdmittedUploadsSurviveRestart: uploads that were admitted were dropped at a restart if UseReserve uploads had taken
+// a part of the reserve meanwhile. Beyond the whole quota, as when it was lowered, they are still dropped.
+func TestAdmittedUploadsSurviveRestart(t *testing.T) {
+	rng := rand.New(rand.NewPCG(7, 1))
+	random := func(n int) []byte {
+		b := make([]byte, n)
+		for i := range b {
+			b[i] = byte(rng.Uint32())
+		}
+		return b
+	}
+	for _, x := range []struct {
+		name      string
+		urgent    bool // another upload that uses the reserve is open
+		committed bool // a blob that uses the reserve was committed
+		quota     int64
+		kept      bool
+	}{
+		{"regular alone", false, false, 100000, true},
+		{"open UseReserve upload", true, false, 100000, true},
+		{"committed UseReserve upload", false, true, 100000, true},
+		{"lowered quota", false, false, 50000, false},
+	} {
+		opt := Options{Dir: t.TempDir(), Quota: 100000, Reserve: 20000, MaxInline: 1000}
+		s, err := Open(opt)
+		if err != nil {
+			t.Fatal(err)
+		}
+		data := random(60000)
+		u, _, err := s.BeginWithID([16]byte{9}, "red", DigestOf(data))
+		if err == nil {
+			err = u.Write(0, data[:40000])
+		}
+		if err == nil && x.urgent {
+			_, _, err = s.BeginWithID([16]byte{1}, "red", DigestOf(random(30000)), UseReserve)
+		}
+		if err == nil && x.committed {
+			_, err = s.Put(ctx, "red", random(30000), UseReserve)
+		}
+		if err == nil {
+			err = s.Close()
+		}
+		if err != nil {
+			t.Fatalf("%s: %v", x.name, err)
+		}
+		opt.Quota = x.quota
+		u, err = open(t, opt).Resume("red", u.ID())
+		if (err == nil) != x.kept {
+			t.Errorf("%s: %v", x.name, err)
+			continue
+		}
+		if x.kept && (u.Offset() != 40000 || u.Write(40000, data[40000:]) != nil || u.Commit(ctx) != nil) {
+			t.Errorf("%s: the upload can't be continued", x.name)
+		}
+	}
+}
+
 // TestDropAbandonedWhileCommitting commits uploads while dropAbandoned runs. The two once took
 // the locks of store and upload in different orders, which deadlocked a replica for good.
 func TestDropAbandonedWhileCommitting(t *testing.T) {
--- a/internal/blob/upload.go
+++ b/internal/blob/upload.go
@@ -144,7 +144,8 @@
 	return filepath.Join(s.opt.Dir, "uploads", fmt.Sprintf("%s-%s-%d-%s", u.id, hash, u.digest.Size, hex.EncodeToString([]byte(u.tenant))))
 }
 
-// openUploads restores the uploads that were open when the store was last closed.
+// openUploads restores the uploads that were open when the store was last closed. They were admitted then, some perhaps
+// to the reserve, so only the store's whole quota bounds them.
 func (s *Store) openUploads() error {
 	entries, err := os.ReadDir(filepath.Join(s.opt.Dir, "uploads"))
 	if err != nil {
@@ -163,7 +164,7 @@
 		} else {
 			err = ErrUpload // the file is left over from compressing a blob
 		}
-		if err != nil || info.Size() > u.digest.Size || s.reserveSpace(u.tenant, u.digest.Size, false) != nil {
+		if err != nil || info.Size() > u.digest.Size || s.reserveSpace(u.tenant, u.digest.Size, true) != nil {
 			if err := os.Remove(path); err != nil {
 				return fmt.Errorf("blob: %w", err)
 			}
