--- a/internal/taskrunner/taskrunner.go
+++ b/internal/taskrunner/taskrunner.go
@@ -213,16 +213,24 @@
 	if err := s.write(ctx, &entry{Task: &t}); err != nil {
 		return Result{}, err
 	}
+	return s.run(ctx, t, grace)
+}
+
+// run executes the command and uploads its output meanwhile. The upload has ended when run returns.
+func (s *spool) run(ctx context.Context, t Task, grace time.Duration) (Result, error) {
 	uploadCtx, stop := context.WithCancel(context.WithoutCancel(ctx))
-	defer stop()
 	cancelGrace := context.AfterFunc(ctx, func() { time.AfterFunc(grace, stop) })
 	defer cancelGrace()
-	uploaded := make(chan error, 1)
+	uploaded := make(chan struct{})
 	var result Result
+	var uploadErr error
 	go func() {
-		var err error
-		result, err = s.upload(uploadCtx)
-		uploaded <- err
+		defer close(uploaded)
+		result, uploadErr = s.upload(uploadCtx)
+	}()
+	defer func() {
+		stop()
+		<-uploaded
 	}()
 	exit := s.execute(ctx, t)
 	files, err := collectFiles(t)
@@ -237,9 +245,9 @@
 	if err := s.write(uploadCtx, &entry{Files: files, Exit: &exit}); err != nil {
 		return Result{}, err
 	}
-	err = <-uploaded
+	<-uploaded
 	result.Exit, result.DroppedBytes = exit, s.droppedBytes
-	return result, err
+	return result, uploadErr
 }
 
 // execute runs the command and appends its output to the spool.
--- a/internal/taskrunner/taskrunner_test.go
+++ b/internal/taskrunner/taskrunner_test.go
@@ -9,6 +9,7 @@
 	"os"
 	"os/exec"
 	"path/filepath"
+	"runtime"
 	"strconv"
 	"strings"
 	"sync"
@@ -20,6 +21,7 @@
 	"topazhollow/internal/artifactreplication"
 	"topazhollow/internal/artifactstore"
 	"topazhollow/internal/blob"
+	"topazhollow/internal/wal"
 )
 
 var (
@@ -324,3 +326,28 @@
 		}
 	}
 }
+
+// TestUploadEndsWithRun: when the spool could not be written, the upload went on in the background after Run had returned
+// and its log was closed.
+func TestUploadEndsWithRun(t *testing.T) {
+	srv := httptest.NewServer(http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) {
+		<-r.Context().Done()
+	}))
+	defer srv.Close()
+	run := task(t.TempDir(), 1, "true")
+	opt := Options{Spool: t.TempDir(), Keepers: []string{srv.URL}, RetryDelay: time.Minute}
+	opt.setDefaults()
+	s, err := open(opt, spoolDir(opt.Spool, run.Claim.Attempt))
+	if err != nil {
+		t.Fatal(err)
+	}
+	s.task = run
+	s.log.Close() // the exit can't be written
+	if _, err := s.run(ctx, run, time.Minute); !errors.Is(err, wal.ErrClosed) {
+		t.Fatalf("run: %v", err)
+	}
+	stacks := make([]byte, 1<<20)
+	if stacks = stacks[:runtime.Stack(stacks, true)]; strings.Contains(string(stacks), "(*spool).upload(") {
+		t.Error("the upload has not ended")
+	}
+}
