--- a/internal/controller/scheduling.go
+++ b/internal/controller/scheduling.go
@@ -26,9 +26,12 @@
 	}
 }
 
-// evict asks the owner of a task to stop it.
+// evict asks the owner of a task to stop it. It does nothing if the task's job is not known.
 func (n *Node) evict(e evictMsg) {
 	j := n.jobs[e.Attempt.Job]
+	if j == nil {
+		return
+	}
 	owner := n.leadership.Record().OwnerOf(shards.ForTeam(j.spec.Team))
 	if owner == n.name {
 		n.onEvict(&e)
--- a/internal/controller/scheduling_test.go
+++ b/internal/controller/scheduling_test.go
@@ -6,6 +6,7 @@
 	"time"
 
 	"topazhollow/internal/agents"
+	"topazhollow/internal/jobstate"
 	"topazhollow/internal/protocol"
 	"topazhollow/internal/userapi"
 )
@@ -125,3 +126,12 @@
 		t.Errorf("%d tasks of 4 CPUs get an order to stop for one of 16", stops)
 	}
 }
+
+// TestEvictionOfAnUnknownJob: an eviction whose victim's job is not known is ignored. A pass returns none, since it chooses
+// only tasks of active jobs under the lock that is still held when the evictions are carried out.
+func TestEvictionOfAnUnknownJob(t *testing.T) {
+	n := newNodeHarness(0, 1).n
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	n.evict(evictMsg{Attempt: jobstate.AttemptRef{TaskID: jobstate.TaskID{Job: "job-000001"}, Attempt: 1}, Beneficiary: "job-000002"})
+}
--- a/internal/jobstate/quota_test.go
+++ b/internal/jobstate/quota_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"math"
+	"reflect"
 	"testing"
 	"time"
 
@@ -117,3 +118,49 @@
 		t.Fatalf("%d small tasks are placed, want 3", assigned)
 	}
 }
+
+// TestStopChangesNothingThatAPassReads: the evictions of a scheduling pass are carried out after it. No decision of the
+// pass can depend on that, since a stopped attempt keeps its machine and its quota until it has ended: the team demands the
+// same tasks, has the same quota left, and can't place the task a second time.
+func TestStopChangesNothingThatAPassReads(t *testing.T) {
+	type reads struct {
+		demands, surplus []Demand
+		left             Resources
+		missing, pending []int
+		unstarted, held  int
+		zones            map[string]int
+	}
+	now := time.Unix(1000, 0)
+	team, gang, spec := newTeamWithGangAndArray(now)
+	team.Quota().SetFloors(map[string]float64{"gangs": 3}) // the array gets more than the gang leaves
+	array := team.Job(spec.UID)
+	array.Pending(now, func(index int) bool {
+		return index < 6 && team.Place(array, index, Location{Machine: "m", Zone: "z", Incarnation: 1})
+	})
+	read := func() (r reads) {
+		r.demands, r.surplus, r.left = team.Quota().Demands(now), team.Quota().SurplusDemands(now), team.Quota().Left()
+		r.missing, _ = team.MissingGangTasks(gang)
+		array.Pending(now, func(index int) bool {
+			r.pending = append(r.pending, index)
+			return true
+		})
+		r.unstarted, r.zones = array.Unstarted(), array.TasksByZone()
+		r.held, _ = team.Assignments().Count()
+		return r
+	}
+	before := read()
+	for _, attempt := range array.attemptsByIndex() {
+		if !team.Stop(attempt.Ref(), 0) || team.Stop(attempt.Ref(), 0) {
+			t.Errorf("task %d is not stopped, or stopped twice", attempt.Index)
+		}
+		if team.Place(array, attempt.Index, Location{Machine: "m-2", Zone: "z", Incarnation: 1}) {
+			t.Errorf("task %d is placed again while it may still run", attempt.Index)
+		}
+		if after := read(); !reflect.DeepEqual(after, before) {
+			t.Fatalf("a stop changed what a pass reads:\n%+v\n%+v", before, after)
+		}
+	}
+	if before.held != 6 || len(before.missing) != 3 {
+		t.Errorf("%d tasks on machines and %d of the gang missing", before.held, len(before.missing))
+	}
+}
