--- a/internal/artifactreplication/handover.go
+++ b/internal/artifactreplication/handover.go
@@ -101,17 +101,10 @@
 // and completed attempts for which it is not known whether they are the task's result.
 func (n *Node) finishDecisions(ctx context.Context) error {
 	var errs []error
-	seen := map[artifactstore.Attempt]bool{}
-	for at, v := range n.store.Votes() {
-		if v.Value == nil {
-			continue
-		}
-		if seen[at] = true; n.repair.undecided[at] { // undecided for a whole round: its proposer may have failed
-			_, err := n.resolve(ctx, at)
-			errs = append(errs, err)
-		}
+	for _, at := range n.undecidedForARound() {
+		_, err := n.resolve(ctx, at)
+		errs = append(errs, err)
 	}
-	n.repair.undecided = seen
 	for _, at := range n.store.Unsettled() {
 		m, err := n.store.EndManifest(at)
 		if err == nil && n.opt.Members.IsReplica(n.opt.Name, at.Job, at.Task) {
@@ -124,3 +117,22 @@
 	}
 	return errors.Join(errs...)
 }
+
+// undecidedForARound returns the registers with a value accepted here that was not known to be decided at the last call
+// either: its proposer may have failed.
+func (n *Node) undecidedForARound() (overdue []artifactstore.Attempt) {
+	votes := n.store.Votes()
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	seen := map[artifactstore.Attempt]bool{}
+	for at, v := range votes {
+		if v.Value == nil {
+			continue
+		}
+		if seen[at] = true; n.repair.undecided[at] {
+			overdue = append(overdue, at)
+		}
+	}
+	n.repair.undecided = seen
+	return overdue
+}
--- a/internal/artifactreplication/single_test.go
+++ b/internal/artifactreplication/single_test.go
@@ -575,3 +575,20 @@
 		}
 	}
 }
+
+// TestConcurrentRepairs: two runs of Repair at a time accessed the undecided registers without the lock. Only the race
+// detector finds that.
+func TestConcurrentRepairs(t *testing.T) {
+	n, _ := newSingleReplica(t, t.TempDir(), func(string) {})
+	var wg sync.WaitGroup
+	for range 4 {
+		wg.Go(func() {
+			for range 500 {
+				if err := n.Repair(ctx); err != nil {
+					t.Error(err)
+				}
+			}
+		})
+	}
+	wg.Wait()
+}
