--- a/internal/controller/capacity_bench_test.go
+++ b/internal/controller/capacity_bench_test.go
@@ -136,7 +136,7 @@
 	}
 }
 
-// BenchmarkCapacityPlace measures what each step that places a task begins with: copying every machine with room, and
+// BenchmarkCapacityPlace measures what each step that places a task begins with: listing the machines with room, and
 // choosing one of them.
 func BenchmarkCapacityPlace(b *testing.B) {
 	for _, machines := range fleetSizes {
@@ -154,6 +154,32 @@
 	}
 }
 
+// BenchmarkCapacityPass measures a scheduling pass that places one task, or none because the waiting task fits on no
+// machine. After each pass the machine of the placed task is lost, so that the task waits again.
+func BenchmarkCapacityPass(b *testing.B) {
+	for _, placed := range []int{1, 0} {
+		for _, machines := range fleetSizes {
+			b.Run(fmt.Sprintf("placed=%d/machines=%d", placed, machines), func(b *testing.B) {
+				g := newNodeHarness(machines, 3)
+				g.submit(1, []float64{64, 1}[placed])
+				g.n.mu.Lock()
+				defer g.n.mu.Unlock()
+				team := g.n.shards.OfTeam("team-1").Team()
+				processorTime(b, func() {
+					g.n.place(g.now)
+					held := team.Assignments().Machines()
+					if len(held) != placed {
+						b.Fatalf("%d tasks were placed, want %d", len(held), placed)
+					}
+					for _, name := range held {
+						team.MachineReturned(name)
+					}
+				})
+			})
+		}
+	}
+}
+
 // BenchmarkCapacityFleet measures one decision of the fleet's owner, made twice a second, with all machines up.
 func BenchmarkCapacityFleet(b *testing.B) {
 	for _, machines := range fleetSizes {
--- a/internal/controller/scheduling.go
+++ b/internal/controller/scheduling.go
@@ -2,10 +2,14 @@
 
 import (
 	"iter"
+	"slices"
+	"strings"
 	"time"
 
 	"topazhollow/internal/admission"
+	"topazhollow/internal/agents"
 	"topazhollow/internal/jobstate"
+	"topazhollow/internal/leadership"
 	"topazhollow/internal/protocol"
 	"topazhollow/internal/scheduler"
 	"topazhollow/internal/shards"
@@ -145,34 +149,111 @@
 // heartbeatSlack is how long, beyond two heartbeat intervals, a machine may be silent and still be given tasks.
 const heartbeatSlack = 3 * time.Second
 
-// AcceptingMachines returns a filter for the machines that tasks can be placed on now. A machine whose home has not
-// received a heartbeat from it since the term was raised accepts no orders yet.
-func (s *schedulerSnapshot) AcceptingMachines(now time.Time) func(*jobstate.MachineStatus) bool {
+// acceptanceBasis is what acceptance of tasks by all machines depends on. A record is never changed but replaced by
+// another one.
+type acceptanceBasis struct {
+	record           *leadership.Record
+	roster           *agents.Roster
+	unreachableHomes string // names, sorted
+}
+
+// AcceptingMachines tells which machines tasks can be placed on now. A machine whose home has not received a heartbeat
+// from it since the term was raised accepts no orders yet.
+func (s *schedulerSnapshot) AcceptingMachines(now time.Time) scheduler.Acceptance {
 	n := (*Node)(s)
-	fresh := 2*time.Duration(n.settings.Deployment.Agents.HeartbeatSeconds*float64(time.Second)) + heartbeatSlack
+	unreachable := n.homesOutOfReach(now)
 	draining := n.draining()
-	unreachable := map[string]bool{} // homes that orders cannot be sent to
+	check := &acceptanceCheck{
+		node:        n,
+		now:         now,
+		freshFor:    2*time.Duration(n.settings.Deployment.Agents.HeartbeatSeconds*float64(time.Second)) + heartbeatSlack,
+		term:        n.leadership.Term(),
+		afterLoss:   n.leadership.Epoch() > 1,
+		draining:    draining,
+		unreachable: unreachable,
+	}
+	return scheduler.Acceptance{
+		Basis:    acceptanceBasis{n.leadership.Record(), n.roster, strings.Join(unreachable, " ")},
+		Volatile: n.volatileMachines(draining),
+		Check:    check.accepts,
+	}
+}
+
+// homesOutOfReach lists the peers that orders cannot be sent to, sorted by name.
+func (n *Node) homesOutOfReach(now time.Time) (names []string) {
 	for name, p := range n.peers {
-		unreachable[name] = !p.connected || !p.isReachable(now)
-	}
-	return func(status *jobstate.MachineStatus) bool {
-		name := status.Machine
-		m := n.machines[name]
-		switch {
-		case status.Term != n.leadership.Term(), status.Notice, n.runsUndescribedJob(status):
-			return false
-		case now.Sub(m.HeardAt) > fresh, unreachable[n.homeFor(m, name)]:
-			return false
-		case n.quarantine.IsMachineBad(name, now), n.isSlow(m, now):
-			return false
+		if !p.connected || !p.isReachable(now) {
+			names = append(names, name)
+		}
+	}
+	slices.Sort(names)
+	return names
+}
+
+// volatileMachines yields the machines that may stop accepting tasks without a change of their status.
+func (n *Node) volatileMachines(draining map[string]bool) iter.Seq[string] {
+	return func(yield func(string) bool) {
+		for name := range draining {
+			if !yield(name) {
+				return
+			}
 		}
-		return !draining[name] && n.roster.Has(name)
+		for name := range n.quarantine.SuspectMachines() {
+			if !yield(name) {
+				return
+			}
+		}
+	}
+}
+
+// acceptanceCheck checks which machines tasks can be placed on at one point in time.
+type acceptanceCheck struct {
+	node        *Node
+	now         time.Time
+	freshFor    time.Duration // how long a machine is given tasks after a heartbeat
+	term        uint64
+	afterLoss   bool // machines may run tasks from before a loss of data
+	draining    map[string]bool
+	unreachable []string // homes that orders cannot be sent to
+}
+
+// accepts reports whether tasks can be placed on a machine, and until when; see scheduler.Acceptance.
+func (c *acceptanceCheck) accepts(status *jobstate.MachineStatus) (accepts bool, until time.Time) {
+	if status.Term != c.term || status.Notice {
+		return false, time.Time{}
+	}
+	n, name := c.node, status.Machine
+	m := n.machines[name]
+	switch {
+	case c.now.Sub(m.HeardAt) > c.freshFor, slices.Contains(c.unreachable, n.homeFor(m, name)):
+		return false, time.Time{}
+	case c.draining[name], !n.roster.Has(name), n.quarantine.IsMachineBad(name, c.now), n.isSlow(m, c.now):
+		return false, time.Time{}
+	case c.afterLoss && n.runsUndescribedJob(status):
+		return false, time.Time{}
+	case c.afterLoss && n.runsTaskFromBeforeLoss(status):
+		return true, c.now // the description of its job may be forgotten at any time
 	}
+	return true, m.HeardAt.Add(c.freshFor)
+}
+
+// runsTaskFromBeforeLoss reports whether a machine runs a task from before the last loss of data.
+func (n *Node) runsTaskFromBeforeLoss(status *jobstate.MachineStatus) bool {
+	firstTerm := n.leadership.Record().FirstTerm
+	return slices.ContainsFunc(status.Tasks, func(t jobstate.TaskStatus) bool {
+		return t.State != protocol.Exited && jobstate.TermOf(t.Attempt) < firstTerm
+	})
 }
 
 // slowMachineTimeout is how long a machine is given no tasks after it was found slow.
 const slowMachineTimeout = time.Minute
 
+// markSlow records that a task on a machine was found far slower than others of its job.
+func (n *Node) markSlow(m *machine, name string, now time.Time) {
+	m.slowAt = now
+	n.scheduler.InvalidateMachines(slices.Values([]string{name}))
+}
+
 // isSlow returns whether a machine was found slow within the last slowMachineTimeout.
 func (n *Node) isSlow(m *machine, now time.Time) bool {
 	return !m.slowAt.IsZero() && now.Sub(m.slowAt) < slowMachineTimeout
--- a/internal/controller/slowtasks.go
+++ b/internal/controller/slowtasks.go
@@ -38,7 +38,7 @@
 	if !running || now.Sub(since) <= limit || !shard.Team().Migrate(assignment, job.Spec.CheckpointSeconds, now) {
 		return
 	}
-	m.slowAt = now
+	n.markSlow(m, assignment.Machine, now)
 	n.log.Info("task moved: far slower than others of its job", "task", job.Spec.UID, "index", assignment.Index,
 		"machine", assignment.Machine, "ran", now.Sub(since), "limit", limit)
 }
--- a/internal/placement/placement.go
+++ b/internal/placement/placement.go
@@ -68,8 +68,11 @@
 }
 
 // Fits reports whether the free resources of a host suffice.
-func (r *Request) Fits(h *Host) bool {
-	return h.CPUs+roundingTolerance >= r.CPUs && h.GPUs+roundingTolerance >= r.GPUs && h.MemoryGB+roundingTolerance >= r.MemoryGB
+func (r *Request) Fits(h *Host) bool { return r.FitsIn(h.CPUs, h.GPUs, h.MemoryGB) }
+
+// FitsIn reports whether free resources suffice.
+func (r *Request) FitsIn(cpus, gpus, memoryGB float64) bool {
+	return cpus+roundingTolerance >= r.CPUs && gpus+roundingTolerance >= r.GPUs && memoryGB+roundingTolerance >= r.MemoryGB
 }
 
 // Exceeds reports whether the request is of the same class as o, needs at least as much of each resource, and may run
--- a/internal/quarantine/quarantine.go
+++ b/internal/quarantine/quarantine.go
@@ -5,6 +5,7 @@
 package quarantine
 
 import (
+	"iter"
 	"maps"
 	"time"
 )
@@ -21,6 +22,7 @@
 type Tracker struct {
 	jobs     map[string]*job
 	machines map[string]map[string]time.Time // by machine and job: time of the last failure
+	suspects map[string]bool                 // machines with at least minFailures recorded failures, and some with fewer
 }
 
 type job struct {
@@ -30,7 +32,7 @@
 
 // New returns a Tracker without failures.
 func New() *Tracker {
-	return &Tracker{jobs: map[string]*job{}, machines: map[string]map[string]time.Time{}}
+	return &Tracker{jobs: map[string]*job{}, machines: map[string]map[string]time.Time{}, suspects: map[string]bool{}}
 }
 
 // job returns the record of a job and creates it if necessary.
@@ -49,6 +51,9 @@
 		t.machines[machine] = map[string]time.Time{}
 	}
 	t.machines[machine][uid] = now
+	if len(t.machines[machine]) >= minFailures {
+		t.suspects[machine] = true
+	}
 	j := t.job(uid)
 	if j.succeeded || j.failed[machine] || len(j.failed) >= minFailures {
 		return false
@@ -93,6 +98,13 @@
 	return failures >= minFailures
 }
 
+// SuspectMachines yields the machines that IsMachineBad may report: those with enough failures, whether their jobs
+// succeeded on other machines or not.
+func (t *Tracker) SuspectMachines() iter.Seq[string] {
+	maps.DeleteFunc(t.suspects, func(machine string, _ bool) bool { return len(t.machines[machine]) < minFailures })
+	return maps.Keys(t.suspects)
+}
+
 // ForgetJob removes the record of a job.
 func (t *Tracker) ForgetJob(uid string) { delete(t.jobs, uid) }
 
--- a/internal/scheduler/evictions.go
+++ b/internal/scheduler/evictions.go
@@ -70,18 +70,11 @@
 	p.evictions = append(p.evictions, Eviction{Victim: victim, For: e.job})
 }
 
-// allHosts returns all machines that accept tasks, including full ones. Hosts that this pass already uses are returned
-// with the capacity it has left free.
+// allHosts returns all machines that accept tasks, including full ones, with the capacity that this pass has left free.
 func (p *pass) allHosts() []*placement.Host {
-	left := map[string]*placement.Host{}
-	for _, h := range p.hosts {
-		left[h.Name] = h
+	if p.hostsCurrent {
+		return p.scheduler.hosts.accepting.hosts
 	}
-	hosts := p.scheduler.Hosts(p.snapshot, p.now, nil)
-	for i, h := range hosts {
-		if x := left[h.Name]; x != nil {
-			hosts[i] = x
-		}
-	}
-	return hosts
+	p.hostsCurrent = true
+	return p.scheduler.Hosts(p.snapshot, p.now, nil)
 }
--- a/internal/scheduler/fixture_test.go
+++ b/internal/scheduler/fixture_test.go
@@ -137,8 +137,9 @@
 
 func (c *cluster) PeerDemands(time.Time) iter.Seq[Demand] { return slices.Values([]Demand(nil)) }
 
-func (c *cluster) AcceptingMachines(time.Time) func(*jobstate.MachineStatus) bool {
-	return func(*jobstate.MachineStatus) bool { return true }
+func (c *cluster) AcceptingMachines(now time.Time) Acceptance {
+	check := func(*jobstate.MachineStatus) (accepts bool, until time.Time) { return true, now.Add(time.Minute) }
+	return Acceptance{Volatile: slices.Values([]string(nil)), Check: check}
 }
 
 func (c *cluster) Plan() *admission.Plan { return c.plan }
--- a/internal/scheduler/gangs.go
+++ b/internal/scheduler/gangs.go
@@ -45,7 +45,7 @@
 		}
 	}
 	for _, h := range taken {
-		h.Release(ask.CPUs, ask.GPUs, ask.MemoryGB)
+		p.release(h, ask.CPUs, ask.GPUs, ask.MemoryGB)
 	}
 	return false
 }
@@ -61,7 +61,7 @@
 		if h == nil {
 			break
 		}
-		h.Allocate(ask)
+		p.allocate(h, ask)
 		zones.take(h)
 		taken[index] = h
 	}
--- a/internal/scheduler/machines.go
+++ b/internal/scheduler/machines.go
@@ -1,6 +1,7 @@
 package scheduler
 
 import (
+	"cmp"
 	"iter"
 	"slices"
 	"time"
@@ -15,13 +16,24 @@
 
 // machine is the cached state of a machine that has reported.
 type machine struct {
+	order        uint64 // counts machines in order of their first report
 	status       *jobstate.MachineStatus
 	host         placement.Host                    // valid if roomCurrent
 	roomCurrent  bool                              // host's free capacity is up to date
 	images       map[string]bool                   // images of its present and earlier tasks
 	runningSince map[jobstate.AttemptRef]time.Time // when each running task was first seen running
+	removed      bool                              // it has been released or lost
+
+	// Its entry in hostIndex.
+	passHost  placement.Host // the host as the current pass has left it
+	hostStale bool           // passHost and accepts are to be updated
+	accepts   bool           // it accepts tasks
+	expiresAt time.Time      // when it is queued to be checked; zero if it is not queued
 }
 
+// compareOrder compares machines by their first report.
+func (m *machine) compareOrder(o *machine) int { return cmp.Compare(m.order, o.order) }
+
 // CompletedTask is a task that ran to completion.
 type CompletedTask struct {
 	Job string
@@ -38,11 +50,13 @@
 func (s *Scheduler) ObserveMachine(status *jobstate.MachineStatus, jobs Jobs, now time.Time) Observation {
 	m := s.machines[status.Machine]
 	if m == nil {
-		m = &machine{images: map[string]bool{}}
+		s.machinesSeen++
+		m = &machine{order: s.machinesSeen, images: map[string]bool{}}
 		s.machines[status.Machine] = m
 		s.orderedMachines = append(s.orderedMachines, m)
 	}
-	m.status, m.roomCurrent = status, false
+	m.status = status
+	s.invalidate(m)
 	observed := m.observeTasks(now)
 	s.forgetFinishedEvictions(status)
 	m.rememberImages(jobs)
@@ -89,7 +103,11 @@
 		return
 	}
 	delete(s.machines, name)
-	s.orderedMachines = slices.DeleteFunc(s.orderedMachines, func(x *machine) bool { return x == m })
+	if i, found := slices.BinarySearchFunc(s.orderedMachines, m, (*machine).compareOrder); found {
+		s.orderedMachines = slices.Delete(s.orderedMachines, i, i+1)
+	}
+	m.removed = true
+	s.hosts.markStale(m)
 }
 
 // RunningSince returns when a task on a machine was first seen running, and false if it is not listed as running.
@@ -100,19 +118,25 @@
 	return since, running
 }
 
-// InvalidateMachines marks the cached free capacity of machines as stale.
+// invalidate marks what is cached of a machine as stale.
+func (s *Scheduler) invalidate(m *machine) {
+	m.roomCurrent = false
+	s.hosts.markStale(m)
+}
+
+// InvalidateMachines marks the cached free capacity of machines, and whether they accept tasks, as stale.
 func (s *Scheduler) InvalidateMachines(names iter.Seq[string]) {
 	for name := range names {
 		if m := s.machines[name]; m != nil {
-			m.roomCurrent = false
+			s.invalidate(m)
 		}
 	}
 }
 
-// InvalidateAllMachines marks the cached free capacity of all machines as stale.
+// InvalidateAllMachines is InvalidateMachines for all machines.
 func (s *Scheduler) InvalidateAllMachines() {
 	for _, m := range s.orderedMachines {
-		m.roomCurrent = false
+		s.invalidate(m)
 	}
 }
 
@@ -126,32 +150,6 @@
 	return m.host, true
 }
 
-// Hosts returns the machines that accept tasks, with their free capacity as known to this controller. If least is not
-// nil, machines without room for it are left out. Stale data is safe: the machine's home refuses a task that does not
-// fit. Only machines with changes are recomputed. Calls with and without least use separate buffers; the result is
-// valid until the next call that uses the same one.
-func (s *Scheduler) Hosts(snapshot Snapshot, now time.Time, least *placement.Request) []*placement.Host {
-	s.InvalidateMachines(snapshot.TakeChangedMachines())
-	accepts, plan := snapshot.AcceptingMachines(now), snapshot.Plan()
-	buffer := &s.hostsWithRoom
-	if least == nil {
-		buffer = &s.allHosts
-	}
-	*buffer = (*buffer)[:0]
-	for _, m := range s.orderedMachines {
-		if !s.refreshRoom(m, snapshot) || least != nil && !least.Fits(&m.host) || !accepts(m.status) {
-			continue
-		}
-		*buffer = append(*buffer, m.host)
-		(*buffer)[len(*buffer)-1].ReservedClass = plan.ReservedClass(m.status.Machine)
-	}
-	hosts := make([]*placement.Host, len(*buffer))
-	for i := range *buffer {
-		hosts[i] = &(*buffer)[i]
-	}
-	return hosts
-}
-
 // refreshRoom recomputes a machine's free capacity if it is stale. It returns false if the machine's type is unknown.
 func (s *Scheduler) refreshRoom(m *machine, assignments Assignments) bool {
 	if m.roomCurrent {
--- a/internal/scheduler/pass.go
+++ b/internal/scheduler/pass.go
@@ -5,6 +5,7 @@
 	"slices"
 	"time"
 
+	"topazhollow/internal/admission"
 	"topazhollow/internal/autoscaler"
 	"topazhollow/internal/jobstate"
 	"topazhollow/internal/placement"
@@ -24,7 +25,8 @@
 	now             time.Time
 	teams           []Team
 	queue           []waitingTasks         // most urgent first
-	hosts           []*placement.Host      // with the capacity that this pass has left free
+	hosts           []*placement.Host      // with the capacity that this pass has left free; see allocate
+	hostsCurrent    bool                   // the scheduler's hosts were updated for this pass
 	unplaceableAsks []*placement.Request   // requests that no longer fit any host
 	unplaced        []waitingTasks         // own tasks that could not be placed
 	unplacedGangs   []*waitingTasks        // gangs of the current urgency class that could not be placed as a whole
@@ -64,12 +66,25 @@
 	if len(p.queue) == 0 {
 		return
 	}
-	p.hosts = p.scheduler.Hosts(p.snapshot, p.now, smallestAsk(p.queue))
+	least := smallestAsk(p.queue)
+	p.hosts, p.hostsCurrent = p.scheduler.Hosts(p.snapshot, p.now, least), true
 	if plan := p.snapshot.Plan(); plan != nil && len(plan.Reserved) > 0 {
-		setSmallestReserved(p.hosts, p.queue)
+		p.setSmallestReserved(plan, least)
 	}
 }
 
+// allocate subtracts what a task requires from a host for the rest of this pass.
+func (p *pass) allocate(h *placement.Host, ask *placement.Request) {
+	h.Allocate(ask)
+	p.scheduler.markStale(h.Name)
+}
+
+// release adds to the free resources of a host for the rest of this pass.
+func (p *pass) release(h *placement.Host, cpus, gpus, memory float64) {
+	h.Release(cpus, gpus, memory)
+	p.scheduler.markStale(h.Name)
+}
+
 // smallestAsk returns the minimum of each resource over all waiting tasks. A host without it fits none of them.
 func smallestAsk(queue []waitingTasks) *placement.Request {
 	least := &placement.Request{CPUs: math.Inf(1), GPUs: math.Inf(1), MemoryGB: math.Inf(1)}
@@ -82,21 +97,30 @@
 	return least
 }
 
-// setSmallestReserved sets on each host that is reserved for a class the minimum resources of that class's waiting
-// tasks.
-func setSmallestReserved(hosts []*placement.Host, queue []waitingTasks) {
-	least := map[string]placement.Resources{}
+// setSmallestReserved sets on each host with room for least that is reserved for a class the minimum resources of that
+// class's waiting tasks.
+func (p *pass) setSmallestReserved(plan *admission.Plan, least *placement.Request) {
+	smallest := smallestByClass(p.queue)
+	for name, class := range plan.Reserved {
+		if m := p.scheduler.machines[name]; m != nil && least.Fits(&m.passHost) {
+			m.passHost.SmallestReserved = smallest[class]
+			p.scheduler.hosts.markStale(m)
+		}
+	}
+}
+
+// smallestByClass returns the minimum resources of each class's waiting tasks.
+func smallestByClass(queue []waitingTasks) map[string]placement.Resources {
+	smallest := map[string]placement.Resources{}
 	for i := range queue {
 		spec := queue[i].spec
-		room, known := least[spec.Class]
+		room, known := smallest[spec.Class]
 		if !known {
 			room = placement.Resources{CPUs: math.Inf(1), MemoryGB: math.Inf(1)}
 		}
-		least[spec.Class] = placement.Resources{CPUs: min(room.CPUs, spec.CPUs), MemoryGB: min(room.MemoryGB, spec.MemoryGB)}
-	}
-	for _, h := range hosts {
-		h.SmallestReserved = least[h.ReservedClass]
+		smallest[spec.Class] = placement.Resources{CPUs: min(room.CPUs, spec.CPUs), MemoryGB: min(room.MemoryGB, spec.MemoryGB)}
 	}
+	return smallest
 }
 
 // placeTasks places as many of the waiting tasks as possible and reduces their count accordingly.
@@ -125,7 +149,7 @@
 		if h == nil {
 			return
 		}
-		h.Allocate(ask)
+		p.allocate(h, ask)
 	}
 }
 
@@ -142,7 +166,7 @@
 		}
 		zones.take(h)
 		w.count--
-		h.Allocate(ask)
+		p.allocate(h, ask)
 		h.Images[ask.Image] = true
 		return true
 	})
--- a/internal/scheduler/preemption.go
+++ b/internal/scheduler/preemption.go
@@ -69,7 +69,7 @@
 			return
 		}
 		r.stop(cheapest, w.job.Spec.UID)
-		cheapest.host.Allocate(ask)
+		r.pass.allocate(cheapest.host, ask)
 		zones.take(cheapest.host)
 	}
 }
@@ -102,7 +102,7 @@
 		if i == 0 { // the victims together make room for one task
 			e.tasks = 1
 		}
-		chosen.host.Release(v.spec.CPUs, v.spec.GPUs, v.spec.MemoryGB)
+		r.pass.release(chosen.host, v.spec.CPUs, v.spec.GPUs, v.spec.MemoryGB)
 		r.pass.evict(v.ref, e)
 	}
 	r.search.remove(chosen)
--- a/internal/scheduler/reservations.go
+++ b/internal/scheduler/reservations.go
@@ -47,7 +47,7 @@
 	left := len(missing)
 	for _, h := range p.hosts {
 		for ; left > 0 && r.zoneOf(h) == best && r.ask.Fits(h) && r.accepts(h); left-- {
-			h.Allocate(r.ask)
+			p.allocate(h, r.ask)
 			r.zones.take(h)
 			p.reserved[reservationKey{w.spec.UID, h.Name}]++
 		}
@@ -58,8 +58,12 @@
 // not yet suffice for one of the gang's tasks. It returns the number of tasks that the capacity is for.
 func (p *pass) reserveEvictionRoom(w *waitingTasks, ask *placement.Request) (tasks int) {
 	cleared := p.scheduler.gangSlots(w.spec.UID)
+	if len(cleared) == 0 {
+		return 0
+	}
 	for _, h := range p.hosts {
 		for range cleared[h.Name] {
+			p.scheduler.markStale(h.Name)
 			h.CPUs = max(0, h.CPUs-ask.CPUs)
 			h.GPUs = max(0, h.GPUs-ask.GPUs)
 			h.MemoryGB = max(0, h.MemoryGB-ask.MemoryGB)
--- a/internal/scheduler/scheduler.go
+++ b/internal/scheduler/scheduler.go
@@ -18,7 +18,6 @@
 
 	"topazhollow/internal/admission"
 	"topazhollow/internal/jobstate"
-	"topazhollow/internal/placement"
 	"topazhollow/internal/protocol"
 	"topazhollow/internal/settings"
 )
@@ -36,9 +35,8 @@
 	machineTypes    []protocol.MachineType
 	machines        map[string]*machine
 	orderedMachines []*machine // all values of machines, ordered by first report
-
-	hostsWithRoom []placement.Host // buffer of the current pass
-	allHosts      []placement.Host // the same including full machines, for preemption
+	machinesSeen    uint64     // number of machines that were ever added
+	hosts           hostIndex
 
 	evictions     map[jobstate.AttemptRef]eviction
 	runningCPUs   map[admission.Key]float64 // of running tasks, as of completionsAt
@@ -88,8 +86,8 @@
 	Teams() []Team
 	// PeerDemands yields the waiting tasks of teams that other controllers own.
 	PeerDemands(now time.Time) iter.Seq[Demand]
-	// AcceptingMachines returns a filter that selects the machines that accept tasks now.
-	AcceptingMachines(now time.Time) func(*jobstate.MachineStatus) bool
+	// AcceptingMachines tells which machines accept tasks now.
+	AcceptingMachines(now time.Time) Acceptance
 	// Plan returns the admission plan in force, or nil if there is none.
 	Plan() *admission.Plan
 }
