--- a/internal/agents/roster.go
+++ b/internal/agents/roster.go
@@ -30,6 +30,8 @@
 	Key     string
 	Version uint64
 	Names   []string
+
+	AddsCopies bool // it adds names that are on another list, to be left out there later
 }
 
 // Value returns the value to be written.
@@ -159,22 +161,3 @@
 		}
 	}
 }
-
-// PlanDeregistration returns the writes that remove machines from the roster.
-func (r *Roster) PlanDeregistration(gone map[string]bool) []RosterWrite {
-	var writes []RosterWrite
-	for _, key := range slices.Sorted(maps.Keys(r.lists)) {
-		l := r.lists[key]
-		left := make([]string, 0, len(l.names))
-		for name := range l.names {
-			if !gone[name] {
-				left = append(left, name)
-			}
-		}
-		if len(left) < len(l.names) {
-			slices.Sort(left)
-			writes = append(writes, RosterWrite{Key: key, Version: l.version, Names: left})
-		}
-	}
-	return writes
-}
--- a/internal/controller/registration.go
+++ b/internal/controller/registration.go
@@ -17,6 +17,10 @@
 // within it share one write.
 const registerInterval = 250 * time.Millisecond
 
+// rosterCopyDelay is the time between the writes that add names to a second list and those that leave them out of the
+// first. Controllers of earlier versions read a single list after a conflict, and must have the second one by then.
+const rosterCopyDelay = 5 * time.Second
+
 // newRoster creates an empty roster with the size limit of the state service's values.
 func newRoster(s *settings.Settings) *agents.Roster {
 	return agents.NewRoster(maxValueBytes(s.Deployment.KVStore))
@@ -72,8 +76,13 @@
 // deregisterMachines removes gone machines from the roster, by which every controller learns of their end. Only the
 // fleet's owner calls it.
 func (n *Node) deregisterMachines(ctx context.Context, writes []agents.RosterWrite) {
+	copied := false
 	for _, w := range writes {
 		n.writeRoster(ctx, w)
+		copied = copied || w.AddsCopies
+	}
+	if copied {
+		sleep(ctx, rosterCopyDelay)
 	}
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -101,10 +110,11 @@
 	n.applyRosterList(w.Key, value, revision)
 }
 
-// readRosterList reads and applies a roster key whose write failed or had an unknown outcome.
+// readRosterList reads and applies a roster key whose write failed or had an unknown outcome. All changes made before
+// the read are applied first: a name that the list lacks may have been moved to another list.
 func (n *Node) readRosterList(ctx context.Context, w agents.RosterWrite) {
 	entry, err := n.kvStore.Get(ctx, w.Key)
-	if err != nil {
+	if err != nil || n.waitForChanges(ctx) != nil {
 		return
 	}
 	n.mu.Lock()
