--- a/internal/controller/owner.go
+++ b/internal/controller/owner.go
@@ -35,7 +35,7 @@
 		Name:      name,
 		Record:    n.leadership.Record(),
 		NewTeam:   func(replica *jobstate.Replica) *jobstate.Team { return n.newTeam(name, replica, n.leadership.Term()) },
-		PageBytes: maxValueBytes(n.settings.Deployment.KVStore),
+		PageSizes: pageSizes(n.settings.Deployment.KVStore),
 		Now:       time.Now(),
 	})
 	n.log.Info("shard taken over", "shard", name, "term", shard.SinceTerm(),
--- a/internal/controller/save.go
+++ b/internal/controller/save.go
@@ -14,9 +14,14 @@
 	"topazhollow/internal/shards"
 )
 
-// maxValueBytes is the maximum size of a value in the state service.
+// maxValueBytes is the maximum size of a value to be written to the state service.
 func maxValueBytes(s settings.KVStore) int { return int(s.ValueKB * 1024) }
 
+// pageSizes returns the limits on a page of finished tasks. Earlier versions of the program know only the present one.
+func pageSizes(s settings.KVStore) jobstate.PageSizes {
+	return jobstate.PageSizes{Present: int(s.PresentValueKB() * 1024), Lowest: maxValueBytes(s)}
+}
+
 // readPages reads a team's pages and returns the finished tasks of its active jobs.
 func (n *Node) readPages(shard *shards.Owned, entries []protocol.Entry) map[string]*bitset.BitSet {
 	team, _ := shards.TeamOf(shard.Name())
--- a/internal/jobstate/golden_test.go
+++ b/internal/jobstate/golden_test.go
@@ -33,11 +33,11 @@
 	for _, uid := range []string{"job-000398", "job-000412"} {
 		jobs = append(jobs, &Job{Spec: &protocol.Submission{UID: uid}})
 	}
-	pages := NewPageSet(smallPageBytes).Plan(jobs, func(job string) (int, *bitset.BitSet) { return finished[job].tasks, finished[job].done })
+	pages := NewPageSet(PageSizes{smallPageBytes, smallPageBytes}).Plan(jobs, func(job string) (int, *bitset.BitSet) { return finished[job].tasks, finished[job].done })
 	if len(pages) != 3 {
 		t.Fatalf("%d pages, want 3", len(pages))
 	}
-	reader, read := NewPageSet(smallPageBytes), map[string]*bitset.BitSet{}
+	reader, read := NewPageSet(PageSizes{smallPageBytes, smallPageBytes}), map[string]*bitset.BitSet{}
 	for _, p := range pages {
 		if p.Version != 0 {
 			t.Errorf("page %d: version %d, want 0", p.Number, p.Version)
--- a/internal/jobstate/pageset.go
+++ b/internal/jobstate/pageset.go
@@ -2,39 +2,33 @@
 
 import (
 	"encoding/base64"
-	"fmt"
 	"maps"
 	"slices"
-	"strconv"
 
 	"github.com/bits-and-blooms/bitset"
-
-	"topazhollow/internal/protocol"
 )
 
 // PageSet distributes the finished tasks of a team's jobs over pages. Each page is the value of one key in the state
 // service, so that one write saves the progress of many jobs. A page is always written as a whole, with the present
 // finished tasks of every active job that has a part on it.
+//
+// A page may hold parts that are to be left out: those of a job that is now written in another form, and all parts of a
+// page that is too large to be written again. They stay on their page until other pages have all their finished tasks,
+// so that no finished task is lost between two writes.
 type PageSet struct {
 	maxPageBytes int
-	tasksPerPart int
+	tasksPerPart int  // of coarse parts
+	lowered      bool // pages must be smaller than those that the size of coarse parts follows from
 	pages        map[int]*page
-	pageOf       map[part]int // number of the page that holds the part
-}
-
-// part is a range of a job's tasks; all parts have tasksPerPart tasks, except that the last one may have fewer.
-type part struct {
-	job    string
-	number int // counted from 0
+	pageOf       map[part]int              // number of the page that holds the part
+	stored       map[string]*bitset.BitSet // by job, finished tasks that parts in pageOf have in the state service
 }
 
-// name returns the part's name on its page.
-func (p part) name() string { return p.job + "/" + strconv.Itoa(p.number) }
-
 // page is the state of one page.
 type page struct {
 	version   uint64 // in the state service; 0 if it does not exist there
 	usedBytes int    // upper bound of its encoded size
+	leftovers map[part]storedPart
 }
 
 // Sizes of a page's encoding, in bytes, and of a bitmap's words.
@@ -51,7 +45,7 @@
 	Number  int
 	Version uint64
 	Parts   map[string]string // encoded bitmaps by part name
-	Done    DoneTasks         // the same tasks by job; saved once the page is written
+	Done    DoneTasks         // the same tasks by job, without those of leftovers; saved once the page is written
 }
 
 // TaskCount returns the number of tasks of an active job; 0 for other jobs.
@@ -61,115 +55,107 @@
 // other jobs.
 type FinishedTasks func(job string) (tasks int, done *bitset.BitSet)
 
-// NewPageSet returns a set without pages; pageBytes is the maximum encoded size of a page.
-func NewPageSet(pageBytes int) *PageSet {
-	// A part's bitmap has up to half a page in binary, which is two thirds of a page in base64.
-	words := pageBytes / 2 / bytesPerWord
+// PageSizes are limits on the encoded size of a page, in bytes.
+type PageSizes struct {
+	Present int // of the pages that earlier versions of the program read and write; coarse parts follow from it
+	Lowest  int // of the pages to be written
+}
+
+// NewPageSet returns a set without pages.
+func NewPageSet(sizes PageSizes) *PageSet {
+	// A coarse part's bitmap has up to half a page in binary, which is two thirds of a page in base64.
+	words := sizes.Present / 2 / bytesPerWord
 	return &PageSet{
-		maxPageBytes: pageBytes,
+		maxPageBytes: sizes.Lowest,
 		tasksPerPart: words * bitsPerWord,
+		lowered:      sizes.Lowest < sizes.Present,
 		pages:        map[int]*page{},
 		pageOf:       map[part]int{},
+		stored:       map[string]*bitset.BitSet{},
 	}
 }
 
 // partSize returns an upper bound of the encoded size of a part.
 func (s *PageSet) partSize(p part, tasks int) int {
-	bits := min(s.tasksPerPart, tasks-p.number*s.tasksPerPart)
-	words := (bits + bitsPerWord - 1) / bitsPerWord
+	first, end := p.tasks(s.tasksPerPart)
+	words := (min(end, tasks) - first + bitsPerWord - 1) / bitsPerWord
 	return len(p.job) + partSyntaxBytes + base64.StdEncoding.EncodedLen(bitsLengthBytes+words*bytesPerWord)
 }
 
+// firstPart returns the first part of the form in which a job is written: in fine parts if pages must be smaller than
+// before and the job is not in one coarse part that fits.
+func (s *PageSet) firstPart(job string, tasks int) part {
+	coarse := part{job, 0}
+	if s.lowered && (tasks > s.tasksPerPart || emptyPageBytes+s.partSize(coarse, tasks) > s.maxPageBytes) {
+		return part{job, firstFinePart}
+	}
+	return coarse
+}
+
 // Read adds a page that was read from the state service to the set, and its finished tasks to done. Parts of jobs that
 // are not active are ignored. It returns an error if a part is malformed; the page is in the set then, and some of its
 // parts may have been read.
 func (s *PageSet) Read(number int, version uint64, parts map[string]string, tasks TaskCount,
 	done map[string]*bitset.BitSet) error {
-	read := &page{version: version, usedBytes: emptyPageBytes}
+	read := &page{version: version, leftovers: map[part]storedPart{}}
 	s.pages[number] = read
-	return readParts(parts, s.tasksPerPart, tasks, done, func(p part, count int) {
-		s.pageOf[p] = number
-		read.usedBytes += s.partSize(p, count)
+	var kept []storedPart
+	size := emptyPageBytes
+	err := readParts(parts, s.tasksPerPart, tasks, func(p storedPart) {
+		mergeDone(done, p)
+		if s.isLeftover(p) {
+			read.leftovers[p.part] = p
+			size += p.size()
+			return
+		}
+		kept = append(kept, p)
+		size += s.partSize(p.part, p.jobTasks)
 	})
-}
-
-// ReadParts adds the finished tasks of a page that was read from the state service to done, for any page size. It reads
-// only the first part of each job, since the first task of a later part depends on the page size.
-func ReadParts(parts map[string]string, tasks TaskCount, done map[string]*bitset.BitSet) error {
-	first := map[string]string{}
-	for name, text := range parts {
-		if _, number, ok := protocol.SplitTask(name); ok && number > 0 {
-			continue
+	if size > s.maxPageBytes && len(kept)+len(read.leftovers) > 1 { // it can't be written with these parts again
+		for _, p := range kept {
+			read.leftovers[p.part] = p
 		}
-		first[name] = text
+		kept = nil
 	}
-	return readParts(first, protocol.MaxTasks, tasks, done, func(part, int) {})
-}
-
-// readParts adds the finished tasks of a page's parts to done, and calls found for each part of an active job.
-func readParts(parts map[string]string, tasksPerPart int, tasks TaskCount, done map[string]*bitset.BitSet,
-	found func(p part, count int)) error {
-	for name, text := range parts {
-		job, number, ok := protocol.SplitTask(name)
-		if !ok {
-			return fmt.Errorf("jobstate: malformed part name %.80q", name)
-		}
-		count, first := tasks(job), number*tasksPerPart
-		if count <= first {
-			continue // the job has ended
-		}
-		bits, err := decodeBits(text)
-		if err != nil {
-			return err
-		}
-		if done[job] == nil {
-			done[job] = bitset.New(0)
-		}
-		for i, ok := bits.NextSet(0); ok && int(i) < tasksPerPart; i, ok = bits.NextSet(i + 1) {
-			if task := first + int(i); task < count {
-				done[job].Set(uint(task))
-			}
-		}
-		found(part{job, number}, count)
+	for _, p := range kept {
+		s.pageOf[p.part] = number
+		mergeDone(s.stored, p)
 	}
-	return nil
+	read.usedBytes = size
+	return err
 }
 
-// decodeBits decodes the bitmap of a part.
-func decodeBits(text string) (*bitset.BitSet, error) {
-	data, err := base64.StdEncoding.DecodeString(text)
-	if err != nil {
-		return nil, err
-	}
-	bits := bitset.New(0)
-	if err := bits.UnmarshalBinary(data); err != nil {
-		return nil, err
+// isLeftover reports whether a part that was read is to be left out of its page: its job is written in another form now,
+// another page holds it, or it has tasks beyond its range because the page size was another one.
+func (s *PageSet) isLeftover(p storedPart) bool {
+	first := s.firstPart(p.job, p.jobTasks)
+	if _, held := s.pageOf[p.part]; held || (p.number >= firstFinePart) != (first.number >= firstFinePart) {
+		return true
 	}
-	return bits, nil
+	_, end := p.tasks(s.tasksPerPart)
+	_, beyond := p.done.NextSet(uint(end))
+	return beyond
 }
 
-// encodeBits encodes the bitmap of a part.
-func encodeBits(bits *bitset.BitSet) string {
-	data, err := bits.MarshalBinary()
-	if err != nil {
-		panic(fmt.Sprintf("jobstate: encoding a bitmap: %v", err))
-	}
-	return base64.StdEncoding.EncodeToString(data)
-}
+// size returns the encoded size of a stored part.
+func (p *storedPart) size() int { return len(p.job) + partSyntaxBytes + len(p.text) }
 
 // Plan returns the pages to write for jobs with finished tasks that are not saved yet. It removes the parts of jobs
 // that are not active from the set.
 func (s *PageSet) Plan(unsaved []*Job, finished FinishedTasks) []Page {
-	s.dropEndedParts(finished)
+	s.dropParts(finished)
 	changed := map[int]bool{}
 	for _, job := range unsaved {
-		for _, number := range s.pagesOf(job.Spec.UID, finished) {
+		for _, number := range s.pagesOf(job, finished) {
 			changed[number] = true
 		}
 	}
 	var plan []Page
 	for _, number := range slices.Sorted(maps.Keys(changed)) {
 		page := Page{Number: number, Version: s.pages[number].version, Parts: map[string]string{}, Done: DoneTasks{}}
+		for p, stored := range s.pages[number].leftovers {
+			page.Parts[p.name()] = stored.text
+		}
 		plan = append(plan, page)
 	}
 	for p, number := range s.pageOf {
@@ -185,18 +171,38 @@
 }
 
 // pagesOf lists the pages with finished tasks of a job. Parts that are on no page yet are assigned to one.
-func (s *PageSet) pagesOf(job string, finished FinishedTasks) (numbers []int) {
-	tasks, done := finished(job)
+func (s *PageSet) pagesOf(job *Job, finished FinishedTasks) (numbers []int) {
+	uid := job.Spec.UID
+	tasks, done := finished(uid)
 	if done == nil {
 		return nil
 	}
-	for n := 0; n*s.tasksPerPart < tasks; n++ {
-		first, ok := done.NextSet(uint(n * s.tasksPerPart))
-		if ok && int(first) < (n+1)*s.tasksPerPart {
-			numbers = append(numbers, s.assignPage(part{job, n}, tasks))
+	for p := s.firstPart(uid, tasks); ; p.number++ {
+		first, end := p.tasks(s.tasksPerPart)
+		if first >= tasks {
+			return numbers
+		}
+		task, ok := done.NextSet(uint(first))
+		if ok && int(task) < end && !s.isStored(p, job, done) {
+			numbers = append(numbers, s.assignPage(p, tasks))
 		}
 	}
-	return numbers
+}
+
+// isStored reports whether a fine part need not be written: its page has all its finished tasks. Coarse parts are always
+// written, as in earlier versions.
+func (s *PageSet) isStored(p part, job *Job, done *bitset.BitSet) bool {
+	stored := s.stored[p.job]
+	if p.number < firstFinePart || stored == nil || job.savedDone == nil {
+		return false
+	}
+	first, end := p.tasks(s.tasksPerPart)
+	for i, ok := done.NextSet(uint(first)); ok && int(i) < end; i, ok = done.NextSet(i + 1) {
+		if !stored.Test(i) || !job.savedDone.Test(i) {
+			return false
+		}
+	}
+	return true
 }
 
 // add adds a part, with those of its tasks that are finished, to the page.
@@ -204,23 +210,32 @@
 	if p.Done[which.job] == nil {
 		p.Done[which.job] = bitset.New(0)
 	}
-	bits, first := bitset.New(0), uint(which.number*tasksPerPart)
-	for i, ok := finished.NextSet(first); ok && i < first+uint(tasksPerPart); i, ok = finished.NextSet(i + 1) {
-		bits.Set(i - first)
+	first, end := which.tasks(tasksPerPart)
+	bits := bitset.New(0)
+	for i, ok := finished.NextSet(uint(first)); ok && int(i) < end; i, ok = finished.NextSet(i + 1) {
+		bits.Set(i - uint(first))
 		p.Done[which.job].Set(i)
 	}
 	p.Parts[which.name()] = encodeBits(bits)
 }
 
-// dropEndedParts removes the parts of jobs that have ended from their pages. They are removed from the state service
-// when the page is written next.
-func (s *PageSet) dropEndedParts(finished FinishedTasks) {
+// dropParts removes the parts of jobs that have ended from their pages, and the leftovers whose finished tasks are on
+// other pages. They are removed from the state service when the page is written next.
+func (s *PageSet) dropParts(finished FinishedTasks) {
 	for _, pg := range s.pages {
 		pg.usedBytes = emptyPageBytes
+		for p, stored := range pg.leftovers {
+			if tasks, _ := finished(p.job); tasks == 0 || s.stored[p.job] != nil && s.stored[p.job].IsSuperSet(stored.done) {
+				delete(pg.leftovers, p)
+			} else {
+				pg.usedBytes += stored.size()
+			}
+		}
 	}
 	for p, number := range s.pageOf {
 		if tasks, _ := finished(p.job); tasks == 0 {
 			delete(s.pageOf, p)
+			delete(s.stored, p.job)
 		} else {
 			s.pages[number].usedBytes += s.partSize(p, tasks)
 		}
@@ -240,6 +255,9 @@
 			pg = &page{usedBytes: emptyPageBytes}
 			s.pages[number] = pg
 		}
+		if _, holdsLeftover := pg.leftovers[p]; holdsLeftover {
+			continue
+		}
 		if pg.usedBytes == emptyPageBytes || pg.usedBytes+size <= s.maxPageBytes {
 			pg.usedBytes += size
 			s.pageOf[p] = number
@@ -254,3 +272,14 @@
 		pg.version = version
 	}
 }
+
+// RecordSaved records that a planned page was written under the given version.
+func (s *PageSet) RecordSaved(saved Page, version uint64) {
+	s.RecordWritten(saved.Number, version)
+	for job, done := range saved.Done {
+		if s.stored[job] == nil {
+			s.stored[job] = bitset.New(0)
+		}
+		s.stored[job].InPlaceUnion(done)
+	}
+}
--- a/internal/jobstate/pageset_test.go
+++ b/internal/jobstate/pageset_test.go
@@ -22,7 +22,7 @@
 	for seed := range uint64(200) {
 		rng := rand.New(rand.NewPCG(seed, 11))
 		store, revision := map[int]value{}, uint64(0)
-		pageSet := NewPageSet(maxBytes)
+		pageSet := NewPageSet(PageSizes{maxBytes, maxBytes})
 		jobs, done, saved := map[string]*Job{}, map[string]*bitset.BitSet{}, map[string]*bitset.BitSet{}
 		find := func(uid string) (int, *bitset.BitSet) {
 			if j := jobs[uid]; j != nil {
@@ -43,7 +43,7 @@
 					}
 				}
 			case 2: // a new owner reads all pages
-				pageSet = NewPageSet(maxBytes)
+				pageSet = NewPageSet(PageSizes{maxBytes, maxBytes})
 				found := map[string]*bitset.BitSet{}
 				for number, v := range store {
 					if err := pageSet.Read(number, v.version, v.parts, func(uid string) int { n, _ := find(uid); return n }, found); err != nil {
--- a/internal/shards/owned.go
+++ b/internal/shards/owned.go
@@ -54,7 +54,7 @@
 	SinceTerm    uint64 // term in which this controller became the owner
 	NeedsBarrier bool   // this controller was not in sync
 	Team         *jobstate.Team
-	PageBytes    int // size limit of one page of finished tasks
+	PageSizes    jobstate.PageSizes // of the pages of finished tasks
 	TakenAt      time.Time
 }
 
@@ -74,7 +74,7 @@
 			timeoutsStart: o.TakenAt,
 			states:        map[string]*replicaState{},
 		},
-		pages: &Pages{shard: o.Name, team: o.Team, set: jobstate.NewPageSet(o.PageBytes)},
+		pages: &Pages{shard: o.Name, team: o.Team, set: jobstate.NewPageSet(o.PageSizes)},
 	}
 }
 
--- a/internal/shards/pages.go
+++ b/internal/shards/pages.go
@@ -86,7 +86,7 @@
 
 // MarkSaved records that a page was written under the given version.
 func (p *Pages) MarkSaved(page jobstate.Page, version uint64) {
-	p.set.RecordWritten(page.Number, version)
+	p.set.RecordSaved(page, version)
 	for uid, done := range page.Done {
 		p.team.Job(uid).RecordSaved(done)
 	}
--- a/internal/shards/registry.go
+++ b/internal/shards/registry.go
@@ -77,7 +77,7 @@
 	Name      string
 	Record    *leadership.Record
 	NewTeam   func(replica *jobstate.Replica) *jobstate.Team
-	PageBytes int // of one page of finished tasks
+	PageSizes jobstate.PageSizes // of the pages of finished tasks
 	Now       time.Time
 }
 
@@ -92,7 +92,7 @@
 		SinceTerm:    entry.SinceTerm,
 		NeedsBarrier: needsBarrier,
 		Team:         t.NewTeam(replica),
-		PageBytes:    t.PageBytes,
+		PageSizes:    t.PageSizes,
 		TakenAt:      t.Now,
 	})
 	r.Add(o)
--- a/internal/shards/registry_test.go
+++ b/internal/shards/registry_test.go
@@ -22,7 +22,7 @@
 // takeOver makes a controller take over the test's shard.
 func takeOver(r *Registry, record *leadership.Record) *Owned {
 	now := time.Unix(1000, 0)
-	return r.TakeOver(Takeover{Name: testShard, Record: record, NewTeam: testTeam, PageBytes: 8 << 10, Now: now})
+	return r.TakeOver(Takeover{Name: testShard, Record: record, NewTeam: testTeam, PageSizes: jobstate.PageSizes{Present: 8 << 10, Lowest: 8 << 10}, Now: now})
 }
 
 // TestBarrierRequirement guards that an owner without the team's progress passes the barrier: one that did not started
--- a/internal/shards/replication_test.go
+++ b/internal/shards/replication_test.go
@@ -34,7 +34,7 @@
 		SinceTerm:    5,
 		NeedsBarrier: needsBarrier,
 		Team:         testTeam(replica),
-		PageBytes:    8 << 10,
+		PageSizes:    jobstate.PageSizes{Present: 8 << 10, Lowest: 8 << 10},
 		TakenAt:      now,
 	})
 }
