--- a/internal/controller/recordchange.go
+++ b/internal/controller/recordchange.go
@@ -137,7 +137,7 @@
 	case err == nil:
 		n.leadership.ChangeAnswered()
 		n.adopt(p.Record, revision)
-	case errors.Is(err, kvstore.ErrRefused): // it was not executed and will not be
+	case errors.Is(err, kvstore.ErrRefused), errors.Is(err, kvstore.ErrTooLarge): // it was not executed and will not be
 		n.leadership.ChangeAnswered()
 		n.shards.RecordChangeSettled()
 	case errors.Is(err, kvstore.ErrConflict):
--- a/internal/kvstore/batch.go
+++ b/internal/kvstore/batch.go
@@ -33,8 +33,9 @@
 // queuedUpdate is an update with its encoded size in bytes and the channel on which its caller waits.
 type queuedUpdate struct {
 	Update
-	size int
-	done chan outcome
+	size  int
+	alone bool // it was refused in a transaction with others, and is sent by itself
+	done  chan outcome
 }
 
 // batcher implements group commit: it merges queued updates that touch different keys into shared transactions. If a
@@ -106,7 +107,7 @@
 		queued.size += len(c.Key) + conditionOverhead
 	}
 	if len(u.Changes) > b.maxChanges || len(u.Conditions) >= maxConditionsPerChange*b.maxChanges {
-		return 0, fmt.Errorf("%w: update with %d changes and %d conditions does not fit into a transaction", ErrInvalid, len(u.Changes), len(u.Conditions))
+		return 0, fmt.Errorf("%w: update with %d changes and %d conditions does not fit into a transaction", ErrTooLarge, len(u.Changes), len(u.Conditions))
 	}
 	select {
 	case b.queue <- queued:
@@ -252,7 +253,7 @@
 		fits := changes+len(u.Changes) <= maxChanges &&
 			conditions+len(u.Conditions) < maxConditionsPerChange*b.maxChanges &&
 			size+u.size <= b.maxBytes
-		if len(batch) > 0 && !fits {
+		if len(batch) > 0 && (!fits || u.alone) {
 			return batch, append(rest, waiting[i:]...)
 		}
 		if picked.conflictsWith(u) {
@@ -262,6 +263,9 @@
 		picked.add(u)
 		changes, conditions, size = changes+len(u.Changes), conditions+len(u.Conditions), size+u.size
 		batch = append(batch, u)
+		if u.alone {
+			return batch, append(rest, waiting[i+1:]...)
+		}
 	}
 	return batch, rest
 }
@@ -306,7 +310,16 @@
 		answerAll(batch, outcome{0, ErrUpdatesHeld})
 		return
 	}
+	sentAt := time.Now()
 	revision, failed, err := b.client.txn(ctx, b.client.calls, transactionOf(batch, fence))
+	b.adaptRate(sentAt, err)
+	if errors.Is(err, ErrTooLarge) && len(batch) > 1 {
+		for _, u := range batch {
+			u.alone = true
+		}
+		b.requeue(ctx, batch)
+		return
+	}
 	if fence.Key != "" && errors.Is(err, ErrConflict) && slices.Contains(failed, fence.Key) {
 		err = ErrUpdatesHeld // not executed, and no update with this fence will be
 		b.client.fence.reportDataLoss("the generation's key is gone")
@@ -331,6 +344,16 @@
 	b.requeue(ctx, retry)
 }
 
+// adaptRate adapts the rate of changes to the outcome of a transaction.
+func (b *batcher) adaptRate(sentAt time.Time, err error) {
+	switch {
+	case errors.Is(err, errRateExceeded):
+		b.client.throttle.refused(sentAt, time.Now())
+	case err == nil:
+		b.client.throttle.accepted(time.Now())
+	}
+}
+
 // answerAll sends all updates the same outcome.
 func answerAll(updates []*queuedUpdate, result outcome) {
 	for _, u := range updates {
--- a/internal/kvstore/kvstore.go
+++ b/internal/kvstore/kvstore.go
@@ -15,6 +15,7 @@
 	"encoding/json"
 	"errors"
 	"fmt"
+	"log/slog"
 	"net/url"
 	"strconv"
 	"strings"
@@ -36,8 +37,10 @@
 	ErrLeaseExpired      = errors.New("state service: lease expired")      // or was never granted
 	ErrCompacted         = errors.New("state service: revision compacted") // the keys must be read again
 	ErrInvalid           = errors.New("state service: malformed request or answer")
+	ErrTooLarge          = fmt.Errorf("%w: too large", ErrInvalid) // a value or a transaction; it must not be sent again as it is
 	ErrRevisionDecreased = fmt.Errorf("%w: revision decreased", ErrUnknown)
 	ErrUpdatesHeld       = fmt.Errorf("%w: updates are held", ErrRefused)
+	errRateExceeded      = fmt.Errorf("%w: status 429", ErrRefused)
 )
 
 // ConflictError is an ErrConflict with the keys whose conditions failed.
@@ -64,6 +67,7 @@
 	requests  *rate.Limiter
 	writes    *rate.Limiter // of changes
 	equalRate float64       // changes per second of each controller if all have the same
+	throttle  *throttle     // of writes
 	batcher   *batcher
 	fence     fence
 }
@@ -80,6 +84,7 @@
 		writes:    rate.NewLimiter(rate.Limit(limits.ChangesPerSecond*share), max(2, int(limits.ChangesPerSecond*share))),
 		equalRate: limits.ChangesPerSecond * share,
 	}
+	c.throttle = newThrottle(c.writes, c.equalRate)
 	c.batcher = newBatcher(c, limits)
 	return c
 }
@@ -104,7 +109,7 @@
 // SetRateByDemand sets the rate of changes to an equal share plus a part of what the other controllers do not use.
 // demands holds their demand rates in changes per second, or a negative number where the rate is unknown.
 func (c *Client) SetRateByDemand(demands []float64) {
-	c.writes.SetLimit(rate.Limit(fairShare(c.equalRate, demands)))
+	c.throttle.setFullRate(fairShare(c.equalRate, demands))
 }
 
 // fairShare returns the equal share plus a part of what the others leave unused. A quarter of that stays free for
@@ -134,7 +139,9 @@
 		return nil, fmt.Errorf("%w: %v", ErrRefused, err)
 	case err != nil:
 		return nil, fmt.Errorf("%w: %v", ErrUnknown, err)
-	case resp.Status == 429 || resp.Status == 503:
+	case resp.Status == 429:
+		return nil, errRateExceeded
+	case resp.Status == 503:
 		return nil, fmt.Errorf("%w: status %d", ErrRefused, resp.Status)
 	case resp.Status >= 500:
 		return nil, fmt.Errorf("%w: status %d", ErrUnknown, resp.Status)
@@ -299,10 +306,26 @@
 		if protocol.Decode(resp.Body, &e) == nil && e.Error == "no such lease" {
 			return 0, nil, ErrLeaseExpired
 		}
+		return 0, nil, c.tooLarge(t, resp)
 	}
 	return 0, nil, fmt.Errorf("%w: status %d %.200s", ErrInvalid, resp.Status, resp.Body)
 }
 
+// tooLarge returns and logs the error of a transaction that the service will never accept. Transactions are well-formed,
+// so that a limit of the service is the only reason; it may have fallen since this process started.
+func (c *Client) tooLarge(t protocol.Txn, resp *httpx.Response) error {
+	largest := protocol.Op{}
+	for _, change := range t.Then {
+		if len(change.Value) >= len(largest.Value) {
+			largest = change
+		}
+	}
+	err := fmt.Errorf("%w: key %s of %d bytes, %d changes, %d conditions: %.200s", ErrTooLarge,
+		largest.Set+largest.Delete, len(largest.Value), len(t.Then), len(t.Conditions), resp.Body)
+	slog.Error("transaction refused for good", "key", largest.Set+largest.Delete, "err", err)
+	return err
+}
+
 // GrantLease creates a lease that expires after ttl unless it is renewed.
 func (c *Client) GrantLease(ctx context.Context, ttl time.Duration) (uint64, error) {
 	body := protocol.Encode(protocol.LeaseRequest{TTLMillis: ttl.Milliseconds()})
--- a/internal/simulation/kvstore.go
+++ b/internal/simulation/kvstore.go
@@ -101,6 +101,21 @@
 	s.writeLimiter = rate.NewLimiter(rate.Limit(changes), int(changes))
 }
 
+// SetLimits replaces the limits on a transaction's operations and on the size of a value, as when the service changes
+// them without notice. Larger values that are stored already remain readable.
+func (s *KVStore) SetLimits(txnOps, valueKB int) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.maxOps, s.maxValueBytes = txnOps, valueKB<<10
+}
+
+// maxOperations returns the limit on a transaction's operations.
+func (s *KVStore) maxOperations() int {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.maxOps
+}
+
 // CountRefused returns how many requests and transactions the rate limits refused.
 func (s *KVStore) CountRefused() int {
 	s.mu.Lock()
@@ -301,7 +316,7 @@
 
 func (s *KVStore) txn(w http.ResponseWriter, r *http.Request) {
 	var t protocol.Txn
-	if !read(r, &t) || len(t.Then) > s.maxOps || len(t.Conditions) > 4*s.maxOps {
+	if maxOps := s.maxOperations(); !read(r, &t) || len(t.Then) > maxOps || len(t.Conditions) > 4*maxOps {
 		reply(w, 400, protocol.Error{Error: "malformed"})
 		return
 	}
