--- a/internal/agents/roster.go
+++ b/internal/agents/roster.go
@@ -66,6 +66,15 @@
 	return &Roster{maxValueSize: maxValueSize, lists: map[string]*list{}, listCount: map[string]int{}}
 }
 
+// minValueSize is the lowest limit on values that a list is split for, in bytes.
+const minValueSize = 1 << 10
+
+// HalveValueSize lowers the limit on values after the state service refused a list as too large, so that later writes
+// split it.
+func (r *Roster) HalveValueSize() {
+	r.maxValueSize = max(min(minValueSize, r.maxValueSize), r.maxValueSize/2)
+}
+
 // Has reports whether a machine is registered.
 func (r *Roster) Has(machine string) bool { return r.listCount[machine] > 0 }
 
--- a/internal/controller/registration.go
+++ b/internal/controller/registration.go
@@ -98,6 +98,12 @@
 	})
 	if err != nil {
 		n.log.Debug("roster not written", "key", w.Key, "err", err)
+		if errors.Is(err, kvstore.ErrTooLarge) {
+			n.mu.Lock()
+			defer n.mu.Unlock()
+			n.roster.HalveValueSize()
+			return
+		}
 		if errors.Is(err, kvstore.ErrRefused) {
 			return
 		}
--- a/internal/controller/save.go
+++ b/internal/controller/save.go
@@ -22,6 +22,9 @@
 	return jobstate.PageSizes{Present: int(s.PresentValueKB() * 1024), Lowest: maxValueBytes(s)}
 }
 
+// pagesRetryDelay is the delay before the pages are read again that the state service did not answer.
+const pagesRetryDelay = 300 * time.Millisecond
+
 // readPages reads a team's pages and returns the finished tasks of its active jobs.
 func (n *Node) readPages(shard *shards.Owned, entries []protocol.Entry) map[string]*bitset.BitSet {
 	team, _ := shards.TeamOf(shard.Name())
@@ -60,7 +63,10 @@
 	control := protocol.Condition{Key: recordKey, Version: n.leadership.RecordVersion()}
 	n.group.Go(func() error {
 		for _, p := range pages {
-			n.savePage(shard, p, control)
+			if err := n.savePage(shard, p, control); errors.Is(err, kvstore.ErrTooLarge) {
+				n.shrinkPages(shard)
+				break
+			}
 		}
 		n.mu.Lock()
 		defer n.mu.Unlock()
@@ -70,17 +76,17 @@
 }
 
 // savePage writes one page, provided that the membership record is still the one known here.
-func (n *Node) savePage(shard *shards.Owned, p jobstate.Page, control protocol.Condition) {
+func (n *Node) savePage(shard *shards.Owned, p jobstate.Page, control protocol.Condition) error {
 	key := shard.Pages().Key(p.Number)
 	revision, err := n.kvStore.Commit(n.ctx, kvstore.Update{Deferrable: true,
 		Conditions: []protocol.Condition{control, {Key: key, Version: p.Version}},
 		Changes:    []protocol.Op{{Set: key, Value: protocol.Encode(p.Parts)}}})
 	if err != nil {
 		n.log.Debug("finished tasks not written yet", "key", key, "err", err)
-		if !errors.Is(err, kvstore.ErrRefused) { // the outcome is unknown, or the page had another version
+		if !errors.Is(err, kvstore.ErrRefused) && !errors.Is(err, kvstore.ErrTooLarge) { // the outcome is unknown, or the page had another version
 			n.readPageVersion(shard, p.Number)
 		}
-		return
+		return err
 	}
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -88,6 +94,28 @@
 	for uid := range p.Done {
 		n.reconcileMachinesOf(shard, uid)
 	}
+	return nil
+}
+
+// shrinkPages makes a shard's pages smaller after one was refused as too large, and reads them again, so that they are
+// split.
+func (n *Node) shrinkPages(shard *shards.Owned) {
+	n.mu.Lock()
+	shrunk := shard.Pages().Shrink()
+	n.mu.Unlock()
+	for shrunk {
+		entries, _, err := n.kvStore.List(n.ctx, shards.PagesPrefix(shard.Name()))
+		if err == nil {
+			n.mu.Lock()
+			defer n.mu.Unlock()
+			n.readPages(shard, entries)
+			shard.Pages().MarkRead()
+			return
+		}
+		if !sleep(n.ctx, pagesRetryDelay) {
+			return
+		}
+	}
 }
 
 // readPageVersion reads the version of a page in the state service.
--- a/internal/jobstate/pageset.go
+++ b/internal/jobstate/pageset.go
@@ -61,6 +61,15 @@
 	Lowest  int // of the pages to be written
 }
 
+// minPageBytes is the lowest limit on pages; fine parts fit into such a page.
+const minPageBytes = 1 << 10
+
+// Halved returns the sizes after the state service refused a page as too large. ok is false if pages can't be smaller.
+func (s PageSizes) Halved() (halved PageSizes, ok bool) {
+	halved = PageSizes{Present: s.Present, Lowest: max(minPageBytes, s.Lowest/2)}
+	return halved, halved.Lowest < s.Lowest
+}
+
 // NewPageSet returns a set without pages.
 func NewPageSet(sizes PageSizes) *PageSet {
 	// A coarse part's bitmap has up to half a page in binary, which is two thirds of a page in base64.
--- a/internal/leadership/members.go
+++ b/internal/leadership/members.go
@@ -26,6 +26,7 @@
 	if r.matchesPresences(shards, live) {
 		return nil, nil
 	}
+	live = r.firstChanges(live)
 	next := r.Clone()
 	left := next.removeAbsent(r, live)
 	retained := maps.Clone(next.Nodes) // members whose process, and so its memory, is unchanged
@@ -48,6 +49,37 @@
 	return next, append(left, joined...)
 }
 
+// maxMemberChanges is how many members a change adds or removes at most. Each needs a condition, and a transaction may have
+// as few as 16 conditions: four per operation.
+const maxMemberChanges = 12
+
+// firstChanges returns the presences with those controllers as in the record that differ from it beyond the first
+// maxMemberChanges. They are left to later changes.
+func (r *Record) firstChanges(live map[string]Presence) map[string]Presence {
+	names := map[string]bool{}
+	for name := range live {
+		names[name] = true
+	}
+	for name := range r.Nodes {
+		names[name] = true
+	}
+	limited, changes := maps.Clone(live), 0
+	for _, name := range slices.Sorted(maps.Keys(names)) {
+		incarnation, member := r.Nodes[name]
+		presence, present := live[name]
+		if member == present && incarnation == presence.Incarnation {
+			continue
+		}
+		if changes++; changes <= maxMemberChanges {
+			continue
+		}
+		if delete(limited, name); member {
+			limited[name] = Presence{Incarnation: incarnation}
+		}
+	}
+	return limited
+}
+
 // matchesPresences reports whether the members are exactly the controllers that are present, and each shard is owned by
 // one of them. Controllers call ReconcileMembers many times a second; without this check, each call would rank all
 // shards.
--- a/internal/shards/owned.go
+++ b/internal/shards/owned.go
@@ -74,7 +74,7 @@
 			timeoutsStart: o.TakenAt,
 			states:        map[string]*replicaState{},
 		},
-		pages: &Pages{shard: o.Name, team: o.Team, set: jobstate.NewPageSet(o.PageSizes)},
+		pages: &Pages{shard: o.Name, team: o.Team, sizes: o.PageSizes, set: jobstate.NewPageSet(o.PageSizes)},
 	}
 }
 
--- a/internal/shards/pages.go
+++ b/internal/shards/pages.go
@@ -21,6 +21,7 @@
 type Pages struct {
 	shard  string
 	team   *jobstate.Team
+	sizes  jobstate.PageSizes
 	set    *jobstate.PageSet
 	read   bool // set matches the state service
 	saving bool
@@ -92,5 +93,15 @@
 	}
 }
 
+// Shrink halves the size of pages after the state service refused one as too large. The pages must be read again then;
+// until they are, none is written. It returns false if pages can't be smaller.
+func (p *Pages) Shrink() bool {
+	sizes, ok := p.sizes.Halved()
+	if ok {
+		p.sizes, p.set, p.read = sizes, jobstate.NewPageSet(sizes), false
+	}
+	return ok
+}
+
 // EndSaving records that no page is being written any more.
 func (p *Pages) EndSaving() { p.saving = false }
