--- a/internal/controller/recovery_writeback.go
+++ b/internal/controller/recovery_writeback.go
@@ -11,6 +11,7 @@
 	"github.com/bits-and-blooms/bitset"
 
 	"topazhollow/internal/datarecovery"
+	"topazhollow/internal/jobstate"
 	"topazhollow/internal/kvstore"
 	"topazhollow/internal/protocol"
 	"topazhollow/internal/userapi"
@@ -232,6 +233,6 @@
 	if err := json.Unmarshal(value, &finished); err != nil {
 		return err
 	}
-	n.mergeFinishedTasks(finished)
+	n.mergeFinishedTasks(jobstate.JoinFinished(finished))
 	return nil
 }
--- a/internal/leadership/golden_test.go
+++ b/internal/leadership/golden_test.go
@@ -20,10 +20,13 @@
 		Unreachable: []string{"estacion-1"}, Epoch: 2, FirstTerm: 30, StoreID: "DRAWN", PreviousVersion: 411, RosterIncomplete: true, DataLost: true}
 }
 
+// goldenTeams is the number of teams that the packed golden record has beside the usual one.
+const goldenTeams = 64
+
 // packedRecord returns a record with enough shards to be written in the packed form.
 func packedRecord() Record {
 	r := fullRecord()
-	for i := range packedFrom {
+	for i := range goldenTeams {
 		shard := Shard{Owner: "estacion-1", SinceTerm: 41 - uint64(i%3), InSync: []string{"estacion-2"}, NeedsBarrier: i%5 == 0}
 		if i%4 == 0 {
 			shard.InSync = []string{}
--- a/internal/leadership/memberlimit_test.go
+++ b/internal/leadership/memberlimit_test.go
@@ -48,7 +48,7 @@
 	for _, c := range []struct {
 		controllers, teams int
 		fits               bool // into 2 KB
-	}{{3, 8, true}, {3, 12, true}, {3, 950, false}, {46, 950, false}} {
+	}{{3, 8, true}, {3, 12, true}, {3, 55, true}, {3, 950, false}, {46, 950, false}} {
 		record := (&Record{Term: 1}).Clone()
 		shards := []string{FleetShard}
 		for i := range c.teams {
--- a/internal/leadership/packed.go
+++ b/internal/leadership/packed.go
@@ -9,12 +9,13 @@
 
 // The membership record is one value in the state service, which limits the size of a value. With many shards the plain
 // form, which repeats the members' names and the term for each shard, exceeds the limit: 950 shards and three members
-// need 106 KB, and the limit is 64 KB. Records with packedFrom shards or more are therefore written in a packed form,
-// which refers to members by index. Both forms can be read. Controllers of versions that know only the plain form
-// cannot read the packed one, so a deployment may grow past packedFrom shards only once all of its controllers can.
+// need 106 KB. The limit may be as low as 2 KB, which the plain form exceeds with about 20 shards and the packed one with
+// about 60. Records with packedFrom shards or more are therefore written in a packed form, which refers to members by
+// index. Both forms can be read. Controllers of versions that know only the plain form cannot read the packed one, so a
+// deployment may have packedFrom shards only once all of its controllers can.
 
 // packedFrom is the number of shards from which the packed form is written.
-const packedFrom = 64
+const packedFrom = 12
 
 // plainRecord has the record's fields but none of its methods, so that encoding it does not recurse.
 type plainRecord Record
--- a/internal/snapshot/restore.go
+++ b/internal/snapshot/restore.go
@@ -236,14 +236,19 @@
 	return next
 }
 
-// donePages splits finished tasks into pages of at most maxBytes bytes each; a larger job gets a page of its own.
+// emptyPageBytes is the size of a page without finished tasks, in bytes.
+const emptyPageBytes = 2
+
+// donePages splits finished tasks into pages of at most maxBytes bytes each; a larger job is split into fine parts,
+// which controllers of earlier versions ignore.
 func donePages(done map[string]*bitset.BitSet, maxBytes int) (pages []map[string]*bitset.BitSet) {
+	done = splitLarge(done, maxBytes)
 	size := maxBytes + 1 // begins the first page
 	for _, uid := range slices.Sorted(maps.Keys(done)) {
 		n := len(protocol.Encode(map[string]*bitset.BitSet{uid: done[uid]}))
 		if size+n > maxBytes {
 			pages = append(pages, map[string]*bitset.BitSet{})
-			size = 2
+			size = emptyPageBytes
 		}
 		pages[len(pages)-1][uid] = done[uid]
 		size += n
@@ -251,10 +256,24 @@
 	return pages
 }
 
+// splitLarge returns the finished tasks with each job that exceeds a page of maxBytes bytes split into fine parts.
+func splitLarge(done map[string]*bitset.BitSet, maxBytes int) map[string]*bitset.BitSet {
+	split := map[string]*bitset.BitSet{}
+	for uid, tasks := range done {
+		if len(protocol.Encode(map[string]*bitset.BitSet{uid: tasks}))+emptyPageBytes > maxBytes {
+			maps.Copy(split, jobstate.SplitFinished(uid, tasks))
+		} else {
+			split[uid] = tasks
+		}
+	}
+	return split
+}
+
 // Apply writes a plan to the service: teams, then ends, so that no ended job runs again,
 // then finished tasks, then jobs. Every update is conditional on the key of the epoch, and
 // the update that adds a job also on the service lacking that job, so that newer data is
-// not overwritten. Apply can be repeated and calls progress, if not nil, after each update.
+// not overwritten. Values that exceed the limit of the service are left out and named in the
+// error that Apply returns at the end. Apply can be repeated and calls progress, if not nil, after each update.
 func (r *Restorer) Apply(ctx context.Context, p *Plan, progress func(done, all int)) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -265,16 +284,19 @@
 	}()
 	defer func() { cancel(); <-stopped }()
 	r.client.SetFence(p.fence)
-	count := 0
+	count, tooLarge := 0, []error(nil)
 	for _, u := range p.updates(r.maxValueBytes()) {
-		if err := r.put(ctx, u); err != nil {
+		switch err := r.put(ctx, u); {
+		case errors.Is(err, kvstore.ErrTooLarge): // the others are restored all the same
+			tooLarge = append(tooLarge, fmt.Errorf("snapshot: not restored: %w", err))
+		case err != nil:
 			return err
 		}
 		if count++; progress != nil {
 			progress(count, p.Changes)
 		}
 	}
-	return nil
+	return errors.Join(tooLarge...)
 }
 
 // updates returns the updates of a plan in the order in which Apply makes them.
