--- a/internal/controller/limits_test.go
+++ b/internal/controller/limits_test.go
@@ -5,12 +5,14 @@
 	"errors"
 	"fmt"
 	"testing"
+	"time"
 
 	"github.com/bits-and-blooms/bitset"
 
 	"topazhollow/internal/agents"
 	"topazhollow/internal/kvstore"
 	"topazhollow/internal/protocol"
+	"topazhollow/internal/settings"
 	"topazhollow/internal/shards"
 	"topazhollow/internal/simulation"
 )
@@ -145,3 +147,46 @@
 	}
 	return errs
 }
+
+// TestJobsCompleteAfterLimitsFell: while jobs run, the limits of the state service fall from 16 KB and 16 operations to
+// 2 KB and 8 without notice, and the rates by more than half. All jobs complete, also after every controller restarted.
+func TestJobsCompleteAfterLimitsFell(t *testing.T) {
+	r := newTestCluster(t, 300*time.Millisecond)
+	var jobs []*protocol.Submission
+	submit := func(tasks int) {
+		i := len(jobs)
+		jobs = append(jobs, arrayJob(i, tasks, []string{"red", "blue"}[i%2]))
+		r.submit(jobs[i])
+	}
+	for range 4 {
+		submit(20)
+	}
+	r.state.SetLimits(8, 2)
+	r.state.LimitRates(150, 60)
+	for range 4 {
+		submit(10)
+	}
+	r.awaitAllDone(jobs)
+	for i := range r.nodes {
+		r.crash(i)
+		r.start(i)
+	}
+	submit(10)
+	r.awaitAllDone(jobs)
+}
+
+// TestJobsCompleteUnderLowLimits: jobs complete with 2 KB values, 8 operations a transaction and few changes from the
+// start.
+func TestJobsCompleteUnderLowLimits(t *testing.T) {
+	r := newTestClusterWith(t, 300*time.Millisecond, settings.Agents{HeartbeatSeconds: 0.2, LeaseSeconds: 20, GangWaitSeconds: 10, GangPeerSeconds: 4, CancelSeconds: 60},
+		func(r *testCluster) {
+			r.stateLimits = settings.KVStore{RequestsPerSecond: 300, ChangesPerSecond: 60, ValueKB: 2, ChangesPerTransaction: 8}
+		})
+	r.state.LimitRates(300, 60)
+	var jobs []*protocol.Submission
+	for i := range 8 {
+		jobs = append(jobs, arrayJob(i, 12, []string{"red", "blue"}[i%2]))
+		r.submit(jobs[i])
+	}
+	r.awaitAllDone(jobs)
+}
--- a/internal/controller/node_test.go
+++ b/internal/controller/node_test.go
@@ -33,6 +33,7 @@
 
 	copyWait    float64 // options of the controllers that are started after they are set
 	configBound float64
+	stateLimits settings.KVStore // of the state service, as the controllers know them
 }
 
 // process is a controller that runs in the test's process.
@@ -54,12 +55,13 @@
 // newTestClusterRunning starts a cluster in which each task has a run time of its own.
 func newTestClusterRunning(t *testing.T, run func(task string) time.Duration, timeouts settings.Agents, prepare ...func(*testCluster)) *testCluster {
 	r := &testCluster{t: t, peerPaths: simulation.Paths{}, rng: rand.New(rand.NewPCG(1, 2)), httpc: &http.Client{Timeout: 4 * time.Second}}
+	r.stateLimits = settings.KVStore{RequestsPerSecond: 400, ChangesPerSecond: 200, ValueKB: 16, ChangesPerTransaction: 16}
 	r.checker = simulation.NewChecker(map[string]float64{"red": 24, "blue": 16})
 	for _, p := range prepare {
 		p(r)
 	}
 	var err error
-	if r.state, err = simulation.NewKVStore(16, 16); err != nil {
+	if r.state, err = simulation.NewKVStore(r.stateLimits.ChangesPerTransaction, int(r.stateLimits.ValueKB)); err != nil {
 		t.Fatal(err)
 	}
 	names := []string{"node-a", "node-b", "node-c"}
@@ -91,7 +93,7 @@
 			Deployment: settings.Deployment{Size: 3, Zones: []string{"east", "west"},
 				Teams:   []settings.Team{{Name: "red", CPUs: 16, CPUsMax: 24}, {Name: "blue", CPUs: 8, CPUsMax: 16}},
 				Agents:  timeouts,
-				KVStore: settings.KVStore{RequestsPerSecond: 400, ChangesPerSecond: 200, ValueKB: 16, ChangesPerTransaction: 16},
+				KVStore: r.stateLimits,
 				Cloud:   settings.Cloud{RequestsPerSecond: 20, ListLagSeconds: 0.2}, Limits: settings.Limits{Cores: 1, MemoryMB: 256, MaxSockets: 512}}}
 		for k, p := range names {
 			if p != n {
