--- a/internal/jobstate/golden_test.go
+++ b/internal/jobstate/golden_test.go
@@ -58,6 +58,27 @@
 	}
 }
 
+// TestGoldenFineParts compares a page of a job that is written in fine parts with the golden file.
+func TestGoldenFineParts(t *testing.T) {
+	const tasks = 40000
+	done := bitset.New(0).Set(0).Set(4095).Set(4096).Set(39999)
+	sizes := PageSizes{Present: 8 << 10, Lowest: 2 << 10}
+	jobs := []*Job{{Spec: &protocol.Submission{UID: "job-000398"}}}
+	pages := NewPageSet(sizes).Plan(jobs, func(string) (int, *bitset.BitSet) { return tasks, done })
+	if len(pages) != 1 {
+		t.Fatalf("%d pages, want 1", len(pages))
+	}
+	value := goldentest.Bytes(t, "page-fine.json", protocol.Encode(pages[0].Parts))
+	var parts map[string]string
+	if err := json.Unmarshal(value, &parts); err != nil {
+		t.Fatal(err)
+	}
+	read := map[string]*bitset.BitSet{}
+	if err := ReadParts(parts, func(string) int { return tasks }, read); err != nil || !read["job-000398"].SymmetricDifference(done).None() {
+		t.Errorf("read %v, error %v", read["job-000398"], err)
+	}
+}
+
 // TestGoldenAttempt guards the format of attempt numbers, from which controllers of other versions also derive the
 // term.
 func TestGoldenAttempt(t *testing.T) {
