--- a/internal/agents/roster.go
+++ b/internal/agents/roster.go
@@ -30,6 +30,8 @@
 	Key     string
 	Version uint64
 	Names   []string
+
+	AddsCopies bool // it adds names that are on another list, to be left out there later
 }
 
 // Value returns the value to be written.
@@ -64,6 +66,15 @@
 	return &Roster{maxValueSize: maxValueSize, lists: map[string]*list{}, listCount: map[string]int{}}
 }
 
+// minValueSize is the lowest limit on values that a list is split for, in bytes.
+const minValueSize = 1 << 10
+
+// HalveValueSize lowers the limit on values after the state service refused a list as too large, so that later writes
+// split it.
+func (r *Roster) HalveValueSize() {
+	r.maxValueSize = max(min(minValueSize, r.maxValueSize), r.maxValueSize/2)
+}
+
 // Has reports whether a machine is registered.
 func (r *Roster) Has(machine string) bool { return r.listCount[machine] > 0 }
 
@@ -159,22 +170,3 @@
 		}
 	}
 }
-
-// PlanDeregistration returns the writes that remove machines from the roster.
-func (r *Roster) PlanDeregistration(gone map[string]bool) []RosterWrite {
-	var writes []RosterWrite
-	for _, key := range slices.Sorted(maps.Keys(r.lists)) {
-		l := r.lists[key]
-		left := make([]string, 0, len(l.names))
-		for name := range l.names {
-			if !gone[name] {
-				left = append(left, name)
-			}
-		}
-		if len(left) < len(l.names) {
-			slices.Sort(left)
-			writes = append(writes, RosterWrite{Key: key, Version: l.version, Names: left})
-		}
-	}
-	return writes
-}
