--- a/internal/controller/node_test.go
+++ b/internal/controller/node_test.go
@@ -16,6 +16,7 @@
 	"topazhollow/internal/protocol"
 	"topazhollow/internal/settings"
 	"topazhollow/internal/simulation"
+	"topazhollow/internal/userapi"
 )
 
 // testCluster is three controllers in one process, with simulations of the state service, the cloud and the agents.
@@ -62,6 +63,7 @@
 	if r.state, err = simulation.NewKVStore(16, 16); err != nil {
 		t.Fatal(err)
 	}
+	r.checker.FollowEnds(r.state, userapi.EndedJobPrefix)
 	names := []string{"node-a", "node-b", "node-c"}
 	listen, peers := map[string]string{}, map[string]string{}
 	host := simulation.NewHost()
--- a/internal/faultinjection/combinedfaults.go
+++ b/internal/faultinjection/combinedfaults.go
@@ -24,6 +24,10 @@
 	Faults  []string      `json:"met"`
 	Broken  string        `json:"broken,omitempty"`
 	Settled time.Duration `json:"settled_ns"` // from the end of the faults until all accepted jobs had ended
+
+	Pipelines          int      `json:"pipelines"`              // groups of jobs that need one another
+	CancelledPipelines int      `json:"cancelled_pipelines"`    // of these, the ones of which a job was cancelled
+	BrokenRules        []string `json:"broken_rules,omitempty"` // names of the checker's rules that were violated
 }
 
 // combinedFaultRegion returns a small region with short timeouts, so that a trial takes about half a minute.
@@ -52,8 +56,9 @@
 		if t.Broken, err = g.runTrial(ctx, func() error { return g.runCombined(ctx, t) }); err != nil {
 			return "", err
 		}
+		t.BrokenRules = g.checker.BrokenRuleNames()
 		verdict, err := trialVerdict(dir, t.Broken)
-		return fmt.Sprintf("seed %d: %s: settled after %s, %s", t.Seed, strings.Join(t.Faults, " + "), t.Settled.Round(100*time.Millisecond), verdict), err
+		return t.summary(verdict), err
 	})
 	if err != nil {
 		return nil, err
@@ -61,6 +66,16 @@
 	return trials, nil
 }
 
+// summary returns a line about the trial.
+func (t *CombinedTrial) summary(verdict string) string {
+	rules := ""
+	if len(t.BrokenRules) > 0 {
+		rules = " [" + strings.Join(t.BrokenRules, ", ") + "]"
+	}
+	return fmt.Sprintf("seed %d: %s: %d pipelines, %d with a cancelled job: settled after %s, %s%s", t.Seed, strings.Join(t.Faults, " + "),
+		t.Pipelines, t.CancelledPipelines, t.Settled.Round(100*time.Millisecond), verdict, rules)
+}
+
 // firstLongJob is the lowest number of a job whose tasks run until they are stopped.
 const firstLongJob = 500
 
@@ -96,13 +111,14 @@
 		return err
 	}
 	t.Settled = time.Since(began)
+	t.Pipelines, t.CancelledPipelines = len(f.pipelines), f.countCancelledPipelines()
 	if err := g.await(ctx, "no task is left on a machine", func() bool { return g.checker.CountRunning() == 0 }); err != nil {
 		return err
 	}
 	if found := history.Check(f.users.Log().Calls()); len(found) > 0 {
 		return fmt.Errorf("%d answers contradict earlier ones, for example %v", len(found), found[0])
 	}
-	return nil
+	return f.checkPipelineEnds()
 }
 
 // combinedFaults is a trial while it runs.
@@ -111,6 +127,7 @@
 	users       *simulation.Users
 	seed        uint64
 	short, long []*protocol.Submission // jobs that end by themselves, and jobs that are cancelled
+	pipelines   []*pipelineUser
 }
 
 // userTimeout bounds how long a user repeats a request.
@@ -157,6 +174,7 @@
 			return x.play(during, f.region, own, one, duration)
 		})
 	}
+	f.startPipelines(during, group)
 	for i, job := range f.long {
 		after := time.Duration(draw.IntN(8000)) * time.Millisecond
 		group.Go(func() error {
@@ -186,7 +204,11 @@
 	if err := f.submitUntilAccepted(ctx, late); err != nil {
 		return err
 	}
-	for i, job := range append(append(f.short, late), f.long...) {
+	jobs := append(append(f.short, late), f.long...)
+	for _, user := range f.pipelines {
+		jobs = append(jobs, user.pipeline.Jobs...)
+	}
+	for i, job := range jobs {
 		rng := f.userRand(uint64(20 + i))
 		if err := f.withUserTimeout(ctx, job.UID+" ends", func(ctx context.Context) bool { return f.users.AwaitEnd(ctx, rng, job.UID) }); err != nil {
 			return err
--- a/internal/faultinjection/region.go
+++ b/internal/faultinjection/region.go
@@ -16,6 +16,7 @@
 	"topazhollow/internal/protocol"
 	"topazhollow/internal/settings"
 	"topazhollow/internal/simulation"
+	"topazhollow/internal/userapi"
 	"topazhollow/internal/wait"
 )
 
@@ -86,6 +87,7 @@
 			return err
 		}
 	}
+	g.checker.FollowEnds(g.store, userapi.EndedJobPrefix)
 	listen, peers, err := g.drawAddresses()
 	if err != nil {
 		return err
--- a/internal/history/history.go
+++ b/internal/history/history.go
@@ -28,6 +28,8 @@
 	Returned uint64            // position at which its answer arrived; 0: no answer
 	Status   int               // HTTP status
 	State    protocol.JobState // the job's state in the answer
+
+	Dependencies []string // jobs that the submission names
 }
 
 // Log records calls in the order in which they are sent and answered. It is safe for concurrent use.
@@ -37,12 +39,13 @@
 	calls    []Call
 }
 
-// Invoke records that a request is about to be sent. It returns the index to pass to Return.
-func (l *Log) Invoke(node int, kind Kind, job string) (index int) {
+// Invoke records that a request is about to be sent, for a submission with the jobs that it names. It returns the index
+// to pass to Return.
+func (l *Log) Invoke(node int, kind Kind, job string, dependencies ...string) (index int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.position++
-	l.calls = append(l.calls, Call{Node: node, Kind: kind, Job: job, Invoked: l.position})
+	l.calls = append(l.calls, Call{Node: node, Kind: kind, Job: job, Invoked: l.position, Dependencies: dependencies})
 	return len(l.calls) - 1
 }
 
--- a/internal/simulation/kvstore.go
+++ b/internal/simulation/kvstore.go
@@ -38,6 +38,7 @@
 	writeLimiter   *rate.Limiter  // of the operations in transactions; nil: unlimited
 	rateLimited    int            // requests and transactions refused with 429
 	applied        []protocol.Txn // transactions with at least one operation, in order
+	observers      []func(key string, value json.RawMessage)
 }
 
 type entry struct {
@@ -330,6 +331,14 @@
 	return slices.Clone(s.applied)
 }
 
+// ObserveSets calls a function for each key that a transaction sets from now on, before the transaction is answered. The
+// function must not call the store.
+func (s *KVStore) ObserveSets(observe func(key string, value json.RawMessage)) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.observers = append(s.observers, observe)
+}
+
 // RepeatTransaction applies a transaction once more, like a duplicate that the network delivers late, and reports
 // whether it changed anything.
 func (s *KVStore) RepeatTransaction(t protocol.Txn) bool {
@@ -376,6 +385,9 @@
 		}
 		s.keys[o.Set] = entry{o.Value, s.revision, o.Lease}
 		s.log = append(s.log, event{key: o.Set, value: o.Value, version: s.revision})
+		for _, observe := range s.observers {
+			observe(o.Set, o.Value)
+		}
 	}
 	s.changed.Broadcast()
 	return 200, protocol.TxnResult{Revision: s.revision}
--- a/internal/simulation/users.go
+++ b/internal/simulation/users.go
@@ -41,7 +41,7 @@
 // Submit sends a submission to a controller. The same submission may be sent several times.
 func (u *Users) Submit(node int, spec *protocol.Submission) (status int, state protocol.JobState) {
 	u.checker.RecordSubmission(spec)
-	return u.call(node, history.Submit, spec.UID, "POST", protocol.PathSubmit, protocol.Encode(spec))
+	return u.call(node, history.Submit, spec.UID, "POST", protocol.PathSubmit, protocol.Encode(spec), spec.Dependencies...)
 }
 
 // Ask requests a job's state.
@@ -55,14 +55,14 @@
 	return u.call(node, history.Cancel, uid, "POST", protocol.PathSubmit+"/"+uid+"/withdraw", []byte("{}"))
 }
 
-// call sends one request and records its answer; status 0: no answer.
-func (u *Users) call(node int, kind history.Kind, uid, method, path string, body []byte) (status int, state protocol.JobState) {
+// call sends one request and records its answer; status 0: no answer. A submission comes with the jobs that it names.
+func (u *Users) call(node int, kind history.Kind, uid, method, path string, body []byte, dependencies ...string) (status int, state protocol.JobState) {
 	req, err := http.NewRequest(method, "http://"+u.controllers[node]+path, bytes.NewReader(body))
 	if err != nil {
 		panic("simulation: invalid request: " + err.Error())
 	}
 	before := u.checker.KnownSoFar(uid)
-	index := u.log.Invoke(node, kind, uid)
+	index := u.log.Invoke(node, kind, uid, dependencies...)
 	resp, err := u.client.Do(req)
 	if err != nil {
 		return 0, ""
