--- a/internal/controller/faultscenario_test.go
+++ b/internal/controller/faultscenario_test.go
@@ -122,7 +122,8 @@
 }
 
 // awaitJobEnds waits until every controller reports the end of each job, and then that no task is left or started.
-// Endless jobs are cancelled; a job whose cancellation was requested may also be done.
+// Endless jobs are cancelled; a job whose cancellation was requested may also be done, and one that needs such a job may be
+// cancelled with it.
 func (s *faultScenario) awaitJobEnds() {
 	s.t.Helper()
 	for _, job := range s.accepted {
@@ -132,7 +133,7 @@
 		for node := range s.nodeSettings {
 			s.waitUntil(fmt.Sprintf("%s has ended at %s", job.UID, s.names[node]), func() bool {
 				status, state := s.users.Ask(node, job.UID)
-				return status == 200 && (state == protocol.Done || state == protocol.Cancelled && s.cancelled[job.UID])
+				return status == 200 && (state == protocol.Done || state == protocol.Cancelled && (s.cancelled[job.UID] || s.cancelledWithAnother(job)))
 			})
 		}
 	}
@@ -156,6 +157,7 @@
 	for _, broken := range s.checker.BrokenRules() {
 		s.t.Error(broken)
 	}
+	s.checkDependentEnds()
 }
 
 // owner returns the number of the controller that owns a shard according to any controller's record; -1: none.
