--- a/internal/controller/faults_dependencies_node_test.go
+++ b/internal/controller/faults_dependencies_node_test.go
@@ -148,6 +148,13 @@
 	expect("after the last was cancelled", "standard", time.Time{})
 	g.end(second, protocol.Cancelled)
 	expect("after all behind it were cancelled", "low", time.Time{})
+	other, both := dependentSpec("job-000004", "team-1"), dependentSpec("job-000005", "team-1", "job-000001", "job-000004")
+	both.Priority = "prod"
+	g.learn(other)
+	g.learn(both)
+	expect("with one that needs another job too", "prod", time.Time{})
+	g.end(other, protocol.Cancelled)
+	expect("after that one was cancelled with the other job, before its end is written", "low", time.Time{})
 }
 
 // TestOutdatedControllerDefersDependencies: while the presence key of any controller shows that its program ignores
