--- a/internal/controller/faults_dependencies_owners_test.go
+++ b/internal/controller/faults_dependencies_owners_test.go
@@ -74,7 +74,7 @@
 }
 
 // TestRestartWithRunningDependents: all controllers end and restart while tasks of a job run whose dependency is done.
-// The state service delivers no ends at first. The tasks continue, none is stopped or repeated, and none of the tasks of
+// The state service answers slowly at first. The tasks continue, none is stopped or repeated, and none of the tasks of
 // the job behind it starts.
 func TestRestartWithRunningDependents(t *testing.T) {
 	t.Parallel()
