--- a/internal/controller/pipelineview_test.go
+++ b/internal/controller/pipelineview_test.go
@@ -40,13 +40,13 @@
 	return &protocol.Submission{UID: uid, Team: team, Class: "batch", Kind: protocol.JobArray, Priority: "low", Tasks: 1, CPUs: 1, MemoryGB: 1, Image: "img-1", EstimateSeconds: 40, Dependencies: needs}
 }
 
-// learn makes a controller know an accepted job.
-func (g *nodeHarness) learn(spec *protocol.Submission) {
+// learnLocked makes a controller know an accepted job. The caller holds its lock.
+func (g *nodeHarness) learnLocked(spec *protocol.Submission) {
 	g.n.learnJob(userapi.ActiveJob{Spec: spec, SubmittedAtMillis: g.now.UnixMilli()}, 1)
 }
 
-// end makes a controller know the end of a job.
-func (g *nodeHarness) end(uid string, state protocol.JobState) {
+// endLocked makes a controller know the end of a job. The caller holds its lock.
+func (g *nodeHarness) endLocked(uid string, state protocol.JobState) {
 	g.n.userAPI.RecordEnd(uid, userapi.JobEnd{State: state, Tasks: 1, Team: "team-0"})
 	g.n.endJob(uid)
 	g.n.followDependencies(g.now)
@@ -90,7 +90,7 @@
 	urgent.Priority, urgent.DeadlineSeconds = "high", &deadline
 	for _, spec := range []*protocol.Submission{pipelineSubmission("job-a", "team-0"), pipelineSubmission("job-e", "team-0"), pipelineSubmission("job-b", "team-0", "job-a"), urgent,
 		pipelineSubmission("job-d", "team-1", "job-b", "job-e")} {
-		g.learn(spec)
+		g.learnLocked(spec)
 	}
 	g.n.followDependencies(g.now)
 	return g
@@ -133,13 +133,13 @@
 func TestPipelineViewEnds(t *testing.T) {
 	g := newPipelineHarness()
 	defer g.n.mu.Unlock()
-	g.end("job-a", protocol.Done)
+	g.endLocked("job-a", protocol.Done)
 	_, jobs := g.view(t, "job-b")
 	want := map[string]PipelineState{"job-a": PipelineDone, "job-b": PipelineReady, "job-c": PipelineWaiting, "job-d": PipelineWaiting}
 	if got := states(jobs); !maps.Equal(got, want) || jobs["job-a"].Done != 1 || len(jobs["job-b"].WaitsFor) != 0 {
 		t.Errorf("states %v, want %v: %+v", got, want, jobs)
 	}
-	g.end("job-e", protocol.Cancelled)
+	g.endLocked("job-e", protocol.Cancelled)
 	_, jobs = g.view(t, "job-d")
 	want = map[string]PipelineState{"job-a": PipelineDone, "job-b": PipelineReady, "job-d": PipelineCancelled, "job-e": PipelineCancelled}
 	if got := states(jobs); !maps.Equal(got, want) || jobs["job-d"].ExpectedEnd != nil {
@@ -148,7 +148,7 @@
 	if o := g.overviewWaiting(); !maps.Equal(o, map[string]int{"team-1": 1}) {
 		t.Errorf("waiting jobs by team: %v", o)
 	}
-	g.end("job-b", protocol.Done)
+	g.endLocked("job-b", protocol.Done)
 	if o := g.overviewWaiting(); o != nil {
 		t.Errorf("waiting jobs by team: %v", o)
 	}
@@ -189,14 +189,14 @@
 	var first []string
 	for i := range maxPipelineJobs - 1 {
 		first = append(first, fmt.Sprintf("job-%d", i))
-		g.learn(pipelineSubmission(first[i], "team-0"))
+		g.learnLocked(pipelineSubmission(first[i], "team-0"))
 	}
-	g.learn(pipelineSubmission("job-last", "team-0", first...))
+	g.learnLocked(pipelineSubmission("job-last", "team-0", first...))
 	if view, _ := g.view(t, "job-last"); len(view.Jobs) != maxPipelineJobs || view.Cut {
 		t.Errorf("%d jobs, cut %v; want %d, not cut", len(view.Jobs), view.Cut, maxPipelineJobs)
 	}
 	for i := range 20 {
-		g.learn(pipelineSubmission(fmt.Sprintf("job-wide-%d", i), "team-0", first...))
+		g.learnLocked(pipelineSubmission(fmt.Sprintf("job-wide-%d", i), "team-0", first...))
 	}
 	for _, uid := range []string{"job-last", "job-0"} { // the second one has others with many edges behind it
 		view, _ := g.view(t, uid)
@@ -208,7 +208,7 @@
 			t.Errorf("%s: %d jobs with %d edges, cut %v", uid, len(view.Jobs), edges, view.Cut)
 		}
 	}
-	g.learn(pipelineSubmission("job-behind", "team-0", "job-last"))
+	g.learnLocked(pipelineSubmission("job-behind", "team-0", "job-last"))
 	if view, _ := g.view(t, "job-last"); len(view.Jobs) != maxPipelineJobs || !view.Cut {
 		t.Errorf("%d jobs, cut %v; want %d, cut", len(view.Jobs), view.Cut, maxPipelineJobs)
 	}
