--- a/internal/dependencies/urgency.go
+++ b/internal/dependencies/urgency.go
@@ -68,13 +68,19 @@
 	return n.effective, true
 }
 
+// withDependent returns the urgency of a job that another one needs as well. A cancelled one makes nothing urgent.
+func (u Urgency) withDependent(d *node) Urgency {
+	if d.cancelled {
+		return u
+	}
+	return u.combined(d.required)
+}
+
 // derivedUrgency returns a job's urgency according to that of its dependents.
 func (n *node) derivedUrgency() Urgency {
 	u := n.own
 	for d := range n.dependents {
-		if !d.cancelled {
-			u = u.combined(d.required)
-		}
+		u = u.withDependent(d)
 	}
 	return u
 }
@@ -90,9 +96,7 @@
 		if u.equal(n.effective) {
 			return false
 		}
-		if !d.cancelled {
-			u = u.combined(d.required)
-		}
+		u = u.withDependent(d)
 	}
 	return !u.equal(n.effective)
 }
