--- a/internal/controller/dependencies.go
+++ b/internal/controller/dependencies.go
@@ -112,13 +112,19 @@
 	return settings.Seconds(min(fetch+spreadOfRunTimes*spec.EstimateSeconds, dependencies.MaxDuration.Seconds()))
 }
 
-// trackDependencies adds a job that became active to the graph, if it needs others or is needed.
+// trackDependencies adds a job that became active to the graph, if it needs others or is needed. When a job became ready
+// before it was known here, as before a restart, is not known: its times count from now, so that it does not seem late.
 func (n *Node) trackDependencies(j *job) {
-	if len(j.accepted.Spec.Dependencies) == 0 && !n.dependencies.graph.Tracks(j.spec.UID) {
+	needsOthers := len(j.accepted.Spec.Dependencies) > 0
+	if !needsOthers && !n.dependencies.graph.Tracks(j.spec.UID) {
 		return
 	}
+	now := time.Now()
+	if needsOthers && now.After(j.waitingSince) {
+		j.waitingSince = now
+	}
 	n.dependencies.graph.Track(n.dependencyJob(j))
-	n.applyDependencies(j, time.Now())
+	n.applyDependencies(j, now)
 }
 
 // followDependencies applies what has changed about jobs that need others or are needed, and looks up the ends that are
