--- a/internal/arch/shape.go
+++ b/internal/arch/shape.go
@@ -43,3 +43,25 @@
 	"internal/wait",
 	"internal/wal",
 }
+
+// SizeLimitedTypes lists the types that must keep within the limits above in packages that are not in SizeLimited: the
+// type, its methods, and the files that declare any of them. Their fields must not refer to the types in
+// ComposingTypes, so that they declare what they use of them. A type is not removed again.
+var SizeLimitedTypes = map[string][]string{
+	"internal/controller": {
+		"epochManager",
+		"factReplication",
+		"factReplicator",
+		"lossDetector",
+		"machineCensus",
+		"presenceKey",
+		"recoveryDriver",
+		"stateExchange",
+		"storeWriteBack",
+	},
+}
+
+// ComposingTypes lists the types that assemble a package's other types.
+var ComposingTypes = map[string][]string{
+	"internal/controller": {"Node"},
+}
--- a/internal/arch/shape_test.go
+++ b/internal/arch/shape_test.go
@@ -71,6 +71,125 @@
 	}
 }
 
+// TestTypesKeepSizeLimits checks that the types in SizeLimitedTypes exist and keep within the limits, and that their
+// fields refer to none of the ComposingTypes.
+func TestTypesKeepSizeLimits(t *testing.T) {
+	for listed, types := range SizeLimitedTypes {
+		files, parsed := parsePackage(t, listed)
+		for _, problem := range typeViolations(files, parsed, types, ComposingTypes[listed]) {
+			t.Errorf("%s: %s", path(listed), problem)
+		}
+	}
+}
+
+// TestTypeViolationsAreFound checks that typeViolations reports each kind of excess of a listed type, and nothing of
+// other types.
+func TestTypeViolationsAreFound(t *testing.T) {
+	var source strings.Builder
+	source.WriteString("package mixed\ntype (\nOther struct {\n")
+	for i := range MaxTypeFields + 1 {
+		fmt.Fprintf(&source, "field%d int\n", i)
+	}
+	source.WriteString("}\nLarge struct {\n")
+	for i := range MaxTypeFields {
+		fmt.Fprintf(&source, "field%d int\n", i)
+	}
+	source.WriteString("whole func(map[string]*Other)\n}\n)\n")
+	for i := range MaxTypeMethods + 1 {
+		fmt.Fprintf(&source, "func (l *Large) method%d() {}\nfunc (o *Other) method%d() {}\n", i, i)
+	}
+	source.WriteString("func (o *Other) long() {\n" + strings.Repeat("\n", MaxFileLines) + "}\n")
+	source.WriteString("func (l *Large) long() {\n" + strings.Repeat("\n", MaxFunctionLines) + "}\n")
+	files := token.NewFileSet()
+	file, err := parser.ParseFile(files, "mixed.go", source.String(), parser.SkipObjectResolution)
+	if err != nil {
+		t.Fatal(err)
+	}
+	got := typeViolations(files, []*ast.File{file}, []string{"Large", "Absent"}, []string{"Other"})
+	want := []string{
+		"type Large has a field that refers to Other",
+		"there is no type Absent",
+		"mixed.go has 690 lines",
+		"mixed.go: type Large has 26 fields",
+		"mixed.go: function long has 47 lines",
+		"type Large has 42 methods",
+	}
+	if !slices.Equal(got, want) {
+		t.Errorf("got %q, want %q", got, want)
+	}
+}
+
+// typeViolations lists what exceeds the size limits in the declarations of the given types, which of them do not exist,
+// and which have a field that refers to one of the composing types.
+func typeViolations(files *token.FileSet, parsed []*ast.File, types, composing []string) (problems []string) {
+	declared := declarationsOf(parsed, types)
+	found := structsOf(declared)
+	for _, name := range types {
+		if found[name] == nil {
+			problems = append(problems, "there is no type "+name)
+			continue
+		}
+		ast.Inspect(found[name], func(node ast.Node) bool {
+			if used, isName := node.(*ast.Ident); isName && slices.Contains(composing, used.Name) {
+				problems = append(problems, fmt.Sprintf("type %s has a field that refers to %s", name, used.Name))
+			}
+			return true
+		})
+	}
+	return append(problems, sizeViolations(files, declared)...)
+}
+
+// declarationsOf returns the files that declare any of the given types or their methods, without the other
+// declarations.
+func declarationsOf(parsed []*ast.File, types []string) (declaring []*ast.File) {
+	for _, file := range parsed {
+		kept := *file
+		kept.Decls = nil
+		for _, declaration := range file.Decls {
+			switch declared := declaration.(type) {
+			case *ast.FuncDecl:
+				if slices.Contains(types, receiverType(declared)) {
+					kept.Decls = append(kept.Decls, declared)
+				}
+			case *ast.GenDecl:
+				if specs := typeSpecs(declared, types); len(specs) > 0 {
+					kept.Decls = append(kept.Decls, &ast.GenDecl{Tok: declared.Tok, TokPos: declared.TokPos, Specs: specs})
+				}
+			}
+		}
+		if len(kept.Decls) > 0 {
+			declaring = append(declaring, &kept)
+		}
+	}
+	return declaring
+}
+
+// typeSpecs returns the parts of a declaration that declare any of the given types.
+func typeSpecs(declared *ast.GenDecl, types []string) (specs []ast.Spec) {
+	for _, spec := range declared.Specs {
+		if named, isType := spec.(*ast.TypeSpec); isType && slices.Contains(types, named.Name.Name) {
+			specs = append(specs, named)
+		}
+	}
+	return specs
+}
+
+// structsOf returns the struct types that files declare, by name.
+func structsOf(parsed []*ast.File) map[string]*ast.StructType {
+	found := map[string]*ast.StructType{}
+	for _, file := range parsed {
+		ast.Inspect(file, func(node ast.Node) bool {
+			if named, isType := node.(*ast.TypeSpec); isType {
+				if structType, isStruct := named.Type.(*ast.StructType); isStruct {
+					found[named.Name.Name] = structType
+				}
+			}
+			return true
+		})
+	}
+	return found
+}
+
 // sizeViolations lists what exceeds the size limits in the files of one package.
 func sizeViolations(files *token.FileSet, parsed []*ast.File) (problems []string) {
 	methods := map[string]int{}
--- a/internal/controller/barrier.go
+++ b/internal/controller/barrier.go
@@ -19,7 +19,7 @@
 // the configuration and the peers' retained state, which starts depend on, are known.
 func (n *Node) passBarrier(shard *shards.Owned) {
 	shard.RemoveSettledMachines(n.machineSettled)
-	if shard.AwaitedCount() > 0 || !n.configReady() || !n.retainedStateGathered(time.Now()) {
+	if shard.AwaitedCount() > 0 || !n.configReady() || !n.recovery.gathering.retainedStateGathered(time.Now()) {
 		return
 	}
 	if shard.NeedsBarrier() && n.leadership.Record().RosterIncomplete && !n.recovery.census.ListRead() {
--- a/internal/controller/changesync.go
+++ b/internal/controller/changesync.go
@@ -135,7 +135,7 @@
 // all controllers retained has been gathered.
 func (n *Node) recordFullRead(began time.Time) {
 	n.recordConfigRead(began)
-	if n.trusted() && n.retainedStateGathered(time.Now()) {
+	if n.recovery.detection.Trusted() && n.recovery.gathering.retainedStateGathered(time.Now()) {
 		n.cancelWatermark.RecordRead(began)
 	}
 }
--- a/internal/controller/config_test.go
+++ b/internal/controller/config_test.go
@@ -328,7 +328,7 @@
 	if s := n.status(now); n.teamConfig != nil || s.Config != nil || n.rememberedConfig() != nil {
 		t.Error("the configuration is followed")
 	}
-	if len(n.acknowledgedKeys()) != len(n.roster.Versions()) || len(n.shardNames()) != 2 || n.shards.OfTeam("team-0").Team().Quota().Limits().Max.CPUs != 10000 {
-		t.Errorf("checked keys %v, shards %v", n.acknowledgedKeys(), n.shardNames())
+	if len(n.recovery.detection.acknowledgedKeys()) != len(n.roster.Versions()) || len(n.shardNames()) != 2 || n.shards.OfTeam("team-0").Team().Quota().Limits().Max.CPUs != 10000 {
+		t.Errorf("checked keys %v, shards %v", n.recovery.detection.acknowledgedKeys(), n.shardNames())
 	}
 }
--- a/internal/controller/dataloss_test.go
+++ b/internal/controller/dataloss_test.go
@@ -148,7 +148,7 @@
 	if !(userBackend{n}).StoreTrusted() {
 		t.Fatal("a controller with a record accepts no jobs")
 	}
-	n.leadership = leadership.New(n.name, n.incarnation, leadership.Lease{}, nil, time.Now())
+	*n.leadership = *leadership.New(n.name, n.incarnation, leadership.Lease{}, nil, time.Now())
 	if (userBackend{n}).StoreTrusted() {
 		t.Error("jobs are accepted before there is a record")
 	}
@@ -163,7 +163,7 @@
 		record := n.leadership.Record().Clone()
 		record.Epoch = 1
 		n.leadership.Adopt(record, 17, time.Now())
-		n.recovery.detection = datarecovery.NewDetection("node-a", n.incarnation, nil, time.Second)
+		n.recovery.detection.Detection = datarecovery.NewDetection("node-a", n.incarnation, nil, time.Second)
 		n.recovery.detection.Entered(1, time.Now())
 		next := n.leadership.Record().Clone()
 		next.Term, next.PreviousVersion = next.Term+1, previous
--- a/internal/controller/dependencies.go
+++ b/internal/controller/dependencies.go
@@ -225,7 +225,7 @@
 
 // cancelDependents writes the ends of the jobs of teams owned here that are cancelled with jobs that they need.
 func (n *Node) cancelDependents(now time.Time) {
-	if len(n.dependencies.cancelled) == 0 || !n.trusted() || !n.retainedStateGathered(now) {
+	if len(n.dependencies.cancelled) == 0 || !n.recovery.detection.Trusted() || !n.recovery.gathering.retainedStateGathered(now) {
 		return
 	}
 	for uid := range n.dependencies.cancelled {
--- a/internal/controller/faults_test.go
+++ b/internal/controller/faults_test.go
@@ -544,7 +544,7 @@
 	n.mu.Unlock()
 	sender := &commandSender{machine: g.machineNames[0]}
 	n.mu.Lock()
-	n.cancelWatermark = cancelwatermark.New([]string{"node-b"}, 0, 0)
+	*n.cancelWatermark = *cancelwatermark.New([]string{"node-b"}, 0, 0)
 	n.cancelWatermark.RecordRead(time.Now().Add(-time.Minute))
 	n.mu.Unlock()
 	if n.sendCommandsOnce(n.ctx, sender) || sender.conn != nil {
--- a/internal/controller/followedkeys.go
+++ b/internal/controller/followedkeys.go
@@ -55,7 +55,7 @@
 		return false, err
 	}
 	n.mu.Lock()
-	if trusted = n.applyFullList(entries, revision); trusted {
+	if trusted = n.recovery.epochs.applyFullList(entries, revision); trusted {
 		n.recordFullRead(began)
 	}
 	n.mu.Unlock()
@@ -71,7 +71,7 @@
 	n.mu.Lock()
 	after := n.followedRevision
 	watch, cancel := context.WithCancel(ctx)
-	n.recovery.restartWatch = cancel // a new epoch cancels the watch
+	n.recovery.epochs.restartWatch = cancel // a new epoch cancels the watch
 	n.mu.Unlock()
 	changes, err := n.kvStore.Watch(watch, userapi.WatchedPrefix, after)
 	cancel()
@@ -101,7 +101,7 @@
 	n.endUnlistedJobs(seen, revision)
 	for _, key := range n.roster.Keys() {
 		if !seen[key] {
-			n.suspectLoss(datarecovery.SignRosterGone) // roster keys are never deleted
+			n.recovery.detection.suspectLoss(datarecovery.SignRosterGone) // roster keys are never deleted
 		}
 	}
 	n.checkConfigListed(seen)
@@ -116,7 +116,7 @@
 		// A job that was accepted after the list began may be missing from it.
 		if j.active && j.version > 0 && j.version <= revision && !seen[userapi.ActiveJobPrefix+uid] {
 			n.endJob(uid)
-			n.verifyUnlistedJob(uid, j)
+			n.recovery.detection.verifyUnlistedJob(uid, j)
 		}
 	}
 }
@@ -142,7 +142,7 @@
 		return n.applyActiveJobKey(key[len(userapi.ActiveJobPrefix):], c)
 	case strings.HasPrefix(key, datarecovery.EndsKey), strings.HasPrefix(key, datarecovery.FinishedKey):
 		if c.Delete == "" {
-			return n.learnRecoveryPage(key, c.Value)
+			return n.recovery.gathering.learnRecoveryPage(key, c.Value)
 		}
 	case strings.HasPrefix(key, rosterPrefix):
 		n.applyRosterList(key, c.Value, c.Version)
@@ -167,9 +167,9 @@
 func (n *Node) applyEpochKey(key string, c protocol.Change) {
 	if c.Delete == "" {
 		n.recovery.detection.EpochKeyChanged(key, c.Version)
-		n.fenceOnEpochKey()
+		n.recovery.epochs.fenceOnEpochKey()
 	} else if n.recovery.detection.EpochKeyDeleted(key, n.leadership.Record()) {
-		n.suspectLoss(datarecovery.SignEpochKeyDeleted)
+		n.recovery.detection.suspectLoss(datarecovery.SignEpochKeyDeleted)
 	}
 }
 
--- a/internal/controller/heartbeat.go
+++ b/internal/controller/heartbeat.go
@@ -46,7 +46,7 @@
 
 // answerHeartbeat applies a heartbeat that arrived now, and decides how to answer it.
 func (n *Node) answerHeartbeat(h *protocol.Heartbeat, now time.Time) agents.Answer {
-	n.observeFencingToken(h.FencingToken)
+	n.recovery.detection.observeFencingToken(h.FencingToken)
 	if !n.entitled(now) {
 		return n.answerUnentitled(h, now)
 	}
@@ -147,7 +147,7 @@
 	m.RecordHeartbeat(now)
 	if !n.roster.Has(h.Machine) {
 		n.registration.Want(h.Machine)
-		n.checkUnregistered(h, m, now)
+		n.recovery.detection.checkUnregistered(h, m, now)
 	}
 	if changed || m.status == nil {
 		n.publishStatus(h.Machine)
--- a/internal/controller/jobend.go
+++ b/internal/controller/jobend.go
@@ -47,7 +47,7 @@
 		userBackend{n}.ReportMissing(uid)
 	}
 	if err == nil {
-		n.replicateFact(ctx, replicateFactMsg{Ends: []jobEnd{{uid, end}}})
+		n.recovery.facts.replicateFact(ctx, replicateFactMsg{Ends: []jobEnd{{uid, end}}})
 		n.userAPI.RecordEnd(uid, end)
 	} else {
 		n.log.Debug("end of job not written", "job", uid, "err", err)
--- a/internal/controller/jobs_test.go
+++ b/internal/controller/jobs_test.go
@@ -22,7 +22,7 @@
 	const uid = "job-000900"
 	for what, learn := range map[string]func(n *Node){
 		"a peer sends the cancellation, then an earlier read arrives": func(n *Node) {
-			n.onReplicateFact("node-b", &replicateFactMsg{From: 1, Ends: []jobEnd{{uid, end}}})
+			n.recovery.facts.onReplicateFact("node-b", &replicateFactMsg{From: 1, Ends: []jobEnd{{uid, end}}})
 			n.applyChange(activeJobChange(uid, 7))
 		},
 		"a later read arrives before an earlier one": func(n *Node) {
--- a/internal/controller/leadership_test.go
+++ b/internal/controller/leadership_test.go
@@ -16,7 +16,7 @@
 func newLeadership(n *Node, now time.Time, peers ...string) {
 	record := n.leadership.Record()
 	life := n.leadership.LeaseTTL()
-	n.leadership = leadership.New(n.name, n.incarnation, leadership.Lease{TTL: life, Margin: life / 20}, peers, now)
+	*n.leadership = *leadership.New(n.name, n.incarnation, leadership.Lease{TTL: life, Margin: life / 20}, peers, now)
 	if record != nil {
 		learnRecord(n, record)
 	}
--- a/internal/controller/lease.go
+++ b/internal/controller/lease.go
@@ -32,7 +32,7 @@
 		timer := time.NewTimer(n.renewLease(ctx))
 		select {
 		case <-timer.C:
-		case <-n.recovery.ownKeyOutdated:
+		case <-n.recovery.ownKey.outdated:
 		case <-ctx.Done():
 		}
 		timer.Stop()
@@ -44,14 +44,14 @@
 // call.
 func (n *Node) renewLease(ctx context.Context) time.Duration {
 	n.mu.Lock()
-	lease, written := n.leadership.LeaseID(), n.recovery.ownKeyWritten
-	n.recovery.ownKeyWritten = true // set before the requests, so that a reset by rewriteOwnKey meanwhile is kept
+	lease, written := n.leadership.LeaseID(), n.recovery.ownKey.written
+	n.recovery.ownKey.written = true // set before the requests, so that a reset by presenceKey.rewrite meanwhile is kept
 	n.mu.Unlock()
 	sent := time.Now()
 	lease, written, err := n.ensureLease(ctx, lease, written)
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.recovery.ownKeyWritten = n.recovery.ownKeyWritten && written
+	n.recovery.ownKey.written = n.recovery.ownKey.written && written
 	return n.handleLeaseResult(lease, sent, err)
 }
 
@@ -96,7 +96,7 @@
 	case errors.Is(err, kvstore.ErrLeaseExpired):
 		n.log.Info("lease expired at the state service", "lease", lease)
 		if n.leadership.LeaseExpired(sent) {
-			n.suspectLoss(datarecovery.SignLeaseGone)
+			n.recovery.detection.suspectLoss(datarecovery.SignLeaseGone)
 		}
 		return reacquireDelay
 	}
--- a/internal/controller/node.go
+++ b/internal/controller/node.go
@@ -80,7 +80,7 @@
 	changeReads      *changeReads
 	endLookUps       *agents.JobLookups
 	cancelWatermark  *cancelwatermark.Watermark // time up to which all confirmed cancellations are known here
-	recovery         *recoveryState             // data-loss detection, and the data to restore after a loss
+	recovery         *recoveryDriver            // data-loss detection, and the data to restore after a loss
 
 	// The peers, by name.
 	peers            map[string]*peerState
@@ -149,9 +149,11 @@
 	n.newClients()
 	n.newScheduling()
 	n.newMachineState()
-	n.newLeadership(settings.Seconds(o.ControllerLeaseSeconds))
+	leaseLife := settings.Seconds(o.ControllerLeaseSeconds)
+	n.newLeadership(leaseLife)
 	n.newPeers()
 	n.newUserAPI()
+	n.newRecovery(leaseLife)
 	return n
 }
 
@@ -178,7 +180,6 @@
 	controllers := len(n.settings.Peers) + 1
 	services, deployment := &n.settings.Services, &n.settings.Deployment
 	n.kvStore = kvstore.New(services.KVStore, deployment.KVStore, controllers)
-	n.kvStore.OnDataLoss(n.storeReportsLoss)
 	n.cloud = cloud.New(services.Cloud, deployment.Cloud, controllers)
 }
 
@@ -205,15 +206,13 @@
 	n.startLatency = hdrhistogram.New(1, time.Hour.Milliseconds(), 2)
 }
 
-// newLeadership creates the state of leadership and of data-loss recovery. Life is how long the controller's lease
-// lasts.
+// newLeadership creates the state of leadership. Life is how long the controller's lease lasts.
 func (n *Node) newLeadership(life time.Duration) {
 	var peers []string
 	for _, p := range n.settings.Peers {
 		peers = append(peers, p.Name)
 	}
 	n.leadership = leadership.New(n.name, n.incarnation, leadership.Lease{TTL: life, Margin: life / 20}, peers, n.startedAt)
-	n.recovery = newRecoveryState(n.settings, n.incarnation, life)
 }
 
 // newPeers creates the state of the peers and the links to them.
@@ -239,6 +238,12 @@
 	}
 }
 
+// newRecovery creates the data recovery, which drives most of the other parts.
+func (n *Node) newRecovery(leaseLife time.Duration) {
+	n.recovery = newRecoveryDriver(n, leaseLife)
+	n.kvStore.OnDataLoss(n.recovery.detection.storeReportsLoss)
+}
+
 // Run starts the controller's goroutines and waits until the context ends or one of them fails.
 func (n *Node) Run(ctx context.Context) error {
 	limitMemory(n.settings.Deployment.Limits.MemoryMB)
@@ -284,9 +289,9 @@
 		"save":    n.savePages,
 		"enrol":   n.registerMachines,
 		"sync":    n.readChangesOnRequest,
-		"store":   n.monitorStore,
-		"ends":    n.loadStoredEnds,
-		"census":  n.runMachineCensus,
+		"store":   n.recovery.monitorStore,
+		"ends":    n.recovery.writeBack.loadStoredEnds,
+		"census":  n.recovery.census.runMachineCensus,
 		"catalog": n.readCatalog,
 		"probe":   n.probeOwnReachability,
 		"fleet":   n.runFleet,
@@ -318,7 +323,9 @@
 func sleep(ctx context.Context, d time.Duration) bool { return wait.For(ctx, d) }
 
 // entitled returns whether this controller may act: start and stop tasks, and renew agents' leases.
-func (n *Node) entitled(now time.Time) bool { return n.leadership.Entitled(now, n.trusted()) }
+func (n *Node) entitled(now time.Time) bool {
+	return n.leadership.Entitled(now, n.recovery.detection.Trusted())
+}
 
 // serveHTTP answers a request to the public address: a heartbeat, the overview, a pipeline, or a call of
 // the user API.
--- a/internal/controller/nodeharness_test.go
+++ b/internal/controller/nodeharness_test.go
@@ -66,7 +66,7 @@
 	cancel() // no request is sent
 	n.group, n.ctx = &errgroup.Group{}, ended
 	n.leadership.LeaseRenewed(g.now)
-	n.cancelWatermark = cancelwatermark.New([]string{"node-b", "node-c"}, settings.Seconds(s.Deployment.Agents.CancelSeconds), settings.Seconds(s.Deployment.Agents.LeaseSeconds))
+	*n.cancelWatermark = *cancelwatermark.New([]string{"node-b", "node-c"}, settings.Seconds(s.Deployment.Agents.CancelSeconds), settings.Seconds(s.Deployment.Agents.LeaseSeconds))
 	n.cancelWatermark.RecordRead(g.now)
 	for i := range machines {
 		g.machineNames = append(g.machineNames, fmt.Sprintf("n-%06d", i))
--- a/internal/controller/overview.go
+++ b/internal/controller/overview.go
@@ -76,7 +76,7 @@
 		StartLatencies:   n.startLatencies(),
 		Cancellations:    n.cancelWatermark.Confirmed(),
 		Admission:        n.admissionStatus(now),
-		Store:            n.storeStatus(),
+		Store:            n.recovery.storeStatus(),
 		Config:           n.configStatus(now),
 		UnreachablePeers: n.unreachablePeers(now),
 		LastStall:        n.lastStall.Seconds(),
--- a/internal/controller/peerhandler.go
+++ b/internal/controller/peerhandler.go
@@ -27,7 +27,7 @@
 		n.agents.MarkChanged(machine)
 	}
 	if n.leadership.Record() != nil {
-		n.sendRetainedState(false, name)
+		n.recovery.gathering.sendRetainedState(false, name)
 	}
 	n.requestStatus() // a starting peer waits for this controller's status
 	n.wake()
@@ -100,16 +100,16 @@
 		n.onAcknowledgement(from.name, from.incarnation, m)
 	}),
 	kindRetainedState: typed(func(n *Node, from *sender, m *retainedStateMsg, _ time.Time) {
-		n.onRetainedState(from.name, m)
+		n.recovery.gathering.onRetainedState(from.name, m)
 	}),
 	kindMissingEnds: typed(func(n *Node, from *sender, m *missingEndsMsg, _ time.Time) {
-		n.onMissingEnds(from.name, m)
+		n.recovery.gathering.onMissingEnds(from.name, m)
 	}),
 	kindReplicateFact: typed(func(n *Node, from *sender, m *replicateFactMsg, _ time.Time) {
-		n.onReplicateFact(from.name, m)
+		n.recovery.facts.onReplicateFact(from.name, m)
 	}),
 	kindFactReplicated: typed(func(n *Node, _ *sender, m *factReplicatedMsg, _ time.Time) {
-		n.onFactReplicated(m)
+		n.recovery.facts.confirm(m.ID)
 	}),
 }
 
--- a/internal/controller/peerstate.go
+++ b/internal/controller/peerstate.go
@@ -1,6 +1,8 @@
 package controller
 
 import (
+	"maps"
+	"slices"
 	"time"
 
 	"topazhollow/internal/admission"
@@ -66,3 +68,20 @@
 		p.wantedWrites = *s.WantedWrites
 	}
 }
+
+// mayBeReachable reports whether a peer is reachable, or may become so within the startup grace period.
+func (n *Node) mayBeReachable(name string, now time.Time) bool {
+	return n.peers[name].isReachable(now) || now.Sub(n.startedAt) < startupGrace
+}
+
+// peerNames lists the peers in a fixed order.
+func (n *Node) peerNames() []string { return slices.Sorted(maps.Keys(n.peers)) }
+
+// isReachable returns whether a peer is reachable.
+func (n *Node) isReachable(name string, now time.Time) bool { return n.peers[name].isReachable(now) }
+
+// send sends a message to a peer.
+func (n *Node) send(peer, kind string, body any) { n.links.Send(peer, kind, body) }
+
+// sendEncoded sends an encoded message to a peer, and returns whether it was sent.
+func (n *Node) sendEncoded(peer string, line []byte) bool { return n.links.SendEncoded(peer, line) }
--- a/internal/controller/reconcile.go
+++ b/internal/controller/reconcile.go
@@ -134,7 +134,7 @@
 	record := n.leadership.Record()
 	if absent && record != nil && (n.leadership.Epoch() == 1 || jobstate.TermOf(attempt) >= record.FirstTerm) {
 		// Tasks are started only for accepted jobs, and an accepted job always has either its active or its ended key.
-		n.proveLoss(datarecovery.ProofUnknownJob)
+		n.recovery.detection.proveLoss(datarecovery.ProofUnknownJob)
 	}
 }
 
--- a/internal/controller/record.go
+++ b/internal/controller/record.go
@@ -20,10 +20,10 @@
 	case leadership.RecordOfNewerEpoch:
 		n.recovery.detection.NewerEpochSeen(r.Epoch)
 	case leadership.RecordOlder:
-		n.suspectLoss(datarecovery.SignRecordOlder)
+		n.recovery.detection.suspectLoss(datarecovery.SignRecordOlder)
 	case leadership.RecordChainBroken:
 		n.recovery.detection.RecordOutOfChain()
-		n.suspectLoss(datarecovery.SignRecordOutOfChain)
+		n.recovery.detection.suspectLoss(datarecovery.SignRecordOutOfChain)
 	}
 }
 
@@ -44,7 +44,7 @@
 	}
 	if changes.EpochBegan {
 		n.recovery.detection.Entered(r.Epoch, now)
-		n.epochEntered(r)
+		n.recovery.epochs.epochEntered(r)
 	}
 	if changes.RosterCompleted {
 		n.reloadShards()
--- a/internal/controller/recordchange.go
+++ b/internal/controller/recordchange.go
@@ -77,7 +77,7 @@
 func (n *Node) nextChange(started time.Time) *proposedRecord {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if !n.watchedKeysRead || !n.trusted() {
+	if !n.watchedKeysRead || !n.recovery.detection.Trusted() {
 		return nil
 	}
 	change := n.leadership.NextChange(time.Now(), started, recordChangeView{n})
@@ -156,7 +156,7 @@
 func (r recordChangeView) Controllers() int      { return len(r.node.settings.Peers) + 1 }
 func (r recordChangeView) ShardNames() []string  { return r.node.shardNames() }
 func (r recordChangeView) OwnsFleet() bool       { return r.node.shards.OwnsFleet() }
-func (r recordChangeView) RosterComplete() bool  { return r.node.rosterComplete() }
+func (r recordChangeView) RosterComplete() bool  { return r.node.recovery.census.rosterComplete() }
 func (r recordChangeView) RandomStoreID() string { return randomStoreID() }
 
 func (r recordChangeView) RandomTerm() uint64 { return 1<<10 + r.node.rng.Uint64N(1<<20) }
--- a/internal/controller/recordsync.go
+++ b/internal/controller/recordsync.go
@@ -11,7 +11,8 @@
 // sendNewerRecord sends the membership record to a peer that has had an earlier one for some time.
 func (n *Node) sendNewerRecord(name string, s *statusMsg, now time.Time) {
 	version := n.leadership.RecordVersion()
-	behind := s.RecordVersion != nil && *s.RecordVersion < version && s.Store.Epoch == n.leadership.Epoch() && n.trusted()
+	behind := s.RecordVersion != nil && *s.RecordVersion < version && s.Store.Epoch == n.leadership.Epoch() &&
+		n.recovery.detection.Trusted()
 	if n.leadership.ShouldSendRecord(name, behind, now) {
 		n.links.Send(name, kindRecord, recordMsg{version, protocol.Encode(n.leadership.Record())})
 	}
@@ -19,7 +20,7 @@
 
 // onRecord processes a membership record sent by a peer, if it is newer than the known one and of the same epoch.
 func (n *Node) onRecord(m *recordMsg) {
-	if m.Version <= n.leadership.RecordVersion() || n.leadership.Record() == nil || !n.trusted() {
+	if m.Version <= n.leadership.RecordVersion() || n.leadership.Record() == nil || !n.recovery.detection.Trusted() {
 		return
 	}
 	var record leadership.Record
--- a/internal/controller/recovery.go
+++ b/internal/controller/recovery.go
@@ -2,47 +2,85 @@
 
 import (
 	"context"
-	"slices"
+	"sync"
 	"time"
 
+	"topazhollow/internal/agents"
 	"topazhollow/internal/datarecovery"
-	"topazhollow/internal/protocol"
-	"topazhollow/internal/settings"
+	"topazhollow/internal/kvstore"
+	"topazhollow/internal/leadership"
+	"topazhollow/internal/userapi"
 )
 
 // The state service may lose data that it acknowledged, or be reset to an earlier state. docs/data-recovery.md
 // describes how that is detected, agreed on and repaired. internal/datarecovery makes the decisions; the files
 // recovery*.go connect it to the controller: they hold the lock, read the clock and do the I/O.
 
-// recoveryState is what a controller knows about its state service and about the data that has to survive a loss there.
-// Node.mu guards it.
-type recoveryState struct {
-	detection *datarecovery.Detection
-	gathering *datarecovery.Gathering
-	writeBack *datarecovery.WriteBack
-	census    *datarecovery.Census
-	facts     factReplication
-
-	ownKeyWritten  bool               // this controller's presence key is assumed to be in the state service
-	ownKeyOutdated chan struct{}      // wakes maintainLease
-	restartWatch   context.CancelFunc // cancels the open watch
+// recoveryDriver decides when the parts of data recovery act, and reports on them. Node.mu guards it and its parts: their
+// methods are called with it held, except for those that do I/O, which have a context parameter, are called without it
+// and take it when they need it.
+type recoveryDriver struct {
+	detection *lossDetector   // whether the state service lost data
+	epochs    *epochManager   // which epoch of its data the controller relies on
+	gathering *stateExchange  // what the controllers know and the state service may lack
+	facts     *factReplicator // what a peer has to remember before a user gets an answer
+	writeBack *storeWriteBack // what is written to the state service again
+	census    *machineCensus  // which machines may run tasks from before a loss
+	ownKey    *presenceKey
+
+	host       recoveryHost
+	mu         sync.Locker // Node.mu
+	kvStore    *kvstore.Client
+	userAPI    *userapi.Handler
+	leadership *leadership.State
+	jobs       map[string]*job
+	endLookUps *agents.JobLookups
 }
 
-func newRecoveryState(s *settings.Settings, incarnation uint64, leaseLife time.Duration) *recoveryState {
-	var peers []string
-	for _, p := range s.Peers {
-		peers = append(peers, p.Name)
-	}
-	return &recoveryState{
-		detection:      datarecovery.NewDetection(s.Name, incarnation, peers, leaseLife),
-		gathering:      datarecovery.NewGathering(),
-		writeBack:      datarecovery.NewWriteBack(),
-		census:         datarecovery.NewCensus(),
-		facts:          newFactReplication(),
-		ownKeyOutdated: make(chan struct{}, 1),
+// recoveryHost is what a recoveryDriver asks of the controller.
+type recoveryHost interface {
+	// entitled returns whether this controller may act.
+	entitled(now time.Time) bool
+	// peerNames lists the peers.
+	peerNames() []string
+	// writeBackConfig writes remembered changes of the teams' configuration to the state service.
+	writeBackConfig()
+}
+
+// newRecoveryDriver creates the data recovery of a controller whose other parts exist. Life is how long the
+// controller's lease lasts.
+func newRecoveryDriver(n *Node, life time.Duration) *recoveryDriver {
+	ownKey := newPresenceKey()
+	detection := newLossDetector(n, ownKey, life)
+	census := newMachineCensus(n, detection)
+	writeBack := newStoreWriteBack(n, detection)
+	gathering := newStateExchange(n, detection, writeBack)
+	return &recoveryDriver{
+		detection:  detection,
+		epochs:     newEpochManager(n, ownKey, detection, census, writeBack, gathering),
+		gathering:  gathering,
+		facts:      newFactReplicator(n, gathering, writeBack),
+		writeBack:  writeBack,
+		census:     census,
+		ownKey:     ownKey,
+		host:       n,
+		mu:         &n.mu,
+		kvStore:    n.kvStore,
+		userAPI:    n.userAPI,
+		leadership: n.leadership,
+		jobs:       n.jobs,
+		endLookUps: n.endLookUps,
 	}
 }
 
+// startTask runs a task in the background. Its context ends with the controller.
+func (n *Node) startTask(task func(ctx context.Context)) {
+	n.group.Go(func() error {
+		task(n.ctx)
+		return nil
+	})
+}
+
 const (
 	// storeCheckInterval is how often a controller that does not trust its store decides what to do; one that does
 	// checks trustedCheckFactor times less often.
@@ -56,14 +94,14 @@
 
 // monitorStore is the background task that checks whether the store still has what it acknowledged, and recovers what
 // it lost.
-func (n *Node) monitorStore(ctx context.Context) error {
-	n.mu.Lock()
-	n.recovery.detection.Started(time.Now())
-	n.mu.Unlock()
+func (r *recoveryDriver) monitorStore(ctx context.Context) error {
+	r.mu.Lock()
+	r.detection.Started(time.Now())
+	r.mu.Unlock()
 	interval := storeCheckInterval
 	for sleep(ctx, interval) {
-		decision := n.decideOnStore(time.Now())
-		n.performStoreTask(ctx, decision.Task)
+		decision := r.decideOnStore(time.Now())
+		r.performStoreTask(ctx, decision.Task)
 		interval = storeCheckInterval
 		if decision.Phase == datarecovery.Trusted {
 			interval *= trustedCheckFactor
@@ -73,102 +111,81 @@
 }
 
 // decideOnStore returns the decision of the detection and advances the recovery.
-func (n *Node) decideOnStore(now time.Time) datarecovery.Decision {
-	n.mu.Lock()
-	defer n.mu.Unlock()
-	decision := n.recovery.detection.Decide(now, n.leadership.Record())
+func (r *recoveryDriver) decideOnStore(now time.Time) datarecovery.Decision {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	decision := r.detection.Decide(now, r.leadership.Record())
 	if decision.LossConfirmed {
-		n.lossConfirmed()
+		r.detection.lossConfirmed()
 	}
-	n.continueRecovery(now)
+	r.continueRecovery(now)
 	return decision
 }
 
 // performStoreTask carries out a task of the detection.
-func (n *Node) performStoreTask(ctx context.Context, task datarecovery.Task) {
+func (r *recoveryDriver) performStoreTask(ctx context.Context, task datarecovery.Task) {
 	switch task {
 	case datarecovery.TaskConfirmSuspicion:
-		n.confirmSuspicion(ctx)
+		r.detection.confirmSuspicion(ctx)
 	case datarecovery.TaskRelist:
-		n.relistKeys(ctx)
+		r.epochs.relistKeys(ctx)
 	case datarecovery.TaskProposeEpoch:
-		n.proposeEpoch(ctx)
+		r.epochs.proposeEpoch(ctx)
 	case datarecovery.TaskRefreshRecord:
-		n.checkLaterTerm(ctx)
+		r.detection.checkLaterTerm(ctx)
 	case datarecovery.TaskPeriodicCompare:
-		n.comparePeriodically(ctx)
+		r.detection.comparePeriodically(ctx)
 	case datarecovery.TaskNone:
 	}
 }
 
 // continueRecovery performs the remaining steps in an epoch that followed a loss, and limits how much is retained in
 // case of another loss.
-func (n *Node) continueRecovery(now time.Time) {
-	if !n.trusted() || n.leadership.Record() == nil {
+func (r *recoveryDriver) continueRecovery(now time.Time) {
+	if !r.detection.Trusted() || r.leadership.Record() == nil {
 		return
 	}
-	n.endLookUps.ForgetFailures(maxJobsNotFound) // the failures only avoid repeated look-ups of the same job
-	n.recovery.gathering.ExpireProposedJobs(now)
-	if n.recovery.gathering.SendDue(now, func() bool { return n.allPeersExchanged(now) }) {
-		n.sendRetainedState(true, n.peerNames()...)
+	r.endLookUps.ForgetFailures(maxJobsNotFound) // the failures only avoid repeated look-ups of the same job
+	r.gathering.ExpireProposedJobs(now)
+	if r.gathering.SendDue(now, func() bool { return r.gathering.allPeersExchanged(now) }) {
+		r.gathering.sendRetainedState(true, r.host.peerNames()...)
 	}
-	if n.leadership.Epoch() <= 1 || !n.entitled(now) || !n.retainedStateGathered(now) || !n.recovery.writeBack.RoundDue(now) {
+	if r.leadership.Epoch() <= 1 || !r.host.entitled(now) || !r.gathering.retainedStateGathered(now) || !r.writeBack.RoundDue(now) {
 		return
 	}
-	n.writeBackJobs(now)
-	n.writeBackConfig()
-	n.writeBackEnds()
+	r.writeBack.writeBackJobs(now)
+	r.host.writeBackConfig()
+	r.writeBack.writeBackEnds()
 }
 
-// trusted reports whether the store's answers can be relied on: no sign of loss was seen since the store was read.
-func (n *Node) trusted() bool { return n.recovery.detection.Trusted() }
-
 // storeAssessment returns the view of the store that is sent to peers.
-func (n *Node) storeAssessment() datarecovery.Assessment {
-	return n.recovery.detection.Assessment(n.leadership.Record(), n.kvStore.LastRevision())
+func (r *recoveryDriver) storeAssessment() datarecovery.Assessment {
+	return r.detection.Assessment(r.leadership.Record(), r.kvStore.LastRevision())
 }
 
 // storeStatus returns the view of the store for the overview.
-func (n *Node) storeStatus() datarecovery.Status {
-	detection := n.recovery.detection
+func (r *recoveryDriver) storeStatus() datarecovery.Status {
+	detection := r.detection
 	phase, _, sign := detection.Phase()
 	suspicions, losses := detection.Counts()
 	status := datarecovery.Status{
-		Phase: phase.String(), Sign: sign, Epoch: n.leadership.Epoch(),
-		StaleActive: n.recovery.writeBack.StaleKeys(), Ends: n.userAPI.EndCount(),
-		HistoryComplete: detection.HistoryComplete(), Unreplicated: n.recovery.facts.unreplicated,
+		Phase: phase.String(), Sign: sign, Epoch: r.leadership.Epoch(),
+		StaleActive: r.writeBack.StaleKeys(), Ends: r.userAPI.EndCount(),
+		HistoryComplete: detection.HistoryComplete(), Unreplicated: r.facts.unreplicated,
 		Suspicions: suspicions, Losses: losses,
 	}
-	if n.leadership.Record() != nil {
-		status.DataLost, status.RosterIncomplete = n.leadership.Record().DataLost, n.leadership.Record().RosterIncomplete
-		status.AwaitedMembers = n.recovery.gathering.Awaited()
+	if r.leadership.Record() != nil {
+		status.DataLost, status.RosterIncomplete = r.leadership.Record().DataLost, r.leadership.Record().RosterIncomplete
+		status.AwaitedMembers = r.gathering.Awaited()
 	}
-	for _, j := range n.jobs {
+	for _, j := range r.jobs {
 		if j.active && j.version == 0 {
 			status.Unwritten++
 		}
 	}
-	status.Undescribed = n.undescribedJobs()
+	status.Undescribed = r.census.undescribedJobs()
 	return status
 }
 
 // maxUndescribed bounds the list of jobs without a known specification in the overview.
 const maxUndescribed = 100
-
-// undescribedJobs lists the jobs from before a loss that run on machines although no controller knows their
-// specification.
-func (n *Node) undescribedJobs() []string {
-	var jobs []string
-	for _, m := range n.machines {
-		if m.gone || m.status == nil || !n.runsUndescribedJob(m.status) || len(jobs) >= maxUndescribed {
-			continue
-		}
-		for _, t := range m.status.Tasks {
-			if n.jobs[t.Job] == nil && t.State != protocol.Exited && !slices.Contains(jobs, t.Job) {
-				jobs = append(jobs, t.Job)
-			}
-		}
-	}
-	slices.Sort(jobs)
-	return jobs
-}
--- a/internal/controller/recovery_epoch.go
+++ b/internal/controller/recovery_epoch.go
@@ -5,35 +5,132 @@
 	"encoding/hex"
 	"encoding/json"
 	"errors"
+	"log/slog"
 	"math/rand/v2"
 	"strings"
+	"sync"
 	"time"
 
+	"topazhollow/internal/agents"
 	"topazhollow/internal/datarecovery"
 	"topazhollow/internal/kvstore"
 	"topazhollow/internal/leadership"
 	"topazhollow/internal/protocol"
+	"topazhollow/internal/scheduler"
+	"topazhollow/internal/settings"
+	"topazhollow/internal/shards"
 	"topazhollow/internal/userapi"
 )
 
 // Epochs of the state service's data: full lists of its keys, entering their epoch, and proposing the next epoch after
 // a loss.
 
+// epochManager enters and proposes epochs of the state service's data. Node.mu guards it: proposalEvidence and the
+// methods that have a context parameter take it, all others are called with it held.
+type epochManager struct {
+	detection *lossDetector
+	census    *machineCensus
+	writeBack *storeWriteBack
+	gathering *stateExchange
+	ownKey    *presenceKey
+
+	host             epochHost
+	mu               sync.Locker // Node.mu
+	log              *slog.Logger
+	settings         *settings.Settings
+	name             string // of this controller
+	incarnation      uint64 // of this process
+	kvStore          *kvstore.Client
+	leadership       *leadership.State
+	shards           *shards.Registry
+	jobs             map[string]*job
+	machines         map[string]*machine
+	registration     *agents.Registration
+	unreachableHomes *agents.UnreachableHomes
+	scheduler        *scheduler.Scheduler
+
+	restartWatch context.CancelFunc // cancels the open watch
+}
+
+// epochHost is what an epochManager asks of the controller.
+type epochHost interface {
+	// adopt replaces the membership record.
+	adopt(record *leadership.Record, version uint64)
+	// applyChange applies one change of a watched key.
+	applyChange(change protocol.Change)
+	// applyListedKeys applies a full list of the watched keys, read at a revision.
+	applyListedKeys(entries []protocol.Entry, revision uint64)
+	// followFrom has the changes after a revision read next.
+	followFrom(revision uint64)
+	// recordKeysListed records that the watched keys were listed.
+	recordKeysListed()
+	// recordFullRead records that all watched keys are known as of a time.
+	recordFullRead(began time.Time)
+	// currentRoster returns the roster of registered machines.
+	currentRoster() *agents.Roster
+	// startRosterEpoch replaces the roster by an empty one.
+	startRosterEpoch()
+	// startConfigEpoch forgets which changes of the teams' configuration the state service has.
+	startConfigEpoch()
+	// learnJob records an active job.
+	learnJob(job userapi.ActiveJob, version uint64)
+	// shardNames lists all shards.
+	shardNames() []string
+	// wake makes the main loop run its next step soon.
+	wake()
+}
+
+func newEpochManager(
+	n *Node, ownKey *presenceKey, detection *lossDetector, census *machineCensus, writeBack *storeWriteBack,
+	gathering *stateExchange,
+) *epochManager {
+	return &epochManager{
+		detection:        detection,
+		census:           census,
+		writeBack:        writeBack,
+		gathering:        gathering,
+		ownKey:           ownKey,
+		host:             n,
+		mu:               &n.mu,
+		log:              n.log,
+		settings:         n.settings,
+		name:             n.name,
+		incarnation:      n.incarnation,
+		kvStore:          n.kvStore,
+		leadership:       n.leadership,
+		shards:           n.shards,
+		jobs:             n.jobs,
+		machines:         n.machines,
+		registration:     n.registration,
+		unreachableHomes: n.unreachableHomes,
+		scheduler:        n.scheduler,
+	}
+}
+
+// followFrom has the changes of the watched keys after a revision read next.
+func (n *Node) followFrom(revision uint64) { n.followedRevision = revision }
+
+// recordKeysListed records that the watched keys were listed.
+func (n *Node) recordKeysListed() { n.watchedKeysRead = true }
+
+// startRosterEpoch replaces the roster by an empty one when another epoch is entered.
+func (n *Node) startRosterEpoch() { n.roster = newRoster(n.settings) }
+
 // relistKeys lists all watched keys, to enter the epoch found there or to record what a store that lost data still has.
-func (n *Node) relistKeys(ctx context.Context) {
+func (em *epochManager) relistKeys(ctx context.Context) {
 	began := time.Now()
-	entries, revision, err := n.kvStore.List(ctx, userapi.WatchedPrefix)
+	entries, revision, err := em.kvStore.List(ctx, userapi.WatchedPrefix)
 	if errors.Is(err, kvstore.ErrRevisionDecreased) {
-		n.kvStore.ForgetRevisions()
+		em.kvStore.ForgetRevisions()
 	}
 	if err != nil {
 		sleep(ctx, relistRetryDelay)
 		return
 	}
-	n.mu.Lock()
-	defer n.mu.Unlock()
-	if n.applyFullList(entries, revision) {
-		n.recordFullRead(began)
+	em.mu.Lock()
+	defer em.mu.Unlock()
+	if em.applyFullList(entries, revision) {
+		em.host.recordFullRead(began)
 	}
 }
 
@@ -65,145 +162,140 @@
 
 // applyFullList applies a full list of the watched keys if the store that it was read from is reliable, and reports
 // whether it is.
-func (n *Node) applyFullList(entries []protocol.Entry, revision uint64) bool {
+func (em *epochManager) applyFullList(entries []protocol.Entry, revision uint64) bool {
 	contents := parseStoreContents(entries)
-	evaluation := n.recovery.detection.EvaluateList(contents, n.leadership.Record(), n.leadership.RecordVersion())
+	evaluation := em.detection.EvaluateList(contents, em.leadership.Record(), em.leadership.RecordVersion())
 	if evaluation.Proof != "" {
-		n.proveLoss(evaluation.Proof)
+		em.detection.proveLoss(evaluation.Proof)
 	}
 	if evaluation.Suspicion != "" {
-		n.suspectLoss(evaluation.Suspicion)
+		em.detection.suspectLoss(evaluation.Suspicion)
 	}
 	switch evaluation.Verdict {
 	case datarecovery.ListOfOtherEpoch:
-		n.enterEpoch(entries, contents, revision)
+		em.enterEpoch(entries, contents, revision)
 		return true
 	case datarecovery.ListCurrent:
-		n.applyListedKeys(entries, revision)
+		em.host.applyListedKeys(entries, revision)
 		return true
 	}
-	if contents.Presences[n.name].Incarnation != n.incarnation {
-		n.rewriteOwnKey()
+	if contents.Presences[em.name].Incarnation != em.incarnation {
+		em.ownKey.rewrite()
 	}
 	return false
 }
 
 // enterEpoch starts to rely on the listed store contents, at the start of the process and after a loss. What this
 // controller remembers is kept, and is written back where the store lacks it.
-func (n *Node) enterEpoch(entries []protocol.Entry, contents datarecovery.StoreContents, revision uint64) {
+func (em *epochManager) enterEpoch(entries []protocol.Entry, contents datarecovery.StoreContents, revision uint64) {
 	now := time.Now()
-	if n.leadership.Record() != nil {
-		n.leaveEpoch(now)
-	}
-	n.recovery.detection.ListAccepted()
-	n.recovery.census.Begin(now)
-	n.recovery.writeBack.Begin()
-	n.kvStore.ForgetRevisions()
-	n.kvStore.HoldUpdates(false)
-	n.followedRevision = revision
-	if n.recovery.restartWatch != nil {
-		n.recovery.restartWatch()
+	if em.leadership.Record() != nil {
+		em.leaveEpoch(now)
+	}
+	em.detection.ListAccepted()
+	em.census.Begin(now)
+	em.writeBack.Begin()
+	em.kvStore.ForgetRevisions()
+	em.kvStore.HoldUpdates(false)
+	em.host.followFrom(revision)
+	if em.restartWatch != nil {
+		em.restartWatch()
 	}
 	if contents.Record != nil {
-		n.adopt(contents.Record, contents.RecordVersion)
+		em.host.adopt(contents.Record, contents.RecordVersion)
 	}
 	for _, e := range entries {
-		n.applyChange(protocol.Change{Set: e.Key, Value: e.Value, Version: e.Version})
+		em.host.applyChange(protocol.Change{Set: e.Key, Value: e.Value, Version: e.Version})
 	}
-	n.watchedKeysRead = true
-	n.recovery.detection.Entered(n.leadership.Epoch(), now)
-	if !n.leadership.IsPresent() {
-		n.rewriteOwnKey()
+	em.host.recordKeysListed()
+	em.detection.Entered(em.leadership.Epoch(), now)
+	if !em.leadership.IsPresent() {
+		em.ownKey.rewrite()
 	}
-	n.scheduler.InvalidateAllMachines()
-	n.wake()
+	em.scheduler.InvalidateAllMachines()
+	em.host.wake()
 }
 
 // leaveEpoch moves what is known of the store to what is remembered from before the loss, before another epoch is
 // entered.
-func (n *Node) leaveEpoch(now time.Time) {
-	for _, name := range n.roster.All() {
-		if m := n.machines[name]; m == nil || !m.gone {
-			n.recovery.census.Remember(name)
+func (em *epochManager) leaveEpoch(now time.Time) {
+	for _, name := range em.host.currentRoster().All() {
+		if m := em.machines[name]; m == nil || !m.gone {
+			em.census.Remember(name)
 		}
 	}
-	n.rememberFinishedTasks()
-	n.shards.RecordChangeSettled()
-	for _, j := range n.jobs {
+	em.gathering.rememberFinishedTasks()
+	em.shards.RecordChangeSettled()
+	for _, j := range em.jobs {
 		j.version = 0
 	}
-	for _, job := range n.recovery.gathering.ProposedJobs(now) {
-		n.learnJob(userapi.ActiveJob(job), 0)
+	for _, job := range em.gathering.ProposedJobs(now) {
+		em.host.learnJob(userapi.ActiveJob(job), 0)
 	}
-	n.roster = newRoster(n.settings)
-	n.startConfigEpoch()
-	n.leadership.ResetForNewEpoch()
-	n.recovery.detection.LeaveEpoch()
+	em.host.startRosterEpoch()
+	em.host.startConfigEpoch()
+	em.leadership.ResetForNewEpoch()
+	em.detection.LeaveEpoch()
 }
 
 // epochEntered is called after a membership record of another epoch was adopted.
-func (n *Node) epochEntered(record *leadership.Record) {
-	n.fenceOnEpochKey()
+func (em *epochManager) epochEntered(record *leadership.Record) {
+	em.fenceOnEpochKey()
 	if record.Epoch <= 1 {
 		return
 	}
-	n.log.Info("epoch entered", "epoch", record.Epoch, "term", record.Term, "lost_for_good", record.DataLost,
-		"since_loss", n.sinceLoss(time.Now()))
+	em.log.Info("epoch entered", "epoch", record.Epoch, "term", record.Term, "lost_for_good", record.DataLost,
+		"since_loss", em.detection.sinceLoss(time.Now()))
 	var members []string
 	for name := range record.Nodes {
-		if name != n.name {
+		if name != em.name {
 			members = append(members, name)
 		}
 	}
-	n.recovery.gathering.Begin(record.Epoch, members)
-	n.leadership.ResetStableSince(time.Now()) // machines could not reach their homes while no controller was entitled
-	n.unreachableHomes.ForgetAttempts()
-	for name := range n.recovery.census.Remembered() {
-		if record.Home(name) == n.name {
-			n.registration.Want(name)
+	em.gathering.Begin(record.Epoch, members)
+	em.leadership.ResetStableSince(time.Now()) // machines could not reach their homes while no controller was entitled
+	em.unreachableHomes.ForgetAttempts()
+	for name := range em.census.Remembered() {
+		if record.Home(name) == em.name {
+			em.registration.Want(name)
 		}
 	}
 }
 
-// sinceLoss returns the time since the last loss was confirmed, for the log.
-func (n *Node) sinceLoss(now time.Time) time.Duration {
-	return now.Sub(n.recovery.detection.ConfirmedAt()).Round(time.Millisecond)
-}
-
 // fenceOnEpochKey makes every update conditional on the epoch key.
-func (n *Node) fenceOnEpochKey() {
-	if n.leadership.Record() == nil || n.leadership.Record().StoreID == "" {
+func (em *epochManager) fenceOnEpochKey() {
+	if em.leadership.Record() == nil || em.leadership.Record().StoreID == "" {
 		return
 	}
-	key := datarecovery.EpochKey + n.leadership.Record().StoreID
-	if version := n.recovery.detection.EpochKeyVersion(key); version > 0 {
-		n.kvStore.SetFence(protocol.Condition{Key: key, Version: version})
+	key := datarecovery.EpochKey + em.leadership.Record().StoreID
+	if version := em.detection.EpochKeyVersion(key); version > 0 {
+		em.kvStore.SetFence(protocol.Condition{Key: key, Version: version})
 	}
 }
 
 // proposeEpoch creates the next epoch, unless another controller has.
-func (n *Node) proposeEpoch(ctx context.Context) {
-	n.relistKeys(ctx)
-	evidence, contents, ready := n.proposalEvidence()
+func (em *epochManager) proposeEpoch(ctx context.Context) {
+	em.relistKeys(ctx)
+	evidence, contents, ready := em.proposalEvidence()
 	if !ready {
 		return
 	}
 	next := evidence.NextEpoch()
-	txn := next.Transaction(recordKey, presencePrefix, contents, n.settings.Deployment.KVStore.ChangesPerTransaction)
-	_, failed, err := n.kvStore.CommitControl(ctx, txn)
-	n.log.Info("epoch proposed", "epoch", next.Record.Epoch, "term", next.Record.Term, "accounts_kept", next.WithoutBarrier,
+	txn := next.Transaction(recordKey, presencePrefix, contents, em.settings.Deployment.KVStore.ChangesPerTransaction)
+	_, failed, err := em.kvStore.CommitControl(ctx, txn)
+	em.log.Info("epoch proposed", "epoch", next.Record.Epoch, "term", next.Record.Term, "accounts_kept", next.WithoutBarrier,
 		"lost_for_good", next.Record.DataLost, "members", next.Record.Members(), "failed", failed, "err", err)
-	n.relistKeys(ctx)
+	em.relistKeys(ctx)
 }
 
 // proposalEvidence collects the evidence for the next epoch; ready is false while this controller may not propose.
-func (n *Node) proposalEvidence() (evidence datarecovery.Evidence, contents datarecovery.StoreContents, ready bool) {
-	n.mu.Lock()
-	defer n.mu.Unlock()
-	evidence, contents, ready = n.recovery.detection.Proposal(n.leadership.Record(), n.kvStore.LastRevision(), time.Now())
-	evidence.Controllers = n.settings.ControllerNames()
-	evidence.Shards = n.shardNames()
-	evidence.ChangeUnanswered = n.leadership.ChangeOpen()
+func (em *epochManager) proposalEvidence() (evidence datarecovery.Evidence, contents datarecovery.StoreContents, ready bool) {
+	em.mu.Lock()
+	defer em.mu.Unlock()
+	evidence, contents, ready = em.detection.Proposal(em.leadership.Record(), em.kvStore.LastRevision(), time.Now())
+	evidence.Controllers = em.settings.ControllerNames()
+	evidence.Shards = em.host.shardNames()
+	evidence.ChangeUnanswered = em.leadership.ChangeOpen()
 	evidence.StoreID = randomStoreID()
 	return evidence, contents, ready
 }
--- a/internal/controller/recovery_gather.go
+++ b/internal/controller/recovery_gather.go
@@ -1,13 +1,17 @@
 package controller
 
 import (
+	"encoding/json"
+	"log/slog"
 	"maps"
 	"slices"
+	"strings"
 	"time"
 
 	"github.com/bits-and-blooms/bitset"
 
 	"topazhollow/internal/datarecovery"
+	"topazhollow/internal/leadership"
 	"topazhollow/internal/peer"
 	"topazhollow/internal/protocol"
 	"topazhollow/internal/shards"
@@ -55,70 +59,115 @@
 	latestAttempt = 1 << 52
 )
 
+// stateExchange exchanges retained state with the peers. Node.mu guards it: all methods are called with it held.
+type stateExchange struct {
+	*datarecovery.Gathering
+
+	host       exchangeHost
+	log        *slog.Logger
+	userAPI    *userapi.Handler
+	leadership *leadership.State
+	shards     *shards.Registry
+	jobs       map[string]*job
+	detection  *lossDetector
+	writeBack  *storeWriteBack
+}
+
+// exchangeHost is what a stateExchange asks of the controller.
+type exchangeHost interface {
+	// peerNames lists the peers.
+	peerNames() []string
+	// mayBeReachable returns whether a peer is reachable, or may become so soon.
+	mayBeReachable(peer string, now time.Time) bool
+	// send sends a message to a peer.
+	send(peer, kind string, body any)
+	// sendEncoded sends an encoded message to a peer, and returns whether it was sent.
+	sendEncoded(peer string, line []byte) bool
+	// learnJob records an active job.
+	learnJob(job userapi.ActiveJob, version uint64)
+	// hasEnded returns whether this controller has a recorded end of a job.
+	hasEnded(uid string) bool
+	// lookUpEnd reads the end of a job from the state service in the background.
+	lookUpEnd(uid string, attempt uint64)
+	// rememberedConfig lists the changes of the teams' configuration that the state service may lack.
+	rememberedConfig() []teamconfig.Change
+	// learnRememberedConfig applies changes that a peer remembers.
+	learnRememberedConfig(changes []teamconfig.Change)
+	// wake makes the main loop run its next step soon.
+	wake()
+}
+
+func newStateExchange(n *Node, detection *lossDetector, writeBack *storeWriteBack) *stateExchange {
+	return &stateExchange{
+		Gathering:  datarecovery.NewGathering(),
+		host:       n,
+		log:        n.log,
+		userAPI:    n.userAPI,
+		leadership: n.leadership,
+		shards:     n.shards,
+		jobs:       n.jobs,
+		detection:  detection,
+		writeBack:  writeBack,
+	}
+}
+
 // retainedStateGathered reports whether every member that may be reachable has sent its retained state and answered
 // that of this controller.
-func (n *Node) retainedStateGathered(now time.Time) bool {
+func (x *stateExchange) retainedStateGathered(now time.Time) bool {
 	member := func(name string) bool {
-		_, ok := n.leadership.Record().Nodes[name]
+		_, ok := x.leadership.Record().Nodes[name]
 		return ok
 	}
-	progress := n.recovery.gathering.Progress(member, func(name string) bool { return n.mayBeReachable(name, now) })
+	progress := x.Progress(member, func(name string) bool { return x.host.mayBeReachable(name, now) })
 	if progress.Completed {
-		n.log.Info("retained state gathered", "epoch", n.leadership.Epoch(), "since_loss", n.sinceLoss(now))
+		x.log.Info("retained state gathered", "epoch", x.leadership.Epoch(), "since_loss", x.detection.sinceLoss(now))
 	}
 	return progress.Ready
 }
 
 // allPeersExchanged reports whether every peer that may be reachable has sent all of its retained state since this
 // process started. The look-ups of jobs that are named there and unknown here have at least begun by then.
-func (n *Node) allPeersExchanged(now time.Time) bool {
-	for name := range n.peers {
-		if n.mayBeReachable(name, now) && !n.recovery.gathering.ExchangedWith(name) {
+func (x *stateExchange) allPeersExchanged(now time.Time) bool {
+	for _, name := range x.host.peerNames() {
+		if x.host.mayBeReachable(name, now) && !x.ExchangedWith(name) {
 			return false
 		}
 	}
 	return true
 }
 
-// mayBeReachable reports whether a peer is reachable, or may become so within the startup grace period.
-func (n *Node) mayBeReachable(name string, now time.Time) bool {
-	return n.peers[name].isReachable(now) || now.Sub(n.startedAt) < startupGrace
-}
-
-func (n *Node) peerNames() []string { return slices.Sorted(maps.Keys(n.peers)) }
-
 // sendRetainedState sends peers what this controller knows and the store may lack. ask requests theirs in return.
-func (n *Node) sendRetainedState(ask bool, to ...string) {
-	unwritten, written := n.activeJobs()
-	ends := n.userAPI.EndsDigest()
+func (x *stateExchange) sendRetainedState(ask bool, to ...string) {
+	unwritten, written := x.activeJobs()
+	ends := x.userAPI.EndsDigest()
 	for last := false; !last; {
 		m := retainedStateMsg{
-			Epoch:    n.leadership.Epoch(),
+			Epoch:    x.leadership.Epoch(),
 			Jobs:     unwritten[:min(jobsPerMessage, len(unwritten))],
 			Finished: map[string]*bitset.BitSet{},
 			Ask:      ask,
 		}
 		unwritten = unwritten[len(m.Jobs):]
 		for _, s := range m.Jobs {
-			if finished := n.recovery.gathering.Finished(s.Spec.UID); finished != nil {
+			if finished := x.Finished(s.Spec.UID); finished != nil {
 				m.Finished[s.Spec.UID] = finished
 			}
 		}
 		if last = len(unwritten) == 0; last {
-			m.Last, m.Ends, m.Active, m.Config = true, ends, written, n.rememberedConfig()
-			n.addFinishedOfWritten(m.Finished)
+			m.Last, m.Ends, m.Active, m.Config = true, ends, written, x.host.rememberedConfig()
+			x.addFinishedOfWritten(m.Finished)
 		}
 		line := peer.Encode(kindRetainedState, m)
 		for _, name := range to {
-			n.links.SendEncoded(name, line)
+			x.host.sendEncoded(name, line)
 		}
 	}
 }
 
 // activeJobs returns the active jobs that the store lacks, and the ids of those that it has, both ordered by id.
-func (n *Node) activeJobs() (unwritten []userapi.ActiveJob, written []string) {
-	for _, uid := range slices.Sorted(maps.Keys(n.jobs)) {
-		if j := n.jobs[uid]; j.active && j.version == 0 {
+func (x *stateExchange) activeJobs() (unwritten []userapi.ActiveJob, written []string) {
+	for _, uid := range slices.Sorted(maps.Keys(x.jobs)) {
+		if j := x.jobs[uid]; j.active && j.version == 0 {
 			unwritten = append(unwritten, j.accepted)
 		} else if j.active {
 			written = append(written, uid)
@@ -128,122 +177,121 @@
 }
 
 // addFinishedOfWritten adds the remembered finished tasks of jobs that the store has.
-func (n *Node) addFinishedOfWritten(finished map[string]*bitset.BitSet) {
-	for uid, tasks := range n.recovery.gathering.FinishedByJob() {
-		if j := n.jobs[uid]; j != nil && j.active && j.version > 0 {
+func (x *stateExchange) addFinishedOfWritten(finished map[string]*bitset.BitSet) {
+	for uid, tasks := range x.FinishedByJob() {
+		if j := x.jobs[uid]; j != nil && j.active && j.version > 0 {
 			finished[uid] = tasks
 		}
 	}
 }
 
 // onRetainedState applies a peer's retained state and answers the last message of it with the ends that the peer lacks.
-func (n *Node) onRetainedState(from string, m *retainedStateMsg) {
-	if m.Epoch != n.leadership.Epoch() || !n.trusted() {
+func (x *stateExchange) onRetainedState(from string, m *retainedStateMsg) {
+	if m.Epoch != x.leadership.Epoch() || !x.detection.Trusted() {
 		return // the peer sends it again
 	}
 	for _, s := range m.Jobs {
 		if s.Spec == nil || !protocol.ValidUID(s.Spec.UID) {
 			continue
 		}
-		if !n.hasEnded(s.Spec.UID) {
-			n.learnJob(s, 0)
+		if !x.host.hasEnded(s.Spec.UID) {
+			x.host.learnJob(s, 0)
 		}
 	}
-	n.mergeFinishedTasks(m.Finished)
-	n.learnRememberedConfig(m.Config)
+	x.mergeFinishedTasks(m.Finished)
+	x.host.learnRememberedConfig(m.Config)
 	if m.Last {
-		n.completeRetainedState(from, m)
+		x.completeRetainedState(from, m)
 	}
 }
 
 // completeRetainedState processes the last message of a peer's retained state.
-func (n *Node) completeRetainedState(from string, m *retainedStateMsg) {
+func (x *stateExchange) completeRetainedState(from string, m *retainedStateMsg) {
 	for _, uid := range m.Active {
-		if n.jobs[uid] == nil && !n.hasEnded(uid) {
+		if x.jobs[uid] == nil && !x.host.hasEnded(uid) {
 			// The sender knows it as accepted and not ended, so the store must have the job or its end.
-			n.lookUpEnd(uid, latestAttempt)
+			x.host.lookUpEnd(uid, latestAttempt)
 		}
 	}
-	n.recovery.gathering.StateReceived(from)
-	missing, err := n.userAPI.EndsMissingFrom(m.Ends)
+	x.StateReceived(from)
+	missing, err := x.userAPI.EndsMissingFrom(m.Ends)
 	if err != nil {
-		n.log.Error("unreadable line", "peer", from, "kind", kindRetainedState, "err", err)
+		x.log.Error("unreadable line", "peer", from, "kind", kindRetainedState, "err", err)
 		return
 	}
 	for _, page := range datarecovery.Pages(missing, maxEndsBytes) {
-		n.links.Send(from, kindMissingEnds, missingEndsMsg{Epoch: m.Epoch, Ends: &page})
+		x.host.send(from, kindMissingEnds, missingEndsMsg{Epoch: m.Epoch, Ends: &page})
 	}
-	n.links.Send(from, kindMissingEnds, missingEndsMsg{Epoch: m.Epoch, Last: true})
-	if n.recovery.gathering.StateAnswered(from) {
-		n.wake()
+	x.host.send(from, kindMissingEnds, missingEndsMsg{Epoch: m.Epoch, Last: true})
+	if x.StateAnswered(from) {
+		x.host.wake()
 	}
 	if m.Ask { // the peer may have entered the epoch after the last send to all peers
-		n.sendRetainedState(false, from)
+		x.sendRetainedState(false, from)
 	}
 }
 
 // onMissingEnds applies ends that a peer found to be missing here.
-func (n *Node) onMissingEnds(from string, m *missingEndsMsg) {
+func (x *stateExchange) onMissingEnds(from string, m *missingEndsMsg) {
 	if m.Ends != nil {
 		ends, err := m.Ends.Ends()
 		if err != nil {
-			n.log.Error("unreadable line", "peer", from, "kind", kindMissingEnds, "err", err)
+			x.log.Error("unreadable line", "peer", from, "kind", kindMissingEnds, "err", err)
 			return
 		}
-		n.learnEnds(ends)
-		n.recovery.writeBack.EndsLearned()
-	}
-	if m.Last && n.recovery.gathering.AnswerReceived(from, m.Epoch) {
-		n.wake()
+		x.writeBack.learnEnds(ends)
+		x.writeBack.EndsLearned()
 	}
-}
-
-// learnEnds records ends received from peers or read from pages.
-func (n *Node) learnEnds(ends []datarecovery.End) {
-	for _, end := range ends {
-		n.userAPI.RecordEnd(end.UID, userapi.JobEndFrom(end))
-		n.applyRememberedEnd(end.UID)
-	}
-}
-
-// applyRememberedEnd ends an active job whose end is known. If the store still has the job as active, its end has to be
-// written there again.
-func (n *Node) applyRememberedEnd(uid string) {
-	if j := n.jobs[uid]; j != nil && j.active {
-		if j.version > 0 && n.leadership.Epoch() > 1 {
-			n.recovery.writeBack.EndedKeyActive(uid, j.version, time.Now())
-		}
-		n.endJob(uid)
+	if m.Last && x.AnswerReceived(from, m.Epoch) {
+		x.host.wake()
 	}
 }
 
 // rememberFinishedTasks merges the finished tasks that this controller knows as owner or holder of a replica into the
 // remembered ones.
-func (n *Node) rememberFinishedTasks() {
-	n.mergeFinishedTasks(n.recovery.gathering.TakeFinished())
-	for shard := range n.shards.All() {
-		n.mergeFinishedTasks(shard.Team().Replica().Done)
+func (x *stateExchange) rememberFinishedTasks() {
+	x.mergeFinishedTasks(x.TakeFinished())
+	for shard := range x.shards.All() {
+		x.mergeFinishedTasks(shard.Team().Replica().Done)
 	}
-	for replica := range n.shards.Held().All() {
-		n.mergeFinishedTasks(replica.Done)
+	for replica := range x.shards.Held().All() {
+		x.mergeFinishedTasks(replica.Done)
 	}
 }
 
 // mergeFinishedTasks merges finished tasks into the remembered ones and into the teams owned here. Their jobs may
 // become known only later.
-func (n *Node) mergeFinishedTasks(finished map[string]*bitset.BitSet) {
+func (x *stateExchange) mergeFinishedTasks(finished map[string]*bitset.BitSet) {
 	for uid, tasks := range finished {
-		j := n.jobs[uid]
-		if tasks == nil || n.hasEnded(uid) || j != nil && (!j.active || j.spec.Kind == protocol.Service) {
+		j := x.jobs[uid]
+		if tasks == nil || x.host.hasEnded(uid) || j != nil && (!j.active || j.spec.Kind == protocol.Service) {
 			continue
 		}
-		n.recovery.gathering.MergeFinished(uid, tasks)
+		x.MergeFinished(uid, tasks)
 		if j == nil {
 			continue
 		}
-		if shard := n.shards.OfTeam(j.spec.Team); shard != nil && shard.Phase() != shards.Loading {
+		if shard := x.shards.OfTeam(j.spec.Team); shard != nil && shard.Phase() != shards.Loading {
 			shard.Team().MergeDone(uid, tasks)
 		}
 	}
-	n.wake()
+	x.host.wake()
+}
+
+// learnRecoveryPage records a page of ends or of finished tasks read from the store.
+func (x *stateExchange) learnRecoveryPage(key string, value []byte) error {
+	if strings.HasPrefix(key, datarecovery.EndsKey) {
+		ends, err := datarecovery.ReadPage(value)
+		if err != nil {
+			return err
+		}
+		x.writeBack.learnEnds(ends)
+		return nil
+	}
+	var finished map[string]*bitset.BitSet
+	if err := json.Unmarshal(value, &finished); err != nil {
+		return err
+	}
+	x.mergeFinishedTasks(finished)
+	return nil
 }
--- a/internal/controller/recovery_replicate.go
+++ b/internal/controller/recovery_replicate.go
@@ -2,8 +2,11 @@
 
 import (
 	"context"
+	"log/slog"
+	"sync"
 	"time"
 
+	"topazhollow/internal/cancelwatermark"
 	"topazhollow/internal/datarecovery"
 	"topazhollow/internal/peer"
 	"topazhollow/internal/protocol"
@@ -79,29 +82,72 @@
 	}
 }
 
+// factReplicator sends facts to the peers and remembers theirs. Node.mu guards it: replicateFact and sendFact take
+// it, all other methods are called with it held.
+type factReplicator struct {
+	factReplication
+
+	host            factHost
+	mu              sync.Locker // Node.mu
+	log             *slog.Logger
+	userAPI         *userapi.Handler
+	jobs            map[string]*job
+	cancelWatermark *cancelwatermark.Watermark
+	gathering       *stateExchange
+	writeBack       *storeWriteBack
+}
+
+// factHost is what a factReplicator asks of the controller.
+type factHost interface {
+	// peerNames lists the peers.
+	peerNames() []string
+	// isReachable returns whether a peer is reachable.
+	isReachable(peer string, now time.Time) bool
+	// send sends a message to a peer.
+	send(peer, kind string, body any)
+	// sendEncoded sends an encoded message to a peer, and returns whether it was sent.
+	sendEncoded(peer string, line []byte) bool
+	// numberCancellation assigns the next number to the cancellation that a message contains, if it contains one.
+	numberCancellation(m *replicateFactMsg)
+}
+
+func newFactReplicator(n *Node, gathering *stateExchange, writeBack *storeWriteBack) *factReplicator {
+	return &factReplicator{
+		factReplication: newFactReplication(),
+		host:            n,
+		mu:              &n.mu,
+		log:             n.log,
+		userAPI:         n.userAPI,
+		jobs:            n.jobs,
+		cancelWatermark: n.cancelWatermark,
+		gathering:       gathering,
+		writeBack:       writeBack,
+	}
+}
+
 // replicateFact sends a fact to the peers and waits until one has confirmed it, before it is acknowledged to a user. It
 // gives up after replicationTimeout: what the store has is acknowledged anyway, and a fact that no peer confirmed is
 // counted.
-func (n *Node) replicateFact(ctx context.Context, m replicateFactMsg) {
-	id, replicated, reached := n.sendFact(m)
+func (f *factReplicator) replicateFact(ctx context.Context, m replicateFactMsg) {
+	id, replicated, reached := f.sendFact(m)
 	confirmed := reached > 0 && waitFor(ctx, replicated, replicationTimeout)
-	n.mu.Lock()
-	defer n.mu.Unlock()
-	n.recovery.facts.end(id, confirmed)
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	f.end(id, confirmed)
 }
 
 // sendFact sends a fact to all peers. It returns its number, the channel that is signalled once a peer has confirmed
 // it, and the number of reachable peers that it was sent to.
-func (n *Node) sendFact(m replicateFactMsg) (id uint64, replicated <-chan struct{}, reached int) {
-	n.mu.Lock()
-	defer n.mu.Unlock()
+func (f *factReplicator) sendFact(m replicateFactMsg) (id uint64, replicated <-chan struct{}, reached int) {
+	f.mu.Lock()
+	defer f.mu.Unlock()
 	now := time.Now()
-	id, replicated = n.recovery.facts.begin()
+	id, replicated = f.begin()
 	m.ID = id
-	n.numberCancellation(&m)
+	f.host.numberCancellation(&m)
 	line := peer.Encode(kindReplicateFact, m)
-	for name, p := range n.peers {
-		if n.links.SendEncoded(name, line) && p.isReachable(now) {
+	for _, name := range f.host.peerNames() {
+		if f.host.sendEncoded(name, line) && f.host.isReachable(name, now) {
 			reached++
 		}
 	}
@@ -121,43 +167,31 @@
 	return false
 }
 
-// broadcastEnd sends an end that was found in the store to the peers.
-func (n *Node) broadcastEnd(uid string, end userapi.JobEnd) {
-	n.mu.Lock()
-	defer n.mu.Unlock()
-	n.broadcast(kindReplicateFact, replicateFactMsg{Ends: []jobEnd{{uid, end}}})
-}
-
 // onReplicateFact records a fact sent by a peer and confirms it.
-func (n *Node) onReplicateFact(from string, m *replicateFactMsg) {
+func (f *factReplicator) onReplicateFact(from string, m *replicateFactMsg) {
 	if m.Job != nil && m.Job.Spec != nil && protocol.ValidUID(m.Job.Spec.UID) {
-		n.rememberProposedJob(*m.Job)
+		f.rememberProposedJob(*m.Job)
 	}
 	for _, end := range m.Ends {
 		if !protocol.ValidUID(end.UID) || end.State != protocol.Cancelled && end.State != protocol.Done {
-			n.log.Error("unreadable line", "peer", from, "kind", kindReplicateFact, "err", "job end with an invalid id or state")
+			f.log.Error("unreadable line", "peer", from, "kind", kindReplicateFact, "err", "job end with an invalid id or state")
 			return
 		}
 	}
 	for _, end := range m.Ends {
-		n.userAPI.RecordEnd(end.UID, end.JobEnd)
-		n.applyRememberedEnd(end.UID)
+		f.userAPI.RecordEnd(end.UID, end.JobEnd)
+		f.writeBack.applyRememberedEnd(end.UID)
 	}
-	n.cancelWatermark.RecordReceived(from, m.From, len(m.Ends))
+	f.cancelWatermark.RecordReceived(from, m.From, len(m.Ends))
 	if m.ID != 0 {
-		n.links.Send(from, kindFactReplicated, factReplicatedMsg{m.ID})
+		f.host.send(from, kindFactReplicated, factReplicatedMsg{m.ID})
 	}
 }
 
-// onFactReplicated records that a peer has confirmed a fact.
-func (n *Node) onFactReplicated(m *factReplicatedMsg) {
-	n.recovery.facts.confirm(m.ID)
-}
-
 // rememberProposedJob records a job that a peer is about to accept. If the store accepts the job, the watch delivers
 // it; if not, the record expires.
-func (n *Node) rememberProposedJob(s userapi.ActiveJob) {
-	if n.jobs[s.Spec.UID] == nil {
-		n.recovery.gathering.JobProposed(datarecovery.RememberedJob(s), time.Now())
+func (f *factReplicator) rememberProposedJob(s userapi.ActiveJob) {
+	if f.jobs[s.Spec.UID] == nil {
+		f.gathering.JobProposed(datarecovery.RememberedJob(s), time.Now())
 	}
 }
--- a/internal/controller/registration.go
+++ b/internal/controller/registration.go
@@ -33,7 +33,7 @@
 	if err != nil {
 		// The list lacks changes that are known here, as when a process wrote it that started after a loss of data. A
 		// machine's absence from such a list must never count as proof that its tasks have ended.
-		n.suspectLoss(datarecovery.Sign(err.Error()))
+		n.recovery.detection.suspectLoss(datarecovery.Sign(err.Error()))
 		return
 	}
 	for _, name := range added {
@@ -112,6 +112,6 @@
 	if entry != nil {
 		n.applyRosterList(w.Key, entry.Value, entry.Version)
 	} else if known := n.roster.Versions()[w.Key]; known > 0 && known == w.Version {
-		n.suspectLoss(datarecovery.SignRosterGone)
+		n.recovery.detection.suspectLoss(datarecovery.SignRosterGone)
 	}
 }
--- a/internal/controller/scheduling.go
+++ b/internal/controller/scheduling.go
@@ -160,7 +160,7 @@
 		name := status.Machine
 		m := n.machines[name]
 		switch {
-		case status.Term != n.leadership.Term(), status.Notice, n.runsUndescribedJob(status):
+		case status.Term != n.leadership.Term(), status.Notice, n.recovery.census.runsUndescribedJob(status):
 			return false
 		case now.Sub(m.HeardAt) > fresh, unreachable[n.homeFor(m, name)]:
 			return false
--- a/internal/controller/status.go
+++ b/internal/controller/status.go
@@ -81,14 +81,14 @@
 func (n *Node) status(now time.Time) statusMsg {
 	cancellations, recordVersion := n.cancelWatermark.Confirmed(), n.leadership.RecordVersion()
 	s := statusMsg{
-		Store:         n.storeAssessment(),
+		Store:         n.recovery.storeAssessment(),
 		Cancellations: &cancellations,
 		RecordVersion: &recordVersion,
 		Entitled:      n.entitled(now),
 		HoldsLease:    n.leadership.HoldsLease(now),
 		SentAt:        now.Sub(n.startedAt).Milliseconds(),
 		Received:      n.receivedStatuses(now),
-		Promise:       n.leadership.TryPromise(now, n.trusted()),
+		Promise:       n.leadership.TryPromise(now, n.recovery.detection.Trusted()),
 	}
 	if n.leadership.Record() != nil {
 		s.Term = n.leadership.Term()
--- a/internal/controller/teamconfig.go
+++ b/internal/controller/teamconfig.go
@@ -77,7 +77,7 @@
 	}
 	name := strings.TrimPrefix(e.Set+e.Delete, teamstore.Prefix)
 	if e.Delete != "" {
-		n.suspectLoss(datarecovery.SignConfigurationDeleted)
+		n.recovery.detection.suspectLoss(datarecovery.SignConfigurationDeleted)
 		return
 	}
 	var entry teamconfig.Entry
@@ -109,7 +109,7 @@
 
 // recordConfigRead records that all watched keys are known up to n.followedRevision, by a read that began at a time.
 func (n *Node) recordConfigRead(began time.Time) {
-	if n.teamConfig != nil && n.trusted() && n.watchedKeysRead {
+	if n.teamConfig != nil && n.recovery.detection.Trusted() && n.watchedKeysRead {
 		n.teamConfig.config.MarkReadUpTo(n.followedRevision, began)
 	}
 }
@@ -121,7 +121,7 @@
 	}
 	for name, version := range n.teamConfig.config.Versions() {
 		if version > 0 && !seen[teamstore.Prefix+name] {
-			n.suspectLoss(datarecovery.SignConfigurationGone)
+			n.recovery.detection.suspectLoss(datarecovery.SignConfigurationGone)
 		}
 	}
 }
@@ -205,7 +205,7 @@
 // The limits that the status acknowledges are applied first, as from then on peers rely on this controller to keep
 // them.
 func (n *Node) teamConfigStatus(now time.Time) *teamconfig.Status {
-	if n.teamConfig == nil || n.leadership.Record() == nil || !n.trusted() {
+	if n.teamConfig == nil || n.leadership.Record() == nil || !n.recovery.detection.Trusted() {
 		return nil
 	}
 	n.applyTeamLimits(now)
@@ -275,7 +275,8 @@
 	}
 	n.teamConfig.propagation.Apply(node, incarnation, *status)
 	n.updatePropagation(now)
-	if !n.trusted() || status.Epoch != n.leadership.Epoch() || status.KnownRevision >= n.teamConfig.config.LatestVersion() {
+	if !n.recovery.detection.Trusted() || status.Epoch != n.leadership.Epoch() ||
+		status.KnownRevision >= n.teamConfig.config.LatestVersion() {
 		delete(n.teamConfig.behindSince, node)
 		return
 	}
@@ -299,7 +300,7 @@
 
 // onConfigChanges applies the changes of the configuration that a peer found missing here.
 func (n *Node) onConfigChanges(m *configMsg, now time.Time) {
-	if n.teamConfig == nil || !n.trusted() || n.leadership.Record() == nil || m.Epoch != n.leadership.Epoch() {
+	if n.teamConfig == nil || !n.recovery.detection.Trusted() || n.leadership.Record() == nil || m.Epoch != n.leadership.Epoch() {
 		return
 	}
 	n.teamConfig.config.ApplyMissing(m.Changes, m.After, m.Known, m.RecordVersion, n.leadership.RecordVersion())
--- a/internal/controller/unreachablehomes_test.go
+++ b/internal/controller/unreachablehomes_test.go
@@ -58,7 +58,7 @@
 	for _, silent := range []bool{true, false} { // does the home send its peers no messages?
 		n := newNodeHarness(4, 1).n
 		n.settings.Deployment.Agents = settings.Agents{HeartbeatSeconds: 2, LeaseSeconds: 12, CancelSeconds: 32}
-		n.unreachableHomes = agents.NewUnreachableHomes(agentTiming(n.settings))
+		*n.unreachableHomes = *agents.NewUnreachableHomes(agentTiming(n.settings))
 		lease := settings.Seconds(n.settings.Deployment.Agents.LeaseSeconds)
 		start := time.Now()
 		n.leadership.ResetStableSince(start.Add(-time.Minute))
@@ -104,7 +104,7 @@
 		}
 	}
 	findAfterHeartbeatsOf := func(names []string) string {
-		n.unreachableHomes = agents.NewUnreachableHomes(agentTiming(n.settings))
+		*n.unreachableHomes = *agents.NewUnreachableHomes(agentTiming(n.settings))
 		for i := range 6 {
 			at := now.Add(time.Duration(i) * time.Second)
 			n.peers[home].lastMessageAt = at
@@ -228,7 +228,7 @@
 	state := func() string {
 		done, _ := team.Progress(spec.UID)
 		proof, _ := n.recovery.detection.Proved()
-		return fmt.Sprint(len(n.jobs), len(n.machines), len(n.roster.All()), done, len(team.Replica().Assignments), proof, n.recovery.detection.RecordChainBroken(), n.trusted())
+		return fmt.Sprint(len(n.jobs), len(n.machines), len(n.roster.All()), done, len(team.Replica().Assignments), proof, n.recovery.detection.RecordChainBroken(), n.recovery.detection.Trusted())
 	}
 	before := state()
 	if held, _ := team.Assignments().Count(); held == 0 {
--- a/internal/controller/userbackend.go
+++ b/internal/controller/userbackend.go
@@ -68,7 +68,8 @@
 	// If the state service has lost a job's keys, the watched keys never show the job's end. And until the state that
 	// all controllers retained has been gathered, a peer may know the end of a job that the state service has as
 	// active.
-	if !j.active || j.version == 0 || !n.trusted() || !n.retainedStateGathered(time.Now()) {
+	recovery := n.recovery
+	if !j.active || j.version == 0 || !recovery.detection.Trusted() || !recovery.gathering.retainedStateGathered(time.Now()) {
 		return userapi.Uncertain, nil
 	}
 	return n.dependencyActivity(j.spec.UID)
@@ -97,7 +98,8 @@
 	defer n.mu.Unlock()
 	// Before the first membership record no change is bound to an epoch, and a loss of all data looks like a new
 	// deployment, so that nothing is accepted yet.
-	return n.watchedKeysRead && n.leadership.Record() != nil && n.trusted() && n.retainedStateGathered(time.Now())
+	return n.watchedKeysRead && n.leadership.Record() != nil && n.recovery.detection.Trusted() &&
+		n.recovery.gathering.retainedStateGathered(time.Now())
 }
 
 // KnownActiveJob returns an active job that is known here and its version in the state service; 0 if it is not written
@@ -123,12 +125,14 @@
 	}
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if !n.trusted() || !n.watchedKeysRead || n.leadership.Record() == nil || n.leadership.Record().DataLost {
+	if !n.recovery.detection.Trusted() || !n.watchedKeysRead || n.leadership.Record() == nil || n.leadership.Record().DataLost {
 		return false
 	}
 	now := time.Now()
 	heartbeats := 2*settings.Seconds(n.settings.Deployment.Agents.HeartbeatSeconds) + time.Second
-	return n.retainedStateGathered(now) && n.allPeersExchanged(now) && n.endLookUps.Open() == 0 && now.Sub(n.startedAt) > heartbeats
+	gathering := n.recovery.gathering
+	return gathering.retainedStateGathered(now) && gathering.allPeersExchanged(now) && n.endLookUps.Open() == 0 &&
+		now.Sub(n.startedAt) > heartbeats
 }
 
 // ReportMissing has the key of a job that seems to be missing read from the state service. It does not suspect a loss
@@ -138,7 +142,7 @@
 	n := b.node
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if j := n.jobs[uid]; j != nil && j.active && j.version > 0 && n.trusted() {
+	if j := n.jobs[uid]; j != nil && j.active && j.version > 0 && n.recovery.detection.Trusted() {
 		n.recovery.detection.SuspectKey(userapi.ActiveJobPrefix+uid, j.version)
 	}
 }
@@ -150,7 +154,7 @@
 	if job == nil {
 		m.Ends = []jobEnd{{uid, end}}
 	}
-	n.replicateFact(ctx, m)
+	n.recovery.facts.replicateFact(ctx, m)
 }
 
 // ConfirmingCancellation announces a cancellation to the peers before it is confirmed to a user.
