--- a/internal/controller/acceptance_test.go
+++ b/internal/controller/acceptance_test.go
@@ -135,7 +135,7 @@
 	n, m := s.n, s.n.machines[name]
 	p := n.peers[n.homeOf(name)]
 	switch {
-	case m.status.Term != n.leadership.Term(), m.status.Notice, n.runsUndescribedJob(m.status):
+	case m.status.Term != n.leadership.Term(), m.status.Notice, n.recovery.census.runsUndescribedJob(m.status):
 		return false
 	case s.now.Sub(m.HeardAt) > 11*time.Second, p != nil && (!p.connected || !p.isReachable(s.now)):
 		return false
--- a/internal/controller/scheduling.go
+++ b/internal/controller/scheduling.go
@@ -233,7 +233,7 @@
 		return false, time.Time{}
 	case c.draining[name], !n.roster.Has(name), n.quarantine.IsMachineBad(name, c.now), n.isSlow(m, c.now):
 		return false, time.Time{}
-	case c.afterLoss && n.runsUndescribedJob(status):
+	case c.afterLoss && n.recovery.census.runsUndescribedJob(status):
 		return false, time.Time{}
 	case c.afterLoss && n.runsTaskFromBeforeLoss(status):
 		return true, c.now // the description of its job may be forgotten at any time
