--- a/internal/cli/region.go
+++ b/internal/cli/region.go
@@ -23,6 +23,7 @@
 	"topazhollow/internal/settings"
 	"topazhollow/internal/simulation"
 	"topazhollow/internal/taskrunner"
+	"topazhollow/internal/userapi"
 	"topazhollow/internal/wait"
 )
 
@@ -99,6 +100,7 @@
 	if g.kvStore, err = simulation.NewKVStore(demoTxnChanges, demoStoreValuesKB); err != nil {
 		return g, err
 	}
+	g.checker.FollowEnds(g.kvStore, userapi.EndedJobPrefix)
 	listen, peers, err := g.allocateAddresses()
 	if err != nil {
 		return g, err
