--- a/internal/artifactstore/decision.go
+++ b/internal/artifactstore/decision.go
@@ -10,7 +10,7 @@
 	"topazhollow/internal/protocol"
 )
 
-// decided gives a register's value, if it is known here.
+// decidedValue returns a register's value if it is known here.
 func (st *Store) decidedValue(at Attempt) (value []byte, ok bool, err error) {
 	name := finalName(at)
 	if at.Number > 0 {
@@ -32,7 +32,7 @@
 	return value, true, err
 }
 
-// Learn carries out what was decided: the attempt ends, or its task has its result.
+// Learn applies a decision: the attempt ends, or the task gets its result.
 func (st *Store) Learn(ctx context.Context, at Attempt, value []byte, fetch Fetch) error {
 	if at.Number == 0 {
 		return st.learnResult(ctx, at, value, fetch)
@@ -48,28 +48,28 @@
 	return st.closeAttempt(ctx, at)
 }
 
-// keepDecision keeps what was decided of an attempt or a task, if it is not kept already.
-// Another decision of the same is ErrSplit. The attempt's gate is held.
-func (st *Store) recordDecision(at Attempt, what string, value []byte, keep func() error) error {
-	was, there, err := st.decidedValue(at)
+// recordDecision records a decision with the given function unless it is recorded already. It returns
+// ErrConflictingDecisions if a different value is recorded. The caller holds the register's lock.
+func (st *Store) recordDecision(at Attempt, what string, value []byte, record func() error) error {
+	recorded, ok, err := st.decidedValue(at)
 	switch {
 	case err != nil:
 		return err
-	case there && !bytes.Equal(was, value):
+	case ok && !bytes.Equal(recorded, value):
 		return fmt.Errorf("%w: %s of %s", ErrConflictingDecisions, what, at)
-	case there:
+	case ok:
 		return nil
 	}
-	return keep()
+	return record()
 }
 
-// keepEnd makes the end of an attempt durable.
+// recordEnd makes the end of an attempt durable by a reference to its manifest and blobs.
 func (st *Store) recordEnd(ctx context.Context, at Attempt, value []byte) error {
 	m, err := Verify(st.opt.Key, value)
 	if err != nil {
 		return err
 	}
-	keep, err := m.blobDigests(value)
+	digests, err := m.blobDigests(value)
 	if err != nil {
 		return err
 	}
@@ -78,10 +78,10 @@
 		name = partialName(at)
 	}
 	st.opt.Step("learn")
-	return st.opt.Blobs.SetRef(ctx, m.Tenant, name, keep...)
+	return st.opt.Blobs.SetRef(ctx, m.Tenant, name, digests...)
 }
 
-// learnResult keeps the result of a task, and settles the attempt that it came from.
+// learnResult records the result of a task and marks the attempt that it came from as settled.
 func (st *Store) learnResult(ctx context.Context, at Attempt, value []byte, fetch Fetch) error {
 	var r Result
 	if err := json.Unmarshal(value, &r); err != nil {
@@ -108,21 +108,21 @@
 	return st.MarkSettled(ctx, Attempt{at.Job, at.Task, r.Number})
 }
 
-// close takes an attempt that has ended out of what is open. Its gate is held, or the
-// store is being opened.
+// closeAttempt removes an ended attempt from the open ones. The caller holds the attempt's lock, or the store is
+// being opened.
 func (st *Store) closeAttempt(ctx context.Context, at Attempt) error {
 	st.mu.Lock()
 	a, v := st.open[at], st.votes[at]
 	st.mu.Unlock()
-	settle := false
+	resultUnknown := false
 	if m, err := st.EndManifest(at); err == nil && !m.Partial && m.Exit.Completed {
-		settle = !st.hasRef(finalName(at))
+		resultUnknown = !st.hasRef(finalName(at))
 	}
-	if a == nil && v == nil && !settle {
+	if a == nil && v == nil && !resultUnknown {
 		return nil
 	}
 	st.opt.Step("close")
-	if err := st.logEntry(ctx, &entry{Kind: kindClosed, Attempt: at, Settle: settle}); err != nil {
+	if err := st.logEntry(ctx, &entry{Kind: kindClosed, Attempt: at, ResultUnknown: resultUnknown}); err != nil {
 		return err
 	}
 	if a != nil {
@@ -135,8 +135,8 @@
 	return st.opt.Blobs.DropRef(ctx, voteName(at))
 }
 
-// Unsettled lists the attempts that were sealed as completed, and of which it is not
-// known here whether they are their tasks' results.
+// Unsettled lists the attempts that were sealed as completed and for which it is not yet known here whether they are
+// their tasks' results.
 func (st *Store) Unsettled() []Attempt {
 	st.mu.Lock()
 	defer st.mu.Unlock()
@@ -147,13 +147,13 @@
 	return list
 }
 
-// Settled says that it is known whether an attempt is its task's result.
+// MarkSettled records that it is known whether an attempt is its task's result.
 func (st *Store) MarkSettled(ctx context.Context, at Attempt) error {
 	st.mu.Lock()
-	there := st.unsettled[at]
+	unsettled := st.unsettled[at]
 	st.mu.Unlock()
-	if !there {
+	if !unsettled {
 		return nil
 	}
-	return st.logEntry(ctx, &entry{Kind: kindSettle, Attempt: at})
+	return st.logEntry(ctx, &entry{Kind: kindSettled, Attempt: at})
 }
--- a/internal/artifactstore/expire.go
+++ b/internal/artifactstore/expire.go
@@ -7,16 +7,16 @@
 	"topazhollow/internal/blob"
 )
 
-// Opened counts the attempts that have not ended.
+// OpenCount returns the number of attempts that have not ended.
 func (st *Store) OpenCount() int {
 	st.mu.Lock()
 	defer st.mu.Unlock()
 	return len(st.open)
 }
 
-// Expire lets go of attempts that have ended and are over by what it is told of them, the
-// results of their tasks with them. It gives how many.
-func (st *Store) Expire(ctx context.Context, over func(*Manifest) bool) (count int, err error) {
+// Expire forgets the ended attempts that expired reports, and the result of a task together with the attempt that it
+// is. It returns the number of attempts forgotten.
+func (st *Store) Expire(ctx context.Context, expired func(*Manifest) bool) (count int, err error) {
 	for _, kind := range []string{"sealed/", "partial/"} {
 		after := ""
 		for ctx.Err() == nil {
@@ -31,12 +31,12 @@
 				}
 				m, err := st.readManifest(tenant, ds[0])
 				if errors.Is(err, blob.ErrRotten) {
-					continue // a scrub mends or tells of it
+					continue // the scrub repairs or reports it
 				}
 				if err != nil {
 					return count, err
 				}
-				if !over(m) {
+				if !expired(m) {
 					continue
 				}
 				final := Attempt{Job: m.Job, Task: m.Task}
--- a/internal/artifactstore/inventory.go
+++ b/internal/artifactstore/inventory.go
@@ -8,21 +8,21 @@
 	"strings"
 )
 
-// Extent is how much of a stream is there.
+// Extent is the length of a stream as far as a store has it.
 type Extent struct {
 	Next  uint64 `json:"next"` // number of the next record
 	Bytes int64  `json:"bytes"`
 	Lost  int64  `json:"lost,omitempty"`
 }
 
-// View is what one store has of an attempt.
+// AttemptView is what one store has of an attempt.
 type AttemptView struct {
 	Claim
-	Ended   string            `json:"ended,omitempty"` // digest of its manifest; empty: open
+	Ended   string            `json:"ended,omitempty"` // digest of its manifest; empty while the attempt is open
 	Partial bool              `json:"partial,omitempty"`
 	Exit    *Exit             `json:"exit,omitempty"`
-	Voted   bool              `json:"voted,omitempty"` // an end was accepted, and perhaps decided
-	Idle    float64           `json:"idle,omitempty"`  // seconds since something came for it
+	Voted   bool              `json:"voted,omitempty"` // a value of its end was accepted here, and may be decided
+	Idle    float64           `json:"idle,omitempty"`  // seconds since the last write to it
 	Streams map[string]Extent `json:"streams,omitempty"`
 	Files   map[string]string `json:"files,omitempty"`
 }
@@ -31,10 +31,10 @@
 type TaskView struct {
 	Attempts []AttemptView `json:"attempts"`
 	Result   *Result       `json:"result,omitempty"`
-	Voted    bool          `json:"voted,omitempty"` // a result was accepted, and perhaps decided
+	Voted    bool          `json:"voted,omitempty"` // a result was accepted here, and may be decided
 }
 
-// view is what is here of an open attempt. k.mu is held.
+// viewOf returns the view of an open attempt. The caller holds st.mu.
 func (st *Store) viewOf(at Attempt, a *openAttempt) *AttemptView {
 	v := &AttemptView{Claim: a.claim, Idle: st.opt.Now().Sub(a.lastWrite).Seconds(), Streams: map[string]Extent{}, Files: map[string]string{}}
 	v.Voted = st.votes[at] != nil && st.votes[at].Value != nil
@@ -47,7 +47,7 @@
 	return v
 }
 
-// Task gives what is here of a task, its attempts in their order.
+// Task returns what this store has of a task, its attempts ordered by number.
 func (st *Store) Task(job string, task int) (*TaskView, error) {
 	at := Attempt{Job: job, Task: task}
 	t := &TaskView{}
@@ -58,7 +58,7 @@
 			open[x.Number] = st.viewOf(x, a)
 		}
 	}
-	for x, v := range st.votes { // an end may be accepted of an attempt that is not known else
+	for x, v := range st.votes { // an end may have been accepted for an attempt that this store does not have
 		if x.Job == job && x.Task == task && x.Number > 0 && open[x.Number] == nil && v.Value != nil {
 			open[x.Number] = &AttemptView{Claim: Claim{Attempt: x}, Voted: true}
 		}
@@ -99,7 +99,7 @@
 	return t, json.Unmarshal(value, t.Result)
 }
 
-// Open lists the attempts that have not ended here, with what is there of them.
+// OpenAttempts lists the attempts that have not ended here.
 func (st *Store) OpenAttempts() []AttemptView {
 	st.mu.Lock()
 	defer st.mu.Unlock()
@@ -110,19 +110,20 @@
 	return list
 }
 
-// Names lists the references of ended attempts and results, in order, after a name.
-func (st *Store) RefNames(after string, most int) ([]string, error) {
+// RefNames lists up to limit names of references of ended attempts and results, in order, beginning after the given
+// name.
+func (st *Store) RefNames(after string, limit int) ([]string, error) {
 	var list []string
-	for _, kind := range []string{"final/", "partial/", "sealed/"} { // in the order of names
-		names, err := st.opt.Blobs.Refs(kind, after, most-len(list))
-		if list = append(list, names...); err != nil || len(list) >= most {
+	for _, kind := range []string{"final/", "partial/", "sealed/"} { // sorted
+		names, err := st.opt.Blobs.Refs(kind, after, limit-len(list))
+		if list = append(list, names...); err != nil || len(list) >= limit {
 			return list, err
 		}
 	}
 	return list, nil
 }
 
-// Tasks lists the tasks of a job of which something is here.
+// Tasks lists the tasks of a job of which this store has an attempt.
 func (st *Store) Tasks(job string) ([]int, error) {
 	found := map[int]bool{}
 	for _, kind := range []string{"partial/", "sealed/"} {
@@ -159,7 +160,7 @@
 	return list, nil
 }
 
-// ParseName reads the name of a reference, as Names gives them.
+// ParseName returns the attempt that a reference name, as listed by RefNames, belongs to.
 func ParseName(name string) (Attempt, error) {
 	parts := strings.Split(name, "/")
 	var at Attempt
--- a/internal/artifactstore/manifest.go
+++ b/internal/artifactstore/manifest.go
@@ -1,6 +1,6 @@
-// Package artifactstore keeps what tasks put out: their streams record by record while they
-// run, and, once an attempt is sealed, a manifest of its streams and files. Of each
-// task one sealed attempt at most becomes the final result.
+// Package artifactstore stores the output of tasks: the records of their streams while they run and, once an attempt
+// has ended, a signed manifest of its streams and files. At most one sealed attempt of a task becomes the task's
+// result.
 package artifactstore
 
 import (
@@ -20,40 +20,39 @@
 	"topazhollow/internal/protocol"
 )
 
-// Errors that callers decide by.
+// Errors that callers distinguish.
 var (
-	ErrName       = errors.New("keeper: name not allowed")
-	ErrClaim      = errors.New("keeper: the attempt belongs to another machine or session")
-	ErrSealed     = errors.New("keeper: the attempt is sealed")
-	ErrUnknown    = errors.New("keeper: no such attempt")
-	ErrForged     = errors.New("keeper: the manifest's code does not fit")
-	ErrLimit      = errors.New("keeper: beyond a bound")
-	ErrIncomplete = errors.New("keeper: what the worker put out is not all here")
+	ErrName       = errors.New("artifactstore: name not allowed")
+	ErrClaim      = errors.New("artifactstore: the attempt belongs to another machine or session")
+	ErrSealed     = errors.New("artifactstore: the attempt has ended")
+	ErrUnknown    = errors.New("artifactstore: no such attempt")
+	ErrForged     = errors.New("artifactstore: invalid or wrongly signed manifest")
+	ErrLimit      = errors.New("artifactstore: limit exceeded")
+	ErrIncomplete = errors.New("artifactstore: the output is incomplete")
 )
 
-// GapError says which record of a stream is wanted next.
+// GapError reports records whose number is not the next one of the stream.
 type GapError struct {
 	Stream     string
-	Want, Have uint64 // the next number, and the one that came
+	Want, Have uint64 // the number expected next, and the one received
 }
 
 func (e *GapError) Error() string {
-	return fmt.Sprintf("keeper: stream %s: record %d is wanted, not %d", e.Stream, e.Want, e.Have)
+	return fmt.Sprintf("artifactstore: stream %s: expected record %d, got %d", e.Stream, e.Want, e.Have)
 }
 
-// Attempt names one try of a task. The scheduler numbers the attempts of a task
-// upwards and never repeats a number.
+// Attempt identifies one attempt of a task. The scheduler numbers the attempts of a task in increasing order and
+// never reuses a number.
 type Attempt struct {
 	Job    string `json:"job"`
 	Task   int    `json:"task"`
 	Number uint64 `json:"attempt"`
 }
 
-// String is job/task/attempt with the numbers at full width, so that names sort as
-// the numbers do.
+// String returns job/task/attempt with zero-padded numbers, so that names sort in the order of the numbers.
 func (a Attempt) String() string { return fmt.Sprintf("%s/%06d/%020d", a.Job, a.Task, a.Number) }
 
-// task is the attempt's task, as a prefix of names.
+// task returns the common prefix of the names of the task's attempts.
 func (a Attempt) task() string { return fmt.Sprintf("%s/%06d/", a.Job, a.Task) }
 
 func (a Attempt) check() error {
@@ -63,70 +62,72 @@
 	return nil
 }
 
-// Claim is who puts out: the machine that runs the attempt, in one of its sessions.
+// Claim identifies the writer of an attempt: the machine that runs it, in one session. All writes must carry the
+// claim that began the attempt.
 type Claim struct {
 	Attempt
 	Tenant  string `json:"tenant"`
 	Machine string `json:"machine"`
 	Session uint64 `json:"session"`
-	Class   string `json:"class,omitempty"` // of the job; how long it is kept may go by it
+	Class   string `json:"class,omitempty"` // of the job; the retention policy may depend on it
 }
 
-// StreamInfo is a stream in a manifest.
+// StreamInfo describes a stream in a manifest.
 type StreamInfo struct {
 	Name    string      `json:"name"`
 	Records uint64      `json:"records"`
-	Bytes   int64       `json:"bytes"`          // of data, holes not counted
-	Lost    int64       `json:"lost,omitempty"` // bytes that holes stand for
+	Bytes   int64       `json:"bytes"`          // of data, without dropped output
+	Lost    int64       `json:"lost,omitempty"` // bytes of dropped output
 	Blob    blob.Digest `json:"-"`
 	Digest  string      `json:"blob"`
 }
 
-// FileInfo is a file in a manifest.
+// FileInfo describes a file in a manifest.
 type FileInfo struct {
 	Path   string `json:"path"`
 	Digest string `json:"blob"`
 }
 
-// Exit is how an attempt ended, in its agent's words.
+// Exit is the end of an attempt as its agent reported it.
 type Exit struct {
 	Completed bool   `json:"completed"`
 	Code      int    `json:"code"`
 	Reason    string `json:"reason,omitempty"`
 }
 
-// Manifest is a sealed attempt. Final says whether it is its task's result; it is
-// no part of what the code covers, since it is decided after the seal.
+// Manifest describes an attempt that has ended. Whether the attempt is the task's result is not part of it, since
+// that is decided after the seal.
 type Manifest struct {
 	Claim
 	Sealed  time.Time    `json:"sealed"`
-	Partial bool         `json:"partial,omitempty"` // never sealed by its agent, and never will be
+	Partial bool         `json:"partial,omitempty"` // ended without a seal from its agent
 	Exit    Exit         `json:"exit"`
 	Streams []StreamInfo `json:"streams"`
 	Files   []FileInfo   `json:"files"`
 	Code    string       `json:"hmac_sha256"`
 }
 
-// maxManifest bounds a manifest, in bytes.
+// maxManifestBytes is the maximum size of an encoded manifest.
 const maxManifestBytes = 8 << 20
 
-// keeps lists the blobs that must be kept for a signed manifest, itself first.
+// blobDigests lists the blobs that a signed manifest needs, the manifest itself first.
 func (m *Manifest) blobDigests(signed []byte) ([]blob.Digest, error) {
-	keep := []blob.Digest{blob.Of(signed)}
+	digests := []blob.Digest{blob.Of(signed)}
 	for _, s := range m.Streams {
-		keep = append(keep, s.Blob)
+		digests = append(digests, s.Blob)
 	}
 	for _, f := range m.Files {
 		d, err := blob.Parse(f.Digest)
 		if err != nil {
 			return nil, err
 		}
-		keep = append(keep, d)
+		digests = append(digests, d)
 	}
-	return keep, nil
+	return digests, nil
 }
 
-// Sign gives a manifest its code: HMAC-SHA256 (RFC 2104) over its JSON without one.
+// Sign sets the manifest's code, an HMAC-SHA256 (RFC 2104) over its JSON without the code, and returns the signed
+// JSON.
 func (m *Manifest) Sign(key []byte) []byte {
 	m.Code = ""
 	m.Code = hex.EncodeToString(mac(key, protocol.Encode(m)))
@@ -139,7 +140,7 @@
 	return h.Sum(nil)
 }
 
-// Verify reads a manifest and checks its code.
+// Verify decodes a manifest and checks its code.
 func Verify(key, data []byte) (*Manifest, error) {
 	var m Manifest
 	if err := json.Unmarshal(data, &m); err != nil {
@@ -149,9 +150,9 @@
 	if err != nil {
 		return nil, fmt.Errorf("%w: %v", ErrForged, err)
 	}
-	bare := m
-	bare.Code = ""
-	if !hmac.Equal(code, mac(key, protocol.Encode(&bare))) {
+	unsigned := m
+	unsigned.Code = ""
+	if !hmac.Equal(code, mac(key, protocol.Encode(&unsigned))) {
 		return nil, fmt.Errorf("%w: %s", ErrForged, m.Attempt)
 	}
 	for i := range m.Streams {
@@ -162,13 +163,13 @@
 	return &m, nil
 }
 
-// Bounds of names, in bytes.
+// Maximum lengths of names.
 const (
 	maxStreamNameBytes = 64
 	maxPathBytes       = 1024
 )
 
-// CheckStream allows short printable names without a slash.
+// CheckStream accepts stream names of ASCII letters, digits, '-', '_' and '.' that don't begin with a dot.
 func CheckStream(name string) error {
 	if name == "" || len(name) > maxStreamNameBytes || strings.ContainsFunc(name, func(r rune) bool {
 		return !(r >= 'a' && r <= 'z' || r >= 'A' && r <= 'Z' || r >= '0' && r <= '9' || r == '-' || r == '_' || r == '.')
@@ -178,7 +179,7 @@
 	return nil
 }
 
-// EscapePath is a path of a task's files as part of a URL.
+// EscapePath escapes the path of a task's file for a URL and keeps its slashes.
 func EscapePath(path string) string {
 	segments := strings.Split(path, "/")
 	for i := range segments {
@@ -187,12 +188,11 @@
 	return strings.Join(segments, "/")
 }
 
-// CheckPath allows relative paths of a task's files that stay below its directory:
-// segments parted by single slashes, none of them empty, "." or "..", no
-// backslash and no control character.
+// CheckPath accepts relative paths that stay below the task's directory: segments separated by single slashes, none
+// of them empty, "." or "..", and no backslash or control character.
 func CheckPath(path string) error {
-	bad := path == "" || len(path) > maxPathBytes || !utf8.ValidString(path) || strings.ContainsFunc(path, func(r rune) bool { return r < 0x20 || r == 0x7f || r == '\\' })
-	if bad || slices.ContainsFunc(strings.Split(path, "/"), func(s string) bool { return s == "" || s == "." || s == ".." }) {
+	invalid := path == "" || len(path) > maxPathBytes || !utf8.ValidString(path) || strings.ContainsFunc(path, func(r rune) bool { return r < 0x20 || r == 0x7f || r == '\\' })
+	if invalid || slices.ContainsFunc(strings.Split(path, "/"), func(s string) bool { return s == "" || s == "." || s == ".." }) {
 		return fmt.Errorf("%w: path %.100q", ErrName, path)
 	}
 	return nil
